--- a/src/bin/fennelpin-adapter/main.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/main.rs
@@ -3,8 +3,8 @@
 mod wire;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
-use fennelpin::peers::Voice;
-use fennelpin::{Action, Event, Router};
+use coordinator::peers::Voice;
+use coordinator::{Action, Event, Router};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
--- a/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -1,8 +1,8 @@
 //! The wire: lines of text to events, actions to lines, the settings from JSON. Decides nothing.
 
-pub use fennelpin::core::settings::from_ms;
-use fennelpin::core::{names::Names, settings::load_report};
-use fennelpin::*;
+pub use coordinator::core::settings::from_ms;
+use coordinator::core::{names::Names, settings::load_report};
+use coordinator::*;
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::time::Duration;
@@ -77,12 +77,12 @@
     stats: Vec<String>,
     marks_retry: bool,
     /// How instances may tell each other, where they may.
-    pub talk: Option<fennelpin::peers::Talk>,
+    pub talk: Option<coordinator::peers::Talk>,
 }
 
 /// Reads the settings of a `start`.
 pub fn settings(json: &str) -> Result<(Settings, Words)> {
-    let site = fennelpin::core::settings::read(json).map_err(|e| format!("start: 'options': {e}"))?;
+    let site = coordinator::core::settings::read(json).map_err(|e| format!("start: 'options': {e}"))?;
     let words = Words {
         zones: site.zones,
         classes: site.classes,
--- a/src/bin/fennelpin/main.rs
+++ b/crates/coordinator/src/bin/fennelpin/main.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use fennelpin::config::{Config, Source};
-use fennelpin::{logger, serve};
+use coordinator::config::{Config, Source};
+use coordinator::{logger, serve};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
--- a/src/core/actor.rs
+++ b/crates/coordinator/src/core/actor.rs
@@ -4,7 +4,7 @@
 use crate::counters::Counters;
 use crate::interface::Cause;
 use crate::shard::here;
-use fennelpin_shared::deal::Deal;
+use multi_core::deal::Deal;
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
 use std::pin::Pin;
--- a/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -5,7 +5,7 @@
 //! types, [`choice`] every decision.
 //!
 //! ```
-//! use fennelpin::*;
+//! use coordinator::*;
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
--- a/src/logger.rs
+++ b/crates/coordinator/src/logger.rs
@@ -18,8 +18,17 @@
     Json,
 }
 
+/// The crates whose records are written: our own. Libraries log for their own developers.
+const LOGGED_CRATES: [&str; 5] = ["coordinator", "fake_hosts", "fennelpin", "load_test", "multi_core"];
+
 struct Logger(Format);
 
+/// Whether a record's target, the path of a module, lies in one of our crates.
+fn is_own_target(target: &str) -> bool {
+    let crate_name = target.split("::").next().unwrap_or_default();
+    LOGGED_CRATES.contains(&crate_name)
+}
+
 /// Appends `key=value` pairs; a value with white space, quotes or nothing in it is quoted.
 struct TextPairs<'a>(&'a mut String);
 
@@ -79,7 +88,7 @@
 
 impl Log for Logger {
     fn enabled(&self, metadata: &Metadata) -> bool {
-        metadata.level() <= log::max_level() && metadata.target().starts_with("fennelpin")
+        metadata.level() <= log::max_level() && is_own_target(metadata.target())
     }
 
     fn log(&self, record: &Record) {
@@ -110,7 +119,7 @@
         let record = Record::builder()
             .args(format_args!("host"))
             .level(log::Level::Info)
-            .target("fennelpin::net")
+            .target("coordinator::net")
             .key_values(&pairs)
             .build();
         format.line(Duration::from_millis(1500), &record)
@@ -124,7 +133,7 @@
     #[test]
     fn json_lines_keep_numbers_as_numbers() {
         let json: Json = serde_json::from_str(&lines(Format::Json)).unwrap();
-        let want = serde_json::json!({"ts": 1.5, "level": "INFO", "target": "fennelpin::net", "msg": "host",
+        let want = serde_json::json!({"ts": 1.5, "level": "INFO", "target": "coordinator::net", "msg": "host",
             "end": "host_closed", "detail": "a \"b\"", "parts": 3});
         assert_eq!(json, want);
     }
--- a/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -12,7 +12,7 @@
 use crate::core::{CallPart, Ended, Mail};
 use crate::counters::Counters;
 use crate::interface::{Outcome, RequestId, ServerId};
-use fennelpin_shared::gates::Gate;
+use multi_core::gates::Gate;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/src/net/peer.rs
+++ b/crates/coordinator/src/net/peer.rs
@@ -7,7 +7,7 @@
 use crate::counters::Counters;
 use crate::interface::{Outcome, RequestId, ServerId};
 use crate::ops::turnover::Beside;
-use fennelpin_shared::gates::{Gate, Gates};
+use multi_core::gates::{Gate, Gates};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -21,7 +21,7 @@
 use crate::ops::Readiness;
 use crate::peers::Voice;
 use crate::shard;
-use fennelpin_shared::deal::Deal;
+use multi_core::deal::Deal;
 use std::os::fd::AsFd;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/src/shard/mod.rs
+++ b/crates/coordinator/src/shard/mod.rs
@@ -1,15 +1,15 @@
 //! Several cores in one process: a thread with a current-thread runtime for each, with its own decision
 //! module, table, hosts' connections and clients. What must be one over all of them is in
-//! [`fennelpin_shared`]; `docs/design/several-cores.md` says why it is divided this way.
+//! [`multi_core`]; `docs/design/several-cores.md` says why it is divided this way.
 
 mod run;
 
 pub use run::run;
 
 use crate::core::Mail;
-use fennelpin_shared::gates::Gates;
-use fennelpin_shared::lease::Lease;
-use fennelpin_shared::names::OpenNames;
+use multi_core::gates::Gates;
+use multi_core::lease::Lease;
+use multi_core::names::OpenNames;
 use std::cell::Cell;
 use std::sync::Arc;
 use std::time::Instant;
--- a/tests/core.rs
+++ b/crates/coordinator/tests/core.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use fennelpin::core::{
+use coordinator::core::{
     settings, Answer, CallPart, Clock, Ended, Listed, Mail, NewPart, NewQuery, Table, Transport,
 };
-use fennelpin::counters::Counters;
-use fennelpin::{ClassId, ListKind, Outcome, RequestId, ServerId, ServerState};
+use coordinator::counters::Counters;
+use coordinator::{ClassId, ListKind, Outcome, RequestId, ServerId, ServerState};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 use support::{ms, settings};
--- a/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -3,9 +3,9 @@
 
 mod support;
 
-use fennelpin::counters::Counters;
-use fennelpin::net::http::{self, Answering, Gated, Incoming, Limits, Request, Response, Service};
-use fennelpin::ops::turnover::never;
+use coordinator::counters::Counters;
+use coordinator::net::http::{self, Answering, Gated, Incoming, Limits, Request, Response, Service};
+use coordinator::ops::turnover::never;
 use socket2::SockRef;
 use std::future::Future;
 use std::io::{Read, Write};
--- a/tests/deployments.rs
+++ b/crates/coordinator/tests/deployments.rs
@@ -1,7 +1,7 @@
 //! The module under settings of both deployments, drawn from the ranges in which they run, in one table: a
 //! constant that fits one of them alone fails here. Three routers, modelled servers, simulated time.
 
-use fennelpin::*;
+use coordinator::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/tests/dns_sd.rs
+++ b/crates/coordinator/tests/dns_sd.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use fennelpin::net::dns_sd::Cache;
+use coordinator::net::dns_sd::Cache;
 use hickory_proto::op::{Message, OpCode};
 use hickory_proto::rr::rdata::{A, PTR, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
--- a/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Many routers at once on modelled servers in simulated time: what each does alone must hold in sum.
 
-use fennelpin::*;
+use coordinator::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/lists.rs
+++ b/crates/coordinator/tests/lists.rs
@@ -3,10 +3,10 @@
 
 mod support;
 
-use fennelpin::core::Mail;
-use fennelpin::counters::Counters;
-use fennelpin::interface::ListKind;
-use fennelpin::net::list::{Pace, Watch};
+use coordinator::core::Mail;
+use coordinator::counters::Counters;
+use coordinator::interface::ListKind;
+use coordinator::net::list::{Pace, Watch};
 use serde_json::json;
 use std::time::Duration;
 use support::ms;
--- a/tests/module.rs
+++ b/crates/coordinator/tests/module.rs
@@ -1,6 +1,6 @@
 //! The module alone on scripted events: the rules first, then one small test per failure found.
 
-use fennelpin::*;
+use coordinator::*;
 use std::time::Duration;
 
 fn ms(n: u64) -> Duration {
--- a/tests/ops.rs
+++ b/crates/coordinator/tests/ops.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
-use fennelpin::counters::Counters;
-use fennelpin::ops::desk::Desk;
-use fennelpin::ops::turnover::never;
-use fennelpin::ops::Readiness;
+use coordinator::counters::Counters;
+use coordinator::ops::desk::Desk;
+use coordinator::ops::turnover::never;
+use coordinator::ops::Readiness;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
--- a/tests/peers.rs
+++ b/crates/coordinator/tests/peers.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-use fennelpin::core::{settings, CallPart, Ended, Listed, Mail, Transport};
-use fennelpin::counters::Counters;
-use fennelpin::front::opensearch::hosts::{payload, OpenSearchHosts};
-use fennelpin::net::link::{Dialect, Frames};
-use fennelpin::net::peer::Peers;
-use fennelpin::{Outcome, RequestId, ServerId, ServerState};
+use coordinator::core::{settings, CallPart, Ended, Listed, Mail, Transport};
+use coordinator::counters::Counters;
+use coordinator::front::opensearch::hosts::{payload, OpenSearchHosts};
+use coordinator::net::link::{Dialect, Frames};
+use coordinator::net::peer::Peers;
+use coordinator::{Outcome, RequestId, ServerId, ServerState};
 use std::sync::Arc;
 use std::time::Instant;
 use support::*;
@@ -28,7 +28,7 @@
         let caps = settings::read(&settings().to_string()).unwrap().caps;
         let (core, mail) = mpsc::unbounded_channel();
         let peers =
-            Peers::new(dialect, caps, 64, core, Counters::default(), None, fennelpin::ops::turnover::never());
+            Peers::new(dialect, caps, 64, core, Counters::default(), None, coordinator::ops::turnover::never());
         let (addr, zone) = (addr.to_owned(), "a".to_owned());
         let host = Listed { id: "h".into(), addr, zone, cell: 0, state: ServerState::Ready, up_since_ms: 0 };
         let mut bench = Self { runtime, peers, mail, host };
--- a/tests/process.rs
+++ b/crates/coordinator/tests/process.rs
@@ -133,7 +133,7 @@
     }
     ours["tenants"][0]["name"] = "coop-anfa".into();
     let text = config("127.0.0.1:1", &[], &ours, None);
-    for example in [include_str!("../deploy/opensearch.toml"), include_str!("../deploy/cores.toml")] {
+    for example in [include_str!("../../../deploy/opensearch.toml"), include_str!("../../../deploy/cores.toml")] {
         let (code, said) = check("example", &text, Some(example));
         assert_eq!(code, Some(0), "{said}");
     }
--- a/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -1,9 +1,9 @@
 //! What tests share: scripted peers, settings, clients, and the coordinator between them.
 #![allow(dead_code)]
 
-use fennelpin::config::{Config, Operator};
-use fennelpin::counters::Counters;
-pub use fennelpin_standin::scripted::*;
+use coordinator::config::{Config, Operator};
+use coordinator::counters::Counters;
+pub use fake_hosts::scripted::*;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{BufReader, ErrorKind, Read, Write};
@@ -67,8 +67,8 @@
             runtime.block_on(async {
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
                 tx.send(listener.local_addr().unwrap().to_string()).unwrap();
-                let doors = fennelpin::serve::Doors { clients: listener, desk, before: None };
-                fennelpin::serve::serve(config, doors, ours, stopping, moved).await.unwrap();
+                let doors = coordinator::serve::Doors { clients: listener, desk, before: None };
+                coordinator::serve::serve(config, doors, ours, stopping, moved).await.unwrap();
             });
         });
         Self { addr: rx.recv().unwrap(), desk: desk_addr, counters, moves, stop, thread: Some(thread) }
--- a/tests/talk.rs
+++ b/crates/coordinator/tests/talk.rs
@@ -1,6 +1,6 @@
 //! Coordinators that tell each other: the laws of what they believe, and what bad input costs.
 
-use fennelpin::peers::{tag, Gossip, Heard, Tag, Talk, Unreadable, View, Word, MOST_BYTES};
+use coordinator::peers::{tag, Gossip, Heard, Tag, Talk, Unreadable, View, Word, MOST_BYTES};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/tests/tier.rs
+++ b/crates/coordinator/tests/tier.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use fennelpin_standin::relay::{Faults, Relay};
+use fake_hosts::relay::{Faults, Relay};
 use serde_json::json;
 use std::fs::File;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/fennelpin-lab/src/audit/tests.rs
+++ b/crates/load-test/src/audit/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::plan::{Planned, PlannedPart};
 use crate::record::LifeEvent;
-use fennelpin_standin::ledger::NOBODY;
+use fake_hosts::ledger::NOBODY;
 use std::path::Path;
 
 const S: Micros = 1_000_000;
--- a/crates/fennelpin-lab/src/deploy.rs
+++ b/crates/load-test/src/deploy.rs
@@ -2,8 +2,8 @@
 
 use crate::record::{Life, LifeEvent, Lives};
 use crate::scenario::Scenario;
-use fennelpin_standin::fleet::{free_addr, Fleet};
-use fennelpin_standin::ledger::Epoch;
+use fake_hosts::fleet::{free_addr, Fleet};
+use fake_hosts::ledger::Epoch;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use std::io::{Read, Write};
--- a/crates/fennelpin-lab/src/drivers/mod.rs
+++ b/crates/load-test/src/drivers/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::plan::Planned;
 use crate::scenario::{FrontName, Scenario};
-use fennelpin_standin::ledger::{mark, Ref};
+use fake_hosts::ledger::{mark, Ref};
 
 /// A try of a query.
 pub struct Ask<'a> {
--- a/crates/fennelpin-lab/src/faults.rs
+++ b/crates/load-test/src/faults.rs
@@ -2,8 +2,8 @@
 //! I/O and clock.
 
 use crate::scenario::{FaultKind, Scenario};
-use fennelpin_standin::fleet::Command;
-use fennelpin_standin::model::Micros;
+use fake_hosts::fleet::Command;
+use fake_hosts::model::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/fennelpin-lab/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -2,14 +2,14 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use fennelpin::logger;
-use fennelpin_lab::plan::Plan;
-use fennelpin_lab::results::{self, Summary};
-use fennelpin_lab::run::{self, Options, RunError};
-use fennelpin_lab::scenario::{FrontName, Scenario};
-use fennelpin_lab::stats::Spread;
-use fennelpin_lab::target::{Service, Target, TargetSpec};
-use fennelpin_lab::{calibrate, compare, trace};
+use coordinator::logger;
+use load_test::plan::Plan;
+use load_test::results::{self, Summary};
+use load_test::run::{self, Options, RunError};
+use load_test::scenario::{FrontName, Scenario};
+use load_test::stats::Spread;
+use load_test::target::{Service, Target, TargetSpec};
+use load_test::{calibrate, compare, trace};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "lab",
+    name = "load-test",
     version,
     about = "A whole fennelpin deployment on loopback, driven open-loop and audited"
 )]
@@ -210,7 +210,7 @@
 fn up(deploy: &Deploy) -> Result<ExitCode, Box<dyn Error>> {
     let s = deploy.load()?;
     let stop = stopper()?;
-    let work = std::env::temp_dir().join(format!("fennelpin-lab-{}", std::process::id()));
+    let work = std::env::temp_dir().join(format!("load-test-{}", std::process::id()));
     let mut d = run::deploy(&s, &deploy.options(work.clone(), stop.clone()))?;
     println!(
         "{}: {} hosts, {} shards; files and logs in {}",
@@ -294,7 +294,7 @@
         s.traffic.fronts = vec![front];
     }
     if let Some(rate) = instead.rate {
-        s.traffic.shapes = vec![fennelpin_lab::curve::Shape::Steady { rate }];
+        s.traffic.shapes = vec![load_test::curve::Shape::Steady { rate }];
         s.traffic.trace = None;
     }
     s.length_s = instead.length.unwrap_or(s.length_s);
@@ -320,7 +320,7 @@
 fn compare_builds(a: &Path, b: &Path, path: &Path, pairs: usize) -> Result<ExitCode, Box<dyn Error>> {
     let s = Scenario::load(path)?;
     let stop = stopper()?;
-    let work = std::env::temp_dir().join(format!("fennelpin-lab-{}", std::process::id()));
+    let work = std::env::temp_dir().join(format!("load-test-{}", std::process::id()));
     let mut all = Vec::new();
     let one = |bin: &Path| -> Result<Summary, RunError> {
         let bin = Some(bin.to_owned());
@@ -369,7 +369,7 @@
         let of = plan.0.iter().filter(|q| usize::from(q.tenant) == n).count();
         println!("tenant {}: {of}", t.name);
     }
-    let mut gaps = fennelpin_lab::stats::histogram();
+    let mut gaps = load_test::stats::histogram();
     plan.0.windows(2).for_each(|p| gaps.saturating_record((p[1].at_us - p[0].at_us).max(1)));
     let Spread { mean, p50, p99, max, .. } = Spread::of(&gaps);
     println!("gaps: mean {mean:.3} ms, p50 {p50:.3}, p99 {p99:.3}, max {max:.3}");
@@ -435,7 +435,7 @@
     let cli = Cli::parse();
     logger::start(cli.log, cli.log_format);
     carry_out(cli.command).unwrap_or_else(|e| {
-        eprintln!("lab: {e}");
+        eprintln!("load-test: {e}");
         ExitCode::from(BAD)
     })
 }
--- a/crates/fennelpin-lab/src/record.rs
+++ b/crates/load-test/src/record.rs
@@ -1,7 +1,7 @@
 //! What the clients' side writes down, and what happened to the coordinators' processes.
 
 use crate::clients::TryEnd;
-use fennelpin_standin::model::Micros;
+use fake_hosts::model::Micros;
 
 /// A try as its client saw it; times in microseconds since the run's epoch.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/fennelpin-lab/src/results.rs
+++ b/crates/load-test/src/results.rs
@@ -75,8 +75,8 @@
             *broken.entry(rule_name(v.rule)).or_default() += 1;
         }
         let cpu_s: f64 = o.usage.iter().map(|u| u.cpu_s).sum();
-        let arrived = |e: &&fennelpin_standin::ledger::Event| {
-            matches!(e.what, fennelpin_standin::ledger::What::Arrived { .. })
+        let arrived = |e: &&fake_hosts::ledger::Event| {
+            matches!(e.what, fake_hosts::ledger::What::Arrived { .. })
         };
         let parts: usize = o.plan.0.iter().map(|q| q.parts.len()).sum();
         Self {
--- a/crates/fennelpin-lab/src/scenario/fleet.rs
+++ b/crates/load-test/src/scenario/fleet.rs
@@ -1,9 +1,9 @@
 //! The fleet: its hosts, its list, and the limits of its coordinators.
 
 use super::Scenario;
-use fennelpin_standin::fleet::{Dialect, FleetSpec, ListDelays, Place};
-use fennelpin_standin::host::ConnSpec;
-use fennelpin_standin::model::HostSpec;
+use fake_hosts::fleet::{Dialect, FleetSpec, ListDelays, Place};
+use fake_hosts::host::ConnSpec;
+use fake_hosts::model::HostSpec;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/fennelpin-lab/src/stats.rs
+++ b/crates/load-test/src/stats.rs
@@ -4,7 +4,7 @@
 use crate::plan::Plan;
 use crate::record::QueryRecord;
 use crate::scenario::Scenario;
-use fennelpin_standin::model::Micros;
+use fake_hosts::model::Micros;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/fennelpin-lab/src/target.rs
+++ b/crates/load-test/src/target.rs
@@ -126,7 +126,7 @@
     /// If the socket or a thread can't be had.
     pub fn start(spec: TargetSpec, addr: Option<SocketAddr>) -> std::io::Result<Self> {
         let addr = addr.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
-        let listener = fennelpin_standin::fleet::listener(addr)?;
+        let listener = fake_hosts::fleet::listener(addr)?;
         let addr = listener.local_addr()?;
         let (orders, received) = mpsc::channel();
         let mut threads = vec![std::thread::spawn(move || timekeeper(&received))];
--- a/crates/fennelpin-lab/tests/generator.rs
+++ b/crates/load-test/tests/generator.rs
@@ -1,11 +1,11 @@
 //! The generator against targets of known behaviour: nothing is dropped, nothing counts from too late.
 
-use fennelpin_lab::calibrate::{against, fixed, query_at, scenario};
-use fennelpin_lab::clients::TryEnd;
-use fennelpin_lab::plan::{Plan, Planned};
-use fennelpin_lab::run::{load_plan, load_plan_at};
-use fennelpin_lab::scenario::Arrivals;
-use fennelpin_lab::target::{Service, Target, TargetSpec};
+use load_test::calibrate::{against, fixed, query_at, scenario};
+use load_test::clients::TryEnd;
+use load_test::plan::{Plan, Planned};
+use load_test::run::{load_plan, load_plan_at};
+use load_test::scenario::Arrivals;
+use load_test::target::{Service, Target, TargetSpec};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -22,7 +22,7 @@
     script: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<AtomicUsize>) {
     // With a long queue: beyond the library's own 128 a connection waits a second for its next SYN.
-    let listener = fennelpin_standin::fleet::listener("127.0.0.1:0".parse().unwrap()).unwrap();
+    let listener = fake_hosts::fleet::listener("127.0.0.1:0".parse().unwrap()).unwrap();
     listener.set_nonblocking(false).unwrap();
     let addr = listener.local_addr().unwrap();
     let (script, conns, requests) =
--- a/crates/fennelpin-lab/tests/lab.rs
+++ b/crates/load-test/tests/load_test.rs
@@ -1,10 +1,10 @@
 //! The lab as a program: whole deployments, their hard hours, and its exit codes. The coordinator is the
 //! one that the workspace's test run has built.
 
-use fennelpin_lab::clients::TryEnd;
-use fennelpin_lab::record::Life;
-use fennelpin_lab::run::{run, Options, Outcome};
-use fennelpin_lab::scenario::Scenario;
+use load_test::clients::TryEnd;
+use load_test::record::Life;
+use load_test::run::{run, Options, Outcome};
+use load_test::scenario::Scenario;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::os::unix::fs::PermissionsExt;
@@ -40,7 +40,7 @@
 }
 
 fn lab(args: &[&str]) -> (Option<i32>, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_lab")).args(args).output().unwrap();
+    let out = Command::new(env!("CARGO_BIN_EXE_load-test")).args(args).output().unwrap();
     (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
 }
 
@@ -48,7 +48,7 @@
 fn sound(o: &Outcome) {
     assert_eq!(o.queries.len(), o.plan.0.len(), "every planned query has its record");
     assert_eq!(o.figures.outcomes.values().sum::<u64>(), o.plan.0.len() as u64);
-    assert!(o.violations.is_empty(), "{}", fennelpin_lab::results::verdict(o));
+    assert!(o.violations.is_empty(), "{}", load_test::results::verdict(o));
     assert!(o.crashed.is_empty(), "{:?}", o.crashed);
 }
 
@@ -122,7 +122,7 @@
     let o = run(&s, &Options { log: "info".into(), work: dir("cores"), ..Options::default() }).unwrap();
     sound(&o);
     let told =
-        |what: &fennelpin_standin::ledger::What| matches!(what, fennelpin_standin::ledger::What::Told(_));
+        |what: &fake_hosts::ledger::What| matches!(what, fake_hosts::ledger::What::Told(_));
     assert!(o.events.iter().filter(|e| told(&e.what)).count() > 8, "drains and returns were told");
     assert!(o.figures.outcomes["served"] > 80, "{:?}", o.figures.outcomes);
 }
@@ -157,7 +157,7 @@
 fn a_broken_rule_has_its_own_exit_code_and_its_story() {
     let liar = dir("liar").join("liar.sh");
     let listen = "sed -n 's/.*\"listen\": \"\\([^\"]*\\)\".*/\\1/p' \"$5\"";
-    let text = format!("#!/bin/sh\nexec {} target --listen \"$({listen})\"\n", env!("CARGO_BIN_EXE_lab"));
+    let text = format!("#!/bin/sh\nexec {} target --listen \"$({listen})\"\n", env!("CARGO_BIN_EXE_load-test"));
     std::fs::write(&liar, text).unwrap();
     std::fs::set_permissions(&liar, std::fs::Permissions::from_mode(0o755)).unwrap();
     let path = file("liar", &scenario("liar", "").replace("length_s = 4", "length_s = 1"));
@@ -186,7 +186,7 @@
 
 #[test]
 fn a_full_descriptor_table_makes_queries_late_and_the_run_void_but_drops_none() {
-    let mut target = Command::new(env!("CARGO_BIN_EXE_lab"))
+    let mut target = Command::new(env!("CARGO_BIN_EXE_load-test"))
         .args(["target", "--fixed-ms", "400"])
         .stdout(Stdio::piped())
         .spawn()
@@ -198,7 +198,7 @@
     // 40 queries a second for 0.4 s each want 16 connections beside what the runtime itself needs.
     let command = format!(
         "ulimit -n 30; exec {} load {} --target {addr} --threads 1 --rate 150 --length 2",
-        env!("CARGO_BIN_EXE_lab"),
+        env!("CARGO_BIN_EXE_load-test"),
         path.display()
     );
     let out = Command::new("sh").args(["-c", &command]).output().unwrap();
@@ -216,7 +216,7 @@
 #[test]
 fn up_prints_addresses_that_answer_until_it_is_told_to_end() {
     let path = file("up", &scenario("up", ""));
-    let mut child = Command::new(env!("CARGO_BIN_EXE_lab"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_load-test"))
         .args(["up", path.to_str().unwrap()])
         .stdout(Stdio::piped())
         .spawn()
--- a/crates/fennelpin-lab/tests/scenario.rs
+++ b/crates/load-test/tests/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios: what they need, what coordinators read of them, and what is wrong with them.
 
-use fennelpin_lab::scenario::{FrontName, Scenario, TrafficTable};
+use load_test::scenario::{FrontName, Scenario, TrafficTable};
 use std::path::Path;
 
 const LEAST: &str = "name = 'x'\nlength_s = 5\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 10\n";
@@ -14,15 +14,15 @@
     let s = Scenario::parse(LEAST, Path::new("day.toml")).unwrap();
     assert_eq!((s.classes.len(), s.tenants.len(), s.shards()), (3, 4, 12));
     for c in 0..2 {
-        let site = fennelpin::core::settings::read(&s.settings(c).to_string()).unwrap();
+        let site = coordinator::core::settings::read(&s.settings(c).to_string()).unwrap();
         assert_eq!((site.classes.len(), site.caps.shards), (3, Some(12)));
     }
     let operator = Scenario {
         traffic: TrafficTable { fronts: vec![FrontName::OpenSearch], ..s.traffic.clone() },
         ..s.clone()
     };
-    let site = fennelpin::core::settings::read(&s.settings(0).to_string()).unwrap();
-    let read = fennelpin::config::Operator::parse(&operator.operator().unwrap()).unwrap();
+    let site = coordinator::core::settings::read(&s.settings(0).to_string()).unwrap();
+    let read = coordinator::config::Operator::parse(&operator.operator().unwrap()).unwrap();
     read.check(&site).unwrap();
     assert_eq!(s.operator(), None);
 }
