--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -17,7 +17,9 @@
 
 use configuration::Boot;
 use replication::client::{self, Control};
-use replication::{agent_addr, caller, member_addr, no_seat, serve, Mirror, Puller, SharedMirror, WATCHED};
+use replication::{
+    agent_addr, caller, member_addr, no_seat, serve, Mirror, Puller, SharedMirror, WATCHED,
+};
 use snafu::{ResultExt, Snafu};
 use std::future::Future;
 use std::net::SocketAddrV4;
@@ -53,13 +55,25 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), Error> {
     let addr = SocketAddrV4::from(&agent_addr(&boot));
-    let listener = TcpListener::bind(addr).await.context(ListenSnafu { addr })?;
+    let listener = TcpListener::bind(addr)
+        .await
+        .context(ListenSnafu { addr })?;
     let shared = SharedMirror::new(mirror(&boot));
     let (control, told) = mpsc::unbounded_channel();
     let mut puller = puller(&boot);
-    let first: Vec<_> = seeds.borrow_and_update().iter().map(|s| member_addr(&boot, s)).collect();
+    let first: Vec<_> = seeds
+        .borrow_and_update()
+        .iter()
+        .map(|s| member_addr(&boot, s))
+        .collect();
     puller.set_seeds(&first);
-    let pulling = client::run(puller, no_seat(&boot), caller(&boot, 0), shared.clone(), told);
+    let pulling = client::run(
+        puller,
+        no_seat(&boot),
+        caller(&boot, 0),
+        shared.clone(),
+        told,
+    );
     let watching = follow_seeds(&boot, seeds, &control);
     let serving = async {
         let mut tasks = JoinSet::new();
@@ -103,7 +117,11 @@
 }
 
 /// Serves the proxy, and reports upward what it has in force.
-async fn feed(stream: TcpStream, shared: std::sync::Arc<SharedMirror>, control: UnboundedSender<Control>) {
+async fn feed(
+    stream: TcpStream,
+    shared: std::sync::Arc<SharedMirror>,
+    control: UnboundedSender<Control>,
+) {
     let _ = stream.set_nodelay(true);
     let mut last = None;
     let ended = serve(stream, Vec::new(), shared, |caller| {
@@ -123,7 +141,11 @@
     control: &UnboundedSender<Control>,
 ) {
     while seeds.changed().await.is_ok() {
-        let now: Vec<_> = seeds.borrow_and_update().iter().map(|s| member_addr(boot, s)).collect();
+        let now: Vec<_> = seeds
+            .borrow_and_update()
+            .iter()
+            .map(|s| member_addr(boot, s))
+            .collect();
         // The puller ends with the agent.
         let _ = control.send(Control::Seeds(now));
     }
--- a/crates/agent/tests/chain.rs
+++ b/crates/agent/tests/chain.rs
@@ -42,20 +42,38 @@
 }
 
 fn host(id: &str, call_seq: u64) -> HostRecord {
-    let addr = Addr { ip: 1, port: id.bytes().map(u16::from).sum() };
-    HostRecord { id: id.into(), service: "s".into(), addr, capacity: 1, call_seq, ..HostRecord::default() }
+    let addr = Addr {
+        ip: 1,
+        port: id.bytes().map(u16::from).sum(),
+    };
+    HostRecord {
+        id: id.into(),
+        service: "s".into(),
+        addr,
+        capacity: 1,
+        call_seq,
+        ..HostRecord::default()
+    }
 }
 
 fn source(id: u64, seq: u64, hosts: Vec<HostRecord>) -> News {
     let mark = Mark { id, life: 1, seq };
     News {
-        sources: vec![SourceNews { mark, whole: seq == 1, hosts, coordinators: vec![] }],
+        sources: vec![SourceNews {
+            mark,
+            whole: seq == 1,
+            hosts,
+            coordinators: vec![],
+        }],
         ..News::default()
     }
 }
 
 async fn until(views: &mut watch::Receiver<Arc<Snapshot>>, what: impl Fn(&Snapshot) -> bool) {
-    timeout(LONG, views.wait_for(|v| what(v))).await.expect("it comes").unwrap();
+    timeout(LONG, views.wait_for(|v| what(v)))
+        .await
+        .expect("it comes")
+        .unwrap();
 }
 
 struct FakeMember {
@@ -68,15 +86,27 @@
     let shared = SharedMirror::new(Mirror::new(id, Duration::from_millis(1200)));
     let callers: Arc<Mutex<Vec<(String, u64)>>> = Arc::default();
     let heard = Arc::new(tokio::sync::Notify::new());
-    let fake = FakeMember { shared: shared.clone(), callers: callers.clone(), heard: heard.clone() };
+    let fake = FakeMember {
+        shared: shared.clone(),
+        callers: callers.clone(),
+        heard: heard.clone(),
+    };
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             let (callers, heard) = (callers.clone(), heard.clone());
-            tokio::spawn(replication::serve(stream, Vec::new(), shared.clone(), move |caller| {
-                callers.lock().unwrap().push((caller.name.clone(), caller.version));
-                heard.notify_one();
-            }));
+            tokio::spawn(replication::serve(
+                stream,
+                Vec::new(),
+                shared.clone(),
+                move |caller| {
+                    callers
+                        .lock()
+                        .unwrap()
+                        .push((caller.name.clone(), caller.version));
+                    heard.notify_one();
+                },
+            ));
         }
     });
     fake
@@ -98,7 +128,10 @@
 }
 
 /// The agent with the seeds of its settings.
-fn agent<S: Future<Output = ()>>(boot: &Boot, stop: S) -> impl Future<Output = Result<(), agent::Error>> {
+fn agent<S: Future<Output = ()>>(
+    boot: &Boot,
+    stop: S,
+) -> impl Future<Output = Result<(), agent::Error>> {
     let (sender, seeds) = watch::channel(boot.seed_nodes.clone());
     let running = agent::run(boot.clone(), seeds, stop);
     async move {
@@ -122,20 +155,31 @@
         m.set_ledger(1, document(1), &[]);
         m.apply(now, &source(11, 1, vec![host("i-1", 1)]))
     });
-    until(&mut views, |v| v.document.version == 1 && v.hosts.contains_key("i-1")).await;
+    until(&mut views, |v| {
+        v.document.version == 1 && v.hosts.contains_key("i-1")
+    })
+    .await;
 
     // A change, and a drain.
     first.shared.update(|m, now| {
         m.set_ledger(2, document(4), &["i-1".to_owned()]);
         m.apply(now, &source(11, 2, vec![host("i-2", 1)]))
     });
-    until(&mut views, |v| v.document.version == 4 && v.hosts.len() == 2 && v.hosts["i-1"].phase == 1).await;
+    until(&mut views, |v| {
+        v.document.version == 4 && v.hosts.len() == 2 && v.hosts["i-1"].phase == 1
+    })
+    .await;
     assert_eq!(views.borrow().document.routes[0].value.deadline_ms, 4000.0);
 
     // The proxy's version goes up through the agent.
     control.send(client::Control::Version(4)).unwrap();
     timeout(LONG, async {
-        while !first.callers.lock().unwrap().contains(&("edge-1".into(), 4)) {
+        while !first
+            .callers
+            .lock()
+            .unwrap()
+            .contains(&("edge-1".into(), 4))
+        {
             first.heard.notified().await;
         }
     })
@@ -145,10 +189,19 @@
     // A member that is learnt, not a seed, brings news too.
     let seat = |id, ip: &str| {
         let addr = SocketAddrV4::new(ip.parse().unwrap(), port).into();
-        MemberInfo { id, name: format!("m{id}"), addr, ..MemberInfo::default() }
+        MemberInfo {
+            id,
+            name: format!("m{id}"),
+            addr,
+            ..MemberInfo::default()
+        }
     };
-    first.shared.update(|m, _| m.set_fleet(1, 11, vec![seat(11, "127.0.0.2"), seat(12, "127.0.0.3")]));
-    second.shared.update(|m, now| m.apply(now, &source(12, 1, vec![host("i-3", 1)])));
+    first
+        .shared
+        .update(|m, _| m.set_fleet(1, 11, vec![seat(11, "127.0.0.2"), seat(12, "127.0.0.3")]));
+    second
+        .shared
+        .update(|m, now| m.apply(now, &source(12, 1, vec![host("i-3", 1)])));
     until(&mut views, |v| v.hosts.contains_key("i-3")).await;
 }
 
@@ -159,8 +212,12 @@
     let (listener, port) = listen("127.0.0.4").await;
     let first = member(11, listener);
     let second = member(12, TcpListener::bind(("127.0.0.5", port)).await.unwrap());
-    first.shared.update(|m, _| m.set_ledger(1, document(1), &[]));
-    second.shared.update(|m, _| m.set_ledger(2, document(2), &[]));
+    first
+        .shared
+        .update(|m, _| m.set_ledger(1, document(1), &[]));
+    second
+        .shared
+        .update(|m, _| m.set_ledger(2, document(2), &[]));
     let boot = boot(port, &["127.0.0.4"]);
     let (sender, seeds) = watch::channel(boot.seed_nodes.clone());
     tokio::spawn(agent::run(boot.clone(), seeds, std::future::pending()));
@@ -174,7 +231,9 @@
 #[tokio::test]
 async fn it_ends_when_told_to() {
     let (_listener, port) = listen("127.0.0.6").await;
-    agent(&boot(port, &["127.0.0.6"]), std::future::ready(())).await.unwrap();
+    agent(&boot(port, &["127.0.0.6"]), std::future::ready(()))
+        .await
+        .unwrap();
 }
 
 #[tokio::test]
@@ -182,5 +241,8 @@
     let (_listener, port) = listen("127.0.0.7").await;
     let _taken = TcpListener::bind(("127.0.0.9", port + 1)).await.unwrap();
     let ended = agent(&boot(port, &["127.0.0.7"]), std::future::pending()).await;
-    assert!(ended.unwrap_err().to_string().contains(&format!("127.0.0.9:{}", port + 1)));
+    assert!(ended
+        .unwrap_err()
+        .to_string()
+        .contains(&format!("127.0.0.9:{}", port + 1)));
 }
--- a/crates/agent/tests/cut_off.rs
+++ b/crates/agent/tests/cut_off.rs
@@ -42,10 +42,22 @@
     Silent,
 }
 
-const CUT_OFF: State = State::Serves { version: 5, age_ms: u32::MAX };
-const LONG_CUT_OFF: State = State::Serves { version: 5, age_ms: 18_000 };
-const NEWER: State = State::Serves { version: 9, age_ms: u32::MAX };
-const WELL: State = State::Serves { version: 9, age_ms: 3 };
+const CUT_OFF: State = State::Serves {
+    version: 5,
+    age_ms: u32::MAX,
+};
+const LONG_CUT_OFF: State = State::Serves {
+    version: 5,
+    age_ms: 18_000,
+};
+const NEWER: State = State::Serves {
+    version: 9,
+    age_ms: u32::MAX,
+};
+const WELL: State = State::Serves {
+    version: 9,
+    age_ms: 3,
+};
 const GONE: State = State::Refuses;
 const SILENT: State = State::Silent;
 
@@ -57,7 +69,10 @@
     let members: Vec<MemberInfo> = (1..=3)
         .map(|n| MemberInfo {
             id: n,
-            addr: Addr { ip: 0x0a00_0000 + n as u32, port: PORT },
+            addr: Addr {
+                ip: 0x0a00_0000 + n as u32,
+                port: PORT,
+            },
             ..MemberInfo::default()
         })
         .collect();
@@ -70,7 +85,9 @@
         let mut actions = puller.tick(ms(now));
         let due: Vec<_> = coming.extract_if(.., |c| c.0 <= now).collect();
         for (_, link, connects) in due {
-            let Some(n) = links.get(&link).copied() else { continue };
+            let Some(n) = links.get(&link).copied() else {
+                continue;
+            };
             actions.extend(match state(n) {
                 State::Refuses => puller.failed(ms(now), link),
                 State::Silent => continue,
@@ -80,7 +97,9 @@
                     member.set_ledger(version, document(version), &[]);
                     member.set_fleet(1, 1, members.clone());
                     let pull = mirror.pull(&Caller::default(), 0);
-                    let told = member.news_for(ms(now), &pull).unwrap_or_else(|| member.no_news(ms(now)));
+                    let told = member
+                        .news_for(ms(now), &pull)
+                        .unwrap_or_else(|| member.no_news(ms(now)));
                     let told = replication::News { age_ms, ..told };
                     let taken = mirror.apply(ms(now), &told);
                     puller.answered(ms(now), link, members[n].id, age_ms, taken)
@@ -135,7 +154,11 @@
         first.rotate_left(turn);
         then.rotate_left(turn);
         let shown = shown(first, then);
-        assert_eq!(shown.iter().map(|s| s.0).collect::<Vec<_>>(), versions, "{shown:?}");
+        assert_eq!(
+            shown.iter().map(|s| s.0).collect::<Vec<_>>(),
+            versions,
+            "{shown:?}"
+        );
         let late = CONNECT_TIMEOUT.as_millis() as u64 + 10;
         assert!(shown[0].1 <= late, "service waits no longer: {shown:?}");
     }
@@ -152,5 +175,8 @@
 fn after_a_loss_of_the_whole_core_service_returns_at_once() {
     let shown = shown([NEWER, NEWER, CUT_OFF], [NEWER, NEWER, CUT_OFF]);
     assert_eq!(shown.len(), 1);
-    assert!(shown[0].1 < 20, "all have answered that they know no better: {shown:?}");
+    assert!(
+        shown[0].1 < 20,
+        "all have answered that they know no better: {shown:?}"
+    );
 }
--- a/crates/append-log/src/disk.rs
+++ b/crates/append-log/src/disk.rs
@@ -59,7 +59,9 @@
 impl Folder {
     /// The folder at this path, which has to be there.
     pub fn at(path: &Path) -> Folder {
-        Folder { path: path.to_owned() }
+        Folder {
+            path: path.to_owned(),
+        }
     }
 }
 
@@ -76,7 +78,12 @@
     type File = FolderFile;
 
     fn open(&mut self, name: &str) -> io::Result<Option<FolderFile>> {
-        let file = if_there(OpenOptions::new().read(true).write(true).open(self.path.join(name)))?;
+        let file = if_there(
+            OpenOptions::new()
+                .read(true)
+                .write(true)
+                .open(self.path.join(name)),
+        )?;
         Ok(file.map(|file| FolderFile { file, at: 0 }))
     }
 
@@ -86,7 +93,12 @@
 
     fn create(&mut self, name: &str) -> io::Result<FolderFile> {
         let path = self.path.join(name);
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(path)?;
         Ok(FolderFile { file, at: 0 })
     }
 
--- a/crates/append-log/src/error.rs
+++ b/crates/append-log/src/error.rs
@@ -75,9 +75,17 @@
         let name = name.to_owned();
         match source.kind() {
             ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => {
-                Error::Full { doing, name, source }
+                Error::Full {
+                    doing,
+                    name,
+                    source,
+                }
             }
-            _ => Error::Io { doing, name, source },
+            _ => Error::Io {
+                doing,
+                name,
+                source,
+            },
         }
     }
 
--- a/crates/append-log/src/file.rs
+++ b/crates/append-log/src/file.rs
@@ -79,7 +79,10 @@
             let found = read(&mut file, name, &mut records)?;
             length = found.length;
             if length < found.end {
-                cut = Some(Cut { offset: length, bytes: found.end - length });
+                cut = Some(Cut {
+                    offset: length,
+                    bytes: found.end - length,
+                });
             }
             // A disk that takes no writes may refuse the cut; the file is readable all the same.
             let is_cut = cut.is_none() || file.cut(length).is_ok();
@@ -88,14 +91,28 @@
             // the same bytes, where the disk takes writes.
             let _ = write_again(&mut file, found.batch, length);
             file.sync().map_err(failed("sync"))?;
-            state = if is_cut { State::Sound(file) } else { State::Overhang(file) };
+            state = if is_cut {
+                State::Sound(file)
+            } else {
+                State::Overhang(file)
+            };
         }
         // The remains of a rewrite; if they stay, the next rewrite takes their place.
         let _ = disk.remove(&fresh(name));
         if !matches!(state, State::Missing) {
             disk.sync_names().map_err(failed("sync the folder of"))?;
         }
-        Ok((AppendLog { disk, name: name.to_owned(), state, length, cut, buffer: Vec::new() }, records))
+        Ok((
+            AppendLog {
+                disk,
+                name: name.to_owned(),
+                state,
+                length,
+                cut,
+                buffer: Vec::new(),
+            },
+            records,
+        ))
     }
 
     /// What was cut off when the file was opened.
@@ -129,18 +146,32 @@
         if records.is_empty() {
             return Ok(());
         }
-        let batch: u64 = records.iter().map(|record| (RECORD_HEAD + record.len()) as u64).sum();
+        let batch: u64 = records
+            .iter()
+            .map(|record| (RECORD_HEAD + record.len()) as u64)
+            .sum();
         if batch > MAX_BATCH as u64 {
-            return Err(Error::TooLarge { bytes: batch, limit: MAX_BATCH as u64 });
+            return Err(Error::TooLarge {
+                bytes: batch,
+                limit: MAX_BATCH as u64,
+            });
         }
         self.mend()?;
         // `Sound` comes back only where all went well.
         let State::Sound(mut file) = std::mem::replace(&mut self.state, State::Distrusted) else {
-            return Err(Error::of("append to", &self.name, io::ErrorKind::Other.into()));
+            return Err(Error::of(
+                "append to",
+                &self.name,
+                io::ErrorKind::Other.into(),
+            ));
         };
         self.buffer.clear();
         for record in records {
-            let first = if self.buffer.is_empty() { None } else { Some(self.length) };
+            let first = if self.buffer.is_empty() {
+                None
+            } else {
+                Some(self.length)
+            };
             format::put_record(&mut self.buffer, self.length, first, record);
         }
         let written = format::write_fully(&mut file, self.length, &self.buffer);
@@ -199,10 +230,13 @@
             return self.rewrite(&[]);
         }
         if let State::Overhang(file) = &mut self.state {
-            file.cut(self.length).map_err(|error| Error::of("cut", &self.name, error))?;
+            file.cut(self.length)
+                .map_err(|error| Error::of("cut", &self.name, error))?;
             match file.sync() {
                 Ok(()) => {
-                    if let State::Overhang(file) = std::mem::replace(&mut self.state, State::Distrusted) {
+                    if let State::Overhang(file) =
+                        std::mem::replace(&mut self.state, State::Distrusted)
+                    {
                         self.state = State::Sound(file);
                     }
                 }
@@ -217,7 +251,9 @@
         }
         let opened = self.disk.open_to_read(&self.name);
         let old = opened.map_err(|error| Error::of("open", &self.name, error))?;
-        let mut old = old.ok_or_else(|| Error::Header { name: self.name.clone() })?;
+        let mut old = old.ok_or_else(|| Error::Header {
+            name: self.name.clone(),
+        })?;
         let length = self.length;
         self.replace(|file| {
             let (mut at, mut chunk) = (0, vec![0; CHUNK.min(length as usize)]);
@@ -269,9 +305,10 @@
 
 fn check(records: &[&[u8]]) -> Result<(), Error> {
     match records.iter().map(|record| record.len()).max() {
-        Some(longest) if longest > MAX_RECORD => {
-            Err(Error::TooLarge { bytes: longest as u64, limit: MAX_RECORD as u64 })
-        }
+        Some(longest) if longest > MAX_RECORD => Err(Error::TooLarge {
+            bytes: longest as u64,
+            limit: MAX_RECORD as u64,
+        }),
         _ => Ok(()),
     }
 }
@@ -293,24 +330,50 @@
     match pieces.version().map_err(failed)? {
         Some(VERSION) => {}
         Some(found) if found > VERSION => {
-            return Err(Error::Newer { name: name.to_owned(), found, known: VERSION });
+            return Err(Error::Newer {
+                name: name.to_owned(),
+                found,
+                known: VERSION,
+            });
+        }
+        _ => {
+            return Err(Error::Header {
+                name: name.to_owned(),
+            })
         }
-        _ => return Err(Error::Header { name: name.to_owned() }),
     }
     let mut judge = Judge::default();
     while let Some(piece) = pieces.next_piece().map_err(failed)? {
         match (judge.see(&piece), piece) {
             (true, Piece::Record { body, .. }) => records.push(body),
             _ => {
-                if let Shape::Damaged { record, offset, whole_at } = judge.shape() {
-                    return Err(Error::Damaged { name: name.to_owned(), record, offset, whole_at });
+                if let Shape::Damaged {
+                    record,
+                    offset,
+                    whole_at,
+                } = judge.shape()
+                {
+                    return Err(Error::Damaged {
+                        name: name.to_owned(),
+                        record,
+                        offset,
+                        whole_at,
+                    });
                 }
             }
         }
     }
     let end = pieces.end();
-    let length = if let Shape::Torn { offset } = judge.shape() { offset } else { end };
-    Ok(Found { length, end, batch: judge.last_batch().unwrap_or(length) })
+    let length = if let Shape::Torn { offset } = judge.shape() {
+        offset
+    } else {
+        end
+    };
+    Ok(Found {
+        length,
+        end,
+        batch: judge.last_batch().unwrap_or(length),
+    })
 }
 
 /// Writes these bytes of the file over themselves.
--- a/crates/append-log/src/format.rs
+++ b/crates/append-log/src/format.rs
@@ -102,7 +102,11 @@
     if length > MAX_RECORD || back > offset || number(bytes, 12) != head_sum(offset, &bytes[..12]) {
         return None;
     }
-    Some(Head { length, batch: offset - back, body_sum: number(bytes, 8) })
+    Some(Head {
+        length,
+        batch: offset - back,
+        body_sum: number(bytes, 8),
+    })
 }
 
 /// What comes next in a file.
@@ -142,7 +146,13 @@
     /// The pieces of this file, from behind its header on.
     pub fn of(file: &'a mut F) -> io::Result<Self> {
         let end = file.length()?;
-        Ok(Pieces { file, end, offset: HEADER as u64, buffer: Vec::new(), base: 0 })
+        Ok(Pieces {
+            file,
+            end,
+            offset: HEADER as u64,
+            buffer: Vec::new(),
+            base: 0,
+        })
     }
 
     /// The version that the file's header tells; `None` if it isn't whole.
@@ -168,7 +178,11 @@
         if let Some(head) = &head {
             if let Some(body) = self.body(offset, head)? {
                 self.offset = offset + (RECORD_HEAD + head.length) as u64;
-                return Ok(Some(Piece::Record { offset, batch: head.batch, body }));
+                return Ok(Some(Piece::Record {
+                    offset,
+                    batch: head.batch,
+                    body,
+                }));
             }
         }
         // The length in a whole head is true, so the next record is behind that many bytes.
@@ -182,7 +196,10 @@
             next += 1;
         }
         self.offset = next.min(self.end);
-        Ok(Some(Piece::Gap { offset, bytes: self.offset - offset }))
+        Ok(Some(Piece::Gap {
+            offset,
+            bytes: self.offset - offset,
+        }))
     }
 
     fn head(&mut self, offset: u64) -> io::Result<Option<Head>> {
@@ -227,7 +244,11 @@
 }
 
 /// Reads until `into` is full or the file ends; how much was read.
-pub(crate) fn read_fully<F: DiskFile>(file: &mut F, offset: u64, into: &mut [u8]) -> io::Result<usize> {
+pub(crate) fn read_fully<F: DiskFile>(
+    file: &mut F,
+    offset: u64,
+    into: &mut [u8],
+) -> io::Result<usize> {
     let mut done = 0;
     while done < into.len() {
         match file.read_at(offset + done as u64, &mut into[done..]) {
--- a/crates/append-log/src/report.rs
+++ b/crates/append-log/src/report.rs
@@ -85,10 +85,21 @@
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         writeln!(to, "{}: {}", self.name, self.shape)?;
         writeln!(to, "  {} bytes, {} in bodies", self.length, self.body_bytes)?;
-        let Inspection { records, batches, longest, .. } = self;
-        write!(to, "  {records} whole records in {batches} batches, the longest {longest} bytes")?;
+        let Inspection {
+            records,
+            batches,
+            longest,
+            ..
+        } = self;
+        write!(
+            to,
+            "  {records} whole records in {batches} batches, the longest {longest} bytes"
+        )?;
         if let Some(bytes) = self.remains {
-            write!(to, "\n  an interrupted rewrite left {bytes} bytes; the next start removes them")?;
+            write!(
+                to,
+                "\n  an interrupted rewrite left {bytes} bytes; the next start removes them"
+            )?;
         }
         Ok(())
     }
@@ -118,11 +129,18 @@
 impl fmt::Display for Part {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Part::Record { offset, batch, bytes } => {
+            Part::Record {
+                offset,
+                batch,
+                bytes,
+            } => {
                 write!(to, "  byte {offset}: a whole record of {bytes} bytes, of the batch at byte {batch}")
             }
             Part::Gap { offset, bytes } => {
-                write!(to, "  byte {offset}: {bytes} bytes that belong to no whole record")
+                write!(
+                    to,
+                    "  byte {offset}: {bytes} bytes that belong to no whole record"
+                )
             }
         }
     }
@@ -140,7 +158,9 @@
 impl fmt::Display for Verification {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         write!(to, "{}", self.summary)?;
-        self.parts.iter().try_for_each(|part| write!(to, "\n{part}"))
+        self.parts
+            .iter()
+            .try_for_each(|part| write!(to, "\n{part}"))
     }
 }
 
@@ -188,14 +208,16 @@
 /// As [`verify`].
 pub fn verify_on<D: Disk>(disk: D, name: &str) -> Result<Verification, Error> {
     let mut parts = Vec::new();
-    let summary =
-        report(disk, name, |part| parts.push(part)).map_err(|error| Error::of("read", name, error))?;
+    let summary = report(disk, name, |part| parts.push(part))
+        .map_err(|error| Error::of("read", name, error))?;
     Ok(Verification { summary, parts })
 }
 
 /// Goes through the file and tells its parts.
 fn report<D: Disk>(mut disk: D, name: &str, mut tell: impl FnMut(Part)) -> io::Result<Inspection> {
-    let mut file = disk.open_to_read(name)?.ok_or(io::Error::from(ErrorKind::NotFound))?;
+    let mut file = disk
+        .open_to_read(name)?
+        .ok_or(io::Error::from(ErrorKind::NotFound))?;
     let remains = match disk.open_to_read(&fresh(name))? {
         Some(mut file) => Some(file.length()?),
         None => None,
@@ -224,14 +246,22 @@
         let last = judge.last_batch();
         let is_good = judge.see(&piece);
         tell(match piece {
-            Piece::Record { offset, batch, body } => {
+            Piece::Record {
+                offset,
+                batch,
+                body,
+            } => {
                 let bytes = body.len() as u64;
                 if is_good {
                     found.batches += u64::from(last != Some(batch));
                     found.body_bytes += bytes;
                     found.longest = found.longest.max(bytes);
                 }
-                Part::Record { offset, batch, bytes }
+                Part::Record {
+                    offset,
+                    batch,
+                    bytes,
+                }
             }
             Piece::Gap { offset, bytes } => Part::Gap { offset, bytes },
         });
@@ -282,7 +312,11 @@
         match (self.gap, self.whole_at) {
             (None, _) => Shape::Whole,
             (Some(offset), None) => Shape::Torn { offset },
-            (Some(offset), Some(whole_at)) => Shape::Damaged { record: self.records, offset, whole_at },
+            (Some(offset), Some(whole_at)) => Shape::Damaged {
+                record: self.records,
+                offset,
+                whole_at,
+            },
         }
     }
 }
--- a/crates/append-log/tests/folder.rs
+++ b/crates/append-log/tests/folder.rs
@@ -24,8 +24,9 @@
 
     fn names(&self) -> Vec<String> {
         let entries = fs::read_dir(&self.0).unwrap();
-        let mut names: Vec<_> =
-            entries.map(|entry| entry.unwrap().file_name().into_string().unwrap()).collect();
+        let mut names: Vec<_> = entries
+            .map(|entry| entry.unwrap().file_name().into_string().unwrap())
+            .collect();
         names.sort();
         names
     }
@@ -42,16 +43,25 @@
     let scratch = Scratch::new();
     let (mut ledger, records) = scratch.open();
     assert!(records.is_empty() && ledger.is_empty());
-    assert!(scratch.names().is_empty(), "nothing is made before the first append");
+    assert!(
+        scratch.names().is_empty(),
+        "nothing is made before the first append"
+    );
     ledger.append(&[b"one", b"", b"three"]).unwrap();
     ledger.append(&[]).unwrap();
     ledger.append(&[&[7; 200_000]]).unwrap();
     let length = ledger.len();
     drop(ledger);
     let (mut ledger, records) = scratch.open();
-    assert_eq!(records, [b"one".to_vec(), vec![], b"three".to_vec(), vec![7; 200_000]]);
+    assert_eq!(
+        records,
+        [b"one".to_vec(), vec![], b"three".to_vec(), vec![7; 200_000]]
+    );
     assert_eq!((ledger.len(), ledger.cut()), (length, None));
-    assert_eq!(fs::metadata(scratch.0.join("ledger")).unwrap().len(), length);
+    assert_eq!(
+        fs::metadata(scratch.0.join("ledger")).unwrap().len(),
+        length
+    );
     ledger.append(&[b"four"]).unwrap();
     drop(ledger);
     assert_eq!(scratch.open().1[4], b"four");
@@ -66,18 +76,27 @@
     }
     let live = ledger.len() / 4;
     assert_eq!(ledger.len(), 4 * live);
-    assert!(ledger.wants_rewrite(live - 1) && !ledger.wants_rewrite(live) && !ledger.wants_rewrite(u64::MAX));
+    assert!(
+        ledger.wants_rewrite(live - 1)
+            && !ledger.wants_rewrite(live)
+            && !ledger.wants_rewrite(u64::MAX)
+    );
     ledger.rewrite(&[&[1; 300_000], b"two"]).unwrap();
     ledger.append(&[b"three"]).unwrap();
     let (mut short, _) = AppendLog::open(&scratch.0, "short").unwrap();
-    short.rewrite(&[&[1; (64 << 10) - format::HEADER - format::RECORD_HEAD]]).unwrap();
+    short
+        .rewrite(&[&[1; (64 << 10) - format::HEADER - format::RECORD_HEAD]])
+        .unwrap();
     assert!(!short.wants_rewrite(0));
     short.append(&[b""]).unwrap();
     assert!(short.wants_rewrite(0));
     drop((ledger, short));
     fs::write(scratch.0.join("ledger.new"), b"half of a rewrite").unwrap();
     let (ledger, records) = scratch.open();
-    assert_eq!(records, [vec![1; 300_000], b"two".to_vec(), b"three".to_vec()]);
+    assert_eq!(
+        records,
+        [vec![1; 300_000], b"two".to_vec(), b"three".to_vec()]
+    );
     assert_eq!(scratch.names(), ["ledger", "short"]);
     assert!(ledger.wants_rewrite(70_000) && !ledger.wants_rewrite(300_000));
 }
@@ -87,10 +106,19 @@
     let scratch = Scratch::new();
     let (mut ledger, _) = scratch.open();
     let large = vec![0; format::MAX_RECORD + 1];
-    assert!(matches!(ledger.append(&[b"small", &large]), Err(Error::TooLarge { .. })));
-    assert!(matches!(ledger.rewrite(&[&large]), Err(Error::TooLarge { .. })));
+    assert!(matches!(
+        ledger.append(&[b"small", &large]),
+        Err(Error::TooLarge { .. })
+    ));
+    assert!(matches!(
+        ledger.rewrite(&[&large]),
+        Err(Error::TooLarge { .. })
+    ));
     let largest = &large[..format::MAX_RECORD];
-    assert!(matches!(ledger.append(&[largest; 5]), Err(Error::TooLarge { .. })));
+    assert!(matches!(
+        ledger.append(&[largest; 5]),
+        Err(Error::TooLarge { .. })
+    ));
     assert_eq!(ledger.len(), 0);
     ledger.append(&[largest]).unwrap();
     drop(ledger);
@@ -104,7 +132,10 @@
     ledger.append(&[b"one"]).unwrap();
     let good = ledger.len();
     ledger.append(&[b"two"]).unwrap();
-    let file = fs::OpenOptions::new().write(true).open(scratch.0.join("ledger")).unwrap();
+    let file = fs::OpenOptions::new()
+        .write(true)
+        .open(scratch.0.join("ledger"))
+        .unwrap();
     file.set_len(ledger.len() - 1).unwrap();
     drop(ledger);
     let (mut ledger, records) = scratch.open();
@@ -129,7 +160,12 @@
     let mut bytes = fs::read(&path).unwrap();
     bytes[offset as usize + format::RECORD_HEAD] ^= 1;
     fs::write(&path, &bytes).unwrap();
-    let Err(Error::Damaged { record: 1, offset: at, whole_at, .. }) = AppendLog::open(&scratch.0, "ledger")
+    let Err(Error::Damaged {
+        record: 1,
+        offset: at,
+        whole_at,
+        ..
+    }) = AppendLog::open(&scratch.0, "ledger")
     else {
         panic!("damage not told");
     };
--- a/crates/append-log/tests/folder_losses.rs
+++ b/crates/append-log/tests/folder_losses.rs
@@ -46,9 +46,17 @@
             _ => (&mut roster, &mut none),
         };
         let more: Records = records.iter().map(|r| r.to_vec()).collect();
-        let next = if rewrite { more } else { [state.0.clone(), more].concat() };
+        let next = if rewrite {
+            more
+        } else {
+            [state.0.clone(), more].concat()
+        };
         state.1.clone_from(&next);
-        let done = if rewrite { file.rewrite(records) } else { file.append(records) };
+        let done = if rewrite {
+            file.rewrite(records)
+        } else {
+            file.append(records)
+        };
         if done.is_err() {
             return progress;
         }
@@ -60,22 +68,37 @@
 /// Whether the records are what was acknowledged, or that with some of what was under way.
 fn fits(records: &Records, state: &(Records, Records)) -> bool {
     let (before, under_way) = state;
-    let grown =
-        under_way.starts_with(before) && under_way.starts_with(records) && records.starts_with(before);
+    let grown = under_way.starts_with(before)
+        && under_way.starts_with(records)
+        && records.starts_with(before);
     records == before || records == under_way || grown
 }
 
 fn check(disk: &Simulated, progress: &Progress, what: &str) {
-    let open =
-        |name: &str| AppendLog::open_on(disk.clone(), name).unwrap_or_else(|e| panic!("{what}: {e}")).1;
+    let open = |name: &str| {
+        AppendLog::open_on(disk.clone(), name)
+            .unwrap_or_else(|e| panic!("{what}: {e}"))
+            .1
+    };
     let (identity, ledger) = (open("identity"), open("ledger"));
     open("roster");
-    assert!(fits(&ledger, &progress.ledger), "{what}: {ledger:?} for {:?}", progress.ledger);
-    assert!(fits(&identity, &progress.identity), "{what}: {identity:?} for {:?}", progress.identity);
+    assert!(
+        fits(&ledger, &progress.ledger),
+        "{what}: {ledger:?} for {:?}",
+        progress.ledger
+    );
+    assert!(
+        fits(&identity, &progress.identity),
+        "{what}: {identity:?} for {:?}",
+        progress.identity
+    );
     // An identity is never there without the ledger that names it.
     let owned = ledger.first().is_some_and(|r| r == b"owner");
     assert!(identity.is_empty() || owned, "{what}: an identity alone");
-    assert!(ledger.len() < 2 || !identity.is_empty(), "{what}: promises of nobody");
+    assert!(
+        ledger.len() < 2 || !identity.is_empty(),
+        "{what}: promises of nobody"
+    );
 }
 
 #[rstest]
@@ -87,9 +110,17 @@
         let disk = Simulated::new();
         disk.kill_after(steps);
         let progress = play(&disk);
-        check(&disk.after_kill(), &progress, &format!("killed after {steps}"));
+        check(
+            &disk.after_kill(),
+            &progress,
+            &format!("killed after {steps}"),
+        );
         for (number, left) in disk.after_power_loss().iter().enumerate() {
-            check(left, &progress, &format!("power lost after {steps}, {number}"));
+            check(
+                left,
+                &progress,
+                &format!("power lost after {steps}, {number}"),
+            );
             losses += 1;
         }
     }
--- a/crates/append-log/tests/losses.rs
+++ b/crates/append-log/tests/losses.rs
@@ -21,7 +21,10 @@
 }
 
 fn owned(records: &[&str]) -> Records {
-    records.iter().map(|record| record.as_bytes().to_vec()).collect()
+    records
+        .iter()
+        .map(|record| record.as_bytes().to_vec())
+        .collect()
 }
 
 fn open(disk: &Simulated) -> (AppendLog<Simulated>, Records) {
@@ -39,7 +42,9 @@
             Append(records) => {
                 if ledger.append(&slices(records)).is_err() {
                     let more = owned(records);
-                    return (0..=more.len()).map(|count| [&now[..], &more[..count]].concat()).collect();
+                    return (0..=more.len())
+                        .map(|count| [&now[..], &more[..count]].concat())
+                        .collect();
                 }
                 now.extend(owned(records));
             }
@@ -61,7 +66,10 @@
         Ok(opened) => opened,
         Err(error) => panic!("{what}: {error}"),
     };
-    assert!(may_be.contains(&records), "{what}: {records:?} is none of {may_be:?}");
+    assert!(
+        may_be.contains(&records),
+        "{what}: {records:?} is none of {may_be:?}"
+    );
     for later in disk.after_power_loss() {
         assert_eq!(open(&later).1, records, "{what}: once more");
     }
@@ -74,8 +82,17 @@
 
 fn stories() -> Vec<Vec<Call>> {
     vec![
-        vec![Append(vec!["a"]), Append(vec!["bb", "", "cc"]), Append(vec!["d"])],
-        vec![Append(vec!["a", "b"]), Rewrite(vec!["x", "yy"]), Append(vec!["z"]), Rewrite(vec!["q"])],
+        vec![
+            Append(vec!["a"]),
+            Append(vec!["bb", "", "cc"]),
+            Append(vec!["d"]),
+        ],
+        vec![
+            Append(vec!["a", "b"]),
+            Rewrite(vec!["x", "yy"]),
+            Append(vec!["z"]),
+            Rewrite(vec!["q"]),
+        ],
         vec![Rewrite(vec!["x"]), Rewrite(vec![]), Append(vec!["z", "zz"])],
     ]
 }
@@ -92,9 +109,17 @@
         let disk = Simulated::new();
         disk.kill_after(steps);
         let may_be = play(&disk, story);
-        check(&disk.after_kill(), &may_be, &format!("killed after {steps}"));
+        check(
+            &disk.after_kill(),
+            &may_be,
+            &format!("killed after {steps}"),
+        );
         for (number, left) in disk.after_power_loss().iter().enumerate() {
-            check(left, &may_be, &format!("power lost after {steps}, {number}"));
+            check(
+                left,
+                &may_be,
+                &format!("power lost after {steps}, {number}"),
+            );
         }
     }
 }
@@ -113,8 +138,16 @@
             disk.kill_after(steps);
             let _ = AppendLog::open_on(disk.clone(), "ledger");
             let second = length >= batch + format::RECORD_HEAD + 2;
-            let may_be = [if second { owned(&["a", "bb"]) } else { owned(&["a"]) }];
-            check(&disk.after_kill(), &may_be, &format!("killed at {length}, {steps}"));
+            let may_be = [if second {
+                owned(&["a", "bb"])
+            } else {
+                owned(&["a"])
+            }];
+            check(
+                &disk.after_kill(),
+                &may_be,
+                &format!("killed at {length}, {steps}"),
+            );
             for left in disk.after_power_loss() {
                 check(&left, &may_be, &format!("power lost at {length}, {steps}"));
             }
@@ -161,10 +194,23 @@
         let hit = ends.iter().position(|end| at < *end).unwrap();
         match AppendLog::open_on(disk.clone(), "ledger") {
             Err(Error::Header { .. }) => assert!(at < format::HEADER as u64),
-            Err(Error::Damaged { record, offset, whole_at, .. }) => {
+            Err(Error::Damaged {
+                record,
+                offset,
+                whole_at,
+                ..
+            }) => {
                 assert!(at < last, "{bit}");
-                let begin = if hit == 0 { format::HEADER as u64 } else { ends[hit - 1] };
-                assert_eq!((record, offset, whole_at), (hit as u64, begin, ends[hit]), "{bit}");
+                let begin = if hit == 0 {
+                    format::HEADER as u64
+                } else {
+                    ends[hit - 1]
+                };
+                assert_eq!(
+                    (record, offset, whole_at),
+                    (hit as u64, begin, ends[hit]),
+                    "{bit}"
+                );
             }
             Err(error) => panic!("{bit}: {error}"),
             Ok((ledger, left)) => {
@@ -192,7 +238,10 @@
     bytes[next] ^= 1;
     let disk = Simulated::new();
     disk.put("ledger", &bytes);
-    assert!(matches!(AppendLog::open_on(disk, "ledger"), Err(Error::Damaged { record: 0, .. })));
+    assert!(matches!(
+        AppendLog::open_on(disk, "ledger"),
+        Err(Error::Damaged { record: 0, .. })
+    ));
 }
 
 /// Records are bound to their place: a file inside a record isn't taken for records.
@@ -211,7 +260,9 @@
         // With its head damaged too, its length isn't known and every byte of it is tried.
         for damage in [0, 1] {
             let mut torn = outer[..length].to_vec();
-            torn.get_mut(good as usize).into_iter().for_each(|byte| *byte ^= damage);
+            torn.get_mut(good as usize)
+                .into_iter()
+                .for_each(|byte| *byte ^= damage);
             let disk = Simulated::new();
             disk.put("ledger", &torn);
             let (ledger, records) = open(&disk);
@@ -227,7 +278,10 @@
 fn other_files_are_refused_and_left(#[case] bytes: &[u8]) {
     let disk = Simulated::new();
     disk.put("ledger", bytes);
-    assert!(matches!(AppendLog::open_on(disk.clone(), "ledger"), Err(Error::Header { .. })));
+    assert!(matches!(
+        AppendLog::open_on(disk.clone(), "ledger"),
+        Err(Error::Header { .. })
+    ));
     assert_eq!(disk.bytes("ledger").unwrap(), bytes);
 }
 
@@ -242,7 +296,10 @@
     assert_eq!(disk.bytes("ledger").unwrap(), bytes);
     let disk = Simulated::new();
     disk.put("ledger", &format::header(0));
-    assert!(matches!(AppendLog::open_on(disk, "ledger"), Err(Error::Header { .. })));
+    assert!(matches!(
+        AppendLog::open_on(disk, "ledger"),
+        Err(Error::Header { .. })
+    ));
 }
 
 /// Room for any number of the bytes of a batch of three: the error says that the disk is full, nothing of the batch
@@ -255,9 +312,18 @@
     for room in 0..3 * (format::RECORD_HEAD + 2) {
         let disk = disk.after_kill();
         let (mut ledger, _) = open(&disk);
-        disk.set_faults(Faults { room: Some(used + room), ..Faults::default() });
+        disk.set_faults(Faults {
+            room: Some(used + room),
+            ..Faults::default()
+        });
         for _ in 0..3 {
-            assert!(ledger.append(&slices(&["bb", "cc", "dd"])).unwrap_err().is_full(), "{room}");
+            assert!(
+                ledger
+                    .append(&slices(&["bb", "cc", "dd"]))
+                    .unwrap_err()
+                    .is_full(),
+                "{room}"
+            );
             assert_eq!(ledger.len(), used as u64);
             assert_eq!(disk.bytes("ledger").unwrap().len(), used, "cut back");
             assert!(ledger.rewrite(&slices(&["x"; 9])).unwrap_err().is_full());
@@ -285,7 +351,10 @@
     for length in whole.len()..torn.len() {
         let disk = Simulated::new();
         disk.put("ledger", &torn[..length]);
-        disk.set_faults(Faults { refuses_writes: true, ..Faults::default() });
+        disk.set_faults(Faults {
+            refuses_writes: true,
+            ..Faults::default()
+        });
         let (mut ledger, records) = open(&disk);
         assert_eq!(records, owned(&["a"]), "a full disk opens");
         assert!(ledger.append(&slices(&["b"])).unwrap_err().is_full());
@@ -312,7 +381,10 @@
     torn[batch] ^= 1;
     let disk = Simulated::new();
     disk.put("ledger", &torn);
-    disk.set_faults(Faults { refuses_writes: true, ..Faults::default() });
+    disk.set_faults(Faults {
+        refuses_writes: true,
+        ..Faults::default()
+    });
     let (mut ledger, records) = open(&disk);
     assert_eq!(records, owned(&["a"]));
     disk.set_faults(Faults::default());
@@ -325,7 +397,10 @@
 #[test]
 fn an_empty_folder_on_a_full_disk_opens_and_recovers() {
     let disk = Simulated::new();
-    disk.set_faults(Faults { refuses_writes: true, ..Faults::default() });
+    disk.set_faults(Faults {
+        refuses_writes: true,
+        ..Faults::default()
+    });
     let (mut ledger, records) = open(&disk);
     assert!(records.is_empty() && ledger.is_empty());
     assert!(ledger.append(&slices(&["a"])).unwrap_err().is_full());
@@ -342,7 +417,11 @@
         let disk = Simulated::new();
         let (mut ledger, _) = open(&disk);
         ledger.append(&slices(&["a", "b"])).unwrap();
-        disk.set_faults(Faults { fails_sync: true, failed_sync_writes, ..Faults::default() });
+        disk.set_faults(Faults {
+            fails_sync: true,
+            failed_sync_writes,
+            ..Faults::default()
+        });
         for record in ["c", "d"] {
             let error = ledger.append(&slices(&[record])).unwrap_err();
             assert!(matches!(error, Error::Io { .. }) && !error.is_full());
@@ -351,7 +430,11 @@
         for left in disk.after_power_loss() {
             check(&left, &may_be, "power lost after a failed sync");
         }
-        check(&disk.after_kill(), &may_be[..1], "killed after a failed sync");
+        check(
+            &disk.after_kill(),
+            &may_be[..1],
+            "killed after a failed sync",
+        );
         disk.set_faults(Faults::default());
         if then_power {
             // The mending copies; losses of power in the midst leave what was synced.
@@ -360,7 +443,11 @@
                 let mut ledger = broken(&mut disk, failed_sync_writes);
                 disk.kill_after(steps);
                 let _ = ledger.append(&slices(&["e"]));
-                let may_be = [owned(&["a", "b"]), owned(&["a", "b", "c"]), owned(&["a", "b", "e"])];
+                let may_be = [
+                    owned(&["a", "b"]),
+                    owned(&["a", "b", "c"]),
+                    owned(&["a", "b", "e"]),
+                ];
                 for left in disk.after_power_loss() {
                     check(&left, &may_be, "power lost while mending");
                 }
@@ -378,7 +465,11 @@
     *disk = Simulated::new();
     let (mut ledger, _) = open(disk);
     ledger.append(&slices(&["a", "b"])).unwrap();
-    disk.set_faults(Faults { fails_sync: true, failed_sync_writes, ..Faults::default() });
+    disk.set_faults(Faults {
+        fails_sync: true,
+        failed_sync_writes,
+        ..Faults::default()
+    });
     ledger.append(&slices(&["c"])).unwrap_err();
     disk.set_faults(Faults::default());
     ledger
@@ -397,11 +488,19 @@
     disk.set_faults(faults);
     ledger.rewrite(&slices(&["ab"])).unwrap_err();
     for left in disk.after_power_loss() {
-        check(&left, &[owned(&["a", "b"]), owned(&["ab"])], "power lost after a failed rewrite");
+        check(
+            &left,
+            &[owned(&["a", "b"]), owned(&["ab"])],
+            "power lost after a failed rewrite",
+        );
     }
     disk.set_faults(Faults::default());
     ledger.append(&slices(&["c"])).unwrap();
-    let now = if is_new { owned(&["ab", "c"]) } else { owned(&["a", "b", "c"]) };
+    let now = if is_new {
+        owned(&["ab", "c"])
+    } else {
+        owned(&["a", "b", "c"])
+    };
     for left in disk.after_power_loss() {
         assert_eq!(open(&left).1, now);
     }
@@ -412,7 +511,10 @@
 fn a_first_append_that_failed_leaves_no_records() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
-    disk.set_faults(Faults { fails_sync_names: true, ..Faults::default() });
+    disk.set_faults(Faults {
+        fails_sync_names: true,
+        ..Faults::default()
+    });
     ledger.append(&slices(&["a"])).unwrap_err();
     disk.set_faults(Faults::default());
     ledger.append(&slices(&["a"])).unwrap();
@@ -423,8 +525,9 @@
 fn hundred_thousand_records_come_back() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
-    let records: Records =
-        (0..100_000_u32).map(|number| number.to_le_bytes().repeat(number as usize % 50)).collect();
+    let records: Records = (0..100_000_u32)
+        .map(|number| number.to_le_bytes().repeat(number as usize % 50))
+        .collect();
     for batch in records.chunks(1_000) {
         let batch: Vec<&[u8]> = batch.iter().map(Vec::as_slice).collect();
         ledger.append(&batch).unwrap();
@@ -446,12 +549,24 @@
         let disk = Simulated::new();
         let (mut ledger, _) = open(&disk);
         ledger.append(&slices(&["a", "b"])).unwrap();
-        disk.set_faults(Faults { fails_sync: true, failed_sync_writes, ..Faults::default() });
+        disk.set_faults(Faults {
+            fails_sync: true,
+            failed_sync_writes,
+            ..Faults::default()
+        });
         disk.kill_after(steps);
         ledger.append(&slices(&["c", "d"])).unwrap_err();
         let _ = ledger.append(&slices(&["e"]));
-        let may_be = [owned(&["a", "b"]), owned(&["a", "b", "c"]), owned(&["a", "b", "c", "d"])];
-        check(&disk.after_kill(), &may_be, &format!("killed after {steps}"));
+        let may_be = [
+            owned(&["a", "b"]),
+            owned(&["a", "b", "c"]),
+            owned(&["a", "b", "c", "d"]),
+        ];
+        check(
+            &disk.after_kill(),
+            &may_be,
+            &format!("killed after {steps}"),
+        );
         for left in disk.after_power_loss() {
             check(&left, &may_be, &format!("power lost after {steps}"));
         }
@@ -465,9 +580,15 @@
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     ledger.append(&slices(&["a", "b"])).unwrap();
-    disk.set_faults(Faults { room: Some(0), ..Faults::default() });
+    disk.set_faults(Faults {
+        room: Some(0),
+        ..Faults::default()
+    });
     ledger.rewrite(&slices(&["ab"])).unwrap_err();
-    disk.set_faults(Faults { fails_sync_names: true, ..Faults::default() });
+    disk.set_faults(Faults {
+        fails_sync_names: true,
+        ..Faults::default()
+    });
     ledger.rewrite(&slices(&["ab"])).unwrap_err();
     ledger.append(&slices(&["c"])).unwrap_err();
     let may_be = [owned(&["a", "b"]), owned(&["ab"])];
--- a/crates/append-log/tests/reports.rs
+++ b/crates/append-log/tests/reports.rs
@@ -15,7 +15,12 @@
     ledger.append(&[b"seven!!"]).unwrap();
     let head = format::RECORD_HEAD as u64;
     let first = format::HEADER as u64;
-    let starts = vec![first, first + head + 3, first + 2 * head + 8, first + 3 * head + 8];
+    let starts = vec![
+        first,
+        first + head + 3,
+        first + 2 * head + 8,
+        first + 3 * head + 8,
+    ];
     (starts, disk.bytes("ledger").unwrap())
 }
 
@@ -40,14 +45,41 @@
     disk.put("ledger.new", b"remains");
     let report = verify_on(disk.clone(), "ledger").unwrap();
     let summary = &report.summary;
-    assert_eq!((summary.records, summary.batches, summary.body_bytes, summary.longest), (4, 3, 15, 7));
-    assert_eq!((summary.length, summary.remains), (bytes.len() as u64, Some(7)));
+    assert_eq!(
+        (
+            summary.records,
+            summary.batches,
+            summary.body_bytes,
+            summary.longest
+        ),
+        (4, 3, 15, 7)
+    );
+    assert_eq!(
+        (summary.length, summary.remains),
+        (bytes.len() as u64, Some(7))
+    );
     assert_eq!((summary.shape, summary.opens()), (Shape::Whole, true));
     let expected = [
-        Part::Record { offset: starts[0], batch: starts[0], bytes: 3 },
-        Part::Record { offset: starts[1], batch: starts[1], bytes: 5 },
-        Part::Record { offset: starts[2], batch: starts[1], bytes: 0 },
-        Part::Record { offset: starts[3], batch: starts[3], bytes: 7 },
+        Part::Record {
+            offset: starts[0],
+            batch: starts[0],
+            bytes: 3,
+        },
+        Part::Record {
+            offset: starts[1],
+            batch: starts[1],
+            bytes: 5,
+        },
+        Part::Record {
+            offset: starts[2],
+            batch: starts[1],
+            bytes: 0,
+        },
+        Part::Record {
+            offset: starts[3],
+            batch: starts[3],
+            bytes: 7,
+        },
     ];
     assert_eq!(report.parts, expected);
     assert_eq!(inspect_on(disk.clone(), "ledger").unwrap(), *summary);
@@ -72,13 +104,39 @@
     let (starts, mut bytes) = three_batches();
     bytes[starts[1] as usize] ^= 4;
     let report = verify_on(disk_with(&bytes), "ledger").unwrap();
-    let shape = Shape::Damaged { record: 1, offset: starts[1], whole_at: starts[3] };
-    assert_eq!((report.summary.shape, report.summary.opens(), report.summary.records), (shape, false, 1));
+    let shape = Shape::Damaged {
+        record: 1,
+        offset: starts[1],
+        whole_at: starts[3],
+    };
+    assert_eq!(
+        (
+            report.summary.shape,
+            report.summary.opens(),
+            report.summary.records
+        ),
+        (shape, false, 1)
+    );
     let expected = [
-        Part::Record { offset: starts[0], batch: starts[0], bytes: 3 },
-        Part::Gap { offset: starts[1], bytes: starts[2] - starts[1] },
-        Part::Record { offset: starts[2], batch: starts[1], bytes: 0 },
-        Part::Record { offset: starts[3], batch: starts[3], bytes: 7 },
+        Part::Record {
+            offset: starts[0],
+            batch: starts[0],
+            bytes: 3,
+        },
+        Part::Gap {
+            offset: starts[1],
+            bytes: starts[2] - starts[1],
+        },
+        Part::Record {
+            offset: starts[2],
+            batch: starts[1],
+            bytes: 0,
+        },
+        Part::Record {
+            offset: starts[3],
+            batch: starts[3],
+            bytes: 7,
+        },
     ];
     assert_eq!(report.parts, expected);
     assert_eq!(
@@ -93,7 +151,9 @@
 #[test]
 fn the_shape_is_what_an_opening_does() {
     let (_, whole) = three_batches();
-    let mut files: Vec<Vec<u8>> = (0..=whole.len()).map(|length| whole[..length].to_vec()).collect();
+    let mut files: Vec<Vec<u8>> = (0..=whole.len())
+        .map(|length| whole[..length].to_vec())
+        .collect();
     for at in 0..whole.len() {
         let mut changed = whole.clone();
         changed[at] = !changed[at];
@@ -106,11 +166,20 @@
         let shape = match AppendLog::open_on(disk, "ledger") {
             Ok((ledger, records)) => {
                 assert_eq!(report.records, records.len() as u64);
-                ledger.cut().map_or(Shape::Whole, |cut| Shape::Torn { offset: cut.offset })
-            }
-            Err(Error::Damaged { record, offset, whole_at, .. }) => {
-                Shape::Damaged { record, offset, whole_at }
+                ledger
+                    .cut()
+                    .map_or(Shape::Whole, |cut| Shape::Torn { offset: cut.offset })
             }
+            Err(Error::Damaged {
+                record,
+                offset,
+                whole_at,
+                ..
+            }) => Shape::Damaged {
+                record,
+                offset,
+                whole_at,
+            },
             Err(Error::Header { .. }) => Shape::NoHeader,
             Err(error) => panic!("{error}"),
         };
@@ -124,13 +193,18 @@
 #[case::empty(b"", Shape::NoHeader)]
 fn other_files(#[case] bytes: &[u8], #[case] shape: Shape) {
     let report = verify_on(disk_with(bytes), "ledger").unwrap();
-    assert_eq!((report.summary.shape, report.summary.opens()), (shape, false));
+    assert_eq!(
+        (report.summary.shape, report.summary.opens()),
+        (shape, false)
+    );
     assert!(report.parts.is_empty());
 }
 
 #[test]
 fn a_file_that_is_not_there_is_an_error() {
     let error = inspect_on(Simulated::new(), "ledger").unwrap_err();
-    assert!(matches!(error, Error::Io { ref source, .. } if source.kind() == std::io::ErrorKind::NotFound));
+    assert!(
+        matches!(error, Error::Io { ref source, .. } if source.kind() == std::io::ErrorKind::NotFound)
+    );
     assert_eq!(error.to_string(), "can't read 'ledger'");
 }
--- a/crates/append-log/tests/simulated/mod.rs
+++ b/crates/append-log/tests/simulated/mod.rs
@@ -35,8 +35,10 @@
         let Change::Write { offset, bytes } = self else {
             return vec![vec![], vec![self.clone()]];
         };
-        let part =
-            |from: usize, to: usize| Change::Write { offset: offset + from, bytes: bytes[from..to].to_vec() };
+        let part = |from: usize, to: usize| Change::Write {
+            offset: offset + from,
+            bytes: bytes[from..to].to_vec(),
+        };
         let mut all = vec![vec![], vec![self.clone()]];
         for at in 1..bytes.len() {
             all.push(vec![part(0, at)]);
@@ -62,9 +64,10 @@
 impl Naming {
     fn name(&self) -> &str {
         match self {
-            Naming::New(name, _) | Naming::Given(name, _) | Naming::Taken(name, _) | Naming::Remove(name) => {
-                name
-            }
+            Naming::New(name, _)
+            | Naming::Given(name, _)
+            | Naming::Taken(name, _)
+            | Naming::Remove(name) => name,
         }
     }
 
@@ -142,7 +145,10 @@
     }
 
     fn used(&self) -> usize {
-        self.names.values().map(|file| self.files[*file].now.len()).sum()
+        self.names
+            .values()
+            .map(|file| self.files[*file].now.len())
+            .sum()
     }
 }
 
@@ -220,7 +226,11 @@
                     })
                     .collect();
             }
-            all.extend(disks.into_iter().map(|disk| Simulated(Rc::new(RefCell::new(disk)))));
+            all.extend(
+                disks
+                    .into_iter()
+                    .map(|disk| Simulated(Rc::new(RefCell::new(disk)))),
+            );
         }
         all
     }
@@ -229,7 +239,10 @@
     /// there is less seldom than in [`Simulated::after_power_loss`].
     pub fn after_some_power_loss(&self, choose: &mut impl FnMut(usize) -> usize) -> Simulated {
         let inner = self.0.borrow();
-        let mut left = Inner { names: inner.synced_names.clone(), ..Inner::default() };
+        let mut left = Inner {
+            names: inner.synced_names.clone(),
+            ..Inner::default()
+        };
         for naming in &inner.namings {
             if choose(2) == 1 {
                 naming.apply(&mut left.names);
@@ -240,10 +253,20 @@
             let mut bytes = file.synced.clone();
             for change in &file.changes {
                 let remains = change.remains();
-                let which = if choose(3) == 0 { choose(remains.len()) } else { choose(2) };
-                remains[which].iter().for_each(|change| change.apply(&mut bytes));
+                let which = if choose(3) == 0 {
+                    choose(remains.len())
+                } else {
+                    choose(2)
+                };
+                remains[which]
+                    .iter()
+                    .for_each(|change| change.apply(&mut bytes));
             }
-            left.files.push(Contents { now: bytes.clone(), synced: bytes, changes: vec![] });
+            left.files.push(Contents {
+                now: bytes.clone(),
+                synced: bytes,
+                changes: vec![],
+            });
         }
         Simulated(Rc::new(RefCell::new(left)))
     }
@@ -251,14 +274,21 @@
     /// The bytes of a file.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let inner = self.0.borrow();
-        inner.names.get(name).map(|file| inner.files[*file].now.clone())
+        inner
+            .names
+            .get(name)
+            .map(|file| inner.files[*file].now.clone())
     }
 
     /// Puts a file there, synced.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let mut inner = self.0.borrow_mut();
         let file = inner.files.len();
-        inner.files.push(Contents { now: bytes.to_vec(), synced: bytes.to_vec(), changes: vec![] });
+        inner.files.push(Contents {
+            now: bytes.to_vec(),
+            synced: bytes.to_vec(),
+            changes: vec![],
+        });
         inner.names.insert(name.to_owned(), file);
         inner.synced_names.insert(name.to_owned(), file);
     }
@@ -301,7 +331,10 @@
     fn open(&mut self, name: &str) -> io::Result<Option<SimulatedFile>> {
         let mut inner = self.0.borrow_mut();
         inner.step()?;
-        Ok(inner.names.get(name).map(|file| SimulatedFile { disk: self.0.clone(), file: *file }))
+        Ok(inner.names.get(name).map(|file| SimulatedFile {
+            disk: self.0.clone(),
+            file: *file,
+        }))
     }
 
     fn open_to_read(&mut self, name: &str) -> io::Result<Option<SimulatedFile>> {
@@ -327,7 +360,10 @@
                 file
             }
         };
-        Ok(SimulatedFile { disk: self.0.clone(), file })
+        Ok(SimulatedFile {
+            disk: self.0.clone(),
+            file,
+        })
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -337,7 +373,10 @@
             return Err(io::Error::other("rename"));
         }
         let file = *inner.names.get(from).expect("there is a file to rename");
-        for naming in [Naming::Given(to.to_owned(), file), Naming::Taken(from.to_owned(), file)] {
+        for naming in [
+            Naming::Given(to.to_owned(), file),
+            Naming::Taken(from.to_owned(), file),
+        ] {
             naming.apply(&mut inner.names);
             inner.namings.push(naming);
         }
@@ -384,7 +423,10 @@
     fn read_at(&mut self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
         let mut inner = self.disk.borrow_mut();
         inner.step()?;
-        let bytes = inner.files[self.file].now.get(offset as usize..).unwrap_or_default();
+        let bytes = inner.files[self.file]
+            .now
+            .get(offset as usize..)
+            .unwrap_or_default();
         let read = bytes.len().min(into.len()).min(50_000);
         into[..read].copy_from_slice(&bytes[..read]);
         Ok(read)
@@ -397,7 +439,10 @@
         if inner.faults.refuses_writes {
             return Err(full());
         }
-        let room = inner.faults.room.map_or(usize::MAX, |room| room.saturating_sub(inner.used()));
+        let room = inner
+            .faults
+            .room
+            .map_or(usize::MAX, |room| room.saturating_sub(inner.used()));
         let mut taken = bytes.len().min(room);
         if let Some(left) = inner.steps_left {
             taken = taken.min(left as usize);
@@ -406,7 +451,13 @@
         inner.steps += taken as u64;
         if taken > 0 {
             let bytes = bytes[..taken].to_vec();
-            inner.change(self.file, Change::Write { offset: offset as usize, bytes });
+            inner.change(
+                self.file,
+                Change::Write {
+                    offset: offset as usize,
+                    bytes,
+                },
+            );
         }
         inner.step()?;
         match taken {
@@ -433,7 +484,9 @@
         let file = &mut inner.files[self.file];
         let changes = std::mem::take(&mut file.changes);
         if !faults.fails_sync || faults.failed_sync_writes {
-            changes.iter().for_each(|change| change.apply(&mut file.synced));
+            changes
+                .iter()
+                .for_each(|change| change.apply(&mut file.synced));
         }
         if faults.fails_sync {
             return Err(io::Error::other("sync"));
--- a/crates/append-log/tests/stories.rs
+++ b/crates/append-log/tests/stories.rs
@@ -59,18 +59,28 @@
     fn records(&mut self, sizes: &[usize]) -> Records {
         let record = |size: &usize| {
             self.drawn += 1;
-            [&self.drawn.to_le_bytes()[..], &vec![self.drawn as u8; *size]].concat()
+            [
+                &self.drawn.to_le_bytes()[..],
+                &vec![self.drawn as u8; *size],
+            ]
+            .concat()
         };
         sizes.iter().map(record).collect()
     }
 
     fn append(&mut self, records: &Records, is_ok: bool) {
-        let joined =
-            |more: &[Vec<u8>]| self.now.iter().map(|now| [&now[..], more].concat()).collect::<Vec<_>>();
+        let joined = |more: &[Vec<u8>]| {
+            self.now
+                .iter()
+                .map(|now| [&now[..], more].concat())
+                .collect::<Vec<_>>()
+        };
         if is_ok {
             (self.now, self.next) = (joined(records), Vec::new());
         } else {
-            let parts = (1..=records.len()).flat_map(|count| joined(&records[..count])).collect::<Vec<_>>();
+            let parts = (1..=records.len())
+                .flat_map(|count| joined(&records[..count]))
+                .collect::<Vec<_>>();
             self.next.extend(parts);
         }
     }
--- a/crates/balancing/src/budget.rs
+++ b/crates/balancing/src/budget.rs
@@ -34,7 +34,9 @@
 impl Terms {
     /// This proxy's part of the slack.
     fn slack(&self, now: Duration) -> f64 {
-        let fresh = self.born.is_none_or(|b| now.saturating_sub(b) <= self.window);
+        let fresh = self
+            .born
+            .is_none_or(|b| now.saturating_sub(b) <= self.window);
         let proxies = self.proxies.map_or(UNKNOWN, |n| n.max(1) + UNSEEN);
         self.slack / proxies as f64 * if fresh { FRESH } else { 1.0 }
     }
@@ -42,7 +44,10 @@
 
 impl Budget {
     pub(crate) fn new(window: Duration) -> Self {
-        Self { arrived: Sliding::new(window), repeated: Sliding::new(window) }
+        Self {
+            arrived: Sliding::new(window),
+            repeated: Sliding::new(window),
+        }
     }
 
     pub(crate) fn arrived(&mut self, now: Duration) {
--- a/crates/balancing/src/choice.rs
+++ b/crates/balancing/src/choice.rs
@@ -68,7 +68,8 @@
     /// Whether a home is taken to keep its prompts: where not all is told, or was forgotten with a restart.
     fn assumes(&self, now: Duration, ask: &Ask) -> bool {
         let restarted = !self.first_start && now < self.born() + REMEMBERED;
-        let known = || order::key(ask.parts).is_some_and(|k| self.hosts.iter().any(|(_, h)| h.kept.has(k)));
+        let known =
+            || order::key(ask.parts).is_some_and(|k| self.hosts.iter().any(|(_, h)| h.kept.has(k)));
         !self.told(now) || (restarted && !known())
     }
 
@@ -76,7 +77,11 @@
     /// send them there.
     fn unread(&self, now: Duration, host: &Host, home: bool, ask: &Ask) -> u32 {
         let all: u32 = ask.parts.iter().map(|p| p.1).fold(0, u32::saturating_add);
-        let all = if ask.parts.is_empty() { ask.tokens.0 } else { all };
+        let all = if ask.parts.is_empty() {
+            ask.tokens.0
+        } else {
+            all
+        };
         let shared = match ask.parts {
             [shared @ .., _own] if home && self.assumes(now, ask) => {
                 shared.iter().map(|p| p.1).fold(0, u32::saturating_add)
@@ -111,20 +116,40 @@
         }
         let tokens = self.unread(now, host, home == Some(key), ask);
         let weight = if prompt.is_some() { weight } else { 0 };
-        let shared = ask.parts.split_last().map_or(0, |p| p.1.iter().map(|p| p.1).sum());
-        let at_home = if home == Some(key) { HOME * service.reading(shared) } else { 0.0 };
+        let shared = ask
+            .parts
+            .split_last()
+            .map_or(0, |p| p.1.iter().map(|p| p.1).sum());
+        let at_home = if home == Some(key) {
+            HOME * service.reading(shared)
+        } else {
+            0.0
+        };
         let cost = wait + READ_AGAIN * service.reading(tokens) - at_home;
-        Some(Candidate { key, cost, weight, near, tokens })
+        Some(Candidate {
+            key,
+            cost,
+            weight,
+            near,
+            tokens,
+        })
     }
 
     /// Picks a host for a request, or says when to come back.
     pub(crate) fn pick(&mut self, now: Duration, ask: &Ask) -> Result<Pick, Duration> {
-        let Some(&number) = self.names.get(ask.service) else { return Err(UNKNOWN) };
+        let Some(&number) = self.names.get(ask.service) else {
+            return Err(UNKNOWN);
+        };
         self.judge(now, number);
-        let Some(service) = self.services.get(number) else { return Err(UNKNOWN) };
+        let Some(service) = self.services.get(number) else {
+            return Err(UNKNOWN);
+        };
         let open = |h: &Host| h.usable() && !ask.tried.contains(&h.info.id) && !self.full(now, h);
-        let hosts: Vec<(usize, &Host)> =
-            service.hosts.iter().filter_map(|k| Some((*k, self.hosts.get(*k)?))).collect();
+        let hosts: Vec<(usize, &Host)> = service
+            .hosts
+            .iter()
+            .filter_map(|k| Some((*k, self.hosts.get(*k)?)))
+            .collect();
         let known = hosts.iter().filter(|(_, h)| h.usable()).count();
         if known == 0 {
             return Err(UNKNOWN);
@@ -133,36 +158,62 @@
         // The home is the same whatever was tried: it is where others send such prompts.
         let prompt = order::key(ask.parts);
         let home = prompt.filter(|_| service.model()).and_then(|p| {
-            let well = hosts.iter().filter(|(_, h)| h.usable() && !h.health.out() && !h.lost(now));
-            well.max_by_key(|(_, h)| order::weight(p, h.place)).map(|(k, _)| *k)
+            let well = hosts
+                .iter()
+                .filter(|(_, h)| h.usable() && !h.health.out() && !h.lost(now));
+            well.max_by_key(|(_, h)| order::weight(p, h.place))
+                .map(|(k, _)| *k)
         });
         let cost = |keys: &[usize]| -> Vec<Candidate> {
-            keys.iter().filter_map(|k| self.candidate(now, *k, service, home, ask)).collect()
+            keys.iter()
+                .filter_map(|k| self.candidate(now, *k, service, home, ask))
+                .collect()
         };
 
-        let due = opens.iter().filter(|(_, h)| h.health.trial_due(now, h.info.silent));
+        let due = opens
+            .iter()
+            .filter(|(_, h)| h.health.trial_due(now, h.info.silent));
         if let Some((key, host)) = due.min_by_key(|(_, h)| h.health.back()) {
-            let waited = host.health.back().map_or(Duration::ZERO, |b| now.saturating_sub(b));
+            let waited = host
+                .health
+                .back()
+                .map_or(Duration::ZERO, |b| now.saturating_sub(b));
             let tokens = self.unread(now, host, false, ask);
-            let fits =
-                ask.idempotent && (tokens <= SMALL || waited >= TRIAL_WAIT) || host.health.overdue(now);
+            let fits = ask.idempotent && (tokens <= SMALL || waited >= TRIAL_WAIT)
+                || host.health.overdue(now);
             if fits {
-                return Ok(Pick { host: *key, tokens, trial: true });
+                return Ok(Pick {
+                    host: *key,
+                    tokens,
+                    trial: true,
+                });
             }
         }
 
-        let mut fit: Vec<usize> =
-            opens.iter().filter(|(_, h)| !h.health.out() && !h.lost(now)).map(|(k, _)| *k).collect();
+        let mut fit: Vec<usize> = opens
+            .iter()
+            .filter(|(_, h)| !h.health.out() && !h.lost(now))
+            .map(|(k, _)| *k)
+            .collect();
         if !fit.is_empty() && fit.len() * PANIC < known {
             let bad = |h: &Host| h.health.out() && !h.health.dark() && !h.info.silent;
             // With so many silent at once it is rather their heartbeats that have trouble.
             let silent = |h: &Host| h.lost(now) && !h.health.out();
-            fit.extend(opens.iter().filter(|(_, h)| bad(h) || silent(h)).map(|(k, _)| *k));
+            fit.extend(
+                opens
+                    .iter()
+                    .filter(|(_, h)| bad(h) || silent(h))
+                    .map(|(k, _)| *k),
+            );
         }
         let mut listed: Vec<usize> = Vec::new();
         if fit.is_empty() {
             // Weak evidence against all: those without errors, then the least bad.
-            fit = opens.iter().filter(|(_, h)| !h.health.out()).map(|(k, _)| *k).collect();
+            fit = opens
+                .iter()
+                .filter(|(_, h)| !h.health.out())
+                .map(|(k, _)| *k)
+                .collect();
             if fit.is_empty() {
                 let least = opens.iter().map(|(_, h)| h.health.badness()).min();
                 fit = opens
@@ -172,7 +223,11 @@
                     .collect();
             }
         } else {
-            listed = fit.iter().filter(|k| service.idle.entries(now, **k) > 0).copied().collect();
+            listed = fit
+                .iter()
+                .filter(|k| service.idle.entries(now, **k) > 0)
+                .copied()
+                .collect();
         }
 
         let candidates = cost(if listed.is_empty() { &fit } else { &listed });
@@ -181,11 +236,17 @@
         };
         let model = service.model();
         let chosen = if listed.is_empty() {
-            let drawn: Vec<_> = candidates.into_iter().filter(|c| c.cost <= best * DRAW + DRAW_MS).collect();
+            let drawn: Vec<_> = candidates
+                .into_iter()
+                .filter(|c| c.cost <= best * DRAW + DRAW_MS)
+                .collect();
             let n = self.random.below(drawn.len());
             drawn.into_iter().nth(n)
         } else {
-            let mut ties: Vec<_> = candidates.into_iter().filter(|c| c.cost <= best + EQUAL_MS).collect();
+            let mut ties: Vec<_> = candidates
+                .into_iter()
+                .filter(|c| c.cost <= best + EQUAL_MS)
+                .collect();
             if model && prompt.is_some() {
                 ties.into_iter().max_by_key(|c| c.weight)
             } else {
@@ -196,17 +257,26 @@
                 ties.into_iter().nth(n)
             }
         };
-        let Some(chosen) = chosen else { return Err(FULL) };
+        let Some(chosen) = chosen else {
+            return Err(FULL);
+        };
         if let Some(service) = self.services.get_mut(number) {
             service.idle.strike(now, chosen.key);
         }
-        Ok(Pick { host: chosen.key, tokens: chosen.tokens, trial: false })
+        Ok(Pick {
+            host: chosen.key,
+            tokens: chosen.tokens,
+            trial: false,
+        })
     }
 
     /// Whether a host is taken for full.
     fn full(&self, now: Duration, host: &Host) -> bool {
-        let limit =
-            self.services.get(host.service).and_then(|s| s.info.as_ref()).map_or(u32::MAX, |i| i.conn_limit);
+        let limit = self
+            .services
+            .get(host.service)
+            .and_then(|s| s.info.as_ref())
+            .map_or(u32::MAX, |i| i.conn_limit);
         host.full(now) || host.out.len() as u32 >= limit
     }
 
--- a/crates/balancing/src/health.rs
+++ b/crates/balancing/src/health.rs
@@ -54,12 +54,20 @@
                 return self.out();
             }
         }
-        let first = if fault == Fault::Silence { DARK_OUT } else { OUT };
+        let first = if fault == Fault::Silence {
+            DARK_OUT
+        } else {
+            OUT
+        };
         let calm = self.erred.is_none_or(|t| now.saturating_sub(t) > FORGIVEN);
         // Relapses are new errors after a trial or while it was in; what was sent before and ends while it is
         // out tells nothing new.
         if self.out_until.is_none() || trial {
-            self.gap = if calm { first } else { (self.gap * 2).clamp(first, LONGEST) };
+            self.gap = if calm {
+                first
+            } else {
+                (self.gap * 2).clamp(first, LONGEST)
+            };
             self.out_until = Some(now + self.gap);
         }
         (self.erred, self.dark) = (Some(now), fault == Fault::Silence);
@@ -95,7 +103,11 @@
     /// Whether one request may try it: it has been out for its time. One whose heartbeats have stopped as well
     /// and that went dark is left for the longest time.
     pub(crate) fn trial_due(&self, now: Duration, silent: bool) -> bool {
-        let wait = if silent && self.dark { LONGEST.saturating_sub(self.gap) } else { Duration::ZERO };
+        let wait = if silent && self.dark {
+            LONGEST.saturating_sub(self.gap)
+        } else {
+            Duration::ZERO
+        };
         !self.trial && self.out_until.is_some_and(|t| now >= t + wait)
     }
 
@@ -110,7 +122,11 @@
 
     /// Whether it has been out for so long that even a request that can't be repeated tries it.
     pub(crate) fn overdue(&self, now: Duration) -> bool {
-        let wait = if self.dark { LONGEST + UNSAFE_WAIT } else { self.gap + 2 * UNSAFE_WAIT };
+        let wait = if self.dark {
+            LONGEST + UNSAFE_WAIT
+        } else {
+            self.gap + 2 * UNSAFE_WAIT
+        };
         self.out_until.is_some_and(|t| now + self.gap >= t + wait)
     }
 
--- a/crates/balancing/src/host.rs
+++ b/crates/balancing/src/host.rs
@@ -26,7 +26,11 @@
 
     /// Tokens from the front on that are kept.
     pub(crate) fn prefix(&self, parts: &[(u64, u32)]) -> u32 {
-        parts.iter().take_while(|p| self.parts.contains_key(&p.0)).map(|p| p.1).sum()
+        parts
+            .iter()
+            .take_while(|p| self.parts.contains_key(&p.0))
+            .map(|p| p.1)
+            .sum()
     }
 
     pub(crate) fn touch(&mut self, parts: &[(u64, u32)], room: f64) {
@@ -42,7 +46,9 @@
             self.uses.insert(self.next, *id);
         }
         while self.tokens > room {
-            let Some((_, id)) = self.uses.pop_first() else { break };
+            let Some((_, id)) = self.uses.pop_first() else {
+                break;
+            };
             if let Some((tokens, _)) = self.parts.remove(&id) {
                 self.tokens -= f64::from(tokens);
             }
@@ -52,13 +58,21 @@
 
     /// Notes parts that others may ask for too; whether any of them is new here.
     pub(crate) fn share(&mut self, parts: &[(u64, u32)]) -> bool {
-        parts.iter().fold(false, |new, p| (self.parts.contains_key(&p.0) && self.shared.insert(p.0)) | new)
+        parts.iter().fold(false, |new, p| {
+            (self.parts.contains_key(&p.0) && self.shared.insert(p.0)) | new
+        })
     }
 
     /// Shared parts that are kept, those used latest first.
     pub(crate) fn shared(&self) -> Vec<(u64, u32)> {
-        let latest = self.uses.values().rev().filter(|id| self.shared.contains(id));
-        latest.filter_map(|id| Some((*id, self.parts.get(id)?.0))).collect()
+        let latest = self
+            .uses
+            .values()
+            .rev()
+            .filter(|id| self.shared.contains(id));
+        latest
+            .filter_map(|id| Some((*id, self.parts.get(id)?.0)))
+            .collect()
     }
 }
 
--- a/crates/balancing/src/idle.rs
+++ b/crates/balancing/src/idle.rs
@@ -21,8 +21,12 @@
 impl State {
     /// Entries that a host is worth now, by what this proxy knows of it; 0 where it isn't idle.
     pub(crate) fn worth(&self, now: Duration, key: usize) -> u32 {
-        let Some(host) = self.hosts.get(key) else { return 0 };
-        let Some(service) = self.services.get(host.service) else { return 0 };
+        let Some(host) = self.hosts.get(key) else {
+            return 0;
+        };
+        let Some(service) = self.services.get(host.service) else {
+            return 0;
+        };
         if !host.fit(now) || self.told_busy(now, host) {
             return 0;
         }
@@ -48,7 +52,9 @@
 
     /// Puts a host on record with so many entries.
     pub(crate) fn put(&mut self, now: Duration, key: usize, entries: u32) {
-        let Some(host) = self.hosts.get(key) else { return };
+        let Some(host) = self.hosts.get(key) else {
+            return;
+        };
         if let Some(service) = self.services.get_mut(host.service) {
             service.idle.list(now, key, entries);
         }
@@ -56,7 +62,9 @@
 
     /// Takes a host off the list until it is judged again.
     pub(crate) fn unlist(&mut self, key: usize) {
-        let Some(host) = self.hosts.get(key) else { return };
+        let Some(host) = self.hosts.get(key) else {
+            return;
+        };
         if let Some(service) = self.services.get_mut(host.service) {
             service.idle.remove(key);
         }
@@ -64,7 +72,9 @@
 
     /// A report on a host's load came.
     pub(crate) fn loaded(&mut self, now: Duration, key: usize, load: Load) {
-        let Some(host) = self.hosts.get_mut(key) else { return };
+        let Some(host) = self.hosts.get_mut(key) else {
+            return;
+        };
         let model = self.services.get(host.service).is_some_and(|s| s.model());
         // A prompt or two always wait for their turn to be read where batches run.
         let waiting = if model { load.slots / QUEUED } else { 0 };
@@ -81,7 +91,9 @@
     /// have out there.
     pub(crate) fn judge(&mut self, now: Duration, service: usize) {
         for n in 0.. {
-            let Some(s) = self.services.get(service) else { return };
+            let Some(s) = self.services.get(service) else {
+                return;
+            };
             let Some(&key) = s.hosts.get(n) else { return };
             if !s.idle.on_record(now, key) {
                 let entries = self.worth(now, key);
@@ -93,7 +105,8 @@
     }
 
     fn told_busy(&self, now: Duration, host: &Host) -> bool {
-        host.told_busy.is_some_and(|t| now.saturating_sub(t) <= ENTRY_AGE)
+        host.told_busy
+            .is_some_and(|t| now.saturating_sub(t) <= ENTRY_AGE)
     }
 
     /// Whether a host has come lately or is slow from its start.
--- a/crates/balancing/src/order.rs
+++ b/crates/balancing/src/order.rs
@@ -4,7 +4,9 @@
 
 /// A host's place in the hash space. FNV-1a, as all proxies must come to the same number.
 pub(crate) fn place(id: &str) -> u64 {
-    id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// A host's weight for a key: the heaviest is the key's home, the next takes over when it is gone.
--- a/crates/balancing/src/policy/mod.rs
+++ b/crates/balancing/src/policy/mod.rs
@@ -6,7 +6,9 @@
 
 use crate::budget::Terms;
 use crate::random::Random;
-use crate::types::{Ask, Attempt, Choice, HostInfo, Load, Outcome, Placement, ServiceInfo, Settings};
+use crate::types::{
+    Ask, Attempt, Choice, HostInfo, Load, Outcome, Placement, ServiceInfo, Settings,
+};
 use crate::window::from_ms;
 use slab::Slab;
 use std::collections::{HashMap, HashSet};
@@ -65,13 +67,23 @@
     pub fn set_hosts(&mut self, now: Duration, hosts: &[HostInfo]) {
         self.state.wake(now);
         let listed: HashSet<&str> = hosts.iter().map(|h| &*h.id).collect();
-        let lost: Vec<usize> =
-            self.state.hosts.iter().filter(|(_, h)| !listed.contains(&*h.info.id)).map(|(k, _)| k).collect();
+        let lost: Vec<usize> = self
+            .state
+            .hosts
+            .iter()
+            .filter(|(_, h)| !listed.contains(&*h.info.id))
+            .map(|(k, _)| k)
+            .collect();
         for key in lost {
             self.state.lose(key);
         }
-        let first: HashSet<usize> =
-            self.state.services.iter().filter(|(_, s)| s.hosts.is_empty()).map(|(n, _)| n).collect();
+        let first: HashSet<usize> = self
+            .state
+            .services
+            .iter()
+            .filter(|(_, s)| s.hosts.is_empty())
+            .map(|(n, _)| n)
+            .collect();
         for info in hosts {
             self.state.set_host(now, info, &first);
         }
@@ -91,7 +103,11 @@
 
     /// Whether all proxies tell each other where they send prompts.
     pub fn set_told(&mut self, now: Duration, all: bool) {
-        self.state.told_since = if all { self.state.told_since.or(Some(now)) } else { None };
+        self.state.told_since = if all {
+            self.state.told_since.or(Some(now))
+        } else {
+            None
+        };
     }
 
     /// What the latest choice means for the other proxies, where it is worth telling.
@@ -102,9 +118,15 @@
     /// Another proxy has sent a prompt to a host.
     pub fn overheard(&mut self, now: Duration, host: &str, parts: &[(u64, u32)], unread: u32) {
         let state = &mut self.state;
-        let Some(host) = state.ids.get(host).and_then(|k| state.hosts.get_mut(*k)) else { return };
-        let Some(service) = state.services.get(host.service) else { return };
-        let Some(room) = service.info.as_ref().and_then(|i| i.cache_tokens) else { return };
+        let Some(host) = state.ids.get(host).and_then(|k| state.hosts.get_mut(*k)) else {
+            return;
+        };
+        let Some(service) = state.services.get(host.service) else {
+            return;
+        };
+        let Some(room) = service.info.as_ref().and_then(|i| i.cache_tokens) else {
+            return;
+        };
         // No prompt is longer than what a host keeps, whatever a datagram says.
         if parts.iter().map(|p| f64::from(p.1)).sum::<f64>() > room {
             return;
@@ -117,8 +139,17 @@
 
     /// What hosts keep that others may ask for too, by our reckoning.
     pub fn kept(&self) -> Vec<Placement> {
-        let hosts = self.state.hosts.iter().map(|(_, h)| h).filter(|h| h.usable());
-        let all = hosts.map(|h| Placement { host: h.info.id.clone(), parts: h.kept.shared(), unread: 0 });
+        let hosts = self
+            .state
+            .hosts
+            .iter()
+            .map(|(_, h)| h)
+            .filter(|h| h.usable());
+        let all = hosts.map(|h| Placement {
+            host: h.info.id.clone(),
+            parts: h.kept.shared(),
+            unread: 0,
+        });
         all.filter(|p| !p.parts.is_empty()).collect()
     }
 
@@ -140,7 +171,9 @@
     pub fn choose(&mut self, now: Duration, ask: &Ask) -> Choice {
         self.state.wake(now);
         match self.state.pick(now, ask) {
-            Ok(pick) => self.state.send(now, ask, pick.host, pick.tokens, pick.trial),
+            Ok(pick) => self
+                .state
+                .send(now, ask, pick.host, pick.tokens, pick.trial),
             Err(retry_after) => Choice::None { retry_after },
         }
     }
@@ -151,7 +184,10 @@
         self.state.wake(now);
         let number = self.state.service(service);
         let state = &mut self.state;
-        state.services.get_mut(number).is_some_and(|s| s.budget.take(now, &state.terms))
+        state
+            .services
+            .get_mut(number)
+            .is_some_and(|s| s.budget.take(now, &state.terms))
     }
 
     /// The head of a good answer came (for streams: the first event).
@@ -163,7 +199,9 @@
     /// Something more came for an attempt: an event of its stream, a piece of its body.
     pub fn heard(&mut self, now: Duration, attempt: Attempt) {
         self.state.wake(now);
-        let Some(out) = self.state.attempts.get_mut(attempt.0) else { return };
+        let Some(out) = self.state.attempts.get_mut(attempt.0) else {
+            return;
+        };
         out.heard = Some(now);
         if let Some(host) = self.state.hosts.get_mut(out.host) {
             host.heard = Some(now);
--- a/crates/balancing/src/policy/state.rs
+++ b/crates/balancing/src/policy/state.rs
@@ -97,7 +97,9 @@
         if let Some(number) = self.names.get(name) {
             return *number;
         }
-        let number = self.services.insert(Service::new(self.settings.retry_window));
+        let number = self
+            .services
+            .insert(Service::new(self.settings.retry_window));
         self.names.insert(name.into(), number);
         number
     }
@@ -106,7 +108,8 @@
     pub(super) fn prune(&mut self, now: Duration) {
         let services = &mut self.services;
         self.names.retain(|_, n| {
-            let unused = |s: &Service| s.info.is_none() && s.hosts.is_empty() && s.budget.unused(now);
+            let unused =
+                |s: &Service| s.info.is_none() && s.hosts.is_empty() && s.budget.unused(now);
             let drop = services.get(*n).is_none_or(unused);
             if drop {
                 services.try_remove(*n);
@@ -117,7 +120,9 @@
 
     pub(super) fn set_host(&mut self, now: Duration, info: &HostInfo, first: &HashSet<usize>) {
         if let Some(&key) = self.ids.get(&info.id) {
-            let Some(host) = self.hosts.get_mut(key) else { return };
+            let Some(host) = self.hosts.get_mut(key) else {
+                return;
+            };
             if host.info.addr == info.addr && host.info.service == info.service {
                 let back = host.info.silent && !info.silent;
                 if info.cold_left != host.info.cold_left {
@@ -141,9 +146,14 @@
             }
         }
         let number = self.service(&info.service);
-        let late_comer =
-            !first.contains(&number) && self.services.get(number).is_some_and(|s| !s.hosts.is_empty());
-        let key = self.hosts.insert(Host::new(info.clone(), number, now, late_comer));
+        let late_comer = !first.contains(&number)
+            && self
+                .services
+                .get(number)
+                .is_some_and(|s| !s.hosts.is_empty());
+        let key = self
+            .hosts
+            .insert(Host::new(info.clone(), number, now, late_comer));
         self.ids.insert(info.id.clone(), key);
         if let Some(service) = self.services.get_mut(number) {
             service.hosts.push(key);
@@ -153,7 +163,9 @@
     /// A host has left the roster.
     pub(super) fn lose(&mut self, key: usize) {
         self.unlist(key);
-        let Some(host) = self.hosts.get_mut(key) else { return };
+        let Some(host) = self.hosts.get_mut(key) else {
+            return;
+        };
         host.gone = true;
         if self.ids.get(&host.info.id) == Some(&key) {
             self.ids.remove(&host.info.id);
@@ -163,7 +175,9 @@
 
     /// Forgets a host that is gone once nothing is out on it.
     fn drop_if_done(&mut self, key: usize) {
-        let Some(host) = self.hosts.get(key).filter(|h| h.gone && h.out.is_empty()) else { return };
+        let Some(host) = self.hosts.get(key).filter(|h| h.gone && h.out.is_empty()) else {
+            return;
+        };
         if let Some(service) = self.services.get_mut(host.service) {
             service.hosts.retain(|k| *k != key);
             service.idle.remove(key);
@@ -171,13 +185,26 @@
         self.hosts.remove(key);
     }
 
-    pub(super) fn send(&mut self, now: Duration, ask: &Ask, key: usize, tokens: u32, trial: bool) -> Choice {
+    pub(super) fn send(
+        &mut self,
+        now: Duration,
+        ask: &Ask,
+        key: usize,
+        tokens: u32,
+        trial: bool,
+    ) -> Choice {
         let none = Choice::None { retry_after: FULL };
         let proxies = self.terms.proxies.unwrap_or(1).max(1) as f64;
         let all_told = self.told(now);
-        let Some(waited) = self.hosts.get(key).map(|h| self.wait(now, h)) else { return none };
-        let Some(host) = self.hosts.get_mut(key) else { return none };
-        let Some(service) = self.services.get(host.service) else { return none };
+        let Some(waited) = self.hosts.get(key).map(|h| self.wait(now, h)) else {
+            return none;
+        };
+        let Some(host) = self.hosts.get_mut(key) else {
+            return none;
+        };
+        let Some(service) = self.services.get(host.service) else {
+            return none;
+        };
         let reading = service.reading(tokens);
         let attempt = self.attempts.insert(Out {
             host: key,
@@ -196,22 +223,34 @@
         if let Some(room) = service.info.as_ref().and_then(|i| i.cache_tokens) {
             host.busy_until = host.busy_until.max(now) + from_ms(reading);
             // The others fill the host's memory as fast as we do.
-            host.kept.touch(ask.parts, if all_told { room } else { room / proxies });
+            host.kept
+                .touch(ask.parts, if all_told { room } else { room / proxies });
             let shared = ask.parts.split_last().map_or(&[][..], |p| p.1);
             if host.kept.share(shared) || tokens >= TOLD_TOKENS {
                 let (host, parts) = (host.info.id.clone(), shared.to_vec());
-                self.placed = Some(Placement { host, parts, unread: tokens });
+                self.placed = Some(Placement {
+                    host,
+                    parts,
+                    unread: tokens,
+                });
             }
             priority = Some(priority_of(ask.rank));
         }
         if trial {
             host.health.begin_trial();
         }
-        Choice::Host { attempt: Attempt(attempt), id: host.info.id.clone(), addr: host.info.addr, priority }
+        Choice::Host {
+            attempt: Attempt(attempt),
+            id: host.info.id.clone(),
+            addr: host.info.addr,
+            priority,
+        }
     }
 
     pub(super) fn first(&mut self, now: Duration, number: usize) {
-        let Some(out) = self.attempts.get_mut(number) else { return };
+        let Some(out) = self.attempts.get_mut(number) else {
+            return;
+        };
         if std::mem::replace(&mut out.first, true) {
             return;
         }
@@ -219,9 +258,15 @@
         let timed = self.woke <= out.sent;
         let took = ms(now.saturating_sub(out.sent));
         let (key, tokens) = (out.host, out.tokens);
-        let (late, read, ratio) = (took - out.reckoned, took - out.waited, took / out.reckoned.max(1.0));
+        let (late, read, ratio) = (
+            took - out.reckoned,
+            took - out.waited,
+            took / out.reckoned.max(1.0),
+        );
         self.settle(now, key);
-        let Some(host) = self.hosts.get_mut(key) else { return };
+        let Some(host) = self.hosts.get_mut(key) else {
+            return;
+        };
         host.heard = Some(now);
         host.health.good();
         if timed {
@@ -236,30 +281,48 @@
 
     /// With nothing left to be read of ours, a host's backlog is over.
     fn settle(&mut self, now: Duration, key: usize) {
-        let Some(host) = self.hosts.get(key) else { return };
-        let reading = host.out.iter().filter_map(|o| self.attempts.get(*o)).any(|o| !o.first);
+        let Some(host) = self.hosts.get(key) else {
+            return;
+        };
+        let reading = host
+            .out
+            .iter()
+            .filter_map(|o| self.attempts.get(*o))
+            .any(|o| !o.first);
         if let Some(host) = self.hosts.get_mut(key).filter(|_| !reading) {
             host.busy_until = now;
         }
     }
 
-    pub(super) fn ended(&mut self, now: Duration, number: usize, outcome: Outcome, load: Option<Load>) {
+    pub(super) fn ended(
+        &mut self,
+        now: Duration,
+        number: usize,
+        outcome: Outcome,
+        load: Option<Load>,
+    ) {
         if outcome == Outcome::Done {
             self.first(now, number);
         }
-        let Some(out) = self.attempts.try_remove(number) else { return };
+        let Some(out) = self.attempts.try_remove(number) else {
+            return;
+        };
         let key = out.host;
         if let Some(host) = self.hosts.get_mut(key) {
             host.out.retain(|o| *o != number);
         }
         self.settle(now, key);
-        let Some(host) = self.hosts.get_mut(key) else { return };
+        let Some(host) = self.hosts.get_mut(key) else {
+            return;
+        };
         let age = now.saturating_sub(out.sent.max(self.woke.min(now)));
         let unheard = !out.first && host.heard.is_none_or(|h| h <= out.sent);
         // Where the attempt tells nothing of the host's health, a trial is open again.
         let open = |host: &mut Host| out.trial.then(|| host.health.trial_ended());
-        let alive =
-            !matches!(outcome, Outcome::Unreached | Outcome::Broken | Outcome::Silent | Outcome::Cancelled);
+        let alive = !matches!(
+            outcome,
+            Outcome::Unreached | Outcome::Broken | Outcome::Silent | Outcome::Cancelled
+        );
         if alive && outcome != Outcome::OtherHost {
             host.heard = Some(now);
         }
@@ -307,18 +370,27 @@
     }
 
     pub(super) fn patience(&self, now: Duration, number: usize) -> Option<Duration> {
-        let out = self.attempts.get(number).filter(|o| o.idempotent && !o.first)?;
+        let out = self
+            .attempts
+            .get(number)
+            .filter(|o| o.idempotent && !o.first)?;
         let host = self.hosts.get(out.host)?;
         let service = self.services.get(host.service)?;
         let (least, most) = PATIENCE_MS;
         if !out.trial && host.health.out() && host.health.dark() {
             return Some(from_ms(least));
         }
-        let alive = host.heard.is_some_and(|h| h > out.sent && now.saturating_sub(h) < STALL);
+        let alive = host
+            .heard
+            .is_some_and(|h| h > out.sent && now.saturating_sub(h) < STALL);
         let usual = PATIENCE * service.spread.value().max(1.0) * out.reckoned;
         let most = most.min(LEFT * ms(out.left)).max(least);
         // A host that shows itself alive reads what it was sent: elsewhere it would all be read again.
-        Some(from_ms(if alive { most } else { usual.clamp(least, most) }))
+        Some(from_ms(if alive {
+            most
+        } else {
+            usual.clamp(least, most)
+        }))
     }
 }
 
--- a/crates/balancing/src/window.rs
+++ b/crates/balancing/src/window.rs
@@ -25,7 +25,10 @@
 
 impl Sliding {
     pub(crate) fn new(window: Duration) -> Self {
-        Self { window: window.max(Duration::from_millis(CELLS as u64)), cells: VecDeque::new() }
+        Self {
+            window: window.max(Duration::from_millis(CELLS as u64)),
+            cells: VecDeque::new(),
+        }
     }
 
     fn cell(&self, now: Duration) -> u64 {
@@ -39,7 +42,11 @@
             Some(last) if last.0 >= cell => last.1 += 1,
             _ => self.cells.push_back((cell, 1)),
         }
-        while self.cells.front().is_some_and(|f| f.0 + u64::from(CELLS) < cell) {
+        while self
+            .cells
+            .front()
+            .is_some_and(|f| f.0 + u64::from(CELLS) < cell)
+        {
             self.cells.pop_front();
         }
     }
@@ -47,13 +54,21 @@
     /// At least as many as the window that ends now holds.
     pub(crate) fn upper(&self, now: Duration) -> u32 {
         let oldest = self.cell(now).saturating_sub(u64::from(CELLS));
-        self.cells.iter().filter(|c| c.0 >= oldest).map(|c| c.1).sum()
+        self.cells
+            .iter()
+            .filter(|c| c.0 >= oldest)
+            .map(|c| c.1)
+            .sum()
     }
 
     /// At most as many as the window that ends now holds.
     pub(crate) fn lower(&self, now: Duration) -> u32 {
         let now = self.cell(now);
-        self.cells.iter().filter(|c| c.0 + u64::from(CELLS) > now).map(|c| c.1).sum()
+        self.cells
+            .iter()
+            .filter(|c| c.0 + u64::from(CELLS) > now)
+            .map(|c| c.1)
+            .sum()
     }
 }
 
@@ -76,7 +91,14 @@
 impl Line {
     /// A line with one point at (0, `y`) and this slope.
     pub(crate) fn new(y: f64, slope: f64) -> Self {
-        Self { weight: 1.0, x: 0.0, y, xx: 0.0, xy: 0.0, slope }
+        Self {
+            weight: 1.0,
+            x: 0.0,
+            y,
+            xx: 0.0,
+            xy: 0.0,
+            slope,
+        }
     }
 
     pub(crate) fn add(&mut self, x: f64, y: f64) {
@@ -110,12 +132,19 @@
 
 impl Quantile {
     pub(crate) fn new(share: f64, first: f64) -> Self {
-        Self { share, value: first }
+        Self {
+            share,
+            value: first,
+        }
     }
 
     pub(crate) fn add(&mut self, x: f64) {
         let step = 0.1 * self.value;
-        self.value += if x > self.value { step * self.share } else { -step * (1.0 - self.share) };
+        self.value += if x > self.value {
+            step * self.share
+        } else {
+            -step * (1.0 - self.share)
+        };
     }
 
     pub(crate) fn value(&self) -> f64 {
--- a/crates/balancing/tests/budget.rs
+++ b/crates/balancing/tests/budget.rs
@@ -10,15 +10,20 @@
 const WINDOW: u64 = 10_000;
 
 fn proxy(told: usize) -> Policy {
-    let mut p = Policy::new(Settings { retry_ratio: RATIO, retry_slack: SLACK, ..settings() });
+    let mut p = Policy::new(Settings {
+        retry_ratio: RATIO,
+        retry_slack: SLACK,
+        ..settings()
+    });
     p.set_coordinators(ms(0), told);
     p
 }
 
 /// Most that a window holds beyond what the rule allows it (below 0: room left).
 fn worst(arrivals: &[u64], repeats: &[u64]) -> f64 {
-    let within =
-        |times: &[u64], from: u64, to: u64| times.iter().filter(|t| **t >= from && **t < to).count() as f64;
+    let within = |times: &[u64], from: u64, to: u64| {
+        times.iter().filter(|t| **t >= from && **t < to).count() as f64
+    };
     let ends = repeats.iter().map(|t| t + 1);
     ends.map(|end| {
         let from = end.saturating_sub(WINDOW);
@@ -60,9 +65,19 @@
 fn every_window_keeps_the_budget(#[case] proxies: usize, #[case] told: usize) {
     let mut all: Vec<Policy> = (0..proxies).map(|_| proxy(told)).collect();
     // A quiet start, a rush, and quiet again.
-    let every = |t| if (12_000..17_000).contains(&t) { 20 } else { 150 };
+    let every = |t| {
+        if (12_000..17_000).contains(&t) {
+            20
+        } else {
+            150
+        }
+    };
     let (arrivals, repeats) = play(&mut all, 40_000, every, |_, _| {});
-    assert!(worst(&arrivals, &repeats) <= 0.0, "{}", worst(&arrivals, &repeats));
+    assert!(
+        worst(&arrivals, &repeats) <= 0.0,
+        "{}",
+        worst(&arrivals, &repeats)
+    );
     assert!(!repeats.is_empty());
 }
 
@@ -93,7 +108,11 @@
             }
         },
     );
-    assert!(worst(&arrivals, &repeats) <= 0.0, "{}", worst(&arrivals, &repeats));
+    assert!(
+        worst(&arrivals, &repeats) <= 0.0,
+        "{}",
+        worst(&arrivals, &repeats)
+    );
 }
 
 #[test]
--- a/crates/balancing/tests/common/mod.rs
+++ b/crates/balancing/tests/common/mod.rs
@@ -37,8 +37,16 @@
 
 pub fn services() -> Vec<ServiceInfo> {
     vec![
-        ServiceInfo { name: "model".into(), conn_limit: 300, cache_tokens: Some(500_000.0) },
-        ServiceInfo { name: "plain".into(), conn_limit: 100, cache_tokens: None },
+        ServiceInfo {
+            name: "model".into(),
+            conn_limit: 300,
+            cache_tokens: Some(500_000.0),
+        },
+        ServiceInfo {
+            name: "plain".into(),
+            conn_limit: 100,
+            cache_tokens: None,
+        },
     ]
 }
 
--- a/crates/balancing/tests/engine.rs
+++ b/crates/balancing/tests/engine.rs
@@ -22,7 +22,10 @@
 fn drain(engine: &mut Engine) -> Vec<(u64, Vec<usize>)> {
     let mut steps = Vec::new();
     while let Some(time) = engine.begin() {
-        steps.push((time / 1000, engine.end().iter().map(|m| m.attempt).collect()));
+        steps.push((
+            time / 1000,
+            engine.end().iter().map(|m| m.attempt).collect(),
+        ));
     }
     steps
 }
@@ -32,7 +35,16 @@
     let mut e = Engine::new(PLAIN);
     assert!(e.take(1, 5, &[(1, 1500)], 4));
     // Two chunks (the first token comes with the last one), then a token a step; an event holds two.
-    assert_eq!(drain(&mut e), [(15, vec![]), (10, vec![]), (6, vec![1]), (6, vec![]), (6, vec![1])]);
+    assert_eq!(
+        drain(&mut e),
+        [
+            (15, vec![]),
+            (10, vec![]),
+            (6, vec![1]),
+            (6, vec![]),
+            (6, vec![1])
+        ]
+    );
 }
 
 #[test]
@@ -69,7 +81,11 @@
     let before = e.tokens_read;
     assert!(e.take(1, 5, &[(1, 4000), (200, 1)], 1));
     drain(&mut e);
-    assert_eq!(e.tokens_read - before, 1, "used after part 2, which made room for part 3");
+    assert_eq!(
+        e.tokens_read - before,
+        1,
+        "used after part 2, which made room for part 3"
+    );
 }
 
 #[test]
@@ -85,7 +101,13 @@
     let mut e = Engine::new(Figures { batch: 1, ..PLAIN });
     assert!(e.take(1, 6, &[(1, 10)], 1));
     assert!(e.take(2, 2, &[(2, 10)], 1));
-    assert_eq!(drain(&mut e).into_iter().flat_map(|s| s.1).collect::<Vec<_>>(), [2, 1]);
+    assert_eq!(
+        drain(&mut e)
+            .into_iter()
+            .flat_map(|s| s.1)
+            .collect::<Vec<_>>(),
+        [2, 1]
+    );
 }
 
 #[test]
--- a/crates/balancing/tests/health.rs
+++ b/crates/balancing/tests/health.rs
@@ -10,20 +10,44 @@
 
 fn send_to_first(p: &mut Policy, t: u64) -> Attempt {
     let tried: Vec<Arc<str>> = OTHERS.iter().map(|id| Arc::from(*id)).collect();
-    sent(p.choose(ms(t), &Ask { tried: &tried, ..PLAIN })).0
+    sent(p.choose(
+        ms(t),
+        &Ask {
+            tried: &tried,
+            ..PLAIN
+        },
+    ))
+    .0
 }
 
 /// Requests every 20 ms, all hosts but the first well; the first outcome decides how the first host does.
 /// Returns when the first host was tried.
-fn play(p: &mut Policy, from: u64, to: u64, idempotent: bool, outcome: impl Fn(u64) -> Outcome) -> Vec<u64> {
+fn play(
+    p: &mut Policy,
+    from: u64,
+    to: u64,
+    idempotent: bool,
+    outcome: impl Fn(u64) -> Outcome,
+) -> Vec<u64> {
     let mut tried = Vec::new();
     for t in (from..to).step_by(20) {
-        let (a, id) = sent(p.choose(ms(t), &Ask { idempotent, ..PLAIN }));
+        let (a, id) = sent(p.choose(
+            ms(t),
+            &Ask {
+                idempotent,
+                ..PLAIN
+            },
+        ));
         let first = &*id == "plain-0";
         if first {
             tried.push(t);
         }
-        p.ended(ms(t + 10), a, if first { outcome(t) } else { Outcome::Done }, None);
+        p.ended(
+            ms(t + 10),
+            a,
+            if first { outcome(t) } else { Outcome::Done },
+            None,
+        );
     }
     tried
 }
@@ -45,17 +69,19 @@
 fn a_host_that_is_well_again_is_back_within_three_seconds(#[case] idempotent: bool) {
     for well in (200..8000).step_by(700) {
         let (mut p, _) = policy(0, 3);
-        let tried =
-            play(
-                &mut p,
-                0,
-                12_000,
-                idempotent,
-                |t| if t < well { Outcome::Unreached } else { Outcome::Done },
-            );
+        let tried = play(&mut p, 0, 12_000, idempotent, |t| {
+            if t < well {
+                Outcome::Unreached
+            } else {
+                Outcome::Done
+            }
+        });
         let back = tried.iter().find(|t| **t >= well).expect("tried again");
         assert!(back - well <= 3000, "well at {well}, tried at {back}");
-        let after = tried.iter().filter(|t| **t > back + 100 && **t < back + 1100).count();
+        let after = tried
+            .iter()
+            .filter(|t| **t > back + 100 && **t < back + 1100)
+            .count();
         assert!(after >= 10, "one good answer brings it back: {after}");
     }
 }
@@ -67,7 +93,10 @@
     pass(&mut p, 0, 300);
     p.ended(ms(300), a, Outcome::Silent, None);
     assert!(play(&mut p, 320, 2400, false, |_| Outcome::Silent).is_empty());
-    assert_eq!(play(&mut p, 2420, 2480, true, |_| Outcome::Done).first(), Some(&2420));
+    assert_eq!(
+        play(&mut p, 2420, 2480, true, |_| Outcome::Done).first(),
+        Some(&2420)
+    );
 }
 
 #[test]
@@ -76,7 +105,9 @@
     let a = send_to_first(&mut p, 0);
     p.ended(ms(5), a, Outcome::Unreached, None);
     pass(&mut p, 5, 600);
-    let firsts = (0..6).filter(|_| &*sent(p.choose(ms(600), &PLAIN)).1 == "plain-0").count();
+    let firsts = (0..6)
+        .filter(|_| &*sent(p.choose(ms(600), &PLAIN)).1 == "plain-0")
+        .count();
     assert_eq!(firsts, 1);
 }
 
@@ -88,7 +119,11 @@
         p.ended(ms(10), a, Outcome::Broken, None);
     }
     pass(&mut p, 10, 400);
-    assert_eq!(&*sent(p.choose(ms(400), &PLAIN)).1, "plain-0", "tried after the first pause");
+    assert_eq!(
+        &*sent(p.choose(ms(400), &PLAIN)).1,
+        "plain-0",
+        "tried after the first pause"
+    );
 }
 
 #[test]
@@ -100,7 +135,10 @@
     }
     let (mut p, _) = policy(0, 3);
     let tried = play(&mut p, 0, 3000, true, |_| Outcome::Failed);
-    assert!(tried.len() <= 6, "a quick failer doesn't look idle: {tried:?}");
+    assert!(
+        tried.len() <= 6,
+        "a quick failer doesn't look idle: {tried:?}"
+    );
 }
 
 #[test]
@@ -111,7 +149,13 @@
         p.ended(ms(t + 5), a, Outcome::Failed, None);
     }
     // Without the others it is used all the same; with them it isn't while it is out.
-    let (a, id) = sent(p.choose(ms(1001), &Ask { idempotent: false, ..PLAIN }));
+    let (a, id) = sent(p.choose(
+        ms(1001),
+        &Ask {
+            idempotent: false,
+            ..PLAIN
+        },
+    ));
     assert_ne!(&*id, "plain-0");
     p.ended(ms(1002), a, Outcome::Done, None);
 }
@@ -130,18 +174,37 @@
     pass(&mut p, 0, 300);
     p.first(ms(390), b);
     p.ended(ms(400), a, Outcome::Silent, None);
-    assert!(p.patience(ms(400), c).expect("may be repeated") > ms(600), "slow, not dark");
+    assert!(
+        p.patience(ms(400), c).expect("may be repeated") > ms(600),
+        "slow, not dark"
+    );
 }
 
 #[test]
 fn with_all_hosts_out_requests_still_go_to_the_least_bad() {
     let (mut p, _) = policy(0, 3);
     for (n, t) in [(0, 0), (1, 10), (2, 20)] {
-        let tried: Vec<Arc<str>> = (0..3).filter(|m| *m != n).map(|m| format!("plain-{m}").into()).collect();
-        let a = sent(p.choose(ms(t), &Ask { tried: &tried, ..PLAIN })).0;
+        let tried: Vec<Arc<str>> = (0..3)
+            .filter(|m| *m != n)
+            .map(|m| format!("plain-{m}").into())
+            .collect();
+        let a = sent(p.choose(
+            ms(t),
+            &Ask {
+                tried: &tried,
+                ..PLAIN
+            },
+        ))
+        .0;
         p.ended(ms(t + 1), a, Outcome::Unreached, None);
     }
-    let (_, id) = sent(p.choose(ms(30), &Ask { idempotent: false, ..PLAIN }));
+    let (_, id) = sent(p.choose(
+        ms(30),
+        &Ask {
+            idempotent: false,
+            ..PLAIN
+        },
+    ));
     assert_eq!(&*id, "plain-0", "its error is the oldest");
 }
 
@@ -161,17 +224,35 @@
 #[test]
 fn patience_follows_the_usual_times_and_is_only_for_what_may_be_repeated() {
     let (mut p, _) = policy(0, 3);
-    let a = sent(p.choose(ms(0), &Ask { idempotent: false, ..PLAIN })).0;
+    let a = sent(p.choose(
+        ms(0),
+        &Ask {
+            idempotent: false,
+            ..PLAIN
+        },
+    ))
+    .0;
     assert_eq!(p.patience(ms(0), a), None);
     p.ended(ms(1), a, Outcome::Cancelled, None);
     let of = |p: &mut Policy, t| {
-        let a = sent(p.choose(ms(t), &Ask { left: ms(5000), ..PLAIN })).0;
+        let a = sent(p.choose(
+            ms(t),
+            &Ask {
+                left: ms(5000),
+                ..PLAIN
+            },
+        ))
+        .0;
         let patience = p.patience(ms(t), a).expect("may be repeated");
         p.ended(ms(t), a, Outcome::Cancelled, None);
         patience
     };
     let quick = of(&mut p, 2);
-    assert_eq!(quick, ms(600), "not before a host may have read a long prompt of another proxy");
+    assert_eq!(
+        quick,
+        ms(600),
+        "not before a host may have read a long prompt of another proxy"
+    );
     // All answers take 500 ms from now on.
     for n in 0..100 {
         let t = 100 + n * 520;
@@ -182,8 +263,19 @@
     }
     let slow = of(&mut p, 53_000);
     assert!(slow >= ms(700), "{slow:?}");
-    let a = sent(p.choose(ms(53_010), &Ask { left: ms(100), ..PLAIN })).0;
-    assert_eq!(p.patience(ms(53_010), a), Some(ms(600)), "never below some hundred ms");
+    let a = sent(p.choose(
+        ms(53_010),
+        &Ask {
+            left: ms(100),
+            ..PLAIN
+        },
+    ))
+    .0;
+    assert_eq!(
+        p.patience(ms(53_010), a),
+        Some(ms(600)),
+        "never below some hundred ms"
+    );
 }
 
 #[test]
--- a/crates/balancing/tests/hints.rs
+++ b/crates/balancing/tests/hints.rs
@@ -18,17 +18,28 @@
 
 /// Where a subject's prompts go as long as nobody knows of any.
 fn home(subject: u64) -> Arc<str> {
-    sent(policy(9, 0).0.choose(ms(1), &prompt(&[(subject, 13_000), (1, 500)]))).1
+    sent(
+        policy(9, 0)
+            .0
+            .choose(ms(1), &prompt(&[(subject, 13_000), (1, 500)])),
+    )
+    .1
 }
 
 /// A host that isn't the subject's home.
 fn elsewhere(subject: u64) -> Arc<str> {
     let home = home(subject);
-    (0..9).map(|n| Arc::from(format!("model-{n}"))).find(|h| *h != home).unwrap()
+    (0..9)
+        .map(|n| Arc::from(format!("model-{n}")))
+        .find(|h| *h != home)
+        .unwrap()
 }
 
 fn shared(p: &Policy) -> Vec<u64> {
-    p.kept().iter().flat_map(|k| k.parts.iter().map(|p| p.0)).collect()
+    p.kept()
+        .iter()
+        .flat_map(|k| k.parts.iter().map(|p| p.0))
+        .collect()
 }
 
 #[rstest]
@@ -38,7 +49,11 @@
     p.overheard(ms(LATER), &at, &[(subject, 13_000)], 0);
     let (_, id) = sent(p.choose(ms(LATER), &prompt(&[(subject, 13_000), (2, 500)])));
     assert_eq!(id, at);
-    assert_eq!(p.take_placement().map(|p| p.unread), Some(500), "it reads the request's own part alone");
+    assert_eq!(
+        p.take_placement().map(|p| p.unread),
+        Some(500),
+        "it reads the request's own part alone"
+    );
 }
 
 #[rstest]
@@ -48,10 +63,16 @@
 #[case(&[20_000], 260, true)]
 #[case(&[20_000, 20_000], 260, false)]
 #[case(&[20_000, 20_000], 520, true)]
-fn what_others_sent_has_to_be_read_first(#[case] hints: &[u32], #[case] after: u64, #[case] free: bool) {
+fn what_others_sent_has_to_be_read_first(
+    #[case] hints: &[u32],
+    #[case] after: u64,
+    #[case] free: bool,
+) {
     let mut p = told();
     let at = home(7);
-    hints.iter().for_each(|unread| p.overheard(ms(LATER), &at, &[], *unread));
+    hints
+        .iter()
+        .for_each(|unread| p.overheard(ms(LATER), &at, &[], *unread));
     let (_, id) = sent(p.choose(ms(LATER + after), &prompt(&[(7, 300), (2, 200)])));
     assert_eq!(id == at, free);
 }
@@ -102,7 +123,11 @@
     }
     p.set_told(ms(0), all_tell);
     let (_, id) = sent(p.choose(ms(at), &prompt(&[(7, 13_000), (2, 500)])));
-    let expected = Placement { host: id.clone(), parts: vec![(7, 13_000)], unread };
+    let expected = Placement {
+        host: id.clone(),
+        parts: vec![(7, 13_000)],
+        unread,
+    };
     assert_eq!((id, p.take_placement()), (home(7), Some(expected)));
 }
 
@@ -110,7 +135,10 @@
 fn after_a_restart_what_is_told_goes_before_what_is_assumed() {
     let mut p = told();
     p.overheard(ms(1500), &elsewhere(7), &[(7, 13_000)], 0);
-    assert_eq!(sent(p.choose(ms(1500), &prompt(&[(7, 13_000), (2, 500)]))).1, elsewhere(7));
+    assert_eq!(
+        sent(p.choose(ms(1500), &prompt(&[(7, 13_000), (2, 500)]))).1,
+        elsewhere(7)
+    );
 }
 
 #[test]
@@ -125,7 +153,11 @@
     assert_eq!(unread(&mut p, LATER + 5000, 2), Some(500));
     p.set_told(ms(LATER + 5000), true);
     p.set_told(ms(LATER + 5900), true);
-    assert_eq!(unread(&mut p, LATER + 5900, 3), Some(500), "not before a second of hearing all");
+    assert_eq!(
+        unread(&mut p, LATER + 5900, 3),
+        Some(500),
+        "not before a second of hearing all"
+    );
     assert_eq!(unread(&mut p, LATER + 6000, 4), Some(13_500));
 }
 
@@ -138,10 +170,21 @@
         (p.take_placement(), p.take_placement())
     };
     let (first, again) = told(LATER, (100, 50));
-    assert!(first.is_some_and(|p| p.parts == [(7, 13_000)]), "a shared part that is new there");
+    assert!(
+        first.is_some_and(|p| p.parts == [(7, 13_000)]),
+        "a shared part that is new there"
+    );
     assert_eq!(again, None, "once");
-    assert_eq!(told(LATER + 1, (101, 499)), (None, None), "known, and little to read");
-    assert_eq!(told(LATER + 2, (102, 500)).0.map(|p| p.unread), Some(500), "known, but much to read");
+    assert_eq!(
+        told(LATER + 1, (101, 499)),
+        (None, None),
+        "known, and little to read"
+    );
+    assert_eq!(
+        told(LATER + 2, (102, 500)).0.map(|p| p.unread),
+        Some(500),
+        "known, but much to read"
+    );
 }
 
 #[test]
@@ -152,7 +195,10 @@
     // One that is used again stays.
     p.overheard(ms(2), "model-0", &[(2, 13_000)], 0);
     p.overheard(ms(2), "model-0", &[(99, 13_000)], 0);
-    assert_eq!(shared(&p), [99, 2].into_iter().chain((4..40).rev()).collect::<Vec<_>>());
+    assert_eq!(
+        shared(&p),
+        [99, 2].into_iter().chain((4..40).rev()).collect::<Vec<_>>()
+    );
 }
 
 /// Own sends fill a host's whole memory where the others' are known too, and else a proxy's share of it: six
@@ -174,7 +220,12 @@
 fn a_hint_of_more_than_a_host_keeps_is_passed_over() {
     let (mut p, _) = policy(1, 0);
     p.overheard(ms(1), "model-0", &[(1, 13_000)], 0);
-    p.overheard(ms(1), "model-0", &[(2, 13_000), (3, u32::MAX), (4, u32::MAX)], 0);
+    p.overheard(
+        ms(1),
+        "model-0",
+        &[(2, 13_000), (3, u32::MAX), (4, u32::MAX)],
+        0,
+    );
     p.overheard(ms(1), "model-0", &[(5, 400_000), (6, 100_001)], 0);
     assert_eq!(shared(&p), [1]);
 }
@@ -194,9 +245,16 @@
 fn only_hosts_that_take_requests_are_handed_on() {
     let (mut p, hosts) = policy(3, 0);
     (0..3).for_each(|n| p.overheard(ms(1), &format!("model-{n}"), &[(n, 100)], 0));
-    let draining = HostInfo { draining: true, ..hosts[1].clone() };
+    let draining = HostInfo {
+        draining: true,
+        ..hosts[1].clone()
+    };
     p.set_hosts(ms(2), &[hosts[0].clone(), draining]);
-    let expected = Placement { host: "model-0".into(), parts: vec![(0, 100)], unread: 0 };
+    let expected = Placement {
+        host: "model-0".into(),
+        parts: vec![(0, 100)],
+        unread: 0,
+    };
     assert_eq!(p.kept(), [expected]);
     // A host that is gone takes nothing with it into its next life.
     p.overheard(ms(3), "model-2", &[(2, 100)], 0);
@@ -208,7 +266,9 @@
 fn shared_parts_are_listed_the_latest_first_and_own_parts_never() {
     let (mut p, _) = policy(1, 0);
     p.set_told(ms(0), true);
-    [1, 2, 3, 1].iter().for_each(|n| p.overheard(ms(LATER), "model-0", &[(*n, 100)], 0));
+    [1, 2, 3, 1]
+        .iter()
+        .for_each(|n| p.overheard(ms(LATER), "model-0", &[(*n, 100)], 0));
     assert_eq!(shared(&p), [1, 3, 2]);
     sent(p.choose(ms(LATER), &prompt(&[(2, 100), (8, 100), (9, 50)])));
     assert_eq!(shared(&p), [8, 2, 1, 3]);
--- a/crates/balancing/tests/homes.rs
+++ b/crates/balancing/tests/homes.rs
@@ -10,7 +10,10 @@
 fn homes(p: &mut Policy, t: u64, subjects: u64) -> BTreeMap<u64, Arc<str>> {
     (0..subjects)
         .map(|s| {
-            let (a, id) = sent(p.choose(ms(t), &prompt(&[(s, 13_000), (1_000_000 + t * 1000 + s, 500)])));
+            let (a, id) = sent(p.choose(
+                ms(t),
+                &prompt(&[(s, 13_000), (1_000_000 + t * 1000 + s, 500)]),
+            ));
             p.ended(ms(t), a, Outcome::Cancelled, None);
             (s, id)
         })
@@ -20,7 +23,11 @@
 #[test]
 fn proxies_agree_on_homes_and_these_are_spread() {
     let (mut one, hosts) = policy(9, 0);
-    let mut other = Policy::new(Settings { seed: 99, zone: "c".into(), ..settings() });
+    let mut other = Policy::new(Settings {
+        seed: 99,
+        zone: "c".into(),
+        ..settings()
+    });
     other.set_services(ms(0), &services());
     let mut reversed = hosts.clone();
     reversed.reverse();
@@ -28,7 +35,8 @@
     let (a, b) = (homes(&mut one, 1, 121), homes(&mut other, 1, 121));
     assert_eq!(a, b);
     let mut count: BTreeMap<_, u32> = BTreeMap::new();
-    a.values().for_each(|h| *count.entry(h.clone()).or_default() += 1);
+    a.values()
+        .for_each(|h| *count.entry(h.clone()).or_default() += 1);
     assert_eq!(count.len(), 9);
     assert!(count.values().all(|n| *n < 30), "{count:?}");
 }
@@ -42,8 +50,15 @@
     assert_eq!(id, dead);
     p.ended(ms(11), a, Outcome::Unreached, None);
     let during = homes(&mut p, 20, 121);
-    let moved: BTreeSet<_> = before.iter().filter(|(s, h)| during[s] != **h).map(|(s, _)| *s).collect();
-    assert!(moved.iter().all(|s| before[s] == dead), "only its own prompts move");
+    let moved: BTreeSet<_> = before
+        .iter()
+        .filter(|(s, h)| during[s] != **h)
+        .map(|(s, _)| *s)
+        .collect();
+    assert!(
+        moved.iter().all(|s| before[s] == dead),
+        "only its own prompts move"
+    );
     assert!(during.values().all(|h| *h != dead));
     let heirs: BTreeSet<_> = moved.iter().map(|s| during[s].clone()).collect();
     assert!(heirs.len() >= 4, "to several others: {heirs:?}");
@@ -92,7 +107,10 @@
     p.first(ms(30), a);
     p.ended(ms(40), a, Outcome::Done, None);
     // A long prompt whose home is the same host.
-    let (s, _) = homes(&mut p, 41, 50).into_iter().find(|(_, h)| *h == home).expect("homes are spread");
+    let (s, _) = homes(&mut p, 41, 50)
+        .into_iter()
+        .find(|(_, h)| *h == home)
+        .expect("homes are spread");
     sent(p.choose(ms(50), &prompt(&[(s, 13_000), (9000, 20_000)])));
     assert_ne!(sent(p.choose(ms(51), &prompt(&short))).1, home);
 }
@@ -128,7 +146,12 @@
 #[case(9, 9)]
 fn more_urgent_ranks_get_the_lower_priority(#[case] rank: u32, #[case] expected: u8) {
     let (mut p, _) = policy(3, 0);
-    let ask = balancing::Ask { rank, ..prompt(&[(1, 10), (2, 10)]) };
-    let Choice::Host { priority, .. } = p.choose(ms(1), &ask) else { panic!("no host") };
+    let ask = balancing::Ask {
+        rank,
+        ..prompt(&[(1, 10), (2, 10)])
+    };
+    let Choice::Host { priority, .. } = p.choose(ms(1), &ask) else {
+        panic!("no host")
+    };
     assert_eq!(priority, Some(expected));
 }
--- a/crates/balancing/tests/idle.rs
+++ b/crates/balancing/tests/idle.rs
@@ -8,13 +8,27 @@
 use std::sync::Arc;
 
 fn load(running: u32, waiting: u32) -> Option<Load> {
-    Some(Load { running, waiting, slots: 6 })
+    Some(Load {
+        running,
+        waiting,
+        slots: 6,
+    })
 }
 
 /// Sends to a plain host of one's choice by having tried all others.
 fn send_to(p: &mut Policy, t: u64, n: usize) -> balancing::Attempt {
-    let tried: Vec<Arc<str>> = (0..3).filter(|m| *m != n).map(|m| format!("plain-{m}").into()).collect();
-    sent(p.choose(ms(t), &Ask { tried: &tried, ..PLAIN })).0
+    let tried: Vec<Arc<str>> = (0..3)
+        .filter(|m| *m != n)
+        .map(|m| format!("plain-{m}").into())
+        .collect();
+    sent(p.choose(
+        ms(t),
+        &Ask {
+            tried: &tried,
+            ..PLAIN
+        },
+    ))
+    .0
 }
 
 fn served(p: &mut Policy, t: u64, n: usize, load: Option<Load>) {
@@ -56,7 +70,11 @@
         p.ended(ms(t + 15), a, Outcome::Done, load(0, 0));
     }
     pass(&mut p, 2000, 2100);
-    assert_eq!(&*sent(p.choose(ms(2100), &PLAIN)).1, "plain-0", "the report is forgotten");
+    assert_eq!(
+        &*sent(p.choose(ms(2100), &PLAIN)).1,
+        "plain-0",
+        "the report is forgotten"
+    );
 }
 
 #[test]
@@ -72,7 +90,15 @@
 fn a_report_in_a_head_counts_while_the_answer_goes_on() {
     let (mut p, _) = policy(0, 3);
     let a = send_to(&mut p, 0, 0);
-    p.told(ms(5), a, Load { running: 6, waiting: 3, slots: 6 });
+    p.told(
+        ms(5),
+        a,
+        Load {
+            running: 6,
+            waiting: 3,
+            slots: 6,
+        },
+    );
     assert_ne!(&*sent(p.choose(ms(6), &PLAIN)).1, "plain-0");
 }
 
@@ -80,7 +106,11 @@
 fn a_host_that_tells_nothing_is_judged_by_own_sends() {
     let (mut p, _) = policy(0, 3);
     let out: Vec<_> = (0..3).map(|_| send_to(&mut p, 0, 0)).collect();
-    assert_ne!(&*sent(p.choose(ms(1), &PLAIN)).1, "plain-0", "half of its slots are ours");
+    assert_ne!(
+        &*sent(p.choose(ms(1), &PLAIN)).1,
+        "plain-0",
+        "half of its slots are ours"
+    );
     for a in out {
         p.ended(ms(15), a, Outcome::Done, None);
     }
@@ -132,7 +162,10 @@
     let (mut p, mut hosts) = policy(0, 3);
     sent(p.choose(ms(0), &PLAIN));
     let addr = hosts[0].addr;
-    hosts.push(HostInfo { addr, ..host("other", 9, 3) });
+    hosts.push(HostInfo {
+        addr,
+        ..host("other", 9, 3)
+    });
     p.set_hosts(ms(10), &hosts);
     assert!((0..50).all(|_| &*sent(p.choose(ms(20), &PLAIN)).1 != "plain-0"));
 }
@@ -150,7 +183,9 @@
     hosts[0].addr.set_port(9000);
     p.set_hosts(ms(3010), &hosts);
     pass(&mut p, 3010, 6010);
-    let drawn: HashSet<_> = (0..30).map(|_| sent(p.choose(ms(6010), &PLAIN)).1).collect();
+    let drawn: HashSet<_> = (0..30)
+        .map(|_| sent(p.choose(ms(6010), &PLAIN)).1)
+        .collect();
     assert!(drawn.iter().any(|id| &**id == "plain-0"));
 }
 
@@ -165,10 +200,18 @@
     };
     let mut p = before();
     pass(&mut p, 15, 415);
-    assert_ne!(&*sent(p.choose(ms(416), &PLAIN)).1, "plain-0", "no stall: the report counts");
+    assert_ne!(
+        &*sent(p.choose(ms(416), &PLAIN)).1,
+        "plain-0",
+        "no stall: the report counts"
+    );
     let mut p = before();
     p.tick(ms(415));
-    assert_eq!(&*sent(p.choose(ms(416), &PLAIN)).1, "plain-0", "judged by own sends alone");
+    assert_eq!(
+        &*sent(p.choose(ms(416), &PLAIN)).1,
+        "plain-0",
+        "judged by own sends alone"
+    );
 }
 
 #[test]
@@ -199,6 +242,11 @@
         let a = send_to(&mut p, 0, n);
         p.ended(ms(2), a, Outcome::Full, None);
     }
-    let balancing::Choice::None { retry_after } = p.choose(ms(3), &PLAIN) else { panic!("all are full") };
-    assert!(retry_after >= ms(100) && retry_after <= ms(300), "{retry_after:?}");
+    let balancing::Choice::None { retry_after } = p.choose(ms(3), &PLAIN) else {
+        panic!("all are full")
+    };
+    assert!(
+        retry_after >= ms(100) && retry_after <= ms(300),
+        "{retry_after:?}"
+    );
 }
--- a/crates/balancing/tests/late_beats.rs
+++ b/crates/balancing/tests/late_beats.rs
@@ -57,7 +57,8 @@
     silence(&mut p, 100, &mut hosts, |n| n > 0);
     let mut got: HashMap<Arc<str>, usize> = HashMap::new();
     for n in 0..36 {
-        *got.entry(sent(p.choose(ms(200 + n), &PLAIN)).1).or_default() += 1;
+        *got.entry(sent(p.choose(ms(200 + n), &PLAIN)).1)
+            .or_default() += 1;
     }
     assert!(got.get("plain-0").is_some_and(|n| *n <= 18), "{got:?}");
     assert!(got.len() >= 6, "{got:?}");
--- a/crates/balancing/tests/model/engine.rs
+++ b/crates/balancing/tests/model/engine.rs
@@ -83,7 +83,11 @@
     }
 
     pub fn load(&self) -> (u32, u32, u32) {
-        (self.running.len() as u32, self.waiting.len() as u32, self.figures.batch as u32)
+        (
+            self.running.len() as u32,
+            self.waiting.len() as u32,
+            self.figures.batch as u32,
+        )
     }
 
     /// Takes a request into the queue; false where that is full.
@@ -117,7 +121,9 @@
 
     fn unpin(&mut self, parts: &[(u64, u32)]) {
         for (id, _) in parts {
-            let Some(part) = self.parts.get_mut(id) else { continue };
+            let Some(part) = self.parts.get_mut(id) else {
+                continue;
+            };
             part.pins = part.pins.saturating_sub(1);
             // Never read in full, and nobody reads it any more.
             if part.pins == 0 && !part.read {
@@ -138,7 +144,15 @@
             }
             None => {
                 self.held += u64::from(tokens);
-                self.parts.insert(id, Part { tokens, used, pins: 1, read: false });
+                self.parts.insert(
+                    id,
+                    Part {
+                        tokens,
+                        used,
+                        pins: 1,
+                        read: false,
+                    },
+                );
             }
         }
         self.uses.insert(used, id);
@@ -147,8 +161,14 @@
     /// Makes room for so many tokens more; false where running requests hold too much.
     fn make_room(&mut self, tokens: u64) -> bool {
         while self.held + tokens > self.figures.memory {
-            let free = self.uses.iter().find(|(_, id)| self.parts[*id].pins == 0).map(|(u, id)| (*u, *id));
-            let Some((used, id)) = free else { return self.running.is_empty() };
+            let free = self
+                .uses
+                .iter()
+                .find(|(_, id)| self.parts[*id].pins == 0)
+                .map(|(u, id)| (*u, *id));
+            let Some((used, id)) = free else {
+                return self.running.is_empty();
+            };
             self.uses.remove(&used);
             self.held -= self.parts.remove(&id).map_or(0, |p| u64::from(p.tokens));
         }
@@ -157,18 +177,28 @@
 
     fn admit(&mut self) {
         while self.running.len() < self.figures.batch {
-            let Some((&key, job)) = self.waiting.iter().next() else { return };
-            let missing: u64 =
-                job.parts.iter().filter(|p| !self.parts.contains_key(&p.0)).map(|p| u64::from(p.1)).sum();
+            let Some((&key, job)) = self.waiting.iter().next() else {
+                return;
+            };
+            let missing: u64 = job
+                .parts
+                .iter()
+                .filter(|p| !self.parts.contains_key(&p.0))
+                .map(|p| u64::from(p.1))
+                .sum();
             if !self.make_room(missing) {
                 return;
             }
             let mut job = self.waiting.remove(&key).expect("the first");
-            let kept = job.parts.iter().take_while(|p| self.parts.get(&p.0).is_some_and(|k| k.read));
+            let kept = job
+                .parts
+                .iter()
+                .take_while(|p| self.parts.get(&p.0).is_some_and(|k| k.read));
             let (count, tokens) = kept.fold((0, 0), |(n, t), p| (n + 1, t + p.1));
             // The last token is always read, as the first one made follows from it.
             job.unread = (job.context - tokens).max(1);
-            self.shared_read.extend(&job.parts[count.min(job.shared)..job.shared]);
+            self.shared_read
+                .extend(&job.parts[count.min(job.shared)..job.shared]);
             self.tokens_read += u64::from(job.unread);
             for (id, tokens) in job.parts.clone() {
                 self.touch(id, tokens);
@@ -226,7 +256,10 @@
             job.made += 1;
             let last = job.made >= job.out;
             if last || job.made % self.figures.stride == 0 {
-                made.push(Made { attempt: job.attempt, last });
+                made.push(Made {
+                    attempt: job.attempt,
+                    last,
+                });
             }
             if last {
                 done.push(job.attempt);
--- a/crates/balancing/tests/model/report.rs
+++ b/crates/balancing/tests/model/report.rs
@@ -29,7 +29,8 @@
 
 impl Report {
     fn first_in_time(&self, s: &Served) -> bool {
-        s.first.is_some_and(|f| f <= from_ms(self.kinds[s.kind].aim_ms))
+        s.first
+            .is_some_and(|f| f <= from_ms(self.kinds[s.kind].aim_ms))
     }
 
     fn steady(&self, s: &Served) -> bool {
@@ -63,13 +64,19 @@
     pub fn worth(&self, of: impl Fn(&Served) -> bool) -> f64 {
         let mean: Vec<f64> = (0..self.kinds.len())
             .map(|k| {
-                let sizes: Vec<f64> = self.served.iter().filter(|s| s.kind == k).map(|s| s.size).collect();
+                let sizes: Vec<f64> = self
+                    .served
+                    .iter()
+                    .filter(|s| s.kind == k)
+                    .map(|s| s.size)
+                    .collect();
                 sizes.iter().sum::<f64>() / sizes.len().max(1) as f64
             })
             .collect();
         let (mut earned, mut owed) = (0.0, 0.0);
         for s in self.served.iter().filter(|s| of(s)) {
-            let worth = self.kinds[s.kind].worth * (0.3 + 0.7 * s.size / mean[s.kind].max(1.0)).min(4.0);
+            let worth =
+                self.kinds[s.kind].worth * (0.3 + 0.7 * s.size / mean[s.kind].max(1.0)).min(4.0);
             owed += worth;
             earned += worth
                 * match (s.complete, self.first_in_time(s) && self.steady(s)) {
@@ -91,8 +98,12 @@
     }
 
     fn firsts(&self) -> Vec<f64> {
-        let mut all: Vec<f64> =
-            self.served.iter().filter_map(|s| s.first).map(|f| f as f64 / 1000.0).collect();
+        let mut all: Vec<f64> = self
+            .served
+            .iter()
+            .filter_map(|s| s.first)
+            .map(|f| f as f64 / 1000.0)
+            .collect();
         all.sort_by(f64::total_cmp);
         all
     }
--- a/crates/balancing/tests/model/router.rs
+++ b/crates/balancing/tests/model/router.rs
@@ -47,7 +47,11 @@
     pub fn new(way: Way, number: usize, proxies: usize, memory: u64, now: Time) -> Self {
         let seed = 1000 + number as u64 + now;
         if way != Way::Policy {
-            return Self::Plain(Plain { least: way == Way::LeastLoaded, seed, ..Plain::default() });
+            return Self::Plain(Plain {
+                least: way == Way::LeastLoaded,
+                seed,
+                ..Plain::default()
+            });
         }
         let mut policy = Policy::new(Settings {
             zone: format!("z{}", number % 3).into(),
@@ -58,7 +62,11 @@
             beat: Duration::from_millis(1200),
             seed,
         });
-        let info = ServiceInfo { name: SERVICE.into(), conn_limit: 620, cache_tokens: Some(memory as f64) };
+        let info = ServiceInfo {
+            name: SERVICE.into(),
+            conn_limit: 620,
+            cache_tokens: Some(memory as f64),
+        };
         policy.set_services(at(now), &[info]);
         policy.set_coordinators(at(now), proxies);
         Self::Policy(Box::new(policy))
@@ -87,9 +95,16 @@
     pub fn choose(&mut self, now: Time, ask: &Ask) -> Result<Sent, Duration> {
         match self {
             Self::Policy(p) => match p.choose(at(now), ask) {
-                Choice::Host { attempt, id, priority, .. } => {
-                    Ok(Sent { attempt: attempt.0, id, priority: priority.unwrap_or(5) })
-                }
+                Choice::Host {
+                    attempt,
+                    id,
+                    priority,
+                    ..
+                } => Ok(Sent {
+                    attempt: attempt.0,
+                    id,
+                    priority: priority.unwrap_or(5),
+                }),
                 Choice::None { retry_after } => Err(retry_after),
             },
             Self::Plain(p) => p.choose(ask).ok_or(Duration::from_millis(500)),
@@ -154,6 +169,10 @@
         self.seed = random.next();
         *self.out.entry(id.clone()).or_default() += 1;
         self.attempts.push(id.clone());
-        Some(Sent { attempt: self.attempts.len() - 1, id, priority: 2 + 2 * ask.rank as u8 })
+        Some(Sent {
+            attempt: self.attempts.len() - 1,
+            id,
+            priority: 2 + 2 * ask.rank as u8,
+        })
     }
 }
--- a/crates/balancing/tests/model/traffic.rs
+++ b/crates/balancing/tests/model/traffic.rs
@@ -49,7 +49,8 @@
         let mut random = Random(seed.wrapping_mul(31).wrapping_add(number as u64));
         let sizes = |n: usize, id: usize| {
             let (mean, spread, max, _) = kind.shared[n];
-            let mut random = Random(seed ^ ((number as u64 + 1) << 40) ^ ((n as u64) << 32) ^ id as u64);
+            let mut random =
+                Random(seed ^ ((number as u64 + 1) << 40) ^ ((n as u64) << 32) ^ id as u64);
             random.next();
             random.spread(mean, spread, max) as u32
         };
@@ -69,14 +70,28 @@
             let last = kind.shared.len() - 1;
             let mut parts: Vec<(u64, u32)> = (0..kind.shared.len())
                 .map(|n| {
-                    let id = if hot && n == last { 0 } else { subject(&mut random, kind.shared[n].3) };
+                    let id = if hot && n == last {
+                        0
+                    } else {
+                        subject(&mut random, kind.shared[n].3)
+                    };
                     (base | ((n as u64 + 1) << 48) | id as u64, sizes(n, id))
                 })
                 .collect();
             own += 1;
-            parts.push((base | own, random.spread(kind.own.0, kind.own.1, kind.own.2) as u32));
-            let events = random.spread(kind.events.0, kind.events.1, kind.events.2).round() as u32;
-            all.push(Request { kind: number, at, parts, events: events.max(1) });
+            parts.push((
+                base | own,
+                random.spread(kind.own.0, kind.own.1, kind.own.2) as u32,
+            ));
+            let events = random
+                .spread(kind.events.0, kind.events.1, kind.events.2)
+                .round() as u32;
+            all.push(Request {
+                kind: number,
+                at,
+                parts,
+                events: events.max(1),
+            });
         }
     }
     all.sort_by_key(|r| r.at);
--- a/crates/balancing/tests/model/world.rs
+++ b/crates/balancing/tests/model/world.rs
@@ -66,20 +66,51 @@
 
 enum Event {
     Arrive(usize),
-    AtHost { attempt: usize },
-    Step { host: usize, life: u32 },
-    Events { attempt: usize, last: bool, load: Option<Load> },
-    Failed { attempt: usize, outcome: Outcome },
-    Patience { attempt: usize },
-    Deadline { request: usize },
-    Stall { request: usize, events: u32 },
+    AtHost {
+        attempt: usize,
+    },
+    Step {
+        host: usize,
+        life: u32,
+    },
+    Events {
+        attempt: usize,
+        last: bool,
+        load: Option<Load>,
+    },
+    Failed {
+        attempt: usize,
+        outcome: Outcome,
+    },
+    Patience {
+        attempt: usize,
+    },
+    Deadline {
+        request: usize,
+    },
+    Stall {
+        request: usize,
+        events: u32,
+    },
     Tick,
     News,
-    Down { host: usize, dark: bool },
-    Up { host: usize },
-    Silent { host: usize, life: u32 },
-    Draining { host: usize },
-    Restart { proxy: usize },
+    Down {
+        host: usize,
+        dark: bool,
+    },
+    Up {
+        host: usize,
+    },
+    Silent {
+        host: usize,
+        life: u32,
+    },
+    Draining {
+        host: usize,
+    },
+    Restart {
+        proxy: usize,
+    },
 }
 
 struct Host {
@@ -167,7 +198,9 @@
             seq: 0,
             queue: BinaryHeap::new(),
             events: Vec::new(),
-            hosts: (0..setup.hosts).map(|n| host(n, 0, setup.figures)).collect(),
+            hosts: (0..setup.hosts)
+                .map(|n| host(n, 0, setup.figures))
+                .collect(),
             proxies: Vec::new(),
             requests: requests(setup.kinds, setup.surge, setup.length, setup.seed),
             clients: Vec::new(),
@@ -180,7 +213,11 @@
         };
         for n in 0..setup.proxies {
             let router = Router::new(way, n, setup.proxies, setup.figures.memory, 0);
-            world.proxies.push(Proxy { router, life: 0, up: true });
+            world.proxies.push(Proxy {
+                router,
+                life: 0,
+                up: true,
+            });
         }
         world.on(Event::News);
         for n in 0..world.requests.len() {
@@ -201,7 +238,10 @@
             });
             let at = world.requests[n].at;
             world.at(at, Event::Arrive(n));
-            world.at(at + from_ms(world.kind(n).deadline_ms), Event::Deadline { request: n });
+            world.at(
+                at + from_ms(world.kind(n).deadline_ms),
+                Event::Deadline { request: n },
+            );
         }
         world.at(0, Event::Tick);
         match setup.trouble {
@@ -241,7 +281,11 @@
             Event::Arrive(request) => self.arrive(request),
             Event::AtHost { attempt } => self.at_host(attempt),
             Event::Step { host, life } => self.step(host, life),
-            Event::Events { attempt, last, load } => self.events(attempt, last, load),
+            Event::Events {
+                attempt,
+                last,
+                load,
+            } => self.events(attempt, last, load),
             Event::Failed { attempt, outcome } => self.failed(attempt, outcome),
             Event::Patience { attempt } => self.out_of_patience(attempt),
             Event::Deadline { request } => self.leave(request),
@@ -252,15 +296,22 @@
             }
             Event::Tick => {
                 let now = self.now;
-                self.proxies.iter_mut().filter(|p| p.up).for_each(|p| p.router.tick(now));
+                self.proxies
+                    .iter_mut()
+                    .filter(|p| p.up)
+                    .for_each(|p| p.router.tick(now));
                 if now < self.setup.length + 15 * SECOND {
                     self.at(now + TICK, Event::Tick);
                 }
             }
             Event::News => {
                 let now = self.now;
-                let roster: Vec<HostInfo> =
-                    self.hosts.iter().filter(|h| !h.left).map(|h| h.info.clone()).collect();
+                let roster: Vec<HostInfo> = self
+                    .hosts
+                    .iter()
+                    .filter(|h| !h.left)
+                    .map(|h| h.info.clone())
+                    .collect();
                 for proxy in self.proxies.iter_mut().filter(|p| p.up) {
                     proxy.router.set_hosts(now, &roster);
                 }
@@ -336,7 +387,11 @@
         };
         let Some(host) = self.hosts.iter().position(|h| h.info.id == sent.id) else {
             // Replaced meanwhile: nobody is there.
-            self.proxies[self.clients[request].proxy].router.ended(now, sent.attempt, Outcome::Unreached);
+            self.proxies[self.clients[request].proxy].router.ended(
+                now,
+                sent.attempt,
+                Outcome::Unreached,
+            );
             return false;
         };
         let proxy = self.clients[request].proxy;
@@ -358,9 +413,19 @@
         client.attempt = Some(number);
         self.repeats += u64::from(client.sends > 1);
         // The host's way to the first event that isn't work of its batch comes on top of the network's.
-        self.at(now + WAY + from_ms(self.setup.figures.first_ms), Event::AtHost { attempt: number });
-        if let Some(p) = self.proxies[proxy].router.patience(now, sent.attempt).filter(|_| kind.idempotent) {
-            self.at(now + p.as_micros() as Time, Event::Patience { attempt: number });
+        self.at(
+            now + WAY + from_ms(self.setup.figures.first_ms),
+            Event::AtHost { attempt: number },
+        );
+        if let Some(p) = self.proxies[proxy]
+            .router
+            .patience(now, sent.attempt)
+            .filter(|_| kind.idempotent)
+        {
+            self.at(
+                now + p.as_micros() as Time,
+                Event::Patience { attempt: number },
+            );
         }
         true
     }
@@ -389,14 +454,28 @@
             return;
         }
         if gone {
-            self.at(self.now + WAY, Event::Failed { attempt: number, outcome: Outcome::Unreached });
+            self.at(
+                self.now + WAY,
+                Event::Failed {
+                    attempt: number,
+                    outcome: Outcome::Unreached,
+                },
+            );
             return;
         }
         let asked = &self.requests[a.request];
         let client = &self.clients[a.request];
-        let left = (asked.events * self.setup.figures.stride).saturating_sub(client.made_tokens).max(1);
+        let left = (asked.events * self.setup.figures.stride)
+            .saturating_sub(client.made_tokens)
+            .max(1);
         if !host.engine.take(number, a.priority, &asked.parts, left) {
-            self.at(self.now + WAY, Event::Failed { attempt: number, outcome: Outcome::Full });
+            self.at(
+                self.now + WAY,
+                Event::Failed {
+                    attempt: number,
+                    outcome: Outcome::Full,
+                },
+            );
             return;
         }
         self.wake(self.attempts[number].host);
@@ -426,9 +505,20 @@
         }
         let made = host.engine.end();
         let (running, waiting, slots) = host.engine.load();
-        let load = host.engine.figures.tells.then_some(Load { running, waiting, slots });
+        let load = host.engine.figures.tells.then_some(Load {
+            running,
+            waiting,
+            slots,
+        });
         for m in made {
-            self.at(self.now + WAY, Event::Events { attempt: m.attempt, last: m.last, load });
+            self.at(
+                self.now + WAY,
+                Event::Events {
+                    attempt: m.attempt,
+                    last: m.last,
+                    load,
+                },
+            );
         }
         self.wake(number);
     }
@@ -491,7 +581,10 @@
         let never_ran = matches!(outcome, Outcome::Unreached | Outcome::Full);
         let again = never_ran || self.kind(request).idempotent;
         let tries = if never_ran { 3 } else { TRIES };
-        if again && self.clients[request].sends < tries && self.send(request, outcome != Outcome::Unreached) {
+        if again
+            && self.clients[request].sends < tries
+            && self.send(request, outcome != Outcome::Unreached)
+        {
             return;
         }
         if self.clients[request].over || self.clients[request].attempt != Some(number) {
@@ -543,7 +636,13 @@
         for a in 0..self.attempts.len() {
             let at = &self.attempts[a];
             if !at.over && at.host == number && at.host_life == life {
-                self.at(now + WAY, Event::Failed { attempt: a, outcome: Outcome::Broken });
+                self.at(
+                    now + WAY,
+                    Event::Failed {
+                        attempt: a,
+                        outcome: Outcome::Broken,
+                    },
+                );
             }
         }
     }
@@ -552,7 +651,8 @@
         let now = self.now;
         if !self.proxies[number].up {
             let memory = self.setup.figures.memory;
-            self.proxies[number].router = Router::new(self.way, number, self.setup.proxies, memory, now);
+            self.proxies[number].router =
+                Router::new(self.way, number, self.setup.proxies, memory, now);
             self.proxies[number].up = true;
             self.on(Event::News);
             return;
@@ -576,15 +676,19 @@
     }
 
     fn report(&self) -> Report {
-        let served = self.clients.iter().zip(&self.requests).map(|(c, r)| Served {
-            kind: r.kind,
-            at: r.at,
-            first: c.first.map(|f| f - r.at),
-            pause: c.pause,
-            complete: c.complete,
-            size: r.parts.iter().map(|p| f64::from(p.1)).sum::<f64>()
-                + 10.0 * f64::from(r.events * self.setup.figures.stride),
-        });
+        let served = self
+            .clients
+            .iter()
+            .zip(&self.requests)
+            .map(|(c, r)| Served {
+                kind: r.kind,
+                at: r.at,
+                first: c.first.map(|f| f - r.at),
+                pause: c.pause,
+                complete: c.complete,
+                size: r.parts.iter().map(|p| f64::from(p.1)).sum::<f64>()
+                    + 10.0 * f64::from(r.events * self.setup.figures.stride),
+            });
         let busy: Vec<f64> = self.hosts.iter().map(|h| h.engine.busy as f64).collect();
         let mean = busy.iter().sum::<f64>() / busy.len() as f64;
         Report {
@@ -606,7 +710,12 @@
             id: format!("h{number}-{life}").into(),
             service: SERVICE.into(),
             addr: SocketAddrV4::new(
-                Ipv4Addr::new(10, life as u8, (number / 200) as u8, (number % 200) as u8 + 1),
+                Ipv4Addr::new(
+                    10,
+                    life as u8,
+                    (number / 200) as u8,
+                    (number % 200) as u8 + 1,
+                ),
                 8000,
             ),
             zone: format!("z{}", number % 3).into(),
--- a/crates/balancing/tests/queueing.rs
+++ b/crates/balancing/tests/queueing.rs
@@ -40,7 +40,13 @@
     stride: 6,
     tells: false,
 };
-const SMALL: Figures = Figures { batch: 16, queue: 32, memory: 705_000, stride: 7, ..QUICK };
+const SMALL: Figures = Figures {
+    batch: 16,
+    queue: 32,
+    memory: 705_000,
+    stride: 7,
+    ..QUICK
+};
 
 const LONG: Kind = Kind {
     name: "long",
@@ -84,13 +90,37 @@
 /// 61 a second in all; with what goes to hosts without a model a site has 77.
 const KINDS: &[Kind] = &[LONG, MIDDLE, SHORT];
 /// 77 a second, all of them to model hosts: more than these bear with ease.
-const PRESSED: &[Kind] =
-    &[Kind { per_s: 27.0, ..LONG }, Kind { per_s: 21.0, ..MIDDLE }, Kind { per_s: 29.0, ..SHORT }];
+const PRESSED: &[Kind] = &[
+    Kind {
+        per_s: 27.0,
+        ..LONG
+    },
+    Kind {
+        per_s: 21.0,
+        ..MIDDLE
+    },
+    Kind {
+        per_s: 29.0,
+        ..SHORT
+    },
+];
 /// 46 a second in all, for hosts that read more slowly.
 const FEWER: &[Kind] = &[
-    Kind { per_s: 12.8, pause_ms: 400.0, ..LONG },
-    Kind { per_s: 9.9, pause_ms: 400.0, ..MIDDLE },
-    Kind { per_s: 23.0, pause_ms: 400.0, ..SHORT },
+    Kind {
+        per_s: 12.8,
+        pause_ms: 400.0,
+        ..LONG
+    },
+    Kind {
+        per_s: 9.9,
+        pause_ms: 400.0,
+        ..MIDDLE
+    },
+    Kind {
+        per_s: 23.0,
+        pause_ms: 400.0,
+        ..SHORT
+    },
 ];
 /// 780 a second in all, over many more subjects.
 const MANY: &[Kind] = &[
@@ -133,18 +163,44 @@
 const LASTS: u64 = 5 * SECOND;
 const BURST: Surge = Surge::Burst(1.5, AT, AT + LASTS);
 const HOT: Surge = Surge::HotKey(0.28, AT, AT + LASTS);
-const CRASH: Trouble = Trouble::Crash { hosts: 2, at: AT, lasts: LASTS };
-const DARK: Trouble = Trouble::Dark { hosts: 2, at: AT, lasts: LASTS };
-const RELEASE: Trouble = Trouble::Release { hosts: 5, at: AT, gap: SECOND };
+const CRASH: Trouble = Trouble::Crash {
+    hosts: 2,
+    at: AT,
+    lasts: LASTS,
+};
+const DARK: Trouble = Trouble::Dark {
+    hosts: 2,
+    at: AT,
+    lasts: LASTS,
+};
+const RELEASE: Trouble = Trouble::Release {
+    hosts: 5,
+    at: AT,
+    gap: SECOND,
+};
 const RESTART: Trouble = Trouble::Restart { proxy: 3, at: AT };
-const DENSE_CALM: Setup = Setup { figures: DENSE, kinds: FEWER, ..CALM };
+const DENSE_CALM: Setup = Setup {
+    figures: DENSE,
+    kinds: FEWER,
+    ..CALM
+};
 const LARGE_AT: u64 = 6 * SECOND;
 const LARGE_BURST: Surge = Surge::Burst(1.5, LARGE_AT, LARGE_AT + LASTS);
 const LARGE_HOT: Surge = Surge::HotKey(0.28, LARGE_AT, LARGE_AT + LASTS);
-const LARGE_DARK: Trouble = Trouble::Dark { hosts: 24, at: LARGE_AT, lasts: LASTS };
+const LARGE_DARK: Trouble = Trouble::Dark {
+    hosts: 24,
+    at: LARGE_AT,
+    lasts: LASTS,
+};
 /// Shorter, as it is large.
-const LARGE: Setup =
-    Setup { hosts: 140, proxies: 74, figures: SMALL, kinds: MANY, length: 12 * SECOND, ..CALM };
+const LARGE: Setup = Setup {
+    hosts: 140,
+    proxies: 74,
+    figures: SMALL,
+    kinds: MANY,
+    length: 12 * SECOND,
+    ..CALM
+};
 
 /// Runs all three ways and prints their figures.
 fn play(name: &str, setup: Setup) -> [Report; 3] {
@@ -185,8 +241,14 @@
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let short = Setup { length: 3 * SECOND, ..CALM };
+    let short = Setup {
+        length: 3 * SECOND,
+        ..CALM
+    };
     let [one, other] = [0, 1].map(|_| World::run(short, Way::Policy).to_string());
     assert_eq!(one, other);
-    assert_ne!(one, World::run(Setup { seed: 8, ..short }, Way::Policy).to_string());
+    assert_ne!(
+        one,
+        World::run(Setup { seed: 8, ..short }, Way::Policy).to_string()
+    );
 }
--- a/crates/configuration/src/boot.rs
+++ b/crates/configuration/src/boot.rs
@@ -121,7 +121,12 @@
 
 impl Default for MachineLimits {
     fn default() -> Self {
-        Self { cpu_fraction: 1.0, memory_mb: 256, fd_limit: 1024, disk_mb: 0 }
+        Self {
+            cpu_fraction: 1.0,
+            memory_mb: 256,
+            fd_limit: 1024,
+            disk_mb: 0,
+        }
     }
 }
 
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -91,7 +91,10 @@
     /// The services with their weights.
     pub fn targets(&self) -> Vec<(&str, f64)> {
         match (&self.weighted_split, &self.service) {
-            (Some(split), _) => split.iter().map(|t| (t.service.as_str(), t.weight)).collect(),
+            (Some(split), _) => split
+                .iter()
+                .map(|t| (t.service.as_str(), t.weight))
+                .collect(),
             (None, Some(service)) => vec![(service.as_str(), 1.0)],
             (None, None) => Vec::new(),
         }
@@ -202,7 +205,10 @@
     /// Where the text doesn't say such an item.
     pub fn read(raw: &str) -> Result<Self, Invalid> {
         match serde_json::from_str(raw) {
-            Ok(value) => Ok(Self { raw: raw.into(), value: Arc::new(value) }),
+            Ok(value) => Ok(Self {
+                raw: raw.into(),
+                value: Arc::new(value),
+            }),
             Err(e) => invalid(Code::BadValue, e.to_string()),
         }
     }
@@ -273,13 +279,18 @@
     pub limits: Option<String>,
 }
 
-fn read_all<T: serde::de::DeserializeOwned>(raws: &[Box<RawValue>]) -> Result<Vec<Item<T>>, Invalid> {
+fn read_all<T: serde::de::DeserializeOwned>(
+    raws: &[Box<RawValue>],
+) -> Result<Vec<Item<T>>, Invalid> {
     raws.iter().map(|r| Item::read(r.get())).collect()
 }
 
 fn upsert<T: Named>(list: &mut Vec<Item<T>>, new: Vec<Item<T>>) {
-    let at: HashMap<String, usize> =
-        list.iter().enumerate().map(|(n, i)| (i.value.name().to_owned(), n)).collect();
+    let at: HashMap<String, usize> = list
+        .iter()
+        .enumerate()
+        .map(|(n, i)| (i.value.name().to_owned(), n))
+        .collect();
     for item in new {
         match at.get(item.value.name()) {
             Some(n) => list[*n] = item,
@@ -296,9 +307,14 @@
 fn changed<T: Named>(old: &[Item<T>], new: &[Item<T>]) -> (Vec<String>, Vec<String>) {
     let before: HashMap<&str, &Item<T>> = old.iter().map(|i| (i.value.name(), i)).collect();
     let after: HashSet<&str> = new.iter().map(|i| i.value.name()).collect();
-    let set = new.iter().filter(|i| before.get(i.value.name()).is_none_or(|b| b.raw != i.raw));
+    let set = new
+        .iter()
+        .filter(|i| before.get(i.value.name()).is_none_or(|b| b.raw != i.raw));
     let gone = old.iter().filter(|i| !after.contains(i.value.name()));
-    (set.map(|i| i.raw.to_string()).collect(), gone.map(|i| i.value.name().to_owned()).collect())
+    (
+        set.map(|i| i.raw.to_string()).collect(),
+        gone.map(|i| i.value.name().to_owned()).collect(),
+    )
 }
 
 /// Takes items that are as they were from `before`, so that both documents have them once in memory.
@@ -306,19 +322,28 @@
     let known: HashMap<&str, &Item<T>> = before.iter().map(|i| (i.value.name(), i)).collect();
     for item in items {
         if let Some(same) = known.get(item.value.name()).filter(|k| k.raw == item.raw) {
-            *item = Item { raw: same.raw.clone(), value: same.value.clone() };
+            *item = Item {
+                raw: same.raw.clone(),
+                value: same.value.clone(),
+            };
         }
     }
 }
 
 fn new_bytes<T>(items: &[Item<T>], before: &[Item<T>]) -> usize {
     let known: HashSet<*const u8> = before.iter().map(|i| i.raw.as_ptr()).collect();
-    items.iter().filter(|i| !known.contains(&i.raw.as_ptr())).map(|i| i.raw.len()).sum()
+    items
+        .iter()
+        .filter(|i| !known.contains(&i.raw.as_ptr()))
+        .map(|i| i.raw.len())
+        .sum()
 }
 
 fn same_name<T: Named>(list: &[Item<T>]) -> Option<&str> {
     let mut seen = HashSet::new();
-    list.iter().map(|i| i.value.name()).find(|n| !seen.insert(*n))
+    list.iter()
+        .map(|i| i.value.name())
+        .find(|n| !seen.insert(*n))
 }
 
 impl Document {
@@ -354,7 +379,10 @@
         next.version = amendment.version;
         without(&mut next.routes, &amendment.remove.routes);
         without(&mut next.services, &amendment.remove.services);
-        let (routes, services) = (read_all(&amendment.upsert.routes)?, read_all(&amendment.upsert.services)?);
+        let (routes, services) = (
+            read_all(&amendment.upsert.routes)?,
+            read_all(&amendment.upsert.services)?,
+        );
         if let Some(name) = same_name::<Route>(&routes).or(same_name::<Service>(&services)) {
             return invalid(Code::SameName, name);
         }
@@ -371,13 +399,24 @@
         if let Some(name) = same_name(&self.routes).or(same_name(&self.services)) {
             return invalid(Code::SameName, name);
         }
-        let services: HashSet<&str> = self.services.iter().map(|s| s.value.name.as_str()).collect();
+        let services: HashSet<&str> = self
+            .services
+            .iter()
+            .map(|s| s.value.name.as_str())
+            .collect();
         let mut places = HashSet::new();
         for route in self.routes.iter().map(|r| &*r.value) {
-            if let Some((service, _)) = route.targets().into_iter().find(|t| !services.contains(t.0)) {
+            if let Some((service, _)) = route
+                .targets()
+                .into_iter()
+                .find(|t| !services.contains(t.0))
+            {
                 return invalid(Code::UnknownService, format!("{}: {service}", route.name));
             }
-            if !places.insert((route.hostname.to_ascii_lowercase(), route.path_prefix.as_str())) {
+            if !places.insert((
+                route.hostname.to_ascii_lowercase(),
+                route.path_prefix.as_str(),
+            )) {
                 return invalid(Code::SamePlace, &route.name);
             }
             let weights = route.targets();
@@ -395,7 +434,10 @@
             }
         }
         if self.version <= current {
-            return invalid(Code::OldVersion, format!("{} after {current}", self.version));
+            return invalid(
+                Code::OldVersion,
+                format!("{} after {current}", self.version),
+            );
         }
         Ok(())
     }
@@ -415,7 +457,10 @@
     /// The configuration as JSON, items as they were sent.
     pub fn to_json(&self) -> String {
         let list = |items: Vec<&str>| items.join(",");
-        let limits = self.limits.as_ref().map_or(String::new(), |l| format!(",\"limits\":{}", l.raw));
+        let limits = self
+            .limits
+            .as_ref()
+            .map_or(String::new(), |l| format!(",\"limits\":{}", l.raw));
         format!(
             "{{\"version\":{},\"routes\":[{}],\"services\":[{}]{limits}}}",
             self.version,
@@ -428,8 +473,20 @@
     pub fn delta(&self, newer: &Document) -> Delta {
         let (routes, gone_routes) = changed(&self.routes, &newer.routes);
         let (services, gone_services) = changed(&self.services, &newer.services);
-        let limits = newer.limits.as_ref().filter(|_| self.limits != newer.limits).map(|l| l.raw.to_string());
-        Delta { from: self.version, to: newer.version, routes, services, gone_routes, gone_services, limits }
+        let limits = newer
+            .limits
+            .as_ref()
+            .filter(|_| self.limits != newer.limits)
+            .map(|l| l.raw.to_string());
+        Delta {
+            from: self.version,
+            to: newer.version,
+            routes,
+            services,
+            gone_routes,
+            gone_services,
+            limits,
+        }
     }
 
     /// This configuration with a delta's changes. The delta comes from the system itself and is not checked
@@ -439,15 +496,29 @@
     /// Where it starts from another version or an item can't be read.
     pub fn patched(&self, delta: &Delta) -> Result<Document, Invalid> {
         if delta.from != self.version {
-            return invalid(Code::OtherBase, format!("{} on {}", delta.from, self.version));
+            return invalid(
+                Code::OtherBase,
+                format!("{} on {}", delta.from, self.version),
+            );
         }
         let mut next = self.clone();
         next.version = delta.to;
         without(&mut next.routes, &delta.gone_routes);
         without(&mut next.services, &delta.gone_services);
-        let items = |raws: &[String]| raws.iter().map(|r| Item::read(r)).collect::<Result<Vec<_>, _>>();
+        let items = |raws: &[String]| {
+            raws.iter()
+                .map(|r| Item::read(r))
+                .collect::<Result<Vec<_>, _>>()
+        };
         upsert(&mut next.routes, items(&delta.routes)?);
-        upsert(&mut next.services, delta.services.iter().map(|r| Item::read(r)).collect::<Result<_, _>>()?);
+        upsert(
+            &mut next.services,
+            delta
+                .services
+                .iter()
+                .map(|r| Item::read(r))
+                .collect::<Result<_, _>>()?,
+        );
         if let Some(limits) = &delta.limits {
             next.limits = Some(Item::read(limits)?);
         }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -17,4 +17,6 @@
 
 pub use boot::{Bind, Boot, Bounds, FaultBudget, MachineLimits};
 pub use codes::Code;
-pub use document::{Delta, Document, Engine, Invalid, Item, Kind, Limits, Named, Route, Service, Target};
+pub use document::{
+    Delta, Document, Engine, Invalid, Item, Kind, Limits, Named, Route, Service, Target,
+};
--- a/crates/configuration/tests/codes.rs
+++ b/crates/configuration/tests/codes.rs
@@ -6,14 +6,32 @@
 
 /// Code, HTTP status and meaning of each row.
 fn rows() -> Vec<(u16, u16, String)> {
-    let cells = |line: &str| line.split('|').map(|c| c.trim().to_owned()).collect::<Vec<_>>();
-    let rows = TABLE.lines().filter(|l| l.starts_with('|')).map(cells).skip(2);
-    rows.map(|row| (row[1].parse().unwrap(), row[2].parse().unwrap(), row[3].clone())).collect()
+    let cells = |line: &str| {
+        line.split('|')
+            .map(|c| c.trim().to_owned())
+            .collect::<Vec<_>>()
+    };
+    let rows = TABLE
+        .lines()
+        .filter(|l| l.starts_with('|'))
+        .map(cells)
+        .skip(2);
+    rows.map(|row| {
+        (
+            row[1].parse().unwrap(),
+            row[2].parse().unwrap(),
+            row[3].clone(),
+        )
+    })
+    .collect()
 }
 
 #[test]
 fn the_table_lists_every_code_in_order() {
-    let code: Vec<_> = Code::ALL.iter().map(|c| (c.number(), c.status(), c.text().to_owned())).collect();
+    let code: Vec<_> = Code::ALL
+        .iter()
+        .map(|c| (c.number(), c.status(), c.text().to_owned()))
+        .collect();
     assert_eq!(rows(), code);
 }
 
--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -20,12 +20,22 @@
         )
     };
     let routes: Vec<String> = (0..routes).map(route).collect();
-    format!(r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#, routes.join(","))
-        .into_bytes()
+    format!(
+        r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#,
+        routes.join(",")
+    )
+    .into_bytes()
 }
 
 fn seat(id: u64) -> MemberInfo {
-    MemberInfo { id, addr: protocol::Addr { ip: id as u32, port: 1 }, ..MemberInfo::default() }
+    MemberInfo {
+        id,
+        addr: protocol::Addr {
+            ip: id as u32,
+            port: 1,
+        },
+        ..MemberInfo::default()
+    }
 }
 
 fn config() -> Config {
@@ -42,7 +52,8 @@
 fn peak_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-    line.and_then(|l| l.trim().trim_end_matches(" kB").parse().ok()).unwrap_or_default()
+    line.and_then(|l| l.trim().trim_end_matches(" kB").parse().ok())
+        .unwrap_or_default()
 }
 
 fn take(member: &mut Member, now: Duration, input: Input, disk: &mut Vec<Vec<u8>>) -> usize {
@@ -52,13 +63,21 @@
         let mut out = Vec::new();
         member.step(now, input, &mut out);
         for output in out {
-            if let Output::Write { ticket, records, rewrite } = output {
+            if let Output::Write {
+                ticket,
+                records,
+                rewrite,
+            } = output
+            {
                 if rewrite {
                     disk.clear();
                     rewrites += 1;
                 }
                 disk.extend(records);
-                inputs.push(Input::Wrote { ticket, result: Ok(()) });
+                inputs.push(Input::Wrote {
+                    ticket,
+                    result: Ok(()),
+                });
             }
         }
     }
@@ -68,26 +87,63 @@
 fn play(routes: usize, changes: u64, under_way: u64) -> Vec<Vec<u8>> {
     let voters = vec![seat(1), seat(2)];
     let before = voters.clone();
-    let view = View { epoch: EPOCH, primary: 1, replicas: vec![1, 2], voters, before };
+    let view = View {
+        epoch: EPOCH,
+        primary: 1,
+        replicas: vec![1, 2],
+        voters,
+        before,
+    };
     let mut member = Member::new(config(), &[], Duration::ZERO, 1);
     let (mut disk, mut longest, mut rewrites) = (Vec::new(), 0, 0);
     let snapshot = Some(Ledger::default().snapshot());
     let from = seat(1);
-    let install = Input::Message { from: from.clone(), message: Message::InstallView { view, snapshot } };
+    let install = Input::Message {
+        from: from.clone(),
+        message: Message::InstallView { view, snapshot },
+    };
     take(&mut member, Duration::ZERO, install, &mut disk);
     let started = Instant::now();
     let mut stepping = Duration::ZERO;
     for seq in 1..=changes {
         let now = Duration::from_millis(50 * seq);
-        let change = Change::Configure { base: seq - 1, amend: false, body: body(seq, routes) };
-        let append = Message::AppendChange { epoch: EPOCH, seq, change };
+        let change = Change::Configure {
+            base: seq - 1,
+            amend: false,
+            body: body(seq, routes),
+        };
+        let append = Message::AppendChange {
+            epoch: EPOCH,
+            seq,
+            change,
+        };
         let before = Instant::now();
-        rewrites += take(&mut member, now, Input::Message { from: from.clone(), message: append }, &mut disk);
+        rewrites += take(
+            &mut member,
+            now,
+            Input::Message {
+                from: from.clone(),
+                message: append,
+            },
+            &mut disk,
+        );
         if seq.is_multiple_of(5) {
             let committed = seq.saturating_sub(under_way);
-            let renew = Message::RenewLease { epoch: EPOCH, stamp: 1, committed, heard: 0 };
-            rewrites +=
-                take(&mut member, now, Input::Message { from: from.clone(), message: renew }, &mut disk);
+            let renew = Message::RenewLease {
+                epoch: EPOCH,
+                stamp: 1,
+                committed,
+                heard: 0,
+            };
+            rewrites += take(
+                &mut member,
+                now,
+                Input::Message {
+                    from: from.clone(),
+                    message: renew,
+                },
+                &mut disk,
+            );
         }
         stepping += before.elapsed();
         longest = longest.max(disk.iter().map(Vec::len).sum::<usize>());
--- a/crates/control-plane/src/accepted.rs
+++ b/crates/control-plane/src/accepted.rs
@@ -38,14 +38,25 @@
 
     /// The orders, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &AcceptedCall> {
-        self.full.iter().flat_map(|chunk| chunk.iter()).chain(&self.tail)
+        self.full
+            .iter()
+            .flat_map(|chunk| chunk.iter())
+            .chain(&self.tail)
     }
 
     /// The order that was taken on top of a version, where it is remembered.
     pub fn on(&self, base: u64) -> Option<&AcceptedCall> {
-        let later = self.full.partition_point(|chunk| chunk[CHUNK_ORDERS - 1].base < base);
-        let chunk = self.full.get(later).map_or(&self.tail[..], |chunk| &chunk[..]);
-        chunk.binary_search_by_key(&base, |order| order.base).ok().map(|at| &chunk[at])
+        let later = self
+            .full
+            .partition_point(|chunk| chunk[CHUNK_ORDERS - 1].base < base);
+        let chunk = self
+            .full
+            .get(later)
+            .map_or(&self.tail[..], |chunk| &chunk[..]);
+        chunk
+            .binary_search_by_key(&base, |order| order.base)
+            .ok()
+            .map(|at| &chunk[at])
     }
 
     /// The version that the oldest remembered order builds on.
@@ -75,6 +86,12 @@
         Some(content) => content.hash(&mut hash),
         None => hash_part(b'x', body, &mut hash),
     }
-    let version = content.and_then(|content| content.whole_number("version")).unwrap_or(0);
-    AcceptedCall { base, version, digest: hash.finalize().into() }
+    let version = content
+        .and_then(|content| content.whole_number("version"))
+        .unwrap_or(0);
+    AcceptedCall {
+        base,
+        version,
+        digest: hash.finalize().into(),
+    }
 }
--- a/crates/control-plane/src/content.rs
+++ b/crates/control-plane/src/content.rs
@@ -106,7 +106,11 @@
 
     fn visit_f64<E: Error>(self, value: f64) -> Result<Content, E> {
         let whole = value.fract() == 0.0 && value.abs() < MAX_EXACT_INTEGER;
-        Ok(Content::Number(if whole { (value as i64).to_string() } else { format!("{value:e}") }))
+        Ok(Content::Number(if whole {
+            (value as i64).to_string()
+        } else {
+            format!("{value:e}")
+        }))
     }
 
     fn visit_str<E: Error>(self, text: &str) -> Result<Content, E> {
--- a/crates/control-plane/src/feed.rs
+++ b/crates/control-plane/src/feed.rs
@@ -16,7 +16,11 @@
 impl Feed {
     /// For a life of member `id`; `beat` is the time between a host's heartbeats.
     pub fn new(id: u64, life: u64, beat: Duration, shared: Arc<SharedMirror>) -> Arc<Self> {
-        let feed = Self { id, roster: Mutex::new(Roster::new(id, life, beat)), shared };
+        let feed = Self {
+            id,
+            roster: Mutex::new(Roster::new(id, life, beat)),
+            shared,
+        };
         feed.change(|_, _, _| ());
         Arc::new(feed)
     }
@@ -26,7 +30,10 @@
         &self.shared
     }
 
-    fn change<R>(&self, change: impl FnOnce(&mut Roster, &replication::Mirror, Duration) -> R) -> R {
+    fn change<R>(
+        &self,
+        change: impl FnOnce(&mut Roster, &replication::Mirror, Duration) -> R,
+    ) -> R {
         let mut roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
         self.shared.update(|mirror, now| {
             if let Some(later) = mirror.later_life(self.id, roster.mark().life) {
@@ -35,7 +42,14 @@
             let result = change(&mut roster, mirror, now);
             if let Some(source) = roster.take_news() {
                 // Its age says nothing of what the primary acknowledged.
-                mirror.apply(now, &News { age_ms: u32::MAX, sources: vec![source], ..News::default() });
+                mirror.apply(
+                    now,
+                    &News {
+                        age_ms: u32::MAX,
+                        sources: vec![source],
+                        ..News::default()
+                    },
+                );
             }
             result
         })
@@ -44,7 +58,8 @@
     /// Runs a host's call. True where something changed.
     pub fn call(&self, call: &HostCall) -> bool {
         self.change(|roster, mirror, now| {
-            let elsewhere: Option<HostRecord> = mirror.host_elsewhere(self.id, call.host()).cloned();
+            let elsewhere: Option<HostRecord> =
+                mirror.host_elsewhere(self.id, call.host()).cloned();
             roster.call(now, call, elsewhere.as_ref())
         })
     }
@@ -57,7 +72,9 @@
     /// Notes what is silent or long gone; to be called a few times in a beat period.
     pub fn tick(&self) {
         self.change(|roster, mirror, now| {
-            roster.tick(now, |host| mirror.host_elsewhere(self.id, host).map(|r| r.call_seq))
+            roster.tick(now, |host| {
+                mirror.host_elsewhere(self.id, host).map(|r| r.call_seq)
+            })
         });
         self.shared.update(|mirror, now| mirror.tick(now));
     }
@@ -66,13 +83,23 @@
     /// pull here.
     pub fn in_force(&self) -> (u64, usize) {
         let roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
-        (roster.coordinators().map(|c| c.version).min().unwrap_or_default(), roster.coordinators().count())
+        (
+            roster
+                .coordinators()
+                .map(|c| c.version)
+                .min()
+                .unwrap_or_default(),
+            roster.coordinators().count(),
+        )
     }
 
     /// The coordinators that pull here, or did until lately, with the time since each one's latest pull.
     pub fn coordinators(&self) -> Vec<(CoordinatorRecord, Duration)> {
         let roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.shared.now();
-        roster.all_coordinators().map(|(c, at)| (c.clone(), now.saturating_sub(at))).collect()
+        roster
+            .all_coordinators()
+            .map(|(c, at)| (c.clone(), now.saturating_sub(at)))
+            .collect()
     }
 }
--- a/crates/control-plane/src/history.rs
+++ b/crates/control-plane/src/history.rs
@@ -68,21 +68,32 @@
         }
         let entry = Entry {
             version: document.version,
-            seen_ms: at.duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64),
+            seen_ms: at
+                .duration_since(SystemTime::UNIX_EPOCH)
+                .map_or(0, |d| d.as_millis() as u64),
             routes: document.routes.len(),
             services: document.services.len(),
             kept: true,
         };
-        let items =
-            document.routes.iter().map(|r| r.raw.len()).chain(document.services.iter().map(|s| s.raw.len()));
+        let items = document
+            .routes
+            .iter()
+            .map(|r| r.raw.len())
+            .chain(document.services.iter().map(|s| s.raw.len()));
         let bytes = items.sum();
-        self.seen.push_back(Seen { entry, at, document: Some((document.clone(), bytes)) });
+        self.seen.push_back(Seen {
+            entry,
+            at,
+            document: Some((document.clone(), bytes)),
+        });
         if self.seen.len() > VERSIONS {
             self.seen.pop_front();
         }
         let (mut count, mut total) = (0, 0);
         for seen in self.seen.iter_mut().rev() {
-            let Some((_, bytes)) = &seen.document else { break };
+            let Some((_, bytes)) = &seen.document else {
+                break;
+            };
             (count, total) = (count + 1, total + bytes);
             if count > DOCUMENTS || (count > 1 && total > BYTES) {
                 (seen.document, seen.entry.kept) = (None, false);
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -52,14 +52,18 @@
     /// What a command comes to here.
     pub fn plan(&self, command: &Command) -> Plan {
         match command {
-            Command::Read { .. } if self.document.version == 0 => Plan::Answer(Code::NoConfiguration, vec![]),
+            Command::Read { .. } if self.document.version == 0 => {
+                Plan::Answer(Code::NoConfiguration, vec![])
+            }
             Command::Read { .. } => Plan::Answer(Code::Ok, self.document.to_json().into_bytes()),
             Command::Drain { host } if self.drains.contains(host) => Plan::Answer(Code::Ok, vec![]),
             Command::Drain { host } => self.make(Change::Drain { host: host.clone() }),
             Command::Configure { base, amend, body } => match self.standing(*base, *amend, body) {
-                Standing::Next => {
-                    self.make(Change::Configure { base: *base, amend: *amend, body: body.clone() })
-                }
+                Standing::Next => self.make(Change::Configure {
+                    base: *base,
+                    amend: *amend,
+                    body: body.clone(),
+                }),
                 // A copy of it may come later, and has to be taken then: a refusal would be false.
                 Standing::Early => Plan::Answer(Code::BaseNotInForce, self.told_base(*base)),
                 Standing::Taken => Plan::Answer(Code::Ok, vec![]),
@@ -84,7 +88,9 @@
         match self.taken.on(base) {
             Some(taken) if *taken == fingerprint(base, amend, body) => Standing::Taken,
             Some(_) => Standing::Superseded,
-            None if self.taken.oldest_base().is_none_or(|oldest| base < oldest) => Standing::Forgotten,
+            None if self.taken.oldest_base().is_none_or(|oldest| base < oldest) => {
+                Standing::Forgotten
+            }
             None => Standing::Superseded,
         }
     }
@@ -110,7 +116,10 @@
         match change {
             Change::Configure { base, amend, body } => {
                 if *base != self.document.version {
-                    return Err((Code::OtherBase, format!("{base} on {}", self.document.version)));
+                    return Err((
+                        Code::OtherBase,
+                        format!("{base} on {}", self.document.version),
+                    ));
                 }
                 let document = match amend {
                     true => self.document.amended(body),
@@ -132,7 +141,11 @@
         let none = self.document.version == 0;
         Snapshot {
             seq: self.seq,
-            document: if none { String::new() } else { self.document.to_json() },
+            document: if none {
+                String::new()
+            } else {
+                self.document.to_json()
+            },
             taken: self.taken.iter().cloned().collect(),
             drains: self.drains.iter().cloned().collect(),
         }
--- a/crates/control-plane/src/member/acknowledged.rs
+++ b/crates/control-plane/src/member/acknowledged.rs
@@ -42,7 +42,11 @@
 impl Acknowledged {
     /// What the records of an earlier life say.
     pub(super) fn recovered(known: Option<Ledger>) -> Self {
-        Self { seq: known.as_ref().map_or(0, |l| l.seq), known, ..Self::default() }
+        Self {
+            seq: known.as_ref().map_or(0, |l| l.seq),
+            known,
+            ..Self::default()
+        }
     }
 
     /// All changes up to this one are known to be acknowledged.
@@ -60,17 +64,26 @@
         self.later.clear();
         self.later_bytes = 0;
         self.of_this_view = false;
-        ledger.into_iter().for_each(|l| self.keep(Later { ledger: l.clone(), record: None }));
+        ledger.into_iter().for_each(|l| {
+            self.keep(Later {
+                ledger: l.clone(),
+                record: None,
+            })
+        });
     }
 
     /// A change is on this disk, by this record.
     pub(super) fn kept(&mut self, ledger: &Ledger, record: Vec<u8>) {
-        self.keep(Later { ledger: ledger.clone(), record: Some(record) });
+        self.keep(Later {
+            ledger: ledger.clone(),
+            record: Some(record),
+        });
     }
 
     fn keep(&mut self, later: Later) {
         let bytes = later.bytes();
-        let fits = self.later_bytes + bytes <= MAX_LATER_BYTES && self.later.len() < MAX_LATER_LEDGERS;
+        let fits =
+            self.later_bytes + bytes <= MAX_LATER_BYTES && self.later.len() < MAX_LATER_LEDGERS;
         if fits || self.later.is_empty() {
             self.later_bytes += bytes;
             self.later.push_back(later);
