--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -96,19 +96,27 @@
 /// The voter of a view that asked for an epoch: an epoch's low bits are those of its candidate's identity.
 pub fn candidate_of(epoch: u64, view: &View) -> Option<&MemberInfo> {
     let own = (1 << OWN_BITS) - 1;
-    view.voters.iter().chain(&view.before).find(|s| s.id & own == epoch & own)
+    view.voters
+        .iter()
+        .chain(&view.before)
+        .find(|s| s.id & own == epoch & own)
 }
 
 /// All seats of a view that have a say.
 fn all_voters(view: &View) -> BTreeSet<u64> {
-    view.voters.iter().chain(&view.before).map(|s| s.id).collect()
+    view.voters
+        .iter()
+        .chain(&view.before)
+        .map(|s| s.id)
+        .collect()
 }
 
 impl Member {
     /// A voter that sees no lease stands once its turn has come.
     pub(super) fn run_election_timer(&mut self, out: &mut Vec<Output>) {
-        let held_back =
-            self.grant.is_some_and(|g| g.until > self.now) || self.departure.is_some() || !self.fit();
+        let held_back = self.grant.is_some_and(|g| g.until > self.now)
+            || self.departure.is_some()
+            || !self.fit();
         let idle = matches!(self.role, Role::Idle)
             && self.is_voter()
             && !self.given_up()
@@ -117,11 +125,22 @@
             return;
         }
         self.election_at = self.now + self.config.lease / 2 + self.election_delay();
-        self.role = Role::Candidate(Box::new(CandidateState::new(self.now, ViewChange::default(), None)));
+        self.role = Role::Candidate(Box::new(CandidateState::new(
+            self.now,
+            ViewChange::default(),
+            None,
+        )));
         let others = self.view.as_ref().map(all_voters).unwrap_or_default();
         let view = self.view.as_ref().map_or(0, |v| v.epoch);
         for id in others.into_iter().filter(|id| *id != self.me()) {
-            self.send(id, Message::PreVote { seen: self.seen, view }, out);
+            self.send(
+                id,
+                Message::PreVote {
+                    seen: self.seen,
+                    view,
+                },
+                out,
+            );
         }
         self.pre_votes_changed(out);
     }
@@ -135,7 +154,9 @@
         out: &mut Vec<Output>,
     ) {
         self.see(seen);
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if candidacy.phase != ElectionPhase::PreVote {
             return;
         }
@@ -144,12 +165,16 @@
             self.pre_votes_changed(out);
         } else {
             let wait = Duration::from_millis(u64::from(wait_ms));
-            self.election_at = self.election_at.max(self.now + wait + self.config.lease / 20);
+            self.election_at = self
+                .election_at
+                .max(self.now + wait + self.config.lease / 20);
         }
     }
 
     fn pre_votes_changed(&mut self, out: &mut Vec<Output>) {
-        let (me, Role::Candidate(candidacy)) = (self.me(), &self.role) else { return };
+        let (me, Role::Candidate(candidacy)) = (self.me(), &self.role) else {
+            return;
+        };
         let enough = |v: &View| v.majority(|id| id == me || candidacy.willing.contains(&id));
         if self.view.as_ref().is_some_and(enough) {
             self.prepare(ViewChange::default(), None, out);
@@ -157,7 +182,12 @@
     }
 
     /// Asks for promises under a new epoch.
-    pub(super) fn prepare(&mut self, change: ViewChange, agreed: Option<u64>, out: &mut Vec<Output>) {
+    pub(super) fn prepare(
+        &mut self,
+        change: ViewChange,
+        agreed: Option<u64>,
+        out: &mut Vec<Output>,
+    ) {
         let round = (self.seen.max(self.promised) >> OWN_BITS) + 1;
         let epoch = (round << OWN_BITS) | (self.me() & ((1 << OWN_BITS) - 1));
         let mut candidacy = CandidateState::new(self.now, change, agreed);
@@ -175,12 +205,23 @@
 
     fn ask_promises(&mut self, ids: BTreeSet<u64>, out: &mut Vec<Output>) {
         let me = self.config.me.clone();
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         let epoch = candidacy.epoch;
-        let new: Vec<u64> =
-            ids.into_iter().filter(|id| *id != me.id && candidacy.asked.insert(*id)).collect();
+        let new: Vec<u64> = ids
+            .into_iter()
+            .filter(|id| *id != me.id && candidacy.asked.insert(*id))
+            .collect();
         for id in new {
-            self.send(id, Message::Prepare { epoch, candidate: me.clone() }, out);
+            self.send(
+                id,
+                Message::Prepare {
+                    epoch,
+                    candidate: me.clone(),
+                },
+                out,
+            );
         }
     }
 
@@ -193,7 +234,9 @@
         wait_ms: u32,
         out: &mut Vec<Output>,
     ) {
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if candidacy.epoch != epoch {
             return;
         }
@@ -222,13 +265,23 @@
 
     /// Goes on once a majority of the highest view's voters, a replica of it among them, has promised.
     fn promises_changed(&mut self, out: &mut Vec<Output>) {
-        let Role::Candidate(candidacy) = &self.role else { return };
+        let Role::Candidate(candidacy) = &self.role else {
+            return;
+        };
         // Without voters it is no view: its speaker has not accepted any yet.
-        let views = candidacy.promises.values().map(|p| &p.0).filter(|v| !v.voters.is_empty());
-        let Some(highest) = views.max_by_key(|v| v.epoch).cloned() else { return };
+        let views = candidacy
+            .promises
+            .values()
+            .map(|p| &p.0)
+            .filter(|v| !v.voters.is_empty());
+        let Some(highest) = views.max_by_key(|v| v.epoch).cloned() else {
+            return;
+        };
         // The highest view may know of others than this member's own.
         self.ask_promises(all_voters(&highest), out);
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if !highest.majority(|id| candidacy.promises.contains_key(&id)) {
             return;
         }
@@ -238,11 +291,19 @@
         let holds = |p: &(&u64, &(View, Option<LedgerPosition>))| {
             highest.replicas.contains(p.0) && p.1 .1.is_some_and(|t| t.epoch == highest.epoch)
         };
-        let mut holders: Vec<(u64, u64)> =
-            candidacy.promises.iter().filter(holds).map(|(id, p)| (*id, p.1.map_or(0, |t| t.seq))).collect();
+        let mut holders: Vec<(u64, u64)> = candidacy
+            .promises
+            .iter()
+            .filter(holds)
+            .map(|(id, p)| (*id, p.1.map_or(0, |t| t.seq)))
+            .collect();
         let me = self.config.me.id;
         let own = self.view.as_ref().is_some_and(|v| v.epoch == highest.epoch);
-        if let Some(held) = self.held.as_ref().filter(|_| own && holders.iter().any(|h| h.0 == me)) {
+        if let Some(held) = self
+            .held
+            .as_ref()
+            .filter(|_| own && holders.iter().any(|h| h.0 == me))
+        {
             let ledger = held.disk.clone();
             return self.compose(highest, ledger, out);
         }
@@ -262,13 +323,20 @@
         snapshot: &Snapshot,
         out: &mut Vec<Output>,
     ) {
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if candidacy.epoch != epoch || candidacy.phase != ElectionPhase::Fetch {
             return;
         }
         // Where no view can be made yet, more promises may come.
         candidacy.phase = ElectionPhase::Prepare;
-        let highest = candidacy.promises.values().map(|p| &p.0).max_by_key(|v| v.epoch).cloned();
+        let highest = candidacy
+            .promises
+            .values()
+            .map(|p| &p.0)
+            .max_by_key(|v| v.epoch)
+            .cloned();
         if let Some((highest, ledger)) = highest.zip(Ledger::of(snapshot).ok()) {
             self.fetch_doublings = 0;
             self.compose(highest, ledger, out);
@@ -277,15 +345,22 @@
 
     /// Makes the new view and sends it to its replicas; where they are too few, more promises may come.
     fn compose(&mut self, base: View, ledger: Ledger, out: &mut Vec<Output>) {
-        let Role::Candidate(candidacy) = &self.role else { return };
+        let Role::Candidate(candidacy) = &self.role else {
+            return;
+        };
         let change = candidacy.change.clone();
         let agreed = candidacy.agreed == Some(base.epoch);
         let mut voters: Vec<MemberInfo> = base.voters.iter().map(|s| self.fresh(s)).collect();
         let before = match agreed {
             true => {
                 voters.retain(|s| !change.remove.contains(&s.id));
-                voters
-                    .extend(change.add.iter().filter(|a| !base.voters.iter().any(|v| v.id == a.id)).cloned());
+                voters.extend(
+                    change
+                        .add
+                        .iter()
+                        .filter(|a| !base.voters.iter().any(|v| v.id == a.id))
+                        .cloned(),
+                );
                 base.voters.iter().map(|s| self.fresh(s)).collect()
             }
             false => base.before.iter().map(|s| self.fresh(s)).collect(),
@@ -293,7 +368,9 @@
         let me = self.me();
         let there = |id: u64| {
             let joins = agreed && change.add.iter().any(|s| s.id == id);
-            id == me || (!change.exclude.contains(&id) && (candidacy.promises.contains_key(&id) || joins))
+            id == me
+                || (!change.exclude.contains(&id)
+                    && (candidacy.promises.contains_key(&id) || joins))
         };
         let well = |id: u64| id == me || (self.peer_fit(id) && !self.peer_leaving(id));
         let mut seats: Vec<&MemberInfo> = voters.iter().filter(|s| there(s.id)).collect();
@@ -301,7 +378,10 @@
         let staying: Vec<&MemberInfo> = seats.iter().copied().filter(|s| well(s.id)).collect();
         // Where there are too few that stay, a replica that leaves is better than a view that can't be made: what it
         // alone holds is on another disk then.
-        let leaving = seats.iter().copied().filter(|s| well(s.id) || self.peer_leaving(s.id));
+        let leaving = seats
+            .iter()
+            .copied()
+            .filter(|s| well(s.id) || self.peer_leaving(s.id));
         let replicas = choose_replicas(&self.config.budget, &staying)
             .or_else(|| choose_replicas(&self.config.budget, &leaving.collect::<Vec<_>>()))
             // And then whoever has promised: its disk took the promise, whatever it last told a primary of it.
@@ -309,17 +389,28 @@
             .or_else(|| {
                 // Too few voters for the budget: those there are hold the ledger, and take no change until more come.
                 let all: Vec<&MemberInfo> = voters.iter().collect();
-                let short =
-                    candidacy.accepts_few_replicas && majority_shortfall(&self.config.budget, &all) > 0;
+                let short = candidacy.accepts_few_replicas
+                    && majority_shortfall(&self.config.budget, &all) > 0;
                 let too_few = short || choose_replicas(&self.config.budget, &all).is_none();
                 too_few.then(|| staying.iter().map(|s| s.id).collect())
             });
-        let Some(replicas) = replicas.filter(|_| voters.iter().any(|s| s.id == me)) else { return };
-        let view = View { epoch: candidacy.epoch, primary: me, replicas, voters, before };
+        let Some(replicas) = replicas.filter(|_| voters.iter().any(|s| s.id == me)) else {
+            return;
+        };
+        let view = View {
+            epoch: candidacy.epoch,
+            primary: me,
+            replicas,
+            voters,
+            before,
+        };
         let snapshot = Some(ledger.snapshot());
         for copy in view.replicas.iter().filter(|c| **c != me) {
             let to = view.seat(*copy).map(|s| self.fresh(s));
-            let message = Message::InstallView { view: view.clone(), snapshot: snapshot.clone() };
+            let message = Message::InstallView {
+                view: view.clone(),
+                snapshot: snapshot.clone(),
+            };
             out.extend(to.map(|to| Output::Send { to, message }));
         }
         let after = After::Installed {
@@ -327,7 +418,13 @@
             view: Box::new(view.clone()),
             ledger: Some(Box::new(ledger.clone())),
         };
-        self.write(&Record::Accepted { view: view.clone(), snapshot }, after);
+        self.write(
+            &Record::Accepted {
+                view: view.clone(),
+                snapshot,
+            },
+            after,
+        );
         let now = self.now;
         if let Role::Candidate(candidacy) = &mut self.role {
             (candidacy.phase, candidacy.since) = (ElectionPhase::Replicas, now);
@@ -344,8 +441,12 @@
             }
             return;
         }
-        let Role::Candidate(candidacy) = &mut self.role else { return };
-        let Some((view, ledger)) = candidacy.target.clone().filter(|t| t.0.epoch == epoch) else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
+        let Some((view, ledger)) = candidacy.target.clone().filter(|t| t.0.epoch == epoch) else {
+            return;
+        };
         if !ok {
             if view.replicas.contains(&from) {
                 self.peers.entry(from).and_modify(|p| p.fit = false);
@@ -355,24 +456,47 @@
         }
         candidacy.installed.insert(from);
         if candidacy.phase == ElectionPhase::Replicas
-            && view.replicas.iter().all(|c| candidacy.installed.contains(c))
+            && view
+                .replicas
+                .iter()
+                .all(|c| candidacy.installed.contains(c))
         {
             candidacy.phase = ElectionPhase::Witnesses;
-            let told = all_voters(&view).into_iter().chain(self.leaving_without_say(&view));
+            let told = all_voters(&view)
+                .into_iter()
+                .chain(self.leaving_without_say(&view));
             for id in told.filter(|id| !view.replicas.contains(id)) {
-                self.send(id, Message::InstallView { view: view.clone(), snapshot: None }, out);
+                self.send(
+                    id,
+                    Message::InstallView {
+                        view: view.clone(),
+                        snapshot: None,
+                    },
+                    out,
+                );
             }
         }
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if candidacy.phase == ElectionPhase::Witnesses
             && view.majority(|id| candidacy.installed.contains(&id))
         {
-            let lacking = view.voters.iter().map(|s| s.id).filter(|id| !candidacy.installed.contains(id));
+            let lacking = view
+                .voters
+                .iter()
+                .map(|s| s.id)
+                .filter(|id| !candidacy.installed.contains(id));
             let lacking = lacking.collect();
             let acting_since = candidacy.acting_since.unwrap_or(self.now);
             self.grant = None;
-            let mut state = PrimaryState::new(epoch, self.now, acting_since, ledger, &view, lacking);
-            let held_by: Vec<&MemberInfo> = view.replicas.iter().filter_map(|id| view.seat(*id)).collect();
+            let mut state =
+                PrimaryState::new(epoch, self.now, acting_since, ledger, &view, lacking);
+            let held_by: Vec<&MemberInfo> = view
+                .replicas
+                .iter()
+                .filter_map(|id| view.seat(*id))
+                .collect();
             state.takes_changes = choose_replicas(&self.config.budget, &held_by).is_some();
             self.waits_for_slow_disks = false;
             self.role = Role::Primary(Box::new(state));
@@ -423,7 +547,9 @@
     /// can add voters. False where that doesn't help.
     fn goes_on_with_few(&mut self, out: &mut Vec<Output>) -> bool {
         let now = self.now;
-        let Role::Candidate(candidacy) = &mut self.role else { return false };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return false;
+        };
         if candidacy.phase != ElectionPhase::Prepare || candidacy.accepts_few_replicas {
             return false;
         }
@@ -434,7 +560,9 @@
     }
 
     pub(super) fn run_candidate(&mut self, out: &mut Vec<Output>) {
-        let Role::Candidate(candidacy) = &self.role else { return };
+        let Role::Candidate(candidacy) = &self.role else {
+            return;
+        };
         // One that leaves stands no more; a primary goes on changing its view until it has handed over.
         let leaves = self.departure.is_some() && candidacy.agreed.is_none();
         if self.now >= candidacy.since + self.phase_time(candidacy) || leaves {
@@ -458,21 +586,40 @@
     /// Whoever promised waits for as long as it hears that the ledger is on its way.
     fn tell_still_at_it(&mut self, out: &mut Vec<Output>) {
         let (now, me) = (self.now, self.config.me.clone());
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if now < candidacy.tell_at {
             return;
         }
         candidacy.tell_at = now + self.config.lease.mul_f64(STILL_AT_IT_INTERVAL);
         let epoch = candidacy.epoch;
-        let promised: Vec<u64> = candidacy.promises.keys().copied().filter(|id| *id != me.id).collect();
+        let promised: Vec<u64> = candidacy
+            .promises
+            .keys()
+            .copied()
+            .filter(|id| *id != me.id)
+            .collect();
         for id in promised {
-            self.send(id, Message::Prepare { epoch, candidate: me.clone() }, out);
+            self.send(
+                id,
+                Message::Prepare {
+                    epoch,
+                    candidate: me.clone(),
+                },
+                out,
+            );
         }
     }
 
     pub(super) fn candidate_wake(&self) -> Option<Duration> {
-        let Role::Candidate(candidacy) = &self.role else { return None };
+        let Role::Candidate(candidacy) = &self.role else {
+            return None;
+        };
         let over = candidacy.since + self.phase_time(candidacy);
-        Some(self.moves_ledger_until().map_or(over, |_| over.min(candidacy.tell_at)))
+        Some(
+            self.moves_ledger_until()
+                .map_or(over, |_| over.min(candidacy.tell_at)),
+        )
     }
 }
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -41,7 +41,13 @@
 impl Member {
     pub(super) fn on_command(&mut self, ticket: u64, command: Command) {
         let ask_again = ASK_AGAIN + extra_time(command_bytes(&command));
-        let local = LocalCommand { command, since: self.now, asked: None, sent: false, ask_again };
+        let local = LocalCommand {
+            command,
+            since: self.now,
+            asked: None,
+            sent: false,
+            ask_again,
+        };
         self.local.insert(ticket, local);
     }
 
@@ -68,7 +74,15 @@
             }
             Source::LocalCommand(_) => {}
             Source::Remote(member, id) => {
-                self.send(member, Message::CommandResult { id, code: code.number(), text: body }, out);
+                self.send(
+                    member,
+                    Message::CommandResult {
+                        id,
+                        code: code.number(),
+                        text: body,
+                    },
+                    out,
+                );
             }
         }
     }
@@ -79,25 +93,40 @@
         self.note_primary();
         let patience = self.patience();
         let forward_base = self.forward_base;
-        let over: Vec<u64> =
-            self.local.iter().filter(|l| now >= l.1.since + patience).map(|l| *l.0).collect();
+        let over: Vec<u64> = self
+            .local
+            .iter()
+            .filter(|l| now >= l.1.since + patience)
+            .map(|l| *l.0)
+            .collect();
         for ticket in over {
-            let code = if self.local[&ticket].sent { Code::Unclear } else { Code::NoPrimary };
+            let code = if self.local[&ticket].sent {
+                Code::Unclear
+            } else {
+                Code::NoPrimary
+            };
             self.answer(Source::LocalCommand(ticket), code, Vec::new(), out);
         }
         if let Some(primary) = self.primary().filter(|_| !self.local.is_empty()) {
             let due = |l: &LocalCommand| {
-                l.asked.is_none_or(|(to, at)| to != primary.id || (to != me && now >= at + l.ask_again))
+                l.asked.is_none_or(|(to, at)| {
+                    to != primary.id || (to != me && now >= at + l.ask_again)
+                })
             };
             for (id, local) in self.local.iter_mut().filter(|l| due(l.1)) {
                 local.asked = Some((primary.id, now));
                 local.sent = true;
                 let command = local.command.clone();
                 match &mut self.role {
-                    Role::Primary(state) => state.inbox.push_back((Source::LocalCommand(*id), command)),
+                    Role::Primary(state) => {
+                        state.inbox.push_back((Source::LocalCommand(*id), command))
+                    }
                     _ => out.push(Output::Send {
                         to: primary.clone(),
-                        message: Message::ForwardCommand { id: forward_base.wrapping_add(*id), command },
+                        message: Message::ForwardCommand {
+                            id: forward_base.wrapping_add(*id),
+                            command,
+                        },
                     }),
                 }
             }
@@ -116,7 +145,8 @@
 
     /// When this member counts as cut off, where it knows no primary.
     fn cut_off_at(&self) -> Option<Duration> {
-        self.without_primary.map(|since| since + CUT_OFF_AFTER_LEASES * self.config.lease)
+        self.without_primary
+            .map(|since| since + CUT_OFF_AFTER_LEASES * self.config.lease)
     }
 
     /// How long a command may wait here now.
@@ -130,10 +160,17 @@
     pub(super) fn commands_wake(&self) -> Option<Duration> {
         let patience = self.patience();
         let ends = self.local.values().map(|l| l.since + patience).min();
-        let cut_off = self.cut_off_at().filter(|at| *at > self.now && !self.local.is_empty());
+        let cut_off = self
+            .cut_off_at()
+            .filter(|at| *at > self.now && !self.local.is_empty());
         let ends = ends.into_iter().chain(cut_off).min();
-        let asked = self.local.values().filter_map(|l| Some((l.asked?, l.ask_again)));
-        let asks = asked.filter(|((to, _), _)| *to != self.me()).map(|((_, at), again)| at + again);
+        let asked = self
+            .local
+            .values()
+            .filter_map(|l| Some((l.asked?, l.ask_again)));
+        let asks = asked
+            .filter(|((to, _), _)| *to != self.me())
+            .map(|((_, at), again)| at + again);
         ends.into_iter().chain(asks).min()
     }
 }
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -23,9 +23,17 @@
     /// A promise may be spoken of.
     Promise { to: MemberInfo, epoch: u64 },
     /// A view holds here.
-    Installed { to: MemberInfo, view: Box<View>, ledger: Option<Box<Ledger>> },
+    Installed {
+        to: MemberInfo,
+        view: Box<View>,
+        ledger: Option<Box<Ledger>>,
+    },
     /// A backup's change is safe.
-    Appended { to: u64, epoch: u64, ledger: Box<Ledger> },
+    Appended {
+        to: u64,
+        epoch: u64,
+        ledger: Box<Ledger>,
+    },
     /// The primary's own change is safe.
     Own { epoch: u64, ledger: Box<Ledger> },
     /// Whether the disk takes writes again.
@@ -73,10 +81,16 @@
             bytes += record.len();
             bytes <= MAX_WRITE_BYTES
         };
-        let count = self.queue.iter().take_while(|waiting| fits(waiting)).count().max(1);
+        let count = self
+            .queue
+            .iter()
+            .take_while(|waiting| fits(waiting))
+            .count()
+            .max(1);
         let batch = self.queue.drain(..count.min(self.queue.len()));
         let done = |(record, after): (Vec<u8>, After)| {
-            let change = matches!(after, After::Appended { .. } | After::Own { .. }).then(|| record.clone());
+            let change =
+                matches!(after, After::Appended { .. } | After::Own { .. }).then(|| record.clone());
             (record, Done { after, change })
         };
         batch.map(done).unzip()
@@ -116,26 +130,51 @@
                 return;
             }
             if self.disk.queue.is_empty() {
-                self.write(&Record::Promised { epoch: self.promised }, After::Nothing);
+                self.write(
+                    &Record::Promised {
+                        epoch: self.promised,
+                    },
+                    After::Nothing,
+                );
             }
         }
-        let whole = if self.rewrite_due() { self.whole() } else { Vec::new() };
+        let whole = if self.rewrite_due() {
+            self.whole()
+        } else {
+            Vec::new()
+        };
         let rewrite = !whole.is_empty();
-        let (records, after) = if rewrite { (whole, vec![]) } else { self.disk.next_batch() };
+        let (records, after) = if rewrite {
+            (whole, vec![])
+        } else {
+            self.disk.next_batch()
+        };
         if records.is_empty() {
             return;
         }
         self.disk.tickets += 1;
         let (ticket, length) = (self.disk.tickets, records.iter().map(Vec::len).sum());
-        self.disk.out = Some(PendingWrite { ticket, since: self.now, after, length, rewrite });
-        out.push(Output::Write { ticket, records, rewrite });
+        self.disk.out = Some(PendingWrite {
+            ticket,
+            since: self.now,
+            after,
+            length,
+            rewrite,
+        });
+        out.push(Output::Write {
+            ticket,
+            records,
+            rewrite,
+        });
     }
 
     /// Whether the file is long for what it has to hold. That goes by the disk's state alone: changes that keep
     /// coming don't put it off.
     fn rewrite_due(&mut self) -> bool {
         let disk = &mut self.disk;
-        let refused = disk.rewrite_refused.is_some_and(|at| self.now < at + REWRITE_RETRY_INTERVAL);
+        let refused = disk
+            .rewrite_refused
+            .is_some_and(|at| self.now < at + REWRITE_RETRY_INTERVAL);
         if disk.length <= REWRITE_MIN_BYTES || disk.refused.is_some() || refused {
             return false;
         }
@@ -150,7 +189,9 @@
     /// How long the file may be: a rewrite has to be worth what it writes.
     fn most_bytes(&self) -> usize {
         let known = self.acknowledged.known().map_or(0, ledger_bytes);
-        let Some(held) = self.held.as_ref().map(|h| &h.disk) else { return REWRITE_GROWTH * known };
+        let Some(held) = self.held.as_ref().map(|h| &h.disk) else {
+            return REWRITE_GROWTH * known;
+        };
         match self.acknowledged.changes_up_to(held.seq) {
             Some(changes) => REWRITE_GROWTH * known + 2 * changes.map(Vec::len).sum::<usize>(),
             None => REWRITE_GROWTH * (known + ledger_bytes(held)),
@@ -161,15 +202,26 @@
     /// first, and then the changes since; where these aren't at hand, the acknowledged ledger stands under a view
     /// without voters, before the one held.
     fn whole(&self) -> Vec<Vec<u8>> {
-        let mut records = vec![protocol::write_one(&Record::Promised { epoch: self.promised })];
-        let Some(view) = self.view.clone().filter(|v| v.epoch > 0) else { return records };
+        let mut records = vec![protocol::write_one(&Record::Promised {
+            epoch: self.promised,
+        })];
+        let Some(view) = self.view.clone().filter(|v| v.epoch > 0) else {
+            return records;
+        };
         let accepted = |view: View, ledger: Option<&Ledger>| {
             let snapshot = ledger.map(Ledger::snapshot);
             protocol::write_one(&Record::Accepted { view, snapshot })
         };
-        let committed = |ledger: &Ledger| protocol::write_one(&Record::Committed { seq: ledger.seq });
-        let (known, held) = (self.acknowledged.known(), self.held.as_ref().map(|h| &h.disk));
-        match known.zip(held).zip(held.and_then(|held| self.acknowledged.changes_up_to(held.seq))) {
+        let committed =
+            |ledger: &Ledger| protocol::write_one(&Record::Committed { seq: ledger.seq });
+        let (known, held) = (
+            self.acknowledged.known(),
+            self.held.as_ref().map(|h| &h.disk),
+        );
+        match known
+            .zip(held)
+            .zip(held.and_then(|held| self.acknowledged.changes_up_to(held.seq)))
+        {
             Some(((known, _), changes)) => {
                 records.extend([accepted(view, Some(known)), committed(known)]);
                 records.extend(changes.cloned());
@@ -184,8 +236,15 @@
         records
     }
 
-    pub(super) fn on_wrote(&mut self, ticket: u64, result: Result<(), DiskError>, out: &mut Vec<Output>) {
-        let Some(done) = self.disk.out.take_if(|o| o.ticket == ticket) else { return };
+    pub(super) fn on_wrote(
+        &mut self,
+        ticket: u64,
+        result: Result<(), DiskError>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(done) = self.disk.out.take_if(|o| o.ticket == ticket) else {
+            return;
+        };
         match result {
             Ok(()) => {
                 self.disk.refused = None;
@@ -194,7 +253,9 @@
                     self.acknowledged.rewritten();
                 }
                 self.disk.length = done.length + if done.rewrite { 0 } else { self.disk.length };
-                done.after.into_iter().for_each(|done| self.written(done, out));
+                done.after
+                    .into_iter()
+                    .for_each(|done| self.written(done, out));
             }
             // The old file stands, or the new one that means the same: what is appended next tells more.
             Err(_) if done.rewrite => self.disk.rewrite_refused = Some(self.now),
@@ -220,20 +281,36 @@
                 let epoch = view.epoch;
                 if self.view.as_ref().is_none_or(|v| v.epoch < epoch) {
                     self.acknowledged.view_begins(ledger.as_deref());
-                    self.held = ledger.map(|l| ReplicaLedger { head: (*l).clone(), disk: *l });
+                    self.held = ledger.map(|l| ReplicaLedger {
+                        head: (*l).clone(),
+                        disk: *l,
+                    });
                     self.view = Some(*view);
                 }
                 if to.id == self.me() {
                     self.on_installed(to.id, epoch, true, out);
                 } else {
-                    let message = Message::InstallReply { epoch, ok: true, seen: self.promised };
+                    let message = Message::InstallReply {
+                        epoch,
+                        ok: true,
+                        seen: self.promised,
+                    };
                     out.push(Output::Send { to, message });
                 }
             }
             After::Appended { to, epoch, ledger } => {
                 let seq = ledger.seq;
                 self.kept_change(epoch, *ledger, change.unwrap_or_default());
-                self.send(to, Message::AppendReply { epoch, seq, ok: true, seen: self.promised }, out);
+                self.send(
+                    to,
+                    Message::AppendReply {
+                        epoch,
+                        seq,
+                        ok: true,
+                        seen: self.promised,
+                    },
+                    out,
+                );
             }
             After::Own { epoch, ledger } => {
                 let seq = ledger.seq;
@@ -256,11 +333,24 @@
         let seen = self.promised;
         match after {
             After::Installed { to, view, .. } if to.id != self.me() => {
-                let message = Message::InstallReply { epoch: view.epoch, ok: false, seen };
+                let message = Message::InstallReply {
+                    epoch: view.epoch,
+                    ok: false,
+                    seen,
+                };
                 out.push(Output::Send { to, message });
             }
             After::Appended { to, epoch, ledger } => {
-                self.send(to, Message::AppendReply { epoch, seq: ledger.seq, ok: false, seen }, out);
+                self.send(
+                    to,
+                    Message::AppendReply {
+                        epoch,
+                        seq: ledger.seq,
+                        ok: false,
+                        seen,
+                    },
+                    out,
+                );
             }
             _ => {}
         }
@@ -274,7 +364,12 @@
             Role::Idle => return,
         };
         self.step_down();
-        let voters: Vec<u64> = self.view.iter().flat_map(|v| &v.voters).map(|s| s.id).collect();
+        let voters: Vec<u64> = self
+            .view
+            .iter()
+            .flat_map(|v| &v.voters)
+            .map(|s| s.id)
+            .collect();
         for voter in voters.into_iter().filter(|v| *v != self.me()) {
             self.send(voter, Message::ReleaseLease { epoch }, out);
         }
--- a/crates/control-plane/src/member/early.rs
+++ b/crates/control-plane/src/member/early.rs
@@ -45,7 +45,10 @@
 
     /// Takes out those whose time is over: the caller and the base.
     fn take_expired(&mut self, now: Duration) -> Vec<(Source, u64)> {
-        self.0.extract_if(.., |order| order.until <= now).map(|order| (order.source, order.base)).collect()
+        self.0
+            .extract_if(.., |order| order.until <= now)
+            .map(|order| (order.source, order.base))
+            .collect()
     }
 
     /// When the next one ends.
@@ -57,26 +60,36 @@
 impl Member {
     /// Holds an order until its base is in force; where too many are held, its caller hears at once.
     pub(super) fn hold_early(&mut self, source: Source, command: Command, out: &mut Vec<Output>) {
-        let (Role::Primary(state), Command::Configure { base, .. }) = (&mut self.role, &command) else {
+        let (Role::Primary(state), Command::Configure { base, .. }) = (&mut self.role, &command)
+        else {
             return;
         };
         let base = *base;
         if state.early.0.len() >= MAX_EARLY_ORDERS {
             return self.answer_early(source, base, out);
         }
-        state.early.0.push(EarlyOrder { base, source, command, until: self.now + EARLY_PATIENCE });
+        state.early.0.push(EarlyOrder {
+            base,
+            source,
+            command,
+            until: self.now + EARLY_PATIENCE,
+        });
     }
 
     /// Ends the early orders that have waited too long.
     pub(super) fn end_early(&mut self, out: &mut Vec<Output>) {
-        let Role::Primary(state) = &mut self.role else { return };
+        let Role::Primary(state) = &mut self.role else {
+            return;
+        };
         for (source, base) in state.early.take_expired(self.now) {
             self.answer_early(source, base, out);
         }
     }
 
     fn answer_early(&mut self, source: Source, base: u64, out: &mut Vec<Output>) {
-        let Role::Primary(state) = &self.role else { return };
+        let Role::Primary(state) = &self.role else {
+            return;
+        };
         let told = state.told_base(base);
         self.answer(source, Code::BaseNotInForce, told, out);
     }
--- a/crates/control-plane/src/member/leave.rs
+++ b/crates/control-plane/src/member/leave.rs
@@ -40,7 +40,12 @@
             return;
         }
         let (since, say_at) = (self.now, self.now);
-        self.departure = Some(Departure { since, say_at, succeeded: false, over: false });
+        self.departure = Some(Departure {
+            since,
+            say_at,
+            succeeded: false,
+            over: false,
+        });
         self.say_leaving(out);
     }
 
@@ -48,11 +53,16 @@
     /// else is heard of this member until its end doesn't tell that it leaves.
     fn say_leaving(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(departure) = self.departure.as_mut().filter(|d| now >= d.say_at) else { return };
+        let Some(departure) = self.departure.as_mut().filter(|d| now >= d.say_at) else {
+            return;
+        };
         departure.say_at = now + self.config.lease.mul_f64(SAY_AGAIN_INTERVAL);
         let epoch = self.view.as_ref().map_or(0, |v| v.epoch);
-        let others: BTreeSet<u64> =
-            self.other_voters().into_iter().chain(self.peers.keys().copied()).collect();
+        let others: BTreeSet<u64> = self
+            .other_voters()
+            .into_iter()
+            .chain(self.peers.keys().copied())
+            .collect();
         for id in others {
             self.send(id, Message::Leaving { epoch }, out);
         }
@@ -94,17 +104,26 @@
 
     /// Those who leave and have no say in a view, but wait for it to be there.
     pub(super) fn leaving_without_say(&self, view: &View) -> Vec<u64> {
-        let without = |id: &u64| view.seat(*id).is_none() && !view.before.iter().any(|s| s.id == *id);
-        self.peers.keys().copied().filter(|id| self.peer_leaving(*id)).filter(without).collect()
+        let without =
+            |id: &u64| view.seat(*id).is_none() && !view.before.iter().any(|s| s.id == *id);
+        self.peers
+            .keys()
+            .copied()
+            .filter(|id| self.peer_leaving(*id))
+            .filter(without)
+            .collect()
     }
 
     /// Yields once others can go on, and ends once nothing rests on this member.
     pub(super) fn run_departure(&mut self, out: &mut Vec<Output>) {
         self.say_leaving(out);
-        let Some(departure) = self.departure.as_ref().filter(|d| !d.over) else { return };
+        let Some(departure) = self.departure.as_ref().filter(|d| !d.over) else {
+            return;
+        };
         let waited = self.now >= departure.since + MAX_HAND_OVER_LEASES * self.config.lease;
         let deserted = self.other_voters().iter().all(|id| self.peer_leaving(*id));
-        if matches!(self.role, Role::Primary(_)) && (waited || deserted || self.others_can_go_on()) {
+        if matches!(self.role, Role::Primary(_)) && (waited || deserted || self.others_can_go_on())
+        {
             self.release_lease(out);
         }
         let idle = matches!(self.role, Role::Idle);
@@ -118,29 +137,43 @@
 
     /// Whether neither the ledger nor a majority rests on this member any more.
     fn succeeded(&self) -> bool {
-        let free = |v: &View| v.settled() && !v.replicas.contains(&self.me()) && !self.gives_up_vote(v);
+        let free =
+            |v: &View| v.settled() && !v.replicas.contains(&self.me()) && !self.gives_up_vote(v);
         self.view.as_ref().is_none_or(free) || self.departure.as_ref().is_some_and(|d| d.succeeded)
     }
 
     /// Whether this member is a voter that the primary is about to drop, or to replace by one that joins. Until it has
     /// done so the next loss would leave too few if this member ended.
     fn gives_up_vote(&self, view: &View) -> bool {
-        let others_join = self.peers.values().any(|p| view.seat(p.seat.id).is_none() && self.may_join(p));
+        let others_join = self
+            .peers
+            .values()
+            .any(|p| view.seat(p.seat.id).is_none() && self.may_join(p));
         view.seat(self.me()).is_some() && (others_join || self.can_spare_a_voter(view))
     }
 
     /// Whether those who answered lately and stay are a majority, with enough replicas among them.
     fn others_can_go_on(&self) -> bool {
-        let (Role::Primary(state), Some(view)) = (&self.role, &self.view) else { return false };
+        let (Role::Primary(state), Some(view)) = (&self.role, &self.view) else {
+            return false;
+        };
         let recent = self.config.lease.mul_f64(RECENT_GRANT);
-        let granted = |id: u64| state.stamps.get(&id).is_some_and(|at| self.now < *at + recent);
+        let granted = |id: u64| {
+            state
+                .stamps
+                .get(&id)
+                .is_some_and(|at| self.now < *at + recent)
+        };
         let stays = |id: u64| granted(id) && self.peer_fit(id) && !self.peer_leaving(id);
         let seats: Vec<&MemberInfo> = view.voters.iter().filter(|s| stays(s.id)).collect();
         view.majority(stays) && choose_replicas(&self.config.budget, &seats).is_some()
     }
 
     fn other_voters(&self) -> BTreeSet<u64> {
-        let voters = self.view.iter().flat_map(|v| v.voters.iter().chain(&v.before));
+        let voters = self
+            .view
+            .iter()
+            .flat_map(|v| v.voters.iter().chain(&v.before));
         voters.map(|s| s.id).filter(|id| *id != self.me()).collect()
     }
 
@@ -148,6 +181,10 @@
         let departure = self.departure.as_ref()?;
         let end = departure.since + MAX_HAND_OVER_LEASES * self.config.lease;
         let hands_over = !departure.over && end > self.now;
-        Some(if hands_over { end.min(departure.say_at) } else { departure.say_at })
+        Some(if hands_over {
+            end.min(departure.say_at)
+        } else {
+            departure.say_at
+        })
     }
 }
--- a/crates/control-plane/src/member/membership.rs
+++ b/crates/control-plane/src/member/membership.rs
@@ -43,7 +43,8 @@
 
     /// Time since the last lease that a voter granted.
     fn unsigned(&self, state: &PrimaryState, id: u64) -> Duration {
-        self.now.saturating_sub(state.stamps.get(&id).copied().unwrap_or(state.since))
+        self.now
+            .saturating_sub(state.stamps.get(&id).copied().unwrap_or(state.since))
     }
 
     fn silent_replica(&self, state: &PrimaryState, id: u64) -> bool {
@@ -55,7 +56,8 @@
     /// heard of.
     fn silence(&self, state: &PrimaryState, id: u64) -> Duration {
         let heard = self.peers.get(&id).map_or(Duration::ZERO, |p| p.heard);
-        self.now.saturating_sub(heard.max(state.acting_since.saturating_sub(self.config.lease)))
+        self.now
+            .saturating_sub(heard.max(state.acting_since.saturating_sub(self.config.lease)))
     }
 
     /// Replicas that don't answer, can't write or leave, where there are others for them.
@@ -74,10 +76,16 @@
                 || self.peer_leaving(id)
                 || state.broken.contains(&id)
         };
-        let bad: BTreeSet<u64> = view.replicas.iter().copied().filter(|c| *c != me && bad(*c)).collect();
+        let bad: BTreeSet<u64> = view
+            .replicas
+            .iter()
+            .copied()
+            .filter(|c| *c != me && bad(*c))
+            .collect();
         let well = |id: u64| {
             let answers = self.unsigned(state, id) < lease.mul_f64(2.0 * RENEW_INTERVAL);
-            id == me || (!bad.contains(&id) && self.peer_fit(id) && !self.peer_leaving(id) && answers)
+            id == me
+                || (!bad.contains(&id) && self.peer_fit(id) && !self.peer_leaving(id) && answers)
         };
         let seats: Vec<&MemberInfo> = view.voters.iter().filter(|s| well(s.id)).collect();
         choose_replicas(&self.config.budget, &seats)?;
@@ -108,7 +116,10 @@
     /// Members without a say that come: in the place of a voter that is lost or leaves, or beside the others.
     fn joining(&self, state: &PrimaryState, view: &View, change: &mut ViewChange) {
         let (lease, me) = (self.config.lease, self.me());
-        let joins = self.peers.values().filter(|p| view.seat(p.seat.id).is_none() && self.may_join(p));
+        let joins = self
+            .peers
+            .values()
+            .filter(|p| view.seat(p.seat.id).is_none() && self.may_join(p));
         let mut beside = Vec::new();
         for joiner in joins.map(|p| &p.seat) {
             let at_home = view.voters.iter().find(|v| v.addr == joiner.addr);
@@ -126,10 +137,13 @@
         }
         // A voter that has just fallen silent may be the one that somebody comes for: one more voter beside a lost
         // one would leave less room for the next loss.
-        let doubtful =
-            |v: &MemberInfo| v.id != me && self.silence(state, v.id) > lease.mul_f64(REPLICA_SILENCE);
+        let doubtful = |v: &MemberInfo| {
+            v.id != me && self.silence(state, v.id) > lease.mul_f64(REPLICA_SILENCE)
+        };
         if !view.voters.iter().any(doubtful) {
-            change.add.extend(self.voters_beside(view, &change.add, beside));
+            change
+                .add
+                .extend(self.voters_beside(view, &change.add, beside));
         }
     }
 
@@ -151,7 +165,11 @@
         let allowed = shortfall(&[]).max(0);
         // Where a majority may be lost, the one that helps most may stand anywhere among them.
         let helps = |joiner: &&MemberInfo| shortfall(std::slice::from_ref(*joiner));
-        let best = beside.iter().min_by_key(helps).filter(|best| room > 0 && helps(best) < allowed).cloned();
+        let best = beside
+            .iter()
+            .min_by_key(helps)
+            .filter(|best| room > 0 && helps(best) < allowed)
+            .cloned();
         beside.truncate(room);
         while !beside.is_empty() && shortfall(&beside) > allowed {
             let without = |left_out: usize| {
@@ -178,7 +196,11 @@
         let (lease, me) = (self.config.lease, self.me());
         // Of an even number of voters one can go without a loss of room.
         let even = view.voters.len().is_multiple_of(2);
-        let patience = if even { REPLACE_AFTER_LEASES } else { REMOVE_AFTER_LEASES };
+        let patience = if even {
+            REPLACE_AFTER_LEASES
+        } else {
+            REMOVE_AFTER_LEASES
+        };
         let others = || view.voters.iter().filter(|v| v.id != me);
         let leaves = others().find(|v| self.peer_leaving(v.id));
         let silent = || others().find(|v| self.silence(state, v.id) > patience * lease);
@@ -192,7 +214,12 @@
     /// Of the voters that stay, one of a zone or region that holds so many that its loss would leave no majority.
     fn voter_in_the_way(&self, view: &View, dropped: &BTreeSet<u64>) -> Option<u64> {
         let stays = |s: &&MemberInfo| !dropped.contains(&s.id);
-        let voters: Vec<MemberInfo> = view.voters.iter().filter(stays).map(|s| self.fresh(s)).collect();
+        let voters: Vec<MemberInfo> = view
+            .voters
+            .iter()
+            .filter(stays)
+            .map(|s| self.fresh(s))
+            .collect();
         let shortfall = |without: u64| {
             let seats: Vec<&MemberInfo> = voters.iter().filter(|s| s.id != without).collect();
             majority_shortfall(&self.config.budget, &seats)
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -295,11 +295,21 @@
         };
         if let Some(voters) = member.config.bootstrap_voters.clone() {
             let before = voters.clone();
-            member.view = Some(View { epoch: 0, primary: 0, replicas: vec![], voters, before });
+            member.view = Some(View {
+                epoch: 0,
+                primary: 0,
+                replicas: vec![],
+                voters,
+                before,
+            });
         }
         member.recover(records);
         member.disk.kept(records.iter().map(Vec::len).sum());
-        let start = if member.restarted { member.config.lease } else { Duration::ZERO };
+        let start = if member.restarted {
+            member.config.lease
+        } else {
+            Duration::ZERO
+        };
         member.election_at = now + start + member.election_delay();
         member
     }
@@ -317,10 +327,14 @@
         self.promised = recovered.promised;
         self.seen = recovered.promised;
         self.view = recovered.view.or(self.view.take());
-        self.held = recovered.held.map(|l| ReplicaLedger { head: l.clone(), disk: l });
+        self.held = recovered.held.map(|l| ReplicaLedger {
+            head: l.clone(),
+            disk: l,
+        });
         self.restored = recovered.acknowledged.clone();
         self.acknowledged = Acknowledged::recovered(recovered.acknowledged);
-        self.acknowledged.view_begins(self.held.as_ref().map(|h| &h.disk));
+        self.acknowledged
+            .view_begins(self.held.as_ref().map(|h| &h.disk));
     }
 
     /// Takes one input; what has to be done is added to `out`, which ends with the next time to wake.
@@ -328,7 +342,11 @@
         self.now = self.now.max(now);
         if let Some(ledger) = self.restored.take() {
             let drains = ledger.drains.into_iter().collect();
-            out.push(Output::Restore { seq: ledger.seq, document: ledger.document, drains });
+            out.push(Output::Restore {
+                seq: ledger.seq,
+                document: ledger.document,
+                drains,
+            });
         }
         // After a standstill the lease may have ended: others act, and nothing more is acknowledged here.
         self.end_of_lease();
@@ -350,7 +368,9 @@
         self.run_election_timer(out);
         self.run_commands(out);
         self.flush(out);
-        out.push(Output::Wake { at: self.next_wake() });
+        out.push(Output::Wake {
+            at: self.next_wake(),
+        });
     }
 
     fn on_message(&mut self, from: MemberInfo, message: Message, out: &mut Vec<Output>) {
@@ -358,33 +378,63 @@
             Message::PreVote { seen, view } => self.on_pre_vote(from, seen, view, out),
             Message::Prepare { epoch, candidate } => self.on_prepare(from, epoch, candidate, out),
             Message::InstallView { view, snapshot } => self.on_install(from, view, snapshot, out),
-            Message::AppendChange { epoch, seq, change } => self.on_append(from, epoch, seq, change, out),
-            Message::RenewLease { epoch, stamp, committed, heard } => {
+            Message::AppendChange { epoch, seq, change } => {
+                self.on_append(from, epoch, seq, change, out)
+            }
+            Message::RenewLease {
+                epoch,
+                stamp,
+                committed,
+                heard,
+            } => {
                 self.on_renew(from, epoch, stamp, (committed, heard), out);
                 self.record_committed(epoch, committed);
             }
             Message::FetchLedger { epoch } => self.on_fetch(from, epoch, out),
             Message::ReleaseLease { epoch } => self.on_release(from.id, epoch),
             Message::Leaving { .. } => self.on_peer_leaving(from.id),
-            Message::PreVoteReply { willing, seen, wait_ms } => {
-                self.on_pre_vote_reply(from, willing, seen, wait_ms, out)
-            }
-            Message::Promise { epoch, granted, seen, view, tag, wait_ms } => {
+            Message::PreVoteReply {
+                willing,
+                seen,
+                wait_ms,
+            } => self.on_pre_vote_reply(from, willing, seen, wait_ms, out),
+            Message::Promise {
+                epoch,
+                granted,
+                seen,
+                view,
+                tag,
+                wait_ms,
+            } => {
                 self.see(seen);
                 // A voter that has just joined may not have accepted any view yet: its promise counts all the same.
                 let has = (view.unwrap_or_default(), tag);
                 self.on_promise(from, epoch, granted, Some(has), wait_ms, out);
             }
-            Message::LedgerReply { epoch, snapshot, .. } => self.on_fetched(from, epoch, &snapshot, out),
+            Message::LedgerReply {
+                epoch, snapshot, ..
+            } => self.on_fetched(from, epoch, &snapshot, out),
             Message::InstallReply { epoch, ok, seen } => {
                 self.see(seen);
                 self.on_installed(from.id, epoch, ok, out);
             }
-            Message::AppendReply { epoch, seq, ok, seen } => {
+            Message::AppendReply {
+                epoch,
+                seq,
+                ok,
+                seen,
+            } => {
                 self.see(seen);
                 self.on_appended(from.id, epoch, seq, ok, out);
             }
-            Message::LeaseReply { epoch, stamp, ok, seen, fit, clock } => {
+            Message::LeaseReply {
+                epoch,
+                stamp,
+                ok,
+                seen,
+                fit,
+                clock,
+            } => {
                 self.see(seen);
                 self.on_renewed(from, epoch, stamp, ok, (fit, clock), out);
             }
@@ -403,7 +453,10 @@
     /// A link to a member is up. Of a voter that says little, as a link may outlive its process for seconds;
     /// of others there is no other word.
     fn on_reachable(&mut self, seat: &MemberInfo) {
-        let voter = self.view.as_ref().is_some_and(|v| v.seat(seat.id).is_some());
+        let voter = self
+            .view
+            .as_ref()
+            .is_some_and(|v| v.seat(seat.id).is_some());
         let heard = self.peers.get(&seat.id).map(|p| p.heard).filter(|_| voter);
         self.note(seat);
         if let Some(peer) = self.peers.get_mut(&seat.id) {
@@ -418,9 +471,15 @@
             return;
         }
         // At one address there is one process: another identity there has lost its disk.
-        self.peers.retain(|id, p| *id == seat.id || p.seat.addr != seat.addr);
+        self.peers
+            .retain(|id, p| *id == seat.id || p.seat.addr != seat.addr);
         let now = self.now;
-        let peer = Peer { seat: seat.clone(), heard: now, fit: true, leaving: None };
+        let peer = Peer {
+            seat: seat.clone(),
+            heard: now,
+            fit: true,
+            leaving: None,
+        };
         let peer = self.peers.entry(seat.id).or_insert(peer);
         peer.heard = now;
         if !seat.name.is_empty() {
@@ -437,13 +496,17 @@
     }
 
     fn is_voter(&self) -> bool {
-        self.view.as_ref().is_some_and(|v| v.seat(self.me()).is_some())
+        self.view
+            .as_ref()
+            .is_some_and(|v| v.seat(self.me()).is_some())
     }
 
     /// A replica notes what the primary of its view has acknowledged, for its next life.
     fn record_committed(&mut self, epoch: u64, seq: u64) {
         let follows = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
-        let Some(held) = self.held.as_ref().filter(|h| follows && h.disk.seq >= seq) else { return };
+        let Some(held) = self.held.as_ref().filter(|h| follows && h.disk.seq >= seq) else {
+            return;
+        };
         if self.acknowledged.acknowledge(seq, &held.disk) {
             self.write(&Record::Committed { seq }, After::Nothing);
         }
@@ -458,7 +521,10 @@
     }
 
     fn member_info(&self, id: u64) -> Option<MemberInfo> {
-        let voter = self.view.as_ref().and_then(|v| v.seat(id).or(v.before.iter().find(|s| s.id == id)));
+        let voter = self
+            .view
+            .as_ref()
+            .and_then(|v| v.seat(id).or(v.before.iter().find(|s| s.id == id)));
         self.peers.get(&id).map(|p| &p.seat).or(voter).cloned()
     }
 
@@ -473,7 +539,8 @@
         self.random ^= self.random >> 12;
         self.random ^= self.random << 25;
         self.random ^= self.random >> 27;
-        let part = (self.random.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 40) as f64 / (1u64 << 24) as f64;
+        let part =
+            (self.random.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 40) as f64 / (1u64 << 24) as f64;
         below.mul_f64(part)
     }
 
@@ -483,7 +550,11 @@
         let me = self.me();
         let rank = self.view.as_ref().map_or(0, |v| {
             let replicas = v.replicas.iter().copied();
-            let rest = v.voters.iter().map(|s| s.id).filter(|id| !v.replicas.contains(id));
+            let rest = v
+                .voters
+                .iter()
+                .map(|s| s.id)
+                .filter(|id| !v.replicas.contains(id));
             replicas
                 .chain(rest)
                 .filter(|id| *id != v.primary || *id == me)
@@ -498,10 +569,17 @@
         match &self.role {
             Role::Primary(_) => Some(self.config.me.clone()),
             _ => {
-                let granted = self.grant.filter(|g| g.until > self.now).and_then(|g| self.member_info(g.to));
+                let granted = self
+                    .grant
+                    .filter(|g| g.until > self.now)
+                    .and_then(|g| self.member_info(g.to));
                 // Who has no say grants no leases, and knows by what others tell alone.
                 let newer = |epoch: u64| self.view.as_ref().is_none_or(|v| epoch > v.epoch);
-                let told = || self.hint.as_ref().filter(|h| !self.is_voter() || newer(h.0));
+                let told = || {
+                    self.hint
+                        .as_ref()
+                        .filter(|h| !self.is_voter() || newer(h.0))
+                };
                 let told = || told().filter(|h| self.in_touch_with(h.1.id));
                 granted.or_else(|| told().map(|h| h.1.clone()))
             }
@@ -511,7 +589,9 @@
     /// Whether a member was heard of lately, itself or by a link to it; one never heard of may be about to be reached.
     fn in_touch_with(&self, id: u64) -> bool {
         let silent_at = |heard: Duration| heard + IN_TOUCH_LEASES * self.config.lease;
-        self.peers.get(&id).is_none_or(|peer| self.now < silent_at(peer.heard))
+        self.peers
+            .get(&id)
+            .is_none_or(|peer| self.now < silent_at(peer.heard))
     }
 
     /// Takes who is the primary in the view of an epoch, as others tell. It only says whom to hand commands to.
@@ -546,9 +626,10 @@
     /// has been heard of in this life.
     pub fn proof(&self, now: Duration) -> Option<Proof> {
         match &self.role {
-            Role::Primary(state) if self.lease_end(state) > now => {
-                Some(Proof { at: now, committed: state.committed_seq() })
-            }
+            Role::Primary(state) if self.lease_end(state) > now => Some(Proof {
+                at: now,
+                committed: state.committed_seq(),
+            }),
             _ => self.proof,
         }
     }
@@ -566,7 +647,10 @@
 
     fn next_wake(&self) -> Duration {
         let idle = self.is_voter() && matches!(self.role, Role::Idle) && self.departure.is_none();
-        let stand = idle.then(|| self.election_at.max(self.grant.map_or(self.election_at, |g| g.until)));
+        let stand = idle.then(|| {
+            self.election_at
+                .max(self.grant.map_or(self.election_at, |g| g.until))
+        });
         let grace = Duration::from_millis(1);
         [
             stand,
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -109,7 +109,9 @@
 impl Member {
     /// When the lease ends, as this member counts it: from when it was asked for.
     pub(super) fn lease_end(&self, state: &PrimaryState) -> Duration {
-        let Some(view) = &self.view else { return Duration::ZERO };
+        let Some(view) = &self.view else {
+            return Duration::ZERO;
+        };
         let nth = |seats: &[MemberInfo]| {
             let stamp = |s: &MemberInfo| match s.id {
                 id if id == self.config.me.id => self.now,
@@ -128,7 +130,9 @@
 
     /// A primary whose lease has ended stops acting.
     pub(super) fn end_of_lease(&mut self) {
-        let Role::Primary(state) = &self.role else { return };
+        let Role::Primary(state) = &self.role else {
+            return;
+        };
         if self.now >= self.lease_end(state) && self.now >= state.since + self.config.lease {
             self.step_down();
             self.election_at = self.now + self.election_delay();
@@ -137,7 +141,9 @@
 
     pub(super) fn run_primary(&mut self, out: &mut Vec<Output>) {
         let (now, lease, fit) = (self.now, self.config.lease, self.fit());
-        let Role::Primary(state) = &self.role else { return };
+        let Role::Primary(state) = &self.role else {
+            return;
+        };
         let alone = self.view.as_ref().is_some_and(|v| v.voters.len() == 1);
         if !fit && !alone {
             return self.release_lease(out);
@@ -158,7 +164,9 @@
     fn renew(&mut self, out: &mut Vec<Output>) {
         let (now, lease, me) = (self.now, self.config.lease, self.me());
         let leased = self.acts();
-        let (Role::Primary(state), Some(view)) = (&mut self.role, self.view.clone()) else { return };
+        let (Role::Primary(state), Some(view)) = (&mut self.role, self.view.clone()) else {
+            return;
+        };
         let epoch = state.epoch;
         let mut sends: Vec<(u64, Message)> = Vec::new();
         if now >= state.renew_at {
@@ -166,11 +174,30 @@
             let (stamp, committed) = (now.as_millis() as u64, state.committed.seq);
             for id in view.voters.iter().map(|s| s.id).filter(|id| *id != me) {
                 if state.lacking.contains(&id) && !view.replicas.contains(&id) {
-                    sends.push((id, Message::InstallView { view: view.clone(), snapshot: None }));
+                    sends.push((
+                        id,
+                        Message::InstallView {
+                            view: view.clone(),
+                            snapshot: None,
+                        },
+                    ));
                 }
                 // Without a lease others may have acted since: no proof.
-                let heard = state.clocks.get(&id).copied().filter(|_| leased).unwrap_or(0);
-                sends.push((id, Message::RenewLease { epoch, stamp, committed, heard }));
+                let heard = state
+                    .clocks
+                    .get(&id)
+                    .copied()
+                    .filter(|_| leased)
+                    .unwrap_or(0);
+                sends.push((
+                    id,
+                    Message::RenewLease {
+                        epoch,
+                        stamp,
+                        committed,
+                        heard,
+                    },
+                ));
             }
         }
         if now >= state.again_at {
@@ -178,21 +205,42 @@
             let late = |p: &Pending| now >= p.sent_at + p.extra + lease.mul_f64(RESEND_INTERVAL);
             for pending in state.pending.iter_mut().filter(|p| late(p)) {
                 pending.sent_at = now;
-                let (seq, Some(change)) = (pending.ledger.seq, &pending.change) else { continue };
-                let missing = state.acked.iter().filter(|a| *a.0 != me && *a.1 < seq).map(|a| *a.0);
-                sends.extend(
-                    missing.map(|copy| (copy, Message::AppendChange { epoch, seq, change: change.clone() })),
-                );
+                let (seq, Some(change)) = (pending.ledger.seq, &pending.change) else {
+                    continue;
+                };
+                let missing = state
+                    .acked
+                    .iter()
+                    .filter(|a| *a.0 != me && *a.1 < seq)
+                    .map(|a| *a.0);
+                sends.extend(missing.map(|copy| {
+                    (
+                        copy,
+                        Message::AppendChange {
+                            epoch,
+                            seq,
+                            change: change.clone(),
+                        },
+                    )
+                }));
             }
         }
-        sends.into_iter().for_each(|(to, message)| self.send(to, message, out));
+        sends
+            .into_iter()
+            .for_each(|(to, message)| self.send(to, message, out));
     }
 
     fn forget(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let Role::Primary(state) = &self.role else { return };
-        let hosts: Vec<String> =
-            state.drained.iter().filter(|d| now >= *d.1 + DRAIN_RETENTION).map(|d| d.0.clone()).collect();
+        let Role::Primary(state) = &self.role else {
+            return;
+        };
+        let hosts: Vec<String> = state
+            .drained
+            .iter()
+            .filter(|d| now >= *d.1 + DRAIN_RETENTION)
+            .map(|d| d.0.clone())
+            .collect();
         if hosts.is_empty()
             || !state.takes_changes
             || !state.pending.is_empty()
@@ -209,12 +257,17 @@
     /// Runs the commands that wait, in order.
     pub(super) fn serve_inbox(&mut self, out: &mut Vec<Output>) {
         loop {
-            let Role::Primary(state) = &self.role else { return };
+            let Role::Primary(state) = &self.role else {
+                return;
+            };
             if state.inbox.is_empty() || self.lease_end(state) <= self.now {
                 return;
             }
-            let Role::Primary(state) = &mut self.role else { return };
-            let (Some((source, command)), Some(held)) = (state.inbox.pop_front(), &self.held) else {
+            let Role::Primary(state) = &mut self.role else {
+                return;
+            };
+            let (Some((source, command)), Some(held)) = (state.inbox.pop_front(), &self.held)
+            else {
                 return;
             };
             match held.head.plan(&command) {
@@ -237,8 +290,12 @@
 
     /// Early orders whose base has been taken are planned again.
     fn requeue_early(&mut self) {
-        let (Role::Primary(state), Some(held)) = (&mut self.role, &self.held) else { return };
-        state.inbox.extend(state.early.take_ready(held.head.document.version));
+        let (Role::Primary(state), Some(held)) = (&mut self.role, &self.held) else {
+            return;
+        };
+        state
+            .inbox
+            .extend(state.early.take_ready(held.head.document.version));
     }
 
     fn change(
@@ -249,7 +306,9 @@
         out: &mut Vec<Output>,
     ) {
         let (now, me) = (self.now, self.me());
-        let (Role::Primary(state), Some(held)) = (&mut self.role, &mut self.held) else { return };
+        let (Role::Primary(state), Some(held)) = (&mut self.role, &mut self.held) else {
+            return;
+        };
         let (epoch, seq) = (state.epoch, next.seq);
         held.head = next.clone();
         match &change {
@@ -270,13 +329,36 @@
         });
         let replicas: Vec<u64> = state.acked.keys().copied().filter(|c| *c != me).collect();
         for copy in replicas {
-            self.send(copy, Message::AppendChange { epoch, seq, change: change.clone() }, out);
+            self.send(
+                copy,
+                Message::AppendChange {
+                    epoch,
+                    seq,
+                    change: change.clone(),
+                },
+                out,
+            );
         }
-        self.write(&Record::Change { epoch, seq, change }, After::Own { epoch, ledger: Box::new(next) });
+        self.write(
+            &Record::Change { epoch, seq, change },
+            After::Own {
+                epoch,
+                ledger: Box::new(next),
+            },
+        );
     }
 
-    pub(super) fn on_appended(&mut self, from: u64, epoch: u64, seq: u64, ok: bool, out: &mut Vec<Output>) {
-        let Role::Primary(state) = &mut self.role else { return };
+    pub(super) fn on_appended(
+        &mut self,
+        from: u64,
+        epoch: u64,
+        seq: u64,
+        ok: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let Role::Primary(state) = &mut self.role else {
+            return;
+        };
         if state.epoch != epoch {
             return;
         }
@@ -290,11 +372,14 @@
 
     /// Acknowledges what all replicas have on disk, for as long as the lease lasts.
     fn commit(&mut self, out: &mut Vec<Output>) {
-        let leased = |m: &Self| matches!(&m.role, Role::Primary(state) if m.lease_end(state) > m.now);
+        let leased =
+            |m: &Self| matches!(&m.role, Role::Primary(state) if m.lease_end(state) > m.now);
         if !leased(self) {
             return;
         }
-        let Role::Primary(state) = &mut self.role else { return };
+        let Role::Primary(state) = &mut self.role else {
+            return;
+        };
         let safe = state.acked.values().copied().min().unwrap_or(0);
         let mut answers = Vec::new();
         let before = state.committed.seq;
@@ -306,7 +391,9 @@
             self.publish(out);
             self.record_own_commits();
         }
-        answers.into_iter().for_each(|(to, code, body)| self.answer(to, code, body, out));
+        answers
+            .into_iter()
+            .for_each(|(to, code, body)| self.answer(to, code, body, out));
     }
 
     /// The primary notes what it has acknowledged, unless more is about to follow.
@@ -322,7 +409,9 @@
     }
 
     pub(super) fn publish(&self, out: &mut Vec<Output>) {
-        let Role::Primary(state) = &self.role else { return };
+        let Role::Primary(state) = &self.role else {
+            return;
+        };
         let ledger = &state.committed;
         out.push(Output::Publish {
             seq: ledger.seq,
@@ -345,7 +434,9 @@
             // Back in another life.
             peer.leaving = peer.leaving.filter(|_| !fit);
         }
-        let Role::Primary(state) = &mut self.role else { return };
+        let Role::Primary(state) = &mut self.role else {
+            return;
+        };
         if state.epoch != epoch {
             return;
         }
@@ -366,7 +457,11 @@
         match &self.role {
             Role::Primary(state) => {
                 let resend = (!state.pending.is_empty()).then_some(state.again_at);
-                [resend, state.early.next_end()].into_iter().flatten().chain([state.renew_at]).min()
+                [resend, state.early.next_end()]
+                    .into_iter()
+                    .flatten()
+                    .chain([state.renew_at])
+                    .min()
             }
             _ => None,
         }
--- a/crates/control-plane/src/member/recovery.rs
+++ b/crates/control-plane/src/member/recovery.rs
@@ -38,7 +38,9 @@
         record: usize,
     },
     /// A change doesn't follow the one before.
-    #[snafu(display("record {record}: change {seq} of epoch {epoch} after {held_seq} of {held_epoch}"))]
+    #[snafu(display(
+        "record {record}: change {seq} of epoch {epoch} after {held_seq} of {held_epoch}"
+    ))]
     OutOfOrder {
         /// The record's place, from 0.
         record: usize,
@@ -131,12 +133,19 @@
             Record::Promised { epoch } => *promised = epoch.max(*promised),
             Record::Accepted { view, .. } => {
                 *promised = view.epoch.max(*promised);
-                segments.push(Segment { start: record, end: record, acknowledged: BTreeSet::new() });
+                segments.push(Segment {
+                    start: record,
+                    end: record,
+                    acknowledged: BTreeSet::new(),
+                });
             }
             Record::Change { .. } if segments.is_empty() => return NoLedgerSnafu { record }.fail(),
             Record::Change { .. } => {}
             Record::Committed { seq } => {
-                segments.iter_mut().next_back().map(|segment| segment.acknowledged.insert(seq));
+                segments
+                    .iter_mut()
+                    .next_back()
+                    .map(|segment| segment.acknowledged.insert(seq));
             }
         }
         if let Some(segment) = segments.last_mut() {
@@ -147,7 +156,11 @@
 }
 
 fn replay_segment(records: &[Vec<u8>], segment: &Segment) -> Result<Replayed, ReplayError> {
-    let mut replayed = Replayed { view: View::default(), last: None, acknowledged: None };
+    let mut replayed = Replayed {
+        view: View::default(),
+        last: None,
+        acknowledged: None,
+    };
     for record in segment.start..segment.end {
         match read(records, record)? {
             Record::Accepted { view, snapshot } => {
@@ -155,10 +168,19 @@
                 replayed.last = snapshot.map(|s| ledger(record, &s)).transpose()?;
             }
             Record::Change { epoch, seq, change } => {
-                let Some(held) = &replayed.last else { return NoLedgerSnafu { record }.fail() };
+                let Some(held) = &replayed.last else {
+                    return NoLedgerSnafu { record }.fail();
+                };
                 let (held_epoch, held_seq) = (replayed.view.epoch, held.seq);
                 if epoch != held_epoch || seq != held_seq + 1 {
-                    return OutOfOrderSnafu { record, epoch, seq, held_epoch, held_seq }.fail();
+                    return OutOfOrderSnafu {
+                        record,
+                        epoch,
+                        seq,
+                        held_epoch,
+                        held_seq,
+                    }
+                    .fail();
                 }
                 let next = held.after(&change);
                 let next = next.map_err(|(_, detail)| ReplayError::Change { record, detail })?;
@@ -166,7 +188,10 @@
             }
             Record::Promised { .. } | Record::Committed { .. } => continue,
         }
-        let said = replayed.last.as_ref().filter(|l| segment.acknowledged.contains(&l.seq));
+        let said = replayed
+            .last
+            .as_ref()
+            .filter(|l| segment.acknowledged.contains(&l.seq));
         if let Some(ledger) = said {
             replayed.acknowledged = Some(ledger.clone());
         }
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -71,10 +71,14 @@
     pub fn summary(&self, previous: Option<&MemberSummary>) -> MemberSummary {
         let role = match &self.role {
             Role::Idle => RoleSummary::Idle,
-            Role::Candidate(state) => RoleSummary::Candidate { epoch: state.epoch, phase: state.phase },
-            Role::Primary(state) => {
-                RoleSummary::Primary { epoch: state.epoch, leased: self.lease_end(state) > self.now }
-            }
+            Role::Candidate(state) => RoleSummary::Candidate {
+                epoch: state.epoch,
+                phase: state.phase,
+            },
+            Role::Primary(state) => RoleSummary::Primary {
+                epoch: state.epoch,
+                leased: self.lease_end(state) > self.now,
+            },
         };
         let known = previous.and_then(|p| p.view.as_ref());
         let view = self.view.as_ref().map(|view| match known {
@@ -88,7 +92,10 @@
             role,
             view,
             promised: self.promised,
-            grant: grant.map(|g| GrantSummary { primary: g.to, epoch: g.epoch }),
+            grant: grant.map(|g| GrantSummary {
+                primary: g.to,
+                epoch: g.epoch,
+            }),
             disk: self.disk.state(self.now, self.config.stall),
             ledger: self.held.as_ref().map(|h| h.disk.seq),
             leaving: self.departure.is_some(),
--- a/crates/control-plane/src/member/view.rs
+++ b/crates/control-plane/src/member/view.rs
@@ -16,8 +16,13 @@
         if chosen.len() >= machines && has_zones.len() >= zones && has_regions.len() >= regions {
             return Some(chosen.iter().map(|s| s.id).collect());
         }
-        let left = || seats.iter().filter(|s| !chosen.iter().any(|c| c.id == s.id));
-        let region = left().find(|s| has_regions.len() < regions && !has_regions.contains(s.region.as_str()));
+        let left = || {
+            seats
+                .iter()
+                .filter(|s| !chosen.iter().any(|c| c.id == s.id))
+        };
+        let region = left()
+            .find(|s| has_regions.len() < regions && !has_regions.contains(s.region.as_str()));
         let zone = left().find(|s| !has_zones.contains(s.zone.as_str()));
         let short = chosen.len() < machines || has_zones.len() < zones;
         let next = region.or(zone).or(left().next().filter(|_| short))?;
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -18,14 +18,19 @@
         if !may_be_voter || !self.fit() {
             return Err(wait);
         }
-        let grant = self.grant.filter(|g| g.to != candidate && g.until > self.now);
+        let grant = self
+            .grant
+            .filter(|g| g.to != candidate && g.until > self.now);
         let own = match &self.role {
             Role::Primary(state) if candidate != self.me() => Some(self.lease_end(state)),
             _ => None,
         };
         // What it granted before it was started again is not known.
         let earlier = self.restarted.then_some(self.started + self.config.lease);
-        let until = [grant.map(|g| g.until), own, earlier].into_iter().flatten().max();
+        let until = [grant.map(|g| g.until), own, earlier]
+            .into_iter()
+            .flatten()
+            .max();
         match until.filter(|until| *until > self.now) {
             Some(until) => Err(until - self.now),
             None => Ok(()),
@@ -42,16 +47,28 @@
         }
     }
 
-    pub(super) fn on_pre_vote(&mut self, from: MemberInfo, seen: u64, view: u64, out: &mut Vec<Output>) {
+    pub(super) fn on_pre_vote(
+        &mut self,
+        from: MemberInfo,
+        seen: u64,
+        view: u64,
+        out: &mut Vec<Output>,
+    ) {
         self.see(seen);
         // Whoever has been left out since can't win, it would only hold the others up.
         let left_out = |v: &View| v.epoch > view && v.seat(from.id).is_none();
         let may = match self.view.as_ref().is_some_and(left_out) {
             true => Err(4 * self.config.lease),
-            false => self.may_promise(from.id).and_then(|()| self.may_prefer(from.id)),
+            false => self
+                .may_promise(from.id)
+                .and_then(|()| self.may_prefer(from.id)),
         };
         let wait_ms = may.err().map_or(0, |w| w.as_millis() as u32);
-        let message = Message::PreVoteReply { willing: may.is_ok(), seen: self.promised, wait_ms };
+        let message = Message::PreVoteReply {
+            willing: may.is_ok(),
+            seen: self.promised,
+            wait_ms,
+        };
         out.push(Output::Send { to: from, message });
     }
 
@@ -74,8 +91,14 @@
             Err(wait) => wait,
         };
         let (seen, wait_ms) = (self.promised, wait.as_millis() as u32);
-        let message =
-            Message::Promise { epoch, granted: false, seen, view: self.view.clone(), tag: None, wait_ms };
+        let message = Message::Promise {
+            epoch,
+            granted: false,
+            seen,
+            view: self.view.clone(),
+            tag: None,
+            wait_ms,
+        };
         out.push(Output::Send { to: from, message });
     }
 
@@ -97,14 +120,24 @@
             let me = self.config.me.clone();
             return self.on_promise(me, epoch, true, view.zip(Some(tag)), 0, out);
         }
-        let message = Message::Promise { epoch, granted: true, seen: self.promised, view, tag, wait_ms: 0 };
+        let message = Message::Promise {
+            epoch,
+            granted: true,
+            seen: self.promised,
+            view,
+            tag,
+            wait_ms: 0,
+        };
         out.push(Output::Send { to, message });
     }
 
     /// How far the ledger on this disk goes.
     pub(super) fn tag(&self) -> Option<LedgerPosition> {
         let view = self.view.as_ref()?;
-        self.held.as_ref().map(|h| LedgerPosition { epoch: view.epoch, seq: h.disk.seq })
+        self.held.as_ref().map(|h| LedgerPosition {
+            epoch: view.epoch,
+            seq: h.disk.seq,
+        })
     }
 
     pub(super) fn on_fetch(&mut self, from: MemberInfo, epoch: u64, out: &mut Vec<Output>) {
@@ -113,7 +146,11 @@
             return;
         }
         if let Some((tag, held)) = self.tag().zip(self.held.as_ref()) {
-            let message = Message::LedgerReply { epoch, tag, snapshot: held.disk.snapshot() };
+            let message = Message::LedgerReply {
+                epoch,
+                tag,
+                snapshot: held.disk.snapshot(),
+            };
             out.push(Output::Send { to: from, message });
         }
     }
@@ -134,7 +171,11 @@
         let fits = view.counts(self.me()) && epoch >= self.promised && copy == snapshot.is_some();
         match ledger {
             _ if held && epoch >= self.promised => {
-                let message = Message::InstallReply { epoch, ok: true, seen: self.promised };
+                let message = Message::InstallReply {
+                    epoch,
+                    ok: true,
+                    seen: self.promised,
+                };
                 out.push(Output::Send { to: from, message });
             }
             Ok(ledger) if fits && self.fit() => {
@@ -142,12 +183,26 @@
                 self.waits_for_slow_disks = false;
                 self.step_down();
                 self.election_at = self.now + self.config.lease + self.election_delay();
-                let record = Record::Accepted { view: view.clone(), snapshot };
+                let record = Record::Accepted {
+                    view: view.clone(),
+                    snapshot,
+                };
                 let ledger = ledger.map(Box::new);
-                self.write(&record, After::Installed { to: from, view: Box::new(view), ledger });
+                self.write(
+                    &record,
+                    After::Installed {
+                        to: from,
+                        view: Box::new(view),
+                        ledger,
+                    },
+                );
             }
             _ => {
-                let message = Message::InstallReply { epoch, ok: false, seen: self.promised };
+                let message = Message::InstallReply {
+                    epoch,
+                    ok: false,
+                    seen: self.promised,
+                };
                 out.push(Output::Send { to: from, message });
             }
         }
@@ -161,26 +216,51 @@
         change: Change,
         out: &mut Vec<Output>,
     ) {
-        let follows = self.view.as_ref().is_some_and(|v| v.epoch == epoch && v.primary == from.id);
+        let follows = self
+            .view
+            .as_ref()
+            .is_some_and(|v| v.epoch == epoch && v.primary == from.id);
         let follows = follows && !self.given_up();
-        let held = self.held.as_mut().filter(|_| follows && self.promised == epoch);
+        let held = self
+            .held
+            .as_mut()
+            .filter(|_| follows && self.promised == epoch);
         let message = match held {
-            Some(held) if seq <= held.disk.seq => {
-                Message::AppendReply { epoch, seq: held.disk.seq, ok: true, seen: self.promised }
-            }
+            Some(held) if seq <= held.disk.seq => Message::AppendReply {
+                epoch,
+                seq: held.disk.seq,
+                ok: true,
+                seen: self.promised,
+            },
             // On its way to the disk.
             Some(held) if seq <= held.head.seq => return,
-            Some(held) if seq == held.head.seq + 1 && self.disk.fit(self.now, self.config.stall) => {
+            Some(held)
+                if seq == held.head.seq + 1 && self.disk.fit(self.now, self.config.stall) =>
+            {
                 match held.head.after(&change) {
                     Ok(next) => {
                         held.head = next.clone();
-                        let after = After::Appended { to: from.id, epoch, ledger: Box::new(next) };
+                        let after = After::Appended {
+                            to: from.id,
+                            epoch,
+                            ledger: Box::new(next),
+                        };
                         return self.write(&Record::Change { epoch, seq, change }, after);
                     }
-                    Err(_) => Message::AppendReply { epoch, seq, ok: false, seen: self.promised },
+                    Err(_) => Message::AppendReply {
+                        epoch,
+                        seq,
+                        ok: false,
+                        seen: self.promised,
+                    },
                 }
             }
-            _ => Message::AppendReply { epoch, seq, ok: false, seen: self.promised },
+            _ => Message::AppendReply {
+                epoch,
+                seq,
+                ok: false,
+                seen: self.promised,
+            },
         };
         out.push(Output::Send { to: from, message });
     }
@@ -194,21 +274,38 @@
         told: (u64, u64),
         out: &mut Vec<Output>,
     ) {
-        let follows = self.view.as_ref().is_some_and(|v| v.epoch == epoch && v.primary == from.id);
+        let follows = self
+            .view
+            .as_ref()
+            .is_some_and(|v| v.epoch == epoch && v.primary == from.id);
         let ok = follows && self.promised == epoch && !self.given_up();
         if ok {
             self.withdraw_candidacy();
             let until = self.now + self.config.lease;
-            self.grant = Some(Grant { to: from.id, epoch, until });
+            self.grant = Some(Grant {
+                to: from.id,
+                epoch,
+                until,
+            });
             self.election_at = until + self.election_delay();
             self.take_proof(told.0, told.1);
         }
         let fit = self.fit() && self.departure.is_none();
         if self.departure.is_some() {
-            out.push(Output::Send { to: from.clone(), message: Message::Leaving { epoch } });
+            out.push(Output::Send {
+                to: from.clone(),
+                message: Message::Leaving { epoch },
+            });
         }
         let (seen, clock) = (self.promised, self.clock());
-        let message = Message::LeaseReply { epoch, stamp, ok, seen, fit, clock };
+        let message = Message::LeaseReply {
+            epoch,
+            stamp,
+            ok,
+            seen,
+            fit,
+            clock,
+        };
         out.push(Output::Send { to: from, message });
     }
 
@@ -237,7 +334,9 @@
 
     /// While its lease was in force nobody else acknowledged anything: that stays proved.
     fn keep_own_proof(&mut self) {
-        let Role::Primary(state) = &self.role else { return };
+        let Role::Primary(state) = &self.role else {
+            return;
+        };
         let (at, committed) = (self.lease_end(state).min(self.now), state.committed_seq());
         if !at.is_zero() && self.proof.is_none_or(|known| known.at <= at) {
             self.proof = Some(Proof { at, committed });
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -23,11 +23,16 @@
     #[snafu(display("the identity"))]
     Identity { source: IdentityError },
     /// The ledger is another member's.
-    #[snafu(display("the ledger belongs to {owner:016x}, the identity's file to {identity:016x}"))]
+    #[snafu(display(
+        "the ledger belongs to {owner:016x}, the identity's file to {identity:016x}"
+    ))]
     OtherOwner { owner: u64, identity: u64 },
     /// A record can't be understood.
     #[snafu(display("record {number} can't be understood"))]
-    Unreadable { number: usize, source: protocol::Broken },
+    Unreadable {
+        number: usize,
+        source: protocol::Broken,
+    },
     /// A change doesn't follow the one before.
     #[snafu(display("record {number}: change {seq} doesn't fit what is before it"))]
     Gap { number: usize, seq: u64 },
@@ -35,7 +40,9 @@
     #[snafu(display("no view was ever accepted here"))]
     NoView,
     /// It is a witness, or was left out.
-    #[snafu(display("this member holds no ledger in its latest view (epoch {epoch}): it is no replica"))]
+    #[snafu(display(
+        "this member holds no ledger in its latest view (epoch {epoch}): it is no replica"
+    ))]
     NoReplica { epoch: u64 },
     /// The operator has not named all members that are given up, or one that isn't there.
     #[snafu(display("--lost has to name these members and no other: {}", wanted.join(",")))]
@@ -67,10 +74,16 @@
     /// # Errors
     /// Where the member isn't a replica of the latest view that it accepted, or a record isn't as it should be.
     pub fn read(identity: &[Vec<u8>], records: &[Vec<u8>]) -> Result<Self, Refusal> {
-        let identity = latest(identity).context(IdentitySnafu)?.context(NoIdentitySnafu)?;
+        let identity = latest(identity)
+            .context(IdentitySnafu)?
+            .context(NoIdentitySnafu)?;
         let FoundLedger { owner, records } = FoundLedger::of(records.to_vec());
         if let Some(owner) = owner.map(|o| o.id).filter(|id| *id != identity.id) {
-            return OtherOwnerSnafu { owner, identity: identity.id }.fail();
+            return OtherOwnerSnafu {
+                owner,
+                identity: identity.id,
+            }
+            .fail();
         }
         let (mut promised, mut committed) = (0, 0);
         let mut latest: Option<(View, Option<Ledger>)> = None;
@@ -88,7 +101,9 @@
                 Record::Change { seq, change, .. } => {
                     let held = latest.as_mut().and_then(|l| l.1.as_mut());
                     let held = held.context(GapSnafu { number, seq })?;
-                    let next = Some(&*held).filter(|h| h.seq + 1 == seq).and_then(|h| h.after(&change).ok());
+                    let next = Some(&*held)
+                        .filter(|h| h.seq + 1 == seq)
+                        .and_then(|h| h.after(&change).ok());
                     *held = next.context(GapSnafu { number, seq })?;
                 }
                 Record::Committed { seq } => committed = seq,
@@ -96,8 +111,16 @@
         }
         let (view, ledger) = latest.context(NoViewSnafu)?;
         let replica = view.replicas.contains(&identity.id);
-        let ledger = ledger.filter(|_| replica).context(NoReplicaSnafu { epoch: view.epoch })?;
-        Ok(Self { identity, promised, view, ledger, committed })
+        let ledger = ledger
+            .filter(|_| replica)
+            .context(NoReplicaSnafu { epoch: view.epoch })?;
+        Ok(Self {
+            identity,
+            promised,
+            view,
+            ledger,
+            committed,
+        })
     }
 
     /// Epoch of the latest view accepted here.
@@ -139,21 +162,52 @@
         let all = others.iter().all(|o| lost.iter().any(|l| names(o, l)));
         let only = lost.iter().all(|l| others.iter().any(|o| names(o, l)));
         if !all || !only {
-            let word = |s: &&MemberInfo| if s.name.is_empty() { hex(s) } else { s.name.clone() };
-            return LostSnafu { wanted: others.iter().map(word).collect::<Vec<_>>() }.fail();
+            let word = |s: &&MemberInfo| {
+                if s.name.is_empty() {
+                    hex(s)
+                } else {
+                    s.name.clone()
+                }
+            };
+            return LostSnafu {
+                wanted: others.iter().map(word).collect::<Vec<_>>(),
+            }
+            .fail();
         }
         let own = id & ((1 << OWN_BITS) - 1);
         let epoch = next_generation(self.promised) | (1 << OWN_BITS) | own;
-        let seat = self.view.seat(self.identity.id).cloned().unwrap_or_default();
+        let seat = self
+            .view
+            .seat(self.identity.id)
+            .cloned()
+            .unwrap_or_default();
         let voters = vec![MemberInfo { id, ..seat }];
-        let view = View { epoch, primary: id, replicas: vec![id], voters: voters.clone(), before: voters };
+        let view = View {
+            epoch,
+            primary: id,
+            replicas: vec![id],
+            voters: voters.clone(),
+            before: voters,
+        };
         let seq = self.ledger.seq;
         let snapshot = Some(self.ledger.snapshot());
-        let records =
-            [Record::Accepted { view, snapshot }, Record::Promised { epoch }, Record::Committed { seq }];
-        let identity = Identity { id, life: self.identity.life, initial_voters: Vec::new() };
-        let owner = protocol::write_one(&LedgerOwner { identity: identity.clone() });
+        let records = [
+            Record::Accepted { view, snapshot },
+            Record::Promised { epoch },
+            Record::Committed { seq },
+        ];
+        let identity = Identity {
+            id,
+            life: self.identity.life,
+            initial_voters: Vec::new(),
+        };
+        let owner = protocol::write_one(&LedgerOwner {
+            identity: identity.clone(),
+        });
         let records = records.iter().map(protocol::write_one);
-        Ok((protocol::write_one(&identity), std::iter::once(owner).chain(records).collect()))
+        Ok((
+            protocol::write_one(&identity),
+            std::iter::once(owner).chain(records).collect(),
+        ))
     }
 }
--- a/crates/control-plane/src/roster.rs
+++ b/crates/control-plane/src/roster.rs
@@ -201,16 +201,25 @@
     }
 
     /// A heartbeat; see [`Roster::call`].
-    pub fn beat(&mut self, now: Duration, host: &str, beat: &Beat, elsewhere: Option<&HostRecord>) -> bool {
+    pub fn beat(
+        &mut self,
+        now: Duration,
+        host: &str,
+        beat: &Beat,
+        elsewhere: Option<&HostRecord>,
+    ) -> bool {
         let known = self.hosts.get_mut(host);
         if known.as_ref().is_some_and(|h| beat.call_seq <= h.latest) {
             return false;
         }
         // What others know counts too: who is gone stays gone.
-        let before =
-            known
-                .as_ref()
-                .map_or(phase::READY, |h| if h.shown.phase <= phase::GONE { h.shown.phase } else { 0 });
+        let before = known.as_ref().map_or(phase::READY, |h| {
+            if h.shown.phase <= phase::GONE {
+                h.shown.phase
+            } else {
+                0
+            }
+        });
         let before = before.max(elsewhere.map_or(phase::READY, |r| r.phase));
         let record = HostRecord {
             id: host.to_owned(),
@@ -235,7 +244,12 @@
                 known.shown = record;
             }
             None => {
-                let new = Host { shown: record, latest: beat.call_seq, at: now, over };
+                let new = Host {
+                    shown: record,
+                    latest: beat.call_seq,
+                    at: now,
+                    over,
+                };
                 self.hosts.insert(host.to_owned(), new);
             }
         }
@@ -245,16 +259,33 @@
 
     /// A host ends; see [`Roster::call`].
     pub fn depart(&mut self, now: Duration, host: &str, elsewhere: Option<&HostRecord>) -> bool {
-        let known = self.hosts.get(host).filter(|h| h.shown.phase != phase::FORGOTTEN);
+        let known = self
+            .hosts
+            .get(host)
+            .filter(|h| h.shown.phase != phase::FORGOTTEN);
         if known.is_some_and(|h| h.shown.phase == phase::GONE) {
             return false;
         }
-        let latest = known.map_or(0, |h| h.latest).max(elsewhere.map_or(0, |r| r.call_seq));
-        let mut shown = known.map(|h| &h.shown).or(elsewhere).cloned().unwrap_or_default();
+        let latest = known
+            .map_or(0, |h| h.latest)
+            .max(elsewhere.map_or(0, |r| r.call_seq));
+        let mut shown = known
+            .map(|h| &h.shown)
+            .or(elsewhere)
+            .cloned()
+            .unwrap_or_default();
         shown.id = host.to_owned();
         shown.phase = phase::GONE;
         shown.call_seq = latest + 1;
-        self.hosts.insert(host.to_owned(), Host { shown, latest: latest + 1, at: now, over: Some(now) });
+        self.hosts.insert(
+            host.to_owned(),
+            Host {
+                shown,
+                latest: latest + 1,
+                at: now,
+                over: Some(now),
+            },
+        );
         self.host_changed(host);
         true
     }
@@ -274,7 +305,9 @@
         };
         let place = |r: &CoordinatorRecord| (r.zone.clone(), r.region.clone(), r.addr);
         let here = place(&shown);
-        let known = self.coordinators.insert(caller.name.clone(), Coordinator { shown, at: now });
+        let known = self
+            .coordinators
+            .insert(caller.name.clone(), Coordinator { shown, at: now });
         // Its version alone is no news: all of them would be told of each other at each configuration.
         if known.is_some_and(|k| !k.shown.gone && place(&k.shown) == here) {
             return false;
@@ -340,7 +373,11 @@
         Some(SourceNews {
             mark: self.mark,
             whole,
-            hosts: hosts.iter().filter_map(|id| self.hosts.get(id)).map(|h| h.shown.clone()).collect(),
+            hosts: hosts
+                .iter()
+                .filter_map(|id| self.hosts.get(id))
+                .map(|h| h.shown.clone())
+                .collect(),
             coordinators: coordinators
                 .iter()
                 .filter_map(|name| self.coordinators.get(name))
@@ -351,7 +388,10 @@
 
     /// What coordinators that pull here say of themselves, with the version each has in force.
     pub fn coordinators(&self) -> impl Iterator<Item = &CoordinatorRecord> {
-        self.coordinators.values().map(|c| &c.shown).filter(|c| !c.gone)
+        self.coordinators
+            .values()
+            .map(|c| &c.shown)
+            .filter(|c| !c.gone)
     }
 
     /// The same with those that have stopped pulling lately, and when each pulled last.
@@ -374,6 +414,8 @@
 /// The member that a host's later heartbeats should go to, where that isn't `me`: by rendezvous hashing over
 /// the members that live.
 pub fn beat_target<'a>(host: &str, me: u64, live: &'a [MemberInfo]) -> Option<&'a MemberInfo> {
-    let best = live.iter().max_by_key(|s| (replication::weight(host, &s.id.to_be_bytes()), s.id))?;
+    let best = live
+        .iter()
+        .max_by_key(|s| (replication::weight(host, &s.id.to_be_bytes()), s.id))?;
     (best.id != me).then_some(best)
 }
--- a/crates/control-plane/src/shell/call.rs
+++ b/crates/control-plane/src/shell/call.rs
@@ -47,7 +47,11 @@
 /// The version that a header names: decimal digits alone, with no sign.
 fn read_base(text: &str) -> Option<u64> {
     let digits = text.trim_matches([' ', '\t']);
-    digits.bytes().all(|byte| byte.is_ascii_digit()).then(|| digits.parse().ok()).flatten()
+    digits
+        .bytes()
+        .all(|byte| byte.is_ascii_digit())
+        .then(|| digits.parse().ok())
+        .flatten()
 }
 
 impl Head {
@@ -69,7 +73,11 @@
             call if call.starts_with("Hosts.") => Head::Host(path.to_owned()),
             _ => return Err(Code::NoSuchCall),
         };
-        let wanted = if head.asks() { Method::GET } else { Method::POST };
+        let wanted = if head.asks() {
+            Method::GET
+        } else {
+            Method::POST
+        };
         if *method == wanted {
             Ok(head)
         } else {
--- a/crates/control-plane/src/shell/call_runner.rs
+++ b/crates/control-plane/src/shell/call_runner.rs
@@ -57,13 +57,23 @@
         leaving: watch::Receiver<bool>,
         opened: watch::Receiver<Option<Rc<OpenMember>>>,
     ) -> Self {
-        Self { node: node.into(), events, patience, leaving, opened }
+        Self {
+            node: node.into(),
+            events,
+            patience,
+            leaving,
+            opened,
+        }
     }
 
     async fn opened(&self) -> Result<Rc<OpenMember>, Code> {
         let mut opened = self.opened.clone();
         let ready = timeout(OPEN_TIMEOUT, opened.wait_for(Option::is_some)).await;
-        ready.ok().and_then(Result::ok).and_then(|o| o.clone()).ok_or(Code::Opening)
+        ready
+            .ok()
+            .and_then(Result::ok)
+            .and_then(|o| o.clone())
+            .ok_or(Code::Opening)
     }
 
     /// A host is leaving or gone: acknowledged once that is kept as safely as the configuration is.
@@ -71,7 +81,9 @@
         if opened.feed.shared().snapshot().drains.contains(host) {
             return Reply::json("{}");
         }
-        let asked = Command::Drain { host: host.to_owned() };
+        let asked = Command::Drain {
+            host: host.to_owned(),
+        };
         match command(&self.events, asked, DRAIN_TIMEOUT).await {
             (Code::Ok, _) => Reply::json("{}"),
             (code, text) => Reply::detailed(code, &String::from_utf8_lossy(&text)),
@@ -102,7 +114,10 @@
         let (asker, told) = oneshot::channel();
         let asked = self.events.send(Event::MemberStatus(asker)).is_ok();
         let status = match asked {
-            true => timeout(STATUS_TIMEOUT, told).await.ok().and_then(Result::ok),
+            true => timeout(STATUS_TIMEOUT, told)
+                .await
+                .ok()
+                .and_then(Result::ok),
             false => None,
         };
         let (me, links) = (&opened.me, opened.links.counters());
@@ -190,7 +205,12 @@
 
 impl OrderTrace {
     fn new(base: u64, bytes: usize) -> Self {
-        Self { base, bytes, since: Instant::now(), code: None }
+        Self {
+            base,
+            bytes,
+            since: Instant::now(),
+            code: None,
+        }
     }
 }
 
@@ -217,13 +237,19 @@
         match call {
             Call::Status => Reply::json(self.status().await),
             Call::History(version) => self.history(&opened, version),
-            Call::Read => match command(&self.events, Command::Read { reserved: 0 }, self.patience).await {
-                (Code::Ok, document) => Reply::json(document),
-                (code, text) => Reply::detailed(code, &String::from_utf8_lossy(&text)),
-            },
+            Call::Read => {
+                match command(&self.events, Command::Read { reserved: 0 }, self.patience).await {
+                    (Code::Ok, document) => Reply::json(document),
+                    (code, text) => Reply::detailed(code, &String::from_utf8_lossy(&text)),
+                }
+            }
             Call::Configure { base, amend, body } => {
                 let mut trace = OrderTrace::new(base, body.len());
-                let asked = Command::Configure { base, amend, body: body.into() };
+                let asked = Command::Configure {
+                    base,
+                    amend,
+                    body: body.into(),
+                };
                 let (code, text) = command(&self.events, asked, self.patience).await;
                 trace.code = Some(code);
                 Reply::detailed(code, &String::from_utf8_lossy(&text))
--- a/crates/control-plane/src/shell/control.rs
+++ b/crates/control-plane/src/shell/control.rs
@@ -54,19 +54,28 @@
         if detail.is_empty() {
             return Self::of(code);
         }
-        let body = serde_json::json!({"code": code.number(), "reason": code.text(), "detail": detail});
-        Self { code, body: Some(body.to_string().into()) }
+        let body =
+            serde_json::json!({"code": code.number(), "reason": code.text(), "detail": detail});
+        Self {
+            code,
+            body: Some(body.to_string().into()),
+        }
     }
 
     /// Done, with a body of JSON.
     pub fn json(body: impl Into<Bytes>) -> Self {
-        Self { code: Code::Ok, body: Some(body.into()) }
+        Self {
+            code: Code::Ok,
+            body: Some(body.into()),
+        }
     }
 
     fn response(self, last: bool) -> Response<Full<Bytes>> {
         let code = self.code;
         let body = self.body.unwrap_or_else(|| {
-            serde_json::json!({"code": code.number(), "reason": code.text()}).to_string().into()
+            serde_json::json!({"code": code.number(), "reason": code.text()})
+                .to_string()
+                .into()
         });
         let mut response = Response::new(Full::new(body));
         *response.status_mut() = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::OK);
@@ -114,7 +123,12 @@
 
 impl<D: RunCall> Control<D> {
     /// An API whose calls `desk` runs, with at most `most` connections at once, until `stop` becomes true.
-    pub fn new(desk: D, most: usize, counters: Rc<ControlCounters>, stop: watch::Receiver<bool>) -> Rc<Self> {
+    pub fn new(
+        desk: D,
+        most: usize,
+        counters: Rc<ControlCounters>,
+        stop: watch::Receiver<bool>,
+    ) -> Rc<Self> {
         Rc::new(Self {
             desk,
             open: Semaphore::new(most),
@@ -167,7 +181,10 @@
         let _ = timeout(CONNECTION_TIME.1, serving).await;
     }
 
-    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+    async fn answer(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
         let reply = self.call(request).await.unwrap_or_else(Reply::of);
         let count = match reply.code.status() {
             500.. => &self.counters.failed,
@@ -207,7 +224,11 @@
 fn only_value<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?;
-    values.next().is_none().then(|| first.to_str().ok()).flatten()
+    values
+        .next()
+        .is_none()
+        .then(|| first.to_str().ok())
+        .flatten()
 }
 
 /// Whether a body ended before its told length, or its connection broke.
@@ -215,7 +236,10 @@
     let mut cause = Some(error);
     while let Some(error) = cause {
         if let Some(error) = error.downcast_ref::<io::Error>() {
-            return matches!(error.kind(), io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset);
+            return matches!(
+                error.kind(),
+                io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset
+            );
         }
         cause = error.source();
     }
--- a/crates/control-plane/src/shell/disk.rs
+++ b/crates/control-plane/src/shell/disk.rs
@@ -1,7 +1,9 @@
 //! The disk's thread: it alone waits for the disk. Writes that have queued up share one sync.
 
 use crate::member::DiskError;
-use crate::shell::identity::{latest, FoundLedger, Identity, IdentityError, LedgerOwner, StartFacts};
+use crate::shell::identity::{
+    latest, FoundLedger, Identity, IdentityError, LedgerOwner, StartFacts,
+};
 use append_log::AppendLog;
 use snafu::{ResultExt, Snafu};
 use std::path::PathBuf;
@@ -70,11 +72,18 @@
     tell: impl Fn(DiskEvent) + Send + 'static,
 ) -> std::io::Result<mpsc::Sender<Write>> {
     let (writes, queue) = mpsc::channel::<Write>();
-    std::thread::Builder::new().name("disk".into()).spawn(move || work(&dir, &birth, &tell, &queue))?;
+    std::thread::Builder::new()
+        .name("disk".into())
+        .spawn(move || work(&dir, &birth, &tell, &queue))?;
     Ok(writes)
 }
 
-fn work(dir: &std::path::Path, birth: &StartFacts, tell: &dyn Fn(DiskEvent), queue: &mpsc::Receiver<Write>) {
+fn work(
+    dir: &std::path::Path,
+    birth: &StartFacts,
+    tell: &dyn Fn(DiskEvent),
+    queue: &mpsc::Receiver<Write>,
+) {
     let (mut who, mut file, mut hosts, identity) = loop {
         match open(dir, birth) {
             Ok((who, file, identity, records)) => {
@@ -86,11 +95,17 @@
                         (None, None)
                     }
                 };
-                tell(DiskEvent::Open { identity: identity.clone(), records, roster });
+                tell(DiskEvent::Open {
+                    identity: identity.clone(),
+                    records,
+                    roster,
+                });
                 break (who, file, hosts, identity);
             }
             Err(error) => {
-                tell(DiskEvent::NotOpen { detail: snafu::Report::from_error(error).to_string() });
+                tell(DiskEvent::NotOpen {
+                    detail: snafu::Report::from_error(error).to_string(),
+                });
             }
         }
         match queue.recv_timeout(std::time::Duration::from_millis(250)) {
@@ -118,7 +133,10 @@
             }
             let count = match head.rewrite {
                 true => 1,
-                false => rest.iter().take_while(|w| !w.rewrite && w.file == File::Ledger).count(),
+                false => rest
+                    .iter()
+                    .take_while(|w| !w.rewrite && w.file == File::Ledger)
+                    .count(),
             };
             let (now, later) = rest.split_at(count);
             let kept = who.keep(&identity, &mut file);
@@ -128,7 +146,10 @@
             }
             for write in now {
                 let result = result.as_ref().map(|_| ()).map_err(refusal);
-                tell(DiskEvent::Wrote { ticket: write.ticket, result });
+                tell(DiskEvent::Wrote {
+                    ticket: write.ticket,
+                    result,
+                });
             }
             rest = later;
         }
@@ -143,8 +164,14 @@
 }
 
 /// Writes records for the ledger; `whole` names the owner where they stand for all that was there.
-fn put(file: &mut AppendLog, writes: &[Write], whole: Option<&Identity>) -> Result<(), append_log::Error> {
-    let records = writes.iter().flat_map(|w| w.records.iter().map(Vec::as_slice));
+fn put(
+    file: &mut AppendLog,
+    writes: &[Write],
+    whole: Option<&Identity>,
+) -> Result<(), append_log::Error> {
+    let records = writes
+        .iter()
+        .flat_map(|w| w.records.iter().map(Vec::as_slice));
     match whole {
         Some(identity) => {
             let owner = owner_record(identity);
@@ -156,7 +183,9 @@
 }
 
 fn owner_record(identity: &Identity) -> Vec<u8> {
-    protocol::write_one(&LedgerOwner { identity: identity.clone() })
+    protocol::write_one(&LedgerOwner {
+        identity: identity.clone(),
+    })
 }
 
 /// The identity's file: nothing else is written before the identity is kept.
@@ -170,7 +199,11 @@
 
 impl IdentityFile {
     /// Keeps the identity, in the ledger's file first: an identity without a ledger is never used again.
-    fn keep(&mut self, identity: &Identity, ledger: &mut AppendLog) -> Result<(), append_log::Error> {
+    fn keep(
+        &mut self,
+        identity: &Identity,
+        ledger: &mut AppendLog,
+    ) -> Result<(), append_log::Error> {
         if self.kept {
             return Ok(());
         }
@@ -205,9 +238,17 @@
     let found = FoundLedger::of(records);
     let before = latest(&kept).context(WhoSnafu)?;
     let identity = birth.identity_with(before, &found).context(WhoSnafu)?;
-    let own = found.owner.as_ref().is_some_and(|owner| owner.id == identity.id);
+    let own = found
+        .owner
+        .as_ref()
+        .is_some_and(|owner| owner.id == identity.id);
     let ledger_begun = own || !found.records.is_empty();
-    let mut who = IdentityFile { file, records: kept.len(), kept: false, ledger_begun };
+    let mut who = IdentityFile {
+        file,
+        records: kept.len(),
+        kept: false,
+        ledger_begun,
+    };
     // A full disk is no reason to stay away: the number of the life follows the time of day as well.
     if let Err(e) = who.keep(&identity, &mut ledger) {
         log::warn!(error:% = e; "identity not kept yet");
--- a/crates/control-plane/src/shell/event_loop.rs
+++ b/crates/control-plane/src/shell/event_loop.rs
@@ -98,9 +98,15 @@
         self.steps += 1;
         let mut outputs = std::mem::take(&mut self.outputs);
         self.member.step(self.origin.elapsed(), input, &mut outputs);
-        self.recorder.after_step(&self.member).iter().for_each(transitions::log);
+        self.recorder
+            .after_step(&self.member)
+            .iter()
+            .for_each(transitions::log);
         for output in outputs.drain(..) {
-            self.recorder.of_output(&output).iter().for_each(transitions::log);
+            self.recorder
+                .of_output(&output)
+                .iter()
+                .for_each(transitions::log);
             self.carry_out(output);
         }
         self.outputs = outputs;
@@ -110,9 +116,14 @@
         match event {
             Event::LinkEvent(LinkEvent::Hello(seat)) => self.step(Input::Reachable { seat }),
             Event::LinkEvent(LinkEvent::Message(from, message)) => {
-                self.step(Input::Message { from, message: *message });
+                self.step(Input::Message {
+                    from,
+                    message: *message,
+                });
+            }
+            Event::Disk(DiskEvent::Wrote { ticket, result }) => {
+                self.step(Input::Wrote { ticket, result })
             }
-            Event::Disk(DiskEvent::Wrote { ticket, result }) => self.step(Input::Wrote { ticket, result }),
             Event::Disk(DiskEvent::Open { .. } | DiskEvent::NotOpen { .. }) => {}
             Event::Command(command, caller) => {
                 self.mirror.update(|mirror, _| {
@@ -126,7 +137,10 @@
                 self.callers.retain(|_, caller| !caller.is_closed());
                 self.tickets += 1;
                 self.callers.insert(self.tickets, caller);
-                self.step(Input::Command { ticket: self.tickets, command });
+                self.step(Input::Command {
+                    ticket: self.tickets,
+                    command,
+                });
             }
             // Whoever asked may have stopped waiting.
             Event::MemberStatus(asker) => drop(asker.send(self.status())),
--- a/crates/control-plane/src/shell/identity.rs
+++ b/crates/control-plane/src/shell/identity.rs
@@ -72,11 +72,16 @@
 impl FoundLedger {
     /// Sorts the records of the ledger's file.
     pub fn of(mut records: Vec<Vec<u8>>) -> Self {
-        let owner = records.first().and_then(|r| protocol::read_one::<LedgerOwner>(r).ok());
+        let owner = records
+            .first()
+            .and_then(|r| protocol::read_one::<LedgerOwner>(r).ok());
         if owner.is_some() {
             records.remove(0);
         }
-        Self { owner: owner.map(|o| o.identity), records }
+        Self {
+            owner: owner.map(|o| o.identity),
+            records,
+        }
     }
 }
 
@@ -99,9 +104,12 @@
 
 /// The identity that an initial voter has: it follows from the inner address, so initial voters know each other's.
 pub fn initial_voter_id(inner: SocketAddrV4) -> u64 {
-    let fnv = inner.to_string().bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    });
+    let fnv = inner
+        .to_string()
+        .bytes()
+        .fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
+            (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
+        });
     fnv.max(1)
 }
 
@@ -114,7 +122,10 @@
     /// The identity of the life that starts now, given what the disk held.
     pub fn identity(&self, kept: Option<Identity>) -> Identity {
         if let Some(kept) = kept {
-            return Identity { life: self.life_after(kept.life), ..kept };
+            return Identity {
+                life: self.life_after(kept.life),
+                ..kept
+            };
         }
         let is_initial_voter = self.bootstrap && self.seeds.contains(&self.control);
         let initial_voters = match is_initial_voter {
@@ -126,7 +137,11 @@
         } else {
             self.random.max(1)
         };
-        Identity { id, life: self.life_after(0), initial_voters }
+        Identity {
+            id,
+            life: self.life_after(0),
+            initial_voters,
+        }
     }
 
     fn life_after(&self, before: u64) -> u64 {
@@ -151,12 +166,22 @@
             // Its ledger was lost, and a new identity has begun one without coming to promise anything.
             (Some(_), Some(owner)) if ledger.records.is_empty() => Some(owner),
             (Some(kept), Some(owner)) => {
-                return OtherOwnerSnafu { owner: owner.id, identity: kept.id }.fail();
+                return OtherOwnerSnafu {
+                    owner: owner.id,
+                    identity: kept.id,
+                }
+                .fail();
             }
             // Written by an earlier release.
             (Some(kept), None) if !ledger.records.is_empty() => Some(kept),
             // What it promised is forgotten: it comes back as somebody else, with no say.
-            (Some(_), None) => return Ok(Self { bootstrap: false, ..self.clone() }.identity(None)),
+            (Some(_), None) => {
+                return Ok(Self {
+                    bootstrap: false,
+                    ..self.clone()
+                }
+                .identity(None))
+            }
         };
         Ok(self.identity(known))
     }
@@ -180,6 +205,7 @@
     let read = |(record, bytes): (usize, &Vec<u8>)| {
         protocol::read_one::<Identity>(bytes).context(UnreadableSnafu { record })
     };
-    let identities: Result<Vec<Identity>, IdentityError> = records.iter().enumerate().map(read).collect();
+    let identities: Result<Vec<Identity>, IdentityError> =
+        records.iter().enumerate().map(read).collect();
     Ok(identities?.pop())
 }
--- a/crates/control-plane/src/shell/inbound.rs
+++ b/crates/control-plane/src/shell/inbound.rs
@@ -41,7 +41,9 @@
 async fn inbound(stream: TcpStream, links: Links, feed: Arc<Feed>) -> std::io::Result<()> {
     connection::ready(&stream)?;
     let mut frames = FrameReader::new(stream, Vec::new());
-    let Some(first) = timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await?? else { return Ok(()) };
+    let Some(first) = timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await?? else {
+        return Ok(());
+    };
     let (seat, first) = match first {
         Message::Hello { seat } => match timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await?? {
             Some(first) => (seat, first),
@@ -53,11 +55,16 @@
     match first {
         pull @ Message::Pull { .. } => {
             let buffer = [protocol::encode(&pull), rest].concat();
-            replication::serve(stream, buffer, feed.shared().clone(), |caller| feed.pulled(caller)).await
+            replication::serve(stream, buffer, feed.shared().clone(), |caller| {
+                feed.pulled(caller)
+            })
+            .await
         }
         first if seat.id != 0 => {
             let (input, output) = stream.into_split();
-            links.serve(seat, first, FrameReader::new(input, rest), output).await
+            links
+                .serve(seat, first, FrameReader::new(input, rest), output)
+                .await
         }
         _ => Ok(()),
     }
--- a/crates/control-plane/src/shell/links/dial.rs
+++ b/crates/control-plane/src/shell/links/dial.rs
@@ -37,7 +37,10 @@
 
 impl Liveness {
     fn new() -> Self {
-        Self { heard: Cell::new(Instant::now()), written: Cell::new(0) }
+        Self {
+            heard: Cell::new(Instant::now()),
+            written: Cell::new(0),
+        }
     }
 
     fn hear(&self) {
@@ -46,7 +49,8 @@
     }
 
     fn wrote(&self, bytes: usize) {
-        self.written.set((self.written.get() + bytes).min(MAX_ON_THEIR_WAY));
+        self.written
+            .set((self.written.get() + bytes).min(MAX_ON_THEIR_WAY));
     }
 
     /// How long nothing came.
@@ -56,7 +60,9 @@
 
     /// How long nothing came, beyond the time that what was written may need.
     fn unexplained_silence(&self) -> Duration {
-        self.silence().saturating_sub(Duration::from_secs_f64(self.written.get() as f64 / MIN_RATE))
+        self.silence().saturating_sub(Duration::from_secs_f64(
+            self.written.get() as f64 / MIN_RATE,
+        ))
     }
 }
 
@@ -121,18 +127,28 @@
     /// One connection from its start to its end; whether it came up.
     async fn connect(&self, peer: &Peer, lane: Lane) -> bool {
         let addr = SocketAddr::V4(SocketAddrV4::from(&peer.addr));
-        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await else { return false };
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await else {
+            return false;
+        };
         if let Err(e) = ready(&stream) {
             log::debug!(error:% = e; "socket options");
         }
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input, Vec::new());
-        let hello = protocol::encode(&Message::Hello { seat: self.inner.me.clone() });
-        let peers = protocol::encode(&Message::Peers { seats: self.seats() });
-        if write_all(&mut output, &[hello, peers].concat()).await.is_err() {
+        let hello = protocol::encode(&Message::Hello {
+            seat: self.inner.me.clone(),
+        });
+        let peers = protocol::encode(&Message::Peers {
+            seats: self.seats(),
+        });
+        if write_all(&mut output, &[hello, peers].concat())
+            .await
+            .is_err()
+        {
             return false;
         }
-        let Ok(Ok(Some(Message::Hello { seat }))) = timeout(SILENCE_TIMEOUT, frames.next()).await else {
+        let Ok(Ok(Some(Message::Hello { seat }))) = timeout(SILENCE_TIMEOUT, frames.next()).await
+        else {
             return false;
         };
         let state = peer.lane(lane);
@@ -151,7 +167,10 @@
             () = self.speak(state, seat.id, output, &liveness, &unsent) => {}
             () = self.watch(state, &liveness) => {}
         }
-        unsent.into_inner().into_iter().for_each(|unsent| state.put_back(unsent));
+        unsent
+            .into_inner()
+            .into_iter()
+            .for_each(|unsent| state.put_back(unsent));
         peer.state.borrow_mut().reached = Instant::now();
         true
     }
@@ -195,7 +214,10 @@
             }
             let frame = next.frame.clone();
             unsent.replace(Some(next));
-            if write_all_counting(&mut output, &frame, |bytes| liveness.wrote(bytes)).await.is_err() {
+            if write_all_counting(&mut output, &frame, |bytes| liveness.wrote(bytes))
+                .await
+                .is_err()
+            {
                 return;
             }
             unsent.take();
@@ -231,7 +253,9 @@
         log::info!(peer:% = seat.name, addr:? = SocketAddrV4::from(&peer.addr); "link up");
         self.tell(LinkEvent::Hello(seat));
         // The others hear of it.
-        let news = Message::Peers { seats: self.seats() };
+        let news = Message::Peers {
+            seats: self.seats(),
+        };
         let others: Vec<Rc<Peer>> = self.inner.peers.borrow().values().cloned().collect();
         for other in others.iter().filter(|o| o.addr != peer.addr && o.is_up()) {
             self.push(other, 0, &news);
--- a/crates/control-plane/src/shell/links/lane.rs
+++ b/crates/control-plane/src/shell/links/lane.rs
@@ -80,7 +80,11 @@
             return dropped + 1;
         }
         queue.bytes += frame.len();
-        queue.frames.push_back(Queued { since: Instant::now(), to, frame: Rc::new(frame) });
+        queue.frames.push_back(Queued {
+            since: Instant::now(),
+            to,
+            frame: Rc::new(frame),
+        });
         drop(queue);
         self.wake.notify_one();
         dropped
@@ -90,7 +94,10 @@
     pub(super) fn put_back(&self, unsent: Queued) {
         let mut queue = self.queue.borrow_mut();
         queue.bytes += unsent.frame.len();
-        queue.frames.push_front(Queued { since: Instant::now(), ..unsent });
+        queue.frames.push_front(Queued {
+            since: Instant::now(),
+            ..unsent
+        });
     }
 
     /// Drops what has waited too long for a connection; how many.
--- a/crates/control-plane/src/shell/links/mod.rs
+++ b/crates/control-plane/src/shell/links/mod.rs
@@ -77,8 +77,18 @@
 
 impl Peer {
     fn new(addr: Addr) -> Self {
-        let state = PeerState { seat: None, seed: false, reached: Instant::now(), wanted: true };
-        Self { addr, state: RefCell::new(state), control: LaneState::default(), data: LaneState::default() }
+        let state = PeerState {
+            seat: None,
+            seed: false,
+            reached: Instant::now(),
+            wanted: true,
+        };
+        Self {
+            addr,
+            state: RefCell::new(state),
+            control: LaneState::default(),
+            data: LaneState::default(),
+        }
     }
 
     fn lane(&self, lane: Lane) -> &LaneState {
@@ -98,7 +108,14 @@
     /// Links of the member in `me`; what comes goes to `heard`. Runs on a `LocalSet`.
     pub fn new(me: MemberInfo, heard: impl Fn(LinkEvent) + 'static) -> Self {
         let (peers, counters) = Default::default();
-        Self { inner: Rc::new(Inner { me, heard: Box::new(heard), peers, counters }) }
+        Self {
+            inner: Rc::new(Inner {
+                me,
+                heard: Box::new(heard),
+                peers,
+                counters,
+            }),
+        }
     }
 
     /// Makes `seeds` the addresses that are dialled whatever happens.
@@ -122,7 +139,9 @@
 
     /// Sends a message over the link to a member, or drops it where the member can't be reached.
     pub fn send(&self, to: &MemberInfo, message: &Message) {
-        let Some(peer) = self.peer(to.addr) else { return };
+        let Some(peer) = self.peer(to.addr) else {
+            return;
+        };
         {
             let state = peer.state.borrow();
             // Whoever sits there now isn't the one who is spoken to.
@@ -161,7 +180,13 @@
         mut frames: FrameReader<impl AsyncRead + Unpin>,
         mut output: impl AsyncWrite + Unpin,
     ) -> std::io::Result<()> {
-        write_all(&mut output, &protocol::encode(&Message::Hello { seat: self.inner.me.clone() })).await?;
+        write_all(
+            &mut output,
+            &protocol::encode(&Message::Hello {
+                seat: self.inner.me.clone(),
+            }),
+        )
+        .await?;
         self.learn(std::slice::from_ref(&seat));
         self.tell(LinkEvent::Hello(seat.clone()));
         let mut next = Step::Message(Box::new(first));
@@ -187,7 +212,9 @@
         match message {
             Message::Peers { seats } => {
                 self.learn(&seats);
-                let answer = Message::Peers { seats: self.seats() };
+                let answer = Message::Peers {
+                    seats: self.seats(),
+                };
                 write_all(output, &protocol::encode(&answer)).await
             }
             message => {
--- a/crates/control-plane/src/shell/mod.rs
+++ b/crates/control-plane/src/shell/mod.rs
@@ -110,7 +110,9 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), Failure> {
     let tasks = LocalSet::new();
-    tasks.run_until(start::run_member(boot, tuning, seeds, stop)).await
+    tasks
+        .run_until(start::run_member(boot, tuning, seeds, stop))
+        .await
 }
 
 /// Where the other tasks put their events.
--- a/crates/control-plane/src/shell/outputs.rs
+++ b/crates/control-plane/src/shell/outputs.rs
@@ -12,9 +12,22 @@
     pub(super) fn carry_out(&mut self, output: Output) {
         match output {
             Output::Send { to, message } => self.links.send(&to, &message),
-            Output::Write { ticket, records, rewrite } => self.write(ticket, records, rewrite),
+            Output::Write {
+                ticket,
+                records,
+                rewrite,
+            } => self.write(ticket, records, rewrite),
             Output::Answer { ticket, code, body } => self.answer_caller(ticket, code, body),
-            Output::Publish { seq, document, drains } | Output::Restore { seq, document, drains } => {
+            Output::Publish {
+                seq,
+                document,
+                drains,
+            }
+            | Output::Restore {
+                seq,
+                document,
+                drains,
+            } => {
                 self.show_ledger(seq, document, &drains);
             }
             Output::Wake { at } => self.wake_by(at),
@@ -23,7 +36,12 @@
     }
 
     fn write(&self, ticket: u64, records: Vec<Vec<u8>>, rewrite: bool) {
-        let write = disk::Write { ticket, records, rewrite, file: disk::File::Ledger };
+        let write = disk::Write {
+            ticket,
+            records,
+            rewrite,
+            file: disk::File::Ledger,
+        };
         // The thread ends with the process only.
         let _ = self.disk.send(write);
     }
@@ -37,7 +55,8 @@
 
     fn show_ledger(&self, seq: u64, document: Arc<Document>, drains: &[String]) {
         self.history.borrow_mut().note(&document, SystemTime::now());
-        self.mirror.update(|mirror, _| mirror.set_ledger(seq, document, drains));
+        self.mirror
+            .update(|mirror, _| mirror.set_ledger(seq, document, drains));
     }
 
     fn wake_by(&mut self, at: Duration) {
--- a/crates/control-plane/src/shell/roster.rs
+++ b/crates/control-plane/src/shell/roster.rs
@@ -16,10 +16,25 @@
 
 /// Puts what was kept into the mirror, as a life of this member that is over.
 pub(super) fn recall(mirror: &SharedMirror, identity: &Identity, kept: Option<Vec<u8>>) {
-    let Some(source) = kept.and_then(|k| protocol::read_one::<SourceNews>(&k).ok()) else { return };
-    let mark = Mark { id: identity.id, life: identity.life.saturating_sub(1), seq: 1 };
-    let source = SourceNews { mark, whole: true, coordinators: Vec::new(), ..source };
-    let news = News { age_ms: u32::MAX, sources: vec![source], ..News::default() };
+    let Some(source) = kept.and_then(|k| protocol::read_one::<SourceNews>(&k).ok()) else {
+        return;
+    };
+    let mark = Mark {
+        id: identity.id,
+        life: identity.life.saturating_sub(1),
+        seq: 1,
+    };
+    let source = SourceNews {
+        mark,
+        whole: true,
+        coordinators: Vec::new(),
+        ..source
+    };
+    let news = News {
+        age_ms: u32::MAX,
+        sources: vec![source],
+        ..News::default()
+    };
     mirror.update(|mirror, now| mirror.apply(now, &news));
 }
 
@@ -31,13 +46,30 @@
         let snapshot = news.borrow_and_update().clone();
         let there = snapshot.hosts.values().filter(|h| h.phase == phase::READY);
         // Numbers of calls rise all the time and say nothing of whether a host is there.
-        let hosts: Vec<HostRecord> =
-            there.map(|h| HostRecord { call_seq: 0, cold_left_ms: 0, silent: false, ..h.clone() }).collect();
+        let hosts: Vec<HostRecord> = there
+            .map(|h| HostRecord {
+                call_seq: 0,
+                cold_left_ms: 0,
+                silent: false,
+                ..h.clone()
+            })
+            .collect();
         if hosts != kept {
             kept.clone_from(&hosts);
-            let source = SourceNews { hosts, ..SourceNews::default() };
+            let source = SourceNews {
+                hosts,
+                ..SourceNews::default()
+            };
             let records = vec![protocol::write_one(&source)];
-            if disk.send(Write { ticket: 0, records, rewrite: true, file: File::Roster }).is_err() {
+            if disk
+                .send(Write {
+                    ticket: 0,
+                    records,
+                    rewrite: true,
+                    file: File::Roster,
+                })
+                .is_err()
+            {
                 return;
             }
         }
--- a/crates/control-plane/src/shell/seeds.rs
+++ b/crates/control-plane/src/shell/seeds.rs
@@ -15,10 +15,16 @@
     port: u16,
 ) {
     loop {
-        let now: Vec<SocketAddrV4> = seeds.borrow_and_update().iter().map(|s| inner(*s, port)).collect();
+        let now: Vec<SocketAddrV4> = seeds
+            .borrow_and_update()
+            .iter()
+            .map(|s| inner(*s, port))
+            .collect();
         links.set_seeds(&now);
         // The puller ends with the process.
-        let _ = pulls.send(client::Control::Seeds(now.iter().map(|s| (*s).into()).collect()));
+        let _ = pulls.send(client::Control::Seeds(
+            now.iter().map(|s| (*s).into()).collect(),
+        ));
         if seeds.changed().await.is_err() {
             return std::future::pending().await;
         }
--- a/crates/control-plane/src/shell/start.rs
+++ b/crates/control-plane/src/shell/start.rs
@@ -9,7 +9,9 @@
 use super::status::ShownFleet;
 use super::transitions::{self, Recorder};
 use super::{inbound, roster, seeds};
-use super::{Event, Events, Failure, ListenSnafu, NoControlSnafu, NoDiskSnafu, ThreadSnafu, Tuning};
+use super::{
+    Event, Events, Failure, ListenSnafu, NoControlSnafu, NoDiskSnafu, ThreadSnafu, Tuning,
+};
 use crate::feed::Feed;
 use crate::history::History;
 use crate::member::{Config, Member};
@@ -72,7 +74,13 @@
     let (leave, leaving) = watch::channel(false);
     let (open_desk, opened) = watch::channel(None);
     let name = boot.node_name.clone();
-    let desk = CallRunner::new(name, events.clone(), tuning.patience, leaving.clone(), opened);
+    let desk = CallRunner::new(
+        name,
+        events.clone(),
+        tuning.patience,
+        leaving.clone(),
+        opened,
+    );
     spawn_local(Control::new(desk, most_callers(&boot), counters.clone(), leaving).listen(api));
     let disk = disk::start(dir, facts, tell).context(ThreadSnafu)?;
     let mut stop = pin!(stop);
@@ -93,13 +101,20 @@
     );
 
     let announced = events.clone();
-    let links = Links::new(me.clone(), move |heard| drop(events.send(Event::LinkEvent(heard))));
+    let links = Links::new(me.clone(), move |heard| {
+        drop(events.send(Event::LinkEvent(heard)))
+    });
     let beat = Duration::from_millis(boot.beat_period_ms);
     let mirror = SharedMirror::since(Mirror::new(identity.id, beat), origin);
     roster::recall(&mirror, &identity, roster);
     let feed = Feed::new(identity.id, identity.life, beat, mirror.clone());
     let history = Rc::new(RefCell::new(History::default()));
-    let inside = listen(boot.bind.member.unwrap_or_else(|| SocketAddrV4::from(&me.addr))).await?;
+    let inside = listen(
+        boot.bind
+            .member
+            .unwrap_or_else(|| SocketAddrV4::from(&me.addr)),
+    )
+    .await?;
     open_desk.send_replace(Some(Rc::new(OpenMember {
         me: me.clone(),
         life: identity.life,
@@ -114,9 +129,20 @@
     let (pulls, told) = unbounded_channel();
     let puller = Puller::new(&boot.node_name, usize::MAX, Some(me.addr));
     let caller = replication::caller(&boot, identity.id);
-    spawn_local(client::run(puller, me.clone(), caller, mirror.clone(), told));
+    spawn_local(client::run(
+        puller,
+        me.clone(),
+        caller,
+        mirror.clone(),
+        told,
+    ));
     spawn_local(roster::keep(mirror.clone(), disk.clone()));
-    spawn_local(seeds::follow(links.clone(), pulls, seeds, boot.port_range.0));
+    spawn_local(seeds::follow(
+        links.clone(),
+        pulls,
+        seeds,
+        boot.port_range.0,
+    ));
 
     let bootstrap_voters = Some(identity.initial_voters).filter(|voters| !voters.is_empty());
     let config = Config {
@@ -166,7 +192,9 @@
         port: boot.port_range.0,
         bootstrap: boot.bootstrap,
         random: random()?,
-        clock_ms: SystemTime::UNIX_EPOCH.elapsed().map_or(0, |d| d.as_millis() as u64),
+        clock_ms: SystemTime::UNIX_EPOCH
+            .elapsed()
+            .map_or(0, |d| d.as_millis() as u64),
     })
 }
 
@@ -192,7 +220,9 @@
     loop {
         sleep(pause).await;
         feed.tick();
-        history.borrow_mut().note(&feed.shared().snapshot().document, SystemTime::now());
+        history
+            .borrow_mut()
+            .note(&feed.shared().snapshot().document, SystemTime::now());
     }
 }
 
@@ -202,7 +232,10 @@
     loop {
         sleep(period).await;
         for seat in links.seats().into_iter().skip(1) {
-            if events.send(Event::LinkEvent(LinkEvent::Hello(seat))).is_err() {
+            if events
+                .send(Event::LinkEvent(LinkEvent::Hello(seat)))
+                .is_err()
+            {
                 return;
             }
         }
@@ -210,11 +243,17 @@
 }
 
 /// Waits until the disk has told who this member is and what it holds; none where its thread has ended.
-async fn open(queue: &mut UnboundedReceiver<Event>) -> Option<(Identity, Vec<Vec<u8>>, Option<Vec<u8>>)> {
+async fn open(
+    queue: &mut UnboundedReceiver<Event>,
+) -> Option<(Identity, Vec<Vec<u8>>, Option<Vec<u8>>)> {
     let mut refused = false;
     loop {
         match queue.recv().await? {
-            Event::Disk(DiskEvent::Open { identity, records, roster }) => {
+            Event::Disk(DiskEvent::Open {
+                identity,
+                records,
+                roster,
+            }) => {
                 return Some((identity, records, roster));
             }
             Event::Disk(DiskEvent::NotOpen { detail }) if !refused => {
@@ -240,7 +279,9 @@
 }
 
 fn random() -> Result<u64, Failure> {
-    getrandom::u64().map_err(|e| Failure::Random { detail: e.to_string() })
+    getrandom::u64().map_err(|e| Failure::Random {
+        detail: e.to_string(),
+    })
 }
 
 /// How long a member that is asked to end may wait for others to hold what it holds.
--- a/crates/control-plane/src/shell/status.rs
+++ b/crates/control-plane/src/shell/status.rs
@@ -35,7 +35,10 @@
             primary: self.member.primary(),
             promised: self.member.promised(),
             fit: self.member.fit(),
-            age: self.member.proof(now).map(|proof| now.saturating_sub(proof.at)),
+            age: self
+                .member
+                .proof(now)
+                .map(|proof| now.saturating_sub(proof.at)),
         }
     }
 
@@ -43,12 +46,27 @@
     pub(super) fn show(&mut self) {
         let now = self.origin.elapsed();
         let proof = self.member.proof(now);
-        let Some(view) = self.member.view().filter(|v| v.epoch > 0) else { return };
+        let Some(view) = self.member.view().filter(|v| v.epoch > 0) else {
+            return;
+        };
         let reached = self.links.seats();
-        let seat = |voter: &MemberInfo| reached.iter().find(|s| s.id == voter.id).unwrap_or(voter).clone();
-        let others = reached.iter().filter(|s| view.seat(s.id).is_none()).cloned();
+        let seat = |voter: &MemberInfo| {
+            reached
+                .iter()
+                .find(|s| s.id == voter.id)
+                .unwrap_or(voter)
+                .clone()
+        };
+        let others = reached
+            .iter()
+            .filter(|s| view.seat(s.id).is_none())
+            .cloned();
         let members = view.voters.iter().map(seat).chain(others).collect();
-        let known = ShownFleet { epoch: view.epoch, primary: view.primary, members };
+        let known = ShownFleet {
+            epoch: view.epoch,
+            primary: view.primary,
+            members,
+        };
         let news = known != self.known;
         self.mirror.update(|mirror, _| {
             if news {
--- a/crates/control-plane/src/shell/transitions/compare.rs
+++ b/crates/control-plane/src/shell/transitions/compare.rs
@@ -46,15 +46,24 @@
 fn promised(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
     let epoch = after.promised;
     let own = match after.role {
-        RoleSummary::Candidate { epoch: own, .. } | RoleSummary::Primary { epoch: own, .. } => own == epoch,
+        RoleSummary::Candidate { epoch: own, .. } | RoleSummary::Primary { epoch: own, .. } => {
+            own == epoch
+        }
         RoleSummary::Idle => false,
     };
     let risen = epoch > before.promised && !own;
-    risen.then(|| Transition::Promised { epoch, view: after.view.clone() })
+    risen.then(|| Transition::Promised {
+        epoch,
+        view: after.view.clone(),
+    })
 }
 
 fn accepted(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
-    let Some(view) = after.view.as_ref().filter(|_| epoch_of(after) > epoch_of(before)) else {
+    let Some(view) = after
+        .view
+        .as_ref()
+        .filter(|_| epoch_of(after) > epoch_of(before))
+    else {
         return Vec::new();
     };
     let old: &[MemberInfo] = before.view.as_ref().map_or(&view.voters, |v| &v.voters);
@@ -67,7 +76,10 @@
         before: was,
     }];
     let seq = after.ledger.filter(|_| position == Position::Replica);
-    transitions.extend(seq.map(|seq| Transition::SnapshotTaken { epoch: view.epoch, seq }));
+    transitions.extend(seq.map(|seq| Transition::SnapshotTaken {
+        epoch: view.epoch,
+        seq,
+    }));
     transitions
 }
 
@@ -77,7 +89,11 @@
 
 /// Those of `seats` that aren't among `others`.
 fn beyond(seats: &[MemberInfo], others: &[MemberInfo]) -> Vec<MemberInfo> {
-    seats.iter().filter(|s| !others.iter().any(|o| o.id == s.id)).cloned().collect()
+    seats
+        .iter()
+        .filter(|s| !others.iter().any(|o| o.id == s.id))
+        .cloned()
+        .collect()
 }
 
 fn taken_role(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
@@ -96,14 +112,19 @@
                 (_, Some(asked)) if asked == epoch => Vec::new(),
                 (Some(from), _) => vec![Transition::ViewChangeStarted { from, epoch }],
                 _ if epoch == 0 => {
-                    vec![Transition::ElectionStarted { view: epoch_of(after).unwrap_or(0) }]
+                    vec![Transition::ElectionStarted {
+                        view: epoch_of(after).unwrap_or(0),
+                    }]
                 }
                 _ => vec![Transition::PromisesRequested { epoch }],
             }
         }
         RoleSummary::Primary { epoch, leased } => {
             let same = was_leading == Some(epoch);
-            let won = (!same).then_some(Transition::ElectionWon { epoch, ledger: after.ledger });
+            let won = (!same).then_some(Transition::ElectionWon {
+                epoch,
+                ledger: after.ledger,
+            });
             let lease = match (same && was_leased, leased) {
                 (false, true) => Some(Transition::LeaseHeld { epoch }),
                 (true, false) => Some(Transition::LeaseLapsed { epoch }),
@@ -119,30 +140,52 @@
     // Whoever won has taken the lease's place.
     let leads = matches!(after.role, RoleSummary::Primary { .. });
     let primary = holder(before, ended);
-    (!leads).then_some(Transition::LeaseOver { primary, epoch: ended.epoch })
+    (!leads).then_some(Transition::LeaseOver {
+        primary,
+        epoch: ended.epoch,
+    })
 }
 
 fn lease_granted(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
     let grant = after.grant.filter(|g| before.grant != Some(*g))?;
-    Some(Transition::LeaseGranted { primary: holder(after, grant), epoch: grant.epoch })
+    Some(Transition::LeaseGranted {
+        primary: holder(after, grant),
+        epoch: grant.epoch,
+    })
 }
 
 fn holder(summary: &MemberSummary, grant: GrantSummary) -> MemberInfo {
     let known = summary.view.as_ref().and_then(|v| v.seat(grant.primary));
-    known.cloned().unwrap_or_else(|| MemberInfo { id: grant.primary, ..MemberInfo::default() })
+    known.cloned().unwrap_or_else(|| MemberInfo {
+        id: grant.primary,
+        ..MemberInfo::default()
+    })
 }
 
 /// The change of state that an output of the state machine stands for.
 pub fn of_output(output: &Output) -> Option<Transition> {
     match output {
-        Output::Restore { seq, document, .. } => {
-            Some(Transition::LedgerRestored { seq: *seq, version: document.version })
-        }
-        Output::Send { to, message: Message::InstallView { view, snapshot: Some(snapshot) } } => {
+        Output::Restore { seq, document, .. } => Some(Transition::LedgerRestored {
+            seq: *seq,
+            version: document.version,
+        }),
+        Output::Send {
+            to,
+            message:
+                Message::InstallView {
+                    view,
+                    snapshot: Some(snapshot),
+                },
+        } => {
             let (to, epoch, seq) = (to.clone(), view.epoch, snapshot.seq);
             Some(Transition::SnapshotSent { to, epoch, seq })
         }
-        Output::Send { to, message: Message::LedgerReply { epoch, snapshot, .. } } => {
+        Output::Send {
+            to,
+            message: Message::LedgerReply {
+                epoch, snapshot, ..
+            },
+        } => {
             let (to, epoch, seq) = (to.clone(), *epoch, snapshot.seq);
             Some(Transition::SnapshotSent { to, epoch, seq })
         }
--- a/crates/control-plane/src/shell/transitions/lines.rs
+++ b/crates/control-plane/src/shell/transitions/lines.rs
@@ -67,8 +67,12 @@
         Transition::LedgerRestored { seq, version } => {
             log::info!(target: TARGET, seq, version; "ledger restored, not confirmed by a primary yet");
         }
-        Transition::ElectionStarted { view } => log::info!(target: TARGET, view; "stands for election"),
-        Transition::PromisesRequested { epoch } => log::info!(target: TARGET, epoch; "asks for promises"),
+        Transition::ElectionStarted { view } => {
+            log::info!(target: TARGET, view; "stands for election")
+        }
+        Transition::PromisesRequested { epoch } => {
+            log::info!(target: TARGET, epoch; "asks for promises")
+        }
         Transition::ViewChangeStarted { from, epoch } => {
             log::info!(target: TARGET, epoch, from; "changes its view")
         }
@@ -81,7 +85,9 @@
         Transition::LeaseHeld { epoch } => {
             log::info!(target: TARGET, epoch; "holds the lease: acts as primary")
         }
-        Transition::LeaseLapsed { epoch } => log::warn!(target: TARGET, epoch; "lease lapsed: doesn't act"),
+        Transition::LeaseLapsed { epoch } => {
+            log::warn!(target: TARGET, epoch; "lease lapsed: doesn't act")
+        }
         Transition::SteppedDown { epoch, cause } => {
             log::warn!(target: TARGET, epoch, cause:?; "primary no longer")
         }
@@ -89,8 +95,18 @@
             let candidate = view.as_ref().and_then(|view| candidate_of(*epoch, view));
             log::info!(target: TARGET, epoch, candidate:% = Names(candidate.into_iter().collect()); "promised an epoch");
         }
-        Transition::ViewAccepted { view, added, removed, position, before } => {
-            let replicas = view.replicas.iter().filter_map(|id| view.seat(*id)).collect();
+        Transition::ViewAccepted {
+            view,
+            added,
+            removed,
+            position,
+            before,
+        } => {
+            let replicas = view
+                .replicas
+                .iter()
+                .filter_map(|id| view.seat(*id))
+                .collect();
             log::info!(target: TARGET, epoch = view.epoch,
                 primary:% = Names(view.seat(view.primary).into_iter().collect()),
                 replicas:% = Names(replicas),
@@ -103,7 +119,9 @@
                 "view accepted"
             );
         }
-        Transition::SnapshotTaken { epoch, seq } => log::info!(target: TARGET, epoch, seq; "snapshot taken"),
+        Transition::SnapshotTaken { epoch, seq } => {
+            log::info!(target: TARGET, epoch, seq; "snapshot taken")
+        }
         Transition::SnapshotSent { to, epoch, seq } => {
             log::info!(target: TARGET, epoch, seq, to:% = Name(to); "snapshot sent");
         }
@@ -113,9 +131,15 @@
         Transition::LeaseOver { primary, epoch } => {
             log::info!(target: TARGET, epoch, primary:% = Name(primary); "lease of the primary is over");
         }
-        Transition::Disk { state: DiskState::Fit } => log::info!(target: TARGET, "disk takes writes again"),
-        Transition::Disk { state: DiskState::Refused } => log::warn!(target: TARGET, "disk refuses writes"),
-        Transition::Disk { state: DiskState::Stalled } => log::warn!(target: TARGET, "disk stalls"),
+        Transition::Disk {
+            state: DiskState::Fit,
+        } => log::info!(target: TARGET, "disk takes writes again"),
+        Transition::Disk {
+            state: DiskState::Refused,
+        } => log::warn!(target: TARGET, "disk refuses writes"),
+        Transition::Disk {
+            state: DiskState::Stalled,
+        } => log::warn!(target: TARGET, "disk stalls"),
         Transition::Leaving => log::info!(target: TARGET, "member leaves"),
     }
 }
--- a/crates/control-plane/src/shell/transitions/recorder.rs
+++ b/crates/control-plane/src/shell/transitions/recorder.rs
@@ -35,7 +35,11 @@
 impl Recorder {
     /// For a member that hasn't taken a step yet.
     pub fn new(member: &Member) -> Self {
-        Self { last: member.summary(None), counters: TransitionCounters::default(), standing: false }
+        Self {
+            last: member.summary(None),
+            counters: TransitionCounters::default(),
+            standing: false,
+        }
     }
 
     /// What the member was after its last step.
@@ -72,7 +76,10 @@
     fn worth_telling(&mut self, transition: &Transition) -> bool {
         match transition {
             Transition::ElectionStarted { .. } => !std::mem::replace(&mut self.standing, true),
-            Transition::ElectionAbandoned { phase: ElectionPhase::PreVote, .. } => false,
+            Transition::ElectionAbandoned {
+                phase: ElectionPhase::PreVote,
+                ..
+            } => false,
             _ => {
                 self.standing = false;
                 true
@@ -86,11 +93,16 @@
             Transition::ElectionStarted { .. } => &mut counters.elections,
             Transition::ElectionWon { .. } => &mut counters.elections_won,
             Transition::LeaseLapsed { .. } => &mut counters.leases_lost,
-            Transition::SteppedDown { cause: StepDownCause::LeaseEnded, .. } => &mut counters.leases_lost,
+            Transition::SteppedDown {
+                cause: StepDownCause::LeaseEnded,
+                ..
+            } => &mut counters.leases_lost,
             Transition::ViewAccepted { .. } => &mut counters.views,
             Transition::SnapshotSent { .. } => &mut counters.snapshots_sent,
             Transition::SnapshotTaken { .. } => &mut counters.snapshots_taken,
-            Transition::Disk { state: DiskState::Refused | DiskState::Stalled } => &mut counters.disk_faults,
+            Transition::Disk {
+                state: DiskState::Refused | DiskState::Stalled,
+            } => &mut counters.disk_faults,
             _ => return,
         };
         *counter += 1;
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -38,7 +38,11 @@
 #[case::list(Some("7, 7"), Err(Code::NoBase))]
 fn bases(#[case] text: Option<&str>, #[case] base: Result<u64, Code>) {
     let body = Bytes::from_static(b"{}");
-    let call = base.map(|base| Call::Configure { base, amend: true, body: body.clone() });
+    let call = base.map(|base| Call::Configure {
+        base,
+        amend: true,
+        body: body.clone(),
+    });
     assert_eq!(Head::Amend.with(text, body), call);
 }
 
@@ -49,5 +53,8 @@
 #[case("/fennelpin/Hosts.Other/i-1", b"{}", Err(Code::NoSuchCall))]
 fn hosts(#[case] path: &str, #[case] body: &'static [u8], #[case] call: Result<HostCall, Code>) {
     let head = Head::read(&Method::POST, path).unwrap();
-    assert_eq!(head.with(None, Bytes::from_static(body)), call.map(Call::Host));
+    assert_eq!(
+        head.with(None, Bytes::from_static(body)),
+        call.map(Call::Host)
+    );
 }
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -9,7 +9,10 @@
 const VIEW_EPOCH: u64 = 2 << 20 | 2;
 
 fn member(id: u64) -> MemberInfo {
-    let addr = Addr { ip: id as u32, port: 7 };
+    let addr = Addr {
+        ip: id as u32,
+        port: 7,
+    };
     MemberInfo {
         id,
         name: format!("core-{id}"),
@@ -36,7 +39,10 @@
             for output in outputs {
                 match output {
                     Output::Send { to, message } => self.sent.push((to.id, message)),
-                    Output::Write { ticket, .. } => inputs.push(Input::Wrote { ticket, result: Ok(()) }),
+                    Output::Write { ticket, .. } => inputs.push(Input::Wrote {
+                        ticket,
+                        result: Ok(()),
+                    }),
                     _ => {}
                 }
             }
@@ -44,7 +50,10 @@
     }
 
     fn hear(&mut self, from: u64, message: Message) {
-        self.input(Input::Message { from: member(from), message });
+        self.input(Input::Message {
+            from: member(from),
+            message,
+        });
     }
 
     fn prepared(&self) -> Option<u64> {
@@ -56,11 +65,25 @@
 
     fn promise_of(&mut self, from: u64, epoch: u64) {
         let voters: Vec<MemberInfo> = (1..=3).map(member).collect();
-        let view =
-            View { epoch: VIEW_EPOCH, primary: 2, replicas: vec![2, 1, 3], before: voters.clone(), voters };
-        let tag = Some(LedgerPosition { epoch: VIEW_EPOCH, seq: 0 });
-        let promise =
-            Message::Promise { epoch, granted: true, seen: epoch, view: Some(view), tag, wait_ms: 0 };
+        let view = View {
+            epoch: VIEW_EPOCH,
+            primary: 2,
+            replicas: vec![2, 1, 3],
+            before: voters.clone(),
+            voters,
+        };
+        let tag = Some(LedgerPosition {
+            epoch: VIEW_EPOCH,
+            seq: 0,
+        });
+        let promise = Message::Promise {
+            epoch,
+            granted: true,
+            seen: epoch,
+            view: Some(view),
+            tag,
+            wait_ms: 0,
+        };
         self.hear(from, promise);
     }
 }
@@ -71,22 +94,58 @@
     let config = Config {
         me: member(1),
         bootstrap_voters: Some((1..=3).map(member).collect()),
-        budget: FaultBudget { machine_losses: 2, zones: 0, region_losses: 0 },
+        budget: FaultBudget {
+            machine_losses: 2,
+            zones: 0,
+            region_losses: 0,
+        },
         lease: Duration::from_millis(1000),
         patience: Duration::from_millis(3500),
         stall: Duration::from_millis(600),
     };
     let now = Duration::from_secs(1);
-    let mut candidate = Candidate { member: Member::new(config, &[], now, 1), now, sent: Vec::new() };
+    let mut candidate = Candidate {
+        member: Member::new(config, &[], now, 1),
+        now,
+        sent: Vec::new(),
+    };
     candidate.now += Duration::from_secs(2);
     candidate.input(Input::Tick);
-    candidate.hear(2, Message::PreVoteReply { willing: true, seen: 0, wait_ms: 0 });
+    candidate.hear(
+        2,
+        Message::PreVoteReply {
+            willing: true,
+            seen: 0,
+            wait_ms: 0,
+        },
+    );
     let epoch = candidate.prepared().expect("it asks for promises");
     candidate.promise_of(2, epoch);
-    assert!(candidate.sent.contains(&(2, Message::FetchLedger { epoch })), "{:?}", candidate.sent);
+    assert!(
+        candidate
+            .sent
+            .contains(&(2, Message::FetchLedger { epoch })),
+        "{:?}",
+        candidate.sent
+    );
     candidate.promise_of(3, epoch);
-    let tag = LedgerPosition { epoch: VIEW_EPOCH, seq: 0 };
-    candidate.hear(2, Message::LedgerReply { epoch, tag, snapshot: Ledger::default().snapshot() });
-    let told = |id| candidate.sent.iter().any(|s| s.0 == id && matches!(s.1, Message::InstallView { .. }));
+    let tag = LedgerPosition {
+        epoch: VIEW_EPOCH,
+        seq: 0,
+    };
+    candidate.hear(
+        2,
+        Message::LedgerReply {
+            epoch,
+            tag,
+            snapshot: Ledger::default().snapshot(),
+        },
+    );
+    let told = |id| {
+        candidate
+            .sent
+            .iter()
+            .any(|s| s.0 == id && matches!(s.1, Message::InstallView { .. }))
+    };
     assert!(told(2) && told(3), "{:?}", candidate.sent);
 }
--- a/crates/control-plane/tests/client/mod.rs
+++ b/crates/control-plane/tests/client/mod.rs
@@ -22,7 +22,10 @@
     body: &str,
 ) -> std::io::Result<Answer> {
     let mut stream = TcpStream::connect(to).await?;
-    let headers: String = headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
+    let headers: String = headers
+        .iter()
+        .map(|(name, value)| format!("{name}: {value}\r\n"))
+        .collect();
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\nContent-Length: {length}\r\n{headers}\r\n"
@@ -37,7 +40,10 @@
 fn read(answer: &str) -> Option<Answer> {
     let (head, body) = answer.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
-    Some(Answer { status, body: body.into() })
+    Some(Answer {
+        status,
+        body: body.into(),
+    })
 }
 
 /// Makes a call again and again until its answer will do.
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -23,7 +23,11 @@
 
 /// What may be lost: machines, zones, regions.
 pub const fn budget(machine_losses: u32, zones: u32, region_losses: u32) -> FaultBudget {
-    FaultBudget { machine_losses, zones, region_losses }
+    FaultBudget {
+        machine_losses,
+        zones,
+        region_losses,
+    }
 }
 
 #[derive(Clone)]
@@ -139,7 +143,10 @@
 
     fn machine(&mut self, zone: &str) -> usize {
         let n = self.nodes.len();
-        let addr = Addr { ip: 0x0a00_0001 + n as u32, port: 7660 };
+        let addr = Addr {
+            ip: 0x0a00_0001 + n as u32,
+            port: 7660,
+        };
         let (region, zone) = zone.split_once('/').unwrap();
         let seat = MemberInfo {
             id: n as u64 + 1,
@@ -237,7 +244,10 @@
         let life = self.nodes[n].life;
         let node = &mut self.nodes[n];
         for (_, _, event) in self.queue.values().filter(|e| e.0 == n && e.1 == life) {
-            if let Event::Wrote { records, rewrite, .. } = event {
+            if let Event::Wrote {
+                records, rewrite, ..
+            } = event
+            {
                 if *rewrite {
                     node.records.clear();
                 }
@@ -276,7 +286,12 @@
     }
 
     pub fn view(&self, n: usize) -> View {
-        self.nodes[n].member.as_ref().and_then(Member::view).cloned().unwrap_or_default()
+        self.nodes[n]
+            .member
+            .as_ref()
+            .and_then(Member::view)
+            .cloned()
+            .unwrap_or_default()
     }
 
     pub fn acts(&self, n: usize) -> bool {
@@ -295,7 +310,10 @@
     /// Machines that are replicas in the primary's view, the primary first.
     pub fn replicas(&self) -> Vec<usize> {
         let view = self.current();
-        view.replicas.iter().filter_map(|id| self.nodes.iter().position(|n| n.seat.id == *id)).collect()
+        view.replicas
+            .iter()
+            .filter_map(|id| self.nodes.iter().position(|n| n.seat.id == *id))
+            .collect()
     }
 
     pub fn votes(&self, n: usize) -> bool {
@@ -305,7 +323,8 @@
     fn push(&mut self, after: Duration, node: usize, event: Event) {
         self.events += 1;
         let life = self.nodes[node].life;
-        self.queue.insert((self.now + after, self.events), (node, life, event));
+        self.queue
+            .insert((self.now + after, self.events), (node, life, event));
     }
 
     fn step(&mut self, n: usize, input: Input) {
@@ -326,18 +345,48 @@
     fn perform(&mut self, n: usize, output: Output) {
         match output {
             Output::Send { to, message } => {
-                let Some(to) = self.nodes.iter().position(|m| m.seat.addr == to.addr) else { return };
-                let lost = self.loses.as_ref().is_some_and(|loses| loses(n, to, &message));
-                if !lost && !self.nodes[n].cut && !self.nodes[to].cut && self.nodes[to].member.is_some() {
+                let Some(to) = self.nodes.iter().position(|m| m.seat.addr == to.addr) else {
+                    return;
+                };
+                let lost = self
+                    .loses
+                    .as_ref()
+                    .is_some_and(|loses| loses(n, to, &message));
+                if !lost
+                    && !self.nodes[n].cut
+                    && !self.nodes[to].cut
+                    && self.nodes[to].member.is_some()
+                {
                     let from = self.nodes[n].seat.clone();
-                    self.push(NETWORK, to, Event::Deliver { from, message: Box::new(message) });
+                    self.push(
+                        NETWORK,
+                        to,
+                        Event::Deliver {
+                            from,
+                            message: Box::new(message),
+                        },
+                    );
                 }
             }
-            Output::Write { ticket, records, rewrite } => {
+            Output::Write {
+                ticket,
+                records,
+                rewrite,
+            } => {
                 let time = self.slow_disks.get(&n).copied().unwrap_or(DISK);
-                self.push(time, n, Event::Wrote { ticket, records, rewrite });
+                self.push(
+                    time,
+                    n,
+                    Event::Wrote {
+                        ticket,
+                        records,
+                        rewrite,
+                    },
+                );
+            }
+            Output::Answer { ticket, code, body } => {
+                drop(self.answers.insert(ticket, (code, body)))
             }
-            Output::Answer { ticket, code, body } => drop(self.answers.insert(ticket, (code, body))),
             Output::Wake { at } => {
                 self.nodes[n].wake = at;
                 self.push(at.saturating_sub(self.now), n, Event::Wake);
@@ -357,15 +406,31 @@
             Event::Wake if self.now >= self.nodes[n].wake => self.step(n, Input::Tick),
             Event::Wake => {}
             Event::Deliver { from, message } if !self.nodes[n].cut => {
-                self.step(n, Input::Message { from, message: *message });
+                self.step(
+                    n,
+                    Input::Message {
+                        from,
+                        message: *message,
+                    },
+                );
             }
             Event::Deliver { .. } => {}
-            Event::Wrote { ticket, records, rewrite } => {
+            Event::Wrote {
+                ticket,
+                records,
+                rewrite,
+            } => {
                 if rewrite {
                     self.nodes[n].records.clear();
                 }
                 self.nodes[n].records.extend(records);
-                self.step(n, Input::Wrote { ticket, result: Ok(()) });
+                self.step(
+                    n,
+                    Input::Wrote {
+                        ticket,
+                        result: Ok(()),
+                    },
+                );
             }
             Event::Links => {
                 let seat = self.nodes[n].seat.clone();
@@ -428,7 +493,11 @@
         let body = format!(
             r#"{{"version":{version},"routes":[{{"name":"r{version}","hostname":"h.example","path_prefix":"/","route_class":"pure","deadline_ms":1000,"service":"s"}}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
         );
-        Command::Configure { base, amend: false, body: body.into_bytes() }
+        Command::Configure {
+            base,
+            amend: false,
+            body: body.into_bytes(),
+        }
     }
 
     pub fn answer(&self, ticket: u64) -> Option<Code> {
@@ -440,7 +509,8 @@
     pub fn apply(&mut self, base: u64, version: u64) -> Duration {
         let from = self.now;
         while self.now < from + ms(20_000) {
-            let up = (0..self.nodes.len()).filter(|n| self.nodes[*n].member.is_some() && !self.nodes[*n].cut);
+            let up = (0..self.nodes.len())
+                .filter(|n| self.nodes[*n].member.is_some() && !self.nodes[*n].cut);
             for n in up.collect::<Vec<_>>() {
                 let ticket = self.call(n, Self::configure(base, version));
                 self.until(ms(4000), |c| c.answers.contains_key(&ticket));
@@ -459,7 +529,9 @@
         let ticket = self.call(n, Command::Read { reserved: 0 });
         self.until(ms(4000), |c| c.answers.contains_key(&ticket))?;
         let (code, body) = &self.answers[&ticket];
-        let document = configuration::Document::read(body, 0).ok().filter(|_| *code == Code::Ok)?;
+        let document = configuration::Document::read(body, 0)
+            .ok()
+            .filter(|_| *code == Code::Ok)?;
         Some(document.version)
     }
 
@@ -470,8 +542,18 @@
             let view = self.view(n);
             let (voters, before) = (ids(&view.voters), ids(&view.before));
             let (id, acts, epoch) = (self.id(n), self.acts(n), view.epoch);
-            Seen { id, acts, epoch, replicas: view.replicas, voters, before }
+            Seen {
+                id,
+                acts,
+                epoch,
+                replicas: view.replicas,
+                voters,
+                before,
+            }
         };
-        (0..self.nodes.len()).filter(|n| self.nodes[*n].member.is_some()).map(seen).collect()
+        (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].member.is_some())
+            .map(seen)
+            .collect()
     }
 }
--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control.rs
@@ -43,11 +43,19 @@
     let gate = Gate(Rc::new(Semaphore::new(passes)), Rc::default());
     let (stop, stopped) = watch::channel(false);
     spawn_local(Control::new(gate.clone(), most, counters.clone(), stopped).listen(listener));
-    Api { addr, counters, gate, stop }
+    Api {
+        addr,
+        counters,
+        gate,
+        stop,
+    }
 }
 
 fn story(work: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, work);
 }
 
@@ -75,12 +83,22 @@
 #[case::no_version("GET /fennelpin/Configuration.History/x HTTP/1.1\r\n", "404", 300)]
 #[case::no_base("POST /fennelpin/Configuration.Replace HTTP/1.1\r\n", "400", 121)]
 #[case::beat_without_json("POST /fennelpin/Hosts.Heartbeat/i-1 HTTP/1.1\r\n", "400", 100)]
-fn bad_calls_are_refused_with_their_code(#[case] line: &str, #[case] status: &str, #[case] code: u16) {
+fn bad_calls_are_refused_with_their_code(
+    #[case] line: &str,
+    #[case] status: &str,
+    #[case] code: u16,
+) {
     story(async {
         let api = api(4, 1).await;
-        let answer =
-            say(&api, &format!("{line}Host: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")).await;
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
+        let answer = say(
+            &api,
+            &format!("{line}Host: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"),
+        )
+        .await;
+        assert!(
+            answer.starts_with(&format!("HTTP/1.1 {status} ")),
+            "{answer}"
+        );
         assert!(answer.contains(&format!("\"code\":{code},")), "{answer}");
         assert_eq!((api.counters.refused.get(), api.gate.1.get()), (1, 0));
     });
@@ -103,9 +121,17 @@
             let piece = vec![b'x'; 64 << 10];
             let mut sent = 0;
             while sent < 8 * LARGEST_BODY {
-                let size = if told { String::new() } else { format!("{:x}\r\n", piece.len()) };
+                let size = if told {
+                    String::new()
+                } else {
+                    format!("{:x}\r\n", piece.len())
+                };
                 let end: &[u8] = if told { b"" } else { b"\r\n" };
-                if output.write_all(&[size.as_bytes(), &piece, end].concat()).await.is_err() {
+                if output
+                    .write_all(&[size.as_bytes(), &piece, end].concat())
+                    .await
+                    .is_err()
+                {
                     return;
                 }
                 sent += piece.len();
@@ -115,7 +141,10 @@
         let mut answer = [0; 512];
         let (read, ()) = tokio::join!(input.read(&mut answer), send);
         let text = String::from_utf8_lossy(&answer[..read.unwrap()]).into_owned();
-        assert!(text.starts_with("HTTP/1.1 413 ") && text.contains("connection: close"), "{text}");
+        assert!(
+            text.starts_with("HTTP/1.1 413 ") && text.contains("connection: close"),
+            "{text}"
+        );
         assert_eq!(api.gate.1.get(), 0);
     });
 }
@@ -130,8 +159,15 @@
         tokio::time::pause();
         let start = Instant::now();
         let answer = whole(&mut stream).await;
-        assert!(answer.starts_with("HTTP/1.1 408 ") && answer.contains("\"code\":408"), "{answer}");
-        assert!(start.elapsed() >= Duration::from_secs(8), "{:?}", start.elapsed());
+        assert!(
+            answer.starts_with("HTTP/1.1 408 ") && answer.contains("\"code\":408"),
+            "{answer}"
+        );
+        assert!(
+            start.elapsed() >= Duration::from_secs(8),
+            "{:?}",
+            start.elapsed()
+        );
     });
 }
 
@@ -144,7 +180,9 @@
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         stream.write_all(text.as_bytes()).await.unwrap();
         tokio::time::pause();
-        timeout(Duration::from_secs(30), whole(&mut stream)).await.expect("it ends");
+        timeout(Duration::from_secs(30), whole(&mut stream))
+            .await
+            .expect("it ends");
     });
 }
 
@@ -163,7 +201,10 @@
             tokio::task::yield_now().await;
         }
         assert_eq!(say(&api, "").await, "");
-        assert_eq!((api.counters.connections.get(), api.counters.crowded.get()), (2, 1));
+        assert_eq!(
+            (api.counters.connections.get(), api.counters.crowded.get()),
+            (2, 1)
+        );
         // Those that were taken get their answers, and on a kept connection the next one.
         api.gate.0.add_permits(9);
         for stream in &mut open {
@@ -190,13 +231,18 @@
         }
         tokio::time::pause();
         let answer = say(&api, &text).await;
-        assert!(answer.starts_with("HTTP/1.1 503 ") && answer.contains("\"code\":409"), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 503 ") && answer.contains("\"code\":409"),
+            "{answer}"
+        );
         assert!(answer.contains("retry-after: 0.2"), "{answer}");
         // What is small still goes through.
         api.gate.0.add_permits(1);
-        let asked =
-            say(&api, "GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-                .await;
+        let asked = say(
+            &api,
+            "GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
+        )
+        .await;
         assert!(asked.starts_with("HTTP/1.1 200 "), "{asked}");
     });
 }
@@ -206,10 +252,15 @@
     story(async {
         let api = api(4, 1).await;
         let answer = say(&api, "\x16\x03\x01 hello\r\n\r\n").await;
-        assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 400 "), "{answer}");
-        let asked =
-            say(&api, "GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-                .await;
+        assert!(
+            answer.is_empty() || answer.starts_with("HTTP/1.1 400 "),
+            "{answer}"
+        );
+        let asked = say(
+            &api,
+            "GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
+        )
+        .await;
         assert!(asked.ends_with("{\"version\":1}"), "{asked}");
     });
 }
@@ -227,7 +278,10 @@
         api.stop.send_replace(true);
         api.gate.0.add_permits(1);
         let answer = whole(&mut stream).await;
-        assert!(answer.starts_with("HTTP/1.1 200 ") && answer.contains("connection: close"), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200 ") && answer.contains("connection: close"),
+            "{answer}"
+        );
     });
 }
 
@@ -238,13 +292,20 @@
         let api = api(4, 0).await;
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         let replace = format!("{REPLACE}Content-Length: 2\r\n\r\n{{}}");
-        let read =
-            |last: &str| format!("GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\n{last}\r\n");
+        let read = |last: &str| {
+            format!("GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\n{last}\r\n")
+        };
         let (first, second) = match slow_first {
             true => (replace.clone(), read("Connection: close\r\n")),
-            false => (read(""), replace.replacen("Host: h\r\n", "Host: h\r\nConnection: close\r\n", 1)),
+            false => (
+                read(""),
+                replace.replacen("Host: h\r\n", "Host: h\r\nConnection: close\r\n", 1),
+            ),
         };
-        stream.write_all((first + &second).as_bytes()).await.unwrap();
+        stream
+            .write_all((first + &second).as_bytes())
+            .await
+            .unwrap();
         while api.gate.1.get() == 0 {
             tokio::task::yield_now().await;
         }
@@ -255,10 +316,20 @@
         assert_eq!(api.gate.1.get(), 1);
         api.gate.0.add_permits(2);
         let answers = whole(&mut stream).await;
-        let bodies: Vec<&str> =
-            answers.matches("{\"version\":1}").chain(answers.matches("{\"code\":0")).collect();
-        assert_eq!((bodies.len(), answers.matches("HTTP/1.1 200 ").count()), (2, 2), "{answers}");
+        let bodies: Vec<&str> = answers
+            .matches("{\"version\":1}")
+            .chain(answers.matches("{\"code\":0"))
+            .collect();
+        assert_eq!(
+            (bodies.len(), answers.matches("HTTP/1.1 200 ").count()),
+            (2, 2),
+            "{answers}"
+        );
         let at = |text: &str| answers.find(text).unwrap();
-        assert_eq!(at("{\"code\":0") < at("{\"version\":1}"), slow_first, "{answers}");
+        assert_eq!(
+            at("{\"code\":0") < at("{\"version\":1}"),
+            slow_first,
+            "{answers}"
+        );
     });
 }
--- a/crates/control-plane/tests/cut_core/mod.rs
+++ b/crates/control-plane/tests/cut_core/mod.rs
@@ -26,7 +26,10 @@
 
 /// The member of a number in a place, `region/zone`.
 fn seat(n: usize, place: &str) -> MemberInfo {
-    let addr = Addr { ip: n as u32 + 1, port: 7660 };
+    let addr = Addr {
+        ip: n as u32 + 1,
+        port: 7660,
+    };
     let (region, zone) = place.split_once('/').expect("region/zone");
     MemberInfo {
         id: n as u64 + 1,
@@ -47,7 +50,11 @@
 }
 
 pub fn replace(base: u64, version: u64) -> Command {
-    Command::Configure { base, amend: false, body: configuration(version) }
+    Command::Configure {
+        base,
+        amend: false,
+        body: configuration(version),
+    }
 }
 
 pub const READ: Command = Command::Read { reserved: 0 };
@@ -94,7 +101,10 @@
     pub fn started(members: usize, losses: u32) -> Self {
         let places: Vec<String> = (0..members).map(|n| format!("r/zone-{n}")).collect();
         let places: Vec<&str> = places.iter().map(String::as_str).collect();
-        let budget = FaultBudget { machine_losses: losses, ..FaultBudget::default() };
+        let budget = FaultBudget {
+            machine_losses: losses,
+            ..FaultBudget::default()
+        };
         Self::begun(budget, &places, members)
     }
 
@@ -111,7 +121,11 @@
             now: ms(0),
             nodes: vec![],
             budget,
-            seats: places.iter().enumerate().map(|(n, place)| seat(n, place)).collect(),
+            seats: places
+                .iter()
+                .enumerate()
+                .map(|(n, place)| seat(n, place))
+                .collect(),
             initial_voters,
             cut: [].into(),
             answers: [].into(),
@@ -168,7 +182,10 @@
     pub fn restart(&mut self, n: usize) {
         let records = std::mem::take(&mut self.nodes[n].records);
         let drift_ppm = self.nodes[n].drift_ppm;
-        self.nodes[n] = Node { drift_ppm, ..self.node(n, records) };
+        self.nodes[n] = Node {
+            drift_ppm,
+            ..self.node(n, records)
+        };
     }
 
     pub fn cut(&mut self, from: usize, to: usize) {
@@ -209,35 +226,54 @@
     }
 
     pub fn primary(&self) -> usize {
-        let acting = (0..self.nodes.len()).filter(|n| self.nodes[*n].member.acts() && !self.nodes[*n].frozen);
-        acting.max_by_key(|n| self.nodes[*n].member.promised()).expect("one acts")
+        let acting = (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].member.acts() && !self.nodes[*n].frozen);
+        acting
+            .max_by_key(|n| self.nodes[*n].member.promised())
+            .expect("one acts")
     }
 
     pub fn replicas(&self) -> Vec<usize> {
         let view = self.nodes[self.primary()].member.view().unwrap();
-        (0..self.nodes.len()).filter(|n| view.replicas.contains(&self.seats[*n].id)).collect()
+        (0..self.nodes.len())
+            .filter(|n| view.replicas.contains(&self.seats[*n].id))
+            .collect()
     }
 
     /// Those who have a say in the primary's view.
     pub fn voters(&self) -> Vec<usize> {
         let view = self.nodes[self.primary()].member.view().unwrap();
-        (0..self.nodes.len()).filter(|n| view.seat(self.seats[*n].id).is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|n| view.seat(self.seats[*n].id).is_some())
+            .collect()
     }
 
     pub fn others(&self, than: &[usize]) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|n| !than.contains(n)).collect()
+        (0..self.nodes.len())
+            .filter(|n| !than.contains(n))
+            .collect()
     }
 
     /// Since the latest proof; `None` where there was none in its life.
     pub fn age(&self, n: usize) -> Option<Duration> {
         let clock = self.clock(n);
-        self.nodes[n].member.proof(clock).map(|proof| clock - proof.at)
+        self.nodes[n]
+            .member
+            .proof(clock)
+            .map(|proof| clock - proof.at)
     }
 
     pub fn call(&mut self, n: usize, command: Command) -> u64 {
         self.tickets += 1;
-        let input = Input::Command { ticket: self.tickets, command };
-        self.nodes[n].inbox.push_back(Waiting { at: self.now, from: None, input });
+        let input = Input::Command {
+            ticket: self.tickets,
+            command,
+        };
+        self.nodes[n].inbox.push_back(Waiting {
+            at: self.now,
+            from: None,
+            input,
+        });
         self.tickets
     }
 
@@ -288,8 +324,14 @@
         for (a, b) in (0..many).flat_map(|a| (0..many).map(move |b| (a, b))) {
             let up = a != b && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a));
             if up && !self.nodes[a].frozen {
-                let input = Input::Reachable { seat: self.seats[a].clone() };
-                self.nodes[b].inbox.push_back(Waiting { at: self.now + ms(1), from: Some(a), input });
+                let input = Input::Reachable {
+                    seat: self.seats[a].clone(),
+                };
+                self.nodes[b].inbox.push_back(Waiting {
+                    at: self.now + ms(1),
+                    from: Some(a),
+                    input,
+                });
             }
         }
     }
@@ -301,7 +343,12 @@
             return false;
         }
         let due = |w: &Waiting| w.at <= now && w.from.is_none_or(|from| !cut.contains(&(from, n)));
-        let input = match node.inbox.iter().position(due).and_then(|i| node.inbox.remove(i)) {
+        let input = match node
+            .inbox
+            .iter()
+            .position(due)
+            .and_then(|i| node.inbox.remove(i))
+        {
             Some(waiting) => waiting.input,
             None if node.wake <= clock => Input::Tick,
             None => return false,
@@ -318,8 +365,9 @@
 
     /// No two act at once, whoever stands still.
     fn check_one_acts(&self) {
-        let acting: Vec<usize> =
-            (0..self.nodes.len()).filter(|n| self.nodes[*n].member.acts_at(self.clock(*n))).collect();
+        let acting: Vec<usize> = (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].member.acts_at(self.clock(*n)))
+            .collect();
         assert!(acting.len() <= 1, "{acting:?} act at {:?}", self.now);
     }
 
@@ -328,20 +376,41 @@
         match output {
             Output::Send { to, message } => {
                 let to = to.addr.ip as usize - 1;
-                let input = Input::Message { from: self.seats[n].clone(), message };
-                self.nodes[to].inbox.push_back(Waiting { at: now + ms(1), from: Some(n), input });
+                let input = Input::Message {
+                    from: self.seats[n].clone(),
+                    message,
+                };
+                self.nodes[to].inbox.push_back(Waiting {
+                    at: now + ms(1),
+                    from: Some(n),
+                    input,
+                });
             }
-            Output::Write { ticket, records, rewrite } => {
+            Output::Write {
+                ticket,
+                records,
+                rewrite,
+            } => {
                 let node = &mut self.nodes[n];
                 if rewrite {
                     node.records.clear();
                 }
                 node.records.extend(records);
-                let input = Input::Wrote { ticket, result: Ok(()) };
-                node.inbox.push_back(Waiting { at: now + ms(2), from: None, input });
+                let input = Input::Wrote {
+                    ticket,
+                    result: Ok(()),
+                };
+                node.inbox.push_back(Waiting {
+                    at: now + ms(2),
+                    from: None,
+                    input,
+                });
             }
             Output::Answer { ticket, code, body } => {
-                assert!(self.answers.insert(ticket, (now, code, body)).is_none(), "answered once");
+                assert!(
+                    self.answers.insert(ticket, (now, code, body)).is_none(),
+                    "answered once"
+                );
             }
             Output::Publish { document, .. } | Output::Restore { document, .. } => {
                 self.nodes[n].shown = document.version;
--- a/crates/control-plane/tests/cut_off.rs
+++ b/crates/control-plane/tests/cut_off.rs
@@ -26,8 +26,13 @@
     let mut core = Core::started(3, 1);
     core.order(&[0], replace(0, 5));
     let (primary, replicas) = (core.primary(), core.replicas());
-    let sleeper =
-        (0..3).find(|n| if witness { !replicas.contains(n) } else { replicas.contains(n) && *n != primary });
+    let sleeper = (0..3).find(|n| {
+        if witness {
+            !replicas.contains(n)
+        } else {
+            replicas.contains(n) && *n != primary
+        }
+    });
     let sleeper = sleeper.unwrap();
     core.run(ms(1000));
     core.nodes[sleeper].frozen = true;
@@ -37,10 +42,17 @@
     core.thaw(sleeper);
     // Everything that waited is handed over at this one moment.
     while core.turn(sleeper) {
-        assert!(core.age(sleeper).unwrap() >= CUT, "proof after {:?}", core.age(sleeper));
+        assert!(
+            core.age(sleeper).unwrap() >= CUT,
+            "proof after {:?}",
+            core.age(sleeper)
+        );
     }
     core.run(ms(1000));
-    assert!(core.age(sleeper).unwrap() < ms(600), "then the primary proves it anew");
+    assert!(
+        core.age(sleeper).unwrap() < ms(600),
+        "then the primary proves it anew"
+    );
     let clock = core.clock(sleeper);
     assert!(core.nodes[sleeper].member.proof(clock).unwrap().committed >= 2);
 }
@@ -56,7 +68,11 @@
     assert!(code == Code::Ok && took < ACK, "{code:?} after {took:?}");
     core.run(CUT);
     // They come first of all when it wakes.
-    let calls = [core.call(old, READ), core.call(old, replace(5, 6)), core.call(old, replace(7, 9))];
+    let calls = [
+        core.call(old, READ),
+        core.call(old, replace(5, 6)),
+        core.call(old, replace(7, 9)),
+    ];
     core.nodes[old].inbox.rotate_right(3);
     core.thaw(old);
     // Before anything has reached it, too: its status is asked for by people.
@@ -64,10 +80,18 @@
     core.turn(old);
     assert!(!core.nodes[old].member.acts());
     core.run(ACK);
-    let answers: Vec<(Code, &[u8])> =
-        calls.iter().map(|t| (core.answers[t].1, &*core.answers[t].2)).collect();
-    assert_eq!(answers.iter().map(|a| a.0).collect::<Vec<_>>(), [Code::Ok, Code::OtherBase, Code::Ok]);
-    assert!(answers[0].1 != configuration(5), "an old configuration was read");
+    let answers: Vec<(Code, &[u8])> = calls
+        .iter()
+        .map(|t| (core.answers[t].1, &*core.answers[t].2))
+        .collect();
+    assert_eq!(
+        answers.iter().map(|a| a.0).collect::<Vec<_>>(),
+        [Code::Ok, Code::OtherBase, Code::Ok]
+    );
+    assert!(
+        answers[0].1 != configuration(5),
+        "an old configuration was read"
+    );
 }
 
 /// Also two of five, and the primary among those that are cut off.
@@ -76,13 +100,20 @@
 #[case::another(3, 1, false)]
 #[case::two_of_five_with_the_primary(5, 2, true)]
 #[case::two_of_five(5, 2, false)]
-fn cut_off_for_twenty_seconds(#[case] members: usize, #[case] losses: u32, #[case] with_primary: bool) {
+fn cut_off_for_twenty_seconds(
+    #[case] members: usize,
+    #[case] losses: u32,
+    #[case] with_primary: bool,
+) {
     let mut core = Core::started(members, losses);
     assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
     let primary = core.primary();
     let rest = core.others(&[primary]);
     let lost: Vec<usize> = match with_primary {
-        true => std::iter::once(primary).chain(rest.iter().copied()).take(losses as usize).collect(),
+        true => std::iter::once(primary)
+            .chain(rest.iter().copied())
+            .take(losses as usize)
+            .collect(),
         false => rest.iter().copied().take(losses as usize).collect(),
     };
     core.cut_off(&lost);
@@ -98,7 +129,10 @@
             let since_cut = core.now + CUT - end;
             assert!(!core.nodes[*n].member.acts() || since_cut < LEASE);
             let proved = core.age(*n);
-            assert!(proved.is_some_and(|age| age + ms(500) >= since_cut.saturating_sub(LEASE)), "{proved:?}");
+            assert!(
+                proved.is_some_and(|age| age + ms(500) >= since_cut.saturating_sub(LEASE)),
+                "{proved:?}"
+            );
         }
         core.run(ms(900));
     }
@@ -115,7 +149,10 @@
         let code = core.answers[ticket].1;
         assert_eq!(code.status(), 503, "{code:?}");
     }
-    assert!(lost.iter().all(|n| core.nodes[*n].shown <= 5), "nothing that the others didn't agree on");
+    assert!(
+        lost.iter().all(|n| core.nodes[*n].shown <= 5),
+        "nothing that the others didn't agree on"
+    );
     core.heal();
     core.run(ms(3000));
     for n in 0..members {
@@ -131,7 +168,11 @@
     let mut core = Core::started(3, 1);
     assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
     let primary = core.primary();
-    let one = if the_primary { primary } else { core.others(&[primary])[0] };
+    let one = if the_primary {
+        primary
+    } else {
+        core.others(&[primary])[0]
+    };
     for other in core.others(&[one]) {
         match hears {
             true => core.cut(one, other),
@@ -145,7 +186,11 @@
         core.run(ms(2500));
         // What it hears still proves nothing once its own word isn't heard.
         let since = (core.now - cut_at).saturating_sub(LEASE + ms(500));
-        assert!(core.age(one).unwrap() >= since, "{:?} after {since:?}", core.age(one));
+        assert!(
+            core.age(one).unwrap() >= since,
+            "{:?} after {since:?}",
+            core.age(one)
+        );
     }
     let read = core.asked(one, READ);
     assert!(read.1.status() == 503, "{:?}", read.1);
@@ -216,7 +261,10 @@
         core.cut_off(&[old]);
         core.run(ACK);
         let first = core.answers[&ticket].1;
-        assert!(matches!(first, Code::Ok | Code::Unclear | Code::NoPrimary), "{first:?}");
+        assert!(
+            matches!(first, Code::Ok | Code::Unclear | Code::NoPrimary),
+            "{first:?}"
+        );
         // The same again on the other side is taken whether it got there before or not.
         let healthy = core.others(&[old]);
         let (took, code) = core.order(&healthy, replace(5, 7));
--- a/crates/control-plane/tests/cut_off_groups.rs
+++ b/crates/control-plane/tests/cut_off_groups.rs
@@ -12,12 +12,20 @@
 /// Two machines in each of three zones, of which one may be lost.
 const ZONES: ([&str; 6], FaultBudget) = (
     ["r/a", "r/b", "r/c", "r/a", "r/b", "r/c"],
-    FaultBudget { machine_losses: 0, zones: 1, region_losses: 0 },
+    FaultBudget {
+        machine_losses: 0,
+        zones: 1,
+        region_losses: 0,
+    },
 );
 /// Two zones in each of three regions, of which one may be lost; the seeds stand in two of them.
 const REGIONS: ([&str; 6], FaultBudget) = (
     ["x/a", "x/b", "y/c", "y/d", "z/e", "z/f"],
-    FaultBudget { machine_losses: 0, zones: 0, region_losses: 1 },
+    FaultBudget {
+        machine_losses: 0,
+        zones: 0,
+        region_losses: 1,
+    },
 );
 
 /// What of a cut comes through.
@@ -56,8 +64,15 @@
             self.run(ms(700));
             let since = (self.now - begun).saturating_sub(LEASE + ms(500));
             for n in lost {
-                assert!(self.age(*n).is_none_or(|age| age >= since), "{n}: {:?} {since:?}", self.age(*n));
-                assert!(self.now < begun + LEASE || !self.nodes[*n].member.acts(), "{n} acts");
+                assert!(
+                    self.age(*n).is_none_or(|age| age >= since),
+                    "{n}: {:?} {since:?}",
+                    self.age(*n)
+                );
+                assert!(
+                    self.now < begun + LEASE || !self.nodes[*n].member.acts(),
+                    "{n} acts"
+                );
             }
         }
         version
@@ -69,7 +84,10 @@
         let mut orders = Vec::new();
         let mut reads = Vec::new();
         for n in lost {
-            reads.extend([self.call(*n, READ), self.call(*n, replace(version - 2, version - 1))]);
+            reads.extend([
+                self.call(*n, READ),
+                self.call(*n, replace(version - 2, version - 1)),
+            ]);
             orders.push(self.call(*n, replace(version, version + 1)));
         }
         self.run(ACK);
@@ -77,7 +95,9 @@
             let code = self.answers[ticket].1;
             assert_eq!(code.status(), 503, "{code:?}");
         }
-        orders.iter().any(|ticket| self.answers[ticket].1 != Code::NoPrimary)
+        orders
+            .iter()
+            .any(|ticket| self.answers[ticket].1 != Code::NoPrimary)
     }
 
     /// The cut ends: all know what is in force, an order without a clear answer perhaps with it.
@@ -89,7 +109,11 @@
         let version = if followed { version + 1 } else { version };
         assert_eq!((code, body), (Code::Ok, configuration(version)));
         for n in self.voters() {
-            assert!(self.age(n).expect("proof") < ms(600), "{n}: {:?}", self.age(n));
+            assert!(
+                self.age(n).expect("proof") < ms(600),
+                "{n}: {:?}",
+                self.age(n)
+            );
             assert_eq!(self.asked(n, READ).2, configuration(version), "at {n}");
         }
         version
@@ -105,12 +129,29 @@
 ) {
     let mut core = Core::in_places(budget, &places);
     // Whichever goes, a majority is left: two of the seeds may stand in one of them.
-    let seats: Vec<_> = core.voters().iter().map(|n| core.seats[*n].clone()).collect();
-    assert!(majority_shortfall(&budget, &seats.iter().collect::<Vec<_>>()) <= 0, "{seats:?}");
+    let seats: Vec<_> = core
+        .voters()
+        .iter()
+        .map(|n| core.seats[*n].clone())
+        .collect();
+    assert!(
+        majority_shortfall(&budget, &seats.iter().collect::<Vec<_>>()) <= 0,
+        "{seats:?}"
+    );
     assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
     let primary = core.primary();
-    let group = |n: usize| places[n].split('/').nth(usize::from(budget.zones > 0)).unwrap();
-    let others = || (0..places.len()).rev().find(|n| group(*n) != group(primary)).unwrap();
+    let group = |n: usize| {
+        places[n]
+            .split('/')
+            .nth(usize::from(budget.zones > 0))
+            .unwrap()
+    };
+    let others = || {
+        (0..places.len())
+            .rev()
+            .find(|n| group(*n) != group(primary))
+            .unwrap()
+    };
     let lost = core.members_in(group(if with_primary { primary } else { others() }));
     assert_eq!(lost.len(), 2, "{lost:?}");
     core.cut_side(&lost, way);
@@ -156,7 +197,9 @@
             Part::Replica => *n != primary && replicas.contains(n),
             Part::Witness => !replicas.contains(n),
         };
-        (0..self.nodes.len()).filter(|n| Some(*n) != than).find(fits)
+        (0..self.nodes.len())
+            .filter(|n| Some(*n) != than)
+            .find(fits)
     }
 }
 
@@ -222,7 +265,14 @@
     for _ in 0..2 {
         let primary = core.primary();
         for n in 0..3 {
-            core.set_drift(n, if n == primary { primary_ppm } else { others_ppm });
+            core.set_drift(
+                n,
+                if n == primary {
+                    primary_ppm
+                } else {
+                    others_ppm
+                },
+            );
         }
         core.cut_side(&[primary], way);
         let healthy = core.others(&[primary]);
--- a/crates/control-plane/tests/departure.rs
+++ b/crates/control-plane/tests/departure.rs
@@ -12,7 +12,11 @@
 fn four_of_which_one_leaves() -> (Cluster, usize) {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a"]);
     cluster.apply(0, 1);
-    cluster.until(SOON, |c| c.current().voters.len() == 4 && c.current().settled()).expect("four voters");
+    cluster
+        .until(SOON, |c| {
+            c.current().voters.len() == 4 && c.current().settled()
+        })
+        .expect("four voters");
     let leaver = cluster.primary().unwrap();
     cluster.leave(leaver);
     let dropped = |c: &Cluster| c.primary().is_some() && !c.votes(leaver) && c.current().settled();
@@ -71,9 +75,13 @@
     let mut cluster = Cluster::start(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a"]);
     cluster.apply(0, 1);
     cluster.run(ms(4000));
-    let spare = (0..4).find(|n| !cluster.votes(*n)).expect("three voters, one of each zone");
+    let spare = (0..4)
+        .find(|n| !cluster.votes(*n))
+        .expect("three voters, one of each zone");
     cluster.leave(spare);
-    cluster.until(SOON, |c| c.left(spare)).expect("it may end at once");
+    cluster
+        .until(SOON, |c| c.left(spare))
+        .expect("it may end at once");
     cluster.run(ms(20));
     cluster.kill(spare);
     let leaver = cluster.primary().unwrap();
@@ -90,5 +98,7 @@
     cluster.kill(leaver);
     cluster.run(ms(300));
     cluster.restart(leaver);
-    cluster.until(SOON, |c| c.votes(leaver)).expect("it joins again");
+    cluster
+        .until(SOON, |c| c.votes(leaver))
+        .expect("it joins again");
 }
