--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -7,21 +7,42 @@
 
 fn birth(bootstrap: bool) -> StartFacts {
     let control = "10.1.0.1:8146".parse().unwrap();
-    StartFacts { control, seeds: vec![control], port: 7660, bootstrap, random: 9, clock_ms: 100 }
+    StartFacts {
+        control,
+        seeds: vec![control],
+        port: 7660,
+        bootstrap,
+        random: 9,
+        clock_ms: 100,
+    }
 }
 
-fn open(dir: &Path, bootstrap: bool) -> (Sender<Write>, Receiver<DiskEvent>, Identity, Vec<Vec<u8>>) {
+fn open(
+    dir: &Path,
+    bootstrap: bool,
+) -> (Sender<Write>, Receiver<DiskEvent>, Identity, Vec<Vec<u8>>) {
     let (tell, told) = channel();
     let writes = start(dir.into(), birth(bootstrap), move |t| drop(tell.send(t))).unwrap();
     match told.recv().unwrap() {
-        DiskEvent::Open { identity, records, roster: None } => (writes, told, identity, records),
+        DiskEvent::Open {
+            identity,
+            records,
+            roster: None,
+        } => (writes, told, identity, records),
         other => panic!("{other:?}"),
     }
 }
 
 fn write(writes: &Sender<Write>, ticket: u64, records: &[&str], rewrite: bool) {
     let records = records.iter().map(|r| r.as_bytes().to_vec()).collect();
-    writes.send(Write { ticket, records, rewrite, file: File::Ledger }).unwrap();
+    writes
+        .send(Write {
+            ticket,
+            records,
+            rewrite,
+            file: File::Ledger,
+        })
+        .unwrap();
 }
 
 #[test]
@@ -41,7 +62,10 @@
     drop(writes);
     assert!(told.recv().is_err(), "the thread ends with its sender");
     let (_, _, second, records) = open(dir.path(), false);
-    assert_eq!((second.id, &second.initial_voters), (first.id, &first.initial_voters));
+    assert_eq!(
+        (second.id, &second.initial_voters),
+        (first.id, &first.initial_voters)
+    );
     assert!(second.life > first.life);
     assert_eq!(records, [b"c", b"d", b"e"]);
 }
@@ -66,12 +90,18 @@
     let dir = tempfile::tempdir().unwrap();
     let (writes, told, first, _) = open(dir.path(), true);
     write(&writes, 1, &["a"], false);
-    assert!(matches!(told.recv().unwrap(), DiskEvent::Wrote { result: Ok(()), .. }));
+    assert!(matches!(
+        told.recv().unwrap(),
+        DiskEvent::Wrote { result: Ok(()), .. }
+    ));
     drop(writes);
     assert!(told.recv().is_err());
     std::fs::remove_file(dir.path().join(file)).unwrap();
     let (_, _, second, records) = open(dir.path(), true);
-    assert_eq!((second.id == first.id, records.len()), (same, usize::from(same)));
+    assert_eq!(
+        (second.id == first.id, records.len()),
+        (same, usize::from(same))
+    );
     assert_eq!(second.initial_voters.is_empty(), !same);
 }
 
@@ -83,12 +113,24 @@
     std::fs::create_dir(dir.path().join("ledger.new")).unwrap();
     let (writes, told, _, _) = open(dir.path(), true);
     write(&writes, 1, &["a"], false);
-    assert!(matches!(told.recv().unwrap(), DiskEvent::Wrote { ticket: 1, result: Err(_) }));
+    assert!(matches!(
+        told.recv().unwrap(),
+        DiskEvent::Wrote {
+            ticket: 1,
+            result: Err(_)
+        }
+    ));
     assert!(!dir.path().join("identity").exists());
     // Once it can, both are kept and the same life goes on.
     std::fs::remove_dir(dir.path().join("ledger.new")).unwrap();
     write(&writes, 2, &["b"], false);
-    assert!(matches!(told.recv().unwrap(), DiskEvent::Wrote { ticket: 2, result: Ok(()) }));
+    assert!(matches!(
+        told.recv().unwrap(),
+        DiskEvent::Wrote {
+            ticket: 2,
+            result: Ok(())
+        }
+    ));
     drop(writes);
     assert!(told.recv().is_err());
     let (_, _, _, records) = open(dir.path(), false);
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/feed.rs
@@ -10,8 +10,19 @@
 
 fn call(host: &str, call_seq: u64) -> HostCall {
     let (service, addr, zone) = ("s".into(), Addr { ip: 1, port: 80 }, "z".into());
-    let beat = Beat { service, addr, zone, capacity: 1, draining: false, cold_left_ms: 0, call_seq };
-    HostCall::Beat { host: host.into(), beat }
+    let beat = Beat {
+        service,
+        addr,
+        zone,
+        capacity: 1,
+        draining: false,
+        cold_left_ms: 0,
+        call_seq,
+    };
+    HostCall::Beat {
+        host: host.into(),
+        beat,
+    }
 }
 
 #[tokio::test(start_paused = true)]
@@ -20,7 +31,10 @@
     let feed = Feed::new(7, 1, BEAT, shared.clone());
     let mut agent = Mirror::new(0, BEAT);
     let first = answer(&shared, &agent.pull(&Caller::default(), 1000)).await;
-    assert!(agent.apply(Duration::ZERO, &first), "the member's life is known before any host is");
+    assert!(
+        agent.apply(Duration::ZERO, &first),
+        "the member's life is known before any host is"
+    );
     let pull = agent.pull(&Caller::default(), 1000);
     let waits = {
         let shared = shared.clone();
@@ -40,9 +54,16 @@
 async fn a_pull_without_news_is_answered_after_its_wait() {
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
     let asked = tokio::time::Instant::now();
-    let news = answer(&shared, &Mirror::new(0, BEAT).pull(&Caller::default(), 1000)).await;
+    let news = answer(
+        &shared,
+        &Mirror::new(0, BEAT).pull(&Caller::default(), 1000),
+    )
+    .await;
     assert!(news.is_empty());
-    assert_eq!((news.member, asked.elapsed()), (7, Duration::from_millis(1000)));
+    assert_eq!(
+        (news.member, asked.elapsed()),
+        (7, Duration::from_millis(1000))
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -53,11 +74,16 @@
     let other = SharedMirror::new(Mirror::new(8, BEAT));
     Feed::new(8, 1, BEAT, other.clone()).call(&call("i", 4));
     tokio::time::advance(BEAT * 3).await;
-    let news = other.update(|m, now| m.news_for(now, &m_pull(&shared))).unwrap();
+    let news = other
+        .update(|m, now| m.news_for(now, &m_pull(&shared)))
+        .unwrap();
     shared.update(|m, now| m.apply(now, &news));
     feed.tick();
     assert_eq!(shared.snapshot().hosts["i"].call_seq, 4);
-    assert!(shared.update(|m, _| m.host_elsewhere(8, "i").is_none()), "only the other has it");
+    assert!(
+        shared.update(|m, _| m.host_elsewhere(8, "i").is_none()),
+        "only the other has it"
+    );
 }
 
 fn m_pull(shared: &SharedMirror) -> replication::Pull {
@@ -68,10 +94,31 @@
 async fn who_is_gone_elsewhere_stays_gone() {
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
     let feed = Feed::new(7, 1, BEAT, shared.clone());
-    let mark = Mark { id: 8, life: 1, seq: 1 };
-    let hosts = vec![protocol::HostRecord { id: "i".into(), phase: phase::GONE, ..Default::default() }];
-    let source = protocol::SourceNews { mark, whole: true, hosts, coordinators: vec![] };
-    shared.update(|m, now| m.apply(now, &News { sources: vec![source], ..News::default() }));
+    let mark = Mark {
+        id: 8,
+        life: 1,
+        seq: 1,
+    };
+    let hosts = vec![protocol::HostRecord {
+        id: "i".into(),
+        phase: phase::GONE,
+        ..Default::default()
+    }];
+    let source = protocol::SourceNews {
+        mark,
+        whole: true,
+        hosts,
+        coordinators: vec![],
+    };
+    shared.update(|m, now| {
+        m.apply(
+            now,
+            &News {
+                sources: vec![source],
+                ..News::default()
+            },
+        )
+    });
     feed.call(&call("i", 3));
     assert_eq!(shared.snapshot().hosts["i"].phase, phase::GONE);
 }
@@ -81,9 +128,16 @@
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
     let feed = Feed::new(7, 1, BEAT, shared.clone());
     for (name, version) in [("a", 4), ("b", 3)] {
-        feed.pulled(&Caller { name: name.into(), version, ..Caller::default() });
+        feed.pulled(&Caller {
+            name: name.into(),
+            version,
+            ..Caller::default()
+        });
     }
-    assert_eq!((feed.in_force(), shared.snapshot().coordinators.len()), ((3, 2), 2));
+    assert_eq!(
+        (feed.in_force(), shared.snapshot().coordinators.len()),
+        ((3, 2), 2)
+    );
     tokio::time::advance(Duration::from_secs(3)).await;
     feed.tick();
     assert_eq!(shared.snapshot().coordinators.len(), 0);
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -26,7 +26,10 @@
 
 #[rstest]
 fn founders_know_each_other() {
-    let all: Vec<Identity> = SEEDS.iter().map(|s| birth(s, true).identity(None)).collect();
+    let all: Vec<Identity> = SEEDS
+        .iter()
+        .map(|s| birth(s, true).identity(None))
+        .collect();
     for (seed, identity) in SEEDS.iter().zip(&all) {
         assert_eq!(identity.id, initial_voter_id(inner(addr(seed), 7660)));
         assert_eq!(identity.initial_voters, all[0].initial_voters);
@@ -34,7 +37,10 @@
         assert_eq!(ids, all.iter().map(|i| i.id).collect::<Vec<_>>());
     }
     assert_eq!(all[0].initial_voters[1].addr, addr("10.2.0.1:7660").into());
-    assert_eq!(all[0].initial_voters[1].control, addr("10.2.0.1:8146").into());
+    assert_eq!(
+        all[0].initial_voters[1].control,
+        addr("10.2.0.1:8146").into()
+    );
 }
 
 #[rstest]
@@ -51,18 +57,38 @@
 #[case::clock_went_back(following(0, 2_000, u64::MAX), 2_001)]
 #[case::of_an_earlier_release(1_700_000_000_000, 1_700_000_000_000 / (1 << TAIL_BITS) + 1)]
 fn a_life_is_numbered_above_the_one_before(#[case] before: u64, #[case] clock: u64) {
-    let kept = Identity { id: 5, life: before, ..Identity::default() };
+    let kept = Identity {
+        id: 5,
+        life: before,
+        ..Identity::default()
+    };
     let identity = birth(SEEDS[0], true).identity(Some(kept));
     assert!(identity.life > before);
-    assert_eq!(identity, Identity { id: 5, life: (clock << TAIL_BITS) + 77, initial_voters: vec![] });
+    assert_eq!(
+        identity,
+        Identity {
+            id: 5,
+            life: (clock << TAIL_BITS) + 77,
+            initial_voters: vec![]
+        }
+    );
 }
 
 /// The number couldn't be kept, and the clock is below the one that is.
 #[test]
 fn two_lives_on_a_full_disk_never_have_the_same_number() {
-    let kept = Some(Identity { id: 5, life: following(0, 9_000, 1), ..Identity::default() });
+    let kept = Some(Identity {
+        id: 5,
+        life: following(0, 9_000, 1),
+        ..Identity::default()
+    });
     let first = birth(SEEDS[0], false).identity(kept.clone());
-    let second = StartFacts { random: 78, clock_ms: 500, ..birth(SEEDS[0], false) }.identity(kept);
+    let second = StartFacts {
+        random: 78,
+        clock_ms: 500,
+        ..birth(SEEDS[0], false)
+    }
+    .identity(kept);
     assert_ne!(first.life, second.life);
 }
 
@@ -80,12 +106,24 @@
     assert_eq!(latest(&[]).unwrap(), None);
     // One that can't be read is never passed over for an older one, or for none.
     let damaged = [records.to_vec(), vec![vec![1, 2, 3]]].concat();
-    assert!(matches!(latest(&damaged), Err(IdentityError::Unreadable { record: 2, .. })));
+    assert!(matches!(
+        latest(&damaged),
+        Err(IdentityError::Unreadable { record: 2, .. })
+    ));
 }
 
 fn ledger(owner: Option<&Identity>, records: &[&[u8]]) -> FoundLedger {
-    let owner = owner.map(|identity| protocol::write_one(&LedgerOwner { identity: identity.clone() }));
-    FoundLedger::of(owner.into_iter().chain(records.iter().map(|r| r.to_vec())).collect())
+    let owner = owner.map(|identity| {
+        protocol::write_one(&LedgerOwner {
+            identity: identity.clone(),
+        })
+    });
+    FoundLedger::of(
+        owner
+            .into_iter()
+            .chain(records.iter().map(|r| r.to_vec()))
+            .collect(),
+    )
 }
 
 /// Each file there or not: nobody goes on under an identity whose promises are lost, or with the promises of
@@ -94,29 +132,49 @@
 fn either_file_may_be_lost() {
     let start = birth(SEEDS[0], true);
     let (first, again) = (start.identity(None), birth(SEEDS[0], false));
-    let other = Identity { id: 5, life: 1, initial_voters: vec![] };
+    let other = Identity {
+        id: 5,
+        life: 1,
+        initial_voters: vec![],
+    };
     let records: [&[u8]; 1] = [b"promised"];
     let id = |kept: Option<&Identity>, ledger: &FoundLedger| {
-        again.identity_with(kept.cloned(), ledger).map(|i| (i.id, i.initial_voters.len()))
+        again
+            .identity_with(kept.cloned(), ledger)
+            .map(|i| (i.id, i.initial_voters.len()))
     };
     let own = (first.id, 3);
     // Both, neither.
-    assert_eq!(id(Some(&first), &ledger(Some(&first), &records)).unwrap(), own);
+    assert_eq!(
+        id(Some(&first), &ledger(Some(&first), &records)).unwrap(),
+        own
+    );
     assert_eq!(id(Some(&first), &ledger(Some(&first), &[])).unwrap(), own);
     assert_eq!(id(None, &ledger(None, &[])).unwrap(), (77, 0));
     // The ledger was lost: somebody else, and no voter of view 0, though the settings still say that all is new.
     assert_eq!(id(Some(&first), &ledger(None, &[])).unwrap(), (77, 0));
-    let lost = start.identity_with(Some(first.clone()), &ledger(None, &[])).unwrap();
+    let lost = start
+        .identity_with(Some(first.clone()), &ledger(None, &[]))
+        .unwrap();
     assert_eq!((lost.id, lost.initial_voters.len()), (77, 0));
     // The identity's file was lost: the ledger says whose it is.
     assert_eq!(id(None, &ledger(Some(&first), &records)).unwrap(), own);
     assert_eq!(id(None, &ledger(Some(&first), &[])).unwrap(), own);
     // Ended after a new identity had begun its ledger, before the identity's file followed.
-    assert_eq!(id(Some(&first), &ledger(Some(&other), &[])).unwrap(), (5, 0));
+    assert_eq!(
+        id(Some(&first), &ledger(Some(&other), &[])).unwrap(),
+        (5, 0)
+    );
     // Somebody else's promises, or nobody knows whose.
     let foreign = id(Some(&first), &ledger(Some(&other), &records));
-    assert!(matches!(foreign, Err(IdentityError::OtherOwner { owner: 5, .. })));
-    assert!(matches!(id(None, &ledger(None, &records)), Err(IdentityError::NoIdentity)));
+    assert!(matches!(
+        foreign,
+        Err(IdentityError::OtherOwner { owner: 5, .. })
+    ));
+    assert!(matches!(
+        id(None, &ledger(None, &records)),
+        Err(IdentityError::NoIdentity)
+    ));
     // A ledger of an earlier release.
     assert_eq!(id(Some(&first), &ledger(None, &records)).unwrap(), own);
 }
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -21,7 +21,10 @@
 }
 
 fn seat(id: u64) -> MemberInfo {
-    let addr = Addr { ip: id as u32, port: 7660 };
+    let addr = Addr {
+        ip: id as u32,
+        port: 7660,
+    };
     MemberInfo {
         id,
         name: format!("core-{id}"),
@@ -43,12 +46,18 @@
         let config = Config {
             me: seat(VOTER),
             bootstrap_voters: None,
-            budget: FaultBudget { machine_losses: 1, ..FaultBudget::default() },
+            budget: FaultBudget {
+                machine_losses: 1,
+                ..FaultBudget::default()
+            },
             lease: LEASE,
             patience: ms(3500),
             stall: ms(600),
         };
-        let mut voter = Self { now: ms(0), member: Member::new(config, &[], ms(0), 7) };
+        let mut voter = Self {
+            now: ms(0),
+            member: Member::new(config, &[], ms(0), 7),
+        };
         let voters: Vec<MemberInfo> = [HOLDER, VOTER, THIRD].map(seat).to_vec();
         let view = View {
             epoch: EPOCH,
@@ -57,8 +66,17 @@
             voters: voters.clone(),
             before: voters,
         };
-        let sent = voter.hears(HOLDER, Message::InstallView { view, snapshot: None });
-        assert!(matches!(sent[..], [Message::InstallReply { ok: true, .. }]), "{sent:?}");
+        let sent = voter.hears(
+            HOLDER,
+            Message::InstallView {
+                view,
+                snapshot: None,
+            },
+        );
+        assert!(
+            matches!(sent[..], [Message::InstallReply { ok: true, .. }]),
+            "{sent:?}"
+        );
         voter
     }
 
@@ -71,7 +89,10 @@
             for output in out {
                 match output {
                     Output::Send { message, .. } => sent.push(message),
-                    Output::Write { ticket, .. } => inputs.push(Input::Wrote { ticket, result: Ok(()) }),
+                    Output::Write { ticket, .. } => inputs.push(Input::Wrote {
+                        ticket,
+                        result: Ok(()),
+                    }),
                     _ => {}
                 }
             }
@@ -81,20 +102,39 @@
 
     fn hears(&mut self, from: u64, message: Message) -> Vec<Message> {
         self.now += ms(1);
-        self.step(Input::Message { from: seat(from), message })
+        self.step(Input::Message {
+            from: seat(from),
+            message,
+        })
     }
 
     /// Grants a lease to its holder.
     fn grants(&mut self) {
-        let renewal = Message::RenewLease { epoch: EPOCH, stamp: 1, committed: 0, heard: 0 };
+        let renewal = Message::RenewLease {
+            epoch: EPOCH,
+            stamp: 1,
+            committed: 0,
+            heard: 0,
+        };
         let sent = self.hears(HOLDER, renewal);
-        assert!(sent.iter().any(|m| matches!(m, Message::LeaseReply { ok: true, .. })), "{sent:?}");
+        assert!(
+            sent.iter()
+                .any(|m| matches!(m, Message::LeaseReply { ok: true, .. })),
+            "{sent:?}"
+        );
     }
 
     /// Whether it would promise somebody else an epoch.
     fn would_promise(&mut self) -> bool {
-        let sent = self.hears(THIRD, Message::PreVote { seen: EPOCH, view: EPOCH });
-        sent.iter().any(|m| matches!(m, Message::PreVoteReply { willing: true, .. }))
+        let sent = self.hears(
+            THIRD,
+            Message::PreVote {
+                seen: EPOCH,
+                view: EPOCH,
+            },
+        );
+        sent.iter()
+            .any(|m| matches!(m, Message::PreVoteReply { willing: true, .. }))
     }
 
     /// Time passes until it asks the others whether they would promise.
@@ -117,7 +157,11 @@
 #[case::of_the_holder_as_a_candidate(HOLDER, LATER_EPOCH, true)]
 #[case::of_somebody_else(THIRD, LATER_EPOCH, false)]
 #[case::of_an_earlier_lease(HOLDER, EPOCH - 1, false)]
-fn a_lease_is_released_by_its_holder_only(#[case] from: u64, #[case] epoch: u64, #[case] released: bool) {
+fn a_lease_is_released_by_its_holder_only(
+    #[case] from: u64,
+    #[case] epoch: u64,
+    #[case] released: bool,
+) {
     let mut voter = Voter::started();
     voter.grants();
     assert!(!voter.would_promise());
@@ -132,14 +176,32 @@
     let mut voter = Voter::started();
     voter.asks_for_pre_votes();
     voter.grants();
-    let willing = Message::PreVoteReply { willing: true, seen: EPOCH, wait_ms: 0 };
+    let willing = Message::PreVoteReply {
+        willing: true,
+        seen: EPOCH,
+        wait_ms: 0,
+    };
     let sent = voter.hears(THIRD, willing);
-    assert!(!sent.iter().any(|m| matches!(m, Message::Prepare { .. })), "{sent:?}");
-    assert!(voter.member.promised() == EPOCH, "it promised itself {}", voter.member.promised());
+    assert!(
+        !sent.iter().any(|m| matches!(m, Message::Prepare { .. })),
+        "{sent:?}"
+    );
+    assert!(
+        voter.member.promised() == EPOCH,
+        "it promised itself {}",
+        voter.member.promised()
+    );
     // Once the lease has ended it stands again.
     voter.now += LEASE;
     voter.asks_for_pre_votes();
-    let willing = Message::PreVoteReply { willing: true, seen: EPOCH, wait_ms: 0 };
+    let willing = Message::PreVoteReply {
+        willing: true,
+        seen: EPOCH,
+        wait_ms: 0,
+    };
     let sent = voter.hears(THIRD, willing);
-    assert!(sent.iter().any(|m| matches!(m, Message::Prepare { .. })), "{sent:?}");
+    assert!(
+        sent.iter().any(|m| matches!(m, Message::Prepare { .. })),
+        "{sent:?}"
+    );
 }
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/ledger.rs
@@ -14,7 +14,11 @@
 }
 
 fn replace(base: u64, body: Vec<u8>) -> Command {
-    Command::Configure { base, amend: false, body }
+    Command::Configure {
+        base,
+        amend: false,
+        body,
+    }
 }
 
 fn taken(ledger: &Ledger, command: &Command) -> Ledger {
@@ -61,8 +65,16 @@
         let route = format!(
             r#"{{"name":"r{n}","hostname":"h{n}","path_prefix":"/","route_class":"pure","deadline_ms":1,"service":"s","note":"{note}"}}"#
         );
-        let body = format!(r#"{{"version":{},"upsert":{{"routes":[{route}]}}}}"#, base + 1).into_bytes();
-        Command::Configure { base, amend: true, body }
+        let body = format!(
+            r#"{{"version":{},"upsert":{{"routes":[{route}]}}}}"#,
+            base + 1
+        )
+        .into_bytes();
+        Command::Configure {
+            base,
+            amend: true,
+            body,
+        }
     };
     let mut ledger = taken(&Ledger::default(), &replace(0, body(2, "s")));
     for n in 0..3 {
@@ -85,34 +97,55 @@
             )
         };
         let routes: Vec<String> = (0..200).map(route).collect();
-        format!(r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#, routes.join(","))
-            .into_bytes()
+        format!(
+            r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#,
+            routes.join(",")
+        )
+        .into_bytes()
     };
     let first = taken(&Ledger::default(), &replace(0, routes(1)));
     let second = taken(&first, &replace(1, routes(2)));
     assert_eq!(second.document.to_json().into_bytes(), routes(2));
     let item = routes(1).len() / 200;
     let differs = second.document.unshared_bytes(&first.document);
-    assert!(differs > item && differs < 4 * item, "{differs} bytes differ, an item has {item}");
+    assert!(
+        differs > item && differs < 4 * item,
+        "{differs} bytes differ, an item has {item}"
+    );
 }
 
 #[test]
 fn nothing_taken_yet_is_said_clearly() {
-    assert_eq!(answer(&Ledger::default(), &Command::Read { reserved: 0 }), Code::NoConfiguration);
+    assert_eq!(
+        answer(&Ledger::default(), &Command::Read { reserved: 0 }),
+        Code::NoConfiguration
+    );
 }
 
 #[test]
 fn a_snapshot_holds_the_whole_ledger() {
     let ledger = taken(&Ledger::default(), &replace(0, body(2, "s")));
     let ledger = taken(&ledger, &Command::Drain { host: "i-1".into() });
-    assert_eq!(answer(&ledger, &Command::Drain { host: "i-1".into() }), Code::Ok);
+    assert_eq!(
+        answer(&ledger, &Command::Drain { host: "i-1".into() }),
+        Code::Ok
+    );
     assert_eq!(Ledger::of(&ledger.snapshot()).unwrap(), ledger);
-    let forgotten = ledger.after(&Change::Forget { hosts: vec!["i-1".into()] }).unwrap();
+    let forgotten = ledger
+        .after(&Change::Forget {
+            hosts: vec!["i-1".into()],
+        })
+        .unwrap();
     assert!(forgotten.drains.is_empty());
 }
 
 fn seat(id: u64, zone: &str, region: &str) -> MemberInfo {
-    MemberInfo { id, zone: zone.into(), region: region.into(), ..MemberInfo::default() }
+    MemberInfo {
+        id,
+        zone: zone.into(),
+        region: region.into(),
+        ..MemberInfo::default()
+    }
 }
 
 #[rstest]
@@ -128,17 +161,34 @@
     #[case] regions: u32,
     #[case] most: Option<usize>,
 ) {
-    let budget = FaultBudget { machine_losses: machines, zones, region_losses: regions };
-    let seats =
-        [seat(1, "a", "x"), seat(2, "a", "x"), seat(3, "b", "x"), seat(4, "c", "y"), seat(5, "c", "y")];
+    let budget = FaultBudget {
+        machine_losses: machines,
+        zones,
+        region_losses: regions,
+    };
+    let seats = [
+        seat(1, "a", "x"),
+        seat(2, "a", "x"),
+        seat(3, "b", "x"),
+        seat(4, "c", "y"),
+        seat(5, "c", "y"),
+    ];
     let seats: Vec<&MemberInfo> = seats.iter().collect();
     let replicas = choose_replicas(&budget, &seats);
     assert_eq!(replicas.is_some(), most.is_some());
     let Some(replicas) = replicas else { return };
     let of = |name: fn(&MemberInfo) -> &str| {
-        let names = seats.iter().filter(|s| replicas.contains(&s.id)).map(|s| name(s));
+        let names = seats
+            .iter()
+            .filter(|s| replicas.contains(&s.id))
+            .map(|s| name(s));
         names.collect::<std::collections::BTreeSet<_>>().len() as u32
     };
-    assert!(replicas.len() <= most.unwrap() && replicas[0] == 1, "{replicas:?}");
-    assert!(replicas.len() as u32 > machines && of(|s| &s.zone) > zones && of(|s| &s.region) > regions);
+    assert!(
+        replicas.len() <= most.unwrap() && replicas[0] == 1,
+        "{replicas:?}"
+    );
+    assert!(
+        replicas.len() as u32 > machines && of(|s| &s.zone) > zones && of(|s| &s.region) > regions
+    );
 }
--- a/crates/control-plane/tests/links.rs
+++ b/crates/control-plane/tests/links.rs
@@ -15,7 +15,12 @@
 type Log = Rc<RefCell<Vec<LinkEvent>>>;
 
 fn seat(id: u64, addr: SocketAddrV4) -> MemberInfo {
-    MemberInfo { id, name: format!("m{id}"), addr: addr.into(), ..MemberInfo::default() }
+    MemberInfo {
+        id,
+        name: format!("m{id}"),
+        addr: addr.into(),
+        ..MemberInfo::default()
+    }
 }
 
 fn v4(listener: &TcpListener) -> SocketAddrV4 {
@@ -30,7 +35,10 @@
 }
 
 fn story(work: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, work);
 }
 
@@ -40,7 +48,10 @@
     let mut frames = FrameReader::new(stream, Vec::new());
     assert!(matches!(frames.next().await.unwrap(), Some(Message::Hello { seat }) if seat.id == 1));
     let (mut stream, rest) = frames.into_parts();
-    stream.write_all(&protocol::encode(&Message::Hello { seat: who.clone() })).await.unwrap();
+    stream
+        .write_all(&protocol::encode(&Message::Hello { seat: who.clone() }))
+        .await
+        .unwrap();
     FrameReader::new(stream, rest)
 }
 
@@ -63,15 +74,29 @@
         links.set_seeds(&[v4(&listener)]);
         let mut frames = greet(&listener, &other).await;
         until(|| links.counters().connected == 1).await;
-        assert!(matches!(frames.next().await.unwrap(), Some(Message::Peers { .. })));
+        assert!(matches!(
+            frames.next().await.unwrap(),
+            Some(Message::Peers { .. })
+        ));
         tokio::time::pause();
         let start = Instant::now();
         // The probe goes unanswered.
         let probe = frames.next().await.unwrap();
-        assert!(matches!(probe, Some(Message::Peers { ref seats }) if seats.is_empty()), "{probe:?}");
-        assert!(start.elapsed() >= Duration::from_millis(1900), "{:?}", start.elapsed());
+        assert!(
+            matches!(probe, Some(Message::Peers { ref seats }) if seats.is_empty()),
+            "{probe:?}"
+        );
+        assert!(
+            start.elapsed() >= Duration::from_millis(1900),
+            "{:?}",
+            start.elapsed()
+        );
         assert!(frames.next().await.unwrap().is_none(), "given up");
-        assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_secs(5),
+            "{:?}",
+            start.elapsed()
+        );
         assert_eq!(links.counters().broken, 1);
         assert_eq!(links.seats().len(), 1, "it counts no more");
         // A seed is dialled whatever happens.
@@ -92,8 +117,19 @@
         let start = Instant::now();
         // It is dialled anew after its time, and nothing was told of it until it says who it is.
         let (mute, _) = listener.accept().await.unwrap();
-        assert!(start.elapsed() >= Duration::from_secs(3), "{:?}", start.elapsed());
-        assert_eq!((log.borrow().len(), links.counters().connected, links.seats().len()), (0, 0, 1));
+        assert!(
+            start.elapsed() >= Duration::from_secs(3),
+            "{:?}",
+            start.elapsed()
+        );
+        assert_eq!(
+            (
+                log.borrow().len(),
+                links.counters().connected,
+                links.seats().len()
+            ),
+            (0, 0, 1)
+        );
         drop(mute);
         let _frames = greet(&listener, &seat(2, v4(&listener))).await;
         until(|| links.counters().connected == 1).await;
@@ -112,7 +148,10 @@
         let mut frames = greet(&listener, &before).await;
         until(|| links.counters().connected == 1).await;
         assert!(matches!(log.borrow()[0], LinkEvent::Hello(ref s) if s.id == 2));
-        assert!(matches!(frames.next().await.unwrap(), Some(Message::Peers { .. })));
+        assert!(matches!(
+            frames.next().await.unwrap(),
+            Some(Message::Peers { .. })
+        ));
         links.send(&before, &yield_message());
         assert_eq!(frames.next().await.unwrap(), Some(yield_message()));
         // Its disk is wiped: somebody else comes up at the address.
@@ -123,8 +162,14 @@
         links.send(&before, &yield_message());
         assert_eq!(links.counters().dropped, dropped + 1);
         links.send(&now, &Message::ReleaseLease { epoch: 8 });
-        assert!(matches!(frames.next().await.unwrap(), Some(Message::Peers { .. })));
-        assert_eq!(frames.next().await.unwrap(), Some(Message::ReleaseLease { epoch: 8 }));
+        assert!(matches!(
+            frames.next().await.unwrap(),
+            Some(Message::Peers { .. })
+        ));
+        assert_eq!(
+            frames.next().await.unwrap(),
+            Some(Message::ReleaseLease { epoch: 8 })
+        );
     });
 }
 
@@ -139,7 +184,11 @@
         let _stuck = greet(&listener, &other).await;
         until(|| links.counters().connected == 1).await;
         let text = vec![b'x'; 1 << 20];
-        let long = Message::CommandResult { id: 1, code: 0, text };
+        let long = Message::CommandResult {
+            id: 1,
+            code: 0,
+            text,
+        };
         links.send(&other, &long);
         let _stuck_data = greet(&listener, &other).await;
         until(|| links.counters().connected == 2).await;
@@ -147,22 +196,42 @@
             links.send(&other, &long);
             tokio::task::yield_now().await;
         }
-        assert!(links.counters().dropped > 0, "four of them fit beside what is on its way");
+        assert!(
+            links.counters().dropped > 0,
+            "four of them fit beside what is on its way"
+        );
         tokio::time::pause();
         let start = Instant::now();
         let _frames = greet(&listener, &other).await;
-        assert!(start.elapsed() < Duration::from_millis(3400), "by the write's time, {:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_millis(3400),
+            "by the write's time, {:?}",
+            start.elapsed()
+        );
         assert_eq!(links.counters().broken, 1);
     });
 }
 
 fn change(seq: u64, bytes: usize) -> Message {
-    let change = Change::Configure { base: seq, amend: false, body: vec![b'x'; bytes] };
-    Message::AppendChange { epoch: 7, seq, change }
+    let change = Change::Configure {
+        base: seq,
+        amend: false,
+        body: vec![b'x'; bytes],
+    };
+    Message::AppendChange {
+        epoch: 7,
+        seq,
+        change,
+    }
 }
 
 fn renewal(stamp: u64) -> Message {
-    Message::RenewLease { epoch: 7, stamp, committed: 0, heard: 0 }
+    Message::RenewLease {
+        epoch: 7,
+        stamp,
+        committed: 0,
+        heard: 0,
+    }
 }
 
 const LONGEST: usize = 4 << 20;
@@ -183,7 +252,10 @@
     links.set_seeds(&[v4(listener)]);
     let mut control = greet(listener, other).await;
     until(|| links.counters().connected == 1).await;
-    assert!(matches!(control.next().await.unwrap(), Some(Message::Peers { .. })));
+    assert!(matches!(
+        control.next().await.unwrap(),
+        Some(Message::Peers { .. })
+    ));
     (links, control)
 }
 
@@ -202,7 +274,10 @@
         }
         // Changes come in their order, the small one after the long one.
         let mut data = greet(&listener, &other).await;
-        assert!(matches!(data.next().await.unwrap(), Some(Message::Peers { .. })));
+        assert!(matches!(
+            data.next().await.unwrap(),
+            Some(Message::Peers { .. })
+        ));
         for stamp in 20..40 {
             links.send(&other, &renewal(stamp));
             assert_eq!(next_but_probes(&mut control).await, Some(renewal(stamp)));
@@ -220,20 +295,35 @@
         let other = seat(2, v4(&listener));
         let (links, mut control) = linked(&listener, &other).await;
         // More than the system's own buffers hold.
-        let long = Message::CommandResult { id: 1, code: 0, text: vec![b'x'; 15 << 20] };
+        let long = Message::CommandResult {
+            id: 1,
+            code: 0,
+            text: vec![b'x'; 15 << 20],
+        };
         links.send(&other, &long);
         links.send(&other, &change(1, 10));
         let mut data = greet(&listener, &other).await;
-        assert!(matches!(data.next().await.unwrap(), Some(Message::Peers { .. })));
+        assert!(matches!(
+            data.next().await.unwrap(),
+            Some(Message::Peers { .. })
+        ));
         // Some of the first bytes come, and no more.
         assert!(matches!(data.step().await.unwrap(), Step::Part));
         drop(data);
         let mut data = greet(&listener, &other).await;
         assert_eq!(next_but_probes(&mut data).await, Some(long));
         links.send(&other, &change(2, 10));
-        assert_eq!(next_but_probes(&mut data).await, Some(change(2, 10)), "nothing fits beside the longest");
+        assert_eq!(
+            next_but_probes(&mut data).await,
+            Some(change(2, 10)),
+            "nothing fits beside the longest"
+        );
         links.send(&other, &renewal(1));
-        assert_eq!(next_but_probes(&mut control).await, Some(renewal(1)), "the other connection stays");
+        assert_eq!(
+            next_but_probes(&mut control).await,
+            Some(renewal(1)),
+            "the other connection stays"
+        );
         assert_eq!(links.counters().broken, 1);
     });
 }
@@ -270,7 +360,10 @@
         tokio::task::spawn_local(answer_probes(control));
         links.send(&other, &change(1, LONGEST));
         let mut data = greet(&listener, &other).await;
-        assert!(matches!(data.next().await.unwrap(), Some(Message::Peers { .. })));
+        assert!(matches!(
+            data.next().await.unwrap(),
+            Some(Message::Peers { .. })
+        ));
         until(|| links.counters().connected == 2).await;
         tokio::time::pause();
         let start = Instant::now();
@@ -287,7 +380,11 @@
                 Step::End => panic!("given up after {:?}", start.elapsed()),
             }
         };
-        assert!(start.elapsed() >= Duration::from_millis(3700), "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() >= Duration::from_millis(3700),
+            "{:?}",
+            start.elapsed()
+        );
         assert!(matches!(change, Message::AppendChange { seq: 1, .. }));
         assert_eq!(links.counters().broken, 0);
     });
@@ -312,5 +409,7 @@
     let serve = links.serve(other, first, FrameReader::new(input, Vec::new()), output);
     local.run_until(serve).await.unwrap();
     let told = log.borrow();
-    assert!(matches!(told.last(), Some(LinkEvent::Message(s, m)) if s.id == 2 && **m == change(1, 1 << 20)));
+    assert!(
+        matches!(told.last(), Some(LinkEvent::Message(s, m)) if s.id == 2 && **m == change(1, 1 << 20))
+    );
 }
--- a/crates/control-plane/tests/lives.rs
+++ b/crates/control-plane/tests/lives.rs
@@ -14,9 +14,27 @@
 const ID: u64 = 7;
 
 fn beat(host: &str, call_seq: u64) -> HostCall {
-    let (service, addr, zone) = ("s".into(), Addr { ip: 1, port: 80 + host.len() as u16 }, "z".into());
-    let beat = Beat { service, addr, zone, capacity: 1, draining: false, cold_left_ms: 0, call_seq };
-    HostCall::Beat { host: host.into(), beat }
+    let (service, addr, zone) = (
+        "s".into(),
+        Addr {
+            ip: 1,
+            port: 80 + host.len() as u16,
+        },
+        "z".into(),
+    );
+    let beat = Beat {
+        service,
+        addr,
+        zone,
+        capacity: 1,
+        draining: false,
+        cold_left_ms: 0,
+        call_seq,
+    };
+    HostCall::Beat {
+        host: host.into(),
+        beat,
+    }
 }
 
 fn member(id: u64) -> Arc<SharedMirror> {
@@ -41,7 +59,12 @@
 impl Fleet {
     fn new(life: u64) -> Self {
         let member = member_with_feed(life);
-        Self { member: member.0, feed: member.1, peer: self::member(8), agent: self::member(0) }
+        Self {
+            member: member.0,
+            feed: member.1,
+            peer: self::member(8),
+            agent: self::member(0),
+        }
     }
 
     fn restart(&mut self, life: u64) {
@@ -68,7 +91,8 @@
     }
 
     fn shows(&self, host: &str) -> [bool; 3] {
-        [&self.member, &self.peer, &self.agent].map(|mirror| mirror.snapshot().hosts.contains_key(host))
+        [&self.member, &self.peer, &self.agent]
+            .map(|mirror| mirror.snapshot().hosts.contains_key(host))
     }
 }
 
@@ -84,7 +108,10 @@
 #[case::set_back_below_what_was_kept(following(0, 9_000, 2), following(0, 9_000, 1))]
 #[case::set_back_by_years(following(0, 1 << 41, 1), following(0, 1, 2))]
 #[tokio::test(start_paused = true)]
-async fn hosts_told_after_the_clock_went_back_reach_everybody(#[case] first: u64, #[case] second: u64) {
+async fn hosts_told_after_the_clock_went_back_reach_everybody(
+    #[case] first: u64,
+    #[case] second: u64,
+) {
     let mut fleet = Fleet::new(first);
     let mut calls = 0;
     fleet.run(&["a", "bb"], 3, &mut calls).await;
@@ -92,11 +119,17 @@
     fleet.restart(second);
     // One stays, one ended meanwhile, one is new; this member alone is called.
     fleet.run(&["a", "ccc"], 10, &mut calls).await;
-    assert_eq!((fleet.shows("a"), fleet.shows("ccc")), ([true; 3], [true; 3]));
+    assert_eq!(
+        (fleet.shows("a"), fleet.shows("ccc")),
+        ([true; 3], [true; 3])
+    );
     assert_eq!(fleet.shows("bb"), [false; 3]);
     fleet.feed.call(&HostCall::Depart { host: "a".into() });
     fleet.run(&["ccc"], 1, &mut calls).await;
-    assert_eq!(fleet.agent.snapshot().hosts["a"].phase, replication::phase::GONE);
+    assert_eq!(
+        fleet.agent.snapshot().hosts["a"].phase,
+        replication::phase::GONE
+    );
 }
 
 /// Again and again, each time further back.
@@ -134,6 +167,10 @@
     fleet.restart(life);
     fleet.run(&["a"], 6, &mut calls).await;
     let marks = fleet.agent.update(|mirror, _| mirror.vector());
-    let newest = marks.iter().filter(|mark| mark.id == ID).map(|mark| mark.life).max();
+    let newest = marks
+        .iter()
+        .filter(|mark| mark.id == ID)
+        .map(|mark| mark.life)
+        .max();
     assert_eq!(newest, Some(life));
 }
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -23,17 +23,33 @@
         )
     };
     let routes: Vec<String> = (0..routes).map(route).collect();
-    format!(r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#, routes.join(","))
-        .into_bytes()
+    format!(
+        r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#,
+        routes.join(",")
+    )
+    .into_bytes()
 }
 
 fn change(version: u64, routes: usize) -> Change {
-    Change::Configure { base: version - 1, amend: false, body: body(version, routes) }
+    Change::Configure {
+        base: version - 1,
+        amend: false,
+        body: body(version, routes),
+    }
 }
 
 fn seat(id: u64) -> MemberInfo {
-    let addr = protocol::Addr { ip: id as u32, port: 1 };
-    MemberInfo { id, name: format!("core-{id}"), addr, zone: "z".into(), ..MemberInfo::default() }
+    let addr = protocol::Addr {
+        ip: id as u32,
+        port: 1,
+    };
+    MemberInfo {
+        id,
+        name: format!("core-{id}"),
+        addr,
+        zone: "z".into(),
+        ..MemberInfo::default()
+    }
 }
 
 fn config(me: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> Config {
@@ -50,7 +66,13 @@
 fn view() -> View {
     let voters = vec![seat(PRIMARY), seat(ME)];
     let before = voters.clone();
-    View { epoch: EPOCH, primary: PRIMARY, replicas: vec![PRIMARY, ME], voters, before }
+    View {
+        epoch: EPOCH,
+        primary: PRIMARY,
+        replicas: vec![PRIMARY, ME],
+        voters,
+        before,
+    }
 }
 
 /// A member with a disk that can refuse rewrites.
@@ -74,9 +96,17 @@
     again.step(Input::Tick);
     let shown = restored(&again.take_outputs());
     again.now += 2 * LEASE;
-    again.hear(Message::Prepare { epoch: 9 << 20, candidate: seat(PRIMARY) });
+    again.hear(Message::Prepare {
+        epoch: 9 << 20,
+        candidate: seat(PRIMARY),
+    });
     let tag = again.take_outputs().iter().find_map(|o| match o {
-        Output::Send { message: Message::Promise { granted: true, tag, .. }, .. } => Some(*tag),
+        Output::Send {
+            message: Message::Promise {
+                granted: true, tag, ..
+            },
+            ..
+        } => Some(*tag),
         _ => None,
     });
     (shown, tag.expect("it promises").map(|t| (t.epoch, t.seq)))
@@ -87,7 +117,17 @@
         let member = Member::new(config, &disk, now, 7);
         let (longest, rewrites, refuses_rewrites, refuses_all, compares) = Default::default();
         let outputs = vec![];
-        Self { member, now, disk, longest, rewrites, refuses_rewrites, refuses_all, compares, outputs }
+        Self {
+            member,
+            now,
+            disk,
+            longest,
+            rewrites,
+            refuses_rewrites,
+            refuses_all,
+            compares,
+            outputs,
+        }
     }
 
     fn bytes(&self) -> usize {
@@ -103,25 +143,45 @@
             for output in out {
                 match output {
                     Output::Write { ticket, .. } if self.refuses_all => {
-                        inputs.push(Input::Wrote { ticket, result: Err(DiskError::Full) });
+                        inputs.push(Input::Wrote {
+                            ticket,
+                            result: Err(DiskError::Full),
+                        });
                     }
-                    Output::Write { ticket, rewrite: true, .. } if self.refuses_rewrites => {
+                    Output::Write {
+                        ticket,
+                        rewrite: true,
+                        ..
+                    } if self.refuses_rewrites => {
                         self.rewrites += 1;
-                        inputs.push(Input::Wrote { ticket, result: Err(DiskError::Full) });
+                        inputs.push(Input::Wrote {
+                            ticket,
+                            result: Err(DiskError::Full),
+                        });
                     }
-                    Output::Write { ticket, records, rewrite } => {
+                    Output::Write {
+                        ticket,
+                        records,
+                        rewrite,
+                    } => {
                         if rewrite {
                             if self.compares {
                                 let (old, new) =
                                     (state_of(&self.disk, self.now), state_of(&records, self.now));
-                                assert_eq!(old, new, "a loss in the middle of a rewrite leaves either");
+                                assert_eq!(
+                                    old, new,
+                                    "a loss in the middle of a rewrite leaves either"
+                                );
                             }
                             self.disk.clear();
                             self.rewrites += 1;
                         }
                         self.disk.extend(records);
                         self.longest = self.longest.max(self.bytes());
-                        inputs.push(Input::Wrote { ticket, result: Ok(()) });
+                        inputs.push(Input::Wrote {
+                            ticket,
+                            result: Ok(()),
+                        });
                     }
                     output => self.outputs.push(output),
                 }
@@ -130,7 +190,10 @@
     }
 
     fn hear(&mut self, message: Message) {
-        self.step(Input::Message { from: seat(PRIMARY), message });
+        self.step(Input::Message {
+            from: seat(PRIMARY),
+            message,
+        });
     }
 
     /// Lets time pass until the member acts.
@@ -151,7 +214,10 @@
 fn replica() -> Machine {
     let mut machine = Machine::start(config(ME, None), vec![], Duration::ZERO);
     let snapshot = Some(Ledger::default().snapshot());
-    machine.hear(Message::InstallView { view: view(), snapshot });
+    machine.hear(Message::InstallView {
+        view: view(),
+        snapshot,
+    });
     machine
 }
 
@@ -175,23 +241,42 @@
     let mut machine = replica();
     for seq in 1..=changes {
         machine.now += Duration::from_millis(20);
-        machine.hear(Message::AppendChange { epoch: EPOCH, seq, change: change(seq, routes) });
+        machine.hear(Message::AppendChange {
+            epoch: EPOCH,
+            seq,
+            change: change(seq, routes),
+        });
         if seq % RENEWED_EACH == 0 {
-            let (stamp, committed) = (machine.now.as_millis() as u64, seq.saturating_sub(under_way));
-            machine.hear(Message::RenewLease { epoch: EPOCH, stamp, committed, heard: 0 });
+            let (stamp, committed) = (
+                machine.now.as_millis() as u64,
+                seq.saturating_sub(under_way),
+            );
+            machine.hear(Message::RenewLease {
+                epoch: EPOCH,
+                stamp,
+                committed,
+                heard: 0,
+            });
         }
     }
     // Four times a ledger, twice the changes that may be open, and what one write adds.
     let orders = changes as usize * std::mem::size_of::<AcceptedCall>();
     let ledger = body(changes, routes).len() + orders + 4096;
-    let most =
-        4 * ledger + (2 * (under_way + RENEWED_EACH) + 1) as usize * (body(changes, routes).len() + 4096);
+    let most = 4 * ledger
+        + (2 * (under_way + RENEWED_EACH) + 1) as usize * (body(changes, routes).len() + 4096);
     let most = most.max(300 << 10);
     assert!(machine.rewrites > 0, "the file was never rewritten");
-    assert!(machine.longest <= most, "{} of {most} bytes", machine.longest);
+    assert!(
+        machine.longest <= most,
+        "{} of {most} bytes",
+        machine.longest
+    );
 
     // A new life has all that was confirmed, and shows what was known to be acknowledged.
-    assert_eq!(state_of(&machine.disk, machine.now), (Some(changes - under_way), Some((EPOCH, changes))));
+    assert_eq!(
+        state_of(&machine.disk, machine.now),
+        (Some(changes - under_way), Some((EPOCH, changes)))
+    );
 }
 
 /// A restart at any moment of a long row of changes: the ledger shown is one that was acknowledged and never an
@@ -203,14 +288,23 @@
     let mut shown = 0;
     for seq in 1..=300_u64 {
         machine.now += Duration::from_millis(50);
-        machine.hear(Message::AppendChange { epoch: EPOCH, seq, change: change(seq, 300) });
+        machine.hear(Message::AppendChange {
+            epoch: EPOCH,
+            seq,
+            change: change(seq, 300),
+        });
         let confirmed = machine.take_outputs().iter().any(|o| {
             matches!(o, Output::Send { message: Message::AppendReply { seq: s, ok: true, .. }, .. } if *s == seq)
         });
         assert!(confirmed, "change {seq}");
         if seq % 3 == 0 {
             let stamp = machine.now.as_millis() as u64;
-            machine.hear(Message::RenewLease { epoch: EPOCH, stamp, committed: seq - 1, heard: 0 });
+            machine.hear(Message::RenewLease {
+                epoch: EPOCH,
+                stamp,
+                committed: seq - 1,
+                heard: 0,
+            });
         }
         let mut again = Machine::start(config(ME, None), machine.disk.clone(), machine.now);
         assert!(again.member.unsound().is_none(), "after {seq}");
@@ -231,20 +325,37 @@
 fn a_replica_whose_disk_was_full_is_fit_again() {
     let mut machine = replica();
     machine.refuses_all = true;
-    machine.hear(Message::AppendChange { epoch: EPOCH, seq: 1, change: change(1, 10) });
+    machine.hear(Message::AppendChange {
+        epoch: EPOCH,
+        seq: 1,
+        change: change(1, 10),
+    });
     let says = |machine: &mut Machine| {
-        machine.hear(Message::RenewLease { epoch: EPOCH, stamp: 1, committed: 0, heard: 0 });
+        machine.hear(Message::RenewLease {
+            epoch: EPOCH,
+            stamp: 1,
+            committed: 0,
+            heard: 0,
+        });
         let outputs = machine.take_outputs();
         let fit = outputs.iter().rev().find_map(|o| match o {
-            Output::Send { message: Message::LeaseReply { fit, .. }, .. } => Some(*fit),
+            Output::Send {
+                message: Message::LeaseReply { fit, .. },
+                ..
+            } => Some(*fit),
             _ => None,
         });
         fit.expect("it answers")
     };
-    let refused = machine
-        .take_outputs()
-        .iter()
-        .any(|o| matches!(o, Output::Send { message: Message::AppendReply { ok: false, .. }, .. }));
+    let refused = machine.take_outputs().iter().any(|o| {
+        matches!(
+            o,
+            Output::Send {
+                message: Message::AppendReply { ok: false, .. },
+                ..
+            }
+        )
+    });
     assert!(refused);
     for _ in 0..20 {
         machine.now += Duration::from_millis(200);
@@ -255,13 +366,29 @@
     machine.now += Duration::from_millis(400);
     machine.step(Input::Tick);
     assert!(says(&mut machine));
-    machine.hear(Message::AppendChange { epoch: EPOCH, seq: 1, change: change(1, 10) });
-    let taken = machine
-        .take_outputs()
-        .iter()
-        .any(|o| matches!(o, Output::Send { message: Message::AppendReply { ok: true, seq: 1, .. }, .. }));
+    machine.hear(Message::AppendChange {
+        epoch: EPOCH,
+        seq: 1,
+        change: change(1, 10),
+    });
+    let taken = machine.take_outputs().iter().any(|o| {
+        matches!(
+            o,
+            Output::Send {
+                message: Message::AppendReply {
+                    ok: true,
+                    seq: 1,
+                    ..
+                },
+                ..
+            }
+        )
+    });
     assert!(taken);
-    assert_eq!(state_of(&machine.disk, machine.now), (None, Some((EPOCH, 1))));
+    assert_eq!(
+        state_of(&machine.disk, machine.now),
+        (None, Some((EPOCH, 1)))
+    );
 }
 
 /// A rewrite needs room for a second file. Where that is refused and appends are not, the primary goes on.
@@ -273,23 +400,43 @@
     for version in 1..=200 {
         machine.now += Duration::from_millis(100);
         let body = body(version, 300);
-        let command = Command::Configure { base: version - 1, amend: false, body };
-        machine.step(Input::Command { ticket: version, command });
-        let taken = machine
-            .take_outputs()
-            .iter()
-            .any(|o| matches!(o, Output::Answer { ticket, code: Code::Ok, .. } if *ticket == version));
+        let command = Command::Configure {
+            base: version - 1,
+            amend: false,
+            body,
+        };
+        machine.step(Input::Command {
+            ticket: version,
+            command,
+        });
+        let taken = machine.take_outputs().iter().any(
+            |o| matches!(o, Output::Answer { ticket, code: Code::Ok, .. } if *ticket == version),
+        );
         assert!(taken && machine.member.acts(), "change {version}");
     }
     // 200 changes in 20 s: a try every few seconds, not with each change.
-    assert!((1..=6).contains(&machine.rewrites), "{} tries", machine.rewrites);
+    assert!(
+        (1..=6).contains(&machine.rewrites),
+        "{} tries",
+        machine.rewrites
+    );
     machine.refuses_rewrites = false;
     machine.now += Duration::from_secs(6);
     machine.until_it_acts();
-    let command = Command::Configure { base: 200, amend: false, body: body(201, 300) };
-    machine.step(Input::Command { ticket: 201, command });
+    let command = Command::Configure {
+        base: 200,
+        amend: false,
+        body: body(201, 300),
+    };
+    machine.step(Input::Command {
+        ticket: 201,
+        command,
+    });
     machine.step(Input::Tick);
-    assert!(machine.bytes() <= 5 * body(201, 300).len(), "rewritten once there is room");
+    assert!(
+        machine.bytes() <= 5 * body(201, 300).len(),
+        "rewritten once there is room"
+    );
 }
 
 /// The longest ledger there can be, with 10,000 hosts that leave at once by names of the longest kind: one frame and
@@ -305,16 +452,36 @@
     let mut routes: Vec<String> = (0..3).map(|n| route(n, &note)).collect();
     let used: usize = routes.iter().map(String::len).sum();
     routes.push(route(3, &note[..MAX_DOCUMENT_BYTES - used - 200]));
-    let whole = format!(r#"{{"version":2,"routes":[{}],"services":[{{"name":"s"}}]}}"#, routes.join(","));
-    let command = Command::Configure { base: 0, amend: false, body: whole.clone().into_bytes() };
-    let Plan::Change(change, next) = Ledger::default().plan(&command) else { panic!("it is taken") };
+    let whole = format!(
+        r#"{{"version":2,"routes":[{}],"services":[{{"name":"s"}}]}}"#,
+        routes.join(",")
+    );
+    let command = Command::Configure {
+        base: 0,
+        amend: false,
+        body: whole.clone().into_bytes(),
+    };
+    let Plan::Change(change, next) = Ledger::default().plan(&command) else {
+        panic!("it is taken")
+    };
     let mut ledger = *next;
     assert!(whole.len() > MAX_DOCUMENT_BYTES - 200 && whole.len() < MAX_DOCUMENT_BYTES);
     ledger.drains = (0..10_000).map(|n| format!("{n:0>256}")).collect();
-    let append = Message::AppendChange { epoch: 1, seq: 1, change };
+    let append = Message::AppendChange {
+        epoch: 1,
+        seq: 1,
+        change,
+    };
     let tag = protocol::LedgerPosition { epoch: 1, seq: 1 };
-    let reply = Message::LedgerReply { epoch: 1, tag, snapshot: ledger.snapshot() };
-    let install = Message::InstallView { view: view(), snapshot: Some(ledger.snapshot()) };
+    let reply = Message::LedgerReply {
+        epoch: 1,
+        tag,
+        snapshot: ledger.snapshot(),
+    };
+    let install = Message::InstallView {
+        view: view(),
+        snapshot: Some(ledger.snapshot()),
+    };
     for message in [append, reply, install] {
         let frame = protocol::encode(&message);
         assert!(frame.len() <= protocol::MOST, "{} bytes", frame.len());
@@ -322,21 +489,35 @@
         assert!(read == message && length == frame.len());
     }
     let record = protocol::write_one(&accepted(Some(&ledger)));
-    assert!(record.len() <= append_log::format::MAX_RECORD, "{} bytes", record.len());
+    assert!(
+        record.len() <= append_log::format::MAX_RECORD,
+        "{} bytes",
+        record.len()
+    );
 }
 
 fn accepted(ledger: Option<&Ledger>) -> Record {
-    Record::Accepted { view: view(), snapshot: ledger.map(Ledger::snapshot) }
+    Record::Accepted {
+        view: view(),
+        snapshot: ledger.map(Ledger::snapshot),
+    }
 }
 
 fn numbered(epoch: u64, seq: u64, version: u64) -> Record {
-    Record::Change { epoch, seq, change: change(version, 1) }
+    Record::Change {
+        epoch,
+        seq,
+        change: change(version, 1),
+    }
 }
 
 fn unreadable_ledger() -> Record {
     let mut snapshot = Ledger::default().snapshot();
     snapshot.document = "{".into();
-    Record::Accepted { view: view(), snapshot: Some(snapshot) }
+    Record::Accepted {
+        view: view(),
+        snapshot: Some(snapshot),
+    }
 }
 
 /// Records that can't be relied on are never passed over: the member promises, grants, holds, shows and writes
@@ -356,7 +537,12 @@
     #[case] expected: fn(&ReplayError) -> bool,
 ) {
     let good = [accepted(Some(&Ledger::default())), numbered(EPOCH, 1, 1)];
-    let disk: Vec<Vec<u8>> = good.iter().chain(&records).map(protocol::write_one).chain(raw).collect();
+    let disk: Vec<Vec<u8>> = good
+        .iter()
+        .chain(&records)
+        .map(protocol::write_one)
+        .chain(raw)
+        .collect();
     let mut machine = Machine::start(config(ME, None), disk.clone(), Duration::ZERO);
     let error = machine.member.unsound().expect("it is noticed");
     assert!(expected(error), "{error:?}");
@@ -365,13 +551,31 @@
         machine.now += LEASE / 4;
         machine.step(Input::Tick);
         let epoch = (8 + round) << 20;
-        machine.hear(Message::PreVote { seen: epoch, view: EPOCH });
-        machine.hear(Message::Prepare { epoch, candidate: seat(PRIMARY) });
+        machine.hear(Message::PreVote {
+            seen: epoch,
+            view: EPOCH,
+        });
+        machine.hear(Message::Prepare {
+            epoch,
+            candidate: seat(PRIMARY),
+        });
         machine.hear(Message::FetchLedger { epoch });
-        machine.hear(Message::AppendChange { epoch: EPOCH, seq: 2, change: change(2, 1) });
-        machine.hear(Message::RenewLease { epoch: EPOCH, stamp: 1, committed: 1, heard: 0 });
+        machine.hear(Message::AppendChange {
+            epoch: EPOCH,
+            seq: 2,
+            change: change(2, 1),
+        });
+        machine.hear(Message::RenewLease {
+            epoch: EPOCH,
+            stamp: 1,
+            committed: 1,
+            heard: 0,
+        });
         let view = View { epoch, ..view() };
-        machine.hear(Message::InstallView { view, snapshot: Some(Ledger::default().snapshot()) });
+        machine.hear(Message::InstallView {
+            view,
+            snapshot: Some(Ledger::default().snapshot()),
+        });
     }
     for output in machine.take_outputs() {
         match output {
@@ -379,9 +583,9 @@
             Output::Send { message, .. } => {
                 let refuses = match &message {
                     Message::PreVoteReply { willing, .. } => !willing,
-                    Message::Promise { granted, view, tag, .. } => {
-                        !granted && view.is_none() && tag.is_none()
-                    }
+                    Message::Promise {
+                        granted, view, tag, ..
+                    } => !granted && view.is_none() && tag.is_none(),
                     Message::AppendReply { ok, .. } | Message::InstallReply { ok, .. } => !ok,
                     Message::LeaseReply { ok, fit, .. } => !ok && !fit,
                     _ => false,
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -33,10 +33,22 @@
 
     fn of(count: u8, net: u8, root: &Path) -> Self {
         let ips: Vec<Ipv4Addr> = (1..=count).map(|n| Ipv4Addr::new(127, 0, net, n)).collect();
-        let free = || TcpListener::bind((ips[0], 0)).unwrap().local_addr().unwrap().port();
+        let free = || {
+            TcpListener::bind((ips[0], 0))
+                .unwrap()
+                .local_addr()
+                .unwrap()
+                .port()
+        };
         let dirs = (1..=count).map(|n| root.join(n.to_string())).collect();
         let ports = (free(), free());
-        Self { dirs, ips, ports, tuning: Tuning::default(), running: (0..count).map(|_| None).collect() }
+        Self {
+            dirs,
+            ips,
+            ports,
+            tuning: Tuning::default(),
+            running: (0..count).map(|_| None).collect(),
+        }
     }
 
     fn control(&self, n: usize) -> SocketAddrV4 {
@@ -62,7 +74,9 @@
         let tuning = self.tuning;
         let done = spawn_local(async move {
             let (_seeds, following) = watch::channel(boot.seed_nodes.clone());
-            run(boot, tuning, following, async { drop(stopped.await) }).await.unwrap();
+            run(boot, tuning, following, async { drop(stopped.await) })
+                .await
+                .unwrap();
         });
         self.running[n] = Some((stop, done));
     }
@@ -79,7 +93,9 @@
     }
 
     async fn identity(&self, n: usize) -> serde_json::Value {
-        let status = call(self.control(n), "GET", "/fennelpin/status", &[], "").await.unwrap();
+        let status = call(self.control(n), "GET", "/fennelpin/status", &[], "")
+            .await
+            .unwrap();
         serde_json::from_str::<serde_json::Value>(&status.body).unwrap()["id"].clone()
     }
 }
@@ -88,16 +104,29 @@
     let root = tempfile::tempdir().unwrap();
     let core = Core::new(net, root.path());
     let tasks = LocalSet::new();
-    timeout(Duration::from_secs(60), tasks.run_until(test(core))).await.expect("the test hangs");
+    timeout(Duration::from_secs(60), tasks.run_until(test(core)))
+        .await
+        .expect("the test hangs");
 }
 
 async fn replace(to: SocketAddrV4, base: &str, body: &str) -> Answer {
     let headers = [("Fennelpin-Base-Version", base)];
-    call_until(to, "POST", "/fennelpin/Configuration.Replace", &headers, body, |a| a.status < 500).await
+    call_until(
+        to,
+        "POST",
+        "/fennelpin/Configuration.Replace",
+        &headers,
+        body,
+        |a| a.status < 500,
+    )
+    .await
 }
 
 async fn read(from: SocketAddrV4) -> Answer {
-    call_until(from, "GET", "/fennelpin/Configuration.Read", &[], "", |a| a.status == 200).await
+    call_until(from, "GET", "/fennelpin/Configuration.Read", &[], "", |a| {
+        a.status == 200
+    })
+    .await
 }
 
 #[tokio::test]
@@ -105,8 +134,15 @@
     on_core(61, |mut core| async move {
         (0..3).for_each(|n| core.start(n, true));
         let taken = replace(core.control(1), "0", CONFIGURATION).await;
-        assert_eq!((taken.status, &*taken.body), (200, r#"{"code":0,"reason":"done"}"#));
-        assert_eq!(replace(core.control(2), "0", CONFIGURATION).await.status, 200, "the same call again");
+        assert_eq!(
+            (taken.status, &*taken.body),
+            (200, r#"{"code":0,"reason":"done"}"#)
+        );
+        assert_eq!(
+            replace(core.control(2), "0", CONFIGURATION).await.status,
+            200,
+            "the same call again"
+        );
         let other = CONFIGURATION.replace(":3,", ":4,");
         assert_eq!(replace(core.control(0), "1", &other).await.status, 412);
         assert_eq!(replace(core.control(0), "3", "{").await.status, 400);
@@ -139,12 +175,23 @@
                 clock_ms: 1,
             };
             let identity = protocol::write_one(&facts.identity(None));
-            AppendLog::open(&core.dirs[n], "identity").unwrap().0.append(&[&identity]).unwrap();
+            AppendLog::open(&core.dirs[n], "identity")
+                .unwrap()
+                .0
+                .append(&[&identity])
+                .unwrap();
             let promised = protocol::write_one(&Record::Promised { epoch: 1 << 20 });
-            AppendLog::open(&core.dirs[n], "ledger").unwrap().0.append(&[&promised]).unwrap();
+            AppendLog::open(&core.dirs[n], "ledger")
+                .unwrap()
+                .0
+                .append(&[&promised])
+                .unwrap();
         }
         (0..3).for_each(|n| core.start(n, false));
-        assert_eq!(replace(core.control(1), "0", CONFIGURATION).await.status, 200);
+        assert_eq!(
+            replace(core.control(1), "0", CONFIGURATION).await.status,
+            200
+        );
         assert_eq!(read(core.control(2)).await.body, CONFIGURATION);
     })
     .await;
@@ -156,9 +203,17 @@
 async fn of_eight_orders_at_once_one_is_confirmed_and_each_hears_the_same_again() {
     on_core(67, |mut core| async move {
         (0..3).for_each(|n| core.start(n, true));
-        assert_eq!(replace(core.control(0), "0", CONFIGURATION).await.status, 200);
-        let bodies: Vec<String> =
-            (0..8).map(|n| CONFIGURATION.replace(":3,", ":4,").replace("/a/", &format!("/a{n}/"))).collect();
+        assert_eq!(
+            replace(core.control(0), "0", CONFIGURATION).await.status,
+            200
+        );
+        let bodies: Vec<String> = (0..8)
+            .map(|n| {
+                CONFIGURATION
+                    .replace(":3,", ":4,")
+                    .replace("/a/", &format!("/a{n}/"))
+            })
+            .collect();
         let sent: Vec<JoinHandle<Answer>> = bodies
             .iter()
             .enumerate()
@@ -171,8 +226,16 @@
         for answer in sent {
             statuses.push(answer.await.unwrap().status);
         }
-        assert_eq!(statuses.iter().filter(|s| **s == 200).count(), 1, "{statuses:?}");
-        assert_eq!(statuses.iter().filter(|s| **s == 412).count(), 7, "{statuses:?}");
+        assert_eq!(
+            statuses.iter().filter(|s| **s == 200).count(),
+            1,
+            "{statuses:?}"
+        );
+        assert_eq!(
+            statuses.iter().filter(|s| **s == 412).count(),
+            7,
+            "{statuses:?}"
+        );
         for life in 0..2 {
             for (n, body) in bodies.iter().enumerate() {
                 let again = replace(core.control((n + 1 + life) % 3), "3", body).await;
@@ -187,7 +250,10 @@
         let later = CONFIGURATION.replace(":3,", ":9,");
         assert_eq!(replace(core.control(0), "4", &later).await.status, 200);
         let winner = statuses.iter().position(|s| *s == 200).unwrap();
-        assert_eq!(replace(core.control(1), "3", &bodies[winner]).await.status, 200);
+        assert_eq!(
+            replace(core.control(1), "3", &bodies[winner]).await.status,
+            200
+        );
         assert_eq!(read(core.control(2)).await.body, later);
     })
     .await;
@@ -197,7 +263,10 @@
 async fn one_member_may_leave_at_any_time() {
     on_core(62, |mut core| async move {
         (0..3).for_each(|n| core.start(n, true));
-        assert_eq!(replace(core.control(0), "0", CONFIGURATION).await.status, 200);
+        assert_eq!(
+            replace(core.control(0), "0", CONFIGURATION).await.status,
+            200
+        );
         for n in 0..3 {
             core.stop(n).await;
             assert_eq!(read(core.control((n + 1) % 3)).await.body, CONFIGURATION);
@@ -239,7 +308,10 @@
     let mut core = Core::of(11, 66, root.path());
     let play = async {
         (0..11).for_each(|n| core.start(n, true));
-        assert_eq!(replace(core.control(0), "0", CONFIGURATION).await.status, 200);
+        assert_eq!(
+            replace(core.control(0), "0", CONFIGURATION).await.status,
+            200
+        );
         for n in 0..11 {
             assert_eq!(read(core.control(n)).await.body, CONFIGURATION);
         }
@@ -249,10 +321,15 @@
             .to_string();
         for n in 0..11 {
             let at = format!("/fennelpin/Hosts.Heartbeat/i-{n}");
-            call_until(core.control(n), "POST", &at, &[], &beat, |a| a.status == 200).await;
+            call_until(core.control(n), "POST", &at, &[], &beat, |a| {
+                a.status == 200
+            })
+            .await;
         }
     };
-    timeout(Duration::from_secs(60), LocalSet::new().run_until(play)).await.expect("the test hangs");
+    timeout(Duration::from_secs(60), LocalSet::new().run_until(play))
+        .await
+        .expect("the test hangs");
 }
 
 #[tokio::test]
@@ -262,14 +339,20 @@
         std::fs::write(&core.dirs[0], "").unwrap();
         core.start_on(0, true);
         let at = core.control(0);
-        let answer = call_until(at, "GET", "/fennelpin/Configuration.Read", &[], "", |_| true).await;
+        let answer = call_until(at, "GET", "/fennelpin/Configuration.Read", &[], "", |_| {
+            true
+        })
+        .await;
         assert_eq!(answer.status, 503);
         assert!(answer.body.contains(r#""code":204"#), "{}", answer.body);
         let status = call(at, "GET", "/fennelpin/status", &[], "").await.unwrap();
         assert!(status.body.contains(r#""opening":true"#), "{}", status.body);
         std::fs::remove_file(&core.dirs[0]).unwrap();
         std::fs::create_dir(&core.dirs[0]).unwrap();
-        call_until(at, "GET", "/fennelpin/status", &[], "", |a| a.body.contains(r#""opening":false"#)).await;
+        call_until(at, "GET", "/fennelpin/status", &[], "", |a| {
+            a.body.contains(r#""opening":false"#)
+        })
+        .await;
     })
     .await;
 }
@@ -278,7 +361,10 @@
 async fn versions_taken_are_told_with_their_configurations() {
     on_core(65, |mut core| async move {
         (0..3).for_each(|n| core.start(n, true));
-        assert_eq!(replace(core.control(0), "0", CONFIGURATION).await.status, 200);
+        assert_eq!(
+            replace(core.control(0), "0", CONFIGURATION).await.status,
+            200
+        );
         let second = CONFIGURATION.replace(":3,", ":8,");
         assert_eq!(replace(core.control(1), "3", &second).await.status, 200);
         // The primary has seen both; the others at least the newest.
@@ -288,11 +374,15 @@
             let newest = |a: &Answer| a.body.contains(r#""version":8"#);
             let told = call_until(core.control(n), "GET", list, &[], "", newest).await;
             if told.body.contains(r#""version":3"#) {
-                let old = call(core.control(n), "GET", &format!("{list}/3"), &[], "").await.unwrap();
+                let old = call(core.control(n), "GET", &format!("{list}/3"), &[], "")
+                    .await
+                    .unwrap();
                 assert_eq!((old.status, &*old.body), (200, CONFIGURATION));
                 whole += 1;
             }
-            let none = call(core.control(n), "GET", &format!("{list}/5"), &[], "").await.unwrap();
+            let none = call(core.control(n), "GET", &format!("{list}/5"), &[], "")
+                .await
+                .unwrap();
             assert_eq!(none.status, 404);
         }
         assert!(whole > 0);
@@ -308,22 +398,38 @@
     core.tuning.lease = Duration::from_millis(300);
     let play = async {
         (0..10).for_each(|n| core.start(n, true));
-        assert_eq!(replace(core.control(0), "0", CONFIGURATION).await.status, 200);
+        assert_eq!(
+            replace(core.control(0), "0", CONFIGURATION).await.status,
+            200
+        );
         let voters = |a: &Answer| {
             let status: serde_json::Value = serde_json::from_str(&a.body).unwrap_or_default();
-            let voters = status["member"]["view"]["voters"].as_array().cloned().unwrap_or_default();
-            voters.iter().filter_map(|v| v["name"].as_str().map(str::to_owned)).collect::<Vec<_>>()
+            let voters = status["member"]["view"]["voters"]
+                .as_array()
+                .cloned()
+                .unwrap_or_default();
+            voters
+                .iter()
+                .filter_map(|v| v["name"].as_str().map(str::to_owned))
+                .collect::<Vec<_>>()
         };
         let status = "/fennelpin/status";
         let full = |a: &Answer| voters(a).len() == 9;
         let nine = call_until(core.control(0), "GET", status, &[], "", full).await;
         let has = voters(&nine);
 
-        let spare = (0..10).map(|n| format!("core-{n}")).find(|name| !has.contains(name)).unwrap();
-        let lost = (1..10).find(|n| has.contains(&format!("core-{n}"))).unwrap();
+        let spare = (0..10)
+            .map(|n| format!("core-{n}"))
+            .find(|name| !has.contains(name))
+            .unwrap();
+        let lost = (1..10)
+            .find(|n| has.contains(&format!("core-{n}")))
+            .unwrap();
         core.kill(lost);
         let taken = |a: &Answer| voters(a).contains(&spare);
         call_until(core.control(0), "GET", status, &[], "", taken).await;
     };
-    timeout(Duration::from_secs(60), LocalSet::new().run_until(play)).await.expect("the test hangs");
+    timeout(Duration::from_secs(60), LocalSet::new().run_until(play))
+        .await
+        .expect("the test hangs");
 }
--- a/crates/control-plane/tests/order_calls.rs
+++ b/crates/control-plane/tests/order_calls.rs
@@ -23,8 +23,14 @@
 
 impl RunCall for Book {
     async fn run(&self, call: Call) -> Reply {
-        let Call::Configure { base, amend, body } = call else { return Reply::of(Code::NoSuchCall) };
-        let plan = self.0.borrow().plan(&Command::Configure { base, amend, body: body.into() });
+        let Call::Configure { base, amend, body } = call else {
+            return Reply::of(Code::NoSuchCall);
+        };
+        let plan = self.0.borrow().plan(&Command::Configure {
+            base,
+            amend,
+            body: body.into(),
+        });
         match plan {
             Plan::Change(_, next) => {
                 self.0.replace(*next);
@@ -46,8 +52,20 @@
     let addr = listener.local_addr().unwrap();
     let book = Book::default();
     let (stop, stopped) = watch::channel(false);
-    spawn_local(Control::new(book.clone(), 4, Rc::new(ControlCounters::default()), stopped).listen(listener));
-    Api { addr, book, _stop: stop }
+    spawn_local(
+        Control::new(
+            book.clone(),
+            4,
+            Rc::new(ControlCounters::default()),
+            stopped,
+        )
+        .listen(listener),
+    );
+    Api {
+        addr,
+        book,
+        _stop: stop,
+    }
 }
 
 impl Api {
@@ -61,7 +79,10 @@
 }
 
 fn story(work: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, work);
 }
 
@@ -91,10 +112,16 @@
     story(async {
         let api = api().await;
         let mut stream = api.connect().await;
-        stream.write_all(order(&format!("{headers}Connection: close\r\n")).as_bytes()).await.unwrap();
+        stream
+            .write_all(order(&format!("{headers}Connection: close\r\n")).as_bytes())
+            .await
+            .unwrap();
         let answer = rest(&mut stream).await;
         let status = Code::of(code).unwrap().status();
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
+        assert!(
+            answer.starts_with(&format!("HTTP/1.1 {status} ")),
+            "{answer}"
+        );
         assert!(answer.contains(&format!("\"code\":{code},")), "{answer}");
         assert_eq!(answer.contains("retry-after"), status == 503, "{answer}");
         assert_eq!(api.version(), if code == 0 { 3 } else { 0 });
@@ -116,10 +143,16 @@
         let mut stream = api.connect().await;
         let head =
             "POST /fennelpin/Configuration.Replace HTTP/1.1\r\nHost: h\r\nFennelpin-Base-Version: 0\r\n";
-        stream.write_all(format!("{head}{framing}\r\n\r\n{sent}").as_bytes()).await.unwrap();
+        stream
+            .write_all(format!("{head}{framing}\r\n\r\n{sent}").as_bytes())
+            .await
+            .unwrap();
         stream.shutdown().await.unwrap();
         let answer = rest(&mut stream).await;
-        assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 408 "), "{answer}");
+        assert!(
+            answer.is_empty() || answer.starts_with("HTTP/1.1 408 "),
+            "{answer}"
+        );
         assert_eq!(api.version(), 0);
     });
 }
@@ -146,7 +179,8 @@
     story(async {
         let api = api().await;
         let mut stream = api.connect().await;
-        let text = order("Fennelpin-Base-Version: 0\r\nConnection: close\r\nExpect: 100-continue\r\n");
+        let text =
+            order("Fennelpin-Base-Version: 0\r\nConnection: close\r\nExpect: 100-continue\r\n");
         let (head, body) = text.split_at(text.len() - BODY.len());
         stream.write_all(head.as_bytes()).await.unwrap();
         let mut told = [0; 25];
@@ -165,7 +199,10 @@
         let mut stream = api.connect().await;
         let again = order("Fennelpin-Base-Version: 0\r\n");
         let last = order("Fennelpin-Base-Version: 0\r\nConnection: close\r\n");
-        stream.write_all(format!("{again}{again}{again}{last}").as_bytes()).await.unwrap();
+        stream
+            .write_all(format!("{again}{again}{again}{last}").as_bytes())
+            .await
+            .unwrap();
         let answers = rest(&mut stream).await;
         assert_eq!(answers.matches("HTTP/1.1 200 ").count(), 4, "{answers}");
         assert_eq!(api.book.0.borrow().taken.iter().count(), 1);
--- a/crates/control-plane/tests/order_cluster/mod.rs
+++ b/crates/control-plane/tests/order_cluster/mod.rs
@@ -20,9 +20,21 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Deliver { from: usize, to: usize, message: Box<Message> },
-    Wrote { node: usize, life: u64, ticket: u64, records: Vec<Vec<u8>>, rewrite: bool },
-    Wake { node: usize },
+    Deliver {
+        from: usize,
+        to: usize,
+        message: Box<Message>,
+    },
+    Wrote {
+        node: usize,
+        life: u64,
+        ticket: u64,
+        records: Vec<Vec<u8>>,
+        rewrite: bool,
+    },
+    Wake {
+        node: usize,
+    },
 }
 
 struct Node {
@@ -56,8 +68,14 @@
         let info = |n: usize| MemberInfo {
             id: 101 + n as u64,
             name: format!("core-{n}"),
-            addr: Addr { ip: 1 + n as u32, port: 7 },
-            control: Addr { ip: 1 + n as u32, port: 8 },
+            addr: Addr {
+                ip: 1 + n as u32,
+                port: 7,
+            },
+            control: Addr {
+                ip: 1 + n as u32,
+                port: 8,
+            },
             zone: format!("z{n}"),
             region: "r".into(),
         };
@@ -94,7 +112,11 @@
         let config = Config {
             me: node.info.clone(),
             bootstrap_voters: (node.life == 1).then(|| voters.clone()),
-            budget: FaultBudget { machine_losses: 1, zones: 0, region_losses: 0 },
+            budget: FaultBudget {
+                machine_losses: 1,
+                zones: 0,
+                region_losses: 0,
+            },
             lease: Duration::from_millis(1000),
             patience: Duration::from_millis(3500),
             stall: Duration::from_millis(600),
@@ -120,7 +142,9 @@
     /// Whether a member is a replica in the view of whoever acts, and that view's voters are agreed on.
     pub fn is_settled_replica(&self, n: usize) -> bool {
         let primary = (0..self.nodes.len()).find(|p| self.acts(*p));
-        let view = primary.and_then(|p| self.nodes[p].member.as_ref()).and_then(Member::view);
+        let view = primary
+            .and_then(|p| self.nodes[p].member.as_ref())
+            .and_then(Member::view);
         view.is_some_and(|v| v.settled() && v.replicas.contains(&self.nodes[n].info.id))
     }
 
@@ -158,7 +182,9 @@
     pub fn release(&mut self) {
         self.held = None;
         let kept_back = std::mem::take(&mut self.kept_back);
-        kept_back.into_iter().for_each(|event| self.schedule(WRITE_DELAY, event));
+        kept_back
+            .into_iter()
+            .for_each(|event| self.schedule(WRITE_DELAY, event));
     }
 
     /// The member that acts, once one does.
@@ -170,8 +196,16 @@
     /// A member that holds no replica.
     pub fn witness(&mut self) -> usize {
         let primary = self.primary();
-        let view = self.nodes[primary].member.as_ref().and_then(Member::view).cloned().unwrap();
-        self.nodes.iter().position(|n| !view.replicas.contains(&n.info.id)).unwrap()
+        let view = self.nodes[primary]
+            .member
+            .as_ref()
+            .and_then(Member::view)
+            .cloned()
+            .unwrap();
+        self.nodes
+            .iter()
+            .position(|n| !view.replicas.contains(&n.info.id))
+            .unwrap()
     }
 
     /// Whether a member acts.
@@ -217,7 +251,14 @@
 
     /// Delivers a message, once more perhaps.
     pub fn deliver(&mut self, from: usize, to: usize, message: Message) {
-        self.schedule(MESSAGE_DELAY, Event::Deliver { from, to, message: Box::new(message) });
+        self.schedule(
+            MESSAGE_DELAY,
+            Event::Deliver {
+                from,
+                to,
+                message: Box::new(message),
+            },
+        );
     }
 
     /// Lets time pass.
@@ -244,7 +285,9 @@
     }
 
     fn turn(&mut self) {
-        let Some(((at, _), event)) = self.events.pop_first() else { return };
+        let Some(((at, _), event)) = self.events.pop_first() else {
+            return;
+        };
         self.now = self.now.max(at);
         match event {
             Event::Deliver { from, to, message } => {
@@ -255,9 +298,21 @@
                     *self.forwarded.entry(to).or_default() += 1;
                 }
                 let from = self.nodes[from].info.clone();
-                self.step(to, Input::Message { from, message: *message });
+                self.step(
+                    to,
+                    Input::Message {
+                        from,
+                        message: *message,
+                    },
+                );
             }
-            Event::Wrote { node, life, ticket, records, rewrite } => {
+            Event::Wrote {
+                node,
+                life,
+                ticket,
+                records,
+                rewrite,
+            } => {
                 if self.nodes[node].life != life || self.nodes[node].member.is_none() {
                     return;
                 }
@@ -266,7 +321,13 @@
                     self.nodes[node].rewrites += 1;
                 }
                 self.nodes[node].records.extend(records);
-                self.step(node, Input::Wrote { ticket, result: Ok(()) });
+                self.step(
+                    node,
+                    Input::Wrote {
+                        ticket,
+                        result: Ok(()),
+                    },
+                );
             }
             Event::Wake { node } => {
                 if self.nodes[node].wake <= self.now {
@@ -281,21 +342,37 @@
             return;
         }
         let now = self.now;
-        let Some(member) = self.nodes[n].member.as_mut() else { return };
+        let Some(member) = self.nodes[n].member.as_mut() else {
+            return;
+        };
         let mut outputs = Vec::new();
         member.step(now, input, &mut outputs);
-        outputs.into_iter().for_each(|output| self.perform(n, output));
+        outputs
+            .into_iter()
+            .for_each(|output| self.perform(n, output));
     }
 
     fn perform(&mut self, n: usize, output: Output) {
         match output {
             Output::Send { to, message } => {
-                let Some(to) = self.nodes.iter().position(|m| m.info.id == to.id) else { return };
+                let Some(to) = self.nodes.iter().position(|m| m.info.id == to.id) else {
+                    return;
+                };
                 self.sent.push((n, to, message.clone()));
                 self.deliver(n, to, message);
             }
-            Output::Write { ticket, records, rewrite } => {
-                let event = Event::Wrote { node: n, life: self.nodes[n].life, ticket, records, rewrite };
+            Output::Write {
+                ticket,
+                records,
+                rewrite,
+            } => {
+                let event = Event::Wrote {
+                    node: n,
+                    life: self.nodes[n].life,
+                    ticket,
+                    records,
+                    rewrite,
+                };
                 match self.held {
                     Some(Held::Writes) => self.kept_back.push(event),
                     None => self.schedule(WRITE_DELAY, event),
--- a/crates/control-plane/tests/orders.rs
+++ b/crates/control-plane/tests/orders.rs
@@ -14,11 +14,16 @@
 use rstest::rstest;
 
 fn body(version: u64, note: &str) -> Vec<u8> {
-    format!(r#"{{"version":{version},"routes":[],"services":[{{"name":"s","note":"{note}"}}]}}"#).into_bytes()
+    format!(r#"{{"version":{version},"routes":[],"services":[{{"name":"s","note":"{note}"}}]}}"#)
+        .into_bytes()
 }
 
 fn order(base: u64, version: u64, note: &str) -> Command {
-    Command::Configure { base, amend: false, body: body(version, note) }
+    Command::Configure {
+        base,
+        amend: false,
+        body: body(version, note),
+    }
 }
 
 fn taken(ledger: &Ledger, command: &Command) -> Ledger {
@@ -38,7 +43,9 @@
 /// A ledger that took `count` orders, each on the version before; versions rise by 2.
 fn after_orders(count: u64) -> Ledger {
     let all = 0..count;
-    all.fold(Ledger::default(), |ledger, n| taken(&ledger, &order(2 * n, 2 * n + 2, "first")))
+    all.fold(Ledger::default(), |ledger, n| {
+        taken(&ledger, &order(2 * n, 2 * n + 2, "first"))
+    })
 }
 
 /// Two texts for which 64 bits of FNV-1a over base, kind and body are the same.
@@ -73,27 +80,63 @@
 fn an_order_older_than_the_memory_is_neither_refused_nor_confirmed() {
     let ledger = after_orders(MIN_REMEMBERED_ORDERS as u64 + 200);
     let remembered = ledger.taken.iter().count();
-    assert!((MIN_REMEMBERED_ORDERS..MIN_REMEMBERED_ORDERS + 64).contains(&remembered), "{remembered}");
+    assert!(
+        (MIN_REMEMBERED_ORDERS..MIN_REMEMBERED_ORDERS + 64).contains(&remembered),
+        "{remembered}"
+    );
     for ledger in [Ledger::of(&ledger.snapshot()).unwrap(), ledger.clone()] {
         assert_eq!(ledger.taken.iter().count(), remembered);
         assert_eq!(answer(&ledger, &order(0, 2, "first")), Code::OrderForgotten);
-        assert_eq!(answer(&ledger, &order(0, 2, "second")), Code::OrderForgotten);
+        assert_eq!(
+            answer(&ledger, &order(0, 2, "second")),
+            Code::OrderForgotten
+        );
         assert_eq!(Code::OrderForgotten.status(), 503);
         let oldest = ledger.taken.oldest_base().unwrap();
-        assert_eq!(answer(&ledger, &order(oldest, oldest + 2, "first")), Code::Ok);
-        assert_eq!(answer(&ledger, &order(oldest - 2, oldest, "first")), Code::OrderForgotten);
+        assert_eq!(
+            answer(&ledger, &order(oldest, oldest + 2, "first")),
+            Code::Ok
+        );
+        assert_eq!(
+            answer(&ledger, &order(oldest - 2, oldest, "first")),
+            Code::OrderForgotten
+        );
     }
 }
 
 #[rstest]
-#[case::white_space(r#" { "version" : 3, "routes":[ ],"services":[{"name":"s","note":"a"}]}"#, true)]
-#[case::order_of_keys(r#"{"services":[{"note":"a","name":"s"}],"routes":[],"version":3}"#, true)]
-#[case::escapes(r#"{"version":3,"routes":[],"services":[{"name":"s","note":"\u0061"}]}"#, true)]
-#[case::other_value(r#"{"version":3,"routes":[],"services":[{"name":"s","note":"b"}]}"#, false)]
-#[case::other_version(r#"{"version":4,"routes":[],"services":[{"name":"s","note":"a"}]}"#, false)]
-#[case::a_field_more(r#"{"version":3,"routes":[],"services":[{"name":"s","note":"a","x":null}]}"#, false)]
-#[case::cut_short(r#"{"version":3,"routes":[],"services":[{"name":"s","note":"a"}"#, false)]
-#[case::a_key_twice(r#"{"version":9,"version":3,"routes":[],"services":[{"name":"s","note":"a"}]}"#, false)]
+#[case::white_space(
+    r#" { "version" : 3, "routes":[ ],"services":[{"name":"s","note":"a"}]}"#,
+    true
+)]
+#[case::order_of_keys(
+    r#"{"services":[{"note":"a","name":"s"}],"routes":[],"version":3}"#,
+    true
+)]
+#[case::escapes(
+    r#"{"version":3,"routes":[],"services":[{"name":"s","note":"\u0061"}]}"#,
+    true
+)]
+#[case::other_value(
+    r#"{"version":3,"routes":[],"services":[{"name":"s","note":"b"}]}"#,
+    false
+)]
+#[case::other_version(
+    r#"{"version":4,"routes":[],"services":[{"name":"s","note":"a"}]}"#,
+    false
+)]
+#[case::a_field_more(
+    r#"{"version":3,"routes":[],"services":[{"name":"s","note":"a","x":null}]}"#,
+    false
+)]
+#[case::cut_short(
+    r#"{"version":3,"routes":[],"services":[{"name":"s","note":"a"}"#,
+    false
+)]
+#[case::a_key_twice(
+    r#"{"version":9,"version":3,"routes":[],"services":[{"name":"s","note":"a"}]}"#,
+    false
+)]
 #[case::an_inner_key_twice(
     r#"{"version":3,"routes":[],"services":[{"name":"s","note":"b","note":"a"}]}"#,
     false
@@ -102,11 +145,18 @@
     r#"{"version":3,"routes":[],"services":[{"name":"s","note":{"$serde_json::private::RawValue":""a""}}]}"#,
     false
 )]
-#[case::bytes_after_it(r#"{"version":3,"routes":[],"services":[{"name":"s","note":"a"}]} x"#, false)]
+#[case::bytes_after_it(
+    r#"{"version":3,"routes":[],"services":[{"name":"s","note":"a"}]} x"#,
+    false
+)]
 fn equal_content_in_other_bytes_is_the_same_order(#[case] again: &str, #[case] same: bool) {
     let ledger = taken(&Ledger::default(), &order(0, 2, "x"));
     let ledger = taken(&ledger, &order(2, 3, "a"));
-    let again = |base, amend| Command::Configure { base, amend, body: again.as_bytes().to_vec() };
+    let again = |base, amend| Command::Configure {
+        base,
+        amend,
+        body: again.as_bytes().to_vec(),
+    };
     let expected = if same { Code::Ok } else { Code::OtherBase };
     assert_eq!(answer(&ledger, &again(2, false)), expected);
     // Neither under another base nor as an amendment.
@@ -267,7 +317,11 @@
     for member in 0..3 {
         for n in 0..ORDERS {
             cluster.command(member, n, order(2 * n, 2 * n + 2, &long));
-            assert_eq!(cluster.answer_to(member, n), Code::Ok, "order {n} at member {member}");
+            assert_eq!(
+                cluster.answer_to(member, n),
+                Code::Ok,
+                "order {n} at member {member}"
+            );
         }
         cluster.command(member, ORDERS, order(2, 4, "lost"));
         assert_eq!(cluster.answer_to(member, ORDERS), Code::OtherBase);
@@ -308,15 +362,24 @@
     // It rests on the pending one and has to wait for it: a refusal could be false.
     cluster.command(old, 2, order(0, 2, "other"));
     cluster.run_ms(200);
-    assert_eq!((cluster.answered(old, 1), cluster.answered(old, 2)), (None, None));
+    assert_eq!(
+        (cluster.answered(old, 1), cluster.answered(old, 2)),
+        (None, None)
+    );
     cluster.run_until(|c| others.iter().any(|n| c.acts(*n)));
     cluster.command(others[0], 3, order(0, 2, "other"));
     assert_eq!(cluster.answer_to(others[0], 3), Code::Ok);
     cluster.heal();
     let lost = cluster.answer_to(old, 1);
-    assert!(matches!(lost, Code::OtherBase | Code::Unclear | Code::NoPrimary), "{lost:?}");
+    assert!(
+        matches!(lost, Code::OtherBase | Code::Unclear | Code::NoPrimary),
+        "{lost:?}"
+    );
     let other = cluster.answer_to(old, 2);
-    assert!(matches!(other, Code::Ok | Code::Unclear | Code::NoPrimary), "{other:?}");
+    assert!(
+        matches!(other, Code::Ok | Code::Unclear | Code::NoPrimary),
+        "{other:?}"
+    );
     cluster.command(old, 4, order(0, 2, "lost"));
     assert_eq!(cluster.answer_to(old, 4), Code::OtherBase);
 }
@@ -334,8 +397,12 @@
     cluster.command(witness, 1, order(0, 2, "a"));
     cluster.command(witness, 2, order(0, 2, "rival"));
     cluster.run_ms(100);
-    assert_eq!([1, 2].map(|ticket| cluster.answered(witness, ticket)), [None, None]);
-    let codes = [(primary, 1), (witness, 1), (witness, 2)].map(|(n, ticket)| cluster.answer_to(n, ticket));
+    assert_eq!(
+        [1, 2].map(|ticket| cluster.answered(witness, ticket)),
+        [None, None]
+    );
+    let codes =
+        [(primary, 1), (witness, 1), (witness, 2)].map(|(n, ticket)| cluster.answer_to(n, ticket));
     assert_eq!(codes, [Code::Ok, Code::Ok, Code::OtherBase]);
     assert!(cluster.acts(primary));
 }
@@ -356,7 +423,11 @@
     for member in &others {
         assert_eq!(cluster.answer_to(*member, 1), Code::Ok);
     }
-    assert!(cluster.now_ms() - since <= 50, "{} ms after the takeover", cluster.now_ms() - since);
+    assert!(
+        cluster.now_ms() - since <= 50,
+        "{} ms after the takeover",
+        cluster.now_ms() - since
+    );
 }
 
 /// A member that has been cut off for a while doesn't hold its callers: they go elsewhere, or hear from it as soon as
@@ -373,7 +444,11 @@
         cluster.command(cut_off, since, order(0, 2, "a"));
         let code = cluster.answer_to(cut_off, since);
         assert!(matches!(code, Code::NoPrimary | Code::Unclear), "{code:?}");
-        assert!(cluster.now_ms() - since <= 300, "{} ms", cluster.now_ms() - since);
+        assert!(
+            cluster.now_ms() - since <= 300,
+            "{} ms",
+            cluster.now_ms() - since
+        );
         cluster.heal();
         cluster.run_ms(5000);
     }
@@ -392,15 +467,32 @@
 fn of_eight_orders_at_once_one_is_confirmed(#[case] same: bool) {
     let mut cluster = Cluster::new(3);
     let sent: Vec<(usize, u64, Command)> = (0..8u64)
-        .map(|n| (n as usize % 3, n + 1, order(0, if same { 9 } else { 9 + n }, &n.to_string())))
+        .map(|n| {
+            (
+                n as usize % 3,
+                n + 1,
+                order(0, if same { 9 } else { 9 + n }, &n.to_string()),
+            )
+        })
         .collect();
     for (member, ticket, command) in &sent {
         cluster.command(*member, *ticket, command.clone());
     }
-    let codes: Vec<Code> =
-        sent.iter().map(|(member, ticket, _)| cluster.answer_to(*member, *ticket)).collect();
-    assert_eq!(codes.iter().filter(|c| **c == Code::Ok).count(), 1, "{codes:?}");
-    assert!(codes.iter().all(|c| matches!(c, Code::Ok | Code::OtherBase)), "{codes:?}");
+    let codes: Vec<Code> = sent
+        .iter()
+        .map(|(member, ticket, _)| cluster.answer_to(*member, *ticket))
+        .collect();
+    assert_eq!(
+        codes.iter().filter(|c| **c == Code::Ok).count(),
+        1,
+        "{codes:?}"
+    );
+    assert!(
+        codes
+            .iter()
+            .all(|c| matches!(c, Code::Ok | Code::OtherBase)),
+        "{codes:?}"
+    );
     // Sent again to the next member, each gets the same answer.
     for ((member, ticket, command), code) in sent.into_iter().zip(codes) {
         let next = (member + 1) % 3;
--- a/crates/control-plane/tests/orders/early.rs
+++ b/crates/control-plane/tests/orders/early.rs
@@ -16,7 +16,10 @@
     let ledger = taken(&Ledger::default(), &order(0, 2, "first"));
     let early = order(5, 7, "early");
     assert_eq!(answer(&ledger, &early), Code::BaseNotInForce);
-    assert_eq!((Code::BaseNotInForce.number(), Code::BaseNotInForce.status()), (124, 503));
+    assert_eq!(
+        (Code::BaseNotInForce.number(), Code::BaseNotInForce.status()),
+        (124, 503)
+    );
     // Its base comes: it is taken.
     let with_base = taken(&ledger, &order(2, 5, "base"));
     assert_eq!(taken(&with_base, &early).document.version, 7);
@@ -35,7 +38,11 @@
         let since = cluster.now_ms();
         cluster.command(member, 2, order(22, 23, "mistyped"));
         assert_eq!(cluster.answer_to(member, 2), Code::BaseNotInForce);
-        assert!(cluster.now_ms() - since < CALLER_WAITS_MS, "{} ms", cluster.now_ms() - since);
+        assert!(
+            cluster.now_ms() - since < CALLER_WAITS_MS,
+            "{} ms",
+            cluster.now_ms() - since
+        );
         assert_eq!(cluster.text_of(member, 2), "version 2 is in force, not 22");
     }
 }
@@ -71,7 +78,11 @@
     for n in 0..AT_ONCE {
         assert_eq!(cluster.answer_to(n as usize % 3, n), Code::Ok, "order {n}");
     }
-    assert!(cluster.now_ms() - since < 100, "{} ms", cluster.now_ms() - since);
+    assert!(
+        cluster.now_ms() - since < 100,
+        "{} ms",
+        cluster.now_ms() - since
+    );
 }
 
 #[test]
@@ -82,8 +93,13 @@
         cluster.command(primary, n, order(100 + n, 200, "early"));
     }
     cluster.run_ms(5);
-    let answers: Vec<Option<Code>> = (0..=AT_ONCE).map(|n| cluster.answered(primary, n)).collect();
-    assert_eq!(answers.iter().flatten().collect::<Vec<_>>(), [&Code::BaseNotInForce]);
+    let answers: Vec<Option<Code>> = (0..=AT_ONCE)
+        .map(|n| cluster.answered(primary, n))
+        .collect();
+    assert_eq!(
+        answers.iter().flatten().collect::<Vec<_>>(),
+        [&Code::BaseNotInForce]
+    );
     assert!(answers[AT_ONCE as usize].is_some());
     // One that can be taken isn't held up.
     cluster.command(primary, 20, order(0, 2, "first"));
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -13,7 +13,11 @@
 const NEW: u64 = 0xabcdef;
 
 fn identity(cluster: &Cluster, n: usize) -> Vec<Vec<u8>> {
-    let identity = Identity { id: cluster.id(n), life: 5, ..Identity::default() };
+    let identity = Identity {
+        id: cluster.id(n),
+        life: 5,
+        ..Identity::default()
+    };
     vec![protocol::write_one(&identity)]
 }
 
@@ -33,7 +37,10 @@
     let survivor = Survivor::read(&identity(cluster, n), cluster.records(n)).unwrap();
     let (identity, records) = survivor.recovered(&names(&survivor), NEW).unwrap();
     let identity: Identity = protocol::read_one(&identity).unwrap();
-    assert_eq!((identity.id, identity.life, identity.initial_voters.len()), (NEW, 5, 0));
+    assert_eq!(
+        (identity.id, identity.life, identity.initial_voters.len()),
+        (NEW, 5, 0)
+    );
     // The ledger's file begins with whose it is.
     cluster.restart_as(n, NEW, FoundLedger::of(records).records);
 }
@@ -44,14 +51,19 @@
     cluster.restart(left);
     let ticket = cluster.call(left, Cluster::configure(1, 2));
     cluster.run(ms(10_000));
-    assert_eq!((cluster.primary(), cluster.answer(ticket)), (None, Some(Code::NoPrimary)));
+    assert_eq!(
+        (cluster.primary(), cluster.answer(ticket)),
+        (None, Some(Code::NoPrimary))
+    );
 }
 
 #[test]
 fn a_recovered_replica_tells_what_was_acknowledged_and_takes_changes_with_others() {
     let (mut cluster, left) = all_but_one_lost();
     recover(&mut cluster, left);
-    cluster.until(SOON, |c| c.acts(left)).expect("it acts alone");
+    cluster
+        .until(SOON, |c| c.acts(left))
+        .expect("it acts alone");
     assert_eq!(cluster.version(), Some(1));
     // On one disk alone nothing new is acknowledged: the next loss would take it.
     let ticket = cluster.call(left, Cluster::configure(1, 2));
@@ -60,7 +72,11 @@
     cluster.add("r/d");
     cluster.add("r/e");
     cluster.apply(1, 2);
-    cluster.until(SOON, |c| c.current().voters.len() == 3 && c.current().settled()).expect("three voters");
+    cluster
+        .until(SOON, |c| {
+            c.current().voters.len() == 3 && c.current().settled()
+        })
+        .expect("three voters");
     cluster.kill(left);
     cluster.apply(2, 3);
 }
@@ -70,7 +86,9 @@
 fn members_given_up_come_back_and_follow() {
     let (mut cluster, left) = all_but_one_lost();
     recover(&mut cluster, left);
-    cluster.until(SOON, |c| c.acts(left)).expect("it acts alone");
+    cluster
+        .until(SOON, |c| c.acts(left))
+        .expect("it acts alone");
     let old: Vec<usize> = (0..3).filter(|n| *n != left).collect();
     old.iter().for_each(|n| cluster.restart(*n));
     cluster.apply(1, 2);
@@ -89,7 +107,9 @@
     recover(&mut cluster, left);
     cluster.cut(left, true);
     old.iter().for_each(|n| cluster.restart(*n));
-    cluster.until(SOON, |c| old.iter().any(|n| c.acts(*n))).expect("the old majority acts");
+    cluster
+        .until(SOON, |c| old.iter().any(|n| c.acts(*n)))
+        .expect("the old majority acts");
     cluster.run(ms(20_000));
     assert!(cluster.acts(left));
     cluster.cut(left, false);
@@ -97,7 +117,11 @@
     let acting: Vec<usize> = (0..3).filter(|n| cluster.acts(*n)).collect();
     assert_eq!(acting.len(), 1, "{:?}", cluster.views());
     assert_eq!(cluster.current().voters.len(), 3);
-    assert!(cluster.votes(left), "the recovered lineage holds on: {:?}", cluster.views());
+    assert!(
+        cluster.votes(left),
+        "the recovered lineage holds on: {:?}",
+        cluster.views()
+    );
     cluster.apply(1, 2);
 }
 
@@ -123,9 +147,15 @@
     assert_eq!(all.len(), 2);
     let more = [all.clone(), vec!["core-9".into()]].concat();
     for wrong in [&all[..1], &[], &more] {
-        assert!(matches!(survivor.recovered(wrong, NEW), Err(Refusal::Lost { wanted }) if wanted == all));
+        assert!(
+            matches!(survivor.recovered(wrong, NEW), Err(Refusal::Lost { wanted }) if wanted == all)
+        );
     }
-    let by_id: Vec<String> = survivor.others().iter().map(|s| format!("{:016x}", s.id)).collect();
+    let by_id: Vec<String> = survivor
+        .others()
+        .iter()
+        .map(|s| format!("{:016x}", s.id))
+        .collect();
     assert!(survivor.recovered(&by_id, NEW).is_ok());
 }
 
@@ -133,13 +163,29 @@
 fn records_that_are_not_as_they_should_be_are_refused() {
     let (cluster, left) = all_but_one_lost();
     let (identity, records) = (identity(&cluster, left), cluster.records(left).to_vec());
-    assert!(matches!(Survivor::read(&[], &records), Err(Refusal::NoIdentity)));
-    assert!(matches!(Survivor::read(&identity, &[]), Err(Refusal::NoView)));
+    assert!(matches!(
+        Survivor::read(&[], &records),
+        Err(Refusal::NoIdentity)
+    ));
+    assert!(matches!(
+        Survivor::read(&identity, &[]),
+        Err(Refusal::NoView)
+    ));
     let mut broken = records.clone();
     broken[1].push(0);
-    assert!(matches!(Survivor::read(&identity, &broken), Err(Refusal::Unreadable { number: 2, .. })));
+    assert!(matches!(
+        Survivor::read(&identity, &broken),
+        Err(Refusal::Unreadable { number: 2, .. })
+    ));
     let change = protocol::Change::Drain { host: "i-1".into() };
     let mut gap = records;
-    gap.push(protocol::write_one(&protocol::Record::Change { epoch: 1, seq: 99, change }));
-    assert!(matches!(Survivor::read(&identity, &gap), Err(Refusal::Gap { seq: 99, .. })));
+    gap.push(protocol::write_one(&protocol::Record::Change {
+        epoch: 1,
+        seq: 99,
+        change,
+    }));
+    assert!(matches!(
+        Survivor::read(&identity, &gap),
+        Err(Refusal::Gap { seq: 99, .. })
+    ));
 }
--- a/crates/control-plane/tests/roster.rs
+++ b/crates/control-plane/tests/roster.rs
@@ -16,7 +16,10 @@
 
 fn roster() -> Roster {
     let mut roster = Roster::new(7, 3, BEAT);
-    assert!(roster.take_news().unwrap().whole, "the first word is the whole");
+    assert!(
+        roster.take_news().unwrap().whole,
+        "the first word is the whole"
+    );
     roster
 }
 
@@ -52,8 +55,20 @@
     let seq = r.mark().seq;
     assert_eq!(changed(&mut r).unwrap().call_seq, 1);
     assert!(!r.beat(ms(1000), "a", &beat(2), None));
-    assert_eq!((r.mark().seq, r.take_news()), (seq, None), "a beat that changes nothing");
-    assert!(r.beat(ms(2000), "a", &Beat { capacity: 5, ..beat(3) }, None));
+    assert_eq!(
+        (r.mark().seq, r.take_news()),
+        (seq, None),
+        "a beat that changes nothing"
+    );
+    assert!(r.beat(
+        ms(2000),
+        "a",
+        &Beat {
+            capacity: 5,
+            ..beat(3)
+        },
+        None
+    ));
     assert_eq!(r.mark().seq, seq + 1);
     let record = changed(&mut r).unwrap();
     assert_eq!((record.capacity, record.call_seq), (5, 3));
@@ -62,9 +77,25 @@
 #[test]
 fn a_late_beat_is_passed_over() {
     let mut r = roster();
-    r.beat(ms(0), "a", &Beat { draining: true, ..beat(5) }, None);
+    r.beat(
+        ms(0),
+        "a",
+        &Beat {
+            draining: true,
+            ..beat(5)
+        },
+        None,
+    );
     assert!(!r.beat(ms(1), "a", &beat(4), None));
-    assert!(!r.beat(ms(1), "a", &Beat { capacity: 9, ..beat(5) }, None));
+    assert!(!r.beat(
+        ms(1),
+        "a",
+        &Beat {
+            capacity: 9,
+            ..beat(5)
+        },
+        None
+    ));
     assert_eq!(changed(&mut r).unwrap().phase, phase::DRAINING);
 }
 
@@ -74,7 +105,11 @@
     r.beat(ms(0), "a", &beat(1), None);
     r.beat(ms(1000), "a", &beat(2), None);
     changed(&mut r);
-    let elsewhere = HostRecord { id: "a".into(), call_seq: 3, ..HostRecord::default() };
+    let elsewhere = HostRecord {
+        id: "a".into(),
+        call_seq: 3,
+        ..HostRecord::default()
+    };
     assert!(r.beat(ms(2000), "a", &beat(4), Some(&elsewhere)));
     assert_eq!(changed(&mut r).unwrap().call_seq, 4);
     assert!(!r.beat(ms(3000), "a", &beat(5), Some(&elsewhere)));
@@ -102,7 +137,10 @@
     let mut r = roster();
     r.beat(ms(0), "a", &beat(4), None);
     changed(&mut r);
-    assert!(!r.tick(ms(1000), |_| Some(9)), "not before it is silent here");
+    assert!(
+        !r.tick(ms(1000), |_| Some(9)),
+        "not before it is silent here"
+    );
     assert!(r.tick(ms(2700), |_| Some(9)));
     assert_eq!(changed(&mut r).unwrap().phase, phase::FORGOTTEN);
     assert!(!r.tick(ms(3000), |_| Some(9)));
@@ -117,7 +155,10 @@
     r.beat(ms(0), "a", &beat(4), None);
     assert!(r.depart(ms(10), "a", None));
     let record = changed(&mut r).unwrap();
-    assert_eq!((record.phase, record.call_seq, record.service.as_str()), (phase::GONE, 5, "s"));
+    assert_eq!(
+        (record.phase, record.call_seq, record.service.as_str()),
+        (phase::GONE, 5, "s")
+    );
     assert!(!r.depart(ms(20), "a", None));
     r.beat(ms(30), "a", &beat(6), None);
     assert!(changed(&mut r).is_none_or(|h| h.phase == phase::GONE));
@@ -127,14 +168,25 @@
 #[test]
 fn a_host_that_only_others_know_may_depart_here() {
     let mut r = roster();
-    let elsewhere = HostRecord { id: "a".into(), service: "s".into(), call_seq: 8, ..HostRecord::default() };
+    let elsewhere = HostRecord {
+        id: "a".into(),
+        service: "s".into(),
+        call_seq: 8,
+        ..HostRecord::default()
+    };
     assert!(r.depart(ms(0), "a", Some(&elsewhere)));
     let record = changed(&mut r).unwrap();
-    assert_eq!((record.phase, record.call_seq, record.service.as_str()), (phase::GONE, 9, "s"));
+    assert_eq!(
+        (record.phase, record.call_seq, record.service.as_str()),
+        (phase::GONE, 9, "s")
+    );
     assert!(r.depart(ms(0), "never seen", None));
     assert_eq!(changed(&mut r).unwrap().phase, phase::GONE);
     // And who is gone elsewhere doesn't come to life here.
-    let gone = HostRecord { phase: phase::GONE, ..elsewhere };
+    let gone = HostRecord {
+        phase: phase::GONE,
+        ..elsewhere
+    };
     r.beat(ms(0), "b", &beat(10), Some(&gone));
     assert_eq!(changed(&mut r).unwrap().phase, phase::GONE);
 }
@@ -147,22 +199,41 @@
     r.take_news();
     r.tick(ms(2700), nowhere);
     r.take_news();
-    assert!(!r.tick(ms(60_000), nowhere), "mirrors forget who is gone by themselves");
+    assert!(
+        !r.tick(ms(60_000), nowhere),
+        "mirrors forget who is gone by themselves"
+    );
     assert!(r.tick(ms(62_700), nowhere));
     let record = changed(&mut r).unwrap();
-    assert_eq!((record.id.as_str(), record.phase), ("silent", phase::FORGOTTEN));
-    assert!(r.depart(ms(63_000), "gone", None), "it isn't known any more");
+    assert_eq!(
+        (record.id.as_str(), record.phase),
+        ("silent", phase::FORGOTTEN)
+    );
+    assert!(
+        r.depart(ms(63_000), "gone", None),
+        "it isn't known any more"
+    );
 }
 
 #[test]
 fn coordinators_are_those_that_pull() {
     let mut r = roster();
-    let caller =
-        |name: &str, member, version| Caller { name: name.into(), member, version, ..Caller::default() };
+    let caller = |name: &str, member, version| Caller {
+        name: name.into(),
+        member,
+        version,
+        ..Caller::default()
+    };
     assert!(r.pulled(ms(0), &caller("e1", 0, 1)));
-    assert!(!r.pulled(ms(0), &caller("core-2", 8, 1)), "a member is none");
+    assert!(
+        !r.pulled(ms(0), &caller("core-2", 8, 1)),
+        "a member is none"
+    );
     assert_eq!(r.take_news().unwrap().coordinators.len(), 1);
-    assert!(!r.pulled(ms(1000), &caller("e1", 0, 2)), "its version alone is no news");
+    assert!(
+        !r.pulled(ms(1000), &caller("e1", 0, 2)),
+        "its version alone is no news"
+    );
     assert_eq!(r.coordinators().next().unwrap().version, 2);
     assert!(!r.tick(ms(3999), nowhere));
     assert!(r.tick(ms(4000), nowhere));
@@ -182,7 +253,15 @@
         last = r.mark().seq;
     }
     let news = r.take_news().unwrap();
-    assert_eq!((news.mark.id, news.mark.life, news.mark.seq, news.hosts.len()), (7, 3, last, 3));
+    assert_eq!(
+        (
+            news.mark.id,
+            news.mark.life,
+            news.mark.seq,
+            news.hosts.len()
+        ),
+        (7, 3, last, 3)
+    );
 }
 
 const BODY: &str = r#"{"service":"huvo11a","address":"10.128.0.9:8080","zone":"caerdydd","version":"v1","capacity":64,
@@ -191,16 +270,36 @@
 #[test]
 fn a_heartbeat_is_read() {
     let call = HostCall::decode("/fennelpin/Hosts.Heartbeat/i-7f3a91c2", BODY.as_bytes()).unwrap();
-    let HostCall::Beat { host, beat } = &call else { panic!("{call:?}") };
+    let HostCall::Beat { host, beat } = &call else {
+        panic!("{call:?}")
+    };
     assert_eq!(
         (host.as_str(), beat.service.as_str(), beat.zone.as_str()),
         ("i-7f3a91c2", "huvo11a", "caerdydd")
     );
-    assert_eq!((beat.capacity, beat.call_seq, beat.cold_left_ms, beat.draining), (64, 4, 250, false));
-    assert_eq!(beat.addr, Addr { ip: u32::from_be_bytes([10, 128, 0, 9]), port: 8080 });
+    assert_eq!(
+        (
+            beat.capacity,
+            beat.call_seq,
+            beat.cold_left_ms,
+            beat.draining
+        ),
+        (64, 4, 250, false)
+    );
+    assert_eq!(
+        beat.addr,
+        Addr {
+            ip: u32::from_be_bytes([10, 128, 0, 9]),
+            port: 8080
+        }
+    );
     assert!(!call.leaves());
     let leaving = BODY.replace("\"ready\"", "\"draining\"");
-    assert!(HostCall::decode("/fennelpin/Hosts.Heartbeat/i", leaving.as_bytes()).unwrap().leaves());
+    assert!(
+        HostCall::decode("/fennelpin/Hosts.Heartbeat/i", leaving.as_bytes())
+            .unwrap()
+            .leaves()
+    );
 }
 
 #[test]
@@ -232,17 +331,29 @@
 #[case("\"call_seq\":4", "\"call_seq\":\"4\"")]
 fn bad_fields_are_refused(#[case] from: &str, #[case] to: &str) {
     let body = BODY.replace(from, to);
-    assert_eq!(HostCall::decode("/fennelpin/Hosts.Heartbeat/i", body.as_bytes()), Err(Code::Unreadable));
+    assert_eq!(
+        HostCall::decode("/fennelpin/Hosts.Heartbeat/i", body.as_bytes()),
+        Err(Code::Unreadable)
+    );
 }
 
 #[test]
 fn later_beats_are_spread_over_the_members_that_live() {
-    let live: Vec<MemberInfo> = (1..=3).map(|id| MemberInfo { id, ..MemberInfo::default() }).collect();
+    let live: Vec<MemberInfo> = (1..=3)
+        .map(|id| MemberInfo {
+            id,
+            ..MemberInfo::default()
+        })
+        .collect();
     let mut counts: HashMap<u64, u32> = HashMap::new();
     for n in 0..300 {
         let host = format!("i-{n}");
         let target = beat_target(&host, 1, &live).map_or(1, |s| s.id);
-        assert_eq!(beat_target(&host, target, &live), None, "the one called is the one");
+        assert_eq!(
+            beat_target(&host, target, &live),
+            None,
+            "the one called is the one"
+        );
         *counts.entry(target).or_default() += 1;
     }
     assert!(counts.values().all(|n| (60..140).contains(n)), "{counts:?}");
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -12,7 +12,9 @@
 const SOON: std::time::Duration = ms(8000);
 
 fn primary(cluster: &mut Cluster) -> usize {
-    cluster.until(SOON, |c| c.primary().is_some()).expect("somebody acts");
+    cluster
+        .until(SOON, |c| c.primary().is_some())
+        .expect("somebody acts");
     cluster.primary().unwrap()
 }
 
@@ -29,14 +31,20 @@
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     cluster.leave(second);
-    assert!(!cluster.left(second), "it ends while the primary's is the only other copy");
+    assert!(
+        !cluster.left(second),
+        "it ends while the primary's is the only other copy"
+    );
     cluster.until(SOON, |c| c.left(second)).expect("it may end");
     assert!(cluster.replicas().contains(&witness));
     // It is gone for good, and the other replica with its disk at the same moment.
     cluster.kill(second);
     cluster.kill(first);
     // Whatever the witness alone may not do, it has what was acknowledged.
-    assert!(cluster.view(witness).replicas.contains(&cluster.id(witness)));
+    assert!(cluster
+        .view(witness)
+        .replicas
+        .contains(&cluster.id(witness)));
 }
 
 #[test]
@@ -63,7 +71,9 @@
     cluster.run(ms(500));
     assert!(!cluster.left(first), "the only copy ends");
     cluster.wipe(second);
-    cluster.until(SOON, |c| c.left(first)).expect("it may end once another holds the ledger");
+    cluster
+        .until(SOON, |c| c.left(first))
+        .expect("it may end once another holds the ledger");
     cluster.kill(first);
     primary(&mut cluster);
     assert_eq!(cluster.version(), Some(1));
@@ -77,7 +87,9 @@
     let (first, second, witness) = parts(&mut cluster);
     cluster.kill(second);
     cluster.leave(first);
-    cluster.until(SOON, |c| c.acts(witness)).expect("the witness takes over");
+    cluster
+        .until(SOON, |c| c.acts(witness))
+        .expect("the witness takes over");
     cluster.kill(first);
     cluster.wipe(second);
     primary(&mut cluster);
@@ -91,7 +103,10 @@
     (0..3).for_each(|n| cluster.leave(n));
     let all = |c: &Cluster| (0..3).all(|n| c.left(n));
     let took = cluster.until(SOON, all).expect("all end");
-    assert!(took < ms(100), "nobody is there to wait for, and they waited {took:?}");
+    assert!(
+        took < ms(100),
+        "nobody is there to wait for, and they waited {took:?}"
+    );
     (0..3).for_each(|n| cluster.kill(n));
     (0..3).for_each(|n| cluster.restart(n));
     primary(&mut cluster);
@@ -106,17 +121,25 @@
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
     let new = cluster.add("r/d");
-    cluster.until(SOON, |c| c.votes(new)).expect("the new one joins");
-    cluster.until(SOON, |c| c.current().settled()).expect("agreed");
+    cluster
+        .until(SOON, |c| c.votes(new))
+        .expect("the new one joins");
+    cluster
+        .until(SOON, |c| c.current().settled())
+        .expect("agreed");
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
     let old = [replicas[0], replicas[1], witness][part];
     cluster.leave(old);
-    cluster.until(SOON, |c| c.left(old)).expect("the old one ends");
+    cluster
+        .until(SOON, |c| c.left(old))
+        .expect("the old one ends");
     cluster.kill(old);
     // Not after some seconds of silence: the next loss may come at once.
     let settled = |c: &Cluster| c.primary().is_some() && !c.votes(old) && c.current().settled();
-    let took = cluster.until(SOON, settled).expect("it has no say any more");
+    let took = cluster
+        .until(SOON, settled)
+        .expect("it has no say any more");
     assert!(took < LEASE, "four voters, one of them gone, for {took:?}");
     let next = primary(&mut cluster);
     cluster.kill(next);
@@ -137,11 +160,15 @@
     cluster.loses = Some(std::rc::Rc::new(move |_, to, message| {
         to == new && matches!(message, Message::InstallView { .. })
     }));
-    cluster.until(SOON, |c| c.votes(new) && c.current().settled()).expect("it becomes a voter");
+    cluster
+        .until(SOON, |c| c.votes(new) && c.current().settled())
+        .expect("it becomes a voter");
     assert_eq!(cluster.view(new).epoch, 0);
     cluster.kill(first);
     cluster.loses = None;
-    cluster.until(SOON, |c| c.acts(second)).expect("the other replica and the new voter are a majority");
+    cluster
+        .until(SOON, |c| c.acts(second))
+        .expect("the other replica and the new voter are a majority");
     assert_eq!(cluster.version(), Some(1));
 }
 
@@ -151,8 +178,12 @@
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
     let new = cluster.add("r/d");
-    cluster.until(SOON, |c| c.votes(new)).expect("the new one joins");
-    let took = cluster.until(SOON, |c| c.votes(new) && c.current().settled()).expect("settled");
+    cluster
+        .until(SOON, |c| c.votes(new))
+        .expect("the new one joins");
+    let took = cluster
+        .until(SOON, |c| c.votes(new) && c.current().settled())
+        .expect("settled");
     assert!(took < ms(50), "unsettled for {took:?}");
 }
 
@@ -173,7 +204,11 @@
         alive.push(new);
         // Lost for as long as the operators count it: from then on the next one may go.
         cluster.run(ms(4000));
-        assert!(cluster.votes(new) && !cluster.votes(gone), "round {round}: {:?}", cluster.views());
+        assert!(
+            cluster.votes(new) && !cluster.votes(gone),
+            "round {round}: {:?}",
+            cluster.views()
+        );
         let next = alive[0];
         cluster.kill(next);
         let took = cluster.apply(1 + round, 2 + round);
@@ -209,7 +244,9 @@
     cluster.cut(witness, true);
     cluster.run(ms(900));
     let new = cluster.add("r/d");
-    cluster.until(SOON, |c| c.votes(new) && !c.votes(witness)).expect("it takes the lost one's place");
+    cluster
+        .until(SOON, |c| c.votes(new) && !c.votes(witness))
+        .expect("it takes the lost one's place");
 }
 
 #[rstest]
@@ -230,10 +267,17 @@
 ) {
     let seat = |zone: &&str| {
         let (region, zone) = zone.split_once('/').unwrap();
-        MemberInfo { zone: zone.into(), region: region.into(), ..MemberInfo::default() }
+        MemberInfo {
+            zone: zone.into(),
+            region: region.into(),
+            ..MemberInfo::default()
+        }
     };
     let seats: Vec<MemberInfo> = zones.iter().map(seat).collect();
-    assert_eq!(majority_shortfall(&budget, &seats.iter().collect::<Vec<_>>()), missing);
+    assert_eq!(
+        majority_shortfall(&budget, &seats.iter().collect::<Vec<_>>()),
+        missing
+    );
 }
 
 /// Which members have a say rests on where they are: any zone may go, and there is a majority.
@@ -268,14 +312,23 @@
 fn several_are_removed_in_turn() {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a", "r/b"]);
     cluster.apply(0, 1);
-    cluster.until(SOON, |c| c.current().voters.len() == 5 && c.current().settled()).expect("all join");
+    cluster
+        .until(SOON, |c| {
+            c.current().voters.len() == 5 && c.current().settled()
+        })
+        .expect("all join");
     for round in 0..2 {
         let first = primary(&mut cluster);
         cluster.leave(first);
         cluster.until(SOON, |c| c.left(first)).expect("it ends");
         cluster.kill(first);
         cluster.run(ms(1000));
-        assert_eq!(cluster.current().voters.len(), 4 - round, "{:?}", cluster.views());
+        assert_eq!(
+            cluster.current().voters.len(),
+            4 - round,
+            "{:?}",
+            cluster.views()
+        );
     }
     let next = primary(&mut cluster);
     cluster.kill(next);
@@ -294,15 +347,25 @@
     let lost = cluster.replicas()[part];
     (0..3).for_each(|n| cluster.kill(n));
     cluster.run(ms(300));
-    (0..3).filter(|n| *n != lost).for_each(|n| cluster.restart(n));
+    (0..3)
+        .filter(|n| *n != lost)
+        .for_each(|n| cluster.restart(n));
     // The machine itself stays away: nobody takes its place.
-    cluster.until(SOON, |c| c.primary().is_some()).expect("the two others go on");
+    cluster
+        .until(SOON, |c| c.primary().is_some())
+        .expect("the two others go on");
     assert_eq!(cluster.version(), Some(1));
     let refused = cluster.call(cluster.primary().unwrap(), Cluster::configure(1, 2));
     cluster.run(ms(4000));
-    assert_ne!(cluster.answer(refused), Some(Code::Ok), "two replicas don't bear two losses");
+    assert_ne!(
+        cluster.answer(refused),
+        Some(Code::Ok),
+        "two replicas don't bear two losses"
+    );
     let (fourth, fifth) = (cluster.add("r/a"), cluster.add("r/b"));
-    cluster.until(SOON, |c| c.votes(fourth) && c.votes(fifth)).expect("both join");
+    cluster
+        .until(SOON, |c| c.votes(fourth) && c.votes(fifth))
+        .expect("both join");
     cluster.apply(1, 3);
     assert_eq!(cluster.replicas().len(), 3);
     cluster.kill(cluster.replicas()[0]);
@@ -315,11 +378,17 @@
 fn one_that_left_for_good_is_no_voter_again() {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a"]);
     cluster.apply(0, 1);
-    cluster.until(SOON, |c| c.current().voters.len() == 4 && c.current().settled()).expect("four voters");
+    cluster
+        .until(SOON, |c| {
+            c.current().voters.len() == 4 && c.current().settled()
+        })
+        .expect("four voters");
     let leaver = cluster.primary().unwrap();
     cluster.leave(leaver);
     cluster
-        .until(SOON, |c| !c.acts(leaver) && c.primary().is_some() && !c.votes(leaver))
+        .until(SOON, |c| {
+            !c.acts(leaver) && c.primary().is_some() && !c.votes(leaver)
+        })
         .expect("it is dropped");
     cluster.run(ms(1200));
     cluster.kill(leaver);
--- a/crates/control-plane/tests/second_loss_sweep.rs
+++ b/crates/control-plane/tests/second_loss_sweep.rs
@@ -80,8 +80,13 @@
 }
 
 impl Strike {
-    const OF_SOME: [Strike; 5] =
-        [Strike::Die, Strike::DieWriting, Strike::Lose, Strike::Wipe, Strike::AllDieSomeLost];
+    const OF_SOME: [Strike; 5] = [
+        Strike::Die,
+        Strike::DieWriting,
+        Strike::Lose,
+        Strike::Wipe,
+        Strike::AllDieSomeLost,
+    ];
     const OF_ALL: [Strike; 2] = [Strike::AllDie, Strike::AllDieWriting];
 
     /// Machines, zones or regions that count as lost from then on. Who starts again with its disk is back before the
@@ -128,7 +133,11 @@
         Unit::Region => place.split_once('/').map(|p| p.0.to_owned()),
     };
     let units: BTreeSet<String> = places.iter().filter_map(|p| unit(p)).collect();
-    let units = if matches!(site.unit, Unit::Machine) { places.len() } else { units.len() };
+    let units = if matches!(site.unit, Unit::Machine) {
+        places.len()
+    } else {
+        units.len()
+    };
     units > 2 * site.allowed_losses()
 }
 
@@ -190,7 +199,9 @@
     }
 
     fn running(&self) -> Vec<usize> {
-        (0..self.cluster.machines()).filter(|n| self.cluster.runs(*n)).collect()
+        (0..self.cluster.machines())
+            .filter(|n| self.cluster.runs(*n))
+            .collect()
     }
 
     fn at(&mut self, after: Duration, what: Later) {
@@ -226,13 +237,21 @@
 
     /// Takes answers, and sends the order again, or the next one, to the next machine that runs.
     fn run_operator(&mut self) {
-        let answer = self.order.and_then(|(ticket, _)| self.cluster.answer(ticket));
+        let answer = self
+            .order
+            .and_then(|(ticket, _)| self.cluster.answer(ticket));
         if answer == Some(Code::Ok) {
             self.acknowledged = self.acknowledged.max(self.ordered);
         }
         let running = self.running();
-        let pause = if answer.is_none() { ORDER_TIMEOUT } else { ORDER_PAUSE };
-        let waits = self.order.is_some_and(|(_, at)| self.cluster.now < at + pause);
+        let pause = if answer.is_none() {
+            ORDER_TIMEOUT
+        } else {
+            ORDER_PAUSE
+        };
+        let waits = self
+            .order
+            .is_some_and(|(_, at)| self.cluster.now < at + pause);
         if waits && answer != Some(Code::NoPrimary) {
             return;
         }
@@ -252,8 +271,16 @@
         while self.cluster.now < end && !reached(&self.cluster) {
             self.do_later();
             self.run_operator();
-            let next = self.later.iter().map(|l| l.0).chain([end, self.cluster.now + ORDER_INTERVAL]).min();
-            let pause = next.unwrap_or(end).saturating_sub(self.cluster.now).max(ms(1));
+            let next = self
+                .later
+                .iter()
+                .map(|l| l.0)
+                .chain([end, self.cluster.now + ORDER_INTERVAL])
+                .min();
+            let pause = next
+                .unwrap_or(end)
+                .saturating_sub(self.cluster.now)
+                .max(ms(1));
             self.cluster.until(pause, reached);
         }
     }
@@ -295,14 +322,18 @@
 
     /// Strikes these machines, or all.
     fn strike(&mut self, strike: Strike, some: &[usize]) {
-        let all = matches!(strike, Strike::AllDie | Strike::AllDieWriting | Strike::AllDieSomeLost);
+        let all = matches!(
+            strike,
+            Strike::AllDie | Strike::AllDieWriting | Strike::AllDieSomeLost
+        );
         let struck = if all { self.running() } else { some.to_vec() };
         for n in struck {
             match strike {
                 Strike::DieWriting | Strike::AllDieWriting => self.cluster.kill_after_write(n),
                 _ => self.cluster.kill(n),
             }
-            let lost = strike == Strike::Lose || (strike == Strike::AllDieSomeLost && some.contains(&n));
+            let lost =
+                strike == Strike::Lose || (strike == Strike::AllDieSomeLost && some.contains(&n));
             let back = match (strike, lost) {
                 (_, true) => Later::Add(n),
                 (Strike::Wipe, _) => Later::WipedStart(n),
@@ -321,21 +352,28 @@
         }
         match self.acknowledged > before {
             true => Ok(()),
-            false => Err(format!("{before} is the last one taken: {:?}", self.cluster.views())),
+            false => Err(format!(
+                "{before} is the last one taken: {:?}",
+                self.cluster.views()
+            )),
         }
     }
 
     /// After the second loss an order is taken in time, and later the next loss is borne.
     fn recovers(&mut self) -> Result<(), String> {
         self.run(BACK_AFTER, None);
-        self.takes_an_order().map_err(|e| format!("after the strike: {e}"))?;
+        self.takes_an_order()
+            .map_err(|e| format!("after the strike: {e}"))?;
         self.run(CATCH_UP, None);
-        let Some(primary) = self.cluster.primary() else { return Err("nobody acts any more".into()) };
+        let Some(primary) = self.cluster.primary() else {
+            return Err("nobody acts any more".into());
+        };
         self.later.clear();
         for n in self.lost_with(primary) {
             self.cluster.kill(n);
         }
-        self.takes_an_order().map_err(|e| format!("after the next loss: {e}"))
+        self.takes_an_order()
+            .map_err(|e| format!("after the next loss: {e}"))
     }
 }
 
@@ -355,7 +393,11 @@
 
 /// A strike at one moment; nothing where nobody is there to be struck.
 fn struck(moment: &Play, (strike, n): (Strike, usize)) -> Option<Result<(), String>> {
-    let some = if n < moment.cluster.machines() { moment.lost_with(n) } else { Vec::new() };
+    let some = if n < moment.cluster.machines() {
+        moment.lost_with(n)
+    } else {
+        Vec::new()
+    };
     if some.is_empty() {
         return None;
     }
@@ -369,15 +411,23 @@
     let place = |n: usize| match site.unit {
         Unit::Machine => n.to_string(),
         Unit::Zone => site.zones[n].to_owned(),
-        Unit::Region => site.zones[n].split_once('/').map_or(String::new(), |p| p.0.to_owned()),
+        Unit::Region => site.zones[n]
+            .split_once('/')
+            .map_or(String::new(), |p| p.0.to_owned()),
     };
     let mut places = BTreeSet::new();
-    let mut units: Vec<usize> = (0..site.zones.len()).filter(|n| places.insert(place(*n))).collect();
+    let mut units: Vec<usize> = (0..site.zones.len())
+        .filter(|n| places.insert(place(*n)))
+        .collect();
     if matches!(site.unit, Unit::Machine) {
         units.push(site.zones.len());
     }
-    let of_some = units.into_iter().flat_map(|n| Strike::OF_SOME.map(|strike| (strike, n)));
-    of_some.chain(Strike::OF_ALL.map(|strike| (strike, 0))).collect()
+    let of_some = units
+        .into_iter()
+        .flat_map(|n| Strike::OF_SOME.map(|strike| (strike, n)));
+    of_some
+        .chain(Strike::OF_ALL.map(|strike| (strike, 0)))
+        .collect()
 }
 
 /// Whether the machines that are left after a removal bear the next loss.
@@ -387,7 +437,9 @@
         Change::RemoveTwo => vec![n, (n + 1) % site.zones.len()],
         _ => vec![],
     };
-    let left = (0..site.zones.len()).filter(|n| !gone.contains(n)).map(|n| site.zones[n]);
+    let left = (0..site.zones.len())
+        .filter(|n| !gone.contains(n))
+        .map(|n| site.zones[n]);
     bears_a_loss(site, &left.collect::<Vec<_>>())
 }
 
@@ -400,11 +452,18 @@
         let moments = moments(site, change, n);
         let allowed = |s: &(Strike, usize)| change.losses() + s.0.losses() <= site.allowed_losses();
         for (offset, strike) in strikes(site).into_iter().filter(allowed).enumerate() {
-            for (step, moment) in moments.iter().enumerate().skip(offset % stride).step_by(stride) {
+            for (step, moment) in moments
+                .iter()
+                .enumerate()
+                .skip(offset % stride)
+                .step_by(stride)
+            {
                 match struck(moment, strike) {
                     Some(Ok(())) => borne += 1,
                     Some(Err(error)) => {
-                        failed.push(format!("{change:?} at {n}, {strike:?} at step {step}: {error}"));
+                        failed.push(format!(
+                            "{change:?} at {n}, {strike:?} at step {step}: {error}"
+                        ));
                     }
                     None => {}
                 }
@@ -412,35 +471,75 @@
         }
     }
     println!("{change:?}: {borne} borne, {} failed", failed.len());
-    failed.iter().take(FAILURES_TOLD).for_each(|error| println!("  {error}"));
-    assert!(failed.is_empty() && borne > 0, "{borne} borne, {} failed", failed.len());
+    failed
+        .iter()
+        .take(FAILURES_TOLD)
+        .for_each(|error| println!("  {error}"));
+    assert!(
+        failed.is_empty() && borne > 0,
+        "{borne} borne, {} failed",
+        failed.len()
+    );
 }
 
-const THREE: Site = Site { budget: budget(1, 0, 0), unit: Unit::Machine, zones: &["r/a", "r/b", "r/c"] };
-const FOUR: Site =
-    Site { budget: budget(1, 0, 0), unit: Unit::Machine, zones: &["r/a", "r/b", "r/c", "r/a"] };
-const FIVE: Site =
-    Site { budget: budget(2, 0, 0), unit: Unit::Machine, zones: &["r/a", "r/a", "r/b", "r/b", "r/c"] };
+const THREE: Site = Site {
+    budget: budget(1, 0, 0),
+    unit: Unit::Machine,
+    zones: &["r/a", "r/b", "r/c"],
+};
+const FOUR: Site = Site {
+    budget: budget(1, 0, 0),
+    unit: Unit::Machine,
+    zones: &["r/a", "r/b", "r/c", "r/a"],
+};
+const FIVE: Site = Site {
+    budget: budget(2, 0, 0),
+    unit: Unit::Machine,
+    zones: &["r/a", "r/a", "r/b", "r/b", "r/c"],
+};
 const EIGHT: Site = Site {
     budget: budget(3, 0, 0),
     unit: Unit::Machine,
     zones: &["r/a", "r/b", "r/c", "r/a", "r/b", "r/c", "r/a", "r/b"],
 };
-const FIVE_WITH_ROOM: Site = Site { budget: budget(1, 0, 0), ..FIVE };
-const ZONES: Site = Site { budget: budget(1, 1, 0), unit: Unit::Zone, zones: &["r/a", "r/b", "r/c", "r/a"] };
-const FIVE_IN_ZONES: Site =
-    Site { budget: budget(1, 1, 0), unit: Unit::Zone, zones: &["r/a", "r/b", "r/c", "r/a", "r/b"] };
-const REGIONS: Site =
-    Site { budget: budget(1, 0, 1), unit: Unit::Region, zones: &["r/a", "s/b", "t/c", "r/d", "s/e"] };
+const FIVE_WITH_ROOM: Site = Site {
+    budget: budget(1, 0, 0),
+    ..FIVE
+};
+const ZONES: Site = Site {
+    budget: budget(1, 1, 0),
+    unit: Unit::Zone,
+    zones: &["r/a", "r/b", "r/c", "r/a"],
+};
+const FIVE_IN_ZONES: Site = Site {
+    budget: budget(1, 1, 0),
+    unit: Unit::Zone,
+    zones: &["r/a", "r/b", "r/c", "r/a", "r/b"],
+};
+const REGIONS: Site = Site {
+    budget: budget(1, 0, 1),
+    unit: Unit::Region,
+    zones: &["r/a", "s/b", "t/c", "r/d", "s/e"],
+};
 
 /// Every so many moments, so that a sweep takes some seconds; set to 1 to play all.
 fn stride(usual: usize) -> usize {
-    std::env::var("SWEEP_STRIDE").ok().and_then(|stride| stride.parse().ok()).unwrap_or(usual)
+    std::env::var("SWEEP_STRIDE")
+        .ok()
+        .and_then(|stride| stride.parse().ok())
+        .unwrap_or(usual)
 }
 
 #[rstest]
 fn of_three(
-    #[values(Change::Join, Change::Replace, Change::Restart, Change::Die, Change::Wipe, Change::Lose)]
+    #[values(
+        Change::Join,
+        Change::Replace,
+        Change::Restart,
+        Change::Die,
+        Change::Wipe,
+        Change::Lose
+    )]
     change: Change,
 ) {
     sweep(&THREE, change, stride(20));
@@ -453,7 +552,14 @@
 
 #[rstest]
 fn of_five(
-    #[values(Change::Join, Change::Replace, Change::Restart, Change::Wipe, Change::Lose)] change: Change,
+    #[values(
+        Change::Join,
+        Change::Replace,
+        Change::Restart,
+        Change::Wipe,
+        Change::Lose
+    )]
+    change: Change,
 ) {
     sweep(&FIVE, change, stride(90));
 }
--- a/crates/control-plane/tests/slow_links.rs
+++ b/crates/control-plane/tests/slow_links.rs
@@ -46,8 +46,17 @@
 }
 
 fn seat(id: u64) -> MemberInfo {
-    let addr = protocol::Addr { ip: id as u32, port: 1 };
-    MemberInfo { id, name: format!("core-{id}"), addr, zone: format!("z{id}"), ..MemberInfo::default() }
+    let addr = protocol::Addr {
+        ip: id as u32,
+        port: 1,
+    };
+    MemberInfo {
+        id,
+        name: format!("core-{id}"),
+        addr,
+        zone: format!("z{id}"),
+        ..MemberInfo::default()
+    }
 }
 
 impl World {
@@ -70,7 +79,11 @@
             let config = Config {
                 me: seat(id),
                 bootstrap_voters: Some((1..=3).map(seat).collect()),
-                budget: FaultBudget { machine_losses: 1, zones: 0, region_losses: 0 },
+                budget: FaultBudget {
+                    machine_losses: 1,
+                    zones: 0,
+                    region_losses: 0,
+                },
                 lease: LEASE,
                 patience: Duration::from_millis(3500),
                 stall: STALL,
@@ -93,14 +106,20 @@
     }
 
     fn input(&mut self, to: u64, input: Input) {
-        let Some(member) = self.members.get_mut(&to) else { return };
+        let Some(member) = self.members.get_mut(&to) else {
+            return;
+        };
         let mut out = Vec::new();
         member.step(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Send { to: other, message } => self.send(to, other.id, &message),
                 Output::Write { ticket, .. } => {
-                    let takes = if self.stalled == Some(to) { 4 * STALL } else { self.sync };
+                    let takes = if self.stalled == Some(to) {
+                        4 * STALL
+                    } else {
+                        self.sync
+                    };
                     self.at(self.now + takes, Event::Wrote { to, ticket });
                 }
                 Output::Answer { ticket, code, .. } => {
@@ -129,7 +148,9 @@
         let free = free + Duration::from_secs_f64(frame.len() as f64 / self.rate);
         self.links.insert((from, to, lane), free);
         let ahead = match lane {
-            Lane::Control if self.lane_free(from, to, Lane::Data) > self.now => IN_FLIGHT / self.rate,
+            Lane::Control if self.lane_free(from, to, Lane::Data) > self.now => {
+                IN_FLIGHT / self.rate
+            }
             _ => 0.0,
         };
         let at = free + Duration::from_secs_f64(ahead) + DELAY;
@@ -137,7 +158,11 @@
     }
 
     fn lane_free(&self, from: u64, to: u64, lane: Lane) -> Duration {
-        self.links.get(&(from, to, lane)).copied().unwrap_or_default().max(self.now)
+        self.links
+            .get(&(from, to, lane))
+            .copied()
+            .unwrap_or_default()
+            .max(self.now)
     }
 
     /// Runs until `done`, for `most` at most; how long it took.
@@ -152,9 +177,21 @@
                 Some(Event::Message { from, to, frame }) => {
                     // What the dead had sent may still come; what is sent to them is lost.
                     let (message, _) = protocol::decode(&frame).unwrap().unwrap();
-                    self.input(to, Input::Message { from: seat(from), message });
+                    self.input(
+                        to,
+                        Input::Message {
+                            from: seat(from),
+                            message,
+                        },
+                    );
                 }
-                Some(Event::Wrote { to, ticket }) => self.input(to, Input::Wrote { ticket, result: Ok(()) }),
+                Some(Event::Wrote { to, ticket }) => self.input(
+                    to,
+                    Input::Wrote {
+                        ticket,
+                        result: Ok(()),
+                    },
+                ),
                 Some(Event::Wake { to }) => self.input(to, Input::Tick),
                 None => {}
             }
@@ -180,7 +217,13 @@
     fn order(&mut self, ticket: u64, command: &Command) -> Option<Code> {
         self.until(Duration::from_secs(10), |w| w.acting().is_some())?;
         let primary = self.acting()?;
-        self.input(primary, Input::Command { ticket, command: command.clone() });
+        self.input(
+            primary,
+            Input::Command {
+                ticket,
+                command: command.clone(),
+            },
+        );
         self.until(Duration::from_secs(10), |w| w.answers.contains_key(&ticket))?;
         self.answers.get(&ticket).copied()
     }
@@ -195,9 +238,16 @@
         )
     };
     let routes: Vec<String> = (0..bytes / route(10_000).len()).map(route).collect();
-    let text =
-        format!(r#"{{"version":{},"routes":[{}],"services":[{{"name":"s"}}]}}"#, base + 1, routes.join(","));
-    Command::Configure { base, amend: false, body: text.into_bytes() }
+    let text = format!(
+        r#"{{"version":{},"routes":[{}],"services":[{{"name":"s"}}]}}"#,
+        base + 1,
+        routes.join(",")
+    );
+    Command::Configure {
+        base,
+        amend: false,
+        body: text.into_bytes(),
+    }
 }
 
 const KIB: usize = 1 << 10;
@@ -225,11 +275,17 @@
     let took = world.until(Duration::from_secs(120), |w| w.acting().is_some());
     let took = took.expect("somebody acts in the end");
     println!("{bytes} bytes at {rate} bytes/s, seed {seed}: {took:?}");
-    assert!(!world.unheard.contains(&world.acting().unwrap()), "a witness acts");
+    assert!(
+        !world.unheard.contains(&world.acting().unwrap()),
+        "a witness acts"
+    );
     assert!(took <= Duration::from_secs(most_s), "{took:?}");
     world.rate = FAST;
     assert_eq!(world.order(2, &configure(0, bytes)), Some(Code::Ok));
-    assert_eq!(world.order(3, &configure(0, bytes / 2)), Some(Code::OtherBase));
+    assert_eq!(
+        world.order(3, &configure(0, bytes / 2)),
+        Some(Code::OtherBase)
+    );
 }
 
 /// The primary is lost for good. Whoever is left needs the ledger on both disks: by a link that carries so many
@@ -259,7 +315,10 @@
     // What was acknowledged is still in force: the same order again is known, another on its base is refused.
     world.rate = FAST;
     assert_eq!(world.order(2, &configure(0, bytes)), Some(Code::Ok));
-    assert_eq!(world.order(3, &configure(0, bytes / 2)), Some(Code::OtherBase));
+    assert_eq!(
+        world.order(3, &configure(0, bytes / 2)),
+        Some(Code::OtherBase)
+    );
     assert_eq!(world.order(4, &configure(1, bytes)), Some(Code::Ok));
 }
 
@@ -303,12 +362,22 @@
     world.members.retain(|id, _| replicas.contains(id));
     world.stalled = Some(replica);
     let command = configure(1, 10 * KIB);
-    world.input(primary, Input::Command { ticket: 2, command: command.clone() });
+    world.input(
+        primary,
+        Input::Command {
+            ticket: 2,
+            command: command.clone(),
+        },
+    );
     // It is told so with the replica's next answers to its renewals; then its lease ends.
     let told = world.now + STALL + LEASE;
-    world.until(Duration::from_secs(20), |w| w.now > told).unwrap();
+    world
+        .until(Duration::from_secs(20), |w| w.now > told)
+        .unwrap();
     world.cut = true;
-    world.until(Duration::from_secs(20), |w| w.acting().is_none()).expect("the lease ends");
+    world
+        .until(Duration::from_secs(20), |w| w.acting().is_none())
+        .expect("the lease ends");
     (world.cut, world.stalled) = (false, None);
     let took = world.until(Duration::from_secs(20), |w| w.acting().is_some());
     println!("seed {seed}: {took:?} until somebody acts again");
@@ -339,12 +408,19 @@
         });
         assert_eq!(answer, Some(Code::Ok), "change {base}");
         assert_eq!(world.acting(), Some(primary));
-        assert_eq!(world.members[&primary].view().unwrap().epoch, epoch, "no view was needed");
+        assert_eq!(
+            world.members[&primary].view().unwrap().epoch,
+            epoch,
+            "no view was needed"
+        );
         let needed = Duration::from_secs_f64(bytes as f64 / world.rate);
         let took = world.now - start;
         println!("{bytes} bytes at {megabytes_a_second} MB/s, seed {seed}: {took:?}");
         // The order itself waits for the next event, a renewal at the latest.
-        assert!(took <= needed + LEASE / 4 + Duration::from_millis(50), "{took:?}, {needed:?} needed");
+        assert!(
+            took <= needed + LEASE / 4 + Duration::from_millis(50),
+            "{took:?}, {needed:?} needed"
+        );
     }
 }
 
@@ -355,14 +431,28 @@
     assert_eq!(world.order(1, &configure(0, 10 * KIB)), Some(Code::Ok));
     let (primary, epoch) = world.settle();
     world.rate = 2e6;
-    world.input(primary, Input::Command { ticket: 2, command: configure(1, 4 * MIB - 10 * KIB) });
+    world.input(
+        primary,
+        Input::Command {
+            ticket: 2,
+            command: configure(1, 4 * MIB - 10 * KIB),
+        },
+    );
     for ticket in 3..20 {
-        let command = Command::Drain { host: format!("host-{ticket}") };
+        let command = Command::Drain {
+            host: format!("host-{ticket}"),
+        };
         world.input(primary, Input::Command { ticket, command });
     }
     let most = Duration::from_millis(2300);
-    let took = world.until(most, |w| (2..20).all(|ticket| w.answers.contains_key(&ticket)));
+    let took = world.until(most, |w| {
+        (2..20).all(|ticket| w.answers.contains_key(&ticket))
+    });
     assert!(took.is_some(), "all are answered: {:?}", world.answers);
-    assert!((2..20).all(|ticket| world.answers[&ticket] == Code::Ok), "{:?}", world.answers);
+    assert!(
+        (2..20).all(|ticket| world.answers[&ticket] == Code::Ok),
+        "{:?}",
+        world.answers
+    );
     assert_eq!(world.members[&primary].view().unwrap().epoch, epoch);
 }
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -41,15 +41,28 @@
 }
 
 fn seat(id: u64) -> MemberInfo {
-    let addr = protocol::Addr { ip: 0x7f00_0000 + id as u32, port: 7 };
-    MemberInfo { id, name: format!("core-{id}"), addr, control: addr, zone: "z".into(), region: "r".into() }
+    let addr = protocol::Addr {
+        ip: 0x7f00_0000 + id as u32,
+        port: 7,
+    };
+    MemberInfo {
+        id,
+        name: format!("core-{id}"),
+        addr,
+        control: addr,
+        zone: "z".into(),
+        region: "r".into(),
+    }
 }
 
 fn config(id: u64, bootstrap: bool) -> Config {
     Config {
         me: seat(id),
         bootstrap_voters: bootstrap.then(|| (1..=3).map(seat).collect()),
-        budget: FaultBudget { machine_losses: 1, ..FaultBudget::default() },
+        budget: FaultBudget {
+            machine_losses: 1,
+            ..FaultBudget::default()
+        },
         lease: LEASE,
         patience: Duration::from_millis(3500),
         stall: Duration::from_millis(600),
@@ -60,7 +73,12 @@
     /// Three members, of which one has become primary.
     fn settled() -> (Self, u64) {
         let (nodes, cut, left) = Default::default();
-        let mut world = World { now: Duration::ZERO, nodes, cut, left };
+        let mut world = World {
+            now: Duration::ZERO,
+            nodes,
+            cut,
+            left,
+        };
         (1..=3).for_each(|id| world.start(id, true, Vec::new()));
         let primary = world.until_led();
         world.run(Duration::from_secs(3));
@@ -73,7 +91,16 @@
         let recorder = Recorder::new(&member);
         let (disk, stalled, told) = (Disk::Well, Vec::new(), Vec::new());
         let (frozen, wake) = (false, self.now);
-        let node = Node { member, recorder, records, disk, frozen, stalled, wake, told };
+        let node = Node {
+            member,
+            recorder,
+            records,
+            disk,
+            frozen,
+            stalled,
+            wake,
+            told,
+        };
         self.nodes.insert(id, node);
     }
 
@@ -85,7 +112,9 @@
         let mut queue = VecDeque::from([(id, input)]);
         while let Some((id, input)) = queue.pop_front() {
             let now = self.now;
-            let Some(node) = self.nodes.get_mut(&id).filter(|n| !n.frozen) else { continue };
+            let Some(node) = self.nodes.get_mut(&id).filter(|n| !n.frozen) else {
+                continue;
+            };
             let mut outputs = Vec::new();
             node.member.step(now, input, &mut outputs);
             let told = node.recorder.after_step(&node.member);
@@ -93,10 +122,22 @@
             for output in outputs {
                 node.told.extend(node.recorder.of_output(&output));
                 match output {
-                    Output::Send { to, message } if !self.cut.contains(&id) && !self.cut.contains(&to.id) => {
-                        queue.push_back((to.id, Input::Message { from: seat(id), message }));
+                    Output::Send { to, message }
+                        if !self.cut.contains(&id) && !self.cut.contains(&to.id) =>
+                    {
+                        queue.push_back((
+                            to.id,
+                            Input::Message {
+                                from: seat(id),
+                                message,
+                            },
+                        ));
                     }
-                    Output::Write { ticket, records, rewrite } => {
+                    Output::Write {
+                        ticket,
+                        records,
+                        rewrite,
+                    } => {
                         if rewrite {
                             node.records.clear();
                         }
@@ -125,7 +166,12 @@
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            let due: Vec<u64> = self.nodes.iter().filter(|n| n.1.wake <= self.now).map(|n| *n.0).collect();
+            let due: Vec<u64> = self
+                .nodes
+                .iter()
+                .filter(|n| n.1.wake <= self.now)
+                .map(|n| *n.0)
+                .collect();
             due.into_iter().for_each(|id| self.input(id, Input::Tick));
         }
     }
@@ -136,7 +182,9 @@
         loop {
             self.run(STEP);
             assert!(self.now < end, "nobody acts");
-            let well = |id: &u64, node: &Node| !node.frozen && !self.cut.contains(id) && node.member.acts();
+            let well = |id: &u64, node: &Node| {
+                !node.frozen && !self.cut.contains(id) && node.member.acts()
+            };
             if let Some((id, _)) = self.nodes.iter().find(|(id, node)| well(id, node)) {
                 return *id;
             }
@@ -152,7 +200,11 @@
     }
 
     fn others(&self, than: u64) -> Vec<u64> {
-        self.nodes.keys().copied().filter(|id| *id != than).collect()
+        self.nodes
+            .keys()
+            .copied()
+            .filter(|id| *id != than)
+            .collect()
     }
 }
 
@@ -160,31 +212,56 @@
 fn the_first_start_is_told_in_order() {
     let (world, primary) = World::settled();
     let told = &world.nodes[&primary].told;
-    let position = |what: &dyn Fn(&Transition) -> bool| told.iter().position(what).expect("it is told");
+    let position =
+        |what: &dyn Fn(&Transition) -> bool| told.iter().position(what).expect("it is told");
     let order = [
         position(&|t| matches!(t, Transition::ElectionStarted { view: 0 })),
         position(&|t| matches!(t, Transition::PromisesRequested { .. })),
         position(&|t| matches!(t, Transition::SnapshotSent { .. })),
-        position(&|t| matches!(t, Transition::ViewAccepted { position: Position::Primary, .. })),
-        position(&|t| matches!(t, Transition::ElectionWon { ledger: Some(0), .. })),
+        position(&|t| {
+            matches!(
+                t,
+                Transition::ViewAccepted {
+                    position: Position::Primary,
+                    ..
+                }
+            )
+        }),
+        position(&|t| {
+            matches!(
+                t,
+                Transition::ElectionWon {
+                    ledger: Some(0),
+                    ..
+                }
+            )
+        }),
         position(&|t| matches!(t, Transition::LeaseHeld { .. })),
     ];
     assert!(order.is_sorted(), "{told:?}");
     let accepted = |wanted: Position| {
-        let of =
-            |t: &Transition| matches!(t, Transition::ViewAccepted { position, .. } if *position == wanted);
+        let of = |t: &Transition| matches!(t, Transition::ViewAccepted { position, .. } if *position == wanted);
         let mut others = world.others(primary);
         others.retain(|id| world.told(*id, of));
         others
     };
     let (replicas, witnesses) = (accepted(Position::Replica), accepted(Position::Witness));
-    assert_eq!((replicas.len(), witnesses.len()), (1, 1), "one of each beside the primary");
-    assert!(world.told(replicas[0], |t| matches!(t, Transition::SnapshotTaken { seq: 0, .. })));
-    assert!(!world.told(witnesses[0], |t| matches!(t, Transition::SnapshotTaken { .. })));
+    assert_eq!(
+        (replicas.len(), witnesses.len()),
+        (1, 1),
+        "one of each beside the primary"
+    );
+    assert!(world.told(replicas[0], |t| matches!(
+        t,
+        Transition::SnapshotTaken { seq: 0, .. }
+    )));
+    assert!(!world.told(witnesses[0], |t| matches!(
+        t,
+        Transition::SnapshotTaken { .. }
+    )));
     for other in world.others(primary) {
         assert!(world.told(other, |t| matches!(t, Transition::Promised { .. })));
-        let follows =
-            |t: &Transition| matches!(t, Transition::LeaseGranted { primary: p, .. } if p.id == primary);
+        let follows = |t: &Transition| matches!(t, Transition::LeaseGranted { primary: p, .. } if p.id == primary);
         assert!(world.told(other, follows));
     }
 }
@@ -194,8 +271,16 @@
     let (mut world, primary) = World::settled();
     world.clear();
     for version in 1..200 {
-        let command = Command::Drain { host: format!("i-{version}") };
-        world.input(primary, Input::Command { ticket: version, command });
+        let command = Command::Drain {
+            host: format!("i-{version}"),
+        };
+        world.input(
+            primary,
+            Input::Command {
+                ticket: version,
+                command,
+            },
+        );
         world.run(Duration::from_millis(300));
     }
     for (id, node) in &world.nodes {
@@ -220,12 +305,20 @@
     // It wakes: its lease is long over.
     world.node(old).frozen = false;
     world.input(old, Input::Tick);
-    let ended =
-        |t: &Transition| matches!(t, Transition::SteppedDown { cause: StepDownCause::LeaseEnded, .. });
+    let ended = |t: &Transition| {
+        matches!(
+            t,
+            Transition::SteppedDown {
+                cause: StepDownCause::LeaseEnded,
+                ..
+            }
+        )
+    };
     assert!(world.told(old, ended), "{:?}", world.nodes[&old].told);
     assert_eq!(world.nodes[&old].recorder.counters().leases_lost, 1);
     world.run(Duration::from_secs(5));
-    let follows = |t: &Transition| matches!(t, Transition::LeaseGranted { primary, .. } if primary.id == new);
+    let follows =
+        |t: &Transition| matches!(t, Transition::LeaseGranted { primary, .. } if primary.id == new);
     assert!(world.told(old, follows), "{:?}", world.nodes[&old].told);
 }
 
@@ -238,10 +331,17 @@
     world.cut.insert(cut);
     world.run(Duration::from_secs(20));
     let node = &world.nodes[&cut];
-    let stands = node.told.iter().filter(|t| matches!(t, Transition::ElectionStarted { .. })).count();
+    let stands = node
+        .told
+        .iter()
+        .filter(|t| matches!(t, Transition::ElectionStarted { .. }))
+        .count();
     assert_eq!(stands, 1, "{:?}", node.told);
-    assert!(!world.told(cut, |t| matches!(t, Transition::ElectionAbandoned { phase, .. }
-        if *phase == ElectionPhase::PreVote)));
+    assert!(!world.told(
+        cut,
+        |t| matches!(t, Transition::ElectionAbandoned { phase, .. }
+        if *phase == ElectionPhase::PreVote)
+    ));
     let tries = node.recorder.counters().elections - before;
     assert!(tries > 5, "further tries are counted: {tries}");
 }
@@ -258,7 +358,15 @@
     world.run(Duration::from_secs(5));
     let told = world.nodes[&primary].told.clone();
     assert!(told.contains(&Transition::Disk { state }), "{told:?}");
-    let yields = |t: &&Transition| matches!(t, Transition::SteppedDown { cause: StepDownCause::Disk, .. });
+    let yields = |t: &&Transition| {
+        matches!(
+            t,
+            Transition::SteppedDown {
+                cause: StepDownCause::Disk,
+                ..
+            }
+        )
+    };
     assert_eq!(told.iter().filter(yields).count(), 1, "{told:?}");
     assert_eq!(world.nodes[&primary].recorder.counters().disk_faults, 1);
     world.until_led();
@@ -267,7 +375,10 @@
         world.input(primary, wrote);
     }
     world.run(Duration::from_secs(2));
-    assert!(world.told(primary, |t| *t == Transition::Disk { state: DiskState::Fit }));
+    assert!(world.told(primary, |t| *t
+        == Transition::Disk {
+            state: DiskState::Fit
+        }));
 }
 
 #[test]
@@ -291,8 +402,15 @@
         }
         _ => false,
     };
-    assert!(world.told(primary, exchanged), "{:?}", world.nodes[&primary].told);
-    assert!(world.told(primary, |t| matches!(t, Transition::ViewChangeStarted { .. })));
+    assert!(
+        world.told(primary, exchanged),
+        "{:?}",
+        world.nodes[&primary].told
+    );
+    assert!(world.told(primary, |t| matches!(
+        t,
+        Transition::ViewChangeStarted { .. }
+    )));
     let joined = |t: &Transition| {
         matches!(t, Transition::ViewAccepted { before: Position::Joining, position, .. }
             if *position != Position::Joining)
@@ -305,12 +423,23 @@
     let (mut world, primary) = World::settled();
     world.clear();
     world.input(primary, Input::Leave);
-    assert!(!world.left.contains(&primary), "a replica that leaves hands over first");
+    assert!(
+        !world.left.contains(&primary),
+        "a replica that leaves hands over first"
+    );
     world.run(Duration::from_secs(4));
     assert!(world.left.contains(&primary));
     let told = &world.nodes[&primary].told;
     assert_eq!(told[0], Transition::Leaving);
-    let yields = |t: &Transition| matches!(t, Transition::SteppedDown { cause: StepDownCause::Leaving, .. });
+    let yields = |t: &Transition| {
+        matches!(
+            t,
+            Transition::SteppedDown {
+                cause: StepDownCause::Leaving,
+                ..
+            }
+        )
+    };
     assert!(told.iter().any(yields), "{told:?}");
 }
 
@@ -324,7 +453,10 @@
     let epoch = world.nodes[&primary].member.view().unwrap().epoch;
     world.start(primary, false, records);
     let summary = world.nodes[&primary].recorder.summary();
-    assert_eq!((summary.view.as_ref().unwrap().epoch, summary.ledger), (epoch, Some(1)));
+    assert_eq!(
+        (summary.view.as_ref().unwrap().epoch, summary.ledger),
+        (epoch, Some(1))
+    );
     world.input(primary, Input::Tick);
     let restored = Transition::LedgerRestored { seq: 1, version: 0 };
     assert_eq!(world.nodes[&primary].told.first(), Some(&restored));
@@ -340,8 +472,21 @@
     world.run(2 * LEASE);
     world.cut.clear();
     let epoch = (1 << 60) + other;
-    let message = Message::Prepare { epoch, candidate: seat(other) };
-    world.input(primary, Input::Message { from: seat(other), message });
+    let message = Message::Prepare {
+        epoch,
+        candidate: seat(other),
+    };
+    world.input(
+        primary,
+        Input::Message {
+            from: seat(other),
+            message,
+        },
+    );
     let told = |t: &Transition| matches!(t, Transition::Promised { epoch: e, .. } if *e == epoch);
-    assert!(world.told(primary, told), "{:?}", world.nodes[&primary].told);
+    assert!(
+        world.told(primary, told),
+        "{:?}",
+        world.nodes[&primary].told
+    );
 }
--- a/crates/control-plane/tests/without_a_say.rs
+++ b/crates/control-plane/tests/without_a_say.rs
@@ -16,8 +16,18 @@
 }
 
 fn seat(id: u64) -> MemberInfo {
-    let addr = Addr { ip: id as u32, port: 7660 };
-    MemberInfo { id, name: format!("core-{id}"), addr, control: addr, zone: "z".into(), region: "r".into() }
+    let addr = Addr {
+        ip: id as u32,
+        port: 7660,
+    };
+    MemberInfo {
+        id,
+        name: format!("core-{id}"),
+        addr,
+        control: addr,
+        zone: "z".into(),
+        region: "r".into(),
+    }
 }
 
 /// A member that no view names, and what it answered.
@@ -33,13 +43,21 @@
         let config = Config {
             me: seat(9),
             bootstrap_voters: None,
-            budget: FaultBudget { machine_losses: 1, ..FaultBudget::default() },
+            budget: FaultBudget {
+                machine_losses: 1,
+                ..FaultBudget::default()
+            },
             lease: LEASE,
             patience: ms(3500),
             stall: ms(600),
         };
         let member = Member::new(config, &[], ms(0), 7);
-        let mut mirroring = Self { now: ms(0), member, forwarded: 0, answers: vec![] };
+        let mut mirroring = Self {
+            now: ms(0),
+            member,
+            forwarded: 0,
+            answers: vec![],
+        };
         mirroring.member.learn_primary(EPOCH, seat(primary));
         mirroring
     }
@@ -49,7 +67,10 @@
         self.member.step(self.now, input, &mut out);
         for output in out {
             match output {
-                Output::Send { message: Message::ForwardCommand { .. }, .. } => self.forwarded += 1,
+                Output::Send {
+                    message: Message::ForwardCommand { .. },
+                    ..
+                } => self.forwarded += 1,
                 Output::Answer { ticket, code, .. } => self.answers.push((ticket, self.now, code)),
                 _ => {}
             }
@@ -63,7 +84,9 @@
             self.now += ms(1);
             let reports = (self.now.as_millis() as u64).is_multiple_of(1000);
             match linked_to.filter(|_| reports) {
-                Some(primary) => self.step(Input::Reachable { seat: seat(primary) }),
+                Some(primary) => self.step(Input::Reachable {
+                    seat: seat(primary),
+                }),
                 None => self.step(Input::Tick),
             }
         }
@@ -72,9 +95,16 @@
     /// How long a call took and what it came to, where its primary answers nothing.
     fn call(&mut self, ticket: u64, linked_to: Option<u64>) -> (Duration, Code) {
         let since = self.now;
-        self.step(Input::Command { ticket, command: READ });
+        self.step(Input::Command {
+            ticket,
+            command: READ,
+        });
         self.run(ms(4000), linked_to);
-        let answer = self.answers.iter().find(|answer| answer.0 == ticket).expect("an answer");
+        let answer = self
+            .answers
+            .iter()
+            .find(|answer| answer.0 == ticket)
+            .expect("an answer");
         (answer.1 - since, answer.2)
     }
 }
@@ -91,7 +121,10 @@
 #[test]
 fn who_was_never_heard_of_is_tried() {
     let mut mirroring = Mirroring::told_of(1);
-    mirroring.step(Input::Command { ticket: 1, command: READ });
+    mirroring.step(Input::Command {
+        ticket: 1,
+        command: READ,
+    });
     assert_eq!(mirroring.forwarded, 1);
 }
 
@@ -103,9 +136,15 @@
     mirroring.run(ms(3000), Some(1));
     mirroring.run(ms(seconds * 1000), None);
     let (took, code) = mirroring.call(1, None);
-    assert!(took <= ms(250) && code == Code::NoPrimary, "{code:?} after {took:?}");
+    assert!(
+        took <= ms(250) && code == Code::NoPrimary,
+        "{code:?} after {took:?}"
+    );
     assert_eq!(mirroring.forwarded, 0);
     mirroring.run(ms(1000), Some(1));
-    mirroring.step(Input::Command { ticket: 2, command: READ });
+    mirroring.step(Input::Command {
+        ticket: 2,
+        command: READ,
+    });
     assert_eq!(mirroring.forwarded, 1);
 }
--- a/crates/coordinator/src/bin/fennelpin-adapter/main.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/main.rs
@@ -28,14 +28,21 @@
 }
 
 impl Adapter {
-    fn line(&mut self, now: Duration, line: &str, rows: &mut dyn Iterator<Item = String>) -> Result<()> {
+    fn line(
+        &mut self,
+        now: Duration,
+        line: &str,
+        rows: &mut dyn Iterator<Item = String>,
+    ) -> Result<()> {
         let mut f = Fields::new(line);
         if f.what() == "snapshot_rows" {
             let slot = f.value("slot")?;
             let count: usize = f.value("elements")?;
             let mut entries = Vec::new();
             for _ in 0..count {
-                let row = rows.next().ok_or("snapshot_rows: the input ends within the list")?;
+                let row = rows
+                    .next()
+                    .ok_or("snapshot_rows: the input ends within the list")?;
                 entries.push(wire::entry(&mut Fields::new(&row))?);
             }
             self.lists.insert(slot, entries);
@@ -50,7 +57,13 @@
                 // Instances start anew with the clock further on: a later life has a larger number.
                 let life = now.as_micros() as u64;
                 let voice = words.talk.map(|talk| Voice::new(talk, life, seed as u64));
-                let fresh = Instance { router, words, voice, actions: Vec::new(), touched: true };
+                let fresh = Instance {
+                    router,
+                    words,
+                    voice,
+                    actions: Vec::new(),
+                    touched: true,
+                };
                 self.instances.insert(who, fresh);
                 return Ok(());
             }
@@ -60,7 +73,9 @@
             }
             _ => {}
         }
-        let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
+        let Some(instance) = self.instances.get_mut(&who) else {
+            return Ok(());
+        };
         if f.what() == "memo" {
             let from = f.value("author")?;
             // What can't be read is a fellow's fault, and no reason to stop.
@@ -86,10 +101,18 @@
 
     fn end_turn(&mut self, now: Duration, reply: &mut String) {
         for (who, instance) in self.instances.iter_mut().filter(|(_, i)| i.touched) {
-            let Instance { router, words, voice, actions, .. } = instance;
+            let Instance {
+                router,
+                words,
+                voice,
+                actions,
+                ..
+            } = instance;
             voice.iter_mut().for_each(|v| v.tell(now, router, actions));
             router.handle(now, Event::TurnEnd, actions);
-            let word = voice.as_mut().and_then(|v| v.speak(now, router, actions, |id| words.server(id)));
+            let word = voice
+                .as_mut()
+                .and_then(|v| v.speak(now, router, actions, |id| words.server(id)));
             if let Some(word) = word {
                 let blob = STANDARD.encode(word.bytes());
                 writeln!(reply, "broadcast_to {who} all {blob}").expect("writing to a string");
@@ -111,19 +134,24 @@
             let step = match (line.split(' ').next().unwrap_or(""), now) {
                 ("frame", None) => {
                     let mut f = Fields::new(&line);
-                    f.number("clock").map(|clock| now = Some(wire::from_ms(clock)))
+                    f.number("clock")
+                        .map(|clock| now = Some(wire::from_ms(clock)))
                 }
                 ("over_to_you", Some(clock)) => {
                     let mut reply = String::new();
                     self.end_turn(clock, &mut reply);
                     reply.push_str("ack\n");
                     now = None;
-                    let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+                    let sent = output
+                        .write_all(reply.as_bytes())
+                        .and_then(|()| output.flush());
                     sent.map_err(|e| format!("output: {e}"))
                 }
                 ("", None) => Ok(()),
                 (word, None) => Err(format!("'{word}' stands outside a batch")),
-                (_, Some(clock)) => self.line(clock, &line, &mut (&mut lines).inspect(|_| count += 1)),
+                (_, Some(clock)) => {
+                    self.line(clock, &line, &mut (&mut lines).inspect(|_| count += 1))
+                }
             };
             step.map_err(|e| format!("line {count}: {e}"))?;
         }
--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -23,7 +23,9 @@
 impl<'a> Fields<'a> {
     /// Splits the message's word off a line.
     pub fn new(line: &'a str) -> Self {
-        let (what, rest) = line.split_once(' ').map_or((line, None), |(w, r)| (w, Some(r)));
+        let (what, rest) = line
+            .split_once(' ')
+            .map_or((line, None), |(w, r)| (w, Some(r)));
         Self { what, rest }
     }
 
@@ -34,7 +36,10 @@
 
     /// The next value as text; `None` if it is absent.
     pub fn optional(&mut self) -> Option<&'a str> {
-        let (value, rest) = self.rest?.split_once(' ').map_or((self.rest?, None), |(v, r)| (v, Some(r)));
+        let (value, rest) = self
+            .rest?
+            .split_once(' ')
+            .map_or((self.rest?, None), |(v, r)| (v, Some(r)));
         self.rest = rest;
         (value != "-").then_some(value)
     }
@@ -42,26 +47,32 @@
     /// The next value as text.
     pub fn text(&mut self, name: &str) -> Result<&'a str> {
         let what = self.what;
-        self.optional().ok_or_else(|| format!("{what}: '{name}' is missing"))
+        self.optional()
+            .ok_or_else(|| format!("{what}: '{name}' is missing"))
     }
 
     /// The next value, parsed.
     pub fn value<T: std::str::FromStr>(&mut self, name: &str) -> Result<T> {
         let what = self.what;
         let text = self.text(name)?;
-        text.parse().map_err(|_| format!("{what}: '{name}' can't be read from '{text}'"))
+        text.parse()
+            .map_err(|_| format!("{what}: '{name}' can't be read from '{text}'"))
     }
 
     /// The next value, a finite number.
     pub fn number(&mut self, name: &str) -> Result<f64> {
         let what = self.what;
         let n: f64 = self.value(name)?;
-        n.is_finite().then_some(n).ok_or_else(|| format!("{what}: '{name}' is not a finite number"))
+        n.is_finite()
+            .then_some(n)
+            .ok_or_else(|| format!("{what}: '{name}' is not a finite number"))
     }
 
     /// All that is left of the line.
     pub fn tail(&mut self, name: &str) -> Result<&'a str> {
-        self.rest.take().ok_or_else(|| format!("{}: '{name}' is missing", self.what))
+        self.rest
+            .take()
+            .ok_or_else(|| format!("{}: '{name}' is missing", self.what))
     }
 }
 
@@ -82,7 +93,8 @@
 
 /// Reads the settings of a `start`.
 pub fn settings(json: &str) -> Result<(Settings, Words)> {
-    let site = coordinator::core::settings::read(json).map_err(|e| format!("start: 'options': {e}"))?;
+    let site =
+        coordinator::core::settings::read(json).map_err(|e| format!("start: 'options': {e}"))?;
     let words = Words {
         zones: site.zones,
         classes: site.classes,
@@ -107,7 +119,10 @@
 /// Reads an `m` line.
 pub fn entry(f: &mut Fields) -> Result<RawEntry> {
     if f.what() != "m" {
-        return Err(format!("snapshot_rows: an 'm' line is missing before '{}'", f.what()));
+        return Err(format!(
+            "snapshot_rows: an 'm' line is missing before '{}'",
+            f.what()
+        ));
     }
     let node = f.text("node")?.to_owned();
     let zone = f.text("area")?.to_owned();
@@ -120,8 +135,17 @@
         other => return Err(format!("m: 'availability' can't be '{other}'")),
     };
     f.optional();
-    let boot = f.optional().and_then(|b| b.parse().ok()).filter(|b| *b > 0.0);
-    Ok(RawEntry { node, zone, cell, state, boot })
+    let boot = f
+        .optional()
+        .and_then(|b| b.parse().ok())
+        .filter(|b| *b > 0.0);
+    Ok(RawEntry {
+        node,
+        zone,
+        cell,
+        state,
+        boot,
+    })
 }
 
 fn outcome(code: &str) -> Result<Outcome> {
@@ -178,8 +202,13 @@
             "job_in" => {
                 let xid = f.text("xid")?;
                 let band = f.text("band")?;
-                let class = self.classes.iter().position(|c| c == band).map(|n| ClassId(n as u32));
-                let class = class.ok_or_else(|| format!("job_in: 'band' names no class: '{band}'"))?;
+                let class = self
+                    .classes
+                    .iter()
+                    .position(|c| c == band)
+                    .map(|n| ClassId(n as u32));
+                let class =
+                    class.ok_or_else(|| format!("job_in: 'band' names no class: '{band}'"))?;
                 let tenant = f
                     .optional()
                     .and_then(|t| self.tenants.iter().position(|n| n == t))
@@ -195,14 +224,30 @@
                     let bits = f.optional().and_then(|b| b.parse::<u32>().ok());
                     let repeat = bits.filter(|_| self.marks_retry).map(|b| b & 2 != 0);
                     self.queries.insert(whole, id);
-                    Event::Query { id, class, tenant, deadline, repeat }
+                    Event::Query {
+                        id,
+                        class,
+                        tenant,
+                        deadline,
+                        repeat,
+                    }
                 } else {
-                    let Some(query) = self.queries.get(&whole).copied() else { return Ok(None) };
-                    Event::Part { id, query, shard: shard as u32, weight }
+                    let Some(query) = self.queries.get(&whole).copied() else {
+                        return Ok(None);
+                    };
+                    Event::Part {
+                        id,
+                        query,
+                        shard: shard as u32,
+                        weight,
+                    }
                 }
             }
             "attempt_end" => {
-                let part = self.requests.find(f.text("xid")?).map(|n| RequestId(n.into()));
+                let part = self
+                    .requests
+                    .find(f.text("xid")?)
+                    .map(|n| RequestId(n.into()));
                 let attempt = f.value("hop")?;
                 f.text("node")?;
                 let outcome = outcome(f.text("how")?).map_err(|e| format!("attempt_end: {e}"))?;
@@ -210,10 +255,19 @@
                 let closed = f.text("closed")? == "1";
                 let report = self.report(f.optional());
                 let Some(part) = part else { return Ok(None) };
-                Event::AttemptEnd { part, attempt, outcome, latency, closed, report }
+                Event::AttemptEnd {
+                    part,
+                    attempt,
+                    outcome,
+                    latency,
+                    closed,
+                    report,
+                }
             }
             "withdrawn" => match self.requests.find(f.text("xid")?) {
-                Some(n) => Event::Withdrawn { query: RequestId(n.into()) },
+                Some(n) => Event::Withdrawn {
+                    query: RequestId(n.into()),
+                },
                 None => return Ok(None),
             },
             "check_result" => {
@@ -221,8 +275,14 @@
                 f.number("latency")?;
                 let server = self.servers.find(f.text("node")?).map(ServerId);
                 let report = self.report(f.optional());
-                let Some(server) = server else { return Ok(None) };
-                Event::Probed { server, outcome, report }
+                let Some(server) = server else {
+                    return Ok(None);
+                };
+                Event::Probed {
+                    server,
+                    outcome,
+                    report,
+                }
             }
             "wake" => {
                 f.text("handle")?;
@@ -238,21 +298,38 @@
         // Numbers that were given out here, so they fit.
         let request = |id: &RequestId| u32::try_from(id.0).map_or("", |n| self.requests.name(n));
         let written = match action {
-            Action::Send { part, server, timeout } => {
+            Action::Send {
+                part,
+                server,
+                timeout,
+            } => {
                 let node = self.servers.name(server.0);
-                writeln!(out, "submit_to {who} {} {} {node}", request(part), to_ms(*timeout))
+                writeln!(
+                    out,
+                    "submit_to {who} {} {} {node}",
+                    request(part),
+                    to_ms(*timeout)
+                )
+            }
+            Action::Cancel { part, attempt } => {
+                writeln!(out, "withdraw {who} {} {attempt}", request(part))
             }
-            Action::Cancel { part, attempt } => writeln!(out, "withdraw {who} {} {attempt}", request(part)),
             Action::Answer { query, whole } => {
                 writeln!(out, "wrap_up {who} {} {}", request(query), u8::from(*whole))
             }
-            Action::Refuse { query, retry_after, .. } => {
+            Action::Refuse {
+                query, retry_after, ..
+            } => {
                 let after = retry_after.map_or("-".to_owned(), |d| to_ms(d).to_string());
                 writeln!(out, "push_back {who} {} {after}", request(query))
             }
             Action::Fail { query, .. } => writeln!(out, "finish_error {who} {}", request(query)),
-            Action::Probe { server } => writeln!(out, "sample {who} {}", self.servers.name(server.0)),
-            Action::Release { server } => writeln!(out, "release {who} {}", self.servers.name(server.0)),
+            Action::Probe { server } => {
+                writeln!(out, "sample {who} {}", self.servers.name(server.0))
+            }
+            Action::Release { server } => {
+                writeln!(out, "release {who} {}", self.servers.name(server.0))
+            }
             Action::Subscribe => writeln!(out, "keep_informed {who} 1"),
             Action::Wake { after } => writeln!(out, "arm {who} {} tick", to_ms(*after)),
         };
--- a/crates/coordinator/src/bin/fennelpin/main.rs
+++ b/crates/coordinator/src/bin/fennelpin/main.rs
@@ -8,7 +8,11 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "fennelpin", version, about = "Query coordinator over many shards")]
+#[command(
+    name = "fennelpin",
+    version,
+    about = "Query coordinator over many shards"
+)]
 struct Cli {
     /// How much is logged: error, warn, info, debug or trace.
     #[arg(long, global = true, default_value = "info")]
@@ -42,7 +46,10 @@
 
 impl From<Files> for Source {
     fn from(files: Files) -> Self {
-        Self { file: files.config, operator: files.operator }
+        Self {
+            file: files.config,
+            operator: files.operator,
+        }
     }
 }
 
