--- a/crates/coordinator/src/choice.rs
+++ b/crates/coordinator/src/choice.rs
@@ -67,7 +67,11 @@
 const IDLE: f64 = 1.0;
 const IDLE_SPAN: f64 = 8.0;
 const OUTLIER: f64 = 2.5;
-const COPIES: Budget = Budget { free: 10.0, share: 0.2, span: Duration::from_secs(2) };
+const COPIES: Budget = Budget {
+    free: 10.0,
+    share: 0.2,
+    span: Duration::from_secs(2),
+};
 /// Share of the budget open to hedges; the rest is kept for parts that failed.
 const HEDGE_SHARE: f64 = 0.6;
 const PRESSING: f64 = 0.65;
@@ -107,14 +111,26 @@
         match event {
             Event::List { kind, entries } => self.on_list(kind, &entries),
             Event::Query { .. } => self.on_query(event),
-            Event::Part { id, query, shard, weight } => self.on_part(id, query, shard, weight),
+            Event::Part {
+                id,
+                query,
+                shard,
+                weight,
+            } => self.on_part(id, query, shard, weight),
             Event::AttemptEnd { .. } => self.on_attempt_end(event, out),
             Event::Withdrawn { query } => self.forget(query, out),
-            Event::Probed { server, outcome, report } => self.on_probed(server, outcome, report),
+            Event::Probed {
+                server,
+                outcome,
+                report,
+            } => self.on_probed(server, outcome, report),
             Event::Unreached { server } => self.eject(server, true),
             Event::Told { server, out, age } => {
                 self.note_load(server, out);
-                self.servers.get_mut(&server).into_iter().for_each(|s| s.told_at = self.now - secs(age));
+                self.servers
+                    .get_mut(&server)
+                    .into_iter()
+                    .for_each(|s| s.told_at = self.now - secs(age));
             }
             Event::Wake => {}
             Event::TurnEnd => self.decide(out),
@@ -122,22 +138,51 @@
     }
 
     fn on_query(&mut self, event: Event) {
-        let Event::Query { id, class, tenant, deadline, repeat } = event else { return };
+        let Event::Query {
+            id,
+            class,
+            tenant,
+            deadline,
+            repeat,
+        } = event
+        else {
+            return;
+        };
         self.taken.add(self.now);
-        let Some(settings) = self.cfg.classes.get(class.0 as usize) else { return };
+        let Some(settings) = self.cfg.classes.get(class.0 as usize) else {
+            return;
+        };
         let (deadline, limit) = (secs(deadline), secs(settings.limit));
         let goal_at = self.goal_of(class, deadline, secs(settings.goal), limit, repeat);
         if let Some(rate) = tenant.and_then(|t| self.tenants.get_mut(t.0 as usize)) {
             rate.add(self.now, RATE_SPAN);
         }
         let (parts, admitted, first) = (Vec::new(), false, None);
-        self.queries.insert(id, Query { class, tenant, goal_at, deadline, parts, admitted, first });
+        self.queries.insert(
+            id,
+            Query {
+                class,
+                tenant,
+                goal_at,
+                deadline,
+                parts,
+                admitted,
+                first,
+            },
+        );
     }
 
     /// First tries of a class all wait equally long, the client's last one for what is left of its wait: its
     /// goal counts from the start of that. One that waits for less than the goal is served in that time.
     /// Where clients mark repeats, the mark decides. Hurts a first try that was held up on its way.
-    fn goal_of(&mut self, class: ClassId, deadline: f64, goal: f64, limit: f64, repeat: Option<bool>) -> f64 {
+    fn goal_of(
+        &mut self,
+        class: ClassId,
+        deadline: f64,
+        goal: f64,
+        limit: f64,
+        repeat: Option<bool>,
+    ) -> f64 {
         let wait = deadline - self.now;
         let usual = &mut self.usual_wait[class.0 as usize];
         let close = (wait - usual.0).abs() < SAME_WAIT * limit;
@@ -149,17 +194,38 @@
         };
         match wait {
             w if w < goal => deadline,
-            w if self.now == self.away.1 && usual.0 - w < self.now - self.away.0 => deadline - usual.0 + goal,
+            w if self.now == self.away.1 && usual.0 - w < self.now - self.away.0 => {
+                deadline - usual.0 + goal
+            }
             w if repeat.map_or((w - usual.0).abs() < SAME_WAIT * limit, |r| !r) => self.now + goal,
             _ => self.now.min(deadline - limit) + goal,
         }
     }
 
     fn on_attempt_end(&mut self, event: Event, out: &mut Out) {
-        let Event::AttemptEnd { part: id, attempt, outcome, latency, closed, report } = event else { return };
+        let Event::AttemptEnd {
+            part: id,
+            attempt,
+            outcome,
+            latency,
+            closed,
+            report,
+        } = event
+        else {
+            return;
+        };
         let latency = secs(latency);
-        let Some((attempt, class)) = self.close_attempt(id, attempt, outcome, closed) else { return };
-        let Attempt { server, sent, load, idle, class: of, .. } = attempt;
+        let Some((attempt, class)) = self.close_attempt(id, attempt, outcome, closed) else {
+            return;
+        };
+        let Attempt {
+            server,
+            sent,
+            load,
+            idle,
+            class: of,
+            ..
+        } = attempt;
         let overdue = self.now - sent > OVERDUE * self.all_latencies.mean();
         let cut = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
         let lost = idle && ((cut && overdue) || outcome == Outcome::Reset);
@@ -169,9 +235,15 @@
             self.idle_kept.add(self.now, IDLE_SPAN);
         }
         if outcome == Outcome::Ok && self.cfg.may_cancel {
-            let others = self.parts.get(&id).map_or(&[][..], |p| p.attempts.as_slice());
+            let others = self
+                .parts
+                .get(&id)
+                .map_or(&[][..], |p| p.attempts.as_slice());
             for (n, _) in others.iter().enumerate().filter(|(_, a)| a.out) {
-                out.push(Action::Cancel { part: id, attempt: n as u32 });
+                out.push(Action::Cancel {
+                    part: id,
+                    attempt: n as u32,
+                });
             }
         }
         let before = self.track_own(server, sent, false, REPORT_LAG);
@@ -188,8 +260,9 @@
             self.latencies[class.0 as usize].add(self.now, latency, SAMPLES);
             self.all_latencies.add(self.now, latency, SAMPLES);
             let usual = self.all_latencies.quantile(0.5, SAMPLES / 4);
-            self.least_time =
-                usual.map(|t| self.least_time.map_or(t, |least| least.min(t))).or(self.least_time);
+            self.least_time = usual
+                .map(|t| self.least_time.map_or(t, |least| least.min(t)))
+                .or(self.least_time);
         }
         if !unused {
             self.judge(server, outcome, sent);
@@ -197,7 +270,10 @@
         }
         let told = report.and_then(|r| r.inflight.or(r.queue).or(r.busy.map(|b| 2.0 * b)));
         self.reports |= told.is_some();
-        let word = self.servers.get(&server).is_some_and(|s| self.now - s.told_at < TOLD);
+        let word = self
+            .servers
+            .get(&server)
+            .is_some_and(|s| self.now - s.told_at < TOLD);
         // A full server tells no load: it counts as far busier than the mean.
         if outcome == Outcome::Full {
             self.note_load(server, 2.0 * self.mean_load + FULL);
@@ -231,7 +307,9 @@
         // A wake-up comes at its time or a rounding error before it: it must not pass for one still to come.
         if self.wake_at <= self.now + CLOCK_GRAIN || self.wake_at > self.now + rest {
             self.wake_at = self.now + rest;
-            out.push(Action::Wake { after: duration(rest) });
+            out.push(Action::Wake {
+                after: duration(rest),
+            });
         }
     }
 
@@ -245,7 +323,9 @@
     /// A quantile of the recent part times of a class; before any, a guess from its goal.
     fn latency(&self, class: ClassId, q: f64) -> f64 {
         let guess = secs(self.class(class).goal) * (0.1 + 0.15 * q);
-        self.latencies[class.0 as usize].quantile(q, FEW).unwrap_or(guess)
+        self.latencies[class.0 as usize]
+            .quantile(q, FEW)
+            .unwrap_or(guess)
     }
 
     /// Expected time of one more part on a server with this load: in proportion to what waits there.
@@ -257,8 +337,15 @@
 
     /// How long parts of all classes wait, over what the shortest goal bears.
     fn pressure(&self) -> f64 {
-        let goal = self.cfg.classes.iter().map(|c| secs(c.goal)).fold(f64::MAX, f64::min);
-        self.all_latencies.quantile(0.75, FEW).map_or(0.0, |t| t / (CONGESTED * goal))
+        let goal = self
+            .cfg
+            .classes
+            .iter()
+            .map(|c| secs(c.goal))
+            .fold(f64::MAX, f64::min);
+        self.all_latencies
+            .quantile(0.75, FEW)
+            .map_or(0.0, |t| t / (CONGESTED * goal))
     }
 
     fn congested(&self) -> bool {
@@ -297,8 +384,15 @@
     fn slowness(&self, s: &Server) -> f64 {
         let past = 1.0 + (s.slow - 1.0) * (-(self.now - s.slow_at) / SLOW_SPAN).exp();
         let usual = self.all_latencies.mean();
-        let waits = s.outs.front().map_or(0.0, |t| self.now - t.max(s.heard).max(self.away.1));
-        past.max(if usual > 0.0 { waits / (OVERDUE * usual) } else { 0.0 })
+        let waits = s
+            .outs
+            .front()
+            .map_or(0.0, |t| self.now - t.max(s.heard).max(self.away.1));
+        past.max(if usual > 0.0 {
+            waits / (OVERDUE * usual)
+        } else {
+            0.0
+        })
     }
 
     /// Load as answers make it felt.
@@ -309,10 +403,16 @@
     fn learn_slowness(&mut self, server: ServerId, outcome: Outcome, latency: f64, load: f64) {
         let mean = self.all_latencies.mean();
         let cut_short = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
-        let Some(s) = self.servers.get(&server).filter(|_| cut_short || outcome == Outcome::Ok) else {
+        let Some(s) = self
+            .servers
+            .get(&server)
+            .filter(|_| cut_short || outcome == Outcome::Ok)
+        else {
             return;
         };
-        let due = (mean * (1.0 + load) / (1.0 + self.mean_load)).max(mean / 2.0).max(1e-3);
+        let due = (mean * (1.0 + load) / (1.0 + self.mean_load))
+            .max(mean / 2.0)
+            .max(1e-3);
         let ratio = (latency / due).clamp(SLOW_BOUNDS.0, SLOW_BOUNDS.1);
         let past = self.slowness(s);
         // A part that was cut short would have taken longer: it tells nothing good.
@@ -320,18 +420,28 @@
             return;
         }
         let learned = (past + SLOW_GAIN * (ratio - past), self.now);
-        self.servers.get_mut(&server).into_iter().for_each(|s| (s.slow, s.slow_at) = learned);
+        self.servers
+            .get_mut(&server)
+            .into_iter()
+            .for_each(|s| (s.slow, s.slow_at) = learned);
     }
 
     /// Takes the load from elsewhere: what a report shows beyond the most own parts that it can have seen.
     /// Lists the server once for each part that it is short of the mean load, or strikes it off if busy.
     fn note_load(&mut self, server: ServerId, others: f64) {
         let (now, threshold) = (self.now, self.mean_load.max(0.5) + 0.5);
-        let Some(s) = self.servers.get_mut(&server) else { return };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
         (s.others, s.reported, s.listed_at) = (others, now, now);
         let load = f64::from(s.own()) + others;
-        let entries = (threshold - self.felt(&self.servers[&server])).max(0.0).ceil() as u32;
-        self.servers.get_mut(&server).into_iter().for_each(|s| s.entries = entries);
+        let entries = (threshold - self.felt(&self.servers[&server]))
+            .max(0.0)
+            .ceil() as u32;
+        self.servers
+            .get_mut(&server)
+            .into_iter()
+            .for_each(|s| s.entries = entries);
         self.mean_load += MEAN_GAIN * (load - self.mean_load);
     }
 
@@ -354,7 +464,9 @@
         {
             return None;
         }
-        let sick = Some(&s.sick[class.0 as usize]).filter(|c| c.bad > SICK).map(|c| c.until);
+        let sick = Some(&s.sick[class.0 as usize])
+            .filter(|c| c.bad > SICK)
+            .map(|c| c.until);
         let free = s.out_until.is_none() || (!s.unreached && s.outs.is_empty());
         match s.out_until.or(sick) {
             None if leaving => Some(Standing::Leaving),
@@ -369,15 +481,29 @@
 
     /// The holders that a part can count on: those not left, or else all that may be reached.
     fn usable(&self, shard: u32) -> impl Iterator<Item = &Server> + '_ {
-        let ready = move || self.holders(shard).map(|h| h.1).filter(|s| s.state == ServerState::Ready);
+        let ready = move || {
+            self.holders(shard)
+                .map(|h| h.1)
+                .filter(|s| s.state == ServerState::Ready)
+        };
         let left = ready().all(|s| s.out_until.is_some());
         let dead = |s: &Server| s.refused && s.out_until.is_some_and(|until| until > self.now);
-        ready().filter(move |s| if left { !dead(s) } else { s.out_until.is_none() })
+        ready().filter(move |s| {
+            if left {
+                !dead(s)
+            } else {
+                s.out_until.is_none()
+            }
+        })
     }
 
     /// Time until a server takes a part of ours again, after it turned one away or while it is cold.
     fn slot_wait(&self, s: &Server) -> f64 {
-        let cold = if self.warmth(s) < 1.0 { s.slot_at + self.cold_gap(s) } else { f64::MIN };
+        let cold = if self.warmth(s) < 1.0 {
+            s.slot_at + self.cold_gap(s)
+        } else {
+            f64::MIN
+        };
         (s.shut_until.max(cold) - self.now).max(0.0)
     }
 
@@ -396,15 +522,26 @@
         }
         // A trial goes first, or none would be cleared; only a first try that may be repeated is risked.
         let trial = found.iter().find(|f| f.0 == Standing::Trial);
-        if self.class(class).repeat != Repeat::Unsafe && part.attempts.is_empty() && trial.is_some() {
+        if self.class(class).repeat != Repeat::Unsafe && part.attempts.is_empty() && trial.is_some()
+        {
             return trial.map(|f| f.2);
         }
         // One that leaves helps out while its grace lasts, once the others are crowded.
         let crowded = |id: &ServerId| self.felt(&self.servers[id]) > self.mean_load + FULL;
-        if found.iter().filter(|f| f.0 == Standing::Sound).all(|f| crowded(&f.2)) {
-            found.iter_mut().filter(|f| f.0 == Standing::Leaving).for_each(|f| f.0 = Standing::Sound);
+        if found
+            .iter()
+            .filter(|f| f.0 == Standing::Sound)
+            .all(|f| crowded(&f.2))
+        {
+            found
+                .iter_mut()
+                .filter(|f| f.0 == Standing::Leaving)
+                .for_each(|f| f.0 = Standing::Sound);
         }
-        let best = found.iter().map(|f| (f.0, f.1)).min_by(|a, b| a.partial_cmp(b).unwrap())?;
+        let best = found
+            .iter()
+            .map(|f| (f.0, f.1))
+            .min_by(|a, b| a.partial_cmp(b).unwrap())?;
         // A sound one that is full for the moment is worth the wait.
         if best.0 == Standing::LastHope && self.usable(part.shard).any(|s| s.out_until.is_none()) {
             return None;
@@ -414,11 +551,18 @@
         let limit = self.bundle(class) as f64;
         let rank = |id: ServerId| {
             let s = &self.servers[&id];
-            let far = if self.cfg.zone_cost && self.cfg.zone != Some(s.zone) { ZONE_RANK } else { 0.0 };
+            let far = if self.cfg.zone_cost && self.cfg.zone != Some(s.zone) {
+                ZONE_RANK
+            } else {
+                0.0
+            };
             let riding = riders.iter().filter(|r| self.holds(s, **r)).count() as f64 + 1.0;
             self.felt(s) + far + call * (1.0 + self.mean_load) / riding.min(limit)
         };
-        let queue = found.iter().map(|f| f.2).filter(|id| self.listed(&self.servers[id]));
+        let queue = found
+            .iter()
+            .map(|f| f.2)
+            .filter(|id| self.listed(&self.servers[id]));
         let listed = queue.min_by(|a, b| rank(*a).total_cmp(&rank(*b)));
         if why == Why::Hedge {
             found.retain(|f| self.felt(&self.servers[&f.2]) <= self.mean_load.max(0.5));
@@ -437,11 +581,25 @@
 
     /// Judges a server by how an attempt ended, whatever its reports say: a quick failer looks idle.
     fn judge(&mut self, server: ServerId, outcome: Outcome, sent: f64) {
-        let (limit, many) = (self.stall_limit(), f64::from(self.cfg.routers) > FEW_ROUTERS);
-        let call = if many { f64::from(self.cfg.bundle_max.max(1)) } else { 1.0 };
-        let jitter = if outcome == Outcome::Full { 0.5 + self.chance() } else { 0.0 };
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        let silent = outcome == Outcome::Timeout && self.now - sent.max(s.heard).max(self.away.1) > limit;
+        let (limit, many) = (
+            self.stall_limit(),
+            f64::from(self.cfg.routers) > FEW_ROUTERS,
+        );
+        let call = if many {
+            f64::from(self.cfg.bundle_max.max(1))
+        } else {
+            1.0
+        };
+        let jitter = if outcome == Outcome::Full {
+            0.5 + self.chance()
+        } else {
+            0.0
+        };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
+        let silent =
+            outcome == Outcome::Timeout && self.now - sent.max(s.heard).max(self.away.1) > limit;
         match outcome {
             Outcome::Ok => {
                 (s.heard, s.unreached, s.refused) = (self.now, false, false);
@@ -469,7 +627,11 @@
             }
             Outcome::Full => {
                 // A window of less than a call is none, but time; one that drains wants nothing more.
-                let least = if s.state == ServerState::Ready { call } else { 0.0 };
+                let least = if s.state == ServerState::Ready {
+                    call
+                } else {
+                    0.0
+                };
                 s.room = s.room.min(f64::from(s.own()).max(least));
                 if many && s.own() == 0 {
                     s.shut_gap = (2.0 * s.shut_gap).clamp(SHUT.0, SHUT.1);
@@ -482,8 +644,14 @@
     }
 
     fn fault(&mut self, server: ServerId, unreached: bool) {
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.bad += if self.now - s.failed_at < SAME_MOMENT { 0.0 } else { BAD_GAIN * (1.0 - s.bad) };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
+        s.bad += if self.now - s.failed_at < SAME_MOMENT {
+            0.0
+        } else {
+            BAD_GAIN * (1.0 - s.bad)
+        };
         s.failed_at = self.now;
         if s.bad > if unreached { SICK } else { BAD_SHARE } || s.out_until.is_some() {
             self.eject(server, unreached);
@@ -493,7 +661,9 @@
     /// Judges a server for one class, as some fail that and serve the others: one part of it now and then.
     fn judge_class(&mut self, server: ServerId, class: ClassId, outcome: Outcome) {
         let now = self.now;
-        let Some(s) = self.servers.get_mut(&server) else { return };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
         let c = &mut s.sick[class.0 as usize];
         match outcome {
             Outcome::Ok if c.bad > SICK => *c = Sick::default(),
@@ -511,7 +681,9 @@
     fn eject(&mut self, server: ServerId, unreached: bool) {
         let now = self.now;
         let fleet = (f64::from(self.cfg.routers) / FEW_ROUTERS).clamp(1.0, 8.0);
-        let Some(s) = self.servers.get_mut(&server) else { return };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
         s.unreached |= unreached;
         (s.good, s.entries) = (0.0, 0);
         if s.out_until.is_some_and(|until| until > now) {
@@ -526,25 +698,46 @@
     /// Silence: a server with own parts out that answers nothing for far longer than usual is ejected.
     fn watch_silence(&mut self) {
         let (now, stall, back) = (self.now, self.stall_limit(), self.away.1);
-        let waits = |s: &Server| s.outs.front().is_some_and(|t| now - t.max(s.heard).max(back) > stall);
-        let silent = self.servers.iter().filter(|(_, s)| s.out_until.is_none() && waits(s));
+        let waits = |s: &Server| {
+            s.outs
+                .front()
+                .is_some_and(|t| now - t.max(s.heard).max(back) > stall)
+        };
+        let silent = self
+            .servers
+            .iter()
+            .filter(|(_, s)| s.out_until.is_none() && waits(s));
         let silent: Vec<ServerId> = silent.map(|(id, _)| *id).collect();
         for id in silent {
             self.eject(id, true);
-            self.servers.get_mut(&id).into_iter().for_each(|s| s.outs.clear());
+            self.servers
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|s| s.outs.clear());
         }
     }
 
     fn stall_limit(&self) -> f64 {
-        let q90 = (0..self.latencies.len()).map(|c| self.latency(ClassId(c as u32), 0.9)).fold(0.0, f64::max);
-        let goal = self.cfg.classes.iter().map(|c| secs(c.goal)).fold(f64::MAX, f64::min);
+        let q90 = (0..self.latencies.len())
+            .map(|c| self.latency(ClassId(c as u32), 0.9))
+            .fold(0.0, f64::max);
+        let goal = self
+            .cfg
+            .classes
+            .iter()
+            .map(|c| secs(c.goal))
+            .fold(f64::MAX, f64::min);
         (STALL * q90).max((STALL_GOAL * goal).min(0.5))
     }
 
     /// An unreachable or silent server is probed before its next part; a good probe alone clears nobody.
     fn probe_ejected(&mut self, out: &mut Out) {
         let (now, probes) = (self.now, self.cfg.probes);
-        for (id, s) in self.servers.iter_mut().filter(|(_, s)| s.out_until.is_some_and(|t| t <= now)) {
+        for (id, s) in self
+            .servers
+            .iter_mut()
+            .filter(|(_, s)| s.out_until.is_some_and(|t| t <= now))
+        {
             if !s.unreached || s.probing || s.state != ServerState::Ready {
                 continue;
             }
@@ -556,15 +749,21 @@
     }
 
     fn on_probed(&mut self, server: ServerId, outcome: Outcome, report: Option<LoadReport>) {
-        let Some(s) = self.servers.get_mut(&server) else { return };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
         (s.probing, s.refused) = (false, outcome == Outcome::ConnectFailed);
         if outcome == Outcome::Ok {
             // What was out before counts no more: after a cut it would block the trial to its time-out.
             let lost = std::mem::take(&mut s.unreached);
             s.outs.retain(|_| !lost);
             let own = f64::from(s.own());
-            let others = report.and_then(|r| r.inflight.or(r.queue)).map(|held| (held - own).max(0.0));
-            others.into_iter().for_each(|others| self.note_load(server, others));
+            let others = report
+                .and_then(|r| r.inflight.or(r.queue))
+                .map(|held| (held - own).max(0.0));
+            others
+                .into_iter()
+                .for_each(|others| self.note_load(server, others));
         } else if s.unreached {
             // No lapse: it was out before, and asking again costs next to nothing.
             s.relapses -= 1.0;
@@ -576,17 +775,28 @@
 
     /// Least share of its capacity.
     fn warmth(&self, s: &Server) -> f64 {
-        let (share, ramp) = self.cfg.cold.map_or((0.25, 10.0), |c| (c.share, secs(c.ramp)));
-        let age = s.cold_since.map_or(f64::MAX, |since| (self.now - since).max(0.0));
+        let (share, ramp) = self
+            .cfg
+            .cold
+            .map_or((0.25, 10.0), |c| (c.share, secs(c.ramp)));
+        let age = s
+            .cold_since
+            .map_or(f64::MAX, |since| (self.now - since).max(0.0));
         (share + (1.0 - share) * age / ramp.max(0.1)).min(1.0)
     }
 
     /// Time between parts of ours to a cold server: its share of what a warm one is sent, scaled by its
     /// warmth, or this router's part of half of what one core of it bears.
     fn cold_gap(&self, s: &Server) -> f64 {
-        let warm = self.servers.values().filter(|s| s.state == ServerState::Ready).count().max(1) as f64;
+        let warm = self
+            .servers
+            .values()
+            .filter(|s| s.state == ServerState::Ready)
+            .count()
+            .max(1) as f64;
         let multiple = self.cfg.cold.map_or(2.0, |c| c.fall_multiple) / 2.0;
-        let work = |time: Option<f64>| (time.unwrap_or(0.1) * f64::from(self.cfg.routers)).max(0.01);
+        let work =
+            |time: Option<f64>| (time.unwrap_or(0.1) * f64::from(self.cfg.routers)).max(0.01);
         let core = multiple / work(self.all_latencies.quantile(0.2, FEW));
         let usual = self.sends.get(self.now, RATE_SPAN) / warm;
         let pace = match f64::from(self.cfg.routers) > FEW_ROUTERS {
@@ -620,7 +830,11 @@
 
     /// Whether a repeat so much later would do no harm, counted from the first attempt that may have run.
     fn harmless(&self, part: &Part, class: ClassId, later: f64) -> bool {
-        let risky = part.attempts.iter().filter(|a| a.out || a.may_have_run).map(|a| a.sent);
+        let risky = part
+            .attempts
+            .iter()
+            .filter(|a| a.out || a.may_have_run)
+            .map(|a| a.sent);
         let since = risky.fold(f64::MAX, f64::min);
         match self.class(class).repeat {
             Repeat::Safe => true,
@@ -632,8 +846,13 @@
     fn send_parts(&mut self, id: RequestId, out: &mut Out) {
         let q = &self.queries[&id];
         let (class, wanted) = (q.class, self.wanted(q));
-        let open = q.parts.iter().copied().filter(|p| !self.parts[p].done && !self.parts[p].closed);
-        let (mut first, again): (Vec<_>, Vec<_>) = open.partition(|p| self.parts[p].attempts.is_empty());
+        let open = q
+            .parts
+            .iter()
+            .copied()
+            .filter(|p| !self.parts[p].done && !self.parts[p].closed);
+        let (mut first, again): (Vec<_>, Vec<_>) =
+            open.partition(|p| self.parts[p].attempts.is_empty());
         for pid in again {
             self.try_again(pid, class, out);
         }
@@ -643,7 +862,12 @@
             None => self.bundle(class),
             Some(waiting) => {
                 let n = self.rng.next_u32() as usize % first.len().max(1);
-                first = first.get(n).filter(|_| !waiting).into_iter().copied().collect();
+                first = first
+                    .get(n)
+                    .filter(|_| !waiting)
+                    .into_iter()
+                    .copied()
+                    .collect();
                 1
             }
         };
@@ -651,12 +875,18 @@
             let pid = first.remove(0);
             let shards: Vec<u32> = first.iter().map(|p| self.parts[p].shard).collect();
             let riders = if limit > 1 { shards.as_slice() } else { &[] };
-            let Some(server) = self.pick(pid, Why::Try, riders) else { continue };
+            let Some(server) = self.pick(pid, Why::Try, riders) else {
+                continue;
+            };
             self.send(pid, class, server, true, out);
             let held = |p: &RequestId| self.holds(&self.servers[&server], self.parts[p].shard);
-            let riders: Vec<RequestId> = first.iter().copied().filter(held).take(limit - 1).collect();
+            let riders: Vec<RequestId> =
+                first.iter().copied().filter(held).take(limit - 1).collect();
             for rider in riders {
-                if self.standing(&self.servers[&server], class).is_none_or(|s| s != Standing::Sound) {
+                if self
+                    .standing(&self.servers[&server], class)
+                    .is_none_or(|s| s != Standing::Sound)
+                {
                     break;
                 }
                 first.retain(|p| *p != rider);
@@ -673,17 +903,32 @@
         let sent = self.unanswered(q).filter(|_| !quiet)?;
         let late = self.now - self.latency(q.class, 0.9);
         let scout = sent.iter().find(|a| a.out);
-        scout.is_none_or(|a| a.sent >= late).then_some(scout.is_some())
+        scout
+            .is_none_or(|a| a.sent >= late)
+            .then_some(scout.is_some())
     }
 
     /// Whether a query is taken for one that crashes servers: one died under its scout, or two under its
     /// parts, and none has answered. It goes to no further server.
     fn kills(&self, q: &Query) -> bool {
-        let Some(sent) = self.unanswered(q) else { return false };
-        let scout =
-            q.parts.iter().filter(|p| !self.parts[p].attempts.is_empty()).count() < q.parts.len().min(2);
-        let died = |a: &Attempt| self.servers.get(&a.server).is_some_and(|s| s.died_at >= a.sent);
-        let mut dead = sent.iter().filter(|a| a.broken && died(a)).map(|a| a.server);
+        let Some(sent) = self.unanswered(q) else {
+            return false;
+        };
+        let scout = q
+            .parts
+            .iter()
+            .filter(|p| !self.parts[p].attempts.is_empty())
+            .count()
+            < q.parts.len().min(2);
+        let died = |a: &Attempt| {
+            self.servers
+                .get(&a.server)
+                .is_some_and(|s| s.died_at >= a.sent)
+        };
+        let mut dead = sent
+            .iter()
+            .filter(|a| a.broken && died(a))
+            .map(|a| a.server);
         let first = dead.next();
         first.is_some() && (scout || dead.any(|s| Some(s) != first))
     }
@@ -695,23 +940,52 @@
         lost * IDLE_SPAN > FEW as f64 && lost > self.idle_kept.get(self.now, IDLE_SPAN) / 2.0
     }
 
-    fn send(&mut self, pid: RequestId, class: ClassId, server: ServerId, entry: bool, out: &mut Out) {
+    fn send(
+        &mut self,
+        pid: RequestId,
+        class: ClassId,
+        server: ServerId,
+        entry: bool,
+        out: &mut Out,
+    ) {
         let now = self.now;
         let copies = self.cfg.second_copies || self.class(class).repeat == Repeat::Unsafe;
         let stall = self.stall_limit();
-        let Some(q) = self.parts.get(&pid).and_then(|p| self.queries.get(&p.query)) else { return };
+        let Some(q) = self
+            .parts
+            .get(&pid)
+            .and_then(|p| self.queries.get(&p.query))
+        else {
+            return;
+        };
         // An attempt lives as long as its answer can be of use: servers can drop what is overdue.
-        let end = q.deadline.min(if self.class(class).late_worth > 0.0 { f64::MAX } else { q.goal_at });
-        let timeout = if copies { end - now } else { (end - now).min(stall) };
+        let end = q.deadline.min(if self.class(class).late_worth > 0.0 {
+            f64::MAX
+        } else {
+            q.goal_at
+        });
+        let timeout = if copies {
+            end - now
+        } else {
+            (end - now).min(stall)
+        };
         let load = self.load(&self.servers[&server]);
         let (drops, gap) = (self.idle_drops(), self.cold_gap(&self.servers[&server]));
-        let s = self.servers.get_mut(&server).expect("a picked server is known");
+        let s = self
+            .servers
+            .get_mut(&server)
+            .expect("a picked server is known");
         if now - s.listed_at > ENTRY_AGE {
             (s.entries, s.listed_at) = (0, now);
         }
         s.entries -= u32::from(entry && s.entries > 0);
         // A part that rides in the same call is on the same connection.
-        let idle = now - s.heard.max(if s.last_send < now { s.last_send } else { f64::MIN }) > IDLE;
+        let idle =
+            now - s.heard.max(if s.last_send < now {
+                s.last_send
+            } else {
+                f64::MIN
+            }) > IDLE;
         if idle && drops && s.last_send < now {
             out.push(Action::Release { server });
         }
@@ -719,14 +993,21 @@
         (s.last_send, s.slot_at) = (now, (s.slot_at + gap).max(now - gap));
         let c = &mut s.sick[class.0 as usize];
         c.until = now + c.gap;
-        let Some(part) = self.parts.get_mut(&pid) else { return };
+        let Some(part) = self.parts.get_mut(&pid) else {
+            return;
+        };
         if !part.attempts.is_empty() {
             self.extra.add(now);
         }
-        part.attempts.push(Attempt::new(server, class, now, load, idle && !drops));
+        part.attempts
+            .push(Attempt::new(server, class, now, load, idle && !drops));
         self.sends.add(now, RATE_SPAN);
         self.track_own(server, now, true, REPORT_LAG);
-        out.push(Action::Send { part: pid, server, timeout: duration(timeout.max(0.001)) });
+        out.push(Action::Send {
+            part: pid,
+            server,
+            timeout: duration(timeout.max(0.001)),
+        });
     }
 
     /// A retry when no attempt is out; a second copy to a server lighter than the mean once an attempt is
@@ -740,11 +1021,22 @@
         let siblings = &self.queries[&p.query].parts;
         let parts_in = siblings.iter().filter(|s| self.parts[s].done).count();
         let congested = self.congested() && parts_in < (4 * FEW).max(siblings.len() / 2);
-        let mut why = if p.attempts.iter().any(|a| a.out) { Why::Rescue } else { Why::Try };
+        let mut why = if p.attempts.iter().any(|a| a.out) {
+            Why::Rescue
+        } else {
+            Why::Try
+        };
         for a in p.attempts.iter().filter(|a| a.out) {
-            let Some(s) = self.servers.get(&a.server).filter(|s| s.out_until.is_none()) else { continue };
+            let Some(s) = self
+                .servers
+                .get(&a.server)
+                .filter(|s| s.out_until.is_none())
+            else {
+                continue;
+            };
             let (slow, age) = (self.slowness(s), self.now - a.sent);
-            let due = age >= (late / slow.max(1.0)).max(usual) && self.pressing(&self.queries[&p.query]);
+            let due =
+                age >= (late / slow.max(1.0)).max(usual) && self.pressing(&self.queries[&p.query]);
             if !due || (congested && slow < OUTLIER) {
                 return;
             }
@@ -789,7 +1081,11 @@
         order.sort_by(|a, b| self.parts[b].weight.total_cmp(&self.parts[a].weight));
         let total: f64 = q.parts.iter().map(|p| self.parts[p].weight).sum();
         let partial = c.floor < c.need;
-        let target = if partial { self.best_share(c, &order, total) } else { c.need * total };
+        let target = if partial {
+            self.best_share(c, &order, total)
+        } else {
+            c.need * total
+        };
         let slow = self.latency(q.class, 0.9);
         let pressing = self.pressing(q) && !self.congested();
         let late = |p: &Part| {
@@ -814,13 +1110,22 @@
     /// The share of the weight, heaviest first, beyond which a part earns less than parts do on average.
     fn best_share(&self, c: &Class, order: &[&RequestId], total: f64) -> f64 {
         // What a part costs others rises faster than the wait does: next to nothing while servers are light.
-        let worth = c.worth * if self.cfg.worth_by_work { order.len() as f64 } else { 1.0 };
+        let worth = c.worth
+            * if self.cfg.worth_by_work {
+                order.len() as f64
+            } else {
+                1.0
+            };
         let price = self.pressure().powi(2) * self.worth_a_part() / worth.max(1e-6);
         let (mut sum, mut best) = (0.0, (f64::MIN, total));
         for (n, pid) in order.iter().enumerate() {
             sum += self.parts[pid].weight;
             let whole = sum + ROUNDING >= c.need * total;
-            let earns = if whole { 1.0 } else { c.partial_earns * sum / (c.need * total) };
+            let earns = if whole {
+                1.0
+            } else {
+                c.partial_earns * sum / (c.need * total)
+            };
             let gain = earns - price * (n as f64 + 1.0);
             // Never a cut that earns less for each part than the whole does: better refuse some queries.
             let allowed = sum >= c.floor * total && earns * order.len() as f64 >= n as f64 + 1.0;
@@ -839,7 +1144,8 @@
         let c = self.class(q.class);
         let best = |p: &RequestId| {
             let (shard, ahead) = (self.parts[p].shard, self.waiting(self.parts[p].shard));
-            let time = |s: &Server| self.slot_wait(s) + self.expected(q.class, self.felt(s) + ahead);
+            let time =
+                |s: &Server| self.slot_wait(s) + self.expected(q.class, self.felt(s) + ahead);
             self.usable(shard).map(time).fold(f64::MAX, f64::min)
         };
         let mut times: Vec<f64> = q.parts.iter().map(best).collect();
@@ -848,16 +1154,29 @@
         // The query ends with the worst of the parts that it needs; without holders there is no time.
         let first = times.get(last).copied().unwrap_or(f64::MAX);
         let known = first < f64::MAX;
-        let expect = first + if c.second_step > 0 { self.expected(q.class, self.mean_load) } else { 0.0 };
+        let expect = first
+            + if c.second_step > 0 {
+                self.expected(q.class, self.mean_load)
+            } else {
+                0.0
+            };
         let over = self.over_quota(q) && self.congested();
         let (parts, mean) = (q.parts.len() as f64, self.worth_a_part());
         let worth = c.worth * if self.cfg.worth_by_work { parts } else { 1.0 };
         // Among few routers worth for work decides in congestion, and what a late answer earns adds time.
         let few = f64::from(self.cfg.routers) <= FEW_ROUTERS;
-        let rich = if few && mean > 0.0 && self.congested() { worth / parts / mean } else { 1.0 };
+        let rich = if few && mean > 0.0 && self.congested() {
+            worth / parts / mean
+        } else {
+            1.0
+        };
         let share = self.admit_share.unwrap_or(ADMIT_FIRST) * rich.sqrt().clamp(RICH.0, RICH.1);
         let share = share * if over { OVER_QUOTA } else { 1.0 };
-        let late_for = if few { (q.deadline - q.goal_at).max(0.0) } else { 0.0 };
+        let late_for = if few {
+            (q.deadline - q.goal_at).max(0.0)
+        } else {
+            0.0
+        };
         let left = q.goal_at.min(q.deadline) + c.late_worth * late_for - self.now;
         let late = left < 0.0 && self.useful_until(q) > self.now;
         // With nothing of its own out a router can't know of a queue that is gone by now: it must ask.
@@ -869,7 +1188,10 @@
         }
         self.worth_seen += worth - MEAN_GAIN * self.worth_seen;
         self.parts_seen += parts - MEAN_GAIN * self.parts_seen;
-        self.queries.get_mut(&id).into_iter().for_each(|q| q.admitted = true);
+        self.queries
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|q| q.admitted = true);
         true
     }
 
@@ -880,29 +1202,47 @@
     /// Forecasts err by fleet and hour: where admitted queries miss, fewer are taken.
     fn learn_share(&mut self, in_time: bool) {
         let many = f64::from(self.cfg.routers) > FEW_ROUTERS;
-        let (gain, most) = if many { ADMIT_MANY } else { (ADMIT_STEP.0, ADMIT.1) };
+        let (gain, most) = if many {
+            ADMIT_MANY
+        } else {
+            (ADMIT_STEP.0, ADMIT.1)
+        };
         let step = if in_time { gain } else { -ADMIT_STEP.1 };
-        self.admit_share = Some((self.admit_share.unwrap_or(ADMIT_FIRST) + step).clamp(ADMIT.0, most));
+        self.admit_share =
+            Some((self.admit_share.unwrap_or(ADMIT_FIRST) + step).clamp(ADMIT.0, most));
     }
 
     /// A tenant is over when it fills its quota here, or its even part and more than its portion here.
     fn over_quota(&self, q: &Query) -> bool {
-        let Some(id) = q.tenant.map(|t| t.0 as usize).filter(|t| *t < self.tenants.len()) else {
+        let Some(id) = q
+            .tenant
+            .map(|t| t.0 as usize)
+            .filter(|t| *t < self.tenants.len())
+        else {
             return false;
         };
         let (tenant, rate) = (&self.cfg.tenants[id], |r: &Rate| r.get(self.now, RATE_SPAN));
-        let (own, all) = (rate(&self.tenants[id]), self.tenants.iter().map(rate).sum::<f64>());
+        let (own, all) = (
+            rate(&self.tenants[id]),
+            self.tenants.iter().map(rate).sum::<f64>(),
+        );
         let even = tenant.quota_per_s / f64::from(self.cfg.routers.max(1));
         own > tenant.quota_per_s || (own > 1.2 * even && own > 1.3 * tenant.portion * all)
     }
 
     fn refuse(&mut self, id: RequestId, hint: f64, cause: Cause, out: &mut Out) {
-        out.push(Action::Refuse { query: id, retry_after: self.hint(hint), cause });
+        out.push(Action::Refuse {
+            query: id,
+            retry_after: self.hint(hint),
+            cause,
+        });
         self.forget(id, out);
     }
 
     fn hint(&self, after: f64) -> Option<Duration> {
-        self.cfg.retry_after_max.map(|m| duration(after.clamp(0.05, secs(m).max(0.05))))
+        self.cfg
+            .retry_after_max
+            .map(|m| duration(after.clamp(0.05, secs(m).max(0.05))))
     }
 
     // ---- Completion ----
@@ -918,10 +1258,19 @@
     fn complete(&mut self, id: RequestId, out: &mut Out) -> bool {
         let q = &self.queries[&id];
         let c = self.class(q.class).clone();
-        let Progress { got, total, open, all } = self.progress(q);
+        let Progress {
+            got,
+            total,
+            open,
+            all,
+        } = self.progress(q);
         let second = q.first.is_some();
         let need = if second { 1.0 } else { c.need };
-        let whole = if need < 1.0 { got + ROUNDING >= need * total.max(1.0 - ROUNDING) } else { all };
+        let whole = if need < 1.0 {
+            got + ROUNDING >= need * total.max(1.0 - ROUNDING)
+        } else {
+            all
+        };
         let (goal_at, first) = (q.goal_at.min(q.deadline), q.first);
         if whole && !q.parts.is_empty() {
             if c.second_step == 0 || second {
@@ -932,9 +1281,17 @@
         // A part answer at the goal, if the floor is met and waiting would earn less.
         let floor = self.floor(q);
         // So too, at once, when no host in service holds any part that is missing.
-        let held = |p: &Part| self.holders(p.shard).any(|h| h.1.state == ServerState::Ready);
-        let hope = q.parts.iter().map(|p| &self.parts[p]).any(|p| !p.done && !p.closed && held(p));
-        let due = self.now >= goal_at - self.kept_for_second(q) - self.margin() || open == 0 || !hope;
+        let held = |p: &Part| {
+            self.holders(p.shard)
+                .any(|h| h.1.state == ServerState::Ready)
+        };
+        let hope = q
+            .parts
+            .iter()
+            .map(|p| &self.parts[p])
+            .any(|p| !p.done && !p.closed && held(p));
+        let due =
+            self.now >= goal_at - self.kept_for_second(q) - self.margin() || open == 0 || !hope;
         let worth = c.partial_earns * got / need;
         if due && c.floor < c.need && got + ROUNDING >= floor && worth > c.late_worth {
             return self.answer(id, false, c.second_step > 0, out);
@@ -964,24 +1321,39 @@
         let lost = |p: &&Part| {
             let still = p.attempts.iter().all(|a| !a.out);
             let leaving = |h: (ServerId, &Server)| h.1.state == ServerState::Draining;
-            let dead = still && self.usable(p.shard).next().is_none() && !self.holders(p.shard).any(leaving);
+            let dead = still
+                && self.usable(p.shard).next().is_none()
+                && !self.holders(p.shard).any(leaving);
             let over = dead || (!p.attempts.is_empty() && still && !self.may_repeat(p, q.class));
             !p.done && (p.closed || over)
         };
-        let gone: f64 = q.parts.iter().map(|p| &self.parts[p]).filter(lost).map(|p| p.weight).sum();
+        let gone: f64 = q
+            .parts
+            .iter()
+            .map(|p| &self.parts[p])
+            .filter(lost)
+            .map(|p| p.weight)
+            .sum();
         let hopeless = total - gone + 2.0 * ROUNDING < floor * total;
         if self.now < end - self.margin() && !hopeless && !self.kills(q) {
             return false;
         }
         let later = self.cfg.retry_after_max.map_or(0.0, secs);
-        let may_refuse = q.parts.iter().all(|p| self.harmless(&self.parts[p], q.class, later));
+        let may_refuse = q
+            .parts
+            .iter()
+            .all(|p| self.harmless(&self.parts[p], q.class, later));
         let hint = self.latency(q.class, 0.9);
         self.learn_share(false);
         let cause = if hopeless { Cause::Lost } else { Cause::Late };
         if may_refuse {
             self.refuse(id, hint, cause, out);
         } else {
-            out.push(Action::Fail { query: id, retry_after: self.hint(hint), cause });
+            out.push(Action::Fail {
+                query: id,
+                retry_after: self.hint(hint),
+                cause,
+            });
             self.forget(id, out);
         }
         true
@@ -997,7 +1369,10 @@
     fn drop_parts(&mut self, parts: Vec<RequestId>, out: &mut Out) {
         let left = self.orphan(parts);
         if self.cfg.may_cancel {
-            out.extend(left.into_iter().map(|(part, attempt)| Action::Cancel { part, attempt }));
+            out.extend(
+                left.into_iter()
+                    .map(|(part, attempt)| Action::Cancel { part, attempt }),
+            );
         }
     }
 
@@ -1032,7 +1407,10 @@
     fn on_entry(&mut self, e: &ServerEntry, fresh: bool) {
         let now = self.now;
         let (boot, classes) = (e.boot.map(secs), self.cfg.classes.len());
-        let s = self.servers.entry(e.server).or_insert_with(|| Server::new(e, now, classes));
+        let s = self
+            .servers
+            .entry(e.server)
+            .or_insert_with(|| Server::new(e, now, classes));
         let joined = s.state == ServerState::Gone && e.state == ServerState::Ready;
         let started = boot.is_some_and(|b| s.boot.is_none_or(|old| b > old));
         if started || (joined && fresh) {
@@ -1050,17 +1428,26 @@
         }
         (s.zone, s.cell, s.state) = (e.zone, e.cell, e.state);
         s.boot = boot.or(s.boot);
-        s.entries = if e.state == ServerState::Ready { s.entries } else { 0 };
+        s.entries = if e.state == ServerState::Ready {
+            s.entries
+        } else {
+            0
+        };
         if started || (joined && fresh) {
             // All routers hear of a start at about the same time: their first parts are spread over the gap.
             let first = now - self.chance() * self.cold_gap(&self.servers[&e.server]);
-            self.servers.get_mut(&e.server).into_iter().for_each(|s| s.slot_at = first);
+            self.servers
+                .get_mut(&e.server)
+                .into_iter()
+                .for_each(|s| s.slot_at = first);
         }
     }
 
     /// Where the list must be asked: subscribes, and asks anew after a failure or a call left unanswered.
     fn ask_for_list(&mut self, out: &mut Out) {
-        let Some(within) = self.cfg.must_ask_in.map(secs) else { return };
+        let Some(within) = self.cfg.must_ask_in.map(secs) else {
+            return;
+        };
         if self.asked_at.is_some_and(|t| self.now - t > within / 2.0) {
             self.asked_at = None;
         }
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -44,12 +44,18 @@
     /// Five eighths of the descriptors at most go to clients, as far as the memory holds out; hosts get the
     /// rest, so that clients can't keep the program from them.
     fn of(limits: &RawLimits, desk: bool) -> Result<Self, ConfigError> {
-        let (sockets, memory_mb) = (limits.sockets.unwrap_or(1024), limits.memory_mb.unwrap_or(192));
+        let (sockets, memory_mb) = (
+            limits.sockets.unwrap_or(1024),
+            limits.memory_mb.unwrap_or(192),
+        );
         if !(LEAST.0..=MOST_LIMIT).contains(&sockets) {
             return Err(ConfigError::Value("limits.sockets", sockets.to_string()));
         }
         if !(LEAST.1..=MOST_LIMIT).contains(&memory_mb) {
-            return Err(ConfigError::Value("limits.memory_mb", memory_mb.to_string()));
+            return Err(ConfigError::Value(
+                "limits.memory_mb",
+                memory_mb.to_string(),
+            ));
         }
         let sockets = sockets - if desk { KEPT_FOR_DESK } else { 0 };
         let (clients, turned_away) = (sockets * 5 / 8, sockets / 16);
@@ -225,7 +231,8 @@
 impl Operator {
     /// Reads an operator's file.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        let text = std::fs::read_to_string(path).map_err(|e| ConfigError::File(path.to_owned(), e))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| ConfigError::File(path.to_owned(), e))?;
         Self::parse(&text).map_err(|e| ConfigError::Text(path.to_owned(), e.to_string()))
     }
 
@@ -240,18 +247,30 @@
         let indices = self.opensearch.iter().flat_map(|o| &o.index);
         for i in indices {
             let Some(class) = site.classes.iter().position(|c| *c == i.class) else {
-                return Err(ConfigError::Value("opensearch.index.class", i.class.clone()));
+                return Err(ConfigError::Value(
+                    "opensearch.index.class",
+                    i.class.clone(),
+                ));
             };
             if let Some(t) = i.tenant.as_ref().filter(|t| !site.tenants.contains(t)) {
                 return Err(ConfigError::Value("opensearch.index.tenant", t.clone()));
             }
-            if i.name.is_empty() || i.name.starts_with('_') || i.name.contains('/') || !names.insert(&i.name)
+            if i.name.is_empty()
+                || i.name.starts_with('_')
+                || i.name.contains('/')
+                || !names.insert(&i.name)
             {
                 return Err(ConfigError::Value("opensearch.index.name", i.name.clone()));
             }
             let shards: BTreeSet<&u32> = i.districts.values().collect();
-            if shards.is_empty() || shards.len() < i.districts.len() || shards.len() >= site.caps.open {
-                return Err(ConfigError::Value("opensearch.index.districts", format!("{:?}", i.districts)));
+            if shards.is_empty()
+                || shards.len() < i.districts.len()
+                || shards.len() >= site.caps.open
+            {
+                return Err(ConfigError::Value(
+                    "opensearch.index.districts",
+                    format!("{:?}", i.districts),
+                ));
             }
             // Without a key a repeat in such a class could take effect twice.
             if site.settings.classes[class].repeat != Repeat::Safe && i.key_header.is_none() {
@@ -317,7 +336,11 @@
     /// Reads it again, checked in the same way. The environment is as old as the process, so where
     /// discovery is now, the file alone says.
     pub fn reload(&self) -> Result<Config, ConfigError> {
-        self.read(|name| std::env::var(name).ok().filter(|_| name != "PROXY_DISCOVERY"))
+        self.read(|name| {
+            std::env::var(name)
+                .ok()
+                .filter(|_| name != "PROXY_DISCOVERY")
+        })
     }
 
     fn read(&self, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
@@ -347,12 +370,20 @@
     listen: Option<String>,
     site: &Site,
 ) -> Result<Option<Tier>, ConfigError> {
-    let fellows = peers.unwrap_or_default().into_iter().map(|p| socket("peers", p));
+    let fellows = peers
+        .unwrap_or_default()
+        .into_iter()
+        .map(|p| socket("peers", p));
     let fellows = fellows.collect::<Result<Vec<_>, _>>()?;
     let all = all.map(|a| socket("peers_all", a)).transpose()?;
     let listen = listen.map(|a| socket("peer_listen", a)).transpose()?;
     let talks = site.talk.filter(|_| !fellows.is_empty());
-    Ok(listen.zip(talks).map(|(listen, talk)| Tier { listen, fellows, all, rank: talk.rank }))
+    Ok(listen.zip(talks).map(|(listen, talk)| Tier {
+        listen,
+        fellows,
+        all,
+        rank: talk.rank,
+    }))
 }
 
 impl Config {
@@ -363,10 +394,16 @@
         operator: Option<&Path>,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
-        let path = file.map(Path::to_owned).or_else(|| env("PROXY_CONFIG").map(PathBuf::from));
+        let path = file
+            .map(Path::to_owned)
+            .or_else(|| env("PROXY_CONFIG").map(PathBuf::from));
         let path = path.ok_or(ConfigError::Missing("PROXY_CONFIG"))?;
-        let text = std::fs::read_to_string(&path).map_err(|e| ConfigError::File(path.clone(), e))?;
-        let operator = operator.map(Operator::load).transpose()?.unwrap_or_default();
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| ConfigError::File(path.clone(), e))?;
+        let operator = operator
+            .map(Operator::load)
+            .transpose()?
+            .unwrap_or_default();
         Self::parse(&text, operator, env).map_err(|e| match e {
             ConfigError::Text(_, why) => ConfigError::Text(path, why),
             other => other,
@@ -391,10 +428,16 @@
         operator: Operator,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
-        let listen = env("PROXY_LISTEN").or(raw.listen).ok_or(ConfigError::Missing("listen"))?;
+        let listen = env("PROXY_LISTEN")
+            .or(raw.listen)
+            .ok_or(ConfigError::Missing("listen"))?;
         let discovery = env("PROXY_DISCOVERY").or(raw.discovery);
         let known = match raw.known {
-            None => News { revision: 0, complete: true, members: vec![] },
+            None => News {
+                revision: 0,
+                complete: true,
+                members: vec![],
+            },
             Some(v) => {
                 let bad = |e: serde_json::Error| ConfigError::Value("known", e.to_string());
                 news(v.to_string().as_bytes()).map_err(bad)?
@@ -415,7 +458,9 @@
             ));
         }
         Ok(Self {
-            name: env("PROXY_NAME").or(raw.name).unwrap_or_else(|| "coordinator".into()),
+            name: env("PROXY_NAME")
+                .or(raw.name)
+                .unwrap_or_else(|| "coordinator".into()),
             listen: address("listen", listen)?,
             desk,
             discovery: discovery.map(|d| address("discovery", d)).transpose()?,
@@ -430,7 +475,14 @@
 
     /// What it comes to, on one line.
     pub fn summary(&self) -> String {
-        let Self { name, listen, known, site, room, .. } = self;
+        let Self {
+            name,
+            listen,
+            known,
+            site,
+            room,
+            ..
+        } = self;
         let discovery = self.discovery.as_deref().unwrap_or("-");
         format!(
             "{name}: listen={listen} discovery={discovery} known={} classes={} clients={} links={} open={} \
--- a/crates/coordinator/src/core/actor.rs
+++ b/crates/coordinator/src/core/actor.rs
@@ -55,7 +55,15 @@
         counters: Counters,
     ) -> Self {
         let (hash, next) = Default::default();
-        Self { mailboxes: mailboxes.into(), deal, origin, hint, hash, counters, next }
+        Self {
+            mailboxes: mailboxes.into(),
+            deal,
+            origin,
+            hint,
+            hash,
+            counters,
+            next,
+        }
     }
 
     fn now(&self) -> u64 {
@@ -67,14 +75,26 @@
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, answer) = oneshot::channel();
         let now = self.now();
-        let mut ticket = Ticket { number, answer, mail: None, at: None, watch: None };
+        let mut ticket = Ticket {
+            number,
+            answer,
+            mail: None,
+            at: None,
+            watch: None,
+        };
         let key = query.key.as_ref().map(|k| self.hash.hash_one(k));
         // Without a sound core the sender is dropped: the ticket ends at once.
-        let Some(core) = self.deal.query(here(), key, now) else { return ticket };
+        let Some(core) = self.deal.query(here(), key, now) else {
+            return ticket;
+        };
         if !self.deal.hand_over(core, now) {
             self.counters.inc("answered.refused.mailbox");
             let (retry_after, cause, missing) = (Some(self.hint), Cause::Busy, vec![]);
-            let _ = tx.send(Answer::Refused { retry_after, cause, missing });
+            let _ = tx.send(Answer::Refused {
+                retry_after,
+                cause,
+                missing,
+            });
             return ticket;
         }
         ticket.at = Some((self.deal.clone(), core));
@@ -83,7 +103,10 @@
             ticket.watch = Some((Box::pin(tokio::time::sleep(WATCH)), self.origin));
         }
         let mailbox = &self.mailboxes[core];
-        ticket.mail = mailbox.send(Mail::Query(Box::new(query), number, tx)).is_ok().then(|| mailbox.clone());
+        ticket.mail = mailbox
+            .send(Mail::Query(Box::new(query), number, tx))
+            .is_ok()
+            .then(|| mailbox.clone());
         ticket
     }
 }
@@ -97,7 +120,9 @@
 
     /// Whether the other core that has it has ended or stands still.
     fn deserted(&mut self, cx: &mut Context<'_>) -> bool {
-        let (Some((watch, origin)), Some((deal, core))) = (&mut self.watch, &self.at) else { return false };
+        let (Some((watch, origin)), Some((deal, core))) = (&mut self.watch, &self.at) else {
+            return false;
+        };
         while watch.as_mut().poll(cx).is_ready() {
             let now = origin.elapsed().as_micros() as u64;
             if !deal.alive(*core) || deal.stalled(*core, now) {
@@ -145,7 +170,10 @@
     let take = |table: &mut Table<T>, mail: Mail| {
         let now = Instant::now();
         if matches!(mail, Mail::Query(..)) {
-            deal.take(core, now.saturating_duration_since(origin).as_micros() as u64);
+            deal.take(
+                core,
+                now.saturating_duration_since(origin).as_micros() as u64,
+            );
         }
         table.take(mail, now);
     };
--- a/crates/coordinator/src/core/mod.rs
+++ b/crates/coordinator/src/core/mod.rs
@@ -27,8 +27,13 @@
 impl Clock {
     /// A clock that starts now.
     pub fn new() -> Self {
-        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(BEFORE);
-        Self { start: Instant::now(), unix_start }
+        let unix_start = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or(BEFORE);
+        Self {
+            start: Instant::now(),
+            unix_start,
+        }
     }
 
     /// An instant on the module's clock.
@@ -38,7 +43,8 @@
 
     /// Unix time in milliseconds on the module's clock; `None` for 0 and for what is long ago.
     pub fn boot(&self, unix_ms: u64) -> Option<Duration> {
-        let at = Duration::from_millis(unix_ms).checked_sub(self.unix_start.checked_sub(BEFORE)?)?;
+        let at =
+            Duration::from_millis(unix_ms).checked_sub(self.unix_start.checked_sub(BEFORE)?)?;
         (unix_ms > 0).then_some(at)
     }
 }
--- a/crates/coordinator/src/core/settings.rs
+++ b/crates/coordinator/src/core/settings.rs
@@ -73,7 +73,10 @@
 pub fn load_report<'a>(values: impl Iterator<Item = (&'a str, &'a str)>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (name, value) in values {
-        let value = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
+        let value = value
+            .parse()
+            .ok()
+            .filter(|v: &f64| v.is_finite() && *v >= 0.0);
         match name {
             "busy_reqs" | "inflight" => report.inflight = value,
             "pending" | "queue" => report.queue = value,
@@ -227,8 +230,18 @@
         ("step", Some(raw.step), least, 60_000.0),
         ("caps.conn_idle", caps.conn_idle, least, MOST_MS),
         ("caps.connect_timeout", caps.connect_timeout, least, MOST_MS),
-        ("caps.max_retry_after", Some(caps.max_retry_after), 0.0, MOST_MS),
-        ("family_info.call_cost", Some(family.call_cost), 0.0, MOST_MS),
+        (
+            "caps.max_retry_after",
+            Some(caps.max_retry_after),
+            0.0,
+            MOST_MS,
+        ),
+        (
+            "family_info.call_cost",
+            Some(family.call_cost),
+            0.0,
+            MOST_MS,
+        ),
         ("safety.drain_grace", s.drain_grace, 0.0, MOST_MS),
         ("safety.budget_span", s.budget_span, least, MOST_MS),
         ("safety.ramp_time", s.ramp_time, 0.0, MOST_MS),
@@ -236,23 +249,43 @@
         ("safety.must_ask_in", s.must_ask_in, least, MOST_MS),
         ("safety.cold_share", s.cold_share, 0.0, 1.0),
         ("caps.open_cap", counts(caps.open_cap), 1.0, 1e9),
-        ("caps.streams_per_conn", counts(caps.streams_per_conn), 1.0, 1e9),
-        ("caps.max_attempts", caps.max_attempts.map(f64::from), 1.0, 1e9),
-        ("family_info.bundle_max", family.bundle_max.map(f64::from), 1.0, 1e9),
+        (
+            "caps.streams_per_conn",
+            counts(caps.streams_per_conn),
+            1.0,
+            1e9,
+        ),
+        (
+            "caps.max_attempts",
+            caps.max_attempts.map(f64::from),
+            1.0,
+            1e9,
+        ),
+        (
+            "family_info.bundle_max",
+            family.bundle_max.map(f64::from),
+            1.0,
+            1e9,
+        ),
         ("family_info.shards", family.shards.map(f64::from), 1.0, 1e9),
     ];
     for (key, value, least, most) in given {
         value.map_or(Ok(()), |v| within(key, v, least, most))?;
     }
-    for (key, values) in
-        [("family_info.class_need", &family.class_need), ("family_info.class_floor", &family.class_floor)]
-    {
+    for (key, values) in [
+        ("family_info.class_need", &family.class_need),
+        ("family_info.class_floor", &family.class_floor),
+    ] {
         values.iter().try_for_each(|v| within(key, *v, 0.0, 1.0))?;
     }
     let mut names = std::collections::BTreeSet::new();
     for c in &raw.classes {
         // A class is a path of one piece, beside those that begin with an underscore.
-        if c.name.is_empty() || c.name.contains('/') || c.name.starts_with('_') || !names.insert(&c.name) {
+        if c.name.is_empty()
+            || c.name.contains('/')
+            || c.name.starts_with('_')
+            || !names.insert(&c.name)
+        {
             return Err(SettingsError::Value("classes.name", c.name.clone()));
         }
         within("classes.goal_time", c.goal_time, least, MOST_MS)?;
@@ -268,7 +301,8 @@
 
 /// Reads the settings, a JSON object as the simulator's first message and the platform's file have it.
 pub fn read(json: &str) -> Result<Site, SettingsError> {
-    let raw: RawSettings = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(json))?;
+    let raw: RawSettings =
+        serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(json))?;
     // Waits and paces are worked out from it: 0 or an absurd number would stop them or let them grow for ever.
     if !(1..=MOST_COORDINATORS).contains(&raw.balancers) {
         return Err(SettingsError::Value("balancers", raw.balancers.to_string()));
@@ -300,25 +334,33 @@
     if family.sets == 0 || family.width == 0 {
         return Err(SettingsError::Layout);
     }
-    let tenant =
-        |t: &RawTenant| Tenant { portion: t.portion, quota_per_s: t.quota_per_s.unwrap_or(f64::INFINITY) };
+    let tenant = |t: &RawTenant| Tenant {
+        portion: t.portion,
+        quota_per_s: t.quota_per_s.unwrap_or(f64::INFINITY),
+    };
     let tenants = raw.tenants.iter().map(tenant).collect();
     let (s, caps) = (raw.safety, raw.caps);
-    let budget = s.budget_share.zip(s.budget_span).map(|(share, span)| Budget {
-        free: s.free_resends,
-        share,
-        span: from_ms(span),
-    });
+    let budget = s
+        .budget_share
+        .zip(s.budget_span)
+        .map(|(share, span)| Budget {
+            free: s.free_resends,
+            share,
+            span: from_ms(span),
+        });
     let cold = s.cold_share.zip(s.ramp_time).map(|(share, ramp)| ColdRule {
         share,
         ramp: from_ms(ramp),
         fall_multiple: s.fall_multiple.unwrap_or(1.0),
         tip_after: from_ms(s.tip_after.unwrap_or(0.0)),
     });
-    let must_ask_in =
-        (raw.registry_mode == "on_request").then(|| s.must_ask_in.map_or(Duration::from_secs(10), from_ms));
-    let talk =
-        caps.may_tell.then_some(Talk { routers: raw.balancers, rank: raw.rank, price: raw.costs.peer });
+    let must_ask_in = (raw.registry_mode == "on_request")
+        .then(|| s.must_ask_in.map_or(Duration::from_secs(10), from_ms));
+    let talk = caps.may_tell.then_some(Talk {
+        routers: raw.balancers,
+        rank: raw.rank,
+        price: raw.costs.peer,
+    });
     let settings = Settings {
         classes,
         worth_by_work: raw.worth_by == "work",
@@ -326,7 +368,10 @@
         routers: raw.balancers,
         zone: raw.az.map(|z| ZoneId(zones.number(&z))),
         zone_cost: raw.costs.cross_zone > 0.0,
-        layout: Layout { cells: family.sets, width: family.width },
+        layout: Layout {
+            cells: family.sets,
+            width: family.width,
+        },
         bundle_max: family.bundle_max.unwrap_or(1),
         call_cost: from_ms(family.call_cost),
         max_attempts: caps.max_attempts.unwrap_or(1),
--- a/crates/coordinator/src/core/table/attempts.rs
+++ b/crates/coordinator/src/core/table/attempts.rs
@@ -4,7 +4,9 @@
 
 impl<T: Transport> Table<T> {
     pub(super) fn on_ended(&mut self, mut e: Ended, now: Instant) {
-        let Some(attempt) = self.attempts.remove(&(e.part, e.attempt)) else { return };
+        let Some(attempt) = self.attempts.remove(&(e.part, e.attempt)) else {
+            return;
+        };
         self.release_name(&attempt.name);
         if let Some(n) = self.out.get_mut(&attempt.server) {
             *n -= 1;
@@ -40,9 +42,25 @@
             }
         }
         let latency = now.saturating_duration_since(attempt.sent);
-        log::trace!("ended {} {:?} {latency:?} {} {:?}", attempt.server.0, e.outcome, attempt.name, e.report);
+        log::trace!(
+            "ended {} {:?} {latency:?} {} {:?}",
+            attempt.server.0,
+            e.outcome,
+            attempt.name,
+            e.report
+        );
         let (part, attempt, outcome, report) = (e.part, e.attempt, e.outcome, e.report);
-        self.tell(now, Event::AttemptEnd { part, attempt, outcome, latency, closed, report });
+        self.tell(
+            now,
+            Event::AttemptEnd {
+                part,
+                attempt,
+                outcome,
+                latency,
+                closed,
+                report,
+            },
+        );
     }
 
     /// The attempt's outcome comes back once the host was told: a resend can't overlap with it.
@@ -66,15 +84,41 @@
         let attempt = part.attempts;
         part.attempts += 1;
         part.out = true;
-        self.counters.inc(if attempt == 0 { "sent.first" } else { "sent.resends" });
+        self.counters.inc(if attempt == 0 {
+            "sent.first"
+        } else {
+            "sent.resends"
+        });
         let give_up = (now + timeout).min(q.deadline);
-        log::trace!("send {} {}.{} n={attempt} for {timeout:?}", server.0, q.name, part.shard);
+        log::trace!(
+            "send {} {}.{} n={attempt} for {timeout:?}",
+            server.0,
+            q.name,
+            part.shard
+        );
         let (name, key, payload) = (q.name.clone(), q.key.clone(), q.payload.clone());
-        self.names.entry(name.clone()).and_modify(|n| *n += 1).or_insert(1);
-        let open = Attempt { server, name: name.clone(), sent: now, give_up, given_up: false };
+        self.names
+            .entry(name.clone())
+            .and_modify(|n| *n += 1)
+            .or_insert(1);
+        let open = Attempt {
+            server,
+            name: name.clone(),
+            sent: now,
+            give_up,
+            given_up: false,
+        };
         self.attempts.insert((id, attempt), open);
         *self.out.entry(server).or_default() += 1;
         self.timeouts.insert((give_up, id, attempt));
-        Some(CallPart { part: id, attempt, name, shard: part.shard, give_up, key, payload })
+        Some(CallPart {
+            part: id,
+            attempt,
+            name,
+            shard: part.shard,
+            give_up,
+            key,
+            payload,
+        })
     }
 }
--- a/crates/coordinator/src/core/table/list.rs
+++ b/crates/coordinator/src/core/table/list.rs
@@ -40,17 +40,32 @@
             seen.insert(server);
             let zone = ZoneId(self.zones.number(&e.zone));
             let boot = self.clock.boot(e.up_since_ms);
-            log::trace!("list {kind:?} {} = {} cell {} {:?}", server.0, e.id, e.cell, e.state);
+            log::trace!(
+                "list {kind:?} {} = {} cell {} {:?}",
+                server.0,
+                e.id,
+                e.cell,
+                e.state
+            );
             // A core that stood still reads of a drain late: where the host's gate has shut meanwhile, the
             // module must not count on a grace that is over.
-            let shut =
-                e.state == ServerState::Draining && self.seat.as_ref().is_some_and(|s| s.shut(&e.id, now));
+            let shut = e.state == ServerState::Draining
+                && self.seat.as_ref().is_some_and(|s| s.shut(&e.id, now));
             let state = if shut { ServerState::Gone } else { e.state };
-            told.push(ServerEntry { server, zone, cell: e.cell, state, boot });
+            told.push(ServerEntry {
+                server,
+                zone,
+                cell: e.cell,
+                state,
+                boot,
+            });
             // The grace counts from the first news of a drain, not from its repetition.
             let same = self.listed.get(&server).is_some_and(|old| *old == e);
             if !same {
-                let was_ready = self.listed.get(&server).is_none_or(|old| old.state == ServerState::Ready);
+                let was_ready = self
+                    .listed
+                    .get(&server)
+                    .is_none_or(|old| old.state == ServerState::Ready);
                 let ready = e.state == ServerState::Ready;
                 if ready || was_ready {
                     self.transport.listed(server, &e, stop.filter(|_| !ready));
@@ -67,16 +82,28 @@
             }
         }
         let is_gone = |host: &Listed| host.state == ServerState::Gone;
-        self.gone.retain(|s, _| self.listed.get(s).is_some_and(is_gone));
+        self.gone
+            .retain(|s, _| self.listed.get(s).is_some_and(is_gone));
         for (server, _) in self.listed.iter().filter(|(_, host)| is_gone(host)) {
             self.gone.entry(*server).or_insert(now + FORGET);
         }
         self.counters.inc("list.news");
-        self.tell(now, Event::List { kind, entries: told });
+        self.tell(
+            now,
+            Event::List {
+                kind,
+                entries: told,
+            },
+        );
     }
 
     pub(super) fn forget_gone(&mut self, now: Instant) {
-        let due: Vec<ServerId> = self.gone.iter().filter(|g| *g.1 <= now).map(|g| *g.0).collect();
+        let due: Vec<ServerId> = self
+            .gone
+            .iter()
+            .filter(|g| *g.1 <= now)
+            .map(|g| *g.0)
+            .collect();
         for server in due {
             // What is out there still ends by its actor.
             if !self.out.contains_key(&server) {
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -101,7 +101,12 @@
         most_held: usize,
         counters: Counters,
     ) -> Self {
-        let keyed = site.settings.classes.iter().map(|c| c.repeat != Repeat::Safe).collect();
+        let keyed = site
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.repeat != Repeat::Safe)
+            .collect();
         Self {
             open_cap: site.caps.open,
             bundle: site.settings.bundle_max.max(1) as usize,
@@ -153,13 +158,17 @@
     pub fn next_wake(&self) -> Instant {
         let timeout = self.timeouts.first().map(|t| t.0);
         let deadline = self.deadlines.first().map(|t| t.0);
-        let first = [timeout, deadline, self.wakes.first().copied()].into_iter().flatten().min();
+        let first = [timeout, deadline, self.wakes.first().copied()]
+            .into_iter()
+            .flatten()
+            .min();
         let latest = Instant::now() + LONGEST_REST;
         first.map_or(latest, |t| t.min(latest))
     }
 
     fn tell(&mut self, now: Instant, event: Event) {
-        self.router.handle(self.clock.at(now), event, &mut self.actions);
+        self.router
+            .handle(self.clock.at(now), event, &mut self.actions);
     }
 
     fn fresh(&mut self) -> RequestId {
@@ -181,7 +190,14 @@
             Mail::Ended(ended) => self.on_ended(ended, now),
             Mail::Probed(server, outcome, report) => {
                 self.hear(server, outcome);
-                self.tell(now, Event::Probed { server, outcome, report });
+                self.tell(
+                    now,
+                    Event::Probed {
+                        server,
+                        outcome,
+                        report,
+                    },
+                );
             }
             Mail::List(kind, entries) => self.on_list(kind, entries, now),
             Mail::Unreached(id) => {
@@ -222,7 +238,11 @@
                 self.counters.inc("answered.failed.deadline");
                 let missing = self.missing(&q.parts);
                 self.drop_parts(&q.parts);
-                let _ = q.reply.send(Answer::Failed { retry_after: None, cause: Cause::Late, missing });
+                let _ = q.reply.send(Answer::Failed {
+                    retry_after: None,
+                    cause: Cause::Late,
+                    missing,
+                });
             }
             self.tell(now, Event::Withdrawn { query: id });
         }
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -34,28 +34,74 @@
             }
             self.counters.inc("answered.refused.open_cap");
             let retry_after = Some(self.longest_hint.unwrap_or(Duration::from_secs(1)));
-            let _ = reply.send(Answer::Refused { retry_after, cause: Cause::Busy, missing: vec![] });
+            let _ = reply.send(Answer::Refused {
+                retry_after,
+                cause: Cause::Busy,
+                missing: vec![],
+            });
             return;
         }
-        log::trace!("query {} class {} parts {}", new.name, new.class.0, new.parts.len());
+        log::trace!(
+            "query {} class {} parts {}",
+            new.name,
+            new.class.0,
+            new.parts.len()
+        );
         let id = self.fresh();
         let at = self.clock.at(deadline);
         let (class, tenant, repeat) = (new.class, new.tenant, new.repeat);
-        self.tell(now, Event::Query { id, class, tenant, deadline: at, repeat });
+        self.tell(
+            now,
+            Event::Query {
+                id,
+                class,
+                tenant,
+                deadline: at,
+                repeat,
+            },
+        );
         let mut parts = Vec::with_capacity(new.parts.len());
         for p in &new.parts {
             let part = self.fresh();
             parts.push(part);
-            let fresh = Part { query: id, shard: p.shard, attempts: 0, out: false, value: None, last: None };
+            let fresh = Part {
+                query: id,
+                shard: p.shard,
+                attempts: 0,
+                out: false,
+                value: None,
+                last: None,
+            };
             self.parts.insert(part, fresh);
-            self.tell(now, Event::Part { id: part, query: id, shard: p.shard, weight: p.weight });
+            self.tell(
+                now,
+                Event::Part {
+                    id: part,
+                    query: id,
+                    shard: p.shard,
+                    weight: p.weight,
+                },
+            );
         }
         self.tickets.insert(ticket, id);
         self.deadlines.insert((deadline, id));
-        let NewQuery { name, key, payload, .. } = new;
+        let NewQuery {
+            name, key, payload, ..
+        } = new;
         self.names.insert(name.clone(), 1);
         let key = key.filter(|_| self.keyed.get(class.0 as usize).copied().unwrap_or(false));
-        self.queries.insert(id, Query { ticket, reply, name, key, payload, deadline, parts });
+        self.queries.insert(
+            id,
+            Query {
+                ticket,
+                reply,
+                name,
+                key,
+                payload,
+                deadline,
+                parts,
+            },
+        );
     }
 
     pub(super) fn release_name(&mut self, name: &Arc<str>) {
@@ -72,8 +118,20 @@
 
     pub(super) fn missing(&self, parts: &[RequestId]) -> Vec<Missing> {
         let parts = parts.iter().filter_map(|p| self.parts.get(p));
-        let last = |p: &Part| if p.out { Some(Outcome::Timeout) } else { p.last };
-        parts.filter(|p| p.value.is_none()).map(|p| Missing { shard: p.shard, last: last(p) }).collect()
+        let last = |p: &Part| {
+            if p.out {
+                Some(Outcome::Timeout)
+            } else {
+                p.last
+            }
+        };
+        parts
+            .filter(|p| p.value.is_none())
+            .map(|p| Missing {
+                shard: p.shard,
+                last: last(p),
+            })
+            .collect()
     }
 
     pub(super) fn drop_parts(&mut self, parts: &[RequestId]) {
@@ -87,7 +145,10 @@
 
     /// What of these parts has not begun yet never does: their query is over, or its client has left.
     fn retract(&mut self, parts: &[RequestId]) {
-        for (id, part) in parts.iter().filter_map(|id| Some((*id, self.parts.get(id)?))) {
+        for (id, part) in parts
+            .iter()
+            .filter_map(|id| Some((*id, self.parts.get(id)?)))
+        {
             for n in 0..part.attempts {
                 if let Some(a) = self.attempts.get(&(id, n)).filter(|a| !a.given_up) {
                     self.transport.retract(a.server, id, n);
@@ -119,14 +180,25 @@
         let missing = self.missing(&q.parts);
         let piece = |p: &RequestId| {
             let part = self.parts.get(p)?;
-            part.value.clone().map(|value| Piece { shard: part.shard, value })
+            part.value.clone().map(|value| Piece {
+                shard: part.shard,
+                value,
+            })
         };
         let pieces: Vec<Piece> = q.parts.iter().filter_map(piece).collect();
         // Never marked whole before all that makes it whole is in.
         let full = whole && !pieces.is_empty();
-        self.counters.inc(if full { "answered.served.full" } else { "answered.served.partial" });
+        self.counters.inc(if full {
+            "answered.served.full"
+        } else {
+            "answered.served.partial"
+        });
         self.drop_parts(&q.parts);
-        let _ = q.reply.send(Answer::Served { full, pieces, missing });
+        let _ = q.reply.send(Answer::Served {
+            full,
+            pieces,
+            missing,
+        });
     }
 
     pub(super) fn end(&mut self, id: RequestId, answer: impl FnOnce(Vec<Missing>) -> Answer) {
--- a/crates/coordinator/src/core/table/turn.rs
+++ b/crates/coordinator/src/core/table/turn.rs
@@ -14,7 +14,9 @@
         }
         self.tell(now, Event::TurnEnd);
         if let Some((voice, words)) = &mut self.voice {
-            let word = voice.speak(at, &self.router, &self.actions, |id| self.servers.name(id.0));
+            let word = voice.speak(at, &self.router, &self.actions, |id| {
+                self.servers.name(id.0)
+            });
             // One that finds the socket busy is dropped: the next says the same anew.
             word.into_iter().for_each(|w| drop(words.try_send(w)));
         }
@@ -25,29 +27,49 @@
         let mut calls: BTreeMap<ServerId, Vec<CallPart>> = BTreeMap::new();
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Send { part, server, timeout } => {
+                Action::Send {
+                    part,
+                    server,
+                    timeout,
+                } => {
                     if let Some(call) = self.new_attempt(part, server, timeout, now) {
                         calls.entry(server).or_default().push(call);
                     }
                 }
                 Action::Cancel { part, attempt } => self.give_up(part, attempt, Outcome::Cancelled),
                 Action::Answer { query, whole } => self.answer(query, whole),
-                Action::Refuse { query, retry_after, cause } => {
+                Action::Refuse {
+                    query,
+                    retry_after,
+                    cause,
+                } => {
                     self.counters.inc(match cause {
                         Cause::Busy => "answered.refused.busy",
                         Cause::NoHost => "answered.refused.no_host",
                         Cause::Late => "answered.refused.late",
                         Cause::Lost => "answered.refused.lost",
                     });
-                    self.end(query, |missing| Answer::Refused { retry_after, cause, missing });
+                    self.end(query, |missing| Answer::Refused {
+                        retry_after,
+                        cause,
+                        missing,
+                    });
                 }
-                Action::Fail { query, retry_after, cause } => {
+                Action::Fail {
+                    query,
+                    retry_after,
+                    cause,
+                } => {
                     self.counters.inc(match cause {
                         Cause::Busy | Cause::NoHost => "answered.failed.no_host",
                         Cause::Late => "answered.failed.late",
                         Cause::Lost => "answered.failed.lost",
                     });
-                    self.end(query, |missing| Answer::Failed { retry_after, cause, missing });
+                    self.end(query, |missing| Answer::Failed {
+                        retry_after,
+                        cause,
+                        missing,
+                    });
                 }
                 Action::Probe { server } => {
                     self.counters.inc("sent.probes");
@@ -66,7 +88,8 @@
             let mut parts = parts.into_iter().peekable();
             while parts.peek().is_some() {
                 self.counters.inc("sent.calls");
-                self.transport.call(server, parts.by_ref().take(self.bundle).collect());
+                self.transport
+                    .call(server, parts.by_ref().take(self.bundle).collect());
             }
         }
     }
--- a/crates/coordinator/src/counters.rs
+++ b/crates/coordinator/src/counters.rs
@@ -19,7 +19,11 @@
     Errors,
 }
 
-const ENDS: [(End, &str); 3] = [(End::Ok, "ok"), (End::Shed, "shed"), (End::Errors, "errors")];
+const ENDS: [(End, &str); 3] = [
+    (End::Ok, "ok"),
+    (End::Shed, "shed"),
+    (End::Errors, "errors"),
+];
 
 /// What a core shows of its host list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -72,7 +76,11 @@
     /// Counters for so many cores.
     pub fn striped(cores: usize) -> Self {
         let stripes = (0..cores.max(1)).map(|_| Mutex::default()).collect();
-        Self(Arc::new(Shared { stripes, classes: OnceLock::new(), active: AtomicUsize::new(0) }))
+        Self(Arc::new(Shared {
+            stripes,
+            classes: OnceLock::new(),
+            active: AtomicUsize::new(0),
+        }))
     }
 
     /// The classes whose requests are counted; they stand at 0 from now on.
@@ -131,18 +139,28 @@
 
     /// The present value over all cores; 0 for one that was never counted.
     pub fn get(&self, name: &str) -> u64 {
-        self.0.stripes.iter().map(|s| Self::lock(s).named.get(name).copied().unwrap_or(0)).sum()
+        self.0
+            .stripes
+            .iter()
+            .map(|s| Self::lock(s).named.get(name).copied().unwrap_or(0))
+            .sum()
     }
 
     /// The present value on one core.
     pub fn on_core(&self, core: usize, name: &str) -> u64 {
-        self.0.stripes.get(core).map_or(0, |s| Self::lock(s).named.get(name).copied().unwrap_or(0))
+        self.0
+            .stripes
+            .get(core)
+            .map_or(0, |s| Self::lock(s).named.get(name).copied().unwrap_or(0))
     }
 
     fn sums(&self) -> BTreeMap<&'static str, u64> {
         let mut all = BTreeMap::new();
         for stripe in &self.0.stripes {
-            Self::lock(stripe).named.iter().for_each(|(name, n)| *all.entry(*name).or_default() += n);
+            Self::lock(stripe)
+                .named
+                .iter()
+                .for_each(|(name, n)| *all.entry(*name).or_default() += n);
         }
         all
     }
@@ -152,13 +170,24 @@
         let mut all = Vec::new();
         for (class, name) in self.0.classes.get().into_iter().flatten().enumerate() {
             for (end, word) in ENDS {
-                let of = |s| Self::lock(s).ends.get(class).map_or(0, |ends| ends[end as usize]);
-                all.push((format!("responses.{name}.{word}"), self.0.stripes.iter().map(of).sum()));
+                let of = |s| {
+                    Self::lock(s)
+                        .ends
+                        .get(class)
+                        .map_or(0, |ends| ends[end as usize])
+                };
+                all.push((
+                    format!("responses.{name}.{word}"),
+                    self.0.stripes.iter().map(of).sum(),
+                ));
             }
         }
         let pool = self.pool();
         all.push(("tries".to_owned(), self.get("tries")));
-        all.push(("active".to_owned(), self.0.active.load(Ordering::Relaxed) as u64));
+        all.push((
+            "active".to_owned(),
+            self.0.active.load(Ordering::Relaxed) as u64,
+        ));
         all.push(("pool_size".to_owned(), pool.size as u64));
         all.push(("pool_ejected".to_owned(), pool.ejected as u64));
         all
@@ -186,7 +215,11 @@
 
     /// The sums on one line, for the log.
     pub fn line(&self) -> String {
-        let pairs: Vec<String> = self.sums().iter().map(|(name, n)| format!("{name}={n}")).collect();
+        let pairs: Vec<String> = self
+            .sums()
+            .iter()
+            .map(|(name, n)| format!("{name}={n}"))
+            .collect();
         pairs.join(" ")
     }
 }
--- a/crates/coordinator/src/front/opensearch/answer.rs
+++ b/crates/coordinator/src/front/opensearch/answer.rs
@@ -50,16 +50,33 @@
 impl From<Missing> for ShardFailure {
     fn from(m: Missing) -> Self {
         let (kind, reason, late) = match m.last {
-            None => ("no_shard_available_action_exception", "no host was asked in time", false),
-            Some(Outcome::Timeout | Outcome::Cancelled) => ("timeout_exception", "no answer in time", true),
-            Some(Outcome::Full) => ("rejected_execution_exception", "the host turned it away", false),
-            Some(Outcome::ConnectFailed | Outcome::Moot) => {
-                ("node_not_connected_exception", "no connection to a host", false)
+            None => (
+                "no_shard_available_action_exception",
+                "no host was asked in time",
+                false,
+            ),
+            Some(Outcome::Timeout | Outcome::Cancelled) => {
+                ("timeout_exception", "no answer in time", true)
             }
+            Some(Outcome::Full) => (
+                "rejected_execution_exception",
+                "the host turned it away",
+                false,
+            ),
+            Some(Outcome::ConnectFailed | Outcome::Moot) => (
+                "node_not_connected_exception",
+                "no connection to a host",
+                false,
+            ),
             Some(Outcome::Reset) => ("node_disconnected_exception", "the connection broke", false),
             Some(Outcome::Error | Outcome::Ok) => ("exception", "the host failed", false),
         };
-        Self { shard: m.shard, kind, reason, late }
+        Self {
+            shard: m.shard,
+            kind,
+            reason,
+            late,
+        }
     }
 }
 
@@ -86,7 +103,10 @@
         (_, Value::Null) => return Ordering::Less,
         (Value::Number(x), Value::Number(y)) => match (x.as_i64(), y.as_i64()) {
             (Some(x), Some(y)) => x.cmp(&y),
-            _ => x.as_f64().unwrap_or(0.0).total_cmp(&y.as_f64().unwrap_or(0.0)),
+            _ => x
+                .as_f64()
+                .unwrap_or(0.0)
+                .total_cmp(&y.as_f64().unwrap_or(0.0)),
         },
         (Value::String(x), Value::String(y)) => x.cmp(y),
         (x, y) => x.to_string().cmp(&y.to_string()),
@@ -103,28 +123,48 @@
         return compare(&a["_score"], &b["_score"], true);
     }
     let key = |n: usize, k: &SortKey| compare(&a["sort"][n], &b["sort"][n], k.descending);
-    sort.iter().enumerate().map(|(n, k)| key(n, k)).find(|o| o.is_ne()).unwrap_or(Ordering::Equal)
+    sort.iter()
+        .enumerate()
+        .map(|(n, k)| key(n, k))
+        .find(|o| o.is_ne())
+        .unwrap_or(Ordering::Equal)
 }
 
 /// Merges the hosts' answers. One that can't be read counts as a failed district.
 pub fn merge(pieces: &[crate::core::Piece], missing: Vec<Missing>, sort: &[SortKey]) -> Merged {
-    let mut m =
-        Merged { failures: missing.into_iter().map(ShardFailure::from).collect(), ..Merged::default() };
+    let mut m = Merged {
+        failures: missing.into_iter().map(ShardFailure::from).collect(),
+        ..Merged::default()
+    };
     for p in pieces {
         m.bytes += p.value.len();
-        let failed = |kind, reason, late| ShardFailure { shard: p.shard, kind, reason, late };
+        let failed = |kind, reason, late| ShardFailure {
+            shard: p.shard,
+            kind,
+            reason,
+            late,
+        };
         match serde_json::from_slice::<HostAnswer>(&p.value) {
-            Ok(a) if a.timed_out => {
-                m.failures.push(failed("timeout_exception", "the host ran out of time", true))
-            }
+            Ok(a) if a.timed_out => m.failures.push(failed(
+                "timeout_exception",
+                "the host ran out of time",
+                true,
+            )),
             Ok(a) => {
                 m.successful += 1;
-                let total = a.hits.total.unwrap_or(Total { value: a.hits.hits.len() as u64, relation: eq() });
+                let total = a.hits.total.unwrap_or(Total {
+                    value: a.hits.hits.len() as u64,
+                    relation: eq(),
+                });
                 m.total += total.value;
                 m.at_least |= total.relation != "eq";
                 m.hits.extend(a.hits.hits);
             }
-            Err(_) => m.failures.push(failed("parsing_exception", "the host's answer can't be read", false)),
+            Err(_) => m.failures.push(failed(
+                "parsing_exception",
+                "the host's answer can't be read",
+                false,
+            )),
         }
     }
     // Stable: equal hits stay in the order of their districts.
@@ -203,7 +243,13 @@
 impl Failure {
     /// An error without shards.
     pub fn new(status: u16, kind: &'static str, reason: impl Into<String>) -> Self {
-        Self { status, kind, reason: reason.into(), retry_after: None, shards: Vec::new() }
+        Self {
+            status,
+            kind,
+            reason: reason.into(),
+            retry_after: None,
+            shards: Vec::new(),
+        }
     }
 
     /// The body.
--- a/crates/coordinator/src/front/opensearch/dsl.rs
+++ b/crates/coordinator/src/front/opensearch/dsl.rs
@@ -15,7 +15,10 @@
 pub struct Bad(pub &'static str, pub String);
 
 fn unsupported(clause: &str, place: &str) -> Bad {
-    Bad("parsing_exception", format!("unsupported clause [{clause}] in [{place}]"))
+    Bad(
+        "parsing_exception",
+        format!("unsupported clause [{clause}] in [{place}]"),
+    )
 }
 
 fn wrong(clause: &str, why: &str) -> Bad {
@@ -61,13 +64,24 @@
         "h" => Some(3_600_000),
         _ => None,
     };
-    let total = ms.zip(number.parse::<u64>().ok()).and_then(|(ms, n)| n.checked_mul(ms));
-    let bad = || illegal(format!("failed to parse setting [{name}] with value [{text}] as a time value"));
-    total.filter(|ms| *ms > 0).map(Duration::from_millis).ok_or_else(bad)
+    let total = ms
+        .zip(number.parse::<u64>().ok())
+        .and_then(|(ms, n)| n.checked_mul(ms));
+    let bad = || {
+        illegal(format!(
+            "failed to parse setting [{name}] with value [{text}] as a time value"
+        ))
+    };
+    total
+        .filter(|ms| *ms > 0)
+        .map(Duration::from_millis)
+        .ok_or_else(bad)
 }
 
 fn object<'a>(clause: &str, value: &'a Value) -> Result<&'a Map<String, Value>, Bad> {
-    value.as_object().ok_or_else(|| wrong(clause, "must be an object"))
+    value
+        .as_object()
+        .ok_or_else(|| wrong(clause, "must be an object"))
 }
 
 fn only<'a>(clause: &str, value: &'a Value) -> Result<(&'a String, &'a Value), Bad> {
@@ -95,20 +109,25 @@
 /// Checks a point: an object, `[lon, lat]` or `"lat,lon"`.
 fn point(clause: &str, value: &Value) -> Result<(), Bad> {
     let pair = match value {
-        Value::Object(m) if m.len() == 2 => {
-            m.get("lat").and_then(Value::as_f64).zip(m.get("lon").and_then(Value::as_f64))
-        }
+        Value::Object(m) if m.len() == 2 => m
+            .get("lat")
+            .and_then(Value::as_f64)
+            .zip(m.get("lon").and_then(Value::as_f64)),
         Value::Array(a) if a.len() == 2 => a[1].as_f64().zip(a[0].as_f64()),
         Value::String(s) => {
             let number = |t: &str| t.trim().parse::<f64>().ok();
-            s.split_once(',').and_then(|(lat, lon)| number(lat).zip(number(lon)))
+            s.split_once(',')
+                .and_then(|(lat, lon)| number(lat).zip(number(lon)))
         }
         _ => None,
     };
     let on_earth = pair.filter(|(lat, lon)| lat.abs() <= 90.0 && lon.abs() <= 180.0);
-    on_earth
-        .map(|_| ())
-        .ok_or_else(|| wrong(clause, "must be a point: {lat, lon}, [lon, lat] or \"lat,lon\""))
+    on_earth.map(|_| ()).ok_or_else(|| {
+        wrong(
+            clause,
+            "must be a point: {lat, lon}, [lon, lat] or \"lat,lon\"",
+        )
+    })
 }
 
 fn distance(value: &Value) -> Result<(), Bad> {
@@ -118,12 +137,18 @@
         Value::String(s) => {
             let at = s.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(s.len());
             let (number, unit) = s.split_at(at);
-            let known = matches!(unit, "" | "m" | "km" | "mi" | "yd" | "ft" | "cm" | "mm" | "nmi" | "NM");
+            let known = matches!(
+                unit,
+                "" | "m" | "km" | "mi" | "yd" | "ft" | "cm" | "mm" | "nmi" | "NM"
+            );
             number.trim().parse::<f64>().ok().filter(|_| known)
         }
         _ => None,
     };
-    metres.filter(|m| m.is_finite() && *m > 0.0).map(|_| ()).ok_or_else(bad)
+    metres
+        .filter(|m| m.is_finite() && *m > 0.0)
+        .map(|_| ())
+        .ok_or_else(bad)
 }
 
 /// Reads requests against an index with these fields.
@@ -137,8 +162,14 @@
 impl Reader<'_> {
     /// Reads the body of a search.
     pub fn search(&self, body: &Value) -> Result<Search, Bad> {
-        let mut s =
-            Search { districts: None, from: 0, size: 10, sort: vec![], timeout: None, forward: Map::new() };
+        let mut s = Search {
+            districts: None,
+            from: 0,
+            size: 10,
+            sort: vec![],
+            timeout: None,
+            forward: Map::new(),
+        };
         for (key, value) in object("request", body)? {
             match key.as_str() {
                 "query" => self.query(value, &mut s.districts)?,
@@ -191,7 +222,9 @@
                         return Err(unsupported(key, kind));
                     }
                     match clauses {
-                        Value::Array(all) => all.iter().try_for_each(|q| self.query(q, districts))?,
+                        Value::Array(all) => {
+                            all.iter().try_for_each(|q| self.query(q, districts))?
+                        }
                         one => self.query(one, districts)?,
                     }
                 }
@@ -211,8 +244,13 @@
             }
             "terms" => {
                 let (field, values) = only(kind, value)?;
-                let values = values.as_array().ok_or_else(|| wrong(kind, "must list values"))?;
-                let values = values.iter().map(|v| scalar(kind, v)).collect::<Result<_, _>>()?;
+                let values = values
+                    .as_array()
+                    .ok_or_else(|| wrong(kind, "must list values"))?;
+                let values = values
+                    .iter()
+                    .map(|v| scalar(kind, v))
+                    .collect::<Result<_, _>>()?;
                 self.narrow(field, values, districts);
                 Ok(())
             }
@@ -235,7 +273,12 @@
         }
     }
 
-    fn narrow(&self, field: &str, values: BTreeSet<String>, districts: &mut Option<BTreeSet<String>>) {
+    fn narrow(
+        &self,
+        field: &str,
+        values: BTreeSet<String>,
+        districts: &mut Option<BTreeSet<String>>,
+    ) {
         if field == self.district_field {
             *districts = Some(match districts.take() {
                 Some(old) => old.intersection(&values).cloned().collect(),
@@ -253,7 +296,9 @@
 
     fn sort_key(&self, key: &Value) -> Result<SortKey, Bad> {
         if let Some(field) = key.as_str() {
-            return Ok(SortKey { descending: field == "_score" });
+            return Ok(SortKey {
+                descending: field == "_score",
+            });
         }
         let (field, options) = only("sort", key)?;
         let by_place = field == "_geo_distance";
@@ -264,7 +309,9 @@
             _ => Err(wrong("order", "must be [asc] or [desc]")),
         };
         let Some(options) = options.as_object() else {
-            return Ok(SortKey { descending: order(options.as_str())? });
+            return Ok(SortKey {
+                descending: order(options.as_str())?,
+            });
         };
         for (name, value) in options {
             match name.as_str() {
@@ -286,22 +333,33 @@
     use super::*;
     use serde_json::json;
 
-    const READER: Reader = Reader { district_field: "district", location_field: "location" };
+    const READER: Reader = Reader {
+        district_field: "district",
+        location_field: "location",
+    };
 
     #[test]
     fn a_search_is_understood_and_its_window_starts_at_the_first_hit() {
         let near = json!({"distance": "2km", "location": {"lat": 33.59, "lon": -7.61}});
         let filter = json!([{"terms": {"district": ["anfa", "maarif"]}}, {"term": {"free": true}},
                             {"term": {"district": "anfa"}}, {"geo_distance": near}]);
-        let sort =
-            json!([{"_geo_distance": {"location": [-7.61, 33.59], "order": "asc"}}, {"rating": "desc"}]);
+        let sort = json!([{"_geo_distance": {"location": [-7.61, 33.59], "order": "asc"}}, {"rating": "desc"}]);
         let query = json!({"bool": {"filter": filter}});
         let body = json!({"query": query, "from": 5, "size": 3, "sort": sort, "timeout": "1500ms"});
         let s = READER.search(&body).unwrap();
         assert_eq!(s.districts, Some(["anfa".to_owned()].into()));
-        assert_eq!((s.from, s.size, s.timeout), (5, 3, Some(Duration::from_millis(1500))));
-        assert_eq!(s.sort.iter().map(|k| k.descending).collect::<Vec<_>>(), [false, true]);
-        assert_eq!((&s.forward["size"], s.forward.contains_key("from")), (&json!(8), false));
+        assert_eq!(
+            (s.from, s.size, s.timeout),
+            (5, 3, Some(Duration::from_millis(1500)))
+        );
+        assert_eq!(
+            s.sort.iter().map(|k| k.descending).collect::<Vec<_>>(),
+            [false, true]
+        );
+        assert_eq!(
+            (&s.forward["size"], s.forward.contains_key("from")),
+            (&json!(8), false)
+        );
     }
 
     /// A clause that was passed over in silence would give wrong answers.
@@ -311,9 +369,18 @@
             (json!({"aggs": {}}), "[aggs]"),
             (json!({"query": {"fuzzy": {"a": "b"}}}), "[fuzzy]"),
             (json!({"query": {"bool": {"must_not": []}}}), "[must_not]"),
-            (json!({"query": {"geo_distance": {"distance": "2 parsecs", "location": [0, 0]}}}), "[distance]"),
-            (json!({"query": {"geo_distance": {"distance": "1km", "place": [0, 0]}}}), "[place]"),
-            (json!({"query": {"geo_distance": {"distance": "1km", "location": [0, 91]}}}), "[location]"),
+            (
+                json!({"query": {"geo_distance": {"distance": "2 parsecs", "location": [0, 0]}}}),
+                "[distance]",
+            ),
+            (
+                json!({"query": {"geo_distance": {"distance": "1km", "place": [0, 0]}}}),
+                "[place]",
+            ),
+            (
+                json!({"query": {"geo_distance": {"distance": "1km", "location": [0, 91]}}}),
+                "[location]",
+            ),
             (json!({"sort": [{"a": {"nested": {}}}]}), "[nested]"),
             (json!({"timeout": "soon"}), "[timeout]"),
             (json!({"size": -1}), "[size]"),
--- a/crates/coordinator/src/front/opensearch/hosts.rs
+++ b/crates/coordinator/src/front/opensearch/hosts.rs
@@ -29,7 +29,11 @@
 fn search_of(part: &CallPart, now: Instant) -> Option<(String, String)> {
     let (index, body) = std::str::from_utf8(&part.payload).ok()?.split_once('\n')?;
     let mut body: Map<String, Value> = serde_json::from_str(body).ok()?;
-    let left = part.give_up.saturating_duration_since(now).as_millis().max(1);
+    let left = part
+        .give_up
+        .saturating_duration_since(now)
+        .as_millis()
+        .max(1);
     body.insert("timeout".into(), format!("{left}ms").into());
     Some((index.to_owned(), Value::Object(body).to_string()))
 }
@@ -39,7 +43,11 @@
     let (target, kind, body) = match parts {
         [part] => {
             let (index, body) = search_of(part, now)?;
-            (format!("/{index}/_search?preference=_shards:{}", part.shard), "json", body)
+            (
+                format!("/{index}/_search?preference=_shards:{}", part.shard),
+                "json",
+                body,
+            )
         }
         parts => {
             let mut lines = String::new();
@@ -52,7 +60,10 @@
         }
     };
     let first = parts.first()?;
-    let key = first.key.as_ref().map_or(String::new(), |k| format!("Idempotency-Key: {k}\r\n"));
+    let key = first
+        .key
+        .as_ref()
+        .map_or(String::new(), |k| format!("Idempotency-Key: {k}\r\n"));
     let head = format!(
         "POST {target} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/{kind}\r\n\
          X-Opaque-Id: {}\r\n{key}Content-Length: {}\r\n\r\n",
@@ -114,9 +125,15 @@
     if parts == 1 {
         return vec![part(status, body)];
     }
-    let many = serde_json::from_slice::<Many>(body).ok().filter(|m| m.responses.len() == parts);
+    let many = serde_json::from_slice::<Many>(body)
+        .ok()
+        .filter(|m| m.responses.len() == parts);
     match many {
-        Some(many) if status == 200 => many.responses.iter().map(|r| part(500, r.get().as_bytes())).collect(),
+        Some(many) if status == 200 => many
+            .responses
+            .iter()
+            .map(|r| part(500, r.get().as_bytes()))
+            .collect(),
         _ if status == 200 => vec![(Outcome::Error, None); parts],
         _ => vec![(outcome(status), None); parts],
     }
@@ -179,7 +196,11 @@
         link.setup.ended(part, attempt, outcome);
     }
     // A break before the last byte was written: never ran. After it: it may have.
-    let outcome = if link.written { Outcome::Reset } else { Outcome::ConnectFailed };
+    let outcome = if link.written {
+        Outcome::Reset
+    } else {
+        Outcome::ConnectFailed
+    };
     for p in std::mem::take(&mut link.out) {
         link.setup.ended(p.part, p.attempt, outcome);
     }
@@ -191,7 +212,11 @@
     }
     // A probe that got no answer must not pass for one that did: the module would send parts again.
     if link.probes > 0 {
-        link.probed(if code == "probe_timeout" { Outcome::Timeout } else { Outcome::ConnectFailed });
+        link.probed(if code == "probe_timeout" {
+            Outcome::Timeout
+        } else {
+            Outcome::ConnectFailed
+        });
     }
 }
 
@@ -211,7 +236,11 @@
             LinkMail::Cancel(part, attempt, outcome) => {
                 let this = |p: &CallPart| (p.part, p.attempt) == (part, attempt);
                 if take_out(&mut self.queue, part, attempt) {
-                    let never = if outcome == Outcome::Timeout { Outcome::Moot } else { outcome };
+                    let never = if outcome == Outcome::Timeout {
+                        Outcome::Moot
+                    } else {
+                        outcome
+                    };
                     self.setup.ended(part, attempt, never);
                 }
                 if self.out.iter().any(this) {
@@ -235,7 +264,10 @@
 
     fn probed(&mut self, outcome: Outcome) {
         self.probes = 0;
-        let _ = self.setup.core.send(Mail::Probed(self.setup.server, outcome, None));
+        let _ = self
+            .setup
+            .core
+            .send(Mail::Probed(self.setup.server, outcome, None));
     }
 
     /// Asks for the host's root, the cheapest request there is; any answer will do.
@@ -281,7 +313,9 @@
                 }
                 continue;
             }
-            let Some(call) = self.queue.pop_front() else { continue };
+            let Some(call) = self.queue.pop_front() else {
+                continue;
+            };
             let now = Instant::now();
             self.out = self.setup.sendable(call, now);
             if self.out.is_empty() {
@@ -296,9 +330,16 @@
                 Ok(Some((status, body))) => {
                     self.out.clear();
                     self.written = false;
-                    for (p, (outcome, value)) in asked.iter().zip(read(asked.len(), status, &body)) {
+                    for (p, (outcome, value)) in asked.iter().zip(read(asked.len(), status, &body))
+                    {
                         let (part, attempt) = (p.part, p.attempt);
-                        self.setup.report(Ended { part, attempt, outcome, value, report: None });
+                        self.setup.report(Ended {
+                            part,
+                            attempt,
+                            outcome,
+                            value,
+                            report: None,
+                        });
                     }
                     continue;
                 }
@@ -310,7 +351,11 @@
     }
 
     /// One request and its answer; `None` if a part of it was given up.
-    async fn exchange(&mut self, conn: &mut Conn, bytes: &[u8]) -> Result<Option<(u16, Bytes)>, HttpError> {
+    async fn exchange(
+        &mut self,
+        conn: &mut Conn,
+        bytes: &[u8],
+    ) -> Result<Option<(u16, Bytes)>, HttpError> {
         let mut at = 0;
         while at < bytes.len() || !conn.output.is_empty() {
             at += conn.output.put(&bytes[at..]);
@@ -327,7 +372,9 @@
         self.setup.counters.add("tries", self.out.len() as u64);
         let answer = async {
             let (status, headers) = response_head(conn).await?;
-            let body = Body::of_response(&headers)?.whole(conn, MOST_ANSWER).await?;
+            let body = Body::of_response(&headers)?
+                .whole(conn, MOST_ANSWER)
+                .await?;
             Ok((status, body))
         };
         tokio::pin!(answer);
--- a/crates/coordinator/src/front/opensearch/many.rs
+++ b/crates/coordinator/src/front/opensearch/many.rs
@@ -30,23 +30,28 @@
                 let front = front.clone();
                 running.spawn(async move {
                     let answer = match one {
-                        Ok((search, terms)) => {
-                            front.run(name.clone(), search.clone(), terms).await.map(|m| {
-                                let mut body = m.search(&name, &search, arrived.elapsed().as_millis());
+                        Ok((search, terms)) => front
+                            .run(name.clone(), search.clone(), terms)
+                            .await
+                            .map(|m| {
+                                let mut body =
+                                    m.search(&name, &search, arrived.elapsed().as_millis());
                                 body["status"] = 200.into();
                                 body
-                            })
-                        }
+                            }),
                         Err(e) => Err(e),
                     };
                     (n, answer.unwrap_or_else(|e| e.body(&name)))
                 });
             }
             while let Some(done) = running.join_next().await {
-                let (n, answer) = done.map_err(|e| Failure::new(500, "exception", e.to_string()))?;
+                let (n, answer) =
+                    done.map_err(|e| Failure::new(500, "exception", e.to_string()))?;
                 answers[n] = answer;
             }
-            Ok(ok(&json!({"took": arrived.elapsed().as_millis() as u64, "responses": answers})))
+            Ok(ok(
+                &json!({"took": arrived.elapsed().as_millis() as u64, "responses": answers}),
+            ))
         })
     }
 
@@ -57,25 +62,38 @@
         request: &Request,
     ) -> Result<Vec<(String, Result<(Search, Terms), Failure>)>, Failure> {
         let params = Params::read(request, &["timeout", "allow_partial_search_results"])?;
-        let body = std::str::from_utf8(&request.body).map_err(|_| illegal("the body is no text".into()))?;
+        let body = std::str::from_utf8(&request.body)
+            .map_err(|_| illegal("the body is no text".into()))?;
         let Some(body) = body.strip_suffix('\n') else {
-            return Err(illegal("The msearch request must be terminated by a newline [\n]".into()));
+            return Err(illegal(
+                "The msearch request must be terminated by a newline [\n]".into(),
+            ));
         };
         let lines: Vec<&str> = body.split('\n').collect();
         if !lines.len().is_multiple_of(2) || lines.len() / 2 > MOST_SEARCHES {
-            return Err(illegal(format!("an msearch is up to {MOST_SEARCHES} pairs of lines")));
+            return Err(illegal(format!(
+                "an msearch is up to {MOST_SEARCHES} pairs of lines"
+            )));
         }
         let one = |pair: &[&str]| {
             let head = json_body(pair[0].as_bytes())?;
             let fields = head.as_object().into_iter().flatten();
-            if let Some((key, _)) = fields.clone().find(|(k, v)| *k != "index" || !v.is_string()) {
-                return Err(illegal(format!("key [{key}] is not supported in the metadata section")));
+            if let Some((key, _)) = fields
+                .clone()
+                .find(|(k, v)| *k != "index" || !v.is_string())
+            {
+                return Err(illegal(format!(
+                    "key [{key}] is not supported in the metadata section"
+                )));
             }
             let name = head["index"].as_str().unwrap_or(default).to_owned();
             let search = (|| -> Result<_, Failure> {
                 let index = self.index(&name)?;
                 let terms = self.terms(request, &params, index)?;
-                Ok((self.reader(index).search(&json_body(pair[1].as_bytes())?)?, terms))
+                Ok((
+                    self.reader(index).search(&json_body(pair[1].as_bytes())?)?,
+                    terms,
+                ))
             })();
             Ok((name, search))
         };
--- a/crates/coordinator/src/front/opensearch/mod.rs
+++ b/crates/coordinator/src/front/opensearch/mod.rs
@@ -82,11 +82,23 @@
         counters: Counters,
         incarnation: u64,
     ) -> Self {
-        let number = |names: &[String], name: &str| names.iter().position(|n| n == name).map(|n| n as u32);
+        let number =
+            |names: &[String], name: &str| names.iter().position(|n| n == name).map(|n| n as u32);
         let index = |c: &IndexConfig| {
             let class = ClassId(number(&site.classes, &c.class)?);
-            let tenant = c.tenant.as_ref().and_then(|t| number(&site.tenants, t)).map(TenantId);
-            Some((c.name.clone(), Index { config: c.clone(), class, tenant }))
+            let tenant = c
+                .tenant
+                .as_ref()
+                .and_then(|t| number(&site.tenants, t))
+                .map(TenantId);
+            Some((
+                c.name.clone(),
+                Index {
+                    config: c.clone(),
+                    class,
+                    tenant,
+                },
+            ))
         };
         Self(Arc::new(Shared {
             core,
@@ -112,7 +124,10 @@
         };
         let method = request.method.as_str();
         if !matches!((method, what), ("GET" | "POST", _) | ("DELETE", "scroll")) {
-            let reason = format!("Incorrect HTTP method for uri [{}] and method [{method}]", request.path);
+            let reason = format!(
+                "Incorrect HTTP method for uri [{}] and method [{method}]",
+                request.path
+            );
             let error = Failure::new(405, "method_not_allowed_exception", reason);
             return Some(Box::pin(std::future::ready(error.response(index))));
         }
@@ -151,21 +166,32 @@
     }
 
     fn index(&self, name: &str) -> Result<&Index, Failure> {
-        let unknown = || Failure::new(404, "index_not_found_exception", format!("no such index [{name}]"));
+        let unknown = || {
+            Failure::new(
+                404,
+                "index_not_found_exception",
+                format!("no such index [{name}]"),
+            )
+        };
         self.0.indices.get(name).ok_or_else(unknown)
     }
 
     fn scrolls(&self) -> MutexGuard<'_, Scrolls> {
-        self.0.scrolls.lock().unwrap_or_else(PoisonError::into_inner)
+        self.0
+            .scrolls
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn terms(&self, request: &Request, params: &Params, index: &Index) -> Result<Terms, Failure> {
-        let flag = |name: &str| match params.get(name) {
+        let flag = |name: &str| {
+            match params.get(name) {
             None | Some("" | "true") => Ok(true),
             Some("false") => Ok(false),
             Some(other) => Err(illegal(format!(
                 "Failed to parse value [{other}] as only [true] or [false] are allowed, for [{name}]"
             ))),
+        }
         };
         let header = |name: &Option<String>| name.as_ref().and_then(|n| request.headers.get(n));
         let key = header(&index.config.key_header).map(str::to_owned);
@@ -178,7 +204,10 @@
         Ok(Terms {
             arrived: request.arrived,
             left: request.left(),
-            timeout: params.get("timeout").map(|t| dsl::time("timeout", t)).transpose()?,
+            timeout: params
+                .get("timeout")
+                .map(|t| dsl::time("timeout", t))
+                .transpose()?,
             allow_partial: flag("allow_partial_search_results")?,
             tenant: header(&index.config.tenant_header).map(str::to_owned),
             key,
@@ -186,7 +215,10 @@
     }
 
     fn reader<'a>(&self, index: &'a Index) -> Reader<'a> {
-        Reader { district_field: &index.config.district_field, location_field: &index.config.location_field }
+        Reader {
+            district_field: &index.config.district_field,
+            location_field: &index.config.location_field,
+        }
     }
 }
 
--- a/crates/coordinator/src/front/opensearch/pages.rs
+++ b/crates/coordinator/src/front/opensearch/pages.rs
@@ -12,17 +12,21 @@
         let params = Params::read(request, &["scroll", "scroll_id"])?;
         let body = json_body(&request.body)?;
         let fields = body.as_object().into_iter().flatten();
-        if let Some((key, _)) =
-            fields.clone().find(|(k, v)| !matches!(k.as_str(), "scroll" | "scroll_id") || !v.is_string())
+        if let Some((key, _)) = fields
+            .clone()
+            .find(|(k, v)| !matches!(k.as_str(), "scroll" | "scroll_id") || !v.is_string())
         {
-            return Err(illegal(format!("Unknown parameter [{key}] in request body")));
+            return Err(illegal(format!(
+                "Unknown parameter [{key}] in request body"
+            )));
         }
         let text = |name: &str| body[name].as_str().or(params.get(name));
         let id = text("scroll_id").ok_or_else(|| illegal("scroll_id is missing".into()))?;
         let keep = text("scroll").map(keep_alive).transpose()?;
         let arrived = request.arrived;
         let page = self.scrolls().next(id, keep, Instant::now(), |c| {
-            c.merged.search(&c.index, &c.search, arrived.elapsed().as_millis())
+            c.merged
+                .search(&c.index, &c.search, arrived.elapsed().as_millis())
         });
         let mut page = page.inspect_err(|_| self.0.counters.inc("opensearch.scroll_missing"))?;
         page["_scroll_id"] = id.into();
@@ -33,12 +37,21 @@
         let body = json_body(&request.body)?;
         let ids: Vec<String> = match &body["scroll_id"] {
             Value::String(id) => vec![id.clone()],
-            Value::Array(ids) => ids.iter().filter_map(Value::as_str).map(str::to_owned).collect(),
+            Value::Array(ids) => ids
+                .iter()
+                .filter_map(Value::as_str)
+                .map(str::to_owned)
+                .collect(),
             _ if all => vec![],
             _ => return Err(illegal("scroll_id is missing".into())),
         };
-        let freed = self.scrolls().free((!all).then_some(&ids[..]), Instant::now())?;
+        let freed = self
+            .scrolls()
+            .free((!all).then_some(&ids[..]), Instant::now())?;
         let status = if freed > 0 || all { 200 } else { 404 };
-        Ok(Response::json(status, json!({"succeeded": true, "num_freed": freed}).to_string()))
+        Ok(Response::json(
+            status,
+            json!({"succeeded": true, "num_freed": freed}).to_string(),
+        ))
     }
 }
--- a/crates/coordinator/src/front/opensearch/params.rs
+++ b/crates/coordinator/src/front/opensearch/params.rs
@@ -11,11 +11,15 @@
     if body.trim_ascii().is_empty() {
         return Ok(json!({}));
     }
-    let value: Value =
-        serde_json::from_slice(body).map_err(|e| Failure::new(400, "parsing_exception", e.to_string()))?;
+    let value: Value = serde_json::from_slice(body)
+        .map_err(|e| Failure::new(400, "parsing_exception", e.to_string()))?;
     match value.is_object() {
         true => Ok(value),
-        false => Err(Failure::new(400, "parsing_exception", "[request] must be an object")),
+        false => Err(Failure::new(
+            400,
+            "parsing_exception",
+            "[request] must be an object",
+        )),
     }
 }
 
@@ -35,12 +39,15 @@
 
 impl Params {
     pub(super) fn read(request: &Request, known: &[&str]) -> Result<Self, Failure> {
-        let all: BTreeMap<String, String> =
-            form_urlencoded::parse(request.query.as_bytes()).into_owned().collect();
+        let all: BTreeMap<String, String> = form_urlencoded::parse(request.query.as_bytes())
+            .into_owned()
+            .collect();
         match all.keys().find(|k| !known.contains(&k.as_str())) {
             Some(key) => {
                 let path = &request.path;
-                Err(illegal(format!("request [{path}] contains unrecognized parameter: [{key}]")))
+                Err(illegal(format!(
+                    "request [{path}] contains unrecognized parameter: [{key}]"
+                )))
             }
             None => Ok(Self(all)),
         }
--- a/crates/coordinator/src/front/opensearch/scroll.rs
+++ b/crates/coordinator/src/front/opensearch/scroll.rs
@@ -36,13 +36,22 @@
 }
 
 fn missing(id: &str) -> Failure {
-    Failure::new(404, "search_context_missing_exception", format!("No search context found for id [{id}]"))
+    Failure::new(
+        404,
+        "search_context_missing_exception",
+        format!("No search context found for id [{id}]"),
+    )
 }
 
 impl Scrolls {
     /// No contexts yet; at most `most` at once. `incarnation` must be new with each start.
     pub fn new(incarnation: u64, most: usize) -> Self {
-        Self { incarnation, next: 0, most, open: BTreeMap::new() }
+        Self {
+            incarnation,
+            next: 0,
+            most,
+            open: BTreeMap::new(),
+        }
     }
 
     fn expire(&mut self, now: Instant) {
@@ -62,7 +71,10 @@
         );
         let first = self.open.values().map(|c| c.until).min().unwrap_or(now);
         let retry_after = Some((first - now).max(Duration::from_millis(50)));
-        Err(Failure { retry_after, ..Failure::new(429, "rejected_execution_exception", reason) })
+        Err(Failure {
+            retry_after,
+            ..Failure::new(429, "rejected_execution_exception", reason)
+        })
     }
 
     /// Keeps what is left; gives the context's id.
@@ -76,7 +88,13 @@
     ) -> Result<String, Failure> {
         self.room(now)?;
         self.next += 1;
-        let context = Context { index: index.to_owned(), search, merged, keep, until: now + keep };
+        let context = Context {
+            index: index.to_owned(),
+            search,
+            merged,
+            keep,
+            until: now + keep,
+        };
         self.open.insert(self.next, context);
         Ok(URL_SAFE_NO_PAD.encode(format!("{:016x}{:016x}", self.incarnation, self.next)))
     }
@@ -84,10 +102,17 @@
     /// The number behind an id. One of another incarnation is as good as expired: its coordinator has
     /// gone and taken the context along.
     fn number(&self, id: &str) -> Result<u64, Failure> {
-        let unreadable =
-            || Failure::new(400, "illegal_argument_exception", format!("Cannot parse scroll id [{id}]"));
+        let unreadable = || {
+            Failure::new(
+                400,
+                "illegal_argument_exception",
+                format!("Cannot parse scroll id [{id}]"),
+            )
+        };
         let bytes = URL_SAFE_NO_PAD.decode(id).map_err(|_| unreadable())?;
-        let text = std::str::from_utf8(&bytes).ok().filter(|t| t.len() == 32 && t.is_ascii());
+        let text = std::str::from_utf8(&bytes)
+            .ok()
+            .filter(|t| t.len() == 32 && t.is_ascii());
         let half = |t: &str| u64::from_str_radix(t, 16).map_err(|_| unreadable());
         let (incarnation, number) = text.ok_or_else(unreadable)?.split_at(16);
         match half(incarnation)? == self.incarnation {
--- a/crates/coordinator/src/front/opensearch/search.rs
+++ b/crates/coordinator/src/front/opensearch/search.rs
@@ -29,9 +29,10 @@
         let shards = match &search.districts {
             None => index.config.districts.values().copied().collect(),
             // A district that is not configured has no documents.
-            Some(names) => {
-                names.iter().filter_map(|n| index.config.districts.get(n).copied()).collect::<Vec<_>>()
-            }
+            Some(names) => names
+                .iter()
+                .filter_map(|n| index.config.districts.get(n).copied())
+                .collect::<Vec<_>>(),
         };
         if shards.is_empty() {
             return Ok(Merged::default());
@@ -39,10 +40,22 @@
         let class = &self.0.classes[index.class.0 as usize];
         if class.repeat != Repeat::Safe && terms.key.is_none() {
             let name = index.config.key_header.as_deref().unwrap_or("key_header");
-            return Err(illegal(format!("index [{index_name}] needs a key in the header [{name}]")));
+            return Err(illegal(format!(
+                "index [{index_name}] needs a key in the header [{name}]"
+            )));
         }
-        let number = |t: &String| self.0.tenants.iter().position(|n| n == t).map(|n| TenantId(n as u32));
-        let wait = search.timeout.or(terms.timeout).unwrap_or(class.limit).min(class.limit);
+        let number = |t: &String| {
+            self.0
+                .tenants
+                .iter()
+                .position(|n| n == t)
+                .map(|n| TenantId(n as u32))
+        };
+        let wait = search
+            .timeout
+            .or(terms.timeout)
+            .unwrap_or(class.limit)
+            .min(class.limit);
         let wait = terms.left.map_or(wait, |left| left.min(wait));
         let n = self.0.next.fetch_add(1, Ordering::Relaxed);
         let count = shards.len();
@@ -56,12 +69,19 @@
             wait,
             repeat: None,
             key: terms.key.as_deref().map(Arc::from),
-            parts: shards.into_iter().map(|shard| NewPart { shard, weight }).collect(),
+            parts: shards
+                .into_iter()
+                .map(|shard| NewPart { shard, weight })
+                .collect(),
             payload: hosts::payload(&index_name, &search.forward),
         });
         let stopping = || Failure::new(503, "node_closed_exception", "the coordinator is stopping");
         let read = |answer: Answer| match answer {
-            Answer::Served { full, pieces, missing } => {
+            Answer::Served {
+                full,
+                pieces,
+                missing,
+            } => {
                 let merged = merge(&pieces, missing, &search.sort);
                 let share = merged.successful as f64 / count as f64;
                 if merged.failures.is_empty() && full {
@@ -79,28 +99,55 @@
                     false => (503, "search_phase_execution_exception"),
                 };
                 let shards = merged.failures;
-                Err(Failure { shards, ..Failure::new(status, kind, "Partial shards failure") })
+                Err(Failure {
+                    shards,
+                    ..Failure::new(status, kind, "Partial shards failure")
+                })
             }
-            Answer::NameTaken => Err(Failure::new(409, "version_conflict_engine_exception", "name in use")),
-            Answer::Refused { retry_after, cause, missing }
-            | Answer::Failed { retry_after, cause, missing } => {
+            Answer::NameTaken => Err(Failure::new(
+                409,
+                "version_conflict_engine_exception",
+                "name in use",
+            )),
+            Answer::Refused {
+                retry_after,
+                cause,
+                missing,
+            }
+            | Answer::Failed {
+                retry_after,
+                cause,
+                missing,
+            } => {
                 // A district whose listed hosts answer to nobody is as good as one that no host holds.
-                let unreached = missing.iter().any(|m| matches!(m.last, None | Some(Outcome::ConnectFailed)));
+                let unreached = missing
+                    .iter()
+                    .any(|m| matches!(m.last, None | Some(Outcome::ConnectFailed)));
                 let (status, kind, reason) = match cause {
-                    Cause::Late | Cause::Lost if unreached => {
-                        (503, "no_shard_available_action_exception", "no host of a district can be reached")
-                    }
-                    Cause::Busy => {
-                        (429, "rejected_execution_exception", "more work than can be done in time")
-                    }
-                    Cause::NoHost => {
-                        (503, "no_shard_available_action_exception", "no host in service holds a district")
-                    }
+                    Cause::Late | Cause::Lost if unreached => (
+                        503,
+                        "no_shard_available_action_exception",
+                        "no host of a district can be reached",
+                    ),
+                    Cause::Busy => (
+                        429,
+                        "rejected_execution_exception",
+                        "more work than can be done in time",
+                    ),
+                    Cause::NoHost => (
+                        503,
+                        "no_shard_available_action_exception",
+                        "no host in service holds a district",
+                    ),
                     Cause::Late => (504, "timeout_exception", "the search's time is over"),
                     Cause::Lost => (503, "search_phase_execution_exception", "all shards failed"),
                 };
                 let shards = missing.into_iter().map(Into::into).collect();
-                Err(Failure { retry_after, shards, ..Failure::new(status, kind, reason) })
+                Err(Failure {
+                    retry_after,
+                    shards,
+                    ..Failure::new(status, kind, reason)
+                })
             }
         };
         let found = ticket.await.ok_or_else(stopping).and_then(read);
@@ -129,7 +176,11 @@
             let arrived = terms.arrived;
             let Some(keep) = keep else {
                 let merged = front.run(name.clone(), search.clone(), terms).await?;
-                return Ok(ok(&merged.search(&name, &search, arrived.elapsed().as_millis())));
+                return Ok(ok(&merged.search(
+                    &name,
+                    &search,
+                    arrived.elapsed().as_millis(),
+                )));
             };
             if search.from > 0 || search.size == 0 {
                 return Err(illegal(
@@ -137,7 +188,9 @@
                 ));
             }
             front.scrolls().room(Instant::now())?;
-            search.forward.insert("size".into(), scroll::MOST_HITS.into());
+            search
+                .forward
+                .insert("size".into(), scroll::MOST_HITS.into());
             let merged = front.run(name.clone(), search.clone(), terms).await?;
             let hits = merged.hits.len();
             // A context holds all its hits: one that silently held fewer would end too soon.
@@ -148,23 +201,36 @@
                 )));
             }
             let mut body = merged.search(&name, &search, arrived.elapsed().as_millis());
-            let id = front.scrolls().open(&name, search, merged, keep, Instant::now())?;
+            let id = front
+                .scrolls()
+                .open(&name, search, merged, keep, Instant::now())?;
             front.0.counters.inc("opensearch.scrolls");
             body["_scroll_id"] = id.into();
             Ok(ok(&body))
         })
     }
 
-    fn prepare(&self, name: &str, request: &Request) -> Result<(Search, Terms, Option<Duration>), Failure> {
+    fn prepare(
+        &self,
+        name: &str,
+        request: &Request,
+    ) -> Result<(Search, Terms, Option<Duration>), Failure> {
         let index = self.index(name)?;
-        let known = ["timeout", "allow_partial_search_results", "scroll", "size", "from"];
+        let known = [
+            "timeout",
+            "allow_partial_search_results",
+            "scroll",
+            "size",
+            "from",
+        ];
         let params = Params::read(request, &known)?;
         let terms = self.terms(request, &params, index)?;
         let mut body = json_body(&request.body)?;
         for name in ["size", "from"] {
             if let (Some(text), Some(map)) = (params.get(name), body.as_object_mut()) {
-                let n: u64 =
-                    text.parse().map_err(|_| illegal(format!("Failed to parse int parameter [{name}]")))?;
+                let n: u64 = text
+                    .parse()
+                    .map_err(|_| illegal(format!("Failed to parse int parameter [{name}]")))?;
                 map.insert(name.to_owned(), n.into());
             }
         }
--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -77,13 +77,22 @@
             most_parts: site.caps.open,
             shards: site.caps.shards,
             readiness,
-            keyed: site.settings.classes.iter().map(|c| matches!(c.repeat, Repeat::Keyed(_))).collect(),
+            keyed: site
+                .settings
+                .classes
+                .iter()
+                .map(|c| matches!(c.repeat, Repeat::Keyed(_)))
+                .collect(),
         }
     }
 
     fn query(&self, r: &Request) -> Result<NewQuery, Bad> {
         let path = r.path.trim_matches('/');
-        let class = self.classes.iter().position(|c| c == path).ok_or(Bad::Path)?;
+        let class = self
+            .classes
+            .iter()
+            .position(|c| c == path)
+            .ok_or(Bad::Path)?;
         if r.method != "POST" {
             return Err(Bad::Method);
         }
@@ -92,13 +101,20 @@
         if kind != path {
             return Err(bad("Req-Kind is not the path's class"));
         }
-        let name = r.headers.get("Req-Id").ok_or_else(|| bad("Req-Id is missing"))?;
+        let name = r
+            .headers
+            .get("Req-Id")
+            .ok_or_else(|| bad("Req-Id is missing"))?;
         // It goes into the hosts' lines, where a space or a line's end would be another field.
-        let plain = |s: &str| !s.is_empty() && s.len() <= 128 && s.bytes().all(|b| b.is_ascii_graphic());
+        let plain =
+            |s: &str| !s.is_empty() && s.len() <= 128 && s.bytes().all(|b| b.is_ascii_graphic());
         if !plain(name) {
             return Err(bad("Req-Id can't be used"));
         }
-        let wait = r.headers.get("Req-Deadline-Ms").and_then(|d| d.parse::<u64>().ok());
+        let wait = r
+            .headers
+            .get("Req-Deadline-Ms")
+            .and_then(|d| d.parse::<u64>().ok());
         let wait = wait.filter(|d| (1..=LONGEST_WAIT_MS).contains(d));
         let wait = wait.ok_or_else(|| bad("Req-Deadline-Ms is missing or no time"))?;
         let wait = Duration::from_millis(wait);
@@ -110,7 +126,8 @@
         if self.keyed[class] && key.is_none() {
             return Err(bad("Idempotency-Key is missing"));
         }
-        let body: RawBody = serde_json::from_slice(&r.body).map_err(|e| Bad::Request(e.to_string()))?;
+        let body: RawBody =
+            serde_json::from_slice(&r.body).map_err(|e| Bad::Request(e.to_string()))?;
         if body.tablets.is_empty() || body.tablets.len() > self.most_parts {
             return Err(bad("'tablets' has no parts or too many"));
         }
@@ -127,7 +144,10 @@
                 return Err(bad("'fraction' is no share"));
             }
             sum += p.fraction;
-            parts.push(NewPart { shard: p.tablet, weight: p.fraction });
+            parts.push(NewPart {
+                shard: p.tablet,
+                weight: p.fraction,
+            });
         }
         if (sum - 1.0).abs() > ROUNDING {
             return Err(bad("the 'fraction's don't add up to 1"));
@@ -156,7 +176,13 @@
         // A value that is no text can't be passed on as it was given.
         let cell = std::str::from_utf8(&p.value).ok()?;
         out.put_slice(if n > 0 { b"," } else { b"" });
-        out.put_slice(&serde_json::to_vec(&RawPiece { tablet: p.shard, cell }).ok()?);
+        out.put_slice(
+            &serde_json::to_vec(&RawPiece {
+                tablet: p.shard,
+                cell,
+            })
+            .ok()?,
+        );
     }
     out.put_slice(b"]}");
     Some(out.freeze())
@@ -165,17 +191,25 @@
 /// The wire form of an answer to a query of this class.
 fn response(answer: Option<Answer>, class: usize) -> Response {
     let (response, end) = match answer {
-        Some(Answer::NameTaken) => (Response::text(409, "Req-Id belongs to an open request\n"), End::Errors),
+        Some(Answer::NameTaken) => (
+            Response::text(409, "Req-Id belongs to an open request\n"),
+            End::Errors,
+        ),
         Some(Answer::Served { full, pieces, .. }) => match served(full, &pieces) {
             Some(body) => (Response::json(200, body), End::Ok),
-            None => (Response::text(502, "a host's value is no text\n"), End::Errors),
+            None => (
+                Response::text(502, "a host's value is no text\n"),
+                End::Errors,
+            ),
         },
-        Some(Answer::Refused { retry_after, .. }) => {
-            (Response::text(429, "refused\n").retry_after(retry_after), End::Shed)
-        }
-        Some(Answer::Failed { retry_after, .. }) => {
-            (Response::text(504, "failed\n").retry_after(retry_after), End::Errors)
-        }
+        Some(Answer::Refused { retry_after, .. }) => (
+            Response::text(429, "refused\n").retry_after(retry_after),
+            End::Shed,
+        ),
+        Some(Answer::Failed { retry_after, .. }) => (
+            Response::text(504, "failed\n").retry_after(retry_after),
+            End::Errors,
+        ),
         None => (Response::text(500, "stopping\n"), End::Errors),
     };
     response.ends(class, end)
@@ -186,10 +220,12 @@
         let done = |r: Response| -> Answering { Box::pin(std::future::ready(r)) };
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/_health") => {
-                return done(match self.readiness.as_ref().and_then(Readiness::obstacle) {
-                    None => Response::text(200, "ok\n"),
-                    Some(why) => Response::text(503, format!("{why}\n")),
-                })
+                return done(
+                    match self.readiness.as_ref().and_then(Readiness::obstacle) {
+                        None => Response::text(200, "ok\n"),
+                        Some(why) => Response::text(503, format!("{why}\n")),
+                    },
+                )
             }
             ("GET", "/_counters") => return done(Response::text(200, self.counters.text())),
             (_, "/_health" | "/_counters") => return done(self.error(405, "only GET here")),
--- a/crates/coordinator/src/logger.rs
+++ b/crates/coordinator/src/logger.rs
@@ -19,7 +19,13 @@
 }
 
 /// The crates whose records are written: our own. Libraries log for their own developers.
-const LOGGED_CRATES: [&str; 5] = ["coordinator", "fake_hosts", "fennelpin", "load_test", "multi_core"];
+const LOGGED_CRATES: [&str; 5] = [
+    "coordinator",
+    "fake_hosts",
+    "fennelpin",
+    "load_test",
+    "multi_core",
+];
 
 struct Logger(Format);
 
@@ -48,10 +54,17 @@
 
 impl<'kvs> VisitSource<'kvs> for JsonPairs<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
-        let json = value.to_u64().map(Json::from).or_else(|| value.to_i64().map(Json::from));
-        let json =
-            json.or_else(|| value.to_f64().map(Json::from)).or_else(|| value.to_bool().map(Json::from));
-        self.0.insert(key.to_string(), json.unwrap_or_else(|| value.to_string().into()));
+        let json = value
+            .to_u64()
+            .map(Json::from)
+            .or_else(|| value.to_i64().map(Json::from));
+        let json = json
+            .or_else(|| value.to_f64().map(Json::from))
+            .or_else(|| value.to_bool().map(Json::from));
+        self.0.insert(
+            key.to_string(),
+            json.unwrap_or_else(|| value.to_string().into()),
+        );
         Ok(())
     }
 }
@@ -93,7 +106,9 @@
 
     fn log(&self, record: &Record) {
         if self.enabled(record.metadata()) {
-            let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            let now = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
             // A log that can't be written must not stop the service.
             let _ = writeln!(std::io::stderr().lock(), "{}", self.0.line(now, record));
         }
@@ -115,7 +130,11 @@
     use super::*;
 
     fn lines(format: Format) -> String {
-        let pairs = [("end", Value::from("host_closed")), ("detail", "a \"b\"".into()), ("parts", 3.into())];
+        let pairs = [
+            ("end", Value::from("host_closed")),
+            ("detail", "a \"b\"".into()),
+            ("parts", 3.into()),
+        ];
         let record = Record::builder()
             .args(format_args!("host"))
             .level(log::Level::Info)
@@ -127,7 +146,10 @@
 
     #[test]
     fn text_lines_end_in_pairs_that_can_be_told_apart() {
-        assert_eq!(lines(Format::Text), "1.500 INFO host end=host_closed detail=\"a \\\"b\\\"\" parts=3");
+        assert_eq!(
+            lines(Format::Text),
+            "1.500 INFO host end=host_closed detail=\"a \\\"b\\\"\" parts=3"
+        );
     }
 
     #[test]
--- a/crates/coordinator/src/net/backoff.rs
+++ b/crates/coordinator/src/net/backoff.rs
@@ -28,12 +28,19 @@
     ) -> Self {
         let times = (f64::from(fleet.max(1)) / f64::from(even.max(1))).max(1.0);
         let bound = |d: Duration| d.mul_f64(times).min(longest.max(d));
-        Self { rng: Pcg64Mcg::seed_from_u64(seed), least: bound(least), most: bound(most), failures: 0 }
+        Self {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            least: bound(least),
+            most: bound(most),
+            failures: 0,
+        }
     }
 
     /// The bound of the next wait.
     pub fn bound(&self) -> Duration {
-        self.least.saturating_mul(1 << self.failures.min(16)).min(self.most)
+        self.least
+            .saturating_mul(1 << self.failures.min(16))
+            .min(self.most)
     }
 
     /// How long to wait before the very first call, up to `spread` and the last bound.
@@ -67,15 +74,27 @@
     const BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
 
     fn fleet(n: u32, bounds: (Duration, Duration)) -> Vec<Backoff> {
-        (0..n).map(|i| Backoff::new(u64::from(i) * 7919 + 1, n, bounds, 5, Duration::from_secs(10))).collect()
+        (0..n)
+            .map(|i| {
+                Backoff::new(
+                    u64::from(i) * 7919 + 1,
+                    n,
+                    bounds,
+                    5,
+                    Duration::from_secs(10),
+                )
+            })
+            .collect()
     }
 
     /// Coordinators that lost a service at one moment call it until each got through; the service takes
     /// `rate` calls a second in turn, and a call that waited for 2 s has failed and was work all the same.
     /// Gives how many got through within `within`, in milliseconds.
     fn through(mut fleet: Vec<Backoff>, rate: u64, within: u64) -> usize {
-        let mut calls: Vec<Option<u64>> =
-            fleet.iter_mut().map(|b| Some(b.failed().as_millis() as u64)).collect();
+        let mut calls: Vec<Option<u64>> = fleet
+            .iter_mut()
+            .map(|b| Some(b.failed().as_millis() as u64))
+            .collect();
         let (mut queue, mut next, mut done) = (std::collections::VecDeque::new(), 0, 0);
         for now in 0..within {
             for (who, call) in calls.iter_mut().enumerate().filter(|c| *c.1 == Some(now)) {
@@ -83,7 +102,9 @@
                 *call = None;
             }
             if next <= now {
-                let Some((since, who)) = queue.pop_front() else { continue };
+                let Some((since, who)) = queue.pop_front() else {
+                    continue;
+                };
                 next = now + 1000 / rate;
                 match now - since < 2000 {
                     true => done += 1,
@@ -99,8 +120,9 @@
         let n = through(fleet(100, BOUNDS), 15, 15_000);
         assert!(n >= 95, "{n} of 100 got through");
         // The mend is the fleet's share in the bounds: each by itself as quick as one of three, most wait in vain.
-        let alone: Vec<Backoff> =
-            (0..100).map(|i| Backoff::new(i, 1, BOUNDS, 5, Duration::from_secs(10))).collect();
+        let alone: Vec<Backoff> = (0..100)
+            .map(|i| Backoff::new(i, 1, BOUNDS, 5, Duration::from_secs(10)))
+            .collect();
         let n = through(alone, 15, 15_000);
         assert!(n < 70, "{n} of 100 got through without it");
     }
--- a/crates/coordinator/src/net/conn.rs
+++ b/crates/coordinator/src/net/conn.rs
@@ -19,11 +19,20 @@
     /// Wraps a connected socket. Small messages go out at once.
     pub fn new(stream: TcpStream, input: usize, output: usize) -> Self {
         let _ = stream.set_nodelay(true);
-        Self { stream, input: Ring::new(input), output: Ring::new(output) }
+        Self {
+            stream,
+            input: Ring::new(input),
+            output: Ring::new(output),
+        }
     }
 
     /// Connects within a time.
-    pub async fn connect(addr: &str, within: Duration, input: usize, output: usize) -> io::Result<Self> {
+    pub async fn connect(
+        addr: &str,
+        within: Duration,
+        input: usize,
+        output: usize,
+    ) -> io::Result<Self> {
         match tokio::time::timeout(within, TcpStream::connect(addr)).await {
             Ok(stream) => Ok(Self::new(stream?, input, output)),
             Err(_) => Err(io::ErrorKind::TimedOut.into()),
@@ -33,7 +42,10 @@
     /// Reads once; 0 is the end of the stream. Nothing is lost if this is dropped half-way.
     pub async fn fill(&mut self) -> io::Result<usize> {
         if self.input.free() == 0 {
-            return Err(io::Error::new(io::ErrorKind::OutOfMemory, "the input ring is full"));
+            return Err(io::Error::new(
+                io::ErrorKind::OutOfMemory,
+                "the input ring is full",
+            ));
         }
         loop {
             self.stream.readable().await?;
--- a/crates/coordinator/src/net/dns_sd.rs
+++ b/crates/coordinator/src/net/dns_sd.rs
@@ -49,7 +49,11 @@
 impl Cache {
     /// Nothing known of this service yet.
     pub fn new(service: Name) -> Self {
-        Self { service: service.to_lowercase(), records: BTreeMap::new(), asked: BTreeMap::new() }
+        Self {
+            service: service.to_lowercase(),
+            records: BTreeMap::new(),
+            asked: BTreeMap::new(),
+        }
     }
 
     /// Takes a response; true if it held anything of use.
@@ -66,9 +70,15 @@
 
     fn record(&mut self, r: &Record, fresh: &mut BTreeSet<Key>, now: Instant) {
         let kind = r.data.record_type();
-        let wanted = matches!(kind, RecordType::PTR | RecordType::SRV | RecordType::TXT | RecordType::A);
+        let wanted = matches!(
+            kind,
+            RecordType::PTR | RecordType::SRV | RecordType::TXT | RecordType::A
+        );
         let name = r.name.to_lowercase();
-        if !wanted || r.dns_class != DNSClass::IN || (kind == RecordType::PTR && name != self.service) {
+        if !wanted
+            || r.dns_class != DNSClass::IN
+            || (kind == RecordType::PTR && name != self.service)
+        {
             return;
         }
         let key = (name, kind);
@@ -91,7 +101,11 @@
         set.retain(|h| h.data != r.data);
         if count < MOST_RECORDS {
             let ttl = Duration::from_secs(r.ttl.into()).min(LONGEST);
-            set.push(Held { data: r.data.clone(), until: now + ttl, refresh: now + ttl.mul_f64(REFRESH) });
+            set.push(Held {
+                data: r.data.clone(),
+                until: now + ttl,
+                refresh: now + ttl.mul_f64(REFRESH),
+            });
         }
         self.asked.remove(&key);
     }
@@ -105,42 +119,64 @@
     }
 
     fn get(&self, name: &Name, kind: RecordType) -> &[Held] {
-        self.records.get(&(name.to_lowercase(), kind)).map_or(&[], Vec::as_slice)
+        self.records
+            .get(&(name.to_lowercase(), kind))
+            .map_or(&[], Vec::as_slice)
     }
 
     fn instances(&self) -> impl Iterator<Item = &Name> {
-        self.get(&self.service, RecordType::PTR).iter().filter_map(|h| match &h.data {
-            RData::PTR(ptr) => Some(&ptr.0),
-            _ => None,
-        })
+        self.get(&self.service, RecordType::PTR)
+            .iter()
+            .filter_map(|h| match &h.data {
+                RData::PTR(ptr) => Some(&ptr.0),
+                _ => None,
+            })
     }
 
     fn target(&self, instance: &Name) -> Option<(&Name, u16)> {
-        let srv = self.get(instance, RecordType::SRV).iter().filter_map(|h| match &h.data {
-            RData::SRV(srv) => Some(srv),
-            _ => None,
-        });
+        let srv = self
+            .get(instance, RecordType::SRV)
+            .iter()
+            .filter_map(|h| match &h.data {
+                RData::SRV(srv) => Some(srv),
+                _ => None,
+            });
         srv.min_by_key(|s| s.priority).map(|s| (&s.target, s.port))
     }
 
     /// A host is listed once all its records are in.
     fn host(&self, instance: &Name) -> Option<Listed> {
         let (target, port) = self.target(instance)?;
-        let ip = self.get(target, RecordType::A).iter().find_map(|h| match &h.data {
-            RData::A(a) => Some(a.0),
-            _ => None,
-        })?;
-        let txt = self.get(instance, RecordType::TXT).iter().find_map(|h| match &h.data {
-            RData::TXT(txt) => Some(txt),
-            _ => None,
-        })?;
+        let ip = self
+            .get(target, RecordType::A)
+            .iter()
+            .find_map(|h| match &h.data {
+                RData::A(a) => Some(a.0),
+                _ => None,
+            })?;
+        let txt = self
+            .get(instance, RecordType::TXT)
+            .iter()
+            .find_map(|h| match &h.data {
+                RData::TXT(txt) => Some(txt),
+                _ => None,
+            })?;
         let mut keys = BTreeMap::new();
-        for pair in txt.txt_data.iter().filter_map(|t| std::str::from_utf8(t).ok()) {
+        for pair in txt
+            .txt_data
+            .iter()
+            .filter_map(|t| std::str::from_utf8(t).ok())
+        {
             let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
             // Of a key that comes twice the first counts (RFC 6763, 6.4).
             keys.entry(key.to_ascii_lowercase()).or_insert(value);
         }
-        let label = || instance.iter().next().map(|l| String::from_utf8_lossy(l).into_owned());
+        let label = || {
+            instance
+                .iter()
+                .next()
+                .map(|l| String::from_utf8_lossy(l).into_owned())
+        };
         Some(Listed {
             id: keys.get("id").map(|id| (*id).to_owned()).or_else(label)?,
             addr: format!("{ip}:{port}"),
@@ -150,7 +186,10 @@
                 "Ready" => ServerState::Ready,
                 _ => ServerState::Draining,
             },
-            up_since_ms: keys.get("up_since_ms").and_then(|t| t.parse().ok()).unwrap_or(0),
+            up_since_ms: keys
+                .get("up_since_ms")
+                .and_then(|t| t.parse().ok())
+                .unwrap_or(0),
         })
     }
 
@@ -166,7 +205,10 @@
         let mut keys = vec![(self.service.clone(), RecordType::PTR)];
         for i in self.instances() {
             keys.extend([(i.clone(), RecordType::SRV), (i.clone(), RecordType::TXT)]);
-            keys.extend(self.target(i).map(|(target, _)| (target.clone(), RecordType::A)));
+            keys.extend(
+                self.target(i)
+                    .map(|(target, _)| (target.clone(), RecordType::A)),
+            );
         }
         keys
     }
@@ -175,7 +217,11 @@
     fn due(&self, key: &Key, now: Instant) -> Instant {
         let held = self.get(&key.0, key.1);
         // Its refresh, not its end: records on their way out need no question.
-        let live = held.iter().filter(|h| h.refresh < h.until).map(|h| h.refresh).min();
+        let live = held
+            .iter()
+            .filter(|h| h.refresh < h.until)
+            .map(|h| h.refresh)
+            .min();
         let due = live.unwrap_or(if held.is_empty() { now } else { held[0].until });
         self.asked.get(key).map_or(due, |a| due.max(a.next))
     }
@@ -184,10 +230,22 @@
     pub fn questions(&mut self, now: Instant) -> Vec<Key> {
         let wanted = self.wanted();
         self.asked.retain(|k, _| wanted.contains(k));
-        let due: Vec<Key> = wanted.into_iter().filter(|k| self.due(k, now) <= now).collect();
+        let due: Vec<Key> = wanted
+            .into_iter()
+            .filter(|k| self.due(k, now) <= now)
+            .collect();
         for key in &due {
-            let wait = self.asked.get(key).map_or(BACKOFF.0, |a| (a.wait * 2).min(BACKOFF.1));
-            self.asked.insert(key.clone(), Asked { next: now + wait, wait });
+            let wait = self
+                .asked
+                .get(key)
+                .map_or(BACKOFF.0, |a| (a.wait * 2).min(BACKOFF.1));
+            self.asked.insert(
+                key.clone(),
+                Asked {
+                    next: now + wait,
+                    wait,
+                },
+            );
         }
         due
     }
@@ -195,7 +253,11 @@
     /// When there is something to do next.
     pub fn next(&self, now: Instant) -> Instant {
         let ends = self.records.values().flatten().map(|h| h.until);
-        let questions = self.wanted().into_iter().map(|k| self.due(&k, now)).collect::<Vec<_>>();
+        let questions = self
+            .wanted()
+            .into_iter()
+            .map(|k| self.due(&k, now))
+            .collect::<Vec<_>>();
         ends.chain(questions).min().unwrap_or(now + BACKOFF.1)
     }
 }
@@ -249,7 +311,8 @@
                     let _ = socket.send(&bytes).await;
                 }
             }
-            let next = tokio::time::Instant::from_std(cache.next(now).max(now + Duration::from_millis(5)));
+            let next =
+                tokio::time::Instant::from_std(cache.next(now).max(now + Duration::from_millis(5)));
             tokio::select! {
                 got = socket.recv(&mut buffer) => match got {
                     Ok(n) => match Message::from_vec(&buffer[..n]) {
--- a/crates/coordinator/src/net/frames.rs
+++ b/crates/coordinator/src/net/frames.rs
@@ -57,7 +57,12 @@
     for p in parts {
         let wait = p.give_up.saturating_duration_since(now).as_millis().max(1);
         let key = p.key.as_ref().map_or(String::new(), |k| format!(",k={k}"));
-        let line = format!("{} {} d={wait}{key} {}\n", part_id(p), p.shard, p.payload.len());
+        let line = format!(
+            "{} {} d={wait}{key} {}\n",
+            part_id(p),
+            p.shard,
+            p.payload.len()
+        );
         length += line.len() + p.payload.len();
         pieces.extend([Bytes::from(line), p.payload.clone()]);
     }
@@ -84,13 +89,18 @@
 /// Takes the next frame off the front of `bytes`, if all of it is there. One that can't become a good frame
 /// is an error as soon as that shows: waiting for the rest of it would cost its part's whole time.
 pub fn next(bytes: &mut BytesMut) -> Result<Option<Reply>, FrameError> {
-    let Some(length) = bytes.first_chunk::<4>().map(|n| u32::from_be_bytes(*n) as usize) else {
+    let Some(length) = bytes
+        .first_chunk::<4>()
+        .map(|n| u32::from_be_bytes(*n) as usize)
+    else {
         return Ok(None);
     };
     if length == 0 || length > MOST_FRAME {
         return Err(FrameError::Length(length));
     }
-    let Some(letter) = bytes.get(4).copied() else { return Ok(None) };
+    let Some(letter) = bytes.get(4).copied() else {
+        return Ok(None);
+    };
     let bad = || FrameError::Rest(char::from(letter));
     let text = |b: &[u8]| std::str::from_utf8(b).map(str::to_owned).map_err(|_| bad());
     let here = &bytes[5..bytes.len().min(4 + length)];
@@ -100,7 +110,8 @@
             if end.is_none() && (here.len() >= MOST_LINE || here.len() + 1 == length) {
                 return Err(bad());
             }
-            end.map(|end| answer_line(&text(&here[..end])?).ok_or_else(bad)).transpose()?
+            end.map(|end| answer_line(&text(&here[..end])?).ok_or_else(bad))
+                .transpose()?
         }
         b'p' | b'l' | b'e' if length <= MOST_LINE => None,
         b'p' | b'l' | b'e' => return Err(bad()),
@@ -114,7 +125,12 @@
     Ok(Some(match (letter, line) {
         (b'a', Some((id, outcome, report, end))) => {
             rest.advance(end);
-            Reply::Part { id, outcome, value: rest, report }
+            Reply::Part {
+                id,
+                outcome,
+                value: rest,
+                report,
+            }
         }
         (b'e', _) => Reply::Refused(text(&rest)?),
         _ => match text(&rest)?.as_str() {
@@ -128,7 +144,9 @@
 /// The line of an answer: the part's name, its outcome, the report, and where the value begins.
 fn answer_line(line: &str) -> Option<(String, Outcome, Option<LoadReport>, usize)> {
     let fields: Vec<&str> = line.split(' ').collect();
-    let [id, end_word, _score, load] = fields[..] else { return None };
+    let [id, end_word, _score, load] = fields[..] else {
+        return None;
+    };
     let outcome = match end_word {
         "served" => Outcome::Ok,
         "broke" => Outcome::Error,
--- a/crates/coordinator/src/net/http/client.rs
+++ b/crates/coordinator/src/net/http/client.rs
@@ -43,7 +43,11 @@
         if conn.input.is_empty() {
             conn.input.give_back();
             conn.output.give_back();
-            let idle = if shared.crowded(ROOMY) { IDLE.1 } else { IDLE.0 };
+            let idle = if shared.crowded(ROOMY) {
+                IDLE.1
+            } else {
+                IDLE.0
+            };
             let end = since + if served == 0 { SLOW_REQUEST } else { idle };
             tokio::select! {
                 biased;
@@ -90,16 +94,29 @@
         } else {
             answer_or_gone(&mut conn, || shared.service.answer(request)).await
         };
-        let Some(answer) = answer else { return (served, "client_gone") };
+        let Some(answer) = answer else {
+            return (served, "client_gone");
+        };
         log::trace!("answered {} after {:?}", answer.status, arrived.elapsed());
         // 429 and the fives are answers to queries; the other fours are for what was none.
-        bad = if (400..429).contains(&answer.status) { bad + 1 } else { 0 };
+        bad = if (400..429).contains(&answer.status) {
+            bad + 1
+        } else {
+            0
+        };
         let stopping = *closing.borrow();
         let replaced = shared.limits.replaced();
         if !keep || over || stopping || replaced || shared.limits.one_call {
             finish(&mut conn, &answer, &shared.counters).await;
-            let codes = [(stopping, "stopping"), (over, "at_cap"), (replaced, "replaced")];
-            return (served, codes.iter().find(|c| c.0).map_or("asked_to_close", |c| c.1));
+            let codes = [
+                (stopping, "stopping"),
+                (over, "at_cap"),
+                (replaced, "replaced"),
+            ];
+            return (
+                served,
+                codes.iter().find(|c| c.0).map_or("asked_to_close", |c| c.1),
+            );
         }
         match tokio::time::timeout(SLOW_CLIENT, write(&mut conn, &answer, false)).await {
             Ok(Ok(())) => tally(&answer, &shared.counters),
@@ -116,7 +133,10 @@
 
 /// The answer is its client's now: what ends with it counts.
 fn tally(answer: &Response, counters: &Counters) {
-    answer.ends.iter().for_each(|(class, end)| counters.ended(*class, *end));
+    answer
+        .ends
+        .iter()
+        .for_each(|(class, end)| counters.ended(*class, *end));
 }
 
 /// A last answer, and then no more.
--- a/crates/coordinator/src/net/http/incoming.rs
+++ b/crates/coordinator/src/net/http/incoming.rs
@@ -34,7 +34,12 @@
     pub async fn accept(&mut self) -> std::io::Result<(TcpStream, SocketAddr)> {
         loop {
             // The other end of the watch goes only where there is never another process.
-            if self.beside.wait_for(|b| *b != Beside::Replaced).await.is_err() {
+            if self
+                .beside
+                .wait_for(|b| *b != Beside::Replaced)
+                .await
+                .is_err()
+            {
                 return self.listener.accept().await;
             }
             tokio::select! {
@@ -54,7 +59,9 @@
 }
 
 impl Incoming {
-    pub(super) async fn accept(&mut self) -> std::io::Result<(TcpStream, SocketAddr, Option<Guard>)> {
+    pub(super) async fn accept(
+        &mut self,
+    ) -> std::io::Result<(TcpStream, SocketAddr, Option<Guard>)> {
         match self {
             Self::Listener(l) => l.accept().await.map(|(stream, from)| (stream, from, None)),
             Self::Handed(mail) => match mail.recv().await {
--- a/crates/coordinator/src/net/http/message.rs
+++ b/crates/coordinator/src/net/http/message.rs
@@ -72,8 +72,11 @@
 
 impl Headers {
     pub(super) fn of(fields: Fields) -> Result<Self, HttpError> {
-        let text = fields.iter().all(|(_, value)| std::str::from_utf8(value).is_ok());
-        text.then_some(Self(fields)).ok_or(HttpError::Malformed("header"))
+        let text = fields
+            .iter()
+            .all(|(_, value)| std::str::from_utf8(value).is_ok());
+        text.then_some(Self(fields))
+            .ok_or(HttpError::Malformed("header"))
     }
 
     /// The value of the first header of this name, whatever its case.
@@ -104,7 +107,8 @@
 impl Request {
     /// The time that is left for it, where the process is about to end.
     pub fn left(&self) -> Option<Duration> {
-        self.latest.map(|l| l.saturating_duration_since(self.arrived))
+        self.latest
+            .map(|l| l.saturating_duration_since(self.arrived))
     }
 }
 
@@ -133,7 +137,12 @@
     }
 
     fn of_type(kind: &str, status: u16, body: Bytes) -> Self {
-        Self { status, headers: vec![("Content-Type", kind.into())], body, ends: Vec::new() }
+        Self {
+            status,
+            headers: vec![("Content-Type", kind.into())],
+            body,
+            ends: Vec::new(),
+        }
     }
 
     /// A request of this class ends with it.
@@ -158,12 +167,19 @@
 
     pub(super) fn head(&self, close: bool) -> String {
         let reason = http1::reason(self.status);
-        let mut head =
-            format!("HTTP/1.1 {} {reason}\r\nContent-Length: {}\r\n", self.status, self.body.len());
+        let mut head = format!(
+            "HTTP/1.1 {} {reason}\r\nContent-Length: {}\r\n",
+            self.status,
+            self.body.len()
+        );
         for (name, value) in &self.headers {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
-        head.push_str(if close { "Connection: close\r\n\r\n" } else { "\r\n" });
+        head.push_str(if close {
+            "Connection: close\r\n\r\n"
+        } else {
+            "\r\n"
+        });
         head
     }
 }
--- a/crates/coordinator/src/net/http/read.rs
+++ b/crates/coordinator/src/net/http/read.rs
@@ -7,7 +7,10 @@
 use http1::{Framing, HeadLimits, RequestHead, ResponseHead, Step};
 use std::time::Instant;
 
-const MOST_HEAD: HeadLimits = HeadLimits { bytes: INPUT, fields: 64 };
+const MOST_HEAD: HeadLimits = HeadLimits {
+    bytes: INPUT,
+    fields: 64,
+};
 
 async fn more(conn: &mut Conn, started: bool) -> Result<(), HttpError> {
     match conn.fill().await? {
@@ -18,7 +21,9 @@
 }
 
 fn request_head(conn: &mut Conn) -> Result<Option<RequestHead>, HttpError> {
-    let Some((head, n)) = RequestHead::read(conn.input.contiguous(), MOST_HEAD)? else { return Ok(None) };
+    let Some((head, n)) = RequestHead::read(conn.input.contiguous(), MOST_HEAD)? else {
+        return Ok(None);
+    };
     conn.input.consume(n);
     Ok(Some(head))
 }
@@ -45,12 +50,17 @@
 
 impl Body {
     fn new(framing: Framing) -> Self {
-        Self { framing, body: http1::Body::new(framing) }
+        Self {
+            framing,
+            body: http1::Body::new(framing),
+        }
     }
 
     /// The body of a response with these headers.
     pub fn of_response(headers: &Headers) -> Result<Self, HttpError> {
-        Ok(Self::new(Framing::of(&headers.0)?.unwrap_or(Framing::UntilEnd)))
+        Ok(Self::new(
+            Framing::of(&headers.0)?.unwrap_or(Framing::UntilEnd),
+        ))
     }
 
     /// Whether its length is told and beyond a limit.
@@ -61,7 +71,11 @@
     /// Appends what comes next to `out`; false at the end.
     pub async fn next(&mut self, conn: &mut Conn, out: &mut BytesMut) -> Result<bool, HttpError> {
         loop {
-            let input = if self.body.in_data() { conn.input.first() } else { conn.input.contiguous() };
+            let input = if self.body.in_data() {
+                conn.input.first()
+            } else {
+                conn.input.contiguous()
+            };
             match self.body.step(input)? {
                 Step::Data(n) => {
                     out.extend_from_slice(input.get(..n).unwrap_or_default());
@@ -93,7 +107,10 @@
     }
 }
 
-pub(super) async fn read_request(conn: &mut Conn, most: usize) -> Result<(Request, bool), HttpError> {
+pub(super) async fn read_request(
+    conn: &mut Conn,
+    most: usize,
+) -> Result<(Request, bool), HttpError> {
     let head = loop {
         if !conn.input.is_empty() {
             if let Some(head) = request_head(conn)? {
@@ -119,5 +136,16 @@
     let (path, query) = target.split_once('?').unwrap_or((&target, ""));
     let (path, query) = (path.to_owned(), query.to_owned());
     let (arrived, latest) = (Instant::now(), None);
-    Ok((Request { method, path, query, headers, body, arrived, latest }, keep))
+    Ok((
+        Request {
+            method,
+            path,
+            query,
+            headers,
+            body,
+            arrived,
+            latest,
+        },
+        keep,
+    ))
 }
--- a/crates/coordinator/src/net/http/seats.rs
+++ b/crates/coordinator/src/net/http/seats.rs
@@ -49,7 +49,12 @@
     pub(super) fn take(&mut self, now: Instant) -> (u64, Arc<Notify>) {
         self.next += 1;
         let leave = Arc::new(Notify::new());
-        let seat = Seat { phase: Phase::Asking, since: now, leaving: false, leave: leave.clone() };
+        let seat = Seat {
+            phase: Phase::Asking,
+            since: now,
+            leaving: false,
+            leave: leave.clone(),
+        };
         self.taken.insert(self.next, seat);
         (self.next, leave)
     }
@@ -66,7 +71,10 @@
 
     /// How many stand idle, without those that were asked to leave.
     pub(super) fn idlers(&self) -> usize {
-        self.taken.values().filter(|s| s.phase == Phase::Idle && !s.leaving).count()
+        self.taken
+            .values()
+            .filter(|s| s.phase == Phase::Idle && !s.leaving)
+            .count()
     }
 
     /// Whether this one was asked to leave and still has nothing to say.
@@ -89,7 +97,12 @@
     /// after its one request, must not keep others out. Unless `full`, only one that stands idle goes.
     /// Whether it goes is seen once its client's connection has been looked at: a request that waits there
     /// unread, as after a standstill of this process, keeps it its seat.
-    pub(super) fn make_room(&mut self, now: Instant, full: bool, patience: Duration) -> Option<u64> {
+    pub(super) fn make_room(
+        &mut self,
+        now: Instant,
+        full: bool,
+        patience: Duration,
+    ) -> Option<u64> {
         let goes = |s: &Seat| match s.phase {
             Phase::Asking => full && now - s.since >= patience,
             Phase::Idle => now - s.since >= MAKES_ROOM,
--- a/crates/coordinator/src/net/http/server.rs
+++ b/crates/coordinator/src/net/http/server.rs
@@ -44,7 +44,8 @@
 
     /// Asks the connection that has been of no use for longest to leave.
     fn make_room(&self, full: bool) -> Option<u64> {
-        self.seats().make_room(Instant::now(), full, self.limits.patience)
+        self.seats()
+            .make_room(Instant::now(), full, self.limits.patience)
     }
 
     /// Whether a request is refused for want of seats, as the one that was to leave for it has not, and no
@@ -125,13 +126,24 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let (clients, seats, latest) = Default::default();
-    let shared = Arc::new(Shared { service, counters, limits, clients, seats, latest });
+    let shared = Arc::new(Shared {
+        service,
+        counters,
+        limits,
+        clients,
+        seats,
+        latest,
+    });
     let (close, closing) = watch::channel(false);
     let mut beside = shared.limits.beside.clone();
     let mut has_other = beside.has_changed().is_ok();
     let mut stopped: Option<Instant> = None;
     loop {
-        let rest = if stopped.is_some() { Duration::from_millis(50) } else { Duration::from_secs(3600) };
+        let rest = if stopped.is_some() {
+            Duration::from_millis(50)
+        } else {
+            Duration::from_secs(3600)
+        };
         tokio::select! {
             came = incoming.accept() => match came {
                 Ok(came) => shared.welcome(came, &closing),
@@ -160,7 +172,8 @@
             break;
         }
         // A crowd that leaves at once must have left before more of it come.
-        if shared.limits.one_call && shared.clients.load(Ordering::Relaxed) >= shared.limits.clients {
+        if shared.limits.one_call && shared.clients.load(Ordering::Relaxed) >= shared.limits.clients
+        {
             tokio::task::yield_now().await;
         }
     }
--- a/crates/coordinator/src/net/http/stay.rs
+++ b/crates/coordinator/src/net/http/stay.rs
@@ -31,7 +31,10 @@
 
 /// The answer to a request, or `None` if its client has gone before it is asked for, or goes first. A client
 /// that sends on is left to wait. What a client leaves behind in one go, request and end, is not begun.
-pub(super) async fn answer_or_gone(conn: &mut Conn, ask: impl FnOnce() -> Answering) -> Option<Response> {
+pub(super) async fn answer_or_gone(
+    conn: &mut Conn,
+    ask: impl FnOnce() -> Answering,
+) -> Option<Response> {
     let at_first = known(conn).await;
     if !stays(conn, at_first) {
         return None;
--- a/crates/coordinator/src/net/link/connection.rs
+++ b/crates/coordinator/src/net/link/connection.rs
@@ -103,8 +103,11 @@
 
     /// Tells the core of what was withdrawn by some time, or of all.
     pub(super) fn tell_left(&mut self, by: Option<Instant>) {
-        while let Some((_, part, attempt, outcome)) =
-            self.left.front().copied().filter(|l| by.is_none_or(|t| l.0 <= t))
+        while let Some((_, part, attempt, outcome)) = self
+            .left
+            .front()
+            .copied()
+            .filter(|l| by.is_none_or(|t| l.0 <= t))
         {
             self.left.pop_front();
             self.setup.ended(part, attempt, outcome);
@@ -151,18 +154,34 @@
                 };
                 continue;
             }
-            let behind = self.sending.as_ref().is_some_and(|s| !s.given_up.is_empty());
+            let behind = self
+                .sending
+                .as_ref()
+                .is_some_and(|s| !s.given_up.is_empty());
             if (behind || !self.leaving.is_empty()) && now - self.leaving_since > CANCEL_WAIT {
                 return ("withdrawn", "a withdrawal could not be written".into());
             }
-            let probe_late = self.probes.front().is_some_and(|t| now - *t > self.setup.connect_timeout);
+            let probe_late = self
+                .probes
+                .front()
+                .is_some_and(|t| now - *t > self.setup.connect_timeout);
             if probe_late {
                 self.probes.clear();
                 self.probed(Outcome::Timeout, None);
                 self.setup.gauge.silent.store(true, Ordering::Relaxed);
             }
-            if self.setup.pace.lost(self.setup.gauge.waits(), self.setup.connect_timeout) {
-                return ("silent", format!("{} parts out, later ones answered elsewhere", self.out.len()));
+            if self
+                .setup
+                .pace
+                .lost(self.setup.gauge.waits(), self.setup.connect_timeout)
+            {
+                return (
+                    "silent",
+                    format!(
+                        "{} parts out, later ones answered elsewhere",
+                        self.out.len()
+                    ),
+                );
             }
             let waits = !self.queue.is_empty() || self.gone > self.setup.streams / 4;
             let still = self.sending.is_none() && self.out.is_empty() && self.probes.is_empty();
@@ -170,10 +189,20 @@
                 return ("worn", format!("{} parts given up", self.gone));
             }
             // A link that keeps silent carries no new calls; once nothing is out on it, it is of no use.
-            if self.setup.gauge.silent.load(Ordering::Relaxed) && !self.busy() && self.leaving.is_empty() {
-                return (if self.spoilt { "extra_bytes" } else { "silent" }, String::new());
+            if self.setup.gauge.silent.load(Ordering::Relaxed)
+                && !self.busy()
+                && self.leaving.is_empty()
+            {
+                return (
+                    if self.spoilt { "extra_bytes" } else { "silent" },
+                    String::new(),
+                );
             }
-            let tick = if self.busy() || !self.leaving.is_empty() { Duration::from_millis(50) } else { wait };
+            let tick = if self.busy() || !self.leaving.is_empty() {
+                Duration::from_millis(50)
+            } else {
+                wait
+            };
             let tick = self.left.front().map_or(tick, |l| tick.min(l.0 - now));
             let tick = match self.partial.is_empty() {
                 true => tick,
@@ -241,15 +270,24 @@
 
     pub(super) fn cancel(&mut self, part: RequestId, attempt: u32, outcome: Outcome) {
         let key = (part, attempt);
-        if let Some(id) = self.out.iter().find(|(_, o)| (o.part, o.attempt) == key).map(|(id, _)| id.clone())
+        if let Some(id) = self
+            .out
+            .iter()
+            .find(|(_, o)| (o.part, o.attempt) == key)
+            .map(|(id, _)| id.clone())
         {
             let sent = self.out.remove(&id).map(|o| o.sent);
             let (waits, now) = (self.setup.gauge.waits(), Instant::now());
-            let stalled = self.setup.pace.stalled(waits, now, self.setup.connect_timeout);
+            let stalled = self
+                .setup
+                .pace
+                .stalled(waits, now, self.setup.connect_timeout);
             if (outcome == Outcome::Timeout || stalled) && sent.is_some_and(|s| self.heard < s) {
                 self.setup.gauge.silent.store(true, Ordering::Relaxed);
             }
-            self.setup.gauge.set_waits(waits.filter(|_| !self.out.is_empty()));
+            self.setup
+                .gauge
+                .set_waits(waits.filter(|_| !self.out.is_empty()));
             self.small.push_back(frames::short(b'c', &id));
             remember(&mut self.given_up, id, REMEMBERED.1);
             self.gone += 1;
@@ -265,7 +303,11 @@
                 return;
             }
         }
-        take_unconnected(&mut self.setup, &mut self.queue, LinkMail::Cancel(part, attempt, outcome));
+        take_unconnected(
+            &mut self.setup,
+            &mut self.queue,
+            LinkMail::Cancel(part, attempt, outcome),
+        );
     }
 
     fn leave(&mut self, part: RequestId, attempt: u32, outcome: Outcome) {
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -125,7 +125,13 @@
 impl LinkSetup {
     /// Reports the end of a part that was handed to this link.
     pub fn ended(&self, part: RequestId, attempt: u32, outcome: Outcome) {
-        self.report(Ended { part, attempt, outcome, value: None, report: None });
+        self.report(Ended {
+            part,
+            attempt,
+            outcome,
+            value: None,
+            report: None,
+        });
     }
 
     /// The same with all that came along.
@@ -145,8 +151,10 @@
         let shut = |(gate, origin): &(Arc<Gate>, Instant)| {
             !gate.lets_through(now.saturating_duration_since(*origin).as_micros() as u64)
         };
-        let stopped = self.stop_at.is_some_and(|t| now >= t) || self.gate.as_ref().is_some_and(shut);
-        let (go, stay): (Vec<_>, Vec<_>) = call.into_iter().partition(|p| !stopped && now < p.give_up);
+        let stopped =
+            self.stop_at.is_some_and(|t| now >= t) || self.gate.as_ref().is_some_and(shut);
+        let (go, stay): (Vec<_>, Vec<_>) =
+            call.into_iter().partition(|p| !stopped && now < p.give_up);
         for p in stay {
             self.counters.inc("sent.withheld");
             self.ended(p.part, p.attempt, Outcome::Moot);
--- a/crates/coordinator/src/net/link/reading.rs
+++ b/crates/coordinator/src/net/link/reading.rs
@@ -10,7 +10,10 @@
 
 impl Link {
     pub(super) fn probed(&self, outcome: Outcome, report: Option<crate::LoadReport>) {
-        let _ = self.setup.core.send(Mail::Probed(self.setup.server, outcome, report));
+        let _ = self
+            .setup
+            .core
+            .send(Mail::Probed(self.setup.server, outcome, report));
     }
 
     pub(super) fn read(&mut self) -> Result<(), (&'static str, String)> {
@@ -21,12 +24,29 @@
         loop {
             match frames::next(&mut self.partial) {
                 Ok(None) => break,
-                Ok(Some(Reply::Part { id, outcome, value, report })) => {
-                    if let Some(Out { part, attempt, sent }) = self.out.remove(&id) {
+                Ok(Some(Reply::Part {
+                    id,
+                    outcome,
+                    value,
+                    report,
+                })) => {
+                    if let Some(Out {
+                        part,
+                        attempt,
+                        sent,
+                    }) = self.out.remove(&id)
+                    {
                         self.setup.pace.answered(sent, now);
                         // A copy of its own: a slice would keep the whole buffer it came in.
-                        let value = (outcome == Outcome::Ok).then(|| Bytes::copy_from_slice(&value));
-                        self.setup.report(Ended { part, attempt, outcome, value, report });
+                        let value =
+                            (outcome == Outcome::Ok).then(|| Bytes::copy_from_slice(&value));
+                        self.setup.report(Ended {
+                            part,
+                            attempt,
+                            outcome,
+                            value,
+                            report,
+                        });
                         remember(&mut self.answered, id, REMEMBERED.0);
                     } else if let Some(n) = self.given_up.iter().position(|g| *g == id) {
                         self.given_up.remove(n);
@@ -52,8 +72,13 @@
         if self.out.is_empty() && self.probes.is_empty() && !self.partial.is_empty() {
             return Err(("extra_bytes", String::new()));
         }
-        self.setup.gauge.silent.store(self.spoilt, Ordering::Relaxed);
-        self.setup.gauge.set_waits(Some(now).filter(|_| !self.out.is_empty()));
+        self.setup
+            .gauge
+            .silent
+            .store(self.spoilt, Ordering::Relaxed);
+        self.setup
+            .gauge
+            .set_waits(Some(now).filter(|_| !self.out.is_empty()));
         Ok(())
     }
 
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -24,7 +24,8 @@
             Err(e) => {
                 setup.mail.close();
                 setup.log_end("connect_failed", &e.to_string());
-                (0..held.probes).for_each(|_| take_unconnected(&mut setup, &mut queue, LinkMail::Probe));
+                (0..held.probes)
+                    .for_each(|_| take_unconnected(&mut setup, &mut queue, LinkMail::Probe));
                 refuse_all(&mut setup, queue);
                 return;
             }
@@ -40,9 +41,14 @@
         };
         link.setup.log_end(code, &detail);
         let closed = matches!(code, "host_closed" | "extra_bytes" | "worn");
-        link.setup.gauge.parts.fetch_sub(link.gone, Ordering::Relaxed);
+        link.setup
+            .gauge
+            .parts
+            .fetch_sub(link.gone, Ordering::Relaxed);
         if matches!(code, "host_closed" | "host_reset" | "write_failed") {
-            link.setup.pace.ended(link.heard, Instant::now(), link.setup.connect_timeout);
+            link.setup
+                .pace
+                .ended(link.heard, Instant::now(), link.setup.connect_timeout);
         } else {
             // The end is ours: the host has to see it before the core hears of it.
             let _ = link.conn.stream.shutdown().await;
@@ -50,7 +56,11 @@
         }
         let unused = link.sending.is_none() && link.out.is_empty() && closed;
         // A host that sends what can't be read is alive; the parts that waited there may have run.
-        link.fail_started(if SPOILT.contains(&code) { Outcome::Error } else { Outcome::Reset });
+        link.fail_started(if SPOILT.contains(&code) {
+            Outcome::Error
+        } else {
+            Outcome::Reset
+        });
         (setup, queue) = (link.setup, link.queue);
         // A host that closes an unused connection while a call is on its way to it has refused nothing.
         while let Some(mail) = unused.then(|| setup.mail.try_recv().ok()).flatten() {
@@ -103,13 +113,21 @@
     there
 }
 
-pub(super) fn take_unconnected(setup: &mut LinkSetup, queue: &mut VecDeque<Vec<CallPart>>, mail: LinkMail) {
+pub(super) fn take_unconnected(
+    setup: &mut LinkSetup,
+    queue: &mut VecDeque<Vec<CallPart>>,
+    mail: LinkMail,
+) {
     match mail {
         LinkMail::Call(parts) => queue.push_back(parts),
         LinkMail::Cancel(part, attempt, outcome) => {
             if take_out(queue, part, attempt) {
                 // Never sent, so never ran, whatever it was given up for.
-                let never = if outcome == Outcome::Timeout { Outcome::Moot } else { outcome };
+                let never = if outcome == Outcome::Timeout {
+                    Outcome::Moot
+                } else {
+                    outcome
+                };
                 setup.ended(part, attempt, never);
             }
         }
--- a/crates/coordinator/src/net/link/writing.rs
+++ b/crates/coordinator/src/net/link/writing.rs
@@ -25,7 +25,10 @@
             }
             // Short frames go between calls, never into one.
             while self.sending.is_none()
-                && self.small.front().is_some_and(|f| f.len() <= self.conn.output.free())
+                && self
+                    .small
+                    .front()
+                    .is_some_and(|f| f.len() <= self.conn.output.free())
             {
                 let frame = self.small.pop_front().unwrap_or_default();
                 self.conn.output.put(&frame);
@@ -41,7 +44,11 @@
                 None => {
                     // All that was to be withdrawn has been: in a moment the core may send those parts again.
                     let heard = Instant::now() + CANCEL_HEAD;
-                    self.left.extend(self.leaving.drain(..).map(|(p, n, outcome)| (heard, p, n, outcome)));
+                    self.left.extend(
+                        self.leaving
+                            .drain(..)
+                            .map(|(p, n, outcome)| (heard, p, n, outcome)),
+                    );
                     if !self.begin_call() {
                         return Ok(());
                     }
@@ -54,7 +61,12 @@
     fn begin_call(&mut self) -> bool {
         let there = self.out.len() + self.gone;
         let room = |c: &Vec<CallPart>| there == 0 || there + c.len() <= self.setup.streams;
-        let Some(call) = self.queue.front().is_some_and(room).then(|| self.queue.pop_front()).flatten()
+        let Some(call) = self
+            .queue
+            .front()
+            .is_some_and(room)
+            .then(|| self.queue.pop_front())
+            .flatten()
         else {
             return false;
         };
@@ -73,7 +85,11 @@
         });
         if !parts.is_empty() {
             let pieces = frames::call(&parts, now).into();
-            self.sending = Some(Sending { parts, pieces, given_up: Vec::new() });
+            self.sending = Some(Sending {
+                parts,
+                pieces,
+                given_up: Vec::new(),
+            });
         }
         true
     }
@@ -84,10 +100,16 @@
         self.used = now;
         self.setup.counters.add("tries", sending.parts.len() as u64);
         for p in &sending.parts {
-            let out = Out { part: p.part, attempt: p.attempt, sent: now };
+            let out = Out {
+                part: p.part,
+                attempt: p.attempt,
+                sent: now,
+            };
             self.out.insert(frames::part_id(p), out);
         }
-        self.setup.gauge.set_waits(self.setup.gauge.waits().or(Some(now)));
+        self.setup
+            .gauge
+            .set_waits(self.setup.gauge.waits().or(Some(now)));
         for (part, attempt, outcome) in sending.given_up {
             self.cancel(part, attempt, outcome);
         }
--- a/crates/coordinator/src/net/list.rs
+++ b/crates/coordinator/src/net/list.rs
@@ -66,8 +66,22 @@
         "Gone" => ServerState::Gone,
         other => return Err(format!("'phase' can't be '{other}'")),
     };
-    let RawMember { id, host_port: addr, locality: zone, cell, up_since_ms, .. } = raw;
-    Ok(Listed { id, addr, zone, cell, state, up_since_ms })
+    let RawMember {
+        id,
+        host_port: addr,
+        locality: zone,
+        cell,
+        up_since_ms,
+        ..
+    } = raw;
+    Ok(Listed {
+        id,
+        addr,
+        zone,
+        cell,
+        state,
+        up_since_ms,
+    })
 }
 
 /// Reads a list. An entry that can't be read is left out and logged: it must not cost the others.
@@ -75,13 +89,19 @@
     let raw: RawList = serde_json::from_slice(json)?;
     let mut members = Vec::new();
     for value in raw.members {
-        let read = serde_json::from_value(value).map_err(|e| e.to_string()).and_then(member);
+        let read = serde_json::from_value(value)
+            .map_err(|e| e.to_string())
+            .and_then(member);
         match read {
             Ok(m) => members.push(m),
             Err(e) => log::warn!("list: entry left out: {e}"),
         }
     }
-    Ok(News { revision: raw.revision, complete: raw.complete, members })
+    Ok(News {
+        revision: raw.revision,
+        complete: raw.complete,
+        members,
+    })
 }
 
 /// What the pace of calls after a failure follows from.
@@ -111,7 +131,10 @@
     pub fn backoff(&self) -> (Backoff, Duration) {
         let (fleet, longest) = self.shared.unwrap_or((1, BACKOFF.1));
         let spread = START.saturating_mul(fleet.saturating_sub(A_FEW));
-        (Backoff::new(self.seed, fleet, BACKOFF, A_FEW, longest), spread)
+        (
+            Backoff::new(self.seed, fleet, BACKOFF, A_FEW, longest),
+            spread,
+        )
     }
 }
 
@@ -157,7 +180,14 @@
             running.retain(|w| !w.is_finished());
             let replaces = running.clone();
             let (core, counters) = (core.clone(), counters.clone());
-            let watch = Watch { addr: next, revision: None, core, counters, pace, replaces };
+            let watch = Watch {
+                addr: next,
+                revision: None,
+                core,
+                counters,
+                pace,
+                replaces,
+            };
             running.push(tokio::spawn(watch.run()).abort_handle());
         }
     }
@@ -174,7 +204,11 @@
             let before = self.revision;
             let mut lines = 0;
             let end = self.follow(&mut lines, first).await;
-            first = if lines > 0 { self.pace.head() } else { (2 * first).min(SILENT) };
+            first = if lines > 0 {
+                self.pace.head()
+            } else {
+                (2 * first).min(SILENT)
+            };
             self.counters.inc("list.ended");
             if lines > 0 || self.revision != before {
                 backoff.reached();
@@ -182,7 +216,11 @@
             // A watch that fell silent after lines is no sign of a service in need: its successor has to speak
             // before what was missed counts, whatever a fleet that lost the service would wait.
             let silent = lines > 0 && matches!(end, HttpError::Slow);
-            let longest = if silent { (TOLD - SILENT) / 2 } else { Duration::MAX };
+            let longest = if silent {
+                (TOLD - SILENT) / 2
+            } else {
+                Duration::MAX
+            };
             let wait = backoff.failed().min(longest);
             log::info!(source = self.addr, end = end.code(), lines, detail:% = end, wait:?; "list");
             tokio::time::sleep(wait).await;
@@ -198,11 +236,18 @@
 
     async fn try_follow(&mut self, lines: &mut u64, first: Duration) -> Result<(), HttpError> {
         let mut conn = Conn::connect(&self.addr, CONNECT, INPUT, 1024).await?;
-        let since = self.revision.map_or(String::new(), |r| format!("&since={r}"));
-        let ask = format!("GET /catalog/members?follow=1{since} HTTP/1.1\r\nHost: {}\r\n\r\n", self.addr);
+        let since = self
+            .revision
+            .map_or(String::new(), |r| format!("&since={r}"));
+        let ask = format!(
+            "GET /catalog/members?follow=1{since} HTTP/1.1\r\nHost: {}\r\n\r\n",
+            self.addr
+        );
         conn.write_all(ask.as_bytes()).await?;
         let slow = |_| HttpError::Slow;
-        let (status, headers) = timeout(self.pace.head(), response_head(&mut conn)).await.map_err(slow)??;
+        let (status, headers) = timeout(self.pace.head(), response_head(&mut conn))
+            .await
+            .map_err(slow)??;
         log::debug!("list: status {status}{since}");
         if status != 200 {
             return Err(HttpError::Malformed("discovery's status"));
@@ -210,7 +255,10 @@
         let (mut body, mut objects) = (Body::of_response(&headers)?, Objects::new(MOST_LINE));
         // Silence counts from the last whole line: one that drips, or stops half-way, tells nothing.
         let mut until = Instant::now() + first;
-        while timeout_at(until, body.next(&mut conn, objects.input())).await.map_err(slow)?? {
+        while timeout_at(until, body.next(&mut conn, objects.input()))
+            .await
+            .map_err(slow)??
+        {
             while let Some(found) = objects.found()? {
                 until = Instant::now() + SILENT;
                 *lines += 1;
@@ -226,14 +274,25 @@
     /// One object. A malformed one costs the connection, as what it would have told is missing now: the
     /// next watch starts from the last version that was read.
     fn line(&mut self, line: &[u8]) -> Result<(), HttpError> {
-        let News { revision, complete, members } = news(line).map_err(|e| {
+        let News {
+            revision,
+            complete,
+            members,
+        } = news(line).map_err(|e| {
             log::warn!("list: {e}");
             HttpError::Malformed("list line")
         })?;
-        log::debug!("list: revision {revision} complete {complete} entries {}", members.len());
+        log::debug!(
+            "list: revision {revision} complete {complete} entries {}",
+            members.len()
+        );
         self.revision = Some(revision);
         self.replaces.drain(..).for_each(|old| old.abort());
-        let kind = if complete { ListKind::Full } else { ListKind::Changes };
+        let kind = if complete {
+            ListKind::Full
+        } else {
+            ListKind::Changes
+        };
         let _ = self.core.send(Mail::List(kind, members));
         Ok(())
     }
@@ -249,16 +308,29 @@
     fn first_calls_and_waits_follow_from_how_many_share_discovery() {
         let within = Duration::from_secs(10);
         let start = |seed: u64| {
-            let (mut backoff, spread) = Pace { seed, shared: Some((100, within)), grace: CONNECT }.backoff();
+            let (mut backoff, spread) = Pace {
+                seed,
+                shared: Some((100, within)),
+                grace: CONNECT,
+            }
+            .backoff();
             backoff.start(spread)
         };
         let mut first: Vec<Duration> = (0..100).map(start).collect();
         first.sort();
         let busiest = first.windows(30).map(|w| w[29] - w[0]).min().unwrap();
-        assert!(busiest > Duration::from_millis(500), "30 within {busiest:?}");
+        assert!(
+            busiest > Duration::from_millis(500),
+            "30 within {busiest:?}"
+        );
         assert!(first[99] < Duration::from_secs(4));
         for shared in [None, Some((3, within))] {
-            let (mut backoff, spread) = Pace { seed: 1, shared, grace: CONNECT }.backoff();
+            let (mut backoff, spread) = Pace {
+                seed: 1,
+                shared,
+                grace: CONNECT,
+            }
+            .backoff();
             assert_eq!(backoff.start(spread), Duration::ZERO);
             (0..20).for_each(|_| assert!(backoff.failed() <= BACKOFF.1));
         }
--- a/crates/coordinator/src/net/objects.rs
+++ b/crates/coordinator/src/net/objects.rs
@@ -63,7 +63,15 @@
     /// A reader of objects of so many bytes at most.
     pub fn new(most: usize) -> Self {
         let (bytes, seen, open) = (BytesMut::new(), 0, Vec::new());
-        Self { bytes, seen, most, open, want: Want::Value, at: At::Between, empty: true }
+        Self {
+            bytes,
+            seen,
+            most,
+            open,
+            want: Want::Value,
+            at: At::Between,
+            empty: true,
+        }
     }
 
     /// Where what comes next is put.
@@ -147,7 +155,11 @@
                     self.value()?;
                 }
                 self.open.push(byte);
-                self.want = if byte == b'{' { Want::KeyOrEnd } else { Want::ValueOrEnd };
+                self.want = if byte == b'{' {
+                    Want::KeyOrEnd
+                } else {
+                    Want::ValueOrEnd
+                };
                 return (self.open.len() <= DEEPEST).then_some(());
             }
             (b'}', Want::KeyOrEnd | Want::CommaOrEnd) if inside == Some(b'{') => {
@@ -158,7 +170,13 @@
                 self.open.pop();
                 self.want = Want::CommaOrEnd;
             }
-            (b',', Want::CommaOrEnd) => self.want = if inside? == b'{' { Want::Key } else { Want::Value },
+            (b',', Want::CommaOrEnd) => {
+                self.want = if inside? == b'{' {
+                    Want::Key
+                } else {
+                    Want::Value
+                }
+            }
             (b':', Want::Colon) => self.want = Want::Value,
             _ => return None,
         }
@@ -187,7 +205,8 @@
     }
 
     const LINE: &str = r#"{"a":[{"b":"}\"{"},1.5e-3,true,[]],"c":{}}"#;
-    const INDENTED: &str = "{\n  \"a\": [\n    {\n      \"b\": \"x\"\n    }\n  ],\r\n  \"c\": null\n}";
+    const INDENTED: &str =
+        "{\n  \"a\": [\n    {\n      \"b\": \"x\"\n    }\n  ],\r\n  \"c\": null\n}";
 
     #[test]
     fn objects_on_one_line_or_indented_are_found_however_they_are_cut() {
@@ -204,7 +223,11 @@
                 object(LINE),
                 object(LINE),
             ];
-            assert_eq!((found.as_slice(), end), (all.as_slice(), Ok(())), "in pieces of {piece}");
+            assert_eq!(
+                (found.as_slice(), end),
+                (all.as_slice(), Ok(())),
+                "in pieces of {piece}"
+            );
         }
         for object in [LINE, INDENTED] {
             serde_json::from_str::<serde_json::Value>(object).unwrap();
@@ -234,7 +257,11 @@
             "{\"a\":1]",
         ] {
             for piece in [1, 100] {
-                assert_eq!(read(bad, piece), (vec![], Err(NoObject::Malformed)), "{bad:?}");
+                assert_eq!(
+                    read(bad, piece),
+                    (vec![], Err(NoObject::Malformed)),
+                    "{bad:?}"
+                );
             }
         }
         let deep = format!("{{\"a\":{}", "[".repeat(DEEPEST));
