--- a/crates/coordinator/src/net/peer.rs
+++ b/crates/coordinator/src/net/peer.rs
@@ -75,8 +75,20 @@
         // part sent elsewhere would then be a second copy. So one place stays free.
         caps.streams = caps.streams.saturating_sub(1).max(1);
         let links = Arc::default();
-        let shared = Arc::new(Shared { dialect, caps, most_links, beside, links, core, counters, gates });
-        Self { shared, mailboxes: BTreeMap::new() }
+        let shared = Arc::new(Shared {
+            dialect,
+            caps,
+            most_links,
+            beside,
+            links,
+            core,
+            counters,
+            gates,
+        });
+        Self {
+            shared,
+            mailboxes: BTreeMap::new(),
+        }
     }
 
     fn tell(&mut self, server: ServerId, mail: PeerMail) {
@@ -93,9 +105,20 @@
         let addr = host.addr.clone();
         self.mailboxes.entry(server).or_insert_with(|| {
             let (tx, rx) = mpsc::unbounded_channel();
-            let gate = shared.gates.as_ref().map(|(gates, origin)| (gates.of(&host.id), *origin));
+            let gate = shared
+                .gates
+                .as_ref()
+                .map(|(gates, origin)| (gates.of(&host.id), *origin));
             let (links, pace) = (Vec::new(), Arc::new(Pace::among(shared.caps.coordinators)));
-            let peer = Peer { server, addr, stop_at, gate, links, pace, shared };
+            let peer = Peer {
+                server,
+                addr,
+                stop_at,
+                gate,
+                links,
+                pace,
+                shared,
+            };
             tokio::spawn(peer.run(rx));
             tx
         });
@@ -142,7 +165,9 @@
                     });
                 }
                 PeerMail::Retract(part, attempt) => {
-                    self.links.iter().for_each(|l| drop(l.mail.send(LinkMail::Retract(part, attempt))));
+                    self.links
+                        .iter()
+                        .for_each(|l| drop(l.mail.send(LinkMail::Retract(part, attempt))));
                 }
                 PeerMail::Probe => {
                     let link = self.sound_link(0).unwrap_or_else(|| self.open());
@@ -154,7 +179,11 @@
                 PeerMail::Release => {
                     // Old from now on, not only once it is closed: a call of the same turn must not land
                     // on a connection that is about to close, and count as refused by the host.
-                    for l in self.links.iter_mut().filter(|l| l.gauge.parts.load(Ordering::Relaxed) == 0) {
+                    for l in self
+                        .links
+                        .iter_mut()
+                        .filter(|l| l.gauge.parts.load(Ordering::Relaxed) == 0)
+                    {
                         l.old = true;
                         let _ = l.mail.send(LinkMail::Release);
                     }
@@ -177,7 +206,11 @@
 
     /// Whether a link has kept parts waiting in silence for longer than the host usually takes.
     fn stalled(&self, l: &LinkRef) -> bool {
-        self.pace.stalled(l.gauge.waits(), Instant::now(), self.shared.caps.connect_timeout)
+        self.pace.stalled(
+            l.gauge.waits(),
+            Instant::now(),
+            self.shared.caps.connect_timeout,
+        )
     }
 
     /// The fullest link that has room and is not silent: few links stay in use, the others go idle. One that
@@ -196,11 +229,17 @@
                     self.shared.caps.streams,
                 )
         };
-        let able = self.links.iter().zip(now_stalled).filter(|(l, stalled)| room(l) && (still || !stalled));
+        let able = self
+            .links
+            .iter()
+            .zip(now_stalled)
+            .filter(|(l, stalled)| room(l) && (still || !stalled));
         let load = |l: &LinkRef| l.gauge.parts.load(Ordering::Relaxed);
         let spread = self.pace.spread(self.shared.dialect.most_links());
         if spread == 1 {
-            return able.max_by_key(|(l, stalled)| (!stalled, load(l))).map(|(l, _)| l.mail.clone());
+            return able
+                .max_by_key(|(l, stalled)| (!stalled, load(l)))
+                .map(|(l, _)| l.mail.clone());
         }
         let emptiest = able.min_by_key(|(l, stalled)| (*stalled, load(l)))?.0;
         let more = load(emptiest) > 0 && self.own_links() < spread && self.may_open();
@@ -241,7 +280,11 @@
             task.await;
             links.fetch_sub(1, Ordering::Relaxed);
         });
-        self.links.push(LinkRef { old: false, mail: tx.clone(), gauge });
+        self.links.push(LinkRef {
+            old: false,
+            mail: tx.clone(),
+            gauge,
+        });
         tx
     }
 
@@ -261,7 +304,11 @@
                     None => self.open(),
                 },
             };
-            let gauge = self.links.iter().find(|l| l.mail.same_channel(&link)).map(|l| l.gauge.clone());
+            let gauge = self
+                .links
+                .iter()
+                .find(|l| l.mail.same_channel(&link))
+                .map(|l| l.gauge.clone());
             let n = parts.len();
             match link.send(LinkMail::Call(parts)) {
                 Ok(()) => {
--- a/crates/coordinator/src/net/ring.rs
+++ b/crates/coordinator/src/net/ring.rs
@@ -15,7 +15,12 @@
 impl Ring {
     /// An empty ring for this many bytes.
     pub fn new(capacity: usize) -> Self {
-        Self { buf: Box::default(), capacity: capacity.max(1), head: 0, len: 0 }
+        Self {
+            buf: Box::default(),
+            capacity: capacity.max(1),
+            head: 0,
+            len: 0,
+        }
     }
 
     /// Returns the memory if nothing is held.
@@ -52,14 +57,20 @@
             self.buf.rotate_left(self.head);
             self.head = 0;
         }
-        self.buf.get(self.head..self.head + self.len).unwrap_or_default()
+        self.buf
+            .get(self.head..self.head + self.len)
+            .unwrap_or_default()
     }
 
     /// Drops this many bytes from the front.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
-        self.head = if self.len == 0 { 0 } else { (self.head + n) % self.capacity };
+        self.head = if self.len == 0 {
+            0
+        } else {
+            (self.head + n) % self.capacity
+        };
     }
 
     fn room(&mut self) -> &mut [u8] {
@@ -68,7 +79,11 @@
             self.buf = vec![0; cap].into_boxed_slice();
         }
         let tail = (self.head + self.len) % cap;
-        let end = if self.len == cap || tail < self.head { self.head } else { cap };
+        let end = if self.len == cap || tail < self.head {
+            self.head
+        } else {
+            cap
+        };
         if self.len == cap {
             return &mut [];
         }
@@ -118,7 +133,12 @@
             next = next.wrapping_add(taken as u8);
             let n = ring.len().min(step % 4);
             let got = ring.contiguous()[..n].to_vec();
-            assert_eq!(got, (0..n).map(|i| expect.wrapping_add(i as u8)).collect::<Vec<_>>());
+            assert_eq!(
+                got,
+                (0..n)
+                    .map(|i| expect.wrapping_add(i as u8))
+                    .collect::<Vec<_>>()
+            );
             ring.consume(n);
             expect = expect.wrapping_add(n as u8);
             ring.give_back();
--- a/crates/coordinator/src/net/silence.rs
+++ b/crates/coordinator/src/net/silence.rs
@@ -49,7 +49,10 @@
     /// The pace of a host that so many coordinators ask. Each that takes a pause for silence opens a connection,
     /// and all of them do so at once: beyond eight the least patience grows with their number.
     pub fn among(coordinators: u32) -> Self {
-        Self { crowd: f64::from(coordinators) / FEW, ..Self::default() }
+        Self {
+            crowd: f64::from(coordinators) / FEW,
+            ..Self::default()
+        }
     }
 
     fn seen(&self) -> Seen {
@@ -62,9 +65,10 @@
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         seen.usual = Some(match seen.usual {
             None => (took, took / 2.0),
-            Some((usual, spread)) => {
-                (usual + GAINS.0 * (took - usual), spread + GAINS.1 * ((took - usual).abs() - spread))
-            }
+            Some((usual, spread)) => (
+                usual + GAINS.0 * (took - usual),
+                spread + GAINS.1 * ((took - usual).abs() - spread),
+            ),
         });
         seen.latest = seen.latest.max(Some(sent));
         seen.ends -= ENDS_GAIN * seen.ends;
@@ -74,7 +78,10 @@
     /// answer is an unused connection let go.
     pub fn ended(&self, heard: Instant, now: Instant, connect: Duration) {
         if now.saturating_duration_since(heard) < connect.mul_f64(FLOOR_SHARE) {
-            self.seen.lock().unwrap_or_else(PoisonError::into_inner).ends += 1.0;
+            self.seen
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .ends += 1.0;
         }
     }
 
@@ -103,14 +110,19 @@
     /// Whether a connection that has kept a part waiting since `since` is silent for longer than usual.
     pub fn stalled(&self, since: Option<Instant>, now: Instant, connect: Duration) -> bool {
         let wait = since.map(|t| now.saturating_duration_since(t));
-        wait.zip(self.patience(connect)).is_some_and(|(wait, patience)| wait > patience)
+        wait.zip(self.patience(connect))
+            .is_some_and(|(wait, patience)| wait > patience)
     }
 
     /// Whether the host has meanwhile answered, on another connection, what was sent so much later that the
     /// part waiting since `since` should have been answered long before.
     pub fn lost(&self, since: Option<Instant>, connect: Duration) -> bool {
-        let later = since.zip(self.patience(connect)).map(|(t, patience)| t + patience);
-        later.zip(self.seen().latest).is_some_and(|(later, latest)| latest > later)
+        let later = since
+            .zip(self.patience(connect))
+            .map(|(t, patience)| t + patience);
+        later
+            .zip(self.seen().latest)
+            .is_some_and(|(later, latest)| latest > later)
     }
 }
 
@@ -133,7 +145,9 @@
     #[test]
     fn a_host_not_heard_yet_is_given_all_time() {
         let (pace, now) = (Pace::default(), Instant::now());
-        assert!(!pace.stalled(Some(now), now + ms(10_000), CONNECT) && !pace.lost(Some(now), CONNECT));
+        assert!(
+            !pace.stalled(Some(now), now + ms(10_000), CONNECT) && !pace.lost(Some(now), CONNECT)
+        );
     }
 
     #[test]
--- a/crates/coordinator/src/net/talk.rs
+++ b/crates/coordinator/src/net/talk.rs
@@ -79,7 +79,12 @@
     }
 
     async fn send(&self, socket: &UdpSocket, word: &Datagram) {
-        let each = self.tier.fellows.iter().enumerate().filter(|(n, _)| *n as u32 != self.tier.rank);
+        let each = self
+            .tier
+            .fellows
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| *n as u32 != self.tier.rank);
         let to: Vec<SocketAddr> = match self.tier.all {
             Some(all) => vec![all],
             None => each.map(|(_, addr)| *addr).collect(),
@@ -110,6 +115,8 @@
             return;
         }
         // The core's end is this actor's end too, by the channel of words.
-        let _ = self.core.send(Mail::Heard(rank as u32, Bytes::copy_from_slice(bytes)));
+        let _ = self
+            .core
+            .send(Mail::Heard(rank as u32, Bytes::copy_from_slice(bytes)));
     }
 }
--- a/crates/coordinator/src/ops/bans.rs
+++ b/crates/coordinator/src/ops/bans.rs
@@ -63,7 +63,12 @@
     }
 
     fn told(&self, id: &str) -> Vec<Listed> {
-        self.listed.get(id).cloned().map(|host| self.seen(host)).into_iter().collect()
+        self.listed
+            .get(id)
+            .cloned()
+            .map(|host| self.seen(host))
+            .into_iter()
+            .collect()
     }
 
     /// The other process knows this host: an order for it is in place before it is listed here.
@@ -93,7 +98,8 @@
             self.out.insert(id.to_owned());
         } else {
             self.out.remove(id);
-            self.back.retain(|_, at| now_ms.saturating_sub(*at) < FORGET_MS);
+            self.back
+                .retain(|_, at| now_ms.saturating_sub(*at) < FORGET_MS);
             self.back.insert(id.to_owned(), now_ms);
         }
         Ok(self.told(id))
@@ -115,11 +121,21 @@
     use super::*;
 
     fn host(id: &str, state: ServerState, up_since_ms: u64) -> Listed {
-        Listed { id: id.into(), addr: "a:1".into(), zone: "a".into(), cell: 0, state, up_since_ms }
+        Listed {
+            id: id.into(),
+            addr: "a:1".into(),
+            zone: "a".into(),
+            cell: 0,
+            state,
+            up_since_ms,
+        }
     }
 
     fn states(hosts: &[Listed]) -> Vec<(&str, ServerState, u64)> {
-        hosts.iter().map(|h| (h.id.as_str(), h.state, h.up_since_ms)).collect()
+        hosts
+            .iter()
+            .map(|h| (h.id.as_str(), h.state, h.up_since_ms))
+            .collect()
     }
 
     use ListKind::{Cached, Changes, Full};
@@ -130,7 +146,10 @@
         let mut bans = Bans::default();
         assert_eq!(bans.order("a", true, 5), Err(Refusal::Unknown));
         bans.news(Cached, vec![host("a", Ready, 1), host("b", Ready, 1)]);
-        assert_eq!(states(&bans.order("a", true, 5).unwrap()), [("a", Draining, 1)]);
+        assert_eq!(
+            states(&bans.order("a", true, 5).unwrap()),
+            [("a", Draining, 1)]
+        );
         // Out twice is once.
         assert_eq!(bans.order("a", true, 6), Ok(vec![]));
         for kind in [Full, Changes, Cached] {
@@ -138,12 +157,24 @@
             assert_eq!(states(&told), [("a", Draining, 2), ("b", Ready, 1)]);
         }
         // It leaves the list, comes again, is left out of a whole list: out all the while.
-        assert_eq!(states(&bans.news(Changes, vec![host("a", Gone, 2)])), [("a", Gone, 2)]);
+        assert_eq!(
+            states(&bans.news(Changes, vec![host("a", Gone, 2)])),
+            [("a", Gone, 2)]
+        );
         assert_eq!(bans.order("a", true, 7), Ok(vec![]));
-        assert_eq!(states(&bans.news(Changes, vec![host("a", Ready, 3)])), [("a", Draining, 3)]);
+        assert_eq!(
+            states(&bans.news(Changes, vec![host("a", Ready, 3)])),
+            [("a", Draining, 3)]
+        );
         bans.news(Full, vec![host("b", Ready, 1)]);
-        assert_eq!(states(&bans.news(Full, vec![host("a", Ready, 4)])), [("a", Draining, 4)]);
-        assert_eq!(states(&bans.order("a", false, 50).unwrap()), [("a", Ready, 50)]);
+        assert_eq!(
+            states(&bans.news(Full, vec![host("a", Ready, 4)])),
+            [("a", Draining, 4)]
+        );
+        assert_eq!(
+            states(&bans.order("a", false, 50).unwrap()),
+            [("a", Ready, 50)]
+        );
         assert_eq!(bans.order("a", false, 60), Ok(vec![]));
         assert_eq!(bans.out().count(), 0);
     }
@@ -155,8 +186,17 @@
         bans.order("a", true, 20).unwrap();
         // Restarted meanwhile, and draining by discovery's own word: that stands after the call back.
         bans.news(Changes, vec![host("a", Draining, 30)]);
-        assert_eq!(states(&bans.order("a", false, 40).unwrap()), [("a", Draining, 40)]);
-        assert_eq!(states(&bans.news(Changes, vec![host("a", Ready, 30)])), [("a", Ready, 40)]);
-        assert_eq!(states(&bans.news(Changes, vec![host("a", Ready, 70)])), [("a", Ready, 70)]);
+        assert_eq!(
+            states(&bans.order("a", false, 40).unwrap()),
+            [("a", Draining, 40)]
+        );
+        assert_eq!(
+            states(&bans.news(Changes, vec![host("a", Ready, 30)])),
+            [("a", Ready, 40)]
+        );
+        assert_eq!(
+            states(&bans.news(Changes, vec![host("a", Ready, 70)])),
+            [("a", Ready, 70)]
+        );
     }
 }
--- a/crates/coordinator/src/ops/desk.rs
+++ b/crates/coordinator/src/ops/desk.rs
@@ -32,7 +32,11 @@
 impl Desk {
     /// A desk whose orders go to this actor of the list.
     pub fn new(readiness: Readiness, counters: Counters, members: mpsc::Sender<Asked>) -> Self {
-        Self { readiness, counters, members }
+        Self {
+            readiness,
+            counters,
+            members,
+        }
     }
 
     /// Serves on a thread of its own for as long as the process lives.
@@ -41,7 +45,9 @@
     /// If the thread or its runtime can't be had.
     pub fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         listener.set_nonblocking(true)?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let limits = Limits {
             clients: CALLERS,
             most: CALLERS + LEAVING,
@@ -58,11 +64,17 @@
                     Err(e) => return log::error!(error:% = e; "operator's address"),
                 };
                 let (_never, stop) = watch::channel(false);
-                let incoming = Incoming::Listener(Gated { listener, beside: never() });
+                let incoming = Incoming::Listener(Gated {
+                    listener,
+                    beside: never(),
+                });
                 http::serve(incoming, Arc::new(self), limits, Counters::default(), stop).await;
             });
         };
-        std::thread::Builder::new().name("desk".into()).spawn(work).map(drop)
+        std::thread::Builder::new()
+            .name("desk".into())
+            .spawn(work)
+            .map(drop)
     }
 
     fn ready(&self) -> Response {
@@ -73,25 +85,44 @@
     }
 
     fn figures(&self) -> Response {
-        let lines = self.counters.figures().into_iter().map(|(name, n)| format!("{name}={n}\n"));
+        let lines = self
+            .counters
+            .figures()
+            .into_iter()
+            .map(|(name, n)| format!("{name}={n}\n"));
         Response::text(200, lines.collect::<String>())
     }
 
     fn order(&self, id: &str, offline: bool) -> Answering {
-        let host = percent_encoding::percent_decode_str(id).decode_utf8().unwrap_or_default().into_owned();
+        let host = percent_encoding::percent_decode_str(id)
+            .decode_utf8()
+            .unwrap_or_default()
+            .into_owned();
         if host.is_empty() || host.len() > LONGEST_ID {
             return done(Response::text(404, "no such district host\n"));
         }
         let (reply, word) = oneshot::channel();
         let said = if offline { "offline\n" } else { "online\n" };
-        if self.members.try_send(Asked::Order(Order { host, offline, reply })).is_err() {
+        if self
+            .members
+            .try_send(Asked::Order(Order {
+                host,
+                offline,
+                reply,
+            }))
+            .is_err()
+        {
             return done(Response::text(503, "too many orders wait\n"));
         }
         Box::pin(async move {
             match tokio::time::timeout(ORDER_WAIT, word).await {
                 Ok(Ok(Ok(()))) => Response::text(200, said),
                 Ok(Ok(Err(refusal))) => {
-                    let status = if refusal == Refusal::Unknown { 404 } else { 503 };
+                    let status = if refusal == Refusal::Unknown {
+                        404
+                    } else {
+                        503
+                    };
                     Response::text(status, format!("{refusal}\n"))
                 }
                 Ok(Err(_)) => Response::text(503, "stopping\n"),
--- a/crates/coordinator/src/ops/members.rs
+++ b/crates/coordinator/src/ops/members.rs
@@ -90,12 +90,23 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_millis() as u64)
 }
 
 /// Carries an order out; its word goes out once all cores, and the other process, have taken it.
-fn obey(bans: &mut Bans, order: Order, other: Option<&mpsc::UnboundedSender<Order>>, sink: &impl Sink) {
-    let Order { host, offline, reply } = order;
+fn obey(
+    bans: &mut Bans,
+    order: Order,
+    other: Option<&mpsc::UnboundedSender<Order>>,
+    sink: &impl Sink,
+) {
+    let Order {
+        host,
+        offline,
+        reply,
+    } = order;
     match bans.order(&host, offline, unix_ms()) {
         Err(refusal) => drop(reply.send(Err(refusal))),
         Ok(told) => {
@@ -106,7 +117,11 @@
             let words = sink.in_force();
             let (passed, there) = oneshot::channel();
             if let Some(other) = other {
-                let _ = other.send(Order { host, offline, reply: passed });
+                let _ = other.send(Order {
+                    host,
+                    offline,
+                    reply: passed,
+                });
             }
             tokio::spawn(async move {
                 // Of those that have ended no word comes, nor is one needed.
--- a/crates/coordinator/src/ops/mod.rs
+++ b/crates/coordinator/src/ops/mod.rs
@@ -24,8 +24,17 @@
 
 impl Readiness {
     /// Not ready as yet.
-    pub fn new(stop: watch::Receiver<bool>, beside: watch::Receiver<Beside>, counters: Counters) -> Self {
-        Self { accepting: Arc::default(), beside, stop, counters }
+    pub fn new(
+        stop: watch::Receiver<bool>,
+        beside: watch::Receiver<Beside>,
+        counters: Counters,
+    ) -> Self {
+        Self {
+            accepting: Arc::default(),
+            beside,
+            stop,
+            counters,
+        }
     }
 
     /// Connections of clients are accepted from now on.
--- a/crates/coordinator/src/ops/turnover.rs
+++ b/crates/coordinator/src/ops/turnover.rs
@@ -85,14 +85,21 @@
     /// The new one serves.
     Ready,
     /// A host is to be out, or back.
-    Order { number: u64, host: String, offline: bool },
+    Order {
+        number: u64,
+        host: String,
+        offline: bool,
+    },
     /// The order of this number is in force.
     Done { number: u64 },
 }
 
 /// Where processes of a coordinator of this name meet; `None` without a `$TMPDIR`.
 pub fn meeting_place(name: &str) -> Option<PathBuf> {
-    let plain: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
+    let plain: String = name
+        .chars()
+        .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
+        .collect();
     std::env::var_os("TMPDIR").map(|dir| Path::new(&dir).join(format!("fennelpin-{plain}.sock")))
 }
 
@@ -116,20 +123,36 @@
         let (listener, body) = receive(&mut link).await?;
         let hello: Hello =
             serde_json::from_slice(&body).map_err(|e| TurnoverError::Message(e.to_string()))?;
-        let Hello { version, name: of, listen: at, bans } = hello;
+        let Hello {
+            version,
+            name: of,
+            listen: at,
+            bans,
+        } = hello;
         if (version, of.as_str(), at.as_str()) != (VERSION, name, listen) {
-            return Err(TurnoverError::Message(format!("version {version} of '{of}' at {at}")));
+            return Err(TurnoverError::Message(format!(
+                "version {version} of '{of}' at {at}"
+            )));
         }
-        let listener = listener.ok_or_else(|| TurnoverError::Message("no listening socket".into()))?;
+        let listener =
+            listener.ok_or_else(|| TurnoverError::Message("no listening socket".into()))?;
         let listener = TcpListener::from(listener);
         // Whatever came along must be the socket that it is said to be.
         if listener.local_addr()?.to_string() != listen && !listen.ends_with(":0") {
-            return Err(TurnoverError::Message("the listening socket of another address".into()));
+            return Err(TurnoverError::Message(
+                "the listening socket of another address".into(),
+            ));
         }
         listener.set_nonblocking(true)?;
-        Ok(TakenOver { listener, bans, link })
+        Ok(TakenOver {
+            listener,
+            bans,
+            link,
+        })
     };
-    tokio::time::timeout(PATIENCE, told).await.unwrap_or(Err(TurnoverError::Slow))
+    tokio::time::timeout(PATIENCE, told)
+        .await
+        .unwrap_or(Err(TurnoverError::Slow))
 }
 
 /// Reads one message and the descriptor that comes with its first byte.
@@ -150,7 +173,11 @@
             Ok(n)
         });
         match step {
-            Ok(0) => return Err(TurnoverError::Message("it ended before it told anything".into())),
+            Ok(0) => {
+                return Err(TurnoverError::Message(
+                    "it ended before it told anything".into(),
+                ))
+            }
             Ok(n) => got += n,
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
             Err(e) => return Err(e.into()),
@@ -158,7 +185,9 @@
     }
     let length = u32::from_be_bytes(head) as usize;
     if length > MOST {
-        return Err(TurnoverError::Message(format!("a message of {length} bytes")));
+        return Err(TurnoverError::Message(format!(
+            "a message of {length} bytes"
+        )));
     }
     let mut body = vec![0; length];
     link.read_exact(&mut body).await?;
@@ -167,7 +196,9 @@
 
 /// Sends one message with a descriptor.
 async fn send(link: &mut UnixStream, listener: &TcpListener, body: &[u8]) -> std::io::Result<()> {
-    let length = u32::try_from(body.len()).map_err(std::io::Error::other)?.to_be_bytes();
+    let length = u32::try_from(body.len())
+        .map_err(std::io::Error::other)?
+        .to_be_bytes();
     let sent = loop {
         link.writable().await?;
         let step = link.try_io(Interest::WRITABLE, || {
@@ -175,7 +206,12 @@
             let mut control = SendAncillaryBuffer::new(&mut space);
             let fds = [listener.as_fd()];
             control.push(SendAncillaryMessage::ScmRights(&fds));
-            Ok(sendmsg(&*link, &[IoSlice::new(&length)], &mut control, SendFlags::NOSIGNAL)?)
+            Ok(sendmsg(
+                &*link,
+                &[IoSlice::new(&length)],
+                &mut control,
+                SendFlags::NOSIGNAL,
+            )?)
         });
         match step {
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
@@ -214,7 +250,10 @@
         };
         if let Some(mut link) = before {
             let (forward, orders) = mpsc::unbounded_channel();
-            let attached = Attached { forward, state: oneshot::channel().0 };
+            let attached = Attached {
+                forward,
+                state: oneshot::channel().0,
+            };
             let _ = self.members.send(Request::Attach(attached)).await;
             let why = match tell(&mut link, &Word::Ready).await {
                 Ok(()) => self.stay(link, orders).await,
@@ -258,7 +297,10 @@
         Ok(listener)
     }
 
-    async fn hello(&self, link: &mut UnixStream) -> Result<mpsc::UnboundedReceiver<Order>, TurnoverError> {
+    async fn hello(
+        &self,
+        link: &mut UnixStream,
+    ) -> Result<mpsc::UnboundedReceiver<Order>, TurnoverError> {
         self.beside.send_replace(Beside::Both);
         let (forward, orders) = mpsc::unbounded_channel();
         let (state, told) = oneshot::channel();
@@ -267,14 +309,23 @@
         self.members.send(attach).await.map_err(|_| gone())?;
         let bans = told.await.map_err(|_| gone())?;
         let (name, listen) = (self.name.clone(), self.listen.clone());
-        let hello = Hello { version: VERSION, name, listen, bans };
+        let hello = Hello {
+            version: VERSION,
+            name,
+            listen,
+            bans,
+        };
         let body = serde_json::to_vec(&hello).map_err(|e| TurnoverError::Message(e.to_string()))?;
         send(link, &self.listener, &body).await?;
         Ok(orders)
     }
 
     /// Passes orders on both ways until the link ends.
-    async fn stay(&self, link: UnixStream, mut orders: mpsc::UnboundedReceiver<Order>) -> TurnoverError {
+    async fn stay(
+        &self,
+        link: UnixStream,
+        mut orders: mpsc::UnboundedReceiver<Order>,
+    ) -> TurnoverError {
         let (mut from, mut to) = link.into_split();
         let (mut buffer, mut next) = (BytesMut::new(), 0u64);
         let mut open = std::collections::BTreeMap::new();
@@ -316,9 +367,17 @@
                             let _ = reply.send(Ok(()));
                         }
                     }
-                    Ok(Word::Order { number, host, offline }) => {
+                    Ok(Word::Order {
+                        number,
+                        host,
+                        offline,
+                    }) => {
                         let (reply, word) = oneshot::channel();
-                        let request = Request::Passed(Order { host, offline, reply });
+                        let request = Request::Passed(Order {
+                            host,
+                            offline,
+                            reply,
+                        });
                         if self.members.send(request).await.is_err() {
                             return TurnoverError::Message("the list's actor has ended".into());
                         }
--- a/crates/coordinator/src/peers/mod.rs
+++ b/crates/coordinator/src/peers/mod.rs
@@ -140,8 +140,11 @@
             return None;
         }
         news.sort_by_key(|n| std::cmp::Reverse((n.0, n.1, n.2)));
-        let word =
-            Word { life: self.life, seq: self.seq + 1, hosts: news.iter().map(|n| (n.2, n.3)).collect() };
+        let word = Word {
+            life: self.life,
+            seq: self.seq + 1,
+            hosts: news.iter().map(|n| (n.2, n.3)).collect(),
+        };
         let (datagram, hosts) = word.write();
         let cost = datagram.bytes().len() as f64 * fellows;
         // Beyond the budget only what keeps a word alive.
@@ -150,7 +153,8 @@
         }
         self.saved = (self.saved - cost).max(0.0);
         self.seq += 1;
-        self.told.retain(|host, _| outs.iter().any(|o| o.0 == *host));
+        self.told
+            .retain(|host, _| outs.iter().any(|o| o.0 == *host));
         for (_, _, host, out) in news.into_iter().take(hosts) {
             self.told.insert(host, (out, now));
         }
--- a/crates/coordinator/src/peers/view.rs
+++ b/crates/coordinator/src/peers/view.rs
@@ -49,12 +49,16 @@
 impl View {
     /// Nothing heard yet among so many coordinators.
     pub fn new(routers: u32) -> Self {
-        Self { routers, fellows: BTreeMap::new() }
+        Self {
+            routers,
+            fellows: BTreeMap::new(),
+        }
     }
 
     /// Takes a word. `None` if it is refused, else whether it was the fellow's latest.
     pub fn take(&mut self, now: Duration, from: u32, word: &Word) -> Option<bool> {
-        let known = self.fellows.contains_key(&from) || (self.fellows.len() as u32) < self.routers - 1;
+        let known =
+            self.fellows.contains_key(&from) || (self.fellows.len() as u32) < self.routers - 1;
         if !known || word.hosts.len() > MOST_HOSTS {
             return None;
         }
@@ -67,7 +71,15 @@
             let known = fellow.hosts.get(host);
             let newer = known.is_none_or(|e| (e.life, e.seq) < number);
             if newer && (known.is_some() || fellow.hosts.len() < MOST_HOSTS) {
-                fellow.hosts.insert(*host, Entry { life: word.life, seq: word.seq, out: *out, at: now });
+                fellow.hosts.insert(
+                    *host,
+                    Entry {
+                        life: word.life,
+                        seq: word.seq,
+                        out: *out,
+                        at: now,
+                    },
+                );
             }
         }
         let latest = number > fellow.latest;
@@ -80,7 +92,10 @@
     /// What fellows have out at a host by now; `None` unless all of them have been heard lately: a sum that
     /// lacks one would make the host look lighter than it is.
     pub fn others(&self, now: Duration, host: Tag) -> Option<Told> {
-        let mut told = Told { out: 0.0, age: Duration::ZERO };
+        let mut told = Told {
+            out: 0.0,
+            age: Duration::ZERO,
+        };
         if self.routers < 2 || (self.fellows.len() as u32) < self.routers - 1 {
             return None;
         }
--- a/crates/coordinator/src/peers/voice.rs
+++ b/crates/coordinator/src/peers/voice.rs
@@ -18,7 +18,12 @@
 impl Voice {
     /// See [`Gossip::new`].
     pub fn new(talk: Talk, life: u64, seed: u64) -> Self {
-        Self { gossip: Gossip::new(talk, life, seed), tags: BTreeMap::new(), sends: 0, news: false }
+        Self {
+            gossip: Gossip::new(talk, life, seed),
+            tags: BTreeMap::new(),
+            sends: 0,
+            news: false,
+        }
     }
 
     /// A datagram came from the fellow of this number.
@@ -34,9 +39,22 @@
             return;
         }
         for (server, _) in router.outs() {
-            let told = self.tags.get(&server).copied().flatten().and_then(|t| self.gossip.others(now, t));
+            let told = self
+                .tags
+                .get(&server)
+                .copied()
+                .flatten()
+                .and_then(|t| self.gossip.others(now, t));
             if let Some(told) = told {
-                router.handle(now, Event::Told { server, out: told.out, age: told.age }, out);
+                router.handle(
+                    now,
+                    Event::Told {
+                        server,
+                        out: told.out,
+                        age: told.age,
+                    },
+                    out,
+                );
             }
         }
     }
@@ -49,19 +67,29 @@
         actions: &[Action],
         name: impl Fn(ServerId) -> &'a str,
     ) -> Option<Datagram> {
-        self.sends += actions.iter().filter(|a| matches!(a, Action::Send { .. })).count() as u64;
+        self.sends += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count() as u64;
         let outs = router.outs();
         if outs.iter().any(|(id, _)| !self.tags.contains_key(id)) {
             self.name_all(&outs, name);
         }
-        let tagged = outs.iter().filter_map(|(id, n)| Some((self.tags.get(id).copied().flatten()?, *n)));
-        let outs: Vec<(Tag, u16)> = tagged.map(|(t, n)| (t, n.min(u32::from(u16::MAX)) as u16)).collect();
+        let tagged = outs
+            .iter()
+            .filter_map(|(id, n)| Some((self.tags.get(id).copied().flatten()?, *n)));
+        let outs: Vec<(Tag, u16)> = tagged
+            .map(|(t, n)| (t, n.min(u32::from(u16::MAX)) as u16))
+            .collect();
         self.gossip.turn(now, &outs, self.sends)
     }
 
     fn name_all<'a>(&mut self, outs: &[(ServerId, u32)], name: impl Fn(ServerId) -> &'a str) {
         let tags: Vec<(ServerId, Tag)> = outs.iter().map(|(id, _)| (*id, tag(name(*id)))).collect();
         let one = |t: &Tag| tags.iter().filter(|other| other.1 == *t).count() == 1;
-        self.tags = tags.iter().map(|(id, t)| (*id, one(t).then_some(*t))).collect();
+        self.tags = tags
+            .iter()
+            .map(|(id, t)| (*id, one(t).then_some(*t)))
+            .collect();
     }
 }
--- a/crates/coordinator/src/peers/word.rs
+++ b/crates/coordinator/src/peers/word.rs
@@ -70,7 +70,10 @@
         // Six bytes for a host at most, so a cut to what fits ends soon.
         let mut fit = self.hosts.len().min(MOST_BYTES / 4);
         loop {
-            let word = Word { hosts: self.hosts[..fit].to_vec(), ..*self };
+            let word = Word {
+                hosts: self.hosts[..fit].to_vec(),
+                ..*self
+            };
             let body = postcard::to_allocvec(&word).unwrap_or_default();
             if HEAD + body.len() <= MOST_BYTES || fit == 0 {
                 let check = sum(&body);
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -38,7 +38,9 @@
 /// Serves until SIGTERM or SIGINT and all that was taken is answered. SIGHUP reads the configuration again
 /// and follows its `discovery`; all else takes a restart.
 pub fn run(config: Config, source: Source) -> std::io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let (stop, stopping) = watch::channel(false);
         let mut term = signal(SignalKind::terminate())?;
@@ -69,14 +71,26 @@
         log::info!("listening on {}", listener.local_addr()?);
         let desk = config.desk.as_ref().map(|at| bind_desk(at)).transpose()?;
         let counters = Counters::striped(config.operator.cores.map_or(1, |c| c.count));
-        serve(config, Doors { clients: listener, desk, before }, counters.clone(), stopping, moves).await?;
+        serve(
+            config,
+            Doors {
+                clients: listener,
+                desk,
+                before,
+            },
+            counters.clone(),
+            stopping,
+            moves,
+        )
+        .await?;
         log::info!("stopped: {}", counters.line());
         Ok(())
     })
 }
 
 fn bind_desk(at: &str) -> std::io::Result<std::net::TcpListener> {
-    let named = |e: std::io::Error| std::io::Error::new(e.kind(), format!("operator's address {at}: {e}"));
+    let named =
+        |e: std::io::Error| std::io::Error::new(e.kind(), format!("operator's address {at}: {e}"));
     let desk = std::net::TcpListener::bind(at).map_err(named)?;
     log::info!("operator's address on {}", desk.local_addr()?);
     Ok(desk)
@@ -87,17 +101,27 @@
 async fn take_over(config: &Config) -> std::io::Result<(TcpListener, Option<(Bans, UnixStream)>)> {
     if let Some(path) = turnover::meeting_place(&config.name).filter(|p| p.exists()) {
         match turnover::take_over(&path, &config.name, &config.listen).await {
-            Ok(TakenOver { listener, bans, link }) => {
+            Ok(TakenOver {
+                listener,
+                bans,
+                link,
+            }) => {
                 log::info!(out = bans.out().count(), hosts = bans.listed().len(); "turnover: taken over");
                 return Ok((TcpListener::from_std(listener)?, Some((bans, link))));
             }
-            Err(e) => log::warn!(path:% = path.display(), error:% = e; "turnover: nothing taken over"),
+            Err(e) => {
+                log::warn!(path:% = path.display(), error:% = e; "turnover: nothing taken over")
+            }
         }
     }
     let mut last = std::io::ErrorKind::AddrNotAvailable.into();
     for addr in tokio::net::lookup_host(&config.listen).await? {
         let bound = || {
-            let socket = if addr.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+            let socket = if addr.is_ipv4() {
+                TcpSocket::new_v4()
+            } else {
+                TcpSocket::new_v6()
+            }?;
             socket.set_reuseaddr(true)?;
             socket.set_reuseport(true)?;
             socket.bind(addr)?;
@@ -147,13 +171,19 @@
     readiness: Option<Readiness>,
 ) -> Fronts {
     // New with each start: ids that clients hold from an earlier one must not be taken for this one's.
-    let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+    let started = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_nanos() as u64;
     let incarnation = started ^ config.seed;
     let opensearch = config.operator.opensearch.as_ref();
-    let opensearch =
-        opensearch.map(|o| OpenSearch::new(o, &config.site, core.clone(), counters.clone(), incarnation));
+    let opensearch = opensearch
+        .map(|o| OpenSearch::new(o, &config.site, core.clone(), counters.clone(), incarnation));
     let platform = Platform::new(core, counters.clone(), &config.site, readiness);
-    Fronts { platform, opensearch }
+    Fronts {
+        platform,
+        opensearch,
+    }
 }
 
 /// How hosts are spoken to.
@@ -166,12 +196,27 @@
 
 /// Limits of the server of clients that has this room.
 pub(crate) fn limits(config: &Config, room: Room, beside: watch::Receiver<Beside>) -> Limits {
-    let longest = config.site.settings.classes.iter().map(|c| c.limit).max().unwrap_or_default();
+    let longest = config
+        .site
+        .settings
+        .classes
+        .iter()
+        .map(|c| c.limit)
+        .max()
+        .unwrap_or_default();
     let answer_by = longest.min(STOP_MOST) + STOP_MORE;
     let serve_on = answer_by.saturating_sub(STOP_KEPT);
     let most = room.clients + room.turned_away;
     let (clients, patience, one_call) = (room.clients, http::PATIENCE, false);
-    Limits { clients, most, serve_on, answer_by, patience, one_call, beside }
+    Limits {
+        clients,
+        most,
+        serve_on,
+        answer_by,
+        patience,
+        one_call,
+        beside,
+    }
 }
 
 /// Starts the actor of the host list; its news go to `core`.
@@ -184,13 +229,37 @@
     let counters = counters.clone();
     let revision = (!config.known.members.is_empty()).then_some(config.known.revision);
     if let Some(d) = config.operator.dns_sd {
-        tokio::spawn(Browser { responder: d.responder, service: d.service, core, counters }.run());
+        tokio::spawn(
+            Browser {
+                responder: d.responder,
+                service: d.service,
+                core,
+                counters,
+            }
+            .run(),
+        );
     } else if let Some(addr) = config.discovery {
         let settings = &config.site.settings;
-        let shared = settings.must_ask_in.map(|within| (settings.routers, within));
-        let pace = Pace { seed: config.seed, shared, grace: config.site.caps.drain_grace };
+        let shared = settings
+            .must_ask_in
+            .map(|within| (settings.routers, within));
+        let pace = Pace {
+            seed: config.seed,
+            shared,
+            grace: config.site.caps.drain_grace,
+        };
         let replaces = Vec::new();
-        tokio::spawn(Watch { addr, revision, core, counters, pace, replaces }.follow_moves(moves));
+        tokio::spawn(
+            Watch {
+                addr,
+                revision,
+                core,
+                counters,
+                pace,
+                replaces,
+            }
+            .follow_moves(moves),
+        );
     }
 }
 
@@ -204,27 +273,50 @@
     moves: mpsc::UnboundedReceiver<String>,
 ) -> std::io::Result<()> {
     counters.of_classes(&config.site.classes);
-    let Doors { clients: listener, desk, before } = doors;
+    let Doors {
+        clients: listener,
+        desk,
+        before,
+    } = doors;
     let mut config = config;
-    let (stand, beside) = watch::channel(if before.is_some() { Beside::Both } else { Beside::Alone });
+    let (stand, beside) = watch::channel(if before.is_some() {
+        Beside::Both
+    } else {
+        Beside::Alone
+    });
     let mut staff = None;
     if let Some(at) = desk {
         let readiness = Readiness::new(stop.clone(), beside.clone(), counters.clone());
         let (members, requests) = mpsc::channel(MOST_REQUESTS);
         Desk::new(readiness.clone(), counters.clone(), members.clone()).serve(at)?;
-        let (bans, link) = before.map_or((Bans::default(), None), |(bans, link)| (bans, Some(link)));
+        let (bans, link) =
+            before.map_or((Bans::default(), None), |(bans, link)| (bans, Some(link)));
         if link.is_some() {
             config.known.members = bans.listed();
         }
         if let Some(path) = turnover::meeting_place(&config.name) {
             let (name, listen) = (config.name.clone(), config.listen.clone());
             let listener = std::net::TcpListener::from(listener.as_fd().try_clone_to_owned()?);
-            let turnover = Turnover { path, name, listen, listener, members, beside: stand };
+            let turnover = Turnover {
+                path,
+                name,
+                listen,
+                listener,
+                members,
+                beside: stand,
+            };
             tokio::spawn(turnover.run(link));
         }
-        staff = Some(Staff { readiness, overlay: Overlay::new(bans), requests });
+        staff = Some(Staff {
+            readiness,
+            overlay: Overlay::new(bans),
+            requests,
+        });
     }
-    let listener = Gated { listener, beside: beside.clone() };
+    let listener = Gated {
+        listener,
+        beside: beside.clone(),
+    };
     if let Some(cores) = config.operator.cores.filter(|c| c.count > 1) {
         return shard::run(config, cores, listener, counters, stop, moves, staff).await;
     }
@@ -232,20 +324,57 @@
     let (mail, inbox) = mpsc::unbounded_channel();
     let (origin, deal) = (Instant::now(), Deal::new(1, config.site.caps.open));
     let hint = config.site.settings.retry_after_max.unwrap_or(HINT);
-    let core = Core::new(vec![mail.clone()], deal.clone(), origin, hint, counters.clone());
-    let fronts = fronts(&config, core, &counters, staff.as_ref().map(|s| s.readiness.clone()));
+    let core = Core::new(
+        vec![mail.clone()],
+        deal.clone(),
+        origin,
+        hint,
+        counters.clone(),
+    );
+    let fronts = fronts(
+        &config,
+        core,
+        &counters,
+        staff.as_ref().map(|s| s.readiness.clone()),
+    );
     let (room, limits) = (config.room, limits(&config, config.room, beside.clone()));
     let caps = config.site.caps.clone();
     let (count, cores) = (counters.clone(), None);
-    let peers = Peers::new(dialect(&config), caps, room.links, mail.clone(), count, cores, beside);
+    let peers = Peers::new(
+        dialect(&config),
+        caps,
+        room.links,
+        mail.clone(),
+        count,
+        cores,
+        beside,
+    );
     let site = config.site.clone();
-    let mut table = Table::new(site, config.seed, Clock::new(), peers, room.held, counters.clone());
+    let mut table = Table::new(
+        site,
+        config.seed,
+        Clock::new(),
+        peers,
+        room.held,
+        counters.clone(),
+    );
     if let Some((tier, talk)) = config.tier.clone().zip(config.site.talk) {
         // Unix time: a later life of this coordinator has a larger number.
-        let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+        let life = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_micros() as u64;
         let (tx, words) = mpsc::channel(MOST_WORDS);
         table = table.talking(Voice::new(talk, life, config.seed), tx);
-        tokio::spawn(Talk { tier, words, core: mail.clone(), counters: counters.clone() }.run());
+        tokio::spawn(
+            Talk {
+                tier,
+                words,
+                core: mail.clone(),
+                counters: counters.clone(),
+            }
+            .run(),
+        );
     }
     let (mut news, mut readiness) = (mail.clone(), None);
     if let Some(staff) = staff {
--- a/crates/coordinator/src/shard/run.rs
+++ b/crates/coordinator/src/shard/run.rs
@@ -84,7 +84,11 @@
     let n = cores.count;
     let beside = listener.beside.clone();
     let (readiness, overlay, requests) = match desk {
-        Some(Staff { readiness, overlay, requests }) => (Some(readiness), overlay, Some(requests)),
+        Some(Staff {
+            readiness,
+            overlay,
+            requests,
+        }) => (Some(readiness), overlay, Some(requests)),
         None => (None, Overlay::default(), None),
     };
     log::info!(cores = n, pinned = cores.pin; "{}", config.summary());
@@ -101,7 +105,12 @@
     let (over, mut ended) = mpsc::unbounded_channel();
     let mut threads = Vec::new();
     for (core, (inbox, handed)) in inboxes.into_iter().zip(handed).enumerate() {
-        let others = mails.iter().enumerate().filter(|(c, _)| *c != core).map(|(_, m)| m.clone()).collect();
+        let others = mails
+            .iter()
+            .enumerate()
+            .filter(|(c, _)| *c != core)
+            .map(|(_, m)| m.clone())
+            .collect();
         let lease = Budget::lease(&budget, core);
         let (names, gates) = (names.clone(), gates.clone());
         let one = One {
@@ -111,7 +120,14 @@
             inbox,
             mail: mails[core].clone(),
             handed,
-            seat: Seat { core, lease, names, gates: gates.clone(), origin, others },
+            seat: Seat {
+                core,
+                lease,
+                names,
+                gates: gates.clone(),
+                origin,
+                others,
+            },
             deal: deal.clone(),
             gates,
             origin,
@@ -129,8 +145,13 @@
         })?);
     }
     drop(over);
-    let spread =
-        Spread { gates, mails, origin, grace: config.site.caps.drain_grace, counters: counters.clone() };
+    let spread = Spread {
+        gates,
+        mails,
+        origin,
+        grace: config.site.caps.drain_grace,
+        counters: counters.clone(),
+    };
     tokio::spawn(spread.run(config, moves, overlay, requests));
     readiness.iter().for_each(|r| r.accepts());
     let accepting = accept(listener, deal.clone(), doors, origin);
@@ -188,7 +209,11 @@
             let Some(s) = stream.take() else { break };
             deal.connected(core);
             let guard = Box::new(Dealt(deal.clone(), core));
-            if let Err(mpsc::error::SendError(back)) = doors[core].send(Handed { stream: s, from, guard }) {
+            if let Err(mpsc::error::SendError(back)) = doors[core].send(Handed {
+                stream: s,
+                from,
+                guard,
+            }) {
                 stream = Some(back.stream);
             }
         }
@@ -213,7 +238,12 @@
         mut requests: Option<mpsc::Receiver<Request>>,
     ) {
         let (news, mut inbox) = mpsc::unbounded_channel();
-        self.publish(ListKind::Cached, overlay.bans.news(ListKind::Cached, config.known.members.clone()));
+        self.publish(
+            ListKind::Cached,
+            overlay
+                .bans
+                .news(ListKind::Cached, config.known.members.clone()),
+        );
         list_source(config, news, &self.counters, moves);
         let mut late = tokio::time::interval(SLOW_ACK);
         late.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -253,9 +283,12 @@
         let now = self.origin.elapsed();
         let stop_at = (now + self.grace).saturating_sub(MARGIN).as_micros() as u64;
         let complete = matches!(kind, ListKind::Full | ListKind::Cached);
-        let ready = hosts.iter().map(|h| (h.id.as_str(), h.state == ServerState::Ready));
+        let ready = hosts
+            .iter()
+            .map(|h| (h.id.as_str(), h.state == ServerState::Ready));
         let version = self.gates.publish(complete, ready, stop_at);
-        self.gates.prune(now.saturating_sub(FORGET).as_micros() as u64);
+        self.gates
+            .prune(now.saturating_sub(FORGET).as_micros() as u64);
         for mail in &self.mails {
             // One that has ended needs no news.
             let _ = mail.send(Mail::List(kind, hosts.clone()));
@@ -281,7 +314,10 @@
         if self.pin {
             pin(self.core);
         }
-        tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(self.work())
+        tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?
+            .block_on(self.work())
     }
 
     async fn work(self) -> std::io::Result<()> {
@@ -309,10 +345,24 @@
         let dialect = dialect(&config);
         let limits = limits(&config, room, beside.clone());
         let caps = config.site.caps.clone();
-        let peers =
-            Peers::new(dialect, caps, room.links, mail, counters.clone(), Some((gates, origin)), beside);
-        let table =
-            Table::new(config.site, seed, Clock::new(), peers, room.held, counters.clone()).among(seat);
+        let peers = Peers::new(
+            dialect,
+            caps,
+            room.links,
+            mail,
+            counters.clone(),
+            Some((gates, origin)),
+            beside,
+        );
+        let table = Table::new(
+            config.site,
+            seed,
+            Clock::new(),
+            peers,
+            room.held,
+            counters.clone(),
+        )
+        .among(seat);
         let task = tokio::spawn(core::start(table, inbox, (deal, core, origin)));
         let service: Arc<dyn Service> = fronts;
         tokio::select! {
--- a/crates/coordinator/src/state/figures.rs
+++ b/crates/coordinator/src/state/figures.rs
@@ -29,7 +29,9 @@
     }
 
     fn drop_oldest(&mut self) {
-        let Some((_, latency)) = self.recent.pop_front() else { return };
+        let Some((_, latency)) = self.recent.pop_front() else {
+            return;
+        };
         self.sum -= latency;
         let at = self.sorted.partition_point(|l| *l < latency);
         self.sorted.remove(at);
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -111,16 +111,28 @@
 
     /// Own parts out at each server that is not gone.
     pub fn outs(&self) -> Vec<(ServerId, u32)> {
-        let here = self.servers.iter().filter(|(_, s)| s.state != ServerState::Gone);
+        let here = self
+            .servers
+            .iter()
+            .filter(|(_, s)| s.state != ServerState::Gone);
         here.map(|(id, s)| (*id, s.own())).collect()
     }
 
     /// Notes a part of a query held.
     pub(crate) fn on_part(&mut self, id: RequestId, query: RequestId, shard: u32, weight: f64) {
         self.taken.add(self.now);
-        let Some(q) = self.queries.get_mut(&query) else { return };
+        let Some(q) = self.queries.get_mut(&query) else {
+            return;
+        };
         q.parts.push(id);
-        let part = Part { query, shard, weight, attempts: Vec::new(), done: false, closed: false };
+        let part = Part {
+            query,
+            shard,
+            weight,
+            attempts: Vec::new(),
+            done: false,
+            closed: false,
+        };
         self.parts.insert(id, part);
     }
 
@@ -148,7 +160,9 @@
     /// Counts an own part sent or ended; gives the most of them lately, as a late report may show them.
     pub(crate) fn track_own(&mut self, server: ServerId, sent: f64, out: bool, lag: f64) -> f64 {
         let now = self.now;
-        let Some(s) = self.servers.get_mut(&server) else { return 0.0 };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return 0.0;
+        };
         let (own, keep) = (f64::from(s.own()), (-(now - s.own_at) / lag).exp());
         s.own_mean = s.own_mean * keep + own * (1.0 - keep);
         s.own_at = now;
@@ -166,8 +180,14 @@
     /// where calls cost work: singly each part would cost a crowded server one.
     fn fill(&mut self, server: ServerId, before: f64) {
         let dear = self.cfg.call_cost > Duration::ZERO;
-        let call = if dear { f64::from(self.cfg.bundle_max.max(1) - 1) / 2.0 } else { 0.0 };
-        let Some(s) = self.servers.get_mut(&server) else { return };
+        let call = if dear {
+            f64::from(self.cfg.bundle_max.max(1) - 1) / 2.0
+        } else {
+            0.0
+        };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
         let full = before >= s.room || f64::from(s.own()) + s.brim >= s.room;
         s.brim = if full { call.min(s.room / 2.0) } else { 0.0 };
     }
@@ -189,7 +209,11 @@
     pub(crate) fn keep_listed(&mut self, entries: &[ServerEntry]) {
         let missing = |id: &ServerId| !entries.iter().any(|e| e.server == *id);
         let now = self.now;
-        for (_, s) in self.servers.iter_mut().filter(|(id, s)| s.state != ServerState::Gone && missing(id)) {
+        for (_, s) in self
+            .servers
+            .iter_mut()
+            .filter(|(id, s)| s.state != ServerState::Gone && missing(id))
+        {
             (s.state, s.left_at) = (ServerState::Gone, now);
         }
     }
@@ -197,8 +221,9 @@
     /// Drops what is known of servers that have been gone for so long and hold no part of ours.
     pub(crate) fn forget_gone(&mut self, after: f64) {
         let now = self.now;
-        let stays =
-            |s: &Server| s.state != ServerState::Gone || !s.outs.is_empty() || now - s.left_at < after;
+        let stays = |s: &Server| {
+            s.state != ServerState::Gone || !s.outs.is_empty() || now - s.left_at < after
+        };
         self.servers.retain(|_, s| stays(s));
     }
 
@@ -213,7 +238,12 @@
     pub(crate) fn holders(&self, shard: u32) -> impl Iterator<Item = (ServerId, &Server)> + '_ {
         let cells = self.cfg.layout.cells.max(1);
         (0..self.cfg.layout.width.min(cells))
-            .flat_map(move |j| self.by_cell.get(((shard + j) % cells) as usize).into_iter().flatten())
+            .flat_map(move |j| {
+                self.by_cell
+                    .get(((shard + j) % cells) as usize)
+                    .into_iter()
+                    .flatten()
+            })
             .filter_map(|id| self.servers.get(id).map(|s| (*id, s)))
     }
 
@@ -222,7 +252,8 @@
         let cells = self.cfg.layout.cells.max(1);
         let waits = |p: &&Part| {
             let out = p.done || p.closed || p.attempts.iter().any(|a| a.out);
-            !out && p.shard % cells == shard % cells && self.queries.get(&p.query).is_some_and(|q| q.admitted)
+            !out && p.shard % cells == shard % cells
+                && self.queries.get(&p.query).is_some_and(|q| q.admitted)
         };
         let sound = |s: &Server| s.state == ServerState::Ready && s.out_until.is_none();
         let holders = self.holders(shard).filter(|h| sound(h.1)).count();
@@ -247,7 +278,12 @@
 
     /// How far the present step of a query is.
     pub(crate) fn progress(&self, q: &Query) -> Progress {
-        let mut sum = Progress { got: 0.0, total: 0.0, open: 0, all: true };
+        let mut sum = Progress {
+            got: 0.0,
+            total: 0.0,
+            open: 0,
+            all: true,
+        };
         for p in q.parts.iter().map(|p| &self.parts[p]) {
             sum.total += p.weight;
             sum.all &= p.done;
@@ -266,7 +302,11 @@
     /// keep them out until answers clear them), and those in service.
     pub(crate) fn pool(&self) -> Pool {
         let mut pool = Pool::default();
-        for s in self.servers.values().filter(|s| s.state != ServerState::Gone) {
+        for s in self
+            .servers
+            .values()
+            .filter(|s| s.state != ServerState::Gone)
+        {
             let ready = s.state == ServerState::Ready;
             pool.size += 1;
             pool.in_service += usize::from(ready);
--- a/crates/coordinator/src/state/work.rs
+++ b/crates/coordinator/src/state/work.rs
@@ -30,7 +30,16 @@
 impl Attempt {
     /// An attempt just sent.
     pub(crate) fn new(server: ServerId, class: ClassId, sent: f64, load: f64, idle: bool) -> Self {
-        Self { server, class, sent, load, idle, out: true, broken: false, may_have_run: true }
+        Self {
+            server,
+            class,
+            sent,
+            load,
+            idle,
+            out: true,
+            broken: false,
+            may_have_run: true,
+        }
     }
 }
 
--- a/crates/coordinator/tests/adapter.rs
+++ b/crates/coordinator/tests/adapter.rs
@@ -16,7 +16,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().unwrap().write_all(input.as_bytes()).unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(input.as_bytes())
+        .unwrap();
     let out = child.wait_with_output().unwrap();
     let text = |b: Vec<u8>| String::from_utf8(b).unwrap();
     (text(out.stdout), text(out.stderr), out.status.success())
@@ -38,14 +43,24 @@
 
 #[test]
 fn a_query_is_sent_and_answered() {
-    let first = format!("frame 1000.0\n{}{}over_to_you\n", start(3), query(3, "q-1", "p-1"));
+    let first = format!(
+        "frame 1000.0\n{}{}over_to_you\n",
+        start(3),
+        query(3, "q-1", "p-1")
+    );
     let second = "frame 1020.5\nattempt_end 3 p-1 0 10.0.0.1:80 200 20.5 1 0\nover_to_you\n";
     let (out, err, ok) = run(&format!("{first}{second}"));
     assert!(ok && err.is_empty(), "{err}");
     let lines: Vec<&str> = out.lines().collect();
-    let send = lines.iter().find(|l| l.starts_with("submit_to")).expect("a send");
+    let send = lines
+        .iter()
+        .find(|l| l.starts_with("submit_to"))
+        .expect("a send");
     let fields: Vec<&str> = send.split(' ').collect();
-    assert_eq!((fields[1], fields[2], fields[4]), ("3", "p-1", "10.0.0.1:80"));
+    assert_eq!(
+        (fields[1], fields[2], fields[4]),
+        ("3", "p-1", "10.0.0.1:80")
+    );
     assert!(fields[3].parse::<f64>().unwrap() > 0.0);
     assert!(lines.contains(&"wrap_up 3 q-1 1"));
     assert_eq!(lines.iter().filter(|l| **l == "ack").count(), 2);
@@ -54,10 +69,16 @@
 #[test]
 fn only_instances_with_an_event_act_and_a_stopped_one_never() {
     let both = format!("frame 1.0\n{}{}over_to_you\n", start(1), start(2));
-    let (out, _, _) = run(&format!("{both}frame 2.0\nexit 1\n{}over_to_you\n", query(2, "q", "p")));
+    let (out, _, _) = run(&format!(
+        "{both}frame 2.0\nexit 1\n{}over_to_you\n",
+        query(2, "q", "p")
+    ));
     let second = out.split("ack\n").nth(1).unwrap();
     assert!(second.contains("submit_to 2 p"));
-    assert!(second.lines().all(|l| l.split(' ').nth(1) == Some("2")), "{second}");
+    assert!(
+        second.lines().all(|l| l.split(' ').nth(1) == Some("2")),
+        "{second}"
+    );
 }
 
 #[test]
@@ -70,7 +91,12 @@
         query(2, "q2", "p2"),
         query(1, "q", "p")
     );
-    let own = |out: String| out.lines().filter(|l| l.contains(" 1 ")).map(String::from).collect::<Vec<_>>();
+    let own = |out: String| {
+        out.lines()
+            .filter(|l| l.contains(" 1 "))
+            .map(String::from)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(own(run(&batch).0), own(run(&two).0));
 }
 
@@ -78,9 +104,18 @@
 fn what_is_malformed_is_named_in_one_line() {
     let cases = [
         ("frame x\n", "line 1: frame: 'clock'"),
-        ("frame 1.0\nstart 1 5 {\"step\":5}\n", "line 2: start: 'options': missing field `balancers`"),
-        ("frame 1.0\nsnapshot_rows 0 1\nover_to_you\n", "an 'm' line is missing"),
-        ("submit_to 1\n", "line 1: 'submit_to' stands outside a batch"),
+        (
+            "frame 1.0\nstart 1 5 {\"step\":5}\n",
+            "line 2: start: 'options': missing field `balancers`",
+        ),
+        (
+            "frame 1.0\nsnapshot_rows 0 1\nover_to_you\n",
+            "an 'm' line is missing",
+        ),
+        (
+            "submit_to 1\n",
+            "line 1: 'submit_to' stands outside a batch",
+        ),
     ];
     for (input, message) in cases {
         let (out, err, ok) = run(input);
@@ -88,21 +123,38 @@
         assert!(err.contains(message) && err.lines().count() == 1, "{err}");
     }
     let event = format!("frame 1.0\n{}attempt_end 1 p 0 n 999 1 1 -\n", start(1));
-    assert!(run(&event).1.contains("line 6: attempt_end: 'how' can't be '999'"), "{}", run(&event).1);
+    assert!(
+        run(&event)
+            .1
+            .contains("line 6: attempt_end: 'how' can't be '999'"),
+        "{}",
+        run(&event).1
+    );
 }
 
 /// Bit 2 of a query marks a client's repeat, where clients mark them at all.
 #[test]
 fn a_client_s_mark_of_a_repeat_is_passed_on() {
-    for (marks, bits, action) in [(true, 3, "push_back"), (true, 1, "submit_to"), (false, 3, "push_back")] {
+    for (marks, bits, action) in [
+        (true, 3, "push_back"),
+        (true, 1, "submit_to"),
+        (false, 3, "push_back"),
+    ] {
         let clients = format!("\"clients\":{{\"marks_retry\":{marks}}},\"step\"");
         let settings = start(1).replace("\"step\"", &clients);
         // 1.5 s of 3 s are left: as a repeat it missed its goal; unmarked it is a first try. Where marks
         // say nothing the usual length decides, here that of a try before.
         let (usual, odd) = (query(1, "q0", "p0"), query(1, "q", "p"));
-        let odd = odd.replace("4000.0", "2500.0").replace("-1 1 0", &format!("-1 1 {bits}"));
-        let (out, err, _) = run(&format!("frame 1000.0\n{settings}{usual}{odd}over_to_you\n"));
+        let odd = odd
+            .replace("4000.0", "2500.0")
+            .replace("-1 1 0", &format!("-1 1 {bits}"));
+        let (out, err, _) = run(&format!(
+            "frame 1000.0\n{settings}{usual}{odd}over_to_you\n"
+        ));
         let id = if action == "submit_to" { "p " } else { "q " };
-        assert!(out.contains(&format!("{action} 1 {id}")), "{marks} {bits}: {out}{err}");
+        assert!(
+            out.contains(&format!("{action} 1 {id}")),
+            "{marks} {bits}: {out}{err}"
+        );
     }
 }
--- a/crates/coordinator/tests/core.rs
+++ b/crates/coordinator/tests/core.rs
@@ -26,7 +26,11 @@
 impl Transport for Script {
     fn listed(&mut self, _: ServerId, _: &Listed, _: Option<Instant>) {}
     fn call(&mut self, server: ServerId, parts: Vec<CallPart>) {
-        self.0.lock().unwrap().calls.extend(parts.iter().map(|p| (server, p.part)));
+        self.0
+            .lock()
+            .unwrap()
+            .calls
+            .extend(parts.iter().map(|p| (server, p.part)));
     }
     fn cancel(&mut self, _: ServerId, part: RequestId, _: u32, _: Outcome) {
         self.0.lock().unwrap().cancelled.push(part);
@@ -43,15 +47,38 @@
 
 fn host(n: usize, state: ServerState) -> Listed {
     let (id, addr, zone) = (format!("h{n}"), format!("127.0.0.1:{n}"), "a".into());
-    Listed { id, addr, zone, cell: 0, state, up_since_ms: 0 }
+    Listed {
+        id,
+        addr,
+        zone,
+        cell: 0,
+        state,
+        up_since_ms: 0,
+    }
 }
 
 /// A query of one part under this ticket.
 fn query(ticket: u64, arrived: Instant) -> (Mail, tokio::sync::oneshot::Receiver<Answer>) {
-    let (name, class, parts) = ("q".into(), ClassId(0), vec![NewPart { shard: 0, weight: 1.0 }]);
+    let (name, class, parts) = (
+        "q".into(),
+        ClassId(0),
+        vec![NewPart {
+            shard: 0,
+            weight: 1.0,
+        }],
+    );
     let (wait, payload) = (ms(100_000), Default::default());
-    let query =
-        NewQuery { name, class, tenant: None, arrived, wait, repeat: None, key: None, parts, payload };
+    let query = NewQuery {
+        name,
+        class,
+        tenant: None,
+        arrived,
+        wait,
+        repeat: None,
+        key: None,
+        parts,
+        payload,
+    };
     let (reply, answer) = tokio::sync::oneshot::channel();
     (Mail::Query(Box::new(query), ticket, reply), answer)
 }
@@ -67,8 +94,18 @@
             let site = settings::read(&settings.to_string()).unwrap();
             let (script, start) = (Script::default(), Instant::now());
             let counters = Counters::default();
-            let mut table = Table::new(site, 7, Clock::new(), script.clone(), 1 << 20, counters.clone());
-            table.take(Mail::List(ListKind::Full, vec![host(0, ServerState::Ready)]), start);
+            let mut table = Table::new(
+                site,
+                7,
+                Clock::new(),
+                script.clone(),
+                1 << 20,
+                counters.clone(),
+            );
+            table.take(
+                Mail::List(ListKind::Full, vec![host(0, ServerState::Ready)]),
+                start,
+            );
             let (query, answer) = query(1, start);
             table.take(query, start);
             if !same_turn {
@@ -78,7 +115,10 @@
             table.take(Mail::Withdraw(1), start);
             table.turn_end(start);
             let asked = script.0.lock().unwrap();
-            let (sent, stopped) = (asked.calls.len(), (asked.cancelled.len(), asked.retracted.len()));
+            let (sent, stopped) = (
+                asked.calls.len(),
+                (asked.cancelled.len(), asked.retracted.len()),
+            );
             match (same_turn, may_cancel) {
                 (true, _) => assert_eq!((sent, stopped), (0, (0, 0))),
                 (false, true) => assert_eq!((sent, stopped), (1, (1, 0))),
@@ -95,23 +135,51 @@
 fn a_host_that_is_gone_and_idle_is_forgotten() {
     let site = settings::read(&settings().to_string()).unwrap();
     let (script, counters, start) = (Script::default(), Counters::default(), Instant::now());
-    let mut table = Table::new(site, 7, Clock::new(), script.clone(), 1 << 20, counters.clone());
-    table.take(Mail::List(ListKind::Full, vec![host(0, ServerState::Ready)]), start);
+    let mut table = Table::new(
+        site,
+        7,
+        Clock::new(),
+        script.clone(),
+        1 << 20,
+        counters.clone(),
+    );
+    table.take(
+        Mail::List(ListKind::Full, vec![host(0, ServerState::Ready)]),
+        start,
+    );
     let (query, _answer) = query(1, start);
     table.take(query, start);
     table.turn_end(start);
     let (server, part) = script.0.lock().unwrap().calls[0];
-    table.take(Mail::List(ListKind::Changes, vec![host(0, ServerState::Gone)]), start);
+    table.take(
+        Mail::List(ListKind::Changes, vec![host(0, ServerState::Gone)]),
+        start,
+    );
     table.run_timers(start + ms(20_000));
-    assert!(script.0.lock().unwrap().forgotten.is_empty(), "a part is still out there");
-    let ended = Ended { part, attempt: 0, outcome: Outcome::Reset, value: None, report: None };
+    assert!(
+        script.0.lock().unwrap().forgotten.is_empty(),
+        "a part is still out there"
+    );
+    let ended = Ended {
+        part,
+        attempt: 0,
+        outcome: Outcome::Reset,
+        value: None,
+        report: None,
+    };
     table.take(Mail::Ended(ended), start + ms(20_000));
     table.run_timers(start + ms(20_001));
     assert_eq!(script.0.lock().unwrap().forgotten, [server]);
     // One that comes back in time is kept.
-    table.take(Mail::List(ListKind::Full, vec![host(1, ServerState::Ready)]), start + ms(30_000));
+    table.take(
+        Mail::List(ListKind::Full, vec![host(1, ServerState::Ready)]),
+        start + ms(30_000),
+    );
     table.take(Mail::List(ListKind::Full, vec![]), start + ms(31_000));
-    table.take(Mail::List(ListKind::Full, vec![host(1, ServerState::Ready)]), start + ms(40_000));
+    table.take(
+        Mail::List(ListKind::Full, vec![host(1, ServerState::Ready)]),
+        start + ms(40_000),
+    );
     table.run_timers(start + ms(60_000));
     assert_eq!(counters.get("list.forgotten"), 1);
 }
--- a/crates/coordinator/tests/cores.rs
+++ b/crates/coordinator/tests/cores.rs
@@ -42,7 +42,10 @@
 }
 
 fn start(members: &[Value], settings: &Value, discovery: Option<&str>, n: usize) -> Coordinator {
-    Coordinator::start(&config("127.0.0.1:0", members, settings, discovery), &cores(n))
+    Coordinator::start(
+        &config("127.0.0.1:0", members, settings, discovery),
+        &cores(n),
+    )
 }
 
 /// Connections, each on the next core in turn: they are dealt to the core with the fewest.
@@ -57,9 +60,11 @@
 }
 
 fn keyed(id: &str, key: &str, shard: u32) -> (String, String) {
-    let headers =
-        format!("Req-Id: {id}\r\nReq-Kind: book\r\nReq-Deadline-Ms: 3000\r\nIdempotency-Key: {key}\r\n");
-    let body = json!({"tablets": [{"tablet": shard, "fraction": 1.0}], "statement": "what"}).to_string();
+    let headers = format!(
+        "Req-Id: {id}\r\nReq-Kind: book\r\nReq-Deadline-Ms: 3000\r\nIdempotency-Key: {key}\r\n"
+    );
+    let body =
+        json!({"tablets": [{"tablet": shard, "fraction": 1.0}], "statement": "what"}).to_string();
     (headers, body)
 }
 
@@ -71,7 +76,10 @@
         assert_eq!(client.ask("POST", "/book", &headers, &body).0, 200);
         c.counters.on_core(0, "taken.queries") > before
     };
-    (0..100).map(|n| format!("key{n}")).find(at_first).expect("a key of the first core")
+    (0..100)
+        .map(|n| format!("key{n}"))
+        .find(at_first)
+        .expect("a key of the first core")
 }
 
 #[test]
@@ -86,9 +94,15 @@
         assert_eq!(client.read().0, 200);
     }
     assert_eq!(c.counters.get("answered.served.full"), 8);
-    assert_eq!([0, 1, 2, 3].map(|n| c.counters.on_core(n, "taken.queries")), [2; 4]);
+    assert_eq!(
+        [0, 1, 2, 3].map(|n| c.counters.on_core(n, "taken.queries")),
+        [2; 4]
+    );
     let text = all[0].ask("GET", "/_counters", "", "").2;
-    assert!(text.contains("\ntaken.queries 8\n") && text.contains("core.3.taken.queries 2\n"), "{text}");
+    assert!(
+        text.contains("\ntaken.queries 8\n") && text.contains("core.3.taken.queries 2\n"),
+        "{text}"
+    );
     drop(all);
     c.join();
 }
@@ -99,7 +113,10 @@
     let _alone = alone();
     let ledger = Ledger::default();
     let serve = |s: &Seen| Act::Serve(format!("v{}", s.shard));
-    let (old, new) = (host(0, false, &ledger, serve), host(1, false, &ledger, serve));
+    let (old, new) = (
+        host(0, false, &ledger, serve),
+        host(1, false, &ledger, serve),
+    );
     let (discovery, lines) = discovery();
     let mut quick = settings();
     quick["safety"]["drain_grace"] = json!(600.0);
@@ -112,11 +129,20 @@
         assert_eq!(client.read().0, 200);
     }
     all[0].query("near", "stall-a", 5000, &[0]);
-    until("a core holds the query that stalls it", || c.counters.get("taken.queries") == 7);
-    let changes = [member(0, &old.addr, 0, "Terminating"), member(1, &new.addr, 0, "Ready")];
+    until("a core holds the query that stalls it", || {
+        c.counters.get("taken.queries") == 7
+    });
+    let changes = [
+        member(0, &old.addr, 0, "Terminating"),
+        member(1, &new.addr, 0, "Ready"),
+    ];
     let news = c.counters.on_core(1, "list.news");
-    lines.send(json!({"revision": 2, "complete": false, "members": changes}).to_string()).unwrap();
-    until("the other core has read it", || c.counters.on_core(1, "list.news") > news);
+    lines
+        .send(json!({"revision": 2, "complete": false, "members": changes}).to_string())
+        .unwrap();
+    until("the other core has read it", || {
+        c.counters.on_core(1, "list.news") > news
+    });
     let told = Instant::now();
     // What comes to the stalled core while it stands still is decided on only once it goes on.
     for n in [2, 4] {
@@ -134,9 +160,19 @@
             all[n].read().0 == 200
         });
     }
-    let late: Vec<Seen> = ledger.all().into_iter().filter(|s| s.host == 0 && s.at > told + ms(650)).collect();
-    assert!(late.is_empty(), "new work for a draining host after its grace: {late:?}");
-    assert!(ledger.all().iter().any(|s| s.host == 1), "its successor has the work");
+    let late: Vec<Seen> = ledger
+        .all()
+        .into_iter()
+        .filter(|s| s.host == 0 && s.at > told + ms(650))
+        .collect();
+    assert!(
+        late.is_empty(),
+        "new work for a draining host after its grace: {late:?}"
+    );
+    assert!(
+        ledger.all().iter().any(|s| s.host == 1),
+        "its successor has the work"
+    );
     drop(all);
     c.join();
 }
@@ -158,7 +194,10 @@
     assert_eq!(all[0].read().0, 200);
     all[1].query("near", "same", 3000, &[0]);
     assert_eq!(all[1].read().0, 200, "free again");
-    assert_eq!([0, 1].map(|n| c.counters.on_core(n, "taken.queries")), [1, 1]);
+    assert_eq!(
+        [0, 1].map(|n| c.counters.on_core(n, "taken.queries")),
+        [1, 1]
+    );
     drop(all);
     c.join();
 }
@@ -203,15 +242,23 @@
         n += 1;
         n % 2 == 1
     });
-    until("half the connections have ended", || c.counters.get("clients.ended") == 40);
+    until("half the connections have ended", || {
+        c.counters.get("clients.ended") == 40
+    });
     for (n, client) in all.iter_mut().enumerate() {
         client.query("near", &format!("q{n}"), 3000, &[0]);
     }
     let statuses: Vec<u16> = all.iter_mut().map(|client| client.read().0).collect();
-    assert!(statuses.iter().all(|s| [200, 429].contains(s)), "{statuses:?}");
+    assert!(
+        statuses.iter().all(|s| [200, 429].contains(s)),
+        "{statuses:?}"
+    );
     assert!(c.counters.get("cores.handed_over") > 0);
     let by_core = [0, 1].map(|n| c.counters.on_core(n, "taken.queries"));
-    assert!(by_core[0].min(by_core[1]) > 0 && by_core[0] + by_core[1] == 40, "{by_core:?}");
+    assert!(
+        by_core[0].min(by_core[1]) > 0 && by_core[0] + by_core[1] == 40,
+        "{by_core:?}"
+    );
     drop(all);
     c.join();
 }
@@ -253,12 +300,16 @@
     let key = key_of_first_core(&c, &mut all[1]);
     let (headers, body) = keyed("slow", &key, 0);
     all[1].send("POST", "/book", &headers, &body);
-    until("the booking is out", || ledger.all().iter().any(|s| s.id.starts_with("slow")));
+    until("the booking is out", || {
+        ledger.all().iter().any(|s| s.id.starts_with("slow"))
+    });
     all[0].query("near", "panic-now", 3000, &[0]);
     assert!(all[0].ended(), "its own clients lose their connections");
     // At its deadline it would have been a 504.
     assert_eq!(all[1].read().0, 500, "a final answer at once");
-    until("the main thread has heard", || c.counters.get("cores.ended") == 1);
+    until("the main thread has heard", || {
+        c.counters.get("cores.ended") == 1
+    });
     // The same key has another core now, new connections too, and the names are free again.
     let (headers, body) = keyed("again", &key, 0);
     assert_eq!(all[3].ask("POST", "/book", &headers, &body).0, 200);
@@ -281,7 +332,9 @@
     let key = key_of_first_core(&c, &mut all[1]);
     let taken = c.counters.get("taken.queries");
     all[0].query("near", "stall-b", 5000, &[0]);
-    until("the core stands still", || c.counters.get("taken.queries") == taken + 1);
+    until("the core stands still", || {
+        c.counters.get("taken.queries") == taken + 1
+    });
     let (headers, body) = keyed("held", &key, 0);
     // Once the other core goes on it would be a 200.
     assert_eq!(all[1].ask("POST", "/book", &headers, &body).0, 500);
@@ -301,8 +354,15 @@
         std::thread::sleep(ms(20));
         Act::Serve(format!("v{}", s.shard))
     });
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
-    let members = [member(0, &good.addr, 0, "Ready"), member(1, &gone, 0, "Ready")];
+    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
+    let members = [
+        member(0, &good.addr, 0, "Ready"),
+        member(1, &gone, 0, "Ready"),
+    ];
     let mut c = start(&members, &settings(), None, 2);
     let mut all = clients(&c, 8);
     // Only the first core's clients ask, until one of their parts has met the host that is not there and a
@@ -316,7 +376,12 @@
             assert!([200, 429].contains(&all[n].read().0));
         }
     }
-    assert_eq!(c.counters.on_core(0, "cores.told_unreached"), 1, "{}", c.counters.text());
+    assert_eq!(
+        c.counters.on_core(0, "cores.told_unreached"),
+        1,
+        "{}",
+        c.counters.text()
+    );
     drop(all);
     c.join();
 }
@@ -327,8 +392,12 @@
 fn five_hundred_connections_at_once_are_dealt_evenly() {
     let _alone = alone();
     let ledger = Ledger::default();
-    let hosts: Vec<Host> = (0..40).map(|n| host(n, false, &ledger, |_| Act::Silent)).collect();
-    let members: Vec<Value> = (0..40).map(|n| member(n, &hosts[n].addr, 0, "Ready")).collect();
+    let hosts: Vec<Host> = (0..40)
+        .map(|n| host(n, false, &ledger, |_| Act::Silent))
+        .collect();
+    let members: Vec<Value> = (0..40)
+        .map(|n| member(n, &hosts[n].addr, 0, "Ready"))
+        .collect();
     let mut patient = settings();
     patient["caps"]["open_cap"] = json!(4000);
     for limit in ["goal_time", "hard_limit"] {
@@ -346,7 +415,9 @@
         all.push(client);
     }
     assert!(all.iter_mut().all(|client| client.read().0 == 200));
-    until("all have their query out", || c.counters.get("sent.first") == 500);
+    until("all have their query out", || {
+        c.counters.get("sent.first") == 500
+    });
     assert_eq!(c.counters.get("clients.ended"), 0, "{}", c.counters.text());
     drop(all);
     until("all have ended", || c.counters.get("clients.ended") == 500);
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -4,7 +4,9 @@
 mod support;
 
 use coordinator::counters::Counters;
-use coordinator::net::http::{self, Answering, Gated, Incoming, Limits, Request, Response, Service};
+use coordinator::net::http::{
+    self, Answering, Gated, Incoming, Limits, Request, Response, Service,
+};
 use coordinator::ops::turnover::never;
 use socket2::SockRef;
 use std::future::Future;
@@ -79,11 +81,23 @@
 
 impl Door {
     fn new() -> Self {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        let listener = runtime.block_on(tokio::net::TcpListener::bind("127.0.0.1:0")).unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
+        let listener = runtime
+            .block_on(tokio::net::TcpListener::bind("127.0.0.1:0"))
+            .unwrap();
         let (addr, listener) = (listener.local_addr().unwrap(), Some(listener));
         let (met, counters, stop) = (Arc::default(), Counters::default(), watch::channel(false).0);
-        Self { runtime, listener, addr, met, counters, stop }
+        Self {
+            runtime,
+            listener,
+            addr,
+            met,
+            counters,
+            stop,
+        }
     }
 
     fn client(&self) -> TcpStream {
@@ -100,9 +114,18 @@
     /// The same within other limits.
     fn serve_within<T>(&mut self, limits: Limits, story: impl Future<Output = T>) -> T {
         let listener = self.listener.take().expect("served once");
-        let incoming = Incoming::Listener(Gated { listener, beside: never() });
+        let incoming = Incoming::Listener(Gated {
+            listener,
+            beside: never(),
+        });
         let service = Arc::new(Scripted(self.met.clone()));
-        let served = http::serve(incoming, service, limits, self.counters.clone(), self.stop.subscribe());
+        let served = http::serve(
+            incoming,
+            service,
+            limits,
+            self.counters.clone(),
+            self.stop.subscribe(),
+        );
         self.runtime.block_on(async {
             tokio::select! {
                 told = async { tokio::time::timeout(PATIENCE, story).await.expect("in time") } => told,
@@ -191,7 +214,9 @@
 fn a_client_that_leaves_behind_more_than_is_taken_is_seen_to_leave() {
     let mut door = Door::new();
     let mut client = door.client();
-    client.write_all(&[post(10), vec![b'x'; 4 * http::INPUT]].concat()).unwrap();
+    client
+        .write_all(&[post(10), vec![b'x'; 4 * http::INPUT]].concat())
+        .unwrap();
     let met = door.met.clone();
     door.serve(async {
         met.until(|m| m.begun.load(Ordering::SeqCst) == 1).await;
@@ -208,7 +233,9 @@
     let lengths = [3, 3 * http::INPUT, 60_000, 0];
     for n in lengths {
         let head = format!("GET /x HTTP/1.1\r\nHost: x\r\nContent-Length: {n}\r\n\r\n");
-        client.write_all(&[head.as_bytes(), &vec![b'x'; n]].concat()).unwrap();
+        client
+            .write_all(&[head.as_bytes(), &vec![b'x'; n]].concat())
+            .unwrap();
     }
     let met = door.met.clone();
     let reader = std::thread::spawn(move || {
@@ -222,9 +249,15 @@
     });
     let text = door.serve(async {
         met.until(|m| m.begun.load(Ordering::SeqCst) == 4).await;
-        tokio::task::spawn_blocking(|| reader.join().unwrap()).await.unwrap()
+        tokio::task::spawn_blocking(|| reader.join().unwrap())
+            .await
+            .unwrap()
     });
-    let bodies: Vec<&str> = text.split("\r\n\r\n").skip(1).map(|b| b.split("HTTP").next().unwrap()).collect();
+    let bodies: Vec<&str> = text
+        .split("\r\n\r\n")
+        .skip(1)
+        .map(|b| b.split("HTTP").next().unwrap())
+        .collect();
     assert_eq!(bodies, lengths.map(|n| n.to_string()));
 }
 
@@ -235,18 +268,34 @@
     let mut door = Door::new();
     let (mut first, mut second) = (door.client(), door.client());
     first.write_all(&post(10)).unwrap();
-    second.write_all(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
+    second
+        .write_all(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
+        .unwrap();
     let told = std::thread::spawn(move || {
         let mut text = String::new();
         second.read_to_string(&mut text).unwrap();
         text
     });
-    let one_seat = Limits { clients: 1, most: 2, patience: ms(0), ..limits() };
+    let one_seat = Limits {
+        clients: 1,
+        most: 2,
+        patience: ms(0),
+        ..limits()
+    };
     let text = door.serve_within(one_seat, async {
-        tokio::task::spawn_blocking(|| told.join().unwrap()).await.unwrap()
+        tokio::task::spawn_blocking(|| told.join().unwrap())
+            .await
+            .unwrap()
     });
-    assert!(text.starts_with("HTTP/1.1 503") && text.contains("Connection: close"), "{text}");
-    assert_eq!(door.met.begun.load(Ordering::SeqCst), 1, "the first is served");
+    assert!(
+        text.starts_with("HTTP/1.1 503") && text.contains("Connection: close"),
+        "{text}"
+    );
+    assert_eq!(
+        door.met.begun.load(Ordering::SeqCst),
+        1,
+        "the first is served"
+    );
     assert_eq!(door.counters.get("answered.refused.client_cap"), 1);
     assert_eq!(door.counters.get("clients.made_room"), 0);
 }
@@ -256,8 +305,12 @@
 fn a_client_that_asks_in_vain_leaves_its_seat_to_the_next() {
     let mut door = Door::new();
     let (mut first, mut second) = (door.client(), door.client());
-    first.write_all(b"POST /near HTTP/1.1\r\nContent-Length: 5\r\n\r\n12").unwrap();
-    second.write_all(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
+    first
+        .write_all(b"POST /near HTTP/1.1\r\nContent-Length: 5\r\n\r\n12")
+        .unwrap();
+    second
+        .write_all(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
+        .unwrap();
     let read = std::thread::spawn(move || {
         let mut start = [0; 12];
         second.read_exact(&mut start).unwrap();
@@ -265,9 +318,16 @@
         let ended = first.read_to_end(&mut rest).is_ok_and(|length| length == 0);
         (start, ended)
     });
-    let one_seat = Limits { clients: 1, most: 2, patience: ms(0), ..limits() };
+    let one_seat = Limits {
+        clients: 1,
+        most: 2,
+        patience: ms(0),
+        ..limits()
+    };
     let (start, first_ended) = door.serve_within(one_seat, async {
-        tokio::task::spawn_blocking(|| read.join().unwrap()).await.unwrap()
+        tokio::task::spawn_blocking(|| read.join().unwrap())
+            .await
+            .unwrap()
     });
     assert_eq!(&start, b"HTTP/1.1 200");
     assert!(first_ended);
--- a/crates/coordinator/tests/deployments.rs
+++ b/crates/coordinator/tests/deployments.rs
@@ -87,7 +87,10 @@
         probes: true,
         must_ask_in: None,
     },
-    Deployment { name: "port-slots, find-berth: a short window, no cancel, no probes", ..PORT_SLOTS },
+    Deployment {
+        name: "port-slots, find-berth: a short window, no cancel, no probes",
+        ..PORT_SLOTS
+    },
     Deployment {
         name: "port-slots, take-berth: nothing that may have run is repeated",
         parts: (1, 2),
@@ -221,7 +224,10 @@
         let mut draw = Draw(seed);
         let servers = draw.within(d.servers) / d.a_cell * d.a_cell;
         let cells = (servers / d.a_cell) as u32;
-        let cold = (draw.within(d.cold_share) as f64 / 100.0, draw.within(d.cold_ramp));
+        let cold = (
+            draw.within(d.cold_share) as f64 / 100.0,
+            draw.within(d.cold_ramp),
+        );
         let report = draw.within(d.report);
         let class = Class {
             goal: ms(d.goal),
@@ -242,7 +248,10 @@
             routers: ROUTERS as u32,
             zone: None,
             zone_cost: false,
-            layout: Layout { cells, width: if d.a_cell == 1 { 2 } else { 1 } },
+            layout: Layout {
+                cells,
+                width: if d.a_cell == 1 { 2 } else { 1 },
+            },
             bundle_max: d.bundle,
             call_cost: ms(d.call_cost),
             max_attempts: d.attempts,
@@ -251,7 +260,12 @@
             probes: d.probes,
             retry_after_max: Some(ms(500)),
             budget: None,
-            cold: Some(ColdRule { share, ramp, fall_multiple: d.fall.0, tip_after: ms(d.fall.1) }),
+            cold: Some(ColdRule {
+                share,
+                ramp,
+                fall_multiple: d.fall.0,
+                tip_after: ms(d.fall.1),
+            }),
             must_ask_in: d.must_ask_in.map(ms),
             drain_grace: ms(d.grace),
             step: ms(STEP),
@@ -272,23 +286,38 @@
             due: 0.0,
             shut: BTreeMap::new(),
         };
-        let all = (0..servers as u32).map(|n| world.entry(n, ServerState::Ready, None)).collect();
+        let all = (0..servers as u32)
+            .map(|n| world.entry(n, ServerState::Ready, None))
+            .collect();
         world.list(ListKind::Full, all);
         world
     }
 
     fn entry(&self, n: u32, state: ServerState, boot: Option<u64>) -> ServerEntry {
         let cell = n % (self.servers.len() as u64 / self.d.a_cell) as u32;
-        ServerEntry { server: ServerId(n), zone: ZoneId(0), cell, state, boot: boot.map(ms) }
+        ServerEntry {
+            server: ServerId(n),
+            zone: ZoneId(0),
+            cell,
+            state,
+            boot: boot.map(ms),
+        }
     }
 
     fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
-        self.events.iter_mut().for_each(|e| e.push(Event::List { kind, entries: entries.clone() }));
+        self.events.iter_mut().for_each(|e| {
+            e.push(Event::List {
+                kind,
+                entries: entries.clone(),
+            })
+        });
     }
 
     /// Work a second that a server does now, in server-seconds.
     fn rate(&self, n: usize) -> f64 {
-        let age = self.servers[n].cold_since.map_or(f64::MAX, |t| (self.now - t) as f64);
+        let age = self.servers[n]
+            .cold_since
+            .map_or(f64::MAX, |t| (self.now - t) as f64);
         SLOTS as f64 * (self.cold.0 + (1.0 - self.cold.0) * age / self.cold.1 as f64).min(1.0)
     }
 
@@ -322,17 +351,34 @@
         let id = RequestId(self.next);
         let parts = self.draw.within(self.d.parts);
         let deadline = self.now + self.d.limit;
-        let event =
-            Event::Query { id, class: ClassId(0), tenant: None, deadline: ms(deadline), repeat: None };
+        let event = Event::Query {
+            id,
+            class: ClassId(0),
+            tenant: None,
+            deadline: ms(deadline),
+            repeat: None,
+        };
         self.events[who].push(event);
         for n in 0..parts {
             let (part, shard) = (RequestId(self.next + 1 + n), self.draw.next() as u32 % 1000);
             self.owner.insert(part, id);
-            self.events[who].push(Event::Part { id: part, query: id, shard, weight: 1.0 / parts as f64 });
+            self.events[who].push(Event::Part {
+                id: part,
+                query: id,
+                shard,
+                weight: 1.0 / parts as f64,
+            });
         }
         self.next += 1 + parts;
         let goal_at = self.now + self.d.goal;
-        self.queries.insert(id, Query { deadline, goal_at, ..Query::default() });
+        self.queries.insert(
+            id,
+            Query {
+                deadline,
+                goal_at,
+                ..Query::default()
+            },
+        );
     }
 
     fn end(&mut self, job: &Job, server: usize, outcome: Outcome) {
@@ -344,8 +390,16 @@
             *first = job.sent.min(*first);
         }
         let s = &self.servers[server];
-        let seen = s.held.iter().rev().find(|h| h.0 + self.report <= self.now).map_or(0, |h| h.1);
-        let report = LoadReport { inflight: Some(seen as f64), ..LoadReport::default() };
+        let seen = s
+            .held
+            .iter()
+            .rev()
+            .find(|h| h.0 + self.report <= self.now)
+            .map_or(0, |h| h.1);
+        let report = LoadReport {
+            inflight: Some(seen as f64),
+            ..LoadReport::default()
+        };
         self.events[job.who].push(Event::AttemptEnd {
             part: job.part,
             attempt: job.attempt,
@@ -367,14 +421,19 @@
             }
             let down = s.down;
             let over = |j: &Job| j.left <= 0.0 || now >= j.give_up || down;
-            let (done, jobs): (Vec<Job>, Vec<Job>) = std::mem::take(&mut s.jobs).into_iter().partition(over);
+            let (done, jobs): (Vec<Job>, Vec<Job>) =
+                std::mem::take(&mut s.jobs).into_iter().partition(over);
             s.jobs = jobs.into();
             s.held.push_back((now, s.jobs.len()));
             if s.held.len() > 400 {
                 s.held.pop_front();
             }
             for j in done {
-                let ended = if j.left <= 0.0 { Outcome::Ok } else { Outcome::Timeout };
+                let ended = if j.left <= 0.0 {
+                    Outcome::Ok
+                } else {
+                    Outcome::Timeout
+                };
                 self.end(&j, n, if down { Outcome::Reset } else { ended });
             }
         }
@@ -382,8 +441,15 @@
 
     fn act(&mut self, who: usize, action: Action) {
         match action {
-            Action::Send { part, server, timeout } => {
-                assert!(self.shut.get(&server.0).is_none_or(|t| self.now <= *t), "sent to one that is shut");
+            Action::Send {
+                part,
+                server,
+                timeout,
+            } => {
+                assert!(
+                    self.shut.get(&server.0).is_none_or(|t| self.now <= *t),
+                    "sent to one that is shut"
+                );
                 let work = self.draw.within(self.d.work) + self.d.call_cost;
                 let query = self.queries.get_mut(&self.owner[&part]).unwrap();
                 assert_eq!(query.finals, 0, "sent after its end");
@@ -402,7 +468,14 @@
                 let attempt = tries.0;
                 *tries = (tries.0 + 1, tries.1 + 1);
                 let give_up = self.now + timeout.as_millis() as u64;
-                let job = Job { who, part, attempt, sent: self.now, give_up, left: work as f64 };
+                let job = Job {
+                    who,
+                    part,
+                    attempt,
+                    sent: self.now,
+                    give_up,
+                    left: work as f64,
+                };
                 match self.servers[server.0 as usize].down {
                     true => self.end(&job, server.0 as usize, Outcome::ConnectFailed),
                     false => self.servers[server.0 as usize].jobs.push_back(job),
@@ -412,15 +485,23 @@
                 assert!(self.d.may_cancel, "a withdrawal where none is allowed");
                 for n in 0..self.servers.len() {
                     let jobs = &mut self.servers[n].jobs;
-                    let found = jobs.iter().position(|j| (j.part, j.attempt) == (part, attempt));
+                    let found = jobs
+                        .iter()
+                        .position(|j| (j.part, j.attempt) == (part, attempt));
                     if let Some(job) = found.and_then(|at| jobs.remove(at)) {
                         self.end(&job, n, Outcome::Cancelled);
                     }
                 }
             }
             Action::Subscribe => {
-                assert!(self.d.must_ask_in.is_some(), "a list is asked for that is pushed");
-                self.events[who].push(Event::List { kind: ListKind::Changes, entries: vec![] });
+                assert!(
+                    self.d.must_ask_in.is_some(),
+                    "a list is asked for that is pushed"
+                );
+                self.events[who].push(Event::List {
+                    kind: ListKind::Changes,
+                    entries: vec![],
+                });
             }
             Action::Probe { server } => {
                 assert!(self.d.probes, "a probe where none is allowed");
@@ -428,7 +509,11 @@
                     true => Outcome::ConnectFailed,
                     false => Outcome::Ok,
                 };
-                self.events[who].push(Event::Probed { server, outcome, report: None });
+                self.events[who].push(Event::Probed {
+                    server,
+                    outcome,
+                    report: None,
+                });
             }
             Action::Answer { query, .. } => self.over(query, true),
             Action::Refuse { query, .. } | Action::Fail { query, .. } => self.over(query, false),
@@ -439,7 +524,10 @@
     fn over(&mut self, query: RequestId, answered: bool) {
         let q = self.queries.get_mut(&query).unwrap();
         q.finals += 1;
-        assert!(self.now < q.deadline + STEP, "an end past the client's time");
+        assert!(
+            self.now < q.deadline + STEP,
+            "an end past the client's time"
+        );
         q.answered = answered.then_some(self.now);
     }
 
@@ -447,8 +535,14 @@
     fn in_time(&mut self) -> f64 {
         self.play(self.d.limit + 4 * STEP, 0.0);
         let all = std::mem::take(&mut self.queries);
-        assert!(!all.is_empty() && all.values().all(|q| q.finals == 1), "one final answer each");
-        let good = all.values().filter(|q| q.answered.is_some_and(|t| t <= q.goal_at)).count();
+        assert!(
+            !all.is_empty() && all.values().all(|q| q.finals == 1),
+            "one final answer each"
+        );
+        let good = all
+            .values()
+            .filter(|q| q.answered.is_some_and(|t| t <= q.goal_at))
+            .count();
         good as f64 / all.len() as f64
     }
 }
@@ -456,7 +550,10 @@
 fn each(test: impl Fn(&mut World, &str)) {
     for d in &DEPLOYMENTS {
         for seed in 1..=6 {
-            test(&mut World::new(d, seed), &format!("{}, seed {seed}", d.name));
+            test(
+                &mut World::new(d, seed),
+                &format!("{}, seed {seed}", d.name),
+            );
         }
     }
 }
@@ -491,12 +588,16 @@
         w.list(ListKind::Changes, vec![w.entry(0, ServerState::Gone, None)]);
         w.play(2000, 0.55);
         (w.servers[0].down, w.servers[0].cold_since) = (false, Some(w.now));
-        w.list(ListKind::Changes, vec![w.entry(0, ServerState::Ready, Some(w.now))]);
+        w.list(
+            ListKind::Changes,
+            vec![w.entry(0, ServerState::Ready, Some(w.now))],
+        );
         let (window, mut most) = (w.d.fall.1, 0.0f64);
         let start = w.now;
         while w.now < start + w.cold.1 {
             let can = w.rate(0) * window as f64;
-            let before = w.servers[0].served + w.servers[0].jobs.iter().map(|j| j.left).sum::<f64>();
+            let before =
+                w.servers[0].served + w.servers[0].jobs.iter().map(|j| j.left).sum::<f64>();
             w.play(window, 0.55);
             let after = w.servers[0].served + w.servers[0].jobs.iter().map(|j| j.left).sum::<f64>();
             most = most.max((after - before) / can);
@@ -504,9 +605,18 @@
         assert!(most < w.d.fall.0, "{most} times what it can: {case}");
         let before: Vec<f64> = w.servers.iter().map(|s| s.served).collect();
         w.play(5000, 0.55);
-        let did: Vec<f64> = w.servers.iter().zip(before).map(|(s, b)| s.served - b).collect();
+        let did: Vec<f64> = w
+            .servers
+            .iter()
+            .zip(before)
+            .map(|(s, b)| s.served - b)
+            .collect();
         let mean = did.iter().sum::<f64>() / did.len() as f64;
-        assert!(did[0] > mean / 2.0, "{} of {mean} once warm: {case}", did[0]);
+        assert!(
+            did[0] > mean / 2.0,
+            "{} of {mean} once warm: {case}",
+            did[0]
+        );
         let good = w.in_time();
         assert!(good > 0.97, "{good} in time: {case}");
     });
@@ -517,7 +627,10 @@
 fn a_draining_server_is_left_within_its_grace() {
     each(|w, case| {
         w.play(4000, 0.55);
-        w.list(ListKind::Changes, vec![w.entry(0, ServerState::Draining, None)]);
+        w.list(
+            ListKind::Changes,
+            vec![w.entry(0, ServerState::Draining, None)],
+        );
         w.shut.insert(0, w.now + w.d.grace);
         w.play(6000, 0.55);
         let good = w.in_time();
--- a/crates/coordinator/tests/dns_sd.rs
+++ b/crates/coordinator/tests/dns_sd.rs
@@ -18,11 +18,23 @@
 
 /// All records of one host: the instance's PTR, SRV and TXT, and its target's address.
 fn records(label: &str, port: u16, cell: u32, ttl: u32) -> Vec<Record> {
-    let (instance, target) = (name(&format!("{label}.{SERVICE}")), name(&format!("{label}.local.")));
-    let txt = vec!["txtvers=1".into(), format!("cell={cell}"), "Zone=a".into(), "cell=9".into()];
+    let (instance, target) = (
+        name(&format!("{label}.{SERVICE}")),
+        name(&format!("{label}.local.")),
+    );
+    let txt = vec![
+        "txtvers=1".into(),
+        format!("cell={cell}"),
+        "Zone=a".into(),
+        "cell=9".into(),
+    ];
     vec![
         Record::from_rdata(name(SERVICE), ttl, RData::PTR(PTR(instance.clone()))),
-        Record::from_rdata(instance.clone(), ttl, RData::SRV(SRV::new(0, 0, port, target.clone()))),
+        Record::from_rdata(
+            instance.clone(),
+            ttl,
+            RData::SRV(SRV::new(0, 0, port, target.clone())),
+        ),
         Record::from_rdata(instance, ttl, RData::TXT(TXT::new(txt))),
         Record::from_rdata(target, ttl, RData::A(A(Ipv4Addr::LOCALHOST))),
     ]
@@ -35,7 +47,12 @@
 }
 
 /// A responder that answers each question from its records; gives its address and who asked last.
-fn responder(records: Vec<Record>) -> (UdpSocket, std::sync::mpsc::Receiver<(SocketAddr, RecordType)>) {
+fn responder(
+    records: Vec<Record>,
+) -> (
+    UdpSocket,
+    std::sync::mpsc::Receiver<(SocketAddr, RecordType)>,
+) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let ours = socket.try_clone().unwrap();
     let (tx, rx) = std::sync::mpsc::channel();
@@ -46,7 +63,8 @@
             let known = |r: &&Record| r.name == q.name && r.data.record_type() == q.query_type;
             let answers: Vec<Record> = records.iter().filter(known).cloned().collect();
             ours.send_to(b"no message", from).unwrap();
-            ours.send_to(&response(&answers).to_vec().unwrap(), from).unwrap();
+            ours.send_to(&response(&answers).to_vec().unwrap(), from)
+                .unwrap();
             if tx.send((from, q.query_type)).is_err() {
                 return;
             }
@@ -59,9 +77,15 @@
 fn hosts_come_by_dns_sd_and_go_with_a_goodbye() {
     let ledger = Ledger::default();
     let serve = |s: &Seen| Act::Serve(format!("v{}", s.shard));
-    let hosts = [host(0, false, &ledger, serve), host(1, false, &ledger, serve)];
+    let hosts = [
+        host(0, false, &ledger, serve),
+        host(1, false, &ledger, serve),
+    ];
     let port = |n: usize| hosts[n].addr.rsplit_once(':').unwrap().1.parse().unwrap();
-    let both = [records("h0", port(0), 0, 120), records("h1", port(1), 1, 120)];
+    let both = [
+        records("h0", port(0), 0, 120),
+        records("h1", port(1), 1, 120),
+    ];
     let (socket, asked) = responder(both.concat());
     let operator = format!(
         "[dns_sd]\nresponder = \"{}\"\nservice = \"_district._tcp.taxi.local\"",
@@ -80,7 +104,9 @@
     // What is no DNS message was counted and cost nothing else.
     assert!(c.counters.get("list.bad_messages") > 0);
     let bye: Vec<Record> = records("h0", port(0), 0, 0).into_iter().take(1).collect();
-    socket.send_to(&response(&bye).to_vec().unwrap(), browser).unwrap();
+    socket
+        .send_to(&response(&bye).to_vec().unwrap(), browser)
+        .unwrap();
     until("the first host is gone", || ask(0) != 200);
     assert_eq!(ask(1), 200);
 }
@@ -104,7 +130,10 @@
     );
     cache.take(&response(&all), at(3000));
     let hosts = cache.hosts();
-    assert_eq!((hosts[0].id.as_str(), hosts[0].addr.as_str(), hosts[0].cell), ("h0", "127.0.0.1:5000", 3));
+    assert_eq!(
+        (hosts[0].id.as_str(), hosts[0].addr.as_str(), hosts[0].cell),
+        ("h0", "127.0.0.1:5000", 3)
+    );
     assert_eq!(hosts[0].zone, "a");
     // Asked for again at 80% of ten seconds, and kept to the end.
     assert_eq!(kinds(cache.questions(at(10_900))), []);
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -40,7 +40,12 @@
         probes: true,
         retry_after_max: Some(ms(1000)),
         budget: None,
-        cold: Some(ColdRule { share: 0.2, ramp: ms(14_000), fall_multiple: 2.0, tip_after: ms(1000) }),
+        cold: Some(ColdRule {
+            share: 0.2,
+            ramp: ms(14_000),
+            fall_multiple: 2.0,
+            tip_after: ms(1000),
+        }),
         must_ask_in: None,
         drain_grace: ms(2000),
         step: ms(1),
@@ -48,7 +53,13 @@
 }
 
 fn entry(server: u32, state: ServerState, boot: Option<u64>) -> ServerEntry {
-    ServerEntry { server: ServerId(server), zone: ZoneId(0), cell: server % 4, state, boot: boot.map(ms) }
+    ServerEntry {
+        server: ServerId(server),
+        zone: ZoneId(0),
+        cell: server % 4,
+        state,
+        boot: boot.map(ms),
+    }
 }
 
 /// How an attempt ends.
@@ -79,7 +90,9 @@
 
 impl Fleet {
     fn new() -> Self {
-        let routers = (0..ROUTERS).map(|n| Router::new(settings(), u64::from(n) + 1)).collect();
+        let routers = (0..ROUTERS)
+            .map(|n| Router::new(settings(), u64::from(n) + 1))
+            .collect();
         let mut fleet = Self {
             routers,
             now: 0,
@@ -90,13 +103,25 @@
             sent: vec![],
             finals: BTreeMap::new(),
         };
-        fleet.list(ListKind::Full, (0..12).map(|s| entry(s, ServerState::Ready, None)).collect());
+        fleet.list(
+            ListKind::Full,
+            (0..12)
+                .map(|s| entry(s, ServerState::Ready, None))
+                .collect(),
+        );
         fleet
     }
 
     fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         for router in &mut self.routers {
-            router.handle(ms(self.now), Event::List { kind, entries: entries.clone() }, &mut vec![]);
+            router.handle(
+                ms(self.now),
+                Event::List {
+                    kind,
+                    entries: entries.clone(),
+                },
+                &mut vec![],
+            );
         }
     }
 
@@ -122,15 +147,27 @@
                     closed: e.outcome == Outcome::Ok,
                     report: (e.outcome == Outcome::Ok).then(|| told(e)),
                 };
-                let mut events: Vec<Event> = ended.iter().filter(|e| e.who == who).map(event).collect();
+                let mut events: Vec<Event> =
+                    ended.iter().filter(|e| e.who == who).map(event).collect();
                 if (self.now + 37 * who as u64).is_multiple_of(gap) {
                     let (id, part) = (RequestId(self.next), RequestId(self.next + 1));
                     let shard = (self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as u32 % 4;
                     self.next += 2;
                     let deadline = ms(self.now + 1700);
                     let (class, tenant, repeat) = (ClassId(0), None, None);
-                    events.push(Event::Query { id, class, tenant, deadline, repeat });
-                    events.push(Event::Part { id: part, query: id, shard, weight: 1.0 });
+                    events.push(Event::Query {
+                        id,
+                        class,
+                        tenant,
+                        deadline,
+                        repeat,
+                    });
+                    events.push(Event::Part {
+                        id: part,
+                        query: id,
+                        shard,
+                        weight: 1.0,
+                    });
                 }
                 if events.is_empty() && !self.now.is_multiple_of(10) {
                     continue;
@@ -146,11 +183,22 @@
                             let n = self.attempts.entry((who, part)).or_insert(0);
                             let (outcome, mut latency) = answer(self.now, server.0);
                             let held = &mut self.held[server.0 as usize];
-                            latency += if outcome == Outcome::Ok { 5 * u64::from(*held) } else { 0 };
+                            latency += if outcome == Outcome::Ok {
+                                5 * u64::from(*held)
+                            } else {
+                                0
+                            };
                             *held += 1;
                             let (attempt, server) = (*n, server.0);
                             *n += 1;
-                            let end = End { who, part, attempt, server, outcome, latency };
+                            let end = End {
+                                who,
+                                part,
+                                attempt,
+                                server,
+                                outcome,
+                                latency,
+                            };
                             self.coming.entry(self.now + latency).or_default().push(end);
                         }
                         Action::Answer { .. } => *self.finals.entry("answered").or_default() += 1,
@@ -164,7 +212,10 @@
     }
 
     fn sent_to(&self, server: u32, from: u64, until: u64) -> usize {
-        self.sent.iter().filter(|(t, s)| *s == server && (from..until).contains(t)).count()
+        self.sent
+            .iter()
+            .filter(|(t, s)| *s == server && (from..until).contains(t))
+            .count()
     }
 }
 
@@ -180,16 +231,25 @@
     fleet.list(ListKind::Changes, vec![entry(1, ServerState::Gone, None)]);
     fleet.play(2000, 166, quick);
     let boot = fleet.now;
-    fleet.list(ListKind::Changes, vec![entry(1, ServerState::Ready, Some(boot))]);
+    fleet.list(
+        ListKind::Changes,
+        vec![entry(1, ServerState::Ready, Some(boot))],
+    );
     fleet.play(10_000, 166, quick);
     let warmth = |age: f64| 0.2 + 0.8 * age / 14.0;
     for from in (boot..boot + 9000).step_by(50) {
         let can = 100.0 * warmth((from - boot) as f64 / 1000.0);
         let n = fleet.sent_to(1, from, from + 1000);
-        assert!((n as f64) < 1.7 * can, "{n} in the second from {from}, where {can:.0} can be done");
+        assert!(
+            (n as f64) < 1.7 * can,
+            "{n} in the second from {from}, where {can:.0} can be done"
+        );
     }
     let late = fleet.sent_to(1, boot + 6000, boot + 10_000) as f64 / 4.0;
-    assert!(late > 50.0 * warmth(8.0), "{late} parts a second at a host that is three fifths warm");
+    assert!(
+        late > 50.0 * warmth(8.0),
+        "{late} parts a second at a host that is three fifths warm"
+    );
 }
 
 /// A host that fails at once among sound ones: a router sees it seldom, and a hundred of them have to find
@@ -199,13 +259,26 @@
     let mut fleet = Fleet::new();
     fleet.play(3000, 166, |_, _| (Outcome::Ok, PART));
     let from = fleet.now;
-    let bad = |_, server| if server == 1 { (Outcome::Error, 3) } else { (Outcome::Ok, PART) };
+    let bad = |_, server| {
+        if server == 1 {
+            (Outcome::Error, 3)
+        } else {
+            (Outcome::Ok, PART)
+        }
+    };
     fleet.play(10_000, 166, bad);
     let share = fleet.sent_to(1, from + 5000, fleet.now) as f64 / 5.0;
-    assert!(share < 30.0, "{share} parts a second to a failing host, of 50 to a sound one");
+    assert!(
+        share < 30.0,
+        "{share} parts a second to a failing host, of 50 to a sound one"
+    );
     assert_eq!(fleet.finals.get("failed"), None);
     let refused = fleet.finals.get("refused").copied().unwrap_or(0);
-    assert!(refused * 100 < fleet.finals["answered"], "{:?}", fleet.finals);
+    assert!(
+        refused * 100 < fleet.finals["answered"],
+        "{:?}",
+        fleet.finals
+    );
 }
 
 /// Six in ten hosts are replaced within seconds: none that drains gets anything after its grace, and each
@@ -216,16 +289,35 @@
     fleet.play(3000, 166, |_, _| (Outcome::Ok, PART));
     for wave in [[0, 1, 2, 3], [4, 5, 6, 7]] {
         let told = fleet.now;
-        fleet.list(ListKind::Changes, wave.map(|s| entry(s, ServerState::Draining, None)).to_vec());
-        let drains = |_, s| if wave.contains(&s) { (Outcome::Full, 2) } else { (Outcome::Ok, PART) };
+        fleet.list(
+            ListKind::Changes,
+            wave.map(|s| entry(s, ServerState::Draining, None)).to_vec(),
+        );
+        let drains = |_, s| {
+            if wave.contains(&s) {
+                (Outcome::Full, 2)
+            } else {
+                (Outcome::Ok, PART)
+            }
+        };
         fleet.play(4000, 166, drains);
-        assert!(wave.iter().all(|s| fleet.sent_to(*s, told + 2000, fleet.now) == 0));
+        assert!(wave
+            .iter()
+            .all(|s| fleet.sent_to(*s, told + 2000, fleet.now) == 0));
         let boot = fleet.now;
-        fleet.list(ListKind::Changes, wave.map(|s| entry(s, ServerState::Ready, Some(boot))).to_vec());
+        fleet.list(
+            ListKind::Changes,
+            wave.map(|s| entry(s, ServerState::Ready, Some(boot)))
+                .to_vec(),
+        );
         fleet.play(3000, 166, |_, _| (Outcome::Ok, PART));
     }
     fleet.play(2000, u64::MAX, |_, _| (Outcome::Ok, PART));
     let ended: usize = fleet.finals.values().sum();
     assert_eq!(ended as u64, fleet.next / 2, "{:?}", fleet.finals);
-    assert!(fleet.finals["answered"] * 20 > ended * 19, "{:?}", fleet.finals);
+    assert!(
+        fleet.finals["answered"] * 20 > ended * 19,
+        "{:?}",
+        fleet.finals
+    );
 }
--- a/crates/coordinator/tests/lists.rs
+++ b/crates/coordinator/tests/lists.rs
@@ -32,14 +32,29 @@
         let (moves, moved) = mpsc::unbounded_channel();
         let counters = Counters::default();
         let (addr, count) = (addr.to_owned(), counters.clone());
-        let watch = Watch { addr, revision: None, core, counters: count, pace, replaces: Vec::new() };
+        let watch = Watch {
+            addr,
+            revision: None,
+            core,
+            counters: count,
+            pace,
+            replaces: Vec::new(),
+        };
         tokio::spawn(watch.follow_moves(moved));
-        Self { news, moves, counters, started: Instant::now() }
+        Self {
+            news,
+            moves,
+            counters,
+            started: Instant::now(),
+        }
     }
 
     /// The host of the next list that is told.
     async fn host(&mut self) -> String {
-        match timeout(Duration::from_secs(60), self.news.recv()).await.expect("a list in time") {
+        match timeout(Duration::from_secs(60), self.news.recv())
+            .await
+            .expect("a list in time")
+        {
             Some(Mail::List(kind, members)) => {
                 assert!(matches!(kind, ListKind::Full | ListKind::Changes));
                 members[0].id.clone()
@@ -50,7 +65,11 @@
 }
 
 fn agent(grace: u64) -> Pace {
-    Pace { seed: 1, shared: None, grace: ms(grace) }
+    Pace {
+        seed: 1,
+        shared: None,
+        grace: ms(grace),
+    }
 }
 
 fn object(host: &str) -> String {
@@ -86,13 +105,18 @@
     /// The next call, answered up to its head.
     async fn watch(&self) -> TcpStream {
         let mut stream = self.call().await;
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await
+            .unwrap();
         stream
     }
 }
 
 async fn say(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
-    stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
+    stream
+        .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+        .await
 }
 
 /// A watch that speaks and then drips, never a whole line: it counts as silent from its last whole one.
@@ -101,7 +125,9 @@
     let discovery = Discovery::new().await;
     let mut bench = Bench::new(&discovery.addr, agent(2000));
     let mut watch = discovery.watch().await;
-    say(&mut watch, &format!("{}\n\n", object("h1"))).await.unwrap();
+    say(&mut watch, &format!("{}\n\n", object("h1")))
+        .await
+        .unwrap();
     assert_eq!(bench.host().await, "h1");
     let last = Instant::now();
     let drip = async {
@@ -115,7 +141,9 @@
     };
     let next = async {
         let mut watch = discovery.watch().await;
-        say(&mut watch, &format!("{}\n", object("h2"))).await.unwrap();
+        say(&mut watch, &format!("{}\n", object("h2")))
+            .await
+            .unwrap();
         assert_eq!(bench.host().await, "h2");
     };
     tokio::select! { _ = drip => {} _ = next => {} }
@@ -131,15 +159,27 @@
             let discovery = Discovery::new().await;
             let mut bench = Bench::new(&discovery.addr, agent(grace));
             let mut watch = discovery.watch().await;
-            say(&mut watch, &format!("{}\n", object("h1"))).await.unwrap();
+            say(&mut watch, &format!("{}\n", object("h1")))
+                .await
+                .unwrap();
             assert_eq!(bench.host().await, "h1");
             // The call after the silence stays without its head, or with it but without a first object.
-            let stuck = if head { discovery.watch().await } else { discovery.call().await };
+            let stuck = if head {
+                discovery.watch().await
+            } else {
+                discovery.call().await
+            };
             let back = Instant::now();
             let mut watch = discovery.watch().await;
-            say(&mut watch, &format!("{}\n", object("h2"))).await.unwrap();
+            say(&mut watch, &format!("{}\n", object("h2")))
+                .await
+                .unwrap();
             assert_eq!(bench.host().await, "h2");
-            assert!(back.elapsed() < ms(grace), "{:?} with a grace of {grace}", back.elapsed());
+            assert!(
+                back.elapsed() < ms(grace),
+                "{:?} with a grace of {grace}",
+                back.elapsed()
+            );
             drop(stuck);
         }
     }
@@ -152,9 +192,18 @@
     for seed in 1..40 {
         let discovery = Discovery::new().await;
         let shared = Some((300, Duration::from_secs(12)));
-        let mut bench = Bench::new(&discovery.addr, Pace { seed, shared, grace: ms(1000) });
+        let mut bench = Bench::new(
+            &discovery.addr,
+            Pace {
+                seed,
+                shared,
+                grace: ms(1000),
+            },
+        );
         let mut watch = discovery.watch().await;
-        say(&mut watch, &format!("{}\n", object("h1"))).await.unwrap();
+        say(&mut watch, &format!("{}\n", object("h1")))
+            .await
+            .unwrap();
         assert_eq!(bench.host().await, "h1");
         let last = Instant::now();
         discovery.call().await;
@@ -174,11 +223,16 @@
         let value: serde_json::Value = serde_json::from_str(&object(host)).unwrap();
         let text = format!("\n{}\n\n", serde_json::to_string_pretty(&value).unwrap());
         for piece in text.as_bytes().chunks(7) {
-            say(&mut watch, std::str::from_utf8(piece).unwrap()).await.unwrap();
+            say(&mut watch, std::str::from_utf8(piece).unwrap())
+                .await
+                .unwrap();
         }
         assert_eq!(bench.host().await, host);
     }
-    assert_eq!((bench.counters.get("list.ended"), bench.started.elapsed()), (0, ms(0)));
+    assert_eq!(
+        (bench.counters.get("list.ended"), bench.started.elapsed()),
+        (0, ms(0))
+    );
 }
 
 /// Half a line, and then an empty one: the line was never ended. The watch is left at once, not after silence.
@@ -190,7 +244,11 @@
     say(&mut watch, "{\"revision\": 7,\n\n").await.unwrap();
     let _again = discovery.watch().await;
     assert_eq!(bench.counters.get("list.ended"), 1);
-    assert!(bench.started.elapsed() <= ms(500), "{:?}", bench.started.elapsed());
+    assert!(
+        bench.started.elapsed() <= ms(500),
+        "{:?}",
+        bench.started.elapsed()
+    );
 }
 
 /// Discovery moves to and fro before the new place has spoken. Whichever of the places speaks in between, the
@@ -201,7 +259,9 @@
         let (a, b) = (Discovery::new().await, Discovery::new().await);
         let mut bench = Bench::new(&a.addr, agent(2000));
         let mut first = a.watch().await;
-        say(&mut first, &format!("{}\n", object("a1"))).await.unwrap();
+        say(&mut first, &format!("{}\n", object("a1")))
+            .await
+            .unwrap();
         assert_eq!(bench.host().await, "a1");
         bench.moves.send(b.addr.clone()).unwrap();
         let mut second = b.watch().await;
@@ -209,22 +269,34 @@
         let mut third = a.watch().await;
         if speaks_between {
             // The place in the middle speaks: the first is over, the last still to come.
-            say(&mut second, &format!("{}\n", object("b1"))).await.unwrap();
+            say(&mut second, &format!("{}\n", object("b1")))
+                .await
+                .unwrap();
             assert_eq!(bench.host().await, "b1");
         } else {
             // The first goes on for as long as nobody else speaks.
-            say(&mut first, &format!("{}\n", object("a2"))).await.unwrap();
+            say(&mut first, &format!("{}\n", object("a2")))
+                .await
+                .unwrap();
             assert_eq!(bench.host().await, "a2");
         }
         // All speak at once; the last one's word comes first in its turn, or after theirs.
         let _ = say(&mut first, &format!("{}\n", object("old"))).await;
         let _ = say(&mut second, &format!("{}\n", object("old"))).await;
-        say(&mut third, &format!("{}\n", object("a3"))).await.unwrap();
+        say(&mut third, &format!("{}\n", object("a3")))
+            .await
+            .unwrap();
         while bench.host().await != "a3" {}
         let _ = say(&mut first, &format!("{}\n", object("old"))).await;
         let _ = say(&mut second, &format!("{}\n", object("old"))).await;
-        say(&mut third, &format!("{}\n", object("a4"))).await.unwrap();
-        assert_eq!(bench.host().await, "a4", "an earlier place was heard after the last one");
+        say(&mut third, &format!("{}\n", object("a4")))
+            .await
+            .unwrap();
+        assert_eq!(
+            bench.host().await,
+            "a4",
+            "an earlier place was heard after the last one"
+        );
     }
 }
 
@@ -234,11 +306,15 @@
     let (a, b) = (Discovery::new().await, Discovery::new().await);
     let mut bench = Bench::new(&a.addr, agent(2000));
     let mut watch = a.watch().await;
-    say(&mut watch, &format!("{}\n", object("a1"))).await.unwrap();
+    say(&mut watch, &format!("{}\n", object("a1")))
+        .await
+        .unwrap();
     assert_eq!(bench.host().await, "a1");
     bench.moves.send(b.addr.clone()).unwrap();
     let _mute = b.call().await;
     let mut again = a.watch().await;
-    say(&mut again, &format!("{}\n", object("a2"))).await.unwrap();
+    say(&mut again, &format!("{}\n", object("a2")))
+        .await
+        .unwrap();
     assert_eq!(bench.host().await, "a2");
 }
--- a/crates/coordinator/tests/module.rs
+++ b/crates/coordinator/tests/module.rs
@@ -60,9 +60,18 @@
 impl Bench {
     fn new(settings: Settings) -> Self {
         let router = Router::new(settings, 11);
-        let mut bench = Self { router, now: 0, log: vec![], next: 0, deadline: 3000 };
+        let mut bench = Self {
+            router,
+            now: 0,
+            log: vec![],
+            next: 0,
+            deadline: 3000,
+        };
         let servers: Vec<ServerEntry> = (0..4).map(entry).collect();
-        bench.turn(vec![Event::List { kind: ListKind::Full, entries: servers }]);
+        bench.turn(vec![Event::List {
+            kind: ListKind::Full,
+            entries: servers,
+        }]);
         bench
     }
 
@@ -88,15 +97,29 @@
     }
 
     /// A query with a part for each shard; gives its id, its parts' ids and the actions.
-    fn query(&mut self, class: u32, weights: &[(u32, f64)]) -> (RequestId, Vec<RequestId>, Vec<Action>) {
+    fn query(
+        &mut self,
+        class: u32,
+        weights: &[(u32, f64)],
+    ) -> (RequestId, Vec<RequestId>, Vec<Action>) {
         let id = RequestId(self.next);
         let deadline = ms(self.now + self.deadline);
-        let mut events =
-            vec![Event::Query { id, class: ClassId(class), tenant: None, deadline, repeat: None }];
+        let mut events = vec![Event::Query {
+            id,
+            class: ClassId(class),
+            tenant: None,
+            deadline,
+            repeat: None,
+        }];
         let mut parts = Vec::new();
         for (n, (shard, weight)) in weights.iter().enumerate() {
             let part = RequestId(self.next + 1 + n as u64);
-            events.push(Event::Part { id: part, query: id, shard: *shard, weight: *weight });
+            events.push(Event::Part {
+                id: part,
+                query: id,
+                shard: *shard,
+                weight: *weight,
+            });
             parts.push(part);
         }
         self.next += 1 + weights.len() as u64;
@@ -108,11 +131,27 @@
         sends(&self.log).iter().filter(|s| s.1 == server).count()
     }
 
-    fn end(&mut self, part: RequestId, attempt: u32, outcome: Outcome, inflight: f64) -> Vec<Action> {
-        let report = Some(LoadReport { inflight: Some(inflight), ..LoadReport::default() });
+    fn end(
+        &mut self,
+        part: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        inflight: f64,
+    ) -> Vec<Action> {
+        let report = Some(LoadReport {
+            inflight: Some(inflight),
+            ..LoadReport::default()
+        });
         let latency = ms(100);
         let closed = outcome == Outcome::Ok;
-        self.turn(vec![Event::AttemptEnd { part, attempt, outcome, latency, closed, report }])
+        self.turn(vec![Event::AttemptEnd {
+            part,
+            attempt,
+            outcome,
+            latency,
+            closed,
+            report,
+        }])
     }
 }
 
@@ -124,7 +163,11 @@
             let (_, parts, out) = self.query(0, &[(server.0, 1.0)]);
             let hit = sends(&out).iter().any(|s| s.1 == server);
             self.now += 10;
-            let (how, load) = if hit { (outcome, 0.0) } else { (Outcome::Ok, 3.0) };
+            let (how, load) = if hit {
+                (outcome, 0.0)
+            } else {
+                (Outcome::Ok, 3.0)
+            };
             all.extend(self.end(parts[0], 0, how, load));
             self.end(parts[0], 1, Outcome::Ok, 3.0);
             hits += usize::from(hit);
@@ -137,16 +180,36 @@
 
     fn answer(&mut self, part: RequestId, attempt: u32, latency: u64) -> Vec<Action> {
         let (outcome, latency) = (Outcome::Ok, ms(latency));
-        self.turn(vec![Event::AttemptEnd { part, attempt, outcome, latency, closed: true, report: None }])
+        self.turn(vec![Event::AttemptEnd {
+            part,
+            attempt,
+            outcome,
+            latency,
+            closed: true,
+            report: None,
+        }])
     }
 }
 
 fn entry(n: u32) -> ServerEntry {
-    ServerEntry { server: ServerId(n), zone: ZoneId(0), cell: n, state: ServerState::Ready, boot: None }
+    ServerEntry {
+        server: ServerId(n),
+        zone: ZoneId(0),
+        cell: n,
+        state: ServerState::Ready,
+        boot: None,
+    }
 }
 
 fn changed(n: u32, state: ServerState, boot: Option<Duration>) -> Event {
-    Event::List { kind: ListKind::Changes, entries: vec![ServerEntry { state, boot, ..entry(n) }] }
+    Event::List {
+        kind: ListKind::Changes,
+        entries: vec![ServerEntry {
+            state,
+            boot,
+            ..entry(n)
+        }],
+    }
 }
 
 fn sends(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
@@ -159,9 +222,9 @@
 
 fn finals(actions: &[Action], id: RequestId) -> usize {
     let ends = |a: &&Action| match a {
-        Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query, .. } => {
-            *query == id
-        }
+        Action::Answer { query, .. }
+        | Action::Refuse { query, .. }
+        | Action::Fail { query, .. } => *query == id,
         _ => false,
     };
     actions.iter().filter(ends).count()
@@ -173,13 +236,22 @@
     let (id, parts, out) = b.query(0, &[(1, 0.5), (2, 0.5)]);
     for (part, server) in sends(&out) {
         let shard = if part == parts[0] { 1 } else { 2 };
-        assert!((server.0 + 4 - shard) % 4 < 2, "server {server:?} does not hold shard {shard}");
+        assert!(
+            (server.0 + 4 - shard) % 4 < 2,
+            "server {server:?} does not hold shard {shard}"
+        );
     }
     assert_eq!(sends(&out).len(), 2);
     b.now += 100;
     assert!(b.end(parts[0], 0, Outcome::Ok, 0.0).is_empty());
     let out = b.end(parts[1], 0, Outcome::Ok, 0.0);
-    assert_eq!(out, vec![Action::Answer { query: id, whole: true }]);
+    assert_eq!(
+        out,
+        vec![Action::Answer {
+            query: id,
+            whole: true
+        }]
+    );
 }
 
 #[test]
@@ -196,7 +268,10 @@
 #[test]
 fn a_query_on_shards_without_holder_is_refused_at_once() {
     let mut b = Bench::new(settings());
-    b.turn(vec![changed(0, ServerState::Gone, None), changed(1, ServerState::Gone, None)]);
+    b.turn(vec![
+        changed(0, ServerState::Gone, None),
+        changed(1, ServerState::Gone, None),
+    ]);
     let (id, _, out) = b.query(0, &[(0, 1.0)]);
     assert!(matches!(out[..], [Action::Refuse { query, retry_after: Some(_), .. }] if query == id));
 }
@@ -205,7 +280,11 @@
 fn an_unsafe_part_is_not_sent_again_once_it_may_have_run() {
     let mut s = settings();
     s.classes[0].repeat = Repeat::Unsafe;
-    for (outcome, again) in [(Outcome::Error, false), (Outcome::Full, true), (Outcome::ConnectFailed, true)] {
+    for (outcome, again) in [
+        (Outcome::Error, false),
+        (Outcome::Full, true),
+        (Outcome::ConnectFailed, true),
+    ] {
         let mut b = Bench::new(s.clone());
         let (id, parts, _) = b.query(0, &[(0, 1.0)]);
         b.now += 20;
@@ -213,8 +292,15 @@
         assert_eq!(!sends(&out).is_empty(), again, "{outcome:?}");
         b.until(2990);
         assert_eq!(finals(&b.log, id), 1);
-        assert!(b.log.iter().any(|a| matches!(a, Action::Fail { .. })), "may have run: no refusal");
-        assert_eq!(sends(&b.log).len(), 1 + usize::from(again), "never two out at once");
+        assert!(
+            b.log.iter().any(|a| matches!(a, Action::Fail { .. })),
+            "may have run: no refusal"
+        );
+        assert_eq!(
+            sends(&b.log).len(),
+            1 + usize::from(again),
+            "never two out at once"
+        );
     }
 }
 
@@ -227,7 +313,10 @@
     let (_, parts, _) = b.query(0, &[(0, 1.0)]);
     b.now = 300;
     assert_eq!(sends(&b.end(parts[0], 0, Outcome::Error, 0.0)).len(), 1);
-    let mut b = Bench::new(Settings { second_copies: false, ..s });
+    let mut b = Bench::new(Settings {
+        second_copies: false,
+        ..s
+    });
     let (_, parts, _) = b.query(0, &[(0, 1.0)]);
     b.now = 401;
     assert!(sends(&b.end(parts[0], 0, Outcome::Error, 0.0)).is_empty());
@@ -252,8 +341,16 @@
 
 #[test]
 fn the_budget_is_kept_at_its_edge() {
-    let budget = Budget { free: 2.0, share: 0.1, span: ms(2000) };
-    let mut b = Bench::new(Settings { budget: Some(budget), max_attempts: 9, ..settings() });
+    let budget = Budget {
+        free: 2.0,
+        share: 0.1,
+        span: ms(2000),
+    };
+    let mut b = Bench::new(Settings {
+        budget: Some(budget),
+        max_attempts: 9,
+        ..settings()
+    });
     let mut extra = 0;
     let (_, parts, _) = b.query(0, &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]);
     for round in 0..8u32 {
@@ -269,22 +366,40 @@
 #[test]
 fn an_answer_in_part_is_given_at_the_floor_and_not_below() {
     let mut s = settings();
-    s.classes[0] = Class { floor: 0.5, partial_earns: 0.8, ..class() };
+    s.classes[0] = Class {
+        floor: 0.5,
+        partial_earns: 0.8,
+        ..class()
+    };
     for (weights, answered) in [([0.5, 0.5], true), ([0.49, 0.51], false)] {
         let mut b = Bench::new(s.clone());
         let (id, parts, _) = b.query(0, &[(0, weights[0]), (2, weights[1])]);
         b.now += 50;
         b.end(parts[0], 0, Outcome::Ok, 0.0);
         b.until(1000);
-        assert_eq!(b.log.contains(&Action::Answer { query: id, whole: false }), answered);
-        assert!(!b.log.contains(&Action::Answer { query: id, whole: true }));
+        assert_eq!(
+            b.log.contains(&Action::Answer {
+                query: id,
+                whole: false
+            }),
+            answered
+        );
+        assert!(!b.log.contains(&Action::Answer {
+            query: id,
+            whole: true
+        }));
     }
 }
 
 #[test]
 fn a_second_step_is_whole_only_after_a_whole_first_one() {
     let mut s = settings();
-    s.classes[0] = Class { floor: 0.5, partial_earns: 0.8, second_step: 1, ..class() };
+    s.classes[0] = Class {
+        floor: 0.5,
+        partial_earns: 0.8,
+        second_step: 1,
+        ..class()
+    };
     for whole in [true, false] {
         let mut b = Bench::new(s.clone());
         let (id, parts, _) = b.query(0, &[(0, 0.5), (2, 0.5)]);
@@ -299,18 +414,35 @@
         let before = b.log.len();
         let more = RequestId(900);
         b.now += 5;
-        b.turn(vec![Event::Part { id: more, query: id, shard: 0, weight: 1.0 }]);
+        b.turn(vec![Event::Part {
+            id: more,
+            query: id,
+            shard: 0,
+            weight: 1.0,
+        }]);
         b.now += 5;
         b.end(more, 0, Outcome::Ok, 0.0);
-        let answers: Vec<_> = b.log[before..].iter().filter(|a| matches!(a, Action::Answer { .. })).collect();
+        let answers: Vec<_> = b.log[before..]
+            .iter()
+            .filter(|a| matches!(a, Action::Answer { .. }))
+            .collect();
         assert_eq!(answers, [&Action::Answer { query: id, whole }]);
     }
 }
 
 #[test]
 fn routers_together_do_not_push_over_a_cold_server() {
-    let cold = ColdRule { share: 0.16, ramp: ms(16000), fall_multiple: 2.5, tip_after: ms(1000) };
-    let s = Settings { routers: 4, cold: Some(cold), ..settings() };
+    let cold = ColdRule {
+        share: 0.16,
+        ramp: ms(16000),
+        fall_multiple: 2.5,
+        tip_after: ms(1000),
+    };
+    let s = Settings {
+        routers: 4,
+        cold: Some(cold),
+        ..settings()
+    };
     let (mut total, mut later) = (0, 0);
     for _ in 0..4 {
         let mut b = Bench::new(s.clone());
@@ -322,7 +454,8 @@
             b.now += 10;
             let (_, _, actions) = b.query(0, &[(0, 1.0)]);
             for (part, server) in sends(&actions) {
-                *if b.now < 6000 { &mut total } else { &mut later } += u32::from(server == ServerId(0));
+                *if b.now < 6000 { &mut total } else { &mut later } +=
+                    u32::from(server == ServerId(0));
                 let n = tries.entry(part).or_insert(0);
                 out.push((b.now, part, *n));
                 *n += 1;
@@ -345,19 +478,41 @@
 /// Found by a hunt: sixty routers hear of a start at about the same time, and each sent a part at once.
 #[test]
 fn many_routers_do_not_all_send_at_once_to_a_cold_server() {
-    let cold = ColdRule { share: 0.16, ramp: ms(18000), fall_multiple: 2.5, tip_after: ms(1000) };
+    let cold = ColdRule {
+        share: 0.16,
+        ramp: ms(18000),
+        fall_multiple: 2.5,
+        tip_after: ms(1000),
+    };
     let mut total = 0;
     for seed in 0..60 {
-        let mut b = Bench::new(Settings { cold: Some(cold), routers: 60, ..settings() });
-        b.router = Router::new(Settings { cold: Some(cold), routers: 60, ..settings() }, seed);
-        b.turn(vec![Event::List { kind: ListKind::Full, entries: (0..4).map(entry).collect() }]);
+        let mut b = Bench::new(Settings {
+            cold: Some(cold),
+            routers: 60,
+            ..settings()
+        });
+        b.router = Router::new(
+            Settings {
+                cold: Some(cold),
+                routers: 60,
+                ..settings()
+            },
+            seed,
+        );
+        b.turn(vec![Event::List {
+            kind: ListKind::Full,
+            entries: (0..4).map(entry).collect(),
+        }]);
         answer(&mut b, 12, 0, (ServerId(9), 0));
         b.until(b.now + 9000);
         b.turn(vec![changed(0, ServerState::Gone, None)]);
         b.turn(vec![changed(0, ServerState::Ready, Some(ms(b.now)))]);
         let before = b.log.len();
         answer(&mut b, 2, 0, (ServerId(9), 0));
-        total += sends(&b.log[before..]).iter().filter(|s| s.1 == ServerId(0)).count();
+        total += sends(&b.log[before..])
+            .iter()
+            .filter(|s| s.1 == ServerId(0))
+            .count();
     }
     // One core at 16% does 3.2 parts of 50 ms in a second, and bears 2.5 times that.
     assert!(total <= 8, "{total} parts at once");
@@ -397,7 +552,10 @@
 #[test]
 fn a_server_that_answers_between_resets_is_not_left() {
     for (answers, left) in [(1, false), (0, true)] {
-        let mut b = Bench::new(Settings { probes: true, ..settings() });
+        let mut b = Bench::new(Settings {
+            probes: true,
+            ..settings()
+        });
         let server = ServerId(0);
         for _ in 0..4 {
             // Its entry ages, so that it is listed anew whatever the others told.
@@ -407,7 +565,11 @@
         }
         b.until(b.now + 1100);
         // One that was left is probed before its next part.
-        assert_eq!(b.log.contains(&Action::Probe { server }), left, "{answers} answers between resets");
+        assert_eq!(
+            b.log.contains(&Action::Probe { server }),
+            left,
+            "{answers} answers between resets"
+        );
     }
 }
 
@@ -416,7 +578,11 @@
 #[test]
 fn a_server_that_swallows_one_class_is_left_by_that_class() {
     let two = vec![class(), class()];
-    let mut b = Bench::new(Settings { classes: two, second_copies: false, ..settings() });
+    let mut b = Bench::new(Settings {
+        classes: two,
+        second_copies: false,
+        ..settings()
+    });
     let (_, parts, out) = b.query(0, &[(0, 1.0)]);
     let sick = sends(&out)[0].1;
     b.end(parts[0], 0, Outcome::Ok, 0.0);
@@ -427,37 +593,64 @@
             let hangs = server == sick && n % 2 == 0;
             b.now += 10;
             let load = if server == sick { 0.0 } else { 5.0 };
-            b.end(part, 0, if hangs { Outcome::Timeout } else { Outcome::Ok }, load);
+            b.end(
+                part,
+                0,
+                if hangs { Outcome::Timeout } else { Outcome::Ok },
+                load,
+            );
             b.end(parts[0], 1, Outcome::Ok, 5.0);
             swallowed += usize::from(hangs);
             served += usize::from(server == sick && !hangs);
         }
     }
-    assert!(swallowed <= 12 && served >= 20, "{swallowed} swallowed, {served} served");
+    assert!(
+        swallowed <= 12 && served >= 20,
+        "{swallowed} swallowed, {served} served"
+    );
 }
 
 /// Found on the reload day: the one holder left for some shards turned 265 parts away in a second, and each
 /// came back at once until its attempts were spent. What was turned away waits until there is room.
 #[test]
 fn a_full_server_is_sent_no_more_than_it_holds() {
-    let mut b = Bench::new(Settings { second_copies: false, ..settings() });
+    let mut b = Bench::new(Settings {
+        second_copies: false,
+        ..settings()
+    });
     let only = ServerId(0);
     b.turn(vec![changed(1, ServerState::Gone, None)]);
     (0..8).for_each(|_| drop(b.query(0, &[(0, 1.0)])));
     let parts: Vec<RequestId> = sends(&b.log).iter().map(|s| s.0).collect();
     assert!(parts.len() > 3 && b.router_sends_to(only) == parts.len());
     b.now += 5;
-    let out: Vec<Action> = parts[3..].iter().flat_map(|p| b.end(*p, 0, Outcome::Full, 0.0)).collect();
-    assert!(sends(&out).is_empty(), "back at once to a server that is full");
-    let out = parts[..3].iter().flat_map(|p| b.end(*p, 0, Outcome::Ok, 3.0)).collect::<Vec<_>>();
-    assert!(!sends(&out).is_empty(), "it waits for the room that answers give");
+    let out: Vec<Action> = parts[3..]
+        .iter()
+        .flat_map(|p| b.end(*p, 0, Outcome::Full, 0.0))
+        .collect();
+    assert!(
+        sends(&out).is_empty(),
+        "back at once to a server that is full"
+    );
+    let out = parts[..3]
+        .iter()
+        .flat_map(|p| b.end(*p, 0, Outcome::Ok, 3.0))
+        .collect::<Vec<_>>();
+    assert!(
+        !sends(&out).is_empty(),
+        "it waits for the room that answers give"
+    );
 }
 
 /// Found on the fleet days: with a hundred coordinators each has a part or none on a host, so a window can't
 /// hold them back: 13,000 parts in 5 s were turned away, three times each within 10 ms.
 #[test]
 fn a_server_that_turned_away_the_only_part_rests() {
-    let mut b = Bench::new(Settings { routers: 100, second_copies: false, ..settings() });
+    let mut b = Bench::new(Settings {
+        routers: 100,
+        second_copies: false,
+        ..settings()
+    });
     b.turn(vec![changed(1, ServerState::Gone, None)]);
     let (_, parts, _) = b.query(0, &[(0, 1.0)]);
     let mut rests = Vec::new();
@@ -468,20 +661,33 @@
         while sends(&b.until(b.now + 10)).is_empty() && b.now < since + 900 {}
         rests.push(b.now - since);
     }
-    assert!((50..170).contains(&rests[0]) && (100..320).contains(&rests[1]), "{rests:?}");
+    assert!(
+        (50..170).contains(&rests[0]) && (100..320).contains(&rests[1]),
+        "{rests:?}"
+    );
 }
 
 /// Found when a zone was lost: with the one host left full for a moment, parts spent all their attempts
 /// within 10 ms on hosts that refused connections, and all that their query had out was work for nothing.
 #[test]
 fn parts_wait_for_a_full_server_and_spend_no_attempt_on_a_dead_one() {
-    let mut b = Bench::new(Settings { routers: 100, second_copies: false, ..settings() });
+    let mut b = Bench::new(Settings {
+        routers: 100,
+        second_copies: false,
+        ..settings()
+    });
     let (full, dead) = (ServerId(0), ServerId(1));
     b.fail(dead, Outcome::ConnectFailed, 1);
     let (id, parts, _) = b.query(0, &[(0, 1.0)]);
     b.now += 2;
     assert!(sends(&b.end(parts[0], 0, Outcome::Full, 0.0)).is_empty());
-    assert_eq!(sends(&b.until(b.now + 200)).iter().map(|s| s.1).collect::<Vec<_>>(), [full]);
+    assert_eq!(
+        sends(&b.until(b.now + 200))
+            .iter()
+            .map(|s| s.1)
+            .collect::<Vec<_>>(),
+        [full]
+    );
     assert_eq!(finals(&b.log, id), 0);
 }
 
@@ -505,27 +711,42 @@
 #[test]
 fn a_failing_server_is_tried_more_seldom_in_a_large_fleet() {
     let tries = |routers| {
-        let mut b = Bench::new(Settings { routers, second_copies: false, ..settings() });
+        let mut b = Bench::new(Settings {
+            routers,
+            second_copies: false,
+            ..settings()
+        });
         b.fail(ServerId(0), Outcome::Error, 2);
         let before = b.router_sends_to(ServerId(0));
         for _ in 0..200 {
             let (_, parts, out) = b.query(0, &[(0, 1.0)]);
             let sick = sends(&out)[0].1 == ServerId(0);
-            b.end(parts[0], 0, if sick { Outcome::Error } else { Outcome::Ok }, 0.0);
+            b.end(
+                parts[0],
+                0,
+                if sick { Outcome::Error } else { Outcome::Ok },
+                0.0,
+            );
             b.end(parts[0], 1, Outcome::Ok, 0.0);
             b.until(b.now + 100);
         }
         b.router_sends_to(ServerId(0)) - before
     };
     let (few, many) = (tries(2), tries(100));
-    assert!(many >= 1 && 2 * many <= few, "{few} trials among two routers, {many} among a hundred");
+    assert!(
+        many >= 1 && 2 * many <= few,
+        "{few} trials among two routers, {many} among a hundred"
+    );
 }
 
 /// Found on a recorded day: what waits here for room at a full server was no part of the forecast, so ever
 /// more was admitted and all of it came too late.
 #[test]
 fn what_waits_for_room_counts_in_the_forecast() {
-    let mut b = Bench::new(Settings { second_copies: false, ..settings() });
+    let mut b = Bench::new(Settings {
+        second_copies: false,
+        ..settings()
+    });
     answer(&mut b, 20, 0, (ServerId(9), 0));
     b.turn(vec![changed(1, ServerState::Gone, None)]);
     let (_, parts, _) = b.query(0, &[(0, 1.0)]);
@@ -543,7 +764,10 @@
 #[test]
 fn a_leaving_server_helps_the_crowded_within_its_grace() {
     for (load, wait, helps) in [(0.0, 100, false), (30.0, 100, true), (30.0, 1700, false)] {
-        let mut b = Bench::new(Settings { drain_grace: ms(2000), ..settings() });
+        let mut b = Bench::new(Settings {
+            drain_grace: ms(2000),
+            ..settings()
+        });
         b.fail(ServerId(1), Outcome::Ok, 1);
         b.turn(vec![changed(0, ServerState::Draining, None)]);
         b.until(b.now + wait);
@@ -551,7 +775,11 @@
         b.end(parts[0], 0, Outcome::Ok, load);
         let before = b.log.len();
         b.query(0, &[(0, 1.0)]);
-        assert_eq!(sends(&b.log[before..])[0].1 == ServerId(0), helps, "{load} {wait}");
+        assert_eq!(
+            sends(&b.log[before..])[0].1 == ServerId(0),
+            helps,
+            "{load} {wait}"
+        );
     }
 }
 
@@ -570,7 +798,14 @@
     let (_, parts, out) = b.query(0, &[(0, 1.0)]);
     assert_eq!(sends(&out)[0].1, other);
     let (part, attempt, outcome, latency) = (parts[0], 0, Outcome::Ok, ms(1));
-    b.turn(vec![Event::AttemptEnd { part, attempt, outcome, latency, closed: true, report: None }]);
+    b.turn(vec![Event::AttemptEnd {
+        part,
+        attempt,
+        outcome,
+        latency,
+        closed: true,
+        report: None,
+    }]);
     assert_eq!(sends(&b.query(0, &[(0, 1.0)]).2)[0].1, other);
 }
 
@@ -589,7 +824,10 @@
         b.query(0, &[(0, 1.0)]);
     }
     let asked = sends(&b.log[before..]).len();
-    assert!((1..=4).contains(&asked), "{asked} sends to two unsound servers");
+    assert!(
+        (1..=4).contains(&asked),
+        "{asked} sends to two unsound servers"
+    );
 }
 
 #[test]
@@ -601,7 +839,11 @@
     b.now += 10;
     b.end(parts[0], 0, Outcome::Ok, 0.0);
     let (_, _, out) = b.query(0, &[(0, 1.0)]);
-    assert_eq!(sends(&out)[0].1, idle, "the listed server wins over one that was never heard of");
+    assert_eq!(
+        sends(&out)[0].1,
+        idle,
+        "the listed server wins over one that was never heard of"
+    );
 }
 
 #[test]
@@ -628,7 +870,9 @@
     let (_, parts, out) = b.query(0, &[(0, 1.0)]);
     let silent = sends(&out)[0].1;
     let more = b.until(b.now + 500);
-    assert!(sends(&more).iter().any(|s| s.0 == parts[0] && s.1 != silent));
+    assert!(sends(&more)
+        .iter()
+        .any(|s| s.0 == parts[0] && s.1 != silent));
     let before = b.log.len();
     b.query(0, &[(0, 1.0)]);
     assert_ne!(sends(&b.log[before..])[0].1, silent);
@@ -636,33 +880,53 @@
 
 #[test]
 fn without_second_copies_no_part_is_out_twice() {
-    let mut b = Bench::new(Settings { second_copies: false, ..settings() });
+    let mut b = Bench::new(Settings {
+        second_copies: false,
+        ..settings()
+    });
     b.query(0, &[(0, 1.0)]);
     assert!(sends(&b.until(2900)).is_empty());
 }
 
 #[test]
 fn a_list_call_that_fails_is_made_again_within_the_limit() {
-    let mut b = Bench::new(Settings { must_ask_in: Some(ms(10_000)), ..settings() });
+    let mut b = Bench::new(Settings {
+        must_ask_in: Some(ms(10_000)),
+        ..settings()
+    });
     let asks = |log: &[Action]| log.iter().filter(|a| **a == Action::Subscribe).count();
     b.until(300);
     let before = asks(&b.log);
-    b.turn(vec![Event::List { kind: ListKind::Failed, entries: vec![] }]);
+    b.turn(vec![Event::List {
+        kind: ListKind::Failed,
+        entries: vec![],
+    }]);
     b.until(3000);
     assert_eq!(asks(&b.log), before + 1);
     // Answered: no more calls.
-    b.turn(vec![Event::List { kind: ListKind::Changes, entries: vec![] }]);
+    b.turn(vec![Event::List {
+        kind: ListKind::Changes,
+        entries: vec![],
+    }]);
     b.until(20_000);
     assert_eq!(asks(&b.log), before + 1);
 }
 
 #[test]
 fn odd_but_legal_events_are_ignored() {
-    let mut b = Bench::new(Settings { layout: Layout { cells: 4, width: 9 }, ..settings() });
+    let mut b = Bench::new(Settings {
+        layout: Layout { cells: 4, width: 9 },
+        ..settings()
+    });
     let gone = RequestId(77);
     b.turn(vec![
         Event::Withdrawn { query: gone },
-        Event::Part { id: RequestId(78), query: gone, shard: 400, weight: 1.0 },
+        Event::Part {
+            id: RequestId(78),
+            query: gone,
+            shard: 400,
+            weight: 1.0,
+        },
         Event::AttemptEnd {
             part: gone,
             attempt: 5,
@@ -671,14 +935,30 @@
             closed: true,
             report: None,
         },
-        Event::Probed { server: ServerId(99), outcome: Outcome::Ok, report: None },
-        Event::List { kind: ListKind::Full, entries: vec![entry(1), entry(1)] },
-        Event::List { kind: ListKind::Changes, entries: vec![ServerEntry { cell: 50, ..entry(9) }] },
+        Event::Probed {
+            server: ServerId(99),
+            outcome: Outcome::Ok,
+            report: None,
+        },
+        Event::List {
+            kind: ListKind::Full,
+            entries: vec![entry(1), entry(1)],
+        },
+        Event::List {
+            kind: ListKind::Changes,
+            entries: vec![ServerEntry {
+                cell: 50,
+                ..entry(9)
+            }],
+        },
     ]);
     let (id, parts, _) = b.query(0, &[(0, 1.0)]);
     b.turn(vec![Event::Withdrawn { query: id }]);
     assert!(b.end(parts[0], 0, Outcome::Ok, 0.0).is_empty());
-    b.turn(vec![Event::List { kind: ListKind::Full, entries: vec![] }]);
+    b.turn(vec![Event::List {
+        kind: ListKind::Full,
+        entries: vec![],
+    }]);
     let (id, _, _) = b.query(0, &[(0, 1.0)]);
     assert_eq!(finals(&b.log, id), 1);
 }
@@ -695,7 +975,16 @@
                 noise.until(noise.now + 30);
             }
             b.now += 30;
-            b.end(parts[0], 0, if n % 7 == 0 { Outcome::Error } else { Outcome::Ok }, f64::from(n % 3));
+            b.end(
+                parts[0],
+                0,
+                if n % 7 == 0 {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                },
+                f64::from(n % 3),
+            );
             b.until(b.now + 20);
         }
         b.log
@@ -716,12 +1005,23 @@
         let deadline = at(now + 3_000_000);
         b.router.handle(
             at(now),
-            Event::Query { id, class: ClassId(0), tenant: None, deadline, repeat: None },
+            Event::Query {
+                id,
+                class: ClassId(0),
+                tenant: None,
+                deadline,
+                repeat: None,
+            },
             &mut out,
         );
         b.router.handle(
             at(now),
-            Event::Part { id: RequestId(1), query: id, shard: 0, weight: 1.0 },
+            Event::Part {
+                id: RequestId(1),
+                query: id,
+                shard: 0,
+                weight: 1.0,
+            },
             &mut out,
         );
         b.router.handle(at(now), Event::TurnEnd, &mut out);
@@ -734,7 +1034,9 @@
                 }
             }
             seen = out.len();
-            now = due.pop_first().expect("a wake-up is due while a query is open");
+            now = due
+                .pop_first()
+                .expect("a wake-up is due while a query is open");
             b.router.handle(at(now), Event::Wake, &mut out);
             b.router.handle(at(now), Event::TurnEnd, &mut out);
         }
@@ -747,9 +1049,21 @@
 /// router alone. Only a told start is a restart.
 #[test]
 fn neither_silence_nor_broken_connections_make_a_server_cold() {
-    let cold = ColdRule { share: 0.16, ramp: ms(16000), fall_multiple: 2.5, tip_after: ms(1000) };
-    for (outcome, boot) in [(Outcome::Timeout, false), (Outcome::Reset, false), (Outcome::Reset, true)] {
-        let mut b = Bench::new(Settings { cold: Some(cold), ..settings() });
+    let cold = ColdRule {
+        share: 0.16,
+        ramp: ms(16000),
+        fall_multiple: 2.5,
+        tip_after: ms(1000),
+    };
+    for (outcome, boot) in [
+        (Outcome::Timeout, false),
+        (Outcome::Reset, false),
+        (Outcome::Reset, true),
+    ] {
+        let mut b = Bench::new(Settings {
+            cold: Some(cold),
+            ..settings()
+        });
         let (_, parts, out) = b.query(0, &[(0, 1.0)]);
         let server = sends(&out)[0].1;
         let other = if server.0 == 0 { 1 } else { 0 };
@@ -774,7 +1088,11 @@
         for _ in 0..12 {
             b.query(0, &[(0, 1.0)]);
         }
-        assert_eq!(sends(&b.log[before..]).len() > 6, !boot, "{outcome:?}, told start: {boot}");
+        assert_eq!(
+            sends(&b.log[before..]).len() > 6,
+            !boot,
+            "{outcome:?}, told start: {boot}"
+        );
     }
 }
 
@@ -782,11 +1100,21 @@
 /// counted as repeats past their goal and were refused at once.
 #[test]
 fn a_longer_last_try_does_not_make_first_tries_repeats() {
-    let mut b = Bench::new(Settings { classes: vec![Class { late_worth: 0.0, ..class() }], ..settings() });
+    let mut b = Bench::new(Settings {
+        classes: vec![Class {
+            late_worth: 0.0,
+            ..class()
+        }],
+        ..settings()
+    });
     for wait in [1900, 1900, 2700, 1900, 1900] {
         b.deadline = wait;
         let (id, parts, out) = b.query(0, &[(0, 1.0)]);
-        assert_eq!((finals(&out, id), sends(&out).len()), (0, 1), "a try that waits {wait} ms");
+        assert_eq!(
+            (finals(&out, id), sends(&out).len()),
+            (0, 1),
+            "a try that waits {wait} ms"
+        );
         b.now += 50;
         b.end(parts[0], 0, Outcome::Ok, 0.0);
     }
@@ -799,7 +1127,13 @@
 /// A client that waits for less than the goal is short of time, not a repeat: it is served in its time.
 #[test]
 fn a_client_short_of_time_is_served() {
-    let mut b = Bench::new(Settings { classes: vec![Class { late_worth: 0.0, ..class() }], ..settings() });
+    let mut b = Bench::new(Settings {
+        classes: vec![Class {
+            late_worth: 0.0,
+            ..class()
+        }],
+        ..settings()
+    });
     for wait in [3000, 3000, 400] {
         b.deadline = wait;
         let (id, parts, out) = b.query(0, &[(0, 1.0)]);
@@ -819,10 +1153,20 @@
         let took = if server == slow.0 { slow.1 } else { 50 };
         hits += usize::from(server == slow.0);
         b.until(b.now + took);
-        let report = Some(LoadReport { inflight: Some(0.0), ..LoadReport::default() });
+        let report = Some(LoadReport {
+            inflight: Some(0.0),
+            ..LoadReport::default()
+        });
         let (part, latency) = (parts[0], ms(took));
         let (outcome, closed, attempt) = (Outcome::Ok, true, 0);
-        b.turn(vec![Event::AttemptEnd { part, attempt, outcome, latency, closed, report }]);
+        b.turn(vec![Event::AttemptEnd {
+            part,
+            attempt,
+            outcome,
+            latency,
+            closed,
+            report,
+        }]);
     }
     hits
 }
@@ -831,7 +1175,10 @@
 /// share of the sends. Their own answers outweigh such reports.
 #[test]
 fn a_slow_server_that_reports_idle_is_left() {
-    let mut b = Bench::new(Settings { second_copies: false, ..settings() });
+    let mut b = Bench::new(Settings {
+        second_copies: false,
+        ..settings()
+    });
     answer(&mut b, 20, 2, (ServerId(9), 0));
     for n in 0..2 {
         let slow = (ServerId(n), 400);
@@ -847,9 +1194,15 @@
     answer(&mut b, 20, 2, (ServerId(9), 0));
     let (_, parts, _) = b.query(0, &[(0, 0.5), (2, 0.5)]);
     let more = b.until(b.now + 700);
-    assert!(sends(&more).iter().any(|s| s.0 == parts[0]), "a copy is sent");
+    assert!(
+        sends(&more).iter().any(|s| s.0 == parts[0]),
+        "a copy is sent"
+    );
     let out = b.end(parts[0], 1, Outcome::Ok, 0.0);
-    assert!(out.contains(&Action::Cancel { part: parts[0], attempt: 0 }));
+    assert!(out.contains(&Action::Cancel {
+        part: parts[0],
+        attempt: 0
+    }));
 }
 
 /// A router that stood still itself finds old parts out: that is no silence of their servers.
@@ -885,7 +1238,12 @@
     while gaps.len() < 4 && b.now < 60_000 {
         let (_, parts, out) = b.query(0, &[(0, 1.0)]);
         let sick = sends(&out)[0].1 == failer;
-        b.end(parts[0], 0, if sick { Outcome::Error } else { Outcome::Ok }, 0.0);
+        b.end(
+            parts[0],
+            0,
+            if sick { Outcome::Error } else { Outcome::Ok },
+            0.0,
+        );
         if sick {
             gaps.push(b.now - std::mem::replace(&mut last, b.now));
             b.end(parts[0], 1, Outcome::Ok, 0.0);
@@ -905,7 +1263,10 @@
     let (_, _, out) = b.query(0, &[(0, 1.0)]);
     let silent = sends(&out)[0].1;
     b.until(b.now + 2200);
-    assert!(answer(&mut b, 4, 0, (silent, 50)) >= 1, "it is tried while its first part is still out");
+    assert!(
+        answer(&mut b, 4, 0, (silent, 50)) >= 1,
+        "it is tried while its first part is still out"
+    );
     b.turn(vec![changed(1 - silent.0, ServerState::Draining, None)]);
     assert_eq!(answer(&mut b, 6, 0, (silent, 50)), 6, "and cleared");
 }
@@ -913,7 +1274,10 @@
 /// Where answers are lost while probes pass, a good probe clears nobody: single parts do.
 #[test]
 fn a_good_probe_alone_clears_nobody() {
-    let mut b = Bench::new(Settings { probes: true, ..settings() });
+    let mut b = Bench::new(Settings {
+        probes: true,
+        ..settings()
+    });
     let server = ServerId(0);
     for _ in 0..4 {
         b.now += 2100;
@@ -921,12 +1285,19 @@
     }
     let more = b.until(b.now + 1100);
     assert!(more.contains(&Action::Probe { server }));
-    b.turn(vec![Event::Probed { server, outcome: Outcome::Ok, report: None }]);
+    b.turn(vec![Event::Probed {
+        server,
+        outcome: Outcome::Ok,
+        report: None,
+    }]);
     let before = b.log.len();
     for _ in 0..6 {
         b.query(0, &[(0, 1.0)]);
     }
-    let hits = sends(&b.log[before..]).iter().filter(|s| s.1 == server).count();
+    let hits = sends(&b.log[before..])
+        .iter()
+        .filter(|s| s.1 == server)
+        .count();
     assert_eq!(hits, 1, "one part at a time until it answers");
 }
 
@@ -934,24 +1305,38 @@
 /// 4 s and cleared by five good answers, and parts lost in the cut kept even the first from being sent.
 #[test]
 fn a_server_cut_off_for_long_is_back_with_its_first_answer() {
-    let mut b = Bench::new(Settings { probes: true, ..settings() });
+    let mut b = Bench::new(Settings {
+        probes: true,
+        ..settings()
+    });
     let (server, mut asked) = (ServerId(0), Vec::new());
     b.fail(server, Outcome::ConnectFailed, 1);
     while asked.len() < 8 {
         let more = b.until(b.now + 10);
         if more.contains(&Action::Probe { server }) {
             asked.push(b.now);
-            b.turn(vec![Event::Probed { server, outcome: Outcome::Timeout, report: None }]);
+            b.turn(vec![Event::Probed {
+                server,
+                outcome: Outcome::Timeout,
+                report: None,
+            }]);
         }
     }
-    assert!(asked.windows(2).all(|w| w[1] - w[0] <= 750), "asked at {asked:?}");
+    assert!(
+        asked.windows(2).all(|w| w[1] - w[0] <= 750),
+        "asked at {asked:?}"
+    );
     // The last hope of a shard is asked meanwhile, and that part is never heard of again.
     (1..4).for_each(|n| drop(b.turn(vec![changed(n, ServerState::Draining, None)])));
     b.now += 2100;
     let (_, _, lost) = b.query(0, &[(0, 1.0)]);
     assert!(sends(&lost).iter().any(|s| s.1 == server));
     assert!(lost.contains(&Action::Probe { server }));
-    b.turn(vec![Event::Probed { server, outcome: Outcome::Ok, report: None }]);
+    b.turn(vec![Event::Probed {
+        server,
+        outcome: Outcome::Ok,
+        report: None,
+    }]);
     (1..4).for_each(|n| drop(b.turn(vec![changed(n, ServerState::Ready, None)])));
     b.now += 600;
     let (_, parts, out) = b.query(0, &[(0, 1.0)]);
@@ -960,7 +1345,9 @@
     b.answer(parts[0], 0, 50);
     b.now += 10;
     assert!(!b.until(b.now + 1000).contains(&Action::Probe { server }));
-    let hits = (0..6).map(|_| b.query(0, &[(0, 1.0)]).2).filter(|o| sends(o).iter().any(|s| s.1 == server));
+    let hits = (0..6)
+        .map(|_| b.query(0, &[(0, 1.0)]).2)
+        .filter(|o| sends(o).iter().any(|s| s.1 == server));
     assert!(hits.count() > 1, "cleared by the first answer");
 }
 
@@ -969,14 +1356,24 @@
 #[test]
 fn in_congestion_only_light_parts_are_left_out() {
     let mut s = settings();
-    s.classes = vec![Class { floor: 0.4, partial_earns: 0.8, ..class() }, class()];
+    s.classes = vec![
+        Class {
+            floor: 0.4,
+            partial_earns: 0.8,
+            ..class()
+        },
+        class(),
+    ];
     for (weights, asked) in [([0.25; 4], 4), ([0.85, 0.05, 0.05, 0.05], 1)] {
         let mut b = Bench::new(s.clone());
         // Part times of 400 ms under a goal of a second are congestion.
         for n in 0..12 {
             let (_, parts, _) = b.query(1, &[(n % 4, 1.0)]);
             b.now += 400;
-            let report = Some(LoadReport { inflight: Some(0.0), ..LoadReport::default() });
+            let report = Some(LoadReport {
+                inflight: Some(0.0),
+                ..LoadReport::default()
+            });
             let (outcome, latency) = (Outcome::Ok, ms(400));
             b.turn(vec![Event::AttemptEnd {
                 part: parts[0],
@@ -1008,9 +1405,20 @@
 #[test]
 fn where_worth_goes_by_work_a_part_is_priced_against_the_whole_query() {
     for (worth_by_work, asked) in [(true, 4), (false, 1)] {
-        let classes = vec![Class { floor: 0.4, partial_earns: 0.95, ..class() }];
+        let classes = vec![Class {
+            floor: 0.4,
+            partial_earns: 0.95,
+            ..class()
+        }];
         // Half of what counts as congestion.
-        let mut b = seasoned(Settings { classes, worth_by_work, ..settings() }, 150);
+        let mut b = seasoned(
+            Settings {
+                classes,
+                worth_by_work,
+                ..settings()
+            },
+            150,
+        );
         let (_, _, out) = b.query(0, &[(0, 0.55), (1, 0.2), (2, 0.15), (3, 0.1)]);
         assert_eq!(sends(&out).len(), asked, "by work: {worth_by_work}");
     }
@@ -1023,7 +1431,14 @@
     for n in 0..40 {
         let (id, parts, _) = b.query(0, &[(n % 4, 1.0)]);
         let (part, outcome, latency) = (parts[0], Outcome::Ok, ms(0));
-        b.turn(vec![Event::AttemptEnd { part, attempt: 0, outcome, latency, closed: true, report: None }]);
+        b.turn(vec![Event::AttemptEnd {
+            part,
+            attempt: 0,
+            outcome,
+            latency,
+            closed: true,
+            report: None,
+        }]);
         assert_eq!(finals(&b.log, id), 1);
         b.query(0, &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]);
     }
@@ -1051,12 +1466,17 @@
     let servers: Vec<ServerId> = sends(&out).iter().map(|s| s.1).collect();
     // Two that share no shard: each shard keeps a holder that can be reached.
     let across = ServerId((servers[0].0 + 2) % 4);
-    let other = servers.iter().position(|s| *s == across).expect("a part on the server across");
+    let other = servers
+        .iter()
+        .position(|s| *s == across)
+        .expect("a part on the server across");
     b.end(parts[0], 0, Outcome::Reset, 0.0);
     let out = b.end(parts[other], 0, Outcome::Reset, 0.0);
     // Connections break under sound servers as well: only one that then refuses the next has died.
     assert_eq!(finals(&out, killer), 0);
-    let out = [servers[0], servers[other]].map(|s| b.fail(s, Outcome::ConnectFailed, 1)).concat();
+    let out = [servers[0], servers[other]]
+        .map(|s| b.fail(s, Outcome::ConnectFailed, 1))
+        .concat();
     assert_eq!(finals(&out, killer), 1);
     // From now on one part goes ahead; when its server dies the query ends at once.
     b.until(b.now + 50);
@@ -1092,7 +1512,16 @@
 #[test]
 fn in_congestion_a_query_with_little_missing_waits_past_its_goal() {
     for (late_worth, open) in [(0.5, 0), (0.1, 1)] {
-        let mut b = seasoned(Settings { classes: vec![Class { late_worth, ..class() }], ..settings() }, 500);
+        let mut b = seasoned(
+            Settings {
+                classes: vec![Class {
+                    late_worth,
+                    ..class()
+                }],
+                ..settings()
+            },
+            500,
+        );
         let (id, parts, _) = b.query(0, &FOUR);
         b.until(b.now + 500);
         parts[..3].iter().for_each(|p| drop(b.answer(*p, 0, 500)));
@@ -1119,8 +1548,16 @@
 #[test]
 fn queries_that_miss_their_goal_make_admission_stricter() {
     for (last, refused) in [(550, 0), (1100, 1)] {
-        let mut b =
-            seasoned(Settings { classes: vec![Class { late_worth: 0.5, ..class() }], ..settings() }, 500);
+        let mut b = seasoned(
+            Settings {
+                classes: vec![Class {
+                    late_worth: 0.5,
+                    ..class()
+                }],
+                ..settings()
+            },
+            500,
+        );
         for _ in 0..10 {
             let shards: Vec<(u32, f64)> = (0..8).map(|n| (n % 4, 0.125)).collect();
             let (_, parts, _) = b.query(0, &shards);
@@ -1142,12 +1579,26 @@
 fn a_query_that_still_earns_late_is_taken_though_it_may_be_late() {
     // Among many routers each learns late of what all do: there it is left out.
     for (late_worth, routers, refused) in [(0.0, 2, 1), (0.8, 2, 0), (0.8, 100, 1)] {
-        let classes = vec![Class { late_worth, ..class() }];
-        let mut b = seasoned(Settings { classes, routers, ..settings() }, 400);
+        let classes = vec![Class {
+            late_worth,
+            ..class()
+        }];
+        let mut b = seasoned(
+            Settings {
+                classes,
+                routers,
+                ..settings()
+            },
+            400,
+        );
         // Both holders of shard 2 get four parts each: what comes next is forecast to end past the goal.
         (0..8).for_each(|_| drop(b.query(0, &[(2, 1.0)])));
         let (id, _, _) = b.query(0, &[(2, 1.0)]);
-        assert_eq!(finals(&b.log, id), refused, "late worth {late_worth}, {routers} routers");
+        assert_eq!(
+            finals(&b.log, id),
+            refused,
+            "late worth {late_worth}, {routers} routers"
+        );
     }
 }
 
@@ -1166,7 +1617,15 @@
     ];
     for (worth, worth_by_work, parts, latency, routers, ends) in cases {
         let classes = vec![class(), Class { worth, ..class() }];
-        let mut b = seasoned(Settings { classes, worth_by_work, routers, ..settings() }, latency);
+        let mut b = seasoned(
+            Settings {
+                classes,
+                worth_by_work,
+                routers,
+                ..settings()
+            },
+            latency,
+        );
         let shards: Vec<(u32, f64)> = (0..parts).map(|_| (0, 1.0 / f64::from(parts))).collect();
         for _ in 0..20 {
             let (_, parts, _) = b.query(1, &shards);
@@ -1178,7 +1637,9 @@
         let (first, _, _) = b.query(0, &[(2, 1.0)]);
         let (second, _, _) = b.query(1, &[(2, 1.0)]);
         let ended = (finals(&b.log, first), finals(&b.log, second));
-        let case = format!("worth {worth}, by work {worth_by_work}, {parts} parts, {latency} ms, {routers}");
+        let case = format!(
+            "worth {worth}, by work {worth_by_work}, {parts} parts, {latency} ms, {routers}"
+        );
         assert_eq!(ended, ends, "{case}");
     }
 }
@@ -1187,13 +1648,21 @@
 #[test]
 fn among_many_routers_less_is_taken_though_all_is_in_time() {
     let taken = |routers: u32| {
-        let mut b = seasoned(Settings { routers, ..settings() }, 200);
+        let mut b = seasoned(
+            Settings {
+                routers,
+                ..settings()
+            },
+            200,
+        );
         for n in 0..60 {
             let (_, parts, _) = b.query(0, &[(n % 4, 1.0)]);
             b.until(b.now + 200);
             parts.iter().for_each(|p| drop(b.answer(*p, 0, 200)));
         }
-        (0..40).take_while(|_| sends(&b.query(0, &[(2, 1.0)]).2).len() == 1).count()
+        (0..40)
+            .take_while(|_| sends(&b.query(0, &[(2, 1.0)]).2).len() == 1)
+            .count()
     };
     assert!(taken(8) > taken(9), "{} {}", taken(8), taken(9));
     assert_eq!((taken(2), taken(9)), (taken(8), taken(100)));
@@ -1204,7 +1673,11 @@
 fn a_server_that_other_routers_load_is_left_to_them() {
     for (age, heavy) in [(0, 0), (5000, 20)] {
         let mut b = seasoned(settings(), 100);
-        let told = |server, out| Event::Told { server: ServerId(server), out, age: ms(age) };
+        let told = |server, out| Event::Told {
+            server: ServerId(server),
+            out,
+            age: ms(age),
+        };
         let mut to_heavy = 0;
         for _ in 0..20 {
             b.turn(vec![told(0, 20.0), told(1, 0.0)]);
@@ -1213,13 +1686,34 @@
             to_heavy += usize::from(server == ServerId(0));
             b.now += 10;
             // Reports that say the opposite: old ones of the heavy one, and a busy light one.
-            b.end(parts[0], 0, Outcome::Ok, if server == ServerId(0) { 0.0 } else { 30.0 });
+            b.end(
+                parts[0],
+                0,
+                Outcome::Ok,
+                if server == ServerId(0) { 0.0 } else { 30.0 },
+            );
             let (_, parts, out) = b.query(0, &[(0, 1.0)]);
             to_heavy += usize::from(sends(&out)[0].1 == ServerId(0));
             b.now += 10;
-            b.end(parts[0], 0, Outcome::Ok, if sends(&out)[0].1 == ServerId(0) { 0.0 } else { 30.0 });
+            b.end(
+                parts[0],
+                0,
+                Outcome::Ok,
+                if sends(&out)[0].1 == ServerId(0) {
+                    0.0
+                } else {
+                    30.0
+                },
+            );
         }
-        assert!(if heavy == 0 { to_heavy == 0 } else { to_heavy >= heavy / 2 }, "age {age}: {to_heavy}");
+        assert!(
+            if heavy == 0 {
+                to_heavy == 0
+            } else {
+                to_heavy >= heavy / 2
+            },
+            "age {age}: {to_heavy}"
+        );
     }
 }
 
@@ -1241,9 +1735,23 @@
 fn lost_on_unused_connections_parts_open_new_ones() {
     // The same losses tell of the connection only where it had been out of use.
     for (pause, opened) in [(1500, true), (100, false)] {
-        let mut b = seasoned(Settings { layout: Layout { cells: 1, width: 1 }, ..settings() }, 100);
-        let entries = (0..2).map(|n| ServerEntry { cell: 0, ..entry(n) }).collect();
-        b.turn(vec![Event::List { kind: ListKind::Full, entries }]);
+        let mut b = seasoned(
+            Settings {
+                layout: Layout { cells: 1, width: 1 },
+                ..settings()
+            },
+            100,
+        );
+        let entries = (0..2)
+            .map(|n| ServerEntry {
+                cell: 0,
+                ..entry(n)
+            })
+            .collect();
+        b.turn(vec![Event::List {
+            kind: ListKind::Full,
+            entries,
+        }]);
         for _ in 0..14 {
             b.until(b.now + pause);
             let (_, parts, _) = b.query(0, &[(0, 1.0)]);
@@ -1252,7 +1760,11 @@
             b.until(b.now + 100);
             b.answer(parts[0], 1, 100);
         }
-        assert_eq!(b.log.iter().any(|a| matches!(a, Action::Release { .. })), opened, "pause of {pause} ms");
+        assert_eq!(
+            b.log.iter().any(|a| matches!(a, Action::Release { .. })),
+            opened,
+            "pause of {pause} ms"
+        );
     }
 }
 
@@ -1260,8 +1772,13 @@
 #[test]
 fn a_marked_repeat_keeps_its_first_goal_and_an_unmarked_try_gets_a_new_one() {
     for (repeat, ends) in [(Some(false), 0), (Some(true), 1)] {
-        let mut b =
-            Bench::new(Settings { classes: vec![Class { late_worth: 0.0, ..class() }], ..settings() });
+        let mut b = Bench::new(Settings {
+            classes: vec![Class {
+                late_worth: 0.0,
+                ..class()
+            }],
+            ..settings()
+        });
         for _ in 0..3 {
             let (_, parts, _) = b.query(0, &[(0, 1.0)]);
             b.until(b.now + 100);
@@ -1270,8 +1787,22 @@
         // A try that waits 1.5 s of the client's 3 s: as a repeat it began 1.5 s ago and missed its goal.
         let (id, part) = (RequestId(900), RequestId(901));
         let deadline = ms(b.now + 1500);
-        let query = Event::Query { id, class: ClassId(0), tenant: None, deadline, repeat };
-        b.turn(vec![query, Event::Part { id: part, query: id, shard: 0, weight: 1.0 }]);
+        let query = Event::Query {
+            id,
+            class: ClassId(0),
+            tenant: None,
+            deadline,
+            repeat,
+        };
+        b.turn(vec![
+            query,
+            Event::Part {
+                id: part,
+                query: id,
+                shard: 0,
+                weight: 1.0,
+            },
+        ]);
         assert_eq!(finals(&b.log, id), ends, "{repeat:?}");
     }
 }
@@ -1291,18 +1822,30 @@
 #[test]
 fn a_full_server_gets_parts_again_once_several_can_share_a_call() {
     for (call_cost, together) in [(ms(10), true), (ms(0), false)] {
-        let mut b = Bench::new(Settings { bundle_max: 8, call_cost, second_copies: false, ..settings() });
+        let mut b = Bench::new(Settings {
+            bundle_max: 8,
+            call_cost,
+            second_copies: false,
+            ..settings()
+        });
         b.turn(vec![changed(1, ServerState::Gone, None)]);
         (0..12).for_each(|_| drop(b.query(0, &[(0, 1.0)])));
         let parts: Vec<RequestId> = sends(&b.log).iter().map(|s| s.0).collect();
         assert!(parts.len() > 4);
         b.now += 5;
         // It turns some away, which wait for what the others leave free.
-        parts[3..].iter().for_each(|p| assert!(sends(&b.end(*p, 0, Outcome::Full, 0.0)).is_empty()));
-        let calls = parts[..3].iter().map(|p| sends(&b.end(*p, 0, Outcome::Ok, 3.0)).len());
+        parts[3..]
+            .iter()
+            .for_each(|p| assert!(sends(&b.end(*p, 0, Outcome::Full, 0.0)).is_empty()));
+        let calls = parts[..3]
+            .iter()
+            .map(|p| sends(&b.end(*p, 0, Outcome::Ok, 3.0)).len());
         let calls: Vec<usize> = calls.collect();
         assert_eq!(calls[0] == 0, together, "{call_cost:?}: {calls:?}");
-        assert!(calls.iter().any(|n| *n > 1), "what waits goes as room comes free: {calls:?}");
+        assert!(
+            calls.iter().any(|n| *n > 1),
+            "what waits goes as room comes free: {calls:?}"
+        );
     }
 }
 
@@ -1310,10 +1853,18 @@
 #[test]
 fn another_routers_word_ends_no_server() {
     let mut b = seasoned(settings(), 50);
-    let told = |n| Event::Told { server: ServerId(n), out: 8.0, age: ms(30) };
+    let told = |n| Event::Told {
+        server: ServerId(n),
+        out: 8.0,
+        age: ms(30),
+    };
     b.turn((0..4).map(told).collect());
     for shard in 0..4 {
         let (id, _, out) = b.query(0, &[(shard, 1.0)]);
-        assert_eq!((sends(&out).len(), finals(&b.log, id)), (1, 0), "shard {shard}");
+        assert_eq!(
+            (sends(&out).len(), finals(&b.log, id)),
+            (1, 0),
+            "shard {shard}"
+        );
     }
 }
--- a/crates/coordinator/tests/ops.rs
+++ b/crates/coordinator/tests/ops.rs
@@ -38,13 +38,22 @@
 }
 
 fn order(desk: &str, id: &str, what: &str) -> u16 {
-    call(desk, "POST", &format!("/control/district-hosts/{id}/{what}")).0
+    call(
+        desk,
+        "POST",
+        &format!("/control/district-hosts/{id}/{what}"),
+    )
+    .0
 }
 
 fn figures(desk: &str) -> BTreeMap<String, u64> {
     let (status, text) = call(desk, "GET", "/control/counters");
     assert_eq!(status, 200);
-    let line = |l: &str| l.split_once('=').map(|(n, v)| (n.to_owned(), v.parse().unwrap())).unwrap();
+    let line = |l: &str| {
+        l.split_once('=')
+            .map(|(n, v)| (n.to_owned(), v.parse().unwrap()))
+            .unwrap()
+    };
     text.lines().map(line).collect()
 }
 
@@ -62,7 +71,8 @@
     let stalled: Vec<TcpStream> = (0..100)
         .map(|n| {
             let mut s = TcpStream::connect(&c.desk).unwrap();
-            s.write_all(&b"GET /control/ready HTTP/1.1\r\nX: "[..n % 30]).unwrap();
+            s.write_all(&b"GET /control/ready HTTP/1.1\r\nX: "[..n % 30])
+                .unwrap();
             s
         })
         .collect();
@@ -77,11 +87,26 @@
     for (bytes, status) in [
         (&b"nonsense\r\n\r\n"[..], 400),
         (b"GET / HTTP/1.1\r\n\r\n", 404),
-        (b"POST /control/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
-        (b"GET /control/district-hosts/s-0/offline HTTP/1.1\r\n\r\n", 405),
-        (b"POST /control/district-hosts/%ff%00/offline HTTP/1.1\r\n\r\n", 404),
-        (b"POST /control/district-hosts//offline HTTP/1.1\r\n\r\n", 404),
-        (b"POST /control/ready HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 413),
+        (
+            b"POST /control/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
+            405,
+        ),
+        (
+            b"GET /control/district-hosts/s-0/offline HTTP/1.1\r\n\r\n",
+            405,
+        ),
+        (
+            b"POST /control/district-hosts/%ff%00/offline HTTP/1.1\r\n\r\n",
+            404,
+        ),
+        (
+            b"POST /control/district-hosts//offline HTTP/1.1\r\n\r\n",
+            404,
+        ),
+        (
+            b"POST /control/ready HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n",
+            413,
+        ),
     ] {
         let mut bad = Client::new(&c.desk);
         bad.write(bytes);
@@ -92,7 +117,10 @@
     let _ = endless.write_all(long.as_bytes());
     let mut said = String::new();
     let _ = endless.read_to_string(&mut said);
-    assert!(said.is_empty() || said.starts_with("HTTP/1.1 431"), "{said}");
+    assert!(
+        said.is_empty() || said.starts_with("HTTP/1.1 431"),
+        "{said}"
+    );
     assert_eq!(order(&c.desk, &"y".repeat(300), "offline"), 404);
     assert_eq!(order(&c.desk, "nobody", "offline"), 404);
     assert_eq!(order(&c.desk, "nobody", "online"), 404);
@@ -108,10 +136,18 @@
     let (members, _never_read) = tokio::sync::mpsc::channel(2);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let desk = listener.local_addr().unwrap().to_string();
-    Desk::new(readiness.clone(), counters, members).serve(listener).unwrap();
-    assert_eq!(call(&desk, "GET", "/control/ready"), (503, "not accepting connections\n".into()));
+    Desk::new(readiness.clone(), counters, members)
+        .serve(listener)
+        .unwrap();
+    assert_eq!(
+        call(&desk, "GET", "/control/ready"),
+        (503, "not accepting connections\n".into())
+    );
     readiness.accepts();
-    assert_eq!(call(&desk, "GET", "/control/ready"), (503, "no district host in service\n".into()));
+    assert_eq!(
+        call(&desk, "GET", "/control/ready"),
+        (503, "no district host in service\n".into())
+    );
     assert_eq!(figures(&desk)["responses.near.ok"], 0);
     assert_eq!(order(&desk, "s-0", "offline"), 503);
     assert_eq!(order(&desk, "s-0", "offline"), 503);
@@ -149,21 +185,38 @@
     until_figure(&c.desk, "active", 0);
     let f = figures(&c.desk);
     let of = |name: &str| f[&format!("responses.{name}")];
-    assert_eq!((of("near.ok"), of("near.shed") + of("near.errors")), (5, 1), "{f:?}");
-    assert_eq!((of("book.ok"), of("book.shed"), of("book.errors")), (0, 1, 0));
-    assert_eq!((of("report.ok"), of("report.shed"), of("report.errors")), (0, 0, 0));
+    assert_eq!(
+        (of("near.ok"), of("near.shed") + of("near.errors")),
+        (5, 1),
+        "{f:?}"
+    );
+    assert_eq!(
+        (of("book.ok"), of("book.shed"), of("book.errors")),
+        (0, 1, 0)
+    );
+    assert_eq!(
+        (of("report.ok"), of("report.shed"), of("report.errors")),
+        (0, 0, 0)
+    );
     // Every attempt that a host read whole, no more and no fewer.
     assert_eq!(f["tries"], ledger.all().len() as u64);
     let page = Client::new(&c.addr).ask("GET", "/_counters", "", "").2;
-    assert!(page.contains(&format!("tries {}\n", f["tries"])) && page.contains("responses.near.ok 5\n"));
+    assert!(
+        page.contains(&format!("tries {}\n", f["tries"])) && page.contains("responses.near.ok 5\n")
+    );
 }
 
 /// Out by hand: nothing new after the drain's grace, whatever discovery says; back: used again.
 #[test]
 fn a_host_out_by_hand_gets_nothing_until_it_is_called_back() {
     let ledger = Ledger::default();
-    let hosts = [host(0, false, &ledger, value), host(1, false, &ledger, value)];
-    let members: Vec<Value> = (0..2).map(|n| member(n, &hosts[n].addr, 0, "Ready")).collect();
+    let hosts = [
+        host(0, false, &ledger, value),
+        host(1, false, &ledger, value),
+    ];
+    let members: Vec<Value> = (0..2)
+        .map(|n| member(n, &hosts[n].addr, 0, "Ready"))
+        .collect();
     let (discovery, lines) = discovery();
     let c = start(&members, Some(&discovery));
     let id = members[0]["id"].as_str().unwrap().to_owned();
@@ -176,11 +229,15 @@
             asked += 1;
             client.query("near", &format!("q{asked}"), 2000, &[0]);
         }
-        clients.iter_mut().for_each(|client| assert_eq!(client.read().0, want, "of q{asked}"));
+        clients
+            .iter_mut()
+            .for_each(|client| assert_eq!(client.read().0, want, "of q{asked}"));
     };
     until("both are used", || {
         ask(200);
-        [0, 1].iter().all(|n| ledger.all().iter().any(|s| s.host == *n))
+        [0, 1]
+            .iter()
+            .all(|n| ledger.all().iter().any(|s| s.host == *n))
     });
     assert_eq!(order(&c.desk, &id, "offline"), 200);
     assert_eq!(order(&c.desk, &id, "offline"), 200, "out twice is out");
@@ -201,7 +258,9 @@
     assert_eq!(ledger.all().iter().filter(|s| s.host == 0).count(), before);
     // The sole holder left goes too: once its grace is over there is nobody, and ready says so.
     assert_eq!(order(&c.desk, &other, "offline"), 200);
-    until("not ready", || call(&c.desk, "GET", "/control/ready").0 == 503);
+    until("not ready", || {
+        call(&c.desk, "GET", "/control/ready").0 == 503
+    });
     assert_eq!(Client::new(&c.addr).ask("GET", "/_health", "", "").0, 503);
     assert_eq!(order(&c.desk, &other, "online"), 200);
     assert_eq!(order(&c.desk, &id, "online"), 200);
@@ -211,7 +270,11 @@
         ask(200);
         ledger.all().iter().filter(|s| s.host == 0).count() > before
     });
-    assert!(back.elapsed() < Duration::from_secs(5), "not used for {:?}", back.elapsed());
+    assert!(
+        back.elapsed() < Duration::from_secs(5),
+        "not used for {:?}",
+        back.elapsed()
+    );
     until_figure(&c.desk, "pool_ejected", 0);
 }
 
@@ -219,8 +282,13 @@
 #[test]
 fn under_load_nothing_starts_at_a_host_after_the_grace() {
     let ledger = Ledger::default();
-    let hosts = [host(0, false, &ledger, value), host(1, false, &ledger, value)];
-    let members: Vec<Value> = (0..2).map(|n| member(n, &hosts[n].addr, 0, "Ready")).collect();
+    let hosts = [
+        host(0, false, &ledger, value),
+        host(1, false, &ledger, value),
+    ];
+    let members: Vec<Value> = (0..2)
+        .map(|n| member(n, &hosts[n].addr, 0, "Ready"))
+        .collect();
     let c = start(&members, None);
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..4)
@@ -237,13 +305,22 @@
             })
         })
         .collect();
-    until("both are used", || [0, 1].iter().all(|n| ledger.all().iter().any(|s| s.host == *n)));
-    assert_eq!(order(&c.desk, members[0]["id"].as_str().unwrap(), "offline"), 200);
+    until("both are used", || {
+        [0, 1]
+            .iter()
+            .all(|n| ledger.all().iter().any(|s| s.host == *n))
+    });
+    assert_eq!(
+        order(&c.desk, members[0]["id"].as_str().unwrap(), "offline"),
+        200
+    );
     std::thread::sleep(ms(2000));
     let count = || ledger.all().iter().filter(|s| s.host == 0).count();
     let before = count();
     let others = ledger.all().len();
-    until("the other one goes on", || ledger.all().len() > others + 200);
+    until("the other one goes on", || {
+        ledger.all().len() > others + 200
+    });
     assert_eq!(count(), before);
     over.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().unwrap());
