--- a/crates/coordinator/tests/peers.rs
+++ b/crates/coordinator/tests/peers.rs
@@ -24,14 +24,36 @@
 
 impl Bench {
     fn new(dialect: Arc<dyn Dialect>, addr: &str) -> Self {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         let caps = settings::read(&settings().to_string()).unwrap().caps;
         let (core, mail) = mpsc::unbounded_channel();
-        let peers =
-            Peers::new(dialect, caps, 64, core, Counters::default(), None, coordinator::ops::turnover::never());
+        let peers = Peers::new(
+            dialect,
+            caps,
+            64,
+            core,
+            Counters::default(),
+            None,
+            coordinator::ops::turnover::never(),
+        );
         let (addr, zone) = (addr.to_owned(), "a".to_owned());
-        let host = Listed { id: "h".into(), addr, zone, cell: 0, state: ServerState::Ready, up_since_ms: 0 };
-        let mut bench = Self { runtime, peers, mail, host };
+        let host = Listed {
+            id: "h".into(),
+            addr,
+            zone,
+            cell: 0,
+            state: ServerState::Ready,
+            up_since_ms: 0,
+        };
+        let mut bench = Self {
+            runtime,
+            peers,
+            mail,
+            host,
+        };
         bench.act(|p, host| p.listed(HOST, host, None));
         bench
     }
@@ -45,7 +67,15 @@
         let give_up = Instant::now() + PATIENCE;
         let payload = payload("taxis", &Default::default());
         let name = format!("q{n}").into();
-        let part = CallPart { part: RequestId(n), attempt: 0, name, shard: 0, give_up, key: None, payload };
+        let part = CallPart {
+            part: RequestId(n),
+            attempt: 0,
+            name,
+            shard: 0,
+            give_up,
+            key: None,
+            payload,
+        };
         self.act(|p, _| p.call(HOST, vec![part]));
     }
 
@@ -55,7 +85,12 @@
 
     fn next(&mut self) -> Mail {
         let Self { runtime, mail, .. } = self;
-        runtime.block_on(async { tokio::time::timeout(PATIENCE, mail.recv()).await.unwrap().unwrap() })
+        runtime.block_on(async {
+            tokio::time::timeout(PATIENCE, mail.recv())
+                .await
+                .unwrap()
+                .unwrap()
+        })
     }
 
     fn ended(&mut self) -> (u64, Outcome) {
@@ -88,8 +123,10 @@
 /// one that is: nothing of it goes out, in either dialect, and what comes behind it does.
 #[test]
 fn a_call_withdrawn_before_it_begins_is_never_sent() {
-    for (dialect, http) in [(Arc::new(Frames) as Arc<dyn Dialect>, false), (Arc::new(OpenSearchHosts), true)]
-    {
+    for (dialect, http) in [
+        (Arc::new(Frames) as Arc<dyn Dialect>, false),
+        (Arc::new(OpenSearchHosts), true),
+    ] {
         let ledger = Ledger::default();
         let answer = if http { r#"{"hits":{}}"# } else { "v" };
         let host = host(0, http, &ledger, move |_| Act::Serve(answer.into()));
@@ -102,7 +139,10 @@
             let mut ends = [bench.ended(), bench.ended()];
             ends.sort_by_key(|e| e.0);
             assert_eq!(ends, [(gone, Outcome::Cancelled), (stays, Outcome::Ok)]);
-            assert!(ledger.all().iter().all(|s| s.id != format!("q{gone}.0")), "q{gone} was sent");
+            assert!(
+                ledger.all().iter().all(|s| s.id != format!("q{gone}.0")),
+                "q{gone} was sent"
+            );
         }
     }
 }
@@ -110,8 +150,10 @@
 /// Taking a part back stops what has not begun, and nothing else: what is on the wire runs its course.
 #[test]
 fn a_part_taken_back_is_stopped_unless_it_has_begun() {
-    for (dialect, http) in [(Arc::new(Frames) as Arc<dyn Dialect>, false), (Arc::new(OpenSearchHosts), true)]
-    {
+    for (dialect, http) in [
+        (Arc::new(Frames) as Arc<dyn Dialect>, false),
+        (Arc::new(OpenSearchHosts), true),
+    ] {
         let ledger = Ledger::default();
         let (met, go) = std::sync::mpsc::channel();
         let (go, met) = (std::sync::Mutex::new(go), std::sync::Mutex::new(met));
@@ -142,9 +184,24 @@
 #[test]
 fn a_half_written_call_that_is_given_up_is_never_finished() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut bench = Bench::new(Arc::new(Frames), &listener.local_addr().unwrap().to_string());
-    let (give_up, name, payload) = (Instant::now() + PATIENCE, "q1".into(), vec![b'x'; 64 << 20].into());
-    let part = CallPart { part: RequestId(1), attempt: 0, name, shard: 0, give_up, key: None, payload };
+    let mut bench = Bench::new(
+        Arc::new(Frames),
+        &listener.local_addr().unwrap().to_string(),
+    );
+    let (give_up, name, payload) = (
+        Instant::now() + PATIENCE,
+        "q1".into(),
+        vec![b'x'; 64 << 20].into(),
+    );
+    let part = CallPart {
+        part: RequestId(1),
+        attempt: 0,
+        name,
+        shard: 0,
+        give_up,
+        key: None,
+        payload,
+    };
     bench.act(|p, _| p.call(HOST, vec![part]));
     let (tx, accepted) = std::sync::mpsc::channel();
     std::thread::spawn(move || tx.send(listener.accept().unwrap().0));
@@ -174,8 +231,15 @@
     bench.act(|p, _| p.probe(HOST));
     bench.call(1);
     bench.cancel(1);
-    assert_eq!(bench.ended(), (1, Outcome::Cancelled), "before the connection's time is over");
-    assert!(matches!(bench.next(), Mail::Probed(HOST, Outcome::ConnectFailed, None)));
+    assert_eq!(
+        bench.ended(),
+        (1, Outcome::Cancelled),
+        "before the connection's time is over"
+    );
+    assert!(matches!(
+        bench.next(),
+        Mail::Probed(HOST, Outcome::ConnectFailed, None)
+    ));
 }
 
 /// No call starts once a drain's grace is over, and what is withheld is proved never to have run.
@@ -187,7 +251,10 @@
     bench.act(|p, host| p.listed(HOST, host, Some(Instant::now())));
     bench.call(1);
     let (_, outcome) = bench.ended();
-    assert!(outcome.never_ran() && ledger.all().is_empty(), "{outcome:?}");
+    assert!(
+        outcome.never_ran() && ledger.all().is_empty(),
+        "{outcome:?}"
+    );
 }
 
 /// An answer that can't be read has run, and its connection is of no further use: the part ends at once as
@@ -203,7 +270,13 @@
         |_| vec![b'x'; 3000],
         |_| frame('a', &"x".repeat(3000)),
         // Its length is for more than comes.
-        |id| [&900u32.to_be_bytes()[..], format!("a{id} served 1 -\nv").as_bytes()].concat(),
+        |id| {
+            [
+                &900u32.to_be_bytes()[..],
+                format!("a{id} served 1 -\nv").as_bytes(),
+            ]
+            .concat()
+        },
     ];
     for (n, bytes) in spoilt.into_iter().enumerate() {
         let ledger = Ledger::default();
@@ -240,12 +313,24 @@
         let mut bench = Bench::new(Arc::new(Frames), &h.addr);
         for q in [1, 2] {
             bench.call(q);
-            let Ended { part, outcome, value, report, .. } = bench.end();
-            assert_eq!((part.0, outcome, value.as_deref()), (q, Outcome::Ok, Some(&b"value"[..])), "{n}");
+            let Ended {
+                part,
+                outcome,
+                value,
+                report,
+                ..
+            } = bench.end();
+            assert_eq!(
+                (part.0, outcome, value.as_deref()),
+                (q, Outcome::Ok, Some(&b"value"[..])),
+                "{n}"
+            );
             assert_eq!(report, None);
             // The host notices the end of a spoilt connection before it is asked again.
             std::thread::sleep(ms(30));
-            bench.runtime.block_on(async { tokio::time::sleep(ms(30)).await });
+            bench
+                .runtime
+                .block_on(async { tokio::time::sleep(ms(30)).await });
         }
         assert_eq!(h.conns.lock().unwrap().len(), 2, "{n}");
     }
@@ -263,7 +348,9 @@
     });
     let mut bench = Bench::new(Arc::new(Frames), &h.addr);
     bench.call(1);
-    bench.runtime.block_on(async { tokio::time::sleep(ms(100)).await });
+    bench
+        .runtime
+        .block_on(async { tokio::time::sleep(ms(100)).await });
     bench.act(|p, _| p.cancel(HOST, RequestId(1), 0, Outcome::Cancelled));
     assert_eq!(bench.ended(), (1, Outcome::Cancelled));
     bench.call(2);
@@ -279,7 +366,11 @@
     let h = host(0, false, &ledger, |_| Act::Silent);
     let mut bench = Bench::new(Arc::new(Frames), &h.addr);
     let sent = |bench: &mut Bench, n: usize| {
-        bench.runtime.block_on(async { tokio::time::timeout(PATIENCE, wait_for(&ledger, n)).await.unwrap() })
+        bench.runtime.block_on(async {
+            tokio::time::timeout(PATIENCE, wait_for(&ledger, n))
+                .await
+                .unwrap()
+        })
     };
     // One that stays out, or the connection would be closed for what was given up on it.
     bench.call(0);
@@ -309,7 +400,11 @@
 fn a_probe_over_http_tells_the_living_from_the_dead() {
     let ledger = Ledger::default();
     let alive = host(0, true, &ledger, |_| Act::Silent);
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for (addr, outcome) in [
         (alive.addr.clone(), Outcome::Ok),
@@ -318,14 +413,18 @@
     ] {
         let mut bench = Bench::new(Arc::new(OpenSearchHosts), &addr);
         bench.act(|p, _| p.probe(HOST));
-        assert!(matches!(bench.next(), Mail::Probed(HOST, got, _) if got == outcome), "{outcome:?}");
+        assert!(
+            matches!(bench.next(), Mail::Probed(HOST, got, _) if got == outcome),
+            "{outcome:?}"
+        );
     }
 }
 
 impl Bench {
     /// Lets far more time pass than a host that answers at once is given.
     fn pause(&mut self) {
-        self.runtime.block_on(async { tokio::time::sleep(ms(1000)).await });
+        self.runtime
+            .block_on(async { tokio::time::sleep(ms(1000)).await });
     }
 }
 
@@ -334,7 +433,13 @@
 #[test]
 fn a_connection_that_died_silently_gets_no_more_and_gives_its_parts_back() {
     let ledger = Ledger::default();
-    let h = host(0, false, &ledger, |s| if s.id == "q2.0" { Act::Silent } else { Act::Serve("v".into()) });
+    let h = host(0, false, &ledger, |s| {
+        if s.id == "q2.0" {
+            Act::Silent
+        } else {
+            Act::Serve("v".into())
+        }
+    });
     let mut bench = Bench::new(Arc::new(Frames), &h.addr);
     bench.call(1);
     assert_eq!(bench.ended(), (1, Outcome::Ok));
@@ -355,14 +460,23 @@
 #[test]
 fn a_host_that_stands_still_is_told_from_a_connection_that_died() {
     let ledger = Ledger::default();
-    let h = host(0, false, &ledger, |s| if s.id == "q1.0" { Act::Serve("v".into()) } else { Act::Silent });
+    let h = host(0, false, &ledger, |s| {
+        if s.id == "q1.0" {
+            Act::Serve("v".into())
+        } else {
+            Act::Silent
+        }
+    });
     let mut bench = Bench::new(Arc::new(Frames), &h.addr);
     bench.call(1);
     assert_eq!(bench.ended(), (1, Outcome::Ok));
     for (n, conns) in [(2, 1), (3, 2), (4, 2), (5, 2)] {
         bench.call(n);
         bench.pause();
-        assert_eq!((ledger.all().len(), h.conns.lock().unwrap().len()), (n as usize, conns));
+        assert_eq!(
+            (ledger.all().len(), h.conns.lock().unwrap().len()),
+            (n as usize, conns)
+        );
     }
     assert!(bench.mail.try_recv().is_err(), "nothing has ended");
 }
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -13,9 +13,14 @@
 }
 
 /// Two hosts for the one cell 0, the first with its own script.
-fn pair(ledger: &Ledger, first: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> (Vec<Host>, Vec<Value>) {
+fn pair(
+    ledger: &Ledger,
+    first: impl Fn(&Seen) -> Act + Send + Sync + 'static,
+) -> (Vec<Host>, Vec<Value>) {
     let hosts = vec![host(0, false, ledger, first), host(1, false, ledger, value)];
-    let members = (0..2).map(|n| member(n, &hosts[n].addr, 0, "Ready")).collect();
+    let members = (0..2)
+        .map(|n| member(n, &hosts[n].addr, 0, "Ready"))
+        .collect();
     (hosts, members)
 }
 
@@ -26,20 +31,39 @@
 #[test]
 fn a_query_is_split_asked_and_answered_whole() {
     let ledger = Ledger::default();
-    let (a, b) = (host(0, false, &ledger, value), host(1, false, &ledger, value));
-    let c = start(&[member(0, &a.addr, 0, "Ready"), member(1, &b.addr, 1, "Ready")]);
+    let (a, b) = (
+        host(0, false, &ledger, value),
+        host(1, false, &ledger, value),
+    );
+    let c = start(&[
+        member(0, &a.addr, 0, "Ready"),
+        member(1, &b.addr, 1, "Ready"),
+    ]);
     let mut client = Client::new(&c.addr);
     assert_eq!(client.ask("GET", "/_health", "", "").0, 200);
     client.query("book", "q1", 2000, &[0, 2, 1]);
     let (status, _, body) = client.read();
     let body: Value = serde_json::from_str(&body).unwrap();
     assert_eq!((status, &body["full"]), (200, &Value::Bool(true)));
-    let mut pieces: Vec<String> = body["pieces"].as_array().unwrap().iter().map(|p| p.to_string()).collect();
+    let mut pieces: Vec<String> = body["pieces"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|p| p.to_string())
+        .collect();
     pieces.sort();
-    assert_eq!(pieces, [0, 1, 2].map(|s| format!(r#"{{"cell":"v{s}","tablet":{s}}}"#)));
+    assert_eq!(
+        pieces,
+        [0, 1, 2].map(|s| format!(r#"{{"cell":"v{s}","tablet":{s}}}"#))
+    );
     let seen = ledger.all();
-    assert!(seen.iter().all(|s| s.key.as_deref() == Some("k-q1") && s.text == "what"));
-    assert!(seen.iter().all(|s| s.host as u32 == s.shard % 2), "a part went to a host without its shard");
+    assert!(seen
+        .iter()
+        .all(|s| s.key.as_deref() == Some("k-q1") && s.text == "what"));
+    assert!(
+        seen.iter().all(|s| s.host as u32 == s.shard % 2),
+        "a part went to a host without its shard"
+    );
     // The two parts of one turn to one host are one call.
     assert_eq!((seen.len(), c.counters.get("sent.calls")), (3, 2));
 }
@@ -56,8 +80,14 @@
         assert_eq!(client.read().0, 200);
     }
     let attempts = ledger.attempts(3, PATIENCE);
-    assert!(attempts.values().any(|n| *n > 1), "the silent host was never asked");
-    assert_eq!(c.counters.get("ended.timeout"), c.counters.get("sent.resends"));
+    assert!(
+        attempts.values().any(|n| *n > 1),
+        "the silent host was never asked"
+    );
+    assert_eq!(
+        c.counters.get("ended.timeout"),
+        c.counters.get("sent.resends")
+    );
 }
 
 /// A break after the frame's last byte, an error and a frame that can't be read may all have run;
@@ -73,16 +103,26 @@
         for n in 0..6 {
             client.query("book", &format!("q{n}"), 3000, &[0]);
             let (status, _, body) = client.read();
-            assert!(status == 200 && body.contains("\"full\":true"), "{status} {body}");
+            assert!(
+                status == 200 && body.contains("\"full\":true"),
+                "{status} {body}"
+            );
         }
         let attempts = ledger.attempts(3, ms(1000));
-        assert!(attempts.values().any(|n| *n > 1), "the bad host was never asked");
+        assert!(
+            attempts.values().any(|n| *n > 1),
+            "the bad host was never asked"
+        );
         let name = match act {
             Act::Broke | Act::Garbage => "ended.error",
             Act::Skip => "ended.full",
             _ => "ended.reset",
         };
-        assert_eq!(c.counters.get(name), c.counters.get("sent.resends"), "{name}");
+        assert_eq!(
+            c.counters.get(name),
+            c.counters.get("sent.resends"),
+            "{name}"
+        );
     }
 }
 
@@ -96,11 +136,15 @@
     });
     let c = start(&[member(0, &slow.addr, 0, "Ready")]);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::new(&c.addr)).collect();
-    clients.iter_mut().for_each(|c| c.query("near", "same", 3000, &[0, 2]));
+    clients
+        .iter_mut()
+        .for_each(|c| c.query("near", "same", 3000, &[0, 2]));
     assert!(clients.iter_mut().all(|c| c.read().0 > 0));
     until("all attempts end", || {
         let text = c.counters.text();
-        let ended = text.lines().filter_map(|l| l.strip_prefix("ended.")?.split_once(' '));
+        let ended = text
+            .lines()
+            .filter_map(|l| l.strip_prefix("ended.")?.split_once(' '));
         let ended: u64 = ended.map(|(_, n)| n.parse::<u64>().unwrap()).sum();
         c.counters.get("sent.first") + c.counters.get("sent.resends") == ended
     });
@@ -116,7 +160,10 @@
     let mut client = Client::new(&c.addr);
     client.query("book", "q", 3000, &[0]);
     let (status, headers, _) = client.read();
-    assert!(status != 200 && headers.contains_key("retry-after"), "{status}");
+    assert!(
+        status != 200 && headers.contains_key("retry-after"),
+        "{status}"
+    );
     ledger.attempts(3, ms(1000));
 }
 
@@ -136,13 +183,20 @@
 /// Nothing listens: every send proves that it never ran, and the query is answered in its time.
 #[test]
 fn refused_connections_are_answered_in_time() {
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let c = start(&[member(0, &gone, 0, "Ready")]);
     let mut client = Client::new(&c.addr);
     let asked = Instant::now();
     client.query("book", "q", 2000, &[0]);
     let (status, headers, _) = client.read();
-    assert!(status == 429 && headers.contains_key("retry-after"), "{status}");
+    assert!(
+        status == 429 && headers.contains_key("retry-after"),
+        "{status}"
+    );
     assert!(asked.elapsed() < ms(2000) && c.counters.get("ended.connect_failed") > 0);
 }
 
@@ -153,10 +207,16 @@
     let ledger = Ledger::default();
     let (_hosts, members) = pair(&ledger, value);
     let (addr, lines) = discovery();
-    let c = Coordinator::start(&config("127.0.0.1:1", &members, &settings(), Some(&addr)), "");
+    let c = Coordinator::start(
+        &config("127.0.0.1:1", &members, &settings(), Some(&addr)),
+        "",
+    );
     let change = |revision: u64, m: Value| {
         lines
-            .send(serde_json::json!({"revision": revision, "complete": false, "members": [m]}).to_string())
+            .send(
+                serde_json::json!({"revision": revision, "complete": false, "members": [m]})
+                    .to_string(),
+            )
             .unwrap();
     };
     lines.send("{nonsense".into()).unwrap();
@@ -195,20 +255,33 @@
         client.write(bytes);
         client.read().0
     };
-    let post =
-        |path: &str, length: usize| format!("POST {path} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
+    let post = |path: &str, length: usize| {
+        format!("POST {path} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n")
+    };
     assert_eq!(ask(b"nonsense\r\n\r\n"), 400);
     assert_eq!(ask(format!("{}{{}}", post("/near", 2)).as_bytes()), 400);
     assert_eq!(ask(format!("{}{{}}", post("/far", 2)).as_bytes()), 404);
     assert_eq!(ask(b"GET /near HTTP/1.1\r\n\r\n"), 405);
     assert_eq!(ask(post("/near", 64 * 1024 + 1).as_bytes()), 413);
-    assert_eq!(ask(b"POST /near HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}"), 400);
+    assert_eq!(
+        ask(b"POST /near HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}"),
+        400
+    );
     let chunked = "POST /near HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(ask(format!("{chunked}zz\r\n").as_bytes()), 400);
-    assert_eq!(ask(format!("{chunked}2\r\n{{}}\r\n0\r\n\r\n").as_bytes()), 400);
+    assert_eq!(
+        ask(format!("{chunked}2\r\n{{}}\r\n0\r\n\r\n").as_bytes()),
+        400
+    );
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
-    assert_eq!(ask(format!("{chunked}{chunk}{chunk}1\r\nx\r\n0\r\n\r\n").as_bytes()), 413);
-    assert_eq!(ask(format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(20_000)).as_bytes()), 431);
+    assert_eq!(
+        ask(format!("{chunked}{chunk}{chunk}1\r\nx\r\n0\r\n\r\n").as_bytes()),
+        413
+    );
+    assert_eq!(
+        ask(format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(20_000)).as_bytes()),
+        431
+    );
     let mut client = Client::new(&c.addr);
     client.query("near", "q", 3000, &[0]);
     assert_eq!(client.read().0, 429, "no host holds the shard");
@@ -237,9 +310,18 @@
     for (headers, parts) in [
         (good, r#"{"tablet":100,"fraction":1.0}"#),
         (good, r#"{"tablet":0,"fraction":1.5}"#),
-        (good, r#"{"tablet":0,"fraction":0.5},{"tablet":2,"fraction":0.0},{"tablet":4,"fraction":0.5}"#),
-        (good, r#"{"tablet":0,"fraction":0.5},{"tablet":2,"fraction":0.4}"#),
-        (good, r#"{"tablet":0,"fraction":0.5},{"tablet":0,"fraction":0.5}"#),
+        (
+            good,
+            r#"{"tablet":0,"fraction":0.5},{"tablet":2,"fraction":0.0},{"tablet":4,"fraction":0.5}"#,
+        ),
+        (
+            good,
+            r#"{"tablet":0,"fraction":0.5},{"tablet":2,"fraction":0.4}"#,
+        ),
+        (
+            good,
+            r#"{"tablet":0,"fraction":0.5},{"tablet":0,"fraction":0.5}"#,
+        ),
         ("Req-Id: b\r\nReq-Deadline-Ms: soon\r\n", part),
         ("Req-Deadline-Ms: 3000\r\n", part),
     ] {
@@ -248,7 +330,12 @@
     assert_eq!(ask("Req-Id: held\r\nReq-Deadline-Ms: 3000\r\n", part), 409);
     assert_eq!(
         Client::new(&c.addr)
-            .ask("POST", "/book", good, &format!(r#"{{"tablets":[{part}],"statement":"x"}}"#))
+            .ask(
+                "POST",
+                "/book",
+                good,
+                &format!(r#"{{"tablets":[{part}],"statement":"x"}}"#)
+            )
             .0,
         400
     );
@@ -261,7 +348,12 @@
 fn silent_and_half_sent_connections_go_and_keep_nobody_out() {
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, value);
-    let text = config("127.0.0.1:1", &[member(0, &h.addr, 0, "Ready")], &settings(), None);
+    let text = config(
+        "127.0.0.1:1",
+        &[member(0, &h.addr, 0, "Ready")],
+        &settings(),
+        None,
+    );
     let mut small: Value = serde_json::from_str(&text).unwrap();
     small["limits"] = serde_json::json!({"memory_mb": 32, "sockets": 128});
     let c = Coordinator::start(&small.to_string(), "");
@@ -290,10 +382,14 @@
     small["limits"] = serde_json::json!({"memory_mb": 32, "sockets": 128});
     let c = Coordinator::start(&small.to_string(), "");
     let mut stay: Vec<Client> = (0..24).map(|_| Client::new(&c.addr)).collect();
-    assert!(stay.iter_mut().all(|c| c.ask("GET", "/_health", "", "").0 == 200));
+    assert!(stay
+        .iter_mut()
+        .all(|c| c.ask("GET", "/_health", "", "").0 == 200));
     std::thread::sleep(ms(200));
     let mut fresh: Vec<Client> = (0..4).map(|_| Client::new(&c.addr)).collect();
-    assert!(fresh.iter_mut().all(|c| c.ask("GET", "/_health", "", "").0 == 200));
+    assert!(fresh
+        .iter_mut()
+        .all(|c| c.ask("GET", "/_health", "", "").0 == 200));
     assert!(stay[..4].iter_mut().all(Client::ended));
     assert_eq!(c.counters.get("clients.made_room"), 4);
 }
@@ -306,12 +402,20 @@
     let c = start(&[member(0, &h.addr, 0, "Ready")]);
     let body = r#"{"tablets":[{"tablet":0,"fraction":1.0}],"statement":"x"}"#;
     let head = "Req-Id: hidden\r\nReq-Deadline-Ms: 3000\r\nContent-Length";
-    let hidden = format!("POST /near HTTP/1.1\r\n{head}: {}\r\n\r\n{body}", body.len());
-    for coding in
-        ["Transfer-Encoding: chunked", "Transfer-Encoding: identity", "transfer-encoding: x, chunked"]
-    {
+    let hidden = format!(
+        "POST /near HTTP/1.1\r\n{head}: {}\r\n\r\n{body}",
+        body.len()
+    );
+    for coding in [
+        "Transfer-Encoding: chunked",
+        "Transfer-Encoding: identity",
+        "transfer-encoding: x, chunked",
+    ] {
         let mut client = Client::new(&c.addr);
-        let outer = format!("POST /near HTTP/1.1\r\nContent-Length: {}\r\n{coding}\r\n\r\n", hidden.len());
+        let outer = format!(
+            "POST /near HTTP/1.1\r\nContent-Length: {}\r\n{coding}\r\n\r\n",
+            hidden.len()
+        );
         client.write(format!("{outer}0\r\n\r\n{hidden}").as_bytes());
         let (status, headers, _) = client.read();
         assert!(status == 400 && headers["connection"] == "close" && client.ended());
@@ -336,7 +440,10 @@
     let (hosts, members) = pair(&ledger, value);
     let (old, _old_lines) = discovery();
     let (new, lines) = discovery();
-    let c = Coordinator::start(&config("127.0.0.1:1", &members, &settings(), Some(&old)), "");
+    let c = Coordinator::start(
+        &config("127.0.0.1:1", &members, &settings(), Some(&old)),
+        "",
+    );
     c.moves.send(new).unwrap();
     until("it has moved", || c.counters.get("list.moved") == 1);
     let mut client = Client::new(&c.addr);
@@ -347,9 +454,15 @@
     ask(0);
     let list = serde_json::json!({"revision": 0, "complete": true, "members": [members[1]]});
     lines.send(list.to_string()).unwrap();
-    until("the new place has spoken", || c.counters.get("list.news") == 2);
+    until("the new place has spoken", || {
+        c.counters.get("list.news") == 2
+    });
     (1..8).for_each(&mut ask);
-    assert!(ledger.all()[1..].iter().all(|s| s.host == 1), "{}", hosts.len());
+    assert!(
+        ledger.all()[1..].iter().all(|s| s.host == 1),
+        "{}",
+        hosts.len()
+    );
 }
 
 /// At the cap on open queries and parts new ones are refused, with the time to come back.
@@ -367,7 +480,10 @@
     let mut second = Client::new(&c.addr);
     second.query("near", "q2", 3000, &[0]);
     let (status, headers, _) = second.read();
-    assert_eq!((status, c.counters.get("answered.refused.open_cap")), (429, 1));
+    assert_eq!(
+        (status, c.counters.get("answered.refused.open_cap")),
+        (429, 1)
+    );
     assert!(headers.contains_key("retry-after"));
 }
 
@@ -385,8 +501,12 @@
         drop(hosts_gate.read());
         value(seen)
     };
-    let hosts: Vec<Host> = (0..20).map(|n| host(n, false, &ledger, held.clone())).collect();
-    let members: Vec<Value> = (0..20).map(|n| member(n, &hosts[n].addr, 0, "Ready")).collect();
+    let hosts: Vec<Host> = (0..20)
+        .map(|n| host(n, false, &ledger, held.clone()))
+        .collect();
+    let members: Vec<Value> = (0..20)
+        .map(|n| member(n, &hosts[n].addr, 0, "Ready"))
+        .collect();
     let mut patient = settings();
     for limit in ["goal_time", "hard_limit"] {
         patient["classes"][0][limit] = 60_000.0.into();
@@ -401,14 +521,24 @@
         client.query("near", &format!("q{n}"), 60_000, &[0]);
         clients.push(client);
     }
-    until("all seats are those of queries", || c.counters.get("sent.first") == 80);
+    until("all seats are those of queries", || {
+        c.counters.get("sent.first") == 80
+    });
     let (status, headers, _) = Client::new(&c.addr).ask("GET", "/_health", "", "");
-    assert!(status == 503 && headers.contains_key("retry-after"), "{status}");
+    assert!(
+        status == 503 && headers.contains_key("retry-after"),
+        "{status}"
+    );
     assert_eq!(c.counters.get("answered.refused.client_cap"), 1);
     drop(shut);
-    assert!(clients.iter_mut().all(|c| c.read().0 == 200), "those who had a seat keep it");
+    assert!(
+        clients.iter_mut().all(|c| c.read().0 == 200),
+        "those who had a seat keep it"
+    );
     assert_eq!(c.counters.get("clients.made_room"), 0);
-    until("idle ones make room", || Client::new(&c.addr).ask("GET", "/_health", "", "").0 == 200);
+    until("idle ones make room", || {
+        Client::new(&c.addr).ask("GET", "/_health", "", "").0 == 200
+    });
     assert!(c.counters.get("clients.made_room") > 0);
 }
 
--- a/crates/coordinator/tests/process.rs
+++ b/crates/coordinator/tests/process.rs
@@ -10,7 +10,12 @@
 
 fn binary() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_fennelpin"));
-    for name in ["PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONFIG"] {
+    for name in [
+        "PROXY_NAME",
+        "PROXY_LISTEN",
+        "PROXY_DISCOVERY",
+        "PROXY_CONFIG",
+    ] {
         command.env_remove(name);
     }
     command
@@ -18,7 +23,8 @@
 
 /// A file of this test process, by its name.
 fn file(name: &str, text: &str) -> PathBuf {
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
+    let path =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
@@ -26,17 +32,26 @@
 /// Checks a configuration: the exit code and what was said.
 fn check(name: &str, config: &str, operator: Option<&str>) -> (Option<i32>, String) {
     let mut command = binary();
-    command.args(["check-config", "--config"]).arg(file(name, config));
+    command
+        .args(["check-config", "--config"])
+        .arg(file(name, config));
     if let Some(text) = operator {
-        command.arg("--operator").arg(file(&format!("{name}.toml"), text));
+        command
+            .arg("--operator")
+            .arg(file(&format!("{name}.toml"), text));
     }
     let out = command.output().unwrap();
-    (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
+    (
+        out.status.code(),
+        String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
+    )
 }
 
 #[test]
 fn a_bad_configuration_ends_with_2_and_the_name_of_the_key() {
-    let good = || -> Value { serde_json::from_str(&config("127.0.0.1:1", &[], &settings(), None)).unwrap() };
+    let good = || -> Value {
+        serde_json::from_str(&config("127.0.0.1:1", &[], &settings(), None)).unwrap()
+    };
     assert_eq!(check("good", &good().to_string(), None).0, Some(0));
     // The smallest machine that the platform gives: refusing it was a crash at every start.
     let mut small = good();
@@ -57,13 +72,19 @@
         let mut bad = good();
         bad[key] = value;
         let (code, said) = check(&format!("bad{n}"), &bad.to_string(), None);
-        assert!(code == Some(2) && said.contains(key), "{key}: {code:?} {said}");
+        assert!(
+            code == Some(2) && said.contains(key),
+            "{key}: {code:?} {said}"
+        );
     }
     for number in [json!(0), json!(4_000_000_000u32), json!(-1), json!(null)] {
         let mut bad = good();
         bad["settings"]["balancers"] = number.clone();
         let (code, said) = check("balancers", &bad.to_string(), None);
-        assert!(code == Some(2) && said.contains("balancers"), "{number}: {code:?} {said}");
+        assert!(
+            code == Some(2) && said.contains("balancers"),
+            "{number}: {code:?} {said}"
+        );
     }
     // Settings that are zero, huge or negative were taken without a word.
     let (zero, huge, below) = (json!(0), json!(1e300), json!(-1));
@@ -78,10 +99,18 @@
         ("/caps", "max_attempts", vec![&zero, &below]),
         ("/family_info", "sets", vec![&zero, &below]),
         ("/family_info", "bundle_max", vec![&zero]),
-        ("/family_info", "class_floor", vec![&json!([2.0]), &json!([-1])]),
+        (
+            "/family_info",
+            "class_floor",
+            vec![&json!([2.0]), &json!([-1])],
+        ),
         ("/classes/0", "goal_time", vec![&zero, &huge, &below]),
         ("/classes/0", "hard_limit", vec![&zero, &huge, &below]),
-        ("/classes/0", "name", vec![&json!("report"), &json!("a/b"), &json!("_x"), &json!("")]),
+        (
+            "/classes/0",
+            "name",
+            vec![&json!("report"), &json!("a/b"), &json!("_x"), &json!("")],
+        ),
         ("/classes/2", "window", vec![&huge, &below]),
         ("", "classes", vec![&json!([])]),
     ] {
@@ -89,14 +118,20 @@
             let mut bad = good();
             bad["settings"].pointer_mut(parent).unwrap()[key] = value.clone();
             let (code, said) = check("extreme", &bad.to_string(), None);
-            assert!(code == Some(2) && said.contains(key), "{key}: {value}: {code:?} {said}");
+            assert!(
+                code == Some(2) && said.contains(key),
+                "{key}: {value}: {code:?} {said}"
+            );
         }
     }
     for limit in ["sockets", "memory_mb"] {
         let mut bad = good();
         bad["limits"] = json!({limit: 1u64 << 60});
         let (code, said) = check("limits", &bad.to_string(), None);
-        assert!(code == Some(2) && said.contains(limit), "{limit}: {code:?} {said}");
+        assert!(
+            code == Some(2) && said.contains(limit),
+            "{limit}: {code:?} {said}"
+        );
     }
     let mut alone = good();
     alone["settings"]["balancers"] = json!(1);
@@ -104,36 +139,58 @@
     let index = "[opensearch]\n[[opensearch.index]]\nname = 'a'\n";
     let districts = "districts = {x = 0}";
     for (n, (text, key)) in [
-        (format!("{index}class = 'far'\n{districts}"), "opensearch.index.class"),
+        (
+            format!("{index}class = 'far'\n{districts}"),
+            "opensearch.index.class",
+        ),
         (format!("{index}class = 'book'\n{districts}"), "key_header"),
-        (format!("{index}class = 'near'\ntenant = 'x'\n{districts}"), "opensearch.index.tenant"),
+        (
+            format!("{index}class = 'near'\ntenant = 'x'\n{districts}"),
+            "opensearch.index.tenant",
+        ),
         (format!("{index}class = 'near'"), "districts"),
         ("hosts = 'telnet'".to_owned(), "hosts"),
         ("colour = 1".to_owned(), "colour"),
         ("[cores]\ncount = 0".to_owned(), "cores.count"),
         ("[cores]\ncount = 64".to_owned(), "cores.count"),
         ("[cores]\ncount = 'all'".to_owned(), "count"),
-        ("[dns_sd]\nresponder = '127.0.0.1:53'\nservice = 'x'".to_owned(), "dns_sd.service"),
+        (
+            "[dns_sd]\nresponder = '127.0.0.1:53'\nservice = 'x'".to_owned(),
+            "dns_sd.service",
+        ),
     ]
     .into_iter()
     .enumerate()
     {
         let (code, said) = check(&format!("op{n}"), &good().to_string(), Some(&text));
-        assert!(code == Some(2) && said.contains(key), "{key}: {code:?} {said}");
+        assert!(
+            code == Some(2) && said.contains(key),
+            "{key}: {code:?} {said}"
+        );
     }
-    assert_eq!(binary().arg("serve").output().unwrap().status.code(), Some(2), "no PROXY_CONFIG");
+    assert_eq!(
+        binary().arg("serve").output().unwrap().status.code(),
+        Some(2),
+        "no PROXY_CONFIG"
+    );
 }
 
 /// The file that operators start from must fit the settings of this deployment's classes.
 #[test]
 fn the_operators_example_is_sound() {
     let mut ours = settings();
-    for (n, name) in ["nearby-search", "fleet-report", "ride-booking"].into_iter().enumerate() {
+    for (n, name) in ["nearby-search", "fleet-report", "ride-booking"]
+        .into_iter()
+        .enumerate()
+    {
         ours["classes"][n]["name"] = name.into();
     }
     ours["tenants"][0]["name"] = "coop-anfa".into();
     let text = config("127.0.0.1:1", &[], &ours, None);
-    for example in [include_str!("../../../deploy/opensearch.toml"), include_str!("../../../deploy/cores.toml")] {
+    for example in [
+        include_str!("../../../deploy/opensearch.toml"),
+        include_str!("../../../deploy/cores.toml"),
+    ] {
         let (code, said) = check("example", &text, Some(example));
         assert_eq!(code, Some(0), "{said}");
     }
@@ -168,9 +225,15 @@
 }
 
 /// The same with an operator's file.
-fn serve_with(path: &PathBuf, operator: Option<&PathBuf>) -> (Guard, BufReader<ChildStderr>, String) {
+fn serve_with(
+    path: &PathBuf,
+    operator: Option<&PathBuf>,
+) -> (Guard, BufReader<ChildStderr>, String) {
     let mut command = binary();
-    command.arg("serve").env("PROXY_CONFIG", path).stderr(Stdio::piped());
+    command
+        .arg("serve")
+        .env("PROXY_CONFIG", path)
+        .stderr(Stdio::piped());
     if let Some(operator) = operator {
         command.arg("--operator").arg(operator);
     }
@@ -185,7 +248,10 @@
 fn line_with(log: &mut BufReader<ChildStderr>, words: &str) -> String {
     loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it ended before it said '{words}'");
+        assert!(
+            log.read_line(&mut line).unwrap() > 0,
+            "it ended before it said '{words}'"
+        );
         if line.contains(words) {
             return line.trim_end().to_owned();
         }
@@ -193,7 +259,11 @@
 }
 
 fn signal(child: &Child, name: &str) {
-    assert!(Command::new("kill").args([name, &child.id().to_string()]).status().unwrap().success());
+    assert!(Command::new("kill")
+        .args([name, &child.id().to_string()])
+        .status()
+        .unwrap()
+        .success());
 }
 
 /// Unhandled, SIGHUP ends the process. A bad file must cost nothing, a good one is followed.
@@ -237,7 +307,10 @@
     assert_eq!(child.wait().unwrap().code(), Some(0));
     let mut rest = String::new();
     log.read_to_string(&mut rest).unwrap();
-    assert!(rest.contains("answered.served.full=2") && rest.contains("end=stopping"), "{rest}");
+    assert!(
+        rest.contains("answered.served.full=2") && rest.contains("end=stopping"),
+        "{rest}"
+    );
 }
 
 /// SIGTERM again, and SIGHUP after it, while a request is out: neither cuts what was taken.
@@ -300,7 +373,13 @@
     assert_eq!(child.wait().unwrap().code(), Some(0));
     let mut rest = String::new();
     log.read_to_string(&mut rest).unwrap();
-    assert!(rest.contains("stopped: ") && rest.contains("taken.queries=8"), "{rest}");
-    assert!((0..4).all(|n| rest.contains(&format!("core={n}"))), "each core's clients ended there: {rest}");
+    assert!(
+        rest.contains("stopped: ") && rest.contains("taken.queries=8"),
+        "{rest}"
+    );
+    assert!(
+        (0..4).all(|n| rest.contains(&format!("core={n}"))),
+        "each core's clients ended there: {rest}"
+    );
     assert!(!rest.contains("a core has ended"), "{rest}");
 }
--- a/crates/coordinator/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -31,7 +31,12 @@
 }
 
 /// The platform's file, with hosts as `known`.
-pub fn config(listen: &str, members: &[Value], settings: &Value, discovery: Option<&str>) -> String {
+pub fn config(
+    listen: &str,
+    members: &[Value],
+    settings: &Value,
+    discovery: Option<&str>,
+) -> String {
     let known = json!({"revision": 1, "complete": true, "members": members});
     json!({"name": "t", "listen": listen, "discovery": discovery, "seed": "7", "known": known,
            "settings": settings})
@@ -63,15 +68,31 @@
         let (tx, rx) = channel();
         let ours = counters.clone();
         let thread = thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .unwrap();
             runtime.block_on(async {
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
                 tx.send(listener.local_addr().unwrap().to_string()).unwrap();
-                let doors = coordinator::serve::Doors { clients: listener, desk, before: None };
-                coordinator::serve::serve(config, doors, ours, stopping, moved).await.unwrap();
+                let doors = coordinator::serve::Doors {
+                    clients: listener,
+                    desk,
+                    before: None,
+                };
+                coordinator::serve::serve(config, doors, ours, stopping, moved)
+                    .await
+                    .unwrap();
             });
         });
-        Self { addr: rx.recv().unwrap(), desk: desk_addr, counters, moves, stop, thread: Some(thread) }
+        Self {
+            addr: rx.recv().unwrap(),
+            desk: desk_addr,
+            counters,
+            moves,
+            stop,
+            thread: Some(thread),
+        }
     }
 
     /// Tells it to stop; the thread ends once all is answered.
@@ -103,7 +124,11 @@
 
     pub fn read(&mut self) -> Reply {
         let (first, headers, body) = message(&mut self.0).expect("an answer");
-        (first.split(' ').nth(1).unwrap().parse().unwrap(), headers, body)
+        (
+            first.split(' ').nth(1).unwrap().parse().unwrap(),
+            headers,
+            body,
+        )
     }
 
     /// Whether the other side ends the connection, after whatever it still sends.
@@ -133,16 +158,26 @@
 /// A request as it goes over the wire.
 pub fn request(method: &str, target: &str, headers: &str, body: &str) -> String {
     let length = body.len();
-    format!("{method} {target} HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
+    format!(
+        "{method} {target} HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
+    )
 }
 
 /// A query of the platform's own protocol as it goes over the wire.
 pub fn query(class: &str, id: &str, wait: u64, shards: &[u32]) -> String {
     let share = 1.0 / shards.len() as f64;
-    let parts: Vec<Value> = shards.iter().map(|s| json!({"tablet": s, "fraction": share})).collect();
-    let key = if class == "book" { format!("Idempotency-Key: k-{id}\r\n") } else { String::new() };
-    let headers =
-        format!("Req-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: coop\r\nReq-Deadline-Ms: {wait}\r\n{key}");
+    let parts: Vec<Value> = shards
+        .iter()
+        .map(|s| json!({"tablet": s, "fraction": share}))
+        .collect();
+    let key = if class == "book" {
+        format!("Idempotency-Key: k-{id}\r\n")
+    } else {
+        String::new()
+    };
+    let headers = format!(
+        "Req-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: coop\r\nReq-Deadline-Ms: {wait}\r\n{key}"
+    );
     let body = json!({"tablets": parts, "statement": "what"}).to_string();
     request("POST", &format!("/{class}"), &headers, &body)
 }
--- a/crates/coordinator/tests/talk.rs
+++ b/crates/coordinator/tests/talk.rs
@@ -23,7 +23,10 @@
 fn honest(words: Vec<(u32, Word)>) -> Vec<(u32, Word)> {
     let mut kept: Vec<(u32, Word)> = Vec::new();
     for (from, w) in words {
-        if !kept.iter().any(|(f, k)| *f == from && (k.life, k.seq) == (w.life, w.seq)) {
+        if !kept
+            .iter()
+            .any(|(f, k)| *f == from && (k.life, k.seq) == (w.life, w.seq))
+        {
             kept.push((from, w));
         }
     }
@@ -92,11 +95,22 @@
 const HOST: Tag = [1, 2, 3];
 
 fn gossip(rank: u32, life: u64) -> Gossip {
-    Gossip::new(Talk { routers: 3, rank, price: 0.0072 }, life, u64::from(rank) + 5)
+    Gossip::new(
+        Talk {
+            routers: 3,
+            rank,
+            price: 0.0072,
+        },
+        life,
+        u64::from(rank) + 5,
+    )
 }
 
 fn say(from: &mut Gossip, now: u64, out: u16) -> Vec<u8> {
-    from.turn(ms(now), &[(HOST, out)], now).expect("time for a word").bytes().to_vec()
+    from.turn(ms(now), &[(HOST, out)], now)
+        .expect("time for a word")
+        .bytes()
+        .to_vec()
 }
 
 #[test]
@@ -118,7 +132,9 @@
     a.hear(ms(300), 2, &say(&mut c, 300, 1));
     let mut again = gossip(1, 2);
     // Its first word names another host: what it had out before has ended with it.
-    let first = again.turn(ms(400), &[([9, 9, 9], 2)], 10).expect("time for a word");
+    let first = again
+        .turn(ms(400), &[([9, 9, 9], 2)], 10)
+        .expect("time for a word");
     assert_eq!(a.hear(ms(400), 1, first.bytes()), Heard::Taken);
     assert_eq!(a.others(ms(400), HOST).map(|t| t.out), Some(1.0));
     assert_eq!(a.hear(ms(410), 1, &old), Heard::Old, "of a past life");
@@ -132,12 +148,25 @@
     let mut a = gossip(0, 1);
     let good = say(&mut gossip(1, 1), 200, 4);
     let other = [&[9u8], &good[1..]].concat();
-    assert_eq!(a.hear(ms(200), 1, &other), Heard::Unreadable(Unreadable::Version));
-    assert_eq!(a.hear(ms(200), 1, &[]), Heard::Unreadable(Unreadable::Length));
-    assert_eq!(a.hear(ms(200), 1, &[1; 257]), Heard::Unreadable(Unreadable::Length));
+    assert_eq!(
+        a.hear(ms(200), 1, &other),
+        Heard::Unreadable(Unreadable::Version)
+    );
+    assert_eq!(
+        a.hear(ms(200), 1, &[]),
+        Heard::Unreadable(Unreadable::Length)
+    );
+    assert_eq!(
+        a.hear(ms(200), 1, &[1; 257]),
+        Heard::Unreadable(Unreadable::Length)
+    );
     assert_eq!(a.hear(ms(200), 1, &good), Heard::Taken);
     a.hear(ms(200), 2, &say(&mut gossip(2, 1), 200, 4));
-    assert_eq!(a.hear(ms(200), 3, &good), Heard::Refused, "one more than there are");
+    assert_eq!(
+        a.hear(ms(200), 3, &good),
+        Heard::Refused,
+        "one more than there are"
+    );
 }
 
 #[test]
@@ -146,15 +175,23 @@
     let (mut bytes, mut words, mut last) = (0usize, 0u32, 0u64);
     // 30 parts a second, something new at every tick, 100 hosts.
     for now in (0..20_000).step_by(10) {
-        let outs: Vec<(Tag, u16)> = (0..100).map(|h| ([h, 0, 0], (now / 10 % 7) as u16)).collect();
+        let outs: Vec<(Tag, u16)> = (0..100)
+            .map(|h| ([h, 0, 0], (now / 10 % 7) as u16))
+            .collect();
         if let Some(d) = a.turn(ms(now), &outs, now * 30 / 1000) {
-            assert!(d.bytes().len() <= MOST_BYTES && (words == 0 || now - last >= 25), "{now}");
+            assert!(
+                d.bytes().len() <= MOST_BYTES && (words == 0 || now - last >= 25),
+                "{now}"
+            );
             (bytes, words, last) = (bytes + d.bytes().len() * 2, words + 1, now);
         }
     }
     // A thousandth of all worth at 0.0072 for a full message a part, and what was saved up at first.
     let allowed = 600.0 * 256.0 * 0.001 / 0.0072 + 2.0 * 4.0 * 256.0;
-    assert!(words > 20 && (bytes as f64) <= allowed * 1.1, "{words} words, {bytes} bytes of {allowed}");
+    assert!(
+        words > 20 && (bytes as f64) <= allowed * 1.1,
+        "{words} words, {bytes} bytes of {allowed}"
+    );
 }
 
 #[test]
@@ -164,7 +201,13 @@
     let mut told = std::collections::BTreeSet::new();
     for now in (0..4000).step_by(50) {
         if let Some(d) = a.turn(ms(now), &outs, now) {
-            told.extend(Word::read(d.bytes()).expect("readable").hosts.into_iter().map(|h| h.0));
+            told.extend(
+                Word::read(d.bytes())
+                    .expect("readable")
+                    .hosts
+                    .into_iter()
+                    .map(|h| h.0),
+            );
         }
     }
     assert_eq!(told.len(), 200);
@@ -172,5 +215,8 @@
 
 #[test]
 fn names_have_the_same_tag_in_every_process() {
-    assert_eq!((tag("s-5be2a07c"), tag("s-5be2a07d")), ([62, 105, 205], [240, 63, 184]));
+    assert_eq!(
+        (tag("s-5be2a07c"), tag("s-5be2a07d")),
+        ([62, 105, 205], [240, 63, 184])
+    );
 }
--- a/crates/coordinator/tests/tier.rs
+++ b/crates/coordinator/tests/tier.rs
@@ -28,10 +28,15 @@
             .stderr(File::create(log).unwrap())
             .spawn()
             .unwrap();
-        let mut process = Self { child, addr: String::new() };
+        let mut process = Self {
+            child,
+            addr: String::new(),
+        };
         until("it listens", || {
             let said = std::fs::read_to_string(log).unwrap_or_default();
-            let line = said.lines().find_map(|l| Some(l.split_once("listening on ")?.1.trim().to_owned()));
+            let line = said
+                .lines()
+                .find_map(|l| Some(l.split_once("listening on ")?.1.trim().to_owned()));
             process.addr = line.unwrap_or_default();
             !process.addr.is_empty()
         });
@@ -45,8 +50,12 @@
 
     fn count(&self, name: &str) -> u64 {
         let (_, _, text) = Client::new(&self.addr).ask("GET", "/_counters", "", "");
-        let line =
-            text.lines().find_map(|l| l.strip_prefix(name)?.trim_start_matches(['=', ' ']).parse().ok());
+        let line = text.lines().find_map(|l| {
+            l.strip_prefix(name)?
+                .trim_start_matches(['=', ' '])
+                .parse()
+                .ok()
+        });
         line.unwrap_or(0)
     }
 
@@ -81,13 +90,20 @@
             .map(|h| {
                 host(h, false, &ledger, move |s| {
                     // Steady times: none is to look slow by the noise of a quick answer.
-                    std::thread::sleep(if s.id.starts_with("hold") { ms(300) } else { ms(10) });
+                    std::thread::sleep(if s.id.starts_with("hold") {
+                        ms(300)
+                    } else {
+                        ms(10)
+                    });
                     Act::Serve("v".into())
                 })
             })
             .collect();
-        let members: Vec<_> =
-            hosts.iter().enumerate().map(|(h, host)| member(h, &host.addr, h as u32, "Ready")).collect();
+        let members: Vec<_> = hosts
+            .iter()
+            .enumerate()
+            .map(|(h, host)| member(h, &host.addr, h as u32, "Ready"))
+            .collect();
         // The system chooses the ports; each is free again for the coordinator, which waits for it if need be.
         let free = |_| UdpSocket::bind("127.0.0.1:0").unwrap();
         let sockets: Vec<UdpSocket> = (0..n).map(free).collect();
@@ -107,14 +123,24 @@
             ours["family_info"]["width"] = json!(2);
             let text = config("127.0.0.1:0", &members, &ours, None);
             let mut text: serde_json::Value = serde_json::from_str(&text).unwrap();
-            text["peers"] = json!(relay.known[rank].iter().map(|a| a.to_string()).collect::<Vec<_>>());
+            text["peers"] = json!(relay.known[rank]
+                .iter()
+                .map(|a| a.to_string())
+                .collect::<Vec<_>>());
             text["peer_listen"] = json!(listen.to_string());
             let file = |end: &str| dir.join(format!("{}-{name}-{rank}.{end}", std::process::id()));
             std::fs::write(file("json"), text.to_string()).unwrap();
             processes.push(Process::start(&file("json"), &file("log")));
             files.push((file("json"), file("log")));
         }
-        let tier = Self { relay, processes, files, listens, ledger, asked: AtomicU32::new(0) };
+        let tier = Self {
+            relay,
+            processes,
+            files,
+            listens,
+            ledger,
+            asked: AtomicU32::new(0),
+        };
         tier.settle();
         tier
     }
@@ -134,7 +160,10 @@
     /// What each has counted of its talk.
     fn said(&self) -> String {
         let count = |p: &Process| ["sent", "taken", "old"].map(|n| p.count(&format!("peers.{n}")));
-        format!("sent, taken, old: {:?}", self.processes.iter().map(count).collect::<Vec<_>>())
+        format!(
+            "sent, taken, old: {:?}",
+            self.processes.iter().map(count).collect::<Vec<_>>()
+        )
     }
 
     fn name(&self, kind: &str) -> String {
@@ -147,15 +176,27 @@
         let held = self.name("hold");
         let mut client = Client::new(&self.processes[1].addr);
         client.query("near", &held, 3000, &[if at == 0 { 2 } else { 1 }]);
-        let seen = |id: &str| self.ledger.all().into_iter().find(|s| s.id.starts_with(&format!("{id}.")));
-        until("the part is at its host", || seen(&held).is_some_and(|s| s.host == at));
+        let seen = |id: &str| {
+            self.ledger
+                .all()
+                .into_iter()
+                .find(|s| s.id.starts_with(&format!("{id}.")))
+        };
+        until("the part is at its host", || {
+            seen(&held).is_some_and(|s| s.host == at)
+        });
         // Longer than the pause between two words.
         std::thread::sleep(ms(120));
         let id = self.name("q");
         assert_eq!(self.processes[0].ask(&id), 200);
         assert_eq!(client.read().0, 200);
-        let (asked, held) = (seen(&id).expect("it was asked"), seen(&held).expect("it was held"));
-        held.over.is_some_and(|over| over > asked.at).then_some(asked.host == at)
+        let (asked, held) = (
+            seen(&id).expect("it was asked"),
+            seen(&held).expect("it was held"),
+        );
+        held.over
+            .is_some_and(|over| over > asked.at)
+            .then_some(asked.host == at)
     }
 
     /// Of twenty rounds, the hosts taking turns, in how many coordinator 0 went where the other had a part out.
@@ -172,7 +213,9 @@
         self.processes.clear();
         // The logs stay where something failed.
         if !std::thread::panicking() {
-            self.files.iter().for_each(|(a, b)| drop((std::fs::remove_file(a), std::fs::remove_file(b))));
+            self.files
+                .iter()
+                .for_each(|(a, b)| drop((std::fs::remove_file(a), std::fs::remove_file(b))));
         }
     }
 }
@@ -184,7 +227,10 @@
     let to = tier.rounds();
     assert!(to <= 4, "{to} of 20 went to the host that was taken");
 
-    tier.relay.set(Faults { lose: 1.0, ..Faults::default() });
+    tier.relay.set(Faults {
+        lose: 1.0,
+        ..Faults::default()
+    });
     std::thread::sleep(ms(2100));
     let to = tier.rounds();
     assert!(to >= 5, "{to} of 20 with nothing told");
@@ -203,15 +249,27 @@
 #[test]
 fn faults_between_coordinators_cost_no_answer() {
     let tier = Tier::start("faults", 3);
-    for cut in [vec![], vec![(2, 0), (2, 1)], vec![(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)]] {
+    for cut in [
+        vec![],
+        vec![(2, 0), (2, 1)],
+        vec![(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)],
+    ] {
         let cut = cut.into_iter().collect();
-        tier.relay.set(Faults { lose: 0.2, double: 0.5, delay: ms(150), cut });
+        tier.relay.set(Faults {
+            lose: 0.2,
+            double: 0.5,
+            delay: ms(150),
+            cut,
+        });
         for n in 0..60 {
             assert_eq!(tier.processes[n % 3].ask(&tier.name("q")), 200);
             std::thread::sleep(ms(10));
         }
     }
-    assert!(tier.processes.iter().any(|p| p.count("peers.old") > 0), "none came late");
+    assert!(
+        tier.processes.iter().any(|p| p.count("peers.old") > 0),
+        "none came late"
+    );
     assert!(tier.relay.passed() > 0);
 }
 
--- a/crates/fake-hosts/src/discovery.rs
+++ b/crates/fake-hosts/src/discovery.rs
@@ -57,7 +57,14 @@
     pub fn new(coordinator: u16, members: Vec<Member>, epoch: Epoch, ledger: Ledger) -> Rc<Self> {
         let members = members.into_iter().map(|m| (m.host, (1, m))).collect();
         let (members, revision) = (RefCell::new(members), watch::channel(1).0);
-        Rc::new(Self { coordinator, epoch, ledger, members, revision, silent: Cell::new(false) })
+        Rc::new(Self {
+            coordinator,
+            epoch,
+            ledger,
+            members,
+            revision,
+            silent: Cell::new(false),
+        })
     }
 
     /// A change has come.
@@ -80,17 +87,29 @@
     /// What has changed after a revision; all of it where that is 0.
     fn since(&self, since: u64) -> (Vec<(u16, Phase)>, String) {
         let members = self.members.borrow();
-        let new = members.values().filter(|(at, m)| *at > since && (since > 0 || m.phase != Phase::Gone));
-        let (told, list): (Vec<_>, Vec<_>) = new.map(|(_, m)| ((m.host, m.phase), m.json())).unzip();
+        let new = members
+            .values()
+            .filter(|(at, m)| *at > since && (since > 0 || m.phase != Phase::Gone));
+        let (told, list): (Vec<_>, Vec<_>) =
+            new.map(|(_, m)| ((m.host, m.phase), m.json())).unzip();
         let revision = *self.revision.borrow();
-        (told, json!({"revision": revision, "complete": since == 0, "members": list}).to_string())
+        (
+            told,
+            json!({"revision": revision, "complete": since == 0, "members": list}).to_string(),
+        )
     }
 
     fn told(&self, all: Vec<(u16, Phase)>) {
         let at = self.epoch.now();
         for (host, phase) in all {
             let (coordinator, what) = (self.coordinator, What::Told(phase));
-            self.ledger.write(Event { at, host, coordinator, attempt: 0, what });
+            self.ledger.write(Event {
+                at,
+                host,
+                coordinator,
+                attempt: 0,
+                what,
+            });
         }
     }
 
@@ -134,7 +153,9 @@
                 let _ = changed.changed().await;
             }
             let Some(query) = target.strip_prefix("/catalog/members") else {
-                stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
+                stream
+                    .write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+                    .await?;
                 continue;
             };
             if !query.contains("follow=1") {
@@ -144,14 +165,18 @@
                 self.told(told);
                 continue;
             }
-            let since = query.split(['?', '&']).find_map(|p| p.strip_prefix("since=")?.parse().ok());
+            let since = query
+                .split(['?', '&'])
+                .find_map(|p| p.strip_prefix("since=")?.parse().ok());
             return self.watch(stream, since.unwrap_or(0)).await;
         }
     }
 
     async fn watch(&self, mut stream: TcpStream, mut since: u64) -> std::io::Result<()> {
         let mut changed = self.revision.subscribe();
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await?;
         let mut first = true;
         loop {
             let now = *changed.borrow_and_update();
@@ -160,7 +185,9 @@
                 // A version of another life of discovery counts for nothing.
                 let (told, line) = self.since(if since > now { 0 } else { since });
                 since = now;
-                stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await?;
+                stream
+                    .write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+                    .await?;
                 self.told(told);
             }
             tokio::select! {
--- a/crates/fake-hosts/src/fleet.rs
+++ b/crates/fake-hosts/src/fleet.rs
@@ -112,7 +112,10 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 impl Fleet {
@@ -122,16 +125,25 @@
     /// If a socket or a thread can't be had.
     pub fn start(spec: &FleetSpec, epoch: Epoch) -> std::io::Result<Self> {
         let ledger = Ledger::default();
-        let loopback =
-            |n: usize| SocketAddr::from((Ipv4Addr::new(127, 21, (n / 250) as u8, (n % 250) as u8 + 1), 0));
+        let loopback = |n: usize| {
+            SocketAddr::from((
+                Ipv4Addr::new(127, 21, (n / 250) as u8, (n % 250) as u8 + 1),
+                0,
+            ))
+        };
         let mut doors: Vec<Vec<StdListener>> = Vec::new();
         for n in 0..spec.hosts.len() {
-            doors
-                .push((0..spec.coordinators).map(|_| listener(loopback(n))).collect::<std::io::Result<_>>()?);
+            doors.push(
+                (0..spec.coordinators)
+                    .map(|_| listener(loopback(n)))
+                    .collect::<std::io::Result<_>>()?,
+            );
         }
         let addr = |l: &StdListener| l.local_addr();
-        let addrs: Vec<Vec<SocketAddr>> =
-            doors.iter().map(|d| d.iter().map(addr).collect()).collect::<std::io::Result<_>>()?;
+        let addrs: Vec<Vec<SocketAddr>> = doors
+            .iter()
+            .map(|d| d.iter().map(addr).collect())
+            .collect::<std::io::Result<_>>()?;
         let member = |(n, p): (usize, &Place), c: usize| Member {
             host: n as u16,
             id: format!("h{n:03}"),
@@ -142,7 +154,13 @@
             up_since_ms: 0,
         };
         let known: Vec<Vec<Member>> = (0..usize::from(spec.coordinators))
-            .map(|c| spec.hosts.iter().enumerate().map(|p| member(p, c)).collect())
+            .map(|c| {
+                spec.hosts
+                    .iter()
+                    .enumerate()
+                    .map(|p| member(p, c))
+                    .collect()
+            })
             .collect();
         let lists: Vec<StdListener> = (0..spec.coordinators)
             .map(|_| listener(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))))
@@ -150,7 +168,8 @@
         let discovery = lists.iter().map(addr).collect::<std::io::Result<_>>()?;
         let states = Arc::new(Mutex::new(vec![HostState::default(); spec.hosts.len()]));
         let count = spec.threads.clamp(1, spec.hosts.len().max(1));
-        let mut shares: Vec<Vec<(u16, Vec<StdListener>)>> = (0..count).map(|_| Vec::new()).collect();
+        let mut shares: Vec<Vec<(u16, Vec<StdListener>)>> =
+            (0..count).map(|_| Vec::new()).collect();
         for (n, d) in doors.into_iter().enumerate() {
             shares[n % count].push((n as u16, d));
         }
@@ -160,14 +179,31 @@
             commands.push(tx);
             let (spec, ledger, states) = (spec.clone(), ledger.clone(), states.clone());
             let work = move || host_thread(&spec, share, epoch, ledger, states, rx);
-            threads.push(std::thread::Builder::new().name(format!("hosts-{n}")).spawn(work)?);
+            threads.push(
+                std::thread::Builder::new()
+                    .name(format!("hosts-{n}"))
+                    .spawn(work)?,
+            );
         }
         let (tx, rx) = mpsc::unbounded_channel();
         commands.push(tx);
-        let (delays, seed, listed, written) = (spec.delays, spec.seed, known.clone(), ledger.clone());
+        let (delays, seed, listed, written) =
+            (spec.delays, spec.seed, known.clone(), ledger.clone());
         let work = move || list_thread(delays, seed, lists, listed, epoch, written, rx);
-        threads.push(std::thread::Builder::new().name("list".into()).spawn(work)?);
-        Ok(Self { addrs, discovery, known, ledger, states, commands, threads })
+        threads.push(
+            std::thread::Builder::new()
+                .name("list".into())
+                .spawn(work)?,
+        );
+        Ok(Self {
+            addrs,
+            discovery,
+            known,
+            ledger,
+            states,
+            commands,
+            threads,
+        })
     }
 
     /// Does something to it; takes effect within a moment.
@@ -180,7 +216,10 @@
 
     /// How the hosts are, by number, as of the last 100 ms.
     pub fn states(&self) -> Vec<HostState> {
-        self.states.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.states
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
 
@@ -194,7 +233,10 @@
 }
 
 fn in_thread(work: impl std::future::Future<Output = ()>) {
-    match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, work),
         Err(e) => log::error!(error:% = e; "no runtime for the stand-ins"),
     }
@@ -215,13 +257,16 @@
             let host = Host::new(n, made, spec.conn, spec.seed, epoch, ledger.clone());
             tokio::task::spawn_local(host.clone().run());
             for (c, door) in doors.into_iter().enumerate() {
-                let (Ok(addr), Ok(door)) = (door.local_addr(), tokio::net::TcpListener::from_std(door))
+                let (Ok(addr), Ok(door)) =
+                    (door.local_addr(), tokio::net::TcpListener::from_std(door))
                 else {
                     continue;
                 };
                 let (host, c) = (host.clone(), c as u16);
                 match spec.dialect {
-                    Dialect::Frames => tokio::task::spawn_local(host.listen(addr, c, door, frames::serve)),
+                    Dialect::Frames => {
+                        tokio::task::spawn_local(host.listen(addr, c, door, frames::serve))
+                    }
                     Dialect::OpenSearch => {
                         tokio::task::spawn_local(host.listen(addr, c, door, search::serve))
                     }
--- a/crates/fake-hosts/src/frames.rs
+++ b/crates/fake-hosts/src/frames.rs
@@ -34,7 +34,14 @@
         End::Broke => ("broke", String::new()),
         _ => ("skipped", String::new()),
     };
-    frame(out, b'a', &[format!("{id} {word} 1 {report}\n").as_bytes(), value.as_bytes()]);
+    frame(
+        out,
+        b'a',
+        &[
+            format!("{id} {word} 1 {report}\n").as_bytes(),
+            value.as_bytes(),
+        ],
+    );
 }
 
 /// One part of a call's frame: its line's fields and its text.
@@ -56,9 +63,18 @@
         rest = &rest[end + 1..];
         let text = std::str::from_utf8(rest.get(..length)?).ok()?;
         rest = &rest[length..];
-        let entry = |k: &str| list.split(',').find_map(|e| e.strip_prefix(k)?.strip_prefix('='));
+        let entry = |k: &str| {
+            list.split(',')
+                .find_map(|e| e.strip_prefix(k)?.strip_prefix('='))
+        };
         let wait = Duration::from_millis(entry("d")?.parse().ok()?);
-        all.push(Part { id, shard, wait, key: entry("k"), text });
+        all.push(Part {
+            id,
+            shard,
+            wait,
+            key: entry("k"),
+            text,
+        });
     }
     Some(all)
 }
@@ -66,7 +82,12 @@
 /// Handles the frames that are whole; `None` if one can't be used, after saying so.
 fn take(input: &mut BytesMut, out: &mut BytesMut, host: &Host, open: &mut Open) -> Option<()> {
     while open.len() < host.conn.streams && out.len() < MOST_OUTPUT {
-        let Some(length) = input.first_chunk::<4>().map(|n| u32::from_be_bytes(*n) as usize) else { break };
+        let Some(length) = input
+            .first_chunk::<4>()
+            .map(|n| u32::from_be_bytes(*n) as usize)
+        else {
+            break;
+        };
         if length == 0 || length > MOST_FRAME {
             frame(out, b'e', &[b"length"]);
             return None;
@@ -92,9 +113,19 @@
                     let marked = reference(p.text, p.shard);
                     let (shard, key, wait, first) = (p.shard, p.key, p.wait, n == 0);
                     // A search's payload is its index on one line and its body on the next.
-                    let body = p.text.split_once('\n').and_then(|(_, b)| serde_json::from_str(b).ok());
+                    let body = p
+                        .text
+                        .split_once('\n')
+                        .and_then(|(_, b)| serde_json::from_str(b).ok());
                     let form = body.map_or(Form::Plain, |b| search::form(shard, &b));
-                    let arrival = Arrival { name, shard, key, wait, marked, first };
+                    let arrival = Arrival {
+                        name,
+                        shard,
+                        key,
+                        wait,
+                        marked,
+                        first,
+                    };
                     if let (_, Some(end)) = open.arrive(p.id, form, arrival) {
                         answer(out, p.id, form, end, &report);
                     }
@@ -113,7 +144,10 @@
 pub async fn serve(host: Rc<Host>, coordinator: u16, stream: TcpStream) {
     let mut open = Open::new(host.clone(), coordinator);
     let mut life = host.life();
-    let (mut input, mut out) = (BytesMut::with_capacity(16 * 1024), BytesMut::with_capacity(16 * 1024));
+    let (mut input, mut out) = (
+        BytesMut::with_capacity(16 * 1024),
+        BytesMut::with_capacity(16 * 1024),
+    );
     let outbox = open.outbox.clone();
     loop {
         if !out.is_empty() {
@@ -171,9 +205,20 @@
     fn a_call_is_read_part_by_part_and_a_bad_one_not_at_all() {
         let call = "a.3 3 d=240,k=k1 8\nlab:1.2;a.4 4 d=240 0\n";
         let all = parts(call.as_bytes()).unwrap();
-        assert_eq!((all.len(), all[0].id, all[0].shard, all[0].key), (2, "a.3", 3, Some("k1")));
-        assert_eq!((all[0].text, all[1].key, all[1].wait), ("lab:1.2;", None, Duration::from_millis(240)));
-        for bad in ["a.3 3 d=240 9\nshort", "a.3 3 k=1 0\n", "a.3 x d=1 0\n", "a.3 3 d=1 0"] {
+        assert_eq!(
+            (all.len(), all[0].id, all[0].shard, all[0].key),
+            (2, "a.3", 3, Some("k1"))
+        );
+        assert_eq!(
+            (all[0].text, all[1].key, all[1].wait),
+            ("lab:1.2;", None, Duration::from_millis(240))
+        );
+        for bad in [
+            "a.3 3 d=240 9\nshort",
+            "a.3 3 k=1 0\n",
+            "a.3 x d=1 0\n",
+            "a.3 3 d=1 0",
+        ] {
             assert!(parts(bad.as_bytes()).is_none(), "{bad}");
         }
     }
--- a/crates/fake-hosts/src/host.rs
+++ b/crates/fake-hosts/src/host.rs
@@ -116,7 +116,9 @@
         epoch: Epoch,
         ledger: Ledger,
     ) -> Rc<Self> {
-        let seed = seed.wrapping_add(u64::from(number)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let seed = seed
+            .wrapping_add(u64::from(number))
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15);
         Rc::new(Self {
             number,
             conn,
@@ -133,7 +135,13 @@
     }
 
     fn write(&self, coordinator: u16, attempt: u64, what: What) {
-        self.ledger.write(Event { at: self.epoch.now(), host: self.number, coordinator, attempt, what });
+        self.ledger.write(Event {
+            at: self.epoch.now(),
+            host: self.number,
+            coordinator,
+            attempt,
+            what,
+        });
     }
 
     /// Parts held and waiting, and whether it fell.
@@ -195,13 +203,29 @@
         self.next_attempt.set(attempt + 1);
         let reference = a.marked.map(|(r, _)| r);
         let (name, key) = (a.name.into(), a.key.map(Into::into));
-        self.write(coordinator, attempt, What::Arrived { name, shard: a.shard, key, reference });
+        self.write(
+            coordinator,
+            attempt,
+            What::Arrived {
+                name,
+                shard: a.shard,
+                key,
+                reference,
+            },
+        );
         self.tick();
         let mut model = self.model.borrow_mut();
         let work_us = a.marked.and_then(|(_, w)| w).unwrap_or(self.unmarked_us);
         let expires = self.epoch.now() + a.wait.as_micros() as Micros;
         let fell = model.has_fallen();
-        let verdict = model.offer(Job { id: attempt, work_us, expires }, a.first);
+        let verdict = model.offer(
+            Job {
+                id: attempt,
+                work_us,
+                expires,
+            },
+            a.first,
+        );
         if model.has_fallen() && !fell {
             drop(model);
             self.write(coordinator, attempt, What::Fell);
@@ -215,8 +239,14 @@
                 self.changed.notify_one();
                 (attempt, None)
             }
-            Verdict::Served => (attempt, Some(self.ended(coordinator, attempt, End::Served(attempt)))),
-            Verdict::Full => (attempt, Some(self.ended(coordinator, attempt, End::Skipped))),
+            Verdict::Served => (
+                attempt,
+                Some(self.ended(coordinator, attempt, End::Served(attempt))),
+            ),
+            Verdict::Full => (
+                attempt,
+                Some(self.ended(coordinator, attempt, End::Skipped)),
+            ),
         }
     }
 
@@ -229,7 +259,9 @@
     /// Brings the model up to now and hands out what ended.
     fn tick(&self) {
         let mut ended = Vec::new();
-        self.model.borrow_mut().advance(self.epoch.now(), &mut ended);
+        self.model
+            .borrow_mut()
+            .advance(self.epoch.now(), &mut ended);
         for (attempt, how) in ended {
             let end = match how {
                 How::Served => End::Served(attempt),
@@ -237,7 +269,12 @@
                 How::Expired => End::Skipped,
             };
             // What was cut off has nobody to tell.
-            if let Some(outbox) = self.jobs.borrow_mut().remove(&attempt).filter(|o| o.open.get()) {
+            if let Some(outbox) = self
+                .jobs
+                .borrow_mut()
+                .remove(&attempt)
+                .filter(|o| o.open.get())
+            {
                 outbox.replies.borrow_mut().push(Reply { attempt, end });
                 outbox.wake.notify_one();
             }
@@ -295,7 +332,8 @@
                         Ok((stream, _)) if self.conns.get() < self.conn.most => {
                             let _ = stream.set_nodelay(true);
                             self.conns.set(self.conns.get() + 1);
-                            let (host, served) = (self.clone(), serve(self.clone(), coordinator, stream));
+                            let (host, served) =
+                                (self.clone(), serve(self.clone(), coordinator, stream));
                             tokio::task::spawn_local(async move {
                                 served.await;
                                 host.conns.set(host.conns.get() - 1);
@@ -315,8 +353,11 @@
                 Mode::Silent => {
                     if let Some(l) = &listener {
                         let _ = socket2::SockRef::from(l).listen(0);
-                        while let Ok(Ok(s)) =
-                            tokio::time::timeout(Duration::from_millis(20), TcpStream::connect(addr)).await
+                        while let Ok(Ok(s)) = tokio::time::timeout(
+                            Duration::from_millis(20),
+                            TcpStream::connect(addr),
+                        )
+                        .await
                         {
                             fillers.push(s);
                             if fillers.len() > 8 {
@@ -389,7 +430,12 @@
 impl Open {
     /// Nothing out yet.
     pub fn new(host: Rc<Host>, coordinator: u16) -> Self {
-        Self { host, coordinator, outbox: Outbox::new(), attempts: HashMap::new() }
+        Self {
+            host,
+            coordinator,
+            outbox: Outbox::new(),
+            attempts: HashMap::new(),
+        }
     }
 
     /// How many are out, given-up ones included: their work still stands on this connection.
--- a/crates/fake-hosts/src/ledger.rs
+++ b/crates/fake-hosts/src/ledger.rs
@@ -124,7 +124,10 @@
 impl Ledger {
     /// Writes an event down.
     pub fn write(&self, event: Event) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push(event);
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(event);
     }
 
     /// All events so far, by time.
@@ -138,8 +141,15 @@
 /// The mark that a client puts into a query's text: `lab:QUERY.TRY:SHARD=WORK,…;` with the work of each
 /// part in microseconds. It is made of characters that need no escape in JSON.
 pub fn mark(reference: Ref, works: impl Iterator<Item = (u32, u32)>) -> String {
-    let works: Vec<String> = works.map(|(shard, work)| format!("{shard}={work}")).collect();
-    format!("lab:{}.{}:{};", reference.query, reference.attempt, works.join(","))
+    let works: Vec<String> = works
+        .map(|(shard, work)| format!("{shard}={work}"))
+        .collect();
+    format!(
+        "lab:{}.{}:{};",
+        reference.query,
+        reference.attempt,
+        works.join(",")
+    )
 }
 
 /// Finds the mark in a query's text, and the work of this shard's part.
@@ -147,8 +157,14 @@
     let mark = text.split_once("lab:")?.1.split_once(';')?.0;
     let (ids, works) = mark.split_once(':')?;
     let (query, attempt) = ids.split_once('.')?;
-    let reference = Ref { query: query.parse().ok()?, attempt: attempt.parse().ok()? };
-    let work = works.split(',').filter_map(|w| w.split_once('=')).find(|(s, _)| s.parse() == Ok(shard));
+    let reference = Ref {
+        query: query.parse().ok()?,
+        attempt: attempt.parse().ok()?,
+    };
+    let work = works
+        .split(',')
+        .filter_map(|w| w.split_once('='))
+        .find(|(s, _)| s.parse() == Ok(shard));
     Some((reference, work.and_then(|(_, w)| w.parse().ok())))
 }
 
@@ -158,9 +174,14 @@
 
     #[test]
     fn a_mark_is_found_again_in_any_text() {
-        let r = Ref { query: 12, attempt: 1 };
-        let text =
-            format!("free\n{{\"term\":{{\"lab\":\"{}\"}}}}", mark(r, [(3, 97_000), (4, 5)].into_iter()));
+        let r = Ref {
+            query: 12,
+            attempt: 1,
+        };
+        let text = format!(
+            "free\n{{\"term\":{{\"lab\":\"{}\"}}}}",
+            mark(r, [(3, 97_000), (4, 5)].into_iter())
+        );
         assert_eq!(reference(&text, 4), Some((r, Some(5.0))));
         assert_eq!(reference(&text, 5), Some((r, None)));
         assert_eq!(reference("c41e77d0", 3), None);
--- a/crates/fake-hosts/src/model.rs
+++ b/crates/fake-hosts/src/model.rs
@@ -239,7 +239,9 @@
 
     /// Share of its full capacity that it has now, pauses left out.
     pub fn warmth(&self) -> f64 {
-        let Some(since) = self.cold_since else { return 1.0 };
+        let Some(since) = self.cold_since else {
+            return 1.0;
+        };
         let risen = (self.now - since) as f64 / self.spec.cold_us as f64;
         (self.spec.cold_share + (1.0 - self.spec.cold_share) * risen).min(1.0)
     }
@@ -264,9 +266,17 @@
             return Some(self.pause_until);
         }
         let rate = self.rate();
-        let least = self.running.iter().map(|r| r.left).fold(f64::INFINITY, f64::min);
+        let least = self
+            .running
+            .iter()
+            .map(|r| r.left)
+            .fold(f64::INFINITY, f64::min);
         let done = self.now + ((least / rate).ceil() as Micros).max(1);
-        let ramp = if self.cold_since.is_some() { self.now + RAMP_STEP } else { Micros::MAX };
+        let ramp = if self.cold_since.is_some() {
+            self.now + RAMP_STEP
+        } else {
+            Micros::MAX
+        };
         Some(done.min(ramp).min(self.next_pause.max(self.now + 1)))
     }
 
@@ -281,7 +291,10 @@
             }
             self.done_us += rate * passed * self.running.len() as f64;
             self.now = until;
-            if self.cold_since.is_some_and(|s| until >= s + self.spec.cold_us) {
+            if self
+                .cold_since
+                .is_some_and(|s| until >= s + self.spec.cold_us)
+            {
                 self.cold_since = None;
                 self.pushed.clear();
                 self.pushed_sum = 0.0;
@@ -293,7 +306,8 @@
                     continue;
                 }
                 let id = self.running.swap_remove(n).id;
-                let broke = self.spec.error_rate > 0.0 && self.rng.random_bool(self.spec.error_rate);
+                let broke =
+                    self.spec.error_rate > 0.0 && self.rng.random_bool(self.spec.error_rate);
                 ended.push((id, if broke { How::Broke } else { How::Served }));
                 self.served += 1;
             }
@@ -316,7 +330,10 @@
         while self.running.len() < (self.spec.cores * self.spec.slots_per_core) as usize {
             match self.waiting.pop_front() {
                 Some(job) if job.expires <= self.now => ended.push((job.id, How::Expired)),
-                Some(job) => self.running.push(Running { id: job.id, left: job.work_us }),
+                Some(job) => self.running.push(Running {
+                    id: job.id,
+                    left: job.work_us,
+                }),
                 None => return,
             }
         }
@@ -326,7 +343,11 @@
     pub fn offer(&mut self, mut job: Job, first: bool) -> Verdict {
         if self.spec.instant {
             self.served += 1;
-            return if self.draining { Verdict::Full } else { Verdict::Served };
+            return if self.draining {
+                Verdict::Full
+            } else {
+                Verdict::Served
+            };
         }
         if first {
             job.work_us += self.spec.call_us;
@@ -340,7 +361,10 @@
             return Verdict::Full;
         }
         if self.running.len() < slots {
-            self.running.push(Running { id: job.id, left: job.work_us });
+            self.running.push(Running {
+                id: job.id,
+                left: job.work_us,
+            });
         } else {
             self.waiting.push_back(job);
         }
@@ -354,7 +378,12 @@
         self.pushed.push_back((self.now, work));
         self.pushed_sum += work;
         let window = self.spec.fall_us;
-        while let Some((at, w)) = self.pushed.front().copied().filter(|(at, _)| at + window < self.now) {
+        while let Some((at, w)) = self
+            .pushed
+            .front()
+            .copied()
+            .filter(|(at, _)| at + window < self.now)
+        {
             debug_assert!(at <= self.now);
             self.pushed.pop_front();
             self.pushed_sum -= w;
@@ -377,7 +406,8 @@
                 qps: served * noise(&mut self.rng, by),
             };
             self.reported_served = self.served;
-            self.reports.push_back((self.next_report + self.spec.report_delay_us, load));
+            self.reports
+                .push_back((self.next_report + self.spec.report_delay_us, load));
             // After a long time without a part one report says it all.
             self.next_report = (self.next_report + every).max(self.now.saturating_sub(every) + 1);
         }
@@ -398,11 +428,21 @@
     use super::*;
 
     fn plain() -> HostSpec {
-        HostSpec { call_us: 0.0, pause_us: [0, 0], thrash: 0.0, error_rate: 0.0, ..HostSpec::default() }
+        HostSpec {
+            call_us: 0.0,
+            pause_us: [0, 0],
+            thrash: 0.0,
+            error_rate: 0.0,
+            ..HostSpec::default()
+        }
     }
 
     fn job(id: u64, work_us: f64) -> Job {
-        Job { id, work_us, expires: Micros::MAX }
+        Job {
+            id,
+            work_us,
+            expires: Micros::MAX,
+        }
     }
 
     fn all(model: &mut HostModel, to: Micros) -> Vec<(u64, How)> {
@@ -427,10 +467,24 @@
 
     #[test]
     fn the_waiting_room_ends_and_a_late_part_is_not_begun() {
-        let spec = HostSpec { queue_per_core: 1.0, cores: 1, slots_per_core: 1, ..plain() };
+        let spec = HostSpec {
+            queue_per_core: 1.0,
+            cores: 1,
+            slots_per_core: 1,
+            ..plain()
+        };
         let mut m = HostModel::new(spec, 1, 0);
         assert_eq!(m.offer(job(0, 1000.0), true), Verdict::Taken);
-        assert_eq!(m.offer(Job { expires: 500, ..job(1, 1000.0) }, true), Verdict::Taken);
+        assert_eq!(
+            m.offer(
+                Job {
+                    expires: 500,
+                    ..job(1, 1000.0)
+                },
+                true
+            ),
+            Verdict::Taken
+        );
         assert_eq!(m.offer(job(2, 1.0), true), Verdict::Full);
         assert_eq!(all(&mut m, 5000), [(0, How::Served), (1, How::Expired)]);
     }
@@ -438,10 +492,20 @@
     #[test]
     fn a_cold_host_is_slow_and_falls_when_pushed_but_not_when_fed_gently() {
         let gentle = |per_second: u32| {
-            let mut m = HostModel::new(HostSpec { queue_per_core: 1e6, ..plain() }, 1, 0);
+            let mut m = HostModel::new(
+                HostSpec {
+                    queue_per_core: 1e6,
+                    ..plain()
+                },
+                1,
+                0,
+            );
             m.start_cold(0);
             for n in 0..per_second * 3 {
-                m.advance(u64::from(n) * 1_000_000 / u64::from(per_second), &mut Vec::new());
+                m.advance(
+                    u64::from(n) * 1_000_000 / u64::from(per_second),
+                    &mut Vec::new(),
+                );
                 m.offer(job(n.into(), 100_000.0), false);
             }
             m
@@ -449,16 +513,30 @@
         // Two cores at 0.3 of their speed can do 0.6 s of work in a second; twice that is 12 such parts.
         assert!(!gentle(8).has_fallen());
         assert!(gentle(40).has_fallen());
-        assert!((gentle(8).warmth() - 0.5).abs() < 0.01, "{}", gentle(8).warmth());
+        assert!(
+            (gentle(8).warmth() - 0.5).abs() < 0.01,
+            "{}",
+            gentle(8).warmth()
+        );
         let mut fallen = gentle(40);
         let held = fallen.held();
-        assert!(all(&mut fallen, 60_000_000).is_empty() && fallen.held() == held, "it stays down");
+        assert!(
+            all(&mut fallen, 60_000_000).is_empty() && fallen.held() == held,
+            "it stays down"
+        );
     }
 
     #[test]
     fn a_pause_holds_up_all_work_for_its_length() {
-        let often = HostSpec { pause_us: [50_000; 2], pause_every_us: [1_000_000; 2], ..plain() };
-        let spec = HostSpec { queue_per_core: 1e6, ..often };
+        let often = HostSpec {
+            pause_us: [50_000; 2],
+            pause_every_us: [1_000_000; 2],
+            ..plain()
+        };
+        let spec = HostSpec {
+            queue_per_core: 1e6,
+            ..often
+        };
         let mut m = HostModel::new(spec, 3, 0);
         for id in 0..400u64 {
             m.offer(job(id, 50_000.0), false);
@@ -466,12 +544,21 @@
         let mut ended = Vec::new();
         m.advance(4_000_000, &mut ended);
         // 4 s less 3 or 4 pauses on two cores: 7.6 to 7.7 s of work, which is what was done.
-        assert!((7_590_000.0..=7_710_000.0).contains(&m.done_us()), "{}", m.done_us());
+        assert!(
+            (7_590_000.0..=7_710_000.0).contains(&m.done_us()),
+            "{}",
+            m.done_us()
+        );
     }
 
     #[test]
     fn a_report_shows_late_and_stays_until_the_next() {
-        let spec = HostSpec { report_noise: 0.0, report_every_us: 100, report_delay_us: 50, ..plain() };
+        let spec = HostSpec {
+            report_noise: 0.0,
+            report_every_us: 100,
+            report_delay_us: 50,
+            ..plain()
+        };
         let mut m = HostModel::new(spec, 1, 0);
         assert_eq!(m.report(), None);
         m.offer(job(0, 1e6), false);
--- a/crates/fake-hosts/src/relay.rs
+++ b/crates/fake-hosts/src/relay.rs
@@ -46,7 +46,11 @@
         let sockets = (0..n).map(row).collect::<std::io::Result<Vec<_>>>()?;
         let mut known = Vec::new();
         for row in &sockets {
-            known.push(row.iter().map(UdpSocket::local_addr).collect::<std::io::Result<Vec<_>>>()?);
+            known.push(
+                row.iter()
+                    .map(UdpSocket::local_addr)
+                    .collect::<std::io::Result<Vec<_>>>()?,
+            );
         }
         let relay = Self {
             known,
@@ -72,14 +76,17 @@
         thread::spawn(move || {
             let mut buffer = [0; 2048];
             while !stop.load(Ordering::Relaxed) {
-                let Ok((n, _)) = sockets[from][to].recv_from(&mut buffer) else { continue };
+                let Ok((n, _)) = sockets[from][to].recv_from(&mut buffer) else {
+                    continue;
+                };
                 let now = faults.lock().map(|f| f.clone()).unwrap_or_default();
                 if now.cut.contains(&(from, to)) || rng.random::<f64>() < now.lose {
                     continue;
                 }
                 for _ in 0..1 + usize::from(rng.random::<f64>() < now.double) {
                     passed.fetch_add(1, Ordering::Relaxed);
-                    let (sockets, listen, bytes) = (sockets.clone(), listens[to], buffer[..n].to_vec());
+                    let (sockets, listen, bytes) =
+                        (sockets.clone(), listens[to], buffer[..n].to_vec());
                     let wait = now.delay.mul_f64(rng.random::<f64>());
                     // It leaves by the address under which the receiver knows the sender.
                     let go = move || drop(sockets[to][from].send_to(&bytes, listen));
--- a/crates/fake-hosts/src/scripted.rs
+++ b/crates/fake-hosts/src/scripted.rs
@@ -90,11 +90,16 @@
             for pair in all.windows(2) {
                 // The host's thread may notice a withdrawal a moment after the next host has the part, as two
                 // sockets have no common order; one that was never withdrawn is out for far longer.
-                let over = pair[0].over.unwrap_or_else(|| panic!("{id} is still out at its next attempt"));
+                let over = pair[0]
+                    .over
+                    .unwrap_or_else(|| panic!("{id} is still out at its next attempt"));
                 assert!(over <= pair[1].at + ms(250), "attempts of {id} overlapped");
             }
             if let Some(first) = all.iter().find(|s| s.key.is_some() && s.ran) {
-                assert!(all.iter().all(|s| s.at < first.at + window), "{id} was repeated after its window");
+                assert!(
+                    all.iter().all(|s| s.at < first.at + window),
+                    "{id} was repeated after its window"
+                );
             }
         }
         parts.into_iter().map(|(id, all)| (id, all.len())).collect()
@@ -119,14 +124,19 @@
 impl Stuck {
     #[allow(clippy::new_without_default)]
     pub fn new() -> Self {
-        let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let listener =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let any: std::net::SocketAddr = ([127, 0, 0, 1], 0).into();
         listener.bind(&any.into()).unwrap();
         listener.listen(0).unwrap();
         let at = listener.local_addr().unwrap().as_socket().unwrap();
         let fill = || TcpStream::connect_timeout(&at, ms(100)).ok();
         let waiting = std::iter::from_fn(fill).take(64).collect();
-        Self { addr: at.to_string(), _listener: listener, _waiting: waiting }
+        Self {
+            addr: at.to_string(),
+            _listener: listener,
+            _waiting: waiting,
+        }
     }
 }
 
@@ -181,7 +191,9 @@
         match head[4] {
             b'c' => {
                 let id = String::from_utf8(rest).unwrap();
-                open.iter().filter(|(o, _)| *o == id).for_each(|(_, at)| ledger.over(*at, true));
+                open.iter()
+                    .filter(|(o, _)| *o == id)
+                    .for_each(|(_, at)| ledger.over(*at, true));
             }
             b'l' => stream.write_all(&frame('l', "inflight=0"))?,
             b'q' => {
@@ -192,10 +204,22 @@
                     let f: Vec<&str> = line.trim_end().split(' ').collect();
                     let (text, left) = rest.split_at(f[3].parse().unwrap());
                     rest = left;
-                    let key = f[2].split(',').find_map(|p| p.strip_prefix("k=")).map(str::to_owned);
+                    let key = f[2]
+                        .split(',')
+                        .find_map(|p| p.strip_prefix("k="))
+                        .map(str::to_owned);
                     let text = String::from_utf8(text.to_vec()).unwrap();
                     let (id, shard, at) = (f[0].to_owned(), f[1].parse().unwrap(), Instant::now());
-                    let seen = Seen { host, id: id.clone(), shard, key, text, at, over: None, ran: true };
+                    let seen = Seen {
+                        host,
+                        id: id.clone(),
+                        shard,
+                        key,
+                        text,
+                        at,
+                        over: None,
+                        ran: true,
+                    };
                     let n = ledger.add(seen.clone());
                     open.push((id.clone(), n));
                     let (word, value) = match script(&seen) {
@@ -224,7 +248,9 @@
 }
 
 /// One HTTP message: its first line, headers and body.
-pub fn message(stream: &mut impl BufRead) -> std::io::Result<(String, HashMap<String, String>, String)> {
+pub fn message(
+    stream: &mut impl BufRead,
+) -> std::io::Result<(String, HashMap<String, String>, String)> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -238,9 +264,14 @@
     }
     let headers: HashMap<String, String> = lines[1..]
         .iter()
-        .filter_map(|l| l.split_once(": ").map(|(k, v)| (k.to_ascii_lowercase(), v.to_owned())))
+        .filter_map(|l| {
+            l.split_once(": ")
+                .map(|(k, v)| (k.to_ascii_lowercase(), v.to_owned()))
+        })
         .collect();
-    let length = headers.get("content-length").map_or(0, |l| l.parse().unwrap());
+    let length = headers
+        .get("content-length")
+        .map_or(0, |l| l.parse().unwrap());
     let mut body = vec![0; length];
     stream.read_exact(&mut body)?;
     Ok((lines.remove(0), headers, String::from_utf8(body).unwrap()))
@@ -262,8 +293,14 @@
             write!(output, "HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{{}}")?;
             continue;
         }
-        let shard_of =
-            |p: &str| p.rsplit_once("_shards:").unwrap().1.trim_matches('"').parse::<u32>().unwrap();
+        let shard_of = |p: &str| {
+            p.rsplit_once("_shards:")
+                .unwrap()
+                .1
+                .trim_matches('"')
+                .parse::<u32>()
+                .unwrap()
+        };
         let many = target == "/_msearch";
         let searches: Vec<(u32, String)> = match many {
             false => vec![(shard_of(&target), body.clone())],
@@ -273,7 +310,10 @@
                 .chunks(2)
                 .map(|p| {
                     let head: Value = serde_json::from_str(p[0]).unwrap();
-                    (shard_of(head["preference"].as_str().unwrap()), p[1].to_owned())
+                    (
+                        shard_of(head["preference"].as_str().unwrap()),
+                        p[1].to_owned(),
+                    )
                 })
                 .collect(),
         };
@@ -283,7 +323,16 @@
             let id = format!("{}.{shard}", headers["x-opaque-id"]);
             let key = headers.get("idempotency-key").cloned();
             let at = Instant::now();
-            let seen = Seen { host, id: id.clone(), shard, key, text, at, over: None, ran: true };
+            let seen = Seen {
+                host,
+                id: id.clone(),
+                shard,
+                key,
+                text,
+                at,
+                over: None,
+                ran: true,
+            };
             let n = ledger.add(seen.clone());
             open.push((id, n));
             let act = script(&seen);
@@ -318,7 +367,11 @@
                 (200, json!({"responses": all}).to_string())
             }
         };
-        write!(output, "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+        write!(
+            output,
+            "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )?;
     }
 }
 
@@ -345,7 +398,9 @@
                 continue;
             }
             loop {
-                let Some(line) = waiting.take().or_else(|| lines.recv().ok()) else { return };
+                let Some(line) = waiting.take().or_else(|| lines.recv().ok()) else {
+                    return;
+                };
                 let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
                 // The coordinator closes after a bad line: what follows goes to its next watch.
                 stream.set_read_timeout(Some(ms(50))).unwrap();
--- a/crates/fake-hosts/src/search.rs
+++ b/crates/fake-hosts/src/search.rs
@@ -32,11 +32,17 @@
         let mut parsed = httparse::Request::new(&mut headers);
         if let httparse::Status::Complete(head) = parsed.parse(input).ok()? {
             let header = |name: &str| {
-                let h = parsed.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
+                let h = parsed
+                    .headers
+                    .iter()
+                    .find(|h| h.name.eq_ignore_ascii_case(name))?;
                 std::str::from_utf8(h.value).ok().map(str::to_owned)
             };
             let target = parsed.path?.to_owned();
-            let (name, key) = (header("X-Opaque-Id").unwrap_or_default(), header("Idempotency-Key"));
+            let (name, key) = (
+                header("X-Opaque-Id").unwrap_or_default(),
+                header("Idempotency-Key"),
+            );
             let length: usize = header("Content-Length").map_or(Some(0), |l| l.parse().ok())?;
             if length > MOST_BODY {
                 return None;
@@ -47,7 +53,12 @@
                     return None;
                 }
             }
-            return Some(Asked { target, name, key, body: input.split_to(length).to_vec() });
+            return Some(Asked {
+                target,
+                name,
+                key,
+                body: input.split_to(length).to_vec(),
+            });
         }
         if input.len() > MOST_HEAD || stream.read_buf(input).await.ok()? == 0 {
             return None;
@@ -65,27 +76,36 @@
     let lines: Vec<&[u8]> = asked.body.trim_ascii_end().split(|b| *b == b'\n').collect();
     let pair = |p: &[&[u8]]| {
         let head: Value = serde_json::from_slice(p.first()?).ok()?;
-        Some((shard(head["preference"].as_str()?)?, serde_json::from_slice(p.get(1)?).ok()?))
+        Some((
+            shard(head["preference"].as_str()?)?,
+            serde_json::from_slice(p.get(1)?).ok()?,
+        ))
     };
     lines.chunks(2).map(pair).collect()
 }
 
 /// What a search wants of its shard.
 pub(crate) fn form(shard: u32, body: &Value) -> Form {
-    Form::Search(shard, body["size"].as_u64().unwrap_or(HITS).min(HITS), body["sort"].is_array())
+    Form::Search(
+        shard,
+        body["size"].as_u64().unwrap_or(HITS).min(HITS),
+        body["sort"].is_array(),
+    )
 }
 
 /// The status and body of an answer.
 pub(crate) fn answer(form: Form, end: End) -> (u16, Value) {
     let (End::Served(v), Form::Search(shard, size, sorted)) = (end, form) else {
         let status = if end == End::Skipped { 429 } else { 500 };
-        return (status, json!({"error": {"type": "exception", "reason": "stand-in"}, "status": status}));
+        return (
+            status,
+            json!({"error": {"type": "exception", "reason": "stand-in"}, "status": status}),
+        );
     };
     let hit = |n: u64| {
         // Scores are spread over shards, so that merged pages hold hits of several.
         let score = 1.0 / (1 + n * 97 + u64::from(shard) % 97) as f64;
-        let mut hit =
-            json!({"_index": "x", "_id": format!("{}-{n}", value(v)), "_score": score, "_source": {}});
+        let mut hit = json!({"_index": "x", "_id": format!("{}-{n}", value(v)), "_score": score, "_source": {}});
         if sorted {
             hit["sort"] = json!([n * 97 + u64::from(shard) % 97]);
         }
@@ -94,7 +114,10 @@
     let hits: Vec<Value> = (0..size).map(hit).collect();
     let shards = json!({"total": 1, "successful": 1, "skipped": 0, "failed": 0});
     let hits = json!({"total": {"value": HITS, "relation": "eq"}, "hits": hits});
-    (200, json!({"took": 1, "timed_out": false, "_shards": shards, "hits": hits, "status": 200}))
+    (
+        200,
+        json!({"took": 1, "timed_out": false, "_shards": shards, "hits": hits, "status": 200}),
+    )
 }
 
 fn text(status: u16, body: &Value) -> String {
@@ -127,25 +150,40 @@
             _ => return,
         };
         if asked.target == "/" {
-            if stream.write_all(text(200, &json!({})).as_bytes()).await.is_err() {
+            if stream
+                .write_all(text(200, &json!({})).as_bytes())
+                .await
+                .is_err()
+            {
                 return;
             }
             continue;
         }
         let Some(searches) = searches(&asked) else {
-            let _ = stream.write_all(text(400, &json!({"status": 400})).as_bytes()).await;
+            let _ = stream
+                .write_all(text(400, &json!({"status": 400})).as_bytes())
+                .await;
             return;
         };
         let mut open = Open::new(host.clone(), coordinator);
         let (mut ended, mut order) = (HashMap::new(), Vec::new());
         for (n, (shard, body)) in searches.iter().enumerate() {
-            let wait =
-                body["timeout"].as_str().and_then(|t| t.strip_suffix("ms")).and_then(|t| t.parse().ok());
+            let wait = body["timeout"]
+                .as_str()
+                .and_then(|t| t.strip_suffix("ms"))
+                .and_then(|t| t.parse().ok());
             let wait = Duration::from_millis(wait.unwrap_or(60_000));
             // Parts of several queries may share a call; the text says whose a part is.
             let marked = reference(&body.to_string(), *shard);
             let (shard, key, first) = (*shard, asked.key.as_deref(), n == 0);
-            let arrival = Arrival { name: &asked.name, shard, key, wait, marked, first };
+            let arrival = Arrival {
+                name: &asked.name,
+                shard,
+                key,
+                wait,
+                marked,
+                first,
+            };
             let (attempt, end) = open.arrive("", form(shard, body), arrival);
             order.push(attempt);
             ended.extend(end.map(|e| (attempt, e)));
@@ -162,14 +200,22 @@
                 more = stream.read_buf(&mut input) => if !more.is_ok_and(|n| n > 0) { return },
             }
         }
-        let one =
-            |((shard, body), attempt): (&(u32, Value), &u64)| answer(form(*shard, body), ended[attempt]);
+        let one = |((shard, body), attempt): (&(u32, Value), &u64)| {
+            answer(form(*shard, body), ended[attempt])
+        };
         let mut answers: Vec<(u16, Value)> = searches.iter().zip(&order).map(one).collect();
         let (status, body) = match &mut answers[..] {
             [_] if asked.target != "/_msearch" => answers.remove(0),
-            _ => (200, json!({"responses": answers.into_iter().map(|(_, b)| b).collect::<Vec<_>>()})),
+            _ => (
+                200,
+                json!({"responses": answers.into_iter().map(|(_, b)| b).collect::<Vec<_>>()}),
+            ),
         };
-        if stream.write_all(text(status, &body).as_bytes()).await.is_err() {
+        if stream
+            .write_all(text(status, &body).as_bytes())
+            .await
+            .is_err()
+        {
             return;
         }
     }
--- a/crates/fennelpin-cli/src/config.rs
+++ b/crates/fennelpin-cli/src/config.rs
@@ -24,8 +24,17 @@
 }
 
 fn size(document: &Document) -> String {
-    let Document { version, routes, services, .. } = document;
-    format!("version {version}, {} routes, {} services", routes.len(), services.len())
+    let Document {
+        version,
+        routes,
+        services,
+        ..
+    } = document;
+    format!(
+        "version {version}, {} routes, {} services",
+        routes.len(),
+        services.len()
+    )
 }
 
 /// Checks a file.
@@ -37,7 +46,12 @@
     match asked.sort {
         Sort::Settings => {
             let boot = settings::read(path)?;
-            println!("{}: settings of {} ({})", path.display(), boot.node_name, boot.role);
+            println!(
+                "{}: settings of {} ({})",
+                path.display(),
+                boot.node_name,
+                boot.role
+            );
         }
         Sort::Operator => println!("{}: {:?}", path.display(), Operator::read(Some(path))?),
         Sort::Configuration => println!("{}: {}", path.display(), size(&read_document(path)?)),
@@ -59,7 +73,10 @@
 
 /// The configuration in force; version 0 where there is none.
 fn in_force(members: &Members) -> Result<Document, Failure> {
-    let answer = members.ask(&Call { name: "Configuration.Read", ..Call::default() })?;
+    let answer = members.ask(&Call {
+        name: "Configuration.Read",
+        ..Call::default()
+    })?;
     if answer.result().0 == Code::NoConfiguration.number() {
         return Ok(Document::default());
     }
@@ -70,12 +87,20 @@
 fn kept(members: &Members, version: u64) -> Result<Document, Failure> {
     let name = format!("Configuration.History/{version}");
     for status in members.statuses()? {
-        let Some(control) = status["control"].as_str().and_then(|c| c.parse::<SocketAddr>().ok()) else {
+        let Some(control) = status["control"]
+            .as_str()
+            .and_then(|c| c.parse::<SocketAddr>().ok())
+        else {
             continue;
         };
-        let call = Call { name: &name, ..Call::default() };
+        let call = Call {
+            name: &name,
+            ..Call::default()
+        };
         match crate::control::ask(control, &call, members.wait) {
-            Ok(answer) if answer.status == 200 => return document(&answer, &format!("version {version}")),
+            Ok(answer) if answer.status == 200 => {
+                return document(&answer, &format!("version {version}"))
+            }
             // Another member may keep it.
             _ => {}
         }
@@ -95,7 +120,10 @@
     let document = of_version(&asked.members, asked.version)?;
     if document.version == 0 {
         let none = Code::NoConfiguration;
-        return Err(Failure::Refused { code: none.number(), reason: none.text().to_owned() });
+        return Err(Failure::Refused {
+            code: none.number(),
+            reason: none.text().to_owned(),
+        });
     }
     println!("{}", document.to_json());
     Ok(())
@@ -119,12 +147,19 @@
         sort: &str,
         list: &[configuration::Item<T>],
     ) -> BTreeMap<String, String> {
-        list.iter().map(|i| (format!("{sort} {}", i.value.name()), i.raw.to_string())).collect()
+        list.iter()
+            .map(|i| (format!("{sort} {}", i.value.name()), i.raw.to_string()))
+            .collect()
     }
     let all = |document: &Document| {
         let mut all = items("route", &document.routes);
         all.extend(items("service", &document.services));
-        all.extend(document.limits.iter().map(|l| ("limits".to_owned(), l.raw.to_string())));
+        all.extend(
+            document
+                .limits
+                .iter()
+                .map(|l| ("limits".to_owned(), l.raw.to_string())),
+        );
         all
     };
     let (old, new) = (all(old), all(new));
@@ -152,7 +187,11 @@
 }
 
 fn send(members: &Members, name: &str, base: u64, body: &[u8]) -> Result<(), Failure> {
-    let answer = members.ask(&Call { name, base: Some(base), body: Some(body) })?;
+    let answer = members.ask(&Call {
+        name,
+        base: Some(base),
+        body: Some(body),
+    })?;
     match answer.status {
         200 => Ok(()),
         _ => refused(&answer),
@@ -175,7 +214,11 @@
     };
     let new = new.context(ConfigurationSnafu { path })?;
     let base = asked.base.unwrap_or(old.version);
-    let name = if asked.amend { "Configuration.Amend" } else { "Configuration.Replace" };
+    let name = if asked.amend {
+        "Configuration.Amend"
+    } else {
+        "Configuration.Replace"
+    };
     send(&asked.members, name, base, &body)?;
     println!("taken: {} (on version {base})", size(&new));
     Ok(())
@@ -188,15 +231,27 @@
 pub fn history(members: &Members) -> Result<(), Failure> {
     let mut versions: BTreeMap<u64, (Value, Vec<String>)> = BTreeMap::new();
     for status in members.statuses()? {
-        let Some(control) = status["control"].as_str().and_then(|c| c.parse::<SocketAddr>().ok()) else {
+        let Some(control) = status["control"]
+            .as_str()
+            .and_then(|c| c.parse::<SocketAddr>().ok())
+        else {
+            continue;
+        };
+        let call = Call {
+            name: "Configuration.History",
+            ..Call::default()
+        };
+        let Ok(answer) = crate::control::ask(control, &call, members.wait) else {
             continue;
         };
-        let call = Call { name: "Configuration.History", ..Call::default() };
-        let Ok(answer) = crate::control::ask(control, &call, members.wait) else { continue };
         let told: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         for entry in told["versions"].as_array().into_iter().flatten() {
-            let Some(version) = entry["version"].as_u64() else { continue };
-            let (first, kept) = versions.entry(version).or_insert_with(|| (entry.clone(), Vec::new()));
+            let Some(version) = entry["version"].as_u64() else {
+                continue;
+            };
+            let (first, kept) = versions
+                .entry(version)
+                .or_insert_with(|| (entry.clone(), Vec::new()));
             if entry["seen_ms"].as_u64() < first["seen_ms"].as_u64() {
                 *first = entry.clone();
             }
@@ -205,7 +260,10 @@
             }
         }
     }
-    println!("{:>12}  {:>14}  {:>6}  {:>8}  kept at", "version", "seen (unix s)", "routes", "services");
+    println!(
+        "{:>12}  {:>14}  {:>6}  {:>8}  kept at",
+        "version", "seen (unix s)", "routes", "services"
+    );
     for (version, (entry, kept)) in versions {
         let seen = entry["seen_ms"].as_u64().unwrap_or_default() as f64 / 1e3;
         println!(
@@ -229,7 +287,17 @@
     };
     let old = in_force(&asked.members)?;
     older.version = asked.version.unwrap_or(old.version + 1);
-    send(&asked.members, "Configuration.Replace", old.version, older.to_json().as_bytes())?;
-    println!("taken: {} (version {} again, on version {})", size(&older), asked.to, old.version);
+    send(
+        &asked.members,
+        "Configuration.Replace",
+        old.version,
+        older.to_json().as_bytes(),
+    )?;
+    println!(
+        "taken: {} (version {} again, on version {})",
+        size(&older),
+        asked.to,
+        old.version
+    );
     Ok(())
 }
--- a/crates/fennelpin-cli/src/control.rs
+++ b/crates/fennelpin-cli/src/control.rs
@@ -49,7 +49,10 @@
     /// The result code, or the status where the body names none, with the text that goes with it.
     pub fn result(&self) -> (u16, String) {
         let body: Value = serde_json::from_slice(&self.body).unwrap_or_default();
-        let code = body["code"].as_u64().and_then(|c| u16::try_from(c).ok()).unwrap_or(self.status);
+        let code = body["code"]
+            .as_u64()
+            .and_then(|c| u16::try_from(c).ok())
+            .unwrap_or(self.status);
         let reason = body["reason"].as_str().unwrap_or("no reason given");
         match body["detail"].as_str() {
             Some(detail) => (code, format!("{reason} ({detail})")),
@@ -60,7 +63,8 @@
     /// Whether asking again, or another member, can't tell more.
     fn clear(&self) -> bool {
         // That there is no configuration yet is the primary's word.
-        !matches!(self.status, 408 | 429 | 500..) || self.result().0 == Code::NoConfiguration.number()
+        !matches!(self.status, 408 | 429 | 500..)
+            || self.result().0 == Code::NoConfiguration.number()
     }
 
     /// Reads the text of an answer.
@@ -75,13 +79,22 @@
         let end = text.windows(4).position(|w| w == b"\r\n\r\n")?;
         let head = std::str::from_utf8(&text[..end]).ok()?;
         let mut lines = head.split("\r\n");
-        let status = lines.next()?.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()?;
+        let status = lines
+            .next()?
+            .strip_prefix("HTTP/1.1 ")?
+            .get(..3)?
+            .parse()
+            .ok()?;
         let length = lines.find_map(|l| {
             let (name, value) = l.split_once(':')?;
-            name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse::<usize>().ok())?
+            name.eq_ignore_ascii_case("content-length")
+                .then(|| value.trim().parse::<usize>().ok())?
         });
         let body = &text[end + 4..];
-        (length.unwrap_or(body.len()) == body.len()).then(|| Answer { status, body: body.to_vec() })
+        (length.unwrap_or(body.len()) == body.len()).then(|| Answer {
+            status,
+            body: body.to_vec(),
+        })
     }
 }
 
@@ -97,7 +110,9 @@
     stream.set_write_timeout(Some(wait))?;
     let method = if call.body.is_some() { "POST" } else { "GET" };
     let body = call.body.unwrap_or_default();
-    let base = call.base.map_or_else(String::new, |b| format!("Fennelpin-Base-Version: {b}\r\n"));
+    let base = call
+        .base
+        .map_or_else(String::new, |b| format!("Fennelpin-Base-Version: {b}\r\n"));
     let head = format!(
         "{method} /fennelpin/{} HTTP/1.1\r\nHost: {control}\r\nConnection: close\r\nContent-Type: application/json\r\n\
          Content-Length: {}\r\n{base}\r\n",
@@ -123,7 +138,11 @@
         loop {
             let mut broken = None;
             for control in &self.control {
-                match ask(*control, call, until.saturating_duration_since(Instant::now())) {
+                match ask(
+                    *control,
+                    call,
+                    until.saturating_duration_since(Instant::now()),
+                ) {
                     Ok(answer) if answer.clear() => return Ok(answer),
                     Ok(answer) => said = Some(answer),
                     Err(e) => broken = Some((*control, e)),
@@ -155,7 +174,10 @@
                 continue;
             }
             asked.push(control);
-            let call = Call { name: "status", ..Call::default() };
+            let call = Call {
+                name: "status",
+                ..Call::default()
+            };
             let answer = match ask(control, &call, self.wait) {
                 Ok(answer) => answer,
                 Err(e) => {
@@ -163,10 +185,16 @@
                     continue;
                 }
             };
-            let mut status: Value = serde_json::from_slice(&answer.body).context(StrangeSnafu { control })?;
-            let named =
-                ["/members", "/member/view/voters"].into_iter().filter_map(|p| status.pointer(p)?.as_array());
-            open.extend(named.flatten().filter_map(|m| m["control"].as_str()?.parse::<SocketAddr>().ok()));
+            let mut status: Value =
+                serde_json::from_slice(&answer.body).context(StrangeSnafu { control })?;
+            let named = ["/members", "/member/view/voters"]
+                .into_iter()
+                .filter_map(|p| status.pointer(p)?.as_array());
+            open.extend(
+                named
+                    .flatten()
+                    .filter_map(|m| m["control"].as_str()?.parse::<SocketAddr>().ok()),
+            );
             status["control"] = control.to_string().into();
             told.push(status);
         }
--- a/crates/fennelpin-cli/src/failure.rs
+++ b/crates/fennelpin-cli/src/failure.rs
@@ -107,7 +107,9 @@
         source: serde_json::Error,
     },
     /// A version that is asked for is kept nowhere.
-    #[snafu(display("version {version} is kept at no member that answers; give its file with --file"))]
+    #[snafu(display(
+        "version {version} is kept at no member that answers; give its file with --file"
+    ))]
     NotKept {
         /// The version.
         version: u64,
@@ -177,7 +179,9 @@
             | Failure::Operator { .. }
             | Failure::NoCompletion { .. }
             | Failure::Configuration { .. } => 2,
-            Failure::ControlPlane { source: Root::NoControl | Root::NoDisk } => 2,
+            Failure::ControlPlane {
+                source: Root::NoControl | Root::NoDisk,
+            } => 2,
             Failure::Refused { .. } | Failure::NotRecovered { .. } | Failure::LaterView { .. } => 3,
             _ => 1,
         }
--- a/crates/fennelpin-cli/src/local/fleet.rs
+++ b/crates/fennelpin-cli/src/local/fleet.rs
@@ -69,7 +69,9 @@
 
     /// Clients' addresses of all proxies.
     pub fn fronts(&self) -> Vec<SocketAddrV4> {
-        (1..=self.proxies).map(|n| SocketAddrV4::new(self.ip(1, n), self.port + 7)).collect()
+        (1..=self.proxies)
+            .map(|n| SocketAddrV4::new(self.ip(1, n), self.port + 7))
+            .collect()
     }
 
     /// The address for readiness beside a front.
@@ -93,7 +95,12 @@
     }
 
     fn settings(&self, program: Program, n: u8, bootstrap: bool) -> Value {
-        let seeds: Vec<_> = self.controls().iter().take(3).map(ToString::to_string).collect();
+        let seeds: Vec<_> = self
+            .controls()
+            .iter()
+            .take(3)
+            .map(ToString::to_string)
+            .collect();
         let ports = (self.port, self.port + 5);
         let all = json!({"role": program.name(), "zone": self.zone(n), "region": "here", "port_range": ports,
             "seed_nodes": seeds, "beat_period_ms": 1000,
@@ -132,13 +139,19 @@
     /// # Errors
     /// Where the folder can't be made, or an address is in use.
     pub fn new(plan: Plan) -> Result<Fleet, Failure> {
-        fs::create_dir_all(&plan.dir).map_err(|e| broken(format!("{}: {e}", plan.dir.display())))?;
+        fs::create_dir_all(&plan.dir)
+            .map_err(|e| broken(format!("{}: {e}", plan.dir.display())))?;
         for addr in plan.controls().into_iter().chain(plan.fronts()) {
             // Freed at once; the programs themselves say where it is taken in between.
             TcpListener::bind(addr)
                 .map_err(|e| broken(format!("{addr}: {e}; another --net or --port helps")))?;
         }
-        Ok(Fleet { plan, children: BTreeMap::new(), env: Vec::new(), listeners: BTreeMap::new() })
+        Ok(Fleet {
+            plan,
+            children: BTreeMap::new(),
+            env: Vec::new(),
+            listeners: BTreeMap::new(),
+        })
     }
 
     /// Sets a variable of the environment for what is started from now on.
@@ -187,8 +200,14 @@
         if let (Program::ControlPlane, Some(listener)) = (program, self.listeners.get(&n)) {
             settings["bind"]["member"] = json!(listener);
         }
-        let machine = settings["node_name"].as_str().unwrap_or_default().to_owned();
-        let file = self.plan.dir.join(format!("{machine}-{}.json", program.name()));
+        let machine = settings["node_name"]
+            .as_str()
+            .unwrap_or_default()
+            .to_owned();
+        let file = self
+            .plan
+            .dir
+            .join(format!("{machine}-{}.json", program.name()));
         let failed = |e: std::io::Error| broken(format!("{machine}: {e}"));
         fs::write(&file, settings.to_string()).map_err(failed)?;
         if program == Program::ControlPlane {
@@ -196,8 +215,11 @@
         }
         let name = format!("{machine}/{}", program.name());
         self.kill(&name);
-        let log =
-            File::options().create(true).append(true).open(file.with_extension("log")).map_err(failed)?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(file.with_extension("log"))
+            .map_err(failed)?;
         let child = Command::new(&self.plan.program)
             .arg(program.name())
             .args(["--until-input-ends", "--settings"])
@@ -243,7 +265,12 @@
             drop(child.stdin.take());
         }
         let until = Instant::now() + patience;
-        while Instant::now() < until && self.children.values_mut().any(|c| matches!(c.try_wait(), Ok(None))) {
+        while Instant::now() < until
+            && self
+                .children
+                .values_mut()
+                .any(|c| matches!(c.try_wait(), Ok(None)))
+        {
             std::thread::sleep(LOOK);
         }
         self.children.values_mut().for_each(end);
--- a/crates/fennelpin-cli/src/local/hosts.rs
+++ b/crates/fennelpin-cli/src/local/hosts.rs
@@ -51,7 +51,9 @@
 }
 
 fn lock<T>(shared: &Shared<T>) -> std::sync::MutexGuard<'_, T> {
-    shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    shared
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// Starts `count` hosts, of the services `ping` and `chat` in turn.
@@ -76,28 +78,40 @@
     }
     let (beats, ended) = channel::<()>();
     let (beating, controls) = (hosts.clone(), plan.controls());
-    std::thread::Builder::new().name("beats".into()).spawn(move || {
-        for seq in 1u64.. {
-            beating.iter().for_each(|h| beat(h, seq, &controls));
-            if ended.recv_timeout(BEAT) != Err(RecvTimeoutError::Timeout) {
-                return;
+    std::thread::Builder::new()
+        .name("beats".into())
+        .spawn(move || {
+            for seq in 1u64.. {
+                beating.iter().for_each(|h| beat(h, seq, &controls));
+                if ended.recv_timeout(BEAT) != Err(RecvTimeoutError::Timeout) {
+                    return;
+                }
             }
-        }
-    })?;
-    Ok(Hosts { hosts, _beats: beats })
+        })?;
+    Ok(Hosts {
+        hosts,
+        _beats: beats,
+    })
 }
 
 /// Tells one member after the other until one acknowledges.
 fn beat(host: &Host, seq: u64, controls: &[SocketAddrV4]) {
     let name = format!("Hosts.Heartbeat/{}", host.id);
-    let body = json!({"service": host.service, "address": host.addr, "zone": host.zone, "version": "v1",
+    let body =
+        json!({"service": host.service, "address": host.addr, "zone": host.zone, "version": "v1",
         "capacity": SLOTS, "phase": "ready", "cold_left_ms": 0, "call_seq": seq})
-    .to_string();
-    let call = Call { name: &name, base: None, body: Some(body.as_bytes()) };
+        .to_string();
+    let call = Call {
+        name: &name,
+        base: None,
+        body: Some(body.as_bytes()),
+    };
     let first = host.addr.ip().octets()[3] as usize;
     for n in 0..controls.len() {
         let control = controls[(first + n) % controls.len()];
-        if control::ask(control.into(), &call, Duration::from_secs(1)).is_ok_and(|a| a.status == 200) {
+        if control::ask(control.into(), &call, Duration::from_secs(1))
+            .is_ok_and(|a| a.status == 200)
+        {
             return;
         }
     }
@@ -122,12 +136,21 @@
     fn of(text: &str) -> Option<Head> {
         let mut lines = text.split("\r\n");
         let path = lines.next()?.split(' ').nth(1)?.to_owned();
-        let header = |l: &str| l.split_once(':').map(|(n, v)| (n.to_ascii_lowercase(), v.trim().to_owned()));
-        Some(Head { path, headers: lines.filter_map(header).collect() })
+        let header = |l: &str| {
+            l.split_once(':')
+                .map(|(n, v)| (n.to_ascii_lowercase(), v.trim().to_owned()))
+        };
+        Some(Head {
+            path,
+            headers: lines.filter_map(header).collect(),
+        })
     }
 
     fn get(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 }
 
@@ -144,8 +167,13 @@
             }
         };
         let text = String::from_utf8_lossy(&buffer[..end]).into_owned();
-        let Some(head) = Head::of(&text) else { return Ok(()) };
-        let length: usize = head.get("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
+        let Some(head) = Head::of(&text) else {
+            return Ok(());
+        };
+        let length: usize = head
+            .get("content-length")
+            .and_then(|v| v.parse().ok())
+            .unwrap_or(0);
         while buffer.len() < end + 4 + length {
             if stream.read_buf(&mut buffer).await? == 0 {
                 return Ok(());
@@ -180,17 +208,29 @@
         .get("fennelpin-attempt-id")
         .map_or_else(String::new, |id| format!("Fennelpin-Attempt-Id: {id}\r\n"));
     let not_run = |status: &str| {
-        format!("HTTP/1.1 {status}\r\n{id}Fennelpin-Not-Executed: true\r\nContent-Length: 0\r\n\r\n")
+        format!(
+            "HTTP/1.1 {status}\r\n{id}Fennelpin-Not-Executed: true\r\nContent-Length: 0\r\n\r\n"
+        )
     };
     if head.path == "/health" {
-        let text = format!("HTTP/1.1 200 OK\r\nFennelpin-Host-Id: {}\r\nContent-Length: 0\r\n\r\n", host.id);
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nFennelpin-Host-Id: {}\r\nContent-Length: 0\r\n\r\n",
+            host.id
+        );
         return stream.write_all(text.as_bytes()).await;
     }
-    if head.get("fennelpin-expected-host").is_some_and(|e| e != host.id) {
-        return stream.write_all(not_run("421 Misdirected Request").as_bytes()).await;
+    if head
+        .get("fennelpin-expected-host")
+        .is_some_and(|e| e != host.id)
+    {
+        return stream
+            .write_all(not_run("421 Misdirected Request").as_bytes())
+            .await;
     }
     let Some(_slot) = host.slot() else {
-        return stream.write_all(not_run("503 Service Unavailable").as_bytes()).await;
+        return stream
+            .write_all(not_run("503 Service Unavailable").as_bytes())
+            .await;
     };
     let number = {
         let mut served = lock(&host.served);
@@ -199,10 +239,16 @@
     };
     sleep(WORK).await;
     let load = format!("{},0,{SLOTS}", *lock(&host.running) - 1);
-    let common = format!("{id}Fennelpin-Host-Seal: {}.{number}\r\nFennelpin-Host-Load: {load}\r\n", host.id);
+    let common = format!(
+        "{id}Fennelpin-Host-Seal: {}.{number}\r\nFennelpin-Host-Load: {load}\r\n",
+        host.id
+    );
     if host.service == "ping" {
         let body = "x".repeat(800);
-        let text = format!("HTTP/1.1 200 OK\r\n{common}Content-Length: {}\r\n\r\n{body}", body.len());
+        let text = format!(
+            "HTTP/1.1 200 OK\r\n{common}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         return stream.write_all(text.as_bytes()).await;
     }
     let text = format!(
@@ -211,7 +257,9 @@
     stream.write_all(text.as_bytes()).await?;
     for event in 1..=EVENTS {
         let text = format!("id: {event}\ndata: word {event}\n\n");
-        stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await?;
+        stream
+            .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+            .await?;
         sleep(WORK).await;
     }
     stream.write_all(b"0\r\n\r\n").await
--- a/crates/fennelpin-cli/src/local/load.rs
+++ b/crates/fennelpin-cli/src/local/load.rs
@@ -36,7 +36,12 @@
 
 impl fmt::Display for Summary {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        let Summary { served, refused, failed, .. } = self;
+        let Summary {
+            served,
+            refused,
+            failed,
+            ..
+        } = self;
         write!(to, "{served} served, {refused} refused, {failed} failed")?;
         write!(
             to,
@@ -69,11 +74,17 @@
 /// The status of an answer that came whole.
 fn whole(answer: &[u8]) -> Option<u16> {
     let end = answer.windows(4).position(|w| w == b"\r\n\r\n")?;
-    let head = std::str::from_utf8(&answer[..end]).ok()?.to_ascii_lowercase();
+    let head = std::str::from_utf8(&answer[..end])
+        .ok()?
+        .to_ascii_lowercase();
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let body = &answer[end + 4..];
-    let length =
-        head.split("\r\n").find_map(|l| l.strip_prefix("content-length:")?.trim().parse::<usize>().ok());
+    let length = head.split("\r\n").find_map(|l| {
+        l.strip_prefix("content-length:")?
+            .trim()
+            .parse::<usize>()
+            .ok()
+    });
     let complete = match length {
         Some(length) => body.len() == length,
         None => body.ends_with(b"0\r\n\r\n"),
@@ -83,7 +94,11 @@
 
 /// The `number`th request; every other round over the proxies is of the other kind.
 async fn request(at: SocketAddrV4, number: u32, round: u32) -> (Option<u16>, Duration) {
-    let path = if round.is_multiple_of(2) { "/ping/a" } else { "/chat/a" };
+    let path = if round.is_multiple_of(2) {
+        "/ping/a"
+    } else {
+        "/chat/a"
+    };
     let body = "words";
     let text = format!(
         "POST {path} HTTP/1.1\r\nHost: {HOSTNAME}\r\nFennelpin-Attempt-Id: {:016x}\r\nFennelpin-Deadline-Ms: {}\r\n\
@@ -107,7 +122,11 @@
     while Instant::now() < end {
         ticks.tick().await;
         let all = fronts.len();
-        out.spawn(request(fronts[number as usize % all], number, number / all as u32));
+        out.spawn(request(
+            fronts[number as usize % all],
+            number,
+            number / all as u32,
+        ));
         number += 1;
     }
     let mut summary = Summary::default();
--- a/crates/fennelpin-cli/src/local/mod.rs
+++ b/crates/fennelpin-cli/src/local/mod.rs
@@ -49,7 +49,10 @@
 /// Where something doesn't come up, and where a request of the load fails.
 pub fn run(plan: &Local) -> Result<(), Failure> {
     let own = std::env::temp_dir().join(format!("fennelpin-cli-local-{}", std::process::id()));
-    let place = Place { goes: plan.dir.is_none(), dir: plan.dir.clone().unwrap_or(own) };
+    let place = Place {
+        goes: plan.dir.is_none(),
+        dir: plan.dir.clone().unwrap_or(own),
+    };
     let program = std::env::current_exe().context(StartSnafu)?;
     let fleet_plan = Plan {
         program,
@@ -59,36 +62,70 @@
         members: plan.members,
         proxies: plan.proxies,
     };
-    let members = Members { control: fleet_plan.controls().into_iter().map(Into::into).collect(), wait: UP };
-    let controls = members.control.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
+    let members = Members {
+        control: fleet_plan.controls().into_iter().map(Into::into).collect(),
+        wait: UP,
+    };
+    let controls = members
+        .control
+        .iter()
+        .map(ToString::to_string)
+        .collect::<Vec<_>>()
+        .join(",");
     let started = Instant::now();
     let mut fleet = Fleet::new(fleet_plan.clone())?;
     fleet.start_all()?;
-    println!("{} processes started; logs and disks in {}", fleet.names().len(), place.dir.display());
+    println!(
+        "{} processes started; logs and disks in {}",
+        fleet.names().len(),
+        place.dir.display()
+    );
 
-    let runtime = Builder::new_current_thread().enable_all().build().context(StartSnafu)?;
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context(StartSnafu)?;
     let summary = LocalSet::new().block_on(&runtime, async {
-        let hosts = hosts::start(&fleet_plan, plan.hosts).await.context(StartSnafu)?;
+        let hosts = hosts::start(&fleet_plan, plan.hosts)
+            .await
+            .context(StartSnafu)?;
         let first = configuration();
         let asked = members.clone();
         // The calls block; the hosts go on.
         let blocking = tokio::task::spawn_blocking(move || take(&asked, &first));
         blocking.await.map_err(|e| broken(e.to_string()))??;
-        println!("configuration taken after {:.1} s", started.elapsed().as_secs_f64());
+        println!(
+            "configuration taken after {:.1} s",
+            started.elapsed().as_secs_f64()
+        );
         ready(&fleet_plan.fronts(), &fleet_plan).await?;
-        println!("all proxies ready after {:.1} s", started.elapsed().as_secs_f64());
-        println!("{} requests a second for {} s ...", plan.rate, plan.time.as_secs());
+        println!(
+            "all proxies ready after {:.1} s",
+            started.elapsed().as_secs_f64()
+        );
+        println!(
+            "{} requests a second for {} s ...",
+            plan.rate,
+            plan.time.as_secs()
+        );
         let summary = load::run(&fleet_plan.fronts(), plan.rate, plan.time).await;
         println!("\n{summary}");
         println!("requests by host: {}\n", hosts.shares());
         let asked = members.clone();
         let statuses = tokio::task::spawn_blocking(move || asked.statuses());
-        println!("{}\n", status::report(&statuses.await.map_err(|e| broken(e.to_string()))??, false));
+        println!(
+            "{}\n",
+            status::report(&statuses.await.map_err(|e| broken(e.to_string()))??, false)
+        );
         if plan.stay {
             println!("runs on until interrupted; try, in another terminal:");
             println!("  fennelpin-cli status --control {controls}");
             println!("  fennelpin-cli config history --control {controls}");
-            println!("  curl -H 'Host: {}' http://{}/ping/", load::HOSTNAME, fleet_plan.fronts()[0]);
+            println!(
+                "  curl -H 'Host: {}' http://{}/ping/",
+                load::HOSTNAME,
+                fleet_plan.fronts()[0]
+            );
             tokio::signal::ctrl_c().await.context(StartSnafu)?;
         }
         Ok::<_, Failure>(summary)
@@ -96,7 +133,9 @@
     fleet.stop(Duration::from_secs(10));
     match summary.failed {
         0 => Ok(()),
-        failed => Err(broken(format!("{failed} requests failed; the logs are gone unless --dir was given"))),
+        failed => Err(broken(format!(
+            "{failed} requests failed; the logs are gone unless --dir was given"
+        ))),
     }
 }
 
@@ -130,7 +169,11 @@
 
 /// Has the first configuration taken, unless the folder's disks hold one already.
 fn take(members: &Members, body: &str) -> Result<(), Failure> {
-    let call = Call { name: "Configuration.Replace", base: Some(0), body: Some(body.as_bytes()) };
+    let call = Call {
+        name: "Configuration.Replace",
+        base: Some(0),
+        body: Some(body.as_bytes()),
+    };
     let answer = members.ask(&call)?;
     match answer.status {
         200 | 412 => Ok(()),
@@ -147,7 +190,10 @@
         let at = plan.readiness(front);
         while load::get(at, "/fennelpin/readiness").await != Some(200) {
             if Instant::now() > until {
-                return Err(broken(format!("the proxy at {front} isn't ready after {} s", UP.as_secs())));
+                return Err(broken(format!(
+                    "the proxy at {front} isn't ready after {} s",
+                    UP.as_secs()
+                )));
             }
             tokio::time::sleep(LOOK).await;
         }
@@ -155,7 +201,9 @@
         for path in ["/ping/", "/chat/"] {
             while load::get(*front, path).await != Some(200) {
                 if Instant::now() > until {
-                    return Err(broken(format!("no host answers {path} by the proxy at {front}")));
+                    return Err(broken(format!(
+                        "no host answers {path} by the proxy at {front}"
+                    )));
                 }
                 tokio::time::sleep(LOOK).await;
             }
--- a/crates/fennelpin-cli/src/logs.rs
+++ b/crates/fennelpin-cli/src/logs.rs
@@ -25,14 +25,21 @@
 }
 
 fn time(record: &Record) -> String {
-    let time = record.time().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let time = record
+        .time()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     format!("{}.{:03}", time.as_secs(), time.subsec_millis())
 }
 
 impl Layout for Text {
     fn format(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
         let (level, target) = (record.level().name(), record.target());
-        let mut pairs = Pairs(format!("{} {level} {target}: {}", time(record), record.payload()));
+        let mut pairs = Pairs(format!(
+            "{} {level} {target}: {}",
+            time(record),
+            record.payload()
+        ));
         record.key_values().visit(&mut pairs)?;
         Ok(pairs.0.into_bytes())
     }
@@ -67,7 +74,9 @@
             ("target", record.target().to_owned()),
             ("message", record.payload().to_string()),
         ];
-        fields.0.extend(own.map(|(key, value)| (key.to_owned(), Value::String(value))));
+        fields
+            .0
+            .extend(own.map(|(key, value)| (key.to_owned(), Value::String(value))));
         Ok(Value::Object(fields.0).to_string().into_bytes())
     }
 }
@@ -78,7 +87,9 @@
         Format::Text => Stderr::default().with_layout(Text),
         Format::Json => Stderr::default().with_layout(Json),
     };
-    let logger = logforth::core::builder().dispatch(|d| d.append(stderr)).build();
+    let logger = logforth::core::builder()
+        .dispatch(|d| d.append(stderr))
+        .build();
     let bridge = logforth::bridge::log::LogBridge::new(logger);
     if log::set_boxed_logger(Box::new(bridge)).is_ok() {
         log::set_max_level(match level {
--- a/crates/fennelpin-cli/src/main.rs
+++ b/crates/fennelpin-cli/src/main.rs
@@ -60,7 +60,11 @@
         Verb::Agent(from) => Ok(logged(roles::agent(&from))),
         Verb::Proxy(from) => Ok(logged(roles::proxy(&from))),
         Verb::Version => {
-            println!("fennelpin-cli {} (messages: {})", env!("CARGO_PKG_VERSION"), protocol::VERSION);
+            println!(
+                "fennelpin-cli {} (messages: {})",
+                env!("CARGO_PKG_VERSION"),
+                protocol::VERSION
+            );
             Ok(ExitCode::SUCCESS)
         }
         Verb::Codes => {
@@ -79,18 +83,21 @@
         Verb::Status(asked) => status::run(&asked).map(done),
         Verb::Config(Config::Check(check)) => config::check(&check).map(done),
         Verb::Config(Config::Show(show)) => config::show(&show).map(done),
-        Verb::Config(Config::Diff(diff)) => {
-            config::diff(&diff)
-                .map(|same| if same { ExitCode::SUCCESS } else { ExitCode::from(config::DIFFERS) })
-        }
+        Verb::Config(Config::Diff(diff)) => config::diff(&diff).map(|same| {
+            if same {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(config::DIFFERS)
+            }
+        }),
         Verb::Config(Config::Apply(apply)) => config::apply(&apply).map(done),
         Verb::Config(Config::History(members)) => config::history(&members).map(done),
         Verb::Config(Config::Rollback(rollback)) => config::rollback(&rollback).map(done),
         Verb::Store(Store::Inspect(dir)) => store::inspect(&dir).map(done),
         Verb::Store(Store::Verify(dir)) => store::verify(&dir).map(done),
-        Verb::Store(Store::Recover { lost, others, dir, .. }) => {
-            store::recover(&dir, &lost, &others).map(done)
-        }
+        Verb::Store(Store::Recover {
+            lost, others, dir, ..
+        }) => store::recover(&dir, &lost, &others).map(done),
         Verb::Store(Store::Rewrite { dir, .. }) => store::rewrite(&dir).map(done),
         Verb::Local(plan) => local::run(&plan).map(done),
     }
--- a/crates/fennelpin-cli/src/operator.rs
+++ b/crates/fennelpin-cli/src/operator.rs
@@ -108,9 +108,16 @@
     fn of(sources: &Figment) -> Result<Operator, Failure> {
         let operator: Operator = sources.extract().map_err(|e| {
             // The first is enough: the others come up once it is mended.
-            let place = e.metadata.as_ref().map_or_else(|| "the defaults".into(), place);
+            let place = e
+                .metadata
+                .as_ref()
+                .map_or_else(|| "the defaults".into(), place);
             let key = e.path.join(".");
-            Failure::Operator { place, key, detail: e.kind.to_string() }
+            Failure::Operator {
+                place,
+                key,
+                detail: e.kind.to_string(),
+            }
         })?;
         let bounds: [(&'static str, u64, u64, u64); 4] = [
             ("counters_s", operator.counters_s, 1, 86_400),
--- a/crates/fennelpin-cli/src/options.rs
+++ b/crates/fennelpin-cli/src/options.rs
@@ -203,8 +203,13 @@
         .help("the program's settings file")
         .env("FENNELPIN_NODE_FILE")
         .argument::<PathBuf>("FILE");
-    let until_input_ends = long("until-input-ends").help("end when standard input ends").switch();
-    construct!(From { settings, until_input_ends })
+    let until_input_ends = long("until-input-ends")
+        .help("end when standard input ends")
+        .switch();
+    construct!(From {
+        settings,
+        until_input_ends
+    })
 }
 
 fn members() -> impl Parser<Members> {
@@ -212,11 +217,18 @@
         .help("control addresses of members, with commas between")
         .env("FENNELPIN_CLI_CONTROL")
         .argument::<String>("ADDRS")
-        .parse(|list| list.split(',').map(|a| a.trim().parse()).collect::<Result<Vec<SocketAddr>, _>>());
+        .parse(|list| {
+            list.split(',')
+                .map(|a| a.trim().parse())
+                .collect::<Result<Vec<SocketAddr>, _>>()
+        });
     let wait = long("wait")
         .help("seconds until a call is given up")
         .argument::<f64>("SECONDS")
-        .guard(|s| (0.1..=3600.0).contains(s), "has to lie between 0.1 and 3600")
+        .guard(
+            |s| (0.1..=3600.0).contains(s),
+            "has to lie between 0.1 and 3600",
+        )
         .fallback(10.0)
         .display_fallback()
         .map(Duration::from_secs_f64);
@@ -237,32 +249,64 @@
 
 fn config() -> impl Parser<Config> {
     let check = {
-        let settings = long("settings").help("it is a program's settings file").req_flag(Sort::Settings);
-        let operator = long("operator-file").help("it is an operator's file").req_flag(Sort::Operator);
+        let settings = long("settings")
+            .help("it is a program's settings file")
+            .req_flag(Sort::Settings);
+        let operator = long("operator-file")
+            .help("it is an operator's file")
+            .req_flag(Sort::Operator);
         let sort = construct!([settings, operator]).fallback(Sort::Configuration);
         let file = file("the file");
         verb("check", "check a file", construct!(Check { sort, file })).map(Config::Check)
     };
-    let version =
-        || long("version").help("a version; else the one in force").argument::<u64>("VERSION").optional();
+    let version = || {
+        long("version")
+            .help("a version; else the one in force")
+            .argument::<u64>("VERSION")
+            .optional()
+    };
     let show = {
         let (version, members) = (version(), members());
-        verb("show", "print a configuration", construct!(Show { version, members })).map(Config::Show)
+        verb(
+            "show",
+            "print a configuration",
+            construct!(Show { version, members }),
+        )
+        .map(Config::Show)
     };
     let diff = {
         let (version, members, file) = (version(), members(), file("the configuration"));
-        verb("diff", "compare a file with what is in force", construct!(Diff { version, members, file }))
-            .map(Config::Diff)
+        verb(
+            "diff",
+            "compare a file with what is in force",
+            construct!(Diff {
+                version,
+                members,
+                file
+            }),
+        )
+        .map(Config::Diff)
     };
     let apply = {
-        let amend = long("amend").help("the file holds an amendment, not a whole configuration").switch();
+        let amend = long("amend")
+            .help("the file holds an amendment, not a whole configuration")
+            .switch();
         let base = long("base")
             .help("the version it builds on; else the one in force")
             .argument::<u64>("VERSION")
             .optional();
         let (members, file) = (members(), file("the configuration"));
-        verb("apply", "have a configuration taken", construct!(Apply { amend, base, members, file }))
-            .map(Config::Apply)
+        verb(
+            "apply",
+            "have a configuration taken",
+            construct!(Apply {
+                amend,
+                base,
+                members,
+                file
+            }),
+        )
+        .map(Config::Apply)
     };
     let history = verb("history", "list the versions taken", members()).map(Config::History);
     let rollback = {
@@ -279,24 +323,42 @@
         verb(
             "rollback",
             "have an older configuration taken again under a new version",
-            construct!(Rollback { version, file, members, to }),
+            construct!(Rollback {
+                version,
+                file,
+                members,
+                to
+            }),
         )
         .map(Config::Rollback)
     };
-    verb("config", "work with configurations", construct!([check, show, diff, apply, history, rollback]))
+    verb(
+        "config",
+        "work with configurations",
+        construct!([check, show, diff, apply, history, rollback]),
+    )
 }
 
 fn store() -> impl Parser<Store> {
     let dir = || positional::<PathBuf>("DIR").help("the member's folder (state_dir)");
     let inspect = verb("inspect", "tell what a member's files hold", dir()).map(Store::Inspect);
-    let verify = verb("verify", "look at each record of a member's files", dir()).map(Store::Verify);
+    let verify =
+        verb("verify", "look at each record of a member's files", dir()).map(Store::Verify);
     let rewrite = {
-        let stopped = long("stopped").help("the member doesn't run").req_flag(true);
+        let stopped = long("stopped")
+            .help("the member doesn't run")
+            .req_flag(true);
         let dir = dir();
-        verb("rewrite", "write a stopped member's files anew", construct!(Store::Rewrite { stopped, dir }))
+        verb(
+            "rewrite",
+            "write a stopped member's files anew",
+            construct!(Store::Rewrite { stopped, dir }),
+        )
     };
     let recover = {
-        let stopped = long("stopped").help("the member doesn't run").req_flag(true);
+        let stopped = long("stopped")
+            .help("the member doesn't run")
+            .req_flag(true);
         let lost = long("lost")
             .help("all other voters, which are given up for good: names or identities, with commas between")
             .argument::<String>("MEMBER,...")
@@ -307,10 +369,23 @@
             .argument::<PathBuf>("DIR")
             .many();
         let dir = dir();
-        let recover = construct!(Store::Recover { stopped, lost, others, dir });
-        verb("recover", "go on from a stopped replica's files alone, a majority being lost for good", recover)
+        let recover = construct!(Store::Recover {
+            stopped,
+            lost,
+            others,
+            dir
+        });
+        verb(
+            "recover",
+            "go on from a stopped replica's files alone, a majority being lost for good",
+            recover,
+        )
     };
-    verb("store", "look at a member's files", construct!([inspect, verify, rewrite, recover]))
+    verb(
+        "store",
+        "look at a member's files",
+        construct!([inspect, verify, rewrite, recover]),
+    )
 }
 
 fn local() -> impl Parser<Local> {
@@ -337,20 +412,45 @@
         .fallback(5)
         .display_fallback()
         .map(Duration::from_secs);
-    let stay = long("stay").help("run on afterwards, until interrupted").switch();
-    let net = count("net", "second number of the addresses 127.NET.x.y", 1, 254, 77);
+    let stay = long("stay")
+        .help("run on afterwards, until interrupted")
+        .switch();
+    let net = count(
+        "net",
+        "second number of the addresses 127.NET.x.y",
+        1,
+        254,
+        77,
+    );
     let port = long("port")
         .help("first of the ports")
         .argument::<u16>("PORT")
-        .guard(|p| (1024..=65000).contains(p), "has to lie between 1024 and 65000")
+        .guard(
+            |p| (1024..=65000).contains(p),
+            "has to lie between 1024 and 65000",
+        )
         .fallback(7600)
         .display_fallback();
     let dir = long("dir")
         .help("folder for settings, disks and logs; else one that goes with the run")
         .argument::<PathBuf>("DIR")
         .optional();
-    let plan = construct!(Local { members, proxies, hosts, rate, time, stay, net, port, dir });
-    verb("local", "run the whole system on this machine, with modelled hosts and load", plan)
+    let plan = construct!(Local {
+        members,
+        proxies,
+        hosts,
+        rate,
+        time,
+        stay,
+        net,
+        port,
+        dir
+    });
+    verb(
+        "local",
+        "run the whole system on this machine, with modelled hosts and load",
+        plan,
+    )
 }
 
 /// The command line's parser.
@@ -359,8 +459,10 @@
         .help("least level of the lines on standard error: off, error, warn, info, debug, trace")
         .argument::<Level>("LEVEL")
         .optional();
-    let format =
-        long("log-format").help("how lines are written: text, json").argument::<Format>("FORMAT").optional();
+    let format = long("log-format")
+        .help("how lines are written: text, json")
+        .argument::<Format>("FORMAT")
+        .optional();
     let operator = long("operator")
         .help("the operator's file (TOML)")
         .env("FENNELPIN_CLI_OPERATOR")
@@ -374,23 +476,56 @@
         let json = long("json").help("print JSON").switch();
         let hosts = long("hosts").help("list the hosts one by one").switch();
         let members = members();
-        verb("status", "tell how the system is", construct!(Status { json, hosts, members }))
-            .map(Verb::Status)
+        verb(
+            "status",
+            "tell how the system is",
+            construct!(Status {
+                json,
+                hosts,
+                members
+            }),
+        )
+        .map(Verb::Status)
     };
-    let (config, store, local) =
-        (config().map(Verb::Config), store().map(Verb::Store), local().map(Verb::Local));
+    let (config, store, local) = (
+        config().map(Verb::Config),
+        store().map(Verb::Store),
+        local().map(Verb::Local),
+    );
     let codes = verb("codes", "list the result codes", bpaf::pure(Verb::Codes));
     let completion = {
         let shell = positional::<String>("SHELL").help("bash, zsh, fish, elvish");
-        verb("completion", "print what makes a shell complete this command line", shell).map(Verb::Completion)
+        verb(
+            "completion",
+            "print what makes a shell complete this command line",
+            shell,
+        )
+        .map(Verb::Completion)
     };
     let version = verb("version", "print the version", bpaf::pure(Verb::Version));
-    let verb =
-        construct!([status, config, store, local, codes, completion, version, control_plane, agent, proxy]);
-    construct!(Options { level, format, operator, verb })
-        .to_options()
-        .descr("Router fleet for a language model")
-        .footer("Exit codes: 0 done, 1 failed, 2 wrong input, 3 refused by the control plane, 4 differs")
+    let verb = construct!([
+        status,
+        config,
+        store,
+        local,
+        codes,
+        completion,
+        version,
+        control_plane,
+        agent,
+        proxy
+    ]);
+    construct!(Options {
+        level,
+        format,
+        operator,
+        verb
+    })
+    .to_options()
+    .descr("Router fleet for a language model")
+    .footer(
+        "Exit codes: 0 done, 1 failed, 2 wrong input, 3 refused by the control plane, 4 differs",
+    )
 }
 
 /// What makes a shell complete this command line; none for a shell that isn't known.
--- a/crates/fennelpin-cli/src/roles.rs
+++ b/crates/fennelpin-cli/src/roles.rs
@@ -14,7 +14,10 @@
 
 /// Runs `work` on this thread to its end.
 fn run<F: Future<Output = Result<(), Failure>>>(work: F) -> Result<(), Failure> {
-    let runtime = Builder::new_current_thread().enable_all().build().context(StartSnafu)?;
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context(StartSnafu)?;
     LocalSet::new().block_on(&runtime, work)
 }
 
@@ -26,13 +29,19 @@
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
         drop::<oneshot::Sender<()>>(input);
     };
-    std::thread::Builder::new().name("input".into()).spawn(wait)?;
+    std::thread::Builder::new()
+        .name("input".into())
+        .spawn(wait)?;
     Ok(ended)
 }
 
 /// Done when the process is asked to end: by a signal or, where wanted, by the end of standard input.
 fn stop(from: &From) -> Result<impl Future<Output = ()>, Failure> {
-    let input = from.until_input_ends.then(input_ends).transpose().context(StartSnafu)?;
+    let input = from
+        .until_input_ends
+        .then(input_ends)
+        .transpose()
+        .context(StartSnafu)?;
     let ended = async {
         match input {
             // The sender goes with the end of the input.
@@ -79,7 +88,9 @@
     run(async {
         let boot = read_settings(from)?;
         let seeds = settings::follow_seeds(from.settings.clone(), &boot).context(StartSnafu)?;
-        agent::run(boot, seeds, stop(from)?).await.context(AgentSnafu)
+        agent::run(boot, seeds, stop(from)?)
+            .await
+            .context(AgentSnafu)
     })
 }
 
@@ -92,7 +103,9 @@
         // Nothing of what a proxy uses changes in the file.
         let boot = read_settings(from)?;
         let world = world::follow(&boot);
-        let counters = proxy::serve(boot, world, stop(from)?).await.context(ProxySnafu)?;
+        let counters = proxy::serve(boot, world, stop(from)?)
+            .await
+            .context(ProxySnafu)?;
         log::info!("counters {counters:?}");
         Ok(())
     })
--- a/crates/fennelpin-cli/src/settings.rs
+++ b/crates/fennelpin-cli/src/settings.rs
@@ -30,7 +30,10 @@
 ///
 /// # Errors
 /// Where signals can't be had.
-pub fn follow_seeds(path: PathBuf, boot: &Boot) -> std::io::Result<watch::Receiver<Vec<SocketAddrV4>>> {
+pub fn follow_seeds(
+    path: PathBuf,
+    boot: &Boot,
+) -> std::io::Result<watch::Receiver<Vec<SocketAddrV4>>> {
     let hangup = signal(SignalKind::hangup())?;
     let (seeds, follower) = watch::channel(boot.seed_nodes.clone());
     tokio::task::spawn_local(look(path, hangup, seeds));
--- a/crates/fennelpin-cli/src/store.rs
+++ b/crates/fennelpin-cli/src/store.rs
@@ -1,7 +1,8 @@
 //! The operators' commands about a member's files.
 
 use crate::failure::{
-    DamagedSnafu, Failure, LaterViewSnafu, NoCopySnafu, NoRandomSnafu, NotRecoveredSnafu, StoreSnafu,
+    DamagedSnafu, Failure, LaterViewSnafu, NoCopySnafu, NoRandomSnafu, NotRecoveredSnafu,
+    StoreSnafu,
 };
 use append_log::AppendLog;
 use control_plane::recovery::{latest_view, Survivor};
@@ -16,7 +17,9 @@
 
 /// The files that are there, or should be.
 fn files(dir: &Path) -> impl Iterator<Item = &'static str> + use<'_> {
-    FILES.into_iter().filter(|name| *name != ROSTER || dir.join(name).exists())
+    FILES
+        .into_iter()
+        .filter(|name| *name != ROSTER || dir.join(name).exists())
 }
 
 /// Tells what they hold. They may be in use.
@@ -44,7 +47,9 @@
         }
     }
     match bad {
-        Some(name) => Err(Failure::Damaged { name: name.to_owned() }),
+        Some(name) => Err(Failure::Damaged {
+            name: name.to_owned(),
+        }),
         None => Ok(()),
     }
 }
@@ -59,7 +64,12 @@
         let (mut file, records) = AppendLog::open(dir, name).context(StoreSnafu)?;
         let all: Vec<&[u8]> = records.iter().map(Vec::as_slice).collect();
         file.rewrite(&all).context(StoreSnafu)?;
-        println!("{name}: {} records, {} bytes, before {}", all.len(), file.len(), before.length);
+        println!(
+            "{name}: {} records, {} bytes, before {}",
+            all.len(),
+            file.len(),
+            before.length
+        );
     }
     Ok(())
 }
@@ -76,9 +86,21 @@
     for other in others {
         let later = latest_view(&read(other, "ledger")?);
         let epoch = survivor.epoch();
-        ensure!(later <= epoch, LaterViewSnafu { other, later, dir, epoch });
+        ensure!(
+            later <= epoch,
+            LaterViewSnafu {
+                other,
+                later,
+                dir,
+                epoch
+            }
+        );
     }
-    println!("view of epoch {}, configuration of version {}", survivor.epoch(), survivor.version());
+    println!(
+        "view of epoch {}, configuration of version {}",
+        survivor.epoch(),
+        survivor.version()
+    );
     println!(
         "changes up to {} are kept; up to {} they are known to have been acknowledged",
         survivor.last_change(),
@@ -92,7 +114,14 @@
             std::net::SocketAddrV4::from(&member.addr)
         );
     }
-    let id = getrandom::u64().map_err(|e| NoRandomSnafu { detail: e.to_string() }.build())?.max(1);
+    let id = getrandom::u64()
+        .map_err(|e| {
+            NoRandomSnafu {
+                detail: e.to_string(),
+            }
+            .build()
+        })?
+        .max(1);
     let (identity, records) = survivor.recovered(lost, id).context(NotRecoveredSnafu)?;
     for name in ["identity", "ledger"] {
         let path = dir.join(format!("{name}.{KEPT}"));
--- a/crates/fennelpin-cli/src/world.rs
+++ b/crates/fennelpin-cli/src/world.rs
@@ -19,7 +19,13 @@
     puller.set_seeds(&[replication::agent_addr(boot)]);
     let (control, told) = mpsc::unbounded_channel();
     let snapshots = shared.subscribe();
-    let pulling = client::run(puller, replication::no_seat(boot), replication::caller(boot, 0), shared, told);
+    let pulling = client::run(
+        puller,
+        replication::no_seat(boot),
+        replication::caller(boot, 0),
+        shared,
+        told,
+    );
     tokio::task::spawn_local(pulling);
     let (world, watcher) = watch::channel(None);
     tokio::task::spawn_local(translate(boot.node_name.clone(), snapshots, world, control));
@@ -53,9 +59,19 @@
 fn of(name: &str, snapshot: &Snapshot) -> World {
     World {
         document: snapshot.document.clone(),
-        hosts: snapshot.hosts.values().filter(|h| h.phase < phase::GONE).map(host).collect(),
+        hosts: snapshot
+            .hosts
+            .values()
+            .filter(|h| h.phase < phase::GONE)
+            .map(host)
+            .collect(),
         coordinators: snapshot.coordinators.len().max(1),
-        others: snapshot.hints.iter().filter(|h| h.0 != name).map(|h| SocketAddrV4::from(h.1)).collect(),
+        others: snapshot
+            .hints
+            .iter()
+            .filter(|h| h.0 != name)
+            .map(|h| SocketAddrV4::from(h.1))
+            .collect(),
     }
 }
 
--- a/crates/fennelpin-cli/tests/bad_days/control.rs
+++ b/crates/fennelpin-cli/tests/bad_days/control.rs
@@ -28,15 +28,27 @@
 
 impl Order {
     pub fn new(base: u64, version: u64, sender: &str) -> Self {
-        Self { base, version, body: configuration(version, sender) }
+        Self {
+            base,
+            version,
+            body: configuration(version, sender),
+        }
     }
 
     pub fn call(&self) -> Call<'_> {
-        Call { name: "Configuration.Replace", base: Some(self.base), body: Some(self.body.as_bytes()) }
+        Call {
+            name: "Configuration.Replace",
+            base: Some(self.base),
+            body: Some(self.body.as_bytes()),
+        }
     }
 }
 
-pub const READ: Call = Call { name: "Configuration.Read", base: None, body: None };
+pub const READ: Call = Call {
+    name: "Configuration.Read",
+    base: None,
+    body: None,
+};
 
 /// The version that an answer's configuration has.
 pub fn version_of(answer: &Answer) -> u64 {
@@ -61,7 +73,9 @@
 pub fn text_of(call: &Call, close: bool) -> Vec<u8> {
     let method = if call.body.is_some() { "POST" } else { "GET" };
     let body = call.body.unwrap_or_default();
-    let base = call.base.map_or_else(String::new, |b| format!("Fennelpin-Base-Version: {b}\r\n"));
+    let base = call
+        .base
+        .map_or_else(String::new, |b| format!("Fennelpin-Base-Version: {b}\r\n"));
     let close = if close { "Connection: close\r\n" } else { "" };
     let head = format!(
         "{method} /fennelpin/{} HTTP/1.1\r\nHost: control\r\n{close}Content-Length: {}\r\n{base}\r\n",
@@ -74,7 +88,9 @@
 /// Makes a call and closes the connection before an answer can be read.
 pub fn hang_up(to: SocketAddr, call: &Call) {
     // One that can't be reached hears nothing.
-    let Ok(mut stream) = TcpStream::connect_timeout(&to, SECOND) else { return };
+    let Ok(mut stream) = TcpStream::connect_timeout(&to, SECOND) else {
+        return;
+    };
     let _ = stream.write_all(&text_of(call, false));
 }
 
@@ -95,7 +111,8 @@
     pub fn answer(mut self) -> Answer {
         let mut text = Vec::new();
         self.stream.read_to_end(&mut text).unwrap();
-        Answer::read(&text).unwrap_or_else(|| panic!("no whole answer: {}", String::from_utf8_lossy(&text)))
+        Answer::read(&text)
+            .unwrap_or_else(|| panic!("no whole answer: {}", String::from_utf8_lossy(&text)))
     }
 }
 
@@ -111,7 +128,12 @@
 
 impl Operator {
     pub fn new(members: Vec<SocketAddr>) -> Self {
-        Self { members, taken: Vec::new(), times: Vec::new(), longest: Duration::ZERO }
+        Self {
+            members,
+            taken: Vec::new(),
+            times: Vec::new(),
+            longest: Duration::ZERO,
+        }
     }
 
     /// The same operator with another list of members.
@@ -134,7 +156,14 @@
     pub fn send(&mut self, order: Order) {
         let start = Instant::now();
         let answer = until_clear(&mut self.members, &order.call());
-        assert_eq!(answer.status, 200, "{} on {}: {:?}", order.version, order.base, answer.result());
+        assert_eq!(
+            answer.status,
+            200,
+            "{} on {}: {:?}",
+            order.version,
+            order.base,
+            answer.result()
+        );
         self.longest = self.longest.max(start.elapsed());
         self.taken.push(order);
         self.times.push(Instant::now());
@@ -159,7 +188,9 @@
     /// The newest version that was acknowledged at a moment.
     pub fn newest_at(&self, moment: Instant) -> u64 {
         let acknowledged = self.times.partition_point(|at| *at <= moment);
-        acknowledged.checked_sub(1).map_or(0, |last| self.taken[last].version)
+        acknowledged
+            .checked_sub(1)
+            .map_or(0, |last| self.taken[last].version)
     }
 
     /// How many were acknowledged.
--- a/crates/fennelpin-cli/tests/bad_days/hosts.rs
+++ b/crates/fennelpin-cli/tests/bad_days/hosts.rs
@@ -69,7 +69,12 @@
     for (n, addr) in addrs.iter().enumerate() {
         let id = format!("i-{}-{n}", std::process::id());
         let listener = TcpListener::bind(addr).unwrap();
-        let host = Host { id: id.clone(), heard: heard.clone(), turns, taken: taken.clone() };
+        let host = Host {
+            id: id.clone(),
+            heard: heard.clone(),
+            turns,
+            taken: taken.clone(),
+        };
         std::thread::spawn(move || accept(&listener, &host));
         let (end, ended) = channel();
         let (addr, controls) = (*addr, controls.to_vec());
@@ -83,16 +88,26 @@
         });
         beats.push(end);
     }
-    Hosts { heard, _beats: beats }
+    Hosts {
+        heard,
+        _beats: beats,
+    }
 }
 
 fn beat(id: &str, addr: SocketAddrV4, seq: u64, controls: &[SocketAddr]) {
     let name = format!("Hosts.Heartbeat/{id}");
-    let body = json!({"service": "s", "address": addr, "zone": "zone-1", "version": "v1", "capacity": 8,
+    let body =
+        json!({"service": "s", "address": addr, "zone": "zone-1", "version": "v1", "capacity": 8,
         "phase": "ready", "cold_left_ms": 0, "call_seq": seq})
-    .to_string();
-    let call = Call { name: &name, base: None, body: Some(body.as_bytes()) };
-    let _ = controls.iter().any(|c| ask(*c, &call, SECOND).is_ok_and(|a| a.status == 200));
+        .to_string();
+    let call = Call {
+        name: &name,
+        base: None,
+        body: Some(body.as_bytes()),
+    };
+    let _ = controls
+        .iter()
+        .any(|c| ask(*c, &call, SECOND).is_ok_and(|a| a.status == 200));
 }
 
 #[derive(Clone)]
@@ -136,8 +151,11 @@
 
 /// Whether a request that may run twice is served.
 pub fn served(front: SocketAddrV4) -> bool {
-    let Some(mut stream) = connect(front) else { return false };
-    let answer = send(&mut stream, "pure", "first").and_then(|()| Text::read(&mut stream, &mut Vec::new()));
+    let Some(mut stream) = connect(front) else {
+        return false;
+    };
+    let answer =
+        send(&mut stream, "pure", "first").and_then(|()| Text::read(&mut stream, &mut Vec::new()));
     answer.is_some_and(|a| a.status() == 200)
 }
 
@@ -157,9 +175,16 @@
             }
             more(stream, buffer)?;
         };
-        let head = String::from_utf8(buffer[..end].to_vec()).ok()?.to_ascii_lowercase();
-        let text = Text { head, body: String::new() };
-        let length: usize = text.field("content-length").map_or(Some(0), |l| l.parse().ok())?;
+        let head = String::from_utf8(buffer[..end].to_vec())
+            .ok()?
+            .to_ascii_lowercase();
+        let text = Text {
+            head,
+            body: String::new(),
+        };
+        let length: usize = text
+            .field("content-length")
+            .map_or(Some(0), |l| l.parse().ok())?;
         while buffer.len() < end + length {
             more(stream, buffer)?;
         }
@@ -169,12 +194,20 @@
     }
 
     pub fn field(&self, name: &str) -> Option<&str> {
-        let mut lines = self.head.split("\r\n").skip(1).filter_map(|l| l.split_once(':'));
+        let mut lines = self
+            .head
+            .split("\r\n")
+            .skip(1)
+            .filter_map(|l| l.split_once(':'));
         lines.find(|l| l.0 == name).map(|l| l.1.trim())
     }
 
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.head
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
 }
 
@@ -191,12 +224,19 @@
         let mut buffer = Vec::new();
         while let Some(request) = Text::read(&mut stream, &mut buffer) {
             if request.head.starts_with("get ") {
-                let text =
-                    format!("HTTP/1.1 200 OK\r\nFennelpin-Host-Id: {}\r\nContent-Length: 0\r\n\r\n", self.id);
+                let text = format!(
+                    "HTTP/1.1 200 OK\r\nFennelpin-Host-Id: {}\r\nContent-Length: 0\r\n\r\n",
+                    self.id
+                );
                 stream.write_all(text.as_bytes())?;
                 continue;
             }
-            *self.heard.lock().unwrap().entry(request.body.clone()).or_default() += 1;
+            *self
+                .heard
+                .lock()
+                .unwrap()
+                .entry(request.body.clone())
+                .or_default() += 1;
             let turn = self.turns[self.taken.fetch_add(1, Ordering::Relaxed) % self.turns.len()];
             let answer = self.answer(&request, &request.body);
             match turn {
@@ -232,5 +272,8 @@
 }
 
 fn reset(stream: &TcpStream) -> std::io::Result<()> {
-    Ok(rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO))?)
+    Ok(rustix::net::sockopt::set_socket_linger(
+        stream,
+        Some(Duration::ZERO),
+    )?)
 }
--- a/crates/fennelpin-cli/tests/bad_days/many_changes.rs
+++ b/crates/fennelpin-cli/tests/bad_days/many_changes.rs
@@ -20,8 +20,13 @@
     };
     let routes: Vec<String> = (0..ROUTES).map(route).collect();
     let routes = routes.join(",");
-    let body = format!(r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}}]}}"#);
-    Order { base, version, body }
+    let body =
+        format!(r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}}]}}"#);
+    Order {
+        base,
+        version,
+        body,
+    }
 }
 
 fn order(operator: &mut Operator) {
@@ -42,7 +47,9 @@
 
     stage.start(away);
     // Killed once more while it catches up.
-    until("it answers", || stage.status(away).filter(|s| s["opening"] == false));
+    until("it answers", || {
+        stage.status(away).filter(|s| s["opening"] == false)
+    });
     stage.kill(away);
     order(&mut operator);
     stage.start(away);
@@ -59,7 +66,9 @@
         }
         order(&mut operator);
         stage.kill(primary);
-        until("another acts", || stage.acting(&ALL).filter(|n| *n != primary));
+        until("another acts", || {
+            stage.acting(&ALL).filter(|n| *n != primary)
+        });
         operator.read_back(stage.control(away));
         order(&mut operator);
         stage.start(primary);
@@ -67,5 +76,6 @@
     assert_eq!(stage.settled(&ALL), away, "it never leads");
     operator.read_back(stage.control(away));
     order(&mut operator);
-    ALL.iter().for_each(|n| operator.read_back(stage.control(*n)));
+    ALL.iter()
+        .for_each(|n| operator.read_back(stage.control(*n)));
 }
--- a/crates/fennelpin-cli/tests/bad_days/partition.rs
+++ b/crates/fennelpin-cli/tests/bad_days/partition.rs
@@ -60,7 +60,11 @@
 fn cuts(lost: Lost, old: u8, others: &[u8]) -> Vec<Direction> {
     let beside = format!("edge-{BESIDE}");
     let of = |other: &u8| {
-        [lost.directions(&core(old), &core(*other)), Lost::Both.directions(&beside, &core(*other))].concat()
+        [
+            lost.directions(&core(old), &core(*other)),
+            Lost::Both.directions(&beside, &core(*other)),
+        ]
+        .concat()
     };
     others.iter().flat_map(of).collect()
 }
@@ -98,11 +102,20 @@
     (0..MEANWHILE).for_each(|_| operator.order());
 
     let read = read.answer();
-    assert!(read.status >= 500 || version_of(&read) >= known, "an old configuration: {read:?}");
+    assert!(
+        read.status >= 500 || version_of(&read) >= known,
+        "an old configuration: {read:?}"
+    );
     let again = again.answer();
-    assert!(again.status == 200 || again.status >= 500, "taken long ago: {again:?}");
+    assert!(
+        again.status == 200 || again.status >= 500,
+        "taken long ago: {again:?}"
+    );
     let next = next.answer();
-    assert!(next.status >= 500, "neither taken nor refused by who is cut off: {next:?}");
+    assert!(
+        next.status >= 500,
+        "neither taken nor refused by who is cut off: {next:?}"
+    );
 }
 
 /// Waits until a machine's proxy has the newest version in force, and tells all since `before`.
@@ -146,7 +159,8 @@
         let shown = caught_up(&stage, ELSEWHERE, elsewhere, operator.newest());
         // It waits so long for who knows better; on a busy machine nobody may have answered by then.
         let came = stage.came_in_force(ELSEWHERE).split_off(elsewhere);
-        let told = |(at, version): &(Duration, u64)| *version >= oldest || *at >= started + FRESH_WAIT;
+        let told =
+            |(at, version): &(Duration, u64)| *version >= oldest || *at >= started + FRESH_WAIT;
         assert!(
             came.iter().all(told) && shown.is_sorted(),
             "{came:?}, {oldest} was current at its start at {started:?}\n{}",
--- a/crates/fennelpin-cli/tests/bad_days/relay.rs
+++ b/crates/fennelpin-cli/tests/bad_days/relay.rs
@@ -20,7 +20,10 @@
 
 impl Direction {
     pub fn new(from: &str, to: &str) -> Self {
-        Self { from: from.into(), to: to.into() }
+        Self {
+            from: from.into(),
+            to: to.into(),
+        }
     }
 
     fn reversed(&self) -> Self {
@@ -45,7 +48,11 @@
     /// Waits until none of these is cut.
     fn wait_until_open(&self, wanted: &[&Direction]) {
         let cut = |now: &mut BTreeSet<Direction>| wanted.iter().any(|d| now.contains(*d));
-        drop(self.changed.wait_while(self.directions.lock().unwrap(), cut).unwrap());
+        drop(
+            self.changed
+                .wait_while(self.directions.lock().unwrap(), cut)
+                .unwrap(),
+        );
     }
 }
 
@@ -66,7 +73,10 @@
                 std::thread::spawn(move || drop(relay(caller, &member, to, &cuts)));
             }
         });
-        Self { listener, accepts: Some(accepts) }
+        Self {
+            listener,
+            accepts: Some(accepts),
+        }
     }
 }
 
@@ -79,7 +89,12 @@
 }
 
 /// One connection, which comes up once both of its directions are open.
-fn relay(mut caller: TcpStream, member: &str, to: SocketAddr, cuts: &Arc<Cuts>) -> std::io::Result<()> {
+fn relay(
+    mut caller: TcpStream,
+    member: &str,
+    to: SocketAddr,
+    cuts: &Arc<Cuts>,
+) -> std::io::Result<()> {
     let (name, first) = introduction(&mut caller)?;
     let inward = Direction::new(&name, member);
     let outward = inward.reversed();
--- a/crates/fennelpin-cli/tests/bad_days/restarts.rs
+++ b/crates/fennelpin-cli/tests/bad_days/restarts.rs
@@ -32,7 +32,11 @@
         r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s","health_path":"/health","conn_limit":64}}]}}"#,
         routes.join(",")
     );
-    Order { base: version - 1, version, body }
+    Order {
+        base: version - 1,
+        version,
+        body,
+    }
 }
 
 /// What became of a client's tries.
@@ -58,7 +62,9 @@
     /// Waits until so many more requests are served.
     fn flows(&self) {
         let before = self.served.load(Ordering::Relaxed);
-        until("requests are served", || (self.served.load(Ordering::Relaxed) >= before + SOME).then_some(()));
+        until("requests are served", || {
+            (self.served.load(Ordering::Relaxed) >= before + SOME).then_some(())
+        });
     }
 
     /// One client, over connections that are kept.
@@ -72,8 +78,9 @@
             }
             let body = format!("{route}-{number}-{n}");
             // A proxy that is about to start is waited for.
-            let (mut stream, mut buffer) =
-                kept.take().unwrap_or_else(|| (until("a proxy", || hosts::connect(front)), Vec::new()));
+            let (mut stream, mut buffer) = kept
+                .take()
+                .unwrap_or_else(|| (until("a proxy", || hosts::connect(front)), Vec::new()));
             let sent = hosts::send(&mut stream, route, &body);
             let Some(answer) = sent.and_then(|()| Text::read(&mut stream, &mut buffer)) else {
                 tally.unanswered.push(body);
@@ -109,16 +116,36 @@
 
 impl Restart {
     const ALL: [Restart; 4] = [
-        Restart { programs: &[Program::Agent], signal: Signal::TERM },
-        Restart { programs: &[Program::Agent], signal: Signal::KILL },
-        Restart { programs: &[Program::Proxy], signal: Signal::TERM },
-        Restart { programs: &[Program::Agent, Program::Proxy], signal: Signal::TERM },
+        Restart {
+            programs: &[Program::Agent],
+            signal: Signal::TERM,
+        },
+        Restart {
+            programs: &[Program::Agent],
+            signal: Signal::KILL,
+        },
+        Restart {
+            programs: &[Program::Proxy],
+            signal: Signal::TERM,
+        },
+        Restart {
+            programs: &[Program::Agent, Program::Proxy],
+            signal: Signal::TERM,
+        },
     ];
 
     fn run(self, stage: &mut Stage, edge: u8) {
         println!("{self:?} at edge-{edge}");
-        let name =
-            |p: &Program| format!("edge-{edge}/{}", if *p == Program::Agent { "agent" } else { "proxy" });
+        let name = |p: &Program| {
+            format!(
+                "edge-{edge}/{}",
+                if *p == Program::Agent {
+                    "agent"
+                } else {
+                    "proxy"
+                }
+            )
+        };
         for program in self.programs {
             stage.signal_program(&name(program), self.signal);
         }
@@ -144,7 +171,9 @@
     let beats: Vec<SocketAddr> = ALL.iter().map(|n| stage.control(*n)).collect();
     let hosts = hosts::start(&addrs, &beats, &[Turn::Answer]);
     for front in &fronts {
-        until("the proxy knows the hosts", || hosts::served(*front).then_some(()));
+        until("the proxy knows the hosts", || {
+            hosts::served(*front).then_some(())
+        });
     }
 
     let traffic = Traffic::default();
@@ -195,10 +224,16 @@
     );
     for tally in &tallies {
         for body in &tally.refused {
-            assert!(!heard.contains_key(body), "refused, though a host has run it: {body}");
+            assert!(
+                !heard.contains_key(body),
+                "refused, though a host has run it: {body}"
+            );
         }
         for body in &tally.unanswered {
-            assert!(!heard.contains_key(body), "lost, though a host has run it: {body}");
+            assert!(
+                !heard.contains_key(body),
+                "lost, though a host has run it: {body}"
+            );
         }
     }
 }
--- a/crates/fennelpin-cli/tests/bad_days/second_loss.rs
+++ b/crates/fennelpin-cli/tests/bad_days/second_loss.rs
@@ -31,9 +31,11 @@
     // Right after it is settled, the primary is gone with its disk.
     stage.wipe(primary);
     let left: Vec<u8> = members.into_iter().filter(|n| *n != primary).collect();
-    left.iter().for_each(|n| operator.read_back(stage.control(*n)));
+    left.iter()
+        .for_each(|n| operator.read_back(stage.control(*n)));
     some(&mut operator);
-    left.iter().for_each(|n| operator.read_back(stage.control(*n)));
+    left.iter()
+        .for_each(|n| operator.read_back(stage.control(*n)));
 
     // And a third time, once an empty machine has come for that one too.
     stage.start(5);
@@ -45,7 +47,8 @@
     stage.wipe(backup);
     let left: Vec<u8> = members.into_iter().filter(|n| *n != backup).collect();
     some(&mut operator);
-    left.iter().for_each(|n| operator.read_back(stage.control(*n)));
+    left.iter()
+        .for_each(|n| operator.read_back(stage.control(*n)));
 }
 
 #[test]
@@ -61,16 +64,21 @@
     stage.leave(leaving);
     stage.wipe(leaving);
     stage.wipe(primary);
-    let left: Vec<u8> = all.into_iter().filter(|n| ![leaving, primary].contains(n)).collect();
+    let left: Vec<u8> = all
+        .into_iter()
+        .filter(|n| ![leaving, primary].contains(n))
+        .collect();
     operator.read_back(stage.control(left[0]));
     some(&mut operator);
-    left.iter().for_each(|n| operator.read_back(stage.control(*n)));
+    left.iter()
+        .for_each(|n| operator.read_back(stage.control(*n)));
     // Two empty machines in their places.
     stage.start(leaving);
     stage.start(primary);
     stage.settled(&all);
     some(&mut operator);
-    all.iter().for_each(|n| operator.read_back(stage.control(*n)));
+    all.iter()
+        .for_each(|n| operator.read_back(stage.control(*n)));
 }
 
 #[test]
@@ -85,8 +93,12 @@
     stage.leave(primary);
     stage.wipe(primary);
     stage.wipe(backup);
-    let left: Vec<u8> = all.into_iter().filter(|n| ![backup, primary].contains(n)).collect();
+    let left: Vec<u8> = all
+        .into_iter()
+        .filter(|n| ![backup, primary].contains(n))
+        .collect();
     operator.read_back(stage.control(left[0]));
     some(&mut operator);
-    left.iter().for_each(|n| operator.read_back(stage.control(*n)));
+    left.iter()
+        .for_each(|n| operator.read_back(stage.control(*n)));
 }
--- a/crates/fennelpin-cli/tests/bad_days/stage.rs
+++ b/crates/fennelpin-cli/tests/bad_days/stage.rs
@@ -19,7 +19,11 @@
 /// Third number of the addresses at which members behind a relay listen.
 const BEHIND_RELAY: u8 = 3;
 /// Short waits, so that takeovers are quick.
-const QUICK: [(&str, &str); 3] = [("LEASE_MS", "300"), ("STALL_MS", "250"), ("PATIENCE_MS", "1000")];
+const QUICK: [(&str, &str); 3] = [
+    ("LEASE_MS", "300"),
+    ("STALL_MS", "250"),
+    ("PATIENCE_MS", "1000"),
+];
 /// Ports of one system.
 const BLOCK: u16 = 10;
 
@@ -28,7 +32,12 @@
     let blocks = (PORTS.end - PORTS.start) / BLOCK;
     let first = std::process::id() as u16 % blocks;
     let tries = (0..blocks).map(|n| PORTS.start + (first + n) % blocks * BLOCK);
-    let free = |port| Some((port, TcpListener::bind((Ipv4Addr::new(127, NET, 255, 254), port)).ok()?));
+    let free = |port| {
+        Some((
+            port,
+            TcpListener::bind((Ipv4Addr::new(127, NET, 255, 254), port)).ok()?,
+        ))
+    };
     tries.filter_map(free).next().expect("free ports")
 }
 
@@ -58,7 +67,12 @@
                 let outside = SocketAddrV4::new(*fleet.plan().control(n).ip(), port);
                 let inside = SocketAddrV4::new(Ipv4Addr::new(127, NET, BEHIND_RELAY, n), port);
                 let listener = TcpListener::bind(outside).unwrap();
-                relays.push(Relay::start(listener, format!("core-{n}"), inside.into(), cuts.clone()));
+                relays.push(Relay::start(
+                    listener,
+                    format!("core-{n}"),
+                    inside.into(),
+                    cuts.clone(),
+                ));
                 fleet.set_listener(n, inside);
             }
         };
@@ -72,18 +86,36 @@
         Self::with(members, proxies, &[], |_| ())
     }
 
-    fn with(members: u8, proxies: u8, settings: &[(&str, &str)], prepare: impl FnOnce(&mut Fleet)) -> Self {
+    fn with(
+        members: u8,
+        proxies: u8,
+        settings: &[(&str, &str)],
+        prepare: impl FnOnce(&mut Fleet),
+    ) -> Self {
         let dir = tempfile::tempdir().unwrap();
         let (port, held) = ports();
         let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
-        let plan = Plan { program, dir: dir.path().into(), net: NET, port, members, proxies };
+        let plan = Plan {
+            program,
+            dir: dir.path().into(),
+            net: NET,
+            port,
+            members,
+            proxies,
+        };
         let mut fleet = Fleet::new(plan).unwrap();
         for (key, value) in settings {
             fleet.env(&format!("FENNELPIN_CLI_{key}"), value);
         }
         prepare(&mut fleet);
         fleet.start_all().unwrap();
-        Self { fleet, cuts: Arc::default(), _relays: Vec::new(), _dir: dir, _ports: held }
+        Self {
+            fleet,
+            cuts: Arc::default(),
+            _relays: Vec::new(),
+            _dir: dir,
+            _ports: held,
+        }
     }
 
     pub fn control(&self, n: u8) -> SocketAddr {
@@ -155,13 +187,24 @@
 
     /// What a member says of itself, if it does.
     pub fn status(&self, n: u8) -> Option<Value> {
-        let answer = ask(self.control(n), &Call { name: "status", ..Call::default() }, SECOND).ok()?;
+        let answer = ask(
+            self.control(n),
+            &Call {
+                name: "status",
+                ..Call::default()
+            },
+            SECOND,
+        )
+        .ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
     /// The member that acts, by its own word.
     pub fn acting(&self, members: &[u8]) -> Option<u8> {
-        members.iter().copied().find(|n| self.status(*n).is_some_and(|s| s["member"]["acts"] == true))
+        members
+            .iter()
+            .copied()
+            .find(|n| self.status(*n).is_some_and(|s| s["member"]["acts"] == true))
     }
 
     /// The member that acts, once these members and no others are the voters of a settled view that all of them
@@ -181,7 +224,11 @@
     pub fn say(&self, members: &[u8]) -> String {
         let of = |n: &u8| {
             let status = self.status(*n).unwrap_or_default();
-            let file = self.fleet.plan().dir.join(format!("core-{n}-control-plane.log"));
+            let file = self
+                .fleet
+                .plan()
+                .dir
+                .join(format!("core-{n}-control-plane.log"));
             let log = std::fs::read_to_string(file).unwrap_or_default();
             let lines: Vec<&str> = log.lines().filter(|l| !l.contains("link ")).collect();
             let last = lines[lines.len().saturating_sub(LINES)..].join("\n");
@@ -193,10 +240,17 @@
     /// The last lines of what a machine's programs have logged.
     pub fn logs(&self, machine: &str) -> String {
         let of = |program: &str| {
-            let file = self.fleet.plan().dir.join(format!("{machine}-{program}.log"));
+            let file = self
+                .fleet
+                .plan()
+                .dir
+                .join(format!("{machine}-{program}.log"));
             let log = std::fs::read_to_string(file).unwrap_or_default();
             let lines: Vec<&str> = log.lines().collect();
-            format!("{machine}/{program}:\n{}\n", lines[lines.len().saturating_sub(LINES)..].join("\n"))
+            format!(
+                "{machine}/{program}:\n{}\n",
+                lines[lines.len().saturating_sub(LINES)..].join("\n")
+            )
         };
         ["control-plane", "agent", "proxy"].map(of).concat()
     }
@@ -209,8 +263,9 @@
         let ids: Vec<&Value> = statuses.iter().map(|s| &s["id"]).collect();
         let replicas = view["replicas"].as_array()?;
         let voters = view["voters"].as_array()?;
-        let same =
-            |s: &Value| s["member"]["view"]["epoch"] == view["epoch"] && s["member"]["disk_fit"] == true;
+        let same = |s: &Value| {
+            s["member"]["view"]["epoch"] == view["epoch"] && s["member"]["disk_fit"] == true
+        };
         let all = view["settled"] == true
             && statuses.iter().all(same)
             && voters.len() == ids.len()
@@ -225,12 +280,17 @@
         let view = self.status(primary).unwrap()["member"]["view"].clone();
         let replicas = view["replicas"].as_array().unwrap();
         let others = members.iter().copied().filter(|n| *n != primary);
-        others.filter(|n| replicas.contains(&self.status(*n).unwrap()["id"])).collect()
+        others
+            .filter(|n| replicas.contains(&self.status(*n).unwrap()["id"]))
+            .collect()
     }
 
     /// The versions that a machine's proxy has had in force, in order, as its log tells.
     pub fn in_force(&self, edge: u8) -> Vec<u64> {
-        self.came_in_force(edge).into_iter().map(|came| came.1).collect()
+        self.came_in_force(edge)
+            .into_iter()
+            .map(|came| came.1)
+            .collect()
     }
 
     /// When each of them came in force, since the epoch of the clock.
@@ -240,7 +300,10 @@
         let came = |line: &str| {
             let (before, version) = line.split_once("configuration in force version=")?;
             let seconds = before.split(' ').next()?.parse().ok()?;
-            Some((Duration::from_secs_f64(seconds), version.trim().parse().ok()?))
+            Some((
+                Duration::from_secs_f64(seconds),
+                version.trim().parse().ok()?,
+            ))
         };
         log.lines().filter_map(came).collect()
     }
@@ -252,7 +315,8 @@
         if std::thread::panicking() {
             let members: Vec<u8> = (1..=self.fleet.plan().members).collect();
             eprintln!("{}", self.say(&members));
-            (1..=self.fleet.plan().proxies).for_each(|n| eprintln!("{}", self.logs(&format!("edge-{n}"))));
+            (1..=self.fleet.plan().proxies)
+                .for_each(|n| eprintln!("{}", self.logs(&format!("edge-{n}"))));
         }
     }
 }
--- a/crates/fennelpin-cli/tests/bad_days/two_operators.rs
+++ b/crates/fennelpin-cli/tests/bad_days/two_operators.rs
@@ -31,8 +31,14 @@
     for round in 0..ROUNDS {
         let base = taken.last().unwrap().version;
         let orders = match round % SAME_EVERY {
-            0 => [Order::new(base, base + 1, "both"), Order::new(base, base + 1, "both")],
-            _ => [Order::new(base, base + 1, "a"), Order::new(base, base + 1, "b")],
+            0 => [
+                Order::new(base, base + 1, "both"),
+                Order::new(base, base + 1, "both"),
+            ],
+            _ => [
+                Order::new(base, base + 1, "a"),
+                Order::new(base, base + 1, "b"),
+            ],
         };
         let kills = round % KILL_EVERY == KILL_EVERY - 1;
         let primary = kills.then(|| until("somebody acts", || stage.acting(&ALL)));
@@ -76,13 +82,19 @@
     for round in 1..=6 {
         let primary = stage.settled(&ALL);
         let base = taken.last().unwrap().version;
-        let orders = [Order::new(base, base + 1, "a"), Order::new(base, base + 1, "b")];
+        let orders = [
+            Order::new(base, base + 1, "a"),
+            Order::new(base, base + 1, "b"),
+        ];
         // Each is at the primary, and under way, when it dies: nobody reads what it says.
-        orders.iter().for_each(|order| hang_up(stage.control(primary), &order.call()));
+        orders
+            .iter()
+            .for_each(|order| hang_up(stage.control(primary), &order.call()));
         stage.kill(primary);
         let answers: Vec<Answer> = std::thread::scope(|scope| {
             let ask = |k: usize| {
-                let (mut members, order) = (from(&stage, u64::from(primary) + k as u64), &orders[k]);
+                let (mut members, order) =
+                    (from(&stage, u64::from(primary) + k as u64), &orders[k]);
                 scope.spawn(move || until_clear(&mut members, &order.call()))
             };
             let asked = [ask(0), ask(1)];
@@ -95,7 +107,13 @@
 
 /// One of two different orders is confirmed, both where they are the same; the winner is confirmed by every member
 /// again, the other refused; an older one isn't refused either.
-fn judge(stage: &Stage, round: u64, orders: &[Order; 2], answers: &[Answer], taken: &mut Vec<Order>) {
+fn judge(
+    stage: &Stage,
+    round: u64,
+    orders: &[Order; 2],
+    answers: &[Answer],
+    taken: &mut Vec<Order>,
+) {
     let statuses: Vec<u16> = answers.iter().map(|a| a.status).collect();
     let same = orders[0] == orders[1];
     let expected: &[u16] = if same { &[200, 200] } else { &[200, 412] };
@@ -105,18 +123,31 @@
     let winner = statuses.iter().position(|s| *s == 200).unwrap();
     for n in ALL {
         let again = until_clear(&mut [stage.control(n)], &orders[winner].call());
-        assert_eq!(again.status, 200, "round {round}: taken, and refused at core-{n}: {again:?}");
+        assert_eq!(
+            again.status, 200,
+            "round {round}: taken, and refused at core-{n}: {again:?}"
+        );
         if !same {
             let other = until_clear(&mut [stage.control(n)], &orders[1 - winner].call());
-            assert_eq!(other.status, 412, "round {round}: both confirmed at core-{n}: {other:?}");
+            assert_eq!(
+                other.status, 412,
+                "round {round}: both confirmed at core-{n}: {other:?}"
+            );
         }
         let read = until_clear(&mut [stage.control(n)], &READ);
-        assert_eq!(String::from_utf8(read.body).unwrap(), orders[winner].body, "round {round} at core-{n}");
+        assert_eq!(
+            String::from_utf8(read.body).unwrap(),
+            orders[winner].body,
+            "round {round} at core-{n}"
+        );
     }
     taken.push(orders[winner].clone());
     // Sent again after others were taken: confirmed, or left unclear.
     let older = &taken[taken.len() / 2];
     if let Ok(answer) = ask(stage.control(1 + (round % 3) as u8), &older.call(), SECOND) {
-        assert!(answer.status == 200 || answer.status >= 500, "round {round}: {older:?} refused: {answer:?}");
+        assert!(
+            answer.status == 200 || answer.status >= 500,
+            "round {round}: {older:?} refused: {answer:?}"
+        );
     }
 }
--- a/crates/fennelpin-cli/tests/bad_days/wrong_caller.rs
+++ b/crates/fennelpin-cli/tests/bad_days/wrong_caller.rs
@@ -45,8 +45,9 @@
     let mut kept: Option<(TcpStream, Vec<u8>)> = None;
     for n in 0..REQUESTS {
         let body = format!("{route}-{number}-{n}");
-        let (mut stream, mut buffer) =
-            kept.take().unwrap_or_else(|| (hosts::connect(front).unwrap(), Vec::new()));
+        let (mut stream, mut buffer) = kept
+            .take()
+            .unwrap_or_else(|| (hosts::connect(front).unwrap(), Vec::new()));
         hosts::send(&mut stream, route, &body).unwrap();
         let Some(answer) = Text::read(&mut stream, &mut buffer) else {
             tally.broken_off += 1;
@@ -77,13 +78,19 @@
     let plan = stage.fleet.plan();
     let mut controls: Vec<SocketAddr> = ALL.iter().map(|n| stage.control(*n)).collect();
     let body = routes();
-    let first = Call { name: "Configuration.Replace", base: Some(0), body: Some(body.as_bytes()) };
+    let first = Call {
+        name: "Configuration.Replace",
+        base: Some(0),
+        body: Some(body.as_bytes()),
+    };
     assert_eq!(until_clear(&mut controls, &first).status, 200);
     let addrs: Vec<SocketAddrV4> = (1..=4).map(|n| plan.host(n)).collect();
     let hosts = hosts::start(&addrs, &controls, hosts::ALL_TURNS);
     let fronts = plan.fronts();
     for front in &fronts {
-        until("the proxy knows the hosts", || hosts::served(*front).then_some(()));
+        until("the proxy knows the hosts", || {
+            hosts::served(*front).then_some(())
+        });
     }
 
     let tallies: Vec<(&str, Tally)> = std::thread::scope(|scope| {
@@ -94,17 +101,29 @@
                 (route, scope.spawn(move || client(front, route, n)))
             })
             .collect();
-        clients.into_iter().map(|(route, c)| (route, c.join().unwrap())).collect()
+        clients
+            .into_iter()
+            .map(|(route, c)| (route, c.join().unwrap()))
+            .collect()
     });
     println!("{tallies:?}");
     let heard = hosts.heard.lock().unwrap();
     for (body, times) in heard.iter() {
-        let most = if body.starts_with("once") { 1 } else { MAX_TRIES };
+        let most = if body.starts_with("once") {
+            1
+        } else {
+            MAX_TRIES
+        };
         assert!(*times <= most, "{body} was sent {times} times");
     }
     let once = tallies.iter().filter(|t| t.0 == "once").map(|t| &t.1);
-    let (served, all) = once.fold((0, 0), |(s, a), t| (s + t.served, a + t.served + t.failed + t.broken_off));
-    assert!(served * 4 > all, "too few answers to tell: {served} of {all}");
+    let (served, all) = once.fold((0, 0), |(s, a), t| {
+        (s + t.served, a + t.served + t.failed + t.broken_off)
+    });
+    assert!(
+        served * 4 > all,
+        "too few answers to tell: {served} of {all}"
+    );
     assert!(served < all, "the hosts did nothing wrong");
 }
 
@@ -118,12 +137,25 @@
     for n in ALL {
         let base = operator.newest();
         let next = Order::new(base, base + 1, "v");
-        let beside = Order { body: configuration(base + 1, "beside"), ..next.clone() };
-        let history: Vec<String> = (0..40).map(|k| format!("Configuration.History/{}", 1000 + k)).collect();
-        let ask = |name: &'static str| Call { name, base: None, body: None };
+        let beside = Order {
+            body: configuration(base + 1, "beside"),
+            ..next.clone()
+        };
+        let history: Vec<String> = (0..40)
+            .map(|k| format!("Configuration.History/{}", 1000 + k))
+            .collect();
+        let ask = |name: &'static str| Call {
+            name,
+            base: None,
+            body: None,
+        };
         let mut calls: Vec<Call> = vec![READ, next.call(), READ, next.call(), beside.call(), READ];
         for (k, name) in history.iter().enumerate() {
-            let call = Call { name, base: None, body: None };
+            let call = Call {
+                name,
+                base: None,
+                body: None,
+            };
             calls.insert((k * 7) % calls.len(), call);
         }
         calls.push(ask("no-such-call"));
@@ -134,7 +166,8 @@
         stream.write_all(&text).unwrap();
         let (mut buffer, mut current) = (Vec::new(), base);
         for call in &calls {
-            let answer = Text::read(&mut stream, &mut buffer).unwrap_or_else(|| panic!("none to {call:?}"));
+            let answer =
+                Text::read(&mut stream, &mut buffer).unwrap_or_else(|| panic!("none to {call:?}"));
             let expected = match call.name {
                 "Configuration.Read" => (200, configuration(current, "v")),
                 "Configuration.Replace" if call.body == Some(next.body.as_bytes()) => {
