--- a/crates/fennelpin-cli/tests/command_line.rs
+++ b/crates/fennelpin-cli/tests/command_line.rs
@@ -74,10 +74,17 @@
     let file = dir.path().join("operator.toml");
     std::fs::write(&file, text).unwrap();
     let path = file.to_str().unwrap();
-    for args in [vec!["--operator", path, "version"], vec!["config", "check", "--operator-file", path]] {
+    for args in [
+        vec!["--operator", path, "version"],
+        vec!["config", "check", "--operator-file", path],
+    ] {
         let done = run(&args);
         assert_eq!(done.status.code(), Some(2));
-        assert!(err(&done).contains(key) && err(&done).contains("operator.toml"), "{}", err(&done));
+        assert!(
+            err(&done).contains(key) && err(&done).contains("operator.toml"),
+            "{}",
+            err(&done)
+        );
     }
 }
 
@@ -88,13 +95,26 @@
     std::fs::write(&file, "lease_ms = 700\ncounters_s = 9\n").unwrap();
     let check = |name: &str, value: &str| {
         let mut command = fennelpin_cli();
-        command.args(["config", "check", "--operator-file"]).arg(&file).env(name, value).output().unwrap()
+        command
+            .args(["config", "check", "--operator-file"])
+            .arg(&file)
+            .env(name, value)
+            .output()
+            .unwrap()
     };
     let done = check("FENNELPIN_CLI_LEASE_MS", "800");
-    assert!(out(&done).contains("lease_ms: 800") && out(&done).contains("counters_s: 9"), "{}", out(&done));
+    assert!(
+        out(&done).contains("lease_ms: 800") && out(&done).contains("counters_s: 9"),
+        "{}",
+        out(&done)
+    );
     let done = check("FENNELPIN_CLI_LEASE", "800");
     assert_eq!(done.status.code(), Some(2));
-    assert!(err(&done).contains("FENNELPIN_CLI_") && err(&done).contains("\"lease\""), "{}", err(&done));
+    assert!(
+        err(&done).contains("FENNELPIN_CLI_") && err(&done).contains("\"lease\""),
+        "{}",
+        err(&done)
+    );
 }
 
 #[rstest]
@@ -109,12 +129,21 @@
     std::fs::write(&file, text).unwrap();
     let done = run(&["config", "check", file.to_str().unwrap()]);
     assert_eq!(done.status.code(), Some(code));
-    assert!((out(&done) + &err(&done)).contains(says), "{}{}", out(&done), err(&done));
+    assert!(
+        (out(&done) + &err(&done)).contains(says),
+        "{}{}",
+        out(&done),
+        err(&done)
+    );
 }
 
 #[test]
 fn a_port_where_nobody_listens_ends_with_1() {
-    let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let free = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let done = run(&["status", "--control", &free]);
     assert_eq!(done.status.code(), Some(1));
     assert!(err(&done).contains(&free), "{}", err(&done));
@@ -133,7 +162,13 @@
                 head.push(byte[0]);
             }
             let text = String::from_utf8(head).unwrap().to_ascii_lowercase();
-            let length = text.split("content-length: ").nth(1).unwrap().split('\r').next().unwrap();
+            let length = text
+                .split("content-length: ")
+                .nth(1)
+                .unwrap()
+                .split('\r')
+                .next()
+                .unwrap();
             let mut body = vec![0; length.parse().unwrap()];
             stream.read_exact(&mut body).unwrap();
             stream.write_all(answer.as_bytes()).unwrap();
@@ -143,7 +178,10 @@
 }
 
 fn answer(status: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 #[test]
@@ -153,11 +191,23 @@
     std::fs::write(&file, GOOD).unwrap();
     let old = GOOD.replace(":3,", ":2,");
     let no = r#"{"code":120,"reason":"another version is in force","detail":"version 9"}"#;
-    let member = scripted(vec![answer("200 OK", &old), answer("412 Precondition Failed", no)]);
-    let done = run(&["config", "apply", "--control", &member.to_string(), file.to_str().unwrap()]);
+    let member = scripted(vec![
+        answer("200 OK", &old),
+        answer("412 Precondition Failed", no),
+    ]);
+    let done = run(&[
+        "config",
+        "apply",
+        "--control",
+        &member.to_string(),
+        file.to_str().unwrap(),
+    ]);
     assert_eq!(done.status.code(), Some(3));
     let text = err(&done);
-    assert!(text.contains("code 120") && text.contains("another version is in force (version 9)"), "{text}");
+    assert!(
+        text.contains("code 120") && text.contains("another version is in force (version 9)"),
+        "{text}"
+    );
 }
 
 #[test]
@@ -165,18 +215,38 @@
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("c.json");
     std::fs::write(&file, GOOD).unwrap();
-    let busy = answer("503 Service Unavailable", r#"{"code":200,"reason":"no primary is known here"}"#);
+    let busy = answer(
+        "503 Service Unavailable",
+        r#"{"code":200,"reason":"no primary is known here"}"#,
+    );
     let old = answer("200 OK", &GOOD.replace(":3,", ":2,"));
     let path = file.to_str().unwrap();
-    let member = scripted(vec![busy.clone(), old.clone(), busy.clone(), answer("200 OK", "{}")]);
+    let member = scripted(vec![
+        busy.clone(),
+        old.clone(),
+        busy.clone(),
+        answer("200 OK", "{}"),
+    ]);
     let done = run(&["config", "apply", "--control", &member.to_string(), path]);
     assert_eq!((done.status.code(), err(&done).as_str()), (Some(0), ""));
     assert!(out(&done).contains("on version 2"), "{}", out(&done));
 
     let member = scripted(vec![old, busy]);
-    let done = run(&["config", "apply", "--wait", "0.3", "--control", &member.to_string(), path]);
+    let done = run(&[
+        "config",
+        "apply",
+        "--wait",
+        "0.3",
+        "--control",
+        &member.to_string(),
+        path,
+    ]);
     assert_eq!(done.status.code(), Some(1));
-    assert!(err(&done).contains("no clear answer (code 200"), "{}", err(&done));
+    assert!(
+        err(&done).contains("no clear answer (code 200"),
+        "{}",
+        err(&done)
+    );
 }
 
 #[test]
@@ -193,7 +263,13 @@
         "bootstrap": true, "seed_nodes": [free]});
     std::fs::write(&file, settings.to_string()).unwrap();
     let mut child = fennelpin_cli()
-        .args(["--log-format", "json", "control-plane", "--until-input-ends", "--settings"])
+        .args([
+            "--log-format",
+            "json",
+            "control-plane",
+            "--until-input-ends",
+            "--settings",
+        ])
         .arg(&file)
         .stdin(std::process::Stdio::piped())
         .stderr(std::process::Stdio::piped())
@@ -201,22 +277,40 @@
         .unwrap();
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(child.stderr.take().unwrap()));
     let first: serde_json::Value = serde_json::from_str(&lines.next().unwrap().unwrap()).unwrap();
-    assert_eq!((&first["level"], &first["message"]), (&"INFO".into(), &"member starts".into()));
-    assert!(first["id"].is_number() && first["founder"] == true, "{first}");
+    assert_eq!(
+        (&first["level"], &first["message"]),
+        (&"INFO".into(), &"member starts".into())
+    );
+    assert!(
+        first["id"].is_number() && first["founder"] == true,
+        "{first}"
+    );
     // The end of its input ends it in order.
     drop(child.stdin.take());
     for line in lines {
         let line = line.unwrap();
-        assert!(serde_json::from_str::<serde_json::Value>(&line).is_ok(), "{line}");
+        assert!(
+            serde_json::from_str::<serde_json::Value>(&line).is_ok(),
+            "{line}"
+        );
     }
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
 fn a_programs_failure_is_in_its_log() {
-    let done = run(&["--log-format", "json", "proxy", "--settings", "/nowhere.json"]);
+    let done = run(&[
+        "--log-format",
+        "json",
+        "proxy",
+        "--settings",
+        "/nowhere.json",
+    ]);
     assert_eq!(done.status.code(), Some(2));
     let line: serde_json::Value = serde_json::from_str(err(&done).trim()).unwrap();
     assert_eq!(line["level"], "ERROR");
-    assert!(line["message"].as_str().unwrap().contains("/nowhere.json"), "{line}");
+    assert!(
+        line["message"].as_str().unwrap().contains("/nowhere.json"),
+        "{line}"
+    );
 }
--- a/crates/fennelpin-cli/tests/operators.rs
+++ b/crates/fennelpin-cli/tests/operators.rs
@@ -20,9 +20,17 @@
 }
 
 fn fennelpin_cli(args: &[&str]) -> Done {
-    let done = Command::new(env!("CARGO_BIN_EXE_fennelpin-cli")).env_clear().args(args).output().unwrap();
+    let done = Command::new(env!("CARGO_BIN_EXE_fennelpin-cli"))
+        .env_clear()
+        .args(args)
+        .output()
+        .unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    Done { code: done.status.code().unwrap(), out: text(done.stdout), err: text(done.stderr) }
+    Done {
+        code: done.status.code().unwrap(),
+        out: text(done.stdout),
+        err: text(done.stderr),
+    }
 }
 
 /// Addresses that other tests don't use at the same time.
@@ -36,7 +44,14 @@
         let dir = tempfile::tempdir().unwrap();
         let (net, port) = place(net);
         let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
-        let plan = Plan { program, dir: dir.path().join("fleet"), net, port, members: 1, proxies: 0 };
+        let plan = Plan {
+            program,
+            dir: dir.path().join("fleet"),
+            net,
+            port,
+            members: 1,
+            proxies: 0,
+        };
         let mut fleet = Fleet::new(plan).unwrap();
         fleet.start_all().unwrap();
         Desk { fleet, dir }
@@ -80,7 +95,10 @@
     assert_eq!((done.code, done.out.lines().count()), (0, 1), "{done:?}");
     let done = desk.ask(&["config", "diff"], &[&second]);
     assert_eq!(done.code, 4);
-    assert!(done.out.contains("~ route r: ") && done.out.contains("/b/"), "{done:?}");
+    assert!(
+        done.out.contains("~ route r: ") && done.out.contains("/b/"),
+        "{done:?}"
+    );
 
     // Builds on something else than what is in force.
     let done = desk.ask(&["config", "apply"], &["--base", "3", &second]);
@@ -91,40 +109,78 @@
     let done = desk.ask(&["config", "apply"], &["--base", "4", &second]);
     assert_eq!(done.code, 0, "{done:?}");
 
-    let amendment = desk.file("amendment.json", r#"{"version":12,"upsert":{"services":[{"name":"t"}]}}"#);
+    let amendment = desk.file(
+        "amendment.json",
+        r#"{"version":12,"upsert":{"services":[{"name":"t"}]}}"#,
+    );
     let done = desk.ask(&["config", "apply"], &["--amend", &amendment]);
-    assert!(done.out.contains("version 12, 1 routes, 2 services (on version 9)"), "{done:?}");
+    assert!(
+        done.out
+            .contains("version 12, 1 routes, 2 services (on version 9)"),
+        "{done:?}"
+    );
 
     let done = desk.ask(&["config", "rollback"], &["4"]);
     assert_eq!(
         done.out, "taken: version 13, 1 routes, 1 services (version 4 again, on version 12)\n",
         "{done:?}"
     );
-    assert_eq!(desk.ask(&["config", "show"], &[]).out.trim(), configuration(13, "/a/"));
-    assert_eq!(desk.ask(&["config", "show"], &["--version", "9"]).out.trim(), configuration(9, "/b/"));
-    assert_eq!(desk.ask(&["config", "diff"], &["--version", "4", &first]).code, 0);
+    assert_eq!(
+        desk.ask(&["config", "show"], &[]).out.trim(),
+        configuration(13, "/a/")
+    );
+    assert_eq!(
+        desk.ask(&["config", "show"], &["--version", "9"])
+            .out
+            .trim(),
+        configuration(9, "/b/")
+    );
+    assert_eq!(
+        desk.ask(&["config", "diff"], &["--version", "4", &first])
+            .code,
+        0
+    );
 
     let done = desk.ask(&["config", "rollback"], &["5"]);
     assert_eq!(done.code, 1);
-    assert!(done.err.contains("version 5 is kept at no member"), "{done:?}");
-    let done = desk.ask(&["config", "rollback"], &["5", "--file", &second, "--version", "20"]);
+    assert!(
+        done.err.contains("version 5 is kept at no member"),
+        "{done:?}"
+    );
+    let done = desk.ask(
+        &["config", "rollback"],
+        &["5", "--file", &second, "--version", "20"],
+    );
     assert!(done.out.contains("taken: version 20"), "{done:?}");
 
     let done = desk.ask(&["config", "history"], &[]);
-    let versions: Vec<&str> =
-        done.out.lines().skip(1).map(|l| l.split_whitespace().next().unwrap()).collect();
+    let versions: Vec<&str> = done
+        .out
+        .lines()
+        .skip(1)
+        .map(|l| l.split_whitespace().next().unwrap())
+        .collect();
     assert_eq!(versions, ["4", "9", "12", "13", "20"]);
-    assert!(done.out.lines().skip(1).all(|l| l.ends_with("core-1")), "{done:?}");
+    assert!(
+        done.out.lines().skip(1).all(|l| l.ends_with("core-1")),
+        "{done:?}"
+    );
 }
 
 #[test]
 fn an_invalid_configuration_is_refused_here_before_any_member_is_asked() {
     let desk = Desk::new(42);
-    let bad = desk.file("bad.json", &configuration(4, "/a/").replace("\"name\":\"s\"", "\"name\":\"t\""));
+    let bad = desk.file(
+        "bad.json",
+        &configuration(4, "/a/").replace("\"name\":\"s\"", "\"name\":\"t\""),
+    );
     let done = desk.ask(&["config", "apply"], &[&bad]);
     assert_eq!(done.code, 2);
     assert!(done.err.contains("(101): r: s"), "{done:?}");
-    let amendment = desk.file("amendment.json", r#"{"version":1,"upsert":{"routes":[{"name":"q"}]}}"#);
+    let amendment = desk.file(
+        "amendment.json",
+        r#"{"version":1,"upsert":{"routes":[{"name":"q"}]}}"#,
+    );
     let done = desk.ask(&["config", "apply"], &["--amend", &amendment]);
     assert_eq!(done.code, 2, "{done:?}");
 }
@@ -136,9 +192,12 @@
     assert_eq!(desk.ask(&["config", "apply"], &[&first]).code, 0);
     let done = desk.ask(&["status"], &["--hosts"]);
     assert_eq!(done.code, 0);
-    for line in
-        ["primary: core-1", "replicas: core-1", "voters: core-1", "configuration: version 4, 1 routes"]
-    {
+    for line in [
+        "primary: core-1",
+        "replicas: core-1",
+        "voters: core-1",
+        "configuration: version 4, 1 routes",
+    ] {
         assert!(done.out.contains(line), "{}", done.out);
     }
     let json: Value = serde_json::from_str(&desk.ask(&["status"], &["--json"]).out).unwrap();
@@ -157,14 +216,20 @@
     };
     let done = store("inspect", &[], &dir);
     assert_eq!(done.code, 0);
-    assert!(done.out.contains("ledger: whole") && done.out.contains("identity: whole"), "{done:?}");
+    assert!(
+        done.out.contains("ledger: whole") && done.out.contains("identity: whole"),
+        "{done:?}"
+    );
     desk.fleet.kill("core-1/control-plane");
     assert_eq!(store("verify", &[], &dir).code, 0);
     let done = store("rewrite", &["--stopped"], &dir);
     assert_eq!(done.code, 0, "{done:?}");
     // It comes back as itself, with what it had acknowledged.
     desk.fleet.start_all().unwrap();
-    assert_eq!(desk.ask(&["config", "show"], &[]).out.trim(), configuration(4, "/a/"));
+    assert_eq!(
+        desk.ask(&["config", "show"], &[]).out.trim(),
+        configuration(4, "/a/")
+    );
     desk.fleet.kill("core-1/control-plane");
     // A bit in the middle of what was synced.
     let file = std::fs::read_dir(&dir)
@@ -178,7 +243,10 @@
     let done = store("verify", &[], &dir);
     assert_eq!(done.code, 1, "{done:?}");
     assert!(done.err.contains("'ledger' doesn't open"), "{done:?}");
-    assert_eq!(store("inspect", &[], &desk.dir.path().join("nowhere")).code, 1);
+    assert_eq!(
+        store("inspect", &[], &desk.dir.path().join("nowhere")).code,
+        1
+    );
 }
 
 #[test]
@@ -203,5 +271,9 @@
         &port,
     ]);
     assert_eq!(done.code, 0, "{done:?}");
-    assert!(done.out.contains(" 0 failed") && done.out.contains("edge-2"), "{}", done.out);
+    assert!(
+        done.out.contains(" 0 failed") && done.out.contains("edge-2"),
+        "{}",
+        done.out
+    );
 }
--- a/crates/fennelpin-cli/tests/processes.rs
+++ b/crates/fennelpin-cli/tests/processes.rs
@@ -26,7 +26,14 @@
     let free = TcpListener::bind((std::net::Ipv4Addr::new(127, net, 0, 1), 0)).unwrap();
     let port = free.local_addr().unwrap().port().min(65_000);
     let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
-    let plan = Plan { program, dir: dir.into(), net, port, members: 3, proxies: 2 };
+    let plan = Plan {
+        program,
+        dir: dir.into(),
+        net,
+        port,
+        members: 3,
+        proxies: 2,
+    };
     let mut fleet = Fleet::new(plan).unwrap();
     fleet.env("FENNELPIN_CLI_LEASE_MS", "300");
     fleet.env("FENNELPIN_CLI_STALL_MS", "250");
@@ -42,7 +49,13 @@
 
 fn amendment(version: u64) -> String {
     let whole = whole(version);
-    let routes = whole.split("\"routes\":").nth(1).unwrap().split(",\"services\"").next().unwrap();
+    let routes = whole
+        .split("\"routes\":")
+        .nth(1)
+        .unwrap()
+        .split(",\"services\"")
+        .next()
+        .unwrap();
     format!(r#"{{"version":{version},"upsert":{{"routes":{routes}}}}}"#)
 }
 
@@ -68,16 +81,35 @@
             3 => ("Configuration.Amend", amendment(next)),
             _ => ("Configuration.Replace", whole(next)),
         };
-        let answer =
-            until_clear(&mut members, &Call { name, base: Some(version), body: Some(body.as_bytes()) });
-        assert_eq!(answer.status, 200, "{next} on {version}: {:?}", answer.result());
+        let answer = until_clear(
+            &mut members,
+            &Call {
+                name,
+                base: Some(version),
+                body: Some(body.as_bytes()),
+            },
+        );
+        assert_eq!(
+            answer.status,
+            200,
+            "{next} on {version}: {:?}",
+            answer.result()
+        );
         if count % 10 == 0 {
             // Another one on the same base comes too late, wherever it goes in; the same one is done already.
             members.rotate_left(1);
             let other = whole(next + 1);
-            let call = Call { name, base: Some(version), body: Some(other.as_bytes()) };
+            let call = Call {
+                name,
+                base: Some(version),
+                body: Some(other.as_bytes()),
+            };
             assert_eq!(until_clear(&mut members, &call).status, 412);
-            let call = Call { name, base: Some(version), body: Some(body.as_bytes()) };
+            let call = Call {
+                name,
+                base: Some(version),
+                body: Some(body.as_bytes()),
+            };
             assert_eq!(until_clear(&mut members, &call).status, 200);
         }
         version = next;
@@ -90,23 +122,32 @@
 
 /// The member that acts, and whether all three are back: voters of a settled view, the replicas among them.
 fn membership_state(members: &Members) -> (Option<u8>, bool) {
-    let Ok(statuses) = members.statuses() else { return (None, false) };
-    let Some(acting) = statuses.iter().find(|s| s["member"]["acts"] == true) else { return (None, false) };
+    let Ok(statuses) = members.statuses() else {
+        return (None, false);
+    };
+    let Some(acting) = statuses.iter().find(|s| s["member"]["acts"] == true) else {
+        return (None, false);
+    };
     let view = &acting["member"]["view"];
     let ids: Vec<&Value> = statuses.iter().map(|s| &s["id"]).collect();
     let named = |list: &Value, of: fn(&Value) -> &Value| {
-        list.as_array().unwrap().iter().all(|x| ids.contains(&of(x)))
+        list.as_array()
+            .unwrap()
+            .iter()
+            .all(|x| ids.contains(&of(x)))
     };
     let all = ids.len() == 3
-        && statuses
-            .iter()
-            .all(|s| s["member"]["view"]["epoch"] == view["epoch"] && s["member"]["disk_fit"] == true)
+        && statuses.iter().all(|s| {
+            s["member"]["view"]["epoch"] == view["epoch"] && s["member"]["disk_fit"] == true
+        })
         && view["settled"] == true
         && view["voters"].as_array().unwrap().len() == 3
         && named(&view["voters"], |v| &v["id"])
         && view["replicas"].as_array().unwrap().len() == 2
         && named(&view["replicas"], |c| c);
-    let number = acting["node"].as_str().and_then(|n| n.strip_prefix("core-")?.parse().ok());
+    let number = acting["node"]
+        .as_str()
+        .and_then(|n| n.strip_prefix("core-")?.parse().ok());
     (number, all)
 }
 
@@ -120,7 +161,10 @@
 impl Story {
     /// Waits for one more acknowledgement.
     fn event(&mut self) {
-        let version = self.events.recv_timeout(LONG).expect("configurations are taken");
+        let version = self
+            .events
+            .recv_timeout(LONG)
+            .expect("configurations are taken");
         self.acknowledged.push(version);
     }
 
@@ -132,7 +176,11 @@
             if let (Some(primary), true) = membership_state(&self.members) {
                 return primary;
             }
-            assert!(Instant::now() < end, "not all members come back: {:?}", self.members.statuses());
+            assert!(
+                Instant::now() < end,
+                "not all members come back: {:?}",
+                self.members.statuses()
+            );
         }
     }
 
@@ -192,7 +240,9 @@
 
 /// The proxy has the newest version in force, and no other.
 fn in_force(front: SocketAddrV4, acknowledged: &[u64]) {
-    let [.., old, newest] = acknowledged else { panic!("two versions at least") };
+    let [.., old, newest] = acknowledged else {
+        panic!("two versions at least")
+    };
     let end = Instant::now() + LONG;
     // The route is there, its service has no host.
     while status_of(front, &format!("/v{newest}/")) != Some(503) {
@@ -206,15 +256,28 @@
 fn nothing_acknowledged_is_lost_whatever_befalls_the_processes() {
     let dir = tempfile::tempdir().unwrap();
     let fleet = fleet(dir.path());
-    let control: Vec<SocketAddr> = fleet.plan().controls().into_iter().map(Into::into).collect();
-    let members = Members { control: control.clone(), wait: SECOND };
+    let control: Vec<SocketAddr> = fleet
+        .plan()
+        .controls()
+        .into_iter()
+        .map(Into::into)
+        .collect();
+    let members = Members {
+        control: control.clone(),
+        wait: SECOND,
+    };
     let (acknowledged, events) = channel();
     let stop = Arc::new(AtomicBool::new(false));
     let sender = {
         let (stop, control) = (stop.clone(), control.clone());
         std::thread::spawn(move || send(control, &stop, &acknowledged))
     };
-    let mut story = Story { fleet, members, events, acknowledged: Vec::new() };
+    let mut story = Story {
+        fleet,
+        members,
+        events,
+        acknowledged: Vec::new(),
+    };
 
     // Each trouble at the primary and at another member.
     for round in 0..6 {
@@ -223,9 +286,15 @@
             // Changed settings: all go on. (One that the system has only just made doesn't take signals yet.)
             story.all_listen();
             let names: Vec<String> = story.fleet.names().into_iter().map(str::to_owned).collect();
-            names.iter().for_each(|name| story.signal(name, Signal::HUP));
+            names
+                .iter()
+                .for_each(|name| story.signal(name, Signal::HUP));
         }
-        let target = if round % 2 == 0 { primary } else { primary % 3 + 1 };
+        let target = if round % 2 == 0 {
+            primary
+        } else {
+            primary % 3 + 1
+        };
         story.befall(round / 2, target);
         match round {
             1 => story.fleet.start(Program::Agent, 1, false).unwrap(),
@@ -241,7 +310,10 @@
     sender.join().unwrap();
     story.acknowledged.extend(story.events.try_iter());
     println!("{} configurations acknowledged", story.acknowledged.len());
-    assert!(story.acknowledged.windows(2).all(|w| w[0] < w[1]), "each is taken once, in order");
+    assert!(
+        story.acknowledged.windows(2).all(|w| w[0] < w[1]),
+        "each is taken once, in order"
+    );
 
     let newest = *story.acknowledged.last().unwrap();
     for front in story.fleet.plan().fronts() {
@@ -255,8 +327,15 @@
         story.fleet.start(Program::ControlPlane, n, false).unwrap();
     }
     for member in control {
-        let read = Call { name: "Configuration.Read", ..Call::default() };
+        let read = Call {
+            name: "Configuration.Read",
+            ..Call::default()
+        };
         let answer = until_clear(&mut [member], &read);
-        assert_eq!(String::from_utf8(answer.body).unwrap(), whole(newest), "read back at {member}");
+        assert_eq!(
+            String::from_utf8(answer.body).unwrap(),
+            whole(newest),
+            "read back at {member}"
+        );
     }
 }
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -10,18 +10,41 @@
 const EPOCH: u64 = (3 << 20) | 1;
 
 fn voter(id: u64) -> MemberInfo {
-    let addr = Addr { ip: 0x7f0d_0000 + id as u32, port: 23_000 };
+    let addr = Addr {
+        ip: 0x7f0d_0000 + id as u32,
+        port: 23_000,
+    };
     let name = format!("core-{id}");
-    MemberInfo { id, name, addr, control: addr, zone: format!("z{id}"), region: "r".into() }
+    MemberInfo {
+        id,
+        name,
+        addr,
+        control: addr,
+        zone: format!("z{id}"),
+        region: "r".into(),
+    }
 }
 
 /// The folder of member `id` of three, of which 1 and 2 are replicas.
 fn member(dir: &Path, id: u64, epoch: u64) {
     let voters: Vec<MemberInfo> = (1..=3).map(voter).collect();
-    let view = View { epoch, primary: 1, replicas: vec![1, 2], voters: voters.clone(), before: voters };
+    let view = View {
+        epoch,
+        primary: 1,
+        replicas: vec![1, 2],
+        voters: voters.clone(),
+        before: voters,
+    };
     let snapshot = Some(Snapshot::default()).filter(|_| id < 3);
-    let records = [Record::Promised { epoch }, Record::Accepted { view, snapshot }];
-    let identity = Identity { id, life: 7, ..Identity::default() };
+    let records = [
+        Record::Promised { epoch },
+        Record::Accepted { view, snapshot },
+    ];
+    let identity = Identity {
+        id,
+        life: 7,
+        ..Identity::default()
+    };
     std::fs::create_dir_all(dir).unwrap();
     let write = |name: &str, records: &[Vec<u8>]| {
         let all: Vec<&[u8]> = records.iter().map(Vec::as_slice).collect();
@@ -29,12 +52,24 @@
     };
     write("identity", &[protocol::write_one(&identity)]);
     let owner = protocol::write_one(&LedgerOwner { identity });
-    write("ledger", &[vec![owner], records.map(|r| protocol::write_one(&r)).to_vec()].concat());
+    write(
+        "ledger",
+        &[
+            vec![owner],
+            records.map(|r| protocol::write_one(&r)).to_vec(),
+        ]
+        .concat(),
+    );
 }
 
 fn recover(arguments: &[&str], dir: &Path) -> Output {
     let program = env!("CARGO_BIN_EXE_fennelpin-cli");
-    Command::new(program).args(["store", "recover"]).args(arguments).arg(dir).output().unwrap()
+    Command::new(program)
+        .args(["store", "recover"])
+        .args(arguments)
+        .arg(dir)
+        .output()
+        .unwrap()
 }
 
 fn errors(output: &Output) -> String {
@@ -62,40 +97,85 @@
     let output = recover(&["--stopped", "--lost", "core-1,core-3"], &dir);
     assert_eq!(output.status.code(), Some(0), "{}", errors(&output));
     let told = String::from_utf8_lossy(&output.stdout);
-    assert!(told.contains("given up: core-1") && told.contains("given up: core-3"), "{told}");
+    assert!(
+        told.contains("given up: core-1") && told.contains("given up: core-3"),
+        "{told}"
+    );
     let identity = latest(&records(&dir, "identity")).unwrap().unwrap();
     assert!(identity.id != 2 && identity.initial_voters.is_empty());
     let found = FoundLedger::of(records(&dir, "ledger"));
     assert_eq!(found.owner.map(|o| o.id), Some(identity.id));
     let ledger = found.records;
-    assert!(latest_view(&ledger) > EPOCH << 20, "no election of the old members reaches it");
+    assert!(
+        latest_view(&ledger) > EPOCH << 20,
+        "no election of the old members reaches it"
+    );
     let alone = ledger.iter().any(|r| match protocol::read_one(r) {
-        Ok(Record::Accepted { view, .. }) => view.voters.len() == 1 && view.voters[0].id == identity.id,
+        Ok(Record::Accepted { view, .. }) => {
+            view.voters.len() == 1 && view.voters[0].id == identity.id
+        }
         _ => false,
     });
     assert!(alone);
-    assert!(dir.join("ledger.before-recovery").exists() && dir.join("identity.before-recovery").exists());
+    assert!(
+        dir.join("ledger.before-recovery").exists()
+            && dir.join("identity.before-recovery").exists()
+    );
     // Once is enough: the new one has nobody to give up.
-    refused(&dir, &["--stopped", "--lost", "core-1,core-3"], 3, "--lost has to name");
+    refused(
+        &dir,
+        &["--stopped", "--lost", "core-1,core-3"],
+        3,
+        "--lost has to name",
+    );
 }
 
 #[test]
 fn what_is_not_sure_is_refused() {
     let root = tempfile::tempdir().unwrap();
-    let (replica, witness, later) = (root.path().join("2"), root.path().join("3"), root.path().join("1"));
+    let (replica, witness, later) = (
+        root.path().join("2"),
+        root.path().join("3"),
+        root.path().join("1"),
+    );
     member(&replica, 2, EPOCH);
     member(&witness, 3, EPOCH);
     member(&later, 1, EPOCH + (1 << 20));
     let all = ["--stopped", "--lost", "core-1,core-3"];
     refused(&replica, &all[1..], 2, "--stopped");
     refused(&replica, &["--stopped"], 3, "core-1,core-3");
-    refused(&replica, &["--stopped", "--lost", "core-1"], 3, "core-1,core-3");
-    refused(&replica, &["--stopped", "--lost", "core-1,core-2,core-3"], 3, "core-1,core-3");
-    refused(&witness, &["--stopped", "--lost", "core-1,core-2"], 3, "it is no replica");
+    refused(
+        &replica,
+        &["--stopped", "--lost", "core-1"],
+        3,
+        "core-1,core-3",
+    );
+    refused(
+        &replica,
+        &["--stopped", "--lost", "core-1,core-2,core-3"],
+        3,
+        "core-1,core-3",
+    );
+    refused(
+        &witness,
+        &["--stopped", "--lost", "core-1,core-2"],
+        3,
+        "it is no replica",
+    );
     let other = later.to_string_lossy().into_owned();
-    refused(&replica, &[&all[..], &["--other", &other]].concat(), 3, "knows a later view");
+    refused(
+        &replica,
+        &[&all[..], &["--other", &other]].concat(),
+        3,
+        "knows a later view",
+    );
     let other = witness.to_string_lossy().into_owned();
-    assert_eq!(recover(&[&all[..], &["--other", &other]].concat(), &replica).status.code(), Some(0));
+    assert_eq!(
+        recover(&[&all[..], &["--other", &other]].concat(), &replica)
+            .status
+            .code(),
+        Some(0)
+    );
 }
 
 #[test]
@@ -115,6 +195,10 @@
     std::fs::write(&path, &bytes).unwrap();
     let output = recover(&["--stopped", "--lost", "core-1,core-3"], &dir);
     assert_eq!(output.status.code(), Some(1), "{}", errors(&output));
-    assert!(errors(&output).contains("'ledger' doesn't open"), "{}", errors(&output));
+    assert!(
+        errors(&output).contains("'ledger' doesn't open"),
+        "{}",
+        errors(&output)
+    );
     assert_eq!(std::fs::read(&path).unwrap(), bytes);
 }
--- a/crates/fennelpin-cli/tests/settings.rs
+++ b/crates/fennelpin-cli/tests/settings.rs
@@ -35,7 +35,12 @@
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            tokio::spawn(replication::serve(stream, Vec::new(), shared.clone(), |_| ()));
+            tokio::spawn(replication::serve(
+                stream,
+                Vec::new(),
+                shared.clone(),
+                |_| (),
+            ));
         }
     });
 }
@@ -56,7 +61,10 @@
 }
 
 async fn until(views: &mut watch::Receiver<Arc<Snapshot>>, version: u64) {
-    timeout(LONG, views.wait_for(|v| v.document.version == version)).await.expect("it comes").unwrap();
+    timeout(LONG, views.wait_for(|v| v.document.version == version))
+        .await
+        .expect("it comes")
+        .unwrap();
 }
 
 /// The settings change from one member to another, which alone has the second version.
@@ -75,7 +83,12 @@
     let file = dir.path().join("boot.json");
     let write = |seed: &str, modified: std::time::SystemTime| {
         std::fs::write(&file, text(seed)).unwrap();
-        std::fs::File::options().append(true).open(&file).unwrap().set_modified(modified).unwrap();
+        std::fs::File::options()
+            .append(true)
+            .open(&file)
+            .unwrap()
+            .set_modified(modified)
+            .unwrap();
     };
     let start = std::time::SystemTime::now();
     write(ips[0], start);
@@ -88,7 +101,11 @@
     if hang_up {
         write(ips[1], start);
         let pid = std::process::id().to_string();
-        assert!(std::process::Command::new("kill").args(["-HUP", &pid]).status().unwrap().success());
+        assert!(std::process::Command::new("kill")
+            .args(["-HUP", &pid])
+            .status()
+            .unwrap()
+            .success());
     } else {
         write(ips[1], start + Duration::from_secs(5));
     }
@@ -97,12 +114,16 @@
 
 #[tokio::test]
 async fn a_change_of_the_settings_file_brings_other_seeds() {
-    LocalSet::new().run_until(other_seeds(["127.0.0.4", "127.0.0.5"], false)).await;
+    LocalSet::new()
+        .run_until(other_seeds(["127.0.0.4", "127.0.0.5"], false))
+        .await;
 }
 
 #[tokio::test]
 async fn the_signal_for_changed_settings_brings_other_seeds() {
-    LocalSet::new().run_until(other_seeds(["127.0.0.10", "127.0.0.11"], true)).await;
+    LocalSet::new()
+        .run_until(other_seeds(["127.0.0.10", "127.0.0.11"], true))
+        .await;
 }
 
 /// A file that can't be read changes nothing; once it can, it counts.
@@ -121,12 +142,25 @@
         std::fs::write(&file, &text("127.0.0.3")[..40]).unwrap();
         let mut seeds = follow_seeds(file.clone(), &boot).unwrap();
         tokio::time::pause();
-        assert!(timeout(Duration::from_secs(9), seeds.changed()).await.is_err(), "nothing is known yet");
+        assert!(
+            timeout(Duration::from_secs(9), seeds.changed())
+                .await
+                .is_err(),
+            "nothing is known yet"
+        );
         // Whatever its time says: it is looked at until it has been read.
         let old = std::fs::metadata(&file).unwrap().modified().unwrap();
         std::fs::write(&file, text("127.0.0.3")).unwrap();
-        std::fs::File::options().append(true).open(&file).unwrap().set_modified(old).unwrap();
-        timeout(LONG, seeds.changed()).await.expect("it comes").unwrap();
+        std::fs::File::options()
+            .append(true)
+            .open(&file)
+            .unwrap()
+            .set_modified(old)
+            .unwrap();
+        timeout(LONG, seeds.changed())
+            .await
+            .expect("it comes")
+            .unwrap();
         assert_eq!(*seeds.borrow(), ["127.0.0.3:9".parse().unwrap()]);
     };
     LocalSet::new().run_until(follow).await;
--- a/crates/fennelpin-cli/tests/signals.rs
+++ b/crates/fennelpin-cli/tests/signals.rs
@@ -19,12 +19,21 @@
 fn settings(program: Program, dir: &Path) -> (Value, SocketAddr) {
     // Each program has an address of its own.
     let ip = Ipv4Addr::new(127, 19, std::process::id() as u8, 1 + program as u8);
-    let port = TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap().port().min(65_000);
+    let port = TcpListener::bind((ip, 0))
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .port()
+        .min(65_000);
     let at = |offset: u16| SocketAddr::from((ip, port + offset));
     let (name, listens, bind) = match program {
         Program::ControlPlane => ("control-plane", at(6), json!({"control": at(6)})),
         Program::Agent => ("agent", at(1), json!({"agent": at(1)})),
-        Program::Proxy => ("proxy", at(7), json!({"front": at(7), "readiness": at(8), "agent": at(1)})),
+        Program::Proxy => (
+            "proxy",
+            at(7),
+            json!({"front": at(7), "readiness": at(8), "agent": at(1)}),
+        ),
     };
     let settings = json!({"role": name, "node_name": "n", "zone": "a", "ip_addr": ip, "bind": bind,
         "port_range": [port, port + 5], "state_dir": dir.join("disk")});
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -76,12 +76,18 @@
             Part::Done => Ok(Step::End),
             Part::Data(_) if input.is_empty() => Ok(Step::More),
             Part::Data(left) => {
-                let n = usize::try_from(*left).unwrap_or(usize::MAX).min(input.len());
+                let n = usize::try_from(*left)
+                    .unwrap_or(usize::MAX)
+                    .min(input.len());
                 if self.framing != Framing::UntilEnd {
                     *left -= n as u64;
                 }
                 if *left == 0 {
-                    self.part = if self.framing == Framing::Chunked { Part::DataEnd } else { Part::Done };
+                    self.part = if self.framing == Framing::Chunked {
+                        Part::DataEnd
+                    } else {
+                        Part::Done
+                    };
                 }
                 Ok(Step::Data(n))
             }
@@ -95,7 +101,11 @@
             },
             Part::Size => match chunk_size(input)? {
                 Some((n, size)) => {
-                    self.part = if size == 0 { Part::Trailer(0) } else { Part::Data(size) };
+                    self.part = if size == 0 {
+                        Part::Trailer(0)
+                    } else {
+                        Part::Data(size)
+                    };
                     Ok(Step::Frame(n))
                 }
                 None => Ok(Step::More),
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -13,13 +13,19 @@
     /// The place of `part` in `base`, which it was cut from.
     pub(crate) fn of(base: &[u8], part: &[u8]) -> Span {
         // Both come from one buffer; for an empty part the place does not matter.
-        Span { at: (part.as_ptr() as usize).saturating_sub(base.as_ptr() as usize), len: part.len() }
+        Span {
+            at: (part.as_ptr() as usize).saturating_sub(base.as_ptr() as usize),
+            len: part.len(),
+        }
     }
 }
 
 /// The places of names and values of parsed fields.
 pub(crate) fn spans(base: &[u8], headers: &[httparse::Header]) -> Vec<(Span, Span)> {
-    headers.iter().map(|h| (Span::of(base, h.name.as_bytes()), Span::of(base, h.value))).collect()
+    headers
+        .iter()
+        .map(|h| (Span::of(base, h.name.as_bytes()), Span::of(base, h.value)))
+        .collect()
 }
 
 /// The fields of a head, in order and in their own case.
@@ -32,27 +38,37 @@
 impl Fields {
     /// The bytes at a place in the head.
     pub(crate) fn span(&self, span: Span) -> &[u8] {
-        self.raw.get(span.at..span.at + span.len).unwrap_or_default()
+        self.raw
+            .get(span.at..span.at + span.len)
+            .unwrap_or_default()
     }
 
     /// All fields: names and values.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
-        self.spans.iter().map(|(n, v)| (self.span(*n), self.span(*v)))
+        self.spans
+            .iter()
+            .map(|(n, v)| (self.span(*n), self.span(*v)))
     }
 
     /// The value of the first field of this name, in any case.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
-        self.iter().find(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).map(|(_, v)| v)
+        self.iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
+            .map(|(_, v)| v)
     }
 
     /// The value of the first field of this name as text.
     pub fn text(&self, name: &str) -> Option<&str> {
-        self.get(name).and_then(|v| std::str::from_utf8(v).ok()).map(str::trim)
+        self.get(name)
+            .and_then(|v| std::str::from_utf8(v).ok())
+            .map(str::trim)
     }
 
     /// The values of all fields of this name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        self.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).map(|(_, v)| v)
+        self.iter()
+            .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
+            .map(|(_, v)| v)
     }
 
     /// Whether a list field of this name holds the token.
@@ -75,7 +91,9 @@
             "transfer-encoding",
             "upgrade",
         ];
-        NAMES.iter().any(|n| name.eq_ignore_ascii_case(n.as_bytes()))
+        NAMES
+            .iter()
+            .any(|n| name.eq_ignore_ascii_case(n.as_bytes()))
             || std::str::from_utf8(name).is_ok_and(|n| self.has_token("connection", n))
     }
 }
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -34,11 +34,16 @@
             }
             _ => return syntax("transfer-encoding"),
         }
-        let Some(length) = length else { return Ok(None) };
+        let Some(length) = length else {
+            return Ok(None);
+        };
         if length.is_empty() || !length.iter().all(u8::is_ascii_digit) {
             return syntax("content-length");
         }
-        match std::str::from_utf8(length).ok().and_then(|l| l.parse().ok()) {
+        match std::str::from_utf8(length)
+            .ok()
+            .and_then(|l| l.parse().ok())
+        {
             Some(n) => Ok(Some(Framing::Length(n))),
             None => Err(Malformed::LengthTooLarge),
         }
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -5,7 +5,9 @@
 
 /// Whether each line ends with CR and LF: a lone LF ends a line for some readers and not for others.
 pub(crate) fn lines_end_with_crlf(head: &[u8]) -> bool {
-    head.iter().enumerate().all(|(at, byte)| *byte != b'\n' || (at > 0 && head.get(at - 1) == Some(&b'\r')))
+    head.iter()
+        .enumerate()
+        .all(|(at, byte)| *byte != b'\n' || (at > 0 && head.get(at - 1) == Some(&b'\r')))
 }
 
 /// The part of a head that stands at the front of some bytes: its length, and how to read it from them.
--- a/crates/http1/src/limits.rs
+++ b/crates/http1/src/limits.rs
@@ -10,11 +10,17 @@
 }
 
 /// The widest bounds on fields, and the usual ones on bytes.
-pub const MOST: HeadLimits = HeadLimits { bytes: 16 * 1024, fields: 96 };
+pub const MOST: HeadLimits = HeadLimits {
+    bytes: 16 * 1024,
+    fields: 96,
+};
 
 impl HeadLimits {
     /// So many bytes, and as many fields as can be.
     pub const fn bytes(bytes: usize) -> Self {
-        Self { bytes, fields: MOST.fields }
+        Self {
+            bytes,
+            fields: MOST.fields,
+        }
     }
 }
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -30,7 +30,9 @@
 fn request(input: &[u8], most: HeadLimits) -> Found<RequestParts> {
     let mut slots = [httparse::EMPTY_HEADER; MOST.fields];
     let mut head = httparse::Request::new(slots.get_mut(..most.fields).unwrap_or_default());
-    let Some(n) = found(head.parse(input), input.len(), most, "request")? else { return Ok(None) };
+    let Some(n) = found(head.parse(input), input.len(), most, "request")? else {
+        return Ok(None);
+    };
     let parts = RequestParts {
         method: Span::of(input, head.method.unwrap_or_default().as_bytes()),
         target: Span::of(input, head.path.unwrap_or_default().as_bytes()),
@@ -42,10 +44,21 @@
 
 impl RequestHead {
     fn of(parts: RequestParts, raw: Bytes) -> Result<Self, Malformed> {
-        let RequestParts { method, target, minor, spans } = parts;
+        let RequestParts {
+            method,
+            target,
+            minor,
+            spans,
+        } = parts;
         let fields = Fields { raw, spans };
         let framing = Framing::of(&fields)?;
-        Ok(Self { method, target, minor, fields, framing })
+        Ok(Self {
+            method,
+            target,
+            minor,
+            fields,
+            framing,
+        })
     }
 
     /// Reads a head at the front of `input`, with its length; `None` where more has to come.
@@ -53,7 +66,9 @@
     /// # Errors
     /// Where it is no head, is framed in two ways, or is larger than `most`.
     pub fn read(input: &[u8], most: HeadLimits) -> Result<Option<(Self, usize)>, Malformed> {
-        let Some((n, parts)) = request(input, most)? else { return Ok(None) };
+        let Some((n, parts)) = request(input, most)? else {
+            return Ok(None);
+        };
         let raw = Bytes::copy_from_slice(input.get(..n).unwrap_or_default());
         Ok(Some((Self::of(parts, raw)?, n)))
     }
@@ -65,7 +80,9 @@
     /// As [`RequestHead::read`], and where a line ends with a lone LF, it names two hosts, an old version has chunks, or the target is none
     /// that a server is asked for.
     pub fn take(buf: &mut BytesMut, most: HeadLimits) -> Result<Option<Self>, Malformed> {
-        let Some((n, parts)) = request(buf, most)? else { return Ok(None) };
+        let Some((n, parts)) = request(buf, most)? else {
+            return Ok(None);
+        };
         let head = Self::of(parts, buf.split_to(n).freeze())?;
         if !lines_end_with_crlf(&head.fields.raw) {
             return syntax("line");
@@ -99,13 +116,18 @@
 
     /// The path.
     pub fn path(&self) -> &[u8] {
-        self.target().split(|b| *b == b'?').next().unwrap_or_default()
+        self.target()
+            .split(|b| *b == b'?')
+            .next()
+            .unwrap_or_default()
     }
 
     /// The host asked for, without its port.
     pub fn host(&self) -> Option<&str> {
         let named = authority(self.fields.span(self.target)).map(|(host, _)| host);
-        let host = std::str::from_utf8(named.or_else(|| self.fields.get("host"))?).ok()?.trim();
+        let host = std::str::from_utf8(named.or_else(|| self.fields.get("host"))?)
+            .ok()?
+            .trim();
         Some(
             host.rsplit_once(':')
                 .filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit()))
@@ -124,6 +146,14 @@
 
 /// Authority and rest of a target in absolute form.
 fn authority(target: &[u8]) -> Option<(&[u8], &[u8])> {
-    let rest = target.strip_prefix(b"http://").or_else(|| target.strip_prefix(b"https://"))?;
-    Some(rest.split_at(rest.iter().position(|b| *b == b'/' || *b == b'?').unwrap_or(rest.len())))
+    let rest = target
+        .strip_prefix(b"http://")
+        .or_else(|| target.strip_prefix(b"https://"))?;
+    Some(
+        rest.split_at(
+            rest.iter()
+                .position(|b| *b == b'/' || *b == b'?')
+                .unwrap_or(rest.len()),
+        ),
+    )
 }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -31,7 +31,9 @@
 fn response(input: &[u8], most: HeadLimits) -> Found<ResponseParts> {
     let mut slots = [httparse::EMPTY_HEADER; MOST.fields];
     let mut head = httparse::Response::new(slots.get_mut(..most.fields).unwrap_or_default());
-    let Some(n) = found(head.parse(input), input.len(), most, "response")? else { return Ok(None) };
+    let Some(n) = found(head.parse(input), input.len(), most, "response")? else {
+        return Ok(None);
+    };
     let parts = ResponseParts {
         status: head.code.unwrap_or_default(),
         reason: Span::of(input, head.reason.unwrap_or_default().as_bytes()),
@@ -43,14 +45,25 @@
 
 impl ResponseHead {
     fn of(parts: ResponseParts, raw: Bytes, to_head: bool) -> Result<Self, Malformed> {
-        let ResponseParts { status, reason, minor, spans } = parts;
+        let ResponseParts {
+            status,
+            reason,
+            minor,
+            spans,
+        } = parts;
         let fields = Fields { raw, spans };
         let framing = match status {
             100..=199 | 204 | 304 => Framing::Length(0),
             _ if to_head => Framing::Length(0),
             _ => Framing::of(&fields)?.unwrap_or(Framing::UntilEnd),
         };
-        Ok(Self { status, reason, minor, fields, framing })
+        Ok(Self {
+            status,
+            reason,
+            minor,
+            fields,
+            framing,
+        })
     }
 
     /// Reads a head at the front of `input`, with its length; `None` where more has to come. `to_head` says that
@@ -58,8 +71,14 @@
     ///
     /// # Errors
     /// Where it is no head, is framed in two ways, or is larger than `most`.
-    pub fn read(input: &[u8], most: HeadLimits, to_head: bool) -> Result<Option<(Self, usize)>, Malformed> {
-        let Some((n, parts)) = response(input, most)? else { return Ok(None) };
+    pub fn read(
+        input: &[u8],
+        most: HeadLimits,
+        to_head: bool,
+    ) -> Result<Option<(Self, usize)>, Malformed> {
+        let Some((n, parts)) = response(input, most)? else {
+            return Ok(None);
+        };
         let raw = Bytes::copy_from_slice(input.get(..n).unwrap_or_default());
         Ok(Some((Self::of(parts, raw, to_head)?, n)))
     }
@@ -68,8 +87,14 @@
     ///
     /// # Errors
     /// As [`ResponseHead::read`], and where a line ends with a lone LF.
-    pub fn take(buf: &mut BytesMut, most: HeadLimits, to_head: bool) -> Result<Option<Self>, Malformed> {
-        let Some((n, parts)) = response(buf, most)? else { return Ok(None) };
+    pub fn take(
+        buf: &mut BytesMut,
+        most: HeadLimits,
+        to_head: bool,
+    ) -> Result<Option<Self>, Malformed> {
+        let Some((n, parts)) = response(buf, most)? else {
+            return Ok(None);
+        };
         let head = Self::of(parts, buf.split_to(n).freeze(), to_head)?;
         match lines_end_with_crlf(&head.fields.raw) {
             true => Ok(Some(head)),
--- a/crates/http1/tests/parsing.rs
+++ b/crates/http1/tests/parsing.rs
@@ -45,7 +45,11 @@
 #[case("GET / HTTP/1.1\r\nHost: a\r\n\n")]
 #[case("GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n")]
 fn what_is_no_request_is_refused(#[case] text: &str) {
-    assert!(matches!(request(text), Err(Malformed::Syntax { .. })), "{:?}", request(text));
+    assert!(
+        matches!(request(text), Err(Malformed::Syntax { .. })),
+        "{:?}",
+        request(text)
+    );
 }
 
 #[test]
@@ -57,16 +61,32 @@
     let mut buf = BytesMut::from(format!("{text}GET").as_str());
     assert!(RequestHead::take(&mut buf, MOST).unwrap().is_some());
     assert_eq!(&buf[..], b"GET", "what follows stays");
-    assert_eq!(request(&format!("GET /{} ", "a".repeat(1024))).unwrap_err(), Malformed::TooLarge);
+    assert_eq!(
+        request(&format!("GET /{} ", "a".repeat(1024))).unwrap_err(),
+        Malformed::TooLarge
+    );
     let many = "X: 1\r\n".repeat(120);
-    assert_eq!(request(&format!("GET / HTTP/1.1\r\n{many}\r\n")).unwrap_err(), Malformed::TooLarge);
+    assert_eq!(
+        request(&format!("GET / HTTP/1.1\r\n{many}\r\n")).unwrap_err(),
+        Malformed::TooLarge
+    );
     let huge = "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n";
     assert_eq!(request(huge).unwrap_err(), Malformed::LengthTooLarge);
 }
 
 #[rstest]
-#[case("GET /a/b?c=/d HTTP/1.1\r\nHost: x:80\r\n\r\n", "/a/b?c=/d", "/a/b", Some("x"))]
-#[case("GET http://y:1/a?b HTTP/1.1\r\nHost: x\r\n\r\n", "/a?b", "/a", Some("y"))]
+#[case(
+    "GET /a/b?c=/d HTTP/1.1\r\nHost: x:80\r\n\r\n",
+    "/a/b?c=/d",
+    "/a/b",
+    Some("x")
+)]
+#[case(
+    "GET http://y:1/a?b HTTP/1.1\r\nHost: x\r\n\r\n",
+    "/a?b",
+    "/a",
+    Some("y")
+)]
 #[case("GET http://y HTTP/1.1\r\nHost: x\r\n\r\n", "/", "/", Some("y"))]
 #[case("GET / HTTP/1.1\r\n\r\n", "/", "/", None)]
 fn target_path_and_host(
@@ -78,7 +98,10 @@
     let absolute = request(text);
     // Absolute form is only taken where the target begins so.
     let head = absolute.unwrap().unwrap();
-    assert_eq!((head.target(), head.path(), head.host()), (target.as_bytes(), path.as_bytes(), host));
+    assert_eq!(
+        (head.target(), head.path(), head.host()),
+        (target.as_bytes(), path.as_bytes(), host)
+    );
 }
 
 #[rstest]
@@ -87,15 +110,21 @@
 #[case("1.0", "", false)]
 #[case("1.0", "Connection: keep-alive\r\n", true)]
 fn whether_the_connection_stays(#[case] version: &str, #[case] fields: &str, #[case] stays: bool) {
-    assert_eq!(good(&format!("GET / HTTP/{version}\r\n{fields}\r\n")).keeps_alive(), stays);
+    assert_eq!(
+        good(&format!("GET / HTTP/{version}\r\n{fields}\r\n")).keeps_alive(),
+        stays
+    );
     let answer = format!("HTTP/{version} 200 OK\r\nContent-Length: 0\r\n{fields}\r\n");
-    let answer = ResponseHead::take(&mut BytesMut::from(answer.as_str()), MOST, false).unwrap().unwrap();
+    let answer = ResponseHead::take(&mut BytesMut::from(answer.as_str()), MOST, false)
+        .unwrap()
+        .unwrap();
     assert_eq!(answer.keeps_alive(), stays);
 }
 
 #[test]
 fn fields_of_one_connection() {
-    let head = good("GET / HTTP/1.1\r\nConnection: keep-alive, X-Own\r\nx-own: 1\r\nOther: 2\r\n\r\n");
+    let head =
+        good("GET / HTTP/1.1\r\nConnection: keep-alive, X-Own\r\nx-own: 1\r\nOther: 2\r\n\r\n");
     let hop = |n: &str| head.fields.hop_by_hop(n.as_bytes());
     assert!(hop("connection") && hop("X-OWN") && hop("TE") && hop("Transfer-Encoding"));
     assert!(!hop("Other") && !hop("Host"));
@@ -112,7 +141,13 @@
 #[case("100 Continue\r\n", false, Framing::Length(0))]
 fn how_an_answer_is_framed(#[case] text: &str, #[case] to_head: bool, #[case] framing: Framing) {
     let mut buf = BytesMut::from(format!("HTTP/1.1 {text}\r\n").as_str());
-    assert_eq!(ResponseHead::take(&mut buf, MOST, to_head).unwrap().unwrap().framing, framing);
+    assert_eq!(
+        ResponseHead::take(&mut buf, MOST, to_head)
+            .unwrap()
+            .unwrap()
+            .framing,
+        framing
+    );
 }
 
 #[rstest]
@@ -166,11 +201,19 @@
     for cut in 0..=text.len() {
         let (a, b) = text.as_bytes().split_at(cut);
         let got = decode(framing, &[a, b]).unwrap().unwrap();
-        assert_eq!(got, (body.as_bytes().to_vec(), rest.as_bytes().to_vec()), "cut at {cut}");
+        assert_eq!(
+            got,
+            (body.as_bytes().to_vec(), rest.as_bytes().to_vec()),
+            "cut at {cut}"
+        );
     }
     let whole = text.len() - rest.len();
     for n in 0..whole {
-        assert_eq!(decode(framing, &[&text.as_bytes()[..n]]).unwrap(), None, "cut short at {n}");
+        assert_eq!(
+            decode(framing, &[&text.as_bytes()[..n]]).unwrap(),
+            None,
+            "cut short at {n}"
+        );
     }
 }
 
@@ -196,14 +239,20 @@
 #[case("-1\r\n")]
 #[case("fffffffffffffffff\r\n")]
 fn chunks_that_are_none(#[case] text: &str) {
-    assert!(matches!(decode(Framing::Chunked, &[text.as_bytes()]), Err(Malformed::Syntax { .. })));
+    assert!(matches!(
+        decode(Framing::Chunked, &[text.as_bytes()]),
+        Err(Malformed::Syntax { .. })
+    ));
 }
 
 #[test]
 fn lines_of_chunks_and_trailers_have_a_limit() {
     let long = "x".repeat(5000);
-    for text in [format!("1;{long}"), format!("0\r\nT: {long}"), "0\r\n".to_owned() + &"T: 1\r\n".repeat(900)]
-    {
+    for text in [
+        format!("1;{long}"),
+        format!("0\r\nT: {long}"),
+        "0\r\n".to_owned() + &"T: 1\r\n".repeat(900),
+    ] {
         assert!(decode(Framing::Chunked, &[text.as_bytes()]).is_err());
     }
 }
@@ -212,6 +261,9 @@
 fn a_body_that_ends_with_its_connection() {
     let mut body = Body::new(Framing::UntilEnd);
     assert!(body.ends_with_connection());
-    assert_eq!(body.take(&mut BytesMut::from("abc")).unwrap(), Piece::Data("abc".into()));
+    assert_eq!(
+        body.take(&mut BytesMut::from("abc")).unwrap(),
+        Piece::Data("abc".into())
+    );
     assert_eq!(body.take(&mut BytesMut::new()).unwrap(), Piece::More);
 }
--- a/crates/idle-list/src/lib.rs
+++ b/crates/idle-list/src/lib.rs
@@ -30,12 +30,21 @@
 impl<K: Ord + Copy> IdleList<K> {
     /// An empty list whose records expire `age` after they were made.
     pub fn new(age: Duration) -> Self {
-        Self { records: BTreeMap::new(), age }
+        Self {
+            records: BTreeMap::new(),
+            age,
+        }
     }
 
     /// Lists a server with so many entries, in place of what was there; 0 puts it on record as busy.
     pub fn list(&mut self, now: Duration, server: K, entries: u32) {
-        self.records.insert(server, Record { entries, listed: now });
+        self.records.insert(
+            server,
+            Record {
+                entries,
+                listed: now,
+            },
+        );
     }
 
     /// Strikes one entry of a server off; whether there was one.
@@ -74,10 +83,15 @@
     pub fn idle(&self, now: Duration) -> impl Iterator<Item = K> + '_ {
         let age = self.age;
         let fresh = move |r: &Record| r.entries > 0 && now.saturating_sub(r.listed) <= age;
-        self.records.iter().filter(move |(_, r)| fresh(r)).map(|(k, _)| *k)
+        self.records
+            .iter()
+            .filter(move |(_, r)| fresh(r))
+            .map(|(k, _)| *k)
     }
 
     fn live(&self, now: Duration, server: K) -> Option<&Record> {
-        self.records.get(&server).filter(|r| now.saturating_sub(r.listed) <= self.age)
+        self.records
+            .get(&server)
+            .filter(|r| now.saturating_sub(r.listed) <= self.age)
     }
 }
--- a/crates/load-test/src/arrivals.rs
+++ b/crates/load-test/src/arrivals.rs
@@ -22,7 +22,12 @@
         let low = 1.0 / (1.0 - busy + busy * ratio);
         // It starts as it would be found at any time.
         let state = usize::from(rng.random::<f64>() < busy);
-        let mut m = Self { rates: [low, low * ratio], lengths: [quiet_s, busy_s], state, until: 0.0 };
+        let mut m = Self {
+            rates: [low, low * ratio],
+            lengths: [quiet_s, busy_s],
+            state,
+            until: 0.0,
+        };
         m.until = m.length(rng);
         m
     }
@@ -46,7 +51,11 @@
     let mut walk = Walk::new(shapes, length_s);
     let mut all = Vec::new();
     let mut modulation = match process {
-        Arrivals::Bursty { ratio, busy_s, quiet_s } => Some(Modulation::new(ratio, busy_s, quiet_s, rng)),
+        Arrivals::Bursty {
+            ratio,
+            busy_s,
+            quiet_s,
+        } => Some(Modulation::new(ratio, busy_s, quiet_s, rng)),
         _ => None,
     };
     loop {
@@ -92,7 +101,12 @@
 
     fn draw(process: Arrivals, rate: f64, length_s: f64, seed: u64) -> Vec<f64> {
         let shapes = [Shape::Steady { rate }];
-        times(process, &shapes, length_s, &mut Pcg64Mcg::seed_from_u64(seed))
+        times(
+            process,
+            &shapes,
+            length_s,
+            &mut Pcg64Mcg::seed_from_u64(seed),
+        )
     }
 
     #[test]
@@ -113,27 +127,42 @@
         let mean = gaps.iter().sum::<f64>() / gaps.len() as f64;
         let square = gaps.iter().map(|g| g * g).sum::<f64>() / gaps.len() as f64;
         // Exponential: the mean of the squares is twice the square of the mean.
-        assert!((square / mean.powi(2) - 2.0).abs() < 0.05, "{}", square / mean.powi(2));
+        assert!(
+            (square / mean.powi(2) - 2.0).abs() < 0.05,
+            "{}",
+            square / mean.powi(2)
+        );
         let longer = gaps.iter().filter(|g| **g > 0.02).count() as f64 / gaps.len() as f64;
         assert!((longer - (-2.0f64).exp()).abs() < 0.005, "{longer}");
     }
 
     #[test]
     fn bursty_arrivals_have_the_mean_and_the_dispersion_of_their_closed_form() {
-        let process = Arrivals::Bursty { ratio: 5.0, busy_s: 0.5, quiet_s: 1.5 };
+        let process = Arrivals::Bursty {
+            ratio: 5.0,
+            busy_s: 0.5,
+            quiet_s: 1.5,
+        };
         let t = draw(process, 100.0, 20_000.0, 3);
         // Busy a quarter of the time at five times the quiet rate: 50 and 250 for a mean of 100.
         for window in [0.1, 1.0, 5.0] {
             let (mean, dispersion) = counts(&t, 20_000.0, window);
             let want = mmpp_dispersion([50.0, 250.0], [1.5, 0.5], window);
             assert!((mean / (100.0 * window) - 1.0).abs() < 0.02, "{mean}");
-            assert!((dispersion / want - 1.0).abs() < 0.08, "{window}: {dispersion} for {want}");
+            assert!(
+                (dispersion / want - 1.0).abs() < 0.08,
+                "{window}: {dispersion} for {want}"
+            );
         }
     }
 
     #[test]
     fn the_same_seed_gives_the_same_times_and_another_does_not() {
-        let process = Arrivals::Bursty { ratio: 3.0, busy_s: 1.0, quiet_s: 1.0 };
+        let process = Arrivals::Bursty {
+            ratio: 3.0,
+            busy_s: 1.0,
+            quiet_s: 1.0,
+        };
         assert_eq!(draw(process, 50.0, 20.0, 9), draw(process, 50.0, 20.0, 9));
         assert_ne!(draw(process, 50.0, 20.0, 9), draw(process, 50.0, 20.0, 10));
     }
--- a/crates/load-test/src/audit.rs
+++ b/crates/load-test/src/audit.rs
@@ -114,7 +114,12 @@
     let mut open: HashMap<u16, Vec<usize>> = HashMap::new();
     for e in events {
         match &e.what {
-            What::Arrived { name, shard, key, reference } => {
+            What::Arrived {
+                name,
+                shard,
+                key,
+                reference,
+            } => {
                 place.insert(e.attempt, all.len());
                 open.entry(e.host).or_default().push(all.len());
                 all.push(Attempt {
@@ -180,31 +185,50 @@
     let by_id: HashMap<u64, &Attempt> = attempts.iter().map(|a| (a.id, a)).collect();
     let mut by_try: HashMap<Ref, Vec<&Attempt>> = HashMap::new();
     for a in attempts {
-        a.reference.into_iter().for_each(|r| by_try.entry(r).or_default().push(a));
+        a.reference
+            .into_iter()
+            .for_each(|r| by_try.entry(r).or_default().push(a));
     }
     for t in e.queries.iter().flat_map(|q| &q.tries) {
         let mut add = |rule, what: String| {
-            found.push(Violation { rule, at: t.ended, query: Some(t.query), what });
+            found.push(Violation {
+                rule,
+                at: t.ended,
+                query: Some(t.query),
+                what,
+            });
         };
         let excused = t.sent == 0 || e.lives.excused(t.coordinator, t.sent, t.ended);
         let what = format!("try {} at coordinator {}", t.attempt, t.coordinator);
         match t.end {
             TryEnd::Closed | TryEnd::Cut | TryEnd::GaveUp | TryEnd::Unreadable if !excused => {
                 let after = (t.ended - t.sent) / 1000;
-                add(Rule::Lost, format!("{what}: {} {after} ms after it was sent", t.end.word()));
+                add(
+                    Rule::Lost,
+                    format!("{what}: {} {after} ms after it was sent", t.end.word()),
+                );
             }
             TryEnd::Served(_) | TryEnd::Refused | TryEnd::Failed(_) => {
                 let by = t.sent + t.wait_us + ANSWER_SLACK + slack;
                 if t.ended > by && !excused {
-                    add(Rule::Lost, format!("{what}: answered {} ms too late", (t.ended - by) / 1000));
+                    add(
+                        Rule::Lost,
+                        format!("{what}: answered {} ms too late", (t.ended - by) / 1000),
+                    );
                 }
             }
             _ => {}
         }
         if t.extra {
-            add(Rule::Twice, format!("{what}: bytes came that nobody asked for"));
+            add(
+                Rule::Twice,
+                format!("{what}: bytes came that nobody asked for"),
+            );
         }
-        let reference = Ref { query: t.query, attempt: t.attempt };
+        let reference = Ref {
+            query: t.query,
+            attempt: t.attempt,
+        };
         let mine = by_try.get(&reference).map_or(&[][..], |v| v);
         if let TryEnd::Served(full) = t.end {
             if let Some(why) = dishonest(e, t, full, mine, &by_id) {
@@ -237,28 +261,53 @@
     if said.windows(2).any(|p| p[0] == p[1]) {
         return Some("a part is in it twice".into());
     }
-    if let Some(s) = said.iter().find(|s| !q.parts.iter().any(|p| p.shard == **s)) {
+    if let Some(s) = said
+        .iter()
+        .find(|s| !q.parts.iter().any(|p| p.shard == **s))
+    {
         return Some(format!("shard {s} was never asked for"));
     }
     for s in &said {
-        let gave = |a: &&&Attempt| a.shard == *s && a.served.is_some_and(|at| at <= t.ended + slack);
+        let gave =
+            |a: &&&Attempt| a.shard == *s && a.served.is_some_and(|at| at <= t.ended + slack);
         if !mine.iter().any(|a| gave(&a)) {
-            return Some(format!("shard {s} is said to be in, but no host had given it"));
+            return Some(format!(
+                "shard {s} is said to be in, but no host had given it"
+            ));
         }
     }
     for v in &t.values {
-        let reference = Ref { query: t.query, attempt: t.attempt };
-        let real = by_id.get(v).is_some_and(|a| a.reference == Some(reference) && a.served.is_some());
+        let reference = Ref {
+            query: t.query,
+            attempt: t.attempt,
+        };
+        let real = by_id
+            .get(v)
+            .is_some_and(|a| a.reference == Some(reference) && a.served.is_some());
         if !real {
             return Some(format!("the value {v:016x} is of no host for this query"));
         }
     }
-    let weight: f64 = q.parts.iter().filter(|p| said.contains(&p.shard)).map(|p| p.weight).sum();
+    let weight: f64 = q
+        .parts
+        .iter()
+        .filter(|p| said.contains(&p.shard))
+        .map(|p| p.weight)
+        .sum();
     if full && said.len() < q.parts.len() {
-        return Some(format!("marked whole with {} of {} parts", said.len(), q.parts.len()));
+        return Some(format!(
+            "marked whole with {} of {} parts",
+            said.len(),
+            q.parts.len()
+        ));
     }
     let below = weight < class.floor - ROUNDING;
-    below.then(|| format!("given from {:.3} of the weight, under the floor of {}", weight, class.floor))
+    below.then(|| {
+        format!(
+            "given from {:.3} of the weight, under the floor of {}",
+            weight, class.floor
+        )
+    })
 }
 
 /// Overlap and attempts: part by part, from the hosts' events.
@@ -275,26 +324,51 @@
     for mine in by_part.values() {
         let query = mine[0].reference.map(|r| r.query);
         let what = format!("part {}.{}", mine[0].name, mine[0].shard);
-        let mut add = |rule, at, what| found.push(Violation { rule, at, query, what });
+        let mut add = |rule, at, what| {
+            found.push(Violation {
+                rule,
+                at,
+                query,
+                what,
+            })
+        };
         for pair in mine.windows(2) {
             let over = pair[0].end.map_or(Micros::MAX, |(at, _)| at);
             if over > pair[1].arrived + slack {
                 let (a, b) = (pair[0].host, pair[1].host);
-                add(Rule::Overlap, pair[1].arrived, format!("{what}: at host {b} while out at host {a}"));
+                add(
+                    Rule::Overlap,
+                    pair[1].arrived,
+                    format!("{what}: at host {b} while out at host {a}"),
+                );
             }
         }
         if let Some(a) = mine.get(e.scenario.limits.attempts as usize) {
             let most = e.scenario.limits.attempts;
-            add(Rule::Attempts, a.arrived, format!("{what}: {} attempts, {most} at most", mine.len()));
+            add(
+                Rule::Attempts,
+                a.arrived,
+                format!("{what}: {} attempts, {most} at most", mine.len()),
+            );
         }
-        let class = query.and_then(|q| e.plan.0.get(q as usize)).map(|q| usize::from(q.class));
-        let Some(class) = class.and_then(|c| e.scenario.classes.get(c)) else { continue };
-        let Some(first) = mine.iter().position(|a| a.may_have_run()) else { continue };
+        let class = query
+            .and_then(|q| e.plan.0.get(q as usize))
+            .map(|q| usize::from(q.class));
+        let Some(class) = class.and_then(|c| e.scenario.classes.get(c)) else {
+            continue;
+        };
+        let Some(first) = mine.iter().position(|a| a.may_have_run()) else {
+            continue;
+        };
         for a in &mine[first + 1..] {
             let late = a.arrived.saturating_sub(mine[first].arrived);
             match class.repeat {
                 RepeatName::Unsafe => {
-                    add(Rule::Attempts, a.arrived, format!("{what}: repeated though it may have run"));
+                    add(
+                        Rule::Attempts,
+                        a.arrived,
+                        format!("{what}: repeated though it may have run"),
+                    );
                 }
                 RepeatName::Keyed if late > (class.window_ms * 1e3) as u64 + slack => {
                     let late = late / 1000;
@@ -305,7 +379,11 @@
                     );
                 }
                 RepeatName::Keyed if a.key.is_none() => {
-                    add(Rule::Attempts, a.arrived, format!("{what}: repeated without its key"));
+                    add(
+                        Rule::Attempts,
+                        a.arrived,
+                        format!("{what}: repeated without its key"),
+                    );
                 }
                 _ => {}
             }
@@ -318,7 +396,9 @@
     let mut all: HashMap<(u16, u16), Vec<(Micros, Phase)>> = HashMap::new();
     for event in e.events {
         if let What::Told(phase) = event.what {
-            all.entry((event.coordinator, event.host)).or_default().push((event.at, phase));
+            all.entry((event.coordinator, event.host))
+                .or_default()
+                .push((event.at, phase));
         }
     }
     all
@@ -331,20 +411,39 @@
         let started = e.lives.started_before(a.coordinator, a.arrived);
         let news = told.get(&(a.coordinator, a.host)).map_or(&[][..], |v| v);
         // What an earlier process was told, this one does not know.
-        let known: Vec<_> = news.iter().filter(|(at, _)| (started..=a.arrived).contains(at)).collect();
+        let known: Vec<_> = news
+            .iter()
+            .filter(|(at, _)| (started..=a.arrived).contains(at))
+            .collect();
         // The first word that it is going since the last word that it is ready.
-        let going = known.iter().rev().take_while(|(_, p)| *p != Phase::Ready).last();
+        let going = known
+            .iter()
+            .rev()
+            .take_while(|(_, p)| *p != Phase::Ready)
+            .last();
         let Some((at, phase)) = going else { continue };
         // A coordinator that stood still had it read to it only afterwards.
         let stalls = e.lives.stalls(a.coordinator);
-        let heard =
-            stalls.iter().filter(|(from, to)| from <= at && at <= to).map(|s| s.1).max().unwrap_or(*at);
+        let heard = stalls
+            .iter()
+            .filter(|(from, to)| from <= at && at <= to)
+            .map(|s| s.1)
+            .max()
+            .unwrap_or(*at);
         if a.arrived > heard.saturating_add(DRAIN_GRACE + slack) {
             let late = (a.arrived - heard) / 1000;
             let query = a.reference.map(|r| r.query);
-            let what =
-                format!("host {}: a part {late} ms after the news that it is {}", a.host, phase.word());
-            found.push(Violation { rule: Rule::Drain, at: a.arrived, query, what });
+            let what = format!(
+                "host {}: a part {late} ms after the news that it is {}",
+                a.host,
+                phase.word()
+            );
+            found.push(Violation {
+                rule: Rule::Drain,
+                at: a.arrived,
+                query,
+                what,
+            });
         }
     }
 }
@@ -352,23 +451,38 @@
 fn cold(e: &Evidence, attempts: &[Attempt], found: &mut Vec<Violation>) {
     let told = told(e);
     for fell in e.events.iter().filter(|x| x.what == What::Fell) {
-        let up = e.events.iter().rev().find(|x| x.host == fell.host && x.what == What::Up && x.at <= fell.at);
+        let up = e
+            .events
+            .iter()
+            .rev()
+            .find(|x| x.host == fell.host && x.what == What::Up && x.at <= fell.at);
         let up = up.map_or(0, |x| x.at);
         // Who knew of its start, or counts as told of it.
         let knew = |a: &&Attempt| {
             let news = told.get(&(a.coordinator, a.host)).map_or(&[][..], |v| v);
-            let heard = news.iter().any(|(at, p)| *p == Phase::Ready && *at >= up && *at <= a.arrived);
+            let heard = news
+                .iter()
+                .any(|(at, p)| *p == Phase::Ready && *at >= up && *at <= a.arrived);
             heard || a.arrived >= up + TOLD_AT_LATEST
         };
         let span = fell.at.saturating_sub(PUSHED)..=fell.at;
-        let pushed: Vec<&Attempt> =
-            attempts.iter().filter(|a| a.host == fell.host && span.contains(&a.arrived)).collect();
+        let pushed: Vec<&Attempt> = attempts
+            .iter()
+            .filter(|a| a.host == fell.host && span.contains(&a.arrived))
+            .collect();
         let known = pushed.iter().filter(|a| knew(a)).count();
         if known * 3 >= pushed.len() * 2 {
             let of = pushed.len();
-            let what =
-                format!("host {}: pushed over, {known} of {of} parts by coordinators that knew", fell.host);
-            found.push(Violation { rule: Rule::Cold, at: fell.at, query: None, what });
+            let what = format!(
+                "host {}: pushed over, {known} of {of} parts by coordinators that knew",
+                fell.host
+            );
+            found.push(Violation {
+                rule: Rule::Cold,
+                at: fell.at,
+                query: None,
+                what,
+            });
         }
     }
 }
@@ -385,7 +499,12 @@
         };
         let what = format!("host {}: part {}.{} {why}", a.host, a.name, a.shard);
         let query = a.reference.map(|r| r.query);
-        found.push(Violation { rule: Rule::Stray, at: a.arrived, query, what });
+        found.push(Violation {
+            rule: Rule::Stray,
+            at: a.arrived,
+            query,
+            what,
+        });
     }
 }
 
@@ -396,47 +515,87 @@
         let p = &e.plan.0[query as usize];
         let shards: Vec<u32> = p.parts.iter().map(|p| p.shard).collect();
         let class = &e.scenario.classes[usize::from(p.class)].name;
-        lines.push((q.due, format!("due: {class}, shards {shards:?}, {} further tries", p.retries)));
+        lines.push((
+            q.due,
+            format!(
+                "due: {class}, shards {shards:?}, {} further tries",
+                p.retries
+            ),
+        ));
         for t in &q.tries {
             let c = t.coordinator;
             lines.push((
                 t.sent,
-                format!("try {} sent to coordinator {c}, for {} ms", t.attempt, t.wait_us / 1000),
+                format!(
+                    "try {} sent to coordinator {c}, for {} ms",
+                    t.attempt,
+                    t.wait_us / 1000
+                ),
             ));
-            let back = t.retry_after_us.map_or(String::new(), |r| format!(", come back in {} ms", r / 1000));
+            let back = t
+                .retry_after_us
+                .map_or(String::new(), |r| format!(", come back in {} ms", r / 1000));
             let end = t.end.word();
-            lines.push((t.ended, format!("try {} ended: {end}, shards {:?}{back}", t.attempt, t.shards)));
+            lines.push((
+                t.ended,
+                format!(
+                    "try {} ended: {end}, shards {:?}{back}",
+                    t.attempt, t.shards
+                ),
+            ));
         }
     }
-    let mine: Vec<Attempt> =
-        attempts(e.events).into_iter().filter(|a| a.reference.is_some_and(|r| r.query == query)).collect();
+    let mine: Vec<Attempt> = attempts(e.events)
+        .into_iter()
+        .filter(|a| a.reference.is_some_and(|r| r.query == query))
+        .collect();
     let ids: HashMap<u64, &Attempt> = mine.iter().map(|a| (a.id, a)).collect();
     for event in e.events {
-        let Some(a) = ids.get(&event.attempt) else { continue };
+        let Some(a) = ids.get(&event.attempt) else {
+            continue;
+        };
         let part = format!("part {}.{}", a.name, a.shard);
         let said = match &event.what {
             What::Arrived { .. } => {
-                format!("host {}: {part} came from coordinator {}", a.host, a.coordinator)
+                format!(
+                    "host {}: {part} came from coordinator {}",
+                    a.host, a.coordinator
+                )
             }
             What::Ended(end) => format!("host {}: {part} {end:?}", a.host),
             _ => continue,
         };
         lines.push((event.at, said));
     }
-    let from = lines.iter().map(|l| l.0).filter(|at| *at > 0).min().unwrap_or(0);
+    let from = lines
+        .iter()
+        .map(|l| l.0)
+        .filter(|at| *at > 0)
+        .min()
+        .unwrap_or(0);
     let to = lines.iter().map(|l| l.0).max().unwrap_or(0);
     let hosts: Vec<u16> = mine.iter().map(|a| a.host).collect();
-    for event in e.events.iter().filter(|x| hosts.contains(&x.host) && (from..=to).contains(&x.at)) {
+    for event in e
+        .events
+        .iter()
+        .filter(|x| hosts.contains(&x.host) && (from..=to).contains(&x.at))
+    {
         let (host, c) = (event.host, event.coordinator);
         match &event.what {
-            What::Told(phase) => {
-                lines.push((event.at, format!("coordinator {c} was told: host {host} {phase:?}")))
-            }
+            What::Told(phase) => lines.push((
+                event.at,
+                format!("coordinator {c} was told: host {host} {phase:?}"),
+            )),
             What::Arrived { .. } | What::Ended(_) => {}
             other => lines.push((event.at, format!("host {host}: {other:?}"))),
         }
     }
-    for l in e.lives.0.iter().filter(|l| (from..=to).contains(&l.at) && l.life != Life::Ready) {
+    for l in e
+        .lives
+        .0
+        .iter()
+        .filter(|l| (from..=to).contains(&l.at) && l.life != Life::Ready)
+    {
         lines.push((l.at, format!("coordinator {}: {:?}", l.coordinator, l.life)));
     }
     lines.sort();
--- a/crates/load-test/src/audit/tests.rs
+++ b/crates/load-test/src/audit/tests.rs
@@ -18,24 +18,55 @@
 }
 
 fn arrived(at: Micros, host: u16, attempt: u64, shard: u32) -> Event {
-    let reference = Some(Ref { query: 0, attempt: 0 });
-    let what = What::Arrived { name: "q0".into(), shard, key: Some("k0".into()), reference };
-    Event { at, host, coordinator: 0, attempt, what }
+    let reference = Some(Ref {
+        query: 0,
+        attempt: 0,
+    });
+    let what = What::Arrived {
+        name: "q0".into(),
+        shard,
+        key: Some("k0".into()),
+        reference,
+    };
+    Event {
+        at,
+        host,
+        coordinator: 0,
+        attempt,
+        what,
+    }
 }
 
 fn ended(at: Micros, host: u16, attempt: u64, end: End) -> Event {
-    Event { at, host, coordinator: 0, attempt, what: What::Ended(end) }
+    Event {
+        at,
+        host,
+        coordinator: 0,
+        attempt,
+        what: What::Ended(end),
+    }
 }
 
 fn about(at: Micros, host: u16, coordinator: u16, what: What) -> Event {
-    Event { at, host, coordinator, attempt: 0, what }
+    Event {
+        at,
+        host,
+        coordinator,
+        attempt: 0,
+        what,
+    }
 }
 
 impl World {
     fn new() -> Self {
-        let text = "name = 'x'\nlength_s = 50\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 1\n";
+        let text =
+            "name = 'x'\nlength_s = 50\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 1\n";
         let scenario = Scenario::parse(text, Path::new("x.toml")).unwrap();
-        let part = |shard, weight| PlannedPart { shard, weight, work_us: 1000 };
+        let part = |shard, weight| PlannedPart {
+            shard,
+            weight,
+            work_us: 1000,
+        };
         let planned = Planned {
             at_us: 0,
             class: 1,
@@ -77,8 +108,18 @@
             ended(10 * S + 500 * ms, 0, 1, End::Served(1)),
             ended(10 * S + 600 * ms, 1, 2, End::Served(2)),
         ];
-        let lives = Lives(vec![LifeEvent { at: 0, coordinator: 0, life: Life::Started }]);
-        Self { scenario, plan: Plan(vec![planned]), queries: vec![record], events, lives }
+        let lives = Lives(vec![LifeEvent {
+            at: 0,
+            coordinator: 0,
+            life: Life::Started,
+        }]);
+        Self {
+            scenario,
+            plan: Plan(vec![planned]),
+            queries: vec![record],
+            events,
+            lives,
+        }
     }
 
     fn tried(&mut self) -> &mut TryRecord {
@@ -90,13 +131,28 @@
     }
 
     fn evidence(&self) -> Evidence<'_> {
-        let Self { scenario, plan, queries, events, lives } = self;
-        Evidence { scenario, plan, queries, events, lives }
+        let Self {
+            scenario,
+            plan,
+            queries,
+            events,
+            lives,
+        } = self;
+        Evidence {
+            scenario,
+            plan,
+            queries,
+            events,
+            lives,
+        }
     }
 
     fn broken(&mut self) -> Vec<Rule> {
         self.events.sort_by_key(|e| e.at);
-        audit(&self.evidence()).into_iter().map(|v| v.rule).collect()
+        audit(&self.evidence())
+            .into_iter()
+            .map(|v| v.rule)
+            .collect()
     }
 }
 
@@ -113,24 +169,45 @@
 
 #[test]
 fn a_query_without_an_answer_is_lost_unless_its_coordinator_was_killed_or_stopped() {
-    for end in [TryEnd::Closed, TryEnd::Cut, TryEnd::GaveUp, TryEnd::Unreadable] {
+    for end in [
+        TryEnd::Closed,
+        TryEnd::Cut,
+        TryEnd::GaveUp,
+        TryEnd::Unreadable,
+    ] {
         assert_eq!(broken(|w| w.tried().end = end), [Rule::Lost], "{end:?}");
         for life in [Life::Gone, Life::Stopped] {
             let excused = broken(|w| {
                 w.tried().end = end;
-                w.lives.0.push(LifeEvent { at: 10 * S + 1, coordinator: 0, life });
+                w.lives.0.push(LifeEvent {
+                    at: 10 * S + 1,
+                    coordinator: 0,
+                    life,
+                });
             });
             assert_eq!(excused, [], "{end:?} {life:?}");
         }
         // Another coordinator's death is no excuse.
         let other = broken(|w| {
             w.tried().end = end;
-            w.lives.0.push(LifeEvent { at: 10 * S + 1, coordinator: 1, life: Life::Gone });
+            w.lives.0.push(LifeEvent {
+                at: 10 * S + 1,
+                coordinator: 1,
+                life: Life::Gone,
+            });
         });
         assert_eq!(other, [Rule::Lost], "{end:?}");
     }
-    assert_eq!(broken(|w| (w.tried().end, w.tried().sent) = (TryEnd::Closed, 0)), [], "never sent");
-    assert_eq!(broken(|w| w.tried().end = TryEnd::NoConnection), [], "nobody took it");
+    assert_eq!(
+        broken(|w| (w.tried().end, w.tried().sent) = (TryEnd::Closed, 0)),
+        [],
+        "never sent"
+    );
+    assert_eq!(
+        broken(|w| w.tried().end = TryEnd::NoConnection),
+        [],
+        "nobody took it"
+    );
 }
 
 #[test]
@@ -160,8 +237,16 @@
 fn two_attempts_at_once_overlap_but_not_one_after_the_other() {
     let out_until = 10 * S + 500_000;
     for end in [End::Withdrawn, End::Cut, End::Skipped] {
-        assert_eq!(broken(|w| again(w, (out_until, end), out_until + 1)), [], "{end:?}");
-        assert_eq!(broken(|w| again(w, (out_until, end), out_until - 100_000)), [Rule::Overlap], "{end:?}");
+        assert_eq!(
+            broken(|w| again(w, (out_until, end), out_until + 1)),
+            [],
+            "{end:?}"
+        );
+        assert_eq!(
+            broken(|w| again(w, (out_until, end), out_until - 100_000)),
+            [Rule::Overlap],
+            "{end:?}"
+        );
     }
     // One that never ends overlaps with all that follow.
     let never = broken(|w| {
@@ -219,7 +304,11 @@
         let told = |at| broken(|w| w.events.push(about(at, 0, 0, What::Told(phase))));
         assert_eq!(told(9 * S), [], "within the grace");
         assert_eq!(told(7 * S), [Rule::Drain]);
-        assert_eq!(broken(|w| w.events.push(about(7 * S, 0, 1, What::Told(phase)))), [], "another was told");
+        assert_eq!(
+            broken(|w| w.events.push(about(7 * S, 0, 1, What::Told(phase)))),
+            [],
+            "another was told"
+        );
         let back = broken(|w| {
             w.events.push(about(6 * S, 0, 0, What::Told(phase)));
             w.events.push(about(8 * S, 0, 0, What::Told(Phase::Ready)));
@@ -227,19 +316,32 @@
         assert_eq!(back, [], "it is back");
         let anew = broken(|w| {
             w.events.push(about(6 * S, 0, 0, What::Told(phase)));
-            w.lives.0.push(LifeEvent { at: 8 * S, coordinator: 0, life: Life::Started });
+            w.lives.0.push(LifeEvent {
+                at: 8 * S,
+                coordinator: 0,
+                life: Life::Started,
+            });
         });
         assert_eq!(anew, [], "this process was never told");
         let still = broken(|w| {
             w.events.push(about(7 * S, 0, 0, What::Told(phase)));
-            w.lives.0.push(LifeEvent { at: 6 * S, coordinator: 0, life: Life::Stopped });
-            w.lives.0.push(LifeEvent { at: 9 * S, coordinator: 0, life: Life::Continued });
+            w.lives.0.push(LifeEvent {
+                at: 6 * S,
+                coordinator: 0,
+                life: Life::Stopped,
+            });
+            w.lives.0.push(LifeEvent {
+                at: 9 * S,
+                coordinator: 0,
+                life: Life::Continued,
+            });
         });
         assert_eq!(still, [], "it stood still when it was told");
     }
     // Draining, then gone: the first word counts.
     let both = broken(|w| {
-        w.events.push(about(7 * S, 0, 0, What::Told(Phase::Terminating)));
+        w.events
+            .push(about(7 * S, 0, 0, What::Told(Phase::Terminating)));
         w.events.push(about(9 * S, 0, 0, What::Told(Phase::Gone)));
     });
     assert_eq!(both, [Rule::Drain]);
@@ -250,7 +352,8 @@
     let fell = |up, told: Option<Micros>| {
         broken(|w| {
             w.events.push(about(up, 0, NOBODY, What::Up));
-            told.into_iter().for_each(|at| w.events.push(about(at, 0, 0, What::Told(Phase::Ready))));
+            told.into_iter()
+                .for_each(|at| w.events.push(about(at, 0, 0, What::Told(Phase::Ready))));
             w.events.push(about(10 * S + 2000, 0, NOBODY, What::Fell));
         })
     };
@@ -270,12 +373,32 @@
     };
     assert_eq!(say(&[0], &[1], false), [], "0.75 is above the floor of 0.7");
     assert_eq!(say(&[1], &[2], false), [Rule::Honest], "0.25 is not");
-    assert_eq!(say(&[0], &[1], true), [Rule::Honest], "marked whole and is not");
-    assert_eq!(say(&[0, 0, 1], &[1, 2], true), [Rule::Honest], "a part twice");
-    assert_eq!(say(&[0, 1, 2], &[1, 2], true), [Rule::Honest], "a part nobody wanted");
-    assert_eq!(say(&[0, 1], &[1, 77], true), [Rule::Honest], "a value of no host");
+    assert_eq!(
+        say(&[0], &[1], true),
+        [Rule::Honest],
+        "marked whole and is not"
+    );
+    assert_eq!(
+        say(&[0, 0, 1], &[1, 2], true),
+        [Rule::Honest],
+        "a part twice"
+    );
+    assert_eq!(
+        say(&[0, 1, 2], &[1, 2], true),
+        [Rule::Honest],
+        "a part nobody wanted"
+    );
+    assert_eq!(
+        say(&[0, 1], &[1, 77], true),
+        [Rule::Honest],
+        "a value of no host"
+    );
     let late = broken(|w| w.events[3] = ended(12 * S, 1, 2, End::Served(2)));
-    assert_eq!(late, [Rule::Honest], "said to be in before its host had given it");
+    assert_eq!(
+        late,
+        [Rule::Honest],
+        "said to be in before its host had given it"
+    );
     let other = broken(|w| {
         w.scenario.classes[1].repeat = RepeatName::Unsafe;
         w.tried().end = TryEnd::Refused;
@@ -285,15 +408,29 @@
 
 #[test]
 fn parts_nobody_asked_for_and_parts_at_the_wrong_host_are_strays() {
-    assert_eq!(broken(|w| w.events.push(arrived(10 * S, 2, 30, 2))), [Rule::Stray]);
+    assert_eq!(
+        broken(|w| w.events.push(arrived(10 * S, 2, 30, 2))),
+        [Rule::Stray]
+    );
     let wrong = broken(|w| {
         w.events[1].host = 2;
         w.events[3].host = 2;
     });
     assert_eq!(wrong, [Rule::Stray]);
     let unmarked = broken(|w| {
-        let what = What::Arrived { name: "x".into(), shard: 0, key: None, reference: None };
-        w.events.push(Event { at: S, host: 0, coordinator: 0, attempt: 31, what });
+        let what = What::Arrived {
+            name: "x".into(),
+            shard: 0,
+            key: None,
+            reference: None,
+        };
+        w.events.push(Event {
+            at: S,
+            host: 0,
+            coordinator: 0,
+            attempt: 31,
+            what,
+        });
     });
     assert_eq!(unmarked, [Rule::Stray]);
 }
@@ -308,7 +445,10 @@
             w.plan.0.push(q);
             let mut other = arrived(10 * S + 2000, 4, 9, 0);
             if let What::Arrived { reference, .. } = &mut other.what {
-                *reference = Some(Ref { query: 1, attempt: 0 });
+                *reference = Some(Ref {
+                    query: 1,
+                    attempt: 0,
+                });
             }
             w.events.push(other);
             w.events.push(ended(10 * S + 9000, 4, 9, End::Served(9)));
@@ -321,10 +461,15 @@
 #[test]
 fn a_story_tells_all_of_a_query_in_order() {
     let mut w = World::new();
-    w.events.push(about(10 * S + 2, 0, 0, What::Told(Phase::Terminating)));
+    w.events
+        .push(about(10 * S + 2, 0, 0, What::Told(Phase::Terminating)));
     w.events.sort_by_key(|e| e.at);
     let story = story(&w.evidence(), 0);
-    let at = |words: &str| story.find(words).unwrap_or_else(|| panic!("no '{words}' in\n{story}"));
+    let at = |words: &str| {
+        story
+            .find(words)
+            .unwrap_or_else(|| panic!("no '{words}' in\n{story}"))
+    };
     let order = [
         at("due: fleet-report"),
         at("was told: host 0 Terminating"),
--- a/crates/load-test/src/calibrate.rs
+++ b/crates/load-test/src/calibrate.rs
@@ -15,7 +15,13 @@
 const AHEAD: Duration = Duration::from_millis(100);
 
 /// A scenario of one class with a part a query, one try each, at a steady rate.
-pub fn scenario(rate: f64, length_s: f64, arrivals: Arrivals, keys: u32, threads: usize) -> Scenario {
+pub fn scenario(
+    rate: f64,
+    length_s: f64,
+    arrivals: Arrivals,
+    keys: u32,
+    threads: usize,
+) -> Scenario {
     let text = format!(
         "name = 'calibrate'\nseed = 5\nlength_s = {length_s}\n[fleet]\ncoordinators = 1\n\
          [clients]\nretries = [0, 0]\npatience = [1.0, 1.0]\nthreads = {threads}\nconnections = 4000\n\
@@ -37,7 +43,8 @@
         partial_worth: 1.0,
     };
     // The text above is as good as the figures put into it, which callers choose.
-    let mut s = Scenario::parse(&text, Path::new("calibrate")).unwrap_or_else(|e| unreachable!("{e}"));
+    let mut s =
+        Scenario::parse(&text, Path::new("calibrate")).unwrap_or_else(|e| unreachable!("{e}"));
     s.classes = vec![class];
     s.traffic.arrivals = arrivals;
     s
@@ -50,7 +57,10 @@
         Some((from, length)) if (from..from + length).contains(&at) => from + length,
         _ => at,
     };
-    plan.0.iter().map(|q| held(q.at_us + service) - q.at_us).collect()
+    plan.0
+        .iter()
+        .map(|q| held(q.at_us + service) - q.at_us)
+        .collect()
 }
 
 /// The latency of each query at queues of one server each, chosen by key: Lindley's recursion.
@@ -91,7 +101,14 @@
     // The generator counts from its own start, so the target's clock is set by the same instant.
     let start = Instant::now() + AHEAD;
     let stall = stall.map(|(from, length)| (start + from, length));
-    let target = Target::start(TargetSpec { threads, service, stall }, None)?;
+    let target = Target::start(
+        TargetSpec {
+            threads,
+            service,
+            stall,
+        },
+        None,
+    )?;
     run::load_plan_at(s, plan, vec![target.addr], start)
 }
 
@@ -107,7 +124,11 @@
     ] {
         let off = g / w - 1.0;
         worst = worst.max(off.abs());
-        let _ = writeln!(out, "| {name} | {what} | {w:.3} | {g:.3} | {:+.2}% |", off * 100.0);
+        let _ = writeln!(
+            out,
+            "| {name} | {what} | {w:.3} | {g:.3} | {:+.2}% |",
+            off * 100.0
+        );
     }
     worst
 }
@@ -125,13 +146,17 @@
 /// # Errors
 /// If a socket or thread can't be had.
 pub fn calibrate(seconds: f64, rates: &[f64], threads: usize) -> Result<Calibration, RunError> {
-    let mut text =
-        String::from("| reference | figure | wanted | measured | off |\n| --- | --- | --- | --- | --- |\n");
+    let mut text = String::from(
+        "| reference | figure | wanted | measured | off |\n| --- | --- | --- | --- | --- |\n",
+    );
     let s = scenario(1000.0, seconds, Arrivals::Poisson, 80, threads);
     let plan = Plan::draw(&s);
     let ms = |n: u64| Duration::from_millis(n);
-    let (service, from, length) =
-        (ms(100), Duration::from_secs_f64(seconds * 0.4), Duration::from_secs_f64(seconds * 0.2));
+    let (service, from, length) = (
+        ms(100),
+        Duration::from_secs_f64(seconds * 0.4),
+        Duration::from_secs_f64(seconds * 0.2),
+    );
     let us = |d: Duration| d.as_micros() as u64;
     let got = against(&s, Service::Fixed(service), Some((from, length)), 2)?;
     let want = spread(&fixed(&plan, us(service), Some((us(from), us(length)))));
@@ -142,7 +167,12 @@
     let got = against(&s, Service::Queues(400, service), None, 2)?;
     let exact = queues(&plan, 400, us(service));
     let name = "400 queues M/D/1, 100 ms, load 0.5";
-    worst = worst.max(beside(&mut text, name, &got.figures.latency, &spread(&exact)));
+    worst = worst.max(beside(
+        &mut text,
+        name,
+        &got.figures.latency,
+        &spread(&exact),
+    ));
     let mean = md1_mean(5e-6, 100_000.0) / 1e3;
     let off = got.figures.latency.mean / mean - 1.0;
     let _ = writeln!(
@@ -158,7 +188,11 @@
         s.clients.connections = 256;
         let got = against(&s, Service::Instant, None, threads)?;
         let f = &got.figures;
-        let served = f.outcomes.get(TryEnd::Served(true).word()).copied().unwrap_or(0);
+        let served = f
+            .outcomes
+            .get(TryEnd::Served(true).word())
+            .copied()
+            .unwrap_or(0);
         // Over the time in which the last one ended: what was begun late is not made up for.
         let took = s.length_s + f.lag.max / 1e3;
         let _ = writeln!(
@@ -188,9 +222,16 @@
     #[test]
     fn references_are_those_of_a_hand() {
         let s = scenario(1.0, 10.0, Arrivals::Constant, 10, 1);
-        let plan = Plan([0, 900, 1000, 1500, 2990, 3100].map(|at| query_at(&s, at, 0)).to_vec());
+        let plan = Plan(
+            [0, 900, 1000, 1500, 2990, 3100]
+                .map(|at| query_at(&s, at, 0))
+                .to_vec(),
+        );
         // 100 us each; what falls into [1000, 3000) comes at 3000.
-        assert_eq!(fixed(&plan, 100, Some((1000, 2000))), [100, 2100, 2000, 1500, 100, 100]);
+        assert_eq!(
+            fixed(&plan, 100, Some((1000, 2000))),
+            [100, 2100, 2000, 1500, 100, 100]
+        );
         // One server: 0-1000, then 1000-2000 for the one that came at 900, and so on.
         assert_eq!(queues(&plan, 1, 1000), [1000, 1100, 2000, 2500, 2010, 2900]);
         // Half loaded: half a service time of waiting on top.
--- a/crates/load-test/src/charts.rs
+++ b/crates/load-test/src/charts.rs
@@ -31,7 +31,10 @@
 impl Line {
     /// One line.
     pub fn new(name: &str, points: Vec<(f64, f64)>) -> Self {
-        Self { name: name.to_owned(), points }
+        Self {
+            name: name.to_owned(),
+            points,
+        }
     }
 }
 
@@ -66,9 +69,16 @@
         .build_cartesian_2d(left..right, 0.0..top)?;
     for m in marks.iter().filter(|m| m.at_s < right) {
         let to = m.to_s.clamp(m.at_s + (right - left) / 400.0, right);
-        let band = Rectangle::new([(m.at_s, 0.0), (to, top)], RGBColor(200, 60, 60).mix(0.12).filled());
+        let band = Rectangle::new(
+            [(m.at_s, 0.0), (to, top)],
+            RGBColor(200, 60, 60).mix(0.12).filled(),
+        );
         chart.draw_series([band])?;
-        chart.draw_series([Text::new(m.what.clone(), (m.at_s, top * 0.99), ("sans-serif", 10))])?;
+        chart.draw_series([Text::new(
+            m.what.clone(),
+            (m.at_s, top * 0.99),
+            ("sans-serif", 10),
+        )])?;
     }
     chart
         .configure_mesh()
@@ -80,9 +90,14 @@
         .draw()?;
     for (n, l) in lines.iter().enumerate() {
         let colour = COLOURS[n % COLOURS.len()];
-        let series = chart.draw_series(LineSeries::new(l.points.iter().copied(), colour.stroke_width(1)))?;
+        let series = chart.draw_series(LineSeries::new(
+            l.points.iter().copied(),
+            colour.stroke_width(1),
+        ))?;
         if lines.len() <= COLOURS.len() {
-            series.label(&l.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
+            series
+                .label(&l.name)
+                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
         }
     }
     if lines.len() <= COLOURS.len() {
@@ -101,11 +116,18 @@
 ///
 /// # Errors
 /// If drawing fails.
-pub fn over_time(title: &str, y: &str, lines: &[Line], marks: &[Mark]) -> Result<String, ChartError> {
+pub fn over_time(
+    title: &str,
+    y: &str,
+    lines: &[Line],
+    marks: &[Mark],
+) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        draw(&root, title, "seconds", y, lines, marks, &|x| format!("{x:.0}"))?;
+        draw(&root, title, "seconds", y, lines, marks, &|x| {
+            format!("{x:.0}")
+        })?;
     }
     Ok(svg)
 }
@@ -114,7 +136,11 @@
 fn percentile(nines: f64) -> String {
     let digits = (nines - 1.0).ceil().max(0.0) as usize;
     let text = format!("{:.digits$}", 100.0 - 100.0 * 10f64.powf(-nines));
-    let text = if digits > 0 { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
+    let text = if digits > 0 {
+        text.trim_end_matches('0').trim_end_matches('.')
+    } else {
+        &text
+    };
     format!("{text}%")
 }
 
@@ -137,7 +163,9 @@
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        draw(&root, title, "percentile", "ms", &lines, &[], &|nines| percentile(*nines))?;
+        draw(&root, title, "percentile", "ms", &lines, &[], &|nines| {
+            percentile(*nines)
+        })?;
     }
     Ok(svg)
 }
@@ -153,7 +181,10 @@
     histograms: &[(&str, &Histogram<u64>)],
 ) -> Result<Vec<(&'static str, String)>, ChartError> {
     let over = |name: &str, of: &dyn Fn(&Window) -> f64| {
-        Line::new(name, windows.iter().map(|w| (w.at_s + 0.5, of(w))).collect())
+        Line::new(
+            name,
+            windows.iter().map(|w| (w.at_s + 0.5, of(w))).collect(),
+        )
     };
     let rates = [
         over("due", &|w| w.due as f64),
@@ -162,24 +193,47 @@
         over("failed", &|w| w.failed as f64),
         over("tries", &|w| w.tries as f64),
     ];
-    let latency = [over("p50", &|w| w.latency.p50), over("p99", &|w| w.latency.p99)];
+    let latency = [
+        over("p50", &|w| w.latency.p50),
+        over("p99", &|w| w.latency.p99),
+    ];
     let worth = [over("worth earned of worth asked", &|w| w.worth)];
     let count = samples.first().map_or(0, |s| s.hosts.len());
     let host = |n: usize| {
         Line::new(
             &format!("host {n}"),
-            samples.iter().map(|s| (s.at_s, f64::from(s.hosts[n].held))).collect(),
+            samples
+                .iter()
+                .map(|s| (s.at_s, f64::from(s.hosts[n].held)))
+                .collect(),
         )
     };
     let hosts: Vec<Line> = (0..count).map(host).collect();
     let mut all = vec![
-        ("percentiles", percentiles("Time by percentile", histograms)?),
-        ("rates", over_time("Queries a second, by the instant they were due", "a second", &rates, marks)?),
-        ("latency", over_time("Latency from the planned instant", "ms", &latency, marks)?),
+        (
+            "percentiles",
+            percentiles("Time by percentile", histograms)?,
+        ),
+        (
+            "rates",
+            over_time(
+                "Queries a second, by the instant they were due",
+                "a second",
+                &rates,
+                marks,
+            )?,
+        ),
+        (
+            "latency",
+            over_time("Latency from the planned instant", "ms", &latency, marks)?,
+        ),
         ("worth", over_time("Worth", "share", &worth, marks)?),
     ];
     if count > 0 {
-        all.push(("hosts", over_time("Parts held by each host", "parts", &hosts, marks)?));
+        all.push((
+            "hosts",
+            over_time("Parts held by each host", "parts", &hosts, marks)?,
+        ));
     }
     Ok(all)
 }
@@ -191,19 +245,33 @@
     #[test]
     fn each_tick_of_the_percentiles_has_its_own_label() {
         let labels = [0.0, 0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0].map(percentile);
-        assert_eq!(labels, ["0%", "68%", "90%", "96.8%", "99%", "99.68%", "99.9%", "99.99%"]);
+        assert_eq!(
+            labels,
+            ["0%", "68%", "90%", "96.8%", "99%", "99.68%", "99.9%", "99.99%"]
+        );
     }
 
     #[test]
     fn charts_are_drawn_with_their_marks_and_of_nothing_as_well() {
         let mut h = crate::stats::histogram();
         (1..1000).for_each(|n| h.saturating_record(n * 100));
-        let windows: Vec<Window> =
-            (0..10).map(|n| Window { at_s: f64::from(n), due: 10 * n as u64, ..Window::default() }).collect();
-        let marks = [Mark { at_s: 3.0, to_s: 5.0, what: "host-crash 3".into() }];
+        let windows: Vec<Window> = (0..10)
+            .map(|n| Window {
+                at_s: f64::from(n),
+                due: 10 * n as u64,
+                ..Window::default()
+            })
+            .collect();
+        let marks = [Mark {
+            at_s: 3.0,
+            to_s: 5.0,
+            what: "host-crash 3".into(),
+        }];
         let charts = of_run(&windows, &[], &marks, &[("latency", &h)]).unwrap();
         assert_eq!(charts.len(), 4);
-        assert!(charts.iter().all(|(_, svg)| svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>")));
+        assert!(charts
+            .iter()
+            .all(|(_, svg)| svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>")));
         assert!(charts[1].1.contains("host-crash 3") && charts[0].1.contains("99.68%"));
         of_run(&[], &[], &[], &[("latency", &crate::stats::histogram())]).unwrap();
     }
--- a/crates/load-test/src/clients.rs
+++ b/crates/load-test/src/clients.rs
@@ -64,17 +64,27 @@
 
 /// When the client tries again, as a wait from now; `None` if it doesn't.
 pub fn next_try(q: &Planned, class: &ClassTable, backoff: Backoff, tried: Tried) -> Option<u64> {
-    let Tried { tries, end, retry_after_us, elapsed_us } = tried;
+    let Tried {
+        tries,
+        end,
+        retry_after_us,
+        elapsed_us,
+    } = tried;
     if end.served() || tries > q.retries {
         return None;
     }
-    let never_ran = matches!(end, TryEnd::Refused | TryEnd::NoConnection | TryEnd::NoDescriptor);
+    let never_ran = matches!(
+        end,
+        TryEnd::Refused | TryEnd::NoConnection | TryEnd::NoDescriptor
+    );
     let wait = match backoff {
         Backoff::None => 0,
         Backoff::Fixed => q.backoff_us,
         Backoff::Exp => q.backoff_us << u32::from(tries - 1).min(10),
     };
-    let wait = retry_after_us.filter(|_| q.honours).map_or(wait, |r| wait.max(r));
+    let wait = retry_after_us
+        .filter(|_| q.honours)
+        .map_or(wait, |r| wait.max(r));
     let again = elapsed_us + wait;
     let allowed = match class.repeat {
         RepeatName::Safe => true,
@@ -105,14 +115,28 @@
     use std::path::Path;
 
     fn parts() -> (Scenario, Planned) {
-        let text = "name = 'x'\nlength_s = 5\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 100\n";
+        let text =
+            "name = 'x'\nlength_s = 5\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 100\n";
         let s = Scenario::parse(text, Path::new("x.toml")).unwrap();
         let q = crate::plan::Mixer::new(&s).query(0, Some(0), None, None);
-        (s, Planned { retries: 2, backoff_us: 100_000, honours: true, ..q })
+        (
+            s,
+            Planned {
+                retries: 2,
+                backoff_us: 100_000,
+                honours: true,
+                ..q
+            },
+        )
     }
 
     fn tried(tries: u8, end: TryEnd, retry_after_us: Option<u64>, elapsed_us: u64) -> Tried {
-        Tried { tries, end, retry_after_us, elapsed_us }
+        Tried {
+            tries,
+            end,
+            retry_after_us,
+            elapsed_us,
+        }
     }
 
     #[test]
@@ -120,15 +144,41 @@
         let (s, q) = parts();
         let safe = &s.classes[0];
         let go = |backoff, t| next_try(&q, safe, backoff, t);
-        assert_eq!(go(Backoff::None, tried(1, TryEnd::Refused, None, 0)), Some(0));
-        assert_eq!(go(Backoff::Fixed, tried(2, TryEnd::GaveUp, None, 0)), Some(100_000));
-        assert_eq!(go(Backoff::Exp, tried(2, TryEnd::Failed(504), None, 0)), Some(200_000));
-        assert_eq!(go(Backoff::None, tried(3, TryEnd::Refused, None, 0)), None, "two further tries");
-        assert_eq!(go(Backoff::Fixed, tried(1, TryEnd::Refused, Some(700_000), 0)), Some(700_000));
-        assert_eq!(go(Backoff::Fixed, tried(1, TryEnd::Served(false), None, 0)), None);
+        assert_eq!(
+            go(Backoff::None, tried(1, TryEnd::Refused, None, 0)),
+            Some(0)
+        );
+        assert_eq!(
+            go(Backoff::Fixed, tried(2, TryEnd::GaveUp, None, 0)),
+            Some(100_000)
+        );
+        assert_eq!(
+            go(Backoff::Exp, tried(2, TryEnd::Failed(504), None, 0)),
+            Some(200_000)
+        );
+        assert_eq!(
+            go(Backoff::None, tried(3, TryEnd::Refused, None, 0)),
+            None,
+            "two further tries"
+        );
+        assert_eq!(
+            go(Backoff::Fixed, tried(1, TryEnd::Refused, Some(700_000), 0)),
+            Some(700_000)
+        );
+        assert_eq!(
+            go(Backoff::Fixed, tried(1, TryEnd::Served(false), None, 0)),
+            None
+        );
         let late = tried(1, TryEnd::Refused, None, 4_950_000);
-        assert_eq!(go(Backoff::Fixed, late), None, "its whole time would be over");
-        let rude = Planned { honours: false, ..q.clone() };
+        assert_eq!(
+            go(Backoff::Fixed, late),
+            None,
+            "its whole time would be over"
+        );
+        let rude = Planned {
+            honours: false,
+            ..q.clone()
+        };
         let told = tried(1, TryEnd::Refused, Some(700_000), 0);
         assert_eq!(next_try(&rude, safe, Backoff::Fixed, told), Some(100_000));
     }
@@ -137,11 +187,15 @@
     fn a_booking_is_repeated_within_its_window_and_an_unsafe_query_only_if_it_never_ran() {
         let (s, q) = parts();
         let keyed = &s.classes[2];
-        let go = |class, end, elapsed| next_try(&q, class, Backoff::None, tried(1, end, None, elapsed));
+        let go =
+            |class, end, elapsed| next_try(&q, class, Backoff::None, tried(1, end, None, elapsed));
         assert_eq!(go(keyed, TryEnd::Failed(504), 1_900_000), Some(0));
         assert_eq!(go(keyed, TryEnd::Failed(504), 2_100_000), None);
         assert_eq!(go(keyed, TryEnd::Refused, 2_100_000), Some(0));
-        let risky = ClassTable { repeat: RepeatName::Unsafe, ..keyed.clone() };
+        let risky = ClassTable {
+            repeat: RepeatName::Unsafe,
+            ..keyed.clone()
+        };
         assert_eq!(go(&risky, TryEnd::Cut, 0), None);
         assert_eq!(go(&risky, TryEnd::NoConnection, 0), Some(0));
     }
@@ -151,8 +205,15 @@
         let up = [true, false, true, false];
         for draw in 0..4 {
             assert_eq!(coordinator(0, 2, &up, draw) % 2, 0);
-            assert!([0, 2].contains(&coordinator(1, 2, &up, draw)), "the other zone's");
-            assert_eq!(coordinator(1, 2, &[false; 4], draw) % 2, 1, "all dead: still its own");
+            assert!(
+                [0, 2].contains(&coordinator(1, 2, &up, draw)),
+                "the other zone's"
+            );
+            assert_eq!(
+                coordinator(1, 2, &[false; 4], draw) % 2,
+                1,
+                "all dead: still its own"
+            );
         }
     }
 }
--- a/crates/load-test/src/compare.rs
+++ b/crates/load-test/src/compare.rs
@@ -25,7 +25,10 @@
 
 /// Two runs in a table.
 pub fn two(a: &Summary, b: &Summary) -> String {
-    let mut t = format!("| figure | {} | {} | B/A |\n| --- | --- | --- | --- |\n", a.scenario, b.scenario);
+    let mut t = format!(
+        "| figure | {} | {} | B/A |\n| --- | --- | --- | --- |\n",
+        a.scenario, b.scenario
+    );
     if a.plan != b.plan {
         let _ = writeln!(t, "| plan | {} | {} | differ |", a.plan, b.plan);
     }
@@ -51,8 +54,10 @@
 /// Pairs of runs, the first of each pair of A, in a table of medians and the ratios' spread. Void runs and
 /// their partners are left out, and said to be.
 pub fn pairs(all: &[(Summary, Summary)]) -> String {
-    let good: Vec<&(Summary, Summary)> =
-        all.iter().filter(|(a, b)| a.void.is_none() && b.void.is_none()).collect();
+    let good: Vec<&(Summary, Summary)> = all
+        .iter()
+        .filter(|(a, b)| a.void.is_none() && b.void.is_none())
+        .collect();
     let mut t = format!(
         "{} pairs, {} void\n\n| figure | A median | B median | B/A least | median | most |\n\
          | --- | --- | --- | --- | --- | --- |\n",
@@ -61,11 +66,23 @@
     );
     for (name, of) in METRICS {
         let (a, b): (Vec<f64>, Vec<f64>) = good.iter().map(|(a, b)| (of(a), of(b))).unzip();
-        let ratios: Vec<f64> = a.iter().zip(&b).filter(|(a, _)| **a != 0.0).map(|(a, b)| b / a).collect();
-        let (Some(ra), Some(rb)) = (Range::of(&a), Range::of(&b)) else { continue };
-        let spread = Range::of(&ratios)
-            .map_or("- | - | -".to_owned(), |r| format!("{:.3} | {:.3} | {:.3}", r.least, r.median, r.most));
-        let _ = writeln!(t, "| {name} | {:.3} | {:.3} | {spread} |", ra.median, rb.median);
+        let ratios: Vec<f64> = a
+            .iter()
+            .zip(&b)
+            .filter(|(a, _)| **a != 0.0)
+            .map(|(a, b)| b / a)
+            .collect();
+        let (Some(ra), Some(rb)) = (Range::of(&a), Range::of(&b)) else {
+            continue;
+        };
+        let spread = Range::of(&ratios).map_or("- | - | -".to_owned(), |r| {
+            format!("{:.3} | {:.3} | {:.3}", r.least, r.median, r.most)
+        });
+        let _ = writeln!(
+            t,
+            "| {name} | {:.3} | {:.3} | {spread} |",
+            ra.median, rb.median
+        );
     }
     t
 }
@@ -100,8 +117,14 @@
         let void = (summary(1.0, false), summary(900.0, true));
         let t = pairs(&[pair(10.0, 11.0), pair(20.0, 20.0), pair(40.0, 60.0), void]);
         assert!(t.starts_with("4 pairs, 1 void"));
-        assert!(t.contains("| latency p50 ms | 20.000 | 20.000 | 1.000 | 1.100 | 1.500 |"), "{t}");
-        assert!(t.contains("| broken rules | 0.000 | 0.000 | - | - | - |"), "{t}");
+        assert!(
+            t.contains("| latency p50 ms | 20.000 | 20.000 | 1.000 | 1.100 | 1.500 |"),
+            "{t}"
+        );
+        assert!(
+            t.contains("| broken rules | 0.000 | 0.000 | - | - | - |"),
+            "{t}"
+        );
         assert!(two(&summary(10.0, false), &summary(5.0, false))
             .contains("| latency p50 ms | 10.000 | 5.000 | 0.500 |"));
     }
--- a/crates/load-test/src/curve.rs
+++ b/crates/load-test/src/curve.rs
@@ -82,8 +82,19 @@
                     0.0
                 }
             }
-            Self::Ramp { from, to, at_s, for_s } => from + (to - from) * ((t - at_s) / for_s).clamp(0.0, 1.0),
-            Self::Surge { rate, at_s, rise_s, hold_s, fall_s } => {
+            Self::Ramp {
+                from,
+                to,
+                at_s,
+                for_s,
+            } => from + (to - from) * ((t - at_s) / for_s).clamp(0.0, 1.0),
+            Self::Surge {
+                rate,
+                at_s,
+                rise_s,
+                hold_s,
+                fall_s,
+            } => {
                 let t = t - at_s;
                 let fall = t - rise_s - hold_s;
                 match t {
@@ -114,10 +125,19 @@
         let (rates, times): (Vec<f64>, Vec<f64>) = match *self {
             Self::Steady { rate } => (vec![rate], vec![]),
             Self::Step { rate, at_s, for_s } => (vec![rate], vec![at_s, for_s.unwrap_or(0.0)]),
-            Self::Ramp { from, to, at_s, for_s } => (vec![from, to], vec![at_s, for_s]),
-            Self::Surge { rate, at_s, rise_s, hold_s, fall_s } => {
-                (vec![rate], vec![at_s, rise_s, hold_s, fall_s])
-            }
+            Self::Ramp {
+                from,
+                to,
+                at_s,
+                for_s,
+            } => (vec![from, to], vec![at_s, for_s]),
+            Self::Surge {
+                rate,
+                at_s,
+                rise_s,
+                hold_s,
+                fall_s,
+            } => (vec![rate], vec![at_s, rise_s, hold_s, fall_s]),
             Self::Daily { mean, day_s, .. } => (vec![mean], vec![day_s]),
             Self::OnOff { rate, on_s, off_s } => (vec![rate], vec![on_s, off_s]),
         };
@@ -133,7 +153,9 @@
             Self::OnOff { on_s, .. } => on_s > 0.0,
             _ => true,
         };
-        sound.then_some(()).ok_or_else(|| "has a length of 0 or a swing outside 0 to 1".to_owned())
+        sound
+            .then_some(())
+            .ok_or_else(|| "has a length of 0 or a swing outside 0 to 1".to_owned())
     }
 }
 
@@ -149,7 +171,12 @@
 impl<'a> Walk<'a> {
     /// At the start.
     pub fn new(shapes: &'a [Shape], length_s: f64) -> Self {
-        Self { shapes, length_s, step: 0, within: 0.0 }
+        Self {
+            shapes,
+            length_s,
+            step: 0,
+            within: 0.0,
+        }
     }
 
     fn rate(&self) -> f64 {
@@ -182,7 +209,12 @@
 /// The integral of the shapes' sum: the number of queries that is to be expected.
 pub fn expected(shapes: &[Shape], length_s: f64) -> f64 {
     let steps = (length_s / STEP_S) as u64;
-    let at = |n: u64| shapes.iter().map(|s| s.rate((n as f64 + 0.5) * STEP_S)).sum::<f64>();
+    let at = |n: u64| {
+        shapes
+            .iter()
+            .map(|s| s.rate((n as f64 + 0.5) * STEP_S))
+            .sum::<f64>()
+    };
     (0..steps).map(|n| at(n) * STEP_S).sum()
 }
 
@@ -192,25 +224,75 @@
 
     #[test]
     fn shapes_have_the_area_that_geometry_gives_them() {
-        let surge = Shape::Surge { rate: 100.0, at_s: 2.0, rise_s: 2.0, hold_s: 3.0, fall_s: 4.0 };
+        let surge = Shape::Surge {
+            rate: 100.0,
+            at_s: 2.0,
+            rise_s: 2.0,
+            hold_s: 3.0,
+            fall_s: 4.0,
+        };
         for (shape, area) in [
             (Shape::Steady { rate: 7.0 }, 140.0),
-            (Shape::Step { rate: 10.0, at_s: 5.0, for_s: Some(2.5) }, 25.0),
-            (Shape::Step { rate: 10.0, at_s: 5.0, for_s: None }, 150.0),
-            (Shape::Ramp { from: 10.0, to: 30.0, at_s: 5.0, for_s: 10.0 }, 50.0 + 200.0 + 150.0),
+            (
+                Shape::Step {
+                    rate: 10.0,
+                    at_s: 5.0,
+                    for_s: Some(2.5),
+                },
+                25.0,
+            ),
+            (
+                Shape::Step {
+                    rate: 10.0,
+                    at_s: 5.0,
+                    for_s: None,
+                },
+                150.0,
+            ),
+            (
+                Shape::Ramp {
+                    from: 10.0,
+                    to: 30.0,
+                    at_s: 5.0,
+                    for_s: 10.0,
+                },
+                50.0 + 200.0 + 150.0,
+            ),
             (surge, 100.0 + 300.0 + 200.0),
-            (Shape::Daily { mean: 10.0, swing: 0.8, day_s: 10.0 }, 200.0),
-            (Shape::OnOff { rate: 10.0, on_s: 1.0, off_s: 3.0 }, 50.0),
+            (
+                Shape::Daily {
+                    mean: 10.0,
+                    swing: 0.8,
+                    day_s: 10.0,
+                },
+                200.0,
+            ),
+            (
+                Shape::OnOff {
+                    rate: 10.0,
+                    on_s: 1.0,
+                    off_s: 3.0,
+                },
+                50.0,
+            ),
         ] {
             let got = expected(std::slice::from_ref(&shape), 20.0);
-            assert!((got - area).abs() < area * 1e-3, "{shape:?}: {got} for {area}");
+            assert!(
+                (got - area).abs() < area * 1e-3,
+                "{shape:?}: {got} for {area}"
+            );
         }
     }
 
     #[test]
     fn a_walk_lays_even_amounts_along_the_curve() {
         // A rate that rises from 0 by 2 a second: the n-th query is due at the root of n.
-        let shapes = [Shape::Ramp { from: 0.0, to: 20.0, at_s: 0.0, for_s: 10.0 }];
+        let shapes = [Shape::Ramp {
+            from: 0.0,
+            to: 20.0,
+            at_s: 0.0,
+            for_s: 10.0,
+        }];
         let mut walk = Walk::new(&shapes, 10.0);
         let times: Vec<f64> = std::iter::from_fn(|| walk.advance(1.0, |_| 1.0)).collect();
         assert!((99..=100).contains(&times.len()), "{}", times.len());
--- a/crates/load-test/src/deploy.rs
+++ b/crates/load-test/src/deploy.rs
@@ -70,9 +70,16 @@
     let beside = || {
         let me = std::env::current_exe().ok()?;
         // Tests run from a folder below.
-        me.ancestors().skip(1).take(2).map(|d| d.join("fennelpin")).find(|p| p.is_file())
+        me.ancestors()
+            .skip(1)
+            .take(2)
+            .map(|d| d.join("fennelpin"))
+            .find(|p| p.is_file())
     };
-    let path = named.map(Path::to_owned).or_else(beside).unwrap_or_else(|| "target/release/fennelpin".into());
+    let path = named
+        .map(Path::to_owned)
+        .or_else(beside)
+        .unwrap_or_else(|| "target/release/fennelpin".into());
     if path.is_file() {
         Ok(path)
     } else {
@@ -98,11 +105,17 @@
             std::fs::write(&path, text).map_err(failed)?;
             path.canonicalize().map_err(failed)
         };
-        let operator = s.operator().map(|text| write(dir.join("operator.toml"), text)).transpose()?;
+        let operator = s
+            .operator()
+            .map(|text| write(dir.join("operator.toml"), text))
+            .transpose()?;
         let mut all = Vec::new();
         for c in 0..s.fleet.coordinators {
             let listen = free_addr().map_err(|e| DeployError::Io("a port".into(), e))?;
-            let members: Vec<_> = fleet.known[usize::from(c)].iter().map(|m| m.json()).collect();
+            let members: Vec<_> = fleet.known[usize::from(c)]
+                .iter()
+                .map(|m| m.json())
+                .collect();
             let config = json!({
                 "name": format!("c{c}"),
                 "listen": listen.to_string(),
@@ -117,10 +130,24 @@
             let log = dir.join(format!("coordinator-{c}.log"));
             write(log.clone(), String::new())?;
             let (before_s, last) = (0.0, Usage::default());
-            all.push(One { listen, config, log, child: None, before_s, last });
+            all.push(One {
+                listen,
+                config,
+                log,
+                child: None,
+                before_s,
+                last,
+            });
         }
         let lives = Lives::default();
-        Ok(Self { program, operator, all, epoch, lives, level: level.to_owned() })
+        Ok(Self {
+            program,
+            operator,
+            all,
+            epoch,
+            lives,
+            level: level.to_owned(),
+        })
     }
 
     /// How many there are.
@@ -144,7 +171,11 @@
     }
 
     fn note(&mut self, coordinator: u16, life: Life) {
-        self.lives.0.push(LifeEvent { at: self.epoch.now(), coordinator, life });
+        self.lives.0.push(LifeEvent {
+            at: self.epoch.now(),
+            coordinator,
+            life,
+        });
     }
 
     /// Starts one.
@@ -154,17 +185,36 @@
     pub fn start(&mut self, c: u16) -> Result<(), DeployError> {
         let one = &self.all[usize::from(c)];
         let failed = |e| DeployError::Io(one.log.display().to_string(), e);
-        let log = std::fs::File::options().create(true).append(true).open(&one.log).map_err(failed)?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(&one.log)
+            .map_err(failed)?;
         let mut command = Command::new(&self.program);
-        command.arg("--log").arg(&self.level).arg("serve").arg("--config").arg(&one.config);
+        command
+            .arg("--log")
+            .arg(&self.level)
+            .arg("serve")
+            .arg("--config")
+            .arg(&one.config);
         if let Some(operator) = &self.operator {
             command.arg("--operator").arg(operator);
         }
-        for name in ["PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONFIG"] {
+        for name in [
+            "PROXY_NAME",
+            "PROXY_LISTEN",
+            "PROXY_DISCOVERY",
+            "PROXY_CONFIG",
+        ] {
             command.env_remove(name);
         }
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        let child = command.spawn().map_err(|e| DeployError::Io(self.program.display().to_string(), e))?;
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
+        let child = command
+            .spawn()
+            .map_err(|e| DeployError::Io(self.program.display().to_string(), e))?;
         self.all[usize::from(c)].child = Some(child);
         self.note(c, Life::Started);
         Ok(())
@@ -195,7 +245,10 @@
         let start = Instant::now();
         while !self.healthy(c) {
             let one = &mut self.all[usize::from(c)];
-            let ended = one.child.as_mut().is_some_and(|child| child.try_wait().is_ok_and(|s| s.is_some()));
+            let ended = one
+                .child
+                .as_mut()
+                .is_some_and(|child| child.try_wait().is_ok_and(|s| s.is_some()));
             if ended || start.elapsed() > READY {
                 return Err(DeployError::NotReady(c, start.elapsed(), one.log.clone()));
             }
@@ -205,7 +258,10 @@
     }
 
     fn signal(&mut self, c: u16, signal: Signal, life: Option<Life>) {
-        let pid = self.all[usize::from(c)].child.as_ref().and_then(|p| Pid::from_raw(p.id() as i32));
+        let pid = self.all[usize::from(c)]
+            .child
+            .as_ref()
+            .and_then(|p| Pid::from_raw(p.id() as i32));
         let Some(pid) = pid else { return };
         // Written down first: what it did before the signal reached it is excused with the rest.
         if let Some(life) = life {
@@ -257,11 +313,19 @@
     pub fn reap(&mut self) -> Vec<(u16, Option<i32>)> {
         let mut crashed = Vec::new();
         for c in 0..self.len() {
-            let ended = self.all[usize::from(c)].child.as_mut().and_then(|p| p.try_wait().ok().flatten());
+            let ended = self.all[usize::from(c)]
+                .child
+                .as_mut()
+                .and_then(|p| p.try_wait().ok().flatten());
             let Some(status) = ended else { continue };
             self.all[usize::from(c)].child = None;
             self.retire(c);
-            let asked = self.lives.0.iter().rev().find(|e| e.coordinator == c && e.life != Life::Ready);
+            let asked = self
+                .lives
+                .0
+                .iter()
+                .rev()
+                .find(|e| e.coordinator == c && e.life != Life::Ready);
             let asked = asked.is_some_and(|e| e.life == Life::Terminated);
             self.note(c, if asked { Life::Ended } else { Life::Gone });
             if !asked || !status.success() {
@@ -280,9 +344,15 @@
     pub fn usage(&mut self, c: u16) -> Usage {
         let one = &mut self.all[usize::from(c)];
         if let Some(now) = one.child.as_ref().and_then(|p| usage_of(p.id())) {
-            one.last = Usage { peak_mb: now.peak_mb.max(one.last.peak_mb), ..now };
+            one.last = Usage {
+                peak_mb: now.peak_mb.max(one.last.peak_mb),
+                ..now
+            };
+        }
+        Usage {
+            cpu_s: one.before_s + one.last.cpu_s,
+            ..one.last
         }
-        Usage { cpu_s: one.before_s + one.last.cpu_s, ..one.last }
     }
 
     /// Ends all with SIGTERM; the codes of those that did not end well.
@@ -327,5 +397,9 @@
     let peak_kb: f64 = peak.trim().trim_end_matches(" kB").parse().ok()?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |d| d.count());
     let per_s = rustix::param::clock_ticks_per_second() as f64;
-    Some(Usage { cpu_s: ticks as f64 / per_s, peak_mb: peak_kb / 1024.0, descriptors })
+    Some(Usage {
+        cpu_s: ticks as f64 / per_s,
+        peak_mb: peak_kb / 1024.0,
+        descriptors,
+    })
 }
--- a/crates/load-test/src/drivers/mod.rs
+++ b/crates/load-test/src/drivers/mod.rs
@@ -27,7 +27,10 @@
 impl Ask<'_> {
     /// The mark that goes into the query's text.
     pub fn mark(&self) -> String {
-        mark(self.reference, self.planned.parts.iter().map(|p| (p.shard, p.work_us)))
+        mark(
+            self.reference,
+            self.planned.parts.iter().map(|p| (p.shard, p.work_us)),
+        )
     }
 }
 
@@ -103,7 +106,10 @@
         let (a, b) = (planned.parts[0].shard, planned.parts[1].shard);
         let ask = Ask {
             planned: &planned,
-            reference: Ref { query: 7, attempt: 1 },
+            reference: Ref {
+                query: 7,
+                attempt: 1,
+            },
             name: "n1",
             key: "k1",
             wait_ms: 900,
@@ -117,20 +123,35 @@
             "{asked}"
         );
         assert!(
-            asked.contains("Req-Owner: coop-hay-hassani\r\n") && asked.contains("Req-Deadline-Ms: 900\r\n")
+            asked.contains("Req-Owner: coop-hay-hassani\r\n")
+                && asked.contains("Req-Deadline-Ms: 900\r\n")
+        );
+        let body = format!(
+            "{{\"full\":false,\"pieces\":[{{\"tablet\":{a},\"cell\":\"000000000000002a\"}}]}}"
         );
-        let body =
-            format!("{{\"full\":false,\"pieces\":[{{\"tablet\":{a},\"cell\":\"000000000000002a\"}}]}}");
         let said = drivers[0].read(&ask, 200, body.as_bytes());
-        assert_eq!(said, Said::Served { full: false, shards: vec![a], values: vec![42] });
+        assert_eq!(
+            said,
+            Said::Served {
+                full: false,
+                shards: vec![a],
+                values: vec![42]
+            }
+        );
         assert_eq!(drivers[0].read(&ask, 503, b""), Said::Refused);
         assert_eq!(drivers[0].read(&ask, 504, b""), Said::Failed(504));
-        assert_eq!(drivers[0].read(&ask, 200, b"{\"full\":tr"), Said::Unreadable);
+        assert_eq!(
+            drivers[0].read(&ask, 200, b"{\"full\":tr"),
+            Said::Unreadable
+        );
 
         let mut out = Vec::new();
         drivers[1].request(&ask, &mut out);
         let asked = String::from_utf8(out).unwrap();
-        assert!(asked.starts_with("POST /fleet-report/_search?timeout=900ms"), "{asked}");
+        assert!(
+            asked.starts_with("POST /fleet-report/_search?timeout=900ms"),
+            "{asked}"
+        );
         let hit = "{\"_id\":\"000000000000002a-3\"}";
         let fail = format!("{{\"shard\":{b},\"reason\":{{}}}}");
         let body = format!(
@@ -138,8 +159,19 @@
              \"hits\":{{\"hits\":[{hit},{hit}]}}}}"
         );
         let said = drivers[1].read(&ask, 200, body.as_bytes());
-        assert_eq!(said, Said::Served { full: false, shards: vec![a], values: vec![42] });
+        assert_eq!(
+            said,
+            Said::Served {
+                full: false,
+                shards: vec![a],
+                values: vec![42]
+            }
+        );
         let lying = body.replace("\"successful\":1", "\"successful\":2");
-        assert_eq!(drivers[1].read(&ask, 200, lying.as_bytes()), Said::Unreadable, "its counts don't add up");
+        assert_eq!(
+            drivers[1].read(&ask, 200, lying.as_bytes()),
+            Said::Unreadable,
+            "its counts don't add up"
+        );
     }
 }
--- a/crates/load-test/src/drivers/opensearch.rs
+++ b/crates/load-test/src/drivers/opensearch.rs
@@ -46,8 +46,15 @@
 impl OpenSearch {
     /// For a scenario's classes, which are its indices.
     pub fn new(s: &Scenario) -> Self {
-        let classes = s.classes.iter().map(|c| (c.name.clone(), c.repeat == RepeatName::Keyed)).collect();
-        Self { classes, tenants: s.tenants.iter().map(|t| t.name.clone()).collect() }
+        let classes = s
+            .classes
+            .iter()
+            .map(|c| (c.name.clone(), c.repeat == RepeatName::Keyed))
+            .collect();
+        Self {
+            classes,
+            tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
+        }
     }
 }
 
@@ -63,13 +70,22 @@
         if *keyed {
             let _ = write!(headers, "Idempotency-Key: {}\r\n", ask.key);
         }
-        let districts: Vec<String> = q.parts.iter().map(|p| format!("\"d{}\"", p.shard)).collect();
+        let districts: Vec<String> = q
+            .parts
+            .iter()
+            .map(|p| format!("\"d{}\"", p.shard))
+            .collect();
         let body = format!(
             "{{\"size\":10,\"query\":{{\"bool\":{{\"filter\":[{{\"terms\":{{\"district\":[{}]}}}},{{\"term\":{{\"lab\":\"{}\"}}}}]}}}}}}",
             districts.join(","),
             ask.mark()
         );
-        post(out, &format!("/{class}/_search?timeout={}ms", ask.wait_ms), &headers, &body);
+        post(
+            out,
+            &format!("/{class}/_search?timeout={}ms", ask.wait_ms),
+            &headers,
+            &body,
+        );
     }
 
     fn read(&self, ask: &Ask, status: u16, body: &[u8]) -> Said {
@@ -80,8 +96,13 @@
             return Said::Unreadable;
         };
         let failed: Vec<u32> = shards.failures.iter().map(|f| f.shard).collect();
-        let good: Vec<u32> =
-            ask.planned.parts.iter().map(|p| p.shard).filter(|s| !failed.contains(s)).collect();
+        let good: Vec<u32> = ask
+            .planned
+            .parts
+            .iter()
+            .map(|p| p.shard)
+            .filter(|s| !failed.contains(s))
+            .collect();
         let adds_up = shards.total == ask.planned.parts.len()
             && shards.successful == good.len()
             && shards.failed == failed.len();
@@ -90,7 +111,11 @@
             Some(mut values) if adds_up => {
                 values.sort_unstable();
                 values.dedup();
-                Said::Served { full: failed.is_empty(), shards: good, values }
+                Said::Served {
+                    full: failed.is_empty(),
+                    shards: good,
+                    values,
+                }
             }
             _ => Said::Unreadable,
         }
--- a/crates/load-test/src/drivers/platform.rs
+++ b/crates/load-test/src/drivers/platform.rs
@@ -27,8 +27,15 @@
 impl Platform {
     /// For a scenario's classes and tenants.
     pub fn new(s: &Scenario) -> Self {
-        let classes = s.classes.iter().map(|c| (c.name.clone(), c.repeat == RepeatName::Keyed)).collect();
-        Self { classes, tenants: s.tenants.iter().map(|t| t.name.clone()).collect() }
+        let classes = s
+            .classes
+            .iter()
+            .map(|c| (c.name.clone(), c.repeat == RepeatName::Keyed))
+            .collect();
+        Self {
+            classes,
+            tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
+        }
     }
 }
 
@@ -49,7 +56,12 @@
         let mut body = String::from("{\"tablets\":[");
         for (n, p) in q.parts.iter().enumerate() {
             let comma = if n > 0 { "," } else { "" };
-            let _ = write!(body, "{comma}{{\"tablet\":{},\"fraction\":{:.6}}}", p.shard, p.weight.max(1e-6));
+            let _ = write!(
+                body,
+                "{comma}{{\"tablet\":{},\"fraction\":{:.6}}}",
+                p.shard,
+                p.weight.max(1e-6)
+            );
         }
         let _ = write!(body, "],\"statement\":\"{}\"}}", ask.mark());
         post(out, &format!("/{class}"), &headers, &body);
@@ -59,13 +71,22 @@
         if status != 200 {
             return not_served(status);
         }
-        let Ok(answer) = serde_json::from_slice::<Answer>(body) else { return Said::Unreadable };
-        let values: Option<Vec<u64>> =
-            answer.pieces.iter().map(|p| u64::from_str_radix(p.cell, 16).ok()).collect();
+        let Ok(answer) = serde_json::from_slice::<Answer>(body) else {
+            return Said::Unreadable;
+        };
+        let values: Option<Vec<u64>> = answer
+            .pieces
+            .iter()
+            .map(|p| u64::from_str_radix(p.cell, 16).ok())
+            .collect();
         match values {
             Some(values) => {
                 let shards = answer.pieces.iter().map(|p| p.tablet).collect();
-                Said::Served { full: answer.full, shards, values }
+                Said::Served {
+                    full: answer.full,
+                    shards,
+                    values,
+                }
             }
             None => Said::Unreadable,
         }
--- a/crates/load-test/src/engine.rs
+++ b/crates/load-test/src/engine.rs
@@ -53,7 +53,15 @@
     pub fn new(scenario: Scenario, targets: Vec<SocketAddr>, epoch: Epoch, run: String) -> Self {
         let drivers = crate::drivers::of(&scenario);
         let believed_up = targets.iter().map(|_| AtomicBool::new(true)).collect();
-        Self { scenario, drivers, targets, believed_up, epoch, run, progress: Default::default() }
+        Self {
+            scenario,
+            drivers,
+            targets,
+            believed_up,
+            epoch,
+            run,
+            progress: Default::default(),
+        }
     }
 }
 
@@ -76,12 +84,18 @@
 ///
 /// # Errors
 /// If a thread or its runtime can't be had.
-pub fn run(shared: &Arc<Shared>, plan: &Arc<Plan>, start: Instant) -> std::io::Result<Vec<QueryRecord>> {
+pub fn run(
+    shared: &Arc<Shared>,
+    plan: &Arc<Plan>,
+    start: Instant,
+) -> std::io::Result<Vec<QueryRecord>> {
     let count = shared.scenario.clients.threads;
     let (mut threads, mut pacers) = (Vec::new(), Vec::new());
     for n in 0..count {
         let (shared, plan) = (shared.clone(), plan.clone());
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let (tx, due) = mpsc::unbounded_channel();
         let paced = plan.clone();
         let pacer = std::thread::Builder::new().name(format!("pace-{n}"));
@@ -90,14 +104,22 @@
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, Worker::new(shared, count).run(&plan, due, start))
         };
-        threads.push(std::thread::Builder::new().name(format!("load-{n}")).spawn(work)?);
+        threads.push(
+            std::thread::Builder::new()
+                .name(format!("load-{n}"))
+                .spawn(work)?,
+        );
     }
     let mut all = Vec::with_capacity(plan.0.len());
     for t in threads {
-        all.extend(t.join().map_err(|_| std::io::Error::other("a worker of the generator panicked"))?);
+        all.extend(
+            t.join()
+                .map_err(|_| std::io::Error::other("a worker of the generator panicked"))?,
+        );
     }
     for p in pacers {
-        p.join().map_err(|_| std::io::Error::other("a pacer of the generator panicked"))?;
+        p.join()
+            .map_err(|_| std::io::Error::other("a pacer of the generator panicked"))?;
     }
     all.sort_unstable_by_key(|r: &QueryRecord| r.query);
     Ok(all)
@@ -127,7 +149,12 @@
     fn new(shared: Arc<Shared>, workers: usize) -> Rc<Self> {
         let idle = RefCell::new(shared.targets.iter().map(|_| Vec::new()).collect());
         let seats = Semaphore::new((shared.scenario.clients.connections / workers).max(1));
-        Rc::new(Self { shared, idle, seats, records: RefCell::default() })
+        Rc::new(Self {
+            shared,
+            idle,
+            seats,
+            records: RefCell::default(),
+        })
     }
 
     async fn run(
@@ -175,7 +202,12 @@
             record.ended = tried.ended;
             record.tries.push(tried);
             let elapsed_us = record.ended.saturating_sub(record.due);
-            let tried = Tried { tries: attempt + 1, end, retry_after_us, elapsed_us };
+            let tried = Tried {
+                tries: attempt + 1,
+                end,
+                retry_after_us,
+                elapsed_us,
+            };
             match clients::next_try(q, class, s.clients.backoff, tried) {
                 Some(0) => {}
                 Some(wait) => tokio::time::sleep(Duration::from_micros(wait)).await,
@@ -189,21 +221,41 @@
         self.records.borrow_mut().push(record);
     }
 
-    async fn attempt(&self, q: &Planned, record: &mut QueryRecord, attempt: u8, wait_us: u64) -> TryRecord {
+    async fn attempt(
+        &self,
+        q: &Planned,
+        record: &mut QueryRecord,
+        attempt: u8,
+        wait_us: u64,
+    ) -> TryRecord {
         let (shared, epoch) = (&self.shared, self.shared.epoch);
-        let up: Vec<bool> = shared.believed_up.iter().map(|b| b.load(Ordering::Relaxed)).collect();
+        let up: Vec<bool> = shared
+            .believed_up
+            .iter()
+            .map(|b| b.load(Ordering::Relaxed))
+            .collect();
         let zones = shared.scenario.fleet.zones.len();
         let draw = u64::from(record.query) * 7 + u64::from(attempt);
         let coordinator = clients::coordinator(q.zone.into(), zones, &up, draw);
         let name = format!("{}{:x}-{attempt}", shared.run, record.query);
         let key = format!("{}k{:x}", shared.run, record.query);
-        let reference = Ref { query: record.query, attempt };
-        let ask = Ask { planned: q, reference, name: &name, key: &key, wait_ms: wait_us / 1000 };
+        let reference = Ref {
+            query: record.query,
+            attempt,
+        };
+        let ask = Ask {
+            planned: q,
+            reference,
+            name: &name,
+            key: &key,
+            wait_ms: wait_us / 1000,
+        };
         let driver = &shared.drivers[usize::from(q.front)];
         let mut request = Vec::with_capacity(640);
         driver.request(&ask, &mut request);
         let slack = shared.scenario.audit.slack_ms + 20;
-        let give_up = Instant::now() + Duration::from_micros(wait_us) + Duration::from_millis(slack);
+        let give_up =
+            Instant::now() + Duration::from_micros(wait_us) + Duration::from_millis(slack);
         let mut tried = TryRecord {
             query: record.query,
             attempt,
@@ -224,7 +276,11 @@
                 Exchange::Answer(status, retry_after_us, body, extra) => {
                     (tried.retry_after_us, tried.extra) = (retry_after_us, extra);
                     tried.end = match driver.read(&ask, status, &body) {
-                        Said::Served { full, shards, values } => {
+                        Said::Served {
+                            full,
+                            shards,
+                            values,
+                        } => {
                             (tried.shards, tried.values) = (shards, values);
                             TryEnd::Served(full)
                         }
@@ -250,7 +306,9 @@
         tried: &mut TryRecord,
         first_sent: &mut Micros,
     ) -> Exchange {
-        let Ok(_seat) = self.seats.acquire().await else { return Exchange::Failed(TryEnd::NoConnection) };
+        let Ok(_seat) = self.seats.acquire().await else {
+            return Exchange::Failed(TryEnd::NoConnection);
+        };
         let mut may_keep = true;
         loop {
             let (mut conn, kept) = match self.connect(c, may_keep, tried).await {
@@ -276,7 +334,9 @@
                     may_keep = false;
                     continue;
                 }
-                Err(HttpError::Closed | HttpError::Io(_)) => return Exchange::Failed(TryEnd::Closed),
+                Err(HttpError::Closed | HttpError::Io(_)) => {
+                    return Exchange::Failed(TryEnd::Closed)
+                }
                 Err(HttpError::Cut) => return Exchange::Failed(TryEnd::Cut),
                 Err(_) => return Exchange::Failed(TryEnd::Unreadable),
             };
@@ -289,10 +349,16 @@
                 return Exchange::Failed(TryEnd::Cut);
             };
             tried.ended = epoch.now();
-            let retry = headers.get("Retry-After").and_then(|t| t.parse::<f64>().ok());
-            let retry = retry.filter(|s| s.is_finite() && *s >= 0.0).map(|s| (s * 1e6) as u64);
+            let retry = headers
+                .get("Retry-After")
+                .and_then(|t| t.parse::<f64>().ok());
+            let retry = retry
+                .filter(|s| s.is_finite() && *s >= 0.0)
+                .map(|s| (s * 1e6) as u64);
             let extra = !conn.input.is_empty();
-            let close = headers.get("Connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+            let close = headers
+                .get("Connection")
+                .is_some_and(|v| v.eq_ignore_ascii_case("close"));
             if !close && !extra {
                 self.idle.borrow_mut()[c].push(conn);
             }
@@ -314,7 +380,10 @@
         loop {
             match Conn::connect(&addr, CONNECT, INPUT, OUTPUT).await {
                 Ok(conn) => return Connected::New(conn),
-                Err(e) if e.raw_os_error().is_some_and(|n| OUT_OF_DESCRIPTORS.contains(&n)) => {
+                Err(e)
+                    if e.raw_os_error()
+                        .is_some_and(|n| OUT_OF_DESCRIPTORS.contains(&n)) =>
+                {
                     // The generator's own lack: the query waits and counts as late, it is not dropped.
                     tried.end = TryEnd::NoDescriptor;
                     self.idle.borrow_mut().iter_mut().for_each(Vec::clear);
--- a/crates/load-test/src/faults.rs
+++ b/crates/load-test/src/faults.rs
@@ -50,7 +50,13 @@
 pub fn timetable(s: &Scenario) -> Vec<(Micros, Action)> {
     let mut rng = Pcg64Mcg::seed_from_u64(s.seed ^ 0x6661_756c);
     let mut all = Vec::new();
-    let longest = s.classes.iter().map(|c| (c.limit_ms * 1e3) as Micros).max().unwrap_or(0).min(LONGEST_US);
+    let longest = s
+        .classes
+        .iter()
+        .map(|c| (c.limit_ms * 1e3) as Micros)
+        .max()
+        .unwrap_or(0)
+        .min(LONGEST_US);
     for f in &s.faults {
         let at = (f.at_s * 1e6) as Micros;
         let to = at + (f.for_s * 1e6) as Micros;
@@ -78,7 +84,10 @@
                 ]),
                 FaultKind::HostDrain => all.push(fleet(at, Command::Drain(n))),
                 FaultKind::HostSlow => {
-                    all.extend([fleet(at, Command::Slow(n, f.times)), fleet(to, Command::Slow(n, 1.0))]);
+                    all.extend([
+                        fleet(at, Command::Slow(n, f.times)),
+                        fleet(to, Command::Slow(n, 1.0)),
+                    ]);
                 }
                 FaultKind::DiscoverySilent => {}
                 FaultKind::CoordinatorKill => {
@@ -99,7 +108,9 @@
                         (start, Action::Start(n)),
                     ]);
                 }
-                FaultKind::CoordinatorStall => all.extend([(at, Action::Stall(n)), (to, Action::GoOn(n))]),
+                FaultKind::CoordinatorStall => {
+                    all.extend([(at, Action::Stall(n)), (to, Action::GoOn(n))])
+                }
                 FaultKind::CoordinatorReload => all.push((at, Action::HangUp(n))),
             }
         }
@@ -112,11 +123,18 @@
 /// The faults as marks for charts.
 pub fn marks(s: &Scenario) -> Vec<Mark> {
     let word = |k: FaultKind| {
-        serde_json::to_value(k).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+        serde_json::to_value(k)
+            .ok()
+            .and_then(|v| v.as_str().map(str::to_owned))
+            .unwrap_or_default()
     };
     let mark = |f: &crate::scenario::FaultTable| {
         let which: Vec<String> = f.which.iter().map(u16::to_string).collect();
-        Mark { at_s: f.at_s, to_s: f.at_s + f.for_s, what: format!("{} {}", word(f.kind), which.join(",")) }
+        Mark {
+            at_s: f.at_s,
+            to_s: f.at_s + f.for_s,
+            what: format!("{} {}", word(f.kind), which.join(",")),
+        }
     };
     s.faults.iter().map(mark).collect()
 }
@@ -128,7 +146,8 @@
 
     #[test]
     fn faults_come_apart_into_actions_in_the_order_of_their_times() {
-        let text = "name = 'x'\nlength_s = 20\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 1\n\
+        let text =
+            "name = 'x'\nlength_s = 20\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 1\n\
             [clients]\nnotice_s = [2.0, 2.0]\n\
             [[fault]]\nat_s = 5\nkind = 'coordinator-restart'\nwhich = [1]\nfor_s = 1\n\
             [[fault]]\nat_s = 2\nkind = 'host-release'\nwhich = [3]\nfor_s = 8\n\
@@ -152,6 +171,13 @@
                 (ms(10_000), fleet(Command::Start(3))),
             ]
         );
-        assert_eq!(marks(&s)[0], Mark { at_s: 5.0, to_s: 6.0, what: "coordinator-restart 1".into() });
+        assert_eq!(
+            marks(&s)[0],
+            Mark {
+                at_s: 5.0,
+                to_s: 6.0,
+                what: "coordinator-restart 1".into()
+            }
+        );
     }
 }
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -96,7 +96,11 @@
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
         /// Rates for the null target, queries a second.
-        #[arg(long, value_delimiter = ',', default_value = "2000,10000,20000,35000,50000")]
+        #[arg(
+            long,
+            value_delimiter = ',',
+            default_value = "2000,10000,20000,35000,50000"
+        )]
         rates: Vec<f64>,
         /// Threads of the generator.
         #[arg(long, default_value_t = 4)]
@@ -178,7 +182,13 @@
 
     fn options(&self, work: PathBuf, stop: Arc<AtomicBool>) -> Options {
         let log = self.coordinator_log.as_str().to_lowercase();
-        Options { bin: self.bin.clone(), log, work, base: base(&self.scenario), stop }
+        Options {
+            bin: self.bin.clone(),
+            log,
+            work,
+            base: base(&self.scenario),
+            stop,
+        }
     }
 }
 
@@ -187,10 +197,15 @@
     use tokio::signal::unix::{signal, SignalKind};
     let stop = Arc::new(AtomicBool::new(false));
     let set = stop.clone();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let (mut int, mut term) = {
         let _inside = runtime.enter();
-        (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?)
+        (
+            signal(SignalKind::interrupt())?,
+            signal(SignalKind::terminate())?,
+        )
     };
     std::thread::spawn(move || {
         runtime.block_on(async {
@@ -224,7 +239,10 @@
     }
     let class = &s.classes[0];
     for (n, addr) in d.coordinators.addrs().iter().enumerate() {
-        println!("coordinator {n} ({}): {addr}", s.fleet.zones[s.zone_of(n as u16)]);
+        println!(
+            "coordinator {n} ({}): {addr}",
+            s.fleet.zones[s.zone_of(n as u16)]
+        );
         println!(
             "  curl -s http://{addr}/{0} -H 'Req-Id: a1' -H 'Req-Kind: {0}' -H 'Req-Owner: {1}' \
              -H 'Req-Deadline-Ms: {2}' -H 'Idempotency-Key: k1' \
@@ -288,7 +306,11 @@
     threads: Option<usize>,
 }
 
-fn load(path: &Path, targets: Vec<SocketAddr>, instead: Instead) -> Result<ExitCode, Box<dyn Error>> {
+fn load(
+    path: &Path,
+    targets: Vec<SocketAddr>,
+    instead: Instead,
+) -> Result<ExitCode, Box<dyn Error>> {
     let mut s = Scenario::load(path)?;
     if let Some(front) = instead.front {
         s.traffic.fronts = vec![front];
@@ -317,15 +339,25 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn compare_builds(a: &Path, b: &Path, path: &Path, pairs: usize) -> Result<ExitCode, Box<dyn Error>> {
+fn compare_builds(
+    a: &Path,
+    b: &Path,
+    path: &Path,
+    pairs: usize,
+) -> Result<ExitCode, Box<dyn Error>> {
     let s = Scenario::load(path)?;
     let stop = stopper()?;
     let work = std::env::temp_dir().join(format!("load-test-{}", std::process::id()));
     let mut all = Vec::new();
     let one = |bin: &Path| -> Result<Summary, RunError> {
         let bin = Some(bin.to_owned());
-        let options =
-            Options { bin, log: "warn".into(), work: work.clone(), base: base(path), stop: stop.clone() };
+        let options = Options {
+            bin,
+            log: "warn".into(),
+            work: work.clone(),
+            base: base(path),
+            stop: stop.clone(),
+        };
         Ok(Summary::of(&run::run(&s, &options)?))
     };
     for n in 0..pairs {
@@ -357,10 +389,21 @@
         plan.0.len() as f64 / length
     );
     let parts: usize = plan.0.iter().map(|q| q.parts.len()).sum();
-    let work: f64 = plan.0.iter().flat_map(|q| &q.parts).map(|p| f64::from(p.work_us)).sum();
-    let capacity =
-        f64::from(s.fleet.hosts) * f64::from(s.fleet.host.cores) * s.fleet.host.speed * length * 1e6;
-    println!("{parts} parts; their work alone is {:.3} of what the hosts can do", work / capacity);
+    let work: f64 = plan
+        .0
+        .iter()
+        .flat_map(|q| &q.parts)
+        .map(|p| f64::from(p.work_us))
+        .sum();
+    let capacity = f64::from(s.fleet.hosts)
+        * f64::from(s.fleet.host.cores)
+        * s.fleet.host.speed
+        * length
+        * 1e6;
+    println!(
+        "{parts} parts; their work alone is {:.3} of what the hosts can do",
+        work / capacity
+    );
     for (n, c) in s.classes.iter().enumerate() {
         let of = plan.0.iter().filter(|q| usize::from(q.class) == n).count();
         println!("class {}: {of}", c.name);
@@ -370,14 +413,26 @@
         println!("tenant {}: {of}", t.name);
     }
     let mut gaps = load_test::stats::histogram();
-    plan.0.windows(2).for_each(|p| gaps.saturating_record((p[1].at_us - p[0].at_us).max(1)));
-    let Spread { mean, p50, p99, max, .. } = Spread::of(&gaps);
+    plan.0
+        .windows(2)
+        .for_each(|p| gaps.saturating_record((p[1].at_us - p[0].at_us).max(1)));
+    let Spread {
+        mean,
+        p50,
+        p99,
+        max,
+        ..
+    } = Spread::of(&gaps);
     println!("gaps: mean {mean:.3} ms, p50 {p50:.3}, p99 {p99:.3}, max {max:.3}");
 }
 
 fn traces(command: TraceCommand) -> Result<ExitCode, Box<dyn Error>> {
     match command {
-        TraceCommand::Import { trace: file, scenario, out } => {
+        TraceCommand::Import {
+            trace: file,
+            scenario,
+            out,
+        } => {
             let s = Scenario::load(&scenario)?;
             let plan = trace::import(&file, &s)?;
             trace::export(&out, &plan, &s)?;
@@ -389,7 +444,10 @@
             trace::export(&out, &plan, &s)?;
             show(&plan, &s);
         }
-        TraceCommand::Show { scenario, trace: file } => {
+        TraceCommand::Show {
+            scenario,
+            trace: file,
+        } => {
             let s = Scenario::load(&scenario)?;
             let plan = match file {
                 Some(file) => trace::import(&file, &s)?,
@@ -404,26 +462,73 @@
 fn carry_out(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Up(deploy) => up(&deploy),
-        Command::Run { deploy, out, record } => run_scenario(&deploy, out, record),
-        Command::Load { scenario, target, front, rate, length, threads } => {
-            load(&scenario, target, Instead { front, rate, length, threads })
-        }
-        Command::Compare { a, b, scenario: Some(path), pairs } => compare_builds(&a, &b, &path, pairs),
-        Command::Compare { a, b, scenario: None, .. } => {
+        Command::Run {
+            deploy,
+            out,
+            record,
+        } => run_scenario(&deploy, out, record),
+        Command::Load {
+            scenario,
+            target,
+            front,
+            rate,
+            length,
+            threads,
+        } => load(
+            &scenario,
+            target,
+            Instead {
+                front,
+                rate,
+                length,
+                threads,
+            },
+        ),
+        Command::Compare {
+            a,
+            b,
+            scenario: Some(path),
+            pairs,
+        } => compare_builds(&a, &b, &path, pairs),
+        Command::Compare {
+            a,
+            b,
+            scenario: None,
+            ..
+        } => {
             print!("{}", compare::two(&Summary::load(&a)?, &Summary::load(&b)?));
             Ok(ExitCode::SUCCESS)
         }
-        Command::Calibrate { seconds, rates, threads } => {
+        Command::Calibrate {
+            seconds,
+            rates,
+            threads,
+        } => {
             let c = calibrate::calibrate(seconds.clamp(1.0, 600.0), &rates, threads.clamp(1, 64))?;
-            println!("{}\nlargest difference from a reference: {:.2}%", c.text, c.worst * 100.0);
+            println!(
+                "{}\nlargest difference from a reference: {:.2}%",
+                c.text,
+                c.worst * 100.0
+            );
             Ok(ExitCode::SUCCESS)
         }
         Command::Trace(command) => traces(command),
-        Command::Target { listen, threads, fixed_ms } => {
+        Command::Target {
+            listen,
+            threads,
+            fixed_ms,
+        } => {
             let stop = stopper()?;
             let fixed = |ms: f64| Service::Fixed(Duration::from_secs_f64(ms.max(0.0) / 1e3));
             let service = fixed_ms.map_or(Service::Instant, fixed);
-            let target = Target::start(TargetSpec { threads, service, stall: None }, Some(listen))?;
+            let target = Target::start(
+                TargetSpec {
+                    threads,
+                    service,
+                    stall: None,
+                },
+                Some(listen),
+            )?;
             println!("listening on {}", target.addr);
             until_stopped(&stop);
             Ok(ExitCode::SUCCESS)
--- a/crates/load-test/src/plan.rs
+++ b/crates/load-test/src/plan.rs
@@ -49,8 +49,19 @@
 impl Planned {
     /// One line that says all of it, in a fixed form.
     pub fn line(&self, out: &mut String) {
-        let Self { at_us, class, tenant, front, zone, key, wait_us, retries, backoff_us, honours, parts } =
-            self;
+        let Self {
+            at_us,
+            class,
+            tenant,
+            front,
+            zone,
+            key,
+            wait_us,
+            retries,
+            backoff_us,
+            honours,
+            parts,
+        } = self;
         let honours = u8::from(*honours);
         let _ = write!(
             out,
@@ -105,7 +116,11 @@
     pub fn new(scenario: &'a Scenario) -> Self {
         let t = &scenario.traffic;
         let rng = Pcg64Mcg::seed_from_u64(scenario.seed ^ 0x6d69_7865);
-        Self { scenario, rng, keys: Zipf::new(f64::from(t.keys), t.zipf).ok() }
+        Self {
+            scenario,
+            rng,
+            keys: Zipf::new(f64::from(t.keys), t.zipf).ok(),
+        }
     }
 
     fn key(&mut self, at_s: f64, traffic: &TrafficTable) -> u32 {
@@ -138,8 +153,9 @@
         let of = |rng: &mut Pcg64Mcg| spread.map_or(1.0, |s| s.sample(rng));
         let heavy: Vec<f64> = (0..count).map(|_| of(&mut fixed).max(0.01)).collect();
         let total: f64 = heavy.iter().sum();
-        let noise: Vec<f64> =
-            (0..count).map(|_| 1.0 + 0.2 * (self.rng.random::<f64>() * 2.0 - 1.0)).collect();
+        let noise: Vec<f64> = (0..count)
+            .map(|_| 1.0 + 0.2 * (self.rng.random::<f64>() * 2.0 - 1.0))
+            .collect();
         let part = |(n, (heavy, noise)): (u32, (&f64, f64))| PlannedPart {
             shard: (first + n) % scenario.shards(),
             weight: heavy / total,
@@ -149,7 +165,13 @@
     }
 
     /// A query that is due at this time; what is given stays as it is.
-    pub fn query(&mut self, at_us: u64, class: Option<u8>, tenant: Option<u8>, key: Option<u32>) -> Planned {
+    pub fn query(
+        &mut self,
+        at_us: u64,
+        class: Option<u8>,
+        tenant: Option<u8>,
+        key: Option<u32>,
+    ) -> Planned {
         let s = self.scenario;
         let (t, cl) = (&s.traffic, &s.clients);
         // Drawn in any case, so that what is given does not change the rest.
@@ -187,7 +209,12 @@
         let mut rng = Pcg64Mcg::seed_from_u64(scenario.seed);
         let times = arrivals::times(t.arrivals, &t.shapes, scenario.length_s, &mut rng);
         let mut mixer = Mixer::new(scenario);
-        Self(times.into_iter().map(|at| mixer.query((at * 1e6) as u64, None, None, None)).collect())
+        Self(
+            times
+                .into_iter()
+                .map(|at| mixer.query((at * 1e6) as u64, None, None, None))
+                .collect(),
+        )
     }
 
     /// The plan in a fixed form, a line a query.
@@ -199,7 +226,10 @@
 
     /// A digest of the text: XXH3 of 64 bits, in hex.
     pub fn digest(&self) -> String {
-        format!("{:016x}", xxhash_rust::xxh3::xxh3_64(self.text().as_bytes()))
+        format!(
+            "{:016x}",
+            xxhash_rust::xxh3::xxh3_64(self.text().as_bytes())
+        )
     }
 }
 
@@ -220,7 +250,10 @@
     fn the_same_seed_gives_the_same_plan_byte_for_byte() {
         let s = scenario("");
         assert_eq!(Plan::draw(&s).text(), Plan::draw(&s).text());
-        let other = Scenario { seed: 2, ..s.clone() };
+        let other = Scenario {
+            seed: 2,
+            ..s.clone()
+        };
         assert_ne!(Plan::draw(&s).digest(), Plan::draw(&other).digest());
     }
 
@@ -230,10 +263,16 @@
         let n = plan.len() as f64;
         let share = |is: &dyn Fn(&&Planned) -> bool| plan.iter().filter(is).count() as f64 / n;
         for (class, want) in [(0, 0.55), (1, 0.22), (2, 0.23)] {
-            assert!((share(&|q| q.class == class) - want).abs() < 0.01, "class {class}");
+            assert!(
+                (share(&|q| q.class == class) - want).abs() < 0.01,
+                "class {class}"
+            );
         }
         for (tenant, want) in [(0, 0.57), (3, 0.1)] {
-            assert!((share(&|q| q.tenant == tenant) - want).abs() < 0.01, "tenant {tenant}");
+            assert!(
+                (share(&|q| q.tenant == tenant) - want).abs() < 0.01,
+                "tenant {tenant}"
+            );
         }
         // Zipf with exponent 1 over 1,000 keys: the first has 1/H(1000) of all, H being 7.485.
         assert!((share(&|q| q.key == 0) - 1.0 / 7.485).abs() < 0.01);
@@ -249,15 +288,24 @@
         let shards = |q: &Planned| q.parts.iter().map(|p| p.shard).collect::<Vec<_>>();
         let mut seen = std::collections::HashMap::new();
         for q in &plan {
-            assert_eq!(*seen.entry((q.class, q.key)).or_insert_with(|| shards(q)), shards(q));
+            assert_eq!(
+                *seen.entry((q.class, q.key)).or_insert_with(|| shards(q)),
+                shards(q)
+            );
         }
     }
 
     #[test]
     fn a_hot_key_has_its_share_while_it_lasts_and_none_outside() {
-        let plan = Plan::draw(&scenario("[[traffic.hot_key]]\nat_s = 50\nfor_s = 100\nshare = 0.2\n")).0;
+        let plan = Plan::draw(&scenario(
+            "[[traffic.hot_key]]\nat_s = 50\nfor_s = 100\nshare = 0.2\n",
+        ))
+        .0;
         let hot = |from: u64, to: u64| {
-            let there: Vec<_> = plan.iter().filter(|q| (from..to).contains(&(q.at_us / 1_000_000))).collect();
+            let there: Vec<_> = plan
+                .iter()
+                .filter(|q| (from..to).contains(&(q.at_us / 1_000_000)))
+                .collect();
             there.iter().filter(|q| q.key >= 1000).count() as f64 / there.len() as f64
         };
         assert!(hot(0, 50) == 0.0 && hot(150, 200) == 0.0);
--- a/crates/load-test/src/record.rs
+++ b/crates/load-test/src/record.rs
@@ -123,7 +123,9 @@
                 Life::Gone if within(e.at) => return true,
                 Life::Terminated => stopping = Some(e.at),
                 // What comes to an address where nothing runs has reached nobody.
-                Life::Gone | Life::Ended => stopping = stopping.or(Some(e.at.saturating_sub(TERM_GRACE))),
+                Life::Gone | Life::Ended => {
+                    stopping = stopping.or(Some(e.at.saturating_sub(TERM_GRACE)))
+                }
                 Life::Started => {
                     if stopping.is_some_and(|at| from >= at + TERM_GRACE && from < e.at) {
                         return true;
@@ -134,7 +136,10 @@
             }
         }
         stopping.is_some_and(|at| from >= at + TERM_GRACE)
-            || self.stalls(coordinator).iter().any(|(a, b)| *a <= to && *b >= from)
+            || self
+                .stalls(coordinator)
+                .iter()
+                .any(|(a, b)| *a <= to && *b >= from)
     }
 
     /// When a coordinator's process that ran at this time was started.
@@ -153,7 +158,11 @@
 
     #[test]
     fn a_coordinator_is_excused_for_kills_stalls_and_what_came_long_after_sigterm() {
-        let e = |at, life| LifeEvent { at, coordinator: 0, life };
+        let e = |at, life| LifeEvent {
+            at,
+            coordinator: 0,
+            life,
+        };
         let lives = Lives(vec![
             e(0, Life::Started),
             e(1_000_000, Life::Stopped),
--- a/crates/load-test/src/results.rs
+++ b/crates/load-test/src/results.rs
@@ -102,18 +102,30 @@
     /// If the file is not there or is no summary.
     pub fn load(dir: &Path) -> Result<Self, ResultsError> {
         let path = dir.join("summary.json");
-        let text = std::fs::read_to_string(&path).map_err(|e| ResultsError::File(path.clone(), e))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| ResultsError::File(path.clone(), e))?;
         serde_json::from_str(&text).map_err(|e| ResultsError::Summary(path, e))
     }
 }
 
 /// A rule's name.
 pub fn rule_name(rule: Rule) -> String {
-    serde_json::to_value(rule).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+    serde_json::to_value(rule)
+        .ok()
+        .and_then(|v| v.as_str().map(str::to_owned))
+        .unwrap_or_default()
 }
 
 fn row(out: &mut String, name: &str, s: &Spread) {
-    let Spread { count, mean, p50, p90, p99, p999, max } = s;
+    let Spread {
+        count,
+        mean,
+        p50,
+        p90,
+        p99,
+        p999,
+        max,
+    } = s;
     let _ = writeln!(
         out,
         "| {name} | {count} | {mean:.2} | {p50:.2} | {p90:.2} | {p99:.2} | {p999:.2} | {max:.2} |"
@@ -137,13 +149,23 @@
         "- worth: whole {whole:.3}, worst 10 s {worst:.3}, worst class {class:.3}, worst tenant {tenant:.3}; together {:.3}",
         f.goal
     );
-    let _ = writeln!(t, "- served {:.1} queries a second\n\n{HEAD}", f.served_per_s);
+    let _ = writeln!(
+        t,
+        "- served {:.1} queries a second\n\n{HEAD}",
+        f.served_per_s
+    );
     // The head ends its own lines.
-    t = t.replace("\n\n\n", "\n\n").replace("| --- |\n\n", "| --- |\n");
+    t = t
+        .replace("\n\n\n", "\n\n")
+        .replace("| --- |\n\n", "| --- |\n");
     row(&mut t, "latency from the planned instant", &f.latency);
     row(&mut t, "service from the first byte sent", &f.service);
     row(&mut t, "the generator's own lag", &f.lag);
-    for (kind, all) in [("class", &f.by_class), ("tenant", &f.by_tenant), ("time until", &f.by_outcome)] {
+    for (kind, all) in [
+        ("class", &f.by_class),
+        ("tenant", &f.by_tenant),
+        ("time until", &f.by_outcome),
+    ] {
         all.iter()
             .filter(|(_, s)| s.count > 0)
             .for_each(|(name, s)| row(&mut t, &format!("{kind} {name}"), s));
@@ -167,7 +189,13 @@
     for rule in Rule::ALL {
         let of: Vec<&Violation> = o.violations.iter().filter(|v| v.rule == rule).collect();
         let Some(first) = of.first() else { continue };
-        let _ = writeln!(t, "BROKEN {}: {} times, first: {}", rule_name(rule), of.len(), first.what);
+        let _ = writeln!(
+            t,
+            "BROKEN {}: {} times, first: {}",
+            rule_name(rule),
+            of.len(),
+            first.what
+        );
         if let Some(query) = first.query.filter(|_| told < STORIES) {
             told += 1;
             t.push_str(&story(&o.evidence(), query));
@@ -178,7 +206,10 @@
 
 /// The whole report in Markdown.
 pub fn report(o: &Outcome, s: &Summary) -> String {
-    let mut t = format!("# {}\n\nseed {}, plan {} of {} queries\n\n", s.scenario, s.seed, s.plan, s.planned);
+    let mut t = format!(
+        "# {}\n\nseed {}, plan {} of {} queries\n\n",
+        s.scenario, s.seed, s.plan, s.planned
+    );
     let _ = writeln!(t, "```\n{}```\n", verdict(o));
     t.push_str(&tables(&s.figures));
     let _ = writeln!(
@@ -199,8 +230,9 @@
 }
 
 fn windows(f: &Figures) -> String {
-    let mut t =
-        String::from("at_s,due,tries,served,refused,failed,mean_ms,p50_ms,p99_ms,max_ms,lag_p99_ms,worth\n");
+    let mut t = String::from(
+        "at_s,due,tries,served,refused,failed,mean_ms,p50_ms,p99_ms,max_ms,lag_p99_ms,worth\n",
+    );
     for w in &f.windows {
         let l = &w.latency;
         let _ = writeln!(
@@ -228,20 +260,26 @@
     let failed = |e: &dyn std::fmt::Debug| ResultsError::Draw(format!("the histogram log: {e:?}"));
     let (mut out, mut serializer) = (Vec::new(), V2DeflateSerializer::new());
     let mut log = IntervalLogWriterBuilder::new()
-        .add_comment(&format!("fennelpin lab: {}, microseconds from the planned instant", o.scenario.name))
+        .add_comment(&format!(
+            "fennelpin lab: {}, microseconds from the planned instant",
+            o.scenario.name
+        ))
         .with_start_time(UNIX_EPOCH)
         .with_base_time(UNIX_EPOCH)
         .begin_log_with(&mut out, &mut serializer)
         .map_err(|e| failed(&e))?;
     for (n, h) in o.histograms.windows.iter().enumerate() {
         let start = Duration::from_secs(n as u64);
-        log.write_histogram(h, start, Duration::from_secs(1), None).map_err(|e| failed(&e))?;
+        log.write_histogram(h, start, Duration::from_secs(1), None)
+            .map_err(|e| failed(&e))?;
     }
     Ok(out)
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 /// Markdown's tables and lists as HTML, as far as the report uses them.
@@ -269,7 +307,10 @@
                 if !table {
                     t.push_str("<table>\n");
                 }
-                let cells: String = row.split(" | ").map(|c| format!("<td>{}</td>", escape(c))).collect();
+                let cells: String = row
+                    .split(" | ")
+                    .map(|c| format!("<td>{}</td>", escape(c)))
+                    .collect();
                 let _ = writeln!(t, "<tr>{cells}</tr>");
             }
             None => match (line.strip_prefix("# "), line.strip_prefix("- ")) {
@@ -301,8 +342,18 @@
     };
     std::fs::create_dir_all(dir).map_err(|e| ResultsError::File(dir.to_owned(), e))?;
     let summary = Summary::of(o);
-    put("summary.json", serde_json::to_string_pretty(&summary).unwrap_or_default().as_bytes())?;
-    put("violations.json", serde_json::to_string_pretty(&o.violations).unwrap_or_default().as_bytes())?;
+    put(
+        "summary.json",
+        serde_json::to_string_pretty(&summary)
+            .unwrap_or_default()
+            .as_bytes(),
+    )?;
+    put(
+        "violations.json",
+        serde_json::to_string_pretty(&o.violations)
+            .unwrap_or_default()
+            .as_bytes(),
+    )?;
     put("windows.csv", windows(&summary.figures).as_bytes())?;
     put("latency.hlog", &hdr_log(o)?)?;
     let report = report(o, &summary);
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -104,8 +104,21 @@
 impl Outcome {
     /// What the auditor looked at.
     pub fn evidence(&self) -> Evidence<'_> {
-        let Self { scenario, plan, queries, events, lives, .. } = self;
-        Evidence { scenario, plan, queries, events, lives }
+        let Self {
+            scenario,
+            plan,
+            queries,
+            events,
+            lives,
+            ..
+        } = self;
+        Evidence {
+            scenario,
+            plan,
+            queries,
+            events,
+            lives,
+        }
     }
 }
 
@@ -116,14 +129,24 @@
 pub fn plan(s: &Scenario, base: &Path) -> Result<Plan, TraceError> {
     match &s.traffic.trace {
         None => Ok(Plan::draw(s)),
-        Some(t) => Ok(trace::fit(&trace::import(&base.join(&t.file), s)?, t, s.length_us(), s.seed)),
+        Some(t) => Ok(trace::fit(
+            &trace::import(&base.join(&t.file), s)?,
+            t,
+            s.length_us(),
+            s.seed,
+        )),
     }
 }
 
 /// Names of a run's tries: different from those of any run before.
 pub fn run_name() -> String {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    format!("{:x}-", now.as_millis() as u64 ^ u64::from(std::process::id()) << 44)
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
+    format!(
+        "{:x}-",
+        now.as_millis() as u64 ^ u64::from(std::process::id()) << 44
+    )
 }
 
 /// A deployment that runs: stand-ins and coordinators, all ready.
@@ -152,7 +175,11 @@
     for c in 0..coordinators.len() {
         coordinators.ready(c)?;
     }
-    Ok(Deployment { fleet, coordinators, epoch })
+    Ok(Deployment {
+        fleet,
+        coordinators,
+        epoch,
+    })
 }
 
 /// Runs a scenario from start to audit.
@@ -161,13 +188,26 @@
 /// If the deployment can't be had or the user stops it.
 pub fn run(s: &Scenario, o: &Options) -> Result<Outcome, RunError> {
     let plan = Arc::new(plan(s, &o.base)?);
-    let Deployment { fleet, mut coordinators, epoch } = deploy(s, o)?;
-    let shared = Arc::new(Shared::new(s.clone(), coordinators.addrs(), epoch, run_name()));
-    let before: Vec<Usage> = (0..coordinators.len()).map(|c| coordinators.usage(c)).collect();
+    let Deployment {
+        fleet,
+        mut coordinators,
+        epoch,
+    } = deploy(s, o)?;
+    let shared = Arc::new(Shared::new(
+        s.clone(),
+        coordinators.addrs(),
+        epoch,
+        run_name(),
+    ));
+    let before: Vec<Usage> = (0..coordinators.len())
+        .map(|c| coordinators.usage(c))
+        .collect();
     let start = Instant::now() + LEAD;
     let load = {
         let (shared, plan) = (shared.clone(), plan.clone());
-        std::thread::Builder::new().name("load".into()).spawn(move || engine::run(&shared, &plan, start))?
+        std::thread::Builder::new()
+            .name("load".into())
+            .spawn(move || engine::run(&shared, &plan, start))?
     };
     let mut control = Control {
         o,
@@ -180,12 +220,21 @@
         samples: Vec::new(),
     };
     control.until_done(timetable(s), || load.is_finished(), plan.0.len())?;
-    let Control { mut crashed, samples, .. } = control;
-    let queries = load.join().map_err(|_| std::io::Error::other("the generator panicked"))??;
+    let Control {
+        mut crashed,
+        samples,
+        ..
+    } = control;
+    let queries = load
+        .join()
+        .map_err(|_| std::io::Error::other("the generator panicked"))??;
     let usage = (0..coordinators.len())
         .map(|c| {
             let u = coordinators.usage(c);
-            Usage { cpu_s: u.cpu_s - before[usize::from(c)].cpu_s, ..u }
+            Usage {
+                cpu_s: u.cpu_s - before[usize::from(c)].cpu_s,
+                ..u
+            }
         })
         .collect();
     crashed.extend(coordinators.end());
@@ -195,7 +244,13 @@
     let start = epoch.at(start);
     let (figures, histograms) = stats::figures(s, &plan, &queries, start);
     let began = Instant::now();
-    let evidence = Evidence { scenario: s, plan: &plan, queries: &queries, events: &events, lives: &lives };
+    let evidence = Evidence {
+        scenario: s,
+        plan: &plan,
+        queries: &queries,
+        events: &events,
+        lives: &lives,
+    };
     let violations = audit(&evidence);
     let audit_s = began.elapsed().as_secs_f64();
     let void = void(s, &figures);
@@ -223,7 +278,10 @@
 pub fn void(s: &Scenario, f: &Figures) -> Option<String> {
     let most = s.audit.void_lag_ms;
     if f.lag.p99 > most {
-        return Some(format!("the generator lagged {:.3} ms at p99, {most} ms at most", f.lag.p99));
+        return Some(format!(
+            "the generator lagged {:.3} ms at p99, {most} ms at most",
+            f.lag.p99
+        ));
     }
     let lacked = f.tries.get("no_descriptor").copied().unwrap_or(0);
     (lacked > 0).then(|| format!("the generator had no descriptor left for {lacked} tries"))
@@ -256,7 +314,9 @@
             if self.o.stop.load(Ordering::Relaxed) {
                 return Err(RunError::Stopped);
             }
-            let now = Instant::now().saturating_duration_since(self.start).as_micros() as Micros;
+            let now = Instant::now()
+                .saturating_duration_since(self.start)
+                .as_micros() as Micros;
             while let Some((_, action)) = actions.next_if(|(at, _)| *at <= now) {
                 self.act(action)?;
             }
@@ -269,7 +329,10 @@
                 }
             }
             if now >= next_sample {
-                self.samples.push(Sample { at_s: now as f64 / 1e6, hosts: self.fleet.states() });
+                self.samples.push(Sample {
+                    at_s: now as f64 / 1e6,
+                    hosts: self.fleet.states(),
+                });
                 next_sample = now + SAMPLE_US;
                 for c in 0..self.coordinators.len() {
                     self.coordinators.usage(c);
@@ -304,7 +367,13 @@
             Action::GoOn(c) => self.coordinators.go_on(c),
             Action::Noticed(c) => {
                 // One that is back already is not taken for dead.
-                let up = self.coordinators.lives().0.iter().rev().find(|e| e.coordinator == c);
+                let up = self
+                    .coordinators
+                    .lives()
+                    .0
+                    .iter()
+                    .rev()
+                    .find(|e| e.coordinator == c);
                 let up = up.is_some_and(|e| matches!(e.life, Life::Ready | Life::Continued));
                 self.shared.believed_up[usize::from(c)].store(up, Ordering::Relaxed);
             }
@@ -365,5 +434,11 @@
     let (figures, histograms) = stats::figures(s, &plan, &queries, epoch.at(start));
     let void = void(s, &figures);
     let plan = Arc::try_unwrap(plan).unwrap_or_else(|p| (*p).clone());
-    Ok(Loaded { plan, queries, figures, histograms, void })
+    Ok(Loaded {
+        plan,
+        queries,
+        figures,
+        histograms,
+        void,
+    })
 }
--- a/crates/load-test/src/scenario/coordinator.rs
+++ b/crates/load-test/src/scenario/coordinator.rs
@@ -20,7 +20,8 @@
                        "late_worth": c.late_worth, "idempotency": idempotency, "window": c.window_ms})
             })
             .collect();
-        let each = |of: &dyn Fn(&ClassTable) -> f64| self.classes.iter().map(of).collect::<Vec<f64>>();
+        let each =
+            |of: &dyn Fn(&ClassTable) -> f64| self.classes.iter().map(of).collect::<Vec<f64>>();
         let tenants: Vec<Value> = self
             .tenants
             .iter()
--- a/crates/load-test/src/scenario/faults.rs
+++ b/crates/load-test/src/scenario/faults.rs
@@ -15,7 +15,10 @@
 
 impl Default for AuditTable {
     fn default() -> Self {
-        Self { slack_ms: 50, void_lag_ms: 10.0 }
+        Self {
+            slack_ms: 50,
+            void_lag_ms: 10.0,
+        }
     }
 }
 
@@ -68,6 +71,9 @@
     /// Whether it befalls a coordinator.
     pub fn of_coordinator(self) -> bool {
         use FaultKind::*;
-        matches!(self, CoordinatorKill | CoordinatorRestart | CoordinatorStall | CoordinatorReload)
+        matches!(
+            self,
+            CoordinatorKill | CoordinatorRestart | CoordinatorStall | CoordinatorReload
+        )
     }
 }
--- a/crates/load-test/src/scenario/fleet.rs
+++ b/crates/load-test/src/scenario/fleet.rs
@@ -154,7 +154,11 @@
 
 impl Default for ListTable {
     fn default() -> Self {
-        Self { add_ms: [260, 2500], notice_ms: [630, 4100], silent_ms: [4200, 14_000] }
+        Self {
+            add_ms: [260, 2500],
+            notice_ms: [630, 4100],
+            silent_ms: [4200, 14_000],
+        }
     }
 }
 
@@ -176,7 +180,13 @@
 
 impl Default for LimitsTable {
     fn default() -> Self {
-        Self { sockets: 1024, memory_mb: 192, open: 250, attempts: 3, retry_after_ms: 1000.0 }
+        Self {
+            sockets: 1024,
+            memory_mb: 192,
+            open: 250,
+            attempts: 3,
+            retry_after_ms: 1000.0,
+        }
     }
 }
 
@@ -219,7 +229,11 @@
                 DialectName::Frames => Dialect::Frames,
                 DialectName::OpenSearch => Dialect::OpenSearch,
             },
-            conn: ConnSpec { streams: h.streams, most: h.connections, idle },
+            conn: ConnSpec {
+                streams: h.streams,
+                most: h.connections,
+                idle,
+            },
             delays: ListDelays {
                 add_ms: f.list.add_ms,
                 notice_ms: f.list.notice_ms,
--- a/crates/load-test/src/scenario/mod.rs
+++ b/crates/load-test/src/scenario/mod.rs
@@ -81,7 +81,8 @@
     /// # Errors
     /// Names the file and the key.
     pub fn load(path: &Path) -> Result<Self, ScenarioError> {
-        let text = std::fs::read_to_string(path).map_err(|e| ScenarioError::File(path.to_owned(), e))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| ScenarioError::File(path.to_owned(), e))?;
         Self::parse(&text, path)
     }
 
@@ -90,9 +91,13 @@
     /// # Errors
     /// Names the file and the key.
     pub fn parse(text: &str, path: &Path) -> Result<Self, ScenarioError> {
-        let read: Self =
-            toml::from_str(text).map_err(|e| ScenarioError::Text(path.to_owned(), e.to_string()))?;
-        read.check().map_err(|(key, why)| ScenarioError::Value { file: path.to_owned(), key, why })?;
+        let read: Self = toml::from_str(text)
+            .map_err(|e| ScenarioError::Text(path.to_owned(), e.to_string()))?;
+        read.check().map_err(|(key, why)| ScenarioError::Value {
+            file: path.to_owned(),
+            key,
+            why,
+        })?;
         Ok(read)
     }
 
--- a/crates/load-test/src/scenario/traffic.rs
+++ b/crates/load-test/src/scenario/traffic.rs
@@ -110,9 +110,18 @@
 }
 
 pub(super) fn tenants() -> Vec<TenantTable> {
-    [("coop-anfa", 0.57), ("coop-maarif", 0.17), ("coop-hay-hassani", 0.16), ("coop-bernoussi", 0.1)]
-        .map(|(name, share)| TenantTable { name: name.into(), share, quota_per_s: None })
-        .to_vec()
+    [
+        ("coop-anfa", 0.57),
+        ("coop-maarif", 0.17),
+        ("coop-hay-hassani", 0.16),
+        ("coop-bernoussi", 0.1),
+    ]
+    .map(|(name, share)| TenantTable {
+        name: name.into(),
+        share,
+        quota_per_s: None,
+    })
+    .to_vec()
 }
 
 /// Which front a client speaks to.
--- a/crates/load-test/src/stats.rs
+++ b/crates/load-test/src/stats.rs
@@ -124,7 +124,12 @@
         Some((TryEnd::Served(true), _)) => 1.0,
         Some((TryEnd::Served(false), t)) => {
             let there = |shard: u32| t.shards.contains(&shard);
-            let weight: f64 = p.parts.iter().filter(|x| there(x.shard)).map(|x| x.weight).sum();
+            let weight: f64 = p
+                .parts
+                .iter()
+                .filter(|x| there(x.shard))
+                .map(|x| x.weight)
+                .sum();
             class.partial_worth * weight
         }
         _ => 0.0,
@@ -158,7 +163,12 @@
 }
 
 /// Works all figures out. `start` is the epoch's time of the plan's 0.
-pub fn figures(s: &Scenario, plan: &Plan, queries: &[QueryRecord], start: Micros) -> (Figures, Histograms) {
+pub fn figures(
+    s: &Scenario,
+    plan: &Plan,
+    queries: &[QueryRecord],
+    start: Micros,
+) -> (Figures, Histograms) {
     let mut f = Figures::default();
     let count = s.length_us().div_ceil(WINDOW_US) as usize;
     let mut h = Histograms {
@@ -175,7 +185,12 @@
     let mut by_class = vec![(0.0, 0.0); s.classes.len()];
     let mut by_tenant = vec![(0.0, 0.0); s.tenants.len()];
     let mut whole = (0.0, 0.0);
-    f.windows = (0..count).map(|n| Window { at_s: n as f64, ..Window::default() }).collect();
+    f.windows = (0..count)
+        .map(|n| Window {
+            at_s: n as f64,
+            ..Window::default()
+        })
+        .collect();
     for q in queries {
         let p = &plan.0[q.query as usize];
         let (class, tenant) = (usize::from(p.class), usize::from(p.tenant));
@@ -185,7 +200,10 @@
         h.lag.saturating_record(lag);
         lags[n].saturating_record(lag);
         *f.outcomes.entry(end.word().to_owned()).or_default() += 1;
-        outcomes.entry(end.word()).or_insert_with(histogram).saturating_record(latency);
+        outcomes
+            .entry(end.word())
+            .or_insert_with(histogram)
+            .saturating_record(latency);
         for t in &q.tries {
             *f.tries.entry(t.end.word().to_owned()).or_default() += 1;
         }
@@ -196,7 +214,8 @@
             TryEnd::Served(_) => {
                 w.served += 1;
                 h.latency.saturating_record(latency);
-                h.service.saturating_record(q.ended.saturating_sub(q.first_sent).max(1));
+                h.service
+                    .saturating_record(q.ended.saturating_sub(q.first_sent).max(1));
                 h.windows[n].saturating_record(latency);
                 classes[class].saturating_record(latency);
                 tenants[tenant].saturating_record(latency);
@@ -205,7 +224,12 @@
             _ => w.failed += 1,
         }
         let earned = worth(s, plan, q);
-        for to in [&mut whole, &mut worths[n], &mut by_class[class], &mut by_tenant[tenant]] {
+        for to in [
+            &mut whole,
+            &mut worths[n],
+            &mut by_class[class],
+            &mut by_tenant[tenant],
+        ] {
             add(to, earned);
         }
     }
@@ -228,9 +252,22 @@
     f.latency = Spread::of(&h.latency);
     f.service = Spread::of(&h.service);
     f.lag = Spread::of(&h.lag);
-    f.by_class = s.classes.iter().zip(&classes).map(|(c, h)| (c.name.clone(), Spread::of(h))).collect();
-    f.by_tenant = s.tenants.iter().zip(&tenants).map(|(t, h)| (t.name.clone(), Spread::of(h))).collect();
-    f.by_outcome = outcomes.iter().map(|(w, h)| ((*w).to_owned(), Spread::of(h))).collect();
+    f.by_class = s
+        .classes
+        .iter()
+        .zip(&classes)
+        .map(|(c, h)| (c.name.clone(), Spread::of(h)))
+        .collect();
+    f.by_tenant = s
+        .tenants
+        .iter()
+        .zip(&tenants)
+        .map(|(t, h)| (t.name.clone(), Spread::of(h)))
+        .collect();
+    f.by_outcome = outcomes
+        .iter()
+        .map(|(w, h)| ((*w).to_owned(), Spread::of(h)))
+        .collect();
     f.served_per_s = h.latency.len() as f64 / s.length_s;
     (f, h)
 }
@@ -253,7 +290,11 @@
         v.sort_by(f64::total_cmp);
         let (first, last) = (*v.first()?, *v.last()?);
         let median = (v[(v.len() - 1) / 2] + v[v.len() / 2]) / 2.0;
-        Some(Self { least: first, median, most: last })
+        Some(Self {
+            least: first,
+            median,
+            most: last,
+        })
     }
 }
 
@@ -298,24 +339,44 @@
         let s = scenario();
         let mut mixer = Mixer::new(&s);
         // 1,000 queries, one each 10 ms: 990 answered after 10 ms, 10 after 1 s, the last 100 refused beside them.
-        let plan = Plan((0..1100).map(|n| mixer.query(n * 10_000, Some(0), Some(0), None)).collect());
-        let took = |n: u32| if n.is_multiple_of(100) { 1_000_000 } else { 10_000 };
+        let plan = Plan(
+            (0..1100)
+                .map(|n| mixer.query(n * 10_000, Some(0), Some(0), None))
+                .collect(),
+        );
+        let took = |n: u32| {
+            if n.is_multiple_of(100) {
+                1_000_000
+            } else {
+                10_000
+            }
+        };
         let all: Vec<QueryRecord> = (0..1100u32)
             .map(|n| {
-                let end = if n < 1000 { TryEnd::Served(true) } else { TryEnd::Refused };
+                let end = if n < 1000 {
+                    TryEnd::Served(true)
+                } else {
+                    TryEnd::Refused
+                };
                 record(n, 500 + u64::from(n) * 10_000, took(n), end)
             })
             .collect();
         let (f, _) = figures(&s, &plan, &all, 500);
         assert_eq!((f.outcomes["served"], f.outcomes["refused"]), (1000, 100));
         assert_eq!(f.latency.count, 1000);
-        for (got, want) in
-            [(f.latency.p50, 10.0), (f.latency.p90, 10.0), (f.latency.p999, 1000.0), (f.lag.p99, 0.05)]
-        {
+        for (got, want) in [
+            (f.latency.p50, 10.0),
+            (f.latency.p90, 10.0),
+            (f.latency.p999, 1000.0),
+            (f.lag.p99, 0.05),
+        ] {
             assert!((got / want - 1.0).abs() < 0.01, "{got} for {want}");
         }
         assert!((f.latency.mean - 19.9).abs() < 0.1 && (f.service.mean - 19.8).abs() < 0.1);
-        assert_eq!((f.windows[0].due, f.windows[0].served, f.windows[10].refused), (100, 100, 100));
+        assert_eq!(
+            (f.windows[0].due, f.windows[0].served, f.windows[10].refused),
+            (100, 100, 100)
+        );
         // The last second's worth is lost: all that was asked for in that window.
         assert!(f.windows[10].worth == 0.0 && f.worth[0] < 1.0 && f.worth[1] < f.worth[0]);
     }
--- a/crates/load-test/src/target.rs
+++ b/crates/load-test/src/target.rs
@@ -12,7 +12,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, watch};
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 25\r\n\r\n\
+const ANSWER: &[u8] =
+    b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 25\r\n\r\n\
                         {\"full\":true,\"pieces\":[]}";
 
 /// How long an answer takes.
@@ -70,7 +71,9 @@
 fn timekeeper(orders: &mpsc::Receiver<Due>) {
     let mut heap: BinaryHeap<Reverse<Due>> = BinaryHeap::new();
     loop {
-        let next = heap.peek().map(|Reverse(d)| d.0.saturating_duration_since(Instant::now()));
+        let next = heap
+            .peek()
+            .map(|Reverse(d)| d.0.saturating_duration_since(Instant::now()));
         let order = match next {
             Some(left) if left.is_zero() => {
                 if let Some(Reverse(due)) = heap.pop() {
@@ -130,16 +133,25 @@
         let addr = listener.local_addr()?;
         let (orders, received) = mpsc::channel();
         let mut threads = vec![std::thread::spawn(move || timekeeper(&received))];
-        let queues = if let Service::Queues(n, _) = spec.service { n as usize } else { 0 };
+        let queues = if let Service::Queues(n, _) = spec.service {
+            n as usize
+        } else {
+            0
+        };
         let free = Mutex::new(vec![Instant::now(); queues]);
         let shared = Arc::new(Shared { spec, free, orders });
         let (stop, stopping) = watch::channel(false);
         for _ in 0..spec.threads.max(1) {
-            let (listener, shared, mut stopping) = (listener.try_clone()?, shared.clone(), stopping.clone());
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+            let (listener, shared, mut stopping) =
+                (listener.try_clone()?, shared.clone(), stopping.clone());
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
             threads.push(std::thread::spawn(move || {
                 runtime.block_on(async move {
-                    let Ok(listener) = TcpListener::from_std(listener) else { return };
+                    let Ok(listener) = TcpListener::from_std(listener) else {
+                        return;
+                    };
                     loop {
                         tokio::select! {
                             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
@@ -151,7 +163,11 @@
                 });
             }));
         }
-        Ok(Self { addr, stop, threads })
+        Ok(Self {
+            addr,
+            stop,
+            threads,
+        })
     }
 }
 
@@ -173,11 +189,18 @@
         let (consumed, length, key) = match head.parse(&input) {
             Ok(httparse::Status::Complete(n)) => {
                 let find = |name: &str| {
-                    let h = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
+                    let h = head
+                        .headers
+                        .iter()
+                        .find(|h| h.name.eq_ignore_ascii_case(name))?;
                     std::str::from_utf8(h.value).ok()
                 };
-                let length = find("Content-Length").and_then(|l| l.parse().ok()).unwrap_or(0);
-                let key = find("Req-Key").and_then(|k| u64::from_str_radix(k, 16).ok()).unwrap_or(0);
+                let length = find("Content-Length")
+                    .and_then(|l| l.parse().ok())
+                    .unwrap_or(0);
+                let key = find("Req-Key")
+                    .and_then(|k| u64::from_str_radix(k, 16).ok())
+                    .unwrap_or(0);
                 (n, length, key)
             }
             Ok(httparse::Status::Partial) if input.len() < 16 * 1024 => {
