--- a/crates/load-test/src/trace.rs
+++ b/crates/load-test/src/trace.rs
@@ -86,18 +86,28 @@
 fn parts(text: &str) -> Option<Vec<PlannedPart>> {
     let part = |p: &str| {
         let mut f = p.split(':');
-        let (shard, weight, work) =
-            (f.next()?.parse().ok()?, f.next()?.parse().ok()?, f.next()?.parse().ok()?);
+        let (shard, weight, work) = (
+            f.next()?.parse().ok()?,
+            f.next()?.parse().ok()?,
+            f.next()?.parse().ok()?,
+        );
         let sound = f.next().is_none() && weight > 0.0 && weight <= 1.0;
-        sound.then_some(PlannedPart { shard, weight, work_us: work })
+        sound.then_some(PlannedPart {
+            shard,
+            weight,
+            work_us: work,
+        })
     };
     text.split(';').map(part).collect()
 }
 
 impl Record {
     fn of(q: &Planned, s: &Scenario) -> Self {
-        let parts: Vec<String> =
-            q.parts.iter().map(|p| format!("{}:{}:{}", p.shard, p.weight, p.work_us)).collect();
+        let parts: Vec<String> = q
+            .parts
+            .iter()
+            .map(|p| format!("{}:{}:{}", p.shard, p.weight, p.work_us))
+            .collect();
         Self {
             at_us: q.at_us,
             class: s.classes[usize::from(q.class)].name.clone(),
@@ -134,7 +144,10 @@
         q.parts = weighed(q.parts, s.traffic.fronts[usize::from(q.front)]);
         q.wait_us = self.wait_us.unwrap_or(q.wait_us);
         if !(1000..=600_000_000).contains(&q.wait_us) {
-            return Err(format!("'wait_us' of {}: it must lie in 1 ms to 10 minutes", q.wait_us));
+            return Err(format!(
+                "'wait_us' of {}: it must lie in 1 ms to 10 minutes",
+                q.wait_us
+            ));
         }
         q.retries = self.retries.unwrap_or(q.retries);
         q.backoff_us = self.backoff_us.unwrap_or(q.backoff_us);
@@ -159,12 +172,23 @@
 }
 
 fn parse(text: &str, path: &Path, s: &Scenario) -> Result<Plan, TraceError> {
-    let at = |line: usize, why: String| TraceError::Line { file: path.to_owned(), line, why };
+    let at = |line: usize, why: String| TraceError::Line {
+        file: path.to_owned(),
+        line,
+        why,
+    };
     let mut records: Vec<(usize, Record)> = Vec::new();
     match kind(path)? {
         Kind::Lines => {
-            for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
-                records.push((n + 1, serde_json::from_str(line).map_err(|e| at(n + 1, e.to_string()))?));
+            for (n, line) in text
+                .lines()
+                .enumerate()
+                .filter(|(_, l)| !l.trim().is_empty())
+            {
+                records.push((
+                    n + 1,
+                    serde_json::from_str(line).map_err(|e| at(n + 1, e.to_string()))?,
+                ));
             }
         }
         Kind::Csv => {
@@ -184,7 +208,10 @@
     let (mut mixer, mut before, mut plan) = (Mixer::new(s), 0, Vec::with_capacity(records.len()));
     for (line, r) in records {
         if r.at_us < before {
-            return Err(at(line, format!("time goes back, from {before} to {} us", r.at_us)));
+            return Err(at(
+                line,
+                format!("time goes back, from {before} to {} us", r.at_us),
+            ));
         }
         before = r.at_us;
         plan.push(r.planned(s, &mut mixer).map_err(|why| at(line, why))?);
@@ -224,7 +251,9 @@
 pub fn fit(plan: &Plan, t: &TraceTable, length_us: u64, seed: u64) -> Plan {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7472_6163);
     let mut out = Vec::new();
-    let Some(last) = plan.0.last() else { return Plan::default() };
+    let Some(last) = plan.0.last() else {
+        return Plan::default();
+    };
     let scaled = |at: u64| (at as f64 * t.time_scale) as u64;
     // A loop starts anew as far after the last query as queries lie apart on average.
     let round = scaled(last.at_us) + (scaled(last.at_us) / plan.0.len() as u64).max(1);
@@ -232,12 +261,22 @@
     while from < length_us {
         for (n, q) in plan.0.iter().enumerate() {
             let at = from + scaled(q.at_us);
-            let next = plan.0.get(n + 1).map_or(from + round, |q| from + scaled(q.at_us));
+            let next = plan
+                .0
+                .get(n + 1)
+                .map_or(from + round, |q| from + scaled(q.at_us));
             let whole = t.rate_scale.floor();
             let copies = whole as u64 + u64::from(rng.random::<f64>() < t.rate_scale - whole);
             for c in 0..copies {
-                let more = if c == 0 || next <= at { 0 } else { rng.random_range(0..next - at) };
-                out.push(Planned { at_us: at + more, ..q.clone() });
+                let more = if c == 0 || next <= at {
+                    0
+                } else {
+                    rng.random_range(0..next - at)
+                };
+                out.push(Planned {
+                    at_us: at + more,
+                    ..q.clone()
+                });
             }
         }
         from += round;
@@ -273,9 +312,19 @@
     #[test]
     fn a_trace_from_elsewhere_needs_a_time_and_a_class() {
         let s = scenario();
-        let plan =
-            parse("at_us,class\n0,nearby-search\n1500,ride-booking\n", Path::new("t.csv"), &s).unwrap();
-        assert_eq!(plan.0.iter().map(|q| (q.at_us, q.class)).collect::<Vec<_>>(), [(0, 0), (1500, 2)]);
+        let plan = parse(
+            "at_us,class\n0,nearby-search\n1500,ride-booking\n",
+            Path::new("t.csv"),
+            &s,
+        )
+        .unwrap();
+        assert_eq!(
+            plan.0
+                .iter()
+                .map(|q| (q.at_us, q.class))
+                .collect::<Vec<_>>(),
+            [(0, 0), (1500, 2)]
+        );
         assert!(plan.0.iter().all(|q| !q.parts.is_empty()));
     }
 
@@ -284,19 +333,67 @@
         let s = scenario();
         let good = "{\"at_us\":5,\"class\":\"nearby-search\"}\n";
         for (text, name, line, why) in [
-            ("at_us,class\n7,nearby-search\n5,nearby-search\n".to_owned(), "t.csv", 3, "time goes back"),
-            ("at_us,class\n7,nearby-search\n8,taxi\n".to_owned(), "t.csv", 3, "unknown class 'taxi'"),
-            ("at_us,class\n7,nearby-search\n8\n".to_owned(), "t.csv", 3, "record"),
-            (format!("{good}{good}{{\"at_us\":9,\"cla"), "t.jsonl", 3, "EOF"),
-            (format!("{good}{{\"at_us\":1,\"class\":\"nearby-search\"}}"), "t.jsonl", 2, "time goes back"),
-            (good.replace("}", ",\"tenant\":\"coop-x\"}"), "t.jsonl", 1, "unknown tenant"),
-            (good.replace("}", ",\"parts\":\"99:1:1\"}"), "t.jsonl", 1, "shard 99"),
-            (good.replace("}", ",\"parts\":\"1:x\"}"), "t.jsonl", 1, "'parts'"),
-            (good.replace("}", ",\"wait_us\":5}"), "t.jsonl", 1, "'wait_us'"),
+            (
+                "at_us,class\n7,nearby-search\n5,nearby-search\n".to_owned(),
+                "t.csv",
+                3,
+                "time goes back",
+            ),
+            (
+                "at_us,class\n7,nearby-search\n8,taxi\n".to_owned(),
+                "t.csv",
+                3,
+                "unknown class 'taxi'",
+            ),
+            (
+                "at_us,class\n7,nearby-search\n8\n".to_owned(),
+                "t.csv",
+                3,
+                "record",
+            ),
+            (
+                format!("{good}{good}{{\"at_us\":9,\"cla"),
+                "t.jsonl",
+                3,
+                "EOF",
+            ),
+            (
+                format!("{good}{{\"at_us\":1,\"class\":\"nearby-search\"}}"),
+                "t.jsonl",
+                2,
+                "time goes back",
+            ),
+            (
+                good.replace("}", ",\"tenant\":\"coop-x\"}"),
+                "t.jsonl",
+                1,
+                "unknown tenant",
+            ),
+            (
+                good.replace("}", ",\"parts\":\"99:1:1\"}"),
+                "t.jsonl",
+                1,
+                "shard 99",
+            ),
+            (
+                good.replace("}", ",\"parts\":\"1:x\"}"),
+                "t.jsonl",
+                1,
+                "'parts'",
+            ),
+            (
+                good.replace("}", ",\"wait_us\":5}"),
+                "t.jsonl",
+                1,
+                "'wait_us'",
+            ),
         ] {
             let e = parse(&text, Path::new(name), &s).expect_err(&text);
             let said = e.to_string();
-            assert!(matches!(e, TraceError::Line { line: l, .. } if l == line), "{said} for {text}");
+            assert!(
+                matches!(e, TraceError::Line { line: l, .. } if l == line),
+                "{said} for {text}"
+            );
             assert!(said.contains(why), "{said} for {why}");
         }
     }
@@ -314,8 +411,12 @@
         assert_eq!(fit(&plan, &table(1.0, 1.0, false), 10_000_000, 1), plan);
         let twice = fit(&plan, &table(2.0, 1.0, false), 20_000_000, 1);
         assert_eq!(twice.0.len(), plan.0.len());
-        assert_eq!(twice.0.last().unwrap().at_us, plan.0.last().unwrap().at_us * 2);
-        let more = fit(&plan, &table(1.0, 2.5, false), 10_000_000, 1).0.len() as f64 / plan.0.len() as f64;
+        assert_eq!(
+            twice.0.last().unwrap().at_us,
+            plan.0.last().unwrap().at_us * 2
+        );
+        let more =
+            fit(&plan, &table(1.0, 2.5, false), 10_000_000, 1).0.len() as f64 / plan.0.len() as f64;
         assert!((more - 2.5).abs() < 0.1, "{more}");
         let looped = fit(&plan, &table(1.0, 1.0, true), 20_000_000, 1);
         assert!((looped.0.len() as f64 / plan.0.len() as f64 - 4.0).abs() < 0.05);
--- a/crates/load-test/tests/generator.rs
+++ b/crates/load-test/tests/generator.rs
@@ -25,8 +25,11 @@
     let listener = fake_hosts::fleet::listener("127.0.0.1:0".parse().unwrap()).unwrap();
     listener.set_nonblocking(false).unwrap();
     let addr = listener.local_addr().unwrap();
-    let (script, conns, requests) =
-        (Arc::new(script), Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+    let (script, conns, requests) = (
+        Arc::new(script),
+        Arc::new(AtomicUsize::new(0)),
+        Arc::new(AtomicUsize::new(0)),
+    );
     let counted = conns.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
@@ -55,7 +58,9 @@
 }
 
 fn ok(stream: &mut TcpStream) -> bool {
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\n{\"full\":true,\"pieces\":[]}").is_ok()
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\n{\"full\":true,\"pieces\":[]}")
+        .is_ok()
 }
 
 #[test]
@@ -73,20 +78,39 @@
     );
     let start = Instant::now() + ms(200);
     let service = Service::Fixed(ms(20));
-    let spec = TargetSpec { threads: 1, service, stall: Some((start + ms(500), ms(1000))) };
+    let spec = TargetSpec {
+        threads: 1,
+        service,
+        stall: Some((start + ms(500), ms(1000))),
+    };
     let target = Target::start(spec, None).unwrap();
     let got = load_plan_at(&s, plan, vec![target.addr], start).unwrap();
-    assert_eq!((got.queries.len(), got.figures.outcomes["served"]), (200, 200), "none is dropped");
+    assert_eq!(
+        (got.queries.len(), got.figures.outcomes["served"]),
+        (200, 200),
+        "none is dropped"
+    );
     for (q, exact) in got.queries.iter().zip(exact) {
         // Never less than the truth. A busy machine adds to it: one due shortly before the stall may come to
         // lie within it.
         let took = q.ended - q.due;
         let due = plan_at[q.query as usize];
         let most = exact.max(1_500_000u64.saturating_sub(due)) + 2_000_000;
-        assert!(took + 1000 >= exact && took < most, "query {}: {took} us for {exact}", q.query);
+        assert!(
+            took + 1000 >= exact && took < most,
+            "query {}: {took} us for {exact}",
+            q.query
+        );
     }
-    let late = got.queries.iter().filter(|q| q.ended - q.due >= 500_000).count();
-    assert!(late >= 53, "those of the stall's first half waited 0.5 s at least: {late}");
+    let late = got
+        .queries
+        .iter()
+        .filter(|q| q.ended - q.due >= 500_000)
+        .count();
+    assert!(
+        late >= 53,
+        "those of the stall's first half waited 0.5 s at least: {late}"
+    );
 }
 
 #[test]
@@ -96,10 +120,17 @@
     let (addr, conns) = server(|_, stream| ok(stream));
     let got = load_plan(&s, plan.clone(), vec![addr]).unwrap();
     assert_eq!(got.figures.outcomes["served"], 50);
-    assert!(conns.load(Ordering::SeqCst) < 25, "{} connections for 50 queries", conns.load(Ordering::SeqCst));
+    assert!(
+        conns.load(Ordering::SeqCst) < 25,
+        "{} connections for 50 queries",
+        conns.load(Ordering::SeqCst)
+    );
     let s = scenario(200.0, 0.5, Arrivals::Constant, 10, 1);
     let got = against(&s, Service::Instant, None, 1).unwrap();
-    assert!(got.queries.iter().all(|q| !q.tries[0].extra && q.end() == TryEnd::Served(true)));
+    assert!(got
+        .queries
+        .iter()
+        .all(|q| !q.tries[0].extra && q.end() == TryEnd::Served(true)));
 }
 
 #[test]
@@ -108,11 +139,17 @@
     let plan = Plan((0..10).map(|n| query_at(&s, n * 1000, 0)).collect());
     let (addr, _) = server(|n, stream| {
         let head = "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\n{\"full\":true";
-        let _ = stream.write_all(&head.as_bytes()[..if n.is_multiple_of(2) { head.len() } else { 9 }]);
+        let _ =
+            stream.write_all(&head.as_bytes()[..if n.is_multiple_of(2) { head.len() } else { 9 }]);
         false
     });
     let got = load_plan(&s, plan, vec![addr]).unwrap();
-    assert_eq!(got.figures.outcomes.get("cut"), Some(&10), "{:?}", got.figures.outcomes);
+    assert_eq!(
+        got.figures.outcomes.get("cut"),
+        Some(&10),
+        "{:?}",
+        got.figures.outcomes
+    );
 }
 
 #[test]
@@ -132,21 +169,34 @@
 fn retries_of_a_thousand_clients_in_one_instant_all_count() {
     let mut s = scenario(1.0, 1.0, Arrivals::Constant, 10, 2);
     s.clients.connections = 200;
-    let one = |_| Planned { retries: 1, honours: true, backoff_us: 0, ..query_at(&s, 0, 0) };
+    let one = |_| Planned {
+        retries: 1,
+        honours: true,
+        backoff_us: 0,
+        ..query_at(&s, 0, 0)
+    };
     let plan = Plan((0..1000).map(one).collect());
     let refused = AtomicUsize::new(0);
     let (addr, _) = server(move |_, stream| {
         if refused.fetch_add(1, Ordering::SeqCst) < 1000 {
-            stream.write_all(b"HTTP/1.1 429 X\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n").is_ok()
+            stream
+                .write_all(b"HTTP/1.1 429 X\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n")
+                .is_ok()
         } else {
             ok(stream)
         }
     });
     let got = load_plan(&s, plan, vec![addr]).unwrap();
-    assert_eq!((got.queries.len(), got.figures.tries["refused"]), (1000, 1000));
+    assert_eq!(
+        (got.queries.len(), got.figures.tries["refused"]),
+        (1000, 1000)
+    );
     // Those that were told to wait did so; latency counts from the first try's instant.
     for q in got.queries.iter().filter(|q| q.tries.len() == 2) {
-        assert_eq!((q.tries[0].end, q.tries[0].retry_after_us), (TryEnd::Refused, Some(500_000)));
+        assert_eq!(
+            (q.tries[0].end, q.tries[0].retry_after_us),
+            (TryEnd::Refused, Some(500_000))
+        );
         assert!(q.ended - q.due >= 500_000);
         // Its name is new, its client's time goes on.
         assert!(q.tries[1].wait_us <= q.tries[0].wait_us);
--- a/crates/load-test/tests/load_test.rs
+++ b/crates/load-test/tests/load_test.rs
@@ -17,7 +17,8 @@
     [[class]]\nname = 'near'\nshare = 1\nparts = [2, 3]\nwork_ms = 5\ngoal_ms = 2500\nlimit_ms = 5000\nrepeat = 'safe'\n";
 
 fn dir(name: &str) -> PathBuf {
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+    let dir =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
@@ -30,25 +31,48 @@
 
 fn scenario(name: &str, more: &str) -> String {
     // A busy machine may hold a stand-in's thread up: the auditor's limits are not what is tested here.
-    format!("name = '{name}'\nlength_s = 4\n[audit]\nslack_ms = 500\n{FLEET}[traffic]\n{TRAFFIC}{more}")
+    format!(
+        "name = '{name}'\nlength_s = 4\n[audit]\nslack_ms = 500\n{FLEET}[traffic]\n{TRAFFIC}{more}"
+    )
 }
 
 fn outcome(name: &str, more: &str) -> Outcome {
     let s = Scenario::parse(&scenario(name, more), Path::new(name)).unwrap();
-    let o = Options { log: "info".into(), work: dir(name), ..Options::default() };
+    let o = Options {
+        log: "info".into(),
+        work: dir(name),
+        ..Options::default()
+    };
     run(&s, &o).unwrap()
 }
 
 fn lab(args: &[&str]) -> (Option<i32>, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_load-test")).args(args).output().unwrap();
-    (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
+    let out = Command::new(env!("CARGO_BIN_EXE_load-test"))
+        .args(args)
+        .output()
+        .unwrap();
+    (
+        out.status.code(),
+        String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
+    )
 }
 
 /// What must hold of any run: all that was planned is accounted for, and no rule is broken.
 fn sound(o: &Outcome) {
-    assert_eq!(o.queries.len(), o.plan.0.len(), "every planned query has its record");
-    assert_eq!(o.figures.outcomes.values().sum::<u64>(), o.plan.0.len() as u64);
-    assert!(o.violations.is_empty(), "{}", load_test::results::verdict(o));
+    assert_eq!(
+        o.queries.len(),
+        o.plan.0.len(),
+        "every planned query has its record"
+    );
+    assert_eq!(
+        o.figures.outcomes.values().sum::<u64>(),
+        o.plan.0.len() as u64
+    );
+    assert!(
+        o.violations.is_empty(),
+        "{}",
+        load_test::results::verdict(o)
+    );
     assert!(o.crashed.is_empty(), "{:?}", o.crashed);
 }
 
@@ -56,20 +80,36 @@
 fn both_fronts_are_driven_and_audited() {
     let o = outcome("fronts", "[traffic.arrivals]\nprocess = 'poisson'\n");
     sound(&o);
-    let text = scenario("opensearch", "").replace("[traffic]\n", "[traffic]\nfronts = ['opensearch']\n");
+    let text =
+        scenario("opensearch", "").replace("[traffic]\n", "[traffic]\nfronts = ['opensearch']\n");
     let hosts = text.replace("hosts = 8\n", "hosts = 8\ndialect = 'opensearch'\n");
     for (name, text) in [("opensearch", text), ("opensearch-hosts", hosts)] {
         let s = Scenario::parse(&text, Path::new(name)).unwrap();
-        let o = run(&s, &Options { log: "info".into(), work: dir(name), ..Options::default() }).unwrap();
+        let o = run(
+            &s,
+            &Options {
+                log: "info".into(),
+                work: dir(name),
+                ..Options::default()
+            },
+        )
+        .unwrap();
         sound(&o);
-        assert!(o.figures.outcomes["served"] > 100, "{:?}", o.figures.outcomes);
+        assert!(
+            o.figures.outcomes["served"] > 100,
+            "{:?}",
+            o.figures.outcomes
+        );
     }
 }
 
 #[test]
 fn what_is_planned_while_a_coordinator_stands_still_counts_as_late() {
     let fault = "[[fault]]\nat_s = 1\nkind = 'coordinator-stall'\nwhich = [0]\nfor_s = 2\n";
-    let o = outcome("stall", &format!("[clients]\npatience = [1.0, 1.0]\n{fault}"));
+    let o = outcome(
+        "stall",
+        &format!("[clients]\npatience = [1.0, 1.0]\n{fault}"),
+    );
     sound(&o);
     let at = |life| o.lives.0.iter().find(|e| e.life == life).unwrap().at;
     let (stopped, went_on) = (at(Life::Stopped), at(Life::Continued));
@@ -79,13 +119,21 @@
         let t = &q.tries[0];
         if t.coordinator == 0 && t.sent > stopped + 50_000 && t.sent < went_on {
             // Nothing was answered before the process went on, and the wait counts from the planned instant.
-            assert!(t.ended >= went_on, "query {} was answered by a stopped process", q.query);
+            assert!(
+                t.ended >= went_on,
+                "query {} was answered by a stopped process",
+                q.query
+            );
             assert!(q.ended - q.due >= went_on - q.due);
             held += 1;
         }
     }
     assert!(held > 20, "{held} queries met the stall");
-    let late = o.queries.iter().filter(|q| q.ended - q.due >= 1_000_000).count();
+    let late = o
+        .queries
+        .iter()
+        .filter(|q| q.ended - q.due >= 1_000_000)
+        .count();
     assert!(late > 10, "{late} were late by a second");
 }
 
@@ -97,16 +145,38 @@
     let o = outcome("kill", faults);
     sound(&o);
     let killed = o.lives.0.iter().find(|e| e.life == Life::Gone).unwrap().at;
-    let held = o.queries.iter().flat_map(|q| &q.tries).filter(|t| t.coordinator == 0 && t.sent > 0);
-    let open: Vec<_> = held.filter(|t| t.sent < killed && t.ended >= killed).collect();
+    let held = o
+        .queries
+        .iter()
+        .flat_map(|q| &q.tries)
+        .filter(|t| t.coordinator == 0 && t.sent > 0);
+    let open: Vec<_> = held
+        .filter(|t| t.sent < killed && t.ended >= killed)
+        .collect();
     assert!(!open.is_empty(), "requests were open when it was killed");
     for t in &open {
         let how = t.end;
-        assert!(matches!(how, TryEnd::Closed | TryEnd::Cut | TryEnd::NoConnection), "{how:?}");
+        assert!(
+            matches!(how, TryEnd::Closed | TryEnd::Cut | TryEnd::NoConnection),
+            "{how:?}"
+        );
     }
-    let ready = o.lives.0.iter().filter(|e| e.coordinator == 0 && e.life == Life::Ready).map(|e| e.at).max();
-    let back = o.queries.iter().flat_map(|q| &q.tries).filter(|t| t.coordinator == 0 && Some(t.sent) > ready);
-    assert!(back.filter(|t| t.end.served()).count() > 0, "it serves again");
+    let ready = o
+        .lives
+        .0
+        .iter()
+        .filter(|e| e.coordinator == 0 && e.life == Life::Ready)
+        .map(|e| e.at)
+        .max();
+    let back = o
+        .queries
+        .iter()
+        .flat_map(|q| &q.tries)
+        .filter(|t| t.coordinator == 0 && Some(t.sent) > ready);
+    assert!(
+        back.filter(|t| t.end.served()).count() > 0,
+        "it serves again"
+    );
 }
 
 /// Hosts that die, drain and come back cold while four cores of two coordinators want them.
@@ -119,37 +189,83 @@
     let quick = "[fleet.list]\nadd_ms = [50, 200]\nnotice_ms = [50, 200]\nsilent_ms = [200, 400]\n[[class]]";
     let text = text.replacen("[[class]]", quick, 1);
     let s = Scenario::parse(&text, Path::new("cores")).unwrap();
-    let o = run(&s, &Options { log: "info".into(), work: dir("cores"), ..Options::default() }).unwrap();
+    let o = run(
+        &s,
+        &Options {
+            log: "info".into(),
+            work: dir("cores"),
+            ..Options::default()
+        },
+    )
+    .unwrap();
     sound(&o);
-    let told =
-        |what: &fake_hosts::ledger::What| matches!(what, fake_hosts::ledger::What::Told(_));
-    assert!(o.events.iter().filter(|e| told(&e.what)).count() > 8, "drains and returns were told");
-    assert!(o.figures.outcomes["served"] > 80, "{:?}", o.figures.outcomes);
+    let told = |what: &fake_hosts::ledger::What| matches!(what, fake_hosts::ledger::What::Told(_));
+    assert!(
+        o.events.iter().filter(|e| told(&e.what)).count() > 8,
+        "drains and returns were told"
+    );
+    assert!(
+        o.figures.outcomes["served"] > 80,
+        "{:?}",
+        o.figures.outcomes
+    );
 }
 
 #[test]
 fn a_run_leaves_its_results_and_a_plan_that_can_be_shown() {
-    let path =
-        file("results", &scenario("results", "[[fault]]\nat_s = 1\nkind = 'host-drain'\nwhich = [1]\n"));
+    let path = file(
+        "results",
+        &scenario(
+            "results",
+            "[[fault]]\nat_s = 1\nkind = 'host-drain'\nwhich = [1]\n",
+        ),
+    );
     let out = dir("results").join("out");
     let trace = dir("results").join("plan.jsonl");
-    let (path, out, trace) = (path.to_str().unwrap(), out.to_str().unwrap(), trace.to_str().unwrap());
+    let (path, out, trace) = (
+        path.to_str().unwrap(),
+        out.to_str().unwrap(),
+        trace.to_str().unwrap(),
+    );
     let (code, said) = lab(&["run", path, "--out", out, "--record", trace]);
     assert!(code == Some(0) || code == Some(4), "{said}");
-    for name in
-        ["summary.json", "windows.csv", "latency.hlog", "report.md", "rates.svg", "hosts.svg", "index.html"]
-    {
-        assert!(Path::new(out).join(name).metadata().unwrap().len() > 100, "{name}");
+    for name in [
+        "summary.json",
+        "windows.csv",
+        "latency.hlog",
+        "report.md",
+        "rates.svg",
+        "hosts.svg",
+        "index.html",
+    ] {
+        assert!(
+            Path::new(out).join(name).metadata().unwrap().len() > 100,
+            "{name}"
+        );
     }
     assert!(said.contains("rules: all kept"), "{said}");
-    let digest =
-        |said: &str| said.split_once("plan ").unwrap().1.split([' ', ':']).next().unwrap().to_owned();
+    let digest = |said: &str| {
+        said.split_once("plan ")
+            .unwrap()
+            .1
+            .split([' ', ':'])
+            .next()
+            .unwrap()
+            .to_owned()
+    };
     let (_, shown) = lab(&["trace", "show", path]);
     let (_, traced) = lab(&["trace", "show", path, "--trace", trace]);
     assert_eq!(digest(&said), digest(&shown));
-    assert_eq!(digest(&said), digest(&traced), "a recorded run is the plan again");
+    assert_eq!(
+        digest(&said),
+        digest(&traced),
+        "a recorded run is the plan again"
+    );
     let (code, said) = lab(&["compare", out, out]);
-    assert!(code == Some(0) && said.contains("| latency p50 ms |"), "{said}");
+    assert!(
+        code == Some(0) && said.contains("| latency p50 ms |"),
+        "{said}"
+    );
 }
 
 /// A program that answers everything with a whole answer of no parts in place of a coordinator.
@@ -157,29 +273,50 @@
 fn a_broken_rule_has_its_own_exit_code_and_its_story() {
     let liar = dir("liar").join("liar.sh");
     let listen = "sed -n 's/.*\"listen\": \"\\([^\"]*\\)\".*/\\1/p' \"$5\"";
-    let text = format!("#!/bin/sh\nexec {} target --listen \"$({listen})\"\n", env!("CARGO_BIN_EXE_load-test"));
+    let text = format!(
+        "#!/bin/sh\nexec {} target --listen \"$({listen})\"\n",
+        env!("CARGO_BIN_EXE_load-test")
+    );
     std::fs::write(&liar, text).unwrap();
     std::fs::set_permissions(&liar, std::fs::Permissions::from_mode(0o755)).unwrap();
-    let path = file("liar", &scenario("liar", "").replace("length_s = 4", "length_s = 1"));
+    let path = file(
+        "liar",
+        &scenario("liar", "").replace("length_s = 4", "length_s = 1"),
+    );
     let out = dir("liar").join("out");
     let (path, out) = (path.to_str().unwrap(), out.to_str().unwrap());
     let (code, said) = lab(&["run", path, "--bin", liar.to_str().unwrap(), "--out", out]);
     assert_eq!(code, Some(3), "{said}");
-    assert!(said.contains("BROKEN honest") && said.contains("marked whole with 0 of"), "{said}");
-    assert!(said.contains("try 0 sent to coordinator") && said.contains("due: near"), "{said}");
+    assert!(
+        said.contains("BROKEN honest") && said.contains("marked whole with 0 of"),
+        "{said}"
+    );
+    assert!(
+        said.contains("try 0 sent to coordinator") && said.contains("due: near"),
+        "{said}"
+    );
 }
 
 #[test]
 fn bad_files_end_with_2_before_anything_runs() {
-    let bad = file("bad", &scenario("bad", "").replace("hosts = 8", "hosts = 0"));
+    let bad = file(
+        "bad",
+        &scenario("bad", "").replace("hosts = 8", "hosts = 0"),
+    );
     let (code, said) = lab(&["run", bad.to_str().unwrap()]);
-    assert!(code == Some(2) && said.contains("fleet.hosts") && said.contains("scenario.toml"), "{said}");
+    assert!(
+        code == Some(2) && said.contains("fleet.hosts") && said.contains("scenario.toml"),
+        "{said}"
+    );
     let text = "name = 'x'\nlength_s = 4\n[traffic]\n[traffic.trace]\nfile = 'day.csv'\n";
     let path = file("trace", text);
     let day = path.with_file_name("day.csv");
     std::fs::write(&day, "at_us,class\n5,nearby-search\n4,nearby-search\n").unwrap();
     let (code, said) = lab(&["run", path.to_str().unwrap()]);
-    assert!(code == Some(2) && said.contains("day.csv: line 3: time goes back"), "{said}");
+    assert!(
+        code == Some(2) && said.contains("day.csv: line 3: time goes back"),
+        "{said}"
+    );
     let (code, said) = lab(&["run", path.to_str().unwrap(), "--bin", "/nowhere/fennelpin"]);
     assert!(code == Some(2), "{said}");
 }
@@ -192,7 +329,9 @@
         .spawn()
         .unwrap();
     let mut line = String::new();
-    BufReader::new(target.stdout.as_mut().unwrap()).read_line(&mut line).unwrap();
+    BufReader::new(target.stdout.as_mut().unwrap())
+        .read_line(&mut line)
+        .unwrap();
     let addr = line.trim().rsplit(' ').next().unwrap();
     let path = file("descriptors", &scenario("descriptors", ""));
     // 40 queries a second for 0.4 s each want 16 connections beside what the runtime itself needs.
@@ -206,10 +345,27 @@
     target.kill().unwrap();
     target.wait().unwrap();
     assert_eq!(out.status.code(), Some(4), "{said}");
-    assert!(said.contains("VOID: ") && said.contains("descriptor"), "{said}");
-    let planned: u64 = said.split_once(" of ").unwrap().1.split(' ').next().unwrap().parse().unwrap();
-    let ends = said.lines().find_map(|l| l.strip_prefix("- queries by how they ended: ")).unwrap();
-    let ended: u64 = ends.split(", ").map(|e| e.rsplit(' ').next().unwrap().parse::<u64>().unwrap()).sum();
+    assert!(
+        said.contains("VOID: ") && said.contains("descriptor"),
+        "{said}"
+    );
+    let planned: u64 = said
+        .split_once(" of ")
+        .unwrap()
+        .1
+        .split(' ')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
+    let ends = said
+        .lines()
+        .find_map(|l| l.strip_prefix("- queries by how they ended: "))
+        .unwrap();
+    let ended: u64 = ends
+        .split(", ")
+        .map(|e| e.rsplit(' ').next().unwrap().parse::<u64>().unwrap())
+        .sum();
     assert_eq!(ended, planned, "{said}");
 }
 
@@ -221,13 +377,30 @@
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut lines = BufReader::new(child.stdout.take().unwrap()).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(child.stdout.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     let curl = lines.find(|l| l.contains("curl ")).expect("a curl line");
-    let url = curl.split("http://").nth(1).unwrap().split(' ').next().unwrap();
+    let url = curl
+        .split("http://")
+        .nth(1)
+        .unwrap()
+        .split(' ')
+        .next()
+        .unwrap();
     let (addr, target) = url.split_once('/').unwrap();
-    let headers: String =
-        curl.split("-H '").skip(1).map(|h| format!("{}\r\n", h.split('\'').next().unwrap())).collect();
-    let body = curl.split("-d '").nth(1).unwrap().split('\'').next().unwrap();
+    let headers: String = curl
+        .split("-H '")
+        .skip(1)
+        .map(|h| format!("{}\r\n", h.split('\'').next().unwrap()))
+        .collect();
+    let body = curl
+        .split("-d '")
+        .nth(1)
+        .unwrap()
+        .split('\'')
+        .next()
+        .unwrap();
     let mut stream = TcpStream::connect(addr).unwrap();
     let request = format!(
         "POST /{target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -236,9 +409,19 @@
     stream.write_all(request.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("\"full\":true"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.contains("\"full\":true"),
+        "{answer}"
+    );
     assert!(lines.any(|l| l.contains("Ctrl-C")));
-    assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
+    assert!(Command::new("kill")
+        .args(["-TERM", &child.id().to_string()])
+        .status()
+        .unwrap()
+        .success());
     assert_eq!(child.wait().unwrap().code(), Some(0));
-    assert!(TcpStream::connect(addr).is_err(), "no coordinator outlives the lab");
+    assert!(
+        TcpStream::connect(addr).is_err(),
+        "no coordinator outlives the lab"
+    );
 }
--- a/crates/load-test/tests/scenario.rs
+++ b/crates/load-test/tests/scenario.rs
@@ -3,10 +3,13 @@
 use load_test::scenario::{FrontName, Scenario, TrafficTable};
 use std::path::Path;
 
-const LEAST: &str = "name = 'x'\nlength_s = 5\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 10\n";
+const LEAST: &str =
+    "name = 'x'\nlength_s = 5\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 10\n";
 
 fn why(text: &str) -> String {
-    Scenario::parse(text, Path::new("day.toml")).expect_err(text).to_string()
+    Scenario::parse(text, Path::new("day.toml"))
+        .expect_err(text)
+        .to_string()
 }
 
 #[test]
@@ -18,7 +21,10 @@
         assert_eq!((site.classes.len(), site.caps.shards), (3, Some(12)));
     }
     let operator = Scenario {
-        traffic: TrafficTable { fronts: vec![FrontName::OpenSearch], ..s.traffic.clone() },
+        traffic: TrafficTable {
+            fronts: vec![FrontName::OpenSearch],
+            ..s.traffic.clone()
+        },
         ..s.clone()
     };
     let site = coordinator::core::settings::read(&s.settings(0).to_string()).unwrap();
--- a/crates/model-check/src/canonical.rs
+++ b/crates/model-check/src/canonical.rs
@@ -28,7 +28,9 @@
         text.clear();
         // Writing to a string can't fail.
         let _ = write!(text, "{member:?}");
-        let state = text.find(", started: ").map_or(text.as_str(), |at| &text[at..]);
+        let state = text
+            .find(", started: ")
+            .map_or(text.as_str(), |at| &text[at..]);
         let mut hasher = DefaultHasher::new();
         match state.find("random: ") {
             Some(at) => {
@@ -51,10 +53,22 @@
         None => stamp as i64,
     };
     match message {
-        Message::RenewLease { epoch, stamp, committed, heard } => {
+        Message::RenewLease {
+            epoch,
+            stamp,
+            committed,
+            heard,
+        } => {
             (16, epoch, against(*stamp), committed, heard).hash(&mut hasher);
         }
-        Message::LeaseReply { epoch, stamp, ok, seen, fit, clock } => {
+        Message::LeaseReply {
+            epoch,
+            stamp,
+            ok,
+            seen,
+            fit,
+            clock,
+        } => {
             (17, epoch, against(*stamp), ok, seen, fit, clock).hash(&mut hasher);
         }
         other => protocol::encode(other).hash(&mut hasher),
@@ -72,7 +86,10 @@
             at += 1;
             continue;
         }
-        let digits = bytes[at..].iter().take_while(|b| b.is_ascii_digit() || **b == b'.').count();
+        let digits = bytes[at..]
+            .iter()
+            .take_while(|b| b.is_ascii_digit() || **b == b'.')
+            .count();
         let unit = &text[at + digits..];
         match nanoseconds(&text[at..at + digits], unit) {
             Some((time, unit_length)) => {
@@ -99,5 +116,8 @@
         return None;
     }
     let number: f64 = number.parse().ok()?;
-    Some((Duration::from_nanos((number * factor).round() as u64), unit.len()))
+    Some((
+        Duration::from_nanos((number * factor).round() as u64),
+        unit.len(),
+    ))
 }
--- a/crates/model-check/src/cluster/claims.rs
+++ b/crates/model-check/src/cluster/claims.rs
@@ -47,7 +47,8 @@
 impl ViewFacts {
     /// Whether nobody older may act any more.
     fn agreed(&self) -> bool {
-        let most = |ids: &[u64]| 2 * ids.iter().filter(|id| self.on_disk.contains(id)).count() > ids.len();
+        let most =
+            |ids: &[u64]| 2 * ids.iter().filter(|id| self.on_disk.contains(id)).count() > ids.len();
         let replicas = self.replicas.iter().all(|id| self.on_disk.contains(id));
         replicas && most(&self.voters) && most(&self.before)
     }
@@ -97,9 +98,20 @@
     pub(super) fn fingerprint(&self, now: Duration, lease: Duration) -> u64 {
         let mut hasher = DefaultHasher::new();
         (&self.views, &self.promised, &self.wiped).hash(&mut hasher);
-        (&self.confirmed_on, self.newest_confirmed, &self.confirmed_drains, &self.refused).hash(&mut hasher);
+        (
+            &self.confirmed_on,
+            self.newest_confirmed,
+            &self.confirmed_drains,
+            &self.refused,
+        )
+            .hash(&mut hasher);
         for (seq, shown) in &self.shown {
-            (seq, shown.content, crate::canonical::relative(now, shown.at, lease)).hash(&mut hasher);
+            (
+                seq,
+                shown.content,
+                crate::canonical::relative(now, shown.at, lease),
+            )
+                .hash(&mut hasher);
         }
         hasher.finish()
     }
@@ -113,12 +125,18 @@
         let set = |ids: &[u64]| ids.iter().copied().collect::<BTreeSet<u64>>();
         let before = set(before);
         let brought = |v: &&ViewFacts| set(&v.voters) == before && set(&v.before) != before;
-        let mut changes = self.views.range(..epoch).map(|v| v.1).filter(brought).peekable();
+        let mut changes = self
+            .views
+            .range(..epoch)
+            .map(|v| v.1)
+            .filter(brought)
+            .peekable();
         if changes.peek().is_none() || changes.any(ViewFacts::agreed) {
             return Ok(());
         }
-        let detail =
-            format!("{epoch} counts on the voters of a view that old and new voters haven't agreed on");
+        let detail = format!(
+            "{epoch} counts on the voters of a view that old and new voters haven't agreed on"
+        );
         Err(Breach::new(AGREED, detail))
     }
 
@@ -138,18 +156,27 @@
         });
         match facts.hash == hash {
             true => Ok(facts),
-            false => Err(Breach::new(ONE_VIEW, format!("two views of epoch {}", view.epoch))),
+            false => Err(Breach::new(
+                ONE_VIEW,
+                format!("two views of epoch {}", view.epoch),
+            )),
         }
     }
 
     /// A member starts: what it promised, as others heard, has to be known to it.
     pub(super) fn starts(&self, id: u64, promised: u64) -> Result<(), Breach> {
         if self.wiped.contains(&id) {
-            return Err(Breach::new(IDENTITY, format!("{id} starts again, its disk is gone")));
+            return Err(Breach::new(
+                IDENTITY,
+                format!("{id} starts again, its disk is gone"),
+            ));
         }
         let told = self.promised.get(&id).copied().unwrap_or_default();
         match promised < told {
-            true => Err(Breach::new(PROMISE, format!("{id} starts with {promised}, it promised {told}"))),
+            true => Err(Breach::new(
+                PROMISE,
+                format!("{id} starts with {promised}, it promised {told}"),
+            )),
             false => Ok(()),
         }
     }
@@ -173,7 +200,11 @@
     /// A member speaks.
     pub(super) fn says(&mut self, id: u64, message: &Message) -> Result<(), Breach> {
         let word = match message {
-            Message::Promise { epoch, granted: true, .. } => {
+            Message::Promise {
+                epoch,
+                granted: true,
+                ..
+            } => {
                 let before = self.promised.get(&id).copied().unwrap_or_default();
                 if *epoch <= before {
                     let detail = format!("{id} promises {epoch} after {before}");
@@ -182,9 +213,15 @@
                 self.promised.insert(id, *epoch);
                 Some(*epoch)
             }
-            Message::InstallReply { epoch, ok: true, .. }
-            | Message::AppendReply { epoch, ok: true, .. }
-            | Message::LeaseReply { epoch, ok: true, .. } => Some(*epoch),
+            Message::InstallReply {
+                epoch, ok: true, ..
+            }
+            | Message::AppendReply {
+                epoch, ok: true, ..
+            }
+            | Message::LeaseReply {
+                epoch, ok: true, ..
+            } => Some(*epoch),
             Message::InstallView { view, .. } => {
                 self.see_view(view)?;
                 None
@@ -193,7 +230,10 @@
         };
         let Some(epoch) = word else { return Ok(()) };
         if self.wiped.contains(&id) {
-            return Err(Breach::new(IDENTITY, format!("{id} speaks of epoch {epoch}, its disk is gone")));
+            return Err(Breach::new(
+                IDENTITY,
+                format!("{id} speaks of epoch {epoch}, its disk is gone"),
+            ));
         }
         let promised = self.promised.get(&id).copied().unwrap_or_default();
         if epoch < promised {
@@ -206,11 +246,15 @@
 
     /// A view is agreed on: its ledger has to hold all that was acknowledged before.
     fn taken_over(&self, epoch: u64, begins_with: u64) -> Result<(), Breach> {
-        let missing = self.shown.range(begins_with + 1..).find(|s| s.1.epoch < epoch);
+        let missing = self
+            .shown
+            .range(begins_with + 1..)
+            .find(|s| s.1.epoch < epoch);
         match missing {
             Some((missing, _)) => {
-                let detail =
-                    format!("view {epoch} begins with change {begins_with}, {missing} was acknowledged");
+                let detail = format!(
+                    "view {epoch} begins with change {begins_with}, {missing} was acknowledged"
+                );
                 Err(Breach::new(KEPT, detail))
             }
             None => Ok(()),
@@ -225,7 +269,10 @@
             return Err(Breach::new(AGREED, detail));
         }
         match self.views.range(epoch + 1..).find(|v| v.1.agreed()) {
-            Some((later, _)) => Err(Breach::new(FENCED, format!("{epoch} acts after {later} is agreed on"))),
+            Some((later, _)) => Err(Breach::new(
+                FENCED,
+                format!("{epoch} acts after {later} is agreed on"),
+            )),
             None => Ok(()),
         }
     }
@@ -241,11 +288,16 @@
     ) -> Result<(), Breach> {
         let newest = self.shown.last_key_value().map_or(0, |s| *s.0);
         if seq < newest {
-            return Err(Breach::new(KEPT, format!("change {seq} shown after {newest}")));
+            return Err(Breach::new(
+                KEPT,
+                format!("change {seq} shown after {newest}"),
+            ));
         }
         if document.version < self.newest_confirmed {
-            let detail =
-                format!("version {} shown, confirmed is {}", document.version, self.newest_confirmed);
+            let detail = format!(
+                "version {} shown, confirmed is {}",
+                document.version, self.newest_confirmed
+            );
             return Err(Breach::new(KEPT, detail));
         }
         if let Some(drain) = self.confirmed_drains.iter().find(|d| !drains.contains(d)) {
@@ -253,7 +305,10 @@
         }
         self.same_content(now, epoch, seq, document, drains)?;
         if let Some(order) = self.refused.get(&hash_of(document.to_json())) {
-            return Err(Breach::new(ANSWER, format!("order {order} was refused and is in force")));
+            return Err(Breach::new(
+                ANSWER,
+                format!("order {order} was refused and is in force"),
+            ));
         }
         Ok(())
     }
@@ -269,10 +324,18 @@
     ) -> Result<(), Breach> {
         let document = hash_of(document.to_json());
         let content = hash_of((document, drains));
-        let shown = self.shown.entry(seq).or_insert(Shown { content, document, epoch, at: now });
+        let shown = self.shown.entry(seq).or_insert(Shown {
+            content,
+            document,
+            epoch,
+            at: now,
+        });
         match shown.content == content {
             true => Ok(()),
-            false => Err(Breach::new(ONE_CONTENT, format!("change {seq} has two contents"))),
+            false => Err(Breach::new(
+                ONE_CONTENT,
+                format!("change {seq} has two contents"),
+            )),
         }
     }
 
@@ -280,7 +343,10 @@
     pub(super) fn confirms(&mut self, order: usize, base: u64, version: u64) -> Result<(), Breach> {
         let other = *self.confirmed_on.entry(base).or_insert(order);
         if other != order {
-            return Err(Breach::new(ONE_ORDER, format!("orders {other} and {order} on version {base}")));
+            return Err(Breach::new(
+                ONE_ORDER,
+                format!("orders {other} and {order} on version {base}"),
+            ));
         }
         self.newest_confirmed = self.newest_confirmed.max(version);
         Ok(())
@@ -295,7 +361,10 @@
         let content = hash_of(json);
         let confirmed = self.confirmed_on.get(&base) == Some(&order);
         if confirmed || self.shown.values().any(|s| s.document == content) {
-            return Err(Breach::new(ANSWER, format!("order {order} was taken and is refused")));
+            return Err(Breach::new(
+                ANSWER,
+                format!("order {order} was taken and is refused"),
+            ));
         }
         self.refused.insert(content, order);
         Ok(())
@@ -304,13 +373,21 @@
     /// A read that was sent when version `known` was confirmed is answered with `version`.
     pub(super) fn reads(&self, known: u64, version: u64) -> Result<(), Breach> {
         match version < known {
-            true => Err(Breach::new(READ, format!("version {version} read, {known} was confirmed before"))),
+            true => Err(Breach::new(
+                READ,
+                format!("version {version} read, {known} was confirmed before"),
+            )),
             false => Ok(()),
         }
     }
 
     /// Somebody with change `seq` says that nothing acknowledged before `fresh_at` is missing.
-    pub(super) fn claims_fresh(&self, who: &str, fresh_at: Duration, seq: u64) -> Result<(), Breach> {
+    pub(super) fn claims_fresh(
+        &self,
+        who: &str,
+        fresh_at: Duration,
+        seq: u64,
+    ) -> Result<(), Breach> {
         let missing = self.shown.range(seq + 1..).find(|s| s.1.at < fresh_at);
         match missing {
             Some((missing, shown)) => {
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -90,7 +90,10 @@
 
 /// The address of a machine for the members' own messages.
 pub(super) fn inner(index: usize) -> Addr {
-    Addr { ip: u32::from(*control(index).ip()), port: INNER_PORT }
+    Addr {
+        ip: u32::from(*control(index).ip()),
+        port: INNER_PORT,
+    }
 }
 
 impl Machine {
@@ -137,7 +140,11 @@
         let config = Config {
             me: seat.clone(),
             bootstrap_voters: Some(voters).filter(|voters| !voters.is_empty()),
-            budget: FaultBudget { machine_losses: start.losses, zones: 0, region_losses: 0 },
+            budget: FaultBudget {
+                machine_losses: start.losses,
+                zones: 0,
+                region_losses: 0,
+            },
             lease: LEASE,
             patience: PATIENCE,
             stall: STALL,
@@ -176,10 +183,14 @@
             records.clear();
         }
         records.extend(write.records.iter().cloned());
-        let accepted = write.records.iter().rev().find_map(|r| match protocol::read_one(r) {
-            Ok(Record::Accepted { snapshot, .. }) => Some(snapshot.map(Arc::new)),
-            _ => None,
-        });
+        let accepted = write
+            .records
+            .iter()
+            .rev()
+            .find_map(|r| match protocol::read_one(r) {
+                Ok(Record::Accepted { snapshot, .. }) => Some(snapshot.map(Arc::new)),
+                _ => None,
+            });
         if let (Some(process), Some(at_start)) = (&mut self.process, accepted) {
             process.at_start = at_start;
         }
@@ -194,7 +205,11 @@
             let own = now.saturating_sub(process.origin);
             canonical::hash_of_member(&process.member, own, LEASE).hash(&mut hasher);
             let mirror = process.mirror.read();
-            let shown = (mirror.ledger(), mirror.document().version, mirror.age_ms(own).min(9000));
+            let shown = (
+                mirror.ledger(),
+                mirror.document().version,
+                mirror.age_ms(own).min(9000),
+            );
             (shown, &process.writes).hash(&mut hasher);
             canonical::relative(own, process.wake, LEASE).hash(&mut hasher);
         }
@@ -203,7 +218,10 @@
 
     /// Hash for the state's fingerprint.
     pub(super) fn fingerprint(&self, now: Duration) -> (u64, i64) {
-        (self.fingerprint, canonical::relative(now, self.fingerprint_at, LEASE))
+        (
+            self.fingerprint,
+            canonical::relative(now, self.fingerprint_at, LEASE),
+        )
     }
 }
 
--- a/crates/model-check/src/cluster/mod.rs
+++ b/crates/model-check/src/cluster/mod.rs
@@ -14,7 +14,8 @@
 mod world;
 
 pub use claims::{
-    AGE, AGREED, ANSWER, FENCED, FORWARD, IDENTITY, KEPT, ONE_CONTENT, ONE_ORDER, ONE_VIEW, PROMISE, READ,
+    AGE, AGREED, ANSWER, FENCED, FORWARD, IDENTITY, KEPT, ONE_CONTENT, ONE_ORDER, ONE_VIEW,
+    PROMISE, READ,
 };
 pub use faults::{Action, Faults, Way};
 pub use machine::LEASE;
@@ -96,7 +97,10 @@
             world = world.after(&scenario, &action)?;
         }
         world.begin(&scenario);
-        Ok(Self { scenario, start: world })
+        Ok(Self {
+            scenario,
+            start: world,
+        })
     }
 
     /// Members that all lose power as soon as a majority has promised an epoch, before any holds a view, and
@@ -114,7 +118,10 @@
             world = world.after(&scenario, &Action::Crash(machine, down))?;
         }
         world.begin(&scenario);
-        Ok(Self { scenario, start: world })
+        Ok(Self {
+            scenario,
+            start: world,
+        })
     }
 
     /// What is searched.
--- a/crates/model-check/src/cluster/operator.rs
+++ b/crates/model-check/src/cluster/operator.rs
@@ -95,16 +95,34 @@
     /// Makes a request an order; its number.
     pub(super) fn make(&mut self, request: Request, newest: u64) -> usize {
         let number = self.orders.len();
-        let latest = self.orders.iter().rposition(|o| matches!(*o.command, Command::Configure { .. }));
+        let latest = self
+            .orders
+            .iter()
+            .rposition(|o| matches!(*o.command, Command::Configure { .. }));
         let latest = latest.map(|at| self.orders[at].clone());
-        let first = self.orders.iter().find(|o| matches!(*o.command, Command::Configure { .. }));
-        let latest = first.cloned().filter(|_| request == Request::RepeatFirst).or(latest);
+        let first = self
+            .orders
+            .iter()
+            .find(|o| matches!(*o.command, Command::Configure { .. }));
+        let latest = first
+            .cloned()
+            .filter(|_| request == Request::RepeatFirst)
+            .or(latest);
         let order = match (request, latest) {
             (Request::Read, _) => self.other(Command::Read { reserved: 0 }, newest),
-            (Request::Drain, _) => self.other(Command::Drain { host: format!("i-{number}") }, newest),
-            (Request::Repeat | Request::RepeatFirst, Some(latest)) => {
-                Order { known: newest, attempts: 0, at: None, result: Result::Open, ..latest }
-            }
+            (Request::Drain, _) => self.other(
+                Command::Drain {
+                    host: format!("i-{number}"),
+                },
+                newest,
+            ),
+            (Request::Repeat | Request::RepeatFirst, Some(latest)) => Order {
+                known: newest,
+                attempts: 0,
+                at: None,
+                result: Result::Open,
+                ..latest
+            },
             (Request::Rival, Some(latest)) => self.change(latest.base, latest.version, newest),
             (Request::Guess, _) => {
                 let base = next_version(newest, number + 1);
@@ -119,12 +137,32 @@
     fn other(&self, command: Command, known: u64) -> Order {
         let content = self.orders.len();
         let command = Arc::new(command);
-        Order { command, content, base: 0, version: 0, known, attempts: 0, at: None, result: Result::Open }
+        Order {
+            command,
+            content,
+            base: 0,
+            version: 0,
+            known,
+            attempts: 0,
+            at: None,
+            result: Result::Open,
+        }
     }
 
     fn change(&self, base: u64, version: u64, known: u64) -> Order {
         let body = body(version, &format!("r{}", self.orders.len()));
-        Order { base, version, ..self.other(Command::Configure { base, amend: false, body }, known) }
+        Order {
+            base,
+            version,
+            ..self.other(
+                Command::Configure {
+                    base,
+                    amend: false,
+                    body,
+                },
+                known,
+            )
+        }
     }
 
     /// The ticket of an order's latest attempt.
@@ -142,7 +180,9 @@
     /// Its configuration as members show it.
     pub(super) fn json(&self) -> String {
         match &*self.command {
-            Command::Configure { body, .. } => Document::read(body, 0).map_or(String::new(), |d| d.to_json()),
+            Command::Configure { body, .. } => {
+                Document::read(body, 0).map_or(String::new(), |d| d.to_json())
+            }
             _ => String::new(),
         }
     }
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/planted.rs
@@ -67,18 +67,45 @@
     /// What becomes of a message on its way; `at_start` is the sender's ledger at the start of its view.
     pub(super) fn rewrite(self, message: Message, at_start: Option<&Snapshot>) -> Message {
         match (self, message) {
-            (Planted::ShortLedger, Message::LedgerReply { epoch, tag, snapshot }) => {
+            (
+                Planted::ShortLedger,
+                Message::LedgerReply {
+                    epoch,
+                    tag,
+                    snapshot,
+                },
+            ) => {
                 let snapshot = at_start.cloned().unwrap_or(snapshot);
-                Message::LedgerReply { epoch, tag: LedgerPosition { seq: snapshot.seq, ..tag }, snapshot }
+                Message::LedgerReply {
+                    epoch,
+                    tag: LedgerPosition {
+                        seq: snapshot.seq,
+                        ..tag
+                    },
+                    snapshot,
+                }
             }
-            (Planted::ForgottenCalls, Message::InstallView { view, snapshot: Some(snapshot) }) => {
+            (
+                Planted::ForgottenCalls,
+                Message::InstallView {
+                    view,
+                    snapshot: Some(snapshot),
+                },
+            ) => {
                 let mut snapshot = snapshot;
-                snapshot.taken.iter_mut().for_each(|call| call.digest = Default::default());
+                snapshot
+                    .taken
+                    .iter_mut()
+                    .for_each(|call| call.digest = Default::default());
                 let snapshot = Some(snapshot);
                 Message::InstallView { view, snapshot }
             }
             (Planted::RewrittenChange, Message::AppendChange { epoch, seq, change }) => {
-                Message::AppendChange { epoch, seq, change: other_content(change) }
+                Message::AppendChange {
+                    epoch,
+                    seq,
+                    change: other_content(change),
+                }
             }
             (_, message) => message,
         }
@@ -97,18 +124,32 @@
             (Planted::NewVotersAlone, Message::InstallView { view, .. }) => {
                 let epoch = view.epoch;
                 let left = departed(view).any(|s| s.id == receiver.id);
-                let yes = || from_receiver(Message::InstallReply { epoch, ok: true, seen: epoch });
+                let yes = || {
+                    from_receiver(Message::InstallReply {
+                        epoch,
+                        ok: true,
+                        seen: epoch,
+                    })
+                };
                 left.then(yes).unwrap_or_default()
             }
             (Planted::NewVotersAlone, Message::RenewLease { epoch, stamp, .. }) => {
                 let lease = granted(*epoch, *stamp);
-                view.into_iter().flat_map(departed).map(|s| (s.clone(), lease.clone())).collect()
+                view.into_iter()
+                    .flat_map(departed)
+                    .map(|s| (s.clone(), lease.clone()))
+                    .collect()
             }
             (Planted::UnfoundedLease, Message::RenewLease { epoch, stamp, .. }) if !reachable => {
                 from_receiver(granted(*epoch, *stamp))
             }
             (Planted::EarlyWord, Message::AppendChange { epoch, seq, .. }) => {
-                from_receiver(Message::AppendReply { epoch: *epoch, seq: *seq, ok: true, seen: *epoch })
+                from_receiver(Message::AppendReply {
+                    epoch: *epoch,
+                    seq: *seq,
+                    ok: true,
+                    seen: *epoch,
+                })
             }
             _ => Vec::new(),
         }
@@ -121,14 +162,25 @@
 }
 
 fn granted(epoch: u64, stamp: u64) -> Message {
-    Message::LeaseReply { epoch, stamp, ok: true, seen: epoch, fit: true, clock: 0 }
+    Message::LeaseReply {
+        epoch,
+        stamp,
+        ok: true,
+        seen: epoch,
+        fit: true,
+        clock: 0,
+    }
 }
 
 fn other_content(change: protocol::Change) -> protocol::Change {
     match change {
         protocol::Change::Configure { base, amend, body } => {
             let text = String::from_utf8_lossy(&body).replace("h.example", "x.example");
-            protocol::Change::Configure { base, amend, body: text.into_bytes() }
+            protocol::Change::Configure {
+                base,
+                amend,
+                body: text.into_bytes(),
+            }
         }
         other => other,
     }
--- a/crates/model-check/src/cluster/world/actions.rs
+++ b/crates/model-check/src/cluster/world/actions.rs
@@ -15,9 +15,16 @@
 }
 
 impl World {
-    pub(in crate::cluster) fn after(&self, scenario: &Scenario, action: &Action) -> Result<World, Breach> {
+    pub(in crate::cluster) fn after(
+        &self,
+        scenario: &Scenario,
+        action: &Action,
+    ) -> Result<World, Breach> {
         let mut world = self.clone();
-        let run = &mut Run { scenario, mute: None };
+        let run = &mut Run {
+            scenario,
+            mute: None,
+        };
         match action {
             Action::Deliver(place) => {
                 if let Some(envelope) = world.network.remove(*place) {
--- a/crates/model-check/src/cluster/world/choices.rs
+++ b/crates/model-check/src/cluster/world/choices.rs
@@ -14,11 +14,14 @@
         if !self.network.is_empty() {
             return Action::Deliver(0);
         }
-        self.pending_write().map_or(Action::Advance, Action::EndWrite)
+        self.pending_write()
+            .map_or(Action::Advance, Action::EndWrite)
     }
 
     fn pending_write(&self) -> Option<usize> {
-        let writes = |m: &Arc<Machine>| m.process.as_ref().is_some_and(|p| !p.writes.is_empty()) && !m.frozen;
+        let writes = |m: &Arc<Machine>| {
+            m.process.as_ref().is_some_and(|p| !p.writes.is_empty()) && !m.frozen
+        };
         self.machines.iter().position(writes)
     }
 
@@ -27,12 +30,21 @@
             return Vec::new();
         }
         let default = self.default_action();
-        let mut choices = vec![Choice { action: default.clone(), cost: 0 }];
+        let mut choices = vec![Choice {
+            action: default.clone(),
+            cost: 0,
+        }];
         let faults = &scenario.faults;
         for place in 1..self.network.len().min(faults.any_order) {
-            choices.push(Choice { action: Action::Deliver(place), cost: 0 });
+            choices.push(Choice {
+                action: Action::Deliver(place),
+                cost: 0,
+            });
         }
-        if self.begun.is_some_and(|begun| self.now < begun + scenario.faults_until) {
+        if self
+            .begun
+            .is_some_and(|begun| self.now < begun + scenario.faults_until)
+        {
             let deviations = self.network_deviations(faults).into_iter();
             let deviations = deviations.chain(self.machine_deviations(faults, &default));
             choices.extend(deviations.map(|action| Choice { action, cost: 1 }));
@@ -43,12 +55,18 @@
     fn network_deviations(&self, faults: &Faults) -> Vec<Action> {
         let mut all = Vec::new();
         if self.network.is_empty() {
-            let pulls = self.events.first().is_some_and(|e| matches!(e.1, Event::Pull));
+            let pulls = self
+                .events
+                .first()
+                .is_some_and(|e| matches!(e.1, Event::Pull));
             if pulls && self.late_news.is_none() {
                 let machines = 0..self.machines.len();
-                all.extend(
-                    machines.flat_map(|n| faults.late_news.iter().map(move |d| Action::LateNews(n, *d))),
-                );
+                all.extend(machines.flat_map(|n| {
+                    faults
+                        .late_news
+                        .iter()
+                        .map(move |d| Action::LateNews(n, *d))
+                }));
             }
             return all;
         }
@@ -57,7 +75,12 @@
         all.extend(faults.duplicate.iter().map(|d| Action::Duplicate(*d)));
         all.extend(faults.delay.iter().map(|d| Action::Delay(*d)));
         all.extend(faults.timer_first.then_some(Action::Advance));
-        all.extend(faults.crash_sending.iter().map(|d| Action::CrashSending(*d)));
+        all.extend(
+            faults
+                .crash_sending
+                .iter()
+                .map(|d| Action::CrashSending(*d)),
+        );
         all
     }
 
@@ -74,8 +97,18 @@
             };
             if takes || sent {
                 all.extend(faults.cut.iter().map(|d| Action::Cut(n, Way::Both, *d)));
-                all.extend(faults.cut_one_way.iter().map(|d| Action::Cut(n, Way::Out, *d)));
-                all.extend(faults.cut_one_way.iter().map(|d| Action::Cut(n, Way::In, *d)));
+                all.extend(
+                    faults
+                        .cut_one_way
+                        .iter()
+                        .map(|d| Action::Cut(n, Way::Out, *d)),
+                );
+                all.extend(
+                    faults
+                        .cut_one_way
+                        .iter()
+                        .map(|d| Action::Cut(n, Way::In, *d)),
+                );
             }
             if !takes {
                 continue;
--- a/crates/model-check/src/cluster/world/event.rs
+++ b/crates/model-check/src/cluster/world/event.rs
@@ -80,10 +80,14 @@
             }
             Event::Thaw(n) => {
                 self.machine(n).frozen = false;
-                let (mine, others) = std::mem::take(&mut self.held).into_iter().partition(|e| e.to == n);
+                let (mine, others) = std::mem::take(&mut self.held)
+                    .into_iter()
+                    .partition(|e| e.to == n);
                 self.held = others;
                 let mine: Vec<Arc<Envelope>> = mine;
-                mine.into_iter().rev().for_each(|e| self.network.push_front(e));
+                mine.into_iter()
+                    .rev()
+                    .for_each(|e| self.network.push_front(e));
                 self.changed(n);
                 Ok(())
             }
@@ -123,13 +127,21 @@
                 self.schedule(PULL_INTERVAL, Event::Pull);
                 self.pull_all(run)
             }
-            Event::News { reader, member, news, asked } => {
+            Event::News {
+                reader,
+                member,
+                news,
+                asked,
+            } => {
                 let news = (*news).clone().aged(asked, self.now);
                 self.read_news(run, reader, member, &news)
             }
             Event::StartReader => {
                 let mirror = new_reader();
-                self.readers.push(Arc::new(Reader { mirror, newest: (0, 0) }));
+                self.readers.push(Arc::new(Reader {
+                    mirror,
+                    newest: (0, 0),
+                }));
                 Ok(())
             }
         }
--- a/crates/model-check/src/cluster/world/fingerprint.rs
+++ b/crates/model-check/src/cluster/world/fingerprint.rs
@@ -12,7 +12,10 @@
         for machine in &self.machines {
             machine.fingerprint(self.now).hash(&mut hasher);
         }
-        self.network.iter().chain(&self.held).for_each(|e| e.hash.hash(&mut hasher));
+        self.network
+            .iter()
+            .chain(&self.held)
+            .for_each(|e| e.hash.hash(&mut hasher));
         self.held.len().hash(&mut hasher);
         for (at, event) in &self.events {
             canonical::relative(self.now, *at, LEASE).hash(&mut hasher);
@@ -22,7 +25,12 @@
         self.operators.hash(&mut hasher);
         for reader in &self.readers {
             let mirror = reader.mirror.read();
-            (mirror.ledger(), reader.newest, mirror.age_ms(self.now).min(9000)).hash(&mut hasher);
+            (
+                mirror.ledger(),
+                reader.newest,
+                mirror.age_ms(self.now).min(9000),
+            )
+                .hash(&mut hasher);
         }
         self.facts.fingerprint(self.now, LEASE).hash(&mut hasher);
         (self.wipes, self.replaced, self.late_news).hash(&mut hasher);
@@ -34,14 +42,29 @@
     fn hash_into(&self, hasher: &mut DefaultHasher) {
         std::mem::discriminant(self).hash(hasher);
         match self {
-            Event::Start(n) | Event::Thaw(n) | Event::FastDisk(n) | Event::Request(n) | Event::Retry(n) => {
+            Event::Start(n)
+            | Event::Thaw(n)
+            | Event::FastDisk(n)
+            | Event::Request(n)
+            | Event::Retry(n) => {
                 n.hash(hasher);
             }
             Event::Heal(n, way) => (n, way).hash(hasher),
             Event::Kill(n, life) => (n, life).hash(hasher),
             Event::Deliver(envelope) => envelope.hash.hash(hasher),
-            Event::News { reader, member, news, .. } => {
-                (reader, member, news.age_ms, news.config.as_ref().map(|c| c.seq)).hash(hasher);
+            Event::News {
+                reader,
+                member,
+                news,
+                ..
+            } => {
+                (
+                    reader,
+                    member,
+                    news.age_ms,
+                    news.config.as_ref().map(|c| c.seq),
+                )
+                    .hash(hasher);
             }
             Event::Join | Event::Hello | Event::Pull | Event::StartReader => {}
         }
--- a/crates/model-check/src/cluster/world/members.rs
+++ b/crates/model-check/src/cluster/world/members.rs
@@ -14,9 +14,18 @@
 impl World {
     pub(super) fn end_write(&mut self, run: &Run, n: usize) -> Result<(), Breach> {
         let process = self.machine(n).process.as_mut();
-        let Some(write) = process.and_then(|p| p.writes.pop_front()) else { return Ok(()) };
+        let Some(write) = process.and_then(|p| p.writes.pop_front()) else {
+            return Ok(());
+        };
         self.write(n, &write)?;
-        self.step(run, n, Input::Wrote { ticket: write.ticket, result: Ok(()) })
+        self.step(
+            run,
+            n,
+            Input::Wrote {
+                ticket: write.ticket,
+                result: Ok(()),
+            },
+        )
     }
 
     fn write(&mut self, n: usize, write: &PendingWrite) -> Result<(), Breach> {
@@ -30,14 +39,19 @@
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let now = self.now;
-            let Some(process) = &mut self.machine(n).process else { return Ok(()) };
+            let Some(process) = &mut self.machine(n).process else {
+                return Ok(());
+            };
             let clock = process.clock(now);
             let mut outputs = Vec::new();
             process.member.step(clock, input, &mut outputs);
             for output in outputs {
                 if let Some(write) = self.perform(run, n, output)? {
                     self.write(n, &write)?;
-                    inputs.push_back(Input::Wrote { ticket: write.ticket, result: Ok(()) });
+                    inputs.push_back(Input::Wrote {
+                        ticket: write.ticket,
+                        result: Ok(()),
+                    });
                 }
             }
         }
@@ -50,12 +64,25 @@
     }
 
     /// Does what a member asks for; a write that ends at once is handed back.
-    fn perform(&mut self, run: &Run, n: usize, output: Output) -> Result<Option<PendingWrite>, Breach> {
+    fn perform(
+        &mut self,
+        run: &Run,
+        n: usize,
+        output: Output,
+    ) -> Result<Option<PendingWrite>, Breach> {
         let mute = run.mute == Some(n);
         match output {
-            Output::Write { ticket, records, rewrite } => {
+            Output::Write {
+                ticket,
+                records,
+                rewrite,
+            } => {
                 let slow = self.machines[n].slow;
-                let write = PendingWrite { ticket, records, rewrite };
+                let write = PendingWrite {
+                    ticket,
+                    records,
+                    rewrite,
+                };
                 if !slow {
                     return Ok(Some(write));
                 }
@@ -74,16 +101,25 @@
                 let code = run.scenario.planted.answer(code);
                 self.answered(n, ticket, code, &body)?;
             }
-            Output::Publish { seq, document, drains } => {
+            Output::Publish {
+                seq,
+                document,
+                drains,
+            } => {
                 let epoch = self.epoch(n);
                 let facts = Arc::make_mut(&mut self.facts);
                 facts.acts(epoch)?;
                 facts.shows(self.now, epoch, seq, &document, &drains)?;
                 self.show(n, seq, document, &drains);
             }
-            Output::Restore { seq, document, drains } => {
+            Output::Restore {
+                seq,
+                document,
+                drains,
+            } => {
                 let epoch = self.epoch(n);
-                Arc::make_mut(&mut self.facts).same_content(self.now, epoch, seq, &document, &drains)?;
+                Arc::make_mut(&mut self.facts)
+                    .same_content(self.now, epoch, seq, &document, &drains)?;
                 self.show(n, seq, document, &drains);
             }
             Output::Left => self.schedule(Duration::ZERO, Event::Kill(n, self.machines[n].lives)),
--- a/crates/model-check/src/cluster/world/mod.rs
+++ b/crates/model-check/src/cluster/world/mod.rs
@@ -63,7 +63,9 @@
         let mut world = Self {
             now: Duration::ZERO,
             begun: None,
-            machines: (0..scenario.machines).map(|n| Arc::new(Machine::new(n))).collect(),
+            machines: (0..scenario.machines)
+                .map(|n| Arc::new(Machine::new(n)))
+                .collect(),
             network: VecDeque::new(),
             held: Vec::new(),
             events: Vec::new(),
@@ -106,13 +108,15 @@
 
     /// Whether somebody acts now, by its own word.
     pub fn somebody_acts(&self) -> bool {
-        let acts = |m: &Arc<Machine>| m.process.as_ref().is_some_and(|p| p.member.acts()) && !m.frozen;
+        let acts =
+            |m: &Arc<Machine>| m.process.as_ref().is_some_and(|p| p.member.acts()) && !m.frozen;
         self.machines.iter().any(acts)
     }
 
     /// Whether all seeds but one have promised an epoch.
     pub fn most_promised(&self) -> bool {
-        let promised = |m: &&Arc<Machine>| m.process.as_ref().is_some_and(|p| p.member.promised() > 0);
+        let promised =
+            |m: &&Arc<Machine>| m.process.as_ref().is_some_and(|p| p.member.promised() > 0);
         self.machines.iter().filter(promised).count() + 1 >= SEEDS
     }
 
@@ -123,7 +127,11 @@
 
     /// Orders that have neither been confirmed nor refused.
     pub fn open_orders(&self) -> usize {
-        self.operators.orders.iter().filter(|o| o.result == OrderResult::Open).count()
+        self.operators
+            .orders
+            .iter()
+            .filter(|o| o.result == OrderResult::Open)
+            .count()
     }
 
     /// A line for each machine, for people.
@@ -131,8 +139,10 @@
         let line = |m: &Arc<Machine>| match &m.process {
             None => format!("{}: down", m.index),
             Some(p) => {
-                let view =
-                    p.member.view().map(|v| (v.epoch >> 20, v.primary, v.replicas.clone(), v.voters.len()));
+                let view = p
+                    .member
+                    .view()
+                    .map(|v| (v.epoch >> 20, v.primary, v.replicas.clone(), v.voters.len()));
                 let frozen = if m.frozen { " (stands still)" } else { "" };
                 format!(
                     "{}: id {} promised {} view {view:?} acts {} shows {}{frozen}",
@@ -148,7 +158,9 @@
     }
 
     pub(super) fn left(&self, scenario: &Scenario) -> Duration {
-        self.begun.map_or(scenario.length, |begun| (begun + scenario.length).saturating_sub(self.now))
+        self.begun.map_or(scenario.length, |begun| {
+            (begun + scenario.length).saturating_sub(self.now)
+        })
     }
 
     fn machine(&mut self, n: usize) -> &mut Machine {
--- a/crates/model-check/src/cluster/world/network.rs
+++ b/crates/model-check/src/cluster/world/network.rs
@@ -32,7 +32,8 @@
         self.cut.dedup();
         let cut = &self.cut;
         // What is on its way over a cut way is lost.
-        self.network.retain(|e| !cut.contains(&(e.from_machine, e.to)));
+        self.network
+            .retain(|e| !cut.contains(&(e.from_machine, e.to)));
     }
 
     pub(super) fn reaches(&self, from: usize, to: usize) -> bool {
@@ -48,7 +49,11 @@
     }
 
     pub(super) fn greet(&mut self, run: &Run, n: usize) -> Result<(), Breach> {
-        let Some(process) = self.machines[n].process.as_ref().filter(|_| !self.machines[n].frozen) else {
+        let Some(process) = self.machines[n]
+            .process
+            .as_ref()
+            .filter(|_| !self.machines[n].frozen)
+        else {
             return Ok(());
         };
         let seat = process.seat.clone();
@@ -64,14 +69,21 @@
     pub(super) fn deliver(&mut self, run: &Run, envelope: &Arc<Envelope>) -> Result<(), Breach> {
         let n = envelope.to;
         let machine = &self.machines[n];
-        if machine.process.as_ref().is_none_or(|p| p.life != envelope.to_life) {
+        if machine
+            .process
+            .as_ref()
+            .is_none_or(|p| p.life != envelope.to_life)
+        {
             return Ok(());
         }
         if machine.frozen {
             self.held.push(envelope.clone());
             return Ok(());
         }
-        let input = Input::Message { from: envelope.from.clone(), message: envelope.message.clone() };
+        let input = Input::Message {
+            from: envelope.from.clone(),
+            message: envelope.message.clone(),
+        };
         self.step(run, n, input)
     }
 
@@ -82,7 +94,9 @@
         to: &MemberInfo,
         message: Message,
     ) -> Result<(), Breach> {
-        let Some(process) = &self.machines[n].process else { return Ok(()) };
+        let Some(process) = &self.machines[n].process else {
+            return Ok(());
+        };
         let (seat, at_start) = (process.seat.clone(), process.at_start.clone());
         Arc::make_mut(&mut self.facts).says(seat.id, &message)?;
         if let Message::CommandResult { id, code, .. } = &message {
@@ -92,7 +106,10 @@
         let message = planted.rewrite(message, at_start.as_deref());
         let target = self.machines.iter().position(|m| inner(m.index) == to.addr);
         let up = target.filter(|t| self.machines[*t].process.is_some() && self.reaches(n, *t));
-        let view = self.machines[n].process.as_ref().and_then(|p| p.member.view());
+        let view = self.machines[n]
+            .process
+            .as_ref()
+            .and_then(|p| p.member.view());
         for (from, answer) in planted.forged_answers(&message, to, up.is_some(), view) {
             self.post(from, n, n, answer);
         }
@@ -111,7 +128,14 @@
         let hash = canonical::hash_of_message(&message, asked_by, LEASE);
         let hash = hash_of((hash, from.id, from_machine, to));
         let to_life = self.machines[to].process.as_ref().map_or(0, |p| p.life);
-        self.network.push_back(Arc::new(Envelope { from, from_machine, to, to_life, message, hash }));
+        self.network.push_back(Arc::new(Envelope {
+            from,
+            from_machine,
+            to,
+            to_life,
+            message,
+            hash,
+        }));
     }
 }
 
--- a/crates/model-check/src/cluster/world/orders.rs
+++ b/crates/model-check/src/cluster/world/orders.rs
@@ -3,7 +3,9 @@
 use super::actions::Run;
 use super::event::Event;
 use super::World;
-use crate::cluster::operator::{Operators, Order, Result as OrderResult, MOST_ATTEMPTS, RETRY_PAUSE};
+use crate::cluster::operator::{
+    Operators, Order, Result as OrderResult, MOST_ATTEMPTS, RETRY_PAUSE,
+};
 use crate::search::Breach;
 use configuration::{Code, Document};
 use control_plane::member::Input;
@@ -25,14 +27,19 @@
         let order = &mut self.operators.orders[number];
         order.attempts += 1;
         order.at = Some(to);
-        let (ticket, command) = (Operators::ticket(number, order.attempts), (*order.command).clone());
+        let (ticket, command) = (
+            Operators::ticket(number, order.attempts),
+            (*order.command).clone(),
+        );
         self.step(run, to, Input::Command { ticket, command })
     }
 
     /// A primary has decided an order; its answer may be lost.
     pub(super) fn decided(&mut self, n: usize, ticket: u64, code: u16) -> Result<(), Breach> {
         let (epoch, order) = (self.epoch(n), Operators::order(ticket));
-        let Some(order) = self.operators.orders.get(order).cloned() else { return Ok(()) };
+        let Some(order) = self.operators.orders.get(order).cloned() else {
+            return Ok(());
+        };
         let facts = Arc::make_mut(&mut self.facts);
         facts.acts(epoch)?;
         if code != Code::Ok.number() {
@@ -48,9 +55,17 @@
         }
     }
 
-    pub(super) fn answered(&mut self, n: usize, ticket: u64, code: Code, body: &[u8]) -> Result<(), Breach> {
+    pub(super) fn answered(
+        &mut self,
+        n: usize,
+        ticket: u64,
+        code: Code,
+        body: &[u8],
+    ) -> Result<(), Breach> {
         let number = Operators::order(ticket);
-        let Some(order) = self.operators.orders.get(number).cloned() else { return Ok(()) };
+        let Some(order) = self.operators.orders.get(number).cloned() else {
+            return Ok(());
+        };
         if order.result != OrderResult::Open {
             return Ok(());
         }
@@ -58,7 +73,10 @@
             self.schedule(RETRY_PAUSE, Event::Retry(number));
             return Ok(());
         }
-        let acts = self.machines[n].process.as_ref().is_some_and(|p| p.member.acts());
+        let acts = self.machines[n]
+            .process
+            .as_ref()
+            .is_some_and(|p| p.member.acts());
         if acts && code == Code::Ok {
             self.decided(n, ticket, code.number())?;
         }
@@ -74,8 +92,11 @@
             Command::Configure { .. } => facts.refuses(order.content, order.base, &order.json())?,
             Command::Drain { host } => facts.confirms_drain(host),
         }
-        self.operators.orders[number].result =
-            if code == Code::Ok { OrderResult::Confirmed } else { OrderResult::Refused };
+        self.operators.orders[number].result = if code == Code::Ok {
+            OrderResult::Confirmed
+        } else {
+            OrderResult::Refused
+        };
         Ok(())
     }
 }
@@ -84,6 +105,10 @@
     /// Orders without an answer that a machine has.
     pub(super) fn waiting_at(&self, n: usize) -> impl Iterator<Item = usize> + '_ {
         let waits = move |o: &&Order| o.at == Some(n) && o.result == OrderResult::Open;
-        self.orders.iter().enumerate().filter(move |(_, o)| waits(o)).map(|(number, _)| number)
+        self.orders
+            .iter()
+            .enumerate()
+            .filter(move |(_, o)| waits(o))
+            .map(|(number, _)| number)
     }
 }
--- a/crates/model-check/src/cluster/world/processes.rs
+++ b/crates/model-check/src/cluster/world/processes.rs
@@ -20,18 +20,24 @@
         }
         let seeds: Vec<SocketAddrV4> = (0..SEEDS).map(control).collect();
         let first = self.begun.is_none();
-        let old_seed = run.scenario.planted == Planted::OldIdentity && self.machines[n].records.is_empty();
+        let old_seed =
+            run.scenario.planted == Planted::OldIdentity && self.machines[n].records.is_empty();
         let start = Start {
             now: self.now,
             bootstrap: first || old_seed,
-            opening: if first { Duration::ZERO } else { run.scenario.opening },
+            opening: if first {
+                Duration::ZERO
+            } else {
+                run.scenario.opening
+            },
             losses: run.scenario.losses,
             seeds: &seeds,
             planted: run.scenario.planted,
         };
         self.machine(n).start(&start);
         if let Some(process) = &self.machines[n].process {
-            self.facts.starts(process.seat.id, process.member.promised())?;
+            self.facts
+                .starts(process.seat.id, process.member.promised())?;
         }
         self.step(run, n, Input::Tick)?;
         self.greet(run, n)
@@ -45,7 +51,8 @@
         machine.changed(now);
         self.network.retain(|e| e.to != n);
         self.held.retain(|e| e.to != n);
-        self.events.retain(|(_, event)| !matches!(event, Event::Deliver(e) if e.to == n));
+        self.events
+            .retain(|(_, event)| !matches!(event, Event::Deliver(e) if e.to == n));
         self.schedule(down, Event::Start(n));
         let waiting: Vec<usize> = self.operators.waiting_at(n).collect();
         for order in waiting {
--- a/crates/model-check/src/cluster/world/readers.rs
+++ b/crates/model-check/src/cluster/world/readers.rs
@@ -40,7 +40,12 @@
                     Some((_, after)) => {
                         self.schedule(
                             after,
-                            Event::News { reader, member, news: Arc::new(news), asked: self.now },
+                            Event::News {
+                                reader,
+                                member,
+                                news: Arc::new(news),
+                                asked: self.now,
+                            },
                         );
                     }
                     None => self.read_news(run, reader, member, &news)?,
@@ -51,14 +56,21 @@
     }
 
     fn news_for(&self, member: usize, puller: &Mirror) -> News {
-        let Some(process) = &self.machines[member].process else { return News::default() };
+        let Some(process) = &self.machines[member].process else {
+            return News::default();
+        };
         let pull = puller.pull(&Caller::default(), 0);
         let (clock, mirror) = (process.clock(self.now), process.mirror.read());
-        mirror.news_for(clock, &pull).unwrap_or_else(|| mirror.no_news(clock))
+        mirror
+            .news_for(clock, &pull)
+            .unwrap_or_else(|| mirror.no_news(clock))
     }
 
     fn pull_as_member(&mut self, run: &Run, puller: usize, member: usize) -> Result<(), Breach> {
-        let Some(process) = self.machines[puller].process.as_ref().filter(|_| !self.machines[puller].frozen)
+        let Some(process) = self.machines[puller]
+            .process
+            .as_ref()
+            .filter(|_| !self.machines[puller].frozen)
         else {
             return Ok(());
         };
@@ -94,7 +106,9 @@
             return Err(Breach::new(FORWARD, detail));
         }
         reader.newest = shows;
-        fresh.map_or(Ok(()), |fresh| self.facts.claims_fresh("a reader", fresh, shows.0))
+        fresh.map_or(Ok(()), |fresh| {
+            self.facts.claims_fresh("a reader", fresh, shows.0)
+        })
     }
 
     /// What a member's mirror says of its age has to be true.
@@ -102,10 +116,14 @@
         if !run.scenario.ages {
             return Ok(());
         }
-        let Some(process) = &self.machines[n].process else { return Ok(()) };
+        let Some(process) = &self.machines[n].process else {
+            return Ok(());
+        };
         let mirror = process.mirror.read();
         match fresh_at(&mirror, process.clock(self.now), self.now) {
-            Some(fresh) => self.facts.claims_fresh(&format!("machine {n}"), fresh, mirror.ledger()),
+            Some(fresh) => self
+                .facts
+                .claims_fresh(&format!("machine {n}"), fresh, mirror.ledger()),
             None => Ok(()),
         }
     }
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -10,7 +10,10 @@
 use std::process::ExitCode;
 
 fn number(name: &'static str, help: &'static str, value: u64) -> impl Parser<u64> {
-    bpaf::long(name).help(help).argument::<u64>("N").fallback(value)
+    bpaf::long(name)
+        .help(help)
+        .argument::<u64>("N")
+        .fallback(value)
 }
 
 #[derive(Clone, Debug)]
@@ -28,12 +31,21 @@
     let depth = number("depth", "actions of one run", 5000);
     let states = number("states", "states at most", 50_000_000);
     let jobs = number("jobs", "threads", 2);
-    let planted =
-        bpaf::long("planted").help("a bug to be found").argument::<String>("BUG").fallback("none".into());
+    let planted = bpaf::long("planted")
+        .help("a bug to be found")
+        .argument::<String>("BUG")
+        .fallback("none".into());
     let model = bpaf::positional::<String>("MODEL").help("what is searched");
-    bpaf::construct!(Options { deviations, depth, states, jobs, planted, model })
-        .to_options()
-        .descr("Searches the states of the control plane's members under bounded deviations")
+    bpaf::construct!(Options {
+        deviations,
+        depth,
+        states,
+        jobs,
+        planted,
+        model
+    })
+    .to_options()
+    .descr("Searches the states of the control plane's members under bounded deviations")
 }
 
 fn main() -> ExitCode {
@@ -79,7 +91,10 @@
         for choice in &found.trace {
             if choice.cost > 0 {
                 println!("  {:?} {:?}", world.now(), choice.action);
-                world.describe().iter().for_each(|line| println!("      {line}"));
+                world
+                    .describe()
+                    .iter()
+                    .for_each(|line| println!("      {line}"));
             }
             match cluster.apply(&world, &choice.action) {
                 Ok(next) => world = next,
@@ -87,7 +102,10 @@
             }
         }
         println!("  {:?} broken", world.now());
-        world.describe().iter().for_each(|line| println!("      {line}"));
+        world
+            .describe()
+            .iter()
+            .for_each(|line| println!("      {line}"));
     }
     ExitCode::from(u8::from(outcome.found.is_some()))
 }
@@ -99,8 +117,17 @@
         eprintln!("no bug {}; there are {}", options.planted, names.join(", "));
         return ExitCode::from(2);
     };
-    let model = orders::Orders { guesses, ..orders::Orders::two_operators(*planted) };
-    let outcome = search(&model, Bounds { deviations: 0, ..bounds });
+    let model = orders::Orders {
+        guesses,
+        ..orders::Orders::two_operators(*planted)
+    };
+    let outcome = search(
+        &model,
+        Bounds {
+            deviations: 0,
+            ..bounds
+        },
+    );
     tell(&options.model, &outcome);
     for choice in outcome.found.iter().flat_map(|f| &f.trace) {
         println!("  {:?}", choice.action);
@@ -120,6 +147,11 @@
         outcome.time.as_secs_f64(),
     );
     if let Some(found) = &outcome.found {
-        println!("BROKEN: {}: {} ({} actions)", found.breach.claim, found.breach.detail, found.trace.len());
+        println!(
+            "BROKEN: {}: {} ({} actions)",
+            found.breach.claim,
+            found.breach.detail,
+            found.trace.len()
+        );
     }
 }
--- a/crates/model-check/src/models.rs
+++ b/crates/model-check/src/models.rs
@@ -8,7 +8,11 @@
 }
 
 fn step(at: u64, to: usize, request: Request) -> Step {
-    Step { at: ms(at), to, request }
+    Step {
+        at: ms(at),
+        to,
+        request,
+    }
 }
 
 /// Names of the models over members, as the command takes them.
@@ -34,8 +38,15 @@
         "orders" => orders(),
         "guessed-bases" => guessed_bases(),
         "reads" => reads(),
-        "age" => Scenario { ages: true, ..reads() },
-        "age-slow-start" => Scenario { opening: ms(1500), ages: true, ..reads() },
+        "age" => Scenario {
+            ages: true,
+            ..reads()
+        },
+        "age-slow-start" => Scenario {
+            opening: ms(1500),
+            ages: true,
+            ..reads()
+        },
         "order-of-messages" => order_of_messages(),
         "old-and-new" => old_and_new(),
         "removal" => removal(),
@@ -73,7 +84,11 @@
             step(900, 1, Request::Change),
             step(3600, 2, Request::Change),
         ],
-        faults: Faults { lose: true, delay: vec![ms(1300)], ..Faults::losses() },
+        faults: Faults {
+            lose: true,
+            delay: vec![ms(1300)],
+            ..Faults::losses()
+        },
         faults_until: 4 * LEASE,
         length: 6 * LEASE,
         ..Scenario::default()
@@ -82,7 +97,10 @@
 
 /// Three members and a fourth that comes on its own.
 pub fn joiner() -> Scenario {
-    Scenario { joiner: Some(ms(200)), ..membership() }
+    Scenario {
+        joiner: Some(ms(200)),
+        ..membership()
+    }
 }
 
 /// A voter that has been silent for long is to be replaced and comes back just then, while the other one dies: the new
@@ -91,7 +109,11 @@
     Scenario {
         joiner: Some(ms(2100)),
         steps: vec![step(100, 0, Request::Change)],
-        faults: Faults { cut: vec![ms(3100)], crash: vec![ms(1600)], ..Faults::default() },
+        faults: Faults {
+            cut: vec![ms(3100)],
+            crash: vec![ms(1600)],
+            ..Faults::default()
+        },
         faults_until: 4 * LEASE,
         length: 5 * LEASE,
         ..Scenario::default()
@@ -103,7 +125,12 @@
     Scenario {
         machines: 4,
         steps: vec![step(100, 0, Request::Change)],
-        faults: Faults { lose: true, wipe: vec![ms(50)], most_wipes: 1, ..Faults::default() },
+        faults: Faults {
+            lose: true,
+            wipe: vec![ms(50)],
+            most_wipes: 1,
+            ..Faults::default()
+        },
         faults_until: LEASE,
         length: 3 * LEASE,
         ..Scenario::default()
@@ -174,7 +201,12 @@
 pub fn order_of_messages() -> Scenario {
     Scenario {
         steps: vec![step(10, 0, Request::Change), step(10, 1, Request::Rival)],
-        faults: Faults { any_order: 4, lose: true, crash: vec![ms(50)], ..Faults::default() },
+        faults: Faults {
+            any_order: 4,
+            lose: true,
+            crash: vec![ms(50)],
+            ..Faults::default()
+        },
         faults_until: ms(400),
         length: ms(400),
         ..Scenario::default()
@@ -183,6 +215,16 @@
 
 /// Five members of which two may be lost at once.
 pub fn five() -> Scenario {
-    let faults = Faults { most_wipes: 2, lose: false, delay: vec![], ..membership().faults };
-    Scenario { machines: 5, losses: 2, faults, ..membership() }
+    let faults = Faults {
+        most_wipes: 2,
+        lose: false,
+        delay: vec![],
+        ..membership().faults
+    };
+    Scenario {
+        machines: 5,
+        losses: 2,
+        faults,
+        ..membership()
+    }
 }
--- a/crates/model-check/src/orders.rs
+++ b/crates/model-check/src/orders.rs
@@ -132,14 +132,28 @@
 impl Orders {
     /// Two operators: A and B on one version with different contents, C after whichever was confirmed.
     pub fn two_operators(planted: Planted) -> Self {
-        let order = |base, version, name| Order { base, version, name };
+        let order = |base, version, name| Order {
+            base,
+            version,
+            name,
+        };
         let orders = vec![order(0, 1, "a"), order(0, 1, "b"), order(1, 2, "c")];
-        Self { orders, sends: 3, takeovers: 2, guesses: false, planted }
+        Self {
+            orders,
+            sends: 3,
+            takeovers: 2,
+            guesses: false,
+            planted,
+        }
     }
 
     fn command(&self, order: usize) -> Command {
         let order = &self.orders[order];
-        Command::Configure { base: order.base, amend: false, body: body(order) }
+        Command::Configure {
+            base: order.base,
+            amend: false,
+            body: body(order),
+        }
     }
 
     /// Whether an operator was told of the version that an order builds on.
@@ -152,13 +166,19 @@
     fn holds(&self, document: &Document, order: usize) -> bool {
         let order = &self.orders[order];
         document.version == order.version
-            && document.services.first().is_some_and(|s| s.value.name == order.name)
+            && document
+                .services
+                .first()
+                .is_some_and(|s| s.value.name == order.name)
     }
 
     fn handed_on(&self, ledger: &Ledger) -> Ledger {
         let mut snapshot = ledger.snapshot();
         if self.planted == Planted::ForgottenCalls {
-            snapshot.taken.iter_mut().for_each(|call| call.digest = Default::default());
+            snapshot
+                .taken
+                .iter_mut()
+                .for_each(|call| call.digest = Default::default());
         }
         Ledger::of(&snapshot).unwrap_or_default()
     }
@@ -176,15 +196,24 @@
     }
 
     fn take(&self, state: &mut State, order: usize) {
-        let newest = state.pending.last().map(|p| &p.ledger).filter(|_| self.planted != Planted::PlansOnSafe);
+        let newest = state
+            .pending
+            .last()
+            .map(|p| &p.ledger)
+            .filter(|_| self.planted != Planted::PlansOnSafe);
         match self.plan(newest.unwrap_or(&state.safe), order) {
             Plan::Change(_, next) => {
                 let early = self.planted == Planted::EarlyConfirmation;
                 state.answers.extend(early.then_some((order, Code::Ok)));
-                state.pending.push(Pending { ledger: *next, answers: vec![(order, Code::Ok)] });
+                state.pending.push(Pending {
+                    ledger: *next,
+                    answers: vec![(order, Code::Ok)],
+                });
             }
             Plan::Answer(code, _) => match state.pending.last_mut() {
-                Some(last) if self.planted != Planted::EarlyAnswer => last.answers.push((order, code)),
+                Some(last) if self.planted != Planted::EarlyAnswer => {
+                    last.answers.push((order, code))
+                }
                 _ => state.answers.push((order, code)),
             },
         }
@@ -205,7 +234,8 @@
                 .find(|o| *o != order && self.orders[*o].base == base && state.fates[*o].confirmed);
             return match rival {
                 Some(rival) => {
-                    let detail = format!("{name} and {} are both confirmed", self.orders[rival].name);
+                    let detail =
+                        format!("{name} and {} are both confirmed", self.orders[rival].name);
                     Err(Breach::new(ONE_ORDER, detail))
                 }
                 None => Ok(()),
@@ -217,7 +247,10 @@
         }
         fate.refused = true;
         match self.took_effect(state, order) {
-            true => Err(Breach::new(NEVER_REFUSED, format!("{name} was taken and gets {code:?}"))),
+            true => Err(Breach::new(
+                NEVER_REFUSED,
+                format!("{name} was taken and gets {code:?}"),
+            )),
             false => Ok(()),
         }
     }
@@ -227,7 +260,10 @@
         for (number, fate) in state.fates.iter().enumerate() {
             let name = self.orders[number].name;
             if fate.refused && self.holds(safe, number) {
-                return Err(Breach::new(NO_EFFECT, format!("{name} was refused and is in force")));
+                return Err(Breach::new(
+                    NO_EFFECT,
+                    format!("{name} was refused and is in force"),
+                ));
             }
             let order = &self.orders[number];
             if fate.confirmed && safe.version <= order.version && !self.holds(safe, number) {
@@ -238,7 +274,10 @@
             }
         }
         let taken = &state.safe.taken;
-        let twice = taken.iter().enumerate().any(|(at, call)| taken.iter().skip(at + 1).any(|c| c == call));
+        let twice = taken
+            .iter()
+            .enumerate()
+            .any(|(at, call)| taken.iter().skip(at + 1).any(|c| c == call));
         match twice {
             true => Err(Breach::new(ONCE, "a call is in the ledger twice")),
             false => Ok(()),
@@ -252,7 +291,13 @@
 
     fn start(&self) -> State {
         let fates = vec![Fate::default(); self.orders.len()];
-        State { safe: Ledger::default(), pending: vec![], fates, answers: vec![], takeovers: 0 }
+        State {
+            safe: Ledger::default(),
+            pending: vec![],
+            fates,
+            answers: vec![],
+            takeovers: 0,
+        }
     }
 
     fn choices(&self, state: &State) -> Vec<Choice<Action>> {
@@ -264,11 +309,15 @@
             all.extend((fate.on_way > 0).then_some(Action::Lose(order)));
         }
         all.extend((!state.pending.is_empty()).then_some(Action::Safe));
-        all.extend((0..state.answers.len()).flat_map(|at| [Action::Answer(at), Action::LoseAnswer(at)]));
+        all.extend(
+            (0..state.answers.len()).flat_map(|at| [Action::Answer(at), Action::LoseAnswer(at)]),
+        );
         if state.takeovers < self.takeovers {
             all.extend((0..=state.pending.len()).map(Action::Takeover));
         }
-        all.into_iter().map(|action| Choice { action, cost: 0 }).collect()
+        all.into_iter()
+            .map(|action| Choice { action, cost: 0 })
+            .collect()
     }
 
     fn apply(&self, state: &State, action: &Action) -> Result<State, Breach> {
@@ -295,7 +344,9 @@
             Action::LoseAnswer(at) => drop(next.answers.remove(at)),
             Action::Takeover(kept) => {
                 next.takeovers += 1;
-                let newest = kept.checked_sub(1).map(|at| next.pending[at].ledger.clone());
+                let newest = kept
+                    .checked_sub(1)
+                    .map(|at| next.pending[at].ledger.clone());
                 next.safe = self.handed_on(&newest.unwrap_or_else(|| next.safe.clone()));
                 // Answers that waited are never given: their primary is gone.
                 next.pending.clear();
@@ -315,7 +366,13 @@
             ledger(&pending.ledger, &mut hasher);
             pending.answers.hash(&mut hasher);
         }
-        (state.pending.len(), &state.fates, &state.answers, state.takeovers).hash(&mut hasher);
+        (
+            state.pending.len(),
+            &state.fates,
+            &state.answers,
+            state.takeovers,
+        )
+            .hash(&mut hasher);
         hasher.finish()
     }
 
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -28,7 +28,10 @@
 impl Breach {
     /// A breach of a claim.
     pub fn new(claim: &'static str, detail: impl Into<String>) -> Self {
-        Self { claim, detail: detail.into() }
+        Self {
+            claim,
+            detail: detail.into(),
+        }
     }
 }
 
@@ -83,7 +86,12 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        Self { deviations: 2, depth: 5000, states: 50_000_000, jobs: 2 }
+        Self {
+            deviations: 2,
+            depth: 5000,
+            states: 50_000_000,
+            jobs: 2,
+        }
     }
 }
 
@@ -122,7 +130,13 @@
     let started = Instant::now();
     let mut transitions = 0;
     for deviations in 0..=bounds.deviations {
-        let search = Search::new(model, Bounds { deviations, ..bounds });
+        let search = Search::new(
+            model,
+            Bounds {
+                deviations,
+                ..bounds
+            },
+        );
         search.run();
         transitions += search.transitions.load(Ordering::Relaxed);
         let found = lock(&search.found).take();
@@ -218,7 +232,13 @@
 
     fn run(&self) {
         let mut first = Vec::new();
-        self.expand(Arc::new(self.model.start()), self.bounds.deviations, 0, None, &mut first);
+        self.expand(
+            Arc::new(self.model.start()),
+            self.bounds.deviations,
+            0,
+            None,
+            &mut first,
+        );
         lock(&self.shared).extend(first);
         std::thread::scope(|scope| {
             for _ in 0..self.bounds.jobs.max(1) {
@@ -230,7 +250,9 @@
     fn work(&self) {
         let mut local: Vec<Work<M>> = Vec::new();
         while !self.over.load(Ordering::Relaxed) {
-            let Some(work) = local.pop().or_else(|| self.next()) else { return };
+            let Some(work) = local.pop().or_else(|| self.next()) else {
+                return;
+            };
             self.take(work, &mut local);
             if local.len() > LOCAL_WORK && self.idle.load(Ordering::Relaxed) > 0 {
                 let kept = local.split_off(local.len() / 2);
@@ -256,7 +278,10 @@
                 self.finish();
                 return None;
             }
-            shared = self.more.wait(shared).unwrap_or_else(PoisonError::into_inner);
+            shared = self
+                .more
+                .wait(shared)
+                .unwrap_or_else(PoisonError::into_inner);
         }
     }
 
@@ -268,11 +293,23 @@
     fn take(&self, work: Work<M>, local: &mut Vec<Work<M>>) {
         self.transitions.fetch_add(1, Ordering::Relaxed);
         let next = self.model.apply(&work.state, &work.choice.action);
-        let link = Arc::new(Link { choice: work.choice, before: work.before });
+        let link = Arc::new(Link {
+            choice: work.choice,
+            before: work.before,
+        });
         match next {
-            Ok(next) => self.expand(Arc::new(next), work.deviations_left, work.depth + 1, Some(link), local),
+            Ok(next) => self.expand(
+                Arc::new(next),
+                work.deviations_left,
+                work.depth + 1,
+                Some(link),
+                local,
+            ),
             Err(breach) => {
-                lock(&self.found).get_or_insert_with(|| Counterexample { breach, trace: trace(&link) });
+                lock(&self.found).get_or_insert_with(|| Counterexample {
+                    breach,
+                    trace: trace(&link),
+                });
                 self.give_up();
             }
         }
@@ -314,7 +351,10 @@
 
     fn is_new(&self, state: &M::State, deviations: u8, depth: u32) -> bool {
         let fingerprint = self.model.fingerprint(state);
-        let run = self.model.left(state).min(u64::from(self.bounds.depth - depth));
+        let run = self
+            .model
+            .left(state)
+            .min(u64::from(self.bounds.depth - depth));
         let mut shard = lock(&self.visited[fingerprint as usize % VISITED_SHARDS]);
         let now = Expanded { deviations, run };
         match shard.get_mut(&fingerprint) {
--- a/crates/model-check/tests/orders.rs
+++ b/crates/model-check/tests/orders.rs
@@ -8,11 +8,24 @@
 #[case::on_versions_that_were_confirmed(false)]
 #[case::on_guessed_versions_too(true)]
 fn two_operators_and_repeated_orders_break_nothing(#[case] guesses: bool) {
-    let model = Orders { sends: 2, guesses, ..Orders::two_operators(Planted::Nothing) };
-    let outcome = search(&model, Bounds { deviations: 0, ..Bounds::default() });
+    let model = Orders {
+        sends: 2,
+        guesses,
+        ..Orders::two_operators(Planted::Nothing)
+    };
+    let outcome = search(
+        &model,
+        Bounds {
+            deviations: 0,
+            ..Bounds::default()
+        },
+    );
     println!("{} states in {:?}", outcome.states, outcome.time);
     assert!(outcome.found.is_none(), "{:?}", outcome.found);
-    assert!(!outcome.stopped && outcome.cut_short == 0, "the search isn't whole");
+    assert!(
+        !outcome.stopped && outcome.cut_short == 0,
+        "the search isn't whole"
+    );
 }
 
 #[rstest]
@@ -24,11 +37,28 @@
 #[case(Planted::EarlyRefusal, &[NO_EFFECT, NEVER_REFUSED])]
 fn a_planted_bug_is_found(#[case] planted: Planted, #[case] claims: &[&str]) {
     let guesses = planted == Planted::EarlyRefusal;
-    let model = Orders { sends: 2, guesses, ..Orders::two_operators(planted) };
-    let outcome = search(&model, Bounds { deviations: 0, ..Bounds::default() });
-    println!("{planted:?}: {} states in {:?}", outcome.states, outcome.time);
+    let model = Orders {
+        sends: 2,
+        guesses,
+        ..Orders::two_operators(planted)
+    };
+    let outcome = search(
+        &model,
+        Bounds {
+            deviations: 0,
+            ..Bounds::default()
+        },
+    );
+    println!(
+        "{planted:?}: {} states in {:?}",
+        outcome.states, outcome.time
+    );
     let found = outcome.found.expect("the bug isn't found");
     assert!(claims.contains(&found.breach.claim), "{:?}", found.breach);
-    let trace: Vec<_> = found.trace.into_iter().map(|choice| choice.action).collect();
+    let trace: Vec<_> = found
+        .trace
+        .into_iter()
+        .map(|choice| choice.action)
+        .collect();
     assert_eq!(replay(&model, &trace), Some(found.breach));
 }
--- a/crates/multi-core/src/deal.rs
+++ b/crates/multi-core/src/deal.rs
@@ -40,7 +40,10 @@
             taken: AtomicU64::new(0),
             beat: AtomicU64::new(0),
         };
-        Arc::new(Self { seats: (0..cores.max(1)).map(|_| seat()).collect(), most })
+        Arc::new(Self {
+            seats: (0..cores.max(1)).map(|_| seat()).collect(),
+            most,
+        })
     }
 
     /// How many cores there are, dead ones included.
@@ -81,7 +84,8 @@
 
     /// The core for a new connection: of the sound ones that with the fewest, else any that lives.
     pub fn connection(&self, now: u64) -> Option<usize> {
-        let fewest = |all: &mut dyn Iterator<Item = usize>| all.min_by_key(|c| self.connections(*c));
+        let fewest =
+            |all: &mut dyn Iterator<Item = usize>| all.min_by_key(|c| self.connections(*c));
         fewest(&mut (0..self.cores()).filter(|c| self.sound(*c, now)))
             .or_else(|| fewest(&mut (0..self.cores()).filter(|c| self.alive(*c))))
     }
@@ -93,7 +97,9 @@
         let sound = |c: &usize| self.sound(*c, now);
         if let Some(hash) = key {
             // The same for all cores; the next one along where that one has died.
-            return (0..n).map(|k| (hash as usize % n + k) % n).find(|c| self.alive(*c));
+            return (0..n)
+                .map(|k| (hash as usize % n + k) % n)
+                .find(|c| self.alive(*c));
         }
         let least = (0..n).filter(sound).min_by_key(|c| self.open(*c))?;
         let stay = self.sound(here, now) && self.open(here) <= self.open(least) + MARGIN;
@@ -151,7 +157,11 @@
         }
         assert_eq!(d.query(0, None, 0), Some(0), "within the margin");
         assert!(d.hand_over(0, 0));
-        assert_eq!(d.query(0, None, 0), Some(1), "all clients on one core's connections");
+        assert_eq!(
+            d.query(0, None, 0),
+            Some(1),
+            "all clients on one core's connections"
+        );
         d.settled(0);
         assert_eq!(d.query(0, None, 0), Some(0));
     }
@@ -170,13 +180,25 @@
         assert!(d.hand_over(0, 1000));
         assert!(!d.stalled(0, 1000 + STALL_US));
         assert!(d.stalled(0, 1001 + STALL_US), "mail unread for too long");
-        assert_eq!((d.query(0, None, 2 * STALL_US), d.connection(2 * STALL_US)), (Some(1), Some(1)));
+        assert_eq!(
+            (d.query(0, None, 2 * STALL_US), d.connection(2 * STALL_US)),
+            (Some(1), Some(1))
+        );
         d.take(0, 2 * STALL_US);
-        assert!(!d.stalled(0, 9 * STALL_US), "idle with nothing to read is no stall");
+        assert!(
+            !d.stalled(0, 9 * STALL_US),
+            "idle with nothing to read is no stall"
+        );
         d.bury(1);
-        assert_eq!((d.query(1, None, 9 * STALL_US), d.connection(9 * STALL_US)), (Some(0), Some(0)));
+        assert_eq!(
+            (d.query(1, None, 9 * STALL_US), d.connection(9 * STALL_US)),
+            (Some(0), Some(0))
+        );
         d.bury(0);
-        assert_eq!((d.query(1, None, 0), d.query(1, Some(1), 0), d.connection(0)), (None, None, None));
+        assert_eq!(
+            (d.query(1, None, 0), d.query(1, Some(1), 0), d.connection(0)),
+            (None, None, None)
+        );
     }
 
     #[test]
--- a/crates/multi-core/src/gates.rs
+++ b/crates/multi-core/src/gates.rs
@@ -29,16 +29,28 @@
     /// For so many cores, with no host known.
     pub fn new(cores: usize) -> Arc<Self> {
         let acked = (0..cores).map(|_| AtomicU64::new(0)).collect();
-        Arc::new(Self { gates: RwLock::new(HashMap::new()), revision: AtomicU64::new(0), acked })
+        Arc::new(Self {
+            gates: RwLock::new(HashMap::new()),
+            revision: AtomicU64::new(0),
+            acked,
+        })
     }
 
     /// The gate of a host, open if it was never heard of.
     pub fn of(&self, host: &str) -> Arc<Gate> {
-        if let Some(gate) = self.gates.read().unwrap_or_else(|e| e.into_inner()).get(host) {
+        if let Some(gate) = self
+            .gates
+            .read()
+            .unwrap_or_else(|e| e.into_inner())
+            .get(host)
+        {
             return gate.clone();
         }
         let mut gates = self.gates.write().unwrap_or_else(|e| e.into_inner());
-        gates.entry(host.to_owned()).or_insert_with(|| Arc::new(Gate(AtomicU64::new(OPEN)))).clone()
+        gates
+            .entry(host.to_owned())
+            .or_insert_with(|| Arc::new(Gate(AtomicU64::new(OPEN))))
+            .clone()
     }
 
     /// Publishes news before any core is told of it: each host with whether it is ready. `complete` says
@@ -62,7 +74,11 @@
         }
         if complete {
             let gates = self.gates.read().unwrap_or_else(|e| e.into_inner());
-            for gate in gates.iter().filter(|(host, _)| !named.contains(host.as_str())).map(|(_, g)| g) {
+            for gate in gates
+                .iter()
+                .filter(|(host, _)| !named.contains(host.as_str()))
+                .map(|(_, g)| g)
+            {
                 gate.0.fetch_min(stop_at, Ordering::AcqRel);
             }
         }
@@ -72,7 +88,10 @@
     /// Forgets hosts whose gates have been closed since before this time.
     pub fn prune(&self, before: u64) {
         let closed = |g: &Arc<Gate>| g.0.load(Ordering::Acquire) < before;
-        self.gates.write().unwrap_or_else(|e| e.into_inner()).retain(|_, g| !closed(g));
+        self.gates
+            .write()
+            .unwrap_or_else(|e| e.into_inner())
+            .retain(|_, g| !closed(g));
     }
 
     /// A core has taken a version in.
@@ -89,7 +108,9 @@
 
     /// The version that a core has acknowledged.
     pub fn acknowledged(&self, core: usize) -> u64 {
-        self.acked.get(core).map_or(0, |a| a.load(Ordering::Acquire))
+        self.acked
+            .get(core)
+            .map_or(0, |a| a.load(Ordering::Acquire))
     }
 }
 
@@ -121,7 +142,14 @@
             assert!(seen == 0 || !open, "a send after an acknowledged drain");
             let revision = other.join().unwrap();
             assert!(!gate.lets_through(100) && gate.lets_through(99));
-            assert_eq!((gates.revision(), gates.acknowledged(0), gates.acknowledged(1)), (revision, 1, 0));
+            assert_eq!(
+                (
+                    gates.revision(),
+                    gates.acknowledged(0),
+                    gates.acknowledged(1)
+                ),
+                (revision, 1, 0)
+            );
         });
     }
 
@@ -146,7 +174,10 @@
             let gates = Gates::new(1);
             publish(&gates, "h", false, 100);
             publish(&gates, "h", false, 200);
-            assert!(!gates.of("h").lets_through(100), "its repetition lengthens nothing");
+            assert!(
+                !gates.of("h").lets_through(100),
+                "its repetition lengthens nothing"
+            );
             publish(&gates, "h", true, 300);
             assert!(gates.of("h").lets_through(1_000_000));
             // A whole list without it.
@@ -154,7 +185,10 @@
             assert!(!gates.of("h").lets_through(400) && gates.of("other").lets_through(400));
             let held = gates.of("h");
             gates.prune(500);
-            assert!(!held.lets_through(500), "who holds the old gate finds it closed");
+            assert!(
+                !held.lets_through(500),
+                "who holds the old gate finds it closed"
+            );
         });
     }
 }
--- a/crates/multi-core/src/lease.rs
+++ b/crates/multi-core/src/lease.rs
@@ -38,10 +38,18 @@
 impl Budget {
     /// A budget for so many cores; a core borrows `chunk` units at a time, so that it seldom asks.
     pub fn new(cap: usize, cores: usize, chunk: usize) -> Arc<Self> {
-        let share =
-            || Share { spare: AtomicUsize::new(0), used: AtomicUsize::new(0), alive: AtomicBool::new(true) };
+        let share = || Share {
+            spare: AtomicUsize::new(0),
+            used: AtomicUsize::new(0),
+            alive: AtomicBool::new(true),
+        };
         let shares = (0..cores).map(|_| share()).collect();
-        Arc::new(Self { cap, chunk: chunk.max(1), pool: AtomicUsize::new(cap), shares })
+        Arc::new(Self {
+            cap,
+            chunk: chunk.max(1),
+            pool: AtomicUsize::new(cap),
+            shares,
+        })
     }
 
     /// The cap.
@@ -51,17 +59,25 @@
 
     /// Units in use on all cores, as far as one look can tell.
     pub fn used(&self) -> usize {
-        self.shares.iter().map(|s| s.used.load(Ordering::Acquire)).sum()
+        self.shares
+            .iter()
+            .map(|s| s.used.load(Ordering::Acquire))
+            .sum()
     }
 
     /// Units in use on one core.
     pub fn used_by(&self, core: usize) -> usize {
-        self.shares.get(core).map_or(0, |s| s.used.load(Ordering::Acquire))
+        self.shares
+            .get(core)
+            .map_or(0, |s| s.used.load(Ordering::Acquire))
     }
 
     /// The lease of one core; there must be one for each at most.
     pub fn lease(budget: &Arc<Self>, core: usize) -> Lease {
-        Lease { budget: budget.clone(), core }
+        Lease {
+            budget: budget.clone(),
+            core,
+        }
     }
 
     fn take(&self, core: usize, n: usize) -> bool {
@@ -96,7 +112,8 @@
         own.spare.fetch_add(n, Ordering::AcqRel);
         let spare = own.spare.load(Ordering::Acquire);
         if spare > 2 * self.chunk {
-            self.pool.fetch_add(draw(&own.spare, spare - self.chunk), Ordering::AcqRel);
+            self.pool
+                .fetch_add(draw(&own.spare, spare - self.chunk), Ordering::AcqRel);
         }
     }
 
@@ -146,7 +163,11 @@
 
     /// Units everywhere: what is used, spare and in the pool must always come to the cap.
     fn all(b: &Budget) -> usize {
-        let spare: usize = b.shares.iter().map(|s| s.spare.load(Ordering::SeqCst)).sum();
+        let spare: usize = b
+            .shares
+            .iter()
+            .map(|s| s.spare.load(Ordering::SeqCst))
+            .sum();
         b.used() + spare + b.pool.load(Ordering::SeqCst)
     }
 
@@ -173,7 +194,10 @@
                 b.give(0, 2);
             }
             assert_eq!(all(&b), 3, "nothing lost, nothing made");
-            assert!(b.take(0, 3), "with nobody else under way all that is free can be had: {got} {theirs}");
+            assert!(
+                b.take(0, 3),
+                "with nobody else under way all that is free can be had: {got} {theirs}"
+            );
         });
     }
 
--- a/crates/multi-core/src/names.rs
+++ b/crates/multi-core/src/names.rs
@@ -20,7 +20,10 @@
 impl OpenNames {
     /// None in use.
     pub fn new() -> Arc<Self> {
-        Arc::new(Self { stripes: (0..STRIPES).map(|_| Mutex::default()).collect(), hash: RandomState::new() })
+        Arc::new(Self {
+            stripes: (0..STRIPES).map(|_| Mutex::default()).collect(),
+            hash: RandomState::new(),
+        })
     }
 
     fn stripe(&self, name: &str) -> MutexGuard<'_, Stripe> {
@@ -51,13 +54,19 @@
     /// Frees all names of a core that has ended.
     pub fn retire(&self, core: usize) {
         for stripe in &self.stripes {
-            stripe.lock().unwrap_or_else(|e| e.into_inner()).retain(|_, holder| *holder != core);
+            stripe
+                .lock()
+                .unwrap_or_else(|e| e.into_inner())
+                .retain(|_, holder| *holder != core);
         }
     }
 
     /// Names in use.
     pub fn len(&self) -> usize {
-        self.stripes.iter().map(|s| s.lock().unwrap_or_else(|e| e.into_inner()).len()).sum()
+        self.stripes
+            .iter()
+            .map(|s| s.lock().unwrap_or_else(|e| e.into_inner()).len())
+            .sum()
     }
 
     /// Whether none is in use.
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -83,7 +83,10 @@
 
 impl From<SocketAddrV4> for Addr {
     fn from(addr: SocketAddrV4) -> Self {
-        Self { ip: u32::from(*addr.ip()), port: addr.port() }
+        Self {
+            ip: u32::from(*addr.ip()),
+            port: addr.port(),
+        }
     }
 }
 
@@ -108,14 +111,19 @@
 
     /// Whether those that `has` names are a majority of the voters, and of the voters before.
     pub fn majority(&self, has: impl Fn(u64) -> bool) -> bool {
-        let most = |seats: &[MemberInfo]| 2 * seats.iter().filter(|s| has(s.id)).count() > seats.len();
+        let most =
+            |seats: &[MemberInfo]| 2 * seats.iter().filter(|s| has(s.id)).count() > seats.len();
         most(&self.voters) && most(&self.before)
     }
 
     /// Whether its voters are those of the view before.
     pub fn settled(&self) -> bool {
-        let ids =
-            |seats: &[MemberInfo]| seats.iter().map(|s| s.id).collect::<std::collections::BTreeSet<_>>();
+        let ids = |seats: &[MemberInfo]| {
+            seats
+                .iter()
+                .map(|s| s.id)
+                .collect::<std::collections::BTreeSet<_>>()
+        };
         ids(&self.voters) == ids(&self.before)
     }
 }
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -50,16 +50,22 @@
 /// # Errors
 /// Where the bytes are no frame: the connection is of no more use.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Message, usize)>, Broken> {
-    let Some(head) = bytes.get(..4) else { return Ok(None) };
+    let Some(head) = bytes.get(..4) else {
+        return Ok(None);
+    };
     let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
     if length == 0 || length > MOST {
         return LengthSnafu { length }.fail();
     }
-    let Some(&version) = bytes.get(4) else { return Ok(None) };
+    let Some(&version) = bytes.get(4) else {
+        return Ok(None);
+    };
     if version != VERSION {
         return VersionSnafu { version }.fail();
     }
-    let Some(body) = bytes.get(5..4 + length) else { return Ok(None) };
+    let Some(body) = bytes.get(5..4 + length) else {
+        return Ok(None);
+    };
     Ok(Some((read_one(body)?, 4 + length)))
 }
 
@@ -85,8 +91,14 @@
     let mut input = Cursor::new(bytes);
     match T::read_options(&mut input, Endian::Little, ()) {
         Ok(value) if input.position() == bytes.len() as u64 => Ok(value),
-        Ok(_) => ContentSnafu { detail: "bytes are left over" }.fail(),
-        Err(e) => ContentSnafu { detail: e.root_cause().to_string() }.fail(),
+        Ok(_) => ContentSnafu {
+            detail: "bytes are left over",
+        }
+        .fail(),
+        Err(e) => ContentSnafu {
+            detail: e.root_cause().to_string(),
+        }
+        .fail(),
     }
 }
 
@@ -110,7 +122,8 @@
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
     (all.len() as u32).write_options(writer, endian, ())?;
-    all.iter().try_for_each(|one| one.write_options(writer, endian, ()))
+    all.iter()
+        .try_for_each(|one| one.write_options(writer, endian, ()))
 }
 
 fn some_bytes<R: Read + Seek>(reader: &mut R, endian: Endian) -> BinResult<Vec<u8>> {
@@ -138,8 +151,10 @@
 #[binrw::parser(reader, endian)]
 pub(crate) fn text() -> BinResult<String> {
     let at = reader.stream_position()?;
-    String::from_utf8(some_bytes(reader, endian)?)
-        .map_err(|e| binrw::Error::AssertFail { pos: at, message: e.to_string() })
+    String::from_utf8(some_bytes(reader, endian)?).map_err(|e| binrw::Error::AssertFail {
+        pos: at,
+        message: e.to_string(),
+    })
 }
 
 #[binrw::writer(writer, endian)]
@@ -162,7 +177,8 @@
 #[binrw::writer(writer, endian)]
 pub(crate) fn put_texts(all: &Vec<String>) -> BinResult<()> {
     (all.len() as u32).write_options(writer, endian, ())?;
-    all.iter().try_for_each(|one| put_text(one, writer, endian, ()))
+    all.iter()
+        .try_for_each(|one| put_text(one, writer, endian, ()))
 }
 
 #[binrw::parser(reader, endian)]
@@ -186,7 +202,8 @@
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
     u8::from(one.is_some()).write_options(writer, endian, ())?;
-    one.iter().try_for_each(|one| one.write_options(writer, endian, ()))
+    one.iter()
+        .try_for_each(|one| one.write_options(writer, endian, ()))
 }
 
 #[binrw::parser(reader, endian)]
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -60,7 +60,9 @@
 
 impl Core {
     pub(crate) fn new(boot: &Boot, tally: Rc<SharedCounters>) -> Self {
-        let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
+        let seed = std::collections::hash_map::RandomState::new()
+            .build_hasher()
+            .finish();
         let bounds = &boot.bounds;
         let seconds = |s: f64| Duration::try_from_secs_f64(s).unwrap_or_default();
         let settings = Settings {
@@ -125,7 +127,10 @@
 
     /// Bounds on clients.
     pub(crate) fn limits(&self) -> Limits {
-        self.known.borrow().as_ref().map_or_else(Limits::default, |k| k.limits)
+        self.known
+            .borrow()
+            .as_ref()
+            .map_or_else(Limits::default, |k| k.limits)
     }
 
     /// Whether requests are to come here.
@@ -136,12 +141,18 @@
     /// Whether a request with this deadline may be given to a host now; `repeatable` where it is answered whole and may
     /// run twice.
     pub(crate) fn takes(&self, deadline: Duration, repeatable: bool) -> bool {
-        self.shutdown.get().is_none_or(|shutdown| shutdown.takes(self.now(), deadline, repeatable))
+        self.shutdown
+            .get()
+            .is_none_or(|shutdown| shutdown.takes(self.now(), deadline, repeatable))
     }
 
     /// Connections that one host of this service takes from this process.
     pub(crate) fn conns(&self, service: &str) -> usize {
-        self.known.borrow().as_ref().and_then(|k| k.conns.get(service).copied()).unwrap_or(4)
+        self.known
+            .borrow()
+            .as_ref()
+            .and_then(|k| k.conns.get(service).copied())
+            .unwrap_or(4)
     }
 
     /// While attempts are out, tells the policy that time passes: a stall of this process shows in a gap.
@@ -159,17 +170,26 @@
     pub(crate) fn learn(&self, world: &World) {
         let now = self.now();
         let before = self.known();
-        let stale = before.as_ref().is_some_and(|k| k.document.version > world.document.version);
+        let stale = before
+            .as_ref()
+            .is_some_and(|k| k.document.version > world.document.version);
         let document = match &before {
             Some(k) if stale => &k.document,
             _ => &world.document,
         };
-        let same = before.as_ref().filter(|k| Arc::ptr_eq(&k.document, document));
+        let same = before
+            .as_ref()
+            .filter(|k| Arc::ptr_eq(&k.document, document));
         let mut policy = self.policy.borrow_mut();
         if same.is_none() {
-            let services: Vec<ServiceInfo> = document.services.iter().map(|s| info(&s.value)).collect();
+            let services: Vec<ServiceInfo> =
+                document.services.iter().map(|s| info(&s.value)).collect();
             policy.set_services(now, &services);
-            log::info!("configuration {}: {} routes", document.version, document.routes.len());
+            log::info!(
+                "configuration {}: {} routes",
+                document.version,
+                document.routes.len()
+            );
         }
         let all_told = self.hints.borrow_mut().set_others(&world.others);
         policy.set_told(now, all_told);
@@ -182,8 +202,11 @@
         }
         let has_hosts = world.hosts.iter().any(|h| !h.draining);
         let conns = |limit: u32| (limit as usize / world.coordinators.max(1)).max(4);
-        let conns =
-            document.services.iter().map(|s| (s.value.name.clone(), conns(s.value.conn_limit))).collect();
+        let conns = document
+            .services
+            .iter()
+            .map(|s| (s.value.name.clone(), conns(s.value.conn_limit)))
+            .collect();
         match same {
             Some(k) if k.conns == conns && k.has_hosts == has_hosts => {}
             _ => {
@@ -201,7 +224,10 @@
 
     /// Holds so many bytes of bodies; `None` where there is no room.
     pub(crate) fn hold(self: &Rc<Self>, bytes: usize) -> Option<BodyReservation> {
-        let mut held = BodyReservation { core: self.clone(), bytes: 0 };
+        let mut held = BodyReservation {
+            core: self.clone(),
+            bytes: 0,
+        };
         held.grow(bytes).then_some(held)
     }
 }
@@ -236,7 +262,9 @@
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.core.bodies.set(self.core.bodies.get().saturating_sub(self.bytes));
+        self.core
+            .bodies
+            .set(self.core.bodies.get().saturating_sub(self.bytes));
     }
 }
 
@@ -251,27 +279,43 @@
     pub(crate) fn new(core: &Rc<Core>, attempt: Attempt) -> Self {
         core.outs.set(core.outs.get() + 1);
         core.began.notify_one();
-        Self { core: core.clone(), attempt, over: false }
+        Self {
+            core: core.clone(),
+            attempt,
+            over: false,
+        }
     }
 
     pub(crate) fn first(&self) {
-        self.core.policy.borrow_mut().first(self.core.now(), self.attempt);
+        self.core
+            .policy
+            .borrow_mut()
+            .first(self.core.now(), self.attempt);
     }
 
     /// More came of an answer that has begun.
     pub(crate) fn heard(&self) {
-        self.core.policy.borrow_mut().heard(self.core.now(), self.attempt);
+        self.core
+            .policy
+            .borrow_mut()
+            .heard(self.core.now(), self.attempt);
     }
 
     /// The head of an answer that goes on told this load.
     pub(crate) fn told(&self, load: Option<Load>) {
         if let Some(load) = load {
-            self.core.policy.borrow_mut().told(self.core.now(), self.attempt, load);
+            self.core
+                .policy
+                .borrow_mut()
+                .told(self.core.now(), self.attempt, load);
         }
     }
 
     pub(crate) fn patience(&self) -> Option<Duration> {
-        self.core.policy.borrow().patience(self.core.now(), self.attempt)
+        self.core
+            .policy
+            .borrow()
+            .patience(self.core.now(), self.attempt)
     }
 
     pub(crate) fn end(mut self, outcome: Outcome, load: Option<Load>) {
@@ -281,7 +325,10 @@
     fn close(&mut self, outcome: Outcome, load: Option<Load>) {
         if !std::mem::replace(&mut self.over, true) {
             self.core.outs.set(self.core.outs.get().saturating_sub(1));
-            self.core.policy.borrow_mut().ended(self.core.now(), self.attempt, outcome, load);
+            self.core
+                .policy
+                .borrow_mut()
+                .ended(self.core.now(), self.attempt, outcome, load);
         }
     }
 }
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -23,7 +23,9 @@
 impl Event {
     /// Whether it has a line of data, and is more than a comment or a keep-alive.
     pub fn has_data(&self) -> bool {
-        self.bytes.split(|b| matches!(b, b'\n' | b'\r')).any(|line| line.starts_with(b"data"))
+        self.bytes
+            .split(|b| matches!(b, b'\n' | b'\r'))
+            .any(|line| line.starts_with(b"data"))
     }
 }
 
@@ -40,7 +42,12 @@
 impl Splitter {
     /// For events of up to `most` bytes.
     pub fn new(most: usize) -> Self {
-        Self { buf: BytesMut::new(), line: 0, id: None, most }
+        Self {
+            buf: BytesMut::new(),
+            line: 0,
+            id: None,
+            most,
+        }
     }
 
     /// What came next; false where an event has grown too large.
@@ -70,7 +77,10 @@
             if n == 0 {
                 let bytes = self.buf.split_to(self.line).freeze();
                 self.line = 0;
-                return Some(Event { bytes, id: self.id.take() });
+                return Some(Event {
+                    bytes,
+                    id: self.id.take(),
+                });
             }
         }
     }
@@ -94,7 +104,10 @@
 impl Place {
     /// After the event with this identity, as a client said.
     pub fn after(id: Option<&str>) -> Self {
-        Self { last: id.map(str::to_owned), lost: false }
+        Self {
+            last: id.map(str::to_owned),
+            lost: false,
+        }
     }
 
     /// The last identity.
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -46,17 +46,34 @@
                 field(&mut out, name, value);
             }
         }
-        let left = self.trial.deadline().saturating_sub(self.core.now()).as_millis().max(1);
-        field(&mut out, b"Fennelpin-Deadline-Ms", left.to_string().as_bytes());
+        let left = self
+            .trial
+            .deadline()
+            .saturating_sub(self.core.now())
+            .as_millis()
+            .max(1);
+        field(
+            &mut out,
+            b"Fennelpin-Deadline-Ms",
+            left.to_string().as_bytes(),
+        );
         field(&mut out, b"Fennelpin-Expected-Host", picked.id.as_bytes());
         if let Some(priority) = picked.priority {
-            field(&mut out, b"Priority", priority.min(9).to_string().as_bytes());
+            field(
+                &mut out,
+                b"Priority",
+                priority.min(9).to_string().as_bytes(),
+            );
         }
         if let Some(id) = place {
             field(&mut out, b"Last-Event-Id", id.as_bytes());
         }
         if head.framing.is_some() {
-            field(&mut out, b"Content-Length", self.request.body.len().to_string().as_bytes());
+            field(
+                &mut out,
+                b"Content-Length",
+                self.request.body.len().to_string().as_bytes(),
+            );
         }
         out.extend_from_slice(b"\r\n");
         out
@@ -71,12 +88,15 @@
             NoLink::Unreached => (End::Unreached, Outcome::Unreached),
         };
         let until = self.end().min(Instant::now() + dial(self.route));
-        let mut link = connections::get(core, &picked.id, picked.addr, most, until).await.map_err(no_link)?;
+        let mut link = connections::get(core, &picked.id, picked.addr, most, until)
+            .await
+            .map_err(no_link)?;
         let (mut written, mut again) = (0, false);
         loop {
             let head = self.head(picked);
             let mark = self.request.head.fields.get(ATTEMPT_ID).unwrap_or_default();
-            let ours = |answer: &ResponseHead, nobody_answered| belongs(answer, mark, nobody_answered);
+            let ours =
+                |answer: &ResponseHead, nobody_answered| belongs(answer, mark, nobody_answered);
             // From here on bytes may be the host's, also where this is dropped half-way.
             self.stage.set_out(true);
             let send = link.send(&head, &self.request.body, &mut written, ours);
--- a/crates/proxy/src/exchange/matching.rs
+++ b/crates/proxy/src/exchange/matching.rs
@@ -19,7 +19,8 @@
 
 /// Whether the host says that it has not run the request. No other status says so.
 pub(super) fn refuses(head: &ResponseHead) -> bool {
-    head.status == 421 || (head.status >= 400 && head.fields.get("fennelpin-not-executed").is_some())
+    head.status == 421
+        || (head.status >= 400 && head.fields.get("fennelpin-not-executed").is_some())
 }
 
 /// Whose answer a head begins, by the attempt that it names.
@@ -64,13 +65,16 @@
         let to_head = self.request.head.method() == b"HEAD";
         let mark = self.request.head.fields.get(ATTEMPT_ID).unwrap_or_default();
         for strays in 0..=MAX_STRAY_ANSWERS {
-            let head = watch.guard(self, link, out, async |l: &mut Link| l.head(to_head).await).await?;
+            let head = watch
+                .guard(self, link, out, async |l: &mut Link| l.head(to_head).await)
+                .await?;
             if belongs(&head, mark, strays == 0 && !link.used) {
                 return Ok((head, strays > 0));
             }
             self.core.tally.add(|c| c.strays += 1);
             let (mut body, mut bytes) = (Body::new(head.framing), BytesMut::new());
-            let whole = async |l: &mut Link| l.whole(&mut body, &mut bytes, MAX_BUFFERED_ANSWER).await;
+            let whole =
+                async |l: &mut Link| l.whole(&mut body, &mut bytes, MAX_BUFFERED_ANSWER).await;
             if !watch.guard(self, link, out, whole).await? {
                 break;
             }
@@ -86,8 +90,11 @@
         let core = self.core.clone();
         tokio::task::spawn_local(async move {
             let (mut body, mut out) = (Body::new(head.framing), BytesMut::new());
-            if let Ok(Ok(true)) =
-                timeout(REFUSAL_READ_TIMEOUT, link.whole(&mut body, &mut out, MAX_REFUSAL_BODY)).await
+            if let Ok(Ok(true)) = timeout(
+                REFUSAL_READ_TIMEOUT,
+                link.whole(&mut body, &mut out, MAX_REFUSAL_BODY),
+            )
+            .await
             {
                 connections::keep(&core, &id, link, &head);
             }
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -62,17 +62,29 @@
             (false, _) => Done::Cut,
         }
     };
-    let Some(known) = core.known() else { return refuse(Code::NoConfiguration, Some(RETRY_AFTER.1)).await };
-    let route = request.head.host().and_then(|h| known.routes.find(h, request.head.path()));
-    let Some(route) = route else { return refuse(Code::NoRoute, None).await };
+    let Some(known) = core.known() else {
+        return refuse(Code::NoConfiguration, Some(RETRY_AFTER.1)).await;
+    };
+    let route = request
+        .head
+        .host()
+        .and_then(|h| known.routes.find(h, request.head.path()));
+    let Some(route) = route else {
+        return refuse(Code::NoRoute, None).await;
+    };
     // With two of them nobody could say whose answer is whose.
     if fields.all(ATTEMPT_ID).count() != 1 {
         return refuse(Code::BadRequest, None).await;
     }
-    let Some(service) = routes::service(route, core.draw()) else { return refuse(Code::NoHost, None).await };
+    let Some(service) = routes::service(route, core.draw()) else {
+        return refuse(Code::NoHost, None).await;
+    };
     let arrived = core.since_start(request.arrived);
     let ms = |ms: f64| Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4);
-    let asked = fields.text("fennelpin-deadline-ms").and_then(|v| v.parse().ok()).filter(|v: &f64| *v >= 0.0);
+    let asked = fields
+        .text("fennelpin-deadline-ms")
+        .and_then(|v| v.parse().ok())
+        .filter(|v: &f64| *v >= 0.0);
     let time = asked.unwrap_or(f64::INFINITY).min(route.deadline_ms);
     let deadline = arrived.saturating_add(ms(time));
     if !core.takes(deadline, route.kind == Kind::Pure) {
@@ -104,7 +116,11 @@
             Some((head, body)) => exchange.pass_whole(&head, &body).await,
             None => {
                 let target = ms(route.target_ms.unwrap_or(1000.0)).mul_f64(RETRY_AFTER_SHARE);
-                refuse(code, Some(after.unwrap_or(target.clamp(RETRY_AFTER.0, RETRY_AFTER.1)))).await
+                refuse(
+                    code,
+                    Some(after.unwrap_or(target.clamp(RETRY_AFTER.0, RETRY_AFTER.1))),
+                )
+                .await
             }
         },
     }
@@ -193,8 +209,9 @@
             }
             self.trial.paid();
         }
-        let target =
-            Duration::try_from_secs_f64(self.route.target_ms.unwrap_or(self.route.deadline_ms) / 1e3);
+        let target = Duration::try_from_secs_f64(
+            self.route.target_ms.unwrap_or(self.route.deadline_ms) / 1e3,
+        );
         let choice = policy.choose(
             now,
             &Ask {
@@ -209,13 +226,25 @@
             },
         );
         match choice {
-            Choice::Host { attempt, id, addr, priority } => {
+            Choice::Host {
+                attempt,
+                id,
+                addr,
+                priority,
+            } => {
                 if let Some(placement) = policy.take_placement() {
                     self.core.hints.borrow().tell(&placement);
                 }
-                Ok(Picked { out: OpenAttempt::new(self.core, attempt), id, addr, priority })
+                Ok(Picked {
+                    out: OpenAttempt::new(self.core, attempt),
+                    id,
+                    addr,
+                    priority,
+                })
+            }
+            Choice::None { retry_after } => {
+                Err((self.trial.refusal(Code::NoHost), Some(retry_after)))
             }
-            Choice::None { retry_after } => Err((self.trial.refusal(Code::NoHost), Some(retry_after))),
         }
     }
 
@@ -281,7 +310,10 @@
         let stream = success
             && !self.bodiless(&head)
             && (self.route.kind == Kind::Streaming
-                || head.fields.text("content-type").is_some_and(|t| t.starts_with("text/event-stream")));
+                || head
+                    .fields
+                    .text("content-type")
+                    .is_some_and(|t| t.starts_with("text/event-stream")));
         if self.stage.started() && !stream {
             picked.out.end(Outcome::Failed, load);
             return AttemptResult::Ended(End::HostFailed);
--- a/crates/proxy/src/exchange/stream.rs
+++ b/crates/proxy/src/exchange/stream.rs
@@ -20,7 +20,9 @@
 /// A stream that has been silent for so long is taken up at another host: half of what its client bears (the
 /// longest of two seconds, four times the target and eight times the pause in time).
 fn stall(route: &Route) -> Duration {
-    let ms = (2.0 * route.target_ms.unwrap_or(0.0)).max(4.0 * route.gap_aim_ms.unwrap_or(0.0)).max(1000.0);
+    let ms = (2.0 * route.target_ms.unwrap_or(0.0))
+        .max(4.0 * route.gap_aim_ms.unwrap_or(0.0))
+        .max(1000.0);
     Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4)
 }
 
@@ -104,7 +106,11 @@
 
     /// What comes next of a stream that has begun. One that may go on elsewhere is not waited for until its
     /// client gives up, unless the host shows itself alive on other connections: there it will go on.
-    async fn later_piece(&mut self, link: &mut Link, body: &mut Body) -> Result<Option<Bytes>, Stop> {
+    async fn later_piece(
+        &mut self,
+        link: &mut Link,
+        body: &mut Body,
+    ) -> Result<Option<Bytes>, Stop> {
         let end = self.end() + DEADLINE_SLACK;
         let mut waits = self.may_go_on();
         if self.overtime() {
@@ -112,7 +118,11 @@
         }
         loop {
             let since = Instant::now();
-            let until = if waits { end.min(since + stall(self.route)) } else { end };
+            let until = if waits {
+                end.min(since + stall(self.route))
+            } else {
+                end
+            };
             match timeout_at(until, link.piece(body)).await {
                 Ok(next) => return next.map_err(|_| Stop::Lost),
                 Err(_) if until >= end => return Err(Stop::Late),
--- a/crates/proxy/src/exchange/wait.rs
+++ b/crates/proxy/src/exchange/wait.rs
@@ -28,7 +28,10 @@
 
 impl HostWait {
     pub(super) fn new(exchange: &Exchange) -> Self {
-        Self { sent: Instant::now(), waits: exchange.trial.idempotent() }
+        Self {
+            sent: Instant::now(),
+            waits: exchange.trial.idempotent(),
+        }
     }
 
     /// Something has come.
@@ -46,7 +49,11 @@
         let end = exchange.end() + DEADLINE_SLACK;
         loop {
             let now = Instant::now();
-            let over = if self.waits { out.patience().map(|p| self.sent + p) } else { None };
+            let over = if self.waits {
+                out.patience().map(|p| self.sent + p)
+            } else {
+                None
+            };
             if over.is_some_and(|over| over <= now) {
                 self.waits = exchange.trial.may_move(exchange.core.now());
                 if let Some(next) = self.waits.then(|| exchange.pick().ok()).flatten() {
--- a/crates/proxy/src/exchange/whole.rs
+++ b/crates/proxy/src/exchange/whole.rs
@@ -43,7 +43,11 @@
         }
         let out = out.freeze();
         if head.status < 500 {
-            let outcome = if head.status < 400 { Outcome::Done } else { Outcome::Failed };
+            let outcome = if head.status < 400 {
+                Outcome::Done
+            } else {
+                Outcome::Failed
+            };
             picked.out.end(outcome, load);
             return AttemptResult::Answered(self.pass_whole(&head, &out).await);
         }
@@ -54,7 +58,11 @@
 
     pub(super) async fn pass_whole(&self, head: &ResponseHead, body: &Bytes) -> Done {
         let close = closes(self.core, self.request);
-        let framing = if self.bodiless(head) { None } else { Some(Framing::Length(body.len() as u64)) };
+        let framing = if self.bodiless(head) {
+            None
+        } else {
+            Some(Framing::Length(body.len() as u64))
+        };
         let text = self.client_head(head, framing, close);
         self.stage.start();
         match self.write(&text, body).await {
@@ -110,7 +118,14 @@
         if !stray {
             connections::keep(self.core, &picked.id, link, &head);
         }
-        picked.out.end(if head.status < 400 { Outcome::Done } else { Outcome::Failed }, None);
+        picked.out.end(
+            if head.status < 400 {
+                Outcome::Done
+            } else {
+                Outcome::Failed
+            },
+            None,
+        );
         AttemptResult::Answered(writer.finish(self, &head).await)
     }
 }
--- a/crates/proxy/src/exchange/writer.rs
+++ b/crates/proxy/src/exchange/writer.rs
@@ -30,10 +30,18 @@
             _ => Framing::Chunked,
         };
         exchange.stage.set_until_end(framing == Framing::UntilEnd);
-        Self { framing, close: closes(exchange.core, exchange.request) || framing == Framing::UntilEnd }
+        Self {
+            framing,
+            close: closes(exchange.core, exchange.request) || framing == Framing::UntilEnd,
+        }
     }
 
-    pub(super) async fn write(&mut self, exchange: &Exchange<'_>, head: &ResponseHead, data: &[u8]) -> bool {
+    pub(super) async fn write(
+        &mut self,
+        exchange: &Exchange<'_>,
+        head: &ResponseHead,
+        data: &[u8],
+    ) -> bool {
         let mut text = match exchange.stage.start() {
             true => Vec::new(),
             false => {
@@ -76,20 +84,27 @@
 
 impl Exchange<'_> {
     /// The answer's head as the client gets it; `None` leaves the host's length as it is.
-    pub(super) fn client_head(&self, head: &ResponseHead, framing: Option<Framing>, close: bool) -> Vec<u8> {
+    pub(super) fn client_head(
+        &self,
+        head: &ResponseHead,
+        framing: Option<Framing>,
+        close: bool,
+    ) -> Vec<u8> {
         let mut out = Vec::with_capacity(512);
         out.extend_from_slice(format!("HTTP/1.1 {} ", head.status).as_bytes());
         out.extend_from_slice(head.reason());
         out.extend_from_slice(b"\r\n");
         for (name, value) in head.fields.iter() {
-            let length =
-                name.eq_ignore_ascii_case(b"content-length") && (framing.is_some() || head.status == 204);
+            let length = name.eq_ignore_ascii_case(b"content-length")
+                && (framing.is_some() || head.status == 204);
             if !length && !wire::stays_here(&head.fields, name) {
                 field(&mut out, name, value);
             }
         }
         match framing {
-            Some(Framing::Length(n)) => field(&mut out, b"Content-Length", n.to_string().as_bytes()),
+            Some(Framing::Length(n)) => {
+                field(&mut out, b"Content-Length", n.to_string().as_bytes())
+            }
             Some(Framing::Chunked) => field(&mut out, b"Transfer-Encoding", b"chunked"),
             Some(Framing::UntilEnd) | None => {}
         }
@@ -97,8 +112,14 @@
             field(&mut out, b"Connection", b"close");
         } else {
             // Told a little less than the truth, so that no request meets the close.
-            let idle = (self.core.limits().idle_timeout_ms / 1000).saturating_sub(1).max(1);
-            field(&mut out, b"Keep-Alive", format!("timeout={idle}").as_bytes());
+            let idle = (self.core.limits().idle_timeout_ms / 1000)
+                .saturating_sub(1)
+                .max(1);
+            field(
+                &mut out,
+                b"Keep-Alive",
+                format!("timeout={idle}").as_bytes(),
+            );
         }
         out.extend_from_slice(b"\r\n");
         out
@@ -106,6 +127,9 @@
 
     pub(super) async fn write(&self, head: &[u8], body: &[u8]) -> bool {
         let by = self.end().max(Instant::now() + CLIENT_WRITE_TIMEOUT);
-        matches!(timeout_at(by, wire::write_all(self.client, head, body, &mut 0)).await, Ok(Ok(())))
+        matches!(
+            timeout_at(by, wire::write_all(self.client, head, body, &mut 0)).await,
+            Ok(Ok(()))
+        )
     }
 }
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -83,7 +83,12 @@
     });
 }
 
-async fn client(core: &Rc<Core>, stream: &TcpStream, crowded: bool, mut closing: watch::Receiver<Phase>) {
+async fn client(
+    core: &Rc<Core>,
+    stream: &TcpStream,
+    crowded: bool,
+    mut closing: watch::Receiver<Phase>,
+) {
     let mut buf = BytesMut::new();
     let mut came = Instant::now();
     let leave = Rc::new(Notify::new());
@@ -119,7 +124,16 @@
             came = Instant::now();
         }
         // Boxed: only connections with a request under way hold what one needs.
-        if !Box::pin(one(core, stream, &mut buf, &mut came, crowded, &mut closing)).await {
+        if !Box::pin(one(
+            core,
+            stream,
+            &mut buf,
+            &mut came,
+            crowded,
+            &mut closing,
+        ))
+        .await
+        {
             return;
         }
     }
@@ -142,7 +156,8 @@
         Err(Refused::Gone) => return false,
         Err(Refused::Because(code)) => {
             // Before a configuration is known nobody can say that a request is too large.
-            let unknown = matches!(code, Code::TooLarge | Code::HeadTooLarge) && core.known().is_none();
+            let unknown =
+                matches!(code, Code::TooLarge | Code::HeadTooLarge) && core.known().is_none();
             let code = if unknown { Code::NoConfiguration } else { code };
             let comes_back = matches!(code, Code::Crowded | Code::NoConfiguration);
             let answer = Answer::own(code, id.as_deref(), comes_back.then_some(CROWDED));
@@ -154,8 +169,11 @@
     };
     core.tally.add(|c| c.requests += 1);
     if crowded {
-        let answer =
-            Answer::own(Code::Crowded, request.head.fields.get("fennelpin-attempt-id"), Some(CROWDED));
+        let answer = Answer::own(
+            Code::Crowded,
+            request.head.fields.get("fennelpin-attempt-id"),
+            Some(CROWDED),
+        );
         if answer.write(core, stream, true).await {
             linger(stream).await;
         }
@@ -225,7 +243,15 @@
         Some(framing) => read_body(core, stream, buf, limits, &head, framing).await,
     };
     match body {
-        Ok((body, held)) => (Ok(Request { head, body, arrived, _held: held }), None),
+        Ok((body, held)) => (
+            Ok(Request {
+                head,
+                body,
+                arrived,
+                _held: held,
+            }),
+            None,
+        ),
         Err(refused) => {
             let id = head.fields.get("fennelpin-attempt-id").map(<[u8]>::to_vec);
             (Err(refused), id)
@@ -233,7 +259,11 @@
     }
 }
 
-async fn read_head(stream: &TcpStream, buf: &mut BytesMut, most: usize) -> Result<RequestHead, Refused> {
+async fn read_head(
+    stream: &TcpStream,
+    buf: &mut BytesMut,
+    most: usize,
+) -> Result<RequestHead, Refused> {
     loop {
         match RequestHead::take(buf, HeadLimits::bytes(most)) {
             Ok(Some(head)) => return Ok(head),
@@ -264,7 +294,9 @@
         },
         _ => None,
     };
-    let mut held = core.hold(length.unwrap_or(0)).ok_or(Refused::Because(Code::Crowded))?;
+    let mut held = core
+        .hold(length.unwrap_or(0))
+        .ok_or(Refused::Because(Code::Crowded))?;
     let there = length.is_some_and(|n| buf.len() >= n);
     if !there && head.fields.has_token("expect", "100-continue") && head.minor > 0 {
         wire::write_all(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"", &mut 0).await?;
--- a/crates/proxy/src/hint_listener.rs
+++ b/crates/proxy/src/hint_listener.rs
@@ -37,7 +37,9 @@
             }
             Message::Placements { placements } => {
                 let mut policy = core.policy.borrow_mut();
-                placements.iter().for_each(|p| policy.overheard(core.now(), &p.host, &parts(p), 0));
+                placements
+                    .iter()
+                    .for_each(|p| policy.overheard(core.now(), &p.host, &parts(p), 0));
             }
             Message::PlacementsRequest { .. } => recall(&core, &socket, from),
             _ => core.tally.add(|c| c.bad_hints += 1),
@@ -50,12 +52,21 @@
     let mut placements: Vec<protocol::Placement> = Vec::new();
     let mut size = 0;
     let send = |placements: &mut Vec<protocol::Placement>| {
-        let message = Message::Placements { placements: std::mem::take(placements) };
+        let message = Message::Placements {
+            placements: std::mem::take(placements),
+        };
         let _ = socket.try_send_to(&protocol::encode(&message), to);
     };
-    for Placement { host, parts: all, .. } in kept {
+    for Placement {
+        host, parts: all, ..
+    } in kept
+    {
         for some in all.chunks(ENTRY_PARTS) {
-            let one = of(&Placement { host: Arc::clone(&host), parts: some.to_vec(), unread: 0 });
+            let one = of(&Placement {
+                host: Arc::clone(&host),
+                parts: some.to_vec(),
+                unread: 0,
+            });
             let length = 8 + one.host.len() + 12 * one.parts.len();
             if length > DATAGRAM - FRAME {
                 // Its name alone fills a datagram.
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -28,7 +28,9 @@
 impl Hints {
     /// The other proxies as the roster has them now. Whether all of them tell each other.
     pub(crate) fn set_others(&mut self, others: &[SocketAddrV4]) -> bool {
-        let Some(socket) = &self.socket else { return false };
+        let Some(socket) = &self.socket else {
+            return false;
+        };
         let me = match socket.local_addr() {
             Ok(SocketAddr::V4(me)) => me,
             _ => return false,
@@ -52,9 +54,13 @@
 
     /// Tells the others of a prompt that was sent.
     pub(crate) fn tell(&self, placement: &Placement) {
-        let Some(socket) = self.socket.as_ref().filter(|_| !self.others.is_empty()) else { return };
-        let message =
-            protocol::encode(&Message::PromptPlaced { placement: of(placement), unread: placement.unread });
+        let Some(socket) = self.socket.as_ref().filter(|_| !self.others.is_empty()) else {
+            return;
+        };
+        let message = protocol::encode(&Message::PromptPlaced {
+            placement: of(placement),
+            unread: placement.unread,
+        });
         if message.len() > DATAGRAM {
             return;
         }
@@ -67,7 +73,10 @@
 
 /// A placement as it goes over the wire.
 pub(crate) fn of(placement: &Placement) -> protocol::Placement {
-    let part = |p: &(u64, u32)| Part { id: p.0, tokens: p.1 };
+    let part = |p: &(u64, u32)| Part {
+        id: p.0,
+        tokens: p.1,
+    };
     protocol::Placement {
         host: placement.host.to_string(),
         parts: placement.parts.iter().map(part).collect(),
@@ -76,7 +85,11 @@
 
 /// Where this proxy takes hints; `None` where it can't.
 pub(crate) async fn listen(boot: &Boot) -> Option<Rc<UdpSocket>> {
-    let port = boot.port_range.0.checked_add(2).filter(|p| *p <= boot.port_range.1)?;
+    let port = boot
+        .port_range
+        .0
+        .checked_add(2)
+        .filter(|p| *p <= boot.port_range.1)?;
     match UdpSocket::bind(SocketAddrV4::new(boot.ip_addr, port)).await {
         Ok(socket) => Some(Rc::new(socket)),
         Err(e) => {
--- a/crates/proxy/src/hostlink.rs
+++ b/crates/proxy/src/hostlink.rs
@@ -63,7 +63,14 @@
 impl Link {
     /// A connection that has just come up.
     pub(crate) fn new(stream: TcpStream, ticket: Ticket, origin: Instant) -> Self {
-        Self { stream, buf: BytesMut::new(), used: false, partial: false, ticket, origin }
+        Self {
+            stream,
+            buf: BytesMut::new(),
+            used: false,
+            partial: false,
+            ticket,
+            origin,
+        }
     }
 
     /// Whether nothing waits to be read and the host has not ended the connection, as the system knows it now.
--- a/crates/proxy/src/idle_clients.rs
+++ b/crates/proxy/src/idle_clients.rs
@@ -19,17 +19,26 @@
 
 impl IdleClients {
     /// A connection falls idle; `leave` is told if it has to go.
-    pub(crate) fn stand<'a>(idle_clients: &'a RefCell<IdleClients>, leave: &Rc<Notify>) -> IdleClient<'a> {
+    pub(crate) fn stand<'a>(
+        idle_clients: &'a RefCell<IdleClients>,
+        leave: &Rc<Notify>,
+    ) -> IdleClient<'a> {
         let mut all = idle_clients.borrow_mut();
         let number = all.next;
         all.next += 1;
         all.idle.insert(number, leave.clone());
-        IdleClient { idle_clients, number }
+        IdleClient {
+            idle_clients,
+            number,
+        }
     }
 
     /// Tells the one that has been idle for longest to go; false where there is none.
     pub(crate) fn make_room(&mut self) -> bool {
-        self.idle.pop_first().inspect(|(_, leave)| leave.notify_one()).is_some()
+        self.idle
+            .pop_first()
+            .inspect(|(_, leave)| leave.notify_one())
+            .is_some()
     }
 }
 
--- a/crates/proxy/src/own_answer.rs
+++ b/crates/proxy/src/own_answer.rs
@@ -33,10 +33,18 @@
             field(&mut text, b"Fennelpin-Attempt-Id", id);
         }
         if let (503, Some(after)) = (code.status(), retry_after) {
-            field(&mut text, b"Retry-After", format!("{:.3}", after.as_secs_f64()).as_bytes());
+            field(
+                &mut text,
+                b"Retry-After",
+                format!("{:.3}", after.as_secs_f64()).as_bytes(),
+            );
         }
         text.extend_from_slice(body.as_bytes());
-        Self { code, text, bare: false }
+        Self {
+            code,
+            text,
+            bare: false,
+        }
     }
 
     /// The answer to a `HEAD` tells of a body and has none.
@@ -53,11 +61,22 @@
         }
         let end = self.text.len() - body_of(self.code);
         let mut text = self.text[..end].to_vec();
-        text.extend_from_slice(if close { b"Connection: close\r\n\r\n" } else { b"\r\n" });
+        text.extend_from_slice(if close {
+            b"Connection: close\r\n\r\n"
+        } else {
+            b"\r\n"
+        });
         if !self.bare {
             text.extend_from_slice(&self.text[end..]);
         }
-        matches!(timeout(CLIENT_WRITE_TIMEOUT, wire::write_all(stream, &text, b"", &mut 0)).await, Ok(Ok(())))
+        matches!(
+            timeout(
+                CLIENT_WRITE_TIMEOUT,
+                wire::write_all(stream, &text, b"", &mut 0)
+            )
+            .await,
+            Ok(Ok(()))
+        )
     }
 }
 
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -17,11 +17,16 @@
 /// assert_eq!(proxy::pool::idle(Some("timeout=5, max=9")), Duration::from_secs(4));
 /// ```
 pub fn idle(keep_alive: Option<&str>) -> Duration {
-    let given = keep_alive.into_iter().flat_map(|v| v.split(',')).find_map(|p| {
-        let (name, value) = p.trim().split_once('=')?;
-        let seconds: u64 = value.trim().parse().ok()?;
-        name.trim().eq_ignore_ascii_case("timeout").then_some(Duration::from_secs(seconds.min(3600)))
-    });
+    let given = keep_alive
+        .into_iter()
+        .flat_map(|v| v.split(','))
+        .find_map(|p| {
+            let (name, value) = p.trim().split_once('=')?;
+            let seconds: u64 = value.trim().parse().ok()?;
+            name.trim()
+                .eq_ignore_ascii_case("timeout")
+                .then_some(Duration::from_secs(seconds.min(3600)))
+        });
     let margin = |d: Duration| d.saturating_sub(Duration::from_secs(1)).max(d / 2);
     given.map_or(IDLE, |d| margin(d).min(IDLE))
 }
@@ -77,7 +82,11 @@
 impl<C> Pool<C> {
     /// With at most so many connections open over all hosts.
     pub fn new(most: usize) -> Self {
-        Self { shelves: HashMap::new(), open: Rc::default(), most }
+        Self {
+            shelves: HashMap::new(),
+            open: Rc::default(),
+            most,
+        }
     }
 
     /// Connections that are open, in use or not.
@@ -99,20 +108,31 @@
     /// Room for one more connection to a host that takes `most` from this process; `None` where there is none.
     pub fn room(&mut self, host: &Arc<str>, most: usize) -> Option<Ticket> {
         if self.open.get() >= self.most {
-            self.shelves.values_mut().find(|s| !s.idle.is_empty())?.idle.remove(0);
+            self.shelves
+                .values_mut()
+                .find(|s| !s.idle.is_empty())?
+                .idle
+                .remove(0);
         }
-        let shelf = self.shelves.entry(host.clone()).or_insert_with(|| HostConnections {
-            idle: Vec::new(),
-            open: Rc::default(),
-            heard: Rc::default(),
-        });
+        let shelf = self
+            .shelves
+            .entry(host.clone())
+            .or_insert_with(|| HostConnections {
+                idle: Vec::new(),
+                open: Rc::default(),
+                heard: Rc::default(),
+            });
         if shelf.open.get() >= most.max(1) {
             return None;
         }
         shelf.open.set(shelf.open.get() + 1);
         self.open.set(self.open.get() + 1);
         let heard = shelf.heard.clone();
-        Some(Ticket { to_host: shelf.open.clone(), all: self.open.clone(), heard })
+        Some(Ticket {
+            to_host: shelf.open.clone(),
+            all: self.open.clone(),
+            heard,
+        })
     }
 
     /// A connection that may be used again until a time; it is dropped where its host is no longer known.
@@ -136,6 +156,8 @@
 
     /// Drops what has stood idle for too long.
     pub fn sweep(&mut self, now: Duration) {
-        self.shelves.values_mut().for_each(|s| s.idle.retain(|i| i.until > now));
+        self.shelves
+            .values_mut()
+            .for_each(|s| s.idle.retain(|i| i.until > now));
     }
 }
--- a/crates/proxy/src/routes.rs
+++ b/crates/proxy/src/routes.rs
@@ -21,7 +21,9 @@
     pub fn new(document: &Document) -> Self {
         let mut sites: HashMap<String, Site> = HashMap::new();
         for route in &document.routes {
-            let site = sites.entry(route.value.hostname.to_ascii_lowercase()).or_default();
+            let site = sites
+                .entry(route.value.hostname.to_ascii_lowercase())
+                .or_default();
             let prefix = route.value.path_prefix.as_bytes();
             site.longest = site.longest.max(prefix.len());
             site.by_prefix.insert(prefix.into(), route.value.clone());
@@ -48,7 +50,9 @@
 
 /// The service of a route, by weight; `draw` is anything that is spread evenly.
 pub fn service(route: &Route, draw: u64) -> Option<&str> {
-    let Some(split) = &route.weighted_split else { return route.service.as_deref() };
+    let Some(split) = &route.weighted_split else {
+        return route.service.as_deref();
+    };
     let total: f64 = split.iter().map(|t| t.weight).sum();
     let mut at = (draw >> 11) as f64 / (1u64 << 53) as f64 * total;
     let mut fits = split.iter().filter(|t| t.weight > 0.0);
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -26,14 +26,22 @@
         let answers_until = now + grace.saturating_sub(BEFORE_KILL);
         let repeatable_until = answers_until.saturating_sub(LAST_REQUESTS);
         let full_service_until = repeatable_until.min(now + FULL_SERVICE);
-        Self { full_service_until, repeatable_until, answers_until }
+        Self {
+            full_service_until,
+            repeatable_until,
+            answers_until,
+        }
     }
 
     /// Whether a request that comes now may be given to a host. Late ones only where they are over before the process
     /// is: a stream would be cut, and a call that may run once left without a clear answer. What is `repeatable` and
     /// answered whole is told to come again instead, so it is taken for longer.
     pub(crate) fn takes(&self, now: Duration, deadline: Duration, repeatable: bool) -> bool {
-        let until = if repeatable { self.repeatable_until } else { self.full_service_until };
+        let until = if repeatable {
+            self.repeatable_until
+        } else {
+            self.full_service_until
+        };
         now < until || deadline <= self.answers_until
     }
 }
--- a/crates/proxy/src/wire.rs
+++ b/crates/proxy/src/wire.rs
@@ -31,7 +31,9 @@
     let whole = head.len() + body.len();
     while *written < whole {
         let rest_of_head = head.get(*written..).unwrap_or_default();
-        let rest_of_body = body.get(written.saturating_sub(head.len())..).unwrap_or_default();
+        let rest_of_body = body
+            .get(written.saturating_sub(head.len())..)
+            .unwrap_or_default();
         let wrote = match (rest_of_head.is_empty(), rest_of_body.is_empty()) {
             (true, _) => stream.try_write(rest_of_body),
             (false, true) => stream.try_write(rest_of_head),
@@ -53,7 +55,10 @@
 pub(crate) fn quiet(stream: &TcpStream) -> bool {
     use rustix::net::{recv, RecvFlags};
     let mut byte = [0u8; 1];
-    matches!(recv(stream, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT), Err(rustix::io::Errno::AGAIN))
+    matches!(
+        recv(stream, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT),
+        Err(rustix::io::Errno::AGAIN)
+    )
 }
 
 /// What ties an answer to its request and to its host, whatever a head says of its connection.
@@ -61,7 +66,9 @@
 
 /// Whether a field concerns only the connection that it came on.
 pub(crate) fn stays_here(fields: &Fields, name: &[u8]) -> bool {
-    let passes = END_TO_END.iter().any(|n| name.eq_ignore_ascii_case(n.as_bytes()));
+    let passes = END_TO_END
+        .iter()
+        .any(|n| name.eq_ignore_ascii_case(n.as_bytes()));
     !passes && fields.hop_by_hop(name)
 }
 
--- a/crates/proxy/tests/attempt.rs
+++ b/crates/proxy/tests/attempt.rs
@@ -102,7 +102,10 @@
     assert!(trial.owes());
     trial.paid();
     trial.ended(NOW, End::Unreached);
-    assert!(!trial.owes(), "what was taken for a host that could not be reached is still there");
+    assert!(
+        !trial.owes(),
+        "what was taken for a host that could not be reached is still there"
+    );
     trial.sent();
     assert!(trial.owes());
 }
--- a/crates/proxy/tests/breaks.rs
+++ b/crates/proxy/tests/breaks.rs
@@ -50,19 +50,23 @@
 
 fn is_whole(request: &[u8]) -> bool {
     let text = String::from_utf8_lossy(request);
-    text.split_once("\r\n\r\n").is_some_and(|(_, body)| body.len() == 2)
+    text.split_once("\r\n\r\n")
+        .is_some_and(|(_, body)| body.len() == 2)
 }
 
 fn value<'a>(request: &'a str, name: &str) -> Option<&'a str> {
-    request
-        .lines()
-        .find_map(|l| l.split_once(": ").filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v))
+    request.lines().find_map(|l| {
+        l.split_once(": ")
+            .filter(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v)
+    })
 }
 
 /// The whole answer to a request: a body with a length, or a stream in chunks from its place on.
 fn answer_to(request: &str) -> String {
     let id = value(request, "fennelpin-attempt-id").unwrap();
-    let head = format!("HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: seal\r\n");
+    let head =
+        format!("HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: seal\r\n");
     if !request.contains("/live/") && !request.contains("/more/") {
         return format!("{head}Content-Length: {}\r\n\r\n{BODY}", BODY.len());
     }
@@ -147,7 +151,11 @@
             }
             let mut stage = stage.borrow_mut();
             if stage.watching {
-                let heard = Heard { bytes: request.len(), whole: is_whole(&request), used };
+                let heard = Heard {
+                    bytes: request.len(),
+                    whole: is_whole(&request),
+                    used,
+                };
                 let number = *entry.get_or_insert(stage.heard.len());
                 stage.heard.truncate(number);
                 stage.heard.push(heard);
@@ -206,13 +214,28 @@
     client.send(&request(path, "one", "")).await;
     let answer = client.message().await;
     let heard = stage.borrow().heard.clone();
-    Played { heard, sent: proxy.tally.get().sent - before, answer }
+    Played {
+        heard,
+        sent: proxy.tally.get().sent - before,
+        answer,
+    }
 }
 
-fn check(path: &str, case: &str, Played { heard, sent, answer }: Played) {
+fn check(
+    path: &str,
+    case: &str,
+    Played {
+        heard,
+        sent,
+        answer,
+    }: Played,
+) {
     let idempotent = matches!(path, "/pure/a" | "/more/a");
     let most = if idempotent { 3 } else { 1 };
-    assert!(heard.len() <= most && sent <= most as u64, "{case}: {sent} sent, {heard:?}");
+    assert!(
+        heard.len() <= most && sent <= most as u64,
+        "{case}: {sent} sent, {heard:?}"
+    );
     let answer = answer.unwrap_or_else(|| panic!("{case}: no answer"));
     let all = events(1..=LAST_EVENT);
     let right = match path {
@@ -223,7 +246,10 @@
     match path {
         // It may run again: some host gives the whole answer.
         "/pure/a" | "/more/a" => assert!(good, "{case}: {answer:?}"),
-        "/once/a" => assert!(good || (answer.status() == 502 && answer.whole), "{case}: {answer:?}"),
+        "/once/a" => assert!(
+            good || (answer.status() == 502 && answer.whole),
+            "{case}: {answer:?}"
+        ),
         _ => {
             let cut = answer.status() == 200 && !answer.whole && all.starts_with(&answer.body);
             assert!(good || cut || answer.status() == 502, "{case}: {answer:?}");
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -4,13 +4,13 @@
 use common::*;
 use rstest::rstest;
 
-const LIMITS: &str =
-    r#""limits":{"max_header_bytes":1024,"max_body_bytes":100,"header_timeout_ms":60,"idle_timeout_ms":120}"#;
+const LIMITS: &str = r#""limits":{"max_header_bytes":1024,"max_body_bytes":100,"header_timeout_ms":60,"idle_timeout_ms":120}"#;
 
 /// A proxy with narrow bounds.
 async fn narrow(host: &Host) -> Proxy {
     let proxy = Proxy::blank().await;
-    let text = format!(r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],{LIMITS}}}"#);
+    let text =
+        format!(r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],{LIMITS}}}"#);
     let document = configuration::Document::read(text.as_bytes(), 0).unwrap();
     proxy.know(document.into(), vec![host.info.clone()]).await;
     proxy
@@ -66,10 +66,15 @@
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        client.send(&(head("Transfer-Encoding: chunked\r\n") + "3\r\nhel\r\n")).await;
+        client
+            .send(&(head("Transfer-Encoding: chunked\r\n") + "3\r\nhel\r\n"))
+            .await;
         client.send("2\r\nlo\r\n0\r\n\r\n").await;
         let asked = host.conn().await.answer("done").await;
-        assert_eq!((asked.body.as_str(), asked.field("content-length")), ("hello", Some("5")));
+        assert_eq!(
+            (asked.body.as_str(), asked.field("content-length")),
+            ("hello", Some("5"))
+        );
         assert_eq!(asked.field("transfer-encoding"), None);
         assert_eq!(client.message().await.unwrap().body, "done");
     });
@@ -81,7 +86,9 @@
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        client.send(&head("Expect: 100-continue\r\nContent-Length: 2\r\n")).await;
+        client
+            .send(&head("Expect: 100-continue\r\nContent-Length: 2\r\n"))
+            .await;
         assert!(client.head().await.unwrap().starts_with("HTTP/1.1 100 "));
         client.send("hi").await;
         let asked = host.conn().await.answer("done").await;
@@ -96,11 +103,19 @@
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        client.send(&(request("/pure/a", "one", "") + &request("/once/b", "two", ""))).await;
+        client
+            .send(&(request("/pure/a", "one", "") + &request("/once/b", "two", "")))
+            .await;
         let mut conn = host.conn().await;
-        assert_eq!(conn.answer("first").await.field("fennelpin-attempt-id"), Some("one"));
+        assert_eq!(
+            conn.answer("first").await.field("fennelpin-attempt-id"),
+            Some("one")
+        );
         assert_eq!(client.message().await.unwrap().body, "first");
-        assert_eq!(conn.answer("second").await.field("fennelpin-attempt-id"), Some("two"));
+        assert_eq!(
+            conn.answer("second").await.field("fennelpin-attempt-id"),
+            Some("two")
+        );
         assert_eq!(client.message().await.unwrap().body, "second");
     });
 }
@@ -116,9 +131,14 @@
         assert!(after > 0.0 && after <= 1.0);
         proxy.know(document(1, ROUTES), Vec::new()).await;
         assert_eq!(proxy.ready().await, 503, "no host is known");
-        assert_eq!(proxy.ask("/pure/a").await.message().await.unwrap().status(), 503);
+        assert_eq!(
+            proxy.ask("/pure/a").await.message().await.unwrap().status(),
+            503
+        );
         let mut host = Host::new("h1", "s").await;
-        proxy.know(document(1, ROUTES), vec![host.info.clone()]).await;
+        proxy
+            .know(document(1, ROUTES), vec![host.info.clone()])
+            .await;
         assert_eq!(proxy.ready().await, 200);
         let mut client = proxy.ask("/pure/a").await;
         host.conn().await.answer("done").await;
@@ -132,10 +152,23 @@
     story(async {
         let host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        proxy.know(document(5, &ROUTES.replace("/once/", "/other/")), vec![host.info.clone()]).await;
-        assert_eq!(proxy.ask("/once/a").await.message().await.unwrap().status(), 404);
-        proxy.know(document(4, ROUTES), vec![host.info.clone()]).await;
-        assert_eq!(proxy.ask("/once/a").await.message().await.unwrap().status(), 404);
+        proxy
+            .know(
+                document(5, &ROUTES.replace("/once/", "/other/")),
+                vec![host.info.clone()],
+            )
+            .await;
+        assert_eq!(
+            proxy.ask("/once/a").await.message().await.unwrap().status(),
+            404
+        );
+        proxy
+            .know(document(4, ROUTES), vec![host.info.clone()])
+            .await;
+        assert_eq!(
+            proxy.ask("/once/a").await.message().await.unwrap().status(),
+            404
+        );
     });
 }
 
@@ -197,8 +230,14 @@
 fn idle_clients_make_room_before_anyone_is_turned_away() {
     story(async {
         let mut host = Host::new("h1", "s").await;
-        let proxy = Proxy::set_up(Setup { fd_limit: 260, ..Setup::default() }).await;
-        proxy.know(document(1, ROUTES), vec![host.info.clone()]).await;
+        let proxy = Proxy::set_up(Setup {
+            fd_limit: 260,
+            ..Setup::default()
+        })
+        .await;
+        proxy
+            .know(document(1, ROUTES), vec![host.info.clone()])
+            .await;
         // 60 in 100 of 16 descriptors: nine clients.
         let mut idle = Vec::new();
         for _ in 0..8 {
@@ -222,17 +261,28 @@
 fn with_all_busy_one_more_is_told_to_come_back() {
     story(async {
         let host = Host::new("h1", "s").await;
-        let proxy = Proxy::set_up(Setup { fd_limit: 260, ..Setup::default() }).await;
-        proxy.know(document(1, ROUTES), vec![host.info.clone()]).await;
+        let proxy = Proxy::set_up(Setup {
+            fd_limit: 260,
+            ..Setup::default()
+        })
+        .await;
+        proxy
+            .know(document(1, ROUTES), vec![host.info.clone()])
+            .await;
         let mut busy = Vec::new();
         for _ in 0..9 {
             let mut client = proxy.client().await;
-            client.send(&head("Expect: 100-continue\r\nContent-Length: 2\r\n")).await;
+            client
+                .send(&head("Expect: 100-continue\r\nContent-Length: 2\r\n"))
+                .await;
             client.head().await.unwrap();
             busy.push(client);
         }
         let answer = proxy.ask("/once/a").await.message().await.unwrap();
-        assert_eq!((answer.status(), answer.field("connection")), (503, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.field("connection")),
+            (503, Some("close"))
+        );
         assert!(answer.field("retry-after").is_some());
     });
 }
@@ -241,10 +291,19 @@
 fn bodies_beyond_the_memory_are_told_to_come_back() {
     story(async {
         let host = Host::new("h1", "s").await;
-        let proxy = Proxy::set_up(Setup { memory_mb: 0, ..Setup::default() }).await;
-        proxy.know(document(1, ROUTES), vec![host.info.clone()]).await;
+        let proxy = Proxy::set_up(Setup {
+            memory_mb: 0,
+            ..Setup::default()
+        })
+        .await;
+        proxy
+            .know(document(1, ROUTES), vec![host.info.clone()])
+            .await;
         let answer = proxy.ask("/once/a").await.message().await.unwrap();
-        assert_eq!((answer.status(), answer.field("fennelpin-attempt-id")), (503, Some("one")));
+        assert_eq!(
+            (answer.status(), answer.field("fennelpin-attempt-id")),
+            (503, Some("one"))
+        );
     });
 }
 
@@ -257,12 +316,18 @@
         let head = |path: &str| {
             format!("HEAD {path} HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\n\r\n")
         };
-        client.send(&(head("/nowhere/") + &head("/pure/a") + &request("/once/a", "two", ""))).await;
+        client
+            .send(&(head("/nowhere/") + &head("/pure/a") + &request("/once/a", "two", "")))
+            .await;
         assert!(client.head().await.unwrap().starts_with("HTTP/1.1 404 "));
         let mut conn = host.conn().await;
-        conn.reply("200 OK\r\nFennelpin-Host-Seal: s\r\nContent-Length: 7", "").await;
+        conn.reply("200 OK\r\nFennelpin-Host-Seal: s\r\nContent-Length: 7", "")
+            .await;
         let answer = client.head().await.unwrap();
-        assert!(answer.starts_with("HTTP/1.1 200 ") && answer.contains("Content-Length: 7\r\n"), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200 ") && answer.contains("Content-Length: 7\r\n"),
+            "{answer}"
+        );
         conn.answer("body").await;
         assert_eq!(client.message().await.unwrap().body, "body");
     });
@@ -279,9 +344,14 @@
         let mut host = Host::new("h1", "s").await;
         let proxy = narrow(&host).await;
         let mut client = proxy.client().await;
-        client.send(&(head(fields) + &request("/once/a", "hidden", ""))).await;
+        client
+            .send(&(head(fields) + &request("/once/a", "hidden", "")))
+            .await;
         let answer = client.message().await.unwrap();
-        assert_eq!((answer.status(), answer.field("connection")), (status, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.field("connection")),
+            (status, Some("close"))
+        );
         assert_eq!(client.message().await, None);
         assert!(host.unasked());
     });
@@ -298,6 +368,10 @@
         let rested = std::time::Instant::now();
         assert_eq!(client.message().await, None);
         // The proxy's clock starts as its answer is written, the client's as it is read.
-        assert!(rested.elapsed() >= std::time::Duration::from_millis(4 * 120 / 5), "{:?}", rested.elapsed());
+        assert!(
+            rested.elapsed() >= std::time::Duration::from_millis(4 * 120 / 5),
+            "{:?}",
+            rested.elapsed()
+        );
     });
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -18,8 +18,15 @@
 
 /// Runs a test's story on one thread.
 pub fn story(work: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let guard = async { tokio::time::timeout(Duration::from_secs(20), work).await.expect("too long") };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    let guard = async {
+        tokio::time::timeout(Duration::from_secs(20), work)
+            .await
+            .expect("too long")
+    };
     tokio::task::LocalSet::new().block_on(&runtime, guard);
 }
 
@@ -35,8 +42,17 @@
 pub async fn free_addr() -> SocketAddrV4 {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
-    let ip = Ipv4Addr::new(127, high | 128, low, 1 + NEXT.fetch_add(1, Ordering::Relaxed) % 254);
-    v4(TcpListener::bind((ip, 0)).await.unwrap().local_addr().unwrap())
+    let ip = Ipv4Addr::new(
+        127,
+        high | 128,
+        low,
+        1 + NEXT.fetch_add(1, Ordering::Relaxed) % 254,
+    );
+    v4(TcpListener::bind((ip, 0))
+        .await
+        .unwrap()
+        .local_addr()
+        .unwrap())
 }
 
 /// A host: its connections are handed to the test, which plays it.
@@ -58,7 +74,10 @@
                 }
             }
         });
-        Self { info: info(id, service, addr), conns }
+        Self {
+            info: info(id, service, addr),
+            conns,
+        }
     }
 
     pub async fn conn(&mut self) -> Peer {
@@ -114,7 +133,10 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Self {
-        Self { stream, buf: Vec::new() }
+        Self {
+            stream,
+            buf: Vec::new(),
+        }
     }
 
     pub async fn connect(addr: SocketAddrV4) -> Self {
@@ -157,7 +179,11 @@
     /// Reads until what has come ends with this text, from the last message on.
     pub async fn until(&mut self, text: &str) -> String {
         while !String::from_utf8_lossy(&self.buf).contains(text) {
-            assert!(self.more().await, "closed after {:?}", String::from_utf8_lossy(&self.buf));
+            assert!(
+                self.more().await,
+                "closed after {:?}",
+                String::from_utf8_lossy(&self.buf)
+            );
         }
         String::from_utf8_lossy(&self.buf).into_owned()
     }
@@ -177,18 +203,32 @@
     /// The next message, or `None` where the connection ends without one.
     pub async fn message(&mut self) -> Option<Message> {
         let head = self.head().await?;
-        let mut message = Message { head, body: String::new(), whole: true };
+        let mut message = Message {
+            head,
+            body: String::new(),
+            whole: true,
+        };
         if message.field("transfer-encoding").is_some() {
             loop {
                 let line = match self.line().await {
                     Some(line) => line,
-                    None => return Some(Message { whole: false, ..message }),
+                    None => {
+                        return Some(Message {
+                            whole: false,
+                            ..message
+                        })
+                    }
                 };
                 let size = usize::from_str_radix(line.trim(), 16).unwrap();
                 match self.take(size + 2).await {
                     Some(data) if size > 0 => message.body.push_str(&data[..size]),
                     Some(_) => return Some(message),
-                    None => return Some(Message { whole: false, ..message }),
+                    None => {
+                        return Some(Message {
+                            whole: false,
+                            ..message
+                        })
+                    }
                 }
             }
         }
@@ -244,15 +284,24 @@
     /// Reads a request and answers it with these lines of a head, its id beside them, and a body.
     pub async fn reply(&mut self, lines: &str, body: &str) -> Message {
         let request = self.message().await.expect("a request");
-        let id = request.field("fennelpin-attempt-id").unwrap_or("none").to_owned();
-        self.send(&format!("HTTP/1.1 {lines}\r\nFennelpin-Attempt-Id: {id}\r\n\r\n{body}")).await;
+        let id = request
+            .field("fennelpin-attempt-id")
+            .unwrap_or("none")
+            .to_owned();
+        self.send(&format!(
+            "HTTP/1.1 {lines}\r\nFennelpin-Attempt-Id: {id}\r\n\r\n{body}"
+        ))
+        .await;
         request
     }
 
     /// Reads a request and answers it with a body.
     pub async fn answer(&mut self, body: &str) -> Message {
         let request = self.message().await.expect("a request");
-        let id = request.field("fennelpin-attempt-id").unwrap_or("none").to_owned();
+        let id = request
+            .field("fennelpin-attempt-id")
+            .unwrap_or("none")
+            .to_owned();
         self.send(&good(&id, body)).await;
         request
     }
@@ -260,7 +309,10 @@
     /// Reads a request and refuses it.
     pub async fn refuse(&mut self) -> Message {
         let request = self.message().await.expect("a request");
-        let id = request.field("fennelpin-attempt-id").unwrap_or("none").to_owned();
+        let id = request
+            .field("fennelpin-attempt-id")
+            .unwrap_or("none")
+            .to_owned();
         self.send(&format!(
             "HTTP/1.1 503 Service Unavailable\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Not-Executed: full\r\n\
              Content-Length: 0\r\n\r\n"
@@ -272,7 +324,10 @@
     /// Reads a request and begins a stream with these events.
     pub async fn begin(&mut self, seal: &str, events: &[u64]) -> Message {
         let request = self.message().await.expect("a request");
-        let id = request.field("fennelpin-attempt-id").unwrap_or("none").to_owned();
+        let id = request
+            .field("fennelpin-attempt-id")
+            .unwrap_or("none")
+            .to_owned();
         self.send(&format!(
             "HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: {seal}\r\n\
              Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -285,7 +340,8 @@
     pub async fn events(&mut self, events: &[u64]) {
         for id in events {
             let event = event(*id);
-            self.send(&format!("{:x}\r\n{event}\r\n", event.len())).await;
+            self.send(&format!("{:x}\r\n{event}\r\n", event.len()))
+                .await;
         }
     }
 }
@@ -371,10 +427,18 @@
 
     /// A proxy with other settings that knows nothing yet.
     pub async fn set_up(setup: Setup) -> Self {
-        let Setup { grace_s, retry_slack, fd_limit, memory_mb, hints, bootstrap } = setup;
+        let Setup {
+            grace_s,
+            retry_slack,
+            fd_limit,
+            memory_mb,
+            hints,
+            bootstrap,
+        } = setup;
         // Hints are taken at the third port of the range.
-        let (ip, ports) =
-            hints.map_or((Ipv4Addr::LOCALHOST, (7000, 7001)), |h| (*h.ip(), (h.port() - 2, h.port())));
+        let (ip, ports) = hints.map_or((Ipv4Addr::LOCALHOST, (7000, 7001)), |h| {
+            (*h.ip(), (h.port() - 2, h.port()))
+        });
         let (front, readiness) = (free_addr().await, free_addr().await);
         let text = format!(
             r#"{{"node_name":"n","role":"r","ip_addr":"{ip}","zone":"a","port_range":[{},{}],"bootstrap":{bootstrap},
@@ -391,17 +455,30 @@
             }
         };
         let tally = Rc::new(SharedCounters::default());
-        let done = tokio::task::spawn_local(proxy::serve_counted(boot, news, tally.clone(), stopped));
+        let done =
+            tokio::task::spawn_local(proxy::serve_counted(boot, news, tally.clone(), stopped));
         // The listeners are bound once the task has run.
         while !done.is_finished() && TcpStream::connect(SocketAddr::V4(readiness)).await.is_err() {
             tokio::task::yield_now().await;
         }
-        Self { front, readiness, world, stop: Some(stop), done, tally }
+        Self {
+            front,
+            readiness,
+            world,
+            stop: Some(stop),
+            done,
+            tally,
+        }
     }
 
     pub async fn new(hosts: &[&Host]) -> Self {
         let proxy = Self::blank().await;
-        proxy.know(document(1, ROUTES), hosts.iter().map(|h| h.info.clone()).collect()).await;
+        proxy
+            .know(
+                document(1, ROUTES),
+                hosts.iter().map(|h| h.info.clone()).collect(),
+            )
+            .await;
         proxy
     }
 
@@ -416,7 +493,14 @@
         hosts: Vec<HostInfo>,
         others: Vec<SocketAddrV4>,
     ) {
-        self.world.send(Some(Arc::new(World { document, hosts, coordinators: 2, others }))).unwrap();
+        self.world
+            .send(Some(Arc::new(World {
+                document,
+                hosts,
+                coordinators: 2,
+                others,
+            })))
+            .unwrap();
         for _ in 0..4 {
             tokio::task::yield_now().await;
         }
@@ -428,7 +512,8 @@
 
     pub async fn ready(&self) -> u16 {
         let mut peer = Peer::connect(self.readiness).await;
-        peer.send("GET /fennelpin/readiness HTTP/1.1\r\nHost: x\r\n\r\n").await;
+        peer.send("GET /fennelpin/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+            .await;
         peer.message().await.unwrap().status()
     }
 
--- a/crates/proxy/tests/configuration_changes.rs
+++ b/crates/proxy/tests/configuration_changes.rs
@@ -9,7 +9,9 @@
 /// What the next configuration says.
 fn next(routes: &str, limits: &str) -> Arc<Document> {
     let services = r#"[{"name":"s"},{"name":"t"}]"#;
-    let text = format!(r#"{{"version":2,"routes":[{routes}],"services":{services},"limits":{{{limits}}}}}"#);
+    let text = format!(
+        r#"{{"version":2,"routes":[{routes}],"services":{services},"limits":{{{limits}}}}}"#
+    );
     Document::read(text.as_bytes(), 1).unwrap().into()
 }
 
@@ -23,11 +25,17 @@
 }
 
 fn hasty() -> Arc<Document> {
-    next(&ROUTES.replace(r#""deadline_ms":8000"#, r#""deadline_ms":1"#), "")
+    next(
+        &ROUTES.replace(r#""deadline_ms":8000"#, r#""deadline_ms":1"#),
+        "",
+    )
 }
 
 fn narrow() -> Arc<Document> {
-    next(ROUTES, r#""max_header_bytes":64,"max_body_bytes":1,"header_timeout_ms":1,"idle_timeout_ms":1000"#)
+    next(
+        ROUTES,
+        r#""max_header_bytes":64,"max_body_bytes":1,"header_timeout_ms":1,"idle_timeout_ms":1000"#,
+    )
 }
 
 #[rstest]
@@ -44,9 +52,15 @@
         proxy.know(next, vec![host.info.clone()]).await;
         conn.send(&good("one", "done")).await;
         let answer = client.message().await.unwrap();
-        assert_eq!((answer.status(), answer.whole, answer.body.as_str()), (200, true, "done"));
+        assert_eq!(
+            (answer.status(), answer.whole, answer.body.as_str()),
+            (200, true, "done")
+        );
         let counted = proxy.tally.get();
-        assert_eq!((counted.passed, counted.cut, counted.failed, counted.refused), (1, 0, 0, 0));
+        assert_eq!(
+            (counted.passed, counted.cut, counted.failed, counted.refused),
+            (1, 0, 0, 0)
+        );
     });
 }
 
@@ -97,7 +111,9 @@
         let mut client = proxy.ask("/once/a").await;
         old.conn().await.answer("old").await;
         assert_eq!(client.message().await.unwrap().body, "old");
-        proxy.know(moved(), vec![old.info.clone(), new.info.clone()]).await;
+        proxy
+            .know(moved(), vec![old.info.clone(), new.info.clone()])
+            .await;
         client.send(&request("/once/a", "two", "")).await;
         new.conn().await.answer("new").await;
         assert_eq!(client.message().await.unwrap().body, "new");
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -13,7 +13,13 @@
 const SEAL: &str = "Fennelpin-Host-Seal: seal";
 
 fn left(request: &Message) -> Duration {
-    Duration::from_millis(request.field("fennelpin-deadline-ms").expect("a deadline").parse().unwrap())
+    Duration::from_millis(
+        request
+            .field("fennelpin-deadline-ms")
+            .expect("a deadline")
+            .parse()
+            .unwrap(),
+    )
 }
 
 /// The routes of the other tests with this deadline, and room for long bodies.
@@ -24,7 +30,12 @@
         r#"{{"version":1,"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":{LARGE}}}}}"#
     );
     let document = configuration::Document::read(text.as_bytes(), 0).unwrap();
-    proxy.know(document.into(), hosts.iter().map(|h| h.info.clone()).collect()).await;
+    proxy
+        .know(
+            document.into(),
+            hosts.iter().map(|h| h.info.clone()).collect(),
+        )
+        .await;
     proxy
 }
 
@@ -50,8 +61,10 @@
         let most = Duration::from_millis(most);
         let least = most.saturating_sub(since.elapsed() + Duration::from_millis(1));
         assert!((least..=most).contains(&left(&asked)), "{:?}", left(&asked));
-        let lines =
-            asked.head.lines().filter(|l| l.to_ascii_lowercase().starts_with("fennelpin-deadline-ms"));
+        let lines = asked
+            .head
+            .lines()
+            .filter(|l| l.to_ascii_lowercase().starts_with("fennelpin-deadline-ms"));
         assert_eq!(lines.count(), 1, "{}", asked.head);
     });
 }
@@ -109,12 +122,18 @@
         let proxy = short(&[&host]).await;
         let mut client = proxy.client().await;
         let ahead = request("/once/b", "two", "Fennelpin-Deadline-Ms: 290\r\n");
-        client.send(&(request("/quick/once/a", "one", "") + &ahead)).await;
+        client
+            .send(&(request("/quick/once/a", "one", "") + &ahead))
+            .await;
         let mut conn = host.conn().await;
         conn.message().await.unwrap();
         assert_eq!(client.message().await.unwrap().status(), 504);
         let asked = host.conn().await.message().await.unwrap();
-        assert!(left(&asked) <= Duration::from_millis(290 - 150), "{:?}", left(&asked));
+        assert!(
+            left(&asked) <= Duration::from_millis(290 - 150),
+            "{:?}",
+            left(&asked)
+        );
     });
 }
 
@@ -172,11 +191,18 @@
         let answer = answer.expect("an answer");
         let begun = !matches!(
             how,
-            Play::SaysNothing | Play::ReadsNothing | Play::BeginsASmallAnswer | Play::RefusesWithoutEnd
+            Play::SaysNothing
+                | Play::ReadsNothing
+                | Play::BeginsASmallAnswer
+                | Play::RefusesWithoutEnd
         );
         match begun {
             true => assert!(!answer.whole, "{}", answer.head),
-            false => assert!([502, 503, 504].contains(&answer.status()), "{}", answer.head),
+            false => assert!(
+                [502, 503, 504].contains(&answer.status()),
+                "{}",
+                answer.head
+            ),
         }
     });
 }
@@ -210,14 +236,23 @@
             conn.reply(&lines, &"0123456789".repeat(40_000)).await;
         }
         Play::SendsALargeAnswerWithoutEnd => {
-            conn.reply(&format!("200 OK\r\n{SEAL}\r\nTransfer-Encoding: chunked"), "").await;
+            conn.reply(
+                &format!("200 OK\r\n{SEAL}\r\nTransfer-Encoding: chunked"),
+                "",
+            )
+            .await;
             while written(&conn, &format!("1000\r\n{}\r\n", "0".repeat(0x1000))).await {}
         }
         Play::BeginsASmallAnswer => {
-            conn.reply(&format!("200 OK\r\n{SEAL}\r\nContent-Length: 9"), "0123").await;
+            conn.reply(&format!("200 OK\r\n{SEAL}\r\nContent-Length: 9"), "0123")
+                .await;
         }
         Play::RefusesWithoutEnd => {
-            conn.reply("503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 900", "no").await;
+            conn.reply(
+                "503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 900",
+                "no",
+            )
+            .await;
         }
     }
     std::future::pending::<()>().await;
