--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -16,7 +16,10 @@
 
 /// The hosts as the roster has them once the first has left.
 fn without_first(hosts: [&HostInfo; 2], how: Leaves) -> Vec<HostInfo> {
-    let draining = HostInfo { draining: true, ..hosts[0].clone() };
+    let draining = HostInfo {
+        draining: true,
+        ..hosts[0].clone()
+    };
     match how {
         Leaves::Drains => vec![draining, hosts[1].clone()],
         Leaves::Departs => vec![hosts[1].clone()],
@@ -48,10 +51,14 @@
         idle.closed().await;
         for n in 0..8 {
             let mut next = proxy.client().await;
-            next.send(&request("/once/a", &format!("next-{n}"), "")).await;
-            let mut conn = two.conn().await;
-            conn.reply("200 OK\r\nFennelpin-Host-Seal: s\r\nConnection: close\r\nContent-Length: 4", "next")
+            next.send(&request("/once/a", &format!("next-{n}"), ""))
                 .await;
+            let mut conn = two.conn().await;
+            conn.reply(
+                "200 OK\r\nFennelpin-Host-Seal: s\r\nConnection: close\r\nContent-Length: 4",
+                "next",
+            )
+            .await;
             assert_eq!(next.message().await.unwrap().body, "next");
         }
         assert!(one.unasked());
@@ -100,7 +107,9 @@
         let mut client = proxy.ask(path).await;
         let mut conn = one.conn().await;
         conn.message().await.unwrap();
-        proxy.know(document(1, ROUTES), vec![two.info.clone()]).await;
+        proxy
+            .know(document(1, ROUTES), vec![two.info.clone()])
+            .await;
         conn.reset();
         match again {
             true => {
--- a/crates/proxy/tests/events.rs
+++ b/crates/proxy/tests/events.rs
@@ -39,16 +39,29 @@
     assert_eq!(ids, ["1", "2"]);
     assert_eq!(&splitter.rest()[..], b"id: 3\nda");
     splitter.push(b"data: y\n\n");
-    assert_eq!(splitter.take().unwrap().id, None, "nothing of the event before stays");
+    assert_eq!(
+        splitter.take().unwrap().id,
+        None,
+        "nothing of the event before stays"
+    );
 }
 
 #[test]
 fn lines_that_end_with_cr_alone() {
     let mut splitter = Splitter::new(1024);
     splitter.push(b"id: 1\rdata: a\r\r");
-    assert!(splitter.take().is_none(), "an LF may still belong to the last line");
+    assert!(
+        splitter.take().is_none(),
+        "an LF may still belong to the last line"
+    );
     splitter.push(b"id: 2\r\r:");
-    assert_eq!(all(&mut splitter).into_iter().filter_map(|e| e.1).collect::<Vec<_>>(), ["1", "2"]);
+    assert_eq!(
+        all(&mut splitter)
+            .into_iter()
+            .filter_map(|e| e.1)
+            .collect::<Vec<_>>(),
+        ["1", "2"]
+    );
 }
 
 #[test]
@@ -60,7 +73,10 @@
 }
 
 fn event(id: Option<&str>) -> Event {
-    Event { bytes: Default::default(), id: id.map(str::to_owned) }
+    Event {
+        bytes: Default::default(),
+        id: id.map(str::to_owned),
+    }
 }
 
 #[rstest]
--- a/crates/proxy/tests/gone_clients.rs
+++ b/crates/proxy/tests/gone_clients.rs
@@ -81,7 +81,10 @@
         }
         // The idle connection is still there, and the next request is the first thing on it.
         client.send(&request("/once/a", "next", "")).await;
-        assert_eq!(conn.answer("next").await.field("fennelpin-attempt-id"), Some("next"));
+        assert_eq!(
+            conn.answer("next").await.field("fennelpin-attempt-id"),
+            Some("next")
+        );
         assert_eq!(client.message().await.unwrap().body, "next");
         assert!(host.unasked());
         assert_eq!(proxy.tally.get().sent, 2);
@@ -109,7 +112,8 @@
         assert_eq!(message.unwrap().field("fennelpin-attempt-id"), Some("gone"));
         let [one, two] = conns;
         let (mut asked, mut other) = if first == 0 { (one, two) } else { (two, one) };
-        let refusal = "HTTP/1.1 503 Full\r\nFennelpin-Attempt-Id: gone\r\nFennelpin-Not-Executed: full\r\n\
+        let refusal =
+            "HTTP/1.1 503 Full\r\nFennelpin-Attempt-Id: gone\r\nFennelpin-Not-Executed: full\r\n\
                        Content-Length: 0\r\n\r\n";
         if path == "/more/a" {
             asked
@@ -129,7 +133,11 @@
         while proxy.tally.get().left == 0 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(proxy.tally.get().sent, before + 1, "the second host heard of it");
+        assert_eq!(
+            proxy.tally.get().sent,
+            before + 1,
+            "the second host heard of it"
+        );
         // Its idle connection has stayed as it was.
         let mut next = proxy.client().await;
         next.send(&request("/once/a", "next", "")).await;
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/hints.rs
@@ -32,14 +32,20 @@
     }
 
     fn ask(&self, proxy: SocketAddrV4) {
-        self.tell(proxy, &protocol::encode(&Message::PlacementsRequest { reserved: 0 }));
+        self.tell(
+            proxy,
+            &protocol::encode(&Message::PlacementsRequest { reserved: 0 }),
+        );
     }
 
     /// What has come by now, and its length.
     fn came(&self) -> Option<(Message, usize)> {
         let mut buffer = [0; 4096];
         match self.socket.recv(&mut buffer) {
-            Ok(length) => Some((protocol::decode(&buffer[..length]).unwrap().unwrap().0, length)),
+            Ok(length) => Some((
+                protocol::decode(&buffer[..length]).unwrap().unwrap().0,
+                length,
+            )),
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
             Err(e) => panic!("{e}"),
         }
@@ -78,8 +84,17 @@
 }
 
 fn placed(host: &str, parts: impl IntoIterator<Item = u64>) -> Vec<u8> {
-    let parts = parts.into_iter().map(|id| Part { id, tokens: 10 }).collect();
-    protocol::encode(&Message::PromptPlaced { placement: Placement { host: host.into(), parts }, unread: 0 })
+    let parts = parts
+        .into_iter()
+        .map(|id| Part { id, tokens: 10 })
+        .collect();
+    protocol::encode(&Message::PromptPlaced {
+        placement: Placement {
+            host: host.into(),
+            parts,
+        },
+        unread: 0,
+    })
 }
 
 /// A configuration whose service runs a model.
@@ -94,19 +109,35 @@
 /// A proxy that takes hints, and where.
 async fn proxy(bootstrap: bool) -> (Proxy, SocketAddrV4) {
     let hints = free_addr().await;
-    (Proxy::set_up(Setup { hints: Some(hints), bootstrap, ..Setup::default() }).await, hints)
+    (
+        Proxy::set_up(Setup {
+            hints: Some(hints),
+            bootstrap,
+            ..Setup::default()
+        })
+        .await,
+        hints,
+    )
 }
 
 /// Serves a prompt: the shared part 7 and one of its own.
 async fn serve(proxy: &Proxy, host: &mut Host, own: &str) {
     let mut client = proxy.client().await;
-    client.send(&request("/pure/a", "one", &format!("{SHARED}{own}\r\n"))).await;
+    client
+        .send(&request("/pure/a", "one", &format!("{SHARED}{own}\r\n")))
+        .await;
     host.conn().await.answer("done").await;
     assert_eq!(client.message().await.unwrap().body, "done");
 }
 
 fn expected(host: &str) -> Placement {
-    Placement { host: host.into(), parts: vec![Part { id: 7, tokens: 13_000 }] }
+    Placement {
+        host: host.into(),
+        parts: vec![Part {
+            id: 7,
+            tokens: 13_000,
+        }],
+    }
 }
 
 #[test]
@@ -115,11 +146,16 @@
         let mut host = Host::new("h1", "s").await;
         let ((one, at), (two, other_at)) = (proxy(true).await, proxy(true).await);
         let asker = Other::new().await;
-        one.know_others(models(), vec![host.info.clone()], vec![other_at]).await;
-        two.know_others(models(), vec![host.info.clone()], vec![at]).await;
+        one.know_others(models(), vec![host.info.clone()], vec![other_at])
+            .await;
+        two.know_others(models(), vec![host.info.clone()], vec![at])
+            .await;
         serve(&one, &mut host, "1:100").await;
         assert_eq!(asker.recalled(other_at).await, [expected("h1")]);
-        assert_eq!((one.tally.get().bad_hints, two.tally.get().bad_hints), (0, 0));
+        assert_eq!(
+            (one.tally.get().bad_hints, two.tally.get().bad_hints),
+            (0, 0)
+        );
         assert_eq!((one.tally.get().sent, two.tally.get().sent), (1, 0));
     });
 }
@@ -132,7 +168,8 @@
         let asker = Other::new().await;
         old.know(models(), vec![host.info.clone()]).await;
         serve(&old, &mut host, "1:100").await;
-        new.know_others(models(), vec![host.info.clone()], vec![at]).await;
+        new.know_others(models(), vec![host.info.clone()], vec![at])
+            .await;
         assert_eq!(asker.recalled(new_at).await, [expected("h1")]);
     });
 }
@@ -154,7 +191,9 @@
             others.push(Other::new().await);
         }
         let addrs = others.iter().rev().map(|o| o.addr).collect();
-        proxy.know_others(models(), vec![host.info.clone()], addrs).await;
+        proxy
+            .know_others(models(), vec![host.info.clone()], addrs)
+            .await;
         // What is heard stands for all only after a second.
         tokio::time::pause();
         tokio::time::advance(Duration::from_secs(2)).await;
@@ -163,10 +202,19 @@
         others.sort_by_key(|o| (o.addr < at, o.addr));
         for (n, other) in others.iter().enumerate().take(16) {
             if n < 2 {
-                assert!(matches!(other.hear().await.0, Message::PlacementsRequest { .. }), "{n} is asked");
+                assert!(
+                    matches!(other.hear().await.0, Message::PlacementsRequest { .. }),
+                    "{n} is asked"
+                );
             }
             let (told, length) = other.hear().await;
-            let Message::PromptPlaced { placement, unread: left } = told else { panic!("{n}: {told:?}") };
+            let Message::PromptPlaced {
+                placement,
+                unread: left,
+            } = told
+            else {
+                panic!("{n}: {told:?}")
+            };
             assert_eq!((placement, left), (expected("h1"), unread));
             assert!(length < MOST);
         }
@@ -178,9 +226,15 @@
 #[test]
 fn what_is_kept_is_told_in_small_datagrams() {
     story(async {
-        let hosts: Vec<_> = ["h1", "h2"].map(|id| info(id, "s", "127.0.0.1:9".parse().unwrap())).into();
+        let hosts: Vec<_> = ["h1", "h2"]
+            .map(|id| info(id, "s", "127.0.0.1:9".parse().unwrap()))
+            .into();
         let long = "h".repeat(MOST - 30);
-        let with_long = [hosts, vec![info(&long, "s", "127.0.0.1:9".parse().unwrap())]].concat();
+        let with_long = [
+            hosts,
+            vec![info(&long, "s", "127.0.0.1:9".parse().unwrap())],
+        ]
+        .concat();
         let (proxy, at) = proxy(true).await;
         proxy.know(models(), with_long).await;
         let other = Other::new().await;
@@ -188,7 +242,11 @@
         for (host, from) in [("h1", 0), ("h2", 200), ("h1", 400), (&long, 600)] {
             for n in (from..from + 200).step_by(50) {
                 other.tell(at, &placed(host, n..n + 50));
-                all.extend((n..n + 50).map(|n| (host.to_owned(), n)).filter(|_| host != long));
+                all.extend(
+                    (n..n + 50)
+                        .map(|n| (host.to_owned(), n))
+                        .filter(|_| host != long),
+                );
             }
         }
         other.ask(at);
@@ -202,7 +260,12 @@
             datagrams += 1;
             for placement in placements {
                 assert!(placement.parts.iter().all(|p| p.tokens == 10));
-                heard.extend(placement.parts.iter().map(|p| (placement.host.clone(), p.id)));
+                heard.extend(
+                    placement
+                        .parts
+                        .iter()
+                        .map(|p| (placement.host.clone(), p.id)),
+                );
             }
         }
         heard.sort();
@@ -225,7 +288,9 @@
         let mut host = Host::new("h1", "s").await;
         let (proxy, at) = proxy(true).await;
         let other = Other::new().await;
-        proxy.know_others(models(), vec![host.info.clone()], vec![other.addr]).await;
+        proxy
+            .know_others(models(), vec![host.info.clone()], vec![other.addr])
+            .await;
         let whole = placed("h1", 21..40);
         let mut version = whole.clone();
         version[4] = 99;
@@ -258,7 +323,13 @@
         other.recalled(at).await;
         serve(&proxy, &mut host, "1:100").await;
         assert_eq!(other.placed().await.0, expected("h1"));
-        let has = |k: &Placement| k.host == "h1" && k.parts.contains(&Part { id: 7, tokens: 13_000 });
+        let has = |k: &Placement| {
+            k.host == "h1"
+                && k.parts.contains(&Part {
+                    id: 7,
+                    tokens: 13_000,
+                })
+        };
         while !other.recalled(at).await.iter().any(has) {}
         assert!(proxy.tally.get().bad_hints >= garbage.len() as u64);
     });
--- a/crates/proxy/tests/hosts.rs
+++ b/crates/proxy/tests/hosts.rs
@@ -26,19 +26,32 @@
 /// What no answer is: for a request that may run twice the next host is asked, for another it is the end.
 #[rstest]
 #[case::no_seal("200 OK\r\nContent-Length: 2", "ok")]
-#[case::encoded("200 OK\r\nFennelpin-Host-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 2", "ok")]
+#[case::encoded(
+    "200 OK\r\nFennelpin-Host-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 2",
+    "ok"
+)]
 #[case::bare_408("408 Request Timeout\r\nContent-Length: 0", "")]
 #[case::bare_429("429 Too Many Requests\r\nContent-Length: 0", "")]
 #[case::bare_503("503 Service Unavailable\r\nContent-Length: 0", "")]
 #[case::cut_length("200 OK\r\nFennelpin-Host-Seal: s\r\nContent-Length: 9", "ok")]
-#[case::cut_chunks("200 OK\r\nFennelpin-Host-Seal: s\r\nTransfer-Encoding: chunked", "2\r\nok\r\n")]
-#[case::bad_chunks("200 OK\r\nFennelpin-Host-Seal: s\r\nTransfer-Encoding: chunked", "zz\r\n")]
+#[case::cut_chunks(
+    "200 OK\r\nFennelpin-Host-Seal: s\r\nTransfer-Encoding: chunked",
+    "2\r\nok\r\n"
+)]
+#[case::bad_chunks(
+    "200 OK\r\nFennelpin-Host-Seal: s\r\nTransfer-Encoding: chunked",
+    "zz\r\n"
+)]
 #[case::two_framings(
     "200 OK\r\nFennelpin-Host-Seal: s\r\nContent-Length: 2\r\nTransfer-Encoding: chunked",
     "ok"
 )]
 #[case::garbage("\u{1}\u{2}\u{3}", "")]
-fn what_is_no_answer(#[case] lines: &str, #[case] body: &str, #[values("/pure/a", "/once/a")] path: &str) {
+fn what_is_no_answer(
+    #[case] lines: &str,
+    #[case] body: &str,
+    #[values("/pure/a", "/once/a")] path: &str,
+) {
     story(async {
         let pure = path == "/pure/a";
         let play = async |mut conn: Peer| {
@@ -63,16 +76,29 @@
         };
         let answer = two(path, play, pure).await;
         assert_eq!(answer.status(), if pure { 200 } else { 502 });
-        assert_eq!(answer.field("retry-after"), None, "no promise, so nothing to come back for");
+        assert_eq!(
+            answer.field("retry-after"),
+            None,
+            "no promise, so nothing to come back for"
+        );
     });
 }
 
 /// A host's words that it has not run it let any request go on.
 #[rstest]
-#[case("503 Service Unavailable\r\nFennelpin-Not-Executed: full\r\nContent-Length: 2", "no")]
-#[case("429 Too Many Requests\r\nFennelpin-Not-Executed: rate\r\nContent-Length: 0", "")]
+#[case(
+    "503 Service Unavailable\r\nFennelpin-Not-Executed: full\r\nContent-Length: 2",
+    "no"
+)]
+#[case(
+    "429 Too Many Requests\r\nFennelpin-Not-Executed: rate\r\nContent-Length: 0",
+    ""
+)]
 #[case("421 Misdirected Request\r\nContent-Length: 0", "")]
-#[case("400 Bad Request\r\nFennelpin-Not-Executed: id\r\nTransfer-Encoding: chunked", "0\r\n\r\n")]
+#[case(
+    "400 Bad Request\r\nFennelpin-Not-Executed: id\r\nTransfer-Encoding: chunked",
+    "0\r\n\r\n"
+)]
 fn a_refusal_goes_on(
     #[case] lines: &str,
     #[case] body: &str,
@@ -97,7 +123,10 @@
         first.refuse().await;
         other.conn().await.refuse().await;
         let answer = client.message().await.unwrap();
-        assert_eq!((answer.status(), answer.field("fennelpin-attempt-id")), (503, Some("one")));
+        assert_eq!(
+            (answer.status(), answer.field("fennelpin-attempt-id")),
+            (503, Some("one"))
+        );
         assert!(answer.field("retry-after").is_some());
     });
 }
@@ -108,9 +137,16 @@
         let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
-        client.send(&request("/once/a", "one", "Fennelpin-Deadline-Ms: 40\r\n")).await;
+        client
+            .send(&request("/once/a", "one", "Fennelpin-Deadline-Ms: 40\r\n"))
+            .await;
         let (mut first, other) = first_of(&mut one, &mut two).await;
-        first.reply("503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 9", "part").await;
+        first
+            .reply(
+                "503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 9",
+                "part",
+            )
+            .await;
         other.conn().await.answer("second").await;
         assert_eq!(client.message().await.unwrap().body, "second");
     });
@@ -122,7 +158,12 @@
         let mut hosts = [Host::new("h1", "s").await, Host::new("h2", "s").await];
         let proxy = Proxy::blank().await;
         let routes = ROUTES.replace("\"max_tries\":3", "\"max_tries\":1");
-        proxy.know(document(1, &routes), hosts.iter().map(|h| h.info.clone()).collect()).await;
+        proxy
+            .know(
+                document(1, &routes),
+                hosts.iter().map(|h| h.info.clone()).collect(),
+            )
+            .await;
         let mut client = proxy.ask("/pure/a").await;
         let [one, two] = &mut hosts;
         let (mut conn, other) = first_of(one, two).await;
@@ -136,8 +177,17 @@
 fn without_budget_nothing_goes_to_a_second_host() {
     story(async {
         let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
-        let proxy = Proxy::set_up(Setup { retry_slack: 0.0, ..Setup::default() }).await;
-        proxy.know(document(1, ROUTES), vec![one.info.clone(), two.info.clone()]).await;
+        let proxy = Proxy::set_up(Setup {
+            retry_slack: 0.0,
+            ..Setup::default()
+        })
+        .await;
+        proxy
+            .know(
+                document(1, ROUTES),
+                vec![one.info.clone(), two.info.clone()],
+            )
+            .await;
         let mut client = proxy.ask("/pure/a").await;
         let (mut conn, other) = first_of(&mut one, &mut two).await;
         conn.refuse().await;
@@ -148,17 +198,34 @@
 }
 
 #[rstest]
-fn hosts_that_can_not_be_reached_cost_no_budget(#[values("/pure/a", "/once/a", "/live/a")] path: &str) {
+fn hosts_that_can_not_be_reached_cost_no_budget(
+    #[values("/pure/a", "/once/a", "/live/a")] path: &str,
+) {
     story(async {
         let mut host = Host::new("h1", "s").await;
-        let proxy = Proxy::set_up(Setup { retry_slack: 0.0, ..Setup::default() }).await;
-        let dead = [info("d1", "s", free_addr().await), info("d2", "s", free_addr().await)];
-        proxy.know(document(1, ROUTES), [&dead[..], &[host.info.clone()]].concat()).await;
+        let proxy = Proxy::set_up(Setup {
+            retry_slack: 0.0,
+            ..Setup::default()
+        })
+        .await;
+        let dead = [
+            info("d1", "s", free_addr().await),
+            info("d2", "s", free_addr().await),
+        ];
+        proxy
+            .know(
+                document(1, ROUTES),
+                [&dead[..], &[host.info.clone()]].concat(),
+            )
+            .await;
         for _ in 0..4 {
             let mut client = proxy.ask(path).await;
             host.conn()
                 .await
-                .reply(&format!("200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: 1"), "x")
+                .reply(
+                    &format!("200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: 1"),
+                    "x",
+                )
                 .await;
             assert_eq!(client.message().await.unwrap().body, "x");
         }
@@ -167,40 +234,68 @@
 }
 
 /// A place that takes no connection and says nothing: its queue of new ones is full.
-async fn dark() -> (SocketAddrV4, tokio::net::TcpListener, Vec<std::net::TcpStream>) {
+async fn dark() -> (
+    SocketAddrV4,
+    tokio::net::TcpListener,
+    Vec<std::net::TcpStream>,
+) {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
-    let SocketAddr::V4(addr) = listener.local_addr().unwrap() else { unreachable!("only IPv4 here") };
-    let connect = || std::net::TcpStream::connect_timeout(&SocketAddr::V4(addr), Duration::from_millis(60));
+    let SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
+        unreachable!("only IPv4 here")
+    };
+    let connect =
+        || std::net::TcpStream::connect_timeout(&SocketAddr::V4(addr), Duration::from_millis(60));
     let waiting = std::iter::from_fn(|| connect().ok()).collect();
     (addr, listener, waiting)
 }
 
 #[rstest]
-fn a_host_that_says_nothing_to_a_connection_is_left_for_another(#[values("/pure/a", "/once/a")] path: &str) {
+fn a_host_that_says_nothing_to_a_connection_is_left_for_another(
+    #[values("/pure/a", "/once/a")] path: &str,
+) {
     story(async {
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::blank().await;
         let (addr, _listener, _waiting) = dark().await;
-        let far = balancing::HostInfo { zone: "b".into(), ..host.info.clone() };
-        proxy.know(document(1, ROUTES), vec![info("dark", "s", addr), far]).await;
+        let far = balancing::HostInfo {
+            zone: "b".into(),
+            ..host.info.clone()
+        };
+        proxy
+            .know(document(1, ROUTES), vec![info("dark", "s", addr), far])
+            .await;
         let asked = tokio::time::Instant::now();
         let mut client = proxy.ask(path).await;
         host.conn().await.answer("done").await;
         assert_eq!(client.message().await.unwrap().body, "done");
-        assert!(asked.elapsed() < Duration::from_millis(900), "{:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_millis(900),
+            "{:?}",
+            asked.elapsed()
+        );
         let counted = proxy.tally.get();
-        assert_eq!((counted.unreached, counted.sent, counted.repeats), (1, 1, 0));
+        assert_eq!(
+            (counted.unreached, counted.sent, counted.repeats),
+            (1, 1, 0)
+        );
     });
 }
 
 #[rstest]
-fn a_host_s_own_failure(#[values("/pure/a", "/once/a")] path: &str, #[values(500, 504, 507)] status: u16) {
+fn a_host_s_own_failure(
+    #[values("/pure/a", "/once/a")] path: &str,
+    #[values(500, 504, 507)] status: u16,
+) {
     story(async {
         let pure = path == "/pure/a";
         let play = async |mut conn: Peer| {
-            conn.reply(&format!("{status} Own\r\n{SEAL}\r\nX-Own: 1\r\nContent-Length: 4"), "oops").await;
+            conn.reply(
+                &format!("{status} Own\r\n{SEAL}\r\nX-Own: 1\r\nContent-Length: 4"),
+                "oops",
+            )
+            .await;
         };
         let answer = two(path, play, pure).await;
         match pure {
@@ -224,7 +319,11 @@
         let mut client = proxy.ask("/pure/a").await;
         let (mut first, other) = first_of(&mut one, &mut two).await;
         first.reply("500 Own\r\nContent-Length: 5", "first").await;
-        other.conn().await.reply("500 Own\r\nContent-Length: 4", "last").await;
+        other
+            .conn()
+            .await
+            .reply("500 Own\r\nContent-Length: 4", "last")
+            .await;
         let answer = client.message().await.unwrap();
         assert_eq!((answer.status(), answer.body.as_str()), (500, "last"));
     });
@@ -232,7 +331,10 @@
 
 #[rstest]
 #[case("404 Not Found\r\nContent-Length: 2", "no")]
-#[case("400 Bad Request\r\nTransfer-Encoding: chunked", "2\r\nno\r\n0\r\n\r\n")]
+#[case(
+    "400 Bad Request\r\nTransfer-Encoding: chunked",
+    "2\r\nno\r\n0\r\n\r\n"
+)]
 #[case("302 Found\r\nLocation: /x\r\nContent-Length: 2", "no")]
 fn other_answers_are_passed_on(#[case] lines: &str, #[case] body: &str) {
     story(async {
@@ -240,7 +342,10 @@
             conn.reply(lines, body).await;
         };
         let answer = two("/pure/a", play, false).await;
-        assert_eq!((&answer.head[9..12], answer.body.as_str()), (&lines[..3], "no"));
+        assert_eq!(
+            (&answer.head[9..12], answer.body.as_str()),
+            (&lines[..3], "no")
+        );
     });
 }
 
@@ -250,7 +355,11 @@
     let proxy = Proxy::new(&[&host]).await;
     let mut client = proxy.ask("/once/a").await;
     let mut conn = host.conn().await;
-    conn.reply(&format!("200 OK\r\n{SEAL}\r\nContent-Length: 1{lines}"), "1").await;
+    conn.reply(
+        &format!("200 OK\r\n{SEAL}\r\nContent-Length: 1{lines}"),
+        "1",
+    )
+    .await;
     assert_eq!(client.message().await.unwrap().body, "1");
     (host, proxy, client, conn)
 }
@@ -300,8 +409,13 @@
     story(async {
         let (host, proxy, mut client, mut conn) = used("").await;
         let mut next = Host::new("h2", "s").await;
-        let leaving = balancing::HostInfo { draining: true, ..host.info.clone() };
-        proxy.know(document(1, ROUTES), vec![leaving, next.info.clone()]).await;
+        let leaving = balancing::HostInfo {
+            draining: true,
+            ..host.info.clone()
+        };
+        proxy
+            .know(document(1, ROUTES), vec![leaving, next.info.clone()])
+            .await;
         conn.closed().await;
         ask_again(&mut client).await;
         next.conn().await.answer("2").await;
@@ -310,18 +424,41 @@
 }
 
 #[rstest]
-#[case("good", "200 OK\r\nFennelpin-Host-Seal: seal\r\nContent-Length: 5", "stray")]
-#[case("refusal", "503 Service Unavailable\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0", "")]
+#[case(
+    "good",
+    "200 OK\r\nFennelpin-Host-Seal: seal\r\nContent-Length: 5",
+    "stray"
+)]
+#[case(
+    "refusal",
+    "503 Service Unavailable\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0",
+    ""
+)]
 #[case("other host", "421 Misdirected Request\r\nContent-Length: 0", "")]
-#[case("failure", "500 Own\r\nTransfer-Encoding: chunked", "2\r\nno\r\n0\r\n\r\n")]
-fn an_answer_to_another_request_is_passed_over(#[case] what: &str, #[case] lines: &str, #[case] body: &str) {
+#[case(
+    "failure",
+    "500 Own\r\nTransfer-Encoding: chunked",
+    "2\r\nno\r\n0\r\n\r\n"
+)]
+fn an_answer_to_another_request_is_passed_over(
+    #[case] what: &str,
+    #[case] lines: &str,
+    #[case] body: &str,
+) {
     story(async {
         let (mut host, proxy, mut client, mut conn) = used("").await;
         ask_again(&mut client).await;
         conn.message().await.unwrap();
-        conn.send(&format!("HTTP/1.1 {lines}\r\nFennelpin-Attempt-Id: one\r\n\r\n{body}")).await;
+        conn.send(&format!(
+            "HTTP/1.1 {lines}\r\nFennelpin-Attempt-Id: one\r\n\r\n{body}"
+        ))
+        .await;
         conn.send(&good("two", "ours")).await;
-        assert_eq!(client.message().await.unwrap().body, "ours", "after a {what}");
+        assert_eq!(
+            client.message().await.unwrap().body,
+            "ours",
+            "after a {what}"
+        );
         assert_eq!(proxy.tally.get().strays, 1);
         // One more may still come: the connection isn't used again.
         conn.closed().await;
@@ -337,7 +474,8 @@
         let (_host, _proxy, mut client, mut conn) = used("").await;
         ask_again(&mut client).await;
         conn.message().await.unwrap();
-        conn.send("HTTP/1.1 503 No\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0\r\n\r\n").await;
+        conn.send("HTTP/1.1 503 No\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0\r\n\r\n")
+            .await;
         drop(conn);
         assert_eq!(client.message().await.unwrap().status(), 502);
     });
@@ -392,8 +530,10 @@
             let mut client = proxy.ask("/pure/a").await;
             let play = async {
                 let mut conn = host.conn().await;
-                let lines =
-                    format!("200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: {}", body.len());
+                let lines = format!(
+                    "200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: {}",
+                    body.len()
+                );
                 conn.reply(&lines, &body).await;
             };
             let (answer, ()) = tokio::join!(client.message(), play);
@@ -414,7 +554,8 @@
         let body = start.to_owned() + &"0123456789".repeat(40_000);
         let play = async {
             let mut conn = host.conn().await;
-            conn.reply(&format!("200 OK\r\n{SEAL}\r\n{framing}"), &body).await;
+            conn.reply(&format!("200 OK\r\n{SEAL}\r\n{framing}"), &body)
+                .await;
         };
         let (answer, ()) = tokio::join!(client.message(), play);
         assert!(!answer.unwrap().whole);
@@ -429,7 +570,9 @@
         let proxy = Proxy::new(&[&host]).await;
         // A client that knows no chunks: only the connection can show it an answer's end.
         let mut client = proxy.client().await;
-        client.send(&request("/once/a", "one", "").replace("HTTP/1.1", "HTTP/1.0")).await;
+        client
+            .send(&request("/once/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
+            .await;
         let mut conn = host.conn().await;
         let body = "0123456789".repeat(40_000);
         let play = async {
@@ -451,11 +594,17 @@
         let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
         let proxy = Proxy::blank().await;
         // Of a host's eight connections four are this proxy's, as there are two.
-        let text =
-            format!(r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s","conn_limit":8}}]}}"#);
+        let text = format!(
+            r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s","conn_limit":8}}]}}"#
+        );
         let document = configuration::Document::read(text.as_bytes(), 0).unwrap();
-        let info = |h: &Host| balancing::HostInfo { capacity: 99, ..h.info.clone() };
-        proxy.know(document.into(), vec![info(&one), info(&two)]).await;
+        let info = |h: &Host| balancing::HostInfo {
+            capacity: 99,
+            ..h.info.clone()
+        };
+        proxy
+            .know(document.into(), vec![info(&one), info(&two)])
+            .await;
         let (mut clients, mut conns) = (Vec::new(), Vec::new());
         for _ in 0..8 {
             clients.push(proxy.ask("/once/a").await);
@@ -485,7 +634,11 @@
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        let deadline = if sent { "" } else { "Fennelpin-Deadline-Ms: 0\r\n" };
+        let deadline = if sent {
+            ""
+        } else {
+            "Fennelpin-Deadline-Ms: 0\r\n"
+        };
         client.send(&request(path, "one", deadline)).await;
         let conn = if sent { Some(host.conn().await) } else { None };
         let answer = client.message().await.unwrap();
@@ -505,9 +658,14 @@
         let mut client = proxy.ask("/quick/once/a").await;
         let mut conn = host.conn().await;
         let asked = conn.message().await.unwrap();
-        let left: u64 = asked.field("fennelpin-deadline-ms").unwrap().parse().unwrap();
+        let left: u64 = asked
+            .field("fennelpin-deadline-ms")
+            .unwrap()
+            .parse()
+            .unwrap();
         assert!(left <= 150);
-        conn.send("HTTP/1.1 504 Own\r\nFennelpin-Attempt-Id: one\r\nContent-Length: 4\r\n\r\nlate").await;
+        conn.send("HTTP/1.1 504 Own\r\nFennelpin-Attempt-Id: one\r\nContent-Length: 4\r\n\r\nlate")
+            .await;
         let answer = client.message().await.unwrap();
         assert_eq!((answer.status(), answer.body.as_str()), (504, "late"));
     });
@@ -544,7 +702,9 @@
         let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
-        client.send(&request("/once/a", "one", "Fennelpin-Deadline-Ms: 900\r\n")).await;
+        client
+            .send(&request("/once/a", "one", "Fennelpin-Deadline-Ms: 900\r\n"))
+            .await;
         let (mut silent, other) = first_of(&mut one, &mut two).await;
         silent.message().await.unwrap();
         let answer = client.message().await.unwrap();
--- a/crates/proxy/tests/late_streams.rs
+++ b/crates/proxy/tests/late_streams.rs
@@ -11,8 +11,14 @@
 /// What a client gets that asks for a stream of at most `deadline_ms` once streams aren't taken any more.
 async fn ask_late(path: &str, deadline_ms: u64) -> Message {
     let mut host = Host::new("h1", "s").await;
-    let mut proxy = Proxy::set_up(Setup { grace_s: GRACE_S, ..Setup::default() }).await;
-    proxy.know(document(1, ROUTES), vec![host.info.clone()]).await;
+    let mut proxy = Proxy::set_up(Setup {
+        grace_s: GRACE_S,
+        ..Setup::default()
+    })
+    .await;
+    proxy
+        .know(document(1, ROUTES), vec![host.info.clone()])
+        .await;
     // A request that is out keeps the process there; the idle connection's end shows that time has passed.
     let mut busy = proxy.ask("/once/a").await;
     let mut conn = host.conn().await;
--- a/crates/proxy/tests/passed_on.rs
+++ b/crates/proxy/tests/passed_on.rs
@@ -14,7 +14,9 @@
 
 /// More parts than would fit on one short line.
 fn long_prefix() -> String {
-    let parts: Vec<String> = (0..120).map(|n| format!("{:016X}:{n}", u64::MAX - n)).collect();
+    let parts: Vec<String> = (0..120)
+        .map(|n| format!("{:016X}:{n}", u64::MAX - n))
+        .collect();
     format!("Fennelpin-Prompt-Prefix: {}", parts.join(","))
 }
 
@@ -24,10 +26,22 @@
 
 fn assert_passed_on(asked: &Message, lines: &[String]) {
     for line in lines {
-        assert_eq!(asked.head.lines().filter(|l| l == line).count(), 1, "{line} in {}", asked.head);
+        assert_eq!(
+            asked.head.lines().filter(|l| l == line).count(),
+            1,
+            "{line} in {}",
+            asked.head
+        );
     }
-    for name in ["fennelpin-model-name", "fennelpin-token-counts", "fennelpin-prompt-prefix"] {
-        let named = asked.head.lines().filter(|l| l.to_ascii_lowercase().starts_with(name));
+    for name in [
+        "fennelpin-model-name",
+        "fennelpin-token-counts",
+        "fennelpin-prompt-prefix",
+    ] {
+        let named = asked
+            .head
+            .lines()
+            .filter(|l| l.to_ascii_lowercase().starts_with(name));
         assert_eq!(named.count(), 1, "{name} in {}", asked.head);
     }
 }
@@ -60,7 +74,10 @@
 /// Blanks at the end of a line aren't part of a value.
 fn trimmed(message: Message) -> Message {
     let head: Vec<&str> = message.head.lines().map(str::trim_end).collect();
-    Message { head: head.join("\r\n"), ..message }
+    Message {
+        head: head.join("\r\n"),
+        ..message
+    }
 }
 
 #[test]
@@ -70,7 +87,9 @@
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
         let lines = PROMPT.map(str::to_owned);
-        client.send(&request("/more/a", "one", &fields(&lines))).await;
+        client
+            .send(&request("/more/a", "one", &fields(&lines)))
+            .await;
         let (mut first, other) = first_of(&mut one, &mut two).await;
         assert_passed_on(&first.begin("seal", &[1]).await, &lines);
         client.until("piece 1\n\n").await;
@@ -88,10 +107,19 @@
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        client.send(&request("/pure/a", "one", "Priority: 3\r\nExpect-Version: 4\r\n")).await;
+        client
+            .send(&request(
+                "/pure/a",
+                "one",
+                "Priority: 3\r\nExpect-Version: 4\r\n",
+            ))
+            .await;
         let lines = "200 OK\r\nFennelpin-Host-Seal: seal\r\nVersions: 4\r\nContent-Length: 4";
         let asked = host.conn().await.reply(lines, "done").await;
-        assert_eq!((asked.field("priority"), asked.field("expect-version")), (Some("3"), Some("4")));
+        assert_eq!(
+            (asked.field("priority"), asked.field("expect-version")),
+            (Some("3"), Some("4"))
+        );
         assert_eq!(client.message().await.unwrap().field("versions"), Some("4"));
     });
 }
@@ -106,7 +134,8 @@
         let mut conn = host.conn().await;
         conn.begin("seal", &[1]).await;
         let event = "versions: 5\nid: 2\ndata: piece 2\n\n";
-        conn.send(&format!("{:x}\r\n{event}\r\n0\r\n\r\n", event.len())).await;
+        conn.send(&format!("{:x}\r\n{event}\r\n0\r\n\r\n", event.len()))
+            .await;
         let answer = client.message().await.unwrap();
         assert_eq!((answer.whole, answer.body), (true, events([1]) + event));
     });
@@ -119,9 +148,15 @@
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        client.send(&request("/pure/a", "one", "Expect-Version: 9\r\n")).await;
+        client
+            .send(&request("/pure/a", "one", "Expect-Version: 9\r\n"))
+            .await;
         let mut conn = host.conn().await;
-        conn.reply("421 Other\r\nFennelpin-Not-Executed: version\r\nContent-Length: 0", "").await;
+        conn.reply(
+            "421 Other\r\nFennelpin-Not-Executed: version\r\nContent-Length: 0",
+            "",
+        )
+        .await;
         assert_eq!(client.message().await.unwrap().status(), 503);
         let mut other = proxy.client().await;
         let served = async {
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -29,7 +29,11 @@
     put(&mut pool, "a", 2, 3);
     put(&mut pool, "a", 3, 10);
     assert_eq!(pool.take(s(1), "a").unwrap().0, 3);
-    assert_eq!(pool.take(s(5), "a").unwrap().0, 1, "the second had stood for too long");
+    assert_eq!(
+        pool.take(s(5), "a").unwrap().0,
+        1,
+        "the second had stood for too long"
+    );
     assert!(pool.take(s(5), "a").is_none() && pool.take(s(5), "b").is_none());
     assert_eq!(pool.open(), 0);
 }
@@ -67,7 +71,10 @@
     pool.keep(&HashSet::from(["b"]));
     assert_eq!(pool.open(), 2);
     pool.put("a", late, s(10));
-    assert!(pool.take(s(1), "a").is_none(), "one that comes back later is dropped as well");
+    assert!(
+        pool.take(s(1), "a").is_none(),
+        "one that comes back later is dropped as well"
+    );
     pool.forget("b");
     assert!(pool.take(s(1), "b").is_none());
     assert_eq!(pool.open(), 0);
@@ -91,6 +98,9 @@
 #[case(Some("timeout=60"), 10_000)]
 #[case(Some("timeout=99999999999"), 10_000)]
 #[case(Some("timeout=soon"), 10_000)]
-fn a_connection_stands_idle_for_less_than_its_host_says(#[case] keep_alive: Option<&str>, #[case] ms: u64) {
+fn a_connection_stands_idle_for_less_than_its_host_says(
+    #[case] keep_alive: Option<&str>,
+    #[case] ms: u64,
+) {
     assert_eq!(idle(keep_alive), Duration::from_millis(ms));
 }
--- a/crates/proxy/tests/routes.rs
+++ b/crates/proxy/tests/routes.rs
@@ -44,7 +44,10 @@
 #[case("w", "/a/", None)]
 fn the_longest_prefix_wins(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
     let routes = Routes::new(&document());
-    assert_eq!(routes.find(host, path.as_bytes()).map(|r| r.name.as_str()), name);
+    assert_eq!(
+        routes.find(host, path.as_bytes()).map(|r| r.name.as_str()),
+        name
+    );
 }
 
 #[test]
@@ -52,7 +55,9 @@
     let routes = Routes::new(&document());
     let route = routes.find("z", b"/a/").unwrap();
     let step = u64::MAX / 1000;
-    let drawn: Vec<_> = (0..1000).map(|n| service(route, n * step).unwrap()).collect();
+    let drawn: Vec<_> = (0..1000)
+        .map(|n| service(route, n * step).unwrap())
+        .collect();
     let count = |name| drawn.iter().filter(|s| **s == name).count();
     assert_eq!(count("s"), 0, "no weight, no request");
     assert!((899..=901).contains(&count("t")), "{}", count("t"));
--- a/crates/proxy/tests/scripts.rs
+++ b/crates/proxy/tests/scripts.rs
@@ -44,9 +44,14 @@
 
 fn answer(status: u16, id: &str, chunked: bool) -> String {
     let body = body_of(id);
-    let head = format!("HTTP/1.1 {status} X\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: seal\r\n");
+    let head = format!(
+        "HTTP/1.1 {status} X\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: seal\r\n"
+    );
     match chunked {
-        true => format!("{head}Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len()),
+        true => format!(
+            "{head}Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
+            body.len()
+        ),
         false => format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()),
     }
 }
@@ -56,9 +61,13 @@
     let mut out = Vec::new();
     for sends in script {
         match sends {
-            Sends::Stray { status, chunked } => out.extend(answer(*status, "earlier", *chunked).bytes()),
+            Sends::Stray { status, chunked } => {
+                out.extend(answer(*status, "earlier", *chunked).bytes())
+            }
             Sends::Interim { named: true } => {
-                out.extend(format!("HTTP/1.1 103 Hints\r\nFennelpin-Attempt-Id: {id}\r\n\r\n").bytes());
+                out.extend(
+                    format!("HTTP/1.1 103 Hints\r\nFennelpin-Attempt-Id: {id}\r\n\r\n").bytes(),
+                );
             }
             Sends::Interim { named: false } => out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"),
             Sends::Unnamed => {
@@ -145,7 +154,13 @@
 
 fn asks() -> impl Strategy<Value = Asks> {
     let body = prop::collection::vec(
-        prop_oneof![Just(b'\r'), Just(b'\n'), Just(b'0'), Just(b'G'), any::<u8>()],
+        prop_oneof![
+            Just(b'\r'),
+            Just(b'\n'),
+            Just(b'0'),
+            Just(b'G'),
+            any::<u8>()
+        ],
         0..60,
     );
     (body, prop::collection::vec(1usize..20, 0..4)).prop_map(|(body, chunks)| Asks { body, chunks })
@@ -154,7 +169,9 @@
 /// What no request is: nothing that follows may be run.
 fn wrong() -> impl Strategy<Value = String> {
     let head = |fields: &str| {
-        format!("POST /pure/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: bad\r\n{fields}\r\n")
+        format!(
+            "POST /pure/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: bad\r\n{fields}\r\n"
+        )
     };
     prop_oneof![
         Just(head("Content-Length: 2\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n"),
@@ -174,7 +191,8 @@
 
 fn text(asks: &Asks, id: usize) -> Vec<u8> {
     let mut out =
-        format!("POST /once/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: {id}\r\n").into_bytes();
+        format!("POST /once/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: {id}\r\n")
+            .into_bytes();
     if asks.chunks.is_empty() {
         out.extend(format!("Content-Length: {}\r\n\r\n", asks.body.len()).bytes());
         out.extend(&asks.body);
@@ -210,11 +228,21 @@
                 let mut body = vec![0; field("Content-Length:").parse().unwrap()];
                 let held = conn.take_held(body.len());
                 body[..held.len()].copy_from_slice(&held);
-                if conn.stream.read_exact(&mut body[held.len()..]).await.is_err() {
+                if conn
+                    .stream
+                    .read_exact(&mut body[held.len()..])
+                    .await
+                    .is_err()
+                {
                     return;
                 }
                 let _ = ran.send((id.clone(), body));
-                if conn.stream.write_all(answer(200, &id, false).as_bytes()).await.is_err() {
+                if conn
+                    .stream
+                    .write_all(answer(200, &id, false).as_bytes())
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -11,27 +11,51 @@
         assert_eq!(proxy.ready().await, 200);
         let mut client = proxy.client().await;
         client
-            .send(&request("/pure/a?b=c", "one", "X-Own: 1\r\nConnection: keep-alive, x-hop\r\nX-Hop: 2\r\n"))
+            .send(&request(
+                "/pure/a?b=c",
+                "one",
+                "X-Own: 1\r\nConnection: keep-alive, x-hop\r\nX-Hop: 2\r\n",
+            ))
             .await;
         let mut conn = host.conn().await;
         let asked = conn.answer("hello").await;
         assert!(asked.head.starts_with("POST /pure/a?b=c HTTP/1.1\r\n"));
-        assert_eq!((asked.body.as_str(), asked.field("host")), ("hi", Some("x.example")));
+        assert_eq!(
+            (asked.body.as_str(), asked.field("host")),
+            ("hi", Some("x.example"))
+        );
         assert_eq!(asked.field("fennelpin-attempt-id"), Some("one"));
         assert_eq!(asked.field("fennelpin-expected-host"), Some("h1"));
         assert_eq!(
-            (asked.field("x-own"), asked.field("x-hop"), asked.field("connection")),
+            (
+                asked.field("x-own"),
+                asked.field("x-hop"),
+                asked.field("connection")
+            ),
             (Some("1"), None, None)
         );
-        let left: u64 = asked.field("fennelpin-deadline-ms").unwrap().parse().unwrap();
+        let left: u64 = asked
+            .field("fennelpin-deadline-ms")
+            .unwrap()
+            .parse()
+            .unwrap();
         assert!((7000..=8000).contains(&left));
         let answer = client.message().await.unwrap();
         assert_eq!((answer.status(), answer.body.as_str()), (200, "hello"));
         assert_eq!(answer.field("fennelpin-host-seal"), Some("seal"));
         // Both connections serve again.
-        client.send(&request("/pure/a", "two", "Fennelpin-Deadline-Ms: 500\r\n")).await;
+        client
+            .send(&request("/pure/a", "two", "Fennelpin-Deadline-Ms: 500\r\n"))
+            .await;
         let asked = conn.answer("again").await;
-        assert!(asked.field("fennelpin-deadline-ms").unwrap().parse::<u64>().unwrap() <= 500);
+        assert!(
+            asked
+                .field("fennelpin-deadline-ms")
+                .unwrap()
+                .parse::<u64>()
+                .unwrap()
+                <= 500
+        );
         assert_eq!(client.message().await.unwrap().body, "again");
     });
 }
@@ -61,7 +85,9 @@
         let proxy = Proxy::new(&[&host]).await;
         for path in ["/live/a", "/more/a"] {
             let mut client = proxy.client().await;
-            client.send(&request(path, "one", "Connection: close\r\n")).await;
+            client
+                .send(&request(path, "one", "Connection: close\r\n"))
+                .await;
             let mut conn = host.conn().await;
             conn.begin("seal", &[1]).await;
             client.until("piece 1\n\n").await;
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -34,7 +34,9 @@
         let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
-        client.send(&request("/more/a", "one", "Last-Event-Id: 7\r\n")).await;
+        client
+            .send(&request("/more/a", "one", "Last-Event-Id: 7\r\n"))
+            .await;
         let (mut conn, other) = first_of(&mut one, &mut two).await;
         let asked = conn.begin("first", &[8, 9]).await;
         assert_eq!(asked.field("last-event-id"), Some("7"));
@@ -48,7 +50,10 @@
         let answer = client.message().await.unwrap();
         assert_eq!(answer.field("fennelpin-host-seal"), Some("first"));
         assert_eq!((answer.whole, answer.body), (true, events([8, 9, 10])));
-        assert_eq!((proxy.tally.get().resumed, proxy.tally.get().passed), (1, 1));
+        assert_eq!(
+            (proxy.tally.get().resumed, proxy.tally.get().passed),
+            (1, 1)
+        );
     });
 }
 
@@ -62,7 +67,10 @@
         conn.begin("first", &[]).await;
         drop(conn);
         let mut next = other.conn().await;
-        assert_eq!(next.begin("second", &[1]).await.field("last-event-id"), None);
+        assert_eq!(
+            next.begin("second", &[1]).await.field("last-event-id"),
+            None
+        );
         next.send("0\r\n\r\n").await;
         let answer = client.message().await.unwrap();
         assert_eq!(answer.field("fennelpin-host-seal"), Some("second"));
@@ -154,7 +162,12 @@
         going_conn.begin("first", &[1]).await;
         still.until("piece 1\n\n").await;
         let silent = tokio::time::Instant::now();
-        proxy.know(document(1, ROUTES), vec![one.info.clone(), two.info.clone()]).await;
+        proxy
+            .know(
+                document(1, ROUTES),
+                vec![one.info.clone(), two.info.clone()],
+            )
+            .await;
         for n in 2.. {
             going_conn.events(&[n]).await;
             going.until(&format!("piece {n}\n\n")).await;
@@ -183,7 +196,8 @@
         let mut client = proxy.ask("/more/a").await;
         let mut conn = host.conn().await;
         conn.begin("first", &[1]).await;
-        let quiet = tokio::time::timeout(std::time::Duration::from_millis(1300), conn.closed()).await;
+        let quiet =
+            tokio::time::timeout(std::time::Duration::from_millis(1300), conn.closed()).await;
         assert!(quiet.is_err(), "the connection stays");
         conn.events(&[2]).await;
         conn.send("0\r\n\r\n").await;
@@ -227,7 +241,8 @@
         // While that stream goes on, its host is known to be busy.
         for _ in 0..4 {
             let mut client = proxy.ask("/pure/a").await;
-            let lines = "200 OK\r\nFennelpin-Host-Seal: s\r\nConnection: close\r\nContent-Length: 1";
+            let lines =
+                "200 OK\r\nFennelpin-Host-Seal: s\r\nConnection: close\r\nContent-Length: 1";
             other.conn().await.reply(lines, "x").await;
             assert_eq!(client.message().await.unwrap().body, "x");
         }
--- a/crates/proxy/tests/until_end.rs
+++ b/crates/proxy/tests/until_end.rs
@@ -62,7 +62,12 @@
         let (mut client, conn) = begun(&mut host, &proxy, path, length).await;
         conn.reset();
         if let Some(answer) = client.message().await {
-            assert!(answer.status() != 200 || !answer.whole, "{} {}", answer.head, answer.body.len());
+            assert!(
+                answer.status() != 200 || !answer.whole,
+                "{} {}",
+                answer.head,
+                answer.body.len()
+            );
         }
     });
 }
@@ -72,7 +77,10 @@
 #[rstest]
 #[case::large("/once/a", LARGE)]
 #[case::stream("/live/a", SMALL)]
-fn a_client_of_today_can_tell_its_end_from_a_killed_proxy_s(#[case] path: &str, #[case] length: usize) {
+fn a_client_of_today_can_tell_its_end_from_a_killed_proxy_s(
+    #[case] path: &str,
+    #[case] length: usize,
+) {
     story(async {
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
@@ -96,7 +104,9 @@
         let mut host = Host::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        client.send(&request("/live/a", "one", "").replace("HTTP/1.1", "HTTP/1.0")).await;
+        client
+            .send(&request("/live/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
+            .await;
         let mut conn = host.conn().await;
         let body = body(LARGE);
         let play = async {
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -59,8 +59,14 @@
 ) {
     let (events, mut incoming) = mpsc::unbounded_channel();
     let tasks = JoinSet::new();
-    let mut client =
-        Client { hello, shared: shared.clone(), connections: HashMap::new(), tasks, events, caller };
+    let mut client = Client {
+        hello,
+        shared: shared.clone(),
+        connections: HashMap::new(),
+        tasks,
+        events,
+        caller,
+    };
     let mut fleet = 0;
     let mut recorder = PullRecorder::default();
     loop {
@@ -71,7 +77,12 @@
         }
         let (mirror_next, learnt, coordinators, taken) = shared.update(|mirror, _| {
             let learnt = (mirror.fleet().mark != fleet).then(|| mirror.fleet().clone());
-            (mirror.next_tick(), learnt, mirror.coordinators(), mirror.shown())
+            (
+                mirror.next_tick(),
+                learnt,
+                mirror.coordinators(),
+                mirror.shown(),
+            )
         });
         puller.set_coordinators(coordinators);
         if let Some(learnt) = learnt {
@@ -82,7 +93,10 @@
         // Members tell the same of themselves by their views, proxies by what is in force.
         if puller.is_led() {
             recorder.pulls(&puller).iter().for_each(transitions::log);
-            recorder.configuration(taken.0, taken.1).iter().for_each(transitions::log);
+            recorder
+                .configuration(taken.0, taken.1)
+                .iter()
+                .for_each(transitions::log);
         }
         let next = mirror_next.into_iter().chain(puller.next_tick()).min();
         let at = next.unwrap_or_else(|| shared.now() + Duration::from_secs(60));
@@ -122,7 +136,10 @@
                 // Of a link that was given up nobody knows when it was asked.
                 let news = match puller.asked(link) {
                     Some(asked) => news.aged(asked, now),
-                    None => News { age_ms: UNCONFIRMED, ..*news },
+                    None => News {
+                        age_ms: UNCONFIRMED,
+                        ..*news
+                    },
                 };
                 let taken = self.shared.update(|mirror, now| mirror.apply(now, &news));
                 let actions = puller.answered(now, link, news.member, news.age_ms, taken);
@@ -139,16 +156,21 @@
             match action {
                 Action::Connect { link, addr } => {
                     let (pulls, queue) = mpsc::unbounded_channel();
-                    let hello = encode(&Message::Hello { seat: self.hello.clone() });
+                    let hello = encode(&Message::Hello {
+                        seat: self.hello.clone(),
+                    });
                     let (events, shared) = (self.events.clone(), self.shared.clone());
                     let task = self.tasks.spawn(async move {
-                        let Err(error) = connection(link, addr, hello, queue, &events, &shared).await;
+                        let Err(error) =
+                            connection(link, addr, hello, queue, &events, &shared).await;
                         let _ = events.send((link, Event::Failed(error)));
                     });
                     self.connections.insert(link, Connection { task, pulls });
                 }
                 Action::Pull { link, wait_ms } => {
-                    let pull = self.shared.update(|mirror, _| mirror.pull(&self.caller, wait_ms));
+                    let pull = self
+                        .shared
+                        .update(|mirror, _| mirror.pull(&self.caller, wait_ms));
                     if let Some(connection) = self.connections.get(&link) {
                         let _ = connection.pulls.send(pull);
                     }
--- a/crates/replication/src/frames.rs
+++ b/crates/replication/src/frames.rs
@@ -25,7 +25,11 @@
 impl<R: AsyncRead + Unpin> FrameReader<R> {
     /// Reads from `stream`, after the bytes that `buffer` already holds.
     pub fn new(stream: R, buffer: Vec<u8>) -> Self {
-        Self { stream, buffer, received: 0 }
+        Self {
+            stream,
+            buffer,
+            received: 0,
+        }
     }
 
     /// The next message; `None` at the end of the stream.
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -16,7 +16,9 @@
 pub use frames::{FrameReader, Step};
 pub use mirror::{Mirror, Snapshot, FRESH_WAIT};
 pub use news::{News, Pull, UNCONFIRMED};
-pub use puller::{Action, Puller, ANSWER_SLACK, CONNECT_TIMEOUT, LOOK, PACE, STALE_MS, WAIT_MS, WATCHED};
+pub use puller::{
+    Action, Puller, ANSWER_SLACK, CONNECT_TIMEOUT, LOOK, PACE, STALE_MS, WAIT_MS, WATCHED,
+};
 pub use rendezvous::{ranked, weight};
 pub use serve::{answer, serve};
 pub use shared::{SharedMirror, Traffic};
@@ -39,18 +41,28 @@
 
 /// Where members listen, given the `control` address of one.
 pub fn member_addr(boot: &Boot, control: &SocketAddrV4) -> Addr {
-    Addr { ip: u32::from(*control.ip()), port: boot.port_range.0 }
+    Addr {
+        ip: u32::from(*control.ip()),
+        port: boot.port_range.0,
+    }
 }
 
 /// Where the seeds of the settings listen.
 pub fn seed_addrs(boot: &Boot) -> Vec<Addr> {
-    boot.seed_nodes.iter().map(|s| member_addr(boot, s)).collect()
+    boot.seed_nodes
+        .iter()
+        .map(|s| member_addr(boot, s))
+        .collect()
 }
 
 /// Where a machine's agent listens for its proxy: on the loopback address; several machines that are played on
 /// one have addresses of their own there.
 pub fn agent_addr(boot: &Boot) -> Addr {
-    let ip = if boot.ip_addr.is_loopback() { boot.ip_addr } else { Ipv4Addr::LOCALHOST };
+    let ip = if boot.ip_addr.is_loopback() {
+        boot.ip_addr
+    } else {
+        Ipv4Addr::LOCALHOST
+    };
     let usual = SocketAddrV4::new(ip, boot.port_range.0.saturating_add(1));
     boot.bind.agent.unwrap_or(usual).into()
 }
@@ -58,7 +70,10 @@
 /// Where a machine's proxy takes the other proxies' hints; without enough ports, nowhere (port 0).
 pub fn hints_addr(boot: &Boot) -> Addr {
     let port = boot.port_range.0.saturating_add(2);
-    Addr { ip: u32::from(boot.ip_addr), port: if port <= boot.port_range.1 { port } else { 0 } }
+    Addr {
+        ip: u32::from(boot.ip_addr),
+        port: if port <= boot.port_range.1 { port } else { 0 },
+    }
 }
 
 /// This process as one that pulls; `member` is its identity, or 0 where it is no member.
@@ -78,7 +93,10 @@
     MemberInfo {
         id: 0,
         name: boot.node_name.clone(),
-        addr: Addr { ip: u32::from(boot.ip_addr), port: 0 },
+        addr: Addr {
+            ip: u32::from(boot.ip_addr),
+            port: 0,
+        },
         control: Addr::default(),
         zone: boot.zone.clone(),
         region: boot.region.clone(),
--- a/crates/replication/src/mirror/hosts.rs
+++ b/crates/replication/src/mirror/hosts.rs
@@ -42,7 +42,8 @@
         let phase = furthest.entry(&record.id).or_default();
         *phase = (*phase).max(record.phase);
         match hosts.get(&record.id) {
-            Some(known) if (known.call_seq, !known.silent) >= (record.call_seq, !record.silent) => {}
+            Some(known) if (known.call_seq, !known.silent) >= (record.call_seq, !record.silent) => {
+            }
             _ => {
                 hosts.insert(record.id.clone(), record.clone());
             }
@@ -61,7 +62,14 @@
 /// Of several hosts at one address, all but the newest are gone.
 fn one_at_each_address(hosts: &mut BTreeMap<String, HostRecord>, arrivals: &Arrivals) {
     let mut newest: HashMap<Addr, (bool, bool, u64, String)> = HashMap::new();
-    let rank = |r: &HostRecord| (r.phase < phase::GONE, !r.silent, arrivals.of(&r.id), r.id.clone());
+    let rank = |r: &HostRecord| {
+        (
+            r.phase < phase::GONE,
+            !r.silent,
+            arrivals.of(&r.id),
+            r.id.clone(),
+        )
+    };
     for record in hosts.values() {
         let rank = rank(record);
         match newest.get_mut(&record.addr) {
@@ -73,7 +81,10 @@
         }
     }
     for record in hosts.values_mut() {
-        if newest.get(&record.addr).is_some_and(|best| best.3 != record.id) {
+        if newest
+            .get(&record.addr)
+            .is_some_and(|best| best.3 != record.id)
+        {
             record.phase = phase::GONE;
         }
     }
--- a/crates/replication/src/mirror/ledger.rs
+++ b/crates/replication/src/mirror/ledger.rs
@@ -89,7 +89,12 @@
     }
 
     /// Takes an acknowledged state. True where it was newer.
-    pub(super) fn set(&mut self, seq: u64, document: Arc<Document>, drains: BTreeSet<String>) -> bool {
+    pub(super) fn set(
+        &mut self,
+        seq: u64,
+        document: Arc<Document>,
+        drains: BTreeSet<String>,
+    ) -> bool {
         if seq <= self.seq || document.version < self.document.version {
             return false;
         }
@@ -97,7 +102,8 @@
         self.remember(document);
         let added = drains.difference(&self.drains).cloned().collect();
         let gone = self.drains.difference(&drains).cloned().collect();
-        self.drain_changes.push_back(DrainChange { seq, added, gone });
+        self.drain_changes
+            .push_back(DrainChange { seq, added, gone });
         while self.drain_changes.len() > self.depth * DRAIN_CHANGES {
             self.drain_floor = self.drain_changes.pop_front().map_or(seq, |c| c.seq);
         }
@@ -112,7 +118,9 @@
             self.document = document.clone();
             self.history.push_back(PastDocument { document, bytes });
             let mut total: usize = self.history.iter().map(|d| d.bytes).sum();
-            while self.history.len() > self.depth || (self.history.len() > 1 && total > MAX_HISTORY_BYTES) {
+            while self.history.len() > self.depth
+                || (self.history.len() > 1 && total > MAX_HISTORY_BYTES)
+            {
                 total -= self.history.pop_front().map_or(0, |d| d.bytes);
             }
         }
@@ -123,12 +131,18 @@
         if news.seq <= self.seq || news.to < self.document.version {
             return Applied::Known;
         }
-        let Some(drains) = self.drains_after(news) else { return Applied::Missing };
+        let Some(drains) = self.drains_after(news) else {
+            return Applied::Missing;
+        };
         let document = if news.to == self.document.version {
             Some(self.document.clone())
         } else {
             let whole = Document::default();
-            let base = if news.from == 0 { &whole } else { &*self.document };
+            let base = if news.from == 0 {
+                &whole
+            } else {
+                &*self.document
+            };
             if news.from != base.version {
                 return Applied::Missing;
             }
@@ -168,11 +182,19 @@
             return (0, self.drains.iter().cloned().collect(), Vec::new());
         }
         let later = || self.drain_changes.iter().filter(|c| c.seq > since);
-        let added: BTreeSet<&String> =
-            later().flat_map(|c| &c.added).filter(|d| self.drains.contains(*d)).collect();
-        let gone: BTreeSet<&String> =
-            later().flat_map(|c| &c.gone).filter(|d| !self.drains.contains(*d)).collect();
-        (since, added.into_iter().cloned().collect(), gone.into_iter().cloned().collect())
+        let added: BTreeSet<&String> = later()
+            .flat_map(|c| &c.added)
+            .filter(|d| self.drains.contains(*d))
+            .collect();
+        let gone: BTreeSet<&String> = later()
+            .flat_map(|c| &c.gone)
+            .filter(|d| !self.drains.contains(*d))
+            .collect();
+        (
+            since,
+            added.into_iter().cloned().collect(),
+            gone.into_iter().cloned().collect(),
+        )
     }
 
     /// What somebody lacks who has this version and this change of the ledger.
@@ -180,7 +202,12 @@
         let (drains_from, drains, gone_drains) = self.drains_since(seq);
         let newest = &self.document;
         let none = Document::default();
-        let base = self.history.iter().map(|d| &*d.document).find(|d| d.version == version).unwrap_or(&none);
+        let base = self
+            .history
+            .iter()
+            .map(|d| &*d.document)
+            .find(|d| d.version == version)
+            .unwrap_or(&none);
         let delta = base.delta(newest);
         ConfigNews {
             seq: self.seq,
--- a/crates/replication/src/mirror/mod.rs
+++ b/crates/replication/src/mirror/mod.rs
@@ -165,22 +165,37 @@
         document: Arc<Document>,
         drains: impl IntoIterator<Item = &'a String>,
     ) -> bool {
-        let newer = self.ledger.set(seq, document, drains.into_iter().cloned().collect());
+        let newer = self
+            .ledger
+            .set(seq, document, drains.into_iter().cloned().collect());
         self.changed(newer)
     }
 
     /// Takes a fleet that this process knows itself: one of a higher epoch, or, where this process is the
     /// primary, a change within the epoch. The others hear of such changes by their pulls.
-    pub fn set_fleet(&mut self, epoch: u64, primary: u64, members: Vec<protocol::MemberInfo>) -> bool {
+    pub fn set_fleet(
+        &mut self,
+        epoch: u64,
+        primary: u64,
+        members: Vec<protocol::MemberInfo>,
+    ) -> bool {
         let base = epoch.saturating_mul(1 << MARK_BITS).max(1);
         let mark = if base > self.fleet.mark {
             base
-        } else if epoch == self.fleet.epoch && primary == self.member && self.fleet.members != members {
+        } else if epoch == self.fleet.epoch
+            && primary == self.member
+            && self.fleet.members != members
+        {
             self.fleet.mark + 1
         } else {
             return false;
         };
-        self.fleet = Fleet { mark, epoch, primary, members };
+        self.fleet = Fleet {
+            mark,
+            epoch,
+            primary,
+            members,
+        };
         self.changed(true)
     }
 
@@ -252,10 +267,19 @@
 
     /// When [`Mirror::tick`] next has something to do.
     pub fn next_tick(&self) -> Option<Duration> {
-        if let Some((_, due)) = self.due.get().filter(|(generation, _)| *generation == self.generation) {
+        if let Some((_, due)) = self
+            .due
+            .get()
+            .filter(|(generation, _)| *generation == self.generation)
+        {
             return due;
         }
-        let due = self.sources.next_tick().into_iter().chain(self.withheld.until()).min();
+        let due = self
+            .sources
+            .next_tick()
+            .into_iter()
+            .chain(self.withheld.until())
+            .min();
         self.due.set(Some((self.generation, due)));
         due
     }
@@ -281,7 +305,11 @@
 
     /// News that say only how old this mirror may be.
     pub fn no_news(&self, now: Duration) -> News {
-        News { member: self.member, age_ms: self.age_ms(now), ..News::default() }
+        News {
+            member: self.member,
+            age_ms: self.age_ms(now),
+            ..News::default()
+        }
     }
 
     /// Exactly what the puller lacks; `None` where that is nothing.
@@ -317,7 +345,11 @@
     pub fn view(&self) -> Snapshot {
         let (ledger, document, drains) = match self.withheld.holds() {
             true => Default::default(),
-            false => (self.ledger.seq, self.ledger.document.clone(), self.ledger.drains.clone()),
+            false => (
+                self.ledger.seq,
+                self.ledger.document.clone(),
+                self.ledger.drains.clone(),
+            ),
         };
         let hosts = hosts::merged(self.sources.hosts(), &drains, self.sources.arrivals());
         let pulling: Vec<&CoordinatorRecord> = self.sources.pulling().collect();
@@ -325,7 +357,11 @@
             ledger,
             document,
             hosts,
-            hints: pulling.iter().filter(|r| r.addr.port > 0).map(|r| (r.name.clone(), r.addr)).collect(),
+            hints: pulling
+                .iter()
+                .filter(|r| r.addr.port > 0)
+                .map(|r| (r.name.clone(), r.addr))
+                .collect(),
             coordinators: pulling.iter().map(|r| r.name.clone()).collect(),
             drains,
             fleet: self.fleet.clone(),
--- a/crates/replication/src/mirror/sources.rs
+++ b/crates/replication/src/mirror/sources.rs
@@ -69,12 +69,18 @@
 
     /// The coordinators that pull now, by all lives that aren't over.
     pub(super) fn pulling(&self) -> impl Iterator<Item = &CoordinatorRecord> {
-        self.live().flat_map(|s| s.coordinators.values()).filter(|k| !k.record.gone).map(|k| &k.record)
+        self.live()
+            .flat_map(|s| s.coordinators.values())
+            .filter(|k| !k.record.gone)
+            .map(|k| &k.record)
     }
 
     /// All records of hosts.
     pub(super) fn hosts(&self) -> impl Iterator<Item = &HostRecord> {
-        self.lives.values().flat_map(|s| s.hosts.values()).map(|k| &k.record)
+        self.lives
+            .values()
+            .flat_map(|s| s.hosts.values())
+            .map(|k| &k.record)
     }
 
     /// In which order hosts came.
@@ -85,8 +91,12 @@
     /// The newest record of a host among all sources but `own`.
     pub(super) fn host_elsewhere(&self, own: u64, host: &str) -> Option<&HostRecord> {
         let others = self.lives.iter().filter(|((id, _), _)| *id != own);
-        let records = others.filter_map(|(_, s)| s.hosts.get(host)).map(|k| &k.record);
-        records.filter(|r| r.phase != phase::FORGOTTEN).max_by_key(|r| r.call_seq)
+        let records = others
+            .filter_map(|(_, s)| s.hosts.get(host))
+            .map(|k| &k.record);
+        records
+            .filter(|r| r.phase != phase::FORGOTTEN)
+            .max_by_key(|r| r.call_seq)
     }
 
     /// Takes a source's news. True where they were newer.
@@ -106,7 +116,9 @@
         }
         let source = self.lives.entry((id, life)).or_default();
         // Who still makes changes isn't gone for good.
-        source.closing = newest.filter(|n| *n > life).and(source.closing.or(Some(now)));
+        source.closing = newest
+            .filter(|n| *n > life)
+            .and(source.closing.or(Some(now)));
         if source.closing.is_none() {
             self.retired.remove(&id);
         }
@@ -115,7 +127,10 @@
     }
 
     fn newest_life(&self, id: u64) -> Option<u64> {
-        self.lives.range((id, 0)..=(id, u64::MAX)).next_back().map(|((_, life), _)| *life)
+        self.lives
+            .range((id, 0)..=(id, u64::MAX))
+            .next_back()
+            .map(|((_, life), _)| *life)
     }
 
     /// The highest number of a life of `id` that is known to be above `life`, or to be over though it isn't below.
@@ -130,7 +145,10 @@
     pub(super) fn hear_of_lives(&mut self, vector: &[Mark]) -> bool {
         let mut heard = false;
         for mark in vector.iter().filter(|mark| mark.seq != u64::MAX) {
-            if self.newest_life(mark.id).is_some_and(|newest| newest < mark.life) {
+            if self
+                .newest_life(mark.id)
+                .is_some_and(|newest| newest < mark.life)
+            {
                 self.lives.insert((mark.id, mark.life), Source::default());
                 heard = true;
             }
@@ -140,7 +158,9 @@
 
     /// A source is no more. True where that is new.
     pub(super) fn retire(&mut self, now: Duration, id: u64) -> bool {
-        let Some(life) = self.newest_life(id) else { return false };
+        let Some(life) = self.newest_life(id) else {
+            return false;
+        };
         if self.retired.get(&id).is_some_and(|upto| life <= *upto) {
             return false;
         }
@@ -157,7 +177,8 @@
         let forgotten = self.forget(now);
         if buried || forgotten {
             let lives = &self.lives;
-            self.arrivals.retain(|id| lives.values().any(|s| s.hosts.contains_key(id)));
+            self.arrivals
+                .retain(|id| lives.values().any(|s| s.hosts.contains_key(id)));
         }
         buried || forgotten
     }
@@ -188,7 +209,11 @@
         // A host that is gone for long doesn't come back by what an older record said elsewhere.
         for (id, call_seq) in &gone {
             for source in self.lives.values_mut() {
-                if source.hosts.get(id).is_some_and(|k| k.record.call_seq <= *call_seq) {
+                if source
+                    .hosts
+                    .get(id)
+                    .is_some_and(|k| k.record.call_seq <= *call_seq)
+                {
                     source.hosts.remove(id);
                 }
             }
@@ -201,18 +226,39 @@
         let closing = self.beat * CLOSING_BEATS;
         let of = |s: &Source| {
             let hosts = s.hosts.values().filter_map(|k| k.over);
-            let over = hosts.chain(s.coordinators.values().filter_map(|k| k.over)).min();
-            s.closing.map(|at| at + closing).into_iter().chain(over.map(|at| at + TOMBSTONE)).min()
+            let over = hosts
+                .chain(s.coordinators.values().filter_map(|k| k.over))
+                .min();
+            s.closing
+                .map(|at| at + closing)
+                .into_iter()
+                .chain(over.map(|at| at + TOMBSTONE))
+                .min()
         };
         self.lives.values().filter_map(of).min()
     }
 
     /// How far each is known, for a pull.
     pub(super) fn vector(&self) -> Vec<Mark> {
-        let live = self.lives.iter().map(|((id, life), s)| Mark { id: *id, life: *life, seq: s.seq });
-        let ended = self.buried.iter().map(|(id, life)| Mark { id: *id, life: *life, seq: u64::MAX });
-        let told = self.retired.iter().filter(|(id, life)| self.buried.get(id) != Some(*life));
-        let retired = told.map(|(id, life)| Mark { id: *id, life: *life, seq: u64::MAX });
+        let live = self.lives.iter().map(|((id, life), s)| Mark {
+            id: *id,
+            life: *life,
+            seq: s.seq,
+        });
+        let ended = self.buried.iter().map(|(id, life)| Mark {
+            id: *id,
+            life: *life,
+            seq: u64::MAX,
+        });
+        let told = self
+            .retired
+            .iter()
+            .filter(|(id, life)| self.buried.get(id) != Some(*life));
+        let retired = told.map(|(id, life)| Mark {
+            id: *id,
+            life: *life,
+            seq: u64::MAX,
+        });
         live.chain(ended).chain(retired).collect()
     }
 
@@ -237,12 +283,25 @@
             if over || known.is_some_and(|seq| seq >= source.seq) {
                 continue;
             }
-            news.push(source.news(Mark { id, life, seq: source.seq }, known));
+            news.push(source.news(
+                Mark {
+                    id,
+                    life,
+                    seq: source.seq,
+                },
+                known,
+            ));
         }
         let mut retired = Vec::new();
         for (&id, &upto) in &self.retired {
-            let known = has.keys().filter(|(i, _)| *i == id).map(|(_, life)| *life).max();
-            if known.is_some_and(|life| life <= upto) && done.get(&id).is_none_or(|told| *told < upto) {
+            let known = has
+                .keys()
+                .filter(|(i, _)| *i == id)
+                .map(|(_, life)| *life)
+                .max();
+            if known.is_some_and(|life| life <= upto)
+                && done.get(&id).is_none_or(|told| *told < upto)
+            {
                 retired.push(id);
             }
         }
@@ -267,7 +326,14 @@
                 continue;
             }
             let over = (record.phase >= phase::GONE).then_some(now);
-            self.hosts.insert(record.id.clone(), Kept { record: record.clone(), seq, over });
+            self.hosts.insert(
+                record.id.clone(),
+                Kept {
+                    record: record.clone(),
+                    seq,
+                    over,
+                },
+            );
             arrivals.note(&record.id);
         }
         for record in &news.coordinators {
@@ -276,7 +342,14 @@
                 continue;
             }
             let over = record.gone.then_some(now);
-            self.coordinators.insert(record.name.clone(), Kept { record: record.clone(), seq, over });
+            self.coordinators.insert(
+                record.name.clone(),
+                Kept {
+                    record: record.clone(),
+                    seq,
+                    over,
+                },
+            );
         }
     }
 
@@ -285,7 +358,8 @@
         let names: HashSet<&str> = news.coordinators.iter().map(|c| c.name.as_str()).collect();
         let count = self.hosts.len() + self.coordinators.len();
         self.hosts.retain(|host, _| hosts.contains(host.as_str()));
-        self.coordinators.retain(|name, _| names.contains(name.as_str()));
+        self.coordinators
+            .retain(|name, _| names.contains(name.as_str()));
         if count != self.hosts.len() + self.coordinators.len() {
             self.floor = news.mark.seq;
         }
@@ -317,8 +391,15 @@
     fn news(&self, mark: Mark, known: Option<u64>) -> SourceNews {
         let whole = known.is_none_or(|seq| seq < self.floor);
         let since = if whole { 0 } else { known.unwrap_or_default() };
-        let hosts = self.hosts.values().filter(|k| whole || k.seq > since).map(|k| k.record.clone());
-        let coordinators = self.coordinators.values().filter(|k| whole || k.seq > since);
+        let hosts = self
+            .hosts
+            .values()
+            .filter(|k| whole || k.seq > since)
+            .map(|k| k.record.clone());
+        let coordinators = self
+            .coordinators
+            .values()
+            .filter(|k| whole || k.seq > since);
         SourceNews {
             mark,
             whole,
--- a/crates/replication/src/news.rs
+++ b/crates/replication/src/news.rs
@@ -23,8 +23,22 @@
 impl Pull {
     /// As a message.
     pub fn into_message(self) -> Message {
-        let Self { caller, wait_ms, ledger, version, fleet, sources } = self;
-        Message::Pull { caller, wait_ms, ledger, version, fleet, sources }
+        let Self {
+            caller,
+            wait_ms,
+            ledger,
+            version,
+            fleet,
+            sources,
+        } = self;
+        Message::Pull {
+            caller,
+            wait_ms,
+            ledger,
+            version,
+            fleet,
+            sources,
+        }
     }
 
     /// The pull that a message is.
@@ -33,9 +47,21 @@
     /// The message back, where it is another one.
     pub fn from_message(message: Message) -> Result<Self, Box<Message>> {
         match message {
-            Message::Pull { caller, wait_ms, ledger, version, fleet, sources } => {
-                Ok(Self { caller, wait_ms, ledger, version, fleet, sources })
-            }
+            Message::Pull {
+                caller,
+                wait_ms,
+                ledger,
+                version,
+                fleet,
+                sources,
+            } => Ok(Self {
+                caller,
+                wait_ms,
+                ledger,
+                version,
+                fleet,
+                sources,
+            }),
             other => Err(Box::new(other)),
         }
     }
@@ -68,7 +94,10 @@
 impl News {
     /// Whether it says nothing but its age.
     pub fn is_empty(&self) -> bool {
-        self.config.is_none() && self.sources.is_empty() && self.retired.is_empty() && self.fleet.is_none()
+        self.config.is_none()
+            && self.sources.is_empty()
+            && self.retired.is_empty()
+            && self.fleet.is_none()
     }
 
     /// Counts the age from `asked`, when the pull left, to `now`: however long the answer lay in a buffer, of this
@@ -86,8 +115,24 @@
 
     /// As a message.
     pub fn into_message(self) -> Message {
-        let Self { member, age_ms, held_ms, config, sources, retired, fleet } = self;
-        Message::News { member, age_ms, held_ms, config, sources, retired, fleet }
+        let Self {
+            member,
+            age_ms,
+            held_ms,
+            config,
+            sources,
+            retired,
+            fleet,
+        } = self;
+        Message::News {
+            member,
+            age_ms,
+            held_ms,
+            config,
+            sources,
+            retired,
+            fleet,
+        }
     }
 
     /// The news that a message is.
@@ -96,9 +141,23 @@
     /// The message back, where it is another one.
     pub fn from_message(message: Message) -> Result<Self, Box<Message>> {
         match message {
-            Message::News { member, age_ms, held_ms, config, sources, retired, fleet } => {
-                Ok(Self { member, age_ms, held_ms, config, sources, retired, fleet })
-            }
+            Message::News {
+                member,
+                age_ms,
+                held_ms,
+                config,
+                sources,
+                retired,
+                fleet,
+            } => Ok(Self {
+                member,
+                age_ms,
+                held_ms,
+                config,
+                sources,
+                retired,
+                fleet,
+            }),
             other => Err(Box::new(other)),
         }
     }
--- a/crates/replication/src/puller.rs
+++ b/crates/replication/src/puller.rs
@@ -78,7 +78,10 @@
 
 impl Link {
     fn leads(&self) -> bool {
-        self.heard && !self.dead && !self.stale && matches!(self.phase, Phase::Polling(_) | Phase::Resting(_))
+        self.heard
+            && !self.dead
+            && !self.stale
+            && matches!(self.phase, Phase::Polling(_) | Phase::Resting(_))
     }
 }
 
@@ -159,13 +162,19 @@
     /// could tell better.
     pub fn none_fresh(&self) -> bool {
         let cut_off = |l: &Link| l.heard && !l.dead && l.stale;
-        !self.order.is_empty() && self.order.iter().all(|a| self.links.get(a).is_some_and(cut_off))
+        !self.order.is_empty()
+            && self
+                .order
+                .iter()
+                .all(|a| self.links.get(a).is_some_and(cut_off))
     }
 
     /// The leading member's address; none where news are waited for at all members.
     fn leader(&self) -> Option<Addr> {
         let mut order = self.order.iter().filter(|_| self.led);
-        order.find(|a| self.links.get(a).is_some_and(Link::leads)).copied()
+        order
+            .find(|a| self.links.get(a).is_some_and(Link::leads))
+            .copied()
     }
 
     /// Whether news are waited for at one member only.
@@ -176,8 +185,16 @@
     /// At whom news are waited for now, in short.
     pub fn summary(&self) -> PullSummary {
         let answers = |l: &&Link| l.heard && !l.dead;
-        let stale = self.links.values().filter(answers).filter(|l| l.stale).count();
-        PullSummary { leader: self.leader(), stale }
+        let stale = self
+            .links
+            .values()
+            .filter(answers)
+            .filter(|l| l.stale)
+            .count();
+        PullSummary {
+            leader: self.leader(),
+            stale,
+        }
     }
 
     fn pull(&mut self, now: Duration, addr: Addr, waits: bool) -> Option<Action> {
@@ -185,7 +202,10 @@
         let link = self.links.get_mut(&addr)?;
         link.phase = Phase::Polling(now + wait + ANSWER_SLACK);
         link.asked = now;
-        Some(Action::Pull { link: link.number, wait_ms: wait.as_millis() as u32 })
+        Some(Action::Pull {
+            link: link.number,
+            wait_ms: wait.as_millis() as u32,
+        })
     }
 
     /// Takes the seeds' addresses, as the settings have them now; [`Puller::tick`] acts on it.
@@ -205,8 +225,13 @@
     }
 
     fn reorder(&mut self) {
-        let all: BTreeSet<Addr> =
-            self.seeds.iter().chain(&self.learnt).copied().filter(|a| Some(*a) != self.own).collect();
+        let all: BTreeSet<Addr> = self
+            .seeds
+            .iter()
+            .chain(&self.learnt)
+            .copied()
+            .filter(|a| Some(*a) != self.own)
+            .collect();
         self.order = ranked(&self.name, all, |a| {
             let mut bytes = a.ip.to_be_bytes().to_vec();
             bytes.extend(a.port.to_be_bytes());
@@ -216,7 +241,9 @@
 
     /// A connection came up.
     pub fn connected(&mut self, now: Duration, link: u64) -> Vec<Action> {
-        let Some((addr, known)) = self.of(link) else { return Vec::new() };
+        let Some((addr, known)) = self.of(link) else {
+            return Vec::new();
+        };
         known.heard = false;
         let waits = self.leader().is_none();
         self.pull(now, addr, waits).into_iter().collect()
@@ -224,7 +251,9 @@
 
     /// A connection failed, or ended.
     pub fn failed(&mut self, now: Duration, link: u64) -> Vec<Action> {
-        let Some((addr, _)) = self.of(link) else { return Vec::new() };
+        let Some((addr, _)) = self.of(link) else {
+            return Vec::new();
+        };
         self.fail(now, addr);
         self.tick(now)
     }
@@ -239,9 +268,14 @@
         taken: bool,
     ) -> Vec<Action> {
         let pace = self.pace;
-        let Some((addr, known)) = self.of(link) else { return Vec::new() };
-        let Phase::Polling(until) = known.phase else { return Vec::new() };
-        (known.dead, known.heard, known.backoff, known.member) = (false, true, FIRST_BACKOFF, member);
+        let Some((addr, known)) = self.of(link) else {
+            return Vec::new();
+        };
+        let Phase::Polling(until) = known.phase else {
+            return Vec::new();
+        };
+        (known.dead, known.heard, known.backoff, known.member) =
+            (false, true, FIRST_BACKOFF, member);
         known.stale = age_ms > STALE_MS;
         let early = now + ANSWER_SLACK + REST < until;
         known.phase = Phase::Resting(
@@ -266,8 +300,10 @@
     }
 
     fn of(&mut self, number: u64) -> Option<(Addr, &mut Link)> {
-        let found =
-            self.links.iter_mut().find(|(_, l)| l.number == number && !matches!(l.phase, Phase::Down(_)));
+        let found = self
+            .links
+            .iter_mut()
+            .find(|(_, l)| l.number == number && !matches!(l.phase, Phase::Down(_)));
         found.map(|(addr, link)| (*addr, link))
     }
 
@@ -282,8 +318,14 @@
     /// Does what is due.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        let late = |phase: Phase| matches!(phase, Phase::Connecting(t) | Phase::Polling(t) if now >= t);
-        let failed: Vec<Addr> = self.links.iter().filter(|(_, l)| late(l.phase)).map(|(a, _)| *a).collect();
+        let late =
+            |phase: Phase| matches!(phase, Phase::Connecting(t) | Phase::Polling(t) if now >= t);
+        let failed: Vec<Addr> = self
+            .links
+            .iter()
+            .filter(|(_, l)| late(l.phase))
+            .map(|(a, _)| *a)
+            .collect();
         for addr in failed {
             if let Some(link) = self.links.get(&addr) {
                 actions.push(Action::Close { link: link.number });
@@ -326,7 +368,10 @@
                     self.numbers += 1;
                     link.number = self.numbers;
                     link.phase = Phase::Connecting(now + CONNECT_TIMEOUT);
-                    actions.push(Action::Connect { link: link.number, addr });
+                    actions.push(Action::Connect {
+                        link: link.number,
+                        addr,
+                    });
                 }
                 Phase::Resting(at) if now >= at || takes_over(addr, at) => due.push(addr),
                 _ => {}
--- a/crates/replication/src/rendezvous.rs
+++ b/crates/replication/src/rendezvous.rs
@@ -18,7 +18,10 @@
     candidates: impl IntoIterator<Item = T>,
     bytes: impl Fn(&T) -> Vec<u8>,
 ) -> Vec<T> {
-    let mut all: Vec<(u64, T)> = candidates.into_iter().map(|c| (weight(key, &bytes(&c)), c)).collect();
+    let mut all: Vec<(u64, T)> = candidates
+        .into_iter()
+        .map(|c| (weight(key, &bytes(&c)), c))
+        .collect();
     all.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
     all.into_iter().map(|(_, c)| c).collect()
 }
--- a/crates/replication/src/serve.rs
+++ b/crates/replication/src/serve.rs
@@ -30,7 +30,8 @@
     };
     loop {
         changes.borrow_and_update();
-        let news = shared.update(|mirror, now| mirror.news_for(now, pull).map(|news| held(now, news)));
+        let news =
+            shared.update(|mirror, now| mirror.news_for(now, pull).map(|news| held(now, news)));
         if let Some(news) = news {
             return news;
         }
--- a/crates/replication/src/shared.rs
+++ b/crates/replication/src/shared.rs
@@ -41,10 +41,20 @@
     /// Shares a mirror whose times are counted from `origin`.
     pub fn since(mirror: Mirror, origin: Instant) -> Arc<Self> {
         let shown = mirror.generation();
-        let (changes, snapshots) = (watch::Sender::new(shown), watch::Sender::new(Arc::new(mirror.view())));
+        let (changes, snapshots) = (
+            watch::Sender::new(shown),
+            watch::Sender::new(Arc::new(mirror.view())),
+        );
         let state = Mutex::new(State { mirror, shown });
         let (sent, received) = Default::default();
-        Arc::new(Self { state, origin, changes, snapshots, sent, received })
+        Arc::new(Self {
+            state,
+            origin,
+            changes,
+            snapshots,
+            sent,
+            received,
+        })
     }
 
     /// The time since the origin.
@@ -92,7 +102,10 @@
     /// Bytes that the pulls for this mirror have cost since its start.
     pub fn traffic(&self) -> Traffic {
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Traffic { sent: of(&self.sent), received: of(&self.received) }
+        Traffic {
+            sent: of(&self.sent),
+            received: of(&self.received),
+        }
     }
 
     pub(crate) fn count(&self, sent: u64, received: u64) {
--- a/crates/replication/src/transitions.rs
+++ b/crates/replication/src/transitions.rs
@@ -57,7 +57,10 @@
             leader if leader == before.leader => None,
             Some(leader) => {
                 let fresh_again = before.leader.is_none();
-                Some(PullTransition::Follows { leader, fresh_again })
+                Some(PullTransition::Follows {
+                    leader,
+                    fresh_again,
+                })
             }
             None => Some(PullTransition::NobodyLeads { stale: after.stale }),
         }
@@ -73,7 +76,10 @@
 /// Writes the line of a change.
 pub fn log(transition: &PullTransition) {
     match transition {
-        PullTransition::Follows { leader, fresh_again } => {
+        PullTransition::Follows {
+            leader,
+            fresh_again,
+        } => {
             let leader = SocketAddrV4::from(leader);
             log::info!(target: TARGET, member:% = leader, fresh_again; "pulls from another member");
         }
--- a/crates/replication/tests/mirror.rs
+++ b/crates/replication/tests/mirror.rs
@@ -25,27 +25,55 @@
             "service":"s"}}"#
         )
     };
-    let routes = [route("all", version), route(&format!("v{version}"), 5), route("same", 7)].join(",");
-    let text =
-        format!(r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{}}}}"#);
+    let routes = [
+        route("all", version),
+        route(&format!("v{version}"), 5),
+        route("same", 7),
+    ]
+    .join(",");
+    let text = format!(
+        r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
+    );
     Arc::new(Document::read(text.as_bytes(), 0).unwrap())
 }
 
 fn host(id: &str, call_seq: u64) -> HostRecord {
-    let addr = Addr { ip: 1, port: id.bytes().map(u16::from).sum() };
-    HostRecord { id: id.into(), service: "s".into(), addr, capacity: 1, call_seq, ..HostRecord::default() }
+    let addr = Addr {
+        ip: 1,
+        port: id.bytes().map(u16::from).sum(),
+    };
+    HostRecord {
+        id: id.into(),
+        service: "s".into(),
+        addr,
+        capacity: 1,
+        call_seq,
+        ..HostRecord::default()
+    }
 }
 
 fn coordinator(name: &str, gone: bool) -> CoordinatorRecord {
-    CoordinatorRecord { name: name.into(), gone, ..CoordinatorRecord::default() }
+    CoordinatorRecord {
+        name: name.into(),
+        gone,
+        ..CoordinatorRecord::default()
+    }
 }
 
 fn source(id: u64, life: u64, seq: u64, whole: bool, hosts: Vec<HostRecord>) -> SourceNews {
-    SourceNews { mark: Mark { id, life, seq }, whole, hosts, coordinators: vec![] }
+    SourceNews {
+        mark: Mark { id, life, seq },
+        whole,
+        hosts,
+        coordinators: vec![],
+    }
 }
 
 fn news(sources: Vec<SourceNews>) -> News {
-    News { sources, ..News::default() }
+    News {
+        sources,
+        ..News::default()
+    }
 }
 
 fn pull(mirror: &Mirror) -> Pull {
@@ -64,15 +92,31 @@
 #[test]
 fn a_puller_gets_exactly_what_it_lacks() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    assert_eq!(follow(&mut agent, &member, ms(0)), None, "nothing is known yet");
+    assert_eq!(
+        follow(&mut agent, &member, ms(0)),
+        None,
+        "nothing is known yet"
+    );
     member.set_ledger(1, document(2), &["x".to_owned()]);
-    member.apply(ms(0), &news(vec![source(1, 1, 3, true, vec![host("a", 1), host("b", 1)])]));
+    member.apply(
+        ms(0),
+        &news(vec![source(
+            1,
+            1,
+            3,
+            true,
+            vec![host("a", 1), host("b", 1)],
+        )]),
+    );
     let first = follow(&mut agent, &member, ms(0)).unwrap();
     assert_eq!(first.config.as_ref().unwrap().from, 0, "a snapshot first");
     assert!(first.sources[0].whole);
     assert_eq!(follow(&mut agent, &member, ms(0)), None);
 
-    member.apply(ms(1), &news(vec![source(1, 1, 4, false, vec![host("b", 9)])]));
+    member.apply(
+        ms(1),
+        &news(vec![source(1, 1, 4, false, vec![host("b", 9)])]),
+    );
     let change = follow(&mut agent, &member, ms(1)).unwrap();
     assert_eq!(change.config, None);
     assert_eq!(change.sources, [source(1, 1, 4, false, vec![host("b", 9)])]);
@@ -86,7 +130,10 @@
         "the same stays"
     );
     let view = agent.view();
-    assert_eq!((view.ledger, view.document.version, view.drains.len()), (2, 5, 0));
+    assert_eq!(
+        (view.ledger, view.document.version, view.drains.len()),
+        (2, 5, 0)
+    );
     assert_eq!(view.document.routes.len(), 3);
     assert_eq!(follow(&mut agent, &member, ms(2)), None);
 }
@@ -111,16 +158,26 @@
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_ledger(1, document(2), &names(&["a", "b", "c"]));
     let config = follow(&mut agent, &member, ms(0)).unwrap().config.unwrap();
-    assert_eq!((config.drains_from, config.drains), (0, names(&["a", "b", "c"])));
+    assert_eq!(
+        (config.drains_from, config.drains),
+        (0, names(&["a", "b", "c"]))
+    );
     member.set_ledger(2, document(2), &names(&["a", "b", "c", "d"]));
     member.set_ledger(3, document(2), &names(&["b", "c", "d", "e"]));
     let config = follow(&mut agent, &member, ms(0)).unwrap().config.unwrap();
     assert_eq!(config.drains_from, 1);
-    assert_eq!((config.drains, config.gone_drains), (names(&["d", "e"]), names(&["a"])));
+    assert_eq!(
+        (config.drains, config.gone_drains),
+        (names(&["d", "e"]), names(&["a"]))
+    );
     assert_eq!(agent.view().drains, member.view().drains);
     member.set_ledger(4, document(5), &names(&["b", "c", "d", "e"]));
     let config = follow(&mut agent, &member, ms(0)).unwrap().config.unwrap();
-    assert_eq!((config.drains, config.gone_drains), (names(&[]), names(&[])), "a configuration alone");
+    assert_eq!(
+        (config.drains, config.gone_drains),
+        (names(&[]), names(&[])),
+        "a configuration alone"
+    );
     assert_eq!(agent.view().drains.len(), 4);
 }
 
@@ -134,7 +191,10 @@
     far.set_ledger(3, document(2), &names(&["c"]));
     follow(&mut near, &far, ms(0));
     let config = follow(&mut agent, &near, ms(0)).unwrap().config.unwrap();
-    assert_eq!(config.drains_from, 0, "that b came and went isn't known there");
+    assert_eq!(
+        config.drains_from, 0,
+        "that b came and went isn't known there"
+    );
     assert_eq!(agent.view().drains, far.view().drains);
 }
 
@@ -174,7 +234,10 @@
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_ledger(1, Arc::default(), &["i".to_owned()]);
     follow(&mut agent, &member, ms(0));
-    assert_eq!((agent.view().document.version, agent.view().drains.len()), (0, 1));
+    assert_eq!(
+        (agent.view().document.version, agent.view().drains.len()),
+        (0, 1)
+    );
 }
 
 #[rstest]
@@ -221,7 +284,14 @@
     bad.config.as_mut().unwrap().routes[0] = "{".into();
     assert!(!agent.apply(ms(0), &bad));
     assert_eq!(pull(&agent).version, 0);
-    assert_eq!(follow(&mut agent, &member, ms(0)).unwrap().config.unwrap().from, 0);
+    assert_eq!(
+        follow(&mut agent, &member, ms(0))
+            .unwrap()
+            .config
+            .unwrap()
+            .from,
+        0
+    );
     assert_eq!((agent.document().version, pull(&agent).version), (3, 3));
 }
 
@@ -231,7 +301,16 @@
     for n in 1..=40 {
         member.set_ledger(n, document(n), &[]);
     }
-    let config = |version| member.news_for(ms(0), &Pull { ledger: version, version, ..Pull::default() });
+    let config = |version| {
+        member.news_for(
+            ms(0),
+            &Pull {
+                ledger: version,
+                version,
+                ..Pull::default()
+            },
+        )
+    };
     assert_eq!(config(5).unwrap().config.unwrap().from, 0);
     assert_eq!(config(20).unwrap().config.unwrap().from, 20);
     assert_eq!(config(40), None);
@@ -240,41 +319,88 @@
 #[test]
 fn any_member_brings_all_sources() {
     let (mut a, mut b, mut agent) = (mirror(1), mirror(2), mirror(0));
-    a.apply(ms(0), &news(vec![source(1, 1, 1, true, vec![host("a", 1)])]));
-    b.apply(ms(0), &news(vec![source(2, 1, 1, true, vec![host("b", 1)])]));
+    a.apply(
+        ms(0),
+        &news(vec![source(1, 1, 1, true, vec![host("a", 1)])]),
+    );
+    b.apply(
+        ms(0),
+        &news(vec![source(2, 1, 1, true, vec![host("b", 1)])]),
+    );
     follow(&mut a, &b, ms(0));
     follow(&mut agent, &a, ms(0));
     assert_eq!(agent.view().hosts.keys().collect::<Vec<_>>(), ["a", "b"]);
-    assert_eq!(follow(&mut agent, &b, ms(0)), None, "it lacks nothing that b has");
+    assert_eq!(
+        follow(&mut agent, &b, ms(0)),
+        None,
+        "it lacks nothing that b has"
+    );
     assert_eq!(agent.vector(), a.vector());
 }
 
 #[test]
 fn an_older_number_or_a_change_of_an_unknown_life_is_passed_over() {
     let mut agent = mirror(0);
-    agent.apply(ms(0), &news(vec![source(1, 2, 5, true, vec![host("a", 5)])]));
+    agent.apply(
+        ms(0),
+        &news(vec![source(1, 2, 5, true, vec![host("a", 5)])]),
+    );
     assert!(!agent.apply(ms(0), &news(vec![source(1, 2, 4, true, vec![])])));
-    assert!(!agent.apply(ms(0), &news(vec![source(1, 3, 9, false, vec![host("b", 1)])])));
-    assert!(!agent.apply(ms(0), &news(vec![source(9, 1, 9, false, vec![host("b", 1)])])));
+    assert!(!agent.apply(
+        ms(0),
+        &news(vec![source(1, 3, 9, false, vec![host("b", 1)])])
+    ));
+    assert!(!agent.apply(
+        ms(0),
+        &news(vec![source(9, 1, 9, false, vec![host("b", 1)])])
+    ));
     assert_eq!(agent.view().hosts.len(), 1);
 }
 
 #[test]
 fn a_new_life_keeps_the_hosts_of_the_older_for_four_beats() {
     let mut agent = mirror(0);
-    agent.apply(ms(0), &news(vec![source(1, 1, 5, true, vec![host("a", 5), host("b", 5)])]));
+    agent.apply(
+        ms(0),
+        &news(vec![source(
+            1,
+            1,
+            5,
+            true,
+            vec![host("a", 5), host("b", 5)],
+        )]),
+    );
     agent.apply(ms(100), &news(vec![source(1, 2, 1, true, vec![])]));
     assert_eq!(agent.view().hosts.len(), 2, "they stay");
-    agent.apply(ms(900), &news(vec![source(1, 2, 2, false, vec![host("b", 6)])]));
+    agent.apply(
+        ms(900),
+        &news(vec![source(1, 2, 2, false, vec![host("b", 6)])]),
+    );
     assert_eq!(agent.next_tick(), Some(ms(4100)));
     assert!(!agent.tick(ms(4099)));
     assert!(agent.tick(ms(4100)));
-    assert_eq!(agent.view().hosts.keys().collect::<Vec<_>>(), ["b"], "who has not called again is dropped");
+    assert_eq!(
+        agent.view().hosts.keys().collect::<Vec<_>>(),
+        ["b"],
+        "who has not called again is dropped"
+    );
     // Who still has the older life doesn't bring it back.
     let mut slow = mirror(2);
-    slow.apply(ms(0), &news(vec![source(1, 1, 5, true, vec![host("a", 5), host("b", 5)])]));
+    slow.apply(
+        ms(0),
+        &news(vec![source(
+            1,
+            1,
+            5,
+            true,
+            vec![host("a", 5), host("b", 5)],
+        )]),
+    );
     assert_eq!(slow.news_for(ms(4200), &pull(&agent)), None);
-    assert!(!agent.apply(ms(4200), &news(vec![source(1, 1, 6, true, vec![host("a", 5)])])));
+    assert!(!agent.apply(
+        ms(4200),
+        &news(vec![source(1, 1, 6, true, vec![host("a", 5)])])
+    ));
     // And who has the older life is told of the newer.
     follow(&mut slow, &agent, ms(4200));
     assert_eq!(slow.view().hosts["b"].call_seq, 6);
@@ -283,7 +409,10 @@
 #[test]
 fn a_retired_source_goes_after_four_beats_and_others_hear_of_it() {
     let (mut member, mut agent) = (mirror(2), mirror(0));
-    member.apply(ms(0), &news(vec![source(1, 1, 5, true, vec![host("a", 5)])]));
+    member.apply(
+        ms(0),
+        &news(vec![source(1, 1, 5, true, vec![host("a", 5)])]),
+    );
     follow(&mut agent, &member, ms(0));
     member.retire(ms(1000), 1);
     let told = follow(&mut agent, &member, ms(1500)).unwrap();
@@ -292,11 +421,18 @@
     assert_eq!(agent.view().hosts.len(), 1);
     assert!(agent.tick(ms(5500)));
     assert_eq!(agent.view().hosts.len(), 0);
-    assert_eq!(follow(&mut agent, &member, ms(5500)), None, "it isn't brought back");
+    assert_eq!(
+        follow(&mut agent, &member, ms(5500)),
+        None,
+        "it isn't brought back"
+    );
     assert!(member.tick(ms(5500)));
     assert_eq!(follow(&mut agent, &member, ms(5600)), None);
     // The member comes back with a new life.
-    member.apply(ms(6000), &news(vec![source(1, 2, 1, true, vec![host("a", 9)])]));
+    member.apply(
+        ms(6000),
+        &news(vec![source(1, 2, 1, true, vec![host("a", 9)])]),
+    );
     follow(&mut agent, &member, ms(6000));
     assert_eq!(agent.view().hosts["a"].call_seq, 9);
 }
@@ -304,9 +440,15 @@
 #[test]
 fn a_retired_source_that_still_speaks_stays() {
     let mut member = mirror(2);
-    member.apply(ms(0), &news(vec![source(1, 1, 5, true, vec![host("a", 5)])]));
+    member.apply(
+        ms(0),
+        &news(vec![source(1, 1, 5, true, vec![host("a", 5)])]),
+    );
     member.retire(ms(0), 1);
-    member.apply(ms(100), &news(vec![source(1, 1, 6, false, vec![host("b", 1)])]));
+    member.apply(
+        ms(100),
+        &news(vec![source(1, 1, 6, false, vec![host("b", 1)])]),
+    );
     assert!(!member.tick(ms(9000)));
     assert_eq!(member.view().hosts.len(), 2);
 }
@@ -314,7 +456,11 @@
 #[test]
 fn hosts_are_merged_over_sources() {
     let mut agent = mirror(0);
-    let with = |id: &str, call_seq, phase, silent| HostRecord { phase, silent, ..host(id, call_seq) };
+    let with = |id: &str, call_seq, phase, silent| HostRecord {
+        phase,
+        silent,
+        ..host(id, call_seq)
+    };
     let first = vec![
         with("moved", 3, phase::READY, true),
         with("gone", 9, phase::READY, false),
@@ -328,10 +474,20 @@
         with("leaving", 4, phase::DRAINING, false),
         with("old", 1, phase::READY, false),
     ];
-    agent.apply(ms(0), &news(vec![source(1, 1, 1, true, first), source(2, 1, 1, true, second)]));
+    agent.apply(
+        ms(0),
+        &news(vec![
+            source(1, 1, 1, true, first),
+            source(2, 1, 1, true, second),
+        ]),
+    );
     agent.set_ledger(1, document(1), &["moved".to_owned()]);
     let hosts = agent.view().hosts;
-    assert_eq!((hosts["moved"].call_seq, hosts["moved"].silent), (8, false), "the highest call counts");
+    assert_eq!(
+        (hosts["moved"].call_seq, hosts["moved"].silent),
+        (8, false),
+        "the highest call counts"
+    );
     assert_eq!(hosts["moved"].phase, phase::DRAINING, "so the ledger says");
     assert_eq!(hosts["gone"].phase, phase::GONE, "gone wins");
     assert_eq!(hosts["leaving"].phase, phase::DRAINING);
@@ -342,33 +498,53 @@
 #[test]
 fn of_two_hosts_at_one_address_the_newest_counts() {
     let mut agent = mirror(0);
-    let at = |id: &str, call_seq| HostRecord { addr: Addr { ip: 9, port: 9 }, ..host(id, call_seq) };
+    let at = |id: &str, call_seq| HostRecord {
+        addr: Addr { ip: 9, port: 9 },
+        ..host(id, call_seq)
+    };
     agent.apply(ms(0), &news(vec![source(1, 1, 1, true, vec![at("z", 50)])]));
     agent.apply(ms(9), &news(vec![source(2, 1, 1, true, vec![at("a", 1)])]));
     let hosts = agent.view().hosts;
-    assert_eq!((hosts["z"].phase, hosts["a"].phase), (phase::GONE, phase::READY));
+    assert_eq!(
+        (hosts["z"].phase, hosts["a"].phase),
+        (phase::GONE, phase::READY)
+    );
     // Also where both come at once: who has called less often is the younger one.
     let mut late = mirror(0);
     follow(&mut late, &agent, ms(9));
     let mut at_once = mirror(0);
-    at_once.apply(ms(9), &news(vec![source(1, 1, 1, true, vec![at("a", 1), at("z", 50)])]));
+    at_once.apply(
+        ms(9),
+        &news(vec![source(1, 1, 1, true, vec![at("a", 1), at("z", 50)])]),
+    );
     assert_eq!(at_once.view().hosts["z"].phase, phase::GONE);
 }
 
 #[test]
 fn gone_records_are_forgotten_after_a_minute_and_don_t_come_back() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member
-        .apply(ms(0), &news(vec![source(1, 1, 1, true, vec![host("a", 1)]), source(2, 1, 1, true, vec![])]));
+    member.apply(
+        ms(0),
+        &news(vec![
+            source(1, 1, 1, true, vec![host("a", 1)]),
+            source(2, 1, 1, true, vec![]),
+        ]),
+    );
     follow(&mut agent, &member, ms(0));
-    let end = HostRecord { phase: phase::GONE, ..host("a", 7) };
+    let end = HostRecord {
+        phase: phase::GONE,
+        ..host("a", 7)
+    };
     member.apply(ms(500), &news(vec![source(2, 1, 2, false, vec![end])]));
     let late = pull(&agent);
     follow(&mut agent, &member, ms(500));
     assert_eq!(agent.view().hosts["a"].phase, phase::GONE);
     assert_eq!(member.next_tick(), Some(ms(60_500)));
     assert!(member.tick(ms(60_500)));
-    assert!(member.view().hosts.is_empty(), "neither source has it any more");
+    assert!(
+        member.view().hosts.is_empty(),
+        "neither source has it any more"
+    );
     assert_eq!(follow(&mut agent, &member, ms(60_500)), None);
     // Who lacks the change that is forgotten is told all.
     assert!(member.news_for(ms(60_500), &late).unwrap().sources[0].whole);
@@ -377,9 +553,21 @@
 #[test]
 fn what_a_whole_leaves_out_is_gone_for_those_behind_too() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.apply(ms(0), &news(vec![source(2, 1, 1, true, vec![host("a", 1), host("b", 1)])]));
+    member.apply(
+        ms(0),
+        &news(vec![source(
+            2,
+            1,
+            1,
+            true,
+            vec![host("a", 1), host("b", 1)],
+        )]),
+    );
     follow(&mut agent, &member, ms(0));
-    member.apply(ms(0), &news(vec![source(2, 1, 9, true, vec![host("b", 1)])]));
+    member.apply(
+        ms(0),
+        &news(vec![source(2, 1, 9, true, vec![host("b", 1)])]),
+    );
     follow(&mut agent, &member, ms(0));
     assert_eq!(agent.view().hosts.keys().collect::<Vec<_>>(), ["b"]);
 }
@@ -388,14 +576,23 @@
 fn coordinators_are_counted_once_over_all_sources() {
     let mut agent = mirror(0);
     let with = |id, names: &[(&str, bool)]| SourceNews {
-        coordinators: names.iter().map(|(n, gone)| coordinator(n, *gone)).collect(),
+        coordinators: names
+            .iter()
+            .map(|(n, gone)| coordinator(n, *gone))
+            .collect(),
         ..source(id, 1, 1, true, vec![])
     };
     agent.apply(
         ms(0),
-        &news(vec![with(1, &[("a", false), ("b", true)]), with(2, &[("a", true), ("c", false)])]),
+        &news(vec![
+            with(1, &[("a", false), ("b", true)]),
+            with(2, &[("a", true), ("c", false)]),
+        ]),
+    );
+    assert_eq!(
+        agent.view().coordinators.iter().collect::<Vec<_>>(),
+        ["a", "c"]
     );
-    assert_eq!(agent.view().coordinators.iter().collect::<Vec<_>>(), ["a", "c"]);
     agent.retire(ms(0), 2);
     assert_eq!(agent.view().coordinators.iter().collect::<Vec<_>>(), ["a"]);
 }
@@ -407,8 +604,18 @@
     member.proved(ms(1000));
     agent.apply(ms(1200), &member.no_news(ms(1200)));
     assert_eq!(agent.age_ms(ms(1300)), 300);
-    agent.apply(ms(1300), &News { age_ms: 900, ..News::default() });
-    assert_eq!(agent.age_ms(ms(1300)), 300, "an older proof takes nothing away");
+    agent.apply(
+        ms(1300),
+        &News {
+            age_ms: 900,
+            ..News::default()
+        },
+    );
+    assert_eq!(
+        agent.age_ms(ms(1300)),
+        300,
+        "an older proof takes nothing away"
+    );
 }
 
 #[test]
@@ -417,14 +624,26 @@
     member.proved(ms(1000));
     member.set_ledger(1, document(1), &[]);
     member.set_ledger(2, document(2), &[]);
-    let news = member.news_for(ms(1000), &Pull { ledger: 1, version: 1, ..Pull::default() }).unwrap();
+    let news = member
+        .news_for(
+            ms(1000),
+            &Pull {
+                ledger: 1,
+                version: 1,
+                ..Pull::default()
+            },
+        )
+        .unwrap();
     agent.apply(ms(1000), &news);
     assert_eq!(agent.age_ms(ms(1000)), u32::MAX);
 }
 
 #[test]
 fn the_fleet_only_rises_and_only_the_primary_changes_it_within_an_epoch() {
-    let seat = |id| MemberInfo { id, ..MemberInfo::default() };
+    let seat = |id| MemberInfo {
+        id,
+        ..MemberInfo::default()
+    };
     let (mut primary, mut other, mut agent) = (mirror(1), mirror(2), mirror(0));
     assert!(primary.set_fleet(3, 1, vec![seat(1)]));
     assert!(!primary.set_fleet(3, 1, vec![seat(1)]), "no change");
@@ -437,7 +656,11 @@
     assert_eq!(agent.fleet().members.len(), 2);
     assert!(other.set_fleet(4, 2, vec![seat(2)]));
     follow(&mut agent, &other, ms(0));
-    assert_eq!(follow(&mut agent, &primary, ms(0)), None, "the lower epoch is no news");
+    assert_eq!(
+        follow(&mut agent, &primary, ms(0)),
+        None,
+        "the lower epoch is no news"
+    );
     assert_eq!((agent.fleet().epoch, agent.fleet().primary), (4, 2));
 }
 
@@ -460,10 +683,16 @@
     assert_eq!(agent.coordinators(), 0);
     for id in 1..=5 {
         let mut told = source(id, 1, 1, true, vec![]);
-        told.coordinators = (0..6).map(|n| coordinator(&format!("edge-{id}-{n}"), false)).collect();
+        told.coordinators = (0..6)
+            .map(|n| coordinator(&format!("edge-{id}-{n}"), false))
+            .collect();
         agent.apply(ms(0), &news(vec![told]));
     }
-    assert_eq!(agent.coordinators(), 10, "five members, three of which each pulls from");
+    assert_eq!(
+        agent.coordinators(),
+        10,
+        "five members, three of which each pulls from"
+    );
 }
 
 /// A configuration of about a megabyte; what differs between two versions is one route, or all of them.
@@ -476,8 +705,10 @@
         )
     };
     let routes: Vec<String> = (0..1000).map(route).collect();
-    let text =
-        format!(r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#, routes.join(","));
+    let text = format!(
+        r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#,
+        routes.join(",")
+    );
     Arc::new(Document::read(text.as_bytes(), 0).unwrap())
 }
 
@@ -490,7 +721,11 @@
     let mut member = mirror(1);
     let mut versions = vec![];
     for version in 1..=20 {
-        let document = Arc::new((*large(version, all_differ)).clone().sharing(member.document()));
+        let document = Arc::new(
+            (*large(version, all_differ))
+                .clone()
+                .sharing(member.document()),
+        );
         versions.push(document.clone());
         member.set_ledger(version, document, &[]);
     }
--- a/crates/replication/tests/puller.rs
+++ b/crates/replication/tests/puller.rs
@@ -27,14 +27,23 @@
     fn new(watched: usize, seeds: &[u32]) -> Self {
         let mut puller = Puller::new("edge-1", watched, Some(addr(99)));
         puller.set_seeds(&seeds.iter().map(|n| addr(*n)).collect::<Vec<_>>());
-        Self { puller, open: BTreeMap::new(), pulls: vec![], connects: vec![], waits: BTreeMap::new() }
+        Self {
+            puller,
+            open: BTreeMap::new(),
+            pulls: vec![],
+            connects: vec![],
+            waits: BTreeMap::new(),
+        }
     }
 
     fn act(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Connect { link, addr } => {
-                    assert!(self.open.insert(link, addr).is_none(), "a number is used once");
+                    assert!(
+                        self.open.insert(link, addr).is_none(),
+                        "a number is used once"
+                    );
                     self.connects.push(addr);
                 }
                 Action::Pull { link, wait_ms } => {
@@ -61,7 +70,10 @@
     }
 
     fn find(&self, n: u32) -> Option<u64> {
-        self.open.iter().find(|(_, a)| **a == addr(n)).map(|(l, _)| *l)
+        self.open
+            .iter()
+            .find(|(_, a)| **a == addr(n))
+            .map(|(l, _)| *l)
     }
 
     fn connected(&mut self, now: u64, n: u32) {
@@ -107,7 +119,11 @@
 fn it_pulls_from_three_or_all(#[case] seeds: &[u32], #[case] links: usize) {
     let mut bench = Bench::new(WATCHED, seeds);
     bench.up();
-    assert_eq!((bench.open.len(), bench.pulls.len()), (links, links), "one pull outstanding at each");
+    assert_eq!(
+        (bench.open.len(), bench.pulls.len()),
+        (links, links),
+        "one pull outstanding at each"
+    );
 }
 
 #[test]
@@ -122,10 +138,15 @@
         picked.collect::<BTreeSet<u32>>()
     };
     assert_eq!(pick("a", 1..10), pick("a", 1..10));
-    let used: BTreeSet<u32> = (0..40).flat_map(|n| pick(&format!("edge-{n}"), 1..10)).collect();
+    let used: BTreeSet<u32> = (0..40)
+        .flat_map(|n| pick(&format!("edge-{n}"), 1..10))
+        .collect();
     assert_eq!(used.len(), 9, "all members are used by some");
     let (before, after) = (pick("a", 1..10), pick("a", 1..11));
-    assert!(before.intersection(&after).count() >= 2, "one more member moves one at most");
+    assert!(
+        before.intersection(&after).count() >= 2,
+        "one more member moves one at most"
+    );
 }
 
 #[test]
@@ -144,7 +165,11 @@
     bench.answered(1010, 1, 0, true);
     assert_eq!(bench.pulls.len(), 1, "news");
     bench.answered(1020, 1, 0, false);
-    assert_eq!(bench.pulls.len(), 0, "an early answer that tells nothing new");
+    assert_eq!(
+        bench.pulls.len(),
+        0,
+        "an early answer that tells nothing new"
+    );
     assert_eq!(bench.puller.next_tick(), Some(ms(1070)));
     bench.tick(1070);
     assert_eq!(bench.pulls.len(), 1);
@@ -163,7 +188,11 @@
     bench.tick(1700);
     assert_eq!(bench.find(silent), None);
     assert_eq!(bench.open.len(), 3, "the next in order");
-    let next = *bench.to().difference(&first.iter().copied().collect()).next().unwrap();
+    let next = *bench
+        .to()
+        .difference(&first.iter().copied().collect())
+        .next()
+        .unwrap();
     bench.connected(1701, next);
     // It is tried again; when it answers, it is back in its place and the other is let go.
     bench.tick(1800);
@@ -202,7 +231,11 @@
     bench.connected(now, 1);
     bench.answered(now, 1, 0, true);
     bench.failed(now, 1);
-    assert_eq!(bench.puller.next_tick(), Some(ms(now + 100)), "an answer makes up for it");
+    assert_eq!(
+        bench.puller.next_tick(),
+        Some(ms(now + 100)),
+        "an answer makes up for it"
+    );
 }
 
 #[test]
@@ -220,7 +253,9 @@
 fn it_goes_on_with_learnt_members_when_all_seeds_are_dead() {
     let mut bench = Bench::new(WATCHED, &[1, 2]);
     bench.up();
-    bench.puller.set_members([addr(1), addr(2), addr(3), addr(4), addr(99)]);
+    bench
+        .puller
+        .set_members([addr(1), addr(2), addr(3), addr(4), addr(99)]);
     bench.tick(10);
     for n in [1, 2] {
         bench.failed(20, n);
@@ -239,7 +274,11 @@
     bench.puller.set_seeds(&[addr(2), addr(7)]);
     bench.tick(10);
     assert_eq!(bench.to(), [2, 7].into());
-    assert_eq!(bench.connects.iter().filter(|a| **a == addr(2)).count(), 1, "the link to 2 stays");
+    assert_eq!(
+        bench.connects.iter().filter(|a| **a == addr(2)).count(),
+        1,
+        "the link to 2 stays"
+    );
 }
 
 #[test]
@@ -247,7 +286,13 @@
     let mut puller = Puller::new("edge-1", 1, None).fixed();
     puller.set_seeds(&[addr(5)]);
     puller.set_members([addr(1), addr(2)]);
-    assert_eq!(puller.tick(ms(0)), [Action::Connect { link: 1, addr: addr(5) }]);
+    assert_eq!(
+        puller.tick(ms(0)),
+        [Action::Connect {
+            link: 1,
+            addr: addr(5)
+        }]
+    );
 }
 
 #[test]
@@ -269,7 +314,10 @@
     bench.puller.set_seeds(&[addr(1), addr(2), addr(3)]);
     let mut order: Vec<u32> = bench.up();
     let waits: Vec<u32> = bench.waits.values().copied().collect();
-    assert_eq!(waits, [WAIT_MS; 3], "until one leads, news are waited for at all");
+    assert_eq!(
+        waits, [WAIT_MS; 3],
+        "until one leads, news are waited for at all"
+    );
     // Whoever answered before the first in the order may have led until then.
     for _ in 0..2 {
         for n in order.clone() {
@@ -279,7 +327,10 @@
         }
     }
     assert_eq!(bench.pulls.len(), 1);
-    let leading = *order.iter().find(|n| bench.pulls.contains(&bench.link(**n))).unwrap();
+    let leading = *order
+        .iter()
+        .find(|n| bench.pulls.contains(&bench.link(**n)))
+        .unwrap();
     order.sort_by_key(|n| *n != leading);
     (bench, order)
 }
@@ -295,9 +346,17 @@
     bench.tick(look);
     assert_eq!(bench.pulls.len(), 3);
     let waits: Vec<u32> = order.iter().map(|n| bench.waits[&bench.link(*n)]).collect();
-    assert_eq!(waits, [WAIT_MS, 0, 0], "the others are asked what the leading one hasn't told");
+    assert_eq!(
+        waits,
+        [WAIT_MS, 0, 0],
+        "the others are asked what the leading one hasn't told"
+    );
     bench.answered(look + 1, order[1], 0, true);
-    assert_eq!(bench.pulls.len(), 2, "news from one that doesn't lead change nothing");
+    assert_eq!(
+        bench.pulls.len(),
+        2,
+        "news from one that doesn't lead change nothing"
+    );
 }
 
 #[rstest]
@@ -340,7 +399,10 @@
     }
     bench.tick(1710);
     assert_eq!(bench.find(order[0]), None, "given up");
-    assert!(bench.pulls.iter().any(|l| bench.waits[l] == WAIT_MS), "another leads");
+    assert!(
+        bench.pulls.iter().any(|l| bench.waits[l] == WAIT_MS),
+        "another leads"
+    );
 }
 
 #[rstest]
@@ -358,7 +420,11 @@
     bench.tick(10 + pause);
     assert_eq!(bench.pulls.len(), 1);
     bench.answered(10 + pause + 1000, 1, 0, false);
-    assert_eq!(bench.pulls.len(), 1, "after a wait that is over it asks at once");
+    assert_eq!(
+        bench.pulls.len(),
+        1,
+        "after a wait that is over it asks at once"
+    );
 }
 
 #[test]
@@ -384,7 +450,11 @@
     let link = bench.link(1);
     assert_eq!(bench.puller.asked(link), Some(ms(0)));
     bench.puller.part(ms(900), link);
-    assert_eq!(bench.puller.asked(link), Some(ms(0)), "whatever comes meanwhile");
+    assert_eq!(
+        bench.puller.asked(link),
+        Some(ms(0)),
+        "whatever comes meanwhile"
+    );
     bench.answered(1000, 1, 0, false);
     assert_eq!(bench.puller.asked(link), Some(ms(1000)));
     bench.tick(2700);
@@ -404,7 +474,10 @@
     bench.tick(7);
     assert!(!bench.puller.none_fresh(), "one more was heard of");
     bench.failed(8, 3);
-    assert!(!bench.puller.none_fresh(), "one that is down may come back and know better");
+    assert!(
+        !bench.puller.none_fresh(),
+        "one that is down may come back and know better"
+    );
     bench.answered(9, 1, 10, true);
     assert!(!bench.puller.none_fresh());
 }
--- a/crates/replication/tests/serve.rs
+++ b/crates/replication/tests/serve.rs
@@ -11,14 +11,38 @@
 const BEAT: Duration = Duration::from_millis(1000);
 
 fn pull(name: &str, wait_ms: u32) -> Pull {
-    Pull { caller: Caller { name: name.into(), ..Caller::default() }, wait_ms, ..Pull::default() }
+    Pull {
+        caller: Caller {
+            name: name.into(),
+            ..Caller::default()
+        },
+        wait_ms,
+        ..Pull::default()
+    }
 }
 
 fn one_host() -> News {
-    let host = HostRecord { id: "i".into(), addr: Addr { ip: 1, port: 1 }, ..HostRecord::default() };
-    let mark = Mark { id: 7, life: 1, seq: 1 };
-    let source = SourceNews { mark, whole: true, hosts: vec![host], coordinators: vec![] };
-    News { age_ms: 5, sources: vec![source], ..News::default() }
+    let host = HostRecord {
+        id: "i".into(),
+        addr: Addr { ip: 1, port: 1 },
+        ..HostRecord::default()
+    };
+    let mark = Mark {
+        id: 7,
+        life: 1,
+        seq: 1,
+    };
+    let source = SourceNews {
+        mark,
+        whole: true,
+        hosts: vec![host],
+        coordinators: vec![],
+    };
+    News {
+        age_ms: 5,
+        sources: vec![source],
+        ..News::default()
+    }
 }
 
 #[tokio::test(start_paused = true)]
@@ -28,7 +52,9 @@
     let callers: Arc<Mutex<Vec<String>>> = Arc::default();
     let heard = callers.clone();
     // What was read of the connection before is part of it.
-    let hello = encode(&Message::Hello { seat: MemberInfo::default() });
+    let hello = encode(&Message::Hello {
+        seat: MemberInfo::default(),
+    });
     let served = tokio::spawn(serve(far, hello, shared.clone(), move |caller| {
         heard.lock().unwrap().push(caller.name.clone());
     }));
@@ -36,13 +62,23 @@
     let mut frames = FrameReader::new(read, Vec::new());
 
     let asked = Instant::now();
-    write.write_all(&encode(&pull("a", 1000).into_message())).await.unwrap();
+    write
+        .write_all(&encode(&pull("a", 1000).into_message()))
+        .await
+        .unwrap();
     let empty = News::from_message(frames.next().await.unwrap().unwrap()).unwrap();
     assert!(empty.is_empty());
-    assert_eq!((empty.member, empty.age_ms, asked.elapsed()), (7, u32::MAX, BEAT), "after the wait");
+    assert_eq!(
+        (empty.member, empty.age_ms, asked.elapsed()),
+        (7, u32::MAX, BEAT),
+        "after the wait"
+    );
 
     let asked = Instant::now();
-    write.write_all(&encode(&pull("b", 1000).into_message())).await.unwrap();
+    write
+        .write_all(&encode(&pull("b", 1000).into_message()))
+        .await
+        .unwrap();
     tokio::time::advance(Duration::from_millis(300)).await;
     shared.update(|m, now| m.apply(now, &one_host()));
     let news = News::from_message(frames.next().await.unwrap().unwrap()).unwrap();
@@ -71,8 +107,13 @@
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
     shared.update(|m, now| m.apply(now, &one_host()));
     let served = tokio::spawn(serve(far, Vec::new(), shared, |_| ()));
-    near.write_all(&encode(&pull("a", 0).into_message())).await.unwrap();
-    assert_eq!(served.await.unwrap().unwrap_err().kind(), ErrorKind::TimedOut);
+    near.write_all(&encode(&pull("a", 0).into_message()))
+        .await
+        .unwrap();
+    assert_eq!(
+        served.await.unwrap().unwrap_err().kind(),
+        ErrorKind::TimedOut
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/replication/tests/stale.rs
+++ b/crates/replication/tests/stale.rs
@@ -36,13 +36,21 @@
 /// One pull and its answer, which takes no time.
 fn follow(to: &mut Mirror, from: &Mirror, now: Duration) {
     let pull = to.pull(&Caller::default(), 0);
-    to.apply(now, &from.news_for(now, &pull).unwrap_or_else(|| from.no_news(now)));
+    to.apply(
+        now,
+        &from
+            .news_for(now, &pull)
+            .unwrap_or_else(|| from.no_news(now)),
+    );
 }
 
 /// What a proxy behind it is told.
 fn handed_on(mirror: &Mirror, now: Duration) -> Option<u64> {
     let pull = Mirror::new(0, BEAT).pull(&Caller::default(), 0);
-    mirror.news_for(now, &pull).and_then(|news| news.config).map(|config| config.to)
+    mirror
+        .news_for(now, &pull)
+        .and_then(|news| news.config)
+        .map(|config| config.to)
 }
 
 #[rstest]
@@ -59,7 +67,11 @@
     #[case] told: u32,
     #[case] age_ms: u32,
 ) {
-    let news = News { age_ms: told, held_ms, ..News::default() };
+    let news = News {
+        age_ms: told,
+        held_ms,
+        ..News::default()
+    };
     assert_eq!(news.aged(ms(asked), ms(now)).age_ms, age_ms);
 }
 
@@ -71,7 +83,11 @@
     let (cut_off, well) = (member(1, 1, proved), member(2, 3, Some(now)));
     let mut agent = starting();
     follow(&mut agent, &cut_off, now);
-    assert_eq!((agent.view().document.version, agent.view().drains.len()), (0, 0), "the old one isn't shown");
+    assert_eq!(
+        (agent.view().document.version, agent.view().drains.len()),
+        (0, 0),
+        "the old one isn't shown"
+    );
     assert_eq!(handed_on(&agent, now), None, "nor handed on");
     follow(&mut agent, &well, now + FRESH_WAIT / 2);
     assert_eq!(agent.view().document.version, 30);
@@ -87,7 +103,10 @@
     let mut agent = starting();
     follow(&mut agent, &restarted, now);
     let pull = agent.pull(&Caller::default(), 0);
-    assert!(well.news_for(now, &pull).is_none(), "what is withheld isn't sent a second time");
+    assert!(
+        well.news_for(now, &pull).is_none(),
+        "what is withheld isn't sent a second time"
+    );
     follow(&mut agent, &well, now + ms(1));
     assert_eq!(agent.view().document.version, 30);
 }
@@ -103,7 +122,11 @@
     // Another that is cut off doesn't prolong it.
     follow(&mut agent, &member(2, 2, None), now + FRESH_WAIT - ms(1));
     assert!(agent.tick(now + FRESH_WAIT), "waiters hear of it");
-    assert_eq!(agent.view().document.version, 20, "the newest that was heard of");
+    assert_eq!(
+        agent.view().document.version,
+        20,
+        "the newest that was heard of"
+    );
     assert_eq!(handed_on(&agent, now), Some(20));
     assert_eq!(agent.next_tick(), None);
     // From then on it goes forward by whoever knows more.
@@ -126,7 +149,11 @@
 fn a_fresh_one_is_shown_at_once() {
     let now = ms(9000);
     let mut agent = starting();
-    follow(&mut agent, &member(1, 1, Some(now - ms(STALE_MS.into()))), now);
+    follow(
+        &mut agent,
+        &member(1, 1, Some(now - ms(STALE_MS.into()))),
+        now,
+    );
     assert_eq!(agent.view().document.version, 10);
 }
 
@@ -140,7 +167,10 @@
 #[test]
 fn hosts_and_members_aren_t_withheld() {
     let (mut cut_off, mut agent) = (member(1, 1, None), starting());
-    let seat = MemberInfo { id: 1, ..MemberInfo::default() };
+    let seat = MemberInfo {
+        id: 1,
+        ..MemberInfo::default()
+    };
     cut_off.set_fleet(1, 1, vec![seat]);
     follow(&mut agent, &cut_off, ms(0));
     assert_eq!(agent.fleet().members.len(), 1, "whom else to ask");
@@ -150,9 +180,21 @@
 #[test]
 fn a_proof_older_than_the_process_keeps_its_age() {
     let mut started = Mirror::new(0, BEAT);
-    started.apply(ms(100), &News { age_ms: 20_000, ..News::default() });
+    started.apply(
+        ms(100),
+        &News {
+            age_ms: 20_000,
+            ..News::default()
+        },
+    );
     assert_eq!(started.age_ms(ms(100)), 20_000);
     assert_eq!(started.age_ms(ms(350)), 20_250);
-    started.apply(ms(400), &News { age_ms: 30, ..News::default() });
+    started.apply(
+        ms(400),
+        &News {
+            age_ms: 30,
+            ..News::default()
+        },
+    );
     assert_eq!(started.age_ms(ms(400)), 30);
 }
--- a/crates/replication/tests/transitions.rs
+++ b/crates/replication/tests/transitions.rs
@@ -26,7 +26,14 @@
         let mut puller = Puller::new("edge-1", WATCHED, None).led();
         puller.set_seeds(&[addr(1), addr(2), addr(3)]);
         let (recorder, links, ages) = Default::default();
-        Self { puller, recorder, links, ages, now: Duration::ZERO, told: Vec::new() }
+        Self {
+            puller,
+            recorder,
+            links,
+            ages,
+            now: Duration::ZERO,
+            told: Vec::new(),
+        }
     }
 
     fn act(&mut self, actions: Vec<Action>) {
@@ -50,9 +57,12 @@
     }
 
     fn answer(&mut self, link: u64) -> Vec<Action> {
-        let Some(addr) = self.links.get(&link).copied() else { return Vec::new() };
+        let Some(addr) = self.links.get(&link).copied() else {
+            return Vec::new();
+        };
         let age = self.ages.get(&addr.ip).copied().unwrap_or(0);
-        self.puller.answered(self.now, link, addr.ip.into(), age, false)
+        self.puller
+            .answered(self.now, link, addr.ip.into(), age, false)
     }
 
     /// All members answer once, whether or not their answer might wait longer.
@@ -75,7 +85,16 @@
         panic!("{:?}", agent.told);
     };
     let first = agent.told.first().unwrap();
-    assert!(matches!(first, PullTransition::Follows { fresh_again: true, .. }), "{first:?}");
+    assert!(
+        matches!(
+            first,
+            PullTransition::Follows {
+                fresh_again: true,
+                ..
+            }
+        ),
+        "{first:?}"
+    );
     agent.told.clear();
     (0..20).for_each(|_| agent.round());
     assert_eq!(agent.told, [], "nothing while all is well");
@@ -94,21 +113,42 @@
     agent.told.clear();
     agent.ages.extend((1..=3).map(|n| (n, STALE_MS + 1)));
     (0..20).for_each(|_| agent.round());
-    assert_eq!(agent.told.last(), Some(&PullTransition::NobodyLeads { stale: 3 }));
+    assert_eq!(
+        agent.told.last(),
+        Some(&PullTransition::NobodyLeads { stale: 3 })
+    );
     let lost = |t: &&PullTransition| matches!(t, PullTransition::NobodyLeads { .. });
-    assert_eq!(agent.told.iter().filter(lost).count(), 1, "{:?}", agent.told);
+    assert_eq!(
+        agent.told.iter().filter(lost).count(),
+        1,
+        "{:?}",
+        agent.told
+    );
 
     agent.told.clear();
     agent.ages.clear();
     (0..20).for_each(|_| agent.round());
-    assert!(matches!(agent.told[0], PullTransition::Follows { fresh_again: true, .. }), "{:?}", agent.told);
+    assert!(
+        matches!(
+            agent.told[0],
+            PullTransition::Follows {
+                fresh_again: true,
+                ..
+            }
+        ),
+        "{:?}",
+        agent.told
+    );
 }
 
 #[test]
 fn a_version_is_told_once() {
     let mut recorder = PullRecorder::default();
     assert_eq!(recorder.configuration(0, 0), None, "none has come yet");
-    let taken = PullTransition::Configuration { version: 7, ledger: 2 };
+    let taken = PullTransition::Configuration {
+        version: 7,
+        ledger: 2,
+    };
     assert_eq!(recorder.configuration(7, 2), Some(taken));
     assert_eq!(recorder.configuration(7, 3), None, "a drain alone");
 }
--- a/crates/scale-test/src/coordinators.rs
+++ b/crates/scale-test/src/coordinators.rs
@@ -41,7 +41,10 @@
 }
 
 fn start(number: usize, log: &Log, boot: &Boot, puller: Puller) -> Running {
-    let shared = SharedMirror::new(Mirror::new(0, std::time::Duration::from_millis(boot.beat_period_ms)));
+    let shared = SharedMirror::new(Mirror::new(
+        0,
+        std::time::Duration::from_millis(boot.beat_period_ms),
+    ));
     let (control, told) = unbounded_channel();
     let (mut changes, seen) = (shared.changes(), shared.clone());
     {
@@ -66,8 +69,17 @@
             }
         }
     };
-    let pulling = client::run(puller, replication::no_seat(boot), replication::caller(boot, 0), shared, told);
-    Running { tasks: [tokio::spawn(pulling), tokio::spawn(watching)], _control: control }
+    let pulling = client::run(
+        puller,
+        replication::no_seat(boot),
+        replication::caller(boot, 0),
+        shared,
+        told,
+    );
+    Running {
+        tasks: [tokio::spawn(pulling), tokio::spawn(watching)],
+        _control: control,
+    }
 }
 
 /// Plays coordinators until the orders end. Those with numbers from `plan.coordinators` on are proxies behind
@@ -84,7 +96,9 @@
                         Some(agent) => plan.agent_settings(agent),
                         None => plan.coordinator_settings(number),
                     };
-                    let Ok(boot) = Boot::read(&settings.to_string()) else { continue };
+                    let Ok(boot) = Boot::read(&settings.to_string()) else {
+                        continue;
+                    };
                     let puller = match behind {
                         Some(_) => {
                             let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
@@ -92,7 +106,8 @@
                             puller
                         }
                         None if plan.thrice => {
-                            let mut puller = Puller::new(&boot.node_name, replication::WATCHED, None);
+                            let mut puller =
+                                Puller::new(&boot.node_name, replication::WATCHED, None);
                             puller.set_seeds(&replication::seed_addrs(&boot));
                             puller
                         }
--- a/crates/scale-test/src/gauge.rs
+++ b/crates/scale-test/src/gauge.rs
@@ -27,24 +27,41 @@
 }
 
 fn kb(status: &str, key: &str) -> u64 {
-    let line = status.lines().find_map(|l| l.strip_prefix(key)).unwrap_or_default();
-    line.trim().split(' ').next().and_then(|n| n.parse().ok()).unwrap_or_default()
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix(key))
+        .unwrap_or_default();
+    line.trim()
+        .split(' ')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or_default()
 }
 
 /// What a process has used; nothing where it is gone.
 pub fn process(pid: u32) -> Option<Load> {
     let cpu = ticks(&read_to_string(format!("/proc/{pid}/stat")).ok()?)?;
     let status = read_to_string(format!("/proc/{pid}/status")).ok()?;
-    Some(Load { cpu, rss_kb: kb(&status, "VmRSS:"), peak_kb: kb(&status, "VmHWM:") })
+    Some(Load {
+        cpu,
+        rss_kb: kb(&status, "VmRSS:"),
+        peak_kb: kb(&status, "VmHWM:"),
+    })
 }
 
 /// Processor time of this process's threads, by their names.
 pub fn threads() -> BTreeMap<String, Duration> {
     let mut all = BTreeMap::new();
-    let Ok(tasks) = std::fs::read_dir("/proc/self/task") else { return all };
+    let Ok(tasks) = std::fs::read_dir("/proc/self/task") else {
+        return all;
+    };
     for task in tasks.flatten() {
         let name = read_to_string(task.path().join("comm")).unwrap_or_default();
-        if let Some(cpu) = read_to_string(task.path().join("stat")).ok().as_deref().and_then(ticks) {
+        if let Some(cpu) = read_to_string(task.path().join("stat"))
+            .ok()
+            .as_deref()
+            .and_then(ticks)
+        {
             *all.entry(name.trim().to_owned()).or_default() += cpu;
         }
     }
--- a/crates/scale-test/src/hollow.rs
+++ b/crates/scale-test/src/hollow.rs
@@ -30,7 +30,10 @@
         if let Some(disk) = settings["state_dir"].as_str() {
             std::fs::create_dir_all(disk)?;
         }
-        let log = File::options().create(true).append(true).open(dir.join(format!("{name}.log")))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(dir.join(format!("{name}.log")))?;
         let child = Command::new(program)
             .arg(role)
             .arg("--settings")
--- a/crates/scale-test/src/hosts.rs
+++ b/crates/scale-test/src/hosts.rs
@@ -60,7 +60,11 @@
     tally: Arc<Mutex<HostCounters>>,
     mut orders: UnboundedReceiver<Order>,
 ) {
-    let stage = RequestStage { plan, controls, tally };
+    let stage = RequestStage {
+        plan,
+        controls,
+        tally,
+    };
     let mut running: Vec<Option<(JoinHandle<()>, UnboundedSender<()>)>> = Vec::new();
     running.resize_with(stage.plan.hosts, || None);
     let mut incarnation = 0;
@@ -126,7 +130,13 @@
     }
 
     fn tally(&self, note: impl FnOnce(&mut HostCounters)) {
-        note(&mut self.stage.tally.lock().unwrap_or_else(PoisonError::into_inner));
+        note(
+            &mut self
+                .stage
+                .tally
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        );
     }
 
     fn id(&self) -> String {
@@ -134,8 +144,13 @@
     }
 
     fn to(&self) -> SocketAddrV4 {
-        let controls = self.stage.controls.lock().unwrap_or_else(PoisonError::into_inner);
-        self.target.unwrap_or_else(|| controls[self.next % controls.len()])
+        let controls = self
+            .stage
+            .controls
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        self.target
+            .unwrap_or_else(|| controls[self.next % controls.len()])
     }
 
     /// One heartbeat; whether it was acknowledged.
@@ -155,7 +170,10 @@
             Ok(Ok(answer)) if answer.status / 100 == 2 => {
                 self.tally(|t| t.beats.push(at.elapsed().as_secs_f64() * 1e3));
                 let told: Option<Value> = serde_json::from_slice(&answer.body).ok();
-                let told = told.as_ref().and_then(|b| b["beat_target"].as_str()).and_then(|t| t.parse().ok());
+                let told = told
+                    .as_ref()
+                    .and_then(|b| b["beat_target"].as_str())
+                    .and_then(|t| t.parse().ok());
                 self.target = told.or(Some(to));
                 true
             }
--- a/crates/scale-test/src/http.rs
+++ b/crates/scale-test/src/http.rs
@@ -36,7 +36,11 @@
                 stream
             }
         };
-        let method = if body.is_empty() && !path.contains("Depart") { "GET" } else { "POST" };
+        let method = if body.is_empty() && !path.contains("Depart") {
+            "GET"
+        } else {
+            "POST"
+        };
         let mut request = format!(
             "{method} {path} HTTP/1.1\r\nHost: {to}\r\nContent-Type: application/json\r\n{headers}Content-Length: {}\r\n\r\n",
             body.len()
@@ -54,8 +58,15 @@
                 };
                 let status = text.split(' ').nth(1).and_then(|s| s.parse().ok());
                 let status = status.ok_or(io::ErrorKind::InvalidData)?;
-                let length: usize = field("content-length:").and_then(|l| l.parse().ok()).unwrap_or(0);
-                break (head + 4, status, length, field("connection:").is_some_and(|c| c == "close"));
+                let length: usize = field("content-length:")
+                    .and_then(|l| l.parse().ok())
+                    .unwrap_or(0);
+                break (
+                    head + 4,
+                    status,
+                    length,
+                    field("connection:").is_some_and(|c| c == "close"),
+                );
             }
             if stream.read_buf(&mut self.buffer).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -53,7 +53,11 @@
     T: std::str::FromStr + std::fmt::Display + Clone + 'static,
     T::Err: std::fmt::Display,
 {
-    long(name).help(help).argument::<T>("N").fallback(usual).display_fallback()
+    long(name)
+        .help(help)
+        .argument::<T>("N")
+        .fallback(usual)
+        .display_fallback()
 }
 
 fn options() -> OptionParser<Verb> {
@@ -69,9 +73,16 @@
     let ramp_s = number("ramp", "seconds in which coordinators and hosts start", 1.0);
     let phase_s = number("phase", "seconds that each phase lasts", 20.0);
     let freeze_s = number("freeze", "seconds that most of the core stands still", 6.0);
-    let thrice = long("thrice").help("coordinators wait for news at all members that they watch").switch();
-    let dir = long("dir").help("folder for the processes' disks, settings and logs").argument("DIR");
-    let csv = long("csv").help("file for the figures").argument("FILE").optional();
+    let thrice = long("thrice")
+        .help("coordinators wait for news at all members that they watch")
+        .switch();
+    let dir = long("dir")
+        .help("folder for the processes' disks, settings and logs")
+        .argument("DIR");
+    let csv = long("csv")
+        .help("file for the figures")
+        .argument("FILE")
+        .optional();
     let scale = construct!(Scale {
         members,
         agents,
@@ -95,7 +106,9 @@
     .command("scale")
     .help("play the scale run");
     let role = |name: &'static str, help: &'static str| {
-        let settings = long("settings").help("the settings file").argument::<PathBuf>("FILE");
+        let settings = long("settings")
+            .help("the settings file")
+            .argument::<PathBuf>("FILE");
         settings.to_options().descr(help).command(name).help(help)
     };
     let member = role("member", "be one of the run's members").map(Verb::Member);
@@ -105,8 +118,18 @@
     let requests = number("requests", "requests", 20_000);
     let coordinators = number("coordinators", "coordinators that share the hosts", 390);
     let help = "measure what the proxy's policy costs";
-    let policy = construct!(Costs { hosts, prefixes, requests, coordinators });
-    let policy = policy.map(Verb::Policy).to_options().descr(help).command("policy").help(help);
+    let policy = construct!(Costs {
+        hosts,
+        prefixes,
+        requests,
+        coordinators
+    });
+    let policy = policy
+        .map(Verb::Policy)
+        .to_options()
+        .descr(help)
+        .command("policy")
+        .help(help);
     construct!([scale, policy, member, agent])
         .to_options()
         .descr("Scale run of the control plane on one machine")
@@ -130,17 +153,29 @@
             let boot = settings(&path)?;
             // Nobody changes the seeds; the sender lives as long as the member.
             let (_sender, seeds) = watch::channel(boot.seed_nodes.clone());
-            control_plane::shell::run(boot, control_plane::shell::Tuning::default(), seeds, terminated()?)
-                .await
-                .map_err(|e| e.to_string())
+            control_plane::shell::run(
+                boot,
+                control_plane::shell::Tuning::default(),
+                seeds,
+                terminated()?,
+            )
+            .await
+            .map_err(|e| e.to_string())
         }
         Verb::Agent(path) => {
             let boot = settings(&path)?;
             let (_sender, seeds) = watch::channel(boot.seed_nodes.clone());
-            agent::run(boot, seeds, terminated()?).await.map_err(|e| e.to_string())
+            agent::run(boot, seeds, terminated()?)
+                .await
+                .map_err(|e| e.to_string())
         }
         Verb::Policy(costs) => {
-            tell(&policy(costs.hosts, costs.prefixes, costs.requests, costs.coordinators));
+            tell(&policy(
+                costs.hosts,
+                costs.prefixes,
+                costs.requests,
+                costs.coordinators,
+            ));
             Ok(())
         }
         Verb::Scale(scale) => {
@@ -165,8 +200,9 @@
             };
             let rows = play(plan, tell).await.map_err(|e| e.to_string())?;
             if let (Some(csv), Some(first)) = (&scale.csv, rows.first()) {
-                let lines: Vec<String> =
-                    std::iter::once(first.head()).chain(rows.iter().map(Row::line)).collect();
+                let lines: Vec<String> = std::iter::once(first.head())
+                    .chain(rows.iter().map(Row::line))
+                    .collect();
                 std::fs::write(csv, lines.join("\n") + "\n").map_err(|e| e.to_string())?;
             }
             Ok(())
@@ -183,8 +219,9 @@
 
 fn main() -> ExitCode {
     let verb = options().run();
-    let logger =
-        logforth::core::builder().dispatch(|d| d.append(logforth::append::Stderr::default())).build();
+    let logger = logforth::core::builder()
+        .dispatch(|d| d.append(logforth::append::Stderr::default()))
+        .build();
     if log::set_boxed_logger(Box::new(logforth::bridge::log::LogBridge::new(logger))).is_ok() {
         log::set_max_level(log::LevelFilter::Info);
     }
--- a/crates/scale-test/src/operator.rs
+++ b/crates/scale-test/src/operator.rs
@@ -63,7 +63,13 @@
             pause = (pause * 2).min(Duration::from_millis(500));
         }
         version += 1;
-        let acked = Acked { version, sent, acked: Instant::now() };
-        done.lock().unwrap_or_else(PoisonError::into_inner).push(acked);
+        let acked = Acked {
+            version,
+            sent,
+            acked: Instant::now(),
+        };
+        done.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(acked);
     }
 }
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -74,9 +74,12 @@
     }
 
     fn settings(&self, name: String, n: usize, ip: Ipv4Addr) -> Value {
-        let zones: BTreeMap<String, String> =
-            (0..self.zones).map(|z| (self.zone(z), self.region(z))).collect();
-        let seeds: Vec<String> = (0..self.members.min(3)).map(|m| self.control(m).to_string()).collect();
+        let zones: BTreeMap<String, String> = (0..self.zones)
+            .map(|z| (self.zone(z), self.region(z)))
+            .collect();
+        let seeds: Vec<String> = (0..self.members.min(3))
+            .map(|m| self.control(m).to_string())
+            .collect();
         json!({
             "node_name": name, "role": "role", "ip_addr": ip, "zone": self.zone(n), "region": self.region(n),
             "zones": zones, "port_range": [PORT, PORT + 15], "seed_nodes": seeds, "bootstrap": false,
--- a/crates/scale-test/src/policy.rs
+++ b/crates/scale-test/src/policy.rs
@@ -11,7 +11,12 @@
 const GAP: Duration = Duration::from_millis(130);
 
 fn host(n: usize) -> HostInfo {
-    let ip = Ipv4Addr::new(10, (n / 62_500) as u8, (n / 250 % 250) as u8, (n % 250) as u8);
+    let ip = Ipv4Addr::new(
+        10,
+        (n / 62_500) as u8,
+        (n / 250 % 250) as u8,
+        (n % 250) as u8,
+    );
     HostInfo {
         id: format!("i-{n:08x}").into(),
         service: "model".into(),
@@ -41,7 +46,11 @@
     let mut now = Duration::from_secs(1);
     policy.set_services(
         now,
-        &[ServiceInfo { name: "model".into(), conn_limit: 620, cache_tokens: Some(754_363.0) }],
+        &[ServiceInfo {
+            name: "model".into(),
+            conn_limit: 620,
+            cache_tokens: Some(754_363.0),
+        }],
     );
     policy.set_coordinators(now, coordinators);
     let all: Vec<HostInfo> = (0..hosts).map(host).collect();
@@ -54,7 +63,9 @@
     let none: [Arc<str>; 0] = [];
     for request in 0..requests {
         now += GAP;
-        draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        draw = draw
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         let prefix = (draw >> 33) % prefixes.max(1);
         let parts = [(prefix, 6000), ((1 << 40) | request, 1500)];
         policy.arrived(now, "model");
@@ -70,20 +81,36 @@
         };
         if let Choice::Host { attempt, .. } = policy.choose(now, &ask) {
             policy.first(now + Duration::from_millis(50), attempt);
-            let load = Load { running: 40, waiting: 0, slots: 128 };
-            policy.ended(now + Duration::from_millis(120), attempt, Outcome::Done, Some(load));
+            let load = Load {
+                running: 40,
+                waiting: 0,
+                slots: 128,
+            };
+            policy.ended(
+                now + Duration::from_millis(120),
+                attempt,
+                Outcome::Done,
+                Some(load),
+            );
         }
     }
     let end = used();
-    let us =
-        |from: Duration, to: Duration, n: u64| to.saturating_sub(from).as_secs_f64() * 1e6 / n.max(1) as f64;
+    let us = |from: Duration, to: Duration, n: u64| {
+        to.saturating_sub(from).as_secs_f64() * 1e6 / n.max(1) as f64
+    };
     let figures = vec![
         ("hosts", hosts as f64),
         ("prefixes", prefixes as f64),
         ("requests", requests as f64),
         ("roster_us", us(start.cpu, told.cpu, rosters)),
         ("request_us", us(told.cpu, end.cpu, requests)),
-        ("memory_mb", end.rss_kb.saturating_sub(start.rss_kb) as f64 / 1024.0),
+        (
+            "memory_mb",
+            end.rss_kb.saturating_sub(start.rss_kb) as f64 / 1024.0,
+        ),
     ];
-    Row { phase: "policy".into(), figures }
+    Row {
+        phase: "policy".into(),
+        figures,
+    }
 }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -74,11 +74,17 @@
     work: impl FnOnce(UnboundedReceiver<T>) -> F + Send + 'static,
 ) -> Result<UnboundedSender<T>, Failure> {
     let (orders, told) = unbounded_channel();
-    let run = move || match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let run = move || match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime.block_on(work(told)),
         Err(e) => log::error!("no runtime: {e}"),
     };
-    std::thread::Builder::new().name(name.into()).spawn(run).context(IoSnafu { what: "thread" })?;
+    std::thread::Builder::new()
+        .name(name.into())
+        .spawn(run)
+        .context(IoSnafu { what: "thread" })?;
     Ok(orders)
 }
 
@@ -93,30 +99,58 @@
     let tally = Arc::<Mutex<hosts::HostCounters>>::default();
     let acked = Arc::<Mutex<Vec<Acked>>>::default();
     lock(&log).resize_with(plan.coordinators + plan.agents, Default::default);
-    let controls = Arc::new(Mutex::new((0..plan.members).map(|n| plan.control(n)).collect::<Vec<_>>()));
+    let controls = Arc::new(Mutex::new(
+        (0..plan.members)
+            .map(|n| plan.control(n))
+            .collect::<Vec<_>>(),
+    ));
     let hosts = {
         let (plan, controls, tally) = (plan.clone(), controls.clone(), tally.clone());
-        thread("hosts", move |told| hosts::play(plan, controls, tally, told))?
+        thread("hosts", move |told| {
+            hosts::play(plan, controls, tally, told)
+        })?
     };
     let mut coordinators = Vec::new();
     for _ in 0..THREADS {
         let (plan, log) = (plan.clone(), log.clone());
-        coordinators.push(thread("coordinators", move |told| coordinators::play(plan, log, told))?);
+        coordinators.push(thread("coordinators", move |told| {
+            coordinators::play(plan, log, told)
+        })?);
     }
     let (members, agents) = Default::default();
-    let mut deployment =
-        Deployment { plan, members, agents, controls, log, tally, acked, hosts, coordinators };
+    let mut deployment = Deployment {
+        plan,
+        members,
+        agents,
+        controls,
+        log,
+        tally,
+        acked,
+        hosts,
+        coordinators,
+    };
     for n in 0..deployment.plan.members {
         deployment.member(n, true)?;
     }
     for n in 0..deployment.plan.agents {
         let settings = deployment.plan.agent_settings(n);
         let name = format!("edge-{n}");
-        let agent = Program::start(&deployment.plan.program, "agent", &deployment.plan.dir, &name, &settings);
-        deployment.agents.push(agent.context(IoSnafu { what: "agent" })?);
+        let agent = Program::start(
+            &deployment.plan.program,
+            "agent",
+            &deployment.plan.dir,
+            &name,
+            &settings,
+        );
+        deployment
+            .agents
+            .push(agent.context(IoSnafu { what: "agent" })?);
     }
-    let operator =
-        operator::play(deployment.plan.clone(), deployment.controls.clone(), deployment.acked.clone());
+    let operator = operator::play(
+        deployment.plan.clone(),
+        deployment.controls.clone(),
+        deployment.acked.clone(),
+    );
     tokio::select! {
         () = operator => Ok(Vec::new()),
         rows = deployment.phases(&mut told) => rows,
@@ -127,15 +161,25 @@
     fn member(&mut self, n: usize, bootstrap: bool) -> Result<(), Failure> {
         let settings = self.plan.member_settings(n, bootstrap);
         let name = format!("core-{n}");
-        let member = Program::start(&self.plan.program, "member", &self.plan.dir, &name, &settings);
-        self.members.insert(n, member.context(IoSnafu { what: "member" })?);
+        let member = Program::start(
+            &self.plan.program,
+            "member",
+            &self.plan.dir,
+            &name,
+            &settings,
+        );
+        self.members
+            .insert(n, member.context(IoSnafu { what: "member" })?);
         Ok(())
     }
 
     /// Each hollow coordinator stays on one thread.
     fn order(&self, numbers: Vec<usize>, order: impl Fn(Vec<usize>) -> coordinators::Order) {
         for (thread, orders) in self.coordinators.iter().enumerate() {
-            let own = numbers.iter().copied().filter(|n| n % self.coordinators.len() == thread);
+            let own = numbers
+                .iter()
+                .copied()
+                .filter(|n| n % self.coordinators.len() == thread);
             // The thread ends with this.
             let _ = orders.send(order(own.collect()));
         }
@@ -197,7 +241,10 @@
         let new = self.plan.members;
         self.member(new, false)?;
         let (old, now) = (self.plan.control(first), self.plan.control(new));
-        lock(&self.controls).iter_mut().filter(|c| **c == old).for_each(|c| *c = now);
+        lock(&self.controls)
+            .iter_mut()
+            .filter(|c| **c == old)
+            .for_each(|c| *c = now);
         self.pass(length).await;
         end(self.row("member replaced", &before));
 
@@ -215,7 +262,9 @@
         end(self.row("core frozen", &before));
 
         let members = std::mem::take(&mut self.members);
-        members.into_values().for_each(|m| m.end(Duration::from_secs(3)));
+        members
+            .into_values()
+            .for_each(|m| m.end(Duration::from_secs(3)));
         Ok(rows)
     }
 
@@ -224,8 +273,9 @@
         let all = self.plan.coordinators + self.plan.agents;
         let steps = (self.plan.ramp.as_millis() / STEP.as_millis()).max(1) as usize;
         for step in 0..steps {
-            let part =
-                |count: usize| (count * step / steps..count * (step + 1) / steps).collect::<Vec<usize>>();
+            let part = |count: usize| {
+                (count * step / steps..count * (step + 1) / steps).collect::<Vec<usize>>()
+            };
             self.order(part(all), coordinators::Order::Start);
             // The thread ends with this.
             let _ = self.hosts.send(hosts::Order::Start(part(self.plan.hosts)));
@@ -254,7 +304,10 @@
             members: self.members.values().filter_map(of).collect(),
             agents: self.agents.iter().filter_map(of).collect(),
             threads: gauge::threads(),
-            traffic: log.iter().map(|s| s.shared.as_ref().map(|m| m.traffic())).collect(),
+            traffic: log
+                .iter()
+                .map(|s| s.shared.as_ref().map(|m| m.traffic()))
+                .collect(),
             acked: lock(&self.acked).len(),
             beats: tally.beats.len(),
             failed: tally.failed,
@@ -266,7 +319,10 @@
         let after = self.sample();
         let seconds = (after.at - before.at).as_secs_f64();
         let acked: Vec<Acked> = lock(&self.acked)[before.acked..after.acked].to_vec();
-        let acks: Vec<f64> = acked.iter().map(|a| (a.acked - a.sent).as_secs_f64() * 1e3).collect();
+        let acks: Vec<f64> = acked
+            .iter()
+            .map(|a| (a.acked - a.sent).as_secs_f64() * 1e3)
+            .collect();
         let (force, late, missing) = self.in_force(&acked, after.at);
         let share = |a: &BTreeMap<u32, Load>, b: &BTreeMap<u32, Load>| -> Vec<f64> {
             let used = |(id, load): (&u32, &Load)| {
@@ -280,7 +336,12 @@
         let members = share(&before.members, &after.members);
         let agents = share(&before.agents, &after.agents);
         let rss = |loads: &BTreeMap<u32, Load>| {
-            most(&loads.values().map(|l| l.peak_kb as f64 / 1024.0).collect::<Vec<_>>())
+            most(
+                &loads
+                    .values()
+                    .map(|l| l.peak_kb as f64 / 1024.0)
+                    .collect::<Vec<_>>(),
+            )
         };
         let thread = |name: &str| {
             let earlier = before.threads.get(name).copied().unwrap_or_default();
@@ -289,11 +350,20 @@
         };
         let hollow = self.plan.coordinators.max(1);
         let mut traffic = (Vec::new(), Vec::new());
-        for (a, b) in before.traffic.iter().zip(&after.traffic).take(self.plan.coordinators) {
+        for (a, b) in before
+            .traffic
+            .iter()
+            .zip(&after.traffic)
+            .take(self.plan.coordinators)
+        {
             if let (Some(a), Some(b)) = (a, b) {
                 // One that was started anew counts from nothing.
-                traffic.0.push(b.received.saturating_sub(a.received) as f64 / seconds);
-                traffic.1.push(b.sent.saturating_sub(a.sent) as f64 / seconds);
+                traffic
+                    .0
+                    .push(b.received.saturating_sub(a.received) as f64 / seconds);
+                traffic
+                    .1
+                    .push(b.sent.saturating_sub(a.sent) as f64 / seconds);
             }
         }
         let tally = lock(&self.tally);
@@ -323,13 +393,19 @@
             ("member_peak_mb", rss(&after.members)),
             ("agent_cpu_pct", mean(&agents)),
             ("agent_peak_mb", rss(&after.agents)),
-            ("hollow_cpu_each_pct", thread("coordinators") / hollow as f64),
+            (
+                "hollow_cpu_each_pct",
+                thread("coordinators") / hollow as f64,
+            ),
             ("coordinator_in_bps", mean(&traffic.0)),
             ("coordinator_out_bps", mean(&traffic.1)),
             ("hosts_cpu_pct", thread("hosts")),
             ("hollow_process_peak_mb", own.peak_kb as f64 / 1024.0),
         ];
-        Row { phase: phase.into(), figures }
+        Row {
+            phase: phase.into(),
+            figures,
+        }
     }
 
     /// For each change and each coordinator that was running when it was acknowledged, the ms until it had it
@@ -339,7 +415,10 @@
         for seen in lock(&self.log).iter() {
             let Some(since) = seen.since else { continue };
             for change in acked.iter().filter(|a| since <= a.acked) {
-                let have = seen.versions.iter().find(|(v, at)| *v >= change.version && *at >= since);
+                let have = seen
+                    .versions
+                    .iter()
+                    .find(|(v, at)| *v >= change.version && *at >= since);
                 match have {
                     Some((_, at)) => {
                         let took = at.saturating_duration_since(change.acked);
--- a/crates/scale-test/tests/tiny.rs
+++ b/crates/scale-test/tests/tiny.rs
@@ -28,17 +28,32 @@
 async fn changes_reach_all_through_every_loss() {
     let dir = tempfile::tempdir().unwrap();
     let mut told = Vec::new();
-    let rows = play(plan(dir.path()), |row| told.push(row.clone())).await.unwrap();
+    let rows = play(plan(dir.path()), |row| told.push(row.clone()))
+        .await
+        .unwrap();
     assert_eq!(rows, told);
     let names: Vec<&str> = rows.iter().map(|r| r.phase.as_str()).collect();
-    assert_eq!(names, ["start", "calm", "zone lost", "zone back", "member replaced", "core frozen"]);
+    assert_eq!(
+        names,
+        [
+            "start",
+            "calm",
+            "zone lost",
+            "zone back",
+            "member replaced",
+            "core frozen"
+        ]
+    );
     for row in &rows[1..] {
         let get = |name: &str| row.get(name).unwrap();
         assert!(get("changes_acked") >= 1.0, "{row:?}");
         assert_eq!(get("over_6_s"), 0.0, "{row:?}");
         assert!(get("beats_per_s") > 0.0, "{row:?}");
         assert!(get("coordinator_in_bps") > 0.0, "{row:?}");
-        assert!(get("member_peak_mb") > 0.0 && get("agent_peak_mb") > 0.0, "{row:?}");
+        assert!(
+            get("member_peak_mb") > 0.0 && get("agent_peak_mb") > 0.0,
+            "{row:?}"
+        );
         assert_eq!(row.line().split(',').count(), row.head().split(',').count());
     }
     assert_eq!(rows[1].get("members"), Some(3.0));
@@ -57,7 +72,10 @@
 #[test]
 fn a_percentile_is_the_value_that_covers_its_share() {
     let values: Vec<f64> = (1..=100).rev().map(f64::from).collect();
-    assert_eq!([0.5, 0.99, 1.0].map(|share| percentile(&values, share)), [50.0, 99.0, 100.0]);
+    assert_eq!(
+        [0.5, 0.99, 1.0].map(|share| percentile(&values, share)),
+        [50.0, 99.0, 100.0]
+    );
     assert_eq!(percentile(&[], 0.5), 0.0);
     assert_eq!(percentile(&[7.0], 0.99), 7.0);
 }
@@ -65,6 +83,9 @@
 #[test]
 fn the_policy_s_costs_are_measured_per_request() {
     let row = policy(20, 50, 2000, 4);
-    assert_eq!((row.get("hosts"), row.get("requests")), (Some(20.0), Some(2000.0)));
+    assert_eq!(
+        (row.get("hosts"), row.get("requests")),
+        (Some(20.0), Some(2000.0))
+    );
     assert!(row.get("request_us").unwrap() >= 0.0 && row.get("memory_mb").unwrap() >= 0.0);
 }
--- a/crates/simulator/src/drawn.rs
+++ b/crates/simulator/src/drawn.rs
@@ -138,16 +138,44 @@
 
     fn moment(&mut self) -> (Moment, u32, Duration) {
         match self.below(9) {
-            0 => (Moment::Composed, 1 + self.below(4) as u32, Duration::from_micros(self.below(6000))),
-            1 => (Moment::Installing, 1 + self.below(6) as u32, Duration::from_micros(self.below(6000))),
+            0 => (
+                Moment::Composed,
+                1 + self.below(4) as u32,
+                Duration::from_micros(self.below(6000)),
+            ),
+            1 => (
+                Moment::Installing,
+                1 + self.below(6) as u32,
+                Duration::from_micros(self.below(6000)),
+            ),
             2 => (Moment::Fetching, 1, Duration::from_micros(self.below(6000))),
-            3 => (Moment::Acknowledged, 1 + self.below(60) as u32, Duration::from_micros(self.below(4000))),
-            4 => (Moment::OrderSent, 1 + self.below(90) as u32, self.between(5, 400)),
-            5 => (Moment::Unsettled, 1 + self.below(2) as u32, self.between(0, 600)),
+            3 => (
+                Moment::Acknowledged,
+                1 + self.below(60) as u32,
+                Duration::from_micros(self.below(4000)),
+            ),
+            4 => (
+                Moment::OrderSent,
+                1 + self.below(90) as u32,
+                self.between(5, 400),
+            ),
+            5 => (
+                Moment::Unsettled,
+                1 + self.below(2) as u32,
+                self.between(0, 600),
+            ),
             6 => (Moment::Leaving, 1, self.between(0, 1500)),
-            7 => (Moment::TookOver, 1 + self.below(4) as u32, self.between(0, 1000)),
+            7 => (
+                Moment::TookOver,
+                1 + self.below(4) as u32,
+                self.between(0, 1000),
+            ),
             // Members are started at first, too.
-            _ => (Moment::Started, 4 + self.below(4) as u32, self.between(0, 4100)),
+            _ => (
+                Moment::Started,
+                4 + self.below(4) as u32,
+                self.between(0, 4100),
+            ),
         }
     }
 
@@ -161,7 +189,13 @@
 
     fn aimed(&mut self, fault: Fault) -> Aimed {
         let (moment, nth, delay) = self.moment();
-        Aimed { moment, nth, delay, who: self.who(), fault }
+        Aimed {
+            moment,
+            nth,
+            delay,
+            who: self.who(),
+            fault,
+        }
     }
 }
 
@@ -169,7 +203,13 @@
     fn sized(seed: u64, draw: &mut Draw) -> Self {
         let (members, losses) = draw.size();
         let orders = Some(draw.orders());
-        Self { members, losses, strict: true, orders, ..Self::calm(seed) }
+        Self {
+            members,
+            losses,
+            strict: true,
+            orders,
+            ..Self::calm(seed)
+        }
     }
 
     /// Agents in one of two runs; they may be started again at any time.
@@ -177,7 +217,10 @@
         self.agents = [0, 2][draw.index(2)];
         for _ in 0..self.agents {
             let at = ms(draw.below(self.length.as_millis() as u64));
-            self.faults.push((at, Fault::Agent(draw.index(self.agents), draw.between(50, 1500))));
+            self.faults.push((
+                at,
+                Fault::Agent(draw.index(self.agents), draw.between(50, 1500)),
+            ));
         }
         self
     }
@@ -202,7 +245,8 @@
             // The same machine is restarted meanwhile, or another one goes where the budget allows it.
             if draw.below(2) == 0 {
                 let back = draw.between(50, 3000);
-                plan.faults.push((at + draw.between(500, 14_000), Fault::Kill(n, back)));
+                plan.faults
+                    .push((at + draw.between(500, 14_000), Fault::Kill(n, back)));
             }
             if draw.below(2) == 0 {
                 let short = draw.between(100, 3000);
@@ -222,7 +266,11 @@
         let mut at = draw.between(2500, 4500);
         for _ in 0..2 + draw.below(3) {
             let length = draw.between(50, 1500);
-            let fault = if draw.below(4) == 0 { Fault::Join } else { draw.fault(plan.members, length) };
+            let fault = if draw.below(4) == 0 {
+                Fault::Join
+            } else {
+                draw.fault(plan.members, length)
+            };
             plan.faults.push((at, fault));
             let length = draw.between(50, 4000);
             let fault = draw.fault(plan.members, length);
@@ -232,7 +280,11 @@
         if draw.below(4) == 0 {
             let (back, wiped) = (draw.between(300, 1200), Some(draw.index(plan.members)));
             let wiped = wiped.filter(|_| draw.below(2) == 0);
-            let fault = if draw.below(2) == 0 { Fault::KillAll(back) } else { Fault::PowerAll(back, wiped) };
+            let fault = if draw.below(2) == 0 {
+                Fault::KillAll(back)
+            } else {
+                Fault::PowerAll(back, wiped)
+            };
             let aimed = draw.aimed(fault);
             plan.aimed.push(aimed);
         }
@@ -244,11 +296,18 @@
     /// watched.
     pub fn double(seed: u64) -> Self {
         let mut draw = Draw::new(seed, 0xd0b1e);
-        let mut plan = Self { safety_only: true, ..Self::sized(seed, &mut draw) };
+        let mut plan = Self {
+            safety_only: true,
+            ..Self::sized(seed, &mut draw)
+        };
         let mut at = draw.between(2500, 3500);
         for _ in 0..8 {
             let length = draw.between(10, 1500);
-            let fault = if draw.below(10) == 0 { Fault::Join } else { draw.fault(plan.members, length) };
+            let fault = if draw.below(10) == 0 {
+                Fault::Join
+            } else {
+                draw.fault(plan.members, length)
+            };
             plan.faults.push((at, fault));
             let length = draw.between(10, 1500);
             let fault = draw.fault(plan.members, length);
@@ -268,31 +327,53 @@
         let (zone_losses, region_losses) = [(1, 0), (0, 1)][draw.index(2)];
         let (members, seeds_share_a_zone) = ([6, 6, 9][draw.index(3)], draw.below(3) == 0);
         let (losses, strict) = (0, true);
-        let mut plan = Self { members, losses, zone_losses, region_losses, drift_ppm, ..Self::calm(seed) };
-        plan = Self { seeds_share_a_zone, strict, orders, ..plan };
+        let mut plan = Self {
+            members,
+            losses,
+            zone_losses,
+            region_losses,
+            drift_ppm,
+            ..Self::calm(seed)
+        };
+        plan = Self {
+            seeds_share_a_zone,
+            strict,
+            orders,
+            ..plan
+        };
         let mut at = draw.between(4500, 6500);
         for _ in 0..2 + draw.below(3) {
             let (zone, way) = (draw.index(3), draw.way());
             let (long, short) = (draw.between(15_000, 25_000), draw.between(100, 3000));
-            let inside = |n: &usize| if seeds_share_a_zone { n / 2 % 3 == zone } else { n % 3 == zone };
+            let inside = |n: &usize| {
+                if seeds_share_a_zone {
+                    n / 2 % 3 == zone
+                } else {
+                    n % 3 == zone
+                }
+            };
             let machines: Vec<usize> = (0..members).filter(inside).collect();
             let length = match draw.below(5) {
                 0 | 1 => {
                     plan.faults.push((at, Fault::CutZone(zone, long, way)));
                     let one = machines[draw.index(machines.len())];
-                    plan.faults.push((at + draw.between(500, 14_000), Fault::Kill(one, short)));
+                    plan.faults
+                        .push((at + draw.between(500, 14_000), Fault::Kill(one, short)));
                     long
                 }
                 2 => {
-                    plan.faults.extend(machines.iter().map(|n| (at, Fault::Power(*n, short))));
+                    plan.faults
+                        .extend(machines.iter().map(|n| (at, Fault::Power(*n, short))));
                     short
                 }
                 3 => {
-                    plan.faults.extend(machines.iter().map(|n| (at, Fault::Freeze(*n, long))));
+                    plan.faults
+                        .extend(machines.iter().map(|n| (at, Fault::Freeze(*n, long))));
                     long
                 }
                 _ => {
-                    plan.faults.extend(machines.iter().map(|n| (at, Fault::Wipe(*n, short))));
+                    plan.faults
+                        .extend(machines.iter().map(|n| (at, Fault::Wipe(*n, short))));
                     short
                 }
             };
@@ -305,11 +386,24 @@
     /// As [`Plan::rough`], and voters are killed right after they have promised, and are back at once.
     pub fn promises(seed: u64) -> Self {
         let mut draw = Draw::new(seed, 0x9405);
-        let mut plan = Self { strict: true, orders: Some(Orders::default()), ..Self::rough(seed) };
+        let mut plan = Self {
+            strict: true,
+            orders: Some(Orders::default()),
+            ..Self::rough(seed)
+        };
         for _ in 0..12 {
             let fault = Fault::Kill(0, draw.between(1, 40));
-            let (nth, delay) = (1 + draw.below(40) as u32, Duration::from_micros(draw.below(2500)));
-            plan.aimed.push(Aimed { moment: Moment::Promised, nth, delay, who: Who::Subject, fault });
+            let (nth, delay) = (
+                1 + draw.below(40) as u32,
+                Duration::from_micros(draw.below(2500)),
+            );
+            plan.aimed.push(Aimed {
+                moment: Moment::Promised,
+                nth,
+                delay,
+                who: Who::Subject,
+                fault,
+            });
         }
         plan
     }
@@ -348,7 +442,12 @@
         let mut rng = Pcg32::seed_from_u64(seed ^ 0x0bad);
         let mut pick = |n: u64| u64::from(rng.next_u32()) % n;
         let (members, losses) = [(3, 1), (3, 1), (3, 1), (5, 2)][pick(4) as usize];
-        let mut plan = Self { members, losses, safety_only: true, ..Self::calm(seed) };
+        let mut plan = Self {
+            members,
+            losses,
+            safety_only: true,
+            ..Self::calm(seed)
+        };
         let (mut at, mut wipes) = (ms(2500), losses);
         for _ in 0..30 {
             let who = pick(members as u64) as usize;
@@ -377,7 +476,11 @@
         let mut rng = Pcg32::seed_from_u64(seed ^ 0x5eed);
         let mut pick = |n: u64| u64::from(rng.next_u32()) % n;
         let (members, losses) = [(3, 1), (3, 1), (4, 1), (5, 2), (8, 2)][pick(5) as usize];
-        let mut plan = Self { members, losses, ..Self::calm(seed) };
+        let mut plan = Self {
+            members,
+            losses,
+            ..Self::calm(seed)
+        };
         let mut at = ms(2500 + pick(2000));
         for _ in 0..2 + pick(4) {
             let who = pick(members as u64) as usize;
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -66,12 +66,35 @@
         };
         let (command, version) = match kind % 4 {
             0 => (Command::Read { reserved: 0 }, 0),
-            1 => (Command::Drain { host: format!("i-{}", self.next) }, 0),
-            _ => (Command::Configure { base, amend: false, body: body(version) }, version),
+            1 => (
+                Command::Drain {
+                    host: format!("i-{}", self.next),
+                },
+                0,
+            ),
+            _ => (
+                Command::Configure {
+                    base,
+                    amend: false,
+                    body: body(version),
+                },
+                version,
+            ),
         };
         let known = self.newest;
-        self.calls
-            .insert(self.next, Call { command, version, base, known, made: now, sent: now, member, guess });
+        self.calls.insert(
+            self.next,
+            Call {
+                command,
+                version,
+                base,
+                known,
+                made: now,
+                sent: now,
+                member,
+                guess,
+            },
+        );
         self.next
     }
 
@@ -90,9 +113,17 @@
         body: &[u8],
         calm: bool,
     ) -> Result<(), String> {
-        let Some(call) = self.calls.get(&ticket).cloned() else { return Ok(()) };
-        let unclear = [Code::Unclear, Code::NoPrimary, Code::Leaving, Code::DiskFull, Code::BaseNotInForce]
-            .contains(&code);
+        let Some(call) = self.calls.get(&ticket).cloned() else {
+            return Ok(());
+        };
+        let unclear = [
+            Code::Unclear,
+            Code::NoPrimary,
+            Code::Leaving,
+            Code::DiskFull,
+            Code::BaseNotInForce,
+        ]
+        .contains(&code);
         if unclear {
             // Made again, at another member.
             return Ok(());
@@ -104,19 +135,33 @@
         match (&call.command, code) {
             (Command::Read { .. }, Code::Ok) => {
                 let text = String::from_utf8_lossy(body).into_owned();
-                let version = configuration::Document::read(text.as_bytes(), 0).map_or(0, |d| d.version);
+                let version =
+                    configuration::Document::read(text.as_bytes(), 0).map_or(0, |d| d.version);
                 if version < call.known {
-                    return Err(format!("read {version} after {} was acknowledged", call.known));
+                    return Err(format!(
+                        "read {version} after {} was acknowledged",
+                        call.known
+                    ));
                 }
                 self.in_force(version)?;
             }
             (Command::Read { .. }, Code::NoConfiguration) if call.known > 0 => {
-                return Err(format!("read nothing after {} was acknowledged", call.known));
+                return Err(format!(
+                    "read nothing after {} was acknowledged",
+                    call.known
+                ));
             }
             (Command::Configure { .. }, Code::Ok) => {
                 self.acknowledged += 1;
-                if let Some(other) = self.on.insert(call.base, call.version).filter(|o| *o != call.version) {
-                    return Err(format!("{other} and {} were both taken on {}", call.version, call.base));
+                if let Some(other) = self
+                    .on
+                    .insert(call.base, call.version)
+                    .filter(|o| *o != call.version)
+                {
+                    return Err(format!(
+                        "{other} and {} were both taken on {}",
+                        call.version, call.base
+                    ));
                 }
                 self.newest = self.newest.max(call.version);
             }
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -11,7 +11,10 @@
 
 /// A smaller plan that still breaks something; the plan itself where it breaks nothing.
 pub fn shrink(plan: &Plan) -> Plan {
-    let mut shrinking = Shrinking { best: plan.clone(), runs: 0 };
+    let mut shrinking = Shrinking {
+        best: plan.clone(),
+        runs: 0,
+    };
     while shrinking.pass() && shrinking.runs < MOST_RUNS {}
     shrinking.best
 }
@@ -49,27 +52,44 @@
             let mut plan = self.best.clone();
             let (at, fault) = plan.faults[index];
             plan.faults[index] = (at, fault.lasting(fault.length() / 2));
-            let worth = fault.length() > Duration::from_millis(20) && !matches!(fault, Fault::Term(..));
+            let worth =
+                fault.length() > Duration::from_millis(20) && !matches!(fault, Fault::Term(..));
             smaller |= worth && self.take(plan);
         }
         for index in 0..self.best.aimed.len() {
             let mut plan = self.best.clone();
             let fault = plan.aimed[index].fault;
             plan.aimed[index].fault = fault.lasting(fault.length() / 2);
-            let worth = fault.length() > Duration::from_millis(20) && !matches!(fault, Fault::Term(..));
+            let worth =
+                fault.length() > Duration::from_millis(20) && !matches!(fault, Fault::Term(..));
             smaller |= worth && self.take(plan);
         }
         if let Some(orders) = self.best.orders {
-            let one = |at_once, operators| Some(crate::plan::Orders { at_once, operators, ..orders });
+            let one = |at_once, operators| {
+                Some(crate::plan::Orders {
+                    at_once,
+                    operators,
+                    ..orders
+                })
+            };
             if orders.at_once > 1 {
-                smaller |= self.take(Plan { orders: one(1, orders.operators), ..self.best.clone() });
+                smaller |= self.take(Plan {
+                    orders: one(1, orders.operators),
+                    ..self.best.clone()
+                });
             }
             if orders.operators > 1 {
-                smaller |= self.take(Plan { orders: one(orders.at_once, 1), ..self.best.clone() });
+                smaller |= self.take(Plan {
+                    orders: one(orders.at_once, 1),
+                    ..self.best.clone()
+                });
             }
         }
         if self.best.agents > 0 {
-            smaller |= self.take(Plan { agents: 0, ..self.best.clone() });
+            smaller |= self.take(Plan {
+                agents: 0,
+                ..self.best.clone()
+            });
         }
         smaller
     }
@@ -105,15 +125,24 @@
 }
 
 fn aimed_code(aimed: &Aimed) -> String {
-    let Aimed { moment, nth, delay, who, fault } = aimed;
+    let Aimed {
+        moment,
+        nth,
+        delay,
+        who,
+        fault,
+    } = aimed;
     let (delay, fault) = (time(*delay), fault_code(*fault));
     format!("Aimed {{ moment: Moment::{moment:?}, nth: {nth}, delay: {delay}, who: Who::{who:?}, fault: {fault} }}")
 }
 
 /// The plan as code.
 pub fn code(plan: &Plan) -> String {
-    let faults: Vec<String> =
-        plan.faults.iter().map(|(at, f)| format!("({}, {})", time(*at), fault_code(*f))).collect();
+    let faults: Vec<String> = plan
+        .faults
+        .iter()
+        .map(|(at, f)| format!("({}, {})", time(*at), fault_code(*f)))
+        .collect();
     let aimed: Vec<String> = plan.aimed.iter().map(aimed_code).collect();
     let orders = plan.orders.map_or("None".to_owned(), |o| {
         let (late, pause) = (time(o.late), time(o.pause));
@@ -122,8 +151,22 @@
             o.operators, o.at_once, o.lost, o.again, o.padding, o.guessed
         )
     });
-    let Plan { seed, members, losses, zone_losses, region_losses, strict, safety_only, agents, .. } = plan;
-    let Plan { seeds_share_a_zone, drift_ppm, .. } = plan;
+    let Plan {
+        seed,
+        members,
+        losses,
+        zone_losses,
+        region_losses,
+        strict,
+        safety_only,
+        agents,
+        ..
+    } = plan;
+    let Plan {
+        seeds_share_a_zone,
+        drift_ppm,
+        ..
+    } = plan;
     format!(
         "Plan {{ members: {members}, losses: {losses}, zone_losses: {zone_losses}, region_losses: {region_losses}, seeds_share_a_zone: {seeds_share_a_zone}, drift_ppm: {drift_ppm}, length: {}, faults: vec![{}], aimed: vec![{}], strict: {strict}, safety_only: {safety_only}, agents: {agents}, orders: {orders}, ..Plan::calm({seed}) }}",
         time(plan.length),
--- a/crates/simulator/src/world/bugs.rs
+++ b/crates/simulator/src/world/bugs.rs
@@ -8,7 +8,12 @@
 
 impl World<'_> {
     /// A message as the bug has it sent; none where it is held back.
-    pub(super) fn planted_send(&mut self, n: usize, to: usize, message: Message) -> Option<Message> {
+    pub(super) fn planted_send(
+        &mut self,
+        n: usize,
+        to: usize,
+        message: Message,
+    ) -> Option<Message> {
         match (self.plan.planted, message) {
             (Planted::VotersBeforeForgotten, Message::InstallView { mut view, snapshot }) => {
                 forget_before(&mut view);
@@ -20,13 +25,28 @@
             (Planted::GrantedLeaseForgotten, message @ Message::RenewLease { epoch, .. }) => {
                 let life = self.nodes[n].life;
                 let release = Box::new(Message::ReleaseLease { epoch });
-                let deliver = super::What::Deliver { from: n, life, message: release };
+                let deliver = super::What::Deliver {
+                    from: n,
+                    life,
+                    message: release,
+                };
                 self.at(self.now + super::ms(3), to, deliver);
                 Some(message)
             }
-            (Planted::FetchedLedgerIsOld, Message::LedgerReply { epoch, tag, snapshot }) => {
+            (
+                Planted::FetchedLedgerIsOld,
+                Message::LedgerReply {
+                    epoch,
+                    tag,
+                    snapshot,
+                },
+            ) => {
                 let old = self.nodes[n].view_ledger.clone();
-                Some(Message::LedgerReply { epoch, tag, snapshot: old.unwrap_or(snapshot) })
+                Some(Message::LedgerReply {
+                    epoch,
+                    tag,
+                    snapshot: old.unwrap_or(snapshot),
+                })
             }
             (Planted::AnswersMixedUp, Message::CommandResult { id, code, text }) => {
                 let id = if self.pick(10) == 0 { id + 1 } else { id };
@@ -34,24 +54,58 @@
             }
             (Planted::ReplicaConfirmsEarly, Message::AppendChange { epoch, seq, change }) => {
                 let life = self.nodes[to].life;
-                let reply = Message::AppendReply { epoch, seq, ok: true, seen: epoch };
+                let reply = Message::AppendReply {
+                    epoch,
+                    seq,
+                    ok: true,
+                    seen: epoch,
+                };
                 let way = super::ms(1);
-                let deliver = super::What::Deliver { from: to, life, message: Box::new(reply) };
+                let deliver = super::What::Deliver {
+                    from: to,
+                    life,
+                    message: Box::new(reply),
+                };
                 if self.nodes[to].member.is_some() && !self.cut.contains_key(&(n, to)) {
                     self.at(self.now + way, n, deliver);
                 }
                 Some(Message::AppendChange { epoch, seq, change })
             }
-            (Planted::CountedBeforeLedger, Message::InstallView { view, snapshot: Some(snapshot) }) => {
+            (
+                Planted::CountedBeforeLedger,
+                Message::InstallView {
+                    view,
+                    snapshot: Some(snapshot),
+                },
+            ) => {
                 let (epoch, life) = (view.epoch, self.nodes[to].life);
-                let reply = Message::InstallReply { epoch, ok: true, seen: epoch };
-                let deliver = super::What::Deliver { from: to, life, message: Box::new(reply) };
+                let reply = Message::InstallReply {
+                    epoch,
+                    ok: true,
+                    seen: epoch,
+                };
+                let deliver = super::What::Deliver {
+                    from: to,
+                    life,
+                    message: Box::new(reply),
+                };
                 if self.nodes[to].member.is_some() && !self.cut.contains_key(&(n, to)) {
                     self.at(self.now + super::ms(1), n, deliver);
                 }
                 let life = self.nodes[n].life;
-                let message = Box::new(Message::InstallView { view, snapshot: Some(snapshot) });
-                self.at(self.now + super::ms(300), to, super::What::Deliver { from: n, life, message });
+                let message = Box::new(Message::InstallView {
+                    view,
+                    snapshot: Some(snapshot),
+                });
+                self.at(
+                    self.now + super::ms(300),
+                    to,
+                    super::What::Deliver {
+                        from: n,
+                        life,
+                        message,
+                    },
+                );
                 None
             }
             (_, message) => Some(message),
@@ -60,12 +114,19 @@
 
     fn without_parts(&self, message: Message) -> Message {
         match message {
-            Message::InstallView { view, snapshot } => {
-                Message::InstallView { view, snapshot: snapshot.map(|s| self.stripped(s)) }
-            }
-            Message::LedgerReply { epoch, tag, snapshot } => {
-                Message::LedgerReply { epoch, tag, snapshot: self.stripped(snapshot) }
-            }
+            Message::InstallView { view, snapshot } => Message::InstallView {
+                view,
+                snapshot: snapshot.map(|s| self.stripped(s)),
+            },
+            Message::LedgerReply {
+                epoch,
+                tag,
+                snapshot,
+            } => Message::LedgerReply {
+                epoch,
+                tag,
+                snapshot: self.stripped(snapshot),
+            },
             other => other,
         }
     }
@@ -84,7 +145,10 @@
         match self.plan.planted {
             Planted::NoSnapshot => records.iter_mut().for_each(|r| {
                 if let Ok(Record::Accepted { view, .. }) = protocol::read_one(r) {
-                    *r = protocol::write_one(&Record::Accepted { view, snapshot: None });
+                    *r = protocol::write_one(&Record::Accepted {
+                        view,
+                        snapshot: None,
+                    });
                 }
             }),
             Planted::LosesEveryTenthWrite => {
@@ -139,7 +203,13 @@
 
     /// A member that hears of a lease no longer answers by what it knew at its start.
     pub(super) fn planted_input(&mut self, n: usize, input: &Input) {
-        let renews = matches!(input, Input::Message { message: Message::RenewLease { .. }, .. });
+        let renews = matches!(
+            input,
+            Input::Message {
+                message: Message::RenewLease { .. },
+                ..
+            }
+        );
         if self.plan.planted == Planted::RestoredAsFresh && renews {
             self.nodes[n].shown = None;
         }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -12,9 +12,15 @@
         if ticket >= FIRST_TICKET {
             return self.order_answered(n, ticket, code, body);
         }
-        let calm = self.operator.calls.get(&ticket).is_some_and(|c| c.made > self.calm_since + ms(3000));
+        let calm = self
+            .operator
+            .calls
+            .get(&ticket)
+            .is_some_and(|c| c.made > self.calm_since + ms(3000));
         if let Err(breach) = self.operator.answered(self.now, ticket, code, body, calm) {
-            self.report.breaches.push(format!("{:?} node {n}: {breach}", self.now));
+            self.report
+                .breaches
+                .push(format!("{:?} node {n}: {breach}", self.now));
         }
     }
 
@@ -25,7 +31,11 @@
             .filter(|n| self.nodes[*n].member.is_some() && !self.nodes[*n].gone)
             .collect();
         let well: Vec<usize> = up.iter().copied().filter(|n| self.is_well(*n)).collect();
-        let frozen: Vec<usize> = up.iter().copied().filter(|n| self.nodes[*n].frozen).collect();
+        let frozen: Vec<usize> = up
+            .iter()
+            .copied()
+            .filter(|n| self.nodes[*n].frozen)
+            .collect();
         let from = match again && !well.is_empty() {
             true => well,
             false if reads && !frozen.is_empty() && self.pick(4) > 0 => frozen,
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -24,7 +24,13 @@
             self.breach(n, format!("change {seq} is {same} and {version}"));
         }
         if version < self.operator.newest {
-            self.breach(n, format!("{version} shown after {} was acknowledged", self.operator.newest));
+            self.breach(
+                n,
+                format!(
+                    "{version} shown after {} was acknowledged",
+                    self.operator.newest
+                ),
+            );
         }
         if let Err(breach) = self.operator.in_force(version) {
             self.breach(n, breach);
@@ -48,12 +54,17 @@
         let version = document.version;
         let same = *self.published.entry(seq).or_insert(version);
         if same != version {
-            self.breach(n, format!("change {seq} is {same}, and {version} after a start"));
+            self.breach(
+                n,
+                format!("change {seq} is {same}, and {version} after a start"),
+            );
         }
     }
 
     pub(super) fn breach(&mut self, n: usize, what: String) {
-        self.report.breaches.push(format!("{:?} node {n}: {what}", self.now));
+        self.report
+            .breaches
+            .push(format!("{:?} node {n}: {what}", self.now));
     }
 
     /// No two members act at once, whoever stands still: one that acts answers reads by what it holds alone.
@@ -74,7 +85,10 @@
     /// What has to hold a while after each fault, whether it has healed or not.
     pub(super) fn look(&mut self) {
         let quiet = self.now.saturating_sub(self.calm_since);
-        let gap = self.gap_from.map_or(ms(0), |from| self.now.saturating_sub(from)).min(quiet);
+        let gap = self
+            .gap_from
+            .map_or(ms(0), |from| self.now.saturating_sub(from))
+            .min(quiet);
         if gap > GAP_BOUND && !self.plan.safety_only {
             let views = self.views();
             self.breach(0, format!("nobody has acted for {gap:?}: {views}"));
@@ -107,18 +121,25 @@
         let long = self.gap_from.is_some_and(|from| end > from + ms(2000));
         if acting.is_empty() && long && !self.plan.safety_only && self.report.breaches.is_empty() {
             let views = self.views();
-            self.report.breaches.push(format!("{end:?}: nobody acts: {views}"));
+            self.report
+                .breaches
+                .push(format!("{end:?}: nobody acts: {views}"));
         }
-        let stuck = self
-            .operator
-            .calls
-            .values()
-            .find(|c| !c.guess && c.made > self.calm_since + ms(3000) && end > c.made + ms(4000));
+        let stuck =
+            self.operator.calls.values().find(|c| {
+                !c.guess && c.made > self.calm_since + ms(3000) && end > c.made + ms(4000)
+            });
         if let Some(stuck) = stuck.cloned().filter(|_| !self.plan.safety_only) {
-            self.report.breaches.push(format!("no answer since {:?} to {:?}", stuck.made, stuck.version));
+            self.report.breaches.push(format!(
+                "no answer since {:?} to {:?}",
+                stuck.made, stuck.version
+            ));
         }
         if self.operator.slowest > ms(4000) && !self.plan.safety_only {
-            self.report.breaches.push(format!("a call in calm times took {:?}", self.operator.slowest));
+            self.report.breaches.push(format!(
+                "a call in calm times took {:?}",
+                self.operator.slowest
+            ));
         }
         if self.plan.orders.is_some() {
             if let Some(lost) = self.orders.left_out() {
--- a/crates/simulator/src/world/guesses.rs
+++ b/crates/simulator/src/world/guesses.rs
@@ -17,12 +17,18 @@
 
     fn open_guesses(&self, operator: usize) -> usize {
         let guessed = |content: usize| self.is_guess(self.contents[content].base);
-        self.open.values().filter(|o| o.operator == operator && guessed(o.content)).count()
+        self.open
+            .values()
+            .filter(|o| o.operator == operator && guessed(o.content))
+            .count()
     }
 
     /// Versions that open orders lead to.
     fn under_way(&self) -> Vec<u64> {
-        self.open.values().map(|o| self.contents[o.content].version).collect()
+        self.open
+            .values()
+            .map(|o| self.contents[o.content].version)
+            .collect()
     }
 }
 
