--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -221,7 +221,12 @@
         let late = ms(world.pick(300));
         world.at(world.now + late, n, What::Start);
     }
-    world.initial_voters = world.nodes.iter().take(nodes::INITIAL_VOTERS).map(|n| n.seat.clone()).collect();
+    world.initial_voters = world
+        .nodes
+        .iter()
+        .take(nodes::INITIAL_VOTERS)
+        .map(|n| n.seat.clone())
+        .collect();
     for (at, fault) in &plan.faults {
         world.at(world.now + *at, 0, What::Fault(*fault));
     }
@@ -266,7 +271,9 @@
         let mut out = Vec::new();
         let now = self.clock(n);
         self.planted_input(n, &input);
-        let Some(member) = self.nodes[n].member.as_mut() else { return };
+        let Some(member) = self.nodes[n].member.as_mut() else {
+            return;
+        };
         member.step(now, input, &mut out);
         self.report.epoch = self.report.epoch.max(member.promised());
         self.report.steps += 1;
@@ -332,7 +339,9 @@
         match self.nodes[n].drift_ppm {
             0 => delay,
             // Rounded up, so that nobody wakes too early.
-            ppm => delay.mul_f64(MILLION as f64 / (MILLION + ppm) as f64) + Duration::from_micros(2),
+            ppm => {
+                delay.mul_f64(MILLION as f64 / (MILLION + ppm) as f64) + Duration::from_micros(2)
+            }
         }
     }
 
@@ -359,12 +368,24 @@
     fn perform(&mut self, n: usize, output: Output) {
         match output {
             Output::Send { to, message } => self.send(n, &to, message),
-            Output::Write { ticket, records, rewrite } => self.write(n, ticket, records, rewrite),
+            Output::Write {
+                ticket,
+                records,
+                rewrite,
+            } => self.write(n, ticket, records, rewrite),
             Output::Answer { ticket, code, body } => {
                 self.answered(n, ticket, self.planted_answer(code), &body)
             }
-            Output::Publish { seq, document, drains } => self.shown(n, seq, &document, &drains),
-            Output::Restore { seq, document, drains } => self.restored(n, seq, &document, &drains),
+            Output::Publish {
+                seq,
+                document,
+                drains,
+            } => self.shown(n, seq, &document, &drains),
+            Output::Restore {
+                seq,
+                document,
+                drains,
+            } => self.restored(n, seq, &document, &drains),
             Output::Wake { at } => {
                 let at = self.now + self.true_delay(n, at.saturating_sub(self.clock(n)));
                 self.nodes[n].wake = at;
@@ -384,11 +405,22 @@
         match what {
             What::Wake if self.now >= self.nodes[n].wake => self.step(n, Input::Tick),
             What::Wake => {}
-            What::Deliver { from, life, message } => self.deliver(from, life, *message, n),
-            What::Late { from, life, message } => self.deliver_late(from, life, *message, n),
-            What::Wrote { ticket, records, rewrite, result } => {
-                self.wrote(n, ticket, records, rewrite, result)
-            }
+            What::Deliver {
+                from,
+                life,
+                message,
+            } => self.deliver(from, life, *message, n),
+            What::Late {
+                from,
+                life,
+                message,
+            } => self.deliver_late(from, life, *message, n),
+            What::Wrote {
+                ticket,
+                records,
+                rewrite,
+                result,
+            } => self.wrote(n, ticket, records, rewrite, result),
             What::Start => self.start(n),
             What::Hello => self.hello(n),
             What::Call => self.call(),
--- a/crates/simulator/src/world/moments.rs
+++ b/crates/simulator/src/world/moments.rs
@@ -27,8 +27,9 @@
             Who::Subject => subject,
             Who::Primary => self.last_acting.unwrap_or(subject),
             Who::Other(nth) => {
-                let others: Vec<usize> =
-                    (0..self.nodes.len()).filter(|n| *n != subject && !self.nodes[*n].gone).collect();
+                let others: Vec<usize> = (0..self.nodes.len())
+                    .filter(|n| *n != subject && !self.nodes[*n].gone)
+                    .collect();
                 match others.is_empty() {
                     true => subject,
                     false => others[nth % others.len()],
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -28,10 +28,24 @@
     };
     match message {
         Message::InstallView { view, snapshot } => {
-            format!("install {} ledger {:?}", told(view), snapshot.as_ref().map(|s| s.seq))
+            format!(
+                "install {} ledger {:?}",
+                told(view),
+                snapshot.as_ref().map(|s| s.seq)
+            )
         }
-        Message::Promise { epoch, granted, view, tag, wait_ms, .. } => {
-            format!("promise {epoch} {granted} {:?} {tag:?} wait {wait_ms}", view.as_ref().map(told))
+        Message::Promise {
+            epoch,
+            granted,
+            view,
+            tag,
+            wait_ms,
+            ..
+        } => {
+            format!(
+                "promise {epoch} {granted} {:?} {tag:?} wait {wait_ms}",
+                view.as_ref().map(told)
+            )
         }
         Message::LedgerReply { epoch, tag, .. } => format!("ledger {epoch} {tag:?}"),
         Message::Prepare { epoch, .. } => format!("prepare {epoch}"),
@@ -43,10 +57,15 @@
     /// Sends a message; it may be late, and comes to nothing where the way is cut.
     pub(super) fn send(&mut self, n: usize, to: &MemberInfo, message: Message) {
         let life = self.nodes[n].life;
-        let Some(to) = self.nodes.iter().position(|m| m.seat.addr == to.addr) else { return };
-        let Some(message) = self.planted_send(n, to, message) else { return };
+        let Some(to) = self.nodes.iter().position(|m| m.seat.addr == to.addr) else {
+            return;
+        };
+        let Some(message) = self.planted_send(n, to, message) else {
+            return;
+        };
         let lost = self.pick(200) == 0;
-        let mut delay = Duration::from_micros(400 + self.pick(1200)) + ms(if lost { 200 } else { 0 });
+        let mut delay =
+            Duration::from_micros(400 + self.pick(1200)) + ms(if lost { 200 } else { 0 });
         let cut = self.cut.contains_key(&(n, to));
         if self.plan.strict {
             self.note_sent(n, to, &message);
@@ -66,7 +85,15 @@
             let twice = matches!(message, Message::ForwardCommand { .. }) && self.pick(8) == 0;
             if late || twice {
                 let later = self.now + delay + ms(self.pick(3000));
-                self.at(later, to, What::Late { from: n, life, message: Box::new(message.clone()) });
+                self.at(
+                    later,
+                    to,
+                    What::Late {
+                        from: n,
+                        life,
+                        message: Box::new(message.clone()),
+                    },
+                );
             }
             // A connection keeps the order.
             let last = self.link_busy.entry((n, to)).or_insert(self.now);
@@ -74,19 +101,35 @@
             delay = *last - self.now;
         }
         if !cut {
-            self.at(self.now + delay, to, What::Deliver { from: n, life, message: Box::new(message) });
+            self.at(
+                self.now + delay,
+                to,
+                What::Deliver {
+                    from: n,
+                    life,
+                    message: Box::new(message),
+                },
+            );
         }
     }
 
     /// What is sent tells of moments.
     fn note_sent(&mut self, n: usize, to: usize, message: &Message) {
         match message {
-            Message::InstallView { view, snapshot: Some(_) } if view.primary == self.nodes[n].seat.id => {
+            Message::InstallView {
+                view,
+                snapshot: Some(_),
+            } if view.primary == self.nodes[n].seat.id => {
                 self.moment(Moment::Composed, n);
                 if !view.settled() {
                     let is_new = |m: &&super::Node| !view.before.iter().any(|s| s.id == m.seat.id);
-                    let new = self.nodes.iter().filter(|m| view.seat(m.seat.id).is_some()).find(is_new);
-                    let new = new.and_then(|m| self.nodes.iter().position(|o| o.seat.id == m.seat.id));
+                    let new = self
+                        .nodes
+                        .iter()
+                        .filter(|m| view.seat(m.seat.id).is_some())
+                        .find(is_new);
+                    let new =
+                        new.and_then(|m| self.nodes.iter().position(|o| o.seat.id == m.seat.id));
                     self.moment(Moment::Unsettled, new.unwrap_or(n));
                 }
             }
@@ -106,10 +149,22 @@
     pub(super) fn deliver(&mut self, from: usize, life: u32, message: Message, to: usize) {
         let seat = self.nodes[from].seat.clone();
         if self.nodes[from].life == life && !self.cut.contains_key(&(from, to)) {
-            if matches!(message, Message::InstallView { snapshot: Some(_), .. }) {
+            if matches!(
+                message,
+                Message::InstallView {
+                    snapshot: Some(_),
+                    ..
+                }
+            ) {
                 self.moment(Moment::Installing, to);
             }
-            self.step(to, Input::Message { from: seat, message });
+            self.step(
+                to,
+                Input::Message {
+                    from: seat,
+                    message,
+                },
+            );
         }
     }
 
@@ -134,7 +189,11 @@
                 let out = pair.0 == n;
                 if way.is_none_or(|w| w == out) {
                     let count = self.cut.entry(pair).or_insert(0);
-                    *count = if on { *count + 1 } else { count.saturating_sub(1) };
+                    *count = if on {
+                        *count + 1
+                    } else {
+                        count.saturating_sub(1)
+                    };
                     if *count == 0 {
                         self.cut.remove(&pair);
                     }
@@ -147,7 +206,11 @@
     pub(super) fn cut_ways(&mut self, ways: &[(usize, usize)], on: bool) {
         for way in ways {
             let count = self.cut.entry(*way).or_insert(0);
-            *count = if on { *count + 1 } else { count.saturating_sub(1) };
+            *count = if on {
+                *count + 1
+            } else {
+                count.saturating_sub(1)
+            };
             if *count == 0 {
                 self.cut.remove(way);
             }
@@ -165,7 +228,9 @@
     /// Members in a zone that haven't gone.
     pub(super) fn zone(&self, zone: usize) -> Vec<usize> {
         let inside = |n: &usize| self.zone_of(*n) == zone % ZONES;
-        (0..self.nodes.len()).filter(|n| inside(n) && !self.nodes[*n].gone).collect()
+        (0..self.nodes.len())
+            .filter(|n| inside(n) && !self.nodes[*n].gone)
+            .collect()
     }
 
     pub(super) fn cut_zone(&mut self, zone: usize, way: Option<bool>, on: bool) {
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -21,12 +21,18 @@
 impl World<'_> {
     pub(super) fn add(&mut self, id: u64) {
         let n = self.nodes.len() as u32;
-        let addr = Addr { ip: 0x0a00_0001 + n, port: 7660 };
+        let addr = Addr {
+            ip: 0x0a00_0001 + n,
+            port: 7660,
+        };
         let part = self.zone_of(n as usize);
         let (zone, region) = match self.plan.region_losses {
             0 => (format!("z{part}"), "r".to_owned()),
             // Two zones in each region.
-            _ => (format!("z{part}-{}", n as usize / ZONES % 2), format!("r{part}")),
+            _ => (
+                format!("z{part}-{}", n as usize / ZONES % 2),
+                format!("r{part}"),
+            ),
         };
         let drift_ppm = self.draw_drift();
         let seat = MemberInfo {
@@ -72,7 +78,12 @@
         // Their identities follow from their addresses, whatever became of their disks.
         let seeds = match self.plan.strict {
             true => self.initial_voters.clone(),
-            false => self.nodes.iter().take(INITIAL_VOTERS).map(|n| n.seat.clone()).collect(),
+            false => self
+                .nodes
+                .iter()
+                .take(INITIAL_VOTERS)
+                .map(|n| n.seat.clone())
+                .collect(),
         };
         let random = u64::from(self.rng.next_u32());
         let fewer = u32::from(self.plan.planted == Planted::TooFewReplicas);
@@ -85,7 +96,8 @@
         let node = &mut self.nodes[n];
         node.life += 1;
         if self.plan.planted == Planted::ForgetsPromises {
-            node.records.retain(|r| !matches!(protocol::read_one(r), Ok(Record::Promised { .. })));
+            node.records
+                .retain(|r| !matches!(protocol::read_one(r), Ok(Record::Promised { .. })));
         }
         if self.plan.planted == Planted::ReplaySkipsLastChange {
             let change = |r: &Vec<u8>| matches!(protocol::read_one(r), Ok(Record::Change { .. }));
@@ -121,7 +133,12 @@
             self.nodes[n].frozen = false;
         }
         self.nodes[n].held_back.clear();
-        let lost: Vec<u64> = self.queue.iter().filter(|q| q.0 .2 == n).map(|q| q.0 .1).collect();
+        let lost: Vec<u64> = self
+            .queue
+            .iter()
+            .filter(|q| q.0 .2 == n)
+            .map(|q| q.0 .1)
+            .collect();
         for number in lost {
             if self.what.get(&number).is_some_and(|w| !w.is_of_the_world()) {
                 self.what.remove(&number);
--- a/crates/simulator/src/world/orders.rs
+++ b/crates/simulator/src/world/orders.rs
@@ -47,7 +47,13 @@
     /// The next content that is sent, with so many bytes of padding.
     pub(super) fn new(book: &OrderBook, base: u64, version: u64, padding: usize) -> Self {
         let body = Arc::new(body(book.contents.len(), version, padding));
-        Self { base, version, body, taken: false, refused: None }
+        Self {
+            base,
+            version,
+            body,
+            taken: false,
+            refused: None,
+        }
     }
 }
 
@@ -100,7 +106,9 @@
 
 /// A configuration with services beside the one that its route names, of about so many bytes.
 fn body(token: usize, version: u64, padding: usize) -> Vec<u8> {
-    let more: String = (0..padding / 20).map(|n| format!(r#",{{"name":"s{token}-{n}"}}"#)).collect();
+    let more: String = (0..padding / 20)
+        .map(|n| format!(r#",{{"name":"s{token}-{n}"}}"#))
+        .collect();
     format!(
         r#"{{"version":{version},"routes":[{{"name":"o{token}","hostname":"h.example","path_prefix":"/","route_class":"pure","deadline_ms":1000,"service":"s"}}],"services":[{{"name":"s"}}{more}],"limits":{{}}}}"#
     )
@@ -109,7 +117,14 @@
 
 /// Which content a configuration is.
 fn token(document: &Document) -> Option<usize> {
-    document.routes.first()?.value.name.strip_prefix('o')?.parse().ok()
+    document
+        .routes
+        .first()?
+        .value
+        .name
+        .strip_prefix('o')?
+        .parse()
+        .ok()
 }
 
 fn hash_of(drains: &[String]) -> u64 {
@@ -127,19 +142,26 @@
             return Ok(None);
         }
         let version = document.version;
-        let known = token(document).filter(|t| self.contents.get(*t).is_some_and(|c| c.version == version));
-        let Some(index) = known else { return Err(format!("{version} is in force, which nobody sent")) };
+        let known =
+            token(document).filter(|t| self.contents.get(*t).is_some_and(|c| c.version == version));
+        let Some(index) = known else {
+            return Err(format!("{version} is in force, which nobody sent"));
+        };
         let other = *self.in_force.entry(version).or_insert(index);
         if other != index {
             return Err(format!("{version} is content {other} and {index}"));
         }
         if self.confirmed.get(&version).is_some_and(|c| *c != index) {
-            return Err(format!("content {index} is in force as {version}, another one was confirmed"));
+            return Err(format!(
+                "content {index} is in force as {version}, another one was confirmed"
+            ));
         }
         let content = &mut self.contents[index];
         content.taken = true;
         if let Some(code) = content.refused {
-            return Err(format!("content {index} ({version}) is in force, it was refused with {code:?}"));
+            return Err(format!(
+                "content {index} ({version}) is in force, it was refused with {code:?}"
+            ));
         }
         Ok(Some(index))
     }
@@ -162,7 +184,9 @@
                     ));
                 }
                 if self.in_force.get(&version).is_some_and(|i| *i != index) {
-                    return Err(format!("content {index} confirmed as {version}, another one is in force"));
+                    return Err(format!(
+                        "content {index} confirmed as {version}, another one is in force"
+                    ));
                 }
                 self.contents[index].taken = true;
                 if version > self.newest {
@@ -193,7 +217,11 @@
 
     /// Whether a ledger's configuration is what was shown under its number.
     pub(super) fn is_shown(&self, seq: u64, document: &Document) -> bool {
-        seq == 0 || self.by_seq.get(&seq).is_some_and(|s| s.0 == token(document))
+        seq == 0
+            || self
+                .by_seq
+                .get(&seq)
+                .is_some_and(|s| s.0 == token(document))
     }
 
     /// Of what is confirmed nothing may be left out of the chain of bases that led to what is in force.
@@ -208,14 +236,29 @@
             let candidates: Vec<usize> = (0..self.contents.len())
                 .filter(|c| of_version(&c) && self.contents[*c].refused.is_none())
                 .collect();
-            let sure = self.in_force.get(&version).or(self.confirmed.get(&version)).copied();
-            match sure.or(candidates.first().copied().filter(|_| candidates.len() == 1)) {
+            let sure = self
+                .in_force
+                .get(&version)
+                .or(self.confirmed.get(&version))
+                .copied();
+            match sure.or(candidates
+                .first()
+                .copied()
+                .filter(|_| candidates.len() == 1))
+            {
                 Some(next) => index = next,
                 None => break,
             }
         }
-        let lost = self.confirmed.keys().rev().find(|v| **v > version && !chain.contains(v))?;
-        Some(format!("{lost} was confirmed and is not among what led to {}", chain[0]))
+        let lost = self
+            .confirmed
+            .keys()
+            .rev()
+            .find(|v| **v > version && !chain.contains(v))?;
+        Some(format!(
+            "{lost} was confirmed and is not among what led to {}",
+            chain[0]
+        ))
     }
 }
 
@@ -228,7 +271,13 @@
     pub(super) fn operator_calls(&mut self, operator: usize) {
         let orders = self.orders();
         let late = |o: &Order, now: Duration| o.operator == operator && now >= o.tried + TRY_AGAIN;
-        let again: Vec<u64> = self.orders.open.iter().filter(|o| late(o.1, self.now)).map(|o| *o.0).collect();
+        let again: Vec<u64> = self
+            .orders
+            .open
+            .iter()
+            .filter(|o| late(o.1, self.now))
+            .map(|o| *o.0)
+            .collect();
         for number in again {
             let content = self.orders.open.get_mut(&number).map(|o| {
                 o.tried = self.now;
@@ -262,7 +311,13 @@
         self.orders.numbers += 1;
         let number = self.orders.numbers;
         let clear = self.orders.is_guess(self.orders.contents[content].base);
-        let order = Order { content, operator, made: self.now, clear, tried: self.now };
+        let order = Order {
+            content,
+            operator,
+            made: self.now,
+            clear,
+            tried: self.now,
+        };
         self.orders.open.insert(number, order);
         self.try_call(Asked::Order(number), Some(content), false);
     }
@@ -270,8 +325,13 @@
     /// What an operator sends that builds on what it knows: something new, or what another one has under way, or a
     /// rival of that.
     fn content_of_order(&mut self, operator: usize, orders: &Orders) -> usize {
-        let others: Vec<usize> =
-            self.orders.open.values().filter(|o| o.operator != operator).map(|o| o.content).collect();
+        let others: Vec<usize> = self
+            .orders
+            .open
+            .values()
+            .filter(|o| o.operator != operator)
+            .map(|o| o.content)
+            .collect();
         let other = match others.is_empty() || self.pick(4) > 0 {
             true => None,
             false => Some(others[self.pick(others.len() as u64) as usize]),
@@ -282,7 +342,10 @@
                 let base = self.orders.known.get(&operator).copied().unwrap_or(0);
                 let version = base + 1 + self.pick(3);
                 let (base, version) = other.map_or((base, version), |o| {
-                    (self.orders.contents[o].base, self.orders.contents[o].version)
+                    (
+                        self.orders.contents[o].base,
+                        self.orders.contents[o].version,
+                    )
                 });
                 let padding = self.pick(orders.padding as u64 + 1) as usize;
                 let content = Content::new(&self.orders, base, version, padding);
@@ -299,11 +362,20 @@
 
     /// Sends a call to a member.
     fn try_call(&mut self, asked: Asked, content: Option<usize>, again: bool) {
-        let Some(member) = self.called_member(matches!(asked, Asked::Read(_)), again) else { return };
+        let Some(member) = self.called_member(matches!(asked, Asked::Read(_)), again) else {
+            return;
+        };
         self.orders.numbers += 1;
         let ticket = FIRST_TICKET + self.orders.numbers;
         let is_order = matches!(asked, Asked::Order(_));
-        self.orders.attempts.insert(ticket, Attempt { asked, content, known: self.orders.newest });
+        self.orders.attempts.insert(
+            ticket,
+            Attempt {
+                asked,
+                content,
+                known: self.orders.newest,
+            },
+        );
         self.note(|_| format!("call {ticket} of content {content:?} goes to {member}"));
         let way = Duration::from_micros(300 + self.pick(1000));
         self.at(self.now + way, member, What::Order { ticket });
@@ -314,13 +386,19 @@
 
     /// A call reaches a member.
     pub(super) fn order_arrives(&mut self, n: usize, ticket: u64) {
-        let Some(attempt) = self.orders.attempts.get(&ticket) else { return };
+        let Some(attempt) = self.orders.attempts.get(&ticket) else {
+            return;
+        };
         let command = match (&attempt.asked, attempt.content) {
             (Asked::Drain(host), _) => Command::Drain { host: host.clone() },
             (_, Some(content)) => {
                 let content = &self.orders.contents[content];
                 let body = content.body.to_vec();
-                Command::Configure { base: content.base, amend: false, body }
+                Command::Configure {
+                    base: content.base,
+                    amend: false,
+                    body,
+                }
             }
             _ => Command::Read { reserved: 0 },
         };
@@ -333,7 +411,10 @@
 
     /// A planted bug: what a member without a lease shows.
     fn shown_without_lease(&self, n: usize) -> Option<Vec<u8>> {
-        let bug = matches!(self.plan.planted, Planted::ReadsAnywhere | Planted::RestoredAsFresh);
+        let bug = matches!(
+            self.plan.planted,
+            Planted::ReadsAnywhere | Planted::RestoredAsFresh
+        );
         self.nodes[n].shown.clone().filter(|_| bug)
     }
 
@@ -360,7 +441,12 @@
         }
     }
 
-    fn check_answer(&mut self, attempt: &Attempt, code: Code, body: &[u8]) -> Result<Option<Told>, String> {
+    fn check_answer(
+        &mut self,
+        attempt: &Attempt,
+        code: Code,
+        body: &[u8],
+    ) -> Result<Option<Told>, String> {
         let known = attempt.known;
         if let Some(content) = attempt.content {
             let fresh = !self.orders.contents[content].taken;
@@ -371,7 +457,11 @@
                 let acting = self.last_acting.unwrap_or(0);
                 self.moment(Moment::Acknowledged, acting);
             }
-            return Ok(clear.then_some(if code == Code::Ok { Told::Taken } else { Told::Refused }));
+            return Ok(clear.then_some(if code == Code::Ok {
+                Told::Taken
+            } else {
+                Told::Refused
+            }));
         }
         match (&attempt.asked, code) {
             (Asked::Drain(host), Code::Ok) => {
@@ -380,7 +470,8 @@
                 Ok(None)
             }
             (Asked::Read(_), Code::Ok) => {
-                let document = Document::read(body, 0).map_err(|_| "a read that can't be read".to_owned())?;
+                let document =
+                    Document::read(body, 0).map_err(|_| "a read that can't be read".to_owned())?;
                 let version = document.version;
                 if version < known {
                     return Err(format!("read {version} after {known} was acknowledged"));
@@ -391,7 +482,9 @@
             (Asked::Read(_), Code::NoConfiguration) if known > 0 => {
                 Err(format!("read nothing after {known} was acknowledged"))
             }
-            (_, code) if (400..500).contains(&code.status()) => Err(format!("refused with {code:?}")),
+            (_, code) if (400..500).contains(&code.status()) => {
+                Err(format!("refused with {code:?}"))
+            }
             _ => Ok(None),
         }
     }
@@ -401,7 +494,9 @@
     }
 
     fn answered_in_time(&mut self, n: usize, number: u64) {
-        let Some(order) = self.orders.open.get_mut(&number).filter(|o| !o.clear) else { return };
+        let Some(order) = self.orders.open.get_mut(&number).filter(|o| !o.clear) else {
+            return;
+        };
         order.clear = true;
         let (made, took) = (order.made, self.now - order.made);
         if self.is_steady(made) {
@@ -414,7 +509,9 @@
 
     /// An operator hears an answer.
     pub(super) fn operator_told(&mut self, ticket: u64, told: Told) {
-        let Some(attempt) = self.orders.attempts.remove(&ticket) else { return };
+        let Some(attempt) = self.orders.attempts.remove(&ticket) else {
+            return;
+        };
         if let Asked::Read(operator) = attempt.asked {
             if let Told::Read(version) = told {
                 let known = self.orders.known.entry(operator).or_insert(0);
@@ -422,8 +519,12 @@
             }
             return;
         }
-        let Asked::Order(number) = attempt.asked else { return };
-        let Some(order) = self.orders.open.remove(&number) else { return };
+        let Asked::Order(number) = attempt.asked else {
+            return;
+        };
+        let Some(order) = self.orders.open.remove(&number) else {
+            return;
+        };
         if !matches!(told, Told::Taken) {
             return self.try_call(Asked::Read(order.operator), None, false);
         }
@@ -434,13 +535,25 @@
             for _ in 0..=self.pick(2) {
                 let later = ms([300, 3_000, 30_000][self.pick(3) as usize]);
                 let at = self.now + ms(self.pick(later.as_millis() as u64));
-                self.at(at, 0, What::Again { content: order.content });
+                self.at(
+                    at,
+                    0,
+                    What::Again {
+                        content: order.content,
+                    },
+                );
             }
         }
     }
 
     /// A primary shows the newest acknowledged ledger.
-    pub(super) fn order_shown(&mut self, n: usize, seq: u64, document: &Document, drains: &[String]) {
+    pub(super) fn order_shown(
+        &mut self,
+        n: usize,
+        seq: u64,
+        document: &Document,
+        drains: &[String],
+    ) {
         if let Err(breach) = self.order_same(seq, document, drains) {
             return self.breach(n, breach);
         }
@@ -449,10 +562,14 @@
         }
         let newest = self.orders.newest;
         if document.version < newest {
-            self.breach(n, format!("{} shown after {newest} was acknowledged", document.version));
+            self.breach(
+                n,
+                format!("{} shown after {newest} was acknowledged", document.version),
+            );
         }
         let now = self.now;
-        let has_to_stay = |d: &(&String, &Duration)| now < *d.1 + DRAINS_KEPT && !drains.contains(d.0);
+        let has_to_stay =
+            |d: &(&String, &Duration)| now < *d.1 + DRAINS_KEPT && !drains.contains(d.0);
         if let Some((lost, _)) = self.orders.drained.iter().find(has_to_stay) {
             let lost = lost.clone();
             self.breach(n, format!("drain of {lost} lost"));
@@ -478,7 +595,10 @@
     /// For planted bugs.
     pub(super) fn keep_shown(&mut self, n: usize, document: &Document) {
         if document.version > 0
-            && matches!(self.plan.planted, Planted::ReadsAnywhere | Planted::RestoredAsFresh)
+            && matches!(
+                self.plan.planted,
+                Planted::ReadsAnywhere | Planted::RestoredAsFresh
+            )
         {
             self.nodes[n].shown = Some(document.to_json().into_bytes());
         }
@@ -486,9 +606,13 @@
 
     /// An order made in calm times that still has no clear answer.
     pub(super) fn stuck_order(&self) -> Option<String> {
-        let stuck = |o: &&Order| !o.clear && self.is_steady(o.made) && self.now > o.made + ANSWER_BOUND;
+        let stuck =
+            |o: &&Order| !o.clear && self.is_steady(o.made) && self.now > o.made + ANSWER_BOUND;
         let order = self.orders.open.values().find(stuck)?;
         let content = &self.orders.contents[order.content];
-        Some(format!("no clear answer since {:?} to {} on {}", order.made, content.version, content.base))
+        Some(format!(
+            "no clear answer since {:?} to {} on {}",
+            order.made, content.version, content.base
+        ))
     }
 }
--- a/crates/simulator/src/world/readers.rs
+++ b/crates/simulator/src/world/readers.rs
@@ -86,8 +86,14 @@
 
 impl World<'_> {
     fn place_of(&self, addr: Addr) -> Option<Place> {
-        let member = self.nodes.iter().position(|n| n.seat.addr == addr).map(Place::Member);
-        let agent = (0..self.plan.agents).find(|k| agent_addr(*k) == addr).map(Place::Agent);
+        let member = self
+            .nodes
+            .iter()
+            .position(|n| n.seat.addr == addr)
+            .map(Place::Member);
+        let agent = (0..self.plan.agents)
+            .find(|k| agent_addr(*k) == addr)
+            .map(Place::Agent);
         member.or(agent)
     }
 
@@ -97,16 +103,29 @@
         let listed = self.nodes.iter().filter(|n| !n.gone).take(SEEDS);
         let seeds: Vec<Addr> = listed.map(|n| n.seat.addr).collect();
         let name = format!("{place:?}");
-        let caller = Caller { name: name.clone(), ..Caller::default() };
+        let caller = Caller {
+            name: name.clone(),
+            ..Caller::default()
+        };
         let (mirror, mut puller, seeds) = match place {
             Place::Member(n) => {
                 let seat = &self.nodes[n].seat;
-                (Mirror::new(seat.id, BEAT), Puller::new(&name, usize::MAX, Some(seat.addr)), seeds)
-            }
-            Place::Agent(_) => (Mirror::new(0, BEAT), Puller::new(&name, WATCHED, None).led(), seeds),
-            Place::Proxy(k) => {
-                (Mirror::new(0, BEAT).at_the_end(), Puller::new(&name, 1, None).fixed(), vec![agent_addr(k)])
+                (
+                    Mirror::new(seat.id, BEAT),
+                    Puller::new(&name, usize::MAX, Some(seat.addr)),
+                    seeds,
+                )
             }
+            Place::Agent(_) => (
+                Mirror::new(0, BEAT),
+                Puller::new(&name, WATCHED, None).led(),
+                seeds,
+            ),
+            Place::Proxy(k) => (
+                Mirror::new(0, BEAT).at_the_end(),
+                Puller::new(&name, 1, None).fixed(),
+                vec![agent_addr(k)],
+            ),
         };
         puller.set_seeds(&seeds);
         let station = Station {
@@ -138,7 +157,12 @@
         let broken: Vec<(Place, u32, u64)> = self
             .stations
             .iter()
-            .flat_map(|(p, s)| s.links.iter().filter(|l| *l.1 == place).map(|l| (*p, s.life, *l.0)))
+            .flat_map(|(p, s)| {
+                s.links
+                    .iter()
+                    .filter(|l| *l.1 == place)
+                    .map(|l| (*p, s.life, *l.0))
+            })
             .collect();
         for (other, life, link) in broken {
             if !self.is_cut(place, other) {
@@ -184,12 +208,16 @@
         }
         if let Place::Member(n) = place {
             if self.nodes[n].frozen {
-                self.nodes[n].held_back.push((0, What::Station { place, life, event }));
+                self.nodes[n]
+                    .held_back
+                    .push((0, What::Station { place, life, event }));
                 return;
             }
         }
         let now = self.station_clock(place);
-        let Some(station) = self.stations.get_mut(&place) else { return };
+        let Some(station) = self.stations.get_mut(&place) else {
+            return;
+        };
         let before = station.mirror.generation();
         let actions = match event {
             Event::Tick => {
@@ -197,7 +225,8 @@
                 station.puller.tick(now)
             }
             Event::Connected(link) if station.links.contains_key(&link) => {
-                if self.plan.planted == Planted::MirrorGoesBack && matches!(place, Place::Agent(_)) {
+                if self.plan.planted == Planted::MirrorGoesBack && matches!(place, Place::Agent(_))
+                {
                     station.mirror = Mirror::new(0, BEAT);
                 }
                 station.puller.connected(now, link)
@@ -210,12 +239,22 @@
                 // Of a link that was given up nobody knows when it was asked.
                 let news = match station.puller.asked(link) {
                     Some(asked) => news.aged(asked, now),
-                    None => News { age_ms: UNCONFIRMED, ..*news },
+                    None => News {
+                        age_ms: UNCONFIRMED,
+                        ..*news
+                    },
                 };
                 let taken = station.mirror.apply(now, &news);
-                station.puller.answered(now, link, news.member, news.age_ms, taken)
+                station
+                    .puller
+                    .answered(now, link, news.member, news.age_ms, taken)
             }
-            Event::Pulled { from, from_life, link, pull } => {
+            Event::Pulled {
+                from,
+                from_life,
+                link,
+                pull,
+            } => {
                 self.pulled(place, from, from_life, link, *pull);
                 Vec::new()
             }
@@ -232,7 +271,9 @@
 
     /// What a process has in force never goes back while it lives.
     fn check_forward(&mut self, place: Place) {
-        let Some(station) = self.stations.get_mut(&place) else { return };
+        let Some(station) = self.stations.get_mut(&place) else {
+            return;
+        };
         let now = (station.mirror.ledger(), station.mirror.document().version);
         let before = std::mem::replace(&mut station.seen, now);
         if now.0 < before.0 || now.1 < before.1 {
@@ -243,12 +284,20 @@
     /// What follows each event: pulls that waited are answered, the puller hears of members, the next tick is set.
     fn follow_up(&mut self, place: Place, before: u64) {
         let now = self.station_clock(place);
-        let Some(station) = self.stations.get_mut(&place) else { return };
+        let Some(station) = self.stations.get_mut(&place) else {
+            return;
+        };
         if station.mirror.generation() != before {
             let mark = station.mirror.fleet().mark;
             if mark != station.fleet {
                 station.fleet = mark;
-                let members: Vec<Addr> = station.mirror.fleet().members.iter().map(|s| s.addr).collect();
+                let members: Vec<Addr> = station
+                    .mirror
+                    .fleet()
+                    .members
+                    .iter()
+                    .map(|s| s.addr)
+                    .collect();
                 station.puller.set_members(members);
             }
             let waiting = std::mem::take(&mut station.waiting);
@@ -256,11 +305,20 @@
                 self.pulled_again(place, waits);
             }
         }
-        let Some(station) = self.stations.get_mut(&place) else { return };
+        let Some(station) = self.stations.get_mut(&place) else {
+            return;
+        };
         let actions = station.puller.tick(now);
         self.act(place, actions);
-        let Some(station) = self.stations.get_mut(&place) else { return };
-        let next = station.puller.next_tick().unwrap_or(now + ms(1000)).max(now + ms(1)).min(now + ms(1000));
+        let Some(station) = self.stations.get_mut(&place) else {
+            return;
+        };
+        let next = station
+            .puller
+            .next_tick()
+            .unwrap_or(now + ms(1000))
+            .max(now + ms(1))
+            .min(now + ms(1000));
         if station.tick_at <= now || next < station.tick_at {
             station.tick_at = next;
             let life = station.life;
@@ -274,29 +332,43 @@
 
     fn act(&mut self, place: Place, actions: Vec<Action>) {
         for action in actions {
-            let Some(station) = self.stations.get(&place) else { return };
+            let Some(station) = self.stations.get(&place) else {
+                return;
+            };
             let life = station.life;
             match action {
                 Action::Connect { link, addr } => {
-                    let Some(to) = self.place_of(addr) else { continue };
+                    let Some(to) = self.place_of(addr) else {
+                        continue;
+                    };
                     if self.is_cut(place, to) || self.is_cut(to, place) {
                         continue;
                     }
                     let back = self.way() * 2;
-                    let event =
-                        if self.is_running(to) { Event::Connected(link) } else { Event::Failed(link) };
+                    let event = if self.is_running(to) {
+                        Event::Connected(link)
+                    } else {
+                        Event::Failed(link)
+                    };
                     if let Some(station) = self.stations.get_mut(&place) {
                         station.links.insert(link, to);
                     }
                     self.reach_station(back, place, life, event);
                 }
                 Action::Pull { link, wait_ms } => {
-                    let Some(to) = station.links.get(&link).copied() else { continue };
+                    let Some(to) = station.links.get(&link).copied() else {
+                        continue;
+                    };
                     let pull = Box::new(station.mirror.pull(&station.caller, wait_ms));
                     let to_life = self.stations.get(&to).map_or(0, |s| s.life);
                     if !self.is_cut(place, to) {
                         let way = self.way();
-                        let event = Event::Pulled { from: place, from_life: life, link, pull };
+                        let event = Event::Pulled {
+                            from: place,
+                            from_life: life,
+                            link,
+                            pull,
+                        };
                         self.reach_station(way, to, to_life, event);
                     }
                 }
@@ -312,7 +384,13 @@
     /// A pull has come: it is answered at once where there are news, else it waits.
     fn pulled(&mut self, place: Place, from: Place, from_life: u32, link: u64, pull: Pull) {
         self.numbers += 1;
-        let waits = Waiting { number: self.numbers, from, from_life, link, pull };
+        let waits = Waiting {
+            number: self.numbers,
+            from,
+            from_life,
+            link,
+            pull,
+        };
         let (number, wait) = (waits.number, ms(waits.pull.wait_ms.into()));
         let life = self.stations.get(&place).map_or(0, |s| s.life);
         if !self.pulled_again(place, waits) {
@@ -323,7 +401,9 @@
     /// Whether a pull could be answered by news.
     fn pulled_again(&mut self, place: Place, waits: Waiting) -> bool {
         let now = self.station_clock(place);
-        let Some(station) = self.stations.get_mut(&place) else { return true };
+        let Some(station) = self.stations.get_mut(&place) else {
+            return true;
+        };
         match station.mirror.news_for(now, &waits.pull) {
             Some(news) => {
                 self.answer_pull(place, &waits, news);
@@ -338,8 +418,12 @@
 
     fn waited(&mut self, place: Place, number: u64) {
         let now = self.station_clock(place);
-        let Some(station) = self.stations.get_mut(&place) else { return };
-        let Some(index) = station.waiting.iter().position(|w| w.number == number) else { return };
+        let Some(station) = self.stations.get_mut(&place) else {
+            return;
+        };
+        let Some(index) = station.waiting.iter().position(|w| w.number == number) else {
+            return;
+        };
         let waits = station.waiting.swap_remove(index);
         let news = station.mirror.no_news(now);
         self.answer_pull(place, &waits, news);
@@ -350,15 +434,29 @@
             return;
         }
         let way = self.way();
-        let event = Event::News { link: waits.link, news: Box::new(news) };
+        let event = Event::News {
+            link: waits.link,
+            news: Box::new(news),
+        };
         self.reach_station(way, waits.from, waits.from_life, event);
     }
 
     /// A member's process tells its mirror what its state machine asked for, as the process in service does.
     pub(super) fn station_hears(&mut self, n: usize, output: &Output) {
-        let Some(station) = self.stations.get_mut(&Place::Member(n)) else { return };
+        let Some(station) = self.stations.get_mut(&Place::Member(n)) else {
+            return;
+        };
         let before = station.mirror.generation();
-        if let Output::Publish { seq, document, drains } | Output::Restore { seq, document, drains } = output
+        if let Output::Publish {
+            seq,
+            document,
+            drains,
+        }
+        | Output::Restore {
+            seq,
+            document,
+            drains,
+        } = output
         {
             station.mirror.set_ledger(*seq, document.clone(), drains);
             self.follow_up(Place::Member(n), before);
@@ -369,15 +467,26 @@
     pub(super) fn station_shows(&mut self, n: usize) {
         let now = self.clock(n);
         let node = &self.nodes[n];
-        let Some(member) = node.member.as_ref() else { return };
-        let Some(station) = self.stations.get_mut(&Place::Member(n)) else { return };
-        let Some(view) = member.view().filter(|v| v.epoch > 0) else { return };
+        let Some(member) = node.member.as_ref() else {
+            return;
+        };
+        let Some(station) = self.stations.get_mut(&Place::Member(n)) else {
+            return;
+        };
+        let Some(view) = member.view().filter(|v| v.epoch > 0) else {
+            return;
+        };
         let before = station.mirror.generation();
         if station.shown_fleet != (view.epoch, view.primary) {
             station.shown_fleet = (view.epoch, view.primary);
-            station.mirror.set_fleet(view.epoch, view.primary, view.voters.clone());
+            station
+                .mirror
+                .set_fleet(view.epoch, view.primary, view.voters.clone());
         }
-        if let Some(proof) = member.proof(now).filter(|proof| station.mirror.ledger() >= proof.committed) {
+        if let Some(proof) = member
+            .proof(now)
+            .filter(|proof| station.mirror.ledger() >= proof.committed)
+        {
             station.mirror.proved(proof.at);
         }
         if station.mirror.generation() != before {
@@ -387,11 +496,19 @@
 
     /// Before a command: the member hears from its mirror who the primary is.
     pub(super) fn member_learns(&mut self, n: usize) {
-        let Some(station) = self.stations.get(&Place::Member(n)) else { return };
-        let Fleet { epoch, primary, members, .. } = station.mirror.fleet();
-        if let (Some(primary), Some(member)) =
-            (members.iter().find(|s| s.id == *primary), self.nodes[n].member.as_mut())
-        {
+        let Some(station) = self.stations.get(&Place::Member(n)) else {
+            return;
+        };
+        let Fleet {
+            epoch,
+            primary,
+            members,
+            ..
+        } = station.mirror.fleet();
+        if let (Some(primary), Some(member)) = (
+            members.iter().find(|s| s.id == *primary),
+            self.nodes[n].member.as_mut(),
+        ) {
             member.learn_primary(*epoch, primary.clone());
         }
     }
@@ -399,26 +516,55 @@
     /// What agents and proxies have in force: never other than what was acknowledged under
     /// that number, and in calm times nothing that was acknowledged a while ago is missing.
     pub(super) fn check_readers(&mut self) {
-        let readers: Vec<Place> =
-            self.stations.keys().copied().filter(|p| !matches!(p, Place::Member(_))).collect();
+        let readers: Vec<Place> = self
+            .stations
+            .keys()
+            .copied()
+            .filter(|p| !matches!(p, Place::Member(_)))
+            .collect();
         let old = self.now.saturating_sub(READ_BOUND);
-        while self.orders.acknowledged_at.get(1).is_some_and(|a| a.0 <= old) {
+        while self
+            .orders
+            .acknowledged_at
+            .get(1)
+            .is_some_and(|a| a.0 <= old)
+        {
             self.orders.acknowledged_at.pop_front();
         }
-        let bound = self.orders.acknowledged_at.front().filter(|a| a.0 <= old).map_or(0, |a| a.1);
+        let bound = self
+            .orders
+            .acknowledged_at
+            .front()
+            .filter(|a| a.0 <= old)
+            .map_or(0, |a| a.1);
         for place in readers {
-            let Some(station) = self.stations.get(&place) else { continue };
-            let (now, since) = ((station.mirror.ledger(), station.mirror.document().version), station.since);
+            let Some(station) = self.stations.get(&place) else {
+                continue;
+            };
+            let (now, since) = (
+                (station.mirror.ledger(), station.mirror.document().version),
+                station.since,
+            );
             let document = self.stations[&place].mirror.document().clone();
             if !self.orders.is_shown(now.0, &document) {
-                self.breach(0, format!("{place:?} has {now:?}, which is not what was shown"));
+                self.breach(
+                    0,
+                    format!("{place:?} has {now:?}, which is not what was shown"),
+                );
             }
-            let in_touch = !self.cut.keys().any(|w| w.0 == place.machine() || w.1 == place.machine());
-            let calm = self.now.saturating_sub(self.calm_since.max(since)) > FIND_BOUND + READ_BOUND;
+            let in_touch = !self
+                .cut
+                .keys()
+                .any(|w| w.0 == place.machine() || w.1 == place.machine());
+            let calm =
+                self.now.saturating_sub(self.calm_since.max(since)) > FIND_BOUND + READ_BOUND;
             if calm && in_touch && !self.plan.safety_only && now.1 < bound {
                 self.breach(
                     0,
-                    format!("{place:?} has {} while {bound} was acknowledged before {old:?}", now.1),
+                    format!(
+                        "{place:?} has {} while {bound} was acknowledged before {old:?}",
+                        now.1
+                    ),
                 );
             }
         }
@@ -434,5 +580,8 @@
 }
 
 fn agent_addr(k: usize) -> Addr {
-    Addr { ip: 0x7f00_0001 + k as u32, port: 7661 }
+    Addr {
+        ip: 0x7f00_0001 + k as u32,
+        port: 7661,
+    }
 }
--- a/crates/simulator/src/world/strike.rs
+++ b/crates/simulator/src/world/strike.rs
@@ -8,7 +8,11 @@
 
 impl World<'_> {
     pub(super) fn strike(&mut self, fault: Fault) {
-        self.calm_since = if self.plan.strict { self.now } else { Duration::MAX / 2 };
+        self.calm_since = if self.plan.strict {
+            self.now
+        } else {
+            Duration::MAX / 2
+        };
         self.note(|_| format!("strikes: {fault:?}"));
         let heal = match fault {
             Fault::Kill(n, d) | Fault::Power(n, d) => {
--- a/crates/simulator/tests/planted.rs
+++ b/crates/simulator/tests/planted.rs
@@ -7,7 +7,10 @@
 /// Whether a plan finds a bug; what breaks without the bug shows nothing of it.
 fn finds(planted: Planted, plan: Plan) -> bool {
     let breaks = |plan: Plan| !run(&plan).breaches.is_empty();
-    breaks(Plan { planted, ..plan.clone() }) && !breaks(plan)
+    breaks(Plan {
+        planted,
+        ..plan.clone()
+    }) && !breaks(plan)
 }
 
 /// The first seed that finds a bug.
@@ -41,7 +44,10 @@
 #[case(Planted::LosesEveryTenthWrite, Mode::Drawn, 20)]
 fn a_planted_bug_is_found(#[case] planted: Planted, #[case] mode: Mode, #[case] within: u64) {
     let found = first_find(planted, mode, within);
-    assert!(found.is_some(), "{planted:?} was not found within {within} seeds of {mode:?}");
+    assert!(
+        found.is_some(),
+        "{planted:?} was not found within {within} seeds of {mode:?}"
+    );
 }
 
 /// A single draw of few seeds is a matter of luck where a bug needs two rare things at once; its rate over more seeds
@@ -54,8 +60,13 @@
     #[case] one_in: u64,
     #[case] seeds: u64,
 ) {
-    let found = (0..seeds).filter(|seed| finds(planted, mode.plan(*seed))).count() as u64;
-    assert!(found * one_in >= seeds, "{planted:?} was found by {found} of {seeds} seeds of {mode:?}");
+    let found = (0..seeds)
+        .filter(|seed| finds(planted, mode.plan(*seed)))
+        .count() as u64;
+    assert!(
+        found * one_in >= seeds,
+        "{planted:?} was found by {found} of {seeds} seeds of {mode:?}"
+    );
 }
 
 /// The first of three members acts. The third is out of touch for long enough to be replaced, and back in touch just
@@ -67,14 +78,24 @@
     let silent = Duration::from_millis(3600);
     let faults = vec![
         (joins - silent, Fault::Cut(2, silent, None)),
-        (joins - Duration::from_millis(20), Fault::CutPair(0, 1, long)),
+        (
+            joins - Duration::from_millis(20),
+            Fault::CutPair(0, 1, long),
+        ),
         (joins, Fault::Join),
         (joins + after, Fault::CutPair(0, 2, long)),
         (joins + after, Fault::CutPair(3, 1, long)),
         (joins + after, Fault::CutPair(3, 2, long)),
     ];
     let (orders, length) = (Some(Orders::default()), joins + long);
-    Plan { strict: true, safety_only: true, orders, faults, length, ..Plan::calm(seed) }
+    Plan {
+        strict: true,
+        safety_only: true,
+        orders,
+        faults,
+        length,
+        ..Plan::calm(seed)
+    }
 }
 
 /// It takes two majorities that don't meet: one of the voters before a replacement and one of those after it, where
@@ -83,10 +104,18 @@
 fn voters_before_forgotten_is_found() {
     let planted = Planted::VotersBeforeForgotten;
     let tries = (0..20).flat_map(|seed| (4..16).map(move |ms| (seed, Duration::from_millis(ms))));
-    let plans: Vec<Plan> =
-        tries.map(|(seed, after)| cut_in_two_while_a_voter_is_replaced(seed, after)).collect();
-    let broken = plans.iter().map(run).find(|report| !report.breaches.is_empty());
-    assert!(broken.is_none(), "{:?}", broken.map(|report| report.breaches));
+    let plans: Vec<Plan> = tries
+        .map(|(seed, after)| cut_in_two_while_a_voter_is_replaced(seed, after))
+        .collect();
+    let broken = plans
+        .iter()
+        .map(run)
+        .find(|report| !report.breaches.is_empty());
+    assert!(
+        broken.is_none(),
+        "{:?}",
+        broken.map(|report| report.breaches)
+    );
     let found = plans.iter().find(|plan| finds(planted, Plan::clone(plan)));
     assert!(found.is_some(), "{planted:?} was not found");
 }
--- a/crates/simulator/tests/schedules.rs
+++ b/crates/simulator/tests/schedules.rs
@@ -5,18 +5,28 @@
 
 #[test]
 fn a_hundred_drawn_schedules_break_nothing() {
-    let many: u64 = std::env::var("SIMULATOR_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(100);
-    let broken: Vec<_> =
-        (0..many).map(|seed| (seed, run(&Plan::drawn(seed)))).filter(|r| !r.1.breaches.is_empty()).collect();
-    let shown: Vec<_> =
-        broken.iter().map(|(s, r)| (s, Plan::drawn(*s).faults, &r.breaches)).take(5).collect();
+    let many: u64 = std::env::var("SIMULATOR_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(100);
+    let broken: Vec<_> = (0..many)
+        .map(|seed| (seed, run(&Plan::drawn(seed))))
+        .filter(|r| !r.1.breaches.is_empty())
+        .collect();
+    let shown: Vec<_> = broken
+        .iter()
+        .map(|(s, r)| (s, Plan::drawn(*s).faults, &r.breaches))
+        .take(5)
+        .collect();
     assert!(broken.is_empty(), "{} of {many}: {shown:#?}", broken.len());
 }
 
 #[test]
 fn two_hundred_rough_schedules_break_nothing() {
-    let broken: Vec<_> =
-        (0..200).map(|seed| (seed, run(&Plan::rough(seed)).breaches)).filter(|r| !r.1.is_empty()).collect();
+    let broken: Vec<_> = (0..200)
+        .map(|seed| (seed, run(&Plan::rough(seed)).breaches))
+        .filter(|r| !r.1.is_empty())
+        .collect();
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
@@ -24,12 +34,18 @@
 #[rstest]
 fn a_schedule_that_broke_something_once_breaks_nothing(
     #[values(
-        6, 59, 83, 103, 209, 293, 328, 787, 1410, 1475, 1885, 1921, 1995, 2555, 2700, 2875, 2892, 101_477
+        6, 59, 83, 103, 209, 293, 328, 787, 1410, 1475, 1885, 1921, 1995, 2555, 2700, 2875, 2892,
+        101_477
     )]
     seed: u64,
 ) {
     let report = run(&Plan::drawn(seed));
-    assert!(report.breaches.is_empty(), "{:?} {:?}", Plan::drawn(seed).faults, report.breaches);
+    assert!(
+        report.breaches.is_empty(),
+        "{:?} {:?}",
+        Plan::drawn(seed).faults,
+        report.breaches
+    );
 }
 
 /// Of twelve members three have no say. While the simulator didn't tell them who acts, as a process's mirror does, an
@@ -38,13 +54,21 @@
 fn members_without_a_say_are_told_who_acts() {
     let plan = Plan::aimed(101_714);
     let report = run(&plan);
-    assert!(report.breaches.is_empty(), "{:?} {:?}", plan.aimed, report.breaches);
+    assert!(
+        report.breaches.is_empty(),
+        "{:?} {:?}",
+        plan.aimed,
+        report.breaches
+    );
 }
 
 #[test]
 fn a_run_is_the_same_again() {
     let (a, b) = (run(&Plan::drawn(7)), run(&Plan::drawn(7)));
-    assert_eq!((a.steps, a.acknowledged, a.epoch), (b.steps, b.acknowledged, b.epoch));
+    assert_eq!(
+        (a.steps, a.acknowledged, a.epoch),
+        (b.steps, b.acknowledged, b.epoch)
+    );
 }
 
 /// Forgotten promises are searched by a mode of their own, in `planted.rs`.
