--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -5,7 +5,7 @@
 //! # runtime.block_on(async {
 //! let text = r#"{"node_name":"edge-1","role":"agent","ip_addr":"127.0.0.9","zone":"a",
 //!     "port_range":[7660,7675],"bind":{"agent":"127.0.0.1:0"},"seed_nodes":["127.0.0.8:8146"]}"#;
-//! let boot = configuration::Boot::read(text).unwrap();
+//! let boot = configuration::ProcessSettings::read(text).unwrap();
 //! // Whoever follows the settings file says here when its seeds change.
 //! let (_seeds, following) = tokio::sync::watch::channel(boot.seed_nodes.clone());
 //! let stop = std::future::ready(());
@@ -15,7 +15,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use configuration::Boot;
+use configuration::ProcessSettings;
 use replication::client::{self, Control};
 use replication::{
     agent_addr, caller, member_addr, no_seat, serve, Mirror, Puller, SharedMirror, WATCHED,
@@ -50,7 +50,7 @@
 /// # Errors
 /// Where it can't listen.
 pub async fn run(
-    boot: Boot,
+    boot: ProcessSettings,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), Error> {
@@ -105,12 +105,12 @@
 
 /// What an agent starts with: nothing, and it takes nothing for the truth that a member tells which is cut off, while
 /// another may know better.
-pub fn mirror(boot: &Boot) -> Mirror {
+pub fn mirror(boot: &ProcessSettings) -> Mirror {
     Mirror::new(0, Duration::from_millis(boot.beat_period_ms)).withholding()
 }
 
 /// Whom an agent pulls from: a few members, one of which tells it the news.
-pub fn puller(boot: &Boot) -> Puller {
+pub fn puller(boot: &ProcessSettings) -> Puller {
     let mut puller = Puller::new(&boot.node_name, WATCHED, None).led();
     puller.set_seeds(&replication::seed_addrs(boot));
     puller
@@ -136,7 +136,7 @@
 
 /// Hands the seeds on whenever they change.
 async fn follow_seeds(
-    boot: &Boot,
+    boot: &ProcessSettings,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
     control: &UnboundedSender<Control>,
 ) {
--- a/crates/agent/tests/chain.rs
+++ b/crates/agent/tests/chain.rs
@@ -1,8 +1,8 @@
 //! A fake member serves; the agent and the proxy's mirror behind it follow.
 
-use configuration::{Boot, Document};
-use protocol::{Addr, HostRecord, Mark, MemberInfo, SourceNews};
-use replication::{client, Mirror, News, Puller, SharedMirror, Snapshot};
+use configuration::{Configuration, ProcessSettings};
+use protocol::{Addr, HostRecord, MemberInfo, OriginUpdate, OriginVersion};
+use replication::{client, Mirror, Puller, SharedMirror, Snapshot, Update};
 use std::future::Future;
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -24,21 +24,21 @@
     }
 }
 
-fn boot(port: u16, seeds: &[&str]) -> Boot {
+fn boot(port: u16, seeds: &[&str]) -> ProcessSettings {
     let seeds: Vec<String> = seeds.iter().map(|ip| format!("{ip}:9")).collect();
     let json = serde_json::json!({
         "node_name": "edge-1", "role": "agent", "ip_addr": "127.0.0.9", "zone": "z", "region": "r",
         "port_range": [port, port + 15], "seed_nodes": seeds, "beat_period_ms": 1200,
     });
-    Boot::read(&json.to_string()).unwrap()
+    ProcessSettings::read(&json.to_string()).unwrap()
 }
 
-fn document(version: u64) -> Arc<Document> {
+fn document(version: u64) -> Arc<Configuration> {
     let text = format!(
         r#"{{"version":{version},"routes":[{{"name":"a","hostname":"h","path_prefix":"/","route_class":"pure",
         "deadline_ms":{version}000,"service":"s"}}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
     );
-    Arc::new(Document::read(text.as_bytes(), 0).unwrap())
+    Arc::new(Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
 fn host(id: &str, call_seq: u64) -> HostRecord {
@@ -56,16 +56,16 @@
     }
 }
 
-fn source(id: u64, seq: u64, hosts: Vec<HostRecord>) -> News {
-    let mark = Mark { id, life: 1, seq };
-    News {
-        sources: vec![SourceNews {
+fn source(id: u64, seq: u64, hosts: Vec<HostRecord>) -> Update {
+    let mark = OriginVersion { id, life: 1, seq };
+    Update {
+        sources: vec![OriginUpdate {
             mark,
             whole: seq == 1,
             hosts,
             coordinators: vec![],
         }],
-        ..News::default()
+        ..Update::default()
     }
 }
 
@@ -112,7 +112,7 @@
     fake
 }
 
-fn proxy(boot: &Boot) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
+fn proxy(boot: &ProcessSettings) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
     let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).at_the_end());
     let (control, told) = mpsc::unbounded_channel();
     let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
@@ -129,7 +129,7 @@
 
 /// The agent with the seeds of its settings.
 fn agent<S: Future<Output = ()>>(
-    boot: &Boot,
+    boot: &ProcessSettings,
     stop: S,
 ) -> impl Future<Output = Result<(), agent::Error>> {
     let (sender, seeds) = watch::channel(boot.seed_nodes.clone());
--- a/crates/agent/tests/cut_off.rs
+++ b/crates/agent/tests/cut_off.rs
@@ -1,7 +1,7 @@
 //! An agent that starts while a member is cut off, on simulated time: what it shows its proxy, and when.
 
-use configuration::{Boot, Document};
-use protocol::{Addr, Caller, MemberInfo};
+use configuration::{Configuration, ProcessSettings};
+use protocol::{Addr, MemberInfo, Subscriber};
 use replication::{Action, Mirror, CONNECT_TIMEOUT};
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -14,21 +14,21 @@
     Duration::from_millis(ms)
 }
 
-fn boot() -> Boot {
+fn boot() -> ProcessSettings {
     let seeds = ["10.0.0.1:9", "10.0.0.2:9", "10.0.0.3:9"];
     let json = serde_json::json!({
         "node_name": "edge-1", "role": "agent", "ip_addr": "10.0.1.1", "zone": "z", "region": "r",
         "port_range": [PORT, PORT + 15], "seed_nodes": seeds, "beat_period_ms": 1200,
     });
-    Boot::read(&json.to_string()).unwrap()
+    ProcessSettings::read(&json.to_string()).unwrap()
 }
 
-fn document(version: u64) -> Arc<Document> {
+fn document(version: u64) -> Arc<Configuration> {
     let text = format!(
         r#"{{"version":{version},"routes":[{{"name":"a","hostname":"h","path_prefix":"/","route_class":"pure",
         "deadline_ms":1000,"service":"s"}}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
     );
-    Arc::new(Document::read(text.as_bytes(), 0).unwrap())
+    Arc::new(Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
 /// What becomes of a member's connections.
@@ -96,11 +96,11 @@
                     let mut member = Mirror::new(members[n].id, ms(1200));
                     member.set_ledger(version, document(version), &[]);
                     member.set_fleet(1, 1, members.clone());
-                    let pull = mirror.pull(&Caller::default(), 0);
+                    let pull = mirror.pull(&Subscriber::default(), 0);
                     let told = member
                         .news_for(ms(now), &pull)
                         .unwrap_or_else(|| member.no_news(ms(now)));
-                    let told = replication::News { age_ms, ..told };
+                    let told = replication::Update { age_ms, ..told };
                     let taken = mirror.apply(ms(now), &told);
                     puller.answered(ms(now), link, members[n].id, age_ms, taken)
                 }
@@ -117,7 +117,7 @@
                     coming.push((now + 2, link, true));
                 }
                 Action::Pull { link, wait_ms } => {
-                    let pull = mirror.pull(&Caller::default(), wait_ms);
+                    let pull = mirror.pull(&Subscriber::default(), wait_ms);
                     let has_news = match state(links[&link]) {
                         State::Serves { version, .. } => version > pull.ledger,
                         State::Refuses | State::Silent => false,
--- a/crates/configuration/src/boot.rs
+++ b/crates/configuration/src/boot.rs
@@ -10,14 +10,14 @@
 /// ```
 /// let text = r#"{"node_name":"core-1","role":"control-plane","ip_addr":"10.1.0.38","zone":"a",
 ///     "port_range":[7660,7675],"bind":{"control":"10.1.0.38:8146"},"added_later":true}"#;
-/// let boot = configuration::Boot::read(text).unwrap();
+/// let boot = configuration::ProcessSettings::read(text).unwrap();
 /// assert_eq!(boot.bind.control.unwrap().port(), 8146);
 /// assert_eq!(boot.beat_period_ms, 1200, "where the file says nothing");
-/// let error = configuration::Boot::read(r#"{"node_name":"core-1"}"#).unwrap_err();
+/// let error = configuration::ProcessSettings::read(r#"{"node_name":"core-1"}"#).unwrap_err();
 /// assert!(error.to_string().contains("role"), "{error}");
 /// ```
 #[derive(Clone, Debug, Deserialize)]
-pub struct Boot {
+pub struct ProcessSettings {
     /// The machine's name.
     pub node_name: String,
     /// The role's name in the deploy file.
@@ -73,12 +73,12 @@
     1200
 }
 
-impl Boot {
+impl ProcessSettings {
     /// Reads the settings file's text.
     ///
     /// # Errors
     /// Where a field that is needed is missing or has another type; the message names it.
-    pub fn read(text: &str) -> Result<Boot, serde_json::Error> {
+    pub fn read(text: &str) -> Result<ProcessSettings, serde_json::Error> {
         serde_json::from_str(text)
     }
 }
--- a/crates/configuration/src/codes.rs
+++ b/crates/configuration/src/codes.rs
@@ -5,29 +5,29 @@
         /// A result: its number is stable, its HTTP status is what callers of the interfaces see.
         ///
         /// ```
-        /// use configuration::Code;
-        /// assert_eq!((Code::OtherBase.number(), Code::OtherBase.status()), (120, 412));
-        /// assert_eq!(Code::of(120), Some(Code::OtherBase));
+        /// use configuration::ResultCode;
+        /// assert_eq!((ResultCode::OtherBase.number(), ResultCode::OtherBase.status()), (120, 412));
+        /// assert_eq!(ResultCode::of(120), Some(ResultCode::OtherBase));
         /// ```
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         #[repr(u16)]
-        pub enum Code { $($(#[$doc])* $name = $number,)* }
+        pub enum ResultCode { $($(#[$doc])* $name = $number,)* }
 
-        impl Code {
+        impl ResultCode {
             /// All codes, by number.
-            pub const ALL: &'static [Code] = &[$(Code::$name,)*];
+            pub const ALL: &'static [ResultCode] = &[$(ResultCode::$name,)*];
 
             /// The number.
             pub fn number(self) -> u16 { self as u16 }
 
             /// The HTTP status that goes with it.
-            pub fn status(self) -> u16 { match self { $(Code::$name => $status,)* } }
+            pub fn status(self) -> u16 { match self { $(ResultCode::$name => $status,)* } }
 
             /// What it means, in a few words.
-            pub fn text(self) -> &'static str { match self { $(Code::$name => $text,)* } }
+            pub fn text(self) -> &'static str { match self { $(ResultCode::$name => $text,)* } }
 
             /// The code with this number.
-            pub fn of(number: u16) -> Option<Code> { Self::ALL.iter().copied().find(|c| c.number() == number) }
+            pub fn of(number: u16) -> Option<ResultCode> { Self::ALL.iter().copied().find(|c| c.number() == number) }
         }
     };
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration: items kept as they were sent, with what they say beside.
 
-use crate::codes::Code;
+use crate::codes::ResultCode;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use snafu::Snafu;
@@ -10,21 +10,21 @@
 /// Why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{} ({}): {detail}", code.text(), code.number()))]
-pub struct Invalid {
+pub struct InvalidConfiguration {
     /// The numbered reason.
-    pub code: Code,
+    pub code: ResultCode,
     /// The item or place.
     pub detail: String,
 }
 
-fn invalid<T>(code: Code, detail: impl Into<String>) -> Result<T, Invalid> {
-    InvalidSnafu { code, detail }.fail()
+fn invalid<T>(code: ResultCode, detail: impl Into<String>) -> Result<T, InvalidConfiguration> {
+    InvalidConfigurationSnafu { code, detail }.fail()
 }
 
 /// Kind of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Pure,
     /// May run at most once for each try.
@@ -35,7 +35,7 @@
 
 /// A service that a route leads to, with its weight.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Target {
+pub struct RouteTarget {
     /// The service's name.
     pub service: String,
     /// Its weight among the route's targets.
@@ -54,7 +54,7 @@
     pub path_prefix: String,
     /// Kind of its requests.
     #[serde(rename = "route_class")]
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest that a request is held, in ms.
     pub deadline_ms: f64,
     /// The time within which an answer earns its full worth, in ms.
@@ -68,7 +68,7 @@
     pub service: Option<String>,
     /// Several services with weights.
     #[serde(default)]
-    pub weighted_split: Option<Vec<Target>>,
+    pub weighted_split: Option<Vec<RouteTarget>>,
     /// The most hosts that one try may be sent to.
     #[serde(default = "one")]
     pub max_tries: u32,
@@ -102,7 +102,7 @@
 
     /// Whether a request may run more than once.
     pub fn idempotent(&self) -> bool {
-        self.kind == Kind::Pure || (self.kind == Kind::Streaming && self.resumable)
+        self.kind == RouteKind::Pure || (self.kind == RouteKind::Streaming && self.resumable)
     }
 }
 
@@ -166,18 +166,18 @@
 }
 
 /// Something with a name.
-pub trait Named {
+pub trait HasName {
     /// The name.
     fn name(&self) -> &str;
 }
 
-impl Named for Route {
+impl HasName for Route {
     fn name(&self) -> &str {
         &self.name
     }
 }
 
-impl Named for Service {
+impl HasName for Service {
     fn name(&self) -> &str {
         &self.name
     }
@@ -185,46 +185,46 @@
 
 /// An item as it was sent, and what it says.
 #[derive(Clone, Debug)]
-pub struct Item<T> {
+pub struct ConfigurationItem<T> {
     /// The JSON text.
     pub raw: Arc<str>,
     /// The value.
     pub value: Arc<T>,
 }
 
-impl<T> PartialEq for Item<T> {
+impl<T> PartialEq for ConfigurationItem<T> {
     fn eq(&self, other: &Self) -> bool {
         self.raw == other.raw
     }
 }
 
-impl<T: serde::de::DeserializeOwned> Item<T> {
+impl<T: serde::de::DeserializeOwned> ConfigurationItem<T> {
     /// Reads an item.
     ///
     /// # Errors
     /// Where the text doesn't say such an item.
-    pub fn read(raw: &str) -> Result<Self, Invalid> {
+    pub fn read(raw: &str) -> Result<Self, InvalidConfiguration> {
         match serde_json::from_str(raw) {
             Ok(value) => Ok(Self {
                 raw: raw.into(),
                 value: Arc::new(value),
             }),
-            Err(e) => invalid(Code::BadValue, e.to_string()),
+            Err(e) => invalid(ResultCode::BadValue, e.to_string()),
         }
     }
 }
 
 /// A whole configuration.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Document {
+pub struct Configuration {
     /// Its version; 0 stands for none.
     pub version: u64,
     /// The routes in the order they came in.
-    pub routes: Vec<Item<Route>>,
+    pub routes: Vec<ConfigurationItem<Route>>,
     /// The services.
-    pub services: Vec<Item<Service>>,
+    pub services: Vec<ConfigurationItem<Service>>,
     /// Bounds on clients, as sent.
-    pub limits: Option<Item<Limits>>,
+    pub limits: Option<ConfigurationItem<Limits>>,
 }
 
 #[derive(Deserialize)]
@@ -262,7 +262,7 @@
 
 /// What leads from one configuration to a later one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Delta {
+pub struct ConfigurationDelta {
     /// The version it starts from.
     pub from: u64,
     /// The version it leads to.
@@ -281,11 +281,13 @@
 
 fn read_all<T: serde::de::DeserializeOwned>(
     raws: &[Box<RawValue>],
-) -> Result<Vec<Item<T>>, Invalid> {
-    raws.iter().map(|r| Item::read(r.get())).collect()
+) -> Result<Vec<ConfigurationItem<T>>, InvalidConfiguration> {
+    raws.iter()
+        .map(|r| ConfigurationItem::read(r.get()))
+        .collect()
 }
 
-fn upsert<T: Named>(list: &mut Vec<Item<T>>, new: Vec<Item<T>>) {
+fn upsert<T: HasName>(list: &mut Vec<ConfigurationItem<T>>, new: Vec<ConfigurationItem<T>>) {
     let at: HashMap<String, usize> = list
         .iter()
         .enumerate()
@@ -299,13 +301,17 @@
     }
 }
 
-fn without<T: Named>(list: &mut Vec<Item<T>>, names: &[String]) {
+fn without<T: HasName>(list: &mut Vec<ConfigurationItem<T>>, names: &[String]) {
     let names: HashSet<&str> = names.iter().map(String::as_str).collect();
     list.retain(|i| !names.contains(i.value.name()));
 }
 
-fn changed<T: Named>(old: &[Item<T>], new: &[Item<T>]) -> (Vec<String>, Vec<String>) {
-    let before: HashMap<&str, &Item<T>> = old.iter().map(|i| (i.value.name(), i)).collect();
+fn changed<T: HasName>(
+    old: &[ConfigurationItem<T>],
+    new: &[ConfigurationItem<T>],
+) -> (Vec<String>, Vec<String>) {
+    let before: HashMap<&str, &ConfigurationItem<T>> =
+        old.iter().map(|i| (i.value.name(), i)).collect();
     let after: HashSet<&str> = new.iter().map(|i| i.value.name()).collect();
     let set = new
         .iter()
@@ -318,11 +324,12 @@
 }
 
 /// Takes items that are as they were from `before`, so that both documents have them once in memory.
-fn share<T: Named>(items: &mut [Item<T>], before: &[Item<T>]) {
-    let known: HashMap<&str, &Item<T>> = before.iter().map(|i| (i.value.name(), i)).collect();
+fn share<T: HasName>(items: &mut [ConfigurationItem<T>], before: &[ConfigurationItem<T>]) {
+    let known: HashMap<&str, &ConfigurationItem<T>> =
+        before.iter().map(|i| (i.value.name(), i)).collect();
     for item in items {
         if let Some(same) = known.get(item.value.name()).filter(|k| k.raw == item.raw) {
-            *item = Item {
+            *item = ConfigurationItem {
                 raw: same.raw.clone(),
                 value: same.value.clone(),
             };
@@ -330,7 +337,7 @@
     }
 }
 
-fn new_bytes<T>(items: &[Item<T>], before: &[Item<T>]) -> usize {
+fn new_bytes<T>(items: &[ConfigurationItem<T>], before: &[ConfigurationItem<T>]) -> usize {
     let known: HashSet<*const u8> = before.iter().map(|i| i.raw.as_ptr()).collect();
     items
         .iter()
@@ -339,28 +346,31 @@
         .sum()
 }
 
-fn same_name<T: Named>(list: &[Item<T>]) -> Option<&str> {
+fn same_name<T: HasName>(list: &[ConfigurationItem<T>]) -> Option<&str> {
     let mut seen = HashSet::new();
     list.iter()
         .map(|i| i.value.name())
         .find(|n| !seen.insert(*n))
 }
 
-impl Document {
+impl Configuration {
     /// Reads a whole configuration that is to follow version `current` (0: none) and checks it.
     ///
     /// # Errors
     /// Where it is invalid: the numbered reason and the place.
-    pub fn read(body: &[u8], current: u64) -> Result<Document, Invalid> {
+    pub fn read(body: &[u8], current: u64) -> Result<Configuration, InvalidConfiguration> {
         let whole: Whole = match serde_json::from_slice(body) {
             Ok(whole) => whole,
-            Err(e) => return invalid(Code::Unreadable, e.to_string()),
+            Err(e) => return invalid(ResultCode::Unreadable, e.to_string()),
         };
-        let document = Document {
+        let document = Configuration {
             version: whole.version,
             routes: read_all(&whole.routes)?,
             services: read_all(&whole.services)?,
-            limits: whole.limits.map(|l| Item::read(l.get())).transpose()?,
+            limits: whole
+                .limits
+                .map(|l| ConfigurationItem::read(l.get()))
+                .transpose()?,
         };
         document.check(current)?;
         Ok(document)
@@ -370,10 +380,10 @@
     ///
     /// # Errors
     /// Where the amendment can't be read or what it leads to is invalid.
-    pub fn amended(&self, body: &[u8]) -> Result<Document, Invalid> {
+    pub fn amended(&self, body: &[u8]) -> Result<Configuration, InvalidConfiguration> {
         let amendment: Amendment = match serde_json::from_slice(body) {
             Ok(amendment) => amendment,
-            Err(e) => return invalid(Code::Unreadable, e.to_string()),
+            Err(e) => return invalid(ResultCode::Unreadable, e.to_string()),
         };
         let mut next = self.clone();
         next.version = amendment.version;
@@ -384,20 +394,20 @@
             read_all(&amendment.upsert.services)?,
         );
         if let Some(name) = same_name::<Route>(&routes).or(same_name::<Service>(&services)) {
-            return invalid(Code::SameName, name);
+            return invalid(ResultCode::SameName, name);
         }
         upsert(&mut next.routes, routes);
         upsert(&mut next.services, services);
         if let Some(limits) = amendment.upsert.limits {
-            next.limits = Some(Item::read(limits.get())?);
+            next.limits = Some(ConfigurationItem::read(limits.get())?);
         }
         next.check(self.version)?;
         Ok(next)
     }
 
-    fn check(&self, current: u64) -> Result<(), Invalid> {
+    fn check(&self, current: u64) -> Result<(), InvalidConfiguration> {
         if let Some(name) = same_name(&self.routes).or(same_name(&self.services)) {
-            return invalid(Code::SameName, name);
+            return invalid(ResultCode::SameName, name);
         }
         let services: HashSet<&str> = self
             .services
@@ -411,31 +421,34 @@
                 .into_iter()
                 .find(|t| !services.contains(t.0))
             {
-                return invalid(Code::UnknownService, format!("{}: {service}", route.name));
+                return invalid(
+                    ResultCode::UnknownService,
+                    format!("{}: {service}", route.name),
+                );
             }
             if !places.insert((
                 route.hostname.to_ascii_lowercase(),
                 route.path_prefix.as_str(),
             )) {
-                return invalid(Code::SamePlace, &route.name);
+                return invalid(ResultCode::SamePlace, &route.name);
             }
             let weights = route.targets();
             if weights.iter().any(|t| !t.1.is_finite() || t.1 < 0.0) {
-                return invalid(Code::BadValue, format!("{}: a weight", route.name));
+                return invalid(ResultCode::BadValue, format!("{}: a weight", route.name));
             }
             if weights.iter().map(|t| t.1).sum::<f64>() <= 0.0 {
-                return invalid(Code::NoWeight, &route.name);
+                return invalid(ResultCode::NoWeight, &route.name);
             }
             if route.deadline_ms.is_nan() || route.deadline_ms <= 0.0 {
-                return invalid(Code::NoDeadline, &route.name);
+                return invalid(ResultCode::NoDeadline, &route.name);
             }
             if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
-                return invalid(Code::BadValue, format!("{}: path_prefix", route.name));
+                return invalid(ResultCode::BadValue, format!("{}: path_prefix", route.name));
             }
         }
         if self.version <= current {
             return invalid(
-                Code::OldVersion,
+                ResultCode::OldVersion,
                 format!("{} after {current}", self.version),
             );
         }
@@ -443,14 +456,14 @@
     }
 
     /// This configuration, with each item that `before` has as well kept in memory once for both.
-    pub fn sharing(mut self, before: &Document) -> Document {
+    pub fn sharing(mut self, before: &Configuration) -> Configuration {
         share(&mut self.routes, &before.routes);
         share(&mut self.services, &before.services);
         self
     }
 
     /// Bytes of JSON of the items that aren't shared with `before`.
-    pub fn unshared_bytes(&self, before: &Document) -> usize {
+    pub fn unshared_bytes(&self, before: &Configuration) -> usize {
         new_bytes(&self.routes, &before.routes) + new_bytes(&self.services, &before.services)
     }
 
@@ -470,7 +483,7 @@
     }
 
     /// What leads from this configuration to `newer`.
-    pub fn delta(&self, newer: &Document) -> Delta {
+    pub fn delta(&self, newer: &Configuration) -> ConfigurationDelta {
         let (routes, gone_routes) = changed(&self.routes, &newer.routes);
         let (services, gone_services) = changed(&self.services, &newer.services);
         let limits = newer
@@ -478,7 +491,7 @@
             .as_ref()
             .filter(|_| self.limits != newer.limits)
             .map(|l| l.raw.to_string());
-        Delta {
+        ConfigurationDelta {
             from: self.version,
             to: newer.version,
             routes,
@@ -494,10 +507,13 @@
     ///
     /// # Errors
     /// Where it starts from another version or an item can't be read.
-    pub fn patched(&self, delta: &Delta) -> Result<Document, Invalid> {
+    pub fn patched(
+        &self,
+        delta: &ConfigurationDelta,
+    ) -> Result<Configuration, InvalidConfiguration> {
         if delta.from != self.version {
             return invalid(
-                Code::OtherBase,
+                ResultCode::OtherBase,
                 format!("{} on {}", delta.from, self.version),
             );
         }
@@ -507,7 +523,7 @@
         without(&mut next.services, &delta.gone_services);
         let items = |raws: &[String]| {
             raws.iter()
-                .map(|r| Item::read(r))
+                .map(|r| ConfigurationItem::read(r))
                 .collect::<Result<Vec<_>, _>>()
         };
         upsert(&mut next.routes, items(&delta.routes)?);
@@ -516,11 +532,11 @@
             delta
                 .services
                 .iter()
-                .map(|r| Item::read(r))
+                .map(|r| ConfigurationItem::read(r))
                 .collect::<Result<_, _>>()?,
         );
         if let Some(limits) = &delta.limits {
-            next.limits = Some(Item::read(limits)?);
+            next.limits = Some(ConfigurationItem::read(limits)?);
         }
         Ok(next)
     }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the system is told: the settings of a process ([`Boot`]) and the operator's configuration
-//! ([`Document`]), read and checked. No I/O.
+//! What the system is told: the settings of a process ([`ProcessSettings`]) and the operator's configuration
+//! ([`Configuration`]), read and checked. No I/O.
 //!
 //! ```
-//! use configuration::Document;
+//! use configuration::Configuration;
 //! let text = br#"{"version":2,"routes":[],"services":[],"limits":{}}"#;
-//! let first = Document::read(text, 0).unwrap();
+//! let first = Configuration::read(text, 0).unwrap();
 //! assert_eq!(first.version, 2);
-//! assert!(Document::read(text, 2).is_err(), "a version has to rise");
+//! assert!(Configuration::read(text, 2).is_err(), "a version has to rise");
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -15,8 +15,9 @@
 mod codes;
 mod document;
 
-pub use boot::{Bind, Boot, Bounds, FaultBudget, MachineLimits};
-pub use codes::Code;
+pub use boot::{Bind, Bounds, FaultBudget, MachineLimits, ProcessSettings};
+pub use codes::ResultCode;
 pub use document::{
-    Delta, Document, Engine, Invalid, Item, Kind, Limits, Named, Route, Service, Target,
+    Configuration, ConfigurationDelta, ConfigurationItem, Engine, HasName, InvalidConfiguration,
+    Limits, Route, RouteKind, RouteTarget, Service,
 };
--- a/crates/configuration/tests/codes.rs
+++ b/crates/configuration/tests/codes.rs
@@ -1,6 +1,6 @@
 //! The table of result codes in the docs says what the code says.
 
-use configuration::Code;
+use configuration::ResultCode;
 
 const TABLE: &str = include_str!("../../../docs/result-codes.md");
 
@@ -28,7 +28,7 @@
 
 #[test]
 fn the_table_lists_every_code_in_order() {
-    let code: Vec<_> = Code::ALL
+    let code: Vec<_> = ResultCode::ALL
         .iter()
         .map(|c| (c.number(), c.status(), c.text().to_owned()))
         .collect();
@@ -37,11 +37,11 @@
 
 #[test]
 fn numbers_are_told_once_and_found_again() {
-    for pair in Code::ALL.windows(2) {
+    for pair in ResultCode::ALL.windows(2) {
         assert!(pair[0].number() < pair[1].number(), "{pair:?}");
     }
-    for code in Code::ALL {
-        assert_eq!(Code::of(code.number()), Some(*code));
+    for code in ResultCode::ALL {
+        assert_eq!(ResultCode::of(code.number()), Some(*code));
     }
-    assert_eq!(Code::of(65_535), None);
+    assert_eq!(ResultCode::of(65_535), None);
 }
--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -4,9 +4,9 @@
 //! on them. Two processes, so that each peak is its own.
 
 use configuration::FaultBudget;
-use control_plane::ledger::Ledger;
+use control_plane::ledger::ReplicatedState;
 use control_plane::member::{Config, Input, Member, Output};
-use protocol::{Change, MemberInfo, Message, View};
+use protocol::{Change, MemberInfo, MembershipConfig, Message};
 use std::time::{Duration, Instant};
 
 const EPOCH: u64 = 1 << 20;
@@ -87,7 +87,7 @@
 fn play(routes: usize, changes: u64, under_way: u64) -> Vec<Vec<u8>> {
     let voters = vec![seat(1), seat(2)];
     let before = voters.clone();
-    let view = View {
+    let view = MembershipConfig {
         epoch: EPOCH,
         primary: 1,
         replicas: vec![1, 2],
@@ -96,11 +96,11 @@
     };
     let mut member = Member::new(config(), &[], Duration::ZERO, 1);
     let (mut disk, mut longest, mut rewrites) = (Vec::new(), 0, 0);
-    let snapshot = Some(Ledger::default().snapshot());
+    let snapshot = Some(ReplicatedState::default().snapshot());
     let from = seat(1);
     let install = Input::Message {
         from: from.clone(),
-        message: Message::InstallView { view, snapshot },
+        message: Message::InstallMembership { view, snapshot },
     };
     take(&mut member, Duration::ZERO, install, &mut disk);
     let started = Instant::now();
--- a/crates/control-plane/src/accepted.rs
+++ b/crates/control-plane/src/accepted.rs
@@ -5,7 +5,7 @@
 //! looked up by the version that it builds on, and compared whole with the one that was taken there.
 
 use crate::content::{hash_part, Content};
-use protocol::AcceptedCall;
+use protocol::AppliedRequest;
 use sha2::{Digest, Sha256};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 
 /// The latest orders that were taken, oldest first.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AcceptedOrders {
-    full: VecDeque<Arc<[AcceptedCall]>>,
-    tail: Vec<AcceptedCall>,
+pub struct AppliedRequests {
+    full: VecDeque<Arc<[AppliedRequest]>>,
+    tail: Vec<AppliedRequest>,
 }
 
-impl AcceptedOrders {
+impl AppliedRequests {
     /// Adds an order that builds on a newer version than all before it.
-    pub fn push(&mut self, order: AcceptedCall) {
+    pub fn push(&mut self, order: AppliedRequest) {
         self.tail.push(order);
         if self.tail.len() < CHUNK_ORDERS {
             return;
@@ -37,7 +37,7 @@
     }
 
     /// The orders, oldest first.
-    pub fn iter(&self) -> impl Iterator<Item = &AcceptedCall> {
+    pub fn iter(&self) -> impl Iterator<Item = &AppliedRequest> {
         self.full
             .iter()
             .flat_map(|chunk| chunk.iter())
@@ -45,7 +45,7 @@
     }
 
     /// The order that was taken on top of a version, where it is remembered.
-    pub fn on(&self, base: u64) -> Option<&AcceptedCall> {
+    pub fn on(&self, base: u64) -> Option<&AppliedRequest> {
         let later = self
             .full
             .partition_point(|chunk| chunk[CHUNK_ORDERS - 1].base < base);
@@ -65,8 +65,8 @@
     }
 }
 
-impl FromIterator<AcceptedCall> for AcceptedOrders {
-    fn from_iter<I: IntoIterator<Item = AcceptedCall>>(orders: I) -> Self {
+impl FromIterator<AppliedRequest> for AppliedRequests {
+    fn from_iter<I: IntoIterator<Item = AppliedRequest>>(orders: I) -> Self {
         let mut accepted = Self::default();
         orders.into_iter().for_each(|order| accepted.push(order));
         accepted
@@ -78,7 +78,7 @@
 ///
 /// The content is what the body's JSON says: the order of keys, white space and escapes make no difference. A body
 /// that is no JSON, or names a key of an object twice, is taken byte by byte.
-pub fn fingerprint(base: u64, amend: bool, body: &[u8]) -> AcceptedCall {
+pub fn fingerprint(base: u64, amend: bool, body: &[u8]) -> AppliedRequest {
     let mut hash = Sha256::new();
     hash.update([u8::from(amend)]);
     let content = Content::read(body);
@@ -89,7 +89,7 @@
     let version = content
         .and_then(|content| content.whole_number("version"))
         .unwrap_or(0);
-    AcceptedCall {
+    AppliedRequest {
         base,
         version,
         digest: hash.finalize().into(),
--- a/crates/control-plane/src/feed.rs
+++ b/crates/control-plane/src/feed.rs
@@ -1,24 +1,24 @@
 //! The member's own source beside the mirror that others pull from.
 
-use crate::roster::{HostCall, Roster};
-use protocol::{Caller, CoordinatorRecord, HostRecord};
-use replication::{News, SharedMirror};
+use crate::roster::{HostCall, HostRegistry};
+use protocol::{CoordinatorRecord, HostRecord, Subscriber};
+use replication::{SharedMirror, Update};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A [`Roster`] whose changes go into a [`SharedMirror`].
-pub struct Feed {
+/// A [`HostRegistry`] whose changes go into a [`SharedMirror`].
+pub struct RegistryPublisher {
     id: u64,
-    roster: Mutex<Roster>,
+    roster: Mutex<HostRegistry>,
     shared: Arc<SharedMirror>,
 }
 
-impl Feed {
+impl RegistryPublisher {
     /// For a life of member `id`; `beat` is the time between a host's heartbeats.
     pub fn new(id: u64, life: u64, beat: Duration, shared: Arc<SharedMirror>) -> Arc<Self> {
         let feed = Self {
             id,
-            roster: Mutex::new(Roster::new(id, life, beat)),
+            roster: Mutex::new(HostRegistry::new(id, life, beat)),
             shared,
         };
         feed.change(|_, _, _| ());
@@ -32,7 +32,7 @@
 
     fn change<R>(
         &self,
-        change: impl FnOnce(&mut Roster, &replication::Mirror, Duration) -> R,
+        change: impl FnOnce(&mut HostRegistry, &replication::Mirror, Duration) -> R,
     ) -> R {
         let mut roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
         self.shared.update(|mirror, now| {
@@ -44,10 +44,10 @@
                 // Its age says nothing of what the primary acknowledged.
                 mirror.apply(
                     now,
-                    &News {
+                    &Update {
                         age_ms: u32::MAX,
                         sources: vec![source],
-                        ..News::default()
+                        ..Update::default()
                     },
                 );
             }
@@ -65,7 +65,7 @@
     }
 
     /// A coordinator or another member pulls.
-    pub fn pulled(&self, caller: &Caller) {
+    pub fn pulled(&self, caller: &Subscriber) {
         self.change(|roster, _, now| roster.pulled(now, caller));
     }
 
--- a/crates/control-plane/src/history.rs
+++ b/crates/control-plane/src/history.rs
@@ -1,7 +1,7 @@
 //! The latest configurations that this member saw in force, for operators. In memory only: what must last is the
 //! ledger's.
 
-use configuration::Document;
+use configuration::Configuration;
 use serde::Serialize;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 struct Seen {
     entry: Entry,
     at: SystemTime,
-    document: Option<(Arc<Document>, usize)>,
+    document: Option<(Arc<Configuration>, usize)>,
 }
 
 /// The latest configurations, oldest first.
@@ -43,7 +43,7 @@
 /// use std::{sync::Arc, time::{Duration, SystemTime}};
 /// let document = |version: u64| {
 ///     let text = format!(r#"{{"version":{version},"routes":[],"services":[]}}"#);
-///     Arc::new(configuration::Document::read(text.as_bytes(), 0).unwrap())
+///     Arc::new(configuration::Configuration::read(text.as_bytes(), 0).unwrap())
 /// };
 /// let mut history = History::default();
 /// history.note(&document(3), SystemTime::UNIX_EPOCH);
@@ -62,7 +62,7 @@
 
 impl History {
     /// Notes the configuration in force; one that is known or older changes nothing.
-    pub fn note(&mut self, document: &Arc<Document>, at: SystemTime) {
+    pub fn note(&mut self, document: &Arc<Configuration>, at: SystemTime) {
         if document.version <= self.seen.back().map_or(0, |s| s.entry.version) {
             return;
         }
@@ -107,7 +107,7 @@
     }
 
     /// The configuration of a version, where it is kept.
-    pub fn document(&self, version: u64) -> Option<&Arc<Document>> {
+    pub fn document(&self, version: u64) -> Option<&Arc<Configuration>> {
         let seen = self.seen.iter().find(|s| s.entry.version == version)?;
         seen.document.as_ref().map(|(document, _)| document)
     }
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger: the configuration in force, the calls that led to it, the hosts that are leaving. Pure.
 
-use crate::accepted::{fingerprint, AcceptedOrders};
-use configuration::{Code, Document};
+use crate::accepted::{fingerprint, AppliedRequests};
+use configuration::{Configuration, ResultCode};
 use protocol::{Change, Command, Snapshot};
 use std::cmp::Ordering;
 use std::collections::VecDeque;
@@ -13,13 +13,13 @@
 
 /// A ledger after its change number `seq`.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Ledger {
+pub struct ReplicatedState {
     /// Number of the last change.
     pub seq: u64,
     /// The configuration; version 0 stands for none.
-    pub document: Arc<Document>,
+    pub document: Arc<Configuration>,
     /// The latest orders that were taken.
-    pub taken: AcceptedOrders,
+    pub taken: AppliedRequests,
     /// Hosts that are leaving or gone, oldest first.
     pub drains: VecDeque<String>,
 }
@@ -28,9 +28,9 @@
 #[derive(Debug)]
 pub enum Plan {
     /// This change has to be made; the ledger after it goes with it.
-    Change(Change, Box<Ledger>),
+    Change(Change, Box<ReplicatedState>),
     /// Nothing has to change.
-    Answer(Code, Vec<u8>),
+    Answer(ResultCode, Vec<u8>),
 }
 
 /// What an order is to a ledger.
@@ -48,15 +48,19 @@
     Forgotten,
 }
 
-impl Ledger {
+impl ReplicatedState {
     /// What a command comes to here.
     pub fn plan(&self, command: &Command) -> Plan {
         match command {
             Command::Read { .. } if self.document.version == 0 => {
-                Plan::Answer(Code::NoConfiguration, vec![])
+                Plan::Answer(ResultCode::NoConfiguration, vec![])
+            }
+            Command::Read { .. } => {
+                Plan::Answer(ResultCode::Ok, self.document.to_json().into_bytes())
+            }
+            Command::Drain { host } if self.drains.contains(host) => {
+                Plan::Answer(ResultCode::Ok, vec![])
             }
-            Command::Read { .. } => Plan::Answer(Code::Ok, self.document.to_json().into_bytes()),
-            Command::Drain { host } if self.drains.contains(host) => Plan::Answer(Code::Ok, vec![]),
             Command::Drain { host } => self.make(Change::Drain { host: host.clone() }),
             Command::Configure { base, amend, body } => match self.standing(*base, *amend, body) {
                 Standing::Next => self.make(Change::Configure {
@@ -65,11 +69,13 @@
                     body: body.clone(),
                 }),
                 // A copy of it may come later, and has to be taken then: a refusal would be false.
-                Standing::Early => Plan::Answer(Code::BaseNotInForce, self.told_base(*base)),
-                Standing::Taken => Plan::Answer(Code::Ok, vec![]),
-                Standing::Superseded => Plan::Answer(Code::OtherBase, self.told_base(*base)),
+                Standing::Early => Plan::Answer(ResultCode::BaseNotInForce, self.told_base(*base)),
+                Standing::Taken => Plan::Answer(ResultCode::Ok, vec![]),
+                Standing::Superseded => Plan::Answer(ResultCode::OtherBase, self.told_base(*base)),
                 // A refusal might be false, and a confirmation as well.
-                Standing::Forgotten => Plan::Answer(Code::OrderForgotten, self.told_base(*base)),
+                Standing::Forgotten => {
+                    Plan::Answer(ResultCode::OrderForgotten, self.told_base(*base))
+                }
             },
         }
     }
@@ -97,9 +103,11 @@
 
     fn make(&self, change: Change) -> Plan {
         match self.after(&change) {
-            Ok(next) if next.document.unshared_bytes(&Document::default()) > MAX_DOCUMENT_BYTES => {
+            Ok(next)
+                if next.document.unshared_bytes(&Configuration::default()) > MAX_DOCUMENT_BYTES =>
+            {
                 let text = format!("the whole would be longer than {MAX_DOCUMENT_BYTES} bytes");
-                Plan::Answer(Code::TooLarge, text.into_bytes())
+                Plan::Answer(ResultCode::TooLarge, text.into_bytes())
             }
             Ok(next) => Plan::Change(change, Box::new(next)),
             Err((code, text)) => Plan::Answer(code, text.into_bytes()),
@@ -110,20 +118,20 @@
     ///
     /// # Errors
     /// Where the change can't be made: the code and the place.
-    pub fn after(&self, change: &Change) -> Result<Ledger, (Code, String)> {
+    pub fn after(&self, change: &Change) -> Result<ReplicatedState, (ResultCode, String)> {
         let mut next = self.clone();
         next.seq += 1;
         match change {
             Change::Configure { base, amend, body } => {
                 if *base != self.document.version {
                     return Err((
-                        Code::OtherBase,
+                        ResultCode::OtherBase,
                         format!("{base} on {}", self.document.version),
                     ));
                 }
                 let document = match amend {
                     true => self.document.amended(body),
-                    false => Document::read(body, self.document.version),
+                    false => Configuration::read(body, self.document.version),
                 };
                 let document = document.map_err(|e| (e.code, e.detail))?;
                 next.taken.push(fingerprint(*base, *amend, body));
@@ -155,12 +163,12 @@
     ///
     /// # Errors
     /// Where its configuration can't be read.
-    pub fn of(snapshot: &Snapshot) -> Result<Ledger, configuration::Invalid> {
+    pub fn of(snapshot: &Snapshot) -> Result<ReplicatedState, configuration::InvalidConfiguration> {
         let document = match snapshot.document.as_str() {
-            "" => Document::default(),
-            text => Document::read(text.as_bytes(), 0)?,
+            "" => Configuration::default(),
+            text => Configuration::read(text.as_bytes(), 0)?,
         };
-        Ok(Ledger {
+        Ok(ReplicatedState {
             seq: snapshot.seq,
             document: Arc::new(document),
             taken: snapshot.taken.iter().cloned().collect(),
--- a/crates/control-plane/src/member/acknowledged.rs
+++ b/crates/control-plane/src/member/acknowledged.rs
@@ -1,7 +1,7 @@
 //! Which ledger a member knows to be acknowledged: kept on its disk, so that its next life has something to show
 //! and a rewritten file says no less than the one before.
 
-use crate::ledger::Ledger;
+use crate::ledger::ReplicatedState;
 use std::collections::VecDeque;
 
 /// Ledgers that are kept while it isn't known whether they are acknowledged, and their bytes on disk together. The
@@ -17,7 +17,7 @@
     /// All changes up to this one are said to be acknowledged, on disk.
     seq: u64,
     /// The newest ledger at hand that isn't beyond it.
-    known: Option<Ledger>,
+    known: Option<ReplicatedState>,
     /// Whether the view in force began with it or an earlier one.
     of_this_view: bool,
     /// On this disk, and not known to be acknowledged; oldest first.
@@ -28,7 +28,7 @@
 /// A ledger, and the record of the change that led to it.
 #[derive(Clone, Debug)]
 struct Later {
-    ledger: Ledger,
+    ledger: ReplicatedState,
     /// None for the ledger that a view begins with.
     record: Option<Vec<u8>>,
 }
@@ -41,7 +41,7 @@
 
 impl Acknowledged {
     /// What the records of an earlier life say.
-    pub(super) fn recovered(known: Option<Ledger>) -> Self {
+    pub(super) fn recovered(known: Option<ReplicatedState>) -> Self {
         Self {
             seq: known.as_ref().map_or(0, |l| l.seq),
             known,
@@ -55,12 +55,12 @@
     }
 
     /// The newest ledger at hand that is known to be acknowledged.
-    pub(super) fn known(&self) -> Option<&Ledger> {
+    pub(super) fn known(&self) -> Option<&ReplicatedState> {
         self.known.as_ref()
     }
 
     /// A view begins with this ledger, which is on this disk.
-    pub(super) fn view_begins(&mut self, ledger: Option<&Ledger>) {
+    pub(super) fn view_begins(&mut self, ledger: Option<&ReplicatedState>) {
         self.later.clear();
         self.later_bytes = 0;
         self.of_this_view = false;
@@ -73,7 +73,7 @@
     }
 
     /// A change is on this disk, by this record.
-    pub(super) fn kept(&mut self, ledger: &Ledger, record: Vec<u8>) {
+    pub(super) fn kept(&mut self, ledger: &ReplicatedState, record: Vec<u8>) {
         self.keep(Later {
             ledger: ledger.clone(),
             record: Some(record),
@@ -91,7 +91,7 @@
     }
 
     /// All changes up to `seq` are acknowledged; `newest` is the ledger on this disk. True where that is news.
-    pub(super) fn acknowledge(&mut self, seq: u64, newest: &Ledger) -> bool {
+    pub(super) fn acknowledge(&mut self, seq: u64, newest: &ReplicatedState) -> bool {
         if seq <= self.seq && self.of_this_view {
             return false;
         }
@@ -125,12 +125,12 @@
 }
 
 /// About how many bytes a ledger's snapshot has on disk.
-pub(super) fn ledger_bytes(ledger: &Ledger) -> usize {
+pub(super) fn ledger_bytes(ledger: &ReplicatedState) -> usize {
     let document = &ledger.document;
     let routes: usize = document.routes.iter().map(|r| r.raw.len() + 1).sum();
     let services: usize = document.services.iter().map(|s| s.raw.len() + 1).sum();
     let limits = document.limits.as_ref().map_or(0, |l| l.raw.len());
-    let taken = ledger.taken.iter().count() * std::mem::size_of::<protocol::AcceptedCall>();
+    let taken = ledger.taken.iter().count() * std::mem::size_of::<protocol::AppliedRequest>();
     let drains: usize = ledger.drains.iter().map(|d| d.len() + 4).sum();
     routes + services + limits + taken + drains + LEDGER_FRAME_BYTES
 }
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -10,8 +10,8 @@
 use super::transfer::transfer_time;
 use super::view::{choose_replicas, majority_shortfall};
 use super::{Member, Output, Role};
-use crate::ledger::Ledger;
-use protocol::{LedgerPosition, MemberInfo, Message, Record, Snapshot, View};
+use crate::ledger::ReplicatedState;
+use protocol::{LogPosition, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -60,9 +60,9 @@
     tell_at: Duration,
     willing: BTreeSet<u64>,
     asked: BTreeSet<u64>,
-    promises: BTreeMap<u64, (View, Option<LedgerPosition>)>,
+    promises: BTreeMap<u64, (MembershipConfig, Option<LogPosition>)>,
     installed: BTreeSet<u64>,
-    target: Option<(View, Ledger)>,
+    target: Option<(MembershipConfig, ReplicatedState)>,
     change: ViewChange,
     /// The view whose primary this member was, and so knows to be agreed on.
     agreed: Option<u64>,
@@ -94,7 +94,7 @@
 }
 
 /// The voter of a view that asked for an epoch: an epoch's low bits are those of its candidate's identity.
-pub fn candidate_of(epoch: u64, view: &View) -> Option<&MemberInfo> {
+pub fn candidate_of(epoch: u64, view: &MembershipConfig) -> Option<&MemberInfo> {
     let own = (1 << OWN_BITS) - 1;
     view.voters
         .iter()
@@ -103,7 +103,7 @@
 }
 
 /// All seats of a view that have a say.
-fn all_voters(view: &View) -> BTreeSet<u64> {
+fn all_voters(view: &MembershipConfig) -> BTreeSet<u64> {
     view.voters
         .iter()
         .chain(&view.before)
@@ -175,7 +175,8 @@
         let (me, Role::Candidate(candidacy)) = (self.me(), &self.role) else {
             return;
         };
-        let enough = |v: &View| v.majority(|id| id == me || candidacy.willing.contains(&id));
+        let enough =
+            |v: &MembershipConfig| v.majority(|id| id == me || candidacy.willing.contains(&id));
         if self.view.as_ref().is_some_and(enough) {
             self.prepare(ViewChange::default(), None, out);
         }
@@ -230,7 +231,7 @@
         from: MemberInfo,
         epoch: u64,
         granted: bool,
-        has: Option<(View, Option<LedgerPosition>)>,
+        has: Option<(MembershipConfig, Option<LogPosition>)>,
         wait_ms: u32,
         out: &mut Vec<Output>,
     ) {
@@ -286,9 +287,9 @@
             return;
         }
         if highest.epoch == 0 {
-            return self.compose(highest, Ledger::default(), out);
+            return self.compose(highest, ReplicatedState::default(), out);
         }
-        let holds = |p: &(&u64, &(View, Option<LedgerPosition>))| {
+        let holds = |p: &(&u64, &(MembershipConfig, Option<LogPosition>))| {
             highest.replicas.contains(p.0) && p.1 .1.is_some_and(|t| t.epoch == highest.epoch)
         };
         let mut holders: Vec<(u64, u64)> = candidacy
@@ -312,7 +313,7 @@
             let epoch = candidacy.epoch;
             (candidacy.phase, candidacy.since) = (ElectionPhase::Fetch, self.now);
             candidacy.tell_at = self.now + self.config.lease.mul_f64(STILL_AT_IT_INTERVAL);
-            self.send(holder, Message::FetchLedger { epoch }, out);
+            self.send(holder, Message::FetchSnapshot { epoch }, out);
         }
     }
 
@@ -337,14 +338,14 @@
             .map(|p| &p.0)
             .max_by_key(|v| v.epoch)
             .cloned();
-        if let Some((highest, ledger)) = highest.zip(Ledger::of(snapshot).ok()) {
+        if let Some((highest, ledger)) = highest.zip(ReplicatedState::of(snapshot).ok()) {
             self.fetch_doublings = 0;
             self.compose(highest, ledger, out);
         }
     }
 
     /// Makes the new view and sends it to its replicas; where they are too few, more promises may come.
-    fn compose(&mut self, base: View, ledger: Ledger, out: &mut Vec<Output>) {
+    fn compose(&mut self, base: MembershipConfig, ledger: ReplicatedState, out: &mut Vec<Output>) {
         let Role::Candidate(candidacy) = &self.role else {
             return;
         };
@@ -397,7 +398,7 @@
         let Some(replicas) = replicas.filter(|_| voters.iter().any(|s| s.id == me)) else {
             return;
         };
-        let view = View {
+        let view = MembershipConfig {
             epoch: candidacy.epoch,
             primary: me,
             replicas,
@@ -407,7 +408,7 @@
         let snapshot = Some(ledger.snapshot());
         for copy in view.replicas.iter().filter(|c| **c != me) {
             let to = view.seat(*copy).map(|s| self.fresh(s));
-            let message = Message::InstallView {
+            let message = Message::InstallMembership {
                 view: view.clone(),
                 snapshot: snapshot.clone(),
             };
@@ -468,7 +469,7 @@
             for id in told.filter(|id| !view.replicas.contains(id)) {
                 self.send(
                     id,
-                    Message::InstallView {
+                    Message::InstallMembership {
                         view: view.clone(),
                         snapshot: None,
                     },
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -2,7 +2,7 @@
 
 use super::transfer::{command_bytes, extra_time};
 use super::{Member, Output, Role};
-use configuration::Code;
+use configuration::ResultCode;
 use protocol::{Command, MemberInfo, Message};
 use std::time::Duration;
 
@@ -61,13 +61,19 @@
     }
 
     pub(super) fn on_answer(&mut self, id: u64, code: u16, text: Vec<u8>, out: &mut Vec<Output>) {
-        let code = Code::of(code).unwrap_or(Code::Unclear);
+        let code = ResultCode::of(code).unwrap_or(ResultCode::Unclear);
         // A number that this life didn't give belongs to a call of an earlier one.
         let ticket = id.wrapping_sub(self.forward_base);
         self.answer(Source::LocalCommand(ticket), code, text, out);
     }
 
-    pub(super) fn answer(&mut self, to: Source, code: Code, body: Vec<u8>, out: &mut Vec<Output>) {
+    pub(super) fn answer(
+        &mut self,
+        to: Source,
+        code: ResultCode,
+        body: Vec<u8>,
+        out: &mut Vec<Output>,
+    ) {
         match to {
             Source::LocalCommand(ticket) if self.local.remove(&ticket).is_some() => {
                 out.push(Output::Answer { ticket, code, body });
@@ -101,9 +107,9 @@
             .collect();
         for ticket in over {
             let code = if self.local[&ticket].sent {
-                Code::Unclear
+                ResultCode::Unclear
             } else {
-                Code::NoPrimary
+                ResultCode::NoPrimary
             };
             self.answer(Source::LocalCommand(ticket), code, Vec::new(), out);
         }
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -1,9 +1,9 @@
 //! What waits for the disk: one write is out at a time, all that came meanwhile goes with the next one.
 
 use super::acknowledged::ledger_bytes;
-use super::{DiskError, DiskState, Member, Output, ReplicaLedger, Role};
-use crate::ledger::Ledger;
-use protocol::{MemberInfo, Message, Record, View};
+use super::{DiskError, DiskState, Member, Output, ReplicaLog, Role};
+use crate::ledger::ReplicatedState;
+use protocol::{MemberInfo, MembershipConfig, Message, Record};
 use std::time::Duration;
 
 /// A disk that refused is tried again after this.
@@ -25,17 +25,20 @@
     /// A view holds here.
     Installed {
         to: MemberInfo,
-        view: Box<View>,
-        ledger: Option<Box<Ledger>>,
+        view: Box<MembershipConfig>,
+        ledger: Option<Box<ReplicatedState>>,
     },
     /// A backup's change is safe.
     Appended {
         to: u64,
         epoch: u64,
-        ledger: Box<Ledger>,
+        ledger: Box<ReplicatedState>,
     },
     /// The primary's own change is safe.
-    Own { epoch: u64, ledger: Box<Ledger> },
+    Own {
+        epoch: u64,
+        ledger: Box<ReplicatedState>,
+    },
     /// Whether the disk takes writes again.
     Nothing,
 }
@@ -208,12 +211,12 @@
         let Some(view) = self.view.clone().filter(|v| v.epoch > 0) else {
             return records;
         };
-        let accepted = |view: View, ledger: Option<&Ledger>| {
-            let snapshot = ledger.map(Ledger::snapshot);
+        let accepted = |view: MembershipConfig, ledger: Option<&ReplicatedState>| {
+            let snapshot = ledger.map(ReplicatedState::snapshot);
             protocol::write_one(&Record::Accepted { view, snapshot })
         };
         let committed =
-            |ledger: &Ledger| protocol::write_one(&Record::Committed { seq: ledger.seq });
+            |ledger: &ReplicatedState| protocol::write_one(&Record::Committed { seq: ledger.seq });
         let (known, held) = (
             self.acknowledged.known(),
             self.held.as_ref().map(|h| &h.disk),
@@ -228,7 +231,8 @@
             }
             None => {
                 // Nobody has a say in a view without voters: no member could act on this ledger alone.
-                let earlier = known.map(|l| [accepted(View::default(), Some(l)), committed(l)]);
+                let earlier =
+                    known.map(|l| [accepted(MembershipConfig::default(), Some(l)), committed(l)]);
                 records.extend(earlier.into_iter().flatten());
                 records.push(accepted(view, held));
             }
@@ -281,7 +285,7 @@
                 let epoch = view.epoch;
                 if self.view.as_ref().is_none_or(|v| v.epoch < epoch) {
                     self.acknowledged.view_begins(ledger.as_deref());
-                    self.held = ledger.map(|l| ReplicaLedger {
+                    self.held = ledger.map(|l| ReplicaLog {
                         head: (*l).clone(),
                         disk: *l,
                     });
@@ -290,7 +294,7 @@
                 if to.id == self.me() {
                     self.on_installed(to.id, epoch, true, out);
                 } else {
-                    let message = Message::InstallReply {
+                    let message = Message::InstallMembershipReply {
                         epoch,
                         ok: true,
                         seen: self.promised,
@@ -321,7 +325,7 @@
         }
     }
 
-    fn kept_change(&mut self, epoch: u64, ledger: Ledger, record: Vec<u8>) {
+    fn kept_change(&mut self, epoch: u64, ledger: ReplicatedState, record: Vec<u8>) {
         let same = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
         if let Some(held) = self.held.as_mut().filter(|_| same) {
             self.acknowledged.kept(&ledger, record);
@@ -333,7 +337,7 @@
         let seen = self.promised;
         match after {
             After::Installed { to, view, .. } if to.id != self.me() => {
-                let message = Message::InstallReply {
+                let message = Message::InstallMembershipReply {
                     epoch: view.epoch,
                     ok: false,
                     seen,
--- a/crates/control-plane/src/member/early.rs
+++ b/crates/control-plane/src/member/early.rs
@@ -6,7 +6,7 @@
 
 use super::commands::Source;
 use super::{Member, Output, Role};
-use configuration::Code;
+use configuration::ResultCode;
 use protocol::Command;
 use std::time::Duration;
 
@@ -91,6 +91,6 @@
             return;
         };
         let told = state.told_base(base);
-        self.answer(source, Code::BaseNotInForce, told, out);
+        self.answer(source, ResultCode::BaseNotInForce, told, out);
     }
 }
--- a/crates/control-plane/src/member/leave.rs
+++ b/crates/control-plane/src/member/leave.rs
@@ -6,7 +6,7 @@
 
 use super::view::choose_replicas;
 use super::{Member, Output, Role};
-use protocol::{MemberInfo, Message, View};
+use protocol::{MemberInfo, MembershipConfig, Message};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -94,7 +94,7 @@
     }
 
     /// Views reach those who aren't replicas only once all replicas have them on disk.
-    pub(super) fn note_succession(&mut self, view: &View) {
+    pub(super) fn note_succession(&mut self, view: &MembershipConfig) {
         let newer = self.view.as_ref().is_none_or(|v| view.epoch > v.epoch);
         let without = view.seat(self.me()).is_none() && !view.replicas.contains(&self.me());
         if let Some(departure) = &mut self.departure {
@@ -103,7 +103,7 @@
     }
 
     /// Those who leave and have no say in a view, but wait for it to be there.
-    pub(super) fn leaving_without_say(&self, view: &View) -> Vec<u64> {
+    pub(super) fn leaving_without_say(&self, view: &MembershipConfig) -> Vec<u64> {
         let without =
             |id: &u64| view.seat(*id).is_none() && !view.before.iter().any(|s| s.id == *id);
         self.peers
@@ -137,14 +137,15 @@
 
     /// Whether neither the ledger nor a majority rests on this member any more.
     fn succeeded(&self) -> bool {
-        let free =
-            |v: &View| v.settled() && !v.replicas.contains(&self.me()) && !self.gives_up_vote(v);
+        let free = |v: &MembershipConfig| {
+            v.settled() && !v.replicas.contains(&self.me()) && !self.gives_up_vote(v)
+        };
         self.view.as_ref().is_none_or(free) || self.departure.as_ref().is_some_and(|d| d.succeeded)
     }
 
     /// Whether this member is a voter that the primary is about to drop, or to replace by one that joins. Until it has
     /// done so the next loss would leave too few if this member ended.
-    fn gives_up_vote(&self, view: &View) -> bool {
+    fn gives_up_vote(&self, view: &MembershipConfig) -> bool {
         let others_join = self
             .peers
             .values()
--- a/crates/control-plane/src/member/membership.rs
+++ b/crates/control-plane/src/member/membership.rs
@@ -4,7 +4,7 @@
 use super::primary::{PrimaryState, RENEW_INTERVAL};
 use super::view::{choose_replicas, majority_shortfall};
 use super::{Member, Peer};
-use protocol::{MemberInfo, View};
+use protocol::{MemberInfo, MembershipConfig};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -61,7 +61,11 @@
     }
 
     /// Replicas that don't answer, can't write or leave, where there are others for them.
-    fn replicas_to_replace(&self, state: &PrimaryState, view: &View) -> Option<BTreeSet<u64>> {
+    fn replicas_to_replace(
+        &self,
+        state: &PrimaryState,
+        view: &MembershipConfig,
+    ) -> Option<BTreeSet<u64>> {
         let (now, lease, me) = (self.now, self.config.lease, self.me());
         let late = |id: u64| {
             state.pending.front().is_some_and(|p| {
@@ -93,7 +97,7 @@
     }
 
     /// Whether voters that were too few for all replicas are enough now.
-    fn enough_answer(&self, state: &PrimaryState, view: &View) -> bool {
+    fn enough_answer(&self, state: &PrimaryState, view: &MembershipConfig) -> bool {
         let answers = |id: u64| {
             let recent = self.unsigned(state, id) < self.config.lease.mul_f64(2.0 * RENEW_INTERVAL);
             id == self.me() || (recent && self.peer_fit(id) && !self.peer_leaving(id))
@@ -109,12 +113,12 @@
     }
 
     /// Whether there are more voters than the loss of machines needs, so that one that leaves is dropped.
-    pub(super) fn can_spare_a_voter(&self, view: &View) -> bool {
+    pub(super) fn can_spare_a_voter(&self, view: &MembershipConfig) -> bool {
         view.voters.len() > 2 * self.config.budget.machine_losses as usize + 1
     }
 
     /// Members without a say that come: in the place of a voter that is lost or leaves, or beside the others.
-    fn joining(&self, state: &PrimaryState, view: &View, change: &mut ViewChange) {
+    fn joining(&self, state: &PrimaryState, view: &MembershipConfig, change: &mut ViewChange) {
         let (lease, me) = (self.config.lease, self.me());
         let joins = self
             .peers
@@ -150,7 +154,7 @@
     /// Of members that come beside the voters, those with whom a majority is left after any loss allowed.
     fn voters_beside(
         &self,
-        view: &View,
+        view: &MembershipConfig,
         added: &[MemberInfo],
         mut beside: Vec<MemberInfo>,
     ) -> Vec<MemberInfo> {
@@ -188,7 +192,7 @@
     /// Voters to go without others in their place: one that leaves or has been silent for long, where enough are left,
     /// and those without whom a loss of their zone or region leaves a majority. They go at once: between two changes
     /// the next loss may come.
-    fn voters_to_drop(&self, state: &PrimaryState, view: &View) -> BTreeSet<u64> {
+    fn voters_to_drop(&self, state: &PrimaryState, view: &MembershipConfig) -> BTreeSet<u64> {
         let mut dropped = BTreeSet::new();
         if !self.can_spare_a_voter(view) {
             return dropped;
@@ -212,7 +216,7 @@
     }
 
     /// Of the voters that stay, one of a zone or region that holds so many that its loss would leave no majority.
-    fn voter_in_the_way(&self, view: &View, dropped: &BTreeSet<u64>) -> Option<u64> {
+    fn voter_in_the_way(&self, view: &MembershipConfig, dropped: &BTreeSet<u64>) -> Option<u64> {
         let stays = |s: &&MemberInfo| !dropped.contains(&s.id);
         let voters: Vec<MemberInfo> = view
             .voters
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -21,15 +21,15 @@
 pub use summary::{DiskState, GrantSummary, MemberSummary, RoleSummary};
 pub use view::{choose_replicas, majority_shortfall};
 
-use crate::ledger::Ledger;
+use crate::ledger::ReplicatedState;
 use acknowledged::Acknowledged;
 use candidate::CandidateState;
 use commands::LocalCommand;
-use configuration::{Code, Document, FaultBudget};
+use configuration::{Configuration, FaultBudget, ResultCode};
 use disk::{After, Disk};
 use leave::Departure;
 use primary::PrimaryState;
-use protocol::{Command, MemberInfo, Message, Record, View};
+use protocol::{Command, MemberInfo, MembershipConfig, Message, Record};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -125,7 +125,7 @@
         /// The caller's number.
         ticket: u64,
         /// The result.
-        code: Code,
+        code: ResultCode,
         /// What goes with it: a text, or the configuration read.
         body: Vec<u8>,
     },
@@ -134,7 +134,7 @@
         /// Number of its last change.
         seq: u64,
         /// The configuration.
-        document: Arc<Document>,
+        document: Arc<Configuration>,
         /// Hosts that are leaving or gone.
         drains: Vec<String>,
     },
@@ -144,7 +144,7 @@
         /// Number of its last change.
         seq: u64,
         /// The configuration.
-        document: Arc<Document>,
+        document: Arc<Configuration>,
         /// Hosts that are leaving or gone.
         drains: Vec<String>,
     },
@@ -167,7 +167,7 @@
 
 /// That nothing which was acknowledged before a moment is missing in a ledger that goes so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Proof {
+pub struct PrimaryContact {
     /// The moment, by this process's clock.
     pub at: Duration,
     /// Number of the last change that was acknowledged then.
@@ -176,11 +176,11 @@
 
 /// The ledger as a copy holds it.
 #[derive(Clone, Debug)]
-struct ReplicaLedger {
+struct ReplicaLog {
     /// With all changes taken.
-    head: Ledger,
+    head: ReplicatedState,
     /// As far as it is on disk.
-    disk: Ledger,
+    disk: ReplicatedState,
 }
 
 #[derive(Clone, Debug)]
@@ -220,17 +220,17 @@
     waits_for_slow_disks: bool,
     /// The highest epoch seen anywhere.
     seen: u64,
-    view: Option<View>,
-    held: Option<ReplicaLedger>,
+    view: Option<MembershipConfig>,
+    held: Option<ReplicaLog>,
     /// What this disk knows to be acknowledged.
     acknowledged: Acknowledged,
     /// Why the records can't be relied on: such a member has no say and holds no ledger.
     unsound: Option<Arc<ReplayError>>,
     /// What is to be shown at the first step.
-    restored: Option<Ledger>,
+    restored: Option<ReplicatedState>,
     grant: Option<Grant>,
     /// The latest that a primary proved.
-    proof: Option<Proof>,
+    proof: Option<PrimaryContact>,
     /// What this life counts from in the clocks and numbers that others send back: an answer to an earlier life isn't
     /// taken for one to this.
     life_base: u64,
@@ -295,7 +295,7 @@
         };
         if let Some(voters) = member.config.bootstrap_voters.clone() {
             let before = voters.clone();
-            member.view = Some(View {
+            member.view = Some(MembershipConfig {
                 epoch: 0,
                 primary: 0,
                 replicas: vec![],
@@ -327,7 +327,7 @@
         self.promised = recovered.promised;
         self.seen = recovered.promised;
         self.view = recovered.view.or(self.view.take());
-        self.held = recovered.held.map(|l| ReplicaLedger {
+        self.held = recovered.held.map(|l| ReplicaLog {
             head: l.clone(),
             disk: l,
         });
@@ -377,7 +377,9 @@
         match message {
             Message::PreVote { seen, view } => self.on_pre_vote(from, seen, view, out),
             Message::Prepare { epoch, candidate } => self.on_prepare(from, epoch, candidate, out),
-            Message::InstallView { view, snapshot } => self.on_install(from, view, snapshot, out),
+            Message::InstallMembership { view, snapshot } => {
+                self.on_install(from, view, snapshot, out)
+            }
             Message::AppendChange { epoch, seq, change } => {
                 self.on_append(from, epoch, seq, change, out)
             }
@@ -390,7 +392,7 @@
                 self.on_renew(from, epoch, stamp, (committed, heard), out);
                 self.record_committed(epoch, committed);
             }
-            Message::FetchLedger { epoch } => self.on_fetch(from, epoch, out),
+            Message::FetchSnapshot { epoch } => self.on_fetch(from, epoch, out),
             Message::ReleaseLease { epoch } => self.on_release(from.id, epoch),
             Message::Leaving { .. } => self.on_peer_leaving(from.id),
             Message::PreVoteReply {
@@ -411,10 +413,10 @@
                 let has = (view.unwrap_or_default(), tag);
                 self.on_promise(from, epoch, granted, Some(has), wait_ms, out);
             }
-            Message::LedgerReply {
+            Message::SnapshotReply {
                 epoch, snapshot, ..
             } => self.on_fetched(from, epoch, &snapshot, out),
-            Message::InstallReply { epoch, ok, seen } => {
+            Message::InstallMembershipReply { epoch, ok, seen } => {
                 self.see(seen);
                 self.on_installed(from.id, epoch, ok, out);
             }
@@ -443,7 +445,7 @@
             Message::Hello { .. }
             | Message::Peers { .. }
             | Message::Pull { .. }
-            | Message::News { .. }
+            | Message::Update { .. }
             | Message::PromptPlaced { .. }
             | Message::PlacementsRequest { .. }
             | Message::Placements { .. } => {}
@@ -613,7 +615,7 @@
     }
 
     /// The latest view that this member accepted.
-    pub fn view(&self) -> Option<&View> {
+    pub fn view(&self) -> Option<&MembershipConfig> {
         self.view.as_ref()
     }
 
@@ -624,9 +626,9 @@
 
     /// What is proved of how fresh the acknowledged ledger is that this member may show; nothing before a primary
     /// has been heard of in this life.
-    pub fn proof(&self, now: Duration) -> Option<Proof> {
+    pub fn proof(&self, now: Duration) -> Option<PrimaryContact> {
         match &self.role {
-            Role::Primary(state) if self.lease_end(state) > now => Some(Proof {
+            Role::Primary(state) if self.lease_end(state) > now => Some(PrimaryContact {
                 at: now,
                 committed: state.committed_seq(),
             }),
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -6,9 +6,9 @@
 use super::early::EarlyOrders;
 use super::transfer::{change_bytes, extra_time};
 use super::{Member, Output, Role};
-use crate::ledger::{Ledger, Plan};
-use configuration::Code;
-use protocol::{Change, Command, MemberInfo, Message, Record, View};
+use crate::ledger::{Plan, ReplicatedState};
+use configuration::ResultCode;
+use protocol::{Change, Command, MemberInfo, MembershipConfig, Message, Record};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -26,14 +26,14 @@
 #[derive(Clone, Debug)]
 pub(super) struct Pending {
     change: Option<Change>,
-    pub(super) ledger: Ledger,
+    pub(super) ledger: ReplicatedState,
     pub(super) at: Duration,
     /// When it was last sent to replicas that haven't confirmed it.
     sent_at: Duration,
     bytes: usize,
     /// How much longer than a small one it may be on its way, behind those that weren't confirmed then.
     pub(super) extra: Duration,
-    answers: Vec<(Source, Code, Vec<u8>)>,
+    answers: Vec<(Source, ResultCode, Vec<u8>)>,
 }
 
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
     pub(super) acting_since: Duration,
     /// Whether its replicas are enough for the budget; else nothing new may be acknowledged.
     pub(super) takes_changes: bool,
-    committed: Ledger,
+    committed: ReplicatedState,
     /// Whether its ledger was shown: not before the first lease, as others may act already.
     shown: bool,
     pub(super) pending: VecDeque<Pending>,
@@ -70,8 +70,8 @@
         epoch: u64,
         now: Duration,
         acting_since: Duration,
-        ledger: Ledger,
-        view: &View,
+        ledger: ReplicatedState,
+        view: &MembershipConfig,
         lacking: BTreeSet<u64>,
     ) -> Self {
         Self {
@@ -149,7 +149,7 @@
             return self.release_lease(out);
         }
         // What is half-way is brought to its end at once.
-        let settled = self.view.as_ref().is_none_or(View::settled);
+        let settled = self.view.as_ref().is_none_or(MembershipConfig::settled);
         if !settled || now >= state.since + lease.mul_f64(MIN_VIEW_AGE) {
             if let Some(change) = self.wanted(state) {
                 let agreed = Some(state.epoch);
@@ -176,7 +176,7 @@
                 if state.lacking.contains(&id) && !view.replicas.contains(&id) {
                     sends.push((
                         id,
-                        Message::InstallView {
+                        Message::InstallMembership {
                             view: view.clone(),
                             snapshot: None,
                         },
@@ -272,13 +272,15 @@
             };
             match held.head.plan(&command) {
                 Plan::Change(..) if !state.takes_changes => {
-                    self.answer(source, Code::NoPrimary, vec![], out);
+                    self.answer(source, ResultCode::NoPrimary, vec![], out);
                 }
                 Plan::Change(change, next) => {
-                    self.change(change, *next, vec![(source, Code::Ok, vec![])], out);
+                    self.change(change, *next, vec![(source, ResultCode::Ok, vec![])], out);
                     self.requeue_early();
                 }
-                Plan::Answer(Code::BaseNotInForce, _) => self.hold_early(source, command, out),
+                Plan::Answer(ResultCode::BaseNotInForce, _) => {
+                    self.hold_early(source, command, out)
+                }
                 // An answer that rests on a change that isn't safe yet waits for it.
                 Plan::Answer(code, body) => match state.pending.back_mut() {
                     Some(last) => last.answers.push((source, code, body)),
@@ -301,8 +303,8 @@
     fn change(
         &mut self,
         change: Change,
-        next: Ledger,
-        answers: Vec<(Source, Code, Vec<u8>)>,
+        next: ReplicatedState,
+        answers: Vec<(Source, ResultCode, Vec<u8>)>,
         out: &mut Vec<Output>,
     ) {
         let (now, me) = (self.now, self.me());
--- a/crates/control-plane/src/member/recovery.rs
+++ b/crates/control-plane/src/member/recovery.rs
@@ -7,8 +7,8 @@
 //! A record that can't be read, or a change that doesn't follow what is before it, is never passed over: the member
 //! would count as one with an older ledger, or with fewer promises, than it had.
 
-use crate::ledger::Ledger;
-use protocol::{Record, Snapshot, View};
+use crate::ledger::ReplicatedState;
+use protocol::{MembershipConfig, Record, Snapshot};
 use snafu::{ResultExt, Snafu};
 use std::collections::BTreeSet;
 
@@ -21,15 +21,15 @@
         /// Its place, from 0.
         record: usize,
         /// Why.
-        source: protocol::Broken,
+        source: protocol::DecodeError,
     },
     /// The ledger at the start of a view can't be read.
     #[snafu(display("record {record}: the ledger can't be read"))]
-    Ledger {
+    InvalidSnapshot {
         /// The record's place, from 0.
         record: usize,
         /// Why.
-        source: configuration::Invalid,
+        source: configuration::InvalidConfiguration,
     },
     /// A change comes where no ledger is held.
     #[snafu(display("record {record}: a change without a ledger"))]
@@ -69,11 +69,11 @@
     /// The highest epoch that was promised.
     pub(super) promised: u64,
     /// The latest view that was accepted.
-    pub(super) view: Option<View>,
+    pub(super) view: Option<MembershipConfig>,
     /// The ledger, where it is held.
-    pub(super) held: Option<Ledger>,
+    pub(super) held: Option<ReplicatedState>,
     /// The newest ledger that was known to be acknowledged.
-    pub(super) acknowledged: Option<Ledger>,
+    pub(super) acknowledged: Option<ReplicatedState>,
 }
 
 /// The records from a view that was accepted up to the next one.
@@ -90,11 +90,11 @@
 /// The ledgers of a segment.
 #[derive(Debug)]
 struct Replayed {
-    view: View,
+    view: MembershipConfig,
     /// After the last change.
-    last: Option<Ledger>,
+    last: Option<ReplicatedState>,
     /// After the last change that is said to be acknowledged.
-    acknowledged: Option<Ledger>,
+    acknowledged: Option<ReplicatedState>,
 }
 
 /// Replays all records.
@@ -157,7 +157,7 @@
 
 fn replay_segment(records: &[Vec<u8>], segment: &Segment) -> Result<Replayed, ReplayError> {
     let mut replayed = Replayed {
-        view: View::default(),
+        view: MembershipConfig::default(),
         last: None,
         acknowledged: None,
     };
@@ -199,6 +199,6 @@
     Ok(replayed)
 }
 
-fn ledger(record: usize, snapshot: &Snapshot) -> Result<Ledger, ReplayError> {
-    Ledger::of(snapshot).context(LedgerSnafu { record })
+fn ledger(record: usize, snapshot: &Snapshot) -> Result<ReplicatedState, ReplayError> {
+    ReplicatedState::of(snapshot).context(InvalidSnapshotSnafu { record })
 }
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -1,7 +1,7 @@
 //! What a member is at one moment, in short: compared before and after a step, it tells the changes of state.
 
 use super::{ElectionPhase, Member, Role};
-use protocol::View;
+use protocol::MembershipConfig;
 use std::sync::Arc;
 
 /// Whether a member's disk takes writes.
@@ -53,7 +53,7 @@
     /// What it does.
     pub role: RoleSummary,
     /// The latest view that it accepted; none before it has joined.
-    pub view: Option<Arc<View>>,
+    pub view: Option<Arc<MembershipConfig>>,
     /// The highest epoch that it has promised.
     pub promised: u64,
     /// The lease that it granted and that hasn't ended.
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -1,9 +1,9 @@
 //! A member as a voter and a copy: promises, views, changes, leases.
 
 use super::disk::After;
-use super::{Grant, Member, Output, Proof, Role};
-use crate::ledger::Ledger;
-use protocol::{Change, LedgerPosition, MemberInfo, Message, Record, Snapshot, View};
+use super::{Grant, Member, Output, PrimaryContact, Role};
+use crate::ledger::ReplicatedState;
+use protocol::{Change, LogPosition, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 use std::time::Duration;
 
 impl Member {
@@ -56,7 +56,7 @@
     ) {
         self.see(seen);
         // Whoever has been left out since can't win, it would only hold the others up.
-        let left_out = |v: &View| v.epoch > view && v.seat(from.id).is_none();
+        let left_out = |v: &MembershipConfig| v.epoch > view && v.seat(from.id).is_none();
         let may = match self.view.as_ref().is_some_and(left_out) {
             true => Err(4 * self.config.lease),
             false => self
@@ -132,9 +132,9 @@
     }
 
     /// How far the ledger on this disk goes.
-    pub(super) fn tag(&self) -> Option<LedgerPosition> {
+    pub(super) fn tag(&self) -> Option<LogPosition> {
         let view = self.view.as_ref()?;
-        self.held.as_ref().map(|h| LedgerPosition {
+        self.held.as_ref().map(|h| LogPosition {
             epoch: view.epoch,
             seq: h.disk.seq,
         })
@@ -146,7 +146,7 @@
             return;
         }
         if let Some((tag, held)) = self.tag().zip(self.held.as_ref()) {
-            let message = Message::LedgerReply {
+            let message = Message::SnapshotReply {
                 epoch,
                 tag,
                 snapshot: held.disk.snapshot(),
@@ -158,7 +158,7 @@
     pub(super) fn on_install(
         &mut self,
         from: MemberInfo,
-        view: View,
+        view: MembershipConfig,
         snapshot: Option<Snapshot>,
         out: &mut Vec<Output>,
     ) {
@@ -167,11 +167,11 @@
         self.note_succession(&view);
         let held = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
         let copy = view.replicas.contains(&self.me());
-        let ledger = snapshot.as_ref().map(Ledger::of).transpose();
+        let ledger = snapshot.as_ref().map(ReplicatedState::of).transpose();
         let fits = view.counts(self.me()) && epoch >= self.promised && copy == snapshot.is_some();
         match ledger {
             _ if held && epoch >= self.promised => {
-                let message = Message::InstallReply {
+                let message = Message::InstallMembershipReply {
                     epoch,
                     ok: true,
                     seen: self.promised,
@@ -198,7 +198,7 @@
                 );
             }
             _ => {
-                let message = Message::InstallReply {
+                let message = Message::InstallMembershipReply {
                     epoch,
                     ok: false,
                     seen: self.promised,
@@ -328,7 +328,7 @@
         // 0, and the clock of an earlier life, are no moment of this one.
         let of_this_life = heard != 0 && at <= self.now;
         if of_this_life && self.proof.is_none_or(|known| known.at <= at) {
-            self.proof = Some(Proof { at, committed });
+            self.proof = Some(PrimaryContact { at, committed });
         }
     }
 
@@ -339,7 +339,7 @@
         };
         let (at, committed) = (self.lease_end(state).min(self.now), state.committed_seq());
         if !at.is_zero() && self.proof.is_none_or(|known| known.at <= at) {
-            self.proof = Some(Proof { at, committed });
+            self.proof = Some(PrimaryContact { at, committed });
         }
     }
 
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -2,10 +2,10 @@
 //! anew, so that it goes on as the only voter, as somebody else and in a new generation of epochs
 //! (`docs/operators/losing-a-majority.md`). No I/O.
 
-use crate::ledger::Ledger;
+use crate::ledger::ReplicatedState;
 use crate::member::generation::next_generation;
 use crate::shell::identity::{latest, FoundLedger, Identity, IdentityError, LedgerOwner};
-use protocol::{MemberInfo, Record, View};
+use protocol::{MemberInfo, MembershipConfig, Record};
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
     #[snafu(display("record {number} can't be understood"))]
     Unreadable {
         number: usize,
-        source: protocol::Broken,
+        source: protocol::DecodeError,
     },
     /// A change doesn't follow the one before.
     #[snafu(display("record {number}: change {seq} doesn't fit what is before it"))]
@@ -63,8 +63,8 @@
 pub struct Survivor {
     identity: Identity,
     promised: u64,
-    view: View,
-    ledger: Ledger,
+    view: MembershipConfig,
+    ledger: ReplicatedState,
     committed: u64,
 }
 
@@ -86,7 +86,7 @@
             .fail();
         }
         let (mut promised, mut committed) = (0, 0);
-        let mut latest: Option<(View, Option<Ledger>)> = None;
+        let mut latest: Option<(MembershipConfig, Option<ReplicatedState>)> = None;
         for (index, record) in records.iter().enumerate() {
             let number = index + 1;
             match protocol::read_one(record).context(UnreadableSnafu { number })? {
@@ -94,7 +94,7 @@
                 Record::Accepted { view, snapshot } => {
                     promised = promised.max(view.epoch);
                     let seq = snapshot.as_ref().map_or(0, |s| s.seq);
-                    let ledger = snapshot.map(|s| Ledger::of(&s)).transpose();
+                    let ledger = snapshot.map(|s| ReplicatedState::of(&s)).transpose();
                     let ledger = ledger.ok().context(GapSnafu { number, seq })?;
                     latest = Some((view, ledger));
                 }
@@ -182,7 +182,7 @@
             .cloned()
             .unwrap_or_default();
         let voters = vec![MemberInfo { id, ..seat }];
-        let view = View {
+        let view = MembershipConfig {
             epoch,
             primary: id,
             replicas: vec![id],
--- a/crates/control-plane/src/roster.rs
+++ b/crates/control-plane/src/roster.rs
@@ -1,8 +1,10 @@
 //! What hosts and coordinators tell this member: its own source, numbered by itself. No I/O and no clock.
 
 use crate::life;
-use configuration::Code;
-use protocol::{Addr, Caller, CoordinatorRecord, HostRecord, Mark, MemberInfo, SourceNews};
+use configuration::ResultCode;
+use protocol::{
+    Addr, CoordinatorRecord, HostRecord, MemberInfo, OriginUpdate, OriginVersion, Subscriber,
+};
 use replication::phase;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -76,22 +78,25 @@
     /// Reads a call from its path and body.
     ///
     /// # Errors
-    /// [`Code::NoSuchCall`] where the path is no host's call, [`Code::Unreadable`] where it names no host or
+    /// [`ResultCode::NoSuchCall`] where the path is no host's call, [`ResultCode::Unreadable`] where it names no host or
     /// the body doesn't say what the call needs.
-    pub fn decode(path: &str, body: &[u8]) -> Result<HostCall, Code> {
-        let call = path.strip_prefix("/fennelpin/").ok_or(Code::NoSuchCall)?;
-        let (call, host) = call.split_once('/').ok_or(Code::NoSuchCall)?;
+    pub fn decode(path: &str, body: &[u8]) -> Result<HostCall, ResultCode> {
+        let call = path
+            .strip_prefix("/fennelpin/")
+            .ok_or(ResultCode::NoSuchCall)?;
+        let (call, host) = call.split_once('/').ok_or(ResultCode::NoSuchCall)?;
         let host = match host {
-            "" => Err(Code::Unreadable),
-            _ if host.contains(['/', '?']) || host.len() > 256 => Err(Code::Unreadable),
+            "" => Err(ResultCode::Unreadable),
+            _ if host.contains(['/', '?']) || host.len() > 256 => Err(ResultCode::Unreadable),
             _ => Ok(host.to_owned()),
         };
         match call {
             "Hosts.Heartbeat" => {
                 let host = host?;
-                let body: BeatBody = serde_json::from_slice(body).map_err(|_| Code::Unreadable)?;
+                let body: BeatBody =
+                    serde_json::from_slice(body).map_err(|_| ResultCode::Unreadable)?;
                 if body.service.is_empty() {
-                    return Err(Code::Unreadable);
+                    return Err(ResultCode::Unreadable);
                 }
                 let beat = Beat {
                     service: body.service,
@@ -105,7 +110,7 @@
                 Ok(HostCall::Beat { host, beat })
             }
             "Hosts.Depart" => Ok(HostCall::Depart { host: host? }),
-            _ => Err(Code::NoSuchCall),
+            _ => Err(ResultCode::NoSuchCall),
         }
     }
 
@@ -142,8 +147,8 @@
 }
 
 /// This member's own source.
-pub struct Roster {
-    mark: Mark,
+pub struct HostRegistry {
+    mark: OriginVersion,
     silence: Duration,
     hosts: HashMap<String, Host>,
     coordinators: BTreeMap<String, Coordinator>,
@@ -153,12 +158,12 @@
     changed_coordinators: BTreeSet<String>,
 }
 
-impl Roster {
+impl HostRegistry {
     /// An empty one for a life of member `id`; `beat` is the time between a host's heartbeats. A life has a
     /// higher number than those before.
     pub fn new(id: u64, life: u64, beat: Duration) -> Self {
         Self {
-            mark: Mark { id, life, seq: 0 },
+            mark: OriginVersion { id, life, seq: 0 },
             silence: beat * 5 / 2 + BEAT_SLACK,
             hosts: HashMap::new(),
             coordinators: BTreeMap::new(),
@@ -169,7 +174,7 @@
     }
 
     /// How far the source goes.
-    pub fn mark(&self) -> Mark {
+    pub fn mark(&self) -> OriginVersion {
         self.mark
     }
 
@@ -200,7 +205,7 @@
         }
     }
 
-    /// A heartbeat; see [`Roster::call`].
+    /// A heartbeat; see [`HostRegistry::call`].
     pub fn beat(
         &mut self,
         now: Duration,
@@ -257,7 +262,7 @@
         true
     }
 
-    /// A host ends; see [`Roster::call`].
+    /// A host ends; see [`HostRegistry::call`].
     pub fn depart(&mut self, now: Duration, host: &str, elsewhere: Option<&HostRecord>) -> bool {
         let known = self
             .hosts
@@ -291,7 +296,7 @@
     }
 
     /// A coordinator or another member pulls. True where something changed.
-    pub fn pulled(&mut self, now: Duration, caller: &Caller) -> bool {
+    pub fn pulled(&mut self, now: Duration, caller: &Subscriber) -> bool {
         if caller.member != 0 || caller.name.is_empty() {
             return false;
         }
@@ -359,7 +364,7 @@
     }
 
     /// What changed since this was last asked for; the first time all.
-    pub fn take_news(&mut self) -> Option<SourceNews> {
+    pub fn take_news(&mut self) -> Option<OriginUpdate> {
         if !self.untold && self.changed_hosts.is_empty() && self.changed_coordinators.is_empty() {
             return None;
         }
@@ -370,7 +375,7 @@
         }
         let hosts = std::mem::take(&mut self.changed_hosts);
         let coordinators = std::mem::take(&mut self.changed_coordinators);
-        Some(SourceNews {
+        Some(OriginUpdate {
             mark: self.mark,
             whole,
             hosts: hosts
--- a/crates/control-plane/src/shell/call.rs
+++ b/crates/control-plane/src/shell/call.rs
@@ -2,7 +2,7 @@
 
 use crate::roster::HostCall;
 use bytes::Bytes;
-use configuration::Code;
+use configuration::ResultCode;
 use hyper::Method;
 
 /// What a path asks for, before the body is read.
@@ -58,9 +58,12 @@
     /// What method and path ask for.
     ///
     /// # Errors
-    /// [`Code::NoSuchCall`] and [`Code::OtherMethod`].
-    pub fn read(method: &Method, path: &str) -> Result<Head, Code> {
-        let head = match path.strip_prefix("/fennelpin/").ok_or(Code::NoSuchCall)? {
+    /// [`ResultCode::NoSuchCall`] and [`ResultCode::OtherMethod`].
+    pub fn read(method: &Method, path: &str) -> Result<Head, ResultCode> {
+        let head = match path
+            .strip_prefix("/fennelpin/")
+            .ok_or(ResultCode::NoSuchCall)?
+        {
             "Configuration.Replace" => Head::Replace,
             "Configuration.Amend" => Head::Amend,
             "Configuration.Read" => Head::Read,
@@ -68,10 +71,10 @@
             "Configuration.History" => Head::History(None),
             call if call.starts_with("Configuration.History/") => {
                 let version = call.rsplit('/').next().and_then(|v| v.parse().ok());
-                Head::History(Some(version.ok_or(Code::NoSuchCall)?))
+                Head::History(Some(version.ok_or(ResultCode::NoSuchCall)?))
             }
             call if call.starts_with("Hosts.") => Head::Host(path.to_owned()),
-            _ => return Err(Code::NoSuchCall),
+            _ => return Err(ResultCode::NoSuchCall),
         };
         let wanted = if head.asks() {
             Method::GET
@@ -81,7 +84,7 @@
         if *method == wanted {
             Ok(head)
         } else {
-            Err(Code::OtherMethod)
+            Err(ResultCode::OtherMethod)
         }
     }
 
@@ -98,12 +101,12 @@
     /// The call, with its body and the text of `Fennelpin-Base-Version`.
     ///
     /// # Errors
-    /// [`Code::NoBase`], and what [`HostCall::decode`] finds.
-    pub fn with(self, base: Option<&str>, body: Bytes) -> Result<Call, Code> {
+    /// [`ResultCode::NoBase`], and what [`HostCall::decode`] finds.
+    pub fn with(self, base: Option<&str>, body: Bytes) -> Result<Call, ResultCode> {
         let amend = self == Head::Amend;
         Ok(match self {
             Head::Replace | Head::Amend => {
-                let base = base.and_then(read_base).ok_or(Code::NoBase)?;
+                let base = base.and_then(read_base).ok_or(ResultCode::NoBase)?;
                 Call::Configure { base, amend, body }
             }
             Head::Read => Call::Read,
--- a/crates/control-plane/src/shell/call_runner.rs
+++ b/crates/control-plane/src/shell/call_runner.rs
@@ -4,10 +4,10 @@
 use super::control::{Reply, RunCall};
 use super::links::Links;
 use super::{command, Event, Events, MemberStatus};
-use crate::feed::Feed;
+use crate::feed::RegistryPublisher;
 use crate::history::History;
 use crate::roster::{beat_target, HostCall};
-use configuration::Code;
+use configuration::ResultCode;
 use protocol::{Command, MemberInfo};
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -26,14 +26,14 @@
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What a member answers a command: its result and what goes with it.
-pub(super) type Answered = (Code, Vec<u8>);
+pub(super) type Answered = (ResultCode, Vec<u8>);
 
 /// What is there once the disk has told who this member is.
 pub(super) struct OpenMember {
     pub(super) me: MemberInfo,
     pub(super) life: u64,
     pub(super) links: Links,
-    pub(super) feed: Arc<Feed>,
+    pub(super) feed: Arc<RegistryPublisher>,
     pub(super) history: Rc<RefCell<History>>,
 }
 
@@ -66,14 +66,14 @@
         }
     }
 
-    async fn opened(&self) -> Result<Rc<OpenMember>, Code> {
+    async fn opened(&self) -> Result<Rc<OpenMember>, ResultCode> {
         let mut opened = self.opened.clone();
         let ready = timeout(OPEN_TIMEOUT, opened.wait_for(Option::is_some)).await;
         ready
             .ok()
             .and_then(Result::ok)
             .and_then(|o| o.clone())
-            .ok_or(Code::Opening)
+            .ok_or(ResultCode::Opening)
     }
 
     /// A host is leaving or gone: acknowledged once that is kept as safely as the configuration is.
@@ -85,7 +85,7 @@
             host: host.to_owned(),
         };
         match command(&self.events, asked, DRAIN_TIMEOUT).await {
-            (Code::Ok, _) => Reply::json("{}"),
+            (ResultCode::Ok, _) => Reply::json("{}"),
             (code, text) => Reply::detailed(code, &String::from_utf8_lossy(&text)),
         }
     }
@@ -170,7 +170,7 @@
             None => Reply::json(json!({"versions": history.entries()}).to_string()),
             Some(version) => match history.document(version) {
                 Some(document) => Reply::json(document.to_json()),
-                None => Reply::detailed(Code::NoSuchVersion, &version.to_string()),
+                None => Reply::detailed(ResultCode::NoSuchVersion, &version.to_string()),
             },
         }
     }
@@ -200,7 +200,7 @@
     base: u64,
     bytes: usize,
     since: Instant,
-    code: Option<Code>,
+    code: Option<ResultCode>,
 }
 
 impl OrderTrace {
@@ -217,7 +217,7 @@
 impl Drop for OrderTrace {
     fn drop(&mut self) {
         let waited_ms = self.since.elapsed().as_millis() as u64;
-        let result = self.code.map_or("the caller has gone", Code::text);
+        let result = self.code.map_or("the caller has gone", ResultCode::text);
         log::info!(base = self.base, bytes = self.bytes, waited_ms, result; "order");
     }
 }
@@ -228,7 +228,7 @@
             return Reply::json(self.status().await);
         }
         if *self.leaving.borrow() {
-            return Reply::of(Code::Leaving);
+            return Reply::of(ResultCode::Leaving);
         }
         let opened = match self.opened().await {
             Ok(opened) => opened,
@@ -239,7 +239,7 @@
             Call::History(version) => self.history(&opened, version),
             Call::Read => {
                 match command(&self.events, Command::Read { reserved: 0 }, self.patience).await {
-                    (Code::Ok, document) => Reply::json(document),
+                    (ResultCode::Ok, document) => Reply::json(document),
                     (code, text) => Reply::detailed(code, &String::from_utf8_lossy(&text)),
                 }
             }
--- a/crates/control-plane/src/shell/control.rs
+++ b/crates/control-plane/src/shell/control.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::call::{Call, Head};
 use bytes::Bytes;
-use configuration::Code;
+use configuration::ResultCode;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
@@ -38,19 +38,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The result.
-    pub code: Code,
+    pub code: ResultCode,
     /// The body where it isn't just the code and its text: JSON.
     pub body: Option<Bytes>,
 }
 
 impl Reply {
     /// An answer that says no more than its code.
-    pub fn of(code: Code) -> Self {
+    pub fn of(code: ResultCode) -> Self {
         Self { code, body: None }
     }
 
     /// An answer with what was found wrong, or with nothing beyond the code where `detail` is empty.
-    pub fn detailed(code: Code, detail: &str) -> Self {
+    pub fn detailed(code: ResultCode, detail: &str) -> Self {
         if detail.is_empty() {
             return Self::of(code);
         }
@@ -65,7 +65,7 @@
     /// Done, with a body of JSON.
     pub fn json(body: impl Into<Bytes>) -> Self {
         Self {
-            code: Code::Ok,
+            code: ResultCode::Ok,
             body: Some(body.into()),
         }
     }
@@ -193,26 +193,26 @@
         };
         bump(count);
         // What is left of a body that was too large or too slow isn't read.
-        let broken = matches!(reply.code, Code::TooLarge | Code::SlowClient);
+        let broken = matches!(reply.code, ResultCode::TooLarge | ResultCode::SlowClient);
         Ok(reply.response(broken || *self.stop.borrow()))
     }
 
-    async fn call(&self, request: Request<Incoming>) -> Result<Reply, Code> {
+    async fn call(&self, request: Request<Incoming>) -> Result<Reply, ResultCode> {
         let (parts, body) = request.into_parts();
         let head = Head::read(&parts.method, parts.uri.path())?;
         let _heavy = match head.heavy() {
             true => match timeout(Duration::from_millis(500), self.heavy.acquire()).await {
                 Ok(Ok(permit)) => Some(permit),
-                _ => return Err(Code::Crowded),
+                _ => return Err(ResultCode::Crowded),
             },
             false => None,
         };
         let body = match timeout(BODY_TIME, Limited::new(body, LARGEST_BODY).collect()).await {
-            Err(_) => return Err(Code::SlowClient),
-            Ok(Err(e)) if e.is::<LengthLimitError>() => return Err(Code::TooLarge),
+            Err(_) => return Err(ResultCode::SlowClient),
+            Ok(Err(e)) if e.is::<LengthLimitError>() => return Err(ResultCode::TooLarge),
             // The caller may have meant more: that is no refusal of what it meant.
-            Ok(Err(e)) if is_cut_short(e.as_ref()) => return Err(Code::SlowClient),
-            Ok(Err(_)) => return Err(Code::Unreadable),
+            Ok(Err(e)) if is_cut_short(e.as_ref()) => return Err(ResultCode::SlowClient),
+            Ok(Err(_)) => return Err(ResultCode::Unreadable),
             Ok(Ok(body)) => body.to_bytes(),
         };
         let call = head.with(only_value(&parts.headers, BASE_VERSION), body)?;
--- a/crates/control-plane/src/shell/disk.rs
+++ b/crates/control-plane/src/shell/disk.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum File {
     /// What the member has promised, accepted and taken.
-    Ledger,
+    Log,
     /// The hosts as last known, so that a start of the whole core doesn't wait for heartbeats.
-    Roster,
+    HostRegistry,
 }
 
 /// What the thread tells.
@@ -123,7 +123,7 @@
         let mut rest = batch.as_slice();
         while let Some(head) = rest.first() {
             // What is rewritten stands by itself; what is added goes together.
-            if head.file == File::Roster {
+            if head.file == File::HostRegistry {
                 let records: Vec<&[u8]> = head.records.iter().map(Vec::as_slice).collect();
                 if let Some(Err(e)) = hosts.as_mut().map(|h| h.rewrite(&records)) {
                     log::debug!(error:% = e; "roster not kept");
@@ -135,7 +135,7 @@
                 true => 1,
                 false => rest
                     .iter()
-                    .take_while(|w| !w.rewrite && w.file == File::Ledger)
+                    .take_while(|w| !w.rewrite && w.file == File::Log)
                     .count(),
             };
             let (now, later) = rest.split_at(count);
--- a/crates/control-plane/src/shell/identity.rs
+++ b/crates/control-plane/src/shell/identity.rs
@@ -45,7 +45,7 @@
         /// Its place, from 0.
         record: usize,
         /// Why.
-        source: protocol::Broken,
+        source: protocol::DecodeError,
     },
     /// The ledger is of an earlier release, and the identity's file is missing.
     #[snafu(display("a ledger, and no identity that it belongs to"))]
--- a/crates/control-plane/src/shell/inbound.rs
+++ b/crates/control-plane/src/shell/inbound.rs
@@ -2,7 +2,7 @@
 
 use super::connection;
 use super::links::Links;
-use crate::feed::Feed;
+use crate::feed::RegistryPublisher;
 use protocol::{MemberInfo, Message};
 use replication::FrameReader;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Takes connections for as long as the process runs.
-pub(super) async fn accept(listener: TcpListener, links: Links, feed: Arc<Feed>) {
+pub(super) async fn accept(listener: TcpListener, links: Links, feed: Arc<RegistryPublisher>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -38,7 +38,11 @@
 }
 
 /// A connection from another process: its first messages tell what it is for.
-async fn inbound(stream: TcpStream, links: Links, feed: Arc<Feed>) -> std::io::Result<()> {
+async fn inbound(
+    stream: TcpStream,
+    links: Links,
+    feed: Arc<RegistryPublisher>,
+) -> std::io::Result<()> {
     connection::ready(&stream)?;
     let mut frames = FrameReader::new(stream, Vec::new());
     let Some(first) = timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await?? else {
--- a/crates/control-plane/src/shell/mod.rs
+++ b/crates/control-plane/src/shell/mod.rs
@@ -17,7 +17,7 @@
 pub mod transitions;
 
 use call_runner::Answered;
-use configuration::{Boot, Code};
+use configuration::{ProcessSettings, ResultCode};
 use disk::DiskEvent;
 use links::LinkEvent;
 use protocol::Command;
@@ -99,12 +99,12 @@
 /// whenever they change. For a current-thread runtime; all that was started ends with it.
 ///
 /// Calls are answered from the start on: until the disk has told who this member is, by 503 and
-/// [`Code::Opening`].
+/// [`ResultCode::Opening`].
 ///
 /// # Errors
 /// Where the settings don't fit, or an address or the disk's thread can't be had.
 pub async fn run(
-    boot: Boot,
+    boot: ProcessSettings,
     tuning: Tuning,
     seeds: watch::Receiver<Vec<SocketAddrV4>>,
     stop: impl Future<Output = ()>,
@@ -122,10 +122,10 @@
 async fn command(events: &Events, command: Command, wait: Duration) -> Answered {
     let (caller, answer) = oneshot::channel();
     if events.send(Event::Command(command, caller)).is_err() {
-        return (Code::Leaving, Vec::new());
+        return (ResultCode::Leaving, Vec::new());
     }
     match timeout(wait, answer).await {
         Ok(Ok(answered)) => answered,
-        _ => (Code::Unclear, Vec::new()),
+        _ => (ResultCode::Unclear, Vec::new()),
     }
 }
--- a/crates/control-plane/src/shell/outputs.rs
+++ b/crates/control-plane/src/shell/outputs.rs
@@ -3,7 +3,7 @@
 use super::disk;
 use super::event_loop::EventLoop;
 use crate::member::Output;
-use configuration::{Code, Document};
+use configuration::{Configuration, ResultCode};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
@@ -40,20 +40,20 @@
             ticket,
             records,
             rewrite,
-            file: disk::File::Ledger,
+            file: disk::File::Log,
         };
         // The thread ends with the process only.
         let _ = self.disk.send(write);
     }
 
-    fn answer_caller(&mut self, ticket: u64, code: Code, body: Vec<u8>) {
+    fn answer_caller(&mut self, ticket: u64, code: ResultCode, body: Vec<u8>) {
         if let Some(caller) = self.callers.remove(&ticket) {
             // A caller that has gone gets no answer.
             let _ = caller.send((code, body));
         }
     }
 
-    fn show_ledger(&self, seq: u64, document: Arc<Document>, drains: &[String]) {
+    fn show_ledger(&self, seq: u64, document: Arc<Configuration>, drains: &[String]) {
         self.history.borrow_mut().note(&document, SystemTime::now());
         self.mirror
             .update(|mirror, _| mirror.set_ledger(seq, document, drains));
--- a/crates/control-plane/src/shell/roster.rs
+++ b/crates/control-plane/src/shell/roster.rs
@@ -4,8 +4,8 @@
 
 use super::disk::{File, Write};
 use super::identity::Identity;
-use protocol::{HostRecord, Mark, SourceNews};
-use replication::{phase, News, SharedMirror};
+use protocol::{HostRecord, OriginUpdate, OriginVersion};
+use replication::{phase, SharedMirror, Update};
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,24 +16,24 @@
 
 /// Puts what was kept into the mirror, as a life of this member that is over.
 pub(super) fn recall(mirror: &SharedMirror, identity: &Identity, kept: Option<Vec<u8>>) {
-    let Some(source) = kept.and_then(|k| protocol::read_one::<SourceNews>(&k).ok()) else {
+    let Some(source) = kept.and_then(|k| protocol::read_one::<OriginUpdate>(&k).ok()) else {
         return;
     };
-    let mark = Mark {
+    let mark = OriginVersion {
         id: identity.id,
         life: identity.life.saturating_sub(1),
         seq: 1,
     };
-    let source = SourceNews {
+    let source = OriginUpdate {
         mark,
         whole: true,
         coordinators: Vec::new(),
         ..source
     };
-    let news = News {
+    let news = Update {
         age_ms: u32::MAX,
         sources: vec![source],
-        ..News::default()
+        ..Update::default()
     };
     mirror.update(|mirror, now| mirror.apply(now, &news));
 }
@@ -56,9 +56,9 @@
             .collect();
         if hosts != kept {
             kept.clone_from(&hosts);
-            let source = SourceNews {
+            let source = OriginUpdate {
                 hosts,
-                ..SourceNews::default()
+                ..OriginUpdate::default()
             };
             let records = vec![protocol::write_one(&source)];
             if disk
@@ -66,7 +66,7 @@
                     ticket: 0,
                     records,
                     rewrite: true,
-                    file: File::Roster,
+                    file: File::HostRegistry,
                 })
                 .is_err()
             {
--- a/crates/control-plane/src/shell/start.rs
+++ b/crates/control-plane/src/shell/start.rs
@@ -12,10 +12,10 @@
 use super::{
     Event, Events, Failure, ListenSnafu, NoControlSnafu, NoDiskSnafu, ThreadSnafu, Tuning,
 };
-use crate::feed::Feed;
+use crate::feed::RegistryPublisher;
 use crate::history::History;
 use crate::member::{Config, Member};
-use configuration::Boot;
+use configuration::ProcessSettings;
 use protocol::MemberInfo;
 use replication::{client, Mirror, Puller, SharedMirror};
 use snafu::{OptionExt, ResultExt};
@@ -53,7 +53,7 @@
 /// # Errors
 /// As [`super::run`].
 pub(super) async fn run_member(
-    boot: Boot,
+    boot: ProcessSettings,
     tuning: Tuning,
     seeds: watch::Receiver<Vec<SocketAddrV4>>,
     stop: impl Future<Output = ()>,
@@ -107,7 +107,7 @@
     let beat = Duration::from_millis(boot.beat_period_ms);
     let mirror = SharedMirror::since(Mirror::new(identity.id, beat), origin);
     roster::recall(&mirror, &identity, roster);
-    let feed = Feed::new(identity.id, identity.life, beat, mirror.clone());
+    let feed = RegistryPublisher::new(identity.id, identity.life, beat, mirror.clone());
     let history = Rc::new(RefCell::new(History::default()));
     let inside = listen(
         boot.bind
@@ -185,7 +185,7 @@
     Ok(())
 }
 
-fn start_facts(boot: &Boot, control: SocketAddrV4) -> Result<StartFacts, Failure> {
+fn start_facts(boot: &ProcessSettings, control: SocketAddrV4) -> Result<StartFacts, Failure> {
     Ok(StartFacts {
         control,
         seeds: boot.seed_nodes.clone(),
@@ -198,7 +198,7 @@
     })
 }
 
-fn member_info(boot: &Boot, control: SocketAddrV4, id: u64) -> MemberInfo {
+fn member_info(boot: &ProcessSettings, control: SocketAddrV4, id: u64) -> MemberInfo {
     MemberInfo {
         id,
         name: boot.node_name.clone(),
@@ -210,13 +210,13 @@
 }
 
 /// How many callers the control API takes at once: what the descriptors allow beside all else that needs one.
-fn most_callers(boot: &Boot) -> usize {
+fn most_callers(boot: &ProcessSettings) -> usize {
     let left = boot.limits.fd_limit.saturating_sub(OTHER_DESCRIPTORS);
     (left as usize).clamp(CALLERS.0, CALLERS.1)
 }
 
 /// Lets time pass for the hosts' records, and notes which configurations were in force.
-async fn keep_feed(feed: Arc<Feed>, history: Rc<RefCell<History>>, pause: Duration) {
+async fn keep_feed(feed: Arc<RegistryPublisher>, history: Rc<RefCell<History>>, pause: Duration) {
     loop {
         sleep(pause).await;
         feed.tick();
--- a/crates/control-plane/src/shell/status.rs
+++ b/crates/control-plane/src/shell/status.rs
@@ -2,13 +2,13 @@
 
 use super::control::ControlCounters;
 use super::event_loop::EventLoop;
-use protocol::{MemberInfo, View};
+use protocol::{MemberInfo, MembershipConfig};
 use std::time::Duration;
 
 /// What a member's state machine says of itself.
 #[derive(Debug)]
 pub(super) struct MemberStatus {
-    pub(super) view: Option<View>,
+    pub(super) view: Option<MembershipConfig>,
     pub(super) acts: bool,
     pub(super) primary: Option<MemberInfo>,
     pub(super) promised: u64,
--- a/crates/control-plane/src/shell/transitions/compare.rs
+++ b/crates/control-plane/src/shell/transitions/compare.rs
@@ -172,7 +172,7 @@
         Output::Send {
             to,
             message:
-                Message::InstallView {
+                Message::InstallMembership {
                     view,
                     snapshot: Some(snapshot),
                 },
@@ -182,7 +182,7 @@
         }
         Output::Send {
             to,
-            message: Message::LedgerReply {
+            message: Message::SnapshotReply {
                 epoch, snapshot, ..
             },
         } => {
--- a/crates/control-plane/src/shell/transitions/mod.rs
+++ b/crates/control-plane/src/shell/transitions/mod.rs
@@ -10,7 +10,7 @@
 pub use recorder::{Recorder, TransitionCounters};
 
 use crate::member::{DiskState, ElectionPhase, MemberSummary};
-use protocol::{MemberInfo, View};
+use protocol::{MemberInfo, MembershipConfig};
 use std::fmt;
 use std::sync::Arc;
 
@@ -125,12 +125,12 @@
         /// The epoch.
         epoch: u64,
         /// The view that it knows, whose voters name the candidate.
-        view: Option<Arc<View>>,
+        view: Option<Arc<MembershipConfig>>,
     },
     /// A view is on its disk.
     ViewAccepted {
         /// The view.
-        view: Arc<View>,
+        view: Arc<MembershipConfig>,
         /// Voters that the view before didn't have; none where no view was known.
         added: Vec<MemberInfo>,
         /// Voters that this view has no longer.
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -1,9 +1,9 @@
 //! A candidate alone, told what it would hear from the others.
 
 use configuration::FaultBudget;
-use control_plane::ledger::Ledger;
+use control_plane::ledger::ReplicatedState;
 use control_plane::member::{Config, Input, Member, Output};
-use protocol::{Addr, LedgerPosition, MemberInfo, Message, View};
+use protocol::{Addr, LogPosition, MemberInfo, MembershipConfig, Message};
 use std::time::Duration;
 
 const VIEW_EPOCH: u64 = 2 << 20 | 2;
@@ -65,14 +65,14 @@
 
     fn promise_of(&mut self, from: u64, epoch: u64) {
         let voters: Vec<MemberInfo> = (1..=3).map(member).collect();
-        let view = View {
+        let view = MembershipConfig {
             epoch: VIEW_EPOCH,
             primary: 2,
             replicas: vec![2, 1, 3],
             before: voters.clone(),
             voters,
         };
-        let tag = Some(LedgerPosition {
+        let tag = Some(LogPosition {
             epoch: VIEW_EPOCH,
             seq: 0,
         });
@@ -124,28 +124,28 @@
     assert!(
         candidate
             .sent
-            .contains(&(2, Message::FetchLedger { epoch })),
+            .contains(&(2, Message::FetchSnapshot { epoch })),
         "{:?}",
         candidate.sent
     );
     candidate.promise_of(3, epoch);
-    let tag = LedgerPosition {
+    let tag = LogPosition {
         epoch: VIEW_EPOCH,
         seq: 0,
     };
     candidate.hear(
         2,
-        Message::LedgerReply {
+        Message::SnapshotReply {
             epoch,
             tag,
-            snapshot: Ledger::default().snapshot(),
+            snapshot: ReplicatedState::default().snapshot(),
         },
     );
     let told = |id| {
         candidate
             .sent
             .iter()
-            .any(|s| s.0 == id && matches!(s.1, Message::InstallView { .. }))
+            .any(|s| s.0 == id && matches!(s.1, Message::InstallMembership { .. }))
     };
     assert!(told(2) && told(3), "{:?}", candidate.sent);
 }
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -2,9 +2,9 @@
 //! who is there. The same calls give the same run.
 #![allow(dead_code)] // Each test file uses its own part.
 
-use configuration::{Code, FaultBudget};
+use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{Config, Input, Member, Output};
-use protocol::{Addr, Command, MemberInfo, Message, View};
+use protocol::{Addr, Command, MemberInfo, MembershipConfig, Message};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -100,7 +100,7 @@
     queue: BTreeMap<(Duration, u64), (usize, u32, Event)>,
     events: u64,
     tickets: u64,
-    answers: BTreeMap<u64, (Code, Vec<u8>)>,
+    answers: BTreeMap<u64, (ResultCode, Vec<u8>)>,
     /// Steps of changes so far: moments at which something may strike.
     pub steps: u64,
     /// Writes of these members take so long.
@@ -285,7 +285,7 @@
         self.nodes[n].seat.id
     }
 
-    pub fn view(&self, n: usize) -> View {
+    pub fn view(&self, n: usize) -> MembershipConfig {
         self.nodes[n]
             .member
             .as_ref()
@@ -303,7 +303,7 @@
     }
 
     /// The primary's view.
-    pub fn current(&self) -> View {
+    pub fn current(&self) -> MembershipConfig {
         self.primary().map(|n| self.view(n)).unwrap_or_default()
     }
 
@@ -500,7 +500,7 @@
         }
     }
 
-    pub fn answer(&self, ticket: u64) -> Option<Code> {
+    pub fn answer(&self, ticket: u64) -> Option<ResultCode> {
         self.answers.get(&ticket).map(|a| a.0)
     }
 
@@ -514,7 +514,7 @@
             for n in up.collect::<Vec<_>>() {
                 let ticket = self.call(n, Self::configure(base, version));
                 self.until(ms(4000), |c| c.answers.contains_key(&ticket));
-                if self.answer(ticket) == Some(Code::Ok) {
+                if self.answer(ticket) == Some(ResultCode::Ok) {
                     return self.now - from;
                 }
             }
@@ -529,9 +529,9 @@
         let ticket = self.call(n, Command::Read { reserved: 0 });
         self.until(ms(4000), |c| c.answers.contains_key(&ticket))?;
         let (code, body) = &self.answers[&ticket];
-        let document = configuration::Document::read(body, 0)
+        let document = configuration::Configuration::read(body, 0)
             .ok()
-            .filter(|_| *code == Code::Ok)?;
+            .filter(|_| *code == ResultCode::Ok)?;
         Some(document.version)
     }
 
--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control.rs
@@ -1,6 +1,6 @@
 //! The control API's limits, over real sockets; waits are on tokio's paused clock.
 
-use configuration::Code;
+use configuration::ResultCode;
 use control_plane::shell::call::Call;
 use control_plane::shell::control::{Control, ControlCounters, Reply, RunCall, LARGEST_BODY};
 use rstest::rstest;
@@ -24,7 +24,7 @@
         let _pass = self.0.acquire().await.unwrap();
         match call {
             Call::Read => Reply::json("{\"version\":1}"),
-            _ => Reply::of(Code::Ok),
+            _ => Reply::of(ResultCode::Ok),
         }
     }
 }
--- a/crates/control-plane/tests/cut_core/mod.rs
+++ b/crates/control-plane/tests/cut_core/mod.rs
@@ -2,7 +2,7 @@
 //! it ends. Each member counts by a clock of its own, which may run fast or slow.
 #![allow(dead_code)] // Each test file uses its own part.
 
-use configuration::{Code, FaultBudget};
+use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{Config, Input, Member, Output};
 use protocol::{Addr, Command, MemberInfo};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -92,7 +92,7 @@
     initial_voters: usize,
     /// From whom to whom nothing comes through for now.
     pub cut: BTreeSet<(usize, usize)>,
-    pub answers: BTreeMap<u64, (Duration, Code, Vec<u8>)>,
+    pub answers: BTreeMap<u64, (Duration, ResultCode, Vec<u8>)>,
     pub tickets: u64,
 }
 
@@ -278,7 +278,7 @@
     }
 
     /// Calls and waits for the answer, for [`ACK`] at most: how long it took, its code and its body.
-    pub fn asked(&mut self, n: usize, command: Command) -> (Duration, Code, Vec<u8>) {
+    pub fn asked(&mut self, n: usize, command: Command) -> (Duration, ResultCode, Vec<u8>) {
         let (since, ticket) = (self.now, self.call(n, command));
         while self.now < since + ACK {
             self.run(ms(1));
@@ -290,7 +290,7 @@
     }
 
     /// As the operator: sends the same again, to one member after the other, until it gets a clear answer.
-    pub fn order(&mut self, to: &[usize], command: Command) -> (Duration, Code) {
+    pub fn order(&mut self, to: &[usize], command: Command) -> (Duration, ResultCode) {
         let since = self.now;
         for n in to.iter().cycle() {
             let (_, code, _) = self.asked(*n, command.clone());
--- a/crates/control-plane/tests/cut_off.rs
+++ b/crates/control-plane/tests/cut_off.rs
@@ -3,7 +3,7 @@
 
 mod cut_core;
 
-use configuration::Code;
+use configuration::ResultCode;
 use cut_core::{configuration, ms, replace, Core, ACK, CUT, LEASE, READ};
 use rstest::rstest;
 
@@ -38,7 +38,7 @@
     core.nodes[sleeper].frozen = true;
     core.run(CUT);
     let awake = core.others(&[sleeper]);
-    assert_eq!(core.order(&awake, replace(5, 7)).1, Code::Ok);
+    assert_eq!(core.order(&awake, replace(5, 7)).1, ResultCode::Ok);
     core.thaw(sleeper);
     // Everything that waited is handed over at this one moment.
     while core.turn(sleeper) {
@@ -65,7 +65,10 @@
     core.nodes[old].frozen = true;
     let awake = core.others(&[old]);
     let (took, code) = core.order(&awake, replace(5, 7));
-    assert!(code == Code::Ok && took < ACK, "{code:?} after {took:?}");
+    assert!(
+        code == ResultCode::Ok && took < ACK,
+        "{code:?} after {took:?}"
+    );
     core.run(CUT);
     // They come first of all when it wakes.
     let calls = [
@@ -80,13 +83,13 @@
     core.turn(old);
     assert!(!core.nodes[old].member.acts());
     core.run(ACK);
-    let answers: Vec<(Code, &[u8])> = calls
+    let answers: Vec<(ResultCode, &[u8])> = calls
         .iter()
         .map(|t| (core.answers[t].1, &*core.answers[t].2))
         .collect();
     assert_eq!(
         answers.iter().map(|a| a.0).collect::<Vec<_>>(),
-        [Code::Ok, Code::OtherBase, Code::Ok]
+        [ResultCode::Ok, ResultCode::OtherBase, ResultCode::Ok]
     );
     assert!(
         answers[0].1 != configuration(5),
@@ -106,7 +109,7 @@
     #[case] with_primary: bool,
 ) {
     let mut core = Core::started(members, losses);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let primary = core.primary();
     let rest = core.others(&[primary]);
     let lost: Vec<usize> = match with_primary {
@@ -123,7 +126,10 @@
     let mut version = 5;
     while core.now < end {
         let (took, code) = core.order(&healthy, replace(version, version + 2));
-        assert!(code == Code::Ok && took < ACK, "{code:?} after {took:?}");
+        assert!(
+            code == ResultCode::Ok && took < ACK,
+            "{code:?} after {took:?}"
+        );
         version += 2;
         for n in &lost {
             let since_cut = core.now + CUT - end;
@@ -166,7 +172,7 @@
 #[case::it_is_heard_but_hears_nothing(false)]
 fn cut_off_one_way(#[case] hears: bool, #[values(false, true)] the_primary: bool) {
     let mut core = Core::started(3, 1);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let primary = core.primary();
     let one = if the_primary {
         primary
@@ -182,7 +188,10 @@
     let (healthy, cut_at) = (core.others(&[one]), core.now);
     for version in [5, 7, 9, 11, 13] {
         let (took, code) = core.order(&healthy, replace(version, version + 2));
-        assert!(code == Code::Ok && took < ACK, "{code:?} after {took:?}");
+        assert!(
+            code == ResultCode::Ok && took < ACK,
+            "{code:?} after {took:?}"
+        );
         core.run(ms(2500));
         // What it hears still proves nothing once its own word isn't heard.
         let since = (core.now - cut_at).saturating_sub(LEASE + ms(500));
@@ -206,7 +215,7 @@
 #[case::again_and_again(4)]
 fn restarted_while_cut_off(#[case] times: usize) {
     let mut core = Core::started(3, 1);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     core.run(ms(1000));
     let primary = core.primary();
     let one = core.replicas().into_iter().find(|n| *n != primary).unwrap();
@@ -217,8 +226,8 @@
         core.run(CUT / times as u32);
         assert_eq!((core.nodes[one].shown, core.age(one)), (5, None));
     }
-    assert_eq!(core.order(&healthy, replace(5, 7)).1, Code::Ok);
-    assert_eq!(core.asked(one, READ).1, Code::NoPrimary);
+    assert_eq!(core.order(&healthy, replace(5, 7)).1, ResultCode::Ok);
+    assert_eq!(core.asked(one, READ).1, ResultCode::NoPrimary);
     // What was under way to an earlier life comes now.
     core.heal();
     core.turn(one);
@@ -232,16 +241,19 @@
 #[test]
 fn all_restarted_during_the_cut() {
     let mut core = Core::started(3, 1);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let one = core.primary();
     core.cut_off(&[one]);
     let healthy = core.others(&[one]);
-    assert_eq!(core.order(&healthy, replace(5, 7)).1, Code::Ok);
+    assert_eq!(core.order(&healthy, replace(5, 7)).1, ResultCode::Ok);
     core.restart(one);
     core.run(ms(5000));
     healthy.iter().for_each(|n| core.restart(*n));
     let (took, code) = core.order(&healthy, replace(7, 9));
-    assert!(code == Code::Ok && took < ACK, "{code:?} after {took:?}");
+    assert!(
+        code == ResultCode::Ok && took < ACK,
+        "{code:?} after {took:?}"
+    );
     core.run(CUT);
     assert_eq!((core.nodes[one].shown, core.age(one)), (5, None));
     core.heal();
@@ -254,7 +266,7 @@
 fn an_order_under_way_at_the_cut_gets_no_false_answer() {
     for after in 0..12 {
         let mut core = Core::started(3, 1);
-        assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+        assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
         let old = core.primary();
         let ticket = core.call(old, replace(5, 7));
         core.run(ms(after));
@@ -262,13 +274,19 @@
         core.run(ACK);
         let first = core.answers[&ticket].1;
         assert!(
-            matches!(first, Code::Ok | Code::Unclear | Code::NoPrimary),
+            matches!(
+                first,
+                ResultCode::Ok | ResultCode::Unclear | ResultCode::NoPrimary
+            ),
             "{first:?}"
         );
         // The same again on the other side is taken whether it got there before or not.
         let healthy = core.others(&[old]);
         let (took, code) = core.order(&healthy, replace(5, 7));
-        assert!(code == Code::Ok && took < ACK, "{code:?} after {took:?}");
+        assert!(
+            code == ResultCode::Ok && took < ACK,
+            "{code:?} after {took:?}"
+        );
         core.heal();
         core.run(ms(3000));
         for n in 0..3 {
--- a/crates/control-plane/tests/cut_off_groups.rs
+++ b/crates/control-plane/tests/cut_off_groups.rs
@@ -4,7 +4,7 @@
 
 mod cut_core;
 
-use configuration::{Code, FaultBudget};
+use configuration::{FaultBudget, ResultCode};
 use control_plane::member::majority_shortfall;
 use cut_core::{configuration, ms, replace, Core, ACK, CUT, LEASE, READ};
 use rstest::rstest;
@@ -59,7 +59,10 @@
         let (begun, mut version) = (self.now, from);
         while self.now < begun + long {
             let (took, code) = self.order(healthy, replace(version, version + 2));
-            assert!(code == Code::Ok && took < ACK, "{code:?} after {took:?}");
+            assert!(
+                code == ResultCode::Ok && took < ACK,
+                "{code:?} after {took:?}"
+            );
             version += 2;
             self.run(ms(700));
             let since = (self.now - begun).saturating_sub(LEASE + ms(500));
@@ -97,7 +100,7 @@
         }
         orders
             .iter()
-            .any(|ticket| self.answers[ticket].1 != Code::NoPrimary)
+            .any(|ticket| self.answers[ticket].1 != ResultCode::NoPrimary)
     }
 
     /// The cut ends: all know what is in force, an order without a clear answer perhaps with it.
@@ -107,7 +110,7 @@
         let (_, code, body) = self.asked(self.primary(), READ);
         let followed = may_be_followed && body == configuration(version + 1);
         let version = if followed { version + 1 } else { version };
-        assert_eq!((code, body), (Code::Ok, configuration(version)));
+        assert_eq!((code, body), (ResultCode::Ok, configuration(version)));
         for n in self.voters() {
             assert!(
                 self.age(n).expect("proof") < ms(600),
@@ -138,7 +141,7 @@
         majority_shortfall(&budget, &seats.iter().collect::<Vec<_>>()) <= 0,
         "{seats:?}"
     );
-    assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let primary = core.primary();
     let group = |n: usize| {
         places[n]
@@ -169,7 +172,7 @@
     #[values(true, false)] with_primary: bool,
 ) {
     let mut core = Core::started(5, 2);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let primary = core.primary();
     let rest = core.others(&[primary]);
     let first = with_primary.then_some(primary);
@@ -212,7 +215,7 @@
     #[values(0, 400, 10_000)] cut_after_ms: u64,
 ) {
     let mut core = Core::started(5, 2);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let sleeper = core.of_part(sleeps, None).unwrap();
     // The part as it was before, or, where a takeover lies between, as it is then.
     let chosen = core.of_part(cut, Some(sleeper));
@@ -260,7 +263,7 @@
     #[values(Way::Neither, Way::In, Way::Out)] way: Way,
 ) {
     let mut core = Core::started(3, 1);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, Code::Ok);
+    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let mut version = 5;
     for _ in 0..2 {
         let primary = core.primary();
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -40,7 +40,7 @@
             ticket,
             records,
             rewrite,
-            file: File::Ledger,
+            file: File::Log,
         })
         .unwrap();
 }
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/feed.rs
@@ -1,9 +1,9 @@
 //! The member's own source goes into the mirror that others pull from.
 
-use control_plane::feed::Feed;
+use control_plane::feed::RegistryPublisher;
 use control_plane::roster::{Beat, HostCall};
-use protocol::{Addr, Caller, Mark};
-use replication::{answer, phase, Mirror, News, SharedMirror};
+use protocol::{Addr, OriginVersion, Subscriber};
+use replication::{answer, phase, Mirror, SharedMirror, Update};
 use std::time::Duration;
 
 const BEAT: Duration = Duration::from_millis(1000);
@@ -28,14 +28,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_beat_reaches_who_waits_at_once() {
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let feed = Feed::new(7, 1, BEAT, shared.clone());
+    let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
     let mut agent = Mirror::new(0, BEAT);
-    let first = answer(&shared, &agent.pull(&Caller::default(), 1000)).await;
+    let first = answer(&shared, &agent.pull(&Subscriber::default(), 1000)).await;
     assert!(
         agent.apply(Duration::ZERO, &first),
         "the member's life is known before any host is"
     );
-    let pull = agent.pull(&Caller::default(), 1000);
+    let pull = agent.pull(&Subscriber::default(), 1000);
     let waits = {
         let shared = shared.clone();
         tokio::spawn(async move { answer(&shared, &pull).await })
@@ -56,7 +56,7 @@
     let asked = tokio::time::Instant::now();
     let news = answer(
         &shared,
-        &Mirror::new(0, BEAT).pull(&Caller::default(), 1000),
+        &Mirror::new(0, BEAT).pull(&Subscriber::default(), 1000),
     )
     .await;
     assert!(news.is_empty());
@@ -69,10 +69,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_host_that_moves_is_dropped_here() {
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let feed = Feed::new(7, 1, BEAT, shared.clone());
+    let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
     feed.call(&call("i", 1));
     let other = SharedMirror::new(Mirror::new(8, BEAT));
-    Feed::new(8, 1, BEAT, other.clone()).call(&call("i", 4));
+    RegistryPublisher::new(8, 1, BEAT, other.clone()).call(&call("i", 4));
     tokio::time::advance(BEAT * 3).await;
     let news = other
         .update(|m, now| m.news_for(now, &m_pull(&shared)))
@@ -87,14 +87,14 @@
 }
 
 fn m_pull(shared: &SharedMirror) -> replication::Pull {
-    shared.update(|m, _| m.pull(&Caller::default(), 0))
+    shared.update(|m, _| m.pull(&Subscriber::default(), 0))
 }
 
 #[tokio::test(start_paused = true)]
 async fn who_is_gone_elsewhere_stays_gone() {
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let feed = Feed::new(7, 1, BEAT, shared.clone());
-    let mark = Mark {
+    let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
+    let mark = OriginVersion {
         id: 8,
         life: 1,
         seq: 1,
@@ -104,7 +104,7 @@
         phase: phase::GONE,
         ..Default::default()
     }];
-    let source = protocol::SourceNews {
+    let source = protocol::OriginUpdate {
         mark,
         whole: true,
         hosts,
@@ -113,9 +113,9 @@
     shared.update(|m, now| {
         m.apply(
             now,
-            &News {
+            &Update {
                 sources: vec![source],
-                ..News::default()
+                ..Update::default()
             },
         )
     });
@@ -126,12 +126,12 @@
 #[tokio::test(start_paused = true)]
 async fn coordinators_report_what_they_have_in_force() {
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let feed = Feed::new(7, 1, BEAT, shared.clone());
+    let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
     for (name, version) in [("a", 4), ("b", 3)] {
-        feed.pulled(&Caller {
+        feed.pulled(&Subscriber {
             name: name.into(),
             version,
-            ..Caller::default()
+            ..Subscriber::default()
         });
     }
     assert_eq!(
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -3,7 +3,7 @@
 
 use configuration::FaultBudget;
 use control_plane::member::{Config, Input, Member, Output};
-use protocol::{Addr, MemberInfo, Message, View};
+use protocol::{Addr, MemberInfo, MembershipConfig, Message};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -59,7 +59,7 @@
             member: Member::new(config, &[], ms(0), 7),
         };
         let voters: Vec<MemberInfo> = [HOLDER, VOTER, THIRD].map(seat).to_vec();
-        let view = View {
+        let view = MembershipConfig {
             epoch: EPOCH,
             primary: HOLDER,
             replicas: vec![HOLDER, THIRD],
@@ -68,13 +68,13 @@
         };
         let sent = voter.hears(
             HOLDER,
-            Message::InstallView {
+            Message::InstallMembership {
                 view,
                 snapshot: None,
             },
         );
         assert!(
-            matches!(sent[..], [Message::InstallReply { ok: true, .. }]),
+            matches!(sent[..], [Message::InstallMembershipReply { ok: true, .. }]),
             "{sent:?}"
         );
         voter
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger: what a call comes to, and which members may hold it.
 
-use configuration::{Code, FaultBudget};
-use control_plane::ledger::{Ledger, Plan};
+use configuration::{FaultBudget, ResultCode};
+use control_plane::ledger::{Plan, ReplicatedState};
 use control_plane::member::choose_replicas;
 use protocol::{Change, Command, MemberInfo};
 use rstest::rstest;
@@ -21,14 +21,14 @@
     }
 }
 
-fn taken(ledger: &Ledger, command: &Command) -> Ledger {
+fn taken(ledger: &ReplicatedState, command: &Command) -> ReplicatedState {
     match ledger.plan(command) {
         Plan::Change(_, next) => *next,
         Plan::Answer(code, text) => panic!("{code:?} {}", String::from_utf8_lossy(&text)),
     }
 }
 
-fn answer(ledger: &Ledger, command: &Command) -> Code {
+fn answer(ledger: &ReplicatedState, command: &Command) -> ResultCode {
     match ledger.plan(command) {
         Plan::Answer(code, _) => code,
         Plan::Change(..) => panic!("taken"),
@@ -38,22 +38,22 @@
 #[test]
 fn of_two_on_one_base_the_second_is_refused_and_the_first_again_is_confirmed() {
     let (first, second) = (replace(0, body(2, "s")), replace(0, body(3, "s")));
-    let ledger = taken(&Ledger::default(), &first);
-    assert_eq!(answer(&ledger, &second), Code::OtherBase);
-    assert_eq!(answer(&ledger, &first), Code::Ok);
+    let ledger = taken(&ReplicatedState::default(), &first);
+    assert_eq!(answer(&ledger, &second), ResultCode::OtherBase);
+    assert_eq!(answer(&ledger, &first), ResultCode::Ok);
     // Also once others have followed.
     let later = taken(&ledger, &replace(2, body(5, "s")));
-    assert_eq!(answer(&later, &first), Code::Ok);
+    assert_eq!(answer(&later, &first), ResultCode::Ok);
     assert_eq!(later.document.version, 5);
 }
 
 #[rstest]
-#[case(replace(2, b"{".to_vec()), Code::Unreadable)]
-#[case(replace(2, body(2, "s")), Code::OldVersion)]
-#[case(replace(2, body(3, "other")), Code::UnknownService)]
-#[case(replace(1, body(3, "s")), Code::OtherBase)]
-fn an_invalid_configuration_changes_nothing(#[case] command: Command, #[case] code: Code) {
-    let ledger = taken(&Ledger::default(), &replace(0, body(2, "s")));
+#[case(replace(2, b"{".to_vec()), ResultCode::Unreadable)]
+#[case(replace(2, body(2, "s")), ResultCode::OldVersion)]
+#[case(replace(2, body(3, "other")), ResultCode::UnknownService)]
+#[case(replace(1, body(3, "s")), ResultCode::OtherBase)]
+fn an_invalid_configuration_changes_nothing(#[case] command: Command, #[case] code: ResultCode) {
+    let ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
     assert_eq!(answer(&ledger, &command), code);
 }
 
@@ -76,12 +76,15 @@
             body,
         }
     };
-    let mut ledger = taken(&Ledger::default(), &replace(0, body(2, "s")));
+    let mut ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
     for n in 0..3 {
         ledger = taken(&ledger, &amendment(ledger.document.version, n));
     }
     let version = ledger.document.version;
-    assert_eq!(answer(&ledger, &amendment(version, 3)), Code::TooLarge);
+    assert_eq!(
+        answer(&ledger, &amendment(version, 3)),
+        ResultCode::TooLarge
+    );
     // In the place of another it still fits.
     taken(&ledger, &amendment(version, 2));
 }
@@ -103,7 +106,7 @@
         )
         .into_bytes()
     };
-    let first = taken(&Ledger::default(), &replace(0, routes(1)));
+    let first = taken(&ReplicatedState::default(), &replace(0, routes(1)));
     let second = taken(&first, &replace(1, routes(2)));
     assert_eq!(second.document.to_json().into_bytes(), routes(2));
     let item = routes(1).len() / 200;
@@ -117,20 +120,20 @@
 #[test]
 fn nothing_taken_yet_is_said_clearly() {
     assert_eq!(
-        answer(&Ledger::default(), &Command::Read { reserved: 0 }),
-        Code::NoConfiguration
+        answer(&ReplicatedState::default(), &Command::Read { reserved: 0 }),
+        ResultCode::NoConfiguration
     );
 }
 
 #[test]
 fn a_snapshot_holds_the_whole_ledger() {
-    let ledger = taken(&Ledger::default(), &replace(0, body(2, "s")));
+    let ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
     let ledger = taken(&ledger, &Command::Drain { host: "i-1".into() });
     assert_eq!(
         answer(&ledger, &Command::Drain { host: "i-1".into() }),
-        Code::Ok
+        ResultCode::Ok
     );
-    assert_eq!(Ledger::of(&ledger.snapshot()).unwrap(), ledger);
+    assert_eq!(ReplicatedState::of(&ledger.snapshot()).unwrap(), ledger);
     let forgotten = ledger
         .after(&Change::Forget {
             hosts: vec!["i-1".into()],
--- a/crates/control-plane/tests/lives.rs
+++ b/crates/control-plane/tests/lives.rs
@@ -1,10 +1,10 @@
 //! A member that starts on a full disk after its clock was set back, and doesn't know the number of its life before:
 //! what hosts tell it reaches everybody all the same.
 
-use control_plane::feed::Feed;
+use control_plane::feed::RegistryPublisher;
 use control_plane::life::following;
 use control_plane::roster::{Beat, HostCall};
-use protocol::{Addr, Caller};
+use protocol::{Addr, Subscriber};
 use replication::{answer, Mirror, SharedMirror};
 use rstest::rstest;
 use std::sync::Arc;
@@ -43,20 +43,20 @@
 
 /// `to` pulls from `from` once, as it would over a connection.
 async fn pull(to: &SharedMirror, from: &SharedMirror) {
-    let pull = to.update(|mirror, _| mirror.pull(&Caller::default(), 0));
+    let pull = to.update(|mirror, _| mirror.pull(&Subscriber::default(), 0));
     let news = answer(from, &pull).await;
     to.update(|mirror, now| mirror.apply(now, &news));
 }
 
 /// One member, a peer of it, and an agent that pulls from the peer only.
-struct Fleet {
+struct ControlPlaneInfo {
     member: Arc<SharedMirror>,
-    feed: Arc<Feed>,
+    feed: Arc<RegistryPublisher>,
     peer: Arc<SharedMirror>,
     agent: Arc<SharedMirror>,
 }
 
-impl Fleet {
+impl ControlPlaneInfo {
     fn new(life: u64) -> Self {
         let member = member_with_feed(life);
         Self {
@@ -96,9 +96,9 @@
     }
 }
 
-fn member_with_feed(life: u64) -> (Arc<SharedMirror>, Arc<Feed>) {
+fn member_with_feed(life: u64) -> (Arc<SharedMirror>, Arc<RegistryPublisher>) {
     let shared = member(ID);
-    let feed = Feed::new(ID, life, BEAT, shared.clone());
+    let feed = RegistryPublisher::new(ID, life, BEAT, shared.clone());
     (shared, feed)
 }
 
@@ -112,7 +112,7 @@
     #[case] first: u64,
     #[case] second: u64,
 ) {
-    let mut fleet = Fleet::new(first);
+    let mut fleet = ControlPlaneInfo::new(first);
     let mut calls = 0;
     fleet.run(&["a", "bb"], 3, &mut calls).await;
     assert_eq!(fleet.shows("a"), [true; 3]);
@@ -135,7 +135,7 @@
 /// Again and again, each time further back.
 #[tokio::test(start_paused = true)]
 async fn a_third_start_further_back_is_followed_too() {
-    let mut fleet = Fleet::new(following(0, 9_000, 1));
+    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
     let mut calls = 0;
     for (n, host) in ["a", "bb", "ccc", "dddd"].iter().enumerate() {
         fleet.run(&[host], 6, &mut calls).await;
@@ -147,7 +147,7 @@
 /// The whole core starts anew, and only an agent that doesn't pull from this member remembers its life before.
 #[tokio::test(start_paused = true)]
 async fn an_agent_that_remembers_is_enough() {
-    let mut fleet = Fleet::new(following(0, 9_000, 1));
+    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
     let mut calls = 0;
     fleet.run(&["a"], 2, &mut calls).await;
     fleet.peer = member(8);
@@ -160,7 +160,7 @@
 /// A start like any other costs nobody anything: its number is higher, and stays what it is.
 #[tokio::test(start_paused = true)]
 async fn a_usual_start_keeps_its_number() {
-    let mut fleet = Fleet::new(following(0, 9_000, 1));
+    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
     let mut calls = 0;
     fleet.run(&["a"], 2, &mut calls).await;
     let life = following(0, 10_000, 2);
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -1,10 +1,10 @@
 //! Hundreds of changes: what the file comes to, what a member that starts again makes of it, and what it does where
 //! its records can't be relied on.
 
-use configuration::{Code, FaultBudget};
-use control_plane::ledger::{Ledger, Plan, MAX_DOCUMENT_BYTES};
+use configuration::{FaultBudget, ResultCode};
+use control_plane::ledger::{Plan, ReplicatedState, MAX_DOCUMENT_BYTES};
 use control_plane::member::{Config, DiskError, Input, Member, Output, ReplayError};
-use protocol::{AcceptedCall, Change, Command, MemberInfo, Message, Record, View};
+use protocol::{AppliedRequest, Change, Command, MemberInfo, MembershipConfig, Message, Record};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -63,10 +63,10 @@
     }
 }
 
-fn view() -> View {
+fn view() -> MembershipConfig {
     let voters = vec![seat(PRIMARY), seat(ME)];
     let before = voters.clone();
-    View {
+    MembershipConfig {
         epoch: EPOCH,
         primary: PRIMARY,
         replicas: vec![PRIMARY, ME],
@@ -213,8 +213,8 @@
 /// A replica that has accepted the primary's view.
 fn replica() -> Machine {
     let mut machine = Machine::start(config(ME, None), vec![], Duration::ZERO);
-    let snapshot = Some(Ledger::default().snapshot());
-    machine.hear(Message::InstallView {
+    let snapshot = Some(ReplicatedState::default().snapshot());
+    machine.hear(Message::InstallMembership {
         view: view(),
         snapshot,
     });
@@ -260,7 +260,7 @@
         }
     }
     // Four times a ledger, twice the changes that may be open, and what one write adds.
-    let orders = changes as usize * std::mem::size_of::<AcceptedCall>();
+    let orders = changes as usize * std::mem::size_of::<AppliedRequest>();
     let ledger = body(changes, routes).len() + orders + 4096;
     let most = 4 * ledger
         + (2 * (under_way + RENEWED_EACH) + 1) as usize * (body(changes, routes).len() + 4096);
@@ -410,7 +410,7 @@
             command,
         });
         let taken = machine.take_outputs().iter().any(
-            |o| matches!(o, Output::Answer { ticket, code: Code::Ok, .. } if *ticket == version),
+            |o| matches!(o, Output::Answer { ticket, code: ResultCode::Ok, .. } if *ticket == version),
         );
         assert!(taken && machine.member.acts(), "change {version}");
     }
@@ -461,7 +461,7 @@
         amend: false,
         body: whole.clone().into_bytes(),
     };
-    let Plan::Change(change, next) = Ledger::default().plan(&command) else {
+    let Plan::Change(change, next) = ReplicatedState::default().plan(&command) else {
         panic!("it is taken")
     };
     let mut ledger = *next;
@@ -472,13 +472,13 @@
         seq: 1,
         change,
     };
-    let tag = protocol::LedgerPosition { epoch: 1, seq: 1 };
-    let reply = Message::LedgerReply {
+    let tag = protocol::LogPosition { epoch: 1, seq: 1 };
+    let reply = Message::SnapshotReply {
         epoch: 1,
         tag,
         snapshot: ledger.snapshot(),
     };
-    let install = Message::InstallView {
+    let install = Message::InstallMembership {
         view: view(),
         snapshot: Some(ledger.snapshot()),
     };
@@ -496,10 +496,10 @@
     );
 }
 
-fn accepted(ledger: Option<&Ledger>) -> Record {
+fn accepted(ledger: Option<&ReplicatedState>) -> Record {
     Record::Accepted {
         view: view(),
-        snapshot: ledger.map(Ledger::snapshot),
+        snapshot: ledger.map(ReplicatedState::snapshot),
     }
 }
 
@@ -512,7 +512,7 @@
 }
 
 fn unreadable_ledger() -> Record {
-    let mut snapshot = Ledger::default().snapshot();
+    let mut snapshot = ReplicatedState::default().snapshot();
     snapshot.document = "{".into();
     Record::Accepted {
         view: view(),
@@ -530,13 +530,16 @@
 #[case::of_another_view(vec![numbered(EPOCH + 1, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { .. }))]
 #[case::cannot_be_made(vec![numbered(EPOCH, 2, 9)], None, |e: &ReplayError| matches!(e, ReplayError::Change { record: 2, .. }))]
 #[case::no_ledger(vec![accepted(None), numbered(EPOCH, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::NoLedger { record: 3 }))]
-#[case::ledger(vec![unreadable_ledger()], None, |e: &ReplayError| matches!(e, ReplayError::Ledger { record: 2, .. }))]
+#[case::ledger(vec![unreadable_ledger()], None, |e: &ReplayError| matches!(e, ReplayError::InvalidSnapshot { record: 2, .. }))]
 fn a_member_whose_records_cannot_be_relied_on_has_no_say(
     #[case] records: Vec<Record>,
     #[case] raw: Option<Vec<u8>>,
     #[case] expected: fn(&ReplayError) -> bool,
 ) {
-    let good = [accepted(Some(&Ledger::default())), numbered(EPOCH, 1, 1)];
+    let good = [
+        accepted(Some(&ReplicatedState::default())),
+        numbered(EPOCH, 1, 1),
+    ];
     let disk: Vec<Vec<u8>> = good
         .iter()
         .chain(&records)
@@ -559,7 +562,7 @@
             epoch,
             candidate: seat(PRIMARY),
         });
-        machine.hear(Message::FetchLedger { epoch });
+        machine.hear(Message::FetchSnapshot { epoch });
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
             seq: 2,
@@ -571,10 +574,10 @@
             committed: 1,
             heard: 0,
         });
-        let view = View { epoch, ..view() };
-        machine.hear(Message::InstallView {
+        let view = MembershipConfig { epoch, ..view() };
+        machine.hear(Message::InstallMembership {
             view,
-            snapshot: Some(Ledger::default().snapshot()),
+            snapshot: Some(ReplicatedState::default().snapshot()),
         });
     }
     for output in machine.take_outputs() {
@@ -586,7 +589,8 @@
                     Message::Promise {
                         granted, view, tag, ..
                     } => !granted && view.is_none() && tag.is_none(),
-                    Message::AppendReply { ok, .. } | Message::InstallReply { ok, .. } => !ok,
+                    Message::AppendReply { ok, .. }
+                    | Message::InstallMembershipReply { ok, .. } => !ok,
                     Message::LeaseReply { ok, fit, .. } => !ok && !fit,
                     _ => false,
                 };
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -4,7 +4,7 @@
 
 use append_log::AppendLog;
 use client::{call, call_until, Answer};
-use configuration::Boot;
+use configuration::ProcessSettings;
 use control_plane::shell::identity::StartFacts;
 use control_plane::shell::{run, Tuning};
 use protocol::Record;
@@ -69,7 +69,7 @@
             "port_range": [self.ports.0, self.ports.0], "seed_nodes": seeds, "bootstrap": bootstrap,
             "state_dir": self.dirs[n], "fault_budget": {"machine_losses": 1},
         });
-        let boot = Boot::read(&boot.to_string()).unwrap();
+        let boot = ProcessSettings::read(&boot.to_string()).unwrap();
         let (stop, stopped) = oneshot::channel();
         let tuning = self.tuning;
         let done = spawn_local(async move {
--- a/crates/control-plane/tests/order_calls.rs
+++ b/crates/control-plane/tests/order_calls.rs
@@ -1,8 +1,8 @@
 //! Orders as they come over a connection: base versions, bodies that are cut, calls sent ahead. Real sockets, and a
 //! ledger in memory behind them.
 
-use configuration::Code;
-use control_plane::ledger::{Ledger, Plan};
+use configuration::ResultCode;
+use control_plane::ledger::{Plan, ReplicatedState};
 use control_plane::shell::call::Call;
 use control_plane::shell::control::{Control, ControlCounters, Reply, RunCall};
 use protocol::Command;
@@ -19,12 +19,12 @@
 
 /// Takes orders into a ledger at once.
 #[derive(Clone, Default)]
-struct Book(Rc<RefCell<Ledger>>);
+struct Book(Rc<RefCell<ReplicatedState>>);
 
 impl RunCall for Book {
     async fn run(&self, call: Call) -> Reply {
         let Call::Configure { base, amend, body } = call else {
-            return Reply::of(Code::NoSuchCall);
+            return Reply::of(ResultCode::NoSuchCall);
         };
         let plan = self.0.borrow().plan(&Command::Configure {
             base,
@@ -34,7 +34,7 @@
         match plan {
             Plan::Change(_, next) => {
                 self.0.replace(*next);
-                Reply::of(Code::Ok)
+                Reply::of(ResultCode::Ok)
             }
             Plan::Answer(code, text) => Reply::detailed(code, &String::from_utf8_lossy(&text)),
         }
@@ -117,7 +117,7 @@
             .await
             .unwrap();
         let answer = rest(&mut stream).await;
-        let status = Code::of(code).unwrap().status();
+        let status = ResultCode::of(code).unwrap().status();
         assert!(
             answer.starts_with(&format!("HTTP/1.1 {status} ")),
             "{answer}"
--- a/crates/control-plane/tests/order_cluster/mod.rs
+++ b/crates/control-plane/tests/order_cluster/mod.rs
@@ -1,6 +1,6 @@
 //! Members on simulated time: messages take 1 ms, writes 2 ms; what has to be held, cut or lost is told.
 
-use configuration::{Code, FaultBudget};
+use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{Config, Input, Member, Output};
 use protocol::{Addr, Command, MemberInfo, Message};
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,7 +45,7 @@
     records: Vec<Vec<u8>>,
     rewrites: usize,
     wake: Duration,
-    answers: BTreeMap<u64, (Code, Vec<u8>)>,
+    answers: BTreeMap<u64, (ResultCode, Vec<u8>)>,
 }
 
 /// Members that know each other, on one clock.
@@ -224,7 +224,7 @@
     }
 
     /// What a call of a member's present life was answered.
-    pub fn answered(&self, n: usize, ticket: u64) -> Option<Code> {
+    pub fn answered(&self, n: usize, ticket: u64) -> Option<ResultCode> {
         self.nodes[n].answers.get(&ticket).map(|a| a.0)
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Runs until a call is answered.
-    pub fn answer_to(&mut self, n: usize, ticket: u64) -> Code {
+    pub fn answer_to(&mut self, n: usize, ticket: u64) -> ResultCode {
         self.run_until(|c| c.answered(n, ticket).is_some());
         self.answered(n, ticket).unwrap()
     }
--- a/crates/control-plane/tests/orders.rs
+++ b/crates/control-plane/tests/orders.rs
@@ -5,9 +5,9 @@
 mod early;
 mod order_cluster;
 
-use configuration::Code;
+use configuration::ResultCode;
 use control_plane::accepted::{fingerprint, MIN_REMEMBERED_ORDERS};
-use control_plane::ledger::{Ledger, Plan};
+use control_plane::ledger::{Plan, ReplicatedState};
 use order_cluster::{Cluster, Held};
 use proptest::prelude::*;
 use protocol::{Change, Command, Message};
@@ -26,14 +26,14 @@
     }
 }
 
-fn taken(ledger: &Ledger, command: &Command) -> Ledger {
+fn taken(ledger: &ReplicatedState, command: &Command) -> ReplicatedState {
     match ledger.plan(command) {
         Plan::Change(_, next) => *next,
         Plan::Answer(code, text) => panic!("{code:?} {}", String::from_utf8_lossy(&text)),
     }
 }
 
-fn answer(ledger: &Ledger, command: &Command) -> Code {
+fn answer(ledger: &ReplicatedState, command: &Command) -> ResultCode {
     match ledger.plan(command) {
         Plan::Answer(code, _) => code,
         Plan::Change(..) => panic!("taken"),
@@ -41,9 +41,9 @@
 }
 
 /// A ledger that took `count` orders, each on the version before; versions rise by 2.
-fn after_orders(count: u64) -> Ledger {
+fn after_orders(count: u64) -> ReplicatedState {
     let all = 0..count;
-    all.fold(Ledger::default(), |ledger, n| {
+    all.fold(ReplicatedState::default(), |ledger, n| {
         taken(&ledger, &order(2 * n, 2 * n + 2, "first"))
     })
 }
@@ -53,10 +53,13 @@
 
 #[test]
 fn two_orders_of_one_short_digest_are_not_both_confirmed() {
-    let ledger = taken(&Ledger::default(), &order(0, 2, "x"));
+    let ledger = taken(&ReplicatedState::default(), &order(0, 2, "x"));
     let ledger = taken(&ledger, &order(2, 3, SAME_FNV.0));
-    assert_eq!(answer(&ledger, &order(2, 3, SAME_FNV.0)), Code::Ok);
-    assert_eq!(answer(&ledger, &order(2, 3, SAME_FNV.1)), Code::OtherBase);
+    assert_eq!(answer(&ledger, &order(2, 3, SAME_FNV.0)), ResultCode::Ok);
+    assert_eq!(
+        answer(&ledger, &order(2, 3, SAME_FNV.1)),
+        ResultCode::OtherBase
+    );
 }
 
 #[rstest]
@@ -65,14 +68,20 @@
 #[case::as_long_as_promised(MIN_REMEMBERED_ORDERS as u64 - 1)]
 fn a_taken_order_is_confirmed_again_after_others_and_a_lost_one_is_refused(#[case] others: u64) {
     let ledger = after_orders(others + 1);
-    for ledger in [Ledger::of(&ledger.snapshot()).unwrap(), ledger] {
-        assert_eq!(answer(&ledger, &order(0, 2, "first")), Code::Ok);
-        assert_eq!(answer(&ledger, &order(0, 2, "second")), Code::OtherBase);
+    for ledger in [ReplicatedState::of(&ledger.snapshot()).unwrap(), ledger] {
+        assert_eq!(answer(&ledger, &order(0, 2, "first")), ResultCode::Ok);
+        assert_eq!(
+            answer(&ledger, &order(0, 2, "second")),
+            ResultCode::OtherBase
+        );
         // A version that was never in force.
-        assert_eq!(answer(&ledger, &order(1, 2, "first")), Code::OtherBase);
+        assert_eq!(
+            answer(&ledger, &order(1, 2, "first")),
+            ResultCode::OtherBase
+        );
         // A version that may come into force yet: no refusal.
         let early = order(2 * others + 9, 2 * others + 11, "first");
-        assert_eq!(answer(&ledger, &early), Code::BaseNotInForce);
+        assert_eq!(answer(&ledger, &early), ResultCode::BaseNotInForce);
     }
 }
 
@@ -84,22 +93,28 @@
         (MIN_REMEMBERED_ORDERS..MIN_REMEMBERED_ORDERS + 64).contains(&remembered),
         "{remembered}"
     );
-    for ledger in [Ledger::of(&ledger.snapshot()).unwrap(), ledger.clone()] {
+    for ledger in [
+        ReplicatedState::of(&ledger.snapshot()).unwrap(),
+        ledger.clone(),
+    ] {
         assert_eq!(ledger.taken.iter().count(), remembered);
-        assert_eq!(answer(&ledger, &order(0, 2, "first")), Code::OrderForgotten);
+        assert_eq!(
+            answer(&ledger, &order(0, 2, "first")),
+            ResultCode::OrderForgotten
+        );
         assert_eq!(
             answer(&ledger, &order(0, 2, "second")),
-            Code::OrderForgotten
+            ResultCode::OrderForgotten
         );
-        assert_eq!(Code::OrderForgotten.status(), 503);
+        assert_eq!(ResultCode::OrderForgotten.status(), 503);
         let oldest = ledger.taken.oldest_base().unwrap();
         assert_eq!(
             answer(&ledger, &order(oldest, oldest + 2, "first")),
-            Code::Ok
+            ResultCode::Ok
         );
         assert_eq!(
             answer(&ledger, &order(oldest - 2, oldest, "first")),
-            Code::OrderForgotten
+            ResultCode::OrderForgotten
         );
     }
 }
@@ -150,24 +165,28 @@
     false
 )]
 fn equal_content_in_other_bytes_is_the_same_order(#[case] again: &str, #[case] same: bool) {
-    let ledger = taken(&Ledger::default(), &order(0, 2, "x"));
+    let ledger = taken(&ReplicatedState::default(), &order(0, 2, "x"));
     let ledger = taken(&ledger, &order(2, 3, "a"));
     let again = |base, amend| Command::Configure {
         base,
         amend,
         body: again.as_bytes().to_vec(),
     };
-    let expected = if same { Code::Ok } else { Code::OtherBase };
+    let expected = if same {
+        ResultCode::Ok
+    } else {
+        ResultCode::OtherBase
+    };
     assert_eq!(answer(&ledger, &again(2, false)), expected);
     // Neither under another base nor as an amendment.
-    assert_eq!(answer(&ledger, &again(0, false)), Code::OtherBase);
-    assert_eq!(answer(&ledger, &again(2, true)), Code::OtherBase);
+    assert_eq!(answer(&ledger, &again(0, false)), ResultCode::OtherBase);
+    assert_eq!(answer(&ledger, &again(2, true)), ResultCode::OtherBase);
 }
 
 #[test]
 fn the_same_content_on_the_version_that_it_led_to_is_invalid() {
-    let ledger = taken(&Ledger::default(), &order(0, 2, "x"));
-    assert_eq!(answer(&ledger, &order(2, 2, "x")), Code::OldVersion);
+    let ledger = taken(&ReplicatedState::default(), &order(0, 2, "x"));
+    assert_eq!(answer(&ledger, &order(2, 2, "x")), ResultCode::OldVersion);
 }
 
 fn json_value() -> impl Strategy<Value = serde_json::Value> {
@@ -203,7 +222,7 @@
     fn each_version_is_followed_by_one_order_and_that_one_is_always_confirmed(
         steps in prop::collection::vec((0u64..40, 0u64..3, 0u64..4, any::<bool>()), 1..200)
     ) {
-        let mut ledger = Ledger::default();
+        let mut ledger = ReplicatedState::default();
         let mut followed = std::collections::BTreeMap::new();
         for (base, rise, note, snapshot) in steps {
             let command = order(base, base + rise, &note.to_string());
@@ -216,8 +235,8 @@
                     followed.insert(base, command);
                     ledger = *next;
                 }
-                Plan::Answer(Code::Ok, _) => prop_assert_eq!(winner, Some(&command)),
-                Plan::Answer(Code::BaseNotInForce, _) => prop_assert!(base > ledger.document.version),
+                Plan::Answer(ResultCode::Ok, _) => prop_assert_eq!(winner, Some(&command)),
+                Plan::Answer(ResultCode::BaseNotInForce, _) => prop_assert!(base > ledger.document.version),
                 Plan::Answer(code, _) => {
                     prop_assert_eq!(code.status() / 100, 4);
                     prop_assert!(base <= ledger.document.version);
@@ -225,7 +244,7 @@
                 }
             }
             if snapshot {
-                ledger = Ledger::of(&ledger.snapshot()).unwrap();
+                ledger = ReplicatedState::of(&ledger.snapshot()).unwrap();
             }
         }
     }
@@ -246,7 +265,7 @@
     cluster.run_until(|c| c.forwarded_to(primary) >= 2);
     cluster.release();
     let code = cluster.answer_to(other, 1);
-    assert_eq!(code, Code::OtherBase, "the other order was taken");
+    assert_eq!(code, ResultCode::OtherBase, "the other order was taken");
 }
 
 #[test]
@@ -255,9 +274,9 @@
     let primary = cluster.primary();
     let other = cluster.witness();
     cluster.command(other, 1, order(0, 2, "a"));
-    assert_eq!(cluster.answer_to(other, 1), Code::Ok);
+    assert_eq!(cluster.answer_to(other, 1), ResultCode::Ok);
     cluster.command(primary, 1, order(2, 5, "b"));
-    assert_eq!(cluster.answer_to(primary, 1), Code::Ok);
+    assert_eq!(cluster.answer_to(primary, 1), ResultCode::Ok);
     let replayed = cluster.sent(|m| matches!(m, Message::ForwardCommand { .. }));
     assert!(!replayed.is_empty());
     for (from, to, message) in replayed {
@@ -267,11 +286,11 @@
     // Still the newest, and both are still confirmed, everywhere.
     for member in 0..3 {
         cluster.command(member, 10, order(2, 5, "b"));
-        assert_eq!(cluster.answer_to(member, 10), Code::Ok);
+        assert_eq!(cluster.answer_to(member, 10), ResultCode::Ok);
         cluster.command(member, 11, order(0, 2, "a"));
-        assert_eq!(cluster.answer_to(member, 11), Code::Ok);
+        assert_eq!(cluster.answer_to(member, 11), ResultCode::Ok);
         cluster.command(member, 12, order(2, 6, "late"));
-        assert_eq!(cluster.answer_to(member, 12), Code::OtherBase);
+        assert_eq!(cluster.answer_to(member, 12), ResultCode::OtherBase);
     }
 }
 
@@ -281,21 +300,21 @@
     let mut cluster = Cluster::new(3);
     let first = cluster.primary();
     cluster.command(first, 1, order(0, 2, "a"));
-    assert_eq!(cluster.answer_to(first, 1), Code::Ok);
+    assert_eq!(cluster.answer_to(first, 1), ResultCode::Ok);
     cluster.stop(first);
     let rest: Vec<usize> = (0..3).filter(|n| *n != first).collect();
     for member in &rest {
         cluster.command(*member, 2, order(0, 2, "a"));
-        assert_eq!(cluster.answer_to(*member, 2), Code::Ok);
+        assert_eq!(cluster.answer_to(*member, 2), ResultCode::Ok);
         cluster.command(*member, 3, order(0, 2, "b"));
-        assert_eq!(cluster.answer_to(*member, 3), Code::OtherBase);
+        assert_eq!(cluster.answer_to(*member, 3), ResultCode::OtherBase);
     }
     (0..3).for_each(|n| cluster.restart(n));
     for member in 0..3 {
         cluster.command(member, 4, order(0, 2, "a"));
-        assert_eq!(cluster.answer_to(member, 4), Code::Ok);
+        assert_eq!(cluster.answer_to(member, 4), ResultCode::Ok);
         cluster.command(member, 5, order(0, 2, "b"));
-        assert_eq!(cluster.answer_to(member, 5), Code::OtherBase);
+        assert_eq!(cluster.answer_to(member, 5), ResultCode::OtherBase);
     }
 }
 
@@ -308,7 +327,7 @@
     let long = "x".repeat(2000);
     for n in 0..ORDERS {
         cluster.command(primary, n, order(2 * n, 2 * n + 2, &long));
-        assert_eq!(cluster.answer_to(primary, n), Code::Ok);
+        assert_eq!(cluster.answer_to(primary, n), ResultCode::Ok);
         // A file is rewritten when nothing waits to be written.
         cluster.run_ms(20);
     }
@@ -319,12 +338,12 @@
             cluster.command(member, n, order(2 * n, 2 * n + 2, &long));
             assert_eq!(
                 cluster.answer_to(member, n),
-                Code::Ok,
+                ResultCode::Ok,
                 "order {n} at member {member}"
             );
         }
         cluster.command(member, ORDERS, order(2, 4, "lost"));
-        assert_eq!(cluster.answer_to(member, ORDERS), Code::OtherBase);
+        assert_eq!(cluster.answer_to(member, ORDERS), ResultCode::OtherBase);
     }
 }
 
@@ -336,7 +355,7 @@
     let witness = cluster.witness();
     let wiped = (0..3).find(|n| *n != primary && *n != witness).unwrap();
     cluster.command(primary, 1, order(0, 2, "a"));
-    assert_eq!(cluster.answer_to(primary, 1), Code::Ok);
+    assert_eq!(cluster.answer_to(primary, 1), ResultCode::Ok);
     cluster.wipe(wiped);
     // Whichever of the two holds the ledger beside the primary got it handed.
     cluster.run_until(|c| c.is_settled_replica(wiped) || c.is_settled_replica(witness));
@@ -344,9 +363,9 @@
     cluster.stop(primary);
     for member in [wiped, witness] {
         cluster.command(member, 2, order(0, 2, "a"));
-        assert_eq!(cluster.answer_to(member, 2), Code::Ok);
+        assert_eq!(cluster.answer_to(member, 2), ResultCode::Ok);
         cluster.command(member, 3, order(0, 2, "b"));
-        assert_eq!(cluster.answer_to(member, 3), Code::OtherBase);
+        assert_eq!(cluster.answer_to(member, 3), ResultCode::OtherBase);
     }
 }
 
@@ -368,20 +387,26 @@
     );
     cluster.run_until(|c| others.iter().any(|n| c.acts(*n)));
     cluster.command(others[0], 3, order(0, 2, "other"));
-    assert_eq!(cluster.answer_to(others[0], 3), Code::Ok);
+    assert_eq!(cluster.answer_to(others[0], 3), ResultCode::Ok);
     cluster.heal();
     let lost = cluster.answer_to(old, 1);
     assert!(
-        matches!(lost, Code::OtherBase | Code::Unclear | Code::NoPrimary),
+        matches!(
+            lost,
+            ResultCode::OtherBase | ResultCode::Unclear | ResultCode::NoPrimary
+        ),
         "{lost:?}"
     );
     let other = cluster.answer_to(old, 2);
     assert!(
-        matches!(other, Code::Ok | Code::Unclear | Code::NoPrimary),
+        matches!(
+            other,
+            ResultCode::Ok | ResultCode::Unclear | ResultCode::NoPrimary
+        ),
         "{other:?}"
     );
     cluster.command(old, 4, order(0, 2, "lost"));
-    assert_eq!(cluster.answer_to(old, 4), Code::OtherBase);
+    assert_eq!(cluster.answer_to(old, 4), ResultCode::OtherBase);
 }
 
 /// A replica is lost while an order waits for it: the primary makes a view without it. What waited is dropped with the
@@ -403,7 +428,10 @@
     );
     let codes =
         [(primary, 1), (witness, 1), (witness, 2)].map(|(n, ticket)| cluster.answer_to(n, ticket));
-    assert_eq!(codes, [Code::Ok, Code::Ok, Code::OtherBase]);
+    assert_eq!(
+        codes,
+        [ResultCode::Ok, ResultCode::Ok, ResultCode::OtherBase]
+    );
     assert!(cluster.acts(primary));
 }
 
@@ -421,7 +449,7 @@
     cluster.run_until(|c| others.iter().any(|n| c.acts(*n)));
     let since = cluster.now_ms();
     for member in &others {
-        assert_eq!(cluster.answer_to(*member, 1), Code::Ok);
+        assert_eq!(cluster.answer_to(*member, 1), ResultCode::Ok);
     }
     assert!(
         cluster.now_ms() - since <= 50,
@@ -443,7 +471,10 @@
         let since = cluster.now_ms();
         cluster.command(cut_off, since, order(0, 2, "a"));
         let code = cluster.answer_to(cut_off, since);
-        assert!(matches!(code, Code::NoPrimary | Code::Unclear), "{code:?}");
+        assert!(
+            matches!(code, ResultCode::NoPrimary | ResultCode::Unclear),
+            "{code:?}"
+        );
         assert!(
             cluster.now_ms() - since <= 300,
             "{} ms",
@@ -457,7 +488,7 @@
     let other = (0..3).find(|n| *n != primary).unwrap();
     cluster.stop(primary);
     cluster.command(other, 1, order(0, 2, "b"));
-    assert_eq!(cluster.answer_to(other, 1), Code::Ok);
+    assert_eq!(cluster.answer_to(other, 1), ResultCode::Ok);
 }
 
 /// Eight orders at once on the same version, with one number and different contents, at all members.
@@ -478,19 +509,19 @@
     for (member, ticket, command) in &sent {
         cluster.command(*member, *ticket, command.clone());
     }
-    let codes: Vec<Code> = sent
+    let codes: Vec<ResultCode> = sent
         .iter()
         .map(|(member, ticket, _)| cluster.answer_to(*member, *ticket))
         .collect();
     assert_eq!(
-        codes.iter().filter(|c| **c == Code::Ok).count(),
+        codes.iter().filter(|c| **c == ResultCode::Ok).count(),
         1,
         "{codes:?}"
     );
     assert!(
         codes
             .iter()
-            .all(|c| matches!(c, Code::Ok | Code::OtherBase)),
+            .all(|c| matches!(c, ResultCode::Ok | ResultCode::OtherBase)),
         "{codes:?}"
     );
     // Sent again to the next member, each gets the same answer.
@@ -508,6 +539,6 @@
         cluster.command(member, 1, order(0, 2, "a"));
     }
     for member in 0..3 {
-        assert_eq!(cluster.answer_to(member, 1), Code::Ok);
+        assert_eq!(cluster.answer_to(member, 1), ResultCode::Ok);
     }
 }
--- a/crates/control-plane/tests/orders/early.rs
+++ b/crates/control-plane/tests/orders/early.rs
@@ -2,8 +2,8 @@
 
 use super::order_cluster::Cluster;
 use super::{answer, order, taken};
-use configuration::Code;
-use control_plane::ledger::Ledger;
+use configuration::ResultCode;
+use control_plane::ledger::ReplicatedState;
 use protocol::Message;
 
 /// A caller waits a second before it goes elsewhere.
@@ -13,11 +13,14 @@
 
 #[test]
 fn an_order_above_the_version_in_force_is_refused_only_once_its_base_can_never_be() {
-    let ledger = taken(&Ledger::default(), &order(0, 2, "first"));
+    let ledger = taken(&ReplicatedState::default(), &order(0, 2, "first"));
     let early = order(5, 7, "early");
-    assert_eq!(answer(&ledger, &early), Code::BaseNotInForce);
+    assert_eq!(answer(&ledger, &early), ResultCode::BaseNotInForce);
     assert_eq!(
-        (Code::BaseNotInForce.number(), Code::BaseNotInForce.status()),
+        (
+            ResultCode::BaseNotInForce.number(),
+            ResultCode::BaseNotInForce.status()
+        ),
         (124, 503)
     );
     // Its base comes: it is taken.
@@ -25,7 +28,7 @@
     assert_eq!(taken(&with_base, &early).document.version, 7);
     // Versions pass its base: nobody can take it any more.
     let passed = taken(&ledger, &order(2, 6, "another"));
-    assert_eq!(answer(&passed, &early), Code::OtherBase);
+    assert_eq!(answer(&passed, &early), ResultCode::OtherBase);
 }
 
 #[test]
@@ -33,11 +36,11 @@
     let mut cluster = Cluster::new(3);
     let members = [cluster.primary(), cluster.witness()];
     cluster.command(members[0], 1, order(0, 2, "first"));
-    assert_eq!(cluster.answer_to(members[0], 1), Code::Ok);
+    assert_eq!(cluster.answer_to(members[0], 1), ResultCode::Ok);
     for member in members {
         let since = cluster.now_ms();
         cluster.command(member, 2, order(22, 23, "mistyped"));
-        assert_eq!(cluster.answer_to(member, 2), Code::BaseNotInForce);
+        assert_eq!(cluster.answer_to(member, 2), ResultCode::BaseNotInForce);
         assert!(
             cluster.now_ms() - since < CALLER_WAITS_MS,
             "{} ms",
@@ -52,18 +55,18 @@
     let mut cluster = Cluster::new(3);
     let (primary, other) = (cluster.primary(), cluster.witness());
     cluster.command(other, 1, order(2, 5, "early"));
-    assert_eq!(cluster.answer_to(other, 1), Code::BaseNotInForce);
+    assert_eq!(cluster.answer_to(other, 1), ResultCode::BaseNotInForce);
     let forwarded = cluster.sent(|m| matches!(m, Message::ForwardCommand { .. }));
     cluster.command(primary, 2, order(0, 2, "base"));
-    assert_eq!(cluster.answer_to(primary, 2), Code::Ok);
+    assert_eq!(cluster.answer_to(primary, 2), ResultCode::Ok);
     let (from, to, message) = forwarded.into_iter().next().unwrap();
     cluster.deliver(from, to, message);
     cluster.run_ms(100);
     // The late copy is in force: another order on that base is refused, and the same one confirmed.
     cluster.command(other, 3, order(2, 5, "rival"));
-    assert_eq!(cluster.answer_to(other, 3), Code::OtherBase);
+    assert_eq!(cluster.answer_to(other, 3), ResultCode::OtherBase);
     cluster.command(other, 4, order(2, 5, "early"));
-    assert_eq!(cluster.answer_to(other, 4), Code::Ok);
+    assert_eq!(cluster.answer_to(other, 4), ResultCode::Ok);
 }
 
 #[test]
@@ -76,7 +79,11 @@
         cluster.run_ms(5);
     }
     for n in 0..AT_ONCE {
-        assert_eq!(cluster.answer_to(n as usize % 3, n), Code::Ok, "order {n}");
+        assert_eq!(
+            cluster.answer_to(n as usize % 3, n),
+            ResultCode::Ok,
+            "order {n}"
+        );
     }
     assert!(
         cluster.now_ms() - since < 100,
@@ -93,17 +100,17 @@
         cluster.command(primary, n, order(100 + n, 200, "early"));
     }
     cluster.run_ms(5);
-    let answers: Vec<Option<Code>> = (0..=AT_ONCE)
+    let answers: Vec<Option<ResultCode>> = (0..=AT_ONCE)
         .map(|n| cluster.answered(primary, n))
         .collect();
     assert_eq!(
         answers.iter().flatten().collect::<Vec<_>>(),
-        [&Code::BaseNotInForce]
+        [&ResultCode::BaseNotInForce]
     );
     assert!(answers[AT_ONCE as usize].is_some());
     // One that can be taken isn't held up.
     cluster.command(primary, 20, order(0, 2, "first"));
-    assert_eq!(cluster.answer_to(primary, 20), Code::Ok);
+    assert_eq!(cluster.answer_to(primary, 20), ResultCode::Ok);
 }
 
 #[test]
@@ -116,6 +123,6 @@
     cluster.freeze(frozen);
     cluster.run_until(|c| others.iter().any(|n| c.acts(*n)));
     cluster.command(others[1], 2, order(0, 2, "base"));
-    assert_eq!(cluster.answer_to(others[1], 2), Code::Ok);
-    assert_eq!(cluster.answer_to(others[0], 1), Code::Ok);
+    assert_eq!(cluster.answer_to(others[1], 2), ResultCode::Ok);
+    assert_eq!(cluster.answer_to(others[0], 1), ResultCode::Ok);
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -4,7 +4,7 @@
 mod cluster;
 
 use cluster::{ms, Cluster};
-use configuration::Code;
+use configuration::ResultCode;
 use control_plane::recovery::{latest_view, Refusal, Survivor};
 use control_plane::shell::identity::{FoundLedger, Identity};
 use std::time::Duration;
@@ -53,7 +53,7 @@
     cluster.run(ms(10_000));
     assert_eq!(
         (cluster.primary(), cluster.answer(ticket)),
-        (None, Some(Code::NoPrimary))
+        (None, Some(ResultCode::NoPrimary))
     );
 }
 
@@ -68,7 +68,7 @@
     // On one disk alone nothing new is acknowledged: the next loss would take it.
     let ticket = cluster.call(left, Cluster::configure(1, 2));
     cluster.run(ms(100));
-    assert_eq!(cluster.answer(ticket), Some(Code::NoPrimary));
+    assert_eq!(cluster.answer(ticket), Some(ResultCode::NoPrimary));
     cluster.add("r/d");
     cluster.add("r/e");
     cluster.apply(1, 2);
--- a/crates/control-plane/tests/roster.rs
+++ b/crates/control-plane/tests/roster.rs
@@ -1,8 +1,8 @@
 //! The roster: what hosts and coordinators tell this member.
 
-use configuration::Code;
-use control_plane::roster::{beat_target, Beat, HostCall, Roster};
-use protocol::{Addr, Caller, HostRecord, MemberInfo};
+use configuration::ResultCode;
+use control_plane::roster::{beat_target, Beat, HostCall, HostRegistry};
+use protocol::{Addr, HostRecord, MemberInfo, Subscriber};
 use replication::phase;
 use rstest::rstest;
 use std::collections::HashMap;
@@ -14,8 +14,8 @@
     Duration::from_millis(ms)
 }
 
-fn roster() -> Roster {
-    let mut roster = Roster::new(7, 3, BEAT);
+fn roster() -> HostRegistry {
+    let mut roster = HostRegistry::new(7, 3, BEAT);
     assert!(
         roster.take_news().unwrap().whole,
         "the first word is the whole"
@@ -41,7 +41,7 @@
 }
 
 /// The one host that changed.
-fn changed(roster: &mut Roster) -> Option<HostRecord> {
+fn changed(roster: &mut HostRegistry) -> Option<HostRecord> {
     let news = roster.take_news()?;
     assert!(!news.whole);
     assert!(news.hosts.len() <= 1);
@@ -218,11 +218,11 @@
 #[test]
 fn coordinators_are_those_that_pull() {
     let mut r = roster();
-    let caller = |name: &str, member, version| Caller {
+    let caller = |name: &str, member, version| Subscriber {
         name: name.into(),
         member,
         version,
-        ..Caller::default()
+        ..Subscriber::default()
     };
     assert!(r.pulled(ms(0), &caller("e1", 0, 1)));
     assert!(
@@ -310,15 +310,15 @@
 }
 
 #[rstest]
-#[case::no_body("/fennelpin/Hosts.Heartbeat/i", "", Code::Unreadable)]
-#[case::no_json("/fennelpin/Hosts.Heartbeat/i", "{", Code::Unreadable)]
-#[case::no_fields("/fennelpin/Hosts.Heartbeat/i", "{}", Code::Unreadable)]
-#[case::no_host("/fennelpin/Hosts.Heartbeat/", BODY, Code::Unreadable)]
-#[case::no_host_departs("/fennelpin/Hosts.Depart/", "", Code::Unreadable)]
-#[case::a_path("/fennelpin/Hosts.Depart/a/b", "", Code::Unreadable)]
-#[case::another_call("/fennelpin/Hosts.Sleep/i", BODY, Code::NoSuchCall)]
-#[case::another_path("/other", BODY, Code::NoSuchCall)]
-fn bad_calls_are_refused(#[case] path: &str, #[case] body: &str, #[case] code: Code) {
+#[case::no_body("/fennelpin/Hosts.Heartbeat/i", "", ResultCode::Unreadable)]
+#[case::no_json("/fennelpin/Hosts.Heartbeat/i", "{", ResultCode::Unreadable)]
+#[case::no_fields("/fennelpin/Hosts.Heartbeat/i", "{}", ResultCode::Unreadable)]
+#[case::no_host("/fennelpin/Hosts.Heartbeat/", BODY, ResultCode::Unreadable)]
+#[case::no_host_departs("/fennelpin/Hosts.Depart/", "", ResultCode::Unreadable)]
+#[case::a_path("/fennelpin/Hosts.Depart/a/b", "", ResultCode::Unreadable)]
+#[case::another_call("/fennelpin/Hosts.Sleep/i", BODY, ResultCode::NoSuchCall)]
+#[case::another_path("/other", BODY, ResultCode::NoSuchCall)]
+fn bad_calls_are_refused(#[case] path: &str, #[case] body: &str, #[case] code: ResultCode) {
     assert_eq!(HostCall::decode(path, body.as_bytes()), Err(code));
 }
 
@@ -333,7 +333,7 @@
     let body = BODY.replace(from, to);
     assert_eq!(
         HostCall::decode("/fennelpin/Hosts.Heartbeat/i", body.as_bytes()),
-        Err(Code::Unreadable)
+        Err(ResultCode::Unreadable)
     );
 }
 
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -4,7 +4,7 @@
 mod cluster;
 
 use cluster::{budget, ms, Cluster, LEASE};
-use configuration::Code;
+use configuration::ResultCode;
 use control_plane::member::majority_shortfall;
 use protocol::{MemberInfo, Message};
 use rstest::rstest;
@@ -158,7 +158,7 @@
     // Installing views doesn't reach the new one, but all else does.
     let new = cluster.add("r/d");
     cluster.loses = Some(std::rc::Rc::new(move |_, to, message| {
-        to == new && matches!(message, Message::InstallView { .. })
+        to == new && matches!(message, Message::InstallMembership { .. })
     }));
     cluster
         .until(SOON, |c| c.votes(new) && c.current().settled())
@@ -359,7 +359,7 @@
     cluster.run(ms(4000));
     assert_ne!(
         cluster.answer(refused),
-        Some(Code::Ok),
+        Some(ResultCode::Ok),
         "two replicas don't bear two losses"
     );
     let (fourth, fifth) = (cluster.add("r/a"), cluster.add("r/b"));
--- a/crates/control-plane/tests/second_loss_sweep.rs
+++ b/crates/control-plane/tests/second_loss_sweep.rs
@@ -5,7 +5,7 @@
 mod cluster;
 
 use cluster::{budget, ms, Cluster};
-use configuration::{Code, FaultBudget};
+use configuration::{FaultBudget, ResultCode};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -240,7 +240,7 @@
         let answer = self
             .order
             .and_then(|(ticket, _)| self.cluster.answer(ticket));
-        if answer == Some(Code::Ok) {
+        if answer == Some(ResultCode::Ok) {
             self.acknowledged = self.acknowledged.max(self.ordered);
         }
         let running = self.running();
@@ -252,7 +252,7 @@
         let waits = self
             .order
             .is_some_and(|(_, at)| self.cluster.now < at + pause);
-        if waits && answer != Some(Code::NoPrimary) {
+        if waits && answer != Some(ResultCode::NoPrimary) {
             return;
         }
         self.order = None;
--- a/crates/control-plane/tests/slow_links.rs
+++ b/crates/control-plane/tests/slow_links.rs
@@ -1,7 +1,7 @@
 //! Large changes and takeovers with large ledgers over slow links, and on slow disks: three members, links that carry so
 //! many bytes a second, each lane in order, and disks, all in simulated time.
 
-use configuration::{Code, FaultBudget};
+use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{Config, Input, Member, Output};
 use control_plane::shell::links::{Lane, MAX_QUEUED_BYTES};
 use protocol::{Command, MemberInfo, Message};
@@ -40,7 +40,7 @@
     count: u64,
     /// When a lane of a link is free again.
     links: HashMap<(u64, u64, Lane), Duration>,
-    answers: HashMap<u64, Code>,
+    answers: HashMap<u64, ResultCode>,
     /// Members whose wish to stand never arrives.
     unheard: Vec<u64>,
 }
@@ -214,7 +214,7 @@
     }
 
     /// Hands a command to the member that acts, and waits for its answer.
-    fn order(&mut self, ticket: u64, command: &Command) -> Option<Code> {
+    fn order(&mut self, ticket: u64, command: &Command) -> Option<ResultCode> {
         self.until(Duration::from_secs(10), |w| w.acting().is_some())?;
         let primary = self.acting()?;
         self.input(
@@ -266,7 +266,7 @@
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
     let mut world = World::new(seed);
-    assert_eq!(world.order(1, &configure(0, bytes)), Some(Code::Ok));
+    assert_eq!(world.order(1, &configure(0, bytes)), Some(ResultCode::Ok));
     let lost = world.acting().unwrap();
     let replicas = world.members[&lost].view().unwrap().replicas.clone();
     world.rate = rate;
@@ -281,10 +281,10 @@
     );
     assert!(took <= Duration::from_secs(most_s), "{took:?}");
     world.rate = FAST;
-    assert_eq!(world.order(2, &configure(0, bytes)), Some(Code::Ok));
+    assert_eq!(world.order(2, &configure(0, bytes)), Some(ResultCode::Ok));
     assert_eq!(
         world.order(3, &configure(0, bytes / 2)),
-        Some(Code::OtherBase)
+        Some(ResultCode::OtherBase)
     );
 }
 
@@ -304,7 +304,7 @@
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
 ) {
     let mut world = World::new(seed);
-    assert_eq!(world.order(1, &configure(0, bytes)), Some(Code::Ok));
+    assert_eq!(world.order(1, &configure(0, bytes)), Some(ResultCode::Ok));
     let lost = world.acting().unwrap();
     world.rate = rate;
     world.members.remove(&lost);
@@ -314,12 +314,12 @@
     assert!(took <= Duration::from_secs(most_s), "{took:?}");
     // What was acknowledged is still in force: the same order again is known, another on its base is refused.
     world.rate = FAST;
-    assert_eq!(world.order(2, &configure(0, bytes)), Some(Code::Ok));
+    assert_eq!(world.order(2, &configure(0, bytes)), Some(ResultCode::Ok));
     assert_eq!(
         world.order(3, &configure(0, bytes / 2)),
-        Some(Code::OtherBase)
+        Some(ResultCode::OtherBase)
     );
-    assert_eq!(world.order(4, &configure(1, bytes)), Some(Code::Ok));
+    assert_eq!(world.order(4, &configure(1, bytes)), Some(ResultCode::Ok));
 }
 
 /// Both that are left have to write before either may act. Where a write takes longer than a candidate usually waits,
@@ -335,7 +335,10 @@
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
 ) {
     let mut world = World::new(seed);
-    assert_eq!(world.order(1, &configure(0, 10 * KIB)), Some(Code::Ok));
+    assert_eq!(
+        world.order(1, &configure(0, 10 * KIB)),
+        Some(ResultCode::Ok)
+    );
     let lost = world.acting().unwrap();
     world.sync = sync;
     world.members.remove(&lost);
@@ -344,8 +347,14 @@
     println!("writes take {sync:?}, seed {seed}: {took:?}");
     assert!(took <= Duration::from_secs(most_s), "{took:?}");
     world.sync = SYNC;
-    assert_eq!(world.order(2, &configure(0, 10 * KIB)), Some(Code::Ok));
-    assert_eq!(world.order(3, &configure(1, 10 * KIB)), Some(Code::Ok));
+    assert_eq!(
+        world.order(2, &configure(0, 10 * KIB)),
+        Some(ResultCode::Ok)
+    );
+    assert_eq!(
+        world.order(3, &configure(1, 10 * KIB)),
+        Some(ResultCode::Ok)
+    );
 }
 
 /// The last that a primary heard of its replica before it lost its lease was that its disk stalls. Nobody tells it
@@ -355,7 +364,10 @@
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
 ) {
     let mut world = World::new(seed);
-    assert_eq!(world.order(1, &configure(0, 10 * KIB)), Some(Code::Ok));
+    assert_eq!(
+        world.order(1, &configure(0, 10 * KIB)),
+        Some(ResultCode::Ok)
+    );
     let primary = world.acting().unwrap();
     let replicas = world.members[&primary].view().unwrap().replicas.clone();
     let replica = *replicas.iter().find(|id| **id != primary).unwrap();
@@ -383,8 +395,11 @@
     println!("seed {seed}: {took:?} until somebody acts again");
     took.expect("somebody acts again");
     // Taken or not the first time, it is taken now.
-    assert_eq!(world.order(3, &command), Some(Code::Ok));
-    assert_eq!(world.order(4, &configure(2, 10 * KIB)), Some(Code::Ok));
+    assert_eq!(world.order(3, &command), Some(ResultCode::Ok));
+    assert_eq!(
+        world.order(4, &configure(2, 10 * KIB)),
+        Some(ResultCode::Ok)
+    );
 }
 
 /// A change of the longest body keeps the lease, however long its bytes are on their way, and is acknowledged. The
@@ -396,17 +411,20 @@
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
     let mut world = World::new(seed);
-    assert_eq!(world.order(1, &configure(0, 10 * KIB)), Some(Code::Ok));
+    assert_eq!(
+        world.order(1, &configure(0, 10 * KIB)),
+        Some(ResultCode::Ok)
+    );
     let (primary, epoch) = world.settle();
     world.rate = megabytes_a_second * 1e6;
     for base in 1..4 {
         let start = world.now;
         let command = configure(base, bytes);
         let answer = (1..4).find_map(|again| match world.order(10 * base + again, &command) {
-            Some(Code::Unclear) => None,
+            Some(ResultCode::Unclear) => None,
             answer => answer,
         });
-        assert_eq!(answer, Some(Code::Ok), "change {base}");
+        assert_eq!(answer, Some(ResultCode::Ok), "change {base}");
         assert_eq!(world.acting(), Some(primary));
         assert_eq!(
             world.members[&primary].view().unwrap().epoch,
@@ -428,7 +446,10 @@
 #[rstest]
 fn changes_behind_a_long_one_are_acknowledged_in_their_turn(#[values(1, 2, 3, 4)] seed: u64) {
     let mut world = World::new(seed);
-    assert_eq!(world.order(1, &configure(0, 10 * KIB)), Some(Code::Ok));
+    assert_eq!(
+        world.order(1, &configure(0, 10 * KIB)),
+        Some(ResultCode::Ok)
+    );
     let (primary, epoch) = world.settle();
     world.rate = 2e6;
     world.input(
@@ -450,7 +471,7 @@
     });
     assert!(took.is_some(), "all are answered: {:?}", world.answers);
     assert!(
-        (2..20).all(|ticket| world.answers[&ticket] == Code::Ok),
+        (2..20).all(|ticket| world.answers[&ticket] == ResultCode::Ok),
         "{:?}",
         world.answers
     );
--- a/crates/control-plane/tests/without_a_say.rs
+++ b/crates/control-plane/tests/without_a_say.rs
@@ -1,7 +1,7 @@
 //! A member without a say knows who acts by what others tell alone: it hands calls on while it is in touch with that
 //! member, and sends its callers elsewhere once it isn't.
 
-use configuration::{Code, FaultBudget};
+use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{Config, Input, Member, Output};
 use protocol::{Addr, Command, MemberInfo, Message};
 use rstest::rstest;
@@ -35,7 +35,7 @@
     now: Duration,
     member: Member,
     forwarded: usize,
-    answers: Vec<(u64, Duration, Code)>,
+    answers: Vec<(u64, Duration, ResultCode)>,
 }
 
 impl Mirroring {
@@ -93,7 +93,7 @@
     }
 
     /// How long a call took and what it came to, where its primary answers nothing.
-    fn call(&mut self, ticket: u64, linked_to: Option<u64>) -> (Duration, Code) {
+    fn call(&mut self, ticket: u64, linked_to: Option<u64>) -> (Duration, ResultCode) {
         let since = self.now;
         self.step(Input::Command {
             ticket,
@@ -114,7 +114,7 @@
     let mut mirroring = Mirroring::told_of(1);
     let (took, code) = mirroring.call(1, Some(1));
     assert!(mirroring.forwarded > 0);
-    assert_eq!((took, code), (ms(3500), Code::Unclear));
+    assert_eq!((took, code), (ms(3500), ResultCode::Unclear));
 }
 
 /// Whom it was told of and has never heard of itself, it may be about to reach.
@@ -137,7 +137,7 @@
     mirroring.run(ms(seconds * 1000), None);
     let (took, code) = mirroring.call(1, None);
     assert!(
-        took <= ms(250) && code == Code::NoPrimary,
+        took <= ms(250) && code == ResultCode::NoPrimary,
         "{code:?} after {took:?}"
     );
     assert_eq!(mirroring.forwarded, 0);
--- a/crates/fennelpin-cli/src/config.rs
+++ b/crates/fennelpin-cli/src/config.rs
@@ -5,7 +5,7 @@
 use crate::operator::Operator;
 use crate::options::{Apply, Check, Diff, Rollback, Show, Sort};
 use crate::settings;
-use configuration::{Code, Document};
+use configuration::{Configuration, ResultCode};
 use serde_json::Value;
 use snafu::ResultExt;
 use std::collections::BTreeMap;
@@ -19,12 +19,12 @@
     std::fs::read(path).context(UnreadableSnafu { path })
 }
 
-fn read_document(path: &Path) -> Result<Document, Failure> {
-    Document::read(&read_file(path)?, 0).context(ConfigurationSnafu { path })
+fn read_document(path: &Path) -> Result<Configuration, Failure> {
+    Configuration::read(&read_file(path)?, 0).context(ConfigurationSnafu { path })
 }
 
-fn size(document: &Document) -> String {
-    let Document {
+fn size(document: &Configuration) -> String {
+    let Configuration {
         version,
         routes,
         services,
@@ -64,27 +64,27 @@
     Err(Failure::Refused { code, reason })
 }
 
-fn document(answer: &Answer, from: &str) -> Result<Document, Failure> {
+fn document(answer: &Answer, from: &str) -> Result<Configuration, Failure> {
     if answer.status != 200 {
         return refused(answer);
     }
-    Document::read(&answer.body, 0).context(ConfigurationSnafu { path: from })
+    Configuration::read(&answer.body, 0).context(ConfigurationSnafu { path: from })
 }
 
 /// The configuration in force; version 0 where there is none.
-fn in_force(members: &Members) -> Result<Document, Failure> {
+fn in_force(members: &Members) -> Result<Configuration, Failure> {
     let answer = members.ask(&Call {
         name: "Configuration.Read",
         ..Call::default()
     })?;
-    if answer.result().0 == Code::NoConfiguration.number() {
-        return Ok(Document::default());
+    if answer.result().0 == ResultCode::NoConfiguration.number() {
+        return Ok(Configuration::default());
     }
     document(&answer, "the configuration in force")
 }
 
 /// An older configuration, from whichever member keeps it.
-fn kept(members: &Members, version: u64) -> Result<Document, Failure> {
+fn kept(members: &Members, version: u64) -> Result<Configuration, Failure> {
     let name = format!("Configuration.History/{version}");
     for status in members.statuses()? {
         let Some(control) = status["control"]
@@ -108,7 +108,7 @@
     Err(Failure::NotKept { version })
 }
 
-fn of_version(members: &Members, version: Option<u64>) -> Result<Document, Failure> {
+fn of_version(members: &Members, version: Option<u64>) -> Result<Configuration, Failure> {
     version.map_or_else(|| in_force(members), |version| kept(members, version))
 }
 
@@ -119,7 +119,7 @@
 pub fn show(asked: &Show) -> Result<(), Failure> {
     let document = of_version(&asked.members, asked.version)?;
     if document.version == 0 {
-        let none = Code::NoConfiguration;
+        let none = ResultCode::NoConfiguration;
         return Err(Failure::Refused {
             code: none.number(),
             reason: none.text().to_owned(),
@@ -132,8 +132,8 @@
 /// Lines that tell what leads from one configuration to another: `-` went, `+` came, `~` changed.
 ///
 /// ```
-/// use configuration::Document;
-/// let read = |text: &str| Document::read(text.as_bytes(), 0).unwrap();
+/// use configuration::Configuration;
+/// let read = |text: &str| Configuration::read(text.as_bytes(), 0).unwrap();
 /// let old = read(r#"{"version":1,"routes":[],"services":[{"name":"a"},{"name":"b"}]}"#);
 /// let new = read(r#"{"version":2,"routes":[],"services":[{"name":"b","conn_limit":7},{"name":"c"}]}"#);
 /// assert_eq!(fennelpin_cli::config::differences(&old, &new), [
@@ -142,16 +142,16 @@
 ///     "+ service c: {\"name\":\"c\"}",
 /// ]);
 /// ```
-pub fn differences(old: &Document, new: &Document) -> Vec<String> {
-    fn items<T: configuration::Named>(
+pub fn differences(old: &Configuration, new: &Configuration) -> Vec<String> {
+    fn items<T: configuration::HasName>(
         sort: &str,
-        list: &[configuration::Item<T>],
+        list: &[configuration::ConfigurationItem<T>],
     ) -> BTreeMap<String, String> {
         list.iter()
             .map(|i| (format!("{sort} {}", i.value.name()), i.raw.to_string()))
             .collect()
     }
-    let all = |document: &Document| {
+    let all = |document: &Configuration| {
         let mut all = items("route", &document.routes);
         all.extend(items("service", &document.services));
         all.extend(
@@ -210,7 +210,7 @@
     // What is wrong by itself needs no member to say so.
     let new = match asked.amend {
         true => old.amended(&body),
-        false => Document::read(&body, 0),
+        false => Configuration::read(&body, 0),
     };
     let new = new.context(ConfigurationSnafu { path })?;
     let base = asked.base.unwrap_or(old.version);
--- a/crates/fennelpin-cli/src/control.rs
+++ b/crates/fennelpin-cli/src/control.rs
@@ -2,7 +2,7 @@
 //! gives a clear answer.
 
 use crate::failure::{AskSnafu, Failure, StrangeSnafu};
-use configuration::Code;
+use configuration::ResultCode;
 use serde_json::Value;
 use snafu::ResultExt;
 use std::io::{self, Read, Write};
@@ -64,7 +64,7 @@
     fn clear(&self) -> bool {
         // That there is no configuration yet is the primary's word.
         !matches!(self.status, 408 | 429 | 500..)
-            || self.result().0 == Code::NoConfiguration.number()
+            || self.result().0 == ResultCode::NoConfiguration.number()
     }
 
     /// Reads the text of an answer.
--- a/crates/fennelpin-cli/src/failure.rs
+++ b/crates/fennelpin-cli/src/failure.rs
@@ -40,7 +40,7 @@
         /// The file.
         path: PathBuf,
         /// What.
-        source: configuration::Invalid,
+        source: configuration::InvalidConfiguration,
     },
     /// No such shell.
     #[snafu(display("no completion for {shell}: bash, zsh, fish and elvish have one"))]
--- a/crates/fennelpin-cli/src/main.rs
+++ b/crates/fennelpin-cli/src/main.rs
@@ -68,7 +68,7 @@
             Ok(ExitCode::SUCCESS)
         }
         Verb::Codes => {
-            for code in configuration::Code::ALL {
+            for code in configuration::ResultCode::ALL {
                 println!("{:>3}  {}  {}", code.number(), code.status(), code.text());
             }
             Ok(ExitCode::SUCCESS)
--- a/crates/fennelpin-cli/src/roles.rs
+++ b/crates/fennelpin-cli/src/roles.rs
@@ -4,7 +4,7 @@
 use crate::operator::Operator;
 use crate::options::From;
 use crate::{settings, world};
-use configuration::Boot;
+use configuration::ProcessSettings;
 use snafu::ResultExt;
 use std::future::Future;
 use tokio::runtime::Builder;
@@ -61,7 +61,7 @@
 }
 
 /// Reads the settings, once the signal that they have changed ends the process no more. (The handler stays.)
-fn read_settings(from: &From) -> Result<Boot, Failure> {
+fn read_settings(from: &From) -> Result<ProcessSettings, Failure> {
     let _hangup = signal(SignalKind::hangup()).context(StartSnafu)?;
     settings::read(&from.settings)
 }
--- a/crates/fennelpin-cli/src/settings.rs
+++ b/crates/fennelpin-cli/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file: read at the start, its seeds again when it changes.
 
 use crate::failure::{Failure, SettingsSnafu, UnreadableSnafu};
-use configuration::Boot;
+use configuration::ProcessSettings;
 use snafu::ResultExt;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -17,9 +17,9 @@
 ///
 /// # Errors
 /// Where it can't be read, or says what can't be.
-pub fn read(path: &Path) -> Result<Boot, Failure> {
+pub fn read(path: &Path) -> Result<ProcessSettings, Failure> {
     let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
-    Boot::read(&text).context(SettingsSnafu { path })
+    ProcessSettings::read(&text).context(SettingsSnafu { path })
 }
 
 fn changed_at(path: &Path) -> Option<SystemTime> {
@@ -32,7 +32,7 @@
 /// Where signals can't be had.
 pub fn follow_seeds(
     path: PathBuf,
-    boot: &Boot,
+    boot: &ProcessSettings,
 ) -> std::io::Result<watch::Receiver<Vec<SocketAddrV4>>> {
     let hangup = signal(SignalKind::hangup())?;
     let (seeds, follower) = watch::channel(boot.seed_nodes.clone());
--- a/crates/fennelpin-cli/src/world.rs
+++ b/crates/fennelpin-cli/src/world.rs
@@ -1,7 +1,7 @@
 //! What the agent beside a proxy tells, in the proxy's words.
 
 use balancing::HostInfo;
-use configuration::Boot;
+use configuration::ProcessSettings;
 use protocol::HostRecord;
 use proxy::World;
 use replication::client::{self, Control};
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// Follows the agent of this machine for as long as the world is watched. Runs on a `LocalSet`.
-pub fn follow(boot: &Boot) -> watch::Receiver<Option<Arc<World>>> {
+pub fn follow(boot: &ProcessSettings) -> watch::Receiver<Option<Arc<World>>> {
     let mirror = Mirror::new(0, Duration::from_millis(boot.beat_period_ms)).at_the_end();
     let shared = SharedMirror::new(mirror);
     let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
--- a/crates/fennelpin-cli/tests/bad_days/cut_off.rs
+++ b/crates/fennelpin-cli/tests/bad_days/cut_off.rs
@@ -4,8 +4,8 @@
 use crate::control::{configuration, until_clear, version_of, Operator, Order, Waiting, READ};
 use crate::stage::{until, Stage};
 use fennelpin_cli::local::fleet::Program;
-use protocol::{Caller, Message};
-use replication::{FrameReader, News, Pull, STALE_MS};
+use protocol::{Message, Subscriber};
+use replication::{FrameReader, Pull, Update, STALE_MS};
 use rstest::rstest;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -25,9 +25,9 @@
 impl WaitingPull {
     fn at(inner: SocketAddr) -> Self {
         let mut stream = TcpStream::connect(inner).unwrap();
-        let caller = Caller {
+        let caller = Subscriber {
             name: "edge-9".into(),
-            ..Caller::default()
+            ..Subscriber::default()
         };
         let pull = Pull {
             caller,
@@ -54,7 +54,7 @@
                 .unwrap()
                 .expect("news")
         });
-        let news = News::from_message(message).expect("news");
+        let news = Update::from_message(message).expect("news");
         (news.config.map_or(0, |c| c.to), news.age_ms)
     }
 }
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -3,7 +3,7 @@
 use append_log::AppendLog;
 use control_plane::recovery::latest_view;
 use control_plane::shell::identity::{latest, FoundLedger, Identity, LedgerOwner};
-use protocol::{Addr, MemberInfo, Record, Snapshot, View};
+use protocol::{Addr, MemberInfo, MembershipConfig, Record, Snapshot};
 use std::path::Path;
 use std::process::{Command, Output};
 
@@ -28,7 +28,7 @@
 /// The folder of member `id` of three, of which 1 and 2 are replicas.
 fn member(dir: &Path, id: u64, epoch: u64) {
     let voters: Vec<MemberInfo> = (1..=3).map(voter).collect();
-    let view = View {
+    let view = MembershipConfig {
         epoch,
         primary: 1,
         replicas: vec![1, 2],
