--- a/crates/fennelpin-cli/tests/settings.rs
+++ b/crates/fennelpin-cli/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file is followed: what the agent behind it asks changes with it.
 
-use configuration::{Boot, Document};
+use configuration::{Configuration, ProcessSettings};
 use fennelpin_cli::settings::follow_seeds;
 use replication::{client, Mirror, Puller, SharedMirror, Snapshot};
 use std::sync::Arc;
@@ -23,9 +23,9 @@
     }
 }
 
-fn document(version: u64) -> Arc<Document> {
+fn document(version: u64) -> Arc<Configuration> {
     let text = format!(r#"{{"version":{version},"routes":[],"services":[]}}"#);
-    Arc::new(Document::read(text.as_bytes(), 0).unwrap())
+    Arc::new(Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
 /// A member whose ledger has this version.
@@ -45,7 +45,7 @@
     });
 }
 
-fn proxy(boot: &Boot) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
+fn proxy(boot: &ProcessSettings) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
     let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).at_the_end());
     let (control, told) = mpsc::unbounded_channel();
     let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
@@ -92,7 +92,7 @@
     };
     let start = std::time::SystemTime::now();
     write(ips[0], start);
-    let boot = Boot::read(&text(ips[0])).unwrap();
+    let boot = ProcessSettings::read(&text(ips[0])).unwrap();
     let seeds = follow_seeds(file.clone(), &boot).unwrap();
     spawn_local(agent::run(boot.clone(), seeds, std::future::pending()));
     let (shared, _control) = proxy(&boot);
@@ -138,7 +138,7 @@
                 "seed_nodes":["{seed}:9"]}}"#
             )
         };
-        let boot = Boot::read(&text("127.0.0.2")).unwrap();
+        let boot = ProcessSettings::read(&text("127.0.0.2")).unwrap();
         std::fs::write(&file, &text("127.0.0.3")[..40]).unwrap();
         let mut seeds = follow_seeds(file.clone(), &boot).unwrap();
         tokio::time::pause();
--- a/crates/model-check/src/cluster/claims.rs
+++ b/crates/model-check/src/cluster/claims.rs
@@ -1,8 +1,8 @@
 //! The safety claims, over what the members were seen to say and to write.
 
 use crate::search::Breach;
-use configuration::Document;
-use protocol::{MemberInfo, Message, Record, View};
+use configuration::Configuration;
+use protocol::{MemberInfo, MembershipConfig, Message, Record};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -140,7 +140,7 @@
         Err(Breach::new(AGREED, detail))
     }
 
-    fn see_view(&mut self, view: &View) -> Result<&mut ViewFacts, Breach> {
+    fn see_view(&mut self, view: &MembershipConfig) -> Result<&mut ViewFacts, Breach> {
         let (voters, before) = (ids(&view.voters), ids(&view.before));
         let hash = hash_of((view.primary, &view.replicas, &voters, &before));
         if !self.views.contains_key(&view.epoch) {
@@ -213,7 +213,7 @@
                 self.promised.insert(id, *epoch);
                 Some(*epoch)
             }
-            Message::InstallReply {
+            Message::InstallMembershipReply {
                 epoch, ok: true, ..
             }
             | Message::AppendReply {
@@ -222,7 +222,7 @@
             | Message::LeaseReply {
                 epoch, ok: true, ..
             } => Some(*epoch),
-            Message::InstallView { view, .. } => {
+            Message::InstallMembership { view, .. } => {
                 self.see_view(view)?;
                 None
             }
@@ -283,7 +283,7 @@
         now: Duration,
         epoch: u64,
         seq: u64,
-        document: &Document,
+        document: &Configuration,
         drains: &[String],
     ) -> Result<(), Breach> {
         let newest = self.shown.last_key_value().map_or(0, |s| *s.0);
@@ -319,7 +319,7 @@
         now: Duration,
         epoch: u64,
         seq: u64,
-        document: &Document,
+        document: &Configuration,
         drains: &[String],
     ) -> Result<(), Breach> {
         let document = hash_of(document.to_json());
--- a/crates/model-check/src/cluster/operator.rs
+++ b/crates/model-check/src/cluster/operator.rs
@@ -1,6 +1,6 @@
 //! The operators: orders at given times, sent again after an unclear answer.
 
-use configuration::Document;
+use configuration::Configuration;
 use protocol::Command;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -181,7 +181,7 @@
     pub(super) fn json(&self) -> String {
         match &*self.command {
             Command::Configure { body, .. } => {
-                Document::read(body, 0).map_or(String::new(), |d| d.to_json())
+                Configuration::read(body, 0).map_or(String::new(), |d| d.to_json())
             }
             _ => String::new(),
         }
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/planted.rs
@@ -1,7 +1,7 @@
 //! Bugs planted round the members, to see whether the search finds them.
 
-use configuration::Code;
-use protocol::{LedgerPosition, MemberInfo, Message, Record, Snapshot, View};
+use configuration::ResultCode;
+use protocol::{LogPosition, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 
 /// A bug planted into disks, the network or what members are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,9 +50,9 @@
     ];
 
     /// What a caller is answered.
-    pub(super) fn answer(self, code: Code) -> Code {
+    pub(super) fn answer(self, code: ResultCode) -> ResultCode {
         match (self, code) {
-            (Planted::EarlyRefusal, Code::BaseNotInForce) => Code::OtherBase,
+            (Planted::EarlyRefusal, ResultCode::BaseNotInForce) => ResultCode::OtherBase,
             (_, code) => code,
         }
     }
@@ -69,16 +69,16 @@
         match (self, message) {
             (
                 Planted::ShortLedger,
-                Message::LedgerReply {
+                Message::SnapshotReply {
                     epoch,
                     tag,
                     snapshot,
                 },
             ) => {
                 let snapshot = at_start.cloned().unwrap_or(snapshot);
-                Message::LedgerReply {
+                Message::SnapshotReply {
                     epoch,
-                    tag: LedgerPosition {
+                    tag: LogPosition {
                         seq: snapshot.seq,
                         ..tag
                     },
@@ -87,7 +87,7 @@
             }
             (
                 Planted::ForgottenCalls,
-                Message::InstallView {
+                Message::InstallMembership {
                     view,
                     snapshot: Some(snapshot),
                 },
@@ -98,7 +98,7 @@
                     .iter_mut()
                     .for_each(|call| call.digest = Default::default());
                 let snapshot = Some(snapshot);
-                Message::InstallView { view, snapshot }
+                Message::InstallMembership { view, snapshot }
             }
             (Planted::RewrittenChange, Message::AppendChange { epoch, seq, change }) => {
                 Message::AppendChange {
@@ -117,15 +117,15 @@
         message: &Message,
         receiver: &MemberInfo,
         reachable: bool,
-        view: Option<&View>,
+        view: Option<&MembershipConfig>,
     ) -> Vec<(MemberInfo, Message)> {
         let from_receiver = |message| vec![(receiver.clone(), message)];
         match (self, message) {
-            (Planted::NewVotersAlone, Message::InstallView { view, .. }) => {
+            (Planted::NewVotersAlone, Message::InstallMembership { view, .. }) => {
                 let epoch = view.epoch;
                 let left = departed(view).any(|s| s.id == receiver.id);
                 let yes = || {
-                    from_receiver(Message::InstallReply {
+                    from_receiver(Message::InstallMembershipReply {
                         epoch,
                         ok: true,
                         seen: epoch,
@@ -157,7 +157,7 @@
 }
 
 /// Voters of the view before that have no say in this one.
-fn departed(view: &View) -> impl Iterator<Item = &MemberInfo> {
+fn departed(view: &MembershipConfig) -> impl Iterator<Item = &MemberInfo> {
     view.before.iter().filter(|s| view.seat(s.id).is_none())
 }
 
--- a/crates/model-check/src/cluster/world/event.rs
+++ b/crates/model-check/src/cluster/world/event.rs
@@ -8,7 +8,7 @@
 use crate::cluster::machine::{Machine, LEASE};
 use crate::search::Breach;
 use control_plane::member::Input;
-use replication::News;
+use replication::Update;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -27,10 +27,10 @@
     Retry(usize),
     Hello,
     Pull,
-    News {
+    Update {
         reader: usize,
         member: usize,
-        news: Arc<News>,
+        news: Arc<Update>,
         asked: Duration,
     },
     StartReader,
@@ -127,7 +127,7 @@
                 self.schedule(PULL_INTERVAL, Event::Pull);
                 self.pull_all(run)
             }
-            Event::News {
+            Event::Update {
                 reader,
                 member,
                 news,
--- a/crates/model-check/src/cluster/world/fingerprint.rs
+++ b/crates/model-check/src/cluster/world/fingerprint.rs
@@ -52,7 +52,7 @@
             Event::Heal(n, way) => (n, way).hash(hasher),
             Event::Kill(n, life) => (n, life).hash(hasher),
             Event::Deliver(envelope) => envelope.hash.hash(hasher),
-            Event::News {
+            Event::Update {
                 reader,
                 member,
                 news,
--- a/crates/model-check/src/cluster/world/members.rs
+++ b/crates/model-check/src/cluster/world/members.rs
@@ -5,7 +5,7 @@
 use super::World;
 use crate::cluster::machine::PendingWrite;
 use crate::search::Breach;
-use configuration::Document;
+use configuration::Configuration;
 use control_plane::member::{Input, Output};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -127,7 +127,7 @@
         Ok(None)
     }
 
-    fn show(&mut self, n: usize, seq: u64, document: Arc<Document>, drains: &[String]) {
+    fn show(&mut self, n: usize, seq: u64, document: Arc<Configuration>, drains: &[String]) {
         if let Some(process) = &mut self.machine(n).process {
             process.mirror.get().set_ledger(seq, document, drains);
         }
--- a/crates/model-check/src/cluster/world/orders.rs
+++ b/crates/model-check/src/cluster/world/orders.rs
@@ -7,7 +7,7 @@
     Operators, Order, Result as OrderResult, MOST_ATTEMPTS, RETRY_PAUSE,
 };
 use crate::search::Breach;
-use configuration::{Code, Document};
+use configuration::{Configuration, ResultCode};
 use control_plane::member::Input;
 use protocol::Command;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
         };
         let facts = Arc::make_mut(&mut self.facts);
         facts.acts(epoch)?;
-        if code != Code::Ok.number() {
+        if code != ResultCode::Ok.number() {
             return Ok(());
         }
         match &*order.command {
@@ -59,7 +59,7 @@
         &mut self,
         n: usize,
         ticket: u64,
-        code: Code,
+        code: ResultCode,
         body: &[u8],
     ) -> Result<(), Breach> {
         let number = Operators::order(ticket);
@@ -69,7 +69,7 @@
         if order.result != OrderResult::Open {
             return Ok(());
         }
-        if code.status() >= 500 && code != Code::NoConfiguration {
+        if code.status() >= 500 && code != ResultCode::NoConfiguration {
             self.schedule(RETRY_PAUSE, Event::Retry(number));
             return Ok(());
         }
@@ -77,22 +77,22 @@
             .process
             .as_ref()
             .is_some_and(|p| p.member.acts());
-        if acts && code == Code::Ok {
+        if acts && code == ResultCode::Ok {
             self.decided(n, ticket, code.number())?;
         }
         let facts = Arc::make_mut(&mut self.facts);
         match &*order.command {
             Command::Read { .. } => {
-                let read = Document::read(body, 0).map_or(0, |d| d.version);
+                let read = Configuration::read(body, 0).map_or(0, |d| d.version);
                 facts.reads(order.known, read)?;
             }
-            Command::Configure { .. } if code == Code::Ok => {
+            Command::Configure { .. } if code == ResultCode::Ok => {
                 facts.confirms(order.content, order.base, order.version)?;
             }
             Command::Configure { .. } => facts.refuses(order.content, order.base, &order.json())?,
             Command::Drain { host } => facts.confirms_drain(host),
         }
-        self.operators.orders[number].result = if code == Code::Ok {
+        self.operators.orders[number].result = if code == ResultCode::Ok {
             OrderResult::Confirmed
         } else {
             OrderResult::Refused
--- a/crates/model-check/src/cluster/world/readers.rs
+++ b/crates/model-check/src/cluster/world/readers.rs
@@ -9,8 +9,8 @@
 use crate::cluster::mirror::StateMirror;
 use crate::cluster::planted::Planted;
 use crate::search::Breach;
-use protocol::Caller;
-use replication::{Mirror, News};
+use protocol::Subscriber;
+use replication::{Mirror, Update};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
                     Some((_, after)) => {
                         self.schedule(
                             after,
-                            Event::News {
+                            Event::Update {
                                 reader,
                                 member,
                                 news: Arc::new(news),
@@ -55,11 +55,11 @@
         Ok(())
     }
 
-    fn news_for(&self, member: usize, puller: &Mirror) -> News {
+    fn news_for(&self, member: usize, puller: &Mirror) -> Update {
         let Some(process) = &self.machines[member].process else {
-            return News::default();
+            return Update::default();
         };
-        let pull = puller.pull(&Caller::default(), 0);
+        let pull = puller.pull(&Subscriber::default(), 0);
         let (clock, mirror) = (process.clock(self.now), process.mirror.read());
         mirror
             .news_for(clock, &pull)
@@ -89,7 +89,7 @@
         run: &Run,
         reader: usize,
         member: usize,
-        news: &News,
+        news: &Update,
     ) -> Result<(), Breach> {
         let now = self.now;
         let reader = Arc::make_mut(&mut self.readers[reader]);
--- a/crates/model-check/src/orders.rs
+++ b/crates/model-check/src/orders.rs
@@ -1,9 +1,9 @@
-//! The order ledger alone: [`Ledger::plan`] and [`Ledger::after`] under every order of sending, forwarding, repeating,
+//! The order ledger alone: [`ReplicatedState::plan`] and [`ReplicatedState::after`] under every order of sending, forwarding, repeating,
 //! answering, safe writing and takeover. Here the whole space within the bounds is visited; nothing is a default.
 
 use crate::search::{Breach, Choice, Model};
-use configuration::{Code, Document};
-use control_plane::ledger::{Ledger, Plan};
+use configuration::{Configuration, ResultCode};
+use control_plane::ledger::{Plan, ReplicatedState};
 use protocol::Command;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -89,18 +89,18 @@
 /// A change that isn't safe yet, with the answers that wait for it.
 #[derive(Clone, Debug)]
 struct Pending {
-    ledger: Ledger,
-    answers: Vec<(usize, Code)>,
+    ledger: ReplicatedState,
+    answers: Vec<(usize, ResultCode)>,
 }
 
 /// A state.
 #[derive(Clone, Debug)]
 pub struct State {
-    safe: Ledger,
+    safe: ReplicatedState,
     pending: Vec<Pending>,
     fates: Vec<Fate>,
     /// Answers on their way back.
-    answers: Vec<(usize, Code)>,
+    answers: Vec<(usize, ResultCode)>,
     takeovers: u8,
 }
 
@@ -163,7 +163,7 @@
         base == 0 || (0..self.orders.len()).any(confirmed)
     }
 
-    fn holds(&self, document: &Document, order: usize) -> bool {
+    fn holds(&self, document: &Configuration, order: usize) -> bool {
         let order = &self.orders[order];
         document.version == order.version
             && document
@@ -172,7 +172,7 @@
                 .is_some_and(|s| s.value.name == order.name)
     }
 
-    fn handed_on(&self, ledger: &Ledger) -> Ledger {
+    fn handed_on(&self, ledger: &ReplicatedState) -> ReplicatedState {
         let mut snapshot = ledger.snapshot();
         if self.planted == Planted::ForgottenCalls {
             snapshot
@@ -180,16 +180,16 @@
                 .iter_mut()
                 .for_each(|call| call.digest = Default::default());
         }
-        Ledger::of(&snapshot).unwrap_or_default()
+        ReplicatedState::of(&snapshot).unwrap_or_default()
     }
 
-    fn plan(&self, ledger: &Ledger, order: usize) -> Plan {
+    fn plan(&self, ledger: &ReplicatedState, order: usize) -> Plan {
         let version = self.orders[order].version;
         let known = || ledger.document.version == version;
         match (self.planted, ledger.plan(&self.command(order))) {
-            (Planted::KnownByVersion, _) if known() => Plan::Answer(Code::Ok, vec![]),
-            (Planted::EarlyRefusal, Plan::Answer(Code::BaseNotInForce, told)) => {
-                Plan::Answer(Code::OtherBase, told)
+            (Planted::KnownByVersion, _) if known() => Plan::Answer(ResultCode::Ok, vec![]),
+            (Planted::EarlyRefusal, Plan::Answer(ResultCode::BaseNotInForce, told)) => {
+                Plan::Answer(ResultCode::OtherBase, told)
             }
             (_, plan) => plan,
         }
@@ -204,10 +204,12 @@
         match self.plan(newest.unwrap_or(&state.safe), order) {
             Plan::Change(_, next) => {
                 let early = self.planted == Planted::EarlyConfirmation;
-                state.answers.extend(early.then_some((order, Code::Ok)));
+                state
+                    .answers
+                    .extend(early.then_some((order, ResultCode::Ok)));
                 state.pending.push(Pending {
                     ledger: *next,
-                    answers: vec![(order, Code::Ok)],
+                    answers: vec![(order, ResultCode::Ok)],
                 });
             }
             Plan::Answer(code, _) => match state.pending.last_mut() {
@@ -224,10 +226,10 @@
         state.fates[order].confirmed || self.holds(&state.safe.document, order)
     }
 
-    fn answered(&self, state: &mut State, order: usize, code: Code) -> Result<(), Breach> {
+    fn answered(&self, state: &mut State, order: usize, code: ResultCode) -> Result<(), Breach> {
         let name = self.orders[order].name;
         let fate = &mut state.fates[order];
-        if code == Code::Ok {
+        if code == ResultCode::Ok {
             fate.confirmed = true;
             let base = self.orders[order].base;
             let rival = (0..self.orders.len())
@@ -292,7 +294,7 @@
     fn start(&self) -> State {
         let fates = vec![Fate::default(); self.orders.len()];
         State {
-            safe: Ledger::default(),
+            safe: ReplicatedState::default(),
             pending: vec![],
             fates,
             answers: vec![],
@@ -358,7 +360,7 @@
 
     fn fingerprint(&self, state: &State) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let ledger = |l: &Ledger, hasher: &mut DefaultHasher| {
+        let ledger = |l: &ReplicatedState, hasher: &mut DefaultHasher| {
             (l.seq, l.document.to_json(), format!("{:?}", l.taken)).hash(hasher);
         };
         ledger(&state.safe, &mut hasher);
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger: its changes, its snapshots, what a member keeps of it on disk, and the commands that lead to changes.
 
-use crate::membership::View;
+use crate::membership::MembershipConfig;
 use crate::wire::*;
 use binrw::binrw;
 
@@ -8,7 +8,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct LedgerPosition {
+pub struct LogPosition {
     /// The view under which it was last written.
     pub epoch: u64,
     /// Number of its last change.
@@ -19,7 +19,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct AcceptedCall {
+pub struct AppliedRequest {
     /// The version that it built on.
     pub base: u64,
     /// The version that it led to.
@@ -42,7 +42,7 @@
     /// The latest calls that were taken.
     #[br(parse_with = list)]
     #[bw(write_with = put_list)]
-    pub taken: Vec<AcceptedCall>,
+    pub taken: Vec<AppliedRequest>,
     /// Hosts that are leaving or gone, oldest first.
     #[br(parse_with = texts)]
     #[bw(write_with = put_texts)]
@@ -136,7 +136,7 @@
     #[brw(magic(2u8))]
     Accepted {
         /// The view.
-        view: View,
+        view: MembershipConfig,
         /// The ledger.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
@@ -160,4 +160,4 @@
     },
 }
 
-impl Copy for LedgerPosition {}
+impl Copy for LogPosition {}
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -18,8 +18,10 @@
 mod wire;
 
 pub use hints::{Part, Placement};
-pub use ledger::{AcceptedCall, Change, Command, LedgerPosition, Record, Snapshot};
-pub use membership::{Addr, Fleet, MemberInfo, View};
+pub use ledger::{AppliedRequest, Change, Command, LogPosition, Record, Snapshot};
+pub use membership::{Addr, ControlPlaneInfo, MemberInfo, MembershipConfig};
 pub use message::Message;
-pub use news::{Caller, ConfigNews, CoordinatorRecord, HostRecord, Mark, SourceNews};
-pub use wire::{decode, encode, read_one, write_one, Broken, MOST, VERSION};
+pub use news::{
+    ConfigurationUpdate, CoordinatorRecord, HostRecord, OriginUpdate, OriginVersion, Subscriber,
+};
+pub use wire::{decode, encode, read_one, write_one, DecodeError, MOST, VERSION};
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -45,7 +45,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct View {
+pub struct MembershipConfig {
     /// The epoch.
     pub epoch: u64,
     /// The one that takes changes.
@@ -68,7 +68,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Fleet {
+pub struct ControlPlaneInfo {
     /// Changes with the content.
     pub mark: u64,
     /// Epoch of its view.
@@ -98,7 +98,7 @@
 
 impl Copy for Addr {}
 
-impl View {
+impl MembershipConfig {
     /// The seat of a voter.
     pub fn seat(&self, id: u64) -> Option<&MemberInfo> {
         self.voters.iter().find(|s| s.id == id)
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,9 +1,9 @@
 //! What the processes say to each other. Times are in ms.
 
 use crate::hints::Placement;
-use crate::ledger::{Change, Command, LedgerPosition, Snapshot};
-use crate::membership::{Fleet, MemberInfo, View};
-use crate::news::{Caller, ConfigNews, Mark, SourceNews};
+use crate::ledger::{Change, Command, LogPosition, Snapshot};
+use crate::membership::{ControlPlaneInfo, MemberInfo, MembershipConfig};
+use crate::news::{ConfigurationUpdate, OriginUpdate, OriginVersion, Subscriber};
 use crate::wire::*;
 use binrw::binrw;
 
@@ -68,27 +68,27 @@
         /// The latest view that it accepted.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
-        view: Option<View>,
+        view: Option<MembershipConfig>,
         /// How far its ledger goes, where it holds one.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
-        tag: Option<LedgerPosition>,
+        tag: Option<LogPosition>,
         /// When asking again makes sense.
         wait_ms: u32,
     },
     /// Asks to accept a view, with the ledger for those that are to hold it.
     #[brw(magic(12u8))]
-    InstallView {
+    InstallMembership {
         /// The view.
-        view: View,
+        view: MembershipConfig,
         /// The ledger.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
         snapshot: Option<Snapshot>,
     },
-    /// The answer to [`Message::InstallView`].
+    /// The answer to [`Message::InstallMembership`].
     #[brw(magic(13u8))]
-    InstallReply {
+    InstallMembershipReply {
         /// Epoch of the view.
         epoch: u64,
         /// Whether it is accepted and on disk.
@@ -169,17 +169,17 @@
     },
     /// Asks for the ledger, fenced by a promise.
     #[brw(magic(19u8))]
-    FetchLedger {
+    FetchSnapshot {
         /// The epoch that the asker prepares.
         epoch: u64,
     },
-    /// The answer to [`Message::FetchLedger`].
+    /// The answer to [`Message::FetchSnapshot`].
     #[brw(magic(20u8))]
-    LedgerReply {
+    SnapshotReply {
         /// As asked.
         epoch: u64,
         /// How far the ledger goes.
-        tag: LedgerPosition,
+        tag: LogPosition,
         /// The ledger.
         snapshot: Snapshot,
     },
@@ -229,7 +229,7 @@
     #[brw(magic(40u8))]
     Pull {
         /// Who pulls.
-        caller: Caller,
+        caller: Subscriber,
         /// How long the answer may wait for news.
         wait_ms: u32,
         /// Number of the ledger's last change that the speaker has.
@@ -241,11 +241,11 @@
         /// What it has of each source.
         #[br(parse_with = list)]
         #[bw(write_with = put_list)]
-        sources: Vec<Mark>,
+        sources: Vec<OriginVersion>,
     },
     /// The answer to [`Message::Pull`]; also pushed where somebody waits.
     #[brw(magic(41u8))]
-    News {
+    Update {
         /// Who speaks; 0 for an agent.
         member: u64,
         /// Since when, at most, the speaker may have missed what the primary acknowledged, in ms; `u32::MAX` where
@@ -256,11 +256,11 @@
         /// Configuration and drains.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
-        config: Option<ConfigNews>,
+        config: Option<ConfigurationUpdate>,
         /// Hosts and coordinators.
         #[br(parse_with = list)]
         #[bw(write_with = put_list)]
-        sources: Vec<SourceNews>,
+        sources: Vec<OriginUpdate>,
         /// Sources that are no more.
         #[br(parse_with = list)]
         #[bw(write_with = put_list)]
@@ -268,6 +268,6 @@
         /// The control plane.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
-        fleet: Option<Fleet>,
+        fleet: Option<ControlPlaneInfo>,
     },
 }
--- a/crates/protocol/src/news.rs
+++ b/crates/protocol/src/news.rs
@@ -8,7 +8,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Mark {
+pub struct OriginVersion {
     /// The member that is the source.
     pub id: u64,
     /// Which of the member's lives.
@@ -81,9 +81,9 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct SourceNews {
+pub struct OriginUpdate {
     /// How far this goes.
-    pub mark: Mark,
+    pub mark: OriginVersion,
     /// Whether it stands for all that the source has; else it adds to what came before.
     #[br(parse_with = flag)]
     #[bw(write_with = put_flag)]
@@ -102,7 +102,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct ConfigNews {
+pub struct ConfigurationUpdate {
     /// Number of the ledger's last change.
     pub seq: u64,
     /// Version of the configuration that the items add to; 0 where they are the whole of it.
@@ -145,7 +145,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Caller {
+pub struct Subscriber {
     /// Name of its machine.
     #[br(parse_with = text)]
     #[bw(write_with = put_text)]
@@ -166,4 +166,4 @@
     pub version: u64,
 }
 
-impl Copy for Mark {}
+impl Copy for OriginVersion {}
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -14,7 +14,7 @@
 
 /// Why bytes are no frame.
 #[derive(Debug, Snafu)]
-pub enum Broken {
+pub enum DecodeError {
     /// Its length can't be.
     #[snafu(display("a frame of {length} bytes"))]
     Length {
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// Where the bytes are no frame: the connection is of no more use.
-pub fn decode(bytes: &[u8]) -> Result<Option<(Message, usize)>, Broken> {
+pub fn decode(bytes: &[u8]) -> Result<Option<(Message, usize)>, DecodeError> {
     let Some(head) = bytes.get(..4) else {
         return Ok(None);
     };
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 /// Where the bytes don't say such a value or hold more.
-pub fn read_one<T>(bytes: &[u8]) -> Result<T, Broken>
+pub fn read_one<T>(bytes: &[u8]) -> Result<T, DecodeError>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
 {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Whether a request goes to another host, and how it ends if not. No I/O; times are since any one origin.
 
-use configuration::Code;
+use configuration::ResultCode;
 use std::time::Duration;
 
 /// Hosts that could not be reached, for one request, before it is given up.
@@ -25,7 +25,7 @@
     /// Another host; the budget is asked first where [`RetryState::owes`] says so.
     Again,
     /// The end: with the host's own answer where there is one, else with this code.
-    GiveUp(Code),
+    GiveUp(ResultCode),
 }
 
 /// A client's try on its way through hosts.
@@ -116,25 +116,25 @@
         if free && self.sent < self.max_tries && self.unreached < MOST_UNREACHED {
             Next::Again
         } else {
-            Next::GiveUp(self.refusal(Code::NoHost))
+            Next::GiveUp(self.refusal(ResultCode::NoHost))
         }
     }
 
     /// What its end is where `code` stops it: a promise only where it has not run.
-    pub fn refusal(&self, code: Code) -> Code {
+    pub fn refusal(&self, code: ResultCode) -> ResultCode {
         if self.may_have_run {
-            Code::HostBroke
+            ResultCode::HostBroke
         } else {
             code
         }
     }
 
     /// What its end is when its time is over and no attempt is out.
-    pub fn overdue(&self) -> Code {
+    pub fn overdue(&self) -> ResultCode {
         if self.may_have_run {
-            Code::LateMayHaveRun
+            ResultCode::LateMayHaveRun
         } else {
-            Code::LateNotRun
+            ResultCode::LateNotRun
         }
     }
 }
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -9,7 +9,7 @@
 use crate::shutdown::Shutdown;
 use crate::world::World;
 use balancing::{Attempt, Load, Outcome, Policy, ServiceInfo, Settings};
-use configuration::{Boot, Document, Limits};
+use configuration::{Configuration, Limits, ProcessSettings};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::hash::{BuildHasher, Hasher};
@@ -30,7 +30,7 @@
 
 /// What is known since the last news.
 pub(crate) struct RoutingTable {
-    document: Arc<Document>,
+    document: Arc<Configuration>,
     pub(crate) routes: Routes,
     pub(crate) limits: Limits,
     /// Connections that one host of a service takes from this process.
@@ -59,7 +59,7 @@
 }
 
 impl Core {
-    pub(crate) fn new(boot: &Boot, tally: Rc<SharedCounters>) -> Self {
+    pub(crate) fn new(boot: &ProcessSettings, tally: Rc<SharedCounters>) -> Self {
         let seed = std::collections::hash_map::RandomState::new()
             .build_hasher()
             .finish();
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -21,7 +21,7 @@
 use crate::routes;
 use balancing::{Ask, Choice, Outcome};
 use bytes::Bytes;
-use configuration::{Code, Kind, Route};
+use configuration::{ResultCode, Route, RouteKind};
 use http1::ResponseHead;
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -63,21 +63,21 @@
         }
     };
     let Some(known) = core.known() else {
-        return refuse(Code::NoConfiguration, Some(RETRY_AFTER.1)).await;
+        return refuse(ResultCode::NoConfiguration, Some(RETRY_AFTER.1)).await;
     };
     let route = request
         .head
         .host()
         .and_then(|h| known.routes.find(h, request.head.path()));
     let Some(route) = route else {
-        return refuse(Code::NoRoute, None).await;
+        return refuse(ResultCode::NoRoute, None).await;
     };
     // With two of them nobody could say whose answer is whose.
     if fields.all(ATTEMPT_ID).count() != 1 {
-        return refuse(Code::BadRequest, None).await;
+        return refuse(ResultCode::BadRequest, None).await;
     }
     let Some(service) = routes::service(route, core.draw()) else {
-        return refuse(Code::NoHost, None).await;
+        return refuse(ResultCode::NoHost, None).await;
     };
     let arrived = core.since_start(request.arrived);
     let ms = |ms: f64| Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4);
@@ -87,9 +87,9 @@
         .filter(|v: &f64| *v >= 0.0);
     let time = asked.unwrap_or(f64::INFINITY).min(route.deadline_ms);
     let deadline = arrived.saturating_add(ms(time));
-    if !core.takes(deadline, route.kind == Kind::Pure) {
+    if !core.takes(deadline, route.kind == RouteKind::Pure) {
         // Whoever asks again reaches another machine, which may serve at once.
-        return refuse(Code::Leaving, Some(RETRY_AFTER.0)).await;
+        return refuse(ResultCode::Leaving, Some(RETRY_AFTER.0)).await;
     }
     core.policy.borrow_mut().arrived(core.now(), service);
     let trial = RetryState::new(route.idempotent(), route.max_tries, deadline);
@@ -150,7 +150,7 @@
 }
 
 /// The code to end with, and when to come back where somebody has said so.
-type GiveUp = (Code, Option<Duration>);
+type GiveUp = (ResultCode, Option<Duration>);
 
 struct Exchange<'a> {
     core: &'a Rc<Core>,
@@ -205,7 +205,7 @@
         let mut policy = self.core.policy.borrow_mut();
         if self.trial.owes() {
             if !policy.take_repeat(now, self.service) {
-                return Err((self.trial.refusal(Code::BudgetSpent), None));
+                return Err((self.trial.refusal(ResultCode::BudgetSpent), None));
             }
             self.trial.paid();
         }
@@ -243,7 +243,7 @@
                 })
             }
             Choice::None { retry_after } => {
-                Err((self.trial.refusal(Code::NoHost), Some(retry_after)))
+                Err((self.trial.refusal(ResultCode::NoHost), Some(retry_after)))
             }
         }
     }
@@ -304,12 +304,12 @@
         let bare = matches!(head.status, 408 | 429 | 503);
         if head.fields.get("content-encoding").is_some() || (success && !sealed) || bare {
             self.core.tally.add(|c| c.broken += 1);
-            picked.out.end(Outcome::Broken, load);
+            picked.out.end(Outcome::DecodeError, load);
             return AttemptResult::Ended(End::Broke);
         }
         let stream = success
             && !self.bodiless(&head)
-            && (self.route.kind == Kind::Streaming
+            && (self.route.kind == RouteKind::Streaming
                 || head
                     .fields
                     .text("content-type")
@@ -328,7 +328,7 @@
         match stop {
             Stop::Lost => {
                 self.core.tally.add(|c| c.broken += 1);
-                out.end(Outcome::Broken, None);
+                out.end(Outcome::DecodeError, None);
                 AttemptResult::Ended(End::Broke)
             }
             Stop::Late => {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -8,7 +8,7 @@
 use crate::request::Request;
 use crate::wire;
 use bytes::{Bytes, BytesMut};
-use configuration::{Code, Limits};
+use configuration::{Limits, ResultCode};
 use http1::{Body, Framing, HeadLimits, Malformed, Piece, RequestHead};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -42,7 +42,7 @@
 enum Refused {
     /// Nothing was asked, or the client left.
     Gone,
-    Because(Code),
+    Because(ResultCode),
 }
 
 impl From<std::io::Error> for Refused {
@@ -156,10 +156,14 @@
         Err(Refused::Gone) => return false,
         Err(Refused::Because(code)) => {
             // Before a configuration is known nobody can say that a request is too large.
-            let unknown =
-                matches!(code, Code::TooLarge | Code::HeadTooLarge) && core.known().is_none();
-            let code = if unknown { Code::NoConfiguration } else { code };
-            let comes_back = matches!(code, Code::Crowded | Code::NoConfiguration);
+            let unknown = matches!(code, ResultCode::TooLarge | ResultCode::HeadTooLarge)
+                && core.known().is_none();
+            let code = if unknown {
+                ResultCode::NoConfiguration
+            } else {
+                code
+            };
+            let comes_back = matches!(code, ResultCode::Crowded | ResultCode::NoConfiguration);
             let answer = Answer::own(code, id.as_deref(), comes_back.then_some(CROWDED));
             if answer.write(core, stream, true).await {
                 linger(stream).await;
@@ -170,7 +174,7 @@
     core.tally.add(|c| c.requests += 1);
     if crowded {
         let answer = Answer::own(
-            Code::Crowded,
+            ResultCode::Crowded,
             request.head.fields.get("fennelpin-attempt-id"),
             Some(CROWDED),
         );
@@ -193,7 +197,7 @@
         done = exchange::run(core, stream, &request, &stage) => done,
         () = over => {
             if !stage.started() {
-                let code = stage.refusal(Code::Leaving);
+                let code = stage.refusal(ResultCode::Leaving);
                 let id = request.head.fields.get("fennelpin-attempt-id");
                 Answer::own(code, id, Some(CROWDED)).write(core, stream, true).await;
             } else if stage.looks_whole() {
@@ -236,7 +240,7 @@
     let head = match timeout_at(by, read_head(stream, buf, limits.max_header_bytes)).await {
         Ok(Ok(head)) => head,
         Ok(Err(refused)) => return (Err(refused), None),
-        Err(_) => return (Err(Refused::Because(Code::SlowClient)), None),
+        Err(_) => return (Err(Refused::Because(ResultCode::SlowClient)), None),
     };
     let body = match head.framing {
         None | Some(Framing::Length(0)) => Ok((Bytes::new(), None)),
@@ -268,9 +272,9 @@
         match RequestHead::take(buf, HeadLimits::bytes(most)) {
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
-            Err(Malformed::TooLarge) => return Err(Refused::Because(Code::HeadTooLarge)),
-            Err(Malformed::LengthTooLarge) => return Err(Refused::Because(Code::TooLarge)),
-            Err(Malformed::Syntax { .. }) => return Err(Refused::Because(Code::BadRequest)),
+            Err(Malformed::TooLarge) => return Err(Refused::Because(ResultCode::HeadTooLarge)),
+            Err(Malformed::LengthTooLarge) => return Err(Refused::Because(ResultCode::TooLarge)),
+            Err(Malformed::Syntax { .. }) => return Err(Refused::Because(ResultCode::BadRequest)),
         }
         if wire::fill(stream, buf).await? == 0 {
             return Err(Refused::Gone);
@@ -290,13 +294,13 @@
     let length = match framing {
         Framing::Length(n) => match usize::try_from(n) {
             Ok(n) if n <= most => Some(n),
-            _ => return Err(Refused::Because(Code::TooLarge)),
+            _ => return Err(Refused::Because(ResultCode::TooLarge)),
         },
         _ => None,
     };
     let mut held = core
         .hold(length.unwrap_or(0))
-        .ok_or(Refused::Because(Code::Crowded))?;
+        .ok_or(Refused::Because(ResultCode::Crowded))?;
     let there = length.is_some_and(|n| buf.len() >= n);
     if !there && head.fields.has_token("expect", "100-continue") && head.minor > 0 {
         wire::write_all(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"", &mut 0).await?;
@@ -314,16 +318,16 @@
         match body.take(buf) {
             Ok(Piece::Data(data)) => {
                 if out.len() + data.len() > most {
-                    return Err(Refused::Because(Code::TooLarge));
+                    return Err(Refused::Because(ResultCode::TooLarge));
                 }
                 if !held.grow(out.len() + data.len()) {
-                    return Err(Refused::Because(Code::Crowded));
+                    return Err(Refused::Because(ResultCode::Crowded));
                 }
                 out.extend_from_slice(&data);
             }
             Ok(Piece::End) => return Ok((out.freeze(), Some(held))),
             Ok(Piece::More) => more(stream, buf, quiet).await?,
-            Err(_) => return Err(Refused::Because(Code::BadRequest)),
+            Err(_) => return Err(Refused::Because(ResultCode::BadRequest)),
         }
     }
 }
@@ -332,7 +336,7 @@
     match timeout(quiet, wire::fill(stream, buf)).await {
         Ok(Ok(0)) => Err(Refused::Gone),
         Ok(got) => Ok(got.map(|_| ())?),
-        Err(_) => Err(Refused::Because(Code::SlowClient)),
+        Err(_) => Err(Refused::Because(ResultCode::SlowClient)),
     }
 }
 
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -3,7 +3,7 @@
 //! is sent.
 
 use balancing::Placement;
-use configuration::Boot;
+use configuration::ProcessSettings;
 use protocol::{Message, Part};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -84,7 +84,7 @@
 }
 
 /// Where this proxy takes hints; `None` where it can't.
-pub(crate) async fn listen(boot: &Boot) -> Option<Rc<UdpSocket>> {
+pub(crate) async fn listen(boot: &ProcessSettings) -> Option<Rc<UdpSocket>> {
     let port = boot
         .port_range
         .0
--- a/crates/proxy/src/own_answer.rs
+++ b/crates/proxy/src/own_answer.rs
@@ -2,7 +2,7 @@
 
 use crate::core::Core;
 use crate::wire::{self, field};
-use configuration::Code;
+use configuration::ResultCode;
 use http1::RequestHead;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -13,14 +13,14 @@
 
 /// An answer of our own.
 pub(crate) struct Answer {
-    code: Code,
+    code: ResultCode,
     text: Vec<u8>,
     bare: bool,
 }
 
 impl Answer {
     /// With this code, for this attempt.
-    pub(crate) fn own(code: Code, id: Option<&[u8]>, retry_after: Option<Duration>) -> Self {
+    pub(crate) fn own(code: ResultCode, id: Option<&[u8]>, retry_after: Option<Duration>) -> Self {
         let body = format!("{} {}\n", code.number(), code.text());
         let mut text = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n",
@@ -80,6 +80,6 @@
     }
 }
 
-fn body_of(code: Code) -> usize {
+fn body_of(code: ResultCode) -> usize {
     code.number().to_string().len() + code.text().len() + 2
 }
--- a/crates/proxy/src/progress.rs
+++ b/crates/proxy/src/progress.rs
@@ -1,6 +1,6 @@
 //! How far the answer to a request has come, and what that lets the connection's end say.
 
-use configuration::Code;
+use configuration::ResultCode;
 use std::cell::Cell;
 
 /// How the client's connection stands after an answer.
@@ -49,9 +49,9 @@
     }
 
     /// The code to end with: a promise only where it has not run.
-    pub(crate) fn refusal(&self, code: Code) -> Code {
+    pub(crate) fn refusal(&self, code: ResultCode) -> ResultCode {
         if self.out.get() {
-            Code::HostBroke
+            ResultCode::HostBroke
         } else {
             code
         }
--- a/crates/proxy/src/routes.rs
+++ b/crates/proxy/src/routes.rs
@@ -1,6 +1,6 @@
 //! Which route a request takes.
 
-use configuration::{Document, Route};
+use configuration::{Configuration, Route};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 
 impl Routes {
     /// The routes of a configuration.
-    pub fn new(document: &Document) -> Self {
+    pub fn new(document: &Configuration) -> Self {
         let mut sites: HashMap<String, Site> = HashMap::new();
         for route in &document.routes {
             let site = sites
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::shutdown::{Shutdown, BEFORE_KILL};
 use crate::world::World;
 use crate::{front, hint_listener, hints, readiness};
-use configuration::Boot;
+use configuration::ProcessSettings;
 use snafu::{ResultExt, Snafu};
 use std::future::Future;
 use std::net::SocketAddrV4;
@@ -97,7 +97,7 @@
 /// # Errors
 /// Where the settings name no address to listen on, or it can't be listened on.
 pub async fn serve(
-    boot: Boot,
+    boot: ProcessSettings,
     world: watch::Receiver<Option<Arc<World>>>,
     stop: impl Future<Output = ()>,
 ) -> Result<Counters, Error> {
@@ -109,7 +109,7 @@
 /// # Errors
 /// As [`serve`].
 pub async fn serve_counted(
-    boot: Boot,
+    boot: ProcessSettings,
     world: watch::Receiver<Option<Arc<World>>>,
     tally: Rc<SharedCounters>,
     stop: impl Future<Output = ()>,
--- a/crates/proxy/src/world.rs
+++ b/crates/proxy/src/world.rs
@@ -1,7 +1,7 @@
 //! What the proxy is told of the fleet.
 
 use balancing::HostInfo;
-use configuration::Document;
+use configuration::Configuration;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct World {
     /// The configuration.
-    pub document: Arc<Document>,
+    pub document: Arc<Configuration>,
     /// All hosts that are not gone.
     pub hosts: Vec<HostInfo>,
     /// Proxies that share the budget for repeats, this one among them.
--- a/crates/proxy/tests/attempt.rs
+++ b/crates/proxy/tests/attempt.rs
@@ -1,6 +1,6 @@
 //! Whether a request goes to another host, and how it ends if not.
 
-use configuration::Code;
+use configuration::ResultCode;
 use proxy::attempt::{End, Next, RetryState};
 use rstest::rstest;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 #[case(true, End::Broke, Next::Again)]
 #[case(true, End::HostFailed, Next::Again)]
 #[case(false, End::NotRun, Next::Again)]
-#[case(false, End::Broke, Next::GiveUp(Code::HostBroke))]
-#[case(false, End::HostFailed, Next::GiveUp(Code::HostBroke))]
+#[case(false, End::Broke, Next::GiveUp(ResultCode::HostBroke))]
+#[case(false, End::HostFailed, Next::GiveUp(ResultCode::HostBroke))]
 fn after_an_attempt_that_was_sent(#[case] idempotent: bool, #[case] end: End, #[case] next: Next) {
     let mut trial = trial(idempotent, 2);
     trial.sent();
@@ -40,22 +40,22 @@
     let mut trial = trial(true, 9);
     let ends: Vec<_> = (0..6).map(|_| trial.ended(NOW, End::Unreached)).collect();
     assert_eq!(ends[..5], [Next::Again; 5]);
-    assert_eq!(ends[5], Next::GiveUp(Code::NoHost));
+    assert_eq!(ends[5], Next::GiveUp(ResultCode::NoHost));
 }
 
 #[rstest]
-#[case(End::NotRun, Code::NoHost)]
-#[case(End::Broke, Code::HostBroke)]
-fn the_last_try_ends_it(#[case] end: End, #[case] code: Code) {
+#[case(End::NotRun, ResultCode::NoHost)]
+#[case(End::Broke, ResultCode::HostBroke)]
+fn the_last_try_ends_it(#[case] end: End, #[case] code: ResultCode) {
     let mut trial = trial(true, 1);
     trial.sent();
     assert_eq!(trial.ended(NOW, end), Next::GiveUp(code));
 }
 
 #[rstest]
-#[case(End::NotRun, Code::LateNotRun)]
-#[case(End::Broke, Code::LateMayHaveRun)]
-fn with_the_time_over_it_ends(#[case] end: End, #[case] code: Code) {
+#[case(End::NotRun, ResultCode::LateNotRun)]
+#[case(End::Broke, ResultCode::LateMayHaveRun)]
+fn with_the_time_over_it_ends(#[case] end: End, #[case] code: ResultCode) {
     let mut trial = trial(true, 3);
     trial.sent();
     assert_eq!(trial.ended(LATE, end), Next::GiveUp(code));
@@ -68,8 +68,11 @@
     trial.ended(NOW, End::Broke);
     trial.sent();
     trial.ended(NOW, End::NotRun);
-    assert_eq!(trial.refusal(Code::BudgetSpent), Code::HostBroke);
-    assert_eq!(trial.overdue(), Code::LateMayHaveRun);
+    assert_eq!(
+        trial.refusal(ResultCode::BudgetSpent),
+        ResultCode::HostBroke
+    );
+    assert_eq!(trial.overdue(), ResultCode::LateMayHaveRun);
 }
 
 #[test]
@@ -80,7 +83,10 @@
     trial.moved();
     trial.sent();
     assert!(!trial.may_move(NOW), "that was the last host it may go to");
-    assert_eq!(trial.ended(NOW, End::NotRun), Next::GiveUp(Code::HostBroke));
+    assert_eq!(
+        trial.ended(NOW, End::NotRun),
+        Next::GiveUp(ResultCode::HostBroke)
+    );
 }
 
 #[test]
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -11,7 +11,7 @@
     let proxy = Proxy::blank().await;
     let text =
         format!(r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],{LIMITS}}}"#);
-    let document = configuration::Document::read(text.as_bytes(), 0).unwrap();
+    let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
     proxy.know(document.into(), vec![host.info.clone()]).await;
     proxy
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use balancing::HostInfo;
-use configuration::{Boot, Document};
+use configuration::{Configuration, ProcessSettings};
 use proxy::counters::{Counters, SharedCounters};
 use proxy::{Error, World};
 use std::future::Future;
@@ -387,11 +387,11 @@
     {"name":"q","hostname":"x.example","path_prefix":"/quick/","route_class":"pure","deadline_ms":150,"service":"s","max_tries":3},
     {"name":"d","hostname":"x.example","path_prefix":"/quick/once/","route_class":"mutating","deadline_ms":150,"service":"s","max_tries":3}"#;
 
-pub fn document(version: u64, routes: &str) -> Arc<Document> {
+pub fn document(version: u64, routes: &str) -> Arc<Configuration> {
     let text = format!(
         r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}},{{"name":"t"}}],"limits":{{"max_header_bytes":4096,"max_body_bytes":100000}}}}"#
     );
-    Arc::new(Document::read(text.as_bytes(), version - 1).unwrap())
+    Arc::new(Configuration::read(text.as_bytes(), version - 1).unwrap())
 }
 
 /// Settings of the process that a story may change.
@@ -446,7 +446,7 @@
                 "limits":{{"memory_mb":{memory_mb},"fd_limit":{fd_limit}}}}}"#,
             ports.0, ports.1
         );
-        let boot = Boot::read(&text).unwrap();
+        let boot = ProcessSettings::read(&text).unwrap();
         let (world, news) = watch::channel(None);
         let (stop, stopped) = oneshot::channel::<()>();
         let stopped = async move {
@@ -482,14 +482,14 @@
         proxy
     }
 
-    pub async fn know(&self, document: Arc<Document>, hosts: Vec<HostInfo>) {
+    pub async fn know(&self, document: Arc<Configuration>, hosts: Vec<HostInfo>) {
         self.know_others(document, hosts, vec![]).await;
     }
 
     /// Knows other proxies too, by where they take hints.
     pub async fn know_others(
         &self,
-        document: Arc<Document>,
+        document: Arc<Configuration>,
         hosts: Vec<HostInfo>,
         others: Vec<SocketAddrV4>,
     ) {
--- a/crates/proxy/tests/configuration_changes.rs
+++ b/crates/proxy/tests/configuration_changes.rs
@@ -2,36 +2,36 @@
 
 mod common;
 use common::*;
-use configuration::Document;
+use configuration::Configuration;
 use rstest::rstest;
 use std::sync::Arc;
 
 /// What the next configuration says.
-fn next(routes: &str, limits: &str) -> Arc<Document> {
+fn next(routes: &str, limits: &str) -> Arc<Configuration> {
     let services = r#"[{"name":"s"},{"name":"t"}]"#;
     let text = format!(
         r#"{{"version":2,"routes":[{routes}],"services":{services},"limits":{{{limits}}}}}"#
     );
-    Document::read(text.as_bytes(), 1).unwrap().into()
+    Configuration::read(text.as_bytes(), 1).unwrap().into()
 }
 
 /// Changes that take away what the requests under way rest on.
-fn dropped() -> Arc<Document> {
+fn dropped() -> Arc<Configuration> {
     next("", "")
 }
 
-fn moved() -> Arc<Document> {
+fn moved() -> Arc<Configuration> {
     next(&ROUTES.replace(r#""service":"s""#, r#""service":"t""#), "")
 }
 
-fn hasty() -> Arc<Document> {
+fn hasty() -> Arc<Configuration> {
     next(
         &ROUTES.replace(r#""deadline_ms":8000"#, r#""deadline_ms":1"#),
         "",
     )
 }
 
-fn narrow() -> Arc<Document> {
+fn narrow() -> Arc<Configuration> {
     next(
         ROUTES,
         r#""max_header_bytes":64,"max_body_bytes":1,"header_timeout_ms":1,"idle_timeout_ms":1000"#,
@@ -40,7 +40,7 @@
 
 #[rstest]
 fn what_is_at_a_host_is_answered(
-    #[values(dropped(), moved(), hasty(), narrow())] next: Arc<Document>,
+    #[values(dropped(), moved(), hasty(), narrow())] next: Arc<Configuration>,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
     story(async {
@@ -66,7 +66,7 @@
 
 #[rstest]
 fn a_stream_goes_on(
-    #[values(dropped(), moved(), hasty(), narrow())] next: Arc<Document>,
+    #[values(dropped(), moved(), hasty(), narrow())] next: Arc<Configuration>,
     #[values("/live/a", "/more/a")] path: &str,
 ) {
     story(async {
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -29,7 +29,7 @@
     let text = format!(
         r#"{{"version":1,"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":{LARGE}}}}}"#
     );
-    let document = configuration::Document::read(text.as_bytes(), 0).unwrap();
+    let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
     proxy
         .know(
             document.into(),
--- a/crates/proxy/tests/denied.rs
+++ b/crates/proxy/tests/denied.rs
@@ -45,7 +45,7 @@
         assert_eq!(client.message().await.unwrap().status(), 503);
         let text =
             format!(r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],{WIDE}}}"#);
-        let document = configuration::Document::read(text.as_bytes(), 0).unwrap();
+        let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
         proxy.know(document.into(), vec![host.info.clone()]).await;
         let long = format!(
             "X-Long: {}\r\nContent-Length: {LONG_BODY}\r\n",
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/hints.rs
@@ -98,12 +98,12 @@
 }
 
 /// A configuration whose service runs a model.
-fn models() -> Arc<configuration::Document> {
+fn models() -> Arc<configuration::Configuration> {
     let text = format!(
         r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s","runtime":{{"capacity":8,"cache_tokens":500000}}}}],
             "limits":{{"max_header_bytes":4096,"max_body_bytes":100000}}}}"#
     );
-    Arc::new(configuration::Document::read(text.as_bytes(), 0).unwrap())
+    Arc::new(configuration::Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
 /// A proxy that takes hints, and where.
--- a/crates/proxy/tests/hosts.rs
+++ b/crates/proxy/tests/hosts.rs
@@ -491,7 +491,7 @@
         let text = format!(
             r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":9000000}}}}"#
         );
-        let document = configuration::Document::read(text.as_bytes(), 0).unwrap();
+        let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
         proxy.know(document.into(), vec![host.info.clone()]).await;
         let mut client = proxy.client().await;
         let body = "a".repeat(8_000_000);
@@ -597,7 +597,7 @@
         let text = format!(
             r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s","conn_limit":8}}]}}"#
         );
-        let document = configuration::Document::read(text.as_bytes(), 0).unwrap();
+        let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
         let info = |h: &Host| balancing::HostInfo {
             capacity: 99,
             ..h.info.clone()
--- a/crates/proxy/tests/matching.rs
+++ b/crates/proxy/tests/matching.rs
@@ -6,11 +6,11 @@
 
 const SEAL: &str = "Fennelpin-Host-Seal: seal";
 
-fn wide_document() -> std::sync::Arc<configuration::Document> {
+fn wide_document() -> std::sync::Arc<configuration::Configuration> {
     let text = format!(
         r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":9000000}}}}"#
     );
-    configuration::Document::read(text.as_bytes(), 0)
+    configuration::Configuration::read(text.as_bytes(), 0)
         .unwrap()
         .into()
 }
--- a/crates/proxy/tests/routes.rs
+++ b/crates/proxy/tests/routes.rs
@@ -1,10 +1,10 @@
 //! Which route a request takes, and to which service.
 
-use configuration::Document;
+use configuration::Configuration;
 use proxy::routes::{service, Routes};
 use rstest::rstest;
 
-fn document() -> Document {
+fn document() -> Configuration {
     let route = |name: &str, host: &str, prefix: &str, more: &str| {
         format!(
             r#"{{"name":"{name}","hostname":"{host}","path_prefix":"{prefix}","route_class":"pure","deadline_ms":100,{more}}}"#
@@ -25,7 +25,7 @@
         r#"{{"version":1,"routes":[{}],"services":[{{"name":"s"}},{{"name":"t"}},{{"name":"u"}}]}}"#,
         routes.join(",")
     );
-    Document::read(text.as_bytes(), 0).unwrap()
+    Configuration::read(text.as_bytes(), 0).unwrap()
 }
 
 #[rstest]
--- a/crates/proxy/tests/starting.rs
+++ b/crates/proxy/tests/starting.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::free_addr;
-use configuration::Boot;
+use configuration::ProcessSettings;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -19,8 +19,11 @@
         let before = TcpListener::bind(SocketAddr::V4(front)).await.unwrap();
         let (_world, news) = watch::channel(None);
         let stop = std::future::pending::<()>();
-        let serving =
-            tokio::task::spawn_local(proxy::serve(Boot::read(&text).unwrap(), news, stop));
+        let serving = tokio::task::spawn_local(proxy::serve(
+            ProcessSettings::read(&text).unwrap(),
+            news,
+            stop,
+        ));
         // It has tried to listen by then.
         for _ in 0..100 {
             tokio::task::yield_now().await;
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -1,11 +1,11 @@
 //! The side that pulls: runs a [`Puller`] over TCP and feeds a [`SharedMirror`].
 
 use crate::frames::{FrameReader, Step};
-use crate::news::{News, Pull, UNCONFIRMED};
+use crate::news::{Pull, Update, UNCONFIRMED};
 use crate::puller::{Action, Puller};
 use crate::shared::SharedMirror;
 use crate::transitions::{self, PullRecorder};
-use protocol::{encode, Addr, Caller, MemberInfo, Message};
+use protocol::{encode, Addr, MemberInfo, Message, Subscriber};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddrV4;
@@ -30,7 +30,7 @@
     Connected,
     /// Some bytes of an answer came.
     Part,
-    News(Box<News>),
+    Update(Box<Update>),
     Failed(io::Error),
 }
 
@@ -46,14 +46,14 @@
     connections: HashMap<u64, Connection>,
     tasks: JoinSet<()>,
     events: mpsc::UnboundedSender<(u64, Event)>,
-    caller: Caller,
+    caller: Subscriber,
 }
 
 /// Pulls until it is dropped, or until `control` is closed. `hello` is the first frame on each connection.
 pub async fn run(
     mut puller: Puller,
     hello: MemberInfo,
-    caller: Caller,
+    caller: Subscriber,
     shared: Arc<SharedMirror>,
     mut control: mpsc::UnboundedReceiver<Control>,
 ) {
@@ -132,11 +132,11 @@
                 self.connections.remove(&link);
                 puller.failed(now, link)
             }
-            Event::News(news) => {
+            Event::Update(news) => {
                 // Of a link that was given up nobody knows when it was asked.
                 let news = match puller.asked(link) {
                     Some(asked) => news.aged(asked, now),
-                    None => News {
+                    None => Update {
                         age_ms: UNCONFIRMED,
                         ..*news
                     },
@@ -221,10 +221,10 @@
                     }
                     Step::End => return Err(io::ErrorKind::UnexpectedEof.into()),
                 };
-                let Ok(news) = News::from_message(*message) else {
+                let Ok(news) = Update::from_message(*message) else {
                     return Err(io::Error::new(io::ErrorKind::InvalidData, "no news"));
                 };
-                events.send((link, Event::News(Box::new(news)))).map_err(|_| over())?;
+                events.send((link, Event::Update(Box::new(news)))).map_err(|_| over())?;
             }
         }
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use frames::{FrameReader, Step};
 pub use mirror::{Mirror, Snapshot, FRESH_WAIT};
-pub use news::{News, Pull, UNCONFIRMED};
+pub use news::{Pull, Update, UNCONFIRMED};
 pub use puller::{
     Action, Puller, ANSWER_SLACK, CONNECT_TIMEOUT, LOOK, PACE, STALE_MS, WAIT_MS, WATCHED,
 };
@@ -23,8 +23,8 @@
 pub use serve::{answer, serve};
 pub use shared::{SharedMirror, Traffic};
 
-use configuration::Boot;
-use protocol::{Addr, Caller, MemberInfo};
+use configuration::ProcessSettings;
+use protocol::{Addr, MemberInfo, Subscriber};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// What [`protocol::HostRecord::phase`] may hold.
@@ -40,7 +40,7 @@
 }
 
 /// Where members listen, given the `control` address of one.
-pub fn member_addr(boot: &Boot, control: &SocketAddrV4) -> Addr {
+pub fn member_addr(boot: &ProcessSettings, control: &SocketAddrV4) -> Addr {
     Addr {
         ip: u32::from(*control.ip()),
         port: boot.port_range.0,
@@ -48,7 +48,7 @@
 }
 
 /// Where the seeds of the settings listen.
-pub fn seed_addrs(boot: &Boot) -> Vec<Addr> {
+pub fn seed_addrs(boot: &ProcessSettings) -> Vec<Addr> {
     boot.seed_nodes
         .iter()
         .map(|s| member_addr(boot, s))
@@ -57,7 +57,7 @@
 
 /// Where a machine's agent listens for its proxy: on the loopback address; several machines that are played on
 /// one have addresses of their own there.
-pub fn agent_addr(boot: &Boot) -> Addr {
+pub fn agent_addr(boot: &ProcessSettings) -> Addr {
     let ip = if boot.ip_addr.is_loopback() {
         boot.ip_addr
     } else {
@@ -68,7 +68,7 @@
 }
 
 /// Where a machine's proxy takes the other proxies' hints; without enough ports, nowhere (port 0).
-pub fn hints_addr(boot: &Boot) -> Addr {
+pub fn hints_addr(boot: &ProcessSettings) -> Addr {
     let port = boot.port_range.0.saturating_add(2);
     Addr {
         ip: u32::from(boot.ip_addr),
@@ -77,8 +77,8 @@
 }
 
 /// This process as one that pulls; `member` is its identity, or 0 where it is no member.
-pub fn caller(boot: &Boot, member: u64) -> Caller {
-    Caller {
+pub fn caller(boot: &ProcessSettings, member: u64) -> Subscriber {
+    Subscriber {
         name: boot.node_name.clone(),
         zone: boot.zone.clone(),
         region: boot.region.clone(),
@@ -89,7 +89,7 @@
 }
 
 /// The first frame's seat of a process that is no member.
-pub fn no_seat(boot: &Boot) -> MemberInfo {
+pub fn no_seat(boot: &ProcessSettings) -> MemberInfo {
     MemberInfo {
         id: 0,
         name: boot.node_name.clone(),
--- a/crates/replication/src/mirror/ledger.rs
+++ b/crates/replication/src/mirror/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger's part of a mirror: the configuration and the drains, and what of them a puller lacks.
 
-use configuration::{Delta, Document};
-use protocol::ConfigNews;
+use configuration::{Configuration, ConfigurationDelta};
+use protocol::ConfigurationUpdate;
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 /// A document that was in force, or is.
 #[derive(Clone)]
 struct PastDocument {
-    document: Arc<Document>,
+    document: Arc<Configuration>,
     /// Bytes of its items that the one before doesn't have.
     bytes: usize,
 }
@@ -46,7 +46,7 @@
     /// Number of the last change.
     pub(super) seq: u64,
     /// The configuration; version 0 where none has come yet.
-    pub(super) document: Arc<Document>,
+    pub(super) document: Arc<Configuration>,
     /// Hosts that are leaving or gone.
     pub(super) drains: Arc<BTreeSet<String>>,
     /// The latest documents, the one in force last.
@@ -92,7 +92,7 @@
     pub(super) fn set(
         &mut self,
         seq: u64,
-        document: Arc<Document>,
+        document: Arc<Configuration>,
         drains: BTreeSet<String>,
     ) -> bool {
         if seq <= self.seq || document.version < self.document.version {
@@ -111,7 +111,7 @@
         true
     }
 
-    fn remember(&mut self, document: Arc<Document>) {
+    fn remember(&mut self, document: Arc<Configuration>) {
         self.unsure = false;
         if document.version > self.document.version {
             let bytes = document.unshared_bytes(&self.document);
@@ -127,7 +127,7 @@
     }
 
     /// Takes news of it, where they are newer and add to what is here.
-    pub(super) fn apply(&mut self, news: &ConfigNews) -> Applied {
+    pub(super) fn apply(&mut self, news: &ConfigurationUpdate) -> Applied {
         if news.seq <= self.seq || news.to < self.document.version {
             return Applied::Known;
         }
@@ -137,7 +137,7 @@
         let document = if news.to == self.document.version {
             Some(self.document.clone())
         } else {
-            let whole = Document::default();
+            let whole = Configuration::default();
             let base = if news.from == 0 {
                 &whole
             } else {
@@ -161,7 +161,7 @@
     }
 
     /// The drains that news lead to; none where they add to others than those here.
-    fn drains_after(&self, news: &ConfigNews) -> Option<BTreeSet<String>> {
+    fn drains_after(&self, news: &ConfigurationUpdate) -> Option<BTreeSet<String>> {
         let mut drains: BTreeSet<String> = match news.drains_from {
             0 => BTreeSet::new(),
             from if from == self.seq => (*self.drains).clone(),
@@ -198,10 +198,10 @@
     }
 
     /// What somebody lacks who has this version and this change of the ledger.
-    pub(super) fn news(&self, version: u64, seq: u64) -> ConfigNews {
+    pub(super) fn news(&self, version: u64, seq: u64) -> ConfigurationUpdate {
         let (drains_from, drains, gone_drains) = self.drains_since(seq);
         let newest = &self.document;
-        let none = Document::default();
+        let none = Configuration::default();
         let base = self
             .history
             .iter()
@@ -209,7 +209,7 @@
             .find(|d| d.version == version)
             .unwrap_or(&none);
         let delta = base.delta(newest);
-        ConfigNews {
+        ConfigurationUpdate {
             seq: self.seq,
             from: delta.from,
             to: delta.to,
@@ -225,8 +225,8 @@
     }
 }
 
-fn delta(news: &ConfigNews) -> Delta {
-    Delta {
+fn delta(news: &ConfigurationUpdate) -> ConfigurationDelta {
+    ConfigurationDelta {
         from: news.from,
         to: news.to,
         routes: news.routes.clone(),
--- a/crates/replication/src/mirror/mod.rs
+++ b/crates/replication/src/mirror/mod.rs
@@ -7,11 +7,11 @@
 
 pub use withheld::FRESH_WAIT;
 
-use crate::news::{News, Pull, UNCONFIRMED};
+use crate::news::{Pull, Update, UNCONFIRMED};
 use crate::puller::STALE_MS;
-use configuration::Document;
+use configuration::Configuration;
 use ledger::{Applied, LedgerMirror};
-use protocol::{Addr, Caller, CoordinatorRecord, Fleet, HostRecord, Mark};
+use protocol::{Addr, ControlPlaneInfo, CoordinatorRecord, HostRecord, OriginVersion, Subscriber};
 use sources::Sources;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,7 +28,7 @@
     /// Number of the ledger's last change.
     pub ledger: u64,
     /// The configuration; version 0 where none has come yet.
-    pub document: Arc<Document>,
+    pub document: Arc<Configuration>,
     /// Hosts by identity, merged over all sources and drains; see [`crate::phase`].
     pub hosts: BTreeMap<String, HostRecord>,
     /// Names of the coordinators that pull now, over all sources.
@@ -38,7 +38,7 @@
     /// Hosts that the ledger has as leaving or gone.
     pub drains: Arc<BTreeSet<String>>,
     /// The control plane.
-    pub fleet: Fleet,
+    pub fleet: ControlPlaneInfo,
 }
 
 /// The mirror. Takes only what is newer than what it has; hands on exactly what a puller lacks.
@@ -48,7 +48,7 @@
     generation: u64,
     ledger: LedgerMirror,
     sources: Sources,
-    fleet: Fleet,
+    fleet: ControlPlaneInfo,
     /// Until when it is proved that nothing is missing here, in ns of this process's clock; negative for a time before
     /// its start, as proofs that others hand on may be older than this process.
     fresh: Option<i64>,
@@ -73,7 +73,7 @@
             generation: 0,
             ledger: LedgerMirror::new(),
             sources: Sources::new(beat),
-            fleet: Fleet::default(),
+            fleet: ControlPlaneInfo::default(),
             fresh: None,
             withheld: Withheld::Never,
             due: Cell::new(None),
@@ -119,7 +119,7 @@
     }
 
     /// The configuration; version 0 where none has come yet.
-    pub fn document(&self) -> &Arc<Document> {
+    pub fn document(&self) -> &Arc<Configuration> {
         &self.ledger.document
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// The control plane.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &ControlPlaneInfo {
         &self.fleet
     }
 
@@ -162,7 +162,7 @@
     pub fn set_ledger<'a>(
         &mut self,
         seq: u64,
-        document: Arc<Document>,
+        document: Arc<Configuration>,
         drains: impl IntoIterator<Item = &'a String>,
     ) -> bool {
         let newer = self
@@ -190,7 +190,7 @@
         } else {
             return false;
         };
-        self.fleet = Fleet {
+        self.fleet = ControlPlaneInfo {
             mark,
             epoch,
             primary,
@@ -206,7 +206,7 @@
     }
 
     /// Takes news: only what is newer than what is here. True where something was taken.
-    pub fn apply(&mut self, now: Duration, news: &News) -> bool {
+    pub fn apply(&mut self, now: Duration, news: &Update) -> bool {
         let before = self.generation;
         let mut whole = true;
         if let Some(config) = &news.config {
@@ -285,12 +285,12 @@
     }
 
     /// What this mirror has of each source, for a pull.
-    pub fn vector(&self) -> Vec<Mark> {
+    pub fn vector(&self) -> Vec<OriginVersion> {
         self.sources.vector()
     }
 
     /// Asks for what this mirror lacks.
-    pub fn pull(&self, caller: &Caller, wait_ms: u32) -> Pull {
+    pub fn pull(&self, caller: &Subscriber, wait_ms: u32) -> Pull {
         // That what is withheld is the current one is no news: it has to be asked for.
         let wait_ms = if self.withheld.holds() { 0 } else { wait_ms };
         Pull {
@@ -304,16 +304,16 @@
     }
 
     /// News that say only how old this mirror may be.
-    pub fn no_news(&self, now: Duration) -> News {
-        News {
+    pub fn no_news(&self, now: Duration) -> Update {
+        Update {
             member: self.member,
             age_ms: self.age_ms(now),
-            ..News::default()
+            ..Update::default()
         }
     }
 
     /// Exactly what the puller lacks; `None` where that is nothing.
-    pub fn news_for(&self, now: Duration, pull: &Pull) -> Option<News> {
+    pub fn news_for(&self, now: Duration, pull: &Pull) -> Option<Update> {
         let mut news = self.no_news(now);
         if self.ledger.seq > pull.ledger && !self.withheld.holds() {
             news.config = Some(self.ledger.news(pull.version, pull.ledger));
@@ -331,7 +331,7 @@
     }
 
     /// Takes note of lives that a puller knows by its vector and that are newer than those known here.
-    pub fn hear_of_lives(&mut self, vector: &[Mark]) {
+    pub fn hear_of_lives(&mut self, vector: &[OriginVersion]) {
         let heard = self.sources.hear_of_lives(vector);
         self.changed(heard);
     }
--- a/crates/replication/src/mirror/sources.rs
+++ b/crates/replication/src/mirror/sources.rs
@@ -2,7 +2,7 @@
 
 use super::hosts::Arrivals;
 use crate::phase;
-use protocol::{CoordinatorRecord, HostRecord, Mark, SourceNews};
+use protocol::{CoordinatorRecord, HostRecord, OriginUpdate, OriginVersion};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
@@ -100,8 +100,8 @@
     }
 
     /// Takes a source's news. True where they were newer.
-    pub(super) fn apply(&mut self, now: Duration, news: &SourceNews) -> bool {
-        let Mark { id, life, seq } = news.mark;
+    pub(super) fn apply(&mut self, now: Duration, news: &OriginUpdate) -> bool {
+        let OriginVersion { id, life, seq } = news.mark;
         if self.buried.get(&id).is_some_and(|upto| life <= *upto) {
             return false;
         }
@@ -142,7 +142,7 @@
 
     /// Takes note of lives that a puller knows and that are newer than those known here: their members have to
     /// hear of them. What they had to say isn't known. True where there were some.
-    pub(super) fn hear_of_lives(&mut self, vector: &[Mark]) -> bool {
+    pub(super) fn hear_of_lives(&mut self, vector: &[OriginVersion]) -> bool {
         let mut heard = false;
         for mark in vector.iter().filter(|mark| mark.seq != u64::MAX) {
             if self
@@ -239,13 +239,13 @@
     }
 
     /// How far each is known, for a pull.
-    pub(super) fn vector(&self) -> Vec<Mark> {
-        let live = self.lives.iter().map(|((id, life), s)| Mark {
+    pub(super) fn vector(&self) -> Vec<OriginVersion> {
+        let live = self.lives.iter().map(|((id, life), s)| OriginVersion {
             id: *id,
             life: *life,
             seq: s.seq,
         });
-        let ended = self.buried.iter().map(|(id, life)| Mark {
+        let ended = self.buried.iter().map(|(id, life)| OriginVersion {
             id: *id,
             life: *life,
             seq: u64::MAX,
@@ -254,7 +254,7 @@
             .retired
             .iter()
             .filter(|(id, life)| self.buried.get(id) != Some(*life));
-        let retired = told.map(|(id, life)| Mark {
+        let retired = told.map(|(id, life)| OriginVersion {
             id: *id,
             life: *life,
             seq: u64::MAX,
@@ -263,7 +263,7 @@
     }
 
     /// What somebody with this vector lacks: sources' news, and which are no more.
-    pub(super) fn news(&self, vector: &[Mark]) -> (Vec<SourceNews>, Vec<u64>) {
+    pub(super) fn news(&self, vector: &[OriginVersion]) -> (Vec<OriginUpdate>, Vec<u64>) {
         // (id, life) to the number that the puller has; u64::MAX: it wants nothing more.
         let mut has: HashMap<(u64, u64), u64> = HashMap::new();
         let mut done: HashMap<u64, u64> = HashMap::new();
@@ -284,7 +284,7 @@
                 continue;
             }
             news.push(source.news(
-                Mark {
+                OriginVersion {
                     id,
                     life,
                     seq: source.seq,
@@ -311,7 +311,7 @@
 
 impl Source {
     /// Takes news that are newer.
-    fn take(&mut self, now: Duration, news: &SourceNews, arrivals: &mut Arrivals) {
+    fn take(&mut self, now: Duration, news: &OriginUpdate, arrivals: &mut Arrivals) {
         let seq = news.mark.seq;
         if news.whole {
             self.drop_what_is_left_out(news);
@@ -353,7 +353,7 @@
         }
     }
 
-    fn drop_what_is_left_out(&mut self, news: &SourceNews) {
+    fn drop_what_is_left_out(&mut self, news: &OriginUpdate) {
         let hosts: HashSet<&str> = news.hosts.iter().map(|h| h.id.as_str()).collect();
         let names: HashSet<&str> = news.coordinators.iter().map(|c| c.name.as_str()).collect();
         let count = self.hosts.len() + self.coordinators.len();
@@ -388,7 +388,7 @@
         });
     }
 
-    fn news(&self, mark: Mark, known: Option<u64>) -> SourceNews {
+    fn news(&self, mark: OriginVersion, known: Option<u64>) -> OriginUpdate {
         let whole = known.is_none_or(|seq| seq < self.floor);
         let since = if whole { 0 } else { known.unwrap_or_default() };
         let hosts = self
@@ -400,7 +400,7 @@
             .coordinators
             .values()
             .filter(|k| whole || k.seq > since);
-        SourceNews {
+        OriginUpdate {
             mark,
             whole,
             hosts: hosts.collect(),
--- a/crates/replication/src/news.rs
+++ b/crates/replication/src/news.rs
@@ -1,13 +1,15 @@
-//! [`Message::Pull`] and [`Message::News`] as values of their own.
+//! [`Message::Pull`] and [`Message::Update`] as values of their own.
 
-use protocol::{Caller, ConfigNews, Fleet, Mark, Message, SourceNews};
+use protocol::{
+    ConfigurationUpdate, ControlPlaneInfo, Message, OriginUpdate, OriginVersion, Subscriber,
+};
 use std::time::Duration;
 
 /// Asks for what the speaker lacks: [`Message::Pull`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pull {
     /// Who pulls.
-    pub caller: Caller,
+    pub caller: Subscriber,
     /// How long the answer may wait for news, in ms.
     pub wait_ms: u32,
     /// Number of the ledger's last change that the speaker has.
@@ -17,7 +19,7 @@
     /// Mark of the fleet that it has.
     pub fleet: u64,
     /// What it has of each source. A number of `u64::MAX` says that it wants nothing more of this life.
-    pub sources: Vec<Mark>,
+    pub sources: Vec<OriginVersion>,
 }
 
 impl Pull {
@@ -67,13 +69,13 @@
     }
 }
 
-/// [`News::age_ms`] of a speaker that has had no proof in this life: what it says of the configuration may be as old
+/// [`Update::age_ms`] of a speaker that has had no proof in this life: what it says of the configuration may be as old
 /// as its disk.
 pub const UNCONFIRMED: u32 = u32::MAX;
 
-/// What a puller lacked: [`Message::News`].
+/// What a puller lacked: [`Message::Update`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct Update {
     /// Who speaks; 0 for an agent.
     pub member: u64,
     /// Since when, at most, the speaker may have missed what the primary acknowledged, in ms; [`UNCONFIRMED`]
@@ -82,16 +84,16 @@
     /// How long the speaker had the pull before it answered, in ms.
     pub held_ms: u32,
     /// Configuration and drains.
-    pub config: Option<ConfigNews>,
+    pub config: Option<ConfigurationUpdate>,
     /// Hosts and coordinators.
-    pub sources: Vec<SourceNews>,
+    pub sources: Vec<OriginUpdate>,
     /// Sources that are no more.
     pub retired: Vec<u64>,
     /// The control plane.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<ControlPlaneInfo>,
 }
 
-impl News {
+impl Update {
     /// Whether it says nothing but its age.
     pub fn is_empty(&self) -> bool {
         self.config.is_none()
@@ -124,7 +126,7 @@
             retired,
             fleet,
         } = self;
-        Message::News {
+        Message::Update {
             member,
             age_ms,
             held_ms,
@@ -141,7 +143,7 @@
     /// The message back, where it is another one.
     pub fn from_message(message: Message) -> Result<Self, Box<Message>> {
         match message {
-            Message::News {
+            Message::Update {
                 member,
                 age_ms,
                 held_ms,
--- a/crates/replication/src/serve.rs
+++ b/crates/replication/src/serve.rs
@@ -1,9 +1,9 @@
 //! The side that is pulled from.
 
 use crate::frames::FrameReader;
-use crate::news::{News, Pull};
+use crate::news::{Pull, Update};
 use crate::shared::SharedMirror;
-use protocol::{encode, Caller, Message};
+use protocol::{encode, Message, Subscriber};
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,15 +18,15 @@
 const SEND: Duration = Duration::from_secs(3);
 
 /// The answer to a pull: at once where there are news, else when there are, or empty after the pull's wait.
-pub async fn answer(shared: &SharedMirror, pull: &Pull) -> News {
+pub async fn answer(shared: &SharedMirror, pull: &Pull) -> Update {
     let mut changes = shared.changes();
     let since = shared.now();
     shared.update(|mirror, _| mirror.hear_of_lives(&pull.sources));
     let until = shared.at(since) + Duration::from_millis(pull.wait_ms.into()).min(LONGEST_WAIT);
     // Of the same moment as the age: a standstill makes both greater.
-    let held = |now: Duration, news: News| {
+    let held = |now: Duration, news: Update| {
         let held_ms = u32::try_from(now.saturating_sub(since).as_millis()).unwrap_or(u32::MAX);
-        News { held_ms, ..news }
+        Update { held_ms, ..news }
     };
     loop {
         changes.borrow_and_update();
@@ -50,7 +50,7 @@
     stream: S,
     buffer: Vec<u8>,
     shared: Arc<SharedMirror>,
-    mut on_caller: impl FnMut(&Caller),
+    mut on_caller: impl FnMut(&Subscriber),
 ) -> io::Result<()>
 where
     S: AsyncRead + AsyncWrite,
--- a/crates/replication/tests/mirror.rs
+++ b/crates/replication/tests/mirror.rs
@@ -1,8 +1,10 @@
 //! The mirror: takes only what is newer, hands on exactly what is lacking.
 
-use configuration::Document;
-use protocol::{Addr, Caller, CoordinatorRecord, HostRecord, Mark, MemberInfo, SourceNews};
-use replication::{phase, Mirror, News, Pull};
+use configuration::Configuration;
+use protocol::{
+    Addr, CoordinatorRecord, HostRecord, MemberInfo, OriginUpdate, OriginVersion, Subscriber,
+};
+use replication::{phase, Mirror, Pull, Update};
 use rstest::rstest;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +20,7 @@
 }
 
 /// A configuration whose one route has its version as its deadline, and a route of its own.
-fn document(version: u64) -> Arc<Document> {
+fn document(version: u64) -> Arc<Configuration> {
     let route = |name: &str, deadline: u64| {
         format!(
             r#"{{"name":"{name}","hostname":"h","path_prefix":"/{name}/","route_class":"pure","deadline_ms":{deadline},
@@ -34,7 +36,7 @@
     let text = format!(
         r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
     );
-    Arc::new(Document::read(text.as_bytes(), 0).unwrap())
+    Arc::new(Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
 fn host(id: &str, call_seq: u64) -> HostRecord {
@@ -60,28 +62,28 @@
     }
 }
 
-fn source(id: u64, life: u64, seq: u64, whole: bool, hosts: Vec<HostRecord>) -> SourceNews {
-    SourceNews {
-        mark: Mark { id, life, seq },
+fn source(id: u64, life: u64, seq: u64, whole: bool, hosts: Vec<HostRecord>) -> OriginUpdate {
+    OriginUpdate {
+        mark: OriginVersion { id, life, seq },
         whole,
         hosts,
         coordinators: vec![],
     }
 }
 
-fn news(sources: Vec<SourceNews>) -> News {
-    News {
+fn news(sources: Vec<OriginUpdate>) -> Update {
+    Update {
         sources,
-        ..News::default()
+        ..Update::default()
     }
 }
 
 fn pull(mirror: &Mirror) -> Pull {
-    mirror.pull(&Caller::default(), 1000)
+    mirror.pull(&Subscriber::default(), 1000)
 }
 
 /// `to` pulls from `from` once.
-fn follow(to: &mut Mirror, from: &Mirror, now: Duration) -> Option<News> {
+fn follow(to: &mut Mirror, from: &Mirror, now: Duration) -> Option<Update> {
     let news = from.news_for(now, &pull(to));
     if let Some(news) = &news {
         to.apply(now, news);
@@ -575,7 +577,7 @@
 #[test]
 fn coordinators_are_counted_once_over_all_sources() {
     let mut agent = mirror(0);
-    let with = |id, names: &[(&str, bool)]| SourceNews {
+    let with = |id, names: &[(&str, bool)]| OriginUpdate {
         coordinators: names
             .iter()
             .map(|(n, gone)| coordinator(n, *gone))
@@ -606,9 +608,9 @@
     assert_eq!(agent.age_ms(ms(1300)), 300);
     agent.apply(
         ms(1300),
-        &News {
+        &Update {
             age_ms: 900,
-            ..News::default()
+            ..Update::default()
         },
     );
     assert_eq!(
@@ -696,7 +698,7 @@
 }
 
 /// A configuration of about a megabyte; what differs between two versions is one route, or all of them.
-fn large(version: u64, all_differ: bool) -> Arc<Document> {
+fn large(version: u64, all_differ: bool) -> Arc<Configuration> {
     let route = |n: u64| {
         let differs = all_differ || n == 0;
         let note = format!("{}{}", "x".repeat(1000), if differs { version } else { 0 });
@@ -709,7 +711,7 @@
         r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#,
         routes.join(",")
     );
-    Arc::new(Document::read(text.as_bytes(), 0).unwrap())
+    Arc::new(Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
 /// Large configurations are remembered for as long as what differs between them is little; whoever is further behind
--- a/crates/replication/tests/serve.rs
+++ b/crates/replication/tests/serve.rs
@@ -1,7 +1,9 @@
 //! One connection that is served, on a paused clock.
 
-use protocol::{encode, Addr, Caller, HostRecord, Mark, MemberInfo, Message, SourceNews};
-use replication::{serve, FrameReader, Mirror, News, Pull, SharedMirror};
+use protocol::{
+    encode, Addr, HostRecord, MemberInfo, Message, OriginUpdate, OriginVersion, Subscriber,
+};
+use replication::{serve, FrameReader, Mirror, Pull, SharedMirror, Update};
 use std::io::ErrorKind;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -12,36 +14,36 @@
 
 fn pull(name: &str, wait_ms: u32) -> Pull {
     Pull {
-        caller: Caller {
+        caller: Subscriber {
             name: name.into(),
-            ..Caller::default()
+            ..Subscriber::default()
         },
         wait_ms,
         ..Pull::default()
     }
 }
 
-fn one_host() -> News {
+fn one_host() -> Update {
     let host = HostRecord {
         id: "i".into(),
         addr: Addr { ip: 1, port: 1 },
         ..HostRecord::default()
     };
-    let mark = Mark {
+    let mark = OriginVersion {
         id: 7,
         life: 1,
         seq: 1,
     };
-    let source = SourceNews {
+    let source = OriginUpdate {
         mark,
         whole: true,
         hosts: vec![host],
         coordinators: vec![],
     };
-    News {
+    Update {
         age_ms: 5,
         sources: vec![source],
-        ..News::default()
+        ..Update::default()
     }
 }
 
@@ -66,7 +68,7 @@
         .write_all(&encode(&pull("a", 1000).into_message()))
         .await
         .unwrap();
-    let empty = News::from_message(frames.next().await.unwrap().unwrap()).unwrap();
+    let empty = Update::from_message(frames.next().await.unwrap().unwrap()).unwrap();
     assert!(empty.is_empty());
     assert_eq!(
         (empty.member, empty.age_ms, asked.elapsed()),
@@ -81,7 +83,7 @@
         .unwrap();
     tokio::time::advance(Duration::from_millis(300)).await;
     shared.update(|m, now| m.apply(now, &one_host()));
-    let news = News::from_message(frames.next().await.unwrap().unwrap()).unwrap();
+    let news = Update::from_message(frames.next().await.unwrap().unwrap()).unwrap();
     assert_eq!(
         (news.sources.len(), news.age_ms, asked.elapsed()),
         (1, 5, Duration::from_millis(300)),
--- a/crates/replication/tests/stale.rs
+++ b/crates/replication/tests/stale.rs
@@ -1,8 +1,8 @@
 //! Old news: how their age is counted, and what a process that starts with nothing makes of them.
 
-use configuration::Document;
-use protocol::{Caller, MemberInfo};
-use replication::{Mirror, News, FRESH_WAIT, STALE_MS, UNCONFIRMED};
+use configuration::Configuration;
+use protocol::{MemberInfo, Subscriber};
+use replication::{Mirror, Update, FRESH_WAIT, STALE_MS, UNCONFIRMED};
 use rstest::rstest;
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
     Duration::from_millis(ms)
 }
 
-fn document(version: u64) -> Arc<Document> {
+fn document(version: u64) -> Arc<Configuration> {
     let text = format!(
         r#"{{"version":{version},"routes":[{{"name":"a","hostname":"h","path_prefix":"/","route_class":"pure",
         "deadline_ms":{version}000,"service":"s"}}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
     );
-    Arc::new(Document::read(text.as_bytes(), 0).unwrap())
+    Arc::new(Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
 /// A member whose ledger is at a change that brought version 10 times as high.
@@ -35,7 +35,7 @@
 
 /// One pull and its answer, which takes no time.
 fn follow(to: &mut Mirror, from: &Mirror, now: Duration) {
-    let pull = to.pull(&Caller::default(), 0);
+    let pull = to.pull(&Subscriber::default(), 0);
     to.apply(
         now,
         &from
@@ -46,7 +46,7 @@
 
 /// What a proxy behind it is told.
 fn handed_on(mirror: &Mirror, now: Duration) -> Option<u64> {
-    let pull = Mirror::new(0, BEAT).pull(&Caller::default(), 0);
+    let pull = Mirror::new(0, BEAT).pull(&Subscriber::default(), 0);
     mirror
         .news_for(now, &pull)
         .and_then(|news| news.config)
@@ -67,10 +67,10 @@
     #[case] told: u32,
     #[case] age_ms: u32,
 ) {
-    let news = News {
+    let news = Update {
         age_ms: told,
         held_ms,
-        ..News::default()
+        ..Update::default()
     };
     assert_eq!(news.aged(ms(asked), ms(now)).age_ms, age_ms);
 }
@@ -102,7 +102,7 @@
     let (restarted, well) = (member(1, 3, None), member(2, 3, Some(now)));
     let mut agent = starting();
     follow(&mut agent, &restarted, now);
-    let pull = agent.pull(&Caller::default(), 0);
+    let pull = agent.pull(&Subscriber::default(), 0);
     assert!(
         well.news_for(now, &pull).is_none(),
         "what is withheld isn't sent a second time"
@@ -182,18 +182,18 @@
     let mut started = Mirror::new(0, BEAT);
     started.apply(
         ms(100),
-        &News {
+        &Update {
             age_ms: 20_000,
-            ..News::default()
+            ..Update::default()
         },
     );
     assert_eq!(started.age_ms(ms(100)), 20_000);
     assert_eq!(started.age_ms(ms(350)), 20_250);
     started.apply(
         ms(400),
-        &News {
+        &Update {
             age_ms: 30,
-            ..News::default()
+            ..Update::default()
         },
     );
     assert_eq!(started.age_ms(ms(400)), 30);
--- a/crates/scale-test/src/coordinators.rs
+++ b/crates/scale-test/src/coordinators.rs
@@ -1,7 +1,7 @@
 //! Hollow coordinators: each an agent's mirror and pulls over real connections, without a proxy.
 
 use crate::plan::Plan;
-use configuration::Boot;
+use configuration::ProcessSettings;
 use replication::{client, Mirror, Puller, SharedMirror};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
@@ -40,7 +40,7 @@
     }
 }
 
-fn start(number: usize, log: &Log, boot: &Boot, puller: Puller) -> Running {
+fn start(number: usize, log: &Log, boot: &ProcessSettings, puller: Puller) -> Running {
     let shared = SharedMirror::new(Mirror::new(
         0,
         std::time::Duration::from_millis(boot.beat_period_ms),
@@ -96,7 +96,7 @@
                         Some(agent) => plan.agent_settings(agent),
                         None => plan.coordinator_settings(number),
                     };
-                    let Ok(boot) = Boot::read(&settings.to_string()) else {
+                    let Ok(boot) = ProcessSettings::read(&settings.to_string()) else {
                         continue;
                     };
                     let puller = match behind {
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -3,7 +3,7 @@
 #![warn(missing_docs)]
 
 use bpaf::{construct, long, OptionParser, Parser};
-use configuration::Boot;
+use configuration::ProcessSettings;
 use scale_test::{play, policy, Plan, Row};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -135,9 +135,9 @@
         .descr("Scale run of the control plane on one machine")
 }
 
-fn settings(path: &PathBuf) -> Result<Boot, String> {
+fn settings(path: &PathBuf) -> Result<ProcessSettings, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Boot::read(&text).map_err(|e| format!("{}: {e}", path.display()))
+    ProcessSettings::read(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 fn terminated() -> Result<impl std::future::Future<Output = ()>, String> {
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator and the hosts, as the members' callers: they keep a ledger of what was acknowledged, and find
 //! out what may not be.
 
-use configuration::Code;
+use configuration::ResultCode;
 use protocol::Command;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -109,7 +109,7 @@
         &mut self,
         now: Duration,
         ticket: u64,
-        code: Code,
+        code: ResultCode,
         body: &[u8],
         calm: bool,
     ) -> Result<(), String> {
@@ -117,11 +117,11 @@
             return Ok(());
         };
         let unclear = [
-            Code::Unclear,
-            Code::NoPrimary,
-            Code::Leaving,
-            Code::DiskFull,
-            Code::BaseNotInForce,
+            ResultCode::Unclear,
+            ResultCode::NoPrimary,
+            ResultCode::Leaving,
+            ResultCode::DiskFull,
+            ResultCode::BaseNotInForce,
         ]
         .contains(&code);
         if unclear {
@@ -133,10 +133,10 @@
             self.slowest = self.slowest.max(now - call.made);
         }
         match (&call.command, code) {
-            (Command::Read { .. }, Code::Ok) => {
+            (Command::Read { .. }, ResultCode::Ok) => {
                 let text = String::from_utf8_lossy(body).into_owned();
                 let version =
-                    configuration::Document::read(text.as_bytes(), 0).map_or(0, |d| d.version);
+                    configuration::Configuration::read(text.as_bytes(), 0).map_or(0, |d| d.version);
                 if version < call.known {
                     return Err(format!(
                         "read {version} after {} was acknowledged",
@@ -145,13 +145,13 @@
                 }
                 self.in_force(version)?;
             }
-            (Command::Read { .. }, Code::NoConfiguration) if call.known > 0 => {
+            (Command::Read { .. }, ResultCode::NoConfiguration) if call.known > 0 => {
                 return Err(format!(
                     "read nothing after {} was acknowledged",
                     call.known
                 ));
             }
-            (Command::Configure { .. }, Code::Ok) => {
+            (Command::Configure { .. }, ResultCode::Ok) => {
                 self.acknowledged += 1;
                 if let Some(other) = self
                     .on
@@ -166,7 +166,7 @@
                 self.newest = self.newest.max(call.version);
             }
             (Command::Configure { .. }, _) => drop(self.refused.insert(call.version)),
-            (Command::Drain { host }, Code::Ok) => {
+            (Command::Drain { host }, ResultCode::Ok) => {
                 self.acknowledged += 1;
                 self.drained.insert(host.clone());
             }
--- a/crates/simulator/src/world/bugs.rs
+++ b/crates/simulator/src/world/bugs.rs
@@ -2,9 +2,9 @@
 
 use super::World;
 use crate::planted::Planted;
-use configuration::Code;
+use configuration::ResultCode;
 use control_plane::member::Input;
-use protocol::{Message, Record, Snapshot, View};
+use protocol::{MembershipConfig, Message, Record, Snapshot};
 
 impl World<'_> {
     /// A message as the bug has it sent; none where it is held back.
@@ -15,9 +15,9 @@
         message: Message,
     ) -> Option<Message> {
         match (self.plan.planted, message) {
-            (Planted::VotersBeforeForgotten, Message::InstallView { mut view, snapshot }) => {
+            (Planted::VotersBeforeForgotten, Message::InstallMembership { mut view, snapshot }) => {
                 forget_before(&mut view);
-                Some(Message::InstallView { view, snapshot })
+                Some(Message::InstallMembership { view, snapshot })
             }
             (Planted::TakenCallsNotInSnapshot | Planted::DrainsNotInSnapshot, message) => {
                 Some(self.without_parts(message))
@@ -35,14 +35,14 @@
             }
             (
                 Planted::FetchedLedgerIsOld,
-                Message::LedgerReply {
+                Message::SnapshotReply {
                     epoch,
                     tag,
                     snapshot,
                 },
             ) => {
                 let old = self.nodes[n].view_ledger.clone();
-                Some(Message::LedgerReply {
+                Some(Message::SnapshotReply {
                     epoch,
                     tag,
                     snapshot: old.unwrap_or(snapshot),
@@ -73,13 +73,13 @@
             }
             (
                 Planted::CountedBeforeLedger,
-                Message::InstallView {
+                Message::InstallMembership {
                     view,
                     snapshot: Some(snapshot),
                 },
             ) => {
                 let (epoch, life) = (view.epoch, self.nodes[to].life);
-                let reply = Message::InstallReply {
+                let reply = Message::InstallMembershipReply {
                     epoch,
                     ok: true,
                     seen: epoch,
@@ -93,7 +93,7 @@
                     self.at(self.now + super::ms(1), n, deliver);
                 }
                 let life = self.nodes[n].life;
-                let message = Box::new(Message::InstallView {
+                let message = Box::new(Message::InstallMembership {
                     view,
                     snapshot: Some(snapshot),
                 });
@@ -114,15 +114,15 @@
 
     fn without_parts(&self, message: Message) -> Message {
         match message {
-            Message::InstallView { view, snapshot } => Message::InstallView {
+            Message::InstallMembership { view, snapshot } => Message::InstallMembership {
                 view,
                 snapshot: snapshot.map(|s| self.stripped(s)),
             },
-            Message::LedgerReply {
+            Message::SnapshotReply {
                 epoch,
                 tag,
                 snapshot,
-            } => Message::LedgerReply {
+            } => Message::SnapshotReply {
                 epoch,
                 tag,
                 snapshot: self.stripped(snapshot),
@@ -192,11 +192,11 @@
     }
 
     /// An answer as the bug has it.
-    pub(super) fn planted_answer(&self, code: Code) -> Code {
+    pub(super) fn planted_answer(&self, code: ResultCode) -> ResultCode {
         match (self.plan.planted, code) {
-            (Planted::TimeoutConfirmed, Code::Unclear) => Code::Ok,
-            (Planted::TimeoutRefused, Code::Unclear) => Code::OtherBase,
-            (Planted::EarlyRefused, Code::BaseNotInForce) => Code::OtherBase,
+            (Planted::TimeoutConfirmed, ResultCode::Unclear) => ResultCode::Ok,
+            (Planted::TimeoutRefused, ResultCode::Unclear) => ResultCode::OtherBase,
+            (Planted::EarlyRefused, ResultCode::BaseNotInForce) => ResultCode::OtherBase,
             (_, code) => code,
         }
     }
@@ -216,6 +216,6 @@
     }
 }
 
-fn forget_before(view: &mut View) {
+fn forget_before(view: &mut MembershipConfig) {
     view.before = view.voters.clone();
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -3,12 +3,12 @@
 use super::orders::FIRST_TICKET;
 use super::{What, World};
 use crate::plan::ms;
-use configuration::Code;
+use configuration::ResultCode;
 use control_plane::member::Input;
 
 impl World<'_> {
     /// An answer goes to its caller.
-    pub(super) fn answered(&mut self, n: usize, ticket: u64, code: Code, body: &[u8]) {
+    pub(super) fn answered(&mut self, n: usize, ticket: u64, code: ResultCode, body: &[u8]) {
         if ticket >= FIRST_TICKET {
             return self.order_answered(n, ticket, code, body);
         }
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -2,7 +2,7 @@
 
 use super::{What, World};
 use crate::plan::{ms, Report};
-use configuration::Document;
+use configuration::Configuration;
 use control_plane::member::Member;
 use protocol::MemberInfo;
 use std::time::Duration;
@@ -14,7 +14,13 @@
 
 impl World<'_> {
     /// A primary shows the newest acknowledged ledger.
-    pub(super) fn shown(&mut self, n: usize, seq: u64, document: &Document, drains: &[String]) {
+    pub(super) fn shown(
+        &mut self,
+        n: usize,
+        seq: u64,
+        document: &Configuration,
+        drains: &[String],
+    ) {
         if self.plan.orders.is_some() {
             return self.order_shown(n, seq, document, drains);
         }
@@ -42,7 +48,13 @@
     }
 
     /// A member shows what it knew to be acknowledged when it ended.
-    pub(super) fn restored(&mut self, n: usize, seq: u64, document: &Document, drains: &[String]) {
+    pub(super) fn restored(
+        &mut self,
+        n: usize,
+        seq: u64,
+        document: &Configuration,
+        drains: &[String],
+    ) {
         if self.plan.orders.is_some() {
             if let Err(breach) = self.order_same(seq, document, drains) {
                 self.breach(n, format!("{breach}, after a start"));
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -16,7 +16,7 @@
 /// A message without what is long.
 fn brief(message: &Message) -> String {
     let ids = |seats: &[MemberInfo]| seats.iter().map(|s| s.id).collect::<Vec<_>>();
-    let told = |view: &protocol::View| {
+    let told = |view: &protocol::MembershipConfig| {
         format!(
             "{} of {}, {:?} {:?} {:?}",
             view.epoch,
@@ -27,7 +27,7 @@
         )
     };
     match message {
-        Message::InstallView { view, snapshot } => {
+        Message::InstallMembership { view, snapshot } => {
             format!(
                 "install {} ledger {:?}",
                 told(view),
@@ -47,7 +47,7 @@
                 view.as_ref().map(told)
             )
         }
-        Message::LedgerReply { epoch, tag, .. } => format!("ledger {epoch} {tag:?}"),
+        Message::SnapshotReply { epoch, tag, .. } => format!("ledger {epoch} {tag:?}"),
         Message::Prepare { epoch, .. } => format!("prepare {epoch}"),
         other => format!("{other:?}"),
     }
@@ -116,7 +116,7 @@
     /// What is sent tells of moments.
     fn note_sent(&mut self, n: usize, to: usize, message: &Message) {
         match message {
-            Message::InstallView {
+            Message::InstallMembership {
                 view,
                 snapshot: Some(_),
             } if view.primary == self.nodes[n].seat.id => {
@@ -133,7 +133,7 @@
                     self.moment(Moment::Unsettled, new.unwrap_or(n));
                 }
             }
-            Message::FetchLedger { .. } => self.moment(Moment::Fetching, to),
+            Message::FetchSnapshot { .. } => self.moment(Moment::Fetching, to),
             Message::Promise { granted: true, .. } => self.moment(Moment::Promised, n),
             _ => {}
         }
@@ -151,7 +151,7 @@
         if self.nodes[from].life == life && !self.cut.contains_key(&(from, to)) {
             if matches!(
                 message,
-                Message::InstallView {
+                Message::InstallMembership {
                     snapshot: Some(_),
                     ..
                 }
--- a/crates/simulator/src/world/orders.rs
+++ b/crates/simulator/src/world/orders.rs
@@ -5,7 +5,7 @@
 use crate::faults::Moment;
 use crate::plan::{ms, Orders};
 use crate::planted::Planted;
-use configuration::{Code, Document};
+use configuration::{Configuration, ResultCode};
 use control_plane::member::Input;
 use protocol::Command;
 use std::collections::hash_map::DefaultHasher;
@@ -40,7 +40,7 @@
     body: Arc<Vec<u8>>,
     /// Acknowledged, or seen in force.
     taken: bool,
-    refused: Option<Code>,
+    refused: Option<ResultCode>,
 }
 
 impl Content {
@@ -116,7 +116,7 @@
 }
 
 /// Which content a configuration is.
-fn token(document: &Document) -> Option<usize> {
+fn token(document: &Configuration) -> Option<usize> {
     document
         .routes
         .first()?
@@ -137,7 +137,7 @@
 
 impl OrderBook {
     /// Notes a configuration seen in force; what that breaks.
-    fn note_in_force(&mut self, document: &Document) -> Result<Option<usize>, String> {
+    fn note_in_force(&mut self, document: &Configuration) -> Result<Option<usize>, String> {
         if document.version == 0 {
             return Ok(None);
         }
@@ -167,7 +167,12 @@
     }
 
     /// Notes the answer to an order; what it breaks. Whether it was clear.
-    fn note_answer(&mut self, now: Duration, index: usize, code: Code) -> Result<bool, String> {
+    fn note_answer(
+        &mut self,
+        now: Duration,
+        index: usize,
+        code: ResultCode,
+    ) -> Result<bool, String> {
         let (base, version) = (self.contents[index].base, self.contents[index].version);
         match code.status() {
             200 => {
@@ -203,7 +208,7 @@
                     ));
                 }
                 let newest = self.in_force.keys().next_back().copied().unwrap_or(0);
-                if code != Code::OtherBase || newest == base {
+                if code != ResultCode::OtherBase || newest == base {
                     return Err(format!(
                         "{version} on {base} refused with {code:?} while {newest} is in force"
                     ));
@@ -216,7 +221,7 @@
     }
 
     /// Whether a ledger's configuration is what was shown under its number.
-    pub(super) fn is_shown(&self, seq: u64, document: &Document) -> bool {
+    pub(super) fn is_shown(&self, seq: u64, document: &Configuration) -> bool {
         seq == 0
             || self
                 .by_seq
@@ -403,7 +408,7 @@
             _ => Command::Read { reserved: 0 },
         };
         if let (Command::Read { .. }, Some(shown)) = (&command, self.shown_without_lease(n)) {
-            return self.order_answered(n, ticket, Code::Ok, &shown);
+            return self.order_answered(n, ticket, ResultCode::Ok, &shown);
         }
         self.member_learns(n);
         self.step(n, Input::Command { ticket, command });
@@ -419,7 +424,7 @@
     }
 
     /// A member answers a call: what may not be is a breach, whether the answer is lost or not.
-    pub(super) fn order_answered(&mut self, n: usize, ticket: u64, code: Code, body: &[u8]) {
+    pub(super) fn order_answered(&mut self, n: usize, ticket: u64, code: ResultCode, body: &[u8]) {
         self.note(|_| format!("call {ticket} is answered by {n} with {code:?}"));
         let Some(attempt) = self.orders.attempts.remove(&ticket) else {
             return self.breach(n, format!("an answer to call {ticket}, which is not open"));
@@ -444,34 +449,34 @@
     fn check_answer(
         &mut self,
         attempt: &Attempt,
-        code: Code,
+        code: ResultCode,
         body: &[u8],
     ) -> Result<Option<Told>, String> {
         let known = attempt.known;
         if let Some(content) = attempt.content {
             let fresh = !self.orders.contents[content].taken;
             let clear = self.orders.note_answer(self.now, content, code)?;
-            self.report.acknowledged += u64::from(clear && code == Code::Ok);
-            if clear && code == Code::Ok && fresh {
+            self.report.acknowledged += u64::from(clear && code == ResultCode::Ok);
+            if clear && code == ResultCode::Ok && fresh {
                 // Somebody's order has just become safe.
                 let acting = self.last_acting.unwrap_or(0);
                 self.moment(Moment::Acknowledged, acting);
             }
-            return Ok(clear.then_some(if code == Code::Ok {
+            return Ok(clear.then_some(if code == ResultCode::Ok {
                 Told::Taken
             } else {
                 Told::Refused
             }));
         }
         match (&attempt.asked, code) {
-            (Asked::Drain(host), Code::Ok) => {
+            (Asked::Drain(host), ResultCode::Ok) => {
                 self.report.acknowledged += 1;
                 self.orders.drained.insert(host.clone(), self.now);
                 Ok(None)
             }
-            (Asked::Read(_), Code::Ok) => {
-                let document =
-                    Document::read(body, 0).map_err(|_| "a read that can't be read".to_owned())?;
+            (Asked::Read(_), ResultCode::Ok) => {
+                let document = Configuration::read(body, 0)
+                    .map_err(|_| "a read that can't be read".to_owned())?;
                 let version = document.version;
                 if version < known {
                     return Err(format!("read {version} after {known} was acknowledged"));
@@ -479,7 +484,7 @@
                 self.orders.note_in_force(&document)?;
                 Ok(Some(Told::Read(version)))
             }
-            (Asked::Read(_), Code::NoConfiguration) if known > 0 => {
+            (Asked::Read(_), ResultCode::NoConfiguration) if known > 0 => {
                 Err(format!("read nothing after {known} was acknowledged"))
             }
             (_, code) if (400..500).contains(&code.status()) => {
@@ -551,7 +556,7 @@
         &mut self,
         n: usize,
         seq: u64,
-        document: &Document,
+        document: &Configuration,
         drains: &[String],
     ) {
         if let Err(breach) = self.order_same(seq, document, drains) {
@@ -581,7 +586,7 @@
     pub(super) fn order_same(
         &mut self,
         seq: u64,
-        document: &Document,
+        document: &Configuration,
         drains: &[String],
     ) -> Result<(), String> {
         let this = (token(document), hash_of(drains));
@@ -593,7 +598,7 @@
     }
 
     /// For planted bugs.
-    pub(super) fn keep_shown(&mut self, n: usize, document: &Document) {
+    pub(super) fn keep_shown(&mut self, n: usize, document: &Configuration) {
         if document.version > 0
             && matches!(
                 self.plan.planted,
--- a/crates/simulator/src/world/readers.rs
+++ b/crates/simulator/src/world/readers.rs
@@ -4,9 +4,9 @@
 use super::{ms, What, World};
 use crate::planted::Planted;
 use control_plane::member::Output;
-use protocol::{Addr, Caller, Fleet};
+use protocol::{Addr, ControlPlaneInfo, Subscriber};
 use rand_core::RngCore;
-use replication::{Action, Mirror, News, Pull, Puller, UNCONFIRMED, WATCHED};
+use replication::{Action, Mirror, Pull, Puller, Update, UNCONFIRMED, WATCHED};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -51,9 +51,9 @@
         link: u64,
         pull: Box<Pull>,
     },
-    News {
+    Update {
         link: u64,
-        news: Box<News>,
+        news: Box<Update>,
     },
     /// A pull has waited long enough.
     Waited(u64),
@@ -73,7 +73,7 @@
     since: Duration,
     mirror: Mirror,
     puller: Puller,
-    caller: Caller,
+    caller: Subscriber,
     /// Where each open link leads.
     links: BTreeMap<u64, Place>,
     waiting: Vec<Waiting>,
@@ -103,9 +103,9 @@
         let listed = self.nodes.iter().filter(|n| !n.gone).take(SEEDS);
         let seeds: Vec<Addr> = listed.map(|n| n.seat.addr).collect();
         let name = format!("{place:?}");
-        let caller = Caller {
+        let caller = Subscriber {
             name: name.clone(),
-            ..Caller::default()
+            ..Subscriber::default()
         };
         let (mirror, mut puller, seeds) = match place {
             Place::Member(n) => {
@@ -235,11 +235,11 @@
                 station.links.remove(&link);
                 station.puller.failed(now, link)
             }
-            Event::News { link, news } if station.links.contains_key(&link) => {
+            Event::Update { link, news } if station.links.contains_key(&link) => {
                 // Of a link that was given up nobody knows when it was asked.
                 let news = match station.puller.asked(link) {
                     Some(asked) => news.aged(asked, now),
-                    None => News {
+                    None => Update {
                         age_ms: UNCONFIRMED,
                         ..*news
                     },
@@ -262,7 +262,7 @@
                 self.waited(place, number);
                 Vec::new()
             }
-            Event::Connected(_) | Event::News { .. } => Vec::new(),
+            Event::Connected(_) | Event::Update { .. } => Vec::new(),
         };
         self.check_forward(place);
         self.act(place, actions);
@@ -429,12 +429,12 @@
         self.answer_pull(place, &waits, news);
     }
 
-    fn answer_pull(&mut self, place: Place, waits: &Waiting, news: News) {
+    fn answer_pull(&mut self, place: Place, waits: &Waiting, news: Update) {
         if self.is_cut(place, waits.from) {
             return;
         }
         let way = self.way();
-        let event = Event::News {
+        let event = Event::Update {
             link: waits.link,
             news: Box::new(news),
         };
@@ -499,7 +499,7 @@
         let Some(station) = self.stations.get(&Place::Member(n)) else {
             return;
         };
-        let Fleet {
+        let ControlPlaneInfo {
             epoch,
             primary,
             members,
