--- a/crates/append-log/src/report.rs
+++ b/crates/append-log/src/report.rs
@@ -296,7 +296,7 @@
             (Piece::Record { offset, batch, .. }, Some(gap)) if *batch > gap => {
                 self.whole_at.get_or_insert(*offset);
             }
-            (Piece::Record { .. }, Some(_)) | (Piece::Gap { .. }, Some(_)) => {}
+            (Piece::Record { .. } | Piece::Gap { .. }, Some(_)) => {}
             (Piece::Gap { offset, .. }, None) => self.gap = Some(*offset),
         }
         false
--- a/crates/append-log/tests/simulated/mod.rs
+++ b/crates/append-log/tests/simulated/mod.rs
@@ -347,18 +347,15 @@
         if inner.faults.refuses_writes {
             return Err(full());
         }
-        let file = match inner.names.get(name).copied() {
-            Some(file) => {
-                inner.change(file, Change::Cut(0));
-                file
-            }
-            None => {
-                let file = inner.files.len();
-                inner.files.push(Contents::default());
-                inner.names.insert(name.to_owned(), file);
-                inner.namings.push(Naming::New(name.to_owned(), file));
-                file
-            }
+        let file = if let Some(file) = inner.names.get(name).copied() {
+            inner.change(file, Change::Cut(0));
+            file
+        } else {
+            let file = inner.files.len();
+            inner.files.push(Contents::default());
+            inner.names.insert(name.to_owned(), file);
+            inner.namings.push(Naming::New(name.to_owned(), file));
+            file
         };
         Ok(SimulatedFile {
             disk: self.0.clone(),
--- a/crates/balancing/src/idle.rs
+++ b/crates/balancing/src/idle.rs
@@ -75,7 +75,10 @@
         let Some(host) = self.hosts.get_mut(key) else {
             return;
         };
-        let model = self.services.get(host.service).is_some_and(|s| s.model());
+        let model = self
+            .services
+            .get(host.service)
+            .is_some_and(super::service::Service::model);
         // A prompt or two always wait for their turn to be read where batches run.
         let waiting = if model { load.slots / QUEUED } else { 0 };
         let busy = load.waiting > waiting || load.running > share(load.slots);
--- a/crates/balancing/tests/model/engine.rs
+++ b/crates/balancing/tests/model/engine.rs
@@ -137,23 +137,20 @@
     fn touch(&mut self, id: u64, tokens: u32) {
         self.next += 1;
         let used = self.next;
-        match self.parts.get_mut(&id) {
-            Some(part) => {
-                self.uses.remove(&part.used);
-                (part.used, part.pins) = (used, part.pins + 1);
-            }
-            None => {
-                self.held += u64::from(tokens);
-                self.parts.insert(
-                    id,
-                    Part {
-                        tokens,
-                        used,
-                        pins: 1,
-                        read: false,
-                    },
-                );
-            }
+        if let Some(part) = self.parts.get_mut(&id) {
+            self.uses.remove(&part.used);
+            (part.used, part.pins) = (used, part.pins + 1);
+        } else {
+            self.held += u64::from(tokens);
+            self.parts.insert(
+                id,
+                Part {
+                    tokens,
+                    used,
+                    pins: 1,
+                    read: false,
+                },
+            );
         }
         self.uses.insert(used, id);
     }
--- a/crates/control-plane/src/feed.rs
+++ b/crates/control-plane/src/feed.rs
@@ -76,7 +76,7 @@
                 mirror.host_elsewhere(self.id, host).map(|r| r.call_seq)
             })
         });
-        self.shared.update(|mirror, now| mirror.tick(now));
+        self.shared.update(replication::Mirror::tick);
     }
 
     /// The lowest version of the configuration that a coordinator pulling here has in force, and how many
--- a/crates/control-plane/src/member/acknowledged.rs
+++ b/crates/control-plane/src/member/acknowledged.rs
@@ -68,7 +68,7 @@
             self.keep(Later {
                 ledger: l.clone(),
                 record: None,
-            })
+            });
         });
     }
 
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -352,19 +352,18 @@
         let change = candidacy.change.clone();
         let agreed = candidacy.agreed == Some(base.epoch);
         let mut voters: Vec<MemberInfo> = base.voters.iter().map(|s| self.fresh(s)).collect();
-        let before = match agreed {
-            true => {
-                voters.retain(|s| !change.remove.contains(&s.id));
-                voters.extend(
-                    change
-                        .add
-                        .iter()
-                        .filter(|a| !base.voters.iter().any(|v| v.id == a.id))
-                        .cloned(),
-                );
-                base.voters.iter().map(|s| self.fresh(s)).collect()
-            }
-            false => base.before.iter().map(|s| self.fresh(s)).collect(),
+        let before = if agreed {
+            voters.retain(|s| !change.remove.contains(&s.id));
+            voters.extend(
+                change
+                    .add
+                    .iter()
+                    .filter(|a| !base.voters.iter().any(|v| v.id == a.id))
+                    .cloned(),
+            );
+            base.voters.iter().map(|s| self.fresh(s)).collect()
+        } else {
+            base.before.iter().map(|s| self.fresh(s)).collect()
         };
         let me = self.me();
         let there = |id: u64| {
@@ -527,9 +526,10 @@
     /// short, as long as a disk may take that is still relied on.
     fn write_time(&self) -> Duration {
         let half = self.config.lease / 2;
-        match self.waits_for_slow_disks {
-            true => half.max(self.config.stall + half / 4),
-            false => half,
+        if self.waits_for_slow_disks {
+            half.max(self.config.stall + half / 4)
+        } else {
+            half
         }
     }
 
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -125,7 +125,7 @@
                 let command = local.command.clone();
                 match &mut self.role {
                     Role::Primary(state) => {
-                        state.inbox.push_back((Source::LocalCommand(*id), command))
+                        state.inbox.push_back((Source::LocalCommand(*id), command));
                     }
                     _ => out.push(Output::Send {
                         to: primary.clone(),
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -221,21 +221,18 @@
             self.acknowledged.known(),
             self.held.as_ref().map(|h| &h.disk),
         );
-        match known
+        if let Some(((known, _), changes)) = known
             .zip(held)
             .zip(held.and_then(|held| self.acknowledged.changes_up_to(held.seq)))
         {
-            Some(((known, _), changes)) => {
-                records.extend([accepted(view, Some(known)), committed(known)]);
-                records.extend(changes.cloned());
-            }
-            None => {
-                // Nobody has a say in a view without voters: no member could act on this ledger alone.
-                let earlier =
-                    known.map(|l| [accepted(MembershipConfig::default(), Some(l)), committed(l)]);
-                records.extend(earlier.into_iter().flatten());
-                records.push(accepted(view, held));
-            }
+            records.extend([accepted(view, Some(known)), committed(known)]);
+            records.extend(changes.cloned());
+        } else {
+            // Nobody has a say in a view without voters: no member could act on this ledger alone.
+            let earlier =
+                known.map(|l| [accepted(MembershipConfig::default(), Some(l)), committed(l)]);
+            records.extend(earlier.into_iter().flatten());
+            records.push(accepted(view, held));
         }
         records
     }
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -378,10 +378,10 @@
             Message::PreVote { seen, view } => self.on_pre_vote(from, seen, view, out),
             Message::Prepare { epoch, candidate } => self.on_prepare(from, epoch, candidate, out),
             Message::InstallMembership { view, snapshot } => {
-                self.on_install(from, view, snapshot, out)
+                self.on_install(from, view, snapshot, out);
             }
             Message::AppendChange { epoch, seq, change } => {
-                self.on_append(from, epoch, seq, change, out)
+                self.on_append(from, epoch, seq, change, out);
             }
             Message::RenewLease {
                 epoch,
@@ -568,23 +568,22 @@
 
     /// Who acts, as far as known here: the holder of a lease that hasn't ended.
     pub fn primary(&self) -> Option<MemberInfo> {
-        match &self.role {
-            Role::Primary(_) => Some(self.config.me.clone()),
-            _ => {
-                let granted = self
-                    .grant
-                    .filter(|g| g.until > self.now)
-                    .and_then(|g| self.member_info(g.to));
-                // Who has no say grants no leases, and knows by what others tell alone.
-                let newer = |epoch: u64| self.view.as_ref().is_none_or(|v| epoch > v.epoch);
-                let told = || {
-                    self.hint
-                        .as_ref()
-                        .filter(|h| !self.is_voter() || newer(h.0))
-                };
-                let told = || told().filter(|h| self.in_touch_with(h.1.id));
-                granted.or_else(|| told().map(|h| h.1.clone()))
-            }
+        if let Role::Primary(_) = &self.role {
+            Some(self.config.me.clone())
+        } else {
+            let granted = self
+                .grant
+                .filter(|g| g.until > self.now)
+                .and_then(|g| self.member_info(g.to));
+            // Who has no say grants no leases, and knows by what others tell alone.
+            let newer = |epoch: u64| self.view.as_ref().is_none_or(|v| epoch > v.epoch);
+            let told = || {
+                self.hint
+                    .as_ref()
+                    .filter(|h| !self.is_voter() || newer(h.0))
+            };
+            let told = || told().filter(|h| self.in_touch_with(h.1.id));
+            granted.or_else(|| told().map(|h| h.1.clone()))
         }
     }
 
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -279,7 +279,7 @@
                     self.requeue_early();
                 }
                 Plan::Answer(ResultCode::BaseNotInForce, _) => {
-                    self.hold_early(source, command, out)
+                    self.hold_early(source, command, out);
                 }
                 // An answer that rests on a change that isn't safe yet waits for it.
                 Plan::Answer(code, body) => match state.pending.back_mut() {
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -57,11 +57,11 @@
         self.see(seen);
         // Whoever has been left out since can't win, it would only hold the others up.
         let left_out = |v: &MembershipConfig| v.epoch > view && v.seat(from.id).is_none();
-        let may = match self.view.as_ref().is_some_and(left_out) {
-            true => Err(4 * self.config.lease),
-            false => self
-                .may_promise(from.id)
-                .and_then(|()| self.may_prefer(from.id)),
+        let may = if self.view.as_ref().is_some_and(left_out) {
+            Err(4 * self.config.lease)
+        } else {
+            self.may_promise(from.id)
+                .and_then(|()| self.may_prefer(from.id))
         };
         let wait_ms = may.err().map_or(0, |w| w.as_millis() as u32);
         let message = Message::PreVoteReply {
--- a/crates/control-plane/src/roster.rs
+++ b/crates/control-plane/src/roster.rs
@@ -238,25 +238,22 @@
             cold_left_ms: beat.cold_left_ms,
         };
         let over = (record.phase >= phase::GONE).then_some(now);
-        match known {
-            Some(known) => {
-                (known.latest, known.at) = (beat.call_seq, now);
-                let outdone = elsewhere.is_some_and(|r| r.call_seq >= known.shown.call_seq);
-                if !outdone && same(&known.shown, &record) {
-                    return false;
-                }
-                known.over = over.map(|now| known.over.unwrap_or(now));
-                known.shown = record;
-            }
-            None => {
-                let new = Host {
-                    shown: record,
-                    latest: beat.call_seq,
-                    at: now,
-                    over,
-                };
-                self.hosts.insert(host.to_owned(), new);
+        if let Some(known) = known {
+            (known.latest, known.at) = (beat.call_seq, now);
+            let outdone = elsewhere.is_some_and(|r| r.call_seq >= known.shown.call_seq);
+            if !outdone && same(&known.shown, &record) {
+                return false;
             }
+            known.over = over.map(|now| known.over.unwrap_or(now));
+            known.shown = record;
+        } else {
+            let new = Host {
+                shown: record,
+                latest: beat.call_seq,
+                at: now,
+                over,
+            };
+            self.hosts.insert(host.to_owned(), new);
         }
         self.host_changed(host);
         true
--- a/crates/control-plane/src/shell/call_runner.rs
+++ b/crates/control-plane/src/shell/call_runner.rs
@@ -113,12 +113,13 @@
         };
         let (asker, told) = oneshot::channel();
         let asked = self.events.send(Event::MemberStatus(asker)).is_ok();
-        let status = match asked {
-            true => timeout(STATUS_TIMEOUT, told)
+        let status = if asked {
+            timeout(STATUS_TIMEOUT, told)
                 .await
                 .ok()
-                .and_then(Result::ok),
-            false => None,
+                .and_then(Result::ok)
+        } else {
+            None
         };
         let (me, links) = (&opened.me, opened.links.counters());
         let known = opened.feed.shared().snapshot();
--- a/crates/control-plane/src/shell/control.rs
+++ b/crates/control-plane/src/shell/control.rs
@@ -200,12 +200,13 @@
     async fn call(&self, request: Request<Incoming>) -> Result<Reply, ResultCode> {
         let (parts, body) = request.into_parts();
         let head = Head::read(&parts.method, parts.uri.path())?;
-        let _heavy = match head.heavy() {
-            true => match timeout(Duration::from_millis(500), self.heavy.acquire()).await {
+        let _heavy = if head.heavy() {
+            match timeout(Duration::from_millis(500), self.heavy.acquire()).await {
                 Ok(Ok(permit)) => Some(permit),
                 _ => return Err(ResultCode::Crowded),
-            },
-            false => None,
+            }
+        } else {
+            None
         };
         let body = match timeout(BODY_TIME, Limited::new(body, LARGEST_BODY).collect()).await {
             Err(_) => return Err(ResultCode::SlowClient),
--- a/crates/control-plane/src/shell/disk.rs
+++ b/crates/control-plane/src/shell/disk.rs
@@ -131,12 +131,12 @@
                 rest = &rest[1..];
                 continue;
             }
-            let count = match head.rewrite {
-                true => 1,
-                false => rest
-                    .iter()
+            let count = if head.rewrite {
+                1
+            } else {
+                rest.iter()
                     .take_while(|w| !w.rewrite && w.file == File::Log)
-                    .count(),
+                    .count()
             };
             let (now, later) = rest.split_at(count);
             let kept = who.keep(&identity, &mut file);
@@ -157,9 +157,10 @@
 }
 
 fn refusal(error: &append_log::Error) -> DiskError {
-    match error.is_full() {
-        true => DiskError::Full,
-        false => DiskError::Failed,
+    if error.is_full() {
+        DiskError::Full
+    } else {
+        DiskError::Failed
     }
 }
 
@@ -212,9 +213,10 @@
             self.ledger_begun = true;
         }
         let record = protocol::write_one(identity);
-        match self.records < MAX_IDENTITY_RECORDS {
-            true => self.file.append(&[&record])?,
-            false => self.file.rewrite(&[&record])?,
+        if self.records < MAX_IDENTITY_RECORDS {
+            self.file.append(&[&record])?
+        } else {
+            self.file.rewrite(&[&record])?
         }
         self.kept = true;
         Ok(())
--- a/crates/control-plane/src/shell/event_loop.rs
+++ b/crates/control-plane/src/shell/event_loop.rs
@@ -122,7 +122,7 @@
                 });
             }
             Event::Disk(DiskEvent::Wrote { ticket, result }) => {
-                self.step(Input::Wrote { ticket, result })
+                self.step(Input::Wrote { ticket, result });
             }
             Event::Disk(DiskEvent::Open { .. } | DiskEvent::NotOpen { .. }) => {}
             Event::Command(command, caller) => {
--- a/crates/control-plane/src/shell/identity.rs
+++ b/crates/control-plane/src/shell/identity.rs
@@ -128,9 +128,10 @@
             };
         }
         let is_initial_voter = self.bootstrap && self.seeds.contains(&self.control);
-        let initial_voters = match is_initial_voter {
-            true => self.seeds.iter().map(|s| self.founder(*s)).collect(),
-            false => Vec::new(),
+        let initial_voters = if is_initial_voter {
+            self.seeds.iter().map(|s| self.founder(*s)).collect()
+        } else {
+            Vec::new()
         };
         let id = if is_initial_voter {
             initial_voter_id(inner(self.control, self.port))
--- a/crates/control-plane/src/shell/inbound.rs
+++ b/crates/control-plane/src/shell/inbound.rs
@@ -60,7 +60,7 @@
         pull @ Message::Pull { .. } => {
             let buffer = [protocol::encode(&pull), rest].concat();
             replication::serve(stream, buffer, feed.shared().clone(), |caller| {
-                feed.pulled(caller)
+                feed.pulled(caller);
             })
             .await
         }
--- a/crates/control-plane/src/shell/links/lane.rs
+++ b/crates/control-plane/src/shell/links/lane.rs
@@ -29,9 +29,10 @@
     /// The lane of a message whose frame has so many bytes.
     pub fn of(message: &Message, frame_bytes: usize) -> Self {
         let is_change = matches!(message, Message::AppendChange { .. });
-        match is_change || frame_bytes > MAX_CONTROL_FRAME {
-            true => Lane::Data,
-            false => Lane::Control,
+        if is_change || frame_bytes > MAX_CONTROL_FRAME {
+            Lane::Data
+        } else {
+            Lane::Control
         }
     }
 }
--- a/crates/control-plane/src/shell/start.rs
+++ b/crates/control-plane/src/shell/start.rs
@@ -102,7 +102,7 @@
 
     let announced = events.clone();
     let links = Links::new(me.clone(), move |heard| {
-        drop(events.send(Event::LinkEvent(heard)))
+        drop(events.send(Event::LinkEvent(heard)));
     });
     let beat = Duration::from_millis(boot.beat_period_ms);
     let mirror = SharedMirror::since(Mirror::new(identity.id, beat), origin);
--- a/crates/control-plane/src/shell/transitions/lines.rs
+++ b/crates/control-plane/src/shell/transitions/lines.rs
@@ -68,13 +68,13 @@
             log::info!(target: TARGET, seq, version; "ledger restored, not confirmed by a primary yet");
         }
         Transition::ElectionStarted { view } => {
-            log::info!(target: TARGET, view; "stands for election")
+            log::info!(target: TARGET, view; "stands for election");
         }
         Transition::PromisesRequested { epoch } => {
-            log::info!(target: TARGET, epoch; "asks for promises")
+            log::info!(target: TARGET, epoch; "asks for promises");
         }
         Transition::ViewChangeStarted { from, epoch } => {
-            log::info!(target: TARGET, epoch, from; "changes its view")
+            log::info!(target: TARGET, epoch, from; "changes its view");
         }
         Transition::ElectionAbandoned { epoch, phase } => {
             log::info!(target: TARGET, epoch, phase:?; "gives up the election");
@@ -83,13 +83,13 @@
             log::info!(target: TARGET, epoch, ledger:% = Maybe(*ledger); "primary of a view");
         }
         Transition::LeaseHeld { epoch } => {
-            log::info!(target: TARGET, epoch; "holds the lease: acts as primary")
+            log::info!(target: TARGET, epoch; "holds the lease: acts as primary");
         }
         Transition::LeaseLapsed { epoch } => {
-            log::warn!(target: TARGET, epoch; "lease lapsed: doesn't act")
+            log::warn!(target: TARGET, epoch; "lease lapsed: doesn't act");
         }
         Transition::SteppedDown { epoch, cause } => {
-            log::warn!(target: TARGET, epoch, cause:?; "primary no longer")
+            log::warn!(target: TARGET, epoch, cause:?; "primary no longer");
         }
         Transition::Promised { epoch, view } => {
             let candidate = view.as_ref().and_then(|view| candidate_of(*epoch, view));
@@ -120,7 +120,7 @@
             );
         }
         Transition::SnapshotTaken { epoch, seq } => {
-            log::info!(target: TARGET, epoch, seq; "snapshot taken")
+            log::info!(target: TARGET, epoch, seq; "snapshot taken");
         }
         Transition::SnapshotSent { to, epoch, seq } => {
             log::info!(target: TARGET, epoch, seq, to:% = Name(to); "snapshot sent");
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -385,7 +385,7 @@
                 );
             }
             Output::Answer { ticket, code, body } => {
-                drop(self.answers.insert(ticket, (code, body)))
+                drop(self.answers.insert(ticket, (code, body)));
             }
             Output::Wake { at } => {
                 self.nodes[n].wake = at;
--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control.rs
@@ -112,9 +112,10 @@
         let api = api(4, 1).await;
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         let (mut input, mut output) = stream.split();
-        let head = match told {
-            true => format!("{REPLACE}Content-Length: {}\r\n\r\n", 8 * LARGEST_BODY),
-            false => format!("{REPLACE}Transfer-Encoding: chunked\r\n\r\n"),
+        let head = if told {
+            format!("{REPLACE}Content-Length: {}\r\n\r\n", 8 * LARGEST_BODY)
+        } else {
+            format!("{REPLACE}Transfer-Encoding: chunked\r\n\r\n")
         };
         output.write_all(head.as_bytes()).await.unwrap();
         let send = async {
@@ -295,12 +296,13 @@
         let read = |last: &str| {
             format!("GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\n{last}\r\n")
         };
-        let (first, second) = match slow_first {
-            true => (replace.clone(), read("Connection: close\r\n")),
-            false => (
+        let (first, second) = if slow_first {
+            (replace.clone(), read("Connection: close\r\n"))
+        } else {
+            (
                 read(""),
                 replace.replacen("Host: h\r\n", "Host: h\r\nConnection: close\r\n", 1),
-            ),
+            )
         };
         stream
             .write_all((first + &second).as_bytes())
--- a/crates/control-plane/tests/cut_off.rs
+++ b/crates/control-plane/tests/cut_off.rs
@@ -112,12 +112,13 @@
     assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let primary = core.primary();
     let rest = core.others(&[primary]);
-    let lost: Vec<usize> = match with_primary {
-        true => std::iter::once(primary)
+    let lost: Vec<usize> = if with_primary {
+        std::iter::once(primary)
             .chain(rest.iter().copied())
             .take(losses as usize)
-            .collect(),
-        false => rest.iter().copied().take(losses as usize).collect(),
+            .collect()
+    } else {
+        rest.iter().copied().take(losses as usize).collect()
     };
     core.cut_off(&lost);
     let healthy = core.others(&lost);
@@ -180,9 +181,10 @@
         core.others(&[primary])[0]
     };
     for other in core.others(&[one]) {
-        match hears {
-            true => core.cut(one, other),
-            false => core.cut(other, one),
+        if hears {
+            core.cut(one, other)
+        } else {
+            core.cut(other, one)
         }
     }
     let (healthy, cut_at) = (core.others(&[one]), core.now);
--- a/crates/control-plane/tests/lives.rs
+++ b/crates/control-plane/tests/lives.rs
@@ -83,8 +83,8 @@
                 pull(&self.peer, &self.member).await;
                 pull(&self.member, &self.peer).await;
                 pull(&self.agent, &self.peer).await;
-                self.peer.update(|mirror, now| mirror.tick(now));
-                self.agent.update(|mirror, now| mirror.tick(now));
+                self.peer.update(replication::Mirror::tick);
+                self.agent.update(replication::Mirror::tick);
                 tokio::time::advance(BEAT / 4).await;
             }
         }
--- a/crates/control-plane/tests/second_loss_sweep.rs
+++ b/crates/control-plane/tests/second_loss_sweep.rs
@@ -350,12 +350,13 @@
         while self.acknowledged == before && self.cluster.now < end {
             self.run(ORDER_INTERVAL, None);
         }
-        match self.acknowledged > before {
-            true => Ok(()),
-            false => Err(format!(
+        if self.acknowledged > before {
+            Ok(())
+        } else {
+            Err(format!(
                 "{before} is the last one taken: {:?}",
                 self.cluster.views()
-            )),
+            ))
         }
     }
 
--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -2,7 +2,10 @@
 
 pub use coordinator::core::settings::from_ms;
 use coordinator::core::{names::Names, settings::load_report};
-use coordinator::*;
+use coordinator::{
+    Action, ClassId, Event, ListKind, LoadReport, Outcome, RequestId, ServerEntry, ServerId,
+    ServerState, Settings, TenantId, ZoneId,
+};
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::time::Duration;
--- a/crates/coordinator/src/choice.rs
+++ b/crates/coordinator/src/choice.rs
@@ -6,8 +6,13 @@
 //! the fleet's own measure, lists it here; a part takes a listed holder of its shard and strikes the
 //! entry off; with none listed it goes to a random holder. Everything else is a guard around that path.
 
-use crate::interface::*;
-use crate::state::*;
+use crate::interface::{
+    Action, Budget, Cause, Class, ClassId, Event, ListKind, LoadReport, Outcome, Repeat, RequestId,
+    ServerEntry, ServerId, ServerState,
+};
+use crate::state::{
+    duration, secs, Attempt, Part, Progress, Query, Rate, Router, Server, Sick, Standing, Why,
+};
 use rand_core::RngCore;
 use std::time::Duration;
 
@@ -799,9 +804,10 @@
             |time: Option<f64>| (time.unwrap_or(0.1) * f64::from(self.cfg.routers)).max(0.01);
         let core = multiple / work(self.all_latencies.quantile(0.2, FEW));
         let usual = self.sends.get(self.now, RATE_SPAN) / warm;
-        let pace = match f64::from(self.cfg.routers) > FEW_ROUTERS {
-            true => (UNUSED_SLOTS * usual).min(2.0 / work(self.least_time)),
-            false => usual * multiple.clamp(1.0, 1.5),
+        let pace = if f64::from(self.cfg.routers) > FEW_ROUTERS {
+            (UNUSED_SLOTS * usual).min(2.0 / work(self.least_time))
+        } else {
+            usual * multiple.clamp(1.0, 1.5)
         };
         1.0 / (self.warmth(s) * pace.max(core.min(COLD_PACE))).max(1e-3)
     }
--- a/crates/coordinator/src/core/mod.rs
+++ b/crates/coordinator/src/core/mod.rs
@@ -9,7 +9,10 @@
 pub use actor::{start, Core, Ticket};
 pub use table::Table;
 
-use crate::interface::*;
+use crate::interface::{
+    Action, Cause, ClassId, Event, ListKind, LoadReport, Outcome, Repeat, RequestId, ServerEntry,
+    ServerId, ServerState, TenantId, ZoneId,
+};
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/coordinator/src/core/settings.rs
+++ b/crates/coordinator/src/core/settings.rs
@@ -1,7 +1,9 @@
 //! The settings that a router is given, from JSON; shared by the coordinator and the adapter.
 
 use crate::core::names::Names;
-use crate::interface::*;
+use crate::interface::{
+    Budget, Class, ColdRule, Layout, LoadReport, Repeat, Settings, Tenant, ZoneId,
+};
 use crate::peers::Talk;
 use serde::Deserialize;
 use std::time::Duration;
@@ -216,9 +218,10 @@
 
 /// Whether a number lies within what its key can mean.
 fn within(key: &'static str, value: f64, least: f64, most: f64) -> Result<(), SettingsError> {
-    match (least..=most).contains(&value) {
-        true => Ok(()),
-        false => Err(SettingsError::Value(key, value.to_string())),
+    if (least..=most).contains(&value) {
+        Ok(())
+    } else {
+        Err(SettingsError::Value(key, value.to_string()))
     }
 }
 
--- a/crates/coordinator/src/core/table/attempts.rs
+++ b/crates/coordinator/src/core/table/attempts.rs
@@ -1,6 +1,9 @@
 //! An attempt from its start to its end.
 
-use super::*;
+use super::{
+    Attempt, Bytes, CallPart, Duration, Ended, Event, Instant, Outcome, RequestId, ServerId, Table,
+    Transport,
+};
 
 impl<T: Transport> Table<T> {
     pub(super) fn on_ended(&mut self, mut e: Ended, now: Instant) {
--- a/crates/coordinator/src/core/table/list.rs
+++ b/crates/coordinator/src/core/table/list.rs
@@ -1,6 +1,9 @@
 //! The hosts: what the list says of them, and which of them can't be reached.
 
-use super::*;
+use super::{
+    Arc, BTreeSet, Duration, Event, Instant, ListKind, Listed, Mail, Outcome, ServerEntry,
+    ServerId, ServerState, Table, Transport, ZoneId,
+};
 
 /// Sends to a draining host stop this long before the rule says, as the frame still has to be written.
 const DRAIN_MARGIN: Duration = Duration::from_millis(50);
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -7,7 +7,11 @@
 
 use super::names::Names;
 use super::settings::Site;
-use super::*;
+use super::{
+    Action, Answer, Arc, Bytes, CallPart, Cause, Clock, Duration, Ended, Event, Instant, ListKind,
+    Listed, Mail, Missing, NewQuery, Outcome, Piece, Repeat, RequestId, ServerEntry, ServerId,
+    ServerState, Transport, ZoneId,
+};
 use crate::counters::Counters;
 use crate::peers::{Datagram, Voice};
 use crate::shard::Seat;
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -1,6 +1,9 @@
 //! A query from its arrival to its answer.
 
-use super::*;
+use super::{
+    oneshot, Answer, Arc, Cause, Duration, Event, Instant, Missing, NewQuery, Outcome, Part, Piece,
+    Query, RequestId, Seat, Table, Transport,
+};
 
 impl<T: Transport> Table<T> {
     pub(super) fn on_query(
--- a/crates/coordinator/src/core/table/turn.rs
+++ b/crates/coordinator/src/core/table/turn.rs
@@ -1,6 +1,9 @@
 //! The end of a turn: the module decides, and what it asks for is carried out.
 
-use super::*;
+use super::{
+    Action, Answer, BTreeMap, CallPart, Cause, Duration, Event, Instant, Outcome, ServerId, Table,
+    Transport,
+};
 
 /// How often the operators' figures of the list are brought up to date.
 const SHOW: Duration = Duration::from_millis(100);
--- a/crates/coordinator/src/counters.rs
+++ b/crates/coordinator/src/counters.rs
@@ -205,7 +205,7 @@
         }
         if self.0.stripes.len() > 1 {
             for (core, stripe) in self.0.stripes.iter().enumerate() {
-                for (name, n) in Self::lock(stripe).named.iter() {
+                for (name, n) in &Self::lock(stripe).named {
                     let _ = writeln!(text, "core.{core}.{name} {n}");
                 }
             }
--- a/crates/coordinator/src/front/opensearch/dsl.rs
+++ b/crates/coordinator/src/front/opensearch/dsl.rs
@@ -223,7 +223,7 @@
                     }
                     match clauses {
                         Value::Array(all) => {
-                            all.iter().try_for_each(|q| self.query(q, districts))?
+                            all.iter().try_for_each(|q| self.query(q, districts))?;
                         }
                         one => self.query(one, districts)?,
                     }
@@ -264,9 +264,10 @@
                         other => return Err(unsupported(other, kind)),
                     }
                 }
-                match map.contains_key("distance") && map.contains_key(self.location_field) {
-                    true => Ok(()),
-                    false => Err(wrong(kind, "needs a distance and a point")),
+                if map.contains_key("distance") && map.contains_key(self.location_field) {
+                    Ok(())
+                } else {
+                    Err(wrong(kind, "needs a distance and a point"))
                 }
             }
             other => Err(unsupported(other, "query")),
--- a/crates/coordinator/src/front/opensearch/params.rs
+++ b/crates/coordinator/src/front/opensearch/params.rs
@@ -13,13 +13,14 @@
     }
     let value: Value = serde_json::from_slice(body)
         .map_err(|e| Failure::new(400, "parsing_exception", e.to_string()))?;
-    match value.is_object() {
-        true => Ok(value),
-        false => Err(Failure::new(
+    if value.is_object() {
+        Ok(value)
+    } else {
+        Err(Failure::new(
             400,
             "parsing_exception",
             "[request] must be an object",
-        )),
+        ))
     }
 }
 
--- a/crates/coordinator/src/front/opensearch/scroll.rs
+++ b/crates/coordinator/src/front/opensearch/scroll.rs
@@ -115,9 +115,10 @@
             .filter(|t| t.len() == 32 && t.is_ascii());
         let half = |t: &str| u64::from_str_radix(t, 16).map_err(|_| unreadable());
         let (incarnation, number) = text.ok_or_else(unreadable)?.split_at(16);
-        match half(incarnation)? == self.incarnation {
-            true => half(number),
-            false => Err(missing(id)),
+        if half(incarnation)? == self.incarnation {
+            half(number)
+        } else {
+            Err(missing(id))
         }
     }
 
--- a/crates/coordinator/src/front/opensearch/search.rs
+++ b/crates/coordinator/src/front/opensearch/search.rs
@@ -94,9 +94,10 @@
                     return Ok(merged);
                 }
                 self.0.counters.inc("opensearch.partial_not_allowed");
-                let (status, kind) = match merged.late() {
-                    true => (504, "timeout_exception"),
-                    false => (503, "search_phase_execution_exception"),
+                let (status, kind) = if merged.late() {
+                    (504, "timeout_exception")
+                } else {
+                    (503, "search_phase_execution_exception")
                 };
                 let shards = merged.failures;
                 Err(Failure {
--- a/crates/coordinator/src/logger.rs
+++ b/crates/coordinator/src/logger.rs
@@ -42,9 +42,10 @@
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let text = value.to_string();
         let plain = !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || c == '"');
-        let _ = match plain {
-            true => write!(self.0, " {key}={text}"),
-            false => write!(self.0, " {key}={text:?}"),
+        let _ = if plain {
+            write!(self.0, " {key}={text}")
+        } else {
+            write!(self.0, " {key}={text:?}")
         };
         Ok(())
     }
--- a/crates/coordinator/src/net/backoff.rs
+++ b/crates/coordinator/src/net/backoff.rs
@@ -106,9 +106,10 @@
                     continue;
                 };
                 next = now + 1000 / rate;
-                match now - since < 2000 {
-                    true => done += 1,
-                    false => calls[who] = Some(now + 1 + fleet[who].failed().as_millis() as u64),
+                if now - since < 2000 {
+                    done += 1
+                } else {
+                    calls[who] = Some(now + 1 + fleet[who].failed().as_millis() as u64)
                 }
             }
         }
--- a/crates/coordinator/src/net/link/connection.rs
+++ b/crates/coordinator/src/net/link/connection.rs
@@ -204,13 +204,15 @@
                 wait
             };
             let tick = self.left.front().map_or(tick, |l| tick.min(l.0 - now));
-            let tick = match self.partial.is_empty() {
-                true => tick,
-                false => tick.min((self.heard + FRAME_WAIT).saturating_duration_since(now)),
+            let tick = if self.partial.is_empty() {
+                tick
+            } else {
+                tick.min((self.heard + FRAME_WAIT).saturating_duration_since(now))
             };
-            let interest = match self.conn.output.is_empty() {
-                true => Interest::READABLE,
-                false => Interest::READABLE | Interest::WRITABLE,
+            let interest = if self.conn.output.is_empty() {
+                Interest::READABLE
+            } else {
+                Interest::READABLE | Interest::WRITABLE
             };
             tokio::select! {
                 biased;
@@ -223,10 +225,7 @@
                     None => open = false,
                 },
                 ready = self.conn.stream.ready(interest) => {
-                    let got = ready.and_then(|r| match r.is_readable() {
-                        true => self.conn.input.read_from(&self.conn.stream),
-                        false => Err(std::io::ErrorKind::WouldBlock.into()),
-                    });
+                    let got = ready.and_then(|r| if r.is_readable() { self.conn.input.read_from(&self.conn.stream) } else { Err(std::io::ErrorKind::WouldBlock.into()) });
                     match got {
                         Ok(0) => return ("host_closed", String::new()),
                         Ok(_) => {
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -35,9 +35,10 @@
         for _ in 0..held.probes {
             link.take(LinkMail::Probe);
         }
-        let (code, detail) = match held.release && !link.busy() {
-            true => ("released", String::new()),
-            false => link.serve().await,
+        let (code, detail) = if held.release && !link.busy() {
+            ("released", String::new())
+        } else {
+            link.serve().await
         };
         link.setup.log_end(code, &detail);
         let closed = matches!(code, "host_closed" | "extra_bytes" | "worn");
--- a/crates/coordinator/src/ops/members.rs
+++ b/crates/coordinator/src/ops/members.rs
@@ -53,7 +53,7 @@
         match request {
             Request::Passed(order) => {
                 self.bans.expect(&order.host);
-                obey(&mut self.bans, order, None, sink)
+                obey(&mut self.bans, order, None, sink);
             }
             Request::Order(order) => obey(&mut self.bans, order, self.other.as_ref(), sink),
             Request::Attach(Attached { forward, state }) => {
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -110,7 +110,7 @@
                 return Ok((TcpListener::from_std(listener)?, Some((bans, link))));
             }
             Err(e) => {
-                log::warn!(path:% = path.display(), error:% = e; "turnover: nothing taken over")
+                log::warn!(path:% = path.display(), error:% = e; "turnover: nothing taken over");
             }
         }
     }
@@ -387,7 +387,7 @@
     let core_task = tokio::spawn(core::start(table, inbox, (deal, 0, origin)));
     list_source(config, news, &counters, moves);
     let incoming = Incoming::Listener(listener);
-    readiness.iter().for_each(|r| r.accepts());
+    readiness.iter().for_each(super::ops::Readiness::accepts);
     tokio::select! {
         _ = http::serve(incoming, Arc::new(fronts), limits, counters, stop) => Ok(()),
         _ = core_task => Err(std::io::Error::other("the core has ended")),
--- a/crates/coordinator/src/shard/run.rs
+++ b/crates/coordinator/src/shard/run.rs
@@ -153,7 +153,9 @@
         counters: counters.clone(),
     };
     tokio::spawn(spread.run(config, moves, overlay, requests));
-    readiness.iter().for_each(|r| r.accepts());
+    readiness
+        .iter()
+        .for_each(super::super::ops::Readiness::accepts);
     let accepting = accept(listener, deal.clone(), doors, origin);
     tokio::pin!(accepting);
     let mut left = n;
@@ -177,9 +179,10 @@
             log::error!(error:% = e; "core");
         }
     }
-    match *stop.borrow() {
-        true => Ok(()),
-        false => Err(std::io::Error::other("all cores have ended")),
+    if *stop.borrow() {
+        Ok(())
+    } else {
+        Err(std::io::Error::other("all cores have ended"))
     }
 }
 
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -9,7 +9,9 @@
 pub(crate) use work::*;
 
 use crate::counters::Pool;
-use crate::interface::*;
+use crate::interface::{
+    Class, ClassId, Outcome, RequestId, ServerEntry, ServerId, ServerState, Settings,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
--- a/crates/coordinator/src/state/server.rs
+++ b/crates/coordinator/src/state/server.rs
@@ -1,6 +1,6 @@
 //! What a router knows of one server.
 
-use crate::interface::*;
+use crate::interface::{ServerEntry, ServerState, ZoneId};
 use std::collections::VecDeque;
 
 /// Eligibility of a server for a send, best first.
--- a/crates/coordinator/src/state/work.rs
+++ b/crates/coordinator/src/state/work.rs
@@ -1,6 +1,6 @@
 //! Queries, their parts, and the attempts at these.
 
-use crate::interface::*;
+use crate::interface::{ClassId, RequestId, ServerId, TenantId};
 
 /// What a send is for.
 #[derive(Clone, Copy, PartialEq)]
--- a/crates/coordinator/tests/deployments.rs
+++ b/crates/coordinator/tests/deployments.rs
@@ -309,7 +309,7 @@
             e.push(Event::List {
                 kind,
                 entries: entries.clone(),
-            })
+            });
         });
     }
 
@@ -476,9 +476,10 @@
                     give_up,
                     left: work as f64,
                 };
-                match self.servers[server.0 as usize].down {
-                    true => self.end(&job, server.0 as usize, Outcome::ConnectFailed),
-                    false => self.servers[server.0 as usize].jobs.push_back(job),
+                if self.servers[server.0 as usize].down {
+                    self.end(&job, server.0 as usize, Outcome::ConnectFailed)
+                } else {
+                    self.servers[server.0 as usize].jobs.push_back(job)
                 }
             }
             Action::Cancel { part, attempt } => {
@@ -505,9 +506,10 @@
             }
             Action::Probe { server } => {
                 assert!(self.d.probes, "a probe where none is allowed");
-                let outcome = match self.servers[server.0 as usize].down {
-                    true => Outcome::ConnectFailed,
-                    false => Outcome::Ok,
+                let outcome = if self.servers[server.0 as usize].down {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
                 };
                 self.events[who].push(Event::Probed {
                     server,
--- a/crates/coordinator/tests/peers.rs
+++ b/crates/coordinator/tests/peers.rs
@@ -369,8 +369,8 @@
         bench.runtime.block_on(async {
             tokio::time::timeout(PATIENCE, wait_for(&ledger, n))
                 .await
-                .unwrap()
-        })
+                .unwrap();
+        });
     };
     // One that stays out, or the connection would be closed for what was given up on it.
     bench.call(0);
--- a/crates/coordinator/tests/platform.rs
+++ b/crates/coordinator/tests/platform.rs
@@ -49,7 +49,7 @@
         .as_array()
         .unwrap()
         .iter()
-        .map(|p| p.to_string())
+        .map(std::string::ToString::to_string)
         .collect();
     pieces.sort();
     assert_eq!(
--- a/crates/coordinator/tests/tier.rs
+++ b/crates/coordinator/tests/tier.rs
@@ -125,7 +125,7 @@
             let mut text: serde_json::Value = serde_json::from_str(&text).unwrap();
             text["peers"] = json!(relay.known[rank]
                 .iter()
-                .map(|a| a.to_string())
+                .map(std::string::ToString::to_string)
                 .collect::<Vec<_>>());
             text["peer_listen"] = json!(listen.to_string());
             let file = |end: &str| dir.join(format!("{}-{name}-{rank}.{end}", std::process::id()));
--- a/crates/fake-hosts/src/scripted.rs
+++ b/crates/fake-hosts/src/scripted.rs
@@ -158,9 +158,10 @@
             let (ledger, script) = (ledger.clone(), script.clone());
             thread::spawn(move || {
                 let mut open = Vec::new();
-                let _ = match http {
-                    true => speak_http(n, stream, &ledger, &script, &mut open),
-                    false => speak_frames(n, stream, &ledger, &script, &mut open),
+                let _ = if http {
+                    speak_http(n, stream, &ledger, &script, &mut open)
+                } else {
+                    speak_frames(n, stream, &ledger, &script, &mut open)
                 };
                 open.into_iter().for_each(|(_, at)| ledger.over(at, true));
             });
@@ -302,10 +303,10 @@
                 .unwrap()
         };
         let many = target == "/_msearch";
-        let searches: Vec<(u32, String)> = match many {
-            false => vec![(shard_of(&target), body.clone())],
-            true => body
-                .lines()
+        let searches: Vec<(u32, String)> = if !many {
+            vec![(shard_of(&target), body.clone())]
+        } else {
+            body.lines()
                 .collect::<Vec<_>>()
                 .chunks(2)
                 .map(|p| {
@@ -315,7 +316,7 @@
                         p[1].to_owned(),
                     )
                 })
-                .collect(),
+                .collect()
         };
         let (mut answers, mut silent, mut broken) = (Vec::new(), false, false);
         for (shard, text) in searches {
@@ -355,17 +356,16 @@
         if silent {
             continue;
         }
-        let (status, body) = match many {
-            false => answers.remove(0),
-            true => {
-                let one = |(status, body): (u16, String)| {
-                    let mut value: Value = serde_json::from_str(&body).unwrap_or(json!({}));
-                    value["status"] = status.into();
-                    value
-                };
-                let all: Vec<Value> = answers.into_iter().map(one).collect();
-                (200, json!({"responses": all}).to_string())
-            }
+        let (status, body) = if !many {
+            answers.remove(0)
+        } else {
+            let one = |(status, body): (u16, String)| {
+                let mut value: Value = serde_json::from_str(&body).unwrap_or(json!({}));
+                value["status"] = status.into();
+                value
+            };
+            let all: Vec<Value> = answers.into_iter().map(one).collect();
+            (200, json!({"responses": all}).to_string())
         };
         write!(
             output,
--- a/crates/fennelpin-cli/src/config.rs
+++ b/crates/fennelpin-cli/src/config.rs
@@ -208,9 +208,10 @@
     let body = read_file(path)?;
     let old = in_force(&asked.members)?;
     // What is wrong by itself needs no member to say so.
-    let new = match asked.amend {
-        true => old.amended(&body),
-        false => Configuration::read(&body, 0),
+    let new = if asked.amend {
+        old.amended(&body)
+    } else {
+        Configuration::read(&body, 0)
     };
     let new = new.context(ConfigurationSnafu { path })?;
     let base = asked.base.unwrap_or(old.version);
--- a/crates/fennelpin-cli/src/control.rs
+++ b/crates/fennelpin-cli/src/control.rs
@@ -198,12 +198,11 @@
             status["control"] = control.to_string().into();
             told.push(status);
         }
-        match (told.is_empty(), broken) {
-            (true, Some((control, e))) => Err(e).context(AskSnafu { control }),
-            _ => {
-                told.sort_by(|a, b| a["node"].as_str().cmp(&b["node"].as_str()));
-                Ok(told)
-            }
+        if let (true, Some((control, e))) = (told.is_empty(), broken) {
+            Err(e).context(AskSnafu { control })
+        } else {
+            told.sort_by(|a, b| a["node"].as_str().cmp(&b["node"].as_str()));
+            Ok(told)
         }
     }
 }
--- a/crates/fennelpin-cli/src/status.rs
+++ b/crates/fennelpin-cli/src/status.rs
@@ -306,9 +306,10 @@
 /// Where no member can be asked.
 pub fn run(asked: &Status) -> Result<(), Failure> {
     let statuses = asked.members.statuses()?;
-    match asked.json {
-        true => println!("{}", Value::from(statuses)),
-        false => println!("{}", report(&statuses, asked.hosts)),
+    if asked.json {
+        println!("{}", Value::from(statuses))
+    } else {
+        println!("{}", report(&statuses, asked.hosts))
     }
     Ok(())
 }
--- a/crates/fennelpin-cli/tests/bad_days/recovery.rs
+++ b/crates/fennelpin-cli/tests/bad_days/recovery.rs
@@ -33,9 +33,10 @@
         command.arg("--other").arg(plan.disk(*n));
     }
     let output = command.arg(plan.disk(kept)).output().unwrap();
-    match output.status.success() {
-        true => Ok(()),
-        false => Err(String::from_utf8_lossy(&output.stderr).into_owned()),
+    if output.status.success() {
+        Ok(())
+    } else {
+        Err(String::from_utf8_lossy(&output.stderr).into_owned())
     }
 }
 
--- a/crates/http1/src/chunk.rs
+++ b/crates/http1/src/chunk.rs
@@ -14,7 +14,7 @@
         let plain = input
             .iter()
             .take(MAX_SIZE_DIGITS + 1)
-            .all(|b| b.is_ascii_hexdigit());
+            .all(u8::is_ascii_hexdigit);
         return match input.len() {
             0 => Ok(None),
             n if n < MOST_LINE && !(plain && n > MAX_SIZE_DIGITS) => Ok(None),
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -96,9 +96,10 @@
             return Ok(None);
         };
         let head = Self::of(parts, buf.split_to(n).freeze(), to_head)?;
-        match lines_end_with_crlf(&head.fields.raw) {
-            true => Ok(Some(head)),
-            false => syntax("line"),
+        if lines_end_with_crlf(&head.fields.raw) {
+            Ok(Some(head))
+        } else {
+            syntax("line")
         }
     }
 
--- a/crates/load-test/src/audit.rs
+++ b/crates/load-test/src/audit.rs
@@ -330,7 +330,7 @@
                 at,
                 query,
                 what,
-            })
+            });
         };
         for pair in mine.windows(2) {
             let over = pair[0].end.map_or(Micros::MAX, |(at, _)| at);
--- a/crates/load-test/src/deploy.rs
+++ b/crates/load-test/src/deploy.rs
@@ -114,7 +114,7 @@
             let listen = free_addr().map_err(|e| DeployError::Io("a port".into(), e))?;
             let members: Vec<_> = fleet.known[usize::from(c)]
                 .iter()
-                .map(|m| m.json())
+                .map(fake_hosts::discovery::Member::json)
                 .collect();
             let config = json!({
                 "name": format!("c{c}"),
@@ -395,7 +395,8 @@
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
     let peak_kb: f64 = peak.trim().trim_end_matches(" kB").parse().ok()?;
-    let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |d| d.count());
+    let descriptors =
+        std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, std::iter::Iterator::count);
     let per_s = rustix::param::clock_ticks_per_second() as f64;
     Some(Usage {
         cpu_s: ticks as f64 / per_s,
--- a/crates/load-test/src/faults.rs
+++ b/crates/load-test/src/faults.rs
@@ -72,10 +72,10 @@
             let fleet = |at, command| (at, Action::Fleet(command));
             match f.kind {
                 FaultKind::HostCrash => {
-                    all.extend([fleet(at, Command::Crash(n)), fleet(to, Command::Start(n))])
+                    all.extend([fleet(at, Command::Crash(n)), fleet(to, Command::Start(n))]);
                 }
                 FaultKind::HostSilent => {
-                    all.extend([fleet(at, Command::Vanish(n)), fleet(to, Command::Start(n))])
+                    all.extend([fleet(at, Command::Vanish(n)), fleet(to, Command::Start(n))]);
                 }
                 FaultKind::HostRelease => all.extend([
                     fleet(at, Command::Drain(n)),
@@ -109,7 +109,7 @@
                     ]);
                 }
                 FaultKind::CoordinatorStall => {
-                    all.extend([(at, Action::Stall(n)), (to, Action::GoOn(n))])
+                    all.extend([(at, Action::Stall(n)), (to, Action::GoOn(n))]);
                 }
                 FaultKind::CoordinatorReload => all.push((at, Action::HangUp(n))),
             }
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -362,15 +362,12 @@
     };
     for n in 0..pairs {
         // The order turns, so that neither build always runs on a warmer machine.
-        let pair = match n % 2 {
-            0 => {
-                let a = one(a)?;
-                (a, one(b)?)
-            }
-            _ => {
-                let b = one(b)?;
-                (one(a)?, b)
-            }
+        let pair = if n % 2 == 0 {
+            let a = one(a)?;
+            (a, one(b)?)
+        } else {
+            let b = one(b)?;
+            (one(a)?, b)
         };
         eprintln!("pair {} of {pairs}", n + 1);
         all.push(pair);
--- a/crates/load-test/src/record.rs
+++ b/crates/load-test/src/record.rs
@@ -124,7 +124,7 @@
                 Life::Terminated => stopping = Some(e.at),
                 // What comes to an address where nothing runs has reached nobody.
                 Life::Gone | Life::Ended => {
-                    stopping = stopping.or(Some(e.at.saturating_sub(TERM_GRACE)))
+                    stopping = stopping.or(Some(e.at.saturating_sub(TERM_GRACE)));
                 }
                 Life::Started => {
                     if stopping.is_some_and(|at| from >= at + TERM_GRACE && from < e.at) {
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -323,9 +323,10 @@
             self.crashed.extend(self.coordinators.reap());
             let rising = std::mem::take(&mut self.rising);
             for c in rising {
-                match self.coordinators.healthy(c) {
-                    true => self.shared.believed_up[usize::from(c)].store(true, Ordering::Relaxed),
-                    false => self.rising.push(c),
+                if self.coordinators.healthy(c) {
+                    self.shared.believed_up[usize::from(c)].store(true, Ordering::Relaxed)
+                } else {
+                    self.rising.push(c)
                 }
             }
             if now >= next_sample {
--- a/crates/load-test/src/scenario/check.rs
+++ b/crates/load-test/src/scenario/check.rs
@@ -4,9 +4,12 @@
 
 impl Scenario {
     pub(super) fn check(&self) -> Result<(), (String, String)> {
-        let need = |ok: bool, key: &str, why: &str| match ok {
-            true => Ok(()),
-            false => Err((key.to_owned(), why.to_owned())),
+        let need = |ok: bool, key: &str, why: &str| {
+            if ok {
+                Ok(())
+            } else {
+                Err((key.to_owned(), why.to_owned()))
+            }
         };
         let share = |x: f64| (0.0..=1.0).contains(&x);
         let range = |key: &str, [least, most]: [f64; 2]| {
--- a/crates/model-check/src/cluster/claims.rs
+++ b/crates/model-check/src/cluster/claims.rs
@@ -154,12 +154,13 @@
             on_disk: BTreeSet::new(),
             begins_with: None,
         });
-        match facts.hash == hash {
-            true => Ok(facts),
-            false => Err(Breach::new(
+        if facts.hash == hash {
+            Ok(facts)
+        } else {
+            Err(Breach::new(
                 ONE_VIEW,
                 format!("two views of epoch {}", view.epoch),
-            )),
+            ))
         }
     }
 
@@ -172,12 +173,13 @@
             ));
         }
         let told = self.promised.get(&id).copied().unwrap_or_default();
-        match promised < told {
-            true => Err(Breach::new(
+        if promised < told {
+            Err(Breach::new(
                 PROMISE,
                 format!("{id} starts with {promised}, it promised {told}"),
-            )),
-            false => Ok(()),
+            ))
+        } else {
+            Ok(())
         }
     }
 
@@ -330,12 +332,13 @@
             epoch,
             at: now,
         });
-        match shown.content == content {
-            true => Ok(()),
-            false => Err(Breach::new(
+        if shown.content == content {
+            Ok(())
+        } else {
+            Err(Breach::new(
                 ONE_CONTENT,
                 format!("change {seq} has two contents"),
-            )),
+            ))
         }
     }
 
@@ -372,12 +375,13 @@
 
     /// A read that was sent when version `known` was confirmed is answered with `version`.
     pub(super) fn reads(&self, known: u64, version: u64) -> Result<(), Breach> {
-        match version < known {
-            true => Err(Breach::new(
+        if version < known {
+            Err(Breach::new(
                 READ,
                 format!("version {version} read, {known} was confirmed before"),
-            )),
-            false => Ok(()),
+            ))
+        } else {
+            Ok(())
         }
     }
 
--- a/crates/model-check/src/orders.rs
+++ b/crates/model-check/src/orders.rs
@@ -214,7 +214,7 @@
             }
             Plan::Answer(code, _) => match state.pending.last_mut() {
                 Some(last) if self.planted != Planted::EarlyAnswer => {
-                    last.answers.push((order, code))
+                    last.answers.push((order, code));
                 }
                 _ => state.answers.push((order, code)),
             },
@@ -248,12 +248,13 @@
             return Ok(());
         }
         fate.refused = true;
-        match self.took_effect(state, order) {
-            true => Err(Breach::new(
+        if self.took_effect(state, order) {
+            Err(Breach::new(
                 NEVER_REFUSED,
                 format!("{name} was taken and gets {code:?}"),
-            )),
-            false => Ok(()),
+            ))
+        } else {
+            Ok(())
         }
     }
 
@@ -280,9 +281,10 @@
             .iter()
             .enumerate()
             .any(|(at, call)| taken.iter().skip(at + 1).any(|c| c == call));
-        match twice {
-            true => Err(Breach::new(ONCE, "a call is in the ledger twice")),
-            false => Ok(()),
+        if twice {
+            Err(Breach::new(ONCE, "a call is in the ledger twice"))
+        } else {
+            Ok(())
         }
     }
 }
--- a/crates/multi-core/src/gates.rs
+++ b/crates/multi-core/src/gates.rs
@@ -41,12 +41,15 @@
         if let Some(gate) = self
             .gates
             .read()
-            .unwrap_or_else(|e| e.into_inner())
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
             .get(host)
         {
             return gate.clone();
         }
-        let mut gates = self.gates.write().unwrap_or_else(|e| e.into_inner());
+        let mut gates = self
+            .gates
+            .write()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         gates
             .entry(host.to_owned())
             .or_insert_with(|| Arc::new(Gate(AtomicU64::new(OPEN))))
@@ -66,14 +69,18 @@
         let mut named = HashSet::new();
         for (host, ready) in hosts {
             let gate = self.of(host);
-            match ready {
-                true => gate.0.store(OPEN, Ordering::Release),
-                false => drop(gate.0.fetch_min(stop_at, Ordering::AcqRel)),
+            if ready {
+                gate.0.store(OPEN, Ordering::Release)
+            } else {
+                drop(gate.0.fetch_min(stop_at, Ordering::AcqRel))
             }
             named.insert(host);
         }
         if complete {
-            let gates = self.gates.read().unwrap_or_else(|e| e.into_inner());
+            let gates = self
+                .gates
+                .read()
+                .unwrap_or_else(std::sync::PoisonError::into_inner);
             for gate in gates
                 .iter()
                 .filter(|(host, _)| !named.contains(host.as_str()))
@@ -90,7 +97,7 @@
         let closed = |g: &Arc<Gate>| g.0.load(Ordering::Acquire) < before;
         self.gates
             .write()
-            .unwrap_or_else(|e| e.into_inner())
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
             .retain(|_, g| !closed(g));
     }
 
--- a/crates/multi-core/src/names.rs
+++ b/crates/multi-core/src/names.rs
@@ -29,7 +29,9 @@
     fn stripe(&self, name: &str) -> MutexGuard<'_, Stripe> {
         let n = self.hash.hash_one(name) as usize % STRIPES;
         // A core that panicked while it held a lock left the map whole: each change is one step.
-        self.stripes[n].lock().unwrap_or_else(|e| e.into_inner())
+        self.stripes[n]
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Opens a name for a core; false if it is in use, on whichever core.
@@ -56,7 +58,7 @@
         for stripe in &self.stripes {
             stripe
                 .lock()
-                .unwrap_or_else(|e| e.into_inner())
+                .unwrap_or_else(std::sync::PoisonError::into_inner)
                 .retain(|_, holder| *holder != core);
         }
     }
@@ -65,7 +67,11 @@
     pub fn len(&self) -> usize {
         self.stripes
             .iter()
-            .map(|s| s.lock().unwrap_or_else(|e| e.into_inner()).len())
+            .map(|s| {
+                s.lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner)
+                    .len()
+            })
             .sum()
     }
 
--- a/crates/protocol/src/hints.rs
+++ b/crates/protocol/src/hints.rs
@@ -1,6 +1,6 @@
 //! What proxies tell each other of prompts that hosts keep.
 
-use crate::wire::*;
+use crate::wire::{list, put_list, put_text, text};
 use binrw::binrw;
 
 /// A part of a prompt.
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -1,7 +1,10 @@
 //! The ledger: its changes, its snapshots, what a member keeps of it on disk, and the commands that lead to changes.
 
 use crate::membership::MembershipConfig;
-use crate::wire::*;
+use crate::wire::{
+    bytes, flag, list, option, put_bytes, put_flag, put_list, put_option, put_text, put_texts,
+    text, texts,
+};
 use binrw::binrw;
 
 /// How far a ledger goes.
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -1,7 +1,7 @@
 //! Members of the control plane and the views that they agree on. Identities of members are drawn when a disk is
 //! first used (`docs/design/system.md`).
 
-use crate::wire::*;
+use crate::wire::{list, put_list, put_text, text};
 use binrw::binrw;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -4,7 +4,7 @@
 use crate::ledger::{Change, Command, LogPosition, Snapshot};
 use crate::membership::{ControlPlaneInfo, MemberInfo, MembershipConfig};
 use crate::news::{ConfigurationUpdate, OriginUpdate, OriginVersion, Subscriber};
-use crate::wire::*;
+use crate::wire::{bytes, flag, list, option, put_bytes, put_flag, put_list, put_option};
 use binrw::binrw;
 
 /// A message.
--- a/crates/protocol/src/news.rs
+++ b/crates/protocol/src/news.rs
@@ -1,7 +1,7 @@
 //! What pulls bring: hosts and coordinators by their sources, and the configuration.
 
 use crate::membership::Addr;
-use crate::wire::*;
+use crate::wire::{flag, list, put_flag, put_list, put_text, put_texts, text, texts};
 use binrw::binrw;
 
 /// How much of a source somebody has.
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -25,7 +25,7 @@
     let guard = async {
         tokio::time::timeout(Duration::from_secs(20), work)
             .await
-            .expect("too long")
+            .expect("too long");
     };
     tokio::task::LocalSet::new().block_on(&runtime, guard);
 }
@@ -234,13 +234,14 @@
         }
         let length = message.field("content-length").map(|l| l.parse().unwrap());
         match length {
-            Some(n) => match self.take(n).await {
-                Some(body) => message.body = body,
-                None => {
+            Some(n) => {
+                if let Some(body) = self.take(n).await {
+                    message.body = body
+                } else {
                     message.body = String::from_utf8(std::mem::take(&mut self.buf)).unwrap();
                     message.whole = false;
                 }
-            },
+            }
             None if message.head.starts_with("HTTP/") && message.status() != 204 => {
                 self.closed().await;
                 message.body = String::from_utf8(std::mem::take(&mut self.buf)).unwrap();
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -196,13 +196,14 @@
                 | Play::BeginsASmallAnswer
                 | Play::RefusesWithoutEnd
         );
-        match begun {
-            true => assert!(!answer.whole, "{}", answer.head),
-            false => assert!(
+        if begun {
+            assert!(!answer.whole, "{}", answer.head)
+        } else {
+            assert!(
                 [502, 503, 504].contains(&answer.status()),
                 "{}",
                 answer.head
-            ),
+            )
         }
     });
 }
@@ -223,7 +224,7 @@
                     match conn.stream.try_write(rest) {
                         Ok(n) => rest = &rest[n..],
                         Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                            tokio::task::yield_now().await
+                            tokio::task::yield_now().await;
                         }
                         // The proxy has closed.
                         Err(_) => return std::future::pending().await,
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -111,15 +111,12 @@
             .know(document(1, ROUTES), vec![two.info.clone()])
             .await;
         conn.reset();
-        match again {
-            true => {
-                two.conn().await.answer("again").await;
-                assert_eq!(client.message().await.unwrap().body, "again");
-            }
-            false => {
-                assert_eq!(client.message().await.unwrap().status(), 502);
-                assert!(two.unasked());
-            }
+        if again {
+            two.conn().await.answer("again").await;
+            assert_eq!(client.message().await.unwrap().body, "again");
+        } else {
+            assert_eq!(client.message().await.unwrap().status(), 502);
+            assert!(two.unasked());
         }
     });
 }
--- a/crates/proxy/tests/hosts.rs
+++ b/crates/proxy/tests/hosts.rs
@@ -60,9 +60,10 @@
         let answer = two(path, play, pure).await;
         assert!(answer.whole);
         assert_eq!(answer.field("content-encoding"), None);
-        match pure {
-            true => assert_eq!((answer.status(), answer.body.as_str()), (200, "second")),
-            false => assert_eq!(answer.status(), 502),
+        if pure {
+            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"))
+        } else {
+            assert_eq!(answer.status(), 502)
         }
     });
 }
@@ -298,15 +299,14 @@
             .await;
         };
         let answer = two(path, play, pure).await;
-        match pure {
-            true => assert_eq!((answer.status(), answer.body.as_str()), (200, "second")),
-            false => {
-                assert_eq!((answer.status(), answer.body.as_str()), (status, "oops"));
-                assert_eq!(
-                    (answer.field("x-own"), answer.field("fennelpin-host-seal")),
-                    (Some("1"), Some("seal"))
-                );
-            }
+        if pure {
+            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"))
+        } else {
+            assert_eq!((answer.status(), answer.body.as_str()), (status, "oops"));
+            assert_eq!(
+                (answer.field("x-own"), answer.field("fennelpin-host-seal")),
+                (Some("1"), Some("seal"))
+            );
         }
     });
 }
@@ -580,9 +580,10 @@
             conn
         };
         let (_, conn) = tokio::join!(client.until(&body), play);
-        match cut {
-            true => conn.reset(),
-            false => drop(conn),
+        if cut {
+            conn.reset()
+        } else {
+            drop(conn)
         }
         assert_eq!(client.ends_in_order().await, !cut);
     });
@@ -681,16 +682,13 @@
         silent.message().await.unwrap();
         let mut conn = other.conn().await;
         silent.closed().await;
-        match path {
-            "/pure/a" => {
-                conn.answer("second").await;
-                assert_eq!(client.message().await.unwrap().body, "second");
-            }
-            _ => {
-                conn.begin("seal", &[1]).await;
-                conn.send("0\r\n\r\n").await;
-                assert_eq!(client.message().await.unwrap().body, events([1]));
-            }
+        if path == "/pure/a" {
+            conn.answer("second").await;
+            assert_eq!(client.message().await.unwrap().body, "second");
+        } else {
+            conn.begin("seal", &[1]).await;
+            conn.send("0\r\n\r\n").await;
+            assert_eq!(client.message().await.unwrap().body, events([1]));
         }
         assert_eq!((proxy.tally.get().moved, proxy.tally.get().repeats), (1, 1));
     });
--- a/crates/proxy/tests/matching.rs
+++ b/crates/proxy/tests/matching.rs
@@ -373,9 +373,10 @@
             .know(wide_document(), vec![one.info.clone(), two.info.clone()])
             .await;
         // Unread bytes make the system reset it at a plain close too; in order it ends its own side only.
-        match in_order {
-            true => rustix::net::shutdown(&conn.stream, rustix::net::Shutdown::Write).unwrap(),
-            false => conn.reset(),
+        if in_order {
+            rustix::net::shutdown(&conn.stream, rustix::net::Shutdown::Write).unwrap()
+        } else {
+            conn.reset()
         }
         assert_eq!(client.message().await.unwrap().status(), 502);
         assert_eq!(proxy.tally.get().sent, if used { 2 } else { 1 });
--- a/crates/proxy/tests/scripts.rs
+++ b/crates/proxy/tests/scripts.rs
@@ -47,12 +47,13 @@
     let head = format!(
         "HTTP/1.1 {status} X\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: seal\r\n"
     );
-    match chunked {
-        true => format!(
+    if chunked {
+        format!(
             "{head}Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
             body.len()
-        ),
-        false => format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()),
+        )
+    } else {
+        format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
     }
 }
 
@@ -62,7 +63,7 @@
     for sends in script {
         match sends {
             Sends::Stray { status, chunked } => {
-                out.extend(answer(*status, "earlier", *chunked).bytes())
+                out.extend(answer(*status, "earlier", *chunked).bytes());
             }
             Sends::Interim { named: true } => {
                 out.extend(
--- a/crates/proxy/tests/until_end.rs
+++ b/crates/proxy/tests/until_end.rs
@@ -115,9 +115,10 @@
         };
         let (seen, conn) = tokio::join!(client.until(&body), play);
         assert!(!seen.contains("Transfer-Encoding"));
-        match reset {
-            true => conn.reset(),
-            false => drop(conn),
+        if reset {
+            conn.reset()
+        } else {
+            drop(conn)
         }
         assert_eq!(client.ends_in_order().await, !reset);
     });
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -112,7 +112,7 @@
             },
             Some(_) = client.tasks.join_next() => {}
             () = sleep_until(shared.at(at)) => {
-                shared.update(|mirror, now| mirror.tick(now));
+                shared.update(super::mirror::Mirror::tick);
             }
         }
     }
--- a/crates/replication/src/mirror/ledger.rs
+++ b/crates/replication/src/mirror/ledger.rs
@@ -148,15 +148,15 @@
             }
             base.patched(&delta(news)).ok().map(Arc::new)
         };
-        match document {
-            Some(document) => match self.set(news.seq, document, drains) {
-                true => Applied::Taken,
-                false => Applied::Missing,
-            },
-            None => {
-                self.unsure = true;
+        if let Some(document) = document {
+            if self.set(news.seq, document, drains) {
+                Applied::Taken
+            } else {
                 Applied::Missing
             }
+        } else {
+            self.unsure = true;
+            Applied::Missing
         }
     }
 
--- a/crates/replication/src/mirror/mod.rs
+++ b/crates/replication/src/mirror/mod.rs
@@ -125,9 +125,10 @@
 
     /// Version of the configuration that is shown, and number of the ledger's change; 0 while one is withheld.
     pub fn shown(&self) -> (u64, u64) {
-        match self.withheld.holds() {
-            true => (0, 0),
-            false => (self.ledger.document.version, self.ledger.seq),
+        if self.withheld.holds() {
+            (0, 0)
+        } else {
+            (self.ledger.document.version, self.ledger.seq)
         }
     }
 
@@ -343,13 +344,14 @@
 
     /// The merged truth.
     pub fn view(&self) -> Snapshot {
-        let (ledger, document, drains) = match self.withheld.holds() {
-            true => Default::default(),
-            false => (
+        let (ledger, document, drains) = if self.withheld.holds() {
+            Default::default()
+        } else {
+            (
                 self.ledger.seq,
                 self.ledger.document.clone(),
                 self.ledger.drains.clone(),
-            ),
+            )
         };
         let hosts = hosts::merged(self.sources.hosts(), &drains, self.sources.arrivals());
         let pulling: Vec<&CoordinatorRecord> = self.sources.pulling().collect();
--- a/crates/replication/tests/puller.rs
+++ b/crates/replication/tests/puller.rs
@@ -364,9 +364,10 @@
 #[case::ended(false)]
 fn another_leads_when_the_first_is_cut_off_or_ends(#[case] cut_off: bool) {
     let (mut bench, order) = led();
-    match cut_off {
-        true => bench.answered(100, order[0], 1501, true),
-        false => bench.failed(100, order[0]),
+    if cut_off {
+        bench.answered(100, order[0], 1501, true)
+    } else {
+        bench.failed(100, order[0])
     }
     let waiting = |bench: &Bench| -> Vec<u32> {
         let pulls = bench.pulls.iter().filter(|l| bench.waits[l] == WAIT_MS);
--- a/crates/scale-test/src/http.rs
+++ b/crates/scale-test/src/http.rs
@@ -28,13 +28,12 @@
         body: &[u8],
     ) -> io::Result<Answer> {
         let kept = self.stream.take().filter(|(at, _)| *at == to);
-        let mut stream = match kept {
-            Some((_, stream)) => stream,
-            None => {
-                let stream = TcpStream::connect(to).await?;
-                stream.set_nodelay(true)?;
-                stream
-            }
+        let mut stream = if let Some((_, stream)) = kept {
+            stream
+        } else {
+            let stream = TcpStream::connect(to).await?;
+            stream.set_nodelay(true)?;
+            stream
         };
         let method = if body.is_empty() && !path.contains("Depart") {
             "GET"
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -57,12 +57,11 @@
     pub(crate) fn make(&mut self, now: Duration, kind: u64, member: usize) -> u64 {
         self.next += 1;
         let guess = kind == GUESSING_KIND && !self.calls.values().any(|c| c.guess);
-        let (base, version) = match guess {
-            true => {
-                let base = self.versions.max(self.newest) + LIKELY_RISE;
-                (base, base + GUESSED_RISE)
-            }
-            false => self.next_change(kind),
+        let (base, version) = if guess {
+            let base = self.versions.max(self.newest) + LIKELY_RISE;
+            (base, base + GUESSED_RISE)
+        } else {
+            self.next_change(kind)
         };
         let (command, version) = match kind % 4 {
             0 => (Command::Read { reserved: 0 }, 0),
@@ -177,9 +176,10 @@
 
     /// Notes a version that is shown; each has one content, as versions only rise.
     pub(crate) fn in_force(&self, version: u64) -> Result<(), String> {
-        match self.refused.contains(&version) {
-            true => Err(format!("{version} is in force, it was refused")),
-            false => Ok(()),
+        if self.refused.contains(&version) {
+            Err(format!("{version} is in force, it was refused"))
+        } else {
+            Ok(())
         }
     }
 }
--- a/crates/simulator/src/world/guesses.rs
+++ b/crates/simulator/src/world/guesses.rs
@@ -41,9 +41,10 @@
         }
         let under_way = self.orders.under_way();
         let known = self.orders.known.get(&operator).copied().unwrap_or(0);
-        let base = match under_way.is_empty() || self.pick(3) == 0 {
-            true => known + 1 + self.pick(LONGEST_GUESS),
-            false => under_way[self.pick(under_way.len() as u64) as usize],
+        let base = if under_way.is_empty() || self.pick(3) == 0 {
+            known + 1 + self.pick(LONGEST_GUESS)
+        } else {
+            under_way[self.pick(under_way.len() as u64) as usize]
         };
         let version = base + 1 + self.pick(3);
         let content = Content::new(&self.orders, base, version, 0);
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -233,7 +233,8 @@
     match &plan.orders {
         None => world.at(world.now + ms(2000), 0, What::Call),
         Some(orders) => {
-            (0..orders.operators).for_each(|o| world.at(world.now + ms(1500), 0, What::Operator(o)))
+            (0..orders.operators)
+                .for_each(|o| world.at(world.now + ms(1500), 0, What::Operator(o)));
         }
     }
     for k in 0..plan.agents {
@@ -374,7 +375,7 @@
                 rewrite,
             } => self.write(n, ticket, records, rewrite),
             Output::Answer { ticket, code, body } => {
-                self.answered(n, ticket, self.planted_answer(code), &body)
+                self.answered(n, ticket, self.planted_answer(code), &body);
             }
             Output::Publish {
                 seq,
--- a/crates/simulator/src/world/moments.rs
+++ b/crates/simulator/src/world/moments.rs
@@ -30,9 +30,10 @@
                 let others: Vec<usize> = (0..self.nodes.len())
                     .filter(|n| *n != subject && !self.nodes[*n].gone)
                     .collect();
-                match others.is_empty() {
-                    true => subject,
-                    false => others[nth % others.len()],
+                if others.is_empty() {
+                    subject
+                } else {
+                    others[nth % others.len()]
                 }
             }
         };
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -219,9 +219,10 @@
 
     /// The zone, or the region where regions are counted, of a machine.
     pub(super) fn zone_of(&self, machine: usize) -> usize {
-        match self.plan.seeds_share_a_zone {
-            true => machine / 2 % ZONES,
-            false => machine % ZONES,
+        if self.plan.seeds_share_a_zone {
+            machine / 2 % ZONES
+        } else {
+            machine % ZONES
         }
     }
 
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -68,22 +68,21 @@
         if self.nodes[n].gone || (self.plan.strict && self.nodes[n].member.is_some()) {
             return;
         }
-        let first = match self.plan.strict {
-            true => {
-                let forgets = self.plan.planted == Planted::InitialVotersForgotten;
-                self.nodes[n].initial_voter && (!forgets || self.nodes[n].records.is_empty())
-            }
-            false => self.nodes[n].life == 0 && n < self.plan.members,
+        let first = if self.plan.strict {
+            let forgets = self.plan.planted == Planted::InitialVotersForgotten;
+            self.nodes[n].initial_voter && (!forgets || self.nodes[n].records.is_empty())
+        } else {
+            self.nodes[n].life == 0 && n < self.plan.members
         };
         // Their identities follow from their addresses, whatever became of their disks.
-        let seeds = match self.plan.strict {
-            true => self.initial_voters.clone(),
-            false => self
-                .nodes
+        let seeds = if self.plan.strict {
+            self.initial_voters.clone()
+        } else {
+            self.nodes
                 .iter()
                 .take(INITIAL_VOTERS)
                 .map(|n| n.seat.clone())
-                .collect(),
+                .collect()
         };
         let random = u64::from(self.rng.next_u32());
         let fewer = u32::from(self.plan.planted == Planted::TooFewReplicas);
--- a/crates/simulator/src/world/orders.rs
+++ b/crates/simulator/src/world/orders.rs
@@ -337,9 +337,10 @@
             .filter(|o| o.operator != operator)
             .map(|o| o.content)
             .collect();
-        let other = match others.is_empty() || self.pick(4) > 0 {
-            true => None,
-            false => Some(others[self.pick(others.len() as u64) as usize]),
+        let other = if others.is_empty() || self.pick(4) > 0 {
+            None
+        } else {
+            Some(others[self.pick(others.len() as u64) as usize])
         };
         match other {
             Some(same) if self.pick(2) == 0 => same,
@@ -591,9 +592,10 @@
     ) -> Result<(), String> {
         let this = (token(document), hash_of(drains));
         let same = *self.orders.by_seq.entry(seq).or_insert(this);
-        match same == this {
-            true => Ok(()),
-            false => Err(format!("change {seq} is {same:?} and {this:?}")),
+        if same == this {
+            Ok(())
+        } else {
+            Err(format!("change {seq} is {same:?} and {this:?}"))
         }
     }
 
--- a/crates/simulator/src/world/readers.rs
+++ b/crates/simulator/src/world/readers.rs
@@ -404,15 +404,12 @@
         let Some(station) = self.stations.get_mut(&place) else {
             return true;
         };
-        match station.mirror.news_for(now, &waits.pull) {
-            Some(news) => {
-                self.answer_pull(place, &waits, news);
-                true
-            }
-            None => {
-                station.waiting.push(waits);
-                false
-            }
+        if let Some(news) = station.mirror.news_for(now, &waits.pull) {
+            self.answer_pull(place, &waits, news);
+            true
+        } else {
+            station.waiting.push(waits);
+            false
         }
     }
 
