--- a/crates/fake-hosts/src/frames.rs
+++ b/crates/fake-hosts/src/frames.rs
@@ -44,16 +44,22 @@
     );
 }
 
-/// One part of a call's frame: its line's fields and its text.
-struct Part<'a> {
-    id: &'a str,
-    shard: u32,
-    wait: Duration,
-    key: Option<&'a str>,
-    text: &'a str,
+/// One part of a call's frame: the fields of its line, and its text.
+pub struct CallPart<'a> {
+    /// Id that the caller gave the part.
+    pub id: &'a str,
+    /// Shard that the part asks for.
+    pub shard: u32,
+    /// How long the caller waits for an answer (field `d`, milliseconds).
+    pub wait: Duration,
+    /// Idempotency key (field `k`).
+    pub key: Option<&'a str>,
+    /// The part's query.
+    pub text: &'a str,
 }
 
-fn parts(mut rest: &[u8]) -> Option<Vec<Part<'_>>> {
+/// Parses the parts of a call's frame; `None` if one of them is malformed.
+pub fn parse_call(mut rest: &[u8]) -> Option<Vec<CallPart<'_>>> {
     let mut all = Vec::new();
     while !rest.is_empty() {
         let end = rest.iter().position(|b| *b == b'\n')?;
@@ -68,7 +74,7 @@
                 .find_map(|e| e.strip_prefix(k)?.strip_prefix('='))
         };
         let wait = Duration::from_millis(entry("d")?.parse().ok()?);
-        all.push(Part {
+        all.push(CallPart {
             id,
             shard,
             wait,
@@ -102,7 +108,7 @@
             b'p' => frame(out, b'p', &[b"served"]),
             b'l' => frame(out, b'l', &[host.report().as_bytes()]),
             b'q' => {
-                let Some(parts) = parts(&body[1..]).filter(|p| !p.is_empty()) else {
+                let Some(parts) = parse_call(&body[1..]).filter(|p| !p.is_empty()) else {
                     frame(out, b'e', &[b"a call that can't be read"]);
                     return None;
                 };
@@ -196,30 +202,3 @@
         answer(out, &id, form, reply.end, report);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_call_is_read_part_by_part_and_a_bad_one_not_at_all() {
-        let call = "a.3 3 d=240,k=k1 8\nlab:1.2;a.4 4 d=240 0\n";
-        let all = parts(call.as_bytes()).unwrap();
-        assert_eq!(
-            (all.len(), all[0].id, all[0].shard, all[0].key),
-            (2, "a.3", 3, Some("k1"))
-        );
-        assert_eq!(
-            (all[0].text, all[1].key, all[1].wait),
-            ("lab:1.2;", None, Duration::from_millis(240))
-        );
-        for bad in [
-            "a.3 3 d=240 9\nshort",
-            "a.3 3 k=1 0\n",
-            "a.3 x d=1 0\n",
-            "a.3 3 d=1 0",
-        ] {
-            assert!(parts(bad.as_bytes()).is_none(), "{bad}");
-        }
-    }
-}
--- a/crates/fake-hosts/src/ledger.rs
+++ b/crates/fake-hosts/src/ledger.rs
@@ -167,24 +167,3 @@
         .find(|(s, _)| s.parse() == Ok(shard));
     Some((reference, work.and_then(|(_, w)| w.parse().ok())))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_mark_is_found_again_in_any_text() {
-        let r = Ref {
-            query: 12,
-            attempt: 1,
-        };
-        let text = format!(
-            "free\n{{\"term\":{{\"lab\":\"{}\"}}}}",
-            mark(r, [(3, 97_000), (4, 5)].into_iter())
-        );
-        assert_eq!(reference(&text, 4), Some((r, Some(5.0))));
-        assert_eq!(reference(&text, 5), Some((r, None)));
-        assert_eq!(reference("c41e77d0", 3), None);
-        assert_eq!(reference("lab:x.y:;", 3), None);
-    }
-}
--- /dev/null
+++ b/crates/fake-hosts/tests/modules/main.rs
@@ -0,0 +1,5 @@
+//! Tests of the modules of `fake-hosts`, one file a module.
+
+mod frames;
+mod ledger;
+mod model;
--- a/crates/load-test/src/audit.rs
+++ b/crates/load-test/src/audit.rs
@@ -605,6 +605,3 @@
     }
     text
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/load-test/src/charts.rs
+++ b/crates/load-test/src/charts.rs
@@ -133,7 +133,7 @@
 }
 
 /// The percentile of so many nines, with the digits that tell it from its neighbours: 0.5 is 68%, 3 is 99.9%.
-fn percentile(nines: f64) -> String {
+pub fn percentile_label(nines: f64) -> String {
     let digits = (nines - 1.0).ceil().max(0.0) as usize;
     let text = format!("{:.digits$}", 100.0 - 100.0 * 10f64.powf(-nines));
     let text = if digits > 0 {
@@ -164,7 +164,7 @@
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         draw(&root, title, "percentile", "ms", &lines, &[], &|nines| {
-            percentile(*nines)
+            percentile_label(*nines)
         })?;
     }
     Ok(svg)
@@ -237,42 +237,3 @@
     }
     Ok(all)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_tick_of_the_percentiles_has_its_own_label() {
-        let labels = [0.0, 0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0].map(percentile);
-        assert_eq!(
-            labels,
-            ["0%", "68%", "90%", "96.8%", "99%", "99.68%", "99.9%", "99.99%"]
-        );
-    }
-
-    #[test]
-    fn charts_are_drawn_with_their_marks_and_of_nothing_as_well() {
-        let mut h = crate::stats::histogram();
-        (1..1000).for_each(|n| h.saturating_record(n * 100));
-        let windows: Vec<Window> = (0..10)
-            .map(|n| Window {
-                at_s: f64::from(n),
-                due: 10 * n as u64,
-                ..Window::default()
-            })
-            .collect();
-        let marks = [Mark {
-            at_s: 3.0,
-            to_s: 5.0,
-            what: "host-crash 3".into(),
-        }];
-        let charts = of_run(&windows, &[], &marks, &[("latency", &h)]).unwrap();
-        assert_eq!(charts.len(), 4);
-        assert!(charts
-            .iter()
-            .all(|(_, svg)| svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>")));
-        assert!(charts[1].1.contains("host-crash 3") && charts[0].1.contains("99.68%"));
-        of_run(&[], &[], &[], &[("latency", &crate::stats::histogram())]).unwrap();
-    }
-}
--- a/crates/load-test/src/results.rs
+++ b/crates/load-test/src/results.rs
@@ -283,7 +283,7 @@
 }
 
 /// Markdown's tables and lists as HTML, as far as the report uses them.
-fn html_of(report: &str) -> String {
+pub fn report_to_html(report: &str) -> String {
     let mut t = String::new();
     let (mut table, mut pre) = (false, false);
     for line in report.lines() {
@@ -368,7 +368,7 @@
     let mut page = format!(
         "<!doctype html><meta charset=\"utf-8\"><title>{}</title><style>{STYLE}</style>\n{}",
         escape(&summary.scenario),
-        html_of(&report)
+        report_to_html(&report)
     );
     for (name, svg) in &charts {
         put(&format!("{name}.svg"), svg.as_bytes())?;
@@ -377,25 +377,3 @@
     put("index.html", page.as_bytes())?;
     Ok(summary)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_page_keeps_tables_lists_and_verdicts_apart_and_escapes_them() {
-        let html = html_of(
-            "# a < b\n\n```\nBROKEN <x>\n```\n- one\n| ms | count |\n| --- | --- |\n| a & b | 1 |\nend",
-        );
-        for part in [
-            "<h1>a &lt; b</h1>",
-            "BROKEN &lt;x&gt;",
-            "<div>one</div>",
-            "<td>a &amp; b</td>",
-            "</table>\n<p>end",
-        ] {
-            assert!(html.contains(part), "{part} in {html}");
-        }
-        assert!(!html.contains("---"));
-    }
-}
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -324,9 +324,9 @@
             let rising = std::mem::take(&mut self.rising);
             for c in rising {
                 if self.coordinators.healthy(c) {
-                    self.shared.believed_up[usize::from(c)].store(true, Ordering::Relaxed)
+                    self.shared.believed_up[usize::from(c)].store(true, Ordering::Relaxed);
                 } else {
-                    self.rising.push(c)
+                    self.rising.push(c);
                 }
             }
             if now >= next_sample {
--- a/crates/load-test/src/trace.rs
+++ b/crates/load-test/src/trace.rs
@@ -29,7 +29,7 @@
     },
     /// Its ending is neither `.csv` nor `.jsonl`.
     #[error("{0}: a trace ends in .csv or .jsonl")]
-    Kind(PathBuf),
+    UnknownFormat(PathBuf),
 }
 
 /// A line of a trace.
@@ -69,17 +69,20 @@
     pub parts: Option<String>,
 }
 
+/// File format of a trace.
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+pub enum TraceFormat {
+    /// Comma-separated values with a header line.
     Csv,
-    Lines,
+    /// JSON Lines: one object a line.
+    JsonLines,
 }
 
-fn kind(path: &Path) -> Result<Kind, TraceError> {
+fn format_of(path: &Path) -> Result<TraceFormat, TraceError> {
     match path.extension().and_then(|e| e.to_str()) {
-        Some("csv") => Ok(Kind::Csv),
-        Some("jsonl") => Ok(Kind::Lines),
-        _ => Err(TraceError::Kind(path.to_owned())),
+        Some("csv") => Ok(TraceFormat::Csv),
+        Some("jsonl") => Ok(TraceFormat::JsonLines),
+        _ => Err(TraceError::UnknownFormat(path.to_owned())),
     }
 }
 
@@ -171,15 +174,19 @@
     parse(&text, path, s)
 }
 
-fn parse(text: &str, path: &Path, s: &Scenario) -> Result<Plan, TraceError> {
+/// Parses the text of a trace; `path` gives its format and stands in error messages.
+///
+/// # Errors
+/// If the path has another ending than `.csv` or `.jsonl`, or a line is malformed.
+pub fn parse(text: &str, path: &Path, s: &Scenario) -> Result<Plan, TraceError> {
     let at = |line: usize, why: String| TraceError::Line {
         file: path.to_owned(),
         line,
         why,
     };
     let mut records: Vec<(usize, Record)> = Vec::new();
-    match kind(path)? {
-        Kind::Lines => {
+    match format_of(path)? {
+        TraceFormat::JsonLines => {
             for (n, line) in text
                 .lines()
                 .enumerate()
@@ -191,7 +198,7 @@
                 ));
             }
         }
-        Kind::Csv => {
+        TraceFormat::Csv => {
             let mut reader = csv::Reader::from_reader(text.as_bytes());
             for record in reader.deserialize() {
                 let record = record.map_err(|e| {
@@ -224,20 +231,21 @@
 /// # Errors
 /// If the file can't be written or its ending is unknown.
 pub fn export(path: &Path, plan: &Plan, s: &Scenario) -> Result<(), TraceError> {
-    let text = render(plan, s, kind(path)?);
+    let text = render(plan, s, format_of(path)?);
     std::fs::write(path, text).map_err(|e| TraceError::File(path.to_owned(), e))
 }
 
-fn render(plan: &Plan, s: &Scenario, kind: Kind) -> Vec<u8> {
+/// Writes a plan in one of the formats.
+pub fn render(plan: &Plan, s: &Scenario, format: TraceFormat) -> Vec<u8> {
     let mut out = Vec::new();
     let records = plan.0.iter().map(|q| Record::of(q, s));
     // Writing to memory can't fail, and neither can records of plain fields.
-    match kind {
-        Kind::Lines => records.for_each(|r| {
+    match format {
+        TraceFormat::JsonLines => records.for_each(|r| {
             let _ = serde_json::to_writer(&mut out, &r);
             out.push(b'\n');
         }),
-        Kind::Csv => {
+        TraceFormat::Csv => {
             let mut writer = csv::Writer::from_writer(&mut out);
             records.for_each(|r| drop(writer.serialize(r)));
             let _ = writer.flush();
@@ -288,138 +296,3 @@
     out.sort_by_key(|q| q.at_us);
     Plan(out)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn scenario() -> Scenario {
-        let text = "name = 'x'\nlength_s = 5\n[traffic]\nfronts = ['platform', 'opensearch']\n\
-                    [[traffic.shape]]\nkind = 'steady'\nrate = 100\n";
-        Scenario::parse(text, Path::new("x.toml")).unwrap()
-    }
-
-    #[test]
-    fn a_plan_comes_back_from_either_form_as_it_was() {
-        let s = scenario();
-        let plan = Plan::draw(&s);
-        for (name, form) in [("t.csv", Kind::Csv), ("t.jsonl", Kind::Lines)] {
-            let text = String::from_utf8(render(&plan, &s, form)).unwrap();
-            assert_eq!(parse(&text, Path::new(name), &s).unwrap(), plan, "{name}");
-        }
-    }
-
-    #[test]
-    fn a_trace_from_elsewhere_needs_a_time_and_a_class() {
-        let s = scenario();
-        let plan = parse(
-            "at_us,class\n0,nearby-search\n1500,ride-booking\n",
-            Path::new("t.csv"),
-            &s,
-        )
-        .unwrap();
-        assert_eq!(
-            plan.0
-                .iter()
-                .map(|q| (q.at_us, q.class))
-                .collect::<Vec<_>>(),
-            [(0, 0), (1500, 2)]
-        );
-        assert!(plan.0.iter().all(|q| !q.parts.is_empty()));
-    }
-
-    #[test]
-    fn a_bad_line_is_named_and_nothing_is_run() {
-        let s = scenario();
-        let good = "{\"at_us\":5,\"class\":\"nearby-search\"}\n";
-        for (text, name, line, why) in [
-            (
-                "at_us,class\n7,nearby-search\n5,nearby-search\n".to_owned(),
-                "t.csv",
-                3,
-                "time goes back",
-            ),
-            (
-                "at_us,class\n7,nearby-search\n8,taxi\n".to_owned(),
-                "t.csv",
-                3,
-                "unknown class 'taxi'",
-            ),
-            (
-                "at_us,class\n7,nearby-search\n8\n".to_owned(),
-                "t.csv",
-                3,
-                "record",
-            ),
-            (
-                format!("{good}{good}{{\"at_us\":9,\"cla"),
-                "t.jsonl",
-                3,
-                "EOF",
-            ),
-            (
-                format!("{good}{{\"at_us\":1,\"class\":\"nearby-search\"}}"),
-                "t.jsonl",
-                2,
-                "time goes back",
-            ),
-            (
-                good.replace("}", ",\"tenant\":\"coop-x\"}"),
-                "t.jsonl",
-                1,
-                "unknown tenant",
-            ),
-            (
-                good.replace("}", ",\"parts\":\"99:1:1\"}"),
-                "t.jsonl",
-                1,
-                "shard 99",
-            ),
-            (
-                good.replace("}", ",\"parts\":\"1:x\"}"),
-                "t.jsonl",
-                1,
-                "'parts'",
-            ),
-            (
-                good.replace("}", ",\"wait_us\":5}"),
-                "t.jsonl",
-                1,
-                "'wait_us'",
-            ),
-        ] {
-            let e = parse(&text, Path::new(name), &s).expect_err(&text);
-            let said = e.to_string();
-            assert!(
-                matches!(e, TraceError::Line { line: l, .. } if l == line),
-                "{said} for {text}"
-            );
-            assert!(said.contains(why), "{said} for {why}");
-        }
-    }
-
-    #[test]
-    fn a_trace_is_scaled_in_time_and_rate_and_looped() {
-        let s = scenario();
-        let plan = Plan::draw(&s);
-        let table = |time_scale, rate_scale, looped| TraceTable {
-            file: "t.csv".into(),
-            time_scale,
-            rate_scale,
-            looped,
-        };
-        assert_eq!(fit(&plan, &table(1.0, 1.0, false), 10_000_000, 1), plan);
-        let twice = fit(&plan, &table(2.0, 1.0, false), 20_000_000, 1);
-        assert_eq!(twice.0.len(), plan.0.len());
-        assert_eq!(
-            twice.0.last().unwrap().at_us,
-            plan.0.last().unwrap().at_us * 2
-        );
-        let more =
-            fit(&plan, &table(1.0, 2.5, false), 10_000_000, 1).0.len() as f64 / plan.0.len() as f64;
-        assert!((more - 2.5).abs() < 0.1, "{more}");
-        let looped = fit(&plan, &table(1.0, 1.0, true), 20_000_000, 1);
-        assert!((looped.0.len() as f64 / plan.0.len() as f64 - 4.0).abs() < 0.05);
-        assert!(looped.0.is_sorted_by_key(|q| q.at_us));
-    }
-}
--- a/crates/load-test/src/audit/tests.rs
+++ b/crates/load-test/tests/modules/audit.rs
@@ -1,9 +1,15 @@
 //! Each rule is broken once on purpose, in an otherwise clean ledger.
 
-use super::*;
-use crate::plan::{Planned, PlannedPart};
-use crate::record::LifeEvent;
 use fake_hosts::ledger::NOBODY;
+use fake_hosts::ledger::{End, Event, Phase, Ref, What};
+use fake_hosts::model::Micros;
+use load_test::audit::{audit, story, Evidence, Rule};
+use load_test::clients::TryEnd;
+use load_test::plan::Plan;
+use load_test::plan::{Planned, PlannedPart};
+use load_test::record::LifeEvent;
+use load_test::record::{Life, Lives, QueryRecord, TryRecord};
+use load_test::scenario::{DialectName, RepeatName, Scenario};
 use std::path::Path;
 
 const S: Micros = 1_000_000;
--- /dev/null
+++ b/crates/load-test/tests/modules/clients.rs
@@ -0,0 +1,107 @@
+use load_test::clients::{coordinator, next_try, Tried, TryEnd};
+use load_test::plan::Planned;
+use load_test::scenario::Scenario;
+use load_test::scenario::{Backoff, ClassTable, RepeatName};
+use std::path::Path;
+
+fn parts() -> (Scenario, Planned) {
+    let text =
+        "name = 'x'\nlength_s = 5\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 100\n";
+    let s = Scenario::parse(text, Path::new("x.toml")).unwrap();
+    let q = load_test::plan::Mixer::new(&s).query(0, Some(0), None, None);
+    (
+        s,
+        Planned {
+            retries: 2,
+            backoff_us: 100_000,
+            honours: true,
+            ..q
+        },
+    )
+}
+
+fn tried(tries: u8, end: TryEnd, retry_after_us: Option<u64>, elapsed_us: u64) -> Tried {
+    Tried {
+        tries,
+        end,
+        retry_after_us,
+        elapsed_us,
+    }
+}
+
+#[test]
+fn a_client_tries_so_often_and_waits_as_it_was_told() {
+    let (s, q) = parts();
+    let safe = &s.classes[0];
+    let go = |backoff, t| next_try(&q, safe, backoff, t);
+    assert_eq!(
+        go(Backoff::None, tried(1, TryEnd::Refused, None, 0)),
+        Some(0)
+    );
+    assert_eq!(
+        go(Backoff::Fixed, tried(2, TryEnd::GaveUp, None, 0)),
+        Some(100_000)
+    );
+    assert_eq!(
+        go(Backoff::Exp, tried(2, TryEnd::Failed(504), None, 0)),
+        Some(200_000)
+    );
+    assert_eq!(
+        go(Backoff::None, tried(3, TryEnd::Refused, None, 0)),
+        None,
+        "two further tries"
+    );
+    assert_eq!(
+        go(Backoff::Fixed, tried(1, TryEnd::Refused, Some(700_000), 0)),
+        Some(700_000)
+    );
+    assert_eq!(
+        go(Backoff::Fixed, tried(1, TryEnd::Served(false), None, 0)),
+        None
+    );
+    let late = tried(1, TryEnd::Refused, None, 4_950_000);
+    assert_eq!(
+        go(Backoff::Fixed, late),
+        None,
+        "its whole time would be over"
+    );
+    let rude = Planned {
+        honours: false,
+        ..q.clone()
+    };
+    let told = tried(1, TryEnd::Refused, Some(700_000), 0);
+    assert_eq!(next_try(&rude, safe, Backoff::Fixed, told), Some(100_000));
+}
+
+#[test]
+fn a_booking_is_repeated_within_its_window_and_an_unsafe_query_only_if_it_never_ran() {
+    let (s, q) = parts();
+    let keyed = &s.classes[2];
+    let go = |class, end, elapsed| next_try(&q, class, Backoff::None, tried(1, end, None, elapsed));
+    assert_eq!(go(keyed, TryEnd::Failed(504), 1_900_000), Some(0));
+    assert_eq!(go(keyed, TryEnd::Failed(504), 2_100_000), None);
+    assert_eq!(go(keyed, TryEnd::Refused, 2_100_000), Some(0));
+    let risky = ClassTable {
+        repeat: RepeatName::Unsafe,
+        ..keyed.clone()
+    };
+    assert_eq!(go(&risky, TryEnd::Cut, 0), None);
+    assert_eq!(go(&risky, TryEnd::NoConnection, 0), Some(0));
+}
+
+#[test]
+fn the_front_layer_prefers_the_zone_and_leaves_it_when_all_there_are_down() {
+    let up = [true, false, true, false];
+    for draw in 0..4 {
+        assert_eq!(coordinator(0, 2, &up, draw) % 2, 0);
+        assert!(
+            [0, 2].contains(&coordinator(1, 2, &up, draw)),
+            "the other zone's"
+        );
+        assert_eq!(
+            coordinator(1, 2, &[false; 4], draw) % 2,
+            1,
+            "all dead: still its own"
+        );
+    }
+}
--- /dev/null
+++ b/crates/load-test/tests/modules/record.rs
@@ -0,0 +1,36 @@
+use load_test::record::{Life, LifeEvent, Lives};
+
+#[test]
+fn a_coordinator_is_excused_for_kills_stalls_and_what_came_long_after_sigterm() {
+    let e = |at, life| LifeEvent {
+        at,
+        coordinator: 0,
+        life,
+    };
+    let lives = Lives(vec![
+        e(0, Life::Started),
+        e(1_000_000, Life::Stopped),
+        e(2_000_000, Life::Continued),
+        e(5_000_000, Life::Gone),
+        e(6_000_000, Life::Started),
+        e(9_000_000, Life::Terminated),
+        e(12_000_000, Life::Ended),
+    ]);
+    let s = 1_000_000;
+    for (from, to, excused) in [
+        (s / 2, s * 3 / 4, false),
+        (s / 2, s * 3 / 2, true),
+        (s * 3, s * 4, false),
+        (s * 4, s * 5, true),
+        (s * 11 / 2, s * 13 / 2, true),
+        (s * 7, s * 8, false),
+        (s * 7, s * 12, false),
+        (s * 95 / 10, s * 12, false),
+        (s * 98 / 10, s * 12, true),
+        (s * 13, s * 14, true),
+    ] {
+        assert_eq!(lives.excused(0, from, to), excused, "{from} to {to}");
+    }
+    assert!(!lives.excused(1, s, s * 20));
+    assert_eq!(lives.started_before(0, 7 * s), 6 * s);
+}
