--- a/crates/simulator/src/bin/simulator.rs
+++ b/crates/simulator/src/bin/simulator.rs
@@ -1,11 +1,12 @@
-//! `simulator --from A --to B`: plays drawn schedules on all cores and reports those that broke something.
+//! `simulator --from A --to B`: runs the plans of several seeds and reports those that violated an invariant.
 #![forbid(unsafe_code)]
 
 use bpaf::Parser;
-use simulator::{code, run, shrink, Mode, Plan, Planted, Report};
+use simulator::{plan_as_code, run, shrink, Mode, Plan, Report, SeededBug, Violation};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
+use std::time::{Duration, Instant};
 
 fn number(name: &'static str, help: &'static str, value: u64) -> impl Parser<u64> {
     bpaf::long(name)
@@ -20,8 +21,8 @@
         .unwrap_or(0.0)
 }
 
-/// Modes in which planted bugs are searched, quick ones first.
-const SEARCHED: [Mode; 5] = [
+/// Modes in which seeded bugs are searched, quick ones first.
+const SEARCHED_MODES: [Mode; 5] = [
     Mode::Double,
     Mode::Aimed,
     Mode::Rough,
@@ -29,50 +30,68 @@
     Mode::Long,
 ];
 
-/// Prints the first seed and mode that finds each planted bug.
-fn find_planted(from: u64, to: u64, jobs: u64) {
+/// Prints the first seed and mode that finds each seeded bug.
+fn find_seeded_bugs(from: u64, to: u64, jobs: u64) {
     let next = AtomicU64::new(0);
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| loop {
                 let number = next.fetch_add(1, Ordering::Relaxed) as usize;
-                let Some(planted) = Planted::ALL.get(number).copied() else {
+                let Some(bug) = SeededBug::all().nth(number) else {
                     return;
                 };
-                // What breaks without the bug shows nothing of it.
-                let breaks = |plan: Plan| {
-                    let report = run(&Plan {
-                        planted,
-                        ..plan.clone()
-                    });
-                    let found = report.breaches.into_iter().next();
-                    found.filter(|_| run(&plan).breaches.is_empty())
-                };
-                let tried = (from..to).flat_map(|seed| SEARCHED.map(|mode| (mode, seed)));
-                let found = tried.map(|(mode, seed)| (mode, seed, breaks(mode.plan(seed))));
-                match found.into_iter().find(|f| f.2.is_some()) {
-                    Some((mode, seed, breach)) => {
-                        println!(
-                            "{planted:?}: {} {seed}: {}",
-                            mode.name(),
-                            breach.unwrap_or_default()
-                        );
+                match first_find(bug, from, to) {
+                    Some((mode, seed, violation)) => {
+                        println!("{}: {} {seed}: {violation}", bug.name(), mode.name());
                     }
-                    None => println!("{planted:?}: not found in seeds {from} to {to}"),
+                    None => println!("{}: not found in seeds {from} to {to}", bug.name()),
                 }
             });
         }
     });
 }
 
-fn main() -> ExitCode {
+/// The first mode and seed that finds a bug, and what it violates.
+fn first_find(bug: SeededBug, from: u64, to: u64) -> Option<(Mode, u64, Violation)> {
+    let tried = (from..to).flat_map(|seed| SEARCHED_MODES.map(|mode| (mode, seed)));
+    let mut found = tried.filter_map(|(mode, seed)| {
+        let violation = violation_by(bug, &mode.plan(seed))?;
+        Some((mode, seed, violation))
+    });
+    found.next()
+}
+
+/// What a plan violates with a bug; nothing if it violates something without the bug, too.
+fn violation_by(bug: SeededBug, plan: &Plan) -> Option<Violation> {
+    let with_bug = Plan {
+        seeded_bug: bug,
+        ..plan.clone()
+    };
+    let violation = run(&with_bug).violations.into_iter().next()?;
+    run(plan).violations.is_empty().then_some(violation)
+}
+
+/// The command line.
+#[derive(Clone, Debug)]
+struct Options {
+    from: u64,
+    to: u64,
+    jobs: u64,
+    mode: Mode,
+    trace: bool,
+    shrunk: bool,
+    planted: bool,
+    bug: Option<SeededBug>,
+}
+
+fn options() -> bpaf::OptionParser<Options> {
     let from = number("from", "first seed", 0);
     let to = number("to", "one beyond the last seed", 1000);
     let jobs = number("jobs", "threads", 4);
     let mode = bpaf::long("mode")
         .help("how plans are drawn: drawn, rough, long, aimed, double, storm, promises")
         .argument::<String>("MODE")
-        .parse(|name| Mode::of(&name).ok_or("no such mode"))
+        .parse(|name| Mode::from_name(&name).ok_or("no such mode"))
         .fallback(Mode::Drawn);
     let trace = bpaf::long("trace")
         .help("print what happens in the first schedule")
@@ -86,88 +105,107 @@
     let bug = bpaf::long("bug")
         .help("plant this bug")
         .argument::<String>("BUG")
-        .parse(|name| {
-            Planted::ALL
-                .into_iter()
-                .find(|p| format!("{p:?}") == name)
-                .ok_or("no such bug")
-        })
+        .parse(|name| SeededBug::from_name(&name).ok_or("no such bug"))
         .optional();
-    let options = bpaf::construct!(from, to, jobs, mode, trace, shrunk, planted, bug).to_options();
-    let (from, to, jobs, mode, trace, shrunk, planted, bug) = options
-        .descr("Plays the control plane's members on simulated machines")
-        .run();
-    let bug = bug.unwrap_or(Planted::Nothing);
-    let plan = |seed| Plan {
-        planted: bug,
-        ..mode.plan(seed)
-    };
-    if planted {
-        find_planted(from, to, jobs);
-        return ExitCode::SUCCESS;
+    bpaf::construct!(Options {
+        from,
+        to,
+        jobs,
+        mode,
+        trace,
+        shrunk,
+        planted,
+        bug
+    })
+    .to_options()
+    .descr("Plays the control plane's members on simulated machines")
+}
+
+impl Options {
+    /// The plan of a seed.
+    fn plan(&self, seed: u64) -> Plan {
+        Plan {
+            seeded_bug: self.bug.unwrap_or(SeededBug::Nothing),
+            ..self.mode.plan(seed)
+        }
     }
-    if trace {
-        let report = run(&simulator::Plan {
-            trace: true,
-            ..plan(from)
+
+    /// Runs all plans; their reports by seed, in order.
+    fn run_plans(&self) -> Vec<(u64, Report)> {
+        let next = AtomicU64::new(self.from);
+        let reports: Mutex<Vec<(u64, Report)>> = Mutex::default();
+        std::thread::scope(|scope| {
+            for _ in 0..self.jobs.max(1) {
+                scope.spawn(|| loop {
+                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    if seed >= self.to {
+                        return;
+                    }
+                    let report = run(&self.plan(seed));
+                    let mut reports = reports.lock().unwrap_or_else(PoisonError::into_inner);
+                    reports.push((seed, report));
+                });
+            }
         });
-        report.trace.iter().for_each(|line| println!("{line}"));
-        println!("{:?}", report.breaches);
-        return ExitCode::SUCCESS;
+        let mut reports = reports.into_inner().unwrap_or_else(PoisonError::into_inner);
+        reports.sort_by_key(|r| r.0);
+        reports
     }
-    let begun = std::time::Instant::now();
-    let next = AtomicU64::new(from);
-    let reports: Mutex<Vec<(u64, Report)>> = Mutex::default();
-    std::thread::scope(|scope| {
-        for _ in 0..jobs.max(1) {
-            scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
-                if seed >= to {
-                    return;
-                }
-                let report = run(&plan(seed));
-                if let Ok(mut reports) = reports.lock() {
-                    reports.push((seed, report));
-                }
-            });
-        }
-    });
-    let Ok(mut reports) = reports.into_inner() else {
-        return ExitCode::from(2);
-    };
-    reports.sort_by_key(|r| r.0);
-    let broken: Vec<_> = reports
-        .iter()
-        .filter(|r| !r.1.breaches.is_empty())
-        .collect();
-    for (seed, report) in &broken {
-        println!("seed {seed}: {:?}\n  {:?}", report.breaches, report.struck);
-        println!(
-            "  {}",
-            code(&if shrunk {
-                shrink(&plan(*seed))
-            } else {
-                plan(*seed)
-            })
-        );
+
+    /// Prints a plan that violated something, as code.
+    fn print_violations(&self, seed: u64, report: &Report) {
+        let (violations, faults) = (&report.violations, &report.injected_faults);
+        println!("seed {seed}: {violations:?}\n  {faults:?}");
+        let plan = self.plan(seed);
+        let plan = if self.shrunk { shrink(&plan) } else { plan };
+        println!("  {}", plan_as_code(&plan));
     }
-    let mut gaps: Vec<f64> = reports
-        .iter()
-        .flat_map(|r| &r.1.gaps)
-        .map(|g| g.as_secs_f64() * 1e3)
-        .collect();
-    gaps.sort_by(f64::total_cmp);
+}
+
+fn print_trace(plan: Plan) {
+    let report = run(&Plan {
+        trace: true,
+        ..plan
+    });
+    report.trace.iter().for_each(|line| println!("{line}"));
+    println!("{:?}", report.violations);
+}
+
+fn print_summary(mode: Mode, reports: &[(u64, Report)], broken: usize, elapsed: Duration) {
+    let gaps = reports.iter().flat_map(|r| &r.1.gaps);
+    let mut gaps_ms: Vec<f64> = gaps.map(|g| g.as_secs_f64() * 1e3).collect();
+    gaps_ms.sort_by(f64::total_cmp);
     println!(
         "{} schedules of mode {}, {} broken; {:.1} schedules a second; {} calls acknowledged in {} steps; without a primary p50 {:.0} ms, p99 {:.0} ms, {} times",
         reports.len(),
         mode.name(),
-        broken.len(),
-        reports.len() as f64 / begun.elapsed().as_secs_f64(),
+        broken,
+        reports.len() as f64 / elapsed.as_secs_f64(),
         reports.iter().map(|r| r.1.acknowledged).sum::<u64>(),
         reports.iter().map(|r| r.1.steps).sum::<u64>(),
-        quantile(&gaps, 0.5),
-        quantile(&gaps, 0.99),
-        gaps.len(),
+        quantile(&gaps_ms, 0.5),
+        quantile(&gaps_ms, 0.99),
+        gaps_ms.len(),
     );
-    ExitCode::from(u8::from(!broken.is_empty()))
+}
+
+fn main() -> ExitCode {
+    let options = options().run();
+    if options.planted {
+        find_seeded_bugs(options.from, options.to, options.jobs);
+        return ExitCode::SUCCESS;
+    }
+    if options.trace {
+        print_trace(options.plan(options.from));
+        return ExitCode::SUCCESS;
+    }
+    let started_at = Instant::now();
+    let reports = options.run_plans();
+    let mut broken = 0;
+    for (seed, report) in reports.iter().filter(|r| !r.1.violations.is_empty()) {
+        broken += 1;
+        options.print_violations(*seed, report);
+    }
+    print_summary(options.mode, &reports, broken, started_at.elapsed());
+    ExitCode::from(u8::from(broken > 0))
 }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,8 +1,30 @@
-//! Faults: what can happen to a member, and when.
+//! Faults: what can happen to a machine, and what triggers it.
 
 use std::time::Duration;
 
-/// What happens to a member, for how long.
+/// Which messages a cut loses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CutDirection {
+    /// All to and from the machines that are cut off.
+    Both,
+    /// Those that they send.
+    Outbound,
+    /// Those that are sent to them.
+    Inbound,
+}
+
+impl CutDirection {
+    /// Whether the cut loses messages of a direction.
+    pub(crate) fn includes(self, outbound: bool) -> bool {
+        match self {
+            Self::Both => true,
+            Self::Outbound => outbound,
+            Self::Inbound => !outbound,
+        }
+    }
+}
+
+/// A fault: what happens, to which machine, for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The process is killed and started again; the disk keeps what was written.
@@ -13,37 +35,50 @@
     Wipe(usize, Duration),
     /// The machine goes for good and another one comes at another address.
     Replace(usize, Duration),
-    /// The process stands still.
+    /// The process is frozen.
     Freeze(usize, Duration),
-    /// The member is cut off from the others; in one direction only where said.
-    Cut(usize, Duration, Option<bool>),
-    /// The disk answers nothing.
+    /// The machine is cut off from the others.
+    Cut(usize, Duration, CutDirection),
+    /// Writes don't complete.
     Stall(usize, Duration),
-    /// The disk takes so many times as long.
+    /// Writes take this many times as long.
     Slow(usize, Duration, u32),
-    /// The disk takes nothing more.
+    /// Writes are refused: the disk is full.
     Full(usize, Duration),
     /// All processes are killed at once and come back with their disks.
     KillAll(Duration),
-    /// All machines lose power; one of them loses its disk, where said.
+    /// All machines lose power; this one of them, if any, loses its disk.
     PowerAll(Duration, Option<usize>),
-    /// The process is asked to end, ends and is started again.
+    /// The process is asked to leave, ends, and is started again.
     Term(usize, Duration),
-    /// The process is asked to end, ends and never comes back.
+    /// The process is asked to leave, ends, and never comes back.
     Retire(usize),
     /// A new machine starts.
     Join,
     /// Two members can't reach each other.
     CutPair(usize, usize, Duration),
-    /// All machines of a zone, agents too, are cut off from the others; in one direction only where said.
-    CutZone(usize, Duration, Option<bool>),
-    /// An agent's process is killed and started again, with nothing that it knew.
+    /// All machines of a zone, agents too, are cut off from the others.
+    CutZone(usize, Duration, CutDirection),
+    /// An agent's process is killed and started again without its state.
     Agent(usize, Duration),
 }
 
 impl Fault {
+    /// Whether it strikes all machines at once.
+    pub(crate) fn strikes_all(self) -> bool {
+        matches!(self, Self::KillAll(_) | Self::PowerAll(..))
+    }
+
+    /// Whether a disk is lost for good.
+    pub(crate) fn loses_disk(self) -> bool {
+        matches!(
+            self,
+            Self::Wipe(..) | Self::Replace(..) | Self::Retire(_) | Self::PowerAll(_, Some(_))
+        )
+    }
+
     /// The same fault at another member.
-    pub fn aimed_at(self, n: usize) -> Self {
+    pub fn at_member(self, n: usize) -> Self {
         match self {
             Self::Kill(_, d) => Self::Kill(n, d),
             Self::Power(_, d) => Self::Power(n, d),
@@ -62,19 +97,19 @@
     }
 
     /// How long it lasts.
-    pub fn length(self) -> Duration {
+    pub fn duration(self) -> Duration {
         match self {
             Self::Kill(_, d) | Self::Power(_, d) | Self::Wipe(_, d) | Self::Replace(_, d) => d,
             Self::Freeze(_, d) | Self::Cut(_, d, _) | Self::Stall(_, d) | Self::Slow(_, d, _) => d,
             Self::Full(_, d) | Self::KillAll(d) | Self::PowerAll(d, _) => d,
-            Self::Term(_, d) => d + TERM_TIME,
+            Self::Term(_, d) => d + GRACEFUL_SHUTDOWN_TIME,
             Self::CutPair(_, _, d) | Self::CutZone(_, d, _) | Self::Agent(_, d) => d,
             Self::Retire(_) | Self::Join => Duration::ZERO,
         }
     }
 
-    /// The same fault with another length.
-    pub fn lasting(self, d: Duration) -> Self {
+    /// The same fault for another time.
+    pub fn with_duration(self, d: Duration) -> Self {
         match self {
             Self::Kill(n, _) => Self::Kill(n, d),
             Self::Power(n, _) => Self::Power(n, d),
@@ -96,24 +131,25 @@
     }
 }
 
-/// Time that a process that was asked to end has for it.
-pub(crate) const TERM_TIME: Duration = Duration::from_millis(1200);
+/// Time between the request to shut down gracefully and the end of the process.
+pub(crate) const GRACEFUL_SHUTDOWN_TIME: Duration = Duration::from_millis(1200);
 
-/// Something that members do, to which a fault can be aimed.
+/// Something that members do, after which a fault can be injected. Each names a machine, its subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Moment {
-    /// A candidate, or a primary that changes its view, has made the new view and sends it; it is the subject.
-    Composed,
-    /// A replica has got a new view with its ledger and starts to write it; it is the subject.
+pub enum FaultTrigger {
+    /// A candidate or primary sends a membership configuration that it has composed; it is the subject.
+    MembershipComposed,
+    /// A replica has received a membership with its snapshot and starts to write it; it is the subject.
     Installing,
-    /// A candidate asks a replica for its ledger; the replica is the subject.
-    Fetching,
-    /// A member has acknowledged an order; it is the subject.
+    /// A candidate asks a replica for its snapshot; the replica is the subject.
+    FetchingSnapshot,
+    /// A request was acknowledged; the acting primary is the subject.
     Acknowledged,
-    /// An order was sent to a member; it is the subject.
-    OrderSent,
-    /// A view whose voters differ from those before was made; the new voter, or else the composer, is the subject.
-    Unsettled,
+    /// A configuration request was sent to a member; it is the subject.
+    RequestSent,
+    /// A membership whose voters differ from the previous ones was composed; the new voter, or else the composer, is the
+    /// subject.
+    VotersChanging,
     /// A member was asked to leave; it is the subject.
     Leaving,
     /// A member acts that didn't at the step before; it is the subject.
@@ -124,28 +160,28 @@
     Promised,
 }
 
-/// Whom a fault meets that is aimed at a moment.
+/// The machine that a triggered fault strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
-    /// The moment's subject.
+pub enum FaultTarget {
+    /// The trigger's subject.
     Subject,
-    /// Whoever acts then; the subject where nobody does.
+    /// The acting primary; the subject if there is none.
     Primary,
-    /// A member beside the subject: the so-manieth of them.
+    /// Another machine than the subject, by its place among the others.
     Other(usize),
 }
 
-/// A fault that waits for a moment.
+/// A fault that waits for a trigger.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Aimed {
-    /// The moment.
-    pub moment: Moment,
-    /// Which time that it comes, from 1 on.
+pub struct TriggeredFault {
+    /// The trigger.
+    pub trigger: FaultTrigger,
+    /// At which time that the trigger fires, from 1 on.
     pub nth: u32,
-    /// How long after it.
+    /// How long after that.
     pub delay: Duration,
-    /// Whom it meets.
-    pub who: Who,
-    /// The fault; whom it names doesn't matter.
+    /// What it strikes.
+    pub target: FaultTarget,
+    /// The fault; the machine that it names doesn't matter.
     pub fault: Fault,
 }
--- a/crates/simulator/src/plan.rs
+++ b/crates/simulator/src/plan.rs
@@ -1,127 +1,129 @@
-//! A run: its size, its faults, what is watched; and how plans are drawn from a seed.
+//! What a run consists of and what is checked in it, and its report.
 
-use crate::faults::{Aimed, Fault};
-use crate::planted::Planted;
+use crate::faults::{Fault, TriggeredFault};
+use crate::seeded_bug::SeededBug;
+use crate::violation::Violation;
 use std::time::Duration;
 
+/// A duration in milliseconds.
 pub(crate) const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// A run.
+/// A run: its size, faults and clients, and which invariants are checked.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seed of all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Members at the start; the first three are the seeds.
+    /// Members at the start. The first three are the seeds.
     pub members: usize,
     /// Machines that may be lost at once.
-    pub losses: u32,
+    pub machine_losses: u32,
     /// Zones that may be lost at once, where zones are counted in place of machines.
     pub zone_losses: u32,
     /// Regions that may be lost at once, where regions are counted.
     pub region_losses: u32,
-    /// Whether machines stand in their zones by twos, so that two of the three seeds share one.
+    /// Whether machines are assigned to zones in pairs, so that two of the three seeds share a zone.
     pub seeds_share_a_zone: bool,
-    /// By how much members' clocks run fast or slow at most, in millionths.
-    pub drift_ppm: u32,
-    /// How long it goes on.
-    pub length: Duration,
-    /// Faults by their time.
+    /// Largest drift of a member's clock, fast or slow, in millionths.
+    pub clock_drift_ppm: u32,
+    /// Length of the run, in simulated time.
+    pub duration: Duration,
+    /// Faults by the time at which they strike, counted from the start.
     pub faults: Vec<(Duration, Fault)>,
-    /// A bug to be found.
-    pub planted: Planted,
-    /// More is lost at once than the budget allows: nothing may be broken, but nobody has to act either.
+    /// A bug to be found by the checkers.
+    pub seeded_bug: SeededBug,
+    /// More is lost at once than the budget allows: only safety is checked, not that a primary acts.
     pub safety_only: bool,
-    /// Faults that wait for a moment.
-    pub aimed: Vec<Aimed>,
-    /// Faults wait until the budget allows them (but where [`Plan::safety_only`] is set), disks keep or lose what
-    /// was under way record by record, and somebody has to act soon after each fault, healed or not.
+    /// Faults that wait for a trigger.
+    pub triggered_faults: Vec<TriggeredFault>,
+    /// Faults wait until the budget allows them (unless [`Plan::safety_only`] is set), disks keep a random part of
+    /// unfinished writes, and a primary has to act soon after each fault, healed or not.
     pub strict: bool,
-    /// Operators in place of the single one.
-    pub orders: Option<Orders>,
-    /// Agents that mirror the control plane, each with a proxy.
+    /// Several clients in place of the single one.
+    pub workload: Option<ClientWorkload>,
+    /// Number of agents that mirror the control plane, each with a proxy.
     pub agents: usize,
-    /// Whether the run notes what it sees in [`Report::trace`].
+    /// Whether the run records a [`Report::trace`].
     pub trace: bool,
 }
 
-/// How operators give orders.
+/// What several clients of the control plane do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Orders {
-    /// How many there are.
-    pub operators: usize,
-    /// Orders that each has under way at once at most.
-    pub at_once: usize,
-    /// Answers lost on their way, of a hundred.
-    pub lost: u64,
-    /// Longest delay of an answer.
-    pub late: Duration,
-    /// Of a hundred taken orders, those that are sent again later.
-    pub again: u64,
-    /// Longest pause between two calls of an operator.
-    pub pause: Duration,
-    /// Bytes by which configurations are longer.
-    pub padding: usize,
-    /// Of a hundred orders, those that build on a version which isn't known to be in force.
-    pub guessed: u64,
+pub struct ClientWorkload {
+    /// Number of clients.
+    pub clients: usize,
+    /// Configuration requests that each has in flight at most, those on unconfirmed versions aside.
+    pub max_in_flight: usize,
+    /// Responses that are lost on their way, in percent.
+    pub lost_response_percent: u64,
+    /// Longest delay of a response.
+    pub max_response_delay: Duration,
+    /// Acknowledged requests that are sent again later, in percent.
+    pub resend_percent: u64,
+    /// Longest pause between two turns of a client.
+    pub max_pause: Duration,
+    /// Bytes that configurations are padded with at most.
+    pub padding_bytes: usize,
+    /// Requests that build on a version which isn't known to be in force, in percent.
+    pub unconfirmed_base_percent: u64,
 }
 
-impl Default for Orders {
+impl Default for ClientWorkload {
     fn default() -> Self {
         Self {
-            operators: 2,
-            at_once: 2,
-            lost: 20,
-            late: ms(500),
-            again: 30,
-            pause: ms(160),
-            padding: 0,
-            guessed: 10,
+            clients: 2,
+            max_in_flight: 2,
+            lost_response_percent: 20,
+            max_response_delay: ms(500),
+            resend_percent: 30,
+            max_pause: ms(160),
+            padding_bytes: 0,
+            unconfirmed_base_percent: 10,
         }
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// What was broken.
-    pub breaches: Vec<String>,
-    /// Calls that were acknowledged.
+    /// Invariants that didn't hold.
+    pub violations: Vec<Violation>,
+    /// Number of acknowledged requests.
     pub acknowledged: u64,
-    /// The longest that a call took which was made in calm times.
-    pub slowest: Duration,
-    /// Steps that members took.
+    /// The longest response time of a request without faults around it.
+    pub slowest_response: Duration,
+    /// Number of steps of members' state machines.
     pub steps: u64,
-    /// Times without a primary that acted, each from its start to its end.
+    /// Lengths of the spans without an acting primary.
     pub gaps: Vec<Duration>,
-    /// Faults as they struck, where the plan leaves that to the run.
-    pub struck: Vec<(Duration, Fault)>,
-    /// What happened, line by line, where the plan asks for it.
+    /// Faults with the times at which they struck, where the plan leaves that to the run.
+    pub injected_faults: Vec<(Duration, Fault)>,
+    /// What happened, line by line, if the plan asks for it.
     pub trace: Vec<String>,
-    /// Highest epoch that was reached.
-    pub epoch: u64,
+    /// Highest epoch that a member promised.
+    pub highest_epoch: u64,
 }
 
 impl Plan {
     /// A run without faults.
-    pub fn calm(seed: u64) -> Self {
-        let (members, losses, length) = (3, 1, ms(12_000));
+    pub fn without_faults(seed: u64) -> Self {
+        let (members, machine_losses, duration) = (3, 1, ms(12_000));
         Self {
             seed,
             members,
-            losses,
+            machine_losses,
             zone_losses: 0,
             region_losses: 0,
             seeds_share_a_zone: false,
-            drift_ppm: 0,
-            length,
+            clock_drift_ppm: 0,
+            duration,
             faults: vec![],
-            planted: Planted::Nothing,
+            seeded_bug: SeededBug::Nothing,
             safety_only: false,
-            aimed: vec![],
+            triggered_faults: vec![],
             strict: false,
-            orders: None,
+            workload: None,
             agents: 0,
             trace: false,
         }
--- a/crates/simulator/src/world/budget.rs
+++ b/crates/simulator/src/world/budget.rs
@@ -1,25 +1,31 @@
-//! What the budget of losses allows: a machine counts as lost while it has trouble and for the time to catch up
-//! after it; the next loss may come at exactly that time.
+//! The budget of losses: a machine counts as lost while it has a fault and for the time to catch up after it; the next
+//! loss may come at exactly that time.
 
-use super::{What, World};
-use crate::faults::{Fault, TERM_TIME};
+use super::event::EventKind;
+use super::state::World;
+use crate::faults::{Fault, GRACEFUL_SHUTDOWN_TIME};
 use crate::plan::ms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// How long a machine still counts as lost after it is back.
-pub(super) const CATCH_UP: Duration = Duration::from_millis(4000);
+pub(super) const CATCH_UP_TIME: Duration = ms(4000);
+/// Machines that are killed all at once start again within this time of each other.
+pub(super) const RESTART_SPREAD: Duration = ms(200);
+/// The world's clock at the start of a run; injected faults are reported relative to it.
+const START_TIME: Duration = ms(1000);
 
-/// Whether a fault may strike.
-enum Gate {
-    Open,
-    At(Duration),
-    Never,
+/// Whether the budget lets a fault strike.
+enum BudgetDecision {
+    Allowed,
+    /// At this time.
+    AllowedAt(Duration),
+    Denied,
 }
 
 impl World<'_> {
     /// Machines that a fault takes away.
-    fn struck(&self, fault: Fault) -> Vec<usize> {
+    fn affected_machines(&self, fault: Fault) -> Vec<usize> {
         match fault {
             Fault::Kill(n, _) | Fault::Power(n, _) | Fault::Wipe(n, _) | Fault::Replace(n, _) => {
                 vec![n]
@@ -36,129 +42,130 @@
         }
     }
 
-    /// What the budget counts a machine by: itself, or the zone or region that it stands in.
-    fn counted_part(&self, n: usize) -> usize {
+    /// What the budget counts a machine by: its number, or that of the zone or region that it stands in.
+    fn failure_domain(&self, n: usize) -> usize {
         match self.plan.zone_losses + self.plan.region_losses {
             0 => n,
             _ => self.zone_of(n),
         }
     }
 
-    fn gate(&self, fault: Fault) -> Gate {
-        let struck = self.struck(fault);
-        let all = matches!(fault, Fault::KillAll(_) | Fault::PowerAll(..));
-        let left = self.nodes.iter().filter(|n| !n.gone).count();
-        let too_few =
-            matches!(fault, Fault::Retire(_)) && left <= 2 * self.plan.losses as usize + 1;
-        if too_few
-            || (!all
-                && struck
-                    .iter()
-                    .any(|n| self.nodes.get(*n).is_none_or(|n| n.gone)))
-        {
-            return Gate::Never;
+    /// Failure domains that the budget lets be lost at once.
+    fn max_lost_domains(&self) -> usize {
+        let plan = self.plan;
+        let losses = plan.machine_losses.max(plan.zone_losses);
+        losses.max(plan.region_losses) as usize
+    }
+
+    fn budget_decision(&self, fault: Fault) -> BudgetDecision {
+        if !self.can_strike(fault) {
+            return BudgetDecision::Denied;
         }
         if self.plan.safety_only {
-            let loses_disk = match fault {
-                Fault::Wipe(..)
-                | Fault::Replace(..)
-                | Fault::Retire(_)
-                | Fault::PowerAll(_, Some(_)) => 1,
-                _ => 0,
+            let lost_disks = self.lost_disks + u32::from(fault.loses_disk());
+            return if lost_disks > self.plan.machine_losses {
+                BudgetDecision::Denied
+            } else {
+                BudgetDecision::Allowed
             };
-            let more = self.disks_lost + loses_disk > self.plan.losses;
-            return if more { Gate::Never } else { Gate::Open };
         }
-        let parts: BTreeSet<usize> = struck.iter().map(|n| self.counted_part(*n)).collect();
-        let most = self
-            .plan
-            .losses
-            .max(self.plan.zone_losses)
-            .max(self.plan.region_losses) as usize;
-        let may_be_lost = if all {
-            0
-        } else {
-            most.saturating_sub(parts.len())
-        };
-        if !all && parts.len() > most {
-            return Gate::Never;
+        let affected = self.affected_machines(fault);
+        let domains: BTreeSet<usize> = affected.iter().map(|n| self.failure_domain(*n)).collect();
+        let max = self.max_lost_domains();
+        let is_total = fault.strikes_all();
+        if !is_total && domains.len() > max {
+            return BudgetDecision::Denied;
         }
-        // Until when each part of the others counts as lost.
-        let mut others: BTreeMap<usize, Duration> = BTreeMap::new();
-        for n in 0..self.nodes.len() {
-            let (node, part) = (&self.nodes[n], self.counted_part(n));
-            if all || !parts.contains(&part) {
-                // Where all go at once, new ones go too.
-                let until = if all {
-                    node.lost_until
-                } else {
-                    node.lost_until.max(node.new_until)
-                };
-                let known = others.entry(part).or_default();
-                *known = until.max(*known);
-            }
+        let others_may_be_lost = if is_total { 0 } else { max - domains.len() };
+        let lost_until = self.others_lost_until(&domains, is_total);
+        match lost_until.get(others_may_be_lost) {
+            Some(until) => BudgetDecision::AllowedAt(*until),
+            None => BudgetDecision::Allowed,
         }
-        let mut others: Vec<Duration> = others
-            .into_values()
-            .filter(|until| *until > self.now)
-            .collect();
-        others.sort_unstable_by(|a, b| b.cmp(a));
-        match others.get(may_be_lost) {
-            Some(until) => Gate::At(*until),
-            None => Gate::Open,
+    }
+
+    /// Whether a fault's machines are there, and enough of them are left for one that removes a machine for good.
+    fn can_strike(&self, fault: Fault) -> bool {
+        if fault.strikes_all() {
+            return true;
+        }
+        let left = self.nodes.iter().filter(|n| !n.gone).count();
+        let too_few = left <= 2 * self.plan.machine_losses as usize + 1;
+        if matches!(fault, Fault::Retire(_)) && too_few {
+            return false;
+        }
+        let is_there = |n: &usize| self.nodes.get(*n).is_some_and(|node| !node.gone);
+        self.affected_machines(fault).iter().all(is_there)
+    }
+
+    /// Until when each failure domain but those of a fault counts as lost, the last first. Where a fault strikes all
+    /// machines, all domains count, and joining machines don't.
+    fn others_lost_until(&self, domains: &BTreeSet<usize>, is_total: bool) -> Vec<Duration> {
+        let mut by_domain: BTreeMap<usize, Duration> = BTreeMap::new();
+        for (n, node) in self.nodes.iter().enumerate() {
+            let domain = self.failure_domain(n);
+            if !is_total && domains.contains(&domain) {
+                continue;
+            }
+            let until = if is_total {
+                node.lost_until
+            } else {
+                node.lost_until.max(node.joining_until)
+            };
+            let known = by_domain.entry(domain).or_default();
+            *known = until.max(*known);
         }
+        let lost = by_domain.into_values().filter(|until| *until > self.now);
+        let mut lost: Vec<Duration> = lost.collect();
+        lost.sort_unstable_by(|a, b| b.cmp(a));
+        lost
     }
 
-    /// A fault strikes as soon as the budget allows it.
-    pub(super) fn strike_in_budget(&mut self, fault: Fault) {
-        match self.gate(fault) {
-            Gate::Open => self.strike_counted(fault),
-            Gate::At(at) => self.at(at, 0, What::Fault(fault)),
-            Gate::Never => {}
+    /// Injects a fault as soon as the budget allows it.
+    pub(super) fn inject_within_budget(&mut self, fault: Fault) {
+        match self.budget_decision(fault) {
+            BudgetDecision::Allowed => self.inject_counted(fault),
+            BudgetDecision::AllowedAt(at) => self.schedule(at, 0, EventKind::InjectFault(fault)),
+            BudgetDecision::Denied => {}
         }
     }
 
-    /// A fault strikes now or not at all. Whether it did.
-    pub(super) fn strike_now(&mut self, fault: Fault) -> bool {
-        let open = matches!(self.gate(fault), Gate::Open);
+    /// Injects a fault now or not at all. Whether it struck.
+    pub(super) fn try_inject(&mut self, fault: Fault) -> bool {
+        let open = matches!(self.budget_decision(fault), BudgetDecision::Allowed);
         if open {
-            self.strike_counted(fault);
+            self.inject_counted(fault);
         }
         open
     }
 
-    fn strike_counted(&mut self, fault: Fault) {
-        let spread = if matches!(fault, Fault::KillAll(_) | Fault::PowerAll(..)) {
-            ms(200)
+    /// Injects a fault and counts its machines as lost.
+    fn inject_counted(&mut self, fault: Fault) {
+        let spread = if fault.strikes_all() {
+            RESTART_SPREAD
         } else {
-            ms(0)
+            Duration::ZERO
         };
-        let ends = if matches!(fault, Fault::Retire(_)) {
-            TERM_TIME
+        let duration = if matches!(fault, Fault::Retire(_)) {
+            GRACEFUL_SHUTDOWN_TIME
         } else {
-            fault.length()
+            fault.duration()
         };
-        let until = self.now + ends + spread + CATCH_UP;
-        for n in self.struck(fault) {
+        let until = self.now + duration + spread + CATCH_UP_TIME;
+        for n in self.affected_machines(fault) {
             self.nodes[n].lost_until = self.nodes[n].lost_until.max(until);
         }
-        let loses_disk = matches!(
-            fault,
-            Fault::Wipe(..) | Fault::Replace(..) | Fault::Retire(_) | Fault::PowerAll(_, Some(_))
-        );
-        self.disks_lost += u32::from(loses_disk);
-        self.report.struck.push((self.now - ms(1000), fault));
-        self.strike(fault);
+        self.lost_disks += u32::from(fault.loses_disk());
+        let at = self.now - START_TIME;
+        self.report.injected_faults.push((at, fault));
+        self.inject(fault);
     }
 
-    /// Whether a member has no trouble now and may be called.
-    pub(super) fn is_well(&self, n: usize) -> bool {
+    /// Whether a member has no fault now and may be called.
+    pub(super) fn is_healthy(&self, n: usize) -> bool {
         let node = &self.nodes[n];
-        let lost = node
-            .lost_until
-            .saturating_sub(CATCH_UP)
-            .max(node.until.apart)
-            > self.now;
-        !node.gone && !node.frozen && node.member.is_some() && !lost
+        let lost_until = node.lost_until.saturating_sub(CATCH_UP_TIME);
+        let is_lost = lost_until.max(node.fault_ends.apart) > self.now;
+        !node.gone && !node.frozen && node.member.is_some() && !is_lost
     }
 }
--- a/crates/simulator/src/world/disk.rs
+++ b/crates/simulator/src/world/disk.rs
@@ -1,71 +1,61 @@
 //! The simulated disk: what was synced lasts.
 
-use super::{What, World};
+use super::event::EventKind;
+use super::state::World;
 use crate::plan::ms;
-use crate::planted::Planted;
+use crate::seeded_bug::SeededBug;
 use control_plane::member::{DiskError, Input};
 use rand_core::RngCore;
 use std::time::Duration;
 
+/// Shortest time of a write on a healthy disk.
+const MIN_WRITE_TIME: Duration = ms(2);
+/// Random time on top of that, in microseconds.
+const WRITE_TIME_SPREAD_US: u64 = 1500;
+/// When a write reaches the disk that a seeded bug confirms at once.
+const UNSYNCED_WRITE_TIME: Duration = ms(400);
+/// Ids of members whose disks were wiped begin here.
+const FIRST_WIPED_ID: u64 = 10_000;
+
 impl World<'_> {
     /// Starts a write.
-    pub(super) fn write(
+    pub(super) fn start_write(
         &mut self,
         n: usize,
         ticket: u64,
         mut records: Vec<Vec<u8>>,
         rewrite: bool,
     ) {
-        let (stalled, full, slow) = self.nodes[n].disk;
-        let time = (ms(2) + Duration::from_micros(self.pick(1500))) * slow;
-        self.planted_write(n, &mut records);
-        let result = if full { Err(DiskError::Full) } else { Ok(()) };
-        let early = self.plan.planted == Planted::NoSync;
-        let wrote = What::Wrote {
+        let disk = self.nodes[n].disk;
+        let spread = Duration::from_micros(self.random_below(WRITE_TIME_SPREAD_US));
+        let time = (MIN_WRITE_TIME + spread) * disk.slowdown;
+        self.rewrite_records(n, &mut records);
+        let result = if disk.full {
+            Err(DiskError::Full)
+        } else {
+            Ok(())
+        };
+        let confirms_early = self.plan.seeded_bug == SeededBug::NoSync;
+        let write = |ticket, records, rewrite| EventKind::WriteCompleted {
             ticket,
             records,
             rewrite,
             result,
         };
-        if stalled {
-            self.nodes[n].held_back.push((n, wrote));
-        } else if early {
-            // Confirmed now, on disk long after.
-            if let What::Wrote {
-                ticket,
-                records,
-                rewrite,
-                result,
-            } = wrote
-            {
-                self.at(
-                    self.now,
-                    n,
-                    What::Wrote {
-                        ticket,
-                        records: vec![],
-                        rewrite: false,
-                        result,
-                    },
-                );
-                self.at(
-                    self.now + ms(400),
-                    n,
-                    What::Wrote {
-                        ticket: 0,
-                        records,
-                        rewrite,
-                        result,
-                    },
-                );
-            }
+        if disk.stalled {
+            let stalled = write(ticket, records, rewrite);
+            self.nodes[n].deferred_events.push((n, stalled));
+        } else if confirms_early {
+            self.schedule(self.now, n, write(ticket, vec![], false));
+            let late = write(0, records, rewrite);
+            self.schedule(self.now + UNSYNCED_WRITE_TIME, n, late);
         } else {
-            self.at(self.now + time, n, wrote);
+            self.schedule(self.now + time, n, write(ticket, records, rewrite));
         }
     }
 
-    /// A write has ended.
-    pub(super) fn wrote(
+    /// The disk has completed a write.
+    pub(super) fn write_completed(
         &mut self,
         n: usize,
         ticket: u64,
@@ -82,38 +72,30 @@
         self.step(n, Input::Wrote { ticket, result });
     }
 
+    /// The disk loses everything; its member comes back with another id.
     pub(super) fn wipe(&mut self, n: usize) {
-        let id = 10_000 + u64::from(self.rng.next_u32());
+        let id = FIRST_WIPED_ID + u64::from(self.rng.next_u32());
         self.nodes[n].records.clear();
-        if self.plan.planted != Planted::WipedVotes {
-            self.nodes[n].seat.id = id;
-            self.nodes[n].initial_voter = false;
+        if self.plan.seeded_bug != SeededBug::WipedMemberVotes {
+            self.nodes[n].info.id = id;
+            self.nodes[n].is_initial_voter = false;
         }
     }
 
-    /// The process or its machine ends while a write is under way: the file then ends somewhere in it, and what
-    /// was to stand for all of it does or doesn't.
-    pub(super) fn end_writes(&mut self, n: usize) {
-        let held = std::mem::take(&mut self.nodes[n].held_back)
-            .into_iter()
-            .map(|h| h.1);
-        let numbers: Vec<u64> = self
-            .queue
+    /// The process or its machine ends while writes are under way. Of an appending write a random number of records is
+    /// kept; a rewrite is kept whole or not at all.
+    pub(super) fn settle_unfinished_writes(&mut self, n: usize) {
+        let deferred = std::mem::take(&mut self.nodes[n].deferred_events);
+        let deferred = deferred.into_iter().map(|(_, event)| event);
+        let is_write = |event: &EventKind| matches!(event, EventKind::WriteCompleted { .. });
+        let mut queued = self.queued_events(n);
+        queued.retain(|number| self.events.get(number).is_some_and(is_write));
+        let queued: Vec<EventKind> = queued
             .iter()
-            .filter(|q| q.0 .2 == n)
-            .map(|q| q.0 .1)
-            .collect();
-        let is_write = |w: &What| matches!(w, What::Wrote { .. });
-        let queued: Vec<u64> = numbers
-            .into_iter()
-            .filter(|q| self.what.get(q).is_some_and(is_write))
-            .collect();
-        let queued: Vec<What> = queued
-            .into_iter()
-            .filter_map(|q| self.what.remove(&q))
+            .filter_map(|number| self.events.remove(number))
             .collect();
-        for write in held.chain(queued) {
-            let What::Wrote {
+        for write in deferred.chain(queued) {
+            let EventKind::WriteCompleted {
                 mut records,
                 rewrite,
                 result: Ok(()),
@@ -122,7 +104,7 @@
             else {
                 continue;
             };
-            let kept = self.pick(records.len() as u64 + 1) as usize;
+            let kept = self.random_below(records.len() as u64 + 1) as usize;
             if !rewrite {
                 records.truncate(kept);
                 self.nodes[n].records.extend(records);
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -1,38 +1,54 @@
-//! The simulated network: messages, their delays, members that are cut off.
+//! The simulated network: messages, their delays, partitions.
 
-use super::readers::AGENTS;
-use super::{What, World};
-use crate::faults::Moment;
+use super::event::EventKind;
+use super::state::World;
+use super::subscriber::FIRST_AGENT_MACHINE;
+use crate::faults::{CutDirection, FaultTrigger};
 use crate::plan::ms;
 use control_plane::member::Input;
-use protocol::{MemberInfo, Message};
+use protocol::{MemberInfo, MembershipConfig, Message};
 use std::time::Duration;
 
 /// Zones that machines are spread over.
 pub(super) const ZONES: usize = 3;
-/// Machines that there are at most.
-const MOST_MACHINES: usize = 30;
-
-/// A message without what is long.
-fn brief(message: &Message) -> String {
-    let ids = |seats: &[MemberInfo]| seats.iter().map(|s| s.id).collect::<Vec<_>>();
-    let told = |view: &protocol::MembershipConfig| {
-        format!(
-            "{} of {}, {:?} {:?} {:?}",
-            view.epoch,
-            view.primary,
-            view.replicas,
-            ids(&view.voters),
-            ids(&view.before)
-        )
-    };
+/// Machines of members that there are at most.
+const MAX_MACHINES: usize = 30;
+/// Shortest delay of a message.
+const MIN_DELAY: Duration = Duration::from_micros(400);
+/// Random delay on top of that, in microseconds.
+const DELAY_SPREAD_US: u64 = 1200;
+/// One message of this many is lost and sent again by its connection.
+const RETRANSMITTED_ONE_IN: u64 = 200;
+/// How much later such a message arrives.
+const RETRANSMISSION_DELAY: Duration = ms(200);
+/// Of the messages sent into a cut, one of this many arrives later.
+const LATE_ONE_IN: u64 = 4;
+/// Of the forwarded commands, one of this many arrives twice.
+const DUPLICATED_ONE_IN: u64 = 8;
+/// How much later such messages arrive at most, in milliseconds.
+const MAX_LATENESS_MS: u64 = 3000;
+/// Members show each other that they are reachable this often.
+const REACHABILITY_INTERVAL: Duration = ms(1000);
+
+/// A membership configuration in short, for people.
+pub(super) fn summarize_membership(membership: &MembershipConfig) -> String {
+    let ids = |members: &[MemberInfo]| members.iter().map(|m| m.id).collect::<Vec<_>>();
+    format!(
+        "epoch {}, primary {}, replicas {:?}, voters {:?}, before {:?}",
+        membership.epoch,
+        membership.primary,
+        membership.replicas,
+        ids(&membership.voters),
+        ids(&membership.before)
+    )
+}
+
+/// A message without its long parts.
+fn summarize(message: &Message) -> String {
     match message {
         Message::InstallMembership { view, snapshot } => {
-            format!(
-                "install {} ledger {:?}",
-                told(view),
-                snapshot.as_ref().map(|s| s.seq)
-            )
+            let index = snapshot.as_ref().map(|s| s.seq);
+            format!("install {}, snapshot {index:?}", summarize_membership(view))
         }
         Message::Promise {
             epoch,
@@ -42,177 +58,187 @@
             wait_ms,
             ..
         } => {
-            format!(
-                "promise {epoch} {granted} {:?} {tag:?} wait {wait_ms}",
-                view.as_ref().map(told)
-            )
+            let membership = view.as_ref().map(summarize_membership);
+            format!("promise {epoch} {granted} {membership:?} {tag:?} wait {wait_ms}")
         }
-        Message::SnapshotReply { epoch, tag, .. } => format!("ledger {epoch} {tag:?}"),
+        Message::SnapshotReply { epoch, tag, .. } => format!("snapshot {epoch} {tag:?}"),
         Message::Prepare { epoch, .. } => format!("prepare {epoch}"),
         other => format!("{other:?}"),
     }
 }
 
+/// Whether a message is too frequent for the trace.
+fn is_frequent(message: &Message) -> bool {
+    matches!(
+        message,
+        Message::RenewLease { .. }
+            | Message::LeaseReply { .. }
+            | Message::AppendChange { .. }
+            | Message::AppendReply { .. }
+            | Message::ForwardCommand { .. }
+            | Message::CommandResult { .. }
+    )
+}
+
 impl World<'_> {
-    /// Sends a message; it may be late, and comes to nothing where the way is cut.
+    /// Sends a message. It may be late, and is lost if its link is cut.
     pub(super) fn send(&mut self, n: usize, to: &MemberInfo, message: Message) {
-        let life = self.nodes[n].life;
-        let Some(to) = self.nodes.iter().position(|m| m.seat.addr == to.addr) else {
+        let incarnation = self.nodes[n].incarnation;
+        let Some(to) = self.nodes.iter().position(|m| m.info.addr == to.addr) else {
             return;
         };
-        let Some(message) = self.planted_send(n, to, message) else {
+        let Some(message) = self.rewrite_sent_message(n, to, message) else {
             return;
         };
-        let lost = self.pick(200) == 0;
-        let mut delay =
-            Duration::from_micros(400 + self.pick(1200)) + ms(if lost { 200 } else { 0 });
-        let cut = self.cut.contains_key(&(n, to));
+        let is_retransmitted = self.random_below(RETRANSMITTED_ONE_IN) == 0;
+        let spread = Duration::from_micros(self.random_below(DELAY_SPREAD_US));
+        let mut delay = MIN_DELAY + spread;
+        if is_retransmitted {
+            delay += RETRANSMISSION_DELAY;
+        }
+        let is_cut = self.cut.contains_key(&(n, to));
         if self.plan.strict {
-            self.note_sent(n, to, &message);
-            if !matches!(
-                message,
-                Message::RenewLease { .. }
-                    | Message::LeaseReply { .. }
-                    | Message::AppendChange { .. }
-                    | Message::AppendReply { .. }
-                    | Message::ForwardCommand { .. }
-                    | Message::CommandResult { .. }
-            ) {
-                self.note(|_| format!("{n} to {to}: {}", brief(&message)));
+            self.fire_message_triggers(n, to, &message);
+            if !is_frequent(&message) {
+                self.trace(|_| format!("{n} to {to}: {}", summarize(&message)));
             }
-            // What was sent into a short cut may come when it is over; a command may come twice.
-            let late = cut && self.pick(4) == 0;
-            let twice = matches!(message, Message::ForwardCommand { .. }) && self.pick(8) == 0;
-            if late || twice {
-                let later = self.now + delay + ms(self.pick(3000));
-                self.at(
-                    later,
-                    to,
-                    What::Late {
-                        from: n,
-                        life,
-                        message: Box::new(message.clone()),
-                    },
-                );
-            }
-            // A connection keeps the order.
-            let last = self.link_busy.entry((n, to)).or_insert(self.now);
-            *last = (self.now + delay).max(*last + Duration::from_nanos(1));
-            delay = *last - self.now;
+            self.deliver_again_late(n, to, &message, delay, is_cut);
+            delay = self.delay_in_order(n, to, delay);
+        }
+        if !is_cut {
+            let event = EventKind::Deliver {
+                from: n,
+                incarnation,
+                message: Box::new(message),
+            };
+            self.schedule(self.now + delay, to, event);
         }
-        if !cut {
-            self.at(
-                self.now + delay,
-                to,
-                What::Deliver {
-                    from: n,
-                    life,
-                    message: Box::new(message),
-                },
-            );
+    }
+
+    /// What was sent into a cut may arrive when it is over; a forwarded command may arrive twice.
+    fn deliver_again_late(
+        &mut self,
+        n: usize,
+        to: usize,
+        message: &Message,
+        delay: Duration,
+        is_cut: bool,
+    ) {
+        let is_late = is_cut && self.random_below(LATE_ONE_IN) == 0;
+        let is_command = matches!(message, Message::ForwardCommand { .. });
+        let is_duplicated = is_command && self.random_below(DUPLICATED_ONE_IN) == 0;
+        if !is_late && !is_duplicated {
+            return;
         }
+        let at = self.now + delay + ms(self.random_below(MAX_LATENESS_MS));
+        let event = EventKind::DeliverLate {
+            from: n,
+            incarnation: self.nodes[n].incarnation,
+            message: Box::new(message.clone()),
+        };
+        self.schedule(at, to, event);
+    }
+
+    /// The delay of a message after which it doesn't overtake earlier ones: a connection keeps the order.
+    fn delay_in_order(&mut self, n: usize, to: usize, delay: Duration) -> Duration {
+        let last = self.link_busy_until.entry((n, to)).or_insert(self.now);
+        *last = (self.now + delay).max(*last + Duration::from_nanos(1));
+        *last - self.now
     }
 
-    /// What is sent tells of moments.
-    fn note_sent(&mut self, n: usize, to: usize, message: &Message) {
+    /// Fires the triggers that a sent message stands for.
+    fn fire_message_triggers(&mut self, n: usize, to: usize, message: &Message) {
         match message {
             Message::InstallMembership {
                 view,
                 snapshot: Some(_),
-            } if view.primary == self.nodes[n].seat.id => {
-                self.moment(Moment::Composed, n);
+            } if view.primary == self.nodes[n].info.id => {
+                self.fire_trigger(FaultTrigger::MembershipComposed, n);
                 if !view.settled() {
-                    let is_new = |m: &&super::Node| !view.before.iter().any(|s| s.id == m.seat.id);
-                    let new = self
-                        .nodes
-                        .iter()
-                        .filter(|m| view.seat(m.seat.id).is_some())
-                        .find(is_new);
-                    let new =
-                        new.and_then(|m| self.nodes.iter().position(|o| o.seat.id == m.seat.id));
-                    self.moment(Moment::Unsettled, new.unwrap_or(n));
+                    let new_voter = self.new_voter(view);
+                    self.fire_trigger(FaultTrigger::VotersChanging, new_voter.unwrap_or(n));
                 }
             }
-            Message::FetchSnapshot { .. } => self.moment(Moment::Fetching, to),
-            Message::Promise { granted: true, .. } => self.moment(Moment::Promised, n),
+            Message::FetchSnapshot { .. } => self.fire_trigger(FaultTrigger::FetchingSnapshot, to),
+            Message::Promise { granted: true, .. } => self.fire_trigger(FaultTrigger::Promised, n),
             _ => {}
         }
     }
 
-    /// A message that comes late comes only if its sender is still there.
-    pub(super) fn deliver_late(&mut self, from: usize, life: u32, message: Message, to: usize) {
+    /// The first machine whose member is a voter and was none before.
+    fn new_voter(&self, membership: &MembershipConfig) -> Option<usize> {
+        self.nodes.iter().position(|node| {
+            let id = node.info.id;
+            membership.seat(id).is_some() && !membership.before.iter().any(|m| m.id == id)
+        })
+    }
+
+    /// Delivers a late message, if its sender still runs.
+    pub(super) fn deliver_late(
+        &mut self,
+        from: usize,
+        incarnation: u32,
+        message: Message,
+        to: usize,
+    ) {
         if self.nodes[from].member.is_some() {
-            self.deliver(from, life, message, to);
+            self.deliver(from, incarnation, message, to);
         }
     }
 
-    pub(super) fn deliver(&mut self, from: usize, life: u32, message: Message, to: usize) {
-        let seat = self.nodes[from].seat.clone();
-        if self.nodes[from].life == life && !self.cut.contains_key(&(from, to)) {
-            if matches!(
-                message,
-                Message::InstallMembership {
-                    snapshot: Some(_),
-                    ..
-                }
-            ) {
-                self.moment(Moment::Installing, to);
-            }
-            self.step(
-                to,
-                Input::Message {
-                    from: seat,
-                    message,
-                },
-            );
+    /// Delivers a message, if its sender still runs in the same incarnation and the link is not cut.
+    pub(super) fn deliver(&mut self, from: usize, incarnation: u32, message: Message, to: usize) {
+        let sender = &self.nodes[from];
+        if sender.incarnation != incarnation || self.cut.contains_key(&(from, to)) {
+            return;
+        }
+        let from = sender.info.clone();
+        if let Message::InstallMembership {
+            snapshot: Some(_), ..
+        } = &message
+        {
+            self.fire_trigger(FaultTrigger::Installing, to);
         }
+        self.step(to, Input::Message { from, message });
     }
 
-    /// Members show that they are there, as their links do.
-    pub(super) fn hello(&mut self, n: usize) {
+    /// A member shows the others that it is reachable, as its connections do.
+    pub(super) fn announce_reachable(&mut self, n: usize) {
         if self.nodes[n].member.is_none() {
             return;
         }
-        let seat = self.nodes[n].seat.clone();
+        let seat = self.nodes[n].info.clone();
         for to in 0..self.nodes.len() {
             let reaches = to != n && !self.cut.contains_key(&(n, to)) && !self.nodes[to].frozen;
             if reaches && self.nodes[to].member.is_some() {
                 self.step(to, Input::Reachable { seat: seat.clone() });
             }
         }
-        self.at(self.now + ms(1000), n, What::Hello);
+        let next = self.now + REACHABILITY_INTERVAL;
+        self.schedule(next, n, EventKind::AnnounceReachable);
     }
 
-    pub(super) fn cut_off(&mut self, n: usize, way: Option<bool>, on: bool) {
-        for other in (0..self.nodes.len()).filter(|o| *o != n) {
-            for pair in [(n, other), (other, n)] {
-                let out = pair.0 == n;
-                if way.is_none_or(|w| w == out) {
-                    let count = self.cut.entry(pair).or_insert(0);
-                    *count = if on {
-                        *count + 1
-                    } else {
-                        count.saturating_sub(1)
-                    };
-                    if *count == 0 {
-                        self.cut.remove(&pair);
-                    }
-                }
-            }
-        }
+    /// Cuts a machine off from all others, or joins it again.
+    pub(super) fn cut_machine(&mut self, n: usize, direction: CutDirection, cut: bool) {
+        let others = (0..self.nodes.len()).filter(|other| *other != n);
+        let links: Vec<(usize, usize)> = others
+            .flat_map(|other| [(n, other), (other, n)])
+            .filter(|(from, _)| direction.includes(*from == n))
+            .collect();
+        self.cut_links(&links, cut);
     }
 
-    /// Cuts single ways, or joins them again.
-    pub(super) fn cut_ways(&mut self, ways: &[(usize, usize)], on: bool) {
-        for way in ways {
-            let count = self.cut.entry(*way).or_insert(0);
-            *count = if on {
+    /// Cuts links (from, to), or joins them again.
+    pub(super) fn cut_links(&mut self, links: &[(usize, usize)], cut: bool) {
+        for link in links {
+            let count = self.cut.entry(*link).or_insert(0);
+            *count = if cut {
                 *count + 1
             } else {
                 count.saturating_sub(1)
             };
             if *count == 0 {
-                self.cut.remove(way);
+                self.cut.remove(link);
             }
         }
     }
@@ -226,7 +252,7 @@
         }
     }
 
-    /// Members in a zone that haven't gone.
+    /// Machines of a zone that aren't gone.
     pub(super) fn zone(&self, zone: usize) -> Vec<usize> {
         let inside = |n: &usize| self.zone_of(*n) == zone % ZONES;
         (0..self.nodes.len())
@@ -234,18 +260,20 @@
             .collect()
     }
 
-    pub(super) fn cut_zone(&mut self, zone: usize, way: Option<bool>, on: bool) {
-        let inside = |n: usize| self.zone_of(n) == zone % ZONES;
-        // Machines that are yet to come have numbers, too.
-        let agents = AGENTS..AGENTS + self.plan.agents;
-        let all: Vec<usize> = (0..MOST_MACHINES).chain(agents).collect();
-        let mut ways = Vec::new();
-        for a in all.iter().copied().filter(|n| inside(*n)) {
-            for b in all.iter().copied().filter(|n| !inside(*n)) {
-                ways.extend(way.is_none_or(|out| out).then_some((a, b)));
-                ways.extend(way.is_none_or(|out| !out).then_some((b, a)));
+    /// Cuts all machines of a zone off from the others, or joins them again.
+    pub(super) fn cut_zone(&mut self, zone: usize, direction: CutDirection, cut: bool) {
+        let is_inside = |n: usize| self.zone_of(n) == zone % ZONES;
+        // Machines that have yet to join have numbers, too.
+        let agents = FIRST_AGENT_MACHINE..FIRST_AGENT_MACHINE + self.plan.agents;
+        let machines = (0..MAX_MACHINES).chain(agents);
+        let (inside, outside): (Vec<usize>, Vec<usize>) = machines.partition(|n| is_inside(*n));
+        let mut links = Vec::new();
+        for a in &inside {
+            for b in &outside {
+                links.extend(direction.includes(true).then_some((*a, *b)));
+                links.extend(direction.includes(false).then_some((*b, *a)));
             }
         }
-        self.cut_ways(&ways, on);
+        self.cut_links(&links, cut);
     }
 }
--- a/crates/simulator/tests/modes.rs
+++ b/crates/simulator/tests/modes.rs
@@ -1,7 +1,10 @@
-//! Schedules of the modes that bring the worst days about: no breach in any of them.
+//! Plans of the modes with the hardest faults: no violation in any of them.
 
 use rstest::rstest;
-use simulator::{code, run, shrink, Aimed, Fault, Mode, Moment, Orders, Plan, Planted, Who};
+use simulator::{
+    plan_as_code, run, shrink, ClientWorkload, Fault, FaultTarget, FaultTrigger, Mode, Plan,
+    SeededBug, TriggeredFault,
+};
 use std::time::Duration;
 
 #[rstest]
@@ -11,128 +14,141 @@
 #[case(Mode::Storm, 6)]
 #[case(Mode::Promises, 100)]
 #[case(Mode::Zones, 12)]
-fn schedules_of_a_mode_break_nothing(#[case] mode: Mode, #[case] many: u64) {
-    let broken: Vec<_> = (0..many)
-        .map(|seed| (seed, run(&mode.plan(seed)).breaches))
+fn no_violation_when_plans_of_a_mode_run(#[case] mode: Mode, #[case] many: u64) {
+    let violating: Vec<_> = (0..many)
+        .map(|seed| (seed, run(&mode.plan(seed)).violations))
         .filter(|r| !r.1.is_empty())
         .collect();
-    let small = broken.first().map(|b| code(&shrink(&mode.plan(b.0))));
+    let small = violating
+        .first()
+        .map(|b| plan_as_code(&shrink(&mode.plan(b.0))));
     assert!(
-        broken.is_empty(),
-        "{mode:?}: {broken:#?}, the first one made small: {small:?}"
+        violating.is_empty(),
+        "{mode:?}: {violating:#?}, the first one made small: {small:?}"
     );
 }
 
-/// Whole zones are cut off, lose power, stand still and lose their disks, in runs with clocks that drift and without.
+/// Whole zones are cut off, lose power, freeze and lose their disks, in runs with drifting clocks and without.
 #[test]
-fn zones_are_lost_whole() {
-    let struck: Vec<Fault> = (0..12)
-        .flat_map(|seed| run(&Plan::zones(seed)).struck)
+fn whole_zones_are_lost_when_mode_is_zones() {
+    let injected: Vec<Fault> = (0..12)
+        .flat_map(|seed| run(&Plan::zones(seed)).injected_faults)
         .map(|(_, fault)| fault)
         .collect();
-    let times = |of: fn(&Fault) -> bool| struck.iter().filter(|fault| of(fault)).count();
+    let times = |is: fn(&Fault) -> bool| injected.iter().filter(|fault| is(fault)).count();
     assert!(
         times(|fault| matches!(fault, Fault::CutZone(..))) >= 4,
-        "{struck:?}"
+        "{injected:?}"
     );
     assert!(
         times(|fault| matches!(fault, Fault::Power(..))) >= 4,
-        "{struck:?}"
+        "{injected:?}"
     );
     assert!(
         times(|fault| matches!(fault, Fault::Freeze(..))) >= 4,
-        "{struck:?}"
+        "{injected:?}"
     );
     assert!(
         times(|fault| matches!(fault, Fault::Wipe(..))) >= 4,
-        "{struck:?}"
+        "{injected:?}"
     );
-    assert!((0..12).any(|seed| Plan::zones(seed).drift_ppm > 0));
+    assert!((0..12).any(|seed| Plan::zones(seed).clock_drift_ppm > 0));
 }
 
-/// A run of a mode is the same again, agents and operators with it.
+/// Runs with agents and several clients are deterministic, too.
 #[rstest]
-fn a_run_of_a_mode_is_the_same_again(#[values(Mode::Long, Mode::Aimed, Mode::Double)] mode: Mode) {
+fn run_is_the_same_when_plan_of_a_mode_is_repeated(
+    #[values(Mode::Long, Mode::Aimed, Mode::Double)] mode: Mode,
+) {
     let (a, b) = (run(&mode.plan(3)), run(&mode.plan(3)));
     assert_eq!(
-        (a.steps, a.acknowledged, a.epoch, a.struck),
-        (b.steps, b.acknowledged, b.epoch, b.struck)
+        (a.steps, a.acknowledged, a.highest_epoch, a.injected_faults),
+        (b.steps, b.acknowledged, b.highest_epoch, b.injected_faults)
     );
 }
 
-/// All machines lose power while the first view is on its way to the replicas; what of it was written is drawn.
-fn all_power_at_the_first_view(seed: u64) -> Plan {
+/// All machines lose power while the first membership is on its way to the replicas. How much of it reaches a disk is
+/// random.
+fn all_power_lost_at_the_first_membership(seed: u64) -> Plan {
     let power = Fault::PowerAll(Duration::from_millis(333), None);
-    let (moment, who) = (Moment::Composed, Who::Primary);
-    let aimed = Aimed {
-        moment,
+    let (trigger, target) = (FaultTrigger::MembershipComposed, FaultTarget::Primary);
+    let aimed = TriggeredFault {
+        trigger,
         nth: 1,
         delay: Duration::from_micros(1190),
-        who,
+        target,
         fault: power,
     };
-    let orders = Some(Orders::default());
+    let workload = Some(ClientWorkload::default());
     Plan {
         strict: true,
-        orders,
-        aimed: vec![aimed],
-        ..Plan::calm(seed)
+        workload,
+        triggered_faults: vec![aimed],
+        ..Plan::without_faults(seed)
     }
 }
 
-/// Seeds of the plan above that are played.
+/// Number of seeds with which the plan above is run.
 const POWER_SEEDS: u64 = 40;
 
-/// Members whose disks held a promise and no view had no say any more, and nobody acted for good.
+/// Members whose disks held a promise and no membership were no voters any more, and no primary ever acted.
 #[test]
-fn the_first_view_survives_a_loss_of_all_power() {
+fn no_violation_when_all_power_is_lost_at_the_first_membership() {
     for seed in 0..POWER_SEEDS {
-        let report = run(&all_power_at_the_first_view(seed));
-        assert!(report.breaches.is_empty(), "{seed}: {:?}", report.breaches);
+        let report = run(&all_power_lost_at_the_first_membership(seed));
         assert!(
-            report.acknowledged > 0 && report.struck.len() == 1,
+            report.violations.is_empty(),
+            "{seed}: {:?}",
+            report.violations
+        );
+        assert!(
+            report.acknowledged > 0 && report.injected_faults.len() == 1,
             "{seed}: {report:?}"
         );
     }
 }
 
-/// The first of these plans that finds the fault which was once found by them.
-fn found_again() -> Option<Plan> {
-    let planted = Planted::InitialVotersForgotten;
+/// The first of these plans that finds [`SeededBug::InitialVotersForgotten`], which was a real fault once.
+fn first_plan_with_forgotten_initial_voters() -> Option<Plan> {
+    let bug = SeededBug::InitialVotersForgotten;
     let mut plans = (0..POWER_SEEDS).map(|seed| Plan {
-        planted,
-        ..all_power_at_the_first_view(seed)
+        seeded_bug: bug,
+        ..all_power_lost_at_the_first_membership(seed)
     });
-    plans.find(|plan| !run(plan).breaches.is_empty())
+    plans.find(|plan| !run(plan).violations.is_empty())
 }
 
 #[test]
-fn the_loss_of_all_power_at_the_first_view_finds_the_fault_that_it_once_found() {
-    assert!(found_again().is_some());
+fn forgotten_initial_voters_are_found_when_all_power_is_lost_at_the_first_membership() {
+    assert!(first_plan_with_forgotten_initial_voters().is_some());
 }
 
-/// What doesn't matter to a breach goes, what does stays.
+/// Shrinking removes the fault that a violation doesn't need and keeps the one that it needs.
 #[test]
-fn a_broken_plan_is_made_small() {
-    let mut plan = found_again().unwrap();
+fn only_the_needed_fault_is_left_when_a_violating_plan_is_shrunk() {
+    let mut plan = first_plan_with_forgotten_initial_voters().unwrap();
     plan.faults = vec![(
         Duration::from_secs(5),
         Fault::Freeze(1, Duration::from_millis(500)),
     )];
-    assert!(!run(&plan).breaches.is_empty());
+    assert!(!run(&plan).violations.is_empty());
     let small = shrink(&plan);
     assert_eq!(
-        (small.faults.len(), small.aimed.len()),
+        (small.faults.len(), small.triggered_faults.len()),
         (0, 1),
         "{}",
-        code(&small)
+        plan_as_code(&small)
+    );
+    assert!(
+        plan_as_code(&small).contains("Fault::PowerAll"),
+        "{}",
+        plan_as_code(&small)
     );
-    assert!(code(&small).contains("Fault::PowerAll"), "{}", code(&small));
 }
 
-/// A fault that the budget doesn't allow yet strikes at exactly the time from which it does.
+/// A fault that the budget doesn't allow yet strikes exactly when it does.
 #[test]
-fn the_next_loss_comes_at_exactly_the_bound() {
+fn fault_strikes_exactly_when_the_budget_allows_it_again() {
     let (back, first) = (Duration::from_millis(500), Duration::from_millis(5000));
     let faults = vec![
         (first, Fault::Kill(0, back)),
@@ -140,16 +156,16 @@
     ];
     let report = run(&Plan {
         strict: true,
-        orders: Some(Orders::default()),
+        workload: Some(ClientWorkload::default()),
         faults,
-        ..Plan::calm(5)
+        ..Plan::without_faults(5)
     });
-    let times: Vec<Duration> = report.struck.iter().map(|s| s.0).collect();
+    let times: Vec<Duration> = report.injected_faults.iter().map(|s| s.0).collect();
     assert_eq!(
         times,
         [first, first + back + Duration::from_secs(4)],
         "{:?}",
-        report.breaches
+        report.violations
     );
-    assert!(report.breaches.is_empty(), "{:?}", report.breaches);
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
 }
--- a/crates/simulator/tests/schedules.rs
+++ b/crates/simulator/tests/schedules.rs
@@ -1,38 +1,42 @@
-//! Drawn schedules of faults: no breach in any of them, and planted bugs found.
+//! Drawn and rough plans: no violation in any of them, and seeded bugs found.
 
 use rstest::rstest;
-use simulator::{run, Fault, Plan, Planted};
+use simulator::{run, Fault, Plan, SeededBug};
 
 #[test]
-fn a_hundred_drawn_schedules_break_nothing() {
+fn no_violation_when_a_hundred_drawn_plans_run() {
     let many: u64 = std::env::var("SIMULATOR_SEEDS")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(100);
-    let broken: Vec<_> = (0..many)
+    let violating: Vec<_> = (0..many)
         .map(|seed| (seed, run(&Plan::drawn(seed))))
-        .filter(|r| !r.1.breaches.is_empty())
+        .filter(|r| !r.1.violations.is_empty())
         .collect();
-    let shown: Vec<_> = broken
+    let last_published: Vec<_> = violating
         .iter()
-        .map(|(s, r)| (s, Plan::drawn(*s).faults, &r.breaches))
+        .map(|(s, r)| (s, Plan::drawn(*s).faults, &r.violations))
         .take(5)
         .collect();
-    assert!(broken.is_empty(), "{} of {many}: {shown:#?}", broken.len());
+    assert!(
+        violating.is_empty(),
+        "{} of {many}: {last_published:#?}",
+        violating.len()
+    );
 }
 
 #[test]
-fn two_hundred_rough_schedules_break_nothing() {
-    let broken: Vec<_> = (0..200)
-        .map(|seed| (seed, run(&Plan::rough(seed)).breaches))
+fn no_violation_when_two_hundred_rough_plans_run() {
+    let violating: Vec<_> = (0..200)
+        .map(|seed| (seed, run(&Plan::rough(seed)).violations))
         .filter(|r| !r.1.is_empty())
         .collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violating.is_empty(), "{violating:#?}");
 }
 
-/// Each of these broke something once: what, is in `docs/measurements/system.md`.
+/// Each of these seeds violated something once; `docs/measurements/system.md` says what.
 #[rstest]
-fn a_schedule_that_broke_something_once_breaks_nothing(
+fn no_violation_when_a_plan_that_once_violated_something_runs(
     #[values(
         6, 59, 83, 103, 209, 293, 328, 787, 1410, 1475, 1885, 1921, 1995, 2555, 2700, 2875, 2892,
         101_477
@@ -41,53 +45,60 @@
 ) {
     let report = run(&Plan::drawn(seed));
     assert!(
-        report.breaches.is_empty(),
+        report.violations.is_empty(),
         "{:?} {:?}",
         Plan::drawn(seed).faults,
-        report.breaches
+        report.violations
     );
 }
 
-/// Of twelve members three have no say. While the simulator didn't tell them who acts, as a process's mirror does, an
-/// order whose tries all went to them had no clear answer for 4 s.
+/// Of twelve members three are no voters. Before the simulator told them of the primary, as a process's mirror does, a
+/// request whose attempts all went to them had no definite response for 4 s.
 #[test]
-fn members_without_a_say_are_told_who_acts() {
+fn requests_are_answered_in_time_when_they_go_to_members_that_are_no_voters() {
     let plan = Plan::aimed(101_714);
     let report = run(&plan);
     assert!(
-        report.breaches.is_empty(),
+        report.violations.is_empty(),
         "{:?} {:?}",
-        plan.aimed,
-        report.breaches
+        plan.triggered_faults,
+        report.violations
     );
 }
 
 #[test]
-fn a_run_is_the_same_again() {
+fn run_is_the_same_when_plan_is_repeated() {
     let (a, b) = (run(&Plan::drawn(7)), run(&Plan::drawn(7)));
     assert_eq!(
-        (a.steps, a.acknowledged, a.epoch),
-        (b.steps, b.acknowledged, b.epoch)
+        (a.steps, a.acknowledged, a.highest_epoch),
+        (b.steps, b.acknowledged, b.highest_epoch)
     );
 }
 
-/// Forgotten promises are searched by a mode of their own, in `planted.rs`.
+/// [`SeededBug::ForgetsPromises`] has a mode of its own, in `seeded_bugs.rs`.
 #[rstest]
-#[case(Planted::NoSync)]
-#[case(Planted::WipedVotes)]
-#[case(Planted::TooFewReplicas)]
-#[case(Planted::NoSnapshot)]
-#[case(Planted::LosesEveryTenthWrite)]
-fn a_planted_bug_is_found_within_a_thousand_seeds(#[case] planted: Planted) {
-    let breaks = |plan: Plan| !run(&Plan { planted, ..plan }).breaches.is_empty();
+#[case(SeededBug::NoSync)]
+#[case(SeededBug::WipedMemberVotes)]
+#[case(SeededBug::TooFewReplicas)]
+#[case(SeededBug::NoSnapshot)]
+#[case(SeededBug::LosesEveryTenthWrite)]
+fn seeded_bug_is_found_within_a_thousand_seeds(#[case] bug: SeededBug) {
+    let breaks = |plan: Plan| {
+        !run(&Plan {
+            seeded_bug: bug,
+            ..plan
+        })
+        .violations
+        .is_empty()
+    };
     let found = (0..1000).find(|seed| breaks(Plan::rough(*seed)) || breaks(Plan::drawn(*seed)));
-    assert!(found.is_some(), "{planted:?} was not found");
+    assert!(found.is_some(), "{bug:?} was not found");
 }
 
 #[test]
-fn the_same_seed_with_no_faults_is_calm() {
-    let report = run(&Plan::calm(3));
-    assert!(report.breaches.is_empty(), "{:?}", report.breaches);
-    let calm: Vec<(std::time::Duration, Fault)> = vec![];
-    assert_eq!(Plan::calm(3).faults, calm);
+fn no_violation_when_there_are_no_faults() {
+    let report = run(&Plan::without_faults(3));
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
+    let no_faults: Vec<(std::time::Duration, Fault)> = vec![];
+    assert_eq!(Plan::without_faults(3).faults, no_faults);
 }
