--- a/crates/balancing/src/policy/state.rs
+++ b/crates/balancing/src/policy/state.rs
@@ -321,7 +321,7 @@
         let open = |host: &mut Host| out.trial.then(|| host.health.trial_ended());
         let alive = !matches!(
             outcome,
-            Outcome::Unreached | Outcome::DecodeError | Outcome::Silent | Outcome::Cancelled
+            Outcome::Unreached | Outcome::ConnectionLost | Outcome::Silent | Outcome::Cancelled
         );
         if alive && outcome != Outcome::OtherHost {
             host.heard = Some(now);
@@ -343,7 +343,7 @@
                 host.moved = true;
                 open(host);
             }
-            Outcome::Unreached | Outcome::DecodeError => {
+            Outcome::Unreached | Outcome::ConnectionLost => {
                 host.health.erred(now, Fault::Connection);
             }
             Outcome::Silent if unheard => {
--- a/crates/balancing/src/types.rs
+++ b/crates/balancing/src/types.rs
@@ -128,7 +128,7 @@
     /// No connection came up: it never ran.
     Unreached,
     /// The connection broke, or bytes came that are no answer to it.
-    DecodeError,
+    ConnectionLost,
     /// No answer in time.
     Silent,
     /// The client left or the request was given up by the proxy.
--- a/crates/balancing/tests/health.rs
+++ b/crates/balancing/tests/health.rs
@@ -116,7 +116,7 @@
     let (mut p, _) = policy(0, 3);
     let out: Vec<_> = (0..20).map(|_| send_to_first(&mut p, 0)).collect();
     for a in out {
-        p.ended(ms(10), a, Outcome::DecodeError, None);
+        p.ended(ms(10), a, Outcome::ConnectionLost, None);
     }
     pass(&mut p, 10, 400);
     assert_eq!(
--- a/crates/balancing/tests/idle.rs
+++ b/crates/balancing/tests/idle.rs
@@ -122,7 +122,7 @@
 #[case(Outcome::Full)]
 #[case(Outcome::TurnedAway)]
 #[case(Outcome::Unreached)]
-#[case(Outcome::DecodeError)]
+#[case(Outcome::ConnectionLost)]
 #[case(Outcome::Silent)]
 #[case(Outcome::OtherHost)]
 fn an_error_takes_a_host_off_the_list(#[case] outcome: Outcome) {
--- a/crates/balancing/tests/model/world.rs
+++ b/crates/balancing/tests/model/world.rs
@@ -640,7 +640,7 @@
                     now + WAY,
                     Event::Failed {
                         attempt: a,
-                        outcome: Outcome::DecodeError,
+                        outcome: Outcome::ConnectionLost,
                     },
                 );
             }
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -304,7 +304,7 @@
         let bare = matches!(head.status, 408 | 429 | 503);
         if head.fields.get("content-encoding").is_some() || (success && !sealed) || bare {
             self.core.tally.add(|c| c.broken += 1);
-            picked.out.end(Outcome::DecodeError, load);
+            picked.out.end(Outcome::ConnectionLost, load);
             return AttemptResult::Ended(End::Broke);
         }
         let stream = success
@@ -328,7 +328,7 @@
         match stop {
             Stop::Lost => {
                 self.core.tally.add(|c| c.broken += 1);
-                out.end(Outcome::DecodeError, None);
+                out.end(Outcome::ConnectionLost, None);
                 AttemptResult::Ended(End::Broke)
             }
             Stop::Late => {
--- a/crates/proxy/src/exchange/whole.rs
+++ b/crates/proxy/src/exchange/whole.rs
@@ -106,7 +106,7 @@
                 Ok(Ok(None)) => break,
                 Ok(Err(_)) => {
                     self.core.tally.add(|c| c.broken += 1);
-                    picked.out.end(Outcome::DecodeError, None);
+                    picked.out.end(Outcome::ConnectionLost, None);
                     return AttemptResult::Answered(Done::Cut);
                 }
                 Err(_) => {
