--- /dev/null
+++ b/crates/protocol/tests/samples/mod.rs
@@ -0,0 +1,402 @@
+//! Sample values of every message and record, each field different from its default.
+
+use protocol::{
+    Addr, AppliedRequest, Change, Command, ConfigurationUpdate, ControlPlaneInfo,
+    CoordinatorRecord, HostRecord, LogPosition, MemberInfo, MembershipConfig, Message,
+    OriginUpdate, OriginVersion, Part, Placement, Record, Snapshot, Subscriber,
+};
+
+fn texts(items: &[&str]) -> Vec<String> {
+    items.iter().map(|&item| item.to_owned()).collect()
+}
+
+fn addr(host: u32, port: u16) -> Addr {
+    Addr {
+        ip: 0x0a01_0000 + host,
+        port,
+    }
+}
+
+fn member(id: u64) -> MemberInfo {
+    MemberInfo {
+        id,
+        name: format!("core-{id}"),
+        addr: addr(id as u32, 7660),
+        control: addr(id as u32, 8146),
+        zone: "zone-ä".into(),
+        region: "north".into(),
+    }
+}
+
+fn membership() -> MembershipConfig {
+    MembershipConfig {
+        epoch: 0x0102_0304_0506_0708,
+        primary: 3,
+        replicas: vec![3, 5],
+        voters: vec![member(3), member(5), member(7)],
+        before: vec![member(3), member(9)],
+    }
+}
+
+pub fn snapshot() -> Snapshot {
+    Snapshot {
+        seq: 41,
+        document: r#"{"version":2,"routes":[],"services":[]}"#.into(),
+        taken: vec![
+            AppliedRequest {
+                base: 1,
+                version: 2,
+                digest: [0xab; 32],
+            },
+            AppliedRequest {
+                base: 2,
+                version: 0x1122_3344,
+                digest: std::array::from_fn(|n| n as u8 + 1),
+            },
+        ],
+        drains: texts(&["i-1", "i-2"]),
+    }
+}
+
+fn placement(host: &str) -> Placement {
+    Placement {
+        host: host.into(),
+        parts: vec![
+            Part {
+                id: 0xfeed_beef_0000_0001,
+                tokens: 128,
+            },
+            Part { id: 2, tokens: 64 },
+        ],
+    }
+}
+
+fn subscriber() -> Subscriber {
+    Subscriber {
+        name: "edge-1".into(),
+        zone: "b".into(),
+        region: "south".into(),
+        addr: addr(70, 7662),
+        member: 11,
+        version: 12,
+    }
+}
+
+fn origin_version(id: u64) -> OriginVersion {
+    OriginVersion {
+        id,
+        life: 4,
+        seq: u64::MAX - id,
+    }
+}
+
+fn configuration_update() -> ConfigurationUpdate {
+    ConfigurationUpdate {
+        seq: 40,
+        from: 6,
+        to: 7,
+        routes: texts(&[r#"{"name":"r1"}"#, r#"{"name":"r2"}"#]),
+        services: texts(&[r#"{"name":"s1"}"#]),
+        gone_routes: texts(&["r3"]),
+        gone_services: texts(&["s3", "s4"]),
+        limits: texts(&[r#"{"max_body_bytes":9}"#]),
+        drains_from: 38,
+        drains: texts(&["i-4", "i-5"]),
+        gone_drains: texts(&["i-6"]),
+    }
+}
+
+fn origin_update() -> OriginUpdate {
+    OriginUpdate {
+        mark: origin_version(5),
+        whole: true,
+        hosts: vec![HostRecord {
+            id: "i-8".into(),
+            service: "chat".into(),
+            addr: addr(80, 9000),
+            zone: "c".into(),
+            capacity: 16,
+            phase: 2,
+            silent: true,
+            call_seq: 99,
+            cold_left_ms: 4500,
+        }],
+        coordinators: vec![CoordinatorRecord {
+            name: "edge-2".into(),
+            zone: "d".into(),
+            region: "west".into(),
+            addr: addr(71, 7662),
+            gone: true,
+            version: 13,
+        }],
+    }
+}
+
+fn control_plane() -> ControlPlaneInfo {
+    ControlPlaneInfo {
+        mark: 0x0007_0001,
+        epoch: 7,
+        primary: 3,
+        members: vec![member(3), member(5)],
+    }
+}
+
+pub fn changes() -> Vec<(&'static str, Change)> {
+    vec![
+        (
+            "Configure",
+            Change::Configure {
+                base: 8,
+                amend: true,
+                body: vec![0, 1, 0xff],
+            },
+        ),
+        ("Drain", Change::Drain { host: "i-9".into() }),
+        (
+            "Forget",
+            Change::Forget {
+                hosts: texts(&["i-10", "i-11"]),
+            },
+        ),
+    ]
+}
+
+pub fn commands() -> Vec<(&'static str, Command)> {
+    vec![
+        (
+            "Configure",
+            Command::Configure {
+                base: 9,
+                amend: true,
+                body: b"{\"version\":10}".to_vec(),
+            },
+        ),
+        ("Read", Command::Read { reserved: 1 }),
+        (
+            "Drain",
+            Command::Drain {
+                host: "i-12".into(),
+            },
+        ),
+    ]
+}
+
+pub fn records() -> Vec<(&'static str, Record)> {
+    vec![
+        ("Promised", Record::Promised { epoch: 21 }),
+        (
+            "Accepted",
+            Record::Accepted {
+                view: membership(),
+                snapshot: Some(snapshot()),
+            },
+        ),
+        (
+            "Accepted_without_snapshot",
+            Record::Accepted {
+                view: membership(),
+                snapshot: None,
+            },
+        ),
+        (
+            "Change",
+            Record::Change {
+                epoch: 22,
+                seq: 23,
+                change: changes().remove(0).1,
+            },
+        ),
+        ("Committed", Record::Committed { seq: 24 }),
+    ]
+}
+
+pub fn messages() -> Vec<(&'static str, Message)> {
+    let mut all = elections();
+    all.extend(replication());
+    all.extend(commands_and_hints());
+    all.extend(subscriptions());
+    all
+}
+
+fn elections() -> Vec<(&'static str, Message)> {
+    vec![
+        ("Hello", Message::Hello { seat: member(3) }),
+        (
+            "Peers",
+            Message::Peers {
+                seats: vec![member(5), member(7)],
+            },
+        ),
+        ("PreVote", Message::PreVote { seen: 31, view: 30 }),
+        (
+            "PreVoteReply",
+            Message::PreVoteReply {
+                willing: true,
+                seen: 32,
+                wait_ms: 250,
+            },
+        ),
+        (
+            "Prepare",
+            Message::Prepare {
+                epoch: 33,
+                candidate: member(9),
+            },
+        ),
+        (
+            "Promise",
+            Message::Promise {
+                epoch: 34,
+                granted: true,
+                seen: 35,
+                view: Some(membership()),
+                tag: Some(LogPosition { epoch: 36, seq: 37 }),
+                wait_ms: 300,
+            },
+        ),
+        (
+            "Promise_without_membership",
+            Message::Promise {
+                epoch: 34,
+                granted: true,
+                seen: 35,
+                view: None,
+                tag: None,
+                wait_ms: 300,
+            },
+        ),
+        (
+            "InstallMembership",
+            Message::InstallMembership {
+                view: membership(),
+                snapshot: Some(snapshot()),
+            },
+        ),
+        (
+            "InstallMembershipReply",
+            Message::InstallMembershipReply {
+                epoch: 38,
+                ok: true,
+                seen: 39,
+            },
+        ),
+        ("FetchSnapshot", Message::FetchSnapshot { epoch: 54 }),
+        (
+            "SnapshotReply",
+            Message::SnapshotReply {
+                epoch: 55,
+                tag: LogPosition { epoch: 56, seq: 57 },
+                snapshot: snapshot(),
+            },
+        ),
+    ]
+}
+
+fn replication() -> Vec<(&'static str, Message)> {
+    vec![
+        (
+            "AppendChange",
+            Message::AppendChange {
+                epoch: 40,
+                seq: 41,
+                change: changes().remove(1).1,
+            },
+        ),
+        (
+            "AppendReply",
+            Message::AppendReply {
+                epoch: 42,
+                seq: 43,
+                ok: true,
+                seen: 44,
+            },
+        ),
+        (
+            "RenewLease",
+            Message::RenewLease {
+                epoch: 45,
+                stamp: 46,
+                committed: 47,
+                heard: 48,
+            },
+        ),
+        (
+            "LeaseReply",
+            Message::LeaseReply {
+                epoch: 49,
+                stamp: 50,
+                ok: true,
+                seen: 51,
+                fit: true,
+                clock: 52,
+            },
+        ),
+        ("ReleaseLease", Message::ReleaseLease { epoch: 53 }),
+        ("Leaving", Message::Leaving { epoch: 58 }),
+    ]
+}
+
+fn commands_and_hints() -> Vec<(&'static str, Message)> {
+    vec![
+        (
+            "ForwardCommand",
+            Message::ForwardCommand {
+                id: 59,
+                command: commands().remove(0).1,
+            },
+        ),
+        (
+            "CommandResult",
+            Message::CommandResult {
+                id: 60,
+                code: 0x0123,
+                text: b"text".to_vec(),
+            },
+        ),
+        (
+            "PromptPlaced",
+            Message::PromptPlaced {
+                placement: placement("i-13"),
+                unread: 61,
+            },
+        ),
+        (
+            "PlacementsRequest",
+            Message::PlacementsRequest { reserved: 1 },
+        ),
+        (
+            "Placements",
+            Message::Placements {
+                placements: vec![placement("i-14"), placement("i-15")],
+            },
+        ),
+    ]
+}
+
+fn subscriptions() -> Vec<(&'static str, Message)> {
+    vec![
+        (
+            "Pull",
+            Message::Pull {
+                caller: subscriber(),
+                wait_ms: 1000,
+                ledger: 62,
+                version: 63,
+                fleet: 64,
+                sources: vec![origin_version(5), origin_version(6)],
+            },
+        ),
+        (
+            "Update",
+            Message::Update {
+                member: 65,
+                age_ms: 66,
+                held_ms: 67,
+                config: Some(configuration_update()),
+                sources: vec![origin_update()],
+                retired: vec![68, 69],
+                fleet: Some(control_plane()),
+            },
+        ),
+    ]
+}
