--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -7,10 +7,13 @@
 use configuration::ProcessSettings;
 use control_plane::shell::identity::StartFacts;
 use control_plane::shell::{run, Tuning};
-use protocol::Record;
+use protocol::{Message, Record, Subscriber};
+use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
 use tokio::sync::{oneshot, watch};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::timeout;
@@ -433,3 +436,135 @@
         .await
         .expect("the test hangs");
 }
+
+/// Adds the path of each key in `value`; those of a list's items once.
+fn key_paths(value: &serde_json::Value, path: &str, paths: &mut BTreeSet<String>) {
+    match value {
+        serde_json::Value::Object(fields) => {
+            for (key, value) in fields {
+                let path = format!("{path}.{key}");
+                key_paths(value, &path, paths);
+                paths.insert(path);
+            }
+        }
+        serde_json::Value::Array(items) => {
+            for item in items {
+                key_paths(item, &format!("{path}[]"), paths);
+            }
+        }
+        _ => {}
+    }
+}
+
+/// Keys of the status page, which operators' tools read.
+const STATUS_KEYS: &[&str] = &[
+    ".coordinators",
+    ".coordinators[].behind_ms",
+    ".coordinators[].gone",
+    ".coordinators[].name",
+    ".coordinators[].pulled_ms_ago",
+    ".coordinators[].region",
+    ".coordinators[].version",
+    ".coordinators[].zone",
+    ".fleet",
+    ".fleet.epoch",
+    ".fleet.members",
+    ".fleet.primary",
+    ".hosts",
+    ".hosts[].address",
+    ".hosts[].capacity",
+    ".hosts[].id",
+    ".hosts[].phase",
+    ".hosts[].service",
+    ".hosts[].silent",
+    ".hosts[].zone",
+    ".id",
+    ".in_force",
+    ".in_force.coordinators_here",
+    ".in_force.lowest_version",
+    ".leaving",
+    ".ledger",
+    ".ledger.drains",
+    ".ledger.routes",
+    ".ledger.seq",
+    ".ledger.services",
+    ".ledger.version",
+    ".life",
+    ".links",
+    ".links.down",
+    ".links.dropped",
+    ".links.sent",
+    ".links.up",
+    ".member",
+    ".member.acts",
+    ".member.age_ms",
+    ".member.disk_fit",
+    ".member.primary",
+    ".member.promised",
+    ".member.view",
+    ".member.view.epoch",
+    ".member.view.primary",
+    ".member.view.replicas",
+    ".member.view.settled",
+    ".member.view.voters",
+    ".member.view.voters[].control",
+    ".member.view.voters[].id",
+    ".member.view.voters[].name",
+    ".member.view.voters[].region",
+    ".member.view.voters[].zone",
+    ".members",
+    ".members[].control",
+    ".members[].id",
+    ".members[].name",
+    ".members[].region",
+    ".members[].zone",
+    ".node",
+    ".opening",
+    ".region",
+    ".zone",
+];
+
+#[tokio::test]
+async fn status_page_when_all_is_known_has_these_keys() {
+    on_core(68, |mut core| async move {
+        (0..3).for_each(|n| core.start(n, true));
+        let taken = replace(core.control(0), "0", CONFIGURATION).await;
+        assert_eq!(taken.status, 200);
+        let heartbeat = serde_json::json!({"service": "s", "address": "10.0.0.9:80", "zone": "z0",
+            "version": "v1", "capacity": 4, "phase": "ready", "cold_left_ms": 0, "call_seq": 1})
+        .to_string();
+        let path = "/fennelpin/Hosts.Heartbeat/i-1";
+        let done = |a: &Answer| a.status == 200;
+        call_until(core.control(0), "POST", path, &[], &heartbeat, done).await;
+        let pull = protocol::encode(&Message::Pull {
+            caller: Subscriber {
+                name: "proxy-1".into(),
+                version: 1,
+                ..Subscriber::default()
+            },
+            wait_ms: 0,
+            ledger: 0,
+            version: 0,
+            fleet: 0,
+            sources: Vec::new(),
+        });
+        let mut subscriber = TcpStream::connect((core.ips[0], core.ports.0))
+            .await
+            .unwrap();
+        subscriber.write_all(&pull).await.unwrap();
+        let whole = |a: &Answer| {
+            let status: serde_json::Value = serde_json::from_str(&a.body).unwrap_or_default();
+            let there = |list: &str| status[list].as_array().is_some_and(|l| !l.is_empty());
+            there("hosts")
+                && there("coordinators")
+                && there("members")
+                && status["member"]["primary"].is_string()
+                && status["member"]["age_ms"].is_u64()
+        };
+        let status = call_until(core.control(0), "GET", "/fennelpin/status", &[], "", whole).await;
+        let mut paths = BTreeSet::new();
+        key_paths(&serde_json::from_str(&status.body).unwrap(), "", &mut paths);
+        assert_eq!(paths.iter().collect::<Vec<_>>(), STATUS_KEYS);
+    })
+    .await;
+}
--- /dev/null
+++ b/crates/control-plane/tests/stored_data.rs
@@ -0,0 +1,478 @@
+//! State directories that release bb16a52 wrote (`tests/fixtures/bb16a52/`): they stay readable, each field is as it
+//! was written, and the same writes give the same bytes.
+//!
+//! - `appended`: two incarnations of a member; the second one appends each kind of record.
+//! - `torn`: the same, with the last five bytes of the log missing, as after a loss of power.
+//! - `rewritten`: a member whose log was rewritten once.
+
+use append_log::{AppendLog, Cut, Shape};
+use configuration::FaultBudget;
+use control_plane::accepted::fingerprint;
+use control_plane::ledger::ReplicatedState;
+use control_plane::member::{Config, Member};
+use control_plane::recovery::Survivor;
+use control_plane::shell::disk::{start, DiskEvent, File, Write};
+use control_plane::shell::identity::{latest, FoundLedger, Identity, LedgerOwner, StartFacts};
+use protocol::{
+    Addr, Change, HostRecord, MemberInfo, MembershipConfig, OriginUpdate, Record, Snapshot,
+};
+use rstest::rstest;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// Names of the files in a state directory.
+const FILES: [&str; 3] = ["identity", "ledger", "roster"];
+/// Id of the member, made from its address.
+const MEMBER_ID: u64 = 14_290_127_263_459_913_879;
+const FIRST_EPOCH: u64 = (1 << 20) + 2;
+const SECOND_EPOCH: u64 = (2 << 20) + 5;
+const VERSION_3: &str = r#"{"version":3,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/","route_class":"pure","deadline_ms":1000,"service":"s"}],"services":[{"name":"s","health_path":"/health","conn_limit":10}],"limits":{}}"#;
+const LIMITS_OF_VERSION_5: &str = r#"{"version":5,"limits":{}}"#;
+
+/// What is written in one call, and to which file.
+struct Batch {
+    file: File,
+    rewrite: bool,
+    records: Vec<Vec<u8>>,
+}
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures/bb16a52")
+        .join(name)
+}
+
+/// A copy of a fixture: opening a file may cut it.
+fn copy_of(name: &str) -> tempfile::TempDir {
+    let dir = tempfile::tempdir().unwrap();
+    for file in FILES {
+        let source = fixture(name).join(file);
+        if source.exists() {
+            std::fs::copy(source, dir.path().join(file)).unwrap();
+        }
+    }
+    dir
+}
+
+fn start_facts(bootstrap: bool, clock_ms: u64) -> StartFacts {
+    let addr = |text: &str| text.parse().unwrap();
+    StartFacts {
+        control: addr("10.1.0.1:8146"),
+        seeds: ["10.1.0.1:8146", "10.2.0.1:8146", "10.3.0.1:8146"]
+            .map(addr)
+            .to_vec(),
+        port: 7660,
+        bootstrap,
+        random: 77,
+        clock_ms,
+    }
+}
+
+fn member_info(id: u64, number: u8) -> MemberInfo {
+    let ip = 0x0a00_0001 + (u32::from(number) << 16);
+    MemberInfo {
+        id,
+        name: format!("core-{number}"),
+        addr: Addr { ip, port: 7660 },
+        control: Addr { ip, port: 8146 },
+        zone: format!("zone-{number}"),
+        region: "région".into(),
+    }
+}
+
+fn first_membership() -> MembershipConfig {
+    let voters = vec![
+        member_info(MEMBER_ID, 1),
+        member_info(2, 2),
+        member_info(3, 3),
+    ];
+    MembershipConfig {
+        epoch: FIRST_EPOCH,
+        primary: 2,
+        replicas: vec![2, 3],
+        voters: voters.clone(),
+        before: voters,
+    }
+}
+
+fn second_membership() -> MembershipConfig {
+    MembershipConfig {
+        epoch: SECOND_EPOCH,
+        primary: MEMBER_ID,
+        replicas: vec![MEMBER_ID, 2],
+        voters: vec![
+            member_info(MEMBER_ID, 1),
+            member_info(2, 2),
+            member_info(4, 4),
+        ],
+        before: first_membership().voters,
+    }
+}
+
+fn first_snapshot() -> Snapshot {
+    Snapshot {
+        seq: 7,
+        document: VERSION_3.into(),
+        taken: vec![fingerprint(0, false, VERSION_3.as_bytes())],
+        drains: vec!["i-1".into(), "i-2".into()],
+    }
+}
+
+fn last_snapshot() -> Snapshot {
+    Snapshot {
+        seq: 11,
+        document: VERSION_3.replace(":3,", ":5,"),
+        taken: vec![
+            fingerprint(0, false, VERSION_3.as_bytes()),
+            fingerprint(3, false, VERSION_3.as_bytes()),
+        ],
+        drains: vec!["i-3".into()],
+    }
+}
+
+fn change(seq: u64, change: Change) -> Record {
+    Record::Change {
+        epoch: SECOND_EPOCH,
+        seq,
+        change,
+    }
+}
+
+/// The records of `appended` behind its owner, in the batches in which they were written.
+fn appended_records() -> Vec<Vec<Record>> {
+    let version_4 = VERSION_3.replace(":3,", ":4,");
+    vec![
+        vec![Record::Promised { epoch: FIRST_EPOCH }],
+        vec![Record::Accepted {
+            view: first_membership(),
+            snapshot: None,
+        }],
+        vec![Record::Promised {
+            epoch: SECOND_EPOCH,
+        }],
+        vec![Record::Accepted {
+            view: second_membership(),
+            snapshot: Some(first_snapshot()),
+        }],
+        vec![change(
+            8,
+            Change::Configure {
+                base: 3,
+                amend: false,
+                body: version_4.into_bytes(),
+            },
+        )],
+        vec![change(
+            9,
+            Change::Configure {
+                base: 4,
+                amend: true,
+                body: LIMITS_OF_VERSION_5.into(),
+            },
+        )],
+        vec![
+            change(10, Change::Drain { host: "i-3".into() }),
+            change(
+                11,
+                Change::Forget {
+                    hosts: vec!["i-1".into(), "i-2".into()],
+                },
+            ),
+        ],
+        vec![Record::Committed { seq: 11 }],
+    ]
+}
+
+/// The records of `rewritten` behind its owner.
+fn rewritten_records() -> Vec<Record> {
+    vec![
+        Record::Promised {
+            epoch: SECOND_EPOCH + 1,
+        },
+        Record::Accepted {
+            view: second_membership(),
+            snapshot: Some(last_snapshot()),
+        },
+        Record::Committed { seq: 11 },
+    ]
+}
+
+fn known_hosts() -> OriginUpdate {
+    let host = |id: &str, addr, zone: &str, capacity| HostRecord {
+        id: id.into(),
+        service: "s".into(),
+        addr,
+        zone: zone.into(),
+        capacity,
+        phase: 1,
+        ..HostRecord::default()
+    };
+    let addr = |ip, port| Addr { ip, port };
+    OriginUpdate {
+        hosts: vec![
+            host("i-1", addr(0x0a00_0909, 80), "zone-1", 4),
+            host("i-2", addr(0x0a00_090a, 81), "zone-2", 8),
+        ],
+        ..OriginUpdate::default()
+    }
+}
+
+fn initial_voters() -> Vec<MemberInfo> {
+    start_facts(true, 0).identity(None).initial_voters
+}
+
+/// Incarnations: the time of day in ms above twenty random bits.
+fn identity(clock_ms: u64) -> Identity {
+    Identity {
+        id: MEMBER_ID,
+        life: (clock_ms << 20) + 77,
+        initial_voters: initial_voters(),
+    }
+}
+
+fn encoded(records: &[Record]) -> Vec<Vec<u8>> {
+    records.iter().map(protocol::write_one).collect()
+}
+
+fn log_batches(batches: &[Vec<Record>]) -> Vec<Batch> {
+    let batch = |records: &Vec<Record>| Batch {
+        file: File::Log,
+        rewrite: false,
+        records: encoded(records),
+    };
+    batches.iter().map(batch).collect()
+}
+
+/// Has the present code open a state directory and write `batches`, one sync each.
+fn write_in_one_incarnation(dir: &Path, facts: StartFacts, batches: Vec<Batch>) {
+    let (tell, told) = std::sync::mpsc::channel();
+    let disk = start(dir.into(), facts, move |event| drop(tell.send(event))).unwrap();
+    assert!(matches!(told.recv().unwrap(), DiskEvent::Open { .. }));
+    for (ticket, batch) in (1..).zip(batches) {
+        let Batch {
+            file,
+            rewrite,
+            records,
+        } = batch;
+        disk.send(Write {
+            ticket,
+            records,
+            rewrite,
+            file,
+        })
+        .unwrap();
+        // Nothing is told of the hosts' file.
+        if file == File::Log {
+            let event = told.recv().unwrap();
+            assert!(
+                matches!(event, DiskEvent::Wrote { ticket: t, result: Ok(()) } if t == ticket),
+                "{event:?}"
+            );
+        }
+    }
+    drop(disk);
+    assert!(told.recv().is_err(), "the thread ends with its sender");
+}
+
+fn assert_same_files(dir: &Path, name: &str) {
+    for file in FILES {
+        let stored = std::fs::read(fixture(name).join(file)).ok();
+        let written = std::fs::read(dir.join(file)).ok();
+        assert_eq!(written, stored, "{name}/{file}");
+    }
+}
+
+fn stored_records(dir: &Path, file: &str) -> Vec<Vec<u8>> {
+    AppendLog::open(dir, file).unwrap().1
+}
+
+fn assert_log(stored: &[Vec<u8>], owner: &Identity, records: &[Record]) {
+    let owner = LedgerOwner {
+        identity: owner.clone(),
+    };
+    assert_eq!(
+        protocol::read_one::<LedgerOwner>(&stored[0]).unwrap(),
+        owner
+    );
+    assert_eq!(protocol::write_one(&owner), stored[0]);
+    let read: Vec<Record> = stored[1..]
+        .iter()
+        .map(|bytes| protocol::read_one(bytes).unwrap())
+        .collect();
+    assert_eq!(read, records);
+    assert_eq!(encoded(&read), stored[1..], "encoded again");
+}
+
+#[test]
+fn identity_file_when_read_gives_both_incarnations() {
+    let dir = copy_of("appended");
+    let stored = stored_records(dir.path(), "identity");
+    let read: Vec<Identity> = stored
+        .iter()
+        .map(|bytes| protocol::read_one(bytes).unwrap())
+        .collect();
+    assert_eq!(read, [identity(1_000), identity(2_000)]);
+    assert_eq!(latest(&stored).unwrap(), Some(identity(2_000)));
+    let again: Vec<Vec<u8>> = read.iter().map(protocol::write_one).collect();
+    assert_eq!(again, stored);
+    let voters = initial_voters();
+    assert_eq!(voters.len(), 3);
+    assert_eq!((voters[0].id, &*voters[0].name), (MEMBER_ID, ""));
+}
+
+#[test]
+fn log_file_when_read_gives_each_kind_of_record() {
+    let dir = copy_of("appended");
+    let stored = stored_records(dir.path(), "ledger");
+    assert_log(&stored, &identity(1_000), &appended_records().concat());
+}
+
+#[test]
+fn log_file_when_rewritten_begins_with_its_owner() {
+    let dir = copy_of("rewritten");
+    let stored = stored_records(dir.path(), "ledger");
+    assert_log(&stored, &identity(3_000), &rewritten_records());
+    let identities = stored_records(dir.path(), "identity");
+    assert_eq!(latest(&identities).unwrap(), Some(identity(3_000)));
+}
+
+#[test]
+fn log_file_with_a_torn_tail_loses_the_last_record_alone() {
+    let dir = copy_of("torn");
+    let length = std::fs::metadata(dir.path().join("ledger")).unwrap().len();
+    let shape = append_log::inspect(dir.path(), "ledger").unwrap().shape;
+    let Shape::Torn { offset } = shape else {
+        panic!("{shape:?}");
+    };
+    let (log, stored) = AppendLog::open(dir.path(), "ledger").unwrap();
+    let bytes = length - offset;
+    assert_eq!(log.cut(), Some(Cut { offset, bytes }));
+    let mut expected = appended_records().concat();
+    assert_eq!(expected.pop(), Some(Record::Committed { seq: 11 }));
+    assert_log(&stored, &identity(1_000), &expected);
+}
+
+#[test]
+fn hosts_file_when_read_gives_the_hosts() {
+    let dir = copy_of("appended");
+    let stored = stored_records(dir.path(), "roster");
+    assert_eq!(stored.len(), 1);
+    let read: OriginUpdate = protocol::read_one(&stored[0]).unwrap();
+    assert_eq!(read, known_hosts());
+    assert_eq!(protocol::write_one(&read), stored[0]);
+}
+
+#[test]
+fn the_same_appends_give_the_same_files() {
+    let dir = tempfile::tempdir().unwrap();
+    write_in_one_incarnation(dir.path(), start_facts(true, 1_000), Vec::new());
+    let mut batches = log_batches(&appended_records());
+    batches.push(Batch {
+        file: File::HostRegistry,
+        rewrite: true,
+        records: vec![protocol::write_one(&known_hosts())],
+    });
+    write_in_one_incarnation(dir.path(), start_facts(false, 2_000), batches);
+    assert_same_files(dir.path(), "appended");
+}
+
+#[test]
+fn the_same_rewrite_gives_the_same_files() {
+    let dir = tempfile::tempdir().unwrap();
+    let mut batches = log_batches(&[vec![Record::Promised { epoch: 9 }]]);
+    batches.push(Batch {
+        file: File::Log,
+        rewrite: true,
+        records: encoded(&rewritten_records()),
+    });
+    write_in_one_incarnation(dir.path(), start_facts(true, 3_000), batches);
+    assert_same_files(dir.path(), "rewritten");
+}
+
+/// The member starts on the stored records as the same member, with its promise, membership and replica.
+#[rstest]
+#[case::appended("appended", SECOND_EPOCH)]
+#[case::torn("torn", SECOND_EPOCH)]
+#[case::rewritten("rewritten", SECOND_EPOCH + 1)]
+fn member_when_started_on_stored_files_has_its_state(#[case] name: &str, #[case] promised: u64) {
+    let dir = copy_of(name);
+    let (tell, told) = std::sync::mpsc::channel();
+    let facts = start_facts(false, 9_000);
+    let _disk = start(dir.path().into(), facts, move |event| {
+        drop(tell.send(event));
+    })
+    .unwrap();
+    let DiskEvent::Open {
+        identity: found,
+        records,
+        roster,
+    } = told.recv().unwrap()
+    else {
+        panic!("the files don't open");
+    };
+    assert_eq!(found, identity(9_000));
+    let hosts = (name != "rewritten").then(|| protocol::write_one(&known_hosts()));
+    assert_eq!(roster, hosts);
+    let config = Config {
+        me: member_info(MEMBER_ID, 1),
+        bootstrap_voters: Some(found.initial_voters),
+        budget: FaultBudget::default(),
+        lease: Duration::from_millis(1000),
+        patience: Duration::from_millis(3500),
+        stall: Duration::from_millis(600),
+    };
+    let member = Member::new(config, &records, Duration::ZERO, 1);
+    assert!(member.unsound().is_none());
+    assert_eq!(member.promised(), promised);
+    assert_eq!(member.view(), Some(&second_membership()));
+    assert_eq!(member.summary(None).ledger, Some(11));
+}
+
+/// What an operator recovers from the stored files after the loss of a majority.
+#[rstest]
+#[case::appended("appended", 11)]
+#[case::torn("torn", 0)]
+#[case::rewritten("rewritten", 11)]
+fn survivor_when_read_from_stored_files_has_the_replica(
+    #[case] name: &str,
+    #[case] acknowledged: u64,
+) {
+    let dir = copy_of(name);
+    let identities = stored_records(dir.path(), "identity");
+    let records = stored_records(dir.path(), "ledger");
+    let survivor = Survivor::read(&identities, &records).unwrap();
+    assert_eq!(survivor.epoch(), SECOND_EPOCH);
+    assert_eq!(survivor.last_change(), 11);
+    assert_eq!(survivor.version(), 5);
+    assert_eq!(survivor.known_acknowledged(), acknowledged);
+}
+
+/// The changes of the log, made again on the snapshot before them, give the state that was in force.
+#[test]
+fn state_when_replayed_from_stored_changes_is_as_it_was() {
+    let dir = copy_of("appended");
+    let found = FoundLedger::of(stored_records(dir.path(), "ledger"));
+    assert_eq!(found.owner, Some(identity(1_000)));
+    let mut state = ReplicatedState::default();
+    for bytes in &found.records {
+        match protocol::read_one(bytes).unwrap() {
+            Record::Accepted {
+                snapshot: Some(snapshot),
+                ..
+            } => state = ReplicatedState::of(&snapshot).unwrap(),
+            Record::Change { change, .. } => state = state.after(&change).unwrap(),
+            _ => {}
+        }
+    }
+    let snapshot = state.snapshot();
+    assert_eq!(snapshot.seq, 11);
+    assert_eq!(snapshot.document, VERSION_3.replace(":3,", ":5,"));
+    assert_eq!(snapshot.drains, ["i-3"]);
+    let version_4 = VERSION_3.replace(":3,", ":4,");
+    let applied = [
+        fingerprint(0, false, VERSION_3.as_bytes()),
+        fingerprint(3, false, version_4.as_bytes()),
+        fingerprint(4, true, LIMITS_OF_VERSION_5.as_bytes()),
+    ];
+    assert_eq!(snapshot.taken, applied);
+}
