--- a/crates/control-plane/src/history.rs
+++ b/crates/control-plane/src/configuration_history.rs
@@ -39,7 +39,7 @@
 /// The latest configurations, oldest first.
 ///
 /// ```
-/// use control_plane::history::History;
+/// use control_plane::configuration_history::History;
 /// use std::{sync::Arc, time::{Duration, SystemTime}};
 /// let document = |version: u64| {
 ///     let text = format!(r#"{{"version":{version},"routes":[],"services":[]}}"#);
--- a/crates/control-plane/src/life.rs
+++ b/crates/control-plane/src/incarnation.rs
@@ -2,7 +2,7 @@
 //!
 //! A life has to have a higher number than those before, for others to tell its records from theirs. The disk keeps
 //! the latest number. Where it is full and the clock was set back, a start knows neither; then the tail keeps two
-//! lives from having the same number, and [`crate::feed::RegistryPublisher`] takes a higher one as soon as somebody tells of it.
+//! lives from having the same number, and [`crate::registry_publisher::RegistryPublisher`] takes a higher one as soon as somebody tells of it.
 
 /// Bits of the random tail.
 pub const TAIL_BITS: u32 = 20;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,5 +1,5 @@
 //! The control plane: who acts ([`member`]), what lasts ([`ledger`]): state machines without I/O or clock. The
-//! shell round them ([`shell`]) is thin. `docs/design/system.md` tells how they work together.
+//! runtime round them ([`runtime`]) is thin. `docs/design/system.md` tells how they work together.
 //!
 //! A member alone, as the first of its system: told its time, it asks for what it promises to be put on disk, and acts
 //! once that is there.
@@ -45,12 +45,12 @@
 #![warn(missing_docs)]
 
 pub mod accepted;
+pub mod configuration_history;
 mod content;
-pub mod feed;
-pub mod history;
+pub mod host_registry;
+pub mod incarnation;
 pub mod ledger;
-pub mod life;
 pub mod member;
 pub mod recovery;
-pub mod roster;
-pub mod shell;
+pub mod registry_publisher;
+pub mod runtime;
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -4,7 +4,7 @@
 
 use crate::ledger::ReplicatedState;
 use crate::member::generation::next_generation;
-use crate::shell::identity::{latest, FoundLedger, Identity, IdentityError, LedgerOwner};
+use crate::runtime::identity::{latest, FoundLedger, Identity, IdentityError, LedgerOwner};
 use protocol::{MemberInfo, MembershipConfig, Record};
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::collections::BTreeSet;
--- a/crates/control-plane/src/feed.rs
+++ b/crates/control-plane/src/registry_publisher.rs
@@ -1,6 +1,6 @@
 //! The member's own source beside the mirror that others pull from.
 
-use crate::roster::{HostCall, HostRegistry};
+use crate::host_registry::{HostCall, HostRegistry};
 use protocol::{CoordinatorRecord, HostRecord, Subscriber};
 use replication::{SharedMirror, Update};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/control-plane/src/shell/call.rs
+++ b/crates/control-plane/src/runtime/control_request.rs
@@ -1,6 +1,6 @@
 //! Calls of hosts and operators: each is decoded into a [`Call`], which is run elsewhere.
 
-use crate::roster::HostCall;
+use crate::host_registry::HostCall;
 use bytes::Bytes;
 use configuration::ResultCode;
 use hyper::Method;
--- a/crates/control-plane/src/shell/control.rs
+++ b/crates/control-plane/src/runtime/control_server.rs
@@ -1,6 +1,6 @@
 //! The control API's HTTP: reads calls within limits, has them run, writes the answers.
 
-use crate::shell::call::{Call, Head};
+use crate::runtime::control_request::{Call, Head};
 use bytes::Bytes;
 use configuration::ResultCode;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -160,7 +160,7 @@
             return;
         };
         bump(&self.counters.connections);
-        if let Err(e) = crate::shell::connection::ready(&stream) {
+        if let Err(e) = crate::runtime::connection::ready(&stream) {
             log::debug!(error:% = e; "socket options");
         }
         let service = service_fn(|request| self.clone().answer(request));
--- a/crates/control-plane/src/shell/event_loop.rs
+++ b/crates/control-plane/src/runtime/event_loop.rs
@@ -1,13 +1,13 @@
 //! The event loop: hands what happens to the state machine, one input after the other.
 
-use super::call_runner::Answered;
-use super::control::ControlCounters;
-use super::disk::{self, DiskEvent};
-use super::links::{LinkEvent, Links};
+use super::control_server::ControlCounters;
+use super::peer_connections::{LinkEvent, Links};
+use super::request_handler::Answered;
 use super::status::ShownFleet;
+use super::storage::{self, DiskEvent};
 use super::transitions::{self, Recorder};
 use super::Event;
-use crate::history::History;
+use crate::configuration_history::History;
 use crate::member::{Input, Member, Output};
 use replication::SharedMirror;
 use std::cell::RefCell;
@@ -35,7 +35,7 @@
     pub(super) steps: u64,
     /// What the mirror was told of the control plane.
     pub(super) known: ShownFleet,
-    pub(super) disk: std::sync::mpsc::Sender<disk::Write>,
+    pub(super) disk: std::sync::mpsc::Sender<storage::Write>,
     pub(super) links: Links,
     pub(super) mirror: Arc<SharedMirror>,
     pub(super) leave: watch::Sender<bool>,
--- a/crates/control-plane/src/shell/roster.rs
+++ b/crates/control-plane/src/runtime/host_cache.rs
@@ -2,8 +2,8 @@
 //! these have called again. Nothing rests on it: a host that isn't there any more is found out by whoever is sent
 //! there, and one that left is in the ledger.
 
-use super::disk::{File, Write};
 use super::identity::Identity;
+use super::storage::{File, Write};
 use protocol::{HostRecord, OriginUpdate, OriginVersion};
 use replication::{phase, SharedMirror, Update};
 use std::sync::mpsc::Sender;
--- a/crates/control-plane/src/shell/inbound.rs
+++ b/crates/control-plane/src/runtime/inbound.rs
@@ -1,8 +1,8 @@
 //! Connections from other processes: members that speak, and whoever pulls.
 
 use super::connection;
-use super::links::Links;
-use crate::feed::RegistryPublisher;
+use super::peer_connections::Links;
+use crate::registry_publisher::RegistryPublisher;
 use protocol::{MemberInfo, Message};
 use replication::FrameReader;
 use std::sync::Arc;
--- a/crates/control-plane/src/shell/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -1,31 +1,31 @@
 //! The member's process: all I/O round the state machine, on one thread, with a second one for the disk.
 
-pub mod call;
-mod call_runner;
 pub mod connection;
-pub mod control;
-pub mod disk;
+pub mod control_request;
+pub mod control_server;
 mod event_loop;
+mod host_cache;
 pub mod identity;
 mod inbound;
-pub mod links;
 mod outputs;
-mod roster;
+pub mod peer_connections;
+mod request_handler;
 mod seeds;
 mod start;
 mod status;
+pub mod storage;
 pub mod transitions;
 
-use call_runner::Answered;
 use configuration::{ProcessSettings, ResultCode};
-use disk::DiskEvent;
-use links::LinkEvent;
+use peer_connections::LinkEvent;
 use protocol::Command;
+use request_handler::Answered;
 use snafu::Snafu;
 use status::MemberStatus;
 use std::future::Future;
 use std::net::SocketAddrV4;
 use std::time::Duration;
+use storage::DiskEvent;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{oneshot, watch};
 use tokio::task::LocalSet;
--- a/crates/control-plane/src/shell/outputs.rs
+++ b/crates/control-plane/src/runtime/outputs.rs
@@ -1,7 +1,7 @@
 //! What the state machine asks for, carried out: messages, writes, answers, and what is shown.
 
-use super::disk;
 use super::event_loop::EventLoop;
+use super::storage;
 use crate::member::Output;
 use configuration::{Configuration, ResultCode};
 use std::sync::Arc;
@@ -36,11 +36,11 @@
     }
 
     fn write(&self, ticket: u64, records: Vec<Vec<u8>>, rewrite: bool) {
-        let write = disk::Write {
+        let write = storage::Write {
             ticket,
             records,
             rewrite,
-            file: disk::File::Log,
+            file: storage::File::Log,
         };
         // The thread ends with the process only.
         let _ = self.disk.send(write);
--- a/crates/control-plane/src/shell/links/dial.rs
+++ b/crates/control-plane/src/runtime/peer_connections/dial.rs
@@ -1,8 +1,8 @@
 //! A peer's connections, dialled and kept up.
 
-use super::lane::{Lane, LaneState, Queued, MAX_QUEUED_BYTES};
+use super::channel::{Lane, LaneState, Queued, MAX_QUEUED_BYTES};
 use super::{LinkEvent, Links, Peer};
-use crate::shell::connection::{ready, write_all, write_all_counting};
+use crate::runtime::connection::{ready, write_all, write_all_counting};
 use protocol::{MemberInfo, Message};
 use replication::{FrameReader, Step};
 use std::cell::{Cell, RefCell};
--- a/crates/control-plane/src/shell/links/mod.rs
+++ b/crates/control-plane/src/runtime/peer_connections/mod.rs
@@ -1,14 +1,14 @@
 //! Links between members. Each member dials every member that it knows and speaks over the connections that it
 //! dialled; what others say comes in over theirs. A link has two connections: see [`Lane`].
 
+mod channel;
 mod dial;
-mod lane;
 
-pub use lane::{Lane, MAX_QUEUED_BYTES};
+pub use channel::{Lane, MAX_QUEUED_BYTES};
 
-use crate::shell::connection::write_all;
+use crate::runtime::connection::write_all;
+use channel::LaneState;
 use dial::SILENCE_TIMEOUT;
-use lane::LaneState;
 use protocol::{Addr, MemberInfo, Message};
 use replication::{FrameReader, Step};
 use std::cell::RefCell;
--- a/crates/control-plane/src/shell/call_runner.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -1,12 +1,12 @@
 //! Runs the calls of hosts and operators: what is about hosts against the roster, the rest by the member.
 
-use super::call::Call;
-use super::control::{Reply, RunCall};
-use super::links::Links;
+use super::control_request::Call;
+use super::control_server::{Reply, RunCall};
+use super::peer_connections::Links;
 use super::{command, Event, Events, MemberStatus};
-use crate::feed::RegistryPublisher;
-use crate::history::History;
-use crate::roster::{beat_target, HostCall};
+use crate::configuration_history::History;
+use crate::host_registry::{beat_target, HostCall};
+use crate::registry_publisher::RegistryPublisher;
 use configuration::ResultCode;
 use protocol::{Command, MemberInfo};
 use serde_json::{json, Value};
--- a/crates/control-plane/src/shell/seeds.rs
+++ b/crates/control-plane/src/runtime/seeds.rs
@@ -1,7 +1,7 @@
 //! Seeds whose addresses may change while the member runs.
 
 use super::identity::inner;
-use super::links::Links;
+use super::peer_connections::Links;
 use replication::client;
 use std::net::SocketAddrV4;
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/control-plane/src/shell/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -1,20 +1,20 @@
 //! From the settings and the disk to a member that runs: what listens, what is linked, and in which order.
 
-use super::call_runner::{CallRunner, OpenMember};
-use super::control::{Control, ControlCounters};
-use super::disk::{self, DiskEvent};
+use super::control_server::{Control, ControlCounters};
 use super::event_loop::EventLoop;
 use super::identity::{Identity, StartFacts};
-use super::links::{LinkEvent, Links};
+use super::peer_connections::{LinkEvent, Links};
+use super::request_handler::{CallRunner, OpenMember};
 use super::status::ShownFleet;
+use super::storage::{self, DiskEvent};
 use super::transitions::{self, Recorder};
-use super::{inbound, roster, seeds};
+use super::{host_cache, inbound, seeds};
 use super::{
     Event, Events, Failure, ListenSnafu, NoControlSnafu, NoDiskSnafu, ThreadSnafu, Tuning,
 };
-use crate::feed::RegistryPublisher;
-use crate::history::History;
+use crate::configuration_history::History;
 use crate::member::{Config, Member};
+use crate::registry_publisher::RegistryPublisher;
 use configuration::ProcessSettings;
 use protocol::MemberInfo;
 use replication::{client, Mirror, Puller, SharedMirror};
@@ -82,7 +82,7 @@
         opened,
     );
     spawn_local(Control::new(desk, most_callers(&boot), counters.clone(), leaving).listen(api));
-    let disk = disk::start(dir, facts, tell).context(ThreadSnafu)?;
+    let disk = storage::start(dir, facts, tell).context(ThreadSnafu)?;
     let mut stop = pin!(stop);
     let opened = tokio::select! {
         opened = open(&mut queue) => opened,
@@ -106,7 +106,7 @@
     });
     let beat = Duration::from_millis(boot.beat_period_ms);
     let mirror = SharedMirror::since(Mirror::new(identity.id, beat), origin);
-    roster::recall(&mirror, &identity, roster);
+    host_cache::recall(&mirror, &identity, roster);
     let feed = RegistryPublisher::new(identity.id, identity.life, beat, mirror.clone());
     let history = Rc::new(RefCell::new(History::default()));
     let inside = listen(
@@ -136,7 +136,7 @@
         mirror.clone(),
         told,
     ));
-    spawn_local(roster::keep(mirror.clone(), disk.clone()));
+    spawn_local(host_cache::keep(mirror.clone(), disk.clone()));
     spawn_local(seeds::follow(
         links.clone(),
         pulls,
--- a/crates/control-plane/src/shell/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -1,6 +1,6 @@
 //! What is told of the member: to callers, to the mirror that others pull from, and as counters in the log.
 
-use super::control::ControlCounters;
+use super::control_server::ControlCounters;
 use super::event_loop::EventLoop;
 use protocol::{MemberInfo, MembershipConfig};
 use std::time::Duration;
--- a/crates/control-plane/src/shell/disk.rs
+++ b/crates/control-plane/src/runtime/storage.rs
@@ -1,7 +1,7 @@
 //! The disk's thread: it alone waits for the disk. Writes that have queued up share one sync.
 
 use crate::member::DiskError;
-use crate::shell::identity::{
+use crate::runtime::identity::{
     latest, FoundLedger, Identity, IdentityError, LedgerOwner, StartFacts,
 };
 use append_log::AppendLog;
--- a/crates/control-plane/src/shell/transitions/mod.rs
+++ b/crates/control-plane/src/runtime/transitions/mod.rs
@@ -2,11 +2,11 @@
 //! counts. The state machine itself knows nothing of this.
 
 mod compare;
-mod lines;
+mod log_lines;
 mod recorder;
 
 pub use compare::{between, of_output};
-pub use lines::{log, log_start};
+pub use log_lines::{log, log_start};
 pub use recorder::{Recorder, TransitionCounters};
 
 use crate::member::{DiskState, ElectionPhase, MemberSummary};
--- a/crates/control-plane/tests/order_calls.rs
+++ b/crates/control-plane/tests/configuration_requests.rs
@@ -3,8 +3,8 @@
 
 use configuration::ResultCode;
 use control_plane::ledger::{Plan, ReplicatedState};
-use control_plane::shell::call::Call;
-use control_plane::shell::control::{Control, ControlCounters, Reply, RunCall};
+use control_plane::runtime::control_request::Call;
+use control_plane::runtime::control_server::{Control, ControlCounters, Reply, RunCall};
 use protocol::Command;
 use rstest::rstest;
 use std::cell::RefCell;
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/control_requests.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use configuration::ResultCode;
-use control_plane::roster::HostCall;
-use control_plane::shell::call::{Call, Head};
+use control_plane::host_registry::HostCall;
+use control_plane::runtime::control_request::{Call, Head};
 use hyper::Method;
 use rstest::rstest;
 
--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control_server.rs
@@ -1,8 +1,10 @@
 //! The control API's limits, over real sockets; waits are on tokio's paused clock.
 
 use configuration::ResultCode;
-use control_plane::shell::call::Call;
-use control_plane::shell::control::{Control, ControlCounters, Reply, RunCall, LARGEST_BODY};
+use control_plane::runtime::control_request::Call;
+use control_plane::runtime::control_server::{
+    Control, ControlCounters, Reply, RunCall, LARGEST_BODY,
+};
 use rstest::rstest;
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/control-plane/tests/roster.rs
+++ b/crates/control-plane/tests/host_registry.rs
@@ -1,7 +1,7 @@
 //! The roster: what hosts and coordinators tell this member.
 
 use configuration::ResultCode;
-use control_plane::roster::{beat_target, Beat, HostCall, HostRegistry};
+use control_plane::host_registry::{beat_target, Beat, HostCall, HostRegistry};
 use protocol::{Addr, HostRecord, MemberInfo, Subscriber};
 use replication::phase;
 use rstest::rstest;
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -1,7 +1,7 @@
 //! Who a member is, given what its disk held.
 
-use control_plane::life::{following, TAIL_BITS};
-use control_plane::shell::identity::{
+use control_plane::incarnation::{following, TAIL_BITS};
+use control_plane::runtime::identity::{
     initial_voter_id, inner, latest, FoundLedger, Identity, IdentityError, LedgerOwner, StartFacts,
 };
 use rstest::rstest;
--- a/crates/control-plane/tests/lives.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -1,9 +1,9 @@
 //! A member that starts on a full disk after its clock was set back, and doesn't know the number of its life before:
 //! what hosts tell it reaches everybody all the same.
 
-use control_plane::feed::RegistryPublisher;
-use control_plane::life::following;
-use control_plane::roster::{Beat, HostCall};
+use control_plane::host_registry::{Beat, HostCall};
+use control_plane::incarnation::following;
+use control_plane::registry_publisher::RegistryPublisher;
 use protocol::{Addr, Subscriber};
 use replication::{answer, Mirror, SharedMirror};
 use rstest::rstest;
--- a/crates/control-plane/tests/links.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -1,6 +1,6 @@
 //! Links between members over real sockets; waits are on tokio's paused clock.
 
-use control_plane::shell::links::{LinkEvent, Links};
+use control_plane::runtime::peer_connections::{LinkEvent, Links};
 use protocol::{Change, MemberInfo, Message};
 use replication::{FrameReader, Step};
 use std::cell::RefCell;
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -6,7 +6,7 @@
 use cluster::{ms, Cluster};
 use configuration::ResultCode;
 use control_plane::recovery::{latest_view, Refusal, Survivor};
-use control_plane::shell::identity::{FoundLedger, Identity};
+use control_plane::runtime::identity::{FoundLedger, Identity};
 use std::time::Duration;
 
 const SOON: Duration = ms(8000);
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -1,7 +1,7 @@
 //! The member's own source goes into the mirror that others pull from.
 
-use control_plane::feed::RegistryPublisher;
-use control_plane::roster::{Beat, HostCall};
+use control_plane::host_registry::{Beat, HostCall};
+use control_plane::registry_publisher::RegistryPublisher;
 use protocol::{Addr, OriginVersion, Subscriber};
 use replication::{answer, phase, Mirror, SharedMirror, Update};
 use std::time::Duration;
--- a/crates/control-plane/tests/slow_links.rs
+++ b/crates/control-plane/tests/slow_peer_connections.rs
@@ -3,7 +3,7 @@
 
 use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{Config, Input, Member, Output};
-use control_plane::shell::links::{Lane, MAX_QUEUED_BYTES};
+use control_plane::runtime::peer_connections::{Lane, MAX_QUEUED_BYTES};
 use protocol::{Command, MemberInfo, Message};
 use rstest::rstest;
 use std::cmp::Reverse;
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/storage.rs
@@ -1,7 +1,7 @@
 //! The disk's thread on a real folder.
 
-use control_plane::shell::disk::{start, DiskEvent, File, Write};
-use control_plane::shell::identity::{Identity, StartFacts};
+use control_plane::runtime::identity::{Identity, StartFacts};
+use control_plane::runtime::storage::{start, DiskEvent, File, Write};
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, Sender};
 
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -11,8 +11,8 @@
 use control_plane::ledger::ReplicatedState;
 use control_plane::member::{Config, Member};
 use control_plane::recovery::Survivor;
-use control_plane::shell::disk::{start, DiskEvent, File, Write};
-use control_plane::shell::identity::{latest, FoundLedger, Identity, LedgerOwner, StartFacts};
+use control_plane::runtime::identity::{latest, FoundLedger, Identity, LedgerOwner, StartFacts};
+use control_plane::runtime::storage::{start, DiskEvent, File, Write};
 use protocol::{
     Addr, Change, HostRecord, MemberInfo, MembershipConfig, OriginUpdate, Record, Snapshot,
 };
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -2,7 +2,7 @@
 
 use configuration::FaultBudget;
 use control_plane::member::{Config, DiskError, DiskState, ElectionPhase, Input, Member, Output};
-use control_plane::shell::transitions::{Position, Recorder, StepDownCause, Transition};
+use control_plane::runtime::transitions::{Position, Recorder, StepDownCause, Transition};
 use protocol::{Command, MemberInfo, Message};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/fennelpin-cli/src/operator.rs
+++ b/crates/fennelpin-cli/src/operator.rs
@@ -2,7 +2,7 @@
 //! environment (`FENNELPIN_CLI_LEASE_MS=...`) over both. All defaults are here.
 
 use crate::failure::{Failure, OperatorSnafu, UnreadableSnafu};
-use control_plane::shell::Tuning;
+use control_plane::runtime::Tuning;
 use figment::providers::{Env, Format as _, Serialized, Toml};
 use figment::Figment;
 use serde::{Deserialize, Serialize};
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -2,7 +2,7 @@
 
 use append_log::AppendLog;
 use control_plane::recovery::latest_view;
-use control_plane::shell::identity::{latest, FoundLedger, Identity, LedgerOwner};
+use control_plane::runtime::identity::{latest, FoundLedger, Identity, LedgerOwner};
 use protocol::{Addr, MemberInfo, MembershipConfig, Record, Snapshot};
 use std::path::Path;
 use std::process::{Command, Output};
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -5,7 +5,7 @@
 use crate::canonical;
 use configuration::FaultBudget;
 use control_plane::member::{Config, Member};
-use control_plane::shell::identity::{Identity, StartFacts};
+use control_plane::runtime::identity::{Identity, StartFacts};
 use protocol::{Addr, MemberInfo, Record, Snapshot};
 use replication::Mirror;
 use std::collections::VecDeque;
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -153,9 +153,9 @@
             let boot = settings(&path)?;
             // Nobody changes the seeds; the sender lives as long as the member.
             let (_sender, seeds) = watch::channel(boot.seed_nodes.clone());
-            control_plane::shell::run(
+            control_plane::runtime::run(
                 boot,
-                control_plane::shell::Tuning::default(),
+                control_plane::runtime::Tuning::default(),
                 seeds,
                 terminated()?,
             )
