--- a/crates/control-plane/src/configuration_history.rs
+++ b/crates/control-plane/src/configuration_history.rs
@@ -39,13 +39,13 @@
 /// The latest configurations, oldest first.
 ///
 /// ```
-/// use control_plane::configuration_history::History;
+/// use control_plane::configuration_history::ConfigurationHistory;
 /// use std::{sync::Arc, time::{Duration, SystemTime}};
 /// let document = |version: u64| {
 ///     let text = format!(r#"{{"version":{version},"routes":[],"services":[]}}"#);
 ///     Arc::new(configuration::Configuration::read(text.as_bytes(), 0).unwrap())
 /// };
-/// let mut history = History::default();
+/// let mut history = ConfigurationHistory::default();
 /// history.note(&document(3), SystemTime::UNIX_EPOCH);
 /// history.note(&document(5), SystemTime::UNIX_EPOCH + Duration::from_secs(9));
 /// assert_eq!(history.entries().iter().map(|e| e.version).collect::<Vec<_>>(), [3, 5]);
@@ -56,11 +56,11 @@
 /// assert_eq!(history.behind(5, now), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct History {
+pub struct ConfigurationHistory {
     seen: VecDeque<Seen>,
 }
 
-impl History {
+impl ConfigurationHistory {
     /// Notes the configuration in force; one that is known or older changes nothing.
     pub fn note(&mut self, document: &Arc<Configuration>, at: SystemTime) {
         if document.version <= self.seen.back().map_or(0, |s| s.entry.version) {
--- a/crates/control-plane/src/host_registry.rs
+++ b/crates/control-plane/src/host_registry.rs
@@ -20,7 +20,7 @@
 
 /// What a heartbeat says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The host's service.
     pub service: String,
     /// Where it takes requests.
@@ -39,13 +39,13 @@
 
 /// A host's call, to be run elsewhere.
 #[derive(Clone, Debug, PartialEq)]
-pub enum HostCall {
+pub enum HostRequest {
     /// The host is there.
-    Beat {
+    Heartbeat {
         /// Its identity.
         host: String,
         /// What it says.
-        beat: Beat,
+        beat: Heartbeat,
     },
     /// The host ends.
     Depart {
@@ -55,7 +55,7 @@
 }
 
 #[derive(Deserialize)]
-struct BeatBody {
+struct HeartbeatBody {
     service: String,
     address: SocketAddrV4,
     #[serde(default)]
@@ -74,13 +74,13 @@
     Draining,
 }
 
-impl HostCall {
+impl HostRequest {
     /// Reads a call from its path and body.
     ///
     /// # Errors
     /// [`ResultCode::NoSuchCall`] where the path is no host's call, [`ResultCode::Unreadable`] where it names no host or
     /// the body doesn't say what the call needs.
-    pub fn decode(path: &str, body: &[u8]) -> Result<HostCall, ResultCode> {
+    pub fn decode(path: &str, body: &[u8]) -> Result<HostRequest, ResultCode> {
         let call = path
             .strip_prefix("/fennelpin/")
             .ok_or(ResultCode::NoSuchCall)?;
@@ -93,12 +93,12 @@
         match call {
             "Hosts.Heartbeat" => {
                 let host = host?;
-                let body: BeatBody =
+                let body: HeartbeatBody =
                     serde_json::from_slice(body).map_err(|_| ResultCode::Unreadable)?;
                 if body.service.is_empty() {
                     return Err(ResultCode::Unreadable);
                 }
-                let beat = Beat {
+                let beat = Heartbeat {
                     service: body.service,
                     addr: body.address.into(),
                     zone: body.zone,
@@ -107,9 +107,9 @@
                     cold_left_ms: body.cold_left_ms as u32,
                     call_seq: body.call_seq,
                 };
-                Ok(HostCall::Beat { host, beat })
+                Ok(HostRequest::Heartbeat { host, beat })
             }
-            "Hosts.Depart" => Ok(HostCall::Depart { host: host? }),
+            "Hosts.Depart" => Ok(HostRequest::Depart { host: host? }),
             _ => Err(ResultCode::NoSuchCall),
         }
     }
@@ -117,15 +117,15 @@
     /// The host that calls.
     pub fn host(&self) -> &str {
         match self {
-            HostCall::Beat { host, .. } | HostCall::Depart { host } => host,
+            HostRequest::Heartbeat { host, .. } | HostRequest::Depart { host } => host,
         }
     }
 
     /// Whether the host says that it is leaving or gone.
     pub fn leaves(&self) -> bool {
         match self {
-            HostCall::Beat { beat, .. } => beat.draining,
-            HostCall::Depart { .. } => true,
+            HostRequest::Heartbeat { beat, .. } => beat.draining,
+            HostRequest::Depart { .. } => true,
         }
     }
 }
@@ -198,10 +198,15 @@
 
     /// A host calls; `elsewhere` is what other sources have of it. A call that is older than the latest is
     /// passed over. True where something changed.
-    pub fn call(&mut self, now: Duration, call: &HostCall, elsewhere: Option<&HostRecord>) -> bool {
+    pub fn call(
+        &mut self,
+        now: Duration,
+        call: &HostRequest,
+        elsewhere: Option<&HostRecord>,
+    ) -> bool {
         match call {
-            HostCall::Beat { host, beat } => self.beat(now, host, beat, elsewhere),
-            HostCall::Depart { host } => self.depart(now, host, elsewhere),
+            HostRequest::Heartbeat { host, beat } => self.beat(now, host, beat, elsewhere),
+            HostRequest::Depart { host } => self.depart(now, host, elsewhere),
         }
     }
 
@@ -210,7 +215,7 @@
         &mut self,
         now: Duration,
         host: &str,
-        beat: &Beat,
+        beat: &Heartbeat,
         elsewhere: Option<&HostRecord>,
     ) -> bool {
         let known = self.hosts.get_mut(host);
@@ -415,7 +420,7 @@
 
 /// The member that a host's later heartbeats should go to, where that isn't `me`: by rendezvous hashing over
 /// the members that live.
-pub fn beat_target<'a>(host: &str, me: u64, live: &'a [MemberInfo]) -> Option<&'a MemberInfo> {
+pub fn heartbeat_target<'a>(host: &str, me: u64, live: &'a [MemberInfo]) -> Option<&'a MemberInfo> {
     let best = live
         .iter()
         .max_by_key(|s| (replication::weight(host, &s.id.to_be_bytes()), s.id))?;
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -4,7 +4,7 @@
 
 use crate::ledger::ReplicatedState;
 use crate::member::generation::next_generation;
-use crate::runtime::identity::{latest, FoundLedger, Identity, IdentityError, LedgerOwner};
+use crate::runtime::identity::{latest_identity, Identity, IdentityError, LogOwner, StoredLog};
 use protocol::{MemberInfo, MembershipConfig, Record};
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::collections::BTreeSet;
@@ -74,10 +74,10 @@
     /// # Errors
     /// Where the member isn't a replica of the latest view that it accepted, or a record isn't as it should be.
     pub fn read(identity: &[Vec<u8>], records: &[Vec<u8>]) -> Result<Self, Refusal> {
-        let identity = latest(identity)
+        let identity = latest_identity(identity)
             .context(IdentitySnafu)?
             .context(NoIdentitySnafu)?;
-        let FoundLedger { owner, records } = FoundLedger::of(records.to_vec());
+        let StoredLog { owner, records } = StoredLog::of(records.to_vec());
         if let Some(owner) = owner.map(|o| o.id).filter(|id| *id != identity.id) {
             return OtherOwnerSnafu {
                 owner,
@@ -201,7 +201,7 @@
             life: self.identity.life,
             initial_voters: Vec::new(),
         };
-        let owner = protocol::write_one(&LedgerOwner {
+        let owner = protocol::write_one(&LogOwner {
             identity: identity.clone(),
         });
         let records = records.iter().map(protocol::write_one);
--- a/crates/control-plane/src/registry_publisher.rs
+++ b/crates/control-plane/src/registry_publisher.rs
@@ -1,6 +1,6 @@
 //! The member's own source beside the mirror that others pull from.
 
-use crate::host_registry::{HostCall, HostRegistry};
+use crate::host_registry::{HostRegistry, HostRequest};
 use protocol::{CoordinatorRecord, HostRecord, Subscriber};
 use replication::{SharedMirror, Update};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -56,7 +56,7 @@
     }
 
     /// Runs a host's call. True where something changed.
-    pub fn call(&self, call: &HostCall) -> bool {
+    pub fn call(&self, call: &HostRequest) -> bool {
         self.change(|roster, mirror, now| {
             let elsewhere: Option<HostRecord> =
                 mirror.host_elsewhere(self.id, call.host()).cloned();
--- a/crates/control-plane/src/runtime/control_request.rs
+++ b/crates/control-plane/src/runtime/control_request.rs
@@ -1,6 +1,6 @@
 //! Calls of hosts and operators: each is decoded into a [`Call`], which is run elsewhere.
 
-use crate::host_registry::HostCall;
+use crate::host_registry::HostRequest;
 use bytes::Bytes;
 use configuration::ResultCode;
 use hyper::Method;
@@ -19,7 +19,7 @@
     /// Asks how this member is.
     Status,
     /// Asks which versions were taken, or for the configuration of one.
-    History(Option<u64>),
+    ConfigurationHistory(Option<u64>),
 }
 
 /// A call.
@@ -37,11 +37,11 @@
     /// Asks for the configuration.
     Read,
     /// A host's call.
-    Host(HostCall),
+    Host(HostRequest),
     /// Asks how this member is.
     Status,
     /// Asks which versions were taken, or for the configuration of one.
-    History(Option<u64>),
+    ConfigurationHistory(Option<u64>),
 }
 
 /// The version that a header names: decimal digits alone, with no sign.
@@ -68,10 +68,10 @@
             "Configuration.Amend" => Head::Amend,
             "Configuration.Read" => Head::Read,
             "status" => Head::Status,
-            "Configuration.History" => Head::History(None),
+            "Configuration.History" => Head::ConfigurationHistory(None),
             call if call.starts_with("Configuration.History/") => {
                 let version = call.rsplit('/').next().and_then(|v| v.parse().ok());
-                Head::History(Some(version.ok_or(ResultCode::NoSuchCall)?))
+                Head::ConfigurationHistory(Some(version.ok_or(ResultCode::NoSuchCall)?))
             }
             call if call.starts_with("Hosts.") => Head::Host(path.to_owned()),
             _ => return Err(ResultCode::NoSuchCall),
@@ -90,7 +90,10 @@
 
     /// Whether it only asks.
     pub fn asks(&self) -> bool {
-        matches!(self, Head::Read | Head::Status | Head::History(_))
+        matches!(
+            self,
+            Head::Read | Head::Status | Head::ConfigurationHistory(_)
+        )
     }
 
     /// Whether its body may be long.
@@ -101,7 +104,7 @@
     /// The call, with its body and the text of `Fennelpin-Base-Version`.
     ///
     /// # Errors
-    /// [`ResultCode::NoBase`], and what [`HostCall::decode`] finds.
+    /// [`ResultCode::NoBase`], and what [`HostRequest::decode`] finds.
     pub fn with(self, base: Option<&str>, body: Bytes) -> Result<Call, ResultCode> {
         let amend = self == Head::Amend;
         Ok(match self {
@@ -111,8 +114,8 @@
             }
             Head::Read => Call::Read,
             Head::Status => Call::Status,
-            Head::History(version) => Call::History(version),
-            Head::Host(path) => Call::Host(HostCall::decode(&path, &body)?),
+            Head::ConfigurationHistory(version) => Call::ConfigurationHistory(version),
+            Head::Host(path) => Call::Host(HostRequest::decode(&path, &body)?),
         })
     }
 }
--- a/crates/control-plane/src/runtime/control_server.rs
+++ b/crates/control-plane/src/runtime/control_server.rs
@@ -24,7 +24,7 @@
 /// Names the version that an order builds on.
 const BASE_VERSION: &str = "fennelpin-base-version";
 /// Largest body in bytes.
-pub const LARGEST_BODY: usize = 4 << 20;
+pub const MAX_BODY_BYTES: usize = 4 << 20;
 /// Time for a head, and for the next call on a connection.
 const HEAD_TIME: Duration = Duration::from_secs(8);
 /// Time for a body.
@@ -92,7 +92,7 @@
 }
 
 /// Runs calls. For one thread.
-pub trait RunCall: 'static {
+pub trait HandleRequest: 'static {
     /// Runs a call to its answer, within the time that its caller waits.
     fn run(&self, call: Call) -> impl Future<Output = Reply>;
 }
@@ -113,7 +113,7 @@
 }
 
 /// A listener's state that its connections share.
-pub struct Control<D> {
+pub struct ControlServer<D> {
     desk: D,
     open: Semaphore,
     heavy: Semaphore,
@@ -121,7 +121,7 @@
     stop: watch::Receiver<bool>,
 }
 
-impl<D: RunCall> Control<D> {
+impl<D: HandleRequest> ControlServer<D> {
     /// An API whose calls `desk` runs, with at most `most` connections at once, until `stop` becomes true.
     pub fn new(
         desk: D,
@@ -208,7 +208,7 @@
         } else {
             None
         };
-        let body = match timeout(BODY_TIME, Limited::new(body, LARGEST_BODY).collect()).await {
+        let body = match timeout(BODY_TIME, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Err(_) => return Err(ResultCode::SlowClient),
             Ok(Err(e)) if e.is::<LengthLimitError>() => return Err(ResultCode::TooLarge),
             // The caller may have meant more: that is no refusal of what it meant.
--- a/crates/control-plane/src/runtime/event_loop.rs
+++ b/crates/control-plane/src/runtime/event_loop.rs
@@ -1,13 +1,13 @@
 //! The event loop: hands what happens to the state machine, one input after the other.
 
 use super::control_server::ControlCounters;
-use super::peer_connections::{LinkEvent, Links};
-use super::request_handler::Answered;
-use super::status::ShownFleet;
-use super::storage::{self, DiskEvent};
+use super::peer_connections::{PeerConnections, PeerEvent};
+use super::request_handler::CommandReply;
+use super::status::PublishedControlPlane;
+use super::storage::{self, StorageEvent};
 use super::transitions::{self, Recorder};
 use super::Event;
-use crate::configuration_history::History;
+use crate::configuration_history::ConfigurationHistory;
 use crate::member::{Input, Member, Output};
 use replication::SharedMirror;
 use std::cell::RefCell;
@@ -29,17 +29,17 @@
     pub(super) outputs: Vec<Output>,
     pub(super) origin: Instant,
     pub(super) wake: Option<Duration>,
-    pub(super) callers: HashMap<u64, oneshot::Sender<Answered>>,
+    pub(super) callers: HashMap<u64, oneshot::Sender<CommandReply>>,
     pub(super) tickets: u64,
     pub(super) left: bool,
     pub(super) steps: u64,
     /// What the mirror was told of the control plane.
-    pub(super) known: ShownFleet,
+    pub(super) known: PublishedControlPlane,
     pub(super) disk: std::sync::mpsc::Sender<storage::Write>,
-    pub(super) links: Links,
+    pub(super) links: PeerConnections,
     pub(super) mirror: Arc<SharedMirror>,
     pub(super) leave: watch::Sender<bool>,
-    pub(super) history: Rc<RefCell<History>>,
+    pub(super) history: Rc<RefCell<ConfigurationHistory>>,
     /// Time between two lines of counters.
     pub(super) period: Duration,
     /// Longest wait for the handing over at the end.
@@ -114,17 +114,17 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::LinkEvent(LinkEvent::Hello(seat)) => self.step(Input::Reachable { seat }),
-            Event::LinkEvent(LinkEvent::Message(from, message)) => {
+            Event::PeerEvent(PeerEvent::Hello(seat)) => self.step(Input::Reachable { seat }),
+            Event::PeerEvent(PeerEvent::Message(from, message)) => {
                 self.step(Input::Message {
                     from,
                     message: *message,
                 });
             }
-            Event::Disk(DiskEvent::Wrote { ticket, result }) => {
+            Event::Disk(StorageEvent::Wrote { ticket, result }) => {
                 self.step(Input::Wrote { ticket, result });
             }
-            Event::Disk(DiskEvent::Open { .. } | DiskEvent::NotOpen { .. }) => {}
+            Event::Disk(StorageEvent::Open { .. } | StorageEvent::NotOpen { .. }) => {}
             Event::Command(command, caller) => {
                 self.mirror.update(|mirror, _| {
                     let fleet = mirror.fleet();
--- a/crates/control-plane/src/runtime/identity.rs
+++ b/crates/control-plane/src/runtime/identity.rs
@@ -1,6 +1,6 @@
 //! Who a member is: kept on its own disk, so that a wiped disk comes back as somebody else.
 //!
-//! The identity stands in two files. The ledger's file begins with it ([`LedgerOwner`]) and is made first; the
+//! The identity stands in two files. The ledger's file begins with it ([`LogOwner`]) and is made first; the
 //! identity's file is written once that is on disk, and nothing is promised before both are. So an identity without
 //! its ledger is one whose promises are forgotten: it is never used again. A ledger without the identity's file
 //! says itself whose it is.
@@ -31,7 +31,7 @@
 #[binrw]
 #[brw(little, magic = b"owner")]
 #[derive(Clone, Debug, PartialEq)]
-pub struct LedgerOwner {
+pub struct LogOwner {
     /// Whose promises the file holds, as of the life that made or last rewrote it.
     pub identity: Identity,
 }
@@ -62,19 +62,19 @@
 
 /// What the ledger's file holds at a start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct FoundLedger {
+pub struct StoredLog {
     /// Whose it is; none where there is no file, or where an earlier release wrote it.
     pub owner: Option<Identity>,
     /// The member's records.
     pub records: Vec<Vec<u8>>,
 }
 
-impl FoundLedger {
+impl StoredLog {
     /// Sorts the records of the ledger's file.
     pub fn of(mut records: Vec<Vec<u8>>) -> Self {
         let owner = records
             .first()
-            .and_then(|r| protocol::read_one::<LedgerOwner>(r).ok());
+            .and_then(|r| protocol::read_one::<LogOwner>(r).ok());
         if owner.is_some() {
             records.remove(0);
         }
@@ -87,7 +87,7 @@
 
 /// What a member is told about its start.
 #[derive(Clone, Debug)]
-pub struct StartFacts {
+pub struct StartContext {
     /// The machine's `control` address.
     pub control: SocketAddrV4,
     /// The seeds' `control` addresses.
@@ -114,11 +114,11 @@
 }
 
 /// The inner address of the machine with this `control` address.
-pub fn inner(control: SocketAddrV4, port: u16) -> SocketAddrV4 {
+pub fn member_address(control: SocketAddrV4, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(*control.ip(), port)
 }
 
-impl StartFacts {
+impl StartContext {
     /// The identity of the life that starts now, given what the disk held.
     pub fn identity(&self, kept: Option<Identity>) -> Identity {
         if let Some(kept) = kept {
@@ -134,7 +134,7 @@
             Vec::new()
         };
         let id = if is_initial_voter {
-            initial_voter_id(inner(self.control, self.port))
+            initial_voter_id(member_address(self.control, self.port))
         } else {
             self.random.max(1)
         };
@@ -156,7 +156,7 @@
     pub fn identity_with(
         &self,
         kept: Option<Identity>,
-        ledger: &FoundLedger,
+        ledger: &StoredLog,
     ) -> Result<Identity, IdentityError> {
         let known = match (kept, ledger.owner.clone()) {
             // The identity's file was lost, or never written after the ledger's was made.
@@ -188,7 +188,7 @@
     }
 
     fn founder(&self, seed: SocketAddrV4) -> MemberInfo {
-        let addr = inner(seed, self.port);
+        let addr = member_address(seed, self.port);
         MemberInfo {
             id: initial_voter_id(addr),
             addr: addr.into(),
@@ -202,7 +202,7 @@
 ///
 /// # Errors
 /// Where one of them can't be read.
-pub fn latest(records: &[Vec<u8>]) -> Result<Option<Identity>, IdentityError> {
+pub fn latest_identity(records: &[Vec<u8>]) -> Result<Option<Identity>, IdentityError> {
     let read = |(record, bytes): (usize, &Vec<u8>)| {
         protocol::read_one::<Identity>(bytes).context(UnreadableSnafu { record })
     };
--- a/crates/control-plane/src/runtime/inbound.rs
+++ b/crates/control-plane/src/runtime/inbound.rs
@@ -1,7 +1,7 @@
 //! Connections from other processes: members that speak, and whoever pulls.
 
 use super::connection;
-use super::peer_connections::Links;
+use super::peer_connections::PeerConnections;
 use crate::registry_publisher::RegistryPublisher;
 use protocol::{MemberInfo, Message};
 use replication::FrameReader;
@@ -17,7 +17,11 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Takes connections for as long as the process runs.
-pub(super) async fn accept(listener: TcpListener, links: Links, feed: Arc<RegistryPublisher>) {
+pub(super) async fn accept(
+    listener: TcpListener,
+    links: PeerConnections,
+    feed: Arc<RegistryPublisher>,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -40,7 +44,7 @@
 /// A connection from another process: its first messages tell what it is for.
 async fn inbound(
     stream: TcpStream,
-    links: Links,
+    links: PeerConnections,
     feed: Arc<RegistryPublisher>,
 ) -> std::io::Result<()> {
     connection::ready(&stream)?;
--- a/crates/control-plane/src/runtime/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -17,15 +17,15 @@
 pub mod transitions;
 
 use configuration::{ProcessSettings, ResultCode};
-use peer_connections::LinkEvent;
+use peer_connections::PeerEvent;
 use protocol::Command;
-use request_handler::Answered;
+use request_handler::CommandReply;
 use snafu::Snafu;
 use status::MemberStatus;
 use std::future::Future;
 use std::net::SocketAddrV4;
 use std::time::Duration;
-use storage::DiskEvent;
+use storage::StorageEvent;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{oneshot, watch};
 use tokio::task::LocalSet;
@@ -33,7 +33,7 @@
 
 /// What an operator may set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tuning {
+pub struct RuntimeSettings {
     /// Length of a primary's lease; the same at all members.
     pub lease: Duration,
     /// Longest time for a configuration call, from its last byte to the answer.
@@ -44,7 +44,7 @@
     pub counters: Duration,
 }
 
-impl Default for Tuning {
+impl Default for RuntimeSettings {
     fn default() -> Self {
         Self {
             lease: Duration::from_millis(1000),
@@ -57,7 +57,7 @@
 
 /// Why the process ends with a failure.
 #[derive(Debug, Snafu)]
-pub enum Failure {
+pub enum RuntimeError {
     /// The settings name no address for `control`.
     #[snafu(display("bind.control is missing: the role has to serve control"))]
     NoControl,
@@ -88,9 +88,9 @@
 
 /// What the event loop takes.
 enum Event {
-    LinkEvent(LinkEvent),
-    Disk(DiskEvent),
-    Command(Command, oneshot::Sender<Answered>),
+    PeerEvent(PeerEvent),
+    Disk(StorageEvent),
+    Command(Command, oneshot::Sender<CommandReply>),
     /// Asks what the state machine says of itself.
     MemberStatus(oneshot::Sender<MemberStatus>),
 }
@@ -105,10 +105,10 @@
 /// Where the settings don't fit, or an address or the disk's thread can't be had.
 pub async fn run(
     boot: ProcessSettings,
-    tuning: Tuning,
+    tuning: RuntimeSettings,
     seeds: watch::Receiver<Vec<SocketAddrV4>>,
     stop: impl Future<Output = ()>,
-) -> Result<(), Failure> {
+) -> Result<(), RuntimeError> {
     let tasks = LocalSet::new();
     tasks
         .run_until(start::run_member(boot, tuning, seeds, stop))
@@ -119,7 +119,7 @@
 type Events = UnboundedSender<Event>;
 
 /// Hands a command to the member and waits for its answer.
-async fn command(events: &Events, command: Command, wait: Duration) -> Answered {
+async fn command(events: &Events, command: Command, wait: Duration) -> CommandReply {
     let (caller, answer) = oneshot::channel();
     if events.send(Event::Command(command, caller)).is_err() {
         return (ResultCode::Leaving, Vec::new());
--- a/crates/control-plane/src/runtime/peer_connections/channel.rs
+++ b/crates/control-plane/src/runtime/peer_connections/channel.rs
@@ -18,35 +18,35 @@
 
 /// Which connection of a link a message takes. Messages of one lane stay in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lane {
+pub enum Channel {
     /// Small messages that have to come at once.
     Control,
     /// Changes, which have to come in their order, and whatever is large.
     Data,
 }
 
-impl Lane {
+impl Channel {
     /// The lane of a message whose frame has so many bytes.
     pub fn of(message: &Message, frame_bytes: usize) -> Self {
         let is_change = matches!(message, Message::AppendChange { .. });
         if is_change || frame_bytes > MAX_CONTROL_FRAME {
-            Lane::Data
+            Channel::Data
         } else {
-            Lane::Control
+            Channel::Control
         }
     }
 }
 
 /// A frame that waits.
 #[derive(Clone)]
-pub(super) struct Queued {
+pub(super) struct QueuedFrame {
     since: Instant,
     /// The identity that it is meant for; 0 for whoever is there.
     to: u64,
     pub(super) frame: Rc<Vec<u8>>,
 }
 
-impl Queued {
+impl QueuedFrame {
     /// Whether it is meant for the member `there`.
     pub(super) fn is_for(&self, there: u64) -> bool {
         self.to == 0 || self.to == there
@@ -55,13 +55,13 @@
 
 #[derive(Default)]
 struct Queue {
-    frames: VecDeque<Queued>,
+    frames: VecDeque<QueuedFrame>,
     bytes: usize,
 }
 
 /// One connection of a link with what waits for it.
 #[derive(Default)]
-pub(super) struct LaneState {
+pub(super) struct ChannelState {
     queue: RefCell<Queue>,
     /// Whether the connection is there.
     pub(super) up: Cell<bool>,
@@ -69,7 +69,7 @@
     pub(super) wake: Notify,
 }
 
-impl LaneState {
+impl ChannelState {
     /// Adds a frame for the member `to`; how many had to be dropped, this one perhaps among them.
     pub(super) fn push(&self, to: u64, frame: Vec<u8>) -> u64 {
         let mut dropped = 0;
@@ -81,7 +81,7 @@
             return dropped + 1;
         }
         queue.bytes += frame.len();
-        queue.frames.push_back(Queued {
+        queue.frames.push_back(QueuedFrame {
             since: Instant::now(),
             to,
             frame: Rc::new(frame),
@@ -92,10 +92,10 @@
     }
 
     /// Puts a frame back that a connection couldn't send to its end: the next one begins with it.
-    pub(super) fn put_back(&self, unsent: Queued) {
+    pub(super) fn put_back(&self, unsent: QueuedFrame) {
         let mut queue = self.queue.borrow_mut();
         queue.bytes += unsent.frame.len();
-        queue.frames.push_front(Queued {
+        queue.frames.push_front(QueuedFrame {
             since: Instant::now(),
             ..unsent
         });
@@ -111,7 +111,7 @@
         self.retain(|queued| queued.is_for(there))
     }
 
-    fn retain(&self, keep: impl Fn(&Queued) -> bool) -> u64 {
+    fn retain(&self, keep: impl Fn(&QueuedFrame) -> bool) -> u64 {
         let mut queue = self.queue.borrow_mut();
         let before = queue.frames.len();
         queue.frames.retain(keep);
@@ -120,7 +120,7 @@
     }
 
     /// The next frame.
-    pub(super) fn pop(&self) -> Option<Queued> {
+    pub(super) fn pop(&self) -> Option<QueuedFrame> {
         let mut queue = self.queue.borrow_mut();
         let queued = queue.frames.pop_front()?;
         queue.bytes -= queued.frame.len();
--- a/crates/control-plane/src/runtime/peer_connections/dial.rs
+++ b/crates/control-plane/src/runtime/peer_connections/dial.rs
@@ -1,7 +1,7 @@
 //! A peer's connections, dialled and kept up.
 
-use super::channel::{Lane, LaneState, Queued, MAX_QUEUED_BYTES};
-use super::{LinkEvent, Links, Peer};
+use super::channel::{Channel, ChannelState, QueuedFrame, MAX_QUEUED_BYTES};
+use super::{Peer, PeerConnections, PeerEvent};
 use crate::runtime::connection::{ready, write_all, write_all_counting};
 use protocol::{MemberInfo, Message};
 use replication::{FrameReader, Step};
@@ -66,12 +66,12 @@
     }
 }
 
-impl Links {
+impl PeerConnections {
     /// Keeps the control lane to a peer up for as long as the peer is wanted.
     pub(super) async fn keep_up(self, peer: Rc<Peer>) {
         let mut pause = RECONNECT_PAUSE.0;
         loop {
-            let was_up = self.connect(&peer, Lane::Control).await;
+            let was_up = self.connect(&peer, Channel::Control).await;
             if !self.went_down(&peer) {
                 break;
             }
@@ -81,13 +81,13 @@
             sleep(pause).await;
             pause = (pause * 2).min(RECONNECT_PAUSE.1);
         }
-        peer.lane(Lane::Data).wake.notify_one();
+        peer.lane(Channel::Data).wake.notify_one();
         self.inner.peers.borrow_mut().remove(&peer.addr);
     }
 
     /// Notes that the control lane's connection has ended; whether the peer is still wanted.
     fn went_down(&self, peer: &Peer) -> bool {
-        self.lane_went_down(peer, Lane::Control);
+        self.lane_went_down(peer, Channel::Control);
         let mut state = peer.state.borrow_mut();
         if !state.seed && state.reached.elapsed() > FORGET_PEER_AFTER {
             state.wanted = false;
@@ -95,7 +95,7 @@
         state.wanted
     }
 
-    fn lane_went_down(&self, peer: &Peer, lane: Lane) {
+    fn lane_went_down(&self, peer: &Peer, lane: Channel) {
         if peer.lane(lane).up.replace(false) {
             self.inner.counters.borrow_mut().broken += 1;
             log::info!(peer:? = SocketAddrV4::from(&peer.addr), lane:?; "link down");
@@ -104,7 +104,7 @@
 
     /// Dials the data lane whenever something waits for it, and keeps it up from then on.
     pub(super) async fn keep_data_up(self, peer: Rc<Peer>) {
-        let lane = peer.lane(Lane::Data);
+        let lane = peer.lane(Channel::Data);
         let mut pause = RECONNECT_PAUSE.0;
         loop {
             while lane.is_empty() && peer.state.borrow().wanted {
@@ -113,8 +113,8 @@
             if !peer.state.borrow().wanted {
                 return;
             }
-            let was_up = self.connect(&peer, Lane::Data).await;
-            self.lane_went_down(&peer, Lane::Data);
+            let was_up = self.connect(&peer, Channel::Data).await;
+            self.lane_went_down(&peer, Channel::Data);
             if was_up {
                 pause = RECONNECT_PAUSE.0;
             }
@@ -125,7 +125,7 @@
     }
 
     /// One connection from its start to its end; whether it came up.
-    async fn connect(&self, peer: &Peer, lane: Lane) -> bool {
+    async fn connect(&self, peer: &Peer, lane: Channel) -> bool {
         let addr = SocketAddr::V4(SocketAddrV4::from(&peer.addr));
         let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await else {
             return false;
@@ -156,7 +156,7 @@
         let dropped = state.drop_old() + state.drop_for_others(seat.id);
         self.inner.counters.borrow_mut().dropped += dropped;
         self.inner.counters.borrow_mut().connected += 1;
-        if lane == Lane::Control {
+        if lane == Channel::Control {
             self.came_up(peer, seat.clone());
         }
         let liveness = Liveness::new();
@@ -186,7 +186,7 @@
             match step {
                 Step::Message(message) => match *message {
                     Message::Peers { seats } => self.learn(&seats),
-                    message => self.tell(LinkEvent::Message(seat.clone(), Box::new(message))),
+                    message => self.tell(PeerEvent::Message(seat.clone(), Box::new(message))),
                 },
                 Step::Part => {}
                 Step::End => return,
@@ -197,11 +197,11 @@
     /// Writes what waits, for as long as the member `there` takes it.
     async fn speak(
         &self,
-        lane: &LaneState,
+        lane: &ChannelState,
         there: u64,
         mut output: impl AsyncWrite + Unpin,
         liveness: &Liveness,
-        unsent: &RefCell<Option<Queued>>,
+        unsent: &RefCell<Option<QueuedFrame>>,
     ) {
         loop {
             let Some(next) = lane.pop() else {
@@ -228,7 +228,7 @@
     }
 
     /// Probes a peer that is silent; ends where it stays so.
-    async fn watch(&self, lane: &LaneState, liveness: &Liveness) {
+    async fn watch(&self, lane: &ChannelState, liveness: &Liveness) {
         loop {
             if liveness.unexplained_silence() >= SILENCE_TIMEOUT {
                 return;
@@ -251,7 +251,7 @@
             state.seat = Some(seat.clone());
         }
         log::info!(peer:% = seat.name, addr:? = SocketAddrV4::from(&peer.addr); "link up");
-        self.tell(LinkEvent::Hello(seat));
+        self.tell(PeerEvent::Hello(seat));
         // The others hear of it.
         let news = Message::Peers {
             seats: self.seats(),
--- a/crates/control-plane/src/runtime/peer_connections/mod.rs
+++ b/crates/control-plane/src/runtime/peer_connections/mod.rs
@@ -1,13 +1,13 @@
-//! Links between members. Each member dials every member that it knows and speaks over the connections that it
-//! dialled; what others say comes in over theirs. A link has two connections: see [`Lane`].
+//! PeerConnections between members. Each member dials every member that it knows and speaks over the connections that it
+//! dialled; what others say comes in over theirs. A link has two connections: see [`Channel`].
 
 mod channel;
 mod dial;
 
-pub use channel::{Lane, MAX_QUEUED_BYTES};
+pub use channel::{Channel, MAX_QUEUED_BYTES};
 
 use crate::runtime::connection::write_all;
-use channel::LaneState;
+use channel::ChannelState;
 use dial::SILENCE_TIMEOUT;
 use protocol::{Addr, MemberInfo, Message};
 use replication::{FrameReader, Step};
@@ -24,7 +24,7 @@
 
 /// What comes from other members.
 #[derive(Clone, Debug)]
-pub enum LinkEvent {
+pub enum PeerEvent {
     /// A member said who it is.
     Hello(MemberInfo),
     /// A member spoke.
@@ -33,7 +33,7 @@
 
 /// Plain counts since the start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LinkCounters {
+pub struct PeerCounters {
     /// Connections that came up.
     pub connected: u64,
     /// Connections that broke.
@@ -50,22 +50,22 @@
 
 /// All links of this member. Cheap to clone; for one thread.
 #[derive(Clone)]
-pub struct Links {
+pub struct PeerConnections {
     inner: Rc<Inner>,
 }
 
 struct Inner {
     me: MemberInfo,
-    heard: Box<dyn Fn(LinkEvent)>,
+    heard: Box<dyn Fn(PeerEvent)>,
     peers: RefCell<HashMap<Addr, Rc<Peer>>>,
-    counters: RefCell<LinkCounters>,
+    counters: RefCell<PeerCounters>,
 }
 
 struct Peer {
     addr: Addr,
     state: RefCell<PeerState>,
-    control: LaneState,
-    data: LaneState,
+    control: ChannelState,
+    data: ChannelState,
 }
 
 struct PeerState {
@@ -86,15 +86,15 @@
         Self {
             addr,
             state: RefCell::new(state),
-            control: LaneState::default(),
-            data: LaneState::default(),
+            control: ChannelState::default(),
+            data: ChannelState::default(),
         }
     }
 
-    fn lane(&self, lane: Lane) -> &LaneState {
+    fn lane(&self, lane: Channel) -> &ChannelState {
         match lane {
-            Lane::Control => &self.control,
-            Lane::Data => &self.data,
+            Channel::Control => &self.control,
+            Channel::Data => &self.data,
         }
     }
 
@@ -104,9 +104,9 @@
     }
 }
 
-impl Links {
-    /// Links of the member in `me`; what comes goes to `heard`. Runs on a `LocalSet`.
-    pub fn new(me: MemberInfo, heard: impl Fn(LinkEvent) + 'static) -> Self {
+impl PeerConnections {
+    /// PeerConnections of the member in `me`; what comes goes to `heard`. Runs on a `LocalSet`.
+    pub fn new(me: MemberInfo, heard: impl Fn(PeerEvent) + 'static) -> Self {
         let (peers, counters) = Default::default();
         Self {
             inner: Rc::new(Inner {
@@ -165,7 +165,7 @@
     }
 
     /// Counts since the start.
-    pub fn counters(&self) -> LinkCounters {
+    pub fn counters(&self) -> PeerCounters {
         *self.inner.counters.borrow()
     }
 
@@ -188,7 +188,7 @@
         )
         .await?;
         self.learn(std::slice::from_ref(&seat));
-        self.tell(LinkEvent::Hello(seat.clone()));
+        self.tell(PeerEvent::Hello(seat.clone()));
         let mut next = Step::Message(Box::new(first));
         loop {
             match next {
@@ -218,20 +218,20 @@
                 write_all(output, &protocol::encode(&answer)).await
             }
             message => {
-                self.tell(LinkEvent::Message(seat.clone(), Box::new(message)));
+                self.tell(PeerEvent::Message(seat.clone(), Box::new(message)));
                 Ok(())
             }
         }
     }
 
-    fn tell(&self, heard: LinkEvent) {
+    fn tell(&self, heard: PeerEvent) {
         self.inner.counters.borrow_mut().heard += 1;
         (self.inner.heard)(heard);
     }
 
     fn push(&self, peer: &Peer, to: u64, message: &Message) {
         let frame = protocol::encode(message);
-        let lane = Lane::of(message, frame.len());
+        let lane = Channel::of(message, frame.len());
         self.inner.counters.borrow_mut().dropped += peer.lane(lane).push(to, frame);
     }
 
--- a/crates/control-plane/src/runtime/request_handler.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -1,11 +1,11 @@
 //! Runs the calls of hosts and operators: what is about hosts against the roster, the rest by the member.
 
 use super::control_request::Call;
-use super::control_server::{Reply, RunCall};
-use super::peer_connections::Links;
+use super::control_server::{HandleRequest, Reply};
+use super::peer_connections::PeerConnections;
 use super::{command, Event, Events, MemberStatus};
-use crate::configuration_history::History;
-use crate::host_registry::{beat_target, HostCall};
+use crate::configuration_history::ConfigurationHistory;
+use crate::host_registry::{heartbeat_target, HostRequest};
 use crate::registry_publisher::RegistryPublisher;
 use configuration::ResultCode;
 use protocol::{Command, MemberInfo};
@@ -26,20 +26,20 @@
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What a member answers a command: its result and what goes with it.
-pub(super) type Answered = (ResultCode, Vec<u8>);
+pub(super) type CommandReply = (ResultCode, Vec<u8>);
 
 /// What is there once the disk has told who this member is.
 pub(super) struct OpenMember {
     pub(super) me: MemberInfo,
     pub(super) life: u64,
-    pub(super) links: Links,
+    pub(super) links: PeerConnections,
     pub(super) feed: Arc<RegistryPublisher>,
-    pub(super) history: Rc<RefCell<History>>,
+    pub(super) history: Rc<RefCell<ConfigurationHistory>>,
 }
 
 /// What calls are run against.
 #[derive(Clone)]
-pub(super) struct CallRunner {
+pub(super) struct RequestHandler {
     node: Rc<str>,
     events: Events,
     patience: Duration,
@@ -48,7 +48,7 @@
     opened: watch::Receiver<Option<Rc<OpenMember>>>,
 }
 
-impl CallRunner {
+impl RequestHandler {
     /// A desk whose calls wait a little until `opened` brings what they are run against.
     pub(super) fn new(
         node: String,
@@ -90,13 +90,13 @@
         }
     }
 
-    async fn host(&self, opened: &OpenMember, call: &HostCall) -> Reply {
+    async fn host(&self, opened: &OpenMember, call: &HostRequest) -> Reply {
         // Proxies hear of a drain at once, whatever becomes of it in the ledger.
         opened.feed.call(call);
         if call.leaves() {
             return self.drain(opened, call.host()).await;
         }
-        match beat_target(call.host(), opened.me.id, &opened.links.seats()) {
+        match heartbeat_target(call.host(), opened.me.id, &opened.links.seats()) {
             Some(seat) => {
                 let target = SocketAddrV4::from(&seat.control);
                 Reply::json(json!({"beat_target": target.to_string()}).to_string())
@@ -197,14 +197,14 @@
 }
 
 /// Logs what became of a configuration order here, also where its caller has gone before the answer.
-struct OrderTrace {
+struct ConfigurationRequestLog {
     base: u64,
     bytes: usize,
     since: Instant,
     code: Option<ResultCode>,
 }
 
-impl OrderTrace {
+impl ConfigurationRequestLog {
     fn new(base: u64, bytes: usize) -> Self {
         Self {
             base,
@@ -215,7 +215,7 @@
     }
 }
 
-impl Drop for OrderTrace {
+impl Drop for ConfigurationRequestLog {
     fn drop(&mut self) {
         let waited_ms = self.since.elapsed().as_millis() as u64;
         let result = self.code.map_or("the caller has gone", ResultCode::text);
@@ -223,7 +223,7 @@
     }
 }
 
-impl RunCall for CallRunner {
+impl HandleRequest for RequestHandler {
     async fn run(&self, call: Call) -> Reply {
         if call == Call::Status {
             return Reply::json(self.status().await);
@@ -237,7 +237,7 @@
         };
         match call {
             Call::Status => Reply::json(self.status().await),
-            Call::History(version) => self.history(&opened, version),
+            Call::ConfigurationHistory(version) => self.history(&opened, version),
             Call::Read => {
                 match command(&self.events, Command::Read { reserved: 0 }, self.patience).await {
                     (ResultCode::Ok, document) => Reply::json(document),
@@ -245,7 +245,7 @@
                 }
             }
             Call::Configure { base, amend, body } => {
-                let mut trace = OrderTrace::new(base, body.len());
+                let mut trace = ConfigurationRequestLog::new(base, body.len());
                 let asked = Command::Configure {
                     base,
                     amend,
--- a/crates/control-plane/src/runtime/seeds.rs
+++ b/crates/control-plane/src/runtime/seeds.rs
@@ -1,7 +1,7 @@
 //! Seeds whose addresses may change while the member runs.
 
-use super::identity::inner;
-use super::peer_connections::Links;
+use super::identity::member_address;
+use super::peer_connections::PeerConnections;
 use replication::client;
 use std::net::SocketAddrV4;
 use tokio::sync::mpsc::UnboundedSender;
@@ -9,7 +9,7 @@
 
 /// Tells links and pulls the seeds of now, and again whenever they change.
 pub(super) async fn follow(
-    links: Links,
+    links: PeerConnections,
     pulls: UnboundedSender<client::Control>,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
     port: u16,
@@ -18,7 +18,7 @@
         let now: Vec<SocketAddrV4> = seeds
             .borrow_and_update()
             .iter()
-            .map(|s| inner(*s, port))
+            .map(|s| member_address(*s, port))
             .collect();
         links.set_seeds(&now);
         // The puller ends with the process.
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -1,18 +1,19 @@
 //! From the settings and the disk to a member that runs: what listens, what is linked, and in which order.
 
-use super::control_server::{Control, ControlCounters};
+use super::control_server::{ControlCounters, ControlServer};
 use super::event_loop::EventLoop;
-use super::identity::{Identity, StartFacts};
-use super::peer_connections::{LinkEvent, Links};
-use super::request_handler::{CallRunner, OpenMember};
-use super::status::ShownFleet;
-use super::storage::{self, DiskEvent};
+use super::identity::{Identity, StartContext};
+use super::peer_connections::{PeerConnections, PeerEvent};
+use super::request_handler::{OpenMember, RequestHandler};
+use super::status::PublishedControlPlane;
+use super::storage::{self, StorageEvent};
 use super::transitions::{self, Recorder};
 use super::{host_cache, inbound, seeds};
 use super::{
-    Event, Events, Failure, ListenSnafu, NoControlSnafu, NoDiskSnafu, ThreadSnafu, Tuning,
+    Event, Events, ListenSnafu, NoControlSnafu, NoDiskSnafu, RuntimeError, RuntimeSettings,
+    ThreadSnafu,
 };
-use crate::configuration_history::History;
+use crate::configuration_history::ConfigurationHistory;
 use crate::member::{Config, Member};
 use crate::registry_publisher::RegistryPublisher;
 use configuration::ProcessSettings;
@@ -54,10 +55,10 @@
 /// As [`super::run`].
 pub(super) async fn run_member(
     boot: ProcessSettings,
-    tuning: Tuning,
+    tuning: RuntimeSettings,
     seeds: watch::Receiver<Vec<SocketAddrV4>>,
     stop: impl Future<Output = ()>,
-) -> Result<(), Failure> {
+) -> Result<(), RuntimeError> {
     let origin = Instant::now();
     let control = boot.bind.control.context(NoControlSnafu)?;
     let dir = boot.state_dir.clone().context(NoDiskSnafu)?;
@@ -74,14 +75,16 @@
     let (leave, leaving) = watch::channel(false);
     let (open_desk, opened) = watch::channel(None);
     let name = boot.node_name.clone();
-    let desk = CallRunner::new(
+    let desk = RequestHandler::new(
         name,
         events.clone(),
         tuning.patience,
         leaving.clone(),
         opened,
     );
-    spawn_local(Control::new(desk, most_callers(&boot), counters.clone(), leaving).listen(api));
+    spawn_local(
+        ControlServer::new(desk, most_callers(&boot), counters.clone(), leaving).listen(api),
+    );
     let disk = storage::start(dir, facts, tell).context(ThreadSnafu)?;
     let mut stop = pin!(stop);
     let opened = tokio::select! {
@@ -101,14 +104,14 @@
     );
 
     let announced = events.clone();
-    let links = Links::new(me.clone(), move |heard| {
-        drop(events.send(Event::LinkEvent(heard)));
+    let links = PeerConnections::new(me.clone(), move |heard| {
+        drop(events.send(Event::PeerEvent(heard)));
     });
     let beat = Duration::from_millis(boot.beat_period_ms);
     let mirror = SharedMirror::since(Mirror::new(identity.id, beat), origin);
     host_cache::recall(&mirror, &identity, roster);
     let feed = RegistryPublisher::new(identity.id, identity.life, beat, mirror.clone());
-    let history = Rc::new(RefCell::new(History::default()));
+    let history = Rc::new(RefCell::new(ConfigurationHistory::default()));
     let inside = listen(
         boot.bind
             .member
@@ -169,7 +172,7 @@
         tickets: 0,
         left: false,
         steps: 0,
-        known: ShownFleet::default(),
+        known: PublishedControlPlane::default(),
         disk,
         links,
         mirror,
@@ -185,8 +188,11 @@
     Ok(())
 }
 
-fn start_facts(boot: &ProcessSettings, control: SocketAddrV4) -> Result<StartFacts, Failure> {
-    Ok(StartFacts {
+fn start_facts(
+    boot: &ProcessSettings,
+    control: SocketAddrV4,
+) -> Result<StartContext, RuntimeError> {
+    Ok(StartContext {
         control,
         seeds: boot.seed_nodes.clone(),
         port: boot.port_range.0,
@@ -216,7 +222,11 @@
 }
 
 /// Lets time pass for the hosts' records, and notes which configurations were in force.
-async fn keep_feed(feed: Arc<RegistryPublisher>, history: Rc<RefCell<History>>, pause: Duration) {
+async fn keep_feed(
+    feed: Arc<RegistryPublisher>,
+    history: Rc<RefCell<ConfigurationHistory>>,
+    pause: Duration,
+) {
     loop {
         sleep(pause).await;
         feed.tick();
@@ -228,12 +238,12 @@
 
 /// Tells the member again and again who is in touch: members without a say send it nothing, and one that came while
 /// it couldn't join would be taken for gone.
-async fn announce(links: Links, events: Events, period: Duration) {
+async fn announce(links: PeerConnections, events: Events, period: Duration) {
     loop {
         sleep(period).await;
         for seat in links.seats().into_iter().skip(1) {
             if events
-                .send(Event::LinkEvent(LinkEvent::Hello(seat)))
+                .send(Event::PeerEvent(PeerEvent::Hello(seat)))
                 .is_err()
             {
                 return;
@@ -249,14 +259,14 @@
     let mut refused = false;
     loop {
         match queue.recv().await? {
-            Event::Disk(DiskEvent::Open {
+            Event::Disk(StorageEvent::Open {
                 identity,
                 records,
                 roster,
             }) => {
                 return Some((identity, records, roster));
             }
-            Event::Disk(DiskEvent::NotOpen { detail }) if !refused => {
+            Event::Disk(StorageEvent::NotOpen { detail }) if !refused => {
                 refused = true;
                 log::error!(detail; "the disk's files can't be opened yet");
             }
@@ -266,7 +276,7 @@
 }
 
 /// Listens, once the port is free: the life before may not be gone quite yet.
-async fn listen(addr: SocketAddrV4) -> Result<TcpListener, Failure> {
+async fn listen(addr: SocketAddrV4) -> Result<TcpListener, RuntimeError> {
     let until = Instant::now() + BIND_TIMEOUT;
     loop {
         match TcpListener::bind(addr).await {
@@ -278,8 +288,8 @@
     }
 }
 
-fn random() -> Result<u64, Failure> {
-    getrandom::u64().map_err(|e| Failure::Random {
+fn random() -> Result<u64, RuntimeError> {
+    getrandom::u64().map_err(|e| RuntimeError::Random {
         detail: e.to_string(),
     })
 }
--- a/crates/control-plane/src/runtime/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -19,7 +19,7 @@
 
 /// What the mirror was told of the control plane.
 #[derive(Default, PartialEq)]
-pub(super) struct ShownFleet {
+pub(super) struct PublishedControlPlane {
     epoch: u64,
     primary: u64,
     members: Vec<MemberInfo>,
@@ -62,7 +62,7 @@
             .filter(|s| view.seat(s.id).is_none())
             .cloned();
         let members = view.voters.iter().map(seat).chain(others).collect();
-        let known = ShownFleet {
+        let known = PublishedControlPlane {
             epoch: view.epoch,
             primary: view.primary,
             members,
--- a/crates/control-plane/src/runtime/storage.rs
+++ b/crates/control-plane/src/runtime/storage.rs
@@ -2,7 +2,7 @@
 
 use crate::member::DiskError;
 use crate::runtime::identity::{
-    latest, FoundLedger, Identity, IdentityError, LedgerOwner, StartFacts,
+    latest_identity, Identity, IdentityError, LogOwner, StartContext, StoredLog,
 };
 use append_log::AppendLog;
 use snafu::{ResultExt, Snafu};
@@ -38,7 +38,7 @@
 
 /// What the thread tells.
 #[derive(Debug)]
-pub enum DiskEvent {
+pub enum StorageEvent {
     /// The files are open.
     Open {
         /// The identity of this life.
@@ -68,8 +68,8 @@
 /// Where no thread can be started.
 pub fn start(
     dir: PathBuf,
-    birth: StartFacts,
-    tell: impl Fn(DiskEvent) + Send + 'static,
+    birth: StartContext,
+    tell: impl Fn(StorageEvent) + Send + 'static,
 ) -> std::io::Result<mpsc::Sender<Write>> {
     let (writes, queue) = mpsc::channel::<Write>();
     std::thread::Builder::new()
@@ -80,8 +80,8 @@
 
 fn work(
     dir: &std::path::Path,
-    birth: &StartFacts,
-    tell: &dyn Fn(DiskEvent),
+    birth: &StartContext,
+    tell: &dyn Fn(StorageEvent),
     queue: &mpsc::Receiver<Write>,
 ) {
     let (mut who, mut file, mut hosts, identity) = loop {
@@ -95,7 +95,7 @@
                         (None, None)
                     }
                 };
-                tell(DiskEvent::Open {
+                tell(StorageEvent::Open {
                     identity: identity.clone(),
                     records,
                     roster,
@@ -103,7 +103,7 @@
                 break (who, file, hosts, identity);
             }
             Err(error) => {
-                tell(DiskEvent::NotOpen {
+                tell(StorageEvent::NotOpen {
                     detail: snafu::Report::from_error(error).to_string(),
                 });
             }
@@ -146,7 +146,7 @@
             }
             for write in now {
                 let result = result.as_ref().map(|_| ()).map_err(refusal);
-                tell(DiskEvent::Wrote {
+                tell(StorageEvent::Wrote {
                     ticket: write.ticket,
                     result,
                 });
@@ -184,7 +184,7 @@
 }
 
 fn owner_record(identity: &Identity) -> Vec<u8> {
-    protocol::write_one(&LedgerOwner {
+    protocol::write_one(&LogOwner {
         identity: identity.clone(),
     })
 }
@@ -234,11 +234,11 @@
 
 type Open = (IdentityFile, AppendLog, Identity, Vec<Vec<u8>>);
 
-fn open(dir: &std::path::Path, birth: &StartFacts) -> Result<Open, OpenError> {
+fn open(dir: &std::path::Path, birth: &StartContext) -> Result<Open, OpenError> {
     let (file, kept) = AppendLog::open(dir, "identity").context(FileSnafu)?;
     let (mut ledger, records) = AppendLog::open(dir, "ledger").context(FileSnafu)?;
-    let found = FoundLedger::of(records);
-    let before = latest(&kept).context(WhoSnafu)?;
+    let found = StoredLog::of(records);
+    let before = latest_identity(&kept).context(WhoSnafu)?;
     let identity = birth.identity_with(before, &found).context(WhoSnafu)?;
     let own = found
         .owner
--- a/crates/control-plane/src/runtime/transitions/compare.rs
+++ b/crates/control-plane/src/runtime/transitions/compare.rs
@@ -1,6 +1,6 @@
 //! From two summaries of a member, or from what it asks for, to the changes of state.
 
-use super::{Position, StepDownCause, Transition};
+use super::{MembershipRole, StepDownCause, Transition};
 use crate::member::{DiskState, GrantSummary, MemberSummary, Output, RoleSummary};
 use protocol::{MemberInfo, Message};
 
@@ -67,7 +67,7 @@
         return Vec::new();
     };
     let old: &[MemberInfo] = before.view.as_ref().map_or(&view.voters, |v| &v.voters);
-    let (position, was) = (Position::of(after), Position::of(before));
+    let (position, was) = (MembershipRole::of(after), MembershipRole::of(before));
     let mut transitions = vec![Transition::ViewAccepted {
         view: view.clone(),
         added: beyond(&view.voters, old),
@@ -75,7 +75,7 @@
         position,
         before: was,
     }];
-    let seq = after.ledger.filter(|_| position == Position::Replica);
+    let seq = after.ledger.filter(|_| position == MembershipRole::Replica);
     transitions.extend(seq.map(|seq| Transition::SnapshotTaken {
         epoch: view.epoch,
         seq,
--- a/crates/control-plane/src/runtime/transitions/log_lines.rs
+++ b/crates/control-plane/src/runtime/transitions/log_lines.rs
@@ -1,6 +1,6 @@
 //! The lines of the log: one for each change of state, with its values.
 
-use super::{Position, Transition};
+use super::{MembershipRole, Transition};
 use crate::member::{candidate_of, DiskState, MemberSummary};
 use protocol::MemberInfo;
 use std::fmt;
@@ -56,7 +56,7 @@
     log::info!(target: TARGET, epoch:% = epoch,
         promised = summary.promised,
         ledger:% = Maybe(summary.ledger),
-        role:% = Position::of(summary);
+        role:% = MembershipRole::of(summary);
         "state on disk"
     );
 }
--- a/crates/control-plane/src/runtime/transitions/mod.rs
+++ b/crates/control-plane/src/runtime/transitions/mod.rs
@@ -29,7 +29,7 @@
 
 /// What a member is in its view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Position {
+pub enum MembershipRole {
     /// Not in it, or no view is known: it only mirrors.
     Joining,
     /// A voter that keeps epochs and views alone.
@@ -40,24 +40,24 @@
     Primary,
 }
 
-impl Position {
+impl MembershipRole {
     fn of(summary: &MemberSummary) -> Self {
         match &summary.view {
-            Some(view) if view.epoch > 0 && view.primary == summary.id => Position::Primary,
-            Some(view) if view.replicas.contains(&summary.id) => Position::Replica,
-            Some(view) if view.seat(summary.id).is_some() => Position::Witness,
-            _ => Position::Joining,
+            Some(view) if view.epoch > 0 && view.primary == summary.id => MembershipRole::Primary,
+            Some(view) if view.replicas.contains(&summary.id) => MembershipRole::Replica,
+            Some(view) if view.seat(summary.id).is_some() => MembershipRole::Witness,
+            _ => MembershipRole::Joining,
         }
     }
 }
 
-impl fmt::Display for Position {
+impl fmt::Display for MembershipRole {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.write_str(match self {
-            Position::Joining => "joining",
-            Position::Witness => "witness",
-            Position::Replica => "replica",
-            Position::Primary => "primary",
+            MembershipRole::Joining => "joining",
+            MembershipRole::Witness => "witness",
+            MembershipRole::Replica => "replica",
+            MembershipRole::Primary => "primary",
         })
     }
 }
@@ -136,9 +136,9 @@
         /// Voters that this view has no longer.
         removed: Vec<MemberInfo>,
         /// What this member is in it.
-        position: Position,
+        position: MembershipRole,
         /// What it was before.
-        before: Position,
+        before: MembershipRole,
     },
     /// It took another member's ledger whole.
     SnapshotTaken {
--- a/crates/control-plane/tests/configuration_requests.rs
+++ b/crates/control-plane/tests/configuration_requests.rs
@@ -4,7 +4,9 @@
 use configuration::ResultCode;
 use control_plane::ledger::{Plan, ReplicatedState};
 use control_plane::runtime::control_request::Call;
-use control_plane::runtime::control_server::{Control, ControlCounters, Reply, RunCall};
+use control_plane::runtime::control_server::{
+    ControlCounters, ControlServer, HandleRequest, Reply,
+};
 use protocol::Command;
 use rstest::rstest;
 use std::cell::RefCell;
@@ -21,7 +23,7 @@
 #[derive(Clone, Default)]
 struct Book(Rc<RefCell<ReplicatedState>>);
 
-impl RunCall for Book {
+impl HandleRequest for Book {
     async fn run(&self, call: Call) -> Reply {
         let Call::Configure { base, amend, body } = call else {
             return Reply::of(ResultCode::NoSuchCall);
@@ -53,7 +55,7 @@
     let book = Book::default();
     let (stop, stopped) = watch::channel(false);
     spawn_local(
-        Control::new(
+        ControlServer::new(
             book.clone(),
             4,
             Rc::new(ControlCounters::default()),
--- a/crates/control-plane/tests/control_requests.rs
+++ b/crates/control-plane/tests/control_requests.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use configuration::ResultCode;
-use control_plane::host_registry::HostCall;
+use control_plane::host_registry::HostRequest;
 use control_plane::runtime::control_request::{Call, Head};
 use hyper::Method;
 use rstest::rstest;
@@ -55,14 +55,14 @@
 }
 
 #[rstest]
-#[case("/fennelpin/Hosts.Depart/i-1", b"", Ok(HostCall::Depart { host: "i-1".into() }))]
+#[case("/fennelpin/Hosts.Depart/i-1", b"", Ok(HostRequest::Depart { host: "i-1".into() }))]
 #[case("/fennelpin/Hosts.Depart/", b"", Err(ResultCode::Unreadable))]
 #[case("/fennelpin/Hosts.Heartbeat/i-1", b"{", Err(ResultCode::Unreadable))]
 #[case("/fennelpin/Hosts.Other/i-1", b"{}", Err(ResultCode::NoSuchCall))]
 fn hosts(
     #[case] path: &str,
     #[case] body: &'static [u8],
-    #[case] call: Result<HostCall, ResultCode>,
+    #[case] call: Result<HostRequest, ResultCode>,
 ) {
     let head = Head::read(&Method::POST, path).unwrap();
     assert_eq!(
--- a/crates/control-plane/tests/control_server.rs
+++ b/crates/control-plane/tests/control_server.rs
@@ -3,7 +3,7 @@
 use configuration::ResultCode;
 use control_plane::runtime::control_request::Call;
 use control_plane::runtime::control_server::{
-    Control, ControlCounters, Reply, RunCall, LARGEST_BODY,
+    ControlCounters, ControlServer, HandleRequest, Reply, MAX_BODY_BYTES,
 };
 use rstest::rstest;
 use std::cell::Cell;
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 struct Gate(Rc<Semaphore>, Rc<Cell<usize>>);
 
-impl RunCall for Gate {
+impl HandleRequest for Gate {
     async fn run(&self, call: Call) -> Reply {
         self.1.set(self.1.get() + 1);
         let _pass = self.0.acquire().await.unwrap();
@@ -44,7 +44,7 @@
     let counters = Rc::new(ControlCounters::default());
     let gate = Gate(Rc::new(Semaphore::new(passes)), Rc::default());
     let (stop, stopped) = watch::channel(false);
-    spawn_local(Control::new(gate.clone(), most, counters.clone(), stopped).listen(listener));
+    spawn_local(ControlServer::new(gate.clone(), most, counters.clone(), stopped).listen(listener));
     Api {
         addr,
         counters,
@@ -115,7 +115,7 @@
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         let (mut input, mut output) = stream.split();
         let head = if told {
-            format!("{REPLACE}Content-Length: {}\r\n\r\n", 8 * LARGEST_BODY)
+            format!("{REPLACE}Content-Length: {}\r\n\r\n", 8 * MAX_BODY_BYTES)
         } else {
             format!("{REPLACE}Transfer-Encoding: chunked\r\n\r\n")
         };
@@ -123,7 +123,7 @@
         let send = async {
             let piece = vec![b'x'; 64 << 10];
             let mut sent = 0;
-            while sent < 8 * LARGEST_BODY {
+            while sent < 8 * MAX_BODY_BYTES {
                 let size = if told {
                     String::new()
                 } else {
--- a/crates/control-plane/tests/host_registry.rs
+++ b/crates/control-plane/tests/host_registry.rs
@@ -1,7 +1,7 @@
 //! The roster: what hosts and coordinators tell this member.
 
 use configuration::ResultCode;
-use control_plane::host_registry::{beat_target, Beat, HostCall, HostRegistry};
+use control_plane::host_registry::{heartbeat_target, Heartbeat, HostRegistry, HostRequest};
 use protocol::{Addr, HostRecord, MemberInfo, Subscriber};
 use replication::phase;
 use rstest::rstest;
@@ -23,9 +23,9 @@
     roster
 }
 
-fn beat(call_seq: u64) -> Beat {
+fn beat(call_seq: u64) -> Heartbeat {
     let addr = Addr { ip: 1, port: 80 };
-    Beat {
+    Heartbeat {
         service: "s".into(),
         addr,
         zone: "z".into(),
@@ -63,7 +63,7 @@
     assert!(r.beat(
         ms(2000),
         "a",
-        &Beat {
+        &Heartbeat {
             capacity: 5,
             ..beat(3)
         },
@@ -80,7 +80,7 @@
     r.beat(
         ms(0),
         "a",
-        &Beat {
+        &Heartbeat {
             draining: true,
             ..beat(5)
         },
@@ -90,7 +90,7 @@
     assert!(!r.beat(
         ms(1),
         "a",
-        &Beat {
+        &Heartbeat {
             capacity: 9,
             ..beat(5)
         },
@@ -269,8 +269,9 @@
 
 #[test]
 fn a_heartbeat_is_read() {
-    let call = HostCall::decode("/fennelpin/Hosts.Heartbeat/i-7f3a91c2", BODY.as_bytes()).unwrap();
-    let HostCall::Beat { host, beat } = &call else {
+    let call =
+        HostRequest::decode("/fennelpin/Hosts.Heartbeat/i-7f3a91c2", BODY.as_bytes()).unwrap();
+    let HostRequest::Heartbeat { host, beat } = &call else {
         panic!("{call:?}")
     };
     assert_eq!(
@@ -296,7 +297,7 @@
     assert!(!call.leaves());
     let leaving = BODY.replace("\"ready\"", "\"draining\"");
     assert!(
-        HostCall::decode("/fennelpin/Hosts.Heartbeat/i", leaving.as_bytes())
+        HostRequest::decode("/fennelpin/Hosts.Heartbeat/i", leaving.as_bytes())
             .unwrap()
             .leaves()
     );
@@ -304,8 +305,8 @@
 
 #[test]
 fn a_departure_needs_no_body() {
-    let call = HostCall::decode("/fennelpin/Hosts.Depart/i-1", b"").unwrap();
-    assert_eq!(call, HostCall::Depart { host: "i-1".into() });
+    let call = HostRequest::decode("/fennelpin/Hosts.Depart/i-1", b"").unwrap();
+    assert_eq!(call, HostRequest::Depart { host: "i-1".into() });
     assert!(call.leaves());
 }
 
@@ -319,7 +320,7 @@
 #[case::another_call("/fennelpin/Hosts.Sleep/i", BODY, ResultCode::NoSuchCall)]
 #[case::another_path("/other", BODY, ResultCode::NoSuchCall)]
 fn bad_calls_are_refused(#[case] path: &str, #[case] body: &str, #[case] code: ResultCode) {
-    assert_eq!(HostCall::decode(path, body.as_bytes()), Err(code));
+    assert_eq!(HostRequest::decode(path, body.as_bytes()), Err(code));
 }
 
 #[rstest]
@@ -332,7 +333,7 @@
 fn bad_fields_are_refused(#[case] from: &str, #[case] to: &str) {
     let body = BODY.replace(from, to);
     assert_eq!(
-        HostCall::decode("/fennelpin/Hosts.Heartbeat/i", body.as_bytes()),
+        HostRequest::decode("/fennelpin/Hosts.Heartbeat/i", body.as_bytes()),
         Err(ResultCode::Unreadable)
     );
 }
@@ -348,15 +349,15 @@
     let mut counts: HashMap<u64, u32> = HashMap::new();
     for n in 0..300 {
         let host = format!("i-{n}");
-        let target = beat_target(&host, 1, &live).map_or(1, |s| s.id);
+        let target = heartbeat_target(&host, 1, &live).map_or(1, |s| s.id);
         assert_eq!(
-            beat_target(&host, target, &live),
+            heartbeat_target(&host, target, &live),
             None,
             "the one called is the one"
         );
         *counts.entry(target).or_default() += 1;
     }
     assert!(counts.values().all(|n| (60..140).contains(n)), "{counts:?}");
-    assert_eq!(beat_target("i", 1, &[]), None);
-    assert_eq!(beat_target("i", 1, &live[..1]), None);
+    assert_eq!(heartbeat_target("i", 1, &[]), None);
+    assert_eq!(heartbeat_target("i", 1, &live[..1]), None);
 }
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -2,7 +2,8 @@
 
 use control_plane::incarnation::{following, TAIL_BITS};
 use control_plane::runtime::identity::{
-    initial_voter_id, inner, latest, FoundLedger, Identity, IdentityError, LedgerOwner, StartFacts,
+    initial_voter_id, latest_identity, member_address, Identity, IdentityError, LogOwner,
+    StartContext, StoredLog,
 };
 use rstest::rstest;
 use std::net::SocketAddrV4;
@@ -13,8 +14,8 @@
     text.parse().unwrap()
 }
 
-fn birth(control: &str, bootstrap: bool) -> StartFacts {
-    StartFacts {
+fn birth(control: &str, bootstrap: bool) -> StartContext {
+    StartContext {
         control: addr(control),
         seeds: SEEDS.iter().map(|s| addr(s)).collect(),
         port: 7660,
@@ -31,7 +32,10 @@
         .map(|s| birth(s, true).identity(None))
         .collect();
     for (seed, identity) in SEEDS.iter().zip(&all) {
-        assert_eq!(identity.id, initial_voter_id(inner(addr(seed), 7660)));
+        assert_eq!(
+            identity.id,
+            initial_voter_id(member_address(addr(seed), 7660))
+        );
         assert_eq!(identity.initial_voters, all[0].initial_voters);
         let ids: Vec<u64> = identity.initial_voters.iter().map(|f| f.id).collect();
         assert_eq!(ids, all.iter().map(|i| i.id).collect::<Vec<_>>());
@@ -83,7 +87,7 @@
         ..Identity::default()
     });
     let first = birth(SEEDS[0], false).identity(kept.clone());
-    let second = StartFacts {
+    let second = StartContext {
         random: 78,
         clock_ms: 500,
         ..birth(SEEDS[0], false)
@@ -102,23 +106,23 @@
     let first = birth(SEEDS[0], true).identity(None);
     let second = birth(SEEDS[0], false).identity(Some(first.clone()));
     let records = [protocol::write_one(&first), protocol::write_one(&second)];
-    assert_eq!(latest(&records).unwrap(), Some(second));
-    assert_eq!(latest(&[]).unwrap(), None);
+    assert_eq!(latest_identity(&records).unwrap(), Some(second));
+    assert_eq!(latest_identity(&[]).unwrap(), None);
     // One that can't be read is never passed over for an older one, or for none.
     let damaged = [records.to_vec(), vec![vec![1, 2, 3]]].concat();
     assert!(matches!(
-        latest(&damaged),
+        latest_identity(&damaged),
         Err(IdentityError::Unreadable { record: 2, .. })
     ));
 }
 
-fn ledger(owner: Option<&Identity>, records: &[&[u8]]) -> FoundLedger {
+fn ledger(owner: Option<&Identity>, records: &[&[u8]]) -> StoredLog {
     let owner = owner.map(|identity| {
-        protocol::write_one(&LedgerOwner {
+        protocol::write_one(&LogOwner {
             identity: identity.clone(),
         })
     });
-    FoundLedger::of(
+    StoredLog::of(
         owner
             .into_iter()
             .chain(records.iter().map(|r| r.to_vec()))
@@ -138,7 +142,7 @@
         initial_voters: vec![],
     };
     let records: [&[u8]; 1] = [b"promised"];
-    let id = |kept: Option<&Identity>, ledger: &FoundLedger| {
+    let id = |kept: Option<&Identity>, ledger: &StoredLog| {
         again
             .identity_with(kept.cloned(), ledger)
             .map(|i| (i.id, i.initial_voters.len()))
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -1,7 +1,7 @@
 //! A member that starts on a full disk after its clock was set back, and doesn't know the number of its life before:
 //! what hosts tell it reaches everybody all the same.
 
-use control_plane::host_registry::{Beat, HostCall};
+use control_plane::host_registry::{Heartbeat, HostRequest};
 use control_plane::incarnation::following;
 use control_plane::registry_publisher::RegistryPublisher;
 use protocol::{Addr, Subscriber};
@@ -13,7 +13,7 @@
 const BEAT: Duration = Duration::from_millis(1000);
 const ID: u64 = 7;
 
-fn beat(host: &str, call_seq: u64) -> HostCall {
+fn beat(host: &str, call_seq: u64) -> HostRequest {
     let (service, addr, zone) = (
         "s".into(),
         Addr {
@@ -22,7 +22,7 @@
         },
         "z".into(),
     );
-    let beat = Beat {
+    let beat = Heartbeat {
         service,
         addr,
         zone,
@@ -31,7 +31,7 @@
         cold_left_ms: 0,
         call_seq,
     };
-    HostCall::Beat {
+    HostRequest::Heartbeat {
         host: host.into(),
         beat,
     }
@@ -124,7 +124,7 @@
         ([true; 3], [true; 3])
     );
     assert_eq!(fleet.shows("bb"), [false; 3]);
-    fleet.feed.call(&HostCall::Depart { host: "a".into() });
+    fleet.feed.call(&HostRequest::Depart { host: "a".into() });
     fleet.run(&["ccc"], 1, &mut calls).await;
     assert_eq!(
         fleet.agent.snapshot().hosts["a"].phase,
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -5,8 +5,8 @@
 use append_log::AppendLog;
 use client::{call, call_until, Answer};
 use configuration::ProcessSettings;
-use control_plane::runtime::identity::StartFacts;
-use control_plane::runtime::{run, Tuning};
+use control_plane::runtime::identity::StartContext;
+use control_plane::runtime::{run, RuntimeSettings};
 use protocol::{Message, Record, Subscriber};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
@@ -25,7 +25,7 @@
     dirs: Vec<PathBuf>,
     ips: Vec<Ipv4Addr>,
     ports: (u16, u16),
-    tuning: Tuning,
+    tuning: RuntimeSettings,
     running: Vec<Option<(oneshot::Sender<()>, JoinHandle<()>)>>,
 }
 
@@ -49,7 +49,7 @@
             dirs,
             ips,
             ports,
-            tuning: Tuning::default(),
+            tuning: RuntimeSettings::default(),
             running: (0..count).map(|_| None).collect(),
         }
     }
@@ -169,7 +169,7 @@
     on_core(99, |mut core| async move {
         for n in 0..3 {
             std::fs::create_dir_all(&core.dirs[n]).unwrap();
-            let facts = StartFacts {
+            let facts = StartContext {
                 control: core.control(n),
                 seeds: (0..3).map(|n| core.control(n)).collect(),
                 port: core.ports.0,
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -1,6 +1,6 @@
-//! Links between members over real sockets; waits are on tokio's paused clock.
+//! PeerConnections between members over real sockets; waits are on tokio's paused clock.
 
-use control_plane::runtime::peer_connections::{LinkEvent, Links};
+use control_plane::runtime::peer_connections::{PeerConnections, PeerEvent};
 use protocol::{Change, MemberInfo, Message};
 use replication::{FrameReader, Step};
 use std::cell::RefCell;
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-type Log = Rc<RefCell<Vec<LinkEvent>>>;
+type Log = Rc<RefCell<Vec<PeerEvent>>>;
 
 fn seat(id: u64, addr: SocketAddrV4) -> MemberInfo {
     MemberInfo {
@@ -27,11 +27,14 @@
     listener.local_addr().unwrap().to_string().parse().unwrap()
 }
 
-fn links() -> (Links, Log) {
+fn links() -> (PeerConnections, Log) {
     let log = Log::default();
     let heard = log.clone();
     let me = seat(1, "127.0.0.99:9".parse().unwrap());
-    (Links::new(me, move |h| heard.borrow_mut().push(h)), log)
+    (
+        PeerConnections::new(me, move |h| heard.borrow_mut().push(h)),
+        log,
+    )
 }
 
 fn story(work: impl std::future::Future<Output = ()>) {
@@ -133,7 +136,7 @@
         drop(mute);
         let _frames = greet(&listener, &seat(2, v4(&listener))).await;
         until(|| links.counters().connected == 1).await;
-        assert!(matches!(log.borrow()[..], [LinkEvent::Hello(ref s)] if s.id == 2));
+        assert!(matches!(log.borrow()[..], [PeerEvent::Hello(ref s)] if s.id == 2));
         assert_eq!(links.counters().broken, 0);
     });
 }
@@ -147,7 +150,7 @@
         links.set_seeds(&[v4(&listener)]);
         let mut frames = greet(&listener, &before).await;
         until(|| links.counters().connected == 1).await;
-        assert!(matches!(log.borrow()[0], LinkEvent::Hello(ref s) if s.id == 2));
+        assert!(matches!(log.borrow()[0], PeerEvent::Hello(ref s) if s.id == 2));
         assert!(matches!(
             frames.next().await.unwrap(),
             Some(Message::Peers { .. })
@@ -247,7 +250,10 @@
 }
 
 /// The control connection of a peer that is there, with its first messages read, and the links to it.
-async fn linked(listener: &TcpListener, other: &MemberInfo) -> (Links, FrameReader<TcpStream>) {
+async fn linked(
+    listener: &TcpListener,
+    other: &MemberInfo,
+) -> (PeerConnections, FrameReader<TcpStream>) {
     let (links, _) = links();
     links.set_seeds(&[v4(listener)]);
     let mut control = greet(listener, other).await;
@@ -410,6 +416,6 @@
     local.run_until(serve).await.unwrap();
     let told = log.borrow();
     assert!(
-        matches!(told.last(), Some(LinkEvent::Message(s, m)) if s.id == 2 && **m == change(1, 1 << 20))
+        matches!(told.last(), Some(PeerEvent::Message(s, m)) if s.id == 2 && **m == change(1, 1 << 20))
     );
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -6,7 +6,7 @@
 use cluster::{ms, Cluster};
 use configuration::ResultCode;
 use control_plane::recovery::{latest_view, Refusal, Survivor};
-use control_plane::runtime::identity::{FoundLedger, Identity};
+use control_plane::runtime::identity::{Identity, StoredLog};
 use std::time::Duration;
 
 const SOON: Duration = ms(8000);
@@ -42,7 +42,7 @@
         (NEW, 5, 0)
     );
     // The ledger's file begins with whose it is.
-    cluster.restart_as(n, NEW, FoundLedger::of(records).records);
+    cluster.restart_as(n, NEW, StoredLog::of(records).records);
 }
 
 #[test]
--- a/crates/control-plane/tests/registry_publisher.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -1,6 +1,6 @@
 //! The member's own source goes into the mirror that others pull from.
 
-use control_plane::host_registry::{Beat, HostCall};
+use control_plane::host_registry::{Heartbeat, HostRequest};
 use control_plane::registry_publisher::RegistryPublisher;
 use protocol::{Addr, OriginVersion, Subscriber};
 use replication::{answer, phase, Mirror, SharedMirror, Update};
@@ -8,9 +8,9 @@
 
 const BEAT: Duration = Duration::from_millis(1000);
 
-fn call(host: &str, call_seq: u64) -> HostCall {
+fn call(host: &str, call_seq: u64) -> HostRequest {
     let (service, addr, zone) = ("s".into(), Addr { ip: 1, port: 80 }, "z".into());
-    let beat = Beat {
+    let beat = Heartbeat {
         service,
         addr,
         zone,
@@ -19,7 +19,7 @@
         cold_left_ms: 0,
         call_seq,
     };
-    HostCall::Beat {
+    HostRequest::Heartbeat {
         host: host.into(),
         beat,
     }
--- a/crates/control-plane/tests/slow_peer_connections.rs
+++ b/crates/control-plane/tests/slow_peer_connections.rs
@@ -3,7 +3,7 @@
 
 use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{Config, Input, Member, Output};
-use control_plane::runtime::peer_connections::{Lane, MAX_QUEUED_BYTES};
+use control_plane::runtime::peer_connections::{Channel, MAX_QUEUED_BYTES};
 use protocol::{Command, MemberInfo, Message};
 use rstest::rstest;
 use std::cmp::Reverse;
@@ -39,7 +39,7 @@
     order: BinaryHeap<Reverse<(Duration, u64)>>,
     count: u64,
     /// When a lane of a link is free again.
-    links: HashMap<(u64, u64, Lane), Duration>,
+    links: HashMap<(u64, u64, Channel), Duration>,
     answers: HashMap<u64, ResultCode>,
     /// Members whose wish to stand never arrives.
     unheard: Vec<u64>,
@@ -139,7 +139,7 @@
             return;
         }
         let frame = protocol::encode(message);
-        let lane = Lane::of(message, frame.len());
+        let lane = Channel::of(message, frame.len());
         let free = self.lane_free(from, to, lane);
         let queued = (free - self.now).as_secs_f64() * self.rate;
         if queued > 0.0 && queued as usize + frame.len() > MAX_QUEUED_BYTES {
@@ -148,7 +148,7 @@
         let free = free + Duration::from_secs_f64(frame.len() as f64 / self.rate);
         self.links.insert((from, to, lane), free);
         let ahead = match lane {
-            Lane::Control if self.lane_free(from, to, Lane::Data) > self.now => {
+            Channel::Control if self.lane_free(from, to, Channel::Data) > self.now => {
                 IN_FLIGHT / self.rate
             }
             _ => 0.0,
@@ -157,7 +157,7 @@
         self.at(at, Event::Message { from, to, frame });
     }
 
-    fn lane_free(&self, from: u64, to: u64, lane: Lane) -> Duration {
+    fn lane_free(&self, from: u64, to: u64, lane: Channel) -> Duration {
         self.links
             .get(&(from, to, lane))
             .copied()
--- a/crates/control-plane/tests/storage.rs
+++ b/crates/control-plane/tests/storage.rs
@@ -1,13 +1,13 @@
 //! The disk's thread on a real folder.
 
-use control_plane::runtime::identity::{Identity, StartFacts};
-use control_plane::runtime::storage::{start, DiskEvent, File, Write};
+use control_plane::runtime::identity::{Identity, StartContext};
+use control_plane::runtime::storage::{start, File, StorageEvent, Write};
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, Sender};
 
-fn birth(bootstrap: bool) -> StartFacts {
+fn birth(bootstrap: bool) -> StartContext {
     let control = "10.1.0.1:8146".parse().unwrap();
-    StartFacts {
+    StartContext {
         control,
         seeds: vec![control],
         port: 7660,
@@ -20,11 +20,16 @@
 fn open(
     dir: &Path,
     bootstrap: bool,
-) -> (Sender<Write>, Receiver<DiskEvent>, Identity, Vec<Vec<u8>>) {
+) -> (
+    Sender<Write>,
+    Receiver<StorageEvent>,
+    Identity,
+    Vec<Vec<u8>>,
+) {
     let (tell, told) = channel();
     let writes = start(dir.into(), birth(bootstrap), move |t| drop(tell.send(t))).unwrap();
     match told.recv().unwrap() {
-        DiskEvent::Open {
+        StorageEvent::Open {
             identity,
             records,
             roster: None,
@@ -56,7 +61,7 @@
     write(&writes, 4, &["e"], false);
     for wanted in 1..=4 {
         assert!(
-            matches!(told.recv().unwrap(), DiskEvent::Wrote { ticket, result: Ok(()) } if ticket == wanted)
+            matches!(told.recv().unwrap(), StorageEvent::Wrote { ticket, result: Ok(()) } if ticket == wanted)
         );
     }
     drop(writes);
@@ -92,7 +97,7 @@
     write(&writes, 1, &["a"], false);
     assert!(matches!(
         told.recv().unwrap(),
-        DiskEvent::Wrote { result: Ok(()), .. }
+        StorageEvent::Wrote { result: Ok(()), .. }
     ));
     drop(writes);
     assert!(told.recv().is_err());
@@ -115,7 +120,7 @@
     write(&writes, 1, &["a"], false);
     assert!(matches!(
         told.recv().unwrap(),
-        DiskEvent::Wrote {
+        StorageEvent::Wrote {
             ticket: 1,
             result: Err(_)
         }
@@ -126,7 +131,7 @@
     write(&writes, 2, &["b"], false);
     assert!(matches!(
         told.recv().unwrap(),
-        DiskEvent::Wrote {
+        StorageEvent::Wrote {
             ticket: 2,
             result: Ok(())
         }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -11,8 +11,10 @@
 use control_plane::ledger::ReplicatedState;
 use control_plane::member::{Config, Member};
 use control_plane::recovery::Survivor;
-use control_plane::runtime::identity::{latest, FoundLedger, Identity, LedgerOwner, StartFacts};
-use control_plane::runtime::storage::{start, DiskEvent, File, Write};
+use control_plane::runtime::identity::{
+    latest_identity, Identity, LogOwner, StartContext, StoredLog,
+};
+use control_plane::runtime::storage::{start, File, StorageEvent, Write};
 use protocol::{
     Addr, Change, HostRecord, MemberInfo, MembershipConfig, OriginUpdate, Record, Snapshot,
 };
@@ -54,9 +56,9 @@
     dir
 }
 
-fn start_facts(bootstrap: bool, clock_ms: u64) -> StartFacts {
+fn start_facts(bootstrap: bool, clock_ms: u64) -> StartContext {
     let addr = |text: &str| text.parse().unwrap();
-    StartFacts {
+    StartContext {
         control: addr("10.1.0.1:8146"),
         seeds: ["10.1.0.1:8146", "10.2.0.1:8146", "10.3.0.1:8146"]
             .map(addr)
@@ -244,10 +246,10 @@
 }
 
 /// Has the present code open a state directory and write `batches`, one sync each.
-fn write_in_one_incarnation(dir: &Path, facts: StartFacts, batches: Vec<Batch>) {
+fn write_in_one_incarnation(dir: &Path, facts: StartContext, batches: Vec<Batch>) {
     let (tell, told) = std::sync::mpsc::channel();
     let disk = start(dir.into(), facts, move |event| drop(tell.send(event))).unwrap();
-    assert!(matches!(told.recv().unwrap(), DiskEvent::Open { .. }));
+    assert!(matches!(told.recv().unwrap(), StorageEvent::Open { .. }));
     for (ticket, batch) in (1..).zip(batches) {
         let Batch {
             file,
@@ -265,7 +267,7 @@
         if file == File::Log {
             let event = told.recv().unwrap();
             assert!(
-                matches!(event, DiskEvent::Wrote { ticket: t, result: Ok(()) } if t == ticket),
+                matches!(event, StorageEvent::Wrote { ticket: t, result: Ok(()) } if t == ticket),
                 "{event:?}"
             );
         }
@@ -287,13 +289,10 @@
 }
 
 fn assert_log(stored: &[Vec<u8>], owner: &Identity, records: &[Record]) {
-    let owner = LedgerOwner {
+    let owner = LogOwner {
         identity: owner.clone(),
     };
-    assert_eq!(
-        protocol::read_one::<LedgerOwner>(&stored[0]).unwrap(),
-        owner
-    );
+    assert_eq!(protocol::read_one::<LogOwner>(&stored[0]).unwrap(), owner);
     assert_eq!(protocol::write_one(&owner), stored[0]);
     let read: Vec<Record> = stored[1..]
         .iter()
@@ -312,7 +311,7 @@
         .map(|bytes| protocol::read_one(bytes).unwrap())
         .collect();
     assert_eq!(read, [identity(1_000), identity(2_000)]);
-    assert_eq!(latest(&stored).unwrap(), Some(identity(2_000)));
+    assert_eq!(latest_identity(&stored).unwrap(), Some(identity(2_000)));
     let again: Vec<Vec<u8>> = read.iter().map(protocol::write_one).collect();
     assert_eq!(again, stored);
     let voters = initial_voters();
@@ -333,7 +332,7 @@
     let stored = stored_records(dir.path(), "ledger");
     assert_log(&stored, &identity(3_000), &rewritten_records());
     let identities = stored_records(dir.path(), "identity");
-    assert_eq!(latest(&identities).unwrap(), Some(identity(3_000)));
+    assert_eq!(latest_identity(&identities).unwrap(), Some(identity(3_000)));
 }
 
 #[test]
@@ -402,7 +401,7 @@
         drop(tell.send(event));
     })
     .unwrap();
-    let DiskEvent::Open {
+    let StorageEvent::Open {
         identity: found,
         records,
         roster,
@@ -451,7 +450,7 @@
 #[test]
 fn state_when_replayed_from_stored_changes_is_as_it_was() {
     let dir = copy_of("appended");
-    let found = FoundLedger::of(stored_records(dir.path(), "ledger"));
+    let found = StoredLog::of(stored_records(dir.path(), "ledger"));
     assert_eq!(found.owner, Some(identity(1_000)));
     let mut state = ReplicatedState::default();
     for bytes in &found.records {
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -2,7 +2,7 @@
 
 use configuration::FaultBudget;
 use control_plane::member::{Config, DiskError, DiskState, ElectionPhase, Input, Member, Output};
-use control_plane::runtime::transitions::{Position, Recorder, StepDownCause, Transition};
+use control_plane::runtime::transitions::{MembershipRole, Recorder, StepDownCause, Transition};
 use protocol::{Command, MemberInfo, Message};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -222,7 +222,7 @@
             matches!(
                 t,
                 Transition::ViewAccepted {
-                    position: Position::Primary,
+                    position: MembershipRole::Primary,
                     ..
                 }
             )
@@ -239,13 +239,16 @@
         position(&|t| matches!(t, Transition::LeaseHeld { .. })),
     ];
     assert!(order.is_sorted(), "{told:?}");
-    let accepted = |wanted: Position| {
+    let accepted = |wanted: MembershipRole| {
         let of = |t: &Transition| matches!(t, Transition::ViewAccepted { position, .. } if *position == wanted);
         let mut others = world.others(primary);
         others.retain(|id| world.told(*id, of));
         others
     };
-    let (replicas, witnesses) = (accepted(Position::Replica), accepted(Position::Witness));
+    let (replicas, witnesses) = (
+        accepted(MembershipRole::Replica),
+        accepted(MembershipRole::Witness),
+    );
     assert_eq!(
         (replicas.len(), witnesses.len()),
         (1, 1),
@@ -412,8 +415,8 @@
         Transition::ViewChangeStarted { .. }
     )));
     let joined = |t: &Transition| {
-        matches!(t, Transition::ViewAccepted { before: Position::Joining, position, .. }
-            if *position != Position::Joining)
+        matches!(t, Transition::ViewAccepted { before: MembershipRole::Joining, position, .. }
+            if *position != MembershipRole::Joining)
     };
     assert!(world.told(4, joined), "{:?}", world.nodes[&4].told);
 }
--- a/crates/fennelpin-cli/src/failure.rs
+++ b/crates/fennelpin-cli/src/failure.rs
@@ -58,7 +58,7 @@
     #[snafu(display("control-plane"))]
     ControlPlane {
         /// Why.
-        source: control_plane::runtime::Failure,
+        source: control_plane::runtime::RuntimeError,
     },
     /// The agent fails.
     #[snafu(display("agent"))]
@@ -172,7 +172,7 @@
 impl Failure {
     /// The exit code: 2 for what the operator wrote, 3 for what the control plane refused, 1 for what happened.
     pub fn exit(&self) -> u8 {
-        use control_plane::runtime::Failure as Root;
+        use control_plane::runtime::RuntimeError as Root;
         match self {
             Failure::Unreadable { .. }
             | Failure::Settings { .. }
--- a/crates/fennelpin-cli/src/operator.rs
+++ b/crates/fennelpin-cli/src/operator.rs
@@ -2,7 +2,7 @@
 //! environment (`FENNELPIN_CLI_LEASE_MS=...`) over both. All defaults are here.
 
 use crate::failure::{Failure, OperatorSnafu, UnreadableSnafu};
-use control_plane::runtime::Tuning;
+use control_plane::runtime::RuntimeSettings;
 use figment::providers::{Env, Format as _, Serialized, Toml};
 use figment::Figment;
 use serde::{Deserialize, Serialize};
@@ -74,7 +74,7 @@
 
 impl Default for Operator {
     fn default() -> Self {
-        let tuning = Tuning::default();
+        let tuning = RuntimeSettings::default();
         let ms = |d: Duration| d.as_millis() as u64;
         Self {
             log_level: Level::Info,
@@ -136,8 +136,8 @@
     }
 
     /// What of it concerns a member.
-    pub fn tuning(&self) -> Tuning {
-        Tuning {
+    pub fn tuning(&self) -> RuntimeSettings {
+        RuntimeSettings {
             lease: Duration::from_millis(self.lease_ms),
             patience: Duration::from_millis(self.patience_ms),
             stall: Duration::from_millis(self.stall_ms),
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -2,7 +2,7 @@
 
 use append_log::AppendLog;
 use control_plane::recovery::latest_view;
-use control_plane::runtime::identity::{latest, FoundLedger, Identity, LedgerOwner};
+use control_plane::runtime::identity::{latest_identity, Identity, LogOwner, StoredLog};
 use protocol::{Addr, MemberInfo, MembershipConfig, Record, Snapshot};
 use std::path::Path;
 use std::process::{Command, Output};
@@ -51,7 +51,7 @@
         AppendLog::open(dir, name).unwrap().0.append(&all).unwrap();
     };
     write("identity", &[protocol::write_one(&identity)]);
-    let owner = protocol::write_one(&LedgerOwner { identity });
+    let owner = protocol::write_one(&LogOwner { identity });
     write(
         "ledger",
         &[
@@ -101,9 +101,11 @@
         told.contains("given up: core-1") && told.contains("given up: core-3"),
         "{told}"
     );
-    let identity = latest(&records(&dir, "identity")).unwrap().unwrap();
+    let identity = latest_identity(&records(&dir, "identity"))
+        .unwrap()
+        .unwrap();
     assert!(identity.id != 2 && identity.initial_voters.is_empty());
-    let found = FoundLedger::of(records(&dir, "ledger"));
+    let found = StoredLog::of(records(&dir, "ledger"));
     assert_eq!(found.owner.map(|o| o.id), Some(identity.id));
     let ledger = found.records;
     assert!(
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -5,7 +5,7 @@
 use crate::canonical;
 use configuration::FaultBudget;
 use control_plane::member::{Config, Member};
-use control_plane::runtime::identity::{Identity, StartFacts};
+use control_plane::runtime::identity::{Identity, StartContext};
 use protocol::{Addr, MemberInfo, Record, Snapshot};
 use replication::Mirror;
 use std::collections::VecDeque;
@@ -118,7 +118,7 @@
         self.lives += 1;
         // Drawn identities and random numbers: different for each life, the same in each search.
         let random = 1000 + 100 * self.index as u64 + u64::from(self.lives);
-        let facts = StartFacts {
+        let facts = StartContext {
             control: control(self.index),
             seeds: start.seeds.to_vec(),
             port: INNER_PORT,
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -155,7 +155,7 @@
             let (_sender, seeds) = watch::channel(boot.seed_nodes.clone());
             control_plane::runtime::run(
                 boot,
-                control_plane::runtime::Tuning::default(),
+                control_plane::runtime::RuntimeSettings::default(),
                 seeds,
                 terminated()?,
             )
