--- a/crates/coordinator/src/net/http/message.rs
+++ b/crates/coordinator/src/net/http/message.rs
@@ -2,7 +2,7 @@
 
 use crate::counters::End;
 use bytes::Bytes;
-use http1::{Fields, Malformed};
+use http1::{Fields, ParseError};
 use std::time::{Duration, Instant};
 
 /// Why a message can't be read.
@@ -31,12 +31,12 @@
     Io(#[from] std::io::Error),
 }
 
-impl From<Malformed> for HttpError {
-    fn from(malformed: Malformed) -> Self {
-        match malformed {
-            Malformed::Syntax { what } => Self::Malformed(what),
-            Malformed::TooLarge => Self::HeadTooLarge,
-            Malformed::LengthTooLarge => Self::BodyTooLarge,
+impl From<ParseError> for HttpError {
+    fn from(error: ParseError) -> Self {
+        match error {
+            ParseError::Syntax { what } => Self::Malformed(what),
+            ParseError::HeadTooLarge => Self::HeadTooLarge,
+            ParseError::LengthOverflow => Self::BodyTooLarge,
         }
     }
 }
@@ -81,7 +81,7 @@
 
     /// The value of the first header of this name, whatever its case.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.text(name)
+        self.0.get_str(name)
     }
 }
 
@@ -166,7 +166,7 @@
     }
 
     pub(super) fn head(&self, close: bool) -> String {
-        let reason = http1::reason(self.status);
+        let reason = http1::reason_phrase(self.status);
         let mut head = format!(
             "HTTP/1.1 {} {reason}\r\nContent-Length: {}\r\n",
             self.status,
--- a/crates/coordinator/src/net/http/read.rs
+++ b/crates/coordinator/src/net/http/read.rs
@@ -4,12 +4,12 @@
 use super::INPUT;
 use crate::net::conn::Conn;
 use bytes::{Bytes, BytesMut};
-use http1::{Framing, HeadLimits, RequestHead, ResponseHead, Step};
+use http1::{DecodeStep, Framing, HeadLimits, RequestHead, ResponseHead};
 use std::time::Instant;
 
 const MOST_HEAD: HeadLimits = HeadLimits {
-    bytes: INPUT,
-    fields: 64,
+    max_bytes: INPUT,
+    max_fields: 64,
 };
 
 async fn more(conn: &mut Conn, started: bool) -> Result<(), HttpError> {
@@ -21,7 +21,7 @@
 }
 
 fn request_head(conn: &mut Conn) -> Result<Option<RequestHead>, HttpError> {
-    let Some((head, n)) = RequestHead::read(conn.input.contiguous(), MOST_HEAD)? else {
+    let Some((head, n)) = RequestHead::parse(conn.input.contiguous(), MOST_HEAD)? else {
         return Ok(None);
     };
     conn.input.consume(n);
@@ -31,7 +31,7 @@
 /// Reads a response's head: its status and headers.
 pub async fn response_head(conn: &mut Conn) -> Result<(u16, Headers), HttpError> {
     loop {
-        if let Some((head, n)) = ResponseHead::read(conn.input.contiguous(), MOST_HEAD, false)? {
+        if let Some((head, n)) = ResponseHead::parse(conn.input.contiguous(), MOST_HEAD, false)? {
             conn.input.consume(n);
             return Ok((head.status, Headers::of(head.fields)?));
         }
@@ -45,21 +45,21 @@
 /// A body on its way in.
 pub struct Body {
     framing: Framing,
-    body: http1::Body,
+    body: http1::BodyDecoder,
 }
 
 impl Body {
     fn new(framing: Framing) -> Self {
         Self {
             framing,
-            body: http1::Body::new(framing),
+            body: http1::BodyDecoder::new(framing),
         }
     }
 
     /// The body of a response with these headers.
     pub fn of_response(headers: &Headers) -> Result<Self, HttpError> {
         Ok(Self::new(
-            Framing::of(&headers.0)?.unwrap_or(Framing::UntilEnd),
+            Framing::from_fields(&headers.0)?.unwrap_or(Framing::CloseDelimited),
         ))
     }
 
@@ -71,21 +71,21 @@
     /// Appends what comes next to `out`; false at the end.
     pub async fn next(&mut self, conn: &mut Conn, out: &mut BytesMut) -> Result<bool, HttpError> {
         loop {
-            let input = if self.body.in_data() {
+            let input = if self.body.is_in_data() {
                 conn.input.first()
             } else {
                 conn.input.contiguous()
             };
-            match self.body.step(input)? {
-                Step::Data(n) => {
+            match self.body.decode_step(input)? {
+                DecodeStep::Data(n) => {
                     out.extend_from_slice(input.get(..n).unwrap_or_default());
                     conn.input.consume(n);
                     return Ok(true);
                 }
-                Step::Frame(n) => conn.input.consume(n),
-                Step::End => return Ok(false),
-                Step::More => match more(conn, true).await {
-                    Err(HttpError::Cut) if self.body.ends_with_connection() => return Ok(false),
+                DecodeStep::Framing(n) => conn.input.consume(n),
+                DecodeStep::End => return Ok(false),
+                DecodeStep::Incomplete => match more(conn, true).await {
+                    Err(HttpError::Cut) if self.body.is_close_delimited() => return Ok(false),
                     step => step?,
                 },
             }
@@ -123,7 +123,11 @@
         more(conn, !conn.input.is_empty()).await?;
     };
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    let (method, target, keep) = (text(head.method()), text(head.target()), head.keeps_alive());
+    let (method, target, keep) = (
+        text(head.method()),
+        text(head.target()),
+        head.is_keep_alive(),
+    );
     let body = Body::new(head.framing.unwrap_or(Framing::Length(0)));
     let headers = Headers::of(head.fields)?;
     if body.beyond(most) {
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,30 +1,30 @@
 //! Decoding of bodies.
 
 use crate::chunk::{chunk_size, MOST_LINE};
-use crate::error::{syntax, Malformed};
+use crate::error::{syntax, ParseError};
 use crate::framing::Framing;
 use bytes::{Buf, Bytes, BytesMut};
 
 /// What comes next of a body.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum Decoded {
     /// Bytes of it.
     Data(Bytes),
     /// Nothing until more is read.
-    More,
+    Incomplete,
     /// It is whole.
     End,
 }
 
 /// What stands at the front of the bytes of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum DecodeStep {
     /// So many bytes that frame it.
-    Frame(usize),
+    Framing(usize),
     /// So many bytes of the body itself.
     Data(usize),
     /// Nothing until more is read.
-    More,
+    Incomplete,
     /// Its end.
     End,
 }
@@ -40,30 +40,30 @@
 
 /// Decodes a body.
 #[derive(Debug)]
-pub struct Body {
+pub struct BodyDecoder {
     framing: Framing,
     part: Part,
 }
 
-impl Body {
+impl BodyDecoder {
     /// A body framed in this way.
     pub fn new(framing: Framing) -> Self {
         let part = match framing {
             Framing::Length(0) => Part::Done,
             Framing::Length(n) => Part::Data(n),
             Framing::Chunked => Part::Size,
-            Framing::UntilEnd => Part::Data(u64::MAX),
+            Framing::CloseDelimited => Part::Data(u64::MAX),
         };
         Self { framing, part }
     }
 
     /// Whether the end of the connection is the body's end.
-    pub fn ends_with_connection(&self) -> bool {
-        self.framing == Framing::UntilEnd
+    pub fn is_close_delimited(&self) -> bool {
+        self.framing == Framing::CloseDelimited
     }
 
     /// Whether bytes of the body itself come next: any run of them can be looked at then, not only whole lines.
-    pub fn in_data(&self) -> bool {
+    pub fn is_in_data(&self) -> bool {
         matches!(self.part, Part::Data(_))
     }
 
@@ -71,15 +71,15 @@
     ///
     /// # Errors
     /// Where chunks are malformed.
-    pub fn step(&mut self, input: &[u8]) -> Result<Step, Malformed> {
+    pub fn decode_step(&mut self, input: &[u8]) -> Result<DecodeStep, ParseError> {
         match &mut self.part {
-            Part::Done => Ok(Step::End),
-            Part::Data(_) if input.is_empty() => Ok(Step::More),
+            Part::Done => Ok(DecodeStep::End),
+            Part::Data(_) if input.is_empty() => Ok(DecodeStep::Incomplete),
             Part::Data(left) => {
                 let n = usize::try_from(*left)
                     .unwrap_or(usize::MAX)
                     .min(input.len());
-                if self.framing != Framing::UntilEnd {
+                if self.framing != Framing::CloseDelimited {
                     *left -= n as u64;
                 }
                 if *left == 0 {
@@ -89,15 +89,15 @@
                         Part::Done
                     };
                 }
-                Ok(Step::Data(n))
+                Ok(DecodeStep::Data(n))
             }
             Part::DataEnd => match input.first_chunk::<2>() {
                 Some(b"\r\n") => {
                     self.part = Part::Size;
-                    Ok(Step::Frame(2))
+                    Ok(DecodeStep::Framing(2))
                 }
                 Some(_) => syntax("chunk"),
-                None => Ok(Step::More),
+                None => Ok(DecodeStep::Incomplete),
             },
             Part::Size => match chunk_size(input)? {
                 Some((n, size)) => {
@@ -106,9 +106,9 @@
                     } else {
                         Part::Data(size)
                     };
-                    Ok(Step::Frame(n))
+                    Ok(DecodeStep::Framing(n))
                 }
-                None => Ok(Step::More),
+                None => Ok(DecodeStep::Incomplete),
             },
             Part::Trailer(seen) => match input.iter().position(|b| *b == b'\n') {
                 Some(n) => {
@@ -121,9 +121,9 @@
                         Some(field) if field.contains(&b':') => {}
                         _ => return syntax("trailer"),
                     }
-                    Ok(Step::Frame(n + 1))
+                    Ok(DecodeStep::Framing(n + 1))
                 }
-                None if input.len() < MOST_LINE => Ok(Step::More),
+                None if input.len() < MOST_LINE => Ok(DecodeStep::Incomplete),
                 None => syntax("trailer"),
             },
         }
@@ -133,13 +133,13 @@
     ///
     /// # Errors
     /// Where chunks are malformed.
-    pub fn take(&mut self, buf: &mut BytesMut) -> Result<Piece, Malformed> {
+    pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Decoded, ParseError> {
         loop {
-            match self.step(buf)? {
-                Step::Frame(n) => buf.advance(n),
-                Step::Data(n) => return Ok(Piece::Data(buf.split_to(n).freeze())),
-                Step::More => return Ok(Piece::More),
-                Step::End => return Ok(Piece::End),
+            match self.decode_step(buf)? {
+                DecodeStep::Framing(n) => buf.advance(n),
+                DecodeStep::Data(n) => return Ok(Decoded::Data(buf.split_to(n).freeze())),
+                DecodeStep::Incomplete => return Ok(Decoded::Incomplete),
+                DecodeStep::End => return Ok(Decoded::End),
             }
         }
     }
--- a/crates/http1/src/chunk.rs
+++ b/crates/http1/src/chunk.rs
@@ -1,6 +1,6 @@
 //! The line of a chunk's size.
 
-use crate::error::{syntax, Malformed};
+use crate::error::{syntax, ParseError};
 
 /// Longest line of a chunk's size, with its extensions, and longest trailer section.
 pub(crate) const MOST_LINE: usize = 4096;
@@ -9,7 +9,7 @@
 
 /// Reads the line of a chunk's size: its length and the size; `None` where more has to come. A size has digits,
 /// and a line that has none must not pass for the last chunk's.
-pub(crate) fn chunk_size(input: &[u8]) -> Result<Option<(usize, u64)>, Malformed> {
+pub(crate) fn chunk_size(input: &[u8]) -> Result<Option<(usize, u64)>, ParseError> {
     let Some(end) = input.iter().position(|b| *b == b'\n') else {
         let plain = input
             .iter()
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Why a message can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum Malformed {
+pub enum ParseError {
     /// Not HTTP, or framed in two ways.
     #[snafu(display("malformed: {what}"))]
     Syntax {
@@ -13,13 +13,13 @@
     },
     /// A head of more than is taken.
     #[snafu(display("too large"))]
-    TooLarge,
+    HeadTooLarge,
     /// A body of a length that can't be counted.
     #[snafu(display("length too large"))]
-    LengthTooLarge,
+    LengthOverflow,
 }
 
 /// Refuses a message for its syntax at this place.
-pub(crate) fn syntax<T>(what: &'static str) -> Result<T, Malformed> {
+pub(crate) fn syntax<T>(what: &'static str) -> Result<T, ParseError> {
     SyntaxSnafu { what }.fail()
 }
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -58,14 +58,14 @@
     }
 
     /// The value of the first field of this name as text.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub fn get_str(&self, name: &str) -> Option<&str> {
         self.get(name)
             .and_then(|v| std::str::from_utf8(v).ok())
             .map(str::trim)
     }
 
     /// The values of all fields of this name.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter()
             .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
             .map(|(_, v)| v)
@@ -73,13 +73,13 @@
 
     /// Whether a list field of this name holds the token.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
-        self.all(name)
+        self.get_all(name)
             .flat_map(|v| v.split(|b| *b == b','))
             .any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
     /// Whether a field concerns only the connection that it came on.
-    pub fn hop_by_hop(&self, name: &[u8]) -> bool {
+    pub fn is_hop_by_hop(&self, name: &[u8]) -> bool {
         const NAMES: [&str; 9] = [
             "connection",
             "keep-alive",
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,6 +1,6 @@
 //! How the fields of a message frame its body.
 
-use crate::error::{syntax, Malformed};
+use crate::error::{syntax, ParseError};
 use crate::fields::Fields;
 
 /// How a body is framed.
@@ -11,7 +11,7 @@
     /// In chunks.
     Chunked,
     /// Until the connection ends.
-    UntilEnd,
+    CloseDelimited,
 }
 
 impl Framing {
@@ -20,13 +20,13 @@
     ///
     /// # Errors
     /// Where they could be read in two ways.
-    pub fn of(fields: &Fields) -> Result<Option<Framing>, Malformed> {
-        let mut lengths = fields.all("content-length");
+    pub fn from_fields(fields: &Fields) -> Result<Option<Framing>, ParseError> {
+        let mut lengths = fields.get_all("content-length");
         let length = lengths.next();
         if lengths.any(|l| Some(l) != length) {
             return syntax("content-length");
         }
-        let mut codings = fields.all("transfer-encoding");
+        let mut codings = fields.get_all("transfer-encoding");
         match (codings.next(), codings.next()) {
             (None, _) => {}
             (Some(coding), None) if length.is_none() && coding.eq_ignore_ascii_case(b"chunked") => {
@@ -45,7 +45,7 @@
             .and_then(|l| l.parse().ok())
         {
             Some(n) => Ok(Some(Framing::Length(n))),
-            None => Err(Malformed::LengthTooLarge),
+            None => Err(ParseError::LengthOverflow),
         }
     }
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -2,13 +2,13 @@
 //! framing of bodies, and their decoding.
 //!
 //! ```
-//! use http1::{Body, Framing, Piece, RequestHead, MOST};
+//! use http1::{HeadLimits, BodyDecoder, Framing, Decoded, RequestHead};
 //! let mut buf = bytes::BytesMut::from("POST /a?b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
-//! let head = RequestHead::take(&mut buf, MOST).unwrap().expect("a whole head");
+//! let head = RequestHead::decode(&mut buf, HeadLimits::default()).unwrap().expect("a whole head");
 //! assert_eq!((head.method(), head.path()), (&b"POST"[..], &b"/a"[..]));
-//! let mut body = Body::new(head.framing.unwrap());
-//! assert_eq!(body.take(&mut buf), Ok(Piece::Data("hi".into())));
-//! assert_eq!(body.take(&mut buf), Ok(Piece::More));
+//! let mut body = BodyDecoder::new(head.framing.unwrap());
+//! assert_eq!(body.decode(&mut buf), Ok(Decoded::Data("hi".into())));
+//! assert_eq!(body.decode(&mut buf), Ok(Decoded::Incomplete));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -24,11 +24,11 @@
 mod response;
 mod status;
 
-pub use body::{Body, Piece, Step};
-pub use error::Malformed;
+pub use body::{BodyDecoder, DecodeStep, Decoded};
+pub use error::ParseError;
 pub use fields::Fields;
 pub use framing::Framing;
-pub use limits::{HeadLimits, MOST};
+pub use limits::{HeadLimits, MAX_FIELDS};
 pub use request::RequestHead;
 pub use response::ResponseHead;
-pub use status::reason;
+pub use status::reason_phrase;
--- a/crates/http1/src/limits.rs
+++ b/crates/http1/src/limits.rs
@@ -1,26 +1,30 @@
-//! Bounds on heads.
+//! Limits on the size of a message head.
 
-/// Bounds on a head.
+/// Most fields that a head can have, whatever the caller's limits are.
+pub const MAX_FIELDS: usize = 96;
+
+/// Limits on the size of a message head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeadLimits {
-    /// Bytes, with the blank line.
-    pub bytes: usize,
-    /// Fields; [`MOST`]'s are the most that can be.
-    pub fields: usize,
+    /// Size in bytes, from the start line up to and with the blank line.
+    pub max_bytes: usize,
+    /// Number of fields, at most [`MAX_FIELDS`].
+    pub max_fields: usize,
 }
 
-/// The widest bounds on fields, and the usual ones on bytes.
-pub const MOST: HeadLimits = HeadLimits {
-    bytes: 16 * 1024,
-    fields: 96,
-};
-
 impl HeadLimits {
-    /// So many bytes, and as many fields as can be.
-    pub const fn bytes(bytes: usize) -> Self {
+    /// Limits of `max_bytes` bytes and [`MAX_FIELDS`] fields.
+    pub const fn with_max_bytes(max_bytes: usize) -> Self {
         Self {
-            bytes,
-            fields: MOST.fields,
+            max_bytes,
+            max_fields: MAX_FIELDS,
         }
     }
 }
+
+impl Default for HeadLimits {
+    /// 16 KiB and [`MAX_FIELDS`] fields.
+    fn default() -> Self {
+        Self::with_max_bytes(16 * 1024)
+    }
+}
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,10 +1,10 @@
 //! Heads of requests.
 
-use crate::error::{syntax, Malformed};
+use crate::error::{syntax, ParseError};
 use crate::fields::{spans, Fields, Span};
 use crate::framing::Framing;
 use crate::head::{found, lines_end_with_crlf, Found};
-use crate::limits::{HeadLimits, MOST};
+use crate::limits::{HeadLimits, MAX_FIELDS};
 use bytes::{Bytes, BytesMut};
 
 /// Head of a request.
@@ -13,7 +13,7 @@
     method: Span,
     target: Span,
     /// Minor version of HTTP/1.
-    pub minor: u8,
+    pub minor_version: u8,
     /// Its fields.
     pub fields: Fields,
     /// How the body is framed; no framing stands for none.
@@ -23,39 +23,39 @@
 struct RequestParts {
     method: Span,
     target: Span,
-    minor: u8,
+    minor_version: u8,
     spans: Vec<(Span, Span)>,
 }
 
-fn request(input: &[u8], most: HeadLimits) -> Found<RequestParts> {
-    let mut slots = [httparse::EMPTY_HEADER; MOST.fields];
-    let mut head = httparse::Request::new(slots.get_mut(..most.fields).unwrap_or_default());
-    let Some(n) = found(head.parse(input), input.len(), most, "request")? else {
+fn request(input: &[u8], limits: HeadLimits) -> Found<RequestParts> {
+    let mut slots = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut head = httparse::Request::new(slots.get_mut(..limits.max_fields).unwrap_or_default());
+    let Some(n) = found(head.parse(input), input.len(), limits, "request")? else {
         return Ok(None);
     };
     let parts = RequestParts {
         method: Span::of(input, head.method.unwrap_or_default().as_bytes()),
         target: Span::of(input, head.path.unwrap_or_default().as_bytes()),
-        minor: head.version.unwrap_or(1),
+        minor_version: head.version.unwrap_or(1),
         spans: spans(input, head.headers),
     };
     Ok(Some((n, parts)))
 }
 
 impl RequestHead {
-    fn of(parts: RequestParts, raw: Bytes) -> Result<Self, Malformed> {
+    fn of(parts: RequestParts, raw: Bytes) -> Result<Self, ParseError> {
         let RequestParts {
             method,
             target,
-            minor,
+            minor_version,
             spans,
         } = parts;
         let fields = Fields { raw, spans };
-        let framing = Framing::of(&fields)?;
+        let framing = Framing::from_fields(&fields)?;
         Ok(Self {
             method,
             target,
-            minor,
+            minor_version,
             fields,
             framing,
         })
@@ -64,9 +64,9 @@
     /// Reads a head at the front of `input`, with its length; `None` where more has to come.
     ///
     /// # Errors
-    /// Where it is no head, is framed in two ways, or is larger than `most`.
-    pub fn read(input: &[u8], most: HeadLimits) -> Result<Option<(Self, usize)>, Malformed> {
-        let Some((n, parts)) = request(input, most)? else {
+    /// Where it is no head, is framed in two ways, or is larger than `limits`.
+    pub fn parse(input: &[u8], limits: HeadLimits) -> Result<Option<(Self, usize)>, ParseError> {
+        let Some((n, parts)) = request(input, limits)? else {
             return Ok(None);
         };
         let raw = Bytes::copy_from_slice(input.get(..n).unwrap_or_default());
@@ -77,20 +77,20 @@
     /// could read in another way is refused besides.
     ///
     /// # Errors
-    /// As [`RequestHead::read`], and where a line ends with a lone LF, it names two hosts, an old version has chunks, or the target is none
+    /// As [`RequestHead::parse`], and where a line ends with a lone LF, it names two hosts, an old version has chunks, or the target is none
     /// that a server is asked for.
-    pub fn take(buf: &mut BytesMut, most: HeadLimits) -> Result<Option<Self>, Malformed> {
-        let Some((n, parts)) = request(buf, most)? else {
+    pub fn decode(buf: &mut BytesMut, limits: HeadLimits) -> Result<Option<Self>, ParseError> {
+        let Some((n, parts)) = request(buf, limits)? else {
             return Ok(None);
         };
         let head = Self::of(parts, buf.split_to(n).freeze())?;
         if !lines_end_with_crlf(&head.fields.raw) {
             return syntax("line");
         }
-        if head.fields.all("host").nth(1).is_some() {
+        if head.fields.get_all("host").nth(1).is_some() {
             return syntax("host");
         }
-        if head.minor == 0 && head.framing == Some(Framing::Chunked) {
+        if head.minor_version == 0 && head.framing == Some(Framing::Chunked) {
             return syntax("transfer-encoding");
         }
         match head.target() {
@@ -136,8 +136,8 @@
     }
 
     /// Whether the connection may be used for another request.
-    pub fn keeps_alive(&self) -> bool {
-        match self.minor {
+    pub fn is_keep_alive(&self) -> bool {
+        match self.minor_version {
             0 => self.fields.has_token("connection", "keep-alive"),
             _ => !self.fields.has_token("connection", "close"),
         }
--- a/crates/http1/src/status.rs
+++ b/crates/http1/src/status.rs
@@ -1,7 +1,7 @@
 //! The words after a status.
 
 /// The usual words after a status.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/http1/tests/drawn.rs
+++ b/crates/http1/tests/drawn.rs
@@ -1,10 +1,10 @@
 //! Drawn bytes: nothing panics, and how bytes are cut changes nothing.
 
 use bytes::BytesMut;
-use http1::{Body, Framing, HeadLimits, Malformed, Piece, RequestHead, ResponseHead};
+use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead, ResponseHead};
 use proptest::prelude::*;
 
-const LIMITS: HeadLimits = HeadLimits::bytes(2048);
+const LIMITS: HeadLimits = HeadLimits::with_max_bytes(2048);
 
 /// How the reading of some bytes ends.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,16 +16,16 @@
 }
 
 fn decode(framing: Framing, parts: &[&[u8]]) -> Ends {
-    let (mut body, mut buf, mut out) = (Body::new(framing), BytesMut::new(), Vec::new());
+    let (mut body, mut buf, mut out) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     let mut parts = parts.iter();
     loop {
-        match body.take(&mut buf) {
-            Ok(Piece::Data(data)) => out.extend_from_slice(&data),
-            Ok(Piece::End) => {
+        match body.decode(&mut buf) {
+            Ok(Decoded::Data(data)) => out.extend_from_slice(&data),
+            Ok(Decoded::End) => {
                 parts.for_each(|p| buf.extend_from_slice(p));
                 return Ends::Whole(out, buf.to_vec());
             }
-            Ok(Piece::More) => match parts.next() {
+            Ok(Decoded::Incomplete) => match parts.next() {
                 Some(part) => buf.extend_from_slice(part),
                 None => return Ends::Unfinished,
             },
@@ -72,8 +72,8 @@
 
     #[test]
     fn no_bytes_make_a_reader_fail_in_another_way_than_by_its_error(bytes in likely()) {
-        let _ = RequestHead::take(&mut BytesMut::from(&bytes[..]), LIMITS);
-        let _ = ResponseHead::take(&mut BytesMut::from(&bytes[..]), LIMITS, false);
+        let _ = RequestHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS);
+        let _ = ResponseHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS, false);
         for framing in [Framing::Chunked, Framing::Length(7)] {
             let _ = decode(framing, &[&bytes]);
         }
@@ -126,16 +126,16 @@
 
     #[test]
     fn a_head_says_the_same_however_it_comes(bytes in likely()) {
-        let whole = RequestHead::take(&mut BytesMut::from(&bytes[..]), LIMITS);
+        let whole = RequestHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS);
         if let Ok(Some(head)) = whole {
-            let length = RequestHead::read(&bytes, LIMITS).unwrap().unwrap().1;
+            let length = RequestHead::parse(&bytes, LIMITS).unwrap().unwrap().1;
             for n in 0..length {
-                let part = RequestHead::take(&mut BytesMut::from(&bytes[..n]), LIMITS);
+                let part = RequestHead::decode(&mut BytesMut::from(&bytes[..n]), LIMITS);
                 prop_assert!(matches!(part, Ok(None)), "{n}: {part:?}");
             }
-            prop_assert!(!matches!(head.framing, Some(Framing::UntilEnd)));
+            prop_assert!(!matches!(head.framing, Some(Framing::CloseDelimited)));
         }
-        let _: Result<Option<ResponseHead>, Malformed> =
-            ResponseHead::take(&mut BytesMut::from(&bytes[..]), LIMITS, true);
+        let _: Result<Option<ResponseHead>, ParseError> =
+            ResponseHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS, true);
     }
 }
--- a/crates/http1/tests/parsing.rs
+++ b/crates/http1/tests/parsing.rs
@@ -1,13 +1,13 @@
 //! Heads, framing and bodies of HTTP/1.1.
 
 use bytes::BytesMut;
-use http1::{Body, Framing, HeadLimits, Malformed, Piece, RequestHead, ResponseHead};
+use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead, ResponseHead};
 use rstest::rstest;
 
-const MOST: HeadLimits = HeadLimits::bytes(1024);
+const LIMITS: HeadLimits = HeadLimits::with_max_bytes(1024);
 
-fn request(text: &str) -> Result<Option<RequestHead>, Malformed> {
-    RequestHead::take(&mut BytesMut::from(text), MOST)
+fn request(text: &str) -> Result<Option<RequestHead>, ParseError> {
+    RequestHead::decode(&mut BytesMut::from(text), LIMITS)
 }
 
 fn good(text: &str) -> RequestHead {
@@ -29,7 +29,7 @@
 #[case("Host: b\r\n")]
 fn what_could_be_read_in_two_ways_is_refused(#[case] fields: &str) {
     let text = format!("POST / HTTP/1.1\r\nHost: a\r\n{fields}\r\n");
-    assert!(matches!(request(&text), Err(Malformed::Syntax { .. })));
+    assert!(matches!(request(&text), Err(ParseError::Syntax { .. })));
 }
 
 #[rstest]
@@ -46,7 +46,7 @@
 #[case("GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n")]
 fn what_is_no_request_is_refused(#[case] text: &str) {
     assert!(
-        matches!(request(text), Err(Malformed::Syntax { .. })),
+        matches!(request(text), Err(ParseError::Syntax { .. })),
         "{:?}",
         request(text)
     );
@@ -59,19 +59,19 @@
         assert!(request(&text[..n]).unwrap().is_none());
     }
     let mut buf = BytesMut::from(format!("{text}GET").as_str());
-    assert!(RequestHead::take(&mut buf, MOST).unwrap().is_some());
+    assert!(RequestHead::decode(&mut buf, LIMITS).unwrap().is_some());
     assert_eq!(&buf[..], b"GET", "what follows stays");
     assert_eq!(
         request(&format!("GET /{} ", "a".repeat(1024))).unwrap_err(),
-        Malformed::TooLarge
+        ParseError::HeadTooLarge
     );
     let many = "X: 1\r\n".repeat(120);
     assert_eq!(
         request(&format!("GET / HTTP/1.1\r\n{many}\r\n")).unwrap_err(),
-        Malformed::TooLarge
+        ParseError::HeadTooLarge
     );
     let huge = "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n";
-    assert_eq!(request(huge).unwrap_err(), Malformed::LengthTooLarge);
+    assert_eq!(request(huge).unwrap_err(), ParseError::LengthOverflow);
 }
 
 #[rstest]
@@ -111,38 +111,42 @@
 #[case("1.0", "Connection: keep-alive\r\n", true)]
 fn whether_the_connection_stays(#[case] version: &str, #[case] fields: &str, #[case] stays: bool) {
     assert_eq!(
-        good(&format!("GET / HTTP/{version}\r\n{fields}\r\n")).keeps_alive(),
+        good(&format!("GET / HTTP/{version}\r\n{fields}\r\n")).is_keep_alive(),
         stays
     );
     let answer = format!("HTTP/{version} 200 OK\r\nContent-Length: 0\r\n{fields}\r\n");
-    let answer = ResponseHead::take(&mut BytesMut::from(answer.as_str()), MOST, false)
+    let answer = ResponseHead::decode(&mut BytesMut::from(answer.as_str()), LIMITS, false)
         .unwrap()
         .unwrap();
-    assert_eq!(answer.keeps_alive(), stays);
+    assert_eq!(answer.is_keep_alive(), stays);
 }
 
 #[test]
 fn fields_of_one_connection() {
     let head =
         good("GET / HTTP/1.1\r\nConnection: keep-alive, X-Own\r\nx-own: 1\r\nOther: 2\r\n\r\n");
-    let hop = |n: &str| head.fields.hop_by_hop(n.as_bytes());
+    let hop = |n: &str| head.fields.is_hop_by_hop(n.as_bytes());
     assert!(hop("connection") && hop("X-OWN") && hop("TE") && hop("Transfer-Encoding"));
     assert!(!hop("Other") && !hop("Host"));
-    assert_eq!(head.fields.text("OTHER"), Some("2"));
+    assert_eq!(head.fields.get_str("OTHER"), Some("2"));
 }
 
 #[rstest]
 #[case("200 OK\r\nContent-Length: 4\r\n", false, Framing::Length(4))]
 #[case("200 OK\r\nTransfer-Encoding: Chunked\r\n", false, Framing::Chunked)]
-#[case("200 OK\r\n", false, Framing::UntilEnd)]
+#[case("200 OK\r\n", false, Framing::CloseDelimited)]
 #[case("200 OK\r\nContent-Length: 4\r\n", true, Framing::Length(0))]
 #[case("204 No Content\r\n", false, Framing::Length(0))]
 #[case("304 Not Modified\r\nContent-Length: 4\r\n", false, Framing::Length(0))]
 #[case("100 Continue\r\n", false, Framing::Length(0))]
-fn how_an_answer_is_framed(#[case] text: &str, #[case] to_head: bool, #[case] framing: Framing) {
+fn how_an_answer_is_framed(
+    #[case] text: &str,
+    #[case] to_head_request: bool,
+    #[case] framing: Framing,
+) {
     let mut buf = BytesMut::from(format!("HTTP/1.1 {text}\r\n").as_str());
     assert_eq!(
-        ResponseHead::take(&mut buf, MOST, to_head)
+        ResponseHead::decode(&mut buf, LIMITS, to_head_request)
             .unwrap()
             .unwrap()
             .framing,
@@ -156,24 +160,24 @@
 #[case("HTTP/1.1 200 OK\nContent-Length: 1\r\n\r\n")]
 #[case("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n")]
 fn what_is_no_answer(#[case] text: &str) {
-    assert!(ResponseHead::take(&mut BytesMut::from(text), MOST, false).is_err());
+    assert!(ResponseHead::decode(&mut BytesMut::from(text), LIMITS, false).is_err());
 }
 
 /// A whole body, and what follows it.
-type Decoded = (Vec<u8>, Vec<u8>);
+type BodyAndRest = (Vec<u8>, Vec<u8>);
 
 /// All of a body, whatever pieces it comes in; `None` where it isn't whole.
-fn decode(framing: Framing, parts: &[&[u8]]) -> Result<Option<Decoded>, Malformed> {
-    let (mut body, mut buf, mut out) = (Body::new(framing), BytesMut::new(), Vec::new());
+fn decode(framing: Framing, parts: &[&[u8]]) -> Result<Option<BodyAndRest>, ParseError> {
+    let (mut body, mut buf, mut out) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     let mut parts = parts.iter();
     loop {
-        match body.take(&mut buf)? {
-            Piece::Data(data) => out.extend_from_slice(&data),
-            Piece::End => {
+        match body.decode(&mut buf)? {
+            Decoded::Data(data) => out.extend_from_slice(&data),
+            Decoded::End => {
                 buf.extend_from_slice(&parts.copied().collect::<Vec<_>>().concat());
                 return Ok(Some((out, buf.to_vec())));
             }
-            Piece::More => match parts.next() {
+            Decoded::Incomplete => match parts.next() {
                 Some(part) => buf.extend_from_slice(part),
                 None => return Ok(None),
             },
@@ -241,7 +245,7 @@
 fn chunks_that_are_none(#[case] text: &str) {
     assert!(matches!(
         decode(Framing::Chunked, &[text.as_bytes()]),
-        Err(Malformed::Syntax { .. })
+        Err(ParseError::Syntax { .. })
     ));
 }
 
@@ -259,11 +263,14 @@
 
 #[test]
 fn a_body_that_ends_with_its_connection() {
-    let mut body = Body::new(Framing::UntilEnd);
-    assert!(body.ends_with_connection());
+    let mut body = BodyDecoder::new(Framing::CloseDelimited);
+    assert!(body.is_close_delimited());
+    assert_eq!(
+        body.decode(&mut BytesMut::from("abc")).unwrap(),
+        Decoded::Data("abc".into())
+    );
     assert_eq!(
-        body.take(&mut BytesMut::from("abc")).unwrap(),
-        Piece::Data("abc".into())
+        body.decode(&mut BytesMut::new()).unwrap(),
+        Decoded::Incomplete
     );
-    assert_eq!(body.take(&mut BytesMut::new()).unwrap(), Piece::More);
 }
--- a/crates/proxy/src/connections.rs
+++ b/crates/proxy/src/connections.rs
@@ -61,7 +61,7 @@
 
 /// Keeps a connection for the next request, after a whole answer with this head, where another may follow on it.
 pub(crate) fn keep(core: &Core, id: &str, link: Link, head: &ResponseHead) {
-    let until = core.now() + pool::idle(head.fields.text("keep-alive"));
+    let until = core.now() + pool::idle(head.fields.get_str("keep-alive"));
     if let Some(link) = link.rested(head) {
         core.pool.borrow_mut().put(id, link, until);
     }
--- a/crates/proxy/src/exchange/matching.rs
+++ b/crates/proxy/src/exchange/matching.rs
@@ -6,7 +6,7 @@
 use crate::core::OpenAttempt;
 use crate::hostlink::Link;
 use bytes::BytesMut;
-use http1::{Body, ResponseHead};
+use http1::{BodyDecoder, ResponseHead};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -36,7 +36,7 @@
 
 /// Whether an answer belongs to the attempt with this id. One that names two belongs to nobody.
 pub(super) fn whose(head: &ResponseHead, id: &[u8]) -> Whose {
-    let mut names = head.fields.all(ATTEMPT_ID);
+    let mut names = head.fields.get_all(ATTEMPT_ID);
     match (names.next(), names.next()) {
         (Some(named), None) if named == id => Whose::Ours,
         (None, _) => Whose::Unnamed,
@@ -72,7 +72,7 @@
                 return Ok((head, strays > 0));
             }
             self.core.tally.add(|c| c.strays += 1);
-            let (mut body, mut bytes) = (Body::new(head.framing), BytesMut::new());
+            let (mut body, mut bytes) = (BodyDecoder::new(head.framing), BytesMut::new());
             let whole =
                 async |l: &mut Link| l.whole(&mut body, &mut bytes, MAX_BUFFERED_ANSWER).await;
             if !watch.guard(self, link, out, whole).await? {
@@ -84,12 +84,12 @@
 
     /// Reads the rest of an answer that isn't passed on, to use the connection again; the request doesn't wait.
     pub(super) fn drain(&self, mut link: Link, id: Arc<str>, head: ResponseHead, stray: bool) {
-        if stray || !head.keeps_alive() {
+        if stray || !head.is_keep_alive() {
             return;
         }
         let core = self.core.clone();
         tokio::task::spawn_local(async move {
-            let (mut body, mut out) = (Body::new(head.framing), BytesMut::new());
+            let (mut body, mut out) = (BodyDecoder::new(head.framing), BytesMut::new());
             if let Ok(Ok(true)) = timeout(
                 REFUSAL_READ_TIMEOUT,
                 link.whole(&mut body, &mut out, MAX_REFUSAL_BODY),
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -73,7 +73,7 @@
         return refuse(ResultCode::NoRoute, None).await;
     };
     // With two of them nobody could say whose answer is whose.
-    if fields.all(ATTEMPT_ID).count() != 1 {
+    if fields.get_all(ATTEMPT_ID).count() != 1 {
         return refuse(ResultCode::BadRequest, None).await;
     }
     let Some(service) = routes::service(route, core.draw()) else {
@@ -82,7 +82,7 @@
     let arrived = core.since_start(request.arrived);
     let ms = |ms: f64| Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4);
     let asked = fields
-        .text("fennelpin-deadline-ms")
+        .get_str("fennelpin-deadline-ms")
         .and_then(|v| v.parse().ok())
         .filter(|v: &f64| *v >= 0.0);
     let time = asked.unwrap_or(f64::INFINITY).min(route.deadline_ms);
@@ -102,9 +102,9 @@
         service,
         trial,
         tried: Vec::new(),
-        parts: parts(fields.text("fennelpin-prompt-prefix")),
-        tokens: tokens(fields.text("fennelpin-token-counts")),
-        place: Place::after(fields.text("last-event-id")),
+        parts: parts(fields.get_str("fennelpin-prompt-prefix")),
+        tokens: tokens(fields.get_str("fennelpin-token-counts")),
+        place: Place::after(fields.get_str("last-event-id")),
         begun: Cell::new(None),
         kept: None,
     };
@@ -128,7 +128,7 @@
 
 /// Whether the answer is the last on its connection.
 fn closes(core: &Core, request: &Request) -> bool {
-    core.shutdown.get().is_some() || !request.head.keeps_alive()
+    core.shutdown.get().is_some() || !request.head.is_keep_alive()
 }
 
 /// A host that was chosen.
@@ -312,7 +312,7 @@
             && (self.route.kind == RouteKind::Streaming
                 || head
                     .fields
-                    .text("content-type")
+                    .get_str("content-type")
                     .is_some_and(|t| t.starts_with("text/event-stream")));
         if self.stage.started() && !stream {
             picked.out.end(Outcome::Failed, load);
--- a/crates/proxy/src/exchange/prompt.rs
+++ b/crates/proxy/src/exchange/prompt.rs
@@ -20,7 +20,7 @@
 
 pub(super) fn load(fields: &Fields) -> Option<Load> {
     let mut numbers = fields
-        .text("fennelpin-host-load")?
+        .get_str("fennelpin-host-load")?
         .split(',')
         .map(|n| n.trim().parse().ok());
     let mut next = || numbers.next().flatten();
--- a/crates/proxy/src/exchange/stream.rs
+++ b/crates/proxy/src/exchange/stream.rs
@@ -10,7 +10,7 @@
 use balancing::{Load, Outcome};
 use bytes::{Bytes, BytesMut};
 use configuration::Route;
-use http1::{Body, ResponseHead};
+use http1::{BodyDecoder, ResponseHead};
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
@@ -44,7 +44,7 @@
         }
         let mut writer = Writer::new(self, &head);
         let mut splitter = Splitter::new(MAX_EVENT);
-        let mut body = Body::new(head.framing);
+        let mut body = BodyDecoder::new(head.framing);
         let mut begun = false;
         loop {
             let next = match begun {
@@ -57,7 +57,7 @@
             let data = match next {
                 Ok(Some(data)) => data,
                 // One that can go on elsewhere is not taken at an end that may be a cut.
-                Ok(None) if body.ends_with_connection() && resumable && writer.marks_end() => {
+                Ok(None) if body.is_close_delimited() && resumable && writer.marks_end() => {
                     return self.broken(Stop::Lost, picked);
                 }
                 Ok(None) => break,
@@ -109,7 +109,7 @@
     async fn later_piece(
         &mut self,
         link: &mut Link,
-        body: &mut Body,
+        body: &mut BodyDecoder,
     ) -> Result<Option<Bytes>, Stop> {
         let end = self.end() + DEADLINE_SLACK;
         let mut waits = self.may_go_on();
--- a/crates/proxy/src/exchange/whole.rs
+++ b/crates/proxy/src/exchange/whole.rs
@@ -9,7 +9,7 @@
 use crate::progress::Done;
 use balancing::{Load, Outcome};
 use bytes::{Bytes, BytesMut};
-use http1::{Body, Framing, ResponseHead};
+use http1::{BodyDecoder, Framing, ResponseHead};
 use tokio::time::timeout_at;
 
 impl Exchange<'_> {
@@ -28,7 +28,7 @@
             picked.out.first();
         }
         watch.patience_over();
-        let (mut body, mut out) = (Body::new(head.framing), BytesMut::new());
+        let (mut body, mut out) = (BodyDecoder::new(head.framing), BytesMut::new());
         let read = async |l: &mut Link| l.whole(&mut body, &mut out, MAX_BUFFERED_ANSWER).await;
         match watch.guard(self, &mut link, &picked.out, read).await {
             Err(stop) => return self.stopped(stop, picked.out),
@@ -85,7 +85,7 @@
         picked: Picked,
         head: ResponseHead,
         stray: bool,
-        mut body: Body,
+        mut body: BodyDecoder,
         start: BytesMut,
     ) -> AttemptResult {
         let mut writer = Writer::new(self, &head);
--- a/crates/proxy/src/exchange/writer.rs
+++ b/crates/proxy/src/exchange/writer.rs
@@ -20,19 +20,21 @@
         if let Some(writer) = exchange.begun.get() {
             return writer;
         }
-        let old = exchange.request.head.minor == 0;
+        let old = exchange.request.head.minor_version == 0;
         let resumable = exchange.route.resumable;
         let framing = match head.framing {
             Framing::Length(length) if !resumable => Framing::Length(length),
             // An old client knows no chunks.
-            _ if old => Framing::UntilEnd,
+            _ if old => Framing::CloseDelimited,
             // The end of a connection also comes where this process is killed: the answer shows its own.
             _ => Framing::Chunked,
         };
-        exchange.stage.set_until_end(framing == Framing::UntilEnd);
+        exchange
+            .stage
+            .set_until_end(framing == Framing::CloseDelimited);
         Self {
             framing,
-            close: closes(exchange.core, exchange.request) || framing == Framing::UntilEnd,
+            close: closes(exchange.core, exchange.request) || framing == Framing::CloseDelimited,
         }
     }
 
@@ -62,7 +64,7 @@
 
     /// Whether the client can tell the answer's end from a cut, and so has to be told only of a true one.
     pub(super) fn marks_end(&self) -> bool {
-        self.framing != Framing::UntilEnd
+        self.framing != Framing::CloseDelimited
     }
 
     pub(super) async fn finish(&mut self, exchange: &Exchange<'_>, head: &ResponseHead) -> Done {
@@ -92,7 +94,7 @@
     ) -> Vec<u8> {
         let mut out = Vec::with_capacity(512);
         out.extend_from_slice(format!("HTTP/1.1 {} ", head.status).as_bytes());
-        out.extend_from_slice(head.reason());
+        out.extend_from_slice(head.reason_phrase());
         out.extend_from_slice(b"\r\n");
         for (name, value) in head.fields.iter() {
             let length = name.eq_ignore_ascii_case(b"content-length")
@@ -106,7 +108,7 @@
                 field(&mut out, b"Content-Length", n.to_string().as_bytes())
             }
             Some(Framing::Chunked) => field(&mut out, b"Transfer-Encoding", b"chunked"),
-            Some(Framing::UntilEnd) | None => {}
+            Some(Framing::CloseDelimited) | None => {}
         }
         if close {
             field(&mut out, b"Connection", b"close");
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -9,7 +9,7 @@
 use crate::wire;
 use bytes::{Bytes, BytesMut};
 use configuration::{Limits, ResultCode};
-use http1::{Body, Framing, HeadLimits, Malformed, Piece, RequestHead};
+use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -269,12 +269,14 @@
     most: usize,
 ) -> Result<RequestHead, Refused> {
     loop {
-        match RequestHead::take(buf, HeadLimits::bytes(most)) {
+        match RequestHead::decode(buf, HeadLimits::with_max_bytes(most)) {
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
-            Err(Malformed::TooLarge) => return Err(Refused::Because(ResultCode::HeadTooLarge)),
-            Err(Malformed::LengthTooLarge) => return Err(Refused::Because(ResultCode::TooLarge)),
-            Err(Malformed::Syntax { .. }) => return Err(Refused::Because(ResultCode::BadRequest)),
+            Err(ParseError::HeadTooLarge) => {
+                return Err(Refused::Because(ResultCode::HeadTooLarge))
+            }
+            Err(ParseError::LengthOverflow) => return Err(Refused::Because(ResultCode::TooLarge)),
+            Err(ParseError::Syntax { .. }) => return Err(Refused::Because(ResultCode::BadRequest)),
         }
         if wire::fill(stream, buf).await? == 0 {
             return Err(Refused::Gone);
@@ -302,7 +304,7 @@
         .hold(length.unwrap_or(0))
         .ok_or(Refused::Because(ResultCode::Crowded))?;
     let there = length.is_some_and(|n| buf.len() >= n);
-    if !there && head.fields.has_token("expect", "100-continue") && head.minor > 0 {
+    if !there && head.fields.has_token("expect", "100-continue") && head.minor_version > 0 {
         wire::write_all(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"", &mut 0).await?;
     }
     let quiet = Duration::from_millis(limits.idle_timeout_ms);
@@ -313,10 +315,10 @@
         }
         return Ok((buf.split_to(n).freeze(), Some(held)));
     }
-    let (mut body, mut out) = (Body::new(framing), BytesMut::new());
+    let (mut body, mut out) = (BodyDecoder::new(framing), BytesMut::new());
     loop {
-        match body.take(buf) {
-            Ok(Piece::Data(data)) => {
+        match body.decode(buf) {
+            Ok(Decoded::Data(data)) => {
                 if out.len() + data.len() > most {
                     return Err(Refused::Because(ResultCode::TooLarge));
                 }
@@ -325,8 +327,8 @@
                 }
                 out.extend_from_slice(&data);
             }
-            Ok(Piece::End) => return Ok((out.freeze(), Some(held))),
-            Ok(Piece::More) => more(stream, buf, quiet).await?,
+            Ok(Decoded::End) => return Ok((out.freeze(), Some(held))),
+            Ok(Decoded::Incomplete) => more(stream, buf, quiet).await?,
             Err(_) => return Err(Refused::Because(ResultCode::BadRequest)),
         }
     }
--- a/crates/proxy/src/hostlink.rs
+++ b/crates/proxy/src/hostlink.rs
@@ -3,13 +3,13 @@
 use crate::pool::Ticket;
 use crate::wire;
 use bytes::{Bytes, BytesMut};
-use http1::{Body, HeadLimits, Malformed, Piece, ResponseHead};
+use http1::{BodyDecoder, Decoded, HeadLimits, ParseError, ResponseHead};
 use snafu::Snafu;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
 /// Largest head of an answer.
-const MOST_HEAD: HeadLimits = HeadLimits::bytes(32 * 1024);
+const HEAD_LIMITS: HeadLimits = HeadLimits::with_max_bytes(32 * 1024);
 
 /// Why there is no (further) part of an answer.
 #[derive(Debug, Snafu)]
@@ -27,7 +27,7 @@
     #[snafu(context(false), display("{source}"))]
     NoAnswer {
         /// How.
-        source: Malformed,
+        source: ParseError,
     },
 }
 
@@ -37,12 +37,12 @@
 }
 
 /// Takes a body off the front of a buffer; false where it isn't there to its end.
-fn pass_over(buf: &mut BytesMut, mut body: Body) -> bool {
+fn pass_over(buf: &mut BytesMut, mut body: BodyDecoder) -> bool {
     loop {
-        match body.take(buf) {
-            Ok(Piece::Data(_)) => {}
-            Ok(Piece::End) => return true,
-            Ok(Piece::More) | Err(_) => return false,
+        match body.decode(buf) {
+            Ok(Decoded::Data(_)) => {}
+            Ok(Decoded::End) => return true,
+            Ok(Decoded::Incomplete) | Err(_) => return false,
         }
     }
 }
@@ -97,7 +97,7 @@
                     self.partial = done.is_err();
                     return done;
                 }
-                got = wire::fill(&self.stream, &mut self.buf), if self.buf.len() < MOST_HEAD.bytes => {
+                got = wire::fill(&self.stream, &mut self.buf), if self.buf.len() < HEAD_LIMITS.max_bytes => {
                     if got? == 0 {
                         return Ok(());
                     }
@@ -113,7 +113,7 @@
     fn has_answer(&self, ours: impl Fn(&ResponseHead, bool) -> bool) -> bool {
         let mut rest = self.buf.clone();
         let mut nobody_answered = !self.used;
-        while let Ok(Some(head)) = ResponseHead::take(&mut rest, MOST_HEAD, false) {
+        while let Ok(Some(head)) = ResponseHead::decode(&mut rest, HEAD_LIMITS, false) {
             if is_interim(&head) {
                 continue;
             }
@@ -121,7 +121,7 @@
                 return true;
             }
             nobody_answered = false;
-            if !pass_over(&mut rest, Body::new(head.framing)) {
+            if !pass_over(&mut rest, BodyDecoder::new(head.framing)) {
                 return false;
             }
         }
@@ -142,7 +142,7 @@
     pub(crate) async fn head(&mut self, to_head: bool) -> Result<ResponseHead, Lost> {
         loop {
             if !self.buf.is_empty() {
-                if let Some(head) = ResponseHead::take(&mut self.buf, MOST_HEAD, to_head)? {
+                if let Some(head) = ResponseHead::decode(&mut self.buf, HEAD_LIMITS, to_head)? {
                     if is_interim(&head) {
                         continue;
                     }
@@ -154,13 +154,13 @@
     }
 
     /// What comes next of a body; `None` at its end. May be dropped and called again.
-    pub(crate) async fn piece(&mut self, body: &mut Body) -> Result<Option<Bytes>, Lost> {
+    pub(crate) async fn piece(&mut self, body: &mut BodyDecoder) -> Result<Option<Bytes>, Lost> {
         loop {
-            match body.take(&mut self.buf)? {
-                Piece::Data(data) => return Ok(Some(data)),
-                Piece::End => return Ok(None),
-                Piece::More => match self.more().await {
-                    Err(Lost::Closed) if body.ends_with_connection() => return Ok(None),
+            match body.decode(&mut self.buf)? {
+                Decoded::Data(data) => return Ok(Some(data)),
+                Decoded::End => return Ok(None),
+                Decoded::Incomplete => match self.more().await {
+                    Err(Lost::Closed) if body.is_close_delimited() => return Ok(None),
                     step => step?,
                 },
             }
@@ -170,7 +170,7 @@
     /// Reads a body into `out`; false where it goes on beyond `most` bytes. May be dropped and called again.
     pub(crate) async fn whole(
         &mut self,
-        body: &mut Body,
+        body: &mut BodyDecoder,
         out: &mut BytesMut,
         most: usize,
     ) -> Result<bool, Lost> {
@@ -191,7 +191,7 @@
     /// The connection for another request, after a whole answer with this head; `None` where none may follow.
     pub(crate) fn rested(mut self, head: &ResponseHead) -> Option<Self> {
         // More after a whole answer belongs to no request.
-        if !head.keeps_alive() || self.partial || !self.buf.is_empty() {
+        if !head.is_keep_alive() || self.partial || !self.buf.is_empty() {
             return None;
         }
         self.used = true;
--- a/crates/proxy/src/own_answer.rs
+++ b/crates/proxy/src/own_answer.rs
@@ -25,7 +25,7 @@
         let mut text = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n",
             code.status(),
-            http1::reason(code.status()),
+            http1::reason_phrase(code.status()),
             body.len()
         )
         .into_bytes();
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 const PATH: &[u8] = b"/fennelpin/readiness";
-const MOST_HEAD: HeadLimits = HeadLimits::bytes(8 * 1024);
+const HEAD_LIMITS: HeadLimits = HeadLimits::with_max_bytes(8 * 1024);
 /// Who asks once a second is kept; who says nothing for longer is let go.
 const IDLE: Duration = Duration::from_secs(10);
 
@@ -34,7 +34,7 @@
     let mut buf = BytesMut::new();
     loop {
         let head = loop {
-            match RequestHead::take(&mut buf, MOST_HEAD) {
+            match RequestHead::decode(&mut buf, HEAD_LIMITS) {
                 Ok(Some(head)) => break head,
                 Ok(None) => {}
                 Err(_) => return,
@@ -49,7 +49,7 @@
             (true, false) => "503 Service Unavailable",
             _ => "404 Not Found",
         };
-        let keep = head.keeps_alive() && head.framing.is_none();
+        let keep = head.is_keep_alive() && head.framing.is_none();
         let close = if keep { "" } else { "Connection: close\r\n" };
         let text = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{close}\r\n");
         let written = timeout(IDLE, wire::write_all(&stream, text.as_bytes(), b"", &mut 0)).await;
--- a/crates/proxy/src/wire.rs
+++ b/crates/proxy/src/wire.rs
@@ -69,7 +69,7 @@
     let passes = END_TO_END
         .iter()
         .any(|n| name.eq_ignore_ascii_case(n.as_bytes()));
-    !passes && fields.hop_by_hop(name)
+    !passes && fields.is_hop_by_hop(name)
 }
 
 /// Appends a line of a head.
