--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,138 +1,164 @@
-//! Decoding of bodies.
+//! Incremental decoding of message bodies (RFC 9112, section 6 and 7).
 
-use crate::chunk::{chunk_size, MOST_LINE};
-use crate::error::{syntax, ParseError};
+use crate::chunk::{parse_chunk_size, MAX_CHUNK_LINE_BYTES};
+use crate::error::{syntax_error, ParseError};
 use crate::framing::Framing;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// What comes next of a body.
+/// What [`BodyDecoder::decode`] took off a buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Decoded {
-    /// Bytes of it.
+    /// Content of the body, without its framing.
     Data(Bytes),
-    /// Nothing until more is read.
+    /// More input is needed.
     Incomplete,
-    /// It is whole.
+    /// The body is complete; what follows in the buffer belongs to the next message.
     End,
 }
 
-/// What stands at the front of the bytes of a body.
+/// What [`BodyDecoder::decode_step`] found at the front of the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeStep {
-    /// So many bytes that frame it.
+    /// Number of bytes that belong to the framing: chunk sizes, line ends, trailers.
     Framing(usize),
-    /// So many bytes of the body itself.
+    /// Number of bytes of content.
     Data(usize),
-    /// Nothing until more is read.
+    /// More input is needed.
     Incomplete,
-    /// Its end.
+    /// The body is complete.
     End,
 }
 
+/// What the decoder expects next.
 #[derive(Debug)]
-enum Part {
-    Size,
-    Data(u64),
-    DataEnd,
-    Trailer(usize),
+enum State {
+    ChunkSize,
+    Data {
+        remaining_bytes: u64,
+    },
+    /// The line end behind a chunk's data.
+    ChunkEnd,
+    Trailer {
+        bytes_seen: usize,
+    },
     Done,
 }
 
-/// Decodes a body.
+/// Decodes one body, in pieces of any size.
 #[derive(Debug)]
 pub struct BodyDecoder {
     framing: Framing,
-    part: Part,
+    state: State,
 }
 
 impl BodyDecoder {
-    /// A body framed in this way.
+    /// A decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
-        let part = match framing {
-            Framing::Length(0) => Part::Done,
-            Framing::Length(n) => Part::Data(n),
-            Framing::Chunked => Part::Size,
-            Framing::CloseDelimited => Part::Data(u64::MAX),
+        let state = match framing {
+            Framing::Length(0) => State::Done,
+            Framing::Length(remaining_bytes) => State::Data { remaining_bytes },
+            Framing::Chunked => State::ChunkSize,
+            Framing::CloseDelimited => State::Data {
+                remaining_bytes: u64::MAX,
+            },
         };
-        Self { framing, part }
+        Self { framing, state }
     }
 
-    /// Whether the end of the connection is the body's end.
+    /// Whether the body lasts until the connection is closed. The decoder never reports the end of such a body.
     pub fn is_close_delimited(&self) -> bool {
         self.framing == Framing::CloseDelimited
     }
 
-    /// Whether bytes of the body itself come next: any run of them can be looked at then, not only whole lines.
+    /// Whether content comes next. If so, input may be passed in arbitrary pieces; otherwise a line must be
+    /// contiguous.
     pub fn is_in_data(&self) -> bool {
-        matches!(self.part, Part::Data(_))
+        matches!(self.state, State::Data { .. })
     }
 
-    /// Reads what comes next at the front of `input`; what it tells of is passed.
+    /// Looks at the front of `input` and advances past what it reports: the caller has to drop as many bytes.
     ///
     /// # Errors
-    /// Where chunks are malformed.
+    /// [`ParseError::Syntax`] if a chunk or a trailer is malformed.
     pub fn decode_step(&mut self, input: &[u8]) -> Result<DecodeStep, ParseError> {
-        match &mut self.part {
-            Part::Done => Ok(DecodeStep::End),
-            Part::Data(_) if input.is_empty() => Ok(DecodeStep::Incomplete),
-            Part::Data(left) => {
-                let n = usize::try_from(*left)
-                    .unwrap_or(usize::MAX)
-                    .min(input.len());
-                if self.framing != Framing::CloseDelimited {
-                    *left -= n as u64;
-                }
-                if *left == 0 {
-                    self.part = if self.framing == Framing::Chunked {
-                        Part::DataEnd
-                    } else {
-                        Part::Done
-                    };
-                }
-                Ok(DecodeStep::Data(n))
+        match self.state {
+            State::Done => Ok(DecodeStep::End),
+            State::Data { remaining_bytes } => Ok(self.data(input, remaining_bytes)),
+            State::ChunkEnd => self.chunk_end(input),
+            State::ChunkSize => self.chunk_size(input),
+            State::Trailer { bytes_seen } => self.trailer(input, bytes_seen),
+        }
+    }
+
+    fn data(&mut self, input: &[u8], remaining_bytes: u64) -> DecodeStep {
+        if input.is_empty() {
+            return DecodeStep::Incomplete;
+        }
+        let taken = usize::try_from(remaining_bytes)
+            .unwrap_or(usize::MAX)
+            .min(input.len());
+        if self.framing == Framing::CloseDelimited {
+            return DecodeStep::Data(taken);
+        }
+        let remaining_bytes = remaining_bytes - taken as u64;
+        self.state = match (remaining_bytes, self.framing) {
+            (0, Framing::Chunked) => State::ChunkEnd,
+            (0, _) => State::Done,
+            _ => State::Data { remaining_bytes },
+        };
+        DecodeStep::Data(taken)
+    }
+
+    fn chunk_end(&mut self, input: &[u8]) -> Result<DecodeStep, ParseError> {
+        match input.first_chunk::<2>() {
+            Some(b"\r\n") => {
+                self.state = State::ChunkSize;
+                Ok(DecodeStep::Framing(2))
             }
-            Part::DataEnd => match input.first_chunk::<2>() {
-                Some(b"\r\n") => {
-                    self.part = Part::Size;
-                    Ok(DecodeStep::Framing(2))
-                }
-                Some(_) => syntax("chunk"),
-                None => Ok(DecodeStep::Incomplete),
-            },
-            Part::Size => match chunk_size(input)? {
-                Some((n, size)) => {
-                    self.part = if size == 0 {
-                        Part::Trailer(0)
-                    } else {
-                        Part::Data(size)
-                    };
-                    Ok(DecodeStep::Framing(n))
-                }
-                None => Ok(DecodeStep::Incomplete),
-            },
-            Part::Trailer(seen) => match input.iter().position(|b| *b == b'\n') {
-                Some(n) => {
-                    *seen += n;
-                    if *seen > MOST_LINE {
-                        return syntax("trailer");
-                    }
-                    match input.get(..n).and_then(|l| l.strip_suffix(b"\r")) {
-                        Some([]) => self.part = Part::Done,
-                        Some(field) if field.contains(&b':') => {}
-                        _ => return syntax("trailer"),
-                    }
-                    Ok(DecodeStep::Framing(n + 1))
-                }
-                None if input.len() < MOST_LINE => Ok(DecodeStep::Incomplete),
-                None => syntax("trailer"),
-            },
+            Some(_) => syntax_error("chunk"),
+            None => Ok(DecodeStep::Incomplete),
+        }
+    }
+
+    fn chunk_size(&mut self, input: &[u8]) -> Result<DecodeStep, ParseError> {
+        let Some(line) = parse_chunk_size(input)? else {
+            return Ok(DecodeStep::Incomplete);
+        };
+        self.state = match line.chunk_bytes {
+            // The last chunk is the empty one.
+            0 => State::Trailer { bytes_seen: 0 },
+            remaining_bytes => State::Data { remaining_bytes },
+        };
+        Ok(DecodeStep::Framing(line.line_bytes))
+    }
+
+    fn trailer(&mut self, input: &[u8], bytes_seen: usize) -> Result<DecodeStep, ParseError> {
+        let Some(line_end) = input.iter().position(|byte| *byte == b'\n') else {
+            return if input.len() < MAX_CHUNK_LINE_BYTES {
+                Ok(DecodeStep::Incomplete)
+            } else {
+                syntax_error("trailer")
+            };
+        };
+        let bytes_seen = bytes_seen + line_end;
+        if bytes_seen > MAX_CHUNK_LINE_BYTES {
+            return syntax_error("trailer");
         }
+        let line = input
+            .get(..line_end)
+            .and_then(|line| line.strip_suffix(b"\r"));
+        self.state = match line {
+            Some([]) => State::Done,
+            Some(field) if field.contains(&b':') => State::Trailer { bytes_seen },
+            _ => return syntax_error("trailer"),
+        };
+        Ok(DecodeStep::Framing(line_end + 1))
     }
 
-    /// Takes what comes next off the front of `buf`.
+    /// Takes the next piece of the body off the front of `buf`.
     ///
     /// # Errors
-    /// Where chunks are malformed.
+    /// [`ParseError::Syntax`] if a chunk or a trailer is malformed.
     pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Decoded, ParseError> {
         loop {
             match self.decode_step(buf)? {
--- a/crates/http1/src/chunk.rs
+++ b/crates/http1/src/chunk.rs
@@ -1,49 +1,71 @@
-//! The line of a chunk's size.
+//! The line that begins a chunk (RFC 9112, section 7.1).
 
-use crate::error::{syntax, ParseError};
+use crate::error::{syntax_error, ParseError};
 
-/// Longest line of a chunk's size, with its extensions, and longest trailer section.
-pub(crate) const MOST_LINE: usize = 4096;
-/// Digits of a chunk's size: as many as fill 64 bits.
+/// Limit on a chunk's size line with its extensions, and on a whole trailer section.
+pub(crate) const MAX_CHUNK_LINE_BYTES: usize = 4096;
+/// Limit on the digits of a chunk's size: as many as fill 64 bits.
 const MAX_SIZE_DIGITS: usize = 16;
 
-/// Reads the line of a chunk's size: its length and the size; `None` where more has to come. A size has digits,
-/// and a line that has none must not pass for the last chunk's.
-pub(crate) fn chunk_size(input: &[u8]) -> Result<Option<(usize, u64)>, ParseError> {
-    let Some(end) = input.iter().position(|b| *b == b'\n') else {
-        let plain = input
+/// A chunk's size line.
+pub(crate) struct ChunkSizeLine {
+    /// Length of the line with its line end.
+    pub(crate) line_bytes: usize,
+    /// Size of the chunk's data.
+    pub(crate) chunk_bytes: u64,
+}
+
+/// Parses a chunk's size line; `None` if more input is needed. A line without digits is an error: read as 0 it would
+/// pass for the last chunk.
+pub(crate) fn parse_chunk_size(input: &[u8]) -> Result<Option<ChunkSizeLine>, ParseError> {
+    let Some(line_end) = input.iter().position(|byte| *byte == b'\n') else {
+        return if may_become_size_line(input) {
+            Ok(None)
+        } else {
+            syntax_error("chunk")
+        };
+    };
+    let line = input
+        .get(..line_end)
+        .and_then(|line| line.strip_suffix(b"\r"));
+    match line.and_then(chunk_size) {
+        Some(chunk_bytes) => Ok(Some(ChunkSizeLine {
+            line_bytes: line_end + 1,
+            chunk_bytes,
+        })),
+        None => syntax_error("chunk"),
+    }
+}
+
+/// Whether a line that has not ended yet is within the limits.
+fn may_become_size_line(input: &[u8]) -> bool {
+    let too_many_digits = input.len() > MAX_SIZE_DIGITS
+        && input
             .iter()
             .take(MAX_SIZE_DIGITS + 1)
             .all(u8::is_ascii_hexdigit);
-        return match input.len() {
-            0 => Ok(None),
-            n if n < MOST_LINE && !(plain && n > MAX_SIZE_DIGITS) => Ok(None),
-            _ => syntax("chunk"),
-        };
-    };
-    let Some(line) = input.get(..end).and_then(|l| l.strip_suffix(b"\r")) else {
-        return syntax("chunk");
-    };
-    if line.len() > MOST_LINE || line.iter().any(|b| b.is_ascii_control() && *b != b'\t') {
-        return syntax("chunk");
+    input.len() < MAX_CHUNK_LINE_BYTES && !too_many_digits
+}
+
+/// The size that a whole line gives, without its line end; `None` if the line is malformed.
+fn chunk_size(line: &[u8]) -> Option<u64> {
+    let has_control = line
+        .iter()
+        .any(|byte| byte.is_ascii_control() && *byte != b'\t');
+    if line.len() > MAX_CHUNK_LINE_BYTES || has_control {
+        return None;
     }
-    let (digits, extension) = line.split_at(
-        line.iter()
-            .position(|b| !b.is_ascii_hexdigit())
-            .unwrap_or(line.len()),
-    );
-    let rest = extension.trim_ascii_start();
-    if digits.is_empty()
-        || digits.len() > MAX_SIZE_DIGITS
-        || !(rest.is_empty() || rest.starts_with(b";"))
-    {
-        return syntax("chunk");
+    let digit_count = line
+        .iter()
+        .position(|byte| !byte.is_ascii_hexdigit())
+        .unwrap_or(line.len());
+    let (digits, rest) = line.split_at(digit_count);
+    let extension = rest.trim_ascii_start();
+    if digits.is_empty() || digits.len() > MAX_SIZE_DIGITS {
+        return None;
     }
-    let size = std::str::from_utf8(digits)
-        .ok()
-        .and_then(|d| u64::from_str_radix(d, 16).ok());
-    match size {
-        Some(size) => Ok(Some((end + 1, size))),
-        None => syntax("chunk"),
+    if !extension.is_empty() && !extension.starts_with(b";") {
+        return None;
     }
+    u64::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
 }
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,25 +1,25 @@
-//! Why a message can't be read.
+//! Errors of parsing.
 
 use snafu::Snafu;
 
-/// Why a message can't be read.
+/// Why a message can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ParseError {
-    /// Not HTTP, or framed in two ways.
+    /// It isn't HTTP/1, or could be read in two ways.
     #[snafu(display("malformed: {what}"))]
     Syntax {
-        /// The place.
+        /// The part of the message at fault.
         what: &'static str,
     },
-    /// A head of more than is taken.
+    /// The head is over its [limits](crate::HeadLimits).
     #[snafu(display("too large"))]
     HeadTooLarge,
-    /// A body of a length that can't be counted.
+    /// `Content-Length` doesn't fit into 64 bits.
     #[snafu(display("length too large"))]
     LengthOverflow,
 }
 
-/// Refuses a message for its syntax at this place.
-pub(crate) fn syntax<T>(what: &'static str) -> Result<T, ParseError> {
+/// Fails with [`ParseError::Syntax`].
+pub(crate) fn syntax_error<T>(what: &'static str) -> Result<T, ParseError> {
     SyntaxSnafu { what }.fail()
 }
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -1,66 +1,89 @@
-//! The fields of a head, kept as places in its bytes.
+//! The fields of a head, kept as spans of its bytes.
 
 use bytes::Bytes;
 
-/// Place of a part in the bytes of a head.
+/// Hop-by-hop fields (RFC 9110, section 7.6.1) whatever `Connection` lists.
+const HOP_BY_HOP: [&str; 9] = [
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "proxy-authenticate",
+    "proxy-authorization",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+];
+
+/// Where a part stands in the bytes of a head.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Span {
-    at: usize,
-    len: usize,
+    offset: usize,
+    length: usize,
 }
 
 impl Span {
-    /// The place of `part` in `base`, which it was cut from.
-    pub(crate) fn of(base: &[u8], part: &[u8]) -> Span {
-        // Both come from one buffer; for an empty part the place does not matter.
-        Span {
-            at: (part.as_ptr() as usize).saturating_sub(base.as_ptr() as usize),
-            len: part.len(),
+    /// The span of `part`, which has to be a slice of `head`.
+    pub(crate) fn within(head: &[u8], part: &[u8]) -> Self {
+        // An empty part may point elsewhere; its offset doesn't matter.
+        Self {
+            offset: (part.as_ptr() as usize).saturating_sub(head.as_ptr() as usize),
+            length: part.len(),
         }
     }
 }
 
-/// The places of names and values of parsed fields.
-pub(crate) fn spans(base: &[u8], headers: &[httparse::Header]) -> Vec<(Span, Span)> {
-    headers
+/// Name and value of a field.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FieldSpan {
+    name: Span,
+    value: Span,
+}
+
+/// The spans of parsed fields within the head that they were parsed from.
+pub(crate) fn field_spans(head: &[u8], fields: &[httparse::Header]) -> Vec<FieldSpan> {
+    fields
         .iter()
-        .map(|h| (Span::of(base, h.name.as_bytes()), Span::of(base, h.value)))
+        .map(|field| FieldSpan {
+            name: Span::within(head, field.name.as_bytes()),
+            value: Span::within(head, field.value),
+        })
         .collect()
 }
 
-/// The fields of a head, in order and in their own case.
+/// The fields of a head (RFC 9110, section 5), in their order and with the case of their names.
 #[derive(Clone, Debug, Default)]
 pub struct Fields {
-    pub(crate) raw: Bytes,
-    pub(crate) spans: Vec<(Span, Span)>,
+    pub(crate) head: Bytes,
+    pub(crate) spans: Vec<FieldSpan>,
 }
 
 impl Fields {
-    /// The bytes at a place in the head.
-    pub(crate) fn span(&self, span: Span) -> &[u8] {
-        self.raw
-            .get(span.at..span.at + span.len)
+    /// The bytes of a span of the head.
+    pub(crate) fn slice(&self, span: Span) -> &[u8] {
+        self.head
+            .get(span.offset..span.offset + span.length)
             .unwrap_or_default()
     }
 
-    /// All fields: names and values.
+    /// All fields, as names and values.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.spans
             .iter()
-            .map(|(n, v)| (self.span(*n), self.span(*v)))
+            .map(|field| (self.slice(field.name), self.slice(field.value)))
     }
 
-    /// The value of the first field of this name, in any case.
+    /// The value of the first field of this name. Names compare without case, here and below.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.iter()
             .find(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
-            .map(|(_, v)| v)
+            .map(|(_, value)| value)
     }
 
-    /// The value of the first field of this name as text.
+    /// The value of the first field of this name, without white space around it; `None` if it isn't UTF-8.
     pub fn get_str(&self, name: &str) -> Option<&str> {
         self.get(name)
-            .and_then(|v| std::str::from_utf8(v).ok())
+            .and_then(|value| std::str::from_utf8(value).ok())
             .map(str::trim)
     }
 
@@ -68,32 +91,21 @@
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter()
             .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
-            .map(|(_, v)| v)
+            .map(|(_, value)| value)
     }
 
-    /// Whether a list field of this name holds the token.
+    /// Whether the comma-separated lists in the fields of this name contain a token.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.get_all(name)
-            .flat_map(|v| v.split(|b| *b == b','))
-            .any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
+            .flat_map(|value| value.split(|byte| *byte == b','))
+            .any(|item| item.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// Whether a field concerns only the connection that it came on.
+    /// Whether a field of this name concerns only the connection it came on and must not be forwarded.
     pub fn is_hop_by_hop(&self, name: &[u8]) -> bool {
-        const NAMES: [&str; 9] = [
-            "connection",
-            "keep-alive",
-            "proxy-connection",
-            "proxy-authenticate",
-            "proxy-authorization",
-            "te",
-            "trailer",
-            "transfer-encoding",
-            "upgrade",
-        ];
-        NAMES
+        HOP_BY_HOP
             .iter()
-            .any(|n| name.eq_ignore_ascii_case(n.as_bytes()))
-            || std::str::from_utf8(name).is_ok_and(|n| self.has_token("connection", n))
+            .any(|known| name.eq_ignore_ascii_case(known.as_bytes()))
+            || std::str::from_utf8(name).is_ok_and(|name| self.has_token("connection", name))
     }
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 without I/O, for the program in service and the system's proxy alike: heads by `httparse`, the
-//! framing of bodies, and their decoding.
+//! HTTP/1.1 messages without I/O: heads are parsed by `httparse`, bodies decoded from their framing. Used by the proxy,
+//! which decodes from a buffer, and by the coordinator in service, which parses from a ring buffer.
 //!
 //! ```
 //! use http1::{HeadLimits, BodyDecoder, Framing, Decoded, RequestHead};
 //! let mut buf = bytes::BytesMut::from("POST /a?b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
-//! let head = RequestHead::decode(&mut buf, HeadLimits::default()).unwrap().expect("a whole head");
+//! let head = RequestHead::decode(&mut buf, HeadLimits::default()).unwrap().expect("a complete head");
 //! assert_eq!((head.method(), head.path()), (&b"POST"[..], &b"/a"[..]));
 //! let mut body = BodyDecoder::new(head.framing.unwrap());
 //! assert_eq!(body.decode(&mut buf), Ok(Decoded::Data("hi".into())));
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,22 +1,22 @@
 //! Heads of requests.
 
-use crate::error::{syntax, ParseError};
-use crate::fields::{spans, Fields, Span};
+use crate::error::{syntax_error, ParseError};
+use crate::fields::{field_spans, FieldSpan, Fields, Span};
 use crate::framing::Framing;
-use crate::head::{found, lines_end_with_crlf, Found};
+use crate::head::{head_length, lines_end_with_crlf, Parsed};
 use crate::limits::{HeadLimits, MAX_FIELDS};
 use bytes::{Bytes, BytesMut};
 
-/// Head of a request.
+/// The head of a request: request line and fields.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
     method: Span,
     target: Span,
-    /// Minor version of HTTP/1.
+    /// Minor version of HTTP/1: 0 or 1.
     pub minor_version: u8,
     /// Its fields.
     pub fields: Fields,
-    /// How the body is framed; no framing stands for none.
+    /// How the body is delimited; `None` if there is no body.
     pub framing: Option<Framing>,
 }
 
@@ -24,97 +24,98 @@
     method: Span,
     target: Span,
     minor_version: u8,
-    spans: Vec<(Span, Span)>,
+    spans: Vec<FieldSpan>,
 }
 
-fn request(input: &[u8], limits: HeadLimits) -> Found<RequestParts> {
+fn parse_parts(
+    input: &[u8],
+    limits: HeadLimits,
+) -> Result<Option<Parsed<RequestParts>>, ParseError> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = httparse::Request::new(slots.get_mut(..limits.max_fields).unwrap_or_default());
-    let Some(n) = found(head.parse(input), input.len(), limits, "request")? else {
+    let parsed = head.parse(input);
+    let Some(head_bytes) = head_length(parsed, input.len(), limits, "request")? else {
         return Ok(None);
     };
     let parts = RequestParts {
-        method: Span::of(input, head.method.unwrap_or_default().as_bytes()),
-        target: Span::of(input, head.path.unwrap_or_default().as_bytes()),
+        method: Span::within(input, head.method.unwrap_or_default().as_bytes()),
+        target: Span::within(input, head.path.unwrap_or_default().as_bytes()),
         minor_version: head.version.unwrap_or(1),
-        spans: spans(input, head.headers),
+        spans: field_spans(input, head.headers),
     };
-    Ok(Some((n, parts)))
+    Ok(Some(Parsed { head_bytes, parts }))
 }
 
 impl RequestHead {
-    fn of(parts: RequestParts, raw: Bytes) -> Result<Self, ParseError> {
-        let RequestParts {
-            method,
-            target,
-            minor_version,
-            spans,
-        } = parts;
-        let fields = Fields { raw, spans };
+    fn from_parts(parts: RequestParts, head: Bytes) -> Result<Self, ParseError> {
+        let fields = Fields {
+            head,
+            spans: parts.spans,
+        };
         let framing = Framing::from_fields(&fields)?;
         Ok(Self {
-            method,
-            target,
-            minor_version,
+            method: parts.method,
+            target: parts.target,
+            minor_version: parts.minor_version,
             fields,
             framing,
         })
     }
 
-    /// Reads a head at the front of `input`, with its length; `None` where more has to come.
+    /// Parses the head at the front of `input` and gives its length in bytes; `None` if more input is needed.
     ///
     /// # Errors
-    /// Where it is no head, is framed in two ways, or is larger than `limits`.
+    /// If it is no request's head, could be read in two ways, or is over `limits`.
     pub fn parse(input: &[u8], limits: HeadLimits) -> Result<Option<(Self, usize)>, ParseError> {
-        let Some((n, parts)) = request(input, limits)? else {
+        let Some(Parsed { head_bytes, parts }) = parse_parts(input, limits)? else {
             return Ok(None);
         };
-        let raw = Bytes::copy_from_slice(input.get(..n).unwrap_or_default());
-        Ok(Some((Self::of(parts, raw)?, n)))
+        let head = Bytes::copy_from_slice(input.get(..head_bytes).unwrap_or_default());
+        Ok(Some((Self::from_parts(parts, head)?, head_bytes)))
     }
 
-    /// Takes a head off the front of `buf`; `None` where more has to come. What another program behind this one
-    /// could read in another way is refused besides.
+    /// Takes a head off the front of `buf`; `None` if more input is needed. Stricter than [`RequestHead::parse`]: what
+    /// a server behind a proxy might read in another way is refused.
     ///
     /// # Errors
-    /// As [`RequestHead::parse`], and where a line ends with a lone LF, it names two hosts, an old version has chunks, or the target is none
-    /// that a server is asked for.
+    /// As [`RequestHead::parse`], and if a line ends with a lone LF, there are two `Host` fields, HTTP/1.0 has chunks,
+    /// or the target is neither a path nor `*`.
     pub fn decode(buf: &mut BytesMut, limits: HeadLimits) -> Result<Option<Self>, ParseError> {
-        let Some((n, parts)) = request(buf, limits)? else {
+        let Some(Parsed { head_bytes, parts }) = parse_parts(buf, limits)? else {
             return Ok(None);
         };
-        let head = Self::of(parts, buf.split_to(n).freeze())?;
-        if !lines_end_with_crlf(&head.fields.raw) {
-            return syntax("line");
+        let head = Self::from_parts(parts, buf.split_to(head_bytes).freeze())?;
+        if !lines_end_with_crlf(&head.fields.head) {
+            return syntax_error("line");
         }
         if head.fields.get_all("host").nth(1).is_some() {
-            return syntax("host");
+            return syntax_error("host");
         }
         if head.minor_version == 0 && head.framing == Some(Framing::Chunked) {
-            return syntax("transfer-encoding");
+            return syntax_error("transfer-encoding");
         }
         match head.target() {
             [b'/', ..] | b"*" => Ok(Some(head)),
-            _ => syntax("target"),
+            _ => syntax_error("target"),
         }
     }
 
-    /// Its method.
+    /// The method.
     pub fn method(&self) -> &[u8] {
-        self.fields.span(self.method)
+        self.fields.slice(self.method)
     }
 
-    /// Path and query, without the scheme and authority that a target may have.
+    /// The target in origin form: path and query, without the scheme and authority of an absolute form.
     pub fn target(&self) -> &[u8] {
-        let target = self.fields.span(self.target);
-        match authority(target) {
+        let target = self.fields.slice(self.target);
+        match split_authority(target) {
             Some((_, [])) => b"/",
             Some((_, rest)) => rest,
             None => target,
         }
     }
 
-    /// The path.
+    /// The path, without the query.
     pub fn path(&self) -> &[u8] {
         self.target()
             .split(|b| *b == b'?')
@@ -122,20 +123,20 @@
             .unwrap_or_default()
     }
 
-    /// The host asked for, without its port.
+    /// The host that the target or else the `Host` field names, without its port; `None` if there is none or it isn't
+    /// UTF-8.
     pub fn host(&self) -> Option<&str> {
-        let named = authority(self.fields.span(self.target)).map(|(host, _)| host);
-        let host = std::str::from_utf8(named.or_else(|| self.fields.get("host"))?)
+        let from_target = split_authority(self.fields.slice(self.target)).map(|(host, _)| host);
+        let host = std::str::from_utf8(from_target.or_else(|| self.fields.get("host"))?)
             .ok()?
             .trim();
-        Some(
-            host.rsplit_once(':')
-                .filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit()))
-                .map_or(host, |h| h.0),
-        )
+        match host.rsplit_once(':') {
+            Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => Some(name),
+            _ => Some(host),
+        }
     }
 
-    /// Whether the connection may be used for another request.
+    /// Whether the client lets the connection be used for another request.
     pub fn is_keep_alive(&self) -> bool {
         match self.minor_version {
             0 => self.fields.has_token("connection", "keep-alive"),
@@ -144,16 +145,14 @@
     }
 }
 
-/// Authority and rest of a target in absolute form.
-fn authority(target: &[u8]) -> Option<(&[u8], &[u8])> {
+/// Authority and rest of a target in absolute form; `None` for other forms.
+fn split_authority(target: &[u8]) -> Option<(&[u8], &[u8])> {
     let rest = target
         .strip_prefix(b"http://")
         .or_else(|| target.strip_prefix(b"https://"))?;
-    Some(
-        rest.split_at(
-            rest.iter()
-                .position(|b| *b == b'/' || *b == b'?')
-                .unwrap_or(rest.len()),
-        ),
-    )
+    let authority_end = rest
+        .iter()
+        .position(|byte| matches!(byte, b'/' | b'?'))
+        .unwrap_or(rest.len());
+    Some(rest.split_at(authority_end))
 }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -1,23 +1,23 @@
-//! Heads of answers.
+//! Heads of responses.
 
-use crate::error::{syntax, ParseError};
-use crate::fields::{spans, Fields, Span};
+use crate::error::{syntax_error, ParseError};
+use crate::fields::{field_spans, FieldSpan, Fields, Span};
 use crate::framing::Framing;
-use crate::head::{found, lines_end_with_crlf, Found};
+use crate::head::{head_length, lines_end_with_crlf, Parsed};
 use crate::limits::{HeadLimits, MAX_FIELDS};
 use bytes::{Bytes, BytesMut};
 
-/// Head of an answer.
+/// The head of a response: status line and fields.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
     reason: Span,
-    /// Minor version of HTTP/1.
+    /// Minor version of HTTP/1: 0 or 1.
     pub minor_version: u8,
     /// Its fields.
     pub fields: Fields,
-    /// How the body is framed.
+    /// How the body is delimited; a length of 0 for a response that never has a body.
     pub framing: Framing,
 }
 
@@ -25,95 +25,104 @@
     status: u16,
     reason: Span,
     minor_version: u8,
-    spans: Vec<(Span, Span)>,
+    spans: Vec<FieldSpan>,
 }
 
-fn response(input: &[u8], limits: HeadLimits) -> Found<ResponseParts> {
+fn parse_parts(
+    input: &[u8],
+    limits: HeadLimits,
+) -> Result<Option<Parsed<ResponseParts>>, ParseError> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = httparse::Response::new(slots.get_mut(..limits.max_fields).unwrap_or_default());
-    let Some(n) = found(head.parse(input), input.len(), limits, "response")? else {
+    let parsed = head.parse(input);
+    let Some(head_bytes) = head_length(parsed, input.len(), limits, "response")? else {
         return Ok(None);
     };
     let parts = ResponseParts {
         status: head.code.unwrap_or_default(),
-        reason: Span::of(input, head.reason.unwrap_or_default().as_bytes()),
+        reason: Span::within(input, head.reason.unwrap_or_default().as_bytes()),
         minor_version: head.version.unwrap_or(1),
-        spans: spans(input, head.headers),
+        spans: field_spans(input, head.headers),
     };
-    Ok(Some((n, parts)))
+    Ok(Some(Parsed { head_bytes, parts }))
 }
 
 impl ResponseHead {
-    fn of(parts: ResponseParts, raw: Bytes, to_head_request: bool) -> Result<Self, ParseError> {
-        let ResponseParts {
-            status,
-            reason,
-            minor_version,
-            spans,
-        } = parts;
-        let fields = Fields { raw, spans };
-        let framing = match status {
+    fn from_parts(
+        parts: ResponseParts,
+        head: Bytes,
+        to_head_request: bool,
+    ) -> Result<Self, ParseError> {
+        let fields = Fields {
+            head,
+            spans: parts.spans,
+        };
+        let framing = match parts.status {
             100..=199 | 204 | 304 => Framing::Length(0),
             _ if to_head_request => Framing::Length(0),
             _ => Framing::from_fields(&fields)?.unwrap_or(Framing::CloseDelimited),
         };
         Ok(Self {
-            status,
-            reason,
-            minor_version,
+            status: parts.status,
+            reason: parts.reason,
+            minor_version: parts.minor_version,
             fields,
             framing,
         })
     }
 
-    /// Reads a head at the front of `input`, with its length; `None` where more has to come. `to_head_request` says that
-    /// it answers a `HEAD`, where no body follows.
+    /// Parses the head at the front of `input` and gives its length in bytes; `None` if more input is needed.
+    /// `to_head_request` tells that the request's method was `HEAD`, so that no body follows.
     ///
     /// # Errors
-    /// Where it is no head, is framed in two ways, or is larger than `limits`.
+    /// If it is no response's head, could be read in two ways, or is over `limits`.
     pub fn parse(
         input: &[u8],
         limits: HeadLimits,
         to_head_request: bool,
     ) -> Result<Option<(Self, usize)>, ParseError> {
-        let Some((n, parts)) = response(input, limits)? else {
+        let Some(Parsed { head_bytes, parts }) = parse_parts(input, limits)? else {
             return Ok(None);
         };
-        let raw = Bytes::copy_from_slice(input.get(..n).unwrap_or_default());
-        Ok(Some((Self::of(parts, raw, to_head_request)?, n)))
+        let head = Bytes::copy_from_slice(input.get(..head_bytes).unwrap_or_default());
+        let head = Self::from_parts(parts, head, to_head_request)?;
+        Ok(Some((head, head_bytes)))
     }
 
-    /// Takes a head off the front of `buf`, as [`ResponseHead::parse`] reads it.
+    /// Takes a head off the front of `buf`, parsed as by [`ResponseHead::parse`].
     ///
     /// # Errors
-    /// As [`ResponseHead::parse`], and where a line ends with a lone LF.
+    /// As [`ResponseHead::parse`], and if a line ends with a lone LF.
     pub fn decode(
         buf: &mut BytesMut,
         limits: HeadLimits,
         to_head_request: bool,
     ) -> Result<Option<Self>, ParseError> {
-        let Some((n, parts)) = response(buf, limits)? else {
+        let Some(Parsed { head_bytes, parts }) = parse_parts(buf, limits)? else {
             return Ok(None);
         };
-        let head = Self::of(parts, buf.split_to(n).freeze(), to_head_request)?;
-        if lines_end_with_crlf(&head.fields.raw) {
+        let head = buf.split_to(head_bytes).freeze();
+        let head = Self::from_parts(parts, head, to_head_request)?;
+        if lines_end_with_crlf(&head.fields.head) {
             Ok(Some(head))
         } else {
-            syntax("line")
+            syntax_error("line")
         }
     }
 
-    /// The words after the status.
+    /// The reason phrase of the status line; may be empty.
     pub fn reason_phrase(&self) -> &[u8] {
-        self.fields.span(self.reason)
+        self.fields.slice(self.reason)
     }
 
-    /// Whether the connection may be used again.
+    /// Whether the server lets the connection be used for another request.
     pub fn is_keep_alive(&self) -> bool {
-        self.framing != Framing::CloseDelimited
-            && match self.minor_version {
-                0 => self.fields.has_token("connection", "keep-alive"),
-                _ => !self.fields.has_token("connection", "close"),
-            }
+        if self.framing == Framing::CloseDelimited {
+            return false;
+        }
+        match self.minor_version {
+            0 => self.fields.has_token("connection", "keep-alive"),
+            _ => !self.fields.has_token("connection", "close"),
+        }
     }
 }
--- a/crates/http1/src/status.rs
+++ b/crates/http1/src/status.rs
@@ -1,6 +1,6 @@
-//! The words after a status.
+//! Reason phrases of status codes.
 
-/// The usual words after a status.
+/// The usual reason phrase of a status code; `Error` for codes that neither program sends.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http1/tests/parsing.rs
+++ b/crates/http1/tests/parsing.rs
@@ -10,7 +10,7 @@
     RequestHead::decode(&mut BytesMut::from(text), LIMITS)
 }
 
-fn good(text: &str) -> RequestHead {
+fn parsed_request(text: &str) -> RequestHead {
     request(text).unwrap().unwrap()
 }
 
@@ -27,7 +27,7 @@
 #[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n")]
 #[case("Transfer-Encoding: identity\r\n")]
 #[case("Host: b\r\n")]
-fn what_could_be_read_in_two_ways_is_refused(#[case] fields: &str) {
+fn request_with_ambiguous_framing_is_refused(#[case] fields: &str) {
     let text = format!("POST / HTTP/1.1\r\nHost: a\r\n{fields}\r\n");
     assert!(matches!(request(&text), Err(ParseError::Syntax { .. })));
 }
@@ -44,7 +44,7 @@
 #[case("GET / HTTP/1.1\r\nHost: a\n\r\n")]
 #[case("GET / HTTP/1.1\r\nHost: a\r\n\n")]
 #[case("GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n")]
-fn what_is_no_request_is_refused(#[case] text: &str) {
+fn malformed_request_is_refused(#[case] text: &str) {
     assert!(
         matches!(request(text), Err(ParseError::Syntax { .. })),
         "{:?}",
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_head_may_come_in_parts_and_has_a_limit() {
+fn head_in_parts_is_decoded_once_complete_and_within_limits() {
     let text = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
     for n in 0..text.len() {
         assert!(request(&text[..n]).unwrap().is_none());
@@ -89,14 +89,14 @@
 )]
 #[case("GET http://y HTTP/1.1\r\nHost: x\r\n\r\n", "/", "/", Some("y"))]
 #[case("GET / HTTP/1.1\r\n\r\n", "/", "/", None)]
-fn target_path_and_host(
+fn target_path_and_host_are_parsed_in_each_form(
     #[case] text: &str,
     #[case] target: &str,
     #[case] path: &str,
     #[case] host: Option<&str>,
 ) {
     let absolute = request(text);
-    // Absolute form is only taken where the target begins so.
+
     let head = absolute.unwrap().unwrap();
     assert_eq!(
         (head.target(), head.path(), head.host()),
@@ -109,9 +109,13 @@
 #[case("1.1", "Connection: x, Close\r\n", false)]
 #[case("1.0", "", false)]
 #[case("1.0", "Connection: keep-alive\r\n", true)]
-fn whether_the_connection_stays(#[case] version: &str, #[case] fields: &str, #[case] stays: bool) {
+fn keep_alive_follows_version_and_connection_field(
+    #[case] version: &str,
+    #[case] fields: &str,
+    #[case] stays: bool,
+) {
     assert_eq!(
-        good(&format!("GET / HTTP/{version}\r\n{fields}\r\n")).is_keep_alive(),
+        parsed_request(&format!("GET / HTTP/{version}\r\n{fields}\r\n")).is_keep_alive(),
         stays
     );
     let answer = format!("HTTP/{version} 200 OK\r\nContent-Length: 0\r\n{fields}\r\n");
@@ -122,9 +126,10 @@
 }
 
 #[test]
-fn fields_of_one_connection() {
-    let head =
-        good("GET / HTTP/1.1\r\nConnection: keep-alive, X-Own\r\nx-own: 1\r\nOther: 2\r\n\r\n");
+fn hop_by_hop_fields_are_recognized() {
+    let head = parsed_request(
+        "GET / HTTP/1.1\r\nConnection: keep-alive, X-Own\r\nx-own: 1\r\nOther: 2\r\n\r\n",
+    );
     let hop = |n: &str| head.fields.is_hop_by_hop(n.as_bytes());
     assert!(hop("connection") && hop("X-OWN") && hop("TE") && hop("Transfer-Encoding"));
     assert!(!hop("Other") && !hop("Host"));
@@ -139,7 +144,7 @@
 #[case("204 No Content\r\n", false, Framing::Length(0))]
 #[case("304 Not Modified\r\nContent-Length: 4\r\n", false, Framing::Length(0))]
 #[case("100 Continue\r\n", false, Framing::Length(0))]
-fn how_an_answer_is_framed(
+fn response_framing_follows_status_and_fields(
     #[case] text: &str,
     #[case] to_head_request: bool,
     #[case] framing: Framing,
@@ -159,14 +164,14 @@
 #[case("HTTP/1.1 2000 OK\r\n\r\n")]
 #[case("HTTP/1.1 200 OK\nContent-Length: 1\r\n\r\n")]
 #[case("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n")]
-fn what_is_no_answer(#[case] text: &str) {
+fn malformed_response_is_refused(#[case] text: &str) {
     assert!(ResponseHead::decode(&mut BytesMut::from(text), LIMITS, false).is_err());
 }
 
-/// A whole body, and what follows it.
+/// The body, and the bytes behind it.
 type BodyAndRest = (Vec<u8>, Vec<u8>);
 
-/// All of a body, whatever pieces it comes in; `None` where it isn't whole.
+/// Decodes a body that comes in these parts; `None` if it is incomplete.
 fn decode(framing: Framing, parts: &[&[u8]]) -> Result<Option<BodyAndRest>, ParseError> {
     let (mut body, mut buf, mut out) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     let mut parts = parts.iter();
@@ -196,7 +201,7 @@
     "NEXT"
 )]
 #[case(Framing::Chunked, "0\r\n\r\n", "", "")]
-fn a_body_is_the_same_however_it_is_cut(
+fn body_decodes_the_same_at_any_split(
     #[case] framing: Framing,
     #[case] text: &str,
     #[case] body: &str,
@@ -242,7 +247,7 @@
 #[case("0\r\nT: 1\n\r\n")]
 #[case("-1\r\n")]
 #[case("fffffffffffffffff\r\n")]
-fn chunks_that_are_none(#[case] text: &str) {
+fn malformed_chunks_are_refused(#[case] text: &str) {
     assert!(matches!(
         decode(Framing::Chunked, &[text.as_bytes()]),
         Err(ParseError::Syntax { .. })
@@ -250,7 +255,7 @@
 }
 
 #[test]
-fn lines_of_chunks_and_trailers_have_a_limit() {
+fn chunk_lines_and_trailers_over_the_limit_are_refused() {
     let long = "x".repeat(5000);
     for text in [
         format!("1;{long}"),
@@ -262,7 +267,7 @@
 }
 
 #[test]
-fn a_body_that_ends_with_its_connection() {
+fn close_delimited_body_never_ends_by_itself() {
     let mut body = BodyDecoder::new(Framing::CloseDelimited);
     assert!(body.is_close_delimited());
     assert_eq!(
--- a/crates/http1/tests/drawn.rs
+++ b/crates/http1/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Drawn bytes: nothing panics, and how bytes are cut changes nothing.
+//! Properties that hold for generated input: nothing panics, and the split of the input changes nothing.
 
 use bytes::BytesMut;
 use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead, ResponseHead};
@@ -6,16 +6,16 @@
 
 const LIMITS: HeadLimits = HeadLimits::with_max_bytes(2048);
 
-/// How the reading of some bytes ends.
+/// What decoding a body came to.
 #[derive(Clone, Debug, PartialEq)]
-enum Ends {
-    /// A whole body, and what follows it.
-    Whole(Vec<u8>, Vec<u8>),
-    Unfinished,
-    Wrong,
+enum Outcome {
+    /// The body, and the bytes behind it.
+    Complete(Vec<u8>, Vec<u8>),
+    Incomplete,
+    Malformed,
 }
 
-fn decode(framing: Framing, parts: &[&[u8]]) -> Ends {
+fn decode(framing: Framing, parts: &[&[u8]]) -> Outcome {
     let (mut body, mut buf, mut out) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     let mut parts = parts.iter();
     loop {
@@ -23,18 +23,18 @@
             Ok(Decoded::Data(data)) => out.extend_from_slice(&data),
             Ok(Decoded::End) => {
                 parts.for_each(|p| buf.extend_from_slice(p));
-                return Ends::Whole(out, buf.to_vec());
+                return Outcome::Complete(out, buf.to_vec());
             }
             Ok(Decoded::Incomplete) => match parts.next() {
                 Some(part) => buf.extend_from_slice(part),
-                None => return Ends::Unfinished,
+                None => return Outcome::Incomplete,
             },
-            Err(_) => return Ends::Wrong,
+            Err(_) => return Outcome::Malformed,
         }
     }
 }
 
-fn chunks(body: &[u8], sizes: &[usize]) -> Vec<u8> {
+fn encode_chunks(body: &[u8], sizes: &[usize]) -> Vec<u8> {
     let (mut out, mut rest) = (Vec::new(), body);
     let mut sizes = sizes.iter().cycle();
     while !rest.is_empty() {
@@ -48,8 +48,8 @@
     out
 }
 
-/// Bytes that heads and chunks are made of, and others.
-fn likely() -> impl Strategy<Value = Vec<u8>> {
+/// Words that heads and chunks are made of, mixed with other bytes.
+fn http_like_bytes() -> impl Strategy<Value = Vec<u8>> {
     let word = prop_oneof![
         Just(b"\r\n".to_vec()),
         Just(b"\n".to_vec()),
@@ -71,7 +71,7 @@
     #![proptest_config(ProptestConfig { cases: 4000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_a_reader_fail_in_another_way_than_by_its_error(bytes in likely()) {
+    fn arbitrary_bytes_never_panic(bytes in http_like_bytes()) {
         let _ = RequestHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS);
         let _ = ResponseHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS, false);
         for framing in [Framing::Chunked, Framing::Length(7)] {
@@ -80,27 +80,27 @@
     }
 
     #[test]
-    fn chunks_come_out_as_they_went_in(
+    fn chunked_body_round_trips(
         body in prop::collection::vec(any::<u8>(), 0..80),
         sizes in prop::collection::vec(1usize..30, 1..4),
         rest in prop::collection::vec(any::<u8>(), 0..9),
         cut in any::<prop::sample::Index>(),
     ) {
-        let mut text = chunks(&body, &sizes);
+        let mut text = encode_chunks(&body, &sizes);
         text.extend(&rest);
         let (a, b) = text.split_at(cut.index(text.len() + 1));
-        prop_assert_eq!(decode(Framing::Chunked, &[a, b]), Ends::Whole(body, rest));
+        prop_assert_eq!(decode(Framing::Chunked, &[a, b]), Outcome::Complete(body, rest));
     }
 
-    /// However the bytes come, the same is read: also from those that are wrong somewhere.
+    /// Also for input that is malformed somewhere.
     #[test]
-    fn where_bytes_are_cut_changes_nothing(
+    fn split_of_input_does_not_change_the_result(
         body in prop::collection::vec(any::<u8>(), 0..40),
         sizes in prop::collection::vec(1usize..20, 1..4),
         spoilt in prop::option::of((any::<prop::sample::Index>(), any::<u8>())),
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..4),
     ) {
-        let mut text = chunks(&body, &sizes);
+        let mut text = encode_chunks(&body, &sizes);
         if let Some((at, byte)) = spoilt {
             let at = at.index(text.len());
             text[at] = byte;
@@ -112,20 +112,20 @@
         prop_assert_eq!(decode(Framing::Chunked, &parts), decode(Framing::Chunked, &[&text]));
     }
 
-    /// A chunked body that is cut before its end, or has lost bytes of its frame, is never whole with less.
+    /// A prefix of a chunked body never passes for a complete one.
     #[test]
-    fn a_cut_body_is_not_whole(
+    fn truncated_chunked_body_is_incomplete(
         body in prop::collection::vec(any::<u8>(), 0..40),
         sizes in prop::collection::vec(1usize..20, 1..4),
         cut in any::<prop::sample::Index>(),
     ) {
-        let text = chunks(&body, &sizes);
+        let text = encode_chunks(&body, &sizes);
         let cut = cut.index(text.len());
-        prop_assert_eq!(decode(Framing::Chunked, &[&text[..cut]]), Ends::Unfinished);
+        prop_assert_eq!(decode(Framing::Chunked, &[&text[..cut]]), Outcome::Incomplete);
     }
 
     #[test]
-    fn a_head_says_the_same_however_it_comes(bytes in likely()) {
+    fn head_prefix_is_always_incomplete(bytes in http_like_bytes()) {
         let whole = RequestHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS);
         if let Ok(Some(head)) = whole {
             let length = RequestHead::parse(&bytes, LIMITS).unwrap().unwrap().1;
