--- a/crates/fennelpin-cli/src/world.rs
+++ b/crates/fennelpin-cli/src/world.rs
@@ -3,7 +3,7 @@
 use balancing::HostInfo;
 use configuration::ProcessSettings;
 use protocol::HostRecord;
-use proxy::World;
+use proxy::FleetSnapshot;
 use replication::client::{self, Control};
 use replication::{phase, Mirror, Puller, SharedMirror, Snapshot};
 use std::net::SocketAddrV4;
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// Follows the agent of this machine for as long as the world is watched. Runs on a `LocalSet`.
-pub fn follow(boot: &ProcessSettings) -> watch::Receiver<Option<Arc<World>>> {
+pub fn follow(boot: &ProcessSettings) -> watch::Receiver<Option<Arc<FleetSnapshot>>> {
     let mirror = Mirror::new(0, Duration::from_millis(boot.beat_period_ms)).at_the_end();
     let shared = SharedMirror::new(mirror);
     let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
@@ -35,7 +35,7 @@
 async fn translate(
     name: String,
     mut snapshots: watch::Receiver<Arc<Snapshot>>,
-    world: watch::Sender<Option<Arc<World>>>,
+    world: watch::Sender<Option<Arc<FleetSnapshot>>>,
     control: mpsc::UnboundedSender<Control>,
 ) {
     let mut version = 0;
@@ -56,17 +56,17 @@
     }
 }
 
-fn of(name: &str, snapshot: &Snapshot) -> World {
-    World {
-        document: snapshot.document.clone(),
+fn of(name: &str, snapshot: &Snapshot) -> FleetSnapshot {
+    FleetSnapshot {
+        configuration: snapshot.document.clone(),
         hosts: snapshot
             .hosts
             .values()
             .filter(|h| h.phase < phase::GONE)
             .map(host)
             .collect(),
-        coordinators: snapshot.coordinators.len().max(1),
-        others: snapshot
+        proxy_count: snapshot.coordinators.len().max(1),
+        peer_hint_addresses: snapshot
             .hints
             .iter()
             .filter(|h| h.0 != name)
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -1,13 +1,13 @@
 //! What all connections share.
 
 use crate::counters::SharedCounters;
+use crate::fleet::FleetSnapshot;
 use crate::hints::Hints;
 use crate::hostlink::Link;
 use crate::idle_clients::IdleClients;
 use crate::pool::Pool;
 use crate::routes::Routes;
 use crate::shutdown::Shutdown;
-use crate::world::World;
 use balancing::{Attempt, Load, Outcome, Policy, ServiceInfo, Settings};
 use configuration::{Configuration, Limits, ProcessSettings};
 use std::cell::{Cell, RefCell};
@@ -167,15 +167,15 @@
     }
 
     /// Takes news in. A configuration that is older than the known one is passed over.
-    pub(crate) fn learn(&self, world: &World) {
+    pub(crate) fn learn(&self, snapshot: &FleetSnapshot) {
         let now = self.now();
         let before = self.known();
         let stale = before
             .as_ref()
-            .is_some_and(|k| k.document.version > world.document.version);
+            .is_some_and(|k| k.document.version > snapshot.configuration.version);
         let document = match &before {
             Some(k) if stale => &k.document,
-            _ => &world.document,
+            _ => &snapshot.configuration,
         };
         let same = before
             .as_ref()
@@ -191,17 +191,20 @@
                 document.routes.len()
             );
         }
-        let all_told = self.hints.borrow_mut().set_others(&world.others);
+        let all_told = self
+            .hints
+            .borrow_mut()
+            .set_others(&snapshot.peer_hint_addresses);
         policy.set_told(now, all_told);
-        policy.set_coordinators(now, world.coordinators);
-        policy.set_hosts(now, &world.hosts);
-        let ids: HashSet<&str> = world.hosts.iter().map(|h| &*h.id).collect();
+        policy.set_coordinators(now, snapshot.proxy_count);
+        policy.set_hosts(now, &snapshot.hosts);
+        let ids: HashSet<&str> = snapshot.hosts.iter().map(|h| &*h.id).collect();
         self.pool.borrow_mut().keep(&ids);
-        for host in world.hosts.iter().filter(|h| h.draining) {
+        for host in snapshot.hosts.iter().filter(|h| h.draining) {
             self.pool.borrow_mut().forget(&host.id);
         }
-        let has_hosts = world.hosts.iter().any(|h| !h.draining);
-        let conns = |limit: u32| (limit as usize / world.coordinators.max(1)).max(4);
+        let has_hosts = snapshot.hosts.iter().any(|h| !h.draining);
+        let conns = |limit: u32| (limit as usize / snapshot.proxy_count.max(1)).max(4);
         let conns = document
             .services
             .iter()
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod counters;
 pub mod events;
 mod exchange;
+mod fleet;
 mod front;
 mod hint_listener;
 mod hints;
@@ -28,7 +29,6 @@
 mod serve;
 mod shutdown;
 mod wire;
-mod world;
 
-pub use serve::{serve, serve_counted, Error};
-pub use world::World;
+pub use fleet::FleetSnapshot;
+pub use serve::{serve, serve_with_counters, Error};
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -2,8 +2,8 @@
 
 use crate::core::Core;
 use crate::counters::{Counters, SharedCounters};
+use crate::fleet::FleetSnapshot;
 use crate::shutdown::{Shutdown, BEFORE_KILL};
-use crate::world::World;
 use crate::{front, hint_listener, hints, readiness};
 use configuration::ProcessSettings;
 use snafu::{ResultExt, Snafu};
@@ -68,7 +68,7 @@
     }
 }
 
-async fn follow(core: Rc<Core>, mut world: watch::Receiver<Option<Arc<World>>>) {
+async fn follow(core: Rc<Core>, mut world: watch::Receiver<Option<Arc<FleetSnapshot>>>) {
     loop {
         let news = world.borrow_and_update().clone();
         if let Some(news) = news {
@@ -98,19 +98,19 @@
 /// Where the settings name no address to listen on, or it can't be listened on.
 pub async fn serve(
     boot: ProcessSettings,
-    world: watch::Receiver<Option<Arc<World>>>,
+    world: watch::Receiver<Option<Arc<FleetSnapshot>>>,
     stop: impl Future<Output = ()>,
 ) -> Result<Counters, Error> {
-    serve_counted(boot, world, Rc::default(), stop).await
+    serve_with_counters(boot, world, Rc::default(), stop).await
 }
 
 /// As [`serve`], counting in `tally`, which the caller can read meanwhile.
 ///
 /// # Errors
 /// As [`serve`].
-pub async fn serve_counted(
+pub async fn serve_with_counters(
     boot: ProcessSettings,
-    world: watch::Receiver<Option<Arc<World>>>,
+    world: watch::Receiver<Option<Arc<FleetSnapshot>>>,
     tally: Rc<SharedCounters>,
     stop: impl Future<Output = ()>,
 ) -> Result<Counters, Error> {
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use balancing::HostInfo;
 use configuration::{Configuration, ProcessSettings};
 use proxy::counters::{Counters, SharedCounters};
-use proxy::{Error, World};
+use proxy::{Error, FleetSnapshot};
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -374,7 +374,7 @@
 pub struct Proxy {
     pub front: SocketAddrV4,
     pub readiness: SocketAddrV4,
-    pub world: watch::Sender<Option<Arc<World>>>,
+    pub fleet: watch::Sender<Option<Arc<FleetSnapshot>>>,
     pub stop: Option<oneshot::Sender<()>>,
     pub done: JoinHandle<Result<Counters, Error>>,
     pub tally: Rc<SharedCounters>,
@@ -448,7 +448,7 @@
             ports.0, ports.1
         );
         let boot = ProcessSettings::read(&text).unwrap();
-        let (world, news) = watch::channel(None);
+        let (fleet, updates) = watch::channel(None);
         let (stop, stopped) = oneshot::channel::<()>();
         let stopped = async move {
             if stopped.await.is_err() {
@@ -456,8 +456,12 @@
             }
         };
         let tally = Rc::new(SharedCounters::default());
-        let done =
-            tokio::task::spawn_local(proxy::serve_counted(boot, news, tally.clone(), stopped));
+        let done = tokio::task::spawn_local(proxy::serve_with_counters(
+            boot,
+            updates,
+            tally.clone(),
+            stopped,
+        ));
         // The listeners are bound once the task has run.
         while !done.is_finished() && TcpStream::connect(SocketAddr::V4(readiness)).await.is_err() {
             tokio::task::yield_now().await;
@@ -465,7 +469,7 @@
         Self {
             front,
             readiness,
-            world,
+            fleet,
             stop: Some(stop),
             done,
             tally,
@@ -494,12 +498,12 @@
         hosts: Vec<HostInfo>,
         others: Vec<SocketAddrV4>,
     ) {
-        self.world
-            .send(Some(Arc::new(World {
-                document,
+        self.fleet
+            .send(Some(Arc::new(FleetSnapshot {
+                configuration: document,
                 hosts,
-                coordinators: 2,
-                others,
+                proxy_count: 2,
+                peer_hint_addresses: others,
             })))
             .unwrap();
         for _ in 0..4 {
