--- a/crates/coordinator/tests/recorded_decisions.rs
+++ b/crates/coordinator/tests/recorded_decisions.rs
@@ -7,7 +7,7 @@
 //! hold where these round as glibc's do.
 
 use coordinator::*;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 fn ms(n: u64) -> Duration {
@@ -141,6 +141,9 @@
     DropsIdleConnections,
 }
 
+/// For how many microseconds connections to a crashing host still come about, and break.
+const CRASH: u64 = 400_000;
+
 struct Host {
     condition: Condition,
     condition_until: u64,
@@ -164,6 +167,8 @@
     reports: u64,
     /// Share of the changes of condition that are faults, in percent.
     faults: u64,
+    /// Queries in a thousand whose parts crash the hosts.
+    crashing_queries: u64,
     turns: u64,
 }
 
@@ -205,6 +210,8 @@
     /// Classes of the open queries and whether the second step has begun.
     queries: BTreeMap<RequestId, (u32, bool)>,
     recent: VecDeque<RequestId>,
+    /// Queries whose parts crash every host that takes one.
+    crashing_queries: BTreeSet<RequestId>,
     digest: Digest,
     counts: [u64; ACTION_KINDS],
     events: u64,
@@ -235,6 +242,7 @@
             parts: BTreeMap::new(),
             queries: BTreeMap::new(),
             recent: VecDeque::new(),
+            crashing_queries: BTreeSet::new(),
             digest: Digest::new(),
             counts: [0; ACTION_KINDS],
             events: 0,
@@ -478,6 +486,9 @@
             repeat,
         });
         self.queries.insert(query, (class, false));
+        if self.lcg.below(1_000) < self.stream.crashing_queries {
+            self.crashing_queries.insert(query);
+        }
         self.recent.push_back(query);
         if self.recent.len() > 8 {
             self.recent.pop_front();
@@ -620,7 +631,12 @@
             sent: self.now,
             ended: false,
         });
-        let (outcome, time) = self.host_outcome(server, class);
+        let crashes = self.crashing_queries.contains(&info.query);
+        let (outcome, time) = if crashes {
+            self.host_crashes(server)
+        } else {
+            self.host_outcome(server, class)
+        };
         let timeout = timeout.as_micros() as u64;
         let (outcome, after) = match outcome {
             Some(outcome) if time < timeout => (outcome, time),
@@ -640,6 +656,15 @@
         host.last_use = self.now;
     }
 
+    /// A host dies under a part, and refuses connections until it is started again.
+    fn host_crashes(&mut self, server: ServerId) -> (Option<Outcome>, u64) {
+        let host = &mut self.hosts[server.0 as usize];
+        host.condition = Condition::Crashing;
+        host.condition_since = self.now - CRASH;
+        host.condition_until = self.now + 2_000_000;
+        (Some(Outcome::Reset), 400 + self.lcg.below(6_000))
+    }
+
     /// How a host ends an attempt, `None` for no answer at all, and after how many microseconds.
     fn host_outcome(&mut self, server: ServerId, class: u32) -> (Option<Outcome>, u64) {
         let spread = 600 + self.lcg.below(1_000);
@@ -653,9 +678,11 @@
             Condition::Slow => (Some(Outcome::Ok), 6 * usual),
             Condition::Failing => (Some(Outcome::Error), quick),
             Condition::Silent => (None, 0),
-            Condition::Full if host.held >= 2 => (Some(Outcome::Full), quick),
+            Condition::Full if host.held >= 2 || self.lcg.percent(20) => {
+                (Some(Outcome::Full), quick)
+            }
             Condition::Full => (Some(Outcome::Ok), 2 * usual),
-            Condition::Crashing if self.now < host.condition_since + 400_000 => {
+            Condition::Crashing if self.now < host.condition_since + CRASH => {
                 (Some(Outcome::Reset), quick)
             }
             Condition::Crashing => (Some(Outcome::ConnectFailed), quick),
@@ -745,6 +772,7 @@
         part_time: 15_000,
         reports: 90,
         faults: 25,
+        crashing_queries: 0,
         turns: 9_000,
     }
 }
@@ -776,9 +804,9 @@
     check(
         plain_stream(),
         Recorded {
-            digest: 0x065b_c9a9_7884_64e2,
-            events: 64_053,
-            counts: [14_514, 743, 4114, 2422, 291, 0, 0, 0, 4109],
+            digest: 0xec52_6bca_49da_5e1d,
+            events: 71_042,
+            counts: [20_447, 1634, 5714, 1314, 201, 0, 0, 0, 4086],
         },
     );
 }
@@ -810,9 +838,9 @@
     check(
         stream,
         Recorded {
-            digest: 0xb36e_a0d8_7172_1cb7,
-            events: 73_246,
-            counts: [22_232, 1006, 6389, 851, 122, 31, 0, 0, 4122],
+            digest: 0x3955_04a3_f61e_b237,
+            events: 70_961,
+            counts: [20_793, 1087, 5845, 1118, 198, 29, 0, 0, 4087],
         },
     );
 }
@@ -836,9 +864,9 @@
     check(
         stream,
         Recorded {
-            digest: 0x646c_8cc9_de8d_bafd,
-            events: 84_785,
-            counts: [10_619, 942, 3507, 7576, 136, 20, 0, 0, 4124],
+            digest: 0x6191_0237_1118_611e,
+            events: 84_606,
+            counts: [10_881, 1048, 3492, 7466, 133, 36, 0, 0, 4093],
         },
     );
 }
@@ -867,9 +895,9 @@
     check(
         stream,
         Recorded {
-            digest: 0xe675_e1df_530e_7927,
-            events: 68_650,
-            counts: [18_786, 877, 5427, 1586, 81, 0, 0, 29, 4072],
+            digest: 0x2f24_b7ff_5c15_753a,
+            events: 63_637,
+            counts: [14_489, 724, 4107, 2433, 230, 0, 0, 8, 4090],
         },
     );
 }
@@ -889,15 +917,16 @@
     let stream = Stream {
         settings,
         seed: 5,
+        crashing_queries: 3,
         reports: 0,
         ..plain_stream()
     };
     check(
         stream,
         Recorded {
-            digest: 0xc94c_56c1_8f33_d9c3,
-            events: 66_689,
-            counts: [17_030, 0, 4899, 1960, 134, 23, 0, 0, 4127],
+            digest: 0xae9f_52cb_69e8_4ece,
+            events: 57_973,
+            counts: [9597, 0, 2791, 3539, 134, 55, 0, 0, 4039],
         },
     );
 }
@@ -920,9 +949,9 @@
     check(
         stream,
         Recorded {
-            digest: 0x59e5_4b4a_781e_3f5b,
-            events: 52_279,
-            counts: [6488, 919, 1419, 1266, 270, 143, 29, 29, 8651],
+            digest: 0x2be4_9603_607a_4713,
+            events: 50_946,
+            counts: [5850, 600, 1367, 1344, 213, 107, 7, 29, 8458],
         },
     );
 }
@@ -945,6 +974,7 @@
         settings,
         seed: 7,
         hosts: 32,
+        crashing_queries: 3,
         query_every: 4_000,
         faults: 45,
         ..plain_stream()
@@ -952,9 +982,9 @@
     check(
         stream,
         Recorded {
-            digest: 0xcb28_7c51_357d_7d41,
-            events: 145_542,
-            counts: [49_772, 2940, 13_935, 1907, 371, 42, 23, 0, 4123],
+            digest: 0xdbc9_95a0_2c26_f370,
+            events: 127_232,
+            counts: [33_838, 2579, 9345, 5312, 702, 36, 0, 0, 4081],
         },
     );
 }
