--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -1,12 +1,12 @@
 //! Clients: their connections, and their requests read whole within the operator's bounds.
 
-use crate::core::{BodyReservation, Core};
+use crate::client::idle::IdleClients;
+use crate::client::request::Request;
 use crate::exchange;
-use crate::idle_clients::IdleClients;
-use crate::own_answer::Answer;
-use crate::progress::{AnswerProgress, Done};
-use crate::request::Request;
-use crate::wire;
+use crate::local_reply::LocalReply;
+use crate::response_progress::{ConnectionOutcome, ResponseProgress};
+use crate::socket;
+use crate::state::{BodyReservation, ProxyState};
 use bytes::{Bytes, BytesMut};
 use configuration::{Limits, ResultCode};
 use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead};
@@ -61,30 +61,30 @@
 
 /// Serves a new connection.
 pub(crate) fn welcome(
-    core: &Rc<Core>,
+    state: &Rc<ProxyState>,
     stream: TcpStream,
     open: &Rc<Cell<usize>>,
     closing: &watch::Receiver<Phase>,
 ) {
-    core.tally.add(|c| c.clients += 1);
-    let full = open.get() >= core.most_clients;
+    state.counters.add(|c| c.clients += 1);
+    let full = open.get() >= state.most_clients;
     // One that stands idle goes first: its client can come back, one turned away is not served.
-    let crowded = full && !core.idle_clients.borrow_mut().make_room();
-    if open.get() >= core.most_clients + TOLD {
+    let crowded = full && !state.idle_clients.borrow_mut().make_room();
+    if open.get() >= state.most_clients + TOLD {
         return;
     }
     open.set(open.get() + 1);
     let count = Count(open.clone());
-    let (core, closing) = (core.clone(), closing.clone());
+    let (state, closing) = (state.clone(), closing.clone());
     tokio::task::spawn_local(async move {
         let _count = count;
         let _ = stream.set_nodelay(true);
-        client(&core, &stream, crowded, closing).await;
+        client(&state, &stream, crowded, closing).await;
     });
 }
 
 async fn client(
-    core: &Rc<Core>,
+    state: &Rc<ProxyState>,
     stream: &TcpStream,
     crowded: bool,
     mut closing: watch::Receiver<Phase>,
@@ -96,15 +96,15 @@
         if buf.is_empty() {
             // Nothing is held for a connection that stands idle.
             buf = BytesMut::new();
-            let idle = Duration::from_millis(core.limits().idle_timeout_ms);
+            let idle = Duration::from_millis(state.limits().idle_timeout_ms);
             let leaving = async {
                 let _ = closing.wait_for(|p| *p >= Phase::Leaving).await;
                 sleep(LEAVING_IDLE).await;
             };
-            let _idle_client = IdleClients::stand(&core.idle_clients, &leave);
+            let _idle_client = IdleClients::stand(&state.idle_clients, &leave);
             let over = tokio::select! {
                 biased;
-                got = wire::fill(stream, &mut buf) => {
+                got = socket::fill(stream, &mut buf) => {
                     if !matches!(got, Ok(n) if n > 0) {
                         return;
                     }
@@ -115,7 +115,7 @@
                 () = sleep(idle) => true,
             };
             // What has come meanwhile is a request: one that met the close would be lost.
-            if over && wire::quiet(stream) {
+            if over && socket::quiet(stream) {
                 return;
             }
             if over {
@@ -125,7 +125,7 @@
         }
         // Boxed: only connections with a request under way hold what one needs.
         if !Box::pin(one(
-            core,
+            state,
             stream,
             &mut buf,
             &mut came,
@@ -142,48 +142,48 @@
 /// Takes and answers one request; false where the connection is to end. `came` is when the latest bytes in `buf`
 /// were there.
 async fn one(
-    core: &Rc<Core>,
+    state: &Rc<ProxyState>,
     stream: &TcpStream,
     buf: &mut BytesMut,
     came: &mut Instant,
     crowded: bool,
     closing: &mut watch::Receiver<Phase>,
 ) -> bool {
-    let limits = core.limits();
-    let (read, id) = read(core, stream, buf, *came, &limits).await;
+    let limits = state.limits();
+    let (read, id) = read(state, stream, buf, *came, &limits).await;
     let request = match read {
         Ok(request) => request,
         Err(Refused::Gone) => return false,
         Err(Refused::Because(code)) => {
             // Before a configuration is known nobody can say that a request is too large.
             let unknown = matches!(code, ResultCode::TooLarge | ResultCode::HeadTooLarge)
-                && core.known().is_none();
+                && state.known().is_none();
             let code = if unknown {
                 ResultCode::NoConfiguration
             } else {
                 code
             };
             let comes_back = matches!(code, ResultCode::Crowded | ResultCode::NoConfiguration);
-            let answer = Answer::own(code, id.as_deref(), comes_back.then_some(CROWDED));
-            if answer.write(core, stream, true).await {
+            let answer = LocalReply::own(code, id.as_deref(), comes_back.then_some(CROWDED));
+            if answer.write(state, stream, true).await {
                 linger(stream).await;
             }
             return false;
         }
     };
-    core.tally.add(|c| c.requests += 1);
+    state.counters.add(|c| c.requests += 1);
     if crowded {
-        let answer = Answer::own(
+        let answer = LocalReply::own(
             ResultCode::Crowded,
             request.head.fields.get("fennelpin-attempt-id"),
             Some(CROWDED),
         );
-        if answer.write(core, stream, true).await {
+        if answer.write(state, stream, true).await {
             linger(stream).await;
         }
         return false;
     }
-    let stage = AnswerProgress::default();
+    let stage = ResponseProgress::default();
     let over = async {
         let _ = closing.wait_for(|p| *p == Phase::Over).await;
     };
@@ -191,15 +191,15 @@
         biased;
         // Looked at first: nothing more goes to a host for a client that has left, however late that is read.
         () = gone(stream, buf, came) => {
-            core.tally.add(|c| c.left += 1);
+            state.counters.add(|c| c.left += 1);
             return false;
         }
-        done = exchange::run(core, stream, &request, &stage) => done,
+        done = exchange::run(state, stream, &request, &stage) => done,
         () = over => {
             if !stage.started() {
                 let code = stage.refusal(ResultCode::Leaving);
                 let id = request.head.fields.get("fennelpin-attempt-id");
-                Answer::own(code, id, Some(CROWDED)).write(core, stream, true).await;
+                LocalReply::own(code, id, Some(CROWDED)).write(state, stream, true).await;
             } else if stage.looks_whole() {
                 reset(stream);
             }
@@ -207,13 +207,13 @@
         }
     };
     match done {
-        Done::Keep => true,
-        Done::Close => {
+        ConnectionOutcome::Keep => true,
+        ConnectionOutcome::Close => {
             linger(stream).await;
             false
         }
-        Done::Cut => {
-            core.tally.add(|c| c.cut += 1);
+        ConnectionOutcome::Cut => {
+            state.counters.add(|c| c.cut += 1);
             if stage.looks_whole() {
                 reset(stream);
             }
@@ -230,7 +230,7 @@
 /// Reads a request whole, whose first bytes were there at `arrived`; beside it the identity of the attempt, as far
 /// as it is known.
 async fn read(
-    core: &Rc<Core>,
+    state: &Rc<ProxyState>,
     stream: &TcpStream,
     buf: &mut BytesMut,
     arrived: Instant,
@@ -244,7 +244,7 @@
     };
     let body = match head.framing {
         None | Some(Framing::Length(0)) => Ok((Bytes::new(), None)),
-        Some(framing) => read_body(core, stream, buf, limits, &head, framing).await,
+        Some(framing) => read_body(state, stream, buf, limits, &head, framing).await,
     };
     match body {
         Ok((body, held)) => (
@@ -278,14 +278,14 @@
             Err(ParseError::LengthOverflow) => return Err(Refused::Because(ResultCode::TooLarge)),
             Err(ParseError::Syntax { .. }) => return Err(Refused::Because(ResultCode::BadRequest)),
         }
-        if wire::fill(stream, buf).await? == 0 {
+        if socket::fill(stream, buf).await? == 0 {
             return Err(Refused::Gone);
         }
     }
 }
 
 async fn read_body(
-    core: &Rc<Core>,
+    state: &Rc<ProxyState>,
     stream: &TcpStream,
     buf: &mut BytesMut,
     limits: &Limits,
@@ -300,12 +300,12 @@
         },
         _ => None,
     };
-    let mut held = core
+    let mut held = state
         .hold(length.unwrap_or(0))
         .ok_or(Refused::Because(ResultCode::Crowded))?;
     let there = length.is_some_and(|n| buf.len() >= n);
     if !there && head.fields.has_token("expect", "100-continue") && head.minor_version > 0 {
-        wire::write_all(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"", &mut 0).await?;
+        socket::write_all(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"", &mut 0).await?;
     }
     let quiet = Duration::from_millis(limits.idle_timeout_ms);
     if let Some(n) = length {
@@ -335,7 +335,7 @@
 }
 
 async fn more(stream: &TcpStream, buf: &mut BytesMut, quiet: Duration) -> Result<(), Refused> {
-    match timeout(quiet, wire::fill(stream, buf)).await {
+    match timeout(quiet, socket::fill(stream, buf)).await {
         Ok(Ok(0)) => Err(Refused::Gone),
         Ok(got) => Ok(got.map(|_| ())?),
         Err(_) => Err(Refused::Because(ResultCode::SlowClient)),
@@ -345,7 +345,7 @@
 /// Resolves when the client has left; what it sends ahead is kept, and when it `came`.
 async fn gone(stream: &TcpStream, buf: &mut BytesMut, came: &mut Instant) {
     while buf.len() < AHEAD {
-        match wire::fill(stream, buf).await {
+        match socket::fill(stream, buf).await {
             Ok(n) if n > 0 => *came = Instant::now(),
             _ => return,
         }
@@ -359,7 +359,7 @@
     let _ = rustix::net::shutdown(stream, rustix::net::Shutdown::Write);
     let drain = async {
         let mut buf = BytesMut::new();
-        while let Ok(n) = wire::fill(stream, &mut buf).await {
+        while let Ok(n) = socket::fill(stream, &mut buf).await {
             if n == 0 {
                 return;
             }
--- /dev/null
+++ b/crates/proxy/src/client/mod.rs
@@ -0,0 +1,5 @@
+//! Connections of clients.
+
+pub(crate) mod connection;
+pub(crate) mod idle;
+pub(crate) mod request;
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/client/request.rs
@@ -1,6 +1,6 @@
 //! A request as it was read.
 
-use crate::core::BodyReservation;
+use crate::state::BodyReservation;
 use bytes::Bytes;
 use http1::RequestHead;
 use tokio::time::Instant;
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -53,8 +53,8 @@
 /// Counters that one thread counts up; shared by `Rc`, they can be read while the proxy serves.
 ///
 /// ```
-/// let tally = std::rc::Rc::new(proxy::counters::SharedCounters::default());
-/// assert_eq!(tally.get().pairs()[0], ("clients", 0));
+/// let counters = std::rc::Rc::new(proxy::counters::SharedCounters::default());
+/// assert_eq!(counters.get().pairs()[0], ("clients", 0));
 /// ```
 #[derive(Debug, Default)]
 pub struct SharedCounters(Cell<Counters>);
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/event_stream.rs
@@ -1,8 +1,8 @@
 //! Whole events of a `text/event-stream`, without I/O.
 //!
 //! ```
-//! use proxy::events::Splitter;
-//! let mut splitter = Splitter::new(1024);
+//! use proxy::event_stream::EventSplitter;
+//! let mut splitter = EventSplitter::new(1024);
 //! splitter.push(b"id: 4\ndata: a\n\nid: 5\nda");
 //! let event = splitter.take().unwrap();
 //! assert_eq!((&event.bytes[..], event.id.as_deref()), (&b"id: 4\ndata: a\n\n"[..], Some("4")));
@@ -31,7 +31,7 @@
 
 /// Cuts a stream into whole events.
 #[derive(Debug)]
-pub struct Splitter {
+pub struct EventSplitter {
     buf: BytesMut,
     /// Start of the line that is not looked at yet.
     line: usize,
@@ -39,7 +39,7 @@
     most: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// For events of up to `most` bytes.
     pub fn new(most: usize) -> Self {
         Self {
@@ -95,13 +95,13 @@
 
 /// The place in a stream: the identity of the last event that was passed on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct EventOffset {
     last: Option<String>,
     /// Data without an identity was passed on since: nobody can be told to go on behind it.
     lost: bool,
 }
 
-impl Place {
+impl EventOffset {
     /// After the event with this identity, as a client said.
     pub fn after(id: Option<&str>) -> Self {
         Self {
--- a/crates/proxy/src/exchange/whole.rs
+++ b/crates/proxy/src/exchange/buffered.rs
@@ -1,12 +1,12 @@
 //! Answers that are read whole before they are passed on, and those that are too large for it.
 
-use super::wait::HostWait;
-use super::writer::Writer;
+use super::client_writer::Writer;
+use super::host_wait::HostWait;
 use super::{closes, AttemptResult, Exchange, Picked, DEADLINE_SLACK, MAX_BUFFERED_ANSWER};
-use crate::attempt::End;
-use crate::connections;
-use crate::hostlink::Link;
-use crate::progress::Done;
+use crate::response_progress::ConnectionOutcome;
+use crate::retry::AttemptOutcome;
+use crate::upstream::acquire;
+use crate::upstream::connection::UpstreamConnection;
 use balancing::{Load, Outcome};
 use bytes::{Bytes, BytesMut};
 use http1::{BodyDecoder, Framing, ResponseHead};
@@ -16,7 +16,7 @@
     /// An answer that is read whole before it is passed on, unless it is large.
     pub(super) async fn whole(
         &mut self,
-        mut link: Link,
+        mut connection: UpstreamConnection,
         picked: Picked,
         head: ResponseHead,
         stray: bool,
@@ -29,17 +29,19 @@
         }
         watch.patience_over();
         let (mut body, mut out) = (BodyDecoder::new(head.framing), BytesMut::new());
-        let read = async |l: &mut Link| l.whole(&mut body, &mut out, MAX_BUFFERED_ANSWER).await;
-        match watch.guard(self, &mut link, &picked.out, read).await {
+        let read = async |l: &mut UpstreamConnection| {
+            l.whole(&mut body, &mut out, MAX_BUFFERED_ANSWER).await
+        };
+        match watch.guard(self, &mut connection, &picked.out, read).await {
             Err(stop) => return self.stopped(stop, picked.out),
             Ok(false) => {
                 picked.out.told(load);
-                return self.large(link, picked, head, stray, body, out).await;
+                return self.large(connection, picked, head, stray, body, out).await;
             }
             Ok(true) => {}
         }
         if !stray {
-            connections::keep(self.core, &picked.id, link, &head);
+            acquire::keep(self.state, &picked.id, connection, &head);
         }
         let out = out.freeze();
         if head.status < 500 {
@@ -53,11 +55,11 @@
         }
         picked.out.end(Outcome::Failed, load);
         self.kept = Some((head, out));
-        AttemptResult::Ended(End::HostFailed)
+        AttemptResult::Ended(AttemptOutcome::HostFailed)
     }
 
-    pub(super) async fn pass_whole(&self, head: &ResponseHead, body: &Bytes) -> Done {
-        let close = closes(self.core, self.request);
+    pub(super) async fn pass_whole(&self, head: &ResponseHead, body: &Bytes) -> ConnectionOutcome {
+        let close = closes(self.state, self.request);
         let framing = if self.bodiless(head) {
             None
         } else {
@@ -67,21 +69,21 @@
         self.stage.start();
         match self.write(&text, body).await {
             true => {
-                self.core.tally.add(|c| c.passed += 1);
+                self.state.counters.add(|c| c.passed += 1);
                 if close {
-                    Done::Close
+                    ConnectionOutcome::Close
                 } else {
-                    Done::Keep
+                    ConnectionOutcome::Keep
                 }
             }
-            false => Done::Cut,
+            false => ConnectionOutcome::Cut,
         }
     }
 
     /// The rest of an answer that is too large to be held.
     async fn large(
         &mut self,
-        mut link: Link,
+        mut connection: UpstreamConnection,
         picked: Picked,
         head: ResponseHead,
         stray: bool,
@@ -92,12 +94,12 @@
         let mut sent = writer.write(self, &head, &start).await;
         loop {
             if !sent {
-                return AttemptResult::Answered(Done::Cut);
+                return AttemptResult::Answered(ConnectionOutcome::Cut);
             }
-            match timeout_at(self.end() + DEADLINE_SLACK, link.piece(&mut body)).await {
+            match timeout_at(self.end() + DEADLINE_SLACK, connection.piece(&mut body)).await {
                 Ok(Ok(Some(_))) if self.overtime() => {
                     picked.out.end(Outcome::Silent, None);
-                    return AttemptResult::Answered(Done::Cut);
+                    return AttemptResult::Answered(ConnectionOutcome::Cut);
                 }
                 Ok(Ok(Some(data))) => {
                     picked.out.heard();
@@ -105,18 +107,18 @@
                 }
                 Ok(Ok(None)) => break,
                 Ok(Err(_)) => {
-                    self.core.tally.add(|c| c.broken += 1);
+                    self.state.counters.add(|c| c.broken += 1);
                     picked.out.end(Outcome::ConnectionLost, None);
-                    return AttemptResult::Answered(Done::Cut);
+                    return AttemptResult::Answered(ConnectionOutcome::Cut);
                 }
                 Err(_) => {
                     picked.out.end(Outcome::Silent, None);
-                    return AttemptResult::Answered(Done::Cut);
+                    return AttemptResult::Answered(ConnectionOutcome::Cut);
                 }
             }
         }
         if !stray {
-            connections::keep(self.core, &picked.id, link, &head);
+            acquire::keep(self.state, &picked.id, connection, &head);
         }
         picked.out.end(
             if head.status < 400 {
--- a/crates/proxy/src/exchange/writer.rs
+++ b/crates/proxy/src/exchange/client_writer.rs
@@ -1,9 +1,9 @@
 //! Answers of hosts as the client gets them.
 
 use super::{closes, Exchange};
-use crate::own_answer::CLIENT_WRITE_TIMEOUT;
-use crate::progress::Done;
-use crate::wire::{self, field};
+use crate::local_reply::CLIENT_WRITE_TIMEOUT;
+use crate::response_progress::ConnectionOutcome;
+use crate::socket::{self, field};
 use http1::{Framing, ResponseHead};
 use tokio::time::{timeout_at, Instant};
 
@@ -34,7 +34,7 @@
             .set_until_end(framing == Framing::CloseDelimited);
         Self {
             framing,
-            close: closes(exchange.core, exchange.request) || framing == Framing::CloseDelimited,
+            close: closes(exchange.state, exchange.request) || framing == Framing::CloseDelimited,
         }
     }
 
@@ -67,19 +67,23 @@
         self.framing != Framing::CloseDelimited
     }
 
-    pub(super) async fn finish(&mut self, exchange: &Exchange<'_>, head: &ResponseHead) -> Done {
+    pub(super) async fn finish(
+        &mut self,
+        exchange: &Exchange<'_>,
+        head: &ResponseHead,
+    ) -> ConnectionOutcome {
         let begun = exchange.stage.started();
         if !begun && !self.write(exchange, head, b"").await {
-            return Done::Cut;
+            return ConnectionOutcome::Cut;
         }
         if self.framing == Framing::Chunked && !exchange.write(b"0\r\n\r\n", b"").await {
-            return Done::Cut;
+            return ConnectionOutcome::Cut;
         }
-        exchange.core.tally.add(|c| c.passed += 1);
+        exchange.state.counters.add(|c| c.passed += 1);
         if self.close {
-            Done::Close
+            ConnectionOutcome::Close
         } else {
-            Done::Keep
+            ConnectionOutcome::Keep
         }
     }
 }
@@ -99,7 +103,7 @@
         for (name, value) in head.fields.iter() {
             let length = name.eq_ignore_ascii_case(b"content-length")
                 && (framing.is_some() || head.status == 204);
-            if !length && !wire::stays_here(&head.fields, name) {
+            if !length && !socket::stays_here(&head.fields, name) {
                 field(&mut out, name, value);
             }
         }
@@ -114,7 +118,7 @@
             field(&mut out, b"Connection", b"close");
         } else {
             // Told a little less than the truth, so that no request meets the close.
-            let idle = (self.core.limits().idle_timeout_ms / 1000)
+            let idle = (self.state.limits().idle_timeout_ms / 1000)
                 .saturating_sub(1)
                 .max(1);
             field(
@@ -130,7 +134,7 @@
     pub(super) async fn write(&self, head: &[u8], body: &[u8]) -> bool {
         let by = self.end().max(Instant::now() + CLIENT_WRITE_TIMEOUT);
         matches!(
-            timeout_at(by, wire::write_all(self.client, head, body, &mut 0)).await,
+            timeout_at(by, socket::write_all(self.client, head, body, &mut 0)).await,
             Ok(Ok(()))
         )
     }
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -1,11 +1,11 @@
 //! A request as its host gets it, and the sending of it.
 
-use super::matching::belongs;
+use super::response_matching::belongs;
 use super::{Exchange, Picked, ATTEMPT_ID, DEADLINE_SLACK};
-use crate::attempt::End;
-use crate::connections::{self, NoLink};
-use crate::hostlink::Link;
-use crate::wire::{self, field};
+use crate::retry::AttemptOutcome;
+use crate::socket::{self, field};
+use crate::upstream::acquire::{self, AcquireError};
+use crate::upstream::connection::UpstreamConnection;
 use balancing::Outcome;
 use configuration::Route;
 use http1::ResponseHead;
@@ -42,14 +42,14 @@
                 || is("fennelpin-deadline-ms")
                 || (is("priority") && picked.priority.is_some())
                 || (is("last-event-id") && place.is_some());
-            if !ours && !wire::stays_here(&head.fields, name) {
+            if !ours && !socket::stays_here(&head.fields, name) {
                 field(&mut out, name, value);
             }
         }
         let left = self
             .trial
             .deadline()
-            .saturating_sub(self.core.now())
+            .saturating_sub(self.state.now())
             .as_millis()
             .max(1);
         field(
@@ -80,15 +80,18 @@
     }
 
     /// Sends the request; a connection that turns out dead before a byte is taken is replaced by a new one.
-    pub(super) async fn send(&mut self, picked: &Picked) -> Result<Link, (End, Outcome)> {
-        let core = self.core;
-        let most = core.conns(self.service);
+    pub(super) async fn send(
+        &mut self,
+        picked: &Picked,
+    ) -> Result<UpstreamConnection, (AttemptOutcome, Outcome)> {
+        let state = self.state;
+        let most = state.conns(self.service);
         let no_link = |e| match e {
-            NoLink::Full => (End::Unreached, Outcome::TurnedAway),
-            NoLink::Unreached => (End::Unreached, Outcome::Unreached),
+            AcquireError::Full => (AttemptOutcome::Unreached, Outcome::TurnedAway),
+            AcquireError::Unreached => (AttemptOutcome::Unreached, Outcome::Unreached),
         };
         let until = self.end().min(Instant::now() + dial(self.route));
-        let mut link = connections::get(core, &picked.id, picked.addr, most, until)
+        let mut connection = acquire::get(state, &picked.id, picked.addr, most, until)
             .await
             .map_err(no_link)?;
         let (mut written, mut again) = (0, false);
@@ -99,32 +102,32 @@
                 |answer: &ResponseHead, nobody_answered| belongs(answer, mark, nobody_answered);
             // From here on bytes may be the host's, also where this is dropped half-way.
             self.stage.set_out(true);
-            let send = link.send(&head, &self.request.body, &mut written, ours);
+            let send = connection.send(&head, &self.request.body, &mut written, ours);
             let sent = timeout_at(self.end() + DEADLINE_SLACK, send).await;
             if written == 0 {
                 self.stage.set_out(self.trial.may_have_run());
             }
             match sent {
-                _ if written == 0 && link.used && !again => {
+                _ if written == 0 && connection.used && !again => {
                     again = true;
-                    link = connections::open(core, &picked.id, picked.addr, most, until)
+                    connection = acquire::open(state, &picked.id, picked.addr, most, until)
                         .await
                         .map_err(no_link)?;
                     continue;
                 }
-                _ if written == 0 => return Err((End::Unreached, Outcome::Unreached)),
+                _ if written == 0 => return Err((AttemptOutcome::Unreached, Outcome::Unreached)),
                 _ => {}
             }
             let repeat = self.trial.heard();
             self.trial.sent();
-            core.tally.add(|c| {
+            state.counters.add(|c| {
                 c.sent += 1;
                 c.repeats += u64::from(repeat);
             });
             return match sent {
                 // A host may answer before it has read all: what it said then counts.
-                Ok(_) => Ok(link),
-                Err(_) => Err((End::Broke, Outcome::Silent)),
+                Ok(_) => Ok(connection),
+                Err(_) => Err((AttemptOutcome::Broke, Outcome::Silent)),
             };
         }
     }
--- a/crates/proxy/src/exchange/wait.rs
+++ b/crates/proxy/src/exchange/host_wait.rs
@@ -1,8 +1,8 @@
 //! How long a host is waited for.
 
 use super::{Exchange, Picked, DEADLINE_SLACK};
-use crate::core::OpenAttempt;
-use crate::hostlink::{Link, Lost};
+use crate::state::OpenAttempt;
+use crate::upstream::connection::{UpstreamConnection, UpstreamError};
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
@@ -12,7 +12,7 @@
 /// Why waiting for a host has ended.
 pub(super) enum Stop {
     /// The host broke off, or sent what is no answer.
-    Lost,
+    UpstreamError,
     /// The time is over.
     Late,
     /// It was silent, and another one was chosen.
@@ -42,9 +42,9 @@
     pub(super) async fn guard<T>(
         &mut self,
         exchange: &mut Exchange<'_>,
-        link: &mut Link,
+        connection: &mut UpstreamConnection,
         out: &OpenAttempt,
-        mut step: impl AsyncFnMut(&mut Link) -> Result<T, Lost>,
+        mut step: impl AsyncFnMut(&mut UpstreamConnection) -> Result<T, UpstreamError>,
     ) -> Result<T, Stop> {
         let end = exchange.end() + DEADLINE_SLACK;
         loop {
@@ -55,7 +55,7 @@
                 None
             };
             if over.is_some_and(|over| over <= now) {
-                self.waits = exchange.trial.may_move(exchange.core.now());
+                self.waits = exchange.trial.may_move(exchange.state.now());
                 if let Some(next) = self.waits.then(|| exchange.pick().ok()).flatten() {
                     return Err(Stop::Moved(next));
                 }
@@ -67,11 +67,11 @@
                 Some(_) if self.waits => look.min(end),
                 _ => end,
             };
-            match timeout_at(until, step(link)).await {
+            match timeout_at(until, step(connection)).await {
                 Ok(Ok(done)) => return Ok(done),
                 Ok(Err(lost)) => {
                     log::debug!("host: {lost}");
-                    return Err(Stop::Lost);
+                    return Err(Stop::UpstreamError);
                 }
                 Err(_) if Instant::now() >= end => return Err(Stop::Late),
                 Err(_) => {}
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -1,24 +1,24 @@
 //! One request on its way: to a host, to another where that is right, and its answer back to the client.
 
+mod buffered;
+mod client_writer;
 mod host_request;
-mod matching;
-mod prompt;
-mod stream;
-mod wait;
-mod whole;
-mod writer;
+mod host_wait;
+mod prompt_headers;
+mod response_matching;
+mod streaming;
 
-use self::matching::refuses;
-use self::prompt::{load, parts, tokens};
-use self::wait::{HostWait, Stop};
-use self::writer::Writer;
-use crate::attempt::{End, Next, RetryState};
-use crate::core::{Core, OpenAttempt};
-use crate::events::Place;
-use crate::own_answer::Answer;
-use crate::progress::{AnswerProgress, Done};
-use crate::request::Request;
+use self::client_writer::Writer;
+use self::host_wait::{HostWait, Stop};
+use self::prompt_headers::{load, parts, tokens};
+use self::response_matching::refuses;
+use crate::client::request::Request;
+use crate::event_stream::EventOffset;
+use crate::local_reply::LocalReply;
+use crate::response_progress::{ConnectionOutcome, ResponseProgress};
+use crate::retry::{AttemptOutcome, RetryDecision, RetryState};
 use crate::routes;
+use crate::state::{OpenAttempt, ProxyState};
 use balancing::{Ask, Choice, Outcome};
 use bytes::Bytes;
 use configuration::{ResultCode, Route, RouteKind};
@@ -44,25 +44,25 @@
 
 /// Takes one request to its end.
 pub(crate) async fn run(
-    core: &Rc<Core>,
+    state: &Rc<ProxyState>,
     client: &TcpStream,
     request: &Request,
-    stage: &AnswerProgress,
-) -> Done {
+    stage: &ResponseProgress,
+) -> ConnectionOutcome {
     let fields = &request.head.fields;
     let refuse = |code, after| async move {
-        let close = closes(core, request);
-        let taken = Answer::own(code, fields.get(ATTEMPT_ID), after)
+        let close = closes(state, request);
+        let taken = LocalReply::own(code, fields.get(ATTEMPT_ID), after)
             .to(&request.head)
-            .write(core, client, close)
+            .write(state, client, close)
             .await;
         match (taken, close) {
-            (true, false) => Done::Keep,
-            (true, true) => Done::Close,
-            (false, _) => Done::Cut,
+            (true, false) => ConnectionOutcome::Keep,
+            (true, true) => ConnectionOutcome::Close,
+            (false, _) => ConnectionOutcome::Cut,
         }
     };
-    let Some(known) = core.known() else {
+    let Some(known) = state.known() else {
         return refuse(ResultCode::NoConfiguration, Some(RETRY_AFTER.1)).await;
     };
     let route = request
@@ -76,10 +76,10 @@
     if fields.get_all(ATTEMPT_ID).count() != 1 {
         return refuse(ResultCode::BadRequest, None).await;
     }
-    let Some(service) = routes::service(route, core.draw()) else {
+    let Some(service) = routes::service(route, state.draw()) else {
         return refuse(ResultCode::NoHost, None).await;
     };
-    let arrived = core.since_start(request.arrived);
+    let arrived = state.since_start(request.arrived);
     let ms = |ms: f64| Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4);
     let asked = fields
         .get_str("fennelpin-deadline-ms")
@@ -87,14 +87,14 @@
         .filter(|v: &f64| *v >= 0.0);
     let time = asked.unwrap_or(f64::INFINITY).min(route.deadline_ms);
     let deadline = arrived.saturating_add(ms(time));
-    if !core.takes(deadline, route.kind == RouteKind::Pure) {
+    if !state.takes(deadline, route.kind == RouteKind::Pure) {
         // Whoever asks again reaches another machine, which may serve at once.
         return refuse(ResultCode::Leaving, Some(RETRY_AFTER.0)).await;
     }
-    core.policy.borrow_mut().arrived(core.now(), service);
+    state.policy.borrow_mut().arrived(state.now(), service);
     let trial = RetryState::new(route.idempotent(), route.max_tries, deadline);
     let mut exchange = Exchange {
-        core,
+        state,
         client,
         request,
         stage,
@@ -104,13 +104,13 @@
         tried: Vec::new(),
         parts: parts(fields.get_str("fennelpin-prompt-prefix")),
         tokens: tokens(fields.get_str("fennelpin-token-counts")),
-        place: Place::after(fields.get_str("last-event-id")),
+        place: EventOffset::after(fields.get_str("last-event-id")),
         begun: Cell::new(None),
         kept: None,
     };
     match exchange.go().await {
         Ok(done) => done,
-        Err(_) if stage.started() => Done::Cut,
+        Err(_) if stage.started() => ConnectionOutcome::Cut,
         Err((code, after)) => match exchange.kept.take() {
             // What a host said itself goes before words of our own.
             Some((head, body)) => exchange.pass_whole(&head, &body).await,
@@ -127,8 +127,8 @@
 }
 
 /// Whether the answer is the last on its connection.
-fn closes(core: &Core, request: &Request) -> bool {
-    core.shutdown.get().is_some() || !request.head.is_keep_alive()
+fn closes(state: &ProxyState, request: &Request) -> bool {
+    state.shutdown.get().is_some() || !request.head.is_keep_alive()
 }
 
 /// A host that was chosen.
@@ -142,9 +142,9 @@
 /// How one attempt went on.
 enum AttemptResult {
     /// The client has its answer, or as much of it as there is.
-    Answered(Done),
+    Answered(ConnectionOutcome),
     /// It ended without one.
-    Ended(End),
+    Ended(AttemptOutcome),
     /// It was silent, and another host was chosen.
     Moved(Picked),
 }
@@ -153,17 +153,17 @@
 type GiveUp = (ResultCode, Option<Duration>);
 
 struct Exchange<'a> {
-    core: &'a Rc<Core>,
+    state: &'a Rc<ProxyState>,
     client: &'a TcpStream,
     request: &'a Request,
-    stage: &'a AnswerProgress,
+    stage: &'a ResponseProgress,
     route: &'a Route,
     service: &'a str,
     trial: RetryState,
     tried: Vec<Arc<str>>,
     parts: Vec<(u64, u32)>,
     tokens: (u32, u32),
-    place: Place,
+    place: EventOffset,
     /// How the answer goes to the client, once its head has gone.
     begun: Cell<Option<Writer>>,
     /// A host's own failure, to be passed on if nothing better comes.
@@ -171,14 +171,14 @@
 }
 
 impl Exchange<'_> {
-    async fn go(&mut self) -> Result<Done, GiveUp> {
+    async fn go(&mut self) -> Result<ConnectionOutcome, GiveUp> {
         let mut picked = self.pick()?;
         loop {
             self.tried.push(picked.id.clone());
             let end = match self.attempt(picked).await {
                 AttemptResult::Answered(done) => return Ok(done),
                 AttemptResult::Moved(next) => {
-                    self.core.tally.add(|c| c.moved += 1);
+                    self.state.counters.add(|c| c.moved += 1);
                     self.trial.moved();
                     self.stage.set_out(true);
                     picked = next;
@@ -186,23 +186,23 @@
                 }
                 AttemptResult::Ended(end) => end,
             };
-            let next = self.trial.ended(self.core.now(), end);
+            let next = self.trial.ended(self.state.now(), end);
             self.stage.set_out(self.trial.may_have_run());
             picked = match next {
-                Next::Again => self.pick()?,
-                Next::GiveUp(code) => return Err((code, None)),
+                RetryDecision::Again => self.pick()?,
+                RetryDecision::GiveUp(code) => return Err((code, None)),
             };
         }
     }
 
     /// The next host; for a repeat the budget is asked first.
     fn pick(&mut self) -> Result<Picked, GiveUp> {
-        let now = self.core.now();
+        let now = self.state.now();
         let left = self.trial.deadline().saturating_sub(now);
         if left < Duration::from_millis(1) {
             return Err((self.trial.overdue(), None));
         }
-        let mut policy = self.core.policy.borrow_mut();
+        let mut policy = self.state.policy.borrow_mut();
         if self.trial.owes() {
             if !policy.take_repeat(now, self.service) {
                 return Err((self.trial.refusal(ResultCode::BudgetSpent), None));
@@ -233,10 +233,10 @@
                 priority,
             } => {
                 if let Some(placement) = policy.take_placement() {
-                    self.core.hints.borrow().tell(&placement);
+                    self.state.hints.borrow().tell(&placement);
                 }
                 Ok(Picked {
-                    out: OpenAttempt::new(self.core, attempt),
+                    out: OpenAttempt::new(self.state, attempt),
                     id,
                     addr,
                     priority,
@@ -259,7 +259,7 @@
     }
 
     fn end(&self) -> Instant {
-        self.core.at(self.trial.deadline())
+        self.state.at(self.trial.deadline())
     }
 
     /// Whether an answer that still goes on is cut, though more of it is there: a host that never pauses would
@@ -269,15 +269,15 @@
     }
 
     async fn attempt(&mut self, picked: Picked) -> AttemptResult {
-        let mut link = match self.send(&picked).await {
-            Ok(link) => link,
+        let mut connection = match self.send(&picked).await {
+            Ok(connection) => connection,
             Err((end, outcome)) => {
                 picked.out.end(outcome, None);
                 return AttemptResult::Ended(end);
             }
         };
         let mut watch = HostWait::new(self);
-        let (head, stray) = match self.answer(&mut link, &picked.out, &mut watch).await {
+        let (head, stray) = match self.answer(&mut connection, &picked.out, &mut watch).await {
             Ok(answer) => answer,
             Err(stop) => return self.stopped(stop, picked.out),
         };
@@ -291,21 +291,21 @@
                 _ => Outcome::TurnedAway,
             };
             if outcome == Outcome::OtherHost {
-                self.core.pool.borrow_mut().forget(&picked.id);
+                self.state.pool.borrow_mut().forget(&picked.id);
             } else {
-                self.drain(link, picked.id.clone(), head, stray);
+                self.drain(connection, picked.id.clone(), head, stray);
             }
             picked.out.end(outcome, load);
-            return AttemptResult::Ended(End::NotRun);
+            return AttemptResult::Ended(AttemptOutcome::NotRun);
         }
         let success = (200..300).contains(&head.status);
         let sealed = head.fields.get("fennelpin-host-seal").is_some();
         // A refusal that doesn't say so might be false: it is no promise that we can pass on.
         let bare = matches!(head.status, 408 | 429 | 503);
         if head.fields.get("content-encoding").is_some() || (success && !sealed) || bare {
-            self.core.tally.add(|c| c.broken += 1);
+            self.state.counters.add(|c| c.broken += 1);
             picked.out.end(Outcome::ConnectionLost, load);
-            return AttemptResult::Ended(End::Broke);
+            return AttemptResult::Ended(AttemptOutcome::Broke);
         }
         let stream = success
             && !self.bodiless(&head)
@@ -316,24 +316,27 @@
                     .is_some_and(|t| t.starts_with("text/event-stream")));
         if self.stage.started() && !stream {
             picked.out.end(Outcome::Failed, load);
-            return AttemptResult::Ended(End::HostFailed);
+            return AttemptResult::Ended(AttemptOutcome::HostFailed);
         }
         if stream {
-            return self.stream(link, picked, head, stray, load, watch).await;
+            return self
+                .stream(connection, picked, head, stray, load, watch)
+                .await;
         }
-        self.whole(link, picked, head, stray, load, watch).await
+        self.whole(connection, picked, head, stray, load, watch)
+            .await
     }
 
     fn stopped(&self, stop: Stop, out: OpenAttempt) -> AttemptResult {
         match stop {
-            Stop::Lost => {
-                self.core.tally.add(|c| c.broken += 1);
+            Stop::UpstreamError => {
+                self.state.counters.add(|c| c.broken += 1);
                 out.end(Outcome::ConnectionLost, None);
-                AttemptResult::Ended(End::Broke)
+                AttemptResult::Ended(AttemptOutcome::Broke)
             }
             Stop::Late => {
                 out.end(Outcome::Silent, None);
-                AttemptResult::Ended(End::Broke)
+                AttemptResult::Ended(AttemptOutcome::Broke)
             }
             // The caller drops the old connection before the new host is asked.
             Stop::Moved(next) => {
--- a/crates/proxy/src/exchange/matching.rs
+++ b/crates/proxy/src/exchange/response_matching.rs
@@ -1,10 +1,10 @@
 //! Which answer of a host belongs to the request, and what becomes of those that don't.
 
-use super::wait::{HostWait, Stop};
+use super::host_wait::{HostWait, Stop};
 use super::{Exchange, ATTEMPT_ID, MAX_BUFFERED_ANSWER};
-use crate::connections;
-use crate::core::OpenAttempt;
-use crate::hostlink::Link;
+use crate::state::OpenAttempt;
+use crate::upstream::acquire;
+use crate::upstream::connection::UpstreamConnection;
 use bytes::BytesMut;
 use http1::{BodyDecoder, ResponseHead};
 use std::sync::Arc;
@@ -58,7 +58,7 @@
     /// The head of the answer to this request, past answers to others; whether there were any.
     pub(super) async fn answer(
         &mut self,
-        link: &mut Link,
+        connection: &mut UpstreamConnection,
         out: &OpenAttempt,
         watch: &mut HostWait,
     ) -> Result<(ResponseHead, bool), Stop> {
@@ -66,37 +66,46 @@
         let mark = self.request.head.fields.get(ATTEMPT_ID).unwrap_or_default();
         for strays in 0..=MAX_STRAY_ANSWERS {
             let head = watch
-                .guard(self, link, out, async |l: &mut Link| l.head(to_head).await)
+                .guard(self, connection, out, async |l: &mut UpstreamConnection| {
+                    l.head(to_head).await
+                })
                 .await?;
-            if belongs(&head, mark, strays == 0 && !link.used) {
+            if belongs(&head, mark, strays == 0 && !connection.used) {
                 return Ok((head, strays > 0));
             }
-            self.core.tally.add(|c| c.strays += 1);
+            self.state.counters.add(|c| c.strays += 1);
             let (mut body, mut bytes) = (BodyDecoder::new(head.framing), BytesMut::new());
-            let whole =
-                async |l: &mut Link| l.whole(&mut body, &mut bytes, MAX_BUFFERED_ANSWER).await;
-            if !watch.guard(self, link, out, whole).await? {
+            let whole = async |l: &mut UpstreamConnection| {
+                l.whole(&mut body, &mut bytes, MAX_BUFFERED_ANSWER).await
+            };
+            if !watch.guard(self, connection, out, whole).await? {
                 break;
             }
         }
-        Err(Stop::Lost)
+        Err(Stop::UpstreamError)
     }
 
     /// Reads the rest of an answer that isn't passed on, to use the connection again; the request doesn't wait.
-    pub(super) fn drain(&self, mut link: Link, id: Arc<str>, head: ResponseHead, stray: bool) {
+    pub(super) fn drain(
+        &self,
+        mut connection: UpstreamConnection,
+        id: Arc<str>,
+        head: ResponseHead,
+        stray: bool,
+    ) {
         if stray || !head.is_keep_alive() {
             return;
         }
-        let core = self.core.clone();
+        let state = self.state.clone();
         tokio::task::spawn_local(async move {
             let (mut body, mut out) = (BodyDecoder::new(head.framing), BytesMut::new());
             if let Ok(Ok(true)) = timeout(
                 REFUSAL_READ_TIMEOUT,
-                link.whole(&mut body, &mut out, MAX_REFUSAL_BODY),
+                connection.whole(&mut body, &mut out, MAX_REFUSAL_BODY),
             )
             .await
             {
-                connections::keep(&core, &id, link, &head);
+                acquire::keep(&state, &id, connection, &head);
             }
         });
     }
--- a/crates/proxy/src/exchange/stream.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -1,12 +1,12 @@
 //! Streams: passed on as they come, and taken up at another host where the route allows it.
 
-use super::wait::{HostWait, Stop};
-use super::writer::Writer;
+use super::client_writer::Writer;
+use super::host_wait::{HostWait, Stop};
 use super::{AttemptResult, Exchange, Picked, DEADLINE_SLACK};
-use crate::connections;
-use crate::events::Splitter;
-use crate::hostlink::Link;
-use crate::progress::Done;
+use crate::event_stream::EventSplitter;
+use crate::response_progress::ConnectionOutcome;
+use crate::upstream::acquire;
+use crate::upstream::connection::UpstreamConnection;
 use balancing::{Load, Outcome};
 use bytes::{Bytes, BytesMut};
 use configuration::Route;
@@ -30,7 +30,7 @@
     /// A stream: passed on as it comes; in whole events where it may go on at another host.
     pub(super) async fn stream(
         &mut self,
-        mut link: Link,
+        mut connection: UpstreamConnection,
         picked: Picked,
         head: ResponseHead,
         stray: bool,
@@ -40,32 +40,32 @@
         picked.out.told(load);
         let resumable = self.route.resumable;
         if self.stage.started() {
-            self.core.tally.add(|c| c.resumed += 1);
+            self.state.counters.add(|c| c.resumed += 1);
         }
         let mut writer = Writer::new(self, &head);
-        let mut splitter = Splitter::new(MAX_EVENT);
+        let mut splitter = EventSplitter::new(MAX_EVENT);
         let mut body = BodyDecoder::new(head.framing);
         let mut begun = false;
         loop {
             let next = match begun {
                 false => {
-                    let piece = async |l: &mut Link| l.piece(&mut body).await;
-                    watch.guard(self, &mut link, &picked.out, piece).await
+                    let piece = async |l: &mut UpstreamConnection| l.piece(&mut body).await;
+                    watch.guard(self, &mut connection, &picked.out, piece).await
                 }
-                true => self.later_piece(&mut link, &mut body).await,
+                true => self.later_piece(&mut connection, &mut body).await,
             };
             let data = match next {
                 Ok(Some(data)) => data,
                 // One that can go on elsewhere is not taken at an end that may be a cut.
                 Ok(None) if body.is_close_delimited() && resumable && writer.marks_end() => {
-                    return self.broken(Stop::Lost, picked);
+                    return self.broken(Stop::UpstreamError, picked);
                 }
                 Ok(None) => break,
                 Err(stop) => return self.broken(stop, picked),
             };
             let data = if resumable {
                 if !splitter.push(&data) {
-                    return self.broken(Stop::Lost, picked);
+                    return self.broken(Stop::UpstreamError, picked);
                 }
                 self.admitted(&mut splitter)
             } else {
@@ -80,16 +80,16 @@
                 picked.out.first();
             }
             if !writer.write(self, &head, &data).await {
-                return AttemptResult::Answered(Done::Cut);
+                return AttemptResult::Answered(ConnectionOutcome::Cut);
             }
         }
         if !stray {
-            connections::keep(self.core, &picked.id, link, &head);
+            acquire::keep(self.state, &picked.id, connection, &head);
         }
         picked.out.end(Outcome::Done, None);
         let rest = splitter.rest();
         if !rest.is_empty() && !writer.write(self, &head, &rest).await {
-            return AttemptResult::Answered(Done::Cut);
+            return AttemptResult::Answered(ConnectionOutcome::Cut);
         }
         AttemptResult::Answered(writer.finish(self, &head).await)
     }
@@ -99,7 +99,7 @@
     fn broken(&self, stop: Stop, picked: Picked) -> AttemptResult {
         let cut = self.stage.started() && !self.may_go_on();
         match self.stopped(stop, picked.out) {
-            _ if cut => AttemptResult::Answered(Done::Cut),
+            _ if cut => AttemptResult::Answered(ConnectionOutcome::Cut),
             result => result,
         }
     }
@@ -108,7 +108,7 @@
     /// client gives up, unless the host shows itself alive on other connections: there it will go on.
     async fn later_piece(
         &mut self,
-        link: &mut Link,
+        connection: &mut UpstreamConnection,
         body: &mut BodyDecoder,
     ) -> Result<Option<Bytes>, Stop> {
         let end = self.end() + DEADLINE_SLACK;
@@ -123,12 +123,12 @@
             } else {
                 end
             };
-            match timeout_at(until, link.piece(body)).await {
-                Ok(next) => return next.map_err(|_| Stop::Lost),
+            match timeout_at(until, connection.piece(body)).await {
+                Ok(next) => return next.map_err(|_| Stop::UpstreamError),
                 Err(_) if until >= end => return Err(Stop::Late),
-                Err(_) if link.heard_since(since) => {}
+                Err(_) if connection.heard_since(since) => {}
                 Err(_) => {
-                    waits = self.trial.may_move(self.core.now());
+                    waits = self.trial.may_move(self.state.now());
                     if let Some(next) = waits.then(|| self.pick().ok()).flatten() {
                         return Err(Stop::Moved(next));
                     }
@@ -138,7 +138,7 @@
     }
 
     /// The whole events that have come and are new.
-    fn admitted(&mut self, splitter: &mut Splitter) -> Bytes {
+    fn admitted(&mut self, splitter: &mut EventSplitter) -> Bytes {
         let mut first = Bytes::new();
         let mut more = BytesMut::new();
         while let Some(event) = splitter.take() {
--- a/crates/proxy/src/hint_listener.rs
+++ b/crates/proxy/src/hints/listener.rs
@@ -1,7 +1,7 @@
 //! Takes other proxies' hints, and answers those who ask for what is known.
 
-use crate::core::Core;
-use crate::hints::{of, DATAGRAM};
+use crate::hints::publisher::{of, DATAGRAM};
+use crate::state::ProxyState;
 use balancing::Placement;
 use protocol::Message;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// Takes hints for as long as the process lives.
-pub(crate) async fn hear(core: Rc<Core>, socket: Rc<UdpSocket>) {
+pub(crate) async fn hear(state: Rc<ProxyState>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; 2 * DATAGRAM];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
@@ -27,28 +27,28 @@
             continue;
         };
         let Ok(Some((message, _))) = protocol::decode(&buffer[..length]) else {
-            core.tally.add(|c| c.bad_hints += 1);
+            state.counters.add(|c| c.bad_hints += 1);
             continue;
         };
         match message {
             Message::PromptPlaced { placement, unread } => {
-                let mut policy = core.policy.borrow_mut();
-                policy.overheard(core.now(), &placement.host, &parts(&placement), unread);
+                let mut policy = state.policy.borrow_mut();
+                policy.overheard(state.now(), &placement.host, &parts(&placement), unread);
             }
             Message::Placements { placements } => {
-                let mut policy = core.policy.borrow_mut();
+                let mut policy = state.policy.borrow_mut();
                 placements
                     .iter()
-                    .for_each(|p| policy.overheard(core.now(), &p.host, &parts(p), 0));
+                    .for_each(|p| policy.overheard(state.now(), &p.host, &parts(p), 0));
             }
-            Message::PlacementsRequest { .. } => recall(&core, &socket, from),
-            _ => core.tally.add(|c| c.bad_hints += 1),
+            Message::PlacementsRequest { .. } => recall(&state, &socket, from),
+            _ => state.counters.add(|c| c.bad_hints += 1),
         }
     }
 }
 
-fn recall(core: &Core, socket: &UdpSocket, to: SocketAddr) {
-    let kept = core.policy.borrow().kept();
+fn recall(state: &ProxyState, socket: &UdpSocket, to: SocketAddr) {
+    let kept = state.policy.borrow().kept();
     let mut placements: Vec<protocol::Placement> = Vec::new();
     let mut size = 0;
     let send = |placements: &mut Vec<protocol::Placement>| {
--- /dev/null
+++ b/crates/proxy/src/hints/mod.rs
@@ -0,0 +1,4 @@
+//! Placement hints between proxies.
+
+pub(crate) mod listener;
+pub(crate) mod publisher;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,33 +2,28 @@
 //! [`balancing`] names, and passes the answers and streams back. One thread, a tokio `current_thread` runtime;
 //! [`serve`] has to run inside a `LocalSet`.
 //!
-//! What must hold is decided in parts without I/O: [`attempt`] (whether a request goes out again),
-//! [`events`] (whole events of a stream), [`pool`] (connections that stand idle), [`routes`]; heads and bodies
+//! What must hold is decided in parts without I/O: [`retry`] (whether a request goes out again),
+//! [`event_stream`] (whole events of a stream), [`upstream::pool`] (idle connections), [`routes`]; heads and bodies
 //! by [`http1`]. The rest moves bytes.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod attempt;
-mod connections;
-mod core;
+mod client;
 pub mod counters;
-pub mod events;
+pub mod event_stream;
 mod exchange;
 mod fleet;
-mod front;
-mod hint_listener;
 mod hints;
-mod hostlink;
-mod idle_clients;
-mod own_answer;
-pub mod pool;
-mod progress;
+mod local_reply;
 mod readiness;
-mod request;
+mod response_progress;
+pub mod retry;
 pub mod routes;
-mod serve;
+mod server;
 mod shutdown;
-mod wire;
+mod socket;
+mod state;
+pub mod upstream;
 
 pub use fleet::FleetSnapshot;
-pub use serve::{serve, serve_with_counters, Error};
+pub use server::{serve, serve_with_counters, Error};
--- a/crates/proxy/src/own_answer.rs
+++ b/crates/proxy/src/local_reply.rs
@@ -1,7 +1,7 @@
 //! Answers of the proxy's own: refusals and failures.
 
-use crate::core::Core;
-use crate::wire::{self, field};
+use crate::socket::{self, field};
+use crate::state::ProxyState;
 use configuration::ResultCode;
 use http1::RequestHead;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 pub(crate) const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An answer of our own.
-pub(crate) struct Answer {
+pub(crate) struct LocalReply {
     code: ResultCode,
     text: Vec<u8>,
     bare: bool,
 }
 
-impl Answer {
+impl LocalReply {
     /// With this code, for this attempt.
     pub(crate) fn own(code: ResultCode, id: Option<&[u8]>, retry_after: Option<Duration>) -> Self {
         let body = format!("{} {}\n", code.number(), code.text());
@@ -54,10 +54,10 @@
     }
 
     /// Writes it; false where the client doesn't take it.
-    pub(crate) async fn write(&self, core: &Core, stream: &TcpStream, close: bool) -> bool {
+    pub(crate) async fn write(&self, state: &ProxyState, stream: &TcpStream, close: bool) -> bool {
         match self.code.status() {
-            408 | 421 | 429 | 503 => core.tally.add(|c| c.refused += 1),
-            _ => core.tally.add(|c| c.failed += 1),
+            408 | 421 | 429 | 503 => state.counters.add(|c| c.refused += 1),
+            _ => state.counters.add(|c| c.failed += 1),
         }
         let end = self.text.len() - body_of(self.code);
         let mut text = self.text[..end].to_vec();
@@ -72,7 +72,7 @@
         matches!(
             timeout(
                 CLIENT_WRITE_TIMEOUT,
-                wire::write_all(stream, &text, b"", &mut 0)
+                socket::write_all(stream, &text, b"", &mut 0)
             )
             .await,
             Ok(Ok(()))
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,7 +1,7 @@
 //! The platform's question whether requests are to come here.
 
-use crate::core::Core;
-use crate::wire;
+use crate::socket;
+use crate::state::ProxyState;
 use bytes::BytesMut;
 use http1::{HeadLimits, RequestHead};
 use std::rc::Rc;
@@ -15,11 +15,11 @@
 const IDLE: Duration = Duration::from_secs(10);
 
 /// Answers for as long as the process lives.
-pub(crate) async fn listen(core: Rc<Core>, listener: TcpListener) {
+pub(crate) async fn listen(state: Rc<ProxyState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(answer(core.clone(), stream));
+                tokio::task::spawn_local(answer(state.clone(), stream));
             }
             Err(e) => {
                 log::warn!("readiness: {e}");
@@ -29,7 +29,7 @@
     }
 }
 
-async fn answer(core: Rc<Core>, stream: TcpStream) {
+async fn answer(state: Rc<ProxyState>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut buf = BytesMut::new();
     loop {
@@ -39,12 +39,12 @@
                 Ok(None) => {}
                 Err(_) => return,
             }
-            match timeout(IDLE, wire::fill(&stream, &mut buf)).await {
+            match timeout(IDLE, socket::fill(&stream, &mut buf)).await {
                 Ok(Ok(n)) if n > 0 => {}
                 _ => return,
             }
         };
-        let status = match (head.path() == PATH, core.ready()) {
+        let status = match (head.path() == PATH, state.ready()) {
             (true, true) => "200 OK",
             (true, false) => "503 Service Unavailable",
             _ => "404 Not Found",
@@ -52,7 +52,11 @@
         let keep = head.is_keep_alive() && head.framing.is_none();
         let close = if keep { "" } else { "Connection: close\r\n" };
         let text = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{close}\r\n");
-        let written = timeout(IDLE, wire::write_all(&stream, text.as_bytes(), b"", &mut 0)).await;
+        let written = timeout(
+            IDLE,
+            socket::write_all(&stream, text.as_bytes(), b"", &mut 0),
+        )
+        .await;
         if !keep || !matches!(written, Ok(Ok(()))) {
             return;
         }
--- a/crates/proxy/src/progress.rs
+++ b/crates/proxy/src/response_progress.rs
@@ -5,7 +5,7 @@
 
 /// How the client's connection stands after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Done {
+pub(crate) enum ConnectionOutcome {
     /// It may be used again.
     Keep,
     /// The answer was its last.
@@ -16,13 +16,13 @@
 
 /// What may be said of a request if it has to end now.
 #[derive(Default)]
-pub(crate) struct AnswerProgress {
+pub(crate) struct ResponseProgress {
     started: Cell<bool>,
     out: Cell<bool>,
     until_end: Cell<bool>,
 }
 
-impl AnswerProgress {
+impl ResponseProgress {
     /// Bytes of the answer go to the client; whether some went before.
     pub(crate) fn start(&self) -> bool {
         self.started.replace(true)
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/retry.rs
@@ -8,7 +8,7 @@
 
 /// How one attempt ended without an answer that is passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// Not a byte of it was written: it never ran, and no host has heard of it.
     Unreached,
     /// The host says that it did not run it.
@@ -21,7 +21,7 @@
 
 /// What comes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Another host; the budget is asked first where [`RetryState::owes`] says so.
     Again,
     /// The end: with the host's own answer where there is one, else with this code.
@@ -103,20 +103,20 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Duration, end: End) -> Next {
+    pub fn ended(&mut self, now: Duration, end: AttemptOutcome) -> RetryDecision {
         match end {
-            End::Unreached => self.unreached += 1,
-            End::NotRun => {}
-            End::Broke | End::HostFailed => self.may_have_run = true,
+            AttemptOutcome::Unreached => self.unreached += 1,
+            AttemptOutcome::NotRun => {}
+            AttemptOutcome::Broke | AttemptOutcome::HostFailed => self.may_have_run = true,
         }
         if now >= self.deadline {
-            return Next::GiveUp(self.overdue());
+            return RetryDecision::GiveUp(self.overdue());
         }
         let free = self.idempotent || !self.may_have_run;
         if free && self.sent < self.max_tries && self.unreached < MOST_UNREACHED {
-            Next::Again
+            RetryDecision::Again
         } else {
-            Next::GiveUp(self.refusal(ResultCode::NoHost))
+            RetryDecision::GiveUp(self.refusal(ResultCode::NoHost))
         }
     }
 
--- a/crates/proxy/src/routes.rs
+++ b/crates/proxy/src/routes.rs
@@ -10,13 +10,13 @@
     by_prefix: HashMap<Box<[u8]>, Arc<Route>>,
 }
 
-/// Routes by host and prefix.
+/// RouteTable by host and prefix.
 #[derive(Debug, Default)]
-pub struct Routes {
+pub struct RouteTable {
     sites: HashMap<String, Site>,
 }
 
-impl Routes {
+impl RouteTable {
     /// The routes of a configuration.
     pub fn new(document: &Configuration) -> Self {
         let mut sites: HashMap<String, Site> = HashMap::new();
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/server.rs
@@ -1,10 +1,12 @@
 //! The process: its listeners, its news, its end.
 
-use crate::core::Core;
+use crate::client::connection as front;
 use crate::counters::{Counters, SharedCounters};
 use crate::fleet::FleetSnapshot;
+use crate::hints::{listener as hint_listener, publisher as hints};
+use crate::readiness;
 use crate::shutdown::{Shutdown, BEFORE_KILL};
-use crate::{front, hint_listener, hints, readiness};
+use crate::state::ProxyState;
 use configuration::ProcessSettings;
 use snafu::{ResultExt, Snafu};
 use std::future::Future;
@@ -68,11 +70,11 @@
     }
 }
 
-async fn follow(core: Rc<Core>, mut world: watch::Receiver<Option<Arc<FleetSnapshot>>>) {
+async fn follow(state: Rc<ProxyState>, mut world: watch::Receiver<Option<Arc<FleetSnapshot>>>) {
     loop {
         let news = world.borrow_and_update().clone();
         if let Some(news) = news {
-            core.learn(&news);
+            state.learn(&news);
         }
         if world.changed().await.is_err() {
             return;
@@ -80,15 +82,15 @@
     }
 }
 
-async fn sweep(core: Rc<Core>) {
+async fn sweep(state: Rc<ProxyState>) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        core.pool.borrow_mut().sweep(core.now());
+        state.pool.borrow_mut().sweep(state.now());
     }
 }
 
-async fn tick(core: Rc<Core>) {
-    core.tick().await;
+async fn tick(state: Rc<ProxyState>) {
+    state.tick().await;
 }
 
 /// Serves until `stop` resolves, and then until all that was taken is answered. Has to run inside a
@@ -104,33 +106,33 @@
     serve_with_counters(boot, world, Rc::default(), stop).await
 }
 
-/// As [`serve`], counting in `tally`, which the caller can read meanwhile.
+/// As [`serve`], counting in `counters`, which the caller can read meanwhile.
 ///
 /// # Errors
 /// As [`serve`].
 pub async fn serve_with_counters(
     boot: ProcessSettings,
     world: watch::Receiver<Option<Arc<FleetSnapshot>>>,
-    tally: Rc<SharedCounters>,
+    counters: Rc<SharedCounters>,
     stop: impl Future<Output = ()>,
 ) -> Result<Counters, Error> {
-    let core = Rc::new(Core::new(&boot, tally));
+    let state = Rc::new(ProxyState::new(&boot, counters));
     let front = listen("front", boot.bind.front).await?;
     let readiness = listen("readiness", boot.bind.readiness).await?;
     let hints = hints::listen(&boot).await;
     if let Some(socket) = &hints {
-        core.hints.borrow_mut().socket = Some(socket.clone());
+        state.hints.borrow_mut().socket = Some(socket.clone());
     }
-    let _hints = hints.map(|socket| task(hint_listener::hear(core.clone(), socket)));
+    let _hints = hints.map(|socket| task(hint_listener::hear(state.clone(), socket)));
     let _tasks = [
-        task(follow(core.clone(), world)),
-        task(readiness::listen(core.clone(), readiness)),
-        task(sweep(core.clone())),
-        task(tick(core.clone())),
+        task(follow(state.clone(), world)),
+        task(readiness::listen(state.clone(), readiness)),
+        task(sweep(state.clone())),
+        task(tick(state.clone())),
     ];
     let (close, closing) = watch::channel(front::Phase::Open);
     let open = Rc::new(std::cell::Cell::new(0));
-    let welcome = |came| front::welcome(&core, came, &open, &closing);
+    let welcome = |came| front::welcome(&state, came, &open, &closing);
     tokio::pin!(stop);
     loop {
         tokio::select! {
@@ -140,12 +142,12 @@
     }
     log::info!("stopping");
     let grace = Duration::try_from_secs_f64(boot.bounds.grace_s).unwrap_or_default();
-    let shutdown = Shutdown::begin(core.now(), grace);
-    core.shutdown.set(Some(shutdown));
-    let last = core.at(shutdown.answers_until);
+    let shutdown = Shutdown::begin(state.now(), grace);
+    state.shutdown.set(Some(shutdown));
+    let last = state.at(shutdown.answers_until);
     loop {
         tokio::select! {
-            _ = sleep_until(core.at(shutdown.full_service_until)) => break,
+            _ = sleep_until(state.at(shutdown.full_service_until)) => break,
             came = front.accept() => accepted(came, &welcome).await,
         }
     }
@@ -167,7 +169,7 @@
     }
     log::info!("stopped with {} open", open.get());
     drop(front);
-    Ok(core.tally.get())
+    Ok(state.counters.get())
 }
 
 async fn accepted(
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/state/mod.rs
@@ -1,13 +1,13 @@
 //! What all connections share.
 
+use crate::client::idle::IdleClients;
 use crate::counters::SharedCounters;
 use crate::fleet::FleetSnapshot;
-use crate::hints::Hints;
-use crate::hostlink::Link;
-use crate::idle_clients::IdleClients;
-use crate::pool::Pool;
-use crate::routes::Routes;
+use crate::hints::publisher::Hints;
+use crate::routes::RouteTable;
 use crate::shutdown::Shutdown;
+use crate::upstream::connection::UpstreamConnection;
+use crate::upstream::pool::ConnectionPool;
 use balancing::{Attempt, Load, Outcome, Policy, ServiceInfo, Settings};
 use configuration::{Configuration, Limits, ProcessSettings};
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Descriptors left for listeners, the link to the agent and what is opened for a moment.
+/// Descriptors left for listeners, the connection to the agent and what is opened for a moment.
 const SPARE_FDS: u64 = 250;
 /// Share of the descriptors for clients; the others are for hosts.
 const CLIENTS_SHARE: f64 = 0.6;
@@ -31,7 +31,7 @@
 /// What is known since the last news.
 pub(crate) struct RoutingTable {
     document: Arc<Configuration>,
-    pub(crate) routes: Routes,
+    pub(crate) routes: RouteTable,
     pub(crate) limits: Limits,
     /// Connections that one host of a service takes from this process.
     conns: HashMap<String, usize>,
@@ -39,12 +39,12 @@
 }
 
 /// State of the process, on its one thread.
-pub(crate) struct Core {
+pub(crate) struct ProxyState {
     origin: Instant,
     pub(crate) policy: RefCell<Policy>,
     known: RefCell<Option<Rc<RoutingTable>>>,
-    pub(crate) pool: RefCell<Pool<Link>>,
-    pub(crate) tally: Rc<SharedCounters>,
+    pub(crate) pool: RefCell<ConnectionPool<UpstreamConnection>>,
+    pub(crate) counters: Rc<SharedCounters>,
     outs: Cell<usize>,
     /// Told when the first attempt goes out.
     began: Notify,
@@ -58,8 +58,8 @@
     draws: Cell<u64>,
 }
 
-impl Core {
-    pub(crate) fn new(boot: &ProcessSettings, tally: Rc<SharedCounters>) -> Self {
+impl ProxyState {
+    pub(crate) fn new(boot: &ProcessSettings, counters: Rc<SharedCounters>) -> Self {
         let seed = std::collections::hash_map::RandomState::new()
             .build_hasher()
             .finish();
@@ -84,8 +84,8 @@
             origin: Instant::now(),
             policy: RefCell::new(policy),
             known: RefCell::default(),
-            pool: RefCell::new(Pool::new((fds * (1.0 - CLIENTS_SHARE)) as usize)),
-            tally,
+            pool: RefCell::new(ConnectionPool::new((fds * (1.0 - CLIENTS_SHARE)) as usize)),
+            counters,
             outs: Cell::new(0),
             began: Notify::new(),
             hints: RefCell::default(),
@@ -214,7 +214,7 @@
             Some(k) if k.conns == conns && k.has_hosts == has_hosts => {}
             _ => {
                 let known = RoutingTable {
-                    routes: Routes::new(document),
+                    routes: RouteTable::new(document),
                     limits: document.client_limits(),
                     document: document.clone(),
                     conns,
@@ -228,7 +228,7 @@
     /// Holds so many bytes of bodies; `None` where there is no room.
     pub(crate) fn hold(self: &Rc<Self>, bytes: usize) -> Option<BodyReservation> {
         let mut held = BodyReservation {
-            core: self.clone(),
+            state: self.clone(),
             bytes: 0,
         };
         held.grow(bytes).then_some(held)
@@ -245,7 +245,7 @@
 
 /// Room for bodies, given back when dropped.
 pub(crate) struct BodyReservation {
-    core: Rc<Core>,
+    state: Rc<ProxyState>,
     bytes: usize,
 }
 
@@ -253,11 +253,11 @@
     /// Room for so many bytes in all; false where there is none.
     pub(crate) fn grow(&mut self, bytes: usize) -> bool {
         let more = bytes.saturating_sub(self.bytes);
-        let sum = self.core.bodies.get() + more;
-        if sum > self.core.most_bodies {
+        let sum = self.state.bodies.get() + more;
+        if sum > self.state.most_bodies {
             return false;
         }
-        self.core.bodies.set(sum);
+        self.state.bodies.set(sum);
         self.bytes += more;
         true
     }
@@ -265,60 +265,60 @@
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.core
+        self.state
             .bodies
-            .set(self.core.bodies.get().saturating_sub(self.bytes));
+            .set(self.state.bodies.get().saturating_sub(self.bytes));
     }
 }
 
 /// An attempt that the policy counts as out until it is told the end, or this is dropped.
 pub(crate) struct OpenAttempt {
-    core: Rc<Core>,
+    state: Rc<ProxyState>,
     attempt: Attempt,
     over: bool,
 }
 
 impl OpenAttempt {
-    pub(crate) fn new(core: &Rc<Core>, attempt: Attempt) -> Self {
-        core.outs.set(core.outs.get() + 1);
-        core.began.notify_one();
+    pub(crate) fn new(state: &Rc<ProxyState>, attempt: Attempt) -> Self {
+        state.outs.set(state.outs.get() + 1);
+        state.began.notify_one();
         Self {
-            core: core.clone(),
+            state: state.clone(),
             attempt,
             over: false,
         }
     }
 
     pub(crate) fn first(&self) {
-        self.core
+        self.state
             .policy
             .borrow_mut()
-            .first(self.core.now(), self.attempt);
+            .first(self.state.now(), self.attempt);
     }
 
     /// More came of an answer that has begun.
     pub(crate) fn heard(&self) {
-        self.core
+        self.state
             .policy
             .borrow_mut()
-            .heard(self.core.now(), self.attempt);
+            .heard(self.state.now(), self.attempt);
     }
 
     /// The head of an answer that goes on told this load.
     pub(crate) fn told(&self, load: Option<Load>) {
         if let Some(load) = load {
-            self.core
+            self.state
                 .policy
                 .borrow_mut()
-                .told(self.core.now(), self.attempt, load);
+                .told(self.state.now(), self.attempt, load);
         }
     }
 
     pub(crate) fn patience(&self) -> Option<Duration> {
-        self.core
+        self.state
             .policy
             .borrow()
-            .patience(self.core.now(), self.attempt)
+            .patience(self.state.now(), self.attempt)
     }
 
     pub(crate) fn end(mut self, outcome: Outcome, load: Option<Load>) {
@@ -327,11 +327,11 @@
 
     fn close(&mut self, outcome: Outcome, load: Option<Load>) {
         if !std::mem::replace(&mut self.over, true) {
-            self.core.outs.set(self.core.outs.get().saturating_sub(1));
-            self.core
+            self.state.outs.set(self.state.outs.get().saturating_sub(1));
+            self.state
                 .policy
                 .borrow_mut()
-                .ended(self.core.now(), self.attempt, outcome, load);
+                .ended(self.state.now(), self.attempt, outcome, load);
         }
     }
 }
--- a/crates/proxy/src/hostlink.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! Connections to hosts: one request at a time on each, kept for the next where both sides agree.
 
-use crate::pool::Ticket;
-use crate::wire;
+use crate::socket;
+use crate::upstream::pool::ConnectionPermit;
 use bytes::{Bytes, BytesMut};
 use http1::{BodyDecoder, Decoded, HeadLimits, ParseError, ResponseHead};
 use snafu::Snafu;
@@ -13,7 +13,7 @@
 
 /// Why there is no (further) part of an answer.
 #[derive(Debug, Snafu)]
-pub(crate) enum Lost {
+pub(crate) enum UpstreamError {
     /// The socket failed.
     #[snafu(context(false), display("{source}"))]
     Socket {
@@ -49,20 +49,20 @@
 
 /// A connection to a host.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct UpstreamConnection {
     stream: TcpStream,
     buf: BytesMut,
     /// Whether it was used before.
     pub(crate) used: bool,
     /// A request was written in part only.
     partial: bool,
-    ticket: Ticket,
+    ticket: ConnectionPermit,
     origin: Instant,
 }
 
-impl Link {
+impl UpstreamConnection {
     /// A connection that has just come up.
-    pub(crate) fn new(stream: TcpStream, ticket: Ticket, origin: Instant) -> Self {
+    pub(crate) fn new(stream: TcpStream, ticket: ConnectionPermit, origin: Instant) -> Self {
         Self {
             stream,
             buf: BytesMut::new(),
@@ -75,7 +75,7 @@
 
     /// Whether nothing waits to be read and the host has not ended the connection, as the system knows it now.
     pub(crate) fn quiet(&self) -> bool {
-        wire::quiet(&self.stream)
+        socket::quiet(&self.stream)
     }
 
     /// Writes a request, and stops where its answer is there before all is written: a host may refuse a large
@@ -93,11 +93,11 @@
         loop {
             tokio::select! {
                 biased;
-                done = wire::write_all(&self.stream, head, body, written) => {
+                done = socket::write_all(&self.stream, head, body, written) => {
                     self.partial = done.is_err();
                     return done;
                 }
-                got = wire::fill(&self.stream, &mut self.buf), if self.buf.len() < HEAD_LIMITS.max_bytes => {
+                got = socket::fill(&self.stream, &mut self.buf), if self.buf.len() < HEAD_LIMITS.max_bytes => {
                     if got? == 0 {
                         return Ok(());
                     }
@@ -128,8 +128,8 @@
         false
     }
 
-    async fn more(&mut self) -> Result<(), Lost> {
-        match wire::fill(&self.stream, &mut self.buf).await? {
+    async fn more(&mut self) -> Result<(), UpstreamError> {
+        match socket::fill(&self.stream, &mut self.buf).await? {
             0 => ClosedSnafu.fail(),
             _ => {
                 self.ticket.hear(self.origin.elapsed());
@@ -139,7 +139,7 @@
     }
 
     /// The head of the next answer, past interim ones. May be dropped and called again.
-    pub(crate) async fn head(&mut self, to_head: bool) -> Result<ResponseHead, Lost> {
+    pub(crate) async fn head(&mut self, to_head: bool) -> Result<ResponseHead, UpstreamError> {
         loop {
             if !self.buf.is_empty() {
                 if let Some(head) = ResponseHead::decode(&mut self.buf, HEAD_LIMITS, to_head)? {
@@ -154,13 +154,16 @@
     }
 
     /// What comes next of a body; `None` at its end. May be dropped and called again.
-    pub(crate) async fn piece(&mut self, body: &mut BodyDecoder) -> Result<Option<Bytes>, Lost> {
+    pub(crate) async fn piece(
+        &mut self,
+        body: &mut BodyDecoder,
+    ) -> Result<Option<Bytes>, UpstreamError> {
         loop {
             match body.decode(&mut self.buf)? {
                 Decoded::Data(data) => return Ok(Some(data)),
                 Decoded::End => return Ok(None),
                 Decoded::Incomplete => match self.more().await {
-                    Err(Lost::Closed) if body.is_close_delimited() => return Ok(None),
+                    Err(UpstreamError::Closed) if body.is_close_delimited() => return Ok(None),
                     step => step?,
                 },
             }
@@ -173,7 +176,7 @@
         body: &mut BodyDecoder,
         out: &mut BytesMut,
         most: usize,
-    ) -> Result<bool, Lost> {
+    ) -> Result<bool, UpstreamError> {
         while out.len() <= most {
             match self.piece(body).await? {
                 Some(data) => out.extend_from_slice(&data),
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -14,7 +14,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// assert_eq!(proxy::pool::idle(Some("timeout=5, max=9")), Duration::from_secs(4));
+/// assert_eq!(proxy::upstream::pool::idle(Some("timeout=5, max=9")), Duration::from_secs(4));
 /// ```
 pub fn idle(keep_alive: Option<&str>) -> Duration {
     let given = keep_alive
@@ -46,13 +46,13 @@
 
 /// Counts a connection as open for as long as it lives, and knows when its host was last heard on any.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct ConnectionPermit {
     to_host: Rc<Cell<usize>>,
     all: Rc<Cell<usize>>,
     heard: Rc<Cell<Duration>>,
 }
 
-impl Ticket {
+impl ConnectionPermit {
     /// Something came from the host.
     pub fn hear(&self, now: Duration) {
         self.heard.set(now);
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.to_host.set(self.to_host.get().saturating_sub(1));
         self.all.set(self.all.get().saturating_sub(1));
@@ -73,13 +73,13 @@
 
 /// Idle connections of all hosts.
 #[derive(Debug)]
-pub struct Pool<C> {
+pub struct ConnectionPool<C> {
     shelves: HashMap<Arc<str>, HostConnections<C>>,
     open: Rc<Cell<usize>>,
     most: usize,
 }
 
-impl<C> Pool<C> {
+impl<C> ConnectionPool<C> {
     /// With at most so many connections open over all hosts.
     pub fn new(most: usize) -> Self {
         Self {
@@ -106,7 +106,7 @@
     }
 
     /// Room for one more connection to a host that takes `most` from this process; `None` where there is none.
-    pub fn room(&mut self, host: &Arc<str>, most: usize) -> Option<Ticket> {
+    pub fn room(&mut self, host: &Arc<str>, most: usize) -> Option<ConnectionPermit> {
         if self.open.get() >= self.most {
             self.shelves
                 .values_mut()
@@ -128,7 +128,7 @@
         shelf.open.set(shelf.open.get() + 1);
         self.open.set(self.open.get() + 1);
         let heard = shelf.heard.clone();
-        Some(Ticket {
+        Some(ConnectionPermit {
             to_host: shelf.open.clone(),
             all: self.open.clone(),
             heard,
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -377,7 +377,7 @@
     pub fleet: watch::Sender<Option<Arc<FleetSnapshot>>>,
     pub stop: Option<oneshot::Sender<()>>,
     pub done: JoinHandle<Result<Counters, Error>>,
-    pub tally: Rc<SharedCounters>,
+    pub counters: Rc<SharedCounters>,
 }
 
 pub const ROUTES: &str = r#"
@@ -455,11 +455,11 @@
                 std::future::pending::<()>().await;
             }
         };
-        let tally = Rc::new(SharedCounters::default());
+        let counters = Rc::new(SharedCounters::default());
         let done = tokio::task::spawn_local(proxy::serve_with_counters(
             boot,
             updates,
-            tally.clone(),
+            counters.clone(),
             stopped,
         ));
         // The listeners are bound once the task has run.
@@ -472,7 +472,7 @@
             fleet,
             stop: Some(stop),
             done,
-            tally,
+            counters,
         }
     }
 
--- a/crates/proxy/tests/configuration_changes.rs
+++ b/crates/proxy/tests/configuration_changes.rs
@@ -56,7 +56,7 @@
             (answer.status(), answer.whole, answer.body.as_str()),
             (200, true, "done")
         );
-        let counted = proxy.tally.get();
+        let counted = proxy.counters.get();
         assert_eq!(
             (counted.passed, counted.cut, counted.failed, counted.refused),
             (1, 0, 0, 0)
--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -195,9 +195,9 @@
         let mut conn = host.conn().await;
         conn.answer("done").await;
         client.message().await.unwrap();
-        let tally = proxy.tally.clone();
+        let counters = proxy.counters.clone();
         let counted = proxy.stop().await;
-        assert_eq!(counted, tally.get());
+        assert_eq!(counted, counters.get());
         assert_eq!(
             (
                 counted.requests,
--- a/crates/proxy/tests/events.rs
+++ b/crates/proxy/tests/event_stream.rs
@@ -1,9 +1,9 @@
 //! Events of a stream: whole ones, in order, none twice.
 
-use proxy::events::{Event, Place, Splitter};
+use proxy::event_stream::{Event, EventOffset, EventSplitter};
 use rstest::rstest;
 
-fn all(splitter: &mut Splitter) -> Vec<(String, Option<String>)> {
+fn all(splitter: &mut EventSplitter) -> Vec<(String, Option<String>)> {
     std::iter::from_fn(|| splitter.take())
         .map(|e| (String::from_utf8(e.bytes.to_vec()).unwrap(), e.id))
         .collect()
@@ -20,7 +20,7 @@
 fn an_event_is_the_same_however_it_is_cut(#[case] text: &str, #[case] id: Option<&str>) {
     let whole = [(text.to_owned(), id.map(str::to_owned))];
     for cut in 0..=text.len() {
-        let mut splitter = Splitter::new(1024);
+        let mut splitter = EventSplitter::new(1024);
         let mut got = Vec::new();
         for part in [&text[..cut], &text[cut..]] {
             assert!(splitter.push(part.as_bytes()));
@@ -33,7 +33,7 @@
 
 #[test]
 fn several_events_in_one_piece_and_the_rest() {
-    let mut splitter = Splitter::new(1024);
+    let mut splitter = EventSplitter::new(1024);
     splitter.push(b"id: 1\n\nid: 2\ndata: x\n\nid: 3\nda");
     let ids: Vec<_> = all(&mut splitter).into_iter().filter_map(|e| e.1).collect();
     assert_eq!(ids, ["1", "2"]);
@@ -48,7 +48,7 @@
 
 #[test]
 fn lines_that_end_with_cr_alone() {
-    let mut splitter = Splitter::new(1024);
+    let mut splitter = EventSplitter::new(1024);
     splitter.push(b"id: 1\rdata: a\r\r");
     assert!(
         splitter.take().is_none(),
@@ -66,7 +66,7 @@
 
 #[test]
 fn an_event_that_grows_too_large_is_an_error() {
-    let mut splitter = Splitter::new(8);
+    let mut splitter = EventSplitter::new(8);
     assert!(splitter.push(b"data: 12"));
     assert!(splitter.take().is_none());
     assert!(!splitter.push(b"3"));
@@ -92,7 +92,7 @@
     #[case] id: Option<&str>,
     #[case] admitted: bool,
 ) {
-    let mut place = Place::after(last);
+    let mut place = EventOffset::after(last);
     assert_eq!(place.admit(&event(id)), admitted);
     assert_eq!(place.last(), if admitted { id.or(last) } else { last });
 }
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -1,6 +1,6 @@
 //! Connections that stand idle.
 
-use proxy::pool::{idle, Pool, Ticket};
+use proxy::upstream::pool::{idle, ConnectionPermit, ConnectionPool};
 use rstest::rstest;
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 }
 
 #[derive(Debug)]
-struct Conn(u32, #[allow(dead_code)] Ticket);
+struct Conn(u32, #[allow(dead_code)] ConnectionPermit);
 
 fn host(name: &str) -> Arc<str> {
     name.into()
 }
 
-fn put(pool: &mut Pool<Conn>, name: &str, number: u32, until: u64) {
+fn put(pool: &mut ConnectionPool<Conn>, name: &str, number: u32, until: u64) {
     let ticket = pool.room(&host(name), 9).unwrap();
     pool.put(name, Conn(number, ticket), s(until));
 }
 
 #[test]
 fn the_one_used_last_is_taken_and_none_beyond_its_time() {
-    let mut pool = Pool::new(9);
+    let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 10);
     put(&mut pool, "a", 2, 3);
     put(&mut pool, "a", 3, 10);
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_host_takes_no_more_than_its_share() {
-    let mut pool: Pool<Conn> = Pool::new(9);
+    let mut pool: ConnectionPool<Conn> = ConnectionPool::new(9);
     let first = pool.room(&host("a"), 2).unwrap();
     let second = pool.room(&host("a"), 2).unwrap();
     assert!(pool.room(&host("a"), 2).is_none());
@@ -53,7 +53,7 @@
 
 #[test]
 fn idle_connections_make_room_for_new_ones() {
-    let mut pool = Pool::new(2);
+    let mut pool = ConnectionPool::new(2);
     put(&mut pool, "a", 1, 10);
     let _used = pool.room(&host("b"), 9).unwrap();
     let _new = pool.room(&host("b"), 9).expect("the idle one has gone");
@@ -64,7 +64,7 @@
 
 #[test]
 fn hosts_that_are_gone_take_their_connections_along() {
-    let mut pool = Pool::new(9);
+    let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 10);
     put(&mut pool, "b", 2, 10);
     let late = Conn(3, pool.room(&host("a"), 9).unwrap());
@@ -82,7 +82,7 @@
 
 #[test]
 fn what_has_stood_for_too_long_is_swept() {
-    let mut pool = Pool::new(9);
+    let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 2);
     put(&mut pool, "a", 2, 10);
     pool.sweep(s(5));
--- a/crates/proxy/tests/routes.rs
+++ b/crates/proxy/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Which route a request takes, and to which service.
 
 use configuration::Configuration;
-use proxy::routes::{service, Routes};
+use proxy::routes::{service, RouteTable};
 use rstest::rstest;
 
 fn document() -> Configuration {
@@ -43,7 +43,7 @@
 #[case("y", "/any/where", Some("y"))]
 #[case("w", "/a/", None)]
 fn the_longest_prefix_wins(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
-    let routes = Routes::new(&document());
+    let routes = RouteTable::new(&document());
     assert_eq!(
         routes.find(host, path.as_bytes()).map(|r| r.name.as_str()),
         name
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_split_follows_its_weights() {
-    let routes = Routes::new(&document());
+    let routes = RouteTable::new(&document());
     let route = routes.find("z", b"/a/").unwrap();
     let step = u64::MAX / 1000;
     let drawn: Vec<_> = (0..1000)
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -51,7 +51,7 @@
         assert_eq!(answer.field("fennelpin-host-seal"), Some("first"));
         assert_eq!((answer.whole, answer.body), (true, events([8, 9, 10])));
         assert_eq!(
-            (proxy.tally.get().resumed, proxy.tally.get().passed),
+            (proxy.counters.get().resumed, proxy.counters.get().passed),
             (1, 1)
         );
     });
