--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -33,7 +33,7 @@
         out.extend_from_slice(head.target());
         out.extend_from_slice(b" HTTP/1.1\r\n");
         // Once events have gone to the client, the place to go on from is ours to say.
-        let place = self.place.last().filter(|_| self.route.resumable);
+        let place = self.place.last_event_id().filter(|_| self.route.resumable);
         for (name, value) in head.fields.iter() {
             let is = |n: &str| name.eq_ignore_ascii_case(n.as_bytes());
             let ours = is("content-length")
@@ -87,8 +87,8 @@
         let state = self.state;
         let most = state.conns(self.service);
         let no_link = |e| match e {
-            AcquireError::Full => (AttemptOutcome::Unreached, Outcome::TurnedAway),
-            AcquireError::Unreached => (AttemptOutcome::Unreached, Outcome::Unreached),
+            AcquireError::Full => (AttemptOutcome::Unreachable, Outcome::TurnedAway),
+            AcquireError::Unreached => (AttemptOutcome::Unreachable, Outcome::Unreached),
         };
         let until = self.end().min(Instant::now() + dial(self.route));
         let mut connection = acquire::get(state, &picked.id, picked.addr, most, until)
@@ -115,11 +115,11 @@
                         .map_err(no_link)?;
                     continue;
                 }
-                _ if written == 0 => return Err((AttemptOutcome::Unreached, Outcome::Unreached)),
+                _ if written == 0 => return Err((AttemptOutcome::Unreachable, Outcome::Unreached)),
                 _ => {}
             }
-            let repeat = self.trial.heard();
-            self.trial.sent();
+            let repeat = self.trial.was_sent();
+            self.trial.record_sent();
             state.counters.add(|c| {
                 c.sent += 1;
                 c.repeats += u64::from(repeat);
@@ -127,7 +127,7 @@
             return match sent {
                 // A host may answer before it has read all: what it said then counts.
                 Ok(_) => Ok(connection),
-                Err(_) => Err((AttemptOutcome::Broke, Outcome::Silent)),
+                Err(_) => Err((AttemptOutcome::Broken, Outcome::Silent)),
             };
         }
     }
--- a/crates/proxy/src/exchange/host_wait.rs
+++ b/crates/proxy/src/exchange/host_wait.rs
@@ -55,7 +55,7 @@
                 None
             };
             if over.is_some_and(|over| over <= now) {
-                self.waits = exchange.trial.may_move(exchange.state.now());
+                self.waits = exchange.trial.may_fail_over(exchange.state.now());
                 if let Some(next) = self.waits.then(|| exchange.pick().ok()).flatten() {
                     return Err(Stop::Moved(next));
                 }
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -76,7 +76,7 @@
     if fields.get_all(ATTEMPT_ID).count() != 1 {
         return refuse(ResultCode::BadRequest, None).await;
     }
-    let Some(service) = routes::service(route, state.draw()) else {
+    let Some(service) = routes::select_service(route, state.draw()) else {
         return refuse(ResultCode::NoHost, None).await;
     };
     let arrived = state.since_start(request.arrived);
@@ -179,17 +179,17 @@
                 AttemptResult::Answered(done) => return Ok(done),
                 AttemptResult::Moved(next) => {
                     self.state.counters.add(|c| c.moved += 1);
-                    self.trial.moved();
+                    self.trial.record_failover();
                     self.stage.set_out(true);
                     picked = next;
                     continue;
                 }
                 AttemptResult::Ended(end) => end,
             };
-            let next = self.trial.ended(self.state.now(), end);
+            let next = self.trial.on_attempt_ended(self.state.now(), end);
             self.stage.set_out(self.trial.may_have_run());
             picked = match next {
-                RetryDecision::Again => self.pick()?,
+                RetryDecision::Retry => self.pick()?,
                 RetryDecision::GiveUp(code) => return Err((code, None)),
             };
         }
@@ -200,14 +200,14 @@
         let now = self.state.now();
         let left = self.trial.deadline().saturating_sub(now);
         if left < Duration::from_millis(1) {
-            return Err((self.trial.overdue(), None));
+            return Err((self.trial.deadline_code(), None));
         }
         let mut policy = self.state.policy.borrow_mut();
-        if self.trial.owes() {
+        if self.trial.needs_retry_budget() {
             if !policy.take_repeat(now, self.service) {
-                return Err((self.trial.refusal(ResultCode::BudgetSpent), None));
+                return Err((self.trial.code_unless_run(ResultCode::BudgetSpent), None));
             }
-            self.trial.paid();
+            self.trial.record_budget_taken();
         }
         let target = Duration::try_from_secs_f64(
             self.route.target_ms.unwrap_or(self.route.deadline_ms) / 1e3,
@@ -242,9 +242,10 @@
                     priority,
                 })
             }
-            Choice::None { retry_after } => {
-                Err((self.trial.refusal(ResultCode::NoHost), Some(retry_after)))
-            }
+            Choice::None { retry_after } => Err((
+                self.trial.code_unless_run(ResultCode::NoHost),
+                Some(retry_after),
+            )),
         }
     }
 
@@ -255,7 +256,7 @@
 
     /// Whether a stream that has begun may go on at another host: what was passed on has a place to go on from.
     fn may_go_on(&self) -> bool {
-        self.route.resumable && self.place.known()
+        self.route.resumable && self.place.is_resumable()
     }
 
     fn end(&self) -> Instant {
@@ -291,12 +292,12 @@
                 _ => Outcome::TurnedAway,
             };
             if outcome == Outcome::OtherHost {
-                self.state.pool.borrow_mut().forget(&picked.id);
+                self.state.pool.borrow_mut().close_idle(&picked.id);
             } else {
                 self.drain(connection, picked.id.clone(), head, stray);
             }
             picked.out.end(outcome, load);
-            return AttemptResult::Ended(AttemptOutcome::NotRun);
+            return AttemptResult::Ended(AttemptOutcome::NotExecuted);
         }
         let success = (200..300).contains(&head.status);
         let sealed = head.fields.get("fennelpin-host-seal").is_some();
@@ -305,7 +306,7 @@
         if head.fields.get("content-encoding").is_some() || (success && !sealed) || bare {
             self.state.counters.add(|c| c.broken += 1);
             picked.out.end(Outcome::ConnectionLost, load);
-            return AttemptResult::Ended(AttemptOutcome::Broke);
+            return AttemptResult::Ended(AttemptOutcome::Broken);
         }
         let stream = success
             && !self.bodiless(&head)
@@ -332,11 +333,11 @@
             Stop::UpstreamError => {
                 self.state.counters.add(|c| c.broken += 1);
                 out.end(Outcome::ConnectionLost, None);
-                AttemptResult::Ended(AttemptOutcome::Broke)
+                AttemptResult::Ended(AttemptOutcome::Broken)
             }
             Stop::Late => {
                 out.end(Outcome::Silent, None);
-                AttemptResult::Ended(AttemptOutcome::Broke)
+                AttemptResult::Ended(AttemptOutcome::Broken)
             }
             // The caller drops the old connection before the new host is asked.
             Stop::Moved(next) => {
--- a/crates/proxy/src/exchange/streaming.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -64,7 +64,7 @@
                 Err(stop) => return self.broken(stop, picked),
             };
             let data = if resumable {
-                if !splitter.push(&data) {
+                if splitter.push(&data).is_err() {
                     return self.broken(Stop::UpstreamError, picked);
                 }
                 self.admitted(&mut splitter)
@@ -87,7 +87,7 @@
             acquire::keep(self.state, &picked.id, connection, &head);
         }
         picked.out.end(Outcome::Done, None);
-        let rest = splitter.rest();
+        let rest = splitter.take_incomplete();
         if !rest.is_empty() && !writer.write(self, &head, &rest).await {
             return AttemptResult::Answered(ConnectionOutcome::Cut);
         }
@@ -128,7 +128,7 @@
                 Err(_) if until >= end => return Err(Stop::Late),
                 Err(_) if connection.heard_since(since) => {}
                 Err(_) => {
-                    waits = self.trial.may_move(self.state.now());
+                    waits = self.trial.may_fail_over(self.state.now());
                     if let Some(next) = waits.then(|| self.pick().ok()).flatten() {
                         return Err(Stop::Moved(next));
                     }
@@ -141,8 +141,8 @@
     fn admitted(&mut self, splitter: &mut EventSplitter) -> Bytes {
         let mut first = Bytes::new();
         let mut more = BytesMut::new();
-        while let Some(event) = splitter.take() {
-            if !self.place.admit(&event) {
+        while let Some(event) = splitter.next_event() {
+            if !self.place.advance(&event) {
                 continue;
             }
             if first.is_empty() {
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -1,127 +1,132 @@
-//! Whether a request goes to another host, and how it ends if not. No I/O; times are since any one origin.
+//! Decides whether a request is sent to another host after an attempt, and which result code ends it otherwise.
+//!
+//! No I/O. All times are durations since one origin that the caller chooses.
 
 use configuration::ResultCode;
 use std::time::Duration;
 
-/// Hosts that could not be reached, for one request, before it is given up.
-const MOST_UNREACHED: u32 = 6;
+/// Unreachable hosts that one request is tried on before it is given up.
+const MAX_UNREACHABLE_HOSTS: u32 = 6;
 
-/// How one attempt ended without an answer that is passed on.
+/// How an attempt ended that brought no response to forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Not a byte of it was written: it never ran, and no host has heard of it.
-    Unreached,
-    /// The host says that it did not run it.
-    NotRun,
-    /// It was sent and then broke off, fell silent, or got what is no answer: it may have run.
-    Broke,
-    /// The host ran it and failed by itself.
+    /// Not a byte of the request was written: it did not run, and the host doesn't know of it.
+    Unreachable,
+    /// The host says that it did not run the request.
+    NotExecuted,
+    /// The request was sent, and then the connection broke, timed out or carried no valid response. It may have run.
+    Broken,
+    /// The host ran the request and failed.
     HostFailed,
 }
 
-/// What comes next.
+/// What follows an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Another host; the budget is asked first where [`RetryState::owes`] says so.
-    Again,
-    /// The end: with the host's own answer where there is one, else with this code.
+    /// Another host, subject to the retry budget where [`RetryState::needs_retry_budget`] says so.
+    Retry,
+    /// The end: with a host's own error response where there is one, else with this code.
     GiveUp(ResultCode),
 }
 
-/// A client's try on its way through hosts.
+/// What is known of one client request over all its attempts.
 #[derive(Clone, Debug)]
 pub struct RetryState {
     idempotent: bool,
-    max_tries: u32,
+    max_attempts: u32,
     deadline: Duration,
-    sent: u32,
-    unreached: u32,
-    /// A repeat was taken from the budget, and no host has heard of it yet.
-    paid: bool,
+    /// Attempts of which a byte was written.
+    sent_attempts: u32,
+    unreachable_hosts: u32,
+    /// A retry was taken from the budget and no byte of it was written yet.
+    budget_taken: bool,
     may_have_run: bool,
 }
 
 impl RetryState {
-    /// A try that no host has seen yet, to end by `deadline`.
-    pub fn new(idempotent: bool, max_tries: u32, deadline: Duration) -> Self {
+    /// A request that no host has seen, with at most `max_attempts` attempts (at least one) until `deadline`.
+    pub fn new(idempotent: bool, max_attempts: u32, deadline: Duration) -> Self {
         Self {
             idempotent,
-            max_tries: max_tries.max(1),
+            max_attempts: max_attempts.max(1),
             deadline,
-            sent: 0,
-            unreached: 0,
-            paid: false,
+            sent_attempts: 0,
+            unreachable_hosts: 0,
+            budget_taken: false,
             may_have_run: false,
         }
     }
 
-    /// When it has to end.
+    /// When the request has to end.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub fn idempotent(&self) -> bool {
         self.idempotent
     }
 
-    /// Its first byte goes to a host.
-    pub fn sent(&mut self) {
-        self.sent += 1;
-        self.paid = false;
+    /// The first byte of an attempt was written to a host.
+    pub fn record_sent(&mut self) {
+        self.sent_attempts += 1;
+        self.budget_taken = false;
     }
 
-    /// Whether the budget has to be asked before it goes to one more host. What was taken for a host that could
-    /// not be reached is still there.
-    pub fn owes(&self) -> bool {
-        self.sent > 0 && !self.paid
+    /// Whether the next attempt has to be taken from the retry budget. What was taken for a host that could not be
+    /// reached still counts for the next one.
+    pub fn needs_retry_budget(&self) -> bool {
+        self.sent_attempts > 0 && !self.budget_taken
     }
 
-    /// A repeat was taken from the budget.
-    pub fn paid(&mut self) {
-        self.paid = true;
+    /// A retry was taken from the budget.
+    pub fn record_budget_taken(&mut self) {
+        self.budget_taken = true;
     }
 
-    /// It moves away from a host that was silent and may have run it.
-    pub fn moved(&mut self) {
+    /// The request fails over from a silent host, which may have run it.
+    pub fn record_failover(&mut self) {
         self.may_have_run = true;
     }
 
-    /// Whether some host has heard of it.
-    pub fn heard(&self) -> bool {
-        self.sent > 0
+    /// Whether a byte of the request was written to any host.
+    pub fn was_sent(&self) -> bool {
+        self.sent_attempts > 0
     }
 
-    /// Whether a promise that it has not run would be false, or can't be given.
+    /// Whether the request may have run, so that nobody may be told that it has not.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// While an attempt is out and silent: whether it may move to another host.
-    pub fn may_move(&self, now: Duration) -> bool {
-        self.idempotent && self.sent < self.max_tries && now < self.deadline
+    /// Whether the request may fail over to another host while the current one is silent.
+    pub fn may_fail_over(&self, now: Duration) -> bool {
+        self.idempotent && self.sent_attempts < self.max_attempts && now < self.deadline
     }
 
-    /// An attempt has ended.
-    pub fn ended(&mut self, now: Duration, end: AttemptOutcome) -> RetryDecision {
-        match end {
-            AttemptOutcome::Unreached => self.unreached += 1,
-            AttemptOutcome::NotRun => {}
-            AttemptOutcome::Broke | AttemptOutcome::HostFailed => self.may_have_run = true,
+    /// Takes in the end of an attempt and decides what follows.
+    pub fn on_attempt_ended(&mut self, now: Duration, outcome: AttemptOutcome) -> RetryDecision {
+        match outcome {
+            AttemptOutcome::Unreachable => self.unreachable_hosts += 1,
+            AttemptOutcome::NotExecuted => {}
+            AttemptOutcome::Broken | AttemptOutcome::HostFailed => self.may_have_run = true,
         }
         if now >= self.deadline {
-            return RetryDecision::GiveUp(self.overdue());
+            return RetryDecision::GiveUp(self.deadline_code());
         }
-        let free = self.idempotent || !self.may_have_run;
-        if free && self.sent < self.max_tries && self.unreached < MOST_UNREACHED {
-            RetryDecision::Again
+        let safe_to_repeat = self.idempotent || !self.may_have_run;
+        let within_limits = self.sent_attempts < self.max_attempts
+            && self.unreachable_hosts < MAX_UNREACHABLE_HOSTS;
+        if safe_to_repeat && within_limits {
+            RetryDecision::Retry
         } else {
-            RetryDecision::GiveUp(self.refusal(ResultCode::NoHost))
+            RetryDecision::GiveUp(self.code_unless_run(ResultCode::NoHost))
         }
     }
 
-    /// What its end is where `code` stops it: a promise only where it has not run.
-    pub fn refusal(&self, code: ResultCode) -> ResultCode {
+    /// `code` if the request can't have run; else a code that doesn't promise that.
+    pub fn code_unless_run(&self, code: ResultCode) -> ResultCode {
         if self.may_have_run {
             ResultCode::HostBroke
         } else {
@@ -129,8 +134,8 @@
         }
     }
 
-    /// What its end is when its time is over and no attempt is out.
-    pub fn overdue(&self) -> ResultCode {
+    /// The code for a request whose deadline has passed with no attempt in flight.
+    pub fn deadline_code(&self) -> ResultCode {
         if self.may_have_run {
             ResultCode::LateMayHaveRun
         } else {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -85,7 +85,7 @@
 async fn sweep(state: Rc<ProxyState>) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        state.pool.borrow_mut().sweep(state.now());
+        state.pool.borrow_mut().close_expired(state.now());
     }
 }
 
--- a/crates/proxy/src/state/mod.rs
+++ b/crates/proxy/src/state/mod.rs
@@ -199,9 +199,9 @@
         policy.set_coordinators(now, snapshot.proxy_count);
         policy.set_hosts(now, &snapshot.hosts);
         let ids: HashSet<&str> = snapshot.hosts.iter().map(|h| &*h.id).collect();
-        self.pool.borrow_mut().keep(&ids);
+        self.pool.borrow_mut().retain_hosts(&ids);
         for host in snapshot.hosts.iter().filter(|h| h.draining) {
-            self.pool.borrow_mut().forget(&host.id);
+            self.pool.borrow_mut().close_idle(&host.id);
         }
         let has_hosts = snapshot.hosts.iter().any(|h| !h.draining);
         let conns = |limit: u32| (limit as usize / snapshot.proxy_count.max(1)).max(4);
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -28,7 +28,7 @@
     until: Instant,
 ) -> Result<UpstreamConnection, AcquireError> {
     loop {
-        let idle = state.pool.borrow_mut().take(state.now(), id);
+        let idle = state.pool.borrow_mut().take_idle(state.now(), id);
         match idle {
             Some(connection) if connection.quiet() => return Ok(connection),
             Some(_) => {}
@@ -48,7 +48,7 @@
     let ticket = state
         .pool
         .borrow_mut()
-        .room(id, most)
+        .try_open(id, most)
         .ok_or(AcquireError::Full)?;
     state.counters.add(|c| c.connects += 1);
     match timeout_at(until, TcpStream::connect(SocketAddr::V4(addr))).await {
@@ -74,8 +74,8 @@
     connection: UpstreamConnection,
     head: &ResponseHead,
 ) {
-    let until = state.now() + pool::idle(head.fields.get_str("keep-alive"));
+    let until = state.now() + pool::idle_timeout(head.fields.get_str("keep-alive"));
     if let Some(connection) = connection.rested(head) {
-        state.pool.borrow_mut().put(id, connection, until);
+        state.pool.borrow_mut().put_idle(id, connection, until);
     }
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -132,7 +132,7 @@
         match socket::fill(&self.stream, &mut self.buf).await? {
             0 => ClosedSnafu.fail(),
             _ => {
-                self.ticket.hear(self.origin.elapsed());
+                self.ticket.record_activity(self.origin.elapsed());
                 Ok(())
             }
         }
@@ -188,7 +188,7 @@
 
     /// Whether the host has been heard since a time, on this connection or another.
     pub(crate) fn heard_since(&self, time: Instant) -> bool {
-        self.origin + self.ticket.heard() > time
+        self.origin + self.ticket.last_activity() > time
     }
 
     /// The connection for another request, after a whole answer with this head; `None` where none may follow.
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,6 @@
-//! Connections that stand idle, by host, and how many are open. No I/O; times are since any one origin.
+//! Idle connections by host, and limits on open ones. No I/O.
+//!
+//! All times are durations since one origin that the caller chooses.
 
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
@@ -6,158 +8,180 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time that a connection stands idle, whatever the host allows.
-const IDLE: Duration = Duration::from_secs(10);
+/// Longest time that a connection stays idle, whatever its host allows.
+const MAX_IDLE: Duration = Duration::from_secs(10);
+/// How much sooner than its host a connection is closed, so that no request meets the host's close.
+const IDLE_MARGIN: Duration = Duration::from_secs(1);
+/// Limit on the time-out that a host's `Keep-Alive` is taken to give.
+const MAX_KEEP_ALIVE_SECONDS: u64 = 3600;
 
-/// How long a connection may stand idle, by a host's `Keep-Alive`: less than the host says, so that it isn't
-/// closed under a request.
+/// How long a connection may stay idle by its host's `Keep-Alive` field: a second less than that says, but at least
+/// half of it, and at most ten seconds.
 ///
 /// ```
 /// use std::time::Duration;
-/// assert_eq!(proxy::upstream::pool::idle(Some("timeout=5, max=9")), Duration::from_secs(4));
+/// assert_eq!(proxy::upstream::pool::idle_timeout(Some("timeout=5, max=9")), Duration::from_secs(4));
 /// ```
-pub fn idle(keep_alive: Option<&str>) -> Duration {
-    let given = keep_alive
-        .into_iter()
-        .flat_map(|v| v.split(','))
-        .find_map(|p| {
-            let (name, value) = p.trim().split_once('=')?;
-            let seconds: u64 = value.trim().parse().ok()?;
-            name.trim()
-                .eq_ignore_ascii_case("timeout")
-                .then_some(Duration::from_secs(seconds.min(3600)))
-        });
-    let margin = |d: Duration| d.saturating_sub(Duration::from_secs(1)).max(d / 2);
-    given.map_or(IDLE, |d| margin(d).min(IDLE))
+pub fn idle_timeout(keep_alive: Option<&str>) -> Duration {
+    let Some(host_timeout) = keep_alive.and_then(keep_alive_timeout) else {
+        return MAX_IDLE;
+    };
+    host_timeout
+        .saturating_sub(IDLE_MARGIN)
+        .max(host_timeout / 2)
+        .min(MAX_IDLE)
+}
+
+/// The `timeout` parameter of a `Keep-Alive` field.
+fn keep_alive_timeout(keep_alive: &str) -> Option<Duration> {
+    keep_alive.split(',').find_map(|parameter| {
+        let (name, value) = parameter.trim().split_once('=')?;
+        let seconds: u64 = value.trim().parse().ok()?;
+        name.trim()
+            .eq_ignore_ascii_case("timeout")
+            .then_some(Duration::from_secs(seconds.min(MAX_KEEP_ALIVE_SECONDS)))
+    })
 }
 
 #[derive(Debug)]
-struct Idle<C> {
-    conn: C,
-    until: Duration,
+struct IdleConnection<C> {
+    connection: C,
+    expires_at: Duration,
 }
 
 #[derive(Debug)]
 struct HostConnections<C> {
-    idle: Vec<Idle<C>>,
-    open: Rc<Cell<usize>>,
-    heard: Rc<Cell<Duration>>,
+    /// In the order in which they fell idle.
+    idle: Vec<IdleConnection<C>>,
+    open_count: Rc<Cell<usize>>,
+    last_activity: Rc<Cell<Duration>>,
+}
+
+impl<C> HostConnections<C> {
+    fn new() -> Self {
+        Self {
+            idle: Vec::new(),
+            open_count: Rc::default(),
+            last_activity: Rc::default(),
+        }
+    }
 }
 
-/// Counts a connection as open for as long as it lives, and knows when its host was last heard on any.
+/// Counts a connection as open until it is dropped, and tells when its host was last active on any connection.
 #[derive(Debug)]
 pub struct ConnectionPermit {
-    to_host: Rc<Cell<usize>>,
-    all: Rc<Cell<usize>>,
-    heard: Rc<Cell<Duration>>,
+    open_to_host: Rc<Cell<usize>>,
+    open_in_all: Rc<Cell<usize>>,
+    last_activity: Rc<Cell<Duration>>,
 }
 
 impl ConnectionPermit {
-    /// Something came from the host.
-    pub fn hear(&self, now: Duration) {
-        self.heard.set(now);
+    /// Bytes came from the host.
+    pub fn record_activity(&self, now: Duration) {
+        self.last_activity.set(now);
     }
 
-    /// When something last came from the host, on this connection or another.
-    pub fn heard(&self) -> Duration {
-        self.heard.get()
+    /// When bytes last came from the host, on this connection or another.
+    pub fn last_activity(&self) -> Duration {
+        self.last_activity.get()
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.to_host.set(self.to_host.get().saturating_sub(1));
-        self.all.set(self.all.get().saturating_sub(1));
+        for count in [&self.open_to_host, &self.open_in_all] {
+            count.set(count.get().saturating_sub(1));
+        }
     }
 }
 
-/// Idle connections of all hosts.
+/// Idle connections to all hosts.
 #[derive(Debug)]
 pub struct ConnectionPool<C> {
-    shelves: HashMap<Arc<str>, HostConnections<C>>,
-    open: Rc<Cell<usize>>,
-    most: usize,
+    hosts: HashMap<Arc<str>, HostConnections<C>>,
+    open_count: Rc<Cell<usize>>,
+    max_open: usize,
 }
 
 impl<C> ConnectionPool<C> {
-    /// With at most so many connections open over all hosts.
-    pub fn new(most: usize) -> Self {
+    /// A pool that allows `max_open` open connections over all hosts.
+    pub fn new(max_open: usize) -> Self {
         Self {
-            shelves: HashMap::new(),
-            open: Rc::default(),
-            most,
+            hosts: HashMap::new(),
+            open_count: Rc::default(),
+            max_open,
         }
     }
 
-    /// Connections that are open, in use or not.
-    pub fn open(&self) -> usize {
-        self.open.get()
+    /// Number of open connections, in use or idle.
+    pub fn open_count(&self) -> usize {
+        self.open_count.get()
     }
 
-    /// The connection of a host that was used last, where one may still be used.
-    pub fn take(&mut self, now: Duration, host: &str) -> Option<C> {
-        let idle = &mut self.shelves.get_mut(host)?.idle;
+    /// Takes the host's connection that was used last and has not expired.
+    pub fn take_idle(&mut self, now: Duration, host: &str) -> Option<C> {
+        let idle = &mut self.hosts.get_mut(host)?.idle;
         while let Some(last) = idle.pop() {
-            if last.until > now {
-                return Some(last.conn);
+            if last.expires_at > now {
+                return Some(last.connection);
             }
         }
         None
     }
 
-    /// Room for one more connection to a host that takes `most` from this process; `None` where there is none.
-    pub fn room(&mut self, host: &Arc<str>, most: usize) -> Option<ConnectionPermit> {
-        if self.open.get() >= self.most {
-            self.shelves
+    /// Permits one more connection to a host that takes `max_to_host` (at least one) from this process. At the limit
+    /// over all hosts an idle connection of any host is closed first. `None` if there is no room.
+    pub fn try_open(&mut self, host: &Arc<str>, max_to_host: usize) -> Option<ConnectionPermit> {
+        if self.open_count.get() >= self.max_open {
+            self.hosts
                 .values_mut()
-                .find(|s| !s.idle.is_empty())?
+                .find(|connections| !connections.idle.is_empty())?
                 .idle
                 .remove(0);
         }
-        let shelf = self
-            .shelves
+        let connections = self
+            .hosts
             .entry(host.clone())
-            .or_insert_with(|| HostConnections {
-                idle: Vec::new(),
-                open: Rc::default(),
-                heard: Rc::default(),
-            });
-        if shelf.open.get() >= most.max(1) {
+            .or_insert_with(HostConnections::new);
+        if connections.open_count.get() >= max_to_host.max(1) {
             return None;
         }
-        shelf.open.set(shelf.open.get() + 1);
-        self.open.set(self.open.get() + 1);
-        let heard = shelf.heard.clone();
+        for count in [&connections.open_count, &self.open_count] {
+            count.set(count.get() + 1);
+        }
         Some(ConnectionPermit {
-            to_host: shelf.open.clone(),
-            all: self.open.clone(),
-            heard,
+            open_to_host: connections.open_count.clone(),
+            open_in_all: self.open_count.clone(),
+            last_activity: connections.last_activity.clone(),
         })
     }
 
-    /// A connection that may be used again until a time; it is dropped where its host is no longer known.
-    pub fn put(&mut self, host: &str, conn: C, until: Duration) {
-        if let Some(shelf) = self.shelves.get_mut(host) {
-            shelf.idle.push(Idle { conn, until });
+    /// Puts back a connection that may be used until `expires_at`. It is closed if its host is no longer known.
+    pub fn put_idle(&mut self, host: &str, connection: C, expires_at: Duration) {
+        if let Some(connections) = self.hosts.get_mut(host) {
+            connections.idle.push(IdleConnection {
+                connection,
+                expires_at,
+            });
         }
     }
 
-    /// Drops the idle connections of a host.
-    pub fn forget(&mut self, host: &str) {
-        if let Some(shelf) = self.shelves.get_mut(host) {
-            shelf.idle.clear();
+    /// Closes the idle connections to a host.
+    pub fn close_idle(&mut self, host: &str) {
+        if let Some(connections) = self.hosts.get_mut(host) {
+            connections.idle.clear();
         }
     }
 
-    /// Drops what belongs to other hosts than these.
-    pub fn keep(&mut self, hosts: &HashSet<&str>) {
-        self.shelves.retain(|h, _| hosts.contains(&**h));
+    /// Forgets all hosts but these, and closes the idle connections to them.
+    pub fn retain_hosts(&mut self, hosts: &HashSet<&str>) {
+        self.hosts.retain(|host, _| hosts.contains(&**host));
     }
 
-    /// Drops what has stood idle for too long.
-    pub fn sweep(&mut self, now: Duration) {
-        self.shelves
-            .values_mut()
-            .for_each(|s| s.idle.retain(|i| i.until > now));
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired(&mut self, now: Duration) {
+        for connections in self.hosts.values_mut() {
+            connections.idle.retain(|idle| idle.expires_at > now);
+        }
     }
 }
--- a/crates/proxy/tests/event_stream.rs
+++ b/crates/proxy/tests/event_stream.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 
 fn all(splitter: &mut EventSplitter) -> Vec<(String, Option<String>)> {
-    std::iter::from_fn(|| splitter.take())
+    std::iter::from_fn(|| splitter.next_event())
         .map(|e| (String::from_utf8(e.bytes.to_vec()).unwrap(), e.id))
         .collect()
 }
@@ -23,24 +23,26 @@
         let mut splitter = EventSplitter::new(1024);
         let mut got = Vec::new();
         for part in [&text[..cut], &text[cut..]] {
-            assert!(splitter.push(part.as_bytes()));
+            assert!(splitter.push(part.as_bytes()).is_ok());
             got.extend(all(&mut splitter));
         }
         assert_eq!(got, whole, "cut at {cut}");
-        assert!(splitter.rest().is_empty());
+        assert!(splitter.take_incomplete().is_empty());
     }
 }
 
 #[test]
 fn several_events_in_one_piece_and_the_rest() {
     let mut splitter = EventSplitter::new(1024);
-    splitter.push(b"id: 1\n\nid: 2\ndata: x\n\nid: 3\nda");
+    splitter
+        .push(b"id: 1\n\nid: 2\ndata: x\n\nid: 3\nda")
+        .unwrap();
     let ids: Vec<_> = all(&mut splitter).into_iter().filter_map(|e| e.1).collect();
     assert_eq!(ids, ["1", "2"]);
-    assert_eq!(&splitter.rest()[..], b"id: 3\nda");
-    splitter.push(b"data: y\n\n");
+    assert_eq!(&splitter.take_incomplete()[..], b"id: 3\nda");
+    splitter.push(b"data: y\n\n").unwrap();
     assert_eq!(
-        splitter.take().unwrap().id,
+        splitter.next_event().unwrap().id,
         None,
         "nothing of the event before stays"
     );
@@ -49,12 +51,12 @@
 #[test]
 fn lines_that_end_with_cr_alone() {
     let mut splitter = EventSplitter::new(1024);
-    splitter.push(b"id: 1\rdata: a\r\r");
+    splitter.push(b"id: 1\rdata: a\r\r").unwrap();
     assert!(
-        splitter.take().is_none(),
+        splitter.next_event().is_none(),
         "an LF may still belong to the last line"
     );
-    splitter.push(b"id: 2\r\r:");
+    splitter.push(b"id: 2\r\r:").unwrap();
     assert_eq!(
         all(&mut splitter)
             .into_iter()
@@ -67,9 +69,9 @@
 #[test]
 fn an_event_that_grows_too_large_is_an_error() {
     let mut splitter = EventSplitter::new(8);
-    assert!(splitter.push(b"data: 12"));
-    assert!(splitter.take().is_none());
-    assert!(!splitter.push(b"3"));
+    assert!(splitter.push(b"data: 12").is_ok());
+    assert!(splitter.next_event().is_none());
+    assert!(splitter.push(b"3").is_err());
 }
 
 fn event(id: Option<&str>) -> Event {
@@ -93,6 +95,9 @@
     #[case] admitted: bool,
 ) {
     let mut place = EventOffset::after(last);
-    assert_eq!(place.admit(&event(id)), admitted);
-    assert_eq!(place.last(), if admitted { id.or(last) } else { last });
+    assert_eq!(place.advance(&event(id)), admitted);
+    assert_eq!(
+        place.last_event_id(),
+        if admitted { id.or(last) } else { last }
+    );
 }
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -1,6 +1,6 @@
 //! Connections that stand idle.
 
-use proxy::upstream::pool::{idle, ConnectionPermit, ConnectionPool};
+use proxy::upstream::pool::{idle_timeout, ConnectionPermit, ConnectionPool};
 use rstest::rstest;
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 }
 
 fn put(pool: &mut ConnectionPool<Conn>, name: &str, number: u32, until: u64) {
-    let ticket = pool.room(&host(name), 9).unwrap();
-    pool.put(name, Conn(number, ticket), s(until));
+    let ticket = pool.try_open(&host(name), 9).unwrap();
+    pool.put_idle(name, Conn(number, ticket), s(until));
 }
 
 #[test]
@@ -28,38 +28,38 @@
     put(&mut pool, "a", 1, 10);
     put(&mut pool, "a", 2, 3);
     put(&mut pool, "a", 3, 10);
-    assert_eq!(pool.take(s(1), "a").unwrap().0, 3);
+    assert_eq!(pool.take_idle(s(1), "a").unwrap().0, 3);
     assert_eq!(
-        pool.take(s(5), "a").unwrap().0,
+        pool.take_idle(s(5), "a").unwrap().0,
         1,
         "the second had stood for too long"
     );
-    assert!(pool.take(s(5), "a").is_none() && pool.take(s(5), "b").is_none());
-    assert_eq!(pool.open(), 0);
+    assert!(pool.take_idle(s(5), "a").is_none() && pool.take_idle(s(5), "b").is_none());
+    assert_eq!(pool.open_count(), 0);
 }
 
 #[test]
 fn a_host_takes_no_more_than_its_share() {
     let mut pool: ConnectionPool<Conn> = ConnectionPool::new(9);
-    let first = pool.room(&host("a"), 2).unwrap();
-    let second = pool.room(&host("a"), 2).unwrap();
-    assert!(pool.room(&host("a"), 2).is_none());
-    assert!(pool.room(&host("b"), 2).is_some());
+    let first = pool.try_open(&host("a"), 2).unwrap();
+    let second = pool.try_open(&host("a"), 2).unwrap();
+    assert!(pool.try_open(&host("a"), 2).is_none());
+    assert!(pool.try_open(&host("b"), 2).is_some());
     drop(first);
-    assert!(pool.room(&host("a"), 2).is_some());
+    assert!(pool.try_open(&host("a"), 2).is_some());
     drop(second);
-    assert_eq!(pool.open(), 0);
+    assert_eq!(pool.open_count(), 0);
 }
 
 #[test]
 fn idle_connections_make_room_for_new_ones() {
     let mut pool = ConnectionPool::new(2);
     put(&mut pool, "a", 1, 10);
-    let _used = pool.room(&host("b"), 9).unwrap();
-    let _new = pool.room(&host("b"), 9).expect("the idle one has gone");
-    assert!(pool.take(s(1), "a").is_none());
-    assert!(pool.room(&host("b"), 9).is_none(), "nothing is idle");
-    assert_eq!(pool.open(), 2);
+    let _used = pool.try_open(&host("b"), 9).unwrap();
+    let _new = pool.try_open(&host("b"), 9).expect("the idle one has gone");
+    assert!(pool.take_idle(s(1), "a").is_none());
+    assert!(pool.try_open(&host("b"), 9).is_none(), "nothing is idle");
+    assert_eq!(pool.open_count(), 2);
 }
 
 #[test]
@@ -67,17 +67,17 @@
     let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 10);
     put(&mut pool, "b", 2, 10);
-    let late = Conn(3, pool.room(&host("a"), 9).unwrap());
-    pool.keep(&HashSet::from(["b"]));
-    assert_eq!(pool.open(), 2);
-    pool.put("a", late, s(10));
+    let late = Conn(3, pool.try_open(&host("a"), 9).unwrap());
+    pool.retain_hosts(&HashSet::from(["b"]));
+    assert_eq!(pool.open_count(), 2);
+    pool.put_idle("a", late, s(10));
     assert!(
-        pool.take(s(1), "a").is_none(),
+        pool.take_idle(s(1), "a").is_none(),
         "one that comes back later is dropped as well"
     );
-    pool.forget("b");
-    assert!(pool.take(s(1), "b").is_none());
-    assert_eq!(pool.open(), 0);
+    pool.close_idle("b");
+    assert!(pool.take_idle(s(1), "b").is_none());
+    assert_eq!(pool.open_count(), 0);
 }
 
 #[test]
@@ -85,8 +85,8 @@
     let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 2);
     put(&mut pool, "a", 2, 10);
-    pool.sweep(s(5));
-    assert_eq!(pool.open(), 1);
+    pool.close_expired(s(5));
+    assert_eq!(pool.open_count(), 1);
 }
 
 #[rstest]
@@ -102,5 +102,5 @@
     #[case] keep_alive: Option<&str>,
     #[case] ms: u64,
 ) {
-    assert_eq!(idle(keep_alive), Duration::from_millis(ms));
+    assert_eq!(idle_timeout(keep_alive), Duration::from_millis(ms));
 }
--- a/crates/proxy/tests/retry.rs
+++ b/crates/proxy/tests/retry.rs
@@ -14,13 +14,13 @@
 }
 
 #[rstest]
-#[case(true, AttemptOutcome::NotRun, RetryDecision::Again)]
-#[case(true, AttemptOutcome::Broke, RetryDecision::Again)]
-#[case(true, AttemptOutcome::HostFailed, RetryDecision::Again)]
-#[case(false, AttemptOutcome::NotRun, RetryDecision::Again)]
+#[case(true, AttemptOutcome::NotExecuted, RetryDecision::Retry)]
+#[case(true, AttemptOutcome::Broken, RetryDecision::Retry)]
+#[case(true, AttemptOutcome::HostFailed, RetryDecision::Retry)]
+#[case(false, AttemptOutcome::NotExecuted, RetryDecision::Retry)]
 #[case(
     false,
-    AttemptOutcome::Broke,
+    AttemptOutcome::Broken,
     RetryDecision::GiveUp(ResultCode::HostBroke)
 )]
 #[case(
@@ -34,8 +34,8 @@
     #[case] next: RetryDecision,
 ) {
     let mut trial = trial(idempotent, 2);
-    trial.sent();
-    assert_eq!(trial.ended(NOW, end), next);
+    trial.record_sent();
+    assert_eq!(trial.on_attempt_ended(NOW, end), next);
 }
 
 #[rstest]
@@ -44,64 +44,73 @@
 fn what_was_not_sent_goes_on(#[case] idempotent: bool) {
     let mut trial = trial(idempotent, 1);
     assert_eq!(
-        trial.ended(NOW, AttemptOutcome::Unreached),
-        RetryDecision::Again
+        trial.on_attempt_ended(NOW, AttemptOutcome::Unreachable),
+        RetryDecision::Retry
     );
-    assert!(!trial.heard() && !trial.owes());
+    assert!(!trial.was_sent() && !trial.needs_retry_budget());
 }
 
 #[test]
 fn hosts_that_can_not_be_reached_have_a_limit() {
     let mut trial = trial(true, 9);
     let ends: Vec<_> = (0..6)
-        .map(|_| trial.ended(NOW, AttemptOutcome::Unreached))
+        .map(|_| trial.on_attempt_ended(NOW, AttemptOutcome::Unreachable))
         .collect();
-    assert_eq!(ends[..5], [RetryDecision::Again; 5]);
+    assert_eq!(ends[..5], [RetryDecision::Retry; 5]);
     assert_eq!(ends[5], RetryDecision::GiveUp(ResultCode::NoHost));
 }
 
 #[rstest]
-#[case(AttemptOutcome::NotRun, ResultCode::NoHost)]
-#[case(AttemptOutcome::Broke, ResultCode::HostBroke)]
+#[case(AttemptOutcome::NotExecuted, ResultCode::NoHost)]
+#[case(AttemptOutcome::Broken, ResultCode::HostBroke)]
 fn the_last_try_ends_it(#[case] end: AttemptOutcome, #[case] code: ResultCode) {
     let mut trial = trial(true, 1);
-    trial.sent();
-    assert_eq!(trial.ended(NOW, end), RetryDecision::GiveUp(code));
+    trial.record_sent();
+    assert_eq!(
+        trial.on_attempt_ended(NOW, end),
+        RetryDecision::GiveUp(code)
+    );
 }
 
 #[rstest]
-#[case(AttemptOutcome::NotRun, ResultCode::LateNotRun)]
-#[case(AttemptOutcome::Broke, ResultCode::LateMayHaveRun)]
+#[case(AttemptOutcome::NotExecuted, ResultCode::LateNotRun)]
+#[case(AttemptOutcome::Broken, ResultCode::LateMayHaveRun)]
 fn with_the_time_over_it_ends(#[case] end: AttemptOutcome, #[case] code: ResultCode) {
     let mut trial = trial(true, 3);
-    trial.sent();
-    assert_eq!(trial.ended(LATE, end), RetryDecision::GiveUp(code));
+    trial.record_sent();
+    assert_eq!(
+        trial.on_attempt_ended(LATE, end),
+        RetryDecision::GiveUp(code)
+    );
 }
 
 #[test]
 fn a_broken_attempt_stays_in_what_may_be_promised() {
     let mut trial = trial(true, 3);
-    trial.sent();
-    trial.ended(NOW, AttemptOutcome::Broke);
-    trial.sent();
-    trial.ended(NOW, AttemptOutcome::NotRun);
+    trial.record_sent();
+    trial.on_attempt_ended(NOW, AttemptOutcome::Broken);
+    trial.record_sent();
+    trial.on_attempt_ended(NOW, AttemptOutcome::NotExecuted);
     assert_eq!(
-        trial.refusal(ResultCode::BudgetSpent),
+        trial.code_unless_run(ResultCode::BudgetSpent),
         ResultCode::HostBroke
     );
-    assert_eq!(trial.overdue(), ResultCode::LateMayHaveRun);
+    assert_eq!(trial.deadline_code(), ResultCode::LateMayHaveRun);
 }
 
 #[test]
 fn one_that_moved_away_may_have_run() {
     let mut trial = trial(true, 2);
-    trial.sent();
-    assert!(trial.may_move(NOW));
-    trial.moved();
-    trial.sent();
-    assert!(!trial.may_move(NOW), "that was the last host it may go to");
+    trial.record_sent();
+    assert!(trial.may_fail_over(NOW));
+    trial.record_failover();
+    trial.record_sent();
+    assert!(
+        !trial.may_fail_over(NOW),
+        "that was the last host it may go to"
+    );
     assert_eq!(
-        trial.ended(NOW, AttemptOutcome::NotRun),
+        trial.on_attempt_ended(NOW, AttemptOutcome::NotExecuted),
         RetryDecision::GiveUp(ResultCode::HostBroke)
     );
 }
@@ -119,16 +128,16 @@
 #[test]
 fn a_repeat_is_paid_once_a_host_hears_of_it() {
     let mut trial = trial(true, 9);
-    assert!(!trial.owes(), "the first is free");
-    trial.sent();
-    trial.ended(NOW, AttemptOutcome::NotRun);
-    assert!(trial.owes());
-    trial.paid();
-    trial.ended(NOW, AttemptOutcome::Unreached);
+    assert!(!trial.needs_retry_budget(), "the first is free");
+    trial.record_sent();
+    trial.on_attempt_ended(NOW, AttemptOutcome::NotExecuted);
+    assert!(trial.needs_retry_budget());
+    trial.record_budget_taken();
+    trial.on_attempt_ended(NOW, AttemptOutcome::Unreachable);
     assert!(
-        !trial.owes(),
+        !trial.needs_retry_budget(),
         "what was taken for a host that could not be reached is still there"
     );
-    trial.sent();
-    assert!(trial.owes());
+    trial.record_sent();
+    assert!(trial.needs_retry_budget());
 }
--- a/crates/proxy/tests/routes.rs
+++ b/crates/proxy/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Which route a request takes, and to which service.
 
 use configuration::Configuration;
-use proxy::routes::{service, RouteTable};
+use proxy::routes::{select_service, RouteTable};
 use rstest::rstest;
 
 fn document() -> Configuration {
@@ -56,11 +56,14 @@
     let route = routes.find("z", b"/a/").unwrap();
     let step = u64::MAX / 1000;
     let drawn: Vec<_> = (0..1000)
-        .map(|n| service(route, n * step).unwrap())
+        .map(|n| select_service(route, n * step).unwrap())
         .collect();
     let count = |name| drawn.iter().filter(|s| **s == name).count();
     assert_eq!(count("s"), 0, "no weight, no request");
     assert!((899..=901).contains(&count("t")), "{}", count("t"));
-    assert_eq!(service(route, u64::MAX), Some("u"));
-    assert_eq!(service(routes.find("x", b"/a/").unwrap(), 5), Some("s"));
+    assert_eq!(select_service(route, u64::MAX), Some("u"));
+    assert_eq!(
+        select_service(routes.find("x", b"/a/").unwrap(), 5),
+        Some("s")
+    );
 }
