--- a/crates/proxy/tests/retry.rs
+++ b/crates/proxy/tests/retry.rs
@@ -118,11 +118,11 @@
 #[test]
 fn only_what_may_run_twice_moves() {
     let mut once = trial(false, 3);
-    once.sent();
-    assert!(!once.may_move(NOW));
+    once.record_sent();
+    assert!(!once.may_fail_over(NOW));
     let mut pure = trial(true, 3);
-    pure.sent();
-    assert!(!pure.may_move(LATE));
+    pure.record_sent();
+    assert!(!pure.may_fail_over(LATE));
 }
 
 #[test]
