--- a/crates/coordinator/src/bin/fennelpin-adapter/main.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/main.rs
@@ -109,7 +109,7 @@
                 ..
             } = instance;
             voice.iter_mut().for_each(|v| v.tell(now, router, actions));
-            router.handle(now, Event::TurnEnd, actions);
+            router.handle(now, Event::TurnEnded, actions);
             let word = voice
                 .as_mut()
                 .and_then(|v| v.speak(now, router, actions, |id| words.server(id)));
--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -3,8 +3,8 @@
 pub use coordinator::core::settings::from_ms;
 use coordinator::core::{names::Names, settings::load_report};
 use coordinator::{
-    Action, ClassId, Event, ListKind, LoadReport, Outcome, RequestId, ServerEntry, ServerId,
-    ServerState, Settings, TenantId, ZoneId,
+    Action, ClassId, Event, ListKind, LoadReport, Outcome, RequestId, RouterSettings, ServerEntry,
+    ServerId, ServerState, TenantId, ZoneId,
 };
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -95,7 +95,7 @@
 }
 
 /// Reads the settings of a `start`.
-pub fn settings(json: &str) -> Result<(Settings, Words)> {
+pub fn settings(json: &str) -> Result<(RouterSettings, Words)> {
     let site =
         coordinator::core::settings::read(json).map_err(|e| format!("start: 'options': {e}"))?;
     let words = Words {
@@ -155,12 +155,12 @@
     Ok(match code {
         "200" => Outcome::Ok,
         "500" => Outcome::Error,
-        "503" => Outcome::Full,
+        "503" => Outcome::Rejected,
         "504" => Outcome::Timeout,
         "502" => Outcome::ConnectFailed,
         "598" => Outcome::Reset,
         "499" => Outcome::Cancelled,
-        "410" => Outcome::Moot,
+        "410" => Outcome::NotSent,
         other => return Err(format!("'how' can't be '{other}'")),
     })
 }
@@ -183,11 +183,11 @@
                     zone: ZoneId(self.zones.number(&e.zone)),
                     cell: e.cell,
                     state: e.state,
-                    boot: e.boot.map(from_ms),
+                    started_at: e.boot.map(from_ms),
                 });
             }
         }
-        Ok(Event::List { kind, entries })
+        Ok(Event::ServerList { kind, entries })
     }
 
     fn report(&self, row: Option<&str>) -> Option<LoadReport> {
@@ -232,7 +232,7 @@
                         class,
                         tenant,
                         deadline,
-                        repeat,
+                        is_retry: repeat,
                     }
                 } else {
                     let Some(query) = self.queries.get(&whole).copied() else {
@@ -258,7 +258,7 @@
                 let closed = f.text("closed")? == "1";
                 let report = self.report(f.optional());
                 let Some(part) = part else { return Ok(None) };
-                Event::AttemptEnd {
+                Event::AttemptEnded {
                     part,
                     attempt,
                     outcome,
@@ -268,7 +268,7 @@
                 }
             }
             "withdrawn" => match self.requests.find(f.text("xid")?) {
-                Some(n) => Event::Withdrawn {
+                Some(n) => Event::ClientLeft {
                     query: RequestId(n.into()),
                 },
                 None => return Ok(None),
@@ -281,7 +281,7 @@
                 let Some(server) = server else {
                     return Ok(None);
                 };
-                Event::Probed {
+                Event::ProbeEnded {
                     server,
                     outcome,
                     report,
@@ -317,10 +317,13 @@
             Action::Cancel { part, attempt } => {
                 writeln!(out, "withdraw {who} {} {attempt}", request(part))
             }
-            Action::Answer { query, whole } => {
+            Action::Answer {
+                query,
+                complete: whole,
+            } => {
                 writeln!(out, "wrap_up {who} {} {}", request(query), u8::from(*whole))
             }
-            Action::Refuse {
+            Action::Reject {
                 query, retry_after, ..
             } => {
                 let after = retry_after.map_or("-".to_owned(), |d| to_ms(d).to_string());
@@ -330,7 +333,7 @@
             Action::Probe { server } => {
                 writeln!(out, "sample {who} {}", self.servers.name(server.0))
             }
-            Action::Release { server } => {
+            Action::CloseIdleConnections { server } => {
                 writeln!(out, "release {who} {}", self.servers.name(server.0))
             }
             Action::Subscribe => writeln!(out, "keep_informed {who} 1"),
--- a/crates/coordinator/src/choice.rs
+++ b/crates/coordinator/src/choice.rs
@@ -7,8 +7,8 @@
 //! entry off; with none listed it goes to a random holder. Everything else is a guard around that path.
 
 use crate::interface::{
-    Action, Budget, Cause, Class, ClassId, Event, ListKind, LoadReport, Outcome, Repeat, RequestId,
-    ServerEntry, ServerId, ServerState,
+    Action, Cause, ClassId, Event, Idempotency, ListKind, LoadReport, Outcome, QueryClass,
+    RequestId, RetryBudget, ServerEntry, ServerId, ServerState,
 };
 use crate::state::{
     duration, secs, Attempt, Part, Progress, Query, Rate, Router, Server, Sick, Standing, Why,
@@ -72,10 +72,10 @@
 const IDLE: f64 = 1.0;
 const IDLE_SPAN: f64 = 8.0;
 const OUTLIER: f64 = 2.5;
-const COPIES: Budget = Budget {
-    free: 10.0,
-    share: 0.2,
-    span: Duration::from_secs(2),
+const COPIES: RetryBudget = RetryBudget {
+    min_retries: 10.0,
+    retry_share: 0.2,
+    window: Duration::from_secs(2),
 };
 /// Share of the budget open to hedges; the rest is kept for parts that failed.
 const HEDGE_SHARE: f64 = 0.6;
@@ -114,7 +114,7 @@
             self.away = (self.wake_at, self.now);
         }
         match event {
-            Event::List { kind, entries } => self.on_list(kind, &entries),
+            Event::ServerList { kind, entries } => self.on_list(kind, &entries),
             Event::Query { .. } => self.on_query(event),
             Event::Part {
                 id,
@@ -122,15 +122,19 @@
                 shard,
                 weight,
             } => self.on_part(id, query, shard, weight),
-            Event::AttemptEnd { .. } => self.on_attempt_end(event, out),
-            Event::Withdrawn { query } => self.forget(query, out),
-            Event::Probed {
+            Event::AttemptEnded { .. } => self.on_attempt_end(event, out),
+            Event::ClientLeft { query } => self.forget(query, out),
+            Event::ProbeEnded {
                 server,
                 outcome,
                 report,
             } => self.on_probed(server, outcome, report),
-            Event::Unreached { server } => self.eject(server, true),
-            Event::Told { server, out, age } => {
+            Event::Unreachable { server } => self.eject(server, true),
+            Event::PeerLoad {
+                server,
+                in_flight: out,
+                age,
+            } => {
                 self.note_load(server, out);
                 self.servers
                     .get_mut(&server)
@@ -138,7 +142,7 @@
                     .for_each(|s| s.told_at = self.now - secs(age));
             }
             Event::Wake => {}
-            Event::TurnEnd => self.decide(out),
+            Event::TurnEnded => self.decide(out),
         }
     }
 
@@ -148,7 +152,7 @@
             class,
             tenant,
             deadline,
-            repeat,
+            is_retry: repeat,
         } = event
         else {
             return;
@@ -157,8 +161,14 @@
         let Some(settings) = self.cfg.classes.get(class.0 as usize) else {
             return;
         };
-        let (deadline, limit) = (secs(deadline), secs(settings.limit));
-        let goal_at = self.goal_of(class, deadline, secs(settings.goal), limit, repeat);
+        let (deadline, limit) = (secs(deadline), secs(settings.client_timeout));
+        let goal_at = self.goal_of(
+            class,
+            deadline,
+            secs(settings.latency_target),
+            limit,
+            repeat,
+        );
         if let Some(rate) = tenant.and_then(|t| self.tenants.get_mut(t.0 as usize)) {
             rate.add(self.now, RATE_SPAN);
         }
@@ -208,7 +218,7 @@
     }
 
     fn on_attempt_end(&mut self, event: Event, out: &mut Out) {
-        let Event::AttemptEnd {
+        let Event::AttemptEnded {
             part: id,
             attempt,
             outcome,
@@ -239,7 +249,7 @@
         } else if idle && outcome == Outcome::Ok {
             self.idle_kept.add(self.now, IDLE_SPAN);
         }
-        if outcome == Outcome::Ok && self.cfg.may_cancel {
+        if outcome == Outcome::Ok && self.cfg.cancellation {
             let others = self
                 .parts
                 .get(&id)
@@ -273,14 +283,14 @@
             self.judge(server, outcome, sent);
             self.judge_class(server, of, outcome);
         }
-        let told = report.and_then(|r| r.inflight.or(r.queue).or(r.busy.map(|b| 2.0 * b)));
+        let told = report.and_then(|r| r.in_flight.or(r.queued).or(r.utilization.map(|b| 2.0 * b)));
         self.reports |= told.is_some();
         let word = self
             .servers
             .get(&server)
             .is_some_and(|s| self.now - s.told_at < TOLD);
         // A full server tells no load: it counts as far busier than the mean.
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             self.note_load(server, 2.0 * self.mean_load + FULL);
         } else if matches!(outcome, Outcome::Ok | Outcome::Error)
             && !word
@@ -318,16 +328,16 @@
         }
     }
 
-    // ---- Settings-derived limits ----
+    // ---- RouterSettings-derived limits ----
 
     /// Time kept before a limit so that an action at the next turn is still in time.
     fn margin(&self) -> f64 {
-        2.0 * secs(self.cfg.step).max(TICK)
+        2.0 * secs(self.cfg.min_turn_interval).max(TICK)
     }
 
     /// A quantile of the recent part times of a class; before any, a guess from its goal.
     fn latency(&self, class: ClassId, q: f64) -> f64 {
-        let guess = secs(self.class(class).goal) * (0.1 + 0.15 * q);
+        let guess = secs(self.class(class).latency_target) * (0.1 + 0.15 * q);
         self.latencies[class.0 as usize]
             .quantile(q, FEW)
             .unwrap_or(guess)
@@ -346,7 +356,7 @@
             .cfg
             .classes
             .iter()
-            .map(|c| secs(c.goal))
+            .map(|c| secs(c.latency_target))
             .fold(f64::MAX, f64::min);
         self.all_latencies
             .quantile(0.75, FEW)
@@ -359,20 +369,23 @@
 
     /// Parts that one call may carry: where a call costs work, as many as keep it short of the goal.
     fn bundle(&self, class: ClassId) -> usize {
-        let call = secs(self.cfg.call_cost);
+        let call = secs(self.cfg.call_overhead);
         if call <= 0.0 {
             return 1;
         }
         let c = self.class(class);
-        let steps = if c.second_step > 0 { 2.0 } else { 1.0 };
-        let room = BUNDLE_GOAL * secs(c.goal) / steps - call;
-        ((room / self.part_work(class)) as usize).clamp(1, self.cfg.bundle_max.max(1) as usize)
+        let steps = if c.second_step_parts > 0 { 2.0 } else { 1.0 };
+        let room = BUNDLE_GOAL * secs(c.latency_target) / steps - call;
+        ((room / self.part_work(class)) as usize)
+            .clamp(1, self.cfg.max_parts_per_call.max(1) as usize)
     }
 
     fn part_work(&self, class: ClassId) -> f64 {
         let base = self.latency(class, 0.2);
         // Never zero, whatever clock measured it: ranks divide by it.
-        (base - secs(self.cfg.call_cost)).max(base / 4.0).max(1e-3)
+        (base - secs(self.cfg.call_overhead))
+            .max(base / 4.0)
+            .max(1e-3)
     }
 
     // ---- Idle queue ----
@@ -527,7 +540,9 @@
         }
         // A trial goes first, or none would be cleared; only a first try that may be repeated is risked.
         let trial = found.iter().find(|f| f.0 == Standing::Trial);
-        if self.class(class).repeat != Repeat::Unsafe && part.attempts.is_empty() && trial.is_some()
+        if self.class(class).idempotency != Idempotency::NotIdempotent
+            && part.attempts.is_empty()
+            && trial.is_some()
         {
             return trial.map(|f| f.2);
         }
@@ -552,11 +567,11 @@
             return None;
         }
         found.retain(|f| (f.0, f.1) == best);
-        let call = secs(self.cfg.call_cost) / self.part_work(class);
+        let call = secs(self.cfg.call_overhead) / self.part_work(class);
         let limit = self.bundle(class) as f64;
         let rank = |id: ServerId| {
             let s = &self.servers[&id];
-            let far = if self.cfg.zone_cost && self.cfg.zone != Some(s.zone) {
+            let far = if self.cfg.cross_zone_cost && self.cfg.zone != Some(s.zone) {
                 ZONE_RANK
             } else {
                 0.0
@@ -591,11 +606,11 @@
             f64::from(self.cfg.routers) > FEW_ROUTERS,
         );
         let call = if many {
-            f64::from(self.cfg.bundle_max.max(1))
+            f64::from(self.cfg.max_parts_per_call.max(1))
         } else {
             1.0
         };
-        let jitter = if outcome == Outcome::Full {
+        let jitter = if outcome == Outcome::Rejected {
             0.5 + self.chance()
         } else {
             0.0
@@ -630,7 +645,7 @@
                 }
                 self.eject(server, true);
             }
-            Outcome::Full => {
+            Outcome::Rejected => {
                 // A window of less than a call is none, but time; one that drains wants nothing more.
                 let least = if s.state == ServerState::Ready {
                     call
@@ -730,7 +745,7 @@
             .cfg
             .classes
             .iter()
-            .map(|c| secs(c.goal))
+            .map(|c| secs(c.latency_target))
             .fold(f64::MAX, f64::min);
         (STALL * q90).max((STALL_GOAL * goal).min(0.5))
     }
@@ -764,7 +779,7 @@
             s.outs.retain(|_| !lost);
             let own = f64::from(s.own());
             let others = report
-                .and_then(|r| r.inflight.or(r.queue))
+                .and_then(|r| r.in_flight.or(r.queued))
                 .map(|held| (held - own).max(0.0));
             others
                 .into_iter()
@@ -782,8 +797,8 @@
     fn warmth(&self, s: &Server) -> f64 {
         let (share, ramp) = self
             .cfg
-            .cold
-            .map_or((0.25, 10.0), |c| (c.share, secs(c.ramp)));
+            .slow_start
+            .map_or((0.25, 10.0), |c| (c.initial_share, secs(c.ramp)));
         let age = s
             .cold_since
             .map_or(f64::MAX, |since| (self.now - since).max(0.0));
@@ -799,7 +814,7 @@
             .filter(|s| s.state == ServerState::Ready)
             .count()
             .max(1) as f64;
-        let multiple = self.cfg.cold.map_or(2.0, |c| c.fall_multiple) / 2.0;
+        let multiple = self.cfg.slow_start.map_or(2.0, |c| c.overload_factor) / 2.0;
         let work =
             |time: Option<f64>| (time.unwrap_or(0.1) * f64::from(self.cfg.routers)).max(0.01);
         let core = multiple / work(self.all_latencies.quantile(0.2, FEW));
@@ -816,12 +831,13 @@
 
     /// Attempts beyond a part's first, with a turn to spare at both ends; copies have a budget anyway.
     fn budget_left(&mut self, share: f64) -> bool {
-        if self.cfg.budget.is_none() && share >= 1.0 {
+        if self.cfg.retry_budget.is_none() && share >= 1.0 {
             return true;
         }
-        let b = self.cfg.budget.unwrap_or(COPIES);
-        let (span, edge) = (secs(b.span), self.margin());
-        let allowed = b.free + b.share * self.taken.count(self.now - span + edge) as f64;
+        let b = self.cfg.retry_budget.unwrap_or(COPIES);
+        let (span, edge) = (secs(b.window), self.margin());
+        let allowed =
+            b.min_retries + b.retry_share * self.taken.count(self.now - span + edge) as f64;
         self.extra.count(self.now - span - edge) as f64 + 1.0 <= share * allowed
     }
 
@@ -831,7 +847,7 @@
             return false;
         }
         let out = part.attempts.iter().any(|a| a.out);
-        (self.cfg.second_copies || !out) && self.harmless(part, class, self.margin())
+        (self.cfg.hedging || !out) && self.harmless(part, class, self.margin())
     }
 
     /// Whether a repeat so much later would do no harm, counted from the first attempt that may have run.
@@ -842,10 +858,10 @@
             .filter(|a| a.out || a.may_have_run)
             .map(|a| a.sent);
         let since = risky.fold(f64::MAX, f64::min);
-        match self.class(class).repeat {
-            Repeat::Safe => true,
-            Repeat::Keyed(window) => self.now + later - since < secs(window),
-            Repeat::Unsafe => since == f64::MAX,
+        match self.class(class).idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed(window) => self.now + later - since < secs(window),
+            Idempotency::NotIdempotent => since == f64::MAX,
         }
     }
 
@@ -955,7 +971,8 @@
         out: &mut Out,
     ) {
         let now = self.now;
-        let copies = self.cfg.second_copies || self.class(class).repeat == Repeat::Unsafe;
+        let copies =
+            self.cfg.hedging || self.class(class).idempotency == Idempotency::NotIdempotent;
         let stall = self.stall_limit();
         let Some(q) = self
             .parts
@@ -965,7 +982,7 @@
             return;
         };
         // An attempt lives as long as its answer can be of use: servers can drop what is overdue.
-        let end = q.deadline.min(if self.class(class).late_worth > 0.0 {
+        let end = q.deadline.min(if self.class(class).late_value > 0.0 {
             f64::MAX
         } else {
             q.goal_at
@@ -993,7 +1010,7 @@
                 f64::MIN
             }) > IDLE;
         if idle && drops && s.last_send < now {
-            out.push(Action::Release { server });
+            out.push(Action::CloseIdleConnections { server });
         }
         // One unused slot may be made up for.
         (s.last_send, s.slot_at) = (now, (s.slot_at + gap).max(now - gap));
@@ -1060,7 +1077,7 @@
     /// Past its goal a query is worked on where it still earns something: in congestion only if that is more,
     /// for the share of its parts still missing, than a fresh query earns for all of its own.
     fn useful_until(&self, q: &Query) -> f64 {
-        let late = self.class(q.class).late_worth;
+        let late = self.class(q.class).late_value;
         let missing = q.parts.iter().filter(|p| !self.parts[p].done).count() as f64;
         let earns = late > 0.0 && (!self.congested() || missing < late * q.parts.len() as f64);
         q.deadline.min(if earns { f64::MAX } else { q.goal_at })
@@ -1068,11 +1085,11 @@
 
     fn pressing(&self, q: &Query) -> bool {
         let step = self.kept_for_second(q);
-        q.goal_at - step - self.now < PRESSING * (secs(self.class(q.class).goal) - step)
+        q.goal_at - step - self.now < PRESSING * (secs(self.class(q.class).latency_target) - step)
     }
 
     fn kept_for_second(&self, q: &Query) -> f64 {
-        let first_of_two = self.class(q.class).second_step > 0 && q.first.is_none();
+        let first_of_two = self.class(q.class).second_step_parts > 0 && q.first.is_none();
         f64::from(u8::from(first_of_two)) * SECOND_STEP * self.latency(q.class, 0.9)
     }
 
@@ -1086,11 +1103,11 @@
         let mut order: Vec<&RequestId> = q.parts.iter().collect();
         order.sort_by(|a, b| self.parts[b].weight.total_cmp(&self.parts[a].weight));
         let total: f64 = q.parts.iter().map(|p| self.parts[p].weight).sum();
-        let partial = c.floor < c.need;
+        let partial = c.min_share < c.complete_share;
         let target = if partial {
             self.best_share(c, &order, total)
         } else {
-            c.need * total
+            c.complete_share * total
         };
         let slow = self.latency(q.class, 0.9);
         let pressing = self.pressing(q) && !self.congested();
@@ -1106,7 +1123,7 @@
                 break;
             }
             asked.push(*pid);
-            if !(c.need < 1.0 && pressing && late(p)) {
+            if !(c.complete_share < 1.0 && pressing && late(p)) {
                 sum += p.weight;
             }
         }
@@ -1114,10 +1131,10 @@
     }
 
     /// The share of the weight, heaviest first, beyond which a part earns less than parts do on average.
-    fn best_share(&self, c: &Class, order: &[&RequestId], total: f64) -> f64 {
+    fn best_share(&self, c: &QueryClass, order: &[&RequestId], total: f64) -> f64 {
         // What a part costs others rises faster than the wait does: next to nothing while servers are light.
-        let worth = c.worth
-            * if self.cfg.worth_by_work {
+        let worth = c.value
+            * if self.cfg.value_by_work {
                 order.len() as f64
             } else {
                 1.0
@@ -1126,15 +1143,16 @@
         let (mut sum, mut best) = (0.0, (f64::MIN, total));
         for (n, pid) in order.iter().enumerate() {
             sum += self.parts[pid].weight;
-            let whole = sum + ROUNDING >= c.need * total;
+            let whole = sum + ROUNDING >= c.complete_share * total;
             let earns = if whole {
                 1.0
             } else {
-                c.partial_earns * sum / (c.need * total)
+                c.partial_value * sum / (c.complete_share * total)
             };
             let gain = earns - price * (n as f64 + 1.0);
             // Never a cut that earns less for each part than the whole does: better refuse some queries.
-            let allowed = sum >= c.floor * total && earns * order.len() as f64 >= n as f64 + 1.0;
+            let allowed =
+                sum >= c.min_share * total && earns * order.len() as f64 >= n as f64 + 1.0;
             if gain > best.0 && allowed {
                 best = (gain, sum);
             }
@@ -1156,19 +1174,20 @@
         };
         let mut times: Vec<f64> = q.parts.iter().map(best).collect();
         times.sort_by(f64::total_cmp);
-        let last = ((c.floor.min(c.need) * times.len() as f64).ceil() as usize).max(1) - 1;
+        let last =
+            ((c.min_share.min(c.complete_share) * times.len() as f64).ceil() as usize).max(1) - 1;
         // The query ends with the worst of the parts that it needs; without holders there is no time.
         let first = times.get(last).copied().unwrap_or(f64::MAX);
         let known = first < f64::MAX;
         let expect = first
-            + if c.second_step > 0 {
+            + if c.second_step_parts > 0 {
                 self.expected(q.class, self.mean_load)
             } else {
                 0.0
             };
         let over = self.over_quota(q) && self.congested();
         let (parts, mean) = (q.parts.len() as f64, self.worth_a_part());
-        let worth = c.worth * if self.cfg.worth_by_work { parts } else { 1.0 };
+        let worth = c.value * if self.cfg.value_by_work { parts } else { 1.0 };
         // Among few routers worth for work decides in congestion, and what a late answer earns adds time.
         let few = f64::from(self.cfg.routers) <= FEW_ROUTERS;
         let rich = if few && mean > 0.0 && self.congested() {
@@ -1183,12 +1202,16 @@
         } else {
             0.0
         };
-        let left = q.goal_at.min(q.deadline) + c.late_worth * late_for - self.now;
+        let left = q.goal_at.min(q.deadline) + c.late_value * late_for - self.now;
         let late = left < 0.0 && self.useful_until(q) > self.now;
         // With nothing of its own out a router can't know of a queue that is gone by now: it must ask.
         let blind = !self.queries.values().any(|q| q.admitted) && left > self.latency(q.class, 0.5);
         if !known || (expect > share * left && !late && !blind) {
-            let cause = if known { Cause::Busy } else { Cause::NoHost };
+            let cause = if known {
+                Cause::Overloaded
+            } else {
+                Cause::NoHost
+            };
             self.refuse(id, expect - share * left.max(0.0), cause, out);
             return false;
         }
@@ -1233,11 +1256,11 @@
             self.tenants.iter().map(rate).sum::<f64>(),
         );
         let even = tenant.quota_per_s / f64::from(self.cfg.routers.max(1));
-        own > tenant.quota_per_s || (own > 1.2 * even && own > 1.3 * tenant.portion * all)
+        own > tenant.quota_per_s || (own > 1.2 * even && own > 1.3 * tenant.share * all)
     }
 
     fn refuse(&mut self, id: RequestId, hint: f64, cause: Cause, out: &mut Out) {
-        out.push(Action::Refuse {
+        out.push(Action::Reject {
             query: id,
             retry_after: self.hint(hint),
             cause,
@@ -1247,7 +1270,7 @@
 
     fn hint(&self, after: f64) -> Option<Duration> {
         self.cfg
-            .retry_after_max
+            .max_retry_after
             .map(|m| duration(after.clamp(0.05, secs(m).max(0.05))))
     }
 
@@ -1256,8 +1279,14 @@
     /// The least share of the present step's weight that an answer may rest on.
     fn floor(&self, q: &Query) -> f64 {
         let c = self.class(q.class);
-        let whole = if q.first.is_some() { 1.0 } else { c.need };
-        Some(c.floor).filter(|f| *f < c.need).unwrap_or(whole)
+        let whole = if q.first.is_some() {
+            1.0
+        } else {
+            c.complete_share
+        };
+        Some(c.min_share)
+            .filter(|f| *f < c.complete_share)
+            .unwrap_or(whole)
     }
 
     /// Answers a query when that is due. True if it has ended.
@@ -1271,7 +1300,7 @@
             all,
         } = self.progress(q);
         let second = q.first.is_some();
-        let need = if second { 1.0 } else { c.need };
+        let need = if second { 1.0 } else { c.complete_share };
         let whole = if need < 1.0 {
             got + ROUNDING >= need * total.max(1.0 - ROUNDING)
         } else {
@@ -1279,10 +1308,10 @@
         };
         let (goal_at, first) = (q.goal_at.min(q.deadline), q.first);
         if whole && !q.parts.is_empty() {
-            if c.second_step == 0 || second {
+            if c.second_step_parts == 0 || second {
                 self.learn_share(self.now <= goal_at);
             }
-            return self.answer(id, first.unwrap_or(true), c.second_step > 0, out);
+            return self.answer(id, first.unwrap_or(true), c.second_step_parts > 0, out);
         }
         // A part answer at the goal, if the floor is met and waiting would earn less.
         let floor = self.floor(q);
@@ -1298,15 +1327,19 @@
             .any(|p| !p.done && !p.closed && held(p));
         let due =
             self.now >= goal_at - self.kept_for_second(q) - self.margin() || open == 0 || !hope;
-        let worth = c.partial_earns * got / need;
-        if due && c.floor < c.need && got + ROUNDING >= floor && worth > c.late_worth {
-            return self.answer(id, false, c.second_step > 0, out);
+        let worth = c.partial_value * got / need;
+        if due && c.min_share < c.complete_share && got + ROUNDING >= floor && worth > c.late_value
+        {
+            return self.answer(id, false, c.second_step_parts > 0, out);
         }
         false
     }
 
     fn answer(&mut self, id: RequestId, whole: bool, two_steps: bool, out: &mut Out) -> bool {
-        out.push(Action::Answer { query: id, whole });
+        out.push(Action::Answer {
+            query: id,
+            complete: whole,
+        });
         let q = self.queries.get_mut(&id).expect("an open query");
         if two_steps && q.first.is_none() {
             q.first = Some(whole);
@@ -1344,14 +1377,18 @@
         if self.now < end - self.margin() && !hopeless && !self.kills(q) {
             return false;
         }
-        let later = self.cfg.retry_after_max.map_or(0.0, secs);
+        let later = self.cfg.max_retry_after.map_or(0.0, secs);
         let may_refuse = q
             .parts
             .iter()
             .all(|p| self.harmless(&self.parts[p], q.class, later));
         let hint = self.latency(q.class, 0.9);
         self.learn_share(false);
-        let cause = if hopeless { Cause::Lost } else { Cause::Late };
+        let cause = if hopeless {
+            Cause::PartsLost
+        } else {
+            Cause::TooLate
+        };
         if may_refuse {
             self.refuse(id, hint, cause, out);
         } else {
@@ -1374,7 +1411,7 @@
     /// Parts no longer needed: what is still out is withdrawn where that is allowed.
     fn drop_parts(&mut self, parts: Vec<RequestId>, out: &mut Out) {
         let left = self.orphan(parts);
-        if self.cfg.may_cancel {
+        if self.cfg.cancellation {
             out.extend(
                 left.into_iter()
                     .map(|(part, attempt)| Action::Cancel { part, attempt }),
@@ -1388,7 +1425,7 @@
         if kind == ListKind::Failed {
             (self.subscribed, self.asked_at) = (false, None);
             self.ask_failures = (self.ask_failures + 1).min(5);
-            let most = self.cfg.must_ask_in.map_or(2.0, |m| secs(m) / 4.0);
+            let most = self.cfg.subscribe_within.map_or(2.0, |m| secs(m) / 4.0);
             let wait = (0.1 * f64::from(self.ask_failures).exp2()).min(most / 2.0);
             self.ask_next = self.now + wait * (1.0 + self.chance());
             return;
@@ -1412,7 +1449,7 @@
     /// One line of the list. A start counts from the told time, or from now for one that is new or back.
     fn on_entry(&mut self, e: &ServerEntry, fresh: bool) {
         let now = self.now;
-        let (boot, classes) = (e.boot.map(secs), self.cfg.classes.len());
+        let (boot, classes) = (e.started_at.map(secs), self.cfg.classes.len());
         let s = self
             .servers
             .entry(e.server)
@@ -1451,7 +1488,7 @@
 
     /// Where the list must be asked: subscribes, and asks anew after a failure or a call left unanswered.
     fn ask_for_list(&mut self, out: &mut Out) {
-        let Some(within) = self.cfg.must_ask_in.map(secs) else {
+        let Some(within) = self.cfg.subscribe_within.map(secs) else {
             return;
         };
         if self.asked_at.is_some_and(|t| self.now - t > within / 2.0) {
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -1,7 +1,7 @@
 //! Configuration: read, checked and given its defaults here and nowhere else.
 
 use crate::core::settings::{self, Site};
-use crate::interface::Repeat;
+use crate::interface::Idempotency;
 use crate::net::list::{news, News};
 use crate::net::talk::Tier;
 use hickory_proto::rr::Name;
@@ -273,7 +273,9 @@
                 ));
             }
             // Without a key a repeat in such a class could take effect twice.
-            if site.settings.classes[class].repeat != Repeat::Safe && i.key_header.is_none() {
+            if site.settings.classes[class].idempotency != Idempotency::Idempotent
+                && i.key_header.is_none()
+            {
                 return Err(ConfigError::Missing("opensearch.index.key_header"));
             }
         }
@@ -491,14 +493,14 @@
             site.classes
                 .iter()
                 .zip(&site.settings.classes)
-                .map(|(n, c)| format!("{n}:{:?}/{:?}", c.goal, c.limit))
+                .map(|(n, c)| format!("{n}:{:?}/{:?}", c.latency_target, c.client_timeout))
                 .collect::<Vec<_>>()
                 .join(","),
             room.clients,
             room.links,
             site.caps.open,
             site.caps.streams,
-            site.settings.retry_after_max,
+            site.settings.max_retry_after,
         )
     }
 }
--- a/crates/coordinator/src/core/actor.rs
+++ b/crates/coordinator/src/core/actor.rs
@@ -89,7 +89,7 @@
         };
         if !self.deal.hand_over(core, now) {
             self.counters.inc("answered.refused.mailbox");
-            let (retry_after, cause, missing) = (Some(self.hint), Cause::Busy, vec![]);
+            let (retry_after, cause, missing) = (Some(self.hint), Cause::Overloaded, vec![]);
             let _ = tx.send(Answer::Refused {
                 retry_after,
                 cause,
--- a/crates/coordinator/src/core/mod.rs
+++ b/crates/coordinator/src/core/mod.rs
@@ -10,8 +10,8 @@
 pub use table::Table;
 
 use crate::interface::{
-    Action, Cause, ClassId, Event, ListKind, LoadReport, Outcome, Repeat, RequestId, ServerEntry,
-    ServerId, ServerState, TenantId, ZoneId,
+    Action, Cause, ClassId, Event, Idempotency, ListKind, LoadReport, Outcome, RequestId,
+    ServerEntry, ServerId, ServerState, TenantId, ZoneId,
 };
 use bytes::Bytes;
 use std::sync::Arc;
--- a/crates/coordinator/src/core/settings.rs
+++ b/crates/coordinator/src/core/settings.rs
@@ -2,7 +2,8 @@
 
 use crate::core::names::Names;
 use crate::interface::{
-    Budget, Class, ColdRule, Layout, LoadReport, Repeat, Settings, Tenant, ZoneId,
+    Idempotency, LoadReport, QueryClass, RetryBudget, RouterSettings, ShardLayout, SlowStart,
+    Tenant, ZoneId,
 };
 use crate::peers::Talk;
 use serde::Deserialize;
@@ -48,7 +49,7 @@
 #[derive(Clone)]
 pub struct Site {
     /// What the module is given.
-    pub settings: Settings,
+    pub settings: RouterSettings,
     /// Names of the classes, in the module's order.
     pub classes: Vec<String>,
     /// Names of the tenants, in the module's order.
@@ -80,9 +81,9 @@
             .ok()
             .filter(|v: &f64| v.is_finite() && *v >= 0.0);
         match name {
-            "busy_reqs" | "inflight" => report.inflight = value,
-            "pending" | "queue" => report.queue = value,
-            "cpu_share" | "util" => report.busy = value,
+            "busy_reqs" | "inflight" => report.in_flight = value,
+            "pending" | "queue" => report.queued = value,
+            "cpu_share" | "util" => report.utilization = value,
             _ => {}
         }
     }
@@ -316,29 +317,29 @@
     let mut classes = Vec::new();
     for (n, c) in raw.classes.iter().enumerate() {
         let repeat = match c.idempotency.as_str() {
-            "retryable" => Repeat::Safe,
-            "dedup" => Repeat::Keyed(from_ms(c.window)),
-            "fragile" => Repeat::Unsafe,
+            "retryable" => Idempotency::Idempotent,
+            "dedup" => Idempotency::Keyed(from_ms(c.window)),
+            "fragile" => Idempotency::NotIdempotent,
             other => return Err(SettingsError::Value("idempotency", other.to_owned())),
         };
         let at = |v: &[f64]| v.get(n).copied().unwrap_or(1.0);
-        classes.push(Class {
-            goal: from_ms(c.goal_time),
-            limit: from_ms(c.hard_limit),
-            late_worth: c.late_worth,
-            worth: c.worth,
-            repeat,
-            need: at(&family.class_need),
-            floor: at(&family.class_floor),
-            partial_earns: at(&family.partial_earns),
-            second_step: family.class_fetch.get(n).copied().unwrap_or(0),
+        classes.push(QueryClass {
+            latency_target: from_ms(c.goal_time),
+            client_timeout: from_ms(c.hard_limit),
+            late_value: c.late_worth,
+            value: c.worth,
+            idempotency: repeat,
+            complete_share: at(&family.class_need),
+            min_share: at(&family.class_floor),
+            partial_value: at(&family.partial_earns),
+            second_step_parts: family.class_fetch.get(n).copied().unwrap_or(0),
         });
     }
     if family.sets == 0 || family.width == 0 {
         return Err(SettingsError::Layout);
     }
     let tenant = |t: &RawTenant| Tenant {
-        portion: t.portion,
+        share: t.portion,
         quota_per_s: t.quota_per_s.unwrap_or(f64::INFINITY),
     };
     let tenants = raw.tenants.iter().map(tenant).collect();
@@ -346,17 +347,20 @@
     let budget = s
         .budget_share
         .zip(s.budget_span)
-        .map(|(share, span)| Budget {
-            free: s.free_resends,
-            share,
-            span: from_ms(span),
+        .map(|(share, span)| RetryBudget {
+            min_retries: s.free_resends,
+            retry_share: share,
+            window: from_ms(span),
+        });
+    let cold = s
+        .cold_share
+        .zip(s.ramp_time)
+        .map(|(share, ramp)| SlowStart {
+            initial_share: share,
+            ramp: from_ms(ramp),
+            overload_factor: s.fall_multiple.unwrap_or(1.0),
+            overload_time: from_ms(s.tip_after.unwrap_or(0.0)),
         });
-    let cold = s.cold_share.zip(s.ramp_time).map(|(share, ramp)| ColdRule {
-        share,
-        ramp: from_ms(ramp),
-        fall_multiple: s.fall_multiple.unwrap_or(1.0),
-        tip_after: from_ms(s.tip_after.unwrap_or(0.0)),
-    });
     let must_ask_in = (raw.registry_mode == "on_request")
         .then(|| s.must_ask_in.map_or(Duration::from_secs(10), from_ms));
     let talk = caps.may_tell.then_some(Talk {
@@ -364,31 +368,31 @@
         rank: raw.rank,
         price: raw.costs.peer,
     });
-    let settings = Settings {
+    let settings = RouterSettings {
         classes,
-        worth_by_work: raw.worth_by == "work",
+        value_by_work: raw.worth_by == "work",
         tenants,
         routers: raw.balancers,
         zone: raw.az.map(|z| ZoneId(zones.number(&z))),
-        zone_cost: raw.costs.cross_zone > 0.0,
-        layout: Layout {
+        cross_zone_cost: raw.costs.cross_zone > 0.0,
+        shard_layout: ShardLayout {
             cells: family.sets,
-            width: family.width,
+            cells_per_shard: family.width,
         },
-        bundle_max: family.bundle_max.unwrap_or(1),
-        call_cost: from_ms(family.call_cost),
+        max_parts_per_call: family.bundle_max.unwrap_or(1),
+        call_overhead: from_ms(family.call_cost),
         max_attempts: caps.max_attempts.unwrap_or(1),
-        second_copies: caps.second_copies,
-        may_cancel: caps.may_cancel,
+        hedging: caps.second_copies,
+        cancellation: caps.may_cancel,
         probes: caps.probes,
         // A hint is worked out wherever there is a longest one: a front can always pass it on.
-        retry_after_max: (caps.retry_after || caps.max_retry_after > 0.0)
+        max_retry_after: (caps.retry_after || caps.max_retry_after > 0.0)
             .then(|| from_ms(caps.max_retry_after)),
-        budget,
-        cold,
-        must_ask_in,
+        retry_budget: budget,
+        slow_start: cold,
+        subscribe_within: must_ask_in,
         drain_grace: from_ms(s.drain_grace.unwrap_or(2000.0)),
-        step: from_ms(raw.step),
+        min_turn_interval: from_ms(raw.step),
     };
     Ok(Site {
         settings,
--- a/crates/coordinator/src/core/table/attempts.rs
+++ b/crates/coordinator/src/core/table/attempts.rs
@@ -27,12 +27,12 @@
         self.counters.inc(match e.outcome {
             Outcome::Ok => "ended.served",
             Outcome::Error => "ended.error",
-            Outcome::Full => "ended.full",
+            Outcome::Rejected => "ended.full",
             Outcome::Timeout => "ended.timeout",
             Outcome::ConnectFailed => "ended.connect_failed",
             Outcome::Reset => "ended.reset",
             Outcome::Cancelled => "ended.cancelled",
-            Outcome::Moot => "ended.moot",
+            Outcome::NotSent => "ended.moot",
         });
         let part = self.parts.get_mut(&e.part);
         let closed = e.outcome == Outcome::Ok || part.is_none();
@@ -55,7 +55,7 @@
         let (part, attempt, outcome, report) = (e.part, e.attempt, e.outcome, e.report);
         self.tell(
             now,
-            Event::AttemptEnd {
+            Event::AttemptEnded {
                 part,
                 attempt,
                 outcome,
--- a/crates/coordinator/src/core/table/list.rs
+++ b/crates/coordinator/src/core/table/list.rs
@@ -60,7 +60,7 @@
                 zone,
                 cell: e.cell,
                 state,
-                boot,
+                started_at: boot,
             });
             // The grace counts from the first news of a drain, not from its repetition.
             let same = self.listed.get(&server).is_some_and(|old| *old == e);
@@ -93,7 +93,7 @@
         self.counters.inc("list.news");
         self.tell(
             now,
-            Event::List {
+            Event::ServerList {
                 kind,
                 entries: told,
             },
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -8,9 +8,9 @@
 use super::names::Names;
 use super::settings::Site;
 use super::{
-    Action, Answer, Arc, Bytes, CallPart, Cause, Clock, Duration, Ended, Event, Instant, ListKind,
-    Listed, Mail, Missing, NewQuery, Outcome, Piece, Repeat, RequestId, ServerEntry, ServerId,
-    ServerState, Transport, ZoneId,
+    Action, Answer, Arc, Bytes, CallPart, Cause, Clock, Duration, Ended, Event, Idempotency,
+    Instant, ListKind, Listed, Mail, Missing, NewQuery, Outcome, Piece, RequestId, ServerEntry,
+    ServerId, ServerState, Transport, ZoneId,
 };
 use crate::counters::Counters;
 use crate::peers::{Datagram, Voice};
@@ -109,14 +109,14 @@
             .settings
             .classes
             .iter()
-            .map(|c| c.repeat != Repeat::Safe)
+            .map(|c| c.idempotency != Idempotency::Idempotent)
             .collect();
         Self {
             open_cap: site.caps.open,
-            bundle: site.settings.bundle_max.max(1) as usize,
+            bundle: site.settings.max_parts_per_call.max(1) as usize,
             drain_grace: site.caps.drain_grace,
-            longest_hint: site.settings.retry_after_max,
-            may_cancel: site.settings.may_cancel,
+            longest_hint: site.settings.max_retry_after,
+            may_cancel: site.settings.cancellation,
             router: crate::Router::new(site.settings, seed),
             clock,
             transport,
@@ -188,7 +188,7 @@
                 if let Some(id) = self.tickets.get(&ticket).copied() {
                     self.counters.inc("answered.none.client_gone");
                     self.close(id);
-                    self.tell(now, Event::Withdrawn { query: id });
+                    self.tell(now, Event::ClientLeft { query: id });
                 }
             }
             Mail::Ended(ended) => self.on_ended(ended, now),
@@ -196,7 +196,7 @@
                 self.hear(server, outcome);
                 self.tell(
                     now,
-                    Event::Probed {
+                    Event::ProbeEnded {
                         server,
                         outcome,
                         report,
@@ -206,7 +206,7 @@
             Mail::List(kind, entries) => self.on_list(kind, entries, now),
             Mail::Unreached(id) => {
                 if let Some(server) = self.servers.find(&id).map(ServerId) {
-                    self.tell(now, Event::Unreached { server });
+                    self.tell(now, Event::Unreachable { server });
                 }
             }
             Mail::Heard(from, bytes) => {
@@ -244,11 +244,11 @@
                 self.drop_parts(&q.parts);
                 let _ = q.reply.send(Answer::Failed {
                     retry_after: None,
-                    cause: Cause::Late,
+                    cause: Cause::TooLate,
                     missing,
                 });
             }
-            self.tell(now, Event::Withdrawn { query: id });
+            self.tell(now, Event::ClientLeft { query: id });
         }
     }
 }
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -39,7 +39,7 @@
             let retry_after = Some(self.longest_hint.unwrap_or(Duration::from_secs(1)));
             let _ = reply.send(Answer::Refused {
                 retry_after,
-                cause: Cause::Busy,
+                cause: Cause::Overloaded,
                 missing: vec![],
             });
             return;
@@ -60,7 +60,7 @@
                 class,
                 tenant,
                 deadline: at,
-                repeat,
+                is_retry: repeat,
             },
         );
         let mut parts = Vec::with_capacity(new.parts.len());
--- a/crates/coordinator/src/core/table/turn.rs
+++ b/crates/coordinator/src/core/table/turn.rs
@@ -15,7 +15,7 @@
         if let Some((voice, _)) = &mut self.voice {
             voice.tell(at, &mut self.router, &mut self.actions);
         }
-        self.tell(now, Event::TurnEnd);
+        self.tell(now, Event::TurnEnded);
         if let Some((voice, words)) = &mut self.voice {
             let word = voice.speak(at, &self.router, &self.actions, |id| {
                 self.servers.name(id.0)
@@ -40,17 +40,20 @@
                     }
                 }
                 Action::Cancel { part, attempt } => self.give_up(part, attempt, Outcome::Cancelled),
-                Action::Answer { query, whole } => self.answer(query, whole),
-                Action::Refuse {
+                Action::Answer {
+                    query,
+                    complete: whole,
+                } => self.answer(query, whole),
+                Action::Reject {
                     query,
                     retry_after,
                     cause,
                 } => {
                     self.counters.inc(match cause {
-                        Cause::Busy => "answered.refused.busy",
+                        Cause::Overloaded => "answered.refused.busy",
                         Cause::NoHost => "answered.refused.no_host",
-                        Cause::Late => "answered.refused.late",
-                        Cause::Lost => "answered.refused.lost",
+                        Cause::TooLate => "answered.refused.late",
+                        Cause::PartsLost => "answered.refused.lost",
                     });
                     self.end(query, |missing| Answer::Refused {
                         retry_after,
@@ -64,9 +67,9 @@
                     cause,
                 } => {
                     self.counters.inc(match cause {
-                        Cause::Busy | Cause::NoHost => "answered.failed.no_host",
-                        Cause::Late => "answered.failed.late",
-                        Cause::Lost => "answered.failed.lost",
+                        Cause::Overloaded | Cause::NoHost => "answered.failed.no_host",
+                        Cause::TooLate => "answered.failed.late",
+                        Cause::PartsLost => "answered.failed.lost",
                     });
                     self.end(query, |missing| Answer::Failed {
                         retry_after,
@@ -78,7 +81,7 @@
                     self.counters.inc("sent.probes");
                     self.transport.probe(server);
                 }
-                Action::Release { server } => self.transport.release(server),
+                Action::CloseIdleConnections { server } => self.transport.release(server),
                 // Discovery pushes here: the list actor watches it from the start.
                 Action::Subscribe => {}
                 Action::Wake { after } => {
--- a/crates/coordinator/src/front/opensearch/answer.rs
+++ b/crates/coordinator/src/front/opensearch/answer.rs
@@ -58,12 +58,12 @@
             Some(Outcome::Timeout | Outcome::Cancelled) => {
                 ("timeout_exception", "no answer in time", true)
             }
-            Some(Outcome::Full) => (
+            Some(Outcome::Rejected) => (
                 "rejected_execution_exception",
                 "the host turned it away",
                 false,
             ),
-            Some(Outcome::ConnectFailed | Outcome::Moot) => (
+            Some(Outcome::ConnectFailed | Outcome::NotSent) => (
                 "node_not_connected_exception",
                 "no connection to a host",
                 false,
--- a/crates/coordinator/src/front/opensearch/hosts.rs
+++ b/crates/coordinator/src/front/opensearch/hosts.rs
@@ -100,7 +100,7 @@
 fn outcome(status: u16) -> Outcome {
     match status {
         200 => Outcome::Ok,
-        429 => Outcome::Full,
+        429 => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
@@ -237,7 +237,7 @@
                 let this = |p: &CallPart| (p.part, p.attempt) == (part, attempt);
                 if take_out(&mut self.queue, part, attempt) {
                     let never = if outcome == Outcome::Timeout {
-                        Outcome::Moot
+                        Outcome::NotSent
                     } else {
                         outcome
                     };
@@ -252,7 +252,7 @@
             }
             LinkMail::Retract(part, attempt) => {
                 if take_out(&mut self.queue, part, attempt) {
-                    self.setup.ended(part, attempt, Outcome::Moot);
+                    self.setup.ended(part, attempt, Outcome::NotSent);
                 }
             }
             LinkMail::Probe => self.probes += 1,
--- a/crates/coordinator/src/front/opensearch/mod.rs
+++ b/crates/coordinator/src/front/opensearch/mod.rs
@@ -14,7 +14,7 @@
 use crate::core::settings::Site;
 use crate::core::Core;
 use crate::counters::Counters;
-use crate::interface::{Class, ClassId, TenantId};
+use crate::interface::{ClassId, QueryClass, TenantId};
 use crate::net::http::{Answering, Request, Response};
 use answer::Failure;
 use bytes::Bytes;
@@ -49,7 +49,7 @@
     core: Core,
     counters: Counters,
     indices: BTreeMap<String, Index>,
-    classes: Vec<Class>,
+    classes: Vec<QueryClass>,
     tenants: Vec<String>,
     scrolls: Mutex<Scrolls>,
     incarnation: u64,
--- a/crates/coordinator/src/front/opensearch/search.rs
+++ b/crates/coordinator/src/front/opensearch/search.rs
@@ -6,7 +6,7 @@
 use super::{hosts, illegal, ok, scroll, Answered, OpenSearch, Terms};
 use crate::core::{Answer, NewPart, NewQuery};
 use crate::counters::End;
-use crate::interface::{Cause, Outcome, Repeat, TenantId};
+use crate::interface::{Cause, Idempotency, Outcome, TenantId};
 use crate::net::http::Request;
 use std::future::Future;
 use std::pin::Pin;
@@ -38,7 +38,7 @@
             return Ok(Merged::default());
         }
         let class = &self.0.classes[index.class.0 as usize];
-        if class.repeat != Repeat::Safe && terms.key.is_none() {
+        if class.idempotency != Idempotency::Idempotent && terms.key.is_none() {
             let name = index.config.key_header.as_deref().unwrap_or("key_header");
             return Err(illegal(format!(
                 "index [{index_name}] needs a key in the header [{name}]"
@@ -54,8 +54,8 @@
         let wait = search
             .timeout
             .or(terms.timeout)
-            .unwrap_or(class.limit)
-            .min(class.limit);
+            .unwrap_or(class.client_timeout)
+            .min(class.client_timeout);
         let wait = terms.left.map_or(wait, |left| left.min(wait));
         let n = self.0.next.fetch_add(1, Ordering::Relaxed);
         let count = shards.len();
@@ -88,7 +88,8 @@
                     return Ok(merged);
                 }
                 // In part only where the client and the class allow it, and never under the class's floor.
-                let partial = class.floor < class.need && share + ROUNDING >= class.floor;
+                let partial =
+                    class.min_share < class.complete_share && share + ROUNDING >= class.min_share;
                 if terms.allow_partial && partial {
                     self.0.counters.inc("opensearch.partial");
                     return Ok(merged);
@@ -125,12 +126,12 @@
                     .iter()
                     .any(|m| matches!(m.last, None | Some(Outcome::ConnectFailed)));
                 let (status, kind, reason) = match cause {
-                    Cause::Late | Cause::Lost if unreached => (
+                    Cause::TooLate | Cause::PartsLost if unreached => (
                         503,
                         "no_shard_available_action_exception",
                         "no host of a district can be reached",
                     ),
-                    Cause::Busy => (
+                    Cause::Overloaded => (
                         429,
                         "rejected_execution_exception",
                         "more work than can be done in time",
@@ -140,8 +141,10 @@
                         "no_shard_available_action_exception",
                         "no host in service holds a district",
                     ),
-                    Cause::Late => (504, "timeout_exception", "the search's time is over"),
-                    Cause::Lost => (503, "search_phase_execution_exception", "all shards failed"),
+                    Cause::TooLate => (504, "timeout_exception", "the search's time is over"),
+                    Cause::PartsLost => {
+                        (503, "search_phase_execution_exception", "all shards failed")
+                    }
                 };
                 let shards = missing.into_iter().map(Into::into).collect();
                 Err(Failure {
--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{Answer, Core, NewPart, NewQuery};
 use crate::counters::{Counters, End};
-use crate::interface::{ClassId, Repeat, TenantId};
+use crate::interface::{ClassId, Idempotency, TenantId};
 use crate::net::http::{Answering, Request, Response, Service};
 use crate::ops::Readiness;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -81,7 +81,7 @@
                 .settings
                 .classes
                 .iter()
-                .map(|c| matches!(c.repeat, Repeat::Keyed(_)))
+                .map(|c| matches!(c.idempotency, Idempotency::Keyed(_)))
                 .collect(),
         }
     }
--- a/crates/coordinator/src/interface.rs
+++ b/crates/coordinator/src/interface.rs
@@ -1,7 +1,7 @@
-//! The interface of the decision module: what a router is told and what it asks for.
+//! The interface of the decision module: the events that a router takes and the actions that it returns.
 //!
-//! Nothing here decides anything. All times are [`Duration`]s; points in time count from an
-//! origin that the caller chooses and that never moves back.
+//! Nothing here decides anything. All times are [`Duration`]s. Points in time count from an origin that the
+//! caller chooses once; they never go back. Shares are fractions from 0 to 1.
 
 use std::time::Duration;
 
@@ -14,199 +14,198 @@
 }
 
 id!(
-    /// A query or a part. The caller numbers them and never uses a number twice in one router: 64 bits
-    /// last for longer than any process.
+    /// A query or a part of one. The caller assigns the ids and never uses one twice in one router.
     RequestId,
     u64
 );
 id!(
-    /// A server, numbered by the caller; the same server keeps its number across restarts.
+    /// A server. The caller assigns the ids; a server keeps its id when its process starts again.
     ServerId,
     u32
 );
 id!(
-    /// A class of query: its position in [`Settings::classes`].
+    /// A class of queries: its position in [`RouterSettings::classes`].
     ClassId,
     u32
 );
 id!(
-    /// A tenant: its position in [`Settings::tenants`].
+    /// A tenant: its position in [`RouterSettings::tenants`].
     TenantId,
     u32
 );
 id!(
-    /// A zone: its position in the list of zones known to the caller.
+    /// A zone, numbered by the caller.
     ZoneId,
     u32
 );
 
-/// How often a part may take effect.
+/// Whether a part may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Repeats do no harm.
-    Safe,
-    /// Holders drop repeats for this long after the first attempt that may have run.
+    Idempotent,
+    /// Servers recognise repeats by a key, for this long after the first attempt that may have run.
     Keyed(Duration),
-    /// A repeat is allowed only when no earlier attempt can have run.
-    Unsafe,
+    /// A repeat is allowed only if no earlier attempt can have run.
+    NotIdempotent,
 }
 
-/// One class of query.
+/// A class of queries: its latency target, its value and what counts as an answer.
 #[derive(Clone, Debug)]
-pub struct Class {
-    /// An answer within this time earns the full worth.
-    pub goal: Duration,
-    /// The client's whole wait, over all its tries.
-    pub limit: Duration,
-    /// Share of the worth that an answer past the goal still earns.
-    pub late_worth: f64,
-    /// Worth of a whole answer.
-    pub worth: f64,
-    /// Whether parts may be repeated.
-    pub repeat: Repeat,
-    /// Share of the parts' weight that makes a whole answer.
-    pub need: f64,
-    /// Least share of the parts' weight that any answer may rest on.
-    pub floor: f64,
-    /// What a partial answer earns, times its share over `need`.
-    pub partial_earns: f64,
-    /// Parts of the second step; 0 where there is none.
-    pub second_step: u32,
+pub struct QueryClass {
+    /// An answer within this time earns its full value (latency SLO).
+    pub latency_target: Duration,
+    /// How long the client waits in all, over its own retries.
+    pub client_timeout: Duration,
+    /// Share of the value that an answer past the latency target still earns.
+    pub late_value: f64,
+    /// What a complete answer within the latency target earns.
+    pub value: f64,
+    /// Whether parts may be run more than once.
+    pub idempotency: Idempotency,
+    /// Share of the parts' weight that makes an answer complete.
+    pub complete_share: f64,
+    /// Smallest share of the parts' weight that a partial answer may rest on.
+    pub min_share: f64,
+    /// What a partial answer earns: this share of the value, times its weight over `complete_share`.
+    pub partial_value: f64,
+    /// Number of parts in the second step; 0 for a class with one step.
+    pub second_step_parts: u32,
 }
 
-/// One tenant.
+/// A tenant of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its share of the service.
-    pub portion: f64,
-    /// Queries a second within its share, over all routers.
+    /// The share of the traffic that it is entitled to.
+    pub share: f64,
+    /// Queries a second that it may send, over all routers.
     pub quota_per_s: f64,
 }
 
-/// A budget on attempts beyond each part's first.
+/// A budget on retries and hedged requests: attempts beyond each part's first.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
-    /// Allowed however light the traffic is.
-    pub free: f64,
-    /// Allowed on top, as a share of queries and parts taken.
-    pub share: f64,
-    /// The window over which both are counted.
-    pub span: Duration,
+pub struct RetryBudget {
+    /// Retries allowed in a window however light the traffic is.
+    pub min_retries: f64,
+    /// Retries allowed on top, as a share of the queries and parts that arrived in the window.
+    pub retry_share: f64,
+    /// Length of the sliding window.
+    pub window: Duration,
 }
 
-/// What a freshly started server can bear.
+/// How much load a server takes while it warms up after its start.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
-    /// Least share of its capacity at the start.
-    pub share: f64,
-    /// Warm no later than this after its start.
+pub struct SlowStart {
+    /// Share of its full capacity right after the start.
+    pub initial_share: f64,
+    /// Time from the start until it has its full capacity.
     pub ramp: Duration,
-    /// It falls over when sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
-    /// ... for this long, by all routers together.
-    pub tip_after: Duration,
+    /// A server fails when it gets more than this multiple of its present capacity ...
+    pub overload_factor: f64,
+    /// ... for this long, from all routers together.
+    pub overload_time: Duration,
 }
 
-/// How shards lie on the servers: shard s is held by the cells s to s + width - 1, modulo cells.
+/// Placement of the shards: shard `s` is on the cells `s` to `s + cells_per_shard - 1`, modulo `cells`.
 #[derive(Clone, Copy, Debug)]
-pub struct Layout {
+pub struct ShardLayout {
     /// Number of cells.
     pub cells: u32,
-    /// Consecutive cells that hold a shard.
-    pub width: u32,
+    /// Number of consecutive cells that hold a shard.
+    pub cells_per_shard: u32,
 }
 
-/// Everything a router is told at its start. An absent option means that the feature is off.
+/// Settings of a router, fixed at its start. An absent option turns its feature off.
 #[derive(Clone, Debug)]
-pub struct Settings {
-    /// The classes of query.
-    pub classes: Vec<Class>,
-    /// Whether worth counts by the work of a query's parts, so that each part is worth its class's; else a
-    /// query is worth the same however many parts it has.
-    pub worth_by_work: bool,
+pub struct RouterSettings {
+    /// The classes of queries.
+    pub classes: Vec<QueryClass>,
+    /// Whether a query's value is that of its class times its number of parts. Otherwise each query of a
+    /// class has the same value.
+    pub value_by_work: bool,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Number of routers, this one included.
+    /// Number of routers that use the same servers, this one included.
     pub routers: u32,
     /// The zone of this router.
     pub zone: Option<ZoneId>,
-    /// Whether a send to another zone costs something.
-    pub zone_cost: bool,
+    /// Whether traffic to another zone has a cost.
+    pub cross_zone_cost: bool,
     /// Placement of the shards.
-    pub layout: Layout,
-    /// Parts that one call to a server can carry.
-    pub bundle_max: u32,
-    /// Work of a call besides that of its parts, where it has any.
-    pub call_cost: Duration,
-    /// Attempts allowed for one part.
+    pub shard_layout: ShardLayout,
+    /// Largest number of parts in one call to a server.
+    pub max_parts_per_call: u32,
+    /// Work that a call costs the server besides its parts; zero for none.
+    pub call_overhead: Duration,
+    /// Largest number of attempts for one part.
     pub max_attempts: u32,
-    /// Whether a part may have two attempts out.
-    pub second_copies: bool,
-    /// Whether attempts can be withdrawn.
-    pub may_cancel: bool,
-    /// Whether servers may be probed.
+    /// Whether a part may have two attempts in flight at once.
+    pub hedging: bool,
+    /// Whether attempts can be cancelled.
+    pub cancellation: bool,
+    /// Whether unreachable servers may be probed (active health checks).
     pub probes: bool,
-    /// Longest retry-after hint that a client heeds; `None` where clients get none.
-    pub retry_after_max: Option<Duration>,
-    /// The budget on further attempts.
-    pub budget: Option<Budget>,
-    /// What a cold server can bear.
-    pub cold: Option<ColdRule>,
-    /// Set where the server list has to be asked: an unsubscribed router asks within this time.
-    pub must_ask_in: Option<Duration>,
-    /// Time after the news of a drain within which sends must have stopped.
+    /// Longest retry-after hint that clients follow; `None` if they get no hints.
+    pub max_retry_after: Option<Duration>,
+    /// The budget on retries and hedged requests.
+    pub retry_budget: Option<RetryBudget>,
+    /// Limits for servers that warm up.
+    pub slow_start: Option<SlowStart>,
+    /// Set if the router has to subscribe to the server list itself: the time within which it does so.
+    pub subscribe_within: Option<Duration>,
+    /// Time after the notice of a drain by which sends to that server must have stopped.
     pub drain_grace: Duration,
     /// Shortest time between two turns.
-    pub step: Duration,
+    pub min_turn_interval: Duration,
 }
 
-/// A load report. Each value is there only where servers tell it.
+/// The load that a server reports with an answer. A value that it doesn't report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests held.
-    pub inflight: Option<f64>,
-    /// Requests waiting.
-    pub queue: Option<f64>,
-    /// Busy share of the processors.
-    pub busy: Option<f64>,
+    /// Requests that it works on or has queued.
+    pub in_flight: Option<f64>,
+    /// Requests that wait in its queue.
+    pub queued: Option<f64>,
+    /// Busy share of its processors.
+    pub utilization: Option<f64>,
 }
 
 /// State of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ServerState {
-    /// Takes work.
+    /// Takes requests.
     Ready,
-    /// Finishes its work and is to get no more.
+    /// Finishes its requests and takes no new ones.
     Draining,
-    /// No longer there.
+    /// Not in the list any more.
     Gone,
 }
 
-/// One line of the server list.
+/// An entry of the server list.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its cell, which says what shards it holds.
+    /// Its cell, which determines the shards it holds.
     pub cell: u32,
     /// Its state.
     pub state: ServerState,
-    /// Its latest start, where recent enough to be told.
-    pub boot: Option<Duration>,
+    /// Its latest start; `None` if that was long ago.
+    pub started_at: Option<Duration>,
 }
 
-/// What a message about the server list is.
+/// Kind of an update of the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// The whole list: a server not in it is gone.
+    /// The complete list: a server that isn't in it is gone.
     Full,
-    /// The list this router held before a restart; may be stale.
+    /// The list that this router had before a restart; may be stale.
     Cached,
-    /// A call for the list failed, or a subscription ended; there are no entries.
+    /// Subscribing failed, or the subscription ended; there are no entries.
     Failed,
 }
 
@@ -217,63 +216,63 @@
     Ok,
     /// The server answered with an error; the part may have run.
     Error,
-    /// Turned away unseen.
-    Full,
+    /// The server rejected it unprocessed.
+    Rejected,
     /// No answer in time; the part may have run or may still run.
     Timeout,
     /// No connection came about; the part never ran.
     ConnectFailed,
     /// The connection broke; the part may have run.
     Reset,
-    /// Withdrawn; the part may have run.
+    /// Cancelled by the router; the part may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::Moot)
+        matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// What happens to a router.
+/// An input of a router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the server list.
-    List {
-        /// What the message is.
+    /// An update of the server list.
+    ServerList {
+        /// Kind of the update.
         kind: ListKind,
-        /// Its lines.
+        /// Its entries.
         entries: Vec<ServerEntry>,
     },
-    /// A query came in; its parts follow in the same turn.
+    /// A query arrived; its parts follow in the same turn.
     Query {
-        /// Its number.
+        /// Its id.
         id: RequestId,
         /// Its class.
         class: ClassId,
-        /// Whose it is.
+        /// Its tenant.
         tenant: Option<TenantId>,
-        /// When its client leaves.
+        /// When its client stops waiting.
         deadline: Duration,
-        /// Whether it is a client's repeat; `None` where clients don't tell.
-        repeat: Option<bool>,
+        /// Whether it is a client's retry; `None` if clients don't mark retries.
+        is_retry: Option<bool>,
     },
     /// A part of a query, of its first or second step.
     Part {
-        /// Its number.
+        /// Its id.
         id: RequestId,
         /// The query.
         query: RequestId,
-        /// The shard it asks.
+        /// The shard that it reads.
         shard: u32,
         /// Its share of the step's weight.
         weight: f64,
     },
-    /// An attempt ended. `closed` says that its part is over.
-    AttemptEnd {
+    /// An attempt ended.
+    AttemptEnded {
         /// The part.
         part: RequestId,
         /// Number of the attempt.
@@ -282,18 +281,18 @@
         outcome: Outcome,
         /// Time since it was sent.
         latency: Duration,
-        /// Whether the part is over.
+        /// Whether the part is over: no attempt of it may follow.
         closed: bool,
         /// The load report that came with it.
         report: Option<LoadReport>,
     },
-    /// The client of a query has left.
-    Withdrawn {
+    /// The client of a query stopped waiting.
+    ClientLeft {
         /// The query.
         query: RequestId,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: ServerId,
         /// How it ended.
@@ -301,94 +300,94 @@
         /// The load report that came with it.
         report: Option<LoadReport>,
     },
-    /// A neighbour router on the same machine could not reach this server.
-    Unreached {
+    /// Another router on the same machine could not connect to this server.
+    Unreachable {
         /// The server.
         server: ServerId,
     },
-    /// What the other routers have out at a server, by their own word.
-    Told {
+    /// The load that the other routers have on a server, as they publish it.
+    PeerLoad {
         /// The server.
         server: ServerId,
-        /// Their parts out there, over all of them.
-        out: f64,
-        /// Age of the oldest word in that.
+        /// Their parts in flight there, over all of them.
+        in_flight: f64,
+        /// Age of the oldest update in that sum.
         age: Duration,
     },
-    /// A wake-up that was asked for is due.
+    /// A wake-up that the router asked for is due.
     Wake,
-    /// All events of this turn are in: the router decides now.
-    TurnEnd,
+    /// All events of this turn have been handed over: the router decides now.
+    TurnEnded,
 }
 
-/// Why a query was refused or given up.
+/// Why a query was rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// More work than can be done in time.
-    Busy,
-    /// No host in service holds one of its shards.
+    /// There is more load than can be served in time.
+    Overloaded,
+    /// No server in service holds one of its shards.
     NoHost,
-    /// Its useful time is over.
-    Late,
-    /// Parts that it needs were lost and may not be sent again.
-    Lost,
+    /// An answer would no longer be of use.
+    TooLate,
+    /// Parts that it needs failed and may not be sent again.
+    PartsLost,
 }
 
-/// What a router asks for.
+/// An output of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a part to a server. Attempts of a part count from 0 in the order of their sends.
+    /// Send a part to a server. The attempts of a part are numbered from 0 in the order of these actions.
     Send {
         /// The part.
         part: RequestId,
         /// The server.
         server: ServerId,
-        /// Time after which the attempt is given up.
+        /// The attempt times out after this.
         timeout: Duration,
     },
-    /// Withdraw an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The part.
         part: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Answer a query from the parts that are in.
+    /// Answer a query from the parts that have been answered.
     Answer {
         /// The query.
         query: RequestId,
         /// Whether the answer is complete.
-        whole: bool,
+        complete: bool,
     },
-    /// Turn a query away: a new try does no harm, best after the hint.
-    Refuse {
+    /// Reject a query: the client may retry it without harm.
+    Reject {
         /// The query.
         query: RequestId,
-        /// When a new try makes sense.
+        /// When the client should retry.
         retry_after: Option<Duration>,
         /// Why.
         cause: Cause,
     },
-    /// Give a query up, with no promise about its effect.
+    /// Fail a query: it may have taken effect.
     Fail {
         /// The query.
         query: RequestId,
-        /// When a new try makes sense.
+        /// When the client should retry.
         retry_after: Option<Duration>,
         /// Why.
         cause: Cause,
     },
-    /// Probe a server.
+    /// Probe a server (health check).
     Probe {
         /// The server.
         server: ServerId,
     },
-    /// Close the connections to a server that are not in use: the next send opens a new one.
-    Release {
+    /// Close the unused connections to a server, so that the next send opens a new one.
+    CloseIdleConnections {
         /// The server.
         server: ServerId,
     },
-    /// Ask for changes of the server list from now on.
+    /// Subscribe to updates of the server list.
     Subscribe,
     /// Wake the router after this time.
     Wake {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -9,27 +9,29 @@
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
-//! let class = Class {
-//!     goal: ms(1000), limit: ms(3000), late_worth: 0.1, worth: 1.0, repeat: Repeat::Safe,
-//!     need: 1.0, floor: 1.0, partial_earns: 1.0, second_step: 0,
+//! let class = QueryClass {
+//!     latency_target: ms(1000), client_timeout: ms(3000), late_value: 0.1, value: 1.0,
+//!     idempotency: Idempotency::Idempotent, complete_share: 1.0, min_share: 1.0, partial_value: 1.0,
+//!     second_step_parts: 0,
 //! };
-//! let settings = Settings {
-//!     classes: vec![class], worth_by_work: false, tenants: vec![], routers: 1, zone: None, zone_cost: false,
-//!     layout: Layout { cells: 1, width: 1 }, bundle_max: 1, call_cost: ms(0), max_attempts: 3,
-//!     second_copies: true, may_cancel: true, probes: false, retry_after_max: None, budget: None,
-//!     cold: None, must_ask_in: None, drain_grace: ms(0), step: ms(5),
+//! let settings = RouterSettings {
+//!     classes: vec![class], value_by_work: false, tenants: vec![], routers: 1, zone: None,
+//!     cross_zone_cost: false, shard_layout: ShardLayout { cells: 1, cells_per_shard: 1 },
+//!     max_parts_per_call: 1, call_overhead: ms(0), max_attempts: 3, hedging: true, cancellation: true,
+//!     probes: false, max_retry_after: None, retry_budget: None, slow_start: None, subscribe_within: None,
+//!     drain_grace: ms(0), min_turn_interval: ms(5),
 //! };
 //! let mut router = Router::new(settings, 7);
 //! let mut actions = Vec::new();
 //! let server = ServerEntry {
-//!     server: ServerId(0), zone: ZoneId(0), cell: 0, state: ServerState::Ready, boot: None,
+//!     server: ServerId(0), zone: ZoneId(0), cell: 0, state: ServerState::Ready, started_at: None,
 //! };
 //! let (query, part) = (RequestId(0), RequestId(1));
 //! for event in [
-//!     Event::List { kind: ListKind::Full, entries: vec![server] },
-//!     Event::Query { id: query, class: ClassId(0), tenant: None, deadline: ms(3000), repeat: None },
+//!     Event::ServerList { kind: ListKind::Full, entries: vec![server] },
+//!     Event::Query { id: query, class: ClassId(0), tenant: None, deadline: ms(3000), is_retry: None },
 //!     Event::Part { id: part, query, shard: 0, weight: 1.0 },
-//!     Event::TurnEnd,
+//!     Event::TurnEnded,
 //! ] {
 //!     router.handle(ms(0), event, &mut actions);
 //! }
--- a/crates/coordinator/src/net/frames.rs
+++ b/crates/coordinator/src/net/frames.rs
@@ -150,7 +150,7 @@
     let outcome = match end_word {
         "served" => Outcome::Ok,
         "broke" => Outcome::Error,
-        "skipped" => Outcome::Full,
+        "skipped" => Outcome::Rejected,
         _ => return None,
     };
     Some((id.to_owned(), outcome, report(load), line.len() + 1))
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -157,7 +157,7 @@
             call.into_iter().partition(|p| !stopped && now < p.give_up);
         for p in stay {
             self.counters.inc("sent.withheld");
-            self.ended(p.part, p.attempt, Outcome::Moot);
+            self.ended(p.part, p.attempt, Outcome::NotSent);
         }
         go
     }
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -125,7 +125,7 @@
             if take_out(queue, part, attempt) {
                 // Never sent, so never ran, whatever it was given up for.
                 let never = if outcome == Outcome::Timeout {
-                    Outcome::Moot
+                    Outcome::NotSent
                 } else {
                     outcome
                 };
@@ -134,7 +134,7 @@
         }
         LinkMail::Retract(part, attempt) => {
             if take_out(queue, part, attempt) {
-                setup.ended(part, attempt, Outcome::Moot);
+                setup.ended(part, attempt, Outcome::NotSent);
             }
         }
         LinkMail::Probe => {
--- a/crates/coordinator/src/net/link/writing.rs
+++ b/crates/coordinator/src/net/link/writing.rs
@@ -79,7 +79,7 @@
             let id = frames::part_id(p);
             let fresh = !self.out.contains_key(&id) && names.insert(id);
             if !fresh {
-                self.setup.ended(p.part, p.attempt, Outcome::Moot);
+                self.setup.ended(p.part, p.attempt, Outcome::NotSent);
             }
             fresh
         });
--- a/crates/coordinator/src/peers/voice.rs
+++ b/crates/coordinator/src/peers/voice.rs
@@ -48,9 +48,9 @@
             if let Some(told) = told {
                 router.handle(
                     now,
-                    Event::Told {
+                    Event::PeerLoad {
                         server,
-                        out: told.out,
+                        in_flight: told.out,
                         age: told.age,
                     },
                     out,
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -201,7 +201,7 @@
         .settings
         .classes
         .iter()
-        .map(|c| c.limit)
+        .map(|c| c.client_timeout)
         .max()
         .unwrap_or_default();
     let answer_by = longest.min(STOP_MOST) + STOP_MORE;
@@ -241,7 +241,7 @@
     } else if let Some(addr) = config.discovery {
         let settings = &config.site.settings;
         let shared = settings
-            .must_ask_in
+            .subscribe_within
             .map(|within| (settings.routers, within));
         let pace = Pace {
             seed: config.seed,
@@ -323,7 +323,7 @@
     log::info!("{}", config.summary());
     let (mail, inbox) = mpsc::unbounded_channel();
     let (origin, deal) = (Instant::now(), Deal::new(1, config.site.caps.open));
-    let hint = config.site.settings.retry_after_max.unwrap_or(HINT);
+    let hint = config.site.settings.max_retry_after.unwrap_or(HINT);
     let core = Core::new(
         vec![mail.clone()],
         deal.clone(),
--- a/crates/coordinator/src/shard/run.rs
+++ b/crates/coordinator/src/shard/run.rs
@@ -99,7 +99,7 @@
     let (names, gates) = (OpenNames::new(), Gates::new(n));
     let (mails, inboxes): (Vec<_>, Vec<_>) = (0..n).map(|_| mpsc::unbounded_channel()).unzip();
     let (doors, handed): (Vec<_>, Vec<_>) = (0..n).map(|_| mpsc::unbounded_channel()).unzip();
-    let hint = config.site.settings.retry_after_max.unwrap_or(HINT);
+    let hint = config.site.settings.max_retry_after.unwrap_or(HINT);
     let core = Core::new(mails.clone(), deal.clone(), origin, hint, counters.clone());
     let fronts = Arc::new(fronts(&config, core, &counters, readiness.clone()));
     let (over, mut ended) = mpsc::unbounded_channel();
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::counters::Pool;
 use crate::interface::{
-    Class, ClassId, Outcome, RequestId, ServerEntry, ServerId, ServerState, Settings,
+    ClassId, Outcome, QueryClass, RequestId, RouterSettings, ServerEntry, ServerId, ServerState,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -29,7 +29,7 @@
 
 /// The decisions of one query router. It shares nothing with other instances.
 pub struct Router {
-    pub(crate) cfg: Settings,
+    pub(crate) cfg: RouterSettings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: f64,
     pub(crate) servers: BTreeMap<ServerId, Server>,
@@ -74,12 +74,12 @@
 
 impl Router {
     /// A router that knows nothing yet. All its random choices follow from `seed`.
-    pub fn new(cfg: Settings, seed: u64) -> Self {
+    pub fn new(cfg: RouterSettings, seed: u64) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0.0,
             servers: BTreeMap::new(),
-            by_cell: vec![Vec::new(); cfg.layout.cells as usize],
+            by_cell: vec![Vec::new(); cfg.shard_layout.cells as usize],
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
             orphans: BTreeMap::new(),
@@ -181,9 +181,9 @@
     /// Notes whether the room of a server is all taken, or enough of it free again for a call of several parts,
     /// where calls cost work: singly each part would cost a crowded server one.
     fn fill(&mut self, server: ServerId, before: f64) {
-        let dear = self.cfg.call_cost > Duration::ZERO;
+        let dear = self.cfg.call_overhead > Duration::ZERO;
         let call = if dear {
-            f64::from(self.cfg.bundle_max.max(1) - 1) / 2.0
+            f64::from(self.cfg.max_parts_per_call.max(1) - 1) / 2.0
         } else {
             0.0
         };
@@ -238,8 +238,8 @@
 
     /// The servers listed for a shard, whatever their state.
     pub(crate) fn holders(&self, shard: u32) -> impl Iterator<Item = (ServerId, &Server)> + '_ {
-        let cells = self.cfg.layout.cells.max(1);
-        (0..self.cfg.layout.width.min(cells))
+        let cells = self.cfg.shard_layout.cells.max(1);
+        (0..self.cfg.shard_layout.cells_per_shard.min(cells))
             .flat_map(move |j| {
                 self.by_cell
                     .get(((shard + j) % cells) as usize)
@@ -251,7 +251,7 @@
 
     /// Parts of admitted queries that wait here for room at a holder of this shard, for each of these.
     pub(crate) fn waiting(&self, shard: u32) -> f64 {
-        let cells = self.cfg.layout.cells.max(1);
+        let cells = self.cfg.shard_layout.cells.max(1);
         let waits = |p: &&Part| {
             let out = p.done || p.closed || p.attempts.iter().any(|a| a.out);
             !out && p.shard % cells == shard % cells
@@ -264,8 +264,8 @@
 
     /// Whether a server holds a shard.
     pub(crate) fn holds(&self, s: &Server, shard: u32) -> bool {
-        let cells = self.cfg.layout.cells.max(1);
-        (s.cell + cells - shard % cells) % cells < self.cfg.layout.width
+        let cells = self.cfg.shard_layout.cells.max(1);
+        (s.cell + cells - shard % cells) % cells < self.cfg.shard_layout.cells_per_shard
     }
 
     /// Sorts the servers by cell, after a change of the list.
@@ -318,7 +318,7 @@
     }
 
     /// The settings of a class.
-    pub(crate) fn class(&self, id: ClassId) -> &Class {
+    pub(crate) fn class(&self, id: ClassId) -> &QueryClass {
         &self.cfg.classes[id.0 as usize]
     }
 }
--- a/crates/coordinator/tests/deployments.rs
+++ b/crates/coordinator/tests/deployments.rs
@@ -32,7 +32,7 @@
     /// How late a server's report is.
     report: (u64, u64),
     /// Whether a part that may have run may be sent again; within a window where it has a key.
-    repeat: Repeat,
+    repeat: Idempotency,
     may_cancel: bool,
     probes: bool,
     /// Where the list has to be asked for.
@@ -59,7 +59,7 @@
         cold_ramp: (6000, 14_000),
         fall: (2.0, 1000),
         report: (30, 300),
-        repeat: Repeat::Safe,
+        repeat: Idempotency::Idempotent,
         may_cancel: true,
         probes: true,
         must_ask_in: None,
@@ -82,7 +82,7 @@
         cold_ramp: (5900, 15_000),
         fall: (3.0, 1500),
         report: (180, 920),
-        repeat: Repeat::Safe,
+        repeat: Idempotency::Idempotent,
         may_cancel: true,
         probes: true,
         must_ask_in: None,
@@ -98,7 +98,7 @@
         goal: 700,
         limit: 1400,
         late_worth: 0.1,
-        repeat: Repeat::Unsafe,
+        repeat: Idempotency::NotIdempotent,
         ..PORT_SLOTS
     },
     Deployment {
@@ -119,7 +119,7 @@
         cold_ramp: (6000, 15_000),
         fall: (2.0, 2000),
         report: (23, 260),
-        repeat: Repeat::Safe,
+        repeat: Idempotency::Idempotent,
         may_cancel: true,
         probes: true,
         must_ask_in: Some(12_000),
@@ -144,7 +144,7 @@
     cold_ramp: (5000, 10_000),
     fall: (3.0, 1000),
     report: (75, 280),
-    repeat: Repeat::Keyed(Duration::from_millis(900)),
+    repeat: Idempotency::Keyed(Duration::from_millis(900)),
     may_cancel: false,
     probes: false,
     must_ask_in: None,
@@ -229,46 +229,46 @@
             draw.within(d.cold_ramp),
         );
         let report = draw.within(d.report);
-        let class = Class {
-            goal: ms(d.goal),
-            limit: ms(d.limit),
-            late_worth: d.late_worth,
-            worth: 1.0,
-            repeat: d.repeat,
-            need: 1.0,
-            floor: 1.0,
-            partial_earns: 1.0,
-            second_step: 0,
+        let class = QueryClass {
+            latency_target: ms(d.goal),
+            client_timeout: ms(d.limit),
+            late_value: d.late_worth,
+            value: 1.0,
+            idempotency: d.repeat,
+            complete_share: 1.0,
+            min_share: 1.0,
+            partial_value: 1.0,
+            second_step_parts: 0,
         };
         let (share, ramp) = (cold.0, ms(cold.1));
-        let settings = Settings {
+        let settings = RouterSettings {
             classes: vec![class],
-            worth_by_work: false,
+            value_by_work: false,
             tenants: vec![],
             routers: ROUTERS as u32,
             zone: None,
-            zone_cost: false,
-            layout: Layout {
+            cross_zone_cost: false,
+            shard_layout: ShardLayout {
                 cells,
-                width: if d.a_cell == 1 { 2 } else { 1 },
+                cells_per_shard: if d.a_cell == 1 { 2 } else { 1 },
             },
-            bundle_max: d.bundle,
-            call_cost: ms(d.call_cost),
+            max_parts_per_call: d.bundle,
+            call_overhead: ms(d.call_cost),
             max_attempts: d.attempts,
-            second_copies: d.copies,
-            may_cancel: d.may_cancel,
+            hedging: d.copies,
+            cancellation: d.may_cancel,
             probes: d.probes,
-            retry_after_max: Some(ms(500)),
-            budget: None,
-            cold: Some(ColdRule {
-                share,
+            max_retry_after: Some(ms(500)),
+            retry_budget: None,
+            slow_start: Some(SlowStart {
+                initial_share: share,
                 ramp,
-                fall_multiple: d.fall.0,
-                tip_after: ms(d.fall.1),
+                overload_factor: d.fall.0,
+                overload_time: ms(d.fall.1),
             }),
-            must_ask_in: d.must_ask_in.map(ms),
+            subscribe_within: d.must_ask_in.map(ms),
             drain_grace: ms(d.grace),
-            step: ms(STEP),
+            min_turn_interval: ms(STEP),
         };
         let router = |n: usize| Router::new(settings.clone(), seed * 8 + n as u64);
         let mut world = Self {
@@ -300,13 +300,13 @@
             zone: ZoneId(0),
             cell,
             state,
-            boot: boot.map(ms),
+            started_at: boot.map(ms),
         }
     }
 
     fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         self.events.iter_mut().for_each(|e| {
-            e.push(Event::List {
+            e.push(Event::ServerList {
                 kind,
                 entries: entries.clone(),
             });
@@ -338,7 +338,7 @@
             for who in 0..ROUTERS {
                 let mut out = vec![];
                 let events = std::mem::take(&mut self.events[who]);
-                for event in events.into_iter().chain([Event::Wake, Event::TurnEnd]) {
+                for event in events.into_iter().chain([Event::Wake, Event::TurnEnded]) {
                     self.routers[who].handle(ms(self.now), event, &mut out);
                 }
                 out.into_iter().for_each(|a| self.act(who, a));
@@ -356,7 +356,7 @@
             class: ClassId(0),
             tenant: None,
             deadline: ms(deadline),
-            repeat: None,
+            is_retry: None,
         };
         self.events[who].push(event);
         for n in 0..parts {
@@ -397,10 +397,10 @@
             .find(|h| h.0 + self.report <= self.now)
             .map_or(0, |h| h.1);
         let report = LoadReport {
-            inflight: Some(seen as f64),
+            in_flight: Some(seen as f64),
             ..LoadReport::default()
         };
-        self.events[job.who].push(Event::AttemptEnd {
+        self.events[job.who].push(Event::AttemptEnded {
             part: job.part,
             attempt: job.attempt,
             outcome,
@@ -459,9 +459,10 @@
                 let risky = query.risky.get(&part).copied();
                 assert!(
                     match self.d.repeat {
-                        Repeat::Safe => true,
-                        Repeat::Keyed(window) => risky.is_none_or(|t| ms(self.now - t) < window),
-                        Repeat::Unsafe => risky.is_none(),
+                        Idempotency::Idempotent => true,
+                        Idempotency::Keyed(window) =>
+                            risky.is_none_or(|t| ms(self.now - t) < window),
+                        Idempotency::NotIdempotent => risky.is_none(),
                     },
                     "a part that may have run is repeated"
                 );
@@ -499,7 +500,7 @@
                     self.d.must_ask_in.is_some(),
                     "a list is asked for that is pushed"
                 );
-                self.events[who].push(Event::List {
+                self.events[who].push(Event::ServerList {
                     kind: ListKind::Changes,
                     entries: vec![],
                 });
@@ -511,14 +512,14 @@
                 } else {
                     Outcome::Ok
                 };
-                self.events[who].push(Event::Probed {
+                self.events[who].push(Event::ProbeEnded {
                     server,
                     outcome,
                     report: None,
                 });
             }
             Action::Answer { query, .. } => self.over(query, true),
-            Action::Refuse { query, .. } | Action::Fail { query, .. } => self.over(query, false),
+            Action::Reject { query, .. } | Action::Fail { query, .. } => self.over(query, false),
             _ => {}
         }
     }
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -12,43 +12,46 @@
     Duration::from_millis(n)
 }
 
-fn settings() -> Settings {
-    let class = Class {
-        goal: ms(600),
-        limit: ms(1700),
-        late_worth: 0.0,
-        worth: 1.0,
-        repeat: Repeat::Safe,
-        need: 1.0,
-        floor: 1.0,
-        partial_earns: 0.9,
-        second_step: 0,
+fn settings() -> RouterSettings {
+    let class = QueryClass {
+        latency_target: ms(600),
+        client_timeout: ms(1700),
+        late_value: 0.0,
+        value: 1.0,
+        idempotency: Idempotency::Idempotent,
+        complete_share: 1.0,
+        min_share: 1.0,
+        partial_value: 0.9,
+        second_step_parts: 0,
     };
-    Settings {
+    RouterSettings {
         classes: vec![class],
-        worth_by_work: false,
+        value_by_work: false,
         tenants: vec![],
         routers: ROUTERS,
         zone: None,
-        zone_cost: false,
-        layout: Layout { cells: 4, width: 1 },
-        bundle_max: 8,
-        call_cost: ms(7),
+        cross_zone_cost: false,
+        shard_layout: ShardLayout {
+            cells: 4,
+            cells_per_shard: 1,
+        },
+        max_parts_per_call: 8,
+        call_overhead: ms(7),
         max_attempts: 3,
-        second_copies: false,
-        may_cancel: true,
+        hedging: false,
+        cancellation: true,
         probes: true,
-        retry_after_max: Some(ms(1000)),
-        budget: None,
-        cold: Some(ColdRule {
-            share: 0.2,
+        max_retry_after: Some(ms(1000)),
+        retry_budget: None,
+        slow_start: Some(SlowStart {
+            initial_share: 0.2,
             ramp: ms(14_000),
-            fall_multiple: 2.0,
-            tip_after: ms(1000),
+            overload_factor: 2.0,
+            overload_time: ms(1000),
         }),
-        must_ask_in: None,
+        subscribe_within: None,
         drain_grace: ms(2000),
-        step: ms(1),
+        min_turn_interval: ms(1),
     }
 }
 
@@ -58,7 +61,7 @@
         zone: ZoneId(0),
         cell: server % 4,
         state,
-        boot: boot.map(ms),
+        started_at: boot.map(ms),
     }
 }
 
@@ -116,7 +119,7 @@
         for router in &mut self.routers {
             router.handle(
                 ms(self.now),
-                Event::List {
+                Event::ServerList {
                     kind,
                     entries: entries.clone(),
                 },
@@ -136,10 +139,10 @@
             }
             for who in 0..self.routers.len() {
                 let told = |e: &End| LoadReport {
-                    inflight: Some(f64::from(self.held[e.server as usize])),
+                    in_flight: Some(f64::from(self.held[e.server as usize])),
                     ..LoadReport::default()
                 };
-                let event = |e: &End| Event::AttemptEnd {
+                let event = |e: &End| Event::AttemptEnded {
                     part: e.part,
                     attempt: e.attempt,
                     outcome: e.outcome,
@@ -160,7 +163,7 @@
                         class,
                         tenant,
                         deadline,
-                        repeat,
+                        is_retry: repeat,
                     });
                     events.push(Event::Part {
                         id: part,
@@ -173,7 +176,7 @@
                     continue;
                 }
                 let mut out = vec![];
-                for event in events.into_iter().chain([Event::Wake, Event::TurnEnd]) {
+                for event in events.into_iter().chain([Event::Wake, Event::TurnEnded]) {
                     self.routers[who].handle(ms(self.now), event, &mut out);
                 }
                 for action in out {
@@ -202,7 +205,7 @@
                             self.coming.entry(self.now + latency).or_default().push(end);
                         }
                         Action::Answer { .. } => *self.finals.entry("answered").or_default() += 1,
-                        Action::Refuse { .. } => *self.finals.entry("refused").or_default() += 1,
+                        Action::Reject { .. } => *self.finals.entry("refused").or_default() += 1,
                         Action::Fail { .. } => *self.finals.entry("failed").or_default() += 1,
                         _ => {}
                     }
@@ -295,7 +298,7 @@
         );
         let drains = |_, s| {
             if wave.contains(&s) {
-                (Outcome::Full, 2)
+                (Outcome::Rejected, 2)
             } else {
                 (Outcome::Ok, PART)
             }
--- a/crates/coordinator/tests/module.rs
+++ b/crates/coordinator/tests/module.rs
@@ -7,41 +7,44 @@
     Duration::from_millis(n)
 }
 
-fn class() -> Class {
-    Class {
-        goal: ms(1000),
-        limit: ms(3000),
-        late_worth: 0.1,
-        worth: 1.0,
-        repeat: Repeat::Safe,
-        need: 1.0,
-        floor: 1.0,
-        partial_earns: 1.0,
-        second_step: 0,
+fn class() -> QueryClass {
+    QueryClass {
+        latency_target: ms(1000),
+        client_timeout: ms(3000),
+        late_value: 0.1,
+        value: 1.0,
+        idempotency: Idempotency::Idempotent,
+        complete_share: 1.0,
+        min_share: 1.0,
+        partial_value: 1.0,
+        second_step_parts: 0,
     }
 }
 
-fn settings() -> Settings {
-    Settings {
+fn settings() -> RouterSettings {
+    RouterSettings {
         classes: vec![class()],
-        worth_by_work: false,
+        value_by_work: false,
         tenants: vec![],
         routers: 2,
         zone: None,
-        zone_cost: false,
-        layout: Layout { cells: 4, width: 2 },
-        bundle_max: 1,
-        call_cost: ms(0),
+        cross_zone_cost: false,
+        shard_layout: ShardLayout {
+            cells: 4,
+            cells_per_shard: 2,
+        },
+        max_parts_per_call: 1,
+        call_overhead: ms(0),
         max_attempts: 3,
-        second_copies: true,
-        may_cancel: true,
+        hedging: true,
+        cancellation: true,
         probes: false,
-        retry_after_max: Some(ms(500)),
-        budget: None,
-        cold: None,
-        must_ask_in: None,
+        max_retry_after: Some(ms(500)),
+        retry_budget: None,
+        slow_start: None,
+        subscribe_within: None,
         drain_grace: ms(0),
-        step: ms(5),
+        min_turn_interval: ms(5),
     }
 }
 
@@ -58,7 +61,7 @@
 }
 
 impl Bench {
-    fn new(settings: Settings) -> Self {
+    fn new(settings: RouterSettings) -> Self {
         let router = Router::new(settings, 11);
         let mut bench = Self {
             router,
@@ -68,7 +71,7 @@
             deadline: 3000,
         };
         let servers: Vec<ServerEntry> = (0..4).map(entry).collect();
-        bench.turn(vec![Event::List {
+        bench.turn(vec![Event::ServerList {
             kind: ListKind::Full,
             entries: servers,
         }]);
@@ -78,7 +81,7 @@
     /// Plays events as one turn; gives what the router asks for, wake-ups aside.
     fn turn(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut out = Vec::new();
-        for e in events.into_iter().chain([Event::TurnEnd]) {
+        for e in events.into_iter().chain([Event::TurnEnded]) {
             self.router.handle(ms(self.now), e, &mut out);
         }
         out.retain(|a| !matches!(a, Action::Wake { .. }));
@@ -109,7 +112,7 @@
             class: ClassId(class),
             tenant: None,
             deadline,
-            repeat: None,
+            is_retry: None,
         }];
         let mut parts = Vec::new();
         for (n, (shard, weight)) in weights.iter().enumerate() {
@@ -139,12 +142,12 @@
         inflight: f64,
     ) -> Vec<Action> {
         let report = Some(LoadReport {
-            inflight: Some(inflight),
+            in_flight: Some(inflight),
             ..LoadReport::default()
         });
         let latency = ms(100);
         let closed = outcome == Outcome::Ok;
-        self.turn(vec![Event::AttemptEnd {
+        self.turn(vec![Event::AttemptEnded {
             part,
             attempt,
             outcome,
@@ -180,7 +183,7 @@
 
     fn answer(&mut self, part: RequestId, attempt: u32, latency: u64) -> Vec<Action> {
         let (outcome, latency) = (Outcome::Ok, ms(latency));
-        self.turn(vec![Event::AttemptEnd {
+        self.turn(vec![Event::AttemptEnded {
             part,
             attempt,
             outcome,
@@ -197,16 +200,16 @@
         zone: ZoneId(0),
         cell: n,
         state: ServerState::Ready,
-        boot: None,
+        started_at: None,
     }
 }
 
 fn changed(n: u32, state: ServerState, boot: Option<Duration>) -> Event {
-    Event::List {
+    Event::ServerList {
         kind: ListKind::Changes,
         entries: vec![ServerEntry {
             state,
-            boot,
+            started_at: boot,
             ..entry(n)
         }],
     }
@@ -223,7 +226,7 @@
 fn finals(actions: &[Action], id: RequestId) -> usize {
     let ends = |a: &&Action| match a {
         Action::Answer { query, .. }
-        | Action::Refuse { query, .. }
+        | Action::Reject { query, .. }
         | Action::Fail { query, .. } => *query == id,
         _ => false,
     };
@@ -249,7 +252,7 @@
         out,
         vec![Action::Answer {
             query: id,
-            whole: true
+            complete: true
         }]
     );
 }
@@ -273,16 +276,16 @@
         changed(1, ServerState::Gone, None),
     ]);
     let (id, _, out) = b.query(0, &[(0, 1.0)]);
-    assert!(matches!(out[..], [Action::Refuse { query, retry_after: Some(_), .. }] if query == id));
+    assert!(matches!(out[..], [Action::Reject { query, retry_after: Some(_), .. }] if query == id));
 }
 
 #[test]
 fn an_unsafe_part_is_not_sent_again_once_it_may_have_run() {
     let mut s = settings();
-    s.classes[0].repeat = Repeat::Unsafe;
+    s.classes[0].idempotency = Idempotency::NotIdempotent;
     for (outcome, again) in [
         (Outcome::Error, false),
-        (Outcome::Full, true),
+        (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
     ] {
         let mut b = Bench::new(s.clone());
@@ -307,14 +310,14 @@
 #[test]
 fn a_keyed_part_is_not_sent_again_past_its_window() {
     let mut s = settings();
-    s.classes[0].repeat = Repeat::Keyed(ms(400));
-    s.classes[0].goal = ms(2500);
+    s.classes[0].idempotency = Idempotency::Keyed(ms(400));
+    s.classes[0].latency_target = ms(2500);
     let mut b = Bench::new(s.clone());
     let (_, parts, _) = b.query(0, &[(0, 1.0)]);
     b.now = 300;
     assert_eq!(sends(&b.end(parts[0], 0, Outcome::Error, 0.0)).len(), 1);
-    let mut b = Bench::new(Settings {
-        second_copies: false,
+    let mut b = Bench::new(RouterSettings {
+        hedging: false,
         ..s
     });
     let (_, parts, _) = b.query(0, &[(0, 1.0)]);
@@ -341,13 +344,13 @@
 
 #[test]
 fn the_budget_is_kept_at_its_edge() {
-    let budget = Budget {
-        free: 2.0,
-        share: 0.1,
-        span: ms(2000),
+    let budget = RetryBudget {
+        min_retries: 2.0,
+        retry_share: 0.1,
+        window: ms(2000),
     };
-    let mut b = Bench::new(Settings {
-        budget: Some(budget),
+    let mut b = Bench::new(RouterSettings {
+        retry_budget: Some(budget),
         max_attempts: 9,
         ..settings()
     });
@@ -366,9 +369,9 @@
 #[test]
 fn an_answer_in_part_is_given_at_the_floor_and_not_below() {
     let mut s = settings();
-    s.classes[0] = Class {
-        floor: 0.5,
-        partial_earns: 0.8,
+    s.classes[0] = QueryClass {
+        min_share: 0.5,
+        partial_value: 0.8,
         ..class()
     };
     for (weights, answered) in [([0.5, 0.5], true), ([0.49, 0.51], false)] {
@@ -380,13 +383,13 @@
         assert_eq!(
             b.log.contains(&Action::Answer {
                 query: id,
-                whole: false
+                complete: false
             }),
             answered
         );
         assert!(!b.log.contains(&Action::Answer {
             query: id,
-            whole: true
+            complete: true
         }));
     }
 }
@@ -394,10 +397,10 @@
 #[test]
 fn a_second_step_is_whole_only_after_a_whole_first_one() {
     let mut s = settings();
-    s.classes[0] = Class {
-        floor: 0.5,
-        partial_earns: 0.8,
-        second_step: 1,
+    s.classes[0] = QueryClass {
+        min_share: 0.5,
+        partial_value: 0.8,
+        second_step_parts: 1,
         ..class()
     };
     for whole in [true, false] {
@@ -410,7 +413,10 @@
         } else {
             b.until(960);
         }
-        assert!(b.log.contains(&Action::Answer { query: id, whole }));
+        assert!(b.log.contains(&Action::Answer {
+            query: id,
+            complete: whole
+        }));
         let before = b.log.len();
         let more = RequestId(900);
         b.now += 5;
@@ -426,21 +432,27 @@
             .iter()
             .filter(|a| matches!(a, Action::Answer { .. }))
             .collect();
-        assert_eq!(answers, [&Action::Answer { query: id, whole }]);
+        assert_eq!(
+            answers,
+            [&Action::Answer {
+                query: id,
+                complete: whole
+            }]
+        );
     }
 }
 
 #[test]
 fn routers_together_do_not_push_over_a_cold_server() {
-    let cold = ColdRule {
-        share: 0.16,
+    let cold = SlowStart {
+        initial_share: 0.16,
         ramp: ms(16000),
-        fall_multiple: 2.5,
-        tip_after: ms(1000),
+        overload_factor: 2.5,
+        overload_time: ms(1000),
     };
-    let s = Settings {
+    let s = RouterSettings {
         routers: 4,
-        cold: Some(cold),
+        slow_start: Some(cold),
         ..settings()
     };
     let (mut total, mut later) = (0, 0);
@@ -478,28 +490,28 @@
 /// Found by a hunt: sixty routers hear of a start at about the same time, and each sent a part at once.
 #[test]
 fn many_routers_do_not_all_send_at_once_to_a_cold_server() {
-    let cold = ColdRule {
-        share: 0.16,
+    let cold = SlowStart {
+        initial_share: 0.16,
         ramp: ms(18000),
-        fall_multiple: 2.5,
-        tip_after: ms(1000),
+        overload_factor: 2.5,
+        overload_time: ms(1000),
     };
     let mut total = 0;
     for seed in 0..60 {
-        let mut b = Bench::new(Settings {
-            cold: Some(cold),
+        let mut b = Bench::new(RouterSettings {
+            slow_start: Some(cold),
             routers: 60,
             ..settings()
         });
         b.router = Router::new(
-            Settings {
-                cold: Some(cold),
+            RouterSettings {
+                slow_start: Some(cold),
                 routers: 60,
                 ..settings()
             },
             seed,
         );
-        b.turn(vec![Event::List {
+        b.turn(vec![Event::ServerList {
             kind: ListKind::Full,
             entries: (0..4).map(entry).collect(),
         }]);
@@ -552,7 +564,7 @@
 #[test]
 fn a_server_that_answers_between_resets_is_not_left() {
     for (answers, left) in [(1, false), (0, true)] {
-        let mut b = Bench::new(Settings {
+        let mut b = Bench::new(RouterSettings {
             probes: true,
             ..settings()
         });
@@ -578,9 +590,9 @@
 #[test]
 fn a_server_that_swallows_one_class_is_left_by_that_class() {
     let two = vec![class(), class()];
-    let mut b = Bench::new(Settings {
+    let mut b = Bench::new(RouterSettings {
         classes: two,
-        second_copies: false,
+        hedging: false,
         ..settings()
     });
     let (_, parts, out) = b.query(0, &[(0, 1.0)]);
@@ -614,8 +626,8 @@
 /// came back at once until its attempts were spent. What was turned away waits until there is room.
 #[test]
 fn a_full_server_is_sent_no_more_than_it_holds() {
-    let mut b = Bench::new(Settings {
-        second_copies: false,
+    let mut b = Bench::new(RouterSettings {
+        hedging: false,
         ..settings()
     });
     let only = ServerId(0);
@@ -626,7 +638,7 @@
     b.now += 5;
     let out: Vec<Action> = parts[3..]
         .iter()
-        .flat_map(|p| b.end(*p, 0, Outcome::Full, 0.0))
+        .flat_map(|p| b.end(*p, 0, Outcome::Rejected, 0.0))
         .collect();
     assert!(
         sends(&out).is_empty(),
@@ -646,9 +658,9 @@
 /// hold them back: 13,000 parts in 5 s were turned away, three times each within 10 ms.
 #[test]
 fn a_server_that_turned_away_the_only_part_rests() {
-    let mut b = Bench::new(Settings {
+    let mut b = Bench::new(RouterSettings {
         routers: 100,
-        second_copies: false,
+        hedging: false,
         ..settings()
     });
     b.turn(vec![changed(1, ServerState::Gone, None)]);
@@ -656,7 +668,7 @@
     let mut rests = Vec::new();
     for attempt in 0..2 {
         b.now += 2;
-        let (since, out) = (b.now, b.end(parts[0], attempt, Outcome::Full, 0.0));
+        let (since, out) = (b.now, b.end(parts[0], attempt, Outcome::Rejected, 0.0));
         assert!(sends(&out).is_empty(), "back at once");
         while sends(&b.until(b.now + 10)).is_empty() && b.now < since + 900 {}
         rests.push(b.now - since);
@@ -671,16 +683,16 @@
 /// within 10 ms on hosts that refused connections, and all that their query had out was work for nothing.
 #[test]
 fn parts_wait_for_a_full_server_and_spend_no_attempt_on_a_dead_one() {
-    let mut b = Bench::new(Settings {
+    let mut b = Bench::new(RouterSettings {
         routers: 100,
-        second_copies: false,
+        hedging: false,
         ..settings()
     });
     let (full, dead) = (ServerId(0), ServerId(1));
     b.fail(dead, Outcome::ConnectFailed, 1);
     let (id, parts, _) = b.query(0, &[(0, 1.0)]);
     b.now += 2;
-    assert!(sends(&b.end(parts[0], 0, Outcome::Full, 0.0)).is_empty());
+    assert!(sends(&b.end(parts[0], 0, Outcome::Rejected, 0.0)).is_empty());
     assert_eq!(
         sends(&b.until(b.now + 200))
             .iter()
@@ -711,9 +723,9 @@
 #[test]
 fn a_failing_server_is_tried_more_seldom_in_a_large_fleet() {
     let tries = |routers| {
-        let mut b = Bench::new(Settings {
+        let mut b = Bench::new(RouterSettings {
             routers,
-            second_copies: false,
+            hedging: false,
             ..settings()
         });
         b.fail(ServerId(0), Outcome::Error, 2);
@@ -743,14 +755,14 @@
 /// more was admitted and all of it came too late.
 #[test]
 fn what_waits_for_room_counts_in_the_forecast() {
-    let mut b = Bench::new(Settings {
-        second_copies: false,
+    let mut b = Bench::new(RouterSettings {
+        hedging: false,
         ..settings()
     });
     answer(&mut b, 20, 0, (ServerId(9), 0));
     b.turn(vec![changed(1, ServerState::Gone, None)]);
     let (_, parts, _) = b.query(0, &[(0, 1.0)]);
-    b.end(parts[0], 0, Outcome::Full, 0.0);
+    b.end(parts[0], 0, Outcome::Rejected, 0.0);
     let refused = (0..80).filter(|_| {
         let (id, _, out) = b.query(0, &[(0, 1.0)]);
         finals(&out, id) == 1
@@ -764,7 +776,7 @@
 #[test]
 fn a_leaving_server_helps_the_crowded_within_its_grace() {
     for (load, wait, helps) in [(0.0, 100, false), (30.0, 100, true), (30.0, 1700, false)] {
-        let mut b = Bench::new(Settings {
+        let mut b = Bench::new(RouterSettings {
             drain_grace: ms(2000),
             ..settings()
         });
@@ -798,7 +810,7 @@
     let (_, parts, out) = b.query(0, &[(0, 1.0)]);
     assert_eq!(sends(&out)[0].1, other);
     let (part, attempt, outcome, latency) = (parts[0], 0, Outcome::Ok, ms(1));
-    b.turn(vec![Event::AttemptEnd {
+    b.turn(vec![Event::AttemptEnded {
         part,
         attempt,
         outcome,
@@ -880,8 +892,8 @@
 
 #[test]
 fn without_second_copies_no_part_is_out_twice() {
-    let mut b = Bench::new(Settings {
-        second_copies: false,
+    let mut b = Bench::new(RouterSettings {
+        hedging: false,
         ..settings()
     });
     b.query(0, &[(0, 1.0)]);
@@ -890,21 +902,21 @@
 
 #[test]
 fn a_list_call_that_fails_is_made_again_within_the_limit() {
-    let mut b = Bench::new(Settings {
-        must_ask_in: Some(ms(10_000)),
+    let mut b = Bench::new(RouterSettings {
+        subscribe_within: Some(ms(10_000)),
         ..settings()
     });
     let asks = |log: &[Action]| log.iter().filter(|a| **a == Action::Subscribe).count();
     b.until(300);
     let before = asks(&b.log);
-    b.turn(vec![Event::List {
+    b.turn(vec![Event::ServerList {
         kind: ListKind::Failed,
         entries: vec![],
     }]);
     b.until(3000);
     assert_eq!(asks(&b.log), before + 1);
     // Answered: no more calls.
-    b.turn(vec![Event::List {
+    b.turn(vec![Event::ServerList {
         kind: ListKind::Changes,
         entries: vec![],
     }]);
@@ -914,20 +926,23 @@
 
 #[test]
 fn odd_but_legal_events_are_ignored() {
-    let mut b = Bench::new(Settings {
-        layout: Layout { cells: 4, width: 9 },
+    let mut b = Bench::new(RouterSettings {
+        shard_layout: ShardLayout {
+            cells: 4,
+            cells_per_shard: 9,
+        },
         ..settings()
     });
     let gone = RequestId(77);
     b.turn(vec![
-        Event::Withdrawn { query: gone },
+        Event::ClientLeft { query: gone },
         Event::Part {
             id: RequestId(78),
             query: gone,
             shard: 400,
             weight: 1.0,
         },
-        Event::AttemptEnd {
+        Event::AttemptEnded {
             part: gone,
             attempt: 5,
             outcome: Outcome::Ok,
@@ -935,16 +950,16 @@
             closed: true,
             report: None,
         },
-        Event::Probed {
+        Event::ProbeEnded {
             server: ServerId(99),
             outcome: Outcome::Ok,
             report: None,
         },
-        Event::List {
+        Event::ServerList {
             kind: ListKind::Full,
             entries: vec![entry(1), entry(1)],
         },
-        Event::List {
+        Event::ServerList {
             kind: ListKind::Changes,
             entries: vec![ServerEntry {
                 cell: 50,
@@ -953,9 +968,9 @@
         },
     ]);
     let (id, parts, _) = b.query(0, &[(0, 1.0)]);
-    b.turn(vec![Event::Withdrawn { query: id }]);
+    b.turn(vec![Event::ClientLeft { query: id }]);
     assert!(b.end(parts[0], 0, Outcome::Ok, 0.0).is_empty());
-    b.turn(vec![Event::List {
+    b.turn(vec![Event::ServerList {
         kind: ListKind::Full,
         entries: vec![],
     }]);
@@ -1010,7 +1025,7 @@
                 class: ClassId(0),
                 tenant: None,
                 deadline,
-                repeat: None,
+                is_retry: None,
             },
             &mut out,
         );
@@ -1024,7 +1039,7 @@
             },
             &mut out,
         );
-        b.router.handle(at(now), Event::TurnEnd, &mut out);
+        b.router.handle(at(now), Event::TurnEnded, &mut out);
         let mut due = std::collections::BTreeSet::new();
         let mut seen = 0;
         while finals(&out, id) == 0 {
@@ -1038,7 +1053,7 @@
                 .pop_first()
                 .expect("a wake-up is due while a query is open");
             b.router.handle(at(now), Event::Wake, &mut out);
-            b.router.handle(at(now), Event::TurnEnd, &mut out);
+            b.router.handle(at(now), Event::TurnEnded, &mut out);
         }
         assert!(at(now) < deadline);
     }
@@ -1049,19 +1064,19 @@
 /// router alone. Only a told start is a restart.
 #[test]
 fn neither_silence_nor_broken_connections_make_a_server_cold() {
-    let cold = ColdRule {
-        share: 0.16,
+    let cold = SlowStart {
+        initial_share: 0.16,
         ramp: ms(16000),
-        fall_multiple: 2.5,
-        tip_after: ms(1000),
+        overload_factor: 2.5,
+        overload_time: ms(1000),
     };
     for (outcome, boot) in [
         (Outcome::Timeout, false),
         (Outcome::Reset, false),
         (Outcome::Reset, true),
     ] {
-        let mut b = Bench::new(Settings {
-            cold: Some(cold),
+        let mut b = Bench::new(RouterSettings {
+            slow_start: Some(cold),
             ..settings()
         });
         let (_, parts, out) = b.query(0, &[(0, 1.0)]);
@@ -1100,9 +1115,9 @@
 /// counted as repeats past their goal and were refused at once.
 #[test]
 fn a_longer_last_try_does_not_make_first_tries_repeats() {
-    let mut b = Bench::new(Settings {
-        classes: vec![Class {
-            late_worth: 0.0,
+    let mut b = Bench::new(RouterSettings {
+        classes: vec![QueryClass {
+            late_value: 0.0,
             ..class()
         }],
         ..settings()
@@ -1127,9 +1142,9 @@
 /// A client that waits for less than the goal is short of time, not a repeat: it is served in its time.
 #[test]
 fn a_client_short_of_time_is_served() {
-    let mut b = Bench::new(Settings {
-        classes: vec![Class {
-            late_worth: 0.0,
+    let mut b = Bench::new(RouterSettings {
+        classes: vec![QueryClass {
+            late_value: 0.0,
             ..class()
         }],
         ..settings()
@@ -1154,12 +1169,12 @@
         hits += usize::from(server == slow.0);
         b.until(b.now + took);
         let report = Some(LoadReport {
-            inflight: Some(0.0),
+            in_flight: Some(0.0),
             ..LoadReport::default()
         });
         let (part, latency) = (parts[0], ms(took));
         let (outcome, closed, attempt) = (Outcome::Ok, true, 0);
-        b.turn(vec![Event::AttemptEnd {
+        b.turn(vec![Event::AttemptEnded {
             part,
             attempt,
             outcome,
@@ -1175,8 +1190,8 @@
 /// share of the sends. Their own answers outweigh such reports.
 #[test]
 fn a_slow_server_that_reports_idle_is_left() {
-    let mut b = Bench::new(Settings {
-        second_copies: false,
+    let mut b = Bench::new(RouterSettings {
+        hedging: false,
         ..settings()
     });
     answer(&mut b, 20, 2, (ServerId(9), 0));
@@ -1274,7 +1289,7 @@
 /// Where answers are lost while probes pass, a good probe clears nobody: single parts do.
 #[test]
 fn a_good_probe_alone_clears_nobody() {
-    let mut b = Bench::new(Settings {
+    let mut b = Bench::new(RouterSettings {
         probes: true,
         ..settings()
     });
@@ -1285,7 +1300,7 @@
     }
     let more = b.until(b.now + 1100);
     assert!(more.contains(&Action::Probe { server }));
-    b.turn(vec![Event::Probed {
+    b.turn(vec![Event::ProbeEnded {
         server,
         outcome: Outcome::Ok,
         report: None,
@@ -1305,7 +1320,7 @@
 /// 4 s and cleared by five good answers, and parts lost in the cut kept even the first from being sent.
 #[test]
 fn a_server_cut_off_for_long_is_back_with_its_first_answer() {
-    let mut b = Bench::new(Settings {
+    let mut b = Bench::new(RouterSettings {
         probes: true,
         ..settings()
     });
@@ -1315,7 +1330,7 @@
         let more = b.until(b.now + 10);
         if more.contains(&Action::Probe { server }) {
             asked.push(b.now);
-            b.turn(vec![Event::Probed {
+            b.turn(vec![Event::ProbeEnded {
                 server,
                 outcome: Outcome::Timeout,
                 report: None,
@@ -1332,7 +1347,7 @@
     let (_, _, lost) = b.query(0, &[(0, 1.0)]);
     assert!(sends(&lost).iter().any(|s| s.1 == server));
     assert!(lost.contains(&Action::Probe { server }));
-    b.turn(vec![Event::Probed {
+    b.turn(vec![Event::ProbeEnded {
         server,
         outcome: Outcome::Ok,
         report: None,
@@ -1357,9 +1372,9 @@
 fn in_congestion_only_light_parts_are_left_out() {
     let mut s = settings();
     s.classes = vec![
-        Class {
-            floor: 0.4,
-            partial_earns: 0.8,
+        QueryClass {
+            min_share: 0.4,
+            partial_value: 0.8,
             ..class()
         },
         class(),
@@ -1371,11 +1386,11 @@
             let (_, parts, _) = b.query(1, &[(n % 4, 1.0)]);
             b.now += 400;
             let report = Some(LoadReport {
-                inflight: Some(0.0),
+                in_flight: Some(0.0),
                 ..LoadReport::default()
             });
             let (outcome, latency) = (Outcome::Ok, ms(400));
-            b.turn(vec![Event::AttemptEnd {
+            b.turn(vec![Event::AttemptEnded {
                 part: parts[0],
                 attempt: 0,
                 outcome,
@@ -1384,7 +1399,7 @@
                 report,
             }]);
             let (_, parts, _) = b.query(0, &[(n % 4, 1.0)]);
-            b.turn(vec![Event::AttemptEnd {
+            b.turn(vec![Event::AttemptEnded {
                 part: parts[0],
                 attempt: 0,
                 outcome,
@@ -1405,16 +1420,16 @@
 #[test]
 fn where_worth_goes_by_work_a_part_is_priced_against_the_whole_query() {
     for (worth_by_work, asked) in [(true, 4), (false, 1)] {
-        let classes = vec![Class {
-            floor: 0.4,
-            partial_earns: 0.95,
+        let classes = vec![QueryClass {
+            min_share: 0.4,
+            partial_value: 0.95,
             ..class()
         }];
         // Half of what counts as congestion.
         let mut b = seasoned(
-            Settings {
+            RouterSettings {
                 classes,
-                worth_by_work,
+                value_by_work: worth_by_work,
                 ..settings()
             },
             150,
@@ -1431,7 +1446,7 @@
     for n in 0..40 {
         let (id, parts, _) = b.query(0, &[(n % 4, 1.0)]);
         let (part, outcome, latency) = (parts[0], Outcome::Ok, ms(0));
-        b.turn(vec![Event::AttemptEnd {
+        b.turn(vec![Event::AttemptEnded {
             part,
             attempt: 0,
             outcome,
@@ -1445,7 +1460,7 @@
 }
 
 /// A bench whose router has seen part times of `latency` on shards 0 to 3 alike.
-fn seasoned(settings: Settings, latency: u64) -> Bench {
+fn seasoned(settings: RouterSettings, latency: u64) -> Bench {
     let mut b = Bench::new(settings);
     for n in 0..24 {
         let (_, parts, _) = b.query(0, &[(n % 4, 1.0)]);
@@ -1513,9 +1528,9 @@
 fn in_congestion_a_query_with_little_missing_waits_past_its_goal() {
     for (late_worth, open) in [(0.5, 0), (0.1, 1)] {
         let mut b = seasoned(
-            Settings {
-                classes: vec![Class {
-                    late_worth,
+            RouterSettings {
+                classes: vec![QueryClass {
+                    late_value: late_worth,
                     ..class()
                 }],
                 ..settings()
@@ -1549,9 +1564,9 @@
 fn queries_that_miss_their_goal_make_admission_stricter() {
     for (last, refused) in [(550, 0), (1100, 1)] {
         let mut b = seasoned(
-            Settings {
-                classes: vec![Class {
-                    late_worth: 0.5,
+            RouterSettings {
+                classes: vec![QueryClass {
+                    late_value: 0.5,
                     ..class()
                 }],
                 ..settings()
@@ -1579,12 +1594,12 @@
 fn a_query_that_still_earns_late_is_taken_though_it_may_be_late() {
     // Among many routers each learns late of what all do: there it is left out.
     for (late_worth, routers, refused) in [(0.0, 2, 1), (0.8, 2, 0), (0.8, 100, 1)] {
-        let classes = vec![Class {
-            late_worth,
+        let classes = vec![QueryClass {
+            late_value: late_worth,
             ..class()
         }];
         let mut b = seasoned(
-            Settings {
+            RouterSettings {
                 classes,
                 routers,
                 ..settings()
@@ -1616,11 +1631,17 @@
         (5.0, false, 1, 320, 100, (1, 1)),
     ];
     for (worth, worth_by_work, parts, latency, routers, ends) in cases {
-        let classes = vec![class(), Class { worth, ..class() }];
+        let classes = vec![
+            class(),
+            QueryClass {
+                value: worth,
+                ..class()
+            },
+        ];
         let mut b = seasoned(
-            Settings {
+            RouterSettings {
                 classes,
-                worth_by_work,
+                value_by_work: worth_by_work,
                 routers,
                 ..settings()
             },
@@ -1649,7 +1670,7 @@
 fn among_many_routers_less_is_taken_though_all_is_in_time() {
     let taken = |routers: u32| {
         let mut b = seasoned(
-            Settings {
+            RouterSettings {
                 routers,
                 ..settings()
             },
@@ -1673,9 +1694,9 @@
 fn a_server_that_other_routers_load_is_left_to_them() {
     for (age, heavy) in [(0, 0), (5000, 20)] {
         let mut b = seasoned(settings(), 100);
-        let told = |server, out| Event::Told {
+        let told = |server, out| Event::PeerLoad {
             server: ServerId(server),
-            out,
+            in_flight: out,
             age: ms(age),
         };
         let mut to_heavy = 0;
@@ -1736,8 +1757,11 @@
     // The same losses tell of the connection only where it had been out of use.
     for (pause, opened) in [(1500, true), (100, false)] {
         let mut b = seasoned(
-            Settings {
-                layout: Layout { cells: 1, width: 1 },
+            RouterSettings {
+                shard_layout: ShardLayout {
+                    cells: 1,
+                    cells_per_shard: 1,
+                },
                 ..settings()
             },
             100,
@@ -1748,7 +1772,7 @@
                 ..entry(n)
             })
             .collect();
-        b.turn(vec![Event::List {
+        b.turn(vec![Event::ServerList {
             kind: ListKind::Full,
             entries,
         }]);
@@ -1761,7 +1785,9 @@
             b.answer(parts[0], 1, 100);
         }
         assert_eq!(
-            b.log.iter().any(|a| matches!(a, Action::Release { .. })),
+            b.log
+                .iter()
+                .any(|a| matches!(a, Action::CloseIdleConnections { .. })),
             opened,
             "pause of {pause} ms"
         );
@@ -1772,9 +1798,9 @@
 #[test]
 fn a_marked_repeat_keeps_its_first_goal_and_an_unmarked_try_gets_a_new_one() {
     for (repeat, ends) in [(Some(false), 0), (Some(true), 1)] {
-        let mut b = Bench::new(Settings {
-            classes: vec![Class {
-                late_worth: 0.0,
+        let mut b = Bench::new(RouterSettings {
+            classes: vec![QueryClass {
+                late_value: 0.0,
                 ..class()
             }],
             ..settings()
@@ -1792,7 +1818,7 @@
             class: ClassId(0),
             tenant: None,
             deadline,
-            repeat,
+            is_retry: repeat,
         };
         b.turn(vec![
             query,
@@ -1822,10 +1848,10 @@
 #[test]
 fn a_full_server_gets_parts_again_once_several_can_share_a_call() {
     for (call_cost, together) in [(ms(10), true), (ms(0), false)] {
-        let mut b = Bench::new(Settings {
-            bundle_max: 8,
-            call_cost,
-            second_copies: false,
+        let mut b = Bench::new(RouterSettings {
+            max_parts_per_call: 8,
+            call_overhead: call_cost,
+            hedging: false,
             ..settings()
         });
         b.turn(vec![changed(1, ServerState::Gone, None)]);
@@ -1836,7 +1862,7 @@
         // It turns some away, which wait for what the others leave free.
         parts[3..]
             .iter()
-            .for_each(|p| assert!(sends(&b.end(*p, 0, Outcome::Full, 0.0)).is_empty()));
+            .for_each(|p| assert!(sends(&b.end(*p, 0, Outcome::Rejected, 0.0)).is_empty()));
         let calls = parts[..3]
             .iter()
             .map(|p| sends(&b.end(*p, 0, Outcome::Ok, 3.0)).len());
@@ -1853,9 +1879,9 @@
 #[test]
 fn another_routers_word_ends_no_server() {
     let mut b = seasoned(settings(), 50);
-    let told = |n| Event::Told {
+    let told = |n| Event::PeerLoad {
         server: ServerId(n),
-        out: 8.0,
+        in_flight: 8.0,
         age: ms(30),
     };
     b.turn((0..4).map(told).collect());
--- a/crates/coordinator/tests/peers.rs
+++ b/crates/coordinator/tests/peers.rs
@@ -165,7 +165,7 @@
         let mut bench = Bench::new(dialect, &host.addr);
         bench.call(1);
         bench.act(|p, _| p.retract(HOST, RequestId(1), 0));
-        assert_eq!(bench.ended(), (1, Outcome::Moot));
+        assert_eq!(bench.ended(), (1, Outcome::NotSent));
         bench.call(2);
         bench.runtime.block_on(async {
             while ledger.all().is_empty() {
--- a/crates/coordinator/tests/recorded_decisions.rs
+++ b/crates/coordinator/tests/recorded_decisions.rs
@@ -42,10 +42,10 @@
 
     fn cause(&mut self, cause: Cause) {
         self.word(match cause {
-            Cause::Busy => 0,
+            Cause::Overloaded => 0,
             Cause::NoHost => 1,
-            Cause::Late => 2,
-            Cause::Lost => 3,
+            Cause::TooLate => 2,
+            Cause::PartsLost => 3,
         });
     }
 
@@ -66,11 +66,14 @@
                 self.word(part.0);
                 self.word((*attempt).into());
             }
-            Action::Answer { query, whole } => {
+            Action::Answer {
+                query,
+                complete: whole,
+            } => {
                 self.word(query.0);
                 self.word((*whole).into());
             }
-            Action::Refuse {
+            Action::Reject {
                 query,
                 retry_after,
                 cause,
@@ -84,7 +87,9 @@
                 self.hint(*retry_after);
                 self.cause(*cause);
             }
-            Action::Probe { server } | Action::Release { server } => self.word(server.0.into()),
+            Action::Probe { server } | Action::CloseIdleConnections { server } => {
+                self.word(server.0.into())
+            }
             Action::Subscribe => {}
             Action::Wake { after } => self.time(*after),
         }
@@ -98,10 +103,10 @@
         Action::Send { .. } => 0,
         Action::Cancel { .. } => 1,
         Action::Answer { .. } => 2,
-        Action::Refuse { .. } => 3,
+        Action::Reject { .. } => 3,
         Action::Fail { .. } => 4,
         Action::Probe { .. } => 5,
-        Action::Release { .. } => 6,
+        Action::CloseIdleConnections { .. } => 6,
         Action::Subscribe => 7,
         Action::Wake { .. } => 8,
     }
@@ -156,7 +161,7 @@
 
 /// What varies between the streams.
 struct Stream {
-    settings: Settings,
+    settings: RouterSettings,
     seed: u64,
     hosts: u64,
     /// Mean time between queries in microseconds.
@@ -263,18 +268,18 @@
     }
 
     fn entry(&self, n: usize) -> ServerEntry {
-        let cells = self.stream.settings.layout.cells;
+        let cells = self.stream.settings.shard_layout.cells;
         ServerEntry {
             server: ServerId(n as u32),
             zone: ZoneId(n as u32 / cells % 3),
             cell: n as u32 % cells,
             state: self.hosts[n].state,
-            boot: self.hosts[n].boot,
+            started_at: self.hosts[n].boot,
         }
     }
 
     fn run(mut self) -> Recorded {
-        if self.stream.settings.must_ask_in.is_none() {
+        if self.stream.settings.subscribe_within.is_none() {
             self.tell_full_list(ListKind::Cached);
             self.tell_full_list(ListKind::Full);
         }
@@ -289,7 +294,7 @@
             if turn % 211 == 0 {
                 self.change_list();
             }
-            self.tell(Event::TurnEnd);
+            self.tell(Event::TurnEnded);
             self.carry_out();
             if turn % 50 == 0 {
                 for (server, parts) in self.router.outs() {
@@ -342,7 +347,7 @@
             if crashed {
                 host.boot = Some(us(self.now - 50_000));
                 let entries = vec![self.entry(n)];
-                self.tell(Event::List {
+                self.tell(Event::ServerList {
                     kind: ListKind::Changes,
                     entries,
                 });
@@ -368,7 +373,7 @@
                 Reply::Probed(server) => self.probe_ends(server),
                 Reply::List(fails) => {
                     if fails {
-                        self.tell(Event::List {
+                        self.tell(Event::ServerList {
                             kind: ListKind::Failed,
                             entries: vec![],
                         });
@@ -382,7 +387,7 @@
                     self.tell_parts(query, class, parts.into());
                 }
                 Reply::Left(query) => {
-                    self.tell(Event::Withdrawn { query });
+                    self.tell(Event::ClientLeft { query });
                     self.queries.remove(&query);
                 }
             }
@@ -404,12 +409,12 @@
         host.last_use = self.now;
         let held = host.held;
         let report = self.lcg.percent(self.stream.reports).then(|| LoadReport {
-            inflight: (held % 3 != 1).then_some(held as f64),
-            queue: Some(held.saturating_sub(2) as f64),
-            busy: Some((held as f64 / 8.0).min(1.0)),
+            in_flight: (held % 3 != 1).then_some(held as f64),
+            queued: Some(held.saturating_sub(2) as f64),
+            utilization: Some((held as f64 / 8.0).min(1.0)),
         });
         let latency = us(self.now - sent);
-        self.tell(Event::AttemptEnd {
+        self.tell(Event::AttemptEnded {
             part,
             attempt,
             outcome,
@@ -429,10 +434,10 @@
         };
         let held = host.held as f64;
         let report = self.lcg.percent(60).then(|| LoadReport {
-            inflight: Some(held),
+            in_flight: Some(held),
             ..LoadReport::default()
         });
-        self.tell(Event::Probed {
+        self.tell(Event::ProbeEnded {
             server,
             outcome,
             report,
@@ -442,7 +447,7 @@
     fn tell_full_list(&mut self, kind: ListKind) {
         let here = (0..self.hosts.len()).filter(|n| self.hosts[*n].state != ServerState::Gone);
         let entries = here.map(|n| self.entry(n)).collect();
-        self.tell(Event::List { kind, entries });
+        self.tell(Event::ServerList { kind, entries });
     }
 
     fn arrivals(&mut self) {
@@ -454,7 +459,7 @@
         }
         if self.lcg.below(150) == 0 {
             if let Some(query) = self.recent.back().copied() {
-                self.tell(Event::Withdrawn { query });
+                self.tell(Event::ClientLeft { query });
                 self.queries.remove(&query);
             }
         }
@@ -462,7 +467,7 @@
 
     fn new_query(&mut self) {
         let class = self.lcg.below(self.stream.settings.classes.len() as u64) as u32;
-        let limit = self.stream.settings.classes[class as usize].limit;
+        let limit = self.stream.settings.classes[class as usize].client_timeout;
         let tenants = self.stream.settings.tenants.len() as u64;
         let tenant = (tenants > 0).then(|| TenantId(self.lcg.below(tenants + 1) as u32));
         let wait = match self.lcg.below(12) {
@@ -483,7 +488,7 @@
             class: ClassId(class),
             tenant,
             deadline: us(self.now) + wait,
-            repeat,
+            is_retry: repeat,
         });
         self.queries.insert(query, (class, false));
         if self.lcg.below(1_000) < self.stream.crashing_queries {
@@ -499,7 +504,7 @@
     }
 
     fn tell_parts(&mut self, query: RequestId, class: u32, parts: u64) {
-        let cells = u64::from(self.stream.settings.layout.cells);
+        let cells = u64::from(self.stream.settings.shard_layout.cells);
         let first = self.lcg.below(cells);
         let weights: Vec<u64> = (0..parts).map(|_| 1 + self.lcg.below(4)).collect();
         let total: u64 = weights.iter().sum();
@@ -528,11 +533,15 @@
     fn other_routers_speak(&mut self) {
         let server = ServerId(self.lcg.below(self.stream.hosts + 1) as u32);
         match self.lcg.below(8) {
-            0 => self.tell(Event::Unreached { server }),
+            0 => self.tell(Event::Unreachable { server }),
             1..=4 => {
                 let out = self.lcg.below(9) as f64 / 2.0;
                 let age = ms(self.lcg.below(700));
-                self.tell(Event::Told { server, out, age });
+                self.tell(Event::PeerLoad {
+                    server,
+                    in_flight: out,
+                    age,
+                });
             }
             _ => {}
         }
@@ -552,11 +561,11 @@
         let entries = vec![self.entry(n)];
         match self.lcg.below(6) {
             0 => self.tell_full_list(ListKind::Full),
-            1 => self.tell(Event::List {
+            1 => self.tell(Event::ServerList {
                 kind: ListKind::Failed,
                 entries: vec![],
             }),
-            _ => self.tell(Event::List {
+            _ => self.tell(Event::ServerList {
                 kind: ListKind::Changes,
                 entries,
             }),
@@ -586,14 +595,14 @@
                     );
                 }
                 Action::Answer { query, .. } => self.query_answered(query),
-                Action::Refuse { query, .. } | Action::Fail { query, .. } => {
+                Action::Reject { query, .. } | Action::Fail { query, .. } => {
                     self.queries.remove(&query);
                 }
                 Action::Probe { server } => {
                     let delay = 1_000 + self.lcg.below(60_000);
                     self.reply_in(delay, Reply::Probed(server));
                 }
-                Action::Release { .. } => {}
+                Action::CloseIdleConnections { .. } => {}
                 Action::Subscribe => {
                     let fails = self.lcg.percent(40);
                     let delay = 2_000 + self.lcg.below(30_000);
@@ -610,7 +619,7 @@
         let Some((class, second)) = self.queries.get(&query).copied() else {
             return;
         };
-        let parts = self.stream.settings.classes[class as usize].second_step;
+        let parts = self.stream.settings.classes[class as usize].second_step_parts;
         if parts == 0 || second {
             self.queries.remove(&query);
             return;
@@ -642,7 +651,7 @@
             Some(outcome) if time < timeout => (outcome, time),
             _ => (Outcome::Timeout, timeout),
         };
-        let outcome = if known { outcome } else { Outcome::Moot };
+        let outcome = if known { outcome } else { Outcome::NotSent };
         self.reply_in(
             after,
             Reply::Attempt {
@@ -679,7 +688,7 @@
             Condition::Failing => (Some(Outcome::Error), quick),
             Condition::Silent => (None, 0),
             Condition::Full if host.held >= 2 || self.lcg.percent(20) => {
-                (Some(Outcome::Full), quick)
+                (Some(Outcome::Rejected), quick)
             }
             Condition::Full => (Some(Outcome::Ok), 2 * usual),
             Condition::Crashing if self.now < host.condition_since + CRASH => {
@@ -698,68 +707,71 @@
     }
 }
 
-fn plain_class() -> Class {
-    Class {
-        goal: ms(250),
-        limit: ms(900),
-        late_worth: 0.2,
-        worth: 1.0,
-        repeat: Repeat::Safe,
-        need: 1.0,
-        floor: 1.0,
-        partial_earns: 1.0,
-        second_step: 0,
+fn plain_class() -> QueryClass {
+    QueryClass {
+        latency_target: ms(250),
+        client_timeout: ms(900),
+        late_value: 0.2,
+        value: 1.0,
+        idempotency: Idempotency::Idempotent,
+        complete_share: 1.0,
+        min_share: 1.0,
+        partial_value: 1.0,
+        second_step_parts: 0,
     }
 }
 
-fn classes() -> Vec<Class> {
-    let partial = Class {
-        goal: ms(180),
-        limit: ms(600),
-        late_worth: 0.1,
-        worth: 2.5,
-        need: 0.9,
-        floor: 0.5,
-        partial_earns: 0.8,
+fn classes() -> Vec<QueryClass> {
+    let partial = QueryClass {
+        latency_target: ms(180),
+        client_timeout: ms(600),
+        late_value: 0.1,
+        value: 2.5,
+        complete_share: 0.9,
+        min_share: 0.5,
+        partial_value: 0.8,
         ..plain_class()
     };
-    let two_steps = Class {
-        goal: ms(500),
-        limit: ms(1500),
-        repeat: Repeat::Keyed(ms(400)),
-        second_step: 3,
+    let two_steps = QueryClass {
+        latency_target: ms(500),
+        client_timeout: ms(1500),
+        idempotency: Idempotency::Keyed(ms(400)),
+        second_step_parts: 3,
         ..plain_class()
     };
-    let no_repeat = Class {
-        late_worth: 0.0,
-        repeat: Repeat::Unsafe,
-        worth: 0.5,
+    let no_repeat = QueryClass {
+        late_value: 0.0,
+        idempotency: Idempotency::NotIdempotent,
+        value: 0.5,
         ..plain_class()
     };
     vec![plain_class(), partial, two_steps, no_repeat]
 }
 
-fn plain_settings() -> Settings {
-    Settings {
+fn plain_settings() -> RouterSettings {
+    RouterSettings {
         classes: classes(),
-        worth_by_work: false,
+        value_by_work: false,
         tenants: vec![],
         routers: 2,
         zone: None,
-        zone_cost: false,
-        layout: Layout { cells: 6, width: 2 },
-        bundle_max: 1,
-        call_cost: ms(0),
+        cross_zone_cost: false,
+        shard_layout: ShardLayout {
+            cells: 6,
+            cells_per_shard: 2,
+        },
+        max_parts_per_call: 1,
+        call_overhead: ms(0),
         max_attempts: 3,
-        second_copies: true,
-        may_cancel: true,
+        hedging: true,
+        cancellation: true,
         probes: false,
-        retry_after_max: Some(ms(500)),
-        budget: None,
-        cold: None,
-        must_ask_in: None,
+        max_retry_after: Some(ms(500)),
+        retry_budget: None,
+        slow_start: None,
+        subscribe_within: None,
         drain_grace: ms(300),
-        step: ms(5),
+        min_turn_interval: ms(5),
     }
 }
 
@@ -780,7 +792,7 @@
 fn tenants() -> Vec<Tenant> {
     [(0.5, 60.0), (0.3, 20.0), (0.2, 4.0)]
         .map(|(portion, quota_per_s)| Tenant {
-            portion,
+            share: portion,
             quota_per_s,
         })
         .to_vec()
@@ -813,21 +825,21 @@
 
 #[test]
 fn budget_cold_rule_probes_and_zones_decide_as_recorded() {
-    let settings = Settings {
-        budget: Some(Budget {
-            free: 5.0,
-            share: 0.15,
-            span: ms(2000),
+    let settings = RouterSettings {
+        retry_budget: Some(RetryBudget {
+            min_retries: 5.0,
+            retry_share: 0.15,
+            window: ms(2000),
         }),
-        cold: Some(ColdRule {
-            share: 0.2,
+        slow_start: Some(SlowStart {
+            initial_share: 0.2,
             ramp: ms(8000),
-            fall_multiple: 2.0,
-            tip_after: ms(1000),
+            overload_factor: 2.0,
+            overload_time: ms(1000),
         }),
         probes: true,
         zone: Some(ZoneId(1)),
-        zone_cost: true,
+        cross_zone_cost: true,
         ..plain_settings()
     };
     let stream = Stream {
@@ -847,9 +859,9 @@
 
 #[test]
 fn an_overloaded_fleet_with_tenants_decides_as_recorded() {
-    let settings = Settings {
+    let settings = RouterSettings {
         tenants: tenants(),
-        worth_by_work: true,
+        value_by_work: true,
         probes: true,
         ..plain_settings()
     };
@@ -873,17 +885,17 @@
 
 #[test]
 fn many_routers_with_calls_of_several_parts_decide_as_recorded() {
-    let settings = Settings {
+    let settings = RouterSettings {
         routers: 24,
-        bundle_max: 4,
-        call_cost: ms(4),
+        max_parts_per_call: 4,
+        call_overhead: ms(4),
         tenants: tenants(),
-        must_ask_in: Some(ms(1500)),
-        cold: Some(ColdRule {
-            share: 0.1,
+        subscribe_within: Some(ms(1500)),
+        slow_start: Some(SlowStart {
+            initial_share: 0.1,
             ramp: ms(6000),
-            fall_multiple: 1.5,
-            tip_after: ms(500),
+            overload_factor: 1.5,
+            overload_time: ms(500),
         }),
         ..plain_settings()
     };
@@ -904,13 +916,13 @@
 
 #[test]
 fn without_copies_cancels_and_reports_they_decide_as_recorded() {
-    let settings = Settings {
-        second_copies: false,
-        may_cancel: false,
-        retry_after_max: None,
+    let settings = RouterSettings {
+        hedging: false,
+        cancellation: false,
+        max_retry_after: None,
         max_attempts: 2,
-        bundle_max: 3,
-        call_cost: ms(2),
+        max_parts_per_call: 3,
+        call_overhead: ms(2),
         probes: true,
         ..plain_settings()
     };
@@ -933,8 +945,8 @@
 
 #[test]
 fn seldom_used_connections_decide_as_recorded() {
-    let settings = Settings {
-        must_ask_in: Some(ms(2000)),
+    let settings = RouterSettings {
+        subscribe_within: Some(ms(2000)),
         probes: true,
         ..plain_settings()
     };
@@ -958,15 +970,18 @@
 
 #[test]
 fn a_large_faulty_fleet_of_many_routers_decides_as_recorded() {
-    let settings = Settings {
+    let settings = RouterSettings {
         routers: 40,
-        layout: Layout { cells: 8, width: 3 },
+        shard_layout: ShardLayout {
+            cells: 8,
+            cells_per_shard: 3,
+        },
         probes: true,
-        worth_by_work: true,
-        budget: Some(Budget {
-            free: 20.0,
-            share: 0.3,
-            span: ms(1000),
+        value_by_work: true,
+        retry_budget: Some(RetryBudget {
+            min_retries: 20.0,
+            retry_share: 0.3,
+            window: ms(1000),
         }),
         ..plain_settings()
     };
