--- a/crates/model-check/src/canonical.rs
+++ b/crates/model-check/src/canonical.rs
@@ -1,4 +1,4 @@
-//! What tells states apart: hashes in which times count from now, so that the same state at another time is the same.
+//! Canonical hashes of states: times count from now, so that the same state at another time has the same hash.
 
 use protocol::Message;
 use std::cell::RefCell;
@@ -7,17 +7,17 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// Times longer ago than so many leases are not told apart: no rule of the member looks further back where the voters
-/// are no more than the budget needs.
-const LEASES_TOLD_APART: u32 = 5;
+/// Times more than this many leases ago are all the same: no rule of the member looks further back if there are no more
+/// voters than the budget needs.
+const MAX_LEASES_BACK: u32 = 5;
 
 thread_local! {
     static TEXT: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
-/// A time against now, in ns, no further back than is told apart.
+/// A time relative to now, in nanoseconds, no further back than [`MAX_LEASES_BACK`].
 pub fn relative(now: Duration, at: Duration, lease: Duration) -> i64 {
-    let oldest = -((lease * LEASES_TOLD_APART).as_nanos() as i64);
+    let oldest = -((lease * MAX_LEASES_BACK).as_nanos() as i64);
     (at.as_nanos() as i64 - now.as_nanos() as i64).max(oldest)
 }
 
--- a/crates/model-check/src/cluster/operator.rs
+++ b/crates/model-check/src/cluster/clients.rs
@@ -1,4 +1,4 @@
-//! The operators: orders at given times, sent again after an unclear answer.
+//! Clients of the control plane: requests at given times, retried after an unclear answer.
 
 use configuration::Configuration;
 use protocol::Command;
@@ -6,36 +6,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often an order is sent at most.
-pub(super) const MOST_ATTEMPTS: u64 = 4;
-/// Tickets of one order.
-const TICKETS_PER_ORDER: u64 = 16;
-/// Pause before an order without a clear answer is sent again.
-pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// How often a request is sent at most.
+pub(super) const MAX_ATTEMPTS: u64 = 4;
+/// Number of tickets of one request.
+const TICKETS_PER_REQUEST: u64 = 16;
+/// Pause before a request without a definite answer is sent again.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// What is asked of the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// A new configuration on the newest confirmed one.
+    /// A new configuration on the newest acknowledged one.
     Change,
-    /// Another content with the base and version of the latest change: the order of a second operator.
+    /// Another content with the base and version of the latest change: the request of a second client.
     Rival,
-    /// An order on the version that the next change is going to lead to.
-    Guess,
+    /// A configuration on the version that the next change is going to lead to.
+    OnNextVersion,
     /// The latest change once more, byte for byte.
     Repeat,
     /// The first change once more, after others.
     RepeatFirst,
-    /// A host drains.
+    /// The drain of a host.
     Drain,
-    /// The newest configuration is asked for.
+    /// A read of the newest configuration.
     Read,
 }
 
-/// A request with its time, counted from the end of the members' start, and the member that takes it.
+/// A request with its time and the member that receives it.
 #[derive(Clone, Copy, Debug)]
-pub struct Step {
-    /// When.
+pub struct ScheduledRequest {
+    /// When it is sent, counted from the end of the members' start.
     pub at: Duration,
     /// The machine that is asked first.
     pub to: usize,
@@ -43,40 +43,42 @@
     pub request: Request,
 }
 
-/// What became of an order.
+/// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Result {
+pub(super) enum RequestOutcome {
+    /// No definite answer yet.
     Open,
-    Confirmed,
-    Refused,
+    Acknowledged,
+    Rejected,
 }
 
+/// A request that was sent.
 #[derive(Clone, Debug)]
-pub(super) struct Order {
+pub(super) struct PendingRequest {
     pub(super) command: Arc<Command>,
-    /// Orders of one content are one order.
+    /// Requests with one content are the same request.
     pub(super) content: usize,
     pub(super) base: u64,
     pub(super) version: u64,
-    /// What had been confirmed when it was sent first.
-    pub(super) known: u64,
+    /// Newest acknowledged version when it was sent first.
+    pub(super) newest_at_send: u64,
     pub(super) attempts: u64,
-    /// The machine that has it now.
+    /// The machine that it was sent to last.
     pub(super) at: Option<usize>,
-    pub(super) result: Result,
+    pub(super) outcome: RequestOutcome,
 }
 
-impl Hash for Order {
+impl Hash for PendingRequest {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        let place = (self.content, self.base, self.version, self.known);
-        (place, self.attempts, self.at, self.result).hash(state);
+        let identity = (self.content, self.base, self.version, self.newest_at_send);
+        (identity, self.attempts, self.at, self.outcome).hash(state);
     }
 }
 
-/// All orders so far.
+/// All requests so far, by number.
 #[derive(Clone, Debug, Default, Hash)]
-pub(super) struct Operators {
-    pub(super) orders: Vec<Order>,
+pub(super) struct Clients {
+    pub(super) requests: Vec<PendingRequest>,
 }
 
 fn body(version: u64, name: &str) -> Vec<u8> {
@@ -86,98 +88,98 @@
     .into_bytes()
 }
 
-/// The version that a change which is order `number` leads to.
+/// The version that a change leads to if it is request `number`.
 fn next_version(newest: u64, number: usize) -> u64 {
     newest + 10 + number as u64
 }
 
-impl Operators {
-    /// Makes a request an order; its number.
-    pub(super) fn make(&mut self, request: Request, newest: u64) -> usize {
-        let number = self.orders.len();
+impl Clients {
+    /// Creates a request; its number.
+    pub(super) fn create(&mut self, request: Request, newest: u64) -> usize {
+        let number = self.requests.len();
         let latest = self
-            .orders
+            .requests
             .iter()
             .rposition(|o| matches!(*o.command, Command::Configure { .. }));
-        let latest = latest.map(|at| self.orders[at].clone());
+        let latest = latest.map(|at| self.requests[at].clone());
         let first = self
-            .orders
+            .requests
             .iter()
             .find(|o| matches!(*o.command, Command::Configure { .. }));
         let latest = first
             .cloned()
             .filter(|_| request == Request::RepeatFirst)
             .or(latest);
-        let order = match (request, latest) {
-            (Request::Read, _) => self.other(Command::Read { reserved: 0 }, newest),
-            (Request::Drain, _) => self.other(
+        let created = match (request, latest) {
+            (Request::Read, _) => self.without_version(Command::Read { reserved: 0 }, newest),
+            (Request::Drain, _) => self.without_version(
                 Command::Drain {
                     host: format!("i-{number}"),
                 },
                 newest,
             ),
-            (Request::Repeat | Request::RepeatFirst, Some(latest)) => Order {
-                known: newest,
+            (Request::Repeat | Request::RepeatFirst, Some(latest)) => PendingRequest {
+                newest_at_send: newest,
                 attempts: 0,
                 at: None,
-                result: Result::Open,
+                outcome: RequestOutcome::Open,
                 ..latest
             },
             (Request::Rival, Some(latest)) => self.change(latest.base, latest.version, newest),
-            (Request::Guess, _) => {
+            (Request::OnNextVersion, _) => {
                 let base = next_version(newest, number + 1);
                 self.change(base, next_version(base, number), newest)
             }
             _ => self.change(newest, next_version(newest, number), newest),
         };
-        self.orders.push(order);
+        self.requests.push(created);
         number
     }
 
-    fn other(&self, command: Command, known: u64) -> Order {
-        let content = self.orders.len();
+    fn without_version(&self, command: Command, newest_at_send: u64) -> PendingRequest {
+        let content = self.requests.len();
         let command = Arc::new(command);
-        Order {
+        PendingRequest {
             command,
             content,
             base: 0,
             version: 0,
-            known,
+            newest_at_send,
             attempts: 0,
             at: None,
-            result: Result::Open,
+            outcome: RequestOutcome::Open,
         }
     }
 
-    fn change(&self, base: u64, version: u64, known: u64) -> Order {
-        let body = body(version, &format!("r{}", self.orders.len()));
-        Order {
+    fn change(&self, base: u64, version: u64, newest_at_send: u64) -> PendingRequest {
+        let body = body(version, &format!("r{}", self.requests.len()));
+        PendingRequest {
             base,
             version,
-            ..self.other(
+            ..self.without_version(
                 Command::Configure {
                     base,
                     amend: false,
                     body,
                 },
-                known,
+                newest_at_send,
             )
         }
     }
 
-    /// The ticket of an order's latest attempt.
+    /// The ticket of an attempt of a request.
     pub(super) fn ticket(number: usize, attempt: u64) -> u64 {
-        number as u64 * TICKETS_PER_ORDER + attempt
+        number as u64 * TICKETS_PER_REQUEST + attempt
     }
 
-    /// The order that a ticket stands for.
-    pub(super) fn order(ticket: u64) -> usize {
-        (ticket / TICKETS_PER_ORDER) as usize
+    /// The number of the request that a ticket belongs to.
+    pub(super) fn number_of(ticket: u64) -> usize {
+        (ticket / TICKETS_PER_REQUEST) as usize
     }
 }
 
-impl Order {
-    /// Its configuration as members show it.
+impl PendingRequest {
+    /// Its configuration in the form that members publish.
     pub(super) fn json(&self) -> String {
         match &*self.command {
             Command::Configure { body, .. } => {
--- a/crates/model-check/src/cluster/faults.rs
+++ b/crates/model-check/src/cluster/faults.rs
@@ -1,54 +1,54 @@
-//! What may deviate from the default schedule, and for how long.
+//! Deviations from the default schedule, and actions.
 
 use std::time::Duration;
 
-/// Which deviations a search tries. A list of times says how long each may last; an empty one leaves it out.
+/// Deviations that a search tries. A list of times says how long each may last; an empty one leaves it out.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// The oldest message is lost.
     pub lose: bool,
-    /// The oldest message comes after all others that are on their way.
-    pub overtake: bool,
-    /// The oldest message comes now, and once more later.
+    /// The oldest message arrives after all others that are on their way.
+    pub reorder: bool,
+    /// The oldest message arrives now and once more later.
     pub duplicate: Vec<Duration>,
-    /// The oldest message comes later.
+    /// The oldest message arrives later.
     pub delay: Vec<Duration>,
     /// Time passes although messages are on their way.
     pub timer_first: bool,
-    /// A process dies, and is started again after a time.
+    /// A process crashes and restarts after a time.
     pub crash: Vec<Duration>,
-    /// A process dies when what it takes next is on its disk, but before anything is sent.
+    /// A process crashes when its next input is on its disk, but before it has sent anything.
     pub crash_sending: Vec<Duration>,
-    /// A machine loses its disk, and is started again after a time.
+    /// A machine loses its disk and restarts after a time.
     pub wipe: Vec<Duration>,
-    /// Disks lost at most.
-    pub most_wipes: u8,
-    /// A process stands still.
+    /// Number of disks lost at most.
+    pub max_wipes: u8,
+    /// A process is frozen.
     pub freeze: Vec<Duration>,
     /// A machine is cut off from the others.
     pub cut: Vec<Duration>,
-    /// A machine's messages don't come through, or none come to it.
+    /// A machine is cut off in one direction.
     pub cut_one_way: Vec<Duration>,
-    /// A disk answers only when nothing else is left to do.
+    /// A disk completes writes only when nothing else is left to do.
     pub slow_disk: Vec<Duration>,
-    /// A process is asked to leave, and is started again after a time.
+    /// A process is asked to leave and restarts after a time.
     pub leave: Vec<Duration>,
-    /// A machine goes for good, and after a time a new one comes at another address.
+    /// A machine is gone for good, and after a time a new one joins at another address.
     pub replace: Vec<Duration>,
-    /// Machines replaced at most.
-    pub most_replaced: u8,
-    /// What a member answers to a reader's pull comes later.
-    pub late_news: Vec<Duration>,
-    /// So many of the oldest messages may come in any order, at no cost.
-    pub any_order: usize,
+    /// Number of machines replaced at most.
+    pub max_replaced: u8,
+    /// A member's answer to a reader's pull arrives later.
+    pub late_updates: Vec<Duration>,
+    /// This many of the oldest messages may arrive in any order, at no cost.
+    pub reorder_window: usize,
 }
 
 impl Faults {
-    /// What a network does.
+    /// Deviations of the network.
     pub fn network() -> Self {
         Self {
             lose: true,
-            overtake: true,
+            reorder: true,
             duplicate: vec![ms(300)],
             delay: vec![ms(300), ms(1300)],
             timer_first: true,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// What machines do, with their disks kept.
+    /// Deviations of machines that keep their disks.
     pub fn machines() -> Self {
         Self {
             crash: vec![ms(50), ms(1600)],
@@ -75,9 +75,9 @@
         Self {
             crash: vec![ms(50), ms(1600)],
             wipe: vec![ms(50), ms(1600)],
-            most_wipes: 1,
+            max_wipes: 1,
             replace: vec![ms(300)],
-            most_replaced: 1,
+            max_replaced: 1,
             ..Self::default()
         }
     }
@@ -87,41 +87,52 @@
     Duration::from_millis(n)
 }
 
-/// Which way a machine is cut off.
+/// The direction in which a machine is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Way {
     /// Both.
     Both,
-    /// Nothing of it gets out.
+    /// What it sends is lost.
     Out,
-    /// Nothing gets to it.
+    /// What is sent to it is lost.
     In,
 }
 
-/// What happens next.
+impl Way {
+    /// Whether a cut of machine `n` loses messages over a link.
+    pub(super) fn cuts(self, n: usize, (from, to): (usize, usize)) -> bool {
+        match self {
+            Self::Both => from == n || to == n,
+            Self::Out => from == n,
+            Self::In => to == n,
+        }
+    }
+}
+
+/// An action of the scheduler, the network or a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// The message at this place of the network comes.
+    /// The message at this place of the network arrives.
     Deliver(usize),
-    /// A slow disk ends its oldest write.
+    /// A slow disk completes its oldest write.
     EndWrite(usize),
-    /// Time passes until somebody has something to do.
+    /// Time advances to the next event or timer.
     Advance,
     /// The oldest message is lost.
     Lose,
-    /// The oldest message comes after all others.
-    Overtake,
-    /// The oldest message comes now, and again after this time.
+    /// The oldest message arrives after all others.
+    Reorder,
+    /// The oldest message arrives now and again after this time.
     Duplicate(Duration),
-    /// The oldest message comes after this time.
+    /// The oldest message arrives after this time.
     Delay(Duration),
-    /// A process dies.
+    /// A process crashes.
     Crash(usize, Duration),
-    /// The oldest message comes; whoever takes it writes what follows and dies.
+    /// The oldest message arrives; its receiver writes what follows and crashes.
     CrashSending(Duration),
     /// A machine loses its disk.
     Wipe(usize, Duration),
-    /// A process stands still.
+    /// A process is frozen.
     Freeze(usize, Duration),
     /// A machine is cut off.
     Cut(usize, Way, Duration),
@@ -129,8 +140,8 @@
     Slow(usize, Duration),
     /// A process leaves.
     Leave(usize, Duration),
-    /// A machine goes for good; a new one comes.
+    /// A machine is gone for good; a new one joins.
     Replace(usize, Duration),
-    /// The next pull of a reader: what this member answers comes after this time.
-    LateNews(usize, Duration),
+    /// This member's answers to the next pull of readers arrive after this time.
+    DelayUpdates(usize, Duration),
 }
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -1,7 +1,7 @@
 //! A machine: its disk, and the process on it with member and mirror.
 
-use super::mirror::StateMirror;
-use super::planted::Planted;
+use super::seeded_bug::SeededBug;
+use super::shared_mirror::SharedMirror;
 use crate::canonical;
 use configuration::FaultBudget;
 use control_plane::member::{Config, Member};
@@ -16,18 +16,18 @@
 
 /// How long a lease lasts; all other times of a model are counted against it.
 pub const LEASE: Duration = Duration::from_millis(1000);
-/// How long a command waits for its answer.
-const PATIENCE: Duration = Duration::from_millis(900);
-/// A write that takes longer means that the disk stalls.
-const STALL: Duration = Duration::from_millis(600);
+/// How long a member holds a command before it answers that the outcome is unclear.
+const REQUEST_PATIENCE: Duration = Duration::from_millis(900);
+/// A disk that takes longer for a write counts as stalled.
+const DISK_STALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time between a host's heartbeats.
-const BEAT: Duration = Duration::from_millis(1200);
-/// Port of the members' own messages.
-const INNER_PORT: u16 = 7660;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
+/// Port for messages between members.
+const MEMBER_PORT: u16 = 7660;
 /// Port of the control API.
 const CONTROL_PORT: u16 = 80;
 
-/// A write that the disk hasn't ended yet.
+/// A write that the disk hasn't completed yet.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct PendingWrite {
     pub(super) ticket: u64,
@@ -35,64 +35,64 @@
     pub(super) rewrite: bool,
 }
 
-/// A process.
+/// A process with its member and mirror.
 #[derive(Clone)]
 pub(super) struct Process {
-    pub(super) seat: MemberInfo,
+    pub(super) info: MemberInfo,
     pub(super) member: Member,
-    pub(super) mirror: StateMirror,
-    /// When its clock began.
+    pub(super) mirror: SharedMirror,
+    /// When its clock started, by the global clock.
     pub(super) origin: Duration,
-    /// By its own clock.
+    /// When it wants to be woken, by its own clock.
     pub(super) wake: Duration,
     pub(super) writes: VecDeque<PendingWrite>,
-    /// The ledger at the start of its view.
-    pub(super) at_start: Option<Arc<Snapshot>>,
-    /// Number of this process among all of its machine.
-    pub(super) life: u32,
+    /// The snapshot that its membership began with.
+    pub(super) membership_snapshot: Option<Arc<Snapshot>>,
+    /// Number of this process among those of its machine.
+    pub(super) incarnation: u32,
 }
 
-/// A machine.
+/// A machine with its disk.
 #[derive(Clone)]
 pub(super) struct Machine {
     pub(super) index: usize,
     pub(super) identity: Option<Identity>,
     pub(super) records: Arc<Vec<Vec<u8>>>,
     pub(super) process: Option<Process>,
-    pub(super) lives: u32,
+    pub(super) incarnations: u32,
     pub(super) frozen: bool,
-    /// Its disk answers only when nothing else is left to do.
+    /// Its disk completes writes only when nothing else is left to do.
     pub(super) slow: bool,
-    /// It has been asked to leave, and is started again so long after it has.
+    /// It was asked to leave; the process restarts this long after its end.
     pub(super) leaving: Option<Duration>,
-    /// Never to be started again.
+    /// It never restarts.
     pub(super) gone: bool,
     fingerprint: u64,
     fingerprint_at: Duration,
 }
 
-/// What a start of a member is told.
+/// What a member is started with.
 pub(super) struct Start<'a> {
     pub(super) now: Duration,
     /// Whether the whole system starts for the first time.
     pub(super) bootstrap: bool,
-    /// Time that the disk takes until it is open.
+    /// Time that the disk takes to open.
     pub(super) opening: Duration,
     pub(super) losses: u32,
     pub(super) seeds: &'a [SocketAddrV4],
-    pub(super) planted: Planted,
+    pub(super) seeded_bug: SeededBug,
 }
 
 /// The control address of a machine.
-pub(super) fn control(index: usize) -> SocketAddrV4 {
+pub(super) fn control_addr(index: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1 + index as u8), CONTROL_PORT)
 }
 
 /// The address of a machine for the members' own messages.
-pub(super) fn inner(index: usize) -> Addr {
+pub(super) fn member_addr(index: usize) -> Addr {
     Addr {
-        ip: u32::from(*control(index).ip()),
-        port: INNER_PORT,
+        ip: u32::from(*control_addr(index).ip()),
+        port: MEMBER_PORT,
     }
 }
 
@@ -103,7 +103,7 @@
             identity: None,
             records: Arc::default(),
             process: None,
-            lives: 0,
+            incarnations: 0,
             frozen: false,
             slow: false,
             leaving: None,
@@ -115,30 +115,30 @@
 
     /// Starts a process on what the disk holds.
     pub(super) fn start(&mut self, start: &Start) {
-        self.lives += 1;
-        // Drawn identities and random numbers: different for each life, the same in each search.
-        let random = 1000 + 100 * self.index as u64 + u64::from(self.lives);
-        let facts = StartContext {
-            control: control(self.index),
+        self.incarnations += 1;
+        // In place of random numbers: different for each incarnation, the same in each search.
+        let random = 1000 + 100 * self.index as u64 + u64::from(self.incarnations);
+        let context = StartContext {
+            control: control_addr(self.index),
             seeds: start.seeds.to_vec(),
-            port: INNER_PORT,
+            port: MEMBER_PORT,
             bootstrap: start.bootstrap,
             random,
-            clock_ms: u64::from(self.lives),
+            clock_ms: u64::from(self.incarnations),
         };
-        let identity = facts.identity(self.identity.take());
-        let seat = MemberInfo {
+        let identity = context.identity(self.identity.take());
+        let info = MemberInfo {
             id: identity.id,
             name: format!("core-{}", self.index),
-            addr: inner(self.index),
-            control: control(self.index).into(),
+            addr: member_addr(self.index),
+            control: control_addr(self.index).into(),
             zone: format!("z{}", self.index),
             region: "r".into(),
         };
-        let records = start.planted.read_back(&self.records);
+        let records = start.seeded_bug.read_back(&self.records);
         let voters = identity.initial_voters.clone();
         let config = Config {
-            me: seat.clone(),
+            me: info.clone(),
             bootstrap_voters: Some(voters).filter(|voters| !voters.is_empty()),
             budget: FaultBudget {
                 machine_losses: start.losses,
@@ -146,38 +146,38 @@
                 region_losses: 0,
             },
             lease: LEASE,
-            patience: PATIENCE,
-            stall: STALL,
+            patience: REQUEST_PATIENCE,
+            stall: DISK_STALL_TIMEOUT,
         };
         self.identity = Some(identity);
         let spread = random.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let member = Member::new(config, &records, start.opening, spread);
-        let mut mirror = Mirror::new(seat.id, BEAT);
-        if start.planted == Planted::FreshAfterStart {
+        let mut mirror = Mirror::new(info.id, HEARTBEAT_INTERVAL);
+        if start.seeded_bug == SeededBug::FreshAfterStart {
             mirror.proved(start.opening);
         }
         self.process = Some(Process {
-            seat,
+            info,
             member,
-            mirror: StateMirror::new(mirror),
+            mirror: SharedMirror::new(mirror),
             origin: start.now.saturating_sub(start.opening),
             wake: start.opening,
             writes: VecDeque::new(),
-            at_start: None,
-            life: self.lives,
+            membership_snapshot: None,
+            incarnation: self.incarnations,
         });
-        self.changed(start.now);
+        self.refresh_fingerprint(start.now);
     }
 
-    /// The disk loses all.
-    pub(super) fn wipe(&mut self, planted: Planted) {
+    /// The disk loses everything.
+    pub(super) fn wipe(&mut self, seeded_bug: SeededBug) {
         self.records = Arc::default();
-        if planted != Planted::OldIdentity {
+        if seeded_bug != SeededBug::OldIdentity {
             self.identity = None;
         }
     }
 
-    pub(super) fn put(&mut self, write: &PendingWrite) {
+    pub(super) fn apply_write(&mut self, write: &PendingWrite) {
         let records = Arc::make_mut(&mut self.records);
         if write.rewrite {
             records.clear();
@@ -191,15 +191,22 @@
                 Ok(Record::Accepted { snapshot, .. }) => Some(snapshot.map(Arc::new)),
                 _ => None,
             });
-        if let (Some(process), Some(at_start)) = (&mut self.process, accepted) {
-            process.at_start = at_start;
+        if let (Some(process), Some(snapshot)) = (&mut self.process, accepted) {
+            process.membership_snapshot = snapshot;
         }
     }
 
     /// Takes the fingerprint anew.
-    pub(super) fn changed(&mut self, now: Duration) {
+    pub(super) fn refresh_fingerprint(&mut self, now: Duration) {
         let mut hasher = DefaultHasher::new();
-        (self.lives, self.frozen, self.slow, self.leaving, self.gone).hash(&mut hasher);
+        (
+            self.incarnations,
+            self.frozen,
+            self.slow,
+            self.leaving,
+            self.gone,
+        )
+            .hash(&mut hasher);
         (self.identity.as_ref().map(|i| i.id), &*self.records).hash(&mut hasher);
         if let Some(process) = &self.process {
             let own = now.saturating_sub(process.origin);
@@ -231,8 +238,8 @@
         now.saturating_sub(self.origin)
     }
 
-    /// As the shell does after each turn: tells the mirror how fresh it is.
-    pub(super) fn show(&mut self, now: Duration) {
+    /// Tells the mirror how up to date it is, as the product's runtime does after each turn.
+    pub(super) fn publish_freshness(&mut self, now: Duration) {
         let now = self.clock(now);
         if self.member.view().is_none_or(|v| v.epoch == 0) {
             return;
--- a/crates/model-check/src/cluster/mod.rs
+++ b/crates/model-check/src/cluster/mod.rs
@@ -1,61 +1,62 @@
-//! Members on machines with a network between them: the code's own [`control_plane::member::Member`], driven
-//! through everything that a bounded number of deviations can do to its messages, timers, disks and processes.
+//! The model of members on machines with a network between them: the product's own [`control_plane::member::Member`],
+//! driven through everything that a bounded number of deviations can do to its messages, timers, disks and processes.
 //!
-//! The default schedule delivers messages in the order sent and lets time pass when none are left; disks end their
-//! writes at once. All else is a deviation ([`Faults`]). One global clock runs; each process counts its own from its
-//! start.
+//! The default schedule delivers messages in the order in which they were sent and advances time when none are left;
+//! disks complete their writes at once. Everything else is a deviation ([`Faults`]). There is one global clock; each
+//! process counts its own time from its start.
 
-mod claims;
+mod clients;
 mod faults;
+mod invariants;
 mod machine;
-mod mirror;
-mod operator;
-mod planted;
+mod seeded_bug;
+mod shared_mirror;
 mod world;
 
-pub use claims::{
-    AGE, AGREED, ANSWER, FENCED, FORWARD, IDENTITY, KEPT, ONE_CONTENT, ONE_ORDER, ONE_VIEW,
-    PROMISE, READ,
-};
+pub use clients::{Request, ScheduledRequest};
 pub use faults::{Action, Faults, Way};
+pub use invariants::{
+    AGE_TRUE, ANSWERS_HOLD, DURABLE, FENCED, JOINTLY_COMMITTED, NEW_IDENTITY_AFTER_WIPE,
+    ONE_MEMBERSHIP_PER_EPOCH, ONE_REQUEST_PER_BASE, ONE_STATE_PER_INDEX, PROMISES_HOLD,
+    READERS_NEVER_GO_BACK, READS_CURRENT,
+};
 pub use machine::LEASE;
-pub use operator::{Request, Step};
-pub use planted::Planted;
+pub use seeded_bug::SeededBug;
 pub use world::World;
 
-use crate::search::{Breach, Choice, Model};
+use crate::search::{Choice, Model, Violation};
 use std::time::Duration;
 
-/// Time that the first start may take.
+/// Longest time of the first start.
 const START_TIME: Duration = Duration::from_millis(2500);
-/// Actions that the first start may take.
+/// Number of actions of the first start at most.
 const START_ACTIONS: usize = 5000;
 
-/// What is searched.
+/// What a search explores.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Machines at the start; the first three are the seeds.
+    /// Machines at the start. The first three are the seeds.
     pub machines: usize,
     /// Machines that the budget lets be lost at once.
     pub losses: u32,
-    /// A machine without a disk's content that comes on its own, at this time.
+    /// When a new machine with an empty disk joins.
     pub joiner: Option<Duration>,
-    /// What operators ask.
-    pub steps: Vec<Step>,
-    /// When a reader starts, for each.
+    /// What clients request.
+    pub requests: Vec<ScheduledRequest>,
+    /// When each reader starts.
     pub readers: Vec<Duration>,
-    /// Whether what members and readers say of their age is checked.
+    /// Whether the ages that members and readers state are checked.
     pub ages: bool,
-    /// What may go wrong.
+    /// Deviations that are tried.
     pub faults: Faults,
-    /// Until when it may go wrong; times count from the end of the members' start.
+    /// Until when they are tried. All times of a scenario count from the end of the members' start.
     pub faults_until: Duration,
-    /// How long a run goes on.
+    /// Length of a run.
     pub length: Duration,
-    /// Time that a disk takes to open at a start that isn't the first.
+    /// Time that a disk takes to open at a restart.
     pub opening: Duration,
     /// A bug to be found.
-    pub planted: Planted,
+    pub seeded_bug: SeededBug,
 }
 
 impl Default for Scenario {
@@ -64,14 +65,14 @@
             machines: 3,
             losses: 1,
             joiner: None,
-            steps: Vec::new(),
+            requests: Vec::new(),
             readers: Vec::new(),
             ages: false,
             faults: Faults::default(),
             faults_until: 2 * LEASE,
             length: 4 * LEASE,
             opening: Duration::ZERO,
-            planted: Planted::Nothing,
+            seeded_bug: SeededBug::Nothing,
         }
     }
 }
@@ -83,18 +84,18 @@
 }
 
 impl Cluster {
-    /// Starts the members and lets them agree on their first primary.
+    /// Starts the members and lets them elect their first primary.
     ///
     /// # Errors
-    /// Where that breaks a claim.
-    pub fn new(scenario: Scenario) -> Result<Self, Breach> {
+    /// If that violates an invariant.
+    pub fn new(scenario: Scenario) -> Result<Self, Violation> {
         let mut world = World::new(&scenario);
         for _ in 0..START_ACTIONS {
             if world.now() >= START_TIME {
                 break;
             }
             let action = world.default_action();
-            world = world.after(&scenario, &action)?;
+            world = world.apply(&scenario, &action)?;
         }
         world.begin(&scenario);
         Ok(Self {
@@ -103,19 +104,19 @@
         })
     }
 
-    /// Members that all lose power as soon as a majority has promised an epoch, before any holds a view, and
-    /// start again after a time.
+    /// Members that all lose power as soon as a majority has promised an epoch, before any has a membership, and start
+    /// again after a time.
     ///
     /// # Errors
-    /// Where that breaks a claim.
-    pub fn first_start_interrupted(scenario: Scenario, down: Duration) -> Result<Self, Breach> {
+    /// If that violates an invariant.
+    pub fn first_start_interrupted(scenario: Scenario, down: Duration) -> Result<Self, Violation> {
         let mut world = World::new(&scenario);
-        while !world.most_promised() && world.now() < START_TIME {
+        while !world.majority_promised() && world.now() < START_TIME {
             let action = world.default_action();
-            world = world.after(&scenario, &action)?;
+            world = world.apply(&scenario, &action)?;
         }
         for machine in 0..scenario.machines {
-            world = world.after(&scenario, &Action::Crash(machine, down))?;
+            world = world.apply(&scenario, &Action::Crash(machine, down))?;
         }
         world.begin(&scenario);
         Ok(Self {
@@ -142,15 +143,15 @@
         world.choices(&self.scenario)
     }
 
-    fn apply(&self, world: &World, action: &Action) -> Result<World, Breach> {
-        world.after(&self.scenario, action)
+    fn apply(&self, world: &World, action: &Action) -> Result<World, Violation> {
+        world.apply(&self.scenario, action)
     }
 
     fn fingerprint(&self, world: &World) -> u64 {
         world.fingerprint()
     }
 
-    fn left(&self, world: &World) -> u64 {
-        world.left(&self.scenario).as_millis() as u64
+    fn remaining(&self, world: &World) -> u64 {
+        world.remaining(&self.scenario).as_millis() as u64
     }
 }
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/seeded_bug.rs
@@ -1,58 +1,58 @@
-//! Bugs planted round the members, to see whether the search finds them.
+//! Bugs that are put round the members, to show that the search finds them.
 
 use configuration::ResultCode;
 use protocol::{LogPosition, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 
-/// A bug planted into disks, the network or what members are told.
+/// A bug in disks, the network or what members are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum SeededBug {
     /// None.
     Nothing,
     /// A restarted member has forgotten its promises.
     ForgottenPromises,
     /// A wiped member comes back with its old identity.
     OldIdentity,
-    /// The new voters alone agree on a view: those that left are taken to have said yes, and to grant leases.
+    /// The new voters alone commit a membership: those that left count as having confirmed it and as granting leases.
     NewVotersAlone,
     /// Leases are granted in the name of voters that can't be reached.
     UnfoundedLease,
-    /// The ledger is taken over as it was at the start of its view, without the changes since.
-    ShortLedger,
-    /// Views reach replicas with the calls that were taken, but without their digests.
-    ForgottenCalls,
-    /// A replica's word is given before the change is on its disk.
-    EarlyWord,
-    /// A restarted member holds what it shows to be fresh.
+    /// The state is taken over as it was at the start of the membership, without the changes since.
+    StaleSnapshot,
+    /// Snapshots reach replicas with the applied requests, but without their digests.
+    ForgottenDigests,
+    /// A replica confirms a change before it is on its disk.
+    EarlyAppendReply,
+    /// A restarted member takes its mirror for up to date.
     FreshAfterStart,
-    /// A reader that has lost sight of a member begins anew, with whatever it is told first.
+    /// A reader that was out of touch for long starts again from the first update that it gets.
     ForgetfulReader,
-    /// A change reaches the other replicas with another content.
+    /// A change reaches other replicas with another content.
     RewrittenChange,
-    /// An order that builds on a version above the one in force is refused.
-    EarlyRefusal,
+    /// A request that builds on a version above the one in force is rejected.
+    EarlyRejection,
 }
 
-impl Planted {
-    /// All bugs with their names.
-    pub const ALL: &'static [(&'static str, Planted)] = &[
-        ("none", Planted::Nothing),
-        ("forgotten-promises", Planted::ForgottenPromises),
-        ("old-identity", Planted::OldIdentity),
-        ("new-voters-alone", Planted::NewVotersAlone),
-        ("unfounded-lease", Planted::UnfoundedLease),
-        ("short-ledger", Planted::ShortLedger),
-        ("forgotten-calls", Planted::ForgottenCalls),
-        ("early-word", Planted::EarlyWord),
-        ("fresh-after-start", Planted::FreshAfterStart),
-        ("forgetful-reader", Planted::ForgetfulReader),
-        ("rewritten-change", Planted::RewrittenChange),
-        ("early-refusal", Planted::EarlyRefusal),
+impl SeededBug {
+    /// All bugs with their names on the command line.
+    pub const ALL: &'static [(&'static str, SeededBug)] = &[
+        ("none", SeededBug::Nothing),
+        ("forgotten-promises", SeededBug::ForgottenPromises),
+        ("old-identity", SeededBug::OldIdentity),
+        ("new-voters-alone", SeededBug::NewVotersAlone),
+        ("unfounded-lease", SeededBug::UnfoundedLease),
+        ("short-ledger", SeededBug::StaleSnapshot),
+        ("forgotten-calls", SeededBug::ForgottenDigests),
+        ("early-word", SeededBug::EarlyAppendReply),
+        ("fresh-after-start", SeededBug::FreshAfterStart),
+        ("forgetful-reader", SeededBug::ForgetfulReader),
+        ("rewritten-change", SeededBug::RewrittenChange),
+        ("early-refusal", SeededBug::EarlyRejection),
     ];
 
     /// What a caller is answered.
     pub(super) fn answer(self, code: ResultCode) -> ResultCode {
         match (self, code) {
-            (Planted::EarlyRefusal, ResultCode::BaseNotInForce) => ResultCode::OtherBase,
+            (SeededBug::EarlyRejection, ResultCode::BaseNotInForce) => ResultCode::OtherBase,
             (_, code) => code,
         }
     }
@@ -60,7 +60,7 @@
     /// What a disk gives back at a start.
     pub(super) fn read_back(self, records: &[Vec<u8>]) -> Vec<Vec<u8>> {
         let promise = |r: &Vec<u8>| matches!(protocol::read_one(r), Ok(Record::Promised { .. }));
-        let keeps = |r: &&Vec<u8>| self != Planted::ForgottenPromises || !promise(r);
+        let keeps = |r: &&Vec<u8>| self != SeededBug::ForgottenPromises || !promise(r);
         records.iter().filter(keeps).cloned().collect()
     }
 
@@ -68,7 +68,7 @@
     pub(super) fn rewrite(self, message: Message, at_start: Option<&Snapshot>) -> Message {
         match (self, message) {
             (
-                Planted::ShortLedger,
+                SeededBug::StaleSnapshot,
                 Message::SnapshotReply {
                     epoch,
                     tag,
@@ -86,7 +86,7 @@
                 }
             }
             (
-                Planted::ForgottenCalls,
+                SeededBug::ForgottenDigests,
                 Message::InstallMembership {
                     view,
                     snapshot: Some(snapshot),
@@ -100,7 +100,7 @@
                 let snapshot = Some(snapshot);
                 Message::InstallMembership { view, snapshot }
             }
-            (Planted::RewrittenChange, Message::AppendChange { epoch, seq, change }) => {
+            (SeededBug::RewrittenChange, Message::AppendChange { epoch, seq, change }) => {
                 Message::AppendChange {
                     epoch,
                     seq,
@@ -121,9 +121,9 @@
     ) -> Vec<(MemberInfo, Message)> {
         let from_receiver = |message| vec![(receiver.clone(), message)];
         match (self, message) {
-            (Planted::NewVotersAlone, Message::InstallMembership { view, .. }) => {
+            (SeededBug::NewVotersAlone, Message::InstallMembership { view, .. }) => {
                 let epoch = view.epoch;
-                let left = departed(view).any(|s| s.id == receiver.id);
+                let remaining = departed(view).any(|s| s.id == receiver.id);
                 let yes = || {
                     from_receiver(Message::InstallMembershipReply {
                         epoch,
@@ -131,19 +131,19 @@
                         seen: epoch,
                     })
                 };
-                left.then(yes).unwrap_or_default()
+                remaining.then(yes).unwrap_or_default()
             }
-            (Planted::NewVotersAlone, Message::RenewLease { epoch, stamp, .. }) => {
+            (SeededBug::NewVotersAlone, Message::RenewLease { epoch, stamp, .. }) => {
                 let lease = granted(*epoch, *stamp);
                 view.into_iter()
                     .flat_map(departed)
                     .map(|s| (s.clone(), lease.clone()))
                     .collect()
             }
-            (Planted::UnfoundedLease, Message::RenewLease { epoch, stamp, .. }) if !reachable => {
+            (SeededBug::UnfoundedLease, Message::RenewLease { epoch, stamp, .. }) if !reachable => {
                 from_receiver(granted(*epoch, *stamp))
             }
-            (Planted::EarlyWord, Message::AppendChange { epoch, seq, .. }) => {
+            (SeededBug::EarlyAppendReply, Message::AppendChange { epoch, seq, .. }) => {
                 from_receiver(Message::AppendReply {
                     epoch: *epoch,
                     seq: *seq,
--- a/crates/model-check/src/cluster/mirror.rs
+++ b/crates/model-check/src/cluster/shared_mirror.rs
@@ -4,9 +4,9 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// A mirror that several threads may read.
-pub(super) struct StateMirror(Mutex<Mirror>);
+pub(super) struct SharedMirror(Mutex<Mirror>);
 
-impl StateMirror {
+impl SharedMirror {
     pub(super) fn new(mirror: Mirror) -> Self {
         Self(Mutex::new(mirror))
     }
@@ -22,7 +22,7 @@
     }
 }
 
-impl Clone for StateMirror {
+impl Clone for SharedMirror {
     fn clone(&self) -> Self {
         Self::new(self.read().clone())
     }
--- a/crates/model-check/src/cluster/world/choices.rs
+++ b/crates/model-check/src/cluster/world/choices.rs
@@ -1,7 +1,7 @@
 //! What can happen in a state: the default and the deviations from it.
 
 use super::event::Event;
-use super::{World, MOST_MACHINES};
+use super::state::{World, MAX_MACHINES};
 use crate::cluster::faults::{Action, Faults, Way};
 use crate::cluster::machine::Machine;
 use crate::cluster::Scenario;
@@ -26,7 +26,7 @@
     }
 
     pub(in crate::cluster) fn choices(&self, scenario: &Scenario) -> Vec<Choice<Action>> {
-        if self.left(scenario).is_zero() {
+        if self.remaining(scenario).is_zero() {
             return Vec::new();
         }
         let default = self.default_action();
@@ -35,7 +35,7 @@
             cost: 0,
         }];
         let faults = &scenario.faults;
-        for place in 1..self.network.len().min(faults.any_order) {
+        for place in 1..self.network.len().min(faults.reorder_window) {
             choices.push(Choice {
                 action: Action::Deliver(place),
                 cost: 0,
@@ -59,19 +59,19 @@
                 .events
                 .first()
                 .is_some_and(|e| matches!(e.1, Event::Pull));
-            if pulls && self.late_news.is_none() {
+            if pulls && self.late_updates.is_none() {
                 let machines = 0..self.machines.len();
                 all.extend(machines.flat_map(|n| {
                     faults
-                        .late_news
+                        .late_updates
                         .iter()
-                        .map(move |d| Action::LateNews(n, *d))
+                        .map(move |d| Action::DelayUpdates(n, *d))
                 }));
             }
             return all;
         }
         all.extend(faults.lose.then_some(Action::Lose));
-        all.extend((faults.overtake && self.network.len() > 1).then_some(Action::Overtake));
+        all.extend((faults.reorder && self.network.len() > 1).then_some(Action::Reorder));
         all.extend(faults.duplicate.iter().map(|d| Action::Duplicate(*d)));
         all.extend(faults.delay.iter().map(|d| Action::Delay(*d)));
         all.extend(faults.timer_first.then_some(Action::Advance));
@@ -114,10 +114,10 @@
                 continue;
             }
             all.extend(faults.crash.iter().map(|d| Action::Crash(n, *d)));
-            if self.wipes < faults.most_wipes {
+            if self.wipes < faults.max_wipes {
                 all.extend(faults.wipe.iter().map(|d| Action::Wipe(n, *d)));
             }
-            if self.replaced < faults.most_replaced && self.machines.len() < MOST_MACHINES {
+            if self.replaced < faults.max_replaced && self.machines.len() < MAX_MACHINES {
                 all.extend(faults.replace.iter().map(|d| Action::Replace(n, *d)));
             }
             if !machine.frozen && machine.leaving.is_none() {
--- a/crates/model-check/src/cluster/world/fingerprint.rs
+++ b/crates/model-check/src/cluster/world/fingerprint.rs
@@ -1,7 +1,6 @@
-//! What tells two states apart.
+//! The fingerprint that tells states apart.
 
-use super::event::Event;
-use super::World;
+use super::state::World;
 use crate::canonical;
 use crate::cluster::machine::LEASE;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,15 +13,15 @@
         }
         self.network
             .iter()
-            .chain(&self.held)
+            .chain(&self.deferred)
             .for_each(|e| e.hash.hash(&mut hasher));
-        self.held.len().hash(&mut hasher);
+        self.deferred.len().hash(&mut hasher);
         for (at, event) in &self.events {
             canonical::relative(self.now, *at, LEASE).hash(&mut hasher);
             event.hash_into(&mut hasher);
         }
         self.cut.hash(&mut hasher);
-        self.operators.hash(&mut hasher);
+        self.clients.hash(&mut hasher);
         for reader in &self.readers {
             let mirror = reader.mirror.read();
             (
@@ -32,41 +31,10 @@
             )
                 .hash(&mut hasher);
         }
-        self.facts.fingerprint(self.now, LEASE).hash(&mut hasher);
-        (self.wipes, self.replaced, self.late_news).hash(&mut hasher);
+        self.observations
+            .fingerprint(self.now, LEASE)
+            .hash(&mut hasher);
+        (self.wipes, self.replaced, self.late_updates).hash(&mut hasher);
         hasher.finish()
     }
 }
-
-impl Event {
-    fn hash_into(&self, hasher: &mut DefaultHasher) {
-        std::mem::discriminant(self).hash(hasher);
-        match self {
-            Event::Start(n)
-            | Event::Thaw(n)
-            | Event::FastDisk(n)
-            | Event::Request(n)
-            | Event::Retry(n) => {
-                n.hash(hasher);
-            }
-            Event::Heal(n, way) => (n, way).hash(hasher),
-            Event::Kill(n, life) => (n, life).hash(hasher),
-            Event::Deliver(envelope) => envelope.hash.hash(hasher),
-            Event::Update {
-                reader,
-                member,
-                news,
-                ..
-            } => {
-                (
-                    reader,
-                    member,
-                    news.age_ms,
-                    news.config.as_ref().map(|c| c.seq),
-                )
-                    .hash(hasher);
-            }
-            Event::Join | Event::Hello | Event::Pull | Event::StartReader => {}
-        }
-    }
-}
--- a/crates/model-check/src/cluster/world/members.rs
+++ b/crates/model-check/src/cluster/world/members.rs
@@ -1,10 +1,10 @@
 //! Members that take inputs, what they ask for, and the disks that they write to.
 
-use super::actions::Run;
+use super::context::ActionContext;
 use super::event::Event;
-use super::World;
+use super::state::World;
 use crate::cluster::machine::PendingWrite;
-use crate::search::Breach;
+use crate::search::Violation;
 use configuration::Configuration;
 use control_plane::member::{Input, Output};
 use std::collections::VecDeque;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 impl World {
-    pub(super) fn end_write(&mut self, run: &Run, n: usize) -> Result<(), Breach> {
+    pub(super) fn end_write(&mut self, context: &ActionContext, n: usize) -> Result<(), Violation> {
         let process = self.machine(n).process.as_mut();
         let Some(write) = process.and_then(|p| p.writes.pop_front()) else {
             return Ok(());
         };
-        self.write(n, &write)?;
+        self.apply_write(n, &write)?;
         self.step(
-            run,
+            context,
             n,
             Input::Wrote {
                 ticket: write.ticket,
@@ -28,14 +28,19 @@
         )
     }
 
-    fn write(&mut self, n: usize, write: &PendingWrite) -> Result<(), Breach> {
-        self.machine(n).put(write);
-        let id = self.machines[n].process.as_ref().map_or(0, |p| p.seat.id);
-        Arc::make_mut(&mut self.facts).on_disk(id, &write.records)
+    fn apply_write(&mut self, n: usize, write: &PendingWrite) -> Result<(), Violation> {
+        self.machine(n).apply_write(write);
+        let id = self.machines[n].process.as_ref().map_or(0, |p| p.info.id);
+        Arc::make_mut(&mut self.observations).observe_write(id, &write.records)
     }
 
     /// A member takes an input; a fast disk ends each write at once.
-    pub(super) fn step(&mut self, run: &Run, n: usize, input: Input) -> Result<(), Breach> {
+    pub(super) fn step(
+        &mut self,
+        context: &ActionContext,
+        n: usize,
+        input: Input,
+    ) -> Result<(), Violation> {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let now = self.now;
@@ -46,8 +51,8 @@
             let mut outputs = Vec::new();
             process.member.step(clock, input, &mut outputs);
             for output in outputs {
-                if let Some(write) = self.perform(run, n, output)? {
-                    self.write(n, &write)?;
+                if let Some(write) = self.perform_output(context, n, output)? {
+                    self.apply_write(n, &write)?;
                     inputs.push_back(Input::Wrote {
                         ticket: write.ticket,
                         result: Ok(()),
@@ -57,20 +62,20 @@
         }
         let now = self.now;
         if let Some(process) = &mut self.machine(n).process {
-            process.show(now);
+            process.publish_freshness(now);
         }
-        self.changed(n);
-        self.check_age(run, n)
+        self.refresh_fingerprint(n);
+        self.check_age(context, n)
     }
 
     /// Does what a member asks for; a write that ends at once is handed back.
-    fn perform(
+    fn perform_output(
         &mut self,
-        run: &Run,
+        context: &ActionContext,
         n: usize,
         output: Output,
-    ) -> Result<Option<PendingWrite>, Breach> {
-        let mute = run.mute == Some(n);
+    ) -> Result<Option<PendingWrite>, Violation> {
+        let is_muted = context.muted == Some(n);
         match output {
             Output::Write {
                 ticket,
@@ -95,10 +100,10 @@
                     process.wake = at;
                 }
             }
-            _ if mute => {}
-            Output::Send { to, message } => self.send(run, n, &to, message)?,
+            _ if is_muted => {}
+            Output::Send { to, message } => self.send(context, n, &to, message)?,
             Output::Answer { ticket, code, body } => {
-                let code = run.scenario.planted.answer(code);
+                let code = context.scenario.seeded_bug.answer(code);
                 self.answered(n, ticket, code, &body)?;
             }
             Output::Publish {
@@ -107,10 +112,10 @@
                 drains,
             } => {
                 let epoch = self.epoch(n);
-                let facts = Arc::make_mut(&mut self.facts);
-                facts.acts(epoch)?;
-                facts.shows(self.now, epoch, seq, &document, &drains)?;
-                self.show(n, seq, document, &drains);
+                let observations = Arc::make_mut(&mut self.observations);
+                observations.check_acting(epoch)?;
+                observations.check_published(self.now, epoch, seq, &document, &drains)?;
+                self.publish_to_mirror(n, seq, document, &drains);
             }
             Output::Restore {
                 seq,
@@ -118,16 +123,25 @@
                 drains,
             } => {
                 let epoch = self.epoch(n);
-                Arc::make_mut(&mut self.facts)
-                    .same_content(self.now, epoch, seq, &document, &drains)?;
-                self.show(n, seq, document, &drains);
+                Arc::make_mut(&mut self.observations)
+                    .check_same_state(self.now, epoch, seq, &document, &drains)?;
+                self.publish_to_mirror(n, seq, document, &drains);
             }
-            Output::Left => self.schedule(Duration::ZERO, Event::Kill(n, self.machines[n].lives)),
+            Output::Left => self.schedule(
+                Duration::ZERO,
+                Event::Kill(n, self.machines[n].incarnations),
+            ),
         }
         Ok(None)
     }
 
-    fn show(&mut self, n: usize, seq: u64, document: Arc<Configuration>, drains: &[String]) {
+    fn publish_to_mirror(
+        &mut self,
+        n: usize,
+        seq: u64,
+        document: Arc<Configuration>,
+        drains: &[String],
+    ) {
         if let Some(process) = &mut self.machine(n).process {
             process.mirror.get().set_ledger(seq, document, drains);
         }
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -1,14 +1,18 @@
-//! `model-check MODEL`: searches a model and tells what it came to; ends with 1 where a claim is broken.
+//! `model-check MODEL`: searches a model and prints the outcome. Exits with 1 if an invariant is violated, with 2 if there
+//! is no such model or bug.
 #![forbid(unsafe_code)]
 
 use bpaf::Parser;
-use model_check::cluster::{Cluster, Planted};
+use model_check::cluster::{self, Action, Cluster};
 use model_check::models;
-use model_check::orders;
-use model_check::search::{search, Bounds, Model, Outcome};
+use model_check::request_model::{self, RequestModel};
+use model_check::search::{search, Bounds, Choice, Model, Outcome};
 use std::fmt::Debug;
 use std::process::ExitCode;
 
+/// Exit code for an unknown model or bug.
+const UNKNOWN_NAME: u8 = 2;
+
 fn number(name: &'static str, help: &'static str, value: u64) -> impl Parser<u64> {
     bpaf::long(name)
         .help(help)
@@ -16,6 +20,7 @@
         .fallback(value)
 }
 
+/// The command line.
 #[derive(Clone, Debug)]
 struct Options {
     deviations: u64,
@@ -48,94 +53,110 @@
     .descr("Searches the states of the control plane's members under bounded deviations")
 }
 
+impl Options {
+    fn bounds(&self) -> Bounds {
+        Bounds {
+            deviations: self.deviations.min(u8::MAX.into()) as u8,
+            depth: self.depth.min(u32::MAX.into()) as u32,
+            states: self.states,
+            jobs: self.jobs as usize,
+        }
+    }
+
+    /// The bug that is named, among those of a model.
+    fn seeded_bug<B: Copy>(&self, known: &[(&str, B)]) -> Option<B> {
+        let found = known.iter().find(|(name, _)| *name == self.planted);
+        if found.is_none() {
+            let names: Vec<_> = known.iter().map(|(name, _)| *name).collect();
+            eprintln!("no bug {}; there are {}", self.planted, names.join(", "));
+        }
+        found.map(|(_, bug)| *bug)
+    }
+}
+
 fn main() -> ExitCode {
     let options = options().run();
-    let bounds = Bounds {
-        deviations: options.deviations.min(u8::MAX.into()) as u8,
-        depth: options.depth.min(u32::MAX.into()) as u32,
-        states: options.states,
-        jobs: options.jobs as usize,
-    };
-    if let Some(guesses) = match options.model.as_str() {
-        "ledger" => Some(false),
-        "ledger-guessed-base" => Some(true),
-        _ => None,
-    } {
-        return ledger(&options, guesses, bounds);
+    match options.model.as_str() {
+        "ledger" => search_request_model(&options, false),
+        "ledger-guessed-base" => search_request_model(&options, true),
+        _ => search_cluster(&options),
     }
+}
+
+/// Searches a model of members on machines.
+fn search_cluster(options: &Options) -> ExitCode {
     let Some(mut scenario) = models::scenario(&options.model) else {
         eprintln!(
             "no model {}; there are ledger, ledger-guessed-base, {}",
             options.model,
             models::CLUSTER_MODELS.join(", ")
         );
-        return ExitCode::from(2);
+        return ExitCode::from(UNKNOWN_NAME);
     };
-    let Some((_, planted)) = Planted::ALL.iter().find(|p| p.0 == options.planted) else {
-        let names: Vec<_> = Planted::ALL.iter().map(|p| p.0).collect();
-        eprintln!("no bug {}; there are {}", options.planted, names.join(", "));
-        return ExitCode::from(2);
+    let Some(bug) = options.seeded_bug(cluster::SeededBug::ALL) else {
+        return ExitCode::from(UNKNOWN_NAME);
     };
-    scenario.planted = *planted;
+    scenario.seeded_bug = bug;
     let cluster = match Cluster::new(scenario) {
         Ok(cluster) => cluster,
-        Err(breach) => {
-            println!("broken at the start: {}: {}", breach.claim, breach.detail);
+        Err(violation) => {
+            println!("broken at the start: {violation}");
             return ExitCode::FAILURE;
         }
     };
-    let outcome = search(&cluster, bounds);
-    tell(&options.model, &outcome);
+    let outcome = search(&cluster, options.bounds());
+    print_outcome(&options.model, &outcome);
     if let Some(found) = &outcome.found {
-        let mut world = cluster.start();
-        for choice in &found.trace {
-            if choice.cost > 0 {
-                println!("  {:?} {:?}", world.now(), choice.action);
-                world
-                    .describe()
-                    .iter()
-                    .for_each(|line| println!("      {line}"));
-            }
-            match cluster.apply(&world, &choice.action) {
-                Ok(next) => world = next,
-                Err(_) => break,
-            }
-        }
-        println!("  {:?} broken", world.now());
-        world
-            .describe()
-            .iter()
-            .for_each(|line| println!("      {line}"));
+        print_trace(&cluster, &found.trace);
     }
     ExitCode::from(u8::from(outcome.found.is_some()))
 }
 
-/// The order ledger alone; all runs count as one schedule, so the deviations are 0.
-fn ledger(options: &Options, guesses: bool, bounds: Bounds) -> ExitCode {
-    let Some((_, planted)) = orders::Planted::ALL.iter().find(|p| p.0 == options.planted) else {
-        let names: Vec<_> = orders::Planted::ALL.iter().map(|p| p.0).collect();
-        eprintln!("no bug {}; there are {}", options.planted, names.join(", "));
-        return ExitCode::from(2);
+/// Prints the state of all machines before each deviation, and where the trace ends.
+fn print_trace(cluster: &Cluster, trace: &[Choice<Action>]) {
+    let mut world = cluster.start();
+    for choice in trace {
+        if choice.cost > 0 {
+            println!("  {:?} {:?}", world.now(), choice.action);
+            print_machines(&world.describe());
+        }
+        match cluster.apply(&world, &choice.action) {
+            Ok(next) => world = next,
+            Err(_) => break,
+        }
+    }
+    println!("  {:?} broken", world.now());
+    print_machines(&world.describe());
+}
+
+fn print_machines(lines: &[String]) {
+    for line in lines {
+        println!("      {line}");
+    }
+}
+
+/// Searches the model of requests alone. All its runs belong to one schedule, so there are no deviations.
+fn search_request_model(options: &Options, unconfirmed_bases: bool) -> ExitCode {
+    let Some(bug) = options.seeded_bug(request_model::SeededBug::ALL) else {
+        return ExitCode::from(UNKNOWN_NAME);
     };
-    let model = orders::Orders {
-        guesses,
-        ..orders::Orders::two_operators(*planted)
+    let model = RequestModel {
+        unconfirmed_bases,
+        ..RequestModel::two_clients(bug)
     };
-    let outcome = search(
-        &model,
-        Bounds {
-            deviations: 0,
-            ..bounds
-        },
-    );
-    tell(&options.model, &outcome);
+    let bounds = Bounds {
+        deviations: 0,
+        ..options.bounds()
+    };
+    let outcome = search(&model, bounds);
+    print_outcome(&options.model, &outcome);
     for choice in outcome.found.iter().flat_map(|f| &f.trace) {
         println!("  {:?}", choice.action);
     }
     ExitCode::from(u8::from(outcome.found.is_some()))
 }
 
-fn tell<A: Debug>(model: &str, outcome: &Outcome<A>) {
+fn print_outcome<A: Debug>(model: &str, outcome: &Outcome<A>) {
     println!(
         "{model}: up to {} deviations, {} states, {} steps, longest run {}, {} cut short{}, {:.1} s",
         outcome.deviations,
@@ -148,9 +169,8 @@
     );
     if let Some(found) = &outcome.found {
         println!(
-            "BROKEN: {}: {} ({} actions)",
-            found.breach.claim,
-            found.breach.detail,
+            "BROKEN: {} ({} actions)",
+            found.violation,
             found.trace.len()
         );
     }
--- a/crates/model-check/src/models.rs
+++ b/crates/model-check/src/models.rs
@@ -1,21 +1,21 @@
-//! The models by name.
+//! The models over members, by their names on the command line.
 
-use crate::cluster::{Faults, Request, Scenario, Step, LEASE};
+use crate::cluster::{Faults, Request, Scenario, ScheduledRequest, LEASE};
 use std::time::Duration;
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn step(at: u64, to: usize, request: Request) -> Step {
-    Step {
-        at: ms(at),
+fn request_at(at_ms: u64, to: usize, request: Request) -> ScheduledRequest {
+    ScheduledRequest {
+        at: ms(at_ms),
         to,
         request,
     }
 }
 
-/// Names of the models over members, as the command takes them.
+/// Names of the models over members.
 pub const CLUSTER_MODELS: &[&str] = &[
     "takeover",
     "membership",
@@ -55,18 +55,18 @@
     })
 }
 
-/// Three members, two changes and a drain, while messages, processes and disks misbehave.
+/// Three members, two changes and a drain, with faults of messages, processes and disks.
 pub fn takeover() -> Scenario {
     let network = Faults::network();
     Scenario {
-        steps: vec![
-            step(100, 0, Request::Change),
-            step(700, 1, Request::Change),
-            step(1300, 2, Request::Drain),
+        requests: vec![
+            request_at(100, 0, Request::Change),
+            request_at(700, 1, Request::Change),
+            request_at(1300, 2, Request::Drain),
         ],
         faults: Faults {
             lose: network.lose,
-            overtake: network.overtake,
+            reorder: network.reorder,
             duplicate: network.duplicate,
             delay: network.delay,
             timer_first: network.timer_first,
@@ -76,13 +76,13 @@
     }
 }
 
-/// Three members; one may lose its disk, one may be replaced, any may die.
+/// Three members. One may lose its disk, one may be replaced, any may crash.
 pub fn membership() -> Scenario {
     Scenario {
-        steps: vec![
-            step(100, 0, Request::Change),
-            step(900, 1, Request::Change),
-            step(3600, 2, Request::Change),
+        requests: vec![
+            request_at(100, 0, Request::Change),
+            request_at(900, 1, Request::Change),
+            request_at(3600, 2, Request::Change),
         ],
         faults: Faults {
             lose: true,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Three members and a fourth that comes on its own.
+/// Three members and a fourth that joins.
 pub fn joiner() -> Scenario {
     Scenario {
         joiner: Some(ms(200)),
@@ -103,12 +103,12 @@
     }
 }
 
-/// A voter that has been silent for long is to be replaced and comes back just then, while the other one dies: the new
-/// voters alone would be a majority.
+/// A voter that was cut off for long is about to be replaced and comes back just then, while the other one crashes: the
+/// new voters alone would be a majority.
 pub fn old_and_new() -> Scenario {
     Scenario {
         joiner: Some(ms(2100)),
-        steps: vec![step(100, 0, Request::Change)],
+        requests: vec![request_at(100, 0, Request::Change)],
         faults: Faults {
             cut: vec![ms(3100)],
             crash: vec![ms(1600)],
@@ -120,15 +120,15 @@
     }
 }
 
-/// Four voters of which one loses its disk and comes back as another: old and new voters have to agree on it.
+/// Four voters of which one loses its disk and comes back with a new id: old and new voters have to commit that.
 pub fn removal() -> Scenario {
     Scenario {
         machines: 4,
-        steps: vec![step(100, 0, Request::Change)],
+        requests: vec![request_at(100, 0, Request::Change)],
         faults: Faults {
             lose: true,
             wipe: vec![ms(50)],
-            most_wipes: 1,
+            max_wipes: 1,
             ..Faults::default()
         },
         faults_until: LEASE,
@@ -137,15 +137,15 @@
     }
 }
 
-/// Two operators: an order, a rival one on the same version, the first once more, another after it.
+/// Two clients: a request, a rival on the same version, the first once more, another after it.
 pub fn orders() -> Scenario {
     Scenario {
-        steps: vec![
-            step(100, 0, Request::Change),
-            step(100, 1, Request::Rival),
-            step(150, 2, Request::Change),
-            step(160, 1, Request::Repeat),
-            step(1500, 0, Request::RepeatFirst),
+        requests: vec![
+            request_at(100, 0, Request::Change),
+            request_at(100, 1, Request::Rival),
+            request_at(150, 2, Request::Change),
+            request_at(160, 1, Request::Repeat),
+            request_at(1500, 0, Request::RepeatFirst),
         ],
         faults: Faults {
             lose: true,
@@ -159,29 +159,29 @@
     }
 }
 
-/// An order whose base comes into force only a second later, a rival of that base.
+/// A request whose base comes into force a second later, and a rival of that base.
 pub fn guessed_bases() -> Scenario {
     Scenario {
-        steps: vec![
-            step(100, 0, Request::Change),
-            step(150, 1, Request::Guess),
-            step(1100, 0, Request::Change),
-            step(1110, 2, Request::Rival),
+        requests: vec![
+            request_at(100, 0, Request::Change),
+            request_at(150, 1, Request::OnNextVersion),
+            request_at(1100, 0, Request::Change),
+            request_at(1110, 2, Request::Rival),
         ],
         ..orders()
     }
 }
 
-/// A member that is cut off or stands still, reads at any member, a reader from the start and a fresh one.
+/// A member that is cut off or frozen, reads at any member, a reader from the start and one that starts later.
 pub fn reads() -> Scenario {
     Scenario {
-        steps: vec![
-            step(100, 0, Request::Change),
-            step(400, 0, Request::Read),
-            step(1500, 1, Request::Change),
-            step(1700, 0, Request::Read),
-            step(1700, 1, Request::Read),
-            step(1700, 2, Request::Read),
+        requests: vec![
+            request_at(100, 0, Request::Change),
+            request_at(400, 0, Request::Read),
+            request_at(1500, 1, Request::Change),
+            request_at(1700, 0, Request::Read),
+            request_at(1700, 1, Request::Read),
+            request_at(1700, 2, Request::Read),
         ],
         readers: vec![ms(0), ms(1500)],
         faults: Faults {
@@ -190,19 +190,22 @@
             freeze: vec![ms(1600), ms(2600)],
             cut: vec![ms(1600), ms(2600)],
             cut_one_way: vec![ms(1600)],
-            late_news: vec![ms(300), ms(1300)],
+            late_updates: vec![ms(300), ms(1300)],
             ..Faults::default()
         },
         ..Scenario::default()
     }
 }
 
-/// A change whose messages come in any order, at no cost.
+/// A change whose messages arrive in any order, at no cost.
 pub fn order_of_messages() -> Scenario {
     Scenario {
-        steps: vec![step(10, 0, Request::Change), step(10, 1, Request::Rival)],
+        requests: vec![
+            request_at(10, 0, Request::Change),
+            request_at(10, 1, Request::Rival),
+        ],
         faults: Faults {
-            any_order: 4,
+            reorder_window: 4,
             lose: true,
             crash: vec![ms(50)],
             ..Faults::default()
@@ -216,7 +219,7 @@
 /// Five members of which two may be lost at once.
 pub fn five() -> Scenario {
     let faults = Faults {
-        most_wipes: 2,
+        max_wipes: 2,
         lose: false,
         delay: vec![],
         ..membership().faults
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -2,34 +2,42 @@
 //!
 //! Each state has actions with a cost. The default action costs nothing; what a scheduler, a network or a fault does
 //! beyond it costs one deviation. All runs within the bound are visited: states are remembered by fingerprint, with
-//! the deviations that were left, and are expanded again only with more of them left. Bounds rise from 0, so that a
-//! breach is found with the fewest deviations.
+//! the deviations that remained, and are expanded again only with more of them. Bounds rise from 0, so that a violation is
+//! found with the fewest deviations.
 
 use std::collections::HashMap;
-use std::fmt::Debug;
+use std::fmt::{self, Debug};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Parts of the table of visited states, each with a lock of its own.
+/// Number of shards of the table of visited states, each with a lock of its own.
 const VISITED_SHARDS: usize = 64;
-/// Work that a thread keeps for itself before it gives some to idle ones.
+/// A thread with more work than this gives half of it to idle ones.
 const LOCAL_WORK: usize = 4;
 
 /// What a safety claim says was broken, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
-    /// The claim.
-    pub claim: &'static str,
+pub struct Violation {
+    /// The invariant.
+    pub invariant: &'static str,
     /// What happened.
     pub detail: String,
 }
 
-impl Breach {
-    /// A breach of a claim.
-    pub fn new(claim: &'static str, detail: impl Into<String>) -> Self {
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.invariant, self.detail)
+    }
+}
+
+impl std::error::Error for Violation {}
+
+impl Violation {
+    /// A violation of an invariant.
+    pub fn new(invariant: &'static str, detail: impl Into<String>) -> Self {
         Self {
-            claim,
+            invariant,
             detail: detail.into(),
         }
     }
@@ -60,15 +68,14 @@
     /// The state after an action.
     ///
     /// # Errors
-    /// Where a claim is broken.
-    fn apply(&self, state: &Self::State, action: &Self::Action) -> Result<Self::State, Breach>;
+    /// If an invariant is violated.
+    fn apply(&self, state: &Self::State, action: &Self::Action) -> Result<Self::State, Violation>;
 
-    /// What tells states apart.
+    /// A hash that tells states apart.
     fn fingerprint(&self, state: &Self::State) -> u64;
 
-    /// How much of the run is left: of two states with one fingerprint the one with more left has all runs of the
-    /// other.
-    fn left(&self, state: &Self::State) -> u64;
+    /// How much of the run remains: of two states with one fingerprint the one with more has all runs of the other.
+    fn remaining(&self, state: &Self::State) -> u64;
 }
 
 /// Bounds of a search.
@@ -95,37 +102,37 @@
     }
 }
 
-/// A run that breaks a claim.
+/// A run that violates an invariant.
 #[derive(Clone, Debug)]
 pub struct Counterexample<A> {
-    /// What is broken.
-    pub breach: Breach,
+    /// What is violated.
+    pub violation: Violation,
     /// All actions from the first state on.
     pub trace: Vec<Choice<A>>,
 }
 
-/// What a search came to.
+/// The result of a search.
 #[derive(Clone, Debug)]
 pub struct Outcome<A> {
     /// Deviations of the highest bound that was searched.
     pub deviations: u8,
-    /// Different states, under the highest bound.
+    /// Number of different states under the highest bound.
     pub states: u64,
-    /// Actions taken, under all bounds.
+    /// Number of actions applied under all bounds.
     pub transitions: u64,
-    /// The longest run.
+    /// Number of actions of the longest run.
     pub deepest: u32,
-    /// Runs that ended at the bound of their length.
+    /// Number of runs that ended at [`Bounds::depth`].
     pub cut_short: u64,
-    /// Whether the bound of the states stopped it.
+    /// Whether the search ended at [`Bounds::states`].
     pub stopped: bool,
-    /// Time that it took.
+    /// Time of the search.
     pub time: Duration,
-    /// The run that breaks a claim, where there is one.
+    /// The run that violates an invariant, if there is one.
     pub found: Option<Counterexample<A>>,
 }
 
-/// Searches under each bound from 0 deviations to the highest, until a claim is broken.
+/// Searches under each bound from 0 deviations to the highest, until an invariant is violated.
 pub fn search<M: Model>(model: &M, bounds: Bounds) -> Outcome<M::Action> {
     let started = Instant::now();
     let mut transitions = 0;
@@ -157,13 +164,13 @@
     unreachable!("the last bound returns")
 }
 
-/// Plays a trace again from the first state; what it breaks, if anything.
-pub fn replay<M: Model>(model: &M, trace: &[M::Action]) -> Option<Breach> {
+/// Replays a trace from the first state; what it violates, if anything.
+pub fn replay<M: Model>(model: &M, trace: &[M::Action]) -> Option<Violation> {
     let mut state = model.start();
     for action in trace {
         match model.apply(&state, action) {
             Ok(next) => state = next,
-            Err(breach) => return Some(breach),
+            Err(violation) => return Some(violation),
         }
     }
     None
@@ -305,9 +312,9 @@
                 Some(link),
                 local,
             ),
-            Err(breach) => {
+            Err(violation) => {
                 lock(&self.found).get_or_insert_with(|| Counterexample {
-                    breach,
+                    violation,
                     trace: trace(&link),
                 });
                 self.give_up();
@@ -353,7 +360,7 @@
         let fingerprint = self.model.fingerprint(state);
         let run = self
             .model
-            .left(state)
+            .remaining(state)
             .min(u64::from(self.bounds.depth - depth));
         let mut shard = lock(&self.visited[fingerprint as usize % VISITED_SHARDS]);
         let now = Expanded { deviations, run };
--- a/crates/model-check/tests/cluster.rs
+++ b/crates/model-check/tests/cluster.rs
@@ -1,9 +1,10 @@
-//! The members' models within small bounds: nothing is broken, and each planted bug is found. `cargo run --release -p
+//! The members' models within small bounds: no violation, and each seeded bug is found. `cargo run --release -p
 //! model-check -- MODEL` searches further.
 
-use model_check::cluster::{Action, Cluster, Faults, Planted, Scenario};
+use model_check::cluster::{Action, Cluster, Faults, Scenario, SeededBug};
 use model_check::cluster::{
-    AGE, AGREED, ANSWER, FENCED, FORWARD, IDENTITY, KEPT, ONE_CONTENT, PROMISE,
+    AGE_TRUE, ANSWERS_HOLD, DURABLE, FENCED, JOINTLY_COMMITTED, NEW_IDENTITY_AFTER_WIPE,
+    ONE_STATE_PER_INDEX, PROMISES_HOLD, READERS_NEVER_GO_BACK,
 };
 use model_check::models;
 use model_check::search::{replay, search, Bounds, Model, Outcome};
@@ -14,7 +15,7 @@
     Duration::from_millis(n)
 }
 
-fn searched(scenario: Scenario, deviations: u8) -> (Cluster, Outcome<Action>) {
+fn search_scenario(scenario: Scenario, deviations: u8) -> (Cluster, Outcome<Action>) {
     let cluster = Cluster::new(scenario).unwrap();
     let outcome = search(
         &cluster,
@@ -26,13 +27,13 @@
     (cluster, outcome)
 }
 
-fn holds(name: &str, scenario: Scenario, deviations: u8) {
-    let (_, outcome) = searched(scenario, deviations);
+fn expect_no_violation(name: &str, scenario: Scenario, deviations: u8) {
+    let (_, outcome) = search_scenario(scenario, deviations);
     println!("{name}: {} states in {:?}", outcome.states, outcome.time);
     assert!(outcome.found.is_none(), "{:?}", outcome.found);
     assert!(
         !outcome.stopped && outcome.cut_short == 0,
-        "the search isn't whole"
+        "the search is incomplete"
     );
     assert_eq!(outcome.deviations, deviations);
 }
@@ -47,19 +48,19 @@
 #[case("age")]
 #[case("age-slow-start")]
 #[case("order-of-messages")]
-fn one_deviation_of_any_kind_breaks_nothing(#[case] name: &str) {
-    holds(name, models::scenario(name).unwrap(), 1);
+fn no_violation_when_one_deviation_of_any_kind_happens(#[case] name: &str) {
+    expect_no_violation(name, models::scenario(name).unwrap(), 1);
 }
 
 #[test]
-fn two_deaths_break_nothing() {
+fn no_violation_when_two_processes_crash() {
     let faults = Faults {
         crash: vec![ms(1600)],
         crash_sending: vec![ms(50)],
         ..Faults::default()
     };
-    holds(
-        "two deaths",
+    expect_no_violation(
+        "two crashes",
         Scenario {
             faults,
             faults_until: ms(1300),
@@ -70,35 +71,43 @@
 }
 
 #[rstest]
-#[case(Planted::ForgottenPromises, "takeover", PROMISE)]
-#[case(Planted::OldIdentity, "membership", IDENTITY)]
-#[case(Planted::NewVotersAlone, "removal", AGREED)]
-#[case(Planted::UnfoundedLease, "takeover", FENCED)]
-#[case(Planted::ShortLedger, "takeover", KEPT)]
-#[case(Planted::ForgottenCalls, "orders", ANSWER)]
-#[case(Planted::EarlyRefusal, "guessed-bases", ANSWER)]
-#[case(Planted::EarlyWord, "takeover", KEPT)]
-#[case(Planted::FreshAfterStart, "age", AGE)]
-#[case(Planted::ForgetfulReader, "reads", FORWARD)]
-#[case(Planted::RewrittenChange, "takeover", ONE_CONTENT)]
-fn a_planted_bug_is_found(#[case] planted: Planted, #[case] name: &str, #[case] claim: &str) {
+#[case(SeededBug::ForgottenPromises, "takeover", PROMISES_HOLD)]
+#[case(SeededBug::OldIdentity, "membership", NEW_IDENTITY_AFTER_WIPE)]
+#[case(SeededBug::NewVotersAlone, "removal", JOINTLY_COMMITTED)]
+#[case(SeededBug::UnfoundedLease, "takeover", FENCED)]
+#[case(SeededBug::StaleSnapshot, "takeover", DURABLE)]
+#[case(SeededBug::ForgottenDigests, "orders", ANSWERS_HOLD)]
+#[case(SeededBug::EarlyRejection, "guessed-bases", ANSWERS_HOLD)]
+#[case(SeededBug::EarlyAppendReply, "takeover", DURABLE)]
+#[case(SeededBug::FreshAfterStart, "age", AGE_TRUE)]
+#[case(SeededBug::ForgetfulReader, "reads", READERS_NEVER_GO_BACK)]
+#[case(SeededBug::RewrittenChange, "takeover", ONE_STATE_PER_INDEX)]
+fn seeded_bug_is_found_within_two_deviations(
+    #[case] bug: SeededBug,
+    #[case] name: &str,
+    #[case] invariant: &str,
+) {
     let mut scenario = Scenario {
-        planted,
+        seeded_bug: bug,
         ..models::scenario(name).unwrap()
     };
-    if planted == Planted::ForgottenPromises {
+    if bug == SeededBug::ForgottenPromises {
         scenario.faults = Faults {
             crash: vec![ms(50), ms(1600)],
             ..Faults::default()
         };
     }
-    let (cluster, outcome) = searched(scenario, 2);
+    let (cluster, outcome) = search_scenario(scenario, 2);
     println!(
-        "{planted:?}: {} states, {} steps in {:?}",
+        "{bug:?}: {} states, {} steps in {:?}",
         outcome.states, outcome.transitions, outcome.time
     );
     let found = outcome.found.expect("the bug isn't found");
-    assert_eq!(found.breach.claim, claim, "{}", found.breach.detail);
+    assert_eq!(
+        found.violation.invariant, invariant,
+        "{}",
+        found.violation.detail
+    );
     let trace: Vec<Action> = found
         .trace
         .into_iter()
@@ -106,63 +115,63 @@
         .collect();
     assert_eq!(
         replay(&cluster, &trace),
-        Some(found.breach),
+        Some(found.violation),
         "the trace can be played again"
     );
 }
 
-/// Found by the search, kept as a trace: a candidate that stood still goes on with its old promises. Its view is never
-/// agreed on, as the others have promised a higher epoch since.
+/// Found by the search: a candidate that was frozen goes on with its old promises. Its membership is never
+/// committed, as the others have promised a higher epoch since.
 #[test]
-fn a_candidate_that_stood_still_wins_nothing() {
+fn no_violation_when_a_frozen_candidate_goes_on() {
     let faults = Faults {
         cut_one_way: vec![ms(1600)],
         freeze: vec![ms(2600)],
         ..Faults::default()
     };
-    let steps = models::takeover().steps[..1].to_vec();
+    let requests = models::takeover().requests[..1].to_vec();
     let scenario = Scenario {
-        steps,
+        requests,
         faults,
         faults_until: ms(760),
         length: ms(3400),
         ..Scenario::default()
     };
-    holds("stood still", scenario, 2);
+    expect_no_violation("frozen candidate", scenario, 2);
 }
 
-/// All machines lose power while the members agree on their first primary: some have promised, none holds a view.
+/// All machines lose power while the members elect their first primary: some have promised, none has a membership.
 #[test]
-fn the_first_start_goes_on_after_a_loss_of_power() {
+fn primary_acts_when_power_was_lost_during_the_first_start() {
     let scenario = Scenario {
         length: ms(9000),
         ..Scenario::default()
     };
     let restarted = Cluster::first_start_interrupted(scenario, ms(50)).unwrap();
     let mut world = restarted.start();
-    while restarted.left(&world) > 0 && !world.somebody_acts() {
+    while restarted.remaining(&world) > 0 && !world.somebody_acts() {
         world = restarted.apply(&world, &world.default_action()).unwrap();
     }
     assert!(world.somebody_acts(), "{:?}", world.describe());
 }
 
-/// Old and new voters agree on a member that lost its disk, although a message is lost.
+/// Old and new voters replace a member that lost its disk, although a message is lost.
 #[test]
-fn a_message_lost_while_a_wiped_voter_is_replaced_breaks_nothing() {
-    holds("removal", models::removal(), 2);
+fn no_violation_when_a_message_is_lost_while_a_wiped_voter_is_replaced() {
+    expect_no_violation("removal", models::removal(), 2);
 }
 
-/// Found by the search on the day it was written: a member that comes back while the primary stands still takes a proof
+/// Found by the search: a member that restarts while the primary is frozen receives a primary contact
 /// that is older than its own process.
 #[test]
-fn a_proof_older_than_a_process_keeps_its_age() {
+fn contact_keeps_its_age_when_it_is_older_than_the_process() {
     let faults = Faults {
         crash: vec![ms(1600)],
         freeze: vec![ms(2600)],
         ..Faults::default()
     };
-    holds(
-        "old proofs",
+    expect_no_violation(
+        "old contacts",
         Scenario {
             ages: true,
             faults,
