--- a/crates/coordinator/src/core/actor.rs
+++ b/crates/coordinator/src/core/actor.rs
@@ -4,7 +4,7 @@
 use crate::counters::Counters;
 use crate::interface::Cause;
 use crate::shard::here;
-use multi_core::deal::Deal;
+use multi_core::core_dispatch::CoreDispatcher;
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
 use std::pin::Pin;
@@ -24,8 +24,8 @@
 #[derive(Clone)]
 pub struct Core {
     mailboxes: Arc<[mpsc::UnboundedSender<Mail>]>,
-    deal: Arc<Deal>,
-    /// The origin of the times that `deal` is told.
+    dispatcher: Arc<CoreDispatcher>,
+    /// The origin of the times that `dispatcher` is told.
     origin: Instant,
     /// When one that finds a mailbox full is asked to come back.
     hint: Duration,
@@ -40,7 +40,7 @@
     answer: oneshot::Receiver<Answer>,
     mail: Option<mpsc::UnboundedSender<Mail>>,
     /// Where it went, until it is settled.
-    at: Option<(Arc<Deal>, usize)>,
+    at: Option<(Arc<CoreDispatcher>, usize)>,
     /// Looks after another core that may die or stand still.
     watch: Option<(Pin<Box<Sleep>>, Instant)>,
 }
@@ -49,7 +49,7 @@
     /// The way to these mailboxes, one for each core.
     pub fn new(
         mailboxes: Vec<mpsc::UnboundedSender<Mail>>,
-        deal: Arc<Deal>,
+        dispatcher: Arc<CoreDispatcher>,
         origin: Instant,
         hint: Duration,
         counters: Counters,
@@ -57,7 +57,7 @@
         let (hash, next) = Default::default();
         Self {
             mailboxes: mailboxes.into(),
-            deal,
+            dispatcher,
             origin,
             hint,
             hash,
@@ -84,10 +84,10 @@
         };
         let key = query.key.as_ref().map(|k| self.hash.hash_one(k));
         // Without a sound core the sender is dropped: the ticket ends at once.
-        let Some(core) = self.deal.query(here(), key, now) else {
+        let Some(core) = self.dispatcher.core_for_query(here(), key, now) else {
             return ticket;
         };
-        if !self.deal.hand_over(core, now) {
+        if !self.dispatcher.try_enqueue(core, now) {
             self.counters.inc("answered.refused.mailbox");
             let (retry_after, cause, missing) = (Some(self.hint), Cause::Busy, vec![]);
             let _ = tx.send(Answer::Refused {
@@ -97,7 +97,7 @@
             });
             return ticket;
         }
-        ticket.at = Some((self.deal.clone(), core));
+        ticket.at = Some((self.dispatcher.clone(), core));
         if core != here() {
             self.counters.inc("cores.handed_over");
             ticket.watch = Some((Box::pin(tokio::time::sleep(WATCH)), self.origin));
@@ -113,19 +113,19 @@
 
 impl Ticket {
     fn settle(&mut self) {
-        if let Some((deal, core)) = self.at.take() {
-            deal.settled(core);
+        if let Some((dispatcher, core)) = self.at.take() {
+            dispatcher.query_finished(core);
         }
     }
 
     /// Whether the other core that has it has ended or stands still.
     fn deserted(&mut self, cx: &mut Context<'_>) -> bool {
-        let (Some((watch, origin)), Some((deal, core))) = (&mut self.watch, &self.at) else {
+        let (Some((watch, origin)), Some((dispatcher, core))) = (&mut self.watch, &self.at) else {
             return false;
         };
         while watch.as_mut().poll(cx).is_ready() {
             let now = origin.elapsed().as_micros() as u64;
-            if !deal.alive(*core) || deal.stalled(*core, now) {
+            if !dispatcher.is_alive(*core) || dispatcher.is_stalled(*core, now) {
                 return true;
             }
             watch.as_mut().reset(tokio::time::Instant::now() + WATCH);
@@ -161,16 +161,16 @@
     }
 }
 
-/// Runs the core until every sender of its mailbox is gone. `deal` hears of each query that it takes.
+/// Runs the core until every sender of its mailbox is gone. `dispatcher` hears of each query that it takes.
 pub async fn start<T: Transport>(
     mut table: Table<T>,
     mut mail: mpsc::UnboundedReceiver<Mail>,
-    (deal, core, origin): (Arc<Deal>, usize, Instant),
+    (dispatcher, core, origin): (Arc<CoreDispatcher>, usize, Instant),
 ) {
     let take = |table: &mut Table<T>, mail: Mail| {
         let now = Instant::now();
         if matches!(mail, Mail::Query(..)) {
-            deal.take(
+            dispatcher.query_dequeued(
                 core,
                 now.saturating_duration_since(origin).as_micros() as u64,
             );
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -15,7 +15,7 @@
     ) {
         // Two queries by one name would share their parts' names: the hosts would take one's for a copy of
         // the other's.
-        let elsewhere = |s: &Seat| !s.names.open(&new.name, s.core);
+        let elsewhere = |s: &Seat| !s.names.claim(&new.name, s.core);
         if self.names.contains_key(&new.name) || self.seat.as_ref().is_some_and(elsewhere) {
             self.counters.inc("answered.name_taken");
             let _ = reply.send(Answer::NameTaken);
@@ -28,12 +28,12 @@
         // work that can't be done in time.
         let wanted = 1 + new.parts.len();
         let room = match &self.seat {
-            Some(seat) => seat.lease.take(wanted),
+            Some(seat) => seat.lease.acquire(wanted),
             None => self.queries.len() + self.parts.len() + wanted <= self.open_cap,
         };
         if !room {
             if let Some(seat) = &self.seat {
-                seat.names.close(&new.name, seat.core);
+                seat.names.release(&new.name, seat.core);
             }
             self.counters.inc("answered.refused.open_cap");
             let retry_after = Some(self.longest_hint.unwrap_or(Duration::from_secs(1)));
@@ -113,7 +113,7 @@
             if *n == 0 {
                 self.names.remove(name);
                 if let Some(seat) = &self.seat {
-                    seat.names.close(name, seat.core);
+                    seat.names.release(name, seat.core);
                 }
             }
         }
@@ -141,7 +141,7 @@
         for part in parts.iter().filter_map(|p| self.parts.remove(p)) {
             self.held -= part.value.map_or(0, |v| v.len());
             if let Some(seat) = &self.seat {
-                seat.lease.give(1);
+                seat.lease.release(1);
             }
         }
     }
@@ -164,7 +164,7 @@
     pub(super) fn close(&mut self, id: RequestId) -> Option<Query> {
         let q = self.queries.remove(&id)?;
         if let Some(seat) = &self.seat {
-            seat.lease.give(1);
+            seat.lease.release(1);
         }
         self.tickets.remove(&q.ticket);
         self.deadlines.remove(&(q.deadline, id));
--- a/crates/coordinator/src/logger.rs
+++ b/crates/coordinator/src/logger.rs
@@ -125,39 +125,3 @@
     let _ = log::set_logger(LOGGER.get_or_init(|| Logger(format)));
     log::set_max_level(level);
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn lines(format: Format) -> String {
-        let pairs = [
-            ("end", Value::from("host_closed")),
-            ("detail", "a \"b\"".into()),
-            ("parts", 3.into()),
-        ];
-        let record = Record::builder()
-            .args(format_args!("host"))
-            .level(log::Level::Info)
-            .target("coordinator::net")
-            .key_values(&pairs)
-            .build();
-        format.line(Duration::from_millis(1500), &record)
-    }
-
-    #[test]
-    fn text_lines_end_in_pairs_that_can_be_told_apart() {
-        assert_eq!(
-            lines(Format::Text),
-            "1.500 INFO host end=host_closed detail=\"a \\\"b\\\"\" parts=3"
-        );
-    }
-
-    #[test]
-    fn json_lines_keep_numbers_as_numbers() {
-        let json: Json = serde_json::from_str(&lines(Format::Json)).unwrap();
-        let want = serde_json::json!({"ts": 1.5, "level": "INFO", "target": "coordinator::net", "msg": "host",
-            "end": "host_closed", "detail": "a \"b\"", "parts": 3});
-        assert_eq!(json, want);
-    }
-}
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -12,7 +12,7 @@
 use crate::core::{CallPart, Ended, Mail};
 use crate::counters::Counters;
 use crate::interface::{Outcome, RequestId, ServerId};
-use multi_core::gates::Gate;
+use multi_core::drain_gates::DrainGate;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -81,7 +81,7 @@
     /// No call starts after this.
     pub stop_at: Option<Instant>,
     /// The host's gate, which closes for all cores at once, and the origin of its times.
-    pub gate: Option<(Arc<Gate>, Instant)>,
+    pub gate: Option<(Arc<DrainGate>, Instant)>,
     /// Its mailbox.
     pub mail: mpsc::UnboundedReceiver<LinkMail>,
     /// What its peer sees of it.
@@ -148,8 +148,8 @@
     /// The parts of a call that may still be sent; the others end here, never sent. Waiting in our own
     /// buffers counts against a part's time-out and against a drain's grace.
     pub fn sendable(&self, call: Vec<CallPart>, now: Instant) -> Vec<CallPart> {
-        let shut = |(gate, origin): &(Arc<Gate>, Instant)| {
-            !gate.lets_through(now.saturating_duration_since(*origin).as_micros() as u64)
+        let shut = |(gate, origin): &(Arc<DrainGate>, Instant)| {
+            !gate.allows_send(now.saturating_duration_since(*origin).as_micros() as u64)
         };
         let stopped =
             self.stop_at.is_some_and(|t| now >= t) || self.gate.as_ref().is_some_and(shut);
--- a/crates/coordinator/src/net/list.rs
+++ b/crates/coordinator/src/net/list.rs
@@ -20,7 +20,7 @@
 const TOLD: Duration = Duration::from_secs(6);
 const CONNECT: Duration = Duration::from_secs(1);
 /// Waits after calls that failed, of one coordinator among a few; with more of them each waits longer.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
+pub const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
 const A_FEW: u32 = 5;
 /// With a list in hand the first calls of a fleet that starts at one moment are spread over so much for each
 /// coordinator beyond a few: about what a call of some tens of lines takes discovery.
@@ -297,42 +297,3 @@
         Ok(())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A hundred that start at one moment with a list in hand call discovery spread over seconds; with an
-    /// agent on each machine, or a few of them, each calls at once and comes back soon.
-    #[test]
-    fn first_calls_and_waits_follow_from_how_many_share_discovery() {
-        let within = Duration::from_secs(10);
-        let start = |seed: u64| {
-            let (mut backoff, spread) = Pace {
-                seed,
-                shared: Some((100, within)),
-                grace: CONNECT,
-            }
-            .backoff();
-            backoff.start(spread)
-        };
-        let mut first: Vec<Duration> = (0..100).map(start).collect();
-        first.sort();
-        let busiest = first.windows(30).map(|w| w[29] - w[0]).min().unwrap();
-        assert!(
-            busiest > Duration::from_millis(500),
-            "30 within {busiest:?}"
-        );
-        assert!(first[99] < Duration::from_secs(4));
-        for shared in [None, Some((3, within))] {
-            let (mut backoff, spread) = Pace {
-                seed: 1,
-                shared,
-                grace: CONNECT,
-            }
-            .backoff();
-            assert_eq!(backoff.start(spread), Duration::ZERO);
-            (0..20).for_each(|_| assert!(backoff.failed() <= BACKOFF.1));
-        }
-    }
-}
--- a/crates/coordinator/src/net/objects.rs
+++ b/crates/coordinator/src/net/objects.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Deepest nesting taken; lists have three levels.
-const DEEPEST: usize = 16;
+pub const DEEPEST: usize = 16;
 
 /// What stands next in the stream.
 #[derive(Debug, PartialEq)]
@@ -183,91 +183,3 @@
         Some(())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Feeds the text in pieces of this size; gives what was found and how it ended.
-    fn read(text: &str, piece: usize) -> (Vec<Found>, Result<(), NoObject>) {
-        let (mut reader, mut found) = (Objects::new(400), Vec::new());
-        for bytes in text.as_bytes().chunks(piece) {
-            reader.input().extend_from_slice(bytes);
-            loop {
-                match reader.found() {
-                    Ok(Some(one)) => found.push(one),
-                    Ok(None) => break,
-                    Err(e) => return (found, Err(e)),
-                }
-            }
-        }
-        (found, Ok(()))
-    }
-
-    const LINE: &str = r#"{"a":[{"b":"}\"{"},1.5e-3,true,[]],"c":{}}"#;
-    const INDENTED: &str =
-        "{\n  \"a\": [\n    {\n      \"b\": \"x\"\n    }\n  ],\r\n  \"c\": null\n}";
-
-    #[test]
-    fn objects_on_one_line_or_indented_are_found_however_they_are_cut() {
-        let text = format!("{LINE}\n\n{INDENTED}\n\n \n{LINE}{LINE}\n");
-        for piece in 1..text.len() {
-            let (found, end) = read(&text, piece);
-            let object = |s: &'static str| Found::Object(Bytes::from_static(s.as_bytes()));
-            let all = [
-                object(LINE),
-                Found::Empty,
-                object(INDENTED),
-                Found::Empty,
-                Found::Empty,
-                object(LINE),
-                object(LINE),
-            ];
-            assert_eq!(
-                (found.as_slice(), end),
-                (all.as_slice(), Ok(())),
-                "in pieces of {piece}"
-            );
-        }
-        for object in [LINE, INDENTED] {
-            serde_json::from_str::<serde_json::Value>(object).unwrap();
-        }
-    }
-
-    #[test]
-    fn what_is_no_object_is_told_at_once() {
-        for bad in [
-            "nonsense",
-            "{nonsense",
-            "[",
-            "\"text\"",
-            "5",
-            "}",
-            "{\"a\"}",
-            "{\"a\":}",
-            "{\"a\":1,}",
-            "{\"a\":[1,]",
-            "{\"a\":[}",
-            "{\"a\":1 2",
-            "{\"a\":1\n{",
-            "{\"a\":\n\n",
-            "{\"a\": \"b\n",
-            "{,",
-            "{:",
-            "{\"a\":1]",
-        ] {
-            for piece in [1, 100] {
-                assert_eq!(
-                    read(bad, piece),
-                    (vec![], Err(NoObject::Malformed)),
-                    "{bad:?}"
-                );
-            }
-        }
-        let deep = format!("{{\"a\":{}", "[".repeat(DEEPEST));
-        assert_eq!(read(&deep, 100).1, Err(NoObject::Malformed));
-        let long = format!("{{\"a\":\"{}", "x".repeat(400));
-        assert_eq!(read(&long, 100).1, Err(NoObject::TooLarge));
-        assert_eq!(read("{\"a\":[1", 3), (vec![], Ok(())), "it may still go on");
-    }
-}
--- a/crates/coordinator/src/net/peer.rs
+++ b/crates/coordinator/src/net/peer.rs
@@ -7,7 +7,7 @@
 use crate::counters::Counters;
 use crate::interface::{Outcome, RequestId, ServerId};
 use crate::ops::turnover::Beside;
-use multi_core::gates::{Gate, Gates};
+use multi_core::drain_gates::{DrainGate, DrainGates};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -34,7 +34,7 @@
     server: ServerId,
     addr: String,
     stop_at: Option<Instant>,
-    gate: Option<(Arc<Gate>, Instant)>,
+    gate: Option<(Arc<DrainGate>, Instant)>,
     links: Vec<LinkRef>,
     pace: Arc<Pace>,
     shared: Arc<Shared>,
@@ -51,7 +51,7 @@
     core: mpsc::UnboundedSender<Mail>,
     counters: Counters,
     /// The gates that all cores share, and the origin of their times.
-    gates: Option<(Arc<Gates>, Instant)>,
+    gates: Option<(Arc<DrainGates>, Instant)>,
 }
 
 /// The hosts' actors, as the core's transport.
@@ -68,7 +68,7 @@
         most_links: usize,
         core: mpsc::UnboundedSender<Mail>,
         counters: Counters,
-        gates: Option<(Arc<Gates>, Instant)>,
+        gates: Option<(Arc<DrainGates>, Instant)>,
         beside: watch::Receiver<Beside>,
     ) -> Self {
         // A host whose connection carries all that it may reads nothing more on it, not even a withdrawal: a
@@ -108,7 +108,7 @@
             let gate = shared
                 .gates
                 .as_ref()
-                .map(|(gates, origin)| (gates.of(&host.id), *origin));
+                .map(|(gates, origin)| (gates.gate(&host.id), *origin));
             let (links, pace) = (Vec::new(), Arc::new(Pace::among(shared.caps.coordinators)));
             let peer = Peer {
                 server,
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -21,7 +21,7 @@
 use crate::ops::Readiness;
 use crate::peers::Voice;
 use crate::shard;
-use multi_core::deal::Deal;
+use multi_core::core_dispatch::CoreDispatcher;
 use std::os::fd::AsFd;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -322,11 +322,14 @@
     }
     log::info!("{}", config.summary());
     let (mail, inbox) = mpsc::unbounded_channel();
-    let (origin, deal) = (Instant::now(), Deal::new(1, config.site.caps.open));
+    let (origin, dispatcher) = (
+        Instant::now(),
+        CoreDispatcher::new(1, config.site.caps.open),
+    );
     let hint = config.site.settings.retry_after_max.unwrap_or(HINT);
     let core = Core::new(
         vec![mail.clone()],
-        deal.clone(),
+        dispatcher.clone(),
         origin,
         hint,
         counters.clone(),
@@ -384,7 +387,7 @@
     }
     // The list as last known comes first, so that the first query finds hosts.
     let _ = news.send(Mail::List(ListKind::Cached, config.known.members.clone()));
-    let core_task = tokio::spawn(core::start(table, inbox, (deal, 0, origin)));
+    let core_task = tokio::spawn(core::start(table, inbox, (dispatcher, 0, origin)));
     list_source(config, news, &counters, moves);
     let incoming = Incoming::Listener(listener);
     readiness.iter().for_each(super::ops::Readiness::accepts);
--- a/crates/coordinator/src/shard/mod.rs
+++ b/crates/coordinator/src/shard/mod.rs
@@ -7,9 +7,9 @@
 pub use run::run;
 
 use crate::core::Mail;
-use multi_core::gates::Gates;
-use multi_core::lease::Lease;
-use multi_core::names::OpenNames;
+use multi_core::drain_gates::DrainGates;
+use multi_core::key_ownership::KeyOwnership;
+use multi_core::shared_budget::BudgetLease;
 use std::cell::Cell;
 use std::sync::Arc;
 use std::time::Instant;
@@ -39,11 +39,11 @@
     /// Its number.
     pub core: usize,
     /// Its lease on what may be open.
-    pub lease: Lease,
+    pub lease: BudgetLease,
     /// Names that are open on any core.
-    pub names: Arc<OpenNames>,
+    pub names: Arc<KeyOwnership>,
     /// The gates of hosts, and who has acknowledged what.
-    pub gates: Arc<Gates>,
+    pub gates: Arc<DrainGates>,
     /// The origin of the gates' times.
     pub origin: Instant,
     /// The other cores' mailboxes.
@@ -54,13 +54,13 @@
     /// Whether a host's gate is shut at this time.
     pub fn shut(&self, host: &str, now: Instant) -> bool {
         let now = now.saturating_duration_since(self.origin).as_micros() as u64;
-        !self.gates.of(host).lets_through(now)
+        !self.gates.gate(host).allows_send(now)
     }
 }
 
 impl Drop for Seat {
     /// With the table, however that ends: nothing stays taken by a core that is gone.
     fn drop(&mut self) {
-        self.names.retire(self.core);
+        self.names.release_all(self.core);
     }
 }
--- a/crates/coordinator/src/shard/run.rs
+++ b/crates/coordinator/src/shard/run.rs
@@ -13,10 +13,10 @@
 use crate::ops::members::{word_of, Overlay, Request, Sink};
 use crate::ops::turnover::Beside;
 use crate::serve::{dialect, fronts, limits, list_source, Staff, HINT};
-use multi_core::deal::Deal;
-use multi_core::gates::Gates;
-use multi_core::lease::Budget;
-use multi_core::names::OpenNames;
+use multi_core::core_dispatch::CoreDispatcher;
+use multi_core::drain_gates::DrainGates;
+use multi_core::key_ownership::KeyOwnership;
+use multi_core::shared_budget::SharedBudget;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -39,8 +39,8 @@
     mail: mpsc::UnboundedSender<Mail>,
     handed: mpsc::UnboundedReceiver<Handed>,
     seat: Seat,
-    deal: Arc<Deal>,
-    gates: Arc<Gates>,
+    dispatcher: Arc<CoreDispatcher>,
+    gates: Arc<DrainGates>,
     origin: Instant,
     counters: Counters,
     stop: watch::Receiver<bool>,
@@ -49,20 +49,20 @@
 }
 
 /// Counts a connection on its core for as long as it lives.
-struct Dealt(Arc<Deal>, usize);
+struct Dealt(Arc<CoreDispatcher>, usize);
 
 impl Drop for Dealt {
     fn drop(&mut self) {
-        self.0.disconnected(self.1);
+        self.0.connection_closed(self.1);
     }
 }
 
 /// Marks a core as gone, however its thread ends, and tells the main one.
-struct Ended(Arc<Deal>, usize, mpsc::UnboundedSender<usize>);
+struct Ended(Arc<CoreDispatcher>, usize, mpsc::UnboundedSender<usize>);
 
 impl Drop for Ended {
     fn drop(&mut self) {
-        self.0.bury(self.1);
+        self.0.mark_dead(self.1);
         let _ = self.2.send(self.1);
     }
 }
@@ -94,13 +94,19 @@
     log::info!(cores = n, pinned = cores.pin; "{}", config.summary());
     let origin = Instant::now();
     let open = config.site.caps.open;
-    let deal = Deal::new(n, open);
-    let budget = Budget::new(open, n, (open / (4 * n)).max(1));
-    let (names, gates) = (OpenNames::new(), Gates::new(n));
+    let dispatcher = CoreDispatcher::new(n, open);
+    let budget = SharedBudget::new(open, n, (open / (4 * n)).max(1));
+    let (names, gates) = (KeyOwnership::new(), DrainGates::new(n));
     let (mails, inboxes): (Vec<_>, Vec<_>) = (0..n).map(|_| mpsc::unbounded_channel()).unzip();
     let (doors, handed): (Vec<_>, Vec<_>) = (0..n).map(|_| mpsc::unbounded_channel()).unzip();
     let hint = config.site.settings.retry_after_max.unwrap_or(HINT);
-    let core = Core::new(mails.clone(), deal.clone(), origin, hint, counters.clone());
+    let core = Core::new(
+        mails.clone(),
+        dispatcher.clone(),
+        origin,
+        hint,
+        counters.clone(),
+    );
     let fronts = Arc::new(fronts(&config, core, &counters, readiness.clone()));
     let (over, mut ended) = mpsc::unbounded_channel();
     let mut threads = Vec::new();
@@ -111,7 +117,7 @@
             .filter(|(c, _)| *c != core)
             .map(|(_, m)| m.clone())
             .collect();
-        let lease = Budget::lease(&budget, core);
+        let lease = SharedBudget::lease(&budget, core);
         let (names, gates) = (names.clone(), gates.clone());
         let one = One {
             core,
@@ -128,7 +134,7 @@
                 origin,
                 others,
             },
-            deal: deal.clone(),
+            dispatcher: dispatcher.clone(),
             gates,
             origin,
             counters: counters.clone(),
@@ -136,7 +142,7 @@
             pin: cores.pin,
             beside: beside.clone(),
         };
-        let guard = Ended(deal.clone(), core, over.clone());
+        let guard = Ended(dispatcher.clone(), core, over.clone());
         let thread = std::thread::Builder::new().name(format!("core-{core}"));
         threads.push(thread.spawn(move || {
             let _guard = guard;
@@ -156,7 +162,7 @@
     readiness
         .iter()
         .for_each(super::super::ops::Readiness::accepts);
-    let accepting = accept(listener, deal.clone(), doors, origin);
+    let accepting = accept(listener, dispatcher.clone(), doors, origin);
     tokio::pin!(accepting);
     let mut left = n;
     while left > 0 {
@@ -189,7 +195,7 @@
 /// Deals connections out for as long as a core takes them.
 async fn accept(
     mut listener: Gated,
-    deal: Arc<Deal>,
+    dispatcher: Arc<CoreDispatcher>,
     doors: Vec<mpsc::UnboundedSender<Handed>>,
     origin: Instant,
 ) {
@@ -205,13 +211,13 @@
                 continue;
             }
         };
-        let first = deal.connection(origin.elapsed().as_micros() as u64);
+        let first = dispatcher.core_for_connection(origin.elapsed().as_micros() as u64);
         let mut stream = Some(stream);
         // A core that is ending takes no more; another one may.
         for core in first.into_iter().chain(0..doors.len()) {
             let Some(s) = stream.take() else { break };
-            deal.connected(core);
-            let guard = Box::new(Dealt(deal.clone(), core));
+            dispatcher.connection_opened(core);
+            let guard = Box::new(Dealt(dispatcher.clone(), core));
             if let Err(mpsc::error::SendError(back)) = doors[core].send(Handed {
                 stream: s,
                 from,
@@ -225,7 +231,7 @@
 
 /// Follows the host list for all cores: gates first, then the news, then its version to acknowledge.
 struct Spread {
-    gates: Arc<Gates>,
+    gates: Arc<DrainGates>,
     mails: Vec<mpsc::UnboundedSender<Mail>>,
     origin: Instant,
     grace: Duration,
@@ -332,7 +338,7 @@
             mail,
             handed,
             seat,
-            deal,
+            dispatcher,
             gates,
             origin,
             counters,
@@ -340,7 +346,7 @@
             beside,
             ..
         } = self;
-        let n = deal.cores();
+        let n = dispatcher.core_count();
         let room = config.room.of_core(n);
         // To the rules that all routers keep together each core is one more: a cold host's budget first of all.
         config.site.settings.routers = config.site.settings.routers.saturating_mul(n as u32);
@@ -366,7 +372,7 @@
             counters.clone(),
         )
         .among(seat);
-        let task = tokio::spawn(core::start(table, inbox, (deal, core, origin)));
+        let task = tokio::spawn(core::start(table, inbox, (dispatcher, core, origin)));
         let service: Arc<dyn Service> = fronts;
         tokio::select! {
             () = http::serve(Incoming::Handed(handed), service, limits, counters, stop) => Ok(()),
--- /dev/null
+++ b/crates/coordinator/tests/manual_ejection.rs
@@ -0,0 +1,85 @@
+//! Hosts that the operators took out, over what their source says of them.
+
+use coordinator::core::Listed;
+use coordinator::ops::bans::{Bans, Refusal};
+use coordinator::{ListKind, ServerState};
+
+fn host(id: &str, state: ServerState, up_since_ms: u64) -> Listed {
+    Listed {
+        id: id.into(),
+        addr: "a:1".into(),
+        zone: "a".into(),
+        cell: 0,
+        state,
+        up_since_ms,
+    }
+}
+
+fn states(hosts: &[Listed]) -> Vec<(&str, ServerState, u64)> {
+    hosts
+        .iter()
+        .map(|h| (h.id.as_str(), h.state, h.up_since_ms))
+        .collect()
+}
+
+use ListKind::{Cached, Changes, Full};
+use ServerState::{Draining, Gone, Ready};
+
+#[test]
+fn host_when_ejected_then_discovery_does_not_lift_it_and_one_restore_does() {
+    let mut bans = Bans::default();
+    assert_eq!(bans.order("a", true, 5), Err(Refusal::Unknown));
+    bans.news(Cached, vec![host("a", Ready, 1), host("b", Ready, 1)]);
+    assert_eq!(
+        states(&bans.order("a", true, 5).unwrap()),
+        [("a", Draining, 1)]
+    );
+    // Out twice is once.
+    assert_eq!(bans.order("a", true, 6), Ok(vec![]));
+    for kind in [Full, Changes, Cached] {
+        let told = bans.news(kind, vec![host("a", Ready, 2), host("b", Ready, 1)]);
+        assert_eq!(states(&told), [("a", Draining, 2), ("b", Ready, 1)]);
+    }
+    // It leaves the list, comes again, is left out of a whole list: out all the while.
+    assert_eq!(
+        states(&bans.news(Changes, vec![host("a", Gone, 2)])),
+        [("a", Gone, 2)]
+    );
+    assert_eq!(bans.order("a", true, 7), Ok(vec![]));
+    assert_eq!(
+        states(&bans.news(Changes, vec![host("a", Ready, 3)])),
+        [("a", Draining, 3)]
+    );
+    bans.news(Full, vec![host("b", Ready, 1)]);
+    assert_eq!(
+        states(&bans.news(Full, vec![host("a", Ready, 4)])),
+        [("a", Draining, 4)]
+    );
+    assert_eq!(
+        states(&bans.order("a", false, 50).unwrap()),
+        [("a", Ready, 50)]
+    );
+    assert_eq!(bans.order("a", false, 60), Ok(vec![]));
+    assert_eq!(bans.out().count(), 0);
+}
+
+#[test]
+fn host_when_restored_then_it_counts_as_started_then_or_later_if_discovery_says_so() {
+    let mut bans = Bans::default();
+    bans.news(Full, vec![host("a", Ready, 10)]);
+    bans.order("a", true, 20).unwrap();
+    // Restarted meanwhile, and draining by discovery's own word: that stands after the call back.
+    bans.news(Changes, vec![host("a", Draining, 30)]);
+    assert_eq!(
+        states(&bans.order("a", false, 40).unwrap()),
+        [("a", Draining, 40)]
+    );
+    assert_eq!(
+        states(&bans.news(Changes, vec![host("a", Ready, 30)])),
+        [("a", Ready, 40)]
+    );
+    assert_eq!(
+        states(&bans.news(Changes, vec![host("a", Ready, 70)])),
+        [("a", Ready, 70)]
+    );
+}
--- a/crates/multi-core/src/drain_gates.rs
+++ b/crates/multi-core/src/drain_gates.rs
@@ -1,201 +1,150 @@
-//! Gates of hosts, and who has acknowledged which version of the list. A drain closes the host's gate for
-//! all cores in one step: a core that is busy for seconds, and has not read the news, still finds the gate
-//! closed at its next send. What cores have acknowledged is shown beside it.
+//! Drain gates of hosts, and the list versions that cores have acknowledged.
+//!
+//! A drain closes the host's gate for all cores in one step. A core that is busy for seconds and has not read
+//! the update still finds the gate closed at its next send.
+//!
+//! Times are microseconds since an origin that the publisher chooses, the same for all cores.
 
 use crate::sync::{Arc, AtomicU64, Ordering, RwLock};
 use std::collections::{HashMap, HashSet};
+use std::sync::PoisonError;
 
-/// A gate that is open.
-const OPEN: u64 = u64::MAX;
+/// The closing time of a gate that stays open.
+const NEVER_CLOSES: u64 = u64::MAX;
 
-/// A host's gate: from a stated time on nothing new is sent through it, by any core.
-pub struct Gate(AtomicU64);
+type GatesByHost = HashMap<String, Arc<DrainGate>>;
 
-impl Gate {
-    /// Whether a send may start at this time (microseconds since the origin of the one who publishes).
-    pub fn lets_through(&self, now: u64) -> bool {
-        now < self.0.load(Ordering::Acquire)
+/// The gate of one host: from its closing time on, no core sends anything new to the host.
+pub struct DrainGate {
+    closes_at_us: AtomicU64,
+}
+
+impl DrainGate {
+    fn open() -> Self {
+        Self {
+            closes_at_us: AtomicU64::new(NEVER_CLOSES),
+        }
+    }
+
+    /// Whether a send may start at this time.
+    pub fn allows_send(&self, now_us: u64) -> bool {
+        now_us < self.closes_at_us.load(Ordering::Acquire)
+    }
+
+    /// Lets sends through again.
+    fn reopen(&self) {
+        self.closes_at_us.store(NEVER_CLOSES, Ordering::Release);
+    }
+
+    /// Closes the gate at this time, or sooner if that was decided before.
+    fn close_at(&self, stop_at_us: u64) {
+        self.closes_at_us.fetch_min(stop_at_us, Ordering::AcqRel);
+    }
+
+    fn closed_before(&self, time_us: u64) -> bool {
+        self.closes_at_us.load(Ordering::Acquire) < time_us
     }
 }
 
-/// All gates and acknowledgements.
-pub struct Gates {
-    gates: RwLock<HashMap<String, Arc<Gate>>>,
+/// The gates of all hosts, and each core's acknowledged version of the host list.
+pub struct DrainGates {
+    gates: RwLock<GatesByHost>,
+    /// The version published last.
     revision: AtomicU64,
-    acked: Vec<AtomicU64>,
+    /// By core.
+    acknowledged: Vec<AtomicU64>,
 }
 
-impl Gates {
-    /// For so many cores, with no host known.
+impl DrainGates {
+    /// Creates the gates for `cores` cores, with no host known.
     pub fn new(cores: usize) -> Arc<Self> {
-        let acked = (0..cores).map(|_| AtomicU64::new(0)).collect();
+        let acknowledged = (0..cores).map(|_| AtomicU64::new(0)).collect();
         Arc::new(Self {
             gates: RwLock::new(HashMap::new()),
             revision: AtomicU64::new(0),
-            acked,
+            acknowledged,
         })
     }
 
-    /// The gate of a host, open if it was never heard of.
-    pub fn of(&self, host: &str) -> Arc<Gate> {
-        if let Some(gate) = self
+    /// The gate of a host. The gate of a host that was never published is open.
+    pub fn gate(&self, host: &str) -> Arc<DrainGate> {
+        let known = self
             .gates
             .read()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .unwrap_or_else(PoisonError::into_inner)
             .get(host)
-        {
-            return gate.clone();
+            .cloned();
+        if let Some(gate) = known {
+            return gate;
         }
-        let mut gates = self
-            .gates
-            .write()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut gates = self.gates.write().unwrap_or_else(PoisonError::into_inner);
         gates
             .entry(host.to_owned())
-            .or_insert_with(|| Arc::new(Gate(AtomicU64::new(OPEN))))
+            .or_insert_with(|| Arc::new(DrainGate::open()))
             .clone()
     }
 
-    /// Publishes news before any core is told of it: each host with whether it is ready. `complete` says
-    /// that hosts which are not named are gone. Gates of hosts that are not ready close at `stop_at`,
-    /// unless they were to close sooner: the grace counts from the first news of a drain. Gives the new
-    /// version, which cores acknowledge.
+    /// Publishes an update of the host list, before any core is sent it. Returns its version, which cores
+    /// acknowledge.
+    ///
+    /// `hosts` gives each host and whether it is ready. With `complete`, hosts that are not named are gone. The
+    /// gates of hosts that are not ready close at `stop_at_us`, or sooner if an earlier update said so: the
+    /// grace counts from the first update that says that the host drains.
     pub fn publish<'a>(
         &self,
         complete: bool,
         hosts: impl Iterator<Item = (&'a str, bool)>,
-        stop_at: u64,
+        stop_at_us: u64,
     ) -> u64 {
         let mut named = HashSet::new();
         for (host, ready) in hosts {
-            let gate = self.of(host);
+            let gate = self.gate(host);
             if ready {
-                gate.0.store(OPEN, Ordering::Release)
+                gate.reopen();
             } else {
-                drop(gate.0.fetch_min(stop_at, Ordering::AcqRel))
+                gate.close_at(stop_at_us);
             }
             named.insert(host);
         }
         if complete {
-            let gates = self
-                .gates
-                .read()
-                .unwrap_or_else(std::sync::PoisonError::into_inner);
-            for gate in gates
-                .iter()
-                .filter(|(host, _)| !named.contains(host.as_str()))
-                .map(|(_, g)| g)
-            {
-                gate.0.fetch_min(stop_at, Ordering::AcqRel);
-            }
+            self.close_all_but(&named, stop_at_us);
         }
         self.revision.fetch_add(1, Ordering::AcqRel) + 1
     }
 
-    /// Forgets hosts whose gates have been closed since before this time.
-    pub fn prune(&self, before: u64) {
-        let closed = |g: &Arc<Gate>| g.0.load(Ordering::Acquire) < before;
+    fn close_all_but(&self, named: &HashSet<&str>, stop_at_us: u64) {
+        let gates = self.gates.read().unwrap_or_else(PoisonError::into_inner);
+        for (host, gate) in gates.iter() {
+            if !named.contains(host.as_str()) {
+                gate.close_at(stop_at_us);
+            }
+        }
+    }
+
+    /// Forgets the hosts whose gates closed before this time.
+    pub fn prune(&self, before_us: u64) {
         self.gates
             .write()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
-            .retain(|_, g| !closed(g));
+            .unwrap_or_else(PoisonError::into_inner)
+            .retain(|_, gate| !gate.closed_before(before_us));
     }
 
-    /// A core has taken a version in.
+    /// Records that a core has applied a version.
     pub fn acknowledge(&self, core: usize, revision: u64) {
-        if let Some(acked) = self.acked.get(core) {
-            acked.fetch_max(revision, Ordering::AcqRel);
+        if let Some(acknowledged) = self.acknowledged.get(core) {
+            acknowledged.fetch_max(revision, Ordering::AcqRel);
         }
     }
 
-    /// The version published last.
+    /// The version published last; 0 before the first one.
     pub fn revision(&self) -> u64 {
         self.revision.load(Ordering::Acquire)
     }
 
-    /// The version that a core has acknowledged.
+    /// The latest version that a core has acknowledged; 0 if none.
     pub fn acknowledged(&self, core: usize) -> u64 {
-        self.acked
+        self.acknowledged
             .get(core)
-            .map_or(0, |a| a.load(Ordering::Acquire))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{explore, thread};
-
-    fn publish(g: &Gates, host: &'static str, ready: bool, stop_at: u64) -> u64 {
-        g.publish(false, [(host, ready)].into_iter(), stop_at)
-    }
-
-    #[test]
-    fn a_drain_is_in_force_on_a_core_that_has_not_read_of_it() {
-        explore(|| {
-            let gates = Gates::new(2);
-            let gate = gates.of("h");
-            let other = {
-                let gates = gates.clone();
-                thread::spawn(move || {
-                    let revision = publish(&gates, "h", false, 100);
-                    gates.acknowledge(0, revision);
-                    revision
-                })
-            };
-            // This core has acknowledged nothing. If it can see that another one has, its gate is closed.
-            let seen = gates.acknowledged(0);
-            let open = gate.lets_through(150);
-            assert!(seen == 0 || !open, "a send after an acknowledged drain");
-            let revision = other.join().unwrap();
-            assert!(!gate.lets_through(100) && gate.lets_through(99));
-            assert_eq!(
-                (
-                    gates.revision(),
-                    gates.acknowledged(0),
-                    gates.acknowledged(1)
-                ),
-                (revision, 1, 0)
-            );
-        });
-    }
-
-    #[test]
-    fn a_host_met_for_the_first_time_by_two_cores_has_one_gate() {
-        explore(|| {
-            let gates = Gates::new(2);
-            let other = {
-                let gates = gates.clone();
-                thread::spawn(move || gates.of("h"))
-            };
-            let mine = gates.of("h");
-            let theirs = other.join().unwrap();
-            publish(&gates, "h", false, 10);
-            assert!(!mine.lets_through(10) && !theirs.lets_through(10));
-        });
-    }
-
-    #[test]
-    fn the_grace_counts_from_the_first_news_and_a_host_that_is_back_is_let_through() {
-        explore(|| {
-            let gates = Gates::new(1);
-            publish(&gates, "h", false, 100);
-            publish(&gates, "h", false, 200);
-            assert!(
-                !gates.of("h").lets_through(100),
-                "its repetition lengthens nothing"
-            );
-            publish(&gates, "h", true, 300);
-            assert!(gates.of("h").lets_through(1_000_000));
-            // A whole list without it.
-            gates.publish(true, [("other", true)].into_iter(), 400);
-            assert!(!gates.of("h").lets_through(400) && gates.of("other").lets_through(400));
-            let held = gates.of("h");
-            gates.prune(500);
-            assert!(
-                !held.lets_through(500),
-                "who holds the old gate finds it closed"
-            );
-        });
+            .map_or(0, |revision| revision.load(Ordering::Acquire))
     }
 }
--- a/crates/multi-core/src/key_ownership.rs
+++ b/crates/multi-core/src/key_ownership.rs
@@ -1,52 +1,55 @@
-//! Names that are open on any core. Two queries of one name would share their parts' names on the hosts'
-//! wire, so the second is a conflict whichever core holds the first.
+//! Ownership of query names. Two open queries of one name would share the names of their parts on the hosts'
+//! wire, so the second one is a conflict, whichever core owns the first.
 
 use crate::sync::{Arc, Mutex, MutexGuard};
 use std::collections::hash_map::Entry;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
+use std::sync::PoisonError;
 
-/// Locks that names are spread over: two cores seldom want the same one.
+/// Number of locks that names are spread over: two cores seldom want the same one.
 const STRIPES: usize = 32;
 
+/// The core that owns each name.
 type Stripe = HashMap<std::sync::Arc<str>, usize>;
 
-/// The names in use, with the core that holds each.
-pub struct OpenNames {
+/// The names in use, with the core that owns each.
+pub struct KeyOwnership {
     stripes: Vec<Mutex<Stripe>>,
-    hash: RandomState,
+    hasher: RandomState,
 }
 
-impl OpenNames {
-    /// None in use.
+/// Locks a stripe. A core that panicked while it held the lock left the map intact: each change is one step.
+fn lock(stripe: &Mutex<Stripe>) -> MutexGuard<'_, Stripe> {
+    stripe.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+impl KeyOwnership {
+    /// Creates the map with no name in use.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             stripes: (0..STRIPES).map(|_| Mutex::default()).collect(),
-            hash: RandomState::new(),
+            hasher: RandomState::new(),
         })
     }
 
     fn stripe(&self, name: &str) -> MutexGuard<'_, Stripe> {
-        let n = self.hash.hash_one(name) as usize % STRIPES;
-        // A core that panicked while it held a lock left the map whole: each change is one step.
-        self.stripes[n]
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
+        lock(&self.stripes[self.hasher.hash_one(name) as usize % STRIPES])
     }
 
-    /// Opens a name for a core; false if it is in use, on whichever core.
-    pub fn open(&self, name: &std::sync::Arc<str>, core: usize) -> bool {
+    /// Makes a core the owner of a name. Returns false if the name is in use, on whichever core.
+    pub fn claim(&self, name: &std::sync::Arc<str>, core: usize) -> bool {
         match self.stripe(name).entry(name.clone()) {
             Entry::Occupied(_) => false,
-            Entry::Vacant(place) => {
-                place.insert(core);
+            Entry::Vacant(entry) => {
+                entry.insert(core);
                 true
             }
         }
     }
 
-    /// Frees a name that this core holds; another's stays.
-    pub fn close(&self, name: &str, core: usize) {
+    /// Frees a name if this core owns it.
+    pub fn release(&self, name: &str, core: usize) {
         let mut stripe = self.stripe(name);
         if stripe.get(name) == Some(&core) {
             stripe.remove(name);
@@ -54,66 +57,19 @@
     }
 
     /// Frees all names of a core that has ended.
-    pub fn retire(&self, core: usize) {
+    pub fn release_all(&self, core: usize) {
         for stripe in &self.stripes {
-            stripe
-                .lock()
-                .unwrap_or_else(std::sync::PoisonError::into_inner)
-                .retain(|_, holder| *holder != core);
+            lock(stripe).retain(|_, owner| *owner != core);
         }
     }
 
-    /// Names in use.
+    /// The number of names in use.
     pub fn len(&self) -> usize {
-        self.stripes
-            .iter()
-            .map(|s| {
-                s.lock()
-                    .unwrap_or_else(std::sync::PoisonError::into_inner)
-                    .len()
-            })
-            .sum()
+        self.stripes.iter().map(|stripe| lock(stripe).len()).sum()
     }
 
-    /// Whether none is in use.
+    /// Whether no name is in use.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{explore, thread};
-
-    #[test]
-    fn a_name_is_open_on_one_core_at_a_time() {
-        explore(|| {
-            let names = OpenNames::new();
-            let name: std::sync::Arc<str> = "q".into();
-            let other = {
-                let (names, name) = (names.clone(), name.clone());
-                thread::spawn(move || names.open(&name, 1))
-            };
-            let mine = names.open(&name, 0);
-            let theirs = other.join().unwrap();
-            assert!(mine != theirs, "one of them has it: {mine} {theirs}");
-            // The one that has not got it can't free it.
-            names.close(&name, usize::from(mine));
-            assert_eq!(names.len(), 1);
-            names.close(&name, usize::from(theirs));
-            assert!(names.is_empty());
-        });
-    }
-
-    #[test]
-    fn a_core_that_ends_frees_its_own_names_and_no_others() {
-        explore(|| {
-            let names = OpenNames::new();
-            let name = |n: &str| std::sync::Arc::<str>::from(n);
-            assert!(names.open(&name("a"), 0) && names.open(&name("b"), 1));
-            names.retire(0);
-            assert!(names.open(&name("a"), 1) && !names.open(&name("b"), 0));
-        });
-    }
-}
--- a/crates/multi-core/src/lib.rs
+++ b/crates/multi-core/src/lib.rs
@@ -1,16 +1,22 @@
-//! What several cores of one coordinator share, and no more: leases on one budget ([`lease`]), names that
-//! are open on any core ([`names`]), gates that stop sends to a host on all cores at once ([`gates`]), and
-//! which core gets what ([`deal`]). Free of I/O and clock: callers say what time it is.
+//! The state that several cores of one coordinator share, and no more. Free of I/O and clocks: callers pass the
+//! time in.
 //!
-//! With the feature `loom` the same code runs on loom's atomics and locks, and the tests explore the
+//! | module | shared state |
+//! | --- | --- |
+//! | [`core_dispatch`] | which core gets a connection or a query, and which cores are alive |
+//! | [`drain_gates`] | until when requests may be sent to a host, and which list versions cores have applied |
+//! | [`key_ownership`] | which core owns a query name that is in use |
+//! | [`shared_budget`] | a budget of units, of which each core has a lease |
+//!
+//! With the feature `loom` the same code runs on loom's atomics and locks. The tests then explore the
 //! interleavings of two or three cores instead of sampling them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod deal;
-pub mod gates;
-pub mod lease;
-pub mod names;
+pub mod core_dispatch;
+pub mod drain_gates;
+pub mod key_ownership;
+pub mod shared_budget;
 
 mod sync {
     #[cfg(feature = "loom")]
@@ -25,24 +31,3 @@
     };
 }
 pub use sync::Arc;
-
-/// Runs a test: each interleaving under loom, once otherwise.
-#[cfg(test)]
-fn explore(test: impl Fn() + Send + Sync + 'static) {
-    #[cfg(feature = "loom")]
-    {
-        let mut model = loom::model::Builder::new();
-        model.preemption_bound = Some(3);
-        model.check(test);
-    }
-    #[cfg(not(feature = "loom"))]
-    test();
-}
-
-#[cfg(test)]
-mod thread {
-    #[cfg(feature = "loom")]
-    pub use loom::thread::spawn;
-    #[cfg(not(feature = "loom"))]
-    pub use std::thread::spawn;
-}
--- a/crates/multi-core/src/shared_budget.rs
+++ b/crates/multi-core/src/shared_budget.rs
@@ -1,125 +1,151 @@
-//! One budget over several cores, as leases. A core takes from what it holds, borrows from the common pool,
-//! then from what others hold and don't use. The sum in use never exceeds the cap.
+//! One budget of units over several cores, of which each core has a lease. A core takes units from its own
+//! spare ones, then from the common pool, then from the spare units of other cores. The units in use never
+//! exceed the capacity.
 //!
-//! Slack: while a core gathers units for one request, it holds those it has found so far. Two cores that
-//! both want the last ones may then both be refused, so a refusal can come while fewer units than the other
-//! cores' requests at that moment are free. With no request under way elsewhere nothing free is refused.
+//! While a core gathers units for one request, it holds those that it has found so far. Two cores that both want
+//! the last units may then both be refused. So a refusal can come while free units are left, but fewer than the
+//! other cores' requests of that moment ask for. While no other core is acquiring, no free unit is refused.
 
 use crate::sync::{Arc, AtomicBool, AtomicUsize, Ordering};
 
-struct Share {
-    /// Units that the core holds and does not use; others may take them.
+/// The units of one core.
+struct CoreQuota {
+    /// Units that the core holds and does not use. Other cores may take them.
     spare: AtomicUsize,
-    /// Units in use. Only the core itself changes it while it lives.
+    /// Units in use. Only the core itself changes this while it lives.
     used: AtomicUsize,
     alive: AtomicBool,
 }
 
-/// The budget that leases are drawn on.
-pub struct Budget {
-    cap: usize,
+impl CoreQuota {
+    fn new() -> Self {
+        Self {
+            spare: AtomicUsize::new(0),
+            used: AtomicUsize::new(0),
+            alive: AtomicBool::new(true),
+        }
+    }
+}
+
+/// The budget that the cores' leases draw on.
+pub struct SharedBudget {
+    capacity: usize,
+    /// Units that a core borrows from the pool at a time.
     chunk: usize,
+    /// Units that no core holds.
     pool: AtomicUsize,
-    shares: Vec<Share>,
+    quotas: Vec<CoreQuota>,
 }
 
-/// Takes up to `most` units out of a counter; says how many.
-fn draw(from: &AtomicUsize, most: usize) -> usize {
-    let mut got = 0;
-    if most > 0 {
-        let _ = from.fetch_update(Ordering::AcqRel, Ordering::Acquire, |have| {
-            got = have.min(most);
-            (got > 0).then(|| have - got)
+/// Takes up to `max` units out of a counter. Returns how many.
+fn take_up_to(counter: &AtomicUsize, max: usize) -> usize {
+    let mut taken = 0;
+    if max > 0 {
+        let _ = counter.fetch_update(Ordering::AcqRel, Ordering::Acquire, |available| {
+            taken = available.min(max);
+            (taken > 0).then(|| available - taken)
         });
     }
-    got
+    taken
 }
 
-impl Budget {
-    /// A budget for so many cores; a core borrows `chunk` units at a time, so that it seldom asks.
-    pub fn new(cap: usize, cores: usize, chunk: usize) -> Arc<Self> {
-        let share = || Share {
-            spare: AtomicUsize::new(0),
-            used: AtomicUsize::new(0),
-            alive: AtomicBool::new(true),
-        };
-        let shares = (0..cores).map(|_| share()).collect();
+impl SharedBudget {
+    /// Creates a budget of `capacity` units for `cores` cores. A core borrows at least `chunk` units at a time
+    /// (at least one), so that it seldom touches the pool.
+    pub fn new(capacity: usize, cores: usize, chunk: usize) -> Arc<Self> {
         Arc::new(Self {
-            cap,
+            capacity,
             chunk: chunk.max(1),
-            pool: AtomicUsize::new(cap),
-            shares,
+            pool: AtomicUsize::new(capacity),
+            quotas: (0..cores).map(|_| CoreQuota::new()).collect(),
         })
     }
 
-    /// The cap.
-    pub fn cap(&self) -> usize {
-        self.cap
+    /// The units of the whole budget.
+    pub fn capacity(&self) -> usize {
+        self.capacity
     }
 
-    /// Units in use on all cores, as far as one look can tell.
+    /// The units in use on all cores. Other cores may change it during the call.
     pub fn used(&self) -> usize {
-        self.shares
+        self.quotas
             .iter()
-            .map(|s| s.used.load(Ordering::Acquire))
+            .map(|quota| quota.used.load(Ordering::Acquire))
             .sum()
     }
 
-    /// Units in use on one core.
+    /// The units in use on one core.
     pub fn used_by(&self, core: usize) -> usize {
-        self.shares
+        self.quotas
             .get(core)
-            .map_or(0, |s| s.used.load(Ordering::Acquire))
+            .map_or(0, |quota| quota.used.load(Ordering::Acquire))
+    }
+
+    /// All units: used, spare and in the pool. While no core acquires or releases, this is the capacity.
+    #[doc(hidden)]
+    pub fn accounted(&self) -> usize {
+        let spare: usize = self
+            .quotas
+            .iter()
+            .map(|quota| quota.spare.load(Ordering::SeqCst))
+            .sum();
+        self.used() + spare + self.pool.load(Ordering::SeqCst)
     }
 
-    /// The lease of one core; there must be one for each at most.
-    pub fn lease(budget: &Arc<Self>, core: usize) -> Lease {
-        Lease {
+    /// The lease of one core. Each core must have one at most.
+    pub fn lease(budget: &Arc<Self>, core: usize) -> BudgetLease {
+        BudgetLease {
             budget: budget.clone(),
             core,
         }
     }
 
-    fn take(&self, core: usize, n: usize) -> bool {
-        let own = &self.shares[core];
-        let mut got = draw(&own.spare, n);
-        if got < n {
-            let want = n - got;
-            let borrowed = draw(&self.pool, want.max(self.chunk));
-            if borrowed > want {
-                own.spare.fetch_add(borrowed - want, Ordering::AcqRel);
+    /// Takes `units` for a core. Returns false, and takes none, if not all of them are free.
+    #[doc(hidden)]
+    pub fn acquire(&self, core: usize, units: usize) -> bool {
+        let own = &self.quotas[core];
+        let mut taken = take_up_to(&own.spare, units);
+        if taken < units {
+            let missing = units - taken;
+            let borrowed = take_up_to(&self.pool, missing.max(self.chunk));
+            if borrowed > missing {
+                own.spare.fetch_add(borrowed - missing, Ordering::AcqRel);
             }
-            got += borrowed.min(want);
+            taken += borrowed.min(missing);
         }
-        // The next core first, so that all don't ask the same one.
-        for other in (1..self.shares.len()).map(|k| &self.shares[(core + k) % self.shares.len()]) {
-            if got == n {
+        // Each core begins with its successor, so that not all of them ask the same one.
+        let cores = self.quotas.len();
+        for offset in 1..cores {
+            if taken == units {
                 break;
             }
-            got += draw(&other.spare, n - got);
+            let other = &self.quotas[(core + offset) % cores];
+            taken += take_up_to(&other.spare, units - taken);
         }
-        if got < n {
-            self.pool.fetch_add(got, Ordering::AcqRel);
+        if taken < units {
+            self.pool.fetch_add(taken, Ordering::AcqRel);
             return false;
         }
-        own.used.fetch_add(n, Ordering::AcqRel);
+        own.used.fetch_add(units, Ordering::AcqRel);
         true
     }
 
-    fn give(&self, core: usize, n: usize) {
-        let own = &self.shares[core];
-        own.used.fetch_sub(n, Ordering::AcqRel);
-        own.spare.fetch_add(n, Ordering::AcqRel);
+    /// Gives `units` back that a core has in use. It keeps some of them spare.
+    #[doc(hidden)]
+    pub fn release(&self, core: usize, units: usize) {
+        let own = &self.quotas[core];
+        own.used.fetch_sub(units, Ordering::AcqRel);
+        own.spare.fetch_add(units, Ordering::AcqRel);
         let spare = own.spare.load(Ordering::Acquire);
         if spare > 2 * self.chunk {
-            self.pool
-                .fetch_add(draw(&own.spare, spare - self.chunk), Ordering::AcqRel);
+            let surplus = take_up_to(&own.spare, spare - self.chunk);
+            self.pool.fetch_add(surplus, Ordering::AcqRel);
         }
     }
 
-    /// Gives back all that a core held, used or not. What is done twice counts once.
+    /// Returns all units of a core that has ended to the pool, used or not. A second call does nothing.
     pub fn retire(&self, core: usize) {
-        let own = &self.shares[core];
+        let own = &self.quotas[core];
         if own.alive.swap(false, Ordering::AcqRel) {
             let held = own.used.swap(0, Ordering::AcqRel) + own.spare.swap(0, Ordering::AcqRel);
             self.pool.fetch_add(held, Ordering::AcqRel);
@@ -127,138 +153,31 @@
     }
 }
 
-/// A core's lease. It ends with the core's own end, a panic included, and gives all back.
-pub struct Lease {
-    budget: Arc<Budget>,
+/// A core's lease on the budget. Dropping it returns all units of the core, also when the core panics.
+pub struct BudgetLease {
+    budget: Arc<SharedBudget>,
     core: usize,
 }
 
-impl Lease {
-    /// Takes `n` units; false if they can't be had on any core.
-    pub fn take(&self, n: usize) -> bool {
-        self.budget.take(self.core, n)
+impl BudgetLease {
+    /// Takes `units`. Returns false, and takes none, if not all of them are free.
+    pub fn acquire(&self, units: usize) -> bool {
+        self.budget.acquire(self.core, units)
     }
 
-    /// Gives `n` units back that were taken by this lease.
-    pub fn give(&self, n: usize) {
-        self.budget.give(self.core, n);
+    /// Gives `units` back that were taken by this lease.
+    pub fn release(&self, units: usize) {
+        self.budget.release(self.core, units);
     }
 
     /// The budget.
-    pub fn budget(&self) -> &Arc<Budget> {
+    pub fn budget(&self) -> &Arc<SharedBudget> {
         &self.budget
     }
 }
 
-impl Drop for Lease {
+impl Drop for BudgetLease {
     fn drop(&mut self) {
         self.budget.retire(self.core);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{explore, thread};
-
-    /// Units everywhere: what is used, spare and in the pool must always come to the cap.
-    fn all(b: &Budget) -> usize {
-        let spare: usize = b
-            .shares
-            .iter()
-            .map(|s| s.spare.load(Ordering::SeqCst))
-            .sum();
-        b.used() + spare + b.pool.load(Ordering::SeqCst)
-    }
-
-    #[test]
-    fn two_cores_never_both_get_the_last_units() {
-        explore(|| {
-            let b = Budget::new(3, 2, 1);
-            let other = {
-                let b = b.clone();
-                thread::spawn(move || {
-                    let got = b.take(1, 2);
-                    assert!(b.used() <= 3);
-                    if got {
-                        b.give(1, 2);
-                    }
-                    got
-                })
-            };
-            let got = b.take(0, 2);
-            assert!(b.used() <= 3, "more in use than the cap");
-            let theirs = other.join().unwrap();
-            // Whoever came last found all that the other had given back or never had.
-            if got {
-                b.give(0, 2);
-            }
-            assert_eq!(all(&b), 3, "nothing lost, nothing made");
-            assert!(
-                b.take(0, 3),
-                "with nobody else under way all that is free can be had: {got} {theirs}"
-            );
-        });
-    }
-
-    #[test]
-    fn spare_units_of_another_core_are_borrowed_before_a_refusal() {
-        explore(|| {
-            let b = Budget::new(4, 2, 4);
-            let (a, c) = (Budget::lease(&b, 0), Budget::lease(&b, 1));
-            // The first core borrows a chunk of all four and uses one.
-            assert!(a.take(1));
-            assert!(c.take(3), "three lie spare on the other core");
-            assert!(!c.take(1) && !a.take(1));
-            assert_eq!((b.used(), all(&b)), (4, 4));
-            a.give(1);
-            assert!(c.take(1));
-        });
-    }
-
-    #[test]
-    fn a_core_that_dies_gives_back_once_while_another_borrows() {
-        explore(|| {
-            let b = Budget::new(4, 2, 1);
-            let dying = Budget::lease(&b, 0);
-            assert!(dying.take(2));
-            let other = {
-                let b = b.clone();
-                thread::spawn(move || {
-                    let got = b.take(1, 3);
-                    assert!(b.used() <= 4, "more in use than the cap");
-                    got
-                })
-            };
-            // Dropped by unwinding, and told again by whoever joins its thread.
-            drop(dying);
-            b.retire(0);
-            let got = other.join().unwrap();
-            assert_eq!(all(&b), 4, "given back twice or lost");
-            assert_eq!(b.used(), if got { 3 } else { 0 });
-        });
-    }
-
-    /// The same with a planted bug: a check and an act apart. It shows that a double spend would be found.
-    #[test]
-    #[cfg(feature = "loom")]
-    #[should_panic(expected = "spent twice")]
-    fn a_planted_double_spend_is_found() {
-        explore(|| {
-            let pool = Arc::new(AtomicUsize::new(1));
-            let take = |pool: &AtomicUsize| {
-                let have = pool.load(Ordering::SeqCst);
-                if have > 0 {
-                    pool.store(have - 1, Ordering::SeqCst);
-                }
-                have > 0
-            };
-            let other = {
-                let pool = pool.clone();
-                thread::spawn(move || take(&pool))
-            };
-            let mine = take(&pool);
-            assert!(!(mine && other.join().unwrap()), "spent twice");
-        });
-    }
-}
