--- a/crates/http1/src/status.rs
+++ b/crates/http1/src/status.rs
@@ -1,7 +1,7 @@
-//! The words after a status.
+//! Reason phrases of status codes.
 
-/// The usual words after a status.
-pub fn reason(status: u16) -> &'static str {
+/// The usual reason phrase of a status code; `Error` for codes that neither program sends.
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/proxy/src/exchange/writer.rs
+++ b/crates/proxy/src/exchange/client_writer.rs
@@ -1,9 +1,9 @@
 //! Answers of hosts as the client gets them.
 
 use super::{closes, Exchange};
-use crate::own_answer::CLIENT_WRITE_TIMEOUT;
-use crate::progress::Done;
-use crate::wire::{self, field};
+use crate::local_reply::CLIENT_WRITE_TIMEOUT;
+use crate::response_progress::ConnectionOutcome;
+use crate::socket::{self, field};
 use http1::{Framing, ResponseHead};
 use tokio::time::{timeout_at, Instant};
 
@@ -20,19 +20,21 @@
         if let Some(writer) = exchange.begun.get() {
             return writer;
         }
-        let old = exchange.request.head.minor == 0;
+        let old = exchange.request.head.minor_version == 0;
         let resumable = exchange.route.resumable;
         let framing = match head.framing {
             Framing::Length(length) if !resumable => Framing::Length(length),
             // An old client knows no chunks.
-            _ if old => Framing::UntilEnd,
+            _ if old => Framing::CloseDelimited,
             // The end of a connection also comes where this process is killed: the answer shows its own.
             _ => Framing::Chunked,
         };
-        exchange.stage.set_until_end(framing == Framing::UntilEnd);
+        exchange
+            .stage
+            .set_until_end(framing == Framing::CloseDelimited);
         Self {
             framing,
-            close: closes(exchange.core, exchange.request) || framing == Framing::UntilEnd,
+            close: closes(exchange.state, exchange.request) || framing == Framing::CloseDelimited,
         }
     }
 
@@ -62,22 +64,26 @@
 
     /// Whether the client can tell the answer's end from a cut, and so has to be told only of a true one.
     pub(super) fn marks_end(&self) -> bool {
-        self.framing != Framing::UntilEnd
+        self.framing != Framing::CloseDelimited
     }
 
-    pub(super) async fn finish(&mut self, exchange: &Exchange<'_>, head: &ResponseHead) -> Done {
+    pub(super) async fn finish(
+        &mut self,
+        exchange: &Exchange<'_>,
+        head: &ResponseHead,
+    ) -> ConnectionOutcome {
         let begun = exchange.stage.started();
         if !begun && !self.write(exchange, head, b"").await {
-            return Done::Cut;
+            return ConnectionOutcome::Cut;
         }
         if self.framing == Framing::Chunked && !exchange.write(b"0\r\n\r\n", b"").await {
-            return Done::Cut;
+            return ConnectionOutcome::Cut;
         }
-        exchange.core.tally.add(|c| c.passed += 1);
+        exchange.state.counters.add(|c| c.passed += 1);
         if self.close {
-            Done::Close
+            ConnectionOutcome::Close
         } else {
-            Done::Keep
+            ConnectionOutcome::Keep
         }
     }
 }
@@ -92,12 +98,12 @@
     ) -> Vec<u8> {
         let mut out = Vec::with_capacity(512);
         out.extend_from_slice(format!("HTTP/1.1 {} ", head.status).as_bytes());
-        out.extend_from_slice(head.reason());
+        out.extend_from_slice(head.reason_phrase());
         out.extend_from_slice(b"\r\n");
         for (name, value) in head.fields.iter() {
             let length = name.eq_ignore_ascii_case(b"content-length")
                 && (framing.is_some() || head.status == 204);
-            if !length && !wire::stays_here(&head.fields, name) {
+            if !length && !socket::stays_here(&head.fields, name) {
                 field(&mut out, name, value);
             }
         }
@@ -106,13 +112,13 @@
                 field(&mut out, b"Content-Length", n.to_string().as_bytes())
             }
             Some(Framing::Chunked) => field(&mut out, b"Transfer-Encoding", b"chunked"),
-            Some(Framing::UntilEnd) | None => {}
+            Some(Framing::CloseDelimited) | None => {}
         }
         if close {
             field(&mut out, b"Connection", b"close");
         } else {
             // Told a little less than the truth, so that no request meets the close.
-            let idle = (self.core.limits().idle_timeout_ms / 1000)
+            let idle = (self.state.limits().idle_timeout_ms / 1000)
                 .saturating_sub(1)
                 .max(1);
             field(
@@ -128,7 +134,7 @@
     pub(super) async fn write(&self, head: &[u8], body: &[u8]) -> bool {
         let by = self.end().max(Instant::now() + CLIENT_WRITE_TIMEOUT);
         matches!(
-            timeout_at(by, wire::write_all(self.client, head, body, &mut 0)).await,
+            timeout_at(by, socket::write_all(self.client, head, body, &mut 0)).await,
             Ok(Ok(()))
         )
     }
