--- a/crates/coordinator/src/bin/fennelpin-adapter/main.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
-use coordinator::peers::Voice;
+use coordinator::peers::LoadPublisher;
 use coordinator::{Action, Event, Router};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -15,7 +15,7 @@
 struct Instance {
     router: Router,
     words: Words,
-    voice: Option<Voice>,
+    voice: Option<LoadPublisher>,
     /// What the router asked for in this batch so far.
     actions: Vec<Action>,
     touched: bool,
@@ -56,7 +56,9 @@
                 let router = Router::new(settings, seed as u64);
                 // Instances start anew with the clock further on: a later life has a larger number.
                 let life = now.as_micros() as u64;
-                let voice = words.talk.map(|talk| Voice::new(talk, life, seed as u64));
+                let voice = words
+                    .talk
+                    .map(|talk| LoadPublisher::new(talk, life, seed as u64));
                 let fresh = Instance {
                     router,
                     words,
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -2,8 +2,8 @@
 
 use crate::core::settings::{self, Site};
 use crate::interface::Idempotency;
-use crate::net::list::{news, News};
-use crate::net::talk::Tier;
+use crate::net::discovery_watch::{news, News};
+use crate::net::gossip::PeerAddresses;
 use hickory_proto::rr::Name;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -315,7 +315,7 @@
     /// The settings.
     pub site: Site,
     /// Where the coordinators that may be told something are; `None` where none may.
-    pub tier: Option<Tier>,
+    pub tier: Option<PeerAddresses>,
     /// The operator's file; empty on the platform.
     pub operator: Operator,
 }
@@ -371,7 +371,7 @@
     all: Option<String>,
     listen: Option<String>,
     site: &Site,
-) -> Result<Option<Tier>, ConfigError> {
+) -> Result<Option<PeerAddresses>, ConfigError> {
     let fellows = peers
         .unwrap_or_default()
         .into_iter()
@@ -380,7 +380,7 @@
     let all = all.map(|a| socket("peers_all", a)).transpose()?;
     let listen = listen.map(|a| socket("peer_listen", a)).transpose()?;
     let talks = site.talk.filter(|_| !fellows.is_empty());
-    Ok(listen.zip(talks).map(|(listen, talk)| Tier {
+    Ok(listen.zip(talks).map(|(listen, talk)| PeerAddresses {
         listen,
         fellows,
         all,
--- a/crates/coordinator/src/core/mod.rs
+++ b/crates/coordinator/src/core/mod.rs
@@ -163,7 +163,7 @@
 
 /// One line of the host list, as discovery has it.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Listed {
+pub struct Endpoint {
     /// The host's name, the same at every coordinator.
     pub id: String,
     /// Where it listens.
@@ -204,7 +204,7 @@
     /// A probe ended.
     Probed(ServerId, Outcome, Option<LoadReport>),
     /// News of the host list.
-    List(ListKind, Vec<Listed>),
+    List(ListKind, Vec<Endpoint>),
     /// Another core could not reach the host of this name.
     Unreached(Arc<str>),
     /// A datagram of the coordinator of this rank.
@@ -218,7 +218,7 @@
 /// Carries calls to hosts. Everything handed over is reported back as [`Mail`], once.
 pub trait Transport: Send {
     /// A host is listed at an address; `stop_at` is when the last send to it may start.
-    fn listed(&mut self, server: ServerId, host: &Listed, stop_at: Option<Instant>);
+    fn listed(&mut self, server: ServerId, host: &Endpoint, stop_at: Option<Instant>);
     /// Sends parts as one call.
     fn call(&mut self, server: ServerId, parts: Vec<CallPart>);
     /// Gives an attempt up; it ends with this outcome, or another already under way, once the host
--- a/crates/coordinator/src/core/table/list.rs
+++ b/crates/coordinator/src/core/table/list.rs
@@ -1,7 +1,7 @@
 //! The hosts: what the list says of them, and which of them can't be reached.
 
 use super::{
-    Arc, BTreeSet, Duration, Event, Instant, ListKind, Listed, Mail, Outcome, ServerEntry,
+    Arc, BTreeSet, Duration, Endpoint, Event, Instant, ListKind, Mail, Outcome, ServerEntry,
     ServerId, ServerState, Table, Transport, ZoneId,
 };
 
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(super) fn on_list(&mut self, kind: ListKind, entries: Vec<Listed>, now: Instant) {
+    pub(super) fn on_list(&mut self, kind: ListKind, entries: Vec<Endpoint>, now: Instant) {
         let stop = Some(now + self.drain_grace.saturating_sub(DRAIN_MARGIN));
         let mut told = Vec::with_capacity(entries.len());
         let mut seen = BTreeSet::new();
@@ -84,7 +84,7 @@
                 host.state = ServerState::Gone;
             }
         }
-        let is_gone = |host: &Listed| host.state == ServerState::Gone;
+        let is_gone = |host: &Endpoint| host.state == ServerState::Gone;
         self.gone
             .retain(|s, _| self.listed.get(s).is_some_and(is_gone));
         for (server, _) in self.listed.iter().filter(|(_, host)| is_gone(host)) {
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -8,12 +8,12 @@
 use super::names::Names;
 use super::settings::Site;
 use super::{
-    Action, Answer, Arc, Bytes, CallPart, Cause, Clock, Duration, Ended, Event, Idempotency,
-    Instant, ListKind, Listed, Mail, Missing, NewQuery, Outcome, Piece, RequestId, ServerEntry,
-    ServerId, ServerState, Transport, ZoneId,
+    Action, Answer, Arc, Bytes, CallPart, Cause, Clock, Duration, Ended, Endpoint, Event,
+    Idempotency, Instant, ListKind, Mail, Missing, NewQuery, Outcome, Piece, RequestId,
+    ServerEntry, ServerId, ServerState, Transport, ZoneId,
 };
 use crate::counters::Counters;
-use crate::peers::{Datagram, Voice};
+use crate::peers::{Datagram, LoadPublisher};
 use crate::shard::Seat;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tokio::sync::{mpsc, oneshot};
@@ -64,7 +64,7 @@
     may_cancel: bool,
     servers: Names,
     zones: Names,
-    listed: BTreeMap<ServerId, Listed>,
+    listed: BTreeMap<ServerId, Endpoint>,
     /// Hosts that are gone, and when they are to be forgotten.
     gone: BTreeMap<ServerId, Instant>,
     queries: HashMap<RequestId, Query>,
@@ -92,7 +92,7 @@
     /// When the list's figures are shown next.
     show_at: Instant,
     /// The talk with other coordinators, and where its words go.
-    voice: Option<(Voice, mpsc::Sender<Datagram>)>,
+    voice: Option<(LoadPublisher, mpsc::Sender<Datagram>)>,
 }
 
 impl<T: Transport> Table<T> {
@@ -147,7 +147,7 @@
     }
 
     /// The same in talk with other coordinators; its words go to the channel.
-    pub fn talking(mut self, voice: Voice, words: mpsc::Sender<Datagram>) -> Self {
+    pub fn talking(mut self, voice: LoadPublisher, words: mpsc::Sender<Datagram>) -> Self {
         self.voice = Some((voice, words));
         self
     }
--- a/crates/coordinator/src/front/opensearch/hosts.rs
+++ b/crates/coordinator/src/front/opensearch/hosts.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{CallPart, Ended, Mail};
 use crate::interface::{Outcome, RequestId};
-use crate::net::conn::Conn;
+use crate::net::buffered_stream::BufferedStream;
 use crate::net::http::{response_head, Body, HttpError};
 use crate::net::link::{take_out, Dialect, LinkMail, LinkSetup, LinkTask, CANCEL_HEAD};
 use bytes::Bytes;
@@ -180,7 +180,7 @@
         probes: 0,
         leaving: Vec::new(),
     };
-    let (code, detail) = match Conn::connect(&addr, within, INPUT, OUTPUT).await {
+    let (code, detail) = match BufferedStream::connect(&addr, within, INPUT, OUTPUT).await {
         Ok(conn) => {
             link.setup.counters.inc("links.opened");
             link.serve(conn).await
@@ -271,7 +271,7 @@
     }
 
     /// Asks for the host's root, the cheapest request there is; any answer will do.
-    async fn probe(&mut self, conn: &mut Conn) -> Result<(), (&'static str, String)> {
+    async fn probe(&mut self, conn: &mut BufferedStream) -> Result<(), (&'static str, String)> {
         let ask = format!("GET / HTTP/1.1\r\nHost: {}\r\n\r\n", self.setup.addr);
         let within = self.setup.connect_timeout;
         match tokio::time::timeout(within, self.exchange(conn, ask.as_bytes())).await {
@@ -286,7 +286,7 @@
         }
     }
 
-    async fn serve(&mut self, mut conn: Conn) -> (&'static str, String) {
+    async fn serve(&mut self, mut conn: BufferedStream) -> (&'static str, String) {
         loop {
             let idle = self.setup.idle_limit();
             while self.queue.is_empty() && self.probes == 0 {
@@ -353,7 +353,7 @@
     /// One request and its answer; `None` if a part of it was given up.
     async fn exchange(
         &mut self,
-        conn: &mut Conn,
+        conn: &mut BufferedStream,
         bytes: &[u8],
     ) -> Result<Option<(u16, Bytes)>, HttpError> {
         let mut at = 0;
--- a/crates/coordinator/src/net/conn.rs
+++ b/crates/coordinator/src/net/buffered_stream.rs
@@ -1,28 +1,28 @@
 //! A connection: a socket and a ring buffer for each direction.
 
-use super::ring::Ring;
+use super::ring_buffer::RingBuffer;
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
 /// A socket with its two rings.
-pub struct Conn {
+pub struct BufferedStream {
     /// The socket.
     pub stream: TcpStream,
     /// What has come in and is not used yet.
-    pub input: Ring,
+    pub input: RingBuffer,
     /// What is to go out and is not written yet.
-    pub output: Ring,
+    pub output: RingBuffer,
 }
 
-impl Conn {
+impl BufferedStream {
     /// Wraps a connected socket. Small messages go out at once.
     pub fn new(stream: TcpStream, input: usize, output: usize) -> Self {
         let _ = stream.set_nodelay(true);
         Self {
             stream,
-            input: Ring::new(input),
-            output: Ring::new(output),
+            input: RingBuffer::new(input),
+            output: RingBuffer::new(output),
         }
     }
 
--- a/crates/coordinator/src/net/list.rs
+++ b/crates/coordinator/src/net/discovery_watch.rs
@@ -1,10 +1,10 @@
 //! The actor of the host list: watches discovery and tells the core what changes.
 
 use super::backoff::Backoff;
-use super::conn::Conn;
+use super::buffered_stream::BufferedStream;
 use super::http::{response_head, Body, HttpError, INPUT};
-use super::objects::{Found, NoObject, Objects};
-use crate::core::{Listed, Mail};
+use super::json_objects::{Found, NoObject, Objects};
+use crate::core::{Endpoint, Mail};
 use crate::counters::Counters;
 use crate::interface::{ListKind, ServerState};
 use serde::Deserialize;
@@ -56,10 +56,10 @@
     /// Whether it is the whole list.
     pub complete: bool,
     /// Its lines.
-    pub members: Vec<Listed>,
+    pub members: Vec<Endpoint>,
 }
 
-fn member(raw: RawMember) -> Result<Listed, String> {
+fn member(raw: RawMember) -> Result<Endpoint, String> {
     let state = match raw.phase.as_str() {
         "Ready" => ServerState::Ready,
         "Terminating" => ServerState::Draining,
@@ -74,7 +74,7 @@
         up_since_ms,
         ..
     } = raw;
-    Ok(Listed {
+    Ok(Endpoint {
         id,
         addr,
         zone,
@@ -106,7 +106,7 @@
 
 /// What the pace of calls after a failure follows from.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct DiscoveryBackoff {
     /// The coordinator's own seed.
     pub seed: u64,
     /// Coordinators that ask one discovery, and the time within which each has to have asked again: the
@@ -116,7 +116,7 @@
     pub grace: Duration,
 }
 
-impl Pace {
+impl DiscoveryBackoff {
     /// Time for the head of an answer. An agent on the machine answers at once or, while discovery is down,
     /// not at all, and what it hears then counts as told at once: it is asked again within half of a drain's
     /// grace. Where calls wait in turn, all of the time that silence may last.
@@ -149,7 +149,7 @@
     /// The counters.
     pub counters: Counters,
     /// When to call again.
-    pub pace: Pace,
+    pub pace: DiscoveryBackoff,
     /// Watches of earlier addresses, which this one takes over from once it has heard something.
     pub replaces: Vec<AbortHandle>,
 }
@@ -235,7 +235,7 @@
     }
 
     async fn try_follow(&mut self, lines: &mut u64, first: Duration) -> Result<(), HttpError> {
-        let mut conn = Conn::connect(&self.addr, CONNECT, INPUT, 1024).await?;
+        let mut conn = BufferedStream::connect(&self.addr, CONNECT, INPUT, 1024).await?;
         let since = self
             .revision
             .map_or(String::new(), |r| format!("&since={r}"));
--- a/crates/coordinator/src/net/dns_sd.rs
+++ b/crates/coordinator/src/net/dns_sd.rs
@@ -2,7 +2,7 @@
 //! says where each listens, TXT carries its cell, zone and phase. A record counts for as long as its
 //! TTL says; one with a TTL of 0 is a goodbye (RFC 6762, 10.1) and goes a second later.
 
-use crate::core::{Listed, Mail};
+use crate::core::{Endpoint, Mail};
 use crate::counters::Counters;
 use crate::interface::{ListKind, ServerState};
 use hickory_proto::op::{Message, MessageType, Query};
@@ -145,7 +145,7 @@
     }
 
     /// A host is listed once all its records are in.
-    fn host(&self, instance: &Name) -> Option<Listed> {
+    fn host(&self, instance: &Name) -> Option<Endpoint> {
         let (target, port) = self.target(instance)?;
         let ip = self
             .get(target, RecordType::A)
@@ -177,7 +177,7 @@
                 .next()
                 .map(|l| String::from_utf8_lossy(l).into_owned())
         };
-        Some(Listed {
+        Some(Endpoint {
             id: keys.get("id").map(|id| (*id).to_owned()).or_else(label)?,
             addr: format!("{ip}:{port}"),
             zone: keys.get("zone").copied().unwrap_or_default().to_owned(),
@@ -194,8 +194,8 @@
     }
 
     /// All hosts that are known whole.
-    pub fn hosts(&self) -> Vec<Listed> {
-        let mut hosts: Vec<Listed> = self.instances().filter_map(|i| self.host(i)).collect();
+    pub fn hosts(&self) -> Vec<Endpoint> {
+        let mut hosts: Vec<Endpoint> = self.instances().filter_map(|i| self.host(i)).collect();
         hosts.sort_by(|a, b| a.id.cmp(&b.id));
         hosts.dedup_by(|a, b| a.id == b.id);
         hosts
--- a/crates/coordinator/src/net/talk.rs
+++ b/crates/coordinator/src/net/gossip.rs
@@ -16,7 +16,7 @@
 
 /// Where the coordinators of one tier are.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tier {
+pub struct PeerAddresses {
     /// Where their datagrams arrive here.
     pub listen: SocketAddr,
     /// Each by its rank, as its datagrams come and go.
@@ -30,7 +30,7 @@
 /// The actor of the datagrams.
 pub struct Talk {
     /// Where the others are.
-    pub tier: Tier,
+    pub tier: PeerAddresses,
     /// What is to be sent to all.
     pub words: mpsc::Receiver<Datagram>,
     /// The core's mailbox.
--- a/crates/coordinator/src/net/peer.rs
+++ b/crates/coordinator/src/net/hosts.rs
@@ -1,12 +1,12 @@
 //! The actor of a district host: it owns the host's connections and hands calls to them.
 
-use super::link::{Dialect, Gauge, LinkMail, LinkSetup};
-use super::silence::Pace;
+use super::link::{ConnectionLoad, Dialect, LinkMail, LinkSetup};
+use super::stall_detector::StallDetector;
 use crate::core::settings::Caps;
-use crate::core::{CallPart, Listed, Mail, Transport};
+use crate::core::{CallPart, Endpoint, Mail, Transport};
 use crate::counters::Counters;
 use crate::interface::{Outcome, RequestId, ServerId};
-use crate::ops::turnover::Beside;
+use crate::ops::hot_restart::RestartRole;
 use multi_core::drain_gates::{DrainGate, DrainGates};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, watch};
 
 enum PeerMail {
-    Listed(String, Option<Instant>),
+    Endpoint(String, Option<Instant>),
     Call(Vec<CallPart>),
     Cancel(RequestId, u32, Outcome),
     Retract(RequestId, u32),
@@ -27,7 +27,7 @@
     /// Whether it leads to an address that the host has left: it still answers for what is out on it.
     old: bool,
     mail: mpsc::UnboundedSender<LinkMail>,
-    gauge: Arc<Gauge>,
+    gauge: Arc<ConnectionLoad>,
 }
 
 struct Peer {
@@ -36,7 +36,7 @@
     stop_at: Option<Instant>,
     gate: Option<(Arc<DrainGate>, Instant)>,
     links: Vec<LinkRef>,
-    pace: Arc<Pace>,
+    pace: Arc<StallDetector>,
     shared: Arc<Shared>,
 }
 
@@ -46,7 +46,7 @@
     /// Connections to all hosts at once: a host's first one is always opened, further ones only below this.
     most_links: usize,
     /// Of that another process of the coordinator has half, while there is one.
-    beside: watch::Receiver<Beside>,
+    beside: watch::Receiver<RestartRole>,
     links: Arc<AtomicUsize>,
     core: mpsc::UnboundedSender<Mail>,
     counters: Counters,
@@ -55,12 +55,12 @@
 }
 
 /// The hosts' actors, as the core's transport.
-pub struct Peers {
+pub struct HostConnections {
     shared: Arc<Shared>,
     mailboxes: BTreeMap<ServerId, mpsc::UnboundedSender<PeerMail>>,
 }
 
-impl Peers {
+impl HostConnections {
     /// No hosts yet, and room for so many connections. Answers go to the core's mailbox.
     pub fn new(
         dialect: Arc<dyn Dialect>,
@@ -69,7 +69,7 @@
         core: mpsc::UnboundedSender<Mail>,
         counters: Counters,
         gates: Option<(Arc<DrainGates>, Instant)>,
-        beside: watch::Receiver<Beside>,
+        beside: watch::Receiver<RestartRole>,
     ) -> Self {
         // A host whose connection carries all that it may reads nothing more on it, not even a withdrawal: a
         // part sent elsewhere would then be a second copy. So one place stays free.
@@ -99,8 +99,8 @@
     }
 }
 
-impl Transport for Peers {
-    fn listed(&mut self, server: ServerId, host: &Listed, stop_at: Option<Instant>) {
+impl Transport for HostConnections {
+    fn listed(&mut self, server: ServerId, host: &Endpoint, stop_at: Option<Instant>) {
         let shared = self.shared.clone();
         let addr = host.addr.clone();
         self.mailboxes.entry(server).or_insert_with(|| {
@@ -109,7 +109,10 @@
                 .gates
                 .as_ref()
                 .map(|(gates, origin)| (gates.gate(&host.id), *origin));
-            let (links, pace) = (Vec::new(), Arc::new(Pace::among(shared.caps.coordinators)));
+            let (links, pace) = (
+                Vec::new(),
+                Arc::new(StallDetector::among(shared.caps.coordinators)),
+            );
             let peer = Peer {
                 server,
                 addr,
@@ -122,7 +125,7 @@
             tokio::spawn(peer.run(rx));
             tx
         });
-        self.tell(server, PeerMail::Listed(host.addr.clone(), stop_at));
+        self.tell(server, PeerMail::Endpoint(host.addr.clone(), stop_at));
     }
 
     fn call(&mut self, server: ServerId, parts: Vec<CallPart>) {
@@ -156,7 +159,7 @@
         while let Some(mail) = mail.recv().await {
             self.links.retain(|l| !l.mail.is_closed());
             match mail {
-                PeerMail::Listed(addr, stop_at) => self.listed(addr, stop_at),
+                PeerMail::Endpoint(addr, stop_at) => self.listed(addr, stop_at),
                 PeerMail::Call(parts) => self.call(parts),
                 // The one that has the part answers for it.
                 PeerMail::Cancel(part, attempt, outcome) => {
@@ -259,7 +262,7 @@
 
     fn open(&mut self) -> mpsc::UnboundedSender<LinkMail> {
         let (tx, mail) = mpsc::unbounded_channel();
-        let gauge = Arc::new(Gauge::default());
+        let gauge = Arc::new(ConnectionLoad::default());
         let setup = LinkSetup {
             server: self.server,
             addr: self.addr.clone(),
--- a/crates/coordinator/src/net/http/client.rs
+++ b/crates/coordinator/src/net/http/client.rs
@@ -1,13 +1,13 @@
 //! One client's connection: its requests are read, answered and written in turn.
 
+use super::client_liveness::answer_or_gone;
+use super::connection_slots::{Admission, Phase};
 use super::message::{HttpError, Response};
 use super::read::read_request;
-use super::seats::{Admission, Phase};
 use super::server::Shared;
-use super::stay::answer_or_gone;
 use super::{MOST_BODY, OUTPUT};
 use crate::counters::Counters;
-use crate::net::conn::Conn;
+use crate::net::buffered_stream::BufferedStream;
 use bytes::BytesMut;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -30,7 +30,7 @@
 
 /// Serves one client; gives the number of requests and the reason for the end.
 pub(super) async fn client(
-    mut conn: Conn,
+    mut conn: BufferedStream,
     shared: &Shared,
     seat: u64,
     admission: Admission,
@@ -140,14 +140,14 @@
 }
 
 /// A last answer, and then no more.
-async fn finish(conn: &mut Conn, answer: &Response, counters: &Counters) {
+async fn finish(conn: &mut BufferedStream, answer: &Response, counters: &Counters) {
     if let Ok(Ok(())) = tokio::time::timeout(SLOW_CLIENT, write(conn, answer, true)).await {
         tally(answer, counters);
         linger(conn).await;
     }
 }
 
-async fn write(conn: &mut Conn, answer: &Response, close: bool) -> std::io::Result<()> {
+async fn write(conn: &mut BufferedStream, answer: &Response, close: bool) -> std::io::Result<()> {
     // Small answers go out in one piece: a client must be able to tell a cut one.
     let mut head = BytesMut::from(answer.head(close).as_bytes());
     if answer.body.len() < OUTPUT / 2 {
@@ -159,7 +159,7 @@
 }
 
 /// Reads on for a moment: closing with input unread would reset the connection and take the answer along.
-async fn linger(conn: &mut Conn) {
+async fn linger(conn: &mut BufferedStream) {
     let _ = conn.stream.shutdown().await;
     let drain = async {
         let mut left = 4 * MOST_BODY;
--- a/crates/coordinator/src/net/http/stay.rs
+++ b/crates/coordinator/src/net/http/client_liveness.rs
@@ -2,7 +2,7 @@
 
 use super::message::Response;
 use super::Answering;
-use crate::net::conn::Conn;
+use crate::net::buffered_stream::BufferedStream;
 use std::time::Duration;
 use tokio::io::{Interest, Ready};
 
@@ -11,7 +11,7 @@
 
 /// Takes what has come by now, up to a full ring; false once the client has gone. A client that ends only its
 /// own side has gone too: the protocol knows no other end, and nothing tells the two apart.
-fn stays(conn: &mut Conn, known: Ready) -> bool {
+fn stays(conn: &mut BufferedStream, known: Ready) -> bool {
     // Behind what is not taken no end can be read: there the system's word must do.
     while conn.input.free() > 0 {
         match conn.input.read_from(&conn.stream) {
@@ -24,7 +24,7 @@
 }
 
 /// What the system has said of the socket by now.
-async fn known(conn: &Conn) -> Ready {
+async fn known(conn: &BufferedStream) -> Ready {
     let ready = tokio::time::timeout(Duration::ZERO, conn.stream.ready(Interest::READABLE)).await;
     ready.map_or(Ready::EMPTY, |r| r.unwrap_or(Ready::READ_CLOSED))
 }
@@ -32,7 +32,7 @@
 /// The answer to a request, or `None` if its client has gone before it is asked for, or goes first. A client
 /// that sends on is left to wait. What a client leaves behind in one go, request and end, is not begun.
 pub(super) async fn answer_or_gone(
-    conn: &mut Conn,
+    conn: &mut BufferedStream,
     ask: impl FnOnce() -> Answering,
 ) -> Option<Response> {
     let at_first = known(conn).await;
--- a/crates/coordinator/src/net/http/seats.rs
+++ b/crates/coordinator/src/net/http/connection_slots.rs
@@ -40,12 +40,12 @@
 
 /// The connections served, and who goes when a new one needs room.
 #[derive(Default)]
-pub(super) struct Seats {
+pub(super) struct ConnectionSlots {
     next: u64,
     taken: BTreeMap<u64, Seat>,
 }
 
-impl Seats {
+impl ConnectionSlots {
     pub(super) fn take(&mut self, now: Instant) -> (u64, Arc<Notify>) {
         self.next += 1;
         let leave = Arc::new(Notify::new());
--- a/crates/coordinator/src/net/http/incoming.rs
+++ b/crates/coordinator/src/net/http/incoming.rs
@@ -1,6 +1,6 @@
 //! Where connections come from: a listener, or a thread that accepts for several.
 
-use crate::ops::turnover::Beside;
+use crate::ops::hot_restart::RestartRole;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -23,7 +23,7 @@
     /// The listener.
     pub listener: TcpListener,
     /// How this process stands to another.
-    pub beside: watch::Receiver<Beside>,
+    pub beside: watch::Receiver<RestartRole>,
 }
 
 impl Gated {
@@ -36,7 +36,7 @@
             // The other end of the watch goes only where there is never another process.
             if self
                 .beside
-                .wait_for(|b| *b != Beside::Replaced)
+                .wait_for(|b| *b != RestartRole::Replaced)
                 .await
                 .is_err()
             {
--- a/crates/coordinator/src/net/http/mod.rs
+++ b/crates/coordinator/src/net/http/mod.rs
@@ -1,20 +1,20 @@
-//! HTTP/1.1 over a [`Conn`](super::conn::Conn), as [`http1`] reads it: a server for the fronts, and what
+//! HTTP/1.1 over a [`BufferedStream`](super::buffered_stream::BufferedStream), as [`http1`] reads it: a server for the fronts, and what
 //! clients of this program need to read.
 
 mod client;
+mod client_liveness;
+mod connection_slots;
 mod incoming;
 mod message;
 mod read;
-mod seats;
 mod server;
-mod stay;
 
 pub use incoming::{Gated, Guard, Handed, Incoming};
 pub use message::{Headers, HttpError, Request, Response};
 pub use read::{response_head, Body};
 pub use server::serve;
 
-use crate::ops::turnover::Beside;
+use crate::ops::hot_restart::RestartRole;
 use std::future::Future;
 use std::pin::Pin;
 use std::time::Duration;
@@ -62,12 +62,12 @@
     pub one_call: bool,
     /// How this process stands to another: both have half of the seats, and one that is replaced takes no
     /// new connections and closes each with its next answer.
-    pub beside: watch::Receiver<Beside>,
+    pub beside: watch::Receiver<RestartRole>,
 }
 
 impl Limits {
     fn replaced(&self) -> bool {
-        *self.beside.borrow() == Beside::Replaced
+        *self.beside.borrow() == RestartRole::Replaced
     }
 
     fn clients(&self) -> usize {
--- a/crates/coordinator/src/net/http/read.rs
+++ b/crates/coordinator/src/net/http/read.rs
@@ -1,8 +1,8 @@
-//! Reading messages from a [`Conn`]: a request whole, a response's head and then its body as it comes.
+//! Reading messages from a [`BufferedStream`]: a request whole, a response's head and then its body as it comes.
 
 use super::message::{Headers, HttpError, Request};
 use super::INPUT;
-use crate::net::conn::Conn;
+use crate::net::buffered_stream::BufferedStream;
 use bytes::{Bytes, BytesMut};
 use http1::{DecodeStep, Framing, HeadLimits, RequestHead, ResponseHead};
 use std::time::Instant;
@@ -12,7 +12,7 @@
     max_fields: 64,
 };
 
-async fn more(conn: &mut Conn, started: bool) -> Result<(), HttpError> {
+async fn more(conn: &mut BufferedStream, started: bool) -> Result<(), HttpError> {
     match conn.fill().await? {
         0 if started => Err(HttpError::Cut),
         0 => Err(HttpError::Closed),
@@ -20,7 +20,7 @@
     }
 }
 
-fn request_head(conn: &mut Conn) -> Result<Option<RequestHead>, HttpError> {
+fn request_head(conn: &mut BufferedStream) -> Result<Option<RequestHead>, HttpError> {
     let Some((head, n)) = RequestHead::parse(conn.input.contiguous(), MOST_HEAD)? else {
         return Ok(None);
     };
@@ -29,7 +29,7 @@
 }
 
 /// Reads a response's head: its status and headers.
-pub async fn response_head(conn: &mut Conn) -> Result<(u16, Headers), HttpError> {
+pub async fn response_head(conn: &mut BufferedStream) -> Result<(u16, Headers), HttpError> {
     loop {
         if let Some((head, n)) = ResponseHead::parse(conn.input.contiguous(), MOST_HEAD, false)? {
             conn.input.consume(n);
@@ -69,7 +69,11 @@
     }
 
     /// Appends what comes next to `out`; false at the end.
-    pub async fn next(&mut self, conn: &mut Conn, out: &mut BytesMut) -> Result<bool, HttpError> {
+    pub async fn next(
+        &mut self,
+        conn: &mut BufferedStream,
+        out: &mut BytesMut,
+    ) -> Result<bool, HttpError> {
         loop {
             let input = if self.body.is_in_data() {
                 conn.input.first()
@@ -93,7 +97,11 @@
     }
 
     /// Reads the whole body, up to a limit.
-    pub async fn whole(mut self, conn: &mut Conn, most: usize) -> Result<Bytes, HttpError> {
+    pub async fn whole(
+        mut self,
+        conn: &mut BufferedStream,
+        most: usize,
+    ) -> Result<Bytes, HttpError> {
         let mut out = BytesMut::new();
         if self.beyond(most) {
             return Err(HttpError::BodyTooLarge);
@@ -108,7 +116,7 @@
 }
 
 pub(super) async fn read_request(
-    conn: &mut Conn,
+    conn: &mut BufferedStream,
     most: usize,
 ) -> Result<(Request, bool), HttpError> {
     let head = loop {
--- a/crates/coordinator/src/net/http/server.rs
+++ b/crates/coordinator/src/net/http/server.rs
@@ -2,11 +2,11 @@
 //! is answered.
 
 use super::client::client;
+use super::connection_slots::{Admission, ConnectionSlots};
 use super::incoming::{Guard, Incoming};
-use super::seats::{Admission, Seats};
 use super::{Limits, Service, INPUT, OUTPUT};
 use crate::counters::Counters;
-use crate::net::conn::Conn;
+use crate::net::buffered_stream::BufferedStream;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -28,13 +28,13 @@
     pub(super) counters: Counters,
     pub(super) limits: Limits,
     clients: AtomicUsize,
-    seats: Mutex<Seats>,
+    seats: Mutex<ConnectionSlots>,
     /// Set once stopping: when all must be answered.
     pub(super) latest: OnceLock<Instant>,
 }
 
 impl Shared {
-    pub(super) fn seats(&self) -> MutexGuard<'_, Seats> {
+    pub(super) fn seats(&self) -> MutexGuard<'_, ConnectionSlots> {
         self.seats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Seats a new connection and serves it; above the hard cap it is closed at once.
+    /// ConnectionSlots a new connection and serves it; above the hard cap it is closed at once.
     fn welcome(
         self: &Arc<Self>,
         (stream, from, guard): (TcpStream, SocketAddr, Option<Guard>),
@@ -106,7 +106,7 @@
         let (number, leave) = self.seats().take(Instant::now());
         let (shared, closing) = (self.clone(), closing.clone());
         tokio::spawn(async move {
-            let conn = Conn::new(stream, INPUT, OUTPUT);
+            let conn = BufferedStream::new(stream, INPUT, OUTPUT);
             let (served, code) = client(conn, &shared, number, admission, leave, closing).await;
             shared.seats().release(number);
             shared.clients.fetch_sub(1, Ordering::Relaxed);
--- a/crates/coordinator/src/net/link/connection.rs
+++ b/crates/coordinator/src/net/link/connection.rs
@@ -4,7 +4,7 @@
 use super::{LinkMail, LinkSetup};
 use crate::core::CallPart;
 use crate::interface::{Outcome, RequestId};
-use crate::net::conn::Conn;
+use crate::net::buffered_stream::BufferedStream;
 use crate::net::frames;
 use bytes::{Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
@@ -39,7 +39,7 @@
 /// An open connection and all that is on it.
 pub(super) struct Link {
     pub(super) setup: LinkSetup,
-    pub(super) conn: Conn,
+    pub(super) conn: BufferedStream,
     pub(super) queue: VecDeque<Vec<CallPart>>,
     pub(super) sending: Option<Sending>,
     /// Parts whose frame is written, by their name.
@@ -73,7 +73,11 @@
 
 impl Link {
     /// A connection that has just come up.
-    pub(super) fn new(setup: LinkSetup, conn: Conn, queue: VecDeque<Vec<CallPart>>) -> Self {
+    pub(super) fn new(
+        setup: LinkSetup,
+        conn: BufferedStream,
+        queue: VecDeque<Vec<CallPart>>,
+    ) -> Self {
         let now = Instant::now();
         Self {
             setup,
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -8,7 +8,7 @@
 
 pub use run::take_out;
 
-use super::silence::Pace;
+use super::stall_detector::StallDetector;
 use crate::core::{CallPart, Ended, Mail};
 use crate::counters::Counters;
 use crate::interface::{Outcome, RequestId, ServerId};
@@ -45,7 +45,7 @@
 
 /// What a link shows its peer actor.
 #[derive(Default)]
-pub struct Gauge {
+pub struct ConnectionLoad {
     /// Parts handed over and not ended.
     pub parts: AtomicUsize,
     /// Whether it keeps a part waiting in silence: new calls go elsewhere.
@@ -54,7 +54,7 @@
     waits: Mutex<Option<Instant>>,
 }
 
-impl Gauge {
+impl ConnectionLoad {
     /// Since when the link has kept parts waiting and said nothing; `None` with none out.
     pub fn waits(&self) -> Option<Instant> {
         *self.waits.lock().unwrap_or_else(PoisonError::into_inner)
@@ -85,9 +85,9 @@
     /// Its mailbox.
     pub mail: mpsc::UnboundedReceiver<LinkMail>,
     /// What its peer sees of it.
-    pub gauge: Arc<Gauge>,
+    pub gauge: Arc<ConnectionLoad>,
     /// How fast the host answers, over all its links.
-    pub pace: Arc<Pace>,
+    pub pace: Arc<StallDetector>,
     /// The core's mailbox.
     pub core: mpsc::UnboundedSender<Mail>,
     /// The counters.
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -4,7 +4,7 @@
 use super::{LinkMail, LinkSetup, CANCEL_HEAD};
 use crate::core::{CallPart, Mail};
 use crate::interface::{Outcome, RequestId};
-use crate::net::conn::Conn;
+use crate::net::buffered_stream::BufferedStream;
 use std::collections::VecDeque;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -88,9 +88,9 @@
     setup: &mut LinkSetup,
     queue: &mut VecDeque<Vec<CallPart>>,
     held: &mut Held,
-) -> std::io::Result<Conn> {
+) -> std::io::Result<BufferedStream> {
     let addr = setup.addr.clone();
-    let connecting = Conn::connect(&addr, setup.connect_timeout, INPUT, OUTPUT);
+    let connecting = BufferedStream::connect(&addr, setup.connect_timeout, INPUT, OUTPUT);
     tokio::pin!(connecting);
     loop {
         tokio::select! {
--- a/crates/coordinator/src/net/mod.rs
+++ b/crates/coordinator/src/net/mod.rs
@@ -2,14 +2,14 @@
 //! the hosts and of the host list.
 
 pub mod backoff;
-pub mod conn;
+pub mod buffered_stream;
+pub mod discovery_watch;
 pub mod dns_sd;
 pub mod frames;
+pub mod gossip;
+pub mod hosts;
 pub mod http;
+pub mod json_objects;
 pub mod link;
-pub mod list;
-pub mod objects;
-pub mod peer;
-pub mod ring;
-pub mod silence;
-pub mod talk;
+pub mod ring_buffer;
+pub mod stall_detector;
--- a/crates/coordinator/src/net/ring.rs
+++ b/crates/coordinator/src/net/ring_buffer.rs
@@ -4,15 +4,15 @@
 use tokio::net::TcpStream;
 
 /// A ring buffer. It never grows: a full one pushes back on whoever fills it. It takes its memory with the
-/// first byte, and [`Ring::give_back`] returns it: connections that stand idle hold none.
-pub struct Ring {
+/// first byte, and [`RingBuffer::give_back`] returns it: connections that stand idle hold none.
+pub struct RingBuffer {
     buf: Box<[u8]>,
     capacity: usize,
     head: usize,
     len: usize,
 }
 
-impl Ring {
+impl RingBuffer {
     /// An empty ring for this many bytes.
     pub fn new(capacity: usize) -> Self {
         Self {
--- a/crates/coordinator/src/net/silence.rs
+++ b/crates/coordinator/src/net/stall_detector.rs
@@ -29,7 +29,7 @@
 
 /// How fast one host answers, over all connections to it.
 #[derive(Default)]
-pub struct Pace {
+pub struct StallDetector {
     /// How much longer the least patience is among many coordinators.
     crowd: f64,
     seen: Mutex<Seen>,
@@ -45,7 +45,7 @@
     ends: f64,
 }
 
-impl Pace {
+impl StallDetector {
     /// The pace of a host that so many coordinators ask. Each that takes a pause for silence opens a connection,
     /// and all of them do so at once: beyond eight the least patience grows with their number.
     pub fn among(coordinators: u32) -> Self {
--- a/crates/coordinator/src/ops/desk.rs
+++ b/crates/coordinator/src/ops/admin_server.rs
@@ -2,9 +2,9 @@
 //! own, so that it answers while the core is busy; it reads what the core publishes, and waits for it only
 //! for the word that an order is in force.
 
-use super::bans::Refusal;
-use super::members::{Order, Request as Asked};
-use super::turnover::never;
+use super::hot_restart::never;
+use super::list_overlay::{Order, Request as Asked};
+use super::manual_ejection::EjectionError;
 use super::Readiness;
 use crate::counters::Counters;
 use crate::net::http::{self, Answering, Gated, Incoming, Limits, Request, Response, Service};
@@ -23,13 +23,13 @@
 const LONGEST_ID: usize = 256;
 
 /// What the desk answers from.
-pub struct Desk {
+pub struct AdminServer {
     readiness: Readiness,
     counters: Counters,
     members: mpsc::Sender<Asked>,
 }
 
-impl Desk {
+impl AdminServer {
     /// A desk whose orders go to this actor of the list.
     pub fn new(readiness: Readiness, counters: Counters, members: mpsc::Sender<Asked>) -> Self {
         Self {
@@ -118,7 +118,7 @@
             match tokio::time::timeout(ORDER_WAIT, word).await {
                 Ok(Ok(Ok(()))) => Response::text(200, said),
                 Ok(Ok(Err(refusal))) => {
-                    let status = if refusal == Refusal::Unknown {
+                    let status = if refusal == EjectionError::Unknown {
                         404
                     } else {
                         503
@@ -136,7 +136,7 @@
     Box::pin(std::future::ready(response))
 }
 
-impl Service for Desk {
+impl Service for AdminServer {
     fn answer(&self, request: Request) -> Answering {
         let path: Vec<&str> = request.path.split('/').skip(1).collect();
         let method = match path[..] {
--- a/crates/coordinator/src/ops/turnover.rs
+++ b/crates/coordinator/src/ops/hot_restart.rs
@@ -1,8 +1,8 @@
 //! One process of a coordinator takes over from another: the message between them and the link that stays
 //! while both run. `docs/design/operations.md` says why it is done this way.
 
-use super::bans::Bans;
-use super::members::{Attached, Order, Request};
+use super::list_overlay::{AttachedProcess, Order, Request};
+use super::manual_ejection::ManualEjections;
 use bytes::{Buf, BytesMut};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -30,7 +30,7 @@
 
 /// How this process stands to another of the same coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beside {
+pub enum RestartRole {
     /// There is no other.
     Alone,
     /// Both run and accept connections.
@@ -39,7 +39,7 @@
     Replaced,
 }
 
-impl Beside {
+impl RestartRole {
     /// What of a budget this process has.
     pub fn share(self, of: usize) -> usize {
         if self == Self::Alone {
@@ -51,13 +51,13 @@
 }
 
 /// How a process stands that has no other beside it and never will.
-pub fn never() -> watch::Receiver<Beside> {
-    watch::channel(Beside::Alone).1
+pub fn never() -> watch::Receiver<RestartRole> {
+    watch::channel(RestartRole::Alone).1
 }
 
 /// Why nothing was taken over.
 #[derive(Debug, thiserror::Error)]
-pub enum TurnoverError {
+pub enum HotRestartError {
     /// The socket failed, or nobody is there.
     #[error("{0}")]
     Io(#[from] std::io::Error),
@@ -75,7 +75,7 @@
     version: u32,
     name: String,
     listen: String,
-    bans: Bans,
+    bans: ManualEjections,
 }
 
 /// What either tells while both run.
@@ -104,11 +104,11 @@
 }
 
 /// What a new process has taken over.
-pub struct TakenOver {
+pub struct TakenOverState {
     /// The clients' listening socket.
     pub listener: TcpListener,
     /// The list and what is out by hand.
-    pub bans: Bans,
+    pub bans: ManualEjections,
     /// The link to the old process.
     pub link: UnixStream,
 }
@@ -117,12 +117,16 @@
 ///
 /// # Errors
 /// If nobody answers, or what is told can't be used: then the start goes on as from nothing.
-pub async fn take_over(path: &Path, name: &str, listen: &str) -> Result<TakenOver, TurnoverError> {
+pub async fn take_over(
+    path: &Path,
+    name: &str,
+    listen: &str,
+) -> Result<TakenOverState, HotRestartError> {
     let told = async {
         let mut link = UnixStream::connect(path).await?;
         let (listener, body) = receive(&mut link).await?;
         let hello: Hello =
-            serde_json::from_slice(&body).map_err(|e| TurnoverError::Message(e.to_string()))?;
+            serde_json::from_slice(&body).map_err(|e| HotRestartError::Message(e.to_string()))?;
         let Hello {
             version,
             name: of,
@@ -130,21 +134,21 @@
             bans,
         } = hello;
         if (version, of.as_str(), at.as_str()) != (VERSION, name, listen) {
-            return Err(TurnoverError::Message(format!(
+            return Err(HotRestartError::Message(format!(
                 "version {version} of '{of}' at {at}"
             )));
         }
         let listener =
-            listener.ok_or_else(|| TurnoverError::Message("no listening socket".into()))?;
+            listener.ok_or_else(|| HotRestartError::Message("no listening socket".into()))?;
         let listener = TcpListener::from(listener);
         // Whatever came along must be the socket that it is said to be.
         if listener.local_addr()?.to_string() != listen && !listen.ends_with(":0") {
-            return Err(TurnoverError::Message(
+            return Err(HotRestartError::Message(
                 "the listening socket of another address".into(),
             ));
         }
         listener.set_nonblocking(true)?;
-        Ok(TakenOver {
+        Ok(TakenOverState {
             listener,
             bans,
             link,
@@ -152,11 +156,11 @@
     };
     tokio::time::timeout(PATIENCE, told)
         .await
-        .unwrap_or(Err(TurnoverError::Slow))
+        .unwrap_or(Err(HotRestartError::Slow))
 }
 
 /// Reads one message and the descriptor that comes with its first byte.
-async fn receive(link: &mut UnixStream) -> Result<(Option<OwnedFd>, Vec<u8>), TurnoverError> {
+async fn receive(link: &mut UnixStream) -> Result<(Option<OwnedFd>, Vec<u8>), HotRestartError> {
     let (mut head, mut got, mut passed) = ([0; HEAD], 0, None);
     while got < HEAD {
         link.readable().await?;
@@ -174,7 +178,7 @@
         });
         match step {
             Ok(0) => {
-                return Err(TurnoverError::Message(
+                return Err(HotRestartError::Message(
                     "it ended before it told anything".into(),
                 ))
             }
@@ -185,7 +189,7 @@
     }
     let length = u32::from_be_bytes(head) as usize;
     if length > MOST {
-        return Err(TurnoverError::Message(format!(
+        return Err(HotRestartError::Message(format!(
             "a message of {length} bytes"
         )));
     }
@@ -223,7 +227,7 @@
 }
 
 /// This process as others of its coordinator meet it.
-pub struct Turnover {
+pub struct HotRestart {
     /// Where the next one comes to.
     pub path: PathBuf,
     /// The coordinator's name.
@@ -235,10 +239,10 @@
     /// The actor of the list.
     pub members: mpsc::Sender<Request>,
     /// How this process stands.
-    pub beside: watch::Sender<Beside>,
+    pub beside: watch::Sender<RestartRole>,
 }
 
-impl Turnover {
+impl HotRestart {
     /// Stays beside the process that this one has taken over from, and then waits for the next one.
     pub async fn run(self, before: Option<UnixStream>) {
         let waiting = match self.bind() {
@@ -250,7 +254,7 @@
         };
         if let Some(mut link) = before {
             let (forward, orders) = mpsc::unbounded_channel();
-            let attached = Attached {
+            let attached = AttachedProcess {
                 forward,
                 state: oneshot::channel().0,
             };
@@ -260,7 +264,7 @@
                 Err(e) => e,
             };
             log::info!(detail:% = why; "turnover: the old process has ended");
-            self.beside.send_replace(Beside::Alone);
+            self.beside.send_replace(RestartRole::Alone);
         }
         let Some(mut waiting) = waiting else { return };
         loop {
@@ -276,10 +280,10 @@
             let why = match tokio::time::timeout(PATIENCE, self.hello(&mut link)).await {
                 Ok(Ok(orders)) => self.stay(link, orders).await,
                 Ok(Err(e)) => e,
-                Err(_) => TurnoverError::Slow,
+                Err(_) => HotRestartError::Slow,
             };
             log::warn!(detail:% = why; "turnover: the new process has gone, this one serves on");
-            self.beside.send_replace(Beside::Alone);
+            self.beside.send_replace(RestartRole::Alone);
             // The new one may have put its own socket in the place of this one.
             match self.bind() {
                 Ok(listener) => waiting = listener,
@@ -300,12 +304,12 @@
     async fn hello(
         &self,
         link: &mut UnixStream,
-    ) -> Result<mpsc::UnboundedReceiver<Order>, TurnoverError> {
-        self.beside.send_replace(Beside::Both);
+    ) -> Result<mpsc::UnboundedReceiver<Order>, HotRestartError> {
+        self.beside.send_replace(RestartRole::Both);
         let (forward, orders) = mpsc::unbounded_channel();
         let (state, told) = oneshot::channel();
-        let gone = || TurnoverError::Message("the list's actor has ended".into());
-        let attach = Request::Attach(Attached { forward, state });
+        let gone = || HotRestartError::Message("the list's actor has ended".into());
+        let attach = Request::Attach(AttachedProcess { forward, state });
         self.members.send(attach).await.map_err(|_| gone())?;
         let bans = told.await.map_err(|_| gone())?;
         let (name, listen) = (self.name.clone(), self.listen.clone());
@@ -315,7 +319,8 @@
             listen,
             bans,
         };
-        let body = serde_json::to_vec(&hello).map_err(|e| TurnoverError::Message(e.to_string()))?;
+        let body =
+            serde_json::to_vec(&hello).map_err(|e| HotRestartError::Message(e.to_string()))?;
         send(link, &self.listener, &body).await?;
         Ok(orders)
     }
@@ -325,7 +330,7 @@
         &self,
         link: UnixStream,
         mut orders: mpsc::UnboundedReceiver<Order>,
-    ) -> TurnoverError {
+    ) -> HotRestartError {
         let (mut from, mut to) = link.into_split();
         let (mut buffer, mut next) = (BytesMut::new(), 0u64);
         let mut open = std::collections::BTreeMap::new();
@@ -333,7 +338,7 @@
         loop {
             let word = tokio::select! {
                 got = from.read_buf(&mut buffer) => match got {
-                    Ok(0) => return TurnoverError::Message("closed".into()),
+                    Ok(0) => return HotRestartError::Message("closed".into()),
                     Ok(_) => None,
                     Err(e) => return e.into(),
                 },
@@ -351,7 +356,7 @@
                 }
             }
             if buffer.len() > MOST {
-                return TurnoverError::Message("a line without end".into());
+                return HotRestartError::Message("a line without end".into());
             }
             while let Some(n) = buffer.iter().position(|b| *b == b'\n') {
                 let word = serde_json::from_slice::<Word>(&buffer[..n]);
@@ -359,7 +364,7 @@
                 match word {
                     Ok(Word::Ready) => {
                         log::info!("turnover: the new process serves");
-                        self.beside.send_replace(Beside::Replaced);
+                        self.beside.send_replace(RestartRole::Replaced);
                     }
                     Ok(Word::Done { number }) => {
                         let reply: Option<oneshot::Sender<_>> = open.remove(&number);
@@ -379,7 +384,7 @@
                             reply,
                         });
                         if self.members.send(request).await.is_err() {
-                            return TurnoverError::Message("the list's actor has ended".into());
+                            return HotRestartError::Message("the list's actor has ended".into());
                         }
                         let done = done.clone();
                         tokio::spawn(async move {
@@ -388,7 +393,7 @@
                             let _ = done.send(number);
                         });
                     }
-                    Err(e) => return TurnoverError::Message(e.to_string()),
+                    Err(e) => return HotRestartError::Message(e.to_string()),
                 }
             }
         }
@@ -401,6 +406,6 @@
     line
 }
 
-async fn tell(link: &mut UnixStream, word: &Word) -> Result<(), TurnoverError> {
+async fn tell(link: &mut UnixStream, word: &Word) -> Result<(), HotRestartError> {
     Ok(link.write_all(&line(word)).await?)
 }
--- a/crates/coordinator/src/ops/members.rs
+++ b/crates/coordinator/src/ops/list_overlay.rs
@@ -1,7 +1,7 @@
 //! The actor between the sources of the list and the core, where hosts can be taken out by hand.
 
-use super::bans::{Bans, Refusal};
-use crate::core::{Listed, Mail};
+use super::manual_ejection::{EjectionError, ManualEjections};
+use crate::core::{Endpoint, Mail};
 use crate::interface::ListKind;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
@@ -13,15 +13,15 @@
     /// Whether it is to be out.
     pub offline: bool,
     /// Gets word once that is in force.
-    pub reply: oneshot::Sender<Result<(), Refusal>>,
+    pub reply: oneshot::Sender<Result<(), EjectionError>>,
 }
 
 /// Another process of the same coordinator, beside this one.
-pub struct Attached {
+pub struct AttachedProcess {
     /// Orders given here, for it to carry out too.
     pub forward: mpsc::UnboundedSender<Order>,
     /// Gets the state as of now; each order after that is passed on.
-    pub state: oneshot::Sender<Bans>,
+    pub state: oneshot::Sender<ManualEjections>,
 }
 
 /// What the actor is asked.
@@ -31,32 +31,32 @@
     /// An order that the other process passes on.
     Passed(Order),
     /// There is another process.
-    Attach(Attached),
+    Attach(AttachedProcess),
 }
 
 /// The overlay, and the other process if there is one.
 #[derive(Default)]
-pub struct Overlay {
+pub struct ListOverlay {
     /// What is out by hand, over the list.
-    pub bans: Bans,
+    pub bans: ManualEjections,
     other: Option<mpsc::UnboundedSender<Order>>,
 }
 
-impl Overlay {
+impl ListOverlay {
     /// The overlay with what was known before.
-    pub fn new(bans: Bans) -> Self {
+    pub fn new(bans: ManualEjections) -> Self {
         Self { bans, other: None }
     }
 
     /// Does what is asked, and tells `sink` what follows from it.
-    pub fn take(&mut self, request: Request, sink: &impl Sink) {
+    pub fn take(&mut self, request: Request, sink: &impl ListSink) {
         match request {
             Request::Passed(order) => {
                 self.bans.expect(&order.host);
                 obey(&mut self.bans, order, None, sink);
             }
             Request::Order(order) => obey(&mut self.bans, order, self.other.as_ref(), sink),
-            Request::Attach(Attached { forward, state }) => {
+            Request::Attach(AttachedProcess { forward, state }) => {
                 let _ = state.send(self.bans.clone());
                 self.other = Some(forward);
             }
@@ -65,9 +65,9 @@
 }
 
 /// Where news of the list goes.
-pub trait Sink {
+pub trait ListSink {
     /// Hands news over.
-    fn publish(&self, kind: ListKind, hosts: Vec<Listed>);
+    fn publish(&self, kind: ListKind, hosts: Vec<Endpoint>);
     /// Words that come once all handed over before is in force, one for each core.
     fn in_force(&self) -> Vec<oneshot::Receiver<()>>;
 }
@@ -79,8 +79,8 @@
     taken
 }
 
-impl Sink for mpsc::UnboundedSender<Mail> {
-    fn publish(&self, kind: ListKind, hosts: Vec<Listed>) {
+impl ListSink for mpsc::UnboundedSender<Mail> {
+    fn publish(&self, kind: ListKind, hosts: Vec<Endpoint>) {
         let _ = self.send(Mail::List(kind, hosts));
     }
 
@@ -97,10 +97,10 @@
 
 /// Carries an order out; its word goes out once all cores, and the other process, have taken it.
 fn obey(
-    bans: &mut Bans,
+    bans: &mut ManualEjections,
     order: Order,
     other: Option<&mpsc::UnboundedSender<Order>>,
-    sink: &impl Sink,
+    sink: &impl ListSink,
 ) {
     let Order {
         host,
@@ -137,10 +137,10 @@
 
 /// Passes news on and does what is asked until the sources of both have gone.
 pub async fn run(
-    mut overlay: Overlay,
+    mut overlay: ListOverlay,
     mut news: mpsc::UnboundedReceiver<Mail>,
     mut requests: mpsc::Receiver<Request>,
-    sink: impl Sink,
+    sink: impl ListSink,
 ) {
     let (mut listening, mut asked) = (true, true);
     while listening || asked {
--- a/crates/coordinator/src/ops/bans.rs
+++ b/crates/coordinator/src/ops/manual_ejection.rs
@@ -3,7 +3,7 @@
 //! To the module a banned host is one that drains, whatever its source says. A host called back counts as
 //! started at that moment, or when its source says, if that is later.
 
-use crate::core::Listed;
+use crate::core::Endpoint;
 use crate::interface::{ListKind, ServerState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 
 /// Why a call is not obeyed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum EjectionError {
     /// No source has named such a host.
     #[error("no such district host")]
     Unknown,
@@ -26,19 +26,19 @@
 
 /// The hosts that are out by hand, over the list as its source last told it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Bans {
+pub struct ManualEjections {
     out: BTreeSet<String>,
     /// When hosts were called back, in Unix milliseconds.
     back: BTreeMap<String, u64>,
-    listed: BTreeMap<String, Listed>,
+    listed: BTreeMap<String, Endpoint>,
     /// Hosts that the other process of the coordinator has heard of before this one.
     #[serde(skip)]
     expected: BTreeSet<String>,
 }
 
-impl Bans {
+impl ManualEjections {
     /// Takes news of the list; gives what the module is to be told.
-    pub fn news(&mut self, kind: ListKind, hosts: Vec<Listed>) -> Vec<Listed> {
+    pub fn news(&mut self, kind: ListKind, hosts: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.listed.clear();
         }
@@ -53,7 +53,7 @@
     }
 
     /// A host as the module is to see it.
-    fn seen(&self, mut host: Listed) -> Listed {
+    fn seen(&self, mut host: Endpoint) -> Endpoint {
         if host.state == ServerState::Ready && self.out.contains(&host.id) {
             host.state = ServerState::Draining;
         }
@@ -62,7 +62,7 @@
         host
     }
 
-    fn told(&self, id: &str) -> Vec<Listed> {
+    fn told(&self, id: &str) -> Vec<Endpoint> {
         self.listed
             .get(id)
             .cloned()
@@ -83,17 +83,22 @@
     ///
     /// # Errors
     /// If nobody has this id, or too many are out.
-    pub fn order(&mut self, id: &str, offline: bool, now_ms: u64) -> Result<Vec<Listed>, Refusal> {
+    pub fn order(
+        &mut self,
+        id: &str,
+        offline: bool,
+        now_ms: u64,
+    ) -> Result<Vec<Endpoint>, EjectionError> {
         let was_out = self.out.contains(id);
         if !was_out && !self.listed.contains_key(id) && !self.expected.contains(id) {
-            return Err(Refusal::Unknown);
+            return Err(EjectionError::Unknown);
         }
         if was_out == offline {
             return Ok(Vec::new());
         }
         if offline {
             if self.out.len() >= MOST {
-                return Err(Refusal::Full);
+                return Err(EjectionError::Full);
             }
             self.out.insert(id.to_owned());
         } else {
@@ -106,7 +111,7 @@
     }
 
     /// The list as its source last told it.
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<Endpoint> {
         self.listed.values().cloned().collect()
     }
 
--- a/crates/coordinator/src/ops/mod.rs
+++ b/crates/coordinator/src/ops/mod.rs
@@ -1,23 +1,23 @@
 //! What the operators' staff use day by day: the operator's address with its figures, and district hosts
 //! taken out by hand. `docs/design/operations.md` says why it is built this way.
 
-pub mod bans;
-pub mod desk;
-pub mod members;
-pub mod turnover;
+pub mod admin_server;
+pub mod hot_restart;
+pub mod list_overlay;
+pub mod manual_ejection;
 
 use crate::counters::Counters;
+use hot_restart::RestartRole;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use tokio::sync::watch;
-use turnover::Beside;
 
 /// Whether this process can serve, as it is told to whoever asks.
 #[derive(Clone)]
 pub struct Readiness {
     /// Whether connections of clients are accepted.
     accepting: Arc<AtomicBool>,
-    beside: watch::Receiver<Beside>,
+    beside: watch::Receiver<RestartRole>,
     stop: watch::Receiver<bool>,
     counters: Counters,
 }
@@ -26,7 +26,7 @@
     /// Not ready as yet.
     pub fn new(
         stop: watch::Receiver<bool>,
-        beside: watch::Receiver<Beside>,
+        beside: watch::Receiver<RestartRole>,
         counters: Counters,
     ) -> Self {
         Self {
@@ -47,7 +47,7 @@
         if *self.stop.borrow() {
             return Some("stopping");
         }
-        if *self.beside.borrow() == Beside::Replaced {
+        if *self.beside.borrow() == RestartRole::Replaced {
             return Some("replaced by another process");
         }
         if !self.accepting.load(Ordering::Relaxed) {
--- a/crates/coordinator/src/peers/word.rs
+++ b/crates/coordinator/src/peers/load_update.rs
@@ -11,10 +11,10 @@
 
 /// A host in a word: 24 bits of its name's hash. Two hosts of one list may share one, if seldom (1 in 800 for
 /// 200 hosts); what is told of either then counts for none.
-pub type Tag = [u8; 3];
+pub type HostTag = [u8; 3];
 
 /// The tag of a host's name, the same in every process.
-pub fn tag(name: &str) -> Tag {
+pub fn tag(name: &str) -> HostTag {
     let mut hash = SipHasher13::new();
     hash.write(name.as_bytes());
     let h = hash.finish().to_be_bytes();
@@ -23,13 +23,13 @@
 
 /// What one coordinator says at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct LoadUpdate {
     /// Since when its process lives: a later life beats an earlier one.
     pub life: u64,
     /// Its number within that life.
     pub seq: u32,
     /// Own parts out, by host.
-    pub hosts: Vec<(Tag, u16)>,
+    pub hosts: Vec<(HostTag, u16)>,
 }
 
 /// Bytes that may go out: never more than [`MOST_BYTES`].
@@ -45,7 +45,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum UpdateError {
     /// Empty or longer than allowed.
     #[error("of a length that no word has")]
     Length,
@@ -64,13 +64,13 @@
     [h[0], h[1]]
 }
 
-impl Word {
+impl LoadUpdate {
     /// The word as a datagram, and how many of its hosts fit, from the first on.
     pub fn write(&self) -> (Datagram, usize) {
         // Six bytes for a host at most, so a cut to what fits ends soon.
         let mut fit = self.hosts.len().min(MOST_BYTES / 4);
         loop {
-            let word = Word {
+            let word = LoadUpdate {
                 hosts: self.hosts[..fit].to_vec(),
                 ..*self
             };
@@ -84,19 +84,19 @@
     }
 
     /// Reads what came.
-    pub fn read(bytes: &[u8]) -> Result<Self, Unreadable> {
+    pub fn read(bytes: &[u8]) -> Result<Self, UpdateError> {
         if bytes.len() <= HEAD || bytes.len() > MOST_BYTES {
-            return Err(Unreadable::Length);
+            return Err(UpdateError::Length);
         }
         if bytes[0] != VERSION {
-            return Err(Unreadable::Version);
+            return Err(UpdateError::Version);
         }
         if bytes[1..HEAD] != sum(&bytes[HEAD..]) {
-            return Err(Unreadable::Garbled);
+            return Err(UpdateError::Garbled);
         }
         match postcard::take_from_bytes(&bytes[HEAD..]) {
             Ok((word, [])) => Ok(word),
-            _ => Err(Unreadable::Garbled),
+            _ => Err(UpdateError::Garbled),
         }
     }
 }
--- a/crates/coordinator/src/peers/mod.rs
+++ b/crates/coordinator/src/peers/mod.rs
@@ -6,13 +6,13 @@
 //! needs. A word is evidence with a source and an age: it lists and strikes off like a load report, never names
 //! a host that the own list has not named, never ends one, and is worth nothing once it is old.
 
-mod view;
-mod voice;
-mod word;
+mod load_update;
+mod peer_loads;
+mod publisher;
 
-pub use view::{Told, View};
-pub use voice::Voice;
-pub use word::{tag, Datagram, Tag, Unreadable, Word, MOST_BYTES};
+pub use load_update::{tag, Datagram, HostTag, LoadUpdate, UpdateError, MOST_BYTES};
+pub use peer_loads::{PeerLoads, Told};
+pub use publisher::LoadPublisher;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     /// A later one of its sender had come before.
     Old,
     /// It could not be read.
-    Unreadable(Unreadable),
+    UpdateError(UpdateError),
     /// Its sender is one more than there are coordinators, or is this one itself.
     Refused,
 }
@@ -55,8 +55,8 @@
         match self {
             Self::Taken => "peers.taken",
             Self::Old => "peers.old",
-            Self::Unreadable(Unreadable::Version) => "peers.other_version",
-            Self::Unreadable(_) => "peers.unreadable",
+            Self::UpdateError(UpdateError::Version) => "peers.other_version",
+            Self::UpdateError(_) => "peers.unreadable",
             Self::Refused => "peers.refused",
         }
     }
@@ -67,9 +67,9 @@
     talk: Talk,
     life: u64,
     seq: u32,
-    view: View,
+    view: PeerLoads,
     /// What was told last, by host, and when.
-    told: BTreeMap<Tag, (u16, Duration)>,
+    told: BTreeMap<HostTag, (u16, Duration)>,
     spoke: Duration,
     /// Draw between the pauses, new with each word: coordinators must not speak in step.
     jitter: f64,
@@ -87,7 +87,7 @@
             talk,
             life,
             seq: 0,
-            view: View::new(talk.routers),
+            view: PeerLoads::new(talk.routers),
             told: BTreeMap::new(),
             spoke: Duration::ZERO,
             jitter: 0.5,
@@ -99,22 +99,22 @@
 
     /// Takes a datagram from a fellow.
     pub fn hear(&mut self, now: Duration, from: u32, bytes: &[u8]) -> Heard {
-        match Word::read(bytes).map(|word| self.view.take(now, from, &word)) {
+        match LoadUpdate::read(bytes).map(|word| self.view.take(now, from, &word)) {
             Ok(Some(true)) => Heard::Taken,
             Ok(Some(false)) => Heard::Old,
             Ok(None) => Heard::Refused,
-            Err(e) => Heard::Unreadable(e),
+            Err(e) => Heard::UpdateError(e),
         }
     }
 
     /// What fellows have out at a host by now; `None` where too few of them have spoken lately.
-    pub fn others(&self, now: Duration, host: Tag) -> Option<Told> {
+    pub fn others(&self, now: Duration, host: HostTag) -> Option<Told> {
         self.view.others(now, host)
     }
 
     /// At the end of a turn: what is out at each host, and how many parts have been sent since the start.
     /// Gives the word to be sent to all fellows, if it is time for one.
-    pub fn turn(&mut self, now: Duration, outs: &[(Tag, u16)], sends: u64) -> Option<Datagram> {
+    pub fn turn(&mut self, now: Duration, outs: &[(HostTag, u16)], sends: u64) -> Option<Datagram> {
         let fellows = f64::from(self.talk.routers.saturating_sub(1));
         if fellows < 1.0 {
             return None;
@@ -127,7 +127,7 @@
             return None;
         }
         // What changed most goes first, and what was told longest ago before what is as it was.
-        let mut news: Vec<(u32, Duration, Tag, u16)> = Vec::new();
+        let mut news: Vec<(u32, Duration, HostTag, u16)> = Vec::new();
         for (host, out) in outs {
             let (was, at) = self.told.get(host).copied().unwrap_or((0, Duration::ZERO));
             let age = now.saturating_sub(at);
@@ -140,7 +140,7 @@
             return None;
         }
         news.sort_by_key(|n| std::cmp::Reverse((n.0, n.1, n.2)));
-        let word = Word {
+        let word = LoadUpdate {
             life: self.life,
             seq: self.seq + 1,
             hosts: news.iter().map(|n| (n.2, n.3)).collect(),
--- a/crates/coordinator/src/peers/view.rs
+++ b/crates/coordinator/src/peers/peer_loads.rs
@@ -1,7 +1,7 @@
 //! What is known of fellows by their words. Merging takes, for each fellow and host, the entry of the latest
 //! life and number: so words may come in any order, doubled or not at all, and older never beats newer.
 
-use super::word::{Tag, Word};
+use super::load_update::{HostTag, LoadUpdate};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -36,17 +36,17 @@
     /// Its latest life and number, and when that was heard.
     latest: (u64, u32),
     heard: Duration,
-    hosts: BTreeMap<Tag, Entry>,
+    hosts: BTreeMap<HostTag, Entry>,
 }
 
 /// All that fellows have said.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct PeerLoads {
     routers: u32,
     fellows: BTreeMap<u32, Fellow>,
 }
 
-impl View {
+impl PeerLoads {
     /// Nothing heard yet among so many coordinators.
     pub fn new(routers: u32) -> Self {
         Self {
@@ -56,7 +56,7 @@
     }
 
     /// Takes a word. `None` if it is refused, else whether it was the fellow's latest.
-    pub fn take(&mut self, now: Duration, from: u32, word: &Word) -> Option<bool> {
+    pub fn take(&mut self, now: Duration, from: u32, word: &LoadUpdate) -> Option<bool> {
         let known =
             self.fellows.contains_key(&from) || (self.fellows.len() as u32) < self.routers - 1;
         if !known || word.hosts.len() > MOST_HOSTS {
@@ -91,7 +91,7 @@
 
     /// What fellows have out at a host by now; `None` unless all of them have been heard lately: a sum that
     /// lacks one would make the host look lighter than it is.
-    pub fn others(&self, now: Duration, host: Tag) -> Option<Told> {
+    pub fn others(&self, now: Duration, host: HostTag) -> Option<Told> {
         let mut told = Told {
             out: 0.0,
             age: Duration::ZERO,
--- a/crates/coordinator/src/peers/voice.rs
+++ b/crates/coordinator/src/peers/publisher.rs
@@ -1,21 +1,21 @@
 //! The talk beside one router: what its servers are called on the wire, what it has out, what it is told.
 
-use super::{tag, Datagram, Gossip, Heard, Tag, Talk};
+use super::{tag, Datagram, Gossip, Heard, HostTag, Talk};
 use crate::interface::{Action, Event, ServerId};
 use crate::state::Router;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// One router's voice and ear.
-pub struct Voice {
+pub struct LoadPublisher {
     gossip: Gossip,
     /// Tags of the servers met; `None` for one whose tag another has as well.
-    tags: BTreeMap<ServerId, Option<Tag>>,
+    tags: BTreeMap<ServerId, Option<HostTag>>,
     sends: u64,
     news: bool,
 }
 
-impl Voice {
+impl LoadPublisher {
     /// See [`Gossip::new`].
     pub fn new(talk: Talk, life: u64, seed: u64) -> Self {
         Self {
@@ -78,15 +78,16 @@
         let tagged = outs
             .iter()
             .filter_map(|(id, n)| Some((self.tags.get(id).copied().flatten()?, *n)));
-        let outs: Vec<(Tag, u16)> = tagged
+        let outs: Vec<(HostTag, u16)> = tagged
             .map(|(t, n)| (t, n.min(u32::from(u16::MAX)) as u16))
             .collect();
         self.gossip.turn(now, &outs, self.sends)
     }
 
     fn name_all<'a>(&mut self, outs: &[(ServerId, u32)], name: impl Fn(ServerId) -> &'a str) {
-        let tags: Vec<(ServerId, Tag)> = outs.iter().map(|(id, _)| (*id, tag(name(*id)))).collect();
-        let one = |t: &Tag| tags.iter().filter(|other| other.1 == *t).count() == 1;
+        let tags: Vec<(ServerId, HostTag)> =
+            outs.iter().map(|(id, _)| (*id, tag(name(*id)))).collect();
+        let one = |t: &HostTag| tags.iter().filter(|other| other.1 == *t).count() == 1;
         self.tags = tags
             .iter()
             .map(|(id, t)| (*id, one(t).then_some(*t)))
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -8,18 +8,18 @@
 use crate::front::platform::Platform;
 use crate::front::Fronts;
 use crate::interface::ListKind;
+use crate::net::discovery_watch::{DiscoveryBackoff, Watch};
 use crate::net::dns_sd::Browser;
+use crate::net::gossip::Talk;
+use crate::net::hosts::HostConnections;
 use crate::net::http::{self, Gated, Incoming, Limits};
 use crate::net::link::{Dialect, Frames};
-use crate::net::list::{Pace, Watch};
-use crate::net::peer::Peers;
-use crate::net::talk::Talk;
-use crate::ops::bans::Bans;
-use crate::ops::desk::Desk;
-use crate::ops::members::{self, Overlay, Request};
-use crate::ops::turnover::{self, Beside, TakenOver, Turnover};
+use crate::ops::admin_server::AdminServer;
+use crate::ops::hot_restart::{self, HotRestart, RestartRole, TakenOverState};
+use crate::ops::list_overlay::{self, ListOverlay, Request};
+use crate::ops::manual_ejection::ManualEjections;
 use crate::ops::Readiness;
-use crate::peers::Voice;
+use crate::peers::LoadPublisher;
 use crate::shard;
 use multi_core::core_dispatch::CoreDispatcher;
 use std::os::fd::AsFd;
@@ -98,10 +98,12 @@
 
 /// The clients' listening socket from a process of this coordinator that runs, with what it tells; or else
 /// one of our own, beside which another can listen.
-async fn take_over(config: &Config) -> std::io::Result<(TcpListener, Option<(Bans, UnixStream)>)> {
-    if let Some(path) = turnover::meeting_place(&config.name).filter(|p| p.exists()) {
-        match turnover::take_over(&path, &config.name, &config.listen).await {
-            Ok(TakenOver {
+async fn take_over(
+    config: &Config,
+) -> std::io::Result<(TcpListener, Option<(ManualEjections, UnixStream)>)> {
+    if let Some(path) = hot_restart::meeting_place(&config.name).filter(|p| p.exists()) {
+        match hot_restart::take_over(&path, &config.name, &config.listen).await {
+            Ok(TakenOverState {
                 listener,
                 bans,
                 link,
@@ -140,7 +142,7 @@
     /// Whether this process can serve.
     pub readiness: Readiness,
     /// The hosts that are out by hand.
-    pub overlay: Overlay,
+    pub overlay: ListOverlay,
     /// What the list's actor is asked.
     pub requests: mpsc::Receiver<Request>,
 }
@@ -152,7 +154,7 @@
     /// For the operators' staff, if that is configured.
     pub desk: Option<std::net::TcpListener>,
     /// What was taken over from another process, and the link to it.
-    pub before: Option<(Bans, UnixStream)>,
+    pub before: Option<(ManualEjections, UnixStream)>,
 }
 
 /// What the list's actor may be asked at once; one order more is refused.
@@ -195,7 +197,7 @@
 }
 
 /// Limits of the server of clients that has this room.
-pub(crate) fn limits(config: &Config, room: Room, beside: watch::Receiver<Beside>) -> Limits {
+pub(crate) fn limits(config: &Config, room: Room, beside: watch::Receiver<RestartRole>) -> Limits {
     let longest = config
         .site
         .settings
@@ -243,7 +245,7 @@
         let shared = settings
             .subscribe_within
             .map(|within| (settings.routers, within));
-        let pace = Pace {
+        let pace = DiscoveryBackoff {
             seed: config.seed,
             shared,
             grace: config.site.caps.drain_grace,
@@ -280,24 +282,25 @@
     } = doors;
     let mut config = config;
     let (stand, beside) = watch::channel(if before.is_some() {
-        Beside::Both
+        RestartRole::Both
     } else {
-        Beside::Alone
+        RestartRole::Alone
     });
     let mut staff = None;
     if let Some(at) = desk {
         let readiness = Readiness::new(stop.clone(), beside.clone(), counters.clone());
         let (members, requests) = mpsc::channel(MOST_REQUESTS);
-        Desk::new(readiness.clone(), counters.clone(), members.clone()).serve(at)?;
-        let (bans, link) =
-            before.map_or((Bans::default(), None), |(bans, link)| (bans, Some(link)));
+        AdminServer::new(readiness.clone(), counters.clone(), members.clone()).serve(at)?;
+        let (bans, link) = before.map_or((ManualEjections::default(), None), |(bans, link)| {
+            (bans, Some(link))
+        });
         if link.is_some() {
             config.known.members = bans.listed();
         }
-        if let Some(path) = turnover::meeting_place(&config.name) {
+        if let Some(path) = hot_restart::meeting_place(&config.name) {
             let (name, listen) = (config.name.clone(), config.listen.clone());
             let listener = std::net::TcpListener::from(listener.as_fd().try_clone_to_owned()?);
-            let turnover = Turnover {
+            let turnover = HotRestart {
                 path,
                 name,
                 listen,
@@ -309,7 +312,7 @@
         }
         staff = Some(Staff {
             readiness,
-            overlay: Overlay::new(bans),
+            overlay: ListOverlay::new(bans),
             requests,
         });
     }
@@ -343,7 +346,7 @@
     let (room, limits) = (config.room, limits(&config, config.room, beside.clone()));
     let caps = config.site.caps.clone();
     let (count, cores) = (counters.clone(), None);
-    let peers = Peers::new(
+    let peers = HostConnections::new(
         dialect(&config),
         caps,
         room.links,
@@ -368,7 +371,7 @@
             .unwrap_or_default()
             .as_micros() as u64;
         let (tx, words) = mpsc::channel(MOST_WORDS);
-        table = table.talking(Voice::new(talk, life, config.seed), tx);
+        table = table.talking(LoadPublisher::new(talk, life, config.seed), tx);
         tokio::spawn(
             Talk {
                 tier,
@@ -382,7 +385,12 @@
     let (mut news, mut readiness) = (mail.clone(), None);
     if let Some(staff) = staff {
         let (told, inbox) = mpsc::unbounded_channel();
-        tokio::spawn(members::run(staff.overlay, inbox, staff.requests, mail));
+        tokio::spawn(list_overlay::run(
+            staff.overlay,
+            inbox,
+            staff.requests,
+            mail,
+        ));
         (news, readiness) = (told, Some(staff.readiness));
     }
     // The list as last known comes first, so that the first query finds hosts.
--- a/crates/coordinator/src/shard/run.rs
+++ b/crates/coordinator/src/shard/run.rs
@@ -4,14 +4,14 @@
 
 use super::{settle_on, Seat};
 use crate::config::{Config, CoresConfig};
-use crate::core::{self, Clock, Core, Listed, Mail, Table};
+use crate::core::{self, Clock, Core, Endpoint, Mail, Table};
 use crate::counters::Counters;
 use crate::front::Fronts;
 use crate::interface::{ListKind, ServerState};
+use crate::net::hosts::HostConnections;
 use crate::net::http::{self, Gated, Handed, Incoming, Service};
-use crate::net::peer::Peers;
-use crate::ops::members::{word_of, Overlay, Request, Sink};
-use crate::ops::turnover::Beside;
+use crate::ops::hot_restart::RestartRole;
+use crate::ops::list_overlay::{word_of, ListOverlay, ListSink, Request};
 use crate::serve::{dialect, fronts, limits, list_source, Staff, HINT};
 use multi_core::core_dispatch::CoreDispatcher;
 use multi_core::drain_gates::DrainGates;
@@ -45,7 +45,7 @@
     counters: Counters,
     stop: watch::Receiver<bool>,
     pin: bool,
-    beside: watch::Receiver<Beside>,
+    beside: watch::Receiver<RestartRole>,
 }
 
 /// Counts a connection on its core for as long as it lives.
@@ -89,7 +89,7 @@
             overlay,
             requests,
         }) => (Some(readiness), overlay, Some(requests)),
-        None => (None, Overlay::default(), None),
+        None => (None, ListOverlay::default(), None),
     };
     log::info!(cores = n, pinned = cores.pin; "{}", config.summary());
     let origin = Instant::now();
@@ -243,7 +243,7 @@
         self,
         config: Config,
         moves: mpsc::UnboundedReceiver<String>,
-        mut overlay: Overlay,
+        mut overlay: ListOverlay,
         mut requests: Option<mpsc::Receiver<Request>>,
     ) {
         let (news, mut inbox) = mpsc::unbounded_channel();
@@ -287,8 +287,8 @@
     }
 }
 
-impl Sink for Spread {
-    fn publish(&self, kind: ListKind, hosts: Vec<Listed>) {
+impl ListSink for Spread {
+    fn publish(&self, kind: ListKind, hosts: Vec<Endpoint>) {
         let now = self.origin.elapsed();
         let stop_at = (now + self.grace).saturating_sub(MARGIN).as_micros() as u64;
         let complete = matches!(kind, ListKind::Full | ListKind::Cached);
@@ -354,7 +354,7 @@
         let dialect = dialect(&config);
         let limits = limits(&config, room, beside.clone());
         let caps = config.site.caps.clone();
-        let peers = Peers::new(
+        let peers = HostConnections::new(
             dialect,
             caps,
             room.links,
--- a/crates/coordinator/tests/core.rs
+++ b/crates/coordinator/tests/core.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use coordinator::core::{
-    settings, Answer, CallPart, Clock, Ended, Listed, Mail, NewPart, NewQuery, Table, Transport,
+    settings, Answer, CallPart, Clock, Ended, Endpoint, Mail, NewPart, NewQuery, Table, Transport,
 };
 use coordinator::counters::Counters;
 use coordinator::{ClassId, ListKind, Outcome, RequestId, ServerId, ServerState};
@@ -24,7 +24,7 @@
 struct Script(Arc<Mutex<Asked>>);
 
 impl Transport for Script {
-    fn listed(&mut self, _: ServerId, _: &Listed, _: Option<Instant>) {}
+    fn listed(&mut self, _: ServerId, _: &Endpoint, _: Option<Instant>) {}
     fn call(&mut self, server: ServerId, parts: Vec<CallPart>) {
         self.0
             .lock()
@@ -45,9 +45,9 @@
     }
 }
 
-fn host(n: usize, state: ServerState) -> Listed {
+fn host(n: usize, state: ServerState) -> Endpoint {
     let (id, addr, zone) = (format!("h{n}"), format!("127.0.0.1:{n}"), "a".into());
-    Listed {
+    Endpoint {
         id,
         addr,
         zone,
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -7,7 +7,7 @@
 use coordinator::net::http::{
     self, Answering, Gated, Incoming, Limits, Request, Response, Service,
 };
-use coordinator::ops::turnover::never;
+use coordinator::ops::hot_restart::never;
 use socket2::SockRef;
 use std::future::Future;
 use std::io::{Read, Write};
--- a/crates/coordinator/tests/discovery_backoff.rs
+++ b/crates/coordinator/tests/discovery_backoff.rs
@@ -1,6 +1,6 @@
 //! When a watch of the host list calls discovery again.
 
-use coordinator::net::list::{Pace, BACKOFF};
+use coordinator::net::discovery_watch::{DiscoveryBackoff, BACKOFF};
 use std::time::Duration;
 
 /// A hundred that start at one moment with a list in hand call discovery spread over seconds; with an
@@ -9,7 +9,7 @@
 fn first_calls_when_many_share_discovery_then_they_are_spread() {
     let within = Duration::from_secs(10);
     let start = |seed: u64| {
-        let (mut backoff, spread) = Pace {
+        let (mut backoff, spread) = DiscoveryBackoff {
             seed,
             shared: Some((100, within)),
             grace: Duration::from_secs(1),
@@ -26,7 +26,7 @@
     );
     assert!(first[99] < Duration::from_secs(4));
     for shared in [None, Some((3, within))] {
-        let (mut backoff, spread) = Pace {
+        let (mut backoff, spread) = DiscoveryBackoff {
             seed: 1,
             shared,
             grace: Duration::from_secs(1),
--- a/crates/coordinator/tests/talk.rs
+++ b/crates/coordinator/tests/gossip.rs
@@ -1,6 +1,8 @@
 //! Coordinators that tell each other: the laws of what they believe, and what bad input costs.
 
-use coordinator::peers::{tag, Gossip, Heard, Tag, Talk, Unreadable, View, Word, MOST_BYTES};
+use coordinator::peers::{
+    tag, Gossip, Heard, HostTag, LoadUpdate, PeerLoads, Talk, UpdateError, MOST_BYTES,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -8,20 +10,20 @@
     Duration::from_millis(n)
 }
 
-fn word() -> impl Strategy<Value = (u32, Word)> {
+fn word() -> impl Strategy<Value = (u32, LoadUpdate)> {
     let host = (0u8..6, 0u16..50).prop_map(|(h, out)| ([h, 0, 0], out));
     let hosts = proptest::collection::btree_map(0u8..6, host, 0..6);
     (0u32..3, 0u64..3, 1u32..6, hosts).prop_map(|(from, life, seq, hosts)| {
-        let mut hosts: Vec<(Tag, u16)> = hosts.into_values().collect();
+        let mut hosts: Vec<(HostTag, u16)> = hosts.into_values().collect();
         hosts.sort();
         hosts.dedup_by_key(|h| h.0);
-        (from, Word { life, seq, hosts })
+        (from, LoadUpdate { life, seq, hosts })
     })
 }
 
 /// One sender says one thing under one number: of words that share it the first drawn counts.
-fn honest(words: Vec<(u32, Word)>) -> Vec<(u32, Word)> {
-    let mut kept: Vec<(u32, Word)> = Vec::new();
+fn honest(words: Vec<(u32, LoadUpdate)>) -> Vec<(u32, LoadUpdate)> {
+    let mut kept: Vec<(u32, LoadUpdate)> = Vec::new();
     for (from, w) in words {
         if !kept
             .iter()
@@ -33,8 +35,8 @@
     kept
 }
 
-fn heard<'a>(words: impl Iterator<Item = &'a (u32, Word)>) -> View {
-    let mut view = View::new(4);
+fn heard<'a>(words: impl Iterator<Item = &'a (u32, LoadUpdate)>) -> PeerLoads {
+    let mut view = PeerLoads::new(4);
     for (from, w) in words {
         view.take(ms(100), *from, w);
     }
@@ -72,27 +74,27 @@
     }
 
     #[test]
-    fn what_is_written_is_read_and_fits(hosts in proptest::collection::vec((any::<Tag>(), any::<u16>()), 0..300), life: u64, seq: u32) {
-        let word = Word { life, seq, hosts };
+    fn what_is_written_is_read_and_fits(hosts in proptest::collection::vec((any::<HostTag>(), any::<u16>()), 0..300), life: u64, seq: u32) {
+        let word = LoadUpdate { life, seq, hosts };
         let (datagram, fit) = word.write();
         prop_assert!(datagram.bytes().len() <= MOST_BYTES && (fit == word.hosts.len() || fit >= 36));
-        let read = Word::read(datagram.bytes()).expect("its own");
+        let read = LoadUpdate::read(datagram.bytes()).expect("its own");
         prop_assert_eq!(read.hosts, &word.hosts[..fit]);
     }
 
     #[test]
     fn garbled_bytes_are_no_word(bytes in proptest::collection::vec(any::<u8>(), 0..400), flip in 0usize..256, bit in 0u8..8) {
         // Sixteen bits of a checksum let one in 65,536 through: such a word is as good as a lie, and harmless.
-        let _ = Word::read(&bytes);
-        let word = Word { life: 7, seq: 9, hosts: vec![([1, 2, 3], 4), ([5, 6, 7], 8)] };
+        let _ = LoadUpdate::read(&bytes);
+        let word = LoadUpdate { life: 7, seq: 9, hosts: vec![([1, 2, 3], 4), ([5, 6, 7], 8)] };
         let mut bytes = word.write().0.bytes().to_vec();
         let at = flip % bytes.len();
         bytes[at] ^= 1 << bit;
-        prop_assert!(Word::read(&bytes).is_err());
+        prop_assert!(LoadUpdate::read(&bytes).is_err());
     }
 }
 
-const HOST: Tag = [1, 2, 3];
+const HOST: HostTag = [1, 2, 3];
 
 fn gossip(rank: u32, life: u64) -> Gossip {
     Gossip::new(
@@ -150,15 +152,15 @@
     let other = [&[9u8], &good[1..]].concat();
     assert_eq!(
         a.hear(ms(200), 1, &other),
-        Heard::Unreadable(Unreadable::Version)
+        Heard::UpdateError(UpdateError::Version)
     );
     assert_eq!(
         a.hear(ms(200), 1, &[]),
-        Heard::Unreadable(Unreadable::Length)
+        Heard::UpdateError(UpdateError::Length)
     );
     assert_eq!(
         a.hear(ms(200), 1, &[1; 257]),
-        Heard::Unreadable(Unreadable::Length)
+        Heard::UpdateError(UpdateError::Length)
     );
     assert_eq!(a.hear(ms(200), 1, &good), Heard::Taken);
     a.hear(ms(200), 2, &say(&mut gossip(2, 1), 200, 4));
@@ -175,7 +177,7 @@
     let (mut bytes, mut words, mut last) = (0usize, 0u32, 0u64);
     // 30 parts a second, something new at every tick, 100 hosts.
     for now in (0..20_000).step_by(10) {
-        let outs: Vec<(Tag, u16)> = (0..100)
+        let outs: Vec<(HostTag, u16)> = (0..100)
             .map(|h| ([h, 0, 0], (now / 10 % 7) as u16))
             .collect();
         if let Some(d) = a.turn(ms(now), &outs, now * 30 / 1000) {
@@ -197,12 +199,12 @@
 #[test]
 fn hosts_that_do_not_fit_take_turns() {
     let mut a = gossip(0, 1);
-    let outs: Vec<(Tag, u16)> = (0..200).map(|h| ([h, 1, 0], 3)).collect();
+    let outs: Vec<(HostTag, u16)> = (0..200).map(|h| ([h, 1, 0], 3)).collect();
     let mut told = std::collections::BTreeSet::new();
     for now in (0..4000).step_by(50) {
         if let Some(d) = a.turn(ms(now), &outs, now) {
             told.extend(
-                Word::read(d.bytes())
+                LoadUpdate::read(d.bytes())
                     .expect("readable")
                     .hosts
                     .into_iter()
--- a/crates/coordinator/tests/peers.rs
+++ b/crates/coordinator/tests/host_connections.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use coordinator::core::{settings, CallPart, Ended, Listed, Mail, Transport};
+use coordinator::core::{settings, CallPart, Ended, Endpoint, Mail, Transport};
 use coordinator::counters::Counters;
 use coordinator::front::opensearch::hosts::{payload, OpenSearchHosts};
+use coordinator::net::hosts::HostConnections;
 use coordinator::net::link::{Dialect, Frames};
-use coordinator::net::peer::Peers;
 use coordinator::{Outcome, RequestId, ServerId, ServerState};
 use std::sync::Arc;
 use std::time::Instant;
@@ -17,9 +17,9 @@
 
 struct Bench {
     runtime: tokio::runtime::Runtime,
-    peers: Peers,
+    peers: HostConnections,
     mail: mpsc::UnboundedReceiver<Mail>,
-    host: Listed,
+    host: Endpoint,
 }
 
 impl Bench {
@@ -30,17 +30,17 @@
             .unwrap();
         let caps = settings::read(&settings().to_string()).unwrap().caps;
         let (core, mail) = mpsc::unbounded_channel();
-        let peers = Peers::new(
+        let peers = HostConnections::new(
             dialect,
             caps,
             64,
             core,
             Counters::default(),
             None,
-            coordinator::ops::turnover::never(),
+            coordinator::ops::hot_restart::never(),
         );
         let (addr, zone) = (addr.to_owned(), "a".to_owned());
-        let host = Listed {
+        let host = Endpoint {
             id: "h".into(),
             addr,
             zone,
@@ -58,7 +58,7 @@
         bench
     }
 
-    fn act(&mut self, act: impl FnOnce(&mut Peers, &Listed)) {
+    fn act(&mut self, act: impl FnOnce(&mut HostConnections, &Endpoint)) {
         let _inside = self.runtime.enter();
         act(&mut self.peers, &self.host);
     }
--- a/crates/coordinator/tests/json_objects.rs
+++ b/crates/coordinator/tests/json_objects.rs
@@ -1,7 +1,7 @@
 //! JSON objects found in a stream, however it is cut.
 
 use bytes::Bytes;
-use coordinator::net::objects::{Found, NoObject, Objects, DEEPEST};
+use coordinator::net::json_objects::{Found, NoObject, Objects, DEEPEST};
 
 /// Feeds the text in pieces of this size; gives what was found and how it ended.
 fn read(text: &str, piece: usize) -> (Vec<Found>, Result<(), NoObject>) {
--- a/crates/coordinator/tests/lists.rs
+++ b/crates/coordinator/tests/lists.rs
@@ -6,7 +6,7 @@
 use coordinator::core::Mail;
 use coordinator::counters::Counters;
 use coordinator::interface::ListKind;
-use coordinator::net::list::{Pace, Watch};
+use coordinator::net::discovery_watch::{DiscoveryBackoff, Watch};
 use serde_json::json;
 use std::time::Duration;
 use support::ms;
@@ -27,7 +27,7 @@
 }
 
 impl Bench {
-    fn new(addr: &str, pace: Pace) -> Self {
+    fn new(addr: &str, pace: DiscoveryBackoff) -> Self {
         let (core, news) = mpsc::unbounded_channel();
         let (moves, moved) = mpsc::unbounded_channel();
         let counters = Counters::default();
@@ -64,8 +64,8 @@
     }
 }
 
-fn agent(grace: u64) -> Pace {
-    Pace {
+fn agent(grace: u64) -> DiscoveryBackoff {
+    DiscoveryBackoff {
         seed: 1,
         shared: None,
         grace: ms(grace),
@@ -194,7 +194,7 @@
         let shared = Some((300, Duration::from_secs(12)));
         let mut bench = Bench::new(
             &discovery.addr,
-            Pace {
+            DiscoveryBackoff {
                 seed,
                 shared,
                 grace: ms(1000),
--- a/crates/coordinator/tests/manual_ejection.rs
+++ b/crates/coordinator/tests/manual_ejection.rs
@@ -1,11 +1,11 @@
 //! Hosts that the operators took out, over what their source says of them.
 
-use coordinator::core::Listed;
-use coordinator::ops::bans::{Bans, Refusal};
+use coordinator::core::Endpoint;
+use coordinator::ops::manual_ejection::{EjectionError, ManualEjections};
 use coordinator::{ListKind, ServerState};
 
-fn host(id: &str, state: ServerState, up_since_ms: u64) -> Listed {
-    Listed {
+fn host(id: &str, state: ServerState, up_since_ms: u64) -> Endpoint {
+    Endpoint {
         id: id.into(),
         addr: "a:1".into(),
         zone: "a".into(),
@@ -15,7 +15,7 @@
     }
 }
 
-fn states(hosts: &[Listed]) -> Vec<(&str, ServerState, u64)> {
+fn states(hosts: &[Endpoint]) -> Vec<(&str, ServerState, u64)> {
     hosts
         .iter()
         .map(|h| (h.id.as_str(), h.state, h.up_since_ms))
@@ -27,8 +27,8 @@
 
 #[test]
 fn host_when_ejected_then_discovery_does_not_lift_it_and_one_restore_does() {
-    let mut bans = Bans::default();
-    assert_eq!(bans.order("a", true, 5), Err(Refusal::Unknown));
+    let mut bans = ManualEjections::default();
+    assert_eq!(bans.order("a", true, 5), Err(EjectionError::Unknown));
     bans.news(Cached, vec![host("a", Ready, 1), host("b", Ready, 1)]);
     assert_eq!(
         states(&bans.order("a", true, 5).unwrap()),
@@ -65,7 +65,7 @@
 
 #[test]
 fn host_when_restored_then_it_counts_as_started_then_or_later_if_discovery_says_so() {
-    let mut bans = Bans::default();
+    let mut bans = ManualEjections::default();
     bans.news(Full, vec![host("a", Ready, 10)]);
     bans.order("a", true, 20).unwrap();
     // Restarted meanwhile, and draining by discovery's own word: that stands after the call back.
--- a/crates/coordinator/tests/ops.rs
+++ b/crates/coordinator/tests/ops.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use coordinator::counters::Counters;
-use coordinator::ops::desk::Desk;
-use coordinator::ops::turnover::never;
+use coordinator::ops::admin_server::AdminServer;
+use coordinator::ops::hot_restart::never;
 use coordinator::ops::Readiness;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -136,7 +136,7 @@
     let (members, _never_read) = tokio::sync::mpsc::channel(2);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let desk = listener.local_addr().unwrap().to_string();
-    Desk::new(readiness.clone(), counters, members)
+    AdminServer::new(readiness.clone(), counters, members)
         .serve(listener)
         .unwrap();
     assert_eq!(
--- a/crates/coordinator/tests/ring_buffer.rs
+++ b/crates/coordinator/tests/ring_buffer.rs
@@ -1,11 +1,11 @@
 //! The ring buffer between a socket and its reader or writer.
 
-use coordinator::net::ring::Ring;
+use coordinator::net::ring_buffer::RingBuffer;
 
 /// A ring that lost or reordered bytes at its seam would corrupt requests that cross it.
 #[test]
 fn ring_when_bytes_wrap_then_they_stay_in_order_and_a_full_one_takes_no_more() {
-    let (mut ring, mut next, mut expect) = (Ring::new(7), 0u8, 0u8);
+    let (mut ring, mut next, mut expect) = (RingBuffer::new(7), 0u8, 0u8);
     for step in 1..40usize {
         let bytes: Vec<u8> = (0..step % 9).map(|i| next.wrapping_add(i as u8)).collect();
         let taken = ring.put(&bytes);
--- a/crates/coordinator/tests/stall_detector.rs
+++ b/crates/coordinator/tests/stall_detector.rs
@@ -1,6 +1,6 @@
 //! When a connection to a host counts as stalled or lost, by times alone.
 
-use coordinator::net::silence::Pace;
+use coordinator::net::stall_detector::StallDetector;
 use std::time::{Duration, Instant};
 
 const CONNECT: Duration = Duration::from_millis(200);
@@ -9,15 +9,15 @@
     Duration::from_millis(n)
 }
 
-fn seasoned(start: Instant, took: u64) -> Pace {
-    let pace = Pace::default();
+fn seasoned(start: Instant, took: u64) -> StallDetector {
+    let pace = StallDetector::default();
     (0..50).for_each(|n| pace.answered(start + ms(10 * n), start + ms(10 * n + took)));
     pace
 }
 
 #[test]
 fn host_when_it_has_not_answered_yet_then_nothing_is_stalled_or_lost() {
-    let (pace, now) = (Pace::default(), Instant::now());
+    let (pace, now) = (StallDetector::default(), Instant::now());
     assert!(!pace.stalled(Some(now), now + ms(10_000), CONNECT) && !pace.lost(Some(now), CONNECT));
 }
 
@@ -33,7 +33,7 @@
 fn stall_timeout_when_there_are_many_coordinators_then_its_floor_is_higher() {
     let start = Instant::now();
     for (coordinators, least) in [(3, 50), (8, 50), (80, 500)] {
-        let pace = Pace::among(coordinators);
+        let pace = StallDetector::among(coordinators);
         (0..50).for_each(|n| pace.answered(start + ms(10 * n), start + ms(10 * n + 1)));
         assert_eq!(pace.patience(CONNECT), Some(ms(least)), "{coordinators}");
     }
@@ -58,7 +58,7 @@
 fn calls_when_there_are_many_coordinators_then_they_spread_over_fewer_connections() {
     let start = Instant::now();
     for (coordinators, most) in [(3, 6), (8, 6), (24, 2), (100, 1)] {
-        let pace = Pace::among(coordinators);
+        let pace = StallDetector::among(coordinators);
         pace.ended(start, start, CONNECT);
         assert_eq!(pace.spread(6), most, "{coordinators}");
     }
--- a/crates/coordinator/tests/wire_formats.rs
+++ b/crates/coordinator/tests/wire_formats.rs
@@ -4,13 +4,13 @@
 
 mod support;
 
-use coordinator::core::Listed;
+use coordinator::core::Endpoint;
 use coordinator::counters::{Counters, End, Pool};
 use coordinator::interface::ListKind;
-use coordinator::ops::bans::Bans;
-use coordinator::ops::members::{Attached, Order, Request};
-use coordinator::ops::turnover::{take_over, Beside, Turnover};
-use coordinator::peers::{tag, Word};
+use coordinator::ops::hot_restart::{take_over, HotRestart, RestartRole};
+use coordinator::ops::list_overlay::{AttachedProcess, Order, Request};
+use coordinator::ops::manual_ejection::ManualEjections;
+use coordinator::peers::{tag, LoadUpdate};
 use coordinator::ServerState;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -29,8 +29,8 @@
 /// What the old process tells of hosts `s-0` (taken out), `s-1` (called back at 1234 ms) and `s-2` (draining).
 const BANS: &str = r#"{"out":["s-0"],"back":{"s-1":1234},"listed":{"s-0":{"id":"s-0","addr":"10.0.0.1:80","zone":"a","cell":3,"state":"Ready","up_since_ms":17},"s-1":{"id":"s-1","addr":"10.0.0.1:80","zone":"a","cell":3,"state":"Ready","up_since_ms":17},"s-2":{"id":"s-2","addr":"10.0.0.1:80","zone":"a","cell":3,"state":"Draining","up_since_ms":17}}}"#;
 
-fn host(id: &str, state: ServerState) -> Listed {
-    Listed {
+fn host(id: &str, state: ServerState) -> Endpoint {
+    Endpoint {
         id: id.into(),
         addr: "10.0.0.1:80".into(),
         zone: "a".into(),
@@ -40,7 +40,7 @@
     }
 }
 
-fn hosts() -> Vec<Listed> {
+fn hosts() -> Vec<Endpoint> {
     vec![
         host("s-0", ServerState::Ready),
         host("s-1", ServerState::Ready),
@@ -48,8 +48,8 @@
     ]
 }
 
-fn bans() -> Bans {
-    let mut bans = Bans::default();
+fn bans() -> ManualEjections {
+    let mut bans = ManualEjections::default();
     bans.news(ListKind::Full, hosts());
     bans.order("s-0", true, 1000).unwrap();
     bans.order("s-1", true, 1000).unwrap();
@@ -74,14 +74,14 @@
     /// Orders given at this process, to be forwarded to the other one.
     forward: mpsc::UnboundedSender<Order>,
     orders: std::sync::mpsc::Receiver<(String, bool)>,
-    beside: watch::Receiver<Beside>,
+    beside: watch::Receiver<RestartRole>,
 }
 
 impl RestartProcess {
     /// `link` leads to the process that this one has taken over from, if there is one.
     fn start(path: PathBuf, listener: TcpListener, link: Option<UnixStream>) -> Self {
         let listen = listener.local_addr().unwrap().to_string();
-        let (stand, beside) = watch::channel(Beside::Alone);
+        let (stand, beside) = watch::channel(RestartRole::Alone);
         let (stop, stopped) = oneshot::channel();
         let (attached, forwarded) = std::sync::mpsc::channel();
         let (obeyed, orders) = std::sync::mpsc::channel();
@@ -92,7 +92,7 @@
                 .unwrap();
             runtime.block_on(async {
                 let (members, mut requests) = mpsc::channel(8);
-                let turnover = Turnover {
+                let turnover = HotRestart {
                     path,
                     name: "c-1".into(),
                     listen,
@@ -108,7 +108,7 @@
                 let actor = async {
                     while let Some(request) = requests.recv().await {
                         match request {
-                            Request::Attach(Attached { forward, state }) => {
+                            Request::Attach(AttachedProcess { forward, state }) => {
                                 let _ = state.send(bans());
                                 attached.send(forward).unwrap();
                             }
@@ -147,7 +147,7 @@
         &self,
         host: &str,
         offline: bool,
-    ) -> oneshot::Receiver<Result<(), coordinator::ops::bans::Refusal>> {
+    ) -> oneshot::Receiver<Result<(), coordinator::ops::manual_ejection::EjectionError>> {
         let (reply, done) = oneshot::channel();
         let order = Order {
             host: host.into(),
@@ -207,10 +207,10 @@
     let process = RestartProcess::start(path, listener, None);
     let (mut link, told) = new.join().unwrap();
     assert_eq!(told, hello(&listen));
-    assert_eq!(*process.beside.borrow(), Beside::Both);
+    assert_eq!(*process.beside.borrow(), RestartRole::Both);
     link.write_all(b"\"ready\"\n").unwrap();
     until("it is replaced", || {
-        *process.beside.borrow() == Beside::Replaced
+        *process.beside.borrow() == RestartRole::Replaced
     });
     link.write_all(b"{\"order\":{\"number\":7,\"host\":\"s-2\",\"offline\":true}}\n")
         .unwrap();
@@ -281,8 +281,8 @@
     218, 171, 194, 255, 255, 3,
 ];
 
-fn word() -> Word {
-    Word {
+fn word() -> LoadUpdate {
+    LoadUpdate {
         life: 1_764_669_250_123_456,
         seq: 300,
         hosts: vec![(tag("s-0"), 0), (tag("s-1"), 7), (tag("s-2"), 65_535)],
@@ -297,7 +297,7 @@
 
 #[test]
 fn load_update_when_these_bytes_come_then_they_are_read() {
-    assert_eq!(Word::read(DATAGRAM), Ok(word()));
+    assert_eq!(LoadUpdate::read(DATAGRAM), Ok(word()));
 }
 
 #[test]
--- a/crates/load-test/src/engine.rs
+++ b/crates/load-test/src/engine.rs
@@ -6,7 +6,7 @@
 use crate::plan::{Plan, Planned};
 use crate::record::{QueryRecord, TryRecord};
 use crate::scenario::Scenario;
-use coordinator::net::conn::Conn;
+use coordinator::net::buffered_stream::BufferedStream;
 use coordinator::net::http::{response_head, Body, HttpError};
 use fake_hosts::ledger::{Epoch, Ref};
 use fake_hosts::model::Micros;
@@ -128,14 +128,14 @@
 struct Worker {
     shared: Arc<Shared>,
     /// Idle connections, by coordinator; the one used last is used next.
-    idle: RefCell<Vec<Vec<Conn>>>,
+    idle: RefCell<Vec<Vec<BufferedStream>>>,
     seats: Semaphore,
     records: RefCell<Vec<QueryRecord>>,
 }
 
 enum Connected {
-    Kept(Conn),
-    New(Conn),
+    Kept(BufferedStream),
+    New(BufferedStream),
     Failed(TryEnd),
 }
 
@@ -378,7 +378,7 @@
         }
         let addr = self.shared.targets[c].to_string();
         loop {
-            match Conn::connect(&addr, CONNECT, INPUT, OUTPUT).await {
+            match BufferedStream::connect(&addr, CONNECT, INPUT, OUTPUT).await {
                 Ok(conn) => return Connected::New(conn),
                 Err(e)
                     if e.raw_os_error()
