--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -4,8 +4,8 @@
 //! on them. Two processes, so that each peak is its own.
 
 use configuration::FaultBudget;
-use control_plane::ledger::ReplicatedState;
 use control_plane::member::{Config, Input, Member, Output};
+use control_plane::replicated_state::ReplicatedState;
 use protocol::{Change, MemberInfo, MembershipConfig, Message};
 use std::time::{Duration, Instant};
 
--- a/crates/control-plane/src/life.rs
+++ b/crates/control-plane/src/incarnation.rs
@@ -10,7 +10,7 @@
 const TAIL_MASK: u64 = (1 << TAIL_BITS) - 1;
 
 /// The number of a life that starts at `clock_ms`, above `before`; the tail is taken from `random`.
-pub fn following(before: u64, clock_ms: u64, random: u64) -> u64 {
+pub fn next_incarnation(before: u64, clock_ms: u64, random: u64) -> u64 {
     let clock = clock_ms.max((before >> TAIL_BITS) + 1).min(LARGEST_CLOCK);
     (clock << TAIL_BITS) | (random & TAIL_MASK)
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control plane: who acts ([`member`]), what lasts ([`ledger`]): state machines without I/O or clock. The
+//! The control plane: who acts ([`member`]), what lasts ([`replicated_state`]): state machines without I/O or clock. The
 //! shell round them ([`shell`]) is thin. `docs/design/system.md` tells how they work together.
 //!
 //! A member alone, as the first of its system: told its time, it asks for what it promises to be put on disk, and acts
@@ -44,13 +44,13 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod accepted;
+pub mod applied_requests;
 mod content;
 pub mod feed;
 pub mod history;
-pub mod ledger;
-pub mod life;
+pub mod incarnation;
 pub mod member;
 pub mod recovery;
+pub mod replicated_state;
 pub mod roster;
 pub mod shell;
--- a/crates/control-plane/src/member/acknowledged.rs
+++ b/crates/control-plane/src/member/acknowledged.rs
@@ -1,7 +1,7 @@
 //! Which ledger a member knows to be acknowledged: kept on its disk, so that its next life has something to show
 //! and a rewritten file says no less than the one before.
 
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use std::collections::VecDeque;
 
 /// Ledgers that are kept while it isn't known whether they are acknowledged, and their bytes on disk together. The
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -10,7 +10,7 @@
 use super::transfer::transfer_time;
 use super::view::{choose_replicas, majority_shortfall};
 use super::{Member, Output, Role};
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use protocol::{LogPosition, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -2,7 +2,7 @@
 
 use super::acknowledged::ledger_bytes;
 use super::{DiskError, DiskState, Member, Output, ReplicaLog, Role};
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use protocol::{MemberInfo, MembershipConfig, Message, Record};
 use std::time::Duration;
 
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -21,7 +21,7 @@
 pub use summary::{DiskState, GrantSummary, MemberSummary, RoleSummary};
 pub use view::{choose_replicas, majority_shortfall};
 
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use acknowledged::Acknowledged;
 use candidate::CandidateState;
 use commands::LocalCommand;
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -6,7 +6,7 @@
 use super::early::EarlyOrders;
 use super::transfer::{change_bytes, extra_time};
 use super::{Member, Output, Role};
-use crate::ledger::{Plan, ReplicatedState};
+use crate::replicated_state::{Plan, ReplicatedState};
 use configuration::ResultCode;
 use protocol::{Change, Command, MemberInfo, MembershipConfig, Message, Record};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/control-plane/src/member/recovery.rs
+++ b/crates/control-plane/src/member/recovery.rs
@@ -7,7 +7,7 @@
 //! A record that can't be read, or a change that doesn't follow what is before it, is never passed over: the member
 //! would count as one with an older ledger, or with fewer promises, than it had.
 
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use protocol::{MembershipConfig, Record, Snapshot};
 use snafu::{ResultExt, Snafu};
 use std::collections::BTreeSet;
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -2,7 +2,7 @@
 
 use super::disk::After;
 use super::{Grant, Member, Output, PrimaryContact, Role};
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use protocol::{Change, LogPosition, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 use std::time::Duration;
 
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -2,8 +2,8 @@
 //! anew, so that it goes on as the only voter, as somebody else and in a new generation of epochs
 //! (`docs/operators/losing-a-majority.md`). No I/O.
 
-use crate::ledger::ReplicatedState;
 use crate::member::generation::next_generation;
+use crate::replicated_state::ReplicatedState;
 use crate::shell::identity::{latest, FoundLedger, Identity, IdentityError, LedgerOwner};
 use protocol::{MemberInfo, MembershipConfig, Record};
 use snafu::{OptionExt, ResultExt, Snafu};
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -1,6 +1,6 @@
 //! The ledger: the configuration in force, the calls that led to it, the hosts that are leaving. Pure.
 
-use crate::accepted::{fingerprint, AppliedRequests};
+use crate::applied_requests::{fingerprint, AppliedRequests};
 use configuration::{Configuration, ResultCode};
 use protocol::{Change, Command, Snapshot};
 use std::cmp::Ordering;
--- a/crates/control-plane/src/roster.rs
+++ b/crates/control-plane/src/roster.rs
@@ -1,6 +1,6 @@
 //! What hosts and coordinators tell this member: its own source, numbered by itself. No I/O and no clock.
 
-use crate::life;
+use crate::incarnation;
 use configuration::ResultCode;
 use protocol::{
     Addr, CoordinatorRecord, HostRecord, MemberInfo, OriginUpdate, OriginVersion, Subscriber,
@@ -181,7 +181,7 @@
     /// Others know a life of this member with a higher number, and would take this one's records for older: it goes
     /// on under a number above that, and everything is told anew.
     pub fn follow_life(&mut self, later: u64) {
-        let next = life::following(later, 0, self.mark.life);
+        let next = incarnation::next_incarnation(later, 0, self.mark.life);
         if next <= later {
             return;
         }
--- a/crates/control-plane/src/shell/identity.rs
+++ b/crates/control-plane/src/shell/identity.rs
@@ -5,7 +5,7 @@
 //! its ledger is one whose promises are forgotten: it is never used again. A ledger without the identity's file
 //! says itself whose it is.
 
-use crate::life;
+use crate::incarnation;
 use binrw::binrw;
 use protocol::MemberInfo;
 use snafu::{ResultExt, Snafu};
@@ -146,7 +146,7 @@
     }
 
     fn life_after(&self, before: u64) -> u64 {
-        life::following(before, self.clock_ms, self.random)
+        incarnation::next_incarnation(before, self.clock_ms, self.random)
     }
 
     /// The identity of the life that starts now, given what both files held.
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -1,8 +1,8 @@
 //! A candidate alone, told what it would hear from the others.
 
 use configuration::FaultBudget;
-use control_plane::ledger::ReplicatedState;
 use control_plane::member::{Config, Input, Member, Output};
+use control_plane::replicated_state::ReplicatedState;
 use protocol::{Addr, LogPosition, MemberInfo, MembershipConfig, Message};
 use std::time::Duration;
 
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -1,6 +1,6 @@
 //! Who a member is, given what its disk held.
 
-use control_plane::life::{following, TAIL_BITS};
+use control_plane::incarnation::{next_incarnation, TAIL_BITS};
 use control_plane::shell::identity::{
     initial_voter_id, inner, latest, FoundLedger, Identity, IdentityError, LedgerOwner, StartFacts,
 };
@@ -53,8 +53,8 @@
 }
 
 #[rstest]
-#[case::clock_went_on(following(5, 0, 1), 1_000)]
-#[case::clock_went_back(following(0, 2_000, u64::MAX), 2_001)]
+#[case::clock_went_on(next_incarnation(5, 0, 1), 1_000)]
+#[case::clock_went_back(next_incarnation(0, 2_000, u64::MAX), 2_001)]
 #[case::of_an_earlier_release(1_700_000_000_000, 1_700_000_000_000 / (1 << TAIL_BITS) + 1)]
 fn a_life_is_numbered_above_the_one_before(#[case] before: u64, #[case] clock: u64) {
     let kept = Identity {
@@ -79,7 +79,7 @@
 fn two_lives_on_a_full_disk_never_have_the_same_number() {
     let kept = Some(Identity {
         id: 5,
-        life: following(0, 9_000, 1),
+        life: next_incarnation(0, 9_000, 1),
         ..Identity::default()
     });
     let first = birth(SEEDS[0], false).identity(kept.clone());
@@ -94,7 +94,10 @@
 
 #[test]
 fn the_highest_numbers_of_lives_harm_nobody() {
-    assert_eq!(following(u64::MAX, u64::MAX, 0), u64::MAX << TAIL_BITS);
+    assert_eq!(
+        next_incarnation(u64::MAX, u64::MAX, 0),
+        u64::MAX << TAIL_BITS
+    );
 }
 
 #[rstest]
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger: what a call comes to, and which members may hold it.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::ledger::{Plan, ReplicatedState};
 use control_plane::member::choose_replicas;
+use control_plane::replicated_state::{Plan, ReplicatedState};
 use protocol::{Change, Command, MemberInfo};
 use rstest::rstest;
 
--- a/crates/control-plane/tests/lives.rs
+++ b/crates/control-plane/tests/lives.rs
@@ -2,7 +2,7 @@
 //! what hosts tell it reaches everybody all the same.
 
 use control_plane::feed::RegistryPublisher;
-use control_plane::life::following;
+use control_plane::incarnation::next_incarnation;
 use control_plane::roster::{Beat, HostCall};
 use protocol::{Addr, Subscriber};
 use replication::{answer, Mirror, SharedMirror};
@@ -104,9 +104,9 @@
 
 /// The clock of the second start is earlier; neither number was kept.
 #[rstest]
-#[case::set_back_a_little(following(0, 9_000, 1), following(0, 8_000, 2))]
-#[case::set_back_below_what_was_kept(following(0, 9_000, 2), following(0, 9_000, 1))]
-#[case::set_back_by_years(following(0, 1 << 41, 1), following(0, 1, 2))]
+#[case::set_back_a_little(next_incarnation(0, 9_000, 1), next_incarnation(0, 8_000, 2))]
+#[case::set_back_below_what_was_kept(next_incarnation(0, 9_000, 2), next_incarnation(0, 9_000, 1))]
+#[case::set_back_by_years(next_incarnation(0, 1 << 41, 1), next_incarnation(0, 1, 2))]
 #[tokio::test(start_paused = true)]
 async fn hosts_told_after_the_clock_went_back_reach_everybody(
     #[case] first: u64,
@@ -135,23 +135,23 @@
 /// Again and again, each time further back.
 #[tokio::test(start_paused = true)]
 async fn a_third_start_further_back_is_followed_too() {
-    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
+    let mut fleet = ControlPlaneInfo::new(next_incarnation(0, 9_000, 1));
     let mut calls = 0;
     for (n, host) in ["a", "bb", "ccc", "dddd"].iter().enumerate() {
         fleet.run(&[host], 6, &mut calls).await;
         assert_eq!(fleet.shows(host), [true; 3], "life {n}");
-        fleet.restart(following(0, 8_000 - 1_000 * n as u64, n as u64 + 2));
+        fleet.restart(next_incarnation(0, 8_000 - 1_000 * n as u64, n as u64 + 2));
     }
 }
 
 /// The whole core starts anew, and only an agent that doesn't pull from this member remembers its life before.
 #[tokio::test(start_paused = true)]
 async fn an_agent_that_remembers_is_enough() {
-    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
+    let mut fleet = ControlPlaneInfo::new(next_incarnation(0, 9_000, 1));
     let mut calls = 0;
     fleet.run(&["a"], 2, &mut calls).await;
     fleet.peer = member(8);
-    fleet.restart(following(0, 3_000, 2));
+    fleet.restart(next_incarnation(0, 3_000, 2));
     fleet.run(&["bb"], 10, &mut calls).await;
     assert_eq!(fleet.shows("bb"), [true; 3]);
     assert_eq!(fleet.shows("a"), [false; 3]);
@@ -160,10 +160,10 @@
 /// A start like any other costs nobody anything: its number is higher, and stays what it is.
 #[tokio::test(start_paused = true)]
 async fn a_usual_start_keeps_its_number() {
-    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
+    let mut fleet = ControlPlaneInfo::new(next_incarnation(0, 9_000, 1));
     let mut calls = 0;
     fleet.run(&["a"], 2, &mut calls).await;
-    let life = following(0, 10_000, 2);
+    let life = next_incarnation(0, 10_000, 2);
     fleet.restart(life);
     fleet.run(&["a"], 6, &mut calls).await;
     let marks = fleet.agent.update(|mirror, _| mirror.vector());
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -2,8 +2,8 @@
 //! its records can't be relied on.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::ledger::{Plan, ReplicatedState, MAX_DOCUMENT_BYTES};
 use control_plane::member::{Config, DiskError, Input, Member, Output, ReplayError};
+use control_plane::replicated_state::{Plan, ReplicatedState, MAX_DOCUMENT_BYTES};
 use protocol::{AppliedRequest, Change, Command, MemberInfo, MembershipConfig, Message, Record};
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/control-plane/tests/order_calls.rs
+++ b/crates/control-plane/tests/order_calls.rs
@@ -2,7 +2,7 @@
 //! ledger in memory behind them.
 
 use configuration::ResultCode;
-use control_plane::ledger::{Plan, ReplicatedState};
+use control_plane::replicated_state::{Plan, ReplicatedState};
 use control_plane::shell::call::Call;
 use control_plane::shell::control::{Control, ControlCounters, Reply, RunCall};
 use protocol::Command;
--- a/crates/control-plane/tests/orders.rs
+++ b/crates/control-plane/tests/orders.rs
@@ -6,8 +6,8 @@
 mod order_cluster;
 
 use configuration::ResultCode;
-use control_plane::accepted::{fingerprint, MIN_REMEMBERED_ORDERS};
-use control_plane::ledger::{Plan, ReplicatedState};
+use control_plane::applied_requests::{fingerprint, MIN_REMEMBERED_ORDERS};
+use control_plane::replicated_state::{Plan, ReplicatedState};
 use order_cluster::{Cluster, Held};
 use proptest::prelude::*;
 use protocol::{Change, Command, Message};
--- a/crates/control-plane/tests/orders/early.rs
+++ b/crates/control-plane/tests/orders/early.rs
@@ -3,7 +3,7 @@
 use super::order_cluster::Cluster;
 use super::{answer, order, taken};
 use configuration::ResultCode;
-use control_plane::ledger::ReplicatedState;
+use control_plane::replicated_state::ReplicatedState;
 use protocol::Message;
 
 /// A caller waits a second before it goes elsewhere.
--- a/crates/model-check/src/orders.rs
+++ b/crates/model-check/src/orders.rs
@@ -3,7 +3,7 @@
 
 use crate::search::{Breach, Choice, Model};
 use configuration::{Configuration, ResultCode};
-use control_plane::ledger::{Plan, ReplicatedState};
+use control_plane::replicated_state::{Plan, ReplicatedState};
 use protocol::Command;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
