--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -86,13 +86,13 @@
 
 fn play(routes: usize, changes: u64, under_way: u64) -> Vec<Vec<u8>> {
     let voters = vec![seat(1), seat(2)];
-    let before = voters.clone();
+    let previous_voters = voters.clone();
     let view = MembershipConfig {
         epoch: EPOCH,
         primary: 1,
         replicas: vec![1, 2],
         voters,
-        before,
+        previous_voters,
     };
     let mut member = Member::new(config(), &[], Duration::ZERO, 1);
     let (mut disk, mut longest, mut rewrites) = (Vec::new(), 0, 0);
@@ -117,7 +117,7 @@
             seq,
             change,
         };
-        let before = Instant::now();
+        let previous_voters = Instant::now();
         rewrites += take(
             &mut member,
             now,
@@ -145,7 +145,7 @@
                 &mut disk,
             );
         }
-        stepping += before.elapsed();
+        stepping += previous_voters.elapsed();
         longest = longest.max(disk.iter().map(Vec::len).sum::<usize>());
     }
     println!(
@@ -182,9 +182,9 @@
                 rest = after;
             }
             drop(bytes);
-            let before = Instant::now();
+            let previous_voters = Instant::now();
             let member = Member::new(config(), &records, Duration::ZERO, 1);
-            let took = before.elapsed();
+            let took = previous_voters.elapsed();
             let count = records.len();
             let kib = records.iter().map(Vec::len).sum::<usize>() >> 10;
             println!(
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -98,7 +98,7 @@
     let own = (1 << OWN_BITS) - 1;
     view.voters
         .iter()
-        .chain(&view.before)
+        .chain(&view.previous_voters)
         .find(|s| s.id & own == epoch & own)
 }
 
@@ -106,7 +106,7 @@
 fn all_voters(view: &MembershipConfig) -> BTreeSet<u64> {
     view.voters
         .iter()
-        .chain(&view.before)
+        .chain(&view.previous_voters)
         .map(|s| s.id)
         .collect()
 }
@@ -176,7 +176,7 @@
             return;
         };
         let enough =
-            |v: &MembershipConfig| v.majority(|id| id == me || candidacy.willing.contains(&id));
+            |v: &MembershipConfig| v.has_quorum(|id| id == me || candidacy.willing.contains(&id));
         if self.view.as_ref().is_some_and(enough) {
             self.prepare(ViewChange::default(), None, out);
         }
@@ -283,7 +283,7 @@
         let Role::Candidate(candidacy) = &mut self.role else {
             return;
         };
-        if !highest.majority(|id| candidacy.promises.contains_key(&id)) {
+        if !highest.has_quorum(|id| candidacy.promises.contains_key(&id)) {
             return;
         }
         if highest.epoch == 0 {
@@ -352,7 +352,7 @@
         let change = candidacy.change.clone();
         let agreed = candidacy.agreed == Some(base.epoch);
         let mut voters: Vec<MemberInfo> = base.voters.iter().map(|s| self.fresh(s)).collect();
-        let before = if agreed {
+        let previous_voters = if agreed {
             voters.retain(|s| !change.remove.contains(&s.id));
             voters.extend(
                 change
@@ -363,7 +363,7 @@
             );
             base.voters.iter().map(|s| self.fresh(s)).collect()
         } else {
-            base.before.iter().map(|s| self.fresh(s)).collect()
+            base.previous_voters.iter().map(|s| self.fresh(s)).collect()
         };
         let me = self.me();
         let there = |id: u64| {
@@ -402,11 +402,11 @@
             primary: me,
             replicas,
             voters,
-            before,
+            previous_voters,
         };
         let snapshot = Some(ledger.snapshot());
         for copy in view.replicas.iter().filter(|c| **c != me) {
-            let to = view.seat(*copy).map(|s| self.fresh(s));
+            let to = view.voter(*copy).map(|s| self.fresh(s));
             let message = Message::InstallMembership {
                 view: view.clone(),
                 snapshot: snapshot.clone(),
@@ -480,7 +480,7 @@
             return;
         };
         if candidacy.phase == ElectionPhase::Witnesses
-            && view.majority(|id| candidacy.installed.contains(&id))
+            && view.has_quorum(|id| candidacy.installed.contains(&id))
         {
             let lacking = view
                 .voters
@@ -495,7 +495,7 @@
             let held_by: Vec<&MemberInfo> = view
                 .replicas
                 .iter()
-                .filter_map(|id| view.seat(*id))
+                .filter_map(|id| view.voter(*id))
                 .collect();
             state.takes_changes = choose_replicas(&self.config.budget, &held_by).is_some();
             self.waits_for_slow_disks = false;
--- a/crates/control-plane/src/member/leave.rs
+++ b/crates/control-plane/src/member/leave.rs
@@ -96,16 +96,17 @@
     /// Views reach those who aren't replicas only once all replicas have them on disk.
     pub(super) fn note_succession(&mut self, view: &MembershipConfig) {
         let newer = self.view.as_ref().is_none_or(|v| view.epoch > v.epoch);
-        let without = view.seat(self.me()).is_none() && !view.replicas.contains(&self.me());
+        let without = view.voter(self.me()).is_none() && !view.replicas.contains(&self.me());
         if let Some(departure) = &mut self.departure {
-            departure.succeeded |= newer && without && view.settled();
+            departure.succeeded |= newer && without && view.is_stable();
         }
     }
 
     /// Those who leave and have no say in a view, but wait for it to be there.
     pub(super) fn leaving_without_say(&self, view: &MembershipConfig) -> Vec<u64> {
-        let without =
-            |id: &u64| view.seat(*id).is_none() && !view.before.iter().any(|s| s.id == *id);
+        let without = |id: &u64| {
+            view.voter(*id).is_none() && !view.previous_voters.iter().any(|s| s.id == *id)
+        };
         self.peers
             .keys()
             .copied()
@@ -138,7 +139,7 @@
     /// Whether neither the ledger nor a majority rests on this member any more.
     fn succeeded(&self) -> bool {
         let free = |v: &MembershipConfig| {
-            v.settled() && !v.replicas.contains(&self.me()) && !self.gives_up_vote(v)
+            v.is_stable() && !v.replicas.contains(&self.me()) && !self.gives_up_vote(v)
         };
         self.view.as_ref().is_none_or(free) || self.departure.as_ref().is_some_and(|d| d.succeeded)
     }
@@ -149,8 +150,8 @@
         let others_join = self
             .peers
             .values()
-            .any(|p| view.seat(p.seat.id).is_none() && self.may_join(p));
-        view.seat(self.me()).is_some() && (others_join || self.can_spare_a_voter(view))
+            .any(|p| view.voter(p.seat.id).is_none() && self.may_join(p));
+        view.voter(self.me()).is_some() && (others_join || self.can_spare_a_voter(view))
     }
 
     /// Whether those who answered lately and stay are a majority, with enough replicas among them.
@@ -167,14 +168,14 @@
         };
         let stays = |id: u64| granted(id) && self.peer_fit(id) && !self.peer_leaving(id);
         let seats: Vec<&MemberInfo> = view.voters.iter().filter(|s| stays(s.id)).collect();
-        view.majority(stays) && choose_replicas(&self.config.budget, &seats).is_some()
+        view.has_quorum(stays) && choose_replicas(&self.config.budget, &seats).is_some()
     }
 
     fn other_voters(&self) -> BTreeSet<u64> {
         let voters = self
             .view
             .iter()
-            .flat_map(|v| v.voters.iter().chain(&v.before));
+            .flat_map(|v| v.voters.iter().chain(&v.previous_voters));
         voters.map(|s| s.id).filter(|id| *id != self.me()).collect()
     }
 
--- a/crates/control-plane/src/member/membership.rs
+++ b/crates/control-plane/src/member/membership.rs
@@ -38,7 +38,7 @@
             || !change.exclude.is_empty()
             || !change.add.is_empty()
             || !change.remove.is_empty();
-        (overtaken || broken || moves || !view.settled()).then_some(change)
+        (overtaken || broken || moves || !view.is_stable()).then_some(change)
     }
 
     /// Time since the last lease that a voter granted.
@@ -123,7 +123,7 @@
         let joins = self
             .peers
             .values()
-            .filter(|p| view.seat(p.seat.id).is_none() && self.may_join(p));
+            .filter(|p| view.voter(p.seat.id).is_none() && self.may_join(p));
         let mut beside = Vec::new();
         for joiner in joins.map(|p| &p.seat) {
             let at_home = view.voters.iter().find(|v| v.addr == joiner.addr);
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -294,13 +294,13 @@
             config,
         };
         if let Some(voters) = member.config.bootstrap_voters.clone() {
-            let before = voters.clone();
+            let previous_voters = voters.clone();
             member.view = Some(MembershipConfig {
                 epoch: 0,
                 primary: 0,
                 replicas: vec![],
                 voters,
-                before,
+                previous_voters,
             });
         }
         member.recover(records);
@@ -458,7 +458,7 @@
         let voter = self
             .view
             .as_ref()
-            .is_some_and(|v| v.seat(seat.id).is_some());
+            .is_some_and(|v| v.voter(seat.id).is_some());
         let heard = self.peers.get(&seat.id).map(|p| p.heard).filter(|_| voter);
         self.note(seat);
         if let Some(peer) = self.peers.get_mut(&seat.id) {
@@ -500,7 +500,7 @@
     fn is_voter(&self) -> bool {
         self.view
             .as_ref()
-            .is_some_and(|v| v.seat(self.me()).is_some())
+            .is_some_and(|v| v.voter(self.me()).is_some())
     }
 
     /// A replica notes what the primary of its view has acknowledged, for its next life.
@@ -523,10 +523,10 @@
     }
 
     fn member_info(&self, id: u64) -> Option<MemberInfo> {
-        let voter = self
-            .view
-            .as_ref()
-            .and_then(|v| v.seat(id).or(v.before.iter().find(|s| s.id == id)));
+        let voter = self.view.as_ref().and_then(|v| {
+            v.voter(id)
+                .or(v.previous_voters.iter().find(|s| s.id == id))
+        });
         self.peers.get(&id).map(|p| &p.seat).or(voter).cloned()
     }
 
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -121,7 +121,7 @@
             stamps.sort_unstable_by(|a, b| b.cmp(a));
             stamps.get(seats.len() / 2).copied().unwrap_or(self.now)
         };
-        let asked = nth(&view.voters).min(nth(&view.before));
+        let asked = nth(&view.voters).min(nth(&view.previous_voters));
         if asked.is_zero() {
             return Duration::ZERO;
         }
@@ -149,7 +149,7 @@
             return self.release_lease(out);
         }
         // What is half-way is brought to its end at once.
-        let settled = self.view.as_ref().is_none_or(MembershipConfig::settled);
+        let settled = self.view.as_ref().is_none_or(MembershipConfig::is_stable);
         if !settled || now >= state.since + lease.mul_f64(MIN_VIEW_AGE) {
             if let Some(change) = self.wanted(state) {
                 let agreed = Some(state.epoch);
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -13,7 +13,7 @@
         // One that joins may be a voter without having been told yet: with no view of its own it can't know better
         // than whoever asks, and a promise never does harm.
         // Until a change of voters is settled, those who go count as well.
-        let counts = self.view.as_ref().is_none_or(|v| v.counts(self.me()));
+        let counts = self.view.as_ref().is_none_or(|v| v.has_vote(self.me()));
         let may_be_voter = counts && !self.given_up();
         if !may_be_voter || !self.fit() {
             return Err(wait);
@@ -56,7 +56,7 @@
     ) {
         self.see(seen);
         // Whoever has been left out since can't win, it would only hold the others up.
-        let left_out = |v: &MembershipConfig| v.epoch > view && v.seat(from.id).is_none();
+        let left_out = |v: &MembershipConfig| v.epoch > view && v.voter(from.id).is_none();
         let may = if self.view.as_ref().is_some_and(left_out) {
             Err(4 * self.config.lease)
         } else {
@@ -168,7 +168,7 @@
         let held = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
         let copy = view.replicas.contains(&self.me());
         let ledger = snapshot.as_ref().map(ReplicatedState::of).transpose();
-        let fits = view.counts(self.me()) && epoch >= self.promised && copy == snapshot.is_some();
+        let fits = view.has_vote(self.me()) && epoch >= self.promised && copy == snapshot.is_some();
         match ledger {
             _ if held && epoch >= self.promised => {
                 let message = Message::InstallMembershipReply {
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -145,7 +145,7 @@
 
     /// All other voters, which are given up.
     pub fn others(&self) -> Vec<&MemberInfo> {
-        let all = self.view.voters.iter().chain(&self.view.before);
+        let all = self.view.voters.iter().chain(&self.view.previous_voters);
         let mut named = BTreeSet::from([self.identity.id]);
         all.filter(|s| named.insert(s.id)).collect()
     }
@@ -178,7 +178,7 @@
         let epoch = next_generation(self.promised) | (1 << OWN_BITS) | own;
         let seat = self
             .view
-            .seat(self.identity.id)
+            .voter(self.identity.id)
             .cloned()
             .unwrap_or_default();
         let voters = vec![MemberInfo { id, ..seat }];
@@ -187,7 +187,7 @@
             primary: id,
             replicas: vec![id],
             voters: voters.clone(),
-            before: voters,
+            previous_voters: voters,
         };
         let seq = self.ledger.seq;
         let snapshot = Some(self.ledger.snapshot());
--- a/crates/control-plane/src/shell/call_runner.rs
+++ b/crates/control-plane/src/shell/call_runner.rs
@@ -190,7 +190,7 @@
     let view = status.view.as_ref().map(|v| {
         json!({"epoch": v.epoch, "primary": hex(v.primary),
             "replicas": v.replicas.iter().map(|c| hex(*c)).collect::<Vec<_>>(),
-            "voters": v.voters.iter().map(member_json).collect::<Vec<_>>(), "settled": v.settled()})
+            "voters": v.voters.iter().map(member_json).collect::<Vec<_>>(), "settled": v.is_stable()})
     });
     json!({"view": view, "acts": status.acts, "primary": status.primary.as_ref().map(|s| hex(s.id)),
         "promised": status.promised, "disk_fit": status.fit, "age_ms": status.age.map(|age| age.as_millis() as u64)})
--- a/crates/control-plane/src/shell/status.rs
+++ b/crates/control-plane/src/shell/status.rs
@@ -59,7 +59,7 @@
         };
         let others = reached
             .iter()
-            .filter(|s| view.seat(s.id).is_none())
+            .filter(|s| view.voter(s.id).is_none())
             .cloned();
         let members = view.voters.iter().map(seat).chain(others).collect();
         let known = ShownFleet {
--- a/crates/control-plane/src/shell/transitions/compare.rs
+++ b/crates/control-plane/src/shell/transitions/compare.rs
@@ -155,7 +155,7 @@
 }
 
 fn holder(summary: &MemberSummary, grant: GrantSummary) -> MemberInfo {
-    let known = summary.view.as_ref().and_then(|v| v.seat(grant.primary));
+    let known = summary.view.as_ref().and_then(|v| v.voter(grant.primary));
     known.cloned().unwrap_or_else(|| MemberInfo {
         id: grant.primary,
         ..MemberInfo::default()
--- a/crates/control-plane/src/shell/transitions/lines.rs
+++ b/crates/control-plane/src/shell/transitions/lines.rs
@@ -105,15 +105,15 @@
             let replicas = view
                 .replicas
                 .iter()
-                .filter_map(|id| view.seat(*id))
+                .filter_map(|id| view.voter(*id))
                 .collect();
             log::info!(target: TARGET, epoch = view.epoch,
-                primary:% = Names(view.seat(view.primary).into_iter().collect()),
+                primary:% = Names(view.voter(view.primary).into_iter().collect()),
                 replicas:% = Names(replicas),
                 voters:% = Names(view.voters.iter().collect()),
                 added:% = Names(added.iter().collect()),
                 removed:% = Names(removed.iter().collect()),
-                settled = view.settled(),
+                settled = view.is_stable(),
                 role:% = position,
                 was:% = before;
                 "view accepted"
--- a/crates/control-plane/src/shell/transitions/mod.rs
+++ b/crates/control-plane/src/shell/transitions/mod.rs
@@ -45,7 +45,7 @@
         match &summary.view {
             Some(view) if view.epoch > 0 && view.primary == summary.id => Position::Primary,
             Some(view) if view.replicas.contains(&summary.id) => Position::Replica,
-            Some(view) if view.seat(summary.id).is_some() => Position::Witness,
+            Some(view) if view.voter(summary.id).is_some() => Position::Witness,
             _ => Position::Joining,
         }
     }
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -69,7 +69,7 @@
             epoch: VIEW_EPOCH,
             primary: 2,
             replicas: vec![2, 1, 3],
-            before: voters.clone(),
+            previous_voters: voters.clone(),
             voters,
         };
         let tag = Some(LogPosition {
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -317,7 +317,7 @@
     }
 
     pub fn votes(&self, n: usize) -> bool {
-        self.current().seat(self.id(n)).is_some()
+        self.current().voter(self.id(n)).is_some()
     }
 
     fn push(&mut self, after: Duration, node: usize, event: Event) {
@@ -540,7 +540,7 @@
         let ids = |seats: &[MemberInfo]| seats.iter().map(|s| s.id).collect::<Vec<_>>();
         let seen = |n: usize| {
             let view = self.view(n);
-            let (voters, before) = (ids(&view.voters), ids(&view.before));
+            let (voters, before) = (ids(&view.voters), ids(&view.previous_voters));
             let (id, acts, epoch) = (self.id(n), self.acts(n), view.epoch);
             Seen {
                 id,
--- a/crates/control-plane/tests/cut_core/mod.rs
+++ b/crates/control-plane/tests/cut_core/mod.rs
@@ -244,7 +244,7 @@
     pub fn voters(&self) -> Vec<usize> {
         let view = self.nodes[self.primary()].member.view().unwrap();
         (0..self.nodes.len())
-            .filter(|n| view.seat(self.seats[*n].id).is_some())
+            .filter(|n| view.voter(self.seats[*n].id).is_some())
             .collect()
     }
 
--- a/crates/control-plane/tests/departure.rs
+++ b/crates/control-plane/tests/departure.rs
@@ -14,12 +14,13 @@
     cluster.apply(0, 1);
     cluster
         .until(SOON, |c| {
-            c.current().voters.len() == 4 && c.current().settled()
+            c.current().voters.len() == 4 && c.current().is_stable()
         })
         .expect("four voters");
     let leaver = cluster.primary().unwrap();
     cluster.leave(leaver);
-    let dropped = |c: &Cluster| c.primary().is_some() && !c.votes(leaver) && c.current().settled();
+    let dropped =
+        |c: &Cluster| c.primary().is_some() && !c.votes(leaver) && c.current().is_stable();
     cluster.until(SOON, dropped).expect("it is dropped");
     (cluster, leaver)
 }
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -64,7 +64,7 @@
             primary: HOLDER,
             replicas: vec![HOLDER, THIRD],
             voters: voters.clone(),
-            before: voters,
+            previous_voters: voters,
         };
         let sent = voter.hears(
             HOLDER,
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -65,13 +65,13 @@
 
 fn view() -> MembershipConfig {
     let voters = vec![seat(PRIMARY), seat(ME)];
-    let before = voters.clone();
+    let previous_voters = voters.clone();
     MembershipConfig {
         epoch: EPOCH,
         primary: PRIMARY,
         replicas: vec![PRIMARY, ME],
         voters,
-        before,
+        previous_voters,
     }
 }
 
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -74,11 +74,9 @@
         let tuning = self.tuning;
         let done = spawn_local(async move {
             let (_seeds, following) = watch::channel(boot.seed_nodes.clone());
-            run(boot, tuning, next_incarnation, async {
-                drop(stopped.await)
-            })
-            .await
-            .unwrap();
+            run(boot, tuning, following, async { drop(stopped.await) })
+                .await
+                .unwrap();
         });
         self.running[n] = Some((stop, done));
     }
--- a/crates/control-plane/tests/order_cluster/mod.rs
+++ b/crates/control-plane/tests/order_cluster/mod.rs
@@ -145,7 +145,7 @@
         let view = primary
             .and_then(|p| self.nodes[p].member.as_ref())
             .and_then(Member::view);
-        view.is_some_and(|v| v.settled() && v.replicas.contains(&self.nodes[n].info.id))
+        view.is_some_and(|v| v.is_stable() && v.replicas.contains(&self.nodes[n].info.id))
     }
 
     /// Rewrites of a member's file so far.
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -74,7 +74,7 @@
     cluster.apply(1, 2);
     cluster
         .until(SOON, |c| {
-            c.current().voters.len() == 3 && c.current().settled()
+            c.current().voters.len() == 3 && c.current().is_stable()
         })
         .expect("three voters");
     cluster.kill(left);
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -125,7 +125,7 @@
         .until(SOON, |c| c.votes(new))
         .expect("the new one joins");
     cluster
-        .until(SOON, |c| c.current().settled())
+        .until(SOON, |c| c.current().is_stable())
         .expect("agreed");
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
@@ -136,7 +136,7 @@
         .expect("the old one ends");
     cluster.kill(old);
     // Not after some seconds of silence: the next loss may come at once.
-    let settled = |c: &Cluster| c.primary().is_some() && !c.votes(old) && c.current().settled();
+    let settled = |c: &Cluster| c.primary().is_some() && !c.votes(old) && c.current().is_stable();
     let took = cluster
         .until(SOON, settled)
         .expect("it has no say any more");
@@ -161,7 +161,7 @@
         to == new && matches!(message, Message::InstallMembership { .. })
     }));
     cluster
-        .until(SOON, |c| c.votes(new) && c.current().settled())
+        .until(SOON, |c| c.votes(new) && c.current().is_stable())
         .expect("it becomes a voter");
     assert_eq!(cluster.view(new).epoch, 0);
     cluster.kill(first);
@@ -182,7 +182,7 @@
         .until(SOON, |c| c.votes(new))
         .expect("the new one joins");
     let took = cluster
-        .until(SOON, |c| c.votes(new) && c.current().settled())
+        .until(SOON, |c| c.votes(new) && c.current().is_stable())
         .expect("settled");
     assert!(took < ms(50), "unsettled for {took:?}");
 }
@@ -231,7 +231,7 @@
     cluster.kill(wiped);
     cluster.run(ms(500));
     cluster.wipe(wiped);
-    let done = |c: &Cluster| c.votes(wiped) && c.current().settled() && c.replicas().len() == 2;
+    let done = |c: &Cluster| c.votes(wiped) && c.current().is_stable() && c.replicas().len() == 2;
     let took = cluster.until(SOON, done).expect("it joins");
     assert!(took < ms(2000), "{took:?}");
 }
@@ -314,7 +314,7 @@
     cluster.apply(0, 1);
     cluster
         .until(SOON, |c| {
-            c.current().voters.len() == 5 && c.current().settled()
+            c.current().voters.len() == 5 && c.current().is_stable()
         })
         .expect("all join");
     for round in 0..2 {
@@ -380,7 +380,7 @@
     cluster.apply(0, 1);
     cluster
         .until(SOON, |c| {
-            c.current().voters.len() == 4 && c.current().settled()
+            c.current().voters.len() == 4 && c.current().is_stable()
         })
         .expect("four voters");
     let leaver = cluster.primary().unwrap();
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -33,7 +33,7 @@
         primary: 1,
         replicas: vec![1, 2],
         voters: voters.clone(),
-        before: voters,
+        previous_voters: voters,
     };
     let snapshot = Some(Snapshot::default()).filter(|_| id < 3);
     let records = [
@@ -118,8 +118,8 @@
     });
     assert!(alone);
     assert!(
-        dir.join("ledger.before-recovery").exists()
-            && dir.join("identity.before-recovery").exists()
+        dir.join("ledger.previous_voters-recovery").exists()
+            && dir.join("identity.previous_voters-recovery").exists()
     );
     // Once is enough: the new one has nobody to give up.
     refused(
--- a/crates/model-check/src/cluster/claims.rs
+++ b/crates/model-check/src/cluster/claims.rs
@@ -141,7 +141,7 @@
     }
 
     fn see_view(&mut self, view: &MembershipConfig) -> Result<&mut ViewFacts, Breach> {
-        let (voters, before) = (ids(&view.voters), ids(&view.before));
+        let (voters, before) = (ids(&view.voters), ids(&view.previous_voters));
         let hash = hash_of((view.primary, &view.replicas, &voters, &before));
         if !self.views.contains_key(&view.epoch) {
             self.follows_agreed(view.epoch, &before)?;
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/planted.rs
@@ -158,7 +158,9 @@
 
 /// Voters of the view before that have no say in this one.
 fn departed(view: &MembershipConfig) -> impl Iterator<Item = &MemberInfo> {
-    view.before.iter().filter(|s| view.seat(s.id).is_none())
+    view.previous_voters
+        .iter()
+        .filter(|s| view.voter(s.id).is_none())
 }
 
 fn granted(epoch: u64, stamp: u64) -> Message {
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -61,7 +61,7 @@
     /// The voters of the view that it followed: while these differ, the next view needs a majority of both.
     #[br(parse_with = list)]
     #[bw(write_with = put_list)]
-    pub before: Vec<MemberInfo>,
+    pub previous_voters: Vec<MemberInfo>,
 }
 
 /// The control plane as a member sees it.
@@ -100,30 +100,33 @@
 
 impl MembershipConfig {
     /// The seat of a voter.
-    pub fn seat(&self, id: u64) -> Option<&MemberInfo> {
+    pub fn voter(&self, id: u64) -> Option<&MemberInfo> {
         self.voters.iter().find(|s| s.id == id)
     }
 
     /// Whether an identity counts for a majority: a voter, or one of those before.
-    pub fn counts(&self, id: u64) -> bool {
-        self.voters.iter().chain(&self.before).any(|s| s.id == id)
+    pub fn has_vote(&self, id: u64) -> bool {
+        self.voters
+            .iter()
+            .chain(&self.previous_voters)
+            .any(|s| s.id == id)
     }
 
     /// Whether those that `has` names are a majority of the voters, and of the voters before.
-    pub fn majority(&self, has: impl Fn(u64) -> bool) -> bool {
+    pub fn has_quorum(&self, has: impl Fn(u64) -> bool) -> bool {
         let most =
             |seats: &[MemberInfo]| 2 * seats.iter().filter(|s| has(s.id)).count() > seats.len();
-        most(&self.voters) && most(&self.before)
+        most(&self.voters) && most(&self.previous_voters)
     }
 
     /// Whether its voters are those of the view before.
-    pub fn settled(&self) -> bool {
+    pub fn is_stable(&self) -> bool {
         let ids = |seats: &[MemberInfo]| {
             seats
                 .iter()
                 .map(|s| s.id)
                 .collect::<std::collections::BTreeSet<_>>()
         };
-        ids(&self.voters) == ids(&self.before)
+        ids(&self.voters) == ids(&self.previous_voters)
     }
 }
--- a/crates/simulator/src/world/bugs.rs
+++ b/crates/simulator/src/world/bugs.rs
@@ -217,5 +217,5 @@
 }
 
 fn forget_before(view: &mut MembershipConfig) {
-    view.before = view.voters.clone();
+    view.previous_voters = view.voters.clone();
 }
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -118,7 +118,14 @@
         let of = |n: &super::Node| {
             let member = n.member.as_ref()?;
             let view = member.view();
-            let view = view.map(|v| (v.epoch, v.replicas.clone(), ids(&v.voters), ids(&v.before)));
+            let view = view.map(|v| {
+                (
+                    v.epoch,
+                    v.replicas.clone(),
+                    ids(&v.voters),
+                    ids(&v.previous_voters),
+                )
+            });
             Some((n.seat.id, member.promised(), view))
         };
         format!("{:?}", self.nodes.iter().map(of).collect::<Vec<_>>())
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -305,7 +305,7 @@
                         v.epoch,
                         v.replicas.clone(),
                         v.voters.iter().map(|s| s.id).collect::<Vec<_>>(),
-                        v.before.iter().map(|s| s.id).collect::<Vec<_>>()
+                        v.previous_voters.iter().map(|s| s.id).collect::<Vec<_>>()
                     )))
                 )
             });
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -23,7 +23,7 @@
             view.primary,
             view.replicas,
             ids(&view.voters),
-            ids(&view.before)
+            ids(&view.previous_voters)
         )
     };
     match message {
@@ -121,12 +121,13 @@
                 snapshot: Some(_),
             } if view.primary == self.nodes[n].seat.id => {
                 self.moment(Moment::Composed, n);
-                if !view.settled() {
-                    let is_new = |m: &&super::Node| !view.before.iter().any(|s| s.id == m.seat.id);
+                if !view.is_stable() {
+                    let is_new =
+                        |m: &&super::Node| !view.previous_voters.iter().any(|s| s.id == m.seat.id);
                     let new = self
                         .nodes
                         .iter()
-                        .filter(|m| view.seat(m.seat.id).is_some())
+                        .filter(|m| view.voter(m.seat.id).is_some())
                         .find(is_new);
                     let new =
                         new.and_then(|m| self.nodes.iter().position(|o| o.seat.id == m.seat.id));
