--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -74,7 +74,7 @@
                     rewrites += 1;
                 }
                 disk.extend(records);
-                inputs.push(Input::Wrote {
+                inputs.push(Input::WriteCompleted {
                     ticket,
                     result: Ok(()),
                 });
@@ -105,16 +105,16 @@
     take(&mut member, Duration::ZERO, install, &mut disk);
     let started = Instant::now();
     let mut stepping = Duration::ZERO;
-    for seq in 1..=changes {
-        let now = Duration::from_millis(50 * seq);
+    for index in 1..=changes {
+        let now = Duration::from_millis(50 * index);
         let change = Change::Configure {
-            base: seq - 1,
+            base: index - 1,
             amend: false,
-            body: body(seq, routes),
+            body: body(index, routes),
         };
         let append = Message::AppendChange {
             epoch: EPOCH,
-            seq,
+            index,
             change,
         };
         let previous_voters = Instant::now();
@@ -127,8 +127,8 @@
             },
             &mut disk,
         );
-        if seq.is_multiple_of(5) {
-            let committed = seq.saturating_sub(under_way);
+        if index.is_multiple_of(5) {
+            let committed = index.saturating_sub(under_way);
             let renew = Message::RenewLease {
                 epoch: EPOCH,
                 stamp: 1,
@@ -191,7 +191,7 @@
                 "  start on {count} records, {kib} KiB: {:.1} ms, peak {} KiB, sound {}",
                 took.as_secs_f64() * 1e3,
                 peak_kib(),
-                member.unsound().is_none()
+                member.replay_error().is_none()
             );
         }
         _ => eprintln!("restart_cost ROUTES CHANGES UNDER_WAY FILE | restart_cost FILE"),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -22,7 +22,7 @@
 //! let mut member = Member::new(config, &[], now, 1);
 //! let mut disk: Vec<Vec<u8>> = Vec::new();
 //! let mut inputs = vec![Input::Tick];
-//! while !member.acts() {
+//! while !member.is_acting_primary() {
 //!     let input = inputs.pop().unwrap_or(Input::Tick);
 //!     let mut outputs = Vec::new();
 //!     member.step(now, input, &mut outputs);
@@ -30,7 +30,7 @@
 //!         match output {
 //!             Output::Write { ticket, records, .. } => {
 //!                 disk.extend(records);
-//!                 inputs.push(Input::Wrote { ticket, result: Ok(()) });
+//!                 inputs.push(Input::WriteCompleted { ticket, result: Ok(()) });
 //!             }
 //!             Output::Wake { at } => now = now.max(at),
 //!             _ => {}
@@ -39,7 +39,7 @@
 //!     assert!(now < Duration::from_secs(60), "it stands before long");
 //! }
 //! assert!(!disk.is_empty(), "nothing is promised that isn't on disk");
-//! assert_eq!(member.view().unwrap().primary, 7);
+//! assert_eq!(member.membership().unwrap().primary, 7);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/control-plane/src/member/acknowledged.rs
+++ b/crates/control-plane/src/member/acknowledged.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Acknowledged {
     /// All changes up to this one are said to be acknowledged, on disk.
-    seq: u64,
+    index: u64,
     /// The newest ledger at hand that isn't beyond it.
     known: Option<ReplicatedState>,
     /// Whether the view in force began with it or an earlier one.
@@ -43,15 +43,15 @@
     /// What the records of an earlier life say.
     pub(super) fn recovered(known: Option<ReplicatedState>) -> Self {
         Self {
-            seq: known.as_ref().map_or(0, |l| l.seq),
+            index: known.as_ref().map_or(0, |l| l.index),
             known,
             ..Self::default()
         }
     }
 
     /// All changes up to this one are known to be acknowledged.
-    pub(super) fn seq(&self) -> u64 {
-        self.seq
+    pub(super) fn index(&self) -> u64 {
+        self.index
     }
 
     /// The newest ledger at hand that is known to be acknowledged.
@@ -90,47 +90,48 @@
         }
     }
 
-    /// All changes up to `seq` are acknowledged; `newest` is the ledger on this disk. True where that is news.
-    pub(super) fn acknowledge(&mut self, seq: u64, newest: &ReplicatedState) -> bool {
-        if seq <= self.seq && self.of_this_view {
+    /// All changes up to `index` are acknowledged; `newest` is the ledger on this disk. True where that is news.
+    pub(super) fn acknowledge(&mut self, index: u64, newest: &ReplicatedState) -> bool {
+        if index <= self.index && self.of_this_view {
             return false;
         }
-        let news = seq > self.seq;
-        self.seq = seq.max(self.seq);
-        while let Some(later) = self.later.pop_front_if(|l| l.ledger.seq <= seq) {
+        let news = index > self.index;
+        self.index = index.max(self.index);
+        while let Some(later) = self.later.pop_front_if(|l| l.ledger.index <= index) {
             self.later_bytes -= later.bytes();
             self.known = Some(later.ledger);
             self.of_this_view = true;
         }
-        if newest.seq == seq {
+        if newest.index == index {
             self.known = Some(newest.clone());
             self.of_this_view = true;
         }
         news
     }
 
-    /// The records of all changes that lead from the ledger at hand to change `seq`; none where one is missing.
-    pub(super) fn changes_up_to(&self, seq: u64) -> Option<impl Iterator<Item = &Vec<u8>>> {
+    /// The records of all changes that lead from the ledger at hand to change `index`; none where one is missing.
+    pub(super) fn changes_up_to(&self, index: u64) -> Option<impl Iterator<Item = &Vec<u8>>> {
         let known = self.known.as_ref().filter(|_| self.of_this_view)?;
-        let last = self.later.back().map_or(known.seq, |l| l.ledger.seq);
-        let whole = last == seq && known.seq + self.later.len() as u64 == seq;
+        let last = self.later.back().map_or(known.index, |l| l.ledger.index);
+        let whole = last == index && known.index + self.later.len() as u64 == index;
         let all = whole && self.later.iter().all(|l| l.record.is_some());
         all.then(|| self.later.iter().filter_map(|l| l.record.as_ref()))
     }
 
     /// The file was rewritten: it tells of the ledger that was at hand.
     pub(super) fn rewritten(&mut self) {
-        self.seq = self.known.as_ref().map_or(0, |l| l.seq);
+        self.index = self.known.as_ref().map_or(0, |l| l.index);
     }
 }
 
 /// About how many bytes a ledger's snapshot has on disk.
 pub(super) fn ledger_bytes(ledger: &ReplicatedState) -> usize {
-    let document = &ledger.document;
-    let routes: usize = document.routes.iter().map(|r| r.raw.len() + 1).sum();
-    let services: usize = document.services.iter().map(|s| s.raw.len() + 1).sum();
-    let limits = document.limits.as_ref().map_or(0, |l| l.raw.len());
-    let taken = ledger.taken.iter().count() * std::mem::size_of::<protocol::AppliedRequest>();
+    let configuration = &ledger.configuration;
+    let routes: usize = configuration.routes.iter().map(|r| r.raw.len() + 1).sum();
+    let services: usize = configuration.services.iter().map(|s| s.raw.len() + 1).sum();
+    let limits = configuration.limits.as_ref().map_or(0, |l| l.raw.len());
+    let taken =
+        ledger.applied_requests.iter().count() * std::mem::size_of::<protocol::AppliedRequest>();
     let drains: usize = ledger.drains.iter().map(|d| d.len() + 4).sum();
     routes + services + limits + taken + drains + LEDGER_FRAME_BYTES
 }
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -116,8 +116,8 @@
     pub(super) fn run_election_timer(&mut self, out: &mut Vec<Output>) {
         let held_back = self.grant.is_some_and(|g| g.until > self.now)
             || self.departure.is_some()
-            || !self.fit();
-        let idle = matches!(self.role, Role::Idle)
+            || !self.disk_healthy();
+        let idle = matches!(self.role, Role::Follower)
             && self.is_voter()
             && !self.given_up()
             && self.now >= self.election_at;
@@ -296,7 +296,7 @@
             .promises
             .iter()
             .filter(holds)
-            .map(|(id, p)| (*id, p.1.map_or(0, |t| t.seq)))
+            .map(|(id, p)| (*id, p.1.map_or(0, |t| t.index)))
             .collect();
         let me = self.config.me.id;
         let own = self.view.as_ref().is_some_and(|v| v.epoch == highest.epoch);
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -100,7 +100,7 @@
     }
 
     pub(super) fn fit(&self, now: Duration, stall: Duration) -> bool {
-        self.state(now, stall) == DiskState::Fit
+        self.state(now, stall) == DiskState::Healthy
     }
 
     pub(super) fn state(&self, now: Duration, stall: Duration) -> DiskState {
@@ -108,7 +108,7 @@
         match self.refused {
             Some(_) => DiskState::Refused,
             None if stalled => DiskState::Stalled,
-            None => DiskState::Fit,
+            None => DiskState::Healthy,
         }
     }
 
@@ -195,7 +195,7 @@
         let Some(held) = self.held.as_ref().map(|h| &h.disk) else {
             return REWRITE_GROWTH * known;
         };
-        match self.acknowledged.changes_up_to(held.seq) {
+        match self.acknowledged.changes_up_to(held.index) {
             Some(changes) => REWRITE_GROWTH * known + 2 * changes.map(Vec::len).sum::<usize>(),
             None => REWRITE_GROWTH * (known + ledger_bytes(held)),
         }
@@ -215,15 +215,18 @@
             let snapshot = ledger.map(ReplicatedState::snapshot);
             protocol::write_one(&Record::Accepted { view, snapshot })
         };
-        let committed =
-            |ledger: &ReplicatedState| protocol::write_one(&Record::Committed { seq: ledger.seq });
+        let committed = |ledger: &ReplicatedState| {
+            protocol::write_one(&Record::Committed {
+                index: ledger.index,
+            })
+        };
         let (known, held) = (
             self.acknowledged.known(),
             self.held.as_ref().map(|h| &h.disk),
         );
         if let Some(((known, _), changes)) = known
             .zip(held)
-            .zip(held.and_then(|held| self.acknowledged.changes_up_to(held.seq)))
+            .zip(held.and_then(|held| self.acknowledged.changes_up_to(held.index)))
         {
             records.extend([accepted(view, Some(known)), committed(known)]);
             records.extend(changes.cloned());
@@ -300,13 +303,13 @@
                 }
             }
             After::Appended { to, epoch, ledger } => {
-                let seq = ledger.seq;
+                let index = ledger.index;
                 self.kept_change(epoch, *ledger, change.unwrap_or_default());
                 self.send(
                     to,
                     Message::AppendReply {
                         epoch,
-                        seq,
+                        index,
                         ok: true,
                         seen: self.promised,
                     },
@@ -314,9 +317,9 @@
                 );
             }
             After::Own { epoch, ledger } => {
-                let seq = ledger.seq;
+                let index = ledger.index;
                 self.kept_change(epoch, *ledger, change.unwrap_or_default());
-                self.on_appended(self.me(), epoch, seq, true, out);
+                self.on_appended(self.me(), epoch, index, true, out);
             }
             After::Nothing => {}
         }
@@ -346,7 +349,7 @@
                     to,
                     Message::AppendReply {
                         epoch,
-                        seq: ledger.seq,
+                        index: ledger.index,
                         ok: false,
                         seen,
                     },
@@ -362,7 +365,7 @@
         let epoch = match &self.role {
             Role::Primary(state) => state.epoch,
             Role::Candidate(candidacy) => candidacy.epoch,
-            Role::Idle => return,
+            Role::Follower => return,
         };
         self.step_down();
         let voters: Vec<u64> = self
--- a/crates/control-plane/src/member/generation.rs
+++ b/crates/control-plane/src/member/generation.rs
@@ -27,7 +27,7 @@
 
     /// One that was given up acts no more and stands no more.
     pub(super) fn end_if_given_up(&mut self) {
-        if self.given_up() && !matches!(self.role, Role::Idle) {
+        if self.given_up() && !matches!(self.role, Role::Follower) {
             self.step_down();
         }
     }
--- a/crates/control-plane/src/member/leave.rs
+++ b/crates/control-plane/src/member/leave.rs
@@ -127,12 +127,12 @@
         {
             self.release_lease(out);
         }
-        let idle = matches!(self.role, Role::Idle);
+        let idle = matches!(self.role, Role::Follower);
         if idle && (deserted || self.succeeded()) {
             if let Some(departure) = &mut self.departure {
                 departure.over = true;
             }
-            out.push(Output::Left);
+            out.push(Output::DepartureComplete);
         }
     }
 
--- a/crates/control-plane/src/member/membership.rs
+++ b/crates/control-plane/src/member/membership.rs
@@ -70,7 +70,7 @@
         let late = |id: u64| {
             state.pending.front().is_some_and(|p| {
                 now >= p.at + p.extra + lease.mul_f64(REPLICA_SILENCE)
-                    && state.acked.get(&id).is_none_or(|a| *a < p.ledger.seq)
+                    && state.acked.get(&id).is_none_or(|a| *a < p.ledger.index)
             })
         };
         let bad = |id: u64| {
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -78,7 +78,7 @@
         message: Message,
     },
     /// A write that was asked for is over.
-    Wrote {
+    WriteCompleted {
         /// Its number.
         ticket: u64,
         /// How it ended; what was refused is not on disk.
@@ -92,12 +92,12 @@
         command: Command,
     },
     /// A member shows that it is there.
-    Reachable {
+    PeerReachable {
         /// Its seat.
-        seat: MemberInfo,
+        member: MemberInfo,
     },
     /// The process is asked to end.
-    Leave,
+    Depart,
 }
 
 /// What a member asks for.
@@ -130,21 +130,21 @@
         body: Vec<u8>,
     },
     /// The newest acknowledged ledger, from the primary.
-    Publish {
+    PublishState {
         /// Number of its last change.
-        seq: u64,
+        index: u64,
         /// The configuration.
-        document: Arc<Configuration>,
+        configuration: Arc<Configuration>,
         /// Hosts that are leaving or gone.
         drains: Vec<String>,
     },
     /// The ledger that was known to be acknowledged when the process last ended: good until a primary shows a
     /// newer one.
-    Restore {
+    RestoreState {
         /// Number of its last change.
-        seq: u64,
+        index: u64,
         /// The configuration.
-        document: Arc<Configuration>,
+        configuration: Arc<Configuration>,
         /// Hosts that are leaving or gone.
         drains: Vec<String>,
     },
@@ -154,7 +154,7 @@
         at: Duration,
     },
     /// Nothing is left to hand over: the process may end.
-    Left,
+    DepartureComplete,
 }
 
 /// A lease granted as a voter.
@@ -171,7 +171,7 @@
     /// The moment, by this process's clock.
     pub at: Duration,
     /// Number of the last change that was acknowledged then.
-    pub committed: u64,
+    pub commit_index: u64,
 }
 
 /// The ledger as a copy holds it.
@@ -195,7 +195,7 @@
 
 #[derive(Clone, Debug)]
 enum Role {
-    Idle,
+    Follower,
     Candidate(Box<CandidateState>),
     Primary(Box<PrimaryState>),
 }
@@ -283,7 +283,7 @@
             proof: None,
             life_base: random.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             peers: BTreeMap::new(),
-            role: Role::Idle,
+            role: Role::Follower,
             election_at: now,
             disk: Disk::default(),
             local: BTreeMap::new(),
@@ -342,9 +342,9 @@
         self.now = self.now.max(now);
         if let Some(ledger) = self.restored.take() {
             let drains = ledger.drains.into_iter().collect();
-            out.push(Output::Restore {
-                seq: ledger.seq,
-                document: ledger.document,
+            out.push(Output::RestoreState {
+                index: ledger.index,
+                configuration: ledger.configuration,
                 drains,
             });
         }
@@ -356,10 +356,10 @@
                 self.note(&from);
                 self.on_message(from, message, out);
             }
-            Input::Wrote { ticket, result } => self.on_wrote(ticket, result, out),
+            Input::WriteCompleted { ticket, result } => self.on_wrote(ticket, result, out),
             Input::Command { ticket, command } => self.on_command(ticket, command),
-            Input::Reachable { seat } => self.on_reachable(&seat),
-            Input::Leave => self.on_leave(out),
+            Input::PeerReachable { member } => self.on_reachable(&member),
+            Input::Depart => self.on_leave(out),
         }
         self.end_if_given_up();
         self.run_departure(out);
@@ -380,8 +380,12 @@
             Message::InstallMembership { view, snapshot } => {
                 self.on_install(from, view, snapshot, out);
             }
-            Message::AppendChange { epoch, seq, change } => {
-                self.on_append(from, epoch, seq, change, out);
+            Message::AppendChange {
+                epoch,
+                index,
+                change,
+            } => {
+                self.on_append(from, epoch, index, change, out);
             }
             Message::RenewLease {
                 epoch,
@@ -422,12 +426,12 @@
             }
             Message::AppendReply {
                 epoch,
-                seq,
+                index,
                 ok,
                 seen,
             } => {
                 self.see(seen);
-                self.on_appended(from.id, epoch, seq, ok, out);
+                self.on_appended(from.id, epoch, index, ok, out);
             }
             Message::LeaseReply {
                 epoch,
@@ -504,13 +508,17 @@
     }
 
     /// A replica notes what the primary of its view has acknowledged, for its next life.
-    fn record_committed(&mut self, epoch: u64, seq: u64) {
+    fn record_committed(&mut self, epoch: u64, index: u64) {
         let follows = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
-        let Some(held) = self.held.as_ref().filter(|h| follows && h.disk.seq >= seq) else {
+        let Some(held) = self
+            .held
+            .as_ref()
+            .filter(|h| follows && h.disk.index >= index)
+        else {
             return;
         };
-        if self.acknowledged.acknowledge(seq, &held.disk) {
-            self.write(&Record::Committed { seq }, After::Nothing);
+        if self.acknowledged.acknowledge(index, &held.disk) {
+            self.write(&Record::Committed { index }, After::Nothing);
         }
     }
 
@@ -603,33 +611,33 @@
     }
 
     /// Whether this member acts now.
-    pub fn acts(&self) -> bool {
-        self.acts_at(self.now)
+    pub fn is_acting_primary(&self) -> bool {
+        self.is_acting_primary_at(self.now)
     }
 
     /// Whether this member acts at a time, no earlier than that of its latest step, at which nothing has reached it
     /// since.
-    pub fn acts_at(&self, now: Duration) -> bool {
+    pub fn is_acting_primary_at(&self, now: Duration) -> bool {
         matches!(&self.role, Role::Primary(state) if self.lease_end(state) > now)
     }
 
     /// The latest view that this member accepted.
-    pub fn view(&self) -> Option<&MembershipConfig> {
+    pub fn membership(&self) -> Option<&MembershipConfig> {
         self.view.as_ref()
     }
 
     /// The highest epoch that this member has promised.
-    pub fn promised(&self) -> u64 {
+    pub fn promised_epoch(&self) -> u64 {
         self.promised
     }
 
     /// What is proved of how fresh the acknowledged ledger is that this member may show; nothing before a primary
     /// has been heard of in this life.
-    pub fn proof(&self, now: Duration) -> Option<PrimaryContact> {
+    pub fn primary_contact(&self, now: Duration) -> Option<PrimaryContact> {
         match &self.role {
             Role::Primary(state) if self.lease_end(state) > now => Some(PrimaryContact {
                 at: now,
-                committed: state.committed_seq(),
+                commit_index: state.committed_index(),
             }),
             _ => self.proof,
         }
@@ -637,17 +645,18 @@
 
     /// Why this member can't rely on its records, where that is so: it promises, accepts and holds nothing until
     /// its disk is emptied.
-    pub fn unsound(&self) -> Option<&ReplayError> {
+    pub fn replay_error(&self) -> Option<&ReplayError> {
         self.unsound.as_deref()
     }
 
     /// Whether the disk takes writes and its records can be relied on.
-    pub fn fit(&self) -> bool {
+    pub fn disk_healthy(&self) -> bool {
         self.unsound.is_none() && self.disk.fit(self.now, self.config.stall)
     }
 
     fn next_wake(&self) -> Duration {
-        let idle = self.is_voter() && matches!(self.role, Role::Idle) && self.departure.is_none();
+        let idle =
+            self.is_voter() && matches!(self.role, Role::Follower) && self.departure.is_none();
         let stand = idle.then(|| {
             self.election_at
                 .max(self.grant.map_or(self.election_at, |g| g.until))
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -79,7 +79,7 @@
             since: now,
             acting_since,
             takes_changes: true,
-            acked: view.replicas.iter().map(|c| (*c, ledger.seq)).collect(),
+            acked: view.replicas.iter().map(|c| (*c, ledger.index)).collect(),
             drained: ledger.drains.iter().map(|d| (d.clone(), now)).collect(),
             committed: ledger,
             shown: false,
@@ -96,8 +96,8 @@
     }
 
     /// Number of the last change that is acknowledged.
-    pub(super) fn committed_seq(&self) -> u64 {
-        self.committed.seq
+    pub(super) fn committed_index(&self) -> u64 {
+        self.committed.index
     }
 
     /// What a caller is told whose order doesn't build on the version in force.
@@ -140,7 +140,7 @@
     }
 
     pub(super) fn run_primary(&mut self, out: &mut Vec<Output>) {
-        let (now, lease, fit) = (self.now, self.config.lease, self.fit());
+        let (now, lease, fit) = (self.now, self.config.lease, self.disk_healthy());
         let Role::Primary(state) = &self.role else {
             return;
         };
@@ -163,7 +163,7 @@
 
     fn renew(&mut self, out: &mut Vec<Output>) {
         let (now, lease, me) = (self.now, self.config.lease, self.me());
-        let leased = self.acts();
+        let leased = self.is_acting_primary();
         let (Role::Primary(state), Some(view)) = (&mut self.role, self.view.clone()) else {
             return;
         };
@@ -171,7 +171,7 @@
         let mut sends: Vec<(u64, Message)> = Vec::new();
         if now >= state.renew_at {
             state.renew_at = now + lease.mul_f64(RENEW_INTERVAL);
-            let (stamp, committed) = (now.as_millis() as u64, state.committed.seq);
+            let (stamp, committed) = (now.as_millis() as u64, state.committed.index);
             for id in view.voters.iter().map(|s| s.id).filter(|id| *id != me) {
                 if state.lacking.contains(&id) && !view.replicas.contains(&id) {
                     sends.push((
@@ -205,20 +205,20 @@
             let late = |p: &Pending| now >= p.sent_at + p.extra + lease.mul_f64(RESEND_INTERVAL);
             for pending in state.pending.iter_mut().filter(|p| late(p)) {
                 pending.sent_at = now;
-                let (seq, Some(change)) = (pending.ledger.seq, &pending.change) else {
+                let (index, Some(change)) = (pending.ledger.index, &pending.change) else {
                     continue;
                 };
                 let missing = state
                     .acked
                     .iter()
-                    .filter(|a| *a.0 != me && *a.1 < seq)
+                    .filter(|a| *a.0 != me && *a.1 < index)
                     .map(|a| *a.0);
                 sends.extend(missing.map(|copy| {
                     (
                         copy,
                         Message::AppendChange {
                             epoch,
-                            seq,
+                            index,
                             change: change.clone(),
                         },
                     )
@@ -297,7 +297,7 @@
         };
         state
             .inbox
-            .extend(state.early.take_ready(held.head.document.version));
+            .extend(state.early.take_ready(held.head.configuration.version));
     }
 
     fn change(
@@ -311,7 +311,7 @@
         let (Role::Primary(state), Some(held)) = (&mut self.role, &mut self.held) else {
             return;
         };
-        let (epoch, seq) = (state.epoch, next.seq);
+        let (epoch, index) = (state.epoch, next.index);
         held.head = next.clone();
         match &change {
             Change::Drain { host } => drop(state.drained.insert(host.clone(), now)),
@@ -335,14 +335,18 @@
                 copy,
                 Message::AppendChange {
                     epoch,
-                    seq,
+                    index,
                     change: change.clone(),
                 },
                 out,
             );
         }
         self.write(
-            &Record::Change { epoch, seq, change },
+            &Record::Change {
+                epoch,
+                index,
+                change,
+            },
             After::Own {
                 epoch,
                 ledger: Box::new(next),
@@ -354,7 +358,7 @@
         &mut self,
         from: u64,
         epoch: u64,
-        seq: u64,
+        index: u64,
         ok: bool,
         out: &mut Vec<Output>,
     ) {
@@ -368,7 +372,7 @@
             state.broken.insert(from);
             return;
         }
-        state.acked.entry(from).and_modify(|a| *a = seq.max(*a));
+        state.acked.entry(from).and_modify(|a| *a = index.max(*a));
         self.commit(out);
     }
 
@@ -384,12 +388,12 @@
         };
         let safe = state.acked.values().copied().min().unwrap_or(0);
         let mut answers = Vec::new();
-        let before = state.committed.seq;
-        while let Some(done) = state.pending.pop_front_if(|p| p.ledger.seq <= safe) {
+        let before = state.committed.index;
+        while let Some(done) = state.pending.pop_front_if(|p| p.ledger.index <= safe) {
             state.committed = done.ledger;
             answers.extend(done.answers);
         }
-        if state.committed.seq > before || !std::mem::replace(&mut state.shown, true) {
+        if state.committed.index > before || !std::mem::replace(&mut state.shown, true) {
             self.publish(out);
             self.record_own_commits();
         }
@@ -401,11 +405,15 @@
     /// The primary notes what it has acknowledged, unless more is about to follow.
     pub(super) fn record_own_commits(&mut self) {
         if let Role::Primary(state) = &self.role {
-            let (epoch, seq, more) = (state.epoch, state.committed.seq, !state.pending.is_empty());
+            let (epoch, index, more) = (
+                state.epoch,
+                state.committed.index,
+                !state.pending.is_empty(),
+            );
             // Where changes never cease to come, it is noted from time to time all the same.
-            let known = self.acknowledged.seq();
-            if !more || seq >= known + MAX_UNRECORDED_COMMITS {
-                self.record_committed(epoch, seq);
+            let known = self.acknowledged.index();
+            if !more || index >= known + MAX_UNRECORDED_COMMITS {
+                self.record_committed(epoch, index);
             }
         }
     }
@@ -415,9 +423,9 @@
             return;
         };
         let ledger = &state.committed;
-        out.push(Output::Publish {
-            seq: ledger.seq,
-            document: ledger.document.clone(),
+        out.push(Output::PublishState {
+            index: ledger.index,
+            configuration: ledger.configuration.clone(),
             drains: ledger.drains.iter().cloned().collect(),
         });
     }
--- a/crates/control-plane/src/member/recovery.rs
+++ b/crates/control-plane/src/member/recovery.rs
@@ -39,7 +39,7 @@
     },
     /// A change doesn't follow the one before.
     #[snafu(display(
-        "record {record}: change {seq} of epoch {epoch} after {held_seq} of {held_epoch}"
+        "record {record}: change {index} of epoch {epoch} after {held_index} of {held_epoch}"
     ))]
     OutOfOrder {
         /// The record's place, from 0.
@@ -47,11 +47,11 @@
         /// The change's epoch.
         epoch: u64,
         /// The change's number.
-        seq: u64,
+        index: u64,
         /// Epoch of the view before it.
         held_epoch: u64,
         /// Number of the change before it.
-        held_seq: u64,
+        held_index: u64,
     },
     /// A change can't be made again.
     #[snafu(display("record {record}: the change can't be made again: {detail}"))]
@@ -141,11 +141,11 @@
             }
             Record::Change { .. } if segments.is_empty() => return NoLedgerSnafu { record }.fail(),
             Record::Change { .. } => {}
-            Record::Committed { seq } => {
+            Record::Committed { index } => {
                 segments
                     .iter_mut()
                     .next_back()
-                    .map(|segment| segment.acknowledged.insert(seq));
+                    .map(|segment| segment.acknowledged.insert(index));
             }
         }
         if let Some(segment) = segments.last_mut() {
@@ -167,18 +167,22 @@
                 replayed.view = view;
                 replayed.last = snapshot.map(|s| ledger(record, &s)).transpose()?;
             }
-            Record::Change { epoch, seq, change } => {
+            Record::Change {
+                epoch,
+                index,
+                change,
+            } => {
                 let Some(held) = &replayed.last else {
                     return NoLedgerSnafu { record }.fail();
                 };
-                let (held_epoch, held_seq) = (replayed.view.epoch, held.seq);
-                if epoch != held_epoch || seq != held_seq + 1 {
+                let (held_epoch, held_index) = (replayed.view.epoch, held.index);
+                if epoch != held_epoch || index != held_index + 1 {
                     return OutOfOrderSnafu {
                         record,
                         epoch,
-                        seq,
+                        index,
                         held_epoch,
-                        held_seq,
+                        held_index,
                     }
                     .fail();
                 }
@@ -191,7 +195,7 @@
         let said = replayed
             .last
             .as_ref()
-            .filter(|l| segment.acknowledged.contains(&l.seq));
+            .filter(|l| segment.acknowledged.contains(&l.index));
         if let Some(ledger) = said {
             replayed.acknowledged = Some(ledger.clone());
         }
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskState {
     /// It takes them.
-    Fit,
+    Healthy,
     /// The latest write has been under way for longer than a write may take.
     Stalled,
     /// The latest write was refused.
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleSummary {
     /// Nothing.
-    Idle,
+    Follower,
     /// It stands for election, or changes its own view.
     Candidate {
         /// The epoch that it asks for; 0 during the pre-vote.
@@ -70,7 +70,7 @@
     /// The state now. `previous` spares copying a view that is still the same.
     pub fn summary(&self, previous: Option<&MemberSummary>) -> MemberSummary {
         let role = match &self.role {
-            Role::Idle => RoleSummary::Idle,
+            Role::Follower => RoleSummary::Follower,
             Role::Candidate(state) => RoleSummary::Candidate {
                 epoch: state.epoch,
                 phase: state.phase,
@@ -97,7 +97,7 @@
                 epoch: g.epoch,
             }),
             disk: self.disk.state(self.now, self.config.stall),
-            ledger: self.held.as_ref().map(|h| h.disk.seq),
+            ledger: self.held.as_ref().map(|h| h.disk.index),
             leaving: self.departure.is_some(),
         }
     }
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -15,7 +15,7 @@
         // Until a change of voters is settled, those who go count as well.
         let counts = self.view.as_ref().is_none_or(|v| v.has_vote(self.me()));
         let may_be_voter = counts && !self.given_up();
-        if !may_be_voter || !self.fit() {
+        if !may_be_voter || !self.disk_healthy() {
             return Err(wait);
         }
         let grant = self
@@ -136,7 +136,7 @@
         let view = self.view.as_ref()?;
         self.held.as_ref().map(|h| LogPosition {
             epoch: view.epoch,
-            seq: h.disk.seq,
+            index: h.disk.index,
         })
     }
 
@@ -178,7 +178,7 @@
                 };
                 out.push(Output::Send { to: from, message });
             }
-            Ok(ledger) if fits && self.fit() => {
+            Ok(ledger) if fits && self.disk_healthy() => {
                 self.promised = epoch;
                 self.waits_for_slow_disks = false;
                 self.step_down();
@@ -212,7 +212,7 @@
         &mut self,
         from: MemberInfo,
         epoch: u64,
-        seq: u64,
+        index: u64,
         change: Change,
         out: &mut Vec<Output>,
     ) {
@@ -226,16 +226,16 @@
             .as_mut()
             .filter(|_| follows && self.promised == epoch);
         let message = match held {
-            Some(held) if seq <= held.disk.seq => Message::AppendReply {
+            Some(held) if index <= held.disk.index => Message::AppendReply {
                 epoch,
-                seq: held.disk.seq,
+                index: held.disk.index,
                 ok: true,
                 seen: self.promised,
             },
             // On its way to the disk.
-            Some(held) if seq <= held.head.seq => return,
+            Some(held) if index <= held.head.index => return,
             Some(held)
-                if seq == held.head.seq + 1 && self.disk.fit(self.now, self.config.stall) =>
+                if index == held.head.index + 1 && self.disk.fit(self.now, self.config.stall) =>
             {
                 match held.head.after(&change) {
                     Ok(next) => {
@@ -245,11 +245,18 @@
                             epoch,
                             ledger: Box::new(next),
                         };
-                        return self.write(&Record::Change { epoch, seq, change }, after);
+                        return self.write(
+                            &Record::Change {
+                                epoch,
+                                index,
+                                change,
+                            },
+                            after,
+                        );
                     }
                     Err(_) => Message::AppendReply {
                         epoch,
-                        seq,
+                        index,
                         ok: false,
                         seen: self.promised,
                     },
@@ -257,7 +264,7 @@
             }
             _ => Message::AppendReply {
                 epoch,
-                seq,
+                index,
                 ok: false,
                 seen: self.promised,
             },
@@ -290,7 +297,7 @@
             self.election_at = until + self.election_delay();
             self.take_proof(told.0, told.1);
         }
-        let fit = self.fit() && self.departure.is_none();
+        let fit = self.disk_healthy() && self.departure.is_none();
         if self.departure.is_some() {
             out.push(Output::Send {
                 to: from.clone(),
@@ -328,7 +335,10 @@
         // 0, and the clock of an earlier life, are no moment of this one.
         let of_this_life = heard != 0 && at <= self.now;
         if of_this_life && self.proof.is_none_or(|known| known.at <= at) {
-            self.proof = Some(PrimaryContact { at, committed });
+            self.proof = Some(PrimaryContact {
+                at,
+                commit_index: committed,
+            });
         }
     }
 
@@ -337,9 +347,12 @@
         let Role::Primary(state) = &self.role else {
             return;
         };
-        let (at, committed) = (self.lease_end(state).min(self.now), state.committed_seq());
+        let (at, committed) = (self.lease_end(state).min(self.now), state.committed_index());
         if !at.is_zero() && self.proof.is_none_or(|known| known.at <= at) {
-            self.proof = Some(PrimaryContact { at, committed });
+            self.proof = Some(PrimaryContact {
+                at,
+                commit_index: committed,
+            });
         }
     }
 
@@ -354,7 +367,7 @@
     /// Stops acting as primary or standing for election. Commands that wait are asked of whoever acts next.
     pub(super) fn step_down(&mut self) {
         self.keep_own_proof();
-        self.role = Role::Idle;
+        self.role = Role::Follower;
         self.local.values_mut().for_each(|l| l.asked = None);
     }
 }
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -34,8 +34,8 @@
         source: protocol::DecodeError,
     },
     /// A change doesn't follow the one before.
-    #[snafu(display("record {number}: change {seq} doesn't fit what is before it"))]
-    Gap { number: usize, seq: u64 },
+    #[snafu(display("record {number}: change {index} doesn't fit what is before it"))]
+    Gap { number: usize, index: u64 },
     /// No view was ever accepted.
     #[snafu(display("no view was ever accepted here"))]
     NoView,
@@ -87,26 +87,26 @@
         }
         let (mut promised, mut committed) = (0, 0);
         let mut latest: Option<(MembershipConfig, Option<ReplicatedState>)> = None;
-        for (index, record) in records.iter().enumerate() {
-            let number = index + 1;
+        for (position, record) in records.iter().enumerate() {
+            let number = position + 1;
             match protocol::read_one(record).context(UnreadableSnafu { number })? {
                 Record::Promised { epoch } => promised = promised.max(epoch),
                 Record::Accepted { view, snapshot } => {
                     promised = promised.max(view.epoch);
-                    let seq = snapshot.as_ref().map_or(0, |s| s.seq);
+                    let index = snapshot.as_ref().map_or(0, |s| s.index);
                     let ledger = snapshot.map(|s| ReplicatedState::of(&s)).transpose();
-                    let ledger = ledger.ok().context(GapSnafu { number, seq })?;
+                    let ledger = ledger.ok().context(GapSnafu { number, index })?;
                     latest = Some((view, ledger));
                 }
-                Record::Change { seq, change, .. } => {
+                Record::Change { index, change, .. } => {
                     let held = latest.as_mut().and_then(|l| l.1.as_mut());
-                    let held = held.context(GapSnafu { number, seq })?;
+                    let held = held.context(GapSnafu { number, index })?;
                     let next = Some(&*held)
-                        .filter(|h| h.seq + 1 == seq)
+                        .filter(|h| h.index + 1 == index)
                         .and_then(|h| h.after(&change).ok());
-                    *held = next.context(GapSnafu { number, seq })?;
+                    *held = next.context(GapSnafu { number, index })?;
                 }
-                Record::Committed { seq } => committed = seq,
+                Record::Committed { index } => committed = index,
             }
         }
         let (view, ledger) = latest.context(NoViewSnafu)?;
@@ -130,7 +130,7 @@
 
     /// Number of the last change on this disk; all that was acknowledged in this view is among them.
     pub fn last_change(&self) -> u64 {
-        self.ledger.seq
+        self.ledger.index
     }
 
     /// Number of the last change that this disk knows to have been acknowledged.
@@ -140,7 +140,7 @@
 
     /// Version of the configuration that is kept.
     pub fn version(&self) -> u64 {
-        self.ledger.document.version
+        self.ledger.configuration.version
     }
 
     /// All other voters, which are given up.
@@ -189,12 +189,12 @@
             voters: voters.clone(),
             previous_voters: voters,
         };
-        let seq = self.ledger.seq;
+        let index = self.ledger.index;
         let snapshot = Some(self.ledger.snapshot());
         let records = [
             Record::Accepted { view, snapshot },
             Record::Promised { epoch },
-            Record::Committed { seq },
+            Record::Committed { index },
         ];
         let identity = Identity {
             id,
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -11,15 +11,15 @@
 /// one frame and one record, however it came about.
 pub const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 
-/// A ledger after its change number `seq`.
+/// A ledger after its change number `index`.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct ReplicatedState {
     /// Number of the last change.
-    pub seq: u64,
+    pub index: u64,
     /// The configuration; version 0 stands for none.
-    pub document: Arc<Configuration>,
+    pub configuration: Arc<Configuration>,
     /// The latest orders that were taken.
-    pub taken: AppliedRequests,
+    pub applied_requests: AppliedRequests,
     /// Hosts that are leaving or gone, oldest first.
     pub drains: VecDeque<String>,
 }
@@ -52,11 +52,11 @@
     /// What a command comes to here.
     pub fn plan(&self, command: &Command) -> Plan {
         match command {
-            Command::Read { .. } if self.document.version == 0 => {
+            Command::Read { .. } if self.configuration.version == 0 => {
                 Plan::Answer(ResultCode::NoConfiguration, vec![])
             }
             Command::Read { .. } => {
-                Plan::Answer(ResultCode::Ok, self.document.to_json().into_bytes())
+                Plan::Answer(ResultCode::Ok, self.configuration.to_json().into_bytes())
             }
             Command::Drain { host } if self.drains.contains(host) => {
                 Plan::Answer(ResultCode::Ok, vec![])
@@ -82,19 +82,27 @@
 
     /// What a caller is told whose order doesn't build on the version in force.
     pub(crate) fn told_base(&self, base: u64) -> Vec<u8> {
-        format!("version {} is in force, not {base}", self.document.version).into_bytes()
+        format!(
+            "version {} is in force, not {base}",
+            self.configuration.version
+        )
+        .into_bytes()
     }
 
     fn standing(&self, base: u64, amend: bool, body: &[u8]) -> Standing {
-        match base.cmp(&self.document.version) {
+        match base.cmp(&self.configuration.version) {
             Ordering::Equal => return Standing::Next,
             Ordering::Greater => return Standing::Early,
             Ordering::Less => {}
         }
-        match self.taken.on(base) {
+        match self.applied_requests.on(base) {
             Some(taken) if *taken == fingerprint(base, amend, body) => Standing::Taken,
             Some(_) => Standing::Superseded,
-            None if self.taken.oldest_base().is_none_or(|oldest| base < oldest) => {
+            None if self
+                .applied_requests
+                .oldest_base()
+                .is_none_or(|oldest| base < oldest) =>
+            {
                 Standing::Forgotten
             }
             None => Standing::Superseded,
@@ -104,7 +112,8 @@
     fn make(&self, change: Change) -> Plan {
         match self.after(&change) {
             Ok(next)
-                if next.document.unshared_bytes(&Configuration::default()) > MAX_DOCUMENT_BYTES =>
+                if next.configuration.unshared_bytes(&Configuration::default())
+                    > MAX_DOCUMENT_BYTES =>
             {
                 let text = format!("the whole would be longer than {MAX_DOCUMENT_BYTES} bytes");
                 Plan::Answer(ResultCode::TooLarge, text.into_bytes())
@@ -120,23 +129,23 @@
     /// Where the change can't be made: the code and the place.
     pub fn after(&self, change: &Change) -> Result<ReplicatedState, (ResultCode, String)> {
         let mut next = self.clone();
-        next.seq += 1;
+        next.index += 1;
         match change {
             Change::Configure { base, amend, body } => {
-                if *base != self.document.version {
+                if *base != self.configuration.version {
                     return Err((
                         ResultCode::OtherBase,
-                        format!("{base} on {}", self.document.version),
+                        format!("{base} on {}", self.configuration.version),
                     ));
                 }
-                let document = match amend {
-                    true => self.document.amended(body),
-                    false => Configuration::read(body, self.document.version),
+                let configuration = match amend {
+                    true => self.configuration.amended(body),
+                    false => Configuration::read(body, self.configuration.version),
                 };
-                let document = document.map_err(|e| (e.code, e.detail))?;
-                next.taken.push(fingerprint(*base, *amend, body));
+                let configuration = configuration.map_err(|e| (e.code, e.detail))?;
+                next.applied_requests.push(fingerprint(*base, *amend, body));
                 // Most items are as they were: hundreds of changes under way cost little more than one.
-                next.document = Arc::new(document.sharing(&self.document));
+                next.configuration = Arc::new(configuration.sharing(&self.configuration));
             }
             Change::Drain { host } => next.drains.push_back(host.clone()),
             Change::Forget { hosts } => next.drains.retain(|d| !hosts.contains(d)),
@@ -146,15 +155,15 @@
 
     /// The whole of it, to be sent or written.
     pub fn snapshot(&self) -> Snapshot {
-        let none = self.document.version == 0;
+        let none = self.configuration.version == 0;
         Snapshot {
-            seq: self.seq,
-            document: if none {
+            index: self.index,
+            configuration: if none {
                 String::new()
             } else {
-                self.document.to_json()
+                self.configuration.to_json()
             },
-            taken: self.taken.iter().cloned().collect(),
+            applied_requests: self.applied_requests.iter().cloned().collect(),
             drains: self.drains.iter().cloned().collect(),
         }
     }
@@ -164,14 +173,14 @@
     /// # Errors
     /// Where its configuration can't be read.
     pub fn of(snapshot: &Snapshot) -> Result<ReplicatedState, configuration::InvalidConfiguration> {
-        let document = match snapshot.document.as_str() {
+        let configuration = match snapshot.configuration.as_str() {
             "" => Configuration::default(),
             text => Configuration::read(text.as_bytes(), 0)?,
         };
         Ok(ReplicatedState {
-            seq: snapshot.seq,
-            document: Arc::new(document),
-            taken: snapshot.taken.iter().cloned().collect(),
+            index: snapshot.index,
+            configuration: Arc::new(configuration),
+            applied_requests: snapshot.applied_requests.iter().cloned().collect(),
             drains: snapshot.drains.iter().cloned().collect(),
         })
     }
--- a/crates/control-plane/src/shell/event_loop.rs
+++ b/crates/control-plane/src/shell/event_loop.rs
@@ -65,7 +65,7 @@
                 () = &mut stop, if end.is_none() => {
                     end = Some(Instant::now() + self.leave_time);
                     self.leave.send_replace(true);
-                    self.step(Input::Leave);
+                    self.step(Input::Depart);
                 }
                 event = queue.recv() => {
                     // The desk holds a sender.
@@ -114,7 +114,9 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::LinkEvent(LinkEvent::Hello(seat)) => self.step(Input::Reachable { seat }),
+            Event::LinkEvent(LinkEvent::Hello(member)) => {
+                self.step(Input::PeerReachable { member })
+            }
             Event::LinkEvent(LinkEvent::Message(from, message)) => {
                 self.step(Input::Message {
                     from,
@@ -122,7 +124,7 @@
                 });
             }
             Event::Disk(DiskEvent::Wrote { ticket, result }) => {
-                self.step(Input::Wrote { ticket, result });
+                self.step(Input::WriteCompleted { ticket, result });
             }
             Event::Disk(DiskEvent::Open { .. } | DiskEvent::NotOpen { .. }) => {}
             Event::Command(command, caller) => {
--- a/crates/control-plane/src/shell/outputs.rs
+++ b/crates/control-plane/src/shell/outputs.rs
@@ -18,20 +18,20 @@
                 rewrite,
             } => self.write(ticket, records, rewrite),
             Output::Answer { ticket, code, body } => self.answer_caller(ticket, code, body),
-            Output::Publish {
-                seq,
-                document,
+            Output::PublishState {
+                index,
+                configuration,
                 drains,
             }
-            | Output::Restore {
-                seq,
-                document,
+            | Output::RestoreState {
+                index,
+                configuration,
                 drains,
             } => {
-                self.show_ledger(seq, document, &drains);
+                self.show_ledger(index, configuration, &drains);
             }
             Output::Wake { at } => self.wake_by(at),
-            Output::Left => self.left = true,
+            Output::DepartureComplete => self.left = true,
         }
     }
 
@@ -53,10 +53,10 @@
         }
     }
 
-    fn show_ledger(&self, seq: u64, document: Arc<Configuration>, drains: &[String]) {
+    fn show_ledger(&self, index: u64, document: Arc<Configuration>, drains: &[String]) {
         self.history.borrow_mut().note(&document, SystemTime::now());
         self.mirror
-            .update(|mirror, _| mirror.set_ledger(seq, document, drains));
+            .update(|mirror, _| mirror.set_ledger(index, document, drains));
     }
 
     fn wake_by(&mut self, at: Duration) {
--- a/crates/control-plane/src/shell/start.rs
+++ b/crates/control-plane/src/shell/start.rs
@@ -155,7 +155,7 @@
     };
     let now = origin.elapsed();
     let member = Member::new(config, &records, now, random()?);
-    if let Some(error) = member.unsound() {
+    if let Some(error) = member.replay_error() {
         log::error!(error:% = snafu::Report::from_error(error); "the records can't be relied on: no say, no ledger");
     }
     let recorder = Recorder::new(&member);
--- a/crates/control-plane/src/shell/status.rs
+++ b/crates/control-plane/src/shell/status.rs
@@ -30,14 +30,14 @@
     pub(super) fn status(&self) -> MemberStatus {
         let now = self.origin.elapsed();
         MemberStatus {
-            view: self.member.view().cloned(),
-            acts: self.member.acts_at(now),
+            view: self.member.membership().cloned(),
+            acts: self.member.is_acting_primary_at(now),
             primary: self.member.primary(),
-            promised: self.member.promised(),
-            fit: self.member.fit(),
+            promised: self.member.promised_epoch(),
+            fit: self.member.disk_healthy(),
             age: self
                 .member
-                .proof(now)
+                .primary_contact(now)
                 .map(|proof| now.saturating_sub(proof.at)),
         }
     }
@@ -45,8 +45,8 @@
     /// Tells the mirror who is in the control plane, and how fresh what it has is.
     pub(super) fn show(&mut self) {
         let now = self.origin.elapsed();
-        let proof = self.member.proof(now);
-        let Some(view) = self.member.view().filter(|v| v.epoch > 0) else {
+        let proof = self.member.primary_contact(now);
+        let Some(view) = self.member.membership().filter(|v| v.epoch > 0) else {
             return;
         };
         let reached = self.links.seats();
@@ -73,7 +73,7 @@
                 mirror.set_fleet(known.epoch, known.primary, known.members.clone());
             }
             // It proves nothing about changes that haven't come yet.
-            if let Some(proof) = proof.filter(|proof| mirror.ledger() >= proof.committed) {
+            if let Some(proof) = proof.filter(|proof| mirror.ledger() >= proof.commit_index) {
                 mirror.proved(proof.at);
             }
         });
--- a/crates/control-plane/src/shell/transitions/compare.rs
+++ b/crates/control-plane/src/shell/transitions/compare.rs
@@ -20,11 +20,11 @@
 
 fn left_role(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
     match (before.role, after.role) {
-        (RoleSummary::Primary { epoch, .. }, RoleSummary::Idle) => {
+        (RoleSummary::Primary { epoch, .. }, RoleSummary::Follower) => {
             let cause = step_down_cause(before, after);
             Some(Transition::SteppedDown { epoch, cause })
         }
-        (RoleSummary::Candidate { epoch, phase }, RoleSummary::Idle) => {
+        (RoleSummary::Candidate { epoch, phase }, RoleSummary::Follower) => {
             Some(Transition::ElectionAbandoned { epoch, phase })
         }
         _ => None,
@@ -36,7 +36,7 @@
         StepDownCause::Leaving
     } else if after.promised > before.promised {
         StepDownCause::HigherEpoch
-    } else if after.disk != DiskState::Fit {
+    } else if after.disk != DiskState::Healthy {
         StepDownCause::Disk
     } else {
         StepDownCause::LeaseEnded
@@ -49,7 +49,7 @@
         RoleSummary::Candidate { epoch: own, .. } | RoleSummary::Primary { epoch: own, .. } => {
             own == epoch
         }
-        RoleSummary::Idle => false,
+        RoleSummary::Follower => false,
     };
     let risen = epoch > before.promised && !own;
     risen.then(|| Transition::Promised {
@@ -102,7 +102,7 @@
         _ => (None, false),
     };
     match after.role {
-        RoleSummary::Idle => Vec::new(),
+        RoleSummary::Follower => Vec::new(),
         RoleSummary::Candidate { epoch, .. } => {
             let asked = match before.role {
                 RoleSummary::Candidate { epoch, .. } => Some(epoch),
@@ -165,9 +165,13 @@
 /// The change of state that an output of the state machine stands for.
 pub fn of_output(output: &Output) -> Option<Transition> {
     match output {
-        Output::Restore { seq, document, .. } => Some(Transition::LedgerRestored {
-            seq: *seq,
-            version: document.version,
+        Output::RestoreState {
+            index,
+            configuration,
+            ..
+        } => Some(Transition::LedgerRestored {
+            seq: *index,
+            version: configuration.version,
         }),
         Output::Send {
             to,
@@ -177,7 +181,7 @@
                     snapshot: Some(snapshot),
                 },
         } => {
-            let (to, epoch, seq) = (to.clone(), view.epoch, snapshot.seq);
+            let (to, epoch, seq) = (to.clone(), view.epoch, snapshot.index);
             Some(Transition::SnapshotSent { to, epoch, seq })
         }
         Output::Send {
@@ -186,7 +190,7 @@
                 epoch, snapshot, ..
             },
         } => {
-            let (to, epoch, seq) = (to.clone(), *epoch, snapshot.seq);
+            let (to, epoch, seq) = (to.clone(), *epoch, snapshot.index);
             Some(Transition::SnapshotSent { to, epoch, seq })
         }
         _ => None,
--- a/crates/control-plane/src/shell/transitions/lines.rs
+++ b/crates/control-plane/src/shell/transitions/lines.rs
@@ -132,7 +132,7 @@
             log::info!(target: TARGET, epoch, primary:% = Name(primary); "lease of the primary is over");
         }
         Transition::Disk {
-            state: DiskState::Fit,
+            state: DiskState::Healthy,
         } => log::info!(target: TARGET, "disk takes writes again"),
         Transition::Disk {
             state: DiskState::Refused,
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -39,7 +39,7 @@
             for output in outputs {
                 match output {
                     Output::Send { to, message } => self.sent.push((to.id, message)),
-                    Output::Write { ticket, .. } => inputs.push(Input::Wrote {
+                    Output::Write { ticket, .. } => inputs.push(Input::WriteCompleted {
                         ticket,
                         result: Ok(()),
                     }),
@@ -74,7 +74,7 @@
         };
         let tag = Some(LogPosition {
             epoch: VIEW_EPOCH,
-            seq: 0,
+            index: 0,
         });
         let promise = Message::Promise {
             epoch,
@@ -131,7 +131,7 @@
     candidate.promise_of(3, epoch);
     let tag = LogPosition {
         epoch: VIEW_EPOCH,
-        seq: 0,
+        index: 0,
     };
     candidate.hear(
         2,
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -229,7 +229,7 @@
     }
 
     pub fn leave(&mut self, n: usize) {
-        self.step(n, Input::Leave);
+        self.step(n, Input::Depart);
     }
 
     /// The process is asked to end, and ends once it may.
@@ -289,13 +289,16 @@
         self.nodes[n]
             .member
             .as_ref()
-            .and_then(Member::view)
+            .and_then(Member::membership)
             .cloned()
             .unwrap_or_default()
     }
 
     pub fn acts(&self, n: usize) -> bool {
-        self.nodes[n].member.as_ref().is_some_and(Member::acts)
+        self.nodes[n]
+            .member
+            .as_ref()
+            .is_some_and(Member::is_acting_primary)
     }
 
     pub fn primary(&self) -> Option<usize> {
@@ -391,13 +394,13 @@
                 self.nodes[n].wake = at;
                 self.push(at.saturating_sub(self.now), n, Event::Wake);
             }
-            Output::Left => {
+            Output::DepartureComplete => {
                 self.nodes[n].left = true;
                 if self.nodes[n].ends {
                     self.push(LAST_WORDS, n, Event::End);
                 }
             }
-            Output::Publish { .. } | Output::Restore { .. } => {}
+            Output::PublishState { .. } | Output::RestoreState { .. } => {}
         }
     }
 
@@ -426,7 +429,7 @@
                 self.nodes[n].records.extend(records);
                 self.step(
                     n,
-                    Input::Wrote {
+                    Input::WriteCompleted {
                         ticket,
                         result: Ok(()),
                     },
@@ -436,7 +439,12 @@
                 let seat = self.nodes[n].seat.clone();
                 for to in (0..self.nodes.len()).filter(|to| *to != n) {
                     if !self.nodes[n].cut && !self.nodes[to].cut {
-                        self.step(to, Input::Reachable { seat: seat.clone() });
+                        self.step(
+                            to,
+                            Input::PeerReachable {
+                                member: seat.clone(),
+                            },
+                        );
                     }
                 }
                 self.push(LINK_REPORT, n, Event::Links);
--- a/crates/control-plane/tests/cut_core/mod.rs
+++ b/crates/control-plane/tests/cut_core/mod.rs
@@ -227,14 +227,14 @@
 
     pub fn primary(&self) -> usize {
         let acting = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].member.acts() && !self.nodes[*n].frozen);
+            .filter(|n| self.nodes[*n].member.is_acting_primary() && !self.nodes[*n].frozen);
         acting
-            .max_by_key(|n| self.nodes[*n].member.promised())
+            .max_by_key(|n| self.nodes[*n].member.promised_epoch())
             .expect("one acts")
     }
 
     pub fn replicas(&self) -> Vec<usize> {
-        let view = self.nodes[self.primary()].member.view().unwrap();
+        let view = self.nodes[self.primary()].member.membership().unwrap();
         (0..self.nodes.len())
             .filter(|n| view.replicas.contains(&self.seats[*n].id))
             .collect()
@@ -242,7 +242,7 @@
 
     /// Those who have a say in the primary's view.
     pub fn voters(&self) -> Vec<usize> {
-        let view = self.nodes[self.primary()].member.view().unwrap();
+        let view = self.nodes[self.primary()].member.membership().unwrap();
         (0..self.nodes.len())
             .filter(|n| view.voter(self.seats[*n].id).is_some())
             .collect()
@@ -259,7 +259,7 @@
         let clock = self.clock(n);
         self.nodes[n]
             .member
-            .proof(clock)
+            .primary_contact(clock)
             .map(|proof| clock - proof.at)
     }
 
@@ -324,8 +324,8 @@
         for (a, b) in (0..many).flat_map(|a| (0..many).map(move |b| (a, b))) {
             let up = a != b && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a));
             if up && !self.nodes[a].frozen {
-                let input = Input::Reachable {
-                    seat: self.seats[a].clone(),
+                let input = Input::PeerReachable {
+                    member: self.seats[a].clone(),
                 };
                 self.nodes[b].inbox.push_back(Waiting {
                     at: self.now + ms(1),
@@ -366,7 +366,7 @@
     /// No two act at once, whoever stands still.
     fn check_one_acts(&self) {
         let acting: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].member.acts_at(self.clock(*n)))
+            .filter(|n| self.nodes[*n].member.is_acting_primary_at(self.clock(*n)))
             .collect();
         assert!(acting.len() <= 1, "{acting:?} act at {:?}", self.now);
     }
@@ -396,7 +396,7 @@
                     node.records.clear();
                 }
                 node.records.extend(records);
-                let input = Input::Wrote {
+                let input = Input::WriteCompleted {
                     ticket,
                     result: Ok(()),
                 };
@@ -412,11 +412,12 @@
                     "answered once"
                 );
             }
-            Output::Publish { document, .. } | Output::Restore { document, .. } => {
-                self.nodes[n].shown = document.version;
+            Output::PublishState { configuration, .. }
+            | Output::RestoreState { configuration, .. } => {
+                self.nodes[n].shown = configuration.version;
             }
             Output::Wake { at } => self.nodes[n].wake = at,
-            Output::Left => {}
+            Output::DepartureComplete => {}
         }
     }
 
--- a/crates/control-plane/tests/cut_off.rs
+++ b/crates/control-plane/tests/cut_off.rs
@@ -54,7 +54,14 @@
         "then the primary proves it anew"
     );
     let clock = core.clock(sleeper);
-    assert!(core.nodes[sleeper].member.proof(clock).unwrap().committed >= 2);
+    assert!(
+        core.nodes[sleeper]
+            .member
+            .primary_contact(clock)
+            .unwrap()
+            .commit_index
+            >= 2
+    );
 }
 
 #[test]
@@ -79,9 +86,9 @@
     core.nodes[old].inbox.rotate_right(3);
     core.thaw(old);
     // Before anything has reached it, too: its status is asked for by people.
-    assert!(!core.nodes[old].member.acts_at(core.clock(old)));
+    assert!(!core.nodes[old].member.is_acting_primary_at(core.clock(old)));
     core.turn(old);
-    assert!(!core.nodes[old].member.acts());
+    assert!(!core.nodes[old].member.is_acting_primary());
     core.run(ACK);
     let answers: Vec<(ResultCode, &[u8])> = calls
         .iter()
@@ -134,7 +141,7 @@
         version += 2;
         for n in &lost {
             let since_cut = core.now + CUT - end;
-            assert!(!core.nodes[*n].member.acts() || since_cut < LEASE);
+            assert!(!core.nodes[*n].member.is_acting_primary() || since_cut < LEASE);
             let proved = core.age(*n);
             assert!(
                 proved.is_some_and(|age| age + ms(500) >= since_cut.saturating_sub(LEASE)),
--- a/crates/control-plane/tests/cut_off_groups.rs
+++ b/crates/control-plane/tests/cut_off_groups.rs
@@ -73,7 +73,7 @@
                     self.age(*n)
                 );
                 assert!(
-                    self.now < begun + LEASE || !self.nodes[*n].member.acts(),
+                    self.now < begun + LEASE || !self.nodes[*n].member.is_acting_primary(),
                     "{n} acts"
                 );
             }
@@ -241,7 +241,10 @@
     version = core.orders_go_on(CUT - ms(cut_after_ms), &healthy, &[one], version);
     core.thaw(sleeper);
     while core.turn(sleeper) {
-        assert!(!core.nodes[sleeper].member.acts(), "it woke and acts");
+        assert!(
+            !core.nodes[sleeper].member.is_acting_primary(),
+            "it woke and acts"
+        );
     }
     // It is one of the healthy again while the other is still cut off.
     core.run(LEASE * 2);
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -89,7 +89,7 @@
             for output in out {
                 match output {
                     Output::Send { message, .. } => sent.push(message),
-                    Output::Write { ticket, .. } => inputs.push(Input::Wrote {
+                    Output::Write { ticket, .. } => inputs.push(Input::WriteCompleted {
                         ticket,
                         result: Ok(()),
                     }),
@@ -187,9 +187,9 @@
         "{sent:?}"
     );
     assert!(
-        voter.member.promised() == EPOCH,
+        voter.member.promised_epoch() == EPOCH,
         "it promised itself {}",
-        voter.member.promised()
+        voter.member.promised_epoch()
     );
     // Once the lease has ended it stands again.
     voter.now += LEASE;
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/ledger.rs
@@ -44,7 +44,7 @@
     // Also once others have followed.
     let later = taken(&ledger, &replace(2, body(5, "s")));
     assert_eq!(answer(&later, &first), ResultCode::Ok);
-    assert_eq!(later.document.version, 5);
+    assert_eq!(later.configuration.version, 5);
 }
 
 #[rstest]
@@ -78,9 +78,9 @@
     };
     let mut ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
     for n in 0..3 {
-        ledger = taken(&ledger, &amendment(ledger.document.version, n));
+        ledger = taken(&ledger, &amendment(ledger.configuration.version, n));
     }
-    let version = ledger.document.version;
+    let version = ledger.configuration.version;
     assert_eq!(
         answer(&ledger, &amendment(version, 3)),
         ResultCode::TooLarge
@@ -108,9 +108,9 @@
     };
     let first = taken(&ReplicatedState::default(), &replace(0, routes(1)));
     let second = taken(&first, &replace(1, routes(2)));
-    assert_eq!(second.document.to_json().into_bytes(), routes(2));
+    assert_eq!(second.configuration.to_json().into_bytes(), routes(2));
     let item = routes(1).len() / 200;
-    let differs = second.document.unshared_bytes(&first.document);
+    let differs = second.configuration.unshared_bytes(&first.configuration);
     assert!(
         differs > item && differs < 4 * item,
         "{differs} bytes differ, an item has {item}"
--- a/crates/control-plane/tests/links.rs
+++ b/crates/control-plane/tests/links.rs
@@ -212,15 +212,15 @@
     });
 }
 
-fn change(seq: u64, bytes: usize) -> Message {
+fn change(index: u64, bytes: usize) -> Message {
     let change = Change::Configure {
-        base: seq,
+        base: index,
         amend: false,
         body: vec![b'x'; bytes],
     };
     Message::AppendChange {
         epoch: 7,
-        seq,
+        index,
         change,
     }
 }
@@ -385,7 +385,7 @@
             "{:?}",
             start.elapsed()
         );
-        assert!(matches!(change, Message::AppendChange { seq: 1, .. }));
+        assert!(matches!(change, Message::AppendChange { index: 1, .. }));
         assert_eq!(links.counters().broken, 0);
     });
 }
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -92,7 +92,7 @@
 /// What a new life makes of records: the change it shows as acknowledged, and how far its ledger goes.
 fn state_of(disk: &[Vec<u8>], now: Duration) -> (Option<u64>, Option<(u64, u64)>) {
     let mut again = Machine::start(config(ME, None), disk.to_vec(), now);
-    assert!(again.member.unsound().is_none());
+    assert!(again.member.replay_error().is_none());
     again.step(Input::Tick);
     let shown = restored(&again.take_outputs());
     again.now += 2 * LEASE;
@@ -109,7 +109,7 @@
         } => Some(*tag),
         _ => None,
     });
-    (shown, tag.expect("it promises").map(|t| (t.epoch, t.seq)))
+    (shown, tag.expect("it promises").map(|t| (t.epoch, t.index)))
 }
 
 impl Machine {
@@ -143,7 +143,7 @@
             for output in out {
                 match output {
                     Output::Write { ticket, .. } if self.refuses_all => {
-                        inputs.push(Input::Wrote {
+                        inputs.push(Input::WriteCompleted {
                             ticket,
                             result: Err(DiskError::Full),
                         });
@@ -154,7 +154,7 @@
                         ..
                     } if self.refuses_rewrites => {
                         self.rewrites += 1;
-                        inputs.push(Input::Wrote {
+                        inputs.push(Input::WriteCompleted {
                             ticket,
                             result: Err(DiskError::Full),
                         });
@@ -178,7 +178,7 @@
                         }
                         self.disk.extend(records);
                         self.longest = self.longest.max(self.bytes());
-                        inputs.push(Input::Wrote {
+                        inputs.push(Input::WriteCompleted {
                             ticket,
                             result: Ok(()),
                         });
@@ -198,7 +198,7 @@
 
     /// Lets time pass until the member acts.
     fn until_it_acts(&mut self) {
-        while !self.member.acts() {
+        while !self.member.is_acting_primary() {
             self.now += Duration::from_millis(20);
             self.step(Input::Tick);
             assert!(self.now < Duration::from_secs(600), "it stands before long");
@@ -223,7 +223,7 @@
 
 fn restored(outputs: &[Output]) -> Option<u64> {
     outputs.iter().find_map(|o| match o {
-        Output::Restore { seq, .. } => Some(*seq),
+        Output::RestoreState { index, .. } => Some(*index),
         _ => None,
     })
 }
@@ -239,17 +239,17 @@
     #[case] under_way: u64,
 ) {
     let mut machine = replica();
-    for seq in 1..=changes {
+    for index in 1..=changes {
         machine.now += Duration::from_millis(20);
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
-            seq,
-            change: change(seq, routes),
+            index,
+            change: change(index, routes),
         });
-        if seq % RENEWED_EACH == 0 {
+        if index % RENEWED_EACH == 0 {
             let (stamp, committed) = (
                 machine.now.as_millis() as u64,
-                seq.saturating_sub(under_way),
+                index.saturating_sub(under_way),
             );
             machine.hear(Message::RenewLease {
                 epoch: EPOCH,
@@ -286,31 +286,34 @@
     let mut machine = replica();
     machine.compares = true;
     let mut shown = 0;
-    for seq in 1..=300_u64 {
+    for index in 1..=300_u64 {
         machine.now += Duration::from_millis(50);
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
-            seq,
-            change: change(seq, 300),
+            index,
+            change: change(index, 300),
         });
         let confirmed = machine.take_outputs().iter().any(|o| {
-            matches!(o, Output::Send { message: Message::AppendReply { seq: s, ok: true, .. }, .. } if *s == seq)
+            matches!(o, Output::Send { message: Message::AppendReply { index: s, ok: true, .. }, .. } if *s == index)
         });
-        assert!(confirmed, "change {seq}");
-        if seq % 3 == 0 {
+        assert!(confirmed, "change {index}");
+        if index % 3 == 0 {
             let stamp = machine.now.as_millis() as u64;
             machine.hear(Message::RenewLease {
                 epoch: EPOCH,
                 stamp,
-                committed: seq - 1,
+                committed: index - 1,
                 heard: 0,
             });
         }
         let mut again = Machine::start(config(ME, None), machine.disk.clone(), machine.now);
-        assert!(again.member.unsound().is_none(), "after {seq}");
+        assert!(again.member.replay_error().is_none(), "after {index}");
         again.step(Input::Tick);
         let now = restored(&again.take_outputs()).unwrap_or_default();
-        assert!(now >= shown && now < seq, "{now} after {shown} at {seq}");
+        assert!(
+            now >= shown && now < index,
+            "{now} after {shown} at {index}"
+        );
         shown = now;
         // Whoever starts again goes on as the one it was.
         machine.member = again.member;
@@ -327,7 +330,7 @@
     machine.refuses_all = true;
     machine.hear(Message::AppendChange {
         epoch: EPOCH,
-        seq: 1,
+        index: 1,
         change: change(1, 10),
     });
     let says = |machine: &mut Machine| {
@@ -368,7 +371,7 @@
     assert!(says(&mut machine));
     machine.hear(Message::AppendChange {
         epoch: EPOCH,
-        seq: 1,
+        index: 1,
         change: change(1, 10),
     });
     let taken = machine.take_outputs().iter().any(|o| {
@@ -377,7 +380,7 @@
             Output::Send {
                 message: Message::AppendReply {
                     ok: true,
-                    seq: 1,
+                    index: 1,
                     ..
                 },
                 ..
@@ -412,7 +415,10 @@
         let taken = machine.take_outputs().iter().any(
             |o| matches!(o, Output::Answer { ticket, code: ResultCode::Ok, .. } if *ticket == version),
         );
-        assert!(taken && machine.member.acts(), "change {version}");
+        assert!(
+            taken && machine.member.is_acting_primary(),
+            "change {version}"
+        );
     }
     // 200 changes in 20 s: a try every few seconds, not with each change.
     assert!(
@@ -469,10 +475,10 @@
     ledger.drains = (0..10_000).map(|n| format!("{n:0>256}")).collect();
     let append = Message::AppendChange {
         epoch: 1,
-        seq: 1,
+        index: 1,
         change,
     };
-    let tag = protocol::LogPosition { epoch: 1, seq: 1 };
+    let tag = protocol::LogPosition { epoch: 1, index: 1 };
     let reply = Message::SnapshotReply {
         epoch: 1,
         tag,
@@ -503,17 +509,17 @@
     }
 }
 
-fn numbered(epoch: u64, seq: u64, version: u64) -> Record {
+fn numbered(epoch: u64, index: u64, version: u64) -> Record {
     Record::Change {
         epoch,
-        seq,
+        index,
         change: change(version, 1),
     }
 }
 
 fn unreadable_ledger() -> Record {
     let mut snapshot = ReplicatedState::default().snapshot();
-    snapshot.document = "{".into();
+    snapshot.configuration = "{".into();
     Record::Accepted {
         view: view(),
         snapshot: Some(snapshot),
@@ -525,8 +531,8 @@
 #[rstest]
 #[case::unreadable(vec![], Some(vec![77, 1, 2]), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
 #[case::longer(vec![], Some([protocol::write_one(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
-#[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { seq: 3, held_seq: 1, .. }))]
-#[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { seq: 1, held_seq: 1, .. }))]
+#[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 3, held_index: 1, .. }))]
+#[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 1, held_index: 1, .. }))]
 #[case::of_another_view(vec![numbered(EPOCH + 1, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { .. }))]
 #[case::cannot_be_made(vec![numbered(EPOCH, 2, 9)], None, |e: &ReplayError| matches!(e, ReplayError::Change { record: 2, .. }))]
 #[case::no_ledger(vec![accepted(None), numbered(EPOCH, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::NoLedger { record: 3 }))]
@@ -547,9 +553,9 @@
         .chain(raw)
         .collect();
     let mut machine = Machine::start(config(ME, None), disk.clone(), Duration::ZERO);
-    let error = machine.member.unsound().expect("it is noticed");
+    let error = machine.member.replay_error().expect("it is noticed");
     assert!(expected(error), "{error:?}");
-    assert!(!machine.member.fit());
+    assert!(!machine.member.disk_healthy());
     for round in 1..=40_u64 {
         machine.now += LEASE / 4;
         machine.step(Input::Tick);
@@ -565,7 +571,7 @@
         machine.hear(Message::FetchSnapshot { epoch });
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
-            seq: 2,
+            index: 2,
             change: change(2, 1),
         });
         machine.hear(Message::RenewLease {
--- a/crates/control-plane/tests/order_calls.rs
+++ b/crates/control-plane/tests/order_calls.rs
@@ -70,7 +70,7 @@
 
 impl Api {
     fn version(&self) -> u64 {
-        self.book.0.borrow().document.version
+        self.book.0.borrow().configuration.version
     }
 
     async fn connect(&self) -> TcpStream {
@@ -205,6 +205,6 @@
             .unwrap();
         let answers = rest(&mut stream).await;
         assert_eq!(answers.matches("HTTP/1.1 200 ").count(), 4, "{answers}");
-        assert_eq!(api.book.0.borrow().taken.iter().count(), 1);
+        assert_eq!(api.book.0.borrow().applied_requests.iter().count(), 1);
     });
 }
--- a/crates/control-plane/tests/order_cluster/mod.rs
+++ b/crates/control-plane/tests/order_cluster/mod.rs
@@ -125,9 +125,9 @@
         node.member = Some(Member::new(config, &node.records, self.now, random));
         node.answers.clear();
         let me = self.nodes[n].info.clone();
-        for (other, seat) in voters.into_iter().enumerate().filter(|v| v.0 != n) {
-            self.step(n, Input::Reachable { seat });
-            self.step(other, Input::Reachable { seat: me.clone() });
+        for (other, member) in voters.into_iter().enumerate().filter(|v| v.0 != n) {
+            self.step(n, Input::PeerReachable { member });
+            self.step(other, Input::PeerReachable { member: me.clone() });
         }
     }
 
@@ -144,7 +144,7 @@
         let primary = (0..self.nodes.len()).find(|p| self.acts(*p));
         let view = primary
             .and_then(|p| self.nodes[p].member.as_ref())
-            .and_then(Member::view);
+            .and_then(Member::membership);
         view.is_some_and(|v| v.is_stable() && v.replicas.contains(&self.nodes[n].info.id))
     }
 
@@ -199,7 +199,7 @@
         let view = self.nodes[primary]
             .member
             .as_ref()
-            .and_then(Member::view)
+            .and_then(Member::membership)
             .cloned()
             .unwrap();
         self.nodes
@@ -210,7 +210,11 @@
 
     /// Whether a member acts.
     pub fn acts(&self, n: usize) -> bool {
-        !self.frozen.contains(&n) && self.nodes[n].member.as_ref().is_some_and(Member::acts)
+        !self.frozen.contains(&n)
+            && self.nodes[n]
+                .member
+                .as_ref()
+                .is_some_and(Member::is_acting_primary)
     }
 
     /// The time.
@@ -323,7 +327,7 @@
                 self.nodes[node].records.extend(records);
                 self.step(
                     node,
-                    Input::Wrote {
+                    Input::WriteCompleted {
                         ticket,
                         result: Ok(()),
                     },
@@ -386,7 +390,9 @@
                 let after = at.saturating_sub(self.now);
                 self.schedule(after, Event::Wake { node: n });
             }
-            Output::Publish { .. } | Output::Restore { .. } | Output::Left => {}
+            Output::PublishState { .. }
+            | Output::RestoreState { .. }
+            | Output::DepartureComplete => {}
         }
     }
 }
--- a/crates/control-plane/tests/orders.rs
+++ b/crates/control-plane/tests/orders.rs
@@ -88,7 +88,7 @@
 #[test]
 fn an_order_older_than_the_memory_is_neither_refused_nor_confirmed() {
     let ledger = after_orders(MIN_REMEMBERED_ORDERS as u64 + 200);
-    let remembered = ledger.taken.iter().count();
+    let remembered = ledger.applied_requests.iter().count();
     assert!(
         (MIN_REMEMBERED_ORDERS..MIN_REMEMBERED_ORDERS + 64).contains(&remembered),
         "{remembered}"
@@ -97,7 +97,7 @@
         ReplicatedState::of(&ledger.snapshot()).unwrap(),
         ledger.clone(),
     ] {
-        assert_eq!(ledger.taken.iter().count(), remembered);
+        assert_eq!(ledger.applied_requests.iter().count(), remembered);
         assert_eq!(
             answer(&ledger, &order(0, 2, "first")),
             ResultCode::OrderForgotten
@@ -107,7 +107,7 @@
             ResultCode::OrderForgotten
         );
         assert_eq!(ResultCode::OrderForgotten.status(), 503);
-        let oldest = ledger.taken.oldest_base().unwrap();
+        let oldest = ledger.applied_requests.oldest_base().unwrap();
         assert_eq!(
             answer(&ledger, &order(oldest, oldest + 2, "first")),
             ResultCode::Ok
@@ -229,17 +229,17 @@
             let winner = followed.get(&base);
             match ledger.plan(&command) {
                 Plan::Change(change, next) => {
-                    prop_assert!(winner.is_none() && base == ledger.document.version);
+                    prop_assert!(winner.is_none() && base == ledger.configuration.version);
                     let configures = matches!(change, Change::Configure { .. });
                     prop_assert!(configures);
                     followed.insert(base, command);
                     ledger = *next;
                 }
                 Plan::Answer(ResultCode::Ok, _) => prop_assert_eq!(winner, Some(&command)),
-                Plan::Answer(ResultCode::BaseNotInForce, _) => prop_assert!(base > ledger.document.version),
+                Plan::Answer(ResultCode::BaseNotInForce, _) => prop_assert!(base > ledger.configuration.version),
                 Plan::Answer(code, _) => {
                     prop_assert_eq!(code.status() / 100, 4);
-                    prop_assert!(base <= ledger.document.version);
+                    prop_assert!(base <= ledger.configuration.version);
                     prop_assert_ne!(winner, Some(&command));
                 }
             }
--- a/crates/control-plane/tests/orders/early.rs
+++ b/crates/control-plane/tests/orders/early.rs
@@ -25,7 +25,7 @@
     );
     // Its base comes: it is taken.
     let with_base = taken(&ledger, &order(2, 5, "base"));
-    assert_eq!(taken(&with_base, &early).document.version, 7);
+    assert_eq!(taken(&with_base, &early).configuration.version, 7);
     // Versions pass its base: nobody can take it any more.
     let passed = taken(&ledger, &order(2, 6, "another"));
     assert_eq!(answer(&passed, &early), ResultCode::OtherBase);
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -181,11 +181,11 @@
     let mut gap = records;
     gap.push(protocol::write_one(&protocol::Record::Change {
         epoch: 1,
-        seq: 99,
+        index: 99,
         change,
     }));
     assert!(matches!(
         Survivor::read(&identity, &gap),
-        Err(Refusal::Gap { seq: 99, .. })
+        Err(Refusal::Gap { index: 99, .. })
     ));
 }
--- a/crates/control-plane/tests/slow_links.rs
+++ b/crates/control-plane/tests/slow_links.rs
@@ -93,7 +93,12 @@
         }
         for id in 1..=3 {
             (1..=3).filter(|other| *other != id).for_each(|other| {
-                world.input(id, Input::Reachable { seat: seat(other) });
+                world.input(
+                    id,
+                    Input::PeerReachable {
+                        member: seat(other),
+                    },
+                );
             });
         }
         world
@@ -187,7 +192,7 @@
                 }
                 Some(Event::Wrote { to, ticket }) => self.input(
                     to,
-                    Input::Wrote {
+                    Input::WriteCompleted {
                         ticket,
                         result: Ok(()),
                     },
@@ -203,14 +208,17 @@
     }
 
     fn acting(&self) -> Option<u64> {
-        self.members.iter().find(|m| m.1.acts()).map(|m| *m.0)
+        self.members
+            .iter()
+            .find(|m| m.1.is_acting_primary())
+            .map(|m| *m.0)
     }
 
     /// Lets what is under way come to its end; who acts then, and in which view.
     fn settle(&mut self) -> (u64, u64) {
         self.until(Duration::from_secs(5), |_| false);
         let primary = self.acting().unwrap();
-        (primary, self.members[&primary].view().unwrap().epoch)
+        (primary, self.members[&primary].membership().unwrap().epoch)
     }
 
     /// Hands a command to the member that acts, and waits for its answer.
@@ -268,7 +276,7 @@
     let mut world = World::new(seed);
     assert_eq!(world.order(1, &configure(0, bytes)), Some(ResultCode::Ok));
     let lost = world.acting().unwrap();
-    let replicas = world.members[&lost].view().unwrap().replicas.clone();
+    let replicas = world.members[&lost].membership().unwrap().replicas.clone();
     world.rate = rate;
     world.members.remove(&lost);
     world.unheard = replicas;
@@ -369,7 +377,11 @@
         Some(ResultCode::Ok)
     );
     let primary = world.acting().unwrap();
-    let replicas = world.members[&primary].view().unwrap().replicas.clone();
+    let replicas = world.members[&primary]
+        .membership()
+        .unwrap()
+        .replicas
+        .clone();
     let replica = *replicas.iter().find(|id| **id != primary).unwrap();
     world.members.retain(|id, _| replicas.contains(id));
     world.stalled = Some(replica);
@@ -427,7 +439,7 @@
         assert_eq!(answer, Some(ResultCode::Ok), "change {base}");
         assert_eq!(world.acting(), Some(primary));
         assert_eq!(
-            world.members[&primary].view().unwrap().epoch,
+            world.members[&primary].membership().unwrap().epoch,
             epoch,
             "no view was needed"
         );
@@ -475,5 +487,5 @@
         "{:?}",
         world.answers
     );
-    assert_eq!(world.members[&primary].view().unwrap().epoch, epoch);
+    assert_eq!(world.members[&primary].membership().unwrap().epoch, epoch);
 }
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -148,14 +148,14 @@
                         if result.is_ok() {
                             node.records.extend(records);
                         }
-                        let wrote = Input::Wrote { ticket, result };
+                        let wrote = Input::WriteCompleted { ticket, result };
                         match node.disk {
                             Disk::Stalls => node.stalled.push(wrote),
                             _ => queue.push_back((id, wrote)),
                         }
                     }
                     Output::Wake { at } => node.wake = at,
-                    Output::Left => drop(self.left.insert(id)),
+                    Output::DepartureComplete => drop(self.left.insert(id)),
                     _ => {}
                 }
             }
@@ -183,7 +183,7 @@
             self.run(STEP);
             assert!(self.now < end, "nobody acts");
             let well = |id: &u64, node: &Node| {
-                !node.frozen && !self.cut.contains(id) && node.member.acts()
+                !node.frozen && !self.cut.contains(id) && node.member.is_acting_primary()
             };
             if let Some((id, _)) = self.nodes.iter().find(|(id, node)| well(id, node)) {
                 return *id;
@@ -377,7 +377,7 @@
     world.run(Duration::from_secs(2));
     assert!(world.told(primary, |t| *t
         == Transition::Disk {
-            state: DiskState::Fit
+            state: DiskState::Healthy
         }));
 }
 
@@ -392,7 +392,7 @@
     world.start(4, false, Vec::new());
     for _ in 0..40 {
         // A link shows that it is there.
-        world.input(primary, Input::Reachable { seat: seat(4) });
+        world.input(primary, Input::PeerReachable { member: seat(4) });
         world.run(Duration::from_millis(250));
     }
     let exchanged = |t: &Transition| match t {
@@ -422,7 +422,7 @@
 fn a_primary_that_leaves_tells_it() {
     let (mut world, primary) = World::settled();
     world.clear();
-    world.input(primary, Input::Leave);
+    world.input(primary, Input::Depart);
     assert!(
         !world.left.contains(&primary),
         "a replica that leaves hands over first"
@@ -450,7 +450,7 @@
     world.input(primary, Input::Command { ticket: 1, command });
     world.run(Duration::from_secs(2));
     let records = world.nodes[&primary].records.clone();
-    let epoch = world.nodes[&primary].member.view().unwrap().epoch;
+    let epoch = world.nodes[&primary].member.membership().unwrap().epoch;
     world.start(primary, false, records);
     let summary = world.nodes[&primary].recorder.summary();
     assert_eq!(
--- a/crates/control-plane/tests/without_a_say.rs
+++ b/crates/control-plane/tests/without_a_say.rs
@@ -84,8 +84,8 @@
             self.now += ms(1);
             let reports = (self.now.as_millis() as u64).is_multiple_of(1000);
             match linked_to.filter(|_| reports) {
-                Some(primary) => self.step(Input::Reachable {
-                    seat: seat(primary),
+                Some(primary) => self.step(Input::PeerReachable {
+                    member: seat(primary),
                 }),
                 None => self.step(Input::Tick),
             }
--- a/crates/model-check/src/cluster/claims.rs
+++ b/crates/model-check/src/cluster/claims.rs
@@ -105,9 +105,9 @@
             &self.refused,
         )
             .hash(&mut hasher);
-        for (seq, shown) in &self.shown {
+        for (index, shown) in &self.shown {
             (
-                seq,
+                index,
                 shown.content,
                 crate::canonical::relative(now, shown.at, lease),
             )
@@ -189,7 +189,7 @@
             if let Ok(Record::Accepted { view, snapshot }) = protocol::read_one(record) {
                 let facts = self.see_view(&view)?;
                 facts.on_disk.insert(id);
-                facts.begins_with = snapshot.map(|s| s.seq).or(facts.begins_with);
+                facts.begins_with = snapshot.map(|s| s.index).or(facts.begins_with);
                 if facts.agreed() {
                     let begins_with = facts.begins_with.unwrap_or_default();
                     self.taken_over(view.epoch, begins_with)?;
@@ -284,15 +284,15 @@
         &mut self,
         now: Duration,
         epoch: u64,
-        seq: u64,
+        index: u64,
         document: &Configuration,
         drains: &[String],
     ) -> Result<(), Breach> {
         let newest = self.shown.last_key_value().map_or(0, |s| *s.0);
-        if seq < newest {
+        if index < newest {
             return Err(Breach::new(
                 KEPT,
-                format!("change {seq} shown after {newest}"),
+                format!("change {index} shown after {newest}"),
             ));
         }
         if document.version < self.newest_confirmed {
@@ -305,7 +305,7 @@
         if let Some(drain) = self.confirmed_drains.iter().find(|d| !drains.contains(d)) {
             return Err(Breach::new(KEPT, format!("drain {drain} is lost")));
         }
-        self.same_content(now, epoch, seq, document, drains)?;
+        self.same_content(now, epoch, index, document, drains)?;
         if let Some(order) = self.refused.get(&hash_of(document.to_json())) {
             return Err(Breach::new(
                 ANSWER,
@@ -320,13 +320,13 @@
         &mut self,
         now: Duration,
         epoch: u64,
-        seq: u64,
+        index: u64,
         document: &Configuration,
         drains: &[String],
     ) -> Result<(), Breach> {
         let document = hash_of(document.to_json());
         let content = hash_of((document, drains));
-        let shown = self.shown.entry(seq).or_insert(Shown {
+        let shown = self.shown.entry(index).or_insert(Shown {
             content,
             document,
             epoch,
@@ -337,7 +337,7 @@
         } else {
             Err(Breach::new(
                 ONE_CONTENT,
-                format!("change {seq} has two contents"),
+                format!("change {index} has two contents"),
             ))
         }
     }
@@ -385,18 +385,18 @@
         }
     }
 
-    /// Somebody with change `seq` says that nothing acknowledged before `fresh_at` is missing.
+    /// Somebody with change `index` says that nothing acknowledged before `fresh_at` is missing.
     pub(super) fn claims_fresh(
         &self,
         who: &str,
         fresh_at: Duration,
-        seq: u64,
+        index: u64,
     ) -> Result<(), Breach> {
-        let missing = self.shown.range(seq + 1..).find(|s| s.1.at < fresh_at);
+        let missing = self.shown.range(index + 1..).find(|s| s.1.at < fresh_at);
         match missing {
             Some((missing, shown)) => {
                 let detail = format!(
-                    "{who} has change {seq} and says it lacks nothing up to {fresh_at:?}; change {missing} was acknowledged at {:?}",
+                    "{who} has change {index} and says it lacks nothing up to {fresh_at:?}; change {missing} was acknowledged at {:?}",
                     shown.at
                 );
                 Err(Breach::new(AGE, detail))
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -234,11 +234,12 @@
     /// As the shell does after each turn: tells the mirror how fresh it is.
     pub(super) fn show(&mut self, now: Duration) {
         let now = self.clock(now);
-        if self.member.view().is_none_or(|v| v.epoch == 0) {
+        if self.member.membership().is_none_or(|v| v.epoch == 0) {
             return;
         }
-        let proof = self.member.proof(now);
-        if let Some(proof) = proof.filter(|proof| self.mirror.read().ledger() >= proof.committed) {
+        let proof = self.member.primary_contact(now);
+        if let Some(proof) = proof.filter(|proof| self.mirror.read().ledger() >= proof.commit_index)
+        {
             self.mirror.get().proved(proof.at);
         }
     }
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/planted.rs
@@ -79,7 +79,7 @@
                 Message::SnapshotReply {
                     epoch,
                     tag: LogPosition {
-                        seq: snapshot.seq,
+                        index: snapshot.index,
                         ..tag
                     },
                     snapshot,
@@ -94,19 +94,24 @@
             ) => {
                 let mut snapshot = snapshot;
                 snapshot
-                    .taken
+                    .applied_requests
                     .iter_mut()
                     .for_each(|call| call.digest = Default::default());
                 let snapshot = Some(snapshot);
                 Message::InstallMembership { view, snapshot }
             }
-            (Planted::RewrittenChange, Message::AppendChange { epoch, seq, change }) => {
+            (
+                Planted::RewrittenChange,
                 Message::AppendChange {
                     epoch,
-                    seq,
-                    change: other_content(change),
-                }
-            }
+                    index,
+                    change,
+                },
+            ) => Message::AppendChange {
+                epoch,
+                index,
+                change: other_content(change),
+            },
             (_, message) => message,
         }
     }
@@ -143,10 +148,10 @@
             (Planted::UnfoundedLease, Message::RenewLease { epoch, stamp, .. }) if !reachable => {
                 from_receiver(granted(*epoch, *stamp))
             }
-            (Planted::EarlyWord, Message::AppendChange { epoch, seq, .. }) => {
+            (Planted::EarlyWord, Message::AppendChange { epoch, index, .. }) => {
                 from_receiver(Message::AppendReply {
                     epoch: *epoch,
-                    seq: *seq,
+                    index: *index,
                     ok: true,
                     seen: *epoch,
                 })
--- a/crates/model-check/src/cluster/world/actions.rs
+++ b/crates/model-check/src/cluster/world/actions.rs
@@ -82,7 +82,7 @@
                 let life = world.machines[*n].lives;
                 world.machine(*n).leaving = Some(*down);
                 world.schedule(LEAVE_TIMEOUT, Event::Kill(*n, life));
-                world.step(run, *n, Input::Leave)?;
+                world.step(run, *n, Input::Depart)?;
             }
             Action::LateNews(n, after) => world.late_news = Some((*n, *after)),
         }
--- a/crates/model-check/src/cluster/world/members.rs
+++ b/crates/model-check/src/cluster/world/members.rs
@@ -21,7 +21,7 @@
         self.step(
             run,
             n,
-            Input::Wrote {
+            Input::WriteCompleted {
                 ticket: write.ticket,
                 result: Ok(()),
             },
@@ -48,7 +48,7 @@
             for output in outputs {
                 if let Some(write) = self.perform(run, n, output)? {
                     self.write(n, &write)?;
-                    inputs.push_back(Input::Wrote {
+                    inputs.push_back(Input::WriteCompleted {
                         ticket: write.ticket,
                         result: Ok(()),
                     });
@@ -101,40 +101,52 @@
                 let code = run.scenario.planted.answer(code);
                 self.answered(n, ticket, code, &body)?;
             }
-            Output::Publish {
-                seq,
-                document,
+            Output::PublishState {
+                index,
+                configuration,
                 drains,
             } => {
                 let epoch = self.epoch(n);
                 let facts = Arc::make_mut(&mut self.facts);
                 facts.acts(epoch)?;
-                facts.shows(self.now, epoch, seq, &document, &drains)?;
-                self.show(n, seq, document, &drains);
+                facts.shows(self.now, epoch, index, &configuration, &drains)?;
+                self.show(n, index, configuration, &drains);
             }
-            Output::Restore {
-                seq,
-                document,
+            Output::RestoreState {
+                index,
+                configuration,
                 drains,
             } => {
                 let epoch = self.epoch(n);
-                Arc::make_mut(&mut self.facts)
-                    .same_content(self.now, epoch, seq, &document, &drains)?;
-                self.show(n, seq, document, &drains);
+                Arc::make_mut(&mut self.facts).same_content(
+                    self.now,
+                    epoch,
+                    index,
+                    &configuration,
+                    &drains,
+                )?;
+                self.show(n, index, configuration, &drains);
+            }
+            Output::DepartureComplete => {
+                self.schedule(Duration::ZERO, Event::Kill(n, self.machines[n].lives))
             }
-            Output::Left => self.schedule(Duration::ZERO, Event::Kill(n, self.machines[n].lives)),
         }
         Ok(None)
     }
 
-    fn show(&mut self, n: usize, seq: u64, document: Arc<Configuration>, drains: &[String]) {
+    fn show(&mut self, n: usize, index: u64, configuration: Arc<Configuration>, drains: &[String]) {
         if let Some(process) = &mut self.machine(n).process {
-            process.mirror.get().set_ledger(seq, document, drains);
+            process
+                .mirror
+                .get()
+                .set_ledger(index, configuration, drains);
         }
     }
 
     pub(super) fn epoch(&self, n: usize) -> u64 {
         let process = self.machines[n].process.as_ref();
-        process.and_then(|p| p.member.view()).map_or(0, |v| v.epoch)
+        process
+            .and_then(|p| p.member.membership())
+            .map_or(0, |v| v.epoch)
     }
 }
--- a/crates/model-check/src/cluster/world/mod.rs
+++ b/crates/model-check/src/cluster/world/mod.rs
@@ -108,15 +108,22 @@
 
     /// Whether somebody acts now, by its own word.
     pub fn somebody_acts(&self) -> bool {
-        let acts =
-            |m: &Arc<Machine>| m.process.as_ref().is_some_and(|p| p.member.acts()) && !m.frozen;
+        let acts = |m: &Arc<Machine>| {
+            m.process
+                .as_ref()
+                .is_some_and(|p| p.member.is_acting_primary())
+                && !m.frozen
+        };
         self.machines.iter().any(acts)
     }
 
     /// Whether all seeds but one have promised an epoch.
     pub fn most_promised(&self) -> bool {
-        let promised =
-            |m: &&Arc<Machine>| m.process.as_ref().is_some_and(|p| p.member.promised() > 0);
+        let promised = |m: &&Arc<Machine>| {
+            m.process
+                .as_ref()
+                .is_some_and(|p| p.member.promised_epoch() > 0)
+        };
         self.machines.iter().filter(promised).count() + 1 >= SEEDS
     }
 
@@ -141,15 +148,15 @@
             Some(p) => {
                 let view = p
                     .member
-                    .view()
+                    .membership()
                     .map(|v| (v.epoch >> 20, v.primary, v.replicas.clone(), v.voters.len()));
                 let frozen = if m.frozen { " (stands still)" } else { "" };
                 format!(
                     "{}: id {} promised {} view {view:?} acts {} shows {}{frozen}",
                     m.index,
                     p.seat.id,
-                    p.member.promised() >> 20,
-                    p.member.acts(),
+                    p.member.promised_epoch() >> 20,
+                    p.member.is_acting_primary(),
                     p.mirror.read().document().version
                 )
             }
--- a/crates/model-check/src/cluster/world/network.rs
+++ b/crates/model-check/src/cluster/world/network.rs
@@ -60,7 +60,13 @@
         for to in 0..self.machines.len() {
             let there = self.machines[to].process.is_some() && !self.machines[to].frozen;
             if there && self.reaches(n, to) {
-                self.step(run, to, Input::Reachable { seat: seat.clone() })?;
+                self.step(
+                    run,
+                    to,
+                    Input::PeerReachable {
+                        member: seat.clone(),
+                    },
+                )?;
             }
         }
         Ok(())
@@ -109,7 +115,7 @@
         let view = self.machines[n]
             .process
             .as_ref()
-            .and_then(|p| p.member.view());
+            .and_then(|p| p.member.membership());
         for (from, answer) in planted.forged_answers(&message, to, up.is_some(), view) {
             self.post(from, n, n, answer);
         }
--- a/crates/model-check/src/cluster/world/orders.rs
+++ b/crates/model-check/src/cluster/world/orders.rs
@@ -76,7 +76,7 @@
         let acts = self.machines[n]
             .process
             .as_ref()
-            .is_some_and(|p| p.member.acts());
+            .is_some_and(|p| p.member.is_acting_primary());
         if acts && code == ResultCode::Ok {
             self.decided(n, ticket, code.number())?;
         }
--- a/crates/model-check/src/cluster/world/processes.rs
+++ b/crates/model-check/src/cluster/world/processes.rs
@@ -37,7 +37,7 @@
         self.machine(n).start(&start);
         if let Some(process) = &self.machines[n].process {
             self.facts
-                .starts(process.seat.id, process.member.promised())?;
+                .starts(process.seat.id, process.member.promised_epoch())?;
         }
         self.step(run, n, Input::Tick)?;
         self.greet(run, n)
--- a/crates/model-check/src/orders.rs
+++ b/crates/model-check/src/orders.rs
@@ -176,7 +176,7 @@
         let mut snapshot = ledger.snapshot();
         if self.planted == Planted::ForgottenCalls {
             snapshot
-                .taken
+                .applied_requests
                 .iter_mut()
                 .for_each(|call| call.digest = Default::default());
         }
@@ -185,7 +185,7 @@
 
     fn plan(&self, ledger: &ReplicatedState, order: usize) -> Plan {
         let version = self.orders[order].version;
-        let known = || ledger.document.version == version;
+        let known = || ledger.configuration.version == version;
         match (self.planted, ledger.plan(&self.command(order))) {
             (Planted::KnownByVersion, _) if known() => Plan::Answer(ResultCode::Ok, vec![]),
             (Planted::EarlyRefusal, Plan::Answer(ResultCode::BaseNotInForce, told)) => {
@@ -223,7 +223,7 @@
 
     /// Whether an order is, or was, in the safe ledger.
     fn took_effect(&self, state: &State, order: usize) -> bool {
-        state.fates[order].confirmed || self.holds(&state.safe.document, order)
+        state.fates[order].confirmed || self.holds(&state.safe.configuration, order)
     }
 
     fn answered(&self, state: &mut State, order: usize, code: ResultCode) -> Result<(), Breach> {
@@ -259,7 +259,7 @@
     }
 
     fn check(&self, state: &State) -> Result<(), Breach> {
-        let safe = &state.safe.document;
+        let safe = &state.safe.configuration;
         for (number, fate) in state.fates.iter().enumerate() {
             let name = self.orders[number].name;
             if fate.refused && self.holds(safe, number) {
@@ -276,7 +276,7 @@
                 ));
             }
         }
-        let taken = &state.safe.taken;
+        let taken = &state.safe.applied_requests;
         let twice = taken
             .iter()
             .enumerate()
@@ -363,7 +363,12 @@
     fn fingerprint(&self, state: &State) -> u64 {
         let mut hasher = DefaultHasher::new();
         let ledger = |l: &ReplicatedState, hasher: &mut DefaultHasher| {
-            (l.seq, l.document.to_json(), format!("{:?}", l.taken)).hash(hasher);
+            (
+                l.index,
+                l.configuration.to_json(),
+                format!("{:?}", l.applied_requests),
+            )
+                .hash(hasher);
         };
         ledger(&state.safe, &mut hasher);
         for pending in &state.pending {
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -15,7 +15,7 @@
     /// The view under which it was last written.
     pub epoch: u64,
     /// Number of its last change.
-    pub seq: u64,
+    pub index: u64,
 }
 
 /// A configuration call that was taken: the same call again gets the same answer.
@@ -37,15 +37,15 @@
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Snapshot {
     /// Number of its last change.
-    pub seq: u64,
+    pub index: u64,
     /// The configuration as JSON; empty where there is none yet.
     #[br(parse_with = text)]
     #[bw(write_with = put_text)]
-    pub document: String,
+    pub configuration: String,
     /// The latest calls that were taken.
     #[br(parse_with = list)]
     #[bw(write_with = put_list)]
-    pub taken: Vec<AppliedRequest>,
+    pub applied_requests: Vec<AppliedRequest>,
     /// Hosts that are leaving or gone, oldest first.
     #[br(parse_with = texts)]
     #[bw(write_with = put_texts)]
@@ -151,7 +151,7 @@
         /// Epoch of the view.
         epoch: u64,
         /// Number of the change.
-        seq: u64,
+        index: u64,
         /// The change.
         change: Change,
     },
@@ -159,7 +159,7 @@
     #[brw(magic(4u8))]
     Committed {
         /// Number of the change.
-        seq: u64,
+        index: u64,
     },
 }
 
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -104,7 +104,7 @@
         /// Epoch of the view.
         epoch: u64,
         /// Number of the change.
-        seq: u64,
+        index: u64,
         /// The change.
         change: Change,
     },
@@ -114,7 +114,7 @@
         /// Epoch of the view.
         epoch: u64,
         /// All changes up to this one are on disk.
-        seq: u64,
+        index: u64,
         /// Whether the backup goes on.
         #[br(parse_with = flag)]
         #[bw(write_with = put_flag)]
--- a/crates/simulator/src/world/bugs.rs
+++ b/crates/simulator/src/world/bugs.rs
@@ -52,11 +52,18 @@
                 let id = if self.pick(10) == 0 { id + 1 } else { id };
                 Some(Message::CommandResult { id, code, text })
             }
-            (Planted::ReplicaConfirmsEarly, Message::AppendChange { epoch, seq, change }) => {
+            (
+                Planted::ReplicaConfirmsEarly,
+                Message::AppendChange {
+                    epoch,
+                    index,
+                    change,
+                },
+            ) => {
                 let life = self.nodes[to].life;
                 let reply = Message::AppendReply {
                     epoch,
-                    seq,
+                    index,
                     ok: true,
                     seen: epoch,
                 };
@@ -69,7 +76,11 @@
                 if self.nodes[to].member.is_some() && !self.cut.contains_key(&(n, to)) {
                     self.at(self.now + way, n, deliver);
                 }
-                Some(Message::AppendChange { epoch, seq, change })
+                Some(Message::AppendChange {
+                    epoch,
+                    index,
+                    change,
+                })
             }
             (
                 Planted::CountedBeforeLedger,
@@ -133,7 +144,7 @@
 
     fn stripped(&self, mut snapshot: Snapshot) -> Snapshot {
         match self.plan.planted {
-            Planted::TakenCallsNotInSnapshot => snapshot.taken.clear(),
+            Planted::TakenCallsNotInSnapshot => snapshot.applied_requests.clear(),
             Planted::DrainsNotInSnapshot => snapshot.drains.clear(),
             _ => {}
         }
@@ -171,8 +182,8 @@
             }
             Planted::CommittedAheadOfReplicas => {
                 let committed = |r: &Vec<u8>| match protocol::read_one(r) {
-                    Ok(Record::Change { seq, .. }) => {
-                        vec![r.clone(), protocol::write_one(&Record::Committed { seq })]
+                    Ok(Record::Change { index, .. }) => {
+                        vec![r.clone(), protocol::write_one(&Record::Committed { index })]
                     }
                     _ => vec![r.clone()],
                 };
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -17,17 +17,17 @@
     pub(super) fn shown(
         &mut self,
         n: usize,
-        seq: u64,
+        index: u64,
         document: &Configuration,
         drains: &[String],
     ) {
         if self.plan.orders.is_some() {
-            return self.order_shown(n, seq, document, drains);
+            return self.order_shown(n, index, document, drains);
         }
         let version = document.version;
-        let same = *self.published.entry(seq).or_insert(version);
+        let same = *self.published.entry(index).or_insert(version);
         if same != version {
-            self.breach(n, format!("change {seq} is {same} and {version}"));
+            self.breach(n, format!("change {index} is {same} and {version}"));
         }
         if version < self.operator.newest {
             self.breach(
@@ -51,12 +51,12 @@
     pub(super) fn restored(
         &mut self,
         n: usize,
-        seq: u64,
+        index: u64,
         document: &Configuration,
         drains: &[String],
     ) {
         if self.plan.orders.is_some() {
-            if let Err(breach) = self.order_same(seq, document, drains) {
+            if let Err(breach) = self.order_same(index, document, drains) {
                 self.breach(n, format!("{breach}, after a start"));
             }
             return self.keep_shown(n, document);
@@ -64,11 +64,11 @@
         // Perhaps not the newest, perhaps agreed on and not shown yet, but never what is taken back: whatever is
         // shown under this number, before or after, has to be the same.
         let version = document.version;
-        let same = *self.published.entry(seq).or_insert(version);
+        let same = *self.published.entry(index).or_insert(version);
         if same != version {
             self.breach(
                 n,
-                format!("change {seq} is {same}, and {version} after a start"),
+                format!("change {index} is {same}, and {version} after a start"),
             );
         }
     }
@@ -83,7 +83,7 @@
     pub(super) fn check_one_acts(&mut self, n: usize) {
         let acts = |n: usize| {
             let member = self.nodes[n].member.as_ref();
-            member.is_some_and(|member| member.acts_at(self.clock(n)))
+            member.is_some_and(|member| member.is_acting_primary_at(self.clock(n)))
         };
         if !acts(n) {
             return;
@@ -117,7 +117,7 @@
         let ids = |seats: &[MemberInfo]| seats.iter().map(|s| s.id).collect::<Vec<_>>();
         let of = |n: &super::Node| {
             let member = n.member.as_ref()?;
-            let view = member.view();
+            let view = member.membership();
             let view = view.map(|v| {
                 (
                     v.epoch,
@@ -126,7 +126,7 @@
                     ids(&v.previous_voters),
                 )
             });
-            Some((n.seat.id, member.promised(), view))
+            Some((n.seat.id, member.promised_epoch(), view))
         };
         format!("{:?}", self.nodes.iter().map(of).collect::<Vec<_>>())
     }
@@ -134,7 +134,12 @@
     /// In the end what was acknowledged has to be there, and a primary with it.
     pub(super) fn finish(mut self, end: Duration) -> Report {
         let acting: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].member.as_ref().is_some_and(Member::acts))
+            .filter(|n| {
+                self.nodes[*n]
+                    .member
+                    .as_ref()
+                    .is_some_and(Member::is_acting_primary)
+            })
             .collect();
         // A view may just be changing.
         let long = self.gap_from.is_some_and(|from| end > from + ms(2000));
--- a/crates/simulator/src/world/disk.rs
+++ b/crates/simulator/src/world/disk.rs
@@ -79,7 +79,7 @@
             }
             self.nodes[n].records.extend(records);
         }
-        self.step(n, Input::Wrote { ticket, result });
+        self.step(n, Input::WriteCompleted { ticket, result });
     }
 
     pub(super) fn wipe(&mut self, n: usize) {
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -276,7 +276,7 @@
             return;
         };
         member.step(now, input, &mut out);
-        self.report.epoch = self.report.epoch.max(member.promised());
+        self.report.epoch = self.report.epoch.max(member.promised_epoch());
         self.report.steps += 1;
         for output in out {
             self.station_hears(n, &output);
@@ -301,7 +301,7 @@
                 format!(
                     "acts: {:?} {:?}",
                     acting,
-                    acting.and_then(|n| w.nodes[n].member.as_ref()?.view().map(|v| (
+                    acting.and_then(|n| w.nodes[n].member.as_ref()?.membership().map(|v| (
                         v.epoch,
                         v.replicas.clone(),
                         v.voters.iter().map(|s| s.id).collect::<Vec<_>>(),
@@ -356,7 +356,7 @@
 
     /// Whether some member acts that isn't frozen; the one that did at the last step is looked at first.
     fn someone_acts(&mut self) -> bool {
-        let acts = |n: &Node| !n.frozen && n.member.as_ref().is_some_and(Member::acts);
+        let acts = |n: &Node| !n.frozen && n.member.as_ref().is_some_and(Member::is_acting_primary);
         if !self.nodes.get(self.acting).is_some_and(acts) {
             match self.nodes.iter().position(acts) {
                 Some(found) => self.acting = found,
@@ -377,24 +377,24 @@
             Output::Answer { ticket, code, body } => {
                 self.answered(n, ticket, self.planted_answer(code), &body);
             }
-            Output::Publish {
-                seq,
-                document,
+            Output::PublishState {
+                index,
+                configuration,
                 drains,
-            } => self.shown(n, seq, &document, &drains),
-            Output::Restore {
-                seq,
-                document,
+            } => self.shown(n, index, &configuration, &drains),
+            Output::RestoreState {
+                index,
+                configuration,
                 drains,
-            } => self.restored(n, seq, &document, &drains),
+            } => self.restored(n, index, &configuration, &drains),
             Output::Wake { at } => {
                 let at = self.now + self.true_delay(n, at.saturating_sub(self.clock(n)));
                 self.nodes[n].wake = at;
                 self.at(at, n, What::Wake);
             }
             // The process ends.
-            Output::Left if self.plan.strict => self.nodes[n].member = None,
-            Output::Left => {}
+            Output::DepartureComplete if self.plan.strict => self.nodes[n].member = None,
+            Output::DepartureComplete => {}
         }
     }
 
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -31,7 +31,7 @@
             format!(
                 "install {} ledger {:?}",
                 told(view),
-                snapshot.as_ref().map(|s| s.seq)
+                snapshot.as_ref().map(|s| s.index)
             )
         }
         Message::Promise {
@@ -178,7 +178,12 @@
         for to in 0..self.nodes.len() {
             let reaches = to != n && !self.cut.contains_key(&(n, to)) && !self.nodes[to].frozen;
             if reaches && self.nodes[to].member.is_some() {
-                self.step(to, Input::Reachable { seat: seat.clone() });
+                self.step(
+                    to,
+                    Input::PeerReachable {
+                        member: seat.clone(),
+                    },
+                );
             }
         }
         self.at(self.now + ms(1000), n, What::Hello);
--- a/crates/simulator/src/world/orders.rs
+++ b/crates/simulator/src/world/orders.rs
@@ -100,7 +100,7 @@
     confirmed_on: BTreeMap<u64, usize>,
     pub(super) in_force: BTreeMap<u64, usize>,
     /// The ledger after each change that was shown: configuration and drains.
-    by_seq: BTreeMap<u64, (Option<usize>, u64)>,
+    by_index: BTreeMap<u64, (Option<usize>, u64)>,
     drained: BTreeMap<String, Duration>,
 }
 
@@ -221,11 +221,11 @@
     }
 
     /// Whether a ledger's configuration is what was shown under its number.
-    pub(super) fn is_shown(&self, seq: u64, document: &Configuration) -> bool {
-        seq == 0
+    pub(super) fn is_shown(&self, index: u64, document: &Configuration) -> bool {
+        index == 0
             || self
-                .by_seq
-                .get(&seq)
+                .by_index
+                .get(&index)
                 .is_some_and(|s| s.0 == token(document))
     }
 
@@ -556,11 +556,11 @@
     pub(super) fn order_shown(
         &mut self,
         n: usize,
-        seq: u64,
+        index: u64,
         document: &Configuration,
         drains: &[String],
     ) {
-        if let Err(breach) = self.order_same(seq, document, drains) {
+        if let Err(breach) = self.order_same(index, document, drains) {
             return self.breach(n, breach);
         }
         if let Err(breach) = self.orders.note_in_force(document) {
@@ -586,16 +586,16 @@
     /// Whatever is shown under one number is the same.
     pub(super) fn order_same(
         &mut self,
-        seq: u64,
+        index: u64,
         document: &Configuration,
         drains: &[String],
     ) -> Result<(), String> {
         let this = (token(document), hash_of(drains));
-        let same = *self.orders.by_seq.entry(seq).or_insert(this);
+        let same = *self.orders.by_index.entry(index).or_insert(this);
         if same == this {
             Ok(())
         } else {
-            Err(format!("change {seq} is {same:?} and {this:?}"))
+            Err(format!("change {index} is {same:?} and {this:?}"))
         }
     }
 
--- a/crates/simulator/src/world/readers.rs
+++ b/crates/simulator/src/world/readers.rs
@@ -444,18 +444,20 @@
             return;
         };
         let before = station.mirror.generation();
-        if let Output::Publish {
-            seq,
-            document,
+        if let Output::PublishState {
+            index,
+            configuration,
             drains,
         }
-        | Output::Restore {
-            seq,
-            document,
+        | Output::RestoreState {
+            index,
+            configuration,
             drains,
         } = output
         {
-            station.mirror.set_ledger(*seq, document.clone(), drains);
+            station
+                .mirror
+                .set_ledger(*index, configuration.clone(), drains);
             self.follow_up(Place::Member(n), before);
         }
     }
@@ -470,7 +472,7 @@
         let Some(station) = self.stations.get_mut(&Place::Member(n)) else {
             return;
         };
-        let Some(view) = member.view().filter(|v| v.epoch > 0) else {
+        let Some(view) = member.membership().filter(|v| v.epoch > 0) else {
             return;
         };
         let before = station.mirror.generation();
@@ -481,8 +483,8 @@
                 .set_fleet(view.epoch, view.primary, view.voters.clone());
         }
         if let Some(proof) = member
-            .proof(now)
-            .filter(|proof| station.mirror.ledger() >= proof.committed)
+            .primary_contact(now)
+            .filter(|proof| station.mirror.ledger() >= proof.commit_index)
         {
             station.mirror.proved(proof.at);
         }
--- a/crates/simulator/src/world/strike.rs
+++ b/crates/simulator/src/world/strike.rs
@@ -20,13 +20,13 @@
                 d
             }
             Fault::Term(n, d) => {
-                self.step(n, Input::Leave);
+                self.step(n, Input::Depart);
                 self.at(self.now + TERM_TIME, n, What::End(n, Some(d)));
                 self.moment(Moment::Leaving, n);
                 d + TERM_TIME
             }
             Fault::Retire(n) => {
-                self.step(n, Input::Leave);
+                self.step(n, Input::Depart);
                 self.at(self.now + TERM_TIME, n, What::End(n, None));
                 self.moment(Moment::Leaving, n);
                 TERM_TIME
