--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -1,7 +1,7 @@
 //! Who a member is, given what its disk held.
 
 use control_plane::incarnation::{next_incarnation, TAIL_BITS};
-use control_plane::shell::identity::{
+use control_plane::runtime::identity::{
     initial_voter_id, inner, latest, FoundLedger, Identity, IdentityError, LedgerOwner, StartFacts,
 };
 use rstest::rstest;
