--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -4,7 +4,7 @@
 //! on them. Two processes, so that each peak is its own.
 
 use configuration::FaultBudget;
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use control_plane::replicated_state::ReplicatedState;
 use protocol::{Change, MemberInfo, MembershipConfig, Message};
 use std::time::{Duration, Instant};
@@ -38,14 +38,14 @@
     }
 }
 
-fn config() -> Config {
-    Config {
-        me: seat(2),
+fn config() -> MemberConfig {
+    MemberConfig {
+        local_member: seat(2),
         bootstrap_voters: None,
-        budget: FaultBudget::default(),
-        lease: Duration::from_secs(1),
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        fault_budget: FaultBudget::default(),
+        lease_duration: Duration::from_secs(1),
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     }
 }
 
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -5,18 +5,18 @@
 //! once that is there.
 //!
 //! ```
-//! use control_plane::member::{Config, Input, Member, Output};
+//! use control_plane::member::{MemberConfig, Input, Member, Output};
 //! use protocol::MemberInfo;
 //! use std::time::Duration;
 //!
 //! let me = MemberInfo { id: 7, name: "core-1".into(), ..MemberInfo::default() };
-//! let config = Config {
-//!     me: me.clone(),
+//! let config = MemberConfig {
+//!     local_member: me.clone(),
 //!     bootstrap_voters: Some(vec![me]),
-//!     budget: configuration::FaultBudget::default(),
-//!     lease: Duration::from_millis(1000),
-//!     patience: Duration::from_millis(3500),
-//!     stall: Duration::from_millis(600),
+//!     fault_budget: configuration::FaultBudget::default(),
+//!     lease_duration: Duration::from_millis(1000),
+//!     request_timeout: Duration::from_millis(3500),
+//!     disk_stall_timeout: Duration::from_millis(600),
 //! };
 //! let mut now = Duration::ZERO;
 //! let mut member = Member::new(config, &[], now, 1);
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -124,7 +124,7 @@
         if held_back || !idle {
             return;
         }
-        self.election_at = self.now + self.config.lease / 2 + self.election_delay();
+        self.election_at = self.now + self.config.lease_duration / 2 + self.election_delay();
         self.role = Role::Candidate(Box::new(CandidateState::new(
             self.now,
             ViewChange::default(),
@@ -167,7 +167,7 @@
             let wait = Duration::from_millis(u64::from(wait_ms));
             self.election_at = self
                 .election_at
-                .max(self.now + wait + self.config.lease / 20);
+                .max(self.now + wait + self.config.lease_duration / 20);
         }
     }
 
@@ -198,14 +198,14 @@
         }
         self.step_down();
         self.role = Role::Candidate(Box::new(candidacy));
-        let me = self.config.me.clone();
+        let me = self.config.local_member.clone();
         self.promise(me, epoch);
         let all_voters = self.view.as_ref().map(all_voters).unwrap_or_default();
         self.ask_promises(all_voters, out);
     }
 
     fn ask_promises(&mut self, ids: BTreeSet<u64>, out: &mut Vec<Output>) {
-        let me = self.config.me.clone();
+        let me = self.config.local_member.clone();
         let Role::Candidate(candidacy) = &mut self.role else {
             return;
         };
@@ -298,7 +298,7 @@
             .filter(holds)
             .map(|(id, p)| (*id, p.1.map_or(0, |t| t.index)))
             .collect();
-        let me = self.config.me.id;
+        let me = self.config.local_member.id;
         let own = self.view.as_ref().is_some_and(|v| v.epoch == highest.epoch);
         if let Some(held) = self
             .held
@@ -312,7 +312,7 @@
         if let Some((holder, _)) = holders.pop().filter(|h| h.0 != me) {
             let epoch = candidacy.epoch;
             (candidacy.phase, candidacy.since) = (ElectionPhase::Fetch, self.now);
-            candidacy.tell_at = self.now + self.config.lease.mul_f64(STILL_AT_IT_INTERVAL);
+            candidacy.tell_at = self.now + self.config.lease_duration.mul_f64(STILL_AT_IT_INTERVAL);
             self.send(holder, Message::FetchSnapshot { epoch }, out);
         }
     }
@@ -382,16 +382,16 @@
             .iter()
             .copied()
             .filter(|s| well(s.id) || self.peer_leaving(s.id));
-        let replicas = choose_replicas(&self.config.budget, &staying)
-            .or_else(|| choose_replicas(&self.config.budget, &leaving.collect::<Vec<_>>()))
+        let replicas = choose_replicas(&self.config.fault_budget, &staying)
+            .or_else(|| choose_replicas(&self.config.fault_budget, &leaving.collect::<Vec<_>>()))
             // And then whoever has promised: its disk took the promise, whatever it last told a primary of it.
-            .or_else(|| choose_replicas(&self.config.budget, &seats))
+            .or_else(|| choose_replicas(&self.config.fault_budget, &seats))
             .or_else(|| {
                 // Too few voters for the budget: those there are hold the ledger, and take no change until more come.
                 let all: Vec<&MemberInfo> = voters.iter().collect();
                 let short = candidacy.accepts_few_replicas
-                    && majority_shortfall(&self.config.budget, &all) > 0;
-                let too_few = short || choose_replicas(&self.config.budget, &all).is_none();
+                    && majority_shortfall(&self.config.fault_budget, &all) > 0;
+                let too_few = short || choose_replicas(&self.config.fault_budget, &all).is_none();
                 too_few.then(|| staying.iter().map(|s| s.id).collect())
             });
         let Some(replicas) = replicas.filter(|_| voters.iter().any(|s| s.id == me)) else {
@@ -414,7 +414,7 @@
             out.extend(to.map(|to| Output::Send { to, message }));
         }
         let after = After::Installed {
-            to: self.config.me.clone(),
+            to: self.config.local_member.clone(),
             view: Box::new(view.clone()),
             ledger: Some(Box::new(ledger.clone())),
         };
@@ -428,7 +428,7 @@
         let now = self.now;
         if let Role::Candidate(candidacy) = &mut self.role {
             (candidacy.phase, candidacy.since) = (ElectionPhase::Replicas, now);
-            candidacy.tell_at = now + self.config.lease.mul_f64(STILL_AT_IT_INTERVAL);
+            candidacy.tell_at = now + self.config.lease_duration.mul_f64(STILL_AT_IT_INTERVAL);
             candidacy.target = Some((view, ledger));
         }
     }
@@ -497,7 +497,7 @@
                 .iter()
                 .filter_map(|id| view.voter(*id))
                 .collect();
-            state.takes_changes = choose_replicas(&self.config.budget, &held_by).is_some();
+            state.takes_changes = choose_replicas(&self.config.fault_budget, &held_by).is_some();
             self.waits_for_slow_disks = false;
             self.role = Role::Primary(Box::new(state));
             self.run_primary(out);
@@ -511,7 +511,7 @@
 
     /// How long the phase of a candidacy may last.
     fn phase_time(&self, candidacy: &CandidateState) -> Duration {
-        let half = self.config.lease / 2;
+        let half = self.config.lease_duration / 2;
         match (candidacy.phase, &candidacy.target) {
             (ElectionPhase::PreVote, _) => half,
             (ElectionPhase::Fetch, _) => half * (1 << self.fetch_doublings),
@@ -525,9 +525,9 @@
     /// How long a candidate waits for what others have to write before they answer: half a lease or, once that was too
     /// short, as long as a disk may take that is still relied on.
     fn write_time(&self) -> Duration {
-        let half = self.config.lease / 2;
+        let half = self.config.lease_duration / 2;
         if self.waits_for_slow_disks {
-            half.max(self.config.stall + half / 4)
+            half.max(self.config.disk_stall_timeout + half / 4)
         } else {
             half
         }
@@ -538,7 +538,8 @@
         match &self.role {
             Role::Candidate(candidacy) => {
                 let time = self.phase_time(candidacy);
-                (time > self.config.lease.mul_f64(LONG_PHASE)).then_some(candidacy.since + time)
+                (time > self.config.lease_duration.mul_f64(LONG_PHASE))
+                    .then_some(candidacy.since + time)
             }
             _ => None,
         }
@@ -586,14 +587,14 @@
 
     /// Whoever promised waits for as long as it hears that the ledger is on its way.
     fn tell_still_at_it(&mut self, out: &mut Vec<Output>) {
-        let (now, me) = (self.now, self.config.me.clone());
+        let (now, me) = (self.now, self.config.local_member.clone());
         let Role::Candidate(candidacy) = &mut self.role else {
             return;
         };
         if now < candidacy.tell_at {
             return;
         }
-        candidacy.tell_at = now + self.config.lease.mul_f64(STILL_AT_IT_INTERVAL);
+        candidacy.tell_at = now + self.config.lease_duration.mul_f64(STILL_AT_IT_INTERVAL);
         let epoch = candidacy.epoch;
         let promised: Vec<u64> = candidacy
             .promises
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -152,14 +152,14 @@
     /// When this member counts as cut off, where it knows no primary.
     fn cut_off_at(&self) -> Option<Duration> {
         self.without_primary
-            .map(|since| since + CUT_OFF_AFTER_LEASES * self.config.lease)
+            .map(|since| since + CUT_OFF_AFTER_LEASES * self.config.lease_duration)
     }
 
     /// How long a command may wait here now.
     fn patience(&self) -> Duration {
         match self.cut_off_at() {
-            Some(at) if self.now >= at => CUT_OFF_PATIENCE.min(self.config.patience),
-            _ => self.config.patience,
+            Some(at) if self.now >= at => CUT_OFF_PATIENCE.min(self.config.request_timeout),
+            _ => self.config.request_timeout,
         }
     }
 
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -378,6 +378,6 @@
             self.send(voter, Message::ReleaseLease { epoch }, out);
         }
         // The others go first.
-        self.election_at = self.now + 2 * self.config.lease;
+        self.election_at = self.now + 2 * self.config.lease_duration;
     }
 }
--- a/crates/control-plane/src/member/leave.rs
+++ b/crates/control-plane/src/member/leave.rs
@@ -56,7 +56,7 @@
         let Some(departure) = self.departure.as_mut().filter(|d| now >= d.say_at) else {
             return;
         };
-        departure.say_at = now + self.config.lease.mul_f64(SAY_AGAIN_INTERVAL);
+        departure.say_at = now + self.config.lease_duration.mul_f64(SAY_AGAIN_INTERVAL);
         let epoch = self.view.as_ref().map_or(0, |v| v.epoch);
         let others: BTreeSet<u64> = self
             .other_voters()
@@ -78,14 +78,14 @@
     /// Whether a member has said lately that it is about to end.
     pub(super) fn peer_leaving(&self, id: u64) -> bool {
         let said = self.peers.get(&id).and_then(|p| p.leaving);
-        said.is_some_and(|at| self.now < at + LEAVING_COUNTED_LEASES * self.config.lease)
+        said.is_some_and(|at| self.now < at + LEAVING_COUNTED_LEASES * self.config.lease_duration)
     }
 
     /// Whether a member has said that it is about to end, so lately that what was heard of it since may be its last. Who
     /// is back in another life says nothing of the kind, and joins once this time is over.
     pub(super) fn left_lately(&self, id: u64) -> bool {
         let said = self.peers.get(&id).and_then(|p| p.leaving);
-        said.is_some_and(|at| self.now < at + NO_RETURN_LEASES * self.config.lease)
+        said.is_some_and(|at| self.now < at + NO_RETURN_LEASES * self.config.lease_duration)
     }
 
     /// Whether a member's disk takes writes, as far as known.
@@ -121,7 +121,8 @@
         let Some(departure) = self.departure.as_ref().filter(|d| !d.over) else {
             return;
         };
-        let waited = self.now >= departure.since + MAX_HAND_OVER_LEASES * self.config.lease;
+        let waited =
+            self.now >= departure.since + MAX_HAND_OVER_LEASES * self.config.lease_duration;
         let deserted = self.other_voters().iter().all(|id| self.peer_leaving(*id));
         if matches!(self.role, Role::Primary(_)) && (waited || deserted || self.others_can_go_on())
         {
@@ -159,7 +160,7 @@
         let (Role::Primary(state), Some(view)) = (&self.role, &self.view) else {
             return false;
         };
-        let recent = self.config.lease.mul_f64(RECENT_GRANT);
+        let recent = self.config.lease_duration.mul_f64(RECENT_GRANT);
         let granted = |id: u64| {
             state
                 .stamps
@@ -168,7 +169,7 @@
         };
         let stays = |id: u64| granted(id) && self.peer_fit(id) && !self.peer_leaving(id);
         let seats: Vec<&MemberInfo> = view.voters.iter().filter(|s| stays(s.id)).collect();
-        view.has_quorum(stays) && choose_replicas(&self.config.budget, &seats).is_some()
+        view.has_quorum(stays) && choose_replicas(&self.config.fault_budget, &seats).is_some()
     }
 
     fn other_voters(&self) -> BTreeSet<u64> {
@@ -181,7 +182,7 @@
 
     pub(super) fn departure_wake(&self) -> Option<Duration> {
         let departure = self.departure.as_ref()?;
-        let end = departure.since + MAX_HAND_OVER_LEASES * self.config.lease;
+        let end = departure.since + MAX_HAND_OVER_LEASES * self.config.lease_duration;
         let hands_over = !departure.over && end > self.now;
         Some(if hands_over {
             end.min(departure.say_at)
--- a/crates/control-plane/src/member/membership.rs
+++ b/crates/control-plane/src/member/membership.rs
@@ -48,7 +48,7 @@
     }
 
     fn silent_replica(&self, state: &PrimaryState, id: u64) -> bool {
-        self.unsigned(state, id) >= self.config.lease.mul_f64(REPLICA_SILENCE)
+        self.unsigned(state, id) >= self.config.lease_duration.mul_f64(REPLICA_SILENCE)
     }
 
     /// Time since anything came from a voter, in whichever view. Before this member acted voters had no reason to
@@ -56,8 +56,13 @@
     /// heard of.
     fn silence(&self, state: &PrimaryState, id: u64) -> Duration {
         let heard = self.peers.get(&id).map_or(Duration::ZERO, |p| p.heard);
-        self.now
-            .saturating_sub(heard.max(state.acting_since.saturating_sub(self.config.lease)))
+        self.now.saturating_sub(
+            heard.max(
+                state
+                    .acting_since
+                    .saturating_sub(self.config.lease_duration),
+            ),
+        )
     }
 
     /// Replicas that don't answer, can't write or leave, where there are others for them.
@@ -66,7 +71,7 @@
         state: &PrimaryState,
         view: &MembershipConfig,
     ) -> Option<BTreeSet<u64>> {
-        let (now, lease, me) = (self.now, self.config.lease, self.me());
+        let (now, lease, me) = (self.now, self.config.lease_duration, self.me());
         let late = |id: u64| {
             state.pending.front().is_some_and(|p| {
                 now >= p.at + p.extra + lease.mul_f64(REPLICA_SILENCE)
@@ -92,34 +97,35 @@
                 || (!bad.contains(&id) && self.peer_fit(id) && !self.peer_leaving(id) && answers)
         };
         let seats: Vec<&MemberInfo> = view.voters.iter().filter(|s| well(s.id)).collect();
-        choose_replicas(&self.config.budget, &seats)?;
+        choose_replicas(&self.config.fault_budget, &seats)?;
         Some(bad).filter(|bad| !bad.is_empty())
     }
 
     /// Whether voters that were too few for all replicas are enough now.
     fn enough_answer(&self, state: &PrimaryState, view: &MembershipConfig) -> bool {
         let answers = |id: u64| {
-            let recent = self.unsigned(state, id) < self.config.lease.mul_f64(2.0 * RENEW_INTERVAL);
+            let recent =
+                self.unsigned(state, id) < self.config.lease_duration.mul_f64(2.0 * RENEW_INTERVAL);
             id == self.me() || (recent && self.peer_fit(id) && !self.peer_leaving(id))
         };
         let seats: Vec<&MemberInfo> = view.voters.iter().filter(|s| answers(s.id)).collect();
-        choose_replicas(&self.config.budget, &seats).is_some()
+        choose_replicas(&self.config.fault_budget, &seats).is_some()
     }
 
     /// Whether a member without a say may be made a voter.
     pub(super) fn may_join(&self, peer: &Peer) -> bool {
-        let heard_of = self.now < peer.heard + JOIN_WITHIN_LEASES * self.config.lease;
+        let heard_of = self.now < peer.heard + JOIN_WITHIN_LEASES * self.config.lease_duration;
         heard_of && peer.fit && !peer.seat.zone.is_empty() && !self.left_lately(peer.seat.id)
     }
 
     /// Whether there are more voters than the loss of machines needs, so that one that leaves is dropped.
     pub(super) fn can_spare_a_voter(&self, view: &MembershipConfig) -> bool {
-        view.voters.len() > 2 * self.config.budget.machine_losses as usize + 1
+        view.voters.len() > 2 * self.config.fault_budget.machine_losses as usize + 1
     }
 
     /// Members without a say that come: in the place of a voter that is lost or leaves, or beside the others.
     fn joining(&self, state: &PrimaryState, view: &MembershipConfig, change: &mut ViewChange) {
-        let (lease, me) = (self.config.lease, self.me());
+        let (lease, me) = (self.config.lease_duration, self.me());
         let joins = self
             .peers
             .values()
@@ -161,7 +167,7 @@
         let voters: Vec<MemberInfo> = view.voters.iter().map(|s| self.fresh(s)).collect();
         let shortfall = |beside: &[MemberInfo]| {
             let seats: Vec<&MemberInfo> = voters.iter().chain(beside).collect();
-            majority_shortfall(&self.config.budget, &seats)
+            majority_shortfall(&self.config.fault_budget, &seats)
         };
         // The voters there are have to be a majority of those to come, who may be lost before they have accepted.
         let room = MOST_VOTERS.saturating_sub(voters.len() + added.len());
@@ -197,7 +203,7 @@
         if !self.can_spare_a_voter(view) {
             return dropped;
         }
-        let (lease, me) = (self.config.lease, self.me());
+        let (lease, me) = (self.config.lease_duration, self.me());
         // Of an even number of voters one can go without a loss of room.
         let even = view.voters.len().is_multiple_of(2);
         let patience = if even {
@@ -226,7 +232,7 @@
             .collect();
         let shortfall = |without: u64| {
             let seats: Vec<&MemberInfo> = voters.iter().filter(|s| s.id != without).collect();
-            majority_shortfall(&self.config.budget, &seats)
+            majority_shortfall(&self.config.fault_budget, &seats)
         };
         let now = shortfall(0);
         if now <= 0 {
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -18,7 +18,7 @@
 
 pub use candidate::{candidate_of, ElectionPhase};
 pub use recovery::ReplayError;
-pub use summary::{DiskState, GrantSummary, MemberSummary, RoleSummary};
+pub use summary::{DiskState, LeaseGrantSummary, MemberSummary, RoleSummary};
 pub use view::{choose_replicas, majority_shortfall};
 
 use crate::replicated_state::ReplicatedState;
@@ -39,20 +39,20 @@
 
 /// What a member is told at its start.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct MemberConfig {
     /// Its own seat.
-    pub me: MemberInfo,
+    pub local_member: MemberInfo,
     /// The voters of view 0, for those that are among them since the whole system started for the first time; a
     /// view on the disk goes before.
     pub bootstrap_voters: Option<Vec<MemberInfo>>,
     /// What may be lost at once.
-    pub budget: FaultBudget,
+    pub fault_budget: FaultBudget,
     /// How long a lease lasts.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// How long a command of a caller may wait for its answer.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// A write that takes longer means that the disk stalls.
-    pub stall: Duration,
+    pub disk_stall_timeout: Duration,
 }
 
 /// A write that the disk refused.
@@ -203,7 +203,7 @@
 /// A member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    config: Config,
+    config: MemberConfig,
     now: Duration,
     started: Duration,
     /// Whether it may have granted a lease in an earlier life.
@@ -262,7 +262,7 @@
 impl Member {
     /// A member whose disk holds these records. `random` differs from life to life; it spreads
     /// what several members do and tells the commands of one life from those of another.
-    pub fn new(config: Config, records: &[Vec<u8>], now: Duration, random: u64) -> Self {
+    pub fn new(config: MemberConfig, records: &[Vec<u8>], now: Duration, random: u64) -> Self {
         let mut member = Self {
             now,
             started: now,
@@ -306,7 +306,7 @@
         member.recover(records);
         member.disk.kept(records.iter().map(Vec::len).sum());
         let start = if member.restarted {
-            member.config.lease
+            member.config.lease_duration
         } else {
             Duration::ZERO
         };
@@ -473,7 +473,7 @@
     }
 
     fn note(&mut self, seat: &MemberInfo) {
-        if seat.id == 0 || seat.id == self.config.me.id {
+        if seat.id == 0 || seat.id == self.config.local_member.id {
             return;
         }
         // At one address there is one process: another identity there has lost its disk.
@@ -498,7 +498,7 @@
     }
 
     fn me(&self) -> u64 {
-        self.config.me.id
+        self.config.local_member.id
     }
 
     fn is_voter(&self) -> bool {
@@ -525,7 +525,7 @@
     /// The freshest word on where a seat is.
     fn fresh(&self, seat: &MemberInfo) -> MemberInfo {
         match seat.id {
-            id if id == self.me() => self.config.me.clone(),
+            id if id == self.me() => self.config.local_member.clone(),
             id => self.peers.get(&id).map_or(seat, |p| &p.seat).clone(),
         }
     }
@@ -556,7 +556,7 @@
 
     /// Voters stand one after the other: replicas first, in the view's order.
     fn election_delay(&mut self) -> Duration {
-        let step = self.config.lease / 8;
+        let step = self.config.lease_duration / 8;
         let me = self.me();
         let rank = self.view.as_ref().map_or(0, |v| {
             let replicas = v.replicas.iter().copied();
@@ -577,7 +577,7 @@
     /// Who acts, as far as known here: the holder of a lease that hasn't ended.
     pub fn primary(&self) -> Option<MemberInfo> {
         if let Role::Primary(_) = &self.role {
-            Some(self.config.me.clone())
+            Some(self.config.local_member.clone())
         } else {
             let granted = self
                 .grant
@@ -597,7 +597,7 @@
 
     /// Whether a member was heard of lately, itself or by a link to it; one never heard of may be about to be reached.
     fn in_touch_with(&self, id: u64) -> bool {
-        let silent_at = |heard: Duration| heard + IN_TOUCH_LEASES * self.config.lease;
+        let silent_at = |heard: Duration| heard + IN_TOUCH_LEASES * self.config.lease_duration;
         self.peers
             .get(&id)
             .is_none_or(|peer| self.now < silent_at(peer.heard))
@@ -651,7 +651,7 @@
 
     /// Whether the disk takes writes and its records can be relied on.
     pub fn disk_healthy(&self) -> bool {
-        self.unsound.is_none() && self.disk.fit(self.now, self.config.stall)
+        self.unsound.is_none() && self.disk.fit(self.now, self.config.disk_stall_timeout)
     }
 
     fn next_wake(&self) -> Duration {
@@ -668,13 +668,13 @@
             self.candidate_wake(),
             self.commands_wake(),
             self.departure_wake(),
-            self.disk.wake(self.config.stall),
+            self.disk.wake(self.config.disk_stall_timeout),
         ]
         .into_iter()
         .flatten()
         .min()
-        .unwrap_or(self.now + self.config.lease)
+        .unwrap_or(self.now + self.config.lease_duration)
         .max(self.now + grace)
-        .min(self.now + 4 * self.config.lease)
+        .min(self.now + 4 * self.config.lease_duration)
     }
 }
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -114,7 +114,7 @@
         };
         let nth = |seats: &[MemberInfo]| {
             let stamp = |s: &MemberInfo| match s.id {
-                id if id == self.config.me.id => self.now,
+                id if id == self.config.local_member.id => self.now,
                 id => state.stamps.get(&id).copied().unwrap_or(Duration::ZERO),
             };
             let mut stamps: Vec<Duration> = seats.iter().map(stamp).collect();
@@ -125,7 +125,7 @@
         if asked.is_zero() {
             return Duration::ZERO;
         }
-        asked + self.config.lease.mul_f64(LEASE_COUNTED_SHARE)
+        asked + self.config.lease_duration.mul_f64(LEASE_COUNTED_SHARE)
     }
 
     /// A primary whose lease has ended stops acting.
@@ -133,14 +133,15 @@
         let Role::Primary(state) = &self.role else {
             return;
         };
-        if self.now >= self.lease_end(state) && self.now >= state.since + self.config.lease {
+        if self.now >= self.lease_end(state) && self.now >= state.since + self.config.lease_duration
+        {
             self.step_down();
             self.election_at = self.now + self.election_delay();
         }
     }
 
     pub(super) fn run_primary(&mut self, out: &mut Vec<Output>) {
-        let (now, lease, fit) = (self.now, self.config.lease, self.disk_healthy());
+        let (now, lease, fit) = (self.now, self.config.lease_duration, self.disk_healthy());
         let Role::Primary(state) = &self.role else {
             return;
         };
@@ -162,7 +163,7 @@
     }
 
     fn renew(&mut self, out: &mut Vec<Output>) {
-        let (now, lease, me) = (self.now, self.config.lease, self.me());
+        let (now, lease, me) = (self.now, self.config.lease_duration, self.me());
         let leased = self.is_acting_primary();
         let (Role::Primary(state), Some(view)) = (&mut self.role, self.view.clone()) else {
             return;
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -1,75 +1,93 @@
-//! What a member is at one moment, in short: compared before and after a step, it tells the changes of state.
+//! A member's observable state at one moment. The runtime compares the summaries before and after a step to log and
+//! count state transitions.
 
 use super::{ElectionPhase, Member, Role};
 use protocol::MembershipConfig;
 use std::sync::Arc;
 
-/// Whether a member's disk takes writes.
+/// Whether a member's disk accepts writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskState {
-    /// It takes them.
+    /// Writes complete in time.
     Healthy,
-    /// The latest write has been under way for longer than a write may take.
+    /// The latest write has been in flight for at least [`super::MemberConfig::disk_stall_timeout`].
     Stalled,
     /// The latest write was refused.
     Refused,
 }
 
-/// What a member does beside being a voter.
+/// A member's role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleSummary {
-    /// Nothing.
+    /// Neither candidate nor primary.
     Follower,
-    /// It stands for election, or changes its own view.
+    /// It campaigns to become primary, or as primary changes its own membership configuration.
     Candidate {
-        /// The epoch that it asks for; 0 during the pre-vote.
+        /// The epoch that it prepares; 0 during the pre-vote.
         epoch: u64,
-        /// How far it has come.
+        /// The step that it is at.
         phase: ElectionPhase,
     },
-    /// It is the primary of a view.
+    /// It is the primary of a membership configuration.
     Primary {
-        /// The view's epoch.
+        /// Epoch of that configuration.
         epoch: u64,
-        /// Whether a majority's lease lasts: only then it acknowledges and answers.
+        /// Whether it holds leases of a majority. Without them it acknowledges and answers nothing.
         leased: bool,
     },
 }
 
-/// The holder of a lease that this member granted as a voter.
+/// A lease that a member granted as a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GrantSummary {
-    /// Identity of the primary.
+pub struct LeaseGrantSummary {
+    /// Member id of the lease holder.
     pub primary: u64,
-    /// Epoch of its view.
+    /// Epoch of its membership configuration.
     pub epoch: u64,
 }
 
-/// A member's state, in short.
+/// A member's observable state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSummary {
-    /// Its identity.
+    /// Its member id.
     pub id: u64,
-    /// What it does.
+    /// Its role.
     pub role: RoleSummary,
-    /// The latest view that it accepted; none before it has joined.
-    pub view: Option<Arc<MembershipConfig>>,
+    /// The latest membership configuration that it accepted; none before it has joined.
+    pub membership: Option<Arc<MembershipConfig>>,
     /// The highest epoch that it has promised.
-    pub promised: u64,
-    /// The lease that it granted and that hasn't ended.
-    pub grant: Option<GrantSummary>,
+    pub promised_epoch: u64,
+    /// The lease that it granted, while that lasts.
+    pub lease_grant: Option<LeaseGrantSummary>,
     /// Its disk.
     pub disk: DiskState,
-    /// Number of the ledger's last change on its disk; none where it holds no ledger.
-    pub ledger: Option<u64>,
-    /// Whether it was asked to end.
-    pub leaving: bool,
+    /// Index of the last change on its disk; none where it is no replica.
+    pub durable_index: Option<u64>,
+    /// Whether it was asked to depart.
+    pub departing: bool,
 }
 
 impl Member {
-    /// The state now. `previous` spares copying a view that is still the same.
+    /// The state now. Pass the previous summary, so that an unchanged membership configuration isn't copied.
     pub fn summary(&self, previous: Option<&MemberSummary>) -> MemberSummary {
-        let role = match &self.role {
+        let grant = self.grant.filter(|g| g.until > self.now);
+        MemberSummary {
+            id: self.me(),
+            role: self.role_summary(),
+            membership: self.shared_membership(previous),
+            promised_epoch: self.promised,
+            lease_grant: grant.map(|g| LeaseGrantSummary {
+                primary: g.to,
+                epoch: g.epoch,
+            }),
+            disk: self.disk.state(self.now, self.config.disk_stall_timeout),
+            durable_index: self.held.as_ref().map(|h| h.disk.index),
+            departing: self.departure.is_some(),
+        }
+    }
+
+    fn role_summary(&self) -> RoleSummary {
+        match &self.role {
             Role::Follower => RoleSummary::Follower,
             Role::Candidate(state) => RoleSummary::Candidate {
                 epoch: state.epoch,
@@ -79,26 +97,15 @@
                 epoch: state.epoch,
                 leased: self.lease_end(state) > self.now,
             },
-        };
-        let known = previous.and_then(|p| p.view.as_ref());
-        let view = self.view.as_ref().map(|view| match known {
-            // No epoch stands for two views.
-            Some(known) if known.epoch == view.epoch => known.clone(),
-            _ => Arc::new(view.clone()),
-        });
-        let grant = self.grant.filter(|g| g.until > self.now);
-        MemberSummary {
-            id: self.me(),
-            role,
-            view,
-            promised: self.promised,
-            grant: grant.map(|g| GrantSummary {
-                primary: g.to,
-                epoch: g.epoch,
-            }),
-            disk: self.disk.state(self.now, self.config.stall),
-            ledger: self.held.as_ref().map(|h| h.disk.index),
-            leaving: self.departure.is_some(),
         }
     }
+
+    fn shared_membership(&self, previous: Option<&MemberSummary>) -> Option<Arc<MembershipConfig>> {
+        let known = previous.and_then(|p| p.membership.as_ref());
+        self.view.as_ref().map(|membership| match known {
+            // An epoch is used for one membership configuration only.
+            Some(known) if known.epoch == membership.epoch => known.clone(),
+            _ => Arc::new(membership.clone()),
+        })
+    }
 }
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -9,7 +9,7 @@
 impl Member {
     /// Whether a promise to a candidate can be given now; else when asking again makes sense.
     fn may_promise(&self, candidate: u64) -> Result<(), Duration> {
-        let wait = self.config.lease / 2;
+        let wait = self.config.lease_duration / 2;
         // One that joins may be a voter without having been told yet: with no view of its own it can't know better
         // than whoever asks, and a promise never does harm.
         // Until a change of voters is settled, those who go count as well.
@@ -26,7 +26,9 @@
             _ => None,
         };
         // What it granted before it was started again is not known.
-        let earlier = self.restarted.then_some(self.started + self.config.lease);
+        let earlier = self
+            .restarted
+            .then_some(self.started + self.config.lease_duration);
         let until = [grant.map(|g| g.until), own, earlier]
             .into_iter()
             .flatten()
@@ -58,7 +60,7 @@
         // Whoever has been left out since can't win, it would only hold the others up.
         let left_out = |v: &MembershipConfig| v.epoch > view && v.voter(from.id).is_none();
         let may = if self.view.as_ref().is_some_and(left_out) {
-            Err(4 * self.config.lease)
+            Err(4 * self.config.lease_duration)
         } else {
             self.may_promise(from.id)
                 .and_then(|()| self.may_prefer(from.id))
@@ -81,8 +83,8 @@
     ) {
         if epoch == self.promised && self.promised_to == Some(from.id) {
             // It is still at it: a ledger is on its way.
-            self.election_at = self.now + self.config.lease + self.election_delay();
-            self.held_back_until = self.now + self.config.lease / 2;
+            self.election_at = self.now + self.config.lease_duration + self.election_delay();
+            self.held_back_until = self.now + self.config.lease_duration / 2;
             return;
         }
         let wait = match self.may_promise(from.id) {
@@ -109,7 +111,7 @@
         self.see(epoch);
         if to.id != self.me() {
             self.step_down();
-            self.election_at = self.now + self.config.lease + self.election_delay();
+            self.election_at = self.now + self.config.lease_duration + self.election_delay();
         }
         self.write(&Record::Promised { epoch }, After::Promise { to, epoch });
     }
@@ -117,7 +119,7 @@
     pub(super) fn promise_written(&mut self, to: MemberInfo, epoch: u64, out: &mut Vec<Output>) {
         let (view, tag) = (self.view.clone(), self.tag());
         if to.id == self.me() {
-            let me = self.config.me.clone();
+            let me = self.config.local_member.clone();
             return self.on_promise(me, epoch, true, view.zip(Some(tag)), 0, out);
         }
         let message = Message::Promise {
@@ -182,7 +184,7 @@
                 self.promised = epoch;
                 self.waits_for_slow_disks = false;
                 self.step_down();
-                self.election_at = self.now + self.config.lease + self.election_delay();
+                self.election_at = self.now + self.config.lease_duration + self.election_delay();
                 let record = Record::Accepted {
                     view: view.clone(),
                     snapshot,
@@ -235,7 +237,8 @@
             // On its way to the disk.
             Some(held) if index <= held.head.index => return,
             Some(held)
-                if index == held.head.index + 1 && self.disk.fit(self.now, self.config.stall) =>
+                if index == held.head.index + 1
+                    && self.disk.fit(self.now, self.config.disk_stall_timeout) =>
             {
                 match held.head.after(&change) {
                     Ok(next) => {
@@ -288,7 +291,7 @@
         let ok = follows && self.promised == epoch && !self.given_up();
         if ok {
             self.withdraw_candidacy();
-            let until = self.now + self.config.lease;
+            let until = self.now + self.config.lease_duration;
             self.grant = Some(Grant {
                 to: from.id,
                 epoch,
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -13,7 +13,7 @@
     Event, Events, Failure, ListenSnafu, NoControlSnafu, NoDiskSnafu, ThreadSnafu, Tuning,
 };
 use crate::configuration_history::History;
-use crate::member::{Config, Member};
+use crate::member::{Member, MemberConfig};
 use crate::registry_publisher::RegistryPublisher;
 use configuration::ProcessSettings;
 use protocol::MemberInfo;
@@ -145,13 +145,13 @@
     ));
 
     let bootstrap_voters = Some(identity.initial_voters).filter(|voters| !voters.is_empty());
-    let config = Config {
-        me,
+    let config = MemberConfig {
+        local_member: me,
         bootstrap_voters,
-        budget: boot.fault_budget,
-        lease: tuning.lease,
-        patience: tuning.patience,
-        stall: tuning.stall,
+        fault_budget: boot.fault_budget,
+        lease_duration: tuning.lease,
+        request_timeout: tuning.patience,
+        disk_stall_timeout: tuning.stall,
     };
     let now = origin.elapsed();
     let member = Member::new(config, &records, now, random()?);
--- a/crates/control-plane/src/runtime/transitions/compare.rs
+++ b/crates/control-plane/src/runtime/transitions/compare.rs
@@ -1,12 +1,12 @@
 //! From two summaries of a member, or from what it asks for, to the changes of state.
 
 use super::{Position, StepDownCause, Transition};
-use crate::member::{DiskState, GrantSummary, MemberSummary, Output, RoleSummary};
+use crate::member::{DiskState, LeaseGrantSummary, MemberSummary, Output, RoleSummary};
 use protocol::{MemberInfo, Message};
 
 /// The changes of state between two moments, in the order in which they are told.
 pub fn between(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
-    let leaving = (after.leaving && !before.leaving).then_some(Transition::Leaving);
+    let leaving = (after.departing && !before.departing).then_some(Transition::Leaving);
     let disk = (after.disk != before.disk).then_some(Transition::Disk { state: after.disk });
     let mut transitions: Vec<Transition> = leaving.into_iter().chain(disk).collect();
     transitions.extend(left_role(before, after));
@@ -32,9 +32,9 @@
 }
 
 fn step_down_cause(before: &MemberSummary, after: &MemberSummary) -> StepDownCause {
-    if after.leaving {
+    if after.departing {
         StepDownCause::Leaving
-    } else if after.promised > before.promised {
+    } else if after.promised_epoch > before.promised_epoch {
         StepDownCause::HigherEpoch
     } else if after.disk != DiskState::Healthy {
         StepDownCause::Disk
@@ -44,29 +44,32 @@
 }
 
 fn promised(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
-    let epoch = after.promised;
+    let epoch = after.promised_epoch;
     let own = match after.role {
         RoleSummary::Candidate { epoch: own, .. } | RoleSummary::Primary { epoch: own, .. } => {
             own == epoch
         }
         RoleSummary::Follower => false,
     };
-    let risen = epoch > before.promised && !own;
+    let risen = epoch > before.promised_epoch && !own;
     risen.then(|| Transition::Promised {
         epoch,
-        view: after.view.clone(),
+        view: after.membership.clone(),
     })
 }
 
 fn accepted(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
     let Some(view) = after
-        .view
+        .membership
         .as_ref()
         .filter(|_| epoch_of(after) > epoch_of(before))
     else {
         return Vec::new();
     };
-    let old: &[MemberInfo] = before.view.as_ref().map_or(&view.voters, |v| &v.voters);
+    let old: &[MemberInfo] = before
+        .membership
+        .as_ref()
+        .map_or(&view.voters, |v| &v.voters);
     let (position, was) = (Position::of(after), Position::of(before));
     let mut transitions = vec![Transition::ViewAccepted {
         view: view.clone(),
@@ -75,7 +78,9 @@
         position,
         before: was,
     }];
-    let seq = after.ledger.filter(|_| position == Position::Replica);
+    let seq = after
+        .durable_index
+        .filter(|_| position == Position::Replica);
     transitions.extend(seq.map(|seq| Transition::SnapshotTaken {
         epoch: view.epoch,
         seq,
@@ -84,7 +89,7 @@
 }
 
 fn epoch_of(summary: &MemberSummary) -> Option<u64> {
-    summary.view.as_ref().map(|v| v.epoch)
+    summary.membership.as_ref().map(|v| v.epoch)
 }
 
 /// Those of `seats` that aren't among `others`.
@@ -123,7 +128,7 @@
             let same = was_leading == Some(epoch);
             let won = (!same).then_some(Transition::ElectionWon {
                 epoch,
-                ledger: after.ledger,
+                ledger: after.durable_index,
             });
             let lease = match (same && was_leased, leased) {
                 (false, true) => Some(Transition::LeaseHeld { epoch }),
@@ -136,7 +141,7 @@
 }
 
 fn lease_over(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
-    let ended = before.grant.filter(|_| after.grant.is_none())?;
+    let ended = before.lease_grant.filter(|_| after.lease_grant.is_none())?;
     // Whoever won has taken the lease's place.
     let leads = matches!(after.role, RoleSummary::Primary { .. });
     let primary = holder(before, ended);
@@ -147,15 +152,20 @@
 }
 
 fn lease_granted(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
-    let grant = after.grant.filter(|g| before.grant != Some(*g))?;
+    let grant = after
+        .lease_grant
+        .filter(|g| before.lease_grant != Some(*g))?;
     Some(Transition::LeaseGranted {
         primary: holder(after, grant),
         epoch: grant.epoch,
     })
 }
 
-fn holder(summary: &MemberSummary, grant: GrantSummary) -> MemberInfo {
-    let known = summary.view.as_ref().and_then(|v| v.voter(grant.primary));
+fn holder(summary: &MemberSummary, grant: LeaseGrantSummary) -> MemberInfo {
+    let known = summary
+        .membership
+        .as_ref()
+        .and_then(|v| v.voter(grant.primary));
     known.cloned().unwrap_or_else(|| MemberInfo {
         id: grant.primary,
         ..MemberInfo::default()
--- a/crates/control-plane/src/runtime/transitions/log_lines.rs
+++ b/crates/control-plane/src/runtime/transitions/log_lines.rs
@@ -52,10 +52,10 @@
 
 /// Writes the line of what a member's disk held at its start.
 pub fn log_start(summary: &MemberSummary) {
-    let epoch = Maybe(summary.view.as_ref().map(|view| view.epoch));
+    let epoch = Maybe(summary.membership.as_ref().map(|view| view.epoch));
     log::info!(target: TARGET, epoch:% = epoch,
-        promised = summary.promised,
-        ledger:% = Maybe(summary.ledger),
+        promised = summary.promised_epoch,
+        ledger:% = Maybe(summary.durable_index),
         role:% = Position::of(summary);
         "state on disk"
     );
--- a/crates/control-plane/src/runtime/transitions/mod.rs
+++ b/crates/control-plane/src/runtime/transitions/mod.rs
@@ -42,7 +42,7 @@
 
 impl Position {
     fn of(summary: &MemberSummary) -> Self {
-        match &summary.view {
+        match &summary.membership {
             Some(view) if view.epoch > 0 && view.primary == summary.id => Position::Primary,
             Some(view) if view.replicas.contains(&summary.id) => Position::Replica,
             Some(view) if view.voter(summary.id).is_some() => Position::Witness,
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -1,7 +1,7 @@
 //! A candidate alone, told what it would hear from the others.
 
 use configuration::FaultBudget;
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use control_plane::replicated_state::ReplicatedState;
 use protocol::{Addr, LogPosition, MemberInfo, MembershipConfig, Message};
 use std::time::Duration;
@@ -91,17 +91,17 @@
 /// It holds no ledger, and needs all three for the replicas: the third promise comes while it fetches the ledger.
 #[test]
 fn a_promise_that_comes_during_the_fetch_counts() {
-    let config = Config {
-        me: member(1),
+    let config = MemberConfig {
+        local_member: member(1),
         bootstrap_voters: Some((1..=3).map(member).collect()),
-        budget: FaultBudget {
+        fault_budget: FaultBudget {
             machine_losses: 2,
             zones: 0,
             region_losses: 0,
         },
-        lease: Duration::from_millis(1000),
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        lease_duration: Duration::from_millis(1000),
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     };
     let now = Duration::from_secs(1);
     let mut candidate = Candidate {
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test file uses its own part.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use protocol::{Addr, Command, MemberInfo, MembershipConfig, Message};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -179,13 +179,13 @@
 
     fn boot(&mut self, n: usize, initial: bool) {
         let voters = || self.nodes.iter().take(3).map(|n| n.seat.clone()).collect();
-        let config = Config {
-            me: self.nodes[n].seat.clone(),
+        let config = MemberConfig {
+            local_member: self.nodes[n].seat.clone(),
             bootstrap_voters: initial.then(voters),
-            budget: self.budget,
-            lease: LEASE,
-            patience: ms(3500),
-            stall: ms(600),
+            fault_budget: self.budget,
+            lease_duration: LEASE,
+            request_timeout: ms(3500),
+            disk_stall_timeout: ms(600),
         };
         let random = 77 * (n as u64 + 1) + u64::from(self.nodes[n].life);
         let node = &mut self.nodes[n];
--- a/crates/control-plane/tests/cut_core/mod.rs
+++ b/crates/control-plane/tests/cut_core/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test file uses its own part.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use protocol::{Addr, Command, MemberInfo};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -142,13 +142,13 @@
     fn node(&self, n: usize, records: Vec<Vec<u8>>) -> Node {
         let voters = self.seats[..self.initial_voters].to_vec();
         let initial = n < self.initial_voters && records.is_empty();
-        let config = Config {
-            me: self.seats[n].clone(),
+        let config = MemberConfig {
+            local_member: self.seats[n].clone(),
             bootstrap_voters: Some(voters).filter(|_| initial),
-            budget: self.budget,
-            lease: LEASE,
-            patience: ms(3500),
-            stall: ms(600),
+            fault_budget: self.budget,
+            lease_duration: LEASE,
+            request_timeout: ms(3500),
+            disk_stall_timeout: ms(600),
         };
         let random = self.now.as_millis() as u64 * 16 + n as u64;
         Node {
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -2,7 +2,7 @@
 //! another primary begin while the holder may still answer reads. One voter, message by message.
 
 use configuration::FaultBudget;
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use protocol::{Addr, MemberInfo, MembershipConfig, Message};
 use rstest::rstest;
 use std::time::Duration;
@@ -43,16 +43,16 @@
 
 impl Voter {
     fn started() -> Self {
-        let config = Config {
-            me: seat(VOTER),
+        let config = MemberConfig {
+            local_member: seat(VOTER),
             bootstrap_voters: None,
-            budget: FaultBudget {
+            fault_budget: FaultBudget {
                 machine_losses: 1,
                 ..FaultBudget::default()
             },
-            lease: LEASE,
-            patience: ms(3500),
-            stall: ms(600),
+            lease_duration: LEASE,
+            request_timeout: ms(3500),
+            disk_stall_timeout: ms(600),
         };
         let mut voter = Self {
             now: ms(0),
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -2,7 +2,7 @@
 //! its records can't be relied on.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Config, DiskError, Input, Member, Output, ReplayError};
+use control_plane::member::{DiskError, Input, Member, MemberConfig, Output, ReplayError};
 use control_plane::replicated_state::{Plan, ReplicatedState, MAX_DOCUMENT_BYTES};
 use protocol::{AppliedRequest, Change, Command, MemberInfo, MembershipConfig, Message, Record};
 use rstest::rstest;
@@ -52,14 +52,14 @@
     }
 }
 
-fn config(me: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> Config {
-    Config {
-        me: seat(me),
+fn config(me: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> MemberConfig {
+    MemberConfig {
+        local_member: seat(me),
         bootstrap_voters,
-        budget: FaultBudget::default(),
-        lease: LEASE,
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        fault_budget: FaultBudget::default(),
+        lease_duration: LEASE,
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     }
 }
 
@@ -113,7 +113,7 @@
 }
 
 impl Machine {
-    fn start(config: Config, disk: Vec<Vec<u8>>, now: Duration) -> Self {
+    fn start(config: MemberConfig, disk: Vec<Vec<u8>>, now: Duration) -> Self {
         let member = Member::new(config, &disk, now, 7);
         let (longest, rewrites, refuses_rewrites, refuses_all, compares) = Default::default();
         let outputs = vec![];
--- a/crates/control-plane/tests/slow_peer_connections.rs
+++ b/crates/control-plane/tests/slow_peer_connections.rs
@@ -2,7 +2,7 @@
 //! many bytes a second, each lane in order, and disks, all in simulated time.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use control_plane::runtime::peer_connections::{Lane, MAX_QUEUED_BYTES};
 use protocol::{Command, MemberInfo, Message};
 use rstest::rstest;
@@ -76,17 +76,17 @@
             unheard: vec![],
         };
         for id in 1..=3 {
-            let config = Config {
-                me: seat(id),
+            let config = MemberConfig {
+                local_member: seat(id),
                 bootstrap_voters: Some((1..=3).map(seat).collect()),
-                budget: FaultBudget {
+                fault_budget: FaultBudget {
                     machine_losses: 1,
                     zones: 0,
                     region_losses: 0,
                 },
-                lease: LEASE,
-                patience: Duration::from_millis(3500),
-                stall: STALL,
+                lease_duration: LEASE,
+                request_timeout: Duration::from_millis(3500),
+                disk_stall_timeout: STALL,
             };
             let member = Member::new(config, &[], Duration::ZERO, seed * 31 + id);
             world.members.insert(id, member);
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -8,7 +8,7 @@
 use append_log::{AppendLog, Cut, Shape};
 use configuration::FaultBudget;
 use control_plane::applied_requests::fingerprint;
-use control_plane::member::{Config, Member};
+use control_plane::member::{Member, MemberConfig};
 use control_plane::recovery::Survivor;
 use control_plane::replicated_state::ReplicatedState;
 use control_plane::runtime::identity::{latest, FoundLedger, Identity, LedgerOwner, StartFacts};
@@ -416,19 +416,19 @@
     assert_eq!(found, identity(9_000));
     let hosts = (name != "rewritten").then(|| protocol::write_one(&known_hosts()));
     assert_eq!(roster, hosts);
-    let config = Config {
-        me: member_info(MEMBER_ID, 1),
+    let config = MemberConfig {
+        local_member: member_info(MEMBER_ID, 1),
         bootstrap_voters: Some(found.initial_voters),
-        budget: FaultBudget::default(),
-        lease: Duration::from_millis(1000),
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        fault_budget: FaultBudget::default(),
+        lease_duration: Duration::from_millis(1000),
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     };
     let member = Member::new(config, &records, Duration::ZERO, 1);
     assert!(member.replay_error().is_none());
     assert_eq!(member.promised_epoch(), promised_epoch);
     assert_eq!(member.membership(), Some(&second_membership()));
-    assert_eq!(member.summary(None).ledger, Some(11));
+    assert_eq!(member.summary(None).durable_index, Some(11));
 }
 
 /// What an operator recovers from the stored files after the loss of a majority.
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -1,7 +1,9 @@
 //! What the log tells of a member's changes of state: members driven by inputs, in simulated time.
 
 use configuration::FaultBudget;
-use control_plane::member::{Config, DiskError, DiskState, ElectionPhase, Input, Member, Output};
+use control_plane::member::{
+    DiskError, DiskState, ElectionPhase, Input, Member, MemberConfig, Output,
+};
 use control_plane::runtime::transitions::{Position, Recorder, StepDownCause, Transition};
 use protocol::{Command, MemberInfo, Message};
 use rstest::rstest;
@@ -55,17 +57,17 @@
     }
 }
 
-fn config(id: u64, bootstrap: bool) -> Config {
-    Config {
-        me: seat(id),
+fn config(id: u64, bootstrap: bool) -> MemberConfig {
+    MemberConfig {
+        local_member: seat(id),
         bootstrap_voters: bootstrap.then(|| (1..=3).map(seat).collect()),
-        budget: FaultBudget {
+        fault_budget: FaultBudget {
             machine_losses: 1,
             ..FaultBudget::default()
         },
-        lease: LEASE,
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        lease_duration: LEASE,
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     }
 }
 
@@ -454,7 +456,10 @@
     world.start(primary, false, records);
     let summary = world.nodes[&primary].recorder.summary();
     assert_eq!(
-        (summary.view.as_ref().unwrap().epoch, summary.ledger),
+        (
+            summary.membership.as_ref().unwrap().epoch,
+            summary.durable_index
+        ),
         (epoch, Some(1))
     );
     world.input(primary, Input::Tick);
--- a/crates/control-plane/tests/without_a_say.rs
+++ b/crates/control-plane/tests/without_a_say.rs
@@ -2,7 +2,7 @@
 //! member, and sends its callers elsewhere once it isn't.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use protocol::{Addr, Command, MemberInfo, Message};
 use rstest::rstest;
 use std::time::Duration;
@@ -40,16 +40,16 @@
 
 impl Mirroring {
     fn told_of(primary: u64) -> Self {
-        let config = Config {
-            me: seat(9),
+        let config = MemberConfig {
+            local_member: seat(9),
             bootstrap_voters: None,
-            budget: FaultBudget {
+            fault_budget: FaultBudget {
                 machine_losses: 1,
                 ..FaultBudget::default()
             },
-            lease: LEASE,
-            patience: ms(3500),
-            stall: ms(600),
+            lease_duration: LEASE,
+            request_timeout: ms(3500),
+            disk_stall_timeout: ms(600),
         };
         let member = Member::new(config, &[], ms(0), 7);
         let mut mirroring = Self {
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -4,7 +4,7 @@
 use super::planted::Planted;
 use crate::canonical;
 use configuration::FaultBudget;
-use control_plane::member::{Config, Member};
+use control_plane::member::{Member, MemberConfig};
 use control_plane::runtime::identity::{Identity, StartFacts};
 use protocol::{Addr, MemberInfo, Record, Snapshot};
 use replication::Mirror;
@@ -137,17 +137,17 @@
         };
         let records = start.planted.read_back(&self.records);
         let voters = identity.initial_voters.clone();
-        let config = Config {
-            me: seat.clone(),
+        let config = MemberConfig {
+            local_member: seat.clone(),
             bootstrap_voters: Some(voters).filter(|voters| !voters.is_empty()),
-            budget: FaultBudget {
+            fault_budget: FaultBudget {
                 machine_losses: start.losses,
                 zones: 0,
                 region_losses: 0,
             },
-            lease: LEASE,
-            patience: PATIENCE,
-            stall: STALL,
+            lease_duration: LEASE,
+            request_timeout: PATIENCE,
+            disk_stall_timeout: STALL,
         };
         self.identity = Some(identity);
         let spread = random.wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -7,7 +7,7 @@
 use crate::plan::ms;
 use crate::planted::Planted;
 use configuration::FaultBudget;
-use control_plane::member::{Config, Input, Member};
+use control_plane::member::{Input, Member, MemberConfig};
 use protocol::{Addr, MemberInfo, Record};
 use rand_core::RngCore;
 use std::time::Duration;
@@ -104,15 +104,15 @@
                 node.records.remove(last);
             }
         }
-        let config = Config {
-            me: node.seat.clone(),
+        let config = MemberConfig {
+            local_member: node.seat.clone(),
             bootstrap_voters: (first
                 || (self.plan.planted == Planted::WipedVotes && node.records.is_empty()))
             .then_some(seeds),
-            budget,
-            lease: ms(1000),
-            patience: ms(900),
-            stall: ms(600),
+            fault_budget: budget,
+            lease_duration: ms(1000),
+            request_timeout: ms(900),
+            disk_stall_timeout: ms(600),
         };
         node.member = Some(Member::new(config, &node.records, now, random));
         self.open_station(Place::Member(n));
