--- a/crates/balancing/src/choice.rs
+++ b/crates/balancing/src/choice.rs
@@ -4,7 +4,7 @@
 use crate::order;
 use crate::policy::State;
 use crate::service::Service;
-use crate::types::Ask;
+use crate::types::RequestContext;
 use crate::window::ms;
 use std::time::Duration;
 
@@ -66,29 +66,35 @@
     }
 
     /// Whether a home is taken to keep its prompts: where not all is told, or was forgotten with a restart.
-    fn assumes(&self, now: Duration, ask: &Ask) -> bool {
+    fn assumes(&self, now: Duration, ask: &RequestContext) -> bool {
         let restarted = !self.first_start && now < self.born() + REMEMBERED;
-        let known =
-            || order::key(ask.parts).is_some_and(|k| self.hosts.iter().any(|(_, h)| h.kept.has(k)));
+        let known = || {
+            order::key(ask.prompt_parts)
+                .is_some_and(|k| self.hosts.iter().any(|(_, h)| h.kept.has(k)))
+        };
         !self.told(now) || (restarted && !known())
     }
 
     /// Tokens that a host has to read, by what was sent there; the home keeps the shared parts, as all proxies
     /// send them there.
-    fn unread(&self, now: Duration, host: &Host, home: bool, ask: &Ask) -> u32 {
-        let all: u32 = ask.parts.iter().map(|p| p.1).fold(0, u32::saturating_add);
-        let all = if ask.parts.is_empty() {
-            ask.tokens.0
+    fn unread(&self, now: Duration, host: &Host, home: bool, ask: &RequestContext) -> u32 {
+        let all: u32 = ask
+            .prompt_parts
+            .iter()
+            .map(|p| p.tokens)
+            .fold(0, u32::saturating_add);
+        let all = if ask.prompt_parts.is_empty() {
+            ask.prompt_tokens
         } else {
             all
         };
-        let shared = match ask.parts {
+        let shared = match ask.prompt_parts {
             [shared @ .., _own] if home && self.assumes(now, ask) => {
-                shared.iter().map(|p| p.1).fold(0, u32::saturating_add)
+                shared.iter().map(|p| p.tokens).fold(0, u32::saturating_add)
             }
             _ => 0,
         };
-        all.saturating_sub(host.kept.prefix(ask.parts).max(shared))
+        all.saturating_sub(host.kept.prefix(ask.prompt_parts).max(shared))
     }
 
     fn candidate(
@@ -97,11 +103,11 @@
         key: usize,
         service: &Service,
         home: Option<usize>,
-        ask: &Ask,
+        ask: &RequestContext,
     ) -> Option<Candidate> {
         let host = self.hosts.get(key)?;
         let near = host.info.zone == self.settings.zone;
-        let prompt = order::key(ask.parts);
+        let prompt = order::key(ask.prompt_parts);
         let weight = order::weight(prompt.unwrap_or(0), host.place);
         let wait = self.wait(now, host);
         if !service.model() {
@@ -117,9 +123,9 @@
         let tokens = self.unread(now, host, home == Some(key), ask);
         let weight = if prompt.is_some() { weight } else { 0 };
         let shared = ask
-            .parts
+            .prompt_parts
             .split_last()
-            .map_or(0, |p| p.1.iter().map(|p| p.1).sum());
+            .map_or(0, |p| p.1.iter().map(|p| p.tokens).sum());
         let at_home = if home == Some(key) {
             HOME * service.reading(shared)
         } else {
@@ -136,7 +142,7 @@
     }
 
     /// Picks a host for a request, or says when to come back.
-    pub(crate) fn pick(&mut self, now: Duration, ask: &Ask) -> Result<Pick, Duration> {
+    pub(crate) fn pick(&mut self, now: Duration, ask: &RequestContext) -> Result<Pick, Duration> {
         let Some(&number) = self.names.get(ask.service) else {
             return Err(UNKNOWN);
         };
@@ -144,7 +150,9 @@
         let Some(service) = self.services.get(number) else {
             return Err(UNKNOWN);
         };
-        let open = |h: &Host| h.usable() && !ask.tried.contains(&h.info.id) && !self.full(now, h);
+        let open = |h: &Host| {
+            h.usable() && !ask.attempted_hosts.contains(&h.info.id) && !self.full(now, h)
+        };
         let hosts: Vec<(usize, &Host)> = service
             .hosts
             .iter()
@@ -156,7 +164,7 @@
         }
         let opens: Vec<(usize, &Host)> = hosts.iter().filter(|(_, h)| open(h)).copied().collect();
         // The home is the same whatever was tried: it is where others send such prompts.
-        let prompt = order::key(ask.parts);
+        let prompt = order::key(ask.prompt_parts);
         let home = prompt.filter(|_| service.model()).and_then(|p| {
             let well = hosts
                 .iter()
@@ -172,7 +180,7 @@
 
         let due = opens
             .iter()
-            .filter(|(_, h)| h.health.trial_due(now, h.info.silent));
+            .filter(|(_, h)| h.health.trial_due(now, h.info.heartbeat_expired));
         if let Some((key, host)) = due.min_by_key(|(_, h)| h.health.back()) {
             let waited = host
                 .health
@@ -196,7 +204,7 @@
             .map(|(k, _)| *k)
             .collect();
         if !fit.is_empty() && fit.len() * PANIC < known {
-            let bad = |h: &Host| h.health.out() && !h.health.dark() && !h.info.silent;
+            let bad = |h: &Host| h.health.out() && !h.health.dark() && !h.info.heartbeat_expired;
             // With so many silent at once it is rather their heartbeats that have trouble.
             let silent = |h: &Host| h.lost(now) && !h.health.out();
             fit.extend(
@@ -276,7 +284,7 @@
             .services
             .get(host.service)
             .and_then(|s| s.info.as_ref())
-            .map_or(u32::MAX, |i| i.conn_limit);
+            .map_or(u32::MAX, |i| i.connection_limit);
         host.full(now) || host.out.len() as u32 >= limit
     }
 
--- a/crates/balancing/src/health.rs
+++ b/crates/balancing/src/health.rs
@@ -102,8 +102,8 @@
 
     /// Whether one request may try it: it has been out for its time. One whose heartbeats have stopped as well
     /// and that went dark is left for the longest time.
-    pub(crate) fn trial_due(&self, now: Duration, silent: bool) -> bool {
-        let wait = if silent && self.dark {
+    pub(crate) fn trial_due(&self, now: Duration, heartbeat_expired: bool) -> bool {
+        let wait = if heartbeat_expired && self.dark {
             LONGEST.saturating_sub(self.gap)
         } else {
             Duration::ZERO
--- a/crates/balancing/src/host.rs
+++ b/crates/balancing/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::health::Health;
 use crate::order::place;
-use crate::types::HostInfo;
+use crate::types::{HostInfo, PromptPart};
 use crate::window::ms;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -25,16 +25,16 @@
     }
 
     /// Tokens from the front on that are kept.
-    pub(crate) fn prefix(&self, parts: &[(u64, u32)]) -> u32 {
+    pub(crate) fn prefix(&self, parts: &[PromptPart]) -> u32 {
         parts
             .iter()
-            .take_while(|p| self.parts.contains_key(&p.0))
-            .map(|p| p.1)
+            .take_while(|p| self.parts.contains_key(&p.id))
+            .map(|p| p.tokens)
             .sum()
     }
 
-    pub(crate) fn touch(&mut self, parts: &[(u64, u32)], room: f64) {
-        for (id, tokens) in parts {
+    pub(crate) fn touch(&mut self, parts: &[PromptPart], room: f64) {
+        for PromptPart { id, tokens } in parts {
             self.next += 1;
             match self.parts.insert(*id, (*tokens, self.next)) {
                 Some((before, used)) => {
@@ -57,21 +57,26 @@
     }
 
     /// Notes parts that others may ask for too; whether any of them is new here.
-    pub(crate) fn share(&mut self, parts: &[(u64, u32)]) -> bool {
+    pub(crate) fn share(&mut self, parts: &[PromptPart]) -> bool {
         parts.iter().fold(false, |new, p| {
-            (self.parts.contains_key(&p.0) && self.shared.insert(p.0)) | new
+            (self.parts.contains_key(&p.id) && self.shared.insert(p.id)) | new
         })
     }
 
     /// Shared parts that are kept, those used latest first.
-    pub(crate) fn shared(&self) -> Vec<(u64, u32)> {
+    pub(crate) fn shared(&self) -> Vec<PromptPart> {
         let latest = self
             .uses
             .values()
             .rev()
             .filter(|id| self.shared.contains(id));
         latest
-            .filter_map(|id| Some((*id, self.parts.get(id)?.0)))
+            .filter_map(|id| {
+                Some(PromptPart {
+                    id: *id,
+                    tokens: self.parts.get(id)?.0,
+                })
+            })
             .collect()
     }
 }
@@ -121,7 +126,7 @@
     pub(crate) fn new(info: HostInfo, service: usize, now: Duration, late_comer: bool) -> Self {
         Self {
             service,
-            cold_until: now + info.cold_left,
+            cold_until: now + info.slow_start_remaining,
             told_busy: None,
             place: place(&info.id),
             info,
@@ -164,7 +169,7 @@
     /// Whether its heartbeats have stopped and nothing else has come from it lately. Heartbeats may be seconds
     /// late: a host that answers here is there.
     pub(crate) fn lost(&self, now: Duration) -> bool {
-        self.info.silent && self.heard.is_none_or(|t| now.saturating_sub(t) > HEARD)
+        self.info.heartbeat_expired && self.heard.is_none_or(|t| now.saturating_sub(t) > HEARD)
     }
 
     /// Whether it may be listed.
--- a/crates/balancing/src/idle.rs
+++ b/crates/balancing/src/idle.rs
@@ -2,7 +2,7 @@
 
 use crate::host::Host;
 use crate::policy::State;
-use crate::types::Load;
+use crate::types::HostLoad;
 use idle_list::ENTRY_AGE;
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
     }
 
     /// A report on a host's load came.
-    pub(crate) fn loaded(&mut self, now: Duration, key: usize, load: Load) {
+    pub(crate) fn loaded(&mut self, now: Duration, key: usize, load: HostLoad) {
         let Some(host) = self.hosts.get_mut(key) else {
             return;
         };
--- a/crates/balancing/src/order.rs
+++ b/crates/balancing/src/order.rs
@@ -1,6 +1,7 @@
 //! Rendezvous hashing: an order of hosts for each prompt that all proxies agree on without talk.
 
 use crate::random::mix;
+use crate::types::PromptPart;
 
 /// A host's place in the hash space. FNV-1a, as all proxies must come to the same number.
 pub(crate) fn place(id: &str) -> u64 {
@@ -15,10 +16,10 @@
 }
 
 /// What a prompt is placed by: its last shared part, or its only part. `None` without parts.
-pub(crate) fn key(parts: &[(u64, u32)]) -> Option<u64> {
+pub(crate) fn key(parts: &[PromptPart]) -> Option<u64> {
     match parts {
         [] => None,
-        [only] => Some(only.0),
-        [.., shared, _own] => Some(shared.0),
+        [only] => Some(only.id),
+        [.., shared, _own] => Some(shared.id),
     }
 }
--- a/crates/balancing/src/policy/mod.rs
+++ b/crates/balancing/src/policy/mod.rs
@@ -7,22 +7,22 @@
 use crate::budget::Terms;
 use crate::random::Random;
 use crate::types::{
-    Ask, Attempt, Choice, HostInfo, Load, Outcome, Placement, ServiceInfo, Settings,
+    AttemptId, HostChoice, HostInfo, HostLoad, LoadBalancerSettings, Outcome, PrefixHint,
+    PromptPart, RequestContext, ServiceInfo,
 };
 use crate::window::from_ms;
 use slab::Slab;
 use std::collections::{HashMap, HashSet};
-use std::sync::Arc;
 use std::time::Duration;
 
 /// The policy of one proxy.
-pub struct Policy {
+pub struct LoadBalancer {
     state: State,
 }
 
-impl Policy {
+impl LoadBalancer {
     /// A policy that knows no hosts yet.
-    pub fn new(settings: Settings) -> Self {
+    pub fn new(settings: LoadBalancerSettings) -> Self {
         let terms = Terms {
             ratio: settings.retry_ratio,
             slack: settings.retry_slack,
@@ -31,7 +31,7 @@
             born: None,
         };
         let state = State {
-            random: Random::new(settings.seed),
+            random: Random::new(settings.random_seed),
             settings,
             names: HashMap::new(),
             services: Slab::new(),
@@ -91,7 +91,7 @@
     }
 
     /// Number of coordinators that share the budget.
-    pub fn set_coordinators(&mut self, now: Duration, count: usize) {
+    pub fn set_proxy_count(&mut self, now: Duration, count: usize) {
         self.state.wake(now);
         self.state.terms.proxies = (count > 0).then_some(count);
     }
@@ -102,7 +102,7 @@
     }
 
     /// Whether all proxies tell each other where they send prompts.
-    pub fn set_told(&mut self, now: Duration, all: bool) {
+    pub fn set_hints_complete(&mut self, now: Duration, all: bool) {
         self.state.told_since = if all {
             self.state.told_since.or(Some(now))
         } else {
@@ -111,12 +111,12 @@
     }
 
     /// What the latest choice means for the other proxies, where it is worth telling.
-    pub fn take_placement(&mut self) -> Option<Placement> {
+    pub fn take_prefix_hint(&mut self) -> Option<PrefixHint> {
         self.state.placed.take()
     }
 
     /// Another proxy has sent a prompt to a host.
-    pub fn overheard(&mut self, now: Duration, host: &str, parts: &[(u64, u32)], unread: u32) {
+    pub fn on_prefix_hint(&mut self, now: Duration, host: &str, parts: &[PromptPart], unread: u32) {
         let state = &mut self.state;
         let Some(host) = state.ids.get(host).and_then(|k| state.hosts.get_mut(*k)) else {
             return;
@@ -124,11 +124,11 @@
         let Some(service) = state.services.get(host.service) else {
             return;
         };
-        let Some(room) = service.info.as_ref().and_then(|i| i.cache_tokens) else {
+        let Some(room) = service.info.as_ref().and_then(|i| i.cache_capacity_tokens) else {
             return;
         };
         // No prompt is longer than what a host keeps, whatever a datagram says.
-        if parts.iter().map(|p| f64::from(p.1)).sum::<f64>() > room {
+        if parts.iter().map(|p| f64::from(p.tokens)).sum::<f64>() > room {
             return;
         }
         host.kept.touch(parts, room);
@@ -138,19 +138,19 @@
     }
 
     /// What hosts keep that others may ask for too, by our reckoning.
-    pub fn kept(&self) -> Vec<Placement> {
+    pub fn cached_prefixes(&self) -> Vec<PrefixHint> {
         let hosts = self
             .state
             .hosts
             .iter()
             .map(|(_, h)| h)
             .filter(|h| h.usable());
-        let all = hosts.map(|h| Placement {
-            host: h.info.id.clone(),
-            parts: h.kept.shared(),
-            unread: 0,
+        let all = hosts.map(|h| PrefixHint {
+            host_id: h.info.id.clone(),
+            prefix: h.kept.shared(),
+            uncached_tokens: 0,
         });
-        all.filter(|p| !p.parts.is_empty()).collect()
+        all.filter(|p| !p.prefix.is_empty()).collect()
     }
 
     /// Time passes. Called every 100 ms or so while attempts are out, a stall of this process shows in the gap between two calls.
@@ -159,7 +159,7 @@
     }
 
     /// A request came in for a service: the budget grows by its share. Once for each try of a client.
-    pub fn arrived(&mut self, now: Duration, service: &str) {
+    pub fn on_request(&mut self, now: Duration, service: &str) {
         self.state.wake(now);
         let number = self.state.service(service);
         if let Some(service) = self.state.services.get_mut(number) {
@@ -168,19 +168,19 @@
     }
 
     /// Picks a host, and counts the attempt as sent.
-    pub fn choose(&mut self, now: Duration, ask: &Ask) -> Choice {
+    pub fn choose_host(&mut self, now: Duration, ask: &RequestContext) -> HostChoice {
         self.state.wake(now);
         match self.state.pick(now, ask) {
             Ok(pick) => self
                 .state
                 .send(now, ask, pick.host, pick.tokens, pick.trial),
-            Err(retry_after) => Choice::None { retry_after },
+            Err(retry_after) => HostChoice::Unavailable { retry_after },
         }
     }
 
     /// Whether the budget has room for one more host for a request that was sent before; if so it is taken.
-    /// Asked before [`Policy::choose`] for every attempt beyond a try's first that reached a host.
-    pub fn take_repeat(&mut self, now: Duration, service: &str) -> bool {
+    /// Asked before [`LoadBalancer::choose_host`] for every attempt beyond a try's first that reached a host.
+    pub fn withdraw_retry(&mut self, now: Duration, service: &str) -> bool {
         self.state.wake(now);
         let number = self.state.service(service);
         let state = &mut self.state;
@@ -191,13 +191,13 @@
     }
 
     /// The head of a good answer came (for streams: the first event).
-    pub fn first(&mut self, now: Duration, attempt: Attempt) {
+    pub fn on_first_byte(&mut self, now: Duration, attempt: AttemptId) {
         self.state.wake(now);
         self.state.first(now, attempt.0);
     }
 
     /// Something more came for an attempt: an event of its stream, a piece of its body.
-    pub fn heard(&mut self, now: Duration, attempt: Attempt) {
+    pub fn on_progress(&mut self, now: Duration, attempt: AttemptId) {
         self.state.wake(now);
         let Some(out) = self.state.attempts.get_mut(attempt.0) else {
             return;
@@ -209,8 +209,8 @@
     }
 
     /// A host told its load in the head of an answer that goes on. Where it comes with the end, it goes to
-    /// [`Policy::ended`].
-    pub fn told(&mut self, now: Duration, attempt: Attempt, load: Load) {
+    /// [`LoadBalancer::on_attempt_ended`].
+    pub fn on_load_report(&mut self, now: Duration, attempt: AttemptId, load: HostLoad) {
         self.state.wake(now);
         if let Some(key) = self.state.attempts.get(attempt.0).map(|o| o.host) {
             self.state.loaded(now, key, load);
@@ -218,20 +218,20 @@
     }
 
     /// An attempt ended.
-    pub fn ended(&mut self, now: Duration, attempt: Attempt, outcome: Outcome, load: Option<Load>) {
+    pub fn on_attempt_ended(
+        &mut self,
+        now: Duration,
+        attempt: AttemptId,
+        outcome: Outcome,
+        load: Option<HostLoad>,
+    ) {
         self.state.wake(now);
         self.state.ended(now, attempt.0, outcome, load);
     }
 
     /// How long an attempt may stay without a first byte before another host is worth asking (only where the
     /// request may run twice); `None` where waiting is best.
-    pub fn patience(&self, now: Duration, attempt: Attempt) -> Option<Duration> {
+    pub fn attempt_timeout(&self, now: Duration, attempt: AttemptId) -> Option<Duration> {
         self.state.patience(now, attempt.0)
     }
-
-    /// Hosts to be asked for `GET /fennelpin/report` now: few, as each is priced.
-    pub fn reports_due(&mut self, now: Duration) -> Vec<Arc<str>> {
-        self.state.wake(now);
-        Vec::new()
-    }
 }
--- a/crates/balancing/src/policy/state.rs
+++ b/crates/balancing/src/policy/state.rs
@@ -5,7 +5,10 @@
 use crate::host::Host;
 use crate::random::Random;
 use crate::service::Service;
-use crate::types::{Ask, Attempt, Choice, HostInfo, Load, Outcome, Placement, Settings};
+use crate::types::{
+    AttemptId, HostChoice, HostInfo, HostLoad, LoadBalancerSettings, Outcome, PrefixHint,
+    RequestContext,
+};
 use crate::window::{from_ms, ms};
 use slab::Slab;
 use std::collections::{HashMap, HashSet};
@@ -48,7 +51,7 @@
 
 /// All that the policy remembers.
 pub(crate) struct State {
-    pub(crate) settings: Settings,
+    pub(crate) settings: LoadBalancerSettings,
     pub(crate) random: Random,
     pub(crate) names: HashMap<Arc<str>, usize>,
     pub(crate) services: Slab<Service>,
@@ -58,7 +61,7 @@
     pub(super) terms: Terms,
     /// Since when all proxies tell each other where they send prompts.
     pub(super) told_since: Option<Duration>,
-    pub(super) placed: Option<Placement>,
+    pub(super) placed: Option<PrefixHint>,
     /// Whether the whole system has started for the first time.
     pub(crate) first_start: bool,
     /// The latest call, and when this process last woke from a stall.
@@ -124,9 +127,9 @@
                 return;
             };
             if host.info.addr == info.addr && host.info.service == info.service {
-                let back = host.info.silent && !info.silent;
-                if info.cold_left != host.info.cold_left {
-                    host.cold_until = now + info.cold_left;
+                let back = host.info.heartbeat_expired && !info.heartbeat_expired;
+                if info.slow_start_remaining != host.info.slow_start_remaining {
+                    host.cold_until = now + info.slow_start_remaining;
                 }
                 host.info = info.clone();
                 if back {
@@ -188,12 +191,12 @@
     pub(super) fn send(
         &mut self,
         now: Duration,
-        ask: &Ask,
+        ask: &RequestContext,
         key: usize,
         tokens: u32,
         trial: bool,
-    ) -> Choice {
-        let none = Choice::None { retry_after: FULL };
+    ) -> HostChoice {
+        let none = HostChoice::Unavailable { retry_after: FULL };
         let proxies = self.terms.proxies.unwrap_or(1).max(1) as f64;
         let all_told = self.told(now);
         let Some(waited) = self.hosts.get(key).map(|h| self.wait(now, h)) else {
@@ -216,22 +219,23 @@
             heard: None,
             idempotent: ask.idempotent,
             trial,
-            left: ask.left,
+            left: ask.time_remaining,
         });
         host.out.push(attempt);
         let mut priority = None;
-        if let Some(room) = service.info.as_ref().and_then(|i| i.cache_tokens) {
+        if let Some(room) = service.info.as_ref().and_then(|i| i.cache_capacity_tokens) {
             host.busy_until = host.busy_until.max(now) + from_ms(reading);
             // The others fill the host's memory as fast as we do.
-            host.kept
-                .touch(ask.parts, if all_told { room } else { room / proxies });
-            let shared = ask.parts.split_last().map_or(&[][..], |p| p.1);
+            host.kept.touch(
+                ask.prompt_parts,
+                if all_told { room } else { room / proxies },
+            );
+            let shared = ask.prompt_parts.split_last().map_or(&[][..], |p| p.1);
             if host.kept.share(shared) || tokens >= TOLD_TOKENS {
-                let (host, parts) = (host.info.id.clone(), shared.to_vec());
-                self.placed = Some(Placement {
-                    host,
-                    parts,
-                    unread: tokens,
+                self.placed = Some(PrefixHint {
+                    host_id: host.info.id.clone(),
+                    prefix: shared.to_vec(),
+                    uncached_tokens: tokens,
                 });
             }
             priority = Some(priority_of(ask.rank));
@@ -239,8 +243,8 @@
         if trial {
             host.health.begin_trial();
         }
-        Choice::Host {
-            attempt: Attempt(attempt),
+        HostChoice::Selected {
+            attempt: AttemptId(attempt),
             id: host.info.id.clone(),
             addr: host.info.addr,
             priority,
@@ -299,9 +303,9 @@
         now: Duration,
         number: usize,
         outcome: Outcome,
-        load: Option<Load>,
+        load: Option<HostLoad>,
     ) {
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Succeeded {
             self.first(now, number);
         }
         let Some(out) = self.attempts.try_remove(number) else {
@@ -321,38 +325,41 @@
         let open = |host: &mut Host| out.trial.then(|| host.health.trial_ended());
         let alive = !matches!(
             outcome,
-            Outcome::Unreached | Outcome::ConnectionLost | Outcome::Silent | Outcome::Cancelled
+            Outcome::ConnectFailed
+                | Outcome::ConnectionLost
+                | Outcome::TimedOut
+                | Outcome::Cancelled
         );
-        if alive && outcome != Outcome::OtherHost {
+        if alive && outcome != Outcome::Misdirected {
             host.heard = Some(now);
         }
         let mut busy = true;
         match outcome {
-            Outcome::Done => {
+            Outcome::Succeeded => {
                 host.health.good();
                 busy = false;
             }
             Outcome::Failed => {
                 host.health.erred(now, Fault::Failure);
             }
-            Outcome::Full | Outcome::TurnedAway => {
+            Outcome::Overloaded | Outcome::Rejected => {
                 host.health.good();
                 host.full_until = Some(now + FULL);
             }
-            Outcome::OtherHost => {
+            Outcome::Misdirected => {
                 host.moved = true;
                 open(host);
             }
-            Outcome::Unreached | Outcome::ConnectionLost => {
+            Outcome::ConnectFailed | Outcome::ConnectionLost => {
                 host.health.erred(now, Fault::Connection);
             }
-            Outcome::Silent if unheard => {
+            Outcome::TimedOut if unheard => {
                 host.health.erred(now, Fault::Silence);
             }
             Outcome::Cancelled if unheard && age >= LEFT_DARK => {
                 host.health.erred(now, Fault::Silence);
             }
-            Outcome::Silent => {
+            Outcome::TimedOut => {
                 host.late_by(now, ms(age));
                 open(host);
             }
--- a/crates/balancing/src/service.rs
+++ b/crates/balancing/src/service.rs
@@ -39,7 +39,9 @@
 
     /// Whether its hosts run a model and keep parts of prompts.
     pub(crate) fn model(&self) -> bool {
-        self.info.as_ref().is_some_and(|i| i.cache_tokens.is_some())
+        self.info
+            .as_ref()
+            .is_some_and(|i| i.cache_capacity_tokens.is_some())
     }
 
     /// Time to read so many tokens, in ms.
--- a/crates/balancing/src/types.rs
+++ b/crates/balancing/src/types.rs
@@ -1,147 +1,151 @@
-//! What goes in and out of the policy.
+//! What goes into and comes out of the load balancer.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Figures that the settings give.
+/// Settings of a [`LoadBalancer`](crate::LoadBalancer) that hold for the life of the process.
 #[derive(Clone, Debug)]
-pub struct Settings {
-    /// The proxy's own zone.
+pub struct LoadBalancerSettings {
+    /// Zone of this proxy. Among equal hosts one of the same zone is chosen.
     pub zone: Arc<str>,
-    /// Repeats allowed as a share of requests, over the fleet.
+    /// Retries allowed for each request, over all proxies together.
     pub retry_ratio: f64,
-    /// Window over which repeats are counted.
+    /// Length of the sliding window over which requests and retries are counted.
     pub retry_window: Duration,
-    /// Repeats allowed on top in a window, over the fleet.
+    /// Retries allowed in one window beside those of `retry_ratio`, over all proxies together.
     pub retry_slack: f64,
-    /// Time after the acknowledgement of a drain within which sends must have stopped.
-    pub drain: Duration,
-    /// Time between a host's heartbeats.
-    pub beat: Duration,
     /// Seed of the random choices.
-    pub seed: u64,
+    pub random_seed: u64,
 }
 
 /// What is configured of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceInfo {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that each host accepts, over all callers.
-    pub conn_limit: u32,
-    /// Tokens that a model host keeps; `None` where its hosts run no model.
-    pub cache_tokens: Option<f64>,
+    /// Connections that one host accepts, over all callers.
+    pub connection_limit: u32,
+    /// Tokens that the prefix cache of one host holds; `None` where the hosts run no model.
+    pub cache_capacity_tokens: Option<f64>,
 }
 
-/// What is known of a host from the roster.
+/// What the host registry tells of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostInfo {
-    /// Its identity, new with every start.
+    /// Identity of the host; a new one with every start.
     pub id: Arc<str>,
-    /// Its service.
+    /// Name of its service.
     pub service: Arc<str>,
-    /// Where it takes requests.
+    /// Address at which it takes requests.
     pub addr: SocketAddrV4,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: Arc<str>,
-    /// Requests it works on at once.
+    /// Requests that it works on at the same time.
     pub capacity: u32,
-    /// Draining: it gets nothing more. Hosts that are gone are left out.
+    /// Whether it is draining: it gets no new requests. Hosts that are gone are not listed at all.
     pub draining: bool,
-    /// Its heartbeats have stopped.
-    pub silent: bool,
-    /// How much longer it is slow from its start.
-    pub cold_left: Duration,
+    /// Whether its heartbeats have stopped.
+    pub heartbeat_expired: bool,
+    /// Time for which it is still slow after its start.
+    pub slow_start_remaining: Duration,
+}
+
+/// One part of a prompt. Prompts that begin with the same parts share their prefix.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PromptPart {
+    /// Identity of the content: equal parts have equal ids.
+    pub id: u64,
+    /// Length in tokens.
+    pub tokens: u32,
 }
 
 /// A request that needs a host.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
-    /// Its service.
+pub struct RequestContext<'a> {
+    /// Name of the service that it asks for.
     pub service: &'a str,
-    /// 0 is the most urgent.
+    /// Urgency: 0 is the most urgent.
     pub rank: u32,
     /// Whether it may run twice.
     pub idempotent: bool,
-    /// Parts of its prompt in order: identity and tokens; the last is the request's own. Empty where unknown.
-    pub parts: &'a [(u64, u32)],
-    /// Tokens of its prompt and the most that it makes; 0 where unknown.
-    pub tokens: (u32, u32),
-    /// The time within which the answer earns its full worth; for streams up to the first event.
-    pub target: Duration,
-    /// Time that is left for it.
-    pub left: Duration,
-    /// Hosts that it was sent to before.
-    pub tried: &'a [Arc<str>],
+    /// Parts of its prompt in order. The last one is the request's own, the others may be shared. Empty where
+    /// they are unknown.
+    pub prompt_parts: &'a [PromptPart],
+    /// Length of its prompt in tokens, used where the parts are unknown; 0 where this is unknown too.
+    pub prompt_tokens: u32,
+    /// Time until its deadline.
+    pub time_remaining: Duration,
+    /// Identities of the hosts that it was sent to before; none of them is chosen again.
+    pub attempted_hosts: &'a [Arc<str>],
 }
 
-/// An attempt that is out; a number that is used again once it has ended.
+/// Number of an attempt in flight. It may be used again once the attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Attempt(pub usize);
+pub struct AttemptId(pub usize);
 
-/// Where a request goes.
+/// Answer to [`LoadBalancer::choose_host`](crate::LoadBalancer::choose_host).
 #[derive(Clone, Debug, PartialEq)]
-pub enum Choice {
-    /// To this host; the attempt counts as sent.
-    Host {
+pub enum HostChoice {
+    /// The request goes to this host. The attempt counts as in flight from now on.
+    Selected {
         /// Number of the attempt.
-        attempt: Attempt,
+        attempt: AttemptId,
         /// Identity of the host.
         id: Arc<str>,
-        /// Its address.
+        /// Address of the host.
         addr: SocketAddrV4,
-        /// `Priority` to be sent, where it helps.
+        /// Value of the header `Priority`, where one is to be sent.
         priority: Option<u8>,
     },
-    /// No host can take it.
-    None {
-        /// When to come back.
+    /// No host can take the request now.
+    Unavailable {
+        /// Time after which to ask again.
         retry_after: Duration,
     },
 }
 
-/// What a host tells of its load: `Fennelpin-Host-Load`.
+/// The load that a host reports of itself in `Fennelpin-Host-Load`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Load {
-    /// Requests running.
+pub struct HostLoad {
+    /// Requests that are running.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Slots.
+    /// Requests that can run at the same time.
     pub slots: u32,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole good answer.
-    Done,
-    /// The host's own failure (its 500 or 504, a 4xx): it has run.
+    /// A complete good answer came.
+    Succeeded,
+    /// The host ran the request and failed: 500, 504 or a 4xx of its own.
     Failed,
-    /// The host turned it away: full.
-    Full,
-    /// The host turned it away for another reason.
-    TurnedAway,
-    /// 421: another host is at the address.
-    OtherHost,
-    /// No connection came up: it never ran.
-    Unreached,
-    /// The connection broke, or bytes came that are no answer to it.
+    /// The host rejected the request because it is at capacity: 429 or 503.
+    Overloaded,
+    /// The request was rejected for another reason.
+    Rejected,
+    /// 421 Misdirected Request: another host has the address now.
+    Misdirected,
+    /// No connection came up: the request never ran.
+    ConnectFailed,
+    /// The connection broke, or what came is no answer.
     ConnectionLost,
-    /// No answer in time.
-    Silent,
-    /// The client left or the request was given up by the proxy.
+    /// No answer came in time.
+    TimedOut,
+    /// The client left, or the proxy gave the request up.
     Cancelled,
 }
 
-/// What a host was sent, for the other proxies.
+/// Tells other proxies that a host has a prompt's prefix in its cache.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placement {
-    /// The host.
-    pub host: Arc<str>,
-    /// Parts of prompts that others may ask for too, in order: identity and tokens.
-    pub parts: Vec<(u64, u32)>,
-    /// Tokens that the host has to read.
-    pub unread: u32,
+pub struct PrefixHint {
+    /// Identity of the host.
+    pub host_id: Arc<str>,
+    /// The shared parts of the prompt, in order.
+    pub prefix: Vec<PromptPart>,
+    /// Tokens of the prompt that were not in the cache: the host has to prefill them.
+    pub uncached_tokens: u32,
 }
--- a/crates/balancing/tests/budget.rs
+++ b/crates/balancing/tests/budget.rs
@@ -1,7 +1,7 @@
 //! The budget over every sliding window, over all proxies.
 
 mod common;
-use balancing::{Policy, Settings};
+use balancing::{LoadBalancer, LoadBalancerSettings};
 use common::*;
 use rstest::rstest;
 
@@ -9,13 +9,13 @@
 const SLACK: f64 = 50.0;
 const WINDOW: u64 = 10_000;
 
-fn proxy(told: usize) -> Policy {
-    let mut p = Policy::new(Settings {
+fn proxy(told: usize) -> LoadBalancer {
+    let mut p = LoadBalancer::new(LoadBalancerSettings {
         retry_ratio: RATIO,
         retry_slack: SLACK,
         ..settings()
     });
-    p.set_coordinators(ms(0), told);
+    p.set_proxy_count(ms(0), told);
     p
 }
 
@@ -34,20 +34,20 @@
 
 /// Plays proxies that take every repeat they get; returns the arrivals and repeats of all.
 fn play(
-    proxies: &mut [Policy],
+    proxies: &mut [LoadBalancer],
     length: u64,
     every: impl Fn(u64) -> u64,
-    mut restart: impl FnMut(u64, &mut [Policy]),
+    mut restart: impl FnMut(u64, &mut [LoadBalancer]),
 ) -> (Vec<u64>, Vec<u64>) {
     let (mut arrivals, mut repeats) = (Vec::new(), Vec::new());
     for t in 0..length {
         restart(t, proxies);
         for (n, p) in proxies.iter_mut().enumerate() {
             if (t + n as u64 * 7).is_multiple_of(every(t)) {
-                p.arrived(ms(t), "plain");
+                p.on_request(ms(t), "plain");
                 arrivals.push(t);
             }
-            if t.is_multiple_of(5) && p.take_repeat(ms(t), "plain") {
+            if t.is_multiple_of(5) && p.withdraw_retry(ms(t), "plain") {
                 repeats.push(t);
             }
         }
@@ -63,7 +63,7 @@
 #[case(3, 1)]
 #[case(8, 9)]
 fn every_window_keeps_the_budget(#[case] proxies: usize, #[case] told: usize) {
-    let mut all: Vec<Policy> = (0..proxies).map(|_| proxy(told)).collect();
+    let mut all: Vec<LoadBalancer> = (0..proxies).map(|_| proxy(told)).collect();
     // A quiet start, a rush, and quiet again.
     let every = |t| {
         if (12_000..17_000).contains(&t) {
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_good_part_of_the_budget_can_be_used() {
-    let mut all: Vec<Policy> = (0..7).map(|_| proxy(7)).collect();
+    let mut all: Vec<LoadBalancer> = (0..7).map(|_| proxy(7)).collect();
     let (arrivals, repeats) = play(&mut all, 40_000, |_| 100, |_, _| {});
     let last = repeats.iter().filter(|t| **t >= 30_000).count() as f64;
     let allowed = RATIO * arrivals.iter().filter(|t| **t >= 30_000).count() as f64 + SLACK;
@@ -94,7 +94,7 @@
 #[case(1.0)]
 #[case(0.5)]
 fn proxies_that_restart_together_keep_the_budget(#[case] share: f64) {
-    let mut all: Vec<Policy> = (0..7).map(|_| proxy(7)).collect();
+    let mut all: Vec<LoadBalancer> = (0..7).map(|_| proxy(7)).collect();
     let (arrivals, repeats) = play(
         &mut all,
         40_000,
@@ -117,8 +117,10 @@
 
 #[test]
 fn a_proxy_that_does_not_know_the_others_takes_little() {
-    let mut p = Policy::new(settings());
-    let taken = (0..100).filter(|_| p.take_repeat(ms(1), "plain")).count();
+    let mut p = LoadBalancer::new(settings());
+    let taken = (0..100)
+        .filter(|_| p.withdraw_retry(ms(1), "plain"))
+        .count();
     assert!(taken <= 3, "{taken}");
 }
 
@@ -126,9 +128,13 @@
 fn services_have_budgets_of_their_own() {
     let mut p = proxy(1);
     for t in 0..100 {
-        p.arrived(ms(t), "model");
+        p.on_request(ms(t), "model");
     }
-    let plain = (0..100).filter(|_| p.take_repeat(ms(100), "plain")).count();
-    let model = (0..100).filter(|_| p.take_repeat(ms(100), "model")).count();
+    let plain = (0..100)
+        .filter(|_| p.withdraw_retry(ms(100), "plain"))
+        .count();
+    let model = (0..100)
+        .filter(|_| p.withdraw_retry(ms(100), "model"))
+        .count();
     assert!(model > plain + 10, "{model} {plain}");
 }
--- a/crates/balancing/tests/late_beats.rs
+++ b/crates/balancing/tests/late_beats.rs
@@ -1,33 +1,33 @@
 //! Hosts whose heartbeats are late: those that answer stay in use, and a few in time aren't given all.
 
 mod common;
-use balancing::{HostInfo, Outcome, Policy};
+use balancing::{HostInfo, LoadBalancer, Outcome};
 use common::*;
 use std::collections::HashMap;
 use std::sync::Arc;
 
 /// Requests every 20 ms from a time on, each answered after 10 ms; how many each host got.
-fn play(p: &mut Policy, from: u64, to: u64) -> HashMap<Arc<str>, usize> {
+fn play(p: &mut LoadBalancer, from: u64, to: u64) -> HashMap<Arc<str>, usize> {
     let mut got = HashMap::new();
     for t in (from..to).step_by(20) {
-        let (attempt, id) = sent(p.choose(ms(t), &PLAIN));
-        p.ended(ms(t + 10), attempt, Outcome::Done, None);
+        let (attempt, id) = sent(p.choose_host(ms(t), &PLAIN));
+        p.on_attempt_ended(ms(t + 10), attempt, Outcome::Succeeded, None);
         *got.entry(id).or_default() += 1;
     }
     got
 }
 
 /// A policy with hosts that are all in its own zone.
-fn near(count: usize) -> (Policy, Vec<HostInfo>) {
+fn near(count: usize) -> (LoadBalancer, Vec<HostInfo>) {
     let (mut p, mut hosts) = policy(0, count);
     hosts.iter_mut().for_each(|h| h.zone = "a".into());
     p.set_hosts(ms(0), &hosts);
     (p, hosts)
 }
 
-fn silence(p: &mut Policy, t: u64, hosts: &mut [HostInfo], silent: impl Fn(usize) -> bool) {
+fn silence(p: &mut LoadBalancer, t: u64, hosts: &mut [HostInfo], silent: impl Fn(usize) -> bool) {
     for (n, host) in hosts.iter_mut().enumerate() {
-        host.silent = silent(n);
+        host.heartbeat_expired = silent(n);
     }
     p.set_hosts(ms(t), hosts);
 }
@@ -57,7 +57,7 @@
     silence(&mut p, 100, &mut hosts, |n| n > 0);
     let mut got: HashMap<Arc<str>, usize> = HashMap::new();
     for n in 0..36 {
-        *got.entry(sent(p.choose(ms(200 + n), &PLAIN)).1)
+        *got.entry(sent(p.choose_host(ms(200 + n), &PLAIN)).1)
             .or_default() += 1;
     }
     assert!(got.get("plain-0").is_some_and(|n| *n <= 18), "{got:?}");
--- a/crates/balancing/tests/model/engine.rs
+++ b/crates/balancing/tests/model/engine.rs
@@ -3,6 +3,7 @@
 //! Preemption isn't modelled: memory is waited for.
 
 use super::{from_ms, Time};
+use balancing::PromptPart;
 use std::collections::{BTreeMap, HashMap};
 
 #[derive(Clone, Copy, Debug)]
@@ -33,9 +34,9 @@
 
 struct Job {
     attempt: usize,
-    parts: Vec<(u64, u32)>,
+    parts: Vec<PromptPart>,
     shared: usize,
-    unread: u32,
+    uncached_tokens: u32,
     context: u32,
     made: u32,
     out: u32,
@@ -61,7 +62,7 @@
     pub busy: Time,
     pub tokens_read: u64,
     /// Shared parts that were read: identity and tokens, taken by the world.
-    pub shared_read: Vec<(u64, u32)>,
+    pub shared_read: Vec<PromptPart>,
 }
 
 impl Engine {
@@ -91,18 +92,18 @@
     }
 
     /// Takes a request into the queue; false where that is full.
-    pub fn take(&mut self, attempt: usize, priority: u8, parts: &[(u64, u32)], out: u32) -> bool {
+    pub fn take(&mut self, attempt: usize, priority: u8, parts: &[PromptPart], out: u32) -> bool {
         let queued = self.waiting.len();
         if queued >= self.figures.queue && self.running.len() >= self.figures.batch {
             return false;
         }
         self.next += 1;
-        let context = parts.iter().map(|p| p.1).sum();
+        let context = parts.iter().map(|p| p.tokens).sum();
         let job = Job {
             attempt,
             parts: parts.to_vec(),
             shared: parts.len().saturating_sub(1),
-            unread: context,
+            uncached_tokens: context,
             context,
             made: 0,
             out,
@@ -119,8 +120,8 @@
         }
     }
 
-    fn unpin(&mut self, parts: &[(u64, u32)]) {
-        for (id, _) in parts {
+    fn unpin(&mut self, parts: &[PromptPart]) {
+        for PromptPart { id, .. } in parts {
             let Some(part) = self.parts.get_mut(id) else {
                 continue;
             };
@@ -180,8 +181,8 @@
             let missing: u64 = job
                 .parts
                 .iter()
-                .filter(|p| !self.parts.contains_key(&p.0))
-                .map(|p| u64::from(p.1))
+                .filter(|p| !self.parts.contains_key(&p.id))
+                .map(|p| u64::from(p.tokens))
                 .sum();
             if !self.make_room(missing) {
                 return;
@@ -190,14 +191,14 @@
             let kept = job
                 .parts
                 .iter()
-                .take_while(|p| self.parts.get(&p.0).is_some_and(|k| k.read));
-            let (count, tokens) = kept.fold((0, 0), |(n, t), p| (n + 1, t + p.1));
+                .take_while(|p| self.parts.get(&p.id).is_some_and(|k| k.read));
+            let (count, tokens) = kept.fold((0, 0), |(n, t), p| (n + 1, t + p.tokens));
             // The last token is always read, as the first one made follows from it.
-            job.unread = (job.context - tokens).max(1);
+            job.uncached_tokens = (job.context - tokens).max(1);
             self.shared_read
                 .extend(&job.parts[count.min(job.shared)..job.shared]);
-            self.tokens_read += u64::from(job.unread);
-            for (id, tokens) in job.parts.clone() {
+            self.tokens_read += u64::from(job.uncached_tokens);
+            for PromptPart { id, tokens } in job.parts.clone() {
                 self.touch(id, tokens);
             }
             self.running.push(job);
@@ -213,10 +214,10 @@
         let f = self.figures;
         let (mut chunk, mut pairs, mut slots, mut context) = (0, 0.0, 0, 0.0);
         for job in &self.running {
-            if job.unread > 0 {
-                let read = job.unread.min(f.chunk - chunk);
+            if job.uncached_tokens > 0 {
+                let read = job.uncached_tokens.min(f.chunk - chunk);
                 chunk += read;
-                pairs += f64::from(read) * f64::from(job.context - job.unread) / 1e6;
+                pairs += f64::from(read) * f64::from(job.context - job.uncached_tokens) / 1e6;
             } else {
                 slots += 1;
                 context += f64::from(job.context + job.made) / 1000.0;
@@ -239,14 +240,14 @@
         let (mut made, mut chunk) = (Vec::new(), self.chunk);
         let mut done = Vec::new();
         for job in &mut self.running {
-            if job.unread > 0 {
-                let read = job.unread.min(chunk);
+            if job.uncached_tokens > 0 {
+                let read = job.uncached_tokens.min(chunk);
                 chunk -= read;
-                job.unread -= read;
-                if job.unread > 0 {
+                job.uncached_tokens -= read;
+                if job.uncached_tokens > 0 {
                     continue;
                 }
-                for (id, _) in &job.parts {
+                for PromptPart { id, .. } in &job.parts {
                     self.parts.entry(*id).and_modify(|p| p.read = true);
                 }
             }
--- a/crates/balancing/tests/model/mod.rs
+++ b/crates/balancing/tests/model/mod.rs
@@ -2,6 +2,8 @@
 //! prompt parts. It runs on its own clock; the same seed gives the same run.
 #![allow(dead_code)]
 
+use balancing::PromptPart;
+
 pub mod engine;
 pub mod report;
 pub mod router;
@@ -17,6 +19,10 @@
     (ms.max(0.0) * 1000.0) as Time
 }
 
+pub const fn part(id: u64, tokens: u32) -> PromptPart {
+    PromptPart { id, tokens }
+}
+
 /// SplitMix64.
 #[derive(Clone)]
 pub struct Random(pub u64);
--- a/crates/balancing/tests/model/router.rs
+++ b/crates/balancing/tests/model/router.rs
@@ -1,7 +1,10 @@
 //! What picks hosts: the policy, or one of two baselines.
 
 use super::Time;
-use balancing::{Ask, Attempt, Choice, HostInfo, Load, Outcome, Policy, ServiceInfo, Settings};
+use balancing::{
+    AttemptId, HostChoice, HostInfo, HostLoad, LoadBalancer, LoadBalancerSettings, Outcome,
+    RequestContext, ServiceInfo,
+};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +25,7 @@
 }
 
 pub enum Router {
-    Policy(Box<Policy>),
+    Policy(Box<LoadBalancer>),
     Plain(Plain),
 }
 
@@ -53,22 +56,20 @@
                 ..Plain::default()
             });
         }
-        let mut policy = Policy::new(Settings {
+        let mut policy = LoadBalancer::new(LoadBalancerSettings {
             zone: format!("z{}", number % 3).into(),
             retry_ratio: 0.2,
             retry_window: Duration::from_secs(10),
             retry_slack: 54.0,
-            drain: Duration::from_secs(2),
-            beat: Duration::from_millis(1200),
-            seed,
+            random_seed: seed,
         });
         let info = ServiceInfo {
             name: SERVICE.into(),
-            conn_limit: 620,
-            cache_tokens: Some(memory as f64),
+            connection_limit: 620,
+            cache_capacity_tokens: Some(memory as f64),
         };
         policy.set_services(at(now), &[info]);
-        policy.set_coordinators(at(now), proxies);
+        policy.set_proxy_count(at(now), proxies);
         Self::Policy(Box::new(policy))
     }
 
@@ -79,23 +80,23 @@
         }
     }
 
-    pub fn arrived(&mut self, now: Time) {
+    pub fn on_request(&mut self, now: Time) {
         if let Self::Policy(p) = self {
-            p.arrived(at(now), SERVICE);
+            p.on_request(at(now), SERVICE);
         }
     }
 
-    pub fn take_repeat(&mut self, now: Time) -> bool {
+    pub fn withdraw_retry(&mut self, now: Time) -> bool {
         match self {
-            Self::Policy(p) => p.take_repeat(at(now), SERVICE),
+            Self::Policy(p) => p.withdraw_retry(at(now), SERVICE),
             Self::Plain(_) => true,
         }
     }
 
-    pub fn choose(&mut self, now: Time, ask: &Ask) -> Result<Sent, Duration> {
+    pub fn choose_host(&mut self, now: Time, ask: &RequestContext) -> Result<Sent, Duration> {
         match self {
-            Self::Policy(p) => match p.choose(at(now), ask) {
-                Choice::Host {
+            Self::Policy(p) => match p.choose_host(at(now), ask) {
+                HostChoice::Selected {
                     attempt,
                     id,
                     priority,
@@ -105,30 +106,30 @@
                     id,
                     priority: priority.unwrap_or(5),
                 }),
-                Choice::None { retry_after } => Err(retry_after),
+                HostChoice::Unavailable { retry_after } => Err(retry_after),
             },
-            Self::Plain(p) => p.choose(ask).ok_or(Duration::from_millis(500)),
+            Self::Plain(p) => p.choose_host(ask).ok_or(Duration::from_millis(500)),
         }
     }
 
-    pub fn first(&mut self, now: Time, attempt: usize, load: Option<Load>) {
+    pub fn on_first_byte(&mut self, now: Time, attempt: usize, load: Option<HostLoad>) {
         if let Self::Policy(p) = self {
-            p.first(at(now), Attempt(attempt));
+            p.on_first_byte(at(now), AttemptId(attempt));
             if let Some(load) = load {
-                p.told(at(now), Attempt(attempt), load);
+                p.on_load_report(at(now), AttemptId(attempt), load);
             }
         }
     }
 
-    pub fn heard(&mut self, now: Time, attempt: usize) {
+    pub fn on_progress(&mut self, now: Time, attempt: usize) {
         if let Self::Policy(p) = self {
-            p.heard(at(now), Attempt(attempt));
+            p.on_progress(at(now), AttemptId(attempt));
         }
     }
 
-    pub fn ended(&mut self, now: Time, attempt: usize, outcome: Outcome) {
+    pub fn on_attempt_ended(&mut self, now: Time, attempt: usize, outcome: Outcome) {
         match self {
-            Self::Policy(p) => p.ended(at(now), Attempt(attempt), outcome, None),
+            Self::Policy(p) => p.on_attempt_ended(at(now), AttemptId(attempt), outcome, None),
             Self::Plain(p) => {
                 let id = p.attempts[attempt].clone();
                 p.out.entry(id).and_modify(|n| *n = n.saturating_sub(1));
@@ -137,9 +138,9 @@
     }
 
     /// The baselines ask another host after a second.
-    pub fn patience(&self, now: Time, attempt: usize) -> Option<Duration> {
+    pub fn attempt_timeout(&self, now: Time, attempt: usize) -> Option<Duration> {
         match self {
-            Self::Policy(p) => p.patience(at(now), Attempt(attempt)),
+            Self::Policy(p) => p.attempt_timeout(at(now), AttemptId(attempt)),
             Self::Plain(_) => Some(Duration::from_secs(1)),
         }
     }
@@ -152,11 +153,11 @@
 }
 
 impl Plain {
-    fn choose(&mut self, ask: &Ask) -> Option<Sent> {
+    fn choose_host(&mut self, ask: &RequestContext) -> Option<Sent> {
         let mut fit: Vec<&HostInfo> = self.hosts.iter().filter(|h| !h.draining).collect();
-        fit.retain(|h| !ask.tried.contains(&h.id));
-        if fit.iter().any(|h| !h.silent) {
-            fit.retain(|h| !h.silent);
+        fit.retain(|h| !ask.attempted_hosts.contains(&h.id));
+        if fit.iter().any(|h| !h.heartbeat_expired) {
+            fit.retain(|h| !h.heartbeat_expired);
         }
         if self.least {
             let own = |h: &HostInfo| self.out.get(&h.id).copied().unwrap_or(0);
--- a/crates/balancing/tests/model/traffic.rs
+++ b/crates/balancing/tests/model/traffic.rs
@@ -1,6 +1,7 @@
 //! Kinds of requests and when they come.
 
-use super::{from_ms, Random, Time, SECOND};
+use super::{from_ms, part, Random, Time, SECOND};
+use balancing::PromptPart;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
@@ -31,7 +32,7 @@
 pub struct Request {
     pub kind: usize,
     pub at: Time,
-    pub parts: Vec<(u64, u32)>,
+    pub parts: Vec<PromptPart>,
     pub events: u32,
 }
 
@@ -68,18 +69,18 @@
                 if (from..to).contains(&at) && random.unit() < share);
             let base = ((number as u64) + 1) << 56;
             let last = kind.shared.len() - 1;
-            let mut parts: Vec<(u64, u32)> = (0..kind.shared.len())
+            let mut parts: Vec<PromptPart> = (0..kind.shared.len())
                 .map(|n| {
                     let id = if hot && n == last {
                         0
                     } else {
                         subject(&mut random, kind.shared[n].3)
                     };
-                    (base | ((n as u64 + 1) << 48) | id as u64, sizes(n, id))
+                    part(base | ((n as u64 + 1) << 48) | id as u64, sizes(n, id))
                 })
                 .collect();
             own += 1;
-            parts.push((
+            parts.push(part(
                 base | own,
                 random.spread(kind.own.0, kind.own.1, kind.own.2) as u32,
             ));
--- a/crates/balancing/tests/model/world.rs
+++ b/crates/balancing/tests/model/world.rs
@@ -5,7 +5,7 @@
 use super::router::{Router, Way, SERVICE};
 use super::traffic::{requests, Kind, Request, Surge};
 use super::{from_ms, Random, Time, SECOND};
-use balancing::{Ask, HostInfo, Load, Outcome};
+use balancing::{HostInfo, HostLoad, Outcome, PromptPart, RequestContext};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -76,7 +76,7 @@
     Events {
         attempt: usize,
         last: bool,
-        load: Option<Load>,
+        load: Option<HostLoad>,
     },
     Failed {
         attempt: usize,
@@ -123,7 +123,7 @@
     left: bool,
 }
 
-struct Attempt {
+struct AttemptId {
     request: usize,
     proxy: usize,
     /// The proxy's life, as one that ends takes its attempts along.
@@ -169,7 +169,7 @@
     proxies: Vec<Proxy>,
     requests: Vec<Request>,
     clients: Vec<Client>,
-    attempts: Vec<Attempt>,
+    attempts: Vec<AttemptId>,
     random: Random,
     known: HashSet<u64>,
     read_again: u64,
@@ -328,7 +328,7 @@
             }
             Event::Silent { host, life } => {
                 if self.hosts[host].life == life && !self.hosts[host].left {
-                    self.hosts[host].info.silent = true;
+                    self.hosts[host].info.heartbeat_expired = true;
                     self.on(Event::News);
                 }
             }
@@ -351,7 +351,7 @@
         client.tried.clear();
         (client.sends, client.tries) = (0, client.tries + 1);
         let now = self.now;
-        self.proxies[client.proxy].router.arrived(now);
+        self.proxies[client.proxy].router.on_request(now);
         self.send(request, false);
     }
 
@@ -361,22 +361,20 @@
         let end = self.requests[request].at + from_ms(kind.deadline_ms);
         let (client, asked) = (&self.clients[request], &self.requests[request]);
         let proxy = &mut self.proxies[client.proxy];
-        if repeat && !proxy.router.take_repeat(now) {
+        if repeat && !proxy.router.withdraw_retry(now) {
             return false;
         }
-        let prompt = asked.parts.iter().map(|p| p.1).sum();
-        let tokens = asked.events * self.setup.figures.stride;
-        let ask = Ask {
+        let prompt = asked.parts.iter().map(|p| p.tokens).sum();
+        let ask = RequestContext {
             service: SERVICE,
             rank: kind.rank,
             idempotent: kind.idempotent,
-            parts: &asked.parts,
-            tokens: (prompt, tokens),
-            target: Duration::from_micros(from_ms(kind.aim_ms)),
-            left: Duration::from_micros(end.saturating_sub(now)),
-            tried: &client.tried,
+            prompt_parts: &asked.parts,
+            prompt_tokens: prompt,
+            time_remaining: Duration::from_micros(end.saturating_sub(now)),
+            attempted_hosts: &client.tried,
         };
-        let sent = match proxy.router.choose(now, &ask) {
+        let sent = match proxy.router.choose_host(now, &ask) {
             Ok(sent) => sent,
             Err(after) => {
                 if !repeat {
@@ -387,16 +385,14 @@
         };
         let Some(host) = self.hosts.iter().position(|h| h.info.id == sent.id) else {
             // Replaced meanwhile: nobody is there.
-            self.proxies[self.clients[request].proxy].router.ended(
-                now,
-                sent.attempt,
-                Outcome::Unreached,
-            );
+            self.proxies[self.clients[request].proxy]
+                .router
+                .on_attempt_ended(now, sent.attempt, Outcome::ConnectFailed);
             return false;
         };
         let proxy = self.clients[request].proxy;
         let number = self.attempts.len();
-        self.attempts.push(Attempt {
+        self.attempts.push(AttemptId {
             request,
             proxy,
             life: self.proxies[proxy].life,
@@ -419,7 +415,7 @@
         );
         if let Some(p) = self.proxies[proxy]
             .router
-            .patience(now, sent.attempt)
+            .attempt_timeout(now, sent.attempt)
             .filter(|_| kind.idempotent)
         {
             self.at(
@@ -458,7 +454,7 @@
                 self.now + WAY,
                 Event::Failed {
                     attempt: number,
-                    outcome: Outcome::Unreached,
+                    outcome: Outcome::ConnectFailed,
                 },
             );
             return;
@@ -473,7 +469,7 @@
                 self.now + WAY,
                 Event::Failed {
                     attempt: number,
-                    outcome: Outcome::Full,
+                    outcome: Outcome::Overloaded,
                 },
             );
             return;
@@ -488,7 +484,7 @@
         }
         let took = host.engine.begin();
         let life = host.life;
-        for (id, tokens) in std::mem::take(&mut host.engine.shared_read) {
+        for PromptPart { id, tokens } in std::mem::take(&mut host.engine.shared_read) {
             if !self.known.insert(id) {
                 self.read_again += u64::from(tokens);
             }
@@ -505,7 +501,7 @@
         }
         let made = host.engine.end();
         let (running, waiting, slots) = host.engine.load();
-        let load = host.engine.figures.tells.then_some(Load {
+        let load = host.engine.figures.tells.then_some(HostLoad {
             running,
             waiting,
             slots,
@@ -523,7 +519,7 @@
         self.wake(number);
     }
 
-    fn events(&mut self, number: usize, last: bool, load: Option<Load>) {
+    fn events(&mut self, number: usize, last: bool, load: Option<HostLoad>) {
         let a = &mut self.attempts[number];
         if a.over || self.hosts[a.host].dark && self.hosts[a.host].life == a.host_life {
             return;
@@ -533,12 +529,12 @@
         a.over = last;
         let router = &mut self.proxies[a.proxy].router;
         if first {
-            router.first(now, a.number, load);
+            router.on_first_byte(now, a.number, load);
         } else {
-            router.heard(now, a.number);
+            router.on_progress(now, a.number);
         }
         if last {
-            router.ended(now, a.number, Outcome::Done);
+            router.on_attempt_ended(now, a.number, Outcome::Succeeded);
         }
         let client = &mut self.clients[a.request];
         client.events += 1;
@@ -565,7 +561,7 @@
         }
         let proxy = &mut self.proxies[a.proxy];
         if proxy.life == a.life {
-            proxy.router.ended(self.now, a.number, outcome);
+            proxy.router.on_attempt_ended(self.now, a.number, outcome);
         }
         if self.hosts[a.host].life == a.host_life {
             self.hosts[a.host].engine.drop_attempt(number);
@@ -578,12 +574,12 @@
         }
         self.over(number, outcome);
         let request = self.attempts[number].request;
-        let never_ran = matches!(outcome, Outcome::Unreached | Outcome::Full);
+        let never_ran = matches!(outcome, Outcome::ConnectFailed | Outcome::Overloaded);
         let again = never_ran || self.kind(request).idempotent;
         let tries = if never_ran { 3 } else { TRIES };
         if again
             && self.clients[request].sends < tries
-            && self.send(request, outcome != Outcome::Unreached)
+            && self.send(request, outcome != Outcome::ConnectFailed)
         {
             return;
         }
@@ -605,7 +601,7 @@
         // The new host is picked while the old attempt is still out, as the proxy does.
         let request = a.request;
         if self.send(request, true) {
-            self.over(number, Outcome::Silent);
+            self.over(number, Outcome::TimedOut);
         }
     }
 
@@ -686,7 +682,7 @@
                 first: c.first.map(|f| f - r.at),
                 pause: c.pause,
                 complete: c.complete,
-                size: r.parts.iter().map(|p| f64::from(p.1)).sum::<f64>()
+                size: r.parts.iter().map(|p| f64::from(p.tokens)).sum::<f64>()
                     + 10.0 * f64::from(r.events * self.setup.figures.stride),
             });
         let busy: Vec<f64> = self.hosts.iter().map(|h| h.engine.busy as f64).collect();
@@ -721,8 +717,8 @@
             zone: format!("z{}", number % 3).into(),
             capacity: figures.batch as u32,
             draining: false,
-            silent: false,
-            cold_left: Duration::ZERO,
+            heartbeat_expired: false,
+            slow_start_remaining: Duration::ZERO,
         },
         life,
         up: true,
--- a/crates/balancing/tests/recorded_decisions.rs
+++ b/crates/balancing/tests/recorded_decisions.rs
@@ -2,7 +2,10 @@
 //! rewritten for its readers (revision bb16a52). A digest changes with any other order of random draws or of
 //! floating-point operations, so a deliberate change of behaviour has to record new digests.
 
-use balancing::{Ask, Attempt, Choice, HostInfo, Load, Outcome, Policy, ServiceInfo, Settings};
+use balancing::{
+    AttemptId, HostChoice, HostInfo, HostLoad, LoadBalancer, LoadBalancerSettings, Outcome,
+    PromptPart, RequestContext, ServiceInfo,
+};
 use rstest::rstest;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -16,14 +19,14 @@
 /// Hosts of each service at the start.
 const HOSTS_PER_SERVICE: u64 = 7;
 const OUTCOMES: [Outcome; 9] = [
-    Outcome::Done,
+    Outcome::Succeeded,
     Outcome::Failed,
-    Outcome::Full,
-    Outcome::TurnedAway,
-    Outcome::OtherHost,
-    Outcome::Unreached,
-    Outcome::DecodeError,
-    Outcome::Silent,
+    Outcome::Overloaded,
+    Outcome::Rejected,
+    Outcome::Misdirected,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionLost,
+    Outcome::TimedOut,
     Outcome::Cancelled,
 ];
 
@@ -44,6 +47,10 @@
     }
 }
 
+const fn part(id: u64, tokens: u32) -> PromptPart {
+    PromptPart { id, tokens }
+}
+
 /// FNV-1a over all outputs.
 struct Digest(u64);
 
@@ -82,21 +89,21 @@
 }
 
 struct Stream {
-    policy: Policy,
+    policy: LoadBalancer,
     random: Lcg,
     digest: Digest,
     counts: Counts,
     now: Duration,
     hosts: Vec<HostInfo>,
     hosts_made: u64,
-    in_flight: Vec<Attempt>,
+    in_flight: Vec<AttemptId>,
 }
 
 fn service_infos() -> Vec<ServiceInfo> {
-    let info = |name: &str, conn_limit, cache_tokens| ServiceInfo {
+    let info = |name: &str, connection_limit, cache_capacity_tokens| ServiceInfo {
         name: name.into(),
-        conn_limit,
-        cache_tokens,
+        connection_limit,
+        cache_capacity_tokens,
     };
     vec![
         info("large-model", 40, Some(120_000.0)),
@@ -108,14 +115,12 @@
 
 impl Stream {
     fn new(seed: u64) -> Self {
-        let policy = Policy::new(Settings {
+        let policy = LoadBalancer::new(LoadBalancerSettings {
             zone: "a".into(),
             retry_ratio: 0.2,
             retry_window: Duration::from_secs(10),
             retry_slack: 30.0,
-            drain: Duration::from_secs(2),
-            beat: Duration::from_millis(1200),
-            seed,
+            random_seed: seed,
         });
         let mut stream = Self {
             policy,
@@ -151,8 +156,8 @@
             zone: ["a", "b", "c"][(n % 3) as usize].into(),
             capacity: [64, 16, 6, 2][service],
             draining: false,
-            silent: false,
-            cold_left: Duration::from_millis(cold),
+            heartbeat_expired: false,
+            slow_start_remaining: Duration::from_millis(cold),
         });
     }
 
@@ -179,12 +184,18 @@
                 self.hosts[index].addr.set_port(port + 1);
             }
             3 => self.hosts[index].draining = true,
-            4 => self.hosts[index].cold_left = Duration::from_millis(self.random.below(3000)),
-            5..=7 => self.hosts[index].silent = true,
-            8 => self.hosts.iter_mut().for_each(|host| host.silent = true),
+            4 => {
+                self.hosts[index].slow_start_remaining =
+                    Duration::from_millis(self.random.below(3000))
+            }
+            5..=7 => self.hosts[index].heartbeat_expired = true,
+            8 => self
+                .hosts
+                .iter_mut()
+                .for_each(|host| host.heartbeat_expired = true),
             _ => {
                 for host in &mut self.hosts {
-                    (host.silent, host.draining) = (false, false);
+                    (host.heartbeat_expired, host.draining) = (false, false);
                     // One that answered 421 is used again only once its record has changed.
                     if self.random.one_in(4) {
                         host.addr.set_port(host.addr.port() + 1);
@@ -196,19 +207,23 @@
     }
 
     /// Parts of a prompt out of a small set, so that they are shared; the last one is the request's own.
-    fn parts(&mut self) -> Vec<(u64, u32)> {
+    fn parts(&mut self) -> Vec<PromptPart> {
         let group = self.random.below(12);
         let subject = self.random.below(5);
         let mut parts = match self.random.below(5) {
             0 => vec![],
-            1 => vec![(100 + group, 1500)],
-            _ => vec![(100 + group, 1500), (1000 + 10 * group + subject, 900)],
+            1 => vec![part(100 + group, 1500)],
+            _ => vec![
+                part(100 + group, 1500),
+                part(1000 + 10 * group + subject, 900),
+            ],
         };
         if self.random.below(10) > 0 {
-            parts.push((
+            let (id, tokens) = (
                 1 << 40 | self.random.below(1 << 30),
                 1 + self.random.below(3000) as u32,
-            ));
+            );
+            parts.push(part(id, tokens));
         }
         parts
     }
@@ -218,35 +233,33 @@
             0 => "unknown",
             n => SERVICES[(n % 4) as usize],
         };
-        self.policy.arrived(self.now, service);
+        self.policy.on_request(self.now, service);
         let parts = if service.ends_with("model") {
             self.parts()
         } else {
             Vec::new()
         };
-        let tokens = (
-            self.random.below(5000) as u32,
-            self.random.below(500) as u32,
-        );
+        let prompt_tokens = self.random.below(5000) as u32;
+        // Drawn when a request still told how many tokens it makes at most; the stream stays the same with it.
+        self.random.below(500);
         let idempotent = self.random.below(3) > 0;
         let rank = self.random.below(5) as u32;
-        let left = Duration::from_millis(200 + self.random.below(12_000));
+        let time_remaining = Duration::from_millis(200 + self.random.below(12_000));
         let mut tried: Vec<Arc<str>> = Vec::new();
         for round in 0..3 {
             if round > 0 && !self.take_retry(service) {
                 return;
             }
-            let ask = Ask {
+            let ask = RequestContext {
                 service,
                 rank,
                 idempotent,
-                parts: &parts,
-                tokens,
-                target: Duration::from_millis(600),
-                left,
-                tried: &tried,
+                prompt_parts: &parts,
+                prompt_tokens,
+                time_remaining,
+                attempted_hosts: &tried,
             };
-            let choice = self.policy.choose(self.now, &ask);
+            let choice = self.policy.choose_host(self.now, &ask);
             let Some((attempt, host)) = self.record_choice(choice) else {
                 return;
             };
@@ -260,7 +273,7 @@
     }
 
     fn take_retry(&mut self, service: &str) -> bool {
-        let allowed = self.policy.take_repeat(self.now, service);
+        let allowed = self.policy.withdraw_retry(self.now, service);
         self.digest.number(u64::from(allowed));
         if allowed {
             self.counts.retries_allowed += 1;
@@ -270,9 +283,9 @@
         allowed
     }
 
-    fn record_choice(&mut self, choice: Choice) -> Option<(Attempt, Arc<str>)> {
+    fn record_choice(&mut self, choice: HostChoice) -> Option<(AttemptId, Arc<str>)> {
         match choice {
-            Choice::Host {
+            HostChoice::Selected {
                 attempt,
                 id,
                 addr,
@@ -287,7 +300,7 @@
                 self.record_placement();
                 Some((attempt, id))
             }
-            Choice::None { retry_after } => {
+            HostChoice::Unavailable { retry_after } => {
                 self.counts.refused += 1;
                 self.digest.number(u64::MAX - 1);
                 self.digest.duration(retry_after);
@@ -297,23 +310,23 @@
     }
 
     fn record_placement(&mut self) {
-        if let Some(placement) = self.policy.take_placement() {
+        if let Some(placement) = self.policy.take_prefix_hint() {
             self.counts.placements += 1;
-            self.digest.text(&placement.host);
-            self.digest.number(u64::from(placement.unread));
-            self.record_parts(&placement.parts);
+            self.digest.text(&placement.host_id);
+            self.digest.number(u64::from(placement.uncached_tokens));
+            self.record_parts(&placement.prefix);
         }
     }
 
-    fn record_parts(&mut self, parts: &[(u64, u32)]) {
-        for (id, tokens) in parts {
+    fn record_parts(&mut self, parts: &[PromptPart]) {
+        for PromptPart { id, tokens } in parts {
             self.digest.number(*id);
             self.digest.number(u64::from(*tokens));
         }
     }
 
-    fn record_patience(&mut self, attempt: Attempt) {
-        match self.policy.patience(self.now, attempt) {
+    fn record_patience(&mut self, attempt: AttemptId) {
+        match self.policy.attempt_timeout(self.now, attempt) {
             Some(patience) => {
                 self.counts.patience += 1;
                 self.digest.duration(patience);
@@ -327,22 +340,22 @@
 
     /// All that the policy believes to be cached, in an order of its own.
     fn record_cached(&mut self) {
-        for placement in self.policy.kept() {
-            self.digest.text(&placement.host);
-            self.record_parts(&placement.parts);
+        for placement in self.policy.cached_prefixes() {
+            self.digest.text(&placement.host_id);
+            self.record_parts(&placement.prefix);
         }
     }
 
-    fn load(&mut self) -> Load {
+    fn load(&mut self) -> HostLoad {
         let slots = [64, 16, 6, 2][self.random.below(4) as usize];
-        Load {
+        HostLoad {
             running: self.random.below(u64::from(slots) + 1) as u32,
             waiting: self.random.below(u64::from(slots) / 4 + 1) as u32,
             slots,
         }
     }
 
-    fn random_attempt(&mut self) -> Option<(usize, Attempt)> {
+    fn random_attempt(&mut self) -> Option<(usize, AttemptId)> {
         let count = self.in_flight.len() as u64;
         if count == 0 {
             return None;
@@ -356,21 +369,22 @@
             return;
         };
         match self.random.below(10) {
-            0..=2 => self.policy.first(self.now, attempt),
-            3..=4 => self.policy.heard(self.now, attempt),
+            0..=2 => self.policy.on_first_byte(self.now, attempt),
+            3..=4 => self.policy.on_progress(self.now, attempt),
             5 => {
                 let load = self.load();
-                self.policy.told(self.now, attempt, load);
+                self.policy.on_load_report(self.now, attempt, load);
             }
             6 => self.record_patience(attempt),
             _ => {
                 let outcome = match self.random.below(5) {
                     0 => OUTCOMES[self.random.below(9) as usize],
-                    _ => Outcome::Done,
+                    _ => Outcome::Succeeded,
                 };
                 let load = self.random.one_in(3).then(|| self.load());
                 self.in_flight.swap_remove(index);
-                self.policy.ended(self.now, attempt, outcome, load);
+                self.policy
+                    .on_attempt_ended(self.now, attempt, outcome, load);
             }
         }
     }
@@ -379,7 +393,8 @@
     fn end_oldest(&mut self) {
         while self.in_flight.len() > 60 {
             let attempt = self.in_flight.remove(0);
-            self.policy.ended(self.now, attempt, Outcome::Done, None);
+            self.policy
+                .on_attempt_ended(self.now, attempt, Outcome::Succeeded, None);
         }
     }
 
@@ -388,14 +403,14 @@
         let host = self.hosts[index].id.clone();
         let parts = self.parts();
         let unread = self.random.below(200_000) as u32;
-        self.policy.overheard(self.now, &host, &parts, unread);
+        self.policy.on_prefix_hint(self.now, &host, &parts, unread);
     }
 
     fn change_settings(&mut self) {
         match self.random.below(4) {
             0 => {
                 let count = self.random.below(9) as usize;
-                self.policy.set_coordinators(self.now, count);
+                self.policy.set_proxy_count(self.now, count);
             }
             1 => {
                 let mut services = service_infos();
@@ -405,12 +420,13 @@
                 self.policy.set_services(self.now, &services);
             }
             2 => {
-                let due = self.policy.reports_due(self.now).len();
-                self.digest.number(due as u64);
+                // An empty list of hosts to be asked for their load was recorded here.
+                self.policy.tick(self.now);
+                self.digest.number(0);
             }
             _ => {
                 let all = self.random.below(3) > 0;
-                self.policy.set_told(self.now, all);
+                self.policy.set_hints_complete(self.now, all);
             }
         }
     }
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -8,7 +8,7 @@
 use crate::routes::Routes;
 use crate::shutdown::Shutdown;
 use crate::world::World;
-use balancing::{Attempt, Load, Outcome, Policy, ServiceInfo, Settings};
+use balancing::{AttemptId, HostLoad, LoadBalancer, LoadBalancerSettings, Outcome, ServiceInfo};
 use configuration::{Configuration, Limits, ProcessSettings};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -41,7 +41,7 @@
 /// State of the process, on its one thread.
 pub(crate) struct Core {
     origin: Instant,
-    pub(crate) policy: RefCell<Policy>,
+    pub(crate) policy: RefCell<LoadBalancer>,
     known: RefCell<Option<Rc<RoutingTable>>>,
     pub(crate) pool: RefCell<Pool<Link>>,
     pub(crate) tally: Rc<SharedCounters>,
@@ -65,18 +65,16 @@
             .finish();
         let bounds = &boot.bounds;
         let seconds = |s: f64| Duration::try_from_secs_f64(s).unwrap_or_default();
-        let settings = Settings {
+        let settings = LoadBalancerSettings {
             zone: boot.zone.as_str().into(),
             retry_ratio: bounds.retry_ratio,
             retry_window: seconds(bounds.retry_window_s),
             retry_slack: bounds.retry_slack,
-            drain: seconds(bounds.drain_ms / 1e3),
-            beat: Duration::from_millis(boot.beat_period_ms),
-            seed,
+            random_seed: seed,
         };
         let fds = boot.limits.fd_limit.saturating_sub(SPARE_FDS).max(16) as f64;
         let memory = boot.limits.memory_mb as f64 * 1024.0 * 1024.0;
-        let mut policy = Policy::new(settings);
+        let mut policy = LoadBalancer::new(settings);
         if boot.bootstrap {
             policy.set_first_start();
         }
@@ -192,8 +190,8 @@
             );
         }
         let all_told = self.hints.borrow_mut().set_others(&world.others);
-        policy.set_told(now, all_told);
-        policy.set_coordinators(now, world.coordinators);
+        policy.set_hints_complete(now, all_told);
+        policy.set_proxy_count(now, world.coordinators);
         policy.set_hosts(now, &world.hosts);
         let ids: HashSet<&str> = world.hosts.iter().map(|h| &*h.id).collect();
         self.pool.borrow_mut().keep(&ids);
@@ -235,8 +233,8 @@
 fn info(service: &configuration::Service) -> ServiceInfo {
     ServiceInfo {
         name: service.name.as_str().into(),
-        conn_limit: service.conn_limit,
-        cache_tokens: service.engine.as_ref().map(|e| e.cache_tokens),
+        connection_limit: service.conn_limit,
+        cache_capacity_tokens: service.engine.as_ref().map(|e| e.cache_tokens),
     }
 }
 
@@ -271,12 +269,12 @@
 /// An attempt that the policy counts as out until it is told the end, or this is dropped.
 pub(crate) struct OpenAttempt {
     core: Rc<Core>,
-    attempt: Attempt,
+    attempt: AttemptId,
     over: bool,
 }
 
 impl OpenAttempt {
-    pub(crate) fn new(core: &Rc<Core>, attempt: Attempt) -> Self {
+    pub(crate) fn new(core: &Rc<Core>, attempt: AttemptId) -> Self {
         core.outs.set(core.outs.get() + 1);
         core.began.notify_one();
         Self {
@@ -290,7 +288,7 @@
         self.core
             .policy
             .borrow_mut()
-            .first(self.core.now(), self.attempt);
+            .on_first_byte(self.core.now(), self.attempt);
     }
 
     /// More came of an answer that has begun.
@@ -298,16 +296,16 @@
         self.core
             .policy
             .borrow_mut()
-            .heard(self.core.now(), self.attempt);
+            .on_progress(self.core.now(), self.attempt);
     }
 
     /// The head of an answer that goes on told this load.
-    pub(crate) fn told(&self, load: Option<Load>) {
+    pub(crate) fn told(&self, load: Option<HostLoad>) {
         if let Some(load) = load {
             self.core
                 .policy
                 .borrow_mut()
-                .told(self.core.now(), self.attempt, load);
+                .on_load_report(self.core.now(), self.attempt, load);
         }
     }
 
@@ -315,20 +313,22 @@
         self.core
             .policy
             .borrow()
-            .patience(self.core.now(), self.attempt)
+            .attempt_timeout(self.core.now(), self.attempt)
     }
 
-    pub(crate) fn end(mut self, outcome: Outcome, load: Option<Load>) {
+    pub(crate) fn end(mut self, outcome: Outcome, load: Option<HostLoad>) {
         self.close(outcome, load);
     }
 
-    fn close(&mut self, outcome: Outcome, load: Option<Load>) {
+    fn close(&mut self, outcome: Outcome, load: Option<HostLoad>) {
         if !std::mem::replace(&mut self.over, true) {
             self.core.outs.set(self.core.outs.get().saturating_sub(1));
-            self.core
-                .policy
-                .borrow_mut()
-                .ended(self.core.now(), self.attempt, outcome, load);
+            self.core.policy.borrow_mut().on_attempt_ended(
+                self.core.now(),
+                self.attempt,
+                outcome,
+                load,
+            );
         }
     }
 }
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -84,8 +84,8 @@
         let core = self.core;
         let most = core.conns(self.service);
         let no_link = |e| match e {
-            NoLink::Full => (End::Unreached, Outcome::TurnedAway),
-            NoLink::Unreached => (End::Unreached, Outcome::Unreached),
+            NoLink::Full => (End::Unreached, Outcome::Rejected),
+            NoLink::Unreached => (End::Unreached, Outcome::ConnectFailed),
         };
         let until = self.end().min(Instant::now() + dial(self.route));
         let mut link = connections::get(core, &picked.id, picked.addr, most, until)
@@ -112,7 +112,7 @@
                         .map_err(no_link)?;
                     continue;
                 }
-                _ if written == 0 => return Err((End::Unreached, Outcome::Unreached)),
+                _ if written == 0 => return Err((End::Unreached, Outcome::ConnectFailed)),
                 _ => {}
             }
             let repeat = self.trial.heard();
@@ -124,7 +124,7 @@
             return match sent {
                 // A host may answer before it has read all: what it said then counts.
                 Ok(_) => Ok(link),
-                Err(_) => Err((End::Broke, Outcome::Silent)),
+                Err(_) => Err((End::Broke, Outcome::TimedOut)),
             };
         }
     }
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -9,7 +9,7 @@
 mod writer;
 
 use self::matching::refuses;
-use self::prompt::{load, parts, tokens};
+use self::prompt::{load, parts, prompt_tokens};
 use self::wait::{HostWait, Stop};
 use self::writer::Writer;
 use crate::attempt::{End, Next, RetryState};
@@ -19,7 +19,7 @@
 use crate::progress::{AnswerProgress, Done};
 use crate::request::Request;
 use crate::routes;
-use balancing::{Ask, Choice, Outcome};
+use balancing::{HostChoice, Outcome, PromptPart, RequestContext};
 use bytes::Bytes;
 use configuration::{ResultCode, Route, RouteKind};
 use http1::ResponseHead;
@@ -91,7 +91,7 @@
         // Whoever asks again reaches another machine, which may serve at once.
         return refuse(ResultCode::Leaving, Some(RETRY_AFTER.0)).await;
     }
-    core.policy.borrow_mut().arrived(core.now(), service);
+    core.policy.borrow_mut().on_request(core.now(), service);
     let trial = RetryState::new(route.idempotent(), route.max_tries, deadline);
     let mut exchange = Exchange {
         core,
@@ -103,7 +103,7 @@
         trial,
         tried: Vec::new(),
         parts: parts(fields.text("fennelpin-prompt-prefix")),
-        tokens: tokens(fields.text("fennelpin-token-counts")),
+        prompt_tokens: prompt_tokens(fields.text("fennelpin-token-counts")),
         place: Place::after(fields.text("last-event-id")),
         begun: Cell::new(None),
         kept: None,
@@ -161,8 +161,8 @@
     service: &'a str,
     trial: RetryState,
     tried: Vec<Arc<str>>,
-    parts: Vec<(u64, u32)>,
-    tokens: (u32, u32),
+    parts: Vec<PromptPart>,
+    prompt_tokens: u32,
     place: Place,
     /// How the answer goes to the client, once its head has gone.
     begun: Cell<Option<Writer>>,
@@ -204,36 +204,32 @@
         }
         let mut policy = self.core.policy.borrow_mut();
         if self.trial.owes() {
-            if !policy.take_repeat(now, self.service) {
+            if !policy.withdraw_retry(now, self.service) {
                 return Err((self.trial.refusal(ResultCode::BudgetSpent), None));
             }
             self.trial.paid();
         }
-        let target = Duration::try_from_secs_f64(
-            self.route.target_ms.unwrap_or(self.route.deadline_ms) / 1e3,
-        );
-        let choice = policy.choose(
+        let choice = policy.choose_host(
             now,
-            &Ask {
+            &RequestContext {
                 service: self.service,
                 rank: self.route.rank,
                 idempotent: self.trial.idempotent(),
-                parts: &self.parts,
-                tokens: self.tokens,
-                target: target.unwrap_or(left),
-                left,
-                tried: &self.tried,
+                prompt_parts: &self.parts,
+                prompt_tokens: self.prompt_tokens,
+                time_remaining: left,
+                attempted_hosts: &self.tried,
             },
         );
         match choice {
-            Choice::Host {
+            HostChoice::Selected {
                 attempt,
                 id,
                 addr,
                 priority,
             } => {
-                if let Some(placement) = policy.take_placement() {
-                    self.core.hints.borrow().tell(&placement);
+                if let Some(hint) = policy.take_prefix_hint() {
+                    self.core.hints.borrow().tell(&hint);
                 }
                 Ok(Picked {
                     out: OpenAttempt::new(self.core, attempt),
@@ -242,7 +238,7 @@
                     priority,
                 })
             }
-            Choice::None { retry_after } => {
+            HostChoice::Unavailable { retry_after } => {
                 Err((self.trial.refusal(ResultCode::NoHost), Some(retry_after)))
             }
         }
@@ -286,11 +282,11 @@
             // Turned away for the version that its client expects, it says nothing of who the host is.
             let expects_version = self.request.head.fields.get("expect-version").is_some();
             let outcome = match head.status {
-                421 if !expects_version => Outcome::OtherHost,
-                429 | 503 => Outcome::Full,
-                _ => Outcome::TurnedAway,
+                421 if !expects_version => Outcome::Misdirected,
+                429 | 503 => Outcome::Overloaded,
+                _ => Outcome::Rejected,
             };
-            if outcome == Outcome::OtherHost {
+            if outcome == Outcome::Misdirected {
                 self.core.pool.borrow_mut().forget(&picked.id);
             } else {
                 self.drain(link, picked.id.clone(), head, stray);
@@ -332,12 +328,12 @@
                 AttemptResult::Ended(End::Broke)
             }
             Stop::Late => {
-                out.end(Outcome::Silent, None);
+                out.end(Outcome::TimedOut, None);
                 AttemptResult::Ended(End::Broke)
             }
             // The caller drops the old connection before the new host is asked.
             Stop::Moved(next) => {
-                out.end(Outcome::Silent, None);
+                out.end(Outcome::TimedOut, None);
                 AttemptResult::Moved(next)
             }
         }
--- a/crates/proxy/src/exchange/prompt.rs
+++ b/crates/proxy/src/exchange/prompt.rs
@@ -1,30 +1,35 @@
 //! What requests and answers tell the policy: the prompt's parts, its size, the host's load.
 
-use balancing::Load;
+use balancing::{HostLoad, PromptPart};
 use http1::Fields;
 
-pub(super) fn parts(text: Option<&str>) -> Vec<(u64, u32)> {
+pub(super) fn parts(text: Option<&str>) -> Vec<PromptPart> {
     let part = |p: &str| {
         let (id, tokens) = p.trim().split_once(':')?;
-        Some((u64::from_str_radix(id, 16).ok()?, tokens.parse().ok()?))
+        Some(PromptPart {
+            id: u64::from_str_radix(id, 16).ok()?,
+            tokens: tokens.parse().ok()?,
+        })
     };
     text.and_then(|t| t.split(',').map(part).collect())
         .unwrap_or_default()
 }
 
-pub(super) fn tokens(text: Option<&str>) -> (u32, u32) {
-    let number = |t: &str| t.trim().parse().unwrap_or(0);
+/// Length of the prompt in tokens; 0 where the header doesn't hold two fields.
+pub(super) fn prompt_tokens(text: Option<&str>) -> u32 {
     text.and_then(|t| t.split_once(','))
-        .map_or((0, 0), |(a, b)| (number(a), number(b)))
+        .map_or(0, |(prompt, _max_output)| {
+            prompt.trim().parse().unwrap_or(0)
+        })
 }
 
-pub(super) fn load(fields: &Fields) -> Option<Load> {
+pub(super) fn load(fields: &Fields) -> Option<HostLoad> {
     let mut numbers = fields
         .text("fennelpin-host-load")?
         .split(',')
         .map(|n| n.trim().parse().ok());
     let mut next = || numbers.next().flatten();
-    Some(Load {
+    Some(HostLoad {
         running: next()?,
         waiting: next()?,
         slots: next()?,
--- a/crates/proxy/src/exchange/stream.rs
+++ b/crates/proxy/src/exchange/stream.rs
@@ -7,7 +7,7 @@
 use crate::events::Splitter;
 use crate::hostlink::Link;
 use crate::progress::Done;
-use balancing::{Load, Outcome};
+use balancing::{HostLoad, Outcome};
 use bytes::{Bytes, BytesMut};
 use configuration::Route;
 use http1::{Body, ResponseHead};
@@ -34,7 +34,7 @@
         picked: Picked,
         head: ResponseHead,
         stray: bool,
-        load: Option<Load>,
+        load: Option<HostLoad>,
         mut watch: HostWait,
     ) -> AttemptResult {
         picked.out.told(load);
@@ -86,7 +86,7 @@
         if !stray {
             connections::keep(self.core, &picked.id, link, &head);
         }
-        picked.out.end(Outcome::Done, None);
+        picked.out.end(Outcome::Succeeded, None);
         let rest = splitter.rest();
         if !rest.is_empty() && !writer.write(self, &head, &rest).await {
             return AttemptResult::Answered(Done::Cut);
--- a/crates/proxy/src/exchange/whole.rs
+++ b/crates/proxy/src/exchange/whole.rs
@@ -7,7 +7,7 @@
 use crate::connections;
 use crate::hostlink::Link;
 use crate::progress::Done;
-use balancing::{Load, Outcome};
+use balancing::{HostLoad, Outcome};
 use bytes::{Bytes, BytesMut};
 use http1::{Body, Framing, ResponseHead};
 use tokio::time::timeout_at;
@@ -20,7 +20,7 @@
         picked: Picked,
         head: ResponseHead,
         stray: bool,
-        load: Option<Load>,
+        load: Option<HostLoad>,
         mut watch: HostWait,
     ) -> AttemptResult {
         // Quick failures must not make a host look well.
@@ -44,7 +44,7 @@
         let out = out.freeze();
         if head.status < 500 {
             let outcome = if head.status < 400 {
-                Outcome::Done
+                Outcome::Succeeded
             } else {
                 Outcome::Failed
             };
@@ -96,7 +96,7 @@
             }
             match timeout_at(self.end() + DEADLINE_SLACK, link.piece(&mut body)).await {
                 Ok(Ok(Some(_))) if self.overtime() => {
-                    picked.out.end(Outcome::Silent, None);
+                    picked.out.end(Outcome::TimedOut, None);
                     return AttemptResult::Answered(Done::Cut);
                 }
                 Ok(Ok(Some(data))) => {
@@ -110,7 +110,7 @@
                     return AttemptResult::Answered(Done::Cut);
                 }
                 Err(_) => {
-                    picked.out.end(Outcome::Silent, None);
+                    picked.out.end(Outcome::TimedOut, None);
                     return AttemptResult::Answered(Done::Cut);
                 }
             }
@@ -120,7 +120,7 @@
         }
         picked.out.end(
             if head.status < 400 {
-                Outcome::Done
+                Outcome::Succeeded
             } else {
                 Outcome::Failed
             },
--- a/crates/proxy/src/hint_listener.rs
+++ b/crates/proxy/src/hint_listener.rs
@@ -2,7 +2,7 @@
 
 use crate::core::Core;
 use crate::hints::{of, DATAGRAM};
-use balancing::Placement;
+use balancing::{PrefixHint, PromptPart};
 use protocol::Message;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -33,13 +33,13 @@
         match message {
             Message::PromptPlaced { placement, unread } => {
                 let mut policy = core.policy.borrow_mut();
-                policy.overheard(core.now(), &placement.host, &parts(&placement), unread);
+                policy.on_prefix_hint(core.now(), &placement.host, &parts(&placement), unread);
             }
             Message::Placements { placements } => {
                 let mut policy = core.policy.borrow_mut();
                 placements
                     .iter()
-                    .for_each(|p| policy.overheard(core.now(), &p.host, &parts(p), 0));
+                    .for_each(|p| policy.on_prefix_hint(core.now(), &p.host, &parts(p), 0));
             }
             Message::PlacementsRequest { .. } => recall(&core, &socket, from),
             _ => core.tally.add(|c| c.bad_hints += 1),
@@ -48,7 +48,7 @@
 }
 
 fn recall(core: &Core, socket: &UdpSocket, to: SocketAddr) {
-    let kept = core.policy.borrow().kept();
+    let cached = core.policy.borrow().cached_prefixes();
     let mut placements: Vec<protocol::Placement> = Vec::new();
     let mut size = 0;
     let send = |placements: &mut Vec<protocol::Placement>| {
@@ -57,15 +57,15 @@
         };
         let _ = socket.try_send_to(&protocol::encode(&message), to);
     };
-    for Placement {
-        host, parts: all, ..
-    } in kept
+    for PrefixHint {
+        host_id, prefix, ..
+    } in cached
     {
-        for some in all.chunks(ENTRY_PARTS) {
-            let one = of(&Placement {
-                host: Arc::clone(&host),
-                parts: some.to_vec(),
-                unread: 0,
+        for some in prefix.chunks(ENTRY_PARTS) {
+            let one = of(&PrefixHint {
+                host_id: Arc::clone(&host_id),
+                prefix: some.to_vec(),
+                uncached_tokens: 0,
             });
             let length = 8 + one.host.len() + 12 * one.parts.len();
             if length > DATAGRAM - FRAME {
@@ -85,6 +85,10 @@
     }
 }
 
-fn parts(placement: &protocol::Placement) -> Vec<(u64, u32)> {
-    placement.parts.iter().map(|p| (p.id, p.tokens)).collect()
+fn parts(placement: &protocol::Placement) -> Vec<PromptPart> {
+    let part = |part: &protocol::Part| PromptPart {
+        id: part.id,
+        tokens: part.tokens,
+    };
+    placement.parts.iter().map(part).collect()
 }
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -2,7 +2,7 @@
 //! Datagrams that may be lost; nothing rests on them but what is read again. Nobody is asked when a request
 //! is sent.
 
-use balancing::Placement;
+use balancing::{PrefixHint, PromptPart};
 use configuration::ProcessSettings;
 use protocol::{Message, Part};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -53,13 +53,13 @@
     }
 
     /// Tells the others of a prompt that was sent.
-    pub(crate) fn tell(&self, placement: &Placement) {
+    pub(crate) fn tell(&self, hint: &PrefixHint) {
         let Some(socket) = self.socket.as_ref().filter(|_| !self.others.is_empty()) else {
             return;
         };
         let message = protocol::encode(&Message::PromptPlaced {
-            placement: of(placement),
-            unread: placement.unread,
+            placement: of(hint),
+            unread: hint.uncached_tokens,
         });
         if message.len() > DATAGRAM {
             return;
@@ -72,14 +72,14 @@
 }
 
 /// A placement as it goes over the wire.
-pub(crate) fn of(placement: &Placement) -> protocol::Placement {
-    let part = |p: &(u64, u32)| Part {
-        id: p.0,
-        tokens: p.1,
+pub(crate) fn of(hint: &PrefixHint) -> protocol::Placement {
+    let part = |part: &PromptPart| Part {
+        id: part.id,
+        tokens: part.tokens,
     };
     protocol::Placement {
-        host: placement.host.to_string(),
-        parts: placement.parts.iter().map(part).collect(),
+        host: hint.host_id.to_string(),
+        parts: hint.prefix.iter().map(part).collect(),
     }
 }
 
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -98,8 +98,8 @@
         zone: "a".into(),
         capacity: 4,
         draining: false,
-        silent: false,
-        cold_left: Duration::ZERO,
+        heartbeat_expired: false,
+        slow_start_remaining: Duration::ZERO,
     }
 }
 
--- a/crates/scale-test/src/policy.rs
+++ b/crates/scale-test/src/policy.rs
@@ -2,7 +2,10 @@
 
 use crate::gauge;
 use crate::report::Row;
-use balancing::{Ask, Choice, HostInfo, Load, Outcome, Policy, ServiceInfo, Settings};
+use balancing::{
+    HostChoice, HostInfo, HostLoad, LoadBalancer, LoadBalancerSettings, Outcome, PromptPart,
+    RequestContext, ServiceInfo,
+};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,8 +27,8 @@
         zone: format!("z{}", n % 10).into(),
         capacity: 128,
         draining: false,
-        silent: false,
-        cold_left: Duration::ZERO,
+        heartbeat_expired: false,
+        slow_start_remaining: Duration::ZERO,
     }
 }
 
@@ -34,25 +37,23 @@
 pub fn policy(hosts: usize, prefixes: u64, requests: u64, coordinators: usize) -> Row {
     let used = || gauge::process(std::process::id()).unwrap_or_default();
     let start = used();
-    let mut policy = Policy::new(Settings {
+    let mut policy = LoadBalancer::new(LoadBalancerSettings {
         zone: "z0".into(),
         retry_ratio: 0.2,
         retry_window: Duration::from_secs(10),
         retry_slack: 54.0,
-        drain: Duration::from_secs(2),
-        beat: Duration::from_millis(1200),
-        seed: 1,
+        random_seed: 1,
     });
     let mut now = Duration::from_secs(1);
     policy.set_services(
         now,
         &[ServiceInfo {
             name: "model".into(),
-            conn_limit: 620,
-            cache_tokens: Some(754_363.0),
+            connection_limit: 620,
+            cache_capacity_tokens: Some(754_363.0),
         }],
     );
-    policy.set_coordinators(now, coordinators);
+    policy.set_proxy_count(now, coordinators);
     let all: Vec<HostInfo> = (0..hosts).map(host).collect();
     let rosters = 20;
     for _ in 0..rosters {
@@ -67,29 +68,37 @@
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         let prefix = (draw >> 33) % prefixes.max(1);
-        let parts = [(prefix, 6000), ((1 << 40) | request, 1500)];
-        policy.arrived(now, "model");
-        let ask = Ask {
+        let parts = [
+            PromptPart {
+                id: prefix,
+                tokens: 6000,
+            },
+            PromptPart {
+                id: (1 << 40) | request,
+                tokens: 1500,
+            },
+        ];
+        policy.on_request(now, "model");
+        let ask = RequestContext {
             service: "model",
             rank: 0,
             idempotent: true,
-            parts: &parts,
-            tokens: (7500, 460),
-            target: Duration::from_millis(940),
-            left: Duration::from_secs(8),
-            tried: &none,
+            prompt_parts: &parts,
+            prompt_tokens: 7500,
+            time_remaining: Duration::from_secs(8),
+            attempted_hosts: &none,
         };
-        if let Choice::Host { attempt, .. } = policy.choose(now, &ask) {
-            policy.first(now + Duration::from_millis(50), attempt);
-            let load = Load {
+        if let HostChoice::Selected { attempt, .. } = policy.choose_host(now, &ask) {
+            policy.on_first_byte(now + Duration::from_millis(50), attempt);
+            let load = HostLoad {
                 running: 40,
                 waiting: 0,
                 slots: 128,
             };
-            policy.ended(
+            policy.on_attempt_ended(
                 now + Duration::from_millis(120),
                 attempt,
-                Outcome::Done,
+                Outcome::Succeeded,
                 Some(load),
             );
         }
