--- a/crates/proxy/src/exchange/prompt.rs
+++ b/crates/proxy/src/exchange/prompt.rs
@@ -25,7 +25,7 @@
 
 pub(super) fn load(fields: &Fields) -> Option<HostLoad> {
     let mut numbers = fields
-        .text("fennelpin-host-load")?
+        .get_str("fennelpin-host-load")?
         .split(',')
         .map(|n| n.trim().parse().ok());
     let mut next = || numbers.next().flatten();
