--- a/crates/balancing/src/host.rs
+++ b/crates/balancing/src/host.rs
@@ -1,183 +1,100 @@
-//! What is believed of a host: what it keeps, what it still has to read, how late its answers are.
-
-use crate::health::Health;
-use crate::order::place;
-use crate::types::{HostInfo, PromptPart};
-use crate::window::ms;
-use std::collections::{BTreeMap, HashMap, HashSet};
+//! What is known of a host.
+
+use crate::affinity::host_hash;
+use crate::load_estimate::{Lateness, PrefillBacklog};
+use crate::outlier_ejection::HostHealth;
+use crate::prefix_cache::PrefixCache;
+use crate::service::ServiceKey;
+use crate::types::HostInfo;
 use std::time::Duration;
 
-/// Parts of prompts that a host was sent, the latest first to stay.
-#[derive(Debug, Default)]
-pub(crate) struct Kept {
-    parts: HashMap<u64, (u32, u64)>,
-    /// Those of them that others may ask for too.
-    shared: HashSet<u64>,
-    uses: BTreeMap<u64, u64>,
-    tokens: f64,
-    next: u64,
-}
-
-impl Kept {
-    /// Whether a part is kept.
-    pub(crate) fn has(&self, part: u64) -> bool {
-        self.parts.contains_key(&part)
-    }
-
-    /// Tokens from the front on that are kept.
-    pub(crate) fn prefix(&self, parts: &[PromptPart]) -> u32 {
-        parts
-            .iter()
-            .take_while(|p| self.parts.contains_key(&p.id))
-            .map(|p| p.tokens)
-            .sum()
-    }
+/// After an answer a host counts as alive for this time, whatever its heartbeats say: they may be seconds late.
+const ALIVE_AFTER_RESPONSE: Duration = Duration::from_secs(1);
 
-    pub(crate) fn touch(&mut self, parts: &[PromptPart], room: f64) {
-        for PromptPart { id, tokens } in parts {
-            self.next += 1;
-            match self.parts.insert(*id, (*tokens, self.next)) {
-                Some((before, used)) => {
-                    self.uses.remove(&used);
-                    self.tokens += f64::from(*tokens) - f64::from(before);
-                }
-                None => self.tokens += f64::from(*tokens),
-            }
-            self.uses.insert(self.next, *id);
-        }
-        while self.tokens > room {
-            let Some((_, id)) = self.uses.pop_first() else {
-                break;
-            };
-            if let Some((tokens, _)) = self.parts.remove(&id) {
-                self.tokens -= f64::from(tokens);
-            }
-            self.shared.remove(&id);
-        }
-    }
-
-    /// Notes parts that others may ask for too; whether any of them is new here.
-    pub(crate) fn share(&mut self, parts: &[PromptPart]) -> bool {
-        parts.iter().fold(false, |new, p| {
-            (self.parts.contains_key(&p.id) && self.shared.insert(p.id)) | new
-        })
-    }
+/// Number of a host in [`BalancerState::hosts`](crate::state::BalancerState::hosts).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct HostKey(pub(crate) usize);
 
-    /// Shared parts that are kept, those used latest first.
-    pub(crate) fn shared(&self) -> Vec<PromptPart> {
-        let latest = self
-            .uses
-            .values()
-            .rev()
-            .filter(|id| self.shared.contains(id));
-        latest
-            .filter_map(|id| {
-                Some(PromptPart {
-                    id: *id,
-                    tokens: self.parts.get(id)?.0,
-                })
-            })
-            .collect()
-    }
-}
-
-/// A host and what is believed of it.
+/// A host of the registry, or a removed one that still has attempts in flight.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) info: HostInfo,
-    /// Number of its service.
-    pub(crate) service: usize,
-    pub(crate) place: u64,
-    pub(crate) health: Health,
-    pub(crate) kept: Kept,
-    /// Own attempts that are out.
-    pub(crate) out: Vec<usize>,
-    /// When it will have read what we sent, by our reckoning.
-    pub(crate) busy_until: Duration,
-    /// When it will have read what other proxies sent, by what they tell.
-    pub(crate) others_until: Duration,
-    /// How much later than reckoned its answers are, in ms, and when that was learned.
-    excess: f64,
-    excess_at: Duration,
+    pub(crate) service: ServiceKey,
+    /// Hash of its identity, for affinity.
+    pub(crate) hash: u64,
+    pub(crate) health: HostHealth,
+    pub(crate) prefix_cache: PrefixCache,
+    /// Numbers of this proxy's attempts in flight.
+    pub(crate) in_flight: Vec<usize>,
+    pub(crate) prefill_backlog: PrefillBacklog,
+    pub(crate) lateness: Lateness,
     /// When anything came from it.
-    pub(crate) heard: Option<Duration>,
-    /// Until when it is taken for full.
-    pub(crate) full_until: Option<Duration>,
-    /// Answered 421, or another host has its address: not used until the roster says otherwise.
-    pub(crate) moved: bool,
-    /// No longer in the roster; kept until what is out has ended.
-    pub(crate) gone: bool,
-    /// When it became known.
-    pub(crate) since: Duration,
-    /// Until when it is slow from its start.
-    pub(crate) cold_until: Duration,
-    /// When it last told that it is busy, unless it has told otherwise since.
-    pub(crate) told_busy: Option<Duration>,
-    /// Whether it came while others of its service were there.
-    pub(crate) late_comer: bool,
+    pub(crate) last_response_at: Option<Duration>,
+    /// Until when it counts as full, because it rejected a request.
+    pub(crate) overloaded_until: Option<Duration>,
+    /// Whether it answered 421 or another host has its address. It isn't used until its record changes.
+    pub(crate) misdirected: bool,
+    /// Whether it has left the registry. It is kept until its attempts have ended.
+    pub(crate) removed: bool,
+    pub(crate) known_since: Duration,
+    /// Until when it reports to be slow from its start.
+    pub(crate) slow_start_until: Duration,
+    /// When it reported to be busy, unless it has reported otherwise since.
+    pub(crate) busy_reported_at: Option<Duration>,
+    /// Whether other hosts of its service were there when it joined.
+    pub(crate) joined_running_service: bool,
 }
 
-/// Time constant with which lateness is forgotten, in ms.
-const FORGET_MS: f64 = 800.0;
-/// What came from a host shows it alive for so long.
-const HEARD: Duration = Duration::from_secs(1);
-
 impl Host {
-    pub(crate) fn new(info: HostInfo, service: usize, now: Duration, late_comer: bool) -> Self {
+    pub(crate) fn new(
+        info: HostInfo,
+        service: ServiceKey,
+        now: Duration,
+        joined_running_service: bool,
+    ) -> Self {
         Self {
             service,
-            cold_until: now + info.slow_start_remaining,
-            told_busy: None,
-            place: place(&info.id),
+            slow_start_until: now + info.slow_start_remaining,
+            busy_reported_at: None,
+            hash: host_hash(&info.id),
             info,
-            health: Health::default(),
-            kept: Kept::default(),
-            out: Vec::new(),
-            busy_until: now,
-            others_until: now,
-            excess: 0.0,
-            excess_at: now,
-            heard: None,
-            full_until: None,
-            moved: false,
-            gone: false,
-            since: now,
-            late_comer,
+            health: HostHealth::default(),
+            prefix_cache: PrefixCache::default(),
+            in_flight: Vec::new(),
+            prefill_backlog: PrefillBacklog::new(now),
+            lateness: Lateness::new(now),
+            last_response_at: None,
+            overloaded_until: None,
+            misdirected: false,
+            removed: false,
+            known_since: now,
+            joined_running_service,
         }
     }
 
-    pub(crate) fn excess(&self, now: Duration) -> f64 {
-        self.excess * (-ms(now.saturating_sub(self.excess_at)) / FORGET_MS).exp()
-    }
-
-    /// An answer came so much later than reckoned (in ms; below 0 for earlier).
-    pub(crate) fn late_by(&mut self, now: Duration, late: f64) {
-        self.excess = (0.5 * self.excess(now) + 0.5 * late).max(0.0);
-        self.excess_at = now;
-    }
-
-    /// What is left to be read of what was sent, as far as known, in ms.
-    pub(crate) fn backlog(&self, now: Duration) -> f64 {
-        ms(self.busy_until.saturating_sub(now)) + ms(self.others_until.saturating_sub(now))
-    }
-
-    /// Whether it may get requests at all.
-    pub(crate) fn usable(&self) -> bool {
-        !self.info.draining && !self.moved && !self.gone
+    /// Whether the host takes requests at all.
+    pub(crate) fn is_usable(&self) -> bool {
+        !self.info.draining && !self.misdirected && !self.removed
     }
 
-    /// Whether its heartbeats have stopped and nothing else has come from it lately. Heartbeats may be seconds
-    /// late: a host that answers here is there.
-    pub(crate) fn lost(&self, now: Duration) -> bool {
-        self.info.heartbeat_expired && self.heard.is_none_or(|t| now.saturating_sub(t) > HEARD)
+    /// Whether its heartbeats have stopped and nothing else came from it lately.
+    pub(crate) fn is_unreachable(&self, now: Duration) -> bool {
+        let silent = self
+            .last_response_at
+            .is_none_or(|last| now.saturating_sub(last) > ALIVE_AFTER_RESPONSE);
+        self.info.heartbeat_expired && silent
     }
 
-    /// Whether it may be listed.
-    pub(crate) fn fit(&self, now: Duration) -> bool {
-        self.usable() && !self.health.out() && !self.lost(now) && !self.full(now)
+    /// Whether it counts as full because it rejected a request lately.
+    pub(crate) fn is_overloaded(&self, now: Duration) -> bool {
+        self.overloaded_until.is_some_and(|until| now < until)
     }
 
-    pub(crate) fn full(&self, now: Duration) -> bool {
-        self.full_until.is_some_and(|t| now < t)
+    /// Whether nothing speaks against the host: it may be in the idle list.
+    pub(crate) fn is_available(&self, now: Duration) -> bool {
+        self.is_usable()
+            && !self.health.is_ejected()
+            && !self.is_unreachable(now)
+            && !self.is_overloaded(now)
     }
 }
--- /dev/null
+++ b/crates/balancing/src/host_choice/search.rs
@@ -0,0 +1,227 @@
+//! Which hosts of the service may take the request.
+
+use super::candidate::Candidate;
+use super::ChosenHost;
+use crate::affinity::{affinity_key, weight};
+use crate::host::{Host, HostKey};
+use crate::service::Service;
+use crate::state::BalancerState;
+use crate::types::RequestContext;
+use std::time::Duration;
+
+/// A request with at most this many uncached tokens may probe a host at once.
+const MAX_PROBE_TOKENS: u32 = 2000;
+/// A longer one may probe it when the probe is late by this time.
+const LONG_PROMPT_PROBE_DELAY: Duration = Duration::from_millis(300);
+/// With fewer than one in this many hosts healthy, suspicious ones are used too (panic mode).
+const PANIC_DIVISOR: usize = 4;
+
+/// The hosts of a service, seen for one request.
+pub(super) struct HostSearch<'a> {
+    pub(super) state: &'a BalancerState,
+    pub(super) now: Duration,
+    pub(super) service: &'a Service,
+    pub(super) request: &'a RequestContext<'a>,
+    /// The host that all proxies send this prompt to; `None` where the prompt isn't known or no model runs.
+    pub(super) affinity_host: Option<HostKey>,
+    /// All hosts of the service.
+    hosts: Vec<(HostKey, &'a Host)>,
+    /// Those that may take the request: usable, not full, not attempted before.
+    open_hosts: Vec<(HostKey, &'a Host)>,
+}
+
+/// The hosts to choose among.
+pub(super) struct Candidates {
+    pub(super) hosts: Vec<Candidate>,
+    /// Whether they are the idle ones.
+    pub(super) from_idle_list: bool,
+}
+
+impl<'a> HostSearch<'a> {
+    pub(super) fn new(
+        state: &'a BalancerState,
+        now: Duration,
+        service: &'a Service,
+        request: &'a RequestContext<'a>,
+    ) -> Self {
+        let hosts: Vec<(HostKey, &Host)> = service
+            .hosts
+            .iter()
+            .filter_map(|key| Some((*key, state.hosts.get(key.0)?)))
+            .collect();
+        let is_open = |host: &Host| {
+            host.is_usable()
+                && !request.attempted_hosts.contains(&host.info.id)
+                && !is_full(now, service, host)
+        };
+        let open_hosts = hosts
+            .iter()
+            .filter(|(_, host)| is_open(host))
+            .copied()
+            .collect();
+        Self {
+            affinity_host: find_affinity_host(now, service, request, &hosts),
+            state,
+            now,
+            service,
+            request,
+            hosts,
+            open_hosts,
+        }
+    }
+
+    /// Number of usable hosts, whether or not they may take this request.
+    pub(super) fn usable_hosts(&self) -> usize {
+        let usable = self.hosts.iter().filter(|(_, host)| host.is_usable());
+        usable.count()
+    }
+
+    /// An ejected host that this request is to probe: the one whose ejection ended first.
+    pub(super) fn due_probe(&self) -> Option<ChosenHost> {
+        let due = self.open_hosts.iter().filter(|(_, host)| {
+            host.health
+                .is_probe_due(self.now, host.info.heartbeat_expired)
+        });
+        let (key, host) = due.min_by_key(|(_, host)| host.health.ejected_until())?;
+        let uncached_tokens = self.uncached_tokens(host, false);
+        self.may_probe(host, uncached_tokens).then_some(ChosenHost {
+            host: *key,
+            uncached_tokens,
+            probe: true,
+        })
+    }
+
+    /// Whether this request may be risked for a probe.
+    fn may_probe(&self, host: &Host, uncached_tokens: u32) -> bool {
+        if host.health.is_probe_overdue(self.now) {
+            return true;
+        }
+        let delay = host
+            .health
+            .ejected_until()
+            .map_or(Duration::ZERO, |until| self.now.saturating_sub(until));
+        let is_short = uncached_tokens <= MAX_PROBE_TOKENS;
+        self.request.idempotent && (is_short || delay >= LONG_PROMPT_PROBE_DELAY)
+    }
+
+    /// The idle hosts; where none is idle, all that may take the request.
+    pub(super) fn candidates(&self) -> Candidates {
+        let healthy = self.healthy_hosts();
+        if healthy.is_empty() {
+            return Candidates {
+                hosts: self.to_candidates(&self.least_bad_hosts()),
+                from_idle_list: false,
+            };
+        }
+        let idle: Vec<(HostKey, &Host)> = healthy
+            .iter()
+            .filter(|(key, _)| self.service.idle_hosts.entries(self.now, *key) > 0)
+            .copied()
+            .collect();
+        let from_idle_list = !idle.is_empty();
+        let hosts = if from_idle_list { &idle } else { &healthy };
+        Candidates {
+            hosts: self.to_candidates(hosts),
+            from_idle_list,
+        }
+    }
+
+    fn to_candidates(&self, hosts: &[(HostKey, &Host)]) -> Vec<Candidate> {
+        hosts
+            .iter()
+            .map(|(key, host)| self.candidate(*key, host))
+            .collect()
+    }
+
+    /// The open hosts that are healthy. In panic mode also those that are suspicious without being unresponsive.
+    fn healthy_hosts(&self) -> Vec<(HostKey, &'a Host)> {
+        let mut healthy: Vec<(HostKey, &Host)> = self
+            .open_hosts
+            .iter()
+            .filter(|(_, host)| is_healthy(self.now, host))
+            .copied()
+            .collect();
+        if !healthy.is_empty() && healthy.len() * PANIC_DIVISOR < self.usable_hosts() {
+            let suspicious = self
+                .open_hosts
+                .iter()
+                .filter(|(_, host)| self.may_serve_in_panic(host));
+            healthy.extend(suspicious.copied());
+        }
+        healthy
+    }
+
+    fn may_serve_in_panic(&self, host: &Host) -> bool {
+        if host.health.is_ejected() {
+            return !host.health.is_unresponsive() && !host.info.heartbeat_expired;
+        }
+        // With so many hosts without heartbeats it is rather the heartbeats that fail.
+        host.is_unreachable(self.now)
+    }
+
+    /// Where no host is healthy: those that aren't ejected, or else those with the mildest ejection.
+    fn least_bad_hosts(&self) -> Vec<(HostKey, &'a Host)> {
+        let not_ejected: Vec<(HostKey, &Host)> = self
+            .open_hosts
+            .iter()
+            .filter(|(_, host)| !host.health.is_ejected())
+            .copied()
+            .collect();
+        if !not_ejected.is_empty() {
+            return not_ejected;
+        }
+        let severities = self
+            .open_hosts
+            .iter()
+            .map(|(_, host)| host.health.severity());
+        let mildest = severities.min();
+        self.open_hosts
+            .iter()
+            .filter(|(_, host)| Some(host.health.severity()) == mildest)
+            .copied()
+            .collect()
+    }
+
+    /// Time until the first of the hosts that rejected a request may take one again.
+    pub(super) fn first_overload_end(&self) -> Duration {
+        self.hosts
+            .iter()
+            .filter_map(|(_, host)| host.overloaded_until)
+            .map(|until| until.saturating_sub(self.now))
+            .min()
+            .unwrap_or(Duration::ZERO)
+    }
+}
+
+/// The healthy host that comes first in the prompt's affinity order. Hosts that this request was sent to before count
+/// too: the host is the one that others send such prompts to.
+fn find_affinity_host(
+    now: Duration,
+    service: &Service,
+    request: &RequestContext,
+    hosts: &[(HostKey, &Host)],
+) -> Option<HostKey> {
+    if !service.runs_model() {
+        return None;
+    }
+    let prompt = affinity_key(request.prompt_parts)?;
+    hosts
+        .iter()
+        .filter(|(_, host)| host.is_usable() && is_healthy(now, host))
+        .max_by_key(|(_, host)| weight(prompt, host.hash))
+        .map(|(key, _)| *key)
+}
+
+/// Whether a host is neither ejected nor unreachable.
+fn is_healthy(now: Duration, host: &Host) -> bool {
+    !host.health.is_ejected() && !host.is_unreachable(now)
+}
+
+/// Whether a host takes no more requests of this proxy now.
+fn is_full(now: Duration, service: &Service, host: &Host) -> bool {
+    let connection_limit = service
+        .info
+        .as_ref()
+        .map_or(u32::MAX, |info| info.connection_limit);
+    host.is_overloaded(now) || host.in_flight.len() as u32 >= connection_limit
+}
--- a/crates/balancing/src/random.rs
+++ b/crates/balancing/src/random.rs
@@ -7,17 +7,19 @@
     n ^ (n >> 31)
 }
 
-/// SplitMix64.
-pub(crate) struct Random(u64);
+/// Random numbers by SplitMix64.
+pub(crate) struct Random {
+    state: u64,
+}
 
 impl Random {
     pub(crate) fn new(seed: u64) -> Self {
-        Self(seed)
+        Self { state: seed }
     }
 
-    /// A number below `n`; 0 where `n` is 0.
-    pub(crate) fn below(&mut self, n: usize) -> usize {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        ((u128::from(mix(self.0)) * n as u128) >> 64) as usize
+    /// A number below `limit`; 0 where `limit` is 0.
+    pub(crate) fn below(&mut self, limit: usize) -> usize {
+        self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        ((u128::from(mix(self.state)) * limit as u128) >> 64) as usize
     }
 }
--- a/crates/balancing/src/service.rs
+++ b/crates/balancing/src/service.rs
@@ -1,51 +1,70 @@
-//! What is believed of a service: its hosts, its idle list, its usual times.
+//! What is known of a service: its hosts, its idle list, its usual latencies.
 
-use crate::budget::Budget;
+use crate::host::HostKey;
+use crate::retry_budget::RetryBudget;
+use crate::statistics::{LinearTrend, QuantileEstimate};
 use crate::types::ServiceInfo;
-use crate::window::{Line, Quantile};
-use idle_list::{IdleList, ENTRY_AGE};
+use idle_list::{IdleList, DEFAULT_MAX_AGE};
 use std::time::Duration;
 
-/// Times assumed until answers tell: a first event without reading, in ms, and the reading of a token.
-const BASE_MS: f64 = 30.0;
-const TOKEN_MS: f64 = 0.0125;
-/// How many times the reckoned time nearly all answers take, assumed at first.
-const SPREAD: f64 = 2.5;
+/// Time to the first event without prefill, in ms, assumed until answers tell.
+const ASSUMED_BASE_LATENCY_MS: f64 = 30.0;
+/// Prefill time of one token, in ms, assumed until answers tell.
+const ASSUMED_PREFILL_MS_PER_TOKEN: f64 = 0.0125;
+/// The attempt time-out builds on the latency that this share of answers stays below.
+const LATENCY_QUANTILE: f64 = 0.97;
+/// Ratio of actual to estimated latency at that quantile, assumed until answers tell.
+const ASSUMED_LATENCY_RATIO: f64 = 2.5;
 
+/// Number of a service in [`BalancerState::services`](crate::state::BalancerState::services).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct ServiceKey(pub(crate) usize);
+
+/// A service that is configured, has hosts, or had requests lately.
 pub(crate) struct Service {
-    /// What is configured; `None` where only hosts tell of it.
+    /// Its configuration; `None` where only hosts or requests name it.
     pub(crate) info: Option<ServiceInfo>,
-    /// Its hosts' keys.
-    pub(crate) hosts: Vec<usize>,
-    pub(crate) idle: IdleList<usize>,
-    pub(crate) budget: Budget,
-    /// Time to the first event by tokens to be read, in ms.
-    pub(crate) times: Line,
-    /// Times taken over those reckoned: nearly all are below.
-    pub(crate) spread: Quantile,
+    pub(crate) hosts: Vec<HostKey>,
+    pub(crate) idle_hosts: IdleList<HostKey>,
+    pub(crate) retry_budget: RetryBudget,
+    /// Time to the first event in ms, by the tokens that are prefilled.
+    pub(crate) first_event_latency: LinearTrend,
+    /// Actual latency over the estimated one.
+    pub(crate) latency_ratio: QuantileEstimate,
 }
 
 impl Service {
-    pub(crate) fn new(window: Duration) -> Self {
+    pub(crate) fn new(retry_window: Duration) -> Self {
         Self {
             info: None,
             hosts: Vec::new(),
-            idle: IdleList::new(ENTRY_AGE),
-            budget: Budget::new(window),
-            times: Line::new(BASE_MS, TOKEN_MS),
-            spread: Quantile::new(0.97, SPREAD),
+            idle_hosts: IdleList::new(DEFAULT_MAX_AGE),
+            retry_budget: RetryBudget::new(retry_window),
+            first_event_latency: LinearTrend::new(
+                ASSUMED_BASE_LATENCY_MS,
+                ASSUMED_PREFILL_MS_PER_TOKEN,
+            ),
+            latency_ratio: QuantileEstimate::new(LATENCY_QUANTILE, ASSUMED_LATENCY_RATIO),
         }
     }
 
-    /// Whether its hosts run a model and keep parts of prompts.
-    pub(crate) fn model(&self) -> bool {
-        self.info
-            .as_ref()
-            .is_some_and(|i| i.cache_capacity_tokens.is_some())
+    /// Whether the hosts run a model and have a prefix cache.
+    pub(crate) fn runs_model(&self) -> bool {
+        self.cache_capacity_tokens().is_some()
+    }
+
+    /// Capacity of one host's prefix cache; `None` where the hosts run no model.
+    pub(crate) fn cache_capacity_tokens(&self) -> Option<f64> {
+        self.info.as_ref()?.cache_capacity_tokens
+    }
+
+    /// Time to the first event without waiting and prefill, in ms.
+    pub(crate) fn base_latency_ms(&self) -> f64 {
+        self.first_event_latency.intercept()
     }
 
-    /// Time to read so many tokens, in ms.
-    pub(crate) fn reading(&self, tokens: u32) -> f64 {
-        f64::from(tokens) * self.times.slope()
+    /// Prefill time of this many tokens, in ms.
+    pub(crate) fn prefill_ms(&self, tokens: u32) -> f64 {
+        f64::from(tokens) * self.first_event_latency.slope()
     }
 }
--- /dev/null
+++ b/crates/balancing/src/state/attempts.rs
@@ -0,0 +1,273 @@
+//! Attempts in flight: sent, answered, ended.
+
+use super::BalancerState;
+use crate::host::{Host, HostKey};
+use crate::host_choice::ChosenHost;
+use crate::outlier_ejection::HostError;
+use crate::time::as_ms;
+use crate::types::{AttemptId, HostChoice, HostLoad, Outcome, RequestContext};
+use std::time::Duration;
+
+/// A host that rejected a request gets no other one for this time.
+const OVERLOAD_BACKOFF: Duration = Duration::from_millis(100);
+/// A client that left after this time without a byte shows that the host is unresponsive.
+const CANCELLED_AS_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// `Priority` of the most urgent rank. 0 would be the first; the ends of the scale stay free.
+const BASE_PRIORITY: u32 = 2;
+/// Distance between the priorities of two ranks.
+const PRIORITY_PER_RANK: u32 = 2;
+/// Largest value that `Priority` may have.
+const MAX_PRIORITY: u32 = 9;
+
+/// An attempt in flight.
+#[derive(Debug)]
+pub(crate) struct AttemptRecord {
+    pub(crate) host: HostKey,
+    pub(crate) sent_at: Duration,
+    /// Time to the first event in ms, as estimated when it was sent.
+    pub(crate) estimated_latency_ms: f64,
+    /// How much of that is waiting.
+    estimated_wait_ms: f64,
+    uncached_tokens: u32,
+    /// Whether the answer has begun.
+    pub(crate) has_response: bool,
+    /// When the answer last went on after its beginning.
+    pub(crate) last_progress_at: Option<Duration>,
+    pub(crate) idempotent: bool,
+    /// Whether it probes an ejected host.
+    pub(crate) probe: bool,
+    /// Time to the deadline when it was sent.
+    pub(crate) time_remaining: Duration,
+}
+
+/// What an attempt's end tells of its host.
+struct EndedAttempt {
+    outcome: Outcome,
+    probe: bool,
+    /// Time in flight, without the time before this process last resumed.
+    age: Duration,
+    /// Whether nothing at all came from the host since the attempt was sent.
+    host_silent: bool,
+}
+
+impl BalancerState {
+    /// The attempts in flight at a host.
+    pub(crate) fn attempts_at<'a>(
+        &'a self,
+        host: &'a Host,
+    ) -> impl Iterator<Item = &'a AttemptRecord> {
+        let numbers = host.in_flight.iter();
+        numbers.filter_map(|number| self.attempts.get(*number))
+    }
+
+    /// Records that a request is sent to a host. `None` where the host is not known any more.
+    pub(crate) fn send(
+        &mut self,
+        now: Duration,
+        request: &RequestContext,
+        chosen: &ChosenHost,
+    ) -> Option<HostChoice> {
+        let host = self.hosts.get(chosen.host.0)?;
+        let service = self.services.get(host.service.0)?;
+        let runs_model = service.runs_model();
+        let wait_ms = self.expected_wait_ms(now, host);
+        let prefill_ms = service.prefill_ms(chosen.uncached_tokens);
+        let attempt = self.attempts.insert(AttemptRecord {
+            host: chosen.host,
+            sent_at: now,
+            estimated_latency_ms: wait_ms + service.base_latency_ms() + prefill_ms,
+            estimated_wait_ms: wait_ms,
+            uncached_tokens: chosen.uncached_tokens,
+            has_response: false,
+            last_progress_at: None,
+            idempotent: request.idempotent,
+            probe: chosen.probe,
+            time_remaining: request.time_remaining,
+        });
+        self.record_prompt(
+            now,
+            chosen.host,
+            request.prompt_parts,
+            chosen.uncached_tokens,
+        );
+        let host = self.hosts.get_mut(chosen.host.0)?;
+        host.in_flight.push(attempt);
+        if chosen.probe {
+            host.health.on_probe_sent();
+        }
+        Some(HostChoice::Selected {
+            attempt: AttemptId(attempt),
+            id: host.info.id.clone(),
+            addr: host.info.addr,
+            priority: runs_model.then(|| priority(request.rank)),
+        })
+    }
+
+    /// Records the beginning of an attempt's answer.
+    pub(crate) fn on_first_byte(&mut self, now: Duration, number: usize) {
+        let Some(attempt) = self.attempts.get_mut(number) else {
+            return;
+        };
+        if std::mem::replace(&mut attempt.has_response, true) {
+            return;
+        }
+        let key = attempt.host;
+        // The time of an answer that came during a stall of this process isn't known.
+        let is_timed = self.resumed_at <= attempt.sent_at;
+        let latency_ms = as_ms(now.saturating_sub(attempt.sent_at));
+        let late_ms = latency_ms - attempt.estimated_latency_ms;
+        let service_ms = latency_ms - attempt.estimated_wait_ms;
+        let latency_ratio = latency_ms / attempt.estimated_latency_ms.max(1.0);
+        let uncached_tokens = attempt.uncached_tokens;
+        self.clear_finished_prefill(now, key);
+        let Some(host) = self.hosts.get_mut(key.0) else {
+            return;
+        };
+        host.last_response_at = Some(now);
+        host.health.on_success();
+        if is_timed {
+            host.lateness.add(now, late_ms);
+            if let Some(service) = self.services.get_mut(host.service.0) {
+                let trend = &mut service.first_event_latency;
+                trend.add(f64::from(uncached_tokens), service_ms.max(0.0));
+                service.latency_ratio.add(latency_ratio);
+            }
+        }
+        self.refresh_idle_host(now, key);
+    }
+
+    /// Records that an attempt's answer goes on.
+    pub(crate) fn on_progress(&mut self, now: Duration, number: usize) {
+        let Some(attempt) = self.attempts.get_mut(number) else {
+            return;
+        };
+        attempt.last_progress_at = Some(now);
+        if let Some(host) = self.hosts.get_mut(attempt.host.0) {
+            host.last_response_at = Some(now);
+        }
+    }
+
+    /// Once none of this proxy's attempts at a host waits for its answer, the host's own backlog is over.
+    fn clear_finished_prefill(&mut self, now: Duration, key: HostKey) {
+        let Some(host) = self.hosts.get(key.0) else {
+            return;
+        };
+        if self.attempts_at(host).any(|attempt| !attempt.has_response) {
+            return;
+        }
+        if let Some(host) = self.hosts.get_mut(key.0) {
+            host.prefill_backlog.clear_own(now);
+        }
+    }
+
+    /// Records the end of an attempt.
+    pub(crate) fn on_attempt_ended(
+        &mut self,
+        now: Duration,
+        number: usize,
+        outcome: Outcome,
+        load: Option<HostLoad>,
+    ) {
+        if outcome == Outcome::Succeeded {
+            self.on_first_byte(now, number);
+        }
+        let Some(attempt) = self.attempts.try_remove(number) else {
+            return;
+        };
+        let key = attempt.host;
+        if let Some(host) = self.hosts.get_mut(key.0) {
+            host.in_flight.retain(|other| *other != number);
+        }
+        self.clear_finished_prefill(now, key);
+        let Some(host) = self.hosts.get_mut(key.0) else {
+            return;
+        };
+        let silent_since_sent = host
+            .last_response_at
+            .is_none_or(|last| last <= attempt.sent_at);
+        let ended = EndedAttempt {
+            outcome,
+            probe: attempt.probe,
+            age: now.saturating_sub(attempt.sent_at.max(self.resumed_at.min(now))),
+            host_silent: !attempt.has_response && silent_since_sent,
+        };
+        let may_be_idle = host.on_attempt_ended(now, &ended);
+        match load {
+            _ if !may_be_idle => self.mark_busy(now, key),
+            Some(load) => self.on_load_report(now, key, load),
+            None => self.refresh_idle_host(now, key),
+        }
+        self.drop_removed_host(key);
+    }
+}
+
+impl Host {
+    /// Updates what is known of the host by an attempt's end. Whether the host may be idle now.
+    fn on_attempt_ended(&mut self, now: Duration, ended: &EndedAttempt) -> bool {
+        if came_from_host(ended.outcome) {
+            self.last_response_at = Some(now);
+        }
+        match ended.outcome {
+            Outcome::Succeeded => {
+                self.health.on_success();
+                return true;
+            }
+            Outcome::Failed => self.health.on_error(now, HostError::ErrorResponse),
+            Outcome::Overloaded | Outcome::Rejected => {
+                self.health.on_success();
+                self.overloaded_until = Some(now + OVERLOAD_BACKOFF);
+            }
+            Outcome::Misdirected => {
+                self.misdirected = true;
+                self.end_probe_without_verdict(ended);
+            }
+            Outcome::ConnectFailed | Outcome::ConnectionLost => {
+                self.health.on_error(now, HostError::Connection);
+            }
+            Outcome::TimedOut if ended.host_silent => {
+                self.health.on_error(now, HostError::Timeout);
+            }
+            Outcome::TimedOut => {
+                self.lateness.add(now, as_ms(ended.age));
+                self.end_probe_without_verdict(ended);
+            }
+            Outcome::Cancelled if ended.host_silent && ended.age >= CANCELLED_AS_TIMEOUT => {
+                self.health.on_error(now, HostError::Timeout);
+            }
+            Outcome::Cancelled => {
+                self.end_probe_without_verdict(ended);
+                return true;
+            }
+        }
+        false
+    }
+
+    fn end_probe_without_verdict(&mut self, ended: &EndedAttempt) {
+        if ended.probe {
+            self.health.on_probe_inconclusive();
+        }
+    }
+}
+
+/// Whether an outcome shows that the host answered.
+fn came_from_host(outcome: Outcome) -> bool {
+    match outcome {
+        Outcome::Succeeded | Outcome::Failed | Outcome::Overloaded | Outcome::Rejected => true,
+        // Another host answered, or none did.
+        Outcome::Misdirected
+        | Outcome::ConnectFailed
+        | Outcome::ConnectionLost
+        | Outcome::TimedOut
+        | Outcome::Cancelled => false,
+    }
+}
+
+/// Value of `Priority` for a rank; the order of the ranks is kept.
+fn priority(rank: u32) -> u8 {
+    let priority = rank
+        .saturating_mul(PRIORITY_PER_RANK)
+        .saturating_add(BASE_PRIORITY)
+        .min(MAX_PRIORITY);
+    u8::try_from(priority).unwrap_or(u8::MAX)
+}
--- /dev/null
+++ b/crates/balancing/src/time.rs
@@ -0,0 +1,13 @@
+//! Conversions between durations and milliseconds.
+
+use std::time::Duration;
+
+/// A duration in ms.
+pub(crate) fn as_ms(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1000.0
+}
+
+/// A duration of this many ms; zero for negative numbers.
+pub(crate) fn from_ms(ms: f64) -> Duration {
+    Duration::from_secs_f64((ms / 1000.0).clamp(0.0, 1e6))
+}
--- a/crates/idle-list/src/lib.rs
+++ b/crates/idle-list/src/lib.rs
@@ -1,97 +1,107 @@
-//! The idle list (I-queue) of Join-Idle-Queue: which servers one dispatcher believes idle. It takes the time
-//! with each call (a duration since an origin that the caller chooses) and has no clock, no randomness and no
-//! I/O. Which entry wins is the caller's choice.
+//! The idle list of Join-Idle-Queue (there the I-queue): which servers one dispatcher believes idle. Source: Lu et al.,
+//! "Join-Idle-Queue: A novel load balancing algorithm for dynamically scalable web services", 2011.
+//!
+//! The list has no clock, no randomness and no I/O. Calls carry the time as a duration since an origin that the caller
+//! chooses. Which of the idle servers is used is the caller's choice.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Age at which an entry no longer counts, where the caller has no other.
-pub const ENTRY_AGE: Duration = Duration::from_secs(2);
+/// Age up to which a record counts, for callers that have no other bound.
+pub const DEFAULT_MAX_AGE: Duration = Duration::from_secs(2);
 
+/// What was last recorded of a server.
 #[derive(Clone, Copy, Debug)]
 struct Record {
     entries: u32,
-    listed: Duration,
+    recorded_at: Duration,
 }
 
-/// The idle list of one service at one dispatcher. A server may hold several entries: as many requests as it
-/// can take and still count as idle.
+/// The idle list of one service at one dispatcher.
 ///
-/// A server whose last entry was struck off stays **on record** until the record expires: nothing has been
-/// heard of it since, so there is no ground to list it again before.
+/// An idle server holds one or several entries: the number of requests that it can take and still count as idle. A
+/// server without entries keeps its record until the record expires. As nothing has been heard of the server since,
+/// there is no reason to list it again before.
 #[derive(Clone, Debug)]
 pub struct IdleList<K> {
     records: BTreeMap<K, Record>,
-    age: Duration,
+    max_age: Duration,
 }
 
 impl<K: Ord + Copy> IdleList<K> {
-    /// An empty list whose records expire `age` after they were made.
-    pub fn new(age: Duration) -> Self {
+    /// An empty list whose records count up to this age.
+    pub fn new(max_age: Duration) -> Self {
         Self {
             records: BTreeMap::new(),
-            age,
+            max_age,
         }
     }
 
-    /// Lists a server with so many entries, in place of what was there; 0 puts it on record as busy.
-    pub fn list(&mut self, now: Duration, server: K, entries: u32) {
+    /// Records a server with this many entries, in place of an earlier record; 0 stands for a busy server.
+    pub fn set_entries(&mut self, now: Duration, server: K, entries: u32) {
         self.records.insert(
             server,
             Record {
                 entries,
-                listed: now,
+                recorded_at: now,
             },
         );
     }
 
-    /// Strikes one entry of a server off; whether there was one.
-    pub fn strike(&mut self, now: Duration, server: K) -> bool {
-        let age = self.age;
-        match self.records.get_mut(&server) {
-            Some(r) if r.entries > 0 && now.saturating_sub(r.listed) <= age => {
-                r.entries -= 1;
-                true
-            }
-            _ => false,
+    /// Uses up one entry of a server; `false` where it has none.
+    pub fn take_entry(&mut self, now: Duration, server: K) -> bool {
+        let max_age = self.max_age;
+        let Some(record) = self.records.get_mut(&server) else {
+            return false;
+        };
+        if record.entries == 0 || !record.is_valid(now, max_age) {
+            return false;
         }
+        record.entries -= 1;
+        true
     }
 
-    /// Forgets a server: it drains, failed, or its address was passed on.
+    /// Removes the record of a server.
     pub fn remove(&mut self, server: K) {
         self.records.remove(&server);
     }
 
-    /// Drops all records made before a time: the dispatcher stalled and can't vouch for them.
-    pub fn drop_before(&mut self, time: Duration) {
-        self.records.retain(|_, r| r.listed >= time);
+    /// Removes all records made before this time: the dispatcher stalled, and what it knew is out of date.
+    pub fn remove_recorded_before(&mut self, time: Duration) {
+        self.records.retain(|_, record| record.recorded_at >= time);
     }
 
-    /// Entries of a server that count now.
+    /// Number of a server's entries; 0 without a valid record.
     pub fn entries(&self, now: Duration, server: K) -> u32 {
-        self.live(now, server).map_or(0, |r| r.entries)
+        self.valid_record(now, server)
+            .map_or(0, |record| record.entries)
     }
 
-    /// Whether a server is listed or was struck off or busy, and that is not too long ago.
-    pub fn on_record(&self, now: Duration, server: K) -> bool {
-        self.live(now, server).is_some()
+    /// Whether there is a valid record of a server, idle or not.
+    pub fn has_record(&self, now: Duration, server: K) -> bool {
+        self.valid_record(now, server).is_some()
     }
 
-    /// The servers believed idle, in the order of their keys.
-    pub fn idle(&self, now: Duration) -> impl Iterator<Item = K> + '_ {
-        let age = self.age;
-        let fresh = move |r: &Record| r.entries > 0 && now.saturating_sub(r.listed) <= age;
+    /// The servers that have entries, in the order of their keys.
+    pub fn idle_servers(&self, now: Duration) -> impl Iterator<Item = K> + '_ {
+        let max_age = self.max_age;
         self.records
             .iter()
-            .filter(move |(_, r)| fresh(r))
-            .map(|(k, _)| *k)
+            .filter(move |(_, record)| record.entries > 0 && record.is_valid(now, max_age))
+            .map(|(server, _)| *server)
     }
 
-    fn live(&self, now: Duration, server: K) -> Option<&Record> {
+    fn valid_record(&self, now: Duration, server: K) -> Option<&Record> {
         self.records
             .get(&server)
-            .filter(|r| now.saturating_sub(r.listed) <= self.age)
+            .filter(|record| record.is_valid(now, self.max_age))
+    }
+}
+
+impl Record {
+    fn is_valid(&self, now: Duration, max_age: Duration) -> bool {
+        now.saturating_sub(self.recorded_at) <= max_age
     }
 }
