--- a/crates/balancing/tests/common/mod.rs
+++ b/crates/balancing/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Shared by the tests: a policy with hosts, asks, and choices.
-#![allow(dead_code)]
+//! Shared by the tests: a load balancer with hosts, requests and choices.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use balancing::{
     AttemptId, HostChoice, HostInfo, LoadBalancer, LoadBalancerSettings, PromptPart,
@@ -51,21 +51,21 @@
     ]
 }
 
-/// A policy with `models` model hosts and `plains` plain ones, in three zones.
-pub fn policy(models: usize, plains: usize) -> (LoadBalancer, Vec<HostInfo>) {
-    let mut p = LoadBalancer::new(settings());
-    p.set_services(ms(0), &services());
-    p.set_proxy_count(ms(0), 6);
+/// A load balancer with `models` model hosts and `plains` plain ones, in three zones.
+pub fn balancer_with(models: usize, plains: usize) -> (LoadBalancer, Vec<HostInfo>) {
+    let mut balancer = LoadBalancer::new(settings());
+    balancer.set_services(ms(0), &services());
+    balancer.set_proxy_count(ms(0), 6);
     let mut hosts: Vec<_> = (0..models).map(|n| host("model", n, 3)).collect();
     hosts.extend((0..plains).map(|n| HostInfo {
         addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, n as u8 + 1), 8000),
         ..host("plain", n, 3)
     }));
-    p.set_hosts(ms(0), &hosts);
-    (p, hosts)
+    balancer.set_hosts(ms(0), &hosts);
+    (balancer, hosts)
 }
 
-pub const PLAIN: RequestContext = RequestContext {
+pub const PLAIN_REQUEST: RequestContext = RequestContext {
     service: "plain",
     rank: 0,
     idempotent: true,
@@ -79,27 +79,27 @@
     PromptPart { id, tokens }
 }
 
-pub fn prompt(parts: &[PromptPart]) -> RequestContext<'_> {
+pub fn model_request(parts: &[PromptPart]) -> RequestContext<'_> {
     RequestContext {
         service: "model",
         prompt_parts: parts,
         prompt_tokens: parts.iter().map(|p| p.tokens).sum(),
         time_remaining: ms(8000),
-        ..PLAIN
+        ..PLAIN_REQUEST
     }
 }
 
-pub fn sent(choice: HostChoice) -> (AttemptId, Arc<str>) {
+pub fn selected(choice: HostChoice) -> (AttemptId, Arc<str>) {
     match choice {
         HostChoice::Selected { attempt, id, .. } => (attempt, id),
         HostChoice::Unavailable { .. } => panic!("no host"),
     }
 }
 
-/// Calls the policy every 100 ms, as its shell does.
-pub fn pass(p: &mut LoadBalancer, from: u64, to: u64) {
+/// Ticks every 100 ms, as the proxy does.
+pub fn tick_until(balancer: &mut LoadBalancer, from: u64, to: u64) {
     for t in (from..to).step_by(100) {
-        p.tick(ms(t));
+        balancer.tick(ms(t));
     }
-    p.tick(ms(to));
+    balancer.tick(ms(to));
 }
--- a/crates/balancing/tests/model/engine.rs
+++ b/crates/balancing/tests/model/engine.rs
@@ -1,13 +1,13 @@
-//! One model host: a batch whose steps make a token for each request that runs and read a chunk of prompts in
-//! between; parts of prompts stay in memory until others need the room (least recently used goes first).
-//! Preemption isn't modelled: memory is waited for.
+//! A model host. Each step of its batch makes a token for each running request and prefills a chunk of prompts.
+//! Parts of prompts stay in the prefix cache until others need the space (LRU).
+//! Preemption isn't modelled: requests wait for space in the cache.
 
 use super::{from_ms, Time};
 use balancing::PromptPart;
 use std::collections::{BTreeMap, HashMap};
 
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct EngineProfile {
     pub batch: usize,
     pub queue: usize,
     pub step_ms: f64,
@@ -15,14 +15,14 @@
     pub context_ms_per_k: f64,
     pub tokens_per_ms: f64,
     pub pairs_ms_per_m: f64,
-    /// Time before a request reaches the queue.
-    pub first_ms: f64,
+    /// Time in ms before a request reaches the queue.
+    pub overhead_ms: f64,
     pub chunk: u32,
-    pub memory: u64,
-    /// Tokens of an event.
+    pub cache_capacity: u64,
+    /// Tokens in one event.
     pub stride: u32,
-    /// Whether answers tell the host's load.
-    pub tells: bool,
+    /// Whether answers carry a load report.
+    pub reports_load: bool,
 }
 
 struct Part {
@@ -38,42 +38,42 @@
     shared: usize,
     uncached_tokens: u32,
     context: u32,
-    made: u32,
-    out: u32,
+    output_tokens: u32,
+    max_output_tokens: u32,
 }
 
-/// What a step brought to an attempt.
-pub struct Made {
+/// An event that a step made for an attempt.
+pub struct StepOutput {
     pub attempt: usize,
     pub last: bool,
 }
 
 pub struct Engine {
-    pub figures: Figures,
+    pub profile: EngineProfile,
     /// In order of priority, then of arrival.
     waiting: BTreeMap<(u8, u64), Job>,
     running: Vec<Job>,
     parts: HashMap<u64, Part>,
     uses: BTreeMap<u64, u64>,
-    held: u64,
+    cached_tokens: u64,
     next: u64,
     chunk: u32,
     pub stepping: bool,
     pub busy: Time,
     pub tokens_read: u64,
-    /// Shared parts that were read: identity and tokens, taken by the world.
+    /// Shared parts that were prefilled; the simulation takes them.
     pub shared_read: Vec<PromptPart>,
 }
 
 impl Engine {
-    pub fn new(figures: Figures) -> Self {
+    pub fn new(profile: EngineProfile) -> Self {
         Self {
-            figures,
+            profile,
             waiting: BTreeMap::new(),
             running: Vec::new(),
             parts: HashMap::new(),
             uses: BTreeMap::new(),
-            held: 0,
+            cached_tokens: 0,
             next: 0,
             chunk: 0,
             stepping: false,
@@ -87,14 +87,20 @@
         (
             self.running.len() as u32,
             self.waiting.len() as u32,
-            self.figures.batch as u32,
+            self.profile.batch as u32,
         )
     }
 
-    /// Takes a request into the queue; false where that is full.
-    pub fn take(&mut self, attempt: usize, priority: u8, parts: &[PromptPart], out: u32) -> bool {
+    /// Puts a request into the queue; false where it is full.
+    pub fn submit(
+        &mut self,
+        attempt: usize,
+        priority: u8,
+        parts: &[PromptPart],
+        max_output_tokens: u32,
+    ) -> bool {
         let queued = self.waiting.len();
-        if queued >= self.figures.queue && self.running.len() >= self.figures.batch {
+        if queued >= self.profile.queue && self.running.len() >= self.profile.batch {
             return false;
         }
         self.next += 1;
@@ -105,8 +111,8 @@
             shared: parts.len().saturating_sub(1),
             uncached_tokens: context,
             context,
-            made: 0,
-            out,
+            output_tokens: 0,
+            max_output_tokens,
         };
         self.waiting.insert((priority, self.next), job);
         true
@@ -126,11 +132,11 @@
                 continue;
             };
             part.pins = part.pins.saturating_sub(1);
-            // Never read in full, and nobody reads it any more.
+            // Its prefill was never finished, and nobody continues it.
             if part.pins == 0 && !part.read {
                 let part = self.parts.remove(id).expect("found above");
                 self.uses.remove(&part.used);
-                self.held -= u64::from(part.tokens);
+                self.cached_tokens -= u64::from(part.tokens);
             }
         }
     }
@@ -142,7 +148,7 @@
             self.uses.remove(&part.used);
             (part.used, part.pins) = (used, part.pins + 1);
         } else {
-            self.held += u64::from(tokens);
+            self.cached_tokens += u64::from(tokens);
             self.parts.insert(
                 id,
                 Part {
@@ -156,9 +162,9 @@
         self.uses.insert(used, id);
     }
 
-    /// Makes room for so many tokens more; false where running requests hold too much.
+    /// Evicts parts until this many more tokens fit; false where running requests use too much.
     fn make_room(&mut self, tokens: u64) -> bool {
-        while self.held + tokens > self.figures.memory {
+        while self.cached_tokens + tokens > self.profile.cache_capacity {
             let free = self
                 .uses
                 .iter()
@@ -168,13 +174,13 @@
                 return self.running.is_empty();
             };
             self.uses.remove(&used);
-            self.held -= self.parts.remove(&id).map_or(0, |p| u64::from(p.tokens));
+            self.cached_tokens -= self.parts.remove(&id).map_or(0, |p| u64::from(p.tokens));
         }
         true
     }
 
     fn admit(&mut self) {
-        while self.running.len() < self.figures.batch {
+        while self.running.len() < self.profile.batch {
             let Some((&key, job)) = self.waiting.iter().next() else {
                 return;
             };
@@ -193,7 +199,7 @@
                 .iter()
                 .take_while(|p| self.parts.get(&p.id).is_some_and(|k| k.read));
             let (count, tokens) = kept.fold((0, 0), |(n, t), p| (n + 1, t + p.tokens));
-            // The last token is always read, as the first one made follows from it.
+            // The last token is always prefilled, as the first output token follows from it.
             job.uncached_tokens = (job.context - tokens).max(1);
             self.shared_read
                 .extend(&job.parts[count.min(job.shared)..job.shared]);
@@ -205,13 +211,13 @@
         }
     }
 
-    /// Begins a step; how long it lasts, or `None` where there is nothing to do.
-    pub fn begin(&mut self) -> Option<Time> {
+    /// Begins a step. Returns its length, or `None` where there is nothing to do.
+    pub fn begin_step(&mut self) -> Option<Time> {
         self.admit();
         if self.running.is_empty() {
             return None;
         }
-        let f = self.figures;
+        let f = self.profile;
         let (mut chunk, mut pairs, mut slots, mut context) = (0, 0.0, 0, 0.0);
         for job in &self.running {
             if job.uncached_tokens > 0 {
@@ -220,7 +226,7 @@
                 pairs += f64::from(read) * f64::from(job.context - job.uncached_tokens) / 1e6;
             } else {
                 slots += 1;
-                context += f64::from(job.context + job.made) / 1000.0;
+                context += f64::from(job.context + job.output_tokens) / 1000.0;
             }
         }
         self.chunk = chunk;
@@ -234,10 +240,10 @@
         Some(from_ms(time))
     }
 
-    /// Ends the step; what it made.
-    pub fn end(&mut self) -> Vec<Made> {
+    /// Ends the step. Returns the events that it made.
+    pub fn end_step(&mut self) -> Vec<StepOutput> {
         self.stepping = false;
-        let (mut made, mut chunk) = (Vec::new(), self.chunk);
+        let (mut output_tokens, mut chunk) = (Vec::new(), self.chunk);
         let mut done = Vec::new();
         for job in &mut self.running {
             if job.uncached_tokens > 0 {
@@ -251,10 +257,10 @@
                     self.parts.entry(*id).and_modify(|p| p.read = true);
                 }
             }
-            job.made += 1;
-            let last = job.made >= job.out;
-            if last || job.made % self.figures.stride == 0 {
-                made.push(Made {
+            job.output_tokens += 1;
+            let last = job.output_tokens >= job.max_output_tokens;
+            if last || job.output_tokens % self.profile.stride == 0 {
+                output_tokens.push(StepOutput {
                     attempt: job.attempt,
                     last,
                 });
@@ -266,6 +272,6 @@
         for attempt in done {
             self.drop_attempt(attempt);
         }
-        made
+        output_tokens
     }
 }
--- a/crates/balancing/tests/model/mod.rs
+++ b/crates/balancing/tests/model/mod.rs
@@ -1,14 +1,14 @@
-//! A queueing model of model hosts behind several proxies: batches, prompts read in chunks between tokens, kept
-//! prompt parts. It runs on its own clock; the same seed gives the same run.
-#![allow(dead_code)]
+//! A queueing model of model hosts behind several proxies: batches, prefill in chunks between tokens, prefix
+//! caches. It runs on a clock of its own; the same seed gives the same run.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use balancing::PromptPart;
 
 pub mod engine;
 pub mod report;
 pub mod router;
+pub mod simulation;
 pub mod traffic;
-pub mod world;
 
 /// Microseconds since the run began.
 pub type Time = u64;
--- a/crates/balancing/tests/model/router.rs
+++ b/crates/balancing/tests/model/router.rs
@@ -1,4 +1,4 @@
-//! What picks hosts: the policy, or one of two baselines.
+//! What chooses hosts: the load balancer, or one of two baselines.
 
 use super::Time;
 use balancing::{
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Strategy {
     Policy,
     /// Any host at random.
     Random,
@@ -26,14 +26,14 @@
 
 pub enum Router {
     Policy(Box<LoadBalancer>),
-    Plain(Plain),
+    Baseline(Baseline),
 }
 
 #[derive(Default)]
-pub struct Plain {
+pub struct Baseline {
     least: bool,
     hosts: Vec<HostInfo>,
-    out: HashMap<Arc<str>, u32>,
+    max_output_tokens: HashMap<Arc<str>, u32>,
     attempts: Vec<Arc<str>>,
     seed: u64,
 }
@@ -47,17 +47,23 @@
 pub const SERVICE: &str = "model";
 
 impl Router {
-    pub fn new(way: Way, number: usize, proxies: usize, memory: u64, now: Time) -> Self {
-        let seed = 1000 + number as u64 + now;
-        if way != Way::Policy {
-            return Self::Plain(Plain {
-                least: way == Way::LeastLoaded,
+    pub fn new(
+        strategy: Strategy,
+        index: usize,
+        proxies: usize,
+        cache_capacity: u64,
+        now: Time,
+    ) -> Self {
+        let seed = 1000 + index as u64 + now;
+        if strategy != Strategy::Policy {
+            return Self::Baseline(Baseline {
+                least: strategy == Strategy::LeastLoaded,
                 seed,
-                ..Plain::default()
+                ..Baseline::default()
             });
         }
         let mut policy = LoadBalancer::new(LoadBalancerSettings {
-            zone: format!("z{}", number % 3).into(),
+            zone: format!("z{}", index % 3).into(),
             retry_ratio: 0.2,
             retry_window: Duration::from_secs(10),
             retry_slack: 54.0,
@@ -66,7 +72,7 @@
         let info = ServiceInfo {
             name: SERVICE.into(),
             connection_limit: 620,
-            cache_capacity_tokens: Some(memory as f64),
+            cache_capacity_tokens: Some(cache_capacity as f64),
         };
         policy.set_services(at(now), &[info]);
         policy.set_proxy_count(at(now), proxies);
@@ -76,7 +82,7 @@
     pub fn set_hosts(&mut self, now: Time, hosts: &[HostInfo]) {
         match self {
             Self::Policy(p) => p.set_hosts(at(now), hosts),
-            Self::Plain(p) => p.hosts = hosts.to_vec(),
+            Self::Baseline(p) => p.hosts = hosts.to_vec(),
         }
     }
 
@@ -89,7 +95,7 @@
     pub fn withdraw_retry(&mut self, now: Time) -> bool {
         match self {
             Self::Policy(p) => p.withdraw_retry(at(now), SERVICE),
-            Self::Plain(_) => true,
+            Self::Baseline(_) => true,
         }
     }
 
@@ -108,7 +114,7 @@
                 }),
                 HostChoice::Unavailable { retry_after } => Err(retry_after),
             },
-            Self::Plain(p) => p.choose_host(ask).ok_or(Duration::from_millis(500)),
+            Self::Baseline(p) => p.choose_host(ask).ok_or(Duration::from_millis(500)),
         }
     }
 
@@ -130,9 +136,11 @@
     pub fn on_attempt_ended(&mut self, now: Time, attempt: usize, outcome: Outcome) {
         match self {
             Self::Policy(p) => p.on_attempt_ended(at(now), AttemptId(attempt), outcome, None),
-            Self::Plain(p) => {
+            Self::Baseline(p) => {
                 let id = p.attempts[attempt].clone();
-                p.out.entry(id).and_modify(|n| *n = n.saturating_sub(1));
+                p.max_output_tokens
+                    .entry(id)
+                    .and_modify(|n| *n = n.saturating_sub(1));
             }
         }
     }
@@ -141,7 +149,7 @@
     pub fn attempt_timeout(&self, now: Time, attempt: usize) -> Option<Duration> {
         match self {
             Self::Policy(p) => p.attempt_timeout(at(now), AttemptId(attempt)),
-            Self::Plain(_) => Some(Duration::from_secs(1)),
+            Self::Baseline(_) => Some(Duration::from_secs(1)),
         }
     }
 
@@ -152,7 +160,7 @@
     }
 }
 
-impl Plain {
+impl Baseline {
     fn choose_host(&mut self, ask: &RequestContext) -> Option<Sent> {
         let mut fit: Vec<&HostInfo> = self.hosts.iter().filter(|h| !h.draining).collect();
         fit.retain(|h| !ask.attempted_hosts.contains(&h.id));
@@ -160,7 +168,7 @@
             fit.retain(|h| !h.heartbeat_expired);
         }
         if self.least {
-            let own = |h: &HostInfo| self.out.get(&h.id).copied().unwrap_or(0);
+            let own = |h: &HostInfo| self.max_output_tokens.get(&h.id).copied().unwrap_or(0);
             let least = fit.iter().map(|h| own(h)).min()?;
             fit.retain(|h| own(h) == least);
         }
@@ -168,7 +176,7 @@
         let n = random.below(fit.len());
         let id = fit.get(n)?.id.clone();
         self.seed = random.next();
-        *self.out.entry(id.clone()).or_default() += 1;
+        *self.max_output_tokens.entry(id.clone()).or_default() += 1;
         self.attempts.push(id.clone());
         Some(Sent {
             attempt: self.attempts.len() - 1,
--- a/crates/balancing/tests/recorded_decisions.rs
+++ b/crates/balancing/tests/recorded_decisions.rs
@@ -78,18 +78,18 @@
 /// How often each output came, to show that the streams reach them all.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Counts {
-    sent: u32,
+    selected: u32,
     refused: u32,
     with_priority: u32,
     retries_allowed: u32,
     retries_denied: u32,
-    patience: u32,
-    no_patience: u32,
-    placements: u32,
+    timeouts: u32,
+    without_timeout: u32,
+    hints: u32,
 }
 
 struct Stream {
-    policy: LoadBalancer,
+    balancer: LoadBalancer,
     random: Lcg,
     digest: Digest,
     counts: Counts,
@@ -115,7 +115,7 @@
 
 impl Stream {
     fn new(seed: u64) -> Self {
-        let policy = LoadBalancer::new(LoadBalancerSettings {
+        let balancer = LoadBalancer::new(LoadBalancerSettings {
             zone: "a".into(),
             retry_ratio: 0.2,
             retry_window: Duration::from_secs(10),
@@ -123,7 +123,7 @@
             random_seed: seed,
         });
         let mut stream = Self {
-            policy,
+            balancer,
             random: Lcg(seed),
             digest: Digest(0xcbf2_9ce4_8422_2325),
             counts: Counts::default(),
@@ -133,13 +133,13 @@
             in_flight: Vec::new(),
         };
         if seed.is_multiple_of(2) {
-            stream.policy.set_first_start();
+            stream.balancer.set_first_start();
         }
         for n in 0..HOSTS_PER_SERVICE * 4 {
             stream.add_host((n % 4) as usize);
         }
-        stream.policy.set_services(stream.now, &service_infos());
-        stream.policy.set_hosts(stream.now, &stream.hosts);
+        stream.balancer.set_services(stream.now, &service_infos());
+        stream.balancer.set_hosts(stream.now, &stream.hosts);
         stream
     }
 
@@ -186,7 +186,7 @@
             3 => self.hosts[index].draining = true,
             4 => {
                 self.hosts[index].slow_start_remaining =
-                    Duration::from_millis(self.random.below(3000))
+                    Duration::from_millis(self.random.below(3000));
             }
             5..=7 => self.hosts[index].heartbeat_expired = true,
             8 => self
@@ -203,10 +203,10 @@
                 }
             }
         }
-        self.policy.set_hosts(self.now, &self.hosts);
+        self.balancer.set_hosts(self.now, &self.hosts);
     }
 
-    /// Parts of a prompt out of a small set, so that they are shared; the last one is the request's own.
+    /// Parts of a model_request out of a small set, so that they are shared; the last one is the request's own.
     fn parts(&mut self) -> Vec<PromptPart> {
         let group = self.random.below(12);
         let subject = self.random.below(5);
@@ -233,7 +233,7 @@
             0 => "unknown",
             n => SERVICES[(n % 4) as usize],
         };
-        self.policy.on_request(self.now, service);
+        self.balancer.on_request(self.now, service);
         let parts = if service.ends_with("model") {
             self.parts()
         } else {
@@ -250,7 +250,7 @@
             if round > 0 && !self.take_retry(service) {
                 return;
             }
-            let ask = RequestContext {
+            let request = RequestContext {
                 service,
                 rank,
                 idempotent,
@@ -259,12 +259,12 @@
                 time_remaining,
                 attempted_hosts: &tried,
             };
-            let choice = self.policy.choose_host(self.now, &ask);
+            let choice = self.balancer.choose_host(self.now, &request);
             let Some((attempt, host)) = self.record_choice(choice) else {
                 return;
             };
             self.in_flight.push(attempt);
-            self.record_patience(attempt);
+            self.record_timeout(attempt);
             tried.push(host);
             if !self.random.one_in(5) {
                 return;
@@ -273,7 +273,7 @@
     }
 
     fn take_retry(&mut self, service: &str) -> bool {
-        let allowed = self.policy.withdraw_retry(self.now, service);
+        let allowed = self.balancer.withdraw_retry(self.now, service);
         self.digest.number(u64::from(allowed));
         if allowed {
             self.counts.retries_allowed += 1;
@@ -291,13 +291,13 @@
                 addr,
                 priority,
             } => {
-                self.counts.sent += 1;
+                self.counts.selected += 1;
                 self.counts.with_priority += u32::from(priority.is_some());
                 self.digest.number(attempt.0 as u64);
                 self.digest.text(&id);
                 self.digest.text(&addr.to_string());
                 self.digest.number(priority.map_or(u64::MAX, u64::from));
-                self.record_placement();
+                self.record_hint();
                 Some((attempt, id))
             }
             HostChoice::Unavailable { retry_after } => {
@@ -309,12 +309,12 @@
         }
     }
 
-    fn record_placement(&mut self) {
-        if let Some(placement) = self.policy.take_prefix_hint() {
-            self.counts.placements += 1;
-            self.digest.text(&placement.host_id);
-            self.digest.number(u64::from(placement.uncached_tokens));
-            self.record_parts(&placement.prefix);
+    fn record_hint(&mut self) {
+        if let Some(hint) = self.balancer.take_prefix_hint() {
+            self.counts.hints += 1;
+            self.digest.text(&hint.host_id);
+            self.digest.number(u64::from(hint.uncached_tokens));
+            self.record_parts(&hint.prefix);
         }
     }
 
@@ -325,24 +325,21 @@
         }
     }
 
-    fn record_patience(&mut self, attempt: AttemptId) {
-        match self.policy.attempt_timeout(self.now, attempt) {
-            Some(patience) => {
-                self.counts.patience += 1;
-                self.digest.duration(patience);
-            }
-            None => {
-                self.counts.no_patience += 1;
-                self.digest.number(u64::MAX);
-            }
+    fn record_timeout(&mut self, attempt: AttemptId) {
+        if let Some(timeout) = self.balancer.attempt_timeout(self.now, attempt) {
+            self.counts.timeouts += 1;
+            self.digest.duration(timeout);
+        } else {
+            self.counts.without_timeout += 1;
+            self.digest.number(u64::MAX);
         }
     }
 
-    /// All that the policy believes to be cached, in an order of its own.
+    /// All that the load balancer believes to be cached.
     fn record_cached(&mut self) {
-        for placement in self.policy.cached_prefixes() {
-            self.digest.text(&placement.host_id);
-            self.record_parts(&placement.prefix);
+        for hint in self.balancer.cached_prefixes() {
+            self.digest.text(&hint.host_id);
+            self.record_parts(&hint.prefix);
         }
     }
 
@@ -369,13 +366,13 @@
             return;
         };
         match self.random.below(10) {
-            0..=2 => self.policy.on_first_byte(self.now, attempt),
-            3..=4 => self.policy.on_progress(self.now, attempt),
+            0..=2 => self.balancer.on_first_byte(self.now, attempt),
+            3..=4 => self.balancer.on_progress(self.now, attempt),
             5 => {
                 let load = self.load();
-                self.policy.on_load_report(self.now, attempt, load);
+                self.balancer.on_load_report(self.now, attempt, load);
             }
-            6 => self.record_patience(attempt),
+            6 => self.record_timeout(attempt),
             _ => {
                 let outcome = match self.random.below(5) {
                     0 => OUTCOMES[self.random.below(9) as usize],
@@ -383,7 +380,7 @@
                 };
                 let load = self.random.one_in(3).then(|| self.load());
                 self.in_flight.swap_remove(index);
-                self.policy
+                self.balancer
                     .on_attempt_ended(self.now, attempt, outcome, load);
             }
         }
@@ -393,7 +390,7 @@
     fn end_oldest(&mut self) {
         while self.in_flight.len() > 60 {
             let attempt = self.in_flight.remove(0);
-            self.policy
+            self.balancer
                 .on_attempt_ended(self.now, attempt, Outcome::Succeeded, None);
         }
     }
@@ -403,30 +400,31 @@
         let host = self.hosts[index].id.clone();
         let parts = self.parts();
         let unread = self.random.below(200_000) as u32;
-        self.policy.on_prefix_hint(self.now, &host, &parts, unread);
+        self.balancer
+            .on_prefix_hint(self.now, &host, &parts, unread);
     }
 
     fn change_settings(&mut self) {
         match self.random.below(4) {
             0 => {
                 let count = self.random.below(9) as usize;
-                self.policy.set_proxy_count(self.now, count);
+                self.balancer.set_proxy_count(self.now, count);
             }
             1 => {
                 let mut services = service_infos();
                 if self.random.one_in(3) {
                     services.remove(self.random.below(4) as usize);
                 }
-                self.policy.set_services(self.now, &services);
+                self.balancer.set_services(self.now, &services);
             }
             2 => {
                 // An empty list of hosts to be asked for their load was recorded here.
-                self.policy.tick(self.now);
+                self.balancer.tick(self.now);
                 self.digest.number(0);
             }
             _ => {
                 let all = self.random.below(3) > 0;
-                self.policy.set_hints_complete(self.now, all);
+                self.balancer.set_hints_complete(self.now, all);
             }
         }
     }
@@ -450,7 +448,7 @@
             2 => self.change_settings(),
             3 => self.record_cached(),
             4..=11 => self.hint(),
-            12..=25 => self.policy.tick(self.now),
+            12..=25 => self.balancer.tick(self.now),
             26..=85 => self.choose(),
             _ => self.answer(),
         }
@@ -479,14 +477,14 @@
     assert_eq!(digests, recorded, "{digests:#018x?}");
     assert!(
         [
-            counts.sent,
+            counts.selected,
             counts.refused,
             counts.with_priority,
             counts.retries_allowed,
             counts.retries_denied,
-            counts.patience,
-            counts.no_patience,
-            counts.placements,
+            counts.timeouts,
+            counts.without_timeout,
+            counts.hints,
         ]
         .iter()
         .all(|count| *count >= 20),
