--- a/crates/control-plane/src/shell/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -1,6 +1,6 @@
 //! What is told of the member: to callers, to the mirror that others pull from, and as counters in the log.
 
-use super::control::ControlCounters;
+use super::control_server::ControlCounters;
 use super::event_loop::EventLoop;
 use protocol::{MemberInfo, MembershipConfig};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 /// What the mirror was told of the control plane.
 #[derive(Default, PartialEq)]
-pub(super) struct ShownFleet {
+pub(super) struct PublishedControlPlane {
     epoch: u64,
     primary: u64,
     members: Vec<MemberInfo>,
@@ -62,7 +62,7 @@
             .filter(|s| view.seat(s.id).is_none())
             .cloned();
         let members = view.voters.iter().map(seat).chain(others).collect();
-        let known = ShownFleet {
+        let known = PublishedControlPlane {
             epoch: view.epoch,
             primary: view.primary,
             members,
