--- a/crates/proxy/src/exchange/streaming.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -7,7 +7,7 @@
 use crate::response_progress::ConnectionOutcome;
 use crate::upstream::acquire;
 use crate::upstream::connection::UpstreamConnection;
-use balancing::{Load, Outcome};
+use balancing::{HostLoad, Outcome};
 use bytes::{Bytes, BytesMut};
 use configuration::Route;
 use http1::{BodyDecoder, ResponseHead};
@@ -34,7 +34,7 @@
         picked: Picked,
         head: ResponseHead,
         stray: bool,
-        load: Option<Load>,
+        load: Option<HostLoad>,
         mut watch: HostWait,
     ) -> AttemptResult {
         picked.out.told(load);
@@ -86,7 +86,7 @@
         if !stray {
             acquire::keep(self.state, &picked.id, connection, &head);
         }
-        picked.out.end(Outcome::Done, None);
+        picked.out.end(Outcome::Succeeded, None);
         let rest = splitter.take_incomplete();
         if !rest.is_empty() && !writer.write(self, &head, &rest).await {
             return AttemptResult::Answered(ConnectionOutcome::Cut);
--- a/crates/proxy/src/hints/listener.rs
+++ b/crates/proxy/src/hints/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::hints::publisher::{of, DATAGRAM};
 use crate::state::ProxyState;
-use balancing::Placement;
+use balancing::{PrefixHint, PromptPart};
 use protocol::Message;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -33,13 +33,13 @@
         match message {
             Message::PromptPlaced { placement, unread } => {
                 let mut policy = state.policy.borrow_mut();
-                policy.overheard(state.now(), &placement.host, &parts(&placement), unread);
+                policy.on_prefix_hint(state.now(), &placement.host, &parts(&placement), unread);
             }
             Message::Placements { placements } => {
                 let mut policy = state.policy.borrow_mut();
                 placements
                     .iter()
-                    .for_each(|p| policy.overheard(state.now(), &p.host, &parts(p), 0));
+                    .for_each(|p| policy.on_prefix_hint(state.now(), &p.host, &parts(p), 0));
             }
             Message::PlacementsRequest { .. } => recall(&state, &socket, from),
             _ => state.counters.add(|c| c.bad_hints += 1),
@@ -48,7 +48,7 @@
 }
 
 fn recall(state: &ProxyState, socket: &UdpSocket, to: SocketAddr) {
-    let kept = state.policy.borrow().kept();
+    let cached = state.policy.borrow().cached_prefixes();
     let mut placements: Vec<protocol::Placement> = Vec::new();
     let mut size = 0;
     let send = |placements: &mut Vec<protocol::Placement>| {
@@ -57,15 +57,15 @@
         };
         let _ = socket.try_send_to(&protocol::encode(&message), to);
     };
-    for Placement {
-        host, parts: all, ..
-    } in kept
+    for PrefixHint {
+        host_id, prefix, ..
+    } in cached
     {
-        for some in all.chunks(ENTRY_PARTS) {
-            let one = of(&Placement {
-                host: Arc::clone(&host),
-                parts: some.to_vec(),
-                unread: 0,
+        for some in prefix.chunks(ENTRY_PARTS) {
+            let one = of(&PrefixHint {
+                host_id: Arc::clone(&host_id),
+                prefix: some.to_vec(),
+                uncached_tokens: 0,
             });
             let length = 8 + one.host.len() + 12 * one.parts.len();
             if length > DATAGRAM - FRAME {
@@ -85,6 +85,10 @@
     }
 }
 
-fn parts(placement: &protocol::Placement) -> Vec<(u64, u32)> {
-    placement.parts.iter().map(|p| (p.id, p.tokens)).collect()
+fn parts(placement: &protocol::Placement) -> Vec<PromptPart> {
+    let part = |part: &protocol::Part| PromptPart {
+        id: part.id,
+        tokens: part.tokens,
+    };
+    placement.parts.iter().map(part).collect()
 }
