--- a/crates/proxy/src/exchange/buffered.rs
+++ b/crates/proxy/src/exchange/buffered.rs
@@ -7,7 +7,7 @@
 use crate::retry::AttemptOutcome;
 use crate::upstream::acquire;
 use crate::upstream::connection::UpstreamConnection;
-use balancing::{Load, Outcome};
+use balancing::{HostLoad, Outcome};
 use bytes::{Bytes, BytesMut};
 use http1::{BodyDecoder, Framing, ResponseHead};
 use tokio::time::timeout_at;
@@ -20,7 +20,7 @@
         picked: Picked,
         head: ResponseHead,
         stray: bool,
-        load: Option<Load>,
+        load: Option<HostLoad>,
         mut watch: HostWait,
     ) -> AttemptResult {
         // Quick failures must not make a host look well.
@@ -46,7 +46,7 @@
         let out = out.freeze();
         if head.status < 500 {
             let outcome = if head.status < 400 {
-                Outcome::Done
+                Outcome::Succeeded
             } else {
                 Outcome::Failed
             };
@@ -98,7 +98,7 @@
             }
             match timeout_at(self.end() + DEADLINE_SLACK, connection.piece(&mut body)).await {
                 Ok(Ok(Some(_))) if self.overtime() => {
-                    picked.out.end(Outcome::Silent, None);
+                    picked.out.end(Outcome::TimedOut, None);
                     return AttemptResult::Answered(ConnectionOutcome::Cut);
                 }
                 Ok(Ok(Some(data))) => {
@@ -112,7 +112,7 @@
                     return AttemptResult::Answered(ConnectionOutcome::Cut);
                 }
                 Err(_) => {
-                    picked.out.end(Outcome::Silent, None);
+                    picked.out.end(Outcome::TimedOut, None);
                     return AttemptResult::Answered(ConnectionOutcome::Cut);
                 }
             }
@@ -122,7 +122,7 @@
         }
         picked.out.end(
             if head.status < 400 {
-                Outcome::Done
+                Outcome::Succeeded
             } else {
                 Outcome::Failed
             },
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -10,7 +10,7 @@
 
 use self::client_writer::Writer;
 use self::host_wait::{HostWait, Stop};
-use self::prompt_headers::{load, parts, tokens};
+use self::prompt_headers::{load, parts, prompt_tokens};
 use self::response_matching::refuses;
 use crate::client::request::Request;
 use crate::event_stream::EventOffset;
@@ -19,7 +19,7 @@
 use crate::retry::{AttemptOutcome, RetryDecision, RetryState};
 use crate::routes;
 use crate::state::{OpenAttempt, ProxyState};
-use balancing::{Ask, Choice, Outcome};
+use balancing::{HostChoice, Outcome, PromptPart, RequestContext};
 use bytes::Bytes;
 use configuration::{ResultCode, Route, RouteKind};
 use http1::ResponseHead;
@@ -91,7 +91,7 @@
         // Whoever asks again reaches another machine, which may serve at once.
         return refuse(ResultCode::Leaving, Some(RETRY_AFTER.0)).await;
     }
-    state.policy.borrow_mut().arrived(state.now(), service);
+    state.policy.borrow_mut().on_request(state.now(), service);
     let trial = RetryState::new(route.idempotent(), route.max_tries, deadline);
     let mut exchange = Exchange {
         state,
@@ -103,7 +103,7 @@
         trial,
         tried: Vec::new(),
         parts: parts(fields.get_str("fennelpin-prompt-prefix")),
-        tokens: tokens(fields.get_str("fennelpin-token-counts")),
+        prompt_tokens: prompt_tokens(fields.get_str("fennelpin-token-counts")),
         place: EventOffset::after(fields.get_str("last-event-id")),
         begun: Cell::new(None),
         kept: None,
@@ -161,8 +161,8 @@
     service: &'a str,
     trial: RetryState,
     tried: Vec<Arc<str>>,
-    parts: Vec<(u64, u32)>,
-    tokens: (u32, u32),
+    parts: Vec<PromptPart>,
+    prompt_tokens: u32,
     place: EventOffset,
     /// How the answer goes to the client, once its head has gone.
     begun: Cell<Option<Writer>>,
@@ -204,36 +204,32 @@
         }
         let mut policy = self.state.policy.borrow_mut();
         if self.trial.needs_retry_budget() {
-            if !policy.take_repeat(now, self.service) {
+            if !policy.withdraw_retry(now, self.service) {
                 return Err((self.trial.code_unless_run(ResultCode::BudgetSpent), None));
             }
             self.trial.record_budget_taken();
         }
-        let target = Duration::try_from_secs_f64(
-            self.route.target_ms.unwrap_or(self.route.deadline_ms) / 1e3,
-        );
-        let choice = policy.choose(
+        let choice = policy.choose_host(
             now,
-            &Ask {
+            &RequestContext {
                 service: self.service,
                 rank: self.route.rank,
                 idempotent: self.trial.idempotent(),
-                parts: &self.parts,
-                tokens: self.tokens,
-                target: target.unwrap_or(left),
-                left,
-                tried: &self.tried,
+                prompt_parts: &self.parts,
+                prompt_tokens: self.prompt_tokens,
+                time_remaining: left,
+                attempted_hosts: &self.tried,
             },
         );
         match choice {
-            Choice::Host {
+            HostChoice::Selected {
                 attempt,
                 id,
                 addr,
                 priority,
             } => {
-                if let Some(placement) = policy.take_placement() {
-                    self.state.hints.borrow().tell(&placement);
+                if let Some(hint) = policy.take_prefix_hint() {
+                    self.state.hints.borrow().tell(&hint);
                 }
                 Ok(Picked {
                     out: OpenAttempt::new(self.state, attempt),
@@ -242,7 +238,7 @@
                     priority,
                 })
             }
-            Choice::None { retry_after } => Err((
+            HostChoice::Unavailable { retry_after } => Err((
                 self.trial.code_unless_run(ResultCode::NoHost),
                 Some(retry_after),
             )),
@@ -287,11 +283,11 @@
             // Turned away for the version that its client expects, it says nothing of who the host is.
             let expects_version = self.request.head.fields.get("expect-version").is_some();
             let outcome = match head.status {
-                421 if !expects_version => Outcome::OtherHost,
-                429 | 503 => Outcome::Full,
-                _ => Outcome::TurnedAway,
+                421 if !expects_version => Outcome::Misdirected,
+                429 | 503 => Outcome::Overloaded,
+                _ => Outcome::Rejected,
             };
-            if outcome == Outcome::OtherHost {
+            if outcome == Outcome::Misdirected {
                 self.state.pool.borrow_mut().close_idle(&picked.id);
             } else {
                 self.drain(connection, picked.id.clone(), head, stray);
@@ -336,12 +332,12 @@
                 AttemptResult::Ended(AttemptOutcome::Broken)
             }
             Stop::Late => {
-                out.end(Outcome::Silent, None);
+                out.end(Outcome::TimedOut, None);
                 AttemptResult::Ended(AttemptOutcome::Broken)
             }
             // The caller drops the old connection before the new host is asked.
             Stop::Moved(next) => {
-                out.end(Outcome::Silent, None);
+                out.end(Outcome::TimedOut, None);
                 AttemptResult::Moved(next)
             }
         }
