--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -2,20 +2,20 @@
 
 use super::disk::After;
 use super::{Grant, Member, Output, PrimaryContact, Role};
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use protocol::{Change, LogPosition, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 use std::time::Duration;
 
 impl Member {
     /// Whether a promise to a candidate can be given now; else when asking again makes sense.
     fn may_promise(&self, candidate: u64) -> Result<(), Duration> {
-        let wait = self.config.lease / 2;
+        let wait = self.config.lease_duration / 2;
         // One that joins may be a voter without having been told yet: with no view of its own it can't know better
         // than whoever asks, and a promise never does harm.
         // Until a change of voters is settled, those who go count as well.
-        let counts = self.view.as_ref().is_none_or(|v| v.counts(self.me()));
+        let counts = self.view.as_ref().is_none_or(|v| v.has_vote(self.me()));
         let may_be_voter = counts && !self.given_up();
-        if !may_be_voter || !self.fit() {
+        if !may_be_voter || !self.disk_healthy() {
             return Err(wait);
         }
         let grant = self
@@ -26,7 +26,9 @@
             _ => None,
         };
         // What it granted before it was started again is not known.
-        let earlier = self.restarted.then_some(self.started + self.config.lease);
+        let earlier = self
+            .restarted
+            .then_some(self.started + self.config.lease_duration);
         let until = [grant.map(|g| g.until), own, earlier]
             .into_iter()
             .flatten()
@@ -56,9 +58,9 @@
     ) {
         self.see(seen);
         // Whoever has been left out since can't win, it would only hold the others up.
-        let left_out = |v: &MembershipConfig| v.epoch > view && v.seat(from.id).is_none();
+        let left_out = |v: &MembershipConfig| v.epoch > view && v.voter(from.id).is_none();
         let may = if self.view.as_ref().is_some_and(left_out) {
-            Err(4 * self.config.lease)
+            Err(4 * self.config.lease_duration)
         } else {
             self.may_promise(from.id)
                 .and_then(|()| self.may_prefer(from.id))
@@ -81,8 +83,8 @@
     ) {
         if epoch == self.promised && self.promised_to == Some(from.id) {
             // It is still at it: a ledger is on its way.
-            self.election_at = self.now + self.config.lease + self.election_delay();
-            self.held_back_until = self.now + self.config.lease / 2;
+            self.election_at = self.now + self.config.lease_duration + self.election_delay();
+            self.held_back_until = self.now + self.config.lease_duration / 2;
             return;
         }
         let wait = match self.may_promise(from.id) {
@@ -109,7 +111,7 @@
         self.see(epoch);
         if to.id != self.me() {
             self.step_down();
-            self.election_at = self.now + self.config.lease + self.election_delay();
+            self.election_at = self.now + self.config.lease_duration + self.election_delay();
         }
         self.write(&Record::Promised { epoch }, After::Promise { to, epoch });
     }
@@ -117,7 +119,7 @@
     pub(super) fn promise_written(&mut self, to: MemberInfo, epoch: u64, out: &mut Vec<Output>) {
         let (view, tag) = (self.view.clone(), self.tag());
         if to.id == self.me() {
-            let me = self.config.me.clone();
+            let me = self.config.local_member.clone();
             return self.on_promise(me, epoch, true, view.zip(Some(tag)), 0, out);
         }
         let message = Message::Promise {
@@ -136,7 +138,7 @@
         let view = self.view.as_ref()?;
         self.held.as_ref().map(|h| LogPosition {
             epoch: view.epoch,
-            seq: h.disk.seq,
+            index: h.disk.index,
         })
     }
 
@@ -168,7 +170,7 @@
         let held = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
         let copy = view.replicas.contains(&self.me());
         let ledger = snapshot.as_ref().map(ReplicatedState::of).transpose();
-        let fits = view.counts(self.me()) && epoch >= self.promised && copy == snapshot.is_some();
+        let fits = view.has_vote(self.me()) && epoch >= self.promised && copy == snapshot.is_some();
         match ledger {
             _ if held && epoch >= self.promised => {
                 let message = Message::InstallMembershipReply {
@@ -178,11 +180,11 @@
                 };
                 out.push(Output::Send { to: from, message });
             }
-            Ok(ledger) if fits && self.fit() => {
+            Ok(ledger) if fits && self.disk_healthy() => {
                 self.promised = epoch;
                 self.waits_for_slow_disks = false;
                 self.step_down();
-                self.election_at = self.now + self.config.lease + self.election_delay();
+                self.election_at = self.now + self.config.lease_duration + self.election_delay();
                 let record = Record::Accepted {
                     view: view.clone(),
                     snapshot,
@@ -212,7 +214,7 @@
         &mut self,
         from: MemberInfo,
         epoch: u64,
-        seq: u64,
+        index: u64,
         change: Change,
         out: &mut Vec<Output>,
     ) {
@@ -226,16 +228,17 @@
             .as_mut()
             .filter(|_| follows && self.promised == epoch);
         let message = match held {
-            Some(held) if seq <= held.disk.seq => Message::AppendReply {
+            Some(held) if index <= held.disk.index => Message::AppendReply {
                 epoch,
-                seq: held.disk.seq,
+                index: held.disk.index,
                 ok: true,
                 seen: self.promised,
             },
             // On its way to the disk.
-            Some(held) if seq <= held.head.seq => return,
+            Some(held) if index <= held.head.index => return,
             Some(held)
-                if seq == held.head.seq + 1 && self.disk.fit(self.now, self.config.stall) =>
+                if index == held.head.index + 1
+                    && self.disk.fit(self.now, self.config.disk_stall_timeout) =>
             {
                 match held.head.after(&change) {
                     Ok(next) => {
@@ -245,11 +248,18 @@
                             epoch,
                             ledger: Box::new(next),
                         };
-                        return self.write(&Record::Change { epoch, seq, change }, after);
+                        return self.write(
+                            &Record::Change {
+                                epoch,
+                                index,
+                                change,
+                            },
+                            after,
+                        );
                     }
                     Err(_) => Message::AppendReply {
                         epoch,
-                        seq,
+                        index,
                         ok: false,
                         seen: self.promised,
                     },
@@ -257,7 +267,7 @@
             }
             _ => Message::AppendReply {
                 epoch,
-                seq,
+                index,
                 ok: false,
                 seen: self.promised,
             },
@@ -281,7 +291,7 @@
         let ok = follows && self.promised == epoch && !self.given_up();
         if ok {
             self.withdraw_candidacy();
-            let until = self.now + self.config.lease;
+            let until = self.now + self.config.lease_duration;
             self.grant = Some(Grant {
                 to: from.id,
                 epoch,
@@ -290,7 +300,7 @@
             self.election_at = until + self.election_delay();
             self.take_proof(told.0, told.1);
         }
-        let fit = self.fit() && self.departure.is_none();
+        let fit = self.disk_healthy() && self.departure.is_none();
         if self.departure.is_some() {
             out.push(Output::Send {
                 to: from.clone(),
@@ -328,7 +338,10 @@
         // 0, and the clock of an earlier life, are no moment of this one.
         let of_this_life = heard != 0 && at <= self.now;
         if of_this_life && self.proof.is_none_or(|known| known.at <= at) {
-            self.proof = Some(PrimaryContact { at, committed });
+            self.proof = Some(PrimaryContact {
+                at,
+                commit_index: committed,
+            });
         }
     }
 
@@ -337,9 +350,12 @@
         let Role::Primary(state) = &self.role else {
             return;
         };
-        let (at, committed) = (self.lease_end(state).min(self.now), state.committed_seq());
+        let (at, committed) = (self.lease_end(state).min(self.now), state.committed_index());
         if !at.is_zero() && self.proof.is_none_or(|known| known.at <= at) {
-            self.proof = Some(PrimaryContact { at, committed });
+            self.proof = Some(PrimaryContact {
+                at,
+                commit_index: committed,
+            });
         }
     }
 
@@ -354,7 +370,7 @@
     /// Stops acting as primary or standing for election. Commands that wait are asked of whoever acts next.
     pub(super) fn step_down(&mut self) {
         self.keep_own_proof();
-        self.role = Role::Idle;
+        self.role = Role::Follower;
         self.local.values_mut().for_each(|l| l.asked = None);
     }
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -74,7 +74,7 @@
     cluster.apply(1, 2);
     cluster
         .until(SOON, |c| {
-            c.current().voters.len() == 3 && c.current().settled()
+            c.current().voters.len() == 3 && c.current().is_stable()
         })
         .expect("three voters");
     cluster.kill(left);
@@ -181,11 +181,11 @@
     let mut gap = records;
     gap.push(protocol::write_one(&protocol::Record::Change {
         epoch: 1,
-        seq: 99,
+        index: 99,
         change,
     }));
     assert!(matches!(
         Survivor::read(&identity, &gap),
-        Err(Refusal::Gap { seq: 99, .. })
+        Err(Refusal::Gap { index: 99, .. })
     ));
 }
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -34,15 +34,15 @@
         primary: 3,
         replicas: vec![3, 5],
         voters: vec![member(3), member(5), member(7)],
-        before: vec![member(3), member(9)],
+        previous_voters: vec![member(3), member(9)],
     }
 }
 
 pub fn snapshot() -> Snapshot {
     Snapshot {
-        seq: 41,
-        document: r#"{"version":2,"routes":[],"services":[]}"#.into(),
-        taken: vec![
+        index: 41,
+        configuration: r#"{"version":2,"routes":[],"services":[]}"#.into(),
+        applied_requests: vec![
             AppliedRequest {
                 base: 1,
                 version: 2,
@@ -202,11 +202,11 @@
             "Change",
             Record::Change {
                 epoch: 22,
-                seq: 23,
+                index: 23,
                 change: changes().remove(0).1,
             },
         ),
-        ("Committed", Record::Committed { seq: 24 }),
+        ("Committed", Record::Committed { index: 24 }),
     ]
 }
 
@@ -250,7 +250,10 @@
                 granted: true,
                 seen: 35,
                 view: Some(membership()),
-                tag: Some(LogPosition { epoch: 36, seq: 37 }),
+                tag: Some(LogPosition {
+                    epoch: 36,
+                    index: 37,
+                }),
                 wait_ms: 300,
             },
         ),
@@ -285,7 +288,10 @@
             "SnapshotReply",
             Message::SnapshotReply {
                 epoch: 55,
-                tag: LogPosition { epoch: 56, seq: 57 },
+                tag: LogPosition {
+                    epoch: 56,
+                    index: 57,
+                },
                 snapshot: snapshot(),
             },
         ),
@@ -298,7 +304,7 @@
             "AppendChange",
             Message::AppendChange {
                 epoch: 40,
-                seq: 41,
+                index: 41,
                 change: changes().remove(1).1,
             },
         ),
@@ -306,7 +312,7 @@
             "AppendReply",
             Message::AppendReply {
                 epoch: 42,
-                seq: 43,
+                index: 43,
                 ok: true,
                 seen: 44,
             },
