--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -18,7 +18,8 @@
 use configuration::ProcessSettings;
 use replication::client::{self, Control};
 use replication::{
-    agent_addr, caller, member_addr, no_seat, serve, Mirror, Puller, SharedMirror, WATCHED,
+    agent_addr, caller, member_addr, no_seat, serve, Mirror, Puller, SharedMirror,
+    MEMBERS_PER_AGENT,
 };
 use snafu::{ResultExt, Snafu};
 use std::future::Future;
@@ -111,7 +112,7 @@
 
 /// Whom an agent pulls from: a few members, one of which tells it the news.
 pub fn puller(boot: &ProcessSettings) -> Puller {
-    let mut puller = Puller::new(&boot.node_name, WATCHED, None).led();
+    let mut puller = Puller::new(&boot.node_name, MEMBERS_PER_AGENT, None).led();
     puller.set_seeds(&replication::seed_addrs(boot));
     puller
 }
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -120,7 +120,9 @@
 
 impl Member {
     pub(super) fn write(&mut self, record: &Record, after: After) {
-        self.disk.queue.push((protocol::write_one(record), after));
+        self.disk
+            .queue
+            .push((protocol::encode_record(record), after));
     }
 
     /// Starts the next write.
@@ -205,7 +207,7 @@
     /// first, and then the changes since; where these aren't at hand, the acknowledged ledger stands under a view
     /// without voters, before the one held.
     fn whole(&self) -> Vec<Vec<u8>> {
-        let mut records = vec![protocol::write_one(&Record::Promised {
+        let mut records = vec![protocol::encode_record(&Record::Promised {
             epoch: self.promised,
         })];
         let Some(view) = self.view.clone().filter(|v| v.epoch > 0) else {
@@ -213,10 +215,11 @@
         };
         let accepted = |view: MembershipConfig, ledger: Option<&ReplicatedState>| {
             let snapshot = ledger.map(ReplicatedState::snapshot);
-            protocol::write_one(&Record::Accepted { view, snapshot })
+            protocol::encode_record(&Record::Accepted { view, snapshot })
+        };
+        let committed = |ledger: &ReplicatedState| {
+            protocol::encode_record(&Record::Committed { seq: ledger.seq })
         };
-        let committed =
-            |ledger: &ReplicatedState| protocol::write_one(&Record::Committed { seq: ledger.seq });
         let (known, held) = (
             self.acknowledged.known(),
             self.held.as_ref().map(|h| &h.disk),
--- a/crates/control-plane/src/member/recovery.rs
+++ b/crates/control-plane/src/member/recovery.rs
@@ -122,7 +122,7 @@
 }
 
 fn read(records: &[Vec<u8>], record: usize) -> Result<Record, ReplayError> {
-    protocol::read_one(&records[record]).context(UnreadableSnafu { record })
+    protocol::decode_record(&records[record]).context(UnreadableSnafu { record })
 }
 
 /// Looks at each record, and finds where the segments begin.
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -51,10 +51,12 @@
 
 /// Epoch of the latest view that a member accepted, by its ledger's records; 0 where it accepted none.
 pub fn latest_view(records: &[Vec<u8>]) -> u64 {
-    let views = records.iter().filter_map(|r| match protocol::read_one(r) {
-        Ok(Record::Accepted { view, .. }) => Some(view.epoch),
-        _ => None,
-    });
+    let views = records
+        .iter()
+        .filter_map(|r| match protocol::decode_record(r) {
+            Ok(Record::Accepted { view, .. }) => Some(view.epoch),
+            _ => None,
+        });
     views.max().unwrap_or(0)
 }
 
@@ -89,7 +91,7 @@
         let mut latest: Option<(MembershipConfig, Option<ReplicatedState>)> = None;
         for (index, record) in records.iter().enumerate() {
             let number = index + 1;
-            match protocol::read_one(record).context(UnreadableSnafu { number })? {
+            match protocol::decode_record(record).context(UnreadableSnafu { number })? {
                 Record::Promised { epoch } => promised = promised.max(epoch),
                 Record::Accepted { view, snapshot } => {
                     promised = promised.max(view.epoch);
@@ -201,12 +203,12 @@
             life: self.identity.life,
             initial_voters: Vec::new(),
         };
-        let owner = protocol::write_one(&LedgerOwner {
+        let owner = protocol::encode_record(&LedgerOwner {
             identity: identity.clone(),
         });
-        let records = records.iter().map(protocol::write_one);
+        let records = records.iter().map(protocol::encode_record);
         Ok((
-            protocol::write_one(&identity),
+            protocol::encode_record(&identity),
             std::iter::once(owner).chain(records).collect(),
         ))
     }
--- a/crates/control-plane/src/shell/disk.rs
+++ b/crates/control-plane/src/shell/disk.rs
@@ -184,7 +184,7 @@
 }
 
 fn owner_record(identity: &Identity) -> Vec<u8> {
-    protocol::write_one(&LedgerOwner {
+    protocol::encode_record(&LedgerOwner {
         identity: identity.clone(),
     })
 }
@@ -212,7 +212,7 @@
             ledger.rewrite(&[&owner_record(identity)])?;
             self.ledger_begun = true;
         }
-        let record = protocol::write_one(identity);
+        let record = protocol::encode_record(identity);
         if self.records < MAX_IDENTITY_RECORDS {
             self.file.append(&[&record])?
         } else {
--- a/crates/control-plane/src/shell/identity.rs
+++ b/crates/control-plane/src/shell/identity.rs
@@ -74,7 +74,7 @@
     pub fn of(mut records: Vec<Vec<u8>>) -> Self {
         let owner = records
             .first()
-            .and_then(|r| protocol::read_one::<LedgerOwner>(r).ok());
+            .and_then(|r| protocol::decode_record::<LedgerOwner>(r).ok());
         if owner.is_some() {
             records.remove(0);
         }
@@ -204,7 +204,7 @@
 /// Where one of them can't be read.
 pub fn latest(records: &[Vec<u8>]) -> Result<Option<Identity>, IdentityError> {
     let read = |(record, bytes): (usize, &Vec<u8>)| {
-        protocol::read_one::<Identity>(bytes).context(UnreadableSnafu { record })
+        protocol::decode_record::<Identity>(bytes).context(UnreadableSnafu { record })
     };
     let identities: Result<Vec<Identity>, IdentityError> =
         records.iter().enumerate().map(read).collect();
--- a/crates/control-plane/src/shell/roster.rs
+++ b/crates/control-plane/src/shell/roster.rs
@@ -16,7 +16,7 @@
 
 /// Puts what was kept into the mirror, as a life of this member that is over.
 pub(super) fn recall(mirror: &SharedMirror, identity: &Identity, kept: Option<Vec<u8>>) {
-    let Some(source) = kept.and_then(|k| protocol::read_one::<OriginUpdate>(&k).ok()) else {
+    let Some(source) = kept.and_then(|k| protocol::decode_record::<OriginUpdate>(&k).ok()) else {
         return;
     };
     let mark = OriginVersion {
@@ -60,7 +60,7 @@
                 hosts,
                 ..OriginUpdate::default()
             };
-            let records = vec![protocol::write_one(&source)];
+            let records = vec![protocol::encode_record(&source)];
             if disk
                 .send(Write {
                     ticket: 0,
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -101,7 +101,10 @@
 fn the_latest_record_counts() {
     let first = birth(SEEDS[0], true).identity(None);
     let second = birth(SEEDS[0], false).identity(Some(first.clone()));
-    let records = [protocol::write_one(&first), protocol::write_one(&second)];
+    let records = [
+        protocol::encode_record(&first),
+        protocol::encode_record(&second),
+    ];
     assert_eq!(latest(&records).unwrap(), Some(second));
     assert_eq!(latest(&[]).unwrap(), None);
     // One that can't be read is never passed over for an older one, or for none.
@@ -114,7 +117,7 @@
 
 fn ledger(owner: Option<&Identity>, records: &[&[u8]]) -> FoundLedger {
     let owner = owner.map(|identity| {
-        protocol::write_one(&LedgerOwner {
+        protocol::encode_record(&LedgerOwner {
             identity: identity.clone(),
         })
     });
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -484,11 +484,15 @@
     };
     for message in [append, reply, install] {
         let frame = protocol::encode(&message);
-        assert!(frame.len() <= protocol::MOST, "{} bytes", frame.len());
+        assert!(
+            frame.len() <= protocol::MAX_FRAME_BYTES,
+            "{} bytes",
+            frame.len()
+        );
         let (read, length) = protocol::decode(&frame).unwrap().unwrap();
         assert!(read == message && length == frame.len());
     }
-    let record = protocol::write_one(&accepted(Some(&ledger)));
+    let record = protocol::encode_record(&accepted(Some(&ledger)));
     assert!(
         record.len() <= append_log::format::MAX_RECORD,
         "{} bytes",
@@ -524,7 +528,7 @@
 /// nothing, and stands for nothing.
 #[rstest]
 #[case::unreadable(vec![], Some(vec![77, 1, 2]), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
-#[case::longer(vec![], Some([protocol::write_one(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
+#[case::longer(vec![], Some([protocol::encode_record(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
 #[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { seq: 3, held_seq: 1, .. }))]
 #[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { seq: 1, held_seq: 1, .. }))]
 #[case::of_another_view(vec![numbered(EPOCH + 1, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { .. }))]
@@ -543,7 +547,7 @@
     let disk: Vec<Vec<u8>> = good
         .iter()
         .chain(&records)
-        .map(protocol::write_one)
+        .map(protocol::encode_record)
         .chain(raw)
         .collect();
     let mut machine = Machine::start(config(ME, None), disk.clone(), Duration::ZERO);
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -174,13 +174,13 @@
                 random: 1,
                 clock_ms: 1,
             };
-            let identity = protocol::write_one(&facts.identity(None));
+            let identity = protocol::encode_record(&facts.identity(None));
             AppendLog::open(&core.dirs[n], "identity")
                 .unwrap()
                 .0
                 .append(&[&identity])
                 .unwrap();
-            let promised = protocol::write_one(&Record::Promised { epoch: 1 << 20 });
+            let promised = protocol::encode_record(&Record::Promised { epoch: 1 << 20 });
             AppendLog::open(&core.dirs[n], "ledger")
                 .unwrap()
                 .0
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -18,7 +18,7 @@
         life: 5,
         ..Identity::default()
     };
-    vec![protocol::write_one(&identity)]
+    vec![protocol::encode_record(&identity)]
 }
 
 /// Three members of which all but one replica are lost; that replica.
@@ -36,7 +36,7 @@
 fn recover(cluster: &mut Cluster, n: usize) {
     let survivor = Survivor::read(&identity(cluster, n), cluster.records(n)).unwrap();
     let (identity, records) = survivor.recovered(&names(&survivor), NEW).unwrap();
-    let identity: Identity = protocol::read_one(&identity).unwrap();
+    let identity: Identity = protocol::decode_record(&identity).unwrap();
     assert_eq!(
         (identity.id, identity.life, identity.initial_voters.len()),
         (NEW, 5, 0)
@@ -179,7 +179,7 @@
     ));
     let change = protocol::Change::Drain { host: "i-1".into() };
     let mut gap = records;
-    gap.push(protocol::write_one(&protocol::Record::Change {
+    gap.push(protocol::encode_record(&protocol::Record::Change {
         epoch: 1,
         seq: 99,
         change,
--- a/crates/fennelpin-cli/src/main.rs
+++ b/crates/fennelpin-cli/src/main.rs
@@ -63,7 +63,7 @@
             println!(
                 "fennelpin-cli {} (messages: {})",
                 env!("CARGO_PKG_VERSION"),
-                protocol::VERSION
+                protocol::FRAME_VERSION
             );
             Ok(ExitCode::SUCCESS)
         }
--- a/crates/fennelpin-cli/tests/bad_days/cut_off.rs
+++ b/crates/fennelpin-cli/tests/bad_days/cut_off.rs
@@ -5,7 +5,7 @@
 use crate::stage::{until, Stage};
 use fennelpin_cli::local::fleet::Program;
 use protocol::{Message, Subscriber};
-use replication::{FrameReader, Pull, Update, STALE_MS};
+use replication::{FrameReader, Pull, Update, STALE_AGE_MS};
 use rstest::rstest;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -125,7 +125,7 @@
     let (version, age_ms) = pull.answer();
     println!("the pull told version {version} of {newest}, {age_ms} ms old");
     assert!(
-        age_ms > STALE_MS || version >= newest,
+        age_ms > STALE_AGE_MS || version >= newest,
         "an old one as current: {version}, {age_ms} ms"
     );
     true_age(&operator, version, age_ms, woken);
--- a/crates/fennelpin-cli/tests/bad_days/partition.rs
+++ b/crates/fennelpin-cli/tests/bad_days/partition.rs
@@ -5,7 +5,7 @@
 use crate::relay::Direction;
 use crate::stage::{until, Stage};
 use fennelpin_cli::local::fleet::Program;
-use replication::{FRESH_WAIT, STALE_MS};
+use replication::{CONFIRMATION_TIMEOUT, STALE_AGE_MS};
 use rstest::rstest;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -13,7 +13,7 @@
 /// How long a cut lasts: several times the longest of the stage's waits, a member's patience with a call.
 const CUT: Duration = Duration::from_secs(5);
 /// Who says that its news are current may be behind by so much.
-const STALE: Duration = Duration::from_millis(STALE_MS as u64);
+const STALE: Duration = Duration::from_millis(STALE_AGE_MS as u64);
 /// Orders that the others take while calls wait at the member that is cut off.
 const MEANWHILE: usize = 5;
 /// The machine whose agent runs the whole time.
@@ -159,8 +159,9 @@
         let shown = caught_up(&stage, ELSEWHERE, elsewhere, operator.newest());
         // It waits so long for who knows better; on a busy machine nobody may have answered by then.
         let came = stage.came_in_force(ELSEWHERE).split_off(elsewhere);
-        let told =
-            |(at, version): &(Duration, u64)| *version >= oldest || *at >= started + FRESH_WAIT;
+        let told = |(at, version): &(Duration, u64)| {
+            *version >= oldest || *at >= started + CONFIRMATION_TIMEOUT
+        };
         assert!(
             came.iter().all(told) && shown.is_sorted(),
             "{came:?}, {oldest} was current at its start at {started:?}\n{}",
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -50,13 +50,13 @@
         let all: Vec<&[u8]> = records.iter().map(Vec::as_slice).collect();
         AppendLog::open(dir, name).unwrap().0.append(&all).unwrap();
     };
-    write("identity", &[protocol::write_one(&identity)]);
-    let owner = protocol::write_one(&LedgerOwner { identity });
+    write("identity", &[protocol::encode_record(&identity)]);
+    let owner = protocol::encode_record(&LedgerOwner { identity });
     write(
         "ledger",
         &[
             vec![owner],
-            records.map(|r| protocol::write_one(&r)).to_vec(),
+            records.map(|r| protocol::encode_record(&r)).to_vec(),
         ]
         .concat(),
     );
@@ -110,7 +110,7 @@
         latest_view(&ledger) > EPOCH << 20,
         "no election of the old members reaches it"
     );
-    let alone = ledger.iter().any(|r| match protocol::read_one(r) {
+    let alone = ledger.iter().any(|r| match protocol::decode_record(r) {
         Ok(Record::Accepted { view, .. }) => {
             view.voters.len() == 1 && view.voters[0].id == identity.id
         }
@@ -187,7 +187,7 @@
     AppendLog::open(&dir, "ledger")
         .unwrap()
         .0
-        .append(&[&protocol::write_one(&Record::Promised { epoch: EPOCH })])
+        .append(&[&protocol::encode_record(&Record::Promised { epoch: EPOCH })])
         .unwrap();
     let mut bytes = std::fs::read(&path).unwrap();
     let middle = bytes.len() / 3;
--- a/crates/model-check/src/cluster/claims.rs
+++ b/crates/model-check/src/cluster/claims.rs
@@ -186,7 +186,7 @@
     /// Records are on the disk of a member.
     pub(super) fn on_disk(&mut self, id: u64, records: &[Vec<u8>]) -> Result<(), Breach> {
         for record in records {
-            if let Ok(Record::Accepted { view, snapshot }) = protocol::read_one(record) {
+            if let Ok(Record::Accepted { view, snapshot }) = protocol::decode_record(record) {
                 let facts = self.see_view(&view)?;
                 facts.on_disk.insert(id);
                 facts.begins_with = snapshot.map(|s| s.seq).or(facts.begins_with);
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -187,7 +187,7 @@
             .records
             .iter()
             .rev()
-            .find_map(|r| match protocol::read_one(r) {
+            .find_map(|r| match protocol::decode_record(r) {
                 Ok(Record::Accepted { snapshot, .. }) => Some(snapshot.map(Arc::new)),
                 _ => None,
             });
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/planted.rs
@@ -59,7 +59,8 @@
 
     /// What a disk gives back at a start.
     pub(super) fn read_back(self, records: &[Vec<u8>]) -> Vec<Vec<u8>> {
-        let promise = |r: &Vec<u8>| matches!(protocol::read_one(r), Ok(Record::Promised { .. }));
+        let promise =
+            |r: &Vec<u8>| matches!(protocol::decode_record(r), Ok(Record::Promised { .. }));
         let keeps = |r: &&Vec<u8>| self != Planted::ForgottenPromises || !promise(r);
         records.iter().filter(keeps).cloned().collect()
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -24,4 +24,6 @@
 pub use news::{
     ConfigurationUpdate, CoordinatorRecord, HostRecord, OriginUpdate, OriginVersion, Subscriber,
 };
-pub use wire::{decode, encode, read_one, write_one, DecodeError, MOST, VERSION};
+pub use wire::{
+    decode, decode_record, encode, encode_record, DecodeError, FRAME_VERSION, MAX_FRAME_BYTES,
+};
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -6,9 +6,9 @@
 use std::io::{Cursor, Read, Seek};
 
 /// Version of the format. A frame of another one ends its connection.
-pub const VERSION: u8 = 2;
+pub const FRAME_VERSION: u8 = 2;
 /// Largest frame in bytes.
-pub const MOST: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Longest list or string that is read without its bytes being there yet.
 const RESERVE: usize = 4096;
 
@@ -22,7 +22,7 @@
         length: usize,
     },
     /// It is of another version.
-    #[snafu(display("a frame of version {version}, {VERSION} is spoken"))]
+    #[snafu(display("a frame of version {version}, {FRAME_VERSION} is spoken"))]
     Version {
         /// The version it claims.
         version: u8,
@@ -37,10 +37,10 @@
 
 /// The frame of a message.
 pub fn encode(message: &Message) -> Vec<u8> {
-    let body = write_one(message);
+    let body = encode_record(message);
     let mut frame = Vec::with_capacity(body.len() + 5);
     frame.extend_from_slice(&(body.len() as u32 + 1).to_le_bytes());
-    frame.push(VERSION);
+    frame.push(FRAME_VERSION);
     frame.extend_from_slice(&body);
     frame
 }
@@ -54,23 +54,23 @@
         return Ok(None);
     };
     let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if length == 0 || length > MOST {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return LengthSnafu { length }.fail();
     }
     let Some(&version) = bytes.get(4) else {
         return Ok(None);
     };
-    if version != VERSION {
+    if version != FRAME_VERSION {
         return VersionSnafu { version }.fail();
     }
     let Some(body) = bytes.get(5..4 + length) else {
         return Ok(None);
     };
-    Ok(Some((read_one(body)?, 4 + length)))
+    Ok(Some((decode_record(body)?, 4 + length)))
 }
 
 /// Bytes of one value, without a frame; for records on disk.
-pub fn write_one<T>(value: &T) -> Vec<u8>
+pub fn encode_record<T>(value: &T) -> Vec<u8>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 /// Where the bytes don't say such a value or hold more.
-pub fn read_one<T>(bytes: &[u8]) -> Result<T, DecodeError>
+pub fn decode_record<T>(bytes: &[u8]) -> Result<T, DecodeError>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
 {
--- a/crates/protocol/tests/wire_format.rs
+++ b/crates/protocol/tests/wire_format.rs
@@ -4,7 +4,7 @@
 mod samples;
 
 use binrw::{BinRead, BinWrite};
-use protocol::{decode, encode, read_one, write_one};
+use protocol::{decode, decode_record, encode, encode_record};
 use std::fmt::Debug;
 
 const FIXTURE: &str = include_str!("fixtures/wire_format.txt");
@@ -28,8 +28,8 @@
 {
     for (name, value) in samples {
         let bytes = expected_bytes(&format!("{kind}.{name}"));
-        assert_eq!(write_one(&value), bytes, "{kind}.{name}");
-        assert_eq!(read_one::<T>(&bytes).unwrap(), value, "{kind}.{name}");
+        assert_eq!(encode_record(&value), bytes, "{kind}.{name}");
+        assert_eq!(decode_record::<T>(&bytes).unwrap(), value, "{kind}.{name}");
     }
 }
 
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -1,7 +1,7 @@
 //! The side that pulls: runs a [`Puller`] over TCP and feeds a [`SharedMirror`].
 
 use crate::frames::{FrameReader, Step};
-use crate::news::{Pull, Update, UNCONFIRMED};
+use crate::news::{Pull, Update, AGE_UNKNOWN};
 use crate::puller::{Action, Puller};
 use crate::shared::SharedMirror;
 use crate::transitions::{self, PullRecorder};
@@ -137,7 +137,7 @@
                 let news = match puller.asked(link) {
                     Some(asked) => news.aged(asked, now),
                     None => Update {
-                        age_ms: UNCONFIRMED,
+                        age_ms: AGE_UNKNOWN,
                         ..*news
                     },
                 };
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -14,10 +14,11 @@
 pub mod transitions;
 
 pub use frames::{FrameReader, Step};
-pub use mirror::{Mirror, Snapshot, FRESH_WAIT};
-pub use news::{Pull, Update, UNCONFIRMED};
+pub use mirror::{Mirror, Snapshot, CONFIRMATION_TIMEOUT};
+pub use news::{Pull, Update, AGE_UNKNOWN};
 pub use puller::{
-    Action, Puller, ANSWER_SLACK, CONNECT_TIMEOUT, LOOK, PACE, STALE_MS, WAIT_MS, WATCHED,
+    Action, Puller, ANSWER_SLACK, CONNECT_TIMEOUT, MEMBERS_PER_AGENT, PACE, PULL_WAIT_MS,
+    STALE_AGE_MS, STANDBY_POLL_INTERVAL,
 };
 pub use rendezvous::{ranked, weight};
 pub use serve::{answer, serve};
--- a/crates/replication/src/mirror/mod.rs
+++ b/crates/replication/src/mirror/mod.rs
@@ -5,10 +5,10 @@
 mod sources;
 mod withheld;
 
-pub use withheld::FRESH_WAIT;
+pub use withheld::CONFIRMATION_TIMEOUT;
 
-use crate::news::{Pull, Update, UNCONFIRMED};
-use crate::puller::STALE_MS;
+use crate::news::{Pull, Update, AGE_UNKNOWN};
+use crate::puller::STALE_AGE_MS;
 use configuration::Configuration;
 use ledger::{Applied, LedgerMirror};
 use protocol::{Addr, ControlPlaneInfo, CoordinatorRecord, HostRecord, OriginVersion, Subscriber};
@@ -87,8 +87,8 @@
     }
 
     /// For a process that starts with nothing: a configuration from a member that is cut off from a primary (its news
-    /// are older than [`STALE_MS`], or it has had no proof in its life) isn't shown before a member that isn't has
-    /// answered, or [`FRESH_WAIT`] is over, or all members have told that they know no better
+    /// are older than [`STALE_AGE_MS`], or it has had no proof in its life) isn't shown before a member that isn't has
+    /// answered, or [`CONFIRMATION_TIMEOUT`] is over, or all members have told that they know no better
     /// ([`Mirror::show_withheld`]). What is shown then is the newest that was heard of.
     pub fn withholding(mut self) -> Self {
         self.withheld = Withheld::Nothing;
@@ -142,15 +142,15 @@
         self.sources.coordinators()
     }
 
-    /// Since when, at most, this process may have missed what the primary acknowledged, in ms; [`UNCONFIRMED`] where
+    /// Since when, at most, this process may have missed what the primary acknowledged, in ms; [`AGE_UNKNOWN`] where
     /// it has had no proof at all.
     pub fn age_ms(&self, now: Duration) -> u32 {
         match self.fresh {
             Some(at) => {
                 let age = nanoseconds(now).saturating_sub(at).max(0) / NANOSECONDS_PER_MS;
-                u32::try_from(age).unwrap_or(UNCONFIRMED)
+                u32::try_from(age).unwrap_or(AGE_UNKNOWN)
             }
-            None => UNCONFIRMED,
+            None => AGE_UNKNOWN,
         }
     }
 
@@ -214,7 +214,7 @@
             let applied = self.ledger.apply(config);
             whole = applied != Applied::Missing;
             let taken = self.changed(applied == Applied::Taken);
-            if taken && news.age_ms > STALE_MS {
+            if taken && news.age_ms > STALE_AGE_MS {
                 self.withheld.begin(now);
             }
         }
@@ -237,11 +237,11 @@
 
     /// Nothing is missing here that the speaker has, who may have missed what was acknowledged for `age_ms`.
     fn take_age(&mut self, now: Duration, age_ms: u32) {
-        if age_ms <= STALE_MS {
+        if age_ms <= STALE_AGE_MS {
             let shown = self.withheld.end();
             self.changed(shown);
         }
-        if age_ms != UNCONFIRMED {
+        if age_ms != AGE_UNKNOWN {
             let at = nanoseconds(now).saturating_sub(i64::from(age_ms) * NANOSECONDS_PER_MS);
             self.fresh = self.fresh.max(Some(at));
         }
--- a/crates/replication/src/mirror/sources.rs
+++ b/crates/replication/src/mirror/sources.rs
@@ -64,7 +64,7 @@
     /// About how many coordinators pull now.
     pub(super) fn coordinators(&self) -> usize {
         let told: usize = self.live().map(|s| s.coordinators.len()).sum();
-        told / self.live().count().clamp(1, crate::WATCHED)
+        told / self.live().count().clamp(1, crate::MEMBERS_PER_AGENT)
     }
 
     /// The coordinators that pull now, by all lives that aren't over.
--- a/crates/replication/src/mirror/withheld.rs
+++ b/crates/replication/src/mirror/withheld.rs
@@ -5,7 +5,7 @@
 
 /// How long a process that starts with nothing waits for a member that has a primary, before it shows what one that
 /// is cut off told: by then each member that can be reached has answered.
-pub const FRESH_WAIT: Duration = CONNECT_TIMEOUT;
+pub const CONFIRMATION_TIMEOUT: Duration = CONNECT_TIMEOUT;
 
 /// What becomes of a configuration that a member told which is cut off from a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// One comes from a member that is cut off.
     pub(super) fn begin(&mut self, now: Duration) {
         if *self == Self::Nothing {
-            *self = Self::Until(now + FRESH_WAIT);
+            *self = Self::Until(now + CONFIRMATION_TIMEOUT);
         }
     }
 
--- a/crates/replication/src/news.rs
+++ b/crates/replication/src/news.rs
@@ -71,14 +71,14 @@
 
 /// [`Update::age_ms`] of a speaker that has had no proof in this life: what it says of the configuration may be as old
 /// as its disk.
-pub const UNCONFIRMED: u32 = u32::MAX;
+pub const AGE_UNKNOWN: u32 = u32::MAX;
 
 /// What a puller lacked: [`Message::Update`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
     /// Who speaks; 0 for an agent.
     pub member: u64,
-    /// Since when, at most, the speaker may have missed what the primary acknowledged, in ms; [`UNCONFIRMED`]
+    /// Since when, at most, the speaker may have missed what the primary acknowledged, in ms; [`AGE_UNKNOWN`]
     /// where it has had no proof in this life.
     pub age_ms: u32,
     /// How long the speaker had the pull before it answered, in ms.
@@ -106,10 +106,10 @@
     /// process or on the way, it can't be taken for a fresh one. The time that the speaker held the pull isn't
     /// counted, as the age it tells is that at the end of it.
     pub fn aged(mut self, asked: Duration, now: Duration) -> Self {
-        if self.age_ms != UNCONFIRMED {
+        if self.age_ms != AGE_UNKNOWN {
             let held = Duration::from_millis(self.held_ms.into());
             let travelled = now.saturating_sub(asked).saturating_sub(held);
-            let travelled_ms = u32::try_from(travelled.as_millis()).unwrap_or(UNCONFIRMED);
+            let travelled_ms = u32::try_from(travelled.as_millis()).unwrap_or(AGE_UNKNOWN);
             self.age_ms = self.age_ms.saturating_add(travelled_ms);
         }
         self
--- a/crates/replication/src/puller.rs
+++ b/crates/replication/src/puller.rs
@@ -7,24 +7,24 @@
 use std::time::Duration;
 
 /// How many members an agent pulls from.
-pub const WATCHED: usize = 3;
+pub const MEMBERS_PER_AGENT: usize = 3;
 /// How long a pull waits for news, in ms.
-pub const WAIT_MS: u32 = 1000;
+pub const PULL_WAIT_MS: u32 = 1000;
 /// How often the members beside the leading one are asked what that one hasn't told.
-pub const LOOK: Duration = Duration::from_millis(700);
+pub const STANDBY_POLL_INTERVAL: Duration = Duration::from_millis(700);
 /// Pause after news for each coordinator that pulls, and the longest: what comes meanwhile comes together, so that
 /// the members' work grows as the coordinators and not as these times what changes.
 pub const PACE: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(200));
-/// How much longer than [`WAIT_MS`] an answer may take.
+/// How much longer than [`PULL_WAIT_MS`] an answer may take.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(700);
 /// How long a connection may take to come up.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// From this age on a member counts as cut off from the primary, in ms.
-pub const STALE_MS: u32 = 1500;
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-const LONGEST_BACKOFF: Duration = Duration::from_millis(1000);
+pub const STALE_AGE_MS: u32 = 1500;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(1000);
 /// Pause after an answer that came early and told nothing new.
-const REST: Duration = Duration::from_millis(50);
+const EARLY_ANSWER_PAUSE: Duration = Duration::from_millis(50);
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -108,7 +108,7 @@
         Self {
             name: name.to_owned(),
             watched,
-            wait: Duration::from_millis(WAIT_MS.into()),
+            wait: Duration::from_millis(PULL_WAIT_MS.into()),
             own,
             fixed: false,
             led: false,
@@ -128,7 +128,7 @@
     }
 
     /// One that waits for news at one member only, the leading one: the first in its order that answers and
-    /// isn't cut off. The others are asked every [`LOOK`] what the leading one hasn't told yet, so that news come
+    /// isn't cut off. The others are asked every [`STANDBY_POLL_INTERVAL`] what the leading one hasn't told yet, so that news come
     /// once, and a leading one that is frozen or behind holds nobody back for longer.
     pub fn led(mut self) -> Self {
         self.led = true;
@@ -275,12 +275,12 @@
             return Vec::new();
         };
         (known.dead, known.heard, known.backoff, known.member) =
-            (false, true, FIRST_BACKOFF, member);
-        known.stale = age_ms > STALE_MS;
-        let early = now + ANSWER_SLACK + REST < until;
+            (false, true, INITIAL_BACKOFF, member);
+        known.stale = age_ms > STALE_AGE_MS;
+        let early = now + ANSWER_SLACK + EARLY_ANSWER_PAUSE < until;
         known.phase = Phase::Resting(
             now + if early && !taken {
-                REST.max(pace)
+                EARLY_ANSWER_PAUSE.max(pace)
             } else if taken {
                 pace
             } else {
@@ -288,7 +288,7 @@
             },
         );
         if self.leader().is_some_and(|leader| leader != addr) {
-            self.rest(addr, now + LOOK);
+            self.rest(addr, now + STANDBY_POLL_INTERVAL);
         }
         self.tick(now)
     }
@@ -310,7 +310,7 @@
     fn fail(&mut self, now: Duration, addr: Addr) {
         if let Some(link) = self.links.get_mut(&addr) {
             link.phase = Phase::Down(now + link.backoff);
-            link.backoff = (link.backoff * 2).min(LONGEST_BACKOFF);
+            link.backoff = (link.backoff * 2).min(MAX_BACKOFF);
             link.dead = true;
         }
     }
@@ -351,12 +351,13 @@
         });
         let (leader, mut due) = (self.leader(), Vec::new());
         // One that has just come to lead waits for news from now on.
-        let takes_over = |addr, at| Some(addr) == leader && at > now + REST.max(self.pace);
+        let takes_over =
+            |addr, at| Some(addr) == leader && at > now + EARLY_ANSWER_PAUSE.max(self.pace);
         for addr in picked {
             let link = self.links.entry(addr).or_insert(Link {
                 number: 0,
                 phase: Phase::Down(now),
-                backoff: FIRST_BACKOFF,
+                backoff: INITIAL_BACKOFF,
                 heard: false,
                 dead: false,
                 stale: false,
--- a/crates/replication/tests/puller.rs
+++ b/crates/replication/tests/puller.rs
@@ -1,7 +1,7 @@
 //! The puller: whom it pulls from, and when.
 
 use protocol::Addr;
-use replication::{Action, Puller, LOOK, PACE, WAIT_MS, WATCHED};
+use replication::{Action, Puller, MEMBERS_PER_AGENT, PACE, PULL_WAIT_MS, STANDBY_POLL_INTERVAL};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -117,7 +117,7 @@
 #[case::three(&[1, 2, 3], 3)]
 #[case::more(&[1, 2, 3, 4, 5], 3)]
 fn it_pulls_from_three_or_all(#[case] seeds: &[u32], #[case] links: usize) {
-    let mut bench = Bench::new(WATCHED, seeds);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, seeds);
     bench.up();
     assert_eq!(
         (bench.open.len(), bench.pulls.len()),
@@ -129,7 +129,7 @@
 #[test]
 fn rendezvous_hashing_picks_by_name_and_is_stable() {
     let pick = |name: &str, members: std::ops::Range<u32>| {
-        let mut puller = Puller::new(name, WATCHED, None);
+        let mut puller = Puller::new(name, MEMBERS_PER_AGENT, None);
         puller.set_members(members.map(addr));
         let picked = puller.tick(ms(0)).into_iter().map(|a| match a {
             Action::Connect { addr, .. } => addr.ip,
@@ -151,14 +151,14 @@
 
 #[test]
 fn it_never_pulls_from_itself() {
-    let mut bench = Bench::new(WATCHED, &[99, 1]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[99, 1]);
     bench.up();
     assert_eq!(bench.to(), [1].into());
 }
 
 #[test]
 fn an_answer_is_followed_by_the_next_pull() {
-    let mut bench = Bench::new(WATCHED, &[1]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     bench.answered(1000, 1, 0, false);
     assert_eq!(bench.pulls.len(), 1, "a wait that is over");
@@ -177,7 +177,7 @@
 
 #[test]
 fn who_doesn_t_answer_is_dead_and_replaced() {
-    let mut bench = Bench::new(WATCHED, &[1, 2, 3, 4]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2, 3, 4]);
     let first = bench.up();
     let silent = first[0];
     for n in &first[1..] {
@@ -205,7 +205,7 @@
 
 #[test]
 fn a_connection_that_hangs_is_given_up() {
-    let mut bench = Bench::new(WATCHED, &[1]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.tick(0);
     assert_eq!(bench.puller.next_tick(), Some(ms(700)));
     bench.tick(700);
@@ -216,7 +216,7 @@
 
 #[test]
 fn pauses_between_tries_grow_to_a_second() {
-    let mut bench = Bench::new(WATCHED, &[1]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.tick(0);
     let mut now = 0;
     for pause in [100, 200, 400, 800, 1000, 1000] {
@@ -240,7 +240,7 @@
 
 #[test]
 fn to_one_that_is_cut_off_another_is_added() {
-    let mut bench = Bench::new(WATCHED, &[1, 2, 3, 4, 5]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2, 3, 4, 5]);
     let first = bench.up();
     for (now, age_ms, links) in [(500, 1500, 3), (1000, 1501, 4), (1500, 10, 3)] {
         bench.answered(now, first[0], age_ms, true);
@@ -251,7 +251,7 @@
 
 #[test]
 fn it_goes_on_with_learnt_members_when_all_seeds_are_dead() {
-    let mut bench = Bench::new(WATCHED, &[1, 2]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2]);
     bench.up();
     bench
         .puller
@@ -269,7 +269,7 @@
 
 #[test]
 fn other_seeds_are_taken() {
-    let mut bench = Bench::new(WATCHED, &[1, 2]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2]);
     bench.up();
     bench.puller.set_seeds(&[addr(2), addr(7)]);
     bench.tick(10);
@@ -297,7 +297,7 @@
 
 #[test]
 fn word_from_a_link_that_is_closed_is_passed_over() {
-    let mut bench = Bench::new(WATCHED, &[1]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     let old = bench.link(1);
     bench.tick(1700);
@@ -309,13 +309,13 @@
 
 /// A led puller whose three members have answered; the leading one first.
 fn led() -> (Bench, Vec<u32>) {
-    let mut bench = Bench::new(WATCHED, &[1, 2, 3]);
-    bench.puller = Puller::new("edge-1", WATCHED, Some(addr(99))).led();
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2, 3]);
+    bench.puller = Puller::new("edge-1", MEMBERS_PER_AGENT, Some(addr(99))).led();
     bench.puller.set_seeds(&[addr(1), addr(2), addr(3)]);
     let mut order: Vec<u32> = bench.up();
     let waits: Vec<u32> = bench.waits.values().copied().collect();
     assert_eq!(
-        waits, [WAIT_MS; 3],
+        waits, [PULL_WAIT_MS; 3],
         "until one leads, news are waited for at all"
     );
     // Whoever answered before the first in the order may have led until then.
@@ -338,7 +338,7 @@
 #[test]
 fn a_led_one_waits_for_news_at_one_member_and_looks_at_the_others() {
     let (mut bench, order) = led();
-    let look = 10 + LOOK.as_millis() as u64;
+    let look = 10 + STANDBY_POLL_INTERVAL.as_millis() as u64;
     bench.answered(100, order[0], 0, true);
     assert_eq!(bench.pulls, [bench.link(order[0])], "news come once");
     bench.tick(look - 1);
@@ -348,7 +348,7 @@
     let waits: Vec<u32> = order.iter().map(|n| bench.waits[&bench.link(*n)]).collect();
     assert_eq!(
         waits,
-        [WAIT_MS, 0, 0],
+        [PULL_WAIT_MS, 0, 0],
         "the others are asked what the leading one hasn't told"
     );
     bench.answered(look + 1, order[1], 0, true);
@@ -370,14 +370,17 @@
         bench.failed(100, order[0])
     }
     let waiting = |bench: &Bench| -> Vec<u32> {
-        let pulls = bench.pulls.iter().filter(|l| bench.waits[l] == WAIT_MS);
+        let pulls = bench
+            .pulls
+            .iter()
+            .filter(|l| bench.waits[l] == PULL_WAIT_MS);
         pulls.map(|l| bench.open[l].ip).collect()
     };
     let next = waiting(&bench);
     assert_eq!(next.len(), 1);
     assert_ne!(next, [order[0]], "at once");
     // It is back: it is asked, answers that it isn't cut off, and leads again.
-    let back = 100 + LOOK.as_millis() as u64;
+    let back = 100 + STANDBY_POLL_INTERVAL.as_millis() as u64;
     bench.tick(back);
     if !cut_off {
         bench.connected(back, order[0]);
@@ -393,7 +396,7 @@
     // It answers nothing more; the others are asked all the same, at the latest a look after the last answer.
     let mut now = 10;
     for _ in 0..2 {
-        now += LOOK.as_millis() as u64;
+        now += STANDBY_POLL_INTERVAL.as_millis() as u64;
         bench.tick(now);
         bench.answered(now, order[1], 0, true);
         bench.answered(now, order[2], 0, true);
@@ -401,7 +404,7 @@
     bench.tick(1710);
     assert_eq!(bench.find(order[0]), None, "given up");
     assert!(
-        bench.pulls.iter().any(|l| bench.waits[l] == WAIT_MS),
+        bench.pulls.iter().any(|l| bench.waits[l] == PULL_WAIT_MS),
         "another leads"
     );
 }
@@ -411,7 +414,7 @@
 #[case::many(100, 100)]
 #[case::the_longest(1000, PACE.1.as_millis() as u64)]
 fn after_news_it_pauses_for_each_coordinator(#[case] coordinators: usize, #[case] pause: u64) {
-    let mut bench = Bench::new(WATCHED, &[1]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.puller.set_coordinators(coordinators);
     bench.up();
     bench.answered(10, 1, 0, true);
@@ -430,7 +433,7 @@
 
 #[test]
 fn an_answer_that_is_still_coming_is_waited_for() {
-    let mut bench = Bench::new(WATCHED, &[1]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     let link = bench.link(1);
     for now in [1000, 1600, 2200] {
@@ -446,7 +449,7 @@
 
 #[test]
 fn it_knows_when_a_pull_left_that_is_out() {
-    let mut bench = Bench::new(WATCHED, &[1]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     let link = bench.link(1);
     assert_eq!(bench.puller.asked(link), Some(ms(0)));
@@ -464,7 +467,7 @@
 
 #[test]
 fn it_knows_whether_anybody_may_know_better() {
-    let mut bench = Bench::new(WATCHED, &[1, 2]);
+    let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2]);
     assert!(!bench.puller.none_fresh(), "nobody was asked");
     bench.up();
     bench.answered(5, 1, u32::MAX, true);
--- a/crates/replication/tests/stale.rs
+++ b/crates/replication/tests/stale.rs
@@ -2,7 +2,7 @@
 
 use configuration::Configuration;
 use protocol::{MemberInfo, Subscriber};
-use replication::{Mirror, Update, FRESH_WAIT, STALE_MS, UNCONFIRMED};
+use replication::{Mirror, Update, AGE_UNKNOWN, CONFIRMATION_TIMEOUT, STALE_AGE_MS};
 use rstest::rstest;
 use std::sync::Arc;
 use std::time::Duration;
@@ -59,7 +59,7 @@
 #[case::the_puller_stood_still(1000, 21_500, 500, 30, 20_030)]
 #[case::the_speaker_stood_still(1000, 21_002, 20_000, 20_010, 20_012)]
 #[case::held_up_on_the_way(1000, 19_000, 1000, 0, 17_000)]
-#[case::no_proof_at_all(1000, 1004, 0, UNCONFIRMED, UNCONFIRMED)]
+#[case::no_proof_at_all(1000, 1004, 0, AGE_UNKNOWN, AGE_UNKNOWN)]
 fn an_answer_s_age_counts_from_when_its_pull_left(
     #[case] asked: u64,
     #[case] now: u64,
@@ -89,10 +89,10 @@
         "the old one isn't shown"
     );
     assert_eq!(handed_on(&agent, now), None, "nor handed on");
-    follow(&mut agent, &well, now + FRESH_WAIT / 2);
+    follow(&mut agent, &well, now + CONFIRMATION_TIMEOUT / 2);
     assert_eq!(agent.view().document.version, 30);
     assert_eq!(handed_on(&agent, now), Some(30));
-    follow(&mut agent, &cut_off, now + FRESH_WAIT);
+    follow(&mut agent, &cut_off, now + CONFIRMATION_TIMEOUT);
     assert_eq!(agent.view().document.version, 30, "it never goes back");
 }
 
@@ -116,12 +116,16 @@
     let now = ms(20_000);
     let mut agent = starting();
     follow(&mut agent, &member(1, 1, None), now);
-    assert_eq!(agent.next_tick(), Some(now + FRESH_WAIT));
-    agent.tick(now + FRESH_WAIT - ms(1));
+    assert_eq!(agent.next_tick(), Some(now + CONFIRMATION_TIMEOUT));
+    agent.tick(now + CONFIRMATION_TIMEOUT - ms(1));
     assert_eq!(agent.view().document.version, 0);
     // Another that is cut off doesn't prolong it.
-    follow(&mut agent, &member(2, 2, None), now + FRESH_WAIT - ms(1));
-    assert!(agent.tick(now + FRESH_WAIT), "waiters hear of it");
+    follow(
+        &mut agent,
+        &member(2, 2, None),
+        now + CONFIRMATION_TIMEOUT - ms(1),
+    );
+    assert!(agent.tick(now + CONFIRMATION_TIMEOUT), "waiters hear of it");
     assert_eq!(
         agent.view().document.version,
         20,
@@ -130,7 +134,7 @@
     assert_eq!(handed_on(&agent, now), Some(20));
     assert_eq!(agent.next_tick(), None);
     // From then on it goes forward by whoever knows more.
-    follow(&mut agent, &member(3, 4, None), now + FRESH_WAIT);
+    follow(&mut agent, &member(3, 4, None), now + CONFIRMATION_TIMEOUT);
     assert_eq!(agent.view().document.version, 40);
 }
 
@@ -151,7 +155,7 @@
     let mut agent = starting();
     follow(
         &mut agent,
-        &member(1, 1, Some(now - ms(STALE_MS.into()))),
+        &member(1, 1, Some(now - ms(STALE_AGE_MS.into()))),
         now,
     );
     assert_eq!(agent.view().document.version, 10);
--- a/crates/replication/tests/transitions.rs
+++ b/crates/replication/tests/transitions.rs
@@ -2,7 +2,7 @@
 
 use protocol::Addr;
 use replication::transitions::{PullRecorder, PullTransition};
-use replication::{Action, Puller, STALE_MS, WATCHED};
+use replication::{Action, Puller, MEMBERS_PER_AGENT, STALE_AGE_MS};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 impl Agent {
     fn new() -> Self {
-        let mut puller = Puller::new("edge-1", WATCHED, None).led();
+        let mut puller = Puller::new("edge-1", MEMBERS_PER_AGENT, None).led();
         puller.set_seeds(&[addr(1), addr(2), addr(3)]);
         let (recorder, links, ages) = Default::default();
         Self {
@@ -100,7 +100,7 @@
     assert_eq!(agent.told, [], "nothing while all is well");
 
     // The leading one is cut off from the primary: another takes its place at once.
-    agent.ages.insert(leader.ip, STALE_MS + 1);
+    agent.ages.insert(leader.ip, STALE_AGE_MS + 1);
     (0..20).for_each(|_| agent.round());
     assert_eq!(agent.told.len(), 1, "{:?}", agent.told);
     let moved = |t: &PullTransition| {
@@ -111,7 +111,7 @@
 
     // So are the others.
     agent.told.clear();
-    agent.ages.extend((1..=3).map(|n| (n, STALE_MS + 1)));
+    agent.ages.extend((1..=3).map(|n| (n, STALE_AGE_MS + 1)));
     (0..20).for_each(|_| agent.round());
     assert_eq!(
         agent.told.last(),
--- a/crates/scale-test/src/coordinators.rs
+++ b/crates/scale-test/src/coordinators.rs
@@ -107,7 +107,7 @@
                         }
                         None if plan.thrice => {
                             let mut puller =
-                                Puller::new(&boot.node_name, replication::WATCHED, None);
+                                Puller::new(&boot.node_name, replication::MEMBERS_PER_AGENT, None);
                             puller.set_seeds(&replication::seed_addrs(&boot));
                             puller
                         }
--- a/crates/simulator/src/world/bugs.rs
+++ b/crates/simulator/src/world/bugs.rs
@@ -144,8 +144,8 @@
     pub(super) fn planted_write(&mut self, n: usize, records: &mut Vec<Vec<u8>>) {
         match self.plan.planted {
             Planted::NoSnapshot => records.iter_mut().for_each(|r| {
-                if let Ok(Record::Accepted { view, .. }) = protocol::read_one(r) {
-                    *r = protocol::write_one(&Record::Accepted {
+                if let Ok(Record::Accepted { view, .. }) = protocol::decode_record(r) {
+                    *r = protocol::encode_record(&Record::Accepted {
                         view,
                         snapshot: None,
                     });
@@ -156,30 +156,34 @@
                 records.retain(|_| keeps);
             }
             Planted::VotersBeforeForgotten => records.iter_mut().for_each(|r| {
-                if let Ok(Record::Accepted { mut view, snapshot }) = protocol::read_one(r) {
+                if let Ok(Record::Accepted { mut view, snapshot }) = protocol::decode_record(r) {
                     forget_before(&mut view);
-                    *r = protocol::write_one(&Record::Accepted { view, snapshot });
+                    *r = protocol::encode_record(&Record::Accepted { view, snapshot });
                 }
             }),
             Planted::TakenCallsNotInSnapshot | Planted::DrainsNotInSnapshot => {
                 for record in records {
-                    if let Ok(Record::Accepted { view, snapshot }) = protocol::read_one(record) {
+                    if let Ok(Record::Accepted { view, snapshot }) = protocol::decode_record(record)
+                    {
                         let snapshot = snapshot.map(|s| self.stripped(s));
-                        *record = protocol::write_one(&Record::Accepted { view, snapshot });
+                        *record = protocol::encode_record(&Record::Accepted { view, snapshot });
                     }
                 }
             }
             Planted::CommittedAheadOfReplicas => {
-                let committed = |r: &Vec<u8>| match protocol::read_one(r) {
+                let committed = |r: &Vec<u8>| match protocol::decode_record(r) {
                     Ok(Record::Change { seq, .. }) => {
-                        vec![r.clone(), protocol::write_one(&Record::Committed { seq })]
+                        vec![
+                            r.clone(),
+                            protocol::encode_record(&Record::Committed { seq }),
+                        ]
                     }
                     _ => vec![r.clone()],
                 };
                 *records = records.iter().flat_map(committed).collect();
             }
             Planted::FetchedLedgerIsOld => {
-                let of_view = |r: &Vec<u8>| match protocol::read_one(r) {
+                let of_view = |r: &Vec<u8>| match protocol::decode_record(r) {
                     Ok(Record::Accepted { snapshot, .. }) => snapshot,
                     _ => None,
                 };
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -96,10 +96,11 @@
         node.life += 1;
         if self.plan.planted == Planted::ForgetsPromises {
             node.records
-                .retain(|r| !matches!(protocol::read_one(r), Ok(Record::Promised { .. })));
+                .retain(|r| !matches!(protocol::decode_record(r), Ok(Record::Promised { .. })));
         }
         if self.plan.planted == Planted::ReplaySkipsLastChange {
-            let change = |r: &Vec<u8>| matches!(protocol::read_one(r), Ok(Record::Change { .. }));
+            let change =
+                |r: &Vec<u8>| matches!(protocol::decode_record(r), Ok(Record::Change { .. }));
             if let Some(last) = node.records.iter().rposition(change) {
                 node.records.remove(last);
             }
--- a/crates/simulator/src/world/readers.rs
+++ b/crates/simulator/src/world/readers.rs
@@ -6,7 +6,7 @@
 use control_plane::member::Output;
 use protocol::{Addr, ControlPlaneInfo, Subscriber};
 use rand_core::RngCore;
-use replication::{Action, Mirror, Pull, Puller, Update, UNCONFIRMED, WATCHED};
+use replication::{Action, Mirror, Pull, Puller, Update, AGE_UNKNOWN, MEMBERS_PER_AGENT};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -118,7 +118,7 @@
             }
             Place::Agent(_) => (
                 Mirror::new(0, BEAT),
-                Puller::new(&name, WATCHED, None).led(),
+                Puller::new(&name, MEMBERS_PER_AGENT, None).led(),
                 seeds,
             ),
             Place::Proxy(k) => (
@@ -240,7 +240,7 @@
                 let news = match station.puller.asked(link) {
                     Some(asked) => news.aged(asked, now),
                     None => Update {
-                        age_ms: UNCONFIRMED,
+                        age_ms: AGE_UNKNOWN,
                         ..*news
                     },
                 };
