--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -100,7 +100,10 @@
     let from = seat(1);
     let install = Input::Message {
         from: from.clone(),
-        message: Message::InstallMembership { view, snapshot },
+        message: Message::InstallMembership {
+            membership: view,
+            snapshot,
+        },
     };
     take(&mut member, Duration::ZERO, install, &mut disk);
     let started = Instant::now();
@@ -114,7 +117,7 @@
         };
         let append = Message::AppendChange {
             epoch: EPOCH,
-            seq,
+            index: seq,
             change,
         };
         let before = Instant::now();
@@ -131,9 +134,9 @@
             let committed = seq.saturating_sub(under_way);
             let renew = Message::RenewLease {
                 epoch: EPOCH,
-                stamp: 1,
-                committed,
-                heard: 0,
+                requested_at_ms: 1,
+                commit_index: committed,
+                echoed_clock_ms: 0,
             };
             rewrites += take(
                 &mut member,
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -136,8 +136,8 @@
             self.send(
                 id,
                 Message::PreVote {
-                    seen: self.seen,
-                    view,
+                    known_epoch: self.seen,
+                    accepted_epoch: view,
                 },
                 out,
             );
@@ -408,7 +408,7 @@
         for copy in view.replicas.iter().filter(|c| **c != me) {
             let to = view.seat(*copy).map(|s| self.fresh(s));
             let message = Message::InstallMembership {
-                view: view.clone(),
+                membership: view.clone(),
                 snapshot: snapshot.clone(),
             };
             out.extend(to.map(|to| Output::Send { to, message }));
@@ -420,7 +420,7 @@
         };
         self.write(
             &Record::Accepted {
-                view: view.clone(),
+                membership: view.clone(),
                 snapshot,
             },
             after,
@@ -469,7 +469,7 @@
                 self.send(
                     id,
                     Message::InstallMembership {
-                        view: view.clone(),
+                        membership: view.clone(),
                         snapshot: None,
                     },
                     out,
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -83,9 +83,9 @@
                 self.send(
                     member,
                     Message::CommandResult {
-                        id,
+                        request_id: id,
                         code: code.number(),
-                        text: body,
+                        body,
                     },
                     out,
                 );
@@ -130,7 +130,7 @@
                     _ => out.push(Output::Send {
                         to: primary.clone(),
                         message: Message::ForwardCommand {
-                            id: forward_base.wrapping_add(*id),
+                            request_id: forward_base.wrapping_add(*id),
                             command,
                         },
                     }),
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -215,10 +215,13 @@
         };
         let accepted = |view: MembershipConfig, ledger: Option<&ReplicatedState>| {
             let snapshot = ledger.map(ReplicatedState::snapshot);
-            protocol::encode_record(&Record::Accepted { view, snapshot })
+            protocol::encode_record(&Record::Accepted {
+                membership: view,
+                snapshot,
+            })
         };
         let committed = |ledger: &ReplicatedState| {
-            protocol::encode_record(&Record::Committed { seq: ledger.seq })
+            protocol::encode_record(&Record::Committed { index: ledger.seq })
         };
         let (known, held) = (
             self.acknowledged.known(),
@@ -296,8 +299,8 @@
                 } else {
                     let message = Message::InstallMembershipReply {
                         epoch,
-                        ok: true,
-                        seen: self.promised,
+                        accepted: true,
+                        promised_epoch: self.promised,
                     };
                     out.push(Output::Send { to, message });
                 }
@@ -309,9 +312,9 @@
                     to,
                     Message::AppendReply {
                         epoch,
-                        seq,
-                        ok: true,
-                        seen: self.promised,
+                        match_index: seq,
+                        accepted: true,
+                        promised_epoch: self.promised,
                     },
                     out,
                 );
@@ -339,8 +342,8 @@
             After::Installed { to, view, .. } if to.id != self.me() => {
                 let message = Message::InstallMembershipReply {
                     epoch: view.epoch,
-                    ok: false,
-                    seen,
+                    accepted: false,
+                    promised_epoch: seen,
                 };
                 out.push(Output::Send { to, message });
             }
@@ -349,9 +352,9 @@
                     to,
                     Message::AppendReply {
                         epoch,
-                        seq: ledger.seq,
-                        ok: false,
-                        seen,
+                        match_index: ledger.seq,
+                        accepted: false,
+                        promised_epoch: seen,
                     },
                     out,
                 );
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -375,73 +375,107 @@
 
     fn on_message(&mut self, from: MemberInfo, message: Message, out: &mut Vec<Output>) {
         match message {
-            Message::PreVote { seen, view } => self.on_pre_vote(from, seen, view, out),
+            Message::PreVote {
+                known_epoch,
+                accepted_epoch,
+            } => self.on_pre_vote(from, known_epoch, accepted_epoch, out),
             Message::Prepare { epoch, candidate } => self.on_prepare(from, epoch, candidate, out),
-            Message::InstallMembership { view, snapshot } => {
-                self.on_install(from, view, snapshot, out);
+            Message::InstallMembership {
+                membership,
+                snapshot,
+            } => {
+                self.on_install(from, membership, snapshot, out);
             }
-            Message::AppendChange { epoch, seq, change } => {
-                self.on_append(from, epoch, seq, change, out);
+            Message::AppendChange {
+                epoch,
+                index,
+                change,
+            } => {
+                self.on_append(from, epoch, index, change, out);
             }
             Message::RenewLease {
                 epoch,
-                stamp,
-                committed,
-                heard,
+                requested_at_ms,
+                commit_index,
+                echoed_clock_ms,
             } => {
-                self.on_renew(from, epoch, stamp, (committed, heard), out);
-                self.record_committed(epoch, committed);
+                self.on_renew(
+                    from,
+                    epoch,
+                    requested_at_ms,
+                    (commit_index, echoed_clock_ms),
+                    out,
+                );
+                self.record_committed(epoch, commit_index);
             }
             Message::FetchSnapshot { epoch } => self.on_fetch(from, epoch, out),
             Message::ReleaseLease { epoch } => self.on_release(from.id, epoch),
             Message::Leaving { .. } => self.on_peer_leaving(from.id),
             Message::PreVoteReply {
-                willing,
-                seen,
-                wait_ms,
-            } => self.on_pre_vote_reply(from, willing, seen, wait_ms, out),
+                granted,
+                promised_epoch,
+                retry_after_ms,
+            } => self.on_pre_vote_reply(from, granted, promised_epoch, retry_after_ms, out),
             Message::Promise {
                 epoch,
                 granted,
-                seen,
-                view,
-                tag,
-                wait_ms,
+                promised_epoch,
+                membership,
+                log_position,
+                retry_after_ms,
             } => {
-                self.see(seen);
+                self.see(promised_epoch);
                 // A voter that has just joined may not have accepted any view yet: its promise counts all the same.
-                let has = (view.unwrap_or_default(), tag);
-                self.on_promise(from, epoch, granted, Some(has), wait_ms, out);
+                let has = (membership.unwrap_or_default(), log_position);
+                self.on_promise(from, epoch, granted, Some(has), retry_after_ms, out);
             }
             Message::SnapshotReply {
                 epoch, snapshot, ..
             } => self.on_fetched(from, epoch, &snapshot, out),
-            Message::InstallMembershipReply { epoch, ok, seen } => {
-                self.see(seen);
-                self.on_installed(from.id, epoch, ok, out);
+            Message::InstallMembershipReply {
+                epoch,
+                accepted,
+                promised_epoch,
+            } => {
+                self.see(promised_epoch);
+                self.on_installed(from.id, epoch, accepted, out);
             }
             Message::AppendReply {
                 epoch,
-                seq,
-                ok,
-                seen,
+                match_index,
+                accepted,
+                promised_epoch,
             } => {
-                self.see(seen);
-                self.on_appended(from.id, epoch, seq, ok, out);
+                self.see(promised_epoch);
+                self.on_appended(from.id, epoch, match_index, accepted, out);
             }
             Message::LeaseReply {
                 epoch,
-                stamp,
-                ok,
-                seen,
-                fit,
-                clock,
+                requested_at_ms,
+                granted,
+                promised_epoch,
+                disk_healthy,
+                clock_ms,
             } => {
-                self.see(seen);
-                self.on_renewed(from, epoch, stamp, ok, (fit, clock), out);
+                self.see(promised_epoch);
+                self.on_renewed(
+                    from,
+                    epoch,
+                    requested_at_ms,
+                    granted,
+                    (disk_healthy, clock_ms),
+                    out,
+                );
             }
-            Message::ForwardCommand { id, command } => self.on_ask(from, id, command),
-            Message::CommandResult { id, code, text } => self.on_answer(id, code, text, out),
+            Message::ForwardCommand {
+                request_id,
+                command,
+            } => self.on_ask(from, request_id, command),
+            Message::CommandResult {
+                request_id,
+                code,
+                body,
+            } => self.on_answer(request_id, code, body, out),
             Message::Hello { .. }
             | Message::Peers { .. }
             | Message::Pull { .. }
@@ -510,7 +544,7 @@
             return;
         };
         if self.acknowledged.acknowledge(seq, &held.disk) {
-            self.write(&Record::Committed { seq }, After::Nothing);
+            self.write(&Record::Committed { index: seq }, After::Nothing);
         }
     }
 
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -177,7 +177,7 @@
                     sends.push((
                         id,
                         Message::InstallMembership {
-                            view: view.clone(),
+                            membership: view.clone(),
                             snapshot: None,
                         },
                     ));
@@ -193,9 +193,9 @@
                     id,
                     Message::RenewLease {
                         epoch,
-                        stamp,
-                        committed,
-                        heard,
+                        requested_at_ms: stamp,
+                        commit_index: committed,
+                        echoed_clock_ms: heard,
                     },
                 ));
             }
@@ -218,7 +218,7 @@
                         copy,
                         Message::AppendChange {
                             epoch,
-                            seq,
+                            index: seq,
                             change: change.clone(),
                         },
                     )
@@ -335,14 +335,18 @@
                 copy,
                 Message::AppendChange {
                     epoch,
-                    seq,
+                    index: seq,
                     change: change.clone(),
                 },
                 out,
             );
         }
         self.write(
-            &Record::Change { epoch, seq, change },
+            &Record::Change {
+                epoch,
+                index: seq,
+                change,
+            },
             After::Own {
                 epoch,
                 ledger: Box::new(next),
--- a/crates/control-plane/src/member/recovery.rs
+++ b/crates/control-plane/src/member/recovery.rs
@@ -131,8 +131,8 @@
     for record in 0..records.len() {
         match read(records, record)? {
             Record::Promised { epoch } => *promised = epoch.max(*promised),
-            Record::Accepted { view, .. } => {
-                *promised = view.epoch.max(*promised);
+            Record::Accepted { membership, .. } => {
+                *promised = membership.epoch.max(*promised);
                 segments.push(Segment {
                     start: record,
                     end: record,
@@ -141,11 +141,11 @@
             }
             Record::Change { .. } if segments.is_empty() => return NoLedgerSnafu { record }.fail(),
             Record::Change { .. } => {}
-            Record::Committed { seq } => {
+            Record::Committed { index } => {
                 segments
                     .iter_mut()
                     .next_back()
-                    .map(|segment| segment.acknowledged.insert(seq));
+                    .map(|segment| segment.acknowledged.insert(index));
             }
         }
         if let Some(segment) = segments.last_mut() {
@@ -163,20 +163,27 @@
     };
     for record in segment.start..segment.end {
         match read(records, record)? {
-            Record::Accepted { view, snapshot } => {
-                replayed.view = view;
+            Record::Accepted {
+                membership,
+                snapshot,
+            } => {
+                replayed.view = membership;
                 replayed.last = snapshot.map(|s| ledger(record, &s)).transpose()?;
             }
-            Record::Change { epoch, seq, change } => {
+            Record::Change {
+                epoch,
+                index,
+                change,
+            } => {
                 let Some(held) = &replayed.last else {
                     return NoLedgerSnafu { record }.fail();
                 };
                 let (held_epoch, held_seq) = (replayed.view.epoch, held.seq);
-                if epoch != held_epoch || seq != held_seq + 1 {
+                if epoch != held_epoch || index != held_seq + 1 {
                     return OutOfOrderSnafu {
                         record,
                         epoch,
-                        seq,
+                        seq: index,
                         held_epoch,
                         held_seq,
                     }
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -65,9 +65,9 @@
         };
         let wait_ms = may.err().map_or(0, |w| w.as_millis() as u32);
         let message = Message::PreVoteReply {
-            willing: may.is_ok(),
-            seen: self.promised,
-            wait_ms,
+            granted: may.is_ok(),
+            promised_epoch: self.promised,
+            retry_after_ms: wait_ms,
         };
         out.push(Output::Send { to: from, message });
     }
@@ -94,10 +94,10 @@
         let message = Message::Promise {
             epoch,
             granted: false,
-            seen,
-            view: self.view.clone(),
-            tag: None,
-            wait_ms,
+            promised_epoch: seen,
+            membership: self.view.clone(),
+            log_position: None,
+            retry_after_ms: wait_ms,
         };
         out.push(Output::Send { to: from, message });
     }
@@ -123,10 +123,10 @@
         let message = Message::Promise {
             epoch,
             granted: true,
-            seen: self.promised,
-            view,
-            tag,
-            wait_ms: 0,
+            promised_epoch: self.promised,
+            membership: view,
+            log_position: tag,
+            retry_after_ms: 0,
         };
         out.push(Output::Send { to, message });
     }
@@ -148,7 +148,7 @@
         if let Some((tag, held)) = self.tag().zip(self.held.as_ref()) {
             let message = Message::SnapshotReply {
                 epoch,
-                tag,
+                log_position: tag,
                 snapshot: held.disk.snapshot(),
             };
             out.push(Output::Send { to: from, message });
@@ -173,8 +173,8 @@
             _ if held && epoch >= self.promised => {
                 let message = Message::InstallMembershipReply {
                     epoch,
-                    ok: true,
-                    seen: self.promised,
+                    accepted: true,
+                    promised_epoch: self.promised,
                 };
                 out.push(Output::Send { to: from, message });
             }
@@ -184,7 +184,7 @@
                 self.step_down();
                 self.election_at = self.now + self.config.lease + self.election_delay();
                 let record = Record::Accepted {
-                    view: view.clone(),
+                    membership: view.clone(),
                     snapshot,
                 };
                 let ledger = ledger.map(Box::new);
@@ -200,8 +200,8 @@
             _ => {
                 let message = Message::InstallMembershipReply {
                     epoch,
-                    ok: false,
-                    seen: self.promised,
+                    accepted: false,
+                    promised_epoch: self.promised,
                 };
                 out.push(Output::Send { to: from, message });
             }
@@ -228,9 +228,9 @@
         let message = match held {
             Some(held) if seq <= held.disk.seq => Message::AppendReply {
                 epoch,
-                seq: held.disk.seq,
-                ok: true,
-                seen: self.promised,
+                match_index: held.disk.seq,
+                accepted: true,
+                promised_epoch: self.promised,
             },
             // On its way to the disk.
             Some(held) if seq <= held.head.seq => return,
@@ -245,21 +245,28 @@
                             epoch,
                             ledger: Box::new(next),
                         };
-                        return self.write(&Record::Change { epoch, seq, change }, after);
+                        return self.write(
+                            &Record::Change {
+                                epoch,
+                                index: seq,
+                                change,
+                            },
+                            after,
+                        );
                     }
                     Err(_) => Message::AppendReply {
                         epoch,
-                        seq,
-                        ok: false,
-                        seen: self.promised,
+                        match_index: seq,
+                        accepted: false,
+                        promised_epoch: self.promised,
                     },
                 }
             }
             _ => Message::AppendReply {
                 epoch,
-                seq,
-                ok: false,
-                seen: self.promised,
+                match_index: seq,
+                accepted: false,
+                promised_epoch: self.promised,
             },
         };
         out.push(Output::Send { to: from, message });
@@ -300,11 +307,11 @@
         let (seen, clock) = (self.promised, self.clock());
         let message = Message::LeaseReply {
             epoch,
-            stamp,
-            ok,
-            seen,
-            fit,
-            clock,
+            requested_at_ms: stamp,
+            granted: ok,
+            promised_epoch: seen,
+            disk_healthy: fit,
+            clock_ms: clock,
         };
         out.push(Output::Send { to: from, message });
     }
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -54,7 +54,7 @@
     let views = records
         .iter()
         .filter_map(|r| match protocol::decode_record(r) {
-            Ok(Record::Accepted { view, .. }) => Some(view.epoch),
+            Ok(Record::Accepted { membership, .. }) => Some(membership.epoch),
             _ => None,
         });
     views.max().unwrap_or(0)
@@ -93,22 +93,25 @@
             let number = index + 1;
             match protocol::decode_record(record).context(UnreadableSnafu { number })? {
                 Record::Promised { epoch } => promised = promised.max(epoch),
-                Record::Accepted { view, snapshot } => {
-                    promised = promised.max(view.epoch);
+                Record::Accepted {
+                    membership,
+                    snapshot,
+                } => {
+                    promised = promised.max(membership.epoch);
                     let seq = snapshot.as_ref().map_or(0, |s| s.seq);
                     let ledger = snapshot.map(|s| ReplicatedState::of(&s)).transpose();
                     let ledger = ledger.ok().context(GapSnafu { number, seq })?;
-                    latest = Some((view, ledger));
+                    latest = Some((membership, ledger));
                 }
-                Record::Change { seq, change, .. } => {
+                Record::Change { index, change, .. } => {
                     let held = latest.as_mut().and_then(|l| l.1.as_mut());
-                    let held = held.context(GapSnafu { number, seq })?;
+                    let held = held.context(GapSnafu { number, seq: index })?;
                     let next = Some(&*held)
-                        .filter(|h| h.seq + 1 == seq)
+                        .filter(|h| h.seq + 1 == index)
                         .and_then(|h| h.after(&change).ok());
-                    *held = next.context(GapSnafu { number, seq })?;
+                    *held = next.context(GapSnafu { number, seq: index })?;
                 }
-                Record::Committed { seq } => committed = seq,
+                Record::Committed { index } => committed = index,
             }
         }
         let (view, ledger) = latest.context(NoViewSnafu)?;
@@ -194,9 +197,12 @@
         let seq = self.ledger.seq;
         let snapshot = Some(self.ledger.snapshot());
         let records = [
-            Record::Accepted { view, snapshot },
+            Record::Accepted {
+                membership: view,
+                snapshot,
+            },
             Record::Promised { epoch },
-            Record::Committed { seq },
+            Record::Committed { index: seq },
         ];
         let identity = Identity {
             id,
--- a/crates/control-plane/src/shell/inbound.rs
+++ b/crates/control-plane/src/shell/inbound.rs
@@ -49,8 +49,8 @@
         return Ok(());
     };
     let (seat, first) = match first {
-        Message::Hello { seat } => match timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await?? {
-            Some(first) => (seat, first),
+        Message::Hello { sender } => match timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await?? {
+            Some(first) => (sender, first),
             None => return Ok(()),
         },
         first => (MemberInfo::default(), first),
--- a/crates/control-plane/src/shell/links/dial.rs
+++ b/crates/control-plane/src/shell/links/dial.rs
@@ -136,10 +136,10 @@
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input, Vec::new());
         let hello = protocol::encode(&Message::Hello {
-            seat: self.inner.me.clone(),
+            sender: self.inner.me.clone(),
         });
         let peers = protocol::encode(&Message::Peers {
-            seats: self.seats(),
+            members: self.seats(),
         });
         if write_all(&mut output, &[hello, peers].concat())
             .await
@@ -147,24 +147,24 @@
         {
             return false;
         }
-        let Ok(Ok(Some(Message::Hello { seat }))) = timeout(SILENCE_TIMEOUT, frames.next()).await
+        let Ok(Ok(Some(Message::Hello { sender }))) = timeout(SILENCE_TIMEOUT, frames.next()).await
         else {
             return false;
         };
         let state = peer.lane(lane);
         state.up.set(true);
-        let dropped = state.drop_old() + state.drop_for_others(seat.id);
+        let dropped = state.drop_old() + state.drop_for_others(sender.id);
         self.inner.counters.borrow_mut().dropped += dropped;
         self.inner.counters.borrow_mut().connected += 1;
         if lane == Lane::Control {
-            self.came_up(peer, seat.clone());
+            self.came_up(peer, sender.clone());
         }
         let liveness = Liveness::new();
         // What a connection that ends leaves half sent.
         let unsent = RefCell::new(None);
         tokio::select! {
-            () = self.listen(&seat, frames, &liveness) => {}
-            () = self.speak(state, seat.id, output, &liveness, &unsent) => {}
+            () = self.listen(&sender, frames, &liveness) => {}
+            () = self.speak(state, sender.id, output, &liveness, &unsent) => {}
             () = self.watch(state, &liveness) => {}
         }
         unsent
@@ -185,7 +185,7 @@
             liveness.hear();
             match step {
                 Step::Message(message) => match *message {
-                    Message::Peers { seats } => self.learn(&seats),
+                    Message::Peers { members } => self.learn(&members),
                     message => self.tell(LinkEvent::Message(seat.clone(), Box::new(message))),
                 },
                 Step::Part => {}
@@ -235,7 +235,9 @@
             }
             let silence = liveness.silence();
             if silence >= PROBE_AFTER {
-                let probe = protocol::encode(&Message::Peers { seats: Vec::new() });
+                let probe = protocol::encode(&Message::Peers {
+                    members: Vec::new(),
+                });
                 self.inner.counters.borrow_mut().dropped += lane.push(0, probe);
                 sleep(SILENCE_TIMEOUT - PROBE_AFTER).await;
             } else {
@@ -254,7 +256,7 @@
         self.tell(LinkEvent::Hello(seat));
         // The others hear of it.
         let news = Message::Peers {
-            seats: self.seats(),
+            members: self.seats(),
         };
         let others: Vec<Rc<Peer>> = self.inner.peers.borrow().values().cloned().collect();
         for other in others.iter().filter(|o| o.addr != peer.addr && o.is_up()) {
--- a/crates/control-plane/src/shell/links/mod.rs
+++ b/crates/control-plane/src/shell/links/mod.rs
@@ -183,7 +183,7 @@
         write_all(
             &mut output,
             &protocol::encode(&Message::Hello {
-                seat: self.inner.me.clone(),
+                sender: self.inner.me.clone(),
             }),
         )
         .await?;
@@ -210,10 +210,10 @@
         output: &mut (impl AsyncWrite + Unpin),
     ) -> std::io::Result<()> {
         match message {
-            Message::Peers { seats } => {
-                self.learn(&seats);
+            Message::Peers { members } => {
+                self.learn(&members);
                 let answer = Message::Peers {
-                    seats: self.seats(),
+                    members: self.seats(),
                 };
                 write_all(output, &protocol::encode(&answer)).await
             }
--- a/crates/control-plane/src/shell/transitions/compare.rs
+++ b/crates/control-plane/src/shell/transitions/compare.rs
@@ -173,11 +173,11 @@
             to,
             message:
                 Message::InstallMembership {
-                    view,
+                    membership,
                     snapshot: Some(snapshot),
                 },
         } => {
-            let (to, epoch, seq) = (to.clone(), view.epoch, snapshot.seq);
+            let (to, epoch, seq) = (to.clone(), membership.epoch, snapshot.seq);
             Some(Transition::SnapshotSent { to, epoch, seq })
         }
         Output::Send {
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -79,10 +79,10 @@
         let promise = Message::Promise {
             epoch,
             granted: true,
-            seen: epoch,
-            view: Some(view),
-            tag,
-            wait_ms: 0,
+            promised_epoch: epoch,
+            membership: Some(view),
+            log_position: tag,
+            retry_after_ms: 0,
         };
         self.hear(from, promise);
     }
@@ -114,9 +114,9 @@
     candidate.hear(
         2,
         Message::PreVoteReply {
-            willing: true,
-            seen: 0,
-            wait_ms: 0,
+            granted: true,
+            promised_epoch: 0,
+            retry_after_ms: 0,
         },
     );
     let epoch = candidate.prepared().expect("it asks for promises");
@@ -137,7 +137,7 @@
         2,
         Message::SnapshotReply {
             epoch,
-            tag,
+            log_position: tag,
             snapshot: ReplicatedState::default().snapshot(),
         },
     );
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -69,12 +69,15 @@
         let sent = voter.hears(
             HOLDER,
             Message::InstallMembership {
-                view,
+                membership: view,
                 snapshot: None,
             },
         );
         assert!(
-            matches!(sent[..], [Message::InstallMembershipReply { ok: true, .. }]),
+            matches!(
+                sent[..],
+                [Message::InstallMembershipReply { accepted: true, .. }]
+            ),
             "{sent:?}"
         );
         voter
@@ -112,14 +115,14 @@
     fn grants(&mut self) {
         let renewal = Message::RenewLease {
             epoch: EPOCH,
-            stamp: 1,
-            committed: 0,
-            heard: 0,
+            requested_at_ms: 1,
+            commit_index: 0,
+            echoed_clock_ms: 0,
         };
         let sent = self.hears(HOLDER, renewal);
         assert!(
             sent.iter()
-                .any(|m| matches!(m, Message::LeaseReply { ok: true, .. })),
+                .any(|m| matches!(m, Message::LeaseReply { granted: true, .. })),
             "{sent:?}"
         );
     }
@@ -129,12 +132,12 @@
         let sent = self.hears(
             THIRD,
             Message::PreVote {
-                seen: EPOCH,
-                view: EPOCH,
+                known_epoch: EPOCH,
+                accepted_epoch: EPOCH,
             },
         );
         sent.iter()
-            .any(|m| matches!(m, Message::PreVoteReply { willing: true, .. }))
+            .any(|m| matches!(m, Message::PreVoteReply { granted: true, .. }))
     }
 
     /// Time passes until it asks the others whether they would promise.
@@ -177,9 +180,9 @@
     voter.asks_for_pre_votes();
     voter.grants();
     let willing = Message::PreVoteReply {
-        willing: true,
-        seen: EPOCH,
-        wait_ms: 0,
+        granted: true,
+        promised_epoch: EPOCH,
+        retry_after_ms: 0,
     };
     let sent = voter.hears(THIRD, willing);
     assert!(
@@ -195,9 +198,9 @@
     voter.now += LEASE;
     voter.asks_for_pre_votes();
     let willing = Message::PreVoteReply {
-        willing: true,
-        seen: EPOCH,
-        wait_ms: 0,
+        granted: true,
+        promised_epoch: EPOCH,
+        retry_after_ms: 0,
     };
     let sent = voter.hears(THIRD, willing);
     assert!(
--- a/crates/control-plane/tests/links.rs
+++ b/crates/control-plane/tests/links.rs
@@ -46,10 +46,14 @@
 async fn greet(listener: &TcpListener, who: &MemberInfo) -> FrameReader<TcpStream> {
     let (stream, _) = listener.accept().await.unwrap();
     let mut frames = FrameReader::new(stream, Vec::new());
-    assert!(matches!(frames.next().await.unwrap(), Some(Message::Hello { seat }) if seat.id == 1));
+    assert!(
+        matches!(frames.next().await.unwrap(), Some(Message::Hello { sender }) if sender.id == 1)
+    );
     let (mut stream, rest) = frames.into_parts();
     stream
-        .write_all(&protocol::encode(&Message::Hello { seat: who.clone() }))
+        .write_all(&protocol::encode(&Message::Hello {
+            sender: who.clone(),
+        }))
         .await
         .unwrap();
     FrameReader::new(stream, rest)
@@ -83,7 +87,7 @@
         // The probe goes unanswered.
         let probe = frames.next().await.unwrap();
         assert!(
-            matches!(probe, Some(Message::Peers { ref seats }) if seats.is_empty()),
+            matches!(probe, Some(Message::Peers { ref members }) if members.is_empty()),
             "{probe:?}"
         );
         assert!(
@@ -185,9 +189,9 @@
         until(|| links.counters().connected == 1).await;
         let text = vec![b'x'; 1 << 20];
         let long = Message::CommandResult {
-            id: 1,
+            request_id: 1,
             code: 0,
-            text,
+            body: text,
         };
         links.send(&other, &long);
         let _stuck_data = greet(&listener, &other).await;
@@ -220,7 +224,7 @@
     };
     Message::AppendChange {
         epoch: 7,
-        seq,
+        index: seq,
         change,
     }
 }
@@ -228,9 +232,9 @@
 fn renewal(stamp: u64) -> Message {
     Message::RenewLease {
         epoch: 7,
-        stamp,
-        committed: 0,
-        heard: 0,
+        requested_at_ms: stamp,
+        commit_index: 0,
+        echoed_clock_ms: 0,
     }
 }
 
@@ -296,9 +300,9 @@
         let (links, mut control) = linked(&listener, &other).await;
         // More than the system's own buffers hold.
         let long = Message::CommandResult {
-            id: 1,
+            request_id: 1,
             code: 0,
-            text: vec![b'x'; 15 << 20],
+            body: vec![b'x'; 15 << 20],
         };
         links.send(&other, &long);
         links.send(&other, &change(1, 10));
@@ -334,7 +338,9 @@
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input, rest);
     while let Ok(Some(_)) = frames.next().await {
-        let answer = protocol::encode(&Message::Peers { seats: Vec::new() });
+        let answer = protocol::encode(&Message::Peers {
+            members: Vec::new(),
+        });
         output.write_all(&answer).await.unwrap();
     }
 }
@@ -385,7 +391,7 @@
             "{:?}",
             start.elapsed()
         );
-        assert!(matches!(change, Message::AppendChange { seq: 1, .. }));
+        assert!(matches!(change, Message::AppendChange { index: 1, .. }));
         assert_eq!(links.counters().broken, 0);
     });
 }
@@ -405,7 +411,9 @@
             theirs.write_all(part).await.unwrap();
         }
     });
-    let first = Message::Peers { seats: Vec::new() };
+    let first = Message::Peers {
+        members: Vec::new(),
+    };
     let serve = links.serve(other, first, FrameReader::new(input, Vec::new()), output);
     local.run_until(serve).await.unwrap();
     let told = log.borrow();
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -102,11 +102,14 @@
     });
     let tag = again.take_outputs().iter().find_map(|o| match o {
         Output::Send {
-            message: Message::Promise {
-                granted: true, tag, ..
-            },
+            message:
+                Message::Promise {
+                    granted: true,
+                    log_position,
+                    ..
+                },
             ..
-        } => Some(*tag),
+        } => Some(*log_position),
         _ => None,
     });
     (shown, tag.expect("it promises").map(|t| (t.epoch, t.seq)))
@@ -215,7 +218,7 @@
     let mut machine = Machine::start(config(ME, None), vec![], Duration::ZERO);
     let snapshot = Some(ReplicatedState::default().snapshot());
     machine.hear(Message::InstallMembership {
-        view: view(),
+        membership: view(),
         snapshot,
     });
     machine
@@ -243,7 +246,7 @@
         machine.now += Duration::from_millis(20);
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
-            seq,
+            index: seq,
             change: change(seq, routes),
         });
         if seq % RENEWED_EACH == 0 {
@@ -253,9 +256,9 @@
             );
             machine.hear(Message::RenewLease {
                 epoch: EPOCH,
-                stamp,
-                committed,
-                heard: 0,
+                requested_at_ms: stamp,
+                commit_index: committed,
+                echoed_clock_ms: 0,
             });
         }
     }
@@ -290,20 +293,20 @@
         machine.now += Duration::from_millis(50);
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
-            seq,
+            index: seq,
             change: change(seq, 300),
         });
         let confirmed = machine.take_outputs().iter().any(|o| {
-            matches!(o, Output::Send { message: Message::AppendReply { seq: s, ok: true, .. }, .. } if *s == seq)
+            matches!(o, Output::Send { message: Message::AppendReply { match_index: s, accepted: true, .. }, .. } if *s == seq)
         });
         assert!(confirmed, "change {seq}");
         if seq % 3 == 0 {
             let stamp = machine.now.as_millis() as u64;
             machine.hear(Message::RenewLease {
                 epoch: EPOCH,
-                stamp,
-                committed: seq - 1,
-                heard: 0,
+                requested_at_ms: stamp,
+                commit_index: seq - 1,
+                echoed_clock_ms: 0,
             });
         }
         let mut again = Machine::start(config(ME, None), machine.disk.clone(), machine.now);
@@ -327,22 +330,22 @@
     machine.refuses_all = true;
     machine.hear(Message::AppendChange {
         epoch: EPOCH,
-        seq: 1,
+        index: 1,
         change: change(1, 10),
     });
     let says = |machine: &mut Machine| {
         machine.hear(Message::RenewLease {
             epoch: EPOCH,
-            stamp: 1,
-            committed: 0,
-            heard: 0,
+            requested_at_ms: 1,
+            commit_index: 0,
+            echoed_clock_ms: 0,
         });
         let outputs = machine.take_outputs();
         let fit = outputs.iter().rev().find_map(|o| match o {
             Output::Send {
-                message: Message::LeaseReply { fit, .. },
+                message: Message::LeaseReply { disk_healthy, .. },
                 ..
-            } => Some(*fit),
+            } => Some(*disk_healthy),
             _ => None,
         });
         fit.expect("it answers")
@@ -351,7 +354,10 @@
         matches!(
             o,
             Output::Send {
-                message: Message::AppendReply { ok: false, .. },
+                message: Message::AppendReply {
+                    accepted: false,
+                    ..
+                },
                 ..
             }
         )
@@ -368,7 +374,7 @@
     assert!(says(&mut machine));
     machine.hear(Message::AppendChange {
         epoch: EPOCH,
-        seq: 1,
+        index: 1,
         change: change(1, 10),
     });
     let taken = machine.take_outputs().iter().any(|o| {
@@ -376,8 +382,8 @@
             o,
             Output::Send {
                 message: Message::AppendReply {
-                    ok: true,
-                    seq: 1,
+                    accepted: true,
+                    match_index: 1,
                     ..
                 },
                 ..
@@ -469,17 +475,17 @@
     ledger.drains = (0..10_000).map(|n| format!("{n:0>256}")).collect();
     let append = Message::AppendChange {
         epoch: 1,
-        seq: 1,
+        index: 1,
         change,
     };
     let tag = protocol::LogPosition { epoch: 1, seq: 1 };
     let reply = Message::SnapshotReply {
         epoch: 1,
-        tag,
+        log_position: tag,
         snapshot: ledger.snapshot(),
     };
     let install = Message::InstallMembership {
-        view: view(),
+        membership: view(),
         snapshot: Some(ledger.snapshot()),
     };
     for message in [append, reply, install] {
@@ -502,7 +508,7 @@
 
 fn accepted(ledger: Option<&ReplicatedState>) -> Record {
     Record::Accepted {
-        view: view(),
+        membership: view(),
         snapshot: ledger.map(ReplicatedState::snapshot),
     }
 }
@@ -510,7 +516,7 @@
 fn numbered(epoch: u64, seq: u64, version: u64) -> Record {
     Record::Change {
         epoch,
-        seq,
+        index: seq,
         change: change(version, 1),
     }
 }
@@ -519,7 +525,7 @@
     let mut snapshot = ReplicatedState::default().snapshot();
     snapshot.document = "{".into();
     Record::Accepted {
-        view: view(),
+        membership: view(),
         snapshot: Some(snapshot),
     }
 }
@@ -559,8 +565,8 @@
         machine.step(Input::Tick);
         let epoch = (8 + round) << 20;
         machine.hear(Message::PreVote {
-            seen: epoch,
-            view: EPOCH,
+            known_epoch: epoch,
+            accepted_epoch: EPOCH,
         });
         machine.hear(Message::Prepare {
             epoch,
@@ -569,18 +575,18 @@
         machine.hear(Message::FetchSnapshot { epoch });
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
-            seq: 2,
+            index: 2,
             change: change(2, 1),
         });
         machine.hear(Message::RenewLease {
             epoch: EPOCH,
-            stamp: 1,
-            committed: 1,
-            heard: 0,
+            requested_at_ms: 1,
+            commit_index: 1,
+            echoed_clock_ms: 0,
         });
         let view = MembershipConfig { epoch, ..view() };
         machine.hear(Message::InstallMembership {
-            view,
+            membership: view,
             snapshot: Some(ReplicatedState::default().snapshot()),
         });
     }
@@ -589,13 +595,20 @@
             Output::Wake { .. } => {}
             Output::Send { message, .. } => {
                 let refuses = match &message {
-                    Message::PreVoteReply { willing, .. } => !willing,
+                    Message::PreVoteReply { granted, .. } => !granted,
                     Message::Promise {
-                        granted, view, tag, ..
-                    } => !granted && view.is_none() && tag.is_none(),
-                    Message::AppendReply { ok, .. }
-                    | Message::InstallMembershipReply { ok, .. } => !ok,
-                    Message::LeaseReply { ok, fit, .. } => !ok && !fit,
+                        granted,
+                        membership,
+                        log_position,
+                        ..
+                    } => !granted && membership.is_none() && log_position.is_none(),
+                    Message::AppendReply { accepted, .. }
+                    | Message::InstallMembershipReply { accepted, .. } => !accepted,
+                    Message::LeaseReply {
+                        granted,
+                        disk_healthy,
+                        ..
+                    } => !granted && !disk_healthy,
                     _ => false,
                 };
                 assert!(refuses, "{message:?}");
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -181,7 +181,7 @@
     let mut gap = records;
     gap.push(protocol::encode_record(&protocol::Record::Change {
         epoch: 1,
-        seq: 99,
+        index: 99,
         change,
     }));
     assert!(matches!(
--- a/crates/fennelpin-cli/tests/bad_days/relay.rs
+++ b/crates/fennelpin-cli/tests/bad_days/relay.rs
@@ -117,7 +117,7 @@
     let mut bytes = Vec::new();
     loop {
         match protocol::decode(&bytes) {
-            Ok(Some((Message::Hello { seat }, _))) => return Ok((seat.name, bytes)),
+            Ok(Some((Message::Hello { sender }, _))) => return Ok((sender.name, bytes)),
             Ok(None) => {}
             other => panic!("no introduction: {other:?}"),
         }
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -38,7 +38,10 @@
     let snapshot = Some(Snapshot::default()).filter(|_| id < 3);
     let records = [
         Record::Promised { epoch },
-        Record::Accepted { view, snapshot },
+        Record::Accepted {
+            membership: view,
+            snapshot,
+        },
     ];
     let identity = Identity {
         id,
@@ -111,8 +114,8 @@
         "no election of the old members reaches it"
     );
     let alone = ledger.iter().any(|r| match protocol::decode_record(r) {
-        Ok(Record::Accepted { view, .. }) => {
-            view.voters.len() == 1 && view.voters[0].id == identity.id
+        Ok(Record::Accepted { membership, .. }) => {
+            membership.voters.len() == 1 && membership.voters[0].id == identity.id
         }
         _ => false,
     });
--- a/crates/model-check/src/canonical.rs
+++ b/crates/model-check/src/canonical.rs
@@ -55,21 +55,37 @@
     match message {
         Message::RenewLease {
             epoch,
-            stamp,
-            committed,
-            heard,
+            requested_at_ms,
+            commit_index,
+            echoed_clock_ms,
         } => {
-            (16, epoch, against(*stamp), committed, heard).hash(&mut hasher);
+            (
+                16,
+                epoch,
+                against(*requested_at_ms),
+                commit_index,
+                echoed_clock_ms,
+            )
+                .hash(&mut hasher);
         }
         Message::LeaseReply {
             epoch,
-            stamp,
-            ok,
-            seen,
-            fit,
-            clock,
+            requested_at_ms,
+            granted,
+            promised_epoch,
+            disk_healthy,
+            clock_ms,
         } => {
-            (17, epoch, against(*stamp), ok, seen, fit, clock).hash(&mut hasher);
+            (
+                17,
+                epoch,
+                against(*requested_at_ms),
+                granted,
+                promised_epoch,
+                disk_healthy,
+                clock_ms,
+            )
+                .hash(&mut hasher);
         }
         other => protocol::encode(other).hash(&mut hasher),
     }
--- a/crates/model-check/src/cluster/claims.rs
+++ b/crates/model-check/src/cluster/claims.rs
@@ -186,13 +186,17 @@
     /// Records are on the disk of a member.
     pub(super) fn on_disk(&mut self, id: u64, records: &[Vec<u8>]) -> Result<(), Breach> {
         for record in records {
-            if let Ok(Record::Accepted { view, snapshot }) = protocol::decode_record(record) {
-                let facts = self.see_view(&view)?;
+            if let Ok(Record::Accepted {
+                membership,
+                snapshot,
+            }) = protocol::decode_record(record)
+            {
+                let facts = self.see_view(&membership)?;
                 facts.on_disk.insert(id);
                 facts.begins_with = snapshot.map(|s| s.seq).or(facts.begins_with);
                 if facts.agreed() {
                     let begins_with = facts.begins_with.unwrap_or_default();
-                    self.taken_over(view.epoch, begins_with)?;
+                    self.taken_over(membership.epoch, begins_with)?;
                 }
             }
         }
@@ -216,16 +220,22 @@
                 Some(*epoch)
             }
             Message::InstallMembershipReply {
-                epoch, ok: true, ..
+                epoch,
+                accepted: true,
+                ..
             }
             | Message::AppendReply {
-                epoch, ok: true, ..
+                epoch,
+                accepted: true,
+                ..
             }
             | Message::LeaseReply {
-                epoch, ok: true, ..
+                epoch,
+                granted: true,
+                ..
             } => Some(*epoch),
-            Message::InstallMembership { view, .. } => {
-                self.see_view(view)?;
+            Message::InstallMembership { membership, .. } => {
+                self.see_view(membership)?;
                 None
             }
             _ => None,
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/planted.rs
@@ -72,16 +72,16 @@
                 Planted::ShortLedger,
                 Message::SnapshotReply {
                     epoch,
-                    tag,
+                    log_position,
                     snapshot,
                 },
             ) => {
                 let snapshot = at_start.cloned().unwrap_or(snapshot);
                 Message::SnapshotReply {
                     epoch,
-                    tag: LogPosition {
+                    log_position: LogPosition {
                         seq: snapshot.seq,
-                        ..tag
+                        ..log_position
                     },
                     snapshot,
                 }
@@ -89,7 +89,7 @@
             (
                 Planted::ForgottenCalls,
                 Message::InstallMembership {
-                    view,
+                    membership,
                     snapshot: Some(snapshot),
                 },
             ) => {
@@ -99,15 +99,23 @@
                     .iter_mut()
                     .for_each(|call| call.digest = Default::default());
                 let snapshot = Some(snapshot);
-                Message::InstallMembership { view, snapshot }
+                Message::InstallMembership {
+                    membership,
+                    snapshot,
+                }
             }
-            (Planted::RewrittenChange, Message::AppendChange { epoch, seq, change }) => {
+            (
+                Planted::RewrittenChange,
                 Message::AppendChange {
                     epoch,
-                    seq,
-                    change: other_content(change),
-                }
-            }
+                    index,
+                    change,
+                },
+            ) => Message::AppendChange {
+                epoch,
+                index,
+                change: other_content(change),
+            },
             (_, message) => message,
         }
     }
@@ -122,34 +130,46 @@
     ) -> Vec<(MemberInfo, Message)> {
         let from_receiver = |message| vec![(receiver.clone(), message)];
         match (self, message) {
-            (Planted::NewVotersAlone, Message::InstallMembership { view, .. }) => {
-                let epoch = view.epoch;
-                let left = departed(view).any(|s| s.id == receiver.id);
+            (Planted::NewVotersAlone, Message::InstallMembership { membership, .. }) => {
+                let epoch = membership.epoch;
+                let left = departed(membership).any(|s| s.id == receiver.id);
                 let yes = || {
                     from_receiver(Message::InstallMembershipReply {
                         epoch,
-                        ok: true,
-                        seen: epoch,
+                        accepted: true,
+                        promised_epoch: epoch,
                     })
                 };
                 left.then(yes).unwrap_or_default()
             }
-            (Planted::NewVotersAlone, Message::RenewLease { epoch, stamp, .. }) => {
-                let lease = granted(*epoch, *stamp);
+            (
+                Planted::NewVotersAlone,
+                Message::RenewLease {
+                    epoch,
+                    requested_at_ms,
+                    ..
+                },
+            ) => {
+                let lease = granted(*epoch, *requested_at_ms);
                 view.into_iter()
                     .flat_map(departed)
                     .map(|s| (s.clone(), lease.clone()))
                     .collect()
             }
-            (Planted::UnfoundedLease, Message::RenewLease { epoch, stamp, .. }) if !reachable => {
-                from_receiver(granted(*epoch, *stamp))
-            }
-            (Planted::EarlyWord, Message::AppendChange { epoch, seq, .. }) => {
+            (
+                Planted::UnfoundedLease,
+                Message::RenewLease {
+                    epoch,
+                    requested_at_ms,
+                    ..
+                },
+            ) if !reachable => from_receiver(granted(*epoch, *requested_at_ms)),
+            (Planted::EarlyWord, Message::AppendChange { epoch, index, .. }) => {
                 from_receiver(Message::AppendReply {
                     epoch: *epoch,
-                    seq: *seq,
-                    ok: true,
-                    seen: *epoch,
+                    match_index: *index,
+                    accepted: true,
+                    promised_epoch: *epoch,
                 })
             }
             _ => Vec::new(),
@@ -165,11 +185,11 @@
 fn granted(epoch: u64, stamp: u64) -> Message {
     Message::LeaseReply {
         epoch,
-        stamp,
-        ok: true,
-        seen: epoch,
-        fit: true,
-        clock: 0,
+        requested_at_ms: stamp,
+        granted: true,
+        promised_epoch: epoch,
+        disk_healthy: true,
+        clock_ms: 0,
     }
 }
 
--- a/crates/model-check/src/cluster/world/network.rs
+++ b/crates/model-check/src/cluster/world/network.rs
@@ -99,8 +99,11 @@
         };
         let (seat, at_start) = (process.seat.clone(), process.at_start.clone());
         Arc::make_mut(&mut self.facts).says(seat.id, &message)?;
-        if let Message::CommandResult { id, code, .. } = &message {
-            self.decided(n, *id, *code)?;
+        if let Message::CommandResult {
+            request_id, code, ..
+        } = &message
+        {
+            self.decided(n, *request_id, *code)?;
         }
         let planted = run.scenario.planted;
         let message = planted.rewrite(message, at_start.as_deref());
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -139,7 +139,7 @@
     #[brw(magic(2u8))]
     Accepted {
         /// The view.
-        view: MembershipConfig,
+        membership: MembershipConfig,
         /// The ledger.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
@@ -151,7 +151,7 @@
         /// Epoch of the view.
         epoch: u64,
         /// Number of the change.
-        seq: u64,
+        index: u64,
         /// The change.
         change: Change,
     },
@@ -159,7 +159,7 @@
     #[brw(magic(4u8))]
     Committed {
         /// Number of the change.
-        seq: u64,
+        index: u64,
     },
 }
 
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -16,7 +16,7 @@
     #[brw(magic(1u8))]
     Hello {
         /// The speaker; identity 0 where it is no member.
-        seat: MemberInfo,
+        sender: MemberInfo,
     },
     /// Members that the speaker knows, so that others find them.
     #[brw(magic(2u8))]
@@ -24,15 +24,15 @@
         /// The members.
         #[br(parse_with = list)]
         #[bw(write_with = put_list)]
-        seats: Vec<MemberInfo>,
+        members: Vec<MemberInfo>,
     },
     /// Asks whether a promise would be given, before it is asked for: nobody is disturbed by one that can't win.
     #[brw(magic(8u8))]
     PreVote {
         /// The highest epoch that the speaker knows.
-        seen: u64,
+        known_epoch: u64,
         /// Epoch of the latest view that it accepted.
-        view: u64,
+        accepted_epoch: u64,
     },
     /// The answer to [`Message::PreVote`].
     #[brw(magic(9u8))]
@@ -40,11 +40,11 @@
         /// Whether a promise would be given now.
         #[br(parse_with = flag)]
         #[bw(write_with = put_flag)]
-        willing: bool,
+        granted: bool,
         /// The highest epoch that the speaker has promised.
-        seen: u64,
+        promised_epoch: u64,
         /// When asking again makes sense.
-        wait_ms: u32,
+        retry_after_ms: u32,
     },
     /// Asks for a promise to follow no lower epoch.
     #[brw(magic(10u8))]
@@ -64,23 +64,23 @@
         #[bw(write_with = put_flag)]
         granted: bool,
         /// The highest epoch that the speaker has promised.
-        seen: u64,
+        promised_epoch: u64,
         /// The latest view that it accepted.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
-        view: Option<MembershipConfig>,
+        membership: Option<MembershipConfig>,
         /// How far its ledger goes, where it holds one.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
-        tag: Option<LogPosition>,
+        log_position: Option<LogPosition>,
         /// When asking again makes sense.
-        wait_ms: u32,
+        retry_after_ms: u32,
     },
     /// Asks to accept a view, with the ledger for those that are to hold it.
     #[brw(magic(12u8))]
     InstallMembership {
         /// The view.
-        view: MembershipConfig,
+        membership: MembershipConfig,
         /// The ledger.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
@@ -94,9 +94,9 @@
         /// Whether it is accepted and on disk.
         #[br(parse_with = flag)]
         #[bw(write_with = put_flag)]
-        ok: bool,
+        accepted: bool,
         /// The highest epoch that the speaker has promised.
-        seen: u64,
+        promised_epoch: u64,
     },
     /// A change, for a backup's disk.
     #[brw(magic(14u8))]
@@ -104,7 +104,7 @@
         /// Epoch of the view.
         epoch: u64,
         /// Number of the change.
-        seq: u64,
+        index: u64,
         /// The change.
         change: Change,
     },
@@ -114,13 +114,13 @@
         /// Epoch of the view.
         epoch: u64,
         /// All changes up to this one are on disk.
-        seq: u64,
+        match_index: u64,
         /// Whether the backup goes on.
         #[br(parse_with = flag)]
         #[bw(write_with = put_flag)]
-        ok: bool,
+        accepted: bool,
         /// The highest epoch that the speaker has promised.
-        seen: u64,
+        promised_epoch: u64,
     },
     /// The primary asks for its lease.
     #[brw(magic(16u8))]
@@ -128,12 +128,12 @@
         /// Epoch of its view.
         epoch: u64,
         /// The primary's clock when it asked, in ms.
-        stamp: u64,
+        requested_at_ms: u64,
         /// Number of the last change that is acknowledged.
-        committed: u64,
+        commit_index: u64,
         /// The latest [`Message::LeaseReply`]'s `clock` that the primary has from this voter; 0 where it has none,
         /// or where its lease isn't in force now. It proves to the voter that the speaker acted after that moment.
-        heard: u64,
+        echoed_clock_ms: u64,
     },
     /// The answer to [`Message::RenewLease`].
     #[brw(magic(17u8))]
@@ -141,19 +141,19 @@
         /// Epoch of the view.
         epoch: u64,
         /// As asked.
-        stamp: u64,
+        requested_at_ms: u64,
         /// Whether the lease is granted.
         #[br(parse_with = flag)]
         #[bw(write_with = put_flag)]
-        ok: bool,
+        granted: bool,
         /// The highest epoch that the speaker has promised.
-        seen: u64,
+        promised_epoch: u64,
         /// Whether the speaker's disk takes writes.
         #[br(parse_with = flag)]
         #[bw(write_with = put_flag)]
-        fit: bool,
+        disk_healthy: bool,
         /// The voter's clock when it answered, in ms, counted from a number of its own that differs for each life.
-        clock: u64,
+        clock_ms: u64,
     },
     /// The primary gives its lease up.
     #[brw(magic(18u8))]
@@ -179,7 +179,7 @@
         /// As asked.
         epoch: u64,
         /// How far the ledger goes.
-        tag: LogPosition,
+        log_position: LogPosition,
         /// The ledger.
         snapshot: Snapshot,
     },
@@ -187,7 +187,7 @@
     #[brw(magic(30u8))]
     ForwardCommand {
         /// The asker's number for it.
-        id: u64,
+        request_id: u64,
         /// The command.
         command: Command,
     },
@@ -195,13 +195,13 @@
     #[brw(magic(31u8))]
     CommandResult {
         /// As asked.
-        id: u64,
+        request_id: u64,
         /// The result code.
         code: u16,
         /// What goes with it.
         #[br(parse_with = bytes)]
         #[bw(write_with = put_bytes)]
-        text: Vec<u8>,
+        body: Vec<u8>,
     },
     /// A proxy has sent a prompt to a host. In datagrams, like the next two: they may be lost.
     #[brw(magic(50u8))]
@@ -209,7 +209,7 @@
         /// What the host keeps from now on.
         placement: Placement,
         /// Tokens that it has to read for it.
-        unread: u32,
+        prefill_tokens: u32,
     },
     /// A proxy that has just started asks what hosts keep.
     #[brw(magic(51u8))]
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -187,14 +187,14 @@
         (
             "Accepted",
             Record::Accepted {
-                view: membership(),
+                membership: membership(),
                 snapshot: Some(snapshot()),
             },
         ),
         (
             "Accepted_without_snapshot",
             Record::Accepted {
-                view: membership(),
+                membership: membership(),
                 snapshot: None,
             },
         ),
@@ -202,11 +202,11 @@
             "Change",
             Record::Change {
                 epoch: 22,
-                seq: 23,
+                index: 23,
                 change: changes().remove(0).1,
             },
         ),
-        ("Committed", Record::Committed { seq: 24 }),
+        ("Committed", Record::Committed { index: 24 }),
     ]
 }
 
@@ -220,20 +220,26 @@
 
 fn elections() -> Vec<(&'static str, Message)> {
     vec![
-        ("Hello", Message::Hello { seat: member(3) }),
+        ("Hello", Message::Hello { sender: member(3) }),
         (
             "Peers",
             Message::Peers {
-                seats: vec![member(5), member(7)],
+                members: vec![member(5), member(7)],
+            },
+        ),
+        (
+            "PreVote",
+            Message::PreVote {
+                known_epoch: 31,
+                accepted_epoch: 30,
             },
         ),
-        ("PreVote", Message::PreVote { seen: 31, view: 30 }),
         (
             "PreVoteReply",
             Message::PreVoteReply {
-                willing: true,
-                seen: 32,
-                wait_ms: 250,
+                granted: true,
+                promised_epoch: 32,
+                retry_after_ms: 250,
             },
         ),
         (
@@ -248,10 +254,10 @@
             Message::Promise {
                 epoch: 34,
                 granted: true,
-                seen: 35,
-                view: Some(membership()),
-                tag: Some(LogPosition { epoch: 36, seq: 37 }),
-                wait_ms: 300,
+                promised_epoch: 35,
+                membership: Some(membership()),
+                log_position: Some(LogPosition { epoch: 36, seq: 37 }),
+                retry_after_ms: 300,
             },
         ),
         (
@@ -259,16 +265,16 @@
             Message::Promise {
                 epoch: 34,
                 granted: true,
-                seen: 35,
-                view: None,
-                tag: None,
-                wait_ms: 300,
+                promised_epoch: 35,
+                membership: None,
+                log_position: None,
+                retry_after_ms: 300,
             },
         ),
         (
             "InstallMembership",
             Message::InstallMembership {
-                view: membership(),
+                membership: membership(),
                 snapshot: Some(snapshot()),
             },
         ),
@@ -276,8 +282,8 @@
             "InstallMembershipReply",
             Message::InstallMembershipReply {
                 epoch: 38,
-                ok: true,
-                seen: 39,
+                accepted: true,
+                promised_epoch: 39,
             },
         ),
         ("FetchSnapshot", Message::FetchSnapshot { epoch: 54 }),
@@ -285,7 +291,7 @@
             "SnapshotReply",
             Message::SnapshotReply {
                 epoch: 55,
-                tag: LogPosition { epoch: 56, seq: 57 },
+                log_position: LogPosition { epoch: 56, seq: 57 },
                 snapshot: snapshot(),
             },
         ),
@@ -298,7 +304,7 @@
             "AppendChange",
             Message::AppendChange {
                 epoch: 40,
-                seq: 41,
+                index: 41,
                 change: changes().remove(1).1,
             },
         ),
@@ -306,29 +312,29 @@
             "AppendReply",
             Message::AppendReply {
                 epoch: 42,
-                seq: 43,
-                ok: true,
-                seen: 44,
+                match_index: 43,
+                accepted: true,
+                promised_epoch: 44,
             },
         ),
         (
             "RenewLease",
             Message::RenewLease {
                 epoch: 45,
-                stamp: 46,
-                committed: 47,
-                heard: 48,
+                requested_at_ms: 46,
+                commit_index: 47,
+                echoed_clock_ms: 48,
             },
         ),
         (
             "LeaseReply",
             Message::LeaseReply {
                 epoch: 49,
-                stamp: 50,
-                ok: true,
-                seen: 51,
-                fit: true,
-                clock: 52,
+                requested_at_ms: 50,
+                granted: true,
+                promised_epoch: 51,
+                disk_healthy: true,
+                clock_ms: 52,
             },
         ),
         ("ReleaseLease", Message::ReleaseLease { epoch: 53 }),
@@ -341,23 +347,23 @@
         (
             "ForwardCommand",
             Message::ForwardCommand {
-                id: 59,
+                request_id: 59,
                 command: commands().remove(0).1,
             },
         ),
         (
             "CommandResult",
             Message::CommandResult {
-                id: 60,
+                request_id: 60,
                 code: 0x0123,
-                text: b"text".to_vec(),
+                body: b"text".to_vec(),
             },
         ),
         (
             "PromptPlaced",
             Message::PromptPlaced {
                 placement: placement("i-13"),
-                unread: 61,
+                prefill_tokens: 61,
             },
         ),
         (
--- a/crates/proxy/src/hint_listener.rs
+++ b/crates/proxy/src/hint_listener.rs
@@ -31,9 +31,17 @@
             continue;
         };
         match message {
-            Message::PromptPlaced { placement, unread } => {
+            Message::PromptPlaced {
+                placement,
+                prefill_tokens,
+            } => {
                 let mut policy = core.policy.borrow_mut();
-                policy.overheard(core.now(), &placement.host, &parts(&placement), unread);
+                policy.overheard(
+                    core.now(),
+                    &placement.host,
+                    &parts(&placement),
+                    prefill_tokens,
+                );
             }
             Message::Placements { placements } => {
                 let mut policy = core.policy.borrow_mut();
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -59,7 +59,7 @@
         };
         let message = protocol::encode(&Message::PromptPlaced {
             placement: of(placement),
-            unread: placement.unread,
+            prefill_tokens: placement.unread,
         });
         if message.len() > DATAGRAM {
             return;
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/hints.rs
@@ -63,8 +63,15 @@
     /// The next of what was placed; questions are passed over.
     async fn placed(&self) -> (Placement, u32) {
         loop {
-            if let (Message::PromptPlaced { placement, unread }, _) = self.hear().await {
-                return (placement, unread);
+            if let (
+                Message::PromptPlaced {
+                    placement,
+                    prefill_tokens,
+                },
+                _,
+            ) = self.hear().await
+            {
+                return (placement, prefill_tokens);
             }
         }
     }
@@ -93,7 +100,7 @@
             host: host.into(),
             parts,
         },
-        unread: 0,
+        prefill_tokens: 0,
     })
 }
 
@@ -210,7 +217,7 @@
             let (told, length) = other.hear().await;
             let Message::PromptPlaced {
                 placement,
-                unread: left,
+                prefill_tokens: left,
             } = told
             else {
                 panic!("{n}: {told:?}")
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -157,7 +157,7 @@
                 Action::Connect { link, addr } => {
                     let (pulls, queue) = mpsc::unbounded_channel();
                     let hello = encode(&Message::Hello {
-                        seat: self.hello.clone(),
+                        sender: self.hello.clone(),
                     });
                     let (events, shared) = (self.events.clone(), self.shared.clone());
                     let task = self.tasks.spawn(async move {
--- a/crates/replication/tests/serve.rs
+++ b/crates/replication/tests/serve.rs
@@ -55,7 +55,7 @@
     let heard = callers.clone();
     // What was read of the connection before is part of it.
     let hello = encode(&Message::Hello {
-        seat: MemberInfo::default(),
+        sender: MemberInfo::default(),
     });
     let served = tokio::spawn(serve(far, hello, shared.clone(), move |caller| {
         heard.lock().unwrap().push(caller.name.clone());
--- a/crates/simulator/src/world/bugs.rs
+++ b/crates/simulator/src/world/bugs.rs
@@ -15,9 +15,18 @@
         message: Message,
     ) -> Option<Message> {
         match (self.plan.planted, message) {
-            (Planted::VotersBeforeForgotten, Message::InstallMembership { mut view, snapshot }) => {
-                forget_before(&mut view);
-                Some(Message::InstallMembership { view, snapshot })
+            (
+                Planted::VotersBeforeForgotten,
+                Message::InstallMembership {
+                    mut membership,
+                    snapshot,
+                },
+            ) => {
+                forget_before(&mut membership);
+                Some(Message::InstallMembership {
+                    membership,
+                    snapshot,
+                })
             }
             (Planted::TakenCallsNotInSnapshot | Planted::DrainsNotInSnapshot, message) => {
                 Some(self.without_parts(message))
@@ -37,28 +46,50 @@
                 Planted::FetchedLedgerIsOld,
                 Message::SnapshotReply {
                     epoch,
-                    tag,
+                    log_position,
                     snapshot,
                 },
             ) => {
                 let old = self.nodes[n].view_ledger.clone();
                 Some(Message::SnapshotReply {
                     epoch,
-                    tag,
+                    log_position,
                     snapshot: old.unwrap_or(snapshot),
                 })
             }
-            (Planted::AnswersMixedUp, Message::CommandResult { id, code, text }) => {
-                let id = if self.pick(10) == 0 { id + 1 } else { id };
-                Some(Message::CommandResult { id, code, text })
+            (
+                Planted::AnswersMixedUp,
+                Message::CommandResult {
+                    request_id,
+                    code,
+                    body,
+                },
+            ) => {
+                let id = if self.pick(10) == 0 {
+                    request_id + 1
+                } else {
+                    request_id
+                };
+                Some(Message::CommandResult {
+                    request_id: id,
+                    code,
+                    body,
+                })
             }
-            (Planted::ReplicaConfirmsEarly, Message::AppendChange { epoch, seq, change }) => {
+            (
+                Planted::ReplicaConfirmsEarly,
+                Message::AppendChange {
+                    epoch,
+                    index,
+                    change,
+                },
+            ) => {
                 let life = self.nodes[to].life;
                 let reply = Message::AppendReply {
                     epoch,
-                    seq,
-                    ok: true,
-                    seen: epoch,
+                    match_index: index,
+                    accepted: true,
+                    promised_epoch: epoch,
                 };
                 let way = super::ms(1);
                 let deliver = super::What::Deliver {
@@ -69,20 +100,24 @@
                 if self.nodes[to].member.is_some() && !self.cut.contains_key(&(n, to)) {
                     self.at(self.now + way, n, deliver);
                 }
-                Some(Message::AppendChange { epoch, seq, change })
+                Some(Message::AppendChange {
+                    epoch,
+                    index,
+                    change,
+                })
             }
             (
                 Planted::CountedBeforeLedger,
                 Message::InstallMembership {
-                    view,
+                    membership,
                     snapshot: Some(snapshot),
                 },
             ) => {
-                let (epoch, life) = (view.epoch, self.nodes[to].life);
+                let (epoch, life) = (membership.epoch, self.nodes[to].life);
                 let reply = Message::InstallMembershipReply {
                     epoch,
-                    ok: true,
-                    seen: epoch,
+                    accepted: true,
+                    promised_epoch: epoch,
                 };
                 let deliver = super::What::Deliver {
                     from: to,
@@ -94,7 +129,7 @@
                 }
                 let life = self.nodes[n].life;
                 let message = Box::new(Message::InstallMembership {
-                    view,
+                    membership,
                     snapshot: Some(snapshot),
                 });
                 self.at(
@@ -114,17 +149,20 @@
 
     fn without_parts(&self, message: Message) -> Message {
         match message {
-            Message::InstallMembership { view, snapshot } => Message::InstallMembership {
-                view,
+            Message::InstallMembership {
+                membership,
+                snapshot,
+            } => Message::InstallMembership {
+                membership,
                 snapshot: snapshot.map(|s| self.stripped(s)),
             },
             Message::SnapshotReply {
                 epoch,
-                tag,
+                log_position,
                 snapshot,
             } => Message::SnapshotReply {
                 epoch,
-                tag,
+                log_position,
                 snapshot: self.stripped(snapshot),
             },
             other => other,
@@ -144,9 +182,9 @@
     pub(super) fn planted_write(&mut self, n: usize, records: &mut Vec<Vec<u8>>) {
         match self.plan.planted {
             Planted::NoSnapshot => records.iter_mut().for_each(|r| {
-                if let Ok(Record::Accepted { view, .. }) = protocol::decode_record(r) {
+                if let Ok(Record::Accepted { membership, .. }) = protocol::decode_record(r) {
                     *r = protocol::encode_record(&Record::Accepted {
-                        view,
+                        membership,
                         snapshot: None,
                     });
                 }
@@ -156,26 +194,39 @@
                 records.retain(|_| keeps);
             }
             Planted::VotersBeforeForgotten => records.iter_mut().for_each(|r| {
-                if let Ok(Record::Accepted { mut view, snapshot }) = protocol::decode_record(r) {
-                    forget_before(&mut view);
-                    *r = protocol::encode_record(&Record::Accepted { view, snapshot });
+                if let Ok(Record::Accepted {
+                    mut membership,
+                    snapshot,
+                }) = protocol::decode_record(r)
+                {
+                    forget_before(&mut membership);
+                    *r = protocol::encode_record(&Record::Accepted {
+                        membership,
+                        snapshot,
+                    });
                 }
             }),
             Planted::TakenCallsNotInSnapshot | Planted::DrainsNotInSnapshot => {
                 for record in records {
-                    if let Ok(Record::Accepted { view, snapshot }) = protocol::decode_record(record)
+                    if let Ok(Record::Accepted {
+                        membership,
+                        snapshot,
+                    }) = protocol::decode_record(record)
                     {
                         let snapshot = snapshot.map(|s| self.stripped(s));
-                        *record = protocol::encode_record(&Record::Accepted { view, snapshot });
+                        *record = protocol::encode_record(&Record::Accepted {
+                            membership,
+                            snapshot,
+                        });
                     }
                 }
             }
             Planted::CommittedAheadOfReplicas => {
                 let committed = |r: &Vec<u8>| match protocol::decode_record(r) {
-                    Ok(Record::Change { seq, .. }) => {
+                    Ok(Record::Change { index, .. }) => {
                         vec![
                             r.clone(),
-                            protocol::encode_record(&Record::Committed { seq }),
+                            protocol::encode_record(&Record::Committed { index }),
                         ]
                     }
                     _ => vec![r.clone()],
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -27,27 +27,34 @@
         )
     };
     match message {
-        Message::InstallMembership { view, snapshot } => {
+        Message::InstallMembership {
+            membership,
+            snapshot,
+        } => {
             format!(
                 "install {} ledger {:?}",
-                told(view),
+                told(membership),
                 snapshot.as_ref().map(|s| s.seq)
             )
         }
         Message::Promise {
             epoch,
             granted,
-            view,
-            tag,
-            wait_ms,
+            membership,
+            log_position,
+            retry_after_ms,
             ..
         } => {
             format!(
-                "promise {epoch} {granted} {:?} {tag:?} wait {wait_ms}",
-                view.as_ref().map(told)
+                "promise {epoch} {granted} {:?} {log_position:?} wait {retry_after_ms}",
+                membership.as_ref().map(told)
             )
         }
-        Message::SnapshotReply { epoch, tag, .. } => format!("ledger {epoch} {tag:?}"),
+        Message::SnapshotReply {
+            epoch,
+            log_position,
+            ..
+        } => format!("ledger {epoch} {log_position:?}"),
         Message::Prepare { epoch, .. } => format!("prepare {epoch}"),
         other => format!("{other:?}"),
     }
@@ -117,16 +124,17 @@
     fn note_sent(&mut self, n: usize, to: usize, message: &Message) {
         match message {
             Message::InstallMembership {
-                view,
+                membership,
                 snapshot: Some(_),
-            } if view.primary == self.nodes[n].seat.id => {
+            } if membership.primary == self.nodes[n].seat.id => {
                 self.moment(Moment::Composed, n);
-                if !view.settled() {
-                    let is_new = |m: &&super::Node| !view.before.iter().any(|s| s.id == m.seat.id);
+                if !membership.settled() {
+                    let is_new =
+                        |m: &&super::Node| !membership.before.iter().any(|s| s.id == m.seat.id);
                     let new = self
                         .nodes
                         .iter()
-                        .filter(|m| view.seat(m.seat.id).is_some())
+                        .filter(|m| membership.seat(m.seat.id).is_some())
                         .find(is_new);
                     let new =
                         new.and_then(|m| self.nodes.iter().position(|o| o.seat.id == m.seat.id));
