--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -120,7 +120,9 @@
 
 impl Member {
     pub(super) fn write(&mut self, record: &Record, after: After) {
-        self.disk.queue.push((protocol::write_one(record), after));
+        self.disk
+            .queue
+            .push((protocol::encode_record(record), after));
     }
 
     /// Starts the next write.
@@ -205,7 +207,7 @@
     /// first, and then the changes since; where these aren't at hand, the acknowledged ledger stands under a view
     /// without voters, before the one held.
     fn whole(&self) -> Vec<Vec<u8>> {
-        let mut records = vec![protocol::write_one(&Record::Promised {
+        let mut records = vec![protocol::encode_record(&Record::Promised {
             epoch: self.promised,
         })];
         let Some(view) = self.view.clone().filter(|v| v.epoch > 0) else {
@@ -213,10 +215,13 @@
         };
         let accepted = |view: MembershipConfig, ledger: Option<&ReplicatedState>| {
             let snapshot = ledger.map(ReplicatedState::snapshot);
-            protocol::write_one(&Record::Accepted { view, snapshot })
+            protocol::encode_record(&Record::Accepted {
+                membership: view,
+                snapshot,
+            })
         };
         let committed = |ledger: &ReplicatedState| {
-            protocol::write_one(&Record::Committed {
+            protocol::encode_record(&Record::Committed {
                 index: ledger.index,
             })
         };
@@ -296,8 +301,8 @@
                 } else {
                     let message = Message::InstallMembershipReply {
                         epoch,
-                        ok: true,
-                        seen: self.promised,
+                        accepted: true,
+                        promised_epoch: self.promised,
                     };
                     out.push(Output::Send { to, message });
                 }
@@ -309,9 +314,9 @@
                     to,
                     Message::AppendReply {
                         epoch,
-                        index,
-                        ok: true,
-                        seen: self.promised,
+                        match_index: index,
+                        accepted: true,
+                        promised_epoch: self.promised,
                     },
                     out,
                 );
@@ -339,8 +344,8 @@
             After::Installed { to, view, .. } if to.id != self.me() => {
                 let message = Message::InstallMembershipReply {
                     epoch: view.epoch,
-                    ok: false,
-                    seen,
+                    accepted: false,
+                    promised_epoch: seen,
                 };
                 out.push(Output::Send { to, message });
             }
@@ -349,9 +354,9 @@
                     to,
                     Message::AppendReply {
                         epoch,
-                        index: ledger.index,
-                        ok: false,
-                        seen,
+                        match_index: ledger.index,
+                        accepted: false,
+                        promised_epoch: seen,
                     },
                     out,
                 );
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -67,9 +67,9 @@
         };
         let wait_ms = may.err().map_or(0, |w| w.as_millis() as u32);
         let message = Message::PreVoteReply {
-            willing: may.is_ok(),
-            seen: self.promised,
-            wait_ms,
+            granted: may.is_ok(),
+            promised_epoch: self.promised,
+            retry_after_ms: wait_ms,
         };
         out.push(Output::Send { to: from, message });
     }
@@ -96,10 +96,10 @@
         let message = Message::Promise {
             epoch,
             granted: false,
-            seen,
-            view: self.view.clone(),
-            tag: None,
-            wait_ms,
+            promised_epoch: seen,
+            membership: self.view.clone(),
+            log_position: None,
+            retry_after_ms: wait_ms,
         };
         out.push(Output::Send { to: from, message });
     }
@@ -125,10 +125,10 @@
         let message = Message::Promise {
             epoch,
             granted: true,
-            seen: self.promised,
-            view,
-            tag,
-            wait_ms: 0,
+            promised_epoch: self.promised,
+            membership: view,
+            log_position: tag,
+            retry_after_ms: 0,
         };
         out.push(Output::Send { to, message });
     }
@@ -150,7 +150,7 @@
         if let Some((tag, held)) = self.tag().zip(self.held.as_ref()) {
             let message = Message::SnapshotReply {
                 epoch,
-                tag,
+                log_position: tag,
                 snapshot: held.disk.snapshot(),
             };
             out.push(Output::Send { to: from, message });
@@ -175,8 +175,8 @@
             _ if held && epoch >= self.promised => {
                 let message = Message::InstallMembershipReply {
                     epoch,
-                    ok: true,
-                    seen: self.promised,
+                    accepted: true,
+                    promised_epoch: self.promised,
                 };
                 out.push(Output::Send { to: from, message });
             }
@@ -186,7 +186,7 @@
                 self.step_down();
                 self.election_at = self.now + self.config.lease_duration + self.election_delay();
                 let record = Record::Accepted {
-                    view: view.clone(),
+                    membership: view.clone(),
                     snapshot,
                 };
                 let ledger = ledger.map(Box::new);
@@ -202,8 +202,8 @@
             _ => {
                 let message = Message::InstallMembershipReply {
                     epoch,
-                    ok: false,
-                    seen: self.promised,
+                    accepted: false,
+                    promised_epoch: self.promised,
                 };
                 out.push(Output::Send { to: from, message });
             }
@@ -230,9 +230,9 @@
         let message = match held {
             Some(held) if index <= held.disk.index => Message::AppendReply {
                 epoch,
-                index: held.disk.index,
-                ok: true,
-                seen: self.promised,
+                match_index: held.disk.index,
+                accepted: true,
+                promised_epoch: self.promised,
             },
             // On its way to the disk.
             Some(held) if index <= held.head.index => return,
@@ -259,17 +259,17 @@
                     }
                     Err(_) => Message::AppendReply {
                         epoch,
-                        index,
-                        ok: false,
-                        seen: self.promised,
+                        match_index: index,
+                        accepted: false,
+                        promised_epoch: self.promised,
                     },
                 }
             }
             _ => Message::AppendReply {
                 epoch,
-                index,
-                ok: false,
-                seen: self.promised,
+                match_index: index,
+                accepted: false,
+                promised_epoch: self.promised,
             },
         };
         out.push(Output::Send { to: from, message });
@@ -310,11 +310,11 @@
         let (seen, clock) = (self.promised, self.clock());
         let message = Message::LeaseReply {
             epoch,
-            stamp,
-            ok,
-            seen,
-            fit,
-            clock,
+            requested_at_ms: stamp,
+            granted: ok,
+            promised_epoch: seen,
+            disk_healthy: fit,
+            clock_ms: clock,
         };
         out.push(Output::Send { to: from, message });
     }
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -51,10 +51,12 @@
 
 /// Epoch of the latest view that a member accepted, by its ledger's records; 0 where it accepted none.
 pub fn latest_view(records: &[Vec<u8>]) -> u64 {
-    let views = records.iter().filter_map(|r| match protocol::read_one(r) {
-        Ok(Record::Accepted { view, .. }) => Some(view.epoch),
-        _ => None,
-    });
+    let views = records
+        .iter()
+        .filter_map(|r| match protocol::decode_record(r) {
+            Ok(Record::Accepted { membership, .. }) => Some(membership.epoch),
+            _ => None,
+        });
     views.max().unwrap_or(0)
 }
 
@@ -87,16 +89,19 @@
         }
         let (mut promised, mut committed) = (0, 0);
         let mut latest: Option<(MembershipConfig, Option<ReplicatedState>)> = None;
-        for (position, record) in records.iter().enumerate() {
-            let number = position + 1;
-            match protocol::read_one(record).context(UnreadableSnafu { number })? {
+        for (index, record) in records.iter().enumerate() {
+            let number = index + 1;
+            match protocol::decode_record(record).context(UnreadableSnafu { number })? {
                 Record::Promised { epoch } => promised = promised.max(epoch),
-                Record::Accepted { view, snapshot } => {
-                    promised = promised.max(view.epoch);
+                Record::Accepted {
+                    membership,
+                    snapshot,
+                } => {
+                    promised = promised.max(membership.epoch);
                     let index = snapshot.as_ref().map_or(0, |s| s.index);
                     let ledger = snapshot.map(|s| ReplicatedState::of(&s)).transpose();
                     let ledger = ledger.ok().context(GapSnafu { number, index })?;
-                    latest = Some((view, ledger));
+                    latest = Some((membership, ledger));
                 }
                 Record::Change { index, change, .. } => {
                     let held = latest.as_mut().and_then(|l| l.1.as_mut());
@@ -192,7 +197,10 @@
         let index = self.ledger.index;
         let snapshot = Some(self.ledger.snapshot());
         let records = [
-            Record::Accepted { view, snapshot },
+            Record::Accepted {
+                membership: view,
+                snapshot,
+            },
             Record::Promised { epoch },
             Record::Committed { index },
         ];
@@ -201,12 +209,12 @@
             life: self.identity.life,
             initial_voters: Vec::new(),
         };
-        let owner = protocol::write_one(&LogOwner {
+        let owner = protocol::encode_record(&LogOwner {
             identity: identity.clone(),
         });
-        let records = records.iter().map(protocol::write_one);
+        let records = records.iter().map(protocol::encode_record);
         Ok((
-            protocol::write_one(&identity),
+            protocol::encode_record(&identity),
             std::iter::once(owner).chain(records).collect(),
         ))
     }
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -108,7 +108,10 @@
 fn the_latest_record_counts() {
     let first = birth(SEEDS[0], true).identity(None);
     let second = birth(SEEDS[0], false).identity(Some(first.clone()));
-    let records = [protocol::write_one(&first), protocol::write_one(&second)];
+    let records = [
+        protocol::encode_record(&first),
+        protocol::encode_record(&second),
+    ];
     assert_eq!(latest_identity(&records).unwrap(), Some(second));
     assert_eq!(latest_identity(&[]).unwrap(), None);
     // One that can't be read is never passed over for an older one, or for none.
@@ -121,7 +124,7 @@
 
 fn ledger(owner: Option<&Identity>, records: &[&[u8]]) -> StoredLog {
     let owner = owner.map(|identity| {
-        protocol::write_one(&LogOwner {
+        protocol::encode_record(&LogOwner {
             identity: identity.clone(),
         })
     });
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -102,11 +102,14 @@
     });
     let tag = again.take_outputs().iter().find_map(|o| match o {
         Output::Send {
-            message: Message::Promise {
-                granted: true, tag, ..
-            },
+            message:
+                Message::Promise {
+                    granted: true,
+                    log_position,
+                    ..
+                },
             ..
-        } => Some(*tag),
+        } => Some(*log_position),
         _ => None,
     });
     (shown, tag.expect("it promises").map(|t| (t.epoch, t.index)))
@@ -215,7 +218,7 @@
     let mut machine = Machine::start(config(ME, None), vec![], Duration::ZERO);
     let snapshot = Some(ReplicatedState::default().snapshot());
     machine.hear(Message::InstallMembership {
-        view: view(),
+        membership: view(),
         snapshot,
     });
     machine
@@ -253,9 +256,9 @@
             );
             machine.hear(Message::RenewLease {
                 epoch: EPOCH,
-                stamp,
-                committed,
-                heard: 0,
+                requested_at_ms: stamp,
+                commit_index: committed,
+                echoed_clock_ms: 0,
             });
         }
     }
@@ -294,16 +297,16 @@
             change: change(index, 300),
         });
         let confirmed = machine.take_outputs().iter().any(|o| {
-            matches!(o, Output::Send { message: Message::AppendReply { index: s, ok: true, .. }, .. } if *s == index)
+            matches!(o, Output::Send { message: Message::AppendReply { match_index: s, accepted: true, .. }, .. } if *s == index)
         });
         assert!(confirmed, "change {index}");
         if index % 3 == 0 {
             let stamp = machine.now.as_millis() as u64;
             machine.hear(Message::RenewLease {
                 epoch: EPOCH,
-                stamp,
-                committed: index - 1,
-                heard: 0,
+                requested_at_ms: stamp,
+                commit_index: index - 1,
+                echoed_clock_ms: 0,
             });
         }
         let mut again = Machine::start(config(ME, None), machine.disk.clone(), machine.now);
@@ -336,16 +339,16 @@
     let says = |machine: &mut Machine| {
         machine.hear(Message::RenewLease {
             epoch: EPOCH,
-            stamp: 1,
-            committed: 0,
-            heard: 0,
+            requested_at_ms: 1,
+            commit_index: 0,
+            echoed_clock_ms: 0,
         });
         let outputs = machine.take_outputs();
         let fit = outputs.iter().rev().find_map(|o| match o {
             Output::Send {
-                message: Message::LeaseReply { fit, .. },
+                message: Message::LeaseReply { disk_healthy, .. },
                 ..
-            } => Some(*fit),
+            } => Some(*disk_healthy),
             _ => None,
         });
         fit.expect("it answers")
@@ -354,7 +357,10 @@
         matches!(
             o,
             Output::Send {
-                message: Message::AppendReply { ok: false, .. },
+                message: Message::AppendReply {
+                    accepted: false,
+                    ..
+                },
                 ..
             }
         )
@@ -379,8 +385,8 @@
             o,
             Output::Send {
                 message: Message::AppendReply {
-                    ok: true,
-                    index: 1,
+                    accepted: true,
+                    match_index: 1,
                     ..
                 },
                 ..
@@ -481,20 +487,24 @@
     let tag = protocol::LogPosition { epoch: 1, index: 1 };
     let reply = Message::SnapshotReply {
         epoch: 1,
-        tag,
+        log_position: tag,
         snapshot: ledger.snapshot(),
     };
     let install = Message::InstallMembership {
-        view: view(),
+        membership: view(),
         snapshot: Some(ledger.snapshot()),
     };
     for message in [append, reply, install] {
         let frame = protocol::encode(&message);
-        assert!(frame.len() <= protocol::MOST, "{} bytes", frame.len());
+        assert!(
+            frame.len() <= protocol::MAX_FRAME_BYTES,
+            "{} bytes",
+            frame.len()
+        );
         let (read, length) = protocol::decode(&frame).unwrap().unwrap();
         assert!(read == message && length == frame.len());
     }
-    let record = protocol::write_one(&accepted(Some(&ledger)));
+    let record = protocol::encode_record(&accepted(Some(&ledger)));
     assert!(
         record.len() <= append_log::format::MAX_RECORD,
         "{} bytes",
@@ -504,7 +514,7 @@
 
 fn accepted(ledger: Option<&ReplicatedState>) -> Record {
     Record::Accepted {
-        view: view(),
+        membership: view(),
         snapshot: ledger.map(ReplicatedState::snapshot),
     }
 }
@@ -521,7 +531,7 @@
     let mut snapshot = ReplicatedState::default().snapshot();
     snapshot.configuration = "{".into();
     Record::Accepted {
-        view: view(),
+        membership: view(),
         snapshot: Some(snapshot),
     }
 }
@@ -530,7 +540,7 @@
 /// nothing, and stands for nothing.
 #[rstest]
 #[case::unreadable(vec![], Some(vec![77, 1, 2]), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
-#[case::longer(vec![], Some([protocol::write_one(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
+#[case::longer(vec![], Some([protocol::encode_record(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
 #[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 3, held_index: 1, .. }))]
 #[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 1, held_index: 1, .. }))]
 #[case::of_another_view(vec![numbered(EPOCH + 1, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { .. }))]
@@ -549,7 +559,7 @@
     let disk: Vec<Vec<u8>> = good
         .iter()
         .chain(&records)
-        .map(protocol::write_one)
+        .map(protocol::encode_record)
         .chain(raw)
         .collect();
     let mut machine = Machine::start(config(ME, None), disk.clone(), Duration::ZERO);
@@ -561,8 +571,8 @@
         machine.step(Input::Tick);
         let epoch = (8 + round) << 20;
         machine.hear(Message::PreVote {
-            seen: epoch,
-            view: EPOCH,
+            known_epoch: epoch,
+            accepted_epoch: EPOCH,
         });
         machine.hear(Message::Prepare {
             epoch,
@@ -576,13 +586,13 @@
         });
         machine.hear(Message::RenewLease {
             epoch: EPOCH,
-            stamp: 1,
-            committed: 1,
-            heard: 0,
+            requested_at_ms: 1,
+            commit_index: 1,
+            echoed_clock_ms: 0,
         });
         let view = MembershipConfig { epoch, ..view() };
         machine.hear(Message::InstallMembership {
-            view,
+            membership: view,
             snapshot: Some(ReplicatedState::default().snapshot()),
         });
     }
@@ -591,13 +601,20 @@
             Output::Wake { .. } => {}
             Output::Send { message, .. } => {
                 let refuses = match &message {
-                    Message::PreVoteReply { willing, .. } => !willing,
+                    Message::PreVoteReply { granted, .. } => !granted,
                     Message::Promise {
-                        granted, view, tag, ..
-                    } => !granted && view.is_none() && tag.is_none(),
-                    Message::AppendReply { ok, .. }
-                    | Message::InstallMembershipReply { ok, .. } => !ok,
-                    Message::LeaseReply { ok, fit, .. } => !ok && !fit,
+                        granted,
+                        membership,
+                        log_position,
+                        ..
+                    } => !granted && membership.is_none() && log_position.is_none(),
+                    Message::AppendReply { accepted, .. }
+                    | Message::InstallMembershipReply { accepted, .. } => !accepted,
+                    Message::LeaseReply {
+                        granted,
+                        disk_healthy,
+                        ..
+                    } => !granted && !disk_healthy,
                     _ => false,
                 };
                 assert!(refuses, "{message:?}");
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -146,14 +146,14 @@
     vec![
         vec![Record::Promised { epoch: FIRST_EPOCH }],
         vec![Record::Accepted {
-            view: first_membership(),
+            membership: first_membership(),
             snapshot: None,
         }],
         vec![Record::Promised {
             epoch: SECOND_EPOCH,
         }],
         vec![Record::Accepted {
-            view: second_membership(),
+            membership: second_membership(),
             snapshot: Some(first_snapshot()),
         }],
         vec![change(
@@ -192,7 +192,7 @@
             epoch: SECOND_EPOCH + 1,
         },
         Record::Accepted {
-            view: second_membership(),
+            membership: second_membership(),
             snapshot: Some(last_snapshot()),
         },
         Record::Committed { index: 11 },
@@ -233,7 +233,7 @@
 }
 
 fn encoded(records: &[Record]) -> Vec<Vec<u8>> {
-    records.iter().map(protocol::write_one).collect()
+    records.iter().map(protocol::encode_record).collect()
 }
 
 fn log_batches(batches: &[Vec<Record>]) -> Vec<Batch> {
@@ -292,11 +292,14 @@
     let owner = LogOwner {
         identity: owner.clone(),
     };
-    assert_eq!(protocol::read_one::<LogOwner>(&stored[0]).unwrap(), owner);
-    assert_eq!(protocol::write_one(&owner), stored[0]);
+    assert_eq!(
+        protocol::decode_record::<LogOwner>(&stored[0]).unwrap(),
+        owner
+    );
+    assert_eq!(protocol::encode_record(&owner), stored[0]);
     let read: Vec<Record> = stored[1..]
         .iter()
-        .map(|bytes| protocol::read_one(bytes).unwrap())
+        .map(|bytes| protocol::decode_record(bytes).unwrap())
         .collect();
     assert_eq!(read, records);
     assert_eq!(encoded(&read), stored[1..], "encoded again");
@@ -308,11 +311,11 @@
     let stored = stored_records(dir.path(), "identity");
     let read: Vec<Identity> = stored
         .iter()
-        .map(|bytes| protocol::read_one(bytes).unwrap())
+        .map(|bytes| protocol::decode_record(bytes).unwrap())
         .collect();
     assert_eq!(read, [identity(1_000), identity(2_000)]);
     assert_eq!(latest_identity(&stored).unwrap(), Some(identity(2_000)));
-    let again: Vec<Vec<u8>> = read.iter().map(protocol::write_one).collect();
+    let again: Vec<Vec<u8>> = read.iter().map(protocol::encode_record).collect();
     assert_eq!(again, stored);
     let voters = initial_voters();
     assert_eq!(voters.len(), 3);
@@ -356,9 +359,9 @@
     let dir = copy_of("appended");
     let stored = stored_records(dir.path(), "roster");
     assert_eq!(stored.len(), 1);
-    let read: OriginUpdate = protocol::read_one(&stored[0]).unwrap();
+    let read: OriginUpdate = protocol::decode_record(&stored[0]).unwrap();
     assert_eq!(read, known_hosts());
-    assert_eq!(protocol::write_one(&read), stored[0]);
+    assert_eq!(protocol::encode_record(&read), stored[0]);
 }
 
 #[test]
@@ -369,7 +372,7 @@
     batches.push(Batch {
         file: File::HostRegistry,
         rewrite: true,
-        records: vec![protocol::write_one(&known_hosts())],
+        records: vec![protocol::encode_record(&known_hosts())],
     });
     write_in_one_incarnation(dir.path(), start_facts(false, 2_000), batches);
     assert_same_files(dir.path(), "appended");
@@ -413,7 +416,7 @@
         panic!("the files don't open");
     };
     assert_eq!(found, identity(9_000));
-    let hosts = (name != "rewritten").then(|| protocol::write_one(&known_hosts()));
+    let hosts = (name != "rewritten").then(|| protocol::encode_record(&known_hosts()));
     assert_eq!(roster, hosts);
     let config = MemberConfig {
         local_member: member_info(MEMBER_ID, 1),
@@ -457,7 +460,7 @@
     assert_eq!(found.owner, Some(identity(1_000)));
     let mut state = ReplicatedState::default();
     for bytes in &found.records {
-        match protocol::read_one(bytes).unwrap() {
+        match protocol::decode_record(bytes).unwrap() {
             Record::Accepted {
                 snapshot: Some(snapshot),
                 ..
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -139,7 +139,7 @@
     #[brw(magic(2u8))]
     Accepted {
         /// The view.
-        view: MembershipConfig,
+        membership: MembershipConfig,
         /// The ledger.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
--- a/crates/proxy/src/hints/listener.rs
+++ b/crates/proxy/src/hints/listener.rs
@@ -31,9 +31,17 @@
             continue;
         };
         match message {
-            Message::PromptPlaced { placement, unread } => {
+            Message::PromptPlaced {
+                placement,
+                prefill_tokens,
+            } => {
                 let mut policy = state.policy.borrow_mut();
-                policy.on_prefix_hint(state.now(), &placement.host, &parts(&placement), unread);
+                policy.on_prefix_hint(
+                    state.now(),
+                    &placement.host,
+                    &parts(&placement),
+                    prefill_tokens,
+                );
             }
             Message::Placements { placements } => {
                 let mut policy = state.policy.borrow_mut();
