--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -100,7 +100,10 @@
     let from = seat(1);
     let install = Input::Message {
         from: from.clone(),
-        message: Message::InstallMembership { view, snapshot },
+        message: Message::InstallMembership {
+            membership: view,
+            snapshot,
+        },
     };
     take(&mut member, Duration::ZERO, install, &mut disk);
     let started = Instant::now();
@@ -117,7 +120,7 @@
             index,
             change,
         };
-        let previous_voters = Instant::now();
+        let before = Instant::now();
         rewrites += take(
             &mut member,
             now,
@@ -131,9 +134,9 @@
             let committed = index.saturating_sub(under_way);
             let renew = Message::RenewLease {
                 epoch: EPOCH,
-                stamp: 1,
-                committed,
-                heard: 0,
+                requested_at_ms: 1,
+                commit_index: committed,
+                echoed_clock_ms: 0,
             };
             rewrites += take(
                 &mut member,
@@ -145,7 +148,7 @@
                 &mut disk,
             );
         }
-        stepping += previous_voters.elapsed();
+        stepping += before.elapsed();
         longest = longest.max(disk.iter().map(Vec::len).sum::<usize>());
     }
     println!(
@@ -182,9 +185,9 @@
                 rest = after;
             }
             drop(bytes);
-            let previous_voters = Instant::now();
+            let before = Instant::now();
             let member = Member::new(config(), &records, Duration::ZERO, 1);
-            let took = previous_voters.elapsed();
+            let took = before.elapsed();
             let count = records.len();
             let kib = records.iter().map(Vec::len).sum::<usize>() >> 10;
             println!(
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -178,7 +178,7 @@
                     sends.push((
                         id,
                         Message::InstallMembership {
-                            view: view.clone(),
+                            membership: view.clone(),
                             snapshot: None,
                         },
                     ));
@@ -194,9 +194,9 @@
                     id,
                     Message::RenewLease {
                         epoch,
-                        stamp,
-                        committed,
-                        heard,
+                        requested_at_ms: stamp,
+                        commit_index: committed,
+                        echoed_clock_ms: heard,
                     },
                 ));
             }
--- a/crates/control-plane/src/member/recovery.rs
+++ b/crates/control-plane/src/member/recovery.rs
@@ -122,7 +122,7 @@
 }
 
 fn read(records: &[Vec<u8>], record: usize) -> Result<Record, ReplayError> {
-    protocol::read_one(&records[record]).context(UnreadableSnafu { record })
+    protocol::decode_record(&records[record]).context(UnreadableSnafu { record })
 }
 
 /// Looks at each record, and finds where the segments begin.
@@ -131,8 +131,8 @@
     for record in 0..records.len() {
         match read(records, record)? {
             Record::Promised { epoch } => *promised = epoch.max(*promised),
-            Record::Accepted { view, .. } => {
-                *promised = view.epoch.max(*promised);
+            Record::Accepted { membership, .. } => {
+                *promised = membership.epoch.max(*promised);
                 segments.push(Segment {
                     start: record,
                     end: record,
@@ -163,8 +163,11 @@
     };
     for record in segment.start..segment.end {
         match read(records, record)? {
-            Record::Accepted { view, snapshot } => {
-                replayed.view = view;
+            Record::Accepted {
+                membership,
+                snapshot,
+            } => {
+                replayed.view = membership;
                 replayed.last = snapshot.map(|s| ledger(record, &s)).transpose()?;
             }
             Record::Change {
