--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -14,7 +14,7 @@
     ThreadSnafu,
 };
 use crate::configuration_history::ConfigurationHistory;
-use crate::member::{Config, Member};
+use crate::member::{Member, MemberConfig};
 use crate::registry_publisher::RegistryPublisher;
 use configuration::ProcessSettings;
 use protocol::MemberInfo;
@@ -148,17 +148,17 @@
     ));
 
     let bootstrap_voters = Some(identity.initial_voters).filter(|voters| !voters.is_empty());
-    let config = Config {
-        me,
+    let config = MemberConfig {
+        local_member: me,
         bootstrap_voters,
-        budget: boot.fault_budget,
-        lease: tuning.lease,
-        patience: tuning.patience,
-        stall: tuning.stall,
+        fault_budget: boot.fault_budget,
+        lease_duration: tuning.lease,
+        request_timeout: tuning.patience,
+        disk_stall_timeout: tuning.stall,
     };
     let now = origin.elapsed();
     let member = Member::new(config, &records, now, random()?);
-    if let Some(error) = member.unsound() {
+    if let Some(error) = member.replay_error() {
         log::error!(error:% = snafu::Report::from_error(error); "the records can't be relied on: no say, no ledger");
     }
     let recorder = Recorder::new(&member);
--- a/crates/control-plane/src/runtime/transitions/log_lines.rs
+++ b/crates/control-plane/src/runtime/transitions/log_lines.rs
@@ -52,10 +52,10 @@
 
 /// Writes the line of what a member's disk held at its start.
 pub fn log_start(summary: &MemberSummary) {
-    let epoch = Maybe(summary.view.as_ref().map(|view| view.epoch));
+    let epoch = Maybe(summary.membership.as_ref().map(|view| view.epoch));
     log::info!(target: TARGET, epoch:% = epoch,
-        promised = summary.promised,
-        ledger:% = Maybe(summary.ledger),
+        promised = summary.promised_epoch,
+        ledger:% = Maybe(summary.durable_index),
         role:% = MembershipRole::of(summary);
         "state on disk"
     );
@@ -105,15 +105,15 @@
             let replicas = view
                 .replicas
                 .iter()
-                .filter_map(|id| view.seat(*id))
+                .filter_map(|id| view.voter(*id))
                 .collect();
             log::info!(target: TARGET, epoch = view.epoch,
-                primary:% = Names(view.seat(view.primary).into_iter().collect()),
+                primary:% = Names(view.voter(view.primary).into_iter().collect()),
                 replicas:% = Names(replicas),
                 voters:% = Names(view.voters.iter().collect()),
                 added:% = Names(added.iter().collect()),
                 removed:% = Names(removed.iter().collect()),
-                settled = view.settled(),
+                settled = view.is_stable(),
                 role:% = position,
                 was:% = before;
                 "view accepted"
@@ -132,7 +132,7 @@
             log::info!(target: TARGET, epoch, primary:% = Name(primary); "lease of the primary is over");
         }
         Transition::Disk {
-            state: DiskState::Fit,
+            state: DiskState::Healthy,
         } => log::info!(target: TARGET, "disk takes writes again"),
         Transition::Disk {
             state: DiskState::Refused,
--- a/crates/control-plane/tests/cut_core/mod.rs
+++ b/crates/control-plane/tests/cut_core/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test file uses its own part.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use protocol::{Addr, Command, MemberInfo};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -142,13 +142,13 @@
     fn node(&self, n: usize, records: Vec<Vec<u8>>) -> Node {
         let voters = self.seats[..self.initial_voters].to_vec();
         let initial = n < self.initial_voters && records.is_empty();
-        let config = Config {
-            me: self.seats[n].clone(),
+        let config = MemberConfig {
+            local_member: self.seats[n].clone(),
             bootstrap_voters: Some(voters).filter(|_| initial),
-            budget: self.budget,
-            lease: LEASE,
-            patience: ms(3500),
-            stall: ms(600),
+            fault_budget: self.budget,
+            lease_duration: LEASE,
+            request_timeout: ms(3500),
+            disk_stall_timeout: ms(600),
         };
         let random = self.now.as_millis() as u64 * 16 + n as u64;
         Node {
@@ -227,14 +227,14 @@
 
     pub fn primary(&self) -> usize {
         let acting = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].member.acts() && !self.nodes[*n].frozen);
+            .filter(|n| self.nodes[*n].member.is_acting_primary() && !self.nodes[*n].frozen);
         acting
-            .max_by_key(|n| self.nodes[*n].member.promised())
+            .max_by_key(|n| self.nodes[*n].member.promised_epoch())
             .expect("one acts")
     }
 
     pub fn replicas(&self) -> Vec<usize> {
-        let view = self.nodes[self.primary()].member.view().unwrap();
+        let view = self.nodes[self.primary()].member.membership().unwrap();
         (0..self.nodes.len())
             .filter(|n| view.replicas.contains(&self.seats[*n].id))
             .collect()
@@ -242,9 +242,9 @@
 
     /// Those who have a say in the primary's view.
     pub fn voters(&self) -> Vec<usize> {
-        let view = self.nodes[self.primary()].member.view().unwrap();
+        let view = self.nodes[self.primary()].member.membership().unwrap();
         (0..self.nodes.len())
-            .filter(|n| view.seat(self.seats[*n].id).is_some())
+            .filter(|n| view.voter(self.seats[*n].id).is_some())
             .collect()
     }
 
@@ -259,7 +259,7 @@
         let clock = self.clock(n);
         self.nodes[n]
             .member
-            .proof(clock)
+            .primary_contact(clock)
             .map(|proof| clock - proof.at)
     }
 
@@ -324,8 +324,8 @@
         for (a, b) in (0..many).flat_map(|a| (0..many).map(move |b| (a, b))) {
             let up = a != b && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a));
             if up && !self.nodes[a].frozen {
-                let input = Input::Reachable {
-                    seat: self.seats[a].clone(),
+                let input = Input::PeerReachable {
+                    member: self.seats[a].clone(),
                 };
                 self.nodes[b].inbox.push_back(Waiting {
                     at: self.now + ms(1),
@@ -366,7 +366,7 @@
     /// No two act at once, whoever stands still.
     fn check_one_acts(&self) {
         let acting: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].member.acts_at(self.clock(*n)))
+            .filter(|n| self.nodes[*n].member.is_acting_primary_at(self.clock(*n)))
             .collect();
         assert!(acting.len() <= 1, "{acting:?} act at {:?}", self.now);
     }
@@ -396,7 +396,7 @@
                     node.records.clear();
                 }
                 node.records.extend(records);
-                let input = Input::Wrote {
+                let input = Input::WriteCompleted {
                     ticket,
                     result: Ok(()),
                 };
@@ -412,11 +412,12 @@
                     "answered once"
                 );
             }
-            Output::Publish { document, .. } | Output::Restore { document, .. } => {
-                self.nodes[n].shown = document.version;
+            Output::PublishState { configuration, .. }
+            | Output::RestoreState { configuration, .. } => {
+                self.nodes[n].shown = configuration.version;
             }
             Output::Wake { at } => self.nodes[n].wake = at,
-            Output::Left => {}
+            Output::DepartureComplete => {}
         }
     }
 
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -2,7 +2,7 @@
 //! another primary begin while the holder may still answer reads. One voter, message by message.
 
 use configuration::FaultBudget;
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use protocol::{Addr, MemberInfo, MembershipConfig, Message};
 use rstest::rstest;
 use std::time::Duration;
@@ -43,16 +43,16 @@
 
 impl Voter {
     fn started() -> Self {
-        let config = Config {
-            me: seat(VOTER),
+        let config = MemberConfig {
+            local_member: seat(VOTER),
             bootstrap_voters: None,
-            budget: FaultBudget {
+            fault_budget: FaultBudget {
                 machine_losses: 1,
                 ..FaultBudget::default()
             },
-            lease: LEASE,
-            patience: ms(3500),
-            stall: ms(600),
+            lease_duration: LEASE,
+            request_timeout: ms(3500),
+            disk_stall_timeout: ms(600),
         };
         let mut voter = Self {
             now: ms(0),
@@ -64,17 +64,20 @@
             primary: HOLDER,
             replicas: vec![HOLDER, THIRD],
             voters: voters.clone(),
-            before: voters,
+            previous_voters: voters,
         };
         let sent = voter.hears(
             HOLDER,
             Message::InstallMembership {
-                view,
+                membership: view,
                 snapshot: None,
             },
         );
         assert!(
-            matches!(sent[..], [Message::InstallMembershipReply { ok: true, .. }]),
+            matches!(
+                sent[..],
+                [Message::InstallMembershipReply { accepted: true, .. }]
+            ),
             "{sent:?}"
         );
         voter
@@ -89,7 +92,7 @@
             for output in out {
                 match output {
                     Output::Send { message, .. } => sent.push(message),
-                    Output::Write { ticket, .. } => inputs.push(Input::Wrote {
+                    Output::Write { ticket, .. } => inputs.push(Input::WriteCompleted {
                         ticket,
                         result: Ok(()),
                     }),
@@ -112,14 +115,14 @@
     fn grants(&mut self) {
         let renewal = Message::RenewLease {
             epoch: EPOCH,
-            stamp: 1,
-            committed: 0,
-            heard: 0,
+            requested_at_ms: 1,
+            commit_index: 0,
+            echoed_clock_ms: 0,
         };
         let sent = self.hears(HOLDER, renewal);
         assert!(
             sent.iter()
-                .any(|m| matches!(m, Message::LeaseReply { ok: true, .. })),
+                .any(|m| matches!(m, Message::LeaseReply { granted: true, .. })),
             "{sent:?}"
         );
     }
@@ -129,12 +132,12 @@
         let sent = self.hears(
             THIRD,
             Message::PreVote {
-                seen: EPOCH,
-                view: EPOCH,
+                known_epoch: EPOCH,
+                accepted_epoch: EPOCH,
             },
         );
         sent.iter()
-            .any(|m| matches!(m, Message::PreVoteReply { willing: true, .. }))
+            .any(|m| matches!(m, Message::PreVoteReply { granted: true, .. }))
     }
 
     /// Time passes until it asks the others whether they would promise.
@@ -177,9 +180,9 @@
     voter.asks_for_pre_votes();
     voter.grants();
     let willing = Message::PreVoteReply {
-        willing: true,
-        seen: EPOCH,
-        wait_ms: 0,
+        granted: true,
+        promised_epoch: EPOCH,
+        retry_after_ms: 0,
     };
     let sent = voter.hears(THIRD, willing);
     assert!(
@@ -187,17 +190,17 @@
         "{sent:?}"
     );
     assert!(
-        voter.member.promised() == EPOCH,
+        voter.member.promised_epoch() == EPOCH,
         "it promised itself {}",
-        voter.member.promised()
+        voter.member.promised_epoch()
     );
     // Once the lease has ended it stands again.
     voter.now += LEASE;
     voter.asks_for_pre_votes();
     let willing = Message::PreVoteReply {
-        willing: true,
-        seen: EPOCH,
-        wait_ms: 0,
+        granted: true,
+        promised_epoch: EPOCH,
+        retry_after_ms: 0,
     };
     let sent = voter.hears(THIRD, willing);
     assert!(
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -33,12 +33,15 @@
         primary: 1,
         replicas: vec![1, 2],
         voters: voters.clone(),
-        before: voters,
+        previous_voters: voters,
     };
     let snapshot = Some(Snapshot::default()).filter(|_| id < 3);
     let records = [
         Record::Promised { epoch },
-        Record::Accepted { view, snapshot },
+        Record::Accepted {
+            membership: view,
+            snapshot,
+        },
     ];
     let identity = Identity {
         id,
@@ -50,13 +53,13 @@
         let all: Vec<&[u8]> = records.iter().map(Vec::as_slice).collect();
         AppendLog::open(dir, name).unwrap().0.append(&all).unwrap();
     };
-    write("identity", &[protocol::write_one(&identity)]);
-    let owner = protocol::write_one(&LogOwner { identity });
+    write("identity", &[protocol::encode_record(&identity)]);
+    let owner = protocol::encode_record(&LogOwner { identity });
     write(
         "ledger",
         &[
             vec![owner],
-            records.map(|r| protocol::write_one(&r)).to_vec(),
+            records.map(|r| protocol::encode_record(&r)).to_vec(),
         ]
         .concat(),
     );
@@ -112,16 +115,16 @@
         latest_view(&ledger) > EPOCH << 20,
         "no election of the old members reaches it"
     );
-    let alone = ledger.iter().any(|r| match protocol::read_one(r) {
-        Ok(Record::Accepted { view, .. }) => {
-            view.voters.len() == 1 && view.voters[0].id == identity.id
+    let alone = ledger.iter().any(|r| match protocol::decode_record(r) {
+        Ok(Record::Accepted { membership, .. }) => {
+            membership.voters.len() == 1 && membership.voters[0].id == identity.id
         }
         _ => false,
     });
     assert!(alone);
     assert!(
-        dir.join("ledger.before-recovery").exists()
-            && dir.join("identity.before-recovery").exists()
+        dir.join("ledger.previous_voters-recovery").exists()
+            && dir.join("identity.previous_voters-recovery").exists()
     );
     // Once is enough: the new one has nobody to give up.
     refused(
@@ -189,7 +192,7 @@
     AppendLog::open(&dir, "ledger")
         .unwrap()
         .0
-        .append(&[&protocol::write_one(&Record::Promised { epoch: EPOCH })])
+        .append(&[&protocol::encode_record(&Record::Promised { epoch: EPOCH })])
         .unwrap();
     let mut bytes = std::fs::read(&path).unwrap();
     let middle = bytes.len() / 3;
