--- a/crates/control-plane/src/runtime/transitions/mod.rs
+++ b/crates/control-plane/src/runtime/transitions/mod.rs
@@ -42,10 +42,10 @@
 
 impl MembershipRole {
     fn of(summary: &MemberSummary) -> Self {
-        match &summary.view {
+        match &summary.membership {
             Some(view) if view.epoch > 0 && view.primary == summary.id => MembershipRole::Primary,
             Some(view) if view.replicas.contains(&summary.id) => MembershipRole::Replica,
-            Some(view) if view.seat(summary.id).is_some() => MembershipRole::Witness,
+            Some(view) if view.voter(summary.id).is_some() => MembershipRole::Witness,
             _ => MembershipRole::Joining,
         }
     }
--- a/crates/model-check/src/cluster/world/processes.rs
+++ b/crates/model-check/src/cluster/world/processes.rs
@@ -37,7 +37,7 @@
         self.machine(n).start(&start);
         if let Some(process) = &self.machines[n].process {
             self.observations
-                .observe_start(process.info.id, process.member.promised())?;
+                .observe_start(process.info.id, process.member.promised_epoch())?;
         }
         self.step(context, n, Input::Tick)?;
         self.announce_reachable(context, n)
--- a/crates/model-check/src/cluster/world/requests.rs
+++ b/crates/model-check/src/cluster/world/requests.rs
@@ -86,7 +86,7 @@
         let acts = self.machines[n]
             .process
             .as_ref()
-            .is_some_and(|p| p.member.acts());
+            .is_some_and(|p| p.member.is_acting_primary());
         if acts && code == ResultCode::Ok {
             self.primary_decided(n, ticket, code.number())?;
         }
--- a/crates/model-check/src/cluster/world/state.rs
+++ b/crates/model-check/src/cluster/world/state.rs
@@ -95,15 +95,22 @@
 
     /// Whether a member acts as primary now, by its own account.
     pub fn somebody_acts(&self) -> bool {
-        let acts =
-            |m: &Arc<Machine>| m.process.as_ref().is_some_and(|p| p.member.acts()) && !m.frozen;
+        let acts = |m: &Arc<Machine>| {
+            m.process
+                .as_ref()
+                .is_some_and(|p| p.member.is_acting_primary())
+                && !m.frozen
+        };
         self.machines.iter().any(acts)
     }
 
     /// Whether all seeds but one have promised an epoch.
     pub fn majority_promised(&self) -> bool {
-        let promised =
-            |m: &&Arc<Machine>| m.process.as_ref().is_some_and(|p| p.member.promised() > 0);
+        let promised = |m: &&Arc<Machine>| {
+            m.process
+                .as_ref()
+                .is_some_and(|p| p.member.promised_epoch() > 0)
+        };
         self.machines.iter().filter(promised).count() + 1 >= SEEDS
     }
 
@@ -126,17 +133,17 @@
         let line = |m: &Arc<Machine>| match &m.process {
             None => format!("{}: down", m.index),
             Some(p) => {
-                let view = p
+                let membership = p
                     .member
-                    .view()
+                    .membership()
                     .map(|v| (v.epoch >> 20, v.primary, v.replicas.clone(), v.voters.len()));
                 let frozen = if m.frozen { " (frozen)" } else { "" };
                 format!(
-                    "{}: id {} promised {} view {view:?} acts {} shows {}{frozen}",
+                    "{}: id {} promised {} view {membership:?} acts {} shows {}{frozen}",
                     m.index,
                     p.info.id,
-                    p.member.promised() >> 20,
-                    p.member.acts(),
+                    p.member.promised_epoch() >> 20,
+                    p.member.is_acting_primary(),
                     p.mirror.read().document().version
                 )
             }
--- a/crates/proxy/src/state/mod.rs
+++ b/crates/proxy/src/state/mod.rs
@@ -8,7 +8,7 @@
 use crate::shutdown::Shutdown;
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::pool::ConnectionPool;
-use balancing::{Attempt, Load, Outcome, Policy, ServiceInfo, Settings};
+use balancing::{AttemptId, HostLoad, LoadBalancer, LoadBalancerSettings, Outcome, ServiceInfo};
 use configuration::{Configuration, Limits, ProcessSettings};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -41,7 +41,7 @@
 /// State of the process, on its one thread.
 pub(crate) struct ProxyState {
     origin: Instant,
-    pub(crate) policy: RefCell<Policy>,
+    pub(crate) policy: RefCell<LoadBalancer>,
     known: RefCell<Option<Rc<RoutingTable>>>,
     pub(crate) pool: RefCell<ConnectionPool<UpstreamConnection>>,
     pub(crate) counters: Rc<SharedCounters>,
@@ -65,18 +65,16 @@
             .finish();
         let bounds = &boot.bounds;
         let seconds = |s: f64| Duration::try_from_secs_f64(s).unwrap_or_default();
-        let settings = Settings {
+        let settings = LoadBalancerSettings {
             zone: boot.zone.as_str().into(),
             retry_ratio: bounds.retry_ratio,
             retry_window: seconds(bounds.retry_window_s),
             retry_slack: bounds.retry_slack,
-            drain: seconds(bounds.drain_ms / 1e3),
-            beat: Duration::from_millis(boot.beat_period_ms),
-            seed,
+            random_seed: seed,
         };
         let fds = boot.limits.fd_limit.saturating_sub(SPARE_FDS).max(16) as f64;
         let memory = boot.limits.memory_mb as f64 * 1024.0 * 1024.0;
-        let mut policy = Policy::new(settings);
+        let mut policy = LoadBalancer::new(settings);
         if boot.bootstrap {
             policy.set_first_start();
         }
@@ -195,8 +193,8 @@
             .hints
             .borrow_mut()
             .set_others(&snapshot.peer_hint_addresses);
-        policy.set_told(now, all_told);
-        policy.set_coordinators(now, snapshot.proxy_count);
+        policy.set_hints_complete(now, all_told);
+        policy.set_proxy_count(now, snapshot.proxy_count);
         policy.set_hosts(now, &snapshot.hosts);
         let ids: HashSet<&str> = snapshot.hosts.iter().map(|h| &*h.id).collect();
         self.pool.borrow_mut().retain_hosts(&ids);
@@ -238,8 +236,8 @@
 fn info(service: &configuration::Service) -> ServiceInfo {
     ServiceInfo {
         name: service.name.as_str().into(),
-        conn_limit: service.conn_limit,
-        cache_tokens: service.engine.as_ref().map(|e| e.cache_tokens),
+        connection_limit: service.conn_limit,
+        cache_capacity_tokens: service.engine.as_ref().map(|e| e.cache_tokens),
     }
 }
 
@@ -274,12 +272,12 @@
 /// An attempt that the policy counts as out until it is told the end, or this is dropped.
 pub(crate) struct OpenAttempt {
     state: Rc<ProxyState>,
-    attempt: Attempt,
+    attempt: AttemptId,
     over: bool,
 }
 
 impl OpenAttempt {
-    pub(crate) fn new(state: &Rc<ProxyState>, attempt: Attempt) -> Self {
+    pub(crate) fn new(state: &Rc<ProxyState>, attempt: AttemptId) -> Self {
         state.outs.set(state.outs.get() + 1);
         state.began.notify_one();
         Self {
@@ -293,7 +291,7 @@
         self.state
             .policy
             .borrow_mut()
-            .first(self.state.now(), self.attempt);
+            .on_first_byte(self.state.now(), self.attempt);
     }
 
     /// More came of an answer that has begun.
@@ -301,16 +299,16 @@
         self.state
             .policy
             .borrow_mut()
-            .heard(self.state.now(), self.attempt);
+            .on_progress(self.state.now(), self.attempt);
     }
 
     /// The head of an answer that goes on told this load.
-    pub(crate) fn told(&self, load: Option<Load>) {
+    pub(crate) fn told(&self, load: Option<HostLoad>) {
         if let Some(load) = load {
             self.state
                 .policy
                 .borrow_mut()
-                .told(self.state.now(), self.attempt, load);
+                .on_load_report(self.state.now(), self.attempt, load);
         }
     }
 
@@ -318,20 +316,22 @@
         self.state
             .policy
             .borrow()
-            .patience(self.state.now(), self.attempt)
+            .attempt_timeout(self.state.now(), self.attempt)
     }
 
-    pub(crate) fn end(mut self, outcome: Outcome, load: Option<Load>) {
+    pub(crate) fn end(mut self, outcome: Outcome, load: Option<HostLoad>) {
         self.close(outcome, load);
     }
 
-    fn close(&mut self, outcome: Outcome, load: Option<Load>) {
+    fn close(&mut self, outcome: Outcome, load: Option<HostLoad>) {
         if !std::mem::replace(&mut self.over, true) {
             self.state.outs.set(self.state.outs.get().saturating_sub(1));
-            self.state
-                .policy
-                .borrow_mut()
-                .ended(self.state.now(), self.attempt, outcome, load);
+            self.state.policy.borrow_mut().on_attempt_ended(
+                self.state.now(),
+                self.attempt,
+                outcome,
+                load,
+            );
         }
     }
 }
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -94,7 +94,7 @@
     pub(super) fn check_single_primary(&mut self, n: usize) {
         let acts = |n: usize| {
             let member = self.nodes[n].member.as_ref();
-            member.is_some_and(|member| member.acts_at(self.clock(n)))
+            member.is_some_and(|member| member.is_acting_primary_at(self.clock(n)))
         };
         if !acts(n) {
             return;
@@ -127,8 +127,8 @@
     fn describe_memberships(&self) -> String {
         let describe = |node: &Node| {
             let member = node.member.as_ref()?;
-            let membership = member.view().map(summarize_membership);
-            Some((node.info.id, member.promised(), membership))
+            let membership = member.membership().map(summarize_membership);
+            Some((node.info.id, member.promised_epoch(), membership))
         };
         format!("{:?}", self.nodes.iter().map(describe).collect::<Vec<_>>())
     }
@@ -151,7 +151,7 @@
     }
 
     fn check_final_primary(&mut self, end: Duration) {
-        let acts = |node: &Node| node.member.as_ref().is_some_and(Member::acts);
+        let acts = |node: &Node| node.member.as_ref().is_some_and(Member::is_acting_primary);
         let started_at = self.gap_started_at;
         let is_long = started_at.is_some_and(|from| end > from + MAX_FINAL_GAP);
         if is_long && !self.nodes.iter().any(acts) && self.report.violations.is_empty() {
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -9,7 +9,7 @@
 use crate::plan::ms;
 use crate::seeded_bug::SeededBug;
 use configuration::FaultBudget;
-use control_plane::member::{Config, Input, Member};
+use control_plane::member::{Input, Member, MemberConfig};
 use protocol::{Addr, MemberInfo};
 use rand_core::RngCore;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 /// How long a lease lasts.
 const LEASE: Duration = ms(1000);
 /// How long a member holds a request before it answers that the outcome is unclear.
-const REQUEST_PATIENCE: Duration = ms(900);
+const REQUEST_TIMEOUT: Duration = ms(900);
 /// A disk that takes longer for a write counts as stalled.
 const DISK_STALL_TIMEOUT: Duration = ms(600);
 /// Address of the first machine.
@@ -96,13 +96,13 @@
         let node = &self.nodes[n];
         let votes_after_wipe =
             self.plan.seeded_bug == SeededBug::WipedMemberVotes && node.records.is_empty();
-        let config = Config {
-            me: node.info.clone(),
+        let config = MemberConfig {
+            local_member: node.info.clone(),
             bootstrap_voters: (is_initial_voter || votes_after_wipe).then_some(seeds),
-            budget: self.announced_budget(),
-            lease: LEASE,
-            patience: REQUEST_PATIENCE,
-            stall: DISK_STALL_TIMEOUT,
+            fault_budget: self.announced_budget(),
+            lease_duration: LEASE,
+            request_timeout: REQUEST_TIMEOUT,
+            disk_stall_timeout: DISK_STALL_TIMEOUT,
         };
         let member = Member::new(config, &node.records, now, random);
         self.nodes[n].member = Some(member);
--- a/crates/simulator/src/world/state.rs
+++ b/crates/simulator/src/world/state.rs
@@ -160,7 +160,7 @@
 
     /// Whether a member acts as primary that isn't frozen. The one that did at the latest step is asked first.
     pub(super) fn somebody_acts(&mut self) -> bool {
-        let acts = |n: &Node| !n.frozen && n.member.as_ref().is_some_and(Member::acts);
+        let acts = |n: &Node| !n.frozen && n.member.as_ref().is_some_and(Member::is_acting_primary);
         if self.nodes.get(self.acting).is_some_and(acts) {
             return true;
         }
--- a/crates/simulator/src/world/subscriber_events.rs
+++ b/crates/simulator/src/world/subscriber_events.rs
@@ -8,7 +8,7 @@
 use crate::seeded_bug::SeededBug;
 use protocol::{Addr, Subscriber};
 use rand_core::RngCore;
-use replication::{Action, Mirror, Puller, Update, UNCONFIRMED, WATCHED};
+use replication::{Action, Mirror, Puller, Update, AGE_UNKNOWN, MEMBERS_PER_AGENT};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
             }
             ProcessId::Agent(_) => (
                 Mirror::new(0, HEARTBEAT_INTERVAL),
-                Puller::new(&name, WATCHED, None).led(),
+                Puller::new(&name, MEMBERS_PER_AGENT, None).led(),
                 seeds,
             ),
             ProcessId::Proxy(k) => (
@@ -356,7 +356,7 @@
             Some(asked) => update.aged(asked, now),
             // The pull was given up: when it was sent is not known any more.
             None => Update {
-                age_ms: UNCONFIRMED,
+                age_ms: AGE_UNKNOWN,
                 ..update
             },
         };
