--- a/crates/fake-hosts/src/discovery.rs
+++ b/crates/fake-hosts/src/discovery.rs
@@ -1,7 +1,7 @@
 //! A stand-in for discovery: an agent for each coordinator, which has what it was sent so far and serves
 //! it as `GET /catalog/members`, whole or as a watch.
 
-use crate::ledger::{Epoch, Event, Ledger, Phase, What};
+use crate::event_log::{Epoch, Event, EventKind, EventLog, Phase};
 use bytes::{Buf, BytesMut};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -13,11 +13,11 @@
 use tokio::sync::watch;
 
 /// An empty line comes this often as long as nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// One host as the list has it for one coordinator.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct ListEntry {
     /// Its number.
     pub host: u16,
     /// Its name.
@@ -34,7 +34,7 @@
     pub up_since_ms: u64,
 }
 
-impl Member {
+impl ListEntry {
     /// The entry in discovery's form.
     pub fn json(&self) -> Value {
         json!({"id": self.id, "host_port": self.addr, "locality": self.zone, "flavor": "small-2c",
@@ -43,24 +43,29 @@
 }
 
 /// The agent of one coordinator.
-pub struct Agent {
+pub struct DiscoveryAgent {
     coordinator: u16,
     epoch: Epoch,
-    ledger: Ledger,
-    members: RefCell<BTreeMap<u16, (u64, Member)>>,
+    event_log: EventLog,
+    members: RefCell<BTreeMap<u16, (u64, ListEntry)>>,
     revision: watch::Sender<u64>,
     silent: Cell<bool>,
 }
 
-impl Agent {
+impl DiscoveryAgent {
     /// An agent that has these.
-    pub fn new(coordinator: u16, members: Vec<Member>, epoch: Epoch, ledger: Ledger) -> Rc<Self> {
+    pub fn new(
+        coordinator: u16,
+        members: Vec<ListEntry>,
+        epoch: Epoch,
+        event_log: EventLog,
+    ) -> Rc<Self> {
         let members = members.into_iter().map(|m| (m.host, (1, m))).collect();
         let (members, revision) = (RefCell::new(members), watch::channel(1).0);
         Rc::new(Self {
             coordinator,
             epoch,
-            ledger,
+            event_log,
             members,
             revision,
             silent: Cell::new(false),
@@ -102,13 +107,13 @@
     fn told(&self, all: Vec<(u16, Phase)>) {
         let at = self.epoch.now();
         for (host, phase) in all {
-            let (coordinator, what) = (self.coordinator, What::Told(phase));
-            self.ledger.write(Event {
+            let (coordinator, kind) = (self.coordinator, EventKind::ListUpdateSent(phase));
+            self.event_log.write(Event {
                 at,
                 host,
                 coordinator,
                 attempt: 0,
-                what,
+                kind,
             });
         }
     }
@@ -193,7 +198,7 @@
             tokio::select! {
                 _ = changed.changed() => {}
                 end = stream.read_u8() => return end.map(drop),
-                () = tokio::time::sleep(BEAT) => if !self.silent.get() {
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL) => if !self.silent.get() {
                     stream.write_all(b"1\r\n\n\r\n").await?;
                 }
             }
--- a/crates/fake-hosts/src/ledger.rs
+++ b/crates/fake-hosts/src/event_log.rs
@@ -1,10 +1,10 @@
-//! What hosts and discovery saw, event by event, on one clock: what an auditor needs and no more.
+//! The event log: what hosts and discovery observed, on one clock. It holds what the auditor needs.
 
 use crate::model::Micros;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// One clock for all that is written down in a run.
+/// The clock of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Epoch(pub Instant);
 
@@ -27,32 +27,32 @@
 
 /// How an attempt ended at its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// Answered with this value.
     Served(u64),
-    /// Answered as an error: it may have taken effect.
+    /// Answered with an error: it may have taken effect.
     Broke,
-    /// Turned away: it never took effect.
+    /// Rejected: it never took effect.
     Skipped,
-    /// Given up by its sender: it may have taken effect, or may yet.
+    /// Withdrawn by its sender: it may have taken effect, or may yet.
     Withdrawn,
     /// Its connection ended.
     Cut,
 }
 
-/// What a client put into the query's text, as [`reference()`] finds it.
+/// The client's mark in a query's text, as [`reference()`] finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ref {
+pub struct AttemptRef {
     /// Number of the client's query.
     pub query: u32,
-    /// Number of its try.
+    /// Number of the client's attempt.
     pub attempt: u8,
 }
 
-/// One thing that happened.
+/// What happened.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// An attempt has come whole.
+pub enum EventKind {
+    /// An attempt has arrived completely.
     Arrived {
         /// The query's name on the wire.
         name: Box<str>,
@@ -60,21 +60,21 @@
         shard: u32,
         /// The key.
         key: Option<Box<str>>,
-        /// The client's own mark, where the text bore one.
-        reference: Option<Ref>,
+        /// The client's mark, if the text has one.
+        reference: Option<AttemptRef>,
     },
     /// An attempt ended.
-    Ended(End),
-    /// The host fell over, pushed while cold.
-    Fell,
+    Ended(AttemptEnd),
+    /// The host fell over: it was overloaded while warming up.
+    FellOver,
     /// The process started.
-    Up,
+    ProcessStarted,
     /// The process ended or went silent.
-    Down,
-    /// The host began to drain.
+    ProcessEnded,
+    /// The host started to drain.
     Draining,
-    /// A line of the host list with this phase was written to a coordinator.
-    Told(Phase),
+    /// An update of the host list with this phase was sent to a coordinator.
+    ListUpdateSent(Phase),
 }
 
 /// A host's phase in the list.
@@ -82,14 +82,14 @@
 pub enum Phase {
     /// It runs.
     Ready,
-    /// It wants nothing new.
+    /// It takes no new parts.
     Terminating,
     /// It is gone.
     Gone,
 }
 
 impl Phase {
-    /// The word in discovery's protocol.
+    /// Its name in discovery's protocol.
     pub fn word(self) -> &'static str {
         match self {
             Self::Ready => "Ready",
@@ -106,23 +106,23 @@
     pub at: Micros,
     /// Which host.
     pub host: u16,
-    /// Which coordinator had to do with it; `NOBODY` for none.
+    /// The coordinator that was involved; [`NO_COORDINATOR`] if none was.
     pub coordinator: u16,
     /// Number of the attempt, unique in a run; 0 for none.
     pub attempt: u64,
-    /// What.
-    pub what: What,
+    /// What happened.
+    pub kind: EventKind,
 }
 
 /// No coordinator.
-pub const NOBODY: u16 = u16::MAX;
+pub const NO_COORDINATOR: u16 = u16::MAX;
 
-/// A place where events are collected; clones share it.
+/// Collects events; clones share the log.
 #[derive(Clone, Default)]
-pub struct Ledger(Arc<Mutex<Vec<Event>>>);
+pub struct EventLog(Arc<Mutex<Vec<Event>>>);
 
-impl Ledger {
-    /// Writes an event down.
+impl EventLog {
+    /// Appends an event.
     pub fn write(&self, event: Event) {
         self.0
             .lock()
@@ -140,7 +140,7 @@
 
 /// The mark that a client puts into a query's text: `lab:QUERY.TRY:SHARD=WORK,…;` with the work of each
 /// part in microseconds. It is made of characters that need no escape in JSON.
-pub fn mark(reference: Ref, works: impl Iterator<Item = (u32, u32)>) -> String {
+pub fn mark(reference: AttemptRef, works: impl Iterator<Item = (u32, u32)>) -> String {
     let works: Vec<String> = works
         .map(|(shard, work)| format!("{shard}={work}"))
         .collect();
@@ -153,11 +153,11 @@
 }
 
 /// Finds the mark in a query's text, and the work of this shard's part.
-pub fn reference(text: &str, shard: u32) -> Option<(Ref, Option<f64>)> {
+pub fn reference(text: &str, shard: u32) -> Option<(AttemptRef, Option<f64>)> {
     let mark = text.split_once("lab:")?.1.split_once(';')?.0;
     let (ids, works) = mark.split_once(':')?;
     let (query, attempt) = ids.split_once('.')?;
-    let reference = Ref {
+    let reference = AttemptRef {
         query: query.parse().ok()?,
         attempt: attempt.parse().ok()?,
     };
--- a/crates/fake-hosts/src/fleet.rs
+++ b/crates/fake-hosts/src/fleet.rs
@@ -1,13 +1,15 @@
 //! A fleet of modelled hosts with their discovery, on threads of its own.
 
-use crate::discovery::{Agent, Member};
+use crate::discovery::{DiscoveryAgent, ListEntry};
+use crate::event_log::{Epoch, EventLog, Phase};
 use crate::frames;
-use crate::host::{ConnSpec, Host, Mode};
-use crate::ledger::{Epoch, Ledger, Phase};
+use crate::host::{ConnSpec, Host, HostState, Mode};
 use crate::model::HostSpec;
 use crate::search;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use std::cell::Cell;
+use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener as StdListener};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,10 +26,10 @@
     OpenSearch,
 }
 
-/// A host's place.
+/// A host of the fleet and where it stands.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// What it is made of.
+pub struct HostPlacement {
+    /// Its hardware and behaviour.
     pub spec: HostSpec,
     /// Its cell.
     pub cell: u32,
@@ -35,64 +37,53 @@
     pub zone: String,
 }
 
-/// How late the list hears of things, least and most, in milliseconds.
+/// Delays until the list shows a change: shortest and longest, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ListDelays {
-    /// That a process started.
+    /// A process started.
     pub add_ms: [u64; 2],
-    /// That a process ended or drains.
+    /// A process ended or drains.
     pub notice_ms: [u64; 2],
-    /// That a machine went silent.
+    /// A machine went silent.
     pub silent_ms: [u64; 2],
 }
 
-/// A whole fleet.
+/// Description of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
     /// The hosts.
-    pub hosts: Vec<Place>,
-    /// How many coordinators there are.
+    pub hosts: Vec<HostPlacement>,
+    /// Number of coordinators.
     pub coordinators: u16,
     /// What hosts speak.
     pub dialect: Dialect,
     /// Limits on connections to one host.
     pub conn: ConnSpec,
-    /// How late the list is.
+    /// Delays of the list.
     pub delays: ListDelays,
-    /// Threads that hosts are spread over.
+    /// Number of threads for the hosts.
     pub threads: usize,
-    /// The seed of all chance.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// Something done to the fleet.
+/// A fault, or its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Command {
-    /// A host's process dies.
+    /// A host's process crashes.
     Crash(u16),
     /// A host's machine goes silent.
     Vanish(u16),
     /// A host's process starts, cold.
     Start(u16),
-    /// A host drains: it is turned away at the host at once, and listed so after the list's delay.
+    /// A host drains: it rejects new parts at once, and the list says so after its delay.
     Drain(u16),
-    /// A host is so many times slower than usual.
+    /// A host is this many times slower than usual.
     Slow(u16, f64),
-    /// Discovery falls silent, or speaks again.
+    /// Discovery stops answering, or answers again.
     Discovery(bool),
 }
 
-/// Parts held and waiting at a host.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct HostState {
-    /// Parts held.
-    pub held: u32,
-    /// Parts waiting.
-    pub queued: u32,
-    /// Whether it was pushed over.
-    pub fallen: bool,
-}
-
 /// A fleet that runs. It ends when this is dropped.
 pub struct Fleet {
     /// Where each coordinator reaches each host: by host, then coordinator.
@@ -100,16 +91,16 @@
     /// Where each coordinator finds discovery.
     pub discovery: Vec<SocketAddr>,
     /// The list that coordinators start from, by coordinator.
-    pub known: Vec<Vec<Member>>,
-    /// What happened.
-    pub ledger: Ledger,
+    pub known: Vec<Vec<ListEntry>>,
+    /// What hosts and discovery observed.
+    pub event_log: EventLog,
     states: Arc<Mutex<Vec<HostState>>>,
     commands: Vec<mpsc::UnboundedSender<Command>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// How often the hosts' states are looked at.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two samples of the hosts' states.
+const STATE_INTERVAL: Duration = Duration::from_millis(100);
 
 fn unix_ms() -> u64 {
     SystemTime::now()
@@ -118,95 +109,134 @@
         .as_millis() as u64
 }
 
+/// The listeners of one host, by coordinator.
+type HostListeners = Vec<StdListener>;
+
+/// An address of a host's own on loopback, at a port that the system chooses.
+fn host_addr(n: usize) -> SocketAddr {
+    let ip = Ipv4Addr::new(127, 21, (n / 250) as u8, (n % 250) as u8 + 1);
+    SocketAddr::from((ip, 0))
+}
+
+/// Binds a listener for each host and coordinator.
+fn bind_hosts(spec: &FleetSpec) -> std::io::Result<Vec<HostListeners>> {
+    let bind_host = |n| {
+        (0..spec.coordinators)
+            .map(|_| listener(host_addr(n)))
+            .collect()
+    };
+    (0..spec.hosts.len()).map(bind_host).collect()
+}
+
+fn local_addrs(listeners: &HostListeners) -> std::io::Result<Vec<SocketAddr>> {
+    listeners.iter().map(StdListener::local_addr).collect()
+}
+
+/// The list that a coordinator starts from: all hosts, at the addresses made for this coordinator.
+fn initial_list(spec: &FleetSpec, addrs: &[Vec<SocketAddr>], coordinator: usize) -> Vec<ListEntry> {
+    let hosts = spec.hosts.iter().zip(addrs).enumerate();
+    hosts
+        .map(|(n, (placement, addrs))| ListEntry {
+            host: n as u16,
+            id: format!("h{n:03}"),
+            addr: addrs[coordinator].to_string(),
+            zone: placement.zone.clone(),
+            cell: placement.cell,
+            phase: Phase::Ready,
+            up_since_ms: 0,
+        })
+        .collect()
+}
+
 impl Fleet {
     /// Starts it. All sockets are on loopback, at ports that the system chooses.
     ///
     /// # Errors
     /// If a socket or a thread can't be had.
     pub fn start(spec: &FleetSpec, epoch: Epoch) -> std::io::Result<Self> {
-        let ledger = Ledger::default();
-        let loopback = |n: usize| {
-            SocketAddr::from((
-                Ipv4Addr::new(127, 21, (n / 250) as u8, (n % 250) as u8 + 1),
-                0,
-            ))
-        };
-        let mut doors: Vec<Vec<StdListener>> = Vec::new();
-        for n in 0..spec.hosts.len() {
-            doors.push(
-                (0..spec.coordinators)
-                    .map(|_| listener(loopback(n)))
-                    .collect::<std::io::Result<_>>()?,
-            );
-        }
-        let addr = |l: &StdListener| l.local_addr();
-        let addrs: Vec<Vec<SocketAddr>> = doors
+        let event_log = EventLog::default();
+        let host_listeners = bind_hosts(spec)?;
+        let addrs: Vec<Vec<SocketAddr>> = host_listeners
             .iter()
-            .map(|d| d.iter().map(addr).collect())
+            .map(local_addrs)
             .collect::<std::io::Result<_>>()?;
-        let member = |(n, p): (usize, &Place), c: usize| Member {
-            host: n as u16,
-            id: format!("h{n:03}"),
-            addr: addrs[n][c].to_string(),
-            zone: p.zone.clone(),
-            cell: p.cell,
-            phase: Phase::Ready,
-            up_since_ms: 0,
-        };
-        let known: Vec<Vec<Member>> = (0..usize::from(spec.coordinators))
-            .map(|c| {
-                spec.hosts
-                    .iter()
-                    .enumerate()
-                    .map(|p| member(p, c))
-                    .collect()
-            })
+        let known: Vec<Vec<ListEntry>> = (0..usize::from(spec.coordinators))
+            .map(|c| initial_list(spec, &addrs, c))
             .collect();
-        let lists: Vec<StdListener> = (0..spec.coordinators)
+        let discovery_listeners: Vec<StdListener> = (0..spec.coordinators)
             .map(|_| listener(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))))
             .collect::<std::io::Result<_>>()?;
-        let discovery = lists.iter().map(addr).collect::<std::io::Result<_>>()?;
-        let states = Arc::new(Mutex::new(vec![HostState::default(); spec.hosts.len()]));
+        let discovery = local_addrs(&discovery_listeners)?;
+        let mut fleet = Self {
+            addrs,
+            discovery,
+            known,
+            event_log,
+            states: Arc::new(Mutex::new(vec![HostState::default(); spec.hosts.len()])),
+            commands: Vec::new(),
+            threads: Vec::new(),
+        };
+        fleet.start_hosts(spec, host_listeners, epoch)?;
+        fleet.start_discovery(spec, discovery_listeners, epoch)?;
+        Ok(fleet)
+    }
+
+    /// Starts the hosts' threads; hosts are dealt out to them in turn.
+    fn start_hosts(
+        &mut self,
+        spec: &FleetSpec,
+        listeners: Vec<HostListeners>,
+        epoch: Epoch,
+    ) -> std::io::Result<()> {
         let count = spec.threads.clamp(1, spec.hosts.len().max(1));
-        let mut shares: Vec<Vec<(u16, Vec<StdListener>)>> =
-            (0..count).map(|_| Vec::new()).collect();
-        for (n, d) in doors.into_iter().enumerate() {
-            shares[n % count].push((n as u16, d));
+        let mut shares: Vec<Vec<(u16, HostListeners)>> = (0..count).map(|_| Vec::new()).collect();
+        for (n, listeners) in listeners.into_iter().enumerate() {
+            shares[n % count].push((n as u16, listeners));
         }
-        let (mut commands, mut threads) = (Vec::new(), Vec::new());
         for (n, share) in shares.into_iter().enumerate() {
             let (tx, rx) = mpsc::unbounded_channel();
-            commands.push(tx);
-            let (spec, ledger, states) = (spec.clone(), ledger.clone(), states.clone());
-            let work = move || host_thread(&spec, share, epoch, ledger, states, rx);
-            threads.push(
-                std::thread::Builder::new()
-                    .name(format!("hosts-{n}"))
-                    .spawn(work)?,
-            );
+            let thread = HostThread {
+                spec: spec.clone(),
+                epoch,
+                event_log: self.event_log.clone(),
+                states: self.states.clone(),
+            };
+            self.spawn(format!("hosts-{n}"), tx, move || thread.run(share, rx))?;
         }
+        Ok(())
+    }
+
+    /// Starts discovery's thread.
+    fn start_discovery(
+        &mut self,
+        spec: &FleetSpec,
+        listeners: Vec<StdListener>,
+        epoch: Epoch,
+    ) -> std::io::Result<()> {
         let (tx, rx) = mpsc::unbounded_channel();
-        commands.push(tx);
-        let (delays, seed, listed, written) =
-            (spec.delays, spec.seed, known.clone(), ledger.clone());
-        let work = move || list_thread(delays, seed, lists, listed, epoch, written, rx);
-        threads.push(
-            std::thread::Builder::new()
-                .name("list".into())
-                .spawn(work)?,
-        );
-        Ok(Self {
-            addrs,
-            discovery,
-            known,
-            ledger,
-            states,
-            commands,
-            threads,
-        })
+        let thread = DiscoveryThread {
+            delays: spec.delays,
+            seed: spec.seed,
+            known: self.known.clone(),
+            epoch,
+            event_log: self.event_log.clone(),
+        };
+        self.spawn("list".into(), tx, move || thread.run(listeners, rx))
+    }
+
+    fn spawn(
+        &mut self,
+        name: String,
+        commands: mpsc::UnboundedSender<Command>,
+        work: impl FnOnce() + Send + 'static,
+    ) -> std::io::Result<()> {
+        self.commands.push(commands);
+        let thread = std::thread::Builder::new().name(name).spawn(work)?;
+        self.threads.push(thread);
+        Ok(())
     }
 
-    /// Does something to it; takes effect within a moment.
+    /// Sends a command to the threads, which apply it at once.
     pub fn command(&self, command: Command) {
         for c in &self.commands {
             // A thread that has ended has said why.
@@ -214,7 +244,7 @@
         }
     }
 
-    /// How the hosts are, by number, as of the last 100 ms.
+    /// States of the hosts by number, at most 100 ms old.
     pub fn states(&self) -> Vec<HostState> {
         self.states
             .lock()
@@ -238,119 +268,177 @@
         .build()
     {
         Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, work),
-        Err(e) => log::error!(error:% = e; "no runtime for the stand-ins"),
+        Err(e) => log::error!(error:% = e; "no runtime for the fake hosts"),
     }
 }
 
-fn host_thread(
-    spec: &FleetSpec,
-    share: Vec<(u16, Vec<StdListener>)>,
+/// A thread that runs some of the hosts.
+struct HostThread {
+    spec: FleetSpec,
     epoch: Epoch,
-    ledger: Ledger,
+    event_log: EventLog,
     states: Arc<Mutex<Vec<HostState>>>,
-    mut commands: mpsc::UnboundedReceiver<Command>,
-) {
-    in_thread(async move {
-        let mut hosts: Vec<Rc<Host>> = Vec::new();
-        for (n, doors) in share {
-            let made = spec.hosts[usize::from(n)].spec.clone();
-            let host = Host::new(n, made, spec.conn, spec.seed, epoch, ledger.clone());
-            tokio::task::spawn_local(host.clone().run());
-            for (c, door) in doors.into_iter().enumerate() {
-                let (Ok(addr), Ok(door)) =
-                    (door.local_addr(), tokio::net::TcpListener::from_std(door))
-                else {
-                    continue;
-                };
-                let (host, c) = (host.clone(), c as u16);
-                match spec.dialect {
-                    Dialect::Frames => {
-                        tokio::task::spawn_local(host.listen(addr, c, door, frames::serve))
-                    }
-                    Dialect::OpenSearch => {
-                        tokio::task::spawn_local(host.listen(addr, c, door, search::serve))
+}
+
+impl HostThread {
+    /// Runs hosts, by number, until the fleet is dropped.
+    fn run(self, share: Vec<(u16, HostListeners)>, mut commands: mpsc::UnboundedReceiver<Command>) {
+        in_thread(async move {
+            let hosts: Vec<Rc<Host>> = share
+                .into_iter()
+                .map(|(n, listeners)| self.start_host(n, listeners))
+                .collect();
+            let mut sample = tokio::time::interval(STATE_INTERVAL);
+            loop {
+                tokio::select! {
+                    command = commands.recv() => {
+                        let Some(command) = command else { return };
+                        apply_to_host(&hosts, command);
                     }
-                };
+                    _ = sample.tick() => self.sample(&hosts),
+                }
             }
-            hosts.push(host);
-        }
-        let mut look = tokio::time::interval(LOOK);
-        loop {
-            tokio::select! {
-                command = commands.recv() => {
-                    let Some(command) = command else { return };
-                    let find = |n: u16| hosts.iter().find(|h| h.number == n);
-                    match command {
-                        Command::Crash(n) => find(n).into_iter().for_each(|h| h.down(Mode::Down)),
-                        Command::Vanish(n) => find(n).into_iter().for_each(|h| h.down(Mode::Silent)),
-                        Command::Start(n) => find(n).into_iter().for_each(|h| h.up()),
-                        Command::Drain(n) => find(n).into_iter().for_each(|h| h.drain()),
-                        Command::Slow(n, times) => find(n).into_iter().for_each(|h| h.slow_down(times)),
-                        Command::Discovery(_) => {}
-                    }
+        });
+    }
+
+    fn start_host(&self, n: u16, listeners: HostListeners) -> Rc<Host> {
+        let spec = &self.spec;
+        let host_spec = spec.hosts[usize::from(n)].spec.clone();
+        let event_log = self.event_log.clone();
+        let host = Host::new(n, host_spec, spec.conn, spec.seed, self.epoch, event_log);
+        tokio::task::spawn_local(host.clone().run());
+        for (c, listener) in listeners.into_iter().enumerate() {
+            let addr = listener.local_addr();
+            let listener = tokio::net::TcpListener::from_std(listener);
+            let (Ok(addr), Ok(listener)) = (addr, listener) else {
+                continue;
+            };
+            let (host, c) = (host.clone(), c as u16);
+            match spec.dialect {
+                Dialect::Frames => {
+                    tokio::task::spawn_local(host.listen(addr, c, listener, frames::serve));
                 }
-                _ = look.tick() => {
-                    let mut all = states.lock().unwrap_or_else(PoisonError::into_inner);
-                    for h in &hosts {
-                        let (held, queued, fallen) = h.state();
-                        let state = HostState { held: held as u32, queued: queued as u32, fallen };
-                        all[usize::from(h.number)] = state;
-                    }
+                Dialect::OpenSearch => {
+                    tokio::task::spawn_local(host.listen(addr, c, listener, search::serve));
                 }
             }
         }
-    });
+        host
+    }
+
+    /// Publishes the states of the hosts.
+    fn sample(&self, hosts: &[Rc<Host>]) {
+        let mut states = self.states.lock().unwrap_or_else(PoisonError::into_inner);
+        for host in hosts {
+            states[usize::from(host.number)] = host.state();
+        }
+    }
+}
+
+/// Applies a command to the host that it names, if that is one of these.
+fn apply_to_host(hosts: &[Rc<Host>], command: Command) {
+    let number = match command {
+        Command::Crash(n) | Command::Vanish(n) | Command::Start(n) | Command::Drain(n) => n,
+        Command::Slow(n, _) => n,
+        Command::Discovery(_) => return,
+    };
+    let Some(host) = hosts.iter().find(|h| h.number == number) else {
+        return;
+    };
+    match command {
+        Command::Crash(_) => host.down(Mode::Down),
+        Command::Vanish(_) => host.down(Mode::Silent),
+        Command::Start(_) => host.up(),
+        Command::Drain(_) => host.drain(),
+        Command::Slow(_, times) => host.slow_down(times),
+        Command::Discovery(_) => {}
+    }
 }
 
-fn list_thread(
+/// The thread that runs discovery.
+struct DiscoveryThread {
     delays: ListDelays,
     seed: u64,
-    lists: Vec<StdListener>,
-    known: Vec<Vec<Member>>,
+    known: Vec<Vec<ListEntry>>,
     epoch: Epoch,
-    ledger: Ledger,
-    mut commands: mpsc::UnboundedReceiver<Command>,
-) {
-    in_thread(async move {
-        let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut agents = Vec::new();
-        for (c, (listener, members)) in lists.into_iter().zip(known).enumerate() {
-            let agent = Agent::new(c as u16, members, epoch, ledger.clone());
-            if let Ok(l) = tokio::net::TcpListener::from_std(listener) {
-                tokio::task::spawn_local(agent.clone().run(l));
-            }
-            agents.push(agent);
-        }
-        // Numbers each host's changes, so that a later one is not overtaken by an earlier one.
-        let mut newest = std::collections::HashMap::<(usize, u16), Rc<std::cell::Cell<u64>>>::new();
-        let mut number = 0;
-        while let Some(command) = commands.recv().await {
-            let (host, phase, span, up) = match command {
-                Command::Crash(h) => (h, Phase::Gone, delays.notice_ms, None),
-                Command::Vanish(h) => (h, Phase::Gone, delays.silent_ms, None),
-                Command::Drain(h) => (h, Phase::Terminating, delays.notice_ms, None),
-                Command::Start(h) => (h, Phase::Ready, delays.add_ms, Some(unix_ms())),
-                Command::Discovery(silent) => {
+    event_log: EventLog,
+}
+
+/// A change of a host's entry in the list.
+#[derive(Clone, Copy)]
+struct ListChange {
+    host: u16,
+    phase: Phase,
+    /// Shortest and longest delay until the list has it, in milliseconds.
+    delay_ms: [u64; 2],
+    up_since_ms: Option<u64>,
+}
+
+impl DiscoveryThread {
+    /// Runs discovery until the fleet is dropped.
+    fn run(self, listeners: Vec<StdListener>, mut commands: mpsc::UnboundedReceiver<Command>) {
+        in_thread(async move {
+            let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
+            let agents = self.start_agents(listeners);
+            // Numbers each host's changes, so that a later one is not overtaken by an earlier one.
+            let mut newest = HashMap::<(usize, u16), Rc<Cell<u64>>>::new();
+            let mut number = 0;
+            while let Some(command) = commands.recv().await {
+                if let Command::Discovery(silent) = command {
                     agents.iter().for_each(|a| a.silence(silent));
                     continue;
                 }
-                Command::Slow(..) => continue,
-            };
-            number += 1;
-            for (c, agent) in agents.iter().enumerate() {
-                let delay = Duration::from_millis(rng.random_range(span[0]..=span[1].max(span[0])));
-                let last = newest.entry((c, host)).or_default().clone();
-                let (agent, number) = (agent.clone(), number);
-                tokio::task::spawn_local(async move {
-                    tokio::time::sleep(delay).await;
-                    if last.get() < number {
-                        last.set(number);
-                        agent.apply(host, phase, up);
-                    }
-                });
+                let Some(change) = self.list_change(command) else {
+                    continue;
+                };
+                number += 1;
+                let [min, max] = change.delay_ms;
+                for (c, agent) in agents.iter().enumerate() {
+                    let delay = Duration::from_millis(rng.random_range(min..=max.max(min)));
+                    let last = newest.entry((c, change.host)).or_default().clone();
+                    let agent = agent.clone();
+                    tokio::task::spawn_local(async move {
+                        tokio::time::sleep(delay).await;
+                        if last.get() < number {
+                            last.set(number);
+                            agent.apply(change.host, change.phase, change.up_since_ms);
+                        }
+                    });
+                }
             }
+        });
+    }
+
+    fn start_agents(&self, listeners: Vec<StdListener>) -> Vec<Rc<DiscoveryAgent>> {
+        let mut agents = Vec::new();
+        for (c, (listener, entries)) in listeners.into_iter().zip(&self.known).enumerate() {
+            let event_log = self.event_log.clone();
+            let agent = DiscoveryAgent::new(c as u16, entries.clone(), self.epoch, event_log);
+            if let Ok(listener) = tokio::net::TcpListener::from_std(listener) {
+                tokio::task::spawn_local(agent.clone().run(listener));
+            }
+            agents.push(agent);
         }
-    });
+        agents
+    }
+
+    /// The change that a command brings about in the list.
+    fn list_change(&self, command: Command) -> Option<ListChange> {
+        let delays = self.delays;
+        let (host, phase, delay_ms, up_since_ms) = match command {
+            Command::Crash(host) => (host, Phase::Gone, delays.notice_ms, None),
+            Command::Vanish(host) => (host, Phase::Gone, delays.silent_ms, None),
+            Command::Drain(host) => (host, Phase::Terminating, delays.notice_ms, None),
+            Command::Start(host) => (host, Phase::Ready, delays.add_ms, Some(unix_ms())),
+            Command::Discovery(_) | Command::Slow(..) => return None,
+        };
+        Some(ListChange {
+            host,
+            phase,
+            delay_ms,
+            up_since_ms,
+        })
+    }
 }
 
 /// Binds a free loopback port and lets it go again: an address for a process that is started later.
--- a/crates/fake-hosts/src/frames.rs
+++ b/crates/fake-hosts/src/frames.rs
@@ -1,8 +1,9 @@
 //! A modelled host's side of the frame protocol: a length of four bytes, a letter, the rest.
 
-use crate::host::{reset, Arrival, Form, Host, Open, Reply};
-use crate::ledger::{reference, End};
+use crate::event_log::{reference, AttemptEnd};
+use crate::host::{reset, AnswerFormat, ArrivingPart, Host, OpenAttempts, Reply};
 use crate::search;
+use crate::wire_value::wire_value;
 use bytes::{Buf, BufMut, BytesMut};
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -10,9 +11,9 @@
 use tokio::net::TcpStream;
 
 /// Largest frame that is taken.
-const MOST_FRAME: usize = 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 1024 * 1024;
 /// What may wait to be written before nothing more is read.
-const MOST_OUTPUT: usize = 1024 * 1024;
+const MAX_PENDING_OUTPUT_BYTES: usize = 1024 * 1024;
 
 fn frame(out: &mut BytesMut, letter: u8, rest: &[&[u8]]) {
     out.put_u32(rest.iter().map(|r| r.len()).sum::<usize>() as u32 + 1);
@@ -20,18 +21,13 @@
     rest.iter().for_each(|r| out.put_slice(r));
 }
 
-/// The value of an attempt, as it goes over the wire: 16 hex digits.
-pub fn value(attempt: u64) -> String {
-    format!("{attempt:016x}")
-}
-
-fn answer(out: &mut BytesMut, id: &str, form: Form, end: End, report: &str) {
+fn answer(out: &mut BytesMut, id: &str, form: AnswerFormat, end: AttemptEnd, report: &str) {
     let (word, value) = match end {
-        End::Served(v) => match form {
-            Form::Plain => ("served", value(v)),
-            Form::Search(..) => ("served", search::answer(form, end).1.to_string()),
+        AttemptEnd::Served(v) => match form {
+            AnswerFormat::Plain => ("served", wire_value(v)),
+            AnswerFormat::Search(..) => ("served", search::answer(form, end).1.to_string()),
         },
-        End::Broke => ("broke", String::new()),
+        AttemptEnd::Broke => ("broke", String::new()),
         _ => ("skipped", String::new()),
     };
     frame(
@@ -86,15 +82,20 @@
 }
 
 /// Handles the frames that are whole; `None` if one can't be used, after saying so.
-fn take(input: &mut BytesMut, out: &mut BytesMut, host: &Host, open: &mut Open) -> Option<()> {
-    while open.len() < host.conn.streams && out.len() < MOST_OUTPUT {
+fn take(
+    input: &mut BytesMut,
+    out: &mut BytesMut,
+    host: &Host,
+    open: &mut OpenAttempts,
+) -> Option<()> {
+    while open.len() < host.conn.streams && out.len() < MAX_PENDING_OUTPUT_BYTES {
         let Some(length) = input
             .first_chunk::<4>()
             .map(|n| u32::from_be_bytes(*n) as usize)
         else {
             break;
         };
-        if length == 0 || length > MOST_FRAME {
+        if length == 0 || length > MAX_FRAME_BYTES {
             frame(out, b'e', &[b"length"]);
             return None;
         }
@@ -123,8 +124,8 @@
                         .text
                         .split_once('\n')
                         .and_then(|(_, b)| serde_json::from_str(b).ok());
-                    let form = body.map_or(Form::Plain, |b| search::form(shard, &b));
-                    let arrival = Arrival {
+                    let form = body.map_or(AnswerFormat::Plain, |b| search::form(shard, &b));
+                    let arrival = ArrivingPart {
                         name,
                         shard,
                         key,
@@ -148,8 +149,8 @@
 
 /// Serves one connection until it ends or the host's process does.
 pub async fn serve(host: Rc<Host>, coordinator: u16, stream: TcpStream) {
-    let mut open = Open::new(host.clone(), coordinator);
-    let mut life = host.life();
+    let mut open = OpenAttempts::new(host.clone(), coordinator);
+    let mut process = host.process_run();
     let (mut input, mut out) = (
         BytesMut::with_capacity(16 * 1024),
         BytesMut::with_capacity(16 * 1024),
@@ -163,12 +164,12 @@
                 Err(_) => return,
             }
         }
-        let reading = open.len() < host.conn.streams && out.len() < MOST_OUTPUT;
+        let reading = open.len() < host.conn.streams && out.len() < MAX_PENDING_OUTPUT_BYTES;
         tokio::select! {
             biased;
-            () = life.leaves() => {
+            () = process.stops() => {
                 // Half-open while silent: nothing is read, written or closed until the machine is back.
-                life.ends().await;
+                process.resets_connections().await;
                 return reset(stream);
             }
             () = outbox.wait() => {
@@ -197,7 +198,7 @@
     }
 }
 
-fn deliver(out: &mut BytesMut, open: &mut Open, reply: &Reply, report: &str) {
+fn deliver(out: &mut BytesMut, open: &mut OpenAttempts, reply: &Reply, report: &str) {
     if let Some((id, form)) = open.answered(reply) {
         answer(out, &id, form, reply.end, report);
     }
--- a/crates/fake-hosts/src/host.rs
+++ b/crates/fake-hosts/src/host.rs
@@ -1,8 +1,8 @@
-//! Modelled hosts on sockets: for each host a model, its listeners (one for each coordinator, so that a
-//! sender is known by the address it came to) and its connections.
+//! Modelled hosts on sockets: for each host a model, its listeners and its connections. There is one listener for each
+//! coordinator, so that a sender is known by the address that it connects to.
 
-use crate::ledger::{End, Epoch, Event, Ledger, Ref, What, NOBODY};
-use crate::model::{HostModel, HostSpec, How, Job, Micros, Verdict};
+use crate::event_log::{AttemptEnd, AttemptRef, Epoch, Event, EventKind, EventLog, NO_COORDINATOR};
+use crate::model::{Admission, HostModel, HostSpec, Job, JobEnd, Micros};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,21 +11,43 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Notify};
 
-/// How a host's process is.
+/// Pause before a port that is in use is bound again.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// A connection that takes longer doesn't come up: the backlog is full.
+const FILL_TIMEOUT: Duration = Duration::from_millis(20);
+/// A backlog takes no more connections than this.
+const MAX_FILLERS: usize = 8;
+/// Work of a part whose text has no mark, in microseconds.
+const UNMARKED_WORK_US: f64 = 100_000.0;
+
+/// State of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// It runs.
     Up,
-    /// It is dead: connections are reset, new ones refused.
+    /// It has ended: connections are reset, new ones refused.
     Down,
-    /// Its machine says nothing: open connections stay silent, new ones never come up.
+    /// Its machine doesn't answer: open connections stay silent, new ones never come up.
     Silent,
 }
 
+/// Load of a host.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct HostState {
+    /// Parts held: running and waiting.
+    pub held: u32,
+    /// Parts waiting.
+    pub queued: u32,
+    /// Whether the host fell over while warming up.
+    pub fallen: bool,
+}
+
 /// Limits on connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnSpec {
-    /// Parts that one connection carries at once; further ones wait unread.
+    /// Parts in flight on one connection at most; further ones wait unread.
     pub streams: usize,
     /// Connections that a host accepts.
     pub most: usize,
@@ -33,13 +55,13 @@
     pub idle: Duration,
 }
 
-/// An answer on its way to a connection.
+/// The end of a part, on its way to the connection.
 #[derive(Debug)]
 pub struct Reply {
     /// The attempt.
     pub attempt: u64,
     /// How it ended: served, broke or skipped.
-    pub end: End,
+    pub end: AttemptEnd,
 }
 
 /// What a connection and the host's ticker share.
@@ -51,7 +73,7 @@
 }
 
 impl Outbox {
-    /// An open one.
+    /// An outbox whose connection is open.
     pub fn new() -> Rc<Self> {
         let outbox = Self::default();
         outbox.open.set(true);
@@ -65,14 +87,14 @@
         }
     }
 
-    /// Takes what there is.
+    /// Takes the replies that are there.
     pub fn take(&self) -> Vec<Reply> {
         std::mem::take(&mut self.replies.borrow_mut())
     }
 }
 
-/// A part that has come.
-pub struct Arrival<'a> {
+/// A part of a query that has arrived.
+pub struct ArrivingPart<'a> {
     /// The query's name.
     pub name: &'a str,
     /// The shard.
@@ -81,8 +103,8 @@
     pub key: Option<&'a str>,
     /// How long its sender waits.
     pub wait: Duration,
-    /// The client's mark and the part's work.
-    pub marked: Option<(Ref, Option<f64>)>,
+    /// The client's mark, and the work of the part in microseconds.
+    pub marked: Option<(AttemptRef, Option<f64>)>,
     /// Whether it is the first part of its call.
     pub first: bool,
 }
@@ -94,27 +116,25 @@
     /// Limits on its connections.
     pub conn: ConnSpec,
     epoch: Epoch,
-    ledger: Ledger,
+    event_log: EventLog,
     model: RefCell<HostModel>,
     jobs: RefCell<HashMap<u64, Rc<Outbox>>>,
     changed: Notify,
-    /// How it is, and how often the process has started.
+    /// State of the process, and how often it has started.
     mode: watch::Sender<(Mode, u32)>,
     conns: Cell<usize>,
     next_attempt: Cell<u64>,
-    /// Work of a part whose text bears no mark, in microseconds.
-    unmarked_us: f64,
 }
 
 impl Host {
-    /// A warm host that runs.
+    /// A running host that has warmed up.
     pub fn new(
         number: u16,
         spec: HostSpec,
         conn: ConnSpec,
         seed: u64,
         epoch: Epoch,
-        ledger: Ledger,
+        event_log: EventLog,
     ) -> Rc<Self> {
         let seed = seed
             .wrapping_add(u64::from(number))
@@ -123,73 +143,76 @@
             number,
             conn,
             epoch,
-            ledger,
+            event_log,
             model: RefCell::new(HostModel::new(spec, seed, epoch.now())),
             jobs: RefCell::default(),
             changed: Notify::new(),
             mode: watch::channel((Mode::Up, 0)).0,
             conns: Cell::new(0),
             next_attempt: Cell::new((u64::from(number) + 1) << 40),
-            unmarked_us: 100_000.0,
         })
     }
 
-    fn write(&self, coordinator: u16, attempt: u64, what: What) {
-        self.ledger.write(Event {
+    fn record(&self, coordinator: u16, attempt: u64, kind: EventKind) {
+        self.event_log.write(Event {
             at: self.epoch.now(),
             host: self.number,
             coordinator,
             attempt,
-            what,
+            kind,
         });
     }
 
-    /// Parts held and waiting, and whether it fell.
-    pub fn state(&self) -> (usize, usize, bool) {
-        let m = self.model.borrow();
-        (m.held(), m.queued(), m.has_fallen())
+    /// The host's load.
+    pub fn state(&self) -> HostState {
+        let model = self.model.borrow();
+        HostState {
+            held: model.held() as u32,
+            queued: model.queued() as u32,
+            fallen: model.has_fallen(),
+        }
     }
 
-    /// The process as it runs now, for one connection.
-    pub fn life(&self) -> Life {
+    /// The current run of the process, for one connection.
+    pub fn process_run(&self) -> ProcessRun {
         let mode = self.mode.subscribe();
         let start = mode.borrow().1;
-        Life { mode, start }
+        ProcessRun { mode, start }
     }
 
-    /// Ends or silences the process.
+    /// Ends the process, or makes its machine silent.
     pub fn down(&self, mode: Mode) {
         if self.mode.borrow().0 == Mode::Up {
-            self.write(NOBODY, 0, What::Down);
+            self.record(NO_COORDINATOR, 0, EventKind::ProcessEnded);
         }
         self.mode.send_modify(|m| m.0 = mode);
         self.jobs.borrow_mut().clear();
     }
 
-    /// Starts the process anew, cold.
+    /// Starts the process again; it warms up from cold.
     pub fn up(&self) {
         self.model.borrow_mut().start_cold(self.epoch.now());
         self.jobs.borrow_mut().clear();
         // What a silent machine held open is reset once it is back.
         self.mode.send_modify(|m| *m = (Mode::Up, m.1 + 1));
-        self.write(NOBODY, 0, What::Up);
+        self.record(NO_COORDINATOR, 0, EventKind::ProcessStarted);
         self.changed.notify_one();
     }
 
-    /// Takes nothing new from now on.
+    /// Rejects new parts from now on.
     pub fn drain(&self) {
         self.model.borrow_mut().drain();
-        self.write(NOBODY, 0, What::Draining);
+        self.record(NO_COORDINATOR, 0, EventKind::Draining);
     }
 
-    /// Makes it so many times slower than usual.
+    /// Makes the host this many times slower than usual.
     pub fn slow_down(&self, times: f64) {
         self.tick();
         self.model.borrow_mut().slow_down(times);
         self.changed.notify_one();
     }
 
-    /// The load as a sender is told of it, in the frames' words; `-` for none.
+    /// The load as it is reported to senders, in the frame protocol's form; `-` for none.
     pub fn report(&self) -> String {
         match self.model.borrow_mut().report() {
             Some(l) => format!("inflight={},queue={},qps={:.1}", l.inflight, l.queue, l.qps),
@@ -197,16 +220,21 @@
         }
     }
 
-    /// Takes a part in. One that ends at once is told at once, the others by the outbox.
-    pub fn arrive(&self, coordinator: u16, a: Arrival, outbox: &Rc<Outbox>) -> (u64, Option<End>) {
+    /// A part arrives: its attempt number, and its end if it ends at once. Otherwise the end comes by the outbox.
+    pub fn arrive(
+        &self,
+        coordinator: u16,
+        a: ArrivingPart,
+        outbox: &Rc<Outbox>,
+    ) -> (u64, Option<AttemptEnd>) {
         let attempt = self.next_attempt.get();
         self.next_attempt.set(attempt + 1);
         let reference = a.marked.map(|(r, _)| r);
         let (name, key) = (a.name.into(), a.key.map(Into::into));
-        self.write(
+        self.record(
             coordinator,
             attempt,
-            What::Arrived {
+            EventKind::Arrived {
                 name,
                 shard: a.shard,
                 key,
@@ -215,7 +243,7 @@
         );
         self.tick();
         let mut model = self.model.borrow_mut();
-        let work_us = a.marked.and_then(|(_, w)| w).unwrap_or(self.unmarked_us);
+        let work_us = a.marked.and_then(|(_, w)| w).unwrap_or(UNMARKED_WORK_US);
         let expires = self.epoch.now() + a.wait.as_micros() as Micros;
         let fell = model.has_fallen();
         let verdict = model.offer(
@@ -228,35 +256,35 @@
         );
         if model.has_fallen() && !fell {
             drop(model);
-            self.write(coordinator, attempt, What::Fell);
+            self.record(coordinator, attempt, EventKind::FellOver);
             log::warn!(host = self.number; "pushed over while cold");
             self.down(Mode::Down);
             return (attempt, None);
         }
         match verdict {
-            Verdict::Taken => {
+            Admission::Accepted => {
                 self.jobs.borrow_mut().insert(attempt, outbox.clone());
                 self.changed.notify_one();
                 (attempt, None)
             }
-            Verdict::Served => (
+            Admission::Served => (
                 attempt,
-                Some(self.ended(coordinator, attempt, End::Served(attempt))),
+                Some(self.ended(coordinator, attempt, AttemptEnd::Served(attempt))),
             ),
-            Verdict::Full => (
+            Admission::Rejected => (
                 attempt,
-                Some(self.ended(coordinator, attempt, End::Skipped)),
+                Some(self.ended(coordinator, attempt, AttemptEnd::Skipped)),
             ),
         }
     }
 
-    /// Writes down how an attempt ended.
-    pub fn ended(&self, coordinator: u16, attempt: u64, end: End) -> End {
-        self.write(coordinator, attempt, What::Ended(end));
+    /// Records the end of an attempt.
+    pub fn ended(&self, coordinator: u16, attempt: u64, end: AttemptEnd) -> AttemptEnd {
+        self.record(coordinator, attempt, EventKind::Ended(end));
         end
     }
 
-    /// Brings the model up to now and hands out what ended.
+    /// Advances the model to now and sends the ends of parts to their connections.
     fn tick(&self) {
         let mut ended = Vec::new();
         self.model
@@ -264,11 +292,11 @@
             .advance(self.epoch.now(), &mut ended);
         for (attempt, how) in ended {
             let end = match how {
-                How::Served => End::Served(attempt),
-                How::Broke => End::Broke,
-                How::Expired => End::Skipped,
+                JobEnd::Served => AttemptEnd::Served(attempt),
+                JobEnd::Broke => AttemptEnd::Broke,
+                JobEnd::Expired => AttemptEnd::Skipped,
             };
-            // What was cut off has nobody to tell.
+            // A closed connection gets no replies.
             if let Some(outbox) = self
                 .jobs
                 .borrow_mut()
@@ -281,7 +309,7 @@
         }
     }
 
-    /// Ends parts when their time has come, for ever.
+    /// Ends parts when they are due, for ever.
     pub async fn run(self: Rc<Self>) {
         loop {
             self.tick();
@@ -296,7 +324,7 @@
         }
     }
 
-    /// Listens at one address for one coordinator, for ever: opens and shuts the door as the mode says.
+    /// Listens at one address for one coordinator, for ever: accepts or refuses connections as the mode says.
     pub async fn listen<F, T>(
         self: Rc<Self>,
         addr: SocketAddr,
@@ -320,29 +348,19 @@
                         match bind(addr) {
                             Ok(l) => listener = Some(l),
                             // Somebody's outgoing connection may sit on the port for a moment.
-                            Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
+                            Err(_) => tokio::time::sleep(BIND_RETRY_DELAY).await,
                         }
                         continue;
                     };
                     let accepted = tokio::select! {
-                        a = l.accept() => a,
+                        accepted = l.accept() => accepted,
                         _ = mode.changed() => continue,
                     };
                     match accepted {
-                        Ok((stream, _)) if self.conns.get() < self.conn.most => {
-                            let _ = stream.set_nodelay(true);
-                            self.conns.set(self.conns.get() + 1);
-                            let (host, served) =
-                                (self.clone(), serve(self.clone(), coordinator, stream));
-                            tokio::task::spawn_local(async move {
-                                served.await;
-                                host.conns.set(host.conns.get() - 1);
-                            });
-                        }
-                        Ok((stream, _)) => reset(stream),
+                        Ok((stream, _)) => self.accept(coordinator, stream, &serve),
                         Err(e) => {
                             log::warn!(host = self.number, error:% = e; "accept");
-                            tokio::time::sleep(Duration::from_millis(20)).await;
+                            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                         }
                     }
                 }
@@ -352,18 +370,7 @@
                 }
                 Mode::Silent => {
                     if let Some(l) = &listener {
-                        let _ = socket2::SockRef::from(l).listen(0);
-                        while let Ok(Ok(s)) = tokio::time::timeout(
-                            Duration::from_millis(20),
-                            TcpStream::connect(addr),
-                        )
-                        .await
-                        {
-                            fillers.push(s);
-                            if fillers.len() > 8 {
-                                break;
-                            }
-                        }
+                        fill_backlog(l, addr, &mut fillers).await;
                     }
                     let _ = mode.changed().await;
                     listener = None;
@@ -371,32 +378,64 @@
             }
         }
     }
+
+    /// Serves a new connection, or resets it if there are too many.
+    fn accept<F, T>(self: &Rc<Self>, coordinator: u16, stream: TcpStream, serve: &F)
+    where
+        F: Fn(Rc<Host>, u16, TcpStream) -> T,
+        T: std::future::Future<Output = ()> + 'static,
+    {
+        if self.conns.get() >= self.conn.most {
+            return reset(stream);
+        }
+        let _ = stream.set_nodelay(true);
+        self.conns.set(self.conns.get() + 1);
+        let (host, served) = (self.clone(), serve(self.clone(), coordinator, stream));
+        tokio::task::spawn_local(async move {
+            served.await;
+            host.conns.set(host.conns.get() - 1);
+        });
+    }
+}
+
+/// Fills the backlog of a listener, so that no further connections come up.
+async fn fill_backlog(listener: &TcpListener, addr: SocketAddr, fillers: &mut Vec<TcpStream>) {
+    let _ = socket2::SockRef::from(listener).listen(0);
+    while let Ok(Ok(stream)) = tokio::time::timeout(FILL_TIMEOUT, TcpStream::connect(addr)).await {
+        fillers.push(stream);
+        if fillers.len() > MAX_FILLERS {
+            break;
+        }
+    }
 }
 
-/// One start of a host's process, as a connection lives in it.
-pub struct Life {
+/// One run of a host's process, as seen by a connection.
+pub struct ProcessRun {
     mode: watch::Receiver<(Mode, u32)>,
     start: u32,
 }
 
-impl Life {
-    fn over(&mut self, silent_counts: bool) -> bool {
+impl ProcessRun {
+    fn is_over(&mut self, silent_counts: bool) -> bool {
         let (mode, start) = *self.mode.borrow_and_update();
         start != self.start || mode == Mode::Down || (silent_counts && mode == Mode::Silent)
     }
 
     /// Waits until the process no longer runs, or its machine is silent.
-    pub async fn leaves(&mut self) {
-        while !self.over(true) && self.mode.changed().await.is_ok() {}
+    pub async fn stops(&mut self) {
+        while !self.is_over(true) && self.mode.changed().await.is_ok() {}
     }
 
-    /// Waits until the connection is to be reset: at once, or once a silent machine is back.
-    pub async fn ends(&mut self) {
-        while !self.over(false) && self.mode.changed().await.is_ok() {}
+    /// Waits until the connection has to be reset: at the end of the process, or once a silent machine is back.
+    pub async fn resets_connections(&mut self) {
+        while !self.is_over(false) && self.mode.changed().await.is_ok() {}
     }
 }
 
-/// Binds with room for many that come at once.
+/// Binds a listener with a long backlog.
+///
+/// # Errors
+/// If the address can't be bound.
 pub fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -409,26 +448,26 @@
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-/// The attempts that are out on a connection; whatever is left at its end was cut.
-pub struct Open {
+/// The attempts in flight on a connection; those that are left at its end are recorded as cut.
+pub struct OpenAttempts {
     host: Rc<Host>,
     coordinator: u16,
-    /// The replies' way back.
+    /// Receives the ends of parts.
     pub outbox: Rc<Outbox>,
-    attempts: HashMap<u64, (String, Form)>,
+    attempts: HashMap<u64, (String, AnswerFormat)>,
 }
 
-/// What a part's value is made as.
+/// The form of a part's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Form {
+pub enum AnswerFormat {
     /// The attempt's number in hex.
     Plain,
     /// Hits for a search of this shard: how many at most, and whether it is sorted.
     Search(u32, u64, bool),
 }
 
-impl Open {
-    /// Nothing out yet.
+impl OpenAttempts {
+    /// No attempts yet.
     pub fn new(host: Rc<Host>, coordinator: u16) -> Self {
         Self {
             host,
@@ -438,18 +477,23 @@
         }
     }
 
-    /// How many are out, given-up ones included: their work still stands on this connection.
+    /// Number of attempts in flight, withdrawn ones included: their work still occupies this connection.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether nothing is out.
+    /// Whether no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// A part comes in by its name on the wire; told at once if it ends at once.
-    pub fn arrive(&mut self, id: &str, form: Form, arrival: Arrival) -> (u64, Option<End>) {
+    /// A part arrives under its name on the wire: its attempt number, and its end if it ends at once.
+    pub fn arrive(
+        &mut self,
+        id: &str,
+        form: AnswerFormat,
+        arrival: ArrivingPart,
+    ) -> (u64, Option<AttemptEnd>) {
         let (attempt, end) = self.host.arrive(self.coordinator, arrival, &self.outbox);
         if end.is_none() {
             self.attempts.insert(attempt, (id.to_owned(), form));
@@ -457,26 +501,27 @@
         (attempt, end)
     }
 
-    /// A part is given up.
+    /// The sender withdraws a part.
     pub fn withdraw(&self, id: &str) {
         for (attempt, _) in self.attempts.iter().filter(|(_, (i, _))| *i == id) {
-            self.host.ended(self.coordinator, *attempt, End::Withdrawn);
+            self.host
+                .ended(self.coordinator, *attempt, AttemptEnd::Withdrawn);
         }
     }
 
-    /// An answer goes out; its name on the wire and its value's form, if it is one of these.
-    pub fn answered(&mut self, reply: &Reply) -> Option<(String, Form)> {
+    /// An attempt ends: its name on the wire and its answer's form, if it is one of these.
+    pub fn answered(&mut self, reply: &Reply) -> Option<(String, AnswerFormat)> {
         let known = self.attempts.remove(&reply.attempt)?;
         self.host.ended(self.coordinator, reply.attempt, reply.end);
         Some(known)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenAttempts {
     fn drop(&mut self) {
         self.outbox.open.set(false);
         for attempt in self.attempts.keys() {
-            self.host.ended(self.coordinator, *attempt, End::Cut);
+            self.host.ended(self.coordinator, *attempt, AttemptEnd::Cut);
         }
     }
 }
--- a/crates/fake-hosts/src/model.rs
+++ b/crates/fake-hosts/src/model.rs
@@ -13,10 +13,10 @@
 pub type Micros = u64;
 
 /// A cold host's speed is worked out anew at least this often.
-const RAMP_STEP: Micros = 20_000;
+const WARM_UP_STEP: Micros = 20_000;
 /// What may be pushed at a cold host beyond the rule's figure before it falls, in parts of the window:
 /// chance alone must not do it.
-const FALL_SLACK: f64 = 0.25;
+const OVERLOAD_SLACK: f64 = 0.25;
 
 /// What a host is made of. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
@@ -98,18 +98,18 @@
 
 /// What becomes of a part that is offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// Taken; it will end by [`HostModel::advance`].
-    Taken,
+    Accepted,
     /// Served at once.
     Served,
     /// Turned away unseen.
-    Full,
+    Rejected,
 }
 
 /// How a part that was taken ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum JobEnd {
     /// Its work is done.
     Served,
     /// Its work is done, and came to an error.
@@ -273,7 +273,7 @@
             .fold(f64::INFINITY, f64::min);
         let done = self.now + ((least / rate).ceil() as Micros).max(1);
         let ramp = if self.cold_since.is_some() {
-            self.now + RAMP_STEP
+            self.now + WARM_UP_STEP
         } else {
             Micros::MAX
         };
@@ -281,7 +281,7 @@
     }
 
     /// Lets time pass, telling what ended on the way.
-    pub fn advance(&mut self, to: Micros, ended: &mut Vec<(u64, How)>) {
+    pub fn advance(&mut self, to: Micros, ended: &mut Vec<(u64, JobEnd)>) {
         while self.now < to {
             self.pauses();
             let until = self.next().map_or(to, |n| n.min(to)).max(self.now + 1);
@@ -308,7 +308,7 @@
                 let id = self.running.swap_remove(n).id;
                 let broke =
                     self.spec.error_rate > 0.0 && self.rng.random_bool(self.spec.error_rate);
-                ended.push((id, if broke { How::Broke } else { How::Served }));
+                ended.push((id, if broke { JobEnd::Broke } else { JobEnd::Served }));
                 self.served += 1;
             }
             self.begin(ended);
@@ -326,10 +326,10 @@
     }
 
     /// Begins what has waited longest for as long as slots are free.
-    fn begin(&mut self, ended: &mut Vec<(u64, How)>) {
+    fn begin(&mut self, ended: &mut Vec<(u64, JobEnd)>) {
         while self.running.len() < (self.spec.cores * self.spec.slots_per_core) as usize {
             match self.waiting.pop_front() {
-                Some(job) if job.expires <= self.now => ended.push((job.id, How::Expired)),
+                Some(job) if job.expires <= self.now => ended.push((job.id, JobEnd::Expired)),
                 Some(job) => self.running.push(Running {
                     id: job.id,
                     left: job.work_us,
@@ -340,13 +340,13 @@
     }
 
     /// Offers a part at the time it was last advanced to; `first` of its call if it bears the call's own cost.
-    pub fn offer(&mut self, mut job: Job, first: bool) -> Verdict {
+    pub fn offer(&mut self, mut job: Job, first: bool) -> Admission {
         if self.spec.instant {
             self.served += 1;
             return if self.draining {
-                Verdict::Full
+                Admission::Rejected
             } else {
-                Verdict::Served
+                Admission::Served
             };
         }
         if first {
@@ -358,7 +358,7 @@
         let slots = (self.spec.cores * self.spec.slots_per_core) as usize;
         let full = self.running.len() >= slots && self.waiting.len() as f64 >= room;
         if self.draining || self.fallen || full {
-            return Verdict::Full;
+            return Admission::Rejected;
         }
         if self.running.len() < slots {
             self.running.push(Running {
@@ -368,7 +368,7 @@
         } else {
             self.waiting.push_back(job);
         }
-        Verdict::Taken
+        Admission::Accepted
     }
 
     fn push(&mut self, work: f64) {
@@ -389,7 +389,7 @@
             self.pushed_sum -= w;
         }
         let capacity = f64::from(self.spec.cores) * self.spec.speed * self.warmth() * window as f64;
-        if self.pushed_sum > (self.spec.fall_multiple + FALL_SLACK) * capacity {
+        if self.pushed_sum > (self.spec.fall_multiple + OVERLOAD_SLACK) * capacity {
             self.fallen = true;
         }
     }
--- a/crates/fake-hosts/src/search.rs
+++ b/crates/fake-hosts/src/search.rs
@@ -1,9 +1,9 @@
 //! A modelled host's side of the OpenSearch dialect, from OpenSearch's published API: `_search` for one
 //! shard, `_msearch` for several, each naming its shard by `preference=_shards:N`.
 
-use crate::frames::value;
-use crate::host::{reset, Arrival, Form, Host, Open};
-use crate::ledger::{reference, End};
+use crate::event_log::{reference, AttemptEnd};
+use crate::host::{reset, AnswerFormat, ArrivingPart, Host, OpenAttempts};
+use crate::wire_value::wire_value;
 use bytes::{Buf, BytesMut};
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -13,12 +13,12 @@
 use tokio::net::TcpStream;
 
 /// Largest head and body that are taken.
-const MOST_HEAD: usize = 16 * 1024;
-const MOST_BODY: usize = 1024 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Hits that a host has for a search, at most.
-const HITS: u64 = 10;
+const HITS_PER_SHARD: u64 = 10;
 
-struct Asked {
+struct SearchRequest {
     target: String,
     name: String,
     key: Option<String>,
@@ -26,7 +26,7 @@
 }
 
 /// Reads the next request; `None` at the connection's end or if it is no HTTP.
-async fn request(stream: &mut TcpStream, input: &mut BytesMut) -> Option<Asked> {
+async fn request(stream: &mut TcpStream, input: &mut BytesMut) -> Option<SearchRequest> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 64];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -44,7 +44,7 @@
                 header("Idempotency-Key"),
             );
             let length: usize = header("Content-Length").map_or(Some(0), |l| l.parse().ok())?;
-            if length > MOST_BODY {
+            if length > MAX_BODY_BYTES {
                 return None;
             }
             input.advance(head);
@@ -53,21 +53,21 @@
                     return None;
                 }
             }
-            return Some(Asked {
+            return Some(SearchRequest {
                 target,
                 name,
                 key,
                 body: input.split_to(length).to_vec(),
             });
         }
-        if input.len() > MOST_HEAD || stream.read_buf(input).await.ok()? == 0 {
+        if input.len() > MAX_HEAD_BYTES || stream.read_buf(input).await.ok()? == 0 {
             return None;
         }
     }
 }
 
 /// The searches of a request: shard, body and how long the sender waits.
-fn searches(asked: &Asked) -> Option<Vec<(u32, Value)>> {
+fn searches(asked: &SearchRequest) -> Option<Vec<(u32, Value)>> {
     let shard = |p: &str| p.rsplit_once("_shards:").and_then(|(_, n)| n.parse().ok());
     if asked.target != "/_msearch" {
         let body = serde_json::from_slice(&asked.body).ok()?;
@@ -85,18 +85,21 @@
 }
 
 /// What a search wants of its shard.
-pub(crate) fn form(shard: u32, body: &Value) -> Form {
-    Form::Search(
+pub(crate) fn form(shard: u32, body: &Value) -> AnswerFormat {
+    AnswerFormat::Search(
         shard,
-        body["size"].as_u64().unwrap_or(HITS).min(HITS),
+        body["size"]
+            .as_u64()
+            .unwrap_or(HITS_PER_SHARD)
+            .min(HITS_PER_SHARD),
         body["sort"].is_array(),
     )
 }
 
 /// The status and body of an answer.
-pub(crate) fn answer(form: Form, end: End) -> (u16, Value) {
-    let (End::Served(v), Form::Search(shard, size, sorted)) = (end, form) else {
-        let status = if end == End::Skipped { 429 } else { 500 };
+pub(crate) fn answer(form: AnswerFormat, end: AttemptEnd) -> (u16, Value) {
+    let (AttemptEnd::Served(v), AnswerFormat::Search(shard, size, sorted)) = (end, form) else {
+        let status = if end == AttemptEnd::Skipped { 429 } else { 500 };
         return (
             status,
             json!({"error": {"type": "exception", "reason": "stand-in"}, "status": status}),
@@ -105,7 +108,7 @@
     let hit = |n: u64| {
         // Scores are spread over shards, so that merged pages hold hits of several.
         let score = 1.0 / (1 + n * 97 + u64::from(shard) % 97) as f64;
-        let mut hit = json!({"_index": "x", "_id": format!("{}-{n}", value(v)), "_score": score, "_source": {}});
+        let mut hit = json!({"_index": "x", "_id": format!("{}-{n}", wire_value(v)), "_score": score, "_source": {}});
         if sorted {
             hit["sort"] = json!([n * 97 + u64::from(shard) % 97]);
         }
@@ -113,7 +116,7 @@
     };
     let hits: Vec<Value> = (0..size).map(hit).collect();
     let shards = json!({"total": 1, "successful": 1, "skipped": 0, "failed": 0});
-    let hits = json!({"total": {"value": HITS, "relation": "eq"}, "hits": hits});
+    let hits = json!({"total": {"value": HITS_PER_SHARD, "relation": "eq"}, "hits": hits});
     (
         200,
         json!({"took": 1, "timed_out": false, "_shards": shards, "hits": hits, "status": 200}),
@@ -130,14 +133,14 @@
 
 /// Serves one connection, a request at a time, until it ends or the host's process does.
 pub async fn serve(host: Rc<Host>, coordinator: u16, mut stream: TcpStream) {
-    let mut life = host.life();
+    let mut process = host.process_run();
     let left = tokio::select! {
         biased;
-        () = life.leaves() => true,
+        () = process.stops() => true,
         () = converse(&host, coordinator, &mut stream) => false,
     };
     if left {
-        life.ends().await;
+        process.resets_connections().await;
         reset(stream);
     }
 }
@@ -165,7 +168,7 @@
                 .await;
             return;
         };
-        let mut open = Open::new(host.clone(), coordinator);
+        let mut open = OpenAttempts::new(host.clone(), coordinator);
         let (mut ended, mut order) = (HashMap::new(), Vec::new());
         for (n, (shard, body)) in searches.iter().enumerate() {
             let wait = body["timeout"]
@@ -176,7 +179,7 @@
             // Parts of several queries may share a call; the text says whose a part is.
             let marked = reference(&body.to_string(), *shard);
             let (shard, key, first) = (*shard, asked.key.as_deref(), n == 0);
-            let arrival = Arrival {
+            let arrival = ArrivingPart {
                 name: &asked.name,
                 shard,
                 key,
--- a/crates/fake-hosts/tests/modules/ledger.rs
+++ b/crates/fake-hosts/tests/modules/event_log.rs
@@ -1,8 +1,8 @@
-use fake_hosts::ledger::{mark, reference, Ref};
+use fake_hosts::event_log::{mark, reference, AttemptRef};
 
 #[test]
 fn a_mark_is_found_again_in_any_text() {
-    let r = Ref {
+    let r = AttemptRef {
         query: 12,
         attempt: 1,
     };
--- a/crates/fake-hosts/tests/modules/model.rs
+++ b/crates/fake-hosts/tests/modules/model.rs
@@ -1,4 +1,4 @@
-use fake_hosts::model::{HostModel, HostSpec, How, Job, Micros, Verdict};
+use fake_hosts::model::{Admission, HostModel, HostSpec, Job, JobEnd, Micros};
 
 fn plain() -> HostSpec {
     HostSpec {
@@ -18,7 +18,7 @@
     }
 }
 
-fn all(model: &mut HostModel, to: Micros) -> Vec<(u64, How)> {
+fn all(model: &mut HostModel, to: Micros) -> Vec<(u64, JobEnd)> {
     let mut ended = Vec::new();
     model.advance(to, &mut ended);
     ended
@@ -29,13 +29,13 @@
     let mut m = HostModel::new(plain(), 1, 0);
     // Four slots on two cores: four parts of 100 ms take 200 ms, the fifth then 100 ms alone.
     for id in 0..5 {
-        assert_eq!(m.offer(job(id, 100_000.0), id == 0), Verdict::Taken);
+        assert_eq!(m.offer(job(id, 100_000.0), id == 0), Admission::Accepted);
     }
     assert_eq!((m.held(), m.queued()), (5, 1));
     assert!(all(&mut m, 199_000).is_empty());
     assert_eq!(all(&mut m, 201_000).len(), 4);
     assert!(all(&mut m, 299_000).is_empty());
-    assert_eq!(all(&mut m, 302_000), [(4, How::Served)]);
+    assert_eq!(all(&mut m, 302_000), [(4, JobEnd::Served)]);
 }
 
 #[test]
@@ -47,7 +47,7 @@
         ..plain()
     };
     let mut m = HostModel::new(spec, 1, 0);
-    assert_eq!(m.offer(job(0, 1000.0), true), Verdict::Taken);
+    assert_eq!(m.offer(job(0, 1000.0), true), Admission::Accepted);
     assert_eq!(
         m.offer(
             Job {
@@ -56,10 +56,13 @@
             },
             true
         ),
-        Verdict::Taken
+        Admission::Accepted
+    );
+    assert_eq!(m.offer(job(2, 1.0), true), Admission::Rejected);
+    assert_eq!(
+        all(&mut m, 5000),
+        [(0, JobEnd::Served), (1, JobEnd::Expired)]
     );
-    assert_eq!(m.offer(job(2, 1.0), true), Verdict::Full);
-    assert_eq!(all(&mut m, 5000), [(0, How::Served), (1, How::Expired)]);
 }
 
 #[test]
--- a/crates/load-test/src/audit.rs
+++ b/crates/load-test/src/audit.rs
@@ -1,11 +1,11 @@
 //! The auditor: from the ledgers of hosts, discovery and clients it checks what a coordinator has to keep.
 //! It takes nothing that a coordinator says for true, and reads neither its log nor its counters.
 
-use crate::clients::TryEnd;
+use crate::clients::AttemptOutcome;
 use crate::plan::Plan;
-use crate::record::{Life, Lives, QueryRecord, TryRecord};
+use crate::record::{AttemptRecord, ProcessEvent, ProcessHistory, QueryRecord};
 use crate::scenario::{DialectName, RepeatName, Scenario};
-use fake_hosts::ledger::{End, Event, Phase, Ref, What};
+use fake_hosts::event_log::{AttemptEnd, AttemptRef, Event, EventKind, Phase};
 use fake_hosts::model::Micros;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -18,9 +18,9 @@
 /// Shares of the weight may fall short by this much.
 const ROUNDING: f64 = 1e-3;
 /// How far back it counts what pushed a host over.
-const PUSHED: Micros = 1_000_000;
+const OVERLOAD_WINDOW: Micros = 1_000_000;
 /// Discovery's news counts as told at the latest after this.
-const TOLD_AT_LATEST: Micros = 6_000_000;
+const LIST_UPDATE_DEADLINE: Micros = 6_000_000;
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -82,7 +82,7 @@
     /// What hosts and discovery saw, by time.
     pub events: &'a [Event],
     /// What happened to the coordinators.
-    pub lives: &'a Lives,
+    pub processes: &'a ProcessHistory,
 }
 
 /// An attempt, put together from its events.
@@ -95,16 +95,16 @@
     name: &'a str,
     shard: u32,
     key: Option<&'a str>,
-    reference: Option<Ref>,
+    reference: Option<AttemptRef>,
     /// Its first end; what comes after a withdrawal is an answer under way.
-    end: Option<(Micros, End)>,
+    end: Option<(Micros, AttemptEnd)>,
     /// When it was served, if it was, withdrawn or not.
     served: Option<Micros>,
 }
 
 impl Attempt<'_> {
     fn may_have_run(&self) -> bool {
-        !matches!(self.end, Some((_, End::Skipped)))
+        !matches!(self.end, Some((_, AttemptEnd::Skipped)))
     }
 }
 
@@ -113,8 +113,8 @@
     let mut place: HashMap<u64, usize> = HashMap::new();
     let mut open: HashMap<u16, Vec<usize>> = HashMap::new();
     for e in events {
-        match &e.what {
-            What::Arrived {
+        match &e.kind {
+            EventKind::Arrived {
                 name,
                 shard,
                 key,
@@ -135,10 +135,10 @@
                     served: None,
                 });
             }
-            What::Ended(end) => {
+            EventKind::Ended(end) => {
                 if let Some(a) = place.get(&e.attempt).map(|n| &mut all[*n]) {
                     a.end.get_or_insert((e.at, *end));
-                    if matches!(end, End::Served(_)) {
+                    if matches!(end, AttemptEnd::Served(_)) {
                         a.served.get_or_insert(e.at);
                     }
                 }
@@ -147,9 +147,9 @@
                 }
             }
             // A dead or silent host can't hear that a part is given up.
-            What::Down | What::Fell => {
+            EventKind::ProcessEnded | EventKind::FellOver => {
                 for n in open.remove(&e.host).into_iter().flatten() {
-                    all[n].end.get_or_insert((e.at, End::Cut));
+                    all[n].end.get_or_insert((e.at, AttemptEnd::Cut));
                 }
             }
             _ => {}
@@ -163,7 +163,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum PartName<'a> {
     Wire(u16, &'a str, u32),
-    Marked(Ref, u32),
+    Marked(AttemptRef, u32),
 }
 
 /// Checks all rules; violations by time.
@@ -183,7 +183,7 @@
 fn answers(e: &Evidence, attempts: &[Attempt], found: &mut Vec<Violation>) {
     let slack = e.scenario.audit.slack_ms * 1000;
     let by_id: HashMap<u64, &Attempt> = attempts.iter().map(|a| (a.id, a)).collect();
-    let mut by_try: HashMap<Ref, Vec<&Attempt>> = HashMap::new();
+    let mut by_try: HashMap<AttemptRef, Vec<&Attempt>> = HashMap::new();
     for a in attempts {
         a.reference
             .into_iter()
@@ -198,17 +198,22 @@
                 what,
             });
         };
-        let excused = t.sent == 0 || e.lives.excused(t.coordinator, t.sent, t.ended);
+        let excused = t.sent == 0 || e.processes.excused(t.coordinator, t.sent, t.ended);
         let what = format!("try {} at coordinator {}", t.attempt, t.coordinator);
         match t.end {
-            TryEnd::Closed | TryEnd::Cut | TryEnd::GaveUp | TryEnd::Unreadable if !excused => {
+            AttemptOutcome::Closed
+            | AttemptOutcome::Cut
+            | AttemptOutcome::GaveUp
+            | AttemptOutcome::Unreadable
+                if !excused =>
+            {
                 let after = (t.ended - t.sent) / 1000;
                 add(
                     Rule::Lost,
                     format!("{what}: {} {after} ms after it was sent", t.end.word()),
                 );
             }
-            TryEnd::Served(_) | TryEnd::Refused | TryEnd::Failed(_) => {
+            AttemptOutcome::Served(_) | AttemptOutcome::Refused | AttemptOutcome::Failed(_) => {
                 let by = t.sent + t.wait_us + ANSWER_SLACK + slack;
                 if t.ended > by && !excused {
                     add(
@@ -225,19 +230,19 @@
                 format!("{what}: bytes came that nobody asked for"),
             );
         }
-        let reference = Ref {
+        let reference = AttemptRef {
             query: t.query,
             attempt: t.attempt,
         };
         let mine = by_try.get(&reference).map_or(&[][..], |v| v);
-        if let TryEnd::Served(full) = t.end {
+        if let AttemptOutcome::Served(full) = t.end {
             if let Some(why) = dishonest(e, t, full, mine, &by_id) {
                 add(Rule::Honest, format!("{what}: {why}"));
             }
         }
         let class = &e.scenario.classes[usize::from(e.plan.0[t.query as usize].class)];
         let ran = mine.iter().any(|a| a.may_have_run());
-        if t.end == TryEnd::Refused && class.repeat == RepeatName::Unsafe && ran {
+        if t.end == AttemptOutcome::Refused && class.repeat == RepeatName::Unsafe && ran {
             add(
                 Rule::Honest,
                 format!("{what}: refused though a part may have run, in a class without repeats"),
@@ -248,7 +253,7 @@
 
 fn dishonest(
     e: &Evidence,
-    t: &TryRecord,
+    t: &AttemptRecord,
     full: bool,
     mine: &[&Attempt],
     by_id: &HashMap<u64, &Attempt>,
@@ -277,7 +282,7 @@
         }
     }
     for v in &t.values {
-        let reference = Ref {
+        let reference = AttemptRef {
             query: t.query,
             attempt: t.attempt,
         };
@@ -395,7 +400,7 @@
 fn told(e: &Evidence) -> HashMap<(u16, u16), Vec<(Micros, Phase)>> {
     let mut all: HashMap<(u16, u16), Vec<(Micros, Phase)>> = HashMap::new();
     for event in e.events {
-        if let What::Told(phase) = event.what {
+        if let EventKind::ListUpdateSent(phase) = event.kind {
             all.entry((event.coordinator, event.host))
                 .or_default()
                 .push((event.at, phase));
@@ -408,7 +413,7 @@
     let slack = e.scenario.audit.slack_ms * 1000;
     let told = told(e);
     for a in attempts {
-        let started = e.lives.started_before(a.coordinator, a.arrived);
+        let started = e.processes.started_before(a.coordinator, a.arrived);
         let news = told.get(&(a.coordinator, a.host)).map_or(&[][..], |v| v);
         // What an earlier process was told, this one does not know.
         let known: Vec<_> = news
@@ -423,7 +428,7 @@
             .last();
         let Some((at, phase)) = going else { continue };
         // A coordinator that stood still had it read to it only afterwards.
-        let stalls = e.lives.stalls(a.coordinator);
+        let stalls = e.processes.stalls(a.coordinator);
         let heard = stalls
             .iter()
             .filter(|(from, to)| from <= at && at <= to)
@@ -450,12 +455,10 @@
 
 fn cold(e: &Evidence, attempts: &[Attempt], found: &mut Vec<Violation>) {
     let told = told(e);
-    for fell in e.events.iter().filter(|x| x.what == What::Fell) {
-        let up = e
-            .events
-            .iter()
-            .rev()
-            .find(|x| x.host == fell.host && x.what == What::Up && x.at <= fell.at);
+    for fell in e.events.iter().filter(|x| x.kind == EventKind::FellOver) {
+        let up = e.events.iter().rev().find(|x| {
+            x.host == fell.host && x.kind == EventKind::ProcessStarted && x.at <= fell.at
+        });
         let up = up.map_or(0, |x| x.at);
         // Who knew of its start, or counts as told of it.
         let knew = |a: &&Attempt| {
@@ -463,9 +466,9 @@
             let heard = news
                 .iter()
                 .any(|(at, p)| *p == Phase::Ready && *at >= up && *at <= a.arrived);
-            heard || a.arrived >= up + TOLD_AT_LATEST
+            heard || a.arrived >= up + LIST_UPDATE_DEADLINE
         };
-        let span = fell.at.saturating_sub(PUSHED)..=fell.at;
+        let span = fell.at.saturating_sub(OVERLOAD_WINDOW)..=fell.at;
         let pushed: Vec<&Attempt> = attempts
             .iter()
             .filter(|a| a.host == fell.host && span.contains(&a.arrived))
@@ -509,7 +512,7 @@
 }
 
 /// All that is known of a query, event by event.
-pub fn story(e: &Evidence, query: u32) -> String {
+pub fn query_timeline(e: &Evidence, query: u32) -> String {
     let mut lines: Vec<(Micros, String)> = Vec::new();
     if let Some(q) = e.queries.iter().find(|q| q.query == query) {
         let p = &e.plan.0[query as usize];
@@ -555,14 +558,14 @@
             continue;
         };
         let part = format!("part {}.{}", a.name, a.shard);
-        let said = match &event.what {
-            What::Arrived { .. } => {
+        let said = match &event.kind {
+            EventKind::Arrived { .. } => {
                 format!(
                     "host {}: {part} came from coordinator {}",
                     a.host, a.coordinator
                 )
             }
-            What::Ended(end) => format!("host {}: {part} {end:?}", a.host),
+            EventKind::Ended(end) => format!("host {}: {part} {end:?}", a.host),
             _ => continue,
         };
         lines.push((event.at, said));
@@ -581,22 +584,25 @@
         .filter(|x| hosts.contains(&x.host) && (from..=to).contains(&x.at))
     {
         let (host, c) = (event.host, event.coordinator);
-        match &event.what {
-            What::Told(phase) => lines.push((
+        match &event.kind {
+            EventKind::ListUpdateSent(phase) => lines.push((
                 event.at,
                 format!("coordinator {c} was told: host {host} {phase:?}"),
             )),
-            What::Arrived { .. } | What::Ended(_) => {}
+            EventKind::Arrived { .. } | EventKind::Ended(_) => {}
             other => lines.push((event.at, format!("host {host}: {other:?}"))),
         }
     }
     for l in e
-        .lives
+        .processes
         .0
         .iter()
-        .filter(|l| (from..=to).contains(&l.at) && l.life != Life::Ready)
+        .filter(|l| (from..=to).contains(&l.at) && l.event != ProcessEvent::Ready)
     {
-        lines.push((l.at, format!("coordinator {}: {:?}", l.coordinator, l.life)));
+        lines.push((
+            l.at,
+            format!("coordinator {}: {:?}", l.coordinator, l.event),
+        ));
     }
     lines.sort();
     let mut text = format!("query {query}\n");
--- a/crates/load-test/src/calibrate.rs
+++ b/crates/load-test/src/calibrate.rs
@@ -1,7 +1,7 @@
 //! The generator against references: answers whose times are known ahead, and a target that answers at
 //! once. The references are worked out here from the plan, free of I/O and clock.
 
-use crate::clients::TryEnd;
+use crate::clients::AttemptOutcome;
 use crate::plan::{Mixer, Plan};
 use crate::run::{self, Loaded, RunError};
 use crate::scenario::{Arrivals, ClassTable, RepeatName, Scenario};
@@ -190,7 +190,7 @@
         let f = &got.figures;
         let served = f
             .outcomes
-            .get(TryEnd::Served(true).word())
+            .get(AttemptOutcome::Served(true).word())
             .copied()
             .unwrap_or(0);
         // Over the time in which the last one ended: what was begun late is not made up for.
--- a/crates/load-test/src/clients.rs
+++ b/crates/load-test/src/clients.rs
@@ -5,7 +5,7 @@
 
 /// How a try ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum AttemptOutcome {
     /// Served; whether it is marked whole.
     Served(bool),
     /// Turned away (429 or 503).
@@ -26,7 +26,7 @@
     NoDescriptor,
 }
 
-impl TryEnd {
+impl AttemptOutcome {
     /// A word for tables.
     pub fn word(self) -> &'static str {
         match self {
@@ -51,11 +51,11 @@
 
 /// What a client knows when a try has ended; times in microseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Tried {
+pub struct AttemptResult {
     /// Tries made so far.
     pub tries: u8,
     /// How the last one ended.
-    pub end: TryEnd,
+    pub end: AttemptOutcome,
     /// `Retry-After` of its answer.
     pub retry_after_us: Option<u64>,
     /// Time since the query was due.
@@ -63,8 +63,13 @@
 }
 
 /// When the client tries again, as a wait from now; `None` if it doesn't.
-pub fn next_try(q: &Planned, class: &ClassTable, backoff: Backoff, tried: Tried) -> Option<u64> {
-    let Tried {
+pub fn next_attempt_delay(
+    q: &Planned,
+    class: &ClassTable,
+    backoff: Backoff,
+    tried: AttemptResult,
+) -> Option<u64> {
+    let AttemptResult {
         tries,
         end,
         retry_after_us,
@@ -75,7 +80,7 @@
     }
     let never_ran = matches!(
         end,
-        TryEnd::Refused | TryEnd::NoConnection | TryEnd::NoDescriptor
+        AttemptOutcome::Refused | AttemptOutcome::NoConnection | AttemptOutcome::NoDescriptor
     );
     let wait = match backoff {
         Backoff::None => 0,
--- a/crates/load-test/src/deploy.rs
+++ b/crates/load-test/src/deploy.rs
@@ -1,9 +1,9 @@
 //! The coordinators as processes: started, watched, signalled and ended, each by its own id.
 
-use crate::record::{Life, LifeEvent, Lives};
+use crate::record::{CoordinatorEvent, ProcessEvent, ProcessHistory};
 use crate::scenario::Scenario;
+use fake_hosts::event_log::Epoch;
 use fake_hosts::fleet::{free_addr, Fleet};
-use fake_hosts::ledger::Epoch;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 /// A coordinator must answer its health call within this.
-const READY: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// One that was told to end must have ended within this.
-const END: Duration = Duration::from_secs(20);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why the coordinators don't run.
 #[derive(Debug, thiserror::Error)]
@@ -42,7 +42,7 @@
     pub descriptors: usize,
 }
 
-struct One {
+struct CoordinatorProcess {
     listen: SocketAddr,
     config: PathBuf,
     log: PathBuf,
@@ -56,9 +56,9 @@
 pub struct Coordinators {
     program: PathBuf,
     operator: Option<PathBuf>,
-    all: Vec<One>,
+    all: Vec<CoordinatorProcess>,
     epoch: Epoch,
-    lives: Lives,
+    processes: ProcessHistory,
     level: String,
 }
 
@@ -114,7 +114,7 @@
             let listen = free_addr().map_err(|e| DeployError::Io("a port".into(), e))?;
             let members: Vec<_> = fleet.known[usize::from(c)]
                 .iter()
-                .map(fake_hosts::discovery::Member::json)
+                .map(fake_hosts::discovery::ListEntry::json)
                 .collect();
             let config = json!({
                 "name": format!("c{c}"),
@@ -130,7 +130,7 @@
             let log = dir.join(format!("coordinator-{c}.log"));
             write(log.clone(), String::new())?;
             let (before_s, last) = (0.0, Usage::default());
-            all.push(One {
+            all.push(CoordinatorProcess {
                 listen,
                 config,
                 log,
@@ -139,13 +139,13 @@
                 last,
             });
         }
-        let lives = Lives::default();
+        let processes = ProcessHistory::default();
         Ok(Self {
             program,
             operator,
             all,
             epoch,
-            lives,
+            processes,
             level: level.to_owned(),
         })
     }
@@ -166,15 +166,15 @@
     }
 
     /// All that happened to them so far.
-    pub fn lives(&self) -> &Lives {
-        &self.lives
+    pub fn processes(&self) -> &ProcessHistory {
+        &self.processes
     }
 
-    fn note(&mut self, coordinator: u16, life: Life) {
-        self.lives.0.push(LifeEvent {
+    fn record(&mut self, coordinator: u16, event: ProcessEvent) {
+        self.processes.0.push(CoordinatorEvent {
             at: self.epoch.now(),
             coordinator,
-            life,
+            event,
         });
     }
 
@@ -216,7 +216,7 @@
             .spawn()
             .map_err(|e| DeployError::Io(self.program.display().to_string(), e))?;
         self.all[usize::from(c)].child = Some(child);
-        self.note(c, Life::Started);
+        self.record(c, ProcessEvent::Started);
         Ok(())
     }
 
@@ -232,7 +232,7 @@
         };
         let ready = ask(self.all[usize::from(c)].listen).unwrap_or(false);
         if ready {
-            self.note(c, Life::Ready);
+            self.record(c, ProcessEvent::Ready);
         }
         ready
     }
@@ -249,7 +249,7 @@
                 .child
                 .as_mut()
                 .is_some_and(|child| child.try_wait().is_ok_and(|s| s.is_some()));
-            if ended || start.elapsed() > READY {
+            if ended || start.elapsed() > READY_TIMEOUT {
                 return Err(DeployError::NotReady(c, start.elapsed(), one.log.clone()));
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -257,15 +257,15 @@
         Ok(())
     }
 
-    fn signal(&mut self, c: u16, signal: Signal, life: Option<Life>) {
+    fn signal(&mut self, c: u16, signal: Signal, event: Option<ProcessEvent>) {
         let pid = self.all[usize::from(c)]
             .child
             .as_ref()
             .and_then(|p| Pid::from_raw(p.id() as i32));
         let Some(pid) = pid else { return };
         // Written down first: what it did before the signal reached it is excused with the rest.
-        if let Some(life) = life {
-            self.note(c, life);
+        if let Some(event) = event {
+            self.record(c, event);
         }
         if let Err(e) = kill_process(pid, signal) {
             log::warn!(coordinator = c, error:% = e; "signal");
@@ -274,7 +274,7 @@
 
     /// SIGTERM.
     pub fn terminate(&mut self, c: u16) {
-        self.signal(c, Signal::TERM, Some(Life::Terminated));
+        self.signal(c, Signal::TERM, Some(ProcessEvent::Terminated));
     }
 
     /// SIGHUP.
@@ -284,19 +284,19 @@
 
     /// SIGSTOP.
     pub fn stall(&mut self, c: u16) {
-        self.signal(c, Signal::STOP, Some(Life::Stopped));
+        self.signal(c, Signal::STOP, Some(ProcessEvent::Stopped));
     }
 
     /// SIGCONT.
-    pub fn go_on(&mut self, c: u16) {
-        self.signal(c, Signal::CONT, Some(Life::Continued));
+    pub fn resume(&mut self, c: u16) {
+        self.signal(c, Signal::CONT, Some(ProcessEvent::Continued));
     }
 
     /// SIGKILL, and waits for its end.
     pub fn kill(&mut self, c: u16) {
         self.usage(c);
         if let Some(mut child) = self.all[usize::from(c)].child.take() {
-            self.note(c, Life::Gone);
+            self.record(c, ProcessEvent::Killed);
             let _ = child.kill();
             let _ = child.wait();
             self.retire(c);
@@ -321,13 +321,20 @@
             self.all[usize::from(c)].child = None;
             self.retire(c);
             let asked = self
-                .lives
+                .processes
                 .0
                 .iter()
                 .rev()
-                .find(|e| e.coordinator == c && e.life != Life::Ready);
-            let asked = asked.is_some_and(|e| e.life == Life::Terminated);
-            self.note(c, if asked { Life::Ended } else { Life::Gone });
+                .find(|e| e.coordinator == c && e.event != ProcessEvent::Ready);
+            let asked = asked.is_some_and(|e| e.event == ProcessEvent::Terminated);
+            self.record(
+                c,
+                if asked {
+                    ProcessEvent::Exited
+                } else {
+                    ProcessEvent::Killed
+                },
+            );
             if !asked || !status.success() {
                 crashed.push((c, status.code()));
             }
@@ -363,7 +370,7 @@
         }
         let start = Instant::now();
         let mut bad = self.reap();
-        while start.elapsed() < END && (0..self.len()).any(|c| self.runs(c)) {
+        while start.elapsed() < EXIT_TIMEOUT && (0..self.len()).any(|c| self.runs(c)) {
             for c in 0..self.len() {
                 self.usage(c);
             }
--- a/crates/load-test/src/drivers/mod.rs
+++ b/crates/load-test/src/drivers/mod.rs
@@ -8,14 +8,14 @@
 
 use crate::plan::Planned;
 use crate::scenario::{FrontName, Scenario};
-use fake_hosts::ledger::{mark, Ref};
+use fake_hosts::event_log::{mark, AttemptRef};
 
 /// A try of a query.
-pub struct Ask<'a> {
+pub struct RequestContext<'a> {
     /// The query.
     pub planned: &'a Planned,
     /// Its number and the try's.
-    pub reference: Ref,
+    pub reference: AttemptRef,
     /// The try's name, new with each.
     pub name: &'a str,
     /// The booking's key, the same for all tries.
@@ -24,7 +24,7 @@
     pub wait_ms: u64,
 }
 
-impl Ask<'_> {
+impl RequestContext<'_> {
     /// The mark that goes into the query's text.
     pub fn mark(&self) -> String {
         mark(
@@ -36,7 +36,7 @@
 
 /// What an answer says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum ParsedAnswer {
     /// Served.
     Served {
         /// Whether it is marked whole.
@@ -57,9 +57,9 @@
 /// A protocol.
 pub trait Driver: Send + Sync {
     /// Writes the request.
-    fn request(&self, ask: &Ask, out: &mut Vec<u8>);
+    fn request(&self, ask: &RequestContext, out: &mut Vec<u8>);
     /// Reads an answer.
-    fn read(&self, ask: &Ask, status: u16, body: &[u8]) -> Said;
+    fn read(&self, ask: &RequestContext, status: u16, body: &[u8]) -> ParsedAnswer;
 }
 
 /// The drivers of a scenario's fronts, in its order.
@@ -84,9 +84,9 @@
 }
 
 /// What any front's status says where it is not 200.
-fn not_served(status: u16) -> Said {
+fn not_served(status: u16) -> ParsedAnswer {
     match status {
-        429 | 503 => Said::Refused,
-        other => Said::Failed(other),
+        429 | 503 => ParsedAnswer::Refused,
+        other => ParsedAnswer::Failed(other),
     }
 }
--- a/crates/load-test/src/drivers/opensearch.rs
+++ b/crates/load-test/src/drivers/opensearch.rs
@@ -1,6 +1,6 @@
 //! The OpenSearch-style front: `POST /<class>/_search`, districts by a filter, the mark in another one.
 
-use super::{not_served, post, Ask, Driver, Said};
+use super::{not_served, post, Driver, ParsedAnswer, RequestContext};
 use crate::scenario::{RepeatName, Scenario};
 use serde::Deserialize;
 use std::fmt::Write;
@@ -59,7 +59,7 @@
 }
 
 impl Driver for OpenSearch {
-    fn request(&self, ask: &Ask, out: &mut Vec<u8>) {
+    fn request(&self, ask: &RequestContext, out: &mut Vec<u8>) {
         let q = ask.planned;
         let (class, keyed) = &self.classes[usize::from(q.class)];
         let mut headers = format!(
@@ -88,12 +88,12 @@
         );
     }
 
-    fn read(&self, ask: &Ask, status: u16, body: &[u8]) -> Said {
+    fn read(&self, ask: &RequestContext, status: u16, body: &[u8]) -> ParsedAnswer {
         if status != 200 {
             return not_served(status);
         }
         let Ok(Answer { shards, hits }) = serde_json::from_slice::<Answer>(body) else {
-            return Said::Unreadable;
+            return ParsedAnswer::Unreadable;
         };
         let failed: Vec<u32> = shards.failures.iter().map(|f| f.shard).collect();
         let good: Vec<u32> = ask
@@ -111,13 +111,13 @@
             Some(mut values) if adds_up => {
                 values.sort_unstable();
                 values.dedup();
-                Said::Served {
+                ParsedAnswer::Served {
                     full: failed.is_empty(),
                     shards: good,
                     values,
                 }
             }
-            _ => Said::Unreadable,
+            _ => ParsedAnswer::Unreadable,
         }
     }
 }
--- a/crates/load-test/src/drivers/platform.rs
+++ b/crates/load-test/src/drivers/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol: `POST /<class>` with the parts in JSON.
 
-use super::{not_served, post, Ask, Driver, Said};
+use super::{not_served, post, Driver, ParsedAnswer, RequestContext};
 use crate::scenario::{RepeatName, Scenario};
 use serde::Deserialize;
 use std::fmt::Write;
@@ -40,7 +40,7 @@
 }
 
 impl Driver for Platform {
-    fn request(&self, ask: &Ask, out: &mut Vec<u8>) {
+    fn request(&self, ask: &RequestContext, out: &mut Vec<u8>) {
         let q = ask.planned;
         let (class, keyed) = &self.classes[usize::from(q.class)];
         let mut headers = format!(
@@ -67,12 +67,12 @@
         post(out, &format!("/{class}"), &headers, &body);
     }
 
-    fn read(&self, _ask: &Ask, status: u16, body: &[u8]) -> Said {
+    fn read(&self, _ask: &RequestContext, status: u16, body: &[u8]) -> ParsedAnswer {
         if status != 200 {
             return not_served(status);
         }
         let Ok(answer) = serde_json::from_slice::<Answer>(body) else {
-            return Said::Unreadable;
+            return ParsedAnswer::Unreadable;
         };
         let values: Option<Vec<u64>> = answer
             .pieces
@@ -82,13 +82,13 @@
         match values {
             Some(values) => {
                 let shards = answer.pieces.iter().map(|p| p.tablet).collect();
-                Said::Served {
+                ParsedAnswer::Served {
                     full: answer.full,
                     shards,
                     values,
                 }
             }
-            None => Said::Unreadable,
+            None => ParsedAnswer::Unreadable,
         }
     }
 }
--- a/crates/load-test/src/engine.rs
+++ b/crates/load-test/src/engine.rs
@@ -1,14 +1,14 @@
 //! The generator on sockets: workers, each with a runtime of its own and a share of the plan. A worker
 //! starts each query at its instant whatever became of those before (open loop), paced by a thread.
 
-use crate::clients::{self, Tried, TryEnd};
-use crate::drivers::{Ask, Driver, Said};
+use crate::clients::{self, AttemptOutcome, AttemptResult};
+use crate::drivers::{Driver, ParsedAnswer, RequestContext};
 use crate::plan::{Plan, Planned};
-use crate::record::{QueryRecord, TryRecord};
+use crate::record::{AttemptRecord, QueryRecord};
 use crate::scenario::Scenario;
 use coordinator::net::buffered_stream::BufferedStream;
 use coordinator::net::http::{response_head, Body, HttpError};
-use fake_hosts::ledger::{Epoch, Ref};
+use fake_hosts::event_log::{AttemptRef, Epoch};
 use fake_hosts::model::Micros;
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -19,14 +19,14 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, Semaphore};
 
-const INPUT: usize = 16 * 1024;
-const OUTPUT: usize = 8 * 1024;
+const INPUT_BUFFER_BYTES: usize = 16 * 1024;
+const OUTPUT_BUFFER_BYTES: usize = 8 * 1024;
 /// Largest answer that is read.
-const MOST_ANSWER: usize = 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 /// A connection that is not up by then counts as refused.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How soon the generator tries again when it has no descriptor left.
-const NO_DESCRIPTOR: Duration = Duration::from_millis(5);
+const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// `EMFILE` and `ENFILE`.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
 
@@ -136,13 +136,13 @@
 enum Connected {
     Kept(BufferedStream),
     New(BufferedStream),
-    Failed(TryEnd),
+    Failed(AttemptOutcome),
 }
 
 /// How an exchange on one connection ended.
 enum Exchange {
     Answer(u16, Option<u64>, bytes::Bytes, bool),
-    Failed(TryEnd),
+    Failed(AttemptOutcome),
 }
 
 impl Worker {
@@ -202,13 +202,13 @@
             record.ended = tried.ended;
             record.tries.push(tried);
             let elapsed_us = record.ended.saturating_sub(record.due);
-            let tried = Tried {
+            let tried = AttemptResult {
                 tries: attempt + 1,
                 end,
                 retry_after_us,
                 elapsed_us,
             };
-            match clients::next_try(q, class, s.clients.backoff, tried) {
+            match clients::next_attempt_delay(q, class, s.clients.backoff, tried) {
                 Some(0) => {}
                 Some(wait) => tokio::time::sleep(Duration::from_micros(wait)).await,
                 None => break,
@@ -227,7 +227,7 @@
         record: &mut QueryRecord,
         attempt: u8,
         wait_us: u64,
-    ) -> TryRecord {
+    ) -> AttemptRecord {
         let (shared, epoch) = (&self.shared, self.shared.epoch);
         let up: Vec<bool> = shared
             .believed_up
@@ -239,11 +239,11 @@
         let coordinator = clients::coordinator(q.zone.into(), zones, &up, draw);
         let name = format!("{}{:x}-{attempt}", shared.run, record.query);
         let key = format!("{}k{:x}", shared.run, record.query);
-        let reference = Ref {
+        let reference = AttemptRef {
             query: record.query,
             attempt,
         };
-        let ask = Ask {
+        let ask = RequestContext {
             planned: q,
             reference,
             name: &name,
@@ -256,14 +256,14 @@
         let slack = shared.scenario.audit.slack_ms + 20;
         let give_up =
             Instant::now() + Duration::from_micros(wait_us) + Duration::from_millis(slack);
-        let mut tried = TryRecord {
+        let mut tried = AttemptRecord {
             query: record.query,
             attempt,
             coordinator: coordinator as u16,
             sent: 0,
             ended: 0,
             wait_us,
-            end: TryEnd::GaveUp,
+            end: AttemptOutcome::GaveUp,
             retry_after_us: None,
             shards: Vec::new(),
             values: Vec::new(),
@@ -276,17 +276,17 @@
                 Exchange::Answer(status, retry_after_us, body, extra) => {
                     (tried.retry_after_us, tried.extra) = (retry_after_us, extra);
                     tried.end = match driver.read(&ask, status, &body) {
-                        Said::Served {
+                        ParsedAnswer::Served {
                             full,
                             shards,
                             values,
                         } => {
                             (tried.shards, tried.values) = (shards, values);
-                            TryEnd::Served(full)
+                            AttemptOutcome::Served(full)
                         }
-                        Said::Refused => TryEnd::Refused,
-                        Said::Failed(status) => TryEnd::Failed(status),
-                        Said::Unreadable => TryEnd::Unreadable,
+                        ParsedAnswer::Refused => AttemptOutcome::Refused,
+                        ParsedAnswer::Failed(status) => AttemptOutcome::Failed(status),
+                        ParsedAnswer::Unreadable => AttemptOutcome::Unreadable,
                     };
                 }
             }
@@ -303,11 +303,11 @@
         &self,
         c: usize,
         request: &[u8],
-        tried: &mut TryRecord,
+        tried: &mut AttemptRecord,
         first_sent: &mut Micros,
     ) -> Exchange {
         let Ok(_seat) = self.seats.acquire().await else {
-            return Exchange::Failed(TryEnd::NoConnection);
+            return Exchange::Failed(AttemptOutcome::NoConnection);
         };
         let mut may_keep = true;
         loop {
@@ -325,7 +325,7 @@
                     may_keep = false;
                     continue;
                 }
-                return Exchange::Failed(TryEnd::Closed);
+                return Exchange::Failed(AttemptOutcome::Closed);
             }
             tried.sent = epoch.now();
             let (status, headers) = match response_head(&mut conn).await {
@@ -335,18 +335,18 @@
                     continue;
                 }
                 Err(HttpError::Closed | HttpError::Io(_)) => {
-                    return Exchange::Failed(TryEnd::Closed)
+                    return Exchange::Failed(AttemptOutcome::Closed)
                 }
-                Err(HttpError::Cut) => return Exchange::Failed(TryEnd::Cut),
-                Err(_) => return Exchange::Failed(TryEnd::Unreadable),
+                Err(HttpError::Cut) => return Exchange::Failed(AttemptOutcome::Cut),
+                Err(_) => return Exchange::Failed(AttemptOutcome::Unreadable),
             };
             let body = match Body::of_response(&headers) {
-                Ok(body) => body.whole(&mut conn, MOST_ANSWER).await,
+                Ok(body) => body.whole(&mut conn, MAX_ANSWER_BYTES).await,
                 Err(e) => Err(e),
             };
             let Ok(body) = body else {
                 // The clock stops where the answer broke off.
-                return Exchange::Failed(TryEnd::Cut);
+                return Exchange::Failed(AttemptOutcome::Cut);
             };
             tried.ended = epoch.now();
             let retry = headers
@@ -366,7 +366,7 @@
         }
     }
 
-    async fn connect(&self, c: usize, may_keep: bool, tried: &mut TryRecord) -> Connected {
+    async fn connect(&self, c: usize, may_keep: bool, tried: &mut AttemptRecord) -> Connected {
         let pop = || self.idle.borrow_mut()[c].pop().filter(|_| may_keep);
         while let Some(conn) = pop() {
             match conn.stream.try_read(&mut [0]) {
@@ -378,20 +378,27 @@
         }
         let addr = self.shared.targets[c].to_string();
         loop {
-            match BufferedStream::connect(&addr, CONNECT, INPUT, OUTPUT).await {
+            match BufferedStream::connect(
+                &addr,
+                CONNECT_TIMEOUT,
+                INPUT_BUFFER_BYTES,
+                OUTPUT_BUFFER_BYTES,
+            )
+            .await
+            {
                 Ok(conn) => return Connected::New(conn),
                 Err(e)
                     if e.raw_os_error()
                         .is_some_and(|n| OUT_OF_DESCRIPTORS.contains(&n)) =>
                 {
                     // The generator's own lack: the query waits and counts as late, it is not dropped.
-                    tried.end = TryEnd::NoDescriptor;
+                    tried.end = AttemptOutcome::NoDescriptor;
                     self.idle.borrow_mut().iter_mut().for_each(Vec::clear);
-                    tokio::time::sleep(NO_DESCRIPTOR).await;
+                    tokio::time::sleep(DESCRIPTOR_RETRY_DELAY).await;
                 }
-                Err(_) => return Connected::Failed(TryEnd::NoConnection),
+                Err(_) => return Connected::Failed(AttemptOutcome::NoConnection),
             }
-            tried.end = TryEnd::GaveUp;
+            tried.end = AttemptOutcome::GaveUp;
         }
     }
 }
--- a/crates/load-test/src/faults.rs
+++ b/crates/load-test/src/faults.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 /// After SIGTERM a coordinator may go on for as long as a client waits, counted as 3 s where it is longer …
-const LONGEST_US: Micros = 3_000_000;
+const MAX_RECORDED_US: Micros = 3_000_000;
 /// … and so much more, before SIGKILL.
 const KILL_AFTER_US: Micros = 700_000;
 /// From a kill to the next start at the least.
@@ -28,7 +28,7 @@
     /// SIGSTOP.
     Stall(u16),
     /// SIGCONT.
-    GoOn(u16),
+    Resume(u16),
     /// A start; the front layer is told once it is ready.
     Start(u16),
     /// The front layer notices that a coordinator is gone.
@@ -56,7 +56,7 @@
         .map(|c| (c.limit_ms * 1e3) as Micros)
         .max()
         .unwrap_or(0)
-        .min(LONGEST_US);
+        .min(MAX_RECORDED_US);
     for f in &s.faults {
         let at = (f.at_s * 1e6) as Micros;
         let to = at + (f.for_s * 1e6) as Micros;
@@ -109,7 +109,7 @@
                     ]);
                 }
                 FaultKind::CoordinatorStall => {
-                    all.extend([(at, Action::Stall(n)), (to, Action::GoOn(n))]);
+                    all.extend([(at, Action::Stall(n)), (to, Action::Resume(n))]);
                 }
                 FaultKind::CoordinatorReload => all.push((at, Action::HangUp(n))),
             }
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -299,7 +299,7 @@
 }
 
 /// What the command line puts in place of the scenario's.
-struct Instead {
+struct LoadOverrides {
     front: Option<FrontName>,
     rate: Option<f64>,
     length: Option<f64>,
@@ -309,7 +309,7 @@
 fn load(
     path: &Path,
     targets: Vec<SocketAddr>,
-    instead: Instead,
+    instead: LoadOverrides,
 ) -> Result<ExitCode, Box<dyn Error>> {
     let mut s = Scenario::load(path)?;
     if let Some(front) = instead.front {
@@ -456,7 +456,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn carry_out(command: Command) -> Result<ExitCode, Box<dyn Error>> {
+fn run_command(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Up(deploy) => up(&deploy),
         Command::Run {
@@ -474,7 +474,7 @@
         } => load(
             &scenario,
             target,
-            Instead {
+            LoadOverrides {
                 front,
                 rate,
                 length,
@@ -536,7 +536,7 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     logger::start(cli.log, cli.log_format);
-    carry_out(cli.command).unwrap_or_else(|e| {
+    run_command(cli.command).unwrap_or_else(|e| {
         eprintln!("load-test: {e}");
         ExitCode::from(BAD)
     })
--- a/crates/load-test/src/record.rs
+++ b/crates/load-test/src/record.rs
@@ -1,11 +1,11 @@
 //! What the clients' side writes down, and what happened to the coordinators' processes.
 
-use crate::clients::TryEnd;
+use crate::clients::AttemptOutcome;
 use fake_hosts::model::Micros;
 
 /// A try as its client saw it; times in microseconds since the run's epoch.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TryRecord {
+pub struct AttemptRecord {
     /// Number of its query in the plan.
     pub query: u32,
     /// Number of the try.
@@ -19,7 +19,7 @@
     /// How long the client said it would wait.
     pub wait_us: u64,
     /// How it ended.
-    pub end: TryEnd,
+    pub end: AttemptOutcome,
     /// `Retry-After` of the answer.
     pub retry_after_us: Option<u64>,
     /// Shards that the answer says are in.
@@ -44,19 +44,21 @@
     /// When the client had its final answer or gave up for good.
     pub ended: Micros,
     /// Its tries, in order; the last one's end is the query's.
-    pub tries: Vec<TryRecord>,
+    pub tries: Vec<AttemptRecord>,
 }
 
 impl QueryRecord {
     /// How it ended for its client.
-    pub fn end(&self) -> TryEnd {
-        self.tries.last().map_or(TryEnd::NoConnection, |t| t.end)
+    pub fn end(&self) -> AttemptOutcome {
+        self.tries
+            .last()
+            .map_or(AttemptOutcome::NoConnection, |t| t.end)
     }
 }
 
 /// Something that happened to a coordinator's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessEvent {
     /// It was started.
     Started,
     /// It answered its health call.
@@ -64,9 +66,9 @@
     /// SIGTERM.
     Terminated,
     /// SIGKILL, or an end that nobody asked for.
-    Gone,
+    Killed,
     /// It ended by itself after SIGTERM.
-    Ended,
+    Exited,
     /// SIGSTOP.
     Stopped,
     /// SIGCONT.
@@ -75,13 +77,13 @@
 
 /// When what happened to which coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LifeEvent {
+pub struct CoordinatorEvent {
     /// When.
     pub at: Micros,
     /// Which coordinator.
     pub coordinator: u16,
     /// What.
-    pub life: Life,
+    pub event: ProcessEvent,
 }
 
 /// How long after SIGTERM a request still has to be answered by the coordinator that took it.
@@ -89,10 +91,10 @@
 
 /// All that happened to the coordinators, by time.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Lives(pub Vec<LifeEvent>);
+pub struct ProcessHistory(pub Vec<CoordinatorEvent>);
 
-impl Lives {
-    fn of(&self, coordinator: u16) -> impl Iterator<Item = &LifeEvent> {
+impl ProcessHistory {
+    fn of(&self, coordinator: u16) -> impl Iterator<Item = &CoordinatorEvent> {
         self.0.iter().filter(move |e| e.coordinator == coordinator)
     }
 
@@ -100,9 +102,9 @@
     pub fn stalls(&self, coordinator: u16) -> Vec<(Micros, Micros)> {
         let mut all = Vec::new();
         for e in self.of(coordinator) {
-            match e.life {
-                Life::Stopped => all.push((e.at, Micros::MAX)),
-                Life::Continued | Life::Gone => {
+            match e.event {
+                ProcessEvent::Stopped => all.push((e.at, Micros::MAX)),
+                ProcessEvent::Continued | ProcessEvent::Killed => {
                     if let Some(last) = all.last_mut().filter(|(_, to)| *to == Micros::MAX) {
                         last.1 = e.at;
                     }
@@ -119,14 +121,14 @@
         let within = |at: Micros| (from..=to).contains(&at);
         let mut stopping = None;
         for e in self.of(coordinator) {
-            match e.life {
-                Life::Gone if within(e.at) => return true,
-                Life::Terminated => stopping = Some(e.at),
+            match e.event {
+                ProcessEvent::Killed if within(e.at) => return true,
+                ProcessEvent::Terminated => stopping = Some(e.at),
                 // What comes to an address where nothing runs has reached nobody.
-                Life::Gone | Life::Ended => {
+                ProcessEvent::Killed | ProcessEvent::Exited => {
                     stopping = stopping.or(Some(e.at.saturating_sub(TERM_GRACE)));
                 }
-                Life::Started => {
+                ProcessEvent::Started => {
                     if stopping.is_some_and(|at| from >= at + TERM_GRACE && from < e.at) {
                         return true;
                     }
@@ -145,7 +147,7 @@
     /// When a coordinator's process that ran at this time was started.
     pub fn started_before(&self, coordinator: u16, at: Micros) -> Micros {
         self.of(coordinator)
-            .filter(|e| e.life == Life::Started && e.at <= at)
+            .filter(|e| e.event == ProcessEvent::Started && e.at <= at)
             .map(|e| e.at)
             .max()
             .unwrap_or(0)
--- a/crates/load-test/src/results.rs
+++ b/crates/load-test/src/results.rs
@@ -1,7 +1,7 @@
 //! A run's results as files: `summary.json`, `windows.csv`, `latency.hlog`, `report.md`, charts and one
 //! page that holds all of it.
 
-use crate::audit::{story, Rule, Violation};
+use crate::audit::{query_timeline, Rule, Violation};
 use crate::charts::{self, ChartError};
 use crate::run::Outcome;
 use crate::stats::{Figures, Spread};
@@ -75,8 +75,8 @@
             *broken.entry(rule_name(v.rule)).or_default() += 1;
         }
         let cpu_s: f64 = o.usage.iter().map(|u| u.cpu_s).sum();
-        let arrived = |e: &&fake_hosts::ledger::Event| {
-            matches!(e.what, fake_hosts::ledger::What::Arrived { .. })
+        let arrived = |e: &&fake_hosts::event_log::Event| {
+            matches!(e.kind, fake_hosts::event_log::EventKind::Arrived { .. })
         };
         let parts: usize = o.plan.0.iter().map(|q| q.parts.len()).sum();
         Self {
@@ -198,7 +198,7 @@
         );
         if let Some(query) = first.query.filter(|_| told < STORIES) {
             told += 1;
-            t.push_str(&story(&o.evidence(), query));
+            t.push_str(&query_timeline(&o.evidence(), query));
         }
     }
     t
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -5,12 +5,13 @@
 use crate::engine::{self, Shared};
 use crate::faults::{marks, timetable, Action, Mark};
 use crate::plan::Plan;
-use crate::record::{Life, Lives, QueryRecord};
+use crate::record::{ProcessEvent, ProcessHistory, QueryRecord};
 use crate::scenario::Scenario;
 use crate::stats::{self, Figures, Histograms};
 use crate::trace::{self, TraceError};
-use fake_hosts::fleet::{Fleet, HostState};
-use fake_hosts::ledger::{Epoch, Event};
+use fake_hosts::event_log::{Epoch, Event};
+use fake_hosts::fleet::Fleet;
+use fake_hosts::host::HostState;
 use fake_hosts::model::Micros;
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
@@ -78,7 +79,7 @@
     /// What hosts saw.
     pub events: Vec<Event>,
     /// What happened to the coordinators.
-    pub lives: Lives,
+    pub processes: ProcessHistory,
     /// The epoch's time of the plan's 0.
     pub start: Micros,
     /// Figures.
@@ -109,7 +110,7 @@
             plan,
             queries,
             events,
-            lives,
+            processes,
             ..
         } = self;
         Evidence {
@@ -117,7 +118,7 @@
             plan,
             queries,
             events,
-            lives,
+            processes,
         }
     }
 }
@@ -238,8 +239,8 @@
         })
         .collect();
     crashed.extend(coordinators.end());
-    let lives = coordinators.lives().clone();
-    let events = fleet.ledger.take();
+    let processes = coordinators.processes().clone();
+    let events = fleet.event_log.take();
     drop(fleet);
     let start = epoch.at(start);
     let (figures, histograms) = stats::figures(s, &plan, &queries, start);
@@ -249,7 +250,7 @@
         plan: &plan,
         queries: &queries,
         events: &events,
-        lives: &lives,
+        processes: &processes,
     };
     let violations = audit(&evidence);
     let audit_s = began.elapsed().as_secs_f64();
@@ -260,7 +261,7 @@
         plan,
         queries,
         events,
-        lives,
+        processes,
         start,
         figures,
         histograms,
@@ -365,17 +366,19 @@
             Action::Terminate(c) => self.coordinators.terminate(c),
             Action::HangUp(c) => self.coordinators.hang_up(c),
             Action::Stall(c) => self.coordinators.stall(c),
-            Action::GoOn(c) => self.coordinators.go_on(c),
+            Action::Resume(c) => self.coordinators.resume(c),
             Action::Noticed(c) => {
                 // One that is back already is not taken for dead.
                 let up = self
                     .coordinators
-                    .lives()
+                    .processes()
                     .0
                     .iter()
                     .rev()
                     .find(|e| e.coordinator == c);
-                let up = up.is_some_and(|e| matches!(e.life, Life::Ready | Life::Continued));
+                let up = up.is_some_and(|e| {
+                    matches!(e.event, ProcessEvent::Ready | ProcessEvent::Continued)
+                });
                 self.shared.believed_up[usize::from(c)].store(up, Ordering::Relaxed);
             }
             Action::Start(c) if !self.coordinators.runs(c) => {
--- a/crates/load-test/src/scenario/fleet.rs
+++ b/crates/load-test/src/scenario/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet: its hosts, its list, and the limits of its coordinators.
 
 use super::Scenario;
-use fake_hosts::fleet::{Dialect, FleetSpec, ListDelays, Place};
+use fake_hosts::fleet::{Dialect, FleetSpec, HostPlacement, ListDelays};
 use fake_hosts::host::ConnSpec;
 use fake_hosts::model::HostSpec;
 use serde::{Deserialize, Serialize};
@@ -216,7 +216,7 @@
             report_delay_us: h.report_delay_ms * 1000,
             report_noise: 0.08,
         };
-        let place = |n: u16| Place {
+        let place = |n: u16| HostPlacement {
             spec: spec(n),
             cell: u32::from(n) % f.cells,
             zone: f.zones[(u32::from(n) / f.cells) as usize % f.zones.len()].clone(),
--- a/crates/load-test/src/stats.rs
+++ b/crates/load-test/src/stats.rs
@@ -1,6 +1,6 @@
 //! Figures of a run from its records: histograms, windows, worth.
 
-use crate::clients::TryEnd;
+use crate::clients::AttemptOutcome;
 use crate::plan::Plan;
 use crate::record::QueryRecord;
 use crate::scenario::Scenario;
@@ -10,18 +10,19 @@
 use std::collections::BTreeMap;
 
 /// Longest time that a histogram tells apart, in microseconds: an hour.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 /// Windows of the results, in microseconds.
 pub const WINDOW_US: u64 = 1_000_000;
 /// Length of the worst stretch that counts, in windows.
-const WORST: usize = 10;
+const WORST_STRETCH_WINDOWS: usize = 10;
 /// Weights of the whole, the worst 10 s, the worst class and the worst tenant, as the operators count.
-const GOAL: [f64; 4] = [0.3, 0.15, 0.2, 0.35];
+const GOAL_WEIGHTS: [f64; 4] = [0.3, 0.15, 0.2, 0.35];
 
 /// A histogram of microseconds with three digits.
 pub fn histogram() -> Histogram<u64> {
     // The bounds are constants that the library accepts.
-    Histogram::new_with_bounds(1, LONGEST_US, 3).unwrap_or_else(|_| unreachable!("constant bounds"))
+    Histogram::new_with_bounds(1, MAX_RECORDED_US, 3)
+        .unwrap_or_else(|_| unreachable!("constant bounds"))
 }
 
 /// Counts and percentiles in milliseconds.
@@ -121,8 +122,8 @@
     let late = q.ended.saturating_sub(q.due) as f64 > class.goal_ms * 1e3;
     let time = if late { class.late_worth } else { 1.0 };
     let share = match q.tries.last().map(|t| (t.end, t)) {
-        Some((TryEnd::Served(true), _)) => 1.0,
-        Some((TryEnd::Served(false), t)) => {
+        Some((AttemptOutcome::Served(true), _)) => 1.0,
+        Some((AttemptOutcome::Served(false), t)) => {
             let there = |shard: u32| t.shards.contains(&shard);
             let weight: f64 = p
                 .parts
@@ -211,7 +212,7 @@
         w.due += 1;
         w.tries += q.tries.len() as u64;
         match end {
-            TryEnd::Served(_) => {
+            AttemptOutcome::Served(_) => {
                 w.served += 1;
                 h.latency.saturating_record(latency);
                 h.service
@@ -220,7 +221,7 @@
                 classes[class].saturating_record(latency);
                 tenants[tenant].saturating_record(latency);
             }
-            TryEnd::Refused => w.refused += 1,
+            AttemptOutcome::Refused => w.refused += 1,
             _ => w.failed += 1,
         }
         let earned = worth(s, plan, q);
@@ -245,10 +246,14 @@
         }))
     };
     let least = |all: &mut dyn Iterator<Item = f64>| all.fold(1.0, f64::min);
-    let worst = least(&mut worths.windows(WORST.min(count.max(1))).map(stretch));
+    let worst = least(
+        &mut worths
+            .windows(WORST_STRETCH_WINDOWS.min(count.max(1)))
+            .map(stretch),
+    );
     let asked = |v: &[(f64, f64)]| least(&mut v.iter().filter(|x| x.0 > 0.0).map(|x| ratio(*x)));
     f.worth = [ratio(whole), worst, asked(&by_class), asked(&by_tenant)];
-    f.goal = f.worth.iter().zip(GOAL).map(|(w, g)| w * g).sum();
+    f.goal = f.worth.iter().zip(GOAL_WEIGHTS).map(|(w, g)| w * g).sum();
     f.latency = Spread::of(&h.latency);
     f.service = Spread::of(&h.service);
     f.lag = Spread::of(&h.lag);
--- a/crates/load-test/src/trace.rs
+++ b/crates/load-test/src/trace.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 /// Most queries that a trace may hold.
-const MOST: usize = 20_000_000;
+const MAX_QUERIES: usize = 20_000_000;
 
 /// What is wrong with a trace.
 #[derive(Debug, thiserror::Error)]
@@ -209,8 +209,8 @@
             }
         }
     }
-    if records.len() > MOST {
-        return Err(at(MOST, format!("more than {MOST} queries")));
+    if records.len() > MAX_QUERIES {
+        return Err(at(MAX_QUERIES, format!("more than {MAX_QUERIES} queries")));
     }
     let (mut mixer, mut before, mut plan) = (Mixer::new(s), 0, Vec::with_capacity(records.len()));
     for (line, r) in records {
--- a/crates/load-test/tests/generator.rs
+++ b/crates/load-test/tests/generator.rs
@@ -1,7 +1,7 @@
 //! The generator against targets of known behaviour: nothing is dropped, nothing counts from too late.
 
 use load_test::calibrate::{against, fixed, query_at, scenario};
-use load_test::clients::TryEnd;
+use load_test::clients::AttemptOutcome;
 use load_test::plan::{Plan, Planned};
 use load_test::run::{load_plan, load_plan_at};
 use load_test::scenario::Arrivals;
@@ -130,7 +130,7 @@
     assert!(got
         .queries
         .iter()
-        .all(|q| !q.tries[0].extra && q.end() == TryEnd::Served(true)));
+        .all(|q| !q.tries[0].extra && q.end() == AttemptOutcome::Served(true)));
 }
 
 #[test]
@@ -195,7 +195,7 @@
     for q in got.queries.iter().filter(|q| q.tries.len() == 2) {
         assert_eq!(
             (q.tries[0].end, q.tries[0].retry_after_us),
-            (TryEnd::Refused, Some(500_000))
+            (AttemptOutcome::Refused, Some(500_000))
         );
         assert!(q.ended - q.due >= 500_000);
         // Its name is new, its client's time goes on.
--- a/crates/load-test/tests/load_test.rs
+++ b/crates/load-test/tests/load_test.rs
@@ -1,8 +1,8 @@
 //! The lab as a program: whole deployments, their hard hours, and its exit codes. The coordinator is the
 //! one that the workspace's test run has built.
 
-use load_test::clients::TryEnd;
-use load_test::record::Life;
+use load_test::clients::AttemptOutcome;
+use load_test::record::ProcessEvent;
 use load_test::run::{run, Options, Outcome};
 use load_test::scenario::Scenario;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -111,8 +111,8 @@
         &format!("[clients]\npatience = [1.0, 1.0]\n{fault}"),
     );
     sound(&o);
-    let at = |life| o.lives.0.iter().find(|e| e.life == life).unwrap().at;
-    let (stopped, went_on) = (at(Life::Stopped), at(Life::Continued));
+    let at = |life| o.processes.0.iter().find(|e| e.event == life).unwrap().at;
+    let (stopped, went_on) = (at(ProcessEvent::Stopped), at(ProcessEvent::Continued));
     assert!(went_on - stopped >= 1_900_000);
     let mut held = 0;
     for q in &o.queries {
@@ -144,7 +144,13 @@
         [[fault]]\nat_s = 1.2\nkind = 'coordinator-kill'\nwhich = [0]\nfor_s = 1\n";
     let o = outcome("kill", faults);
     sound(&o);
-    let killed = o.lives.0.iter().find(|e| e.life == Life::Gone).unwrap().at;
+    let killed = o
+        .processes
+        .0
+        .iter()
+        .find(|e| e.event == ProcessEvent::Killed)
+        .unwrap()
+        .at;
     let held = o
         .queries
         .iter()
@@ -157,15 +163,18 @@
     for t in &open {
         let how = t.end;
         assert!(
-            matches!(how, TryEnd::Closed | TryEnd::Cut | TryEnd::NoConnection),
+            matches!(
+                how,
+                AttemptOutcome::Closed | AttemptOutcome::Cut | AttemptOutcome::NoConnection
+            ),
             "{how:?}"
         );
     }
     let ready = o
-        .lives
+        .processes
         .0
         .iter()
-        .filter(|e| e.coordinator == 0 && e.life == Life::Ready)
+        .filter(|e| e.coordinator == 0 && e.event == ProcessEvent::Ready)
         .map(|e| e.at)
         .max();
     let back = o
@@ -199,9 +208,11 @@
     )
     .unwrap();
     sound(&o);
-    let told = |what: &fake_hosts::ledger::What| matches!(what, fake_hosts::ledger::What::Told(_));
+    let told = |what: &fake_hosts::event_log::EventKind| {
+        matches!(what, fake_hosts::event_log::EventKind::ListUpdateSent(_))
+    };
     assert!(
-        o.events.iter().filter(|e| told(&e.what)).count() > 8,
+        o.events.iter().filter(|e| told(&e.kind)).count() > 8,
         "drains and returns were told"
     );
     assert!(
--- a/crates/load-test/tests/modules/audit.rs
+++ b/crates/load-test/tests/modules/audit.rs
@@ -1,14 +1,14 @@
 //! Each rule is broken once on purpose, in an otherwise clean ledger.
 
-use fake_hosts::ledger::NOBODY;
-use fake_hosts::ledger::{End, Event, Phase, Ref, What};
+use fake_hosts::event_log::NO_COORDINATOR;
+use fake_hosts::event_log::{AttemptEnd, AttemptRef, Event, EventKind, Phase};
 use fake_hosts::model::Micros;
-use load_test::audit::{audit, story, Evidence, Rule};
-use load_test::clients::TryEnd;
+use load_test::audit::{audit, query_timeline, Evidence, Rule};
+use load_test::clients::AttemptOutcome;
 use load_test::plan::Plan;
 use load_test::plan::{Planned, PlannedPart};
-use load_test::record::LifeEvent;
-use load_test::record::{Life, Lives, QueryRecord, TryRecord};
+use load_test::record::CoordinatorEvent;
+use load_test::record::{AttemptRecord, ProcessEvent, ProcessHistory, QueryRecord};
 use load_test::scenario::{DialectName, RepeatName, Scenario};
 use std::path::Path;
 
@@ -20,15 +20,15 @@
     plan: Plan,
     queries: Vec<QueryRecord>,
     events: Vec<Event>,
-    lives: Lives,
+    processes: ProcessHistory,
 }
 
 fn arrived(at: Micros, host: u16, attempt: u64, shard: u32) -> Event {
-    let reference = Some(Ref {
+    let reference = Some(AttemptRef {
         query: 0,
         attempt: 0,
     });
-    let what = What::Arrived {
+    let kind = EventKind::Arrived {
         name: "q0".into(),
         shard,
         key: Some("k0".into()),
@@ -39,27 +39,27 @@
         host,
         coordinator: 0,
         attempt,
-        what,
+        kind,
     }
 }
 
-fn ended(at: Micros, host: u16, attempt: u64, end: End) -> Event {
+fn ended(at: Micros, host: u16, attempt: u64, end: AttemptEnd) -> Event {
     Event {
         at,
         host,
         coordinator: 0,
         attempt,
-        what: What::Ended(end),
+        kind: EventKind::Ended(end),
     }
 }
 
-fn about(at: Micros, host: u16, coordinator: u16, what: What) -> Event {
+fn about(at: Micros, host: u16, coordinator: u16, kind: EventKind) -> Event {
     Event {
         at,
         host,
         coordinator,
         attempt: 0,
-        what,
+        kind,
     }
 }
 
@@ -86,14 +86,14 @@
             honours: false,
             parts: vec![part(0, 0.75), part(1, 0.25)],
         };
-        let tried = TryRecord {
+        let tried = AttemptRecord {
             query: 0,
             attempt: 0,
             coordinator: 0,
             sent: 10 * S,
             ended: 11 * S,
             wait_us: 3 * S,
-            end: TryEnd::Served(true),
+            end: AttemptOutcome::Served(true),
             retry_after_us: None,
             shards: vec![0, 1],
             values: vec![1, 2],
@@ -111,24 +111,24 @@
         let events = vec![
             arrived(10 * S + ms, 0, 1, 0),
             arrived(10 * S + ms, 1, 2, 1),
-            ended(10 * S + 500 * ms, 0, 1, End::Served(1)),
-            ended(10 * S + 600 * ms, 1, 2, End::Served(2)),
+            ended(10 * S + 500 * ms, 0, 1, AttemptEnd::Served(1)),
+            ended(10 * S + 600 * ms, 1, 2, AttemptEnd::Served(2)),
         ];
-        let lives = Lives(vec![LifeEvent {
+        let processes = ProcessHistory(vec![CoordinatorEvent {
             at: 0,
             coordinator: 0,
-            life: Life::Started,
+            event: ProcessEvent::Started,
         }]);
         Self {
             scenario,
             plan: Plan(vec![planned]),
             queries: vec![record],
             events,
-            lives,
+            processes,
         }
     }
 
-    fn tried(&mut self) -> &mut TryRecord {
+    fn tried(&mut self) -> &mut AttemptRecord {
         &mut self.queries[0].tries[0]
     }
 
@@ -142,14 +142,14 @@
             plan,
             queries,
             events,
-            lives,
+            processes,
         } = self;
         Evidence {
             scenario,
             plan,
             queries,
             events,
-            lives,
+            processes,
         }
     }
 
@@ -176,41 +176,41 @@
 #[test]
 fn a_query_without_an_answer_is_lost_unless_its_coordinator_was_killed_or_stopped() {
     for end in [
-        TryEnd::Closed,
-        TryEnd::Cut,
-        TryEnd::GaveUp,
-        TryEnd::Unreadable,
+        AttemptOutcome::Closed,
+        AttemptOutcome::Cut,
+        AttemptOutcome::GaveUp,
+        AttemptOutcome::Unreadable,
     ] {
         assert_eq!(broken(|w| w.tried().end = end), [Rule::Lost], "{end:?}");
-        for life in [Life::Gone, Life::Stopped] {
+        for event in [ProcessEvent::Killed, ProcessEvent::Stopped] {
             let excused = broken(|w| {
                 w.tried().end = end;
-                w.lives.0.push(LifeEvent {
+                w.processes.0.push(CoordinatorEvent {
                     at: 10 * S + 1,
                     coordinator: 0,
-                    life,
+                    event,
                 });
             });
-            assert_eq!(excused, [], "{end:?} {life:?}");
+            assert_eq!(excused, [], "{end:?} {event:?}");
         }
         // Another coordinator's death is no excuse.
         let other = broken(|w| {
             w.tried().end = end;
-            w.lives.0.push(LifeEvent {
+            w.processes.0.push(CoordinatorEvent {
                 at: 10 * S + 1,
                 coordinator: 1,
-                life: Life::Gone,
+                event: ProcessEvent::Killed,
             });
         });
         assert_eq!(other, [Rule::Lost], "{end:?}");
     }
     assert_eq!(
-        broken(|w| (w.tried().end, w.tried().sent) = (TryEnd::Closed, 0)),
+        broken(|w| (w.tried().end, w.tried().sent) = (AttemptOutcome::Closed, 0)),
         [],
         "never sent"
     );
     assert_eq!(
-        broken(|w| w.tried().end = TryEnd::NoConnection),
+        broken(|w| w.tried().end = AttemptOutcome::NoConnection),
         [],
         "nobody took it"
     );
@@ -220,7 +220,7 @@
 fn an_answer_after_the_clients_time_is_lost_as_well() {
     assert_eq!(broken(|w| w.tried().ended = 13 * S + 60_000), []);
     assert_eq!(broken(|w| w.tried().ended = 13 * S + 80_000), [Rule::Lost]);
-    let refused = broken(|w| (w.tried().end, w.tried().ended) = (TryEnd::Refused, 14 * S));
+    let refused = broken(|w| (w.tried().end, w.tried().ended) = (AttemptOutcome::Refused, 14 * S));
     assert_eq!(refused, [Rule::Lost]);
 }
 
@@ -230,10 +230,11 @@
 }
 
 /// A second attempt of shard 0 at host 4, which holds it as well.
-fn again(w: &mut World, first: (Micros, End), second: Micros) {
+fn again(w: &mut World, first: (Micros, AttemptEnd), second: Micros) {
     w.events[2] = ended(first.0, 0, 1, first.1);
     w.events.push(arrived(second, 4, 9, 0));
-    w.events.push(ended(second + 1, 4, 9, End::Served(9)));
+    w.events
+        .push(ended(second + 1, 4, 9, AttemptEnd::Served(9)));
     w.tried().values = vec![9, 2];
     w.tried().ended = (second + S / 10).max(11 * S);
     w.tried().wait_us = 30 * S;
@@ -242,7 +243,7 @@
 #[test]
 fn two_attempts_at_once_overlap_but_not_one_after_the_other() {
     let out_until = 10 * S + 500_000;
-    for end in [End::Withdrawn, End::Cut, End::Skipped] {
+    for end in [AttemptEnd::Withdrawn, AttemptEnd::Cut, AttemptEnd::Skipped] {
         assert_eq!(
             broken(|w| again(w, (out_until, end), out_until + 1)),
             [],
@@ -256,14 +257,14 @@
     }
     // One that never ends overlaps with all that follow.
     let never = broken(|w| {
-        again(w, (out_until, End::Cut), out_until + 1);
+        again(w, (out_until, AttemptEnd::Cut), out_until + 1);
         w.events.remove(2);
     });
     assert_eq!(never, [Rule::Overlap]);
     // A silent host can't hear a withdrawal.
     let silent = broken(|w| {
-        again(w, (out_until, End::Cut), out_until + 1);
-        w.events[2] = about(out_until - 1, 0, NOBODY, What::Down);
+        again(w, (out_until, AttemptEnd::Cut), out_until + 1);
+        w.events[2] = about(out_until - 1, 0, NO_COORDINATOR, EventKind::ProcessEnded);
     });
     assert_eq!(silent, []);
 }
@@ -274,11 +275,11 @@
         for n in 0..3u64 {
             let at = 10 * S + 700_000 + n * 1000;
             w.events.push(arrived(at, 4, 20 + n, 0));
-            w.events.push(ended(at + 1, 4, 20 + n, End::Skipped));
+            w.events.push(ended(at + 1, 4, 20 + n, AttemptEnd::Skipped));
         }
     });
     assert_eq!(four, [Rule::Attempts]);
-    let cut = (10 * S + 100_000, End::Cut);
+    let cut = (10 * S + 100_000, AttemptEnd::Cut);
     let keyed = |second| {
         broken(|w| {
             w.class(2);
@@ -290,7 +291,7 @@
     // One that never ran starts no window.
     let skipped = broken(|w| {
         w.class(2);
-        again(w, (10 * S + 100_000, End::Skipped), 13 * S);
+        again(w, (10 * S + 100_000, AttemptEnd::Skipped), 13 * S);
     });
     assert_eq!(skipped, []);
     let risky = |end| {
@@ -300,55 +301,71 @@
             again(w, (10 * S + 100_000, end), 10 * S + 200_000);
         })
     };
-    assert_eq!(risky(End::Cut), [Rule::Attempts]);
-    assert_eq!(risky(End::Skipped), []);
+    assert_eq!(risky(AttemptEnd::Cut), [Rule::Attempts]);
+    assert_eq!(risky(AttemptEnd::Skipped), []);
 }
 
 #[test]
 fn nothing_reaches_a_host_two_seconds_after_the_news_that_it_drains_or_is_gone() {
     for phase in [Phase::Terminating, Phase::Gone] {
-        let told = |at| broken(|w| w.events.push(about(at, 0, 0, What::Told(phase))));
+        let told = |at| {
+            broken(|w| {
+                w.events
+                    .push(about(at, 0, 0, EventKind::ListUpdateSent(phase)))
+            })
+        };
         assert_eq!(told(9 * S), [], "within the grace");
         assert_eq!(told(7 * S), [Rule::Drain]);
         assert_eq!(
-            broken(|w| w.events.push(about(7 * S, 0, 1, What::Told(phase)))),
+            broken(|w| w
+                .events
+                .push(about(7 * S, 0, 1, EventKind::ListUpdateSent(phase)))),
             [],
             "another was told"
         );
         let back = broken(|w| {
-            w.events.push(about(6 * S, 0, 0, What::Told(phase)));
-            w.events.push(about(8 * S, 0, 0, What::Told(Phase::Ready)));
+            w.events
+                .push(about(6 * S, 0, 0, EventKind::ListUpdateSent(phase)));
+            w.events
+                .push(about(8 * S, 0, 0, EventKind::ListUpdateSent(Phase::Ready)));
         });
         assert_eq!(back, [], "it is back");
         let anew = broken(|w| {
-            w.events.push(about(6 * S, 0, 0, What::Told(phase)));
-            w.lives.0.push(LifeEvent {
+            w.events
+                .push(about(6 * S, 0, 0, EventKind::ListUpdateSent(phase)));
+            w.processes.0.push(CoordinatorEvent {
                 at: 8 * S,
                 coordinator: 0,
-                life: Life::Started,
+                event: ProcessEvent::Started,
             });
         });
         assert_eq!(anew, [], "this process was never told");
         let still = broken(|w| {
-            w.events.push(about(7 * S, 0, 0, What::Told(phase)));
-            w.lives.0.push(LifeEvent {
+            w.events
+                .push(about(7 * S, 0, 0, EventKind::ListUpdateSent(phase)));
+            w.processes.0.push(CoordinatorEvent {
                 at: 6 * S,
                 coordinator: 0,
-                life: Life::Stopped,
+                event: ProcessEvent::Stopped,
             });
-            w.lives.0.push(LifeEvent {
+            w.processes.0.push(CoordinatorEvent {
                 at: 9 * S,
                 coordinator: 0,
-                life: Life::Continued,
+                event: ProcessEvent::Continued,
             });
         });
         assert_eq!(still, [], "it stood still when it was told");
     }
     // Draining, then gone: the first word counts.
     let both = broken(|w| {
+        w.events.push(about(
+            7 * S,
+            0,
+            0,
+            EventKind::ListUpdateSent(Phase::Terminating),
+        ));
         w.events
-            .push(about(7 * S, 0, 0, What::Told(Phase::Terminating)));
-        w.events.push(about(9 * S, 0, 0, What::Told(Phase::Gone)));
+            .push(about(9 * S, 0, 0, EventKind::ListUpdateSent(Phase::Gone)));
     });
     assert_eq!(both, [Rule::Drain]);
 }
@@ -357,10 +374,14 @@
 fn a_cold_host_that_falls_is_put_down_to_those_who_knew() {
     let fell = |up, told: Option<Micros>| {
         broken(|w| {
-            w.events.push(about(up, 0, NOBODY, What::Up));
-            told.into_iter()
-                .for_each(|at| w.events.push(about(at, 0, 0, What::Told(Phase::Ready))));
-            w.events.push(about(10 * S + 2000, 0, NOBODY, What::Fell));
+            w.events
+                .push(about(up, 0, NO_COORDINATOR, EventKind::ProcessStarted));
+            told.into_iter().for_each(|at| {
+                w.events
+                    .push(about(at, 0, 0, EventKind::ListUpdateSent(Phase::Ready)))
+            });
+            w.events
+                .push(about(10 * S + 2000, 0, NO_COORDINATOR, EventKind::FellOver));
         })
     };
     assert_eq!(fell(8 * S, Some(9 * S)), [Rule::Cold]);
@@ -374,7 +395,7 @@
         broken(|w| {
             w.tried().shards = shards.to_vec();
             w.tried().values = values.to_vec();
-            w.tried().end = TryEnd::Served(full);
+            w.tried().end = AttemptOutcome::Served(full);
         })
     };
     assert_eq!(say(&[0], &[1], false), [], "0.75 is above the floor of 0.7");
@@ -399,7 +420,7 @@
         [Rule::Honest],
         "a value of no host"
     );
-    let late = broken(|w| w.events[3] = ended(12 * S, 1, 2, End::Served(2)));
+    let late = broken(|w| w.events[3] = ended(12 * S, 1, 2, AttemptEnd::Served(2)));
     assert_eq!(
         late,
         [Rule::Honest],
@@ -407,7 +428,7 @@
     );
     let other = broken(|w| {
         w.scenario.classes[1].repeat = RepeatName::Unsafe;
-        w.tried().end = TryEnd::Refused;
+        w.tried().end = AttemptOutcome::Refused;
     });
     assert_eq!(other, [Rule::Honest], "refused though it ran");
 }
@@ -424,7 +445,7 @@
     });
     assert_eq!(wrong, [Rule::Stray]);
     let unmarked = broken(|w| {
-        let what = What::Arrived {
+        let kind = EventKind::Arrived {
             name: "x".into(),
             shard: 0,
             key: None,
@@ -435,7 +456,7 @@
             host: 0,
             coordinator: 0,
             attempt: 31,
-            what,
+            kind,
         });
     });
     assert_eq!(unmarked, [Rule::Stray]);
@@ -450,14 +471,15 @@
             let q = w.plan.0[0].clone();
             w.plan.0.push(q);
             let mut other = arrived(10 * S + 2000, 4, 9, 0);
-            if let What::Arrived { reference, .. } = &mut other.what {
-                *reference = Some(Ref {
+            if let EventKind::Arrived { reference, .. } = &mut other.kind {
+                *reference = Some(AttemptRef {
                     query: 1,
                     attempt: 0,
                 });
             }
             w.events.push(other);
-            w.events.push(ended(10 * S + 9000, 4, 9, End::Served(9)));
+            w.events
+                .push(ended(10 * S + 9000, 4, 9, AttemptEnd::Served(9)));
         })
     };
     assert_eq!(two(DialectName::OpenSearch), []);
@@ -467,14 +489,18 @@
 #[test]
 fn a_story_tells_all_of_a_query_in_order() {
     let mut w = World::new();
-    w.events
-        .push(about(10 * S + 2, 0, 0, What::Told(Phase::Terminating)));
+    w.events.push(about(
+        10 * S + 2,
+        0,
+        0,
+        EventKind::ListUpdateSent(Phase::Terminating),
+    ));
     w.events.sort_by_key(|e| e.at);
-    let story = story(&w.evidence(), 0);
+    let query_timeline = query_timeline(&w.evidence(), 0);
     let at = |words: &str| {
-        story
+        query_timeline
             .find(words)
-            .unwrap_or_else(|| panic!("no '{words}' in\n{story}"))
+            .unwrap_or_else(|| panic!("no '{words}' in\n{query_timeline}"))
     };
     let order = [
         at("due: fleet-report"),
@@ -483,5 +509,5 @@
         at("host 0: part q0.0 Served"),
         at("try 0 ended: served"),
     ];
-    assert!(order.is_sorted(), "{story}");
+    assert!(order.is_sorted(), "{query_timeline}");
 }
--- a/crates/load-test/tests/modules/clients.rs
+++ b/crates/load-test/tests/modules/clients.rs
@@ -1,4 +1,4 @@
-use load_test::clients::{coordinator, next_try, Tried, TryEnd};
+use load_test::clients::{coordinator, next_attempt_delay, AttemptOutcome, AttemptResult};
 use load_test::plan::Planned;
 use load_test::scenario::Scenario;
 use load_test::scenario::{Backoff, ClassTable, RepeatName};
@@ -20,8 +20,13 @@
     )
 }
 
-fn tried(tries: u8, end: TryEnd, retry_after_us: Option<u64>, elapsed_us: u64) -> Tried {
-    Tried {
+fn tried(
+    tries: u8,
+    end: AttemptOutcome,
+    retry_after_us: Option<u64>,
+    elapsed_us: u64,
+) -> AttemptResult {
+    AttemptResult {
         tries,
         end,
         retry_after_us,
@@ -33,33 +38,39 @@
 fn a_client_tries_so_often_and_waits_as_it_was_told() {
     let (s, q) = parts();
     let safe = &s.classes[0];
-    let go = |backoff, t| next_try(&q, safe, backoff, t);
+    let go = |backoff, t| next_attempt_delay(&q, safe, backoff, t);
     assert_eq!(
-        go(Backoff::None, tried(1, TryEnd::Refused, None, 0)),
+        go(Backoff::None, tried(1, AttemptOutcome::Refused, None, 0)),
         Some(0)
     );
     assert_eq!(
-        go(Backoff::Fixed, tried(2, TryEnd::GaveUp, None, 0)),
+        go(Backoff::Fixed, tried(2, AttemptOutcome::GaveUp, None, 0)),
         Some(100_000)
     );
     assert_eq!(
-        go(Backoff::Exp, tried(2, TryEnd::Failed(504), None, 0)),
+        go(Backoff::Exp, tried(2, AttemptOutcome::Failed(504), None, 0)),
         Some(200_000)
     );
     assert_eq!(
-        go(Backoff::None, tried(3, TryEnd::Refused, None, 0)),
+        go(Backoff::None, tried(3, AttemptOutcome::Refused, None, 0)),
         None,
         "two further tries"
     );
     assert_eq!(
-        go(Backoff::Fixed, tried(1, TryEnd::Refused, Some(700_000), 0)),
+        go(
+            Backoff::Fixed,
+            tried(1, AttemptOutcome::Refused, Some(700_000), 0)
+        ),
         Some(700_000)
     );
     assert_eq!(
-        go(Backoff::Fixed, tried(1, TryEnd::Served(false), None, 0)),
+        go(
+            Backoff::Fixed,
+            tried(1, AttemptOutcome::Served(false), None, 0)
+        ),
         None
     );
-    let late = tried(1, TryEnd::Refused, None, 4_950_000);
+    let late = tried(1, AttemptOutcome::Refused, None, 4_950_000);
     assert_eq!(
         go(Backoff::Fixed, late),
         None,
@@ -69,24 +80,29 @@
         honours: false,
         ..q.clone()
     };
-    let told = tried(1, TryEnd::Refused, Some(700_000), 0);
-    assert_eq!(next_try(&rude, safe, Backoff::Fixed, told), Some(100_000));
+    let told = tried(1, AttemptOutcome::Refused, Some(700_000), 0);
+    assert_eq!(
+        next_attempt_delay(&rude, safe, Backoff::Fixed, told),
+        Some(100_000)
+    );
 }
 
 #[test]
 fn a_booking_is_repeated_within_its_window_and_an_unsafe_query_only_if_it_never_ran() {
     let (s, q) = parts();
     let keyed = &s.classes[2];
-    let go = |class, end, elapsed| next_try(&q, class, Backoff::None, tried(1, end, None, elapsed));
-    assert_eq!(go(keyed, TryEnd::Failed(504), 1_900_000), Some(0));
-    assert_eq!(go(keyed, TryEnd::Failed(504), 2_100_000), None);
-    assert_eq!(go(keyed, TryEnd::Refused, 2_100_000), Some(0));
+    let go = |class, end, elapsed| {
+        next_attempt_delay(&q, class, Backoff::None, tried(1, end, None, elapsed))
+    };
+    assert_eq!(go(keyed, AttemptOutcome::Failed(504), 1_900_000), Some(0));
+    assert_eq!(go(keyed, AttemptOutcome::Failed(504), 2_100_000), None);
+    assert_eq!(go(keyed, AttemptOutcome::Refused, 2_100_000), Some(0));
     let risky = ClassTable {
         repeat: RepeatName::Unsafe,
         ..keyed.clone()
     };
-    assert_eq!(go(&risky, TryEnd::Cut, 0), None);
-    assert_eq!(go(&risky, TryEnd::NoConnection, 0), Some(0));
+    assert_eq!(go(&risky, AttemptOutcome::Cut, 0), None);
+    assert_eq!(go(&risky, AttemptOutcome::NoConnection, 0), Some(0));
 }
 
 #[test]
--- a/crates/load-test/tests/modules/drivers.rs
+++ b/crates/load-test/tests/modules/drivers.rs
@@ -1,5 +1,5 @@
-use fake_hosts::ledger::Ref;
-use load_test::drivers::{of, Ask, Said};
+use fake_hosts::event_log::AttemptRef;
+use load_test::drivers::{of, ParsedAnswer, RequestContext};
 use load_test::scenario::Scenario;
 use std::path::Path;
 
@@ -11,9 +11,9 @@
     let mut planned = load_test::plan::Mixer::new(&s).query(0, Some(1), Some(2), Some(3));
     planned.parts.truncate(2);
     let (a, b) = (planned.parts[0].shard, planned.parts[1].shard);
-    let ask = Ask {
+    let ask = RequestContext {
         planned: &planned,
-        reference: Ref {
+        reference: AttemptRef {
             query: 7,
             attempt: 1,
         },
@@ -38,17 +38,17 @@
     let said = drivers[0].read(&ask, 200, body.as_bytes());
     assert_eq!(
         said,
-        Said::Served {
+        ParsedAnswer::Served {
             full: false,
             shards: vec![a],
             values: vec![42]
         }
     );
-    assert_eq!(drivers[0].read(&ask, 503, b""), Said::Refused);
-    assert_eq!(drivers[0].read(&ask, 504, b""), Said::Failed(504));
+    assert_eq!(drivers[0].read(&ask, 503, b""), ParsedAnswer::Refused);
+    assert_eq!(drivers[0].read(&ask, 504, b""), ParsedAnswer::Failed(504));
     assert_eq!(
         drivers[0].read(&ask, 200, b"{\"full\":tr"),
-        Said::Unreadable
+        ParsedAnswer::Unreadable
     );
 
     let mut out = Vec::new();
@@ -67,7 +67,7 @@
     let said = drivers[1].read(&ask, 200, body.as_bytes());
     assert_eq!(
         said,
-        Said::Served {
+        ParsedAnswer::Served {
             full: false,
             shards: vec![a],
             values: vec![42]
@@ -76,7 +76,7 @@
     let lying = body.replace("\"successful\":1", "\"successful\":2");
     assert_eq!(
         drivers[1].read(&ask, 200, lying.as_bytes()),
-        Said::Unreadable,
+        ParsedAnswer::Unreadable,
         "its counts don't add up"
     );
 }
--- a/crates/load-test/tests/modules/record.rs
+++ b/crates/load-test/tests/modules/record.rs
@@ -1,20 +1,20 @@
-use load_test::record::{Life, LifeEvent, Lives};
+use load_test::record::{CoordinatorEvent, ProcessEvent, ProcessHistory};
 
 #[test]
 fn a_coordinator_is_excused_for_kills_stalls_and_what_came_long_after_sigterm() {
-    let e = |at, life| LifeEvent {
+    let e = |at, event| CoordinatorEvent {
         at,
         coordinator: 0,
-        life,
+        event,
     };
-    let lives = Lives(vec![
-        e(0, Life::Started),
-        e(1_000_000, Life::Stopped),
-        e(2_000_000, Life::Continued),
-        e(5_000_000, Life::Gone),
-        e(6_000_000, Life::Started),
-        e(9_000_000, Life::Terminated),
-        e(12_000_000, Life::Ended),
+    let processes = ProcessHistory(vec![
+        e(0, ProcessEvent::Started),
+        e(1_000_000, ProcessEvent::Stopped),
+        e(2_000_000, ProcessEvent::Continued),
+        e(5_000_000, ProcessEvent::Killed),
+        e(6_000_000, ProcessEvent::Started),
+        e(9_000_000, ProcessEvent::Terminated),
+        e(12_000_000, ProcessEvent::Exited),
     ]);
     let s = 1_000_000;
     for (from, to, excused) in [
@@ -29,8 +29,8 @@
         (s * 98 / 10, s * 12, true),
         (s * 13, s * 14, true),
     ] {
-        assert_eq!(lives.excused(0, from, to), excused, "{from} to {to}");
+        assert_eq!(processes.excused(0, from, to), excused, "{from} to {to}");
     }
-    assert!(!lives.excused(1, s, s * 20));
-    assert_eq!(lives.started_before(0, 7 * s), 6 * s);
+    assert!(!processes.excused(1, s, s * 20));
+    assert_eq!(processes.started_before(0, 7 * s), 6 * s);
 }
--- a/crates/load-test/tests/modules/stats.rs
+++ b/crates/load-test/tests/modules/stats.rs
@@ -1,9 +1,9 @@
 use fake_hosts::model::Micros;
-use load_test::clients::TryEnd;
+use load_test::clients::AttemptOutcome;
 use load_test::plan::Mixer;
 use load_test::plan::Plan;
+use load_test::record::AttemptRecord;
 use load_test::record::QueryRecord;
-use load_test::record::TryRecord;
 use load_test::scenario::Scenario;
 use load_test::stats::{figures, worth, Range};
 use std::path::Path;
@@ -14,8 +14,8 @@
     Scenario::parse(text, Path::new("x.toml")).unwrap()
 }
 
-fn record(query: u32, at: Micros, took: Micros, end: TryEnd) -> QueryRecord {
-    let tried = TryRecord {
+fn record(query: u32, at: Micros, took: Micros, end: AttemptOutcome) -> QueryRecord {
+    let tried = AttemptRecord {
         query,
         attempt: 0,
         coordinator: 0,
@@ -58,9 +58,9 @@
     let all: Vec<QueryRecord> = (0..1100u32)
         .map(|n| {
             let end = if n < 1000 {
-                TryEnd::Served(true)
+                AttemptOutcome::Served(true)
             } else {
-                TryEnd::Refused
+                AttemptOutcome::Refused
             };
             record(n, 500 + u64::from(n) * 10_000, took(n), end)
         })
@@ -98,10 +98,10 @@
     };
     let shards: Vec<u32> = plan.0[0].parts.iter().skip(1).map(|p| p.shard).collect();
     let weight = 1.0 - plan.0[0].parts[0].weight;
-    assert_eq!(share(1000, TryEnd::Served(true), &[]), 1.0);
-    assert!((share(3_100_000, TryEnd::Served(true), &[]) - 0.3).abs() < 1e-9);
-    assert!((share(1000, TryEnd::Served(false), &shards) - 0.8 * weight).abs() < 1e-9);
-    assert_eq!(share(1000, TryEnd::Failed(504), &[]), 0.0);
+    assert_eq!(share(1000, AttemptOutcome::Served(true), &[]), 1.0);
+    assert!((share(3_100_000, AttemptOutcome::Served(true), &[]) - 0.3).abs() < 1e-9);
+    assert!((share(1000, AttemptOutcome::Served(false), &shards) - 0.8 * weight).abs() < 1e-9);
+    assert_eq!(share(1000, AttemptOutcome::Failed(504), &[]), 0.0);
 }
 
 #[test]
