--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -126,8 +126,8 @@
     let _ = stream.set_nodelay(true);
     let mut last = None;
     let ended = serve(stream, Vec::new(), shared, |caller| {
-        if last.replace(caller.version) != Some(caller.version) {
-            let _ = control.send(Control::Version(caller.version));
+        if last.replace(caller.configuration_version) != Some(caller.configuration_version) {
+            let _ = control.send(Control::Version(caller.configuration_version));
         }
     });
     if let Err(e) = ended.await {
--- a/crates/agent/tests/chain.rs
+++ b/crates/agent/tests/chain.rs
@@ -57,11 +57,15 @@
 }
 
 fn source(id: u64, seq: u64, hosts: Vec<HostRecord>) -> Update {
-    let mark = OriginVersion { id, life: 1, seq };
+    let mark = OriginVersion {
+        member_id: id,
+        incarnation: 1,
+        sequence: seq,
+    };
     Update {
-        sources: vec![OriginUpdate {
-            mark,
-            whole: seq == 1,
+        origins: vec![OriginUpdate {
+            version: mark,
+            complete: seq == 1,
             hosts,
             coordinators: vec![],
         }],
@@ -103,7 +107,7 @@
                     callers
                         .lock()
                         .unwrap()
-                        .push((caller.name.clone(), caller.version));
+                        .push((caller.name.clone(), caller.configuration_version));
                     heard.notify_one();
                 },
             ));
--- a/crates/agent/tests/cut_off.rs
+++ b/crates/agent/tests/cut_off.rs
@@ -119,7 +119,7 @@
                 Action::Pull { link, wait_ms } => {
                     let pull = mirror.pull(&Subscriber::default(), wait_ms);
                     let has_news = match state(links[&link]) {
-                        State::Serves { version, .. } => version > pull.ledger,
+                        State::Serves { version, .. } => version > pull.index,
                         State::Refuses | State::Silent => false,
                     };
                     let wait = if has_news { 0 } else { u64::from(pull.wait_ms) };
--- a/crates/control-plane/src/host_registry.rs
+++ b/crates/control-plane/src/host_registry.rs
@@ -163,7 +163,11 @@
     /// higher number than those before.
     pub fn new(id: u64, life: u64, beat: Duration) -> Self {
         Self {
-            mark: OriginVersion { id, life, seq: 0 },
+            mark: OriginVersion {
+                member_id: id,
+                incarnation: life,
+                sequence: 0,
+            },
             silence: beat * 5 / 2 + BEAT_SLACK,
             hosts: HashMap::new(),
             coordinators: BTreeMap::new(),
@@ -181,18 +185,18 @@
     /// Others know a life of this member with a higher number, and would take this one's records for older: it goes
     /// on under a number above that, and everything is told anew.
     pub fn follow_life(&mut self, later: u64) {
-        let next = incarnation::following(later, 0, self.mark.life);
+        let next = incarnation::following(later, 0, self.mark.incarnation);
         if next <= later {
             return;
         }
-        self.mark.life = next;
+        self.mark.incarnation = next;
         self.untold = true;
         self.changed_hosts = self.hosts.keys().cloned().collect();
         self.changed_coordinators = self.coordinators.keys().cloned().collect();
     }
 
     fn host_changed(&mut self, host: &str) {
-        self.mark.seq += 1;
+        self.mark.sequence += 1;
         self.changed_hosts.insert(host.to_owned());
     }
 
@@ -238,9 +242,9 @@
             zone: beat.zone.clone(),
             capacity: beat.capacity,
             phase: before.max(u8::from(beat.draining)),
-            silent: false,
+            heartbeat_expired: false,
             call_seq: beat.call_seq,
-            cold_left_ms: beat.cold_left_ms,
+            slow_start_remaining_ms: beat.cold_left_ms,
         };
         let over = (record.phase >= phase::GONE).then_some(now);
         if let Some(known) = known {
@@ -299,18 +303,18 @@
 
     /// A coordinator or another member pulls. True where something changed.
     pub fn pulled(&mut self, now: Duration, caller: &Subscriber) -> bool {
-        if caller.member != 0 || caller.name.is_empty() {
+        if caller.member_id != 0 || caller.name.is_empty() {
             return false;
         }
         let shown = CoordinatorRecord {
             name: caller.name.clone(),
             zone: caller.zone.clone(),
             region: caller.region.clone(),
-            addr: caller.addr,
+            hints_addr: caller.hints_addr,
             gone: false,
-            version: caller.version,
+            configuration_version: caller.configuration_version,
         };
-        let place = |r: &CoordinatorRecord| (r.zone.clone(), r.region.clone(), r.addr);
+        let place = |r: &CoordinatorRecord| (r.zone.clone(), r.region.clone(), r.hints_addr);
         let here = place(&shown);
         let known = self
             .coordinators
@@ -319,7 +323,7 @@
         if known.is_some_and(|k| !k.shown.gone && place(&k.shown) == here) {
             return false;
         }
-        self.mark.seq += 1;
+        self.mark.sequence += 1;
         self.changed_coordinators.insert(caller.name.clone());
         true
     }
@@ -327,7 +331,7 @@
     /// Notes what is silent or long gone; `elsewhere` tells the highest `call_seq` that other sources have
     /// of a host. True where something changed.
     pub fn tick(&mut self, now: Duration, elsewhere: impl Fn(&str) -> Option<u64>) -> bool {
-        let before = self.mark.seq;
+        let before = self.mark.sequence;
         let mut changed = Vec::new();
         let silence = self.silence;
         self.hosts.retain(|id, host| {
@@ -342,8 +346,8 @@
                 if elsewhere(id).is_some_and(|seq| seq > host.shown.call_seq) {
                     (host.shown.phase, host.over) = (phase::FORGOTTEN, Some(now));
                     changed.push(id.clone());
-                } else if !host.shown.silent {
-                    host.shown.silent = true;
+                } else if !host.shown.heartbeat_expired {
+                    host.shown.heartbeat_expired = true;
                     host.over = Some(now);
                     changed.push(id.clone());
                 }
@@ -357,12 +361,12 @@
         self.coordinators.retain(|name, coordinator| {
             if !coordinator.shown.gone && now >= coordinator.at + PULL_SILENCE {
                 coordinator.shown.gone = true;
-                mark.seq += 1;
+                mark.sequence += 1;
                 gone.insert(name.clone());
             }
             now < coordinator.at + KEEP_GONE
         });
-        self.mark.seq != before
+        self.mark.sequence != before
     }
 
     /// What changed since this was last asked for; the first time all.
@@ -373,13 +377,13 @@
         let whole = std::mem::take(&mut self.untold);
         if whole {
             // A source that has said nothing yet is known by its number.
-            self.mark.seq = self.mark.seq.max(1);
+            self.mark.sequence = self.mark.sequence.max(1);
         }
         let hosts = std::mem::take(&mut self.changed_hosts);
         let coordinators = std::mem::take(&mut self.changed_coordinators);
         Some(OriginUpdate {
-            mark: self.mark,
-            whole,
+            version: self.mark,
+            complete: whole,
             hosts: hosts
                 .iter()
                 .filter_map(|id| self.hosts.get(id))
@@ -414,8 +418,8 @@
         && a.zone == b.zone
         && a.capacity == b.capacity
         && a.phase == b.phase
-        && a.silent == b.silent
-        && (a.cold_left_ms == 0) == (b.cold_left_ms == 0)
+        && a.heartbeat_expired == b.heartbeat_expired
+        && (a.slow_start_remaining_ms == 0) == (b.slow_start_remaining_ms == 0)
 }
 
 /// The member that a host's later heartbeats should go to, where that isn't `me`: by rendezvous hashing over
--- a/crates/control-plane/src/registry_publisher.rs
+++ b/crates/control-plane/src/registry_publisher.rs
@@ -36,7 +36,7 @@
     ) -> R {
         let mut roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
         self.shared.update(|mirror, now| {
-            if let Some(later) = mirror.later_life(self.id, roster.mark().life) {
+            if let Some(later) = mirror.later_life(self.id, roster.mark().incarnation) {
                 roster.follow_life(later);
             }
             let result = change(&mut roster, mirror, now);
@@ -46,7 +46,7 @@
                     now,
                     &Update {
                         age_ms: u32::MAX,
-                        sources: vec![source],
+                        origins: vec![source],
                         ..Update::default()
                     },
                 );
@@ -86,7 +86,7 @@
         (
             roster
                 .coordinators()
-                .map(|c| c.version)
+                .map(|c| c.configuration_version)
                 .min()
                 .unwrap_or_default(),
             roster.coordinators().count(),
--- a/crates/control-plane/src/runtime/host_cache.rs
+++ b/crates/control-plane/src/runtime/host_cache.rs
@@ -20,19 +20,19 @@
         return;
     };
     let mark = OriginVersion {
-        id: identity.id,
-        life: identity.life.saturating_sub(1),
-        seq: 1,
+        member_id: identity.id,
+        incarnation: identity.life.saturating_sub(1),
+        sequence: 1,
     };
     let source = OriginUpdate {
-        mark,
-        whole: true,
+        version: mark,
+        complete: true,
         coordinators: Vec::new(),
         ..source
     };
     let news = Update {
         age_ms: u32::MAX,
-        sources: vec![source],
+        origins: vec![source],
         ..Update::default()
     };
     mirror.update(|mirror, now| mirror.apply(now, &news));
@@ -49,8 +49,8 @@
         let hosts: Vec<HostRecord> = there
             .map(|h| HostRecord {
                 call_seq: 0,
-                cold_left_ms: 0,
-                silent: false,
+                slow_start_remaining_ms: 0,
+                heartbeat_expired: false,
                 ..h.clone()
             })
             .collect();
--- a/crates/control-plane/src/runtime/request_handler.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -130,14 +130,14 @@
             .coordinators()
             .into_iter()
             .map(|(c, since_pull)| {
-                json!({"name": c.name, "zone": c.zone, "region": c.region, "gone": c.gone, "version": c.version,
+                json!({"name": c.name, "zone": c.zone, "region": c.region, "gone": c.gone, "version": c.configuration_version,
                     "pulled_ms_ago": since_pull.as_millis() as u64,
-                    "behind_ms": history.behind(c.version, SystemTime::now()).map(|d| d.as_millis() as u64)})
+                    "behind_ms": history.behind(c.configuration_version, SystemTime::now()).map(|d| d.as_millis() as u64)})
             })
             .collect();
         let hosts = known.hosts.values().map(|h| {
             json!({"id": h.id, "service": h.service, "address": SocketAddrV4::from(&h.addr).to_string(),
-                "zone": h.zone, "capacity": h.capacity, "phase": h.phase, "silent": h.silent})
+                "zone": h.zone, "capacity": h.capacity, "phase": h.phase, "silent": h.heartbeat_expired})
         });
         let status = json!({
             "node": me.name,
--- a/crates/control-plane/tests/host_registry.rs
+++ b/crates/control-plane/tests/host_registry.rs
@@ -17,7 +17,7 @@
 fn roster() -> HostRegistry {
     let mut roster = HostRegistry::new(7, 3, BEAT);
     assert!(
-        roster.take_news().unwrap().whole,
+        roster.take_news().unwrap().complete,
         "the first word is the whole"
     );
     roster
@@ -43,7 +43,7 @@
 /// The one host that changed.
 fn changed(roster: &mut HostRegistry) -> Option<HostRecord> {
     let news = roster.take_news()?;
-    assert!(!news.whole);
+    assert!(!news.complete);
     assert!(news.hosts.len() <= 1);
     news.hosts.into_iter().next()
 }
@@ -52,11 +52,11 @@
 fn a_beat_counts_where_it_changes_something() {
     let mut r = roster();
     assert!(r.beat(ms(0), "a", &beat(1), None));
-    let seq = r.mark().seq;
+    let seq = r.mark().sequence;
     assert_eq!(changed(&mut r).unwrap().call_seq, 1);
     assert!(!r.beat(ms(1000), "a", &beat(2), None));
     assert_eq!(
-        (r.mark().seq, r.take_news()),
+        (r.mark().sequence, r.take_news()),
         (seq, None),
         "a beat that changes nothing"
     );
@@ -69,7 +69,7 @@
         },
         None
     ));
-    assert_eq!(r.mark().seq, seq + 1);
+    assert_eq!(r.mark().sequence, seq + 1);
     let record = changed(&mut r).unwrap();
     assert_eq!((record.capacity, record.call_seq), (5, 3));
 }
@@ -124,10 +124,13 @@
     assert!(!r.tick(ms(3699), nowhere));
     assert!(r.tick(ms(3700), nowhere));
     let record = changed(&mut r).unwrap();
-    assert_eq!((record.silent, record.phase), (true, phase::READY));
+    assert_eq!(
+        (record.heartbeat_expired, record.phase),
+        (true, phase::READY)
+    );
     assert!(!r.tick(ms(5000), nowhere), "once");
     assert!(r.beat(ms(6000), "a", &beat(3), None));
-    assert!(!changed(&mut r).unwrap().silent);
+    assert!(!changed(&mut r).unwrap().heartbeat_expired);
     // The count begins anew.
     assert!(!r.tick(ms(8699), nowhere));
 }
@@ -220,8 +223,8 @@
     let mut r = roster();
     let caller = |name: &str, member, version| Subscriber {
         name: name.into(),
-        member,
-        version,
+        member_id: member,
+        configuration_version: version,
         ..Subscriber::default()
     };
     assert!(r.pulled(ms(0), &caller("e1", 0, 1)));
@@ -234,7 +237,7 @@
         !r.pulled(ms(1000), &caller("e1", 0, 2)),
         "its version alone is no news"
     );
-    assert_eq!(r.coordinators().next().unwrap().version, 2);
+    assert_eq!(r.coordinators().next().unwrap().configuration_version, 2);
     assert!(!r.tick(ms(3999), nowhere));
     assert!(r.tick(ms(4000), nowhere));
     assert!(r.take_news().unwrap().coordinators[0].gone);
@@ -246,18 +249,18 @@
 #[test]
 fn its_number_rises_with_each_change() {
     let mut r = roster();
-    let mut last = r.mark().seq;
+    let mut last = r.mark().sequence;
     for n in 1..=3 {
         r.beat(ms(n), &format!("h{n}"), &beat(1), None);
-        assert_eq!(r.mark().seq, last + 1);
-        last = r.mark().seq;
+        assert_eq!(r.mark().sequence, last + 1);
+        last = r.mark().sequence;
     }
     let news = r.take_news().unwrap();
     assert_eq!(
         (
-            news.mark.id,
-            news.mark.life,
-            news.mark.seq,
+            news.version.member_id,
+            news.version.incarnation,
+            news.version.sequence,
             news.hosts.len()
         ),
         (7, 3, last, 3)
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -169,8 +169,8 @@
     let marks = fleet.agent.update(|mirror, _| mirror.vector());
     let newest = marks
         .iter()
-        .filter(|mark| mark.id == ID)
-        .map(|mark| mark.life)
+        .filter(|mark| mark.member_id == ID)
+        .map(|mark| mark.incarnation)
         .max();
     assert_eq!(newest, Some(life));
 }
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -537,16 +537,16 @@
         let done = |a: &Answer| a.status == 200;
         call_until(core.control(0), "POST", path, &[], &heartbeat, done).await;
         let pull = protocol::encode(&Message::Pull {
-            caller: Subscriber {
+            subscriber: Subscriber {
                 name: "proxy-1".into(),
-                version: 1,
+                configuration_version: 1,
                 ..Subscriber::default()
             },
             wait_ms: 0,
-            ledger: 0,
-            version: 0,
-            fleet: 0,
-            sources: Vec::new(),
+            index: 0,
+            configuration_version: 0,
+            control_plane_version: 0,
+            origins: Vec::new(),
         });
         let mut subscriber = TcpStream::connect((core.ips[0], core.ports.0))
             .await
--- a/crates/control-plane/tests/registry_publisher.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -46,8 +46,8 @@
     assert!(feed.call(&call("i", 1)));
     let news = waits.await.unwrap();
     assert_eq!(asked.elapsed(), Duration::ZERO);
-    assert!(!news.sources[0].whole);
-    assert_eq!(news.sources[0].hosts[0].id, "i");
+    assert!(!news.origins[0].complete);
+    assert_eq!(news.origins[0].hosts[0].id, "i");
 }
 
 #[tokio::test(start_paused = true)]
@@ -95,9 +95,9 @@
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
     let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
     let mark = OriginVersion {
-        id: 8,
-        life: 1,
-        seq: 1,
+        member_id: 8,
+        incarnation: 1,
+        sequence: 1,
     };
     let hosts = vec![protocol::HostRecord {
         id: "i".into(),
@@ -105,8 +105,8 @@
         ..Default::default()
     }];
     let source = protocol::OriginUpdate {
-        mark,
-        whole: true,
+        version: mark,
+        complete: true,
         hosts,
         coordinators: vec![],
     };
@@ -114,7 +114,7 @@
         m.apply(
             now,
             &Update {
-                sources: vec![source],
+                origins: vec![source],
                 ..Update::default()
             },
         )
@@ -130,7 +130,7 @@
     for (name, version) in [("a", 4), ("b", 3)] {
         feed.pulled(&Subscriber {
             name: name.into(),
-            version,
+            configuration_version: version,
             ..Subscriber::default()
         });
     }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -135,7 +135,7 @@
 fn change(seq: u64, change: Change) -> Record {
     Record::Change {
         epoch: SECOND_EPOCH,
-        seq,
+        index: seq,
         change,
     }
 }
@@ -146,14 +146,14 @@
     vec![
         vec![Record::Promised { epoch: FIRST_EPOCH }],
         vec![Record::Accepted {
-            view: first_membership(),
+            membership: first_membership(),
             snapshot: None,
         }],
         vec![Record::Promised {
             epoch: SECOND_EPOCH,
         }],
         vec![Record::Accepted {
-            view: second_membership(),
+            membership: second_membership(),
             snapshot: Some(first_snapshot()),
         }],
         vec![change(
@@ -181,7 +181,7 @@
                 },
             ),
         ],
-        vec![Record::Committed { seq: 11 }],
+        vec![Record::Committed { index: 11 }],
     ]
 }
 
@@ -192,10 +192,10 @@
             epoch: SECOND_EPOCH + 1,
         },
         Record::Accepted {
-            view: second_membership(),
+            membership: second_membership(),
             snapshot: Some(last_snapshot()),
         },
-        Record::Committed { seq: 11 },
+        Record::Committed { index: 11 },
     ]
 }
 
@@ -350,7 +350,7 @@
     let bytes = length - offset;
     assert_eq!(log.cut(), Some(Cut { offset, bytes }));
     let mut expected = appended_records().concat();
-    assert_eq!(expected.pop(), Some(Record::Committed { seq: 11 }));
+    assert_eq!(expected.pop(), Some(Record::Committed { index: 11 }));
     assert_log(&stored, &identity(1_000), &expected);
 }
 
--- a/crates/fennelpin-cli/src/world.rs
+++ b/crates/fennelpin-cli/src/world.rs
@@ -83,7 +83,7 @@
         zone: record.zone.as_str().into(),
         capacity: record.capacity,
         draining: record.phase == phase::DRAINING,
-        heartbeat_expired: record.silent,
-        slow_start_remaining: Duration::from_millis(record.cold_left_ms.into()),
+        heartbeat_expired: record.heartbeat_expired,
+        slow_start_remaining: Duration::from_millis(record.slow_start_remaining_ms.into()),
     }
 }
--- a/crates/fennelpin-cli/tests/bad_days/cut_off.rs
+++ b/crates/fennelpin-cli/tests/bad_days/cut_off.rs
@@ -30,7 +30,7 @@
             ..Subscriber::default()
         };
         let pull = Pull {
-            caller,
+            subscriber: caller,
             ..Pull::default()
         };
         stream
@@ -55,7 +55,7 @@
                 .expect("news")
         });
         let news = Update::from_message(message).expect("news");
-        (news.config.map_or(0, |c| c.to), news.age_ms)
+        (news.configuration.map_or(0, |c| c.version), news.age_ms)
     }
 }
 
--- a/crates/model-check/src/cluster/world/fingerprint.rs
+++ b/crates/model-check/src/cluster/world/fingerprint.rs
@@ -62,7 +62,7 @@
                     reader,
                     member,
                     news.age_ms,
-                    news.config.as_ref().map(|c| c.seq),
+                    news.configuration.as_ref().map(|c| c.index),
                 )
                     .hash(hasher);
             }
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct ControlPlaneInfo {
     /// Changes with the content.
-    pub mark: u64,
+    pub version: u64,
     /// Epoch of its view.
     pub epoch: u64,
     /// The primary in that view; 0 where none is known.
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -229,19 +229,19 @@
     #[brw(magic(40u8))]
     Pull {
         /// Who pulls.
-        caller: Subscriber,
+        subscriber: Subscriber,
         /// How long the answer may wait for news.
         wait_ms: u32,
         /// Number of the ledger's last change that the speaker has.
-        ledger: u64,
+        index: u64,
         /// Version of the configuration that it has.
-        version: u64,
+        configuration_version: u64,
         /// Mark of the fleet that it has.
-        fleet: u64,
+        control_plane_version: u64,
         /// What it has of each source.
         #[br(parse_with = list)]
         #[bw(write_with = put_list)]
-        sources: Vec<OriginVersion>,
+        origins: Vec<OriginVersion>,
     },
     /// The answer to [`Message::Pull`]; also pushed where somebody waits.
     #[brw(magic(41u8))]
@@ -256,18 +256,18 @@
         /// Configuration and drains.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
-        config: Option<ConfigurationUpdate>,
+        configuration: Option<ConfigurationUpdate>,
         /// Hosts and coordinators.
         #[br(parse_with = list)]
         #[bw(write_with = put_list)]
-        sources: Vec<OriginUpdate>,
+        origins: Vec<OriginUpdate>,
         /// Sources that are no more.
         #[br(parse_with = list)]
         #[bw(write_with = put_list)]
-        retired: Vec<u64>,
+        removed_origins: Vec<u64>,
         /// The control plane.
         #[br(parse_with = option)]
         #[bw(write_with = put_option)]
-        fleet: Option<ControlPlaneInfo>,
+        control_plane: Option<ControlPlaneInfo>,
     },
 }
--- a/crates/protocol/src/news.rs
+++ b/crates/protocol/src/news.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct OriginVersion {
     /// The member that is the source.
-    pub id: u64,
+    pub member_id: u64,
     /// Which of the member's lives.
-    pub life: u64,
+    pub incarnation: u64,
     /// Number of its latest change.
-    pub seq: u64,
+    pub sequence: u64,
 }
 
 /// What a host said of itself.
@@ -43,11 +43,11 @@
     /// Whether its heartbeats have stopped.
     #[br(parse_with = flag)]
     #[bw(write_with = put_flag)]
-    pub silent: bool,
+    pub heartbeat_expired: bool,
     /// Number of its latest call.
     pub call_seq: u64,
     /// How much longer it is slow from its start.
-    pub cold_left_ms: u32,
+    pub slow_start_remaining_ms: u32,
 }
 
 /// What a member knows of a coordinator that pulls from it.
@@ -68,13 +68,13 @@
     #[bw(write_with = put_text)]
     pub region: String,
     /// Where its proxy takes the other proxies' hints; port 0 where it takes none.
-    pub addr: Addr,
+    pub hints_addr: Addr,
     /// Whether it has stopped pulling.
     #[br(parse_with = flag)]
     #[bw(write_with = put_flag)]
     pub gone: bool,
     /// Version of the configuration that it has in force.
-    pub version: u64,
+    pub configuration_version: u64,
 }
 
 /// What a source has to say beyond a mark.
@@ -83,11 +83,11 @@
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct OriginUpdate {
     /// How far this goes.
-    pub mark: OriginVersion,
+    pub version: OriginVersion,
     /// Whether it stands for all that the source has; else it adds to what came before.
     #[br(parse_with = flag)]
     #[bw(write_with = put_flag)]
-    pub whole: bool,
+    pub complete: bool,
     /// Hosts whose records changed.
     #[br(parse_with = list)]
     #[bw(write_with = put_list)]
@@ -104,11 +104,11 @@
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct ConfigurationUpdate {
     /// Number of the ledger's last change.
-    pub seq: u64,
+    pub index: u64,
     /// Version of the configuration that the items add to; 0 where they are the whole of it.
-    pub from: u64,
+    pub base_version: u64,
     /// Version that they lead to; 0 where there is none yet.
-    pub to: u64,
+    pub version: u64,
     /// Routes set, as JSON.
     #[br(parse_with = texts)]
     #[bw(write_with = put_texts)]
@@ -120,17 +120,17 @@
     /// Routes that went.
     #[br(parse_with = texts)]
     #[bw(write_with = put_texts)]
-    pub gone_routes: Vec<String>,
+    pub removed_routes: Vec<String>,
     /// Services that went.
     #[br(parse_with = texts)]
     #[bw(write_with = put_texts)]
-    pub gone_services: Vec<String>,
+    pub removed_services: Vec<String>,
     /// The limits as JSON, where they changed: none or one.
     #[br(parse_with = texts)]
     #[bw(write_with = put_texts)]
     pub limits: Vec<String>,
     /// Number of the ledger's change that the drains add to; 0 where they are all of them.
-    pub drains_from: u64,
+    pub drains_base_index: u64,
     /// Hosts that are leaving or gone.
     #[br(parse_with = texts)]
     #[bw(write_with = put_texts)]
@@ -138,7 +138,7 @@
     /// Hosts that were leaving or gone and are no longer spoken of.
     #[br(parse_with = texts)]
     #[bw(write_with = put_texts)]
-    pub gone_drains: Vec<String>,
+    pub removed_drains: Vec<String>,
 }
 
 /// Who pulls.
@@ -159,11 +159,11 @@
     #[bw(write_with = put_text)]
     pub region: String,
     /// Where its proxy takes the other proxies' hints; port 0 where it takes none.
-    pub addr: Addr,
+    pub hints_addr: Addr,
     /// Its identity where it is a member, else 0.
-    pub member: u64,
+    pub member_id: u64,
     /// Version of the configuration that it has in force.
-    pub version: u64,
+    pub configuration_version: u64,
 }
 
 impl Copy for OriginVersion {}
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -76,40 +76,40 @@
         name: "edge-1".into(),
         zone: "b".into(),
         region: "south".into(),
-        addr: addr(70, 7662),
-        member: 11,
-        version: 12,
+        hints_addr: addr(70, 7662),
+        member_id: 11,
+        configuration_version: 12,
     }
 }
 
 fn origin_version(id: u64) -> OriginVersion {
     OriginVersion {
-        id,
-        life: 4,
-        seq: u64::MAX - id,
+        member_id: id,
+        incarnation: 4,
+        sequence: u64::MAX - id,
     }
 }
 
 fn configuration_update() -> ConfigurationUpdate {
     ConfigurationUpdate {
-        seq: 40,
-        from: 6,
-        to: 7,
+        index: 40,
+        base_version: 6,
+        version: 7,
         routes: texts(&[r#"{"name":"r1"}"#, r#"{"name":"r2"}"#]),
         services: texts(&[r#"{"name":"s1"}"#]),
-        gone_routes: texts(&["r3"]),
-        gone_services: texts(&["s3", "s4"]),
+        removed_routes: texts(&["r3"]),
+        removed_services: texts(&["s3", "s4"]),
         limits: texts(&[r#"{"max_body_bytes":9}"#]),
-        drains_from: 38,
+        drains_base_index: 38,
         drains: texts(&["i-4", "i-5"]),
-        gone_drains: texts(&["i-6"]),
+        removed_drains: texts(&["i-6"]),
     }
 }
 
 fn origin_update() -> OriginUpdate {
     OriginUpdate {
-        mark: origin_version(5),
-        whole: true,
+        version: origin_version(5),
+        complete: true,
         hosts: vec![HostRecord {
             id: "i-8".into(),
             service: "chat".into(),
@@ -117,24 +117,24 @@
             zone: "c".into(),
             capacity: 16,
             phase: 2,
-            silent: true,
+            heartbeat_expired: true,
             call_seq: 99,
-            cold_left_ms: 4500,
+            slow_start_remaining_ms: 4500,
         }],
         coordinators: vec![CoordinatorRecord {
             name: "edge-2".into(),
             zone: "d".into(),
             region: "west".into(),
-            addr: addr(71, 7662),
+            hints_addr: addr(71, 7662),
             gone: true,
-            version: 13,
+            configuration_version: 13,
         }],
     }
 }
 
 fn control_plane() -> ControlPlaneInfo {
     ControlPlaneInfo {
-        mark: 0x0007_0001,
+        version: 0x0007_0001,
         epoch: 7,
         primary: 3,
         members: vec![member(3), member(5)],
@@ -384,12 +384,12 @@
         (
             "Pull",
             Message::Pull {
-                caller: subscriber(),
+                subscriber: subscriber(),
                 wait_ms: 1000,
-                ledger: 62,
-                version: 63,
-                fleet: 64,
-                sources: vec![origin_version(5), origin_version(6)],
+                index: 62,
+                configuration_version: 63,
+                control_plane_version: 64,
+                origins: vec![origin_version(5), origin_version(6)],
             },
         ),
         (
@@ -398,10 +398,10 @@
                 member: 65,
                 age_ms: 66,
                 held_ms: 67,
-                config: Some(configuration_update()),
-                sources: vec![origin_update()],
-                retired: vec![68, 69],
-                fleet: Some(control_plane()),
+                configuration: Some(configuration_update()),
+                origins: vec![origin_update()],
+                removed_origins: vec![68, 69],
+                control_plane: Some(control_plane()),
             },
         ),
     ]
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -76,7 +76,7 @@
             client.act(actions);
         }
         let (mirror_next, learnt, coordinators, taken) = shared.update(|mirror, _| {
-            let learnt = (mirror.fleet().mark != fleet).then(|| mirror.fleet().clone());
+            let learnt = (mirror.fleet().version != fleet).then(|| mirror.fleet().clone());
             (
                 mirror.next_tick(),
                 learnt,
@@ -86,7 +86,7 @@
         });
         puller.set_coordinators(coordinators);
         if let Some(learnt) = learnt {
-            fleet = learnt.mark;
+            fleet = learnt.version;
             puller.set_members(learnt.members.iter().map(|s| s.addr));
         }
         client.act(puller.tick(shared.now()));
@@ -107,7 +107,7 @@
             }
             told = control.recv() => match told {
                 Some(Control::Seeds(seeds)) => puller.set_seeds(&seeds),
-                Some(Control::Version(version)) => client.caller.version = version,
+                Some(Control::Version(version)) => client.caller.configuration_version = version,
                 None => return,
             },
             Some(_) = client.tasks.join_next() => {}
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -83,9 +83,9 @@
         name: boot.node_name.clone(),
         zone: boot.zone.clone(),
         region: boot.region.clone(),
-        addr: hints_addr(boot),
-        member,
-        version: 0,
+        hints_addr: hints_addr(boot),
+        member_id: member,
+        configuration_version: 0,
     }
 }
 
--- a/crates/replication/src/mirror/hosts.rs
+++ b/crates/replication/src/mirror/hosts.rs
@@ -42,8 +42,9 @@
         let phase = furthest.entry(&record.id).or_default();
         *phase = (*phase).max(record.phase);
         match hosts.get(&record.id) {
-            Some(known) if (known.call_seq, !known.silent) >= (record.call_seq, !record.silent) => {
-            }
+            Some(known)
+                if (known.call_seq, !known.heartbeat_expired)
+                    >= (record.call_seq, !record.heartbeat_expired) => {}
             _ => {
                 hosts.insert(record.id.clone(), record.clone());
             }
@@ -65,7 +66,7 @@
     let rank = |r: &HostRecord| {
         (
             r.phase < phase::GONE,
-            !r.silent,
+            !r.heartbeat_expired,
             arrivals.of(&r.id),
             r.id.clone(),
         )
--- a/crates/replication/src/mirror/ledger.rs
+++ b/crates/replication/src/mirror/ledger.rs
@@ -128,28 +128,28 @@
 
     /// Takes news of it, where they are newer and add to what is here.
     pub(super) fn apply(&mut self, news: &ConfigurationUpdate) -> Applied {
-        if news.seq <= self.seq || news.to < self.document.version {
+        if news.index <= self.seq || news.version < self.document.version {
             return Applied::Known;
         }
         let Some(drains) = self.drains_after(news) else {
             return Applied::Missing;
         };
-        let document = if news.to == self.document.version {
+        let document = if news.version == self.document.version {
             Some(self.document.clone())
         } else {
             let whole = Configuration::default();
-            let base = if news.from == 0 {
+            let base = if news.base_version == 0 {
                 &whole
             } else {
                 &*self.document
             };
-            if news.from != base.version {
+            if news.base_version != base.version {
                 return Applied::Missing;
             }
             base.patched(&delta(news)).ok().map(Arc::new)
         };
         if let Some(document) = document {
-            if self.set(news.seq, document, drains) {
+            if self.set(news.index, document, drains) {
                 Applied::Taken
             } else {
                 Applied::Missing
@@ -162,13 +162,13 @@
 
     /// The drains that news lead to; none where they add to others than those here.
     fn drains_after(&self, news: &ConfigurationUpdate) -> Option<BTreeSet<String>> {
-        let mut drains: BTreeSet<String> = match news.drains_from {
+        let mut drains: BTreeSet<String> = match news.drains_base_index {
             0 => BTreeSet::new(),
             from if from == self.seq => (*self.drains).clone(),
             _ => return None,
         };
         drains.extend(news.drains.iter().cloned());
-        for gone in &news.gone_drains {
+        for gone in &news.removed_drains {
             drains.remove(gone);
         }
         Some(drains)
@@ -210,29 +210,29 @@
             .unwrap_or(&none);
         let delta = base.delta(newest);
         ConfigurationUpdate {
-            seq: self.seq,
-            from: delta.from,
-            to: delta.to,
+            index: self.seq,
+            base_version: delta.from,
+            version: delta.to,
             routes: delta.routes,
             services: delta.services,
-            gone_routes: delta.gone_routes,
-            gone_services: delta.gone_services,
+            removed_routes: delta.gone_routes,
+            removed_services: delta.gone_services,
             limits: delta.limits.into_iter().collect(),
-            drains_from,
+            drains_base_index: drains_from,
             drains,
-            gone_drains,
+            removed_drains: gone_drains,
         }
     }
 }
 
 fn delta(news: &ConfigurationUpdate) -> ConfigurationDelta {
     ConfigurationDelta {
-        from: news.from,
-        to: news.to,
+        from: news.base_version,
+        to: news.version,
         routes: news.routes.clone(),
         services: news.services.clone(),
-        gone_routes: news.gone_routes.clone(),
-        gone_services: news.gone_services.clone(),
+        gone_routes: news.removed_routes.clone(),
+        gone_services: news.removed_services.clone(),
         limits: news.limits.first().cloned(),
     }
 }
--- a/crates/replication/src/mirror/mod.rs
+++ b/crates/replication/src/mirror/mod.rs
@@ -181,18 +181,18 @@
         members: Vec<protocol::MemberInfo>,
     ) -> bool {
         let base = epoch.saturating_mul(1 << MARK_BITS).max(1);
-        let mark = if base > self.fleet.mark {
+        let mark = if base > self.fleet.version {
             base
         } else if epoch == self.fleet.epoch
             && primary == self.member
             && self.fleet.members != members
         {
-            self.fleet.mark + 1
+            self.fleet.version + 1
         } else {
             return false;
         };
         self.fleet = ControlPlaneInfo {
-            mark,
+            version: mark,
             epoch,
             primary,
             members,
@@ -210,7 +210,7 @@
     pub fn apply(&mut self, now: Duration, news: &Update) -> bool {
         let before = self.generation;
         let mut whole = true;
-        if let Some(config) = &news.config {
+        if let Some(config) = &news.configuration {
             let applied = self.ledger.apply(config);
             whole = applied != Applied::Missing;
             let taken = self.changed(applied == Applied::Taken);
@@ -218,14 +218,18 @@
                 self.withheld.begin(now);
             }
         }
-        for id in &news.retired {
+        for id in &news.removed_origins {
             self.retire(now, *id);
         }
-        for source in &news.sources {
+        for source in &news.origins {
             let newer = self.sources.apply(now, source);
             self.changed(newer);
         }
-        if let Some(fleet) = news.fleet.as_ref().filter(|f| f.mark > self.fleet.mark) {
+        if let Some(fleet) = news
+            .control_plane
+            .as_ref()
+            .filter(|f| f.version > self.fleet.version)
+        {
             self.fleet = fleet.clone();
             self.changed(true);
         }
@@ -295,12 +299,12 @@
         // That what is withheld is the current one is no news: it has to be asked for.
         let wait_ms = if self.withheld.holds() { 0 } else { wait_ms };
         Pull {
-            caller: caller.clone(),
+            subscriber: caller.clone(),
             wait_ms,
-            ledger: self.ledger.seq,
-            version: self.ledger.asked_version(),
-            fleet: self.fleet.mark,
-            sources: self.vector(),
+            index: self.ledger.seq,
+            configuration_version: self.ledger.asked_version(),
+            control_plane_version: self.fleet.version,
+            origins: self.vector(),
         }
     }
 
@@ -316,13 +320,13 @@
     /// Exactly what the puller lacks; `None` where that is nothing.
     pub fn news_for(&self, now: Duration, pull: &Pull) -> Option<Update> {
         let mut news = self.no_news(now);
-        if self.ledger.seq > pull.ledger && !self.withheld.holds() {
-            news.config = Some(self.ledger.news(pull.version, pull.ledger));
+        if self.ledger.seq > pull.index && !self.withheld.holds() {
+            news.configuration = Some(self.ledger.news(pull.configuration_version, pull.index));
         }
-        if self.fleet.mark > pull.fleet {
-            news.fleet = Some(self.fleet.clone());
+        if self.fleet.version > pull.control_plane_version {
+            news.control_plane = Some(self.fleet.clone());
         }
-        (news.sources, news.retired) = self.sources.news(&pull.sources);
+        (news.origins, news.removed_origins) = self.sources.news(&pull.origins);
         (!news.is_empty()).then_some(news)
     }
 
@@ -361,8 +365,8 @@
             hosts,
             hints: pulling
                 .iter()
-                .filter(|r| r.addr.port > 0)
-                .map(|r| (r.name.clone(), r.addr))
+                .filter(|r| r.hints_addr.port > 0)
+                .map(|r| (r.name.clone(), r.hints_addr))
                 .collect(),
             coordinators: pulling.iter().map(|r| r.name.clone()).collect(),
             drains,
--- a/crates/replication/src/mirror/sources.rs
+++ b/crates/replication/src/mirror/sources.rs
@@ -101,26 +101,37 @@
 
     /// Takes a source's news. True where they were newer.
     pub(super) fn apply(&mut self, now: Duration, news: &OriginUpdate) -> bool {
-        let OriginVersion { id, life, seq } = news.mark;
-        if self.buried.get(&id).is_some_and(|upto| life <= *upto) {
+        let OriginVersion {
+            member_id,
+            incarnation,
+            sequence,
+        } = news.version;
+        if self
+            .buried
+            .get(&member_id)
+            .is_some_and(|upto| incarnation <= *upto)
+        {
             return false;
         }
-        match self.lives.get(&(id, life)) {
-            Some(known) if seq <= known.seq => return false,
-            None if !news.whole => return false,
+        match self.lives.get(&(member_id, incarnation)) {
+            Some(known) if sequence <= known.seq => return false,
+            None if !news.complete => return false,
             _ => {}
         }
-        let newest = self.newest_life(id);
-        for (_, older) in self.lives.range_mut((id, 0)..(id, life)) {
+        let newest = self.newest_life(member_id);
+        for (_, older) in self
+            .lives
+            .range_mut((member_id, 0)..(member_id, incarnation))
+        {
             older.closing.get_or_insert(now);
         }
-        let source = self.lives.entry((id, life)).or_default();
+        let source = self.lives.entry((member_id, incarnation)).or_default();
         // Who still makes changes isn't gone for good.
         source.closing = newest
-            .filter(|n| *n > life)
+            .filter(|n| *n > incarnation)
             .and(source.closing.or(Some(now)));
         if source.closing.is_none() {
-            self.retired.remove(&id);
+            self.retired.remove(&member_id);
         }
         source.take(now, news, &mut self.arrivals);
         true
@@ -144,12 +155,13 @@
     /// hear of them. What they had to say isn't known. True where there were some.
     pub(super) fn hear_of_lives(&mut self, vector: &[OriginVersion]) -> bool {
         let mut heard = false;
-        for mark in vector.iter().filter(|mark| mark.seq != u64::MAX) {
+        for mark in vector.iter().filter(|mark| mark.sequence != u64::MAX) {
             if self
-                .newest_life(mark.id)
-                .is_some_and(|newest| newest < mark.life)
+                .newest_life(mark.member_id)
+                .is_some_and(|newest| newest < mark.incarnation)
             {
-                self.lives.insert((mark.id, mark.life), Source::default());
+                self.lives
+                    .insert((mark.member_id, mark.incarnation), Source::default());
                 heard = true;
             }
         }
@@ -241,23 +253,23 @@
     /// How far each is known, for a pull.
     pub(super) fn vector(&self) -> Vec<OriginVersion> {
         let live = self.lives.iter().map(|((id, life), s)| OriginVersion {
-            id: *id,
-            life: *life,
-            seq: s.seq,
+            member_id: *id,
+            incarnation: *life,
+            sequence: s.seq,
         });
         let ended = self.buried.iter().map(|(id, life)| OriginVersion {
-            id: *id,
-            life: *life,
-            seq: u64::MAX,
+            member_id: *id,
+            incarnation: *life,
+            sequence: u64::MAX,
         });
         let told = self
             .retired
             .iter()
             .filter(|(id, life)| self.buried.get(id) != Some(*life));
         let retired = told.map(|(id, life)| OriginVersion {
-            id: *id,
-            life: *life,
-            seq: u64::MAX,
+            member_id: *id,
+            incarnation: *life,
+            sequence: u64::MAX,
         });
         live.chain(ended).chain(retired).collect()
     }
@@ -268,11 +280,11 @@
         let mut has: HashMap<(u64, u64), u64> = HashMap::new();
         let mut done: HashMap<u64, u64> = HashMap::new();
         for mark in vector {
-            if mark.seq == u64::MAX {
-                let upto = done.entry(mark.id).or_default();
-                *upto = (*upto).max(mark.life);
+            if mark.sequence == u64::MAX {
+                let upto = done.entry(mark.member_id).or_default();
+                *upto = (*upto).max(mark.incarnation);
             } else {
-                has.insert((mark.id, mark.life), mark.seq);
+                has.insert((mark.member_id, mark.incarnation), mark.sequence);
             }
         }
         let mut news = Vec::new();
@@ -285,9 +297,9 @@
             }
             news.push(source.news(
                 OriginVersion {
-                    id,
-                    life,
-                    seq: source.seq,
+                    member_id: id,
+                    incarnation: life,
+                    sequence: source.seq,
                 },
                 known,
             ));
@@ -312,8 +324,8 @@
 impl Source {
     /// Takes news that are newer.
     fn take(&mut self, now: Duration, news: &OriginUpdate, arrivals: &mut Arrivals) {
-        let seq = news.mark.seq;
-        if news.whole {
+        let seq = news.version.sequence;
+        if news.complete {
             self.drop_what_is_left_out(news);
         }
         self.seq = seq;
@@ -361,7 +373,7 @@
         self.coordinators
             .retain(|name, _| names.contains(name.as_str()));
         if count != self.hosts.len() + self.coordinators.len() {
-            self.floor = news.mark.seq;
+            self.floor = news.version.sequence;
         }
     }
 
@@ -401,8 +413,8 @@
             .values()
             .filter(|k| whole || k.seq > since);
         OriginUpdate {
-            mark,
-            whole,
+            version: mark,
+            complete: whole,
             hosts: hosts.collect(),
             coordinators: coordinators.map(|k| k.record.clone()).collect(),
         }
--- a/crates/replication/src/news.rs
+++ b/crates/replication/src/news.rs
@@ -9,37 +9,37 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pull {
     /// Who pulls.
-    pub caller: Subscriber,
+    pub subscriber: Subscriber,
     /// How long the answer may wait for news, in ms.
     pub wait_ms: u32,
     /// Number of the ledger's last change that the speaker has.
-    pub ledger: u64,
+    pub index: u64,
     /// Version of the configuration that it has.
-    pub version: u64,
+    pub configuration_version: u64,
     /// Mark of the fleet that it has.
-    pub fleet: u64,
+    pub control_plane_version: u64,
     /// What it has of each source. A number of `u64::MAX` says that it wants nothing more of this life.
-    pub sources: Vec<OriginVersion>,
+    pub origins: Vec<OriginVersion>,
 }
 
 impl Pull {
     /// As a message.
     pub fn into_message(self) -> Message {
         let Self {
-            caller,
+            subscriber,
             wait_ms,
-            ledger,
-            version,
-            fleet,
-            sources,
+            index,
+            configuration_version,
+            control_plane_version,
+            origins,
         } = self;
         Message::Pull {
-            caller,
+            subscriber,
             wait_ms,
-            ledger,
-            version,
-            fleet,
-            sources,
+            index,
+            configuration_version,
+            control_plane_version,
+            origins,
         }
     }
 
@@ -50,19 +50,19 @@
     pub fn from_message(message: Message) -> Result<Self, Box<Message>> {
         match message {
             Message::Pull {
-                caller,
+                subscriber,
                 wait_ms,
-                ledger,
-                version,
-                fleet,
-                sources,
+                index,
+                configuration_version,
+                control_plane_version,
+                origins,
             } => Ok(Self {
-                caller,
+                subscriber,
                 wait_ms,
-                ledger,
-                version,
-                fleet,
-                sources,
+                index,
+                configuration_version,
+                control_plane_version,
+                origins,
             }),
             other => Err(Box::new(other)),
         }
@@ -84,22 +84,22 @@
     /// How long the speaker had the pull before it answered, in ms.
     pub held_ms: u32,
     /// Configuration and drains.
-    pub config: Option<ConfigurationUpdate>,
+    pub configuration: Option<ConfigurationUpdate>,
     /// Hosts and coordinators.
-    pub sources: Vec<OriginUpdate>,
+    pub origins: Vec<OriginUpdate>,
     /// Sources that are no more.
-    pub retired: Vec<u64>,
+    pub removed_origins: Vec<u64>,
     /// The control plane.
-    pub fleet: Option<ControlPlaneInfo>,
+    pub control_plane: Option<ControlPlaneInfo>,
 }
 
 impl Update {
     /// Whether it says nothing but its age.
     pub fn is_empty(&self) -> bool {
-        self.config.is_none()
-            && self.sources.is_empty()
-            && self.retired.is_empty()
-            && self.fleet.is_none()
+        self.configuration.is_none()
+            && self.origins.is_empty()
+            && self.removed_origins.is_empty()
+            && self.control_plane.is_none()
     }
 
     /// Counts the age from `asked`, when the pull left, to `now`: however long the answer lay in a buffer, of this
@@ -121,19 +121,19 @@
             member,
             age_ms,
             held_ms,
-            config,
-            sources,
-            retired,
-            fleet,
+            configuration,
+            origins,
+            removed_origins,
+            control_plane,
         } = self;
         Message::Update {
             member,
             age_ms,
             held_ms,
-            config,
-            sources,
-            retired,
-            fleet,
+            configuration,
+            origins,
+            removed_origins,
+            control_plane,
         }
     }
 
@@ -147,18 +147,18 @@
                 member,
                 age_ms,
                 held_ms,
-                config,
-                sources,
-                retired,
-                fleet,
+                configuration,
+                origins,
+                removed_origins,
+                control_plane,
             } => Ok(Self {
                 member,
                 age_ms,
                 held_ms,
-                config,
-                sources,
-                retired,
-                fleet,
+                configuration,
+                origins,
+                removed_origins,
+                control_plane,
             }),
             other => Err(Box::new(other)),
         }
--- a/crates/replication/src/serve.rs
+++ b/crates/replication/src/serve.rs
@@ -21,7 +21,7 @@
 pub async fn answer(shared: &SharedMirror, pull: &Pull) -> Update {
     let mut changes = shared.changes();
     let since = shared.now();
-    shared.update(|mirror, _| mirror.hear_of_lives(&pull.sources));
+    shared.update(|mirror, _| mirror.hear_of_lives(&pull.origins));
     let until = shared.at(since) + Duration::from_millis(pull.wait_ms.into()).min(LONGEST_WAIT);
     // Of the same moment as the age: a standstill makes both greater.
     let held = |now: Duration, news: Update| {
@@ -66,7 +66,7 @@
         let Ok(pull) = Pull::from_message(message) else {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "no pull"));
         };
-        on_caller(&pull.caller);
+        on_caller(&pull.subscriber);
         let frame = encode(&answer(&shared, &pull).await.into_message());
         timeout(SEND, write.write_all(&frame)).await??;
     }
--- a/crates/replication/tests/mirror.rs
+++ b/crates/replication/tests/mirror.rs
@@ -64,8 +64,12 @@
 
 fn source(id: u64, life: u64, seq: u64, whole: bool, hosts: Vec<HostRecord>) -> OriginUpdate {
     OriginUpdate {
-        mark: OriginVersion { id, life, seq },
-        whole,
+        version: OriginVersion {
+            member_id: id,
+            incarnation: life,
+            sequence: seq,
+        },
+        complete: whole,
         hosts,
         coordinators: vec![],
     }
@@ -73,7 +77,7 @@
 
 fn news(sources: Vec<OriginUpdate>) -> Update {
     Update {
-        sources,
+        origins: sources,
         ..Update::default()
     }
 }
@@ -111,8 +115,12 @@
         )]),
     );
     let first = follow(&mut agent, &member, ms(0)).unwrap();
-    assert_eq!(first.config.as_ref().unwrap().from, 0, "a snapshot first");
-    assert!(first.sources[0].whole);
+    assert_eq!(
+        first.configuration.as_ref().unwrap().base_version,
+        0,
+        "a snapshot first"
+    );
+    assert!(first.origins[0].complete);
     assert_eq!(follow(&mut agent, &member, ms(0)), None);
 
     member.apply(
@@ -120,14 +128,17 @@
         &news(vec![source(1, 1, 4, false, vec![host("b", 9)])]),
     );
     let change = follow(&mut agent, &member, ms(1)).unwrap();
-    assert_eq!(change.config, None);
-    assert_eq!(change.sources, [source(1, 1, 4, false, vec![host("b", 9)])]);
+    assert_eq!(change.configuration, None);
+    assert_eq!(change.origins, [source(1, 1, 4, false, vec![host("b", 9)])]);
 
     member.set_ledger(2, document(5), &[]);
-    let change = follow(&mut agent, &member, ms(2)).unwrap().config.unwrap();
-    assert_eq!((change.from, change.to), (2, 5));
+    let change = follow(&mut agent, &member, ms(2))
+        .unwrap()
+        .configuration
+        .unwrap();
+    assert_eq!((change.base_version, change.version), (2, 5));
     assert_eq!(
-        (change.routes.len(), change.gone_routes.as_slice()),
+        (change.routes.len(), change.removed_routes.as_slice()),
         (2, &["v2".to_owned()][..]),
         "the same stays"
     );
@@ -146,8 +157,14 @@
     member.set_ledger(1, document(2), &[]);
     follow(&mut agent, &member, ms(0));
     member.set_ledger(2, document(2), &["i".to_owned()]);
-    let config = follow(&mut agent, &member, ms(0)).unwrap().config.unwrap();
-    assert_eq!((config.from, config.to, config.routes.len()), (2, 2, 0));
+    let config = follow(&mut agent, &member, ms(0))
+        .unwrap()
+        .configuration
+        .unwrap();
+    assert_eq!(
+        (config.base_version, config.version, config.routes.len()),
+        (2, 2, 0)
+    );
     assert!(agent.view().drains.contains("i"));
 }
 
@@ -159,24 +176,33 @@
 fn of_drains_only_what_changed_is_told() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_ledger(1, document(2), &names(&["a", "b", "c"]));
-    let config = follow(&mut agent, &member, ms(0)).unwrap().config.unwrap();
+    let config = follow(&mut agent, &member, ms(0))
+        .unwrap()
+        .configuration
+        .unwrap();
     assert_eq!(
-        (config.drains_from, config.drains),
+        (config.drains_base_index, config.drains),
         (0, names(&["a", "b", "c"]))
     );
     member.set_ledger(2, document(2), &names(&["a", "b", "c", "d"]));
     member.set_ledger(3, document(2), &names(&["b", "c", "d", "e"]));
-    let config = follow(&mut agent, &member, ms(0)).unwrap().config.unwrap();
-    assert_eq!(config.drains_from, 1);
+    let config = follow(&mut agent, &member, ms(0))
+        .unwrap()
+        .configuration
+        .unwrap();
+    assert_eq!(config.drains_base_index, 1);
     assert_eq!(
-        (config.drains, config.gone_drains),
+        (config.drains, config.removed_drains),
         (names(&["d", "e"]), names(&["a"]))
     );
     assert_eq!(agent.view().drains, member.view().drains);
     member.set_ledger(4, document(5), &names(&["b", "c", "d", "e"]));
-    let config = follow(&mut agent, &member, ms(0)).unwrap().config.unwrap();
+    let config = follow(&mut agent, &member, ms(0))
+        .unwrap()
+        .configuration
+        .unwrap();
     assert_eq!(
-        (config.drains, config.gone_drains),
+        (config.drains, config.removed_drains),
         (names(&[]), names(&[])),
         "a configuration alone"
     );
@@ -192,9 +218,12 @@
     follow(&mut agent, &far, ms(0));
     far.set_ledger(3, document(2), &names(&["c"]));
     follow(&mut near, &far, ms(0));
-    let config = follow(&mut agent, &near, ms(0)).unwrap().config.unwrap();
+    let config = follow(&mut agent, &near, ms(0))
+        .unwrap()
+        .configuration
+        .unwrap();
     assert_eq!(
-        config.drains_from, 0,
+        config.drains_base_index, 0,
         "that b came and went isn't known there"
     );
     assert_eq!(agent.view().drains, far.view().drains);
@@ -211,7 +240,7 @@
     // The answer to the earlier pull comes late.
     member.set_ledger(3, document(2), &names(&["b", "c"]));
     let late = member.news_for(ms(0), &asked).unwrap();
-    assert_eq!(late.config.as_ref().unwrap().drains_from, 1);
+    assert_eq!(late.configuration.as_ref().unwrap().drains_base_index, 1);
     assert!(!agent.apply(ms(0), &late));
     assert_eq!(agent.ledger(), 2);
     follow(&mut agent, &member, ms(0));
@@ -226,8 +255,14 @@
     for seq in 2..1000 {
         member.set_ledger(seq, document(2), &[format!("i-{seq}")]);
     }
-    let config = follow(&mut agent, &member, ms(0)).unwrap().config.unwrap();
-    assert_eq!((config.drains_from, config.drains), (0, names(&["i-999"])));
+    let config = follow(&mut agent, &member, ms(0))
+        .unwrap()
+        .configuration
+        .unwrap();
+    assert_eq!(
+        (config.drains_base_index, config.drains),
+        (0, names(&["i-999"]))
+    );
     assert_eq!(agent.view().drains, member.view().drains);
 }
 
@@ -269,7 +304,7 @@
     member.set_ledger(2, document(3), &[]);
     member.set_ledger(3, document(6), &[]);
     let late = member.news_for(ms(0), &stale).unwrap();
-    assert_eq!(late.config.as_ref().unwrap().from, 2);
+    assert_eq!(late.configuration.as_ref().unwrap().base_version, 2);
     assert!(!agent.apply(ms(0), &late));
     assert_eq!(agent.document().version, 3);
     follow(&mut agent, &member, ms(0));
@@ -283,18 +318,21 @@
     follow(&mut agent, &member, ms(0));
     member.set_ledger(2, document(3), &[]);
     let mut bad = member.news_for(ms(0), &pull(&agent)).unwrap();
-    bad.config.as_mut().unwrap().routes[0] = "{".into();
+    bad.configuration.as_mut().unwrap().routes[0] = "{".into();
     assert!(!agent.apply(ms(0), &bad));
-    assert_eq!(pull(&agent).version, 0);
+    assert_eq!(pull(&agent).configuration_version, 0);
     assert_eq!(
         follow(&mut agent, &member, ms(0))
             .unwrap()
-            .config
+            .configuration
             .unwrap()
-            .from,
+            .base_version,
         0
     );
-    assert_eq!((agent.document().version, pull(&agent).version), (3, 3));
+    assert_eq!(
+        (agent.document().version, pull(&agent).configuration_version),
+        (3, 3)
+    );
 }
 
 #[test]
@@ -307,14 +345,14 @@
         member.news_for(
             ms(0),
             &Pull {
-                ledger: version,
-                version,
+                index: version,
+                configuration_version: version,
                 ..Pull::default()
             },
         )
     };
-    assert_eq!(config(5).unwrap().config.unwrap().from, 0);
-    assert_eq!(config(20).unwrap().config.unwrap().from, 20);
+    assert_eq!(config(5).unwrap().configuration.unwrap().base_version, 0);
+    assert_eq!(config(20).unwrap().configuration.unwrap().base_version, 20);
     assert_eq!(config(40), None);
 }
 
@@ -418,7 +456,7 @@
     follow(&mut agent, &member, ms(0));
     member.retire(ms(1000), 1);
     let told = follow(&mut agent, &member, ms(1500)).unwrap();
-    assert_eq!(told.retired, [1]);
+    assert_eq!(told.removed_origins, [1]);
     assert_eq!(follow(&mut agent, &member, ms(1500)), None, "once");
     assert_eq!(agent.view().hosts.len(), 1);
     assert!(agent.tick(ms(5500)));
@@ -460,7 +498,7 @@
     let mut agent = mirror(0);
     let with = |id: &str, call_seq, phase, silent| HostRecord {
         phase,
-        silent,
+        heartbeat_expired: silent,
         ..host(id, call_seq)
     };
     let first = vec![
@@ -486,7 +524,7 @@
     agent.set_ledger(1, document(1), &["moved".to_owned()]);
     let hosts = agent.view().hosts;
     assert_eq!(
-        (hosts["moved"].call_seq, hosts["moved"].silent),
+        (hosts["moved"].call_seq, hosts["moved"].heartbeat_expired),
         (8, false),
         "the highest call counts"
     );
@@ -549,7 +587,7 @@
     );
     assert_eq!(follow(&mut agent, &member, ms(60_500)), None);
     // Who lacks the change that is forgotten is told all.
-    assert!(member.news_for(ms(60_500), &late).unwrap().sources[0].whole);
+    assert!(member.news_for(ms(60_500), &late).unwrap().origins[0].complete);
 }
 
 #[test]
@@ -630,8 +668,8 @@
         .news_for(
             ms(1000),
             &Pull {
-                ledger: 1,
-                version: 1,
+                index: 1,
+                configuration_version: 1,
                 ..Pull::default()
             },
         )
@@ -735,7 +773,7 @@
         let mut agent = mirror(0).at_the_end();
         agent.set_ledger(behind, versions[behind as usize - 1].clone(), &[]);
         let news = member.news_for(ms(0), &pull(&agent)).unwrap();
-        let from = news.config.as_ref().unwrap().from;
+        let from = news.configuration.as_ref().unwrap().base_version;
         if known.contains(&behind) {
             assert_eq!(from, behind);
         } else if all_differ {
--- a/crates/replication/tests/serve.rs
+++ b/crates/replication/tests/serve.rs
@@ -14,7 +14,7 @@
 
 fn pull(name: &str, wait_ms: u32) -> Pull {
     Pull {
-        caller: Subscriber {
+        subscriber: Subscriber {
             name: name.into(),
             ..Subscriber::default()
         },
@@ -30,19 +30,19 @@
         ..HostRecord::default()
     };
     let mark = OriginVersion {
-        id: 7,
-        life: 1,
-        seq: 1,
+        member_id: 7,
+        incarnation: 1,
+        sequence: 1,
     };
     let source = OriginUpdate {
-        mark,
-        whole: true,
+        version: mark,
+        complete: true,
         hosts: vec![host],
         coordinators: vec![],
     };
     Update {
         age_ms: 5,
-        sources: vec![source],
+        origins: vec![source],
         ..Update::default()
     }
 }
@@ -85,7 +85,7 @@
     shared.update(|m, now| m.apply(now, &one_host()));
     let news = Update::from_message(frames.next().await.unwrap().unwrap()).unwrap();
     assert_eq!(
-        (news.sources.len(), news.age_ms, asked.elapsed()),
+        (news.origins.len(), news.age_ms, asked.elapsed()),
         (1, 5, Duration::from_millis(300)),
         "at once"
     );
--- a/crates/replication/tests/stale.rs
+++ b/crates/replication/tests/stale.rs
@@ -49,8 +49,8 @@
     let pull = Mirror::new(0, BEAT).pull(&Subscriber::default(), 0);
     mirror
         .news_for(now, &pull)
-        .and_then(|news| news.config)
-        .map(|config| config.to)
+        .and_then(|news| news.configuration)
+        .map(|config| config.version)
 }
 
 #[rstest]
--- a/crates/simulator/src/world/readers.rs
+++ b/crates/simulator/src/world/readers.rs
@@ -288,7 +288,7 @@
             return;
         };
         if station.mirror.generation() != before {
-            let mark = station.mirror.fleet().mark;
+            let mark = station.mirror.fleet().version;
             if mark != station.fleet {
                 station.fleet = mark;
                 let members: Vec<Addr> = station
