--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,28 +1,28 @@
-//! The control plane: who acts ([`member`]), what lasts ([`ledger`]): state machines without I/O or clock. The
+//! The control plane: who acts ([`member`]), what lasts ([`replicated_state`]): state machines without I/O or clock. The
 //! runtime round them ([`runtime`]) is thin. `docs/design/system.md` tells how they work together.
 //!
 //! A member alone, as the first of its system: told its time, it asks for what it promises to be put on disk, and acts
 //! once that is there.
 //!
 //! ```
-//! use control_plane::member::{Config, Input, Member, Output};
+//! use control_plane::member::{MemberConfig, Input, Member, Output};
 //! use protocol::MemberInfo;
 //! use std::time::Duration;
 //!
 //! let me = MemberInfo { id: 7, name: "core-1".into(), ..MemberInfo::default() };
-//! let config = Config {
-//!     me: me.clone(),
+//! let config = MemberConfig {
+//!     local_member: me.clone(),
 //!     bootstrap_voters: Some(vec![me]),
-//!     budget: configuration::FaultBudget::default(),
-//!     lease: Duration::from_millis(1000),
-//!     patience: Duration::from_millis(3500),
-//!     stall: Duration::from_millis(600),
+//!     fault_budget: configuration::FaultBudget::default(),
+//!     lease_duration: Duration::from_millis(1000),
+//!     request_timeout: Duration::from_millis(3500),
+//!     disk_stall_timeout: Duration::from_millis(600),
 //! };
 //! let mut now = Duration::ZERO;
 //! let mut member = Member::new(config, &[], now, 1);
 //! let mut disk: Vec<Vec<u8>> = Vec::new();
 //! let mut inputs = vec![Input::Tick];
-//! while !member.acts() {
+//! while !member.is_acting_primary() {
 //!     let input = inputs.pop().unwrap_or(Input::Tick);
 //!     let mut outputs = Vec::new();
 //!     member.step(now, input, &mut outputs);
@@ -30,7 +30,7 @@
 //!         match output {
 //!             Output::Write { ticket, records, .. } => {
 //!                 disk.extend(records);
-//!                 inputs.push(Input::Wrote { ticket, result: Ok(()) });
+//!                 inputs.push(Input::WriteCompleted { ticket, result: Ok(()) });
 //!             }
 //!             Output::Wake { at } => now = now.max(at),
 //!             _ => {}
@@ -39,18 +39,18 @@
 //!     assert!(now < Duration::from_secs(60), "it stands before long");
 //! }
 //! assert!(!disk.is_empty(), "nothing is promised that isn't on disk");
-//! assert_eq!(member.view().unwrap().primary, 7);
+//! assert_eq!(member.membership().unwrap().primary, 7);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod accepted;
+pub mod applied_requests;
 pub mod configuration_history;
 mod content;
 pub mod host_registry;
 pub mod incarnation;
-pub mod ledger;
 pub mod member;
 pub mod recovery;
 pub mod registry_publisher;
+pub mod replicated_state;
 pub mod runtime;
--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -2,7 +2,7 @@
 
 use super::acknowledged::ledger_bytes;
 use super::{DiskError, DiskState, Member, Output, ReplicaLog, Role};
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use protocol::{MemberInfo, MembershipConfig, Message, Record};
 use std::time::Duration;
 
@@ -100,7 +100,7 @@
     }
 
     pub(super) fn fit(&self, now: Duration, stall: Duration) -> bool {
-        self.state(now, stall) == DiskState::Fit
+        self.state(now, stall) == DiskState::Healthy
     }
 
     pub(super) fn state(&self, now: Duration, stall: Duration) -> DiskState {
@@ -108,7 +108,7 @@
         match self.refused {
             Some(_) => DiskState::Refused,
             None if stalled => DiskState::Stalled,
-            None => DiskState::Fit,
+            None => DiskState::Healthy,
         }
     }
 
@@ -197,7 +197,7 @@
         let Some(held) = self.held.as_ref().map(|h| &h.disk) else {
             return REWRITE_GROWTH * known;
         };
-        match self.acknowledged.changes_up_to(held.seq) {
+        match self.acknowledged.changes_up_to(held.index) {
             Some(changes) => REWRITE_GROWTH * known + 2 * changes.map(Vec::len).sum::<usize>(),
             None => REWRITE_GROWTH * (known + ledger_bytes(held)),
         }
@@ -221,7 +221,9 @@
             })
         };
         let committed = |ledger: &ReplicatedState| {
-            protocol::encode_record(&Record::Committed { index: ledger.seq })
+            protocol::encode_record(&Record::Committed {
+                index: ledger.index,
+            })
         };
         let (known, held) = (
             self.acknowledged.known(),
@@ -229,7 +231,7 @@
         );
         if let Some(((known, _), changes)) = known
             .zip(held)
-            .zip(held.and_then(|held| self.acknowledged.changes_up_to(held.seq)))
+            .zip(held.and_then(|held| self.acknowledged.changes_up_to(held.index)))
         {
             records.extend([accepted(view, Some(known)), committed(known)]);
             records.extend(changes.cloned());
@@ -306,13 +308,13 @@
                 }
             }
             After::Appended { to, epoch, ledger } => {
-                let seq = ledger.seq;
+                let index = ledger.index;
                 self.kept_change(epoch, *ledger, change.unwrap_or_default());
                 self.send(
                     to,
                     Message::AppendReply {
                         epoch,
-                        match_index: seq,
+                        match_index: index,
                         accepted: true,
                         promised_epoch: self.promised,
                     },
@@ -320,9 +322,9 @@
                 );
             }
             After::Own { epoch, ledger } => {
-                let seq = ledger.seq;
+                let index = ledger.index;
                 self.kept_change(epoch, *ledger, change.unwrap_or_default());
-                self.on_appended(self.me(), epoch, seq, true, out);
+                self.on_appended(self.me(), epoch, index, true, out);
             }
             After::Nothing => {}
         }
@@ -352,7 +354,7 @@
                     to,
                     Message::AppendReply {
                         epoch,
-                        match_index: ledger.seq,
+                        match_index: ledger.index,
                         accepted: false,
                         promised_epoch: seen,
                     },
@@ -368,7 +370,7 @@
         let epoch = match &self.role {
             Role::Primary(state) => state.epoch,
             Role::Candidate(candidacy) => candidacy.epoch,
-            Role::Idle => return,
+            Role::Follower => return,
         };
         self.step_down();
         let voters: Vec<u64> = self
@@ -381,6 +383,6 @@
             self.send(voter, Message::ReleaseLease { epoch }, out);
         }
         // The others go first.
-        self.election_at = self.now + 2 * self.config.lease;
+        self.election_at = self.now + 2 * self.config.lease_duration;
     }
 }
--- a/crates/control-plane/src/member/recovery.rs
+++ b/crates/control-plane/src/member/recovery.rs
@@ -7,7 +7,7 @@
 //! A record that can't be read, or a change that doesn't follow what is before it, is never passed over: the member
 //! would count as one with an older ledger, or with fewer promises, than it had.
 
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use protocol::{MembershipConfig, Record, Snapshot};
 use snafu::{ResultExt, Snafu};
 use std::collections::BTreeSet;
@@ -39,7 +39,7 @@
     },
     /// A change doesn't follow the one before.
     #[snafu(display(
-        "record {record}: change {seq} of epoch {epoch} after {held_seq} of {held_epoch}"
+        "record {record}: change {index} of epoch {epoch} after {held_index} of {held_epoch}"
     ))]
     OutOfOrder {
         /// The record's place, from 0.
@@ -47,11 +47,11 @@
         /// The change's epoch.
         epoch: u64,
         /// The change's number.
-        seq: u64,
+        index: u64,
         /// Epoch of the view before it.
         held_epoch: u64,
         /// Number of the change before it.
-        held_seq: u64,
+        held_index: u64,
     },
     /// A change can't be made again.
     #[snafu(display("record {record}: the change can't be made again: {detail}"))]
@@ -178,14 +178,14 @@
                 let Some(held) = &replayed.last else {
                     return NoLedgerSnafu { record }.fail();
                 };
-                let (held_epoch, held_seq) = (replayed.view.epoch, held.seq);
-                if epoch != held_epoch || index != held_seq + 1 {
+                let (held_epoch, held_index) = (replayed.view.epoch, held.index);
+                if epoch != held_epoch || index != held_index + 1 {
                     return OutOfOrderSnafu {
                         record,
                         epoch,
-                        seq: index,
+                        index,
                         held_epoch,
-                        held_seq,
+                        held_index,
                     }
                     .fail();
                 }
@@ -198,7 +198,7 @@
         let said = replayed
             .last
             .as_ref()
-            .filter(|l| segment.acknowledged.contains(&l.seq));
+            .filter(|l| segment.acknowledged.contains(&l.index));
         if let Some(ledger) = said {
             replayed.acknowledged = Some(ledger.clone());
         }
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -2,8 +2,8 @@
 //! anew, so that it goes on as the only voter, as somebody else and in a new generation of epochs
 //! (`docs/operators/losing-a-majority.md`). No I/O.
 
-use crate::ledger::ReplicatedState;
 use crate::member::generation::next_generation;
+use crate::replicated_state::ReplicatedState;
 use crate::runtime::identity::{latest_identity, Identity, IdentityError, LogOwner, StoredLog};
 use protocol::{MemberInfo, MembershipConfig, Record};
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -34,8 +34,8 @@
         source: protocol::DecodeError,
     },
     /// A change doesn't follow the one before.
-    #[snafu(display("record {number}: change {seq} doesn't fit what is before it"))]
-    Gap { number: usize, seq: u64 },
+    #[snafu(display("record {number}: change {index} doesn't fit what is before it"))]
+    Gap { number: usize, index: u64 },
     /// No view was ever accepted.
     #[snafu(display("no view was ever accepted here"))]
     NoView,
@@ -98,18 +98,18 @@
                     snapshot,
                 } => {
                     promised = promised.max(membership.epoch);
-                    let seq = snapshot.as_ref().map_or(0, |s| s.seq);
+                    let index = snapshot.as_ref().map_or(0, |s| s.index);
                     let ledger = snapshot.map(|s| ReplicatedState::of(&s)).transpose();
-                    let ledger = ledger.ok().context(GapSnafu { number, seq })?;
+                    let ledger = ledger.ok().context(GapSnafu { number, index })?;
                     latest = Some((membership, ledger));
                 }
                 Record::Change { index, change, .. } => {
                     let held = latest.as_mut().and_then(|l| l.1.as_mut());
-                    let held = held.context(GapSnafu { number, seq: index })?;
+                    let held = held.context(GapSnafu { number, index })?;
                     let next = Some(&*held)
-                        .filter(|h| h.seq + 1 == index)
+                        .filter(|h| h.index + 1 == index)
                         .and_then(|h| h.after(&change).ok());
-                    *held = next.context(GapSnafu { number, seq: index })?;
+                    *held = next.context(GapSnafu { number, index })?;
                 }
                 Record::Committed { index } => committed = index,
             }
@@ -135,7 +135,7 @@
 
     /// Number of the last change on this disk; all that was acknowledged in this view is among them.
     pub fn last_change(&self) -> u64 {
-        self.ledger.seq
+        self.ledger.index
     }
 
     /// Number of the last change that this disk knows to have been acknowledged.
@@ -145,12 +145,12 @@
 
     /// Version of the configuration that is kept.
     pub fn version(&self) -> u64 {
-        self.ledger.document.version
+        self.ledger.configuration.version
     }
 
     /// All other voters, which are given up.
     pub fn others(&self) -> Vec<&MemberInfo> {
-        let all = self.view.voters.iter().chain(&self.view.before);
+        let all = self.view.voters.iter().chain(&self.view.previous_voters);
         let mut named = BTreeSet::from([self.identity.id]);
         all.filter(|s| named.insert(s.id)).collect()
     }
@@ -183,7 +183,7 @@
         let epoch = next_generation(self.promised) | (1 << OWN_BITS) | own;
         let seat = self
             .view
-            .seat(self.identity.id)
+            .voter(self.identity.id)
             .cloned()
             .unwrap_or_default();
         let voters = vec![MemberInfo { id, ..seat }];
@@ -192,9 +192,9 @@
             primary: id,
             replicas: vec![id],
             voters: voters.clone(),
-            before: voters,
+            previous_voters: voters,
         };
-        let seq = self.ledger.seq;
+        let index = self.ledger.index;
         let snapshot = Some(self.ledger.snapshot());
         let records = [
             Record::Accepted {
@@ -202,7 +202,7 @@
                 snapshot,
             },
             Record::Promised { epoch },
-            Record::Committed { index: seq },
+            Record::Committed { index },
         ];
         let identity = Identity {
             id,
--- a/crates/control-plane/src/runtime/identity.rs
+++ b/crates/control-plane/src/runtime/identity.rs
@@ -146,7 +146,7 @@
     }
 
     fn life_after(&self, before: u64) -> u64 {
-        incarnation::following(before, self.clock_ms, self.random)
+        incarnation::next_incarnation(before, self.clock_ms, self.random)
     }
 
     /// The identity of the life that starts now, given what both files held.
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -2,8 +2,8 @@
 //! its records can't be relied on.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::ledger::{Plan, ReplicatedState, MAX_DOCUMENT_BYTES};
-use control_plane::member::{Config, DiskError, Input, Member, Output, ReplayError};
+use control_plane::member::{DiskError, Input, Member, MemberConfig, Output, ReplayError};
+use control_plane::replicated_state::{Plan, ReplicatedState, MAX_DOCUMENT_BYTES};
 use protocol::{AppliedRequest, Change, Command, MemberInfo, MembershipConfig, Message, Record};
 use rstest::rstest;
 use std::time::Duration;
@@ -52,26 +52,26 @@
     }
 }
 
-fn config(me: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> Config {
-    Config {
-        me: seat(me),
+fn config(me: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> MemberConfig {
+    MemberConfig {
+        local_member: seat(me),
         bootstrap_voters,
-        budget: FaultBudget::default(),
-        lease: LEASE,
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        fault_budget: FaultBudget::default(),
+        lease_duration: LEASE,
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     }
 }
 
 fn view() -> MembershipConfig {
     let voters = vec![seat(PRIMARY), seat(ME)];
-    let before = voters.clone();
+    let previous_voters = voters.clone();
     MembershipConfig {
         epoch: EPOCH,
         primary: PRIMARY,
         replicas: vec![PRIMARY, ME],
         voters,
-        before,
+        previous_voters,
     }
 }
 
@@ -92,7 +92,7 @@
 /// What a new life makes of records: the change it shows as acknowledged, and how far its ledger goes.
 fn state_of(disk: &[Vec<u8>], now: Duration) -> (Option<u64>, Option<(u64, u64)>) {
     let mut again = Machine::start(config(ME, None), disk.to_vec(), now);
-    assert!(again.member.unsound().is_none());
+    assert!(again.member.replay_error().is_none());
     again.step(Input::Tick);
     let shown = restored(&again.take_outputs());
     again.now += 2 * LEASE;
@@ -112,11 +112,11 @@
         } => Some(*log_position),
         _ => None,
     });
-    (shown, tag.expect("it promises").map(|t| (t.epoch, t.seq)))
+    (shown, tag.expect("it promises").map(|t| (t.epoch, t.index)))
 }
 
 impl Machine {
-    fn start(config: Config, disk: Vec<Vec<u8>>, now: Duration) -> Self {
+    fn start(config: MemberConfig, disk: Vec<Vec<u8>>, now: Duration) -> Self {
         let member = Member::new(config, &disk, now, 7);
         let (longest, rewrites, refuses_rewrites, refuses_all, compares) = Default::default();
         let outputs = vec![];
@@ -146,7 +146,7 @@
             for output in out {
                 match output {
                     Output::Write { ticket, .. } if self.refuses_all => {
-                        inputs.push(Input::Wrote {
+                        inputs.push(Input::WriteCompleted {
                             ticket,
                             result: Err(DiskError::Full),
                         });
@@ -157,7 +157,7 @@
                         ..
                     } if self.refuses_rewrites => {
                         self.rewrites += 1;
-                        inputs.push(Input::Wrote {
+                        inputs.push(Input::WriteCompleted {
                             ticket,
                             result: Err(DiskError::Full),
                         });
@@ -181,7 +181,7 @@
                         }
                         self.disk.extend(records);
                         self.longest = self.longest.max(self.bytes());
-                        inputs.push(Input::Wrote {
+                        inputs.push(Input::WriteCompleted {
                             ticket,
                             result: Ok(()),
                         });
@@ -201,7 +201,7 @@
 
     /// Lets time pass until the member acts.
     fn until_it_acts(&mut self) {
-        while !self.member.acts() {
+        while !self.member.is_acting_primary() {
             self.now += Duration::from_millis(20);
             self.step(Input::Tick);
             assert!(self.now < Duration::from_secs(600), "it stands before long");
@@ -226,7 +226,7 @@
 
 fn restored(outputs: &[Output]) -> Option<u64> {
     outputs.iter().find_map(|o| match o {
-        Output::Restore { seq, .. } => Some(*seq),
+        Output::RestoreState { index, .. } => Some(*index),
         _ => None,
     })
 }
@@ -242,17 +242,17 @@
     #[case] under_way: u64,
 ) {
     let mut machine = replica();
-    for seq in 1..=changes {
+    for index in 1..=changes {
         machine.now += Duration::from_millis(20);
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
-            index: seq,
-            change: change(seq, routes),
+            index,
+            change: change(index, routes),
         });
-        if seq % RENEWED_EACH == 0 {
+        if index % RENEWED_EACH == 0 {
             let (stamp, committed) = (
                 machine.now.as_millis() as u64,
-                seq.saturating_sub(under_way),
+                index.saturating_sub(under_way),
             );
             machine.hear(Message::RenewLease {
                 epoch: EPOCH,
@@ -289,31 +289,34 @@
     let mut machine = replica();
     machine.compares = true;
     let mut shown = 0;
-    for seq in 1..=300_u64 {
+    for index in 1..=300_u64 {
         machine.now += Duration::from_millis(50);
         machine.hear(Message::AppendChange {
             epoch: EPOCH,
-            index: seq,
-            change: change(seq, 300),
+            index,
+            change: change(index, 300),
         });
         let confirmed = machine.take_outputs().iter().any(|o| {
-            matches!(o, Output::Send { message: Message::AppendReply { match_index: s, accepted: true, .. }, .. } if *s == seq)
+            matches!(o, Output::Send { message: Message::AppendReply { match_index: s, accepted: true, .. }, .. } if *s == index)
         });
-        assert!(confirmed, "change {seq}");
-        if seq % 3 == 0 {
+        assert!(confirmed, "change {index}");
+        if index % 3 == 0 {
             let stamp = machine.now.as_millis() as u64;
             machine.hear(Message::RenewLease {
                 epoch: EPOCH,
                 requested_at_ms: stamp,
-                commit_index: seq - 1,
+                commit_index: index - 1,
                 echoed_clock_ms: 0,
             });
         }
         let mut again = Machine::start(config(ME, None), machine.disk.clone(), machine.now);
-        assert!(again.member.unsound().is_none(), "after {seq}");
+        assert!(again.member.replay_error().is_none(), "after {index}");
         again.step(Input::Tick);
         let now = restored(&again.take_outputs()).unwrap_or_default();
-        assert!(now >= shown && now < seq, "{now} after {shown} at {seq}");
+        assert!(
+            now >= shown && now < index,
+            "{now} after {shown} at {index}"
+        );
         shown = now;
         // Whoever starts again goes on as the one it was.
         machine.member = again.member;
@@ -418,7 +421,10 @@
         let taken = machine.take_outputs().iter().any(
             |o| matches!(o, Output::Answer { ticket, code: ResultCode::Ok, .. } if *ticket == version),
         );
-        assert!(taken && machine.member.acts(), "change {version}");
+        assert!(
+            taken && machine.member.is_acting_primary(),
+            "change {version}"
+        );
     }
     // 200 changes in 20 s: a try every few seconds, not with each change.
     assert!(
@@ -478,7 +484,7 @@
         index: 1,
         change,
     };
-    let tag = protocol::LogPosition { epoch: 1, seq: 1 };
+    let tag = protocol::LogPosition { epoch: 1, index: 1 };
     let reply = Message::SnapshotReply {
         epoch: 1,
         log_position: tag,
@@ -513,17 +519,17 @@
     }
 }
 
-fn numbered(epoch: u64, seq: u64, version: u64) -> Record {
+fn numbered(epoch: u64, index: u64, version: u64) -> Record {
     Record::Change {
         epoch,
-        index: seq,
+        index,
         change: change(version, 1),
     }
 }
 
 fn unreadable_ledger() -> Record {
     let mut snapshot = ReplicatedState::default().snapshot();
-    snapshot.document = "{".into();
+    snapshot.configuration = "{".into();
     Record::Accepted {
         membership: view(),
         snapshot: Some(snapshot),
@@ -535,8 +541,8 @@
 #[rstest]
 #[case::unreadable(vec![], Some(vec![77, 1, 2]), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
 #[case::longer(vec![], Some([protocol::encode_record(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
-#[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { seq: 3, held_seq: 1, .. }))]
-#[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { seq: 1, held_seq: 1, .. }))]
+#[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 3, held_index: 1, .. }))]
+#[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 1, held_index: 1, .. }))]
 #[case::of_another_view(vec![numbered(EPOCH + 1, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { .. }))]
 #[case::cannot_be_made(vec![numbered(EPOCH, 2, 9)], None, |e: &ReplayError| matches!(e, ReplayError::Change { record: 2, .. }))]
 #[case::no_ledger(vec![accepted(None), numbered(EPOCH, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::NoLedger { record: 3 }))]
@@ -557,9 +563,9 @@
         .chain(raw)
         .collect();
     let mut machine = Machine::start(config(ME, None), disk.clone(), Duration::ZERO);
-    let error = machine.member.unsound().expect("it is noticed");
+    let error = machine.member.replay_error().expect("it is noticed");
     assert!(expected(error), "{error:?}");
-    assert!(!machine.member.fit());
+    assert!(!machine.member.disk_healthy());
     for round in 1..=40_u64 {
         machine.now += LEASE / 4;
         machine.step(Input::Tick);
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -219,15 +219,15 @@
     });
 }
 
-fn change(seq: u64, bytes: usize) -> Message {
+fn change(index: u64, bytes: usize) -> Message {
     let change = Change::Configure {
-        base: seq,
+        base: index,
         amend: false,
         body: vec![b'x'; bytes],
     };
     Message::AppendChange {
         epoch: 7,
-        index: seq,
+        index,
         change,
     }
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -74,7 +74,7 @@
     cluster.apply(1, 2);
     cluster
         .until(SOON, |c| {
-            c.current().voters.len() == 3 && c.current().settled()
+            c.current().voters.len() == 3 && c.current().is_stable()
         })
         .expect("three voters");
     cluster.kill(left);
@@ -186,6 +186,6 @@
     }));
     assert!(matches!(
         Survivor::read(&identity, &gap),
-        Err(Refusal::Gap { seq: 99, .. })
+        Err(Refusal::Gap { index: 99, .. })
     ));
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -7,10 +7,10 @@
 
 use append_log::{AppendLog, Cut, Shape};
 use configuration::FaultBudget;
-use control_plane::accepted::fingerprint;
-use control_plane::ledger::ReplicatedState;
-use control_plane::member::{Config, Member};
+use control_plane::applied_requests::fingerprint;
+use control_plane::member::{Member, MemberConfig};
 use control_plane::recovery::Survivor;
+use control_plane::replicated_state::ReplicatedState;
 use control_plane::runtime::identity::{
     latest_identity, Identity, LogOwner, StartContext, StoredLog,
 };
@@ -93,7 +93,7 @@
         primary: 2,
         replicas: vec![2, 3],
         voters: voters.clone(),
-        before: voters,
+        previous_voters: voters,
     }
 }
 
@@ -107,24 +107,24 @@
             member_info(2, 2),
             member_info(4, 4),
         ],
-        before: first_membership().voters,
+        previous_voters: first_membership().voters,
     }
 }
 
 fn first_snapshot() -> Snapshot {
     Snapshot {
-        seq: 7,
-        document: VERSION_3.into(),
-        taken: vec![fingerprint(0, false, VERSION_3.as_bytes())],
+        index: 7,
+        configuration: VERSION_3.into(),
+        applied_requests: vec![fingerprint(0, false, VERSION_3.as_bytes())],
         drains: vec!["i-1".into(), "i-2".into()],
     }
 }
 
 fn last_snapshot() -> Snapshot {
     Snapshot {
-        seq: 11,
-        document: VERSION_3.replace(":3,", ":5,"),
-        taken: vec![
+        index: 11,
+        configuration: VERSION_3.replace(":3,", ":5,"),
+        applied_requests: vec![
             fingerprint(0, false, VERSION_3.as_bytes()),
             fingerprint(3, false, VERSION_3.as_bytes()),
         ],
@@ -132,10 +132,10 @@
     }
 }
 
-fn change(seq: u64, change: Change) -> Record {
+fn change(index: u64, change: Change) -> Record {
     Record::Change {
         epoch: SECOND_EPOCH,
-        index: seq,
+        index,
         change,
     }
 }
@@ -396,7 +396,10 @@
 #[case::appended("appended", SECOND_EPOCH)]
 #[case::torn("torn", SECOND_EPOCH)]
 #[case::rewritten("rewritten", SECOND_EPOCH + 1)]
-fn member_when_started_on_stored_files_has_its_state(#[case] name: &str, #[case] promised: u64) {
+fn member_when_started_on_stored_files_has_its_state(
+    #[case] name: &str,
+    #[case] promised_epoch: u64,
+) {
     let dir = copy_of(name);
     let (tell, told) = std::sync::mpsc::channel();
     let facts = start_facts(false, 9_000);
@@ -415,19 +418,19 @@
     assert_eq!(found, identity(9_000));
     let hosts = (name != "rewritten").then(|| protocol::encode_record(&known_hosts()));
     assert_eq!(roster, hosts);
-    let config = Config {
-        me: member_info(MEMBER_ID, 1),
+    let config = MemberConfig {
+        local_member: member_info(MEMBER_ID, 1),
         bootstrap_voters: Some(found.initial_voters),
-        budget: FaultBudget::default(),
-        lease: Duration::from_millis(1000),
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        fault_budget: FaultBudget::default(),
+        lease_duration: Duration::from_millis(1000),
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     };
     let member = Member::new(config, &records, Duration::ZERO, 1);
-    assert!(member.unsound().is_none());
-    assert_eq!(member.promised(), promised);
-    assert_eq!(member.view(), Some(&second_membership()));
-    assert_eq!(member.summary(None).ledger, Some(11));
+    assert!(member.replay_error().is_none());
+    assert_eq!(member.promised_epoch(), promised_epoch);
+    assert_eq!(member.membership(), Some(&second_membership()));
+    assert_eq!(member.summary(None).durable_index, Some(11));
 }
 
 /// What an operator recovers from the stored files after the loss of a majority.
@@ -467,8 +470,8 @@
         }
     }
     let snapshot = state.snapshot();
-    assert_eq!(snapshot.seq, 11);
-    assert_eq!(snapshot.document, VERSION_3.replace(":3,", ":5,"));
+    assert_eq!(snapshot.index, 11);
+    assert_eq!(snapshot.configuration, VERSION_3.replace(":3,", ":5,"));
     assert_eq!(snapshot.drains, ["i-3"]);
     let version_4 = VERSION_3.replace(":3,", ":4,");
     let applied = [
@@ -476,5 +479,5 @@
         fingerprint(3, false, version_4.as_bytes()),
         fingerprint(4, true, LIMITS_OF_VERSION_5.as_bytes()),
     ];
-    assert_eq!(snapshot.taken, applied);
+    assert_eq!(snapshot.applied_requests, applied);
 }
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/planted.rs
@@ -80,7 +80,7 @@
                 Message::SnapshotReply {
                     epoch,
                     log_position: LogPosition {
-                        seq: snapshot.seq,
+                        index: snapshot.index,
                         ..log_position
                     },
                     snapshot,
@@ -95,7 +95,7 @@
             ) => {
                 let mut snapshot = snapshot;
                 snapshot
-                    .taken
+                    .applied_requests
                     .iter_mut()
                     .for_each(|call| call.digest = Default::default());
                 let snapshot = Some(snapshot);
@@ -179,7 +179,9 @@
 
 /// Voters of the view before that have no say in this one.
 fn departed(view: &MembershipConfig) -> impl Iterator<Item = &MemberInfo> {
-    view.before.iter().filter(|s| view.seat(s.id).is_none())
+    view.previous_voters
+        .iter()
+        .filter(|s| view.voter(s.id).is_none())
 }
 
 fn granted(epoch: u64, stamp: u64) -> Message {
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -34,15 +34,15 @@
         primary: 3,
         replicas: vec![3, 5],
         voters: vec![member(3), member(5), member(7)],
-        before: vec![member(3), member(9)],
+        previous_voters: vec![member(3), member(9)],
     }
 }
 
 pub fn snapshot() -> Snapshot {
     Snapshot {
-        seq: 41,
-        document: r#"{"version":2,"routes":[],"services":[]}"#.into(),
-        taken: vec![
+        index: 41,
+        configuration: r#"{"version":2,"routes":[],"services":[]}"#.into(),
+        applied_requests: vec![
             AppliedRequest {
                 base: 1,
                 version: 2,
@@ -256,7 +256,10 @@
                 granted: true,
                 promised_epoch: 35,
                 membership: Some(membership()),
-                log_position: Some(LogPosition { epoch: 36, seq: 37 }),
+                log_position: Some(LogPosition {
+                    epoch: 36,
+                    index: 37,
+                }),
                 retry_after_ms: 300,
             },
         ),
@@ -291,7 +294,10 @@
             "SnapshotReply",
             Message::SnapshotReply {
                 epoch: 55,
-                log_position: LogPosition { epoch: 56, seq: 57 },
+                log_position: LogPosition {
+                    epoch: 56,
+                    index: 57,
+                },
                 snapshot: snapshot(),
             },
         ),
--- a/crates/simulator/src/world/bugs.rs
+++ b/crates/simulator/src/world/bugs.rs
@@ -171,7 +171,7 @@
 
     fn stripped(&self, mut snapshot: Snapshot) -> Snapshot {
         match self.plan.planted {
-            Planted::TakenCallsNotInSnapshot => snapshot.taken.clear(),
+            Planted::TakenCallsNotInSnapshot => snapshot.applied_requests.clear(),
             Planted::DrainsNotInSnapshot => snapshot.drains.clear(),
             _ => {}
         }
@@ -272,5 +272,5 @@
 }
 
 fn forget_before(view: &mut MembershipConfig) {
-    view.before = view.voters.clone();
+    view.previous_voters = view.voters.clone();
 }
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -23,7 +23,7 @@
             view.primary,
             view.replicas,
             ids(&view.voters),
-            ids(&view.before)
+            ids(&view.previous_voters)
         )
     };
     match message {
@@ -34,7 +34,7 @@
             format!(
                 "install {} ledger {:?}",
                 told(membership),
-                snapshot.as_ref().map(|s| s.seq)
+                snapshot.as_ref().map(|s| s.index)
             )
         }
         Message::Promise {
@@ -128,13 +128,14 @@
                 snapshot: Some(_),
             } if membership.primary == self.nodes[n].seat.id => {
                 self.moment(Moment::Composed, n);
-                if !membership.settled() {
-                    let is_new =
-                        |m: &&super::Node| !membership.before.iter().any(|s| s.id == m.seat.id);
+                if !membership.is_stable() {
+                    let is_new = |m: &&super::Node| {
+                        !membership.previous_voters.iter().any(|s| s.id == m.seat.id)
+                    };
                     let new = self
                         .nodes
                         .iter()
-                        .filter(|m| membership.seat(m.seat.id).is_some())
+                        .filter(|m| membership.voter(m.seat.id).is_some())
                         .find(is_new);
                     let new =
                         new.and_then(|m| self.nodes.iter().position(|o| o.seat.id == m.seat.id));
@@ -185,7 +186,12 @@
         for to in 0..self.nodes.len() {
             let reaches = to != n && !self.cut.contains_key(&(n, to)) && !self.nodes[to].frozen;
             if reaches && self.nodes[to].member.is_some() {
-                self.step(to, Input::Reachable { seat: seat.clone() });
+                self.step(
+                    to,
+                    Input::PeerReachable {
+                        member: seat.clone(),
+                    },
+                );
             }
         }
         self.at(self.now + ms(1000), n, What::Hello);
