--- a/crates/coordinator/src/core/table/turn.rs
+++ b/crates/coordinator/src/core/table/turn.rs
@@ -5,6 +5,9 @@
     Transport,
 };
 
+use crate::counters::Pool;
+use crate::decision::Router;
+
 /// How often the operators' figures of the list are brought up to date.
 const SHOW: Duration = Duration::from_millis(100);
 
@@ -25,7 +28,7 @@
         }
         if now >= self.show_at {
             self.show_at = now + SHOW;
-            self.counters.show_pool(self.router.pool());
+            self.counters.show_pool(host_pool(&self.router));
         }
         let mut calls: BTreeMap<ServerId, Vec<CallPart>> = BTreeMap::new();
         for action in std::mem::take(&mut self.actions) {
@@ -100,3 +103,13 @@
         }
     }
 }
+
+/// The counts of the host list as the status page shows them.
+fn host_pool(router: &Router) -> Pool {
+    let counts = router.server_counts();
+    Pool {
+        size: counts.listed,
+        ejected: counts.ejected,
+        in_service: counts.in_service,
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/decision/admission.rs
@@ -0,0 +1,222 @@
+//! Admission control: a query is admitted if it can be expected to end in time. Otherwise it is
+//! rejected at once (load shedding); tenants over their quota and queries of little value for their
+//! work go first.
+
+use super::arrival::RATE_TIME_CONSTANT_S;
+use super::router::Router;
+use super::server::Server;
+use super::statistics::DecayingRate;
+use super::work::{Part, Query};
+use crate::interface::{Action, Cause, QueryClass, RequestId};
+
+/// Weight of one admitted query in the means of value and parts (EWMA).
+const MEAN_GAIN: f64 = 0.03;
+/// How the admission share moves, and its bounds, among few routers.
+const FEW_ROUTERS: ShareStep = ShareStep {
+    gain: 0.02,
+    max: 1.0,
+};
+/// The same among many routers: what they do adds up, and each learns of it late.
+const MANY_ROUTERS: ShareStep = ShareStep {
+    gain: 0.01,
+    max: 0.85,
+};
+/// What the share loses with an admitted query that doesn't end in time.
+const SHARE_LOSS: f64 = 0.05;
+const MIN_SHARE: f64 = 0.4;
+/// The share before anything is learned: a router that starts into an overload must not add to it.
+const INITIAL_SHARE: f64 = 0.6;
+/// Bounds of what a query's value for its work makes of the share. Forecasts err by so much.
+const MIN_VALUE_FACTOR: f64 = 0.7;
+const MAX_VALUE_FACTOR: f64 = 1.3;
+/// What a tenant over its quota gets of the share.
+const OVER_QUOTA_FACTOR: f64 = 0.6;
+/// A tenant is over its quota at this multiple of this router's even part of it ...
+const EVEN_QUOTA_FACTOR: f64 = 1.2;
+/// ... and this multiple of its share of the traffic.
+const TRAFFIC_SHARE_FACTOR: f64 = 1.3;
+/// Least number of parts that the value of one is worked out from.
+const MIN_PARTS: f64 = 1e-6;
+
+/// How the admission share moves.
+struct ShareStep {
+    /// What it gains with an admitted query that ends in time.
+    gain: f64,
+    max: f64,
+}
+
+/// What is learned from admitted queries.
+#[derive(Default)]
+pub(super) struct AdmissionControl {
+    /// Decaying sums over admitted queries.
+    value_sum: f64,
+    part_sum: f64,
+    /// Share of its useful time that an admitted query may be expected to take; `None` before
+    /// anything is learned.
+    share: Option<f64>,
+}
+
+impl AdmissionControl {
+    /// Mean value of one part of an admitted query.
+    pub(super) fn value_per_part(&self) -> f64 {
+        self.value_sum / self.part_sum.max(MIN_PARTS)
+    }
+
+    fn share(&self) -> f64 {
+        self.share.unwrap_or(INITIAL_SHARE)
+    }
+
+    fn count_admitted(&mut self, value: f64, parts: f64) {
+        self.value_sum += value - MEAN_GAIN * self.value_sum;
+        self.part_sum += parts - MEAN_GAIN * self.part_sum;
+    }
+}
+
+impl Router {
+    /// Admits a query, or rejects it. Returns whether it was admitted.
+    pub(super) fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let query = &self.queries[&id];
+        let class = self.class(query.class);
+        let parts = query.parts.len() as f64;
+        let value = class.value
+            * if self.settings.value_by_work {
+                parts
+            } else {
+                1.0
+            };
+        let slowest = self.slowest_needed_part(query, class);
+        let known = slowest < f64::MAX;
+        let second_step = if class.second_step_parts > 0 {
+            self.expected_part_time(query.class, self.fleet_load.mean)
+        } else {
+            0.0
+        };
+        let expected = slowest + second_step;
+        let share = self.admission_share(query, value, parts);
+        let left = self.useful_time_left(query, class);
+        let still_useful = left < 0.0 && self.useful_until(query) > self.now;
+        // With nothing of its own in flight a router can't know of a queue that is gone by now: it
+        // has to ask.
+        let blind = !self.queries.values().any(|q| q.admitted)
+            && left > self.latency_quantile(query.class, 0.5);
+        if !known || (expected > share * left && !still_useful && !blind) {
+            let cause = if known {
+                Cause::Overloaded
+            } else {
+                Cause::NoHost
+            };
+            self.reject(id, expected - share * left.max(0.0), cause, actions);
+            return false;
+        }
+        self.admission.count_admitted(value, parts);
+        if let Some(query) = self.queries.get_mut(&id) {
+            query.admitted = true;
+        }
+        true
+    }
+
+    /// Expected time of the slowest part that a query needs; `f64::MAX` if no server can be counted
+    /// on for one.
+    fn slowest_needed_part(&self, query: &Query, class: &QueryClass) -> f64 {
+        let mut times: Vec<f64> = self
+            .parts_of(query)
+            .map(|part| self.forecast_part(query, part))
+            .collect();
+        times.sort_by(f64::total_cmp);
+        let needed = class.min_share.min(class.complete_share) * times.len() as f64;
+        let last = (needed.ceil() as usize).max(1) - 1;
+        times.get(last).copied().unwrap_or(f64::MAX)
+    }
+
+    /// Expected time of a part at the best server for it, with what waits here for its shard ahead
+    /// of it.
+    fn forecast_part(&self, query: &Query, part: &Part) -> f64 {
+        let ahead = self.waiting_parts(part.shard);
+        let time = |server: &Server| {
+            let load = self.estimated_load(server) + ahead;
+            self.wait_for_slot(server) + self.expected_part_time(query.class, load)
+        };
+        self.usable_servers(part.shard)
+            .map(time)
+            .fold(f64::MAX, f64::min)
+    }
+
+    /// Parts of admitted queries that wait here for a server of this shard, for each of these
+    /// servers.
+    fn waiting_parts(&self, shard: u32) -> f64 {
+        let cells = self.settings.shard_layout.cells.max(1);
+        let waits = |part: &&Part| {
+            part.is_open()
+                && !part.has_attempt_in_flight()
+                && part.shard % cells == shard % cells
+                && self.queries.get(&part.query).is_some_and(|q| q.admitted)
+        };
+        let healthy = self
+            .servers_of_shard(shard)
+            .filter(|(_, s)| s.is_ready() && !s.is_ejected())
+            .count();
+        self.parts.values().filter(waits).count() as f64 / healthy.max(1) as f64
+    }
+
+    /// Share of its useful time that a query may be expected to take. Among few routers the value
+    /// for the work decides in congestion.
+    fn admission_share(&self, query: &Query, value: f64, parts: f64) -> f64 {
+        let congested = self.is_congested();
+        let mean_value = self.admission.value_per_part();
+        let relative_value = if !self.has_many_routers() && mean_value > 0.0 && congested {
+            value / parts / mean_value
+        } else {
+            1.0
+        };
+        let factor = relative_value
+            .sqrt()
+            .clamp(MIN_VALUE_FACTOR, MAX_VALUE_FACTOR);
+        let quota_factor = if self.is_over_quota(query) && congested {
+            OVER_QUOTA_FACTOR
+        } else {
+            1.0
+        };
+        self.admission.share() * factor * quota_factor
+    }
+
+    /// Time until the latency target ends. Among few routers, what a late answer earns adds time.
+    fn useful_time_left(&self, query: &Query, class: &QueryClass) -> f64 {
+        let time_after_target = if self.has_many_routers() {
+            0.0
+        } else {
+            (query.deadline_at - query.target_at).max(0.0)
+        };
+        query.target_at.min(query.deadline_at) + class.late_value * time_after_target - self.now
+    }
+
+    /// Learns from the end of an admitted query. Forecasts err by fleet and hour: where admitted
+    /// queries miss their target, fewer are admitted.
+    pub(super) fn learn_admission_share(&mut self, in_time: bool) {
+        let step = if self.has_many_routers() {
+            MANY_ROUTERS
+        } else {
+            FEW_ROUTERS
+        };
+        let change = if in_time { step.gain } else { -SHARE_LOSS };
+        let share = (self.admission.share() + change).clamp(MIN_SHARE, step.max);
+        self.admission.share = Some(share);
+    }
+
+    /// Whether a query's tenant is over its quota: it sends all of its quota here, or more than an
+    /// even part of it and more than its share of the traffic here.
+    fn is_over_quota(&self, query: &Query) -> bool {
+        let Some(index) = query.tenant.map(|t| t.0 as usize) else {
+            return false;
+        };
+        let Some(own) = self.tenant_rates.get(index) else {
+            return false;
+        };
+        let tenant = &self.settings.tenants[index];
+        let rate = |r: &DecayingRate| r.per_second(self.now, RATE_TIME_CONSTANT_S);
+        let own = rate(own);
+        let all: f64 = self.tenant_rates.iter().map(rate).sum();
+        let even = tenant.quota_per_s / f64::from(self.settings.routers.max(1));
+        own > tenant.quota_per_s
+            || (own > EVEN_QUOTA_FACTOR * even && own > TRAFFIC_SHARE_FACTOR * tenant.share * all)
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/decision/arrival.rs
@@ -0,0 +1,123 @@
+//! Arrival of queries and parts, and until when an answer to a query earns its full value.
+
+use super::router::{seconds, Router};
+use super::work::{Part, Query};
+use crate::interface::{ClassId, Event, RequestId};
+
+/// Two waits are taken for equal if they differ by less than this share of the client's time-out.
+const EQUAL_WAIT_SHARE: f64 = 0.015;
+/// Largest number of votes that the usual wait can gather: so many different waits in a row replace
+/// it.
+const MAX_WAIT_VOTES: u32 = 20;
+/// Time constant of the rates of queries and sends.
+pub(super) const RATE_TIME_CONSTANT_S: f64 = 3.0;
+
+/// How long a client's first attempt usually waits, found by majority vote (Boyer and Moore).
+#[derive(Clone, Copy, Default)]
+pub(super) struct UsualWait {
+    length: f64,
+    votes: u32,
+}
+
+impl UsualWait {
+    fn vote(&mut self, wait: f64, equal: bool) {
+        if equal {
+            self.votes = (self.votes + 1).min(MAX_WAIT_VOTES);
+        } else if self.votes > 0 {
+            self.votes -= 1;
+        } else {
+            (self.length, self.votes) = (wait, 1);
+        }
+    }
+}
+
+impl Router {
+    /// Adds a query that arrived. Its parts follow in events of their own.
+    pub(super) fn add_query(&mut self, event: Event) {
+        let Event::Query {
+            id,
+            class,
+            tenant,
+            deadline,
+            is_retry,
+        } = event
+        else {
+            return;
+        };
+        self.retry_window.arrivals.add(self.now);
+        if self.settings.classes.get(class.0 as usize).is_none() {
+            return;
+        }
+        let deadline_at = seconds(deadline);
+        let target_at = self.latency_target_at(class, deadline_at, is_retry);
+        let tenant_rate = tenant.and_then(|t| self.tenant_rates.get_mut(t.0 as usize));
+        if let Some(rate) = tenant_rate {
+            rate.add(self.now, RATE_TIME_CONSTANT_S);
+        }
+        let query = Query {
+            class,
+            tenant,
+            target_at,
+            deadline_at,
+            parts: Vec::new(),
+            admitted: false,
+            first_step_complete: None,
+        };
+        self.queries.insert(id, query);
+    }
+
+    /// Adds a part to an open query. A part of an unknown query is ignored.
+    pub(super) fn add_part(&mut self, id: RequestId, query: RequestId, shard: u32, weight: f64) {
+        self.retry_window.arrivals.add(self.now);
+        let Some(open) = self.queries.get_mut(&query) else {
+            return;
+        };
+        open.parts.push(id);
+        let part = Part {
+            query,
+            shard,
+            weight,
+            attempts: Vec::new(),
+            answered: false,
+            closed: false,
+        };
+        self.parts.insert(id, part);
+    }
+
+    /// Until when an answer earns the full value.
+    ///
+    /// The target counts from the client's first attempt. First attempts of a class all wait
+    /// equally long. The client's last retry waits for what is left of its time-out, so the start
+    /// can be worked out from the deadline. A client that waits for less than the target is served
+    /// within that wait. If clients mark retries, the mark decides. The guess errs for a first
+    /// attempt that was held up on its way here.
+    fn latency_target_at(
+        &mut self,
+        class: ClassId,
+        deadline_at: f64,
+        is_retry: Option<bool>,
+    ) -> f64 {
+        let settings = self.class(class);
+        let target = seconds(settings.latency_target);
+        let client_timeout = seconds(settings.client_timeout);
+        let tolerance = EQUAL_WAIT_SHARE * client_timeout;
+        let wait = deadline_at - self.now;
+        let usual = &mut self.usual_waits[class.0 as usize];
+        let equal = (wait - usual.length).abs() < tolerance;
+        usual.vote(wait, equal);
+        let usual = usual.length;
+        if wait < target {
+            return deadline_at;
+        }
+        let held_up_here =
+            self.now == self.standstill.until && usual - wait < self.now - self.standstill.from;
+        if held_up_here {
+            return deadline_at - usual + target;
+        }
+        let first_attempt = is_retry.map_or((wait - usual).abs() < tolerance, |retry| !retry);
+        if first_attempt {
+            return self.now + target;
+        }
+        self.now.min(deadline_at - client_timeout) + target
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/decision/hedging.rs
@@ -0,0 +1,87 @@
+//! Retries of failed parts and hedged requests for late ones.
+
+use super::router::{seconds, Router};
+use super::work::{AttemptKind, Part, Query};
+use crate::interface::{Action, ClassId, RequestId};
+
+/// Share of the budget open to hedged requests; the rest is kept for parts that failed.
+const HEDGE_BUDGET_SHARE: f64 = 0.6;
+/// A part is hedged only once less than this share of its query's latency target is left.
+const URGENT_TARGET_SHARE: f64 = 0.65;
+/// In congestion only parts at servers with at least this latency ratio are hedged.
+const OUTLIER_LATENCY_RATIO: f64 = 2.5;
+/// Answered siblings from which a late part counts as an outlier even in congestion, if at least
+/// half are answered.
+const MIN_ANSWERED_SIBLINGS: usize = 16;
+
+impl Router {
+    /// Sends a part again that failed or is late, if rules and budget allow.
+    ///
+    /// It is retried when no attempt is in flight. It is hedged, to a server lighter than the mean,
+    /// once an attempt is later than nearly all others. A slow server is waited for less, an
+    /// ejected one not at all. A hedge adds work if all servers are late alike, so in congestion
+    /// only outliers are hedged.
+    pub(super) fn retry_or_hedge(
+        &mut self,
+        part_id: RequestId,
+        class: ClassId,
+        actions: &mut Vec<Action>,
+    ) {
+        let part = &self.parts[&part_id];
+        let Some(kind) = self.due_attempt(part, class) else {
+            return;
+        };
+        let budget_share = if kind == AttemptKind::Hedge {
+            HEDGE_BUDGET_SHARE
+        } else {
+            1.0
+        };
+        if !self.may_send_again(part, class) || !self.retry_budget_allows(budget_share) {
+            return;
+        }
+        if let Some(server) = self.pick_server(part_id, kind, &[]) {
+            self.send(part_id, class, server, true, actions);
+        }
+    }
+
+    /// Which further attempt at a part is due; `None` while its attempts in flight are to be waited
+    /// for.
+    fn due_attempt(&self, part: &Part, class: ClassId) -> Option<AttemptKind> {
+        let median = self.latency_quantile(class, 0.5);
+        let late = self.latency_quantile(class, 0.9).max(2.0 * median);
+        let query = &self.queries[&part.query];
+        let congested = self.is_congested() && !self.is_late_among_siblings(query);
+        let mut kind = if part.has_attempt_in_flight() {
+            AttemptKind::Rescue
+        } else {
+            AttemptKind::FirstOrRetry
+        };
+        for attempt in part.attempts.iter().filter(|a| a.in_flight) {
+            let server = self.servers.get(&attempt.server);
+            let Some(server) = server.filter(|s| !s.is_ejected()) else {
+                continue;
+            };
+            let ratio = self.latency_ratio(server);
+            let age = self.now - attempt.sent_at;
+            let overdue = age >= (late / ratio.max(1.0)).max(median);
+            if !overdue || !self.is_urgent(query) || (congested && ratio < OUTLIER_LATENCY_RATIO) {
+                return None;
+            }
+            kind = AttemptKind::Hedge;
+        }
+        Some(kind)
+    }
+
+    /// Whether enough siblings of a part are answered to tell that only it is late, not the fleet.
+    fn is_late_among_siblings(&self, query: &Query) -> bool {
+        let answered = self.parts_of(query).filter(|p| p.answered).count();
+        answered >= MIN_ANSWERED_SIBLINGS.max(query.parts.len() / 2)
+    }
+
+    /// Whether little of a query's latency target is left.
+    pub(super) fn is_urgent(&self, query: &Query) -> bool {
+        let second_step = self.time_for_second_step(query);
+        let target = seconds(self.class(query.class).latency_target);
+        query.target_at - second_step - self.now < URGENT_TARGET_SHARE * (target - second_step)
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/decision/outlier_ejection.rs
@@ -0,0 +1,439 @@
+//! Outlier ejection: servers that fail are left out for a time that grows with each relapse (as
+//! Envoy's outlier detection does), and come back by probes and by good answers. A server that
+//! rejects parts is not ejected: its concurrency limit is cut.
+
+use super::load::REPORT_LAG_S;
+use super::router::{Router, SMALL_FLEET_ROUTERS};
+use super::server::Server;
+use crate::interface::{Action, ClassId, LoadReport, Outcome, ServerId};
+use std::time::Duration;
+
+/// Weight of one answer in the share of failures (EWMA).
+const FAILURE_GAIN: f64 = 0.25;
+/// Share of failures from which a server is ejected: two in a row.
+const FAILURE_THRESHOLD: f64 = 0.4;
+/// The same for connections that break, which sound servers cause as well: four in a row.
+const RESET_THRESHOLD: f64 = 0.6;
+/// The same for the failures of one class.
+pub(super) const CLASS_FAILURE_THRESHOLD: f64 = 0.6;
+/// Failures that come within this time count once: they share a cause.
+const SAME_MOMENT_S: f64 = 0.005;
+/// Length of an ejection. Each relapse doubles it.
+const EJECTION_TIME: Backoff = Backoff {
+    initial: 0.5,
+    max: 4.0,
+};
+/// Time constant over which relapses are forgotten.
+const RELAPSE_TIME_CONSTANT_S: f64 = 15.0;
+/// Among many routers ejections are longer by up to this factor, as the probes of all of them add
+/// up ...
+const MAX_FLEET_FACTOR: f64 = 8.0;
+/// ... and the longest ejection by up to this.
+const MAX_FLEET_FACTOR_OF_LONGEST: f64 = 4.0;
+/// Time for which a server gets nothing after it rejected our only part. Each rejection doubles it.
+const REJECTION_BACKOFF: Backoff = Backoff {
+    initial: 0.1,
+    max: 2.0,
+};
+/// What each answer adds to the concurrency limit of a server.
+const CONCURRENCY_LIMIT_STEP: f64 = 0.2;
+/// A connection that is refused within this time after one that broke means that the server's
+/// process died.
+pub(super) const CRASH_WINDOW_S: f64 = 10.0;
+
+/// Bounds of a time that grows, in seconds.
+struct Backoff {
+    initial: f64,
+    max: f64,
+}
+
+impl Backoff {
+    /// The time after one of this length.
+    fn next(&self, length: f64) -> f64 {
+        (2.0 * length).clamp(self.initial, self.max)
+    }
+}
+
+/// Failures of a server.
+pub(super) struct Health {
+    /// Share of its latest answers that were failures.
+    pub(super) failure_ewma: f64,
+    last_failure_at: f64,
+    /// When a connection last broke under a part.
+    last_reset_at: f64,
+    /// When a connection was refused soon after one broke: its process died.
+    pub(super) last_crash_at: f64,
+    /// Whether it refused the latest connection.
+    pub(super) connection_refused: bool,
+    pub(super) by_class: Vec<ClassHealth>,
+}
+
+/// Failures of a server for one class: some servers fail that and serve the others.
+#[derive(Clone, Default)]
+pub(super) struct ClassHealth {
+    /// Share of its latest answers that were failures.
+    pub(super) failure_ewma: f64,
+    last_failure_at: f64,
+    /// Until when it gets no part of this class, once the share is above the threshold.
+    pub(super) ejected_until: f64,
+    ejection_time: f64,
+}
+
+impl Health {
+    pub(super) fn new(classes: usize) -> Self {
+        Self {
+            failure_ewma: 0.0,
+            last_failure_at: f64::MIN,
+            last_reset_at: f64::MIN,
+            last_crash_at: f64::MIN,
+            connection_refused: false,
+            by_class: vec![ClassHealth::default(); classes],
+        }
+    }
+
+    /// Forgets the failures, as the server's process is a new one.
+    pub(super) fn reset(&mut self) {
+        self.connection_refused = false;
+        self.failure_ewma = 0.0;
+        self.by_class.fill(ClassHealth::default());
+    }
+}
+
+/// Ejection of a server.
+pub(super) struct Ejection {
+    /// Set while it is ejected: when it is due for a probe. It is cleared by as many good answers
+    /// as it had ejections lately.
+    pub(super) until: Option<f64>,
+    /// Good answers since it was ejected.
+    successes: f64,
+    /// Ejections of late; decays over [`RELAPSE_TIME_CONSTANT_S`].
+    count: f64,
+    last_at: f64,
+    /// Whether it was unreachable or silent rather than failing.
+    pub(super) unreachable: bool,
+    /// Whether a probe is in flight.
+    probing: bool,
+}
+
+impl Default for Ejection {
+    fn default() -> Self {
+        Self {
+            until: None,
+            successes: 0.0,
+            count: 0.0,
+            last_at: f64::MIN,
+            unreachable: false,
+            probing: false,
+        }
+    }
+}
+
+impl Ejection {
+    /// Ends the ejection, as the server's process is a new one. Earlier ejections still count.
+    pub(super) fn clear(&mut self) {
+        self.until = None;
+        self.unreachable = false;
+    }
+}
+
+/// How many of our parts a server takes at once (adaptive concurrency limit).
+pub(super) struct ConcurrencyLimit {
+    /// Parts in flight up to which it gets more; cut when it rejects one, raised with each answer.
+    limit: f64,
+    /// Parts below the limit that must be in flight before it gets any again, after the limit was
+    /// reached.
+    headroom: f64,
+    /// Until when it gets nothing, as it rejected our only part.
+    pub(super) backoff_until: f64,
+    backoff: f64,
+}
+
+impl Default for ConcurrencyLimit {
+    fn default() -> Self {
+        Self {
+            limit: f64::MAX,
+            headroom: 0.0,
+            backoff_until: f64::MIN,
+            backoff: 0.0,
+        }
+    }
+}
+
+impl ConcurrencyLimit {
+    /// Lifts the limit, as the server's process is a new one.
+    pub(super) fn reset(&mut self) {
+        self.limit = f64::MAX;
+    }
+}
+
+impl Router {
+    /// Judges a server by how an attempt ended, whatever its reports say: one that fails quickly
+    /// looks idle.
+    pub(super) fn judge_server(&mut self, server: ServerId, outcome: Outcome, sent_at: f64) {
+        match outcome {
+            Outcome::Ok => self.record_success(server),
+            Outcome::Error => self.record_error(server),
+            Outcome::Reset => self.record_reset(server),
+            Outcome::ConnectFailed => self.record_refused_connection(server),
+            Outcome::Rejected => self.record_rejection(server),
+            Outcome::Timeout => self.record_timeout(server, sent_at),
+            Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    fn record_success(&mut self, server: ServerId) {
+        let now = self.now;
+        let Some(known) = self.servers.get_mut(&server) else {
+            return;
+        };
+        known.last_heard_at = now;
+        known.health.connection_refused = false;
+        known.health.failure_ewma -= FAILURE_GAIN * known.health.failure_ewma;
+        known.concurrency.backoff /= 2.0;
+        known.concurrency.limit += CONCURRENCY_LIMIT_STEP;
+        let ejection = &mut known.ejection;
+        ejection.unreachable = false;
+        ejection.successes += 1.0;
+        // As many good answers as ejections of late. To ask for three at the first one kept sound
+        // servers out.
+        ejection.until = ejection
+            .until
+            .filter(|_| ejection.successes < ejection.count);
+    }
+
+    fn record_error(&mut self, server: ServerId) {
+        if let Some(known) = self.servers.get_mut(&server) {
+            known.last_heard_at = self.now;
+        }
+        self.record_failure(server, false);
+    }
+
+    fn record_reset(&mut self, server: ServerId) {
+        if let Some(known) = self.servers.get_mut(&server) {
+            known.health.last_reset_at = self.now;
+        }
+        self.record_failure(server, true);
+    }
+
+    fn record_refused_connection(&mut self, server: ServerId) {
+        let now = self.now;
+        let Some(known) = self.servers.get_mut(&server) else {
+            return;
+        };
+        known.health.connection_refused = now - known.last_heard_at > REPORT_LAG_S;
+        if now - known.health.last_reset_at < CRASH_WINDOW_S {
+            known.health.last_crash_at = now;
+            self.crashes.last_under_part_at = Some(now);
+        }
+        self.eject(server, true);
+    }
+
+    fn record_timeout(&mut self, server: ServerId, sent_at: f64) {
+        let timeout = self.stall_timeout();
+        let silent = self
+            .servers
+            .get(&server)
+            .is_some_and(|known| self.unanswered_for(known, sent_at) > timeout);
+        if silent {
+            self.eject(server, true);
+        }
+    }
+
+    /// Cuts the concurrency limit of a server to what it held when it rejected a part.
+    fn record_rejection(&mut self, server: ServerId) {
+        let jitter = 0.5 + self.random_fraction();
+        let many_routers = self.has_many_routers();
+        let call = if many_routers {
+            f64::from(self.settings.max_parts_per_call.max(1))
+        } else {
+            1.0
+        };
+        let now = self.now;
+        let Some(known) = self.servers.get_mut(&server) else {
+            return;
+        };
+        let in_flight = known.in_flight.count();
+        // A limit of less than a call would never allow one: time limits it then. A draining server
+        // wants none.
+        let least = if known.is_ready() { call } else { 0.0 };
+        let concurrency = &mut known.concurrency;
+        concurrency.limit = concurrency.limit.min(f64::from(in_flight).max(least));
+        if many_routers && in_flight == 0 {
+            concurrency.backoff = REJECTION_BACKOFF.next(concurrency.backoff);
+            concurrency.backoff_until = now + jitter * concurrency.backoff;
+        }
+    }
+
+    /// Counts a failure; ejects the server once failures make too large a share of its answers.
+    fn record_failure(&mut self, server: ServerId, unreachable: bool) {
+        let now = self.now;
+        let Some(known) = self.servers.get_mut(&server) else {
+            return;
+        };
+        let health = &mut known.health;
+        health.failure_ewma += if now - health.last_failure_at < SAME_MOMENT_S {
+            0.0
+        } else {
+            FAILURE_GAIN * (1.0 - health.failure_ewma)
+        };
+        health.last_failure_at = now;
+        let threshold = if unreachable {
+            RESET_THRESHOLD
+        } else {
+            FAILURE_THRESHOLD
+        };
+        if health.failure_ewma > threshold || known.is_ejected() {
+            self.eject(server, unreachable);
+        }
+    }
+
+    /// Judges a server for one class. One that fails it gets a single part of it now and then.
+    pub(super) fn judge_server_for_class(
+        &mut self,
+        server: ServerId,
+        class: ClassId,
+        outcome: Outcome,
+    ) {
+        let now = self.now;
+        let Some(known) = self.servers.get_mut(&server) else {
+            return;
+        };
+        let health = &mut known.health.by_class[class.0 as usize];
+        match outcome {
+            Outcome::Ok if health.failure_ewma > CLASS_FAILURE_THRESHOLD => {
+                *health = ClassHealth::default();
+            }
+            Outcome::Ok => health.failure_ewma -= FAILURE_GAIN * health.failure_ewma,
+            Outcome::Timeout | Outcome::Error if now - health.last_failure_at >= SAME_MOMENT_S => {
+                health.failure_ewma += FAILURE_GAIN * (1.0 - health.failure_ewma);
+                health.last_failure_at = now;
+                health.ejection_time = EJECTION_TIME.next(health.ejection_time);
+                health.ejected_until = if health.failure_ewma > CLASS_FAILURE_THRESHOLD {
+                    now + health.ejection_time
+                } else {
+                    0.0
+                };
+            }
+            _ => {}
+        }
+    }
+
+    /// Puts off the next part of a class to a server that fails it.
+    pub(super) fn postpone_class_probe(&mut self, server: ServerId, class: ClassId) {
+        let now = self.now;
+        if let Some(known) = self.servers.get_mut(&server) {
+            let health = &mut known.health.by_class[class.0 as usize];
+            health.ejected_until = now + health.ejection_time;
+        }
+    }
+
+    /// Ejects a server for a time that doubles with each relapse. Relapses are forgotten over time.
+    pub(super) fn eject(&mut self, server: ServerId, unreachable: bool) {
+        let now = self.now;
+        let fleet_factor =
+            (f64::from(self.settings.routers) / SMALL_FLEET_ROUTERS).clamp(1.0, MAX_FLEET_FACTOR);
+        let Some(known) = self.servers.get_mut(&server) else {
+            return;
+        };
+        known.idle_queue.count = 0;
+        let ejection = &mut known.ejection;
+        ejection.unreachable |= unreachable;
+        ejection.successes = 0.0;
+        if ejection.until.is_some_and(|until| until > now) {
+            return;
+        }
+        let since_last = now - ejection.last_at;
+        ejection.count = ejection.count * (-since_last / RELAPSE_TIME_CONSTANT_S).exp() + 1.0;
+        ejection.last_at = now;
+        let time = fleet_factor * EJECTION_TIME.initial * (ejection.count - 1.0).exp2();
+        let longest = fleet_factor.min(MAX_FLEET_FACTOR_OF_LONGEST) * EJECTION_TIME.max;
+        ejection.until = Some(now + time.min(longest));
+    }
+
+    /// Probes the ejected servers that are due and were unreachable. Others show by a part whether
+    /// they are back; an unreachable one gets parts only after a good probe, or at once where
+    /// probes are off.
+    pub(super) fn probe_ejected_servers(&mut self, actions: &mut Vec<Action>) {
+        let (now, probes) = (self.now, self.settings.probes);
+        for (id, server) in &mut self.servers {
+            let ready = server.is_ready();
+            let ejection = &mut server.ejection;
+            let due = ejection.until.is_some_and(|until| until <= now);
+            if !due || !ejection.unreachable || ejection.probing || !ready {
+                continue;
+            }
+            ejection.unreachable = probes;
+            ejection.probing = probes;
+            if probes {
+                actions.push(Action::Probe { server: *id });
+            }
+        }
+    }
+
+    /// Handles the end of a probe. A good one lets the server have a part; that alone doesn't clear
+    /// it.
+    pub(super) fn probe_ended(
+        &mut self,
+        server: ServerId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
+        let Some(known) = self.servers.get_mut(&server) else {
+            return;
+        };
+        known.ejection.probing = false;
+        known.health.connection_refused = outcome == Outcome::ConnectFailed;
+        if outcome == Outcome::Ok {
+            let other_load = reachable_again(known, report);
+            if let Some(other_load) = other_load {
+                self.record_load(server, other_load);
+            }
+        } else if known.ejection.unreachable {
+            // No relapse: it was ejected before, and asking again costs next to nothing.
+            known.ejection.count -= 1.0;
+            self.eject(server, true);
+        }
+    }
+
+    /// Whether the concurrency limit of a server allows one more part.
+    pub(super) fn has_capacity(&self, server: &Server) -> bool {
+        let concurrency = &server.concurrency;
+        f64::from(server.in_flight.count()) + concurrency.headroom < concurrency.limit
+    }
+
+    /// Notes whether a server's concurrency limit is reached. If calls have a cost, some of it must
+    /// come free before the server gets parts again, so that several can share a call.
+    pub(super) fn update_headroom(&mut self, server: ServerId, in_flight_before: u32) {
+        let call = if self.settings.call_overhead > Duration::ZERO {
+            f64::from(self.settings.max_parts_per_call.max(1) - 1) / 2.0
+        } else {
+            0.0
+        };
+        let Some(known) = self.servers.get_mut(&server) else {
+            return;
+        };
+        let in_flight = f64::from(known.in_flight.count());
+        let concurrency = &mut known.concurrency;
+        let reached = f64::from(in_flight_before) >= concurrency.limit
+            || in_flight + concurrency.headroom >= concurrency.limit;
+        concurrency.headroom = if reached {
+            call.min(concurrency.limit / 2.0)
+        } else {
+            0.0
+        };
+    }
+}
+
+/// Notes that a probe reached a server. Returns the load from elsewhere that it reported.
+fn reachable_again(server: &mut Server, report: Option<LoadReport>) -> Option<f64> {
+    let was_unreachable = std::mem::take(&mut server.ejection.unreachable);
+    if was_unreachable {
+        // What was in flight before counts no more: it would block the first part until it times
+        // out.
+        server.in_flight.write_off();
+    }
+    let own = f64::from(server.in_flight.count());
+    report
+        .and_then(|r| r.in_flight.or(r.queued))
+        .map(|held| (held - own).max(0.0))
+}
--- /dev/null
+++ b/crates/coordinator/src/decision/rejection.rs
@@ -0,0 +1,47 @@
+//! Rejections and failures of queries, with the hint when the client should retry.
+
+use super::router::{action_time, seconds, Router};
+use crate::interface::{Action, Cause, RequestId};
+use std::time::Duration;
+
+/// Shortest hint.
+const MIN_HINT_S: f64 = 0.05;
+
+impl Router {
+    /// Rejects a query. A retry after `wait` seconds makes sense.
+    pub(super) fn reject(
+        &mut self,
+        id: RequestId,
+        wait: f64,
+        cause: Cause,
+        actions: &mut Vec<Action>,
+    ) {
+        actions.push(Action::Reject {
+            query: id,
+            retry_after: self.retry_hint(wait),
+            cause,
+        });
+        self.drop_query(id, actions);
+    }
+
+    /// Fails a query that may have taken effect.
+    pub(super) fn fail(
+        &mut self,
+        id: RequestId,
+        wait: f64,
+        cause: Cause,
+        actions: &mut Vec<Action>,
+    ) {
+        actions.push(Action::Fail {
+            query: id,
+            retry_after: self.retry_hint(wait),
+            cause,
+        });
+        self.drop_query(id, actions);
+    }
+
+    fn retry_hint(&self, wait: f64) -> Option<Duration> {
+        let longest = seconds(self.settings.max_retry_after?).max(MIN_HINT_S);
+        Some(action_time(wait.clamp(MIN_HINT_S, longest)))
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/decision/retry_budget.rs
@@ -0,0 +1,91 @@
+//! The budget on retries and hedged requests, and the rule on repeats of parts.
+
+use super::router::{seconds, Router};
+use super::statistics::EventWindow;
+use super::work::Part;
+use crate::interface::{ClassId, Idempotency, RetryBudget};
+use std::time::Duration;
+
+/// The budget on hedged requests if the settings have none. Retries are then free.
+const HEDGE_BUDGET: RetryBudget = RetryBudget {
+    min_retries: 10.0,
+    retry_share: 0.2,
+    window: Duration::from_secs(2),
+};
+
+/// What the budget counts.
+#[derive(Default)]
+pub(super) struct RetryWindow {
+    /// Queries and parts that arrived.
+    pub(super) arrivals: EventWindow,
+    /// Attempts beyond a part's first.
+    pub(super) retries: EventWindow,
+}
+
+/// Counts in the budget's window.
+struct RetryCounts {
+    arrivals: usize,
+    retries: usize,
+}
+
+impl Router {
+    /// Drops what is older than the budget's window.
+    pub(super) fn expire_retry_window(&mut self) {
+        self.count_retry_window(self.budget_in_force());
+    }
+
+    fn budget_in_force(&self) -> RetryBudget {
+        self.settings.retry_budget.unwrap_or(HEDGE_BUDGET)
+    }
+
+    /// Counts with a turn to spare at both ends of the window, as the keeper of the budget may
+    /// count a turn later.
+    fn count_retry_window(&mut self, budget: RetryBudget) -> RetryCounts {
+        let (window, edge) = (seconds(budget.window), self.turn_margin());
+        let counted = &mut self.retry_window;
+        RetryCounts {
+            arrivals: counted.arrivals.count_since(self.now - window + edge),
+            retries: counted.retries.count_since(self.now - window - edge),
+        }
+    }
+
+    /// Whether this share of the budget allows one more attempt. Without a budget in the settings
+    /// the whole of it (share 1) is without limit.
+    pub(super) fn retry_budget_allows(&mut self, share: f64) -> bool {
+        if self.settings.retry_budget.is_none() && share >= 1.0 {
+            return true;
+        }
+        let budget = self.budget_in_force();
+        let counts = self.count_retry_window(budget);
+        let allowed = budget.min_retries + budget.retry_share * counts.arrivals as f64;
+        counts.retries as f64 + 1.0 <= share * allowed
+    }
+
+    /// Whether a part may be sent once more now.
+    pub(super) fn may_send_again(&self, part: &Part, class: ClassId) -> bool {
+        let attempts_left = part.attempts.len() < self.settings.max_attempts as usize;
+        if !attempts_left || !part.is_open() {
+            return false;
+        }
+        let second_copy_allowed = self.settings.hedging || !part.has_attempt_in_flight();
+        second_copy_allowed && self.repeat_is_harmless(part, class, self.turn_margin())
+    }
+
+    /// Whether it does no harm to repeat a part so many seconds later. A key holds from the first
+    /// attempt that may have run.
+    pub(super) fn repeat_is_harmless(&self, part: &Part, class: ClassId, later: f64) -> bool {
+        let first_that_may_have_run = part
+            .attempts
+            .iter()
+            .filter(|a| a.in_flight || a.may_have_run)
+            .map(|a| a.sent_at)
+            .fold(f64::MAX, f64::min);
+        match self.class(class).idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed(window) => {
+                self.now + later - first_that_may_have_run < seconds(window)
+            }
+            Idempotency::NotIdempotent => first_that_may_have_run == f64::MAX,
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/decision/server.rs
@@ -0,0 +1,62 @@
+//! What a router knows of one server. The modules that decide by it own their part of the state.
+
+use super::idle_queue::IdleQueueEntries;
+use super::load::{InFlight, LatencyRatio, OtherLoad};
+use super::outlier_ejection::{ConcurrencyLimit, Ejection, Health};
+use super::slow_start::WarmUp;
+use crate::interface::{ServerEntry, ServerState, ZoneId};
+
+/// One server of the list, or one that was in it lately.
+pub(super) struct Server {
+    pub(super) zone: ZoneId,
+    pub(super) cell: u32,
+    pub(super) state: ServerState,
+    /// Its latest start, as far as the list told it.
+    pub(super) started_at: Option<f64>,
+    /// When the list told that it drains or is gone.
+    pub(super) left_service_at: f64,
+    /// When it last answered an attempt, be it with an error.
+    pub(super) last_heard_at: f64,
+    pub(super) last_sent_at: f64,
+    pub(super) in_flight: InFlight,
+    pub(super) other_load: OtherLoad,
+    pub(super) idle_queue: IdleQueueEntries,
+    pub(super) latency_ratio: LatencyRatio,
+    pub(super) health: Health,
+    pub(super) ejection: Ejection,
+    pub(super) concurrency: ConcurrencyLimit,
+    pub(super) warm_up: WarmUp,
+}
+
+impl Server {
+    /// A server that wasn't known before. It is not in the list until its entry has been applied.
+    pub(super) fn new(entry: &ServerEntry, now: f64, classes: usize) -> Self {
+        Self {
+            zone: entry.zone,
+            cell: entry.cell,
+            state: ServerState::Gone,
+            started_at: None,
+            left_service_at: f64::MIN,
+            last_heard_at: now,
+            last_sent_at: f64::MIN,
+            in_flight: InFlight::new(now),
+            other_load: OtherLoad::default(),
+            idle_queue: IdleQueueEntries::new(now),
+            latency_ratio: LatencyRatio::new(now),
+            health: Health::new(classes),
+            ejection: Ejection::default(),
+            concurrency: ConcurrencyLimit::default(),
+            warm_up: WarmUp::default(),
+        }
+    }
+
+    /// Whether the list has it in service.
+    pub(super) fn is_ready(&self) -> bool {
+        self.state == ServerState::Ready
+    }
+
+    /// Whether it is ejected, or was and hasn't been cleared by answers yet.
+    pub(super) fn is_ejected(&self) -> bool {
+        self.ejection.until.is_some()
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/decision/server_list.rs
@@ -0,0 +1,162 @@
+//! The server list: its updates, and subscribing to it where the router has to ask.
+
+use super::router::{seconds, Router};
+use super::server::Server;
+use crate::interface::{Action, ListKind, ServerEntry, ServerId, ServerState};
+
+/// Time after which a server that is gone and has no part of ours is forgotten.
+const GONE_RETENTION_S: f64 = 15.0;
+/// Wait after a first failure to subscribe; doubled with each further one.
+const INITIAL_RETRY_WAIT_S: f64 = 0.1;
+/// Failures in a row after which the wait grows no more.
+const MAX_COUNTED_FAILURES: u32 = 5;
+/// The wait is at most half of this, or half of a quarter of the time within which the router must
+/// subscribe.
+const DEFAULT_RETRY_PERIOD_S: f64 = 2.0;
+
+/// The subscription to the server list.
+#[derive(Default)]
+pub(super) struct ListSubscription {
+    /// Whether any list was received.
+    received_list: bool,
+    active: bool,
+    /// When it was asked for, until there is an answer.
+    requested_at: Option<f64>,
+    next_request_at: f64,
+    failures: u32,
+}
+
+impl Router {
+    /// Applies an update of the server list.
+    pub(super) fn update_server_list(&mut self, kind: ListKind, entries: &[ServerEntry]) {
+        if kind == ListKind::Failed {
+            self.subscription_failed();
+            return;
+        }
+        if kind != ListKind::Cached {
+            self.subscription.failures = 0;
+            self.subscription.active |= self.subscription.requested_at.take().is_some();
+        }
+        if kind != ListKind::Changes {
+            self.mark_missing_as_gone(entries);
+        }
+        let new_ones_just_started = self.subscription.received_list && kind != ListKind::Cached;
+        for entry in entries {
+            self.apply_entry(entry, new_ones_just_started);
+        }
+        self.subscription.received_list = true;
+        self.forget_gone_servers();
+        self.index_servers_by_cell();
+    }
+
+    fn subscription_failed(&mut self) {
+        let longest = self
+            .settings
+            .subscribe_within
+            .map_or(DEFAULT_RETRY_PERIOD_S, |within| seconds(within) / 4.0);
+        let jitter = 1.0 + self.random_fraction();
+        let subscription = &mut self.subscription;
+        subscription.active = false;
+        subscription.requested_at = None;
+        subscription.failures = (subscription.failures + 1).min(MAX_COUNTED_FAILURES);
+        let wait =
+            (INITIAL_RETRY_WAIT_S * f64::from(subscription.failures).exp2()).min(longest / 2.0);
+        subscription.next_request_at = self.now + wait * jitter;
+    }
+
+    /// Applies one entry. A slow start counts from the start that the entry tells, or from now for
+    /// a server that is new or back, unless `new_ones_just_started` is false.
+    fn apply_entry(&mut self, entry: &ServerEntry, new_ones_just_started: bool) {
+        let (now, classes) = (self.now, self.settings.classes.len());
+        let started_at = entry.started_at.map(seconds);
+        let server = self
+            .servers
+            .entry(entry.server)
+            .or_insert_with(|| Server::new(entry, now, classes));
+        let ready = entry.state == ServerState::Ready;
+        let joined = server.state == ServerState::Gone && ready;
+        let told_of_start =
+            started_at.is_some_and(|at| server.started_at.is_none_or(|old| at > old));
+        let restarted = told_of_start || (joined && new_ones_just_started);
+        if restarted {
+            reset_after_start(server, started_at, now);
+        }
+        if server.is_ready() && entry.state == ServerState::Gone {
+            self.crashes.last_listed_at = now;
+        }
+        if server.is_ready() && !ready {
+            server.left_service_at = now;
+        }
+        (server.zone, server.cell, server.state) = (entry.zone, entry.cell, entry.state);
+        server.started_at = started_at.or(server.started_at);
+        if !ready {
+            server.idle_queue.count = 0;
+        }
+        if restarted {
+            self.spread_first_slot(entry.server);
+        }
+    }
+
+    /// Servers that a complete list doesn't name are gone.
+    fn mark_missing_as_gone(&mut self, entries: &[ServerEntry]) {
+        let now = self.now;
+        let listed = |id: &ServerId| entries.iter().any(|e| e.server == *id);
+        for (id, server) in &mut self.servers {
+            if server.state != ServerState::Gone && !listed(id) {
+                server.state = ServerState::Gone;
+                server.left_service_at = now;
+            }
+        }
+    }
+
+    /// Forgets the servers that have been gone for long and have no part of ours.
+    fn forget_gone_servers(&mut self) {
+        let now = self.now;
+        self.servers.retain(|_, server| {
+            server.state != ServerState::Gone
+                || !server.in_flight.is_empty()
+                || now - server.left_service_at < GONE_RETENTION_S
+        });
+    }
+
+    fn index_servers_by_cell(&mut self) {
+        self.servers_by_cell.iter_mut().for_each(Vec::clear);
+        for (id, server) in &self.servers {
+            if let Some(servers) = self.servers_by_cell.get_mut(server.cell as usize) {
+                servers.push(*id);
+            }
+        }
+    }
+
+    /// Subscribes where the router has to, and again after a failure or a request that was left
+    /// unanswered.
+    pub(super) fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
+        let Some(within) = self.settings.subscribe_within.map(seconds) else {
+            return;
+        };
+        let now = self.now;
+        let subscription = &mut self.subscription;
+        let unanswered = subscription
+            .requested_at
+            .is_some_and(|at| now - at > within / 2.0);
+        if unanswered {
+            subscription.requested_at = None;
+        }
+        let requested = subscription.requested_at.is_some();
+        if !subscription.active && !requested && now >= subscription.next_request_at {
+            subscription.requested_at = Some(now);
+            actions.push(Action::Subscribe);
+        }
+    }
+}
+
+/// Forgets what was learned of a server's earlier process, and begins its slow start.
+fn reset_after_start(server: &mut Server, started_at: Option<f64>, now: f64) {
+    server.warm_up.since = started_at.or(Some(now));
+    server.ejection.clear();
+    server.health.reset();
+    server.latency_ratio.reset();
+    server.concurrency.reset();
+    server.idle_queue.count = 1;
+    server.idle_queue.updated_at = now;
+}
--- a/crates/coordinator/src/interface.rs
+++ b/crates/coordinator/src/interface.rs
@@ -1,7 +1,8 @@
-//! The interface of the decision module: the events that a router takes and the actions that it returns.
+//! The interface of the decision module: the events that a router takes and the actions that it
+//! returns.
 //!
-//! Nothing here decides anything. All times are [`Duration`]s. Points in time count from an origin that the
-//! caller chooses once; they never go back. Shares are fractions from 0 to 1.
+//! Nothing here decides anything. All times are [`Duration`]s. Points in time count from an origin
+//! that the caller chooses once; they never go back. Shares are fractions from 0 to 1.
 
 use std::time::Duration;
 
@@ -67,7 +68,8 @@
     pub complete_share: f64,
     /// Smallest share of the parts' weight that a partial answer may rest on.
     pub min_share: f64,
-    /// What a partial answer earns: this share of the value, times its weight over `complete_share`.
+    /// What a partial answer earns: this share of the value, times its weight over
+    /// `complete_share`.
     pub partial_value: f64,
     /// Number of parts in the second step; 0 for a class with one step.
     pub second_step_parts: u32,
@@ -106,7 +108,8 @@
     pub overload_time: Duration,
 }
 
-/// Placement of the shards: shard `s` is on the cells `s` to `s + cells_per_shard - 1`, modulo `cells`.
+/// Placement of the shards: shard `s` is on the cells `s` to `s + cells_per_shard - 1`, modulo
+/// `cells`.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardLayout {
     /// Number of cells.
@@ -120,8 +123,8 @@
 pub struct RouterSettings {
     /// The classes of queries.
     pub classes: Vec<QueryClass>,
-    /// Whether a query's value is that of its class times its number of parts. Otherwise each query of a
-    /// class has the same value.
+    /// Whether a query's value is that of its class times its number of parts. Otherwise each query
+    /// of a class has the same value.
     pub value_by_work: bool,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
@@ -151,7 +154,8 @@
     pub retry_budget: Option<RetryBudget>,
     /// Limits for servers that warm up.
     pub slow_start: Option<SlowStart>,
-    /// Set if the router has to subscribe to the server list itself: the time within which it does so.
+    /// Set if the router has to subscribe to the server list itself: the time within which it does
+    /// so.
     pub subscribe_within: Option<Duration>,
     /// Time after the notice of a drain by which sends to that server must have stopped.
     pub drain_grace: Duration,
@@ -336,7 +340,8 @@
 /// An output of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a part to a server. The attempts of a part are numbered from 0 in the order of these actions.
+    /// Send a part to a server. The attempts of a part are numbered from 0 in the order of these
+    /// actions.
     Send {
         /// The part.
         part: RequestId,
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,8 +1,14 @@
-//! Decisions of a query router that reads many shards for one query.
+//! The coordinator in service: it reads many shards for one query and answers from what comes back.
 //!
-//! The router is sans-I/O: it is handed events with the time and hands back actions. It picks
-//! replicas by Join-Idle-Queue and guards that path against failures. [`interface`] holds the
-//! types, [`choice`] every decision.
+//! - [`decision`]: every decision, sans-I/O. It takes events with their time and returns actions.
+//! - [`interface`]: the types of these events and actions.
+//! - [`core`]: queries, attempts and timers round the decision module, one table for each processor core.
+//! - [`front`]: the listeners for clients. [`net`]: the connections to hosts, and the host list.
+//! - [`peers`]: the load that coordinators publish to each other.
+//! - [`shard`]: the threads, one for each processor core. [`serve`]: the program.
+//! - [`ops`], [`counters`], [`logger`], [`config`]: operation.
+//!
+//! The decision module alone, on scripted events:
 //!
 //! ```
 //! use coordinator::*;
@@ -40,10 +46,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod choice;
 pub mod config;
 pub mod core;
 pub mod counters;
+pub mod decision;
 pub mod front;
 pub mod interface;
 pub mod logger;
@@ -52,7 +58,6 @@
 pub mod peers;
 pub mod serve;
 pub mod shard;
-mod state;
 
+pub use decision::{Router, ServerCounts};
 pub use interface::*;
-pub use state::Router;
--- a/crates/coordinator/src/peers/voice.rs
+++ b/crates/coordinator/src/peers/voice.rs
@@ -1,8 +1,8 @@
 //! The talk beside one router: what its servers are called on the wire, what it has out, what it is told.
 
 use super::{tag, Datagram, Gossip, Heard, Tag, Talk};
+use crate::decision::Router;
 use crate::interface::{Action, Event, ServerId};
-use crate::state::Router;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
         if !std::mem::take(&mut self.news) {
             return;
         }
-        for (server, _) in router.outs() {
+        for (server, _) in router.in_flight() {
             let told = self
                 .tags
                 .get(&server)
@@ -71,7 +71,7 @@
             .iter()
             .filter(|a| matches!(a, Action::Send { .. }))
             .count() as u64;
-        let outs = router.outs();
+        let outs = router.in_flight();
         if outs.iter().any(|(id, _)| !self.tags.contains_key(id)) {
             self.name_all(&outs, name);
         }
--- /dev/null
+++ b/crates/coordinator/tests/decision_layout.rs
@@ -0,0 +1,127 @@
+//! Rules on how the decision module is laid out: the operators replace its folder alone, and newcomers read it first.
+
+use std::path::{Path, PathBuf};
+
+/// What a module without I/O and clock doesn't name.
+const FORBIDDEN: [&str; 8] = [
+    "std::net",
+    "std::fs",
+    "std::thread",
+    "std::io",
+    "std::env",
+    "tokio",
+    "Instant",
+    "SystemTime",
+];
+
+const MAX_LINE_WIDTH: usize = 110;
+const MAX_FUNCTION_LINES: usize = 60;
+const FOLDER: &str = "crates/coordinator/src/decision";
+
+fn repository() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+/// Names and contents of the folder's files.
+fn files() -> Vec<(String, String)> {
+    let mut files: Vec<(String, String)> = std::fs::read_dir(repository().join(FOLDER))
+        .unwrap()
+        .map(|entry| {
+            let path = entry.unwrap().path();
+            let name = path.file_name().unwrap().to_str().unwrap().to_owned();
+            assert!(name.ends_with(".rs"), "{name}: only source files");
+            let text = std::fs::read_to_string(&path).unwrap();
+            (name, text)
+        })
+        .collect();
+    files.sort();
+    assert!(files.len() > 10, "split by concern");
+    files
+}
+
+/// The functions of formatted source: name and number of lines.
+fn functions(text: &str) -> Vec<(String, usize)> {
+    let mut found = Vec::new();
+    let lines: Vec<&str> = text.lines().collect();
+    for (start, line) in lines.iter().enumerate() {
+        let code = line.trim_start();
+        let indent = &line[..line.len() - code.len()];
+        let signature = code
+            .trim_start_matches("pub(super) ")
+            .trim_start_matches("pub ");
+        if let Some(name) = signature.strip_prefix("fn ") {
+            let closing = format!("{indent}}}");
+            let length = lines[start..].iter().position(|l| *l == closing).unwrap() + 1;
+            found.push((name.split('(').next().unwrap().to_owned(), length));
+        }
+    }
+    found
+}
+
+#[test]
+fn every_file_of_the_decision_module_names_its_job() {
+    for (name, text) in files() {
+        let first = text.lines().next().unwrap();
+        let job = first
+            .strip_prefix("//! ")
+            .unwrap_or_else(|| panic!("{name} has no doc"));
+        assert!(job.len() > 20, "{name}: '{job}' names no job");
+        let widest = text.lines().map(|l| l.chars().count()).max().unwrap();
+        assert!(
+            widest <= MAX_LINE_WIDTH,
+            "{name}: {widest} characters in a line"
+        );
+    }
+}
+
+#[test]
+fn the_front_page_of_the_decision_module_names_its_interface() {
+    let front = files().into_iter().find(|f| f.0 == "mod.rs").unwrap().1;
+    let head = front.lines().take_while(|l| l.starts_with("//!"));
+    assert!(head.clone().any(|l| l.contains("crate::interface")));
+}
+
+#[test]
+fn the_decision_module_has_no_io_and_no_clock() {
+    for (name, text) in files() {
+        for word in FORBIDDEN {
+            let code = text.lines().filter(|l| !l.trim_start().starts_with("//"));
+            assert!(
+                !code.clone().any(|l| l.contains(word)),
+                "{name} uses {word}"
+            );
+        }
+    }
+}
+
+#[test]
+fn no_function_of_the_decision_module_is_longer_than_sixty_lines() {
+    let mut count = 0;
+    for (file, text) in files() {
+        for (name, lines) in functions(&text) {
+            assert!(
+                lines <= MAX_FUNCTION_LINES,
+                "{file}: {name} has {lines} lines"
+            );
+            count += 1;
+        }
+    }
+    assert!(count > 80, "found only {count} functions");
+}
+
+#[test]
+fn the_deploy_file_names_exactly_the_folder_of_the_decision_module() {
+    let text = std::fs::read_to_string(repository().join("deploy/balancer.toml")).unwrap();
+    let deploy: toml::Table = text.parse().unwrap();
+    let policy = deploy["policy"].as_array().unwrap();
+    let policy: Vec<&str> = policy.iter().map(|v| v.as_str().unwrap()).collect();
+    assert_eq!(policy, [FOLDER]);
+    let node = deploy["node"].as_array().unwrap();
+    for path in node {
+        let path = path.as_str().unwrap();
+        assert!(
+            !path.starts_with(FOLDER) && repository().join(path).exists(),
+            "{path}"
+        );
+    }
+}
