--- a/crates/coordinator/src/decision/mod.rs
+++ b/crates/coordinator/src/decision/mod.rs
@@ -22,7 +22,9 @@
 mod admission;
 mod arrival;
 mod attempt_results;
+mod backoff;
 mod completion;
+mod concurrency_limit;
 mod crash_suspects;
 mod dispatch;
 mod eligibility;
--- a/crates/coordinator/src/decision/outlier_ejection.rs
+++ b/crates/coordinator/src/decision/outlier_ejection.rs
@@ -1,12 +1,14 @@
 //! Outlier ejection: servers that fail are left out for a time that grows with each relapse (as
-//! Envoy's outlier detection does), and come back by probes and by good answers. A server that
-//! rejects parts is not ejected: its concurrency limit is cut.
+//! Envoy's outlier detection does), and come back by probes and by good answers.
+//!
+//! A server that rejects parts is not ejected: its [concurrency limit](super::concurrency_limit) is
+//! cut.
 
+use super::backoff::Backoff;
 use super::load::REPORT_LAG_S;
 use super::router::{Router, SMALL_FLEET_ROUTERS};
 use super::server::Server;
 use crate::interface::{Action, ClassId, LoadReport, Outcome, ServerId};
-use std::time::Duration;
 
 /// Weight of one answer in the share of failures (EWMA).
 const FAILURE_GAIN: f64 = 0.25;
@@ -30,30 +32,10 @@
 const MAX_FLEET_FACTOR: f64 = 8.0;
 /// ... and the longest ejection by up to this.
 const MAX_FLEET_FACTOR_OF_LONGEST: f64 = 4.0;
-/// Time for which a server gets nothing after it rejected our only part. Each rejection doubles it.
-const REJECTION_BACKOFF: Backoff = Backoff {
-    initial: 0.1,
-    max: 2.0,
-};
-/// What each answer adds to the concurrency limit of a server.
-const CONCURRENCY_LIMIT_STEP: f64 = 0.2;
 /// A connection that is refused within this time after one that broke means that the server's
 /// process died.
 pub(super) const CRASH_WINDOW_S: f64 = 10.0;
 
-/// Bounds of a time that grows, in seconds.
-struct Backoff {
-    initial: f64,
-    max: f64,
-}
-
-impl Backoff {
-    /// The time after one of this length.
-    fn next(&self, length: f64) -> f64 {
-        (2.0 * length).clamp(self.initial, self.max)
-    }
-}
-
 /// Failures of a server.
 pub(super) struct Health {
     /// Share of its latest answers that were failures.
@@ -136,36 +118,6 @@
     }
 }
 
-/// How many of our parts a server takes at once (adaptive concurrency limit).
-pub(super) struct ConcurrencyLimit {
-    /// Parts in flight up to which it gets more; cut when it rejects one, raised with each answer.
-    limit: f64,
-    /// Parts below the limit that must be in flight before it gets any again, after the limit was
-    /// reached.
-    headroom: f64,
-    /// Until when it gets nothing, as it rejected our only part.
-    pub(super) backoff_until: f64,
-    backoff: f64,
-}
-
-impl Default for ConcurrencyLimit {
-    fn default() -> Self {
-        Self {
-            limit: f64::MAX,
-            headroom: 0.0,
-            backoff_until: f64::MIN,
-            backoff: 0.0,
-        }
-    }
-}
-
-impl ConcurrencyLimit {
-    /// Lifts the limit, as the server's process is a new one.
-    pub(super) fn reset(&mut self) {
-        self.limit = f64::MAX;
-    }
-}
-
 impl Router {
     /// Judges a server by how an attempt ended, whatever its reports say: one that fails quickly
     /// looks idle.
@@ -189,8 +141,7 @@
         known.last_heard_at = now;
         known.health.connection_refused = false;
         known.health.failure_ewma -= FAILURE_GAIN * known.health.failure_ewma;
-        known.concurrency.backoff /= 2.0;
-        known.concurrency.limit += CONCURRENCY_LIMIT_STEP;
+        known.concurrency.raise();
         let ejection = &mut known.ejection;
         ejection.unreachable = false;
         ejection.successes += 1.0;
@@ -239,31 +190,6 @@
         }
     }
 
-    /// Cuts the concurrency limit of a server to what it held when it rejected a part.
-    fn record_rejection(&mut self, server: ServerId) {
-        let jitter = 0.5 + self.random_fraction();
-        let many_routers = self.has_many_routers();
-        let call = if many_routers {
-            f64::from(self.settings.max_parts_per_call.max(1))
-        } else {
-            1.0
-        };
-        let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
-            return;
-        };
-        let in_flight = known.in_flight.count();
-        // A limit of less than a call would never allow one: time limits it then. A draining server
-        // wants none.
-        let least = if known.is_ready() { call } else { 0.0 };
-        let concurrency = &mut known.concurrency;
-        concurrency.limit = concurrency.limit.min(f64::from(in_flight).max(least));
-        if many_routers && in_flight == 0 {
-            concurrency.backoff = REJECTION_BACKOFF.next(concurrency.backoff);
-            concurrency.backoff_until = now + jitter * concurrency.backoff;
-        }
-    }
-
     /// Counts a failure; ejects the server once failures make too large a share of its answers.
     fn record_failure(&mut self, server: ServerId, unreachable: bool) {
         let now = self.now;
@@ -394,34 +320,6 @@
             self.eject(server, true);
         }
     }
-
-    /// Whether the concurrency limit of a server allows one more part.
-    pub(super) fn has_capacity(&self, server: &Server) -> bool {
-        let concurrency = &server.concurrency;
-        f64::from(server.in_flight.count()) + concurrency.headroom < concurrency.limit
-    }
-
-    /// Notes whether a server's concurrency limit is reached. If calls have a cost, some of it must
-    /// come free before the server gets parts again, so that several can share a call.
-    pub(super) fn update_headroom(&mut self, server: ServerId, in_flight_before: u32) {
-        let call = if self.settings.call_overhead > Duration::ZERO {
-            f64::from(self.settings.max_parts_per_call.max(1) - 1) / 2.0
-        } else {
-            0.0
-        };
-        let Some(known) = self.servers.get_mut(&server) else {
-            return;
-        };
-        let in_flight = f64::from(known.in_flight.count());
-        let concurrency = &mut known.concurrency;
-        let reached = f64::from(in_flight_before) >= concurrency.limit
-            || in_flight + concurrency.headroom >= concurrency.limit;
-        concurrency.headroom = if reached {
-            call.min(concurrency.limit / 2.0)
-        } else {
-            0.0
-        };
-    }
 }
 
 /// Notes that a probe reached a server. Returns the load from elsewhere that it reported.
--- a/crates/coordinator/src/decision/server.rs
+++ b/crates/coordinator/src/decision/server.rs
@@ -1,8 +1,9 @@
 //! What a router knows of one server. The modules that decide by it own their part of the state.
 
+use super::concurrency_limit::ConcurrencyLimit;
 use super::idle_queue::IdleQueueEntries;
 use super::load::{InFlight, LatencyRatio, OtherLoad};
-use super::outlier_ejection::{ConcurrencyLimit, Ejection, Health};
+use super::outlier_ejection::{Ejection, Health};
 use super::slow_start::WarmUp;
 use crate::interface::{ServerEntry, ServerState, ZoneId};
 
