--- a/crates/control-plane/src/member/disk.rs
+++ b/crates/control-plane/src/member/disk.rs
@@ -2,7 +2,7 @@
 
 use super::acknowledged::ledger_bytes;
 use super::{DiskError, DiskState, Member, Output, ReplicaLog, Role};
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use protocol::{MemberInfo, MembershipConfig, Message, Record};
 use std::time::Duration;
 
@@ -100,7 +100,7 @@
     }
 
     pub(super) fn fit(&self, now: Duration, stall: Duration) -> bool {
-        self.state(now, stall) == DiskState::Fit
+        self.state(now, stall) == DiskState::Healthy
     }
 
     pub(super) fn state(&self, now: Duration, stall: Duration) -> DiskState {
@@ -108,7 +108,7 @@
         match self.refused {
             Some(_) => DiskState::Refused,
             None if stalled => DiskState::Stalled,
-            None => DiskState::Fit,
+            None => DiskState::Healthy,
         }
     }
 
@@ -120,7 +120,9 @@
 
 impl Member {
     pub(super) fn write(&mut self, record: &Record, after: After) {
-        self.disk.queue.push((protocol::write_one(record), after));
+        self.disk
+            .queue
+            .push((protocol::encode_record(record), after));
     }
 
     /// Starts the next write.
@@ -195,7 +197,7 @@
         let Some(held) = self.held.as_ref().map(|h| &h.disk) else {
             return REWRITE_GROWTH * known;
         };
-        match self.acknowledged.changes_up_to(held.seq) {
+        match self.acknowledged.changes_up_to(held.index) {
             Some(changes) => REWRITE_GROWTH * known + 2 * changes.map(Vec::len).sum::<usize>(),
             None => REWRITE_GROWTH * (known + ledger_bytes(held)),
         }
@@ -205,7 +207,7 @@
     /// first, and then the changes since; where these aren't at hand, the acknowledged ledger stands under a view
     /// without voters, before the one held.
     fn whole(&self) -> Vec<Vec<u8>> {
-        let mut records = vec![protocol::write_one(&Record::Promised {
+        let mut records = vec![protocol::encode_record(&Record::Promised {
             epoch: self.promised,
         })];
         let Some(view) = self.view.clone().filter(|v| v.epoch > 0) else {
@@ -213,17 +215,23 @@
         };
         let accepted = |view: MembershipConfig, ledger: Option<&ReplicatedState>| {
             let snapshot = ledger.map(ReplicatedState::snapshot);
-            protocol::write_one(&Record::Accepted { view, snapshot })
+            protocol::encode_record(&Record::Accepted {
+                membership: view,
+                snapshot,
+            })
+        };
+        let committed = |ledger: &ReplicatedState| {
+            protocol::encode_record(&Record::Committed {
+                index: ledger.index,
+            })
         };
-        let committed =
-            |ledger: &ReplicatedState| protocol::write_one(&Record::Committed { seq: ledger.seq });
         let (known, held) = (
             self.acknowledged.known(),
             self.held.as_ref().map(|h| &h.disk),
         );
         if let Some(((known, _), changes)) = known
             .zip(held)
-            .zip(held.and_then(|held| self.acknowledged.changes_up_to(held.seq)))
+            .zip(held.and_then(|held| self.acknowledged.changes_up_to(held.index)))
         {
             records.extend([accepted(view, Some(known)), committed(known)]);
             records.extend(changes.cloned());
@@ -293,30 +301,30 @@
                 } else {
                     let message = Message::InstallMembershipReply {
                         epoch,
-                        ok: true,
-                        seen: self.promised,
+                        accepted: true,
+                        promised_epoch: self.promised,
                     };
                     out.push(Output::Send { to, message });
                 }
             }
             After::Appended { to, epoch, ledger } => {
-                let seq = ledger.seq;
+                let index = ledger.index;
                 self.kept_change(epoch, *ledger, change.unwrap_or_default());
                 self.send(
                     to,
                     Message::AppendReply {
                         epoch,
-                        seq,
-                        ok: true,
-                        seen: self.promised,
+                        match_index: index,
+                        accepted: true,
+                        promised_epoch: self.promised,
                     },
                     out,
                 );
             }
             After::Own { epoch, ledger } => {
-                let seq = ledger.seq;
+                let index = ledger.index;
                 self.kept_change(epoch, *ledger, change.unwrap_or_default());
-                self.on_appended(self.me(), epoch, seq, true, out);
+                self.on_appended(self.me(), epoch, index, true, out);
             }
             After::Nothing => {}
         }
@@ -336,8 +344,8 @@
             After::Installed { to, view, .. } if to.id != self.me() => {
                 let message = Message::InstallMembershipReply {
                     epoch: view.epoch,
-                    ok: false,
-                    seen,
+                    accepted: false,
+                    promised_epoch: seen,
                 };
                 out.push(Output::Send { to, message });
             }
@@ -346,9 +354,9 @@
                     to,
                     Message::AppendReply {
                         epoch,
-                        seq: ledger.seq,
-                        ok: false,
-                        seen,
+                        match_index: ledger.index,
+                        accepted: false,
+                        promised_epoch: seen,
                     },
                     out,
                 );
@@ -362,7 +370,7 @@
         let epoch = match &self.role {
             Role::Primary(state) => state.epoch,
             Role::Candidate(candidacy) => candidacy.epoch,
-            Role::Idle => return,
+            Role::Follower => return,
         };
         self.step_down();
         let voters: Vec<u64> = self
@@ -375,6 +383,6 @@
             self.send(voter, Message::ReleaseLease { epoch }, out);
         }
         // The others go first.
-        self.election_at = self.now + 2 * self.config.lease;
+        self.election_at = self.now + 2 * self.config.lease_duration;
     }
 }
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -1,8 +1,8 @@
 //! A candidate alone, told what it would hear from the others.
 
 use configuration::FaultBudget;
-use control_plane::ledger::ReplicatedState;
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
+use control_plane::replicated_state::ReplicatedState;
 use protocol::{Addr, LogPosition, MemberInfo, MembershipConfig, Message};
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
             for output in outputs {
                 match output {
                     Output::Send { to, message } => self.sent.push((to.id, message)),
-                    Output::Write { ticket, .. } => inputs.push(Input::Wrote {
+                    Output::Write { ticket, .. } => inputs.push(Input::WriteCompleted {
                         ticket,
                         result: Ok(()),
                     }),
@@ -69,20 +69,20 @@
             epoch: VIEW_EPOCH,
             primary: 2,
             replicas: vec![2, 1, 3],
-            before: voters.clone(),
+            previous_voters: voters.clone(),
             voters,
         };
         let tag = Some(LogPosition {
             epoch: VIEW_EPOCH,
-            seq: 0,
+            index: 0,
         });
         let promise = Message::Promise {
             epoch,
             granted: true,
-            seen: epoch,
-            view: Some(view),
-            tag,
-            wait_ms: 0,
+            promised_epoch: epoch,
+            membership: Some(view),
+            log_position: tag,
+            retry_after_ms: 0,
         };
         self.hear(from, promise);
     }
@@ -91,17 +91,17 @@
 /// It holds no ledger, and needs all three for the replicas: the third promise comes while it fetches the ledger.
 #[test]
 fn a_promise_that_comes_during_the_fetch_counts() {
-    let config = Config {
-        me: member(1),
+    let config = MemberConfig {
+        local_member: member(1),
         bootstrap_voters: Some((1..=3).map(member).collect()),
-        budget: FaultBudget {
+        fault_budget: FaultBudget {
             machine_losses: 2,
             zones: 0,
             region_losses: 0,
         },
-        lease: Duration::from_millis(1000),
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        lease_duration: Duration::from_millis(1000),
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     };
     let now = Duration::from_secs(1);
     let mut candidate = Candidate {
@@ -114,9 +114,9 @@
     candidate.hear(
         2,
         Message::PreVoteReply {
-            willing: true,
-            seen: 0,
-            wait_ms: 0,
+            granted: true,
+            promised_epoch: 0,
+            retry_after_ms: 0,
         },
     );
     let epoch = candidate.prepared().expect("it asks for promises");
@@ -131,13 +131,13 @@
     candidate.promise_of(3, epoch);
     let tag = LogPosition {
         epoch: VIEW_EPOCH,
-        seq: 0,
+        index: 0,
     };
     candidate.hear(
         2,
         Message::SnapshotReply {
             epoch,
-            tag,
+            log_position: tag,
             snapshot: ReplicatedState::default().snapshot(),
         },
     );
--- a/crates/control-plane/tests/order_cluster/mod.rs
+++ b/crates/control-plane/tests/order_cluster/mod.rs
@@ -1,7 +1,7 @@
 //! Members on simulated time: messages take 1 ms, writes 2 ms; what has to be held, cut or lost is told.
 
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
 use protocol::{Addr, Command, MemberInfo, Message};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -109,25 +109,25 @@
         let voters: Vec<MemberInfo> = self.nodes.iter().map(|n| n.info.clone()).collect();
         let node = &mut self.nodes[n];
         node.life += 1;
-        let config = Config {
-            me: node.info.clone(),
+        let config = MemberConfig {
+            local_member: node.info.clone(),
             bootstrap_voters: (node.life == 1).then(|| voters.clone()),
-            budget: FaultBudget {
+            fault_budget: FaultBudget {
                 machine_losses: 1,
                 zones: 0,
                 region_losses: 0,
             },
-            lease: Duration::from_millis(1000),
-            patience: Duration::from_millis(3500),
-            stall: Duration::from_millis(600),
+            lease_duration: Duration::from_millis(1000),
+            request_timeout: Duration::from_millis(3500),
+            disk_stall_timeout: Duration::from_millis(600),
         };
         let random = (n as u64 + 1) * 1_000_003 + node.life * 7_919;
         node.member = Some(Member::new(config, &node.records, self.now, random));
         node.answers.clear();
         let me = self.nodes[n].info.clone();
-        for (other, seat) in voters.into_iter().enumerate().filter(|v| v.0 != n) {
-            self.step(n, Input::Reachable { seat });
-            self.step(other, Input::Reachable { seat: me.clone() });
+        for (other, member) in voters.into_iter().enumerate().filter(|v| v.0 != n) {
+            self.step(n, Input::PeerReachable { member });
+            self.step(other, Input::PeerReachable { member: me.clone() });
         }
     }
 
@@ -144,8 +144,8 @@
         let primary = (0..self.nodes.len()).find(|p| self.acts(*p));
         let view = primary
             .and_then(|p| self.nodes[p].member.as_ref())
-            .and_then(Member::view);
-        view.is_some_and(|v| v.settled() && v.replicas.contains(&self.nodes[n].info.id))
+            .and_then(Member::membership);
+        view.is_some_and(|v| v.is_stable() && v.replicas.contains(&self.nodes[n].info.id))
     }
 
     /// Rewrites of a member's file so far.
@@ -199,7 +199,7 @@
         let view = self.nodes[primary]
             .member
             .as_ref()
-            .and_then(Member::view)
+            .and_then(Member::membership)
             .cloned()
             .unwrap();
         self.nodes
@@ -210,7 +210,11 @@
 
     /// Whether a member acts.
     pub fn acts(&self, n: usize) -> bool {
-        !self.frozen.contains(&n) && self.nodes[n].member.as_ref().is_some_and(Member::acts)
+        !self.frozen.contains(&n)
+            && self.nodes[n]
+                .member
+                .as_ref()
+                .is_some_and(Member::is_acting_primary)
     }
 
     /// The time.
@@ -323,7 +327,7 @@
                 self.nodes[node].records.extend(records);
                 self.step(
                     node,
-                    Input::Wrote {
+                    Input::WriteCompleted {
                         ticket,
                         result: Ok(()),
                     },
@@ -386,7 +390,9 @@
                 let after = at.saturating_sub(self.now);
                 self.schedule(after, Event::Wake { node: n });
             }
-            Output::Publish { .. } | Output::Restore { .. } | Output::Left => {}
+            Output::PublishState { .. }
+            | Output::RestoreState { .. }
+            | Output::DepartureComplete => {}
         }
     }
 }
--- a/crates/model-check/src/cluster/world/network.rs
+++ b/crates/model-check/src/cluster/world/network.rs
@@ -60,7 +60,13 @@
         for to in 0..self.machines.len() {
             let there = self.machines[to].process.is_some() && !self.machines[to].frozen;
             if there && self.reaches(n, to) {
-                self.step(run, to, Input::Reachable { seat: seat.clone() })?;
+                self.step(
+                    run,
+                    to,
+                    Input::PeerReachable {
+                        member: seat.clone(),
+                    },
+                )?;
             }
         }
         Ok(())
@@ -99,8 +105,11 @@
         };
         let (seat, at_start) = (process.seat.clone(), process.at_start.clone());
         Arc::make_mut(&mut self.facts).says(seat.id, &message)?;
-        if let Message::CommandResult { id, code, .. } = &message {
-            self.decided(n, *id, *code)?;
+        if let Message::CommandResult {
+            request_id, code, ..
+        } = &message
+        {
+            self.decided(n, *request_id, *code)?;
         }
         let planted = run.scenario.planted;
         let message = planted.rewrite(message, at_start.as_deref());
@@ -109,7 +118,7 @@
         let view = self.machines[n]
             .process
             .as_ref()
-            .and_then(|p| p.member.view());
+            .and_then(|p| p.member.membership());
         for (from, answer) in planted.forged_answers(&message, to, up.is_some(), view) {
             self.post(from, n, n, answer);
         }
--- /dev/null
+++ b/crates/multi-core/src/key_ownership.rs
@@ -0,0 +1,75 @@
+//! Ownership of query names. Two open queries of one name would share the names of their parts on the hosts'
+//! wire, so the second one is a conflict, whichever core owns the first.
+
+use crate::sync::{Arc, Mutex, MutexGuard};
+use std::collections::hash_map::Entry;
+use std::collections::HashMap;
+use std::hash::{BuildHasher, RandomState};
+use std::sync::PoisonError;
+
+/// Number of locks that names are spread over: two cores seldom want the same one.
+const STRIPES: usize = 32;
+
+/// The core that owns each name.
+type Stripe = HashMap<std::sync::Arc<str>, usize>;
+
+/// The names in use, with the core that owns each.
+pub struct KeyOwnership {
+    stripes: Vec<Mutex<Stripe>>,
+    hasher: RandomState,
+}
+
+/// Locks a stripe. A core that panicked while it held the lock left the map intact: each change is one step.
+fn lock(stripe: &Mutex<Stripe>) -> MutexGuard<'_, Stripe> {
+    stripe.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+impl KeyOwnership {
+    /// Creates the map with no name in use.
+    pub fn new() -> Arc<Self> {
+        Arc::new(Self {
+            stripes: (0..STRIPES).map(|_| Mutex::default()).collect(),
+            hasher: RandomState::new(),
+        })
+    }
+
+    fn stripe(&self, name: &str) -> MutexGuard<'_, Stripe> {
+        lock(&self.stripes[self.hasher.hash_one(name) as usize % STRIPES])
+    }
+
+    /// Makes a core the owner of a name. Returns false if the name is in use, on whichever core.
+    pub fn claim(&self, name: &std::sync::Arc<str>, core: usize) -> bool {
+        match self.stripe(name).entry(name.clone()) {
+            Entry::Occupied(_) => false,
+            Entry::Vacant(entry) => {
+                entry.insert(core);
+                true
+            }
+        }
+    }
+
+    /// Frees a name if this core owns it.
+    pub fn release(&self, name: &str, core: usize) {
+        let mut stripe = self.stripe(name);
+        if stripe.get(name) == Some(&core) {
+            stripe.remove(name);
+        }
+    }
+
+    /// Frees all names of a core that has ended.
+    pub fn release_all(&self, core: usize) {
+        for stripe in &self.stripes {
+            lock(stripe).retain(|_, owner| *owner != core);
+        }
+    }
+
+    /// The number of names in use.
+    pub fn len(&self) -> usize {
+        self.stripes.iter().map(|stripe| lock(stripe).len()).sum()
+    }
+
+    /// Whether no name is in use.
+    pub fn is_empty(&self) -> bool {
+        self.len() == 0
+    }
+}
