--- /dev/null
+++ b/crates/coordinator/tests/decision/admission.rs
@@ -0,0 +1,189 @@
+//! Admission control and forecasts.
+
+use crate::harness::*;
+use coordinator::*;
+
+#[test]
+fn a_query_without_server_for_its_shard_is_rejected_at_once() {
+    let mut harness = Harness::new(settings());
+    harness.run_turn(vec![
+        entry_changed(0, ServerState::Gone, None),
+        entry_changed(1, ServerState::Gone, None),
+    ]);
+    let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+    assert!(matches!(out[..], [Action::Reject { query, retry_after: Some(_), .. }] if query == id));
+}
+
+/// Once, parts that waited here for a server that rejects were not part of the forecast: ever more queries were
+/// admitted, and all of them were too late.
+#[test]
+fn parts_that_wait_for_capacity_count_in_the_forecast() {
+    let mut harness = Harness::new(RouterSettings {
+        hedging: false,
+        ..settings()
+    });
+    answer_queries(&mut harness, 20, 0, (ServerId(9), 0));
+    harness.run_turn(vec![entry_changed(1, ServerState::Gone, None)]);
+    let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
+    harness.end_attempt(parts[0], 0, Outcome::Rejected, 0.0);
+    let refused = (0..80).filter(|_| {
+        let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+        final_actions(&out, id) == 1
+    });
+    let refused = refused.count();
+    assert!((20..80).contains(&refused), "{refused} of 80 refused");
+}
+
+/// Once, queries were admitted of which three parts were answered and the fourth could not be in time.
+#[test]
+fn a_query_is_forecast_by_its_slowest_part() {
+    let mut harness = with_part_times(settings(), 320);
+    // Both servers of shard 2 get two parts each.
+    (0..4).for_each(|_| drop(harness.submit_query(0, &[(2, 1.0)])));
+    harness.client_wait = 500;
+    let (bad, _, _) = harness.submit_query(0, &[(0, 0.25), (0, 0.25), (0, 0.25), (2, 0.25)]);
+    let (good, _, _) = harness.submit_query(0, &[(0, 0.25), (0, 0.25), (0, 0.25), (0, 0.25)]);
+    assert_eq!(
+        (
+            final_actions(&harness.log, good),
+            final_actions(&harness.log, bad)
+        ),
+        (0, 1)
+    );
+}
+
+/// The share of the time left that suits one fleet overloads another.
+#[test]
+fn queries_that_miss_their_latency_target_make_admission_stricter() {
+    for (last, refused) in [(550, 0), (1100, 1)] {
+        let mut harness = with_part_times(
+            RouterSettings {
+                classes: vec![QueryClass {
+                    late_value: 0.5,
+                    ..class()
+                }],
+                ..settings()
+            },
+            500,
+        );
+        for _ in 0..10 {
+            let shards: Vec<(u32, f64)> = (0..8).map(|n| (n % 4, 0.125)).collect();
+            let (_, parts, _) = harness.submit_query(0, &shards);
+            harness.run_until(harness.now + 500);
+            parts[..7]
+                .iter()
+                .for_each(|p| drop(harness.answer_part(*p, 0, 500)));
+            harness.run_until(harness.now + last - 500);
+            // Only its end is late, as if delayed on its way, so that part times stay the same.
+            harness.answer_part(parts[7], 0, 500);
+        }
+        (0..16).for_each(|_| drop(harness.submit_query(0, &[(0, 1.0)])));
+        let (id, _, _) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_eq!(
+            final_actions(&harness.log, id),
+            refused,
+            "last part after {last} ms"
+        );
+    }
+}
+
+/// Once, 8% were rejected by a forecast past the target though a late answer still earned.
+#[test]
+fn a_query_that_earns_late_is_admitted_though_it_may_be_late() {
+    // Among many routers each learns late of what all do: there it is left out.
+    for (late_value, routers, refused) in [(0.0, 2, 1), (0.8, 2, 0), (0.8, 100, 1)] {
+        let classes = vec![QueryClass {
+            late_value,
+            ..class()
+        }];
+        let mut harness = with_part_times(
+            RouterSettings {
+                classes,
+                routers,
+                ..settings()
+            },
+            400,
+        );
+        // Both servers of shard 2 get four parts each: the next one is forecast to end past the latency target.
+        (0..8).for_each(|_| drop(harness.submit_query(0, &[(2, 1.0)])));
+        let (id, _, _) = harness.submit_query(0, &[(2, 1.0)]);
+        assert_eq!(
+            final_actions(&harness.log, id),
+            refused,
+            "late value {late_value}, {routers} routers"
+        );
+    }
+}
+
+/// Once, a class of value five for four parts was rejected as often as one of value one.
+#[test]
+fn in_congestion_the_query_of_more_value_for_its_work_is_admitted() {
+    let cases = [
+        (5.0, false, 1, 320, 2, (1, 0)),
+        // Without congestion both are admitted.
+        (5.0, false, 1, 100, 2, (0, 0)),
+        // One part where others had four: of more value for its work, unless the value counts by work.
+        (1.0, false, 4, 320, 2, (0, 0)),
+        (1.0, true, 4, 320, 2, (1, 1)),
+        // Among many routers each of which would prefer the same, none does.
+        (5.0, false, 1, 320, 100, (1, 1)),
+    ];
+    for (value, value_by_work, parts, latency, routers, ends) in cases {
+        let classes = vec![class(), QueryClass { value, ..class() }];
+        let mut harness = with_part_times(
+            RouterSettings {
+                classes,
+                value_by_work,
+                routers,
+                ..settings()
+            },
+            latency,
+        );
+        let shards: Vec<(u32, f64)> = (0..parts).map(|_| (0, 1.0 / f64::from(parts))).collect();
+        for _ in 0..20 {
+            let (_, parts, _) = harness.submit_query(1, &shards);
+            harness.run_until(harness.now + latency);
+            parts
+                .iter()
+                .for_each(|p| drop(harness.answer_part(*p, 0, latency)));
+        }
+        // Both servers of shard 2 are busy with seven parts each.
+        (0..14).for_each(|_| drop(harness.submit_query(1, &[(2, 1.0)])));
+        let (first, _, _) = harness.submit_query(0, &[(2, 1.0)]);
+        let (second, _, _) = harness.submit_query(1, &[(2, 1.0)]);
+        let ended = (
+            final_actions(&harness.log, first),
+            final_actions(&harness.log, second),
+        );
+        let case = format!(
+            "value {value}, by work {value_by_work}, {parts} parts, {latency} ms, {routers}"
+        );
+        assert_eq!(ended, ends, "{case}");
+    }
+}
+
+/// What many routers admit adds up, and each learns late of it.
+#[test]
+fn among_many_routers_each_admits_less_though_all_is_in_time() {
+    let taken = |routers: u32| {
+        let mut harness = with_part_times(
+            RouterSettings {
+                routers,
+                ..settings()
+            },
+            200,
+        );
+        for n in 0..60 {
+            let (_, parts, _) = harness.submit_query(0, &[(n % 4, 1.0)]);
+            harness.run_until(harness.now + 200);
+            parts
+                .iter()
+                .for_each(|p| drop(harness.answer_part(*p, 0, 200)));
+        }
+        (0..40)
+            .take_while(|_| sends(&harness.submit_query(0, &[(2, 1.0)]).2).len() == 1)
+            .count()
+    };
+    assert!(taken(8) > taken(9), "{} {}", taken(8), taken(9));
+    assert_eq!((taken(2), taken(9)), (taken(8), taken(100)));
+}
--- /dev/null
+++ b/crates/coordinator/tests/decision/arrival.rs
@@ -0,0 +1,91 @@
+//! Latency targets of clients' first attempts and retries.
+
+use crate::harness::*;
+use coordinator::*;
+
+/// A client's last attempt waits longer than its first ones. Once, the first ones then counted as retries past
+/// their latency target and were rejected at once.
+#[test]
+fn a_longer_last_attempt_does_not_make_first_attempts_retries() {
+    let mut harness = Harness::new(RouterSettings {
+        classes: vec![QueryClass {
+            late_value: 0.0,
+            ..class()
+        }],
+        ..settings()
+    });
+    for wait in [1900, 1900, 2700, 1900, 1900] {
+        harness.client_wait = wait;
+        let (id, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_eq!(
+            (final_actions(&out, id), sends(&out).len()),
+            (0, 1),
+            "an attempt that waits {wait} ms"
+        );
+        harness.now += 50;
+        harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
+    }
+    // One that began 1.5 s ago is past its latency target of one second.
+    harness.client_wait = 1500;
+    let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+    assert_eq!((final_actions(&out, id), sends(&out).len()), (1, 0));
+}
+
+/// It is short of time, which does not make it a retry.
+#[test]
+fn a_client_that_waits_less_than_the_latency_target_is_served() {
+    let mut harness = Harness::new(RouterSettings {
+        classes: vec![QueryClass {
+            late_value: 0.0,
+            ..class()
+        }],
+        ..settings()
+    });
+    for wait in [3000, 3000, 400] {
+        harness.client_wait = wait;
+        let (id, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_eq!(sends(&out).len(), 1, "a client that waits {wait} ms");
+        harness.now += 60;
+        harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
+        assert_eq!(final_actions(&harness.log, id), 1);
+    }
+}
+
+/// Where clients mark retries the mark decides, however long the attempt waits.
+#[test]
+fn a_marked_retry_keeps_its_first_latency_target_and_an_unmarked_attempt_gets_a_new_one() {
+    for (repeat, ends) in [(Some(false), 0), (Some(true), 1)] {
+        let mut harness = Harness::new(RouterSettings {
+            classes: vec![QueryClass {
+                late_value: 0.0,
+                ..class()
+            }],
+            ..settings()
+        });
+        for _ in 0..3 {
+            let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
+            harness.run_until(harness.now + 100);
+            harness.answer_part(parts[0], 0, 100);
+        }
+        // An attempt that waits 1.5 s of the client's 3 s: as a retry it began 1.5 s ago and missed its target.
+        let (id, part) = (RequestId(900), RequestId(901));
+        let deadline = ms(harness.now + 1500);
+        let query = Event::Query {
+            id,
+            class: ClassId(0),
+            tenant: None,
+            deadline,
+            is_retry: repeat,
+        };
+        harness.run_turn(vec![
+            query,
+            Event::Part {
+                id: part,
+                query: id,
+                shard: 0,
+                weight: 1.0,
+            },
+        ]);
+        assert_eq!(final_actions(&harness.log, id), ends, "{repeat:?}");
+    }
+}
--- /dev/null
+++ b/crates/coordinator/tests/decision/ejection.rs
@@ -0,0 +1,300 @@
+//! Outlier ejection, probes and the way back.
+
+use crate::harness::*;
+use coordinator::*;
+
+#[test]
+fn a_server_that_fails_quickly_and_reports_idle_gets_no_more_parts() {
+    let mut harness = Harness::new(settings());
+    let failer = ServerId(0);
+    harness.end_parts_at(failer, Outcome::Error, 2);
+    let before = harness.log.len();
+    for _ in 0..20 {
+        harness.submit_query(0, &[(0, 1.0)]);
+        harness.now += 20;
+    }
+    assert!(sends(&harness.log[before..]).iter().all(|s| s.1 != failer));
+}
+
+/// One failure is chance, and so are several of one moment, as on one broken connection. Once, each single
+/// error ejected a sound server for a second, so that of twelve some were always missing.
+#[test]
+fn a_single_failure_ejects_no_server() {
+    for outcome in [Outcome::Error, Outcome::Reset] {
+        let mut harness = Harness::new(settings());
+        harness.end_parts_at(ServerId(0), outcome, 1);
+        harness.end_parts_at(ServerId(0), Outcome::Ok, 2);
+        let (_, parts, out) = harness.submit_query(0, &[(0, 0.5), (3, 0.5)]);
+        assert!(sends(&out).iter().any(|s| s.1 == ServerId(0)));
+        harness.now += 10;
+        parts
+            .iter()
+            .for_each(|p| drop(harness.end_attempt(*p, 0, outcome, 0.0)));
+        harness.end_parts_at(ServerId(0), Outcome::Ok, 1);
+    }
+}
+
+/// Four of twelve hosts reset every fourth connection and served the rest in 10 ms. Ejecting them overloaded
+/// the others. A server that resets all connections is ejected.
+#[test]
+fn a_server_that_answers_between_resets_is_not_ejected() {
+    for (answers, left) in [(1, false), (0, true)] {
+        let mut harness = Harness::new(RouterSettings {
+            probes: true,
+            ..settings()
+        });
+        let server = ServerId(0);
+        for _ in 0..4 {
+            // Its entry ages, so that it is listed anew whatever the others told.
+            harness.now += 2100;
+            harness.end_parts_at(server, Outcome::Reset, 1);
+            (0..answers).for_each(|_| drop(harness.end_parts_at(server, Outcome::Ok, 1)));
+        }
+        harness.run_until(harness.now + 1100);
+        // One that was left is probed before its next part.
+        assert_eq!(
+            harness.log.contains(&Action::Probe { server }),
+            left,
+            "{answers} answers between resets"
+        );
+    }
+}
+
+/// Half of the hosts never answered one class and served the others. What is counted for a host as a whole
+/// does not show that.
+#[test]
+fn a_server_that_never_answers_one_class_is_ejected_for_that_class() {
+    let two = vec![class(), class()];
+    let mut harness = Harness::new(RouterSettings {
+        classes: two,
+        hedging: false,
+        ..settings()
+    });
+    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+    let failing = sends(&out)[0].1;
+    harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
+    let (mut swallowed, mut served) = (0, 0);
+    for n in 0..200 {
+        let (_, parts, out) = harness.submit_query(n % 2, &[(0, 1.0)]);
+        for (part, server) in sends(&out) {
+            let hangs = server == failing && n % 2 == 0;
+            harness.now += 10;
+            let load = if server == failing { 0.0 } else { 5.0 };
+            harness.end_attempt(
+                part,
+                0,
+                if hangs { Outcome::Timeout } else { Outcome::Ok },
+                load,
+            );
+            harness.end_attempt(parts[0], 1, Outcome::Ok, 5.0);
+            swallowed += usize::from(hangs);
+            served += usize::from(server == failing && !hangs);
+        }
+    }
+    assert!(
+        swallowed <= 12 && served >= 20,
+        "{swallowed} swallowed, {served} served"
+    );
+}
+
+/// It is rejected without an attempt, and admitted again once the servers are due for a probe.
+#[test]
+fn a_query_whose_servers_all_refuse_connections_is_rejected_at_once() {
+    let mut harness = Harness::new(settings());
+    for dead in [0, 1] {
+        // One that answered a moment ago runs: what failed there was a connection of ours.
+        harness.run_until(harness.now + 420);
+        harness.end_parts_at(ServerId(dead), Outcome::ConnectFailed, 1);
+    }
+    let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+    assert!(sends(&out).is_empty() && final_actions(&out, id) == 1);
+    harness.run_until(harness.now + 600);
+    assert_eq!(sends(&harness.submit_query(0, &[(0, 1.0)]).2).len(), 1);
+}
+
+/// The probes of all routers add up at a server.
+#[test]
+fn a_failing_server_is_probed_less_often_in_a_large_fleet() {
+    let tries = |routers| {
+        let mut harness = Harness::new(RouterSettings {
+            routers,
+            hedging: false,
+            ..settings()
+        });
+        harness.end_parts_at(ServerId(0), Outcome::Error, 2);
+        let before = harness.sends_to(ServerId(0));
+        for _ in 0..200 {
+            let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+            let failing = sends(&out)[0].1 == ServerId(0);
+            harness.end_attempt(
+                parts[0],
+                0,
+                if failing { Outcome::Error } else { Outcome::Ok },
+                0.0,
+            );
+            harness.end_attempt(parts[0], 1, Outcome::Ok, 0.0);
+            harness.run_until(harness.now + 100);
+        }
+        harness.sends_to(ServerId(0)) - before
+    };
+    let (few, many) = (tries(2), tries(100));
+    assert!(
+        many >= 1 && 2 * many <= few,
+        "{few} probes among two routers, {many} among a hundred"
+    );
+}
+
+#[test]
+fn servers_in_panic_mode_get_few_parts() {
+    let mut harness = Harness::new(settings());
+    for n in 0..2 {
+        let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
+        harness.now += 5;
+        harness.end_attempt(parts[0], 0, Outcome::Error, 0.0);
+        harness.end_attempt(parts[0], 1, Outcome::Error, 0.0);
+        assert!(n < 2);
+    }
+    let before = harness.log.len();
+    for _ in 0..30 {
+        harness.submit_query(0, &[(0, 1.0)]);
+    }
+    let asked = sends(&harness.log[before..]).len();
+    assert!(
+        (1..=4).contains(&asked),
+        "{asked} sends to two unsound servers"
+    );
+}
+
+/// The server still comes back.
+#[test]
+fn each_relapse_makes_the_ejection_longer() {
+    let mut harness = Harness::new(settings());
+    let failer = ServerId(0);
+    harness.end_parts_at(failer, Outcome::Error, 2);
+    let (mut gaps, mut last) = (Vec::new(), harness.now);
+    while gaps.len() < 4 && harness.now < 60_000 {
+        let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+        let failing = sends(&out)[0].1 == failer;
+        harness.end_attempt(
+            parts[0],
+            0,
+            if failing { Outcome::Error } else { Outcome::Ok },
+            0.0,
+        );
+        if failing {
+            gaps.push(harness.now - std::mem::replace(&mut last, harness.now));
+            harness.end_attempt(parts[0], 1, Outcome::Ok, 0.0);
+        }
+        harness.run_until(harness.now + 100);
+    }
+    assert_eq!(gaps.len(), 4, "it still comes back");
+    assert!(gaps[2] > 2 * gaps[0], "{gaps:?}");
+}
+
+/// A part counts as lost once its server is ejected, and one good answer clears a first ejection. Once, the part
+/// stayed in flight until its client left, and nothing could probe its server.
+#[test]
+fn a_lost_part_does_not_keep_its_server_from_being_probed() {
+    let mut harness = Harness::new(settings());
+    answer_queries(&mut harness, 20, 2, (ServerId(9), 0));
+    let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+    let silent = sends(&out)[0].1;
+    harness.run_until(harness.now + 2200);
+    assert!(
+        answer_queries(&mut harness, 4, 0, (silent, 50)) >= 1,
+        "it is tried while its first part is still out"
+    );
+    harness.run_turn(vec![entry_changed(
+        1 - silent.0,
+        ServerState::Draining,
+        None,
+    )]);
+    assert_eq!(
+        answer_queries(&mut harness, 6, 0, (silent, 50)),
+        6,
+        "and cleared"
+    );
+}
+
+/// Where answers are lost while probes pass, only parts clear a server.
+#[test]
+fn a_good_probe_alone_clears_no_server() {
+    let mut harness = Harness::new(RouterSettings {
+        probes: true,
+        ..settings()
+    });
+    let server = ServerId(0);
+    for _ in 0..4 {
+        harness.now += 2100;
+        harness.end_parts_at(server, Outcome::Reset, 1);
+    }
+    let more = harness.run_until(harness.now + 1100);
+    assert!(more.contains(&Action::Probe { server }));
+    harness.run_turn(vec![Event::ProbeEnded {
+        server,
+        outcome: Outcome::Ok,
+        report: None,
+    }]);
+    let before = harness.log.len();
+    for _ in 0..6 {
+        harness.submit_query(0, &[(0, 1.0)]);
+    }
+    let hits = sends(&harness.log[before..])
+        .iter()
+        .filter(|s| s.1 == server)
+        .count();
+    assert_eq!(hits, 1, "one part at a time until it answers");
+}
+
+/// Once, each failed probe counted as a relapse, so that after a partition hosts were probed every 4 s and
+/// cleared by five good answers, and parts lost in it kept even the first from being sent.
+#[test]
+fn a_server_after_a_long_partition_is_cleared_by_its_first_answer() {
+    let mut harness = Harness::new(RouterSettings {
+        probes: true,
+        ..settings()
+    });
+    let (server, mut asked) = (ServerId(0), Vec::new());
+    harness.end_parts_at(server, Outcome::ConnectFailed, 1);
+    while asked.len() < 8 {
+        let more = harness.run_until(harness.now + 10);
+        if more.contains(&Action::Probe { server }) {
+            asked.push(harness.now);
+            harness.run_turn(vec![Event::ProbeEnded {
+                server,
+                outcome: Outcome::Timeout,
+                report: None,
+            }]);
+        }
+    }
+    assert!(
+        asked.windows(2).all(|w| w[1] - w[0] <= 750),
+        "asked at {asked:?}"
+    );
+    // In panic mode it is sent a part meanwhile, which is never answered.
+    (1..4)
+        .for_each(|n| drop(harness.run_turn(vec![entry_changed(n, ServerState::Draining, None)])));
+    harness.now += 2100;
+    let (_, _, lost) = harness.submit_query(0, &[(0, 1.0)]);
+    assert!(sends(&lost).iter().any(|s| s.1 == server));
+    assert!(lost.contains(&Action::Probe { server }));
+    harness.run_turn(vec![Event::ProbeEnded {
+        server,
+        outcome: Outcome::Ok,
+        report: None,
+    }]);
+    (1..4).for_each(|n| drop(harness.run_turn(vec![entry_changed(n, ServerState::Ready, None)])));
+    harness.now += 600;
+    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+    assert!(sends(&out).iter().any(|s| s.1 == server), "a part as probe");
+    harness.now += 50;
+    harness.answer_part(parts[0], 0, 50);
+    harness.now += 10;
+    assert!(!harness
+        .run_until(harness.now + 1000)
+        .contains(&Action::Probe { server }));
+    let hits = (0..6)
+        .map(|_| harness.submit_query(0, &[(0, 1.0)]).2)
+        .filter(|o| sends(o).iter().any(|s| s.1 == server));
+    assert!(hits.count() > 1, "cleared by the first answer");
+}
--- /dev/null
+++ b/crates/coordinator/tests/decision/idle_connections.rs
@@ -0,0 +1,48 @@
+//! Connections that are dropped while unused.
+
+use crate::harness::*;
+use coordinator::*;
+
+/// Connections were dropped without a word after a second without use; the servers were sound.
+#[test]
+fn parts_lost_on_unused_connections_open_new_ones() {
+    // The same losses tell of the connection only where it had been out of use.
+    for (pause, opened) in [(1500, true), (100, false)] {
+        let mut harness = with_part_times(
+            RouterSettings {
+                shard_layout: ShardLayout {
+                    cells: 1,
+                    cells_per_shard: 1,
+                },
+                ..settings()
+            },
+            100,
+        );
+        let entries = (0..2)
+            .map(|n| ServerEntry {
+                cell: 0,
+                ..server_entry(n)
+            })
+            .collect();
+        harness.run_turn(vec![Event::ServerList {
+            kind: ListKind::Full,
+            entries,
+        }]);
+        for _ in 0..14 {
+            harness.run_until(harness.now + pause);
+            let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
+            harness.run_until(harness.now + 300);
+            harness.end_attempt(parts[0], 0, Outcome::Timeout, 0.0);
+            harness.run_until(harness.now + 100);
+            harness.answer_part(parts[0], 1, 100);
+        }
+        assert_eq!(
+            harness
+                .log
+                .iter()
+                .any(|a| matches!(a, Action::CloseIdleConnections { .. })),
+            opened,
+            "pause of {pause} ms"
+        );
+    }
+}
--- /dev/null
+++ b/crates/coordinator/tests/decision/load.rs
@@ -0,0 +1,115 @@
+//! Load estimates: reports, peers, latency ratio.
+
+use crate::harness::*;
+use coordinator::*;
+
+/// Once, an answer without a readable report counted as that of an idle server.
+#[test]
+fn an_answer_without_a_report_says_nothing_of_load() {
+    let mut harness = Harness::new(settings());
+    harness.end_parts_at(ServerId(0), Outcome::Ok, 1);
+    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+    let busy = sends(&out)[0].1;
+    harness.end_attempt(parts[0], 0, Outcome::Ok, 30.0);
+    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+    let other = sends(&out)[0].1;
+    assert_ne!(other, busy);
+    harness.end_attempt(parts[0], 0, Outcome::Ok, 20.0);
+    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+    assert_eq!(sends(&out)[0].1, other);
+    let (part, attempt, outcome, latency) = (parts[0], 0, Outcome::Ok, ms(1));
+    harness.run_turn(vec![Event::AttemptEnded {
+        part,
+        attempt,
+        outcome,
+        latency,
+        closed: true,
+        report: None,
+    }]);
+    assert_eq!(sends(&harness.submit_query(0, &[(0, 1.0)]).2)[0].1, other);
+}
+
+/// Its own answers outweigh its reports. Once, servers that took six times the usual time but reported idle kept
+/// an equal share of the parts.
+#[test]
+fn a_slow_server_that_reports_idle_gets_few_parts() {
+    let mut harness = Harness::new(RouterSettings {
+        hedging: false,
+        ..settings()
+    });
+    answer_queries(&mut harness, 20, 2, (ServerId(9), 0));
+    for n in 0..2 {
+        let slow = (ServerId(n), 400);
+        answer_queries(&mut harness, 10, 0, slow);
+        assert!(answer_queries(&mut harness, 20, 0, slow) <= 2, "server {n}");
+    }
+}
+
+/// The load that other routers publish goes, while fresh, before reports that trail it.
+#[test]
+fn a_server_that_other_routers_load_gets_few_parts() {
+    for (age, heavy) in [(0, 0), (5000, 20)] {
+        let mut harness = with_part_times(settings(), 100);
+        let told = |server, out| Event::PeerLoad {
+            server: ServerId(server),
+            in_flight: out,
+            age: ms(age),
+        };
+        let mut to_heavy = 0;
+        for _ in 0..20 {
+            harness.run_turn(vec![told(0, 20.0), told(1, 0.0)]);
+            let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+            let server = sends(&out)[0].1;
+            to_heavy += usize::from(server == ServerId(0));
+            harness.now += 10;
+            // Reports that say the opposite: old ones of the heavy one, and a busy light one.
+            harness.end_attempt(
+                parts[0],
+                0,
+                Outcome::Ok,
+                if server == ServerId(0) { 0.0 } else { 30.0 },
+            );
+            let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+            to_heavy += usize::from(sends(&out)[0].1 == ServerId(0));
+            harness.now += 10;
+            harness.end_attempt(
+                parts[0],
+                0,
+                Outcome::Ok,
+                if sends(&out)[0].1 == ServerId(0) {
+                    0.0
+                } else {
+                    30.0
+                },
+            );
+        }
+        assert!(
+            if heavy == 0 {
+                to_heavy == 0
+            } else {
+                to_heavy >= heavy / 2
+            },
+            "age {age}: {to_heavy}"
+        );
+    }
+}
+
+/// A coordinator that is cut off, and whose parts pile up, publishes busy servers.
+#[test]
+fn load_that_other_routers_publish_ejects_no_server() {
+    let mut harness = with_part_times(settings(), 50);
+    let told = |n| Event::PeerLoad {
+        server: ServerId(n),
+        in_flight: 8.0,
+        age: ms(30),
+    };
+    harness.run_turn((0..4).map(told).collect());
+    for shard in 0..4 {
+        let (id, _, out) = harness.submit_query(0, &[(shard, 1.0)]);
+        assert_eq!(
+            (sends(&out).len(), final_actions(&harness.log, id)),
+            (1, 0),
+            "shard {shard}"
+        );
+    }
+}
--- /dev/null
+++ b/crates/coordinator/tests/decision/router.rs
@@ -0,0 +1,141 @@
+//! The router as a whole: odd events, determinism, wake-ups.
+
+use crate::harness::*;
+use coordinator::*;
+use std::time::Duration;
+
+#[test]
+fn odd_but_legal_events_are_ignored() {
+    let mut harness = Harness::new(RouterSettings {
+        shard_layout: ShardLayout {
+            cells: 4,
+            cells_per_shard: 9,
+        },
+        ..settings()
+    });
+    let gone = RequestId(77);
+    harness.run_turn(vec![
+        Event::ClientLeft { query: gone },
+        Event::Part {
+            id: RequestId(78),
+            query: gone,
+            shard: 400,
+            weight: 1.0,
+        },
+        Event::AttemptEnded {
+            part: gone,
+            attempt: 5,
+            outcome: Outcome::Ok,
+            latency: ms(1),
+            closed: true,
+            report: None,
+        },
+        Event::ProbeEnded {
+            server: ServerId(99),
+            outcome: Outcome::Ok,
+            report: None,
+        },
+        Event::ServerList {
+            kind: ListKind::Full,
+            entries: vec![server_entry(1), server_entry(1)],
+        },
+        Event::ServerList {
+            kind: ListKind::Changes,
+            entries: vec![ServerEntry {
+                cell: 50,
+                ..server_entry(9)
+            }],
+        },
+    ]);
+    let (id, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
+    harness.run_turn(vec![Event::ClientLeft { query: id }]);
+    assert!(harness
+        .end_attempt(parts[0], 0, Outcome::Ok, 0.0)
+        .is_empty());
+    harness.run_turn(vec![Event::ServerList {
+        kind: ListKind::Full,
+        entries: vec![],
+    }]);
+    let (id, _, _) = harness.submit_query(0, &[(0, 1.0)]);
+    assert_eq!(final_actions(&harness.log, id), 1);
+}
+
+#[test]
+fn the_same_events_give_the_same_actions_alone_or_interleaved() {
+    let play = |others: bool| {
+        let mut harness = Harness::new(settings());
+        let mut noise = Harness::new(settings());
+        for n in 0..40 {
+            let (_, parts, _) = harness.submit_query(0, &[(n % 4, 0.5), ((n + 1) % 4, 0.5)]);
+            if others {
+                noise.submit_query(0, &[(n % 3, 1.0)]);
+                noise.run_until(noise.now + 30);
+            }
+            harness.now += 30;
+            harness.end_attempt(
+                parts[0],
+                0,
+                if n % 7 == 0 {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                },
+                f64::from(n % 3),
+            );
+            harness.run_until(harness.now + 20);
+        }
+        harness.log
+    };
+    assert_eq!(play(false), play(true));
+}
+
+/// A wake-up that comes a rounding error early must not end the chain of wake-ups.
+#[test]
+fn wake_ups_go_on_at_any_clock() {
+    for origin in [285_148_026_422u64, 410_944_781_445, 1_000_003] {
+        let mut harness = Harness::new(settings());
+        let mut out = Vec::new();
+        let mut now = origin;
+        let id = RequestId(0);
+        let at = Duration::from_micros;
+        let deadline = at(now + 3_000_000);
+        harness.router.handle(
+            at(now),
+            Event::Query {
+                id,
+                class: ClassId(0),
+                tenant: None,
+                deadline,
+                is_retry: None,
+            },
+            &mut out,
+        );
+        harness.router.handle(
+            at(now),
+            Event::Part {
+                id: RequestId(1),
+                query: id,
+                shard: 0,
+                weight: 1.0,
+            },
+            &mut out,
+        );
+        harness.router.handle(at(now), Event::TurnEnded, &mut out);
+        let mut due = std::collections::BTreeSet::new();
+        let mut seen = 0;
+        while final_actions(&out, id) == 0 {
+            for a in &out[seen..] {
+                if let Action::Wake { after } = a {
+                    due.insert(now + after.as_micros() as u64);
+                }
+            }
+            seen = out.len();
+            now = due
+                .pop_first()
+                .expect("a wake-up is due while a query is open");
+            harness.router.handle(at(now), Event::Wake, &mut out);
+            harness.router.handle(at(now), Event::TurnEnded, &mut out);
+        }
+        assert!(at(now) < deadline);
+    }
+}
--- /dev/null
+++ b/crates/coordinator/tests/decision/selection.rs
@@ -0,0 +1,79 @@
+//! Selection of a server: the idle queue first, random otherwise.
+
+use crate::harness::*;
+use coordinator::*;
+
+#[test]
+fn parts_go_to_holders_of_their_shard_and_a_complete_answer_follows() {
+    let mut harness = Harness::new(settings());
+    let (id, parts, out) = harness.submit_query(0, &[(1, 0.5), (2, 0.5)]);
+    for (part, server) in sends(&out) {
+        let shard = if part == parts[0] { 1 } else { 2 };
+        assert!(
+            (server.0 + 4 - shard) % 4 < 2,
+            "server {server:?} does not hold shard {shard}"
+        );
+    }
+    assert_eq!(sends(&out).len(), 2);
+    harness.now += 100;
+    assert!(harness
+        .end_attempt(parts[0], 0, Outcome::Ok, 0.0)
+        .is_empty());
+    let out = harness.end_attempt(parts[1], 0, Outcome::Ok, 0.0);
+    assert_eq!(
+        out,
+        vec![Action::Answer {
+            query: id,
+            complete: true
+        }]
+    );
+}
+
+#[test]
+fn a_server_in_the_idle_queue_is_selected_first() {
+    let mut harness = Harness::new(settings());
+    // Teach it that servers 0 and 1 hold work, then that one of them is idle.
+    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+    let idle = sends(&out)[0].1;
+    harness.now += 10;
+    harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
+    let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+    assert_eq!(
+        sends(&out)[0].1,
+        idle,
+        "the listed server wins over one that was never heard of"
+    );
+}
+
+#[test]
+fn a_busy_report_removes_a_server_from_the_idle_queue() {
+    let mut harness = Harness::new(settings());
+    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+    let busy = sends(&out)[0].1;
+    harness.now += 10;
+    harness.end_attempt(parts[0], 0, Outcome::Ok, 9.0);
+    for _ in 0..5 {
+        let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_ne!(sends(&out)[0].1, busy);
+    }
+}
+
+/// Once, part times of zero made scores of zero divided by zero, and no candidate was left.
+#[test]
+fn with_part_times_of_zero_a_server_is_still_selected() {
+    let mut harness = Harness::new(settings());
+    for n in 0..40 {
+        let (id, parts, _) = harness.submit_query(0, &[(n % 4, 1.0)]);
+        let (part, outcome, latency) = (parts[0], Outcome::Ok, ms(0));
+        harness.run_turn(vec![Event::AttemptEnded {
+            part,
+            attempt: 0,
+            outcome,
+            latency,
+            closed: true,
+            report: None,
+        }]);
+        assert_eq!(final_actions(&harness.log, id), 1);
+        harness.submit_query(0, &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]);
+    }
+}
--- /dev/null
+++ b/crates/coordinator/tests/decision/stall_detection.rs
@@ -0,0 +1,50 @@
+//! Silent servers and standstills of the router itself.
+
+use crate::harness::*;
+use coordinator::*;
+
+#[test]
+fn a_silent_server_is_ejected_and_its_parts_go_elsewhere() {
+    let mut harness = Harness::new(settings());
+    for _ in 0..12 {
+        let (_, parts, _) = harness.submit_query(0, &[(2, 1.0)]);
+        harness.now += 100;
+        harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
+    }
+    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+    let silent = sends(&out)[0].1;
+    let more = harness.run_until(harness.now + 500);
+    assert!(sends(&more)
+        .iter()
+        .any(|s| s.0 == parts[0] && s.1 != silent));
+    let before = harness.log.len();
+    harness.submit_query(0, &[(0, 1.0)]);
+    assert_ne!(sends(&harness.log[before..])[0].1, silent);
+}
+
+/// A router that stood still finds old parts in flight. That does not make their servers silent.
+#[test]
+fn a_standstill_of_the_router_is_no_evidence_against_servers() {
+    for stalled in [true, false] {
+        let mut harness = Harness::new(settings());
+        answer_queries(&mut harness, 20, 2, (ServerId(9), 0));
+        let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+        let server = sends(&out)[0].1;
+        if stalled {
+            harness.now += 900;
+            harness.run_turn(vec![Event::Wake]);
+        } else {
+            harness.run_until(harness.now + 900);
+        }
+        harness.run_turn(vec![entry_changed(
+            1 - server.0,
+            ServerState::Draining,
+            None,
+        )]);
+        for _ in 0..4 {
+            harness.submit_query(0, &[(0, 1.0)]);
+        }
+        let all = harness.sends_to(server);
+        assert_eq!(all > 3, stalled, "{all} sends, stalled: {stalled}");
+    }
+}
