--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -221,7 +221,11 @@
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/_health") => {
                 return done(
-                    match self.readiness.as_ref().and_then(Readiness::obstacle) {
+                    match self
+                        .readiness
+                        .as_ref()
+                        .and_then(Readiness::not_ready_reason)
+                    {
                         None => Response::text(200, "ok\n"),
                         Some(why) => Response::text(503, format!("{why}\n")),
                     },
--- a/crates/coordinator/src/net/hosts.rs
+++ b/crates/coordinator/src/net/hosts.rs
@@ -257,7 +257,7 @@
         let own = self.own_links();
         let all = self.shared.links.load(Ordering::Relaxed);
         own < self.shared.dialect.most_links()
-            && all < self.shared.beside.borrow().share(self.shared.most_links)
+            && all < self.shared.beside.borrow().share_of(self.shared.most_links)
     }
 
     fn open(&mut self) -> mpsc::UnboundedSender<LinkMail> {
--- a/crates/coordinator/src/net/http/mod.rs
+++ b/crates/coordinator/src/net/http/mod.rs
@@ -71,10 +71,10 @@
     }
 
     fn clients(&self) -> usize {
-        self.beside.borrow().share(self.clients)
+        self.beside.borrow().share_of(self.clients)
     }
 
     fn most(&self) -> usize {
-        self.beside.borrow().share(self.most)
+        self.beside.borrow().share_of(self.most)
     }
 }
--- a/crates/coordinator/src/ops/admin_server.rs
+++ b/crates/coordinator/src/ops/admin_server.rs
@@ -1,9 +1,9 @@
-//! The operator's address: ready, figures, hosts out by hand. Its server has a thread and a runtime of its
-//! own, so that it answers while the core is busy; it reads what the core publishes, and waits for it only
-//! for the word that an order is in force.
+//! The operator's address: readiness, counters and manual ejection. Its server has a thread and a runtime of its
+//! own, so that it answers while the core is busy. It reads what the core publishes, and waits for the core only
+//! to confirm that an order is in force.
 
-use super::hot_restart::never;
-use super::list_overlay::{Order, Request as Asked};
+use super::hot_restart::never_restarted;
+use super::list_overlay::{EjectionOrder, OverlayRequest};
 use super::manual_ejection::EjectionError;
 use super::Readiness;
 use crate::counters::Counters;
@@ -13,146 +13,151 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Callers at once; one more takes the place of whoever has been asking for longest.
-const CALLERS: usize = 24;
-/// Callers that are on their way out, beside those.
-const LEAVING: usize = 4;
-/// Answers are due within 1 s: an order that is not in force by then is answered with a no.
-const ORDER_WAIT: Duration = Duration::from_millis(800);
+/// Limit on the callers that are served at once. One more takes the place of the caller that has been sending
+/// its request for longest.
+const MAX_CALLERS: usize = 24;
+/// Limit on the callers beside those whose connections are about to close.
+const MAX_CLOSING_CALLERS: usize = 4;
+/// Answers are due within 1 s: an order that is not in force by then is refused.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest id of a host that is looked for.
-const LONGEST_ID: usize = 256;
+const MAX_ID_BYTES: usize = 256;
 
-/// What the desk answers from.
+/// The server of the operator's address.
 pub struct AdminServer {
     readiness: Readiness,
     counters: Counters,
-    members: mpsc::Sender<Asked>,
+    overlay: mpsc::Sender<OverlayRequest>,
 }
 
 impl AdminServer {
-    /// A desk whose orders go to this actor of the list.
-    pub fn new(readiness: Readiness, counters: Counters, members: mpsc::Sender<Asked>) -> Self {
+    /// Creates a server whose orders go to this actor of the host list.
+    pub fn new(
+        readiness: Readiness,
+        counters: Counters,
+        overlay: mpsc::Sender<OverlayRequest>,
+    ) -> Self {
         Self {
             readiness,
             counters,
-            members,
+            overlay,
         }
     }
 
     /// Serves on a thread of its own for as long as the process lives.
     ///
     /// # Errors
-    /// If the thread or its runtime can't be had.
+    /// If the thread or its runtime can't be created.
     pub fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         listener.set_nonblocking(true)?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
+        std::thread::Builder::new()
+            .name("admin-server".into())
+            .spawn(move || runtime.block_on(self.run(listener)))
+            .map(drop)
+    }
+
+    async fn run(self, listener: TcpListener) {
         let limits = Limits {
-            clients: CALLERS,
-            most: CALLERS + LEAVING,
+            clients: MAX_CALLERS,
+            most: MAX_CALLERS + MAX_CLOSING_CALLERS,
             serve_on: Duration::ZERO,
             answer_by: Duration::ZERO,
             patience: Duration::ZERO,
             one_call: true,
-            beside: never(),
+            beside: never_restarted(),
         };
-        let work = move || {
-            runtime.block_on(async move {
-                let listener = match tokio::net::TcpListener::from_std(listener) {
-                    Ok(listener) => listener,
-                    Err(e) => return log::error!(error:% = e; "operator's address"),
-                };
-                let (_never, stop) = watch::channel(false);
-                let incoming = Incoming::Listener(Gated {
-                    listener,
-                    beside: never(),
-                });
-                http::serve(incoming, Arc::new(self), limits, Counters::default(), stop).await;
-            });
+        let listener = match tokio::net::TcpListener::from_std(listener) {
+            Ok(listener) => listener,
+            Err(e) => return log::error!(error:% = e; "operator's address"),
         };
-        std::thread::Builder::new()
-            .name("desk".into())
-            .spawn(work)
-            .map(drop)
+        let (_never_stopped, stop) = watch::channel(false);
+        let incoming = Incoming::Listener(Gated {
+            listener,
+            beside: never_restarted(),
+        });
+        http::serve(incoming, Arc::new(self), limits, Counters::default(), stop).await;
     }
 
-    fn ready(&self) -> Response {
-        match self.readiness.obstacle() {
+    fn readiness(&self) -> Response {
+        match self.readiness.not_ready_reason() {
             None => Response::text(200, "ready\n"),
-            Some(why) => Response::text(503, format!("{why}\n")),
+            Some(reason) => Response::text(503, format!("{reason}\n")),
         }
     }
 
-    fn figures(&self) -> Response {
-        let lines = self
+    fn counters(&self) -> Response {
+        let lines: String = self
             .counters
             .figures()
             .into_iter()
-            .map(|(name, n)| format!("{name}={n}\n"));
-        Response::text(200, lines.collect::<String>())
+            .map(|(name, value)| format!("{name}={value}\n"))
+            .collect();
+        Response::text(200, lines)
     }
 
-    fn order(&self, id: &str, offline: bool) -> Answering {
-        let host = percent_encoding::percent_decode_str(id)
+    /// Ejects or restores a host. `encoded_id` is its id as it stands in the path.
+    fn order(&self, encoded_id: &str, ejected: bool) -> Answering {
+        let host = percent_encoding::percent_decode_str(encoded_id)
             .decode_utf8()
             .unwrap_or_default()
             .into_owned();
-        if host.is_empty() || host.len() > LONGEST_ID {
-            return done(Response::text(404, "no such district host\n"));
+        if host.is_empty() || host.len() > MAX_ID_BYTES {
+            return immediate(Response::text(404, "no such district host\n"));
         }
-        let (reply, word) = oneshot::channel();
-        let said = if offline { "offline\n" } else { "online\n" };
-        if self
-            .members
-            .try_send(Asked::Order(Order {
-                host,
-                offline,
-                reply,
-            }))
-            .is_err()
-        {
-            return done(Response::text(503, "too many orders wait\n"));
+        let (reply, outcome) = oneshot::channel();
+        let order = OverlayRequest::Order(EjectionOrder {
+            host,
+            ejected,
+            reply,
+        });
+        if self.overlay.try_send(order).is_err() {
+            return immediate(Response::text(503, "too many orders wait\n"));
         }
-        Box::pin(async move {
-            match tokio::time::timeout(ORDER_WAIT, word).await {
-                Ok(Ok(Ok(()))) => Response::text(200, said),
-                Ok(Ok(Err(refusal))) => {
-                    let status = if refusal == EjectionError::Unknown {
-                        404
-                    } else {
-                        503
-                    };
-                    Response::text(status, format!("{refusal}\n"))
-                }
-                Ok(Err(_)) => Response::text(503, "stopping\n"),
-                Err(_) => Response::text(503, "not in force yet: call again\n"),
-            }
-        })
+        Box::pin(order_response(outcome, ejected))
+    }
+}
+
+/// Waits until an order is in force or refused.
+async fn order_response(
+    outcome: oneshot::Receiver<Result<(), EjectionError>>,
+    ejected: bool,
+) -> Response {
+    let done = if ejected { "offline\n" } else { "online\n" };
+    let Ok(outcome) = tokio::time::timeout(ORDER_TIMEOUT, outcome).await else {
+        return Response::text(503, "not in force yet: call again\n");
+    };
+    match outcome {
+        Ok(Ok(())) => Response::text(200, done),
+        Ok(Err(error @ EjectionError::UnknownHost)) => Response::text(404, format!("{error}\n")),
+        Ok(Err(error @ EjectionError::TooManyEjected)) => Response::text(503, format!("{error}\n")),
+        Err(_) => Response::text(503, "stopping\n"),
     }
 }
 
-fn done(response: Response) -> Answering {
+fn immediate(response: Response) -> Answering {
     Box::pin(std::future::ready(response))
 }
 
 impl Service for AdminServer {
     fn answer(&self, request: Request) -> Answering {
         let path: Vec<&str> = request.path.split('/').skip(1).collect();
-        let method = match path[..] {
+        let allowed_method = match path[..] {
             ["control", "ready" | "counters"] => "GET",
             ["control", "district-hosts", _, "offline" | "online"] => "POST",
-            _ => return done(Response::text(404, "no such path\n")),
+            _ => return immediate(Response::text(404, "no such path\n")),
         };
-        if request.method != method {
-            let no = Response::text(405, format!("only {method} here\n"));
-            return done(no.with("Allow", method.to_owned()));
+        if request.method != allowed_method {
+            let refusal = Response::text(405, format!("only {allowed_method} here\n"));
+            return immediate(refusal.with("Allow", allowed_method.to_owned()));
         }
         match path[..] {
-            ["control", "ready"] => done(self.ready()),
-            ["control", "counters"] => done(self.figures()),
-            [_, _, id, what] => self.order(id, what == "offline"),
-            _ => done(Response::text(404, "no such path\n")),
+            ["control", "ready"] => immediate(self.readiness()),
+            ["control", "counters"] => immediate(self.counters()),
+            [_, _, id, action] => self.order(id, action == "offline"),
+            _ => immediate(Response::text(404, "no such path\n")),
         }
     }
 
--- a/crates/coordinator/src/ops/list_overlay.rs
+++ b/crates/coordinator/src/ops/list_overlay.rs
@@ -1,4 +1,5 @@
-//! The actor between the sources of the list and the core, where hosts can be taken out by hand.
+//! The actor between the sources of the host list and the cores. It keeps the manual ejections and lays them over
+//! each update.
 
 use super::manual_ejection::{EjectionError, ManualEjections};
 use crate::core::{Endpoint, Mail};
@@ -6,153 +7,169 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
 
-/// A host is to be taken out, or called back.
-pub struct Order {
-    /// Its id.
+/// An order to eject a host or to restore it.
+pub struct EjectionOrder {
+    /// The host's id.
     pub host: String,
-    /// Whether it is to be out.
-    pub offline: bool,
-    /// Gets word once that is in force.
+    /// Whether it is to be ejected.
+    pub ejected: bool,
+    /// Is answered once the order is in force, or with the reason why it was refused.
     pub reply: oneshot::Sender<Result<(), EjectionError>>,
 }
 
-/// Another process of the same coordinator, beside this one.
+/// Another process of the same coordinator, beside this one during a hot restart.
 pub struct AttachedProcess {
-    /// Orders given here, for it to carry out too.
-    pub forward: mpsc::UnboundedSender<Order>,
-    /// Gets the state as of now; each order after that is passed on.
+    /// Orders given at this process, for the other one to carry out too.
+    pub forward: mpsc::UnboundedSender<EjectionOrder>,
+    /// Gets the state as of now. Each order after that is forwarded.
     pub state: oneshot::Sender<ManualEjections>,
 }
 
 /// What the actor is asked.
-pub enum Request {
-    /// An order of the operators' staff.
-    Order(Order),
-    /// An order that the other process passes on.
-    Passed(Order),
-    /// There is another process.
+pub enum OverlayRequest {
+    /// An order that the operators gave at this process.
+    Order(EjectionOrder),
+    /// An order that the other process forwarded.
+    Forwarded(EjectionOrder),
+    /// There is another process from now on.
     Attach(AttachedProcess),
 }
 
-/// The overlay, and the other process if there is one.
+/// The manual ejections, and the other process if there is one.
 #[derive(Default)]
 pub struct ListOverlay {
-    /// What is out by hand, over the list.
-    pub bans: ManualEjections,
-    other: Option<mpsc::UnboundedSender<Order>>,
+    /// The hosts that the operators ejected, over the list.
+    pub ejections: ManualEjections,
+    other_process: Option<mpsc::UnboundedSender<EjectionOrder>>,
 }
 
 impl ListOverlay {
-    /// The overlay with what was known before.
-    pub fn new(bans: ManualEjections) -> Self {
-        Self { bans, other: None }
+    /// Creates the overlay with the ejections of an earlier process.
+    pub fn new(ejections: ManualEjections) -> Self {
+        Self {
+            ejections,
+            other_process: None,
+        }
     }
 
-    /// Does what is asked, and tells `sink` what follows from it.
-    pub fn take(&mut self, request: Request, sink: &impl ListSink) {
+    /// Handles one request. What follows for the list goes to `sink`.
+    pub fn handle(&mut self, request: OverlayRequest, sink: &impl ListSink) {
         match request {
-            Request::Passed(order) => {
-                self.bans.expect(&order.host);
-                obey(&mut self.bans, order, None, sink);
+            OverlayRequest::Forwarded(order) => {
+                self.ejections.expect(&order.host);
+                carry_out(&mut self.ejections, order, None, sink);
+            }
+            OverlayRequest::Order(order) => {
+                carry_out(
+                    &mut self.ejections,
+                    order,
+                    self.other_process.as_ref(),
+                    sink,
+                );
             }
-            Request::Order(order) => obey(&mut self.bans, order, self.other.as_ref(), sink),
-            Request::Attach(AttachedProcess { forward, state }) => {
-                let _ = state.send(self.bans.clone());
-                self.other = Some(forward);
+            OverlayRequest::Attach(AttachedProcess { forward, state }) => {
+                let _ = state.send(self.ejections.clone());
+                self.other_process = Some(forward);
             }
         }
     }
 }
 
-/// Where news of the list goes.
+/// Where updates of the list go.
 pub trait ListSink {
-    /// Hands news over.
-    fn publish(&self, kind: ListKind, hosts: Vec<Endpoint>);
-    /// Words that come once all handed over before is in force, one for each core.
-    fn in_force(&self) -> Vec<oneshot::Receiver<()>>;
+    /// Hands an update over.
+    fn publish(&self, kind: ListKind, endpoints: Vec<Endpoint>);
+    /// Confirmations, one for each core: each comes once all that was handed over before is applied.
+    fn confirmations(&self) -> Vec<oneshot::Receiver<()>>;
 }
 
-/// Asks a core for word that what it was sent is in force.
-pub fn word_of(core: &mpsc::UnboundedSender<Mail>) -> oneshot::Receiver<()> {
-    let (word, taken) = oneshot::channel();
-    let _ = core.send(Mail::Taken(word));
-    taken
+/// Asks a core to confirm that it has applied all that it was sent before.
+pub fn request_confirmation(core: &mpsc::UnboundedSender<Mail>) -> oneshot::Receiver<()> {
+    let (confirm, confirmed) = oneshot::channel();
+    let _ = core.send(Mail::Taken(confirm));
+    confirmed
 }
 
 impl ListSink for mpsc::UnboundedSender<Mail> {
-    fn publish(&self, kind: ListKind, hosts: Vec<Endpoint>) {
-        let _ = self.send(Mail::List(kind, hosts));
+    fn publish(&self, kind: ListKind, endpoints: Vec<Endpoint>) {
+        let _ = self.send(Mail::List(kind, endpoints));
     }
 
-    fn in_force(&self) -> Vec<oneshot::Receiver<()>> {
-        vec![word_of(self)]
+    fn confirmations(&self) -> Vec<oneshot::Receiver<()>> {
+        vec![request_confirmation(self)]
     }
 }
 
 fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |t| t.as_millis() as u64)
+        .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
-/// Carries an order out; its word goes out once all cores, and the other process, have taken it.
-fn obey(
-    bans: &mut ManualEjections,
-    order: Order,
-    other: Option<&mpsc::UnboundedSender<Order>>,
+/// Carries an order out. Its reply goes out once all cores, and the other process, have applied it.
+fn carry_out(
+    ejections: &mut ManualEjections,
+    order: EjectionOrder,
+    other_process: Option<&mpsc::UnboundedSender<EjectionOrder>>,
     sink: &impl ListSink,
 ) {
-    let Order {
+    let EjectionOrder {
         host,
-        offline,
+        ejected,
         reply,
     } = order;
-    match bans.order(&host, offline, unix_ms()) {
-        Err(refusal) => drop(reply.send(Err(refusal))),
-        Ok(told) => {
-            log::info!(host, offline, changes = told.len(); "by hand");
-            if !told.is_empty() {
-                sink.publish(ListKind::Changes, told);
-            }
-            let words = sink.in_force();
-            let (passed, there) = oneshot::channel();
-            if let Some(other) = other {
-                let _ = other.send(Order {
-                    host,
-                    offline,
-                    reply: passed,
-                });
-            }
-            tokio::spawn(async move {
-                // Of those that have ended no word comes, nor is one needed.
-                for word in words {
-                    let _ = word.await;
-                }
-                let _ = there.await;
-                let _ = reply.send(Ok(()));
-            });
+    let update = match ejections.set_ejected(&host, ejected, unix_ms()) {
+        Ok(update) => update,
+        Err(error) => {
+            let _ = reply.send(Err(error));
+            return;
         }
+    };
+    log::info!(host, offline = ejected, changes = update.len(); "manual ejection");
+    if !update.is_empty() {
+        sink.publish(ListKind::Changes, update);
+    }
+    let confirmations = sink.confirmations();
+    let (forwarded_reply, other_process_done) = oneshot::channel();
+    if let Some(other_process) = other_process {
+        let _ = other_process.send(EjectionOrder {
+            host,
+            ejected,
+            reply: forwarded_reply,
+        });
+    } else {
+        drop(forwarded_reply);
     }
+    tokio::spawn(async move {
+        // A core or process that has ended sends no confirmation, and none is needed.
+        for confirmed in confirmations {
+            let _ = confirmed.await;
+        }
+        let _ = other_process_done.await;
+        let _ = reply.send(Ok(()));
+    });
 }
 
-/// Passes news on and does what is asked until the sources of both have gone.
+/// Passes updates on and handles requests until the senders of both have gone.
 pub async fn run(
     mut overlay: ListOverlay,
-    mut news: mpsc::UnboundedReceiver<Mail>,
-    mut requests: mpsc::Receiver<Request>,
+    mut updates: mpsc::UnboundedReceiver<Mail>,
+    mut requests: mpsc::Receiver<OverlayRequest>,
     sink: impl ListSink,
 ) {
-    let (mut listening, mut asked) = (true, true);
-    while listening || asked {
+    let (mut updates_open, mut requests_open) = (true, true);
+    while updates_open || requests_open {
         tokio::select! {
-            mail = news.recv(), if listening => match mail {
-                Some(Mail::List(kind, hosts)) => sink.publish(kind, overlay.bans.news(kind, hosts)),
+            mail = updates.recv(), if updates_open => match mail {
+                Some(Mail::List(kind, endpoints)) => {
+                    sink.publish(kind, overlay.ejections.apply_update(kind, endpoints));
+                }
                 Some(_) => {}
-                None => listening = false,
+                None => updates_open = false,
             },
-            request = requests.recv(), if asked => match request {
-                Some(request) => overlay.take(request, &sink),
-                None => asked = false,
+            request = requests.recv(), if requests_open => match request {
+                Some(request) => overlay.handle(request, &sink),
+                None => requests_open = false,
             },
         }
     }
--- a/crates/coordinator/src/ops/manual_ejection.rs
+++ b/crates/coordinator/src/ops/manual_ejection.rs
@@ -1,122 +1,136 @@
-//! District hosts taken out by hand: an overlay between the sources of the list and the module. No I/O.
+//! Manual ejection: district hosts that the operators took out of service, kept over the endpoint list as its
+//! source last told it. No I/O.
 //!
-//! To the module a banned host is one that drains, whatever its source says. A host called back counts as
-//! started at that moment, or when its source says, if that is later.
+//! To the decision module an ejected host is one that drains, whatever its source says. A restored host counts as
+//! started at the moment of the restore, or when its source says, if that is later.
 
 use crate::core::Endpoint;
 use crate::interface::{ListKind, ServerState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hosts out by hand at once: a list has a few hundred lines.
-const MOST: usize = 4096;
-/// A call back that is older than any cold start lasts is forgotten.
-const FORGET_MS: u64 = 600_000;
+/// Limit on the hosts that are ejected at once; a list has a few hundred lines.
+const MAX_EJECTED: usize = 4096;
+/// How long a restore is remembered, in milliseconds: longer than any cold start lasts.
+const RESTORE_RETENTION_MS: u64 = 600_000;
 
-/// Why a call is not obeyed.
+/// Why a host was not ejected or restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EjectionError {
     /// No source has named such a host.
     #[error("no such district host")]
-    Unknown,
-    /// The set is full.
+    UnknownHost,
+    /// As many hosts are ejected as may be.
     #[error("too many district hosts are out")]
-    Full,
+    TooManyEjected,
 }
 
-/// The hosts that are out by hand, over the list as its source last told it.
+/// The ejected hosts, over the list as its source last told it. The names of the fields in the serialized form
+/// belong to the hot restart's messages.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ManualEjections {
-    out: BTreeSet<String>,
-    /// When hosts were called back, in Unix milliseconds.
-    back: BTreeMap<String, u64>,
-    listed: BTreeMap<String, Endpoint>,
-    /// Hosts that the other process of the coordinator has heard of before this one.
+    #[serde(rename = "out")]
+    ejected: BTreeSet<String>,
+    /// When hosts were restored, in Unix milliseconds.
+    #[serde(rename = "back")]
+    restored_at_ms: BTreeMap<String, u64>,
+    #[serde(rename = "listed")]
+    endpoints: BTreeMap<String, Endpoint>,
+    /// Hosts that the other process of the coordinator knows and that are not listed here yet.
     #[serde(skip)]
     expected: BTreeSet<String>,
 }
 
 impl ManualEjections {
-    /// Takes news of the list; gives what the module is to be told.
-    pub fn news(&mut self, kind: ListKind, hosts: Vec<Endpoint>) -> Vec<Endpoint> {
+    /// Applies an update of the list. Returns the update that the decision module is to get.
+    pub fn apply_update(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.listed.clear();
+            self.endpoints.clear();
         }
-        for host in &hosts {
-            if host.state == ServerState::Gone {
-                self.listed.remove(&host.id);
+        for endpoint in &endpoints {
+            if endpoint.state == ServerState::Gone {
+                self.endpoints.remove(&endpoint.id);
             } else {
-                self.listed.insert(host.id.clone(), host.clone());
+                self.endpoints.insert(endpoint.id.clone(), endpoint.clone());
             }
         }
-        hosts.into_iter().map(|host| self.seen(host)).collect()
+        endpoints
+            .into_iter()
+            .map(|endpoint| self.overlaid(endpoint))
+            .collect()
     }
 
-    /// A host as the module is to see it.
-    fn seen(&self, mut host: Endpoint) -> Endpoint {
-        if host.state == ServerState::Ready && self.out.contains(&host.id) {
-            host.state = ServerState::Draining;
+    /// An endpoint as the decision module is to see it.
+    fn overlaid(&self, mut endpoint: Endpoint) -> Endpoint {
+        if endpoint.state == ServerState::Ready && self.ejected.contains(&endpoint.id) {
+            endpoint.state = ServerState::Draining;
         }
-        let back = self.back.get(&host.id).copied();
-        host.up_since_ms = host.up_since_ms.max(back.unwrap_or(0));
-        host
+        let restored_at_ms = self.restored_at_ms.get(&endpoint.id).copied();
+        endpoint.up_since_ms = endpoint.up_since_ms.max(restored_at_ms.unwrap_or(0));
+        endpoint
     }
 
-    fn told(&self, id: &str) -> Vec<Endpoint> {
-        self.listed
-            .get(id)
-            .cloned()
-            .map(|host| self.seen(host))
-            .into_iter()
-            .collect()
-    }
-
-    /// The other process knows this host: an order for it is in place before it is listed here.
+    /// Records that the other process knows this host: it may be ejected before it is listed here.
     pub fn expect(&mut self, id: &str) {
-        if !self.listed.contains_key(id) && self.expected.len() < MOST {
+        if !self.endpoints.contains_key(id) && self.expected.len() < MAX_EJECTED {
             self.expected.insert(id.to_owned());
         }
     }
 
-    /// Takes a host out, or calls it back at this Unix time; gives what the module is to be told of it.
-    /// A call that changes nothing tells nothing.
+    /// Ejects a host, or restores it, at this Unix time in milliseconds. Returns the update that the decision
+    /// module is to get: empty if nothing changed or if the host is not listed yet.
     ///
     /// # Errors
-    /// If nobody has this id, or too many are out.
-    pub fn order(
+    /// [`EjectionError::UnknownHost`] if nobody has named this host, [`EjectionError::TooManyEjected`] if as many
+    /// are ejected as may be.
+    pub fn set_ejected(
         &mut self,
         id: &str,
-        offline: bool,
+        ejected: bool,
         now_ms: u64,
     ) -> Result<Vec<Endpoint>, EjectionError> {
-        let was_out = self.out.contains(id);
-        if !was_out && !self.listed.contains_key(id) && !self.expected.contains(id) {
-            return Err(EjectionError::Unknown);
+        let was_ejected = self.ejected.contains(id);
+        let is_known = self.endpoints.contains_key(id) || self.expected.contains(id);
+        if !was_ejected && !is_known {
+            return Err(EjectionError::UnknownHost);
         }
-        if was_out == offline {
+        if was_ejected == ejected {
             return Ok(Vec::new());
         }
-        if offline {
-            if self.out.len() >= MOST {
-                return Err(EjectionError::Full);
-            }
-            self.out.insert(id.to_owned());
+        if ejected {
+            self.eject(id)?;
         } else {
-            self.out.remove(id);
-            self.back
-                .retain(|_, at| now_ms.saturating_sub(*at) < FORGET_MS);
-            self.back.insert(id.to_owned(), now_ms);
+            self.restore(id, now_ms);
         }
-        Ok(self.told(id))
+        let endpoint = self.endpoints.get(id).cloned();
+        Ok(endpoint
+            .map(|endpoint| self.overlaid(endpoint))
+            .into_iter()
+            .collect())
+    }
+
+    fn eject(&mut self, id: &str) -> Result<(), EjectionError> {
+        if self.ejected.len() >= MAX_EJECTED {
+            return Err(EjectionError::TooManyEjected);
+        }
+        self.ejected.insert(id.to_owned());
+        Ok(())
+    }
+
+    fn restore(&mut self, id: &str, now_ms: u64) {
+        self.ejected.remove(id);
+        self.restored_at_ms
+            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < RESTORE_RETENTION_MS);
+        self.restored_at_ms.insert(id.to_owned(), now_ms);
     }
 
     /// The list as its source last told it.
-    pub fn listed(&self) -> Vec<Endpoint> {
-        self.listed.values().cloned().collect()
+    pub fn endpoints(&self) -> Vec<Endpoint> {
+        self.endpoints.values().cloned().collect()
     }
 
-    /// The ids that are out.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
-        self.out.iter().map(String::as_str)
+    /// The ids of the ejected hosts.
+    pub fn ejected(&self) -> impl Iterator<Item = &str> {
+        self.ejected.iter().map(String::as_str)
     }
 }
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::net::link::{Dialect, Frames};
 use crate::ops::admin_server::AdminServer;
 use crate::ops::hot_restart::{self, HotRestart, RestartRole, TakenOverState};
-use crate::ops::list_overlay::{self, ListOverlay, Request};
+use crate::ops::list_overlay::{self, ListOverlay, OverlayRequest};
 use crate::ops::manual_ejection::ManualEjections;
 use crate::ops::Readiness;
 use crate::peers::LoadPublisher;
@@ -101,18 +101,18 @@
 async fn take_over(
     config: &Config,
 ) -> std::io::Result<(TcpListener, Option<(ManualEjections, UnixStream)>)> {
-    if let Some(path) = hot_restart::meeting_place(&config.name).filter(|p| p.exists()) {
+    if let Some(path) = hot_restart::socket_path(&config.name).filter(|p| p.exists()) {
         match hot_restart::take_over(&path, &config.name, &config.listen).await {
             Ok(TakenOverState {
                 listener,
-                bans,
+                ejections,
                 link,
             }) => {
-                log::info!(out = bans.out().count(), hosts = bans.listed().len(); "turnover: taken over");
-                return Ok((TcpListener::from_std(listener)?, Some((bans, link))));
+                log::info!(out = ejections.ejected().count(), hosts = ejections.endpoints().len(); "hot restart: taken over");
+                return Ok((TcpListener::from_std(listener)?, Some((ejections, link))));
             }
             Err(e) => {
-                log::warn!(path:% = path.display(), error:% = e; "turnover: nothing taken over");
+                log::warn!(path:% = path.display(), error:% = e; "hot restart: nothing taken over");
             }
         }
     }
@@ -144,7 +144,7 @@
     /// The hosts that are out by hand.
     pub overlay: ListOverlay,
     /// What the list's actor is asked.
-    pub requests: mpsc::Receiver<Request>,
+    pub requests: mpsc::Receiver<OverlayRequest>,
 }
 
 /// Where a coordinator listens.
@@ -282,7 +282,7 @@
     } = doors;
     let mut config = config;
     let (stand, beside) = watch::channel(if before.is_some() {
-        RestartRole::Both
+        RestartRole::Overlapping
     } else {
         RestartRole::Alone
     });
@@ -291,13 +291,14 @@
         let readiness = Readiness::new(stop.clone(), beside.clone(), counters.clone());
         let (members, requests) = mpsc::channel(MOST_REQUESTS);
         AdminServer::new(readiness.clone(), counters.clone(), members.clone()).serve(at)?;
-        let (bans, link) = before.map_or((ManualEjections::default(), None), |(bans, link)| {
-            (bans, Some(link))
-        });
+        let (ejections, link) = before
+            .map_or((ManualEjections::default(), None), |(ejections, link)| {
+                (ejections, Some(link))
+            });
         if link.is_some() {
-            config.known.members = bans.listed();
+            config.known.members = ejections.endpoints();
         }
-        if let Some(path) = hot_restart::meeting_place(&config.name) {
+        if let Some(path) = hot_restart::socket_path(&config.name) {
             let (name, listen) = (config.name.clone(), config.listen.clone());
             let listener = std::net::TcpListener::from(listener.as_fd().try_clone_to_owned()?);
             let turnover = HotRestart {
@@ -305,14 +306,14 @@
                 name,
                 listen,
                 listener,
-                members,
-                beside: stand,
+                overlay: members,
+                role: stand,
             };
             tokio::spawn(turnover.run(link));
         }
         staff = Some(Staff {
             readiness,
-            overlay: ListOverlay::new(bans),
+            overlay: ListOverlay::new(ejections),
             requests,
         });
     }
@@ -398,7 +399,9 @@
     let core_task = tokio::spawn(core::start(table, inbox, (dispatcher, 0, origin)));
     list_source(config, news, &counters, moves);
     let incoming = Incoming::Listener(listener);
-    readiness.iter().for_each(super::ops::Readiness::accepts);
+    readiness
+        .iter()
+        .for_each(super::ops::Readiness::set_accepting);
     tokio::select! {
         _ = http::serve(incoming, Arc::new(fronts), limits, counters, stop) => Ok(()),
         _ = core_task => Err(std::io::Error::other("the core has ended")),
--- a/crates/coordinator/src/shard/run.rs
+++ b/crates/coordinator/src/shard/run.rs
@@ -11,7 +11,7 @@
 use crate::net::hosts::HostConnections;
 use crate::net::http::{self, Gated, Handed, Incoming, Service};
 use crate::ops::hot_restart::RestartRole;
-use crate::ops::list_overlay::{word_of, ListOverlay, ListSink, Request};
+use crate::ops::list_overlay::{request_confirmation, ListOverlay, ListSink, OverlayRequest};
 use crate::serve::{dialect, fronts, limits, list_source, Staff, HINT};
 use multi_core::core_dispatch::CoreDispatcher;
 use multi_core::drain_gates::DrainGates;
@@ -161,7 +161,7 @@
     tokio::spawn(spread.run(config, moves, overlay, requests));
     readiness
         .iter()
-        .for_each(super::super::ops::Readiness::accepts);
+        .for_each(super::super::ops::Readiness::set_accepting);
     let accepting = accept(listener, dispatcher.clone(), doors, origin);
     tokio::pin!(accepting);
     let mut left = n;
@@ -244,14 +244,14 @@
         config: Config,
         moves: mpsc::UnboundedReceiver<String>,
         mut overlay: ListOverlay,
-        mut requests: Option<mpsc::Receiver<Request>>,
+        mut requests: Option<mpsc::Receiver<OverlayRequest>>,
     ) {
         let (news, mut inbox) = mpsc::unbounded_channel();
         self.publish(
             ListKind::Cached,
             overlay
-                .bans
-                .news(ListKind::Cached, config.known.members.clone()),
+                .ejections
+                .apply_update(ListKind::Cached, config.known.members.clone()),
         );
         list_source(config, news, &self.counters, moves);
         let mut late = tokio::time::interval(SLOW_ACK);
@@ -261,13 +261,13 @@
             tokio::select! {
                 mail = inbox.recv() => match mail {
                     Some(Mail::List(kind, hosts)) => {
-                        self.publish(kind, overlay.bans.news(kind, hosts));
+                        self.publish(kind, overlay.ejections.apply_update(kind, hosts));
                         published = Instant::now();
                     }
                     Some(_) => {}
                     None => return,
                 },
-                Some(request) = asked(&mut requests) => overlay.take(request, &self),
+                Some(request) = asked(&mut requests) => overlay.handle(request, &self),
                 _ = late.tick() => if published.elapsed() >= SLOW_ACK {
                     self.check();
                 },
@@ -305,13 +305,13 @@
         }
     }
 
-    fn in_force(&self) -> Vec<oneshot::Receiver<()>> {
-        self.mails.iter().map(word_of).collect()
+    fn confirmations(&self) -> Vec<oneshot::Receiver<()>> {
+        self.mails.iter().map(request_confirmation).collect()
     }
 }
 
 /// What is asked next; nothing ever where there is no operator's address.
-async fn asked(requests: &mut Option<mpsc::Receiver<Request>>) -> Option<Request> {
+async fn asked(requests: &mut Option<mpsc::Receiver<OverlayRequest>>) -> Option<OverlayRequest> {
     match requests {
         Some(requests) => requests.recv().await,
         None => std::future::pending().await,
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -7,7 +7,7 @@
 use coordinator::net::http::{
     self, Answering, Gated, Incoming, Limits, Request, Response, Service,
 };
-use coordinator::ops::hot_restart::never;
+use coordinator::ops::hot_restart::never_restarted;
 use socket2::SockRef;
 use std::future::Future;
 use std::io::{Read, Write};
@@ -65,7 +65,7 @@
         answer_by: ms(3300),
         patience: http::PATIENCE,
         one_call: false,
-        beside: never(),
+        beside: never_restarted(),
     }
 }
 
@@ -116,7 +116,7 @@
         let listener = self.listener.take().expect("served once");
         let incoming = Incoming::Listener(Gated {
             listener,
-            beside: never(),
+            beside: never_restarted(),
         });
         let service = Arc::new(Scripted(self.met.clone()));
         let served = http::serve(
--- a/crates/coordinator/tests/host_connections.rs
+++ b/crates/coordinator/tests/host_connections.rs
@@ -37,7 +37,7 @@
             core,
             Counters::default(),
             None,
-            coordinator::ops::hot_restart::never(),
+            coordinator::ops::hot_restart::never_restarted(),
         );
         let (addr, zone) = (addr.to_owned(), "a".to_owned());
         let host = Endpoint {
--- a/crates/coordinator/tests/manual_ejection.rs
+++ b/crates/coordinator/tests/manual_ejection.rs
@@ -27,59 +27,62 @@
 
 #[test]
 fn host_when_ejected_then_discovery_does_not_lift_it_and_one_restore_does() {
-    let mut bans = ManualEjections::default();
-    assert_eq!(bans.order("a", true, 5), Err(EjectionError::Unknown));
-    bans.news(Cached, vec![host("a", Ready, 1), host("b", Ready, 1)]);
+    let mut ejections = ManualEjections::default();
     assert_eq!(
-        states(&bans.order("a", true, 5).unwrap()),
+        ejections.set_ejected("a", true, 5),
+        Err(EjectionError::UnknownHost)
+    );
+    ejections.apply_update(Cached, vec![host("a", Ready, 1), host("b", Ready, 1)]);
+    assert_eq!(
+        states(&ejections.set_ejected("a", true, 5).unwrap()),
         [("a", Draining, 1)]
     );
     // Out twice is once.
-    assert_eq!(bans.order("a", true, 6), Ok(vec![]));
+    assert_eq!(ejections.set_ejected("a", true, 6), Ok(vec![]));
     for kind in [Full, Changes, Cached] {
-        let told = bans.news(kind, vec![host("a", Ready, 2), host("b", Ready, 1)]);
+        let told = ejections.apply_update(kind, vec![host("a", Ready, 2), host("b", Ready, 1)]);
         assert_eq!(states(&told), [("a", Draining, 2), ("b", Ready, 1)]);
     }
     // It leaves the list, comes again, is left out of a whole list: out all the while.
     assert_eq!(
-        states(&bans.news(Changes, vec![host("a", Gone, 2)])),
+        states(&ejections.apply_update(Changes, vec![host("a", Gone, 2)])),
         [("a", Gone, 2)]
     );
-    assert_eq!(bans.order("a", true, 7), Ok(vec![]));
+    assert_eq!(ejections.set_ejected("a", true, 7), Ok(vec![]));
     assert_eq!(
-        states(&bans.news(Changes, vec![host("a", Ready, 3)])),
+        states(&ejections.apply_update(Changes, vec![host("a", Ready, 3)])),
         [("a", Draining, 3)]
     );
-    bans.news(Full, vec![host("b", Ready, 1)]);
+    ejections.apply_update(Full, vec![host("b", Ready, 1)]);
     assert_eq!(
-        states(&bans.news(Full, vec![host("a", Ready, 4)])),
+        states(&ejections.apply_update(Full, vec![host("a", Ready, 4)])),
         [("a", Draining, 4)]
     );
     assert_eq!(
-        states(&bans.order("a", false, 50).unwrap()),
+        states(&ejections.set_ejected("a", false, 50).unwrap()),
         [("a", Ready, 50)]
     );
-    assert_eq!(bans.order("a", false, 60), Ok(vec![]));
-    assert_eq!(bans.out().count(), 0);
+    assert_eq!(ejections.set_ejected("a", false, 60), Ok(vec![]));
+    assert_eq!(ejections.ejected().count(), 0);
 }
 
 #[test]
 fn host_when_restored_then_it_counts_as_started_then_or_later_if_discovery_says_so() {
-    let mut bans = ManualEjections::default();
-    bans.news(Full, vec![host("a", Ready, 10)]);
-    bans.order("a", true, 20).unwrap();
+    let mut ejections = ManualEjections::default();
+    ejections.apply_update(Full, vec![host("a", Ready, 10)]);
+    ejections.set_ejected("a", true, 20).unwrap();
     // Restarted meanwhile, and draining by discovery's own word: that stands after the call back.
-    bans.news(Changes, vec![host("a", Draining, 30)]);
+    ejections.apply_update(Changes, vec![host("a", Draining, 30)]);
     assert_eq!(
-        states(&bans.order("a", false, 40).unwrap()),
+        states(&ejections.set_ejected("a", false, 40).unwrap()),
         [("a", Draining, 40)]
     );
     assert_eq!(
-        states(&bans.news(Changes, vec![host("a", Ready, 30)])),
+        states(&ejections.apply_update(Changes, vec![host("a", Ready, 30)])),
         [("a", Ready, 40)]
     );
     assert_eq!(
-        states(&bans.news(Changes, vec![host("a", Ready, 70)])),
+        states(&ejections.apply_update(Changes, vec![host("a", Ready, 70)])),
         [("a", Ready, 70)]
     );
 }
--- a/crates/coordinator/tests/ops.rs
+++ b/crates/coordinator/tests/ops.rs
@@ -4,7 +4,7 @@
 
 use coordinator::counters::Counters;
 use coordinator::ops::admin_server::AdminServer;
-use coordinator::ops::hot_restart::never;
+use coordinator::ops::hot_restart::never_restarted;
 use coordinator::ops::Readiness;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -132,7 +132,7 @@
     let counters = Counters::default();
     counters.of_classes(&["near".to_owned()]);
     let (_stop, stopping) = tokio::sync::watch::channel(false);
-    let readiness = Readiness::new(stopping, never(), counters.clone());
+    let readiness = Readiness::new(stopping, never_restarted(), counters.clone());
     let (members, _never_read) = tokio::sync::mpsc::channel(2);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let desk = listener.local_addr().unwrap().to_string();
@@ -143,7 +143,7 @@
         call(&desk, "GET", "/control/ready"),
         (503, "not accepting connections\n".into())
     );
-    readiness.accepts();
+    readiness.set_accepting();
     assert_eq!(
         call(&desk, "GET", "/control/ready"),
         (503, "no district host in service\n".into())
--- a/crates/coordinator/tests/wire_formats.rs
+++ b/crates/coordinator/tests/wire_formats.rs
@@ -8,7 +8,7 @@
 use coordinator::counters::{Counters, End, Pool};
 use coordinator::interface::ListKind;
 use coordinator::ops::hot_restart::{take_over, HotRestart, RestartRole};
-use coordinator::ops::list_overlay::{AttachedProcess, Order, Request};
+use coordinator::ops::list_overlay::{AttachedProcess, EjectionOrder, OverlayRequest};
 use coordinator::ops::manual_ejection::ManualEjections;
 use coordinator::peers::{tag, LoadUpdate};
 use coordinator::ServerState;
@@ -49,12 +49,12 @@
 }
 
 fn bans() -> ManualEjections {
-    let mut bans = ManualEjections::default();
-    bans.news(ListKind::Full, hosts());
-    bans.order("s-0", true, 1000).unwrap();
-    bans.order("s-1", true, 1000).unwrap();
-    bans.order("s-1", false, 1234).unwrap();
-    bans
+    let mut ejections = ManualEjections::default();
+    ejections.apply_update(ListKind::Full, hosts());
+    ejections.set_ejected("s-0", true, 1000).unwrap();
+    ejections.set_ejected("s-1", true, 1000).unwrap();
+    ejections.set_ejected("s-1", false, 1234).unwrap();
+    ejections
 }
 
 fn hello(listen: &str) -> String {
@@ -72,16 +72,16 @@
     thread: JoinHandle<()>,
     stop: oneshot::Sender<()>,
     /// Orders given at this process, to be forwarded to the other one.
-    forward: mpsc::UnboundedSender<Order>,
+    forward: mpsc::UnboundedSender<EjectionOrder>,
     orders: std::sync::mpsc::Receiver<(String, bool)>,
-    beside: watch::Receiver<RestartRole>,
+    role: watch::Receiver<RestartRole>,
 }
 
 impl RestartProcess {
     /// `link` leads to the process that this one has taken over from, if there is one.
     fn start(path: PathBuf, listener: TcpListener, link: Option<UnixStream>) -> Self {
         let listen = listener.local_addr().unwrap().to_string();
-        let (stand, beside) = watch::channel(RestartRole::Alone);
+        let (show_role, role) = watch::channel(RestartRole::Alone);
         let (stop, stopped) = oneshot::channel();
         let (attached, forwarded) = std::sync::mpsc::channel();
         let (obeyed, orders) = std::sync::mpsc::channel();
@@ -91,29 +91,29 @@
                 .build()
                 .unwrap();
             runtime.block_on(async {
-                let (members, mut requests) = mpsc::channel(8);
-                let turnover = HotRestart {
+                let (overlay, mut requests) = mpsc::channel(8);
+                let hot_restart = HotRestart {
                     path,
                     name: "c-1".into(),
                     listen,
                     listener,
-                    members,
-                    beside: stand,
+                    overlay,
+                    role: show_role,
                 };
                 let link = link.map(|link| {
                     link.set_nonblocking(true).unwrap();
                     tokio::net::UnixStream::from_std(link).unwrap()
                 });
-                tokio::spawn(turnover.run(link));
+                tokio::spawn(hot_restart.run(link));
                 let actor = async {
                     while let Some(request) = requests.recv().await {
                         match request {
-                            Request::Attach(AttachedProcess { forward, state }) => {
+                            OverlayRequest::Attach(AttachedProcess { forward, state }) => {
                                 let _ = state.send(bans());
                                 attached.send(forward).unwrap();
                             }
-                            Request::Passed(order) | Request::Order(order) => {
-                                obeyed.send((order.host, order.offline)).unwrap();
+                            OverlayRequest::Forwarded(order) | OverlayRequest::Order(order) => {
+                                obeyed.send((order.host, order.ejected)).unwrap();
                                 let _ = order.reply.send(Ok(()));
                             }
                         }
@@ -129,7 +129,7 @@
             stop,
             forward: first,
             orders,
-            beside,
+            role,
         };
         process.forward = process.attached(&forwarded);
         process
@@ -137,8 +137,8 @@
 
     fn attached(
         &self,
-        forwarded: &std::sync::mpsc::Receiver<mpsc::UnboundedSender<Order>>,
-    ) -> mpsc::UnboundedSender<Order> {
+        forwarded: &std::sync::mpsc::Receiver<mpsc::UnboundedSender<EjectionOrder>>,
+    ) -> mpsc::UnboundedSender<EjectionOrder> {
         forwarded.recv_timeout(PATIENCE).unwrap()
     }
 
@@ -146,12 +146,12 @@
     fn forward(
         &self,
         host: &str,
-        offline: bool,
+        ejected: bool,
     ) -> oneshot::Receiver<Result<(), coordinator::ops::manual_ejection::EjectionError>> {
         let (reply, done) = oneshot::channel();
-        let order = Order {
+        let order = EjectionOrder {
             host: host.into(),
-            offline,
+            ejected,
             reply,
         };
         assert!(self.forward.send(order).is_ok());
@@ -207,10 +207,10 @@
     let process = RestartProcess::start(path, listener, None);
     let (mut link, told) = new.join().unwrap();
     assert_eq!(told, hello(&listen));
-    assert_eq!(*process.beside.borrow(), RestartRole::Both);
+    assert_eq!(*process.role.borrow(), RestartRole::Overlapping);
     link.write_all(b"\"ready\"\n").unwrap();
     until("it is replaced", || {
-        *process.beside.borrow() == RestartRole::Replaced
+        *process.role.borrow() == RestartRole::Replaced
     });
     link.write_all(b"{\"order\":{\"number\":7,\"host\":\"s-2\",\"offline\":true}}\n")
         .unwrap();
@@ -261,12 +261,12 @@
     let (taken, link) = runtime.block_on(async {
         let taken = take_over(&path, "c-1", &listen).await.unwrap();
         let link = taken.link.into_std().unwrap();
-        ((taken.listener, taken.bans), link)
+        ((taken.listener, taken.ejections), link)
     });
     let (listener, taken) = taken;
     assert_eq!(listener.local_addr().unwrap(), own.local_addr().unwrap());
-    assert_eq!(taken.listed(), hosts());
-    assert_eq!(taken.out().collect::<Vec<_>>(), ["s-0"]);
+    assert_eq!(taken.endpoints(), hosts());
+    assert_eq!(taken.ejected().collect::<Vec<_>>(), ["s-0"]);
     assert_eq!(serde_json::to_string(&taken).unwrap(), BANS);
     let old = old.join().unwrap();
     old.set_read_timeout(Some(PATIENCE)).unwrap();
