--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -123,8 +123,8 @@
     });
     assert!(alone);
     assert!(
-        dir.join("ledger.previous_voters-recovery").exists()
-            && dir.join("identity.previous_voters-recovery").exists()
+        dir.join("ledger.before-recovery").exists()
+            && dir.join("identity.before-recovery").exists()
     );
     // Once is enough: the new one has nobody to give up.
     refused(
