--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -1,370 +1,246 @@
-//! Clients: their connections, and their requests read whole within the operator's bounds.
-
-use crate::client::idle::IdleClients;
-use crate::client::request::Request;
+//! Serves one client's connection: its requests are read, answered and written in turn.
+//!
+//! The coordinator in service has a server of its own, in `crates/coordinator/src/net/http`. They are not merged, as
+//! they behave differently. Here all limits are the operators' and change with the configuration; the connection that
+//! has been idle for longest is closed for a new one; a client may send requests ahead while its response is under way;
+//! and at the end of the process a response is made for what is still in flight. There the limits are constants, a
+//! first request has two seconds from connecting, connections that are slow to ask are closed for new ones too, and a
+//! client that repeats bad requests is read later and later.
+
+use super::close::{close_gracefully, reset_on_close};
+use super::idle::IdleClients;
+use super::request_reader::{ReadError, RequestReader};
+use super::{DrainPhase, Request};
 use crate::exchange;
 use crate::local_reply::LocalReply;
 use crate::response_progress::{ConnectionOutcome, ResponseProgress};
 use crate::socket;
-use crate::state::{BodyReservation, ProxyState};
-use bytes::{Bytes, BytesMut};
-use configuration::{Limits, ResultCode};
-use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead};
-use std::cell::Cell;
+use crate::state::ProxyState;
+use bytes::BytesMut;
+use configuration::ResultCode;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::{watch, Notify};
-use tokio::time::{sleep, timeout, timeout_at, Instant};
-
-/// Connections beyond the cap that are still told so.
-const TOLD: usize = 200;
-/// Read ahead of a client whose answer is under way.
-const AHEAD: usize = 64 * 1024;
-/// While leaving, a connection that says nothing is closed after this.
-const LEAVING_IDLE: Duration = Duration::from_millis(200);
-/// When to come back where too much is open.
-const CROWDED: Duration = Duration::from_millis(500);
-const LINGER: Duration = Duration::from_millis(200);
-
-/// How far the end of the process has come, for connections.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
-pub(crate) enum Phase {
-    /// All are served.
-    Open,
-    /// Those that stand idle go.
-    Leaving,
-    /// All go, each with an answer.
-    Over,
-}
-
-/// Why a connection ends before a request is whole.
-enum Refused {
-    /// Nothing was asked, or the client left.
-    Gone,
-    Because(ResultCode),
-}
-
-impl From<std::io::Error> for Refused {
-    fn from(_: std::io::Error) -> Self {
-        Self::Gone
-    }
+use tokio::time::{sleep, Instant};
+
+/// Bytes that are read ahead of a client whose response is under way.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
+/// During a shutdown, an idle connection is closed after this.
+const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
+/// `Retry-After` where a limit of this process is reached, or the process can't serve yet or no longer.
+const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// A client's connection.
+pub(super) struct ClientConnection<'a> {
+    state: &'a Rc<ProxyState>,
+    stream: &'a TcpStream,
+    /// Received and not yet read as a request.
+    buf: BytesMut,
+    /// When the latest bytes in `buf` were received.
+    received_at: Instant,
+    /// The process has as many connections as it may: this one gets a rejection.
+    over_limit: bool,
+    phase: watch::Receiver<DrainPhase>,
+    evict_signal: Rc<Notify>,
 }
 
-struct Count(Rc<Cell<usize>>);
-
-impl Drop for Count {
-    fn drop(&mut self) {
-        self.0.set(self.0.get().saturating_sub(1));
-    }
+/// How waiting for a request ended.
+enum IdleOutcome {
+    /// Bytes were received.
+    Received,
+    /// The connection was to be closed, but a request has come meanwhile.
+    Raced,
+    /// The connection is to be closed.
+    Close,
 }
 
-/// Serves a new connection.
-pub(crate) fn welcome(
-    state: &Rc<ProxyState>,
-    stream: TcpStream,
-    open: &Rc<Cell<usize>>,
-    closing: &watch::Receiver<Phase>,
-) {
-    state.counters.add(|c| c.clients += 1);
-    let full = open.get() >= state.most_clients;
-    // One that stands idle goes first: its client can come back, one turned away is not served.
-    let crowded = full && !state.idle_clients.borrow_mut().make_room();
-    if open.get() >= state.most_clients + TOLD {
-        return;
+impl<'a> ClientConnection<'a> {
+    /// A connection that was just accepted.
+    pub(super) fn new(
+        state: &'a Rc<ProxyState>,
+        stream: &'a TcpStream,
+        over_limit: bool,
+        phase: watch::Receiver<DrainPhase>,
+    ) -> Self {
+        Self {
+            state,
+            stream,
+            buf: BytesMut::new(),
+            received_at: Instant::now(),
+            over_limit,
+            phase,
+            evict_signal: Rc::default(),
+        }
     }
-    open.set(open.get() + 1);
-    let count = Count(open.clone());
-    let (state, closing) = (state.clone(), closing.clone());
-    tokio::task::spawn_local(async move {
-        let _count = count;
-        let _ = stream.set_nodelay(true);
-        client(&state, &stream, crowded, closing).await;
-    });
-}
 
-async fn client(
-    state: &Rc<ProxyState>,
-    stream: &TcpStream,
-    crowded: bool,
-    mut closing: watch::Receiver<Phase>,
-) {
-    let mut buf = BytesMut::new();
-    let mut came = Instant::now();
-    let leave = Rc::new(Notify::new());
-    loop {
-        if buf.is_empty() {
-            // Nothing is held for a connection that stands idle.
-            buf = BytesMut::new();
-            let idle = Duration::from_millis(state.limits().idle_timeout_ms);
-            let leaving = async {
-                let _ = closing.wait_for(|p| *p >= Phase::Leaving).await;
-                sleep(LEAVING_IDLE).await;
-            };
-            let _idle_client = IdleClients::stand(&state.idle_clients, &leave);
-            let over = tokio::select! {
-                biased;
-                got = socket::fill(stream, &mut buf) => {
-                    if !matches!(got, Ok(n) if n > 0) {
-                        return;
-                    }
-                    false
+    /// Serves requests until the connection is to be closed.
+    pub(super) async fn serve(&mut self) {
+        loop {
+            if self.buf.is_empty() {
+                match self.wait_for_request().await {
+                    IdleOutcome::Received => self.received_at = Instant::now(),
+                    IdleOutcome::Raced => continue,
+                    IdleOutcome::Close => return,
                 }
-                () = leaving => true,
-                () = leave.notified() => true,
-                () = sleep(idle) => true,
-            };
-            // What has come meanwhile is a request: one that met the close would be lost.
-            if over && socket::quiet(stream) {
-                return;
             }
-            if over {
-                continue;
+            // Boxed: only connections with a request in flight hold the memory that one needs.
+            if Box::pin(self.serve_request()).await != ConnectionOutcome::KeepAlive {
+                return;
             }
-            came = Instant::now();
-        }
-        // Boxed: only connections with a request under way hold what one needs.
-        if !Box::pin(one(
-            state,
-            stream,
-            &mut buf,
-            &mut came,
-            crowded,
-            &mut closing,
-        ))
-        .await
-        {
-            return;
         }
     }
-}
 
-/// Takes and answers one request; false where the connection is to end. `came` is when the latest bytes in `buf`
-/// were there.
-async fn one(
-    state: &Rc<ProxyState>,
-    stream: &TcpStream,
-    buf: &mut BytesMut,
-    came: &mut Instant,
-    crowded: bool,
-    closing: &mut watch::Receiver<Phase>,
-) -> bool {
-    let limits = state.limits();
-    let (read, id) = read(state, stream, buf, *came, &limits).await;
-    let request = match read {
-        Ok(request) => request,
-        Err(Refused::Gone) => return false,
-        Err(Refused::Because(code)) => {
-            // Before a configuration is known nobody can say that a request is too large.
-            let unknown = matches!(code, ResultCode::TooLarge | ResultCode::HeadTooLarge)
-                && state.known().is_none();
-            let code = if unknown {
-                ResultCode::NoConfiguration
-            } else {
-                code
-            };
-            let comes_back = matches!(code, ResultCode::Crowded | ResultCode::NoConfiguration);
-            let answer = LocalReply::own(code, id.as_deref(), comes_back.then_some(CROWDED));
-            if answer.write(state, stream, true).await {
-                linger(stream).await;
+    async fn wait_for_request(&mut self) -> IdleOutcome {
+        // An idle connection holds no buffer.
+        self.buf = BytesMut::new();
+        let idle_timeout = Duration::from_millis(self.state.client_limits().idle_timeout_ms);
+        let phase = &mut self.phase;
+        let drained = async {
+            let _ = phase
+                .wait_for(|phase| *phase >= DrainPhase::ClosingIdle)
+                .await;
+            sleep(DRAINING_IDLE_TIMEOUT).await;
+        };
+        let _idle_guard = IdleClients::register(&self.state.idle_clients, &self.evict_signal);
+        tokio::select! {
+            biased;
+            read = socket::read(self.stream, &mut self.buf) => {
+                return match read {
+                    Ok(n) if n > 0 => IdleOutcome::Received,
+                    _ => IdleOutcome::Close,
+                };
             }
-            return false;
+            () = drained => {}
+            () = self.evict_signal.notified() => {}
+            () = sleep(idle_timeout) => {}
         }
-    };
-    state.counters.add(|c| c.requests += 1);
-    if crowded {
-        let answer = LocalReply::own(
-            ResultCode::Crowded,
-            request.head.fields.get("fennelpin-attempt-id"),
-            Some(CROWDED),
-        );
-        if answer.write(state, stream, true).await {
-            linger(stream).await;
+        // Closing now would lose a request that the kernel has already taken.
+        if socket::is_quiet(self.stream) {
+            IdleOutcome::Close
+        } else {
+            IdleOutcome::Raced
         }
-        return false;
     }
-    let stage = ResponseProgress::default();
-    let over = async {
-        let _ = closing.wait_for(|p| *p == Phase::Over).await;
-    };
-    let done = tokio::select! {
-        biased;
-        // Looked at first: nothing more goes to a host for a client that has left, however late that is read.
-        () = gone(stream, buf, came) => {
-            state.counters.add(|c| c.left += 1);
-            return false;
-        }
-        done = exchange::run(state, stream, &request, &stage) => done,
-        () = over => {
-            if !stage.started() {
-                let code = stage.refusal(ResultCode::Leaving);
-                let id = request.head.fields.get("fennelpin-attempt-id");
-                LocalReply::own(code, id, Some(CROWDED)).write(state, stream, true).await;
-            } else if stage.looks_whole() {
-                reset(stream);
-            }
-            return false;
-        }
-    };
-    match done {
-        ConnectionOutcome::Keep => true,
-        ConnectionOutcome::Close => {
-            linger(stream).await;
-            false
-        }
-        ConnectionOutcome::Cut => {
-            state.counters.add(|c| c.cut += 1);
-            if stage.looks_whole() {
-                reset(stream);
+
+    /// Reads and answers one request.
+    async fn serve_request(&mut self) -> ConnectionOutcome {
+        let reader = RequestReader {
+            state: self.state,
+            stream: self.stream,
+            buf: &mut self.buf,
+            limits: self.state.client_limits(),
+        };
+        let request = match reader.read(self.received_at).await {
+            Ok(request) => request,
+            Err(ReadError::Disconnected) => return ConnectionOutcome::Close,
+            Err(ReadError::Rejected { code, attempt_id }) => {
+                return self.reject_unread(code, attempt_id.as_deref()).await;
             }
-            false
+        };
+        self.state.counters.add(|c| c.requests += 1);
+        if self.over_limit {
+            let attempt_id = request.attempt_id();
+            let retry_after = Some(OVERLOADED_RETRY_AFTER);
+            return self
+                .reject(ResultCode::Crowded, attempt_id, retry_after)
+                .await;
         }
+        self.forward_request(&request).await
     }
-}
 
-/// Lets the connection end with a reset: an end in order would make what was cut look whole.
-fn reset(stream: &TcpStream) {
-    let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
-}
+    /// Rejects a request that could not be read.
+    async fn reject_unread(
+        &self,
+        code: ResultCode,
+        attempt_id: Option<&[u8]>,
+    ) -> ConnectionOutcome {
+        // Without a configuration nobody knows the limit on a request's size.
+        let limit_unknown = matches!(code, ResultCode::TooLarge | ResultCode::HeadTooLarge)
+            && self.state.routing_table().is_none();
+        let code = if limit_unknown {
+            ResultCode::NoConfiguration
+        } else {
+            code
+        };
+        let retryable = matches!(code, ResultCode::Crowded | ResultCode::NoConfiguration);
+        let retry_after = retryable.then_some(OVERLOADED_RETRY_AFTER);
+        self.reject(code, attempt_id, retry_after).await
+    }
 
-/// Reads a request whole, whose first bytes were there at `arrived`; beside it the identity of the attempt, as far
-/// as it is known.
-async fn read(
-    state: &Rc<ProxyState>,
-    stream: &TcpStream,
-    buf: &mut BytesMut,
-    arrived: Instant,
-    limits: &Limits,
-) -> (Result<Request, Refused>, Option<Vec<u8>>) {
-    let by = Instant::now() + Duration::from_millis(limits.header_timeout_ms);
-    let head = match timeout_at(by, read_head(stream, buf, limits.max_header_bytes)).await {
-        Ok(Ok(head)) => head,
-        Ok(Err(refused)) => return (Err(refused), None),
-        Err(_) => return (Err(Refused::Because(ResultCode::SlowClient)), None),
-    };
-    let body = match head.framing {
-        None | Some(Framing::Length(0)) => Ok((Bytes::new(), None)),
-        Some(framing) => read_body(state, stream, buf, limits, &head, framing).await,
-    };
-    match body {
-        Ok((body, held)) => (
-            Ok(Request {
-                head,
-                body,
-                arrived,
-                _held: held,
-            }),
-            None,
-        ),
-        Err(refused) => {
-            let id = head.fields.get("fennelpin-attempt-id").map(<[u8]>::to_vec);
-            (Err(refused), id)
+    /// Sends a last reply and closes the connection.
+    async fn reject(
+        &self,
+        code: ResultCode,
+        attempt_id: Option<&[u8]>,
+        retry_after: Option<Duration>,
+    ) -> ConnectionOutcome {
+        let reply = LocalReply::new(code, attempt_id, retry_after);
+        if reply.send(self.state, self.stream, true).await {
+            close_gracefully(self.stream).await;
         }
+        ConnectionOutcome::Close
     }
-}
 
-async fn read_head(
-    stream: &TcpStream,
-    buf: &mut BytesMut,
-    most: usize,
-) -> Result<RequestHead, Refused> {
-    loop {
-        match RequestHead::decode(buf, HeadLimits::with_max_bytes(most)) {
-            Ok(Some(head)) => return Ok(head),
-            Ok(None) => {}
-            Err(ParseError::HeadTooLarge) => {
-                return Err(Refused::Because(ResultCode::HeadTooLarge))
+    /// Forwards a request, unless the client disconnects or the process ends first.
+    async fn forward_request(&mut self, request: &Request) -> ConnectionOutcome {
+        let progress = ResponseProgress::default();
+        let phase = &mut self.phase;
+        let process_ends = async {
+            let _ = phase
+                .wait_for(|phase| *phase == DrainPhase::ClosingAll)
+                .await;
+        };
+        let outcome = tokio::select! {
+            biased;
+            // Polled first: nothing more is sent to a host for a client that has disconnected, however late that is seen.
+            () = disconnected(self.stream, &mut self.buf, &mut self.received_at) => {
+                self.state.counters.add(|c| c.client_disconnects += 1);
+                return ConnectionOutcome::Close;
+            }
+            outcome = exchange::handle(self.state, self.stream, request, &progress) => outcome,
+            () = process_ends => {
+                self.end_unfinished(request, &progress).await;
+                return ConnectionOutcome::Close;
+            }
+        };
+        match outcome {
+            ConnectionOutcome::KeepAlive => {}
+            ConnectionOutcome::Close => close_gracefully(self.stream).await,
+            ConnectionOutcome::Truncated => {
+                self.state.counters.add(|c| c.truncated_responses += 1);
+                self.show_truncation(&progress);
             }
-            Err(ParseError::LengthOverflow) => return Err(Refused::Because(ResultCode::TooLarge)),
-            Err(ParseError::Syntax { .. }) => return Err(Refused::Because(ResultCode::BadRequest)),
-        }
-        if socket::fill(stream, buf).await? == 0 {
-            return Err(Refused::Gone);
         }
+        outcome
     }
-}
 
-async fn read_body(
-    state: &Rc<ProxyState>,
-    stream: &TcpStream,
-    buf: &mut BytesMut,
-    limits: &Limits,
-    head: &RequestHead,
-    framing: Framing,
-) -> Result<(Bytes, Option<BodyReservation>), Refused> {
-    let most = limits.max_body_bytes;
-    let length = match framing {
-        Framing::Length(n) => match usize::try_from(n) {
-            Ok(n) if n <= most => Some(n),
-            _ => return Err(Refused::Because(ResultCode::TooLarge)),
-        },
-        _ => None,
-    };
-    let mut held = state
-        .hold(length.unwrap_or(0))
-        .ok_or(Refused::Because(ResultCode::Crowded))?;
-    let there = length.is_some_and(|n| buf.len() >= n);
-    if !there && head.fields.has_token("expect", "100-continue") && head.minor_version > 0 {
-        socket::write_all(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"", &mut 0).await?;
-    }
-    let quiet = Duration::from_millis(limits.idle_timeout_ms);
-    if let Some(n) = length {
-        buf.reserve(n.saturating_sub(buf.len()));
-        while buf.len() < n {
-            more(stream, buf, quiet).await?;
-        }
-        return Ok((buf.split_to(n).freeze(), Some(held)));
-    }
-    let (mut body, mut out) = (BodyDecoder::new(framing), BytesMut::new());
-    loop {
-        match body.decode(buf) {
-            Ok(Decoded::Data(data)) => {
-                if out.len() + data.len() > most {
-                    return Err(Refused::Because(ResultCode::TooLarge));
-                }
-                if !held.grow(out.len() + data.len()) {
-                    return Err(Refused::Because(ResultCode::Crowded));
-                }
-                out.extend_from_slice(&data);
-            }
-            Ok(Decoded::End) => return Ok((out.freeze(), Some(held))),
-            Ok(Decoded::Incomplete) => more(stream, buf, quiet).await?,
-            Err(_) => return Err(Refused::Because(ResultCode::BadRequest)),
+    /// Ends a request that is in flight when the process ends.
+    async fn end_unfinished(&self, request: &Request, progress: &ResponseProgress) {
+        if progress.started() {
+            self.show_truncation(progress);
+            return;
         }
+        let code = progress.code_unless_run(ResultCode::Leaving);
+        let reply = LocalReply::new(code, request.attempt_id(), Some(OVERLOADED_RETRY_AFTER));
+        reply.send(self.state, self.stream, true).await;
     }
-}
 
-async fn more(stream: &TcpStream, buf: &mut BytesMut, quiet: Duration) -> Result<(), Refused> {
-    match timeout(quiet, socket::fill(stream, buf)).await {
-        Ok(Ok(0)) => Err(Refused::Gone),
-        Ok(got) => Ok(got.map(|_| ())?),
-        Err(_) => Err(Refused::Because(ResultCode::SlowClient)),
+    fn show_truncation(&self, progress: &ResponseProgress) {
+        if progress.would_look_complete() {
+            reset_on_close(self.stream);
+        }
     }
 }
 
-/// Resolves when the client has left; what it sends ahead is kept, and when it `came`.
-async fn gone(stream: &TcpStream, buf: &mut BytesMut, came: &mut Instant) {
-    while buf.len() < AHEAD {
-        match socket::fill(stream, buf).await {
-            Ok(n) if n > 0 => *came = Instant::now(),
+/// Resolves when the client has disconnected. Keeps what it sends ahead, and when that was received.
+async fn disconnected(stream: &TcpStream, buf: &mut BytesMut, received_at: &mut Instant) {
+    while buf.len() < MAX_READ_AHEAD_BYTES {
+        match socket::read(stream, buf).await {
+            Ok(n) if n > 0 => *received_at = Instant::now(),
             _ => return,
         }
     }
-    // Behind what is not read no end can be seen; a write will show it.
-    std::future::pending().await
-}
-
-/// Reads on for a moment: closing with input unread would reset the connection and take the answer along.
-async fn linger(stream: &TcpStream) {
-    let _ = rustix::net::shutdown(stream, rustix::net::Shutdown::Write);
-    let drain = async {
-        let mut buf = BytesMut::new();
-        while let Ok(n) = socket::fill(stream, &mut buf).await {
-            if n == 0 {
-                return;
-            }
-            buf.clear();
-        }
-    };
-    let _ = timeout(LINGER, drain).await;
+    // Behind unread input the end of the stream can't be seen. A write will fail.
+    std::future::pending::<()>().await;
 }
--- a/crates/proxy/src/client/idle.rs
+++ b/crates/proxy/src/client/idle.rs
@@ -1,49 +1,55 @@
-//! Clients' connections that stand idle, in the order in which they have: the first goes when room is needed.
+//! Idle connections of clients in the order in which they fell idle. The oldest is closed when room is needed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
+/// The idle connections.
 #[derive(Debug, Default)]
 pub(crate) struct IdleClients {
-    idle: BTreeMap<u64, Rc<Notify>>,
-    next: u64,
+    /// By serial number, which rises with the time at which they fell idle.
+    evict_signals: BTreeMap<u64, Rc<Notify>>,
+    next_serial: u64,
 }
 
-/// Listed as idle for as long as it lives.
-pub(crate) struct IdleClient<'a> {
+/// An entry in [`IdleClients`], removed when dropped.
+pub(crate) struct IdleClientGuard<'a> {
     idle_clients: &'a RefCell<IdleClients>,
-    number: u64,
+    serial: u64,
 }
 
 impl IdleClients {
-    /// A connection falls idle; `leave` is told if it has to go.
-    pub(crate) fn stand<'a>(
+    /// A connection falls idle. `evict_signal` is notified if it has to close.
+    pub(crate) fn register<'a>(
         idle_clients: &'a RefCell<IdleClients>,
-        leave: &Rc<Notify>,
-    ) -> IdleClient<'a> {
-        let mut all = idle_clients.borrow_mut();
-        let number = all.next;
-        all.next += 1;
-        all.idle.insert(number, leave.clone());
-        IdleClient {
+        evict_signal: &Rc<Notify>,
+    ) -> IdleClientGuard<'a> {
+        let mut registry = idle_clients.borrow_mut();
+        let serial = registry.next_serial;
+        registry.next_serial += 1;
+        registry.evict_signals.insert(serial, evict_signal.clone());
+        IdleClientGuard {
             idle_clients,
-            number,
+            serial,
         }
     }
 
-    /// Tells the one that has been idle for longest to go; false where there is none.
-    pub(crate) fn make_room(&mut self) -> bool {
-        self.idle
-            .pop_first()
-            .inspect(|(_, leave)| leave.notify_one())
-            .is_some()
+    /// Asks the connection that has been idle for longest to close; false if none is idle.
+    pub(crate) fn evict_oldest(&mut self) -> bool {
+        let Some((_, evict_signal)) = self.evict_signals.pop_first() else {
+            return false;
+        };
+        evict_signal.notify_one();
+        true
     }
 }
 
-impl Drop for IdleClient<'_> {
+impl Drop for IdleClientGuard<'_> {
     fn drop(&mut self) {
-        self.idle_clients.borrow_mut().idle.remove(&self.number);
+        self.idle_clients
+            .borrow_mut()
+            .evict_signals
+            .remove(&self.serial);
     }
 }
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -1,5 +1,11 @@
-//! Connections of clients.
+//! Connections of clients: accepting them, reading requests within the operators' limits, and closing.
 
-pub(crate) mod connection;
+mod close;
+mod connection;
 pub(crate) mod idle;
-pub(crate) mod request;
+mod listener;
+mod request;
+mod request_reader;
+
+pub(crate) use listener::{ClientConnections, DrainPhase};
+pub(crate) use request::Request;
--- /dev/null
+++ b/crates/proxy/src/client/request_reader.rs
@@ -0,0 +1,199 @@
+//! Reads a client's request completely, within the operators' limits, before any host hears of it.
+
+use super::Request;
+use crate::headers::ATTEMPT_ID;
+use crate::socket;
+use crate::state::{BodyReservation, ProxyState};
+use bytes::{Bytes, BytesMut};
+use configuration::{Limits, ResultCode};
+use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead};
+use std::io;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{timeout, timeout_at, Instant};
+
+/// Why there is no request to serve.
+#[derive(Debug)]
+pub(super) enum ReadError {
+    /// The client sent nothing, or disconnected.
+    Disconnected,
+    /// The request is refused.
+    Rejected {
+        code: ResultCode,
+        /// The attempt's id, if it was read.
+        attempt_id: Option<Vec<u8>>,
+    },
+}
+
+/// Why a part of a request can't be read. Converted to [`ReadError`] once it is known whether there is an id.
+enum PartError {
+    Disconnected,
+    Rejected(ResultCode),
+}
+
+impl From<io::Error> for PartError {
+    fn from(_: io::Error) -> Self {
+        Self::Disconnected
+    }
+}
+
+impl PartError {
+    fn for_attempt(self, attempt_id: Option<&[u8]>) -> ReadError {
+        match self {
+            Self::Disconnected => ReadError::Disconnected,
+            Self::Rejected(code) => ReadError::Rejected {
+                code,
+                attempt_id: attempt_id.map(<[u8]>::to_vec),
+            },
+        }
+    }
+}
+
+/// A body and the memory that is reserved for it; an empty body needs none.
+struct ReadBody {
+    bytes: Bytes,
+    reservation: Option<BodyReservation>,
+}
+
+/// Reads requests off one connection. `buf` holds what was received and not yet read as a request.
+pub(super) struct RequestReader<'a> {
+    pub(super) state: &'a ProxyState,
+    pub(super) stream: &'a TcpStream,
+    pub(super) buf: &'a mut BytesMut,
+    pub(super) limits: Limits,
+}
+
+impl RequestReader<'_> {
+    /// Reads a request whose first bytes were received at `received_at`.
+    pub(super) async fn read(mut self, received_at: Instant) -> Result<Request, ReadError> {
+        let head_deadline = Instant::now() + Duration::from_millis(self.limits.header_timeout_ms);
+        let head = timeout_at(head_deadline, self.read_head())
+            .await
+            .unwrap_or(Err(PartError::Rejected(ResultCode::SlowClient)))
+            .map_err(|error| error.for_attempt(None))?;
+        let body = self
+            .read_body(&head)
+            .await
+            .map_err(|error| error.for_attempt(head.fields.get(ATTEMPT_ID)))?;
+        Ok(Request {
+            head,
+            body: body.bytes,
+            received_at,
+            _body_reservation: body.reservation,
+        })
+    }
+
+    async fn read_head(&mut self) -> Result<RequestHead, PartError> {
+        let limits = HeadLimits::with_max_bytes(self.limits.max_header_bytes);
+        loop {
+            match RequestHead::decode(self.buf, limits) {
+                Ok(Some(head)) => return Ok(head),
+                Ok(None) => {}
+                Err(error) => return Err(PartError::Rejected(rejection_code(error))),
+            }
+            if socket::read(self.stream, self.buf).await? == 0 {
+                return Err(PartError::Disconnected);
+            }
+        }
+    }
+
+    async fn read_body(&mut self, head: &RequestHead) -> Result<ReadBody, PartError> {
+        match head.framing {
+            None | Some(Framing::Length(0)) => Ok(ReadBody {
+                bytes: Bytes::new(),
+                reservation: None,
+            }),
+            Some(Framing::Length(length)) => self.read_sized_body(head, length).await,
+            Some(framing) => self.read_chunked_body(head, framing).await,
+        }
+    }
+
+    async fn read_sized_body(
+        &mut self,
+        head: &RequestHead,
+        length: u64,
+    ) -> Result<ReadBody, PartError> {
+        let length = usize::try_from(length)
+            .ok()
+            .filter(|length| *length <= self.limits.max_body_bytes)
+            .ok_or(PartError::Rejected(ResultCode::TooLarge))?;
+        let reservation = self.reserve(length)?;
+        if self.buf.len() < length {
+            self.send_continue(head).await?;
+        }
+        self.buf.reserve(length.saturating_sub(self.buf.len()));
+        while self.buf.len() < length {
+            self.read_more().await?;
+        }
+        Ok(ReadBody {
+            bytes: self.buf.split_to(length).freeze(),
+            reservation: Some(reservation),
+        })
+    }
+
+    async fn read_chunked_body(
+        &mut self,
+        head: &RequestHead,
+        framing: Framing,
+    ) -> Result<ReadBody, PartError> {
+        let mut reservation = self.reserve(0)?;
+        self.send_continue(head).await?;
+        let mut decoder = BodyDecoder::new(framing);
+        let mut body = BytesMut::new();
+        loop {
+            match decoder.decode(self.buf) {
+                Ok(Decoded::Data(data)) => {
+                    let body_bytes = body.len() + data.len();
+                    if body_bytes > self.limits.max_body_bytes {
+                        return Err(PartError::Rejected(ResultCode::TooLarge));
+                    }
+                    if !reservation.grow_to(body_bytes) {
+                        return Err(PartError::Rejected(ResultCode::Crowded));
+                    }
+                    body.extend_from_slice(&data);
+                }
+                Ok(Decoded::End) => {
+                    return Ok(ReadBody {
+                        bytes: body.freeze(),
+                        reservation: Some(reservation),
+                    })
+                }
+                Ok(Decoded::Incomplete) => self.read_more().await?,
+                Err(_) => return Err(PartError::Rejected(ResultCode::BadRequest)),
+            }
+        }
+    }
+
+    fn reserve(&self, bytes: usize) -> Result<BodyReservation, PartError> {
+        self.state
+            .body_memory
+            .try_reserve(bytes)
+            .ok_or(PartError::Rejected(ResultCode::Crowded))
+    }
+
+    /// Tells a client that waits for it to send the body.
+    async fn send_continue(&self, head: &RequestHead) -> Result<(), PartError> {
+        if head.minor_version > 0 && head.fields.has_token("expect", "100-continue") {
+            let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
+            socket::write_all(self.stream, interim, b"", &mut 0).await?;
+        }
+        Ok(())
+    }
+
+    async fn read_more(&mut self) -> Result<(), PartError> {
+        let idle_timeout = Duration::from_millis(self.limits.idle_timeout_ms);
+        match timeout(idle_timeout, socket::read(self.stream, self.buf)).await {
+            Ok(Ok(0)) => Err(PartError::Disconnected),
+            Ok(read) => Ok(read.map(drop)?),
+            Err(_) => Err(PartError::Rejected(ResultCode::SlowClient)),
+        }
+    }
+}
+
+fn rejection_code(error: ParseError) -> ResultCode {
+    match error {
+        ParseError::HeadTooLarge => ResultCode::HeadTooLarge,
+        ParseError::LengthOverflow => ResultCode::TooLarge,
+        ParseError::Syntax { .. } => ResultCode::BadRequest,
+    }
+}
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,15 +1,15 @@
-//! What the proxy counts.
+//! The proxy's counters.
 
 use std::cell::Cell;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident;)*) => {
-        /// Numbers since the start.
+        /// Counts since the start of the process.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub struct Counters { $($(#[$doc])* pub $name: u64,)* }
 
         impl Counters {
-            /// Names and numbers.
+            /// Names and values.
             pub fn pairs(&self) -> Vec<(&'static str, u64)> { vec![$((stringify!($name), self.$name),)*] }
         }
     };
@@ -17,44 +17,44 @@
 
 counters! {
     /// Connections of clients.
-    clients;
-    /// Requests that were read whole.
+    client_connections;
+    /// Requests that were read completely.
     requests;
-    /// Requests sent to a host.
-    sent;
-    /// Of those, sent to a host after another one.
-    repeats;
-    /// Answers of hosts passed on whole.
-    passed;
-    /// Streams that went on at another host.
-    resumed;
-    /// Answers of our own that promise that the request has not run.
-    refused;
-    /// Other answers of our own.
-    failed;
-    /// Answers cut off because the host's was.
-    cut;
-    /// Clients that left before their answer.
-    left;
-    /// Connections opened to hosts.
-    connects;
-    /// Connections to hosts that did not come up.
-    unreached;
-    /// Answers to other requests, thrown away.
-    strays;
-    /// Bytes of hosts that were no answer, and answers cut off.
-    broken;
-    /// Datagrams that were no hints.
-    bad_hints;
-    /// Requests moved to another host as the first was silent.
-    moved;
+    /// Attempts: requests sent to a host.
+    attempts;
+    /// Attempts after the first of their request.
+    retries;
+    /// Responses of hosts forwarded completely.
+    responses;
+    /// Streams that were resumed at another host.
+    resumed_streams;
+    /// Local replies that promise that the request has not run.
+    local_rejections;
+    /// Other local replies.
+    local_errors;
+    /// Responses truncated because the host's was.
+    truncated_responses;
+    /// Clients that disconnected before their response was complete.
+    client_disconnects;
+    /// Connections that were tried to be opened to hosts.
+    host_connects;
+    /// Of those, connections that did not come up.
+    host_connect_failures;
+    /// Responses of hosts to other requests, thrown away.
+    stray_responses;
+    /// Responses of hosts that were malformed or broke off.
+    broken_responses;
+    /// Datagrams that were no valid hint.
+    invalid_hints;
+    /// Requests that failed over from a silent host to another.
+    failovers;
 }
 
-/// Counters that one thread counts up; shared by `Rc`, they can be read while the proxy serves.
+/// Counters of one thread, shared by `Rc`, so that they can be read while the proxy serves.
 ///
 /// ```
 /// let counters = std::rc::Rc::new(proxy::counters::SharedCounters::default());
-/// assert_eq!(counters.get().pairs()[0], ("clients", 0));
+/// assert_eq!(counters.get().pairs()[0], ("client_connections", 0));
 /// ```
 #[derive(Debug, Default)]
 pub struct SharedCounters(Cell<Counters>);
@@ -66,7 +66,7 @@
         self.0.set(counters);
     }
 
-    /// The numbers as they stand now.
+    /// The counts as they are now.
     pub fn get(&self) -> Counters {
         self.0.get()
     }
--- /dev/null
+++ b/crates/proxy/src/exchange/admission.rs
@@ -0,0 +1,129 @@
+//! First step: finds the route and the service of a request, and decides whether it is admitted.
+
+use crate::client::Request;
+use crate::headers::{ATTEMPT_ID, DEADLINE_MS};
+use crate::local_reply::LocalReply;
+use crate::response_progress::ConnectionOutcome;
+use crate::routes;
+use crate::state::ProxyState;
+use configuration::{ResultCode, Route, RouteKind};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+
+/// `Retry-After` for a request that another proxy may serve at once.
+pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// `Retry-After` until this proxy has a configuration.
+pub(super) const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// Why a request ends without a host's response.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Rejection {
+    pub(super) code: ResultCode,
+    /// When to come back, where it is known.
+    pub(super) retry_after: Option<Duration>,
+}
+
+impl Rejection {
+    /// Without a time to come back.
+    pub(super) fn new(code: ResultCode) -> Self {
+        Self {
+            code,
+            retry_after: None,
+        }
+    }
+
+    /// With a time to come back.
+    pub(super) fn retry_after(code: ResultCode, after: Duration) -> Self {
+        Self {
+            code,
+            retry_after: Some(after),
+        }
+    }
+
+    /// Sends the local reply.
+    pub(super) async fn send(
+        self,
+        state: &ProxyState,
+        client: &TcpStream,
+        request: &Request,
+    ) -> ConnectionOutcome {
+        let close = is_last_response(state, request);
+        let sent = LocalReply::new(self.code, request.attempt_id(), self.retry_after)
+            .to(&request.head)
+            .send(state, client, close)
+            .await;
+        match (sent, close) {
+            (true, false) => ConnectionOutcome::KeepAlive,
+            (true, true) => ConnectionOutcome::Close,
+            (false, _) => ConnectionOutcome::Truncated,
+        }
+    }
+}
+
+/// Whether the response to this request is the last on its connection.
+pub(super) fn is_last_response(state: &ProxyState, request: &Request) -> bool {
+    state.shutdown.get().is_some() || !request.head.is_keep_alive()
+}
+
+/// The route of a request.
+pub(super) fn find_route(state: &ProxyState, request: &Request) -> Result<Arc<Route>, Rejection> {
+    let Some(table) = state.routing_table() else {
+        return Err(Rejection::retry_after(
+            ResultCode::NoConfiguration,
+            MAX_RETRY_AFTER,
+        ));
+    };
+    let head = &request.head;
+    let route = head
+        .host()
+        .and_then(|host| table.routes.find(host, head.path()))
+        .ok_or(Rejection::new(ResultCode::NoRoute))?;
+    // With two ids nobody could tell whose response is whose.
+    if head.fields.get_all(ATTEMPT_ID).count() != 1 {
+        return Err(Rejection::new(ResultCode::BadRequest));
+    }
+    Ok(route.clone())
+}
+
+/// The service that a request on this route goes to.
+pub(super) fn select_service<'a>(
+    state: &ProxyState,
+    route: &'a Route,
+) -> Result<&'a str, Rejection> {
+    routes::select_service(route, state.random_u64()).ok_or(Rejection::new(ResultCode::NoHost))
+}
+
+/// The deadline of a request, as time since the start of the process: the earlier of its own and its route's.
+pub(super) fn deadline(state: &ProxyState, request: &Request, route: &Route) -> Duration {
+    let client_ms = request
+        .head
+        .fields
+        .get_str(DEADLINE_MS)
+        .and_then(|value| value.parse().ok())
+        .filter(|ms: &f64| *ms >= 0.0)
+        .unwrap_or(f64::INFINITY);
+    state
+        .clock
+        .since_start(request.received_at)
+        .saturating_add(duration_from_ms(client_ms.min(route.deadline_ms)))
+}
+
+/// Whether a request with this deadline may be given to a host at this time in the life of the process.
+pub(super) fn check_shutdown(
+    state: &ProxyState,
+    route: &Route,
+    deadline: Duration,
+) -> Result<(), Rejection> {
+    let repeatable = route.kind == RouteKind::Pure;
+    if state.admits(deadline, repeatable) {
+        return Ok(());
+    }
+    // A retry reaches another proxy, which may serve it at once.
+    Err(Rejection::retry_after(ResultCode::Leaving, MIN_RETRY_AFTER))
+}
+
+/// A duration of milliseconds; a very long one for what is out of range.
+pub(super) fn duration_from_ms(ms: f64) -> Duration {
+    Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4)
+}
--- /dev/null
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -0,0 +1,167 @@
+//! One attempt: sends the request to a host, judges the response and relays it.
+
+use super::balancing_headers::host_load;
+use super::host_selection::SelectedHost;
+use super::host_wait::{HostWait, WaitError};
+use super::Exchange;
+use crate::headers::{EXPECT_VERSION, HOST_SEAL};
+use crate::response_matching::is_refusal;
+use crate::response_progress::ConnectionOutcome;
+use crate::retry::AttemptOutcome;
+use crate::state::InFlightAttempt;
+use crate::upstream::UpstreamConnection;
+use balancing::{Load, Outcome};
+use configuration::RouteKind;
+use http1::ResponseHead;
+
+/// What came of one attempt.
+pub(super) enum AttemptResult {
+    /// The client has a response, or as much of it as there is.
+    Answered(ConnectionOutcome),
+    /// The attempt brought no response to forward.
+    Failed(AttemptOutcome),
+    /// The host was silent, and another one was selected.
+    FailedOver(SelectedHost),
+}
+
+/// A response whose head was read, and the connection that its body comes on.
+pub(super) struct HostResponse {
+    pub(super) host: SelectedHost,
+    pub(super) connection: UpstreamConnection,
+    pub(super) head: ResponseHead,
+    /// Whether responses to other requests came before it. If so, the connection is not used again.
+    pub(super) behind_strays: bool,
+    pub(super) load: Option<Load>,
+}
+
+/// What a response means by its head.
+enum ResponseKind {
+    /// The host did not run the request.
+    Refusal,
+    /// No host of the system would give this response.
+    Invalid,
+    /// Relayed as it comes.
+    Stream,
+    /// Read completely and then relayed, unless it is large.
+    Buffered,
+}
+
+impl Exchange<'_> {
+    /// Makes one attempt.
+    pub(super) async fn attempt(&mut self, host: SelectedHost) -> AttemptResult {
+        let mut connection = match self.send_request(&host).await {
+            Ok(connection) => connection,
+            Err(error) => {
+                host.attempt.finish(error.outcome_for_policy(), None);
+                return AttemptResult::Failed(error.attempt_outcome());
+            }
+        };
+        let mut wait = HostWait::new(self);
+        let matched = self
+            .await_response(&mut connection, &host.attempt, &mut wait)
+            .await;
+        let matched = match matched {
+            Ok(matched) => matched,
+            Err(error) => return self.on_wait_error(error, host.attempt),
+        };
+        let response = HostResponse {
+            host,
+            connection,
+            load: host_load(&matched.head.fields),
+            head: matched.head,
+            behind_strays: matched.behind_strays,
+        };
+        self.relay(response, wait).await
+    }
+
+    async fn relay(&mut self, response: HostResponse, wait: HostWait) -> AttemptResult {
+        match self.classify(&response.head) {
+            ResponseKind::Refusal => self.on_refusal(response),
+            ResponseKind::Invalid => {
+                self.state.counters.add(|c| c.broken_responses += 1);
+                let attempt = response.host.attempt;
+                attempt.finish(Outcome::ConnectionLost, response.load);
+                AttemptResult::Failed(AttemptOutcome::Broken)
+            }
+            ResponseKind::Stream => self.relay_stream(response, wait).await,
+            // The client has the beginning of a stream: nothing else can follow.
+            ResponseKind::Buffered if self.progress.started() => {
+                let attempt = response.host.attempt;
+                attempt.finish(Outcome::Failed, response.load);
+                AttemptResult::Failed(AttemptOutcome::HostFailed)
+            }
+            ResponseKind::Buffered => self.relay_buffered(response, wait).await,
+        }
+    }
+
+    fn classify(&self, head: &ResponseHead) -> ResponseKind {
+        if is_refusal(head) {
+            return ResponseKind::Refusal;
+        }
+        let success = (200..300).contains(&head.status);
+        let unsealed = success && head.fields.get(HOST_SEAL).is_none();
+        // A refusal that doesn't say that nothing ran is no promise that could be forwarded.
+        let bare_refusal = matches!(head.status, 408 | 429 | 503);
+        let encoded = head.fields.get("content-encoding").is_some();
+        if encoded || unsealed || bare_refusal {
+            return ResponseKind::Invalid;
+        }
+        let is_event_stream = head
+            .fields
+            .get_str("content-type")
+            .is_some_and(|value| value.starts_with("text/event-stream"));
+        let streaming = self.route.kind == RouteKind::Streaming || is_event_stream;
+        if success && streaming && !self.has_no_body(head) {
+            ResponseKind::Stream
+        } else {
+            ResponseKind::Buffered
+        }
+    }
+
+    fn on_refusal(&self, response: HostResponse) -> AttemptResult {
+        // Refused for the version that its client expects, the request says nothing about who the host is.
+        let expects_version = self.request.head.fields.get(EXPECT_VERSION).is_some();
+        let outcome = match response.head.status {
+            421 if !expects_version => Outcome::OtherHost,
+            429 | 503 => Outcome::Full,
+            _ => Outcome::TurnedAway,
+        };
+        let HostResponse { host, load, .. } = response;
+        if outcome == Outcome::OtherHost {
+            self.state.pool.borrow_mut().close_idle(&host.id);
+        } else {
+            self.drain_refusal(
+                response.connection,
+                host.id,
+                response.head,
+                response.behind_strays,
+            );
+        }
+        host.attempt.finish(outcome, load);
+        AttemptResult::Failed(AttemptOutcome::NotExecuted)
+    }
+
+    /// Ends an attempt whose response is not waited for any longer.
+    pub(super) fn on_wait_error(
+        &self,
+        error: WaitError,
+        attempt: InFlightAttempt,
+    ) -> AttemptResult {
+        match error {
+            WaitError::Broken => {
+                self.state.counters.add(|c| c.broken_responses += 1);
+                attempt.finish(Outcome::ConnectionLost, None);
+                AttemptResult::Failed(AttemptOutcome::Broken)
+            }
+            WaitError::DeadlinePassed => {
+                attempt.finish(Outcome::Silent, None);
+                AttemptResult::Failed(AttemptOutcome::Broken)
+            }
+            // The caller drops the old connection before the next host is asked.
+            WaitError::FailedOver(next) => {
+                attempt.finish(Outcome::Silent, None);
+                AttemptResult::FailedOver(next)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/exchange/await_response.rs
@@ -0,0 +1,85 @@
+//! Fourth step: waits for the head of the response that belongs to the attempt, past responses to others.
+
+use super::host_wait::{HostWait, WaitError};
+use super::{Exchange, MAX_BUFFERED_BYTES};
+use crate::response_matching::ResponseMatcher;
+use crate::state::InFlightAttempt;
+use crate::upstream::{self, BodyRead, UpstreamConnection};
+use bytes::BytesMut;
+use http1::{BodyDecoder, ResponseHead};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// The body of a refusal is read up to this size, so that its connection can be used again.
+const MAX_REFUSAL_BODY_BYTES: usize = 64 * 1024;
+/// How long the body of a refusal is read.
+const REFUSAL_READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Responses to other requests that are skipped before the connection is given up.
+const MAX_STRAY_RESPONSES: u32 = 4;
+
+/// The head of the response to an attempt.
+pub(super) struct MatchedResponse {
+    pub(super) head: ResponseHead,
+    /// Whether responses to other requests came before it.
+    pub(super) behind_strays: bool,
+}
+
+impl Exchange<'_> {
+    /// Waits for the response to an attempt.
+    pub(super) async fn await_response(
+        &mut self,
+        connection: &mut UpstreamConnection,
+        attempt: &InFlightAttempt,
+        wait: &mut HostWait,
+    ) -> Result<MatchedResponse, WaitError> {
+        let to_head_request = self.request.is_head();
+        let matcher = ResponseMatcher::new(self.request.attempt_id().unwrap_or_default());
+        for strays in 0..=MAX_STRAY_RESPONSES {
+            let read_head = async |c: &mut UpstreamConnection| c.read_head(to_head_request).await;
+            let head = wait.run(self, connection, attempt, read_head).await?;
+            let first_on_connection = strays == 0 && !connection.reused();
+            if matcher.matches(&head, first_on_connection) {
+                return Ok(MatchedResponse {
+                    head,
+                    behind_strays: strays > 0,
+                });
+            }
+            self.state.counters.add(|c| c.stray_responses += 1);
+            let mut decoder = BodyDecoder::new(head.framing);
+            let mut body = BytesMut::new();
+            let skip_body = async |c: &mut UpstreamConnection| {
+                c.read_body(&mut decoder, &mut body, MAX_BUFFERED_BYTES)
+                    .await
+            };
+            match wait.run(self, connection, attempt, skip_body).await? {
+                BodyRead::Complete => {}
+                BodyRead::OverLimit => break,
+            }
+        }
+        Err(WaitError::Broken)
+    }
+
+    /// Reads the rest of a refusal in the background, so that the connection can be used again. The request doesn't wait
+    /// for it.
+    pub(super) fn drain_refusal(
+        &self,
+        mut connection: UpstreamConnection,
+        host: Arc<str>,
+        head: ResponseHead,
+        behind_strays: bool,
+    ) {
+        if behind_strays || !head.is_keep_alive() {
+            return;
+        }
+        let state = self.state.clone();
+        tokio::task::spawn_local(async move {
+            let mut decoder = BodyDecoder::new(head.framing);
+            let mut body = BytesMut::new();
+            let read = connection.read_body(&mut decoder, &mut body, MAX_REFUSAL_BODY_BYTES);
+            if let Ok(Ok(BodyRead::Complete)) = timeout(REFUSAL_READ_TIMEOUT, read).await {
+                upstream::release(&state, &host, connection, &head);
+            }
+        });
+    }
+}
--- a/crates/proxy/src/exchange/buffered.rs
+++ b/crates/proxy/src/exchange/buffered.rs
@@ -1,133 +1,144 @@
-//! Answers that are read whole before they are passed on, and those that are too large for it.
+//! Relays a response that is read completely before it is forwarded, and one that is too large for that.
 
-use super::client_writer::Writer;
+use super::admission::is_last_response;
+use super::attempt::{AttemptResult, HostResponse};
+use super::client_writer::ClientWriter;
 use super::host_wait::HostWait;
-use super::{closes, AttemptResult, Exchange, Picked, DEADLINE_SLACK, MAX_BUFFERED_ANSWER};
+use super::{Exchange, HostError, MAX_BUFFERED_BYTES};
 use crate::response_progress::ConnectionOutcome;
 use crate::retry::AttemptOutcome;
-use crate::upstream::acquire;
-use crate::upstream::connection::UpstreamConnection;
-use balancing::{Load, Outcome};
+use crate::upstream::{self, BodyRead, UpstreamConnection};
+use balancing::Outcome;
 use bytes::{Bytes, BytesMut};
 use http1::{BodyDecoder, Framing, ResponseHead};
 use tokio::time::timeout_at;
 
 impl Exchange<'_> {
-    /// An answer that is read whole before it is passed on, unless it is large.
-    pub(super) async fn whole(
+    /// Reads a response completely and forwards it, unless it is large.
+    pub(super) async fn relay_buffered(
         &mut self,
-        mut connection: UpstreamConnection,
-        picked: Picked,
-        head: ResponseHead,
-        stray: bool,
-        load: Option<Load>,
-        mut watch: HostWait,
+        mut response: HostResponse,
+        mut wait: HostWait,
     ) -> AttemptResult {
-        // Quick failures must not make a host look well.
-        if head.status < 400 {
-            picked.out.first();
+        // Quick failures must not make a host look healthy.
+        if response.head.status < 400 {
+            response.host.attempt.record_response_start();
         }
-        watch.patience_over();
-        let (mut body, mut out) = (BodyDecoder::new(head.framing), BytesMut::new());
-        let read = async |l: &mut UpstreamConnection| {
-            l.whole(&mut body, &mut out, MAX_BUFFERED_ANSWER).await
+        wait.response_began();
+        let mut decoder = BodyDecoder::new(response.head.framing);
+        let mut body = BytesMut::new();
+        let read_body = async |c: &mut UpstreamConnection| {
+            c.read_body(&mut decoder, &mut body, MAX_BUFFERED_BYTES)
+                .await
         };
-        match watch.guard(self, &mut connection, &picked.out, read).await {
-            Err(stop) => return self.stopped(stop, picked.out),
-            Ok(false) => {
-                picked.out.told(load);
-                return self.large(connection, picked, head, stray, body, out).await;
+        let attempt = &response.host.attempt;
+        let read = wait
+            .run(self, &mut response.connection, attempt, read_body)
+            .await;
+        match read {
+            Ok(BodyRead::Complete) => self.on_complete_body(response, body.freeze()).await,
+            Ok(BodyRead::OverLimit) => {
+                response.host.attempt.record_load(response.load);
+                self.relay_large(response, decoder, body).await
             }
-            Ok(true) => {}
+            Err(error) => self.on_wait_error(error, response.host.attempt),
         }
-        if !stray {
-            acquire::keep(self.state, &picked.id, connection, &head);
+    }
+
+    async fn on_complete_body(&mut self, response: HostResponse, body: Bytes) -> AttemptResult {
+        let HostResponse {
+            host,
+            connection,
+            head,
+            behind_strays,
+            load,
+        } = response;
+        if !behind_strays {
+            upstream::release(self.state, &host.id, connection, &head);
         }
-        let out = out.freeze();
+        host.attempt.finish(outcome_of_status(head.status), load);
         if head.status < 500 {
-            let outcome = if head.status < 400 {
-                Outcome::Done
-            } else {
-                Outcome::Failed
-            };
-            picked.out.end(outcome, load);
-            return AttemptResult::Answered(self.pass_whole(&head, &out).await);
+            return AttemptResult::Answered(self.write_buffered(&head, &body).await);
         }
-        picked.out.end(Outcome::Failed, load);
-        self.kept = Some((head, out));
-        AttemptResult::Ended(AttemptOutcome::HostFailed)
+        self.host_error = Some(HostError { head, body });
+        AttemptResult::Failed(AttemptOutcome::HostFailed)
     }
 
-    pub(super) async fn pass_whole(&self, head: &ResponseHead, body: &Bytes) -> ConnectionOutcome {
-        let close = closes(self.state, self.request);
-        let framing = if self.bodiless(head) {
+    /// Writes a complete response to the client.
+    pub(super) async fn write_buffered(
+        &self,
+        head: &ResponseHead,
+        body: &Bytes,
+    ) -> ConnectionOutcome {
+        let close = is_last_response(self.state, self.request);
+        let framing = if self.has_no_body(head) {
             None
         } else {
             Some(Framing::Length(body.len() as u64))
         };
-        let text = self.client_head(head, framing, close);
-        self.stage.start();
-        match self.write(&text, body).await {
-            true => {
-                self.state.counters.add(|c| c.passed += 1);
-                if close {
-                    ConnectionOutcome::Close
-                } else {
-                    ConnectionOutcome::Keep
-                }
-            }
-            false => ConnectionOutcome::Cut,
+        let head = self.response_head(head, framing, close);
+        self.progress.start();
+        if !self.write(&head, body).await {
+            return ConnectionOutcome::Truncated;
         }
+        self.response_complete(close)
     }
 
-    /// The rest of an answer that is too large to be held.
-    async fn large(
+    /// Relays the rest of a response that is too large to be buffered, behind its `start`.
+    async fn relay_large(
         &mut self,
-        mut connection: UpstreamConnection,
-        picked: Picked,
-        head: ResponseHead,
-        stray: bool,
-        mut body: BodyDecoder,
+        mut response: HostResponse,
+        mut decoder: BodyDecoder,
         start: BytesMut,
     ) -> AttemptResult {
-        let mut writer = Writer::new(self, &head);
-        let mut sent = writer.write(self, &head, &start).await;
-        loop {
-            if !sent {
-                return AttemptResult::Answered(ConnectionOutcome::Cut);
-            }
-            match timeout_at(self.end() + DEADLINE_SLACK, connection.piece(&mut body)).await {
-                Ok(Ok(Some(_))) if self.overtime() => {
-                    picked.out.end(Outcome::Silent, None);
-                    return AttemptResult::Answered(ConnectionOutcome::Cut);
-                }
-                Ok(Ok(Some(data))) => {
-                    picked.out.heard();
-                    sent = writer.write(self, &head, &data).await;
-                }
-                Ok(Ok(None)) => break,
+        let mut writer = ClientWriter::new(self, &response.head);
+        let mut sent = writer.write(self, &response.head, &start).await;
+        while sent {
+            let piece = response.connection.read_body_piece(&mut decoder);
+            let data = match timeout_at(self.response_deadline(), piece).await {
+                Ok(Ok(Some(data))) if !self.is_over_time() => data,
+                Ok(Ok(None)) => return self.finish_large(response, writer).await,
                 Ok(Err(_)) => {
-                    self.state.counters.add(|c| c.broken += 1);
-                    picked.out.end(Outcome::ConnectionLost, None);
-                    return AttemptResult::Answered(ConnectionOutcome::Cut);
+                    self.state.counters.add(|c| c.broken_responses += 1);
+                    response.host.attempt.finish(Outcome::ConnectionLost, None);
+                    return AttemptResult::Answered(ConnectionOutcome::Truncated);
                 }
-                Err(_) => {
-                    picked.out.end(Outcome::Silent, None);
-                    return AttemptResult::Answered(ConnectionOutcome::Cut);
+                Ok(Ok(Some(_))) | Err(_) => {
+                    response.host.attempt.finish(Outcome::Silent, None);
+                    return AttemptResult::Answered(ConnectionOutcome::Truncated);
                 }
-            }
+            };
+            response.host.attempt.record_progress();
+            sent = writer.write(self, &response.head, &data).await;
         }
-        if !stray {
-            acquire::keep(self.state, &picked.id, connection, &head);
+        AttemptResult::Answered(ConnectionOutcome::Truncated)
+    }
+
+    async fn finish_large(
+        &self,
+        response: HostResponse,
+        mut writer: ClientWriter,
+    ) -> AttemptResult {
+        let HostResponse {
+            host,
+            connection,
+            head,
+            behind_strays,
+            ..
+        } = response;
+        if !behind_strays {
+            upstream::release(self.state, &host.id, connection, &head);
         }
-        picked.out.end(
-            if head.status < 400 {
-                Outcome::Done
-            } else {
-                Outcome::Failed
-            },
-            None,
-        );
+        host.attempt.finish(outcome_of_status(head.status), None);
         AttemptResult::Answered(writer.finish(self, &head).await)
     }
 }
+
+/// What a complete response says about its host.
+fn outcome_of_status(status: u16) -> Outcome {
+    if status < 400 {
+        Outcome::Done
+    } else {
+        Outcome::Failed
+    }
+}
--- a/crates/proxy/src/exchange/client_writer.rs
+++ b/crates/proxy/src/exchange/client_writer.rs
@@ -1,141 +1,158 @@
-//! Answers of hosts as the client gets them.
+//! Writes hosts' responses to the client.
 
-use super::{closes, Exchange};
+use super::admission::is_last_response;
+use super::Exchange;
+use crate::headers::{is_forwarded, push_field, CONTENT_LENGTH};
 use crate::local_reply::CLIENT_WRITE_TIMEOUT;
 use crate::response_progress::ConnectionOutcome;
-use crate::socket::{self, field};
+use crate::socket;
 use http1::{Framing, ResponseHead};
 use tokio::time::{timeout_at, Instant};
 
-/// Writes an answer to the client piece by piece; the head goes with the first one, and only once for all
-/// hosts that an answer comes from. What that head said of the framing and of the connection holds for them all.
+/// First guess of a head's size in bytes.
+const HEAD_CAPACITY_BYTES: usize = 512;
+
+/// Writes a response to the client piece by piece. The head goes with the first piece, and only once for all hosts that
+/// the response comes from: its framing, and what it says of the connection, hold for them all.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Writer {
+pub(super) struct ClientWriter {
     framing: Framing,
     close: bool,
 }
 
-impl Writer {
+impl ClientWriter {
+    /// The writer of the response that has begun, or else one for a response with this head.
     pub(super) fn new(exchange: &Exchange, head: &ResponseHead) -> Self {
-        if let Some(writer) = exchange.begun.get() {
+        if let Some(writer) = exchange.started_writer.get() {
             return writer;
         }
-        let old = exchange.request.head.minor_version == 0;
-        let resumable = exchange.route.resumable;
-        let framing = match head.framing {
-            Framing::Length(length) if !resumable => Framing::Length(length),
-            // An old client knows no chunks.
-            _ if old => Framing::CloseDelimited,
-            // The end of a connection also comes where this process is killed: the answer shows its own.
-            _ => Framing::Chunked,
-        };
-        exchange
-            .stage
-            .set_until_end(framing == Framing::CloseDelimited);
+        let framing = client_framing(exchange, head);
+        let close_delimited = framing == Framing::CloseDelimited;
+        exchange.progress.set_close_delimited(close_delimited);
         Self {
             framing,
-            close: closes(exchange.state, exchange.request) || framing == Framing::CloseDelimited,
+            close: close_delimited || is_last_response(exchange.state, exchange.request),
         }
     }
 
+    /// Writes a piece of the body; false if the client doesn't take it.
     pub(super) async fn write(
         &mut self,
         exchange: &Exchange<'_>,
         head: &ResponseHead,
         data: &[u8],
     ) -> bool {
-        let mut text = match exchange.stage.start() {
-            true => Vec::new(),
-            false => {
-                exchange.begun.set(Some(*self));
-                exchange.client_head(head, Some(self.framing), self.close)
-            }
+        let mut out = if exchange.progress.start() {
+            Vec::new()
+        } else {
+            exchange.started_writer.set(Some(*self));
+            exchange.response_head(head, Some(self.framing), self.close)
         };
         if self.framing != Framing::Chunked {
-            return exchange.write(&text, data).await;
+            return exchange.write(&out, data).await;
         }
+        // An empty chunk would end the body.
         if !data.is_empty() {
-            text.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
-            text.extend_from_slice(data);
-            text.extend_from_slice(b"\r\n");
+            out.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
+            out.extend_from_slice(data);
+            out.extend_from_slice(b"\r\n");
         }
-        exchange.write(&text, b"").await
+        exchange.write(&out, b"").await
     }
 
-    /// Whether the client can tell the answer's end from a cut, and so has to be told only of a true one.
+    /// Whether the client can tell the end of the response from a broken connection. If so, it must not be told of an
+    /// end that may be none.
     pub(super) fn marks_end(&self) -> bool {
         self.framing != Framing::CloseDelimited
     }
 
+    /// Ends the response.
     pub(super) async fn finish(
         &mut self,
         exchange: &Exchange<'_>,
         head: &ResponseHead,
     ) -> ConnectionOutcome {
-        let begun = exchange.stage.started();
-        if !begun && !self.write(exchange, head, b"").await {
-            return ConnectionOutcome::Cut;
+        let started = exchange.progress.started();
+        if !started && !self.write(exchange, head, b"").await {
+            return ConnectionOutcome::Truncated;
         }
         if self.framing == Framing::Chunked && !exchange.write(b"0\r\n\r\n", b"").await {
-            return ConnectionOutcome::Cut;
-        }
-        exchange.state.counters.add(|c| c.passed += 1);
-        if self.close {
-            ConnectionOutcome::Close
-        } else {
-            ConnectionOutcome::Keep
+            return ConnectionOutcome::Truncated;
         }
+        exchange.response_complete(self.close)
+    }
+}
+
+/// How the body is delimited for the client.
+fn client_framing(exchange: &Exchange, head: &ResponseHead) -> Framing {
+    match head.framing {
+        // The length of a stream that may be resumed at another host is not known.
+        Framing::Length(length) if !exchange.route.resumable => Framing::Length(length),
+        // HTTP/1.0 has no chunks.
+        _ if exchange.request.head.minor_version == 0 => Framing::CloseDelimited,
+        // A connection also ends when this process is killed. Chunks show where the body ends.
+        _ => Framing::Chunked,
     }
 }
 
 impl Exchange<'_> {
-    /// The answer's head as the client gets it; `None` leaves the host's length as it is.
-    pub(super) fn client_head(
+    /// The response's head as the client gets it. `framing` of `None` leaves the host's length as it is.
+    pub(super) fn response_head(
         &self,
-        head: &ResponseHead,
+        host_head: &ResponseHead,
         framing: Option<Framing>,
         close: bool,
     ) -> Vec<u8> {
-        let mut out = Vec::with_capacity(512);
-        out.extend_from_slice(format!("HTTP/1.1 {} ", head.status).as_bytes());
-        out.extend_from_slice(head.reason_phrase());
-        out.extend_from_slice(b"\r\n");
-        for (name, value) in head.fields.iter() {
-            let length = name.eq_ignore_ascii_case(b"content-length")
-                && (framing.is_some() || head.status == 204);
-            if !length && !socket::stays_here(&head.fields, name) {
-                field(&mut out, name, value);
+        let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
+        head.extend_from_slice(format!("HTTP/1.1 {} ", host_head.status).as_bytes());
+        head.extend_from_slice(host_head.reason_phrase());
+        head.extend_from_slice(b"\r\n");
+        let drops_length = framing.is_some() || host_head.status == 204;
+        for (name, value) in host_head.fields.iter() {
+            let dropped = drops_length && name.eq_ignore_ascii_case(CONTENT_LENGTH.as_bytes());
+            if !dropped && is_forwarded(&host_head.fields, name) {
+                push_field(&mut head, name, value);
             }
         }
         match framing {
-            Some(Framing::Length(n)) => {
-                field(&mut out, b"Content-Length", n.to_string().as_bytes())
+            Some(Framing::Length(length)) => {
+                push_field(&mut head, CONTENT_LENGTH, length.to_string());
             }
-            Some(Framing::Chunked) => field(&mut out, b"Transfer-Encoding", b"chunked"),
+            Some(Framing::Chunked) => push_field(&mut head, "Transfer-Encoding", "chunked"),
             Some(Framing::CloseDelimited) | None => {}
         }
         if close {
-            field(&mut out, b"Connection", b"close");
+            push_field(&mut head, "Connection", "close");
         } else {
-            // Told a little less than the truth, so that no request meets the close.
-            let idle = (self.state.limits().idle_timeout_ms / 1000)
-                .saturating_sub(1)
-                .max(1);
-            field(
-                &mut out,
-                b"Keep-Alive",
-                format!("timeout={idle}").as_bytes(),
-            );
+            let timeout = format!("timeout={}", self.advertised_idle_seconds());
+            push_field(&mut head, "Keep-Alive", timeout);
         }
-        out.extend_from_slice(b"\r\n");
-        out
+        head.extend_from_slice(b"\r\n");
+        head
+    }
+
+    /// The idle time-out that clients are told: a second less than the true one, so that no request meets the close.
+    fn advertised_idle_seconds(&self) -> u64 {
+        (self.state.client_limits().idle_timeout_ms / 1000)
+            .saturating_sub(1)
+            .max(1)
     }
 
+    /// Writes to the client; false if it doesn't take it in time.
     pub(super) async fn write(&self, head: &[u8], body: &[u8]) -> bool {
-        let by = self.end().max(Instant::now() + CLIENT_WRITE_TIMEOUT);
-        matches!(
-            timeout_at(by, socket::write_all(self.client, head, body, &mut 0)).await,
-            Ok(Ok(()))
-        )
+        let write_deadline = self.deadline().max(Instant::now() + CLIENT_WRITE_TIMEOUT);
+        let mut written = 0;
+        let write = socket::write_all(self.client, head, body, &mut written);
+        matches!(timeout_at(write_deadline, write).await, Ok(Ok(())))
+    }
+
+    /// Counts a complete response; `close` tells that it was the last on its connection.
+    pub(super) fn response_complete(&self, close: bool) -> ConnectionOutcome {
+        self.state.counters.add(|c| c.responses += 1);
+        if close {
+            ConnectionOutcome::Close
+        } else {
+            ConnectionOutcome::KeepAlive
+        }
     }
 }
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -1,134 +1,171 @@
-//! A request as its host gets it, and the sending of it.
+//! Third step: writes the request as the host gets it, and sends it.
 
-use super::response_matching::belongs;
-use super::{Exchange, Picked, ATTEMPT_ID, DEADLINE_SLACK};
+use super::host_selection::SelectedHost;
+use super::Exchange;
+use crate::headers::{
+    is_forwarded, push_field, CONTENT_LENGTH, DEADLINE_MS, EXPECTED_HOST, LAST_EVENT_ID, PRIORITY,
+};
+use crate::response_matching::ResponseMatcher;
 use crate::retry::AttemptOutcome;
-use crate::socket::{self, field};
-use crate::upstream::acquire::{self, AcquireError};
-use crate::upstream::connection::UpstreamConnection;
+use crate::upstream::{self, AcquireError, ConnectTarget, UpstreamConnection};
 use balancing::Outcome;
-use configuration::Route;
-use http1::ResponseHead;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Least and longest time for a connection to come up.
-const DIAL_TIMEOUT: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(250));
+/// Bounds on the time for a connection to come up.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Largest value of the `Priority` field.
+const MAX_PRIORITY: u8 = 9;
+/// First guess of a head's size in bytes.
+const HEAD_CAPACITY_BYTES: usize = 512;
 
-/// Longest time for a connection to come up. A lost opening packet is sent again only after a second: another
-/// host is the better choice, and nothing has run here.
-fn dial(route: &Route) -> Duration {
-    Duration::try_from_secs_f64(route.target_ms.unwrap_or(1000.0) / 2e3)
-        .unwrap_or(DIAL_TIMEOUT.1)
-        .clamp(DIAL_TIMEOUT.0, DIAL_TIMEOUT.1)
+/// Why a request was not sent completely.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum SendError {
+    /// This process has as many connections to the host as it may.
+    AtConnectionLimit,
+    /// Not a byte was written.
+    Unreachable,
+    /// A part was written: the host may run the request.
+    Broken,
 }
 
-impl Exchange<'_> {
-    /// The request's head as this host gets it.
-    fn head(&self, picked: &Picked) -> Vec<u8> {
-        let head = &self.request.head;
-        let mut out = Vec::with_capacity(512);
-        out.extend_from_slice(head.method());
-        out.push(b' ');
-        out.extend_from_slice(head.target());
-        out.extend_from_slice(b" HTTP/1.1\r\n");
-        // Once events have gone to the client, the place to go on from is ours to say.
-        let place = self.place.last_event_id().filter(|_| self.route.resumable);
-        for (name, value) in head.fields.iter() {
-            let is = |n: &str| name.eq_ignore_ascii_case(n.as_bytes());
-            let ours = is("content-length")
-                || is("expect")
-                || is("fennelpin-expected-host")
-                || is("fennelpin-deadline-ms")
-                || (is("priority") && picked.priority.is_some())
-                || (is("last-event-id") && place.is_some());
-            if !ours && !socket::stays_here(&head.fields, name) {
-                field(&mut out, name, value);
-            }
+impl SendError {
+    /// What it means for the request.
+    pub(super) fn attempt_outcome(self) -> AttemptOutcome {
+        match self {
+            Self::AtConnectionLimit | Self::Unreachable => AttemptOutcome::Unreachable,
+            Self::Broken => AttemptOutcome::Broken,
         }
-        let left = self
-            .trial
-            .deadline()
-            .saturating_sub(self.state.now())
-            .as_millis()
-            .max(1);
-        field(
-            &mut out,
-            b"Fennelpin-Deadline-Ms",
-            left.to_string().as_bytes(),
-        );
-        field(&mut out, b"Fennelpin-Expected-Host", picked.id.as_bytes());
-        if let Some(priority) = picked.priority {
-            field(
-                &mut out,
-                b"Priority",
-                priority.min(9).to_string().as_bytes(),
-            );
-        }
-        if let Some(id) = place {
-            field(&mut out, b"Last-Event-Id", id.as_bytes());
+    }
+
+    /// What it says about the host.
+    pub(super) fn outcome_for_policy(self) -> Outcome {
+        match self {
+            Self::AtConnectionLimit => Outcome::TurnedAway,
+            Self::Unreachable => Outcome::Unreached,
+            Self::Broken => Outcome::Silent,
         }
-        if head.framing.is_some() {
-            field(
-                &mut out,
-                b"Content-Length",
-                self.request.body.len().to_string().as_bytes(),
-            );
+    }
+}
+
+impl From<AcquireError> for SendError {
+    fn from(error: AcquireError) -> Self {
+        match error {
+            AcquireError::AtLimit => Self::AtConnectionLimit,
+            AcquireError::ConnectFailed => Self::Unreachable,
         }
-        out.extend_from_slice(b"\r\n");
-        out
     }
+}
 
-    /// Sends the request; a connection that turns out dead before a byte is taken is replaced by a new one.
-    pub(super) async fn send(
+impl Exchange<'_> {
+    /// Sends the request. A reused connection that turns out dead before a byte is written is replaced by a new one.
+    pub(super) async fn send_request(
         &mut self,
-        picked: &Picked,
-    ) -> Result<UpstreamConnection, (AttemptOutcome, Outcome)> {
-        let state = self.state;
-        let most = state.conns(self.service);
-        let no_link = |e| match e {
-            AcquireError::Full => (AttemptOutcome::Unreachable, Outcome::TurnedAway),
-            AcquireError::Unreached => (AttemptOutcome::Unreachable, Outcome::Unreached),
-        };
-        let until = self.end().min(Instant::now() + dial(self.route));
-        let mut connection = acquire::get(state, &picked.id, picked.addr, most, until)
-            .await
-            .map_err(no_link)?;
-        let (mut written, mut again) = (0, false);
-        loop {
-            let head = self.head(picked);
-            let mark = self.request.head.fields.get(ATTEMPT_ID).unwrap_or_default();
-            let ours =
-                |answer: &ResponseHead, nobody_answered| belongs(answer, mark, nobody_answered);
-            // From here on bytes may be the host's, also where this is dropped half-way.
-            self.stage.set_out(true);
-            let send = connection.send(&head, &self.request.body, &mut written, ours);
-            let sent = timeout_at(self.end() + DEADLINE_SLACK, send).await;
-            if written == 0 {
-                self.stage.set_out(self.trial.may_have_run());
+        host: &SelectedHost,
+    ) -> Result<UpstreamConnection, SendError> {
+        let target = self.connect_target(host);
+        let mut connection = upstream::acquire(self.state, &target).await?;
+        let mut written = 0;
+        let sent = loop {
+            let head = self.request_head(host);
+            let matcher = ResponseMatcher::new(self.request.attempt_id().unwrap_or_default());
+            // From here on the host may have bytes, also if this is dropped half-way.
+            self.progress.set_may_have_run(true);
+            let send = connection.send_request(&head, &self.request.body, &mut written, matcher);
+            let sent = timeout_at(self.response_deadline(), send).await;
+            if written > 0 {
+                break sent;
             }
-            match sent {
-                _ if written == 0 && connection.used && !again => {
-                    again = true;
-                    connection = acquire::open(state, &picked.id, picked.addr, most, until)
-                        .await
-                        .map_err(no_link)?;
-                    continue;
-                }
-                _ if written == 0 => return Err((AttemptOutcome::Unreachable, Outcome::Unreached)),
-                _ => {}
+            self.progress.set_may_have_run(self.retry.may_have_run());
+            if !connection.reused() {
+                return Err(SendError::Unreachable);
+            }
+            connection = upstream::connect(self.state, &target).await?;
+        };
+        self.record_sent();
+        // After a failed write too: a host may respond before it has read everything.
+        match sent {
+            Ok(_) => Ok(connection),
+            Err(_) => Err(SendError::Broken),
+        }
+    }
+
+    fn record_sent(&mut self) {
+        let is_retry = self.retry.was_sent();
+        self.retry.record_sent();
+        self.state.counters.add(|c| {
+            c.attempts += 1;
+            c.retries += u64::from(is_retry);
+        });
+    }
+
+    fn connect_target(&self, host: &SelectedHost) -> ConnectTarget {
+        ConnectTarget {
+            host: host.id.clone(),
+            address: host.address,
+            max_connections: self.state.max_connections_per_host(self.service),
+            connect_deadline: self.deadline().min(Instant::now() + self.connect_timeout()),
+        }
+    }
+
+    /// Half of the latency target, within bounds. A lost SYN is sent again only after a second: another host is the
+    /// better choice, as nothing has run here.
+    fn connect_timeout(&self) -> Duration {
+        Duration::try_from_secs_f64(self.target_ms() / 2e3)
+            .unwrap_or(MAX_CONNECT_TIMEOUT)
+            .clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
+    }
+
+    /// The request's head as this host gets it: the client's, with the fields that are this proxy's to set.
+    fn request_head(&self, host: &SelectedHost) -> Vec<u8> {
+        let client_head = &self.request.head;
+        // Once events have gone to the client, this proxy knows where to resume.
+        let resume_after = self.offset.last_event_id().filter(|_| self.route.resumable);
+        let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
+        head.extend_from_slice(client_head.method());
+        head.push(b' ');
+        head.extend_from_slice(client_head.target());
+        head.extend_from_slice(b" HTTP/1.1\r\n");
+        for (name, value) in client_head.fields.iter() {
+            let replaced = is_replaced(name, host.priority.is_some(), resume_after.is_some());
+            if !replaced && is_forwarded(&client_head.fields, name) {
+                push_field(&mut head, name, value);
             }
-            let repeat = self.trial.was_sent();
-            self.trial.record_sent();
-            state.counters.add(|c| {
-                c.sent += 1;
-                c.repeats += u64::from(repeat);
-            });
-            return match sent {
-                // A host may answer before it has read all: what it said then counts.
-                Ok(_) => Ok(connection),
-                Err(_) => Err((AttemptOutcome::Broken, Outcome::Silent)),
-            };
         }
+        push_field(&mut head, DEADLINE_MS, self.time_left_ms().to_string());
+        push_field(&mut head, EXPECTED_HOST, host.id.as_bytes());
+        if let Some(priority) = host.priority {
+            push_field(&mut head, PRIORITY, priority.min(MAX_PRIORITY).to_string());
+        }
+        if let Some(id) = resume_after {
+            push_field(&mut head, LAST_EVENT_ID, id);
+        }
+        if client_head.framing.is_some() {
+            let length = self.request.body.len();
+            push_field(&mut head, CONTENT_LENGTH, length.to_string());
+        }
+        head.extend_from_slice(b"\r\n");
+        head
     }
+
+    fn time_left_ms(&self) -> u128 {
+        self.retry
+            .deadline()
+            .saturating_sub(self.state.now())
+            .as_millis()
+            .max(1)
+    }
+}
+
+/// Whether the proxy sets a field of this name itself, or drops it.
+fn is_replaced(name: &[u8], sets_priority: bool, sets_last_event_id: bool) -> bool {
+    let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
+    is(CONTENT_LENGTH)
+        || is("expect")
+        || is(EXPECTED_HOST)
+        || is(DEADLINE_MS)
+        || (sets_priority && is(PRIORITY))
+        || (sets_last_event_id && is(LAST_EVENT_ID))
 }
--- a/crates/proxy/src/exchange/host_wait.rs
+++ b/crates/proxy/src/exchange/host_wait.rs
@@ -1,81 +1,102 @@
-//! How long a host is waited for.
+//! How long a host is waited for before its response has begun.
 
-use super::{Exchange, Picked, DEADLINE_SLACK};
-use crate::state::OpenAttempt;
-use crate::upstream::connection::{UpstreamConnection, UpstreamError};
+use super::host_selection::SelectedHost;
+use super::Exchange;
+use crate::state::InFlightAttempt;
+use crate::upstream::{UpstreamConnection, UpstreamError};
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// While a host is silent the policy's patience is asked for again after this.
-const PATIENCE_RECHECK: Duration = Duration::from_millis(250);
+/// While a host is silent, the policy's patience is asked for again after this: other requests may find meanwhile that
+/// the host is down, or alive.
+const PATIENCE_RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why waiting for a host has ended.
-pub(super) enum Stop {
-    /// The host broke off, or sent what is no answer.
-    UpstreamError,
-    /// The time is over.
-    Late,
-    /// It was silent, and another one was chosen.
-    Moved(Picked),
+/// Why a host is no longer waited for.
+pub(super) enum WaitError {
+    /// The connection broke, or carried no valid response.
+    Broken,
+    /// The request's time is over.
+    DeadlinePassed,
+    /// The host was silent, and another one was selected.
+    FailedOver(SelectedHost),
 }
 
-/// Waits for a host: up to the deadline, and where the policy says so until another one is worth asking.
+/// Waits for a host until the deadline. While the request may fail over, it waits only for as long as the policy's
+/// patience lasts or no other host can be had.
 pub(super) struct HostWait {
-    sent: Instant,
-    /// Nothing has come yet, and the request may move.
-    waits: bool,
+    sent_at: Instant,
+    /// Nothing has come of a response yet, and the request may go to another host.
+    may_fail_over: bool,
 }
 
 impl HostWait {
+    /// Starts to wait for the response to a request that was just sent.
     pub(super) fn new(exchange: &Exchange) -> Self {
         Self {
-            sent: Instant::now(),
-            waits: exchange.trial.idempotent(),
+            sent_at: Instant::now(),
+            may_fail_over: exchange.retry.idempotent(),
         }
     }
 
-    /// Something has come.
-    pub(super) fn patience_over(&mut self) {
-        self.waits = false;
+    /// The response has begun: from here on the host is waited for until the deadline.
+    pub(super) fn response_began(&mut self) {
+        self.may_fail_over = false;
     }
 
-    pub(super) async fn guard<T>(
+    /// Runs a cancel-safe read on the connection; it may be dropped and started again.
+    pub(super) async fn run<T>(
         &mut self,
         exchange: &mut Exchange<'_>,
         connection: &mut UpstreamConnection,
-        out: &OpenAttempt,
-        mut step: impl AsyncFnMut(&mut UpstreamConnection) -> Result<T, UpstreamError>,
-    ) -> Result<T, Stop> {
-        let end = exchange.end() + DEADLINE_SLACK;
+        attempt: &InFlightAttempt,
+        mut read: impl AsyncFnMut(&mut UpstreamConnection) -> Result<T, UpstreamError>,
+    ) -> Result<T, WaitError> {
+        let deadline = exchange.response_deadline();
         loop {
             let now = Instant::now();
-            let over = if self.waits {
-                out.patience().map(|p| self.sent + p)
-            } else {
-                None
-            };
-            if over.is_some_and(|over| over <= now) {
-                self.waits = exchange.trial.may_fail_over(exchange.state.now());
-                if let Some(next) = self.waits.then(|| exchange.pick().ok()).flatten() {
-                    return Err(Stop::Moved(next));
+            let patience_ends = self.patience_ends(attempt);
+            if patience_ends.is_some_and(|end| end <= now) {
+                if let Some(next) = self.select_next_host(exchange) {
+                    return Err(WaitError::FailedOver(next));
                 }
             }
-            // Asked again from time to time: others may find the host dark meanwhile, or alive.
-            let look = now + PATIENCE_RECHECK;
-            let until = match over {
-                Some(over) if self.waits && over > now => over.min(look).min(end),
-                Some(_) if self.waits => look.min(end),
-                _ => end,
-            };
-            match timeout_at(until, step(connection)).await {
+            let wake_at = self.wake_at(now, patience_ends, deadline);
+            match timeout_at(wake_at, read(connection)).await {
                 Ok(Ok(done)) => return Ok(done),
-                Ok(Err(lost)) => {
-                    log::debug!("host: {lost}");
-                    return Err(Stop::UpstreamError);
+                Ok(Err(error)) => {
+                    log::debug!("host: {error}");
+                    return Err(WaitError::Broken);
                 }
-                Err(_) if Instant::now() >= end => return Err(Stop::Late),
+                Err(_) if Instant::now() >= deadline => return Err(WaitError::DeadlinePassed),
                 Err(_) => {}
             }
         }
     }
+
+    fn patience_ends(&self, attempt: &InFlightAttempt) -> Option<Instant> {
+        if !self.may_fail_over {
+            return None;
+        }
+        attempt.patience().map(|patience| self.sent_at + patience)
+    }
+
+    fn select_next_host(&mut self, exchange: &mut Exchange<'_>) -> Option<SelectedHost> {
+        self.may_fail_over = exchange.retry.may_fail_over(exchange.state.now());
+        if !self.may_fail_over {
+            return None;
+        }
+        exchange.select_host().ok()
+    }
+
+    fn wake_at(&self, now: Instant, patience_ends: Option<Instant>, deadline: Instant) -> Instant {
+        let Some(patience_ends) = patience_ends.filter(|_| self.may_fail_over) else {
+            return deadline;
+        };
+        let recheck_at = now + PATIENCE_RECHECK_INTERVAL;
+        if patience_ends > now {
+            patience_ends.min(recheck_at).min(deadline)
+        } else {
+            recheck_at.min(deadline)
+        }
+    }
 }
--- a/crates/proxy/src/exchange/streaming.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -1,163 +1,203 @@
-//! Streams: passed on as they come, and taken up at another host where the route allows it.
+//! Relays a stream as it comes, and resumes it at another host where the route allows it.
 
-use super::client_writer::Writer;
-use super::host_wait::{HostWait, Stop};
-use super::{AttemptResult, Exchange, Picked, DEADLINE_SLACK};
+use super::attempt::{AttemptResult, HostResponse};
+use super::client_writer::ClientWriter;
+use super::host_selection::SelectedHost;
+use super::host_wait::{HostWait, WaitError};
+use super::Exchange;
 use crate::event_stream::EventSplitter;
 use crate::response_progress::ConnectionOutcome;
-use crate::upstream::acquire;
-use crate::upstream::connection::UpstreamConnection;
-use balancing::{Load, Outcome};
+use crate::upstream::{self, UpstreamConnection};
+use balancing::Outcome;
 use bytes::{Bytes, BytesMut};
 use configuration::Route;
-use http1::{BodyDecoder, ResponseHead};
+use http1::BodyDecoder;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
 /// Largest event of a stream that may be resumed.
-const MAX_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
+/// A resumable stream counts as stalled after the longest of this time and these multiples of the route's latency
+/// target and inter-event target. That is half of what its client bears.
+const MIN_STALL_MS: f64 = 1000.0;
+const STALL_PER_TARGET: f64 = 2.0;
+const STALL_PER_GAP_TARGET: f64 = 4.0;
 
-/// A stream that has been silent for so long is taken up at another host: half of what its client bears (the
-/// longest of two seconds, four times the target and eight times the pause in time).
-fn stall(route: &Route) -> Duration {
-    let ms = (2.0 * route.target_ms.unwrap_or(0.0))
-        .max(4.0 * route.gap_aim_ms.unwrap_or(0.0))
-        .max(1000.0);
+/// After how long without data a resumable stream is stalled.
+fn stall_timeout(route: &Route) -> Duration {
+    let ms = (STALL_PER_TARGET * route.target_ms.unwrap_or(0.0))
+        .max(STALL_PER_GAP_TARGET * route.gap_aim_ms.unwrap_or(0.0))
+        .max(MIN_STALL_MS);
     Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4)
 }
 
+/// A stream that is being relayed from one host.
+struct StreamRelay {
+    decoder: BodyDecoder,
+    writer: ClientWriter,
+    splitter: EventSplitter,
+    /// Whether this host's data has gone to the client.
+    has_data: bool,
+}
+
 impl Exchange<'_> {
-    /// A stream: passed on as it comes; in whole events where it may go on at another host.
-    pub(super) async fn stream(
+    /// Relays a stream: as it comes, or in complete events where it may be resumed at another host.
+    pub(super) async fn relay_stream(
         &mut self,
-        mut connection: UpstreamConnection,
-        picked: Picked,
-        head: ResponseHead,
-        stray: bool,
-        load: Option<Load>,
-        mut watch: HostWait,
+        mut response: HostResponse,
+        mut wait: HostWait,
     ) -> AttemptResult {
-        picked.out.told(load);
-        let resumable = self.route.resumable;
-        if self.stage.started() {
-            self.state.counters.add(|c| c.resumed += 1);
+        response.host.attempt.record_load(response.load);
+        if self.progress.started() {
+            self.state.counters.add(|c| c.resumed_streams += 1);
         }
-        let mut writer = Writer::new(self, &head);
-        let mut splitter = EventSplitter::new(MAX_EVENT);
-        let mut body = BodyDecoder::new(head.framing);
-        let mut begun = false;
+        let mut relay = StreamRelay {
+            decoder: BodyDecoder::new(response.head.framing),
+            writer: ClientWriter::new(self, &response.head),
+            splitter: EventSplitter::new(MAX_EVENT_BYTES),
+            has_data: false,
+        };
         loop {
-            let next = match begun {
-                false => {
-                    let piece = async |l: &mut UpstreamConnection| l.piece(&mut body).await;
-                    watch.guard(self, &mut connection, &picked.out, piece).await
-                }
-                true => self.later_piece(&mut connection, &mut body).await,
-            };
+            let next = self
+                .next_stream_data(&mut response, &mut wait, &mut relay)
+                .await;
             let data = match next {
+                Ok(Some(data)) if data.is_empty() => continue,
                 Ok(Some(data)) => data,
-                // One that can go on elsewhere is not taken at an end that may be a cut.
-                Ok(None) if body.is_close_delimited() && resumable && writer.marks_end() => {
-                    return self.broken(Stop::UpstreamError, picked);
-                }
-                Ok(None) => break,
-                Err(stop) => return self.broken(stop, picked),
+                Ok(None) => return self.finish_stream(response, relay).await,
+                Err(error) => return self.on_broken_stream(error, response.host),
             };
-            let data = if resumable {
-                if splitter.push(&data).is_err() {
-                    return self.broken(Stop::UpstreamError, picked);
-                }
-                self.admitted(&mut splitter)
+            let attempt = &response.host.attempt;
+            if std::mem::replace(&mut relay.has_data, true) {
+                attempt.record_progress();
             } else {
-                data
-            };
-            if data.is_empty() {
-                continue;
+                attempt.record_response_start();
             }
-            if std::mem::replace(&mut begun, true) {
-                picked.out.heard();
-            } else {
-                picked.out.first();
+            if !relay.writer.write(self, &response.head, &data).await {
+                return AttemptResult::Answered(ConnectionOutcome::Truncated);
             }
-            if !writer.write(self, &head, &data).await {
-                return AttemptResult::Answered(ConnectionOutcome::Cut);
+        }
+    }
+
+    /// What is to be forwarded next, which may be nothing yet; `None` at the end of the stream.
+    async fn next_stream_data(
+        &mut self,
+        response: &mut HostResponse,
+        wait: &mut HostWait,
+        relay: &mut StreamRelay,
+    ) -> Result<Option<Bytes>, WaitError> {
+        let decoder = &mut relay.decoder;
+        let connection = &mut response.connection;
+        let piece = if relay.has_data {
+            self.read_later_piece(connection, decoder).await?
+        } else {
+            let read_piece = async |c: &mut UpstreamConnection| c.read_body_piece(decoder).await;
+            let attempt = &response.host.attempt;
+            wait.run(self, connection, attempt, read_piece).await?
+        };
+        let resumable = self.route.resumable;
+        match piece {
+            // This may be a broken connection. A stream that may be resumed goes on elsewhere.
+            None if resumable && relay.decoder.is_close_delimited() && relay.writer.marks_end() => {
+                Err(WaitError::Broken)
+            }
+            None => Ok(None),
+            Some(data) if !resumable => Ok(Some(data)),
+            Some(data) => {
+                relay.splitter.push(&data).map_err(|_| WaitError::Broken)?;
+                Ok(Some(self.take_new_events(&mut relay.splitter)))
             }
         }
-        if !stray {
-            acquire::keep(self.state, &picked.id, connection, &head);
+    }
+
+    /// Ends a stream that has come to its end.
+    async fn finish_stream(&self, response: HostResponse, mut relay: StreamRelay) -> AttemptResult {
+        let HostResponse {
+            host,
+            connection,
+            head,
+            behind_strays,
+            ..
+        } = response;
+        if !behind_strays {
+            upstream::release(self.state, &host.id, connection, &head);
         }
-        picked.out.end(Outcome::Done, None);
-        let rest = splitter.take_incomplete();
-        if !rest.is_empty() && !writer.write(self, &head, &rest).await {
-            return AttemptResult::Answered(ConnectionOutcome::Cut);
+        host.attempt.finish(Outcome::Done, None);
+        let rest = relay.splitter.take_incomplete();
+        if !rest.is_empty() && !relay.writer.write(self, &head, &rest).await {
+            return AttemptResult::Answered(ConnectionOutcome::Truncated);
         }
-        AttemptResult::Answered(writer.finish(self, &head).await)
+        AttemptResult::Answered(relay.writer.finish(self, &head).await)
     }
 
-    /// A stream that has broken: it goes on at another host where the client has nothing of it yet or that can
-    /// be told where to go on, and is cut otherwise.
-    fn broken(&self, stop: Stop, picked: Picked) -> AttemptResult {
-        let cut = self.stage.started() && !self.may_go_on();
-        match self.stopped(stop, picked.out) {
-            _ if cut => AttemptResult::Answered(ConnectionOutcome::Cut),
-            result => result,
+    /// Ends an attempt whose stream has broken. The stream goes on at another host where the client has nothing of it
+    /// yet, or where that host can be told where to resume; else it is truncated.
+    fn on_broken_stream(&self, error: WaitError, host: SelectedHost) -> AttemptResult {
+        let truncated = self.progress.started() && !self.may_resume();
+        let result = self.on_wait_error(error, host.attempt);
+        if truncated {
+            return AttemptResult::Answered(ConnectionOutcome::Truncated);
         }
+        result
     }
 
-    /// What comes next of a stream that has begun. One that may go on elsewhere is not waited for until its
-    /// client gives up, unless the host shows itself alive on other connections: there it will go on.
-    async fn later_piece(
+    /// Reads the next piece of a stream that has begun. A stalled stream that may be resumed goes to another host,
+    /// unless this one shows itself alive on other connections: then the stream will go on here.
+    async fn read_later_piece(
         &mut self,
         connection: &mut UpstreamConnection,
-        body: &mut BodyDecoder,
-    ) -> Result<Option<Bytes>, Stop> {
-        let end = self.end() + DEADLINE_SLACK;
-        let mut waits = self.may_go_on();
-        if self.overtime() {
-            return Err(Stop::Late);
+        decoder: &mut BodyDecoder,
+    ) -> Result<Option<Bytes>, WaitError> {
+        if self.is_over_time() {
+            return Err(WaitError::DeadlinePassed);
         }
+        let deadline = self.response_deadline();
+        let mut may_fail_over = self.may_resume();
         loop {
-            let since = Instant::now();
-            let until = if waits {
-                end.min(since + stall(self.route))
+            let waiting_since = Instant::now();
+            let wake_at = if may_fail_over {
+                deadline.min(waiting_since + stall_timeout(self.route))
             } else {
-                end
+                deadline
             };
-            match timeout_at(until, connection.piece(body)).await {
-                Ok(next) => return next.map_err(|_| Stop::UpstreamError),
-                Err(_) if until >= end => return Err(Stop::Late),
-                Err(_) if connection.heard_since(since) => {}
+            match timeout_at(wake_at, connection.read_body_piece(decoder)).await {
+                Ok(piece) => return piece.map_err(|_| WaitError::Broken),
+                Err(_) if wake_at >= deadline => return Err(WaitError::DeadlinePassed),
+                Err(_) if connection.host_active_since(waiting_since) => {}
                 Err(_) => {
-                    waits = self.trial.may_fail_over(self.state.now());
-                    if let Some(next) = waits.then(|| self.pick().ok()).flatten() {
-                        return Err(Stop::Moved(next));
+                    may_fail_over = self.retry.may_fail_over(self.state.now());
+                    if may_fail_over {
+                        if let Ok(next) = self.select_host() {
+                            return Err(WaitError::FailedOver(next));
+                        }
                     }
                 }
             }
         }
     }
 
-    /// The whole events that have come and are new.
-    fn admitted(&mut self, splitter: &mut EventSplitter) -> Bytes {
+    /// The complete events that have come and that the client does not have.
+    fn take_new_events(&mut self, splitter: &mut EventSplitter) -> Bytes {
         let mut first = Bytes::new();
-        let mut more = BytesMut::new();
+        let mut several = BytesMut::new();
         while let Some(event) = splitter.next_event() {
-            if !self.place.advance(&event) {
+            if !self.offset.advance(&event) {
                 continue;
             }
+            // One event alone, the usual case, is not copied.
             if first.is_empty() {
                 first = event.bytes;
                 continue;
             }
-            if more.is_empty() {
-                more.extend_from_slice(&first);
+            if several.is_empty() {
+                several.extend_from_slice(&first);
             }
-            more.extend_from_slice(&event.bytes);
+            several.extend_from_slice(&event.bytes);
         }
-        if more.is_empty() {
+        if several.is_empty() {
             first
         } else {
-            more.freeze()
+            several.freeze()
         }
     }
 }
--- a/crates/proxy/src/hints/listener.rs
+++ b/crates/proxy/src/hints/listener.rs
@@ -1,6 +1,7 @@
-//! Takes other proxies' hints, and answers those who ask for what is known.
+//! Takes placement hints of other proxies, and answers those that ask for what this one knows.
 
-use crate::hints::publisher::{of, DATAGRAM};
+use super::publisher::to_wire;
+use super::MAX_DATAGRAM_BYTES;
 use crate::state::ProxyState;
 use balancing::Placement;
 use protocol::Message;
@@ -10,81 +11,123 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Of a datagram, what a frame and a list need besides their entries, in bytes.
-const FRAME: usize = 32;
-/// Parts that an entry of an answer holds.
-const ENTRY_PARTS: usize = 40;
-/// Pause after a socket's error, which may be there again at once.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Bytes of a datagram that the frame and the length of the list take.
+const FRAME_BYTES: usize = 32;
+/// Bytes of an entry besides its host's name and its parts.
+const ENTRY_OVERHEAD_BYTES: usize = 8;
+/// Bytes of a prompt part in an entry.
+const PART_BYTES: usize = 12;
+/// Prompt parts in one entry. A placement with more takes several entries.
+const MAX_PARTS_PER_ENTRY: usize = 40;
+/// Pause after a socket error, which may come again at once.
+const ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Takes hints for as long as the process lives.
-pub(crate) async fn hear(state: Rc<ProxyState>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; 2 * DATAGRAM];
+pub(crate) async fn run(state: Rc<ProxyState>, socket: Rc<UdpSocket>) {
+    let mut buffer = vec![0; 2 * MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            // An answer to what was sent to a proxy that is gone, or an error that stays.
-            tokio::time::sleep(PAUSE).await;
+        let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
+            // The ICMP error for a datagram sent to a proxy that is gone, or an error that stays.
+            tokio::time::sleep(ERROR_BACKOFF).await;
             continue;
         };
-        let Ok(Some((message, _))) = protocol::decode(&buffer[..length]) else {
-            state.counters.add(|c| c.bad_hints += 1);
-            continue;
-        };
-        match message {
-            Message::PromptPlaced { placement, unread } => {
-                let mut policy = state.policy.borrow_mut();
-                policy.overheard(state.now(), &placement.host, &parts(&placement), unread);
-            }
-            Message::Placements { placements } => {
-                let mut policy = state.policy.borrow_mut();
-                placements
-                    .iter()
-                    .for_each(|p| policy.overheard(state.now(), &p.host, &parts(p), 0));
+        match protocol::decode(&buffer[..length]) {
+            Ok(Some((message, _))) => handle(&state, &socket, message, sender),
+            _ => state.counters.add(|c| c.invalid_hints += 1),
+        }
+    }
+}
+
+fn handle(state: &ProxyState, socket: &UdpSocket, message: Message, sender: SocketAddr) {
+    match message {
+        Message::PromptPlaced { placement, unread } => record(state, &placement, unread),
+        Message::Placements { placements } => {
+            for placement in &placements {
+                record(state, placement, 0);
             }
-            Message::PlacementsRequest { .. } => recall(&state, &socket, from),
-            _ => state.counters.add(|c| c.bad_hints += 1),
         }
+        Message::PlacementsRequest { .. } => send_known_placements(state, socket, sender),
+        _ => state.counters.add(|c| c.invalid_hints += 1),
     }
 }
 
-fn recall(state: &ProxyState, socket: &UdpSocket, to: SocketAddr) {
-    let kept = state.policy.borrow().kept();
-    let mut placements: Vec<protocol::Placement> = Vec::new();
-    let mut size = 0;
-    let send = |placements: &mut Vec<protocol::Placement>| {
-        let message = Message::Placements {
-            placements: std::mem::take(placements),
-        };
-        let _ = socket.try_send_to(&protocol::encode(&message), to);
-    };
-    for Placement {
-        host, parts: all, ..
-    } in kept
-    {
-        for some in all.chunks(ENTRY_PARTS) {
-            let one = of(&Placement {
+fn record(state: &ProxyState, placement: &protocol::Placement, unread_tokens: u32) {
+    let parts: Vec<(u64, u32)> = placement
+        .parts
+        .iter()
+        .map(|part| (part.id, part.tokens))
+        .collect();
+    state
+        .policy
+        .borrow_mut()
+        .overheard(state.now(), &placement.host, &parts, unread_tokens);
+}
+
+/// Sends what the hosts' prefix caches hold, in as many datagrams as it takes.
+fn send_known_placements(state: &ProxyState, socket: &UdpSocket, to: SocketAddr) {
+    let known = state.policy.borrow().kept();
+    let mut batch = PlacementBatch::new(socket, to);
+    for Placement { host, parts, .. } in known {
+        for some_parts in parts.chunks(MAX_PARTS_PER_ENTRY) {
+            let entry = to_wire(&Placement {
                 host: Arc::clone(&host),
-                parts: some.to_vec(),
+                parts: some_parts.to_vec(),
                 unread: 0,
             });
-            let length = 8 + one.host.len() + 12 * one.parts.len();
-            if length > DATAGRAM - FRAME {
-                // Its name alone fills a datagram.
+            if !batch.push(entry) {
                 break;
             }
-            if size + length > DATAGRAM - FRAME {
-                send(&mut placements);
-                size = 0;
-            }
-            size += length;
-            placements.push(one);
         }
     }
-    if !placements.is_empty() {
-        send(&mut placements);
-    }
+    batch.send();
 }
 
-fn parts(placement: &protocol::Placement) -> Vec<(u64, u32)> {
-    placement.parts.iter().map(|p| (p.id, p.tokens)).collect()
+/// Entries that are collected for a datagram.
+struct PlacementBatch<'a> {
+    socket: &'a UdpSocket,
+    to: SocketAddr,
+    entries: Vec<protocol::Placement>,
+    bytes: usize,
+}
+
+impl<'a> PlacementBatch<'a> {
+    fn new(socket: &'a UdpSocket, to: SocketAddr) -> Self {
+        Self {
+            socket,
+            to,
+            entries: Vec::new(),
+            bytes: 0,
+        }
+    }
+
+    /// Adds an entry, and sends what was collected before where both don't fit. False for an entry that fits into no
+    /// datagram, as its host's name alone is too long.
+    fn push(&mut self, entry: protocol::Placement) -> bool {
+        const CAPACITY: usize = MAX_DATAGRAM_BYTES - FRAME_BYTES;
+        let entry_bytes = ENTRY_OVERHEAD_BYTES + entry.host.len() + PART_BYTES * entry.parts.len();
+        if entry_bytes > CAPACITY {
+            return false;
+        }
+        if self.bytes + entry_bytes > CAPACITY {
+            self.send();
+        }
+        self.bytes += entry_bytes;
+        self.entries.push(entry);
+        true
+    }
+
+    /// Sends what was collected.
+    fn send(&mut self) {
+        if self.entries.is_empty() {
+            return;
+        }
+        let message = Message::Placements {
+            placements: std::mem::take(&mut self.entries),
+        };
+        self.bytes = 0;
+        // What can't be sent at once is lost, as any datagram may be.
+        let _ = self
+            .socket
+            .try_send_to(&protocol::encode(&message), self.to);
+    }
 }
--- a/crates/proxy/src/hints/publisher.rs
+++ b/crates/proxy/src/hints/publisher.rs
@@ -1,7 +1,6 @@
-//! Hints between proxies: where prompts were sent, so that others know what hosts keep and still have to read.
-//! Datagrams that may be lost; nothing rests on them but what is read again. Nobody is asked when a request
-//! is sent.
+//! Sends placement hints to the other proxies.
 
+use super::MAX_DATAGRAM_BYTES;
 use balancing::Placement;
 use configuration::ProcessSettings;
 use protocol::{Message, Part};
@@ -9,88 +8,100 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// Most proxies that are told of every prompt; in a larger fleet each tells those that follow it in the order of
-/// their addresses, and nobody takes what is heard for the whole.
-const MOST: usize = 16;
-/// Longest datagram, in bytes.
-pub(crate) const DATAGRAM: usize = 1200;
-/// Proxies that are asked for what they know.
-const ASKED: usize = 2;
+/// Proxies that are told of every prompt. In a larger fleet each tells those that follow it in the order of their
+/// addresses, and nobody takes the hints it gets for all there are.
+const MAX_PEERS: usize = 16;
+/// Proxies that are asked for what they know when this one starts.
+const PEERS_ASKED_AT_START: usize = 2;
+/// Which port of the process's range takes hints, counted from its first.
+const HINT_PORT_OFFSET: u16 = 2;
 
-/// Who is told.
+/// Sends hints. Sends nothing until it has a socket and peers.
 #[derive(Default)]
-pub(crate) struct Hints {
-    pub(crate) socket: Option<Rc<UdpSocket>>,
-    others: Vec<SocketAddrV4>,
-    asked: bool,
+pub(crate) struct HintPublisher {
+    socket: Option<Rc<UdpSocket>>,
+    peers: Vec<SocketAddrV4>,
+    asked_peers: bool,
 }
 
-impl Hints {
-    /// The other proxies as the roster has them now. Whether all of them tell each other.
-    pub(crate) fn set_others(&mut self, others: &[SocketAddrV4]) -> bool {
+impl HintPublisher {
+    /// Sends from this socket from now on.
+    pub(crate) fn set_socket(&mut self, socket: Rc<UdpSocket>) {
+        self.socket = Some(socket);
+    }
+
+    /// Takes in the addresses of the other proxies, and asks the first of them for what they know, once. Whether all
+    /// proxies tell each other of every prompt.
+    pub(crate) fn set_peers(&mut self, addresses: &[SocketAddrV4]) -> bool {
         let Some(socket) = &self.socket else {
             return false;
         };
-        let me = match socket.local_addr() {
-            Ok(SocketAddr::V4(me)) => me,
-            _ => return false,
+        let Ok(SocketAddr::V4(own_address)) = socket.local_addr() else {
+            return false;
         };
-        let mut ring: Vec<SocketAddrV4> = others.to_vec();
-        ring.sort_unstable();
-        let after = ring.partition_point(|o| *o < me);
-        ring.rotate_left(after);
-        let all = ring.len() <= MOST;
-        ring.truncate(MOST);
-        self.others = ring;
-        if !self.asked && !self.others.is_empty() {
-            self.asked = true;
-            let message = protocol::encode(&Message::PlacementsRequest { reserved: 0 });
-            for other in self.others.iter().take(ASKED) {
-                let _ = socket.try_send_to(&message, SocketAddr::V4(*other));
+        self.peers = next_in_ring(own_address, addresses);
+        if !self.asked_peers && !self.peers.is_empty() {
+            self.asked_peers = true;
+            let request = protocol::encode(&Message::PlacementsRequest { reserved: 0 });
+            for peer in self.peers.iter().take(PEERS_ASKED_AT_START) {
+                send(socket, &request, *peer);
             }
         }
-        all
+        addresses.len() <= MAX_PEERS
     }
 
-    /// Tells the others of a prompt that was sent.
-    pub(crate) fn tell(&self, placement: &Placement) {
-        let Some(socket) = self.socket.as_ref().filter(|_| !self.others.is_empty()) else {
+    /// Tells the peers of a prompt that was sent to a host. Hints larger than a datagram are not sent.
+    pub(crate) fn publish(&self, placement: &Placement) {
+        let Some(socket) = self.socket.as_ref().filter(|_| !self.peers.is_empty()) else {
             return;
         };
         let message = protocol::encode(&Message::PromptPlaced {
-            placement: of(placement),
+            placement: to_wire(placement),
             unread: placement.unread,
         });
-        if message.len() > DATAGRAM {
+        if message.len() > MAX_DATAGRAM_BYTES {
             return;
         }
-        for other in &self.others {
-            // What can't be sent now is lost, as any datagram may be.
-            let _ = socket.try_send_to(&message, SocketAddr::V4(*other));
+        for peer in &self.peers {
+            send(socket, &message, *peer);
         }
     }
 }
 
-/// A placement as it goes over the wire.
-pub(crate) fn of(placement: &Placement) -> protocol::Placement {
-    let part = |p: &(u64, u32)| Part {
-        id: p.0,
-        tokens: p.1,
-    };
+/// The addresses that follow `own_address` in their order, with the first behind the last.
+fn next_in_ring(own_address: SocketAddrV4, addresses: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
+    let mut ring = addresses.to_vec();
+    ring.sort_unstable();
+    let next = ring.partition_point(|address| *address < own_address);
+    ring.rotate_left(next);
+    ring.truncate(MAX_PEERS);
+    ring
+}
+
+fn send(socket: &UdpSocket, message: &[u8], peer: SocketAddrV4) {
+    // What can't be sent at once is lost, as any datagram may be.
+    let _ = socket.try_send_to(message, SocketAddr::V4(peer));
+}
+
+/// A placement in its form on the wire.
+pub(super) fn to_wire(placement: &Placement) -> protocol::Placement {
+    let parts = placement.parts.iter().map(|(id, tokens)| Part {
+        id: *id,
+        tokens: *tokens,
+    });
     protocol::Placement {
         host: placement.host.to_string(),
-        parts: placement.parts.iter().map(part).collect(),
+        parts: parts.collect(),
     }
 }
 
-/// Where this proxy takes hints; `None` where it can't.
-pub(crate) async fn listen(boot: &ProcessSettings) -> Option<Rc<UdpSocket>> {
-    let port = boot
-        .port_range
-        .0
-        .checked_add(2)
-        .filter(|p| *p <= boot.port_range.1)?;
-    match UdpSocket::bind(SocketAddrV4::new(boot.ip_addr, port)).await {
+/// The socket on which this proxy takes and sends hints; `None` if the settings leave no port or it can't be bound.
+pub(crate) async fn bind(settings: &ProcessSettings) -> Option<Rc<UdpSocket>> {
+    let (first_port, last_port) = settings.port_range;
+    let port = first_port
+        .checked_add(HINT_PORT_OFFSET)
+        .filter(|port| *port <= last_port)?;
+    match UdpSocket::bind(SocketAddrV4::new(settings.ip_addr, port)).await {
         Ok(socket) => Some(Rc::new(socket)),
         Err(e) => {
             log::warn!("no hints are taken: {e}");
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,10 +1,21 @@
-//! The proxy (data plane): takes clients' requests, finds their route, sends them to the host that
-//! [`balancing`] names, and passes the answers and streams back. One thread, a tokio `current_thread` runtime;
-//! [`serve`] has to run inside a `LocalSet`.
+//! The proxy (data plane): takes clients' requests to hosts and relays the responses.
 //!
-//! What must hold is decided in parts without I/O: [`retry`] (whether a request goes out again),
-//! [`event_stream`] (whole events of a stream), [`upstream::pool`] (idle connections), [`routes`]; heads and bodies
-//! by [`http1`]. The rest moves bytes.
+//! [`serve`] runs it on one thread; it has to run inside a `LocalSet` of a `current_thread` tokio runtime.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `server` | the process: listeners, background tasks, shutdown |
+//! | `client` | clients' connections: reading requests, keep-alive, limits |
+//! | `exchange` | one request from its route to its response, step by step |
+//! | [`upstream`] | connections to hosts and their pool |
+//! | `state` | what all connections share: routing table, balancing policy, memory, clock |
+//! | `hints` | which prompts went where, told between proxies |
+//! | `readiness` | the platform's readiness probe |
+//!
+//! Decisions without I/O have modules of their own: [`retry`] (whether another attempt is made), [`event_stream`]
+//! (complete events, where to resume), [`upstream::pool`] (which connections are used), [`routes`] (which route and
+//! service), `response_matching` (which attempt a response belongs to), `shutdown` (what is still admitted). Hosts are
+//! selected by [`balancing`]; HTTP/1.1 is read by [`http1`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -13,9 +24,11 @@
 pub mod event_stream;
 mod exchange;
 mod fleet;
+mod headers;
 mod hints;
 mod local_reply;
 mod readiness;
+mod response_matching;
 mod response_progress;
 pub mod retry;
 pub mod routes;
--- a/crates/proxy/src/local_reply.rs
+++ b/crates/proxy/src/local_reply.rs
@@ -1,6 +1,7 @@
-//! Answers of the proxy's own: refusals and failures.
+//! Responses that the proxy makes itself: rejections and errors.
 
-use crate::socket::{self, field};
+use crate::headers::{push_field, ATTEMPT_ID};
+use crate::socket;
 use crate::state::ProxyState;
 use configuration::ResultCode;
 use http1::RequestHead;
@@ -8,78 +9,71 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Least time for a client to take an answer.
+/// Least time for a client to take a response.
 pub(crate) const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An answer of our own.
+/// A response of the proxy's own.
 pub(crate) struct LocalReply {
     code: ResultCode,
-    text: Vec<u8>,
-    bare: bool,
+    /// Status line and fields, without the blank line.
+    head: Vec<u8>,
+    body: String,
+    head_only: bool,
 }
 
 impl LocalReply {
-    /// With this code, for this attempt.
-    pub(crate) fn own(code: ResultCode, id: Option<&[u8]>, retry_after: Option<Duration>) -> Self {
+    /// A reply with this code to the attempt of this id. `retry_after` is told only with status 503.
+    pub(crate) fn new(
+        code: ResultCode,
+        attempt_id: Option<&[u8]>,
+        retry_after: Option<Duration>,
+    ) -> Self {
+        let status = code.status();
         let body = format!("{} {}\n", code.number(), code.text());
-        let mut text = format!(
-            "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n",
-            code.status(),
-            http1::reason_phrase(code.status()),
-            body.len()
-        )
-        .into_bytes();
-        if let Some(id) = id {
-            field(&mut text, b"Fennelpin-Attempt-Id", id);
+        let reason = http1::reason_phrase(status);
+        let mut head = format!("HTTP/1.1 {status} {reason}\r\n").into_bytes();
+        push_field(&mut head, "Content-Type", "text/plain");
+        push_field(&mut head, "Content-Length", body.len().to_string());
+        if let Some(id) = attempt_id {
+            push_field(&mut head, ATTEMPT_ID, id);
         }
-        if let (503, Some(after)) = (code.status(), retry_after) {
-            field(
-                &mut text,
-                b"Retry-After",
-                format!("{:.3}", after.as_secs_f64()).as_bytes(),
+        if let (503, Some(after)) = (status, retry_after) {
+            push_field(
+                &mut head,
+                "Retry-After",
+                format!("{:.3}", after.as_secs_f64()),
             );
         }
-        text.extend_from_slice(body.as_bytes());
         Self {
             code,
-            text,
-            bare: false,
+            head,
+            body,
+            head_only: false,
         }
     }
 
-    /// The answer to a `HEAD` tells of a body and has none.
+    /// Leaves the body out if the request's method is `HEAD`.
     pub(crate) fn to(mut self, request: &RequestHead) -> Self {
-        self.bare = request.method() == b"HEAD";
+        self.head_only = request.method() == b"HEAD";
         self
     }
 
-    /// Writes it; false where the client doesn't take it.
-    pub(crate) async fn write(&self, state: &ProxyState, stream: &TcpStream, close: bool) -> bool {
+    /// Counts and writes the reply; false if the client doesn't take it in time.
+    pub(crate) async fn send(&self, state: &ProxyState, client: &TcpStream, close: bool) -> bool {
         match self.code.status() {
-            408 | 421 | 429 | 503 => state.counters.add(|c| c.refused += 1),
-            _ => state.counters.add(|c| c.failed += 1),
+            408 | 421 | 429 | 503 => state.counters.add(|c| c.local_rejections += 1),
+            _ => state.counters.add(|c| c.local_errors += 1),
         }
-        let end = self.text.len() - body_of(self.code);
-        let mut text = self.text[..end].to_vec();
-        text.extend_from_slice(if close {
-            b"Connection: close\r\n\r\n"
-        } else {
-            b"\r\n"
-        });
-        if !self.bare {
-            text.extend_from_slice(&self.text[end..]);
+        let mut message = self.head.clone();
+        if close {
+            push_field(&mut message, "Connection", "close");
         }
-        matches!(
-            timeout(
-                CLIENT_WRITE_TIMEOUT,
-                socket::write_all(stream, &text, b"", &mut 0)
-            )
-            .await,
-            Ok(Ok(()))
-        )
+        message.extend_from_slice(b"\r\n");
+        if !self.head_only {
+            message.extend_from_slice(self.body.as_bytes());
+        }
+        let mut written = 0;
+        let write = socket::write_all(client, &message, b"", &mut written);
+        matches!(timeout(CLIENT_WRITE_TIMEOUT, write).await, Ok(Ok(())))
     }
 }
-
-fn body_of(code: ResultCode) -> usize {
-    code.number().to_string().len() + code.text().len() + 2
-}
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's question whether requests are to come here.
+//! Answers the platform's readiness probe.
 
 use crate::socket;
 use crate::state::ProxyState;
@@ -7,58 +7,68 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::time::timeout;
+use tokio::time::{sleep, timeout};
 
 const PATH: &[u8] = b"/fennelpin/readiness";
 const HEAD_LIMITS: HeadLimits = HeadLimits::with_max_bytes(8 * 1024);
-/// Who asks once a second is kept; who says nothing for longer is let go.
-const IDLE: Duration = Duration::from_secs(10);
+/// A connection is closed after so long without input. The platform probes every second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Answers for as long as the process lives.
-pub(crate) async fn listen(state: Rc<ProxyState>, listener: TcpListener) {
+/// Answers probes for as long as the process lives.
+pub(crate) async fn serve(state: Rc<ProxyState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(answer(state.clone(), stream));
+                tokio::task::spawn_local(serve_connection(state.clone(), stream));
             }
             Err(e) => {
                 log::warn!("readiness: {e}");
-                tokio::time::sleep(Duration::from_millis(20)).await;
+                sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn answer(state: Rc<ProxyState>, stream: TcpStream) {
+async fn serve_connection(state: Rc<ProxyState>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut buf = BytesMut::new();
-    loop {
-        let head = loop {
-            match RequestHead::decode(&mut buf, HEAD_LIMITS) {
-                Ok(Some(head)) => break head,
-                Ok(None) => {}
-                Err(_) => return,
-            }
-            match timeout(IDLE, socket::fill(&stream, &mut buf)).await {
-                Ok(Ok(n)) if n > 0 => {}
-                _ => return,
-            }
-        };
-        let status = match (head.path() == PATH, state.ready()) {
-            (true, true) => "200 OK",
-            (true, false) => "503 Service Unavailable",
-            _ => "404 Not Found",
-        };
-        let keep = head.is_keep_alive() && head.framing.is_none();
-        let close = if keep { "" } else { "Connection: close\r\n" };
-        let text = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{close}\r\n");
-        let written = timeout(
-            IDLE,
-            socket::write_all(&stream, text.as_bytes(), b"", &mut 0),
-        )
-        .await;
-        if !keep || !matches!(written, Ok(Ok(()))) {
+    while let Some(request) = read_request(&stream, &mut buf).await {
+        let keep_alive = request.is_keep_alive() && request.framing.is_none();
+        let response = response(&request, state.is_ready(), keep_alive);
+        let mut written = 0;
+        let write = socket::write_all(&stream, response.as_bytes(), b"", &mut written);
+        let sent = timeout(IDLE_TIMEOUT, write).await;
+        if !keep_alive || !matches!(sent, Ok(Ok(()))) {
             return;
         }
     }
 }
+
+/// The next request; `None` where the connection ends, is idle for too long, or carries something else.
+async fn read_request(stream: &TcpStream, buf: &mut BytesMut) -> Option<RequestHead> {
+    loop {
+        if let Some(head) = RequestHead::decode(buf, HEAD_LIMITS).ok()? {
+            return Some(head);
+        }
+        match timeout(IDLE_TIMEOUT, socket::read(stream, buf)).await {
+            Ok(Ok(n)) if n > 0 => {}
+            _ => return None,
+        }
+    }
+}
+
+fn response(request: &RequestHead, ready: bool, keep_alive: bool) -> String {
+    let status = match (request.path() == PATH, ready) {
+        (true, true) => "200 OK",
+        (true, false) => "503 Service Unavailable",
+        _ => "404 Not Found",
+    };
+    let close = if keep_alive {
+        ""
+    } else {
+        "Connection: close\r\n"
+    };
+    format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{close}\r\n")
+}
--- a/crates/proxy/src/response_progress.rs
+++ b/crates/proxy/src/response_progress.rs
@@ -1,56 +1,56 @@
-//! How far the answer to a request has come, and what that lets the connection's end say.
+//! How far the response to a request is, which decides how its connection may end.
 
 use configuration::ResultCode;
 use std::cell::Cell;
 
-/// How the client's connection stands after an answer.
+/// What becomes of the client's connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionOutcome {
-    /// It may be used again.
-    Keep,
-    /// The answer was its last.
+    /// It takes another request.
+    KeepAlive,
+    /// The response is complete and was the last.
     Close,
-    /// The answer did not come whole; the connection must show it.
-    Cut,
+    /// The response is incomplete, and the end of the connection has to show it.
+    Truncated,
 }
 
-/// What may be said of a request if it has to end now.
+/// Shared by the task that makes a response and whoever may have to end it.
 #[derive(Default)]
 pub(crate) struct ResponseProgress {
     started: Cell<bool>,
-    out: Cell<bool>,
-    until_end: Cell<bool>,
+    may_have_run: Cell<bool>,
+    close_delimited: Cell<bool>,
 }
 
 impl ResponseProgress {
-    /// Bytes of the answer go to the client; whether some went before.
+    /// Bytes of the response go to the client from here on; whether some had gone before.
     pub(crate) fn start(&self) -> bool {
         self.started.replace(true)
     }
 
-    /// Whether the request may have run at a host, or still may.
-    pub(crate) fn set_out(&self, out: bool) {
-        self.out.set(out);
+    /// Whether bytes of the response have gone to the client.
+    pub(crate) fn started(&self) -> bool {
+        self.started.get()
     }
 
-    /// Whether the end of the connection is the answer's.
-    pub(crate) fn set_until_end(&self, until_end: bool) {
-        self.until_end.set(until_end);
+    /// Whether the request may have run at a host, or still may.
+    pub(crate) fn set_may_have_run(&self, may_have_run: bool) {
+        self.may_have_run.set(may_have_run);
     }
 
-    /// Whether bytes of the answer have gone to the client.
-    pub(crate) fn started(&self) -> bool {
-        self.started.get()
+    /// Whether the client takes the end of the connection for the end of the response.
+    pub(crate) fn set_close_delimited(&self, close_delimited: bool) {
+        self.close_delimited.set(close_delimited);
     }
 
-    /// Whether the end of the connection would make a cut answer look whole.
-    pub(crate) fn looks_whole(&self) -> bool {
-        self.started.get() && self.until_end.get()
+    /// Whether an orderly end of the connection would make an incomplete response look complete.
+    pub(crate) fn would_look_complete(&self) -> bool {
+        self.started.get() && self.close_delimited.get()
     }
 
-    /// The code to end with: a promise only where it has not run.
-    pub(crate) fn refusal(&self, code: ResultCode) -> ResultCode {
-        if self.out.get() {
+    /// `code` if the request can't have run; else a code that doesn't promise that.
+    pub(crate) fn code_unless_run(&self, code: ResultCode) -> ResultCode {
+        if self.may_have_run.get() {
             ResultCode::HostBroke
         } else {
             code
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,15 +1,15 @@
-//! The process: its listeners, its news, its end.
+//! The process: its listeners, its background tasks, its shutdown.
 
-use crate::client::connection as front;
+use crate::client::{ClientConnections, DrainPhase};
 use crate::counters::{Counters, SharedCounters};
 use crate::fleet::FleetSnapshot;
-use crate::hints::{listener as hint_listener, publisher as hints};
-use crate::readiness;
-use crate::shutdown::{Shutdown, BEFORE_KILL};
+use crate::shutdown::{Shutdown, KILL_MARGIN};
 use crate::state::ProxyState;
+use crate::{hints, readiness};
 use configuration::ProcessSettings;
 use snafu::{ResultExt, Snafu};
 use std::future::Future;
+use std::io;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
-use tokio::time::{sleep_until, timeout, Instant};
+use tokio::time::{sleep, sleep_until, Instant};
 
 /// Why the proxy can't start.
 #[derive(Debug, Snafu)]
@@ -34,154 +34,141 @@
     Listen {
         /// The address.
         addr: SocketAddrV4,
-        /// How it failed.
-        source: std::io::Error,
+        /// The cause.
+        source: io::Error,
     },
 }
 
-/// Longest wait for a listener's port: the process before may not be gone quite yet.
+/// How long a port in use is waited for: the process before this one may not have ended quite yet.
 const BIND_TIMEOUT: Duration = Duration::from_secs(3);
-const SWEEP: Duration = Duration::from_secs(1);
-const LOOK: Duration = Duration::from_millis(20);
+/// Pause between two attempts to bind.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// How often expired connections to hosts are closed.
+const POOL_CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A task that ends with its owner.
-struct Task(JoinHandle<()>);
+/// A task that is aborted when its owner is dropped.
+struct BackgroundTask(JoinHandle<()>);
 
-impl Drop for Task {
-    fn drop(&mut self) {
-        self.0.abort();
-    }
-}
-
-fn task(work: impl Future<Output = ()> + 'static) -> Task {
-    Task(tokio::task::spawn_local(work))
-}
-
-async fn listen(purpose: &'static str, addr: Option<SocketAddrV4>) -> Result<TcpListener, Error> {
-    let addr = addr.ok_or(Error::NoAddress { purpose })?;
-    let until = Instant::now() + BIND_TIMEOUT;
-    loop {
-        match TcpListener::bind(addr).await {
-            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse && Instant::now() < until => {
-                tokio::time::sleep(LOOK).await;
-            }
-            done => return done.context(ListenSnafu { addr }),
-        }
-    }
-}
-
-async fn follow(state: Rc<ProxyState>, mut world: watch::Receiver<Option<Arc<FleetSnapshot>>>) {
-    loop {
-        let news = world.borrow_and_update().clone();
-        if let Some(news) = news {
-            state.learn(&news);
-        }
-        if world.changed().await.is_err() {
-            return;
-        }
+impl BackgroundTask {
+    fn spawn(work: impl Future<Output = ()> + 'static) -> Self {
+        Self(tokio::task::spawn_local(work))
     }
 }
 
-async fn sweep(state: Rc<ProxyState>) {
-    loop {
-        tokio::time::sleep(SWEEP).await;
-        state.pool.borrow_mut().close_expired(state.now());
+impl Drop for BackgroundTask {
+    fn drop(&mut self) {
+        self.0.abort();
     }
 }
 
-async fn tick(state: Rc<ProxyState>) {
-    state.tick().await;
-}
-
-/// Serves until `stop` resolves, and then until all that was taken is answered. Has to run inside a
-/// [`tokio::task::LocalSet`] on a `current_thread` runtime. Gives what was counted.
+/// Serves until `stop` resolves, and then until all admitted requests have their response. Returns what was counted.
+///
+/// Has to run inside a [`tokio::task::LocalSet`] on a `current_thread` runtime.
 ///
 /// # Errors
-/// Where the settings name no address to listen on, or it can't be listened on.
+/// If the settings name no address to listen on, or it can't be bound.
 pub async fn serve(
-    boot: ProcessSettings,
-    world: watch::Receiver<Option<Arc<FleetSnapshot>>>,
+    settings: ProcessSettings,
+    fleet: watch::Receiver<Option<Arc<FleetSnapshot>>>,
     stop: impl Future<Output = ()>,
 ) -> Result<Counters, Error> {
-    serve_with_counters(boot, world, Rc::default(), stop).await
+    serve_with_counters(settings, fleet, Rc::default(), stop).await
 }
 
-/// As [`serve`], counting in `counters`, which the caller can read meanwhile.
+/// As [`serve`], with counters that the caller can read meanwhile.
 ///
 /// # Errors
 /// As [`serve`].
 pub async fn serve_with_counters(
-    boot: ProcessSettings,
-    world: watch::Receiver<Option<Arc<FleetSnapshot>>>,
+    settings: ProcessSettings,
+    fleet: watch::Receiver<Option<Arc<FleetSnapshot>>>,
     counters: Rc<SharedCounters>,
     stop: impl Future<Output = ()>,
 ) -> Result<Counters, Error> {
-    let state = Rc::new(ProxyState::new(&boot, counters));
-    let front = listen("front", boot.bind.front).await?;
-    let readiness = listen("readiness", boot.bind.readiness).await?;
-    let hints = hints::listen(&boot).await;
-    if let Some(socket) = &hints {
-        state.hints.borrow_mut().socket = Some(socket.clone());
-    }
-    let _hints = hints.map(|socket| task(hint_listener::hear(state.clone(), socket)));
+    let state = Rc::new(ProxyState::new(&settings, counters));
+    let listener = bind("front", settings.bind.front).await?;
+    let readiness_listener = bind("readiness", settings.bind.readiness).await?;
+    let _hint_task = start_hints(&state, &settings).await;
     let _tasks = [
-        task(follow(state.clone(), world)),
-        task(readiness::listen(state.clone(), readiness)),
-        task(sweep(state.clone())),
-        task(tick(state.clone())),
+        BackgroundTask::spawn(follow_fleet(state.clone(), fleet)),
+        BackgroundTask::spawn(readiness::serve(state.clone(), readiness_listener)),
+        BackgroundTask::spawn(clean_up_pool(state.clone())),
+        BackgroundTask::spawn(tick_policy(state.clone())),
     ];
-    let (close, closing) = watch::channel(front::Phase::Open);
-    let open = Rc::new(std::cell::Cell::new(0));
-    let welcome = |came| front::welcome(&state, came, &open, &closing);
-    tokio::pin!(stop);
-    loop {
-        tokio::select! {
-            _ = &mut stop => break,
-            came = front.accept() => accepted(came, &welcome).await,
-        }
-    }
+    let clients = ClientConnections::new(state.clone());
+    clients.accept_until(&listener, stop).await;
+    shut_down(&state, &settings, &clients, &listener).await;
+    log::info!("stopped with {} open", clients.open_count());
+    drop(listener);
+    Ok(state.counters.get())
+}
+
+/// Drains the connections by the schedule of [`Shutdown`].
+async fn shut_down(
+    state: &ProxyState,
+    settings: &ProcessSettings,
+    clients: &ClientConnections,
+    listener: &TcpListener,
+) {
     log::info!("stopping");
-    let grace = Duration::try_from_secs_f64(boot.bounds.grace_s).unwrap_or_default();
+    let grace = Duration::try_from_secs_f64(settings.bounds.grace_s).unwrap_or_default();
     let shutdown = Shutdown::begin(state.now(), grace);
     state.shutdown.set(Some(shutdown));
-    let last = state.at(shutdown.answers_until);
+    let full_service_until = state.at(shutdown.full_service_until);
+    clients
+        .accept_until(listener, sleep_until(full_service_until))
+        .await;
+    clients.set_phase(DrainPhase::ClosingIdle);
+    let responses_until = state.at(shutdown.responses_until);
+    clients.accept_until_idle(listener, responses_until).await;
+    clients.accept_pending(listener).await;
+    clients.set_phase(DrainPhase::ClosingAll);
+    clients.closed(Instant::now() + KILL_MARGIN / 2).await;
+}
+
+async fn bind(purpose: &'static str, addr: Option<SocketAddrV4>) -> Result<TcpListener, Error> {
+    let addr = addr.ok_or(Error::NoAddress { purpose })?;
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
-        tokio::select! {
-            _ = sleep_until(state.at(shutdown.full_service_until)) => break,
-            came = front.accept() => accepted(came, &welcome).await,
-        }
-    }
-    let _ = close.send(front::Phase::Leaving);
-    while Instant::now() < last && open.get() > 0 {
-        tokio::select! {
-            _ = tokio::time::sleep(LOOK) => {}
-            came = front.accept() => accepted(came, &welcome).await,
+        match TcpListener::bind(addr).await {
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < deadline => {
+                sleep(BIND_RETRY_INTERVAL).await;
+            }
+            result => return result.context(ListenSnafu { addr }),
         }
     }
-    // What the machine has taken for us by now is answered too: closing the listener would reset it.
-    while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, front.accept()).await {
-        welcome(stream);
-    }
-    let _ = close.send(front::Phase::Over);
-    let end = Instant::now() + BEFORE_KILL / 2;
-    while Instant::now() < end && open.get() > 0 {
-        tokio::time::sleep(LOOK / 4).await;
-    }
-    log::info!("stopped with {} open", open.get());
-    drop(front);
-    Ok(state.counters.get())
 }
 
-async fn accepted(
-    came: std::io::Result<(tokio::net::TcpStream, std::net::SocketAddr)>,
-    welcome: &impl Fn(tokio::net::TcpStream),
+/// Starts to send and take placement hints, where the settings leave a port for them.
+async fn start_hints(state: &Rc<ProxyState>, settings: &ProcessSettings) -> Option<BackgroundTask> {
+    let socket = hints::bind(settings).await?;
+    state.hints.borrow_mut().set_socket(socket.clone());
+    let listener = hints::run_listener(state.clone(), socket);
+    Some(BackgroundTask::spawn(listener))
+}
+
+async fn follow_fleet(
+    state: Rc<ProxyState>,
+    mut fleet: watch::Receiver<Option<Arc<FleetSnapshot>>>,
 ) {
-    match came {
-        Ok((stream, _)) => welcome(stream),
-        // Out of descriptors: those in use come back.
-        Err(e) => {
-            log::warn!("front: {e}");
-            tokio::time::sleep(LOOK).await;
+    loop {
+        let snapshot = fleet.borrow_and_update().clone();
+        if let Some(snapshot) = snapshot {
+            state.apply_fleet(&snapshot);
+        }
+        if fleet.changed().await.is_err() {
+            return;
         }
     }
 }
+
+async fn clean_up_pool(state: Rc<ProxyState>) {
+    loop {
+        sleep(POOL_CLEANUP_INTERVAL).await;
+        state.pool.borrow_mut().close_expired(state.now());
+    }
+}
+
+async fn tick_policy(state: Rc<ProxyState>) {
+    state.run_ticks().await;
+}
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,47 +1,40 @@
-//! Bytes in and out of a socket, by shared reference so that one side can be watched while the other writes.
+//! Reads and writes on a socket by shared reference, so that it can be read while it is being written to.
 
 use bytes::BytesMut;
-use http1::Fields;
+use rustix::net::{recv, RecvFlags};
 use std::io::{self, IoSlice};
 use tokio::net::TcpStream;
 
-/// Room made for each read.
-const READ: usize = 4096;
+/// Room in the buffer for each read, in bytes.
+const READ_BYTES: usize = 4096;
 
-/// Reads once into `buf`; 0 is the end. Nothing is lost if this is dropped half-way, and no memory is held
-/// while nothing comes.
-pub(crate) async fn fill(stream: &TcpStream, buf: &mut BytesMut) -> io::Result<usize> {
+/// Reads once, appending to `buf`; 0 is the end of the stream. Cancel-safe, and holds no memory until there is input.
+pub(crate) async fn read(stream: &TcpStream, buf: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
-        buf.reserve(READ);
+        buf.reserve(READ_BYTES);
         match stream.try_read_buf(buf) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Writes `head` and then `body`, counting in `written` what the system has taken so far.
+/// Writes `head` and then `body`. `written` counts the bytes that the kernel has taken, also if this fails or is
+/// dropped.
 pub(crate) async fn write_all(
     stream: &TcpStream,
     head: &[u8],
     body: &[u8],
     written: &mut usize,
 ) -> io::Result<()> {
-    let whole = head.len() + body.len();
-    while *written < whole {
-        let rest_of_head = head.get(*written..).unwrap_or_default();
-        let rest_of_body = body
+    let total = head.len() + body.len();
+    while *written < total {
+        let head_rest = head.get(*written..).unwrap_or_default();
+        let body_rest = body
             .get(written.saturating_sub(head.len())..)
             .unwrap_or_default();
-        let wrote = match (rest_of_head.is_empty(), rest_of_body.is_empty()) {
-            (true, _) => stream.try_write(rest_of_body),
-            (false, true) => stream.try_write(rest_of_head),
-            (false, false) => {
-                stream.try_write_vectored(&[IoSlice::new(rest_of_head), IoSlice::new(rest_of_body)])
-            }
-        };
-        match wrote {
+        match try_write(stream, head_rest, body_rest) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(n) => *written += n,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => stream.writable().await?,
@@ -51,31 +44,19 @@
     Ok(())
 }
 
-/// Whether nothing waits to be read and the other side has not ended, as the system knows it now.
-pub(crate) fn quiet(stream: &TcpStream) -> bool {
-    use rustix::net::{recv, RecvFlags};
-    let mut byte = [0u8; 1];
-    matches!(
-        recv(stream, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT),
-        Err(rustix::io::Errno::AGAIN)
-    )
-}
-
-/// What ties an answer to its request and to its host, whatever a head says of its connection.
-const END_TO_END: [&str; 2] = ["fennelpin-attempt-id", "fennelpin-host-seal"];
-
-/// Whether a field concerns only the connection that it came on.
-pub(crate) fn stays_here(fields: &Fields, name: &[u8]) -> bool {
-    let passes = END_TO_END
-        .iter()
-        .any(|n| name.eq_ignore_ascii_case(n.as_bytes()));
-    !passes && fields.is_hop_by_hop(name)
+fn try_write(stream: &TcpStream, head: &[u8], body: &[u8]) -> io::Result<usize> {
+    if head.is_empty() {
+        stream.try_write(body)
+    } else if body.is_empty() {
+        stream.try_write(head)
+    } else {
+        stream.try_write_vectored(&[IoSlice::new(head), IoSlice::new(body)])
+    }
 }
 
-/// Appends a line of a head.
-pub(crate) fn field(out: &mut Vec<u8>, name: &[u8], value: &[u8]) {
-    out.extend_from_slice(name);
-    out.extend_from_slice(b": ");
-    out.extend_from_slice(value);
-    out.extend_from_slice(b"\r\n");
+/// Whether there is nothing to read and the peer has not closed, as the kernel knows it now.
+pub(crate) fn is_quiet(stream: &TcpStream) -> bool {
+    let mut byte = [0u8; 1];
+    let peeked = recv(stream, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
+    matches!(peeked, Err(rustix::io::Errno::AGAIN))
 }
--- /dev/null
+++ b/crates/proxy/src/state/fleet_update.rs
@@ -0,0 +1,87 @@
+//! Takes a new snapshot of the fleet into the state.
+
+use super::routing_table::{connections_per_host, RoutingTable};
+use super::ProxyState;
+use crate::fleet::FleetSnapshot;
+use balancing::ServiceInfo;
+use configuration::{Configuration, Service};
+use std::collections::HashSet;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+impl ProxyState {
+    /// Applies a snapshot. A configuration older than the one in force is ignored; the hosts are taken all the same.
+    pub(crate) fn apply_fleet(&self, snapshot: &FleetSnapshot) {
+        let now = self.now();
+        let previous = self.routing_table();
+        let configuration = newest_configuration(previous.as_deref(), snapshot);
+        let unchanged = previous
+            .as_ref()
+            .filter(|table| Arc::ptr_eq(&table.configuration, configuration));
+        if unchanged.is_none() {
+            self.apply_services(now, configuration);
+        }
+        self.apply_hosts(now, snapshot);
+        let has_hosts = snapshot.hosts.iter().any(|host| !host.draining);
+        let connections = connections_per_host(configuration, snapshot.proxy_count);
+        let up_to_date = unchanged.is_some_and(|table| {
+            table.connections_per_host == connections && table.has_hosts == has_hosts
+        });
+        if !up_to_date {
+            let table = RoutingTable::new(configuration.clone(), connections, has_hosts);
+            *self.routing_table.borrow_mut() = Some(Rc::new(table));
+        }
+    }
+
+    fn apply_services(&self, now: Duration, configuration: &Configuration) {
+        let services: Vec<ServiceInfo> = configuration
+            .services
+            .iter()
+            .map(|service| service_info(&service.value))
+            .collect();
+        self.policy.borrow_mut().set_services(now, &services);
+        log::info!(
+            "configuration {}: {} routes",
+            configuration.version,
+            configuration.routes.len()
+        );
+    }
+
+    fn apply_hosts(&self, now: Duration, snapshot: &FleetSnapshot) {
+        let all_peers_reached = self
+            .hints
+            .borrow_mut()
+            .set_peers(&snapshot.peer_hint_addresses);
+        let mut policy = self.policy.borrow_mut();
+        policy.set_told(now, all_peers_reached);
+        policy.set_coordinators(now, snapshot.proxy_count);
+        policy.set_hosts(now, &snapshot.hosts);
+        let mut pool = self.pool.borrow_mut();
+        let ids: HashSet<&str> = snapshot.hosts.iter().map(|host| &*host.id).collect();
+        pool.retain_hosts(&ids);
+        for host in snapshot.hosts.iter().filter(|host| host.draining) {
+            pool.close_idle(&host.id);
+        }
+    }
+}
+
+fn newest_configuration<'a>(
+    previous: Option<&'a RoutingTable>,
+    snapshot: &'a FleetSnapshot,
+) -> &'a Arc<Configuration> {
+    match previous {
+        Some(table) if table.configuration.version > snapshot.configuration.version => {
+            &table.configuration
+        }
+        _ => &snapshot.configuration,
+    }
+}
+
+fn service_info(service: &Service) -> ServiceInfo {
+    ServiceInfo {
+        name: service.name.as_str().into(),
+        conn_limit: service.conn_limit,
+        cache_tokens: service.engine.as_ref().map(|engine| engine.cache_tokens),
+    }
+}
--- a/crates/proxy/src/state/mod.rs
+++ b/crates/proxy/src/state/mod.rs
@@ -1,343 +1,162 @@
-//! What all connections share.
+//! The state of the process, on its one thread, which all connections share.
+
+mod body_memory;
+mod capacity;
+mod clock;
+mod fleet_update;
+mod in_flight;
+mod routing_table;
+
+pub(crate) use body_memory::{BodyMemory, BodyReservation};
+pub(crate) use clock::Clock;
+pub(crate) use in_flight::InFlightAttempt;
+pub(crate) use routing_table::RoutingTable;
 
 use crate::client::idle::IdleClients;
 use crate::counters::SharedCounters;
-use crate::fleet::FleetSnapshot;
-use crate::hints::publisher::Hints;
-use crate::routes::RouteTable;
+use crate::hints::HintPublisher;
 use crate::shutdown::Shutdown;
-use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::pool::ConnectionPool;
-use balancing::{Attempt, Load, Outcome, Policy, ServiceInfo, Settings};
-use configuration::{Configuration, Limits, ProcessSettings};
+use crate::upstream::UpstreamConnection;
+use balancing::{Policy, Settings};
+use capacity::Capacity;
+use configuration::{Limits, ProcessSettings};
+use in_flight::InFlightCount;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use routing_table::MIN_CONNECTIONS_PER_HOST;
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet};
-use std::hash::{BuildHasher, Hasher};
+use std::hash::{BuildHasher, Hasher, RandomState};
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::Notify;
-use tokio::time::Instant;
+use tokio::time::{sleep, Instant};
 
-/// Descriptors left for listeners, the connection to the agent and what is opened for a moment.
-const SPARE_FDS: u64 = 250;
-/// Share of the descriptors for clients; the others are for hosts.
-const CLIENTS_SHARE: f64 = 0.6;
-/// Share of the memory for bodies that are held.
-const BODIES_SHARE: f64 = 0.3;
-/// Time between two calls of the policy at least, while attempts are out.
-const TICK: Duration = Duration::from_millis(100);
-
-/// What is known since the last news.
-pub(crate) struct RoutingTable {
-    document: Arc<Configuration>,
-    pub(crate) routes: RouteTable,
-    pub(crate) limits: Limits,
-    /// Connections that one host of a service takes from this process.
-    conns: HashMap<String, usize>,
-    has_hosts: bool,
-}
+/// Least time between two ticks of the policy while attempts are in flight.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// State of the process, on its one thread.
+/// State of the process.
 pub(crate) struct ProxyState {
-    origin: Instant,
+    pub(crate) clock: Clock,
     pub(crate) policy: RefCell<Policy>,
-    known: RefCell<Option<Rc<RoutingTable>>>,
+    routing_table: RefCell<Option<Rc<RoutingTable>>>,
     pub(crate) pool: RefCell<ConnectionPool<UpstreamConnection>>,
     pub(crate) counters: Rc<SharedCounters>,
-    outs: Cell<usize>,
-    /// Told when the first attempt goes out.
-    began: Notify,
-    pub(crate) hints: RefCell<Hints>,
-    /// Set once the process is told to end.
+    in_flight: InFlightCount,
+    pub(crate) hints: RefCell<HintPublisher>,
+    /// Set once the process is asked to end.
     pub(crate) shutdown: Cell<Option<Shutdown>>,
     pub(crate) idle_clients: RefCell<IdleClients>,
-    pub(crate) most_clients: usize,
-    most_bodies: usize,
-    bodies: Cell<usize>,
-    draws: Cell<u64>,
+    /// Connections of clients that are served.
+    pub(crate) max_clients: usize,
+    pub(crate) body_memory: BodyMemory,
+    random: RefCell<Pcg64Mcg>,
 }
 
 impl ProxyState {
-    pub(crate) fn new(boot: &ProcessSettings, counters: Rc<SharedCounters>) -> Self {
-        let seed = std::collections::hash_map::RandomState::new()
-            .build_hasher()
-            .finish();
-        let bounds = &boot.bounds;
-        let seconds = |s: f64| Duration::try_from_secs_f64(s).unwrap_or_default();
-        let settings = Settings {
-            zone: boot.zone.as_str().into(),
-            retry_ratio: bounds.retry_ratio,
-            retry_window: seconds(bounds.retry_window_s),
-            retry_slack: bounds.retry_slack,
-            drain: seconds(bounds.drain_ms / 1e3),
-            beat: Duration::from_millis(boot.beat_period_ms),
-            seed,
-        };
-        let fds = boot.limits.fd_limit.saturating_sub(SPARE_FDS).max(16) as f64;
-        let memory = boot.limits.memory_mb as f64 * 1024.0 * 1024.0;
-        let mut policy = Policy::new(settings);
-        if boot.bootstrap {
+    /// State of a process that knows no fleet yet.
+    pub(crate) fn new(settings: &ProcessSettings, counters: Rc<SharedCounters>) -> Self {
+        // The standard library's hasher is keyed with the system's randomness.
+        let seed = RandomState::new().build_hasher().finish();
+        let capacity = Capacity::from_settings(settings);
+        let mut policy = Policy::new(policy_settings(settings, seed));
+        if settings.bootstrap {
             policy.set_first_start();
         }
         Self {
-            origin: Instant::now(),
+            clock: Clock::start(),
             policy: RefCell::new(policy),
-            known: RefCell::default(),
-            pool: RefCell::new(ConnectionPool::new((fds * (1.0 - CLIENTS_SHARE)) as usize)),
+            routing_table: RefCell::default(),
+            pool: RefCell::new(ConnectionPool::new(capacity.max_host_connections)),
             counters,
-            outs: Cell::new(0),
-            began: Notify::new(),
+            in_flight: InFlightCount::default(),
             hints: RefCell::default(),
             shutdown: Cell::default(),
             idle_clients: RefCell::default(),
-            most_clients: (fds * CLIENTS_SHARE) as usize,
-            most_bodies: (memory * BODIES_SHARE) as usize,
-            bodies: Cell::new(0),
-            draws: Cell::new(seed),
+            max_clients: capacity.max_clients,
+            body_memory: BodyMemory::new(capacity.max_body_bytes),
+            random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         }
     }
 
     /// Time since the start.
     pub(crate) fn now(&self) -> Duration {
-        self.origin.elapsed()
-    }
-
-    pub(crate) fn since_start(&self, at: Instant) -> Duration {
-        at.saturating_duration_since(self.origin)
+        self.clock.now()
     }
 
+    /// The instant of a time since the start.
     pub(crate) fn at(&self, time: Duration) -> Instant {
-        self.origin + time
+        self.clock.at(time)
     }
 
-    /// Numbers that are spread evenly (SplitMix64).
-    pub(crate) fn draw(&self) -> u64 {
-        let state = self.draws.get().wrapping_add(0x9E37_79B9_7F4A_7C15);
-        self.draws.set(state);
-        let z = (state ^ (state >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        let z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        z ^ (z >> 31)
+    /// A uniform random number.
+    pub(crate) fn random_u64(&self) -> u64 {
+        self.random.borrow_mut().random()
     }
 
-    /// What is known now; `None` before the first configuration.
-    pub(crate) fn known(&self) -> Option<Rc<RoutingTable>> {
-        self.known.borrow().clone()
+    /// What requests are routed by; `None` before the first configuration.
+    pub(crate) fn routing_table(&self) -> Option<Rc<RoutingTable>> {
+        self.routing_table.borrow().clone()
     }
 
-    /// Bounds on clients.
-    pub(crate) fn limits(&self) -> Limits {
-        self.known
+    /// The operators' limits on clients.
+    pub(crate) fn client_limits(&self) -> Limits {
+        self.routing_table
             .borrow()
             .as_ref()
-            .map_or_else(Limits::default, |k| k.limits)
+            .map_or_else(Limits::default, |table| table.client_limits)
     }
 
-    /// Whether requests are to come here.
-    pub(crate) fn ready(&self) -> bool {
-        self.shutdown.get().is_none() && self.known.borrow().as_ref().is_some_and(|k| k.has_hosts)
+    /// Whether the platform is to send requests here.
+    pub(crate) fn is_ready(&self) -> bool {
+        let has_hosts = self
+            .routing_table
+            .borrow()
+            .as_ref()
+            .is_some_and(|table| table.has_hosts);
+        has_hosts && self.shutdown.get().is_none()
     }
 
-    /// Whether a request with this deadline may be given to a host now; `repeatable` where it is answered whole and may
-    /// run twice.
-    pub(crate) fn takes(&self, deadline: Duration, repeatable: bool) -> bool {
+    /// Whether a request with this deadline may be given to a host now. `repeatable` requests are answered in one piece
+    /// and may run twice.
+    pub(crate) fn admits(&self, deadline: Duration, repeatable: bool) -> bool {
         self.shutdown
             .get()
-            .is_none_or(|shutdown| shutdown.takes(self.now(), deadline, repeatable))
+            .is_none_or(|shutdown| shutdown.admits(self.now(), deadline, repeatable))
     }
 
     /// Connections that one host of this service takes from this process.
-    pub(crate) fn conns(&self, service: &str) -> usize {
-        self.known
+    pub(crate) fn max_connections_per_host(&self, service: &str) -> usize {
+        self.routing_table
             .borrow()
             .as_ref()
-            .and_then(|k| k.conns.get(service).copied())
-            .unwrap_or(4)
+            .and_then(|table| table.connections_per_host.get(service).copied())
+            .unwrap_or(MIN_CONNECTIONS_PER_HOST)
     }
 
-    /// While attempts are out, tells the policy that time passes: a stall of this process shows in a gap.
-    pub(crate) async fn tick(&self) {
+    /// Ticks the policy while attempts are in flight, so that it notices when this process was stalled.
+    pub(crate) async fn run_ticks(&self) {
         loop {
-            while self.outs.get() == 0 {
-                self.began.notified().await;
-            }
-            tokio::time::sleep(TICK).await;
+            self.in_flight.non_zero().await;
+            sleep(TICK_INTERVAL).await;
             self.policy.borrow_mut().tick(self.now());
         }
     }
-
-    /// Takes news in. A configuration that is older than the known one is passed over.
-    pub(crate) fn learn(&self, snapshot: &FleetSnapshot) {
-        let now = self.now();
-        let before = self.known();
-        let stale = before
-            .as_ref()
-            .is_some_and(|k| k.document.version > snapshot.configuration.version);
-        let document = match &before {
-            Some(k) if stale => &k.document,
-            _ => &snapshot.configuration,
-        };
-        let same = before
-            .as_ref()
-            .filter(|k| Arc::ptr_eq(&k.document, document));
-        let mut policy = self.policy.borrow_mut();
-        if same.is_none() {
-            let services: Vec<ServiceInfo> =
-                document.services.iter().map(|s| info(&s.value)).collect();
-            policy.set_services(now, &services);
-            log::info!(
-                "configuration {}: {} routes",
-                document.version,
-                document.routes.len()
-            );
-        }
-        let all_told = self
-            .hints
-            .borrow_mut()
-            .set_others(&snapshot.peer_hint_addresses);
-        policy.set_told(now, all_told);
-        policy.set_coordinators(now, snapshot.proxy_count);
-        policy.set_hosts(now, &snapshot.hosts);
-        let ids: HashSet<&str> = snapshot.hosts.iter().map(|h| &*h.id).collect();
-        self.pool.borrow_mut().retain_hosts(&ids);
-        for host in snapshot.hosts.iter().filter(|h| h.draining) {
-            self.pool.borrow_mut().close_idle(&host.id);
-        }
-        let has_hosts = snapshot.hosts.iter().any(|h| !h.draining);
-        let conns = |limit: u32| (limit as usize / snapshot.proxy_count.max(1)).max(4);
-        let conns = document
-            .services
-            .iter()
-            .map(|s| (s.value.name.clone(), conns(s.value.conn_limit)))
-            .collect();
-        match same {
-            Some(k) if k.conns == conns && k.has_hosts == has_hosts => {}
-            _ => {
-                let known = RoutingTable {
-                    routes: RouteTable::new(document),
-                    limits: document.client_limits(),
-                    document: document.clone(),
-                    conns,
-                    has_hosts,
-                };
-                *self.known.borrow_mut() = Some(Rc::new(known));
-            }
-        }
-    }
-
-    /// Holds so many bytes of bodies; `None` where there is no room.
-    pub(crate) fn hold(self: &Rc<Self>, bytes: usize) -> Option<BodyReservation> {
-        let mut held = BodyReservation {
-            state: self.clone(),
-            bytes: 0,
-        };
-        held.grow(bytes).then_some(held)
-    }
-}
-
-fn info(service: &configuration::Service) -> ServiceInfo {
-    ServiceInfo {
-        name: service.name.as_str().into(),
-        conn_limit: service.conn_limit,
-        cache_tokens: service.engine.as_ref().map(|e| e.cache_tokens),
-    }
-}
-
-/// Room for bodies, given back when dropped.
-pub(crate) struct BodyReservation {
-    state: Rc<ProxyState>,
-    bytes: usize,
 }
 
-impl BodyReservation {
-    /// Room for so many bytes in all; false where there is none.
-    pub(crate) fn grow(&mut self, bytes: usize) -> bool {
-        let more = bytes.saturating_sub(self.bytes);
-        let sum = self.state.bodies.get() + more;
-        if sum > self.state.most_bodies {
-            return false;
-        }
-        self.state.bodies.set(sum);
-        self.bytes += more;
-        true
+fn policy_settings(settings: &ProcessSettings, seed: u64) -> Settings {
+    let bounds = &settings.bounds;
+    Settings {
+        zone: settings.zone.as_str().into(),
+        retry_ratio: bounds.retry_ratio,
+        retry_window: duration_from_secs(bounds.retry_window_s),
+        retry_slack: bounds.retry_slack,
+        drain: duration_from_secs(bounds.drain_ms / 1e3),
+        beat: Duration::from_millis(settings.beat_period_ms),
+        seed,
     }
 }
 
-impl Drop for BodyReservation {
-    fn drop(&mut self) {
-        self.state
-            .bodies
-            .set(self.state.bodies.get().saturating_sub(self.bytes));
-    }
-}
-
-/// An attempt that the policy counts as out until it is told the end, or this is dropped.
-pub(crate) struct OpenAttempt {
-    state: Rc<ProxyState>,
-    attempt: Attempt,
-    over: bool,
-}
-
-impl OpenAttempt {
-    pub(crate) fn new(state: &Rc<ProxyState>, attempt: Attempt) -> Self {
-        state.outs.set(state.outs.get() + 1);
-        state.began.notify_one();
-        Self {
-            state: state.clone(),
-            attempt,
-            over: false,
-        }
-    }
-
-    pub(crate) fn first(&self) {
-        self.state
-            .policy
-            .borrow_mut()
-            .first(self.state.now(), self.attempt);
-    }
-
-    /// More came of an answer that has begun.
-    pub(crate) fn heard(&self) {
-        self.state
-            .policy
-            .borrow_mut()
-            .heard(self.state.now(), self.attempt);
-    }
-
-    /// The head of an answer that goes on told this load.
-    pub(crate) fn told(&self, load: Option<Load>) {
-        if let Some(load) = load {
-            self.state
-                .policy
-                .borrow_mut()
-                .told(self.state.now(), self.attempt, load);
-        }
-    }
-
-    pub(crate) fn patience(&self) -> Option<Duration> {
-        self.state
-            .policy
-            .borrow()
-            .patience(self.state.now(), self.attempt)
-    }
-
-    pub(crate) fn end(mut self, outcome: Outcome, load: Option<Load>) {
-        self.close(outcome, load);
-    }
-
-    fn close(&mut self, outcome: Outcome, load: Option<Load>) {
-        if !std::mem::replace(&mut self.over, true) {
-            self.state.outs.set(self.state.outs.get().saturating_sub(1));
-            self.state
-                .policy
-                .borrow_mut()
-                .ended(self.state.now(), self.attempt, outcome, load);
-        }
-    }
-}
-
-impl Drop for OpenAttempt {
-    fn drop(&mut self) {
-        self.close(Outcome::Cancelled, None);
-    }
+/// Zero for what is no duration.
+fn duration_from_secs(seconds: f64) -> Duration {
+    Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
--- /dev/null
+++ b/crates/proxy/src/state/routing_table.rs
@@ -0,0 +1,56 @@
+//! What requests are routed by: the configuration in force, and what follows from the fleet.
+
+use crate::routes::RouteTable;
+use configuration::{Configuration, Limits};
+use std::collections::HashMap;
+use std::sync::Arc;
+
+/// Connections that one host takes from this process at least, whatever the service's limit and the number of proxies.
+pub(crate) const MIN_CONNECTIONS_PER_HOST: usize = 4;
+
+/// Derived from the newest configuration and the fleet.
+#[derive(Debug)]
+pub(crate) struct RoutingTable {
+    pub(crate) configuration: Arc<Configuration>,
+    pub(crate) routes: RouteTable,
+    pub(crate) client_limits: Limits,
+    /// By service: connections that one host takes from this process.
+    pub(crate) connections_per_host: HashMap<String, usize>,
+    /// Whether any host takes requests.
+    pub(crate) has_hosts: bool,
+}
+
+impl RoutingTable {
+    /// The table for a configuration.
+    pub(crate) fn new(
+        configuration: Arc<Configuration>,
+        connections_per_host: HashMap<String, usize>,
+        has_hosts: bool,
+    ) -> Self {
+        Self {
+            routes: RouteTable::new(&configuration),
+            client_limits: configuration.client_limits(),
+            configuration,
+            connections_per_host,
+            has_hosts,
+        }
+    }
+}
+
+/// By service: this proxy's share of the connections that one host takes.
+pub(crate) fn connections_per_host(
+    configuration: &Configuration,
+    proxy_count: usize,
+) -> HashMap<String, usize> {
+    configuration
+        .services
+        .iter()
+        .map(|service| {
+            let share = service.value.conn_limit as usize / proxy_count.max(1);
+            (
+                service.value.name.clone(),
+                share.max(MIN_CONNECTIONS_PER_HOST),
+            )
+        })
+        .collect()
+}
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,50 +1,52 @@
-//! Connections to hosts: one request at a time on each, kept for the next where both sides agree.
-
+//! A connection to a host. It carries one request at a time.
+//!
+//! The coordinator in service has its own connections to hosts, in `crates/coordinator/src/net/link`. They are not
+//! merged, as they behave differently. Here a connection has one request, whoever holds it may drop it at any time, the
+//! response is looked for while the request is still being written, and it is matched by the attempt's id. There a
+//! connection belongs to an actor that also cancels and retracts parts of calls and probes the host; it closes after
+//! 0.7 of the host's idle time, here a second (or half of the time) before it.
+
+use crate::response_matching::ResponseMatcher;
 use crate::socket;
+use crate::state::Clock;
 use crate::upstream::pool::ConnectionPermit;
 use bytes::{Bytes, BytesMut};
 use http1::{BodyDecoder, Decoded, HeadLimits, ParseError, ResponseHead};
 use snafu::Snafu;
+use std::io;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Largest head of an answer.
+/// Limits on the head of a response.
 const HEAD_LIMITS: HeadLimits = HeadLimits::with_max_bytes(32 * 1024);
 
-/// Why there is no (further) part of an answer.
+/// Why a response, or the rest of it, can't be read.
 #[derive(Debug, Snafu)]
 pub(crate) enum UpstreamError {
     /// The socket failed.
     #[snafu(context(false), display("{source}"))]
     Socket {
-        /// How.
-        source: std::io::Error,
+        /// The cause.
+        source: io::Error,
     },
-    /// The host ended the connection.
+    /// The host closed the connection.
     #[snafu(display("closed by the host"))]
     Closed,
-    /// What came is no answer.
+    /// The bytes are no valid response.
     #[snafu(context(false), display("{source}"))]
-    NoAnswer {
-        /// How.
+    Malformed {
+        /// The cause.
         source: ParseError,
     },
 }
 
-/// Whether the answer proper is still to come.
-fn is_interim(head: &ResponseHead) -> bool {
-    (100..200).contains(&head.status)
-}
-
-/// Takes a body off the front of a buffer; false where it isn't there to its end.
-fn pass_over(buf: &mut BytesMut, mut body: BodyDecoder) -> bool {
-    loop {
-        match body.decode(buf) {
-            Ok(Decoded::Data(_)) => {}
-            Ok(Decoded::End) => return true,
-            Ok(Decoded::Incomplete) | Err(_) => return false,
-        }
-    }
+/// How reading a body up to a limit ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum BodyRead {
+    /// The body is complete.
+    Complete,
+    /// More than the limit was read.
+    OverLimit,
 }
 
 /// A connection to a host.
@@ -52,56 +54,57 @@
 pub(crate) struct UpstreamConnection {
     stream: TcpStream,
     buf: BytesMut,
-    /// Whether it was used before.
-    pub(crate) used: bool,
-    /// A request was written in part only.
-    partial: bool,
-    ticket: ConnectionPermit,
-    origin: Instant,
+    /// Whether an earlier request was sent on it.
+    reused: bool,
+    /// Whether a request was written in part only.
+    request_incomplete: bool,
+    permit: ConnectionPermit,
+    clock: Clock,
 }
 
 impl UpstreamConnection {
     /// A connection that has just come up.
-    pub(crate) fn new(stream: TcpStream, ticket: ConnectionPermit, origin: Instant) -> Self {
+    pub(crate) fn new(stream: TcpStream, permit: ConnectionPermit, clock: Clock) -> Self {
         Self {
             stream,
             buf: BytesMut::new(),
-            used: false,
-            partial: false,
-            ticket,
-            origin,
+            reused: false,
+            request_incomplete: false,
+            permit,
+            clock,
         }
     }
 
-    /// Whether nothing waits to be read and the host has not ended the connection, as the system knows it now.
-    pub(crate) fn quiet(&self) -> bool {
-        socket::quiet(&self.stream)
+    /// Whether an earlier request was sent on this connection.
+    pub(crate) fn reused(&self) -> bool {
+        self.reused
     }
 
-    /// Writes a request, and stops where its answer is there before all is written: a host may refuse a large
-    /// body and read no more of it. `ours` tells whether a head begins the answer, given whether nobody was answered
-    /// on this connection before. `written` counts what the system took, also where this fails.
-    pub(crate) async fn send(
+    /// Whether there is nothing to read and the host has not closed, as the kernel knows it now.
+    pub(crate) fn is_quiet(&self) -> bool {
+        socket::is_quiet(&self.stream)
+    }
+
+    /// Writes a request. Stops early if its response is there before all is written: a host may refuse a large body and
+    /// read no more of it. `written` counts the bytes that the kernel took, also if this fails.
+    pub(crate) async fn send_request(
         &mut self,
         head: &[u8],
         body: &[u8],
         written: &mut usize,
-        ours: impl Fn(&ResponseHead, bool) -> bool,
-    ) -> std::io::Result<()> {
-        // Until it is written to its end, no other request may follow.
-        self.partial = true;
+        matcher: ResponseMatcher<'_>,
+    ) -> io::Result<()> {
+        // No other request may follow until this one is written completely.
+        self.request_incomplete = true;
         loop {
             tokio::select! {
                 biased;
-                done = socket::write_all(&self.stream, head, body, written) => {
-                    self.partial = done.is_err();
-                    return done;
+                result = socket::write_all(&self.stream, head, body, written) => {
+                    self.request_incomplete = result.is_err();
+                    return result;
                 }
-                got = socket::fill(&self.stream, &mut self.buf), if self.buf.len() < HEAD_LIMITS.max_bytes => {
-                    if got? == 0 {
-                        return Ok(());
-                    }
-                    if self.has_answer(&ours) {
+                read = socket::read(&self.stream, &mut self.buf), if self.buf.len() < HEAD_LIMITS.max_bytes => {
+                    if read? == 0 || self.has_response(matcher) {
                         return Ok(());
                     }
                 }
@@ -109,52 +112,55 @@
         }
     }
 
-    /// Whether the head of an answer to the request stands in the buffer, past interim ones and answers to others.
-    fn has_answer(&self, ours: impl Fn(&ResponseHead, bool) -> bool) -> bool {
+    /// Whether the head of the matching response is buffered, behind interim responses and strays.
+    fn has_response(&self, matcher: ResponseMatcher) -> bool {
         let mut rest = self.buf.clone();
-        let mut nobody_answered = !self.used;
+        let mut first_on_connection = !self.reused;
         while let Ok(Some(head)) = ResponseHead::decode(&mut rest, HEAD_LIMITS, false) {
             if is_interim(&head) {
                 continue;
             }
-            if ours(&head, nobody_answered) {
+            if matcher.matches(&head, first_on_connection) {
                 return true;
             }
-            nobody_answered = false;
-            if !pass_over(&mut rest, BodyDecoder::new(head.framing)) {
+            first_on_connection = false;
+            if !skip_body(&mut rest, BodyDecoder::new(head.framing)) {
                 return false;
             }
         }
         false
     }
 
-    async fn more(&mut self) -> Result<(), UpstreamError> {
-        match socket::fill(&self.stream, &mut self.buf).await? {
-            0 => ClosedSnafu.fail(),
-            _ => {
-                self.ticket.record_activity(self.origin.elapsed());
-                Ok(())
-            }
+    async fn read_more(&mut self) -> Result<(), UpstreamError> {
+        if socket::read(&self.stream, &mut self.buf).await? == 0 {
+            return ClosedSnafu.fail();
         }
+        self.permit.record_activity(self.clock.now());
+        Ok(())
     }
 
-    /// The head of the next answer, past interim ones. May be dropped and called again.
-    pub(crate) async fn head(&mut self, to_head: bool) -> Result<ResponseHead, UpstreamError> {
+    /// Reads the head of the next response, past interim ones. Cancel-safe.
+    pub(crate) async fn read_head(
+        &mut self,
+        to_head_request: bool,
+    ) -> Result<ResponseHead, UpstreamError> {
         loop {
             if !self.buf.is_empty() {
-                if let Some(head) = ResponseHead::decode(&mut self.buf, HEAD_LIMITS, to_head)? {
+                if let Some(head) =
+                    ResponseHead::decode(&mut self.buf, HEAD_LIMITS, to_head_request)?
+                {
                     if is_interim(&head) {
                         continue;
                     }
                     return Ok(head);
                 }
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    /// What comes next of a body; `None` at its end. May be dropped and called again.
-    pub(crate) async fn piece(
+    /// Reads the next piece of a body; `None` at its end. Cancel-safe.
+    pub(crate) async fn read_body_piece(
         &mut self,
         body: &mut BodyDecoder,
     ) -> Result<Option<Bytes>, UpstreamError> {
@@ -162,43 +168,60 @@
             match body.decode(&mut self.buf)? {
                 Decoded::Data(data) => return Ok(Some(data)),
                 Decoded::End => return Ok(None),
-                Decoded::Incomplete => match self.more().await {
+                Decoded::Incomplete => match self.read_more().await {
                     Err(UpstreamError::Closed) if body.is_close_delimited() => return Ok(None),
-                    step => step?,
+                    result => result?,
                 },
             }
         }
     }
 
-    /// Reads a body into `out`; false where it goes on beyond `most` bytes. May be dropped and called again.
-    pub(crate) async fn whole(
+    /// Appends a body to `out`, up to a limit. Cancel-safe: another call with the same arguments goes on.
+    pub(crate) async fn read_body(
         &mut self,
         body: &mut BodyDecoder,
         out: &mut BytesMut,
-        most: usize,
-    ) -> Result<bool, UpstreamError> {
-        while out.len() <= most {
-            match self.piece(body).await? {
+        max_bytes: usize,
+    ) -> Result<BodyRead, UpstreamError> {
+        while out.len() <= max_bytes {
+            match self.read_body_piece(body).await? {
                 Some(data) => out.extend_from_slice(&data),
-                None => return Ok(true),
+                None => return Ok(BodyRead::Complete),
             }
         }
-        Ok(false)
+        Ok(BodyRead::OverLimit)
     }
 
-    /// Whether the host has been heard since a time, on this connection or another.
-    pub(crate) fn heard_since(&self, time: Instant) -> bool {
-        self.origin + self.ticket.last_activity() > time
+    /// Whether the host was active since then, on this connection or another.
+    pub(crate) fn host_active_since(&self, since: Instant) -> bool {
+        self.clock.at(self.permit.last_activity()) > since
     }
 
-    /// The connection for another request, after a whole answer with this head; `None` where none may follow.
-    pub(crate) fn rested(mut self, head: &ResponseHead) -> Option<Self> {
-        // More after a whole answer belongs to no request.
-        if !head.is_keep_alive() || self.partial || !self.buf.is_empty() {
+    /// The connection for the next request, after a complete response with this head; `None` where none may follow.
+    pub(crate) fn into_idle(mut self, head: &ResponseHead) -> Option<Self> {
+        // Bytes behind a complete response belong to no request.
+        let has_stray_bytes = !self.buf.is_empty();
+        if !head.is_keep_alive() || self.request_incomplete || has_stray_bytes {
             return None;
         }
-        self.used = true;
+        self.reused = true;
         self.buf = BytesMut::new();
         Some(self)
     }
 }
+
+/// Whether the final response is still to come.
+fn is_interim(head: &ResponseHead) -> bool {
+    (100..200).contains(&head.status)
+}
+
+/// Takes a body off the front of a buffer; false if it is incomplete.
+fn skip_body(buf: &mut BytesMut, mut body: BodyDecoder) -> bool {
+    loop {
+        match body.decode(buf) {
+            Ok(Decoded::Data(_)) => {}
+            Ok(Decoded::End) => return true,
+            Ok(Decoded::Incomplete) | Err(_) => return false,
+        }
+    }
+}
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,5 +1,8 @@
-//! Connections to hosts.
+//! Connections to hosts: the pool of idle ones, and reading and writing on each.
 
 pub(crate) mod acquire;
 pub(crate) mod connection;
 pub mod pool;
+
+pub(crate) use acquire::{acquire, connect, release, AcquireError, ConnectTarget};
+pub(crate) use connection::{BodyRead, UpstreamConnection, UpstreamError};
--- a/crates/proxy/tests/breaks.rs
+++ b/crates/proxy/tests/breaks.rs
@@ -210,13 +210,13 @@
         stage.due = Some((due, how));
         stage.watching = true;
     }
-    let before = proxy.counters.get().sent;
+    let before = proxy.counters.get().attempts;
     client.send(&request(path, "one", "")).await;
     let answer = client.message().await;
     let heard = stage.borrow().heard.clone();
     Played {
         heard,
-        sent: proxy.counters.get().sent - before,
+        sent: proxy.counters.get().attempts - before,
         answer,
     }
 }
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -208,7 +208,7 @@
         conn.message().await.unwrap();
         drop(client);
         conn.closed().await;
-        assert_eq!(proxy.counters.get().left, 1);
+        assert_eq!(proxy.counters.get().client_disconnects, 1);
     });
 }
 
@@ -253,7 +253,7 @@
         assert_eq!(late.message().await.unwrap().body, "late");
         conn.send(&good("one", "busy")).await;
         assert_eq!(busy.message().await.unwrap().body, "busy");
-        assert_eq!(proxy.counters.get().refused, 0);
+        assert_eq!(proxy.counters.get().local_rejections, 0);
     });
 }
 
--- a/crates/proxy/tests/configuration_changes.rs
+++ b/crates/proxy/tests/configuration_changes.rs
@@ -58,7 +58,12 @@
         );
         let counted = proxy.counters.get();
         assert_eq!(
-            (counted.passed, counted.cut, counted.failed, counted.refused),
+            (
+                counted.responses,
+                counted.truncated_responses,
+                counted.local_errors,
+                counted.local_rejections
+            ),
             (1, 0, 0, 0)
         );
     });
--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -78,7 +78,7 @@
         let answer = busy.message().await.unwrap();
         assert_eq!((answer.whole, answer.body), (true, events([1, 2])));
         let counted = proxy.done.await.unwrap().unwrap();
-        assert_eq!((counted.passed, counted.cut), (1, 0));
+        assert_eq!((counted.responses, counted.truncated_responses), (1, 0));
         assert!(
             told.elapsed().as_millis() < 4000,
             "nothing is left to wait for"
@@ -145,7 +145,7 @@
         let answer = late.message().await.unwrap();
         assert_eq!((answer.whole, answer.body), (true, events([1, 2])));
         let counted = proxy.done.await.unwrap().unwrap();
-        assert_eq!((counted.passed, counted.cut), (3, 0));
+        assert_eq!((counted.responses, counted.truncated_responses), (3, 0));
     });
 }
 
@@ -201,9 +201,9 @@
         assert_eq!(
             (
                 counted.requests,
-                counted.sent,
-                counted.passed,
-                counted.connects
+                counted.attempts,
+                counted.responses,
+                counted.host_connects
             ),
             (1, 1, 1, 1)
         );
--- a/crates/proxy/tests/gone_clients.rs
+++ b/crates/proxy/tests/gone_clients.rs
@@ -76,7 +76,7 @@
         conn.answer("warm").await;
         client.message().await.unwrap();
         ask_and_leave(&proxy, path, "gone");
-        while proxy.counters.get().left == 0 {
+        while proxy.counters.get().client_disconnects == 0 {
             tokio::task::yield_now().await;
         }
         // The idle connection is still there, and the next request is the first thing on it.
@@ -87,7 +87,7 @@
         );
         assert_eq!(client.message().await.unwrap().body, "next");
         assert!(host.unasked());
-        assert_eq!(proxy.counters.get().sent, 2);
+        assert_eq!(proxy.counters.get().attempts, 2);
     });
 }
 
@@ -101,7 +101,7 @@
         let mut hosts = [Host::new("h1", "s").await, Host::new("h2", "s").await];
         let proxy = Proxy::new(&[&hosts[0], &hosts[1]]).await;
         let mut conns = idle_at_both(&proxy, &mut hosts).await;
-        let before = proxy.counters.get().sent;
+        let before = proxy.counters.get().attempts;
         let mut client = proxy.client().await;
         client.send(&request(path, "gone", "")).await;
         let [one, two] = &mut conns;
@@ -130,11 +130,11 @@
             asked.stream.try_write(refusal.as_bytes()).unwrap();
         }
         drop(client);
-        while proxy.counters.get().left == 0 {
+        while proxy.counters.get().client_disconnects == 0 {
             tokio::task::yield_now().await;
         }
         assert_eq!(
-            proxy.counters.get().sent,
+            proxy.counters.get().attempts,
             before + 1,
             "the second host heard of it"
         );
@@ -177,6 +177,6 @@
         }
         drop(client);
         conn.closed().await;
-        assert_eq!(proxy.counters.get().passed, 0);
+        assert_eq!(proxy.counters.get().responses, 0);
     });
 }
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/hints.rs
@@ -153,10 +153,16 @@
         serve(&one, &mut host, "1:100").await;
         assert_eq!(asker.recalled(other_at).await, [expected("h1")]);
         assert_eq!(
-            (one.counters.get().bad_hints, two.counters.get().bad_hints),
+            (
+                one.counters.get().invalid_hints,
+                two.counters.get().invalid_hints
+            ),
             (0, 0)
         );
-        assert_eq!((one.counters.get().sent, two.counters.get().sent), (1, 0));
+        assert_eq!(
+            (one.counters.get().attempts, two.counters.get().attempts),
+            (1, 0)
+        );
     });
 }
 
@@ -275,7 +281,7 @@
         assert!((7..=12).contains(&datagrams), "{datagrams}");
         // The host whose name alone fills a datagram is left out.
         other.tell(at, b"end");
-        while proxy.counters.get().bad_hints == 0 {
+        while proxy.counters.get().invalid_hints == 0 {
             tokio::task::yield_now().await;
         }
         assert!(other.came().is_none());
@@ -308,7 +314,7 @@
             kind,
         ];
         garbage.iter().for_each(|g| other.tell(at, g));
-        while proxy.counters.get().bad_hints < garbage.len() as u64 {
+        while proxy.counters.get().invalid_hints < garbage.len() as u64 {
             tokio::task::yield_now().await;
         }
         // Hosts nobody knows of, and lists that claim to be longer than they are.
@@ -331,6 +337,6 @@
                 })
         };
         while !other.recalled(at).await.iter().any(has) {}
-        assert!(proxy.counters.get().bad_hints >= garbage.len() as u64);
+        assert!(proxy.counters.get().invalid_hints >= garbage.len() as u64);
     });
 }
--- a/crates/proxy/tests/hosts.rs
+++ b/crates/proxy/tests/hosts.rs
@@ -231,7 +231,7 @@
             assert_eq!(client.message().await.unwrap().body, "x");
         }
         assert_eq!(
-            (proxy.counters.get().sent, proxy.counters.get().repeats),
+            (proxy.counters.get().attempts, proxy.counters.get().retries),
             (4, 0)
         );
     });
@@ -281,7 +281,11 @@
         );
         let counted = proxy.counters.get();
         assert_eq!(
-            (counted.unreached, counted.sent, counted.repeats),
+            (
+                counted.host_connect_failures,
+                counted.attempts,
+                counted.retries
+            ),
             (1, 1, 0)
         );
     });
@@ -462,7 +466,7 @@
             "ours",
             "after a {what}"
         );
-        assert_eq!(proxy.counters.get().strays, 1);
+        assert_eq!(proxy.counters.get().stray_responses, 1);
         // One more may still come: the connection isn't used again.
         conn.closed().await;
         client.send(&request("/once/c", "three", "")).await;
@@ -562,7 +566,7 @@
         };
         let (answer, ()) = tokio::join!(client.message(), play);
         assert!(!answer.unwrap().whole);
-        assert_eq!(proxy.counters.get().cut, 1);
+        assert_eq!(proxy.counters.get().truncated_responses, 1);
     });
 }
 
@@ -617,7 +621,10 @@
             conns.push(conn);
         }
         let answer = proxy.ask("/once/a").await.message().await.unwrap();
-        assert_eq!((answer.status(), proxy.counters.get().connects), (503, 8));
+        assert_eq!(
+            (answer.status(), proxy.counters.get().host_connects),
+            (503, 8)
+        );
         drop(conns);
         for mut client in clients {
             assert_eq!(client.message().await.unwrap().status(), 502);
@@ -694,7 +701,7 @@
             assert_eq!(client.message().await.unwrap().body, events([1]));
         }
         assert_eq!(
-            (proxy.counters.get().moved, proxy.counters.get().repeats),
+            (proxy.counters.get().failovers, proxy.counters.get().retries),
             (1, 1)
         );
     });
--- a/crates/proxy/tests/matching.rs
+++ b/crates/proxy/tests/matching.rs
@@ -379,7 +379,7 @@
             conn.reset()
         }
         assert_eq!(client.message().await.unwrap().status(), 502);
-        assert_eq!(proxy.counters.get().sent, if used { 2 } else { 1 });
+        assert_eq!(proxy.counters.get().attempts, if used { 2 } else { 1 });
         assert!(one.unasked() && two.unasked());
     });
 }
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -51,7 +51,10 @@
         assert_eq!(answer.field("fennelpin-host-seal"), Some("first"));
         assert_eq!((answer.whole, answer.body), (true, events([8, 9, 10])));
         assert_eq!(
-            (proxy.counters.get().resumed, proxy.counters.get().passed),
+            (
+                proxy.counters.get().resumed_streams,
+                proxy.counters.get().responses
+            ),
             (1, 1)
         );
     });
