--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A proxy with hosts that follow a script, in one process on 127.0.0.1.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of this")]
 
 use balancing::HostInfo;
 use configuration::{Configuration, ProcessSettings};
@@ -236,7 +236,7 @@
         match length {
             Some(n) => {
                 if let Some(body) = self.take(n).await {
-                    message.body = body
+                    message.body = body;
                 } else {
                     message.body = String::from_utf8(std::mem::take(&mut self.buf)).unwrap();
                     message.whole = false;
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -197,13 +197,13 @@
                 | Play::RefusesWithoutEnd
         );
         if begun {
-            assert!(!answer.whole, "{}", answer.head)
+            assert!(!answer.whole, "{}", answer.head);
         } else {
             assert!(
                 [502, 503, 504].contains(&answer.status()),
                 "{}",
                 answer.head
-            )
+            );
         }
     });
 }
--- a/crates/proxy/tests/hosts.rs
+++ b/crates/proxy/tests/hosts.rs
@@ -61,9 +61,9 @@
         assert!(answer.whole);
         assert_eq!(answer.field("content-encoding"), None);
         if pure {
-            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"))
+            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
         } else {
-            assert_eq!(answer.status(), 502)
+            assert_eq!(answer.status(), 502);
         }
     });
 }
@@ -307,7 +307,7 @@
         };
         let answer = two(path, play, pure).await;
         if pure {
-            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"))
+            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
         } else {
             assert_eq!((answer.status(), answer.body.as_str()), (status, "oops"));
             assert_eq!(
@@ -588,9 +588,9 @@
         };
         let (_, conn) = tokio::join!(client.until(&body), play);
         if cut {
-            conn.reset()
+            conn.reset();
         } else {
-            drop(conn)
+            drop(conn);
         }
         assert_eq!(client.ends_in_order().await, !cut);
     });
--- a/crates/proxy/tests/matching.rs
+++ b/crates/proxy/tests/matching.rs
@@ -374,9 +374,9 @@
             .await;
         // Unread bytes make the system reset it at a plain close too; in order it ends its own side only.
         if in_order {
-            rustix::net::shutdown(&conn.stream, rustix::net::Shutdown::Write).unwrap()
+            rustix::net::shutdown(&conn.stream, rustix::net::Shutdown::Write).unwrap();
         } else {
-            conn.reset()
+            conn.reset();
         }
         assert_eq!(client.message().await.unwrap().status(), 502);
         assert_eq!(proxy.counters.get().attempts, if used { 2 } else { 1 });
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -11,7 +11,10 @@
 }
 
 #[derive(Debug)]
-struct Conn(u32, #[allow(dead_code)] ConnectionPermit);
+struct Conn(
+    u32,
+    #[allow(dead_code, reason = "held until it is dropped")] ConnectionPermit,
+);
 
 fn host(name: &str) -> Arc<str> {
     name.into()
--- a/crates/proxy/tests/until_end.rs
+++ b/crates/proxy/tests/until_end.rs
@@ -116,9 +116,9 @@
         let (seen, conn) = tokio::join!(client.until(&body), play);
         assert!(!seen.contains("Transfer-Encoding"));
         if reset {
-            conn.reset()
+            conn.reset();
         } else {
-            drop(conn)
+            drop(conn);
         }
         assert_eq!(client.ends_in_order().await, !reset);
     });
--- /dev/null
+++ b/crates/proxy/tests/wire_format.rs
@@ -0,0 +1,227 @@
+//! The exact bytes of heads and local replies, as the release before this one wrote them.
+
+mod common;
+use common::*;
+
+/// The heads and replies that were recorded with the release before, each under a title.
+const RECORDED: &str = include_str!("fixtures/wire_format.txt");
+
+/// A transcript of heads in which what changes from run to run is replaced.
+#[derive(Default)]
+struct Transcript(String);
+
+impl Transcript {
+    fn add(&mut self, title: &str, text: &str) {
+        self.0.push_str(&format!("# {title}\n"));
+        for line in text.split_inclusive("\r\n") {
+            let line = match line.split_once(": ") {
+                Some(("Fennelpin-Deadline-Ms", _)) => "Fennelpin-Deadline-Ms: (left)\r\n",
+                _ => line,
+            };
+            self.0.push_str(&line.replace("\r\n", "\\r\\n\n"));
+        }
+        self.0.push('\n');
+    }
+}
+
+const FIELDS: &str = "X-Own: a  b\r\nConnection: X-Hop, Fennelpin-Attempt-Id\r\nx-hop: 1\r\nKeep-Alive: timeout=9\r\n\
+    TE: trailers\r\nPriority: 3\r\nLast-Event-ID: 7\r\nExpect-Version: v2\r\nFENNELPIN-DEADLINE-MS: 5000\r\n\
+    Fennelpin-Expected-Host: other\r\nFennelpin-Prompt-Prefix: 1f:100,2a:7\r\nFennelpin-Token-Counts: 107,20\r\nX-Empty:\r\n";
+
+async fn record_requests(transcript: &mut Transcript) {
+    let mut host = Host::new("h1", "s").await;
+    let proxy = Proxy::new(&[&host]).await;
+    for (path, fields) in [
+        ("/pure/a?b=c", FIELDS),
+        ("/more/a", FIELDS),
+        ("/once/a", "Content-Type: text/plain\r\nExpect: x\r\n"),
+    ] {
+        let mut client = proxy.client().await;
+        client.send(&request(path, "one", fields)).await;
+        let mut conn = host.conn().await;
+        transcript.add(&format!("request {path}"), &conn.head().await.unwrap());
+    }
+    let mut client = proxy.client().await;
+    client
+        .send("GET http://x.example:80/pure/a HTTP/1.0\r\nFennelpin-Attempt-Id: two\r\n\r\n")
+        .await;
+    let mut conn = host.conn().await;
+    transcript.add("request without a body", &conn.head().await.unwrap());
+}
+
+/// Method, path and version of a request; status line, framing and body of the host's response.
+const RESPONSES: [(&str, &str, &str, &str, &str); 10] = [
+    (
+        "POST",
+        "/pure/a",
+        "1.1",
+        "200 Fine\r\nContent-Length: 2",
+        "ok",
+    ),
+    (
+        "POST",
+        "/pure/a",
+        "1.0",
+        "404 Not Found\r\nContent-Length: 2",
+        "no",
+    ),
+    (
+        "POST",
+        "/pure/a",
+        "1.1",
+        "204 No Content\r\nContent-Length: 2",
+        "",
+    ),
+    ("HEAD", "/pure/a", "1.1", "200 OK\r\nContent-Length: 77", ""),
+    ("POST", "/once/a", "1.1", "500 \r\nContent-Length: 2", "no"),
+    (
+        "POST",
+        "/once/a",
+        "1.1",
+        "200 OK\r\nTransfer-Encoding: chunked",
+        "2\r\nok\r\n0\r\n\r\n",
+    ),
+    (
+        "POST",
+        "/live/a",
+        "1.1",
+        "200 OK\r\nContent-Length: 2",
+        "ok",
+    ),
+    (
+        "POST",
+        "/live/a",
+        "1.1",
+        "200 OK\r\nTransfer-Encoding: chunked",
+        "2\r\nok\r\n0\r\n\r\n",
+    ),
+    (
+        "POST",
+        "/more/a",
+        "1.1",
+        "200 OK\r\nContent-Length: 8",
+        "id: 1\r\n\n",
+    ),
+    (
+        "POST",
+        "/more/a",
+        "1.0",
+        "200 OK\r\nTransfer-Encoding: chunked",
+        "2\r\n\n\n\r\n0\r\n\r\n",
+    ),
+];
+
+async fn record_responses(transcript: &mut Transcript) {
+    let mut host = Host::new("h1", "s").await;
+    let proxy = Proxy::new(&[&host]).await;
+    let fields = "X-Own: a  b\r\nConnection: X-Hop, Fennelpin-Host-Seal\r\nx-hop: 1\r\nKeep-Alive: timeout=5\r\n\
+        Fennelpin-Host-Seal: seal\r\nFennelpin-Host-Load: 1,2,3\r\nServer: s";
+    for (method, path, version, lines, body) in RESPONSES {
+        for connection in ["", "Connection: close\r\n"] {
+            let mut client = proxy.client().await;
+            let asked = format!(
+                "{method} {path} HTTP/{version}\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\n{connection}\r\n"
+            );
+            client.send(&asked).await;
+            let mut conn = host.conn().await;
+            conn.reply(&format!("{lines}\r\n{fields}\r\nConnection: close"), body)
+                .await;
+            let title = format!("response {method} {path} {version} {lines:?} {connection:?}");
+            let received = if connection.is_empty() {
+                client.head().await.unwrap()
+            } else {
+                to_the_end(&mut client).await
+            };
+            transcript.add(&title, &received);
+        }
+    }
+}
+
+async fn to_the_end(client: &mut Peer) -> String {
+    client.closed().await;
+    String::from_utf8(client.take_held(usize::MAX)).unwrap()
+}
+
+async fn record_local_replies(transcript: &mut Transcript) {
+    let host = Host::new("h1", "s").await;
+    let blank = Proxy::blank().await;
+    let alone = Proxy::new(&[]).await;
+    let served = Proxy::new(&[&host]).await;
+    let with_id = |path: &str, method: &str| {
+        format!("{method} {path} HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\nConnection: close\r\n\r\n")
+    };
+    let cases = [
+        ("no configuration", &blank, with_id("/pure/a", "POST")),
+        ("no route", &served, with_id("/none/a", "POST")),
+        ("no route for HEAD", &served, with_id("/none/a", "HEAD")),
+        (
+            "no id",
+            &served,
+            "GET /pure/a HTTP/1.1\r\nHost: x.example\r\nConnection: close\r\n\r\n".to_owned(),
+        ),
+        (
+            "two framings",
+            &served,
+            request("/pure/a", "one", "Transfer-Encoding: chunked\r\n"),
+        ),
+        (
+            "large body",
+            &served,
+            request("/pure/a", "one", "").replace("Length: 2", "Length: 999999"),
+        ),
+        (
+            "large head",
+            &served,
+            request("/pure/a", "one", &format!("X: {}\r\n", "a".repeat(5000))),
+        ),
+        ("no host", &alone, with_id("/pure/a", "POST")),
+    ];
+    for (title, proxy, text) in cases {
+        let mut client = proxy.client().await;
+        client.send(&text).await;
+        let reply = to_the_end(&mut client).await;
+        transcript.add(&format!("local reply: {title}"), &reply);
+    }
+    let mut client = served.client().await;
+    client.send(&request("/none/a", "one", "")).await;
+    transcript.add(
+        "local reply that keeps the connection",
+        &client.head().await.unwrap(),
+    );
+}
+
+async fn record_readiness(transcript: &mut Transcript) {
+    let host = Host::new("h1", "s").await;
+    let blank = Proxy::blank().await;
+    let served = Proxy::new(&[&host]).await;
+    for (title, proxy, path) in [
+        ("not ready", &blank, "/fennelpin/readiness"),
+        ("ready", &served, "/fennelpin/readiness"),
+        ("unknown", &served, "/fennelpin"),
+    ] {
+        for connection in ["", "Connection: close\r\n"] {
+            let mut client = Peer::connect(proxy.readiness).await;
+            client
+                .send(&format!(
+                    "GET {path} HTTP/1.1\r\nHost: x\r\n{connection}\r\n"
+                ))
+                .await;
+            transcript.add(
+                &format!("readiness: {title}"),
+                &client.head().await.unwrap(),
+            );
+        }
+    }
+}
+
+#[test]
+fn heads_and_local_replies_are_written_as_the_release_before_wrote_them() {
+    story(async {
+        let mut transcript = Transcript::default();
+        record_requests(&mut transcript).await;
+        record_responses(&mut transcript).await;
+        record_local_replies(&mut transcript).await;
+        record_readiness(&mut transcript).await;
+        assert_eq!(transcript.0, RECORDED);
+    });
+}
