--- a/crates/control-plane/src/member/leave.rs
+++ b/crates/control-plane/src/member/leave.rs
@@ -56,7 +56,7 @@
         let Some(departure) = self.departure.as_mut().filter(|d| now >= d.say_at) else {
             return;
         };
-        departure.say_at = now + self.config.lease.mul_f64(SAY_AGAIN_INTERVAL);
+        departure.say_at = now + self.config.lease_duration.mul_f64(SAY_AGAIN_INTERVAL);
         let epoch = self.view.as_ref().map_or(0, |v| v.epoch);
         let others: BTreeSet<u64> = self
             .other_voters()
@@ -78,14 +78,14 @@
     /// Whether a member has said lately that it is about to end.
     pub(super) fn peer_leaving(&self, id: u64) -> bool {
         let said = self.peers.get(&id).and_then(|p| p.leaving);
-        said.is_some_and(|at| self.now < at + LEAVING_COUNTED_LEASES * self.config.lease)
+        said.is_some_and(|at| self.now < at + LEAVING_COUNTED_LEASES * self.config.lease_duration)
     }
 
     /// Whether a member has said that it is about to end, so lately that what was heard of it since may be its last. Who
     /// is back in another life says nothing of the kind, and joins once this time is over.
     pub(super) fn left_lately(&self, id: u64) -> bool {
         let said = self.peers.get(&id).and_then(|p| p.leaving);
-        said.is_some_and(|at| self.now < at + NO_RETURN_LEASES * self.config.lease)
+        said.is_some_and(|at| self.now < at + NO_RETURN_LEASES * self.config.lease_duration)
     }
 
     /// Whether a member's disk takes writes, as far as known.
@@ -96,16 +96,17 @@
     /// Views reach those who aren't replicas only once all replicas have them on disk.
     pub(super) fn note_succession(&mut self, view: &MembershipConfig) {
         let newer = self.view.as_ref().is_none_or(|v| view.epoch > v.epoch);
-        let without = view.seat(self.me()).is_none() && !view.replicas.contains(&self.me());
+        let without = view.voter(self.me()).is_none() && !view.replicas.contains(&self.me());
         if let Some(departure) = &mut self.departure {
-            departure.succeeded |= newer && without && view.settled();
+            departure.succeeded |= newer && without && view.is_stable();
         }
     }
 
     /// Those who leave and have no say in a view, but wait for it to be there.
     pub(super) fn leaving_without_say(&self, view: &MembershipConfig) -> Vec<u64> {
-        let without =
-            |id: &u64| view.seat(*id).is_none() && !view.before.iter().any(|s| s.id == *id);
+        let without = |id: &u64| {
+            view.voter(*id).is_none() && !view.previous_voters.iter().any(|s| s.id == *id)
+        };
         self.peers
             .keys()
             .copied()
@@ -120,25 +121,26 @@
         let Some(departure) = self.departure.as_ref().filter(|d| !d.over) else {
             return;
         };
-        let waited = self.now >= departure.since + MAX_HAND_OVER_LEASES * self.config.lease;
+        let waited =
+            self.now >= departure.since + MAX_HAND_OVER_LEASES * self.config.lease_duration;
         let deserted = self.other_voters().iter().all(|id| self.peer_leaving(*id));
         if matches!(self.role, Role::Primary(_)) && (waited || deserted || self.others_can_go_on())
         {
             self.release_lease(out);
         }
-        let idle = matches!(self.role, Role::Idle);
+        let idle = matches!(self.role, Role::Follower);
         if idle && (deserted || self.succeeded()) {
             if let Some(departure) = &mut self.departure {
                 departure.over = true;
             }
-            out.push(Output::Left);
+            out.push(Output::DepartureComplete);
         }
     }
 
     /// Whether neither the ledger nor a majority rests on this member any more.
     fn succeeded(&self) -> bool {
         let free = |v: &MembershipConfig| {
-            v.settled() && !v.replicas.contains(&self.me()) && !self.gives_up_vote(v)
+            v.is_stable() && !v.replicas.contains(&self.me()) && !self.gives_up_vote(v)
         };
         self.view.as_ref().is_none_or(free) || self.departure.as_ref().is_some_and(|d| d.succeeded)
     }
@@ -149,8 +151,8 @@
         let others_join = self
             .peers
             .values()
-            .any(|p| view.seat(p.seat.id).is_none() && self.may_join(p));
-        view.seat(self.me()).is_some() && (others_join || self.can_spare_a_voter(view))
+            .any(|p| view.voter(p.seat.id).is_none() && self.may_join(p));
+        view.voter(self.me()).is_some() && (others_join || self.can_spare_a_voter(view))
     }
 
     /// Whether those who answered lately and stay are a majority, with enough replicas among them.
@@ -158,7 +160,7 @@
         let (Role::Primary(state), Some(view)) = (&self.role, &self.view) else {
             return false;
         };
-        let recent = self.config.lease.mul_f64(RECENT_GRANT);
+        let recent = self.config.lease_duration.mul_f64(RECENT_GRANT);
         let granted = |id: u64| {
             state
                 .stamps
@@ -167,20 +169,20 @@
         };
         let stays = |id: u64| granted(id) && self.peer_fit(id) && !self.peer_leaving(id);
         let seats: Vec<&MemberInfo> = view.voters.iter().filter(|s| stays(s.id)).collect();
-        view.majority(stays) && choose_replicas(&self.config.budget, &seats).is_some()
+        view.has_quorum(stays) && choose_replicas(&self.config.fault_budget, &seats).is_some()
     }
 
     fn other_voters(&self) -> BTreeSet<u64> {
         let voters = self
             .view
             .iter()
-            .flat_map(|v| v.voters.iter().chain(&v.before));
+            .flat_map(|v| v.voters.iter().chain(&v.previous_voters));
         voters.map(|s| s.id).filter(|id| *id != self.me()).collect()
     }
 
     pub(super) fn departure_wake(&self) -> Option<Duration> {
         let departure = self.departure.as_ref()?;
-        let end = departure.since + MAX_HAND_OVER_LEASES * self.config.lease;
+        let end = departure.since + MAX_HAND_OVER_LEASES * self.config.lease_duration;
         let hands_over = !departure.over && end > self.now;
         Some(if hands_over {
             end.min(departure.say_at)
--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -10,7 +10,7 @@
 use crate::retry::AttemptOutcome;
 use crate::state::InFlightAttempt;
 use crate::upstream::UpstreamConnection;
-use balancing::{Load, Outcome};
+use balancing::{HostLoad, Outcome};
 use configuration::RouteKind;
 use http1::ResponseHead;
 
@@ -31,7 +31,7 @@
     pub(super) head: ResponseHead,
     /// Whether responses to other requests came before it. If so, the connection is not used again.
     pub(super) behind_strays: bool,
-    pub(super) load: Option<Load>,
+    pub(super) load: Option<HostLoad>,
 }
 
 /// What a response means by its head.
@@ -52,7 +52,7 @@
         let mut connection = match self.send_request(&host).await {
             Ok(connection) => connection,
             Err(error) => {
-                host.attempt.finish(error.outcome_for_policy(), None);
+                host.attempt.finish(error.host_outcome(), None);
                 return AttemptResult::Failed(error.attempt_outcome());
             }
         };
@@ -122,12 +122,12 @@
         // Refused for the version that its client expects, the request says nothing about who the host is.
         let expects_version = self.request.head.fields.get(EXPECT_VERSION).is_some();
         let outcome = match response.head.status {
-            421 if !expects_version => Outcome::OtherHost,
-            429 | 503 => Outcome::Full,
-            _ => Outcome::TurnedAway,
+            421 if !expects_version => Outcome::Misdirected,
+            429 | 503 => Outcome::Overloaded,
+            _ => Outcome::Rejected,
         };
         let HostResponse { host, load, .. } = response;
-        if outcome == Outcome::OtherHost {
+        if outcome == Outcome::Misdirected {
             self.state.pool.borrow_mut().close_idle(&host.id);
         } else {
             self.drain_refusal(
@@ -154,12 +154,12 @@
                 AttemptResult::Failed(AttemptOutcome::Broken)
             }
             WaitError::DeadlinePassed => {
-                attempt.finish(Outcome::Silent, None);
+                attempt.finish(Outcome::TimedOut, None);
                 AttemptResult::Failed(AttemptOutcome::Broken)
             }
             // The caller drops the old connection before the next host is asked.
             WaitError::FailedOver(next) => {
-                attempt.finish(Outcome::Silent, None);
+                attempt.finish(Outcome::TimedOut, None);
                 AttemptResult::FailedOver(next)
             }
         }
--- a/crates/proxy/src/exchange/buffered.rs
+++ b/crates/proxy/src/exchange/buffered.rs
@@ -104,7 +104,7 @@
                     return AttemptResult::Answered(ConnectionOutcome::Truncated);
                 }
                 Ok(Ok(Some(_))) | Err(_) => {
-                    response.host.attempt.finish(Outcome::Silent, None);
+                    response.host.attempt.finish(Outcome::TimedOut, None);
                     return AttemptResult::Answered(ConnectionOutcome::Truncated);
                 }
             };
@@ -137,7 +137,7 @@
 /// What a complete response says about its host.
 fn outcome_of_status(status: u16) -> Outcome {
     if status < 400 {
-        Outcome::Done
+        Outcome::Succeeded
     } else {
         Outcome::Failed
     }
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -41,11 +41,11 @@
     }
 
     /// What it says about the host.
-    pub(super) fn outcome_for_policy(self) -> Outcome {
+    pub(super) fn host_outcome(self) -> Outcome {
         match self {
-            Self::AtConnectionLimit => Outcome::TurnedAway,
-            Self::Unreachable => Outcome::Unreached,
-            Self::Broken => Outcome::Silent,
+            Self::AtConnectionLimit => Outcome::Rejected,
+            Self::Unreachable => Outcome::ConnectFailed,
+            Self::Broken => Outcome::TimedOut,
         }
     }
 }
--- a/crates/proxy/src/exchange/host_selection.rs
+++ b/crates/proxy/src/exchange/host_selection.rs
@@ -3,7 +3,7 @@
 use super::admission::Rejection;
 use super::Exchange;
 use crate::state::InFlightAttempt;
-use balancing::{Ask, Choice};
+use balancing::{HostChoice, RequestContext};
 use configuration::ResultCode;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -30,29 +30,25 @@
             return Err(Rejection::new(self.retry.deadline_code()));
         }
         self.take_retry_budget(now)?;
-        let mut policy = self.state.policy.borrow_mut();
-        let choice = policy.choose(
-            now,
-            &Ask {
-                service: self.service,
-                rank: self.route.rank,
-                idempotent: self.retry.idempotent(),
-                parts: &self.prompt_parts,
-                tokens: self.token_counts,
-                target: self.latency_target().unwrap_or(time_left),
-                left: time_left,
-                tried: &self.attempted_hosts,
-            },
-        );
-        match choice {
-            Choice::Host {
+        let mut load_balancer = self.state.load_balancer.borrow_mut();
+        let context = RequestContext {
+            service: self.service,
+            rank: self.route.rank,
+            idempotent: self.retry.idempotent(),
+            prompt_parts: &self.prompt_parts,
+            prompt_tokens: self.prompt_tokens,
+            time_remaining: time_left,
+            attempted_hosts: &self.attempted_hosts,
+        };
+        match load_balancer.choose_host(now, &context) {
+            HostChoice::Selected {
                 attempt,
                 id,
                 addr,
                 priority,
             } => {
-                if let Some(placement) = policy.take_placement() {
-                    self.state.hints.borrow().publish(&placement);
+                if let Some(hint) = load_balancer.take_prefix_hint() {
+                    self.state.hints.borrow().publish(&hint);
                 }
                 Ok(SelectedHost {
                     attempt: InFlightAttempt::new(self.state, attempt),
@@ -61,7 +57,7 @@
                     priority,
                 })
             }
-            Choice::None { retry_after } => Err(Rejection::retry_after(
+            HostChoice::Unavailable { retry_after } => Err(Rejection::retry_after(
                 self.retry.code_unless_run(ResultCode::NoHost),
                 retry_after,
             )),
@@ -72,18 +68,12 @@
         if !self.retry.needs_retry_budget() {
             return Ok(());
         }
-        let mut policy = self.state.policy.borrow_mut();
-        if !policy.take_repeat(now, self.service) {
+        let mut load_balancer = self.state.load_balancer.borrow_mut();
+        if !load_balancer.withdraw_retry(now, self.service) {
             let code = self.retry.code_unless_run(ResultCode::BudgetSpent);
             return Err(Rejection::new(code));
         }
         self.retry.record_budget_taken();
         Ok(())
     }
-
-    /// The time within which the response earns its full value; `None` if it is out of range.
-    fn latency_target(&self) -> Option<Duration> {
-        let target_ms = self.route.target_ms.unwrap_or(self.route.deadline_ms);
-        Duration::try_from_secs_f64(target_ms / 1e3).ok()
-    }
 }
--- a/crates/proxy/src/exchange/host_wait.rs
+++ b/crates/proxy/src/exchange/host_wait.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// While a host is silent, the policy's patience is asked for again after this: other requests may find meanwhile that
+/// While a host is silent, the attempt's time-out is asked for again after this: other requests may find meanwhile that
 /// the host is down, or alive.
-const PATIENCE_RECHECK_INTERVAL: Duration = Duration::from_millis(250);
+const TIMEOUT_RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why a host is no longer waited for.
 pub(super) enum WaitError {
@@ -21,8 +21,8 @@
     FailedOver(SelectedHost),
 }
 
-/// Waits for a host until the deadline. While the request may fail over, it waits only for as long as the policy's
-/// patience lasts or no other host can be had.
+/// Waits for a host until the deadline. While the request may fail over, it waits only until the attempt times out and
+/// another host can be had.
 pub(super) struct HostWait {
     sent_at: Instant,
     /// Nothing has come of a response yet, and the request may go to another host.
@@ -54,13 +54,13 @@
         let deadline = exchange.response_deadline();
         loop {
             let now = Instant::now();
-            let patience_ends = self.patience_ends(attempt);
-            if patience_ends.is_some_and(|end| end <= now) {
+            let times_out_at = self.times_out_at(attempt);
+            if times_out_at.is_some_and(|at| at <= now) {
                 if let Some(next) = self.select_next_host(exchange) {
                     return Err(WaitError::FailedOver(next));
                 }
             }
-            let wake_at = self.wake_at(now, patience_ends, deadline);
+            let wake_at = self.wake_at(now, times_out_at, deadline);
             match timeout_at(wake_at, read(connection)).await {
                 Ok(Ok(done)) => return Ok(done),
                 Ok(Err(error)) => {
@@ -73,11 +73,11 @@
         }
     }
 
-    fn patience_ends(&self, attempt: &InFlightAttempt) -> Option<Instant> {
+    fn times_out_at(&self, attempt: &InFlightAttempt) -> Option<Instant> {
         if !self.may_fail_over {
             return None;
         }
-        attempt.patience().map(|patience| self.sent_at + patience)
+        attempt.timeout().map(|timeout| self.sent_at + timeout)
     }
 
     fn select_next_host(&mut self, exchange: &mut Exchange<'_>) -> Option<SelectedHost> {
@@ -88,13 +88,13 @@
         exchange.select_host().ok()
     }
 
-    fn wake_at(&self, now: Instant, patience_ends: Option<Instant>, deadline: Instant) -> Instant {
-        let Some(patience_ends) = patience_ends.filter(|_| self.may_fail_over) else {
+    fn wake_at(&self, now: Instant, times_out_at: Option<Instant>, deadline: Instant) -> Instant {
+        let Some(times_out_at) = times_out_at.filter(|_| self.may_fail_over) else {
             return deadline;
         };
-        let recheck_at = now + PATIENCE_RECHECK_INTERVAL;
-        if patience_ends > now {
-            patience_ends.min(recheck_at).min(deadline)
+        let recheck_at = now + TIMEOUT_RECHECK_INTERVAL;
+        if times_out_at > now {
+            times_out_at.min(recheck_at).min(deadline)
         } else {
             recheck_at.min(deadline)
         }
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -28,6 +28,7 @@
 use crate::response_progress::{ConnectionOutcome, ResponseProgress};
 use crate::retry::{RetryDecision, RetryState};
 use crate::state::ProxyState;
+use balancing::PromptPart;
 use bytes::Bytes;
 use configuration::Route;
 use http1::ResponseHead;
@@ -45,7 +46,7 @@
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 /// After the deadline a response that never pauses is relayed for this long at most.
 const MAX_OVERTIME: Duration = Duration::from_millis(200);
-/// `Retry-After`, as a share of the route's latency target, where the policy names none.
+/// `Retry-After`, as a share of the route's latency target, where the load balancer names none.
 const RETRY_AFTER_TARGET_SHARE: f64 = 0.1;
 /// Latency target of a route that gives none, in milliseconds.
 const DEFAULT_TARGET_MS: f64 = 1000.0;
@@ -60,10 +61,9 @@
     service: &'a str,
     retry: RetryState,
     attempted_hosts: Vec<Arc<str>>,
-    /// Parts of the prompt: id and tokens.
-    prompt_parts: Vec<(u64, u32)>,
-    /// Tokens of the prompt and of the longest response.
-    token_counts: (u32, u32),
+    prompt_parts: Vec<PromptPart>,
+    /// 0 if unknown.
+    prompt_tokens: u32,
     /// How far the client has the stream.
     offset: EventOffset,
     /// Writes the response to the client, once its head has gone.
@@ -111,7 +111,10 @@
         let service = admission::select_service(state, route)?;
         let deadline = admission::deadline(state, request, route);
         admission::check_shutdown(state, route, deadline)?;
-        state.policy.borrow_mut().arrived(state.now(), service);
+        state
+            .load_balancer
+            .borrow_mut()
+            .on_request(state.now(), service);
         let fields = &request.head.fields;
         Ok(Self {
             state,
@@ -123,7 +126,7 @@
             retry: RetryState::new(route.idempotent(), route.max_tries, deadline),
             attempted_hosts: Vec::new(),
             prompt_parts: balancing_headers::prompt_parts(fields.get_str(PROMPT_PREFIX)),
-            token_counts: balancing_headers::token_counts(fields.get_str(TOKEN_COUNTS)),
+            prompt_tokens: balancing_headers::prompt_tokens(fields.get_str(TOKEN_COUNTS)),
             offset: EventOffset::after(fields.get_str(LAST_EVENT_ID)),
             started_writer: Cell::new(None),
             host_error: None,
--- a/crates/proxy/src/exchange/streaming.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -122,7 +122,7 @@
         if !behind_strays {
             upstream::release(self.state, &host.id, connection, &head);
         }
-        host.attempt.finish(Outcome::Done, None);
+        host.attempt.finish(Outcome::Succeeded, None);
         let rest = relay.splitter.take_incomplete();
         if !rest.is_empty() && !relay.writer.write(self, &head, &rest).await {
             return AttemptResult::Answered(ConnectionOutcome::Truncated);
--- a/crates/proxy/src/hints/listener.rs
+++ b/crates/proxy/src/hints/listener.rs
@@ -1,9 +1,9 @@
-//! Takes placement hints of other proxies, and answers those that ask for what this one knows.
+//! Takes prefix hints of other proxies, and answers those that ask for what this one knows.
 
 use super::publisher::to_wire;
 use super::MAX_DATAGRAM_BYTES;
 use crate::state::ProxyState;
-use balancing::Placement;
+use balancing::{PrefixHint, PromptPart};
 use protocol::Message;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -40,7 +40,10 @@
 
 fn handle(state: &ProxyState, socket: &UdpSocket, message: Message, sender: SocketAddr) {
     match message {
-        Message::PromptPlaced { placement, unread } => record(state, &placement, unread),
+        Message::PromptPlaced {
+            placement,
+            prefill_tokens,
+        } => record(state, &placement, prefill_tokens),
         Message::Placements { placements } => {
             for placement in &placements {
                 record(state, placement, 0);
@@ -51,28 +54,36 @@
     }
 }
 
-fn record(state: &ProxyState, placement: &protocol::Placement, unread_tokens: u32) {
-    let parts: Vec<(u64, u32)> = placement
+fn record(state: &ProxyState, placement: &protocol::Placement, prefill_tokens: u32) {
+    let parts: Vec<PromptPart> = placement
         .parts
         .iter()
-        .map(|part| (part.id, part.tokens))
+        .map(|part| PromptPart {
+            id: part.id,
+            tokens: part.tokens,
+        })
         .collect();
-    state
-        .policy
-        .borrow_mut()
-        .overheard(state.now(), &placement.host, &parts, unread_tokens);
+    state.load_balancer.borrow_mut().on_prefix_hint(
+        state.now(),
+        &placement.host,
+        &parts,
+        prefill_tokens,
+    );
 }
 
 /// Sends what the hosts' prefix caches hold, in as many datagrams as it takes.
 fn send_known_placements(state: &ProxyState, socket: &UdpSocket, to: SocketAddr) {
-    let known = state.policy.borrow().kept();
+    let known = state.load_balancer.borrow().cached_prefixes();
     let mut batch = PlacementBatch::new(socket, to);
-    for Placement { host, parts, .. } in known {
-        for some_parts in parts.chunks(MAX_PARTS_PER_ENTRY) {
-            let entry = to_wire(&Placement {
-                host: Arc::clone(&host),
-                parts: some_parts.to_vec(),
-                unread: 0,
+    for PrefixHint {
+        host_id, prefix, ..
+    } in known
+    {
+        for some_parts in prefix.chunks(MAX_PARTS_PER_ENTRY) {
+            let entry = to_wire(&PrefixHint {
+                host_id: Arc::clone(&host_id),
+                prefix: some_parts.to_vec(),
+                uncached_tokens: 0,
             });
             if !batch.push(entry) {
                 break;
--- a/crates/proxy/src/hints/mod.rs
+++ b/crates/proxy/src/hints/mod.rs
@@ -1,4 +1,4 @@
-//! Placement hints: proxies tell each other which host a prompt was sent to, so that others know what the hosts' prefix
+//! Prefix hints: proxies tell each other which host a prompt was sent to, so that others know what the hosts' prefix
 //! caches hold and what they have yet to prefill.
 //!
 //! Hints are datagrams that may be lost. All that depends on them is whether a prompt is prefilled again; no request
--- a/crates/proxy/src/hints/publisher.rs
+++ b/crates/proxy/src/hints/publisher.rs
@@ -1,7 +1,7 @@
-//! Sends placement hints to the other proxies.
+//! Sends prefix hints to the other proxies.
 
 use super::MAX_DATAGRAM_BYTES;
-use balancing::Placement;
+use balancing::PrefixHint;
 use configuration::ProcessSettings;
 use protocol::{Message, Part};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -51,13 +51,13 @@
     }
 
     /// Tells the peers of a prompt that was sent to a host. Hints larger than a datagram are not sent.
-    pub(crate) fn publish(&self, placement: &Placement) {
+    pub(crate) fn publish(&self, hint: &PrefixHint) {
         let Some(socket) = self.socket.as_ref().filter(|_| !self.peers.is_empty()) else {
             return;
         };
         let message = protocol::encode(&Message::PromptPlaced {
-            placement: to_wire(placement),
-            unread: placement.unread,
+            placement: to_wire(hint),
+            prefill_tokens: hint.uncached_tokens,
         });
         if message.len() > MAX_DATAGRAM_BYTES {
             return;
@@ -83,14 +83,14 @@
     let _ = socket.try_send_to(message, SocketAddr::V4(peer));
 }
 
-/// A placement in its form on the wire.
-pub(super) fn to_wire(placement: &Placement) -> protocol::Placement {
-    let parts = placement.parts.iter().map(|(id, tokens)| Part {
-        id: *id,
-        tokens: *tokens,
+/// A hint in its form on the wire.
+pub(super) fn to_wire(hint: &PrefixHint) -> protocol::Placement {
+    let parts = hint.prefix.iter().map(|part| Part {
+        id: part.id,
+        tokens: part.tokens,
     });
     protocol::Placement {
-        host: placement.host.to_string(),
+        host: hint.host_id.to_string(),
         parts: parts.collect(),
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -8,7 +8,7 @@
 //! | `client` | clients' connections: reading requests, keep-alive, limits |
 //! | `exchange` | one request from its route to its response, step by step |
 //! | [`upstream`] | connections to hosts and their pool |
-//! | `state` | what all connections share: routing table, balancing policy, memory, clock |
+//! | `state` | what all connections share: routing table, load balancer, memory, clock |
 //! | `hints` | which prompts went where, told between proxies |
 //! | `readiness` | the platform's readiness probe |
 //!
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -93,7 +93,7 @@
         BackgroundTask::spawn(follow_fleet(state.clone(), fleet)),
         BackgroundTask::spawn(readiness::serve(state.clone(), readiness_listener)),
         BackgroundTask::spawn(clean_up_pool(state.clone())),
-        BackgroundTask::spawn(tick_policy(state.clone())),
+        BackgroundTask::spawn(tick_load_balancer(state.clone())),
     ];
     let clients = ClientConnections::new(state.clone());
     clients.accept_until(&listener, stop).await;
@@ -139,7 +139,7 @@
     }
 }
 
-/// Starts to send and take placement hints, where the settings leave a port for them.
+/// Starts to send and take prefix hints, where the settings leave a port for them.
 async fn start_hints(state: &Rc<ProxyState>, settings: &ProcessSettings) -> Option<BackgroundTask> {
     let socket = hints::bind(settings).await?;
     state.hints.borrow_mut().set_socket(socket.clone());
@@ -169,6 +169,6 @@
     }
 }
 
-async fn tick_policy(state: Rc<ProxyState>) {
+async fn tick_load_balancer(state: Rc<ProxyState>) {
     state.run_ticks().await;
 }
--- a/crates/proxy/src/state/fleet_update.rs
+++ b/crates/proxy/src/state/fleet_update.rs
@@ -40,7 +40,7 @@
             .iter()
             .map(|service| service_info(&service.value))
             .collect();
-        self.policy.borrow_mut().set_services(now, &services);
+        self.load_balancer.borrow_mut().set_services(now, &services);
         log::info!(
             "configuration {}: {} routes",
             configuration.version,
@@ -53,10 +53,10 @@
             .hints
             .borrow_mut()
             .set_peers(&snapshot.peer_hint_addresses);
-        let mut policy = self.policy.borrow_mut();
-        policy.set_told(now, all_peers_reached);
-        policy.set_coordinators(now, snapshot.proxy_count);
-        policy.set_hosts(now, &snapshot.hosts);
+        let mut load_balancer = self.load_balancer.borrow_mut();
+        load_balancer.set_hints_complete(now, all_peers_reached);
+        load_balancer.set_proxy_count(now, snapshot.proxy_count);
+        load_balancer.set_hosts(now, &snapshot.hosts);
         let mut pool = self.pool.borrow_mut();
         let ids: HashSet<&str> = snapshot.hosts.iter().map(|host| &*host.id).collect();
         pool.retain_hosts(&ids);
@@ -81,7 +81,7 @@
 fn service_info(service: &Service) -> ServiceInfo {
     ServiceInfo {
         name: service.name.as_str().into(),
-        conn_limit: service.conn_limit,
-        cache_tokens: service.engine.as_ref().map(|engine| engine.cache_tokens),
+        connection_limit: service.conn_limit,
+        cache_capacity_tokens: service.engine.as_ref().map(|engine| engine.cache_tokens),
     }
 }
--- a/crates/proxy/src/state/in_flight.rs
+++ b/crates/proxy/src/state/in_flight.rs
@@ -1,7 +1,7 @@
 //! Attempts that have no outcome yet.
 
 use crate::state::ProxyState;
-use balancing::{Attempt, Load, Outcome};
+use balancing::{AttemptId, HostLoad, Outcome};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,16 +32,16 @@
     }
 }
 
-/// An attempt that the policy counts as in flight until it is finished. Dropped before that it counts as cancelled.
+/// An attempt that the load balancer counts as in flight until it is finished. Dropped before that it counts as cancelled.
 pub(crate) struct InFlightAttempt {
     state: Rc<ProxyState>,
-    attempt: Attempt,
+    attempt: AttemptId,
     finished: bool,
 }
 
 impl InFlightAttempt {
-    /// An attempt that the policy has just chosen a host for.
-    pub(crate) fn new(state: &Rc<ProxyState>, attempt: Attempt) -> Self {
+    /// An attempt that the load balancer has just chosen a host for.
+    pub(crate) fn new(state: &Rc<ProxyState>, attempt: AttemptId) -> Self {
         state.in_flight.increment();
         Self {
             state: state.clone(),
@@ -53,52 +53,55 @@
     /// The response has begun.
     pub(crate) fn record_response_start(&self) {
         self.state
-            .policy
+            .load_balancer
             .borrow_mut()
-            .first(self.state.now(), self.attempt);
+            .on_first_byte(self.state.now(), self.attempt);
     }
 
     /// More came of a response that has begun.
     pub(crate) fn record_progress(&self) {
         self.state
-            .policy
+            .load_balancer
             .borrow_mut()
-            .heard(self.state.now(), self.attempt);
+            .on_progress(self.state.now(), self.attempt);
     }
 
     /// The head of a response that goes on gave this load of the host.
-    pub(crate) fn record_load(&self, load: Option<Load>) {
+    pub(crate) fn record_load(&self, load: Option<HostLoad>) {
         if let Some(load) = load {
-            self.state
-                .policy
-                .borrow_mut()
-                .told(self.state.now(), self.attempt, load);
+            self.state.load_balancer.borrow_mut().on_load_report(
+                self.state.now(),
+                self.attempt,
+                load,
+            );
         }
     }
 
-    /// How long after its start a silent attempt is waited for before another host is worth asking; `None` if waiting
-    /// is best.
-    pub(crate) fn patience(&self) -> Option<Duration> {
+    /// Time after the sending of a silent attempt at which another host is worth asking; `None` if waiting is best. It
+    /// may change while the attempt is in flight.
+    pub(crate) fn timeout(&self) -> Option<Duration> {
         self.state
-            .policy
+            .load_balancer
             .borrow()
-            .patience(self.state.now(), self.attempt)
+            .attempt_timeout(self.state.now(), self.attempt)
     }
 
     /// Reports the outcome, and the host's load where the response gave it.
-    pub(crate) fn finish(mut self, outcome: Outcome, load: Option<Load>) {
+    pub(crate) fn finish(mut self, outcome: Outcome, load: Option<HostLoad>) {
         self.report(outcome, load);
     }
 
-    fn report(&mut self, outcome: Outcome, load: Option<Load>) {
+    fn report(&mut self, outcome: Outcome, load: Option<HostLoad>) {
         if std::mem::replace(&mut self.finished, true) {
             return;
         }
         self.state.in_flight.decrement();
-        self.state
-            .policy
-            .borrow_mut()
-            .ended(self.state.now(), self.attempt, outcome, load);
+        self.state.load_balancer.borrow_mut().on_attempt_ended(
+            self.state.now(),
+            self.attempt,
+            outcome,
+            load,
+        );
     }
 }
 
--- a/crates/proxy/src/state/mod.rs
+++ b/crates/proxy/src/state/mod.rs
@@ -18,7 +18,7 @@
 use crate::shutdown::Shutdown;
 use crate::upstream::pool::ConnectionPool;
 use crate::upstream::UpstreamConnection;
-use balancing::{Policy, Settings};
+use balancing::{LoadBalancer, LoadBalancerSettings};
 use capacity::Capacity;
 use configuration::{Limits, ProcessSettings};
 use in_flight::InFlightCount;
@@ -31,13 +31,13 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Least time between two ticks of the policy while attempts are in flight.
+/// Least time between two ticks of the load balancer while attempts are in flight.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// State of the process.
 pub(crate) struct ProxyState {
     pub(crate) clock: Clock,
-    pub(crate) policy: RefCell<Policy>,
+    pub(crate) load_balancer: RefCell<LoadBalancer>,
     routing_table: RefCell<Option<Rc<RoutingTable>>>,
     pub(crate) pool: RefCell<ConnectionPool<UpstreamConnection>>,
     pub(crate) counters: Rc<SharedCounters>,
@@ -58,13 +58,13 @@
         // The standard library's hasher is keyed with the system's randomness.
         let seed = RandomState::new().build_hasher().finish();
         let capacity = Capacity::from_settings(settings);
-        let mut policy = Policy::new(policy_settings(settings, seed));
+        let mut load_balancer = LoadBalancer::new(load_balancer_settings(settings, seed));
         if settings.bootstrap {
-            policy.set_first_start();
+            load_balancer.set_first_start();
         }
         Self {
             clock: Clock::start(),
-            policy: RefCell::new(policy),
+            load_balancer: RefCell::new(load_balancer),
             routing_table: RefCell::default(),
             pool: RefCell::new(ConnectionPool::new(capacity.max_host_connections)),
             counters,
@@ -133,26 +133,24 @@
             .unwrap_or(MIN_CONNECTIONS_PER_HOST)
     }
 
-    /// Ticks the policy while attempts are in flight, so that it notices when this process was stalled.
+    /// Ticks the load balancer while attempts are in flight, so that it notices when this process was stalled.
     pub(crate) async fn run_ticks(&self) {
         loop {
             self.in_flight.non_zero().await;
             sleep(TICK_INTERVAL).await;
-            self.policy.borrow_mut().tick(self.now());
+            self.load_balancer.borrow_mut().tick(self.now());
         }
     }
 }
 
-fn policy_settings(settings: &ProcessSettings, seed: u64) -> Settings {
+fn load_balancer_settings(settings: &ProcessSettings, random_seed: u64) -> LoadBalancerSettings {
     let bounds = &settings.bounds;
-    Settings {
+    LoadBalancerSettings {
         zone: settings.zone.as_str().into(),
         retry_ratio: bounds.retry_ratio,
         retry_window: duration_from_secs(bounds.retry_window_s),
         retry_slack: bounds.retry_slack,
-        drain: duration_from_secs(bounds.drain_ms / 1e3),
-        beat: Duration::from_millis(settings.beat_period_ms),
-        seed,
+        random_seed,
     }
 }
 
