--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -77,7 +77,7 @@
         let identity = latest_identity(identity)
             .context(IdentitySnafu)?
             .context(NoIdentitySnafu)?;
-        let StoredLog { owner, records } = StoredLog::of(records.to_vec());
+        let StoredLog { owner, records } = StoredLog::from_records(records.to_vec());
         if let Some(owner) = owner.map(|o| o.id).filter(|id| *id != identity.id) {
             return OtherOwnerSnafu {
                 owner,
@@ -198,7 +198,7 @@
         ];
         let identity = Identity {
             id,
-            life: self.identity.life,
+            incarnation: self.identity.incarnation,
             initial_voters: Vec::new(),
         };
         let owner = protocol::write_one(&LogOwner {
--- a/crates/control-plane/src/runtime/control_server.rs
+++ b/crates/control-plane/src/runtime/control_server.rs
@@ -160,7 +160,7 @@
             return;
         };
         bump(&self.counters.connections);
-        if let Err(e) = crate::runtime::connection::ready(&stream) {
+        if let Err(e) = crate::runtime::connection::set_socket_options(&stream) {
             log::debug!(error:% = e; "socket options");
         }
         let service = service_fn(|request| self.clone().answer(request));
--- a/crates/control-plane/src/runtime/host_cache.rs
+++ b/crates/control-plane/src/runtime/host_cache.rs
@@ -1,9 +1,10 @@
-//! The hosts as last known, kept on disk: after a start of the whole core proxies have hosts to send to before
-//! these have called again. Nothing rests on it: a host that isn't there any more is found out by whoever is sent
-//! there, and one that left is in the ledger.
+//! The hosts as last known, kept on disk.
+//!
+//! After a start of all members, proxies have hosts to send to before these have sent a heartbeat. Nothing depends on
+//! it: whoever sends to a host that is gone finds out, and a host that left is in the replicated state.
 
 use super::identity::Identity;
-use super::storage::{File, Write};
+use super::storage::{StateFile, Write};
 use protocol::{HostRecord, OriginUpdate, OriginVersion};
 use replication::{phase, SharedMirror, Update};
 use std::sync::mpsc::Sender;
@@ -12,70 +13,76 @@
 use tokio::time::sleep;
 
 /// Shortest time between two writes.
-const REST: Duration = Duration::from_millis(500);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Puts what was kept into the mirror, as a life of this member that is over.
-pub(super) fn recall(mirror: &SharedMirror, identity: &Identity, kept: Option<Vec<u8>>) {
-    let Some(source) = kept.and_then(|k| protocol::read_one::<OriginUpdate>(&k).ok()) else {
+/// Puts the stored hosts into the mirror, as records of an earlier incarnation of this member.
+pub(super) fn restore(mirror: &SharedMirror, identity: &Identity, stored: Option<Vec<u8>>) {
+    let Some(stored) = stored.and_then(|bytes| protocol::read_one::<OriginUpdate>(&bytes).ok())
+    else {
         return;
     };
-    let mark = OriginVersion {
+    let earlier = OriginVersion {
         id: identity.id,
-        life: identity.life.saturating_sub(1),
+        life: identity.incarnation.saturating_sub(1),
         seq: 1,
     };
-    let source = OriginUpdate {
-        mark,
-        whole: true,
-        coordinators: Vec::new(),
-        ..source
-    };
-    let news = Update {
+    let update = Update {
         age_ms: u32::MAX,
-        sources: vec![source],
+        sources: vec![OriginUpdate {
+            mark: earlier,
+            whole: true,
+            coordinators: Vec::new(),
+            ..stored
+        }],
         ..Update::default()
     };
-    mirror.update(|mirror, now| mirror.apply(now, &news));
+    mirror.update(|mirror, now| mirror.apply(now, &update));
 }
 
-/// Keeps the hosts that the mirror knows, whenever they change.
-pub(super) async fn keep(mirror: Arc<SharedMirror>, disk: Sender<Write>) {
-    let mut news = mirror.subscribe();
-    let mut kept: Vec<HostRecord> = Vec::new();
+/// Writes the hosts that the mirror knows whenever they change. Ends with the storage thread or the mirror.
+pub(super) async fn store_changes(mirror: Arc<SharedMirror>, storage: Sender<Write>) {
+    let mut snapshots = mirror.subscribe();
+    let mut stored: Vec<HostRecord> = Vec::new();
     loop {
-        let snapshot = news.borrow_and_update().clone();
-        let there = snapshot.hosts.values().filter(|h| h.phase == phase::READY);
-        // Numbers of calls rise all the time and say nothing of whether a host is there.
-        let hosts: Vec<HostRecord> = there
-            .map(|h| HostRecord {
-                call_seq: 0,
-                cold_left_ms: 0,
-                silent: false,
-                ..h.clone()
-            })
+        let snapshot = snapshots.borrow_and_update().clone();
+        let hosts: Vec<HostRecord> = snapshot
+            .hosts
+            .values()
+            .filter(|host| host.phase == phase::READY)
+            .map(stored_record)
             .collect();
-        if hosts != kept {
-            kept.clone_from(&hosts);
-            let source = OriginUpdate {
-                hosts,
-                ..OriginUpdate::default()
-            };
-            let records = vec![protocol::write_one(&source)];
-            if disk
-                .send(Write {
-                    ticket: 0,
-                    records,
-                    rewrite: true,
-                    file: File::HostRegistry,
-                })
-                .is_err()
-            {
+        if hosts != stored {
+            stored.clone_from(&hosts);
+            if storage.send(write_of(hosts)).is_err() {
                 return;
             }
         }
-        sleep(REST).await;
-        if news.changed().await.is_err() {
+        sleep(MIN_WRITE_INTERVAL).await;
+        if snapshots.changed().await.is_err() {
             return;
         }
     }
 }
+
+/// The part of a record that tells where a host is: the rest changes with each heartbeat.
+fn stored_record(host: &HostRecord) -> HostRecord {
+    HostRecord {
+        call_seq: 0,
+        cold_left_ms: 0,
+        silent: false,
+        ..host.clone()
+    }
+}
+
+fn write_of(hosts: Vec<HostRecord>) -> Write {
+    let content = OriginUpdate {
+        hosts,
+        ..OriginUpdate::default()
+    };
+    Write {
+        ticket: 0,
+        records: vec![protocol::write_one(&content)],
+        rewrite: true,
+        file: StateFile::HostCache,
+    }
+}
--- a/crates/control-plane/src/runtime/inbound.rs
+++ b/crates/control-plane/src/runtime/inbound.rs
@@ -47,7 +47,7 @@
     links: PeerConnections,
     feed: Arc<RegistryPublisher>,
 ) -> std::io::Result<()> {
-    connection::ready(&stream)?;
+    connection::set_socket_options(&stream)?;
     let mut frames = FrameReader::new(stream, Vec::new());
     let Some(first) = timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await?? else {
         return Ok(());
--- a/crates/control-plane/src/runtime/outputs.rs
+++ b/crates/control-plane/src/runtime/outputs.rs
@@ -40,7 +40,7 @@
             ticket,
             records,
             rewrite,
-            file: storage::File::Log,
+            file: storage::StateFile::Log,
         };
         // The thread ends with the process only.
         let _ = self.disk.send(write);
--- a/crates/control-plane/src/runtime/peer_connections/dial.rs
+++ b/crates/control-plane/src/runtime/peer_connections/dial.rs
@@ -2,7 +2,7 @@
 
 use super::channel::{Channel, ChannelState, QueuedFrame, MAX_QUEUED_BYTES};
 use super::{Peer, PeerConnections, PeerEvent};
-use crate::runtime::connection::{ready, write_all, write_all_counting};
+use crate::runtime::connection::{set_socket_options, write_all, write_all_counting};
 use protocol::{MemberInfo, Message};
 use replication::{FrameReader, Step};
 use std::cell::{Cell, RefCell};
@@ -130,7 +130,7 @@
         let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await else {
             return false;
         };
-        if let Err(e) = ready(&stream) {
+        if let Err(e) = set_socket_options(&stream) {
             log::debug!(error:% = e; "socket options");
         }
         let (input, mut output) = stream.into_split();
--- a/crates/control-plane/src/runtime/seeds.rs
+++ b/crates/control-plane/src/runtime/seeds.rs
@@ -7,24 +7,25 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// Tells links and pulls the seeds of now, and again whenever they change.
+/// Hands the seeds' addresses to the peer connections and to the puller, now and whenever they change.
+///
+/// Never ends: without news the last seeds stay.
 pub(super) async fn follow(
-    links: PeerConnections,
-    pulls: UnboundedSender<client::Control>,
+    peers: PeerConnections,
+    puller: UnboundedSender<client::Control>,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
     port: u16,
 ) {
     loop {
-        let now: Vec<SocketAddrV4> = seeds
+        let addresses: Vec<SocketAddrV4> = seeds
             .borrow_and_update()
             .iter()
-            .map(|s| member_address(*s, port))
+            .map(|control| member_address(*control, port))
             .collect();
-        links.set_seeds(&now);
-        // The puller ends with the process.
-        let _ = pulls.send(client::Control::Seeds(
-            now.iter().map(|s| (*s).into()).collect(),
-        ));
+        peers.set_seeds(&addresses);
+        let addresses = addresses.into_iter().map(Into::into).collect();
+        // The puller ends with the process only.
+        let _ = puller.send(client::Control::Seeds(addresses));
         if seeds.changed().await.is_err() {
             return std::future::pending().await;
         }
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -97,7 +97,7 @@
     let me = member_info(&boot, control, identity.id);
     log::info!(
         id = identity.id,
-        life = identity.life,
+        life = identity.incarnation,
         records = records.len(),
         founder = !identity.initial_voters.is_empty();
         "member starts"
@@ -109,8 +109,8 @@
     });
     let beat = Duration::from_millis(boot.beat_period_ms);
     let mirror = SharedMirror::since(Mirror::new(identity.id, beat), origin);
-    host_cache::recall(&mirror, &identity, roster);
-    let feed = RegistryPublisher::new(identity.id, identity.life, beat, mirror.clone());
+    host_cache::restore(&mirror, &identity, roster);
+    let feed = RegistryPublisher::new(identity.id, identity.incarnation, beat, mirror.clone());
     let history = Rc::new(RefCell::new(ConfigurationHistory::default()));
     let inside = listen(
         boot.bind
@@ -120,7 +120,7 @@
     .await?;
     open_desk.send_replace(Some(Rc::new(OpenMember {
         me: me.clone(),
-        life: identity.life,
+        life: identity.incarnation,
         links: links.clone(),
         feed: feed.clone(),
         history: history.clone(),
@@ -139,7 +139,7 @@
         mirror.clone(),
         told,
     ));
-    spawn_local(host_cache::keep(mirror.clone(), disk.clone()));
+    spawn_local(host_cache::store_changes(mirror.clone(), disk.clone()));
     spawn_local(seeds::follow(
         links.clone(),
         pulls,
@@ -262,7 +262,7 @@
             Event::Disk(StorageEvent::Open {
                 identity,
                 records,
-                roster,
+                host_cache: roster,
             }) => {
                 return Some((identity, records, roster));
             }
--- /dev/null
+++ b/crates/control-plane/src/runtime/storage/open.rs
@@ -0,0 +1,97 @@
+//! Opens a member's files, again and again until the disk allows it.
+
+use super::identity_file::IdentityFile;
+use super::{StorageEvent, Write};
+use crate::runtime::identity::{latest_identity, Identity, IdentityError, StartContext, StoredLog};
+use append_log::AppendLog;
+use snafu::{ResultExt, Snafu};
+use std::path::Path;
+use std::sync::mpsc;
+use std::time::Duration;
+
+/// Time between two attempts to open the files.
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+
+/// A member's files, open.
+pub(super) struct OpenFiles {
+    pub(super) identity: Identity,
+    pub(super) identity_file: IdentityFile,
+    pub(super) log: AppendLog,
+    /// `None` where the file can't be opened: the member does without.
+    pub(super) host_cache: Option<AppendLog>,
+}
+
+/// Why the files can't be opened.
+#[derive(Debug, Snafu)]
+enum OpenError {
+    #[snafu(display("a file can't be opened"))]
+    File { source: append_log::Error },
+    #[snafu(display("it isn't known who this member is"))]
+    UnknownIdentity { source: IdentityError },
+}
+
+/// Opens the files and reports what they hold; `None` where the sender of writes is gone before that works.
+pub(super) fn open_until_it_works(
+    dir: &Path,
+    context: &StartContext,
+    report: &dyn Fn(StorageEvent),
+    queue: &mpsc::Receiver<Write>,
+) -> Option<OpenFiles> {
+    loop {
+        match open(dir, context) {
+            Ok((mut files, records)) => {
+                let (host_cache, content) = open_host_cache(dir);
+                files.host_cache = host_cache;
+                report(StorageEvent::Open {
+                    identity: files.identity.clone(),
+                    records,
+                    host_cache: content,
+                });
+                return Some(files);
+            }
+            Err(error) => report(StorageEvent::NotOpen {
+                detail: snafu::Report::from_error(error).to_string(),
+            }),
+        }
+        match queue.recv_timeout(OPEN_RETRY_INTERVAL) {
+            Err(mpsc::RecvTimeoutError::Disconnected) => return None,
+            // Nobody writes before the files are open.
+            Ok(_) | Err(mpsc::RecvTimeoutError::Timeout) => {}
+        }
+    }
+}
+
+/// Opens identity and log; gives the log's records without its owner.
+fn open(dir: &Path, context: &StartContext) -> Result<(OpenFiles, Vec<Vec<u8>>), OpenError> {
+    let (file, stored_identities) = AppendLog::open(dir, "identity").context(FileSnafu)?;
+    let (mut log, stored_records) = AppendLog::open(dir, "ledger").context(FileSnafu)?;
+    let stored_log = StoredLog::from_records(stored_records);
+    let stored_identity = latest_identity(&stored_identities).context(UnknownIdentitySnafu)?;
+    let identity = context
+        .identity_with(stored_identity, &stored_log)
+        .context(UnknownIdentitySnafu)?;
+    let mut identity_file =
+        IdentityFile::new(file, stored_identities.len(), &identity, &stored_log);
+    // A full disk is no reason to stay away: an incarnation's number follows the time of day as well.
+    if let Err(error) = identity_file.store(&identity, &mut log) {
+        log::warn!(error:%; "identity not stored yet");
+    }
+    let files = OpenFiles {
+        identity,
+        identity_file,
+        log,
+        host_cache: None,
+    };
+    Ok((files, stored_log.records))
+}
+
+/// Opens the hosts' file with its content. What can't be read is reported anew by the hosts.
+fn open_host_cache(dir: &Path) -> (Option<AppendLog>, Option<Vec<u8>>) {
+    match AppendLog::open(dir, "roster") {
+        Ok((file, mut records)) => (Some(file), records.pop()),
+        Err(error) => {
+            log::warn!(error:%; "host cache unavailable");
+            (None, None)
+        }
+    }
+}
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -63,16 +63,16 @@
 fn a_life_is_numbered_above_the_one_before(#[case] before: u64, #[case] clock: u64) {
     let kept = Identity {
         id: 5,
-        life: before,
+        incarnation: before,
         ..Identity::default()
     };
     let identity = birth(SEEDS[0], true).identity(Some(kept));
-    assert!(identity.life > before);
+    assert!(identity.incarnation > before);
     assert_eq!(
         identity,
         Identity {
             id: 5,
-            life: (clock << TAIL_BITS) + 77,
+            incarnation: (clock << TAIL_BITS) + 77,
             initial_voters: vec![]
         }
     );
@@ -83,7 +83,7 @@
 fn two_lives_on_a_full_disk_never_have_the_same_number() {
     let kept = Some(Identity {
         id: 5,
-        life: following(0, 9_000, 1),
+        incarnation: following(0, 9_000, 1),
         ..Identity::default()
     });
     let first = birth(SEEDS[0], false).identity(kept.clone());
@@ -93,7 +93,7 @@
         ..birth(SEEDS[0], false)
     }
     .identity(kept);
-    assert_ne!(first.life, second.life);
+    assert_ne!(first.incarnation, second.incarnation);
 }
 
 #[test]
@@ -122,7 +122,7 @@
             identity: identity.clone(),
         })
     });
-    StoredLog::of(
+    StoredLog::from_records(
         owner
             .into_iter()
             .chain(records.iter().map(|r| r.to_vec()))
@@ -138,7 +138,7 @@
     let (first, again) = (start.identity(None), birth(SEEDS[0], false));
     let other = Identity {
         id: 5,
-        life: 1,
+        incarnation: 1,
         initial_voters: vec![],
     };
     let records: [&[u8]; 1] = [b"promised"];
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -15,7 +15,7 @@
 fn identity(cluster: &Cluster, n: usize) -> Vec<Vec<u8>> {
     let identity = Identity {
         id: cluster.id(n),
-        life: 5,
+        incarnation: 5,
         ..Identity::default()
     };
     vec![protocol::write_one(&identity)]
@@ -38,11 +38,15 @@
     let (identity, records) = survivor.recovered(&names(&survivor), NEW).unwrap();
     let identity: Identity = protocol::read_one(&identity).unwrap();
     assert_eq!(
-        (identity.id, identity.life, identity.initial_voters.len()),
+        (
+            identity.id,
+            identity.incarnation,
+            identity.initial_voters.len()
+        ),
         (NEW, 5, 0)
     );
     // The ledger's file begins with whose it is.
-    cluster.restart_as(n, NEW, StoredLog::of(records).records);
+    cluster.restart_as(n, NEW, StoredLog::from_records(records).records);
 }
 
 #[test]
--- a/crates/control-plane/tests/storage.rs
+++ b/crates/control-plane/tests/storage.rs
@@ -1,7 +1,7 @@
 //! The disk's thread on a real folder.
 
 use control_plane::runtime::identity::{Identity, StartContext};
-use control_plane::runtime::storage::{start, File, StorageEvent, Write};
+use control_plane::runtime::storage::{start, StateFile, StorageEvent, Write};
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, Sender};
 
@@ -32,7 +32,7 @@
         StorageEvent::Open {
             identity,
             records,
-            roster: None,
+            host_cache: None,
         } => (writes, told, identity, records),
         other => panic!("{other:?}"),
     }
@@ -45,7 +45,7 @@
             ticket,
             records,
             rewrite,
-            file: File::Log,
+            file: StateFile::Log,
         })
         .unwrap();
 }
@@ -71,7 +71,7 @@
         (second.id, &second.initial_voters),
         (first.id, &first.initial_voters)
     );
-    assert!(second.life > first.life);
+    assert!(second.incarnation > first.incarnation);
     assert_eq!(records, [b"c", b"d", b"e"]);
 }
 
@@ -126,7 +126,7 @@
         }
     ));
     assert!(!dir.path().join("identity").exists());
-    // Once it can, both are kept and the same life goes on.
+    // Once it can, both are kept and the same incarnation goes on.
     std::fs::remove_dir(dir.path().join("ledger.new")).unwrap();
     write(&writes, 2, &["b"], false);
     assert!(matches!(
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -14,7 +14,7 @@
 use control_plane::runtime::identity::{
     latest_identity, Identity, LogOwner, StartContext, StoredLog,
 };
-use control_plane::runtime::storage::{start, File, StorageEvent, Write};
+use control_plane::runtime::storage::{start, StateFile, StorageEvent, Write};
 use protocol::{
     Addr, Change, HostRecord, MemberInfo, MembershipConfig, OriginUpdate, Record, Snapshot,
 };
@@ -33,7 +33,7 @@
 
 /// What is written in one call, and to which file.
 struct Batch {
-    file: File,
+    file: StateFile,
     rewrite: bool,
     records: Vec<Vec<u8>>,
 }
@@ -227,7 +227,7 @@
 fn identity(clock_ms: u64) -> Identity {
     Identity {
         id: MEMBER_ID,
-        life: (clock_ms << 20) + 77,
+        incarnation: (clock_ms << 20) + 77,
         initial_voters: initial_voters(),
     }
 }
@@ -238,7 +238,7 @@
 
 fn log_batches(batches: &[Vec<Record>]) -> Vec<Batch> {
     let batch = |records: &Vec<Record>| Batch {
-        file: File::Log,
+        file: StateFile::Log,
         rewrite: false,
         records: encoded(records),
     };
@@ -264,7 +264,7 @@
         })
         .unwrap();
         // Nothing is told of the hosts' file.
-        if file == File::Log {
+        if file == StateFile::Log {
             let event = told.recv().unwrap();
             assert!(
                 matches!(event, StorageEvent::Wrote { ticket: t, result: Ok(()) } if t == ticket),
@@ -367,7 +367,7 @@
     write_in_one_incarnation(dir.path(), start_facts(true, 1_000), Vec::new());
     let mut batches = log_batches(&appended_records());
     batches.push(Batch {
-        file: File::HostRegistry,
+        file: StateFile::HostCache,
         rewrite: true,
         records: vec![protocol::write_one(&known_hosts())],
     });
@@ -380,7 +380,7 @@
     let dir = tempfile::tempdir().unwrap();
     let mut batches = log_batches(&[vec![Record::Promised { epoch: 9 }]]);
     batches.push(Batch {
-        file: File::Log,
+        file: StateFile::Log,
         rewrite: true,
         records: encoded(&rewritten_records()),
     });
@@ -404,14 +404,14 @@
     let StorageEvent::Open {
         identity: found,
         records,
-        roster,
+        host_cache,
     } = told.recv().unwrap()
     else {
         panic!("the files don't open");
     };
     assert_eq!(found, identity(9_000));
     let hosts = (name != "rewritten").then(|| protocol::write_one(&known_hosts()));
-    assert_eq!(roster, hosts);
+    assert_eq!(host_cache, hosts);
     let config = Config {
         me: member_info(MEMBER_ID, 1),
         bootstrap_voters: Some(found.initial_voters),
@@ -450,7 +450,7 @@
 #[test]
 fn state_when_replayed_from_stored_changes_is_as_it_was() {
     let dir = copy_of("appended");
-    let found = StoredLog::of(stored_records(dir.path(), "ledger"));
+    let found = StoredLog::from_records(stored_records(dir.path(), "ledger"));
     assert_eq!(found.owner, Some(identity(1_000)));
     let mut state = ReplicatedState::default();
     for bytes in &found.records {
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -42,7 +42,7 @@
     ];
     let identity = Identity {
         id,
-        life: 7,
+        incarnation: 7,
         ..Identity::default()
     };
     std::fs::create_dir_all(dir).unwrap();
@@ -105,7 +105,7 @@
         .unwrap()
         .unwrap();
     assert!(identity.id != 2 && identity.initial_voters.is_empty());
-    let found = StoredLog::of(records(&dir, "ledger"));
+    let found = StoredLog::from_records(records(&dir, "ledger"));
     assert_eq!(found.owner.map(|o| o.id), Some(identity.id));
     let ledger = found.records;
     assert!(
