--- a/crates/control-plane/src/registry_publisher.rs
+++ b/crates/control-plane/src/registry_publisher.rs
@@ -1,105 +1,133 @@
-//! The member's own source beside the mirror that others pull from.
+//! Publishes this member's host registry into the mirror that others pull from.
 
 use crate::host_registry::{HostRegistry, HostRequest};
 use protocol::{CoordinatorRecord, HostRecord, Subscriber};
-use replication::{SharedMirror, Update};
-use std::sync::{Arc, Mutex, PoisonError};
+use replication::{Mirror, SharedMirror, Update};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 /// A [`HostRegistry`] whose changes go into a [`SharedMirror`].
 pub struct RegistryPublisher {
-    id: u64,
-    roster: Mutex<HostRegistry>,
-    shared: Arc<SharedMirror>,
+    member_id: u64,
+    registry: Mutex<HostRegistry>,
+    mirror: Arc<SharedMirror>,
+}
+
+/// Which versions of the configuration the coordinators that pull here have in force.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct VersionsInForce {
+    /// The lowest version; 0 without coordinators.
+    pub lowest: u64,
+    /// How many coordinators pull here.
+    pub coordinators: usize,
+}
+
+/// A coordinator that pulls here, or did until lately.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RecentCoordinator {
+    /// Its record.
+    pub record: CoordinatorRecord,
+    /// Time since its latest pull.
+    pub since_pull: Duration,
 }
 
 impl RegistryPublisher {
-    /// For a life of member `id`; `beat` is the time between a host's heartbeats.
-    pub fn new(id: u64, life: u64, beat: Duration, shared: Arc<SharedMirror>) -> Arc<Self> {
-        let feed = Self {
-            id,
-            roster: Mutex::new(HostRegistry::new(id, life, beat)),
-            shared,
+    /// For an incarnation of the member `member_id`; see [`HostRegistry::new`].
+    pub fn new(
+        member_id: u64,
+        incarnation: u64,
+        heartbeat_interval: Duration,
+        mirror: Arc<SharedMirror>,
+    ) -> Arc<Self> {
+        let registry = HostRegistry::new(member_id, incarnation, heartbeat_interval);
+        let publisher = Self {
+            member_id,
+            registry: Mutex::new(registry),
+            mirror,
         };
-        feed.change(|_, _, _| ());
-        Arc::new(feed)
+        publisher.change(|_, _, _| ());
+        Arc::new(publisher)
     }
 
     /// The mirror.
-    pub fn shared(&self) -> &Arc<SharedMirror> {
-        &self.shared
-    }
-
-    fn change<R>(
-        &self,
-        change: impl FnOnce(&mut HostRegistry, &replication::Mirror, Duration) -> R,
-    ) -> R {
-        let mut roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
-        self.shared.update(|mirror, now| {
-            if let Some(later) = mirror.later_life(self.id, roster.mark().life) {
-                roster.follow_life(later);
-            }
-            let result = change(&mut roster, mirror, now);
-            if let Some(source) = roster.take_news() {
-                // Its age says nothing of what the primary acknowledged.
-                mirror.apply(
-                    now,
-                    &Update {
-                        age_ms: u32::MAX,
-                        sources: vec![source],
-                        ..Update::default()
-                    },
-                );
-            }
-            result
-        })
+    pub fn mirror(&self) -> &Arc<SharedMirror> {
+        &self.mirror
     }
 
-    /// Runs a host's call. True where something changed.
-    pub fn call(&self, call: &HostRequest) -> bool {
-        self.change(|roster, mirror, now| {
-            let elsewhere: Option<HostRecord> =
-                mirror.host_elsewhere(self.id, call.host()).cloned();
-            roster.call(now, call, elsewhere.as_ref())
+    /// Handles a host's request. Returns whether a record changed.
+    pub fn handle(&self, request: &HostRequest) -> bool {
+        self.change(|registry, mirror, now| {
+            let elsewhere: Option<HostRecord> = mirror
+                .host_elsewhere(self.member_id, request.host())
+                .cloned();
+            registry.handle(now, request, elsewhere.as_ref())
         })
     }
 
-    /// A coordinator or another member pulls.
-    pub fn pulled(&self, caller: &Subscriber) {
-        self.change(|roster, _, now| roster.pulled(now, caller));
+    /// Notes that a coordinator or another member pulls.
+    pub fn record_pull(&self, subscriber: &Subscriber) {
+        self.change(|registry, _, now| registry.record_pull(now, subscriber));
     }
 
-    /// Notes what is silent or long gone; to be called a few times in a beat period.
+    /// Lets time pass: notes what is silent or ended long ago. To be called a few times in a heartbeat interval.
     pub fn tick(&self) {
-        self.change(|roster, mirror, now| {
-            roster.tick(now, |host| {
-                mirror.host_elsewhere(self.id, host).map(|r| r.call_seq)
-            })
+        self.change(|registry, mirror, now| {
+            let call_seq_elsewhere = |host: &str| {
+                mirror
+                    .host_elsewhere(self.member_id, host)
+                    .map(|record| record.call_seq)
+            };
+            registry.tick(now, call_seq_elsewhere)
         });
-        self.shared.update(replication::Mirror::tick);
+        self.mirror.update(Mirror::tick);
     }
 
-    /// The lowest version of the configuration that a coordinator pulling here has in force, and how many
-    /// pull here.
-    pub fn in_force(&self) -> (u64, usize) {
-        let roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
-        (
-            roster
-                .coordinators()
-                .map(|c| c.version)
-                .min()
-                .unwrap_or_default(),
-            roster.coordinators().count(),
-        )
+    /// The versions that the coordinators pulling here have in force.
+    pub fn versions_in_force(&self) -> VersionsInForce {
+        let registry = self.lock();
+        let versions = registry.coordinators().map(|record| record.version);
+        VersionsInForce {
+            lowest: versions.min().unwrap_or_default(),
+            coordinators: registry.coordinators().count(),
+        }
     }
 
-    /// The coordinators that pull here, or did until lately, with the time since each one's latest pull.
-    pub fn coordinators(&self) -> Vec<(CoordinatorRecord, Duration)> {
-        let roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
-        let now = self.shared.now();
-        roster
-            .all_coordinators()
-            .map(|(c, at)| (c.clone(), now.saturating_sub(at)))
+    /// The coordinators that pull here, and those that did until lately.
+    pub fn coordinators(&self) -> Vec<RecentCoordinator> {
+        let registry = self.lock();
+        let now = self.mirror.now();
+        registry
+            .recent_coordinators()
+            .map(|coordinator| RecentCoordinator {
+                record: coordinator.record.clone(),
+                since_pull: now.saturating_sub(coordinator.pulled_at),
+            })
             .collect()
     }
+
+    /// Changes the registry and publishes what changed.
+    fn change<R>(&self, change: impl FnOnce(&mut HostRegistry, &Mirror, Duration) -> R) -> R {
+        let mut registry = self.lock();
+        self.mirror.update(|mirror, now| {
+            let own_incarnation = registry.version().life;
+            if let Some(later) = mirror.later_life(self.member_id, own_incarnation) {
+                registry.advance_incarnation(later);
+            }
+            let result = change(&mut registry, mirror, now);
+            if let Some(update) = registry.take_update() {
+                let update = Update {
+                    // The update says nothing of what the primary acknowledged.
+                    age_ms: u32::MAX,
+                    sources: vec![update],
+                    ..Update::default()
+                };
+                mirror.apply(now, &update);
+            }
+            result
+        })
+    }
+
+    fn lock(&self) -> MutexGuard<'_, HostRegistry> {
+        self.registry.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 }
--- a/crates/control-plane/src/runtime/control_request.rs
+++ b/crates/control-plane/src/runtime/control_request.rs
@@ -1,121 +1,133 @@
-//! Calls of hosts and operators: each is decoded into a [`Call`], which is run elsewhere.
+//! Requests of hosts and operators to the control API, decoded from method, path, header and body.
 
 use crate::host_registry::HostRequest;
 use bytes::Bytes;
 use configuration::ResultCode;
 use hyper::Method;
 
-/// What a path asks for, before the body is read.
+/// What method and path ask for, before the body is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Head {
-    /// Takes a whole configuration.
+pub enum Endpoint {
+    /// Replaces the configuration.
     Replace,
-    /// Takes changes to the configuration.
+    /// Amends the configuration.
     Amend,
-    /// Asks for the configuration.
+    /// Reads the configuration.
     Read,
-    /// A host's call, with its path.
+    /// A host's request, with its path.
     Host(String),
-    /// Asks how this member is.
+    /// The status page.
     Status,
-    /// Asks which versions were taken, or for the configuration of one.
-    ConfigurationHistory(Option<u64>),
+    /// The versions that were in force, or the configuration of one of them.
+    History(Option<u64>),
 }
 
-/// A call.
+/// A request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
-    /// Takes a configuration.
+pub enum ControlRequest {
+    /// Changes the configuration.
     Configure {
-        /// The version it builds on.
+        /// The version that it builds on.
         base: u64,
         /// Whether it amends; else it replaces.
         amend: bool,
         /// The body as sent.
         body: Bytes,
     },
-    /// Asks for the configuration.
+    /// Reads the configuration.
     Read,
-    /// A host's call.
+    /// A host's request.
     Host(HostRequest),
-    /// Asks how this member is.
+    /// The status page.
     Status,
-    /// Asks which versions were taken, or for the configuration of one.
-    ConfigurationHistory(Option<u64>),
+    /// The versions that were in force, or the configuration of one of them.
+    History(Option<u64>),
 }
 
-/// The version that a header names: decimal digits alone, with no sign.
-fn read_base(text: &str) -> Option<u64> {
-    let digits = text.trim_matches([' ', '\t']);
-    digits
-        .bytes()
-        .all(|byte| byte.is_ascii_digit())
-        .then(|| digits.parse().ok())
-        .flatten()
-}
-
-impl Head {
-    /// What method and path ask for.
+impl Endpoint {
+    /// The endpoint of a method and a path.
     ///
     /// # Errors
-    /// [`ResultCode::NoSuchCall`] and [`ResultCode::OtherMethod`].
-    pub fn read(method: &Method, path: &str) -> Result<Head, ResultCode> {
-        let head = match path
-            .strip_prefix("/fennelpin/")
-            .ok_or(ResultCode::NoSuchCall)?
-        {
-            "Configuration.Replace" => Head::Replace,
-            "Configuration.Amend" => Head::Amend,
-            "Configuration.Read" => Head::Read,
-            "status" => Head::Status,
-            "Configuration.History" => Head::ConfigurationHistory(None),
-            call if call.starts_with("Configuration.History/") => {
-                let version = call.rsplit('/').next().and_then(|v| v.parse().ok());
-                Head::ConfigurationHistory(Some(version.ok_or(ResultCode::NoSuchCall)?))
-            }
-            call if call.starts_with("Hosts.") => Head::Host(path.to_owned()),
-            _ => return Err(ResultCode::NoSuchCall),
-        };
-        let wanted = if head.asks() {
+    /// [`ResultCode::NoSuchCall`] for an unknown path, [`ResultCode::OtherMethod`] for the wrong method.
+    pub fn decode(method: &Method, path: &str) -> Result<Endpoint, ResultCode> {
+        let endpoint = Self::of_path(path)?;
+        let expected = if endpoint.is_read() {
             Method::GET
         } else {
             Method::POST
         };
-        if *method == wanted {
-            Ok(head)
-        } else {
-            Err(ResultCode::OtherMethod)
+        if *method != expected {
+            return Err(ResultCode::OtherMethod);
         }
+        Ok(endpoint)
     }
 
-    /// Whether it only asks.
-    pub fn asks(&self) -> bool {
+    fn of_path(path: &str) -> Result<Endpoint, ResultCode> {
+        let operation = path
+            .strip_prefix("/fennelpin/")
+            .ok_or(ResultCode::NoSuchCall)?;
+        match operation {
+            "Configuration.Replace" => Ok(Endpoint::Replace),
+            "Configuration.Amend" => Ok(Endpoint::Amend),
+            "Configuration.Read" => Ok(Endpoint::Read),
+            "status" => Ok(Endpoint::Status),
+            "Configuration.History" => Ok(Endpoint::History(None)),
+            _ if operation.starts_with("Configuration.History/") => {
+                let version = operation
+                    .rsplit('/')
+                    .next()
+                    .and_then(|text| text.parse().ok());
+                let version = version.ok_or(ResultCode::NoSuchCall)?;
+                Ok(Endpoint::History(Some(version)))
+            }
+            _ if operation.starts_with("Hosts.") => Ok(Endpoint::Host(path.to_owned())),
+            _ => Err(ResultCode::NoSuchCall),
+        }
+    }
+
+    /// Whether it changes nothing.
+    pub fn is_read(&self) -> bool {
         matches!(
             self,
-            Head::Read | Head::Status | Head::ConfigurationHistory(_)
+            Endpoint::Read | Endpoint::Status | Endpoint::History(_)
         )
     }
 
     /// Whether its body may be long.
-    pub fn heavy(&self) -> bool {
-        matches!(self, Head::Replace | Head::Amend)
+    pub fn has_large_body(&self) -> bool {
+        matches!(self, Endpoint::Replace | Endpoint::Amend)
     }
 
-    /// The call, with its body and the text of `Fennelpin-Base-Version`.
+    /// The request with its body and the value of `Fennelpin-Base-Version`.
     ///
     /// # Errors
-    /// [`ResultCode::NoBase`], and what [`HostRequest::decode`] finds.
-    pub fn with(self, base: Option<&str>, body: Bytes) -> Result<Call, ResultCode> {
-        let amend = self == Head::Amend;
+    /// [`ResultCode::NoBase`], and the errors of [`HostRequest::decode`].
+    pub fn into_request(
+        self,
+        base_version: Option<&str>,
+        body: Bytes,
+    ) -> Result<ControlRequest, ResultCode> {
+        let amend = self == Endpoint::Amend;
         Ok(match self {
-            Head::Replace | Head::Amend => {
-                let base = base.and_then(read_base).ok_or(ResultCode::NoBase)?;
-                Call::Configure { base, amend, body }
+            Endpoint::Replace | Endpoint::Amend => {
+                let base = base_version
+                    .and_then(parse_version)
+                    .ok_or(ResultCode::NoBase)?;
+                ControlRequest::Configure { base, amend, body }
             }
-            Head::Read => Call::Read,
-            Head::Status => Call::Status,
-            Head::ConfigurationHistory(version) => Call::ConfigurationHistory(version),
-            Head::Host(path) => Call::Host(HostRequest::decode(&path, &body)?),
+            Endpoint::Read => ControlRequest::Read,
+            Endpoint::Status => ControlRequest::Status,
+            Endpoint::History(version) => ControlRequest::History(version),
+            Endpoint::Host(path) => ControlRequest::Host(HostRequest::decode(&path, &body)?),
         })
     }
 }
+
+/// The version in a header: decimal digits alone, without a sign.
+fn parse_version(text: &str) -> Option<u64> {
+    let digits = text.trim_matches([' ', '\t']);
+    if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
+    }
+    digits.parse().ok()
+}
--- a/crates/control-plane/src/runtime/control_server.rs
+++ b/crates/control-plane/src/runtime/control_server.rs
@@ -1,6 +1,7 @@
-//! The control API's HTTP: reads calls within limits, has them run, writes the answers.
+//! The control API's HTTP server: reads requests within limits, has them handled, writes the replies.
 
-use crate::runtime::control_request::{Call, Head};
+use super::connection::set_socket_options;
+use super::control_request::{ControlRequest, Endpoint};
 use bytes::Bytes;
 use configuration::ResultCode;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -18,41 +19,49 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{watch, Semaphore};
+use tokio::sync::{watch, Semaphore, SemaphorePermit};
 use tokio::time::{sleep, timeout};
 
-/// Names the version that an order builds on.
-const BASE_VERSION: &str = "fennelpin-base-version";
-/// Largest body in bytes.
+/// Names the version that a configuration request builds on.
+const BASE_VERSION_HEADER: &str = "fennelpin-base-version";
+/// Longest body in bytes.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
-/// Time for a head, and for the next call on a connection.
-const HEAD_TIME: Duration = Duration::from_secs(8);
+/// Size of a connection's read buffer, and so the longest head, in bytes.
+const MAX_BUFFER_BYTES: usize = 64 << 10;
+/// Time for a head, and for the next request on a connection.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time for a body.
-const BODY_TIME: Duration = Duration::from_secs(8);
-/// Time after which a connection takes no more calls, and time in which the last one has to end.
-const CONNECTION_TIME: (Duration, Duration) = (Duration::from_secs(60), Duration::from_secs(10));
-/// Bodies of configurations that are held at once: as many as orders may be under way.
+const BODY_TIMEOUT: Duration = Duration::from_secs(8);
+/// Age at which a connection takes no more requests.
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(60);
+/// Time for the last request of a connection to end.
+const LAST_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bodies of configurations that are held at once: as many as configuration requests may be in flight.
 const MAX_CONCURRENT_BODIES: usize = 8;
+/// Longest wait for one of them to end.
+const BODY_SLOT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause after a connection couldn't be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// What goes back to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The result.
     pub code: ResultCode,
-    /// The body where it isn't just the code and its text: JSON.
+    /// The body as JSON, if it says more than the code and its text.
     pub body: Option<Bytes>,
 }
 
 impl Reply {
-    /// An answer that says no more than its code.
-    pub fn of(code: ResultCode) -> Self {
+    /// A reply that says no more than its code.
+    pub fn from_code(code: ResultCode) -> Self {
         Self { code, body: None }
     }
 
-    /// An answer with what was found wrong, or with nothing beyond the code where `detail` is empty.
-    pub fn detailed(code: ResultCode, detail: &str) -> Self {
+    /// A reply with a detail; without one if `detail` is empty.
+    pub fn with_detail(code: ResultCode, detail: &str) -> Self {
         if detail.is_empty() {
-            return Self::of(code);
+            return Self::from_code(code);
         }
         let body =
             serde_json::json!({"code": code.number(), "reason": code.text(), "detail": detail});
@@ -62,7 +71,7 @@
         }
     }
 
-    /// Done, with a body of JSON.
+    /// Success, with a body of JSON.
     pub fn json(body: impl Into<Bytes>) -> Self {
         Self {
             code: ResultCode::Ok,
@@ -70,7 +79,7 @@
         }
     }
 
-    fn response(self, last: bool) -> Response<Full<Bytes>> {
+    fn into_response(self, close: bool) -> Response<Full<Bytes>> {
         let code = self.code;
         let body = self.body.unwrap_or_else(|| {
             serde_json::json!({"code": code.number(), "reason": code.text()})
@@ -84,155 +93,167 @@
         if code.status() == 503 {
             headers.insert(RETRY_AFTER, HeaderValue::from_static("0.2"));
         }
-        if last {
+        if close {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 }
 
-/// Runs calls. For one thread.
+/// Handles requests. For one thread.
 pub trait HandleRequest: 'static {
-    /// Runs a call to its answer, within the time that its caller waits.
-    fn run(&self, call: Call) -> impl Future<Output = Reply>;
+    /// Handles a request within the time that its caller waits.
+    fn handle(&self, request: ControlRequest) -> impl Future<Output = Reply>;
 }
 
-/// Plain counts since the start.
+/// Counts since the start.
 #[derive(Debug, Default)]
 pub struct ControlCounters {
-    /// Connections taken.
+    /// Connections accepted.
     pub connections: Cell<u64>,
     /// Connections that were closed at once, as too many were open.
     pub crowded: Cell<u64>,
-    /// Calls answered with 2xx.
+    /// Replies with 2xx.
     pub done: Cell<u64>,
-    /// Calls answered with 4xx.
+    /// Replies with 4xx.
     pub refused: Cell<u64>,
-    /// Calls answered with 5xx.
+    /// Replies with 5xx.
     pub failed: Cell<u64>,
 }
 
-/// A listener's state that its connections share.
-pub struct ControlServer<D> {
-    desk: D,
-    open: Semaphore,
-    heavy: Semaphore,
+/// The server's state, which its connections share.
+pub struct ControlServer<H> {
+    handler: H,
+    connection_slots: Semaphore,
+    body_slots: Semaphore,
     counters: Rc<ControlCounters>,
-    stop: watch::Receiver<bool>,
+    shutdown: watch::Receiver<bool>,
 }
 
-impl<D: HandleRequest> ControlServer<D> {
-    /// An API whose calls `desk` runs, with at most `most` connections at once, until `stop` becomes true.
+impl<H: HandleRequest> ControlServer<H> {
+    /// A server whose requests `handler` handles, with at most `max_connections` at once, until `shutdown` becomes
+    /// true.
     pub fn new(
-        desk: D,
-        most: usize,
+        handler: H,
+        max_connections: usize,
         counters: Rc<ControlCounters>,
-        stop: watch::Receiver<bool>,
+        shutdown: watch::Receiver<bool>,
     ) -> Rc<Self> {
         Rc::new(Self {
-            desk,
-            open: Semaphore::new(most),
-            heavy: Semaphore::new(MAX_CONCURRENT_BODIES),
+            handler,
+            connection_slots: Semaphore::new(max_connections),
+            body_slots: Semaphore::new(MAX_CONCURRENT_BODIES),
             counters,
-            stop,
+            shutdown,
         })
     }
 
-    /// Takes connections; never ends by itself. Runs on a `LocalSet`.
+    /// Accepts connections; never ends by itself. Runs on a `LocalSet`.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
-            let stream = match listener.accept().await {
-                Ok((stream, _)) => stream,
+            match listener.accept().await {
+                Ok((stream, _)) => {
+                    tokio::task::spawn_local(self.clone().serve_connection(stream));
+                }
                 // No descriptor is left, or the caller is gone already.
-                Err(e) => {
-                    log::debug!(error:% = e; "accept");
-                    sleep(Duration::from_millis(10)).await;
-                    continue;
+                Err(error) => {
+                    log::debug!(error:%; "accept");
+                    sleep(ACCEPT_PAUSE).await;
                 }
-            };
-            tokio::task::spawn_local(self.clone().connection(stream));
+            }
         }
     }
 
-    async fn connection(self: Rc<Self>, stream: TcpStream) {
-        let Ok(_open) = self.open.try_acquire() else {
-            bump(&self.counters.crowded);
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        let Ok(_slot) = self.connection_slots.try_acquire() else {
+            increment(&self.counters.crowded);
             return;
         };
-        bump(&self.counters.connections);
-        if let Err(e) = crate::runtime::connection::set_socket_options(&stream) {
-            log::debug!(error:% = e; "socket options");
+        increment(&self.counters.connections);
+        if let Err(error) = set_socket_options(&stream) {
+            log::debug!(error:%; "socket options");
         }
-        let service = service_fn(|request| self.clone().answer(request));
+        let service = service_fn(|request| self.clone().respond(request));
         let serving = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIME)
-            .max_buf_size(64 << 10)
+            .header_read_timeout(HEAD_TIMEOUT)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         let mut serving = pin!(serving);
-        let mut stop = self.stop.clone();
+        let mut shutdown = self.shutdown.clone();
         tokio::select! {
             _ = serving.as_mut() => return,
-            _ = stop.wait_for(|stop| *stop) => {}
-            () = sleep(CONNECTION_TIME.0) => {}
+            _ = shutdown.wait_for(|shutdown| *shutdown) => {}
+            () = sleep(MAX_CONNECTION_AGE) => {}
         }
         serving.as_mut().graceful_shutdown();
-        // An end by time closes the connection.
-        let _ = timeout(CONNECTION_TIME.1, serving).await;
+        // A time-out closes the connection.
+        let _ = timeout(LAST_REQUEST_TIMEOUT, serving).await;
     }
 
-    async fn answer(
+    async fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
-        let reply = self.call(request).await.unwrap_or_else(Reply::of);
-        let count = match reply.code.status() {
+        let reply = self
+            .reply_to(request)
+            .await
+            .unwrap_or_else(Reply::from_code);
+        let counter = match reply.code.status() {
             500.. => &self.counters.failed,
             400.. => &self.counters.refused,
             _ => &self.counters.done,
         };
-        bump(count);
-        // What is left of a body that was too large or too slow isn't read.
-        let broken = matches!(reply.code, ResultCode::TooLarge | ResultCode::SlowClient);
-        Ok(reply.response(broken || *self.stop.borrow()))
+        increment(counter);
+        // The rest of a body that was too large or too slow isn't read.
+        let has_unread_body = matches!(reply.code, ResultCode::TooLarge | ResultCode::SlowClient);
+        Ok(reply.into_response(has_unread_body || *self.shutdown.borrow()))
     }
 
-    async fn call(&self, request: Request<Incoming>) -> Result<Reply, ResultCode> {
+    async fn reply_to(&self, request: Request<Incoming>) -> Result<Reply, ResultCode> {
         let (parts, body) = request.into_parts();
-        let head = Head::read(&parts.method, parts.uri.path())?;
-        let _heavy = if head.heavy() {
-            match timeout(Duration::from_millis(500), self.heavy.acquire()).await {
-                Ok(Ok(permit)) => Some(permit),
-                _ => return Err(ResultCode::Crowded),
-            }
+        let endpoint = Endpoint::decode(&parts.method, parts.uri.path())?;
+        let _slot = if endpoint.has_large_body() {
+            Some(self.body_slot().await?)
         } else {
             None
         };
-        let body = match timeout(BODY_TIME, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-            Err(_) => return Err(ResultCode::SlowClient),
-            Ok(Err(e)) if e.is::<LengthLimitError>() => return Err(ResultCode::TooLarge),
-            // The caller may have meant more: that is no refusal of what it meant.
-            Ok(Err(e)) if is_cut_short(e.as_ref()) => return Err(ResultCode::SlowClient),
-            Ok(Err(_)) => return Err(ResultCode::Unreadable),
-            Ok(Ok(body)) => body.to_bytes(),
-        };
-        let call = head.with(only_value(&parts.headers, BASE_VERSION), body)?;
-        Ok(self.desk.run(call).await)
+        let body = read_body(body).await?;
+        let base_version = only_value(&parts.headers, BASE_VERSION_HEADER);
+        let request = endpoint.into_request(base_version, body)?;
+        Ok(self.handler.handle(request).await)
+    }
+
+    async fn body_slot(&self) -> Result<SemaphorePermit<'_>, ResultCode> {
+        match timeout(BODY_SLOT_TIMEOUT, self.body_slots.acquire()).await {
+            Ok(Ok(permit)) => Ok(permit),
+            _ => Err(ResultCode::Crowded),
+        }
     }
 }
 
-/// The value of a header that stands there once.
+async fn read_body(body: Incoming) -> Result<Bytes, ResultCode> {
+    match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+        Err(_) => Err(ResultCode::SlowClient),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ResultCode::TooLarge),
+        // The caller may have meant more: what it meant isn't rejected.
+        Ok(Err(error)) if is_cut_short(error.as_ref()) => Err(ResultCode::SlowClient),
+        Ok(Err(_)) => Err(ResultCode::Unreadable),
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+    }
+}
+
+/// The value of a header that is present exactly once.
 fn only_value<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?;
-    values
-        .next()
-        .is_none()
-        .then(|| first.to_str().ok())
-        .flatten()
+    if values.next().is_some() {
+        return None;
+    }
+    first.to_str().ok()
 }
 
-/// Whether a body ended before its told length, or its connection broke.
+/// Whether a body ended before its stated length, or its connection broke.
 fn is_cut_short(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(error) = cause {
@@ -247,6 +268,6 @@
     false
 }
 
-fn bump(count: &Cell<u64>) {
-    count.set(count.get() + 1);
+fn increment(counter: &Cell<u64>) {
+    counter.set(counter.get() + 1);
 }
--- a/crates/control-plane/src/runtime/event_loop.rs
+++ b/crates/control-plane/src/runtime/event_loop.rs
@@ -2,13 +2,13 @@
 
 use super::control_server::ControlCounters;
 use super::peer_connections::{PeerConnections, PeerEvent};
-use super::request_handler::CommandReply;
 use super::status::PublishedControlPlane;
-use super::storage::{self, StorageEvent};
+use super::storage::{StorageEvent, Write};
 use super::transitions::{self, Recorder};
-use super::Event;
+use super::{CommandReply, Event};
 use crate::configuration_history::ConfigurationHistory;
 use crate::member::{Input, Member, Output};
+use protocol::Command;
 use replication::SharedMirror;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,79 +20,130 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// Inputs that are taken before other tasks run again.
-const INPUTS_PER_TURN: usize = 64;
+/// Events that are taken before other tasks run again.
+const EVENTS_PER_TURN: usize = 64;
+/// Wait of a state machine that asks for no tick: longer than any process runs.
+const NO_WAKE: Duration = Duration::from_secs(1 << 30);
 
-/// The state machine with all that it needs to be carried out.
+/// What the event loop carries outputs out with.
+pub(super) struct Services {
+    pub(super) storage: std::sync::mpsc::Sender<Write>,
+    pub(super) peers: PeerConnections,
+    pub(super) mirror: Arc<SharedMirror>,
+    /// Set when the process is asked to end.
+    pub(super) shutdown: watch::Sender<bool>,
+    pub(super) history: Rc<RefCell<ConfigurationHistory>>,
+    /// Time between two log lines of counters.
+    pub(super) counters_interval: Duration,
+    /// Longest wait for the handing over at the end.
+    pub(super) leave_timeout: Duration,
+}
+
+/// The state machine with all that carries out its outputs.
 pub(super) struct EventLoop {
     pub(super) member: Member,
-    pub(super) outputs: Vec<Output>,
+    /// Empty between steps; keeps its memory.
+    outputs: Vec<Output>,
+    /// The state machine's time counts from here.
     pub(super) origin: Instant,
-    pub(super) wake: Option<Duration>,
+    /// When the state machine wants a tick.
+    pub(super) wake_at: Option<Duration>,
+    /// Who waits for the reply to a command, by the command's ticket.
     pub(super) callers: HashMap<u64, oneshot::Sender<CommandReply>>,
-    pub(super) tickets: u64,
-    pub(super) left: bool,
+    /// Tickets given out.
+    tickets: u64,
+    /// Whether all is handed over.
+    pub(super) has_left: bool,
+    /// Inputs taken.
     pub(super) steps: u64,
-    /// What the mirror was told of the control plane.
-    pub(super) known: PublishedControlPlane,
-    pub(super) disk: std::sync::mpsc::Sender<storage::Write>,
-    pub(super) links: PeerConnections,
-    pub(super) mirror: Arc<SharedMirror>,
-    pub(super) leave: watch::Sender<bool>,
-    pub(super) history: Rc<RefCell<ConfigurationHistory>>,
-    /// Time between two lines of counters.
-    pub(super) period: Duration,
-    /// Longest wait for the handing over at the end.
-    pub(super) leave_time: Duration,
+    pub(super) published: PublishedControlPlane,
     pub(super) recorder: Recorder,
+    pub(super) services: Services,
 }
 
 impl EventLoop {
-    /// Takes what happens until all is handed over after `stop`.
+    /// The loop of a member that was made at `started_at`, counted from `origin`.
+    pub(super) fn new(
+        member: Member,
+        origin: Instant,
+        started_at: Duration,
+        services: Services,
+    ) -> Self {
+        Self {
+            recorder: Recorder::new(&member),
+            member,
+            outputs: Vec::new(),
+            origin,
+            wake_at: Some(started_at),
+            callers: HashMap::new(),
+            tickets: 0,
+            has_left: false,
+            steps: 0,
+            published: PublishedControlPlane::default(),
+            services,
+        }
+    }
+
+    /// Takes events until all is handed over after `shutdown`, or the time for that is over.
     pub(super) async fn run(
         &mut self,
-        queue: &mut UnboundedReceiver<Event>,
-        mut stop: impl Future<Output = ()> + Unpin,
+        events: &mut UnboundedReceiver<Event>,
+        mut shutdown: impl Future<Output = ()> + Unpin,
         counters: &ControlCounters,
     ) {
-        let mut end: Option<Instant> = None;
-        let mut line = Instant::now() + self.period;
-        while !self.left && end.is_none_or(|end| Instant::now() < end) {
-            let wake = self.origin + self.wake.unwrap_or(Duration::from_secs(1 << 30));
-            let wake = end.map_or(wake, |end| wake.min(end)).min(line);
+        let mut deadline: Option<Instant> = None;
+        let mut next_counters = Instant::now() + self.services.counters_interval;
+        while !self.has_left && deadline.is_none_or(|deadline| Instant::now() < deadline) {
+            let wake_at = self.next_wake(deadline, next_counters);
             tokio::select! {
                 biased;
-                () = &mut stop, if end.is_none() => {
-                    end = Some(Instant::now() + self.leave_time);
-                    self.leave.send_replace(true);
+                () = &mut shutdown, if deadline.is_none() => {
+                    deadline = Some(Instant::now() + self.services.leave_timeout);
+                    self.services.shutdown.send_replace(true);
                     self.step(Input::Leave);
                 }
-                event = queue.recv() => {
-                    // The desk holds a sender.
+                event = events.recv() => {
+                    // The request handler holds a sender.
                     let Some(event) = event else { return };
-                    self.take(event);
-                    for _ in 1..INPUTS_PER_TURN {
-                        let Ok(event) = queue.try_recv() else { break };
-                        self.take(event);
-                    }
-                    self.show();
+                    self.take_events(event, events);
                 }
-                () = sleep_until(wake) => {
-                    if line <= Instant::now() {
-                        line += self.period;
-                        self.count(counters);
-                    }
-                    let now = self.origin.elapsed();
-                    if self.wake.is_some_and(|at| at <= now) {
-                        self.wake = None;
-                        self.step(Input::Tick);
-                        self.show();
+                () = sleep_until(wake_at) => {
+                    if next_counters <= Instant::now() {
+                        next_counters += self.services.counters_interval;
+                        self.log_counters(counters);
                     }
+                    self.tick_if_due();
                 }
             }
         }
     }
 
+    fn next_wake(&self, deadline: Option<Instant>, next_counters: Instant) -> Instant {
+        let wake_at = self.origin + self.wake_at.unwrap_or(NO_WAKE);
+        deadline
+            .map_or(wake_at, |deadline| wake_at.min(deadline))
+            .min(next_counters)
+    }
+
+    /// Takes an event and those that have queued up behind it.
+    fn take_events(&mut self, first: Event, events: &mut UnboundedReceiver<Event>) {
+        self.take(first);
+        for _ in 1..EVENTS_PER_TURN {
+            let Ok(event) = events.try_recv() else { break };
+            self.take(event);
+        }
+        self.publish_control_plane();
+    }
+
+    fn tick_if_due(&mut self) {
+        let now = self.origin.elapsed();
+        if self.wake_at.is_some_and(|at| at <= now) {
+            self.wake_at = None;
+            self.step(Input::Tick);
+            self.publish_control_plane();
+        }
+    }
+
     /// Hands one input to the state machine and carries out what it asks for.
     fn step(&mut self, input: Input) {
         self.steps += 1;
@@ -114,36 +165,45 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::PeerEvent(PeerEvent::Hello(seat)) => self.step(Input::Reachable { seat }),
-            Event::PeerEvent(PeerEvent::Message(from, message)) => {
+            Event::Peer(PeerEvent::Connected(member)) => {
+                self.step(Input::Reachable { seat: member });
+            }
+            Event::Peer(PeerEvent::Message(from, message)) => {
                 self.step(Input::Message {
                     from,
                     message: *message,
                 });
             }
-            Event::Disk(StorageEvent::Wrote { ticket, result }) => {
+            Event::Storage(StorageEvent::Wrote { ticket, result }) => {
                 self.step(Input::Wrote { ticket, result });
             }
-            Event::Disk(StorageEvent::Open { .. } | StorageEvent::NotOpen { .. }) => {}
-            Event::Command(command, caller) => {
-                self.mirror.update(|mirror, _| {
-                    let fleet = mirror.fleet();
-                    let primary = fleet.members.iter().find(|s| s.id == fleet.primary);
-                    if let Some(primary) = primary {
-                        self.member.learn_primary(fleet.epoch, primary.clone());
-                    }
-                });
-                // Whoever stopped waiting may have been answered elsewhere, but what it asked for still holds.
-                self.callers.retain(|_, caller| !caller.is_closed());
-                self.tickets += 1;
-                self.callers.insert(self.tickets, caller);
-                self.step(Input::Command {
-                    ticket: self.tickets,
-                    command,
-                });
-            }
+            Event::Storage(StorageEvent::Open { .. } | StorageEvent::NotOpen { .. }) => {}
+            Event::Command(command, caller) => self.take_command(command, caller),
             // Whoever asked may have stopped waiting.
-            Event::MemberStatus(asker) => drop(asker.send(self.status())),
+            Event::Status(asker) => drop(asker.send(self.status())),
         }
     }
+
+    fn take_command(&mut self, command: Command, caller: oneshot::Sender<CommandReply>) {
+        self.learn_primary_from_mirror();
+        // A caller that stopped waiting may have been answered elsewhere, but what it asked for still holds.
+        self.callers.retain(|_, caller| !caller.is_closed());
+        self.tickets += 1;
+        self.callers.insert(self.tickets, caller);
+        self.step(Input::Command {
+            ticket: self.tickets,
+            command,
+        });
+    }
+
+    /// What others published may be newer than what the member heard itself.
+    fn learn_primary_from_mirror(&mut self) {
+        self.services.mirror.update(|mirror, _| {
+            let info = mirror.fleet();
+            let primary = info.members.iter().find(|member| member.id == info.primary);
+            if let Some(primary) = primary {
+                self.member.learn_primary(info.epoch, primary.clone());
+            }
+        });
+    }
 }
--- a/crates/control-plane/src/runtime/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -1,4 +1,15 @@
-//! The member's process: all I/O round the state machine, on one thread, with a second one for the disk.
+//! The member's process: all I/O round the state machine.
+//!
+//! One thread runs the event loop and all connections; a second one waits for the disk.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | [`start`](self) (`start.rs`) | from the settings and the disk to a running member |
+//! | `event_loop.rs`, `outputs.rs` | hand inputs to the state machine, carry out its outputs |
+//! | [`storage`], [`identity`], `host_cache.rs` | the state directory |
+//! | [`peer_connections`], `inbound.rs`, `seeds.rs`, [`connection`] | connections to and from other processes |
+//! | [`control_server`], [`control_request`], `request_handler.rs`, `status_page.rs` | the control API |
+//! | [`transitions`], `status.rs` | what the log and others are told of the member |
 
 pub mod connection;
 pub mod control_request;
@@ -13,13 +24,13 @@
 mod seeds;
 mod start;
 mod status;
+mod status_page;
 pub mod storage;
 pub mod transitions;
 
 use configuration::{ProcessSettings, ResultCode};
 use peer_connections::PeerEvent;
 use protocol::Command;
-use request_handler::CommandReply;
 use snafu::Snafu;
 use status::MemberStatus;
 use std::future::Future;
@@ -35,22 +46,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RuntimeSettings {
     /// Length of a primary's lease; the same at all members.
-    pub lease: Duration,
-    /// Longest time for a configuration call, from its last byte to the answer.
-    pub patience: Duration,
+    pub lease_duration: Duration,
+    /// Longest time for a configuration request, from its last byte to the reply.
+    pub command_timeout: Duration,
     /// A write that takes longer than this means that the disk stalls.
-    pub stall: Duration,
-    /// Time between two lines of counters.
-    pub counters: Duration,
+    pub disk_stall_timeout: Duration,
+    /// Time between two log lines with counters.
+    pub counters_interval: Duration,
 }
 
 impl Default for RuntimeSettings {
     fn default() -> Self {
         Self {
-            lease: Duration::from_millis(1000),
-            patience: Duration::from_millis(3500),
-            stall: Duration::from_millis(600),
-            counters: Duration::from_secs(60),
+            lease_duration: Duration::from_millis(1000),
+            command_timeout: Duration::from_millis(3500),
+            disk_stall_timeout: Duration::from_millis(600),
+            counters_interval: Duration::from_secs(60),
         }
     }
 }
@@ -61,7 +72,7 @@
     /// The settings name no address for `control`.
     #[snafu(display("bind.control is missing: the role has to serve control"))]
     NoControl,
-    /// The settings name no disk.
+    /// The settings name no state directory.
     #[snafu(display("state_dir is missing: members keep their word on a disk"))]
     NoDisk,
     /// An address can't be listened on.
@@ -69,63 +80,81 @@
     Listen {
         /// The address.
         addr: SocketAddrV4,
-        /// Why.
+        /// What the system answered.
         source: std::io::Error,
     },
-    /// No thread for the disk can be started, or it has ended.
+    /// The storage thread can't be started, or has ended.
     #[snafu(display("the disk's thread"))]
     Thread {
-        /// Why.
+        /// What the system answered.
         source: std::io::Error,
     },
-    /// There are no random numbers.
+    /// The system has no random numbers.
     #[snafu(display("no random numbers: {detail}"))]
     Random {
-        /// Why.
+        /// What the system answered.
         detail: String,
     },
 }
 
 /// What the event loop takes.
 enum Event {
-    PeerEvent(PeerEvent),
-    Disk(StorageEvent),
+    Peer(PeerEvent),
+    Storage(StorageEvent),
     Command(Command, oneshot::Sender<CommandReply>),
-    /// Asks what the state machine says of itself.
-    MemberStatus(oneshot::Sender<MemberStatus>),
+    /// Asks for the state machine's status.
+    Status(oneshot::Sender<MemberStatus>),
 }
 
-/// Runs a member until `stop` is done and all is handed over. `seeds` brings the seeds' `control` addresses
-/// whenever they change. For a current-thread runtime; all that was started ends with it.
+/// Where the other tasks put their events.
+type Events = UnboundedSender<Event>;
+
+/// What a member answers a command.
+struct CommandReply {
+    code: ResultCode,
+    /// The configuration that was read, or a detail of the failure.
+    body: Vec<u8>,
+}
+
+impl CommandReply {
+    fn from_code(code: ResultCode) -> Self {
+        Self {
+            code,
+            body: Vec::new(),
+        }
+    }
+}
+
+/// Runs a member until `shutdown` is done and the member has handed over what it holds.
+///
+/// `seeds` brings the seeds' `control` addresses whenever they change. For a current-thread runtime; all tasks that
+/// were started end with it.
 ///
-/// Calls are answered from the start on: until the disk has told who this member is, by 503 and
+/// Requests are answered from the start: until the disk has told who this member is, with 503 and
 /// [`ResultCode::Opening`].
 ///
 /// # Errors
-/// Where the settings don't fit, or an address or the disk's thread can't be had.
+/// If the settings lack something, an address can't be listened on, or the storage thread can't be started.
 pub async fn run(
-    boot: ProcessSettings,
-    tuning: RuntimeSettings,
+    process: ProcessSettings,
+    settings: RuntimeSettings,
     seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    stop: impl Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> Result<(), RuntimeError> {
     let tasks = LocalSet::new();
     tasks
-        .run_until(start::run_member(boot, tuning, seeds, stop))
+        .run_until(start::run_member(process, settings, seeds, shutdown))
         .await
 }
 
-/// Where the other tasks put their events.
-type Events = UnboundedSender<Event>;
-
-/// Hands a command to the member and waits for its answer.
-async fn command(events: &Events, command: Command, wait: Duration) -> CommandReply {
-    let (caller, answer) = oneshot::channel();
+/// Hands a command to the member and waits for its reply.
+async fn run_command(events: &Events, command: Command, reply_timeout: Duration) -> CommandReply {
+    let (caller, reply) = oneshot::channel();
     if events.send(Event::Command(command, caller)).is_err() {
-        return (ResultCode::Leaving, Vec::new());
+        return CommandReply::from_code(ResultCode::Leaving);
     }
-    match timeout(wait, answer).await {
-        Ok(Ok(answered)) => answered,
-        _ => (ResultCode::Unclear, Vec::new()),
+    match timeout(reply_timeout, reply).await {
+        Ok(Ok(reply)) => reply,
+        _ => CommandReply::from_code(ResultCode::Unclear),
     }
 }
--- a/crates/control-plane/src/runtime/outputs.rs
+++ b/crates/control-plane/src/runtime/outputs.rs
@@ -1,9 +1,10 @@
-//! What the state machine asks for, carried out: messages, writes, answers, and what is shown.
+//! Carries out what the state machine asks for: messages, writes, replies, and what others are shown.
 
 use super::event_loop::EventLoop;
-use super::storage;
+use super::storage::{StateFile, Write};
+use super::CommandReply;
 use crate::member::Output;
-use configuration::{Configuration, ResultCode};
+use configuration::Configuration;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
@@ -11,13 +12,15 @@
     /// Does what an output asks for.
     pub(super) fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Send { to, message } => self.links.send(&to, &message),
+            Output::Send { to, message } => self.services.peers.send(&to, &message),
             Output::Write {
                 ticket,
                 records,
                 rewrite,
             } => self.write(ticket, records, rewrite),
-            Output::Answer { ticket, code, body } => self.answer_caller(ticket, code, body),
+            Output::Answer { ticket, code, body } => {
+                self.reply(ticket, CommandReply { code, body });
+            }
             Output::Publish {
                 seq,
                 document,
@@ -27,39 +30,41 @@
                 seq,
                 document,
                 drains,
-            } => {
-                self.show_ledger(seq, document, &drains);
-            }
+            } => self.publish_state(seq, document, &drains),
             Output::Wake { at } => self.wake_by(at),
-            Output::Left => self.left = true,
+            Output::Left => self.has_left = true,
         }
     }
 
     fn write(&self, ticket: u64, records: Vec<Vec<u8>>, rewrite: bool) {
-        let write = storage::Write {
+        let write = Write {
             ticket,
             records,
             rewrite,
-            file: storage::StateFile::Log,
+            file: StateFile::Log,
         };
         // The thread ends with the process only.
-        let _ = self.disk.send(write);
+        let _ = self.services.storage.send(write);
     }
 
-    fn answer_caller(&mut self, ticket: u64, code: ResultCode, body: Vec<u8>) {
+    fn reply(&mut self, ticket: u64, reply: CommandReply) {
         if let Some(caller) = self.callers.remove(&ticket) {
-            // A caller that has gone gets no answer.
-            let _ = caller.send((code, body));
+            // A caller that has gone gets no reply.
+            let _ = caller.send(reply);
         }
     }
 
-    fn show_ledger(&self, seq: u64, document: Arc<Configuration>, drains: &[String]) {
-        self.history.borrow_mut().note(&document, SystemTime::now());
-        self.mirror
-            .update(|mirror, _| mirror.set_ledger(seq, document, drains));
+    fn publish_state(&self, index: u64, configuration: Arc<Configuration>, drains: &[String]) {
+        self.services
+            .history
+            .borrow_mut()
+            .record(&configuration, SystemTime::now());
+        self.services
+            .mirror
+            .update(|mirror, _| mirror.set_ledger(index, configuration, drains));
     }
 
     fn wake_by(&mut self, at: Duration) {
-        self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
+        self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
     }
 }
--- a/crates/control-plane/src/runtime/peer_connections/dial.rs
+++ b/crates/control-plane/src/runtime/peer_connections/dial.rs
@@ -1,192 +1,200 @@
-//! A peer's connections, dialled and kept up.
+//! Dials a peer's two connections and keeps them up.
 
-use super::channel::{Channel, ChannelState, QueuedFrame, MAX_QUEUED_BYTES};
+use super::channel::{Channel, ChannelState, QueuedFrame};
+use super::liveness::{Liveness, PROBE_AFTER, SILENCE_TIMEOUT};
 use super::{Peer, PeerConnections, PeerEvent};
 use crate::runtime::connection::{set_socket_options, write_all, write_all_counting};
 use protocol::{MemberInfo, Message};
 use replication::{FrameReader, Step};
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
 /// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// First and longest pause between two tries to connect.
-const RECONNECT_PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
-/// A connection on which nothing came for this long is probed...
-const PROBE_AFTER: Duration = Duration::from_secs(2);
-/// ...and given up where nothing has come by then.
-pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Members that weren't reached for this long are forgotten, seeds excepted.
+/// First and longest pause between two attempts to connect; it doubles in between.
+const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(1);
+/// Peers that weren't reached for this long are forgotten, seeds excepted.
 const FORGET_PEER_AFTER: Duration = Duration::from_secs(60);
-/// What was written is expected to reach the peer at this rate at least, in bytes a second: before that it can't
-/// answer a probe that was written after it.
-const MIN_RATE: f64 = (1 << 20) as f64;
-/// More bytes than these are not on their way at once.
-const MAX_ON_THEIR_WAY: usize = 2 * MAX_QUEUED_BYTES;
 
-/// When something last came over a connection, and what was written since.
-struct Liveness {
-    heard: Cell<Instant>,
-    written: Cell<usize>,
-}
+/// The pause before the next attempt to connect.
+struct Backoff(Duration);
 
-impl Liveness {
+impl Backoff {
     fn new() -> Self {
-        Self {
-            heard: Cell::new(Instant::now()),
-            written: Cell::new(0),
-        }
-    }
-
-    fn hear(&self) {
-        self.heard.set(Instant::now());
-        self.written.set(0);
+        Self(MIN_RECONNECT_BACKOFF)
     }
 
-    fn wrote(&self, bytes: usize) {
-        self.written
-            .set((self.written.get() + bytes).min(MAX_ON_THEIR_WAY));
-    }
-
-    /// How long nothing came.
-    fn silence(&self) -> Duration {
-        self.heard.get().elapsed()
+    /// Waits; longer each time, unless the connection was up since.
+    async fn wait(&mut self, was_up: bool) {
+        if was_up {
+            self.0 = MIN_RECONNECT_BACKOFF;
+        }
+        sleep(self.0).await;
+        self.0 = (self.0 * 2).min(MAX_RECONNECT_BACKOFF);
     }
+}
 
-    /// How long nothing came, beyond the time that what was written may need.
-    fn unexplained_silence(&self) -> Duration {
-        self.silence().saturating_sub(Duration::from_secs_f64(
-            self.written.get() as f64 / MIN_RATE,
-        ))
-    }
+/// A connection over which both sides have said who they are.
+struct Greeted {
+    /// The member at the other end.
+    member: MemberInfo,
+    frames: FrameReader<OwnedReadHalf>,
+    output: OwnedWriteHalf,
 }
 
 impl PeerConnections {
-    /// Keeps the control lane to a peer up for as long as the peer is wanted.
-    pub(super) async fn keep_up(self, peer: Rc<Peer>) {
-        let mut pause = RECONNECT_PAUSE.0;
+    /// Keeps the control connection to a peer up for as long as the peer is wanted.
+    pub(super) async fn keep_control_up(self, peer: Rc<Peer>) {
+        let mut backoff = Backoff::new();
         loop {
             let was_up = self.connect(&peer, Channel::Control).await;
-            if !self.went_down(&peer) {
+            self.channel_went_down(&peer, Channel::Control);
+            if !is_still_wanted(&peer) {
                 break;
             }
-            if was_up {
-                pause = RECONNECT_PAUSE.0;
-            }
-            sleep(pause).await;
-            pause = (pause * 2).min(RECONNECT_PAUSE.1);
+            backoff.wait(was_up).await;
         }
-        peer.lane(Channel::Data).wake.notify_one();
-        self.inner.peers.borrow_mut().remove(&peer.addr);
+        peer.channel(Channel::Data).wake.notify_one();
+        self.shared.peers.borrow_mut().remove(&peer.addr);
     }
 
-    /// Notes that the control lane's connection has ended; whether the peer is still wanted.
-    fn went_down(&self, peer: &Peer) -> bool {
-        self.lane_went_down(peer, Channel::Control);
-        let mut state = peer.state.borrow_mut();
-        if !state.seed && state.reached.elapsed() > FORGET_PEER_AFTER {
-            state.wanted = false;
-        }
-        state.wanted
-    }
-
-    fn lane_went_down(&self, peer: &Peer, lane: Channel) {
-        if peer.lane(lane).up.replace(false) {
-            self.inner.counters.borrow_mut().broken += 1;
-            log::info!(peer:? = SocketAddrV4::from(&peer.addr), lane:?; "link down");
-        }
-    }
-
-    /// Dials the data lane whenever something waits for it, and keeps it up from then on.
+    /// Dials the data connection once something waits for it, and keeps it up from then on.
     pub(super) async fn keep_data_up(self, peer: Rc<Peer>) {
-        let lane = peer.lane(Channel::Data);
-        let mut pause = RECONNECT_PAUSE.0;
+        let channel = peer.channel(Channel::Data);
+        let mut backoff = Backoff::new();
         loop {
-            while lane.is_empty() && peer.state.borrow().wanted {
-                lane.wake.notified().await;
+            while channel.is_empty() && peer.state.borrow().is_wanted {
+                channel.wake.notified().await;
             }
-            if !peer.state.borrow().wanted {
+            if !peer.state.borrow().is_wanted {
                 return;
             }
             let was_up = self.connect(&peer, Channel::Data).await;
-            self.lane_went_down(&peer, Channel::Data);
-            if was_up {
-                pause = RECONNECT_PAUSE.0;
-            }
-            sleep(pause).await;
-            pause = (pause * 2).min(RECONNECT_PAUSE.1);
-            self.inner.counters.borrow_mut().dropped += lane.drop_old();
+            self.channel_went_down(&peer, Channel::Data);
+            backoff.wait(was_up).await;
+            self.count_dropped(channel.drop_old());
         }
     }
 
-    /// One connection from its start to its end; whether it came up.
-    async fn connect(&self, peer: &Peer, lane: Channel) -> bool {
-        let addr = SocketAddr::V4(SocketAddrV4::from(&peer.addr));
-        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await else {
+    fn channel_went_down(&self, peer: &Peer, channel: Channel) {
+        if peer.channel(channel).is_up.replace(false) {
+            self.shared.counters.borrow_mut().disconnected += 1;
+            log::info!(peer:? = SocketAddrV4::from(&peer.addr), channel:?; "peer disconnected");
+        }
+    }
+
+    /// One connection from its start to its end. Returns whether it came up.
+    async fn connect(&self, peer: &Peer, channel: Channel) -> bool {
+        let Some(connection) = self.greet(peer).await else {
             return false;
         };
-        if let Err(e) = set_socket_options(&stream) {
-            log::debug!(error:% = e; "socket options");
+        let Greeted {
+            member,
+            frames,
+            output,
+        } = connection;
+        self.channel_came_up(peer, channel, &member);
+        let state = peer.channel(channel);
+        let liveness = Liveness::new();
+        // A frame that the connection leaves half sent.
+        let unsent = RefCell::new(None);
+        tokio::select! {
+            () = self.receive_all(&member, frames, &liveness) => {}
+            () = self.send_queued(state, member.id, output, &liveness, &unsent) => {}
+            () = self.probe_until_silent(state, &liveness) => {}
+        }
+        if let Some(unsent) = unsent.into_inner() {
+            state.put_back(unsent);
+        }
+        peer.state.borrow_mut().reached_at = Instant::now();
+        true
+    }
+
+    /// Connects, says who this member is and whom it reaches, and reads who is there.
+    async fn greet(&self, peer: &Peer) -> Option<Greeted> {
+        let addr = SocketAddr::V4(SocketAddrV4::from(&peer.addr));
+        let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
+        let stream = connecting.await.ok()?.ok()?;
+        if let Err(error) = set_socket_options(&stream) {
+            log::debug!(error:%; "socket options");
         }
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input, Vec::new());
         let hello = protocol::encode(&Message::Hello {
-            seat: self.inner.me.clone(),
+            seat: self.shared.me.clone(),
         });
         let peers = protocol::encode(&Message::Peers {
-            seats: self.seats(),
+            seats: self.reachable_members(),
         });
-        if write_all(&mut output, &[hello, peers].concat())
+        write_all(&mut output, &[hello, peers].concat())
             .await
-            .is_err()
+            .ok()?;
+        match timeout(SILENCE_TIMEOUT, frames.next()).await {
+            Ok(Ok(Some(Message::Hello { seat }))) => Some(Greeted {
+                member: seat,
+                frames,
+                output,
+            }),
+            _ => None,
+        }
+    }
+
+    fn channel_came_up(&self, peer: &Peer, channel: Channel, member: &MemberInfo) {
+        let state = peer.channel(channel);
+        state.is_up.set(true);
+        self.count_dropped(state.drop_old() + state.drop_for_others(member.id));
+        self.shared.counters.borrow_mut().connected += 1;
+        if channel == Channel::Control {
+            self.peer_came_up(peer, member);
+        }
+    }
+
+    fn peer_came_up(&self, peer: &Peer, member: &MemberInfo) {
         {
-            return false;
+            let mut state = peer.state.borrow_mut();
+            state.reached_at = Instant::now();
+            state.member = Some(member.clone());
         }
-        let Ok(Ok(Some(Message::Hello { seat }))) = timeout(SILENCE_TIMEOUT, frames.next()).await
-        else {
-            return false;
+        log::info!(peer:% = member.name, addr:? = SocketAddrV4::from(&peer.addr); "peer connected");
+        self.report(PeerEvent::Connected(member.clone()));
+        self.tell_others(peer);
+    }
+
+    /// Tells the other peers that are up whom this member reaches now.
+    fn tell_others(&self, newcomer: &Peer) {
+        let message = Message::Peers {
+            seats: self.reachable_members(),
         };
-        let state = peer.lane(lane);
-        state.up.set(true);
-        let dropped = state.drop_old() + state.drop_for_others(seat.id);
-        self.inner.counters.borrow_mut().dropped += dropped;
-        self.inner.counters.borrow_mut().connected += 1;
-        if lane == Channel::Control {
-            self.came_up(peer, seat.clone());
-        }
-        let liveness = Liveness::new();
-        // What a connection that ends leaves half sent.
-        let unsent = RefCell::new(None);
-        tokio::select! {
-            () = self.listen(&seat, frames, &liveness) => {}
-            () = self.speak(state, seat.id, output, &liveness, &unsent) => {}
-            () = self.watch(state, &liveness) => {}
+        let peers: Vec<Rc<Peer>> = self.shared.peers.borrow().values().cloned().collect();
+        for peer in peers {
+            if peer.addr != newcomer.addr && peer.is_up() {
+                self.push(&peer, 0, &message);
+            }
         }
-        unsent
-            .into_inner()
-            .into_iter()
-            .for_each(|unsent| state.put_back(unsent));
-        peer.state.borrow_mut().reached = Instant::now();
-        true
     }
 
-    async fn listen(
+    /// Receives messages until the connection ends.
+    async fn receive_all(
         &self,
-        seat: &MemberInfo,
+        sender: &MemberInfo,
         mut frames: FrameReader<impl AsyncRead + Unpin>,
         liveness: &Liveness,
     ) {
         while let Ok(step) = frames.step().await {
-            liveness.hear();
+            liveness.on_received();
             match step {
                 Step::Message(message) => match *message {
                     Message::Peers { seats } => self.learn(&seats),
-                    message => self.tell(PeerEvent::Message(seat.clone(), Box::new(message))),
+                    message => {
+                        self.report(PeerEvent::Message(sender.clone(), Box::new(message)));
+                    }
                 },
                 Step::Part => {}
                 Step::End => return,
@@ -194,41 +202,42 @@
         }
     }
 
-    /// Writes what waits, for as long as the member `there` takes it.
-    async fn speak(
+    /// Sends what is queued, for as long as the member `member_id` takes it.
+    async fn send_queued(
         &self,
-        lane: &ChannelState,
-        there: u64,
+        channel: &ChannelState,
+        member_id: u64,
         mut output: impl AsyncWrite + Unpin,
         liveness: &Liveness,
         unsent: &RefCell<Option<QueuedFrame>>,
     ) {
         loop {
-            let Some(next) = lane.pop() else {
-                lane.wake.notified().await;
+            let Some(frame) = channel.pop() else {
+                channel.wake.notified().await;
                 continue;
             };
-            if !next.is_for(there) {
-                self.inner.counters.borrow_mut().dropped += 1;
+            if !frame.is_for(member_id) {
+                self.count_dropped(1);
                 continue;
             }
-            let frame = next.frame.clone();
-            unsent.replace(Some(next));
-            if write_all_counting(&mut output, &frame, |bytes| liveness.wrote(bytes))
+            let bytes = frame.bytes.clone();
+            unsent.replace(Some(frame));
+            let on_written = |written| liveness.on_written(written);
+            if write_all_counting(&mut output, &bytes, on_written)
                 .await
                 .is_err()
             {
                 return;
             }
             unsent.take();
-            let mut counters = self.inner.counters.borrow_mut();
+            let mut counters = self.shared.counters.borrow_mut();
             counters.sent += 1;
-            counters.sent_bytes += frame.len() as u64;
+            counters.sent_bytes += bytes.len() as u64;
         }
     }
 
-    /// Probes a peer that is silent; ends where it stays so.
-    async fn watch(&self, lane: &ChannelState, liveness: &Liveness) {
+    /// Probes a peer that is silent; ends if it stays so.
+    async fn probe_until_silent(&self, channel: &ChannelState, liveness: &Liveness) {
         loop {
             if liveness.unexplained_silence() >= SILENCE_TIMEOUT {
                 return;
@@ -236,29 +245,20 @@
             let silence = liveness.silence();
             if silence >= PROBE_AFTER {
                 let probe = protocol::encode(&Message::Peers { seats: Vec::new() });
-                self.inner.counters.borrow_mut().dropped += lane.push(0, probe);
+                self.count_dropped(channel.push(0, probe));
                 sleep(SILENCE_TIMEOUT - PROBE_AFTER).await;
             } else {
                 sleep(PROBE_AFTER - silence).await;
             }
         }
     }
+}
 
-    fn came_up(&self, peer: &Peer, seat: MemberInfo) {
-        {
-            let mut state = peer.state.borrow_mut();
-            state.reached = Instant::now();
-            state.seat = Some(seat.clone());
-        }
-        log::info!(peer:% = seat.name, addr:? = SocketAddrV4::from(&peer.addr); "link up");
-        self.tell(PeerEvent::Hello(seat));
-        // The others hear of it.
-        let news = Message::Peers {
-            seats: self.seats(),
-        };
-        let others: Vec<Rc<Peer>> = self.inner.peers.borrow().values().cloned().collect();
-        for other in others.iter().filter(|o| o.addr != peer.addr && o.is_up()) {
-            self.push(other, 0, &news);
-        }
+/// Whether a peer is dialled again; one that wasn't reached for long is not, unless it is a seed.
+fn is_still_wanted(peer: &Peer) -> bool {
+    let mut state = peer.state.borrow_mut();
+    if !state.is_seed && state.reached_at.elapsed() > FORGET_PEER_AFTER {
+        state.is_wanted = false;
     }
+    state.is_wanted
 }
--- a/crates/control-plane/src/runtime/request_handler.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -1,261 +1,218 @@
-//! Runs the calls of hosts and operators: what is about hosts against the roster, the rest by the member.
+//! Handles requests of hosts and operators: those about hosts with the host registry, the rest with the member.
 
-use super::control_request::Call;
+use super::control_request::ControlRequest;
 use super::control_server::{HandleRequest, Reply};
 use super::peer_connections::PeerConnections;
-use super::{command, Event, Events, MemberStatus};
+use super::status_page::{self, StatusPage};
+use super::{run_command, CommandReply, Event, Events, MemberStatus};
 use crate::configuration_history::ConfigurationHistory;
 use crate::host_registry::{heartbeat_target, HostRequest};
 use crate::registry_publisher::RegistryPublisher;
+use bytes::Bytes;
 use configuration::ResultCode;
 use protocol::{Command, MemberInfo};
-use serde_json::{json, Value};
+use serde_json::json;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 use tokio::time::{timeout, Instant};
 
-/// Longest wait for what a member's state machine says of itself.
+/// Longest wait for the state machine's status.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest time that a host waits for its drain.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest time that a call waits for the disk at the start.
+/// Longest time that a request waits for the disk at the start.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a member answers a command: its result and what goes with it.
-pub(super) type CommandReply = (ResultCode, Vec<u8>);
-
 /// What is there once the disk has told who this member is.
 pub(super) struct OpenMember {
     pub(super) me: MemberInfo,
-    pub(super) life: u64,
-    pub(super) links: PeerConnections,
-    pub(super) feed: Arc<RegistryPublisher>,
+    pub(super) incarnation: u64,
+    pub(super) peers: PeerConnections,
+    pub(super) publisher: Arc<RegistryPublisher>,
     pub(super) history: Rc<RefCell<ConfigurationHistory>>,
 }
 
-/// What calls are run against.
+/// Handles requests.
 #[derive(Clone)]
 pub(super) struct RequestHandler {
-    node: Rc<str>,
+    node_name: Rc<str>,
     events: Events,
-    patience: Duration,
+    command_timeout: Duration,
     /// The process is about to end: nothing new is taken.
-    leaving: watch::Receiver<bool>,
+    shutdown: watch::Receiver<bool>,
     opened: watch::Receiver<Option<Rc<OpenMember>>>,
 }
 
 impl RequestHandler {
-    /// A desk whose calls wait a little until `opened` brings what they are run against.
+    /// A handler whose requests wait a little until `opened` brings the member.
     pub(super) fn new(
-        node: String,
+        node_name: String,
         events: Events,
-        patience: Duration,
-        leaving: watch::Receiver<bool>,
+        command_timeout: Duration,
+        shutdown: watch::Receiver<bool>,
         opened: watch::Receiver<Option<Rc<OpenMember>>>,
     ) -> Self {
         Self {
-            node: node.into(),
+            node_name: node_name.into(),
             events,
-            patience,
-            leaving,
+            command_timeout,
+            shutdown,
             opened,
         }
     }
 
     async fn opened(&self) -> Result<Rc<OpenMember>, ResultCode> {
         let mut opened = self.opened.clone();
-        let ready = timeout(OPEN_TIMEOUT, opened.wait_for(Option::is_some)).await;
-        ready
-            .ok()
-            .and_then(Result::ok)
-            .and_then(|o| o.clone())
+        let is_open = timeout(OPEN_TIMEOUT, opened.wait_for(Option::is_some)).await;
+        let member = is_open.ok().and_then(Result::ok);
+        member
+            .and_then(|member| member.clone())
             .ok_or(ResultCode::Opening)
     }
 
-    /// A host is leaving or gone: acknowledged once that is kept as safely as the configuration is.
-    async fn drain(&self, opened: &OpenMember, host: &str) -> Reply {
-        if opened.feed.shared().snapshot().drains.contains(host) {
-            return Reply::json("{}");
+    async fn read(&self) -> Reply {
+        let read = Command::Read { reserved: 0 };
+        let reply = run_command(&self.events, read, self.command_timeout).await;
+        match reply.code {
+            ResultCode::Ok => Reply::json(reply.body),
+            _ => detailed(&reply),
         }
-        let asked = Command::Drain {
-            host: host.to_owned(),
+    }
+
+    async fn configure(&self, base: u64, amend: bool, body: Bytes) -> Reply {
+        let mut trace = ConfigurationRequestTrace::new(base, body.len());
+        let configure = Command::Configure {
+            base,
+            amend,
+            body: body.into(),
         };
-        match command(&self.events, asked, DRAIN_TIMEOUT).await {
-            (ResultCode::Ok, _) => Reply::json("{}"),
-            (code, text) => Reply::detailed(code, &String::from_utf8_lossy(&text)),
-        }
+        let reply = run_command(&self.events, configure, self.command_timeout).await;
+        trace.code = Some(reply.code);
+        detailed(&reply)
     }
 
-    async fn host(&self, opened: &OpenMember, call: &HostRequest) -> Reply {
-        // Proxies hear of a drain at once, whatever becomes of it in the ledger.
-        opened.feed.call(call);
-        if call.leaves() {
-            return self.drain(opened, call.host()).await;
+    async fn host(&self, opened: &OpenMember, request: &HostRequest) -> Reply {
+        // Proxies hear of a drain at once, whatever becomes of it in the replicated state.
+        opened.publisher.handle(request);
+        if request.is_leaving() {
+            return self.drain(opened, request.host()).await;
         }
-        match heartbeat_target(call.host(), opened.me.id, &opened.links.seats()) {
-            Some(seat) => {
-                let target = SocketAddrV4::from(&seat.control);
+        let reachable = opened.peers.reachable_members();
+        match heartbeat_target(request.host(), opened.me.id, &reachable) {
+            Some(member) => {
+                let target = SocketAddrV4::from(&member.control);
                 Reply::json(json!({"beat_target": target.to_string()}).to_string())
             }
             None => Reply::json("{}"),
         }
     }
 
-    async fn status(&self) -> String {
-        let leaving = *self.leaving.borrow();
+    /// A host is draining or gone: acknowledged once that is as durable as the configuration.
+    async fn drain(&self, opened: &OpenMember, host: &str) -> Reply {
+        let known = opened.publisher.mirror().snapshot();
+        if known.drains.contains(host) {
+            return Reply::json("{}");
+        }
+        let drain = Command::Drain {
+            host: host.to_owned(),
+        };
+        let reply = run_command(&self.events, drain, DRAIN_TIMEOUT).await;
+        match reply.code {
+            ResultCode::Ok => Reply::json("{}"),
+            _ => detailed(&reply),
+        }
+    }
+
+    async fn status(&self) -> Reply {
+        let is_leaving = *self.shutdown.borrow();
         let opened = self.opened.borrow().clone();
         let Some(opened) = opened else {
-            return json!({"node": &*self.node, "opening": true, "leaving": leaving}).to_string();
+            let page = status_page::before_open(&self.node_name, is_leaving);
+            return Reply::json(page.to_string());
         };
-        let (asker, told) = oneshot::channel();
-        let asked = self.events.send(Event::MemberStatus(asker)).is_ok();
-        let status = if asked {
-            timeout(STATUS_TIMEOUT, told)
-                .await
-                .ok()
-                .and_then(Result::ok)
-        } else {
-            None
+        let page = StatusPage {
+            is_leaving,
+            member: self.member_status().await,
+            opened: &opened,
         };
-        let (me, links) = (&opened.me, opened.links.counters());
-        let known = opened.feed.shared().snapshot();
-        let (lowest, pulling) = opened.feed.in_force();
-        let history = opened.history.borrow();
-        let coordinators: Vec<_> = opened
-            .feed
-            .coordinators()
-            .into_iter()
-            .map(|(c, since_pull)| {
-                json!({"name": c.name, "zone": c.zone, "region": c.region, "gone": c.gone, "version": c.version,
-                    "pulled_ms_ago": since_pull.as_millis() as u64,
-                    "behind_ms": history.behind(c.version, SystemTime::now()).map(|d| d.as_millis() as u64)})
-            })
-            .collect();
-        let hosts = known.hosts.values().map(|h| {
-            json!({"id": h.id, "service": h.service, "address": SocketAddrV4::from(&h.addr).to_string(),
-                "zone": h.zone, "capacity": h.capacity, "phase": h.phase, "silent": h.silent})
-        });
-        let status = json!({
-            "node": me.name,
-            "id": hex(me.id),
-            "life": opened.life,
-            "zone": me.zone,
-            "region": me.region,
-            "opening": false,
-            "leaving": leaving,
-            "ledger": {"seq": known.ledger, "version": known.document.version, "drains": known.drains.len(),
-                "routes": known.document.routes.len(), "services": known.document.services.len()},
-            "fleet": {
-                "epoch": known.fleet.epoch,
-                "primary": hex(known.fleet.primary),
-                "members": known.fleet.members.len(),
-            },
-            "member": status.as_ref().map(status_json),
-            "hosts": hosts.collect::<Vec<_>>(),
-            "coordinators": coordinators,
-            "in_force": {"lowest_version": lowest, "coordinators_here": pulling},
-            "members": opened.links.seats().iter().map(member_json).collect::<Vec<_>>(),
-            "links": {"up": links.connected, "down": links.broken, "sent": links.sent, "dropped": links.dropped},
-        });
-        status.to_string()
+        Reply::json(page.json().to_string())
     }
 
-    /// The versions taken, newest last, as far as this member knows them.
-    fn history(&self, opened: &OpenMember, version: Option<u64>) -> Reply {
-        let history = opened.history.borrow();
-        match version {
-            None => Reply::json(json!({"versions": history.entries()}).to_string()),
-            Some(version) => match history.document(version) {
-                Some(document) => Reply::json(document.to_json()),
-                None => Reply::detailed(ResultCode::NoSuchVersion, &version.to_string()),
-            },
-        }
+    /// The state machine's status; `None` if it doesn't answer in time.
+    async fn member_status(&self) -> Option<MemberStatus> {
+        let (asker, status) = oneshot::channel();
+        self.events.send(Event::Status(asker)).ok()?;
+        timeout(STATUS_TIMEOUT, status).await.ok()?.ok()
     }
 }
 
-fn hex(id: u64) -> String {
-    format!("{id:016x}")
-}
-
-fn member_json(seat: &MemberInfo) -> Value {
-    json!({"id": hex(seat.id), "name": seat.name, "zone": seat.zone, "region": seat.region,
-        "control": SocketAddrV4::from(&seat.control).to_string()})
+/// The versions that this member saw in force, newest last, or the configuration of one of them.
+fn history(opened: &OpenMember, version: Option<u64>) -> Reply {
+    let history = opened.history.borrow();
+    let Some(version) = version else {
+        return Reply::json(json!({"versions": history.entries()}).to_string());
+    };
+    match history.configuration(version) {
+        Some(configuration) => Reply::json(configuration.to_json()),
+        None => Reply::with_detail(ResultCode::NoSuchVersion, &version.to_string()),
+    }
 }
 
-fn status_json(status: &MemberStatus) -> Value {
-    let view = status.view.as_ref().map(|v| {
-        json!({"epoch": v.epoch, "primary": hex(v.primary),
-            "replicas": v.replicas.iter().map(|c| hex(*c)).collect::<Vec<_>>(),
-            "voters": v.voters.iter().map(member_json).collect::<Vec<_>>(), "settled": v.settled()})
-    });
-    json!({"view": view, "acts": status.acts, "primary": status.primary.as_ref().map(|s| hex(s.id)),
-        "promised": status.promised, "disk_fit": status.fit, "age_ms": status.age.map(|age| age.as_millis() as u64)})
+fn detailed(reply: &CommandReply) -> Reply {
+    Reply::with_detail(reply.code, &String::from_utf8_lossy(&reply.body))
 }
 
-/// Logs what became of a configuration order here, also where its caller has gone before the answer.
-struct ConfigurationRequestLog {
+/// Logs what became of a configuration request, also if its caller has gone before the reply.
+struct ConfigurationRequestTrace {
     base: u64,
     bytes: usize,
-    since: Instant,
+    started_at: Instant,
     code: Option<ResultCode>,
 }
 
-impl ConfigurationRequestLog {
+impl ConfigurationRequestTrace {
     fn new(base: u64, bytes: usize) -> Self {
         Self {
             base,
             bytes,
-            since: Instant::now(),
+            started_at: Instant::now(),
             code: None,
         }
     }
 }
 
-impl Drop for ConfigurationRequestLog {
+impl Drop for ConfigurationRequestTrace {
     fn drop(&mut self) {
-        let waited_ms = self.since.elapsed().as_millis() as u64;
+        let waited_ms = self.started_at.elapsed().as_millis() as u64;
         let result = self.code.map_or("the caller has gone", ResultCode::text);
-        log::info!(base = self.base, bytes = self.bytes, waited_ms, result; "order");
+        log::info!(base = self.base, bytes = self.bytes, waited_ms, result; "configuration request");
     }
 }
 
 impl HandleRequest for RequestHandler {
-    async fn run(&self, call: Call) -> Reply {
-        if call == Call::Status {
-            return Reply::json(self.status().await);
+    async fn handle(&self, request: ControlRequest) -> Reply {
+        if request == ControlRequest::Status {
+            return self.status().await;
         }
-        if *self.leaving.borrow() {
-            return Reply::of(ResultCode::Leaving);
+        if *self.shutdown.borrow() {
+            return Reply::from_code(ResultCode::Leaving);
         }
         let opened = match self.opened().await {
             Ok(opened) => opened,
-            Err(code) => return Reply::of(code),
+            Err(code) => return Reply::from_code(code),
         };
-        match call {
-            Call::Status => Reply::json(self.status().await),
-            Call::ConfigurationHistory(version) => self.history(&opened, version),
-            Call::Read => {
-                match command(&self.events, Command::Read { reserved: 0 }, self.patience).await {
-                    (ResultCode::Ok, document) => Reply::json(document),
-                    (code, text) => Reply::detailed(code, &String::from_utf8_lossy(&text)),
-                }
-            }
-            Call::Configure { base, amend, body } => {
-                let mut trace = ConfigurationRequestLog::new(base, body.len());
-                let asked = Command::Configure {
-                    base,
-                    amend,
-                    body: body.into(),
-                };
-                let (code, text) = command(&self.events, asked, self.patience).await;
-                trace.code = Some(code);
-                Reply::detailed(code, &String::from_utf8_lossy(&text))
+        match request {
+            ControlRequest::Status => self.status().await,
+            ControlRequest::History(version) => history(&opened, version),
+            ControlRequest::Read => self.read().await,
+            ControlRequest::Configure { base, amend, body } => {
+                self.configure(base, amend, body).await
             }
-            Call::Host(call) => self.host(&opened, &call).await,
+            ControlRequest::Host(request) => self.host(&opened, &request).await,
         }
     }
 }
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -1,14 +1,12 @@
-//! From the settings and the disk to a member that runs: what listens, what is linked, and in which order.
+//! From the settings and the disk to a member that runs: what listens, what is connected, and in which order.
 
 use super::control_server::{ControlCounters, ControlServer};
-use super::event_loop::EventLoop;
+use super::event_loop::{EventLoop, Services};
 use super::identity::{Identity, StartContext};
 use super::peer_connections::{PeerConnections, PeerEvent};
 use super::request_handler::{OpenMember, RequestHandler};
-use super::status::PublishedControlPlane;
 use super::storage::{self, StorageEvent};
-use super::transitions::{self, Recorder};
-use super::{host_cache, inbound, seeds};
+use super::{host_cache, inbound, seeds, transitions};
 use super::{
     Event, Events, ListenSnafu, NoControlSnafu, NoDiskSnafu, RuntimeError, RuntimeSettings,
     ThreadSnafu,
@@ -21,10 +19,9 @@
 use replication::{client, Mirror, Puller, SharedMirror};
 use snafu::{OptionExt, ResultExt};
 use std::cell::RefCell;
-use std::collections::HashMap;
 use std::future::Future;
 use std::net::SocketAddrV4;
-use std::pin::pin;
+use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -36,266 +33,382 @@
 
 /// Longest wait for a listener's port.
 const BIND_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest wait for the handing over at the end, where the platform's `grace_s` leaves so much.
-const MAX_LEAVE_TIME: Duration = Duration::from_secs(5);
-/// Time between the end of the handing over and the platform's SIGKILL, at least.
-const BEFORE_KILL: Duration = Duration::from_millis(1500);
-/// Descriptors that are kept for files, links and pulls.
+/// Time between two attempts to listen on a port that is in use.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest wait for the handing over at the end, if the platform's `grace_s` leaves so much.
+const MAX_LEAVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Shortest time between the end of the handing over and the platform's SIGKILL.
+const MIN_TIME_BEFORE_KILL: Duration = Duration::from_millis(1500);
+/// File descriptors that are kept for files, peers and subscribers.
 const OTHER_DESCRIPTORS: u64 = 400;
-/// Fewest and most callers of the control API at once.
-const CALLERS: (usize, usize) = (64, 2048);
+/// Bounds of the control API's connections.
+const MIN_CONTROL_CONNECTIONS: usize = 64;
+const MAX_CONTROL_CONNECTIONS: usize = 2048;
 /// How often hosts' records are looked at in the time between two heartbeats.
-const FEED_TICKS_PER_BEAT: u32 = 4;
-/// Time for answers that are under way at the end.
-const LAST_ANSWERS_TIME: Duration = Duration::from_millis(200);
+const REGISTRY_TICKS_PER_HEARTBEAT: u32 = 4;
+/// Time for replies that are under way at the end.
+const LAST_REPLIES_TIME: Duration = Duration::from_millis(200);
 
-/// Starts a member, runs it until `stop`, and ends it.
+/// What the disk held at the start.
+struct StoredState {
+    identity: Identity,
+    records: Vec<Vec<u8>>,
+    host_cache: Option<Vec<u8>>,
+}
+
+/// The control API, which answers from the start.
+struct ControlApi {
+    counters: Rc<ControlCounters>,
+    shutdown: watch::Sender<bool>,
+    opened: watch::Sender<Option<Rc<OpenMember>>>,
+}
+
+/// Starts a member, runs it until `shutdown`, and ends it.
 ///
 /// # Errors
 /// As [`super::run`].
 pub(super) async fn run_member(
-    boot: ProcessSettings,
-    tuning: RuntimeSettings,
+    process: ProcessSettings,
+    settings: RuntimeSettings,
     seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    stop: impl Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> Result<(), RuntimeError> {
     let origin = Instant::now();
-    let control = boot.bind.control.context(NoControlSnafu)?;
-    let dir = boot.state_dir.clone().context(NoDiskSnafu)?;
+    let control = process.bind.control.context(NoControlSnafu)?;
+    let state_dir = process.state_dir.clone().context(NoDiskSnafu)?;
     let (events, mut queue) = unbounded_channel();
-    let facts = start_facts(&boot, control)?;
-    let tell = {
-        let events = events.clone();
-        // No receiver: the process is about to end.
-        move |told| drop(events.send(Event::Disk(told)))
+    let context = start_context(&process, control)?;
+    // The API is there before the disk is: a disk that stalls holds up no caller.
+    let listener = listen(control).await?;
+    let api = ControlApi::start(&process, listener, events.clone(), settings.command_timeout);
+    let storage =
+        storage::start(state_dir, context, report_storage_to(&events)).context(ThreadSnafu)?;
+    let mut shutdown = pin!(shutdown);
+    let Some(stored) = stored_state(&mut queue, shutdown.as_mut()).await? else {
+        return Ok(());
     };
-    // A disk that stalls holds up no caller.
-    let api = listen(control).await?;
-    let counters = Rc::new(ControlCounters::default());
-    let (leave, leaving) = watch::channel(false);
-    let (open_desk, opened) = watch::channel(None);
-    let name = boot.node_name.clone();
-    let desk = RequestHandler::new(
-        name,
-        events.clone(),
-        tuning.patience,
-        leaving.clone(),
-        opened,
-    );
-    spawn_local(
-        ControlServer::new(desk, most_callers(&boot), counters.clone(), leaving).listen(api),
-    );
-    let disk = storage::start(dir, facts, tell).context(ThreadSnafu)?;
-    let mut stop = pin!(stop);
-    let opened = tokio::select! {
-        opened = open(&mut queue) => opened,
-        () = stop.as_mut() => return Ok(()),
+    let me = member_info(&process, control, stored.identity.id);
+    log_starting(&stored);
+    let mirror = mirror(&process, &stored, origin);
+    let history = Rc::new(RefCell::new(ConfigurationHistory::default()));
+    let connections = Connections {
+        process: &process,
+        me: &me,
+        incarnation: stored.identity.incarnation,
+        mirror: &mirror,
+        history: &history,
     };
-    let Some((identity, records, roster)) = opened else {
-        return Err(std::io::Error::from(std::io::ErrorKind::BrokenPipe)).context(ThreadSnafu);
+    let peers = connections
+        .start(&events, &api, seeds, settings.lease_duration)
+        .await?;
+    spawn_local(host_cache::store_changes(mirror.clone(), storage.clone()));
+    let started_at = origin.elapsed();
+    let member = member(&process, settings, me, &stored, started_at)?;
+    let services = Services {
+        storage,
+        peers,
+        mirror,
+        shutdown: api.shutdown,
+        history,
+        counters_interval: settings.counters_interval,
+        leave_timeout: leave_timeout(process.bounds.grace_s),
     };
-    let me = member_info(&boot, control, identity.id);
-    log::info!(
-        id = identity.id,
-        life = identity.incarnation,
-        records = records.len(),
-        founder = !identity.initial_voters.is_empty();
-        "member starts"
-    );
+    let mut event_loop = EventLoop::new(member, origin, started_at, services);
+    transitions::log_start(event_loop.recorder.summary());
+    event_loop.run(&mut queue, shutdown, &api.counters).await;
+    sleep(LAST_REPLIES_TIME).await;
+    event_loop.log_counters(&api.counters);
+    Ok(())
+}
 
-    let announced = events.clone();
-    let links = PeerConnections::new(me.clone(), move |heard| {
-        drop(events.send(Event::PeerEvent(heard)));
-    });
-    let beat = Duration::from_millis(boot.beat_period_ms);
-    let mirror = SharedMirror::since(Mirror::new(identity.id, beat), origin);
-    host_cache::restore(&mirror, &identity, roster);
-    let feed = RegistryPublisher::new(identity.id, identity.incarnation, beat, mirror.clone());
-    let history = Rc::new(RefCell::new(ConfigurationHistory::default()));
-    let inside = listen(
-        boot.bind
-            .member
-            .unwrap_or_else(|| SocketAddrV4::from(&me.addr)),
-    )
-    .await?;
-    open_desk.send_replace(Some(Rc::new(OpenMember {
-        me: me.clone(),
-        life: identity.incarnation,
-        links: links.clone(),
-        feed: feed.clone(),
-        history: history.clone(),
-    })));
-    spawn_local(inbound::accept(inside, links.clone(), feed.clone()));
-    spawn_local(announce(links.clone(), announced, tuning.lease));
-    spawn_local(keep_feed(feed, history.clone(), beat / FEED_TICKS_PER_BEAT));
-    // What other members were told comes by pulls, like an agent's.
-    let (pulls, told) = unbounded_channel();
-    let puller = Puller::new(&boot.node_name, usize::MAX, Some(me.addr));
-    let caller = replication::caller(&boot, identity.id);
-    spawn_local(client::run(
-        puller,
-        me.clone(),
-        caller,
-        mirror.clone(),
-        told,
-    ));
-    spawn_local(host_cache::store_changes(mirror.clone(), disk.clone()));
-    spawn_local(seeds::follow(
-        links.clone(),
-        pulls,
-        seeds,
-        boot.port_range.0,
-    ));
+impl ControlApi {
+    fn start(
+        process: &ProcessSettings,
+        listener: TcpListener,
+        events: Events,
+        command_timeout: Duration,
+    ) -> Self {
+        let counters = Rc::new(ControlCounters::default());
+        let (shutdown, is_shutting_down) = watch::channel(false);
+        let (opened, is_opened) = watch::channel(None);
+        let handler = RequestHandler::new(
+            process.node_name.clone(),
+            events,
+            command_timeout,
+            is_shutting_down.clone(),
+            is_opened,
+        );
+        let server = ControlServer::new(
+            handler,
+            max_control_connections(process),
+            counters.clone(),
+            is_shutting_down,
+        );
+        spawn_local(server.listen(listener));
+        Self {
+            counters,
+            shutdown,
+            opened,
+        }
+    }
+}
+
+/// What the connections to other processes are made from.
+struct Connections<'a> {
+    process: &'a ProcessSettings,
+    me: &'a MemberInfo,
+    incarnation: u64,
+    mirror: &'a Arc<SharedMirror>,
+    history: &'a Rc<RefCell<ConfigurationHistory>>,
+}
+
+impl Connections<'_> {
+    /// Listens for other processes, connects to the other members, pulls from them, and opens the control API.
+    async fn start(
+        &self,
+        events: &Events,
+        api: &ControlApi,
+        seeds: watch::Receiver<Vec<SocketAddrV4>>,
+        announce_interval: Duration,
+    ) -> Result<PeerConnections, RuntimeError> {
+        let peers = PeerConnections::new(self.me.clone(), report_peers_to(events));
+        let heartbeat_interval = Duration::from_millis(self.process.beat_period_ms);
+        let publisher = RegistryPublisher::new(
+            self.me.id,
+            self.incarnation,
+            heartbeat_interval,
+            self.mirror.clone(),
+        );
+        let member_address = SocketAddrV4::from(&self.me.addr);
+        let listener = listen(self.process.bind.member.unwrap_or(member_address)).await?;
+        api.opened.send_replace(Some(Rc::new(OpenMember {
+            me: self.me.clone(),
+            incarnation: self.incarnation,
+            peers: peers.clone(),
+            publisher: publisher.clone(),
+            history: self.history.clone(),
+        })));
+        spawn_local(inbound::accept(listener, peers.clone(), publisher.clone()));
+        spawn_local(announce_reachable(
+            peers.clone(),
+            events.clone(),
+            announce_interval,
+        ));
+        spawn_local(tick_registry(
+            publisher,
+            self.history.clone(),
+            heartbeat_interval / REGISTRY_TICKS_PER_HEARTBEAT,
+        ));
+        self.start_pulling(&peers, seeds);
+        Ok(peers)
+    }
+
+    /// What other members were told comes by pulls, as for an agent.
+    fn start_pulling(&self, peers: &PeerConnections, seeds: watch::Receiver<Vec<SocketAddrV4>>) {
+        let (puller_control, control) = unbounded_channel();
+        let puller = Puller::new(&self.process.node_name, usize::MAX, Some(self.me.addr));
+        spawn_local(client::run(
+            puller,
+            self.me.clone(),
+            replication::caller(self.process, self.me.id),
+            self.mirror.clone(),
+            control,
+        ));
+        spawn_local(seeds::follow(
+            peers.clone(),
+            puller_control,
+            seeds,
+            self.process.port_range.0,
+        ));
+    }
+}
 
-    let bootstrap_voters = Some(identity.initial_voters).filter(|voters| !voters.is_empty());
+/// The state machine on what the disk held.
+fn member(
+    process: &ProcessSettings,
+    settings: RuntimeSettings,
+    me: MemberInfo,
+    stored: &StoredState,
+    now: Duration,
+) -> Result<Member, RuntimeError> {
+    let initial_voters = stored.identity.initial_voters.clone();
     let config = Config {
         me,
-        bootstrap_voters,
-        budget: boot.fault_budget,
-        lease: tuning.lease,
-        patience: tuning.patience,
-        stall: tuning.stall,
+        bootstrap_voters: Some(initial_voters).filter(|voters| !voters.is_empty()),
+        budget: process.fault_budget,
+        lease: settings.lease_duration,
+        patience: settings.command_timeout,
+        stall: settings.disk_stall_timeout,
     };
-    let now = origin.elapsed();
-    let member = Member::new(config, &records, now, random()?);
+    let member = Member::new(config, &stored.records, now, random()?);
     if let Some(error) = member.unsound() {
-        log::error!(error:% = snafu::Report::from_error(error); "the records can't be relied on: no say, no ledger");
+        log::error!(error:% = snafu::Report::from_error(error); "corrupt log: no vote, no replica");
     }
-    let recorder = Recorder::new(&member);
-    transitions::log_start(recorder.summary());
-    let mut event_loop = EventLoop {
-        member,
-        outputs: Vec::new(),
-        origin,
-        wake: Some(now),
-        callers: HashMap::new(),
-        tickets: 0,
-        left: false,
-        steps: 0,
-        known: PublishedControlPlane::default(),
-        disk,
-        links,
-        mirror,
-        leave,
-        history,
-        period: tuning.counters,
-        leave_time: leave_time(boot.bounds.grace_s),
-        recorder,
-    };
-    event_loop.run(&mut queue, stop, &counters).await;
-    sleep(LAST_ANSWERS_TIME).await;
-    event_loop.count(&counters);
-    Ok(())
+    Ok(member)
+}
+
+/// The mirror with the hosts as last known.
+fn mirror(process: &ProcessSettings, stored: &StoredState, origin: Instant) -> Arc<SharedMirror> {
+    let heartbeat_interval = Duration::from_millis(process.beat_period_ms);
+    let mirror = Mirror::new(stored.identity.id, heartbeat_interval);
+    let mirror = SharedMirror::since(mirror, origin);
+    host_cache::restore(&mirror, &stored.identity, stored.host_cache.clone());
+    mirror
+}
+
+fn log_starting(stored: &StoredState) {
+    log::info!(
+        id = stored.identity.id,
+        incarnation = stored.identity.incarnation,
+        records = stored.records.len(),
+        initial_voter = !stored.identity.initial_voters.is_empty();
+        "member starting"
+    );
 }
 
-fn start_facts(
-    boot: &ProcessSettings,
+fn start_context(
+    process: &ProcessSettings,
     control: SocketAddrV4,
 ) -> Result<StartContext, RuntimeError> {
     Ok(StartContext {
         control,
-        seeds: boot.seed_nodes.clone(),
-        port: boot.port_range.0,
-        bootstrap: boot.bootstrap,
+        seeds: process.seed_nodes.clone(),
+        port: process.port_range.0,
+        bootstrap: process.bootstrap,
         random: random()?,
         clock_ms: SystemTime::UNIX_EPOCH
             .elapsed()
-            .map_or(0, |d| d.as_millis() as u64),
+            .map_or(0, |time| time.as_millis() as u64),
     })
 }
 
-fn member_info(boot: &ProcessSettings, control: SocketAddrV4, id: u64) -> MemberInfo {
+fn member_info(process: &ProcessSettings, control: SocketAddrV4, id: u64) -> MemberInfo {
     MemberInfo {
         id,
-        name: boot.node_name.clone(),
-        addr: SocketAddrV4::new(boot.ip_addr, boot.port_range.0).into(),
+        name: process.node_name.clone(),
+        addr: SocketAddrV4::new(process.ip_addr, process.port_range.0).into(),
         control: control.into(),
-        zone: boot.zone.clone(),
-        region: boot.region.clone(),
+        zone: process.zone.clone(),
+        region: process.region.clone(),
     }
 }
 
-/// How many callers the control API takes at once: what the descriptors allow beside all else that needs one.
-fn most_callers(boot: &ProcessSettings) -> usize {
-    let left = boot.limits.fd_limit.saturating_sub(OTHER_DESCRIPTORS);
-    (left as usize).clamp(CALLERS.0, CALLERS.1)
+/// How many connections the control API takes at once: what the descriptors allow beside all else that needs one.
+fn max_control_connections(process: &ProcessSettings) -> usize {
+    let descriptors = process.limits.fd_limit.saturating_sub(OTHER_DESCRIPTORS);
+    (descriptors as usize).clamp(MIN_CONTROL_CONNECTIONS, MAX_CONTROL_CONNECTIONS)
+}
+
+fn report_storage_to(events: &Events) -> impl Fn(StorageEvent) + Send + 'static {
+    let events = events.clone();
+    // Without a receiver the process is about to end.
+    move |event| drop(events.send(Event::Storage(event)))
+}
+
+fn report_peers_to(events: &Events) -> impl Fn(PeerEvent) + 'static {
+    let events = events.clone();
+    move |event| drop(events.send(Event::Peer(event)))
 }
 
-/// Lets time pass for the hosts' records, and notes which configurations were in force.
-async fn keep_feed(
-    feed: Arc<RegistryPublisher>,
+/// Lets time pass for the host registry, and records which configurations were in force.
+async fn tick_registry(
+    publisher: Arc<RegistryPublisher>,
     history: Rc<RefCell<ConfigurationHistory>>,
-    pause: Duration,
+    interval: Duration,
 ) {
     loop {
-        sleep(pause).await;
-        feed.tick();
+        sleep(interval).await;
+        publisher.tick();
+        let configuration = publisher.mirror().snapshot().document.clone();
         history
             .borrow_mut()
-            .note(&feed.shared().snapshot().document, SystemTime::now());
+            .record(&configuration, SystemTime::now());
     }
 }
 
-/// Tells the member again and again who is in touch: members without a say send it nothing, and one that came while
-/// it couldn't join would be taken for gone.
-async fn announce(links: PeerConnections, events: Events, period: Duration) {
+/// Tells the state machine again and again who can be reached.
+///
+/// Members that are no voters send it nothing. One that came while it couldn't join would count as gone.
+async fn announce_reachable(peers: PeerConnections, events: Events, interval: Duration) {
     loop {
-        sleep(period).await;
-        for seat in links.seats().into_iter().skip(1) {
-            if events
-                .send(Event::PeerEvent(PeerEvent::Hello(seat)))
-                .is_err()
-            {
+        sleep(interval).await;
+        for member in peers.reachable_members().into_iter().skip(1) {
+            let event = Event::Peer(PeerEvent::Connected(member));
+            if events.send(event).is_err() {
                 return;
             }
         }
     }
 }
 
-/// Waits until the disk has told who this member is and what it holds; none where its thread has ended.
-async fn open(
+/// Waits until the files are open; `None` if `shutdown` comes first.
+///
+/// # Errors
+/// If the storage thread has ended.
+async fn stored_state(
     queue: &mut UnboundedReceiver<Event>,
-) -> Option<(Identity, Vec<Vec<u8>>, Option<Vec<u8>>)> {
-    let mut refused = false;
+    shutdown: Pin<&mut impl Future<Output = ()>>,
+) -> Result<Option<StoredState>, RuntimeError> {
+    let opened = tokio::select! {
+        opened = files_open(queue) => opened,
+        () = shutdown => return Ok(None),
+    };
+    let stored = opened
+        .ok_or_else(|| std::io::Error::from(std::io::ErrorKind::BrokenPipe))
+        .context(ThreadSnafu)?;
+    Ok(Some(stored))
+}
+
+/// Waits until the files are open; `None` if the storage thread has ended. Logs the first failure.
+async fn files_open(queue: &mut UnboundedReceiver<Event>) -> Option<StoredState> {
+    let mut has_failed = false;
     loop {
         match queue.recv().await? {
-            Event::Disk(StorageEvent::Open {
+            Event::Storage(StorageEvent::Open {
                 identity,
                 records,
-                host_cache: roster,
+                host_cache,
             }) => {
-                return Some((identity, records, roster));
+                return Some(StoredState {
+                    identity,
+                    records,
+                    host_cache,
+                });
             }
-            Event::Disk(StorageEvent::NotOpen { detail }) if !refused => {
-                refused = true;
-                log::error!(detail; "the disk's files can't be opened yet");
+            Event::Storage(StorageEvent::NotOpen { detail }) if !has_failed => {
+                has_failed = true;
+                log::error!(detail; "state directory can't be opened yet");
             }
             _ => {}
         }
     }
 }
 
-/// Listens, once the port is free: the life before may not be gone quite yet.
+/// Listens, once the port is free: the incarnation before may not be gone quite yet.
 async fn listen(addr: SocketAddrV4) -> Result<TcpListener, RuntimeError> {
-    let until = Instant::now() + BIND_TIMEOUT;
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match TcpListener::bind(addr).await {
-            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse && Instant::now() < until => {
-                sleep(Duration::from_millis(50)).await;
+            Err(error)
+                if error.kind() == std::io::ErrorKind::AddrInUse && Instant::now() < deadline =>
+            {
+                sleep(BIND_RETRY_INTERVAL).await;
             }
-            done => return done.context(ListenSnafu { addr }),
+            bound => return bound.context(ListenSnafu { addr }),
         }
     }
 }
 
 fn random() -> Result<u64, RuntimeError> {
-    getrandom::u64().map_err(|e| RuntimeError::Random {
-        detail: e.to_string(),
+    getrandom::u64().map_err(|error| RuntimeError::Random {
+        detail: error.to_string(),
     })
 }
 
-/// How long a member that is asked to end may wait for others to hold what it holds.
-fn leave_time(grace_s: f64) -> Duration {
+/// How long a member that is asked to end may take to hand over what it holds.
+fn leave_timeout(grace_s: f64) -> Duration {
     let grace = Duration::try_from_secs_f64(grace_s).unwrap_or_default();
-    grace.saturating_sub(BEFORE_KILL).min(MAX_LEAVE_TIME)
+    grace
+        .saturating_sub(MIN_TIME_BEFORE_KILL)
+        .min(MAX_LEAVE_TIMEOUT)
 }
--- a/crates/control-plane/src/runtime/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -5,16 +5,17 @@
 use protocol::{MemberInfo, MembershipConfig};
 use std::time::Duration;
 
-/// What a member's state machine says of itself.
+/// The state machine's status.
 #[derive(Debug)]
 pub(super) struct MemberStatus {
-    pub(super) view: Option<MembershipConfig>,
-    pub(super) acts: bool,
+    pub(super) membership: Option<MembershipConfig>,
+    /// Whether it is primary and has a lease.
+    pub(super) is_acting_primary: bool,
     pub(super) primary: Option<MemberInfo>,
-    pub(super) promised: u64,
-    pub(super) fit: bool,
-    /// Since the latest proof from a primary; none before there was one.
-    pub(super) age: Option<Duration>,
+    pub(super) promised_epoch: u64,
+    pub(super) is_disk_healthy: bool,
+    /// Time since the latest contact with a primary; `None` before the first.
+    pub(super) since_primary_contact: Option<Duration>,
 }
 
 /// What the mirror was told of the control plane.
@@ -26,63 +27,68 @@
 }
 
 impl EventLoop {
-    /// What the state machine says of itself now.
+    /// The state machine's status now.
     pub(super) fn status(&self) -> MemberStatus {
         let now = self.origin.elapsed();
         MemberStatus {
-            view: self.member.view().cloned(),
-            acts: self.member.acts_at(now),
+            membership: self.member.view().cloned(),
+            is_acting_primary: self.member.acts_at(now),
             primary: self.member.primary(),
-            promised: self.member.promised(),
-            fit: self.member.fit(),
-            age: self
+            promised_epoch: self.member.promised(),
+            is_disk_healthy: self.member.fit(),
+            since_primary_contact: self
                 .member
                 .proof(now)
-                .map(|proof| now.saturating_sub(proof.at)),
+                .map(|contact| now.saturating_sub(contact.at)),
         }
     }
 
-    /// Tells the mirror who is in the control plane, and how fresh what it has is.
-    pub(super) fn show(&mut self) {
+    /// Tells the mirror who is in the control plane, and how fresh its content is.
+    pub(super) fn publish_control_plane(&mut self) {
         let now = self.origin.elapsed();
-        let proof = self.member.proof(now);
-        let Some(view) = self.member.view().filter(|v| v.epoch > 0) else {
+        let contact = self.member.proof(now);
+        let Some(membership) = self.member.view().filter(|view| view.epoch > 0) else {
             return;
         };
-        let reached = self.links.seats();
-        let seat = |voter: &MemberInfo| {
-            reached
-                .iter()
-                .find(|s| s.id == voter.id)
-                .unwrap_or(voter)
-                .clone()
+        let current = PublishedControlPlane {
+            epoch: membership.epoch,
+            primary: membership.primary,
+            members: self.known_members(membership),
         };
-        let others = reached
-            .iter()
-            .filter(|s| view.seat(s.id).is_none())
-            .cloned();
-        let members = view.voters.iter().map(seat).chain(others).collect();
-        let known = PublishedControlPlane {
-            epoch: view.epoch,
-            primary: view.primary,
-            members,
-        };
-        let news = known != self.known;
-        self.mirror.update(|mirror, _| {
-            if news {
-                mirror.set_fleet(known.epoch, known.primary, known.members.clone());
+        let has_changed = current != self.published;
+        self.services.mirror.update(|mirror, _| {
+            if has_changed {
+                mirror.set_fleet(current.epoch, current.primary, current.members.clone());
             }
-            // It proves nothing about changes that haven't come yet.
-            if let Some(proof) = proof.filter(|proof| mirror.ledger() >= proof.committed) {
-                mirror.proved(proof.at);
+            // A contact proves nothing about changes that haven't come yet.
+            if let Some(contact) = contact.filter(|contact| mirror.ledger() >= contact.committed) {
+                mirror.proved(contact.at);
             }
         });
-        self.known = known;
+        self.published = current;
+    }
+
+    /// The voters, then the other members that can be reached. What a member says of itself goes first.
+    fn known_members(&self, membership: &MembershipConfig) -> Vec<MemberInfo> {
+        let reachable = self.services.peers.reachable_members();
+        let mut members: Vec<MemberInfo> = membership
+            .voters
+            .iter()
+            .map(|voter| {
+                let reached = reachable.iter().find(|member| member.id == voter.id);
+                reached.unwrap_or(voter).clone()
+            })
+            .collect();
+        let others = reachable
+            .iter()
+            .filter(|member| membership.seat(member.id).is_none());
+        members.extend(others.cloned());
+        members
     }
 
-    /// Writes the line of counters.
-    pub(super) fn count(&self, control: &ControlCounters) {
-        let links = self.links.counters();
+    /// Writes the log line of counters.
+    pub(super) fn log_counters(&self, control: &ControlCounters) {
+        let peers = self.services.peers.counters();
         let transitions = self.recorder.counters();
         log::info!(
             steps = self.steps,
@@ -91,12 +97,12 @@
             done = control.done.get(),
             refused = control.refused.get(),
             failed = control.failed.get(),
-            links_up = links.connected,
-            links_down = links.broken,
-            sent = links.sent,
-            sent_bytes = links.sent_bytes,
-            dropped = links.dropped,
-            heard = links.heard,
+            links_up = peers.connected,
+            links_down = peers.disconnected,
+            sent = peers.sent,
+            sent_bytes = peers.sent_bytes,
+            dropped = peers.dropped,
+            heard = peers.received,
             elections = transitions.elections,
             elections_won = transitions.elections_won,
             leases_lost = transitions.leases_lost,
--- a/crates/control-plane/tests/control_requests.rs
+++ b/crates/control-plane/tests/control_requests.rs
@@ -1,18 +1,18 @@
-//! What the control API takes: method, path and headers, each decoded into a call.
+//! What the control API takes: method, path and headers, decoded into a request.
 
 use bytes::Bytes;
 use configuration::ResultCode;
 use control_plane::host_registry::HostRequest;
-use control_plane::runtime::control_request::{Call, Head};
+use control_plane::runtime::control_request::{ControlRequest, Endpoint};
 use hyper::Method;
 use rstest::rstest;
 
 #[rstest]
-#[case("POST", "/fennelpin/Configuration.Replace", Ok(Head::Replace))]
-#[case("POST", "/fennelpin/Configuration.Amend", Ok(Head::Amend))]
-#[case("GET", "/fennelpin/Configuration.Read", Ok(Head::Read))]
-#[case("GET", "/fennelpin/status", Ok(Head::Status))]
-#[case("POST", "/fennelpin/Hosts.Depart/i-1", Ok(Head::Host("/fennelpin/Hosts.Depart/i-1".into())))]
+#[case("POST", "/fennelpin/Configuration.Replace", Ok(Endpoint::Replace))]
+#[case("POST", "/fennelpin/Configuration.Amend", Ok(Endpoint::Amend))]
+#[case("GET", "/fennelpin/Configuration.Read", Ok(Endpoint::Read))]
+#[case("GET", "/fennelpin/status", Ok(Endpoint::Status))]
+#[case("POST", "/fennelpin/Hosts.Depart/i-1", Ok(Endpoint::Host("/fennelpin/Hosts.Depart/i-1".into())))]
 #[case(
     "GET",
     "/fennelpin/Configuration.Replace",
@@ -27,8 +27,12 @@
 )]
 #[case("POST", "/fennelpin/", Err(ResultCode::NoSuchCall))]
 #[case("POST", "/", Err(ResultCode::NoSuchCall))]
-fn heads(#[case] method: Method, #[case] path: &str, #[case] head: Result<Head, ResultCode>) {
-    assert_eq!(Head::read(&method, path), head);
+fn endpoint_when_decoded_follows_method_and_path(
+    #[case] method: Method,
+    #[case] path: &str,
+    #[case] endpoint: Result<Endpoint, ResultCode>,
+) {
+    assert_eq!(Endpoint::decode(&method, path), endpoint);
 }
 
 #[rstest]
@@ -44,14 +48,17 @@
 #[case::blank(Some("  "), Err(ResultCode::NoBase))]
 #[case::fraction(Some("7.0"), Err(ResultCode::NoBase))]
 #[case::list(Some("7, 7"), Err(ResultCode::NoBase))]
-fn bases(#[case] text: Option<&str>, #[case] base: Result<u64, ResultCode>) {
+fn base_version_when_decoded_is_one_plain_number(
+    #[case] text: Option<&str>,
+    #[case] base: Result<u64, ResultCode>,
+) {
     let body = Bytes::from_static(b"{}");
-    let call = base.map(|base| Call::Configure {
+    let request = base.map(|base| ControlRequest::Configure {
         base,
         amend: true,
         body: body.clone(),
     });
-    assert_eq!(Head::Amend.with(text, body), call);
+    assert_eq!(Endpoint::Amend.into_request(text, body), request);
 }
 
 #[rstest]
@@ -59,14 +66,14 @@
 #[case("/fennelpin/Hosts.Depart/", b"", Err(ResultCode::Unreadable))]
 #[case("/fennelpin/Hosts.Heartbeat/i-1", b"{", Err(ResultCode::Unreadable))]
 #[case("/fennelpin/Hosts.Other/i-1", b"{}", Err(ResultCode::NoSuchCall))]
-fn hosts(
+fn host_request_when_decoded_names_its_host(
     #[case] path: &str,
     #[case] body: &'static [u8],
-    #[case] call: Result<HostRequest, ResultCode>,
+    #[case] request: Result<HostRequest, ResultCode>,
 ) {
-    let head = Head::read(&Method::POST, path).unwrap();
+    let endpoint = Endpoint::decode(&Method::POST, path).unwrap();
     assert_eq!(
-        head.with(None, Bytes::from_static(body)),
-        call.map(Call::Host)
+        endpoint.into_request(None, Bytes::from_static(body)),
+        request.map(ControlRequest::Host)
     );
 }
--- a/crates/control-plane/tests/control_server.rs
+++ b/crates/control-plane/tests/control_server.rs
@@ -1,7 +1,7 @@
 //! The control API's limits, over real sockets; waits are on tokio's paused clock.
 
 use configuration::ResultCode;
-use control_plane::runtime::control_request::Call;
+use control_plane::runtime::control_request::ControlRequest;
 use control_plane::runtime::control_server::{
     ControlCounters, ControlServer, HandleRequest, Reply, MAX_BODY_BYTES,
 };
@@ -16,17 +16,20 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{timeout, Instant};
 
-/// Answers each call once it is let.
+/// Answers each request once it has a permit.
 #[derive(Clone)]
-struct Gate(Rc<Semaphore>, Rc<Cell<usize>>);
+struct Gate {
+    permits: Rc<Semaphore>,
+    started: Rc<Cell<usize>>,
+}
 
 impl HandleRequest for Gate {
-    async fn run(&self, call: Call) -> Reply {
-        self.1.set(self.1.get() + 1);
-        let _pass = self.0.acquire().await.unwrap();
-        match call {
-            Call::Read => Reply::json("{\"version\":1}"),
-            _ => Reply::of(ResultCode::Ok),
+    async fn handle(&self, request: ControlRequest) -> Reply {
+        self.started.set(self.started.get() + 1);
+        let _permit = self.permits.acquire().await.unwrap();
+        match request {
+            ControlRequest::Read => Reply::json("{\"version\":1}"),
+            _ => Reply::from_code(ResultCode::Ok),
         }
     }
 }
@@ -35,25 +38,36 @@
     addr: SocketAddr,
     counters: Rc<ControlCounters>,
     gate: Gate,
-    stop: watch::Sender<bool>,
+    shutdown: watch::Sender<bool>,
 }
 
-async fn api(most: usize, passes: usize) -> Api {
+async fn api(max_connections: usize, permits: usize) -> Api {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let counters = Rc::new(ControlCounters::default());
-    let gate = Gate(Rc::new(Semaphore::new(passes)), Rc::default());
-    let (stop, stopped) = watch::channel(false);
-    spawn_local(ControlServer::new(gate.clone(), most, counters.clone(), stopped).listen(listener));
+    let gate = Gate {
+        permits: Rc::new(Semaphore::new(permits)),
+        started: Rc::default(),
+    };
+    let (shutdown, is_shutting_down) = watch::channel(false);
+    spawn_local(
+        ControlServer::new(
+            gate.clone(),
+            max_connections,
+            counters.clone(),
+            is_shutting_down,
+        )
+        .listen(listener),
+    );
     Api {
         addr,
         counters,
         gate,
-        stop,
+        shutdown,
     }
 }
 
-fn story(work: impl std::future::Future<Output = ()>) {
+fn run_local(work: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -64,17 +78,17 @@
 const REPLACE: &str =
     "POST /fennelpin/Configuration.Replace HTTP/1.1\r\nHost: h\r\nFennelpin-Base-Version: 0\r\n";
 
-async fn whole(stream: &mut TcpStream) -> String {
+async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     // A reset after the answer is as good as an end.
     let _ = stream.read_to_string(&mut text).await;
     text
 }
 
-async fn say(api: &Api, text: &str) -> String {
+async fn exchange(api: &Api, text: &str) -> String {
     let mut stream = TcpStream::connect(api.addr).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
-    whole(&mut stream).await
+    read_to_end(&mut stream).await
 }
 
 #[rstest]
@@ -85,14 +99,14 @@
 #[case::no_version("GET /fennelpin/Configuration.History/x HTTP/1.1\r\n", "404", 300)]
 #[case::no_base("POST /fennelpin/Configuration.Replace HTTP/1.1\r\n", "400", 121)]
 #[case::beat_without_json("POST /fennelpin/Hosts.Heartbeat/i-1 HTTP/1.1\r\n", "400", 100)]
-fn bad_calls_are_refused_with_their_code(
+fn request_when_malformed_is_rejected_with_its_code(
     #[case] line: &str,
     #[case] status: &str,
     #[case] code: u16,
 ) {
-    story(async {
+    run_local(async {
         let api = api(4, 1).await;
-        let answer = say(
+        let answer = exchange(
             &api,
             &format!("{line}Host: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"),
         )
@@ -102,15 +116,15 @@
             "{answer}"
         );
         assert!(answer.contains(&format!("\"code\":{code},")), "{answer}");
-        assert_eq!((api.counters.refused.get(), api.gate.1.get()), (1, 0));
+        assert_eq!((api.counters.refused.get(), api.gate.started.get()), (1, 0));
     });
 }
 
 #[rstest]
 #[case::told(true)]
 #[case::in_chunks(false)]
-fn a_body_that_is_too_large_is_refused_before_it_is_read_whole(#[case] told: bool) {
-    story(async {
+fn body_when_too_large_is_rejected_before_it_is_read_to_its_end(#[case] told: bool) {
+    run_local(async {
         let api = api(4, 1).await;
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         let (mut input, mut output) = stream.split();
@@ -148,20 +162,20 @@
             text.starts_with("HTTP/1.1 413 ") && text.contains("connection: close"),
             "{text}"
         );
-        assert_eq!(api.gate.1.get(), 0);
+        assert_eq!(api.gate.started.get(), 0);
     });
 }
 
 #[test]
-fn a_body_that_comes_too_slowly_ends_with_408() {
-    story(async {
+fn body_when_too_slow_ends_with_408() {
+    run_local(async {
         let api = api(4, 1).await;
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         let text = format!("{REPLACE}Content-Length: 9\r\n\r\n{{");
         stream.write_all(text.as_bytes()).await.unwrap();
         tokio::time::pause();
         let start = Instant::now();
-        let answer = whole(&mut stream).await;
+        let answer = read_to_end(&mut stream).await;
         assert!(
             answer.starts_with("HTTP/1.1 408 ") && answer.contains("\"code\":408"),
             "{answer}"
@@ -177,21 +191,21 @@
 #[rstest]
 #[case::nothing_said("")]
 #[case::half_a_head("GET /fennelpin/status HTT")]
-fn who_says_no_whole_head_is_let_go(#[case] text: &str) {
-    story(async {
+fn connection_when_its_head_is_incomplete_is_closed(#[case] text: &str) {
+    run_local(async {
         let api = api(1, 1).await;
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         stream.write_all(text.as_bytes()).await.unwrap();
         tokio::time::pause();
-        timeout(Duration::from_secs(30), whole(&mut stream))
+        timeout(Duration::from_secs(30), read_to_end(&mut stream))
             .await
             .expect("it ends");
     });
 }
 
 #[test]
-fn beyond_the_most_connections_others_are_closed_at_once() {
-    story(async {
+fn connection_when_too_many_are_open_is_closed_at_once() {
+    run_local(async {
         let api = api(2, 0).await;
         let text = b"GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\n\r\n";
         let mut open = Vec::new();
@@ -200,16 +214,16 @@
             stream.write_all(text).await.unwrap();
             open.push(stream);
         }
-        while api.gate.1.get() < 2 {
+        while api.gate.started.get() < 2 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(say(&api, "").await, "");
+        assert_eq!(exchange(&api, "").await, "");
         assert_eq!(
             (api.counters.connections.get(), api.counters.crowded.get()),
             (2, 1)
         );
         // Those that were taken get their answers, and on a kept connection the next one.
-        api.gate.0.add_permits(9);
+        api.gate.permits.add_permits(9);
         for stream in &mut open {
             let mut answer = [0; 512];
             let read = stream.read(&mut answer).await.unwrap();
@@ -219,8 +233,8 @@
 }
 
 #[test]
-fn configurations_that_wait_are_bounded() {
-    story(async {
+fn configuration_when_too_many_wait_is_rejected() {
+    run_local(async {
         let api = api(64, 0).await;
         let text = format!("{REPLACE}Connection: close\r\nContent-Length: 2\r\n\r\n{{}}");
         let mut open = Vec::new();
@@ -229,19 +243,19 @@
             stream.write_all(text.as_bytes()).await.unwrap();
             open.push(stream);
         }
-        while api.gate.1.get() < 8 {
+        while api.gate.started.get() < 8 {
             tokio::task::yield_now().await;
         }
         tokio::time::pause();
-        let answer = say(&api, &text).await;
+        let answer = exchange(&api, &text).await;
         assert!(
             answer.starts_with("HTTP/1.1 503 ") && answer.contains("\"code\":409"),
             "{answer}"
         );
         assert!(answer.contains("retry-after: 0.2"), "{answer}");
         // What is small still goes through.
-        api.gate.0.add_permits(1);
-        let asked = say(
+        api.gate.permits.add_permits(1);
+        let asked = exchange(
             &api,
             "GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
         )
@@ -251,15 +265,15 @@
 }
 
 #[test]
-fn bytes_that_are_no_call_end_the_connection_alone() {
-    story(async {
+fn connection_when_it_sends_no_http_is_closed_alone() {
+    run_local(async {
         let api = api(4, 1).await;
-        let answer = say(&api, "\x16\x03\x01 hello\r\n\r\n").await;
+        let answer = exchange(&api, "\x16\x03\x01 hello\r\n\r\n").await;
         assert!(
             answer.is_empty() || answer.starts_with("HTTP/1.1 400 "),
             "{answer}"
         );
-        let asked = say(
+        let asked = exchange(
             &api,
             "GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
         )
@@ -269,18 +283,18 @@
 }
 
 #[test]
-fn at_the_end_answers_close_their_connections() {
-    story(async {
+fn connection_when_shutting_down_is_closed_after_its_reply() {
+    run_local(async {
         let api = api(4, 0).await;
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         let text = b"GET /fennelpin/Configuration.Read HTTP/1.1\r\nHost: h\r\n\r\n";
         stream.write_all(text).await.unwrap();
-        while api.gate.1.get() < 1 {
+        while api.gate.started.get() < 1 {
             tokio::task::yield_now().await;
         }
-        api.stop.send_replace(true);
-        api.gate.0.add_permits(1);
-        let answer = whole(&mut stream).await;
+        api.shutdown.send_replace(true);
+        api.gate.permits.add_permits(1);
+        let answer = read_to_end(&mut stream).await;
         assert!(
             answer.starts_with("HTTP/1.1 200 ") && answer.contains("connection: close"),
             "{answer}"
@@ -290,8 +304,8 @@
 
 /// One connection, two calls at once, the first of them slow: answers come in order, each to its own call.
 #[rstest]
-fn calls_sent_ahead_are_answered_in_their_order(#[values(false, true)] slow_first: bool) {
-    story(async {
+fn requests_when_pipelined_are_answered_in_their_order(#[values(false, true)] slow_first: bool) {
+    run_local(async {
         let api = api(4, 0).await;
         let mut stream = TcpStream::connect(api.addr).await.unwrap();
         let replace = format!("{REPLACE}Content-Length: 2\r\n\r\n{{}}");
@@ -310,16 +324,16 @@
             .write_all((first + &second).as_bytes())
             .await
             .unwrap();
-        while api.gate.1.get() == 0 {
+        while api.gate.started.get() == 0 {
             tokio::task::yield_now().await;
         }
         // The second isn't run before the first has its answer.
         for _ in 0..20 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(api.gate.1.get(), 1);
-        api.gate.0.add_permits(2);
-        let answers = whole(&mut stream).await;
+        assert_eq!(api.gate.started.get(), 1);
+        api.gate.permits.add_permits(2);
+        let answers = read_to_end(&mut stream).await;
         let bodies: Vec<&str> = answers
             .matches("{\"version\":1}")
             .chain(answers.matches("{\"code\":0"))
--- a/crates/control-plane/tests/host_registry.rs
+++ b/crates/control-plane/tests/host_registry.rs
@@ -1,4 +1,4 @@
-//! The roster: what hosts and coordinators tell this member.
+//! The host registry: what hosts and coordinators tell this member.
 
 use configuration::ResultCode;
 use control_plane::host_registry::{heartbeat_target, Heartbeat, HostRegistry, HostRequest};
@@ -8,22 +8,22 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-const BEAT: Duration = Duration::from_millis(1000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn roster() -> HostRegistry {
-    let mut roster = HostRegistry::new(7, 3, BEAT);
+fn registry() -> HostRegistry {
+    let mut registry = HostRegistry::new(7, 3, HEARTBEAT_INTERVAL);
     assert!(
-        roster.take_news().unwrap().whole,
-        "the first word is the whole"
+        registry.take_update().unwrap().whole,
+        "the first update is whole"
     );
-    roster
+    registry
 }
 
-fn beat(call_seq: u64) -> Heartbeat {
+fn heartbeat(call_seq: u64) -> Heartbeat {
     let addr = Addr { ip: 1, port: 80 };
     Heartbeat {
         service: "s".into(),
@@ -36,229 +36,232 @@
     }
 }
 
-fn nowhere(_: &str) -> Option<u64> {
+fn unknown_elsewhere(_: &str) -> Option<u64> {
     None
 }
 
 /// The one host that changed.
-fn changed(roster: &mut HostRegistry) -> Option<HostRecord> {
-    let news = roster.take_news()?;
-    assert!(!news.whole);
-    assert!(news.hosts.len() <= 1);
-    news.hosts.into_iter().next()
+fn changed(registry: &mut HostRegistry) -> Option<HostRecord> {
+    let update = registry.take_update()?;
+    assert!(!update.whole);
+    assert!(update.hosts.len() <= 1);
+    update.hosts.into_iter().next()
 }
 
 #[test]
-fn a_beat_counts_where_it_changes_something() {
-    let mut r = roster();
-    assert!(r.beat(ms(0), "a", &beat(1), None));
-    let seq = r.mark().seq;
-    assert_eq!(changed(&mut r).unwrap().call_seq, 1);
-    assert!(!r.beat(ms(1000), "a", &beat(2), None));
+fn heartbeat_when_it_changes_nothing_is_not_published() {
+    let mut registry = registry();
+    assert!(registry.heartbeat(ms(0), "a", &heartbeat(1), None));
+    let seq = registry.version().seq;
+    assert_eq!(changed(&mut registry).unwrap().call_seq, 1);
+    assert!(!registry.heartbeat(ms(1000), "a", &heartbeat(2), None));
     assert_eq!(
-        (r.mark().seq, r.take_news()),
+        (registry.version().seq, registry.take_update()),
         (seq, None),
-        "a beat that changes nothing"
+        "a heartbeat that changes nothing"
     );
-    assert!(r.beat(
+    assert!(registry.heartbeat(
         ms(2000),
         "a",
         &Heartbeat {
             capacity: 5,
-            ..beat(3)
+            ..heartbeat(3)
         },
         None
     ));
-    assert_eq!(r.mark().seq, seq + 1);
-    let record = changed(&mut r).unwrap();
+    assert_eq!(registry.version().seq, seq + 1);
+    let record = changed(&mut registry).unwrap();
     assert_eq!((record.capacity, record.call_seq), (5, 3));
 }
 
 #[test]
-fn a_late_beat_is_passed_over() {
-    let mut r = roster();
-    r.beat(
+fn heartbeat_when_older_than_the_latest_is_ignored() {
+    let mut registry = registry();
+    registry.heartbeat(
         ms(0),
         "a",
         &Heartbeat {
             draining: true,
-            ..beat(5)
+            ..heartbeat(5)
         },
         None,
     );
-    assert!(!r.beat(ms(1), "a", &beat(4), None));
-    assert!(!r.beat(
+    assert!(!registry.heartbeat(ms(1), "a", &heartbeat(4), None));
+    assert!(!registry.heartbeat(
         ms(1),
         "a",
         &Heartbeat {
             capacity: 9,
-            ..beat(5)
+            ..heartbeat(5)
         },
         None
     ));
-    assert_eq!(changed(&mut r).unwrap().phase, phase::DRAINING);
+    assert_eq!(changed(&mut registry).unwrap().phase, phase::DRAINING);
 }
 
 #[test]
-fn a_host_that_others_have_heard_since_is_shown_anew() {
-    let mut r = roster();
-    r.beat(ms(0), "a", &beat(1), None);
-    r.beat(ms(1000), "a", &beat(2), None);
-    changed(&mut r);
+fn heartbeat_when_another_origin_is_newer_is_published() {
+    let mut registry = registry();
+    registry.heartbeat(ms(0), "a", &heartbeat(1), None);
+    registry.heartbeat(ms(1000), "a", &heartbeat(2), None);
+    changed(&mut registry);
     let elsewhere = HostRecord {
         id: "a".into(),
         call_seq: 3,
         ..HostRecord::default()
     };
-    assert!(r.beat(ms(2000), "a", &beat(4), Some(&elsewhere)));
-    assert_eq!(changed(&mut r).unwrap().call_seq, 4);
-    assert!(!r.beat(ms(3000), "a", &beat(5), Some(&elsewhere)));
+    assert!(registry.heartbeat(ms(2000), "a", &heartbeat(4), Some(&elsewhere)));
+    assert_eq!(changed(&mut registry).unwrap().call_seq, 4);
+    assert!(!registry.heartbeat(ms(3000), "a", &heartbeat(5), Some(&elsewhere)));
 }
 
 #[test]
-fn a_silent_host_is_marked_after_two_and_a_half_beats() {
-    let mut r = roster();
-    r.beat(ms(0), "a", &beat(1), None);
-    r.beat(ms(1000), "a", &beat(2), None);
-    changed(&mut r);
-    assert!(!r.tick(ms(3699), nowhere));
-    assert!(r.tick(ms(3700), nowhere));
-    let record = changed(&mut r).unwrap();
+fn host_when_silent_for_two_and_a_half_heartbeats_is_marked() {
+    let mut registry = registry();
+    registry.heartbeat(ms(0), "a", &heartbeat(1), None);
+    registry.heartbeat(ms(1000), "a", &heartbeat(2), None);
+    changed(&mut registry);
+    assert!(!registry.tick(ms(3699), unknown_elsewhere));
+    assert!(registry.tick(ms(3700), unknown_elsewhere));
+    let record = changed(&mut registry).unwrap();
     assert_eq!((record.silent, record.phase), (true, phase::READY));
-    assert!(!r.tick(ms(5000), nowhere), "once");
-    assert!(r.beat(ms(6000), "a", &beat(3), None));
-    assert!(!changed(&mut r).unwrap().silent);
+    assert!(!registry.tick(ms(5000), unknown_elsewhere), "once");
+    assert!(registry.heartbeat(ms(6000), "a", &heartbeat(3), None));
+    assert!(!changed(&mut registry).unwrap().silent);
     // The count begins anew.
-    assert!(!r.tick(ms(8699), nowhere));
+    assert!(!registry.tick(ms(8699), unknown_elsewhere));
 }
 
 #[test]
-fn a_host_that_calls_another_member_is_dropped() {
-    let mut r = roster();
-    r.beat(ms(0), "a", &beat(4), None);
-    changed(&mut r);
+fn host_when_it_calls_another_member_is_forgotten() {
+    let mut registry = registry();
+    registry.heartbeat(ms(0), "a", &heartbeat(4), None);
+    changed(&mut registry);
     assert!(
-        !r.tick(ms(1000), |_| Some(9)),
+        !registry.tick(ms(1000), |_| Some(9)),
         "not before it is silent here"
     );
-    assert!(r.tick(ms(2700), |_| Some(9)));
-    assert_eq!(changed(&mut r).unwrap().phase, phase::FORGOTTEN);
-    assert!(!r.tick(ms(3000), |_| Some(9)));
+    assert!(registry.tick(ms(2700), |_| Some(9)));
+    assert_eq!(changed(&mut registry).unwrap().phase, phase::FORGOTTEN);
+    assert!(!registry.tick(ms(3000), |_| Some(9)));
     // It comes back.
-    assert!(r.beat(ms(4000), "a", &beat(12), None));
-    assert_eq!(changed(&mut r).unwrap().phase, phase::READY);
+    assert!(registry.heartbeat(ms(4000), "a", &heartbeat(12), None));
+    assert_eq!(changed(&mut registry).unwrap().phase, phase::READY);
 }
 
 #[test]
-fn who_departs_is_gone_for_good() {
-    let mut r = roster();
-    r.beat(ms(0), "a", &beat(4), None);
-    assert!(r.depart(ms(10), "a", None));
-    let record = changed(&mut r).unwrap();
+fn host_when_departed_stays_gone() {
+    let mut registry = registry();
+    registry.heartbeat(ms(0), "a", &heartbeat(4), None);
+    assert!(registry.depart(ms(10), "a", None));
+    let record = changed(&mut registry).unwrap();
     assert_eq!(
         (record.phase, record.call_seq, record.service.as_str()),
         (phase::GONE, 5, "s")
     );
-    assert!(!r.depart(ms(20), "a", None));
-    r.beat(ms(30), "a", &beat(6), None);
-    assert!(changed(&mut r).is_none_or(|h| h.phase == phase::GONE));
-    assert!(!r.tick(ms(9000), nowhere), "it isn't silent besides");
+    assert!(!registry.depart(ms(20), "a", None));
+    registry.heartbeat(ms(30), "a", &heartbeat(6), None);
+    assert!(changed(&mut registry).is_none_or(|h| h.phase == phase::GONE));
+    assert!(
+        !registry.tick(ms(9000), unknown_elsewhere),
+        "it isn't silent besides"
+    );
 }
 
 #[test]
-fn a_host_that_only_others_know_may_depart_here() {
-    let mut r = roster();
+fn host_when_known_elsewhere_only_departs_here() {
+    let mut registry = registry();
     let elsewhere = HostRecord {
         id: "a".into(),
         service: "s".into(),
         call_seq: 8,
         ..HostRecord::default()
     };
-    assert!(r.depart(ms(0), "a", Some(&elsewhere)));
-    let record = changed(&mut r).unwrap();
+    assert!(registry.depart(ms(0), "a", Some(&elsewhere)));
+    let record = changed(&mut registry).unwrap();
     assert_eq!(
         (record.phase, record.call_seq, record.service.as_str()),
         (phase::GONE, 9, "s")
     );
-    assert!(r.depart(ms(0), "never seen", None));
-    assert_eq!(changed(&mut r).unwrap().phase, phase::GONE);
+    assert!(registry.depart(ms(0), "never seen", None));
+    assert_eq!(changed(&mut registry).unwrap().phase, phase::GONE);
     // And who is gone elsewhere doesn't come to life here.
     let gone = HostRecord {
         phase: phase::GONE,
         ..elsewhere
     };
-    r.beat(ms(0), "b", &beat(10), Some(&gone));
-    assert_eq!(changed(&mut r).unwrap().phase, phase::GONE);
+    registry.heartbeat(ms(0), "b", &heartbeat(10), Some(&gone));
+    assert_eq!(changed(&mut registry).unwrap().phase, phase::GONE);
 }
 
 #[test]
-fn records_that_are_over_go_after_a_minute() {
-    let mut r = roster();
-    r.beat(ms(0), "silent", &beat(1), None);
-    r.depart(ms(0), "gone", None);
-    r.take_news();
-    r.tick(ms(2700), nowhere);
-    r.take_news();
+fn record_when_ended_for_a_minute_is_dropped() {
+    let mut registry = registry();
+    registry.heartbeat(ms(0), "silent", &heartbeat(1), None);
+    registry.depart(ms(0), "gone", None);
+    registry.take_update();
+    registry.tick(ms(2700), unknown_elsewhere);
+    registry.take_update();
     assert!(
-        !r.tick(ms(60_000), nowhere),
+        !registry.tick(ms(60_000), unknown_elsewhere),
         "mirrors forget who is gone by themselves"
     );
-    assert!(r.tick(ms(62_700), nowhere));
-    let record = changed(&mut r).unwrap();
+    assert!(registry.tick(ms(62_700), unknown_elsewhere));
+    let record = changed(&mut registry).unwrap();
     assert_eq!(
         (record.id.as_str(), record.phase),
         ("silent", phase::FORGOTTEN)
     );
     assert!(
-        r.depart(ms(63_000), "gone", None),
+        registry.depart(ms(63_000), "gone", None),
         "it isn't known any more"
     );
 }
 
 #[test]
-fn coordinators_are_those_that_pull() {
-    let mut r = roster();
-    let caller = |name: &str, member, version| Subscriber {
+fn coordinator_when_it_stops_pulling_is_gone() {
+    let mut registry = registry();
+    let subscriber = |name: &str, member, version| Subscriber {
         name: name.into(),
         member,
         version,
         ..Subscriber::default()
     };
-    assert!(r.pulled(ms(0), &caller("e1", 0, 1)));
+    assert!(registry.record_pull(ms(0), &subscriber("e1", 0, 1)));
     assert!(
-        !r.pulled(ms(0), &caller("core-2", 8, 1)),
+        !registry.record_pull(ms(0), &subscriber("core-2", 8, 1)),
         "a member is none"
     );
-    assert_eq!(r.take_news().unwrap().coordinators.len(), 1);
+    assert_eq!(registry.take_update().unwrap().coordinators.len(), 1);
     assert!(
-        !r.pulled(ms(1000), &caller("e1", 0, 2)),
-        "its version alone is no news"
+        !registry.record_pull(ms(1000), &subscriber("e1", 0, 2)),
+        "its version alone is no change"
     );
-    assert_eq!(r.coordinators().next().unwrap().version, 2);
-    assert!(!r.tick(ms(3999), nowhere));
-    assert!(r.tick(ms(4000), nowhere));
-    assert!(r.take_news().unwrap().coordinators[0].gone);
-    assert_eq!(r.coordinators().count(), 0);
-    assert!(r.pulled(ms(5000), &caller("e1", 0, 2)));
-    assert!(!r.take_news().unwrap().coordinators[0].gone);
+    assert_eq!(registry.coordinators().next().unwrap().version, 2);
+    assert!(!registry.tick(ms(3999), unknown_elsewhere));
+    assert!(registry.tick(ms(4000), unknown_elsewhere));
+    assert!(registry.take_update().unwrap().coordinators[0].gone);
+    assert_eq!(registry.coordinators().count(), 0);
+    assert!(registry.record_pull(ms(5000), &subscriber("e1", 0, 2)));
+    assert!(!registry.take_update().unwrap().coordinators[0].gone);
 }
 
 #[test]
-fn its_number_rises_with_each_change() {
-    let mut r = roster();
-    let mut last = r.mark().seq;
+fn version_when_a_record_changes_rises_by_one() {
+    let mut registry = registry();
+    let mut last = registry.version().seq;
     for n in 1..=3 {
-        r.beat(ms(n), &format!("h{n}"), &beat(1), None);
-        assert_eq!(r.mark().seq, last + 1);
-        last = r.mark().seq;
+        registry.heartbeat(ms(n), &format!("h{n}"), &heartbeat(1), None);
+        assert_eq!(registry.version().seq, last + 1);
+        last = registry.version().seq;
     }
-    let news = r.take_news().unwrap();
+    let update = registry.take_update().unwrap();
     assert_eq!(
         (
-            news.mark.id,
-            news.mark.life,
-            news.mark.seq,
-            news.hosts.len()
+            update.mark.id,
+            update.mark.life,
+            update.mark.seq,
+            update.hosts.len()
         ),
         (7, 3, last, 3)
     );
@@ -268,46 +271,50 @@
     "phase":"ready","cold_left_ms":250,"phase_name":"combined","models":[],"call_seq":4}"#;
 
 #[test]
-fn a_heartbeat_is_read() {
-    let call =
+fn heartbeat_request_when_decoded_has_its_fields() {
+    let request =
         HostRequest::decode("/fennelpin/Hosts.Heartbeat/i-7f3a91c2", BODY.as_bytes()).unwrap();
-    let HostRequest::Heartbeat { host, beat } = &call else {
-        panic!("{call:?}")
+    let HostRequest::Heartbeat { host, heartbeat } = &request else {
+        panic!("{request:?}")
     };
     assert_eq!(
-        (host.as_str(), beat.service.as_str(), beat.zone.as_str()),
+        (
+            host.as_str(),
+            heartbeat.service.as_str(),
+            heartbeat.zone.as_str()
+        ),
         ("i-7f3a91c2", "huvo11a", "caerdydd")
     );
     assert_eq!(
         (
-            beat.capacity,
-            beat.call_seq,
-            beat.cold_left_ms,
-            beat.draining
+            heartbeat.capacity,
+            heartbeat.call_seq,
+            heartbeat.cold_left_ms,
+            heartbeat.draining
         ),
         (64, 4, 250, false)
     );
     assert_eq!(
-        beat.addr,
+        heartbeat.addr,
         Addr {
             ip: u32::from_be_bytes([10, 128, 0, 9]),
             port: 8080
         }
     );
-    assert!(!call.leaves());
+    assert!(!request.is_leaving());
     let leaving = BODY.replace("\"ready\"", "\"draining\"");
     assert!(
         HostRequest::decode("/fennelpin/Hosts.Heartbeat/i", leaving.as_bytes())
             .unwrap()
-            .leaves()
+            .is_leaving()
     );
 }
 
 #[test]
-fn a_departure_needs_no_body() {
-    let call = HostRequest::decode("/fennelpin/Hosts.Depart/i-1", b"").unwrap();
-    assert_eq!(call, HostRequest::Depart { host: "i-1".into() });
-    assert!(call.leaves());
+fn depart_request_when_without_body_is_decoded() {
+    let request = HostRequest::decode("/fennelpin/Hosts.Depart/i-1", b"").unwrap();
+    assert_eq!(request, HostRequest::Depart { host: "i-1".into() });
+    assert!(request.is_leaving());
 }
 
 #[rstest]
@@ -319,7 +326,11 @@
 #[case::a_path("/fennelpin/Hosts.Depart/a/b", "", ResultCode::Unreadable)]
 #[case::another_call("/fennelpin/Hosts.Sleep/i", BODY, ResultCode::NoSuchCall)]
 #[case::another_path("/other", BODY, ResultCode::NoSuchCall)]
-fn bad_calls_are_refused(#[case] path: &str, #[case] body: &str, #[case] code: ResultCode) {
+fn request_when_malformed_is_rejected(
+    #[case] path: &str,
+    #[case] body: &str,
+    #[case] code: ResultCode,
+) {
     assert_eq!(HostRequest::decode(path, body.as_bytes()), Err(code));
 }
 
@@ -330,7 +341,7 @@
 #[case("\"capacity\":64", "\"capacity\":-1")]
 #[case("\"huvo11a\"", "\"\"")]
 #[case("\"call_seq\":4", "\"call_seq\":\"4\"")]
-fn bad_fields_are_refused(#[case] from: &str, #[case] to: &str) {
+fn heartbeat_request_when_a_field_is_bad_is_rejected(#[case] from: &str, #[case] to: &str) {
     let body = BODY.replace(from, to);
     assert_eq!(
         HostRequest::decode("/fennelpin/Hosts.Heartbeat/i", body.as_bytes()),
@@ -339,8 +350,8 @@
 }
 
 #[test]
-fn later_beats_are_spread_over_the_members_that_live() {
-    let live: Vec<MemberInfo> = (1..=3)
+fn heartbeat_targets_when_members_are_reachable_are_spread_over_them() {
+    let reachable: Vec<MemberInfo> = (1..=3)
         .map(|id| MemberInfo {
             id,
             ..MemberInfo::default()
@@ -349,15 +360,15 @@
     let mut counts: HashMap<u64, u32> = HashMap::new();
     for n in 0..300 {
         let host = format!("i-{n}");
-        let target = heartbeat_target(&host, 1, &live).map_or(1, |s| s.id);
+        let target = heartbeat_target(&host, 1, &reachable).map_or(1, |s| s.id);
         assert_eq!(
-            heartbeat_target(&host, target, &live),
+            heartbeat_target(&host, target, &reachable),
             None,
-            "the one called is the one"
+            "the member that was called stays the target"
         );
         *counts.entry(target).or_default() += 1;
     }
     assert!(counts.values().all(|n| (60..140).contains(n)), "{counts:?}");
     assert_eq!(heartbeat_target("i", 1, &[]), None);
-    assert_eq!(heartbeat_target("i", 1, &live[..1]), None);
+    assert_eq!(heartbeat_target("i", 1, &reachable[..1]), None);
 }
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! A member that starts on a full disk after its clock was set back, and doesn't know the number of its life before:
-//! what hosts tell it reaches everybody all the same.
+//! A member that starts on a full disk after its clock was set back doesn't know its incarnation before. What hosts
+//! tell it reaches everybody all the same.
 
 use control_plane::host_registry::{Heartbeat, HostRequest};
 use control_plane::incarnation::following;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const BEAT: Duration = Duration::from_millis(1000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 const ID: u64 = 7;
 
-fn beat(host: &str, call_seq: u64) -> HostRequest {
+fn heartbeat(host: &str, call_seq: u64) -> HostRequest {
     let (service, addr, zone) = (
         "s".into(),
         Addr {
@@ -22,7 +22,7 @@
         },
         "z".into(),
     );
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         service,
         addr,
         zone,
@@ -33,59 +33,59 @@
     };
     HostRequest::Heartbeat {
         host: host.into(),
-        beat,
+        heartbeat,
     }
 }
 
 fn member(id: u64) -> Arc<SharedMirror> {
-    SharedMirror::new(Mirror::new(id, BEAT))
+    SharedMirror::new(Mirror::new(id, HEARTBEAT_INTERVAL))
 }
 
 /// `to` pulls from `from` once, as it would over a connection.
 async fn pull(to: &SharedMirror, from: &SharedMirror) {
     let pull = to.update(|mirror, _| mirror.pull(&Subscriber::default(), 0));
-    let news = answer(from, &pull).await;
-    to.update(|mirror, now| mirror.apply(now, &news));
+    let update = answer(from, &pull).await;
+    to.update(|mirror, now| mirror.apply(now, &update));
 }
 
 /// One member, a peer of it, and an agent that pulls from the peer only.
-struct ControlPlaneInfo {
+struct TestProcesses {
     member: Arc<SharedMirror>,
-    feed: Arc<RegistryPublisher>,
+    publisher: Arc<RegistryPublisher>,
     peer: Arc<SharedMirror>,
     agent: Arc<SharedMirror>,
 }
 
-impl ControlPlaneInfo {
-    fn new(life: u64) -> Self {
-        let member = member_with_feed(life);
+impl TestProcesses {
+    fn new(incarnation: u64) -> Self {
+        let member = member_with_publisher(incarnation);
         Self {
             member: member.0,
-            feed: member.1,
+            publisher: member.1,
             peer: self::member(8),
             agent: self::member(0),
         }
     }
 
-    fn restart(&mut self, life: u64) {
-        (self.member, self.feed) = member_with_feed(life);
+    fn restart(&mut self, incarnation: u64) {
+        (self.member, self.publisher) = member_with_publisher(incarnation);
     }
 
     /// Everybody pulls a few times, while the hosts call.
-    async fn run(&self, hosts: &[&str], beats: u64, call_seq: &mut u64) {
-        for _ in 0..beats {
+    async fn run(&self, hosts: &[&str], heartbeats: u64, call_seq: &mut u64) {
+        for _ in 0..heartbeats {
             *call_seq += 1;
             for host in hosts {
-                self.feed.call(&beat(host, *call_seq));
+                self.publisher.handle(&heartbeat(host, *call_seq));
             }
             for _ in 0..4 {
-                self.feed.tick();
+                self.publisher.tick();
                 pull(&self.peer, &self.member).await;
                 pull(&self.member, &self.peer).await;
                 pull(&self.agent, &self.peer).await;
                 self.peer.update(replication::Mirror::tick);
                 self.agent.update(replication::Mirror::tick);
-                tokio::time::advance(BEAT / 4).await;
+                tokio::time::advance(HEARTBEAT_INTERVAL / 4).await;
             }
         }
     }
@@ -96,10 +96,10 @@
     }
 }
 
-fn member_with_feed(life: u64) -> (Arc<SharedMirror>, Arc<RegistryPublisher>) {
+fn member_with_publisher(incarnation: u64) -> (Arc<SharedMirror>, Arc<RegistryPublisher>) {
     let shared = member(ID);
-    let feed = RegistryPublisher::new(ID, life, BEAT, shared.clone());
-    (shared, feed)
+    let publisher = RegistryPublisher::new(ID, incarnation, HEARTBEAT_INTERVAL, shared.clone());
+    (shared, publisher)
 }
 
 /// The clock of the second start is earlier; neither number was kept.
@@ -108,69 +108,68 @@
 #[case::set_back_below_what_was_kept(following(0, 9_000, 2), following(0, 9_000, 1))]
 #[case::set_back_by_years(following(0, 1 << 41, 1), following(0, 1, 2))]
 #[tokio::test(start_paused = true)]
-async fn hosts_told_after_the_clock_went_back_reach_everybody(
-    #[case] first: u64,
-    #[case] second: u64,
-) {
-    let mut fleet = ControlPlaneInfo::new(first);
+async fn hosts_when_the_clock_went_back_reach_everybody(#[case] first: u64, #[case] second: u64) {
+    let mut processes = TestProcesses::new(first);
     let mut calls = 0;
-    fleet.run(&["a", "bb"], 3, &mut calls).await;
-    assert_eq!(fleet.shows("a"), [true; 3]);
-    fleet.restart(second);
+    processes.run(&["a", "bb"], 3, &mut calls).await;
+    assert_eq!(processes.shows("a"), [true; 3]);
+    processes.restart(second);
     // One stays, one ended meanwhile, one is new; this member alone is called.
-    fleet.run(&["a", "ccc"], 10, &mut calls).await;
+    processes.run(&["a", "ccc"], 10, &mut calls).await;
     assert_eq!(
-        (fleet.shows("a"), fleet.shows("ccc")),
+        (processes.shows("a"), processes.shows("ccc")),
         ([true; 3], [true; 3])
     );
-    assert_eq!(fleet.shows("bb"), [false; 3]);
-    fleet.feed.call(&HostRequest::Depart { host: "a".into() });
-    fleet.run(&["ccc"], 1, &mut calls).await;
+    assert_eq!(processes.shows("bb"), [false; 3]);
+    processes
+        .publisher
+        .handle(&HostRequest::Depart { host: "a".into() });
+    processes.run(&["ccc"], 1, &mut calls).await;
     assert_eq!(
-        fleet.agent.snapshot().hosts["a"].phase,
+        processes.agent.snapshot().hosts["a"].phase,
         replication::phase::GONE
     );
 }
 
 /// Again and again, each time further back.
 #[tokio::test(start_paused = true)]
-async fn a_third_start_further_back_is_followed_too() {
-    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
+async fn hosts_when_the_clock_goes_back_again_and_again_reach_everybody() {
+    let mut processes = TestProcesses::new(following(0, 9_000, 1));
     let mut calls = 0;
     for (n, host) in ["a", "bb", "ccc", "dddd"].iter().enumerate() {
-        fleet.run(&[host], 6, &mut calls).await;
-        assert_eq!(fleet.shows(host), [true; 3], "life {n}");
-        fleet.restart(following(0, 8_000 - 1_000 * n as u64, n as u64 + 2));
+        processes.run(&[host], 6, &mut calls).await;
+        assert_eq!(processes.shows(host), [true; 3], "incarnation {n}");
+        processes.restart(following(0, 8_000 - 1_000 * n as u64, n as u64 + 2));
     }
 }
 
-/// The whole core starts anew, and only an agent that doesn't pull from this member remembers its life before.
+/// All members start anew, and only an agent that doesn't pull from this member remembers its incarnation before.
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_remembers_is_enough() {
-    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
+async fn hosts_when_only_an_agent_remembers_reach_everybody() {
+    let mut processes = TestProcesses::new(following(0, 9_000, 1));
     let mut calls = 0;
-    fleet.run(&["a"], 2, &mut calls).await;
-    fleet.peer = member(8);
-    fleet.restart(following(0, 3_000, 2));
-    fleet.run(&["bb"], 10, &mut calls).await;
-    assert_eq!(fleet.shows("bb"), [true; 3]);
-    assert_eq!(fleet.shows("a"), [false; 3]);
+    processes.run(&["a"], 2, &mut calls).await;
+    processes.peer = member(8);
+    processes.restart(following(0, 3_000, 2));
+    processes.run(&["bb"], 10, &mut calls).await;
+    assert_eq!(processes.shows("bb"), [true; 3]);
+    assert_eq!(processes.shows("a"), [false; 3]);
 }
 
 /// A start like any other costs nobody anything: its number is higher, and stays what it is.
 #[tokio::test(start_paused = true)]
-async fn a_usual_start_keeps_its_number() {
-    let mut fleet = ControlPlaneInfo::new(following(0, 9_000, 1));
+async fn incarnation_when_the_clock_went_on_stays() {
+    let mut processes = TestProcesses::new(following(0, 9_000, 1));
     let mut calls = 0;
-    fleet.run(&["a"], 2, &mut calls).await;
-    let life = following(0, 10_000, 2);
-    fleet.restart(life);
-    fleet.run(&["a"], 6, &mut calls).await;
-    let marks = fleet.agent.update(|mirror, _| mirror.vector());
+    processes.run(&["a"], 2, &mut calls).await;
+    let incarnation = following(0, 10_000, 2);
+    processes.restart(incarnation);
+    processes.run(&["a"], 6, &mut calls).await;
+    let marks = processes.agent.update(|mirror, _| mirror.vector());
     let newest = marks
         .iter()
         .filter(|mark| mark.id == ID)
         .map(|mark| mark.life)
         .max();
-    assert_eq!(newest, Some(life));
+    assert_eq!(newest, Some(incarnation));
 }
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -25,7 +25,7 @@
     dirs: Vec<PathBuf>,
     ips: Vec<Ipv4Addr>,
     ports: (u16, u16),
-    tuning: RuntimeSettings,
+    settings: RuntimeSettings,
     running: Vec<Option<(oneshot::Sender<()>, JoinHandle<()>)>>,
 }
 
@@ -49,7 +49,7 @@
             dirs,
             ips,
             ports,
-            tuning: RuntimeSettings::default(),
+            settings: RuntimeSettings::default(),
             running: (0..count).map(|_| None).collect(),
         }
     }
@@ -74,10 +74,10 @@
         });
         let boot = ProcessSettings::read(&boot.to_string()).unwrap();
         let (stop, stopped) = oneshot::channel();
-        let tuning = self.tuning;
+        let settings = self.settings;
         let done = spawn_local(async move {
             let (_seeds, following) = watch::channel(boot.seed_nodes.clone());
-            run(boot, tuning, following, async { drop(stopped.await) })
+            run(boot, settings, following, async { drop(stopped.await) })
                 .await
                 .unwrap();
         });
@@ -398,7 +398,7 @@
 async fn a_spare_member_takes_a_lost_voters_place() {
     let root = tempfile::tempdir().unwrap();
     let mut core = Core::of(10, 67, root.path());
-    core.tuning.lease = Duration::from_millis(300);
+    core.settings.lease_duration = Duration::from_millis(300);
     let play = async {
         (0..10).for_each(|n| core.start(n, true));
         assert_eq!(
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -100,12 +100,12 @@
             "{:?}",
             start.elapsed()
         );
-        assert_eq!(links.counters().broken, 1);
-        assert_eq!(links.seats().len(), 1, "it counts no more");
+        assert_eq!(links.counters().disconnected, 1);
+        assert_eq!(links.reachable_members().len(), 1, "it counts no more");
         // A seed is dialled whatever happens.
         let _frames = greet(&listener, &other).await;
         until(|| links.counters().connected == 2).await;
-        assert_eq!(links.seats().len(), 2);
+        assert_eq!(links.reachable_members().len(), 2);
     });
 }
 
@@ -129,15 +129,15 @@
             (
                 log.borrow().len(),
                 links.counters().connected,
-                links.seats().len()
+                links.reachable_members().len()
             ),
             (0, 0, 1)
         );
         drop(mute);
         let _frames = greet(&listener, &seat(2, v4(&listener))).await;
         until(|| links.counters().connected == 1).await;
-        assert!(matches!(log.borrow()[..], [PeerEvent::Hello(ref s)] if s.id == 2));
-        assert_eq!(links.counters().broken, 0);
+        assert!(matches!(log.borrow()[..], [PeerEvent::Connected(ref s)] if s.id == 2));
+        assert_eq!(links.counters().disconnected, 0);
     });
 }
 
@@ -150,7 +150,7 @@
         links.set_seeds(&[v4(&listener)]);
         let mut frames = greet(&listener, &before).await;
         until(|| links.counters().connected == 1).await;
-        assert!(matches!(log.borrow()[0], PeerEvent::Hello(ref s) if s.id == 2));
+        assert!(matches!(log.borrow()[0], PeerEvent::Connected(ref s) if s.id == 2));
         assert!(matches!(
             frames.next().await.unwrap(),
             Some(Message::Peers { .. })
@@ -211,7 +211,7 @@
             "by the write's time, {:?}",
             start.elapsed()
         );
-        assert_eq!(links.counters().broken, 1);
+        assert_eq!(links.counters().disconnected, 1);
     });
 }
 
@@ -290,7 +290,7 @@
         }
         assert_eq!(next_but_probes(&mut data).await, Some(change(1, LONGEST)));
         assert_eq!(next_but_probes(&mut data).await, Some(change(2, 10)));
-        assert_eq!(links.counters().broken, 0);
+        assert_eq!(links.counters().disconnected, 0);
     });
 }
 
@@ -330,7 +330,7 @@
             Some(renewal(1)),
             "the other connection stays"
         );
-        assert_eq!(links.counters().broken, 1);
+        assert_eq!(links.counters().disconnected, 1);
     });
 }
 
@@ -392,7 +392,7 @@
             start.elapsed()
         );
         assert!(matches!(change, Message::AppendChange { seq: 1, .. }));
-        assert_eq!(links.counters().broken, 0);
+        assert_eq!(links.counters().disconnected, 0);
     });
 }
 
--- a/crates/control-plane/tests/registry_publisher.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -1,16 +1,16 @@
-//! The member's own source goes into the mirror that others pull from.
+//! The host registry's changes go into the mirror that others pull from.
 
 use control_plane::host_registry::{Heartbeat, HostRequest};
-use control_plane::registry_publisher::RegistryPublisher;
+use control_plane::registry_publisher::{RegistryPublisher, VersionsInForce};
 use protocol::{Addr, OriginVersion, Subscriber};
 use replication::{answer, phase, Mirror, SharedMirror, Update};
 use std::time::Duration;
 
-const BEAT: Duration = Duration::from_millis(1000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
-fn call(host: &str, call_seq: u64) -> HostRequest {
+fn request(host: &str, call_seq: u64) -> HostRequest {
     let (service, addr, zone) = ("s".into(), Addr { ip: 1, port: 80 }, "z".into());
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         service,
         addr,
         zone,
@@ -21,19 +21,19 @@
     };
     HostRequest::Heartbeat {
         host: host.into(),
-        beat,
+        heartbeat,
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_beat_reaches_who_waits_at_once() {
-    let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
-    let mut agent = Mirror::new(0, BEAT);
+async fn heartbeat_when_a_pull_waits_answers_it_at_once() {
+    let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_INTERVAL));
+    let publisher = RegistryPublisher::new(7, 1, HEARTBEAT_INTERVAL, shared.clone());
+    let mut agent = Mirror::new(0, HEARTBEAT_INTERVAL);
     let first = answer(&shared, &agent.pull(&Subscriber::default(), 1000)).await;
     assert!(
         agent.apply(Duration::ZERO, &first),
-        "the member's life is known before any host is"
+        "the member's incarnation is known before any host is"
     );
     let pull = agent.pull(&Subscriber::default(), 1000);
     let waits = {
@@ -43,42 +43,42 @@
     tokio::task::yield_now().await;
     assert!(!waits.is_finished());
     let asked = tokio::time::Instant::now();
-    assert!(feed.call(&call("i", 1)));
-    let news = waits.await.unwrap();
+    assert!(publisher.handle(&request("i", 1)));
+    let update = waits.await.unwrap();
     assert_eq!(asked.elapsed(), Duration::ZERO);
-    assert!(!news.sources[0].whole);
-    assert_eq!(news.sources[0].hosts[0].id, "i");
+    assert!(!update.sources[0].whole);
+    assert_eq!(update.sources[0].hosts[0].id, "i");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_pull_without_news_is_answered_after_its_wait() {
-    let shared = SharedMirror::new(Mirror::new(7, BEAT));
+async fn pull_when_nothing_changes_is_answered_after_its_wait() {
+    let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_INTERVAL));
     let asked = tokio::time::Instant::now();
-    let news = answer(
+    let update = answer(
         &shared,
-        &Mirror::new(0, BEAT).pull(&Subscriber::default(), 1000),
+        &Mirror::new(0, HEARTBEAT_INTERVAL).pull(&Subscriber::default(), 1000),
     )
     .await;
-    assert!(news.is_empty());
+    assert!(update.is_empty());
     assert_eq!(
-        (news.member, asked.elapsed()),
+        (update.member, asked.elapsed()),
         (7, Duration::from_millis(1000))
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_host_that_moves_is_dropped_here() {
-    let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
-    feed.call(&call("i", 1));
-    let other = SharedMirror::new(Mirror::new(8, BEAT));
-    RegistryPublisher::new(8, 1, BEAT, other.clone()).call(&call("i", 4));
-    tokio::time::advance(BEAT * 3).await;
-    let news = other
-        .update(|m, now| m.news_for(now, &m_pull(&shared)))
+async fn host_when_it_moves_to_another_member_is_dropped() {
+    let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_INTERVAL));
+    let publisher = RegistryPublisher::new(7, 1, HEARTBEAT_INTERVAL, shared.clone());
+    publisher.handle(&request("i", 1));
+    let other = SharedMirror::new(Mirror::new(8, HEARTBEAT_INTERVAL));
+    RegistryPublisher::new(8, 1, HEARTBEAT_INTERVAL, other.clone()).handle(&request("i", 4));
+    tokio::time::advance(HEARTBEAT_INTERVAL * 3).await;
+    let update = other
+        .update(|m, now| m.news_for(now, &pull_of(&shared)))
         .unwrap();
-    shared.update(|m, now| m.apply(now, &news));
-    feed.tick();
+    shared.update(|m, now| m.apply(now, &update));
+    publisher.tick();
     assert_eq!(shared.snapshot().hosts["i"].call_seq, 4);
     assert!(
         shared.update(|m, _| m.host_elsewhere(8, "i").is_none()),
@@ -86,14 +86,14 @@
     );
 }
 
-fn m_pull(shared: &SharedMirror) -> replication::Pull {
+fn pull_of(shared: &SharedMirror) -> replication::Pull {
     shared.update(|m, _| m.pull(&Subscriber::default(), 0))
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_is_gone_elsewhere_stays_gone() {
-    let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
+async fn host_when_gone_elsewhere_stays_gone() {
+    let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_INTERVAL));
+    let publisher = RegistryPublisher::new(7, 1, HEARTBEAT_INTERVAL, shared.clone());
     let mark = OriginVersion {
         id: 8,
         life: 1,
@@ -119,26 +119,35 @@
             },
         )
     });
-    feed.call(&call("i", 3));
+    publisher.handle(&request("i", 3));
     assert_eq!(shared.snapshot().hosts["i"].phase, phase::GONE);
 }
 
 #[tokio::test(start_paused = true)]
-async fn coordinators_report_what_they_have_in_force() {
-    let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let feed = RegistryPublisher::new(7, 1, BEAT, shared.clone());
+async fn coordinators_when_they_pull_report_their_version() {
+    let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_INTERVAL));
+    let publisher = RegistryPublisher::new(7, 1, HEARTBEAT_INTERVAL, shared.clone());
     for (name, version) in [("a", 4), ("b", 3)] {
-        feed.pulled(&Subscriber {
+        publisher.record_pull(&Subscriber {
             name: name.into(),
             version,
             ..Subscriber::default()
         });
     }
     assert_eq!(
-        (feed.in_force(), shared.snapshot().coordinators.len()),
-        ((3, 2), 2)
+        (
+            publisher.versions_in_force(),
+            shared.snapshot().coordinators.len()
+        ),
+        (
+            VersionsInForce {
+                lowest: 3,
+                coordinators: 2
+            },
+            2
+        )
     );
     tokio::time::advance(Duration::from_secs(3)).await;
-    feed.tick();
+    publisher.tick();
     assert_eq!(shared.snapshot().coordinators.len(), 0);
 }
--- a/crates/control-plane/tests/slow_peer_connections.rs
+++ b/crates/control-plane/tests/slow_peer_connections.rs
@@ -139,7 +139,7 @@
             return;
         }
         let frame = protocol::encode(message);
-        let lane = Channel::of(message, frame.len());
+        let lane = Channel::for_message(message, frame.len());
         let free = self.lane_free(from, to, lane);
         let queued = (free - self.now).as_secs_f64() * self.rate;
         if queued > 0.0 && queued as usize + frame.len() > MAX_QUEUED_BYTES {
--- a/crates/fennelpin-cli/src/lib.rs
+++ b/crates/fennelpin-cli/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use fennelpin_cli::operator::Operator;
 //! let operator = Operator::read(None).unwrap();
-//! assert_eq!(operator.tuning().lease.as_millis(), 1000);
+//! assert_eq!(operator.runtime_settings().lease.as_millis(), 1000);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/fennelpin-cli/src/operator.rs
+++ b/crates/fennelpin-cli/src/operator.rs
@@ -74,15 +74,15 @@
 
 impl Default for Operator {
     fn default() -> Self {
-        let tuning = RuntimeSettings::default();
+        let settings = RuntimeSettings::default();
         let ms = |d: Duration| d.as_millis() as u64;
         Self {
             log_level: Level::Info,
             log_format: Format::Text,
-            counters_s: tuning.counters.as_secs(),
-            lease_ms: ms(tuning.lease),
-            stall_ms: ms(tuning.stall),
-            patience_ms: ms(tuning.patience),
+            counters_s: settings.counters_interval.as_secs(),
+            lease_ms: ms(settings.lease_duration),
+            stall_ms: ms(settings.disk_stall_timeout),
+            patience_ms: ms(settings.command_timeout),
         }
     }
 }
@@ -136,12 +136,12 @@
     }
 
     /// What of it concerns a member.
-    pub fn tuning(&self) -> RuntimeSettings {
+    pub fn runtime_settings(&self) -> RuntimeSettings {
         RuntimeSettings {
-            lease: Duration::from_millis(self.lease_ms),
-            patience: Duration::from_millis(self.patience_ms),
-            stall: Duration::from_millis(self.stall_ms),
-            counters: Duration::from_secs(self.counters_s),
+            lease_duration: Duration::from_millis(self.lease_ms),
+            command_timeout: Duration::from_millis(self.patience_ms),
+            disk_stall_timeout: Duration::from_millis(self.stall_ms),
+            counters_interval: Duration::from_secs(self.counters_s),
         }
     }
 }
--- a/crates/fennelpin-cli/src/roles.rs
+++ b/crates/fennelpin-cli/src/roles.rs
@@ -74,7 +74,7 @@
     run(async {
         let boot = read_settings(from)?;
         let seeds = settings::follow_seeds(from.settings.clone(), &boot).context(StartSnafu)?;
-        control_plane::runtime::run(boot, operator.tuning(), seeds, stop(from)?)
+        control_plane::runtime::run(boot, operator.runtime_settings(), seeds, stop(from)?)
             .await
             .context(ControlPlaneSnafu)
     })
--- a/crates/fennelpin-cli/tests/command_line.rs
+++ b/crates/fennelpin-cli/tests/command_line.rs
@@ -279,10 +279,10 @@
     let first: serde_json::Value = serde_json::from_str(&lines.next().unwrap().unwrap()).unwrap();
     assert_eq!(
         (&first["level"], &first["message"]),
-        (&"INFO".into(), &"member starts".into())
+        (&"INFO".into(), &"member starting".into())
     );
     assert!(
-        first["id"].is_number() && first["founder"] == true,
+        first["id"].is_number() && first["initial_voter"] == true,
         "{first}"
     );
     // The end of its input ends it in order.
