--- a/crates/control-plane/src/host_registry/mod.rs
+++ b/crates/control-plane/src/host_registry/mod.rs
@@ -65,7 +65,7 @@
     ///
     /// Called when others know a later incarnation of this member: they would take this one's records for older.
     pub fn advance_incarnation(&mut self, known_incarnation: u64) {
-        let next = incarnation::following(known_incarnation, 0, self.version.life);
+        let next = incarnation::next_incarnation(known_incarnation, 0, self.version.life);
         if next <= known_incarnation {
             return;
         }
--- a/crates/control-plane/src/incarnation.rs
+++ b/crates/control-plane/src/incarnation.rs
@@ -11,7 +11,7 @@
 const TAIL_MASK: u64 = (1 << TAIL_BITS) - 1;
 
 /// The number of an incarnation that starts at `clock_ms` and follows `before`; the tail is taken from `random`.
-pub fn following(before: u64, clock_ms: u64, random: u64) -> u64 {
+pub fn next_incarnation(before: u64, clock_ms: u64, random: u64) -> u64 {
     let clock_ms = clock_ms.max((before >> TAIL_BITS) + 1).min(MAX_CLOCK_MS);
     (clock_ms << TAIL_BITS) | (random & TAIL_MASK)
 }
--- a/crates/control-plane/src/runtime/event_loop.rs
+++ b/crates/control-plane/src/runtime/event_loop.rs
@@ -100,7 +100,7 @@
                 () = &mut shutdown, if deadline.is_none() => {
                     deadline = Some(Instant::now() + self.services.leave_timeout);
                     self.services.shutdown.send_replace(true);
-                    self.step(Input::Leave);
+                    self.step(Input::Depart);
                 }
                 event = events.recv() => {
                     // The request handler holds a sender.
@@ -166,7 +166,7 @@
     fn take(&mut self, event: Event) {
         match event {
             Event::Peer(PeerEvent::Connected(member)) => {
-                self.step(Input::Reachable { seat: member });
+                self.step(Input::PeerReachable { member });
             }
             Event::Peer(PeerEvent::Message(from, message)) => {
                 self.step(Input::Message {
@@ -175,7 +175,7 @@
                 });
             }
             Event::Storage(StorageEvent::Wrote { ticket, result }) => {
-                self.step(Input::Wrote { ticket, result });
+                self.step(Input::WriteCompleted { ticket, result });
             }
             Event::Storage(StorageEvent::Open { .. } | StorageEvent::NotOpen { .. }) => {}
             Event::Command(command, caller) => self.take_command(command, caller),
--- a/crates/control-plane/src/runtime/host_cache.rs
+++ b/crates/control-plane/src/runtime/host_cache.rs
@@ -17,7 +17,8 @@
 
 /// Puts the stored hosts into the mirror, as records of an earlier incarnation of this member.
 pub(super) fn restore(mirror: &SharedMirror, identity: &Identity, stored: Option<Vec<u8>>) {
-    let Some(stored) = stored.and_then(|bytes| protocol::read_one::<OriginUpdate>(&bytes).ok())
+    let Some(stored) =
+        stored.and_then(|bytes| protocol::decode_record::<OriginUpdate>(&bytes).ok())
     else {
         return;
     };
@@ -81,7 +82,7 @@
     };
     Write {
         ticket: 0,
-        records: vec![protocol::write_one(&content)],
+        records: vec![protocol::encode_record(&content)],
         rewrite: true,
         file: StateFile::HostCache,
     }
--- a/crates/control-plane/src/runtime/identity.rs
+++ b/crates/control-plane/src/runtime/identity.rs
@@ -76,7 +76,7 @@
     pub fn from_records(mut records: Vec<Vec<u8>>) -> Self {
         let owner = records
             .first()
-            .and_then(|first| protocol::read_one::<LogOwner>(first).ok());
+            .and_then(|first| protocol::decode_record::<LogOwner>(first).ok());
         if owner.is_some() {
             records.remove(0);
         }
@@ -201,7 +201,7 @@
     }
 
     fn incarnation_after(&self, before: u64) -> u64 {
-        incarnation::following(before, self.clock_ms, self.random)
+        incarnation::next_incarnation(before, self.clock_ms, self.random)
     }
 }
 
@@ -212,7 +212,8 @@
 pub fn latest_identity(records: &[Vec<u8>]) -> Result<Option<Identity>, IdentityError> {
     let mut latest = None;
     for (record, bytes) in records.iter().enumerate() {
-        let identity = protocol::read_one::<Identity>(bytes).context(UnreadableSnafu { record })?;
+        let identity =
+            protocol::decode_record::<Identity>(bytes).context(UnreadableSnafu { record })?;
         latest = Some(identity);
     }
     Ok(latest)
--- a/crates/control-plane/src/runtime/inbound.rs
+++ b/crates/control-plane/src/runtime/inbound.rs
@@ -81,9 +81,9 @@
     frames: &mut FrameReader<TcpStream>,
 ) -> std::io::Result<Option<(MemberInfo, Message)>> {
     let first = timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await??;
-    let Some(Message::Hello { seat }) = first else {
+    let Some(Message::Hello { sender }) = first else {
         return Ok(first.map(|message| (MemberInfo::default(), message)));
     };
     let second = timeout(FIRST_MESSAGE_TIMEOUT, frames.next()).await??;
-    Ok(second.map(|message| (seat, message)))
+    Ok(second.map(|message| (sender, message)))
 }
--- a/crates/control-plane/src/runtime/outputs.rs
+++ b/crates/control-plane/src/runtime/outputs.rs
@@ -21,18 +21,18 @@
             Output::Answer { ticket, code, body } => {
                 self.reply(ticket, CommandReply { code, body });
             }
-            Output::Publish {
-                seq,
-                document,
+            Output::PublishState {
+                index,
+                configuration,
                 drains,
             }
-            | Output::Restore {
-                seq,
-                document,
+            | Output::RestoreState {
+                index,
+                configuration,
                 drains,
-            } => self.publish_state(seq, document, &drains),
+            } => self.publish_state(index, configuration, &drains),
             Output::Wake { at } => self.wake_by(at),
-            Output::Left => self.has_left = true,
+            Output::DepartureComplete => self.has_left = true,
         }
     }
 
--- a/crates/control-plane/src/runtime/peer_connections/dial.rs
+++ b/crates/control-plane/src/runtime/peer_connections/dial.rs
@@ -128,17 +128,17 @@
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input, Vec::new());
         let hello = protocol::encode(&Message::Hello {
-            seat: self.shared.me.clone(),
+            sender: self.shared.me.clone(),
         });
         let peers = protocol::encode(&Message::Peers {
-            seats: self.reachable_members(),
+            members: self.reachable_members(),
         });
         write_all(&mut output, &[hello, peers].concat())
             .await
             .ok()?;
         match timeout(SILENCE_TIMEOUT, frames.next()).await {
-            Ok(Ok(Some(Message::Hello { seat }))) => Some(Greeted {
-                member: seat,
+            Ok(Ok(Some(Message::Hello { sender }))) => Some(Greeted {
+                member: sender,
                 frames,
                 output,
             }),
@@ -170,7 +170,7 @@
     /// Tells the other peers that are up whom this member reaches now.
     fn tell_others(&self, newcomer: &Peer) {
         let message = Message::Peers {
-            seats: self.reachable_members(),
+            members: self.reachable_members(),
         };
         let peers: Vec<Rc<Peer>> = self.shared.peers.borrow().values().cloned().collect();
         for peer in peers {
@@ -191,7 +191,7 @@
             liveness.on_received();
             match step {
                 Step::Message(message) => match *message {
-                    Message::Peers { seats } => self.learn(&seats),
+                    Message::Peers { members } => self.learn(&members),
                     message => {
                         self.report(PeerEvent::Message(sender.clone(), Box::new(message)));
                     }
@@ -244,7 +244,9 @@
             }
             let silence = liveness.silence();
             if silence >= PROBE_AFTER {
-                let probe = protocol::encode(&Message::Peers { seats: Vec::new() });
+                let probe = protocol::encode(&Message::Peers {
+                    members: Vec::new(),
+                });
                 self.count_dropped(channel.push(0, probe));
                 sleep(SILENCE_TIMEOUT - PROBE_AFTER).await;
             } else {
--- a/crates/control-plane/src/runtime/peer_connections/mod.rs
+++ b/crates/control-plane/src/runtime/peer_connections/mod.rs
@@ -193,7 +193,7 @@
         mut output: impl AsyncWrite + Unpin,
     ) -> std::io::Result<()> {
         let hello = Message::Hello {
-            seat: self.shared.me.clone(),
+            sender: self.shared.me.clone(),
         };
         write_all(&mut output, &protocol::encode(&hello)).await?;
         self.learn(std::slice::from_ref(&sender));
@@ -218,13 +218,13 @@
         message: Message,
         output: &mut (impl AsyncWrite + Unpin),
     ) -> std::io::Result<()> {
-        let Message::Peers { seats } = message else {
+        let Message::Peers { members } = message else {
             self.report(PeerEvent::Message(sender.clone(), Box::new(message)));
             return Ok(());
         };
-        self.learn(&seats);
+        self.learn(&members);
         let reply = Message::Peers {
-            seats: self.reachable_members(),
+            members: self.reachable_members(),
         };
         write_all(output, &protocol::encode(&reply)).await
     }
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -12,7 +12,7 @@
     ThreadSnafu,
 };
 use crate::configuration_history::ConfigurationHistory;
-use crate::member::{Config, Member};
+use crate::member::{Member, MemberConfig};
 use crate::registry_publisher::RegistryPublisher;
 use configuration::ProcessSettings;
 use protocol::MemberInfo;
@@ -232,16 +232,16 @@
     now: Duration,
 ) -> Result<Member, RuntimeError> {
     let initial_voters = stored.identity.initial_voters.clone();
-    let config = Config {
-        me,
+    let config = MemberConfig {
+        local_member: me,
         bootstrap_voters: Some(initial_voters).filter(|voters| !voters.is_empty()),
-        budget: process.fault_budget,
-        lease: settings.lease_duration,
-        patience: settings.command_timeout,
-        stall: settings.disk_stall_timeout,
+        fault_budget: process.fault_budget,
+        lease_duration: settings.lease_duration,
+        request_timeout: settings.command_timeout,
+        disk_stall_timeout: settings.disk_stall_timeout,
     };
     let member = Member::new(config, &stored.records, now, random()?);
-    if let Some(error) = member.unsound() {
+    if let Some(error) = member.replay_error() {
         log::error!(error:% = snafu::Report::from_error(error); "corrupt log: no vote, no replica");
     }
     Ok(member)
--- a/crates/control-plane/src/runtime/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -31,14 +31,14 @@
     pub(super) fn status(&self) -> MemberStatus {
         let now = self.origin.elapsed();
         MemberStatus {
-            membership: self.member.view().cloned(),
-            is_acting_primary: self.member.acts_at(now),
+            membership: self.member.membership().cloned(),
+            is_acting_primary: self.member.is_acting_primary_at(now),
             primary: self.member.primary(),
-            promised_epoch: self.member.promised(),
-            is_disk_healthy: self.member.fit(),
+            promised_epoch: self.member.promised_epoch(),
+            is_disk_healthy: self.member.disk_healthy(),
             since_primary_contact: self
                 .member
-                .proof(now)
+                .primary_contact(now)
                 .map(|contact| now.saturating_sub(contact.at)),
         }
     }
@@ -46,8 +46,12 @@
     /// Tells the mirror who is in the control plane, and how fresh its content is.
     pub(super) fn publish_control_plane(&mut self) {
         let now = self.origin.elapsed();
-        let contact = self.member.proof(now);
-        let Some(membership) = self.member.view().filter(|view| view.epoch > 0) else {
+        let contact = self.member.primary_contact(now);
+        let Some(membership) = self
+            .member
+            .membership()
+            .filter(|membership| membership.epoch > 0)
+        else {
             return;
         };
         let current = PublishedControlPlane {
@@ -61,7 +65,8 @@
                 mirror.set_fleet(current.epoch, current.primary, current.members.clone());
             }
             // A contact proves nothing about changes that haven't come yet.
-            if let Some(contact) = contact.filter(|contact| mirror.ledger() >= contact.committed) {
+            if let Some(contact) = contact.filter(|contact| mirror.ledger() >= contact.commit_index)
+            {
                 mirror.proved(contact.at);
             }
         });
@@ -81,7 +86,7 @@
             .collect();
         let others = reachable
             .iter()
-            .filter(|member| membership.seat(member.id).is_none());
+            .filter(|member| membership.voter(member.id).is_none());
         members.extend(others.cloned());
         members
     }
--- a/crates/control-plane/src/runtime/status_page.rs
+++ b/crates/control-plane/src/runtime/status_page.rs
@@ -98,7 +98,7 @@
     json!({"epoch": membership.epoch, "primary": hex(membership.primary),
         "replicas": membership.replicas.iter().map(|id| hex(*id)).collect::<Vec<_>>(),
         "voters": membership.voters.iter().map(member_json).collect::<Vec<_>>(),
-        "settled": membership.settled()})
+        "settled": membership.is_stable()})
 }
 
 /// Ids as operators know them: sixteen hexadecimal digits.
--- a/crates/control-plane/src/runtime/storage/identity_file.rs
+++ b/crates/control-plane/src/runtime/storage/identity_file.rs
@@ -51,7 +51,7 @@
             log.rewrite(&[&owner_record(identity)])?;
             self.log_has_owner = true;
         }
-        let record = protocol::write_one(identity);
+        let record = protocol::encode_record(identity);
         if self.record_count < MAX_IDENTITY_RECORDS {
             self.file.append(&[&record])?;
         } else {
@@ -64,7 +64,7 @@
 
 /// The first record of a log.
 pub(super) fn owner_record(identity: &Identity) -> Vec<u8> {
-    protocol::write_one(&LogOwner {
+    protocol::encode_record(&LogOwner {
         identity: identity.clone(),
     })
 }
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -2,7 +2,7 @@
 //! tell it reaches everybody all the same.
 
 use control_plane::host_registry::{Heartbeat, HostRequest};
-use control_plane::incarnation::following;
+use control_plane::incarnation::next_incarnation;
 use control_plane::registry_publisher::RegistryPublisher;
 use protocol::{Addr, Subscriber};
 use replication::{answer, Mirror, SharedMirror};
@@ -104,9 +104,9 @@
 
 /// The clock of the second start is earlier; neither number was kept.
 #[rstest]
-#[case::set_back_a_little(following(0, 9_000, 1), following(0, 8_000, 2))]
-#[case::set_back_below_what_was_kept(following(0, 9_000, 2), following(0, 9_000, 1))]
-#[case::set_back_by_years(following(0, 1 << 41, 1), following(0, 1, 2))]
+#[case::set_back_a_little(next_incarnation(0, 9_000, 1), next_incarnation(0, 8_000, 2))]
+#[case::set_back_below_what_was_kept(next_incarnation(0, 9_000, 2), next_incarnation(0, 9_000, 1))]
+#[case::set_back_by_years(next_incarnation(0, 1 << 41, 1), next_incarnation(0, 1, 2))]
 #[tokio::test(start_paused = true)]
 async fn hosts_when_the_clock_went_back_reach_everybody(#[case] first: u64, #[case] second: u64) {
     let mut processes = TestProcesses::new(first);
@@ -134,23 +134,23 @@
 /// Again and again, each time further back.
 #[tokio::test(start_paused = true)]
 async fn hosts_when_the_clock_goes_back_again_and_again_reach_everybody() {
-    let mut processes = TestProcesses::new(following(0, 9_000, 1));
+    let mut processes = TestProcesses::new(next_incarnation(0, 9_000, 1));
     let mut calls = 0;
     for (n, host) in ["a", "bb", "ccc", "dddd"].iter().enumerate() {
         processes.run(&[host], 6, &mut calls).await;
         assert_eq!(processes.shows(host), [true; 3], "incarnation {n}");
-        processes.restart(following(0, 8_000 - 1_000 * n as u64, n as u64 + 2));
+        processes.restart(next_incarnation(0, 8_000 - 1_000 * n as u64, n as u64 + 2));
     }
 }
 
 /// All members start anew, and only an agent that doesn't pull from this member remembers its incarnation before.
 #[tokio::test(start_paused = true)]
 async fn hosts_when_only_an_agent_remembers_reach_everybody() {
-    let mut processes = TestProcesses::new(following(0, 9_000, 1));
+    let mut processes = TestProcesses::new(next_incarnation(0, 9_000, 1));
     let mut calls = 0;
     processes.run(&["a"], 2, &mut calls).await;
     processes.peer = member(8);
-    processes.restart(following(0, 3_000, 2));
+    processes.restart(next_incarnation(0, 3_000, 2));
     processes.run(&["bb"], 10, &mut calls).await;
     assert_eq!(processes.shows("bb"), [true; 3]);
     assert_eq!(processes.shows("a"), [false; 3]);
@@ -159,10 +159,10 @@
 /// A start like any other costs nobody anything: its number is higher, and stays what it is.
 #[tokio::test(start_paused = true)]
 async fn incarnation_when_the_clock_went_on_stays() {
-    let mut processes = TestProcesses::new(following(0, 9_000, 1));
+    let mut processes = TestProcesses::new(next_incarnation(0, 9_000, 1));
     let mut calls = 0;
     processes.run(&["a"], 2, &mut calls).await;
-    let incarnation = following(0, 10_000, 2);
+    let incarnation = next_incarnation(0, 10_000, 2);
     processes.restart(incarnation);
     processes.run(&["a"], 6, &mut calls).await;
     let marks = processes.agent.update(|mirror, _| mirror.vector());
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -1,7 +1,9 @@
 //! What the log tells of a member's changes of state: members driven by inputs, in simulated time.
 
 use configuration::FaultBudget;
-use control_plane::member::{Config, DiskError, DiskState, ElectionPhase, Input, Member, Output};
+use control_plane::member::{
+    DiskError, DiskState, ElectionPhase, Input, Member, MemberConfig, Output,
+};
 use control_plane::runtime::transitions::{MembershipRole, Recorder, StepDownCause, Transition};
 use protocol::{Command, MemberInfo, Message};
 use rstest::rstest;
@@ -55,17 +57,17 @@
     }
 }
 
-fn config(id: u64, bootstrap: bool) -> Config {
-    Config {
-        me: seat(id),
+fn config(id: u64, bootstrap: bool) -> MemberConfig {
+    MemberConfig {
+        local_member: seat(id),
         bootstrap_voters: bootstrap.then(|| (1..=3).map(seat).collect()),
-        budget: FaultBudget {
+        fault_budget: FaultBudget {
             machine_losses: 1,
             ..FaultBudget::default()
         },
-        lease: LEASE,
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        lease_duration: LEASE,
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     }
 }
 
@@ -148,14 +150,14 @@
                         if result.is_ok() {
                             node.records.extend(records);
                         }
-                        let wrote = Input::Wrote { ticket, result };
+                        let wrote = Input::WriteCompleted { ticket, result };
                         match node.disk {
                             Disk::Stalls => node.stalled.push(wrote),
                             _ => queue.push_back((id, wrote)),
                         }
                     }
                     Output::Wake { at } => node.wake = at,
-                    Output::Left => drop(self.left.insert(id)),
+                    Output::DepartureComplete => drop(self.left.insert(id)),
                     _ => {}
                 }
             }
@@ -183,7 +185,7 @@
             self.run(STEP);
             assert!(self.now < end, "nobody acts");
             let well = |id: &u64, node: &Node| {
-                !node.frozen && !self.cut.contains(id) && node.member.acts()
+                !node.frozen && !self.cut.contains(id) && node.member.is_acting_primary()
             };
             if let Some((id, _)) = self.nodes.iter().find(|(id, node)| well(id, node)) {
                 return *id;
@@ -380,7 +382,7 @@
     world.run(Duration::from_secs(2));
     assert!(world.told(primary, |t| *t
         == Transition::Disk {
-            state: DiskState::Fit
+            state: DiskState::Healthy
         }));
 }
 
@@ -395,7 +397,7 @@
     world.start(4, false, Vec::new());
     for _ in 0..40 {
         // A link shows that it is there.
-        world.input(primary, Input::Reachable { seat: seat(4) });
+        world.input(primary, Input::PeerReachable { member: seat(4) });
         world.run(Duration::from_millis(250));
     }
     let exchanged = |t: &Transition| match t {
@@ -425,7 +427,7 @@
 fn a_primary_that_leaves_tells_it() {
     let (mut world, primary) = World::settled();
     world.clear();
-    world.input(primary, Input::Leave);
+    world.input(primary, Input::Depart);
     assert!(
         !world.left.contains(&primary),
         "a replica that leaves hands over first"
@@ -453,11 +455,14 @@
     world.input(primary, Input::Command { ticket: 1, command });
     world.run(Duration::from_secs(2));
     let records = world.nodes[&primary].records.clone();
-    let epoch = world.nodes[&primary].member.view().unwrap().epoch;
+    let epoch = world.nodes[&primary].member.membership().unwrap().epoch;
     world.start(primary, false, records);
     let summary = world.nodes[&primary].recorder.summary();
     assert_eq!(
-        (summary.view.as_ref().unwrap().epoch, summary.ledger),
+        (
+            summary.membership.as_ref().unwrap().epoch,
+            summary.durable_index
+        ),
         (epoch, Some(1))
     );
     world.input(primary, Input::Tick);
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -87,8 +87,8 @@
         let state = self.state;
         let most = state.conns(self.service);
         let no_link = |e| match e {
-            AcquireError::Full => (AttemptOutcome::Unreachable, Outcome::TurnedAway),
-            AcquireError::Unreached => (AttemptOutcome::Unreachable, Outcome::Unreached),
+            AcquireError::Full => (AttemptOutcome::Unreachable, Outcome::Rejected),
+            AcquireError::Unreached => (AttemptOutcome::Unreachable, Outcome::ConnectFailed),
         };
         let until = self.end().min(Instant::now() + dial(self.route));
         let mut connection = acquire::get(state, &picked.id, picked.addr, most, until)
@@ -115,7 +115,9 @@
                         .map_err(no_link)?;
                     continue;
                 }
-                _ if written == 0 => return Err((AttemptOutcome::Unreachable, Outcome::Unreached)),
+                _ if written == 0 => {
+                    return Err((AttemptOutcome::Unreachable, Outcome::ConnectFailed))
+                }
                 _ => {}
             }
             let repeat = self.trial.was_sent();
@@ -127,7 +129,7 @@
             return match sent {
                 // A host may answer before it has read all: what it said then counts.
                 Ok(_) => Ok(connection),
-                Err(_) => Err((AttemptOutcome::Broken, Outcome::Silent)),
+                Err(_) => Err((AttemptOutcome::Broken, Outcome::TimedOut)),
             };
         }
     }
