--- a/crates/control-plane/src/runtime/control_server.rs
+++ b/crates/control-plane/src/runtime/control_server.rs
@@ -112,11 +112,11 @@
     /// Connections accepted.
     pub connections: Cell<u64>,
     /// Connections that were closed at once, as too many were open.
-    pub crowded: Cell<u64>,
+    pub connections_rejected: Cell<u64>,
     /// Replies with 2xx.
-    pub done: Cell<u64>,
+    pub succeeded: Cell<u64>,
     /// Replies with 4xx.
-    pub refused: Cell<u64>,
+    pub rejected: Cell<u64>,
     /// Replies with 5xx.
     pub failed: Cell<u64>,
 }
@@ -166,7 +166,7 @@
 
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let Ok(_slot) = self.connection_slots.try_acquire() else {
-            increment(&self.counters.crowded);
+            increment(&self.counters.connections_rejected);
             return;
         };
         increment(&self.counters.connections);
@@ -201,8 +201,8 @@
             .unwrap_or_else(Reply::from_code);
         let counter = match reply.code.status() {
             500.. => &self.counters.failed,
-            400.. => &self.counters.refused,
-            _ => &self.counters.done,
+            400.. => &self.counters.rejected,
+            _ => &self.counters.succeeded,
         };
         increment(counter);
         // The rest of a body that was too large or too slow isn't read.
--- a/crates/control-plane/src/runtime/event_loop.rs
+++ b/crates/control-plane/src/runtime/event_loop.rs
@@ -4,7 +4,7 @@
 use super::peer_connections::{PeerConnections, PeerEvent};
 use super::status::PublishedControlPlane;
 use super::storage::{StorageEvent, Write};
-use super::transitions::{self, Recorder};
+use super::transitions::{Recorder, TransitionLog};
 use super::{CommandReply, Event};
 use crate::configuration_history::ConfigurationHistory;
 use crate::member::{Input, Member, Output};
@@ -58,19 +58,24 @@
     pub(super) steps: u64,
     pub(super) published: PublishedControlPlane,
     pub(super) recorder: Recorder,
+    pub(super) transition_log: TransitionLog,
     pub(super) services: Services,
 }
 
 impl EventLoop {
-    /// The loop of a member that was made at `started_at`, counted from `origin`.
+    /// The loop of a member that was made at `started_at`, counted from `origin`. Logs what the disk held.
     pub(super) fn new(
         member: Member,
+        transition_log: TransitionLog,
         origin: Instant,
         started_at: Duration,
         services: Services,
     ) -> Self {
+        let recorder = Recorder::new(&member);
+        transition_log.log_start(recorder.summary());
         Self {
-            recorder: Recorder::new(&member),
+            recorder,
+            transition_log,
             member,
             outputs: Vec::new(),
             origin,
@@ -149,15 +154,13 @@
         self.steps += 1;
         let mut outputs = std::mem::take(&mut self.outputs);
         self.member.step(self.origin.elapsed(), input, &mut outputs);
-        self.recorder
-            .after_step(&self.member)
-            .iter()
-            .for_each(transitions::log);
+        for transition in self.recorder.after_step(&self.member) {
+            self.transition_log.log(&transition);
+        }
         for output in outputs.drain(..) {
-            self.recorder
-                .of_output(&output)
-                .iter()
-                .for_each(transitions::log);
+            if let Some(transition) = self.recorder.after_output(&output) {
+                self.transition_log.log(&transition);
+            }
             self.carry_out(output);
         }
         self.outputs = outputs;
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -6,7 +6,8 @@
 use super::peer_connections::{PeerConnections, PeerEvent};
 use super::request_handler::{OpenMember, RequestHandler};
 use super::storage::{self, StorageEvent};
-use super::{host_cache, inbound, seeds, transitions};
+use super::transitions::TransitionLog;
+use super::{host_cache, inbound, seeds};
 use super::{
     Event, Events, ListenSnafu, NoControlSnafu, NoDiskSnafu, RuntimeError, RuntimeSettings,
     ThreadSnafu,
@@ -113,8 +114,8 @@
         counters_interval: settings.counters_interval,
         leave_timeout: leave_timeout(process.bounds.grace_s),
     };
-    let mut event_loop = EventLoop::new(member, origin, started_at, services);
-    transitions::log_start(event_loop.recorder.summary());
+    let transition_log = TransitionLog::new(process.node_name.clone());
+    let mut event_loop = EventLoop::new(member, transition_log, origin, started_at, services);
     event_loop.run(&mut queue, shutdown, &api.counters).await;
     sleep(LAST_REPLIES_TIME).await;
     event_loop.log_counters(&api.counters);
--- a/crates/control-plane/src/runtime/transitions/compare.rs
+++ b/crates/control-plane/src/runtime/transitions/compare.rs
@@ -1,31 +1,69 @@
-//! From two summaries of a member, or from what it asks for, to the changes of state.
+//! From two summaries of a member, or from one of its outputs, to the state transitions.
 
 use super::{MembershipRole, StepDownCause, Transition};
 use crate::member::{DiskState, LeaseGrantSummary, MemberSummary, Output, RoleSummary};
 use protocol::{MemberInfo, Message};
 
-/// The changes of state between two moments, in the order in which they are told.
+/// The transitions between two moments, in the order in which they are logged.
 pub fn between(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
-    let leaving = (after.departing && !before.departing).then_some(Transition::Leaving);
-    let disk = (after.disk != before.disk).then_some(Transition::Disk { state: after.disk });
-    let mut transitions: Vec<Transition> = leaving.into_iter().chain(disk).collect();
-    transitions.extend(left_role(before, after));
-    transitions.extend(promised(before, after));
-    transitions.extend(lease_over(before, after));
-    transitions.extend(accepted(before, after));
-    transitions.extend(taken_role(before, after));
+    let mut transitions = Vec::new();
+    if after.departing && !before.departing {
+        transitions.push(Transition::ShutdownStarted);
+    }
+    if after.disk != before.disk {
+        transitions.push(Transition::DiskStateChanged { state: after.disk });
+    }
+    transitions.extend(role_ended(before, after));
+    transitions.extend(epoch_promised(before, after));
+    transitions.extend(primary_lease_expired(before, after));
+    transitions.extend(membership_accepted(before, after));
+    transitions.extend(role_began(before, after));
     transitions.extend(lease_granted(before, after));
     transitions
 }
 
-fn left_role(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
+/// The transition that an output of the state machine stands for.
+pub fn from_output(output: &Output) -> Option<Transition> {
+    match output {
+        Output::RestoreState {
+            index,
+            configuration,
+            ..
+        } => Some(Transition::StateRestored {
+            index: *index,
+            version: configuration.version,
+        }),
+        Output::Send { to, message } => snapshot_sent(to, message),
+        _ => None,
+    }
+}
+
+fn snapshot_sent(to: &MemberInfo, message: &Message) -> Option<Transition> {
+    let (epoch, snapshot) = match message {
+        Message::InstallMembership {
+            membership,
+            snapshot: Some(snapshot),
+        } => (membership.epoch, snapshot),
+        Message::SnapshotReply {
+            epoch, snapshot, ..
+        } => (*epoch, snapshot),
+        _ => return None,
+    };
+    Some(Transition::SnapshotSent {
+        to: to.clone(),
+        epoch,
+        index: snapshot.index,
+    })
+}
+
+fn role_ended(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
     match (before.role, after.role) {
         (RoleSummary::Primary { epoch, .. }, RoleSummary::Follower) => {
             let cause = step_down_cause(before, after);
             Some(Transition::SteppedDown { epoch, cause })
         }
         (RoleSummary::Candidate { epoch, phase }, RoleSummary::Follower) => {
-            Some(Transition::ElectionAbandoned { epoch, phase })
+            Some(Transition::CampaignFailed { epoch, phase })
         }
         _ => None,
     }
@@ -33,176 +71,160 @@
 
 fn step_down_cause(before: &MemberSummary, after: &MemberSummary) -> StepDownCause {
     if after.departing {
-        StepDownCause::Leaving
+        StepDownCause::Shutdown
     } else if after.promised_epoch > before.promised_epoch {
         StepDownCause::HigherEpoch
     } else if after.disk != DiskState::Healthy {
-        StepDownCause::Disk
+        StepDownCause::DiskUnhealthy
     } else {
-        StepDownCause::LeaseEnded
+        StepDownCause::LeaseExpired
     }
 }
 
-fn promised(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
+fn epoch_promised(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
     let epoch = after.promised_epoch;
-    let own = match after.role {
+    let is_own = match after.role {
         RoleSummary::Candidate { epoch: own, .. } | RoleSummary::Primary { epoch: own, .. } => {
             own == epoch
         }
         RoleSummary::Follower => false,
     };
-    let risen = epoch > before.promised_epoch && !own;
-    risen.then(|| Transition::Promised {
+    if is_own || epoch <= before.promised_epoch {
+        return None;
+    }
+    Some(Transition::EpochPromised {
         epoch,
-        view: after.membership.clone(),
+        membership: after.membership.clone(),
     })
 }
 
-fn accepted(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
-    let Some(view) = after
-        .membership
-        .as_ref()
-        .filter(|_| epoch_of(after) > epoch_of(before))
-    else {
+fn membership_accepted(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
+    if epoch_of(after) <= epoch_of(before) {
+        return Vec::new();
+    }
+    let Some(membership) = &after.membership else {
         return Vec::new();
     };
-    let old: &[MemberInfo] = before
-        .membership
-        .as_ref()
-        .map_or(&view.voters, |v| &v.voters);
-    let (position, was) = (MembershipRole::of(after), MembershipRole::of(before));
-    let mut transitions = vec![Transition::ViewAccepted {
-        view: view.clone(),
-        added: beyond(&view.voters, old),
-        removed: beyond(old, &view.voters),
-        position,
-        before: was,
+    let voters = &membership.voters;
+    let old_voters: &[MemberInfo] = match &before.membership {
+        Some(membership) => &membership.voters,
+        None => voters,
+    };
+    let role = MembershipRole::of(after);
+    let mut transitions = vec![Transition::MembershipAccepted {
+        membership: membership.clone(),
+        added: missing_from(voters, old_voters),
+        removed: missing_from(old_voters, voters),
+        role,
+        previous_role: MembershipRole::of(before),
     }];
-    let seq = after
-        .durable_index
-        .filter(|_| position == MembershipRole::Replica);
-    transitions.extend(seq.map(|seq| Transition::SnapshotTaken {
-        epoch: view.epoch,
-        seq,
-    }));
+    if role == MembershipRole::Replica {
+        let epoch = membership.epoch;
+        let installed = |index| Transition::SnapshotInstalled { epoch, index };
+        transitions.extend(after.durable_index.map(installed));
+    }
     transitions
 }
 
 fn epoch_of(summary: &MemberSummary) -> Option<u64> {
-    summary.membership.as_ref().map(|v| v.epoch)
+    summary
+        .membership
+        .as_ref()
+        .map(|membership| membership.epoch)
 }
 
-/// Those of `seats` that aren't among `others`.
-fn beyond(seats: &[MemberInfo], others: &[MemberInfo]) -> Vec<MemberInfo> {
-    seats
+/// Those of `members` that aren't among `others`.
+fn missing_from(members: &[MemberInfo], others: &[MemberInfo]) -> Vec<MemberInfo> {
+    members
         .iter()
-        .filter(|s| !others.iter().any(|o| o.id == s.id))
+        .filter(|member| !others.iter().any(|other| other.id == member.id))
         .cloned()
         .collect()
 }
 
-fn taken_role(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
-    let (was_leading, was_leased) = match before.role {
-        RoleSummary::Primary { epoch, leased } => (Some(epoch), leased),
-        _ => (None, false),
-    };
+fn role_began(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
     match after.role {
         RoleSummary::Follower => Vec::new(),
         RoleSummary::Candidate { epoch, .. } => {
-            let asked = match before.role {
-                RoleSummary::Candidate { epoch, .. } => Some(epoch),
-                _ => None,
-            };
-            match (was_leading, asked) {
-                (_, Some(asked)) if asked == epoch => Vec::new(),
-                (Some(from), _) => vec![Transition::ViewChangeStarted { from, epoch }],
-                _ if epoch == 0 => {
-                    vec![Transition::ElectionStarted {
-                        view: epoch_of(after).unwrap_or(0),
-                    }]
-                }
-                _ => vec![Transition::PromisesRequested { epoch }],
-            }
+            candidacy(before, after, epoch).into_iter().collect()
         }
-        RoleSummary::Primary { epoch, leased } => {
-            let same = was_leading == Some(epoch);
-            let won = (!same).then_some(Transition::ElectionWon {
-                epoch,
-                ledger: after.durable_index,
-            });
-            let lease = match (same && was_leased, leased) {
-                (false, true) => Some(Transition::LeaseHeld { epoch }),
-                (true, false) => Some(Transition::LeaseLapsed { epoch }),
-                _ => None,
-            };
-            won.into_iter().chain(lease).collect()
+        RoleSummary::Primary { epoch, leased } => primacy(before, after, epoch, leased),
+    }
+}
+
+fn candidacy(before: &MemberSummary, after: &MemberSummary, epoch: u64) -> Option<Transition> {
+    match before.role {
+        RoleSummary::Candidate { epoch: asked, .. } if asked == epoch => None,
+        RoleSummary::Primary { epoch: from, .. } => {
+            Some(Transition::MembershipChangeStarted { from, epoch })
         }
+        _ if epoch == 0 => Some(Transition::PreVoteStarted {
+            epoch: epoch_of(after).unwrap_or(0),
+        }),
+        _ => Some(Transition::CandidacyStarted { epoch }),
+    }
+}
+
+fn primacy(
+    before: &MemberSummary,
+    after: &MemberSummary,
+    epoch: u64,
+    is_leased: bool,
+) -> Vec<Transition> {
+    let (was_same, was_leased) = match before.role {
+        RoleSummary::Primary {
+            epoch: before,
+            leased,
+        } => (before == epoch, leased),
+        _ => (false, false),
+    };
+    let mut transitions = Vec::new();
+    if !was_same {
+        transitions.push(Transition::MembershipInstalled {
+            epoch,
+            index: after.durable_index,
+        });
+    }
+    match (was_same && was_leased, is_leased) {
+        (false, true) => transitions.push(Transition::BecamePrimary { epoch }),
+        (true, false) => transitions.push(Transition::LeaseLost { epoch }),
+        _ => {}
     }
+    transitions
 }
 
-fn lease_over(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
-    let ended = before.lease_grant.filter(|_| after.lease_grant.is_none())?;
-    // Whoever won has taken the lease's place.
-    let leads = matches!(after.role, RoleSummary::Primary { .. });
-    let primary = holder(before, ended);
-    (!leads).then_some(Transition::LeaseOver {
-        primary,
+fn primary_lease_expired(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
+    let ended = before.lease_grant?;
+    // A member that became primary itself has taken the lease's place.
+    let is_primary = matches!(after.role, RoleSummary::Primary { .. });
+    if after.lease_grant.is_some() || is_primary {
+        return None;
+    }
+    Some(Transition::PrimaryLeaseExpired {
+        primary: lease_holder(before, ended),
         epoch: ended.epoch,
     })
 }
 
 fn lease_granted(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
-    let grant = after
-        .lease_grant
-        .filter(|g| before.lease_grant != Some(*g))?;
+    let grant = after.lease_grant?;
+    if before.lease_grant == Some(grant) {
+        return None;
+    }
     Some(Transition::LeaseGranted {
-        primary: holder(after, grant),
+        primary: lease_holder(after, grant),
         epoch: grant.epoch,
     })
 }
 
-fn holder(summary: &MemberSummary, grant: LeaseGrantSummary) -> MemberInfo {
+/// Who holds a lease; by its id alone if the membership configuration doesn't name it.
+fn lease_holder(summary: &MemberSummary, grant: LeaseGrantSummary) -> MemberInfo {
     let known = summary
         .membership
         .as_ref()
-        .and_then(|v| v.voter(grant.primary));
+        .and_then(|membership| membership.voter(grant.primary));
     known.cloned().unwrap_or_else(|| MemberInfo {
         id: grant.primary,
         ..MemberInfo::default()
     })
 }
-
-/// The change of state that an output of the state machine stands for.
-pub fn of_output(output: &Output) -> Option<Transition> {
-    match output {
-        Output::RestoreState {
-            index,
-            configuration,
-            ..
-        } => Some(Transition::LedgerRestored {
-            seq: *index,
-            version: configuration.version,
-        }),
-        Output::Send {
-            to,
-            message:
-                Message::InstallMembership {
-                    membership,
-                    snapshot: Some(snapshot),
-                },
-        } => {
-            let (to, epoch, seq) = (to.clone(), membership.epoch, snapshot.index);
-            Some(Transition::SnapshotSent { to, epoch, seq })
-        }
-        Output::Send {
-            to,
-            message: Message::SnapshotReply {
-                epoch, snapshot, ..
-            },
-        } => {
-            let (to, epoch, seq) = (to.clone(), *epoch, snapshot.index);
-            Some(Transition::SnapshotSent { to, epoch, seq })
-        }
-        _ => None,
-    }
-}
--- a/crates/control-plane/src/runtime/transitions/log_lines.rs
+++ b/crates/control-plane/src/runtime/transitions/log_lines.rs
@@ -1,23 +1,23 @@
-//! The lines of the log: one for each change of state, with its values.
+//! The log lines: one for each state transition, with its values (`docs/operators/bad-day.md`).
 
 use super::{MembershipRole, Transition};
 use crate::member::{candidate_of, DiskState, MemberSummary};
-use protocol::MemberInfo;
+use protocol::{MemberInfo, MembershipConfig};
 use std::fmt;
 use std::net::SocketAddrV4;
 
-/// What the lines name as their place.
+/// The target that the lines name.
 const TARGET: &str = "control_plane::state";
 
-/// How a member is named in the log: by its machine, or by its address where that isn't known.
+/// A member's name in the log: its machine's, or else its address, or else its id.
 struct Name<'a>(&'a MemberInfo);
 
 impl fmt::Display for Name<'_> {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self.0 {
-            seat if !seat.name.is_empty() => to.write_str(&seat.name),
-            seat if seat.addr.port != 0 => SocketAddrV4::from(&seat.addr).fmt(to),
-            seat => write!(to, "{:016x}", seat.id),
+            member if !member.name.is_empty() => to.write_str(&member.name),
+            member if member.addr.port != 0 => SocketAddrV4::from(&member.addr).fmt(to),
+            member => write!(to, "{:016x}", member.id),
         }
     }
 }
@@ -30,18 +30,18 @@
         if self.0.is_empty() {
             return to.write_str("-");
         }
-        for (n, seat) in self.0.iter().enumerate() {
-            let comma = if n > 0 { "," } else { "" };
-            write!(to, "{comma}{}", Name(seat))?;
+        for (index, member) in self.0.iter().enumerate() {
+            let comma = if index > 0 { "," } else { "" };
+            write!(to, "{comma}{}", Name(member))?;
         }
         Ok(())
     }
 }
 
 /// A number that may be missing: `-` then.
-struct Maybe(Option<u64>);
+struct OrDash(Option<u64>);
 
-impl fmt::Display for Maybe {
+impl fmt::Display for OrDash {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self.0 {
             Some(number) => number.fmt(to),
@@ -50,96 +50,171 @@
     }
 }
 
-/// Writes the line of what a member's disk held at its start.
-pub fn log_start(summary: &MemberSummary) {
-    let epoch = Maybe(summary.membership.as_ref().map(|view| view.epoch));
-    log::info!(target: TARGET, epoch:% = epoch,
-        promised = summary.promised_epoch,
-        ledger:% = Maybe(summary.durable_index),
-        role:% = MembershipRole::of(summary);
-        "state on disk"
-    );
+/// Writes one member's log lines.
+pub struct TransitionLog {
+    /// Name of the member's machine.
+    member: String,
 }
 
-/// Writes the line of a change.
-pub fn log(transition: &Transition) {
-    match transition {
-        Transition::LedgerRestored { seq, version } => {
-            log::info!(target: TARGET, seq, version; "ledger restored, not confirmed by a primary yet");
-        }
-        Transition::ElectionStarted { view } => {
-            log::info!(target: TARGET, view; "stands for election");
-        }
-        Transition::PromisesRequested { epoch } => {
-            log::info!(target: TARGET, epoch; "asks for promises");
-        }
-        Transition::ViewChangeStarted { from, epoch } => {
-            log::info!(target: TARGET, epoch, from; "changes its view");
-        }
-        Transition::ElectionAbandoned { epoch, phase } => {
-            log::info!(target: TARGET, epoch, phase:?; "gives up the election");
-        }
-        Transition::ElectionWon { epoch, ledger } => {
-            log::info!(target: TARGET, epoch, ledger:% = Maybe(*ledger); "primary of a view");
-        }
-        Transition::LeaseHeld { epoch } => {
-            log::info!(target: TARGET, epoch; "holds the lease: acts as primary");
+impl TransitionLog {
+    /// For the member on the machine of this name.
+    pub fn new(member: String) -> Self {
+        Self { member }
+    }
+
+    /// Writes what the member's disk held at its start.
+    pub fn log_start(&self, summary: &MemberSummary) {
+        let epoch = summary
+            .membership
+            .as_ref()
+            .map(|membership| membership.epoch);
+        log::info!(target: TARGET, member = self.member.as_str(),
+            epoch:% = OrDash(epoch),
+            promised = summary.promised_epoch,
+            index:% = OrDash(summary.durable_index),
+            role:% = MembershipRole::of(summary);
+            "state on disk"
+        );
+    }
+
+    /// Writes the line of a transition.
+    pub fn log(&self, transition: &Transition) {
+        match transition {
+            Transition::PreVoteStarted { .. }
+            | Transition::CandidacyStarted { .. }
+            | Transition::MembershipChangeStarted { .. }
+            | Transition::CampaignFailed { .. }
+            | Transition::EpochPromised { .. }
+            | Transition::MembershipInstalled { .. } => self.log_campaign(transition),
+            Transition::BecamePrimary { .. }
+            | Transition::LeaseLost { .. }
+            | Transition::SteppedDown { .. }
+            | Transition::LeaseGranted { .. }
+            | Transition::PrimaryLeaseExpired { .. } => self.log_lease(transition),
+            Transition::StateRestored { .. }
+            | Transition::SnapshotInstalled { .. }
+            | Transition::SnapshotSent { .. } => self.log_state(transition),
+            Transition::MembershipAccepted { .. } => self.log_membership(transition),
+            Transition::DiskStateChanged { state } => self.log_disk(*state),
+            Transition::ShutdownStarted => {
+                log::info!(target: TARGET, member = self.member.as_str(); "shutting down");
+            }
         }
-        Transition::LeaseLapsed { epoch } => {
-            log::warn!(target: TARGET, epoch; "lease lapsed: doesn't act");
+    }
+
+    fn log_campaign(&self, transition: &Transition) {
+        let member = self.member.as_str();
+        match transition {
+            Transition::PreVoteStarted { epoch } => {
+                log::info!(target: TARGET, member, epoch; "starting pre-vote");
+            }
+            Transition::CandidacyStarted { epoch } => {
+                log::info!(target: TARGET, member, epoch; "became candidate");
+            }
+            Transition::MembershipChangeStarted { from, epoch } => {
+                log::info!(target: TARGET, member, epoch, from; "starting membership change");
+            }
+            Transition::CampaignFailed { epoch, phase } => {
+                log::info!(target: TARGET, member, epoch, phase:?; "campaign failed");
+            }
+            Transition::EpochPromised { epoch, membership } => {
+                let candidate = membership
+                    .as_ref()
+                    .and_then(|membership| candidate_of(*epoch, membership));
+                let candidate = Names(candidate.into_iter().collect());
+                log::info!(target: TARGET, member, epoch, candidate:%; "promised epoch");
+            }
+            Transition::MembershipInstalled { epoch, index } => {
+                let index = OrDash(*index);
+                log::info!(target: TARGET, member, epoch, index:%; "membership installed");
+            }
+            _ => {}
         }
-        Transition::SteppedDown { epoch, cause } => {
-            log::warn!(target: TARGET, epoch, cause:?; "primary no longer");
+    }
+
+    fn log_lease(&self, transition: &Transition) {
+        let member = self.member.as_str();
+        match transition {
+            Transition::BecamePrimary { epoch } => {
+                log::info!(target: TARGET, member, epoch; "became primary");
+            }
+            Transition::LeaseLost { epoch } => {
+                log::warn!(target: TARGET, member, epoch; "primary lost its lease");
+            }
+            Transition::SteppedDown { epoch, cause } => {
+                log::warn!(target: TARGET, member, epoch, cause:?; "stepped down");
+            }
+            Transition::LeaseGranted { primary, epoch } => {
+                let primary = Name(primary);
+                log::info!(target: TARGET, member, epoch, primary:%; "following primary");
+            }
+            Transition::PrimaryLeaseExpired { primary, epoch } => {
+                let primary = Name(primary);
+                log::info!(target: TARGET, member, epoch, primary:%; "primary lease expired");
+            }
+            _ => {}
         }
-        Transition::Promised { epoch, view } => {
-            let candidate = view.as_ref().and_then(|view| candidate_of(*epoch, view));
-            log::info!(target: TARGET, epoch, candidate:% = Names(candidate.into_iter().collect()); "promised an epoch");
+    }
+
+    fn log_state(&self, transition: &Transition) {
+        let member = self.member.as_str();
+        match transition {
+            Transition::StateRestored { index, version } => {
+                log::info!(target: TARGET, member, index, version; "state restored, unconfirmed");
+            }
+            Transition::SnapshotInstalled { epoch, index } => {
+                log::info!(target: TARGET, member, epoch, index; "snapshot installed");
+            }
+            Transition::SnapshotSent { to, epoch, index } => {
+                let to = Name(to);
+                log::info!(target: TARGET, member, epoch, index, to:%; "snapshot sent");
+            }
+            _ => {}
         }
-        Transition::ViewAccepted {
-            view,
+    }
+
+    fn log_membership(&self, transition: &Transition) {
+        let Transition::MembershipAccepted {
+            membership,
             added,
             removed,
-            position,
-            before,
-        } => {
-            let replicas = view
-                .replicas
-                .iter()
-                .filter_map(|id| view.voter(*id))
-                .collect();
-            log::info!(target: TARGET, epoch = view.epoch,
-                primary:% = Names(view.voter(view.primary).into_iter().collect()),
-                replicas:% = Names(replicas),
-                voters:% = Names(view.voters.iter().collect()),
-                added:% = Names(added.iter().collect()),
-                removed:% = Names(removed.iter().collect()),
-                settled = view.is_stable(),
-                role:% = position,
-                was:% = before;
-                "view accepted"
-            );
-        }
-        Transition::SnapshotTaken { epoch, seq } => {
-            log::info!(target: TARGET, epoch, seq; "snapshot taken");
-        }
-        Transition::SnapshotSent { to, epoch, seq } => {
-            log::info!(target: TARGET, epoch, seq, to:% = Name(to); "snapshot sent");
-        }
-        Transition::LeaseGranted { primary, epoch } => {
-            log::info!(target: TARGET, epoch, primary:% = Name(primary); "follows a primary");
-        }
-        Transition::LeaseOver { primary, epoch } => {
-            log::info!(target: TARGET, epoch, primary:% = Name(primary); "lease of the primary is over");
+            role,
+            previous_role,
+        } = transition
+        else {
+            return;
+        };
+        log::info!(target: TARGET, member = self.member.as_str(),
+            epoch = membership.epoch,
+            primary:% = primary_of(membership),
+            replicas:% = replicas_of(membership),
+            voters:% = Names(membership.voters.iter().collect()),
+            added:% = Names(added.iter().collect()),
+            removed:% = Names(removed.iter().collect()),
+            stable = membership.is_stable(),
+            role:%,
+            previous_role:%;
+            "membership accepted"
+        );
+    }
+
+    fn log_disk(&self, state: DiskState) {
+        let member = self.member.as_str();
+        match state {
+            DiskState::Healthy => {
+                log::info!(target: TARGET, member; "disk healthy");
+            }
+            DiskState::Refused => log::warn!(target: TARGET, member; "disk refuses writes"),
+            DiskState::Stalled => log::warn!(target: TARGET, member; "disk stalled"),
         }
-        Transition::Disk {
-            state: DiskState::Healthy,
-        } => log::info!(target: TARGET, "disk takes writes again"),
-        Transition::Disk {
-            state: DiskState::Refused,
-        } => log::warn!(target: TARGET, "disk refuses writes"),
-        Transition::Disk {
-            state: DiskState::Stalled,
-        } => log::warn!(target: TARGET, "disk stalls"),
-        Transition::Leaving => log::info!(target: TARGET, "member leaves"),
     }
 }
+
+fn primary_of(membership: &MembershipConfig) -> Names<'_> {
+    Names(membership.voter(membership.primary).into_iter().collect())
+}
+
+fn replicas_of(membership: &MembershipConfig) -> Names<'_> {
+    let replicas = membership.replicas.iter();
+    Names(replicas.filter_map(|id| membership.voter(*id)).collect())
+}
--- a/crates/control-plane/src/runtime/transitions/mod.rs
+++ b/crates/control-plane/src/runtime/transitions/mod.rs
@@ -1,12 +1,12 @@
-//! Changes of a member's state, found by comparing it before and after each step: a line in the log for each, and
-//! counts. The state machine itself knows nothing of this.
+//! State transitions of a member, found by comparing it before and after each step: a log line for each, and counts.
+//! The state machine itself knows nothing of this.
 
 mod compare;
 mod log_lines;
 mod recorder;
 
-pub use compare::{between, of_output};
-pub use log_lines::{log, log_start};
+pub use compare::{between, from_output};
+pub use log_lines::TransitionLog;
 pub use recorder::{Recorder, TransitionCounters};
 
 use crate::member::{DiskState, ElectionPhase, MemberSummary};
@@ -14,25 +14,25 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Why a primary no longer acts.
+/// Why a primary steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepDownCause {
-    /// Its lease ended: no majority of the voters granted it again in time.
-    LeaseEnded,
-    /// It promised a higher epoch to another candidate, or accepted that one's view.
+    /// Its lease expired: no majority of the voters renewed it in time.
+    LeaseExpired,
+    /// It promised a higher epoch to another candidate, or accepted that one's membership configuration.
     HigherEpoch,
-    /// Its own disk refuses writes or stalls: it yields.
-    Disk,
-    /// It was asked to end: it yields.
-    Leaving,
+    /// Its own disk refuses writes or stalls.
+    DiskUnhealthy,
+    /// It was asked to end.
+    Shutdown,
 }
 
-/// What a member is in its view.
+/// What a member is in its membership configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipRole {
-    /// Not in it, or no view is known: it only mirrors.
+    /// Not in it, or there is none yet: the member only mirrors.
     Joining,
-    /// A voter that keeps epochs and views alone.
+    /// A voter that stores epochs and membership configurations alone.
     Witness,
     /// A voter that has each acknowledged change on its disk.
     Replica,
@@ -42,11 +42,17 @@
 
 impl MembershipRole {
     fn of(summary: &MemberSummary) -> Self {
-        match &summary.membership {
-            Some(view) if view.epoch > 0 && view.primary == summary.id => MembershipRole::Primary,
-            Some(view) if view.replicas.contains(&summary.id) => MembershipRole::Replica,
-            Some(view) if view.voter(summary.id).is_some() => MembershipRole::Witness,
-            _ => MembershipRole::Joining,
+        let Some(membership) = &summary.membership else {
+            return MembershipRole::Joining;
+        };
+        if membership.epoch > 0 && membership.primary == summary.id {
+            MembershipRole::Primary
+        } else if membership.replicas.contains(&summary.id) {
+            MembershipRole::Replica
+        } else if membership.voter(summary.id).is_some() {
+            MembershipRole::Witness
+        } else {
+            MembershipRole::Joining
         }
     }
 }
@@ -62,119 +68,119 @@
     }
 }
 
-/// One change of state.
+/// A state transition.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Transition {
-    /// The ledger that was acknowledged when the process last ended is shown, before any primary acts.
-    LedgerRestored {
-        /// Number of its last change.
-        seq: u64,
+    /// The state that was committed when the process last ended is published, before any primary acts.
+    StateRestored {
+        /// Index of its last change.
+        index: u64,
         /// Version of its configuration.
         version: u64,
     },
     /// It saw no lease and asks who would promise.
-    ElectionStarted {
-        /// Epoch of the view that it knows.
-        view: u64,
+    PreVoteStarted {
+        /// Epoch of the membership configuration that it knows.
+        epoch: u64,
     },
-    /// It gathers promises under a new epoch.
-    PromisesRequested {
+    /// It asks for promises under a new epoch.
+    CandidacyStarted {
         /// The new epoch.
         epoch: u64,
     },
-    /// As primary it changes its view: it gathers promises under a new epoch.
-    ViewChangeStarted {
-        /// Epoch of the view that ends.
+    /// As primary it changes its membership configuration: it asks for promises under a new epoch.
+    MembershipChangeStarted {
+        /// Epoch of the configuration that ends.
         from: u64,
         /// The new epoch.
         epoch: u64,
     },
-    /// It stands no longer.
-    ElectionAbandoned {
-        /// The epoch; 0 where it was still in the pre-vote.
+    /// It campaigns no longer.
+    CampaignFailed {
+        /// The epoch; 0 if it was still in the pre-vote.
         epoch: u64,
         /// How far it had come.
         phase: ElectionPhase,
     },
-    /// It is the primary of a view that a majority has.
-    ElectionWon {
-        /// Epoch of the view.
+    /// It is the primary of a membership configuration that a majority has.
+    MembershipInstalled {
+        /// Epoch of the configuration.
         epoch: u64,
-        /// Number of the ledger's last change that it starts from.
-        ledger: Option<u64>,
+        /// Index of the last change that it starts from.
+        index: Option<u64>,
     },
     /// As primary it has a majority's lease: it acknowledges and answers.
-    LeaseHeld {
-        /// Epoch of its view.
+    BecamePrimary {
+        /// Epoch of its membership configuration.
         epoch: u64,
     },
     /// As primary it has no lease for the moment: it acknowledges and answers nothing.
-    LeaseLapsed {
-        /// Epoch of its view.
+    LeaseLost {
+        /// Epoch of its membership configuration.
         epoch: u64,
     },
     /// It is primary no longer.
     SteppedDown {
-        /// Epoch of its view.
+        /// Epoch of its membership configuration.
         epoch: u64,
         /// Why.
         cause: StepDownCause,
     },
-    /// It promised an epoch to somebody else: it takes nothing of earlier ones any more.
-    Promised {
+    /// It promised an epoch to another member: it follows no earlier one any more.
+    EpochPromised {
         /// The epoch.
         epoch: u64,
-        /// The view that it knows, whose voters name the candidate.
-        view: Option<Arc<MembershipConfig>>,
-    },
-    /// A view is on its disk.
-    ViewAccepted {
-        /// The view.
-        view: Arc<MembershipConfig>,
-        /// Voters that the view before didn't have; none where no view was known.
+        /// The membership configuration that it knows, whose voters name the candidate.
+        membership: Option<Arc<MembershipConfig>>,
+    },
+    /// A membership configuration is on its disk.
+    MembershipAccepted {
+        /// The membership configuration.
+        membership: Arc<MembershipConfig>,
+        /// Voters that the one before didn't have; none if there was none before.
         added: Vec<MemberInfo>,
-        /// Voters that this view has no longer.
+        /// Voters that it has no longer.
         removed: Vec<MemberInfo>,
         /// What this member is in it.
-        position: MembershipRole,
-        /// What it was before.
-        before: MembershipRole,
+        role: MembershipRole,
+        /// What this member was before.
+        previous_role: MembershipRole,
     },
-    /// It took another member's ledger whole.
-    SnapshotTaken {
-        /// Epoch of the view that brought it.
+    /// It installed another member's whole state.
+    SnapshotInstalled {
+        /// Epoch of the membership configuration that brought it.
         epoch: u64,
-        /// Number of its last change.
-        seq: u64,
+        /// Index of its last change.
+        index: u64,
     },
-    /// It sent its ledger whole.
+    /// It sent its whole state.
     SnapshotSent {
         /// To whom.
         to: MemberInfo,
-        /// Epoch of the view or of the candidate that it is for.
+        /// Epoch of the membership configuration or of the candidate that it is for.
         epoch: u64,
-        /// Number of its last change.
-        seq: u64,
+        /// Index of its last change.
+        index: u64,
     },
-    /// As a voter it granted a primary its first lease of a view.
+    /// As a voter it granted a primary its first lease of a membership configuration.
     LeaseGranted {
         /// The primary.
         primary: MemberInfo,
-        /// Epoch of its view.
+        /// Epoch of the membership configuration.
         epoch: u64,
     },
-    /// The lease that it granted ended or was given back.
-    LeaseOver {
+    /// The lease that it granted expired or was given back.
+    PrimaryLeaseExpired {
         /// The primary.
         primary: MemberInfo,
-        /// Epoch of its view.
+        /// Epoch of the membership configuration.
         epoch: u64,
     },
     /// Its disk takes writes again, refuses them or stalls.
-    Disk {
+    DiskStateChanged {
         /// How it is now.
         state: DiskState,
     },
     /// It was asked to end.
-    Leaving,
+    ShutdownStarted,
 }
--- a/crates/control-plane/src/runtime/transitions/recorder.rs
+++ b/crates/control-plane/src/runtime/transitions/recorder.rs
@@ -1,24 +1,24 @@
-//! Follows a member step by step: counts its changes of state and picks those that are told.
+//! Follows a member step by step: counts its state transitions and picks those to log.
 
-use super::{between, of_output, StepDownCause, Transition};
+use super::{between, from_output, StepDownCause, Transition};
 use crate::member::{DiskState, ElectionPhase, Member, MemberSummary, Output};
 
-/// Counts of changes since the start.
+/// Counts of transitions since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransitionCounters {
-    /// Pre-votes started, those that aren't told one by one among them.
-    pub elections: u64,
-    /// Times that it became primary of a view.
-    pub elections_won: u64,
+    /// Pre-votes started, also those that aren't logged.
+    pub pre_votes: u64,
+    /// Membership configurations of its own that a majority took.
+    pub memberships_installed: u64,
     /// Leases lost while it was primary.
     pub leases_lost: u64,
-    /// Views accepted.
-    pub views: u64,
-    /// Ledgers sent whole.
+    /// Membership configurations accepted.
+    pub memberships_accepted: u64,
+    /// Snapshots sent.
     pub snapshots_sent: u64,
-    /// Ledgers taken whole.
-    pub snapshots_taken: u64,
-    /// Times that the disk began to refuse or to stall.
+    /// Snapshots installed.
+    pub snapshots_installed: u64,
+    /// Times that the disk began to refuse writes or to stall.
     pub disk_faults: u64,
 }
 
@@ -27,9 +27,9 @@
 pub struct Recorder {
     last: MemberSummary,
     counters: TransitionCounters,
-    /// Whether the last that was told is that it stands: as long as nothing else changes, further tries are
-    /// counted and not told.
-    standing: bool,
+    /// Whether the last logged transition is a pre-vote: until another one is logged, further pre-votes are only
+    /// counted.
+    is_pre_vote_logged: bool,
 }
 
 impl Recorder {
@@ -38,33 +38,35 @@
         Self {
             last: member.summary(None),
             counters: TransitionCounters::default(),
-            standing: false,
+            is_pre_vote_logged: false,
         }
     }
 
-    /// What the member was after its last step.
+    /// The member's summary after its last step.
     pub fn summary(&self) -> &MemberSummary {
         &self.last
     }
 
-    /// Takes what the member is after a step, and tells what has changed since the step before.
+    /// Compares the member after a step with the step before. Returns the transitions to log.
     pub fn after_step(&mut self, member: &Member) -> Vec<Transition> {
         let after = member.summary(Some(&self.last));
         if after == self.last {
             return Vec::new();
         }
-        let mut told = between(&self.last, &after);
+        let mut transitions = between(&self.last, &after);
         self.last = after;
-        told.iter().for_each(|t| self.count(t));
-        told.retain(|t| self.worth_telling(t));
-        told
+        transitions
+            .iter()
+            .for_each(|transition| self.count(transition));
+        transitions.retain(|transition| self.is_to_log(transition));
+        transitions
     }
 
-    /// Takes what the member asks for, and tells where that stands for a change.
-    pub fn of_output(&mut self, output: &Output) -> Option<Transition> {
-        let told = of_output(output)?;
-        self.count(&told);
-        Some(told)
+    /// The transition that an output stands for, to be logged.
+    pub fn after_output(&mut self, output: &Output) -> Option<Transition> {
+        let transition = from_output(output)?;
+        self.count(&transition);
+        Some(transition)
     }
 
     /// Counts since the start.
@@ -72,16 +74,18 @@
         self.counters
     }
 
-    /// A member that is cut off stands again and again: told once.
-    fn worth_telling(&mut self, transition: &Transition) -> bool {
+    /// A member that is cut off starts pre-votes again and again: the first one is logged.
+    fn is_to_log(&mut self, transition: &Transition) -> bool {
         match transition {
-            Transition::ElectionStarted { .. } => !std::mem::replace(&mut self.standing, true),
-            Transition::ElectionAbandoned {
+            Transition::PreVoteStarted { .. } => {
+                !std::mem::replace(&mut self.is_pre_vote_logged, true)
+            }
+            Transition::CampaignFailed {
                 phase: ElectionPhase::PreVote,
                 ..
             } => false,
             _ => {
-                self.standing = false;
+                self.is_pre_vote_logged = false;
                 true
             }
         }
@@ -90,17 +94,17 @@
     fn count(&mut self, transition: &Transition) {
         let counters = &mut self.counters;
         let counter = match transition {
-            Transition::ElectionStarted { .. } => &mut counters.elections,
-            Transition::ElectionWon { .. } => &mut counters.elections_won,
-            Transition::LeaseLapsed { .. } => &mut counters.leases_lost,
-            Transition::SteppedDown {
-                cause: StepDownCause::LeaseEnded,
+            Transition::PreVoteStarted { .. } => &mut counters.pre_votes,
+            Transition::MembershipInstalled { .. } => &mut counters.memberships_installed,
+            Transition::LeaseLost { .. }
+            | Transition::SteppedDown {
+                cause: StepDownCause::LeaseExpired,
                 ..
             } => &mut counters.leases_lost,
-            Transition::ViewAccepted { .. } => &mut counters.views,
+            Transition::MembershipAccepted { .. } => &mut counters.memberships_accepted,
             Transition::SnapshotSent { .. } => &mut counters.snapshots_sent,
-            Transition::SnapshotTaken { .. } => &mut counters.snapshots_taken,
-            Transition::Disk {
+            Transition::SnapshotInstalled { .. } => &mut counters.snapshots_installed,
+            Transition::DiskStateChanged {
                 state: DiskState::Refused | DiskState::Stalled,
             } => &mut counters.disk_faults,
             _ => return,
--- a/crates/control-plane/tests/control_server.rs
+++ b/crates/control-plane/tests/control_server.rs
@@ -116,7 +116,10 @@
             "{answer}"
         );
         assert!(answer.contains(&format!("\"code\":{code},")), "{answer}");
-        assert_eq!((api.counters.refused.get(), api.gate.started.get()), (1, 0));
+        assert_eq!(
+            (api.counters.rejected.get(), api.gate.started.get()),
+            (1, 0)
+        );
     });
 }
 
@@ -219,7 +222,10 @@
         }
         assert_eq!(exchange(&api, "").await, "");
         assert_eq!(
-            (api.counters.connections.get(), api.counters.crowded.get()),
+            (
+                api.counters.connections.get(),
+                api.counters.connections_rejected.get()
+            ),
             (2, 1)
         );
         // Those that were taken get their answers, and on a kept connection the next one.
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a member's changes of state: members driven by inputs, in simulated time.
+//! Which state transitions of a member are logged: members driven by inputs, in simulated time.
 
 use configuration::FaultBudget;
 use control_plane::member::{
@@ -15,10 +15,10 @@
 
 /// What a member's disk does with a write.
 #[derive(Clone, Copy, PartialEq)]
-enum Disk {
-    Well,
-    Refuses,
-    /// The write never ends.
+enum DiskFault {
+    None,
+    RefusesWrites,
+    /// Writes never end.
     Stalls,
 }
 
@@ -26,23 +26,23 @@
     member: Member,
     recorder: Recorder,
     records: Vec<Vec<u8>>,
-    disk: Disk,
+    disk: DiskFault,
     /// Whether it takes no steps.
     frozen: bool,
     stalled: Vec<Input>,
     wake: Duration,
-    told: Vec<Transition>,
+    logged: Vec<Transition>,
 }
 
 /// Members that speak without loss or delay, but for those that are frozen or cut off.
-struct World {
+struct TestCluster {
     now: Duration,
     nodes: BTreeMap<u64, Node>,
-    cut: BTreeSet<u64>,
+    cut_off: BTreeSet<u64>,
     left: BTreeSet<u64>,
 }
 
-fn seat(id: u64) -> MemberInfo {
+fn member_info(id: u64) -> MemberInfo {
     let addr = protocol::Addr {
         ip: 0x7f00_0000 + id as u32,
         port: 7,
@@ -59,8 +59,8 @@
 
 fn config(id: u64, bootstrap: bool) -> MemberConfig {
     MemberConfig {
-        local_member: seat(id),
-        bootstrap_voters: bootstrap.then(|| (1..=3).map(seat).collect()),
+        local_member: member_info(id),
+        bootstrap_voters: bootstrap.then(|| (1..=3).map(member_info).collect()),
         fault_budget: FaultBudget {
             machine_losses: 1,
             ..FaultBudget::default()
@@ -71,27 +71,27 @@
     }
 }
 
-impl World {
+impl TestCluster {
     /// Three members, of which one has become primary.
-    fn settled() -> (Self, u64) {
-        let (nodes, cut, left) = Default::default();
-        let mut world = World {
+    fn with_primary() -> (Self, u64) {
+        let (nodes, cut_off, left) = Default::default();
+        let mut cluster = TestCluster {
             now: Duration::ZERO,
             nodes,
-            cut,
+            cut_off,
             left,
         };
-        (1..=3).for_each(|id| world.start(id, true, Vec::new()));
-        let primary = world.until_led();
-        world.run(Duration::from_secs(3));
-        (world, primary)
+        (1..=3).for_each(|id| cluster.start(id, true, Vec::new()));
+        let primary = cluster.run_until_primary();
+        cluster.run(Duration::from_secs(3));
+        (cluster, primary)
     }
 
     fn start(&mut self, id: u64, bootstrap: bool, records: Vec<Vec<u8>>) {
         let bootstrap = bootstrap && records.is_empty();
         let member = Member::new(config(id, bootstrap), &records, self.now, 7 * id + 1);
         let recorder = Recorder::new(&member);
-        let (disk, stalled, told) = (Disk::Well, Vec::new(), Vec::new());
+        let (disk, stalled, logged) = (DiskFault::None, Vec::new(), Vec::new());
         let (frozen, wake) = (false, self.now);
         let node = Node {
             member,
@@ -101,7 +101,7 @@
             frozen,
             stalled,
             wake,
-            told,
+            logged,
         };
         self.nodes.insert(id, node);
     }
@@ -119,18 +119,18 @@
             };
             let mut outputs = Vec::new();
             node.member.step(now, input, &mut outputs);
-            let told = node.recorder.after_step(&node.member);
-            node.told.extend(told);
+            let logged = node.recorder.after_step(&node.member);
+            node.logged.extend(logged);
             for output in outputs {
-                node.told.extend(node.recorder.of_output(&output));
+                node.logged.extend(node.recorder.after_output(&output));
                 match output {
                     Output::Send { to, message }
-                        if !self.cut.contains(&id) && !self.cut.contains(&to.id) =>
+                        if !self.cut_off.contains(&id) && !self.cut_off.contains(&to.id) =>
                     {
                         queue.push_back((
                             to.id,
                             Input::Message {
-                                from: seat(id),
+                                from: member_info(id),
                                 message,
                             },
                         ));
@@ -144,7 +144,7 @@
                             node.records.clear();
                         }
                         let result = match node.disk {
-                            Disk::Refuses => Err(DiskError::Full),
+                            DiskFault::RefusesWrites => Err(DiskError::Full),
                             _ => Ok(()),
                         };
                         if result.is_ok() {
@@ -152,7 +152,7 @@
                         }
                         let wrote = Input::WriteCompleted { ticket, result };
                         match node.disk {
-                            Disk::Stalls => node.stalled.push(wrote),
+                            DiskFault::Stalls => node.stalled.push(wrote),
                             _ => queue.push_back((id, wrote)),
                         }
                     }
@@ -179,72 +179,64 @@
     }
 
     /// Runs until some member that isn't frozen or cut off acts.
-    fn until_led(&mut self) -> u64 {
+    fn run_until_primary(&mut self) -> u64 {
         let end = self.now + Duration::from_secs(30);
         loop {
             self.run(STEP);
             assert!(self.now < end, "nobody acts");
-            let well = |id: &u64, node: &Node| {
-                !node.frozen && !self.cut.contains(id) && node.member.is_acting_primary()
+            let acts = |id: &u64, node: &Node| {
+                !node.frozen && !self.cut_off.contains(id) && node.member.is_acting_primary()
             };
-            if let Some((id, _)) = self.nodes.iter().find(|(id, node)| well(id, node)) {
+            if let Some((id, _)) = self.nodes.iter().find(|(id, node)| acts(id, node)) {
                 return *id;
             }
         }
     }
 
     fn clear(&mut self) {
-        self.nodes.values_mut().for_each(|n| n.told.clear());
+        self.nodes.values_mut().for_each(|n| n.logged.clear());
     }
 
-    fn told(&self, id: u64, what: impl Fn(&Transition) -> bool) -> bool {
-        self.nodes[&id].told.iter().any(what)
+    fn logged(&self, id: u64, what: impl Fn(&Transition) -> bool) -> bool {
+        self.nodes[&id].logged.iter().any(what)
     }
 
-    fn others(&self, than: u64) -> Vec<u64> {
+    fn others(&self, excluded: u64) -> Vec<u64> {
         self.nodes
             .keys()
             .copied()
-            .filter(|id| *id != than)
+            .filter(|id| *id != excluded)
             .collect()
     }
 }
 
 #[test]
-fn the_first_start_is_told_in_order() {
-    let (world, primary) = World::settled();
-    let told = &world.nodes[&primary].told;
+fn first_start_when_a_primary_is_elected_is_logged_in_order() {
+    let (cluster, primary) = TestCluster::with_primary();
+    let logged = &cluster.nodes[&primary].logged;
     let position =
-        |what: &dyn Fn(&Transition) -> bool| told.iter().position(what).expect("it is told");
+        |what: &dyn Fn(&Transition) -> bool| logged.iter().position(what).expect("it is logged");
     let order = [
-        position(&|t| matches!(t, Transition::ElectionStarted { view: 0 })),
-        position(&|t| matches!(t, Transition::PromisesRequested { .. })),
+        position(&|t| matches!(t, Transition::PreVoteStarted { epoch: 0 })),
+        position(&|t| matches!(t, Transition::CandidacyStarted { .. })),
         position(&|t| matches!(t, Transition::SnapshotSent { .. })),
         position(&|t| {
             matches!(
                 t,
-                Transition::ViewAccepted {
-                    position: MembershipRole::Primary,
+                Transition::MembershipAccepted {
+                    role: MembershipRole::Primary,
                     ..
                 }
             )
         }),
-        position(&|t| {
-            matches!(
-                t,
-                Transition::ElectionWon {
-                    ledger: Some(0),
-                    ..
-                }
-            )
-        }),
-        position(&|t| matches!(t, Transition::LeaseHeld { .. })),
+        position(&|t| matches!(t, Transition::MembershipInstalled { index: Some(0), .. })),
+        position(&|t| matches!(t, Transition::BecamePrimary { .. })),
     ];
-    assert!(order.is_sorted(), "{told:?}");
+    assert!(order.is_sorted(), "{logged:?}");
     let accepted = |wanted: MembershipRole| {
-        let of = |t: &Transition| matches!(t, Transition::ViewAccepted { position, .. } if *position == wanted);
-        let mut others = world.others(primary);
-        others.retain(|id| world.told(*id, of));
+        let of = |t: &Transition| matches!(t, Transition::MembershipAccepted { role, .. } if *role == wanted);
+        let mut others = cluster.others(primary);
+        others.retain(|id| cluster.logged(*id, of));
         others
     };
     let (replicas, witnesses) = (
@@ -256,208 +248,231 @@
         (1, 1),
         "one of each beside the primary"
     );
-    assert!(world.told(replicas[0], |t| matches!(
+    assert!(cluster.logged(replicas[0], |t| matches!(
         t,
-        Transition::SnapshotTaken { seq: 0, .. }
+        Transition::SnapshotInstalled { index: 0, .. }
     )));
-    assert!(!world.told(witnesses[0], |t| matches!(
+    assert!(!cluster.logged(witnesses[0], |t| matches!(
         t,
-        Transition::SnapshotTaken { .. }
+        Transition::SnapshotInstalled { .. }
     )));
-    for other in world.others(primary) {
-        assert!(world.told(other, |t| matches!(t, Transition::Promised { .. })));
+    for other in cluster.others(primary) {
+        assert!(cluster.logged(other, |t| matches!(t, Transition::EpochPromised { .. })));
         let follows = |t: &Transition| matches!(t, Transition::LeaseGranted { primary: p, .. } if p.id == primary);
-        assert!(world.told(other, follows));
+        assert!(cluster.logged(other, follows));
     }
 }
 
 #[test]
-fn nothing_is_told_while_all_is_well() {
-    let (mut world, primary) = World::settled();
-    world.clear();
+fn changes_when_nothing_fails_are_not_logged() {
+    let (mut cluster, primary) = TestCluster::with_primary();
+    cluster.clear();
     for version in 1..200 {
         let command = Command::Drain {
             host: format!("i-{version}"),
         };
-        world.input(
+        cluster.input(
             primary,
             Input::Command {
                 ticket: version,
                 command,
             },
         );
-        world.run(Duration::from_millis(300));
+        cluster.run(Duration::from_millis(300));
     }
-    for (id, node) in &world.nodes {
-        assert_eq!(node.told, [], "member {id}");
+    for (id, node) in &cluster.nodes {
+        assert_eq!(node.logged, [], "member {id}");
     }
 }
 
 #[test]
-fn a_frozen_primary_s_takeover_is_told_by_all() {
-    let (mut world, old) = World::settled();
-    world.clear();
-    world.node(old).frozen = true;
-    let new = world.until_led();
-    world.run(Duration::from_secs(19));
-    for other in world.others(old) {
-        let over = |t: &Transition| matches!(t, Transition::LeaseOver { primary, .. } if primary.id == old);
-        assert!(world.told(other, over), "{:?}", world.nodes[&other].told);
+fn takeover_when_the_primary_is_frozen_is_logged_by_all() {
+    let (mut cluster, old) = TestCluster::with_primary();
+    cluster.clear();
+    cluster.node(old).frozen = true;
+    let new = cluster.run_until_primary();
+    cluster.run(Duration::from_secs(19));
+    for other in cluster.others(old) {
+        let over = |t: &Transition| matches!(t, Transition::PrimaryLeaseExpired { primary, .. } if primary.id == old);
+        assert!(
+            cluster.logged(other, over),
+            "{:?}",
+            cluster.nodes[&other].logged
+        );
     }
-    assert!(world.told(new, |t| matches!(t, Transition::ElectionStarted { .. })));
-    assert!(world.told(new, |t| matches!(t, Transition::ElectionWon { .. })));
-    assert!(world.told(new, |t| matches!(t, Transition::LeaseHeld { .. })));
+    assert!(cluster.logged(new, |t| matches!(t, Transition::PreVoteStarted { .. })));
+    assert!(cluster.logged(new, |t| matches!(t, Transition::MembershipInstalled { .. })));
+    assert!(cluster.logged(new, |t| matches!(t, Transition::BecamePrimary { .. })));
     // It wakes: its lease is long over.
-    world.node(old).frozen = false;
-    world.input(old, Input::Tick);
+    cluster.node(old).frozen = false;
+    cluster.input(old, Input::Tick);
     let ended = |t: &Transition| {
         matches!(
             t,
             Transition::SteppedDown {
-                cause: StepDownCause::LeaseEnded,
+                cause: StepDownCause::LeaseExpired,
                 ..
             }
         )
     };
-    assert!(world.told(old, ended), "{:?}", world.nodes[&old].told);
-    assert_eq!(world.nodes[&old].recorder.counters().leases_lost, 1);
-    world.run(Duration::from_secs(5));
+    assert!(
+        cluster.logged(old, ended),
+        "{:?}",
+        cluster.nodes[&old].logged
+    );
+    assert_eq!(cluster.nodes[&old].recorder.counters().leases_lost, 1);
+    cluster.run(Duration::from_secs(5));
     let follows =
         |t: &Transition| matches!(t, Transition::LeaseGranted { primary, .. } if primary.id == new);
-    assert!(world.told(old, follows), "{:?}", world.nodes[&old].told);
+    assert!(
+        cluster.logged(old, follows),
+        "{:?}",
+        cluster.nodes[&old].logged
+    );
 }
 
 #[test]
-fn a_member_that_is_cut_off_tells_once_that_it_stands() {
-    let (mut world, primary) = World::settled();
-    world.clear();
-    let cut = world.others(primary)[0];
-    let before = world.nodes[&cut].recorder.counters().elections;
-    world.cut.insert(cut);
-    world.run(Duration::from_secs(20));
-    let node = &world.nodes[&cut];
-    let stands = node
-        .told
+fn pre_vote_when_a_member_is_cut_off_is_logged_once() {
+    let (mut cluster, primary) = TestCluster::with_primary();
+    cluster.clear();
+    let cut = cluster.others(primary)[0];
+    let before = cluster.nodes[&cut].recorder.counters().pre_votes;
+    cluster.cut_off.insert(cut);
+    cluster.run(Duration::from_secs(20));
+    let node = &cluster.nodes[&cut];
+    let pre_votes = node
+        .logged
         .iter()
-        .filter(|t| matches!(t, Transition::ElectionStarted { .. }))
+        .filter(|t| matches!(t, Transition::PreVoteStarted { .. }))
         .count();
-    assert_eq!(stands, 1, "{:?}", node.told);
-    assert!(!world.told(
+    assert_eq!(pre_votes, 1, "{:?}", node.logged);
+    assert!(!cluster.logged(
         cut,
-        |t| matches!(t, Transition::ElectionAbandoned { phase, .. }
+        |t| matches!(t, Transition::CampaignFailed { phase, .. }
         if *phase == ElectionPhase::PreVote)
     ));
-    let tries = node.recorder.counters().elections - before;
+    let tries = node.recorder.counters().pre_votes - before;
     assert!(tries > 5, "further tries are counted: {tries}");
 }
 
 #[rstest]
-#[case(Disk::Refuses, DiskState::Refused)]
-#[case(Disk::Stalls, DiskState::Stalled)]
-fn a_primary_whose_disk_fails_yields_and_says_why(#[case] disk: Disk, #[case] state: DiskState) {
-    let (mut world, primary) = World::settled();
-    world.clear();
-    world.node(primary).disk = disk;
+#[case(DiskFault::RefusesWrites, DiskState::Refused)]
+#[case(DiskFault::Stalls, DiskState::Stalled)]
+fn primary_when_its_disk_fails_steps_down_with_the_cause(
+    #[case] disk: DiskFault,
+    #[case] state: DiskState,
+) {
+    let (mut cluster, primary) = TestCluster::with_primary();
+    cluster.clear();
+    cluster.node(primary).disk = disk;
     let command = Command::Drain { host: "i-1".into() };
-    world.input(primary, Input::Command { ticket: 1, command });
-    world.run(Duration::from_secs(5));
-    let told = world.nodes[&primary].told.clone();
-    assert!(told.contains(&Transition::Disk { state }), "{told:?}");
-    let yields = |t: &&Transition| {
+    cluster.input(primary, Input::Command { ticket: 1, command });
+    cluster.run(Duration::from_secs(5));
+    let logged = cluster.nodes[&primary].logged.clone();
+    assert!(
+        logged.contains(&Transition::DiskStateChanged { state }),
+        "{logged:?}"
+    );
+    let steps_down = |t: &&Transition| {
         matches!(
             t,
             Transition::SteppedDown {
-                cause: StepDownCause::Disk,
+                cause: StepDownCause::DiskUnhealthy,
                 ..
             }
         )
     };
-    assert_eq!(told.iter().filter(yields).count(), 1, "{told:?}");
-    assert_eq!(world.nodes[&primary].recorder.counters().disk_faults, 1);
-    world.until_led();
-    world.node(primary).disk = Disk::Well;
-    for wrote in std::mem::take(&mut world.node(primary).stalled) {
-        world.input(primary, wrote);
+    assert_eq!(logged.iter().filter(steps_down).count(), 1, "{logged:?}");
+    assert_eq!(cluster.nodes[&primary].recorder.counters().disk_faults, 1);
+    cluster.run_until_primary();
+    cluster.node(primary).disk = DiskFault::None;
+    for wrote in std::mem::take(&mut cluster.node(primary).stalled) {
+        cluster.input(primary, wrote);
     }
-    world.run(Duration::from_secs(2));
-    assert!(world.told(primary, |t| *t
-        == Transition::Disk {
+    cluster.run(Duration::from_secs(2));
+    assert!(cluster.logged(primary, |t| *t
+        == Transition::DiskStateChanged {
             state: DiskState::Healthy
         }));
 }
 
 #[test]
-fn voters_that_come_and_go_are_named() {
-    let (mut world, primary) = World::settled();
-    let lost = world.others(primary)[0];
-    world.nodes.remove(&lost);
-    world.clear();
+fn membership_when_voters_are_replaced_names_them() {
+    let (mut cluster, primary) = TestCluster::with_primary();
+    let lost = cluster.others(primary)[0];
+    cluster.nodes.remove(&lost);
+    cluster.clear();
     // Long enough that its silence counts when the newcomer shows: one is exchanged for the other in one view.
-    world.run(LEASE);
-    world.start(4, false, Vec::new());
+    cluster.run(LEASE);
+    cluster.start(4, false, Vec::new());
     for _ in 0..40 {
         // A link shows that it is there.
-        world.input(primary, Input::PeerReachable { member: seat(4) });
-        world.run(Duration::from_millis(250));
+        cluster.input(
+            primary,
+            Input::PeerReachable {
+                member: member_info(4),
+            },
+        );
+        cluster.run(Duration::from_millis(250));
     }
     let exchanged = |t: &Transition| match t {
-        Transition::ViewAccepted { added, removed, .. } => {
+        Transition::MembershipAccepted { added, removed, .. } => {
             let ids = |seats: &[MemberInfo]| seats.iter().map(|s| s.id).collect::<Vec<_>>();
             ids(added) == [4] && ids(removed) == [lost]
         }
         _ => false,
     };
     assert!(
-        world.told(primary, exchanged),
+        cluster.logged(primary, exchanged),
         "{:?}",
-        world.nodes[&primary].told
+        cluster.nodes[&primary].logged
     );
-    assert!(world.told(primary, |t| matches!(
+    assert!(cluster.logged(primary, |t| matches!(
         t,
-        Transition::ViewChangeStarted { .. }
+        Transition::MembershipChangeStarted { .. }
     )));
     let joined = |t: &Transition| {
-        matches!(t, Transition::ViewAccepted { before: MembershipRole::Joining, position, .. }
-            if *position != MembershipRole::Joining)
+        matches!(t, Transition::MembershipAccepted { previous_role: MembershipRole::Joining, role, .. }
+            if *role != MembershipRole::Joining)
     };
-    assert!(world.told(4, joined), "{:?}", world.nodes[&4].told);
+    assert!(cluster.logged(4, joined), "{:?}", cluster.nodes[&4].logged);
 }
 
 #[test]
-fn a_primary_that_leaves_tells_it() {
-    let (mut world, primary) = World::settled();
-    world.clear();
-    world.input(primary, Input::Depart);
+fn primary_when_it_shuts_down_steps_down_with_the_cause() {
+    let (mut cluster, primary) = TestCluster::with_primary();
+    cluster.clear();
+    cluster.input(primary, Input::Depart);
     assert!(
-        !world.left.contains(&primary),
+        !cluster.left.contains(&primary),
         "a replica that leaves hands over first"
     );
-    world.run(Duration::from_secs(4));
-    assert!(world.left.contains(&primary));
-    let told = &world.nodes[&primary].told;
-    assert_eq!(told[0], Transition::Leaving);
-    let yields = |t: &Transition| {
+    cluster.run(Duration::from_secs(4));
+    assert!(cluster.left.contains(&primary));
+    let logged = &cluster.nodes[&primary].logged;
+    assert_eq!(logged[0], Transition::ShutdownStarted);
+    let steps_down = |t: &Transition| {
         matches!(
             t,
             Transition::SteppedDown {
-                cause: StepDownCause::Leaving,
+                cause: StepDownCause::Shutdown,
                 ..
             }
         )
     };
-    assert!(told.iter().any(yields), "{told:?}");
+    assert!(logged.iter().any(steps_down), "{logged:?}");
 }
 
 #[test]
-fn a_restarted_replica_tells_what_it_shows_and_what_its_disk_holds() {
-    let (mut world, primary) = World::settled();
+fn replica_when_restarted_logs_its_restored_state() {
+    let (mut cluster, primary) = TestCluster::with_primary();
     let command = Command::Drain { host: "i-1".into() };
-    world.input(primary, Input::Command { ticket: 1, command });
-    world.run(Duration::from_secs(2));
-    let records = world.nodes[&primary].records.clone();
-    let epoch = world.nodes[&primary].member.membership().unwrap().epoch;
-    world.start(primary, false, records);
-    let summary = world.nodes[&primary].recorder.summary();
+    cluster.input(primary, Input::Command { ticket: 1, command });
+    cluster.run(Duration::from_secs(2));
+    let records = cluster.nodes[&primary].records.clone();
+    let epoch = cluster.nodes[&primary].member.membership().unwrap().epoch;
+    cluster.start(primary, false, records);
+    let summary = cluster.nodes[&primary].recorder.summary();
     assert_eq!(
         (
             summary.membership.as_ref().unwrap().epoch,
@@ -465,36 +480,40 @@
         ),
         (epoch, Some(1))
     );
-    world.input(primary, Input::Tick);
-    let restored = Transition::LedgerRestored { seq: 1, version: 0 };
-    assert_eq!(world.nodes[&primary].told.first(), Some(&restored));
+    cluster.input(primary, Input::Tick);
+    let restored = Transition::StateRestored {
+        index: 1,
+        version: 0,
+    };
+    assert_eq!(cluster.nodes[&primary].logged.first(), Some(&restored));
 }
 
 #[test]
-fn a_promise_to_another_is_told_and_takes_the_primary_s_place() {
-    let (mut world, primary) = World::settled();
-    world.clear();
-    let other = world.others(primary)[0];
+fn promise_when_given_to_another_member_is_logged() {
+    let (mut cluster, primary) = TestCluster::with_primary();
+    cluster.clear();
+    let other = cluster.others(primary)[0];
     // Its own lease is let go first: a voter promises nobody else before.
-    world.cut.insert(primary);
-    world.run(2 * LEASE);
-    world.cut.clear();
+    cluster.cut_off.insert(primary);
+    cluster.run(2 * LEASE);
+    cluster.cut_off.clear();
     let epoch = (1 << 60) + other;
     let message = Message::Prepare {
         epoch,
-        candidate: seat(other),
+        candidate: member_info(other),
     };
-    world.input(
+    cluster.input(
         primary,
         Input::Message {
-            from: seat(other),
+            from: member_info(other),
             message,
         },
     );
-    let told = |t: &Transition| matches!(t, Transition::Promised { epoch: e, .. } if *e == epoch);
+    let logged =
+        |t: &Transition| matches!(t, Transition::EpochPromised { epoch: e, .. } if *e == epoch);
     assert!(
-        world.told(primary, told),
+        cluster.logged(primary, logged),
         "{:?}",
-        world.nodes[&primary].told
+        cluster.nodes[&primary].logged
     );
 }
