--- a/crates/control-plane/src/host_registry/entry.rs
+++ b/crates/control-plane/src/host_registry/entry.rs
@@ -92,10 +92,10 @@
         if call_seq_elsewhere().is_some_and(|seq| seq > self.published.call_seq) {
             return self.forget(now);
         }
-        if self.published.silent {
+        if self.published.heartbeat_expired {
             return Expiry::Unchanged;
         }
-        self.published.silent = true;
+        self.published.heartbeat_expired = true;
         self.ended_at = Some(now);
         Expiry::Changed
     }
@@ -117,9 +117,9 @@
         zone: heartbeat.zone.clone(),
         capacity: heartbeat.capacity,
         phase,
-        silent: false,
+        heartbeat_expired: false,
         call_seq: heartbeat.call_seq,
-        cold_left_ms: heartbeat.cold_left_ms,
+        slow_start_remaining_ms: heartbeat.slow_start_remaining_ms,
     }
 }
 
@@ -130,6 +130,6 @@
         && a.zone == b.zone
         && a.capacity == b.capacity
         && a.phase == b.phase
-        && a.silent == b.silent
-        && (a.cold_left_ms == 0) == (b.cold_left_ms == 0)
+        && a.heartbeat_expired == b.heartbeat_expired
+        && (a.slow_start_remaining_ms == 0) == (b.slow_start_remaining_ms == 0)
 }
--- a/crates/control-plane/src/host_registry/mod.rs
+++ b/crates/control-plane/src/host_registry/mod.rs
@@ -32,7 +32,7 @@
     hosts: HashMap<String, HostEntry>,
     coordinators: BTreeMap<String, KnownCoordinator>,
     /// Whether the next update has all records, not only those that changed.
-    is_next_update_whole: bool,
+    is_next_update_complete: bool,
     changed_hosts: BTreeSet<String>,
     changed_coordinators: BTreeSet<String>,
 }
@@ -43,14 +43,14 @@
     pub fn new(id: u64, incarnation: u64, heartbeat_interval: Duration) -> Self {
         Self {
             version: OriginVersion {
-                id,
-                life: incarnation,
-                seq: 0,
+                member_id: id,
+                incarnation,
+                sequence: 0,
             },
             heartbeat_timeout: heartbeat_interval * 5 / 2 + HEARTBEAT_TIMEOUT_SLACK,
             hosts: HashMap::new(),
             coordinators: BTreeMap::new(),
-            is_next_update_whole: true,
+            is_next_update_complete: true,
             changed_hosts: BTreeSet::new(),
             changed_coordinators: BTreeSet::new(),
         }
@@ -65,12 +65,12 @@
     ///
     /// Called when others know a later incarnation of this member: they would take this one's records for older.
     pub fn advance_incarnation(&mut self, known_incarnation: u64) {
-        let next = incarnation::next_incarnation(known_incarnation, 0, self.version.life);
+        let next = incarnation::next_incarnation(known_incarnation, 0, self.version.incarnation);
         if next <= known_incarnation {
             return;
         }
-        self.version.life = next;
-        self.is_next_update_whole = true;
+        self.version.incarnation = next;
+        self.is_next_update_complete = true;
         self.changed_hosts = self.hosts.keys().cloned().collect();
         self.changed_coordinators = self.coordinators.keys().cloned().collect();
     }
@@ -157,16 +157,16 @@
 
     /// Notes that a coordinator or another member pulls. Returns whether a record changed.
     pub fn record_pull(&mut self, now: Duration, subscriber: &Subscriber) -> bool {
-        if subscriber.member != 0 || subscriber.name.is_empty() {
+        if subscriber.member_id != 0 || subscriber.name.is_empty() {
             return false;
         }
         let record = CoordinatorRecord {
             name: subscriber.name.clone(),
             zone: subscriber.zone.clone(),
             region: subscriber.region.clone(),
-            addr: subscriber.addr,
+            hints_addr: subscriber.hints_addr,
             gone: false,
-            version: subscriber.version,
+            configuration_version: subscriber.configuration_version,
         };
         let known = self.coordinators.insert(
             subscriber.name.clone(),
@@ -179,7 +179,7 @@
         if known.is_some_and(|known| !known.record.gone && is_same_place(&known.record, &record)) {
             return false;
         }
-        self.version.seq += 1;
+        self.version.sequence += 1;
         self.changed_coordinators.insert(subscriber.name.clone());
         true
     }
@@ -193,27 +193,27 @@
         now: Duration,
         call_seq_elsewhere: impl Fn(&str) -> Option<u64>,
     ) -> bool {
-        let before = self.version.seq;
+        let before = self.version.sequence;
         self.expire_hosts(now, call_seq_elsewhere);
         self.expire_coordinators(now);
-        self.version.seq != before
+        self.version.sequence != before
     }
 
     /// What changed since the last call; all records the first time.
     pub fn take_update(&mut self) -> Option<OriginUpdate> {
-        let is_whole = std::mem::take(&mut self.is_next_update_whole);
-        if !is_whole && self.changed_hosts.is_empty() && self.changed_coordinators.is_empty() {
+        let is_complete = std::mem::take(&mut self.is_next_update_complete);
+        if !is_complete && self.changed_hosts.is_empty() && self.changed_coordinators.is_empty() {
             return None;
         }
-        if is_whole {
+        if is_complete {
             // An origin without records is known by its number all the same.
-            self.version.seq = self.version.seq.max(1);
+            self.version.sequence = self.version.sequence.max(1);
         }
         let hosts = std::mem::take(&mut self.changed_hosts);
         let coordinators = std::mem::take(&mut self.changed_coordinators);
         Some(OriginUpdate {
-            mark: self.version,
-            whole: is_whole,
+            version: self.version,
+            complete: is_complete,
             hosts: hosts
                 .iter()
                 .filter_map(|id| self.hosts.get(id))
@@ -241,7 +241,7 @@
     }
 
     fn host_changed(&mut self, host: &str) {
-        self.version.seq += 1;
+        self.version.sequence += 1;
         self.changed_hosts.insert(host.to_owned());
     }
 
@@ -268,7 +268,7 @@
         self.coordinators.retain(|name, coordinator| {
             if !coordinator.record.gone && now >= coordinator.pulled_at + PULL_TIMEOUT {
                 coordinator.record.gone = true;
-                version.seq += 1;
+                version.sequence += 1;
                 changed.insert(name.clone());
             }
             now < coordinator.pulled_at + ENDED_RETENTION
@@ -277,5 +277,5 @@
 }
 
 fn is_same_place(a: &CoordinatorRecord, b: &CoordinatorRecord) -> bool {
-    a.zone == b.zone && a.region == b.region && a.addr == b.addr
+    a.zone == b.zone && a.region == b.region && a.hints_addr == b.hints_addr
 }
--- a/crates/control-plane/src/host_registry/request.rs
+++ b/crates/control-plane/src/host_registry/request.rs
@@ -22,7 +22,7 @@
     /// Whether the host is draining.
     pub draining: bool,
     /// How much longer the host warms up, in ms.
-    pub cold_left_ms: u32,
+    pub slow_start_remaining_ms: u32,
     /// Number of the request; rises with each one of this host.
     pub call_seq: u64,
 }
@@ -116,7 +116,7 @@
             zone: body.zone,
             capacity: body.capacity,
             draining: body.phase == Phase::Draining,
-            cold_left_ms: body.cold_left_ms as u32,
+            slow_start_remaining_ms: body.cold_left_ms as u32,
             call_seq: body.call_seq,
         })
     }
--- a/crates/control-plane/src/registry_publisher.rs
+++ b/crates/control-plane/src/registry_publisher.rs
@@ -85,7 +85,9 @@
     /// The versions that the coordinators pulling here have in force.
     pub fn versions_in_force(&self) -> VersionsInForce {
         let registry = self.lock();
-        let versions = registry.coordinators().map(|record| record.version);
+        let versions = registry
+            .coordinators()
+            .map(|record| record.configuration_version);
         VersionsInForce {
             lowest: versions.min().unwrap_or_default(),
             coordinators: registry.coordinators().count(),
@@ -109,7 +111,7 @@
     fn change<R>(&self, change: impl FnOnce(&mut HostRegistry, &Mirror, Duration) -> R) -> R {
         let mut registry = self.lock();
         self.mirror.update(|mirror, now| {
-            let own_incarnation = registry.version().life;
+            let own_incarnation = registry.version().incarnation;
             if let Some(later) = mirror.later_life(self.member_id, own_incarnation) {
                 registry.advance_incarnation(later);
             }
@@ -118,7 +120,7 @@
                 let update = Update {
                     // The update says nothing of what the primary acknowledged.
                     age_ms: u32::MAX,
-                    sources: vec![update],
+                    origins: vec![update],
                     ..Update::default()
                 };
                 mirror.apply(now, &update);
--- a/crates/control-plane/src/runtime/host_cache.rs
+++ b/crates/control-plane/src/runtime/host_cache.rs
@@ -23,15 +23,15 @@
         return;
     };
     let earlier = OriginVersion {
-        id: identity.id,
-        life: identity.incarnation.saturating_sub(1),
-        seq: 1,
+        member_id: identity.id,
+        incarnation: identity.incarnation.saturating_sub(1),
+        sequence: 1,
     };
     let update = Update {
         age_ms: u32::MAX,
-        sources: vec![OriginUpdate {
-            mark: earlier,
-            whole: true,
+        origins: vec![OriginUpdate {
+            version: earlier,
+            complete: true,
             coordinators: Vec::new(),
             ..stored
         }],
@@ -69,8 +69,8 @@
 fn stored_record(host: &HostRecord) -> HostRecord {
     HostRecord {
         call_seq: 0,
-        cold_left_ms: 0,
-        silent: false,
+        slow_start_remaining_ms: 0,
+        heartbeat_expired: false,
         ..host.clone()
     }
 }
--- a/crates/control-plane/src/runtime/status_page.rs
+++ b/crates/control-plane/src/runtime/status_page.rs
@@ -59,7 +59,7 @@
         coordinators
             .iter()
             .map(|coordinator| {
-                let version = coordinator.record.version;
+                let version = coordinator.record.configuration_version;
                 coordinator_json(coordinator, history.time_behind(version, SystemTime::now()))
             })
             .collect()
@@ -73,13 +73,13 @@
 
 fn host_json(host: &HostRecord) -> Value {
     json!({"id": host.id, "service": host.service, "address": SocketAddrV4::from(&host.addr).to_string(),
-        "zone": host.zone, "capacity": host.capacity, "phase": host.phase, "silent": host.silent})
+        "zone": host.zone, "capacity": host.capacity, "phase": host.phase, "silent": host.heartbeat_expired})
 }
 
 fn coordinator_json(coordinator: &RecentCoordinator, behind: Option<Duration>) -> Value {
     let record = &coordinator.record;
     json!({"name": record.name, "zone": record.zone, "region": record.region, "gone": record.gone,
-        "version": record.version, "pulled_ms_ago": coordinator.since_pull.as_millis() as u64,
+        "version": record.configuration_version, "pulled_ms_ago": coordinator.since_pull.as_millis() as u64,
         "behind_ms": behind.map(|time| time.as_millis() as u64)})
 }
 
--- a/crates/control-plane/tests/host_registry.rs
+++ b/crates/control-plane/tests/host_registry.rs
@@ -17,7 +17,7 @@
 fn registry() -> HostRegistry {
     let mut registry = HostRegistry::new(7, 3, HEARTBEAT_INTERVAL);
     assert!(
-        registry.take_update().unwrap().whole,
+        registry.take_update().unwrap().complete,
         "the first update is whole"
     );
     registry
@@ -31,7 +31,7 @@
         zone: "z".into(),
         capacity: 4,
         draining: false,
-        cold_left_ms: 0,
+        slow_start_remaining_ms: 0,
         call_seq,
     }
 }
@@ -43,7 +43,7 @@
 /// The one host that changed.
 fn changed(registry: &mut HostRegistry) -> Option<HostRecord> {
     let update = registry.take_update()?;
-    assert!(!update.whole);
+    assert!(!update.complete);
     assert!(update.hosts.len() <= 1);
     update.hosts.into_iter().next()
 }
@@ -52,11 +52,11 @@
 fn heartbeat_when_it_changes_nothing_is_not_published() {
     let mut registry = registry();
     assert!(registry.heartbeat(ms(0), "a", &heartbeat(1), None));
-    let seq = registry.version().seq;
+    let seq = registry.version().sequence;
     assert_eq!(changed(&mut registry).unwrap().call_seq, 1);
     assert!(!registry.heartbeat(ms(1000), "a", &heartbeat(2), None));
     assert_eq!(
-        (registry.version().seq, registry.take_update()),
+        (registry.version().sequence, registry.take_update()),
         (seq, None),
         "a heartbeat that changes nothing"
     );
@@ -69,7 +69,7 @@
         },
         None
     ));
-    assert_eq!(registry.version().seq, seq + 1);
+    assert_eq!(registry.version().sequence, seq + 1);
     let record = changed(&mut registry).unwrap();
     assert_eq!((record.capacity, record.call_seq), (5, 3));
 }
@@ -124,10 +124,13 @@
     assert!(!registry.tick(ms(3699), unknown_elsewhere));
     assert!(registry.tick(ms(3700), unknown_elsewhere));
     let record = changed(&mut registry).unwrap();
-    assert_eq!((record.silent, record.phase), (true, phase::READY));
+    assert_eq!(
+        (record.heartbeat_expired, record.phase),
+        (true, phase::READY)
+    );
     assert!(!registry.tick(ms(5000), unknown_elsewhere), "once");
     assert!(registry.heartbeat(ms(6000), "a", &heartbeat(3), None));
-    assert!(!changed(&mut registry).unwrap().silent);
+    assert!(!changed(&mut registry).unwrap().heartbeat_expired);
     // The count begins anew.
     assert!(!registry.tick(ms(8699), unknown_elsewhere));
 }
@@ -249,18 +252,18 @@
 #[test]
 fn version_when_a_record_changes_rises_by_one() {
     let mut registry = registry();
-    let mut last = registry.version().seq;
+    let mut last = registry.version().sequence;
     for n in 1..=3 {
         registry.heartbeat(ms(n), &format!("h{n}"), &heartbeat(1), None);
-        assert_eq!(registry.version().seq, last + 1);
-        last = registry.version().seq;
+        assert_eq!(registry.version().sequence, last + 1);
+        last = registry.version().sequence;
     }
     let update = registry.take_update().unwrap();
     assert_eq!(
         (
-            update.mark.id,
-            update.mark.life,
-            update.mark.seq,
+            update.version.member_id,
+            update.version.incarnation,
+            update.version.sequence,
             update.hosts.len()
         ),
         (7, 3, last, 3)
@@ -289,7 +292,7 @@
         (
             heartbeat.capacity,
             heartbeat.call_seq,
-            heartbeat.cold_left_ms,
+            heartbeat.slow_start_remaining_ms,
             heartbeat.draining
         ),
         (64, 4, 250, false)
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -28,7 +28,7 @@
         zone,
         capacity: 1,
         draining: false,
-        cold_left_ms: 0,
+        slow_start_remaining_ms: 0,
         call_seq,
     };
     HostRequest::Heartbeat {
@@ -168,8 +168,8 @@
     let marks = processes.agent.update(|mirror, _| mirror.vector());
     let newest = marks
         .iter()
-        .filter(|mark| mark.id == ID)
-        .map(|mark| mark.life)
+        .filter(|mark| mark.member_id == ID)
+        .map(|mark| mark.incarnation)
         .max();
     assert_eq!(newest, Some(incarnation));
 }
--- a/crates/control-plane/tests/registry_publisher.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -16,7 +16,7 @@
         zone,
         capacity: 1,
         draining: false,
-        cold_left_ms: 0,
+        slow_start_remaining_ms: 0,
         call_seq,
     };
     HostRequest::Heartbeat {
@@ -46,8 +46,8 @@
     assert!(publisher.handle(&request("i", 1)));
     let update = waits.await.unwrap();
     assert_eq!(asked.elapsed(), Duration::ZERO);
-    assert!(!update.sources[0].whole);
-    assert_eq!(update.sources[0].hosts[0].id, "i");
+    assert!(!update.origins[0].complete);
+    assert_eq!(update.origins[0].hosts[0].id, "i");
 }
 
 #[tokio::test(start_paused = true)]
@@ -94,10 +94,10 @@
 async fn host_when_gone_elsewhere_stays_gone() {
     let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_INTERVAL));
     let publisher = RegistryPublisher::new(7, 1, HEARTBEAT_INTERVAL, shared.clone());
-    let mark = OriginVersion {
-        id: 8,
-        life: 1,
-        seq: 1,
+    let version = OriginVersion {
+        member_id: 8,
+        incarnation: 1,
+        sequence: 1,
     };
     let hosts = vec![protocol::HostRecord {
         id: "i".into(),
@@ -105,8 +105,8 @@
         ..Default::default()
     }];
     let source = protocol::OriginUpdate {
-        mark,
-        whole: true,
+        version,
+        complete: true,
         hosts,
         coordinators: vec![],
     };
@@ -114,7 +114,7 @@
         m.apply(
             now,
             &Update {
-                sources: vec![source],
+                origins: vec![source],
                 ..Update::default()
             },
         )
@@ -130,7 +130,7 @@
     for (name, version) in [("a", 4), ("b", 3)] {
         publisher.record_pull(&Subscriber {
             name: name.into(),
-            version,
+            configuration_version,
             ..Subscriber::default()
         });
     }
