--- a/crates/control-plane/tests/host_registry.rs
+++ b/crates/control-plane/tests/host_registry.rs
@@ -226,8 +226,8 @@
     let mut registry = registry();
     let subscriber = |name: &str, member, version| Subscriber {
         name: name.into(),
-        member,
-        version,
+        member_id: member,
+        configuration_version: version,
         ..Subscriber::default()
     };
     assert!(registry.record_pull(ms(0), &subscriber("e1", 0, 1)));
@@ -240,7 +240,14 @@
         !registry.record_pull(ms(1000), &subscriber("e1", 0, 2)),
         "its version alone is no change"
     );
-    assert_eq!(registry.coordinators().next().unwrap().version, 2);
+    assert_eq!(
+        registry
+            .coordinators()
+            .next()
+            .unwrap()
+            .configuration_version,
+        2
+    );
     assert!(!registry.tick(ms(3999), unknown_elsewhere));
     assert!(registry.tick(ms(4000), unknown_elsewhere));
     assert!(registry.take_update().unwrap().coordinators[0].gone);
--- a/crates/control-plane/tests/registry_publisher.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -130,7 +130,7 @@
     for (name, version) in [("a", 4), ("b", 3)] {
         publisher.record_pull(&Subscriber {
             name: name.into(),
-            configuration_version,
+            configuration_version: version,
             ..Subscriber::default()
         });
     }
