--- a/crates/model-check/src/cluster/world/event.rs
+++ b/crates/model-check/src/cluster/world/event.rs
@@ -68,7 +68,7 @@
                     reader,
                     member,
                     update.age_ms,
-                    update.config.as_ref().map(|c| c.seq),
+                    update.configuration.as_ref().map(|c| c.index),
                 )
                     .hash(hasher);
             }
--- a/crates/simulator/src/world/subscriber_events.rs
+++ b/crates/simulator/src/world/subscriber_events.rs
@@ -243,7 +243,7 @@
             return;
         };
         if subscriber.mirror.generation() != generation {
-            let version = subscriber.mirror.fleet().mark;
+            let version = subscriber.mirror.fleet().version;
             if version != subscriber.puller_info_version {
                 subscriber.puller_info_version = version;
                 let members: Vec<Addr> = subscriber
