--- a/crates/load-test/src/curve.rs
+++ b/crates/load-test/src/curve.rs
@@ -69,6 +69,20 @@
     },
 }
 
+/// What is wrong with a shape.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+pub enum ShapeError {
+    /// A rate, in queries a second.
+    #[error("has a rate of {0}: it must lie in 0 to 1000000")]
+    Rate(f64),
+    /// A time, in seconds.
+    #[error("has a time of {0}: it must not be negative")]
+    Time(f64),
+    /// A length or a swing.
+    #[error("has a length of 0 or a swing outside 0 to 1")]
+    LengthOrSwing,
+}
+
 impl Shape {
     /// The rate at a time.
     pub fn rate(&self, t: f64) -> f64 {
@@ -117,11 +131,11 @@
         }
     }
 
-    /// Says what is wrong with it.
+    /// Checks its rates and times.
     ///
     /// # Errors
-    /// If a figure means nothing.
-    pub fn check(&self) -> Result<(), String> {
+    /// If a value means nothing.
+    pub fn check(&self) -> Result<(), ShapeError> {
         let (rates, times): (Vec<f64>, Vec<f64>) = match *self {
             Self::Steady { rate } => (vec![rate], vec![]),
             Self::Step { rate, at_s, for_s } => (vec![rate], vec![at_s, for_s.unwrap_or(0.0)]),
@@ -142,10 +156,10 @@
             Self::OnOff { rate, on_s, off_s } => (vec![rate], vec![on_s, off_s]),
         };
         if let Some(r) = rates.iter().find(|r| !(0.0..=1e6).contains(*r)) {
-            return Err(format!("has a rate of {r}: it must lie in 0 to 1000000"));
+            return Err(ShapeError::Rate(*r));
         }
         if let Some(t) = times.iter().find(|t| !(0.0..=1e7).contains(*t)) {
-            return Err(format!("has a time of {t}: it must not be negative"));
+            return Err(ShapeError::Time(*t));
         }
         let sound = match *self {
             Self::Ramp { for_s, .. } => for_s > 0.0,
@@ -153,9 +167,11 @@
             Self::OnOff { on_s, .. } => on_s > 0.0,
             _ => true,
         };
-        sound
-            .then_some(())
-            .ok_or_else(|| "has a length of 0 or a swing outside 0 to 1".to_owned())
+        if sound {
+            Ok(())
+        } else {
+            Err(ShapeError::LengthOrSwing)
+        }
     }
 }
 
--- a/crates/load-test/src/engine.rs
+++ b/crates/load-test/src/engine.rs
@@ -27,6 +27,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How soon the generator tries again when it has no descriptor left.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Capacity for the text of a request.
+const REQUEST_BUFFER_BYTES: usize = 640;
+/// How much longer than it says a client waits, beside the scenario's slack.
+const GIVE_UP_SLACK: Duration = Duration::from_millis(20);
 /// `EMFILE` and `ENFILE`.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
 
@@ -125,11 +129,48 @@
     Ok(all)
 }
 
+impl AttemptRecord {
+    /// An attempt that is about to be sent. It counts as given up until it has an answer.
+    fn unanswered(query: u32, attempt: u8, coordinator: usize, wait_us: u64) -> Self {
+        Self {
+            query,
+            attempt,
+            coordinator: coordinator as u16,
+            sent: 0,
+            ended: 0,
+            wait_us,
+            end: AttemptOutcome::GaveUp,
+            retry_after_us: None,
+            shards: Vec::new(),
+            values: Vec::new(),
+            extra: false,
+        }
+    }
+
+    /// Records what the answer claims.
+    fn read(&mut self, answer: ParsedAnswer) {
+        self.end = match answer {
+            ParsedAnswer::Served {
+                full,
+                shards,
+                values,
+            } => {
+                (self.shards, self.values) = (shards, values);
+                AttemptOutcome::Served(full)
+            }
+            ParsedAnswer::Refused => AttemptOutcome::Refused,
+            ParsedAnswer::Failed(status) => AttemptOutcome::Failed(status),
+            ParsedAnswer::Unreadable => AttemptOutcome::Unreadable,
+        };
+    }
+}
+
 struct Worker {
     shared: Arc<Shared>,
     /// Idle connections, by coordinator; the one used last is used next.
     idle: RefCell<Vec<Vec<BufferedStream>>>,
-    seats: Semaphore,
+    /// Limits the open connections.
+    connection_slots: Semaphore,
     records: RefCell<Vec<QueryRecord>>,
 }
 
@@ -148,11 +189,12 @@
 impl Worker {
     fn new(shared: Arc<Shared>, workers: usize) -> Rc<Self> {
         let idle = RefCell::new(shared.targets.iter().map(|_| Vec::new()).collect());
-        let seats = Semaphore::new((shared.scenario.clients.connections / workers).max(1));
+        let connection_slots =
+            Semaphore::new((shared.scenario.clients.connections / workers).max(1));
         Rc::new(Self {
             shared,
             idle,
-            seats,
+            connection_slots,
             records: RefCell::default(),
         })
     }
@@ -221,6 +263,16 @@
         self.records.borrow_mut().push(record);
     }
 
+    /// The coordinator that an attempt goes to.
+    fn choose_coordinator(&self, q: &Planned, query: u32, attempt: u8) -> usize {
+        let shared = &self.shared;
+        let believed_up = shared.believed_up.iter();
+        let up: Vec<bool> = believed_up.map(|b| b.load(Ordering::Relaxed)).collect();
+        let zones = shared.scenario.fleet.zones.len();
+        let draw = u64::from(query) * 7 + u64::from(attempt);
+        clients::coordinator(q.zone.into(), zones, &up, draw)
+    }
+
     async fn attempt(
         &self,
         q: &Planned,
@@ -228,85 +280,52 @@
         attempt: u8,
         wait_us: u64,
     ) -> AttemptRecord {
-        let (shared, epoch) = (&self.shared, self.shared.epoch);
-        let up: Vec<bool> = shared
-            .believed_up
-            .iter()
-            .map(|b| b.load(Ordering::Relaxed))
-            .collect();
-        let zones = shared.scenario.fleet.zones.len();
-        let draw = u64::from(record.query) * 7 + u64::from(attempt);
-        let coordinator = clients::coordinator(q.zone.into(), zones, &up, draw);
+        let shared = &self.shared;
+        let coordinator = self.choose_coordinator(q, record.query, attempt);
         let name = format!("{}{:x}-{attempt}", shared.run, record.query);
         let key = format!("{}k{:x}", shared.run, record.query);
-        let reference = AttemptRef {
-            query: record.query,
-            attempt,
-        };
-        let ask = RequestContext {
+        let context = RequestContext {
             planned: q,
-            reference,
+            reference: AttemptRef {
+                query: record.query,
+                attempt,
+            },
             name: &name,
             key: &key,
             wait_ms: wait_us / 1000,
         };
         let driver = &shared.drivers[usize::from(q.front)];
-        let mut request = Vec::with_capacity(640);
-        driver.request(&ask, &mut request);
-        let slack = shared.scenario.audit.slack_ms + 20;
-        let give_up =
-            Instant::now() + Duration::from_micros(wait_us) + Duration::from_millis(slack);
-        let mut tried = AttemptRecord {
-            query: record.query,
-            attempt,
-            coordinator: coordinator as u16,
-            sent: 0,
-            ended: 0,
-            wait_us,
-            end: AttemptOutcome::GaveUp,
-            retry_after_us: None,
-            shards: Vec::new(),
-            values: Vec::new(),
-            extra: false,
-        };
-        let talk = self.talk(coordinator, &request, &mut tried, &mut record.first_sent);
-        if let Ok(exchange) = tokio::time::timeout_at(give_up.into(), talk).await {
-            match exchange {
-                Exchange::Failed(end) => tried.end = end,
-                Exchange::Answer(status, retry_after_us, body, extra) => {
-                    (tried.retry_after_us, tried.extra) = (retry_after_us, extra);
-                    tried.end = match driver.read(&ask, status, &body) {
-                        ParsedAnswer::Served {
-                            full,
-                            shards,
-                            values,
-                        } => {
-                            (tried.shards, tried.values) = (shards, values);
-                            AttemptOutcome::Served(full)
-                        }
-                        ParsedAnswer::Refused => AttemptOutcome::Refused,
-                        ParsedAnswer::Failed(status) => AttemptOutcome::Failed(status),
-                        ParsedAnswer::Unreadable => AttemptOutcome::Unreadable,
-                    };
-                }
+        let mut request = Vec::with_capacity(REQUEST_BUFFER_BYTES);
+        driver.request(&context, &mut request);
+        let slack = Duration::from_millis(shared.scenario.audit.slack_ms) + GIVE_UP_SLACK;
+        let give_up = Instant::now() + Duration::from_micros(wait_us) + slack;
+        let mut tried = AttemptRecord::unanswered(record.query, attempt, coordinator, wait_us);
+        let exchange = self.exchange(coordinator, &request, &mut tried, &mut record.first_sent);
+        match tokio::time::timeout_at(give_up.into(), exchange).await {
+            Ok(Exchange::Failed(end)) => tried.end = end,
+            Ok(Exchange::Answer(status, retry_after_us, body, extra)) => {
+                (tried.retry_after_us, tried.extra) = (retry_after_us, extra);
+                tried.read(driver.read(&context, status, &body));
             }
+            // The client has given up.
+            Err(_) => {}
         }
         if tried.ended == 0 {
-            tried.ended = epoch.now();
+            tried.ended = shared.epoch.now();
         }
         tried
     }
 
     /// Sends a request and reads its answer. A connection that ends between requests may cross one: that is
     /// sent once more on a new connection.
-    async fn talk(
+    async fn exchange(
         &self,
         c: usize,
         request: &[u8],
         tried: &mut AttemptRecord,
         first_sent: &mut Micros,
     ) -> Exchange {
-        let Ok(_seat) = self.seats.acquire().await else {
+        let Ok(_slot) = self.connection_slots.acquire().await else {
             return Exchange::Failed(AttemptOutcome::NoConnection);
         };
         let mut may_keep = true;
--- a/crates/load-test/src/faults.rs
+++ b/crates/load-test/src/faults.rs
@@ -1,14 +1,16 @@
 //! The timetable of what goes wrong: each fault of a scenario as single actions at their times; free of
 //! I/O and clock.
 
-use crate::scenario::{FaultKind, Scenario};
+use crate::scenario::{FaultKind, FaultTable, Scenario};
 use fake_hosts::fleet::Command;
 use fake_hosts::model::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// Separates the random numbers drawn for faults from the others.
+const FAULT_RNG_SALT: u64 = 0x6661_756c;
 /// After SIGTERM a coordinator may go on for as long as a client waits, counted as 3 s where it is longer …
-const MAX_RECORDED_US: Micros = 3_000_000;
+const MAX_QUERY_TIME_US: Micros = 3_000_000;
 /// … and so much more, before SIGKILL.
 const KILL_AFTER_US: Micros = 700_000;
 /// From a kill to the next start at the least.
@@ -46,72 +48,35 @@
     pub what: String,
 }
 
-/// All actions by time.
+/// All actions of a scenario by time, in microseconds from its start.
 pub fn timetable(s: &Scenario) -> Vec<(Micros, Action)> {
-    let mut rng = Pcg64Mcg::seed_from_u64(s.seed ^ 0x6661_756c);
+    let mut rng = Pcg64Mcg::seed_from_u64(s.seed ^ FAULT_RNG_SALT);
+    let limits = s.classes.iter().map(|c| (c.limit_ms * 1e3) as Micros);
+    let longest = limits.max().unwrap_or(0).min(MAX_QUERY_TIME_US);
     let mut all = Vec::new();
-    let longest = s
-        .classes
-        .iter()
-        .map(|c| (c.limit_ms * 1e3) as Micros)
-        .max()
-        .unwrap_or(0)
-        .min(MAX_RECORDED_US);
-    for f in &s.faults {
-        let at = (f.at_s * 1e6) as Micros;
-        let to = at + (f.for_s * 1e6) as Micros;
-        let mut notice = || {
-            let [least, most] = s.clients.notice_s;
-            at + ((least + (most - least) * rng.random::<f64>()) * 1e6) as Micros
-        };
-        if f.kind == FaultKind::DiscoverySilent {
+    for fault in &s.faults {
+        let at = (fault.at_s * 1e6) as Micros;
+        let to = at + (fault.for_s * 1e6) as Micros;
+        if fault.kind == FaultKind::DiscoverySilent {
             all.push((at, Action::Fleet(Command::Discovery(true))));
             all.push((to, Action::Fleet(Command::Discovery(false))));
         }
-        for &n in &f.which {
-            let fleet = |at, command| (at, Action::Fleet(command));
-            match f.kind {
-                FaultKind::HostCrash => {
-                    all.extend([fleet(at, Command::Crash(n)), fleet(to, Command::Start(n))]);
-                }
-                FaultKind::HostSilent => {
-                    all.extend([fleet(at, Command::Vanish(n)), fleet(to, Command::Start(n))]);
-                }
-                FaultKind::HostRelease => all.extend([
-                    fleet(at, Command::Drain(n)),
-                    fleet(at + (to - at) / 2, Command::Crash(n)),
-                    fleet(to, Command::Start(n)),
-                ]),
-                FaultKind::HostDrain => all.push(fleet(at, Command::Drain(n))),
-                FaultKind::HostSlow => {
-                    all.extend([
-                        fleet(at, Command::Slow(n, f.times)),
-                        fleet(to, Command::Slow(n, 1.0)),
-                    ]);
-                }
-                FaultKind::DiscoverySilent => {}
-                FaultKind::CoordinatorKill => {
-                    all.extend([
-                        (at, Action::Kill(n)),
-                        (notice(), Action::Noticed(n)),
-                        (to, Action::Start(n)),
-                    ]);
-                }
-                FaultKind::CoordinatorRestart => {
-                    let kill = at + longest + KILL_AFTER_US;
-                    let start = to.max(kill + STARTS_US);
-                    let noticed = (notice(), Action::Noticed(n));
-                    all.extend([
-                        (at, Action::Terminate(n)),
-                        noticed,
-                        (kill, Action::Kill(n)),
-                        (start, Action::Start(n)),
-                    ]);
-                }
-                FaultKind::CoordinatorStall => {
-                    all.extend([(at, Action::Stall(n)), (to, Action::Resume(n))]);
-                }
-                FaultKind::CoordinatorReload => all.push((at, Action::HangUp(n))),
+        for &n in &fault.which {
+            if fault.kind.of_coordinator() {
+                let mut noticed = || {
+                    let [min, max] = s.clients.notice_s;
+                    at + ((min + (max - min) * rng.random::<f64>()) * 1e6) as Micros
+                };
+                all.extend(coordinator_actions(
+                    fault.kind,
+                    n,
+                    at,
+                    to,
+                    longest,
+                    &mut noticed,
+                ));
+            } else {
+                all.extend(host_actions(fault, n, at, to));
             }
         }
     }
@@ -120,6 +85,59 @@
     all
 }
 
+/// The actions of a host's fault from one time to another.
+fn host_actions(fault: &FaultTable, n: u16, at: Micros, to: Micros) -> Vec<(Micros, Action)> {
+    let commands = match fault.kind {
+        FaultKind::HostCrash => vec![(at, Command::Crash(n)), (to, Command::Start(n))],
+        FaultKind::HostSilent => vec![(at, Command::Vanish(n)), (to, Command::Start(n))],
+        FaultKind::HostRelease => vec![
+            (at, Command::Drain(n)),
+            (at + (to - at) / 2, Command::Crash(n)),
+            (to, Command::Start(n)),
+        ],
+        FaultKind::HostDrain => vec![(at, Command::Drain(n))],
+        FaultKind::HostSlow => vec![
+            (at, Command::Slow(n, fault.times)),
+            (to, Command::Slow(n, 1.0)),
+        ],
+        _ => vec![],
+    };
+    let actions = commands.into_iter();
+    actions.map(|(at, c)| (at, Action::Fleet(c))).collect()
+}
+
+/// The actions of a coordinator's fault from one time to another. `longest` is the longest time of a query; `noticed`
+/// draws when the front layer notices that the coordinator is down.
+fn coordinator_actions(
+    kind: FaultKind,
+    n: u16,
+    at: Micros,
+    to: Micros,
+    longest: Micros,
+    noticed: &mut impl FnMut() -> Micros,
+) -> Vec<(Micros, Action)> {
+    match kind {
+        FaultKind::CoordinatorKill => vec![
+            (at, Action::Kill(n)),
+            (noticed(), Action::Noticed(n)),
+            (to, Action::Start(n)),
+        ],
+        FaultKind::CoordinatorRestart => {
+            let kill = at + longest + KILL_AFTER_US;
+            let start = to.max(kill + STARTS_US);
+            vec![
+                (at, Action::Terminate(n)),
+                (noticed(), Action::Noticed(n)),
+                (kill, Action::Kill(n)),
+                (start, Action::Start(n)),
+            ]
+        }
+        FaultKind::CoordinatorStall => vec![(at, Action::Stall(n)), (to, Action::Resume(n))],
+        FaultKind::CoordinatorReload => vec![(at, Action::HangUp(n))],
+        _ => vec![],
+    }
+}
+
 /// The faults as marks for charts.
 pub fn marks(s: &Scenario) -> Vec<Mark> {
     let word = |k: FaultKind| {
--- a/crates/load-test/src/scenario/mod.rs
+++ b/crates/load-test/src/scenario/mod.rs
@@ -7,6 +7,7 @@
 mod fleet;
 mod traffic;
 
+pub use check::InvalidSetting;
 pub use faults::*;
 pub use fleet::*;
 pub use traffic::*;
@@ -93,10 +94,10 @@
     pub fn parse(text: &str, path: &Path) -> Result<Self, ScenarioError> {
         let read: Self = toml::from_str(text)
             .map_err(|e| ScenarioError::Text(path.to_owned(), e.to_string()))?;
-        read.check().map_err(|(key, why)| ScenarioError::Value {
+        read.check().map_err(|invalid| ScenarioError::Value {
             file: path.to_owned(),
-            key,
-            why,
+            key: invalid.key,
+            why: invalid.reason,
         })?;
         Ok(read)
     }
