--- a/crates/load-test/src/audit.rs
+++ b/crates/load-test/src/audit.rs
@@ -3,13 +3,12 @@
 
 use crate::clients::AttemptOutcome;
 use crate::plan::Plan;
-use crate::record::{AttemptRecord, ProcessEvent, ProcessHistory, QueryRecord};
+use crate::record::{AttemptRecord, ProcessHistory, QueryRecord};
 use crate::scenario::{DialectName, RepeatName, Scenario};
 use fake_hosts::event_log::{AttemptEnd, AttemptRef, Event, EventKind, Phase};
 use fake_hosts::model::Micros;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
-use std::fmt::Write;
 
 /// After the news of a drain nothing new may reach a host later than this.
 const DRAIN_GRACE: Micros = 2_000_000;
@@ -85,21 +84,28 @@
     pub processes: &'a ProcessHistory,
 }
 
+impl Evidence<'_> {
+    /// Slack on limits of time, in microseconds.
+    fn slack_us(&self) -> Micros {
+        self.scenario.audit.slack_ms * 1000
+    }
+}
+
 /// An attempt, put together from its events.
 #[derive(Clone, Debug)]
-struct Attempt<'a> {
-    id: u64,
-    arrived: Micros,
-    host: u16,
-    coordinator: u16,
-    name: &'a str,
-    shard: u32,
-    key: Option<&'a str>,
-    reference: Option<AttemptRef>,
+pub(crate) struct Attempt<'a> {
+    pub(crate) id: u64,
+    pub(crate) arrived: Micros,
+    pub(crate) host: u16,
+    pub(crate) coordinator: u16,
+    pub(crate) name: &'a str,
+    pub(crate) shard: u32,
+    pub(crate) key: Option<&'a str>,
+    pub(crate) reference: Option<AttemptRef>,
     /// Its first end; what comes after a withdrawal is an answer under way.
-    end: Option<(Micros, AttemptEnd)>,
+    pub(crate) end: Option<(Micros, AttemptEnd)>,
     /// When it was served, if it was, withdrawn or not.
-    served: Option<Micros>,
+    pub(crate) served: Option<Micros>,
 }
 
 impl Attempt<'_> {
@@ -108,7 +114,8 @@
     }
 }
 
-fn attempts(events: &[Event]) -> Vec<Attempt<'_>> {
+/// Puts the attempts together from the hosts' events, in the order of their arrival.
+pub(crate) fn attempts(events: &[Event]) -> Vec<Attempt<'_>> {
     let mut all: Vec<Attempt> = Vec::new();
     let mut place: HashMap<u64, usize> = HashMap::new();
     let mut open: HashMap<u16, Vec<usize>> = HashMap::new();
@@ -179,78 +186,92 @@
     found
 }
 
-/// Lost, twice and honest: from the clients' records, held against what hosts gave.
+/// The rules on answers: [`Rule::Lost`], [`Rule::Twice`] and [`Rule::Honest`], from the clients' records and what hosts
+/// gave.
 fn answers(e: &Evidence, attempts: &[Attempt], found: &mut Vec<Violation>) {
-    let slack = e.scenario.audit.slack_ms * 1000;
     let by_id: HashMap<u64, &Attempt> = attempts.iter().map(|a| (a.id, a)).collect();
-    let mut by_try: HashMap<AttemptRef, Vec<&Attempt>> = HashMap::new();
-    for a in attempts {
-        a.reference
-            .into_iter()
-            .for_each(|r| by_try.entry(r).or_default().push(a));
-    }
-    for t in e.queries.iter().flat_map(|q| &q.tries) {
-        let mut add = |rule, what: String| {
-            found.push(Violation {
-                rule,
-                at: t.ended,
-                query: Some(t.query),
-                what,
-            });
-        };
-        let excused = t.sent == 0 || e.processes.excused(t.coordinator, t.sent, t.ended);
-        let what = format!("try {} at coordinator {}", t.attempt, t.coordinator);
-        match t.end {
-            AttemptOutcome::Closed
-            | AttemptOutcome::Cut
-            | AttemptOutcome::GaveUp
-            | AttemptOutcome::Unreadable
-                if !excused =>
-            {
-                let after = (t.ended - t.sent) / 1000;
-                add(
-                    Rule::Lost,
-                    format!("{what}: {} {after} ms after it was sent", t.end.word()),
-                );
-            }
-            AttemptOutcome::Served(_) | AttemptOutcome::Refused | AttemptOutcome::Failed(_) => {
-                let by = t.sent + t.wait_us + ANSWER_SLACK + slack;
-                if t.ended > by && !excused {
-                    add(
-                        Rule::Lost,
-                        format!("{what}: answered {} ms too late", (t.ended - by) / 1000),
-                    );
-                }
-            }
-            _ => {}
-        }
-        if t.extra {
-            add(
-                Rule::Twice,
-                format!("{what}: bytes came that nobody asked for"),
-            );
+    let mut by_reference: HashMap<AttemptRef, Vec<&Attempt>> = HashMap::new();
+    for attempt in attempts {
+        if let Some(reference) = attempt.reference {
+            by_reference.entry(reference).or_default().push(attempt);
         }
+    }
+    for record in e.queries.iter().flat_map(|q| &q.tries) {
         let reference = AttemptRef {
-            query: t.query,
-            attempt: t.attempt,
+            query: record.query,
+            attempt: record.attempt,
         };
-        let mine = by_try.get(&reference).map_or(&[][..], |v| v);
-        if let AttemptOutcome::Served(full) = t.end {
-            if let Some(why) = dishonest(e, t, full, mine, &by_id) {
-                add(Rule::Honest, format!("{what}: {why}"));
-            }
+        let at_hosts = by_reference.get(&reference).map_or(&[][..], |v| v);
+        let (number, coordinator) = (record.attempt, record.coordinator);
+        let broken = answer_in_time(e, record)
+            .into_iter()
+            .chain(no_extra_bytes(record))
+            .chain(honest_answer(e, record, at_hosts, &by_id))
+            .chain(honest_rejection(e, record, at_hosts));
+        found.extend(broken.map(|(rule, what)| Violation {
+            rule,
+            at: record.ended,
+            query: Some(record.query),
+            what: format!("try {number} at coordinator {coordinator}: {what}"),
+        }));
+    }
+}
+
+/// A rule that an attempt broke, and how.
+type Broken = Option<(Rule, String)>;
+
+/// An attempt that a running coordinator took has to be answered in time.
+fn answer_in_time(e: &Evidence, t: &AttemptRecord) -> Broken {
+    if t.sent == 0 || e.processes.excused(t.coordinator, t.sent, t.ended) {
+        return None;
+    }
+    match t.end {
+        AttemptOutcome::Closed
+        | AttemptOutcome::Cut
+        | AttemptOutcome::GaveUp
+        | AttemptOutcome::Unreadable => {
+            let after_ms = (t.ended - t.sent) / 1000;
+            let what = format!("{} {after_ms} ms after it was sent", t.end.word());
+            Some((Rule::Lost, what))
         }
-        let class = &e.scenario.classes[usize::from(e.plan.0[t.query as usize].class)];
-        let ran = mine.iter().any(|a| a.may_have_run());
-        if t.end == AttemptOutcome::Refused && class.repeat == RepeatName::Unsafe && ran {
-            add(
-                Rule::Honest,
-                format!("{what}: refused though a part may have run, in a class without repeats"),
-            );
+        AttemptOutcome::Served(_) | AttemptOutcome::Refused | AttemptOutcome::Failed(_) => {
+            let by = t.sent + t.wait_us + ANSWER_SLACK + e.slack_us();
+            let late_ms = t.ended.checked_sub(by).filter(|late| *late > 0)? / 1000;
+            Some((Rule::Lost, format!("answered {late_ms} ms too late")))
         }
+        AttemptOutcome::NoConnection | AttemptOutcome::NoDescriptor => None,
     }
 }
 
+fn no_extra_bytes(t: &AttemptRecord) -> Broken {
+    t.extra
+        .then(|| (Rule::Twice, "bytes came that nobody asked for".to_owned()))
+}
+
+fn honest_answer(
+    e: &Evidence,
+    t: &AttemptRecord,
+    at_hosts: &[&Attempt],
+    by_id: &HashMap<u64, &Attempt>,
+) -> Broken {
+    let AttemptOutcome::Served(full) = t.end else {
+        return None;
+    };
+    let why = dishonest(e, t, full, at_hosts, by_id)?;
+    Some((Rule::Honest, why))
+}
+
+/// In a class without repeats only what never ran may be rejected.
+fn honest_rejection(e: &Evidence, t: &AttemptRecord, at_hosts: &[&Attempt]) -> Broken {
+    let class = &e.scenario.classes[usize::from(e.plan.0[t.query as usize].class)];
+    let ran = at_hosts.iter().any(|a| a.may_have_run());
+    let broken = t.end == AttemptOutcome::Refused && class.repeat == RepeatName::Unsafe && ran;
+    broken.then(|| {
+        let what = "refused though a part may have run, in a class without repeats";
+        (Rule::Honest, what.to_owned())
+    })
+}
+
 fn dishonest(
     e: &Evidence,
     t: &AttemptRecord,
@@ -258,7 +279,7 @@
     mine: &[&Attempt],
     by_id: &HashMap<u64, &Attempt>,
 ) -> Option<String> {
-    let slack = e.scenario.audit.slack_ms * 1000;
+    let slack = e.slack_us();
     let q = &e.plan.0[t.query as usize];
     let class = &e.scenario.classes[usize::from(q.class)];
     let mut said = t.shards.clone();
@@ -315,9 +336,8 @@
     })
 }
 
-/// Overlap and attempts: part by part, from the hosts' events.
+/// The rules on attempts: [`Rule::Overlap`] and [`Rule::Attempts`], part by part, from the hosts' events.
 fn parts(e: &Evidence, attempts: &[Attempt], found: &mut Vec<Violation>) {
-    let slack = e.scenario.audit.slack_ms * 1000;
     let mut by_part: BTreeMap<PartName, Vec<&Attempt>> = BTreeMap::new();
     for a in attempts {
         let part = match (e.scenario.fleet.dialect, a.reference) {
@@ -327,73 +347,68 @@
         by_part.entry(part).or_default().push(a);
     }
     for mine in by_part.values() {
-        let query = mine[0].reference.map(|r| r.query);
-        let what = format!("part {}.{}", mine[0].name, mine[0].shard);
-        let mut add = |rule, at, what| {
-            found.push(Violation {
-                rule,
-                at,
-                query,
-                what,
-            });
-        };
-        for pair in mine.windows(2) {
-            let over = pair[0].end.map_or(Micros::MAX, |(at, _)| at);
-            if over > pair[1].arrived + slack {
-                let (a, b) = (pair[0].host, pair[1].host);
-                add(
-                    Rule::Overlap,
-                    pair[1].arrived,
-                    format!("{what}: at host {b} while out at host {a}"),
-                );
-            }
-        }
-        if let Some(a) = mine.get(e.scenario.limits.attempts as usize) {
-            let most = e.scenario.limits.attempts;
-            add(
-                Rule::Attempts,
-                a.arrived,
-                format!("{what}: {} attempts, {most} at most", mine.len()),
-            );
+        let broken = overlaps(e, mine)
+            .into_iter()
+            .chain(too_many_attempts(e, mine))
+            .chain(forbidden_repeats(e, mine));
+        let part = format!("part {}.{}", mine[0].name, mine[0].shard);
+        found.extend(broken.map(|(rule, at, what)| Violation {
+            rule,
+            at,
+            query: mine[0].reference.map(|r| r.query),
+            what: format!("{part}: {what}"),
+        }));
+    }
+}
+
+/// A rule that a part's attempts broke, when, and how.
+type BrokenAt = (Rule, Micros, String);
+
+fn overlaps(e: &Evidence, mine: &[&Attempt]) -> Vec<BrokenAt> {
+    let mut broken = Vec::new();
+    for pair in mine.windows(2) {
+        let over = pair[0].end.map_or(Micros::MAX, |(at, _)| at);
+        let next = pair[1].arrived;
+        if over > next + e.slack_us() {
+            let (first, second) = (pair[0].host, pair[1].host);
+            let what = format!("at host {second} while out at host {first}");
+            broken.push((Rule::Overlap, next, what));
         }
-        let class = query
-            .and_then(|q| e.plan.0.get(q as usize))
-            .map(|q| usize::from(q.class));
-        let Some(class) = class.and_then(|c| e.scenario.classes.get(c)) else {
-            continue;
-        };
-        let Some(first) = mine.iter().position(|a| a.may_have_run()) else {
-            continue;
-        };
-        for a in &mine[first + 1..] {
-            let late = a.arrived.saturating_sub(mine[first].arrived);
-            match class.repeat {
-                RepeatName::Unsafe => {
-                    add(
-                        Rule::Attempts,
-                        a.arrived,
-                        format!("{what}: repeated though it may have run"),
-                    );
-                }
-                RepeatName::Keyed if late > (class.window_ms * 1e3) as u64 + slack => {
-                    let late = late / 1000;
-                    add(
-                        Rule::Attempts,
-                        a.arrived,
-                        format!("{what}: repeated {late} ms after it may have run"),
-                    );
-                }
-                RepeatName::Keyed if a.key.is_none() => {
-                    add(
-                        Rule::Attempts,
-                        a.arrived,
-                        format!("{what}: repeated without its key"),
-                    );
-                }
-                _ => {}
+    }
+    broken
+}
+
+fn too_many_attempts(e: &Evidence, mine: &[&Attempt]) -> Option<BrokenAt> {
+    let max = e.scenario.limits.attempts;
+    let beyond = mine.get(max as usize)?;
+    let what = format!("{} attempts, {max} at most", mine.len());
+    Some((Rule::Attempts, beyond.arrived, what))
+}
+
+/// Attempts after one that may have run, where the class forbids them.
+fn forbidden_repeats(e: &Evidence, mine: &[&Attempt]) -> Vec<BrokenAt> {
+    let planned = mine[0]
+        .reference
+        .and_then(|r| e.plan.0.get(r.query as usize));
+    let class = planned.and_then(|q| e.scenario.classes.get(usize::from(q.class)));
+    let first = mine.iter().position(|a| a.may_have_run());
+    let (Some(class), Some(first)) = (class, first) else {
+        return Vec::new();
+    };
+    let mut broken = Vec::new();
+    for a in &mine[first + 1..] {
+        let late = a.arrived.saturating_sub(mine[first].arrived);
+        let what = match class.repeat {
+            RepeatName::Unsafe => "repeated though it may have run".to_owned(),
+            RepeatName::Keyed if late > (class.window_ms * 1e3) as u64 + e.slack_us() => {
+                format!("repeated {} ms after it may have run", late / 1000)
             }
-        }
+            RepeatName::Keyed if a.key.is_none() => "repeated without its key".to_owned(),
+            _ => continue,
+        };
+        broken.push((Rule::Attempts, a.arrived, what));
     }
+    broken
 }
 
 /// What each coordinator was told of each host, by time.
@@ -410,7 +425,7 @@
 }
 
 fn drains(e: &Evidence, attempts: &[Attempt], found: &mut Vec<Violation>) {
-    let slack = e.scenario.audit.slack_ms * 1000;
+    let slack = e.slack_us();
     let told = told(e);
     for a in attempts {
         let started = e.processes.started_before(a.coordinator, a.arrived);
@@ -510,104 +525,3 @@
         });
     }
 }
-
-/// All that is known of a query, event by event.
-pub fn query_timeline(e: &Evidence, query: u32) -> String {
-    let mut lines: Vec<(Micros, String)> = Vec::new();
-    if let Some(q) = e.queries.iter().find(|q| q.query == query) {
-        let p = &e.plan.0[query as usize];
-        let shards: Vec<u32> = p.parts.iter().map(|p| p.shard).collect();
-        let class = &e.scenario.classes[usize::from(p.class)].name;
-        lines.push((
-            q.due,
-            format!(
-                "due: {class}, shards {shards:?}, {} further tries",
-                p.retries
-            ),
-        ));
-        for t in &q.tries {
-            let c = t.coordinator;
-            lines.push((
-                t.sent,
-                format!(
-                    "try {} sent to coordinator {c}, for {} ms",
-                    t.attempt,
-                    t.wait_us / 1000
-                ),
-            ));
-            let back = t
-                .retry_after_us
-                .map_or(String::new(), |r| format!(", come back in {} ms", r / 1000));
-            let end = t.end.word();
-            lines.push((
-                t.ended,
-                format!(
-                    "try {} ended: {end}, shards {:?}{back}",
-                    t.attempt, t.shards
-                ),
-            ));
-        }
-    }
-    let mine: Vec<Attempt> = attempts(e.events)
-        .into_iter()
-        .filter(|a| a.reference.is_some_and(|r| r.query == query))
-        .collect();
-    let ids: HashMap<u64, &Attempt> = mine.iter().map(|a| (a.id, a)).collect();
-    for event in e.events {
-        let Some(a) = ids.get(&event.attempt) else {
-            continue;
-        };
-        let part = format!("part {}.{}", a.name, a.shard);
-        let said = match &event.kind {
-            EventKind::Arrived { .. } => {
-                format!(
-                    "host {}: {part} came from coordinator {}",
-                    a.host, a.coordinator
-                )
-            }
-            EventKind::Ended(end) => format!("host {}: {part} {end:?}", a.host),
-            _ => continue,
-        };
-        lines.push((event.at, said));
-    }
-    let from = lines
-        .iter()
-        .map(|l| l.0)
-        .filter(|at| *at > 0)
-        .min()
-        .unwrap_or(0);
-    let to = lines.iter().map(|l| l.0).max().unwrap_or(0);
-    let hosts: Vec<u16> = mine.iter().map(|a| a.host).collect();
-    for event in e
-        .events
-        .iter()
-        .filter(|x| hosts.contains(&x.host) && (from..=to).contains(&x.at))
-    {
-        let (host, c) = (event.host, event.coordinator);
-        match &event.kind {
-            EventKind::ListUpdateSent(phase) => lines.push((
-                event.at,
-                format!("coordinator {c} was told: host {host} {phase:?}"),
-            )),
-            EventKind::Arrived { .. } | EventKind::Ended(_) => {}
-            other => lines.push((event.at, format!("host {host}: {other:?}"))),
-        }
-    }
-    for l in e
-        .processes
-        .0
-        .iter()
-        .filter(|l| (from..=to).contains(&l.at) && l.event != ProcessEvent::Ready)
-    {
-        lines.push((
-            l.at,
-            format!("coordinator {}: {:?}", l.coordinator, l.event),
-        ));
-    }
-    lines.sort();
-    let mut text = format!("query {query}\n");
-    for (at, line) in lines {
-        let _ = writeln!(text, "{:>12.3} ms  {line}", at as f64 / 1e3);
-    }
-    text
-}
--- a/crates/load-test/src/lib.rs
+++ b/crates/load-test/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod engine;
 pub mod faults;
 pub mod plan;
+pub mod query_timeline;
 pub mod record;
 pub mod results;
 pub mod run;
--- a/crates/load-test/src/results.rs
+++ b/crates/load-test/src/results.rs
@@ -1,8 +1,9 @@
 //! A run's results as files: `summary.json`, `windows.csv`, `latency.hlog`, `report.md`, charts and one
 //! page that holds all of it.
 
-use crate::audit::{query_timeline, Rule, Violation};
+use crate::audit::{Rule, Violation};
 use crate::charts::{self, ChartError};
+use crate::query_timeline::query_timeline;
 use crate::run::Outcome;
 use crate::stats::{Figures, Spread};
 use hdrhistogram::serialization::interval_log::IntervalLogWriterBuilder;
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -183,27 +183,23 @@
     })
 }
 
-/// Runs a scenario from start to audit.
-///
-/// # Errors
-/// If the deployment can't be had or the user stops it.
-pub fn run(s: &Scenario, o: &Options) -> Result<Outcome, RunError> {
-    let plan = Arc::new(plan(s, &o.base)?);
-    let Deployment {
-        fleet,
-        mut coordinators,
-        epoch,
-    } = deploy(s, o)?;
-    let shared = Arc::new(Shared::new(
-        s.clone(),
-        coordinators.addrs(),
-        epoch,
-        run_name(),
-    ));
-    let before: Vec<Usage> = (0..coordinators.len())
-        .map(|c| coordinators.usage(c))
-        .collect();
-    let start = Instant::now() + LEAD;
+/// What driving a deployment gave.
+struct Driven {
+    queries: Vec<QueryRecord>,
+    crashed: Vec<(u16, Option<i32>)>,
+    samples: Vec<Sample>,
+}
+
+/// Sends the plan's queries and carries out the scenario's faults, until both are done.
+fn drive(
+    s: &Scenario,
+    o: &Options,
+    plan: &Arc<Plan>,
+    deployment: &mut Deployment,
+    start: Instant,
+) -> Result<Driven, RunError> {
+    let addrs = deployment.coordinators.addrs();
+    let shared = Arc::new(Shared::new(s.clone(), addrs, deployment.epoch, run_name()));
     let load = {
         let (shared, plan) = (shared.clone(), plan.clone());
         std::thread::Builder::new()
@@ -212,8 +208,8 @@
     };
     let mut control = Control {
         o,
-        fleet: &fleet,
-        coordinators: &mut coordinators,
+        fleet: &deployment.fleet,
+        coordinators: &mut deployment.coordinators,
         shared: &shared,
         start,
         rising: Vec::new(),
@@ -221,39 +217,53 @@
         samples: Vec::new(),
     };
     control.until_done(timetable(s), || load.is_finished(), plan.0.len())?;
-    let Control {
-        mut crashed,
-        samples,
-        ..
-    } = control;
+    let (crashed, samples) = (control.crashed, control.samples);
     let queries = load
         .join()
         .map_err(|_| std::io::Error::other("the generator panicked"))??;
-    let usage = (0..coordinators.len())
-        .map(|c| {
-            let u = coordinators.usage(c);
-            Usage {
-                cpu_s: u.cpu_s - before[usize::from(c)].cpu_s,
-                ..u
-            }
-        })
-        .collect();
+    Ok(Driven {
+        queries,
+        crashed,
+        samples,
+    })
+}
+
+/// Runs a scenario from start to audit.
+///
+/// # Errors
+/// If the deployment can't be had or the user stops it.
+pub fn run(s: &Scenario, o: &Options) -> Result<Outcome, RunError> {
+    let plan = Arc::new(plan(s, &o.base)?);
+    let mut deployment = deploy(s, o)?;
+    let before = usages(&mut deployment.coordinators);
+    let start = Instant::now() + LEAD;
+    let driven = drive(s, o, &plan, &mut deployment, start)?;
+    let Deployment {
+        fleet,
+        mut coordinators,
+        epoch,
+    } = deployment;
+    let mut usage = usages(&mut coordinators);
+    for (usage, before) in usage.iter_mut().zip(&before) {
+        usage.cpu_s -= before.cpu_s;
+    }
+    let mut crashed = driven.crashed;
     crashed.extend(coordinators.end());
     let processes = coordinators.processes().clone();
     let events = fleet.event_log.take();
     drop(fleet);
     let start = epoch.at(start);
+    let queries = driven.queries;
     let (figures, histograms) = stats::figures(s, &plan, &queries, start);
-    let began = Instant::now();
-    let evidence = Evidence {
+    let audit_started = Instant::now();
+    let violations = audit(&Evidence {
         scenario: s,
         plan: &plan,
         queries: &queries,
         events: &events,
         processes: &processes,
-    };
-    let violations = audit(&evidence);
-    let audit_s = began.elapsed().as_secs_f64();
+    });
+    let audit_s = audit_started.elapsed().as_secs_f64();
     let void = void(s, &figures);
     let plan = Arc::try_unwrap(plan).unwrap_or_else(|p| (*p).clone());
     Ok(Outcome {
@@ -269,12 +279,19 @@
         void,
         usage,
         crashed,
-        samples,
+        samples: driven.samples,
         marks: marks(s),
         audit_s,
     })
 }
 
+/// CPU and memory of each coordinator so far.
+fn usages(coordinators: &mut Coordinators) -> Vec<Usage> {
+    (0..coordinators.len())
+        .map(|c| coordinators.usage(c))
+        .collect()
+}
+
 /// Why a run says nothing of the coordinators: the generator itself was too slow or short of something.
 pub fn void(s: &Scenario, f: &Figures) -> Option<String> {
     let most = s.audit.void_lag_ms;
--- a/crates/load-test/src/stats.rs
+++ b/crates/load-test/src/stats.rs
@@ -138,19 +138,6 @@
     (asked, asked * time * share)
 }
 
-fn ratio((asked, earned): (f64, f64)) -> f64 {
-    if asked > 0.0 {
-        earned / asked
-    } else {
-        1.0
-    }
-}
-
-fn add(to: &mut (f64, f64), (asked, earned): (f64, f64)) {
-    to.0 += asked;
-    to.1 += earned;
-}
-
 /// The histograms that go out as logs: latency, service time and lag.
 pub struct Histograms {
     /// Latency from the planned instant, of served queries.
@@ -163,118 +150,184 @@
     pub windows: Vec<Histogram<u64>>,
 }
 
-/// Works all figures out. `start` is the epoch's time of the plan's 0.
-pub fn figures(
-    s: &Scenario,
-    plan: &Plan,
-    queries: &[QueryRecord],
-    start: Micros,
-) -> (Figures, Histograms) {
-    let mut f = Figures::default();
-    let count = s.length_us().div_ceil(WINDOW_US) as usize;
-    let mut h = Histograms {
-        latency: histogram(),
-        service: histogram(),
-        lag: histogram(),
-        windows: (0..count).map(|_| histogram()).collect(),
-    };
-    let mut classes: Vec<Histogram<u64>> = s.classes.iter().map(|_| histogram()).collect();
-    let mut tenants: Vec<Histogram<u64>> = s.tenants.iter().map(|_| histogram()).collect();
-    let mut outcomes: BTreeMap<&str, Histogram<u64>> = BTreeMap::new();
-    let mut lags: Vec<Histogram<u64>> = (0..count).map(|_| histogram()).collect();
-    let mut worths = vec![(0.0, 0.0); count];
-    let mut by_class = vec![(0.0, 0.0); s.classes.len()];
-    let mut by_tenant = vec![(0.0, 0.0); s.tenants.len()];
-    let mut whole = (0.0, 0.0);
-    f.windows = (0..count)
-        .map(|n| Window {
+/// Value that was asked for, and the part of it that was earned.
+#[derive(Clone, Copy, Debug, Default)]
+struct Earned {
+    asked: f64,
+    earned: f64,
+}
+
+impl Earned {
+    fn add(&mut self, other: Self) {
+        self.asked += other.asked;
+        self.earned += other.earned;
+    }
+
+    /// Earned over asked for; 1 if nothing was.
+    fn ratio(self) -> f64 {
+        if self.asked > 0.0 {
+            self.earned / self.asked
+        } else {
+            1.0
+        }
+    }
+
+    fn sum(all: &[Self]) -> Self {
+        let mut sum = Self::default();
+        all.iter().for_each(|e| sum.add(*e));
+        sum
+    }
+}
+
+/// The smallest ratio among those that were asked for anything; 1 if there is none.
+fn min_ratio(all: &[Earned]) -> f64 {
+    let asked = all.iter().filter(|e| e.asked > 0.0);
+    asked.map(|e| e.ratio()).fold(1.0, f64::min)
+}
+
+/// Everything that is summed up query by query.
+struct Accumulator {
+    figures: Figures,
+    histograms: Histograms,
+    class_latency: Vec<Histogram<u64>>,
+    tenant_latency: Vec<Histogram<u64>>,
+    outcome_latency: BTreeMap<&'static str, Histogram<u64>>,
+    window_lag: Vec<Histogram<u64>>,
+    all: Earned,
+    by_window: Vec<Earned>,
+    by_class: Vec<Earned>,
+    by_tenant: Vec<Earned>,
+}
+
+fn histograms(count: usize) -> Vec<Histogram<u64>> {
+    (0..count).map(|_| histogram()).collect()
+}
+
+impl Accumulator {
+    fn new(s: &Scenario) -> Self {
+        let windows = s.length_us().div_ceil(WINDOW_US) as usize;
+        let (classes, tenants) = (s.classes.len(), s.tenants.len());
+        let window = |n| Window {
             at_s: n as f64,
             ..Window::default()
-        })
-        .collect();
-    for q in queries {
-        let p = &plan.0[q.query as usize];
-        let (class, tenant) = (usize::from(p.class), usize::from(p.tenant));
-        let n = ((q.due.saturating_sub(start) / WINDOW_US) as usize).min(count.saturating_sub(1));
-        let (latency, end) = (q.ended.saturating_sub(q.due).max(1), q.end());
-        let lag = q.started.saturating_sub(q.due).max(1);
-        h.lag.saturating_record(lag);
-        lags[n].saturating_record(lag);
-        *f.outcomes.entry(end.word().to_owned()).or_default() += 1;
-        outcomes
-            .entry(end.word())
-            .or_insert_with(histogram)
-            .saturating_record(latency);
-        for t in &q.tries {
-            *f.tries.entry(t.end.word().to_owned()).or_default() += 1;
+        };
+        Self {
+            figures: Figures {
+                windows: (0..windows).map(window).collect(),
+                ..Figures::default()
+            },
+            histograms: Histograms {
+                latency: histogram(),
+                service: histogram(),
+                lag: histogram(),
+                windows: histograms(windows),
+            },
+            class_latency: histograms(classes),
+            tenant_latency: histograms(tenants),
+            outcome_latency: BTreeMap::new(),
+            window_lag: histograms(windows),
+            all: Earned::default(),
+            by_window: vec![Earned::default(); windows],
+            by_class: vec![Earned::default(); classes],
+            by_tenant: vec![Earned::default(); tenants],
         }
-        let w = &mut f.windows[n];
-        w.due += 1;
-        w.tries += q.tries.len() as u64;
-        match end {
+    }
+
+    fn add(&mut self, s: &Scenario, plan: &Plan, q: &QueryRecord, start: Micros) {
+        let planned = &plan.0[q.query as usize];
+        let (class, tenant) = (usize::from(planned.class), usize::from(planned.tenant));
+        let last_window = self.by_window.len().saturating_sub(1);
+        let window = ((q.due.saturating_sub(start) / WINDOW_US) as usize).min(last_window);
+        let latency = q.ended.saturating_sub(q.due).max(1);
+        let lag = q.started.saturating_sub(q.due).max(1);
+        self.histograms.lag.saturating_record(lag);
+        self.window_lag[window].saturating_record(lag);
+        self.count_outcomes(q, latency);
+        let figures = &mut self.figures.windows[window];
+        figures.due += 1;
+        figures.tries += q.tries.len() as u64;
+        match q.end() {
             AttemptOutcome::Served(_) => {
-                w.served += 1;
-                h.latency.saturating_record(latency);
-                h.service
-                    .saturating_record(q.ended.saturating_sub(q.first_sent).max(1));
-                h.windows[n].saturating_record(latency);
-                classes[class].saturating_record(latency);
-                tenants[tenant].saturating_record(latency);
+                figures.served += 1;
+                let service = q.ended.saturating_sub(q.first_sent).max(1);
+                self.histograms.latency.saturating_record(latency);
+                self.histograms.service.saturating_record(service);
+                self.histograms.windows[window].saturating_record(latency);
+                self.class_latency[class].saturating_record(latency);
+                self.tenant_latency[tenant].saturating_record(latency);
             }
-            AttemptOutcome::Refused => w.refused += 1,
-            _ => w.failed += 1,
+            AttemptOutcome::Refused => figures.refused += 1,
+            _ => figures.failed += 1,
+        }
+        let (asked, earned) = worth(s, plan, q);
+        let earned = Earned { asked, earned };
+        self.all.add(earned);
+        self.by_window[window].add(earned);
+        self.by_class[class].add(earned);
+        self.by_tenant[tenant].add(earned);
+    }
+
+    fn count_outcomes(&mut self, q: &QueryRecord, latency: u64) {
+        let word = q.end().word();
+        *self.figures.outcomes.entry(word.to_owned()).or_default() += 1;
+        let by_outcome = self.outcome_latency.entry(word);
+        let by_outcome = by_outcome.or_insert_with(histogram);
+        by_outcome.saturating_record(latency);
+        for attempt in &q.tries {
+            let word = attempt.end.word().to_owned();
+            *self.figures.tries.entry(word).or_default() += 1;
         }
-        let earned = worth(s, plan, q);
-        for to in [
-            &mut whole,
-            &mut worths[n],
-            &mut by_class[class],
-            &mut by_tenant[tenant],
-        ] {
-            add(to, earned);
+    }
+
+    /// Works out the figures that need all queries.
+    fn finish(self, s: &Scenario) -> (Figures, Histograms) {
+        let (mut figures, histograms) = (self.figures, self.histograms);
+        for (n, window) in figures.windows.iter_mut().enumerate() {
+            window.latency = Spread::of(&histograms.windows[n]);
+            window.lag_p99 = self.window_lag[n].value_at_quantile(0.99) as f64 / 1e3;
+            window.worth = self.by_window[n].ratio();
         }
+        let stretch = WORST_STRETCH_WINDOWS.min(self.by_window.len().max(1));
+        let stretches = self.by_window.windows(stretch);
+        let worst = stretches
+            .map(|w| Earned::sum(w).ratio())
+            .fold(1.0, f64::min);
+        let (class, tenant) = (min_ratio(&self.by_class), min_ratio(&self.by_tenant));
+        figures.worth = [self.all.ratio(), worst, class, tenant];
+        let weighted = figures.worth.iter().zip(GOAL_WEIGHTS);
+        figures.goal = weighted.map(|(worth, weight)| worth * weight).sum();
+        figures.latency = Spread::of(&histograms.latency);
+        figures.service = Spread::of(&histograms.service);
+        figures.lag = Spread::of(&histograms.lag);
+        let classes = s.classes.iter().zip(&self.class_latency);
+        figures.by_class = classes
+            .map(|(c, h)| (c.name.clone(), Spread::of(h)))
+            .collect();
+        let tenants = s.tenants.iter().zip(&self.tenant_latency);
+        figures.by_tenant = tenants
+            .map(|(t, h)| (t.name.clone(), Spread::of(h)))
+            .collect();
+        let outcomes = self.outcome_latency.iter();
+        figures.by_outcome = outcomes
+            .map(|(w, h)| ((*w).to_owned(), Spread::of(h)))
+            .collect();
+        figures.served_per_s = histograms.latency.len() as f64 / s.length_s;
+        (figures, histograms)
     }
-    for (n, w) in f.windows.iter_mut().enumerate() {
-        w.latency = Spread::of(&h.windows[n]);
-        w.lag_p99 = lags[n].value_at_quantile(0.99) as f64 / 1e3;
-        w.worth = ratio(worths[n]);
+}
+
+/// Works out all figures; `start` is the time of the plan's 0, in microseconds since the run's epoch.
+pub fn figures(
+    s: &Scenario,
+    plan: &Plan,
+    queries: &[QueryRecord],
+    start: Micros,
+) -> (Figures, Histograms) {
+    let mut accumulator = Accumulator::new(s);
+    for query in queries {
+        accumulator.add(s, plan, query, start);
     }
-    let stretch = |w: &[(f64, f64)]| {
-        ratio(w.iter().fold((0.0, 0.0), |mut sum, x| {
-            add(&mut sum, *x);
-            sum
-        }))
-    };
-    let least = |all: &mut dyn Iterator<Item = f64>| all.fold(1.0, f64::min);
-    let worst = least(
-        &mut worths
-            .windows(WORST_STRETCH_WINDOWS.min(count.max(1)))
-            .map(stretch),
-    );
-    let asked = |v: &[(f64, f64)]| least(&mut v.iter().filter(|x| x.0 > 0.0).map(|x| ratio(*x)));
-    f.worth = [ratio(whole), worst, asked(&by_class), asked(&by_tenant)];
-    f.goal = f.worth.iter().zip(GOAL_WEIGHTS).map(|(w, g)| w * g).sum();
-    f.latency = Spread::of(&h.latency);
-    f.service = Spread::of(&h.service);
-    f.lag = Spread::of(&h.lag);
-    f.by_class = s
-        .classes
-        .iter()
-        .zip(&classes)
-        .map(|(c, h)| (c.name.clone(), Spread::of(h)))
-        .collect();
-    f.by_tenant = s
-        .tenants
-        .iter()
-        .zip(&tenants)
-        .map(|(t, h)| (t.name.clone(), Spread::of(h)))
-        .collect();
-    f.by_outcome = outcomes
-        .iter()
-        .map(|(w, h)| ((*w).to_owned(), Spread::of(h)))
-        .collect();
-    f.served_per_s = h.latency.len() as f64 / s.length_s;
-    (f, h)
+    accumulator.finish(s)
 }
 
 /// Median, least and most.
--- a/crates/load-test/src/trace.rs
+++ b/crates/load-test/src/trace.rs
@@ -11,6 +11,9 @@
 /// Most queries that a trace may hold.
 const MAX_QUERIES: usize = 20_000_000;
 
+/// How long a client may wait for an attempt, in microseconds: 1 ms to 10 minutes.
+const WAIT_RANGE_US: std::ops::RangeInclusive<u64> = 1000..=600_000_000;
+
 /// What is wrong with a trace.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
@@ -126,43 +129,73 @@
         }
     }
 
-    /// The query that this line asks for, the rest drawn.
-    fn planned(&self, s: &Scenario, mixer: &mut Mixer) -> Result<Planned, String> {
+    /// The query that this line asks for; what it leaves open is drawn.
+    fn planned(&self, s: &Scenario, mixer: &mut Mixer) -> Result<Planned, LineError> {
         let class = s.classes.iter().position(|c| c.name == self.class);
-        let class = class.ok_or_else(|| format!("unknown class '{}'", self.class))? as u8;
-        let tenant = match &self.tenant {
-            None => None,
-            Some(name) => {
-                let at = s.tenants.iter().position(|t| t.name == *name);
-                Some(at.ok_or_else(|| format!("unknown tenant '{name}'"))? as u8)
-            }
-        };
+        let class = class.ok_or_else(|| LineError::UnknownClass(self.class.clone()))? as u8;
+        let tenant = self.tenant_index(s)?;
         let mut q = mixer.query(self.at_us, Some(class), tenant, self.key);
-        let below = |what: &str, n: Option<u8>, most: usize| match n {
-            Some(n) if usize::from(n) >= most => Err(format!("{what} {n} is none of {most}")),
-            other => Ok(other),
-        };
-        q.front = below("front", self.front, s.traffic.fronts.len())?.unwrap_or(q.front);
-        q.zone = below("zone", self.zone, s.fleet.zones.len())?.unwrap_or(q.zone);
+        q.front = index_below("front", self.front, s.traffic.fronts.len())?.unwrap_or(q.front);
+        q.zone = index_below("zone", self.zone, s.fleet.zones.len())?.unwrap_or(q.zone);
         q.parts = weighed(q.parts, s.traffic.fronts[usize::from(q.front)]);
         q.wait_us = self.wait_us.unwrap_or(q.wait_us);
-        if !(1000..=600_000_000).contains(&q.wait_us) {
-            return Err(format!(
-                "'wait_us' of {}: it must lie in 1 ms to 10 minutes",
-                q.wait_us
-            ));
+        if !WAIT_RANGE_US.contains(&q.wait_us) {
+            return Err(LineError::Wait(q.wait_us));
         }
         q.retries = self.retries.unwrap_or(q.retries);
         q.backoff_us = self.backoff_us.unwrap_or(q.backoff_us);
         q.honours = self.honours.map_or(q.honours, |h| h > 0);
         if let Some(text) = &self.parts {
-            q.parts = parts(text).ok_or_else(|| format!("'parts' can't be '{text}'"))?;
-            if let Some(p) = q.parts.iter().find(|p| p.shard >= s.shards()) {
-                return Err(format!("shard {} is none of {}", p.shard, s.shards()));
+            q.parts = parts(text).ok_or_else(|| LineError::Parts(text.clone()))?;
+            let shards = s.shards();
+            if let Some(part) = q.parts.iter().find(|p| p.shard >= shards) {
+                return Err(LineError::Shard(part.shard, shards));
             }
         }
         Ok(q)
     }
+
+    fn tenant_index(&self, s: &Scenario) -> Result<Option<u8>, LineError> {
+        let Some(name) = &self.tenant else {
+            return Ok(None);
+        };
+        let index = s.tenants.iter().position(|t| t.name == *name);
+        let index = index.ok_or_else(|| LineError::UnknownTenant(name.clone()))?;
+        Ok(Some(index as u8))
+    }
+}
+
+/// A number that has to lie below a count.
+fn index_below(
+    what: &'static str,
+    index: Option<u8>,
+    count: usize,
+) -> Result<Option<u8>, LineError> {
+    match index {
+        Some(index) if usize::from(index) >= count => Err(LineError::Index { what, index, count }),
+        other => Ok(other),
+    }
+}
+
+/// What is wrong with the values of a line.
+#[derive(Debug, thiserror::Error)]
+enum LineError {
+    #[error("unknown class '{0}'")]
+    UnknownClass(String),
+    #[error("unknown tenant '{0}'")]
+    UnknownTenant(String),
+    #[error("{what} {index} is none of {count}")]
+    Index {
+        what: &'static str,
+        index: u8,
+        count: usize,
+    },
+    #[error("'wait_us' of {0}: it must lie in 1 ms to 10 minutes")]
+    Wait(u64),
+    #[error("'parts' can't be '{0}'")]
+    Parts(String),
+    #[error("shard {0} is none of {1}")]
+    Shard(u32, u32),
 }
 
 /// Reads a trace's lines and checks that they can be used; nothing is run of a trace with a bad line.
@@ -221,7 +254,8 @@
             ));
         }
         before = r.at_us;
-        plan.push(r.planned(s, &mut mixer).map_err(|why| at(line, why))?);
+        let planned = r.planned(s, &mut mixer);
+        plan.push(planned.map_err(|error| at(line, error.to_string()))?);
     }
     Ok(Plan(plan))
 }
--- a/crates/load-test/tests/modules/audit.rs
+++ b/crates/load-test/tests/modules/audit.rs
@@ -3,10 +3,11 @@
 use fake_hosts::event_log::NO_COORDINATOR;
 use fake_hosts::event_log::{AttemptEnd, AttemptRef, Event, EventKind, Phase};
 use fake_hosts::model::Micros;
-use load_test::audit::{audit, query_timeline, Evidence, Rule};
+use load_test::audit::{audit, Evidence, Rule};
 use load_test::clients::AttemptOutcome;
 use load_test::plan::Plan;
 use load_test::plan::{Planned, PlannedPart};
+use load_test::query_timeline::query_timeline;
 use load_test::record::CoordinatorEvent;
 use load_test::record::{AttemptRecord, ProcessEvent, ProcessHistory, QueryRecord};
 use load_test::scenario::{DialectName, RepeatName, Scenario};
@@ -311,7 +312,7 @@
         let told = |at| {
             broken(|w| {
                 w.events
-                    .push(about(at, 0, 0, EventKind::ListUpdateSent(phase)))
+                    .push(about(at, 0, 0, EventKind::ListUpdateSent(phase)));
             })
         };
         assert_eq!(told(9 * S), [], "within the grace");
@@ -378,7 +379,7 @@
                 .push(about(up, 0, NO_COORDINATOR, EventKind::ProcessStarted));
             told.into_iter().for_each(|at| {
                 w.events
-                    .push(about(at, 0, 0, EventKind::ListUpdateSent(Phase::Ready)))
+                    .push(about(at, 0, 0, EventKind::ListUpdateSent(Phase::Ready)));
             });
             w.events
                 .push(about(10 * S + 2000, 0, NO_COORDINATOR, EventKind::FellOver));
@@ -496,11 +497,11 @@
         EventKind::ListUpdateSent(Phase::Terminating),
     ));
     w.events.sort_by_key(|e| e.at);
-    let query_timeline = query_timeline(&w.evidence(), 0);
+    let timeline = query_timeline(&w.evidence(), 0);
     let at = |words: &str| {
-        query_timeline
+        timeline
             .find(words)
-            .unwrap_or_else(|| panic!("no '{words}' in\n{query_timeline}"))
+            .unwrap_or_else(|| panic!("no '{words}' in\n{timeline}"))
     };
     let order = [
         at("due: fleet-report"),
@@ -509,5 +510,5 @@
         at("host 0: part q0.0 Served"),
         at("try 0 ended: served"),
     ];
-    assert!(order.is_sorted(), "{query_timeline}");
+    assert!(order.is_sorted(), "{timeline}");
 }
