--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -264,17 +264,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
     /// The version it starts from.
-    pub from: u64,
+    #[serde(rename = "from")]
+    pub base_version: u64,
     /// The version it leads to.
-    pub to: u64,
+    #[serde(rename = "to")]
+    pub version: u64,
     /// Routes added or replaced, as JSON.
     pub routes: Vec<String>,
     /// Services added or replaced, as JSON.
     pub services: Vec<String>,
     /// Names of routes that went.
-    pub gone_routes: Vec<String>,
+    #[serde(rename = "gone_routes")]
+    pub removed_routes: Vec<String>,
     /// Names of services that went.
-    pub gone_services: Vec<String>,
+    #[serde(rename = "gone_services")]
+    pub removed_services: Vec<String>,
     /// The limits, where they changed.
     pub limits: Option<String>,
 }
@@ -492,12 +496,12 @@
             .filter(|_| self.limits != newer.limits)
             .map(|l| l.raw.to_string());
         ConfigurationDelta {
-            from: self.version,
-            to: newer.version,
+            base_version: self.version,
+            version: newer.version,
             routes,
             services,
-            gone_routes,
-            gone_services,
+            removed_routes: gone_routes,
+            removed_services: gone_services,
             limits,
         }
     }
@@ -511,16 +515,16 @@
         &self,
         delta: &ConfigurationDelta,
     ) -> Result<Configuration, InvalidConfiguration> {
-        if delta.from != self.version {
+        if delta.base_version != self.version {
             return invalid(
                 ResultCode::OtherBase,
-                format!("{} on {}", delta.from, self.version),
+                format!("{} on {}", delta.base_version, self.version),
             );
         }
         let mut next = self.clone();
-        next.version = delta.to;
-        without(&mut next.routes, &delta.gone_routes);
-        without(&mut next.services, &delta.gone_services);
+        next.version = delta.version;
+        without(&mut next.routes, &delta.removed_routes);
+        without(&mut next.services, &delta.removed_services);
         let items = |raws: &[String]| {
             raws.iter()
                 .map(|r| ConfigurationItem::read(r))
--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -111,8 +111,8 @@
     for index in 1..=changes {
         let now = Duration::from_millis(50 * index);
         let change = Change::Configure {
-            base: index - 1,
-            amend: false,
+            base_version: index - 1,
+            is_amendment: false,
             body: body(index, routes),
         };
         let append = Message::AppendChange {
--- a/crates/control-plane/src/applied_requests.rs
+++ b/crates/control-plane/src/applied_requests.rs
@@ -48,20 +48,20 @@
     pub fn on(&self, base: u64) -> Option<&AppliedRequest> {
         let later = self
             .full
-            .partition_point(|chunk| chunk[CHUNK_ORDERS - 1].base < base);
+            .partition_point(|chunk| chunk[CHUNK_ORDERS - 1].base_version < base);
         let chunk = self
             .full
             .get(later)
             .map_or(&self.tail[..], |chunk| &chunk[..]);
         chunk
-            .binary_search_by_key(&base, |order| order.base)
+            .binary_search_by_key(&base, |order| order.base_version)
             .ok()
             .map(|at| &chunk[at])
     }
 
     /// The version that the oldest remembered order builds on.
     pub fn oldest_base(&self) -> Option<u64> {
-        self.iter().next().map(|order| order.base)
+        self.iter().next().map(|order| order.base_version)
     }
 }
 
@@ -90,7 +90,7 @@
         .and_then(|content| content.whole_number("version"))
         .unwrap_or(0);
     AppliedRequest {
-        base,
+        base_version: base,
         version,
         digest: hash.finalize().into(),
     }
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -64,8 +64,8 @@
             Command::Drain { host } => self.make(Change::Drain { host: host.clone() }),
             Command::Configure { base, amend, body } => match self.standing(*base, *amend, body) {
                 Standing::Next => self.make(Change::Configure {
-                    base: *base,
-                    amend: *amend,
+                    base_version: *base,
+                    is_amendment: *amend,
                     body: body.clone(),
                 }),
                 // A copy of it may come later, and has to be taken then: a refusal would be false.
@@ -131,19 +131,24 @@
         let mut next = self.clone();
         next.index += 1;
         match change {
-            Change::Configure { base, amend, body } => {
-                if *base != self.configuration.version {
+            Change::Configure {
+                base_version,
+                is_amendment,
+                body,
+            } => {
+                if *base_version != self.configuration.version {
                     return Err((
                         ResultCode::OtherBase,
-                        format!("{base} on {}", self.configuration.version),
+                        format!("{base_version} on {}", self.configuration.version),
                     ));
                 }
-                let configuration = match amend {
+                let configuration = match is_amendment {
                     true => self.configuration.amended(body),
                     false => Configuration::read(body, self.configuration.version),
                 };
                 let configuration = configuration.map_err(|e| (e.code, e.detail))?;
-                next.applied_requests.push(fingerprint(*base, *amend, body));
+                next.applied_requests
+                    .push(fingerprint(*base_version, *is_amendment, body));
                 // Most items are as they were: hundreds of changes under way cost little more than one.
                 next.configuration = Arc::new(configuration.sharing(&self.configuration));
             }
--- a/crates/control-plane/src/runtime/identity.rs
+++ b/crates/control-plane/src/runtime/identity.rs
@@ -192,7 +192,7 @@
         MemberInfo {
             id: initial_voter_id(addr),
             addr: addr.into(),
-            control: seed.into(),
+            control_addr: seed.into(),
             ..MemberInfo::default()
         }
     }
--- a/crates/control-plane/src/runtime/request_handler.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -98,7 +98,7 @@
         }
         match heartbeat_target(call.host(), opened.me.id, &opened.links.seats()) {
             Some(seat) => {
-                let target = SocketAddrV4::from(&seat.control);
+                let target = SocketAddrV4::from(&seat.control_addr);
                 Reply::json(json!({"beat_target": target.to_string()}).to_string())
             }
             None => Reply::json("{}"),
@@ -183,7 +183,7 @@
 
 fn member_json(seat: &MemberInfo) -> Value {
     json!({"id": hex(seat.id), "name": seat.name, "zone": seat.zone, "region": seat.region,
-        "control": SocketAddrV4::from(&seat.control).to_string()})
+        "control": SocketAddrV4::from(&seat.control_addr).to_string()})
 }
 
 fn status_json(status: &MemberStatus) -> Value {
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -209,7 +209,7 @@
         id,
         name: boot.node_name.clone(),
         addr: SocketAddrV4::new(boot.ip_addr, boot.port_range.0).into(),
-        control: control.into(),
+        control_addr: control.into(),
         zone: boot.zone.clone(),
         region: boot.region.clone(),
     }
--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -17,7 +17,7 @@
         id,
         name: format!("core-{id}"),
         addr,
-        control: addr,
+        control_addr: addr,
         zone: format!("z{id}"),
         region: "r".into(),
     }
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -152,7 +152,7 @@
             id: n as u64 + 1,
             name: format!("core-{n}"),
             addr,
-            control: Addr { port: 80, ..addr },
+            control_addr: Addr { port: 80, ..addr },
             zone: zone.into(),
             region: region.into(),
         };
--- a/crates/control-plane/tests/cut_core/mod.rs
+++ b/crates/control-plane/tests/cut_core/mod.rs
@@ -35,7 +35,7 @@
         id: n as u64 + 1,
         name: format!("core-{n}"),
         addr,
-        control: addr,
+        control_addr: addr,
         zone: zone.into(),
         region: region.into(),
     }
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -42,7 +42,7 @@
     }
     assert_eq!(all[0].initial_voters[1].addr, addr("10.2.0.1:7660").into());
     assert_eq!(
-        all[0].initial_voters[1].control,
+        all[0].initial_voters[1].control_addr,
         addr("10.2.0.1:8146").into()
     );
 }
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -29,7 +29,7 @@
         id,
         name: format!("core-{id}"),
         addr,
-        control: addr,
+        control_addr: addr,
         zone: format!("z{id}"),
         region: "r".into(),
     }
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -32,8 +32,8 @@
 
 fn change(version: u64, routes: usize) -> Change {
     Change::Configure {
-        base: version - 1,
-        amend: false,
+        base_version: version - 1,
+        is_amendment: false,
         body: body(version, routes),
     }
 }
--- a/crates/control-plane/tests/order_cluster/mod.rs
+++ b/crates/control-plane/tests/order_cluster/mod.rs
@@ -72,7 +72,7 @@
                 ip: 1 + n as u32,
                 port: 7,
             },
-            control: Addr {
+            control_addr: Addr {
                 ip: 1 + n as u32,
                 port: 8,
             },
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -221,8 +221,8 @@
 
 fn change(index: u64, bytes: usize) -> Message {
     let change = Change::Configure {
-        base: index,
-        amend: false,
+        base_version: index,
+        is_amendment: false,
         body: vec![b'x'; bytes],
     };
     Message::AppendChange {
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -76,7 +76,7 @@
         id,
         name: format!("core-{number}"),
         addr: Addr { ip, port: 7660 },
-        control: Addr { ip, port: 8146 },
+        control_addr: Addr { ip, port: 8146 },
         zone: format!("zone-{number}"),
         region: "région".into(),
     }
@@ -159,16 +159,16 @@
         vec![change(
             8,
             Change::Configure {
-                base: 3,
-                amend: false,
+                base_version: 3,
+                is_amendment: false,
                 body: version_4.into_bytes(),
             },
         )],
         vec![change(
             9,
             Change::Configure {
-                base: 4,
-                amend: true,
+                base_version: 4,
+                is_amendment: true,
                 body: LIMITS_OF_VERSION_5.into(),
             },
         )],
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -51,7 +51,7 @@
         id,
         name: format!("core-{id}"),
         addr,
-        control: addr,
+        control_addr: addr,
         zone: "z".into(),
         region: "r".into(),
     }
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -19,7 +19,7 @@
         id,
         name,
         addr,
-        control: addr,
+        control_addr: addr,
         zone: format!("z{id}"),
         region: "r".into(),
     }
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -131,7 +131,7 @@
             id: identity.id,
             name: format!("core-{}", self.index),
             addr: inner(self.index),
-            control: control(self.index).into(),
+            control_addr: control(self.index).into(),
             zone: format!("z{}", self.index),
             region: "r".into(),
         };
--- a/crates/model-check/src/cluster/planted.rs
+++ b/crates/model-check/src/cluster/planted.rs
@@ -197,11 +197,15 @@
 
 fn other_content(change: protocol::Change) -> protocol::Change {
     match change {
-        protocol::Change::Configure { base, amend, body } => {
+        protocol::Change::Configure {
+            base_version,
+            is_amendment,
+            body,
+        } => {
             let text = String::from_utf8_lossy(&body).replace("h.example", "x.example");
             protocol::Change::Configure {
-                base,
-                amend,
+                base_version,
+                is_amendment,
                 body: text.into_bytes(),
             }
         }
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct AppliedRequest {
     /// The version that it built on.
-    pub base: u64,
+    pub base_version: u64,
     /// The version that it led to.
     pub version: u64,
     /// SHA-256 over its kind and content.
@@ -61,11 +61,11 @@
     #[brw(magic(1u8))]
     Configure {
         /// The version it builds on.
-        base: u64,
+        base_version: u64,
         /// Whether it amends; else it replaces.
         #[br(parse_with = flag)]
         #[bw(write_with = put_flag)]
-        amend: bool,
+        is_amendment: bool,
         /// The body as sent.
         #[br(parse_with = bytes)]
         #[bw(write_with = put_bytes)]
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -30,7 +30,7 @@
     /// Where it takes the system's own messages.
     pub addr: Addr,
     /// Where hosts and the operator call it.
-    pub control: Addr,
+    pub control_addr: Addr,
     /// Its zone.
     #[br(parse_with = text)]
     #[bw(write_with = put_text)]
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -22,7 +22,7 @@
         id,
         name: format!("core-{id}"),
         addr: addr(id as u32, 7660),
-        control: addr(id as u32, 8146),
+        control_addr: addr(id as u32, 8146),
         zone: "zone-ä".into(),
         region: "north".into(),
     }
@@ -44,12 +44,12 @@
         configuration: r#"{"version":2,"routes":[],"services":[]}"#.into(),
         applied_requests: vec![
             AppliedRequest {
-                base: 1,
+                base_version: 1,
                 version: 2,
                 digest: [0xab; 32],
             },
             AppliedRequest {
-                base: 2,
+                base_version: 2,
                 version: 0x1122_3344,
                 digest: std::array::from_fn(|n| n as u8 + 1),
             },
@@ -146,8 +146,8 @@
         (
             "Configure",
             Change::Configure {
-                base: 8,
-                amend: true,
+                base_version: 8,
+                is_amendment: true,
                 body: vec![0, 1, 0xff],
             },
         ),
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -98,7 +98,7 @@
             ip: u32::from(boot.ip_addr),
             port: 0,
         },
-        control: Addr::default(),
+        control_addr: Addr::default(),
         zone: boot.zone.clone(),
         region: boot.region.clone(),
     }
--- a/crates/replication/src/mirror/ledger.rs
+++ b/crates/replication/src/mirror/ledger.rs
@@ -211,12 +211,12 @@
         let delta = base.delta(newest);
         ConfigurationUpdate {
             index: self.seq,
-            base_version: delta.from,
-            version: delta.to,
+            base_version: delta.base_version,
+            version: delta.version,
             routes: delta.routes,
             services: delta.services,
-            removed_routes: delta.gone_routes,
-            removed_services: delta.gone_services,
+            removed_routes: delta.removed_routes,
+            removed_services: delta.removed_services,
             limits: delta.limits.into_iter().collect(),
             drains_base_index: drains_from,
             drains,
@@ -227,12 +227,12 @@
 
 fn delta(news: &ConfigurationUpdate) -> ConfigurationDelta {
     ConfigurationDelta {
-        from: news.base_version,
-        to: news.version,
+        base_version: news.base_version,
+        version: news.version,
         routes: news.routes.clone(),
         services: news.services.clone(),
-        gone_routes: news.removed_routes.clone(),
-        gone_services: news.removed_services.clone(),
+        removed_routes: news.removed_routes.clone(),
+        removed_services: news.removed_services.clone(),
         limits: news.limits.first().cloned(),
     }
 }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -39,7 +39,7 @@
             id,
             name: format!("core-{n}"),
             addr,
-            control: Addr { port: 80, ..addr },
+            control_addr: Addr { port: 80, ..addr },
             zone,
             region,
         };
