--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,7 @@
-//! Messages between the system's own processes: a frame is its length (u32, little endian), the format's
-//! version (u8) and one [`Message`] in `binrw`'s form. No I/O.
+//! Messages between the system's own processes, and the records that members keep on disk. No I/O.
+//!
+//! [`Message`] lists all messages. On the wire each is a frame: [`encode`] and [`decode`]. A stored record has no frame:
+//! [`encode_record`] and [`decode_record`]. The form of both is fixed by `tests/wire_format.rs`.
 //!
 //! ```
 //! use protocol::{decode, encode, Message};
@@ -10,20 +12,26 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod hints;
-mod ledger;
+mod codec;
+mod error;
+mod format;
+mod frame;
 mod membership;
 mod message;
-mod news;
-mod wire;
+mod prompt_placement;
+mod record;
+mod replicated_state;
+mod updates;
 
-pub use hints::{Part, Placement};
-pub use ledger::{AppliedRequest, Change, Command, LogPosition, Record, Snapshot};
+pub use codec::{decode_record, encode_record};
+pub use error::DecodeError;
+pub use format::{FRAME_VERSION, MAX_FRAME_BYTES};
+pub use frame::{decode, encode};
 pub use membership::{Addr, ControlPlaneInfo, MemberInfo, MembershipConfig};
 pub use message::Message;
-pub use news::{
+pub use prompt_placement::{Part, Placement};
+pub use record::Record;
+pub use replicated_state::{AppliedRequest, Change, Command, LogPosition, Snapshot};
+pub use updates::{
     ConfigurationUpdate, CoordinatorRecord, HostRecord, OriginUpdate, OriginVersion, Subscriber,
 };
-pub use wire::{
-    decode, decode_record, encode, encode_record, DecodeError, FRAME_VERSION, MAX_FRAME_BYTES,
-};
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -1,16 +1,16 @@
-//! Members of the control plane and the views that they agree on. Identities of members are drawn when a disk is
-//! first used (`docs/design/system.md`).
+//! Members of the control plane, and the membership configurations that they agree on (`docs/design/system.md`).
 
-use crate::wire::{list, put_list, put_text, text};
+use crate::codec::{read_list, read_string, write_list, write_string};
 use binrw::binrw;
+use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// An IPv4 address with a port.
 #[binrw]
 #[brw(little)]
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Addr {
-    /// The address.
+    /// The address, its first byte in the highest bits.
     pub ip: u32,
     /// The port.
     pub port: u16,
@@ -21,63 +21,66 @@
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct MemberInfo {
-    /// Its identity; a member that lost its disk comes back with another one.
+    /// Its id, drawn at random when its disk is first used. A member that lost its disk comes back with another id;
+    /// 0 stands for a process that is no member.
     pub id: u64,
     /// Name of its machine.
-    #[br(parse_with = text)]
-    #[bw(write_with = put_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub name: String,
-    /// Where it takes the system's own messages.
+    /// Where it takes messages of other processes of the system.
     pub addr: Addr,
-    /// Where hosts and the operator call it.
+    /// Where it takes the HTTP calls of hosts and operators.
     pub control_addr: Addr,
     /// Its zone.
-    #[br(parse_with = text)]
-    #[bw(write_with = put_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub zone: String,
     /// Its region.
-    #[br(parse_with = text)]
-    #[bw(write_with = put_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub region: String,
 }
 
-/// Who acts: agreed on by a majority of the voters, under an epoch that is never used twice.
+/// A membership configuration: the primary, replicas and voters of one epoch. A quorum of the voters has to accept it.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct MembershipConfig {
-    /// The epoch.
+    /// Its number; never used for two configurations.
     pub epoch: u64,
-    /// The one that takes changes.
+    /// Id of the member that takes changes.
     pub primary: u64,
-    /// Those that hold the ledger, the primary among them: each has a change on disk before it is acknowledged.
-    #[br(parse_with = list)]
-    #[bw(write_with = put_list)]
+    /// Ids of the members that hold the replicated state, the primary among them. A change is acknowledged once it is
+    /// on the disks of all of them.
+    #[br(parse_with = read_list)]
+    #[bw(write_with = write_list)]
     pub replicas: Vec<u64>,
-    /// All that have a say in the next view.
-    #[br(parse_with = list)]
-    #[bw(write_with = put_list)]
+    /// The members that vote on the next configuration.
+    #[br(parse_with = read_list)]
+    #[bw(write_with = write_list)]
     pub voters: Vec<MemberInfo>,
-    /// The voters of the view that it followed: while these differ, the next view needs a majority of both.
-    #[br(parse_with = list)]
-    #[bw(write_with = put_list)]
+    /// The voters of the configuration before. While they differ from `voters`, a quorum is a majority of both (joint
+    /// quorum).
+    #[br(parse_with = read_list)]
+    #[bw(write_with = write_list)]
     pub previous_voters: Vec<MemberInfo>,
 }
 
-/// The control plane as a member sees it.
+/// The control plane as subscribers are told of it.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct ControlPlaneInfo {
-    /// Changes with the content.
+    /// Rises with each change of the content.
     pub version: u64,
-    /// Epoch of its view.
+    /// Epoch of the membership configuration.
     pub epoch: u64,
-    /// The primary in that view; 0 where none is known.
+    /// Id of that configuration's primary; 0 if none is known.
     pub primary: u64,
     /// The members, voters first.
-    #[br(parse_with = list)]
-    #[bw(write_with = put_list)]
+    #[br(parse_with = read_list)]
+    #[bw(write_with = write_list)]
     pub members: Vec<MemberInfo>,
 }
 
@@ -96,37 +99,36 @@
     }
 }
 
-impl Copy for Addr {}
-
 impl MembershipConfig {
-    /// The seat of a voter.
+    /// The voter with this id.
     pub fn voter(&self, id: u64) -> Option<&MemberInfo> {
-        self.voters.iter().find(|s| s.id == id)
+        self.voters.iter().find(|voter| voter.id == id)
     }
 
-    /// Whether an identity counts for a majority: a voter, or one of those before.
+    /// Whether the member with this id is a voter or a previous voter.
     pub fn has_vote(&self, id: u64) -> bool {
         self.voters
             .iter()
             .chain(&self.previous_voters)
-            .any(|s| s.id == id)
+            .any(|voter| voter.id == id)
     }
 
-    /// Whether those that `has` names are a majority of the voters, and of the voters before.
+    /// Whether the members that `has` accepts are a majority of the voters and a majority of the previous voters.
     pub fn has_quorum(&self, has: impl Fn(u64) -> bool) -> bool {
-        let most =
-            |seats: &[MemberInfo]| 2 * seats.iter().filter(|s| has(s.id)).count() > seats.len();
-        most(&self.voters) && most(&self.previous_voters)
+        is_majority(&self.voters, &has) && is_majority(&self.previous_voters, &has)
     }
 
-    /// Whether its voters are those of the view before.
+    /// Whether voters and previous voters are the same members.
     pub fn is_stable(&self) -> bool {
-        let ids = |seats: &[MemberInfo]| {
-            seats
-                .iter()
-                .map(|s| s.id)
-                .collect::<std::collections::BTreeSet<_>>()
-        };
         ids(&self.voters) == ids(&self.previous_voters)
     }
 }
+
+fn is_majority(members: &[MemberInfo], has: impl Fn(u64) -> bool) -> bool {
+    let count = members.iter().filter(|member| has(member.id)).count();
+    2 * count > members.len()
+}
+
+fn ids(members: &[MemberInfo]) -> BTreeSet<u64> {
+    members.iter().map(|member| member.id).collect()
+}
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,57 +1,61 @@
-//! What the processes say to each other. Times are in ms.
+//! The messages between the system's processes. The numbers of the variants are fixed; new variants take new numbers.
 
-use crate::hints::Placement;
-use crate::ledger::{Change, Command, LogPosition, Snapshot};
+use crate::codec::{
+    read_bool, read_bytes, read_list, read_option, write_bool, write_bytes, write_list,
+    write_option,
+};
 use crate::membership::{ControlPlaneInfo, MemberInfo, MembershipConfig};
-use crate::news::{ConfigurationUpdate, OriginUpdate, OriginVersion, Subscriber};
-use crate::wire::{bytes, flag, list, option, put_bytes, put_flag, put_list, put_option};
+use crate::prompt_placement::Placement;
+use crate::replicated_state::{Change, Command, LogPosition, Snapshot};
+use crate::updates::{ConfigurationUpdate, OriginUpdate, OriginVersion, Subscriber};
 use binrw::binrw;
 
-/// A message.
+/// A message. The numbers in the variants' `magic` are on the wire.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// The first on a connection: who speaks.
+    /// The first message on a connection: names the sender.
     #[brw(magic(1u8))]
     Hello {
-        /// The speaker; identity 0 where it is no member.
+        /// The sender; its id is 0 if it is no member.
         sender: MemberInfo,
     },
-    /// Members that the speaker knows, so that others find them.
+    /// Members that the sender knows, so that others find them.
     #[brw(magic(2u8))]
     Peers {
         /// The members.
-        #[br(parse_with = list)]
-        #[bw(write_with = put_list)]
+        #[br(parse_with = read_list)]
+        #[bw(write_with = write_list)]
         members: Vec<MemberInfo>,
     },
-    /// Asks whether a promise would be given, before it is asked for: nobody is disturbed by one that can't win.
+    /// Asks whether a promise would be granted, before [`Message::Prepare`] asks for it. A candidate that can't win thus
+    /// disturbs nobody.
     #[brw(magic(8u8))]
     PreVote {
-        /// The highest epoch that the speaker knows.
+        /// The highest epoch that the sender knows.
         known_epoch: u64,
-        /// Epoch of the latest view that it accepted.
+        /// Epoch of the membership configuration that the sender accepted last.
         accepted_epoch: u64,
     },
     /// The answer to [`Message::PreVote`].
     #[brw(magic(9u8))]
     PreVoteReply {
-        /// Whether a promise would be given now.
-        #[br(parse_with = flag)]
-        #[bw(write_with = put_flag)]
+        /// Whether a promise would be granted now.
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         granted: bool,
-        /// The highest epoch that the speaker has promised.
+        /// The highest epoch that the sender has promised.
         promised_epoch: u64,
-        /// When asking again makes sense.
+        /// After how long it makes sense to ask again, in ms.
         retry_after_ms: u32,
     },
-    /// Asks for a promise to follow no lower epoch.
+    /// Asks for a promise to follow no lower epoch (phase 1 of Paxos).
     #[brw(magic(10u8))]
     Prepare {
         /// The epoch.
         epoch: u64,
-        /// Who asks.
+        /// The member that asks.
         candidate: MemberInfo,
     },
     /// The answer to [`Message::Prepare`].
@@ -59,51 +63,51 @@
     Promise {
         /// The epoch that was asked for.
         epoch: u64,
-        /// Whether the promise is given.
-        #[br(parse_with = flag)]
-        #[bw(write_with = put_flag)]
+        /// Whether the promise is granted.
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         granted: bool,
-        /// The highest epoch that the speaker has promised.
+        /// The highest epoch that the sender has promised.
         promised_epoch: u64,
-        /// The latest view that it accepted.
-        #[br(parse_with = option)]
-        #[bw(write_with = put_option)]
+        /// The membership configuration that the sender accepted last.
+        #[br(parse_with = read_option)]
+        #[bw(write_with = write_option)]
         membership: Option<MembershipConfig>,
-        /// How far its ledger goes, where it holds one.
-        #[br(parse_with = option)]
-        #[bw(write_with = put_option)]
+        /// How far its replica log goes, if it is a replica.
+        #[br(parse_with = read_option)]
+        #[bw(write_with = write_option)]
         log_position: Option<LogPosition>,
-        /// When asking again makes sense.
+        /// After how long it makes sense to ask again, in ms.
         retry_after_ms: u32,
     },
-    /// Asks to accept a view, with the ledger for those that are to hold it.
+    /// Asks to accept a membership configuration (phase 2 of Paxos).
     #[brw(magic(12u8))]
     InstallMembership {
-        /// The view.
+        /// The configuration.
         membership: MembershipConfig,
-        /// The ledger.
-        #[br(parse_with = option)]
-        #[bw(write_with = put_option)]
+        /// The replicated state at its start, for a receiver that becomes a replica.
+        #[br(parse_with = read_option)]
+        #[bw(write_with = write_option)]
         snapshot: Option<Snapshot>,
     },
     /// The answer to [`Message::InstallMembership`].
     #[brw(magic(13u8))]
     InstallMembershipReply {
-        /// Epoch of the view.
+        /// Epoch of the membership configuration.
         epoch: u64,
-        /// Whether it is accepted and on disk.
-        #[br(parse_with = flag)]
-        #[bw(write_with = put_flag)]
+        /// Whether the configuration is accepted and on disk.
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         accepted: bool,
-        /// The highest epoch that the speaker has promised.
+        /// The highest epoch that the sender has promised.
         promised_epoch: u64,
     },
-    /// A change, for a backup's disk.
+    /// A change that a backup has to append to its log.
     #[brw(magic(14u8))]
     AppendChange {
-        /// Epoch of the view.
+        /// Epoch of the membership configuration.
         epoch: u64,
-        /// Number of the change.
+        /// Index of the change.
         index: u64,
         /// The change.
         change: Change,
@@ -111,82 +115,82 @@
     /// The answer to [`Message::AppendChange`].
     #[brw(magic(15u8))]
     AppendReply {
-        /// Epoch of the view.
+        /// Epoch of the membership configuration.
         epoch: u64,
-        /// All changes up to this one are on disk.
+        /// All changes up to this index are on the backup's disk.
         match_index: u64,
-        /// Whether the backup goes on.
-        #[br(parse_with = flag)]
-        #[bw(write_with = put_flag)]
+        /// Whether the backup goes on as a replica; it does not after a failed write.
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         accepted: bool,
-        /// The highest epoch that the speaker has promised.
+        /// The highest epoch that the sender has promised.
         promised_epoch: u64,
     },
-    /// The primary asks for its lease.
+    /// The primary asks a voter to grant or renew its lease.
     #[brw(magic(16u8))]
     RenewLease {
-        /// Epoch of its view.
+        /// Epoch of the primary's membership configuration.
         epoch: u64,
-        /// The primary's clock when it asked, in ms.
+        /// The primary's clock when it asked, in ms. The lease runs from then.
         requested_at_ms: u64,
-        /// Number of the last change that is acknowledged.
+        /// Index of the last committed change.
         commit_index: u64,
-        /// The latest [`Message::LeaseReply`]'s `clock` that the primary has from this voter; 0 where it has none,
-        /// or where its lease isn't in force now. It proves to the voter that the speaker acted after that moment.
+        /// `clock_ms` of the latest [`Message::LeaseReply`] from this voter; 0 if there is none or if the lease isn't in
+        /// force now. It proves to the voter that the primary acted after that moment.
         echoed_clock_ms: u64,
     },
     /// The answer to [`Message::RenewLease`].
     #[brw(magic(17u8))]
     LeaseReply {
-        /// Epoch of the view.
+        /// Epoch of the membership configuration.
         epoch: u64,
-        /// As asked.
+        /// `requested_at_ms` of the request.
         requested_at_ms: u64,
         /// Whether the lease is granted.
-        #[br(parse_with = flag)]
-        #[bw(write_with = put_flag)]
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         granted: bool,
-        /// The highest epoch that the speaker has promised.
+        /// The highest epoch that the sender has promised.
         promised_epoch: u64,
-        /// Whether the speaker's disk takes writes.
-        #[br(parse_with = flag)]
-        #[bw(write_with = put_flag)]
+        /// Whether the sender's disk takes writes in time.
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         disk_healthy: bool,
-        /// The voter's clock when it answered, in ms, counted from a number of its own that differs for each life.
+        /// The voter's clock when it answered, in ms. It starts at a number that differs with each incarnation.
         clock_ms: u64,
     },
-    /// The primary gives its lease up.
+    /// The primary gives up its lease.
     #[brw(magic(18u8))]
     ReleaseLease {
-        /// Epoch of its view.
+        /// Epoch of the primary's membership configuration.
         epoch: u64,
     },
-    /// The speaker has been asked to end: nothing new is to be put there, and what it holds is to be taken over.
+    /// The sender shuts down gracefully: it gets no new roles, and others take over those it has.
     #[brw(magic(25u8))]
     Leaving {
-        /// Epoch of the latest view that it accepted.
+        /// Epoch of the membership configuration that the sender accepted last.
         epoch: u64,
     },
-    /// Asks for the ledger, fenced by a promise.
+    /// Asks for the replicated state. The promise for this epoch fences the log: nothing older can change it any more.
     #[brw(magic(19u8))]
     FetchSnapshot {
-        /// The epoch that the asker prepares.
+        /// The epoch that the sender prepares.
         epoch: u64,
     },
     /// The answer to [`Message::FetchSnapshot`].
     #[brw(magic(20u8))]
     SnapshotReply {
-        /// As asked.
+        /// Epoch of the request.
         epoch: u64,
-        /// How far the ledger goes.
+        /// How far the log goes.
         log_position: LogPosition,
-        /// The ledger.
+        /// The replicated state there.
         snapshot: Snapshot,
     },
-    /// A command for the primary.
+    /// A command that another member's caller sent, forwarded to the primary.
     #[brw(magic(30u8))]
     ForwardCommand {
-        /// The asker's number for it.
+        /// Number of the request, chosen by the sender.
         request_id: u64,
         /// The command.
         command: Command,
@@ -194,80 +198,80 @@
     /// The answer to [`Message::ForwardCommand`].
     #[brw(magic(31u8))]
     CommandResult {
-        /// As asked.
+        /// Number of the request.
         request_id: u64,
-        /// The result code.
+        /// Number of the result code (`docs/result-codes.md`).
         code: u16,
-        /// What goes with it.
-        #[br(parse_with = bytes)]
-        #[bw(write_with = put_bytes)]
+        /// The answer's body.
+        #[br(parse_with = read_bytes)]
+        #[bw(write_with = write_bytes)]
         body: Vec<u8>,
     },
-    /// A proxy has sent a prompt to a host. In datagrams, like the next two: they may be lost.
+    /// A proxy has sent a prompt to a host. Sent as a datagram, like the next two, so it may be lost.
     #[brw(magic(50u8))]
     PromptPlaced {
-        /// What the host keeps from now on.
+        /// What the host has cached from now on.
         placement: Placement,
-        /// Tokens that it has to read for it.
+        /// Tokens that the host has to prefill for the prompt.
         prefill_tokens: u32,
     },
-    /// A proxy that has just started asks what hosts keep.
+    /// A proxy that has just started asks what hosts have cached.
     #[brw(magic(51u8))]
     PlacementsRequest {
-        /// 0.
+        /// Always 0; keeps the variant's form in bytes.
         reserved: u8,
     },
-    /// The answer to [`Message::PlacementsRequest`], in several datagrams.
+    /// The answer to [`Message::PlacementsRequest`], split over several datagrams.
     #[brw(magic(52u8))]
     Placements {
-        /// What hosts keep.
-        #[br(parse_with = list)]
-        #[bw(write_with = put_list)]
+        /// What hosts have cached.
+        #[br(parse_with = read_list)]
+        #[bw(write_with = write_list)]
         placements: Vec<Placement>,
     },
-    /// Asks for what the speaker lacks.
+    /// Asks for the updates that the sender lacks (long poll).
     #[brw(magic(40u8))]
     Pull {
-        /// Who pulls.
+        /// The sender.
         subscriber: Subscriber,
-        /// How long the answer may wait for news.
+        /// How long the answer may wait for an update, in ms.
         wait_ms: u32,
-        /// Number of the ledger's last change that the speaker has.
+        /// Index of the last change of the replicated state that the sender has.
         index: u64,
-        /// Version of the configuration that it has.
+        /// Configuration version that it has.
         configuration_version: u64,
-        /// Mark of the fleet that it has.
+        /// Version of the [`ControlPlaneInfo`] that it has.
         control_plane_version: u64,
-        /// What it has of each source.
-        #[br(parse_with = list)]
-        #[bw(write_with = put_list)]
+        /// Its version vector: what it has of each origin.
+        #[br(parse_with = read_list)]
+        #[bw(write_with = write_list)]
         origins: Vec<OriginVersion>,
     },
-    /// The answer to [`Message::Pull`]; also pushed where somebody waits.
+    /// The answer to [`Message::Pull`]: what the subscriber lacks.
     #[brw(magic(41u8))]
     Update {
-        /// Who speaks; 0 for an agent.
+        /// Member id of the sender; 0 for an agent.
         member: u64,
-        /// Since when, at most, the speaker may have missed what the primary acknowledged, in ms; `u32::MAX` where
-        /// it has had no proof in this life.
+        /// For how long, at most, the sender may have missed committed changes, in ms; `u32::MAX` if it has had no
+        /// contact with a primary in its incarnation.
         age_ms: u32,
-        /// How long the speaker had the pull before it answered, in ms.
+        /// How long the sender held the pull before it answered, in ms.
         held_ms: u32,
-        /// Configuration and drains.
-        #[br(parse_with = option)]
-        #[bw(write_with = put_option)]
+        /// Changes of the configuration and of the draining hosts.
+        #[br(parse_with = read_option)]
+        #[bw(write_with = write_option)]
         configuration: Option<ConfigurationUpdate>,
-        /// Hosts and coordinators.
-        #[br(parse_with = list)]
-        #[bw(write_with = put_list)]
+        /// Records of hosts and coordinators.
+        #[br(parse_with = read_list)]
+        #[bw(write_with = write_list)]
         origins: Vec<OriginUpdate>,
-        /// Sources that are no more.
-        #[br(parse_with = list)]
-        #[bw(write_with = put_list)]
+        /// Ids of members that are no origins any more.
+        #[br(parse_with = read_list)]
+        #[bw(write_with = write_list)]
         removed_origins: Vec<u64>,
-        /// The control plane.
-        #[br(parse_with = option)]
-        #[bw(write_with = put_option)]
+        /// The members of the control plane, if they changed.
+        #[br(parse_with = read_option)]
+        #[bw(write_with = write_option)]
         control_plane: Option<ControlPlaneInfo>,
     },
 }
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -212,6 +212,7 @@
 
 pub fn messages() -> Vec<(&'static str, Message)> {
     let mut all = elections();
+    all.extend(installations());
     all.extend(replication());
     all.extend(commands_and_hints());
     all.extend(subscriptions());
@@ -274,6 +275,11 @@
                 retry_after_ms: 300,
             },
         ),
+    ]
+}
+
+fn installations() -> Vec<(&'static str, Message)> {
+    vec![
         (
             "InstallMembership",
             Message::InstallMembership {
