--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -18,7 +18,7 @@
 use configuration::ProcessSettings;
 use replication::client::{self, Control};
 use replication::{
-    agent_addr, caller, member_addr, no_seat, serve, Mirror, Puller, SharedMirror,
+    agent_addr, member_addr, non_member_info, serve, subscriber, Mirror, Puller, SharedMirror,
     MEMBERS_PER_AGENT,
 };
 use snafu::{ResultExt, Snafu};
@@ -70,8 +70,8 @@
     puller.set_seeds(&first);
     let pulling = client::run(
         puller,
-        no_seat(&boot),
-        caller(&boot, 0),
+        non_member_info(&boot),
+        subscriber(&boot, 0),
         shared.clone(),
         told,
     );
@@ -107,12 +107,12 @@
 /// What an agent starts with: nothing, and it takes nothing for the truth that a member tells which is cut off, while
 /// another may know better.
 pub fn mirror(boot: &ProcessSettings) -> Mirror {
-    Mirror::new(0, Duration::from_millis(boot.beat_period_ms)).withholding()
+    Mirror::new(0, Duration::from_millis(boot.beat_period_ms)).withholding_unconfirmed()
 }
 
 /// Whom an agent pulls from: a few members, one of which tells it the news.
 pub fn puller(boot: &ProcessSettings) -> Puller {
-    let mut puller = Puller::new(&boot.node_name, MEMBERS_PER_AGENT, None).led();
+    let mut puller = Puller::new(&boot.node_name, MEMBERS_PER_AGENT, None).preferring_one_member();
     puller.set_seeds(&replication::seed_addrs(boot));
     puller
 }
--- a/crates/agent/tests/chain.rs
+++ b/crates/agent/tests/chain.rs
@@ -117,14 +117,14 @@
 }
 
 fn proxy(boot: &ProcessSettings) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
-    let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).at_the_end());
+    let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).without_history());
     let (control, told) = mpsc::unbounded_channel();
-    let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
+    let mut puller = Puller::new(&boot.node_name, 1, None).seeds_only();
     puller.set_seeds(&[replication::agent_addr(boot)]);
     tokio::spawn(client::run(
         puller,
-        replication::no_seat(boot),
-        replication::caller(boot, 0),
+        replication::non_member_info(boot),
+        replication::subscriber(boot, 0),
         shared.clone(),
         told,
     ));
@@ -155,25 +155,28 @@
     let mut views = shared.subscribe();
 
     first.shared.update(|m, now| {
-        m.proved(now);
-        m.set_ledger(1, document(1), &[]);
+        m.record_primary_contact(now);
+        m.set_replicated_state(1, document(1), &[]);
         m.apply(now, &source(11, 1, vec![host("i-1", 1)]))
     });
     until(&mut views, |v| {
-        v.document.version == 1 && v.hosts.contains_key("i-1")
+        v.configuration.version == 1 && v.hosts.contains_key("i-1")
     })
     .await;
 
     // A change, and a drain.
     first.shared.update(|m, now| {
-        m.set_ledger(2, document(4), &["i-1".to_owned()]);
+        m.set_replicated_state(2, document(4), &["i-1".to_owned()]);
         m.apply(now, &source(11, 2, vec![host("i-2", 1)]))
     });
     until(&mut views, |v| {
-        v.document.version == 4 && v.hosts.len() == 2 && v.hosts["i-1"].phase == 1
+        v.configuration.version == 4 && v.hosts.len() == 2 && v.hosts["i-1"].phase == 1
     })
     .await;
-    assert_eq!(views.borrow().document.routes[0].value.deadline_ms, 4000.0);
+    assert_eq!(
+        views.borrow().configuration.routes[0].value.deadline_ms,
+        4000.0
+    );
 
     // The proxy's version goes up through the agent.
     control.send(client::Control::Version(4)).unwrap();
@@ -200,9 +203,9 @@
             ..MemberInfo::default()
         }
     };
-    first
-        .shared
-        .update(|m, _| m.set_fleet(1, 11, vec![seat(11, "127.0.0.2"), seat(12, "127.0.0.3")]));
+    first.shared.update(|m, _| {
+        m.set_control_plane(1, 11, vec![seat(11, "127.0.0.2"), seat(12, "127.0.0.3")])
+    });
     second
         .shared
         .update(|m, now| m.apply(now, &source(12, 1, vec![host("i-3", 1)])));
@@ -218,18 +221,18 @@
     let second = member(12, TcpListener::bind(("127.0.0.5", port)).await.unwrap());
     first
         .shared
-        .update(|m, _| m.set_ledger(1, document(1), &[]));
+        .update(|m, _| m.set_replicated_state(1, document(1), &[]));
     second
         .shared
-        .update(|m, _| m.set_ledger(2, document(2), &[]));
+        .update(|m, _| m.set_replicated_state(2, document(2), &[]));
     let boot = boot(port, &["127.0.0.4"]);
     let (sender, seeds) = watch::channel(boot.seed_nodes.clone());
     tokio::spawn(agent::run(boot.clone(), seeds, std::future::pending()));
     let (shared, _control) = proxy(&boot);
     let mut views = shared.subscribe();
-    until(&mut views, |v| v.document.version == 1).await;
+    until(&mut views, |v| v.configuration.version == 1).await;
     sender.send(vec!["127.0.0.5:9".parse().unwrap()]).unwrap();
-    until(&mut views, |v| v.document.version == 2).await;
+    until(&mut views, |v| v.configuration.version == 2).await;
 }
 
 #[tokio::test]
--- a/crates/agent/tests/cut_off.rs
+++ b/crates/agent/tests/cut_off.rs
@@ -94,20 +94,20 @@
                 State::Serves { .. } if connects => puller.connected(ms(now), link),
                 State::Serves { version, age_ms } => {
                     let mut member = Mirror::new(members[n].id, ms(1200));
-                    member.set_ledger(version, document(version), &[]);
-                    member.set_fleet(1, 1, members.clone());
+                    member.set_replicated_state(version, document(version), &[]);
+                    member.set_control_plane(1, 1, members.clone());
                     let pull = mirror.pull(&Subscriber::default(), 0);
                     let told = member
-                        .news_for(ms(now), &pull)
-                        .unwrap_or_else(|| member.no_news(ms(now)));
+                        .update_for(ms(now), &pull)
+                        .unwrap_or_else(|| member.empty_update(ms(now)));
                     let told = replication::Update { age_ms, ..told };
                     let taken = mirror.apply(ms(now), &told);
                     puller.answered(ms(now), link, members[n].id, age_ms, taken)
                 }
             });
         }
-        if puller.none_fresh() {
-            mirror.show_withheld();
+        if puller.all_members_stale() {
+            mirror.show_unconfirmed();
         }
         mirror.tick(ms(now));
         for action in actions {
@@ -128,7 +128,7 @@
                 Action::Close { link } => drop(links.remove(&link)),
             }
         }
-        let version = mirror.view().document.version;
+        let version = mirror.snapshot().configuration.version;
         if versions.last().map_or(0, |v: &(u64, u64)| v.0) != version {
             versions.push((version, now));
         }
--- a/crates/control-plane/src/host_registry.rs
+++ b/crates/control-plane/src/host_registry.rs
@@ -425,8 +425,11 @@
 /// The member that a host's later heartbeats should go to, where that isn't `me`: by rendezvous hashing over
 /// the members that live.
 pub fn heartbeat_target<'a>(host: &str, me: u64, live: &'a [MemberInfo]) -> Option<&'a MemberInfo> {
-    let best = live
-        .iter()
-        .max_by_key(|s| (replication::weight(host, &s.id.to_be_bytes()), s.id))?;
+    let best = live.iter().max_by_key(|s| {
+        (
+            replication::rendezvous_weight(host, &s.id.to_be_bytes()),
+            s.id,
+        )
+    })?;
     (best.id != me).then_some(best)
 }
--- a/crates/control-plane/src/registry_publisher.rs
+++ b/crates/control-plane/src/registry_publisher.rs
@@ -36,7 +36,8 @@
     ) -> R {
         let mut roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
         self.shared.update(|mirror, now| {
-            if let Some(later) = mirror.later_life(self.id, roster.mark().incarnation) {
+            if let Some(later) = mirror.superseding_incarnation(self.id, roster.mark().incarnation)
+            {
                 roster.follow_life(later);
             }
             let result = change(&mut roster, mirror, now);
@@ -59,7 +60,7 @@
     pub fn call(&self, call: &HostRequest) -> bool {
         self.change(|roster, mirror, now| {
             let elsewhere: Option<HostRecord> =
-                mirror.host_elsewhere(self.id, call.host()).cloned();
+                mirror.host_at_other_origins(self.id, call.host()).cloned();
             roster.call(now, call, elsewhere.as_ref())
         })
     }
@@ -73,7 +74,9 @@
     pub fn tick(&self) {
         self.change(|roster, mirror, now| {
             roster.tick(now, |host| {
-                mirror.host_elsewhere(self.id, host).map(|r| r.call_seq)
+                mirror
+                    .host_at_other_origins(self.id, host)
+                    .map(|r| r.call_seq)
             })
         });
         self.shared.update(replication::Mirror::tick);
--- a/crates/control-plane/src/runtime/event_loop.rs
+++ b/crates/control-plane/src/runtime/event_loop.rs
@@ -129,7 +129,7 @@
             Event::Disk(StorageEvent::Open { .. } | StorageEvent::NotOpen { .. }) => {}
             Event::Command(command, caller) => {
                 self.mirror.update(|mirror, _| {
-                    let fleet = mirror.fleet();
+                    let fleet = mirror.control_plane();
                     let primary = fleet.members.iter().find(|s| s.id == fleet.primary);
                     if let Some(primary) = primary {
                         self.member.learn_primary(fleet.epoch, primary.clone());
--- a/crates/control-plane/src/runtime/outputs.rs
+++ b/crates/control-plane/src/runtime/outputs.rs
@@ -56,7 +56,7 @@
     fn show_ledger(&self, index: u64, document: Arc<Configuration>, drains: &[String]) {
         self.history.borrow_mut().note(&document, SystemTime::now());
         self.mirror
-            .update(|mirror, _| mirror.set_ledger(index, document, drains));
+            .update(|mirror, _| mirror.set_replicated_state(index, document, drains));
     }
 
     fn wake_by(&mut self, at: Duration) {
--- a/crates/control-plane/src/runtime/request_handler.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -78,7 +78,13 @@
 
     /// A host is leaving or gone: acknowledged once that is kept as safely as the configuration is.
     async fn drain(&self, opened: &OpenMember, host: &str) -> Reply {
-        if opened.feed.shared().snapshot().drains.contains(host) {
+        if opened
+            .feed
+            .shared()
+            .snapshot()
+            .draining_hosts
+            .contains(host)
+        {
             return Reply::json("{}");
         }
         let asked = Command::Drain {
@@ -147,12 +153,12 @@
             "region": me.region,
             "opening": false,
             "leaving": leaving,
-            "ledger": {"seq": known.ledger, "version": known.document.version, "drains": known.drains.len(),
-                "routes": known.document.routes.len(), "services": known.document.services.len()},
+            "ledger": {"seq": known.index, "version": known.configuration.version, "drains": known.draining_hosts.len(),
+                "routes": known.configuration.routes.len(), "services": known.configuration.services.len()},
             "fleet": {
-                "epoch": known.fleet.epoch,
-                "primary": hex(known.fleet.primary),
-                "members": known.fleet.members.len(),
+                "epoch": known.control_plane.epoch,
+                "primary": hex(known.control_plane.primary),
+                "members": known.control_plane.members.len(),
             },
             "member": status.as_ref().map(status_json),
             "hosts": hosts.collect::<Vec<_>>(),
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -131,7 +131,7 @@
     // What other members were told comes by pulls, like an agent's.
     let (pulls, told) = unbounded_channel();
     let puller = Puller::new(&boot.node_name, usize::MAX, Some(me.addr));
-    let caller = replication::caller(&boot, identity.id);
+    let caller = replication::subscriber(&boot, identity.id);
     spawn_local(client::run(
         puller,
         me.clone(),
@@ -232,7 +232,7 @@
         feed.tick();
         history
             .borrow_mut()
-            .note(&feed.shared().snapshot().document, SystemTime::now());
+            .note(&feed.shared().snapshot().configuration, SystemTime::now());
     }
 }
 
--- a/crates/control-plane/src/runtime/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -70,11 +70,11 @@
         let news = known != self.known;
         self.mirror.update(|mirror, _| {
             if news {
-                mirror.set_fleet(known.epoch, known.primary, known.members.clone());
+                mirror.set_control_plane(known.epoch, known.primary, known.members.clone());
             }
             // It proves nothing about changes that haven't come yet.
-            if let Some(proof) = proof.filter(|proof| mirror.ledger() >= proof.commit_index) {
-                mirror.proved(proof.at);
+            if let Some(proof) = proof.filter(|proof| mirror.index() >= proof.commit_index) {
+                mirror.record_primary_contact(proof.at);
             }
         });
         self.known = known;
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -166,7 +166,7 @@
     let life = next_incarnation(0, 10_000, 2);
     fleet.restart(life);
     fleet.run(&["a"], 6, &mut calls).await;
-    let marks = fleet.agent.update(|mirror, _| mirror.vector());
+    let marks = fleet.agent.update(|mirror, _| mirror.version_vector());
     let newest = marks
         .iter()
         .filter(|mark| mark.member_id == ID)
--- a/crates/control-plane/tests/registry_publisher.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -75,13 +75,13 @@
     RegistryPublisher::new(8, 1, BEAT, other.clone()).call(&call("i", 4));
     tokio::time::advance(BEAT * 3).await;
     let news = other
-        .update(|m, now| m.news_for(now, &m_pull(&shared)))
+        .update(|m, now| m.update_for(now, &m_pull(&shared)))
         .unwrap();
     shared.update(|m, now| m.apply(now, &news));
     feed.tick();
     assert_eq!(shared.snapshot().hosts["i"].call_seq, 4);
     assert!(
-        shared.update(|m, _| m.host_elsewhere(8, "i").is_none()),
+        shared.update(|m, _| m.host_at_other_origins(8, "i").is_none()),
         "only the other has it"
     );
 }
--- a/crates/coordinator/src/net/http/client.rs
+++ b/crates/coordinator/src/net/http/client.rs
@@ -89,7 +89,7 @@
         let over = shared.refuses(admission);
         let answer = if over {
             shared.counters.inc("answered.refused.client_cap");
-            let answer = shared.service.no_seat(&request);
+            let answer = shared.service.non_member_info(&request);
             Some(answer.retry_after(Some(Duration::from_secs(1))))
         } else {
             answer_or_gone(&mut conn, || shared.service.answer(request)).await
--- a/crates/coordinator/src/net/http/mod.rs
+++ b/crates/coordinator/src/net/http/mod.rs
@@ -40,7 +40,7 @@
     /// Words an error that the server itself finds.
     fn error(&self, status: u16, reason: &str) -> Response;
     /// Refuses a request at the cap on clients.
-    fn no_seat(&self, _request: &Request) -> Response {
+    fn non_member_info(&self, _request: &Request) -> Response {
         self.error(503, "too many clients")
     }
 }
--- a/crates/fennelpin-cli/src/world.rs
+++ b/crates/fennelpin-cli/src/world.rs
@@ -13,16 +13,16 @@
 
 /// Follows the agent of this machine for as long as the world is watched. Runs on a `LocalSet`.
 pub fn follow(boot: &ProcessSettings) -> watch::Receiver<Option<Arc<FleetSnapshot>>> {
-    let mirror = Mirror::new(0, Duration::from_millis(boot.beat_period_ms)).at_the_end();
+    let mirror = Mirror::new(0, Duration::from_millis(boot.beat_period_ms)).without_history();
     let shared = SharedMirror::new(mirror);
-    let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
+    let mut puller = Puller::new(&boot.node_name, 1, None).seeds_only();
     puller.set_seeds(&[replication::agent_addr(boot)]);
     let (control, told) = mpsc::unbounded_channel();
     let snapshots = shared.subscribe();
     let pulling = client::run(
         puller,
-        replication::no_seat(boot),
-        replication::caller(boot, 0),
+        replication::non_member_info(boot),
+        replication::subscriber(boot, 0),
         shared,
         told,
     );
@@ -41,9 +41,9 @@
     let mut version = 0;
     loop {
         let snapshot = snapshots.borrow_and_update().clone();
-        if snapshot.document.version > 0 {
-            if snapshot.document.version != version {
-                version = snapshot.document.version;
+        if snapshot.configuration.version > 0 {
+            if snapshot.configuration.version != version {
+                version = snapshot.configuration.version;
                 log::info!(version; "configuration in force");
                 // The puller ends with the process.
                 let _ = control.send(Control::Version(version));
@@ -58,7 +58,7 @@
 
 fn of(name: &str, snapshot: &Snapshot) -> FleetSnapshot {
     FleetSnapshot {
-        configuration: snapshot.document.clone(),
+        configuration: snapshot.configuration.clone(),
         hosts: snapshot
             .hosts
             .values()
@@ -67,7 +67,7 @@
             .collect(),
         proxy_count: snapshot.coordinators.len().max(1),
         peer_hint_addresses: snapshot
-            .hints
+            .hints_addrs
             .iter()
             .filter(|h| h.0 != name)
             .map(|h| SocketAddrV4::from(h.1))
--- a/crates/fennelpin-cli/tests/settings.rs
+++ b/crates/fennelpin-cli/tests/settings.rs
@@ -31,7 +31,7 @@
 /// A member whose ledger has this version.
 fn member(id: u64, version: u64, listener: TcpListener) {
     let shared = SharedMirror::new(Mirror::new(id, Duration::from_millis(1200)));
-    shared.update(|m, _| m.set_ledger(version, document(version), &[]));
+    shared.update(|m, _| m.set_replicated_state(version, document(version), &[]));
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
@@ -46,14 +46,14 @@
 }
 
 fn proxy(boot: &ProcessSettings) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
-    let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).at_the_end());
+    let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).without_history());
     let (control, told) = mpsc::unbounded_channel();
-    let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
+    let mut puller = Puller::new(&boot.node_name, 1, None).seeds_only();
     puller.set_seeds(&[replication::agent_addr(boot)]);
     tokio::spawn(client::run(
         puller,
-        replication::no_seat(boot),
-        replication::caller(boot, 0),
+        replication::non_member_info(boot),
+        replication::subscriber(boot, 0),
         shared.clone(),
         told,
     ));
@@ -61,7 +61,7 @@
 }
 
 async fn until(views: &mut watch::Receiver<Arc<Snapshot>>, version: u64) {
-    timeout(LONG, views.wait_for(|v| v.document.version == version))
+    timeout(LONG, views.wait_for(|v| v.configuration.version == version))
         .await
         .expect("it comes")
         .unwrap();
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -154,7 +154,7 @@
         let member = Member::new(config, &records, start.opening, spread);
         let mut mirror = Mirror::new(seat.id, BEAT);
         if start.planted == Planted::FreshAfterStart {
-            mirror.proved(start.opening);
+            mirror.record_primary_contact(start.opening);
         }
         self.process = Some(Process {
             seat,
@@ -206,8 +206,8 @@
             canonical::hash_of_member(&process.member, own, LEASE).hash(&mut hasher);
             let mirror = process.mirror.read();
             let shown = (
-                mirror.ledger(),
-                mirror.document().version,
+                mirror.index(),
+                mirror.configuration().version,
                 mirror.age_ms(own).min(9000),
             );
             (shown, &process.writes).hash(&mut hasher);
@@ -238,9 +238,9 @@
             return;
         }
         let proof = self.member.primary_contact(now);
-        if let Some(proof) = proof.filter(|proof| self.mirror.read().ledger() >= proof.commit_index)
+        if let Some(proof) = proof.filter(|proof| self.mirror.read().index() >= proof.commit_index)
         {
-            self.mirror.get().proved(proof.at);
+            self.mirror.get().record_primary_contact(proof.at);
         }
     }
 }
--- a/crates/model-check/src/cluster/world/fingerprint.rs
+++ b/crates/model-check/src/cluster/world/fingerprint.rs
@@ -26,7 +26,7 @@
         for reader in &self.readers {
             let mirror = reader.mirror.read();
             (
-                mirror.ledger(),
+                mirror.index(),
                 reader.newest,
                 mirror.age_ms(self.now).min(9000),
             )
--- a/crates/model-check/src/cluster/world/members.rs
+++ b/crates/model-check/src/cluster/world/members.rs
@@ -139,7 +139,7 @@
             process
                 .mirror
                 .get()
-                .set_ledger(index, configuration, drains);
+                .set_replicated_state(index, configuration, drains);
         }
     }
 
--- a/crates/model-check/src/cluster/world/mod.rs
+++ b/crates/model-check/src/cluster/world/mod.rs
@@ -157,7 +157,7 @@
                     p.seat.id,
                     p.member.promised_epoch() >> 20,
                     p.member.is_acting_primary(),
-                    p.mirror.read().document().version
+                    p.mirror.read().configuration().version
                 )
             }
         };
--- a/crates/model-check/src/cluster/world/readers.rs
+++ b/crates/model-check/src/cluster/world/readers.rs
@@ -62,8 +62,8 @@
         let pull = puller.pull(&Subscriber::default(), 0);
         let (clock, mirror) = (process.clock(self.now), process.mirror.read());
         mirror
-            .news_for(clock, &pull)
-            .unwrap_or_else(|| mirror.no_news(clock))
+            .update_for(clock, &pull)
+            .unwrap_or_else(|| mirror.empty_update(clock))
     }
 
     fn pull_as_member(&mut self, run: &Run, puller: usize, member: usize) -> Result<(), Breach> {
@@ -99,7 +99,7 @@
         }
         let mirror = reader.mirror.get();
         mirror.apply(now, news);
-        let shows = (mirror.ledger(), mirror.document().version);
+        let shows = (mirror.index(), mirror.configuration().version);
         let fresh = fresh_at(mirror, now, now).filter(|_| run.scenario.ages);
         if shows < reader.newest {
             let detail = format!("{shows:?} from {member} after {:?}", reader.newest);
@@ -123,14 +123,14 @@
         match fresh_at(&mirror, process.clock(self.now), self.now) {
             Some(fresh) => self
                 .facts
-                .claims_fresh(&format!("machine {n}"), fresh, mirror.ledger()),
+                .claims_fresh(&format!("machine {n}"), fresh, mirror.index()),
             None => Ok(()),
         }
     }
 }
 
 pub(super) fn new_reader() -> StateMirror {
-    StateMirror::new(Mirror::new(0, LEASE).at_the_end())
+    StateMirror::new(Mirror::new(0, LEASE).without_history())
 }
 
 /// Until when a mirror says that it lacks nothing, by the global clock; ages are told in whole ms.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -29,7 +29,7 @@
 pub use frame::{decode, encode};
 pub use membership::{Addr, ControlPlaneInfo, MemberInfo, MembershipConfig};
 pub use message::Message;
-pub use prompt_placement::{Part, Placement};
+pub use prompt_placement::{PromptPart, PromptPlacement};
 pub use record::Record;
 pub use replicated_state::{AppliedRequest, Change, Command, LogPosition, Snapshot};
 pub use updates::{
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -5,7 +5,7 @@
     write_option,
 };
 use crate::membership::{ControlPlaneInfo, MemberInfo, MembershipConfig};
-use crate::prompt_placement::Placement;
+use crate::prompt_placement::PromptPlacement;
 use crate::replicated_state::{Change, Command, LogPosition, Snapshot};
 use crate::updates::{ConfigurationUpdate, OriginUpdate, OriginVersion, Subscriber};
 use binrw::binrw;
@@ -211,7 +211,7 @@
     #[brw(magic(50u8))]
     PromptPlaced {
         /// What the host has cached from now on.
-        placement: Placement,
+        placement: PromptPlacement,
         /// Tokens that the host has to prefill for the prompt.
         prefill_tokens: u32,
     },
@@ -227,7 +227,7 @@
         /// What hosts have cached.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        placements: Vec<Placement>,
+        placements: Vec<PromptPlacement>,
     },
     /// Asks for the updates that the sender lacks (long poll).
     #[brw(magic(40u8))]
--- a/crates/protocol/src/prompt_placement.rs
+++ b/crates/protocol/src/prompt_placement.rs
@@ -7,7 +7,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Part {
+pub struct PromptPart {
     /// Identifies the content: equal parts have equal ids.
     pub id: u64,
     /// Number of its tokens.
@@ -18,7 +18,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Placement {
+pub struct PromptPlacement {
     /// The host's id.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
@@ -26,5 +26,5 @@
     /// The parts that other prompts may share, in the prompt's order.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -3,7 +3,7 @@
 use protocol::{
     Addr, AppliedRequest, Change, Command, ConfigurationUpdate, ControlPlaneInfo,
     CoordinatorRecord, HostRecord, LogPosition, MemberInfo, MembershipConfig, Message,
-    OriginUpdate, OriginVersion, Part, Placement, Record, Snapshot, Subscriber,
+    OriginUpdate, OriginVersion, PromptPart, PromptPlacement, Record, Snapshot, Subscriber,
 };
 
 fn texts(items: &[&str]) -> Vec<String> {
@@ -58,15 +58,15 @@
     }
 }
 
-fn placement(host: &str) -> Placement {
-    Placement {
+fn placement(host: &str) -> PromptPlacement {
+    PromptPlacement {
         host: host.into(),
         parts: vec![
-            Part {
+            PromptPart {
                 id: 0xfeed_beef_0000_0001,
                 tokens: 128,
             },
-            Part { id: 2, tokens: 64 },
+            PromptPart { id: 2, tokens: 64 },
         ],
     }
 }
--- a/crates/proxy/src/hints/listener.rs
+++ b/crates/proxy/src/hints/listener.rs
@@ -57,9 +57,9 @@
 
 fn recall(state: &ProxyState, socket: &UdpSocket, to: SocketAddr) {
     let cached = state.policy.borrow().cached_prefixes();
-    let mut placements: Vec<protocol::Placement> = Vec::new();
+    let mut placements: Vec<protocol::PromptPlacement> = Vec::new();
     let mut size = 0;
-    let send = |placements: &mut Vec<protocol::Placement>| {
+    let send = |placements: &mut Vec<protocol::PromptPlacement>| {
         let message = Message::Placements {
             placements: std::mem::take(placements),
         };
@@ -93,8 +93,8 @@
     }
 }
 
-fn parts(placement: &protocol::Placement) -> Vec<PromptPart> {
-    let part = |part: &protocol::Part| PromptPart {
+fn parts(placement: &protocol::PromptPlacement) -> Vec<PromptPart> {
+    let part = |part: &protocol::PromptPart| PromptPart {
         id: part.id,
         tokens: part.tokens,
     };
--- a/crates/proxy/src/hints/publisher.rs
+++ b/crates/proxy/src/hints/publisher.rs
@@ -4,7 +4,7 @@
 
 use balancing::{PrefixHint, PromptPart};
 use configuration::ProcessSettings;
-use protocol::{Message, Part};
+use protocol::Message;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 use tokio::net::UdpSocket;
@@ -72,12 +72,12 @@
 }
 
 /// A placement as it goes over the wire.
-pub(crate) fn of(hint: &PrefixHint) -> protocol::Placement {
-    let part = |part: &PromptPart| Part {
+pub(crate) fn of(hint: &PrefixHint) -> protocol::PromptPlacement {
+    let part = |part: &PromptPart| protocol::PromptPart {
         id: part.id,
         tokens: part.tokens,
     };
-    protocol::Placement {
+    protocol::PromptPlacement {
         host: hint.host_id.to_string(),
         parts: hint.prefix.iter().map(part).collect(),
     }
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/hints.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use protocol::{Message, Part, Placement};
+use protocol::{Message, PromptPart, PromptPlacement};
 use rstest::rstest;
 use std::io::ErrorKind;
 use std::net::{SocketAddrV4, UdpSocket};
@@ -61,7 +61,7 @@
     }
 
     /// The next of what was placed; questions are passed over.
-    async fn placed(&self) -> (Placement, u32) {
+    async fn placed(&self) -> (PromptPlacement, u32) {
         loop {
             if let (
                 Message::PromptPlaced {
@@ -77,7 +77,7 @@
     }
 
     /// Asks until some host is told to keep something.
-    async fn recalled(&self, proxy: SocketAddrV4) -> Vec<Placement> {
+    async fn recalled(&self, proxy: SocketAddrV4) -> Vec<PromptPlacement> {
         loop {
             self.ask(proxy);
             for _ in 0..100 {
@@ -93,10 +93,10 @@
 fn placed(host: &str, parts: impl IntoIterator<Item = u64>) -> Vec<u8> {
     let parts = parts
         .into_iter()
-        .map(|id| Part { id, tokens: 10 })
+        .map(|id| PromptPart { id, tokens: 10 })
         .collect();
     protocol::encode(&Message::PromptPlaced {
-        placement: Placement {
+        placement: PromptPlacement {
             host: host.into(),
             parts,
         },
@@ -137,10 +137,10 @@
     assert_eq!(client.message().await.unwrap().body, "done");
 }
 
-fn expected(host: &str) -> Placement {
-    Placement {
+fn expected(host: &str) -> PromptPlacement {
+    PromptPlacement {
         host: host.into(),
-        parts: vec![Part {
+        parts: vec![PromptPart {
             id: 7,
             tokens: 13_000,
         }],
@@ -330,9 +330,9 @@
         other.recalled(at).await;
         serve(&proxy, &mut host, "1:100").await;
         assert_eq!(other.placed().await.0, expected("h1"));
-        let has = |k: &Placement| {
+        let has = |k: &PromptPlacement| {
             k.host == "h1"
-                && k.parts.contains(&Part {
+                && k.parts.contains(&PromptPart {
                     id: 7,
                     tokens: 13_000,
                 })
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -76,12 +76,13 @@
             client.act(actions);
         }
         let (mirror_next, learnt, coordinators, taken) = shared.update(|mirror, _| {
-            let learnt = (mirror.fleet().version != fleet).then(|| mirror.fleet().clone());
+            let learnt =
+                (mirror.control_plane().version != fleet).then(|| mirror.control_plane().clone());
             (
                 mirror.next_tick(),
                 learnt,
-                mirror.coordinators(),
-                mirror.shown(),
+                mirror.coordinator_estimate(),
+                mirror.visible_version(),
             )
         });
         puller.set_coordinators(coordinators);
@@ -91,7 +92,7 @@
         }
         client.act(puller.tick(shared.now()));
         // Members tell the same of themselves by their views, proxies by what is in force.
-        if puller.is_led() {
+        if puller.prefers_one_member() {
             recorder.pulls(&puller).iter().for_each(transitions::log);
             recorder
                 .configuration(taken.0, taken.1)
@@ -124,7 +125,7 @@
         match event {
             Event::Connected => puller.connected(now, link),
             Event::Part => {
-                puller.part(now, link);
+                puller.partial_answer(now, link);
                 Vec::new()
             }
             Event::Failed(error) => {
@@ -134,7 +135,7 @@
             }
             Event::Update(news) => {
                 // Of a link that was given up nobody knows when it was asked.
-                let news = match puller.asked(link) {
+                let news = match puller.pull_sent_at(link) {
                     Some(asked) => news.aged(asked, now),
                     None => Update {
                         age_ms: AGE_UNKNOWN,
@@ -143,8 +144,8 @@
                 };
                 let taken = self.shared.update(|mirror, now| mirror.apply(now, &news));
                 let actions = puller.answered(now, link, news.member, news.age_ms, taken);
-                if puller.none_fresh() {
-                    self.shared.update(|mirror, _| mirror.show_withheld());
+                if puller.all_members_stale() {
+                    self.shared.update(|mirror, _| mirror.show_unconfirmed());
                 }
                 actions
             }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -20,7 +20,7 @@
     Action, Puller, ANSWER_SLACK, CONNECT_TIMEOUT, MEMBERS_PER_AGENT, PACE, PULL_WAIT_MS,
     STALE_AGE_MS, STANDBY_POLL_INTERVAL,
 };
-pub use rendezvous::{ranked, weight};
+pub use rendezvous::{ranked, rendezvous_weight};
 pub use serve::{answer, serve};
 pub use shared::{SharedMirror, Traffic};
 
@@ -78,7 +78,7 @@
 }
 
 /// This process as one that pulls; `member` is its identity, or 0 where it is no member.
-pub fn caller(boot: &ProcessSettings, member: u64) -> Subscriber {
+pub fn subscriber(boot: &ProcessSettings, member: u64) -> Subscriber {
     Subscriber {
         name: boot.node_name.clone(),
         zone: boot.zone.clone(),
@@ -90,7 +90,7 @@
 }
 
 /// The first frame's seat of a process that is no member.
-pub fn no_seat(boot: &ProcessSettings) -> MemberInfo {
+pub fn non_member_info(boot: &ProcessSettings) -> MemberInfo {
     MemberInfo {
         id: 0,
         name: boot.node_name.clone(),
--- a/crates/replication/src/mirror/mod.rs
+++ b/crates/replication/src/mirror/mod.rs
@@ -26,19 +26,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// Number of the ledger's last change.
-    pub ledger: u64,
+    pub index: u64,
     /// The configuration; version 0 where none has come yet.
-    pub document: Arc<Configuration>,
+    pub configuration: Arc<Configuration>,
     /// Hosts by identity, merged over all sources and drains; see [`crate::phase`].
     pub hosts: BTreeMap<String, HostRecord>,
     /// Names of the coordinators that pull now, over all sources.
     pub coordinators: BTreeSet<String>,
     /// Where their proxies take hints, by the machines' names.
-    pub hints: BTreeMap<String, Addr>,
+    pub hints_addrs: BTreeMap<String, Addr>,
     /// Hosts that the ledger has as leaving or gone.
-    pub drains: Arc<BTreeSet<String>>,
+    pub draining_hosts: Arc<BTreeSet<String>>,
     /// The control plane.
-    pub fleet: ControlPlaneInfo,
+    pub control_plane: ControlPlaneInfo,
 }
 
 /// The mirror. Takes only what is newer than what it has; hands on exactly what a puller lacks.
@@ -81,7 +81,7 @@
     }
 
     /// For a process that hands nothing on: no older documents are kept.
-    pub fn at_the_end(mut self) -> Self {
+    pub fn without_history(mut self) -> Self {
         self.ledger.forget_history();
         self
     }
@@ -90,13 +90,13 @@
     /// are older than [`STALE_AGE_MS`], or it has had no proof in its life) isn't shown before a member that isn't has
     /// answered, or [`CONFIRMATION_TIMEOUT`] is over, or all members have told that they know no better
     /// ([`Mirror::show_withheld`]). What is shown then is the newest that was heard of.
-    pub fn withholding(mut self) -> Self {
+    pub fn withholding_unconfirmed(mut self) -> Self {
         self.withheld = Withheld::Nothing;
         self
     }
 
     /// Nobody who can be reached knows better: what is withheld is shown.
-    pub fn show_withheld(&mut self) {
+    pub fn show_unconfirmed(&mut self) {
         if self.withheld.holds() {
             self.withheld.end();
             self.generation += 1;
@@ -114,17 +114,17 @@
     }
 
     /// Number of the ledger's last change.
-    pub fn ledger(&self) -> u64 {
+    pub fn index(&self) -> u64 {
         self.ledger.seq
     }
 
     /// The configuration; version 0 where none has come yet.
-    pub fn document(&self) -> &Arc<Configuration> {
+    pub fn configuration(&self) -> &Arc<Configuration> {
         &self.ledger.document
     }
 
     /// Version of the configuration that is shown, and number of the ledger's change; 0 while one is withheld.
-    pub fn shown(&self) -> (u64, u64) {
+    pub fn visible_version(&self) -> (u64, u64) {
         if self.withheld.holds() {
             (0, 0)
         } else {
@@ -133,12 +133,12 @@
     }
 
     /// The control plane.
-    pub fn fleet(&self) -> &ControlPlaneInfo {
+    pub fn control_plane(&self) -> &ControlPlaneInfo {
         &self.fleet
     }
 
     /// About how many coordinators pull now, by number alone: each is counted by as many members as it pulls from.
-    pub fn coordinators(&self) -> usize {
+    pub fn coordinator_estimate(&self) -> usize {
         self.sources.coordinators()
     }
 
@@ -155,12 +155,12 @@
     }
 
     /// There was proof that nothing acknowledged before `at` is missing here.
-    pub fn proved(&mut self, at: Duration) {
+    pub fn record_primary_contact(&mut self, at: Duration) {
         self.fresh = self.fresh.max(Some(nanoseconds(at)));
     }
 
     /// Takes the ledger's acknowledged state from this process's own ledger. True where it was newer.
-    pub fn set_ledger<'a>(
+    pub fn set_replicated_state<'a>(
         &mut self,
         seq: u64,
         document: Arc<Configuration>,
@@ -174,7 +174,7 @@
 
     /// Takes a fleet that this process knows itself: one of a higher epoch, or, where this process is the
     /// primary, a change within the epoch. The others hear of such changes by their pulls.
-    pub fn set_fleet(
+    pub fn set_control_plane(
         &mut self,
         epoch: u64,
         primary: u64,
@@ -219,7 +219,7 @@
             }
         }
         for id in &news.removed_origins {
-            self.retire(now, *id);
+            self.remove_origin(now, *id);
         }
         for source in &news.origins {
             let newer = self.sources.apply(now, source);
@@ -253,7 +253,7 @@
 
     /// A source is no more: its hosts stay for a few beat periods, so that they can call another member. It
     /// comes back only with a new life or, within that time, with a new change.
-    pub fn retire(&mut self, now: Duration, id: u64) {
+    pub fn remove_origin(&mut self, now: Duration, id: u64) {
         let new = self.sources.retire(now, id);
         self.changed(new);
     }
@@ -263,7 +263,7 @@
         self.due.set(None);
         let before = self.generation;
         if self.withheld.until().is_some_and(|at| now >= at) {
-            self.show_withheld();
+            self.show_unconfirmed();
         }
         let dropped = self.sources.tick(now);
         self.changed(dropped);
@@ -290,7 +290,7 @@
     }
 
     /// What this mirror has of each source, for a pull.
-    pub fn vector(&self) -> Vec<OriginVersion> {
+    pub fn version_vector(&self) -> Vec<OriginVersion> {
         self.sources.vector()
     }
 
@@ -304,12 +304,12 @@
             index: self.ledger.seq,
             configuration_version: self.ledger.asked_version(),
             control_plane_version: self.fleet.version,
-            origins: self.vector(),
+            origins: self.version_vector(),
         }
     }
 
     /// News that say only how old this mirror may be.
-    pub fn no_news(&self, now: Duration) -> Update {
+    pub fn empty_update(&self, now: Duration) -> Update {
         Update {
             member: self.member,
             age_ms: self.age_ms(now),
@@ -318,8 +318,8 @@
     }
 
     /// Exactly what the puller lacks; `None` where that is nothing.
-    pub fn news_for(&self, now: Duration, pull: &Pull) -> Option<Update> {
-        let mut news = self.no_news(now);
+    pub fn update_for(&self, now: Duration, pull: &Pull) -> Option<Update> {
+        let mut news = self.empty_update(now);
         if self.ledger.seq > pull.index && !self.withheld.holds() {
             news.configuration = Some(self.ledger.news(pull.configuration_version, pull.index));
         }
@@ -331,23 +331,23 @@
     }
 
     /// The highest number of a life of member `id` that makes the one numbered `life` count as over.
-    pub fn later_life(&self, id: u64, life: u64) -> Option<u64> {
+    pub fn superseding_incarnation(&self, id: u64, life: u64) -> Option<u64> {
         self.sources.later_life(id, life)
     }
 
     /// Takes note of lives that a puller knows by its vector and that are newer than those known here.
-    pub fn hear_of_lives(&mut self, vector: &[OriginVersion]) {
+    pub fn observe_incarnations(&mut self, vector: &[OriginVersion]) {
         let heard = self.sources.hear_of_lives(vector);
         self.changed(heard);
     }
 
     /// The newest record of a host among all sources but `own` (a member's identity).
-    pub fn host_elsewhere(&self, own: u64, host: &str) -> Option<&HostRecord> {
+    pub fn host_at_other_origins(&self, own: u64, host: &str) -> Option<&HostRecord> {
         self.sources.host_elsewhere(own, host)
     }
 
     /// The merged truth.
-    pub fn view(&self) -> Snapshot {
+    pub fn snapshot(&self) -> Snapshot {
         let (ledger, document, drains) = if self.withheld.holds() {
             Default::default()
         } else {
@@ -360,17 +360,17 @@
         let hosts = hosts::merged(self.sources.hosts(), &drains, self.sources.arrivals());
         let pulling: Vec<&CoordinatorRecord> = self.sources.pulling().collect();
         Snapshot {
-            ledger,
-            document,
+            index: ledger,
+            configuration: document,
             hosts,
-            hints: pulling
+            hints_addrs: pulling
                 .iter()
                 .filter(|r| r.hints_addr.port > 0)
                 .map(|r| (r.name.clone(), r.hints_addr))
                 .collect(),
             coordinators: pulling.iter().map(|r| r.name.clone()).collect(),
-            drains,
-            fleet: self.fleet.clone(),
+            draining_hosts: drains,
+            control_plane: self.fleet.clone(),
         }
     }
 }
--- a/crates/replication/src/puller.rs
+++ b/crates/replication/src/puller.rs
@@ -122,7 +122,7 @@
     }
 
     /// One that keeps to its seeds, whatever members it hears of: a proxy's, whose seed is its agent.
-    pub fn fixed(mut self) -> Self {
+    pub fn seeds_only(mut self) -> Self {
         self.fixed = true;
         self
     }
@@ -130,7 +130,7 @@
     /// One that waits for news at one member only, the leading one: the first in its order that answers and
     /// isn't cut off. The others are asked every [`STANDBY_POLL_INTERVAL`] what the leading one hasn't told yet, so that news come
     /// once, and a leading one that is frozen or behind holds nobody back for longer.
-    pub fn led(mut self) -> Self {
+    pub fn preferring_one_member(mut self) -> Self {
         self.led = true;
         self
     }
@@ -144,7 +144,7 @@
     }
 
     /// Some bytes of an answer came: who is slow isn't silent.
-    pub fn part(&mut self, now: Duration, link: u64) {
+    pub fn partial_answer(&mut self, now: Duration, link: u64) {
         if let Some((_, known)) = self.of(link) {
             if let Phase::Polling(until) = &mut known.phase {
                 *until = (*until).max(now + ANSWER_SLACK);
@@ -153,14 +153,14 @@
     }
 
     /// When the pull left that is out at a link.
-    pub fn asked(&self, link: u64) -> Option<Duration> {
+    pub fn pull_sent_at(&self, link: u64) -> Option<Duration> {
         let known = self.links.values().find(|l| l.number == link)?;
         matches!(known.phase, Phase::Polling(_)).then_some(known.asked)
     }
 
     /// Whether all members that are known have answered, and each is cut off from a primary: nobody is left who
     /// could tell better.
-    pub fn none_fresh(&self) -> bool {
+    pub fn all_members_stale(&self) -> bool {
         let cut_off = |l: &Link| l.heard && !l.dead && l.stale;
         !self.order.is_empty()
             && self
@@ -178,7 +178,7 @@
     }
 
     /// Whether news are waited for at one member only.
-    pub fn is_led(&self) -> bool {
+    pub fn prefers_one_member(&self) -> bool {
         self.led
     }
 
@@ -394,7 +394,7 @@
     }
 
     /// Members that answer, by address; the identity is 0 for an agent.
-    pub fn alive(&self) -> impl Iterator<Item = (Addr, u64)> + '_ {
+    pub fn answering_members(&self) -> impl Iterator<Item = (Addr, u64)> + '_ {
         let alive = self
             .links
             .iter()
--- a/crates/replication/src/rendezvous.rs
+++ b/crates/replication/src/rendezvous.rs
@@ -4,7 +4,7 @@
 use std::hash::Hasher;
 
 /// The weight of `candidate` for `key`: the same in every process.
-pub fn weight(key: &str, candidate: &[u8]) -> u64 {
+pub fn rendezvous_weight(key: &str, candidate: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(key.as_bytes());
     hasher.write(&[0xff]);
@@ -20,7 +20,7 @@
 ) -> Vec<T> {
     let mut all: Vec<(u64, T)> = candidates
         .into_iter()
-        .map(|c| (weight(key, &bytes(&c)), c))
+        .map(|c| (rendezvous_weight(key, &bytes(&c)), c))
         .collect();
     all.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
     all.into_iter().map(|(_, c)| c).collect()
--- a/crates/replication/src/serve.rs
+++ b/crates/replication/src/serve.rs
@@ -21,7 +21,7 @@
 pub async fn answer(shared: &SharedMirror, pull: &Pull) -> Update {
     let mut changes = shared.changes();
     let since = shared.now();
-    shared.update(|mirror, _| mirror.hear_of_lives(&pull.origins));
+    shared.update(|mirror, _| mirror.observe_incarnations(&pull.origins));
     let until = shared.at(since) + Duration::from_millis(pull.wait_ms.into()).min(LONGEST_WAIT);
     // Of the same moment as the age: a standstill makes both greater.
     let held = |now: Duration, news: Update| {
@@ -31,12 +31,12 @@
     loop {
         changes.borrow_and_update();
         let news =
-            shared.update(|mirror, now| mirror.news_for(now, pull).map(|news| held(now, news)));
+            shared.update(|mirror, now| mirror.update_for(now, pull).map(|news| held(now, news)));
         if let Some(news) = news {
             return news;
         }
         if !matches!(timeout_at(until, changes.changed()).await, Ok(Ok(()))) {
-            return shared.update(|mirror, now| held(now, mirror.no_news(now)));
+            return shared.update(|mirror, now| held(now, mirror.empty_update(now)));
         }
     }
 }
--- a/crates/replication/src/shared.rs
+++ b/crates/replication/src/shared.rs
@@ -43,7 +43,7 @@
         let shown = mirror.generation();
         let (changes, snapshots) = (
             watch::Sender::new(shown),
-            watch::Sender::new(Arc::new(mirror.view())),
+            watch::Sender::new(Arc::new(mirror.snapshot())),
         );
         let state = Mutex::new(State { mirror, shown });
         let (sent, received) = Default::default();
@@ -86,7 +86,8 @@
     fn show(&self, state: &mut State) {
         if state.shown != state.mirror.generation() {
             state.shown = state.mirror.generation();
-            self.snapshots.send_replace(Arc::new(state.mirror.view()));
+            self.snapshots
+                .send_replace(Arc::new(state.mirror.snapshot()));
         }
     }
 
--- a/crates/replication/tests/mirror.rs
+++ b/crates/replication/tests/mirror.rs
@@ -88,7 +88,7 @@
 
 /// `to` pulls from `from` once.
 fn follow(to: &mut Mirror, from: &Mirror, now: Duration) -> Option<Update> {
-    let news = from.news_for(now, &pull(to));
+    let news = from.update_for(now, &pull(to));
     if let Some(news) = &news {
         to.apply(now, news);
     }
@@ -103,7 +103,7 @@
         None,
         "nothing is known yet"
     );
-    member.set_ledger(1, document(2), &["x".to_owned()]);
+    member.set_replicated_state(1, document(2), &["x".to_owned()]);
     member.apply(
         ms(0),
         &news(vec![source(
@@ -131,7 +131,7 @@
     assert_eq!(change.configuration, None);
     assert_eq!(change.origins, [source(1, 1, 4, false, vec![host("b", 9)])]);
 
-    member.set_ledger(2, document(5), &[]);
+    member.set_replicated_state(2, document(5), &[]);
     let change = follow(&mut agent, &member, ms(2))
         .unwrap()
         .configuration
@@ -142,21 +142,25 @@
         (2, &["v2".to_owned()][..]),
         "the same stays"
     );
-    let view = agent.view();
+    let view = agent.snapshot();
     assert_eq!(
-        (view.ledger, view.document.version, view.drains.len()),
+        (
+            view.index,
+            view.configuration.version,
+            view.draining_hosts.len()
+        ),
         (2, 5, 0)
     );
-    assert_eq!(view.document.routes.len(), 3);
+    assert_eq!(view.configuration.routes.len(), 3);
     assert_eq!(follow(&mut agent, &member, ms(2)), None);
 }
 
 #[test]
 fn drains_alone_carry_no_configuration() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.set_ledger(1, document(2), &[]);
+    member.set_replicated_state(1, document(2), &[]);
     follow(&mut agent, &member, ms(0));
-    member.set_ledger(2, document(2), &["i".to_owned()]);
+    member.set_replicated_state(2, document(2), &["i".to_owned()]);
     let config = follow(&mut agent, &member, ms(0))
         .unwrap()
         .configuration
@@ -165,7 +169,7 @@
         (config.base_version, config.version, config.routes.len()),
         (2, 2, 0)
     );
-    assert!(agent.view().drains.contains("i"));
+    assert!(agent.snapshot().draining_hosts.contains("i"));
 }
 
 fn names(names: &[&str]) -> Vec<String> {
@@ -175,7 +179,7 @@
 #[test]
 fn of_drains_only_what_changed_is_told() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.set_ledger(1, document(2), &names(&["a", "b", "c"]));
+    member.set_replicated_state(1, document(2), &names(&["a", "b", "c"]));
     let config = follow(&mut agent, &member, ms(0))
         .unwrap()
         .configuration
@@ -184,8 +188,8 @@
         (config.drains_base_index, config.drains),
         (0, names(&["a", "b", "c"]))
     );
-    member.set_ledger(2, document(2), &names(&["a", "b", "c", "d"]));
-    member.set_ledger(3, document(2), &names(&["b", "c", "d", "e"]));
+    member.set_replicated_state(2, document(2), &names(&["a", "b", "c", "d"]));
+    member.set_replicated_state(3, document(2), &names(&["b", "c", "d", "e"]));
     let config = follow(&mut agent, &member, ms(0))
         .unwrap()
         .configuration
@@ -195,8 +199,11 @@
         (config.drains, config.removed_drains),
         (names(&["d", "e"]), names(&["a"]))
     );
-    assert_eq!(agent.view().drains, member.view().drains);
-    member.set_ledger(4, document(5), &names(&["b", "c", "d", "e"]));
+    assert_eq!(
+        agent.snapshot().draining_hosts,
+        member.snapshot().draining_hosts
+    );
+    member.set_replicated_state(4, document(5), &names(&["b", "c", "d", "e"]));
     let config = follow(&mut agent, &member, ms(0))
         .unwrap()
         .configuration
@@ -206,17 +213,17 @@
         (names(&[]), names(&[])),
         "a configuration alone"
     );
-    assert_eq!(agent.view().drains.len(), 4);
+    assert_eq!(agent.snapshot().draining_hosts.len(), 4);
 }
 
 #[test]
 fn who_is_at_a_change_that_was_jumped_over_here_gets_all_drains() {
     let (mut far, mut near, mut agent) = (mirror(1), mirror(2), mirror(0));
-    far.set_ledger(1, document(2), &names(&["a"]));
+    far.set_replicated_state(1, document(2), &names(&["a"]));
     follow(&mut near, &far, ms(0));
-    far.set_ledger(2, document(2), &names(&["a", "b"]));
+    far.set_replicated_state(2, document(2), &names(&["a", "b"]));
     follow(&mut agent, &far, ms(0));
-    far.set_ledger(3, document(2), &names(&["c"]));
+    far.set_replicated_state(3, document(2), &names(&["c"]));
     follow(&mut near, &far, ms(0));
     let config = follow(&mut agent, &near, ms(0))
         .unwrap()
@@ -226,34 +233,40 @@
         config.drains_base_index, 0,
         "that b came and went isn't known there"
     );
-    assert_eq!(agent.view().drains, far.view().drains);
+    assert_eq!(
+        agent.snapshot().draining_hosts,
+        far.snapshot().draining_hosts
+    );
 }
 
 #[test]
 fn changes_of_drains_are_taken_on_top_of_what_they_add_to_only() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.set_ledger(1, document(2), &names(&["a"]));
+    member.set_replicated_state(1, document(2), &names(&["a"]));
     follow(&mut agent, &member, ms(0));
     let asked = pull(&agent);
-    member.set_ledger(2, document(2), &names(&["b"]));
+    member.set_replicated_state(2, document(2), &names(&["b"]));
     follow(&mut agent, &member, ms(0));
     // The answer to the earlier pull comes late.
-    member.set_ledger(3, document(2), &names(&["b", "c"]));
-    let late = member.news_for(ms(0), &asked).unwrap();
+    member.set_replicated_state(3, document(2), &names(&["b", "c"]));
+    let late = member.update_for(ms(0), &asked).unwrap();
     assert_eq!(late.configuration.as_ref().unwrap().drains_base_index, 1);
     assert!(!agent.apply(ms(0), &late));
-    assert_eq!(agent.ledger(), 2);
+    assert_eq!(agent.index(), 2);
     follow(&mut agent, &member, ms(0));
-    assert_eq!(agent.view().drains, member.view().drains);
+    assert_eq!(
+        agent.snapshot().draining_hosts,
+        member.snapshot().draining_hosts
+    );
 }
 
 #[test]
 fn who_is_far_behind_gets_all_drains() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.set_ledger(1, document(2), &names(&["a"]));
+    member.set_replicated_state(1, document(2), &names(&["a"]));
     follow(&mut agent, &member, ms(0));
     for seq in 2..1000 {
-        member.set_ledger(seq, document(2), &[format!("i-{seq}")]);
+        member.set_replicated_state(seq, document(2), &[format!("i-{seq}")]);
     }
     let config = follow(&mut agent, &member, ms(0))
         .unwrap()
@@ -263,16 +276,22 @@
         (config.drains_base_index, config.drains),
         (0, names(&["i-999"]))
     );
-    assert_eq!(agent.view().drains, member.view().drains);
+    assert_eq!(
+        agent.snapshot().draining_hosts,
+        member.snapshot().draining_hosts
+    );
 }
 
 #[test]
 fn drains_come_before_any_configuration() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.set_ledger(1, Arc::default(), &["i".to_owned()]);
+    member.set_replicated_state(1, Arc::default(), &["i".to_owned()]);
     follow(&mut agent, &member, ms(0));
     assert_eq!(
-        (agent.view().document.version, agent.view().drains.len()),
+        (
+            agent.snapshot().configuration.version,
+            agent.snapshot().draining_hosts.len()
+        ),
         (0, 1)
     );
 }
@@ -283,41 +302,41 @@
 #[case::lower_version(5, 3)]
 fn it_never_goes_back(#[case] ledger: u64, #[case] version: u64) {
     let (mut old, mut agent) = (mirror(1), mirror(0));
-    agent.set_ledger(4, document(4), &[]);
-    old.set_ledger(ledger, document(version), &[]);
-    let all = old.news_for(ms(0), &Pull::default()).unwrap();
+    agent.set_replicated_state(4, document(4), &[]);
+    old.set_replicated_state(ledger, document(version), &[]);
+    let all = old.update_for(ms(0), &Pull::default()).unwrap();
     assert!(!agent.apply(ms(0), &all));
-    assert_eq!((agent.ledger(), agent.document().version), (4, 4));
-    assert!(!agent.set_ledger(ledger, document(version), &[]));
+    assert_eq!((agent.index(), agent.configuration().version), (4, 4));
+    assert!(!agent.set_replicated_state(ledger, document(version), &[]));
 }
 
 #[test]
 fn a_change_on_another_version_is_passed_over_and_asked_for_again() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.set_ledger(1, document(2), &[]);
+    member.set_replicated_state(1, document(2), &[]);
     follow(&mut agent, &member, ms(0));
     let stale = pull(&agent);
     // Another member is faster.
     let mut other = mirror(2);
-    other.set_ledger(2, document(3), &[]);
+    other.set_replicated_state(2, document(3), &[]);
     follow(&mut agent, &other, ms(0));
-    member.set_ledger(2, document(3), &[]);
-    member.set_ledger(3, document(6), &[]);
-    let late = member.news_for(ms(0), &stale).unwrap();
+    member.set_replicated_state(2, document(3), &[]);
+    member.set_replicated_state(3, document(6), &[]);
+    let late = member.update_for(ms(0), &stale).unwrap();
     assert_eq!(late.configuration.as_ref().unwrap().base_version, 2);
     assert!(!agent.apply(ms(0), &late));
-    assert_eq!(agent.document().version, 3);
+    assert_eq!(agent.configuration().version, 3);
     follow(&mut agent, &member, ms(0));
-    assert_eq!(agent.document().version, 6);
+    assert_eq!(agent.configuration().version, 6);
 }
 
 #[test]
 fn an_unreadable_change_makes_it_ask_for_the_whole() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.set_ledger(1, document(2), &[]);
+    member.set_replicated_state(1, document(2), &[]);
     follow(&mut agent, &member, ms(0));
-    member.set_ledger(2, document(3), &[]);
-    let mut bad = member.news_for(ms(0), &pull(&agent)).unwrap();
+    member.set_replicated_state(2, document(3), &[]);
+    let mut bad = member.update_for(ms(0), &pull(&agent)).unwrap();
     bad.configuration.as_mut().unwrap().routes[0] = "{".into();
     assert!(!agent.apply(ms(0), &bad));
     assert_eq!(pull(&agent).configuration_version, 0);
@@ -330,7 +349,10 @@
         0
     );
     assert_eq!(
-        (agent.document().version, pull(&agent).configuration_version),
+        (
+            agent.configuration().version,
+            pull(&agent).configuration_version
+        ),
         (3, 3)
     );
 }
@@ -339,10 +361,10 @@
 fn a_version_out_of_memory_gets_the_whole() {
     let mut member = mirror(1);
     for n in 1..=40 {
-        member.set_ledger(n, document(n), &[]);
+        member.set_replicated_state(n, document(n), &[]);
     }
     let config = |version| {
-        member.news_for(
+        member.update_for(
             ms(0),
             &Pull {
                 index: version,
@@ -369,13 +391,16 @@
     );
     follow(&mut a, &b, ms(0));
     follow(&mut agent, &a, ms(0));
-    assert_eq!(agent.view().hosts.keys().collect::<Vec<_>>(), ["a", "b"]);
+    assert_eq!(
+        agent.snapshot().hosts.keys().collect::<Vec<_>>(),
+        ["a", "b"]
+    );
     assert_eq!(
         follow(&mut agent, &b, ms(0)),
         None,
         "it lacks nothing that b has"
     );
-    assert_eq!(agent.vector(), a.vector());
+    assert_eq!(agent.version_vector(), a.version_vector());
 }
 
 #[test]
@@ -394,7 +419,7 @@
         ms(0),
         &news(vec![source(9, 1, 9, false, vec![host("b", 1)])])
     ));
-    assert_eq!(agent.view().hosts.len(), 1);
+    assert_eq!(agent.snapshot().hosts.len(), 1);
 }
 
 #[test]
@@ -411,7 +436,7 @@
         )]),
     );
     agent.apply(ms(100), &news(vec![source(1, 2, 1, true, vec![])]));
-    assert_eq!(agent.view().hosts.len(), 2, "they stay");
+    assert_eq!(agent.snapshot().hosts.len(), 2, "they stay");
     agent.apply(
         ms(900),
         &news(vec![source(1, 2, 2, false, vec![host("b", 6)])]),
@@ -420,7 +445,7 @@
     assert!(!agent.tick(ms(4099)));
     assert!(agent.tick(ms(4100)));
     assert_eq!(
-        agent.view().hosts.keys().collect::<Vec<_>>(),
+        agent.snapshot().hosts.keys().collect::<Vec<_>>(),
         ["b"],
         "who has not called again is dropped"
     );
@@ -436,14 +461,14 @@
             vec![host("a", 5), host("b", 5)],
         )]),
     );
-    assert_eq!(slow.news_for(ms(4200), &pull(&agent)), None);
+    assert_eq!(slow.update_for(ms(4200), &pull(&agent)), None);
     assert!(!agent.apply(
         ms(4200),
         &news(vec![source(1, 1, 6, true, vec![host("a", 5)])])
     ));
     // And who has the older life is told of the newer.
     follow(&mut slow, &agent, ms(4200));
-    assert_eq!(slow.view().hosts["b"].call_seq, 6);
+    assert_eq!(slow.snapshot().hosts["b"].call_seq, 6);
 }
 
 #[test]
@@ -454,13 +479,13 @@
         &news(vec![source(1, 1, 5, true, vec![host("a", 5)])]),
     );
     follow(&mut agent, &member, ms(0));
-    member.retire(ms(1000), 1);
+    member.remove_origin(ms(1000), 1);
     let told = follow(&mut agent, &member, ms(1500)).unwrap();
     assert_eq!(told.removed_origins, [1]);
     assert_eq!(follow(&mut agent, &member, ms(1500)), None, "once");
-    assert_eq!(agent.view().hosts.len(), 1);
+    assert_eq!(agent.snapshot().hosts.len(), 1);
     assert!(agent.tick(ms(5500)));
-    assert_eq!(agent.view().hosts.len(), 0);
+    assert_eq!(agent.snapshot().hosts.len(), 0);
     assert_eq!(
         follow(&mut agent, &member, ms(5500)),
         None,
@@ -474,7 +499,7 @@
         &news(vec![source(1, 2, 1, true, vec![host("a", 9)])]),
     );
     follow(&mut agent, &member, ms(6000));
-    assert_eq!(agent.view().hosts["a"].call_seq, 9);
+    assert_eq!(agent.snapshot().hosts["a"].call_seq, 9);
 }
 
 #[test]
@@ -484,13 +509,13 @@
         ms(0),
         &news(vec![source(1, 1, 5, true, vec![host("a", 5)])]),
     );
-    member.retire(ms(0), 1);
+    member.remove_origin(ms(0), 1);
     member.apply(
         ms(100),
         &news(vec![source(1, 1, 6, false, vec![host("b", 1)])]),
     );
     assert!(!member.tick(ms(9000)));
-    assert_eq!(member.view().hosts.len(), 2);
+    assert_eq!(member.snapshot().hosts.len(), 2);
 }
 
 #[test]
@@ -521,8 +546,8 @@
             source(2, 1, 1, true, second),
         ]),
     );
-    agent.set_ledger(1, document(1), &["moved".to_owned()]);
-    let hosts = agent.view().hosts;
+    agent.set_replicated_state(1, document(1), &["moved".to_owned()]);
+    let hosts = agent.snapshot().hosts;
     assert_eq!(
         (hosts["moved"].call_seq, hosts["moved"].heartbeat_expired),
         (8, false),
@@ -544,7 +569,7 @@
     };
     agent.apply(ms(0), &news(vec![source(1, 1, 1, true, vec![at("z", 50)])]));
     agent.apply(ms(9), &news(vec![source(2, 1, 1, true, vec![at("a", 1)])]));
-    let hosts = agent.view().hosts;
+    let hosts = agent.snapshot().hosts;
     assert_eq!(
         (hosts["z"].phase, hosts["a"].phase),
         (phase::GONE, phase::READY)
@@ -557,7 +582,7 @@
         ms(9),
         &news(vec![source(1, 1, 1, true, vec![at("a", 1), at("z", 50)])]),
     );
-    assert_eq!(at_once.view().hosts["z"].phase, phase::GONE);
+    assert_eq!(at_once.snapshot().hosts["z"].phase, phase::GONE);
 }
 
 #[test]
@@ -578,16 +603,16 @@
     member.apply(ms(500), &news(vec![source(2, 1, 2, false, vec![end])]));
     let late = pull(&agent);
     follow(&mut agent, &member, ms(500));
-    assert_eq!(agent.view().hosts["a"].phase, phase::GONE);
+    assert_eq!(agent.snapshot().hosts["a"].phase, phase::GONE);
     assert_eq!(member.next_tick(), Some(ms(60_500)));
     assert!(member.tick(ms(60_500)));
     assert!(
-        member.view().hosts.is_empty(),
+        member.snapshot().hosts.is_empty(),
         "neither source has it any more"
     );
     assert_eq!(follow(&mut agent, &member, ms(60_500)), None);
     // Who lacks the change that is forgotten is told all.
-    assert!(member.news_for(ms(60_500), &late).unwrap().origins[0].complete);
+    assert!(member.update_for(ms(60_500), &late).unwrap().origins[0].complete);
 }
 
 #[test]
@@ -609,7 +634,7 @@
         &news(vec![source(2, 1, 9, true, vec![host("b", 1)])]),
     );
     follow(&mut agent, &member, ms(0));
-    assert_eq!(agent.view().hosts.keys().collect::<Vec<_>>(), ["b"]);
+    assert_eq!(agent.snapshot().hosts.keys().collect::<Vec<_>>(), ["b"]);
 }
 
 #[test]
@@ -630,19 +655,22 @@
         ]),
     );
     assert_eq!(
-        agent.view().coordinators.iter().collect::<Vec<_>>(),
+        agent.snapshot().coordinators.iter().collect::<Vec<_>>(),
         ["a", "c"]
     );
-    agent.retire(ms(0), 2);
-    assert_eq!(agent.view().coordinators.iter().collect::<Vec<_>>(), ["a"]);
+    agent.remove_origin(ms(0), 2);
+    assert_eq!(
+        agent.snapshot().coordinators.iter().collect::<Vec<_>>(),
+        ["a"]
+    );
 }
 
 #[test]
 fn its_age_is_that_of_the_best_proof() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     assert_eq!(agent.age_ms(ms(5000)), u32::MAX, "no word yet");
-    member.proved(ms(1000));
-    agent.apply(ms(1200), &member.no_news(ms(1200)));
+    member.record_primary_contact(ms(1000));
+    agent.apply(ms(1200), &member.empty_update(ms(1200)));
     assert_eq!(agent.age_ms(ms(1300)), 300);
     agent.apply(
         ms(1300),
@@ -661,11 +689,11 @@
 #[test]
 fn a_change_that_does_not_fit_is_no_proof() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
-    member.proved(ms(1000));
-    member.set_ledger(1, document(1), &[]);
-    member.set_ledger(2, document(2), &[]);
+    member.record_primary_contact(ms(1000));
+    member.set_replicated_state(1, document(1), &[]);
+    member.set_replicated_state(2, document(2), &[]);
     let news = member
-        .news_for(
+        .update_for(
             ms(1000),
             &Pull {
                 index: 1,
@@ -685,23 +713,26 @@
         ..MemberInfo::default()
     };
     let (mut primary, mut other, mut agent) = (mirror(1), mirror(2), mirror(0));
-    assert!(primary.set_fleet(3, 1, vec![seat(1)]));
-    assert!(!primary.set_fleet(3, 1, vec![seat(1)]), "no change");
-    assert!(primary.set_fleet(3, 1, vec![seat(1), seat(2)]));
-    assert!(other.set_fleet(3, 1, vec![seat(1)]));
-    assert!(!other.set_fleet(3, 1, vec![seat(2)]));
+    assert!(primary.set_control_plane(3, 1, vec![seat(1)]));
+    assert!(!primary.set_control_plane(3, 1, vec![seat(1)]), "no change");
+    assert!(primary.set_control_plane(3, 1, vec![seat(1), seat(2)]));
+    assert!(other.set_control_plane(3, 1, vec![seat(1)]));
+    assert!(!other.set_control_plane(3, 1, vec![seat(2)]));
     follow(&mut other, &primary, ms(0));
-    assert_eq!(other.fleet(), primary.fleet());
+    assert_eq!(other.control_plane(), primary.control_plane());
     follow(&mut agent, &other, ms(0));
-    assert_eq!(agent.fleet().members.len(), 2);
-    assert!(other.set_fleet(4, 2, vec![seat(2)]));
+    assert_eq!(agent.control_plane().members.len(), 2);
+    assert!(other.set_control_plane(4, 2, vec![seat(2)]));
     follow(&mut agent, &other, ms(0));
     assert_eq!(
         follow(&mut agent, &primary, ms(0)),
         None,
         "the lower epoch is no news"
     );
-    assert_eq!((agent.fleet().epoch, agent.fleet().primary), (4, 2));
+    assert_eq!(
+        (agent.control_plane().epoch, agent.control_plane().primary),
+        (4, 2)
+    );
 }
 
 #[test]
@@ -713,14 +744,14 @@
         source(3, 1, 1, true, vec![host("a", 6)]),
     ];
     member.apply(ms(0), &news(sources));
-    assert_eq!(member.host_elsewhere(1, "a").unwrap().call_seq, 6);
-    assert!(member.host_elsewhere(1, "b").is_none());
+    assert_eq!(member.host_at_other_origins(1, "a").unwrap().call_seq, 6);
+    assert!(member.host_at_other_origins(1, "b").is_none());
 }
 
 #[test]
 fn coordinators_are_counted_once_though_several_members_tell_of_them() {
     let mut agent = mirror(0);
-    assert_eq!(agent.coordinators(), 0);
+    assert_eq!(agent.coordinator_estimate(), 0);
     for id in 1..=5 {
         let mut told = source(id, 1, 1, true, vec![]);
         told.coordinators = (0..6)
@@ -729,7 +760,7 @@
         agent.apply(ms(0), &news(vec![told]));
     }
     assert_eq!(
-        agent.coordinators(),
+        agent.coordinator_estimate(),
         10,
         "five members, three of which each pulls from"
     );
@@ -764,15 +795,15 @@
         let document = Arc::new(
             (*large(version, all_differ))
                 .clone()
-                .sharing(member.document()),
+                .sharing(member.configuration()),
         );
         versions.push(document.clone());
-        member.set_ledger(version, document, &[]);
+        member.set_replicated_state(version, document, &[]);
     }
     for behind in 1..20_u64 {
-        let mut agent = mirror(0).at_the_end();
-        agent.set_ledger(behind, versions[behind as usize - 1].clone(), &[]);
-        let news = member.news_for(ms(0), &pull(&agent)).unwrap();
+        let mut agent = mirror(0).without_history();
+        agent.set_replicated_state(behind, versions[behind as usize - 1].clone(), &[]);
+        let news = member.update_for(ms(0), &pull(&agent)).unwrap();
         let from = news.configuration.as_ref().unwrap().base_version;
         if known.contains(&behind) {
             assert_eq!(from, behind);
@@ -780,7 +811,7 @@
             assert_eq!(from, if behind < 18 { 0 } else { behind }, "{behind}");
         }
         agent.apply(ms(0), &news);
-        assert_eq!(agent.document().version, 20);
-        assert_eq!(agent.document().routes, member.document().routes);
+        assert_eq!(agent.configuration().version, 20);
+        assert_eq!(agent.configuration().routes, member.configuration().routes);
     }
 }
--- a/crates/replication/tests/puller.rs
+++ b/crates/replication/tests/puller.rs
@@ -283,7 +283,7 @@
 
 #[test]
 fn a_fixed_one_keeps_to_its_seeds() {
-    let mut puller = Puller::new("edge-1", 1, None).fixed();
+    let mut puller = Puller::new("edge-1", 1, None).seeds_only();
     puller.set_seeds(&[addr(5)]);
     puller.set_members([addr(1), addr(2)]);
     assert_eq!(
@@ -304,13 +304,13 @@
     assert!(bench.puller.connected(ms(1701), old).is_empty());
     assert!(bench.puller.failed(ms(1701), old).is_empty());
     assert!(bench.puller.answered(ms(1701), old, 1, 0, true).is_empty());
-    assert_eq!(bench.puller.alive().count(), 0);
+    assert_eq!(bench.puller.answering_members().count(), 0);
 }
 
 /// A led puller whose three members have answered; the leading one first.
 fn led() -> (Bench, Vec<u32>) {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2, 3]);
-    bench.puller = Puller::new("edge-1", MEMBERS_PER_AGENT, Some(addr(99))).led();
+    bench.puller = Puller::new("edge-1", MEMBERS_PER_AGENT, Some(addr(99))).preferring_one_member();
     bench.puller.set_seeds(&[addr(1), addr(2), addr(3)]);
     let mut order: Vec<u32> = bench.up();
     let waits: Vec<u32> = bench.waits.values().copied().collect();
@@ -437,7 +437,7 @@
     bench.up();
     let link = bench.link(1);
     for now in [1000, 1600, 2200] {
-        bench.puller.part(ms(now), link);
+        bench.puller.partial_answer(ms(now), link);
         bench.tick(now + 600);
         assert!(bench.find(1).is_some(), "at {now}");
     }
@@ -452,36 +452,39 @@
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     let link = bench.link(1);
-    assert_eq!(bench.puller.asked(link), Some(ms(0)));
-    bench.puller.part(ms(900), link);
+    assert_eq!(bench.puller.pull_sent_at(link), Some(ms(0)));
+    bench.puller.partial_answer(ms(900), link);
     assert_eq!(
-        bench.puller.asked(link),
+        bench.puller.pull_sent_at(link),
         Some(ms(0)),
         "whatever comes meanwhile"
     );
     bench.answered(1000, 1, 0, false);
-    assert_eq!(bench.puller.asked(link), Some(ms(1000)));
+    assert_eq!(bench.puller.pull_sent_at(link), Some(ms(1000)));
     bench.tick(2700);
-    assert_eq!(bench.puller.asked(link), None, "given up");
+    assert_eq!(bench.puller.pull_sent_at(link), None, "given up");
 }
 
 #[test]
 fn it_knows_whether_anybody_may_know_better() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2]);
-    assert!(!bench.puller.none_fresh(), "nobody was asked");
+    assert!(!bench.puller.all_members_stale(), "nobody was asked");
     bench.up();
     bench.answered(5, 1, u32::MAX, true);
-    assert!(!bench.puller.none_fresh(), "the other one hasn't answered");
+    assert!(
+        !bench.puller.all_members_stale(),
+        "the other one hasn't answered"
+    );
     bench.answered(6, 2, 20_000, true);
-    assert!(bench.puller.none_fresh());
+    assert!(bench.puller.all_members_stale());
     bench.puller.set_members([addr(1), addr(2), addr(3)]);
     bench.tick(7);
-    assert!(!bench.puller.none_fresh(), "one more was heard of");
+    assert!(!bench.puller.all_members_stale(), "one more was heard of");
     bench.failed(8, 3);
     assert!(
-        !bench.puller.none_fresh(),
+        !bench.puller.all_members_stale(),
         "one that is down may come back and know better"
     );
     bench.answered(9, 1, 10, true);
-    assert!(!bench.puller.none_fresh());
+    assert!(!bench.puller.all_members_stale());
 }
--- a/crates/replication/tests/stale.rs
+++ b/crates/replication/tests/stale.rs
@@ -24,13 +24,15 @@
 /// A member whose ledger is at a change that brought version 10 times as high.
 fn member(id: u64, seq: u64, proved: Option<Duration>) -> Mirror {
     let mut mirror = Mirror::new(id, BEAT);
-    mirror.set_ledger(seq, document(10 * seq), &[format!("drained-{seq}")]);
-    proved.into_iter().for_each(|at| mirror.proved(at));
+    mirror.set_replicated_state(seq, document(10 * seq), &[format!("drained-{seq}")]);
+    proved
+        .into_iter()
+        .for_each(|at| mirror.record_primary_contact(at));
     mirror
 }
 
 fn starting() -> Mirror {
-    Mirror::new(0, BEAT).withholding()
+    Mirror::new(0, BEAT).withholding_unconfirmed()
 }
 
 /// One pull and its answer, which takes no time.
@@ -39,8 +41,8 @@
     to.apply(
         now,
         &from
-            .news_for(now, &pull)
-            .unwrap_or_else(|| from.no_news(now)),
+            .update_for(now, &pull)
+            .unwrap_or_else(|| from.empty_update(now)),
     );
 }
 
@@ -48,7 +50,7 @@
 fn handed_on(mirror: &Mirror, now: Duration) -> Option<u64> {
     let pull = Mirror::new(0, BEAT).pull(&Subscriber::default(), 0);
     mirror
-        .news_for(now, &pull)
+        .update_for(now, &pull)
         .and_then(|news| news.configuration)
         .map(|config| config.version)
 }
@@ -84,16 +86,23 @@
     let mut agent = starting();
     follow(&mut agent, &cut_off, now);
     assert_eq!(
-        (agent.view().document.version, agent.view().drains.len()),
+        (
+            agent.snapshot().configuration.version,
+            agent.snapshot().draining_hosts.len()
+        ),
         (0, 0),
         "the old one isn't shown"
     );
     assert_eq!(handed_on(&agent, now), None, "nor handed on");
     follow(&mut agent, &well, now + CONFIRMATION_TIMEOUT / 2);
-    assert_eq!(agent.view().document.version, 30);
+    assert_eq!(agent.snapshot().configuration.version, 30);
     assert_eq!(handed_on(&agent, now), Some(30));
     follow(&mut agent, &cut_off, now + CONFIRMATION_TIMEOUT);
-    assert_eq!(agent.view().document.version, 30, "it never goes back");
+    assert_eq!(
+        agent.snapshot().configuration.version,
+        30,
+        "it never goes back"
+    );
 }
 
 #[test]
@@ -104,11 +113,11 @@
     follow(&mut agent, &restarted, now);
     let pull = agent.pull(&Subscriber::default(), 0);
     assert!(
-        well.news_for(now, &pull).is_none(),
+        well.update_for(now, &pull).is_none(),
         "what is withheld isn't sent a second time"
     );
     follow(&mut agent, &well, now + ms(1));
-    assert_eq!(agent.view().document.version, 30);
+    assert_eq!(agent.snapshot().configuration.version, 30);
 }
 
 #[test]
@@ -118,7 +127,7 @@
     follow(&mut agent, &member(1, 1, None), now);
     assert_eq!(agent.next_tick(), Some(now + CONFIRMATION_TIMEOUT));
     agent.tick(now + CONFIRMATION_TIMEOUT - ms(1));
-    assert_eq!(agent.view().document.version, 0);
+    assert_eq!(agent.snapshot().configuration.version, 0);
     // Another that is cut off doesn't prolong it.
     follow(
         &mut agent,
@@ -127,7 +136,7 @@
     );
     assert!(agent.tick(now + CONFIRMATION_TIMEOUT), "waiters hear of it");
     assert_eq!(
-        agent.view().document.version,
+        agent.snapshot().configuration.version,
         20,
         "the newest that was heard of"
     );
@@ -135,7 +144,7 @@
     assert_eq!(agent.next_tick(), None);
     // From then on it goes forward by whoever knows more.
     follow(&mut agent, &member(3, 4, None), now + CONFIRMATION_TIMEOUT);
-    assert_eq!(agent.view().document.version, 40);
+    assert_eq!(agent.snapshot().configuration.version, 40);
 }
 
 #[test]
@@ -144,9 +153,9 @@
     follow(&mut agent, &member(1, 1, None), ms(0));
     follow(&mut agent, &member(2, 2, None), ms(5));
     let before = agent.generation();
-    agent.show_withheld();
+    agent.show_unconfirmed();
     assert!(agent.generation() > before);
-    assert_eq!(agent.view().document.version, 20);
+    assert_eq!(agent.snapshot().configuration.version, 20);
 }
 
 #[test]
@@ -158,14 +167,14 @@
         &member(1, 1, Some(now - ms(STALE_AGE_MS.into()))),
         now,
     );
-    assert_eq!(agent.view().document.version, 10);
+    assert_eq!(agent.snapshot().configuration.version, 10);
 }
 
 #[test]
 fn a_proxy_takes_what_its_agent_shows() {
-    let (now, mut proxy) = (ms(9000), Mirror::new(0, BEAT).at_the_end());
+    let (now, mut proxy) = (ms(9000), Mirror::new(0, BEAT).without_history());
     follow(&mut proxy, &member(1, 1, None), now);
-    assert_eq!(proxy.view().document.version, 10);
+    assert_eq!(proxy.snapshot().configuration.version, 10);
 }
 
 #[test]
@@ -175,9 +184,9 @@
         id: 1,
         ..MemberInfo::default()
     };
-    cut_off.set_fleet(1, 1, vec![seat]);
+    cut_off.set_control_plane(1, 1, vec![seat]);
     follow(&mut agent, &cut_off, ms(0));
-    assert_eq!(agent.fleet().members.len(), 1, "whom else to ask");
+    assert_eq!(agent.control_plane().members.len(), 1, "whom else to ask");
 }
 
 /// Found by `model-check age --deviations 2`: an age beyond the process's own uptime was told as the uptime.
--- a/crates/replication/tests/transitions.rs
+++ b/crates/replication/tests/transitions.rs
@@ -23,7 +23,7 @@
 
 impl Agent {
     fn new() -> Self {
-        let mut puller = Puller::new("edge-1", MEMBERS_PER_AGENT, None).led();
+        let mut puller = Puller::new("edge-1", MEMBERS_PER_AGENT, None).preferring_one_member();
         puller.set_seeds(&[addr(1), addr(2), addr(3)]);
         let (recorder, links, ages) = Default::default();
         Self {
--- a/crates/scale-test/src/coordinators.rs
+++ b/crates/scale-test/src/coordinators.rs
@@ -57,7 +57,7 @@
         let mut version = 0;
         loop {
             changes.borrow_and_update();
-            let now = seen.update(|mirror, _| mirror.document().version);
+            let now = seen.update(|mirror, _| mirror.configuration().version);
             if now > version {
                 version = now;
                 let mut all = log.lock().unwrap_or_else(PoisonError::into_inner);
@@ -71,8 +71,8 @@
     };
     let pulling = client::run(
         puller,
-        replication::no_seat(boot),
-        replication::caller(boot, 0),
+        replication::non_member_info(boot),
+        replication::subscriber(boot, 0),
         shared,
         told,
     );
@@ -101,7 +101,7 @@
                     };
                     let puller = match behind {
                         Some(_) => {
-                            let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
+                            let mut puller = Puller::new(&boot.node_name, 1, None).seeds_only();
                             puller.set_seeds(&[replication::agent_addr(&boot)]);
                             puller
                         }
--- a/crates/simulator/src/world/readers.rs
+++ b/crates/simulator/src/world/readers.rs
@@ -118,12 +118,12 @@
             }
             Place::Agent(_) => (
                 Mirror::new(0, BEAT),
-                Puller::new(&name, MEMBERS_PER_AGENT, None).led(),
+                Puller::new(&name, MEMBERS_PER_AGENT, None).preferring_one_member(),
                 seeds,
             ),
             Place::Proxy(k) => (
-                Mirror::new(0, BEAT).at_the_end(),
-                Puller::new(&name, 1, None).fixed(),
+                Mirror::new(0, BEAT).without_history(),
+                Puller::new(&name, 1, None).seeds_only(),
                 vec![agent_addr(k)],
             ),
         };
@@ -237,7 +237,7 @@
             }
             Event::Update { link, news } if station.links.contains_key(&link) => {
                 // Of a link that was given up nobody knows when it was asked.
-                let news = match station.puller.asked(link) {
+                let news = match station.puller.pull_sent_at(link) {
                     Some(asked) => news.aged(asked, now),
                     None => Update {
                         age_ms: AGE_UNKNOWN,
@@ -274,7 +274,10 @@
         let Some(station) = self.stations.get_mut(&place) else {
             return;
         };
-        let now = (station.mirror.ledger(), station.mirror.document().version);
+        let now = (
+            station.mirror.index(),
+            station.mirror.configuration().version,
+        );
         let before = std::mem::replace(&mut station.seen, now);
         if now.0 < before.0 || now.1 < before.1 {
             self.breach(0, format!("{place:?} went back from {before:?} to {now:?}"));
@@ -288,12 +291,12 @@
             return;
         };
         if station.mirror.generation() != before {
-            let mark = station.mirror.fleet().version;
+            let mark = station.mirror.control_plane().version;
             if mark != station.fleet {
                 station.fleet = mark;
                 let members: Vec<Addr> = station
                     .mirror
-                    .fleet()
+                    .control_plane()
                     .members
                     .iter()
                     .map(|s| s.addr)
@@ -404,7 +407,7 @@
         let Some(station) = self.stations.get_mut(&place) else {
             return true;
         };
-        if let Some(news) = station.mirror.news_for(now, &waits.pull) {
+        if let Some(news) = station.mirror.update_for(now, &waits.pull) {
             self.answer_pull(place, &waits, news);
             true
         } else {
@@ -422,7 +425,7 @@
             return;
         };
         let waits = station.waiting.swap_remove(index);
-        let news = station.mirror.no_news(now);
+        let news = station.mirror.empty_update(now);
         self.answer_pull(place, &waits, news);
     }
 
@@ -457,7 +460,7 @@
         {
             station
                 .mirror
-                .set_ledger(*index, configuration.clone(), drains);
+                .set_replicated_state(*index, configuration.clone(), drains);
             self.follow_up(Place::Member(n), before);
         }
     }
@@ -480,13 +483,13 @@
             station.shown_fleet = (view.epoch, view.primary);
             station
                 .mirror
-                .set_fleet(view.epoch, view.primary, view.voters.clone());
+                .set_control_plane(view.epoch, view.primary, view.voters.clone());
         }
         if let Some(proof) = member
             .primary_contact(now)
-            .filter(|proof| station.mirror.ledger() >= proof.commit_index)
+            .filter(|proof| station.mirror.index() >= proof.commit_index)
         {
-            station.mirror.proved(proof.at);
+            station.mirror.record_primary_contact(proof.at);
         }
         if station.mirror.generation() != before {
             self.follow_up(Place::Member(n), before);
@@ -503,7 +506,7 @@
             primary,
             members,
             ..
-        } = station.mirror.fleet();
+        } = station.mirror.control_plane();
         if let (Some(primary), Some(member)) = (
             members.iter().find(|s| s.id == *primary),
             self.nodes[n].member.as_mut(),
@@ -541,10 +544,13 @@
                 continue;
             };
             let (now, since) = (
-                (station.mirror.ledger(), station.mirror.document().version),
+                (
+                    station.mirror.index(),
+                    station.mirror.configuration().version,
+                ),
                 station.since,
             );
-            let document = self.stations[&place].mirror.document().clone();
+            let document = self.stations[&place].mirror.configuration().clone();
             if !self.orders.is_shown(now.0, &document) {
                 self.breach(
                     0,
