--- a/crates/control-plane/src/host_registry/heartbeat_target.rs
+++ b/crates/control-plane/src/host_registry/heartbeat_target.rs
@@ -12,7 +12,7 @@
 ) -> Option<&'a MemberInfo> {
     let best = reachable.iter().max_by_key(|member| {
         (
-            replication::weight(host, &member.id.to_be_bytes()),
+            replication::rendezvous_weight(host, &member.id.to_be_bytes()),
             member.id,
         )
     })?;
--- a/crates/model-check/src/cluster/machine.rs
+++ b/crates/model-check/src/cluster/machine.rs
@@ -131,7 +131,7 @@
             id: identity.id,
             name: format!("core-{}", self.index),
             addr: member_addr(self.index),
-            control: control_addr(self.index).into(),
+            control_addr: control_addr(self.index).into(),
             zone: format!("z{}", self.index),
             region: "r".into(),
         };
@@ -154,7 +154,7 @@
         let member = Member::new(config, &records, start.opening, spread);
         let mut mirror = Mirror::new(info.id, HEARTBEAT_INTERVAL);
         if start.seeded_bug == SeededBug::FreshAfterStart {
-            mirror.proved(start.opening);
+            mirror.record_primary_contact(start.opening);
         }
         self.process = Some(Process {
             info,
@@ -213,8 +213,8 @@
             canonical::hash_of_member(&process.member, own, LEASE).hash(&mut hasher);
             let mirror = process.mirror.read();
             let shown = (
-                mirror.ledger(),
-                mirror.document().version,
+                mirror.index(),
+                mirror.configuration().version,
                 mirror.age_ms(own).min(9000),
             );
             (shown, &process.writes).hash(&mut hasher);
@@ -245,9 +245,9 @@
             return;
         }
         let proof = self.member.primary_contact(now);
-        if let Some(proof) = proof.filter(|proof| self.mirror.read().ledger() >= proof.commit_index)
+        if let Some(proof) = proof.filter(|proof| self.mirror.read().index() >= proof.commit_index)
         {
-            self.mirror.get().proved(proof.at);
+            self.mirror.get().record_primary_contact(proof.at);
         }
     }
 }
--- a/crates/model-check/src/cluster/world/pulls.rs
+++ b/crates/model-check/src/cluster/world/pulls.rs
@@ -53,8 +53,8 @@
         let pull = puller.pull(&Subscriber::default(), 0);
         let (clock, mirror) = (process.clock(self.now), process.mirror.read());
         mirror
-            .news_for(clock, &pull)
-            .unwrap_or_else(|| mirror.no_news(clock))
+            .update_for(clock, &pull)
+            .unwrap_or_else(|| mirror.empty_update(clock))
     }
 
     fn pull_as_member(
@@ -96,7 +96,7 @@
         }
         let mirror = reader.mirror.get();
         mirror.apply(now, update);
-        let in_force = (mirror.ledger(), mirror.document().version);
+        let in_force = (mirror.index(), mirror.configuration().version);
         let fresh = fresh_at(mirror, now, now).filter(|_| context.scenario.ages);
         if in_force < reader.newest {
             let detail = format!("{in_force:?} from {member} after {:?}", reader.newest);
@@ -121,7 +121,7 @@
         match fresh_at(&mirror, process.clock(self.now), self.now) {
             Some(fresh) => {
                 self.observations
-                    .check_freshness(&format!("machine {n}"), fresh, mirror.ledger())
+                    .check_freshness(&format!("machine {n}"), fresh, mirror.index())
             }
             None => Ok(()),
         }
--- a/crates/simulator/src/world/subscriber_checks.rs
+++ b/crates/simulator/src/world/subscriber_checks.rs
@@ -44,7 +44,7 @@
         };
         let in_force = InForce::of(&subscriber.mirror);
         let started_at = subscriber.started_at;
-        let document = subscriber.mirror.document();
+        let document = subscriber.mirror.configuration();
         if !self.request_log.was_published(in_force.index, document) {
             let description = format!("{process:?} has {in_force:?}, which was not published");
             self.report_violation(0, Violation::new(description));
