--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -1,182 +1,266 @@
-//! Commands of hosts and the operator, taken by any member and run by the primary.
+//! Commands of hosts and operators. Any member takes them; the primary runs them.
 
-use super::transfer::{command_bytes, extra_time};
-use super::{Member, Output, Role};
+use super::transfer_time::{command_bytes, extra_flight_time};
+use super::{Member, Output};
 use configuration::ResultCode;
 use protocol::{Command, MemberInfo, Message};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A command that the primary has not answered is asked again after this, and the time that a long one may be on
-/// its way; asking twice does no harm.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+/// A command that the primary hasn't answered is sent again after this time, plus the time that a large one may be in
+/// flight. Running a command twice does no harm.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// A member that has known no primary for this many lease durations is partitioned off, or more than a takeover is going
+/// on: its callers are better served by another member.
+const PARTITIONED_AFTER_LEASES: u32 = 2;
+/// The longest that a command waits for its answer at such a member.
+const PARTITIONED_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A member that has known no primary for so many leases is cut off, or more than a takeover is under way: its
-/// callers are better served elsewhere.
-const CUT_OFF_AFTER_LEASES: u32 = 2;
-/// The longest that a command waits for its answer at a member that is cut off.
-const CUT_OFF_PATIENCE: Duration = Duration::from_millis(250);
+/// Where an answer goes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum CommandSource {
+    /// A caller of this member.
+    Local { ticket: u64 },
+    /// Another member.
+    Remote { member: u64, request_id: u64 },
+}
 
 /// A command of a caller of this member.
 #[derive(Clone, Debug)]
-pub(super) struct LocalCommand {
+struct LocalCommand {
     command: Command,
-    since: Duration,
-    /// The primary that was asked last, and when.
-    pub(super) asked: Option<(u64, Duration)>,
-    /// Whether a primary may have it.
-    sent: bool,
-    /// A primary that has not answered is asked again after this.
-    ask_again: Duration,
+    received_at: Duration,
+    /// The latest primary that got the command; none if it has to be sent to the next one.
+    last_request: Option<SentRequest>,
+    /// Whether any primary may have got it.
+    may_have_run: bool,
+    /// A primary that hasn't answered gets the command again after this time.
+    retry_interval: Duration,
 }
 
-/// Where an answer goes.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Source {
-    /// A caller of this member.
-    LocalCommand(u64),
-    /// Another member, with its number.
-    Remote(u64, u64),
+#[derive(Clone, Copy, Debug)]
+struct SentRequest {
+    primary: u64,
+    at: Duration,
 }
 
-impl Member {
-    pub(super) fn on_command(&mut self, ticket: u64, command: Command) {
-        let ask_again = ASK_AGAIN + extra_time(command_bytes(&command));
-        let local = LocalCommand {
+impl LocalCommand {
+    fn new(command: Command, now: Duration) -> Self {
+        Self {
+            retry_interval: RETRY_INTERVAL + extra_flight_time(command_bytes(&command)),
             command,
-            since: self.now,
-            asked: None,
-            sent: false,
-            ask_again,
+            received_at: now,
+            last_request: None,
+            may_have_run: false,
+        }
+    }
+
+    /// Whether it has to be sent to the primary now. The own state machine loses no command.
+    fn is_due(&self, primary: u64, own_id: u64, now: Duration) -> bool {
+        self.last_request.is_none_or(|request| {
+            let has_no_answer = primary != own_id && now >= request.at + self.retry_interval;
+            request.primary != primary || has_no_answer
+        })
+    }
+
+    /// The result if no answer arrives in time.
+    fn timeout_code(&self) -> ResultCode {
+        if self.may_have_run {
+            ResultCode::Unclear
+        } else {
+            ResultCode::NoPrimary
+        }
+    }
+
+    fn next_retry(&self, own_id: u64) -> Option<Duration> {
+        let request = self.last_request.filter(|r| r.primary != own_id)?;
+        Some(request.at + self.retry_interval)
+    }
+}
+
+/// The commands that callers of this member wait for.
+#[derive(Clone, Debug)]
+pub(super) struct LocalCommands {
+    by_ticket: BTreeMap<u64, LocalCommand>,
+    /// Since when no primary is known; none while one is.
+    without_primary_since: Option<Duration>,
+    /// Added to a ticket, it is the request id for other members. It differs for each incarnation.
+    request_id_base: u64,
+}
+
+impl LocalCommands {
+    pub(super) fn new(request_id_base: u64, now: Duration) -> Self {
+        Self {
+            by_ticket: BTreeMap::new(),
+            without_primary_since: Some(now),
+            request_id_base,
+        }
+    }
+
+    /// The next primary gets all commands, whoever got them before.
+    pub(super) fn forget_requests(&mut self) {
+        for command in self.by_ticket.values_mut() {
+            command.last_request = None;
+        }
+    }
+
+    /// The ticket of a request id. An id that an earlier incarnation gave leads to a ticket that isn't there.
+    fn ticket(&self, request_id: u64) -> u64 {
+        request_id.wrapping_sub(self.request_id_base)
+    }
+
+    fn request_id(&self, ticket: u64) -> u64 {
+        self.request_id_base.wrapping_add(ticket)
+    }
+
+    fn record_primary(&mut self, is_known: bool, now: Duration) {
+        self.without_primary_since = if is_known {
+            None
+        } else {
+            self.without_primary_since.or(Some(now))
         };
-        self.local.insert(ticket, local);
     }
 
-    pub(super) fn on_ask(&mut self, from: MemberInfo, id: u64, command: Command) {
-        if let Role::Primary(state) = &mut self.role {
-            let source = Source::Remote(from.id, id);
-            if !state.inbox.iter().any(|i| i.0 == source) && !state.early.contains(source) {
-                state.inbox.push_back((source, command));
+    /// Takes the commands that have to be sent to the primary now.
+    fn take_due(&mut self, primary: u64, own_id: u64, now: Duration) -> Vec<(u64, Command)> {
+        let mut due = Vec::new();
+        for (ticket, command) in &mut self.by_ticket {
+            if command.is_due(primary, own_id, now) {
+                command.last_request = Some(SentRequest { primary, at: now });
+                command.may_have_run = true;
+                due.push((*ticket, command.command.clone()));
+            }
+        }
+        due
+    }
+
+    /// The commands that have waited too long, with the result that their callers get.
+    fn timed_out(&self, now: Duration, timeout: Duration) -> Vec<(u64, ResultCode)> {
+        let commands = self.by_ticket.iter();
+        commands
+            .filter(|(_, command)| now >= command.received_at + timeout)
+            .map(|(ticket, command)| (*ticket, command.timeout_code()))
+            .collect()
+    }
+}
+
+impl Member {
+    pub(super) fn on_command(&mut self, ticket: u64, command: Command) {
+        let command = LocalCommand::new(command, self.now);
+        self.commands.by_ticket.insert(ticket, command);
+    }
+
+    /// Another member forwarded a command. Its retry is no second proposal.
+    pub(super) fn on_forwarded_command(
+        &mut self,
+        from: &MemberInfo,
+        request_id: u64,
+        command: Command,
+    ) {
+        let source = CommandSource::Remote {
+            member: from.id,
+            request_id,
+        };
+        if let Some(primary) = self.role.primary_mut() {
+            if !primary.has_proposal(source) {
+                primary.propose(source, command);
             }
         }
     }
 
-    pub(super) fn on_answer(&mut self, id: u64, code: u16, text: Vec<u8>, out: &mut Vec<Output>) {
+    pub(super) fn on_command_result(
+        &mut self,
+        request_id: u64,
+        code: u16,
+        body: Vec<u8>,
+        out: &mut Vec<Output>,
+    ) {
         let code = ResultCode::of(code).unwrap_or(ResultCode::Unclear);
-        // A number that this life didn't give belongs to a call of an earlier one.
-        let ticket = id.wrapping_sub(self.forward_base);
-        self.answer(Source::LocalCommand(ticket), code, text, out);
+        let ticket = self.commands.ticket(request_id);
+        self.answer(CommandSource::Local { ticket }, code, body, out);
     }
 
     pub(super) fn answer(
         &mut self,
-        to: Source,
+        source: CommandSource,
         code: ResultCode,
         body: Vec<u8>,
         out: &mut Vec<Output>,
     ) {
-        match to {
-            Source::LocalCommand(ticket) if self.local.remove(&ticket).is_some() => {
-                out.push(Output::Answer { ticket, code, body });
+        match source {
+            CommandSource::Local { ticket } => {
+                if self.commands.by_ticket.remove(&ticket).is_some() {
+                    out.push(Output::Answer { ticket, code, body });
+                }
             }
-            Source::LocalCommand(_) => {}
-            Source::Remote(member, id) => {
-                self.send(
-                    member,
-                    Message::CommandResult {
-                        request_id: id,
-                        code: code.number(),
-                        body,
-                    },
-                    out,
-                );
+            CommandSource::Remote { member, request_id } => {
+                let message = Message::CommandResult {
+                    request_id,
+                    code: code.number(),
+                    body,
+                };
+                self.send(member, message, out);
             }
         }
     }
 
-    /// Hands what waits to whoever acts, and ends what has waited too long.
+    /// Ends the commands that have waited too long, sends the others to the primary, and runs them if that is this
+    /// member.
     pub(super) fn run_commands(&mut self, out: &mut Vec<Output>) {
-        let (now, me) = (self.now, self.me());
-        self.note_primary();
-        let patience = self.patience();
-        let forward_base = self.forward_base;
-        let over: Vec<u64> = self
-            .local
-            .iter()
-            .filter(|l| now >= l.1.since + patience)
-            .map(|l| *l.0)
-            .collect();
-        for ticket in over {
-            let code = if self.local[&ticket].sent {
-                ResultCode::Unclear
-            } else {
-                ResultCode::NoPrimary
-            };
-            self.answer(Source::LocalCommand(ticket), code, Vec::new(), out);
+        let is_known = self.primary().is_some();
+        self.commands.record_primary(is_known, self.now);
+        let timeout = self.request_timeout();
+        for (ticket, code) in self.commands.timed_out(self.now, timeout) {
+            self.answer(CommandSource::Local { ticket }, code, Vec::new(), out);
         }
-        if let Some(primary) = self.primary().filter(|_| !self.local.is_empty()) {
-            let due = |l: &LocalCommand| {
-                l.asked.is_none_or(|(to, at)| {
-                    to != primary.id || (to != me && now >= at + l.ask_again)
-                })
-            };
-            for (id, local) in self.local.iter_mut().filter(|l| due(l.1)) {
-                local.asked = Some((primary.id, now));
-                local.sent = true;
-                let command = local.command.clone();
-                match &mut self.role {
-                    Role::Primary(state) => {
-                        state.inbox.push_back((Source::LocalCommand(*id), command));
-                    }
-                    _ => out.push(Output::Send {
-                        to: primary.clone(),
-                        message: Message::ForwardCommand {
-                            request_id: forward_base.wrapping_add(*id),
-                            command,
-                        },
-                    }),
-                }
-            }
+        if let Some(primary) = self.primary() {
+            self.send_to_primary(&primary, out);
         }
-        self.serve_inbox(out);
-        self.end_early(out);
+        self.run_proposals(out);
+        self.expire_early_proposals(out);
     }
 
-    /// Notes since when no primary is known.
-    fn note_primary(&mut self) {
-        self.without_primary = match self.primary() {
-            Some(_) => None,
-            None => self.without_primary.or(Some(self.now)),
-        };
+    fn send_to_primary(&mut self, primary: &MemberInfo, out: &mut Vec<Output>) {
+        let due = self.commands.take_due(primary.id, self.me(), self.now);
+        for (ticket, command) in due {
+            if let Some(own) = self.role.primary_mut() {
+                own.propose(CommandSource::Local { ticket }, command);
+                continue;
+            }
+            let message = Message::ForwardCommand {
+                request_id: self.commands.request_id(ticket),
+                command,
+            };
+            out.push(Output::Send {
+                to: primary.clone(),
+                message,
+            });
+        }
     }
 
-    /// When this member counts as cut off, where it knows no primary.
-    fn cut_off_at(&self) -> Option<Duration> {
-        self.without_primary
-            .map(|since| since + CUT_OFF_AFTER_LEASES * self.config.lease_duration)
+    /// When this member counts as partitioned off, if no primary becomes known.
+    fn partitioned_at(&self) -> Option<Duration> {
+        let since = self.commands.without_primary_since?;
+        Some(since + PARTITIONED_AFTER_LEASES * self.config.lease_duration)
     }
 
     /// How long a command may wait here now.
-    fn patience(&self) -> Duration {
-        match self.cut_off_at() {
-            Some(at) if self.now >= at => CUT_OFF_PATIENCE.min(self.config.request_timeout),
-            _ => self.config.request_timeout,
+    fn request_timeout(&self) -> Duration {
+        let timeout = self.config.request_timeout;
+        match self.partitioned_at() {
+            Some(at) if self.now >= at => PARTITIONED_REQUEST_TIMEOUT.min(timeout),
+            _ => timeout,
         }
     }
 
     pub(super) fn commands_wake(&self) -> Option<Duration> {
-        let patience = self.patience();
-        let ends = self.local.values().map(|l| l.since + patience).min();
-        let cut_off = self
-            .cut_off_at()
-            .filter(|at| *at > self.now && !self.local.is_empty());
-        let ends = ends.into_iter().chain(cut_off).min();
-        let asked = self
-            .local
-            .values()
-            .filter_map(|l| Some((l.asked?, l.ask_again)));
-        let asks = asked
-            .filter(|((to, _), _)| *to != self.me())
-            .map(|((_, at), again)| at + again);
-        ends.into_iter().chain(asks).min()
+        let timeout = self.request_timeout();
+        let commands = &self.commands.by_ticket;
+        let ends = commands.values().map(|c| c.received_at + timeout);
+        let retries = commands.values().filter_map(|c| c.next_retry(self.me()));
+        let partitioned = self
+            .partitioned_at()
+            .filter(|at| *at > self.now && !commands.is_empty());
+        ends.chain(retries).chain(partitioned).min()
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/member/committed_state.rs
@@ -0,0 +1,140 @@
+//! The newest replicated state that a member knows to be committed. It is kept on disk: the next incarnation restores
+//! it, and a rewritten file tells no less than the one before.
+
+use crate::replicated_state::ReplicatedState;
+use std::collections::VecDeque;
+
+/// How many uncommitted states are kept, and how many bytes they take on disk together. The oldest are kept, so that the
+/// primary's next commit index finds one of them however many changes are in flight.
+const MAX_UNCOMMITTED_STATES: usize = 64;
+const MAX_UNCOMMITTED_BYTES: usize = 8 << 20;
+/// Bytes of a snapshot beside its items: numbers, names, brackets and the membership configuration.
+const SNAPSHOT_OVERHEAD_BYTES: usize = 1 << 10;
+
+/// The newest state that is known to be committed, and the states after it.
+#[derive(Clone, Debug, Default)]
+pub(super) struct CommittedState {
+    /// The highest commit index that is on disk.
+    commit_index: u64,
+    /// The newest state at hand that isn't beyond it.
+    newest: Option<ReplicatedState>,
+    /// Whether the membership configuration in force began with that state or an earlier one.
+    is_of_this_membership: bool,
+    /// States on this disk that aren't known to be committed, oldest first.
+    uncommitted: VecDeque<Uncommitted>,
+    uncommitted_bytes: usize,
+}
+
+/// A state, and the record of the change that led to it.
+#[derive(Clone, Debug)]
+struct Uncommitted {
+    state: ReplicatedState,
+    /// None for the state that a membership configuration begins with.
+    record: Option<Vec<u8>>,
+}
+
+impl Uncommitted {
+    fn bytes(&self) -> usize {
+        snapshot_bytes(&self.state) + self.record.as_ref().map_or(0, Vec::len)
+    }
+}
+
+impl CommittedState {
+    /// The committed state that the records on disk tell of.
+    pub(super) fn recovered(newest: Option<ReplicatedState>) -> Self {
+        Self {
+            commit_index: newest.as_ref().map_or(0, |state| state.index),
+            newest,
+            ..Self::default()
+        }
+    }
+
+    /// The highest commit index that is on disk.
+    pub(super) fn commit_index(&self) -> u64 {
+        self.commit_index
+    }
+
+    /// The newest state at hand that is known to be committed.
+    pub(super) fn newest(&self) -> Option<&ReplicatedState> {
+        self.newest.as_ref()
+    }
+
+    /// A membership configuration begins with this state, which is on this disk.
+    pub(super) fn membership_begins(&mut self, state: Option<&ReplicatedState>) {
+        self.uncommitted.clear();
+        self.uncommitted_bytes = 0;
+        self.is_of_this_membership = false;
+        if let Some(state) = state {
+            self.add(state.clone(), None);
+        }
+    }
+
+    /// The record of a change is on this disk; it led to this state.
+    pub(super) fn add_change(&mut self, state: ReplicatedState, record: Vec<u8>) {
+        self.add(state, Some(record));
+    }
+
+    fn add(&mut self, state: ReplicatedState, record: Option<Vec<u8>>) {
+        let added = Uncommitted { state, record };
+        let bytes = added.bytes();
+        let fits = self.uncommitted_bytes + bytes <= MAX_UNCOMMITTED_BYTES
+            && self.uncommitted.len() < MAX_UNCOMMITTED_STATES;
+        if fits || self.uncommitted.is_empty() {
+            self.uncommitted_bytes += bytes;
+            self.uncommitted.push_back(added);
+        }
+    }
+
+    /// All changes up to `index` are committed; `durable` is the state on this disk. Returns whether the commit index
+    /// has risen.
+    pub(super) fn commit(&mut self, index: u64, durable: &ReplicatedState) -> bool {
+        if index <= self.commit_index && self.is_of_this_membership {
+            return false;
+        }
+        let has_risen = index > self.commit_index;
+        self.commit_index = index.max(self.commit_index);
+        while let Some(committed) = self.uncommitted.pop_front_if(|u| u.state.index <= index) {
+            self.uncommitted_bytes -= committed.bytes();
+            self.newest = Some(committed.state);
+            self.is_of_this_membership = true;
+        }
+        if durable.index == index {
+            self.newest = Some(durable.clone());
+            self.is_of_this_membership = true;
+        }
+        has_risen
+    }
+
+    /// The records of all changes from the newest committed state up to `index`; none if one isn't at hand.
+    pub(super) fn changes_up_to(&self, index: u64) -> Option<impl Iterator<Item = &Vec<u8>>> {
+        let newest = self
+            .newest
+            .as_ref()
+            .filter(|_| self.is_of_this_membership)?;
+        let last = self
+            .uncommitted
+            .back()
+            .map_or(newest.index, |u| u.state.index);
+        let has_no_gap = last == index && newest.index + self.uncommitted.len() as u64 == index;
+        let has_records = self.uncommitted.iter().all(|u| u.record.is_some());
+        (has_no_gap && has_records)
+            .then(|| self.uncommitted.iter().filter_map(|u| u.record.as_ref()))
+    }
+
+    /// The file was rewritten: it tells of the newest state at hand.
+    pub(super) fn file_rewritten(&mut self) {
+        self.commit_index = self.newest.as_ref().map_or(0, |state| state.index);
+    }
+}
+
+/// The approximate size of a state's snapshot on disk, in bytes.
+pub(super) fn snapshot_bytes(state: &ReplicatedState) -> usize {
+    let configuration = &state.configuration;
+    let routes: usize = configuration.routes.iter().map(|r| r.raw.len() + 1).sum();
+    let services: usize = configuration.services.iter().map(|s| s.raw.len() + 1).sum();
+    let limits = configuration.limits.as_ref().map_or(0, |l| l.raw.len());
+    let applied_requests =
+        state.applied_requests.iter().count() * std::mem::size_of::<protocol::AppliedRequest>();
+    let drains: usize = state.drains.iter().map(|d| d.len() + 4).sum();
+    routes + services + limits + applied_requests + drains + SNAPSHOT_OVERHEAD_BYTES
+}
--- /dev/null
+++ b/crates/control-plane/src/member/departure.rs
@@ -0,0 +1,163 @@
+//! A member that was asked to end (graceful shutdown). It tells the others and serves on until they hold what it holds;
+//! only then may the process end.
+//!
+//! A replica waits until a membership configuration without it is on the disks of all its replicas. A primary releases
+//! its lease once enough others answer, and then waits for the same. If all others depart too, there is nobody to wait
+//! for.
+
+use super::replica_placement::choose_replicas;
+use super::{Member, Output};
+use protocol::{MemberInfo, MembershipConfig, Message};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// A primary that can't hand over keeps its lease for this many lease durations. Then whoever is left may take over.
+const MAX_HAND_OVER_LEASES: u32 = 3;
+/// How often a departing member announces its departure, as a part of a lease's duration.
+const ANNOUNCEMENT_FRACTION: f64 = 0.5;
+/// How lately a voter must have granted a lease to be relied on, as a part of a lease's duration.
+const RECENT_GRANT_FRACTION: f64 = 0.5;
+
+/// The state of a departure.
+#[derive(Clone, Debug)]
+pub(super) struct Departure {
+    started_at: Duration,
+    next_announcement_at: Duration,
+    /// A later membership configuration without this member is on the disks of all its replicas.
+    is_succeeded: bool,
+    /// The runtime was told that the process may end.
+    is_complete: bool,
+}
+
+impl Member {
+    pub(super) fn on_depart(&mut self, out: &mut Vec<Output>) {
+        if self.departure.is_some() {
+            return;
+        }
+        self.departure = Some(Departure {
+            started_at: self.now,
+            next_announcement_at: self.now,
+            is_succeeded: false,
+            is_complete: false,
+        });
+        self.announce_departure(out);
+    }
+
+    /// Tells all others again and again, whether they have a vote or not: any of them may be the next to choose voters,
+    /// and other messages of this member don't tell that it departs.
+    fn announce_departure(&mut self, out: &mut Vec<Output>) {
+        let now = self.now;
+        let Some(departure) = &mut self.departure else {
+            return;
+        };
+        if now < departure.next_announcement_at {
+            return;
+        }
+        departure.next_announcement_at =
+            now + self.config.lease_duration.mul_f64(ANNOUNCEMENT_FRACTION);
+        let epoch = self.accepted_epoch().unwrap_or(0);
+        let mut others: BTreeSet<u64> = self.other_voters();
+        others.extend(self.peers.ids());
+        for id in others {
+            self.send(id, Message::Leaving { epoch }, out);
+        }
+    }
+
+    pub(super) fn is_peer_departing(&self, id: u64) -> bool {
+        self.peers.is_departing(id, self.now)
+    }
+
+    /// A membership configuration was received. Those without a replica get one only once all replicas have it on disk.
+    pub(super) fn note_succession(&mut self, membership: &MembershipConfig) {
+        let is_newer = self
+            .accepted_epoch()
+            .is_none_or(|own| membership.epoch > own);
+        let me = self.me();
+        let is_without_me = membership.voter(me).is_none() && !membership.replicas.contains(&me);
+        if let Some(departure) = &mut self.departure {
+            departure.is_succeeded |= is_newer && is_without_me && membership.is_stable();
+        }
+    }
+
+    /// Departing members without a vote in a membership configuration: they wait for it to be installed.
+    pub(super) fn departing_without_vote(&self, membership: &MembershipConfig) -> Vec<u64> {
+        self.peers
+            .ids()
+            .filter(|id| self.is_peer_departing(*id) && !membership.has_vote(*id))
+            .collect()
+    }
+
+    /// Releases the lease once others can go on, and completes once nothing depends on this member.
+    pub(super) fn run_departure(&mut self, out: &mut Vec<Output>) {
+        self.announce_departure(out);
+        let Some(departure) = self.departure.as_ref().filter(|d| !d.is_complete) else {
+            return;
+        };
+        let hand_over_end = self.hand_over_end(departure);
+        let others = self.other_voters();
+        let all_depart = others.iter().all(|id| self.is_peer_departing(*id));
+        let may_release = self.now >= hand_over_end || all_depart || self.others_can_go_on();
+        if self.role.primary().is_some() && may_release {
+            self.release_lease(out);
+        }
+        if self.role.is_follower() && (all_depart || self.is_succeeded()) {
+            if let Some(departure) = &mut self.departure {
+                departure.is_complete = true;
+            }
+            out.push(Output::DepartureComplete);
+        }
+    }
+
+    fn hand_over_end(&self, departure: &Departure) -> Duration {
+        departure.started_at + MAX_HAND_OVER_LEASES * self.config.lease_duration
+    }
+
+    /// Whether neither the replicated state nor a majority depends on this member any more.
+    fn is_succeeded(&self) -> bool {
+        let is_free = |membership: &MembershipConfig| {
+            membership.is_stable()
+                && !membership.replicas.contains(&self.me())
+                && !self.is_about_to_lose_vote(membership)
+        };
+        self.membership.as_ref().is_none_or(is_free)
+            || self.departure.as_ref().is_some_and(|d| d.is_succeeded)
+    }
+
+    /// Whether the primary is about to remove this voter, or to replace it by a member that joins. If this member ended
+    /// before that, the next loss would leave too few voters.
+    fn is_about_to_lose_vote(&self, membership: &MembershipConfig) -> bool {
+        let joins = |id: u64| membership.voter(id).is_none();
+        let mut peers = self.peers.iter();
+        let others_join = peers.any(|peer| joins(peer.info().id) && self.may_join(peer));
+        membership.voter(self.me()).is_some() && (others_join || self.can_spare_voter(membership))
+    }
+
+    /// Whether the voters that answered lately and don't depart are a majority, with enough replicas among them.
+    fn others_can_go_on(&self) -> bool {
+        let (Some(primary), Some(membership)) = (self.role.primary(), &self.membership) else {
+            return false;
+        };
+        let recent = self.config.lease_duration.mul_f64(RECENT_GRANT_FRACTION);
+        let stays = |id: u64| {
+            let granted_at = primary.leases.granted_at(id);
+            granted_at.is_some_and(|at| self.now < at + recent)
+                && self.peers.is_disk_healthy(id)
+                && !self.is_peer_departing(id)
+        };
+        let voters = membership.voters.iter();
+        let staying: Vec<&MemberInfo> = voters.filter(|v| stays(v.id)).collect();
+        membership.has_quorum(stays)
+            && choose_replicas(&self.config.fault_budget, &staying).is_some()
+    }
+
+    pub(super) fn departure_wake(&self) -> Option<Duration> {
+        let departure = self.departure.as_ref()?;
+        let hand_over_end = self.hand_over_end(departure);
+        let hands_over = !departure.is_complete && hand_over_end > self.now;
+        Some(if hands_over {
+            hand_over_end.min(departure.next_announcement_at)
+        } else {
+            departure.next_announcement_at
+        })
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/member/epoch.rs
@@ -0,0 +1,58 @@
+//! How an epoch is composed: a generation, the round of an election, and the low bits of the candidate's member id.
+//!
+//! The candidate's bits make epochs of different candidates differ. Elections raise the round. Only an operator who
+//! recovers a system without its majority (`crate::recovery`) raises the generation. No member prepares an epoch of a
+//! generation that it has no membership configuration of. Members that the operator has given up therefore can neither
+//! outbid nor replace the recovered one, and they stop once they have heard of it.
+
+use super::Member;
+use protocol::{MemberInfo, MembershipConfig};
+
+/// Bits below an epoch's generation.
+const GENERATION_SHIFT: u32 = 48;
+/// Low bits of an epoch that are those of its candidate's member id.
+const CANDIDATE_BITS: u32 = 20;
+const CANDIDATE_MASK: u64 = (1 << CANDIDATE_BITS) - 1;
+
+/// The generation of an epoch.
+fn generation(epoch: u64) -> u64 {
+    epoch >> GENERATION_SHIFT
+}
+
+/// The epoch of `candidate` in the round after that of `highest`.
+pub(super) fn next_epoch(highest: u64, candidate: u64) -> u64 {
+    let round = (highest >> CANDIDATE_BITS) + 1;
+    (round << CANDIDATE_BITS) | (candidate & CANDIDATE_MASK)
+}
+
+/// The epoch with which `candidate` goes on alone after a recovery: the first of the generation after that of
+/// `highest`.
+pub(crate) fn recovery_epoch(highest: u64, candidate: u64) -> u64 {
+    let next_generation = (generation(highest) + 1) << GENERATION_SHIFT;
+    next_generation | (1 << CANDIDATE_BITS) | (candidate & CANDIDATE_MASK)
+}
+
+/// The voter of a membership configuration that prepared an epoch.
+pub fn candidate_of(epoch: u64, membership: &MembershipConfig) -> Option<&MemberInfo> {
+    membership
+        .voters
+        .iter()
+        .chain(&membership.previous_voters)
+        .find(|voter| voter.id & CANDIDATE_MASK == epoch & CANDIDATE_MASK)
+}
+
+impl Member {
+    /// Whether an operator has recovered the system without the membership configuration that this member knows.
+    pub(super) fn is_given_up(&self) -> bool {
+        self.membership
+            .as_ref()
+            .is_some_and(|own| generation(self.highest_epoch_seen) > generation(own.epoch))
+    }
+
+    /// A member that was given up is neither candidate nor primary any more.
+    pub(super) fn step_down_if_given_up(&mut self) {
+        if self.is_given_up() && !self.role.is_follower() {
+            self.step_down();
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/member/membership_change.rs
@@ -0,0 +1,287 @@
+//! How a primary has to change its membership configuration: replicas that don't answer or depart are replaced, voters
+//! join and are removed.
+
+use super::candidate::MembershipChange;
+use super::lease::RENEWAL_FRACTION;
+use super::peers::Peer;
+use super::primary::PrimaryState;
+use super::replica_placement::{choose_replicas, majority_shortfall};
+use super::Member;
+use protocol::{MemberInfo, MembershipConfig};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// A replica that hasn't answered for this part of a lease's duration is replaced.
+const REPLICA_TIMEOUT_FRACTION: f64 = 0.7;
+/// A voter that was silent for this many lease durations is replaced by a member that joins, or removed from an even
+/// number of voters.
+const REPLACE_AFTER_LEASES: u32 = 3;
+/// A voter that was silent for this many lease durations is removed if enough are left.
+const REMOVE_AFTER_LEASES: u32 = 10;
+/// A member without a vote may join if it was heard of within this many lease durations.
+const JOIN_WITHIN_LEASES: u32 = 3;
+/// More members than these have no vote; they only mirror.
+const MAX_VOTERS: usize = 9;
+
+impl Member {
+    /// How the membership configuration has to change; none if it is good.
+    pub(super) fn needed_change(&self, primary: &PrimaryState) -> Option<MembershipChange> {
+        let membership = self.membership.as_ref()?;
+        let mut change = MembershipChange::default();
+        if let Some(exclude) = self.replicas_to_replace(primary, membership) {
+            change.exclude = exclude;
+        }
+        self.add_joining(primary, membership, &mut change);
+        if change.add.is_empty() {
+            change
+                .remove
+                .extend(self.voters_to_remove(primary, membership));
+        }
+        // Another candidate was promised a higher epoch: whoever promised it no longer follows this one.
+        let is_overtaken = self.highest_epoch_seen > primary.epoch();
+        // A replica that refused a change but answers has to start again from a snapshot.
+        let mut failed = primary.replication.failed_replicas().iter();
+        let needs_snapshot = failed.any(|id| !self.is_replica_silent(primary, *id));
+        let can_accept_changes =
+            !primary.accepts_changes() && self.enough_voters_answer(primary, membership);
+        let is_needed = is_overtaken
+            || needs_snapshot
+            || can_accept_changes
+            || change != MembershipChange::default()
+            || !membership.is_stable();
+        is_needed.then_some(change)
+    }
+
+    /// The time since the last lease that a voter granted was asked for.
+    fn time_without_grant(&self, primary: &PrimaryState, id: u64) -> Duration {
+        let granted_at = primary.leases.granted_at(id);
+        self.now
+            .saturating_sub(granted_at.unwrap_or(primary.started_at()))
+    }
+
+    fn is_replica_silent(&self, primary: &PrimaryState, id: u64) -> bool {
+        let timeout = self.config.lease_duration.mul_f64(REPLICA_TIMEOUT_FRACTION);
+        self.time_without_grant(primary, id) >= timeout
+    }
+
+    /// Whether a voter granted a lease lately, can write and doesn't depart.
+    fn answers(&self, primary: &PrimaryState, id: u64) -> bool {
+        let recent = self.config.lease_duration.mul_f64(2.0 * RENEWAL_FRACTION);
+        self.time_without_grant(primary, id) < recent
+            && self.peers.is_disk_healthy(id)
+            && !self.is_peer_departing(id)
+    }
+
+    /// The time since any message of a voter. Voters had no reason to send one before this member was primary, except
+    /// during the lease that it waited for before it took over; that counts also for a voter that was never heard of.
+    fn silence(&self, primary: &PrimaryState, id: u64) -> Duration {
+        let heard_at = self.peers.heard_at(id).unwrap_or(Duration::ZERO);
+        let acting_since = primary.acting_since();
+        let first_expected = acting_since.saturating_sub(self.config.lease_duration);
+        self.now.saturating_sub(heard_at.max(first_expected))
+    }
+
+    /// Replicas that don't answer, can't write or depart; none if there are no others for them.
+    fn replicas_to_replace(
+        &self,
+        primary: &PrimaryState,
+        membership: &MembershipConfig,
+    ) -> Option<BTreeSet<u64>> {
+        let me = self.me();
+        let timeout = self.config.lease_duration.mul_f64(REPLICA_TIMEOUT_FRACTION);
+        let has_failed = |id: u64| {
+            primary.replication.is_late(id, self.now, timeout)
+                || self.time_without_grant(primary, id) > timeout
+                || !self.peers.is_disk_healthy(id)
+                || self.is_peer_departing(id)
+                || primary.replication.failed_replicas().contains(&id)
+        };
+        let replicas = membership.replicas.iter().copied();
+        let failed: BTreeSet<u64> = replicas.filter(|id| *id != me && has_failed(*id)).collect();
+        let is_usable = |id: u64| id == me || (!failed.contains(&id) && self.answers(primary, id));
+        let voters = membership.voters.iter();
+        let usable: Vec<&MemberInfo> = voters.filter(|v| is_usable(v.id)).collect();
+        choose_replicas(&self.config.fault_budget, &usable)?;
+        Some(failed).filter(|failed| !failed.is_empty())
+    }
+
+    /// Whether voters that were too few for all replicas are enough now.
+    fn enough_voters_answer(&self, primary: &PrimaryState, membership: &MembershipConfig) -> bool {
+        let answers = |id: u64| id == self.me() || self.answers(primary, id);
+        let voters = membership.voters.iter();
+        let answering: Vec<&MemberInfo> = voters.filter(|v| answers(v.id)).collect();
+        choose_replicas(&self.config.fault_budget, &answering).is_some()
+    }
+
+    /// Whether a member without a vote may become a voter.
+    pub(super) fn may_join(&self, peer: &Peer) -> bool {
+        let heard_until = peer.heard_at() + JOIN_WITHIN_LEASES * self.config.lease_duration;
+        let info = peer.info();
+        self.now < heard_until
+            && peer.disk_healthy()
+            && !info.zone.is_empty()
+            && !self.peers.may_have_departed(info.id, self.now)
+    }
+
+    /// Whether there are more voters than the loss of machines requires, so that a departing one is removed.
+    pub(super) fn can_spare_voter(&self, membership: &MembershipConfig) -> bool {
+        let required = 2 * self.config.fault_budget.machine_losses as usize + 1;
+        membership.voters.len() > required
+    }
+
+    /// Members without a vote join: in place of a voter that is lost or departs, or in addition to the others.
+    fn add_joining(
+        &self,
+        primary: &PrimaryState,
+        membership: &MembershipConfig,
+        change: &mut MembershipChange,
+    ) {
+        let mut additional = Vec::new();
+        for peer in self.peers.iter() {
+            let joiner = peer.info();
+            if membership.voter(joiner.id).is_some() || !self.may_join(peer) {
+                continue;
+            }
+            match self.voter_to_replace(primary, membership, joiner, &change.remove) {
+                Some(replaced) => {
+                    change.remove.insert(replaced);
+                    change.add.push(joiner.clone());
+                }
+                None => additional.push(joiner.clone()),
+            }
+        }
+        // A voter that has just fallen silent may be the one that a joiner is to replace. An additional voter beside a
+        // lost one would leave less room for the next loss.
+        let timeout = self.config.lease_duration.mul_f64(REPLICA_TIMEOUT_FRACTION);
+        let is_silent = |v: &MemberInfo| v.id != self.me() && self.silence(primary, v.id) > timeout;
+        if !membership.voters.iter().any(is_silent) {
+            let added = self.additional_voters(membership, &change.add, additional);
+            change.add.extend(added);
+        }
+    }
+
+    /// The voter that a joining member replaces: one at the same address, or else one that is lost or departs.
+    fn voter_to_replace(
+        &self,
+        primary: &PrimaryState,
+        membership: &MembershipConfig,
+        joiner: &MemberInfo,
+        removed: &BTreeSet<u64>,
+    ) -> Option<u64> {
+        let replace_after = REPLACE_AFTER_LEASES * self.config.lease_duration;
+        let is_gone = |v: &&MemberInfo| {
+            let is_silent = self.silence(primary, v.id) > replace_after;
+            let is_leaving = is_silent || self.is_peer_departing(v.id);
+            v.id != self.me() && is_leaving && !removed.contains(&v.id)
+        };
+        let mut voters = membership.voters.iter();
+        let same_address = voters.clone().find(|v| v.addr == joiner.addr);
+        same_address.or_else(|| voters.find(is_gone)).map(|v| v.id)
+    }
+
+    /// Of members that join in addition to the voters, those with whom a majority survives any loss within the fault
+    /// budget.
+    fn additional_voters(
+        &self,
+        membership: &MembershipConfig,
+        added: &[MemberInfo],
+        mut joiners: Vec<MemberInfo>,
+    ) -> Vec<MemberInfo> {
+        let voters = membership.voters.iter();
+        let voters: Vec<MemberInfo> = voters.map(|v| self.latest_info(v)).collect();
+        let shortfall = |joiners: &[MemberInfo]| {
+            let all: Vec<&MemberInfo> = voters.iter().chain(joiners).collect();
+            majority_shortfall(&self.config.fault_budget, &all)
+        };
+        let room = additional_voter_limit(voters.len(), added.len());
+        let allowed = shortfall(&[]).max(0);
+        // If a majority may be lost, the joiner that helps most may stand anywhere among them.
+        let shortfall_with = |joiner: &&MemberInfo| shortfall(std::slice::from_ref(*joiner));
+        let best = joiners
+            .iter()
+            .min_by_key(shortfall_with)
+            .filter(|best| room > 0 && shortfall_with(best) < allowed)
+            .cloned();
+        joiners.truncate(room);
+        while !joiners.is_empty() && shortfall(&joiners) > allowed {
+            let shortfall_without = |left_out: usize| {
+                let mut rest = joiners.clone();
+                rest.remove(left_out);
+                shortfall(&rest)
+            };
+            let worst = (0..joiners.len())
+                .rev()
+                .min_by_key(|n| shortfall_without(*n));
+            if let Some(worst) = worst {
+                joiners.remove(worst);
+            }
+        }
+        if joiners.is_empty() {
+            joiners.extend(best);
+        }
+        joiners
+    }
+
+    /// Voters to remove without replacement: one that departs or has been silent for long, if enough are left, and those
+    /// without whom a majority survives the loss of their zone or region. They go at once, as the next loss may come
+    /// between two changes.
+    fn voters_to_remove(
+        &self,
+        primary: &PrimaryState,
+        membership: &MembershipConfig,
+    ) -> BTreeSet<u64> {
+        let mut removed = BTreeSet::new();
+        if !self.can_spare_voter(membership) {
+            return removed;
+        }
+        // One of an even number of voters can go without a loss of tolerance.
+        let leases = if membership.voters.len().is_multiple_of(2) {
+            REPLACE_AFTER_LEASES
+        } else {
+            REMOVE_AFTER_LEASES
+        };
+        let remove_after = leases * self.config.lease_duration;
+        let others = || membership.voters.iter().filter(|v| v.id != self.me());
+        let departing = others().find(|v| self.is_peer_departing(v.id));
+        let silent = || others().find(|v| self.silence(primary, v.id) > remove_after);
+        removed.extend(departing.or_else(silent).map(|v| v.id));
+        while let Some(voter) = self.voter_in_large_group(membership, &removed) {
+            removed.insert(voter);
+        }
+        removed
+    }
+
+    /// Of the voters that stay, one of a zone or region with so many voters that its loss would leave no majority.
+    fn voter_in_large_group(
+        &self,
+        membership: &MembershipConfig,
+        removed: &BTreeSet<u64>,
+    ) -> Option<u64> {
+        let voters = membership.voters.iter();
+        let staying: Vec<MemberInfo> = voters
+            .filter(|v| !removed.contains(&v.id))
+            .map(|v| self.latest_info(v))
+            .collect();
+        let shortfall_without = |id: u64| {
+            let rest: Vec<&MemberInfo> = staying.iter().filter(|v| v.id != id).collect();
+            majority_shortfall(&self.config.fault_budget, &rest)
+        };
+        // No member has the id 0.
+        let shortfall = shortfall_without(0);
+        if shortfall <= 0 {
+            return None;
+        }
+        let others = staying.iter().map(|v| v.id).filter(|id| *id != self.me());
+        let best =
+            others.min_by_key(|id| (shortfall_without(*id), membership.replicas.contains(id)))?;
+        (shortfall_without(best) < shortfall).then_some(best)
+    }
+}
+
+/// How many members may join in addition at once. The present voters must be a majority of those to come, who may be lost
+/// before they have accepted the membership configuration.
+fn additional_voter_limit(voters: usize, added: usize) -> usize {
+    let below_maximum = MAX_VOTERS.saturating_sub(voters + added);
+    let below_majority = voters.saturating_sub(1 + added).max(1);
+    below_maximum.min(below_majority)
+}
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -1,530 +1,259 @@
-//! A member of the control plane: voter, copy, candidate, primary. Takes inputs with the time and says what to
-//! send, write and answer. Safety rests on epochs; leases only say who may act and when others may stand.
-
-mod acknowledged;
+//! A member of the control plane: a state machine without I/O or clock. It takes inputs with the time, and tells what to
+//! send, to write and to answer.
+//!
+//! Replication is primary-backup under epochs, as in Vertical Paxos (Lamport, Malkhi and Zhou 2009): the primary writes a
+//! change to the disks of all replicas before it acknowledges it, and a majority of the voters decides who is primary.
+//! Epochs keep committed changes safe. Leases only tell who may act, and when others may campaign.
+
+mod backup;
 mod candidate;
 mod commands;
-mod disk;
-mod early;
-pub(crate) mod generation;
-mod leave;
-mod membership;
+mod committed_state;
+mod departure;
+mod dispatch;
+mod early_proposals;
+mod election_timer;
+pub(crate) mod epoch;
+mod installation;
+mod interface;
+mod lease;
+mod membership_change;
+mod peers;
+mod phase_timeouts;
 mod primary;
-mod recovery;
+mod primary_contact;
+mod random;
+mod replay;
+mod replica_log;
+mod replica_placement;
+mod replication;
+mod role;
+mod storage;
 mod summary;
-mod transfer;
-mod view;
+mod transfer_time;
 mod voter;
-
-pub use candidate::{candidate_of, ElectionPhase};
-pub use recovery::ReplayError;
+mod write_queue;
+
+pub use candidate::ElectionPhase;
+pub use epoch::candidate_of;
+pub use interface::{DiskError, Input, MemberConfig, Output};
+pub use primary_contact::PrimaryContact;
+pub use replay::ReplayError;
+pub use replica_placement::{choose_replicas, majority_shortfall};
 pub use summary::{DiskState, LeaseGrantSummary, MemberSummary, RoleSummary};
-pub use view::{choose_replicas, majority_shortfall};
 
 use crate::replicated_state::ReplicatedState;
-use acknowledged::Acknowledged;
-use candidate::CandidateState;
-use commands::LocalCommand;
-use configuration::{Configuration, FaultBudget, ResultCode};
-use disk::{After, Disk};
-use leave::Departure;
-use primary::PrimaryState;
-use protocol::{Command, MemberInfo, MembershipConfig, Message, Record};
-use std::collections::BTreeMap;
+use candidate::all_voters;
+use commands::LocalCommands;
+use committed_state::CommittedState;
+use departure::Departure;
+use lease::LeaseGrant;
+use peers::Peers;
+use phase_timeouts::PhaseTimeouts;
+use primary_contact::ContactTracker;
+use protocol::{MemberInfo, MembershipConfig, Message};
+use random::{request_id_base, Random};
+use replica_log::ReplicaLog;
+use role::Role;
+use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
+use voter::PromiseState;
+use write_queue::WriteQueue;
 
-/// Whom nothing was heard of for so many leases is out of touch. Links tell once a lease that they are up.
-const IN_TOUCH_LEASES: u32 = 3;
-
-/// What a member is told at its start.
-#[derive(Clone, Debug)]
-pub struct MemberConfig {
-    /// Its own seat.
-    pub local_member: MemberInfo,
-    /// The voters of view 0, for those that are among them since the whole system started for the first time; a
-    /// view on the disk goes before.
-    pub bootstrap_voters: Option<Vec<MemberInfo>>,
-    /// What may be lost at once.
-    pub fault_budget: FaultBudget,
-    /// How long a lease lasts.
-    pub lease_duration: Duration,
-    /// How long a command of a caller may wait for its answer.
-    pub request_timeout: Duration,
-    /// A write that takes longer means that the disk stalls.
-    pub disk_stall_timeout: Duration,
-}
-
-/// A write that the disk refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskError {
-    /// There is no room.
-    Full,
-    /// Another failure.
-    Failed,
-}
-
-/// What happens to a member.
-#[allow(clippy::large_enum_variant)] // Handed over once and never kept.
-#[derive(Clone, Debug)]
-pub enum Input {
-    /// Time has passed.
-    Tick,
-    /// A message came.
-    Message {
-        /// Who sent it.
-        from: MemberInfo,
-        /// The message.
-        message: Message,
-    },
-    /// A write that was asked for is over.
-    WriteCompleted {
-        /// Its number.
-        ticket: u64,
-        /// How it ended; what was refused is not on disk.
-        result: Result<(), DiskError>,
-    },
-    /// A host or the operator calls.
-    Command {
-        /// The caller's number for it.
-        ticket: u64,
-        /// The command.
-        command: Command,
-    },
-    /// A member shows that it is there.
-    PeerReachable {
-        /// Its seat.
-        member: MemberInfo,
-    },
-    /// The process is asked to end.
-    Depart,
-}
-
-/// What a member asks for.
-#[allow(clippy::large_enum_variant)] // Handed over once and never kept.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    /// Send a message; it may be lost.
-    Send {
-        /// To whom.
-        to: MemberInfo,
-        /// The message.
-        message: Message,
-    },
-    /// Write records and sync them. One write is out at a time.
-    Write {
-        /// Number of the write.
-        ticket: u64,
-        /// The records.
-        records: Vec<Vec<u8>>,
-        /// Whether they stand for all that the file holds; else they are appended.
-        rewrite: bool,
-    },
-    /// Answer a command.
-    Answer {
-        /// The caller's number.
-        ticket: u64,
-        /// The result.
-        code: ResultCode,
-        /// What goes with it: a text, or the configuration read.
-        body: Vec<u8>,
-    },
-    /// The newest acknowledged ledger, from the primary.
-    PublishState {
-        /// Number of its last change.
-        index: u64,
-        /// The configuration.
-        configuration: Arc<Configuration>,
-        /// Hosts that are leaving or gone.
-        drains: Vec<String>,
-    },
-    /// The ledger that was known to be acknowledged when the process last ended: good until a primary shows a
-    /// newer one.
-    RestoreState {
-        /// Number of its last change.
-        index: u64,
-        /// The configuration.
-        configuration: Arc<Configuration>,
-        /// Hosts that are leaving or gone.
-        drains: Vec<String>,
-    },
-    /// Come back with a [`Input::Tick`] at this time at the latest.
-    Wake {
-        /// The time.
-        at: Duration,
-    },
-    /// Nothing is left to hand over: the process may end.
-    DepartureComplete,
-}
-
-/// A lease granted as a voter.
-#[derive(Clone, Copy, Debug)]
-struct Grant {
-    to: u64,
-    epoch: u64,
-    until: Duration,
-}
-
-/// That nothing which was acknowledged before a moment is missing in a ledger that goes so far.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PrimaryContact {
-    /// The moment, by this process's clock.
-    pub at: Duration,
-    /// Number of the last change that was acknowledged then.
-    pub commit_index: u64,
-}
-
-/// The ledger as a copy holds it.
-#[derive(Clone, Debug)]
-struct ReplicaLog {
-    /// With all changes taken.
-    head: ReplicatedState,
-    /// As far as it is on disk.
-    disk: ReplicatedState,
-}
-
-#[derive(Clone, Debug)]
-struct Peer {
-    seat: MemberInfo,
-    heard: Duration,
-    /// Whether its disk takes writes, by its latest word.
-    fit: bool,
-    /// When it last said that it is about to end.
-    leaving: Option<Duration>,
-}
-
-#[derive(Clone, Debug)]
-enum Role {
-    Follower,
-    Candidate(Box<CandidateState>),
-    Primary(Box<PrimaryState>),
-}
+/// The shortest time until the next wake.
+const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
+/// The longest time until the next wake, in lease durations.
+const MAX_WAKE_DELAY_LEASES: u32 = 4;
 
 /// A member.
 #[derive(Clone, Debug)]
 pub struct Member {
     config: MemberConfig,
+    /// The time of the latest step. It never goes back.
     now: Duration,
-    started: Duration,
-    /// Whether it may have granted a lease in an earlier life.
+    started_at: Duration,
+    /// Whether an earlier incarnation may have granted a lease.
     restarted: bool,
-    random: u64,
-    promised: u64,
-    /// The candidate that the latest promise of this life was given to.
-    promised_to: Option<u64>,
-    /// No other candidate is preferred until then.
-    held_back_until: Duration,
-    /// How often in a row the time for fetching a ledger was too short.
-    fetch_doublings: u32,
-    /// A candidacy of its own has ended for want of answers since it last acted or took a view.
-    waits_for_slow_disks: bool,
-    /// The highest epoch seen anywhere.
-    seen: u64,
-    view: Option<MembershipConfig>,
-    held: Option<ReplicaLog>,
-    /// What this disk knows to be acknowledged.
-    acknowledged: Acknowledged,
-    /// Why the records can't be relied on: such a member has no say and holds no ledger.
-    unsound: Option<Arc<ReplayError>>,
-    /// What is to be shown at the first step.
+    random: Random,
+    /// The highest epoch seen in any message.
+    highest_epoch_seen: u64,
+    promise: PromiseState,
+    /// The latest membership configuration that this member accepted.
+    membership: Option<MembershipConfig>,
+    /// The replicated state; none if this member is no replica.
+    log: Option<ReplicaLog>,
+    /// What this disk knows to be committed.
+    committed: CommittedState,
+    /// Why the records on disk can't be relied on: such a member has no vote and holds no replica.
+    replay_error: Option<Arc<ReplayError>>,
+    /// The committed state on disk, to be shown at the first step.
     restored: Option<ReplicatedState>,
-    grant: Option<Grant>,
-    /// The latest that a primary proved.
-    proof: Option<PrimaryContact>,
-    /// What this life counts from in the clocks and numbers that others send back: an answer to an earlier life isn't
-    /// taken for one to this.
-    life_base: u64,
-    peers: BTreeMap<u64, Peer>,
+    /// The lease that this member granted as a voter.
+    grant: Option<LeaseGrant>,
+    contact: ContactTracker,
+    peers: Peers,
     role: Role,
-    /// When it may stand next.
+    phase_timeouts: PhaseTimeouts,
+    /// When it may campaign next.
     election_at: Duration,
-    disk: Disk,
-    local: BTreeMap<u64, LocalCommand>,
-    /// Since when no primary is known here; none where one is.
-    without_primary: Option<Duration>,
-    /// Where this life's numbers of forwarded commands begin: drawn, so that an answer to a command of an
-    /// earlier life is never taken for the answer to one of this life.
-    forward_base: u64,
-    /// The primary and its epoch, as others tell.
-    hint: Option<(u64, MemberInfo)>,
-    /// Set once the process is asked to end.
+    writes: WriteQueue,
+    commands: LocalCommands,
+    /// The primary that others told of.
+    known_primary: Option<KnownPrimary>,
+    /// Present once the process was asked to end.
     departure: Option<Departure>,
 }
 
-/// Spreads `random` over all bits, in a way of its own (SplitMix64), as [`Member::draw`] uses it too.
-fn forward_base(random: u64) -> u64 {
-    let mixed = random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    mixed ^ (mixed >> 31)
+/// A primary that others told of.
+#[derive(Clone, Debug)]
+struct KnownPrimary {
+    epoch: u64,
+    info: MemberInfo,
+}
+
+/// The membership configuration of a system that starts for the first time.
+fn bootstrap_membership(voters: Vec<MemberInfo>) -> MembershipConfig {
+    MembershipConfig {
+        epoch: 0,
+        primary: 0,
+        replicas: vec![],
+        previous_voters: voters.clone(),
+        voters,
+    }
 }
 
 impl Member {
-    /// A member whose disk holds these records. `random` differs from life to life; it spreads
-    /// what several members do and tells the commands of one life from those of another.
+    /// A member that starts. `records` are those on its disk, none at the first start. `random` must differ between
+    /// members and between starts: it spreads elections, and tells one incarnation's requests from another's.
     pub fn new(config: MemberConfig, records: &[Vec<u8>], now: Duration, random: u64) -> Self {
+        let file_bytes = records.iter().map(Vec::len).sum();
         let mut member = Self {
             now,
-            started: now,
+            started_at: now,
             restarted: !records.is_empty(),
-            random: random | 1,
-            promised: 0,
-            promised_to: None,
-            held_back_until: now,
-            fetch_doublings: 0,
-            waits_for_slow_disks: false,
-            seen: 0,
-            view: None,
-            held: None,
-            acknowledged: Acknowledged::default(),
-            unsound: None,
+            random: Random::new(random),
+            highest_epoch_seen: 0,
+            promise: PromiseState::new(now),
+            membership: config.bootstrap_voters.clone().map(bootstrap_membership),
+            log: None,
+            committed: CommittedState::default(),
+            replay_error: None,
             restored: None,
             grant: None,
-            proof: None,
-            life_base: random.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            peers: BTreeMap::new(),
+            contact: ContactTracker::new(random),
+            peers: Peers::new(config.local_member.id, config.lease_duration),
             role: Role::Follower,
+            phase_timeouts: PhaseTimeouts::default(),
             election_at: now,
-            disk: Disk::default(),
-            local: BTreeMap::new(),
-            without_primary: Some(now),
-            forward_base: forward_base(random),
-            hint: None,
+            writes: WriteQueue::new(file_bytes),
+            commands: LocalCommands::new(request_id_base(random), now),
+            known_primary: None,
             departure: None,
             config,
         };
-        if let Some(voters) = member.config.bootstrap_voters.clone() {
-            let previous_voters = voters.clone();
-            member.view = Some(MembershipConfig {
-                epoch: 0,
-                primary: 0,
-                replicas: vec![],
-                voters,
-                previous_voters,
-            });
-        }
         member.recover(records);
-        member.disk.kept(records.iter().map(Vec::len).sum());
-        let start = if member.restarted {
-            member.config.lease_duration
+        // A lease that an earlier incarnation granted may last until then.
+        let earliest = if member.restarted {
+            now + member.config.lease_duration
         } else {
-            Duration::ZERO
+            now
         };
-        member.election_at = now + start + member.election_delay();
+        member.election_at = earliest + member.election_delay();
         member
     }
 
     fn recover(&mut self, records: &[Vec<u8>]) {
-        let recovered = match recovery::replay(records) {
+        let recovered = match replay::replay(records) {
             Ok(recovered) => recovered,
             Err(error) => {
-                // What was promised isn't known: nothing is promised, accepted or held any more.
-                self.view = None;
-                self.unsound = Some(Arc::new(error));
+                // What was promised isn't known: nothing is promised, accepted or replicated any more.
+                self.membership = None;
+                self.replay_error = Some(Arc::new(error));
                 return;
             }
         };
-        self.promised = recovered.promised;
-        self.seen = recovered.promised;
-        self.view = recovered.view.or(self.view.take());
-        self.held = recovered.held.map(|l| ReplicaLog {
-            head: l.clone(),
-            disk: l,
-        });
-        self.restored = recovered.acknowledged.clone();
-        self.acknowledged = Acknowledged::recovered(recovered.acknowledged);
-        self.acknowledged
-            .view_begins(self.held.as_ref().map(|h| &h.disk));
+        self.promise.set_epoch(recovered.promised_epoch);
+        self.highest_epoch_seen = recovered.promised_epoch;
+        self.membership = recovered.membership.or(self.membership.take());
+        self.log = recovered.durable.map(ReplicaLog::new);
+        self.restored = recovered.committed.clone();
+        self.committed = CommittedState::recovered(recovered.committed);
+        let durable = self.log.as_ref().map(ReplicaLog::durable);
+        self.committed.membership_begins(durable);
     }
 
-    /// Takes one input; what has to be done is added to `out`, which ends with the next time to wake.
+    /// Takes one input and adds what has to be done to `out`. The last output is the time of the next wake.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        if let Some(ledger) = self.restored.take() {
-            let drains = ledger.drains.into_iter().collect();
-            out.push(Output::RestoreState {
-                index: ledger.index,
-                configuration: ledger.configuration,
-                drains,
-            });
-        }
-        // After a standstill the lease may have ended: others act, and nothing more is acknowledged here.
-        self.end_of_lease();
-        match input {
-            Input::Tick => {}
-            Input::Message { from, message } => {
-                self.note(&from);
-                self.on_message(from, message, out);
-            }
-            Input::WriteCompleted { ticket, result } => self.on_wrote(ticket, result, out),
-            Input::Command { ticket, command } => self.on_command(ticket, command),
-            Input::PeerReachable { member } => self.on_reachable(&member),
-            Input::Depart => self.on_leave(out),
-        }
-        self.end_if_given_up();
+        self.show_restored_state(out);
+        // If the process was paused, the lease may have ended: another primary may act, and nothing more may be
+        // acknowledged here.
+        self.step_down_if_lease_ended();
+        self.on_input(input, out);
+        self.step_down_if_given_up();
         self.run_departure(out);
         self.run_primary(out);
         self.run_candidate(out);
         self.run_election_timer(out);
         self.run_commands(out);
-        self.flush(out);
+        self.start_write(out);
         out.push(Output::Wake {
             at: self.next_wake(),
         });
     }
 
-    fn on_message(&mut self, from: MemberInfo, message: Message, out: &mut Vec<Output>) {
-        match message {
-            Message::PreVote {
-                known_epoch,
-                accepted_epoch,
-            } => self.on_pre_vote(from, known_epoch, accepted_epoch, out),
-            Message::Prepare { epoch, candidate } => self.on_prepare(from, epoch, candidate, out),
-            Message::InstallMembership {
-                membership,
-                snapshot,
-            } => {
-                self.on_install(from, membership, snapshot, out);
-            }
-            Message::AppendChange {
-                epoch,
-                index,
-                change,
-            } => {
-                self.on_append(from, epoch, index, change, out);
-            }
-            Message::RenewLease {
-                epoch,
-                requested_at_ms,
-                commit_index,
-                echoed_clock_ms,
-            } => {
-                self.on_renew(
-                    from,
-                    epoch,
-                    requested_at_ms,
-                    (commit_index, echoed_clock_ms),
-                    out,
-                );
-                self.record_committed(epoch, commit_index);
-            }
-            Message::FetchSnapshot { epoch } => self.on_fetch(from, epoch, out),
-            Message::ReleaseLease { epoch } => self.on_release(from.id, epoch),
-            Message::Leaving { .. } => self.on_peer_leaving(from.id),
-            Message::PreVoteReply {
-                granted,
-                promised_epoch,
-                retry_after_ms,
-            } => self.on_pre_vote_reply(from, granted, promised_epoch, retry_after_ms, out),
-            Message::Promise {
-                epoch,
-                granted,
-                promised_epoch,
-                membership,
-                log_position,
-                retry_after_ms,
-            } => {
-                self.see(promised_epoch);
-                // A voter that has just joined may not have accepted any view yet: its promise counts all the same.
-                let has = (membership.unwrap_or_default(), log_position);
-                self.on_promise(from, epoch, granted, Some(has), retry_after_ms, out);
+    fn on_input(&mut self, input: Input, out: &mut Vec<Output>) {
+        match input {
+            Input::Tick => {}
+            Input::Message { from, message } => {
+                self.peers.record_message(&from, self.now);
+                self.on_message(from, message, out);
             }
-            Message::SnapshotReply {
-                epoch, snapshot, ..
-            } => self.on_fetched(from, epoch, &snapshot, out),
-            Message::InstallMembershipReply {
-                epoch,
-                accepted,
-                promised_epoch,
-            } => {
-                self.see(promised_epoch);
-                self.on_installed(from.id, epoch, accepted, out);
+            Input::WriteCompleted { ticket, result } => {
+                self.on_write_completed(ticket, result, out);
             }
-            Message::AppendReply {
-                epoch,
-                match_index,
-                accepted,
-                promised_epoch,
-            } => {
-                self.see(promised_epoch);
-                self.on_appended(from.id, epoch, match_index, accepted, out);
-            }
-            Message::LeaseReply {
-                epoch,
-                requested_at_ms,
-                granted,
-                promised_epoch,
-                disk_healthy,
-                clock_ms,
-            } => {
-                self.see(promised_epoch);
-                self.on_renewed(
-                    from,
-                    epoch,
-                    requested_at_ms,
-                    granted,
-                    (disk_healthy, clock_ms),
-                    out,
-                );
+            Input::Command { ticket, command } => self.on_command(ticket, command),
+            Input::PeerReachable { member } => {
+                let membership = self.membership.as_ref();
+                let is_voter = membership.is_some_and(|m| m.voter(member.id).is_some());
+                self.peers.record_connection(&member, is_voter, self.now);
             }
-            Message::ForwardCommand {
-                request_id,
-                command,
-            } => self.on_ask(from, request_id, command),
-            Message::CommandResult {
-                request_id,
-                code,
-                body,
-            } => self.on_answer(request_id, code, body, out),
-            Message::Hello { .. }
-            | Message::Peers { .. }
-            | Message::Pull { .. }
-            | Message::Update { .. }
-            | Message::PromptPlaced { .. }
-            | Message::PlacementsRequest { .. }
-            | Message::Placements { .. } => {}
+            Input::Depart => self.on_depart(out),
         }
     }
 
-    /// A link to a member is up. Of a voter that says little, as a link may outlive its process for seconds;
-    /// of others there is no other word.
-    fn on_reachable(&mut self, seat: &MemberInfo) {
-        let voter = self
-            .view
-            .as_ref()
-            .is_some_and(|v| v.voter(seat.id).is_some());
-        let heard = self.peers.get(&seat.id).map(|p| p.heard).filter(|_| voter);
-        self.note(seat);
-        if let Some(peer) = self.peers.get_mut(&seat.id) {
-            peer.heard = heard.unwrap_or(peer.heard);
-            // Only voters are asked how their disks are.
-            peer.fit |= !voter;
+    fn show_restored_state(&mut self, out: &mut Vec<Output>) {
+        if let Some(state) = self.restored.take() {
+            out.push(Output::RestoreState {
+                index: state.index,
+                configuration: state.configuration,
+                drains: state.drains.into_iter().collect(),
+            });
         }
     }
 
-    fn note(&mut self, seat: &MemberInfo) {
-        if seat.id == 0 || seat.id == self.config.local_member.id {
-            return;
-        }
-        // At one address there is one process: another identity there has lost its disk.
-        self.peers
-            .retain(|id, p| *id == seat.id || p.seat.addr != seat.addr);
-        let now = self.now;
-        let peer = Peer {
-            seat: seat.clone(),
-            heard: now,
-            fit: true,
-            leaving: None,
-        };
-        let peer = self.peers.entry(seat.id).or_insert(peer);
-        peer.heard = now;
-        if !seat.name.is_empty() {
-            peer.seat = seat.clone();
-        }
+    fn next_wake(&self) -> Duration {
+        let wakes = [
+            self.election_wake(),
+            self.primary_wake(),
+            self.candidate_wake(),
+            self.commands_wake(),
+            self.departure_wake(),
+            self.writes.wake(self.config.disk_stall_timeout),
+        ];
+        let lease_duration = self.config.lease_duration;
+        wakes
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(self.now + lease_duration)
+            .max(self.now + MIN_WAKE_DELAY)
+            .min(self.now + MAX_WAKE_DELAY_LEASES * lease_duration)
     }
 
-    fn see(&mut self, epoch: u64) {
-        self.seen = self.seen.max(epoch);
+    fn observe_epoch(&mut self, epoch: u64) {
+        self.highest_epoch_seen = self.highest_epoch_seen.max(epoch);
     }
 
     fn me(&self) -> u64 {
@@ -532,40 +261,42 @@
     }
 
     fn is_voter(&self) -> bool {
-        self.view
-            .as_ref()
-            .is_some_and(|v| v.voter(self.me()).is_some())
+        let membership = self.membership.as_ref();
+        membership.is_some_and(|m| m.voter(self.me()).is_some())
     }
 
-    /// A replica notes what the primary of its view has acknowledged, for its next life.
-    fn record_committed(&mut self, epoch: u64, index: u64) {
-        let follows = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
-        let Some(held) = self
-            .held
-            .as_ref()
-            .filter(|h| follows && h.disk.index >= index)
-        else {
-            return;
-        };
-        if self.acknowledged.acknowledge(index, &held.disk) {
-            self.write(&Record::Committed { index }, After::Nothing);
-        }
+    /// The other voters of the membership configuration, the previous ones among them.
+    fn other_voters(&self) -> BTreeSet<u64> {
+        let mut voters = self.membership.as_ref().map(all_voters).unwrap_or_default();
+        voters.remove(&self.me());
+        voters
     }
 
-    /// The freshest word on where a seat is.
-    fn fresh(&self, seat: &MemberInfo) -> MemberInfo {
-        match seat.id {
+    /// Epoch of the membership configuration that this member has accepted.
+    fn accepted_epoch(&self) -> Option<u64> {
+        self.membership.as_ref().map(|m| m.epoch)
+    }
+
+    /// Whether a member is the primary of the membership configuration that this member has accepted.
+    fn follows(&self, epoch: u64, primary: u64) -> bool {
+        let membership = self.membership.as_ref();
+        membership.is_some_and(|m| m.epoch == epoch && m.primary == primary)
+    }
+
+    /// The latest that is known of a member's addresses and place.
+    fn latest_info(&self, member: &MemberInfo) -> MemberInfo {
+        match member.id {
             id if id == self.me() => self.config.local_member.clone(),
-            id => self.peers.get(&id).map_or(seat, |p| &p.seat).clone(),
+            id => self.peers.info(id).unwrap_or(member).clone(),
         }
     }
 
     fn member_info(&self, id: u64) -> Option<MemberInfo> {
-        let voter = self.view.as_ref().and_then(|v| {
-            v.voter(id)
-                .or(v.previous_voters.iter().find(|s| s.id == id))
+        let as_voter = self.membership.as_ref().and_then(|m| {
+            let mut previous_voters = m.previous_voters.iter();
+            m.voter(id).or(previous_voters.find(|v| v.id == id))
         });
-        self.peers.get(&id).map(|p| &p.seat).or(voter).cloned()
+        self.peers.info(id).or(as_voter).cloned()
     }
 
     fn send(&self, to: u64, message: Message, out: &mut Vec<Output>) {
@@ -574,137 +305,55 @@
         }
     }
 
-    fn draw(&mut self, below: Duration) -> Duration {
-        // xorshift64*
-        self.random ^= self.random >> 12;
-        self.random ^= self.random << 25;
-        self.random ^= self.random >> 27;
-        let part =
-            (self.random.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 40) as f64 / (1u64 << 24) as f64;
-        below.mul_f64(part)
-    }
-
-    /// Voters stand one after the other: replicas first, in the view's order.
-    fn election_delay(&mut self) -> Duration {
-        let step = self.config.lease_duration / 8;
-        let me = self.me();
-        let rank = self.view.as_ref().map_or(0, |v| {
-            let replicas = v.replicas.iter().copied();
-            let rest = v
-                .voters
-                .iter()
-                .map(|s| s.id)
-                .filter(|id| !v.replicas.contains(id));
-            replicas
-                .chain(rest)
-                .filter(|id| *id != v.primary || *id == me)
-                .position(|id| id == me)
-                .unwrap_or(0)
-        });
-        step * rank as u32 + self.draw(step / 2)
-    }
-
-    /// Who acts, as far as known here: the holder of a lease that hasn't ended.
+    /// The primary, as far as is known here: the holder of a lease that hasn't ended, or the one that others told of.
     pub fn primary(&self) -> Option<MemberInfo> {
-        if let Role::Primary(_) = &self.role {
-            Some(self.config.local_member.clone())
-        } else {
-            let granted = self
-                .grant
-                .filter(|g| g.until > self.now)
-                .and_then(|g| self.member_info(g.to));
-            // Who has no say grants no leases, and knows by what others tell alone.
-            let newer = |epoch: u64| self.view.as_ref().is_none_or(|v| epoch > v.epoch);
-            let told = || {
-                self.hint
-                    .as_ref()
-                    .filter(|h| !self.is_voter() || newer(h.0))
-            };
-            let told = || told().filter(|h| self.in_touch_with(h.1.id));
-            granted.or_else(|| told().map(|h| h.1.clone()))
+        if self.role.primary().is_some() {
+            return Some(self.config.local_member.clone());
         }
+        let grant = self.grant.filter(|g| g.until > self.now);
+        let lease_holder = grant.and_then(|g| self.member_info(g.primary));
+        lease_holder.or_else(|| self.primary_that_others_told())
     }
 
-    /// Whether a member was heard of lately, itself or by a link to it; one never heard of may be about to be reached.
-    fn in_touch_with(&self, id: u64) -> bool {
-        let silent_at = |heard: Duration| heard + IN_TOUCH_LEASES * self.config.lease_duration;
-        self.peers
-            .get(&id)
-            .is_none_or(|peer| self.now < silent_at(peer.heard))
+    fn primary_that_others_told(&self) -> Option<MemberInfo> {
+        let known = self.known_primary.as_ref()?;
+        let is_newer = self.accepted_epoch().is_none_or(|own| known.epoch > own);
+        // A member without a vote grants no leases: it knows the primary from others alone.
+        let is_useful = !self.is_voter() || is_newer;
+        let is_reachable = self.peers.is_reachable(known.info.id, self.now);
+        (is_useful && is_reachable).then(|| known.info.clone())
     }
 
-    /// Takes who is the primary in the view of an epoch, as others tell. It only says whom to hand commands to.
+    /// Takes from others who is the primary of an epoch. This only tells where commands are sent.
     pub fn learn_primary(&mut self, epoch: u64, primary: MemberInfo) {
-        if primary.id != self.me() && self.hint.as_ref().is_none_or(|h| epoch >= h.0) {
-            self.hint = Some((epoch, primary));
+        let is_latest = self.known_primary.as_ref().is_none_or(|k| epoch >= k.epoch);
+        if primary.id != self.me() && is_latest {
+            self.known_primary = Some(KnownPrimary {
+                epoch,
+                info: primary,
+            });
         }
     }
 
-    /// Whether this member acts now.
-    pub fn is_acting_primary(&self) -> bool {
-        self.is_acting_primary_at(self.now)
-    }
-
-    /// Whether this member acts at a time, no earlier than that of its latest step, at which nothing has reached it
-    /// since.
-    pub fn is_acting_primary_at(&self, now: Duration) -> bool {
-        matches!(&self.role, Role::Primary(state) if self.lease_end(state) > now)
-    }
-
-    /// The latest view that this member accepted.
+    /// The latest membership configuration that this member accepted.
     pub fn membership(&self) -> Option<&MembershipConfig> {
-        self.view.as_ref()
+        self.membership.as_ref()
     }
 
     /// The highest epoch that this member has promised.
     pub fn promised_epoch(&self) -> u64 {
-        self.promised
-    }
-
-    /// What is proved of how fresh the acknowledged ledger is that this member may show; nothing before a primary
-    /// has been heard of in this life.
-    pub fn primary_contact(&self, now: Duration) -> Option<PrimaryContact> {
-        match &self.role {
-            Role::Primary(state) if self.lease_end(state) > now => Some(PrimaryContact {
-                at: now,
-                commit_index: state.committed_index(),
-            }),
-            _ => self.proof,
-        }
+        self.promise.epoch()
     }
 
-    /// Why this member can't rely on its records, where that is so: it promises, accepts and holds nothing until
+    /// Why the records on disk can't be relied on, if so. Such a member promises, accepts and replicates nothing until
     /// its disk is emptied.
     pub fn replay_error(&self) -> Option<&ReplayError> {
-        self.unsound.as_deref()
+        self.replay_error.as_deref()
     }
 
-    /// Whether the disk takes writes and its records can be relied on.
+    /// Whether the disk accepts writes and its records can be relied on.
     pub fn disk_healthy(&self) -> bool {
-        self.unsound.is_none() && self.disk.fit(self.now, self.config.disk_stall_timeout)
-    }
-
-    fn next_wake(&self) -> Duration {
-        let idle =
-            self.is_voter() && matches!(self.role, Role::Follower) && self.departure.is_none();
-        let stand = idle.then(|| {
-            self.election_at
-                .max(self.grant.map_or(self.election_at, |g| g.until))
-        });
-        let grace = Duration::from_millis(1);
-        [
-            stand,
-            self.primary_wake(),
-            self.candidate_wake(),
-            self.commands_wake(),
-            self.departure_wake(),
-            self.disk.wake(self.config.disk_stall_timeout),
-        ]
-        .into_iter()
-        .flatten()
-        .min()
-        .unwrap_or(self.now + self.config.lease_duration)
-        .max(self.now + grace)
-        .min(self.now + 4 * self.config.lease_duration)
+        let stall_timeout = self.config.disk_stall_timeout;
+        self.replay_error.is_none() && self.writes.is_healthy(self.now, stall_timeout)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/member/peers.rs
@@ -0,0 +1,160 @@
+//! What a member knows of the others from their messages and from connections.
+
+use protocol::MemberInfo;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// A peer counts as unreachable after this many lease durations without a message. Connections report once per lease
+/// duration that they are up.
+const UNREACHABLE_AFTER_LEASES: u32 = 3;
+/// A peer that announced its departure counts as departing for this many lease durations.
+const DEPARTING_LEASES: u32 = 3;
+/// A peer that announced its departure doesn't become a voter again for this many lease durations: longer than one that
+/// has ended counts as reachable.
+const NO_REJOIN_LEASES: u32 = 5;
+
+/// Another member.
+#[derive(Clone, Debug)]
+pub(super) struct Peer {
+    info: MemberInfo,
+    heard_at: Duration,
+    /// As of its latest lease reply.
+    disk_healthy: bool,
+    /// When it last announced its departure.
+    departing_at: Option<Duration>,
+}
+
+impl Peer {
+    pub(super) fn info(&self) -> &MemberInfo {
+        &self.info
+    }
+
+    pub(super) fn heard_at(&self) -> Duration {
+        self.heard_at
+    }
+
+    pub(super) fn disk_healthy(&self) -> bool {
+        self.disk_healthy
+    }
+}
+
+/// All other members that were heard of.
+#[derive(Clone, Debug)]
+pub(super) struct Peers {
+    own_id: u64,
+    lease_duration: Duration,
+    by_id: BTreeMap<u64, Peer>,
+}
+
+impl Peers {
+    pub(super) fn new(own_id: u64, lease_duration: Duration) -> Self {
+        Self {
+            own_id,
+            lease_duration,
+            by_id: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn ids(&self) -> impl Iterator<Item = u64> + '_ {
+        self.by_id.keys().copied()
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Peer> {
+        self.by_id.values()
+    }
+
+    pub(super) fn info(&self, id: u64) -> Option<&MemberInfo> {
+        self.by_id.get(&id).map(|peer| &peer.info)
+    }
+
+    pub(super) fn heard_at(&self, id: u64) -> Option<Duration> {
+        self.by_id.get(&id).map(|peer| peer.heard_at)
+    }
+
+    /// A message of a member arrived.
+    pub(super) fn record_message(&mut self, sender: &MemberInfo, now: Duration) {
+        if sender.id == 0 || sender.id == self.own_id {
+            return;
+        }
+        // One process listens at an address: another id there means that the earlier disk was lost.
+        self.by_id
+            .retain(|id, peer| *id == sender.id || peer.info.addr != sender.addr);
+        let peer = self.by_id.entry(sender.id).or_insert_with(|| Peer {
+            info: sender.clone(),
+            heard_at: now,
+            disk_healthy: true,
+            departing_at: None,
+        });
+        peer.heard_at = now;
+        if !sender.name.is_empty() {
+            peer.info = sender.clone();
+        }
+    }
+
+    /// The connection to a member is up. That says little of a voter, because a connection may outlive its process for
+    /// seconds. Of other members it is the only sign of life.
+    pub(super) fn record_connection(&mut self, member: &MemberInfo, is_voter: bool, now: Duration) {
+        let heard_before = self.heard_at(member.id).filter(|_| is_voter);
+        self.record_message(member, now);
+        let Some(peer) = self.by_id.get_mut(&member.id) else {
+            return;
+        };
+        peer.heard_at = heard_before.unwrap_or(peer.heard_at);
+        // Only voters are asked whether their disks are healthy.
+        peer.disk_healthy |= !is_voter;
+    }
+
+    /// A voter answered a lease request and told how its disk is.
+    pub(super) fn record_disk_health(&mut self, id: u64, healthy: bool) {
+        let Some(peer) = self.by_id.get_mut(&id) else {
+            return;
+        };
+        peer.disk_healthy = healthy;
+        if healthy {
+            // A departing member says that its disk is unhealthy: this is a later incarnation.
+            peer.departing_at = None;
+        }
+    }
+
+    /// A member couldn't write what it was asked to.
+    pub(super) fn record_disk_failure(&mut self, id: u64) {
+        if let Some(peer) = self.by_id.get_mut(&id) {
+            peer.disk_healthy = false;
+        }
+    }
+
+    pub(super) fn record_departure(&mut self, id: u64, now: Duration) {
+        if let Some(peer) = self.by_id.get_mut(&id) {
+            peer.departing_at = Some(now);
+        }
+    }
+
+    /// Whether a member's disk accepts writes, as far as is known.
+    pub(super) fn is_disk_healthy(&self, id: u64) -> bool {
+        self.by_id.get(&id).is_none_or(|peer| peer.disk_healthy)
+    }
+
+    /// Whether a member has announced its departure lately.
+    pub(super) fn is_departing(&self, id: u64, now: Duration) -> bool {
+        self.announced_departure_within(id, DEPARTING_LEASES, now)
+    }
+
+    /// Whether a member announced its departure so lately that what was heard of it since may have been its last
+    /// message. A later incarnation announces nothing of the kind, and joins once this time is over.
+    pub(super) fn may_have_departed(&self, id: u64, now: Duration) -> bool {
+        self.announced_departure_within(id, NO_REJOIN_LEASES, now)
+    }
+
+    fn announced_departure_within(&self, id: u64, leases: u32, now: Duration) -> bool {
+        let departing_at = self.by_id.get(&id).and_then(|peer| peer.departing_at);
+        departing_at.is_some_and(|at| now < at + leases * self.lease_duration)
+    }
+
+    /// Whether a member was heard of lately, by a message or a connection. One that was never heard of may be about to
+    /// be reached.
+    pub(super) fn is_reachable(&self, id: u64, now: Duration) -> bool {
+        let unreachable_at = |heard_at| heard_at + UNREACHABLE_AFTER_LEASES * self.lease_duration;
+        self.heard_at(id)
+            .is_none_or(|heard_at| now < unreachable_at(heard_at))
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/member/replay.rs
@@ -0,0 +1,220 @@
+//! What a member knows from the records on its disk when it starts.
+//!
+//! The records form segments; each begins with an accepted membership configuration. Only the last segment tells the
+//! replica's state. An earlier one is replayed only if no later one tells which state was committed. At most two states
+//! are in memory, however many changes there are.
+//!
+//! A record that can't be decoded, or a change that doesn't follow the one before, is never skipped: the member would
+//! pass for one with an older state, or with fewer promises, than it had.
+
+use crate::replicated_state::ReplicatedState;
+use protocol::{Change, MembershipConfig, Record, Snapshot};
+use snafu::{ResultExt, Snafu};
+use std::collections::BTreeSet;
+
+/// Why a member can't rely on its records.
+#[derive(Debug, Snafu)]
+pub enum ReplayError {
+    /// The record can't be decoded by this release.
+    #[snafu(display("record {record} can't be read"))]
+    Unreadable {
+        /// Position of the record, from 0.
+        record: usize,
+        /// Why.
+        source: protocol::DecodeError,
+    },
+    /// The state that a membership configuration begins with can't be read.
+    #[snafu(display("record {record}: the ledger can't be read"))]
+    InvalidSnapshot {
+        /// Position of the record, from 0.
+        record: usize,
+        /// Why.
+        source: configuration::InvalidConfiguration,
+    },
+    /// A change comes without a state before it.
+    #[snafu(display("record {record}: a change without a ledger"))]
+    NoLedger {
+        /// Position of the record, from 0.
+        record: usize,
+    },
+    /// A change doesn't follow the one before.
+    #[snafu(display(
+        "record {record}: change {index} of epoch {epoch} after {held_index} of {held_epoch}"
+    ))]
+    OutOfOrder {
+        /// Position of the record, from 0.
+        record: usize,
+        /// The change's epoch.
+        epoch: u64,
+        /// The change's index.
+        index: u64,
+        /// Epoch of the membership configuration before it.
+        held_epoch: u64,
+        /// Index of the change before it.
+        held_index: u64,
+    },
+    /// A change can't be applied again.
+    #[snafu(display("record {record}: the change can't be made again: {detail}"))]
+    Change {
+        /// Position of the record, from 0.
+        record: usize,
+        /// Why.
+        detail: String,
+    },
+}
+
+/// What the records tell.
+#[derive(Debug, Default)]
+pub(super) struct Recovered {
+    /// The highest epoch that was promised.
+    pub(super) promised_epoch: u64,
+    /// The latest membership configuration that was accepted.
+    pub(super) membership: Option<MembershipConfig>,
+    /// The state after all changes on disk; none if the member is no replica.
+    pub(super) durable: Option<ReplicatedState>,
+    /// The newest state that was known to be committed.
+    pub(super) committed: Option<ReplicatedState>,
+}
+
+/// The records from one accepted membership configuration up to the next one.
+#[derive(Debug)]
+struct Segment {
+    /// Position of the record with the membership configuration.
+    start: usize,
+    /// Position behind the last record.
+    end: usize,
+    /// The commit indexes that were recorded.
+    commit_indexes: BTreeSet<u64>,
+}
+
+/// What a segment comes to.
+#[derive(Debug, Default)]
+struct ReplayedSegment {
+    membership: MembershipConfig,
+    /// The state after the last change.
+    last: Option<ReplicatedState>,
+    /// The state after the last change that was recorded as committed.
+    committed: Option<ReplicatedState>,
+}
+
+/// Replays all records.
+///
+/// # Errors
+/// If a record can't be relied on.
+pub(super) fn replay(records: &[Vec<u8>]) -> Result<Recovered, ReplayError> {
+    let mut recovered = Recovered::default();
+    let segments = find_segments(records, &mut recovered.promised_epoch)?;
+    for (age, segment) in segments.iter().rev().enumerate() {
+        let is_latest = age == 0;
+        if !is_latest && segment.commit_indexes.is_empty() {
+            continue;
+        }
+        let replayed = replay_segment(records, segment)?;
+        if is_latest {
+            recovered.membership = Some(replayed.membership);
+            recovered.durable = replayed.last;
+        }
+        if replayed.committed.is_some() {
+            recovered.committed = replayed.committed;
+            break;
+        }
+    }
+    Ok(recovered)
+}
+
+fn decode(records: &[Vec<u8>], record: usize) -> Result<Record, ReplayError> {
+    protocol::decode_record(&records[record]).context(UnreadableSnafu { record })
+}
+
+/// Decodes each record, and finds where the segments begin.
+fn find_segments(
+    records: &[Vec<u8>],
+    promised_epoch: &mut u64,
+) -> Result<Vec<Segment>, ReplayError> {
+    let mut segments: Vec<Segment> = Vec::new();
+    for record in 0..records.len() {
+        match decode(records, record)? {
+            Record::Promised { epoch } => *promised_epoch = epoch.max(*promised_epoch),
+            Record::Accepted { membership, .. } => {
+                *promised_epoch = membership.epoch.max(*promised_epoch);
+                segments.push(Segment {
+                    start: record,
+                    end: record,
+                    commit_indexes: BTreeSet::new(),
+                });
+            }
+            Record::Change { .. } if segments.is_empty() => return NoLedgerSnafu { record }.fail(),
+            Record::Change { .. } => {}
+            Record::Committed { index } => {
+                if let Some(segment) = segments.last_mut() {
+                    segment.commit_indexes.insert(index);
+                }
+            }
+        }
+        if let Some(segment) = segments.last_mut() {
+            segment.end = record + 1;
+        }
+    }
+    Ok(segments)
+}
+
+fn replay_segment(records: &[Vec<u8>], segment: &Segment) -> Result<ReplayedSegment, ReplayError> {
+    let mut replayed = ReplayedSegment::default();
+    for record in segment.start..segment.end {
+        match decode(records, record)? {
+            Record::Accepted {
+                membership,
+                snapshot,
+            } => {
+                let state = snapshot.map(|s| state_of(record, &s)).transpose()?;
+                replayed.membership = membership;
+                replayed.last = state;
+            }
+            Record::Change {
+                epoch,
+                index,
+                change,
+            } => replayed.apply(record, epoch, index, &change)?,
+            Record::Promised { .. } | Record::Committed { .. } => continue,
+        }
+        let last = replayed.last.as_ref();
+        if let Some(state) = last.filter(|s| segment.commit_indexes.contains(&s.index)) {
+            replayed.committed = Some(state.clone());
+        }
+    }
+    Ok(replayed)
+}
+
+impl ReplayedSegment {
+    /// Applies the change of a record.
+    fn apply(
+        &mut self,
+        record: usize,
+        epoch: u64,
+        index: u64,
+        change: &Change,
+    ) -> Result<(), ReplayError> {
+        let Some(last) = &self.last else {
+            return NoLedgerSnafu { record }.fail();
+        };
+        let (held_epoch, held_index) = (self.membership.epoch, last.index);
+        if epoch != held_epoch || index != held_index + 1 {
+            return OutOfOrderSnafu {
+                record,
+                epoch,
+                index,
+                held_epoch,
+                held_index,
+            }
+            .fail();
+        }
+        let next = last.after(change);
+        let next = next.map_err(|(_, detail)| ReplayError::Change { record, detail })?;
+        self.last = Some(next);
+        Ok(())
+    }
+}
+
+fn state_of(record: usize, snapshot: &Snapshot) -> Result<ReplicatedState, ReplayError> {
+    ReplicatedState::of(snapshot).context(InvalidSnapshotSnafu { record })
+}
--- /dev/null
+++ b/crates/control-plane/src/member/replica_placement.rs
@@ -0,0 +1,59 @@
+//! Which members hold replicas, and whether a majority of voters survives the losses that the fault budget allows.
+
+use configuration::FaultBudget;
+use protocol::MemberInfo;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Picks replicas so that one of them survives any loss within the fault budget: on enough machines, in enough zones and
+/// regions. The first candidate is always picked, and earlier ones are preferred. `None` if the candidates don't suffice.
+pub fn choose_replicas(budget: &FaultBudget, candidates: &[&MemberInfo]) -> Option<Vec<u64>> {
+    let min_machines = budget.machine_losses as usize + 1;
+    let min_zones = budget.zones as usize + 1;
+    let min_regions = budget.region_losses as usize + 1;
+    let mut chosen: Vec<&MemberInfo> = Vec::new();
+    loop {
+        let zones: BTreeSet<&str> = chosen.iter().map(|m| m.zone.as_str()).collect();
+        let regions: BTreeSet<&str> = chosen.iter().map(|m| m.region.as_str()).collect();
+        let more_machines = chosen.len() < min_machines;
+        let (more_zones, more_regions) = (zones.len() < min_zones, regions.len() < min_regions);
+        if !more_machines && !more_zones && !more_regions {
+            return Some(chosen.iter().map(|m| m.id).collect());
+        }
+        let mut left = candidates
+            .iter()
+            .filter(|m| !chosen.iter().any(|c| c.id == m.id));
+        let new_region = left
+            .clone()
+            .find(|m| more_regions && !regions.contains(m.region.as_str()));
+        let new_zone = left.clone().find(|m| !zones.contains(m.zone.as_str()));
+        let any = left.next().filter(|_| more_machines || more_zones);
+        chosen.push(new_region.or(new_zone).or(any)?);
+    }
+}
+
+/// How many voters a majority lacks after the worst loss of machines, zones or regions within the fault budget. It lacks
+/// none if this is 0 or less.
+pub fn majority_shortfall(budget: &FaultBudget, voters: &[&MemberInfo]) -> i64 {
+    let machines = (budget.machine_losses as usize).min(voters.len());
+    let zones = largest_groups(voters, budget.zones, |v| &v.zone);
+    let regions = largest_groups(voters, budget.region_losses, |v| &v.region);
+    let lost = machines.max(zones).max(regions);
+    2 * lost as i64 + 1 - voters.len() as i64
+}
+
+/// The number of voters in the `count` largest groups. A voter whose group is unknown forms one of its own.
+fn largest_groups<'v>(
+    voters: &[&'v MemberInfo],
+    count: u32,
+    group: impl Fn(&'v MemberInfo) -> &'v str,
+) -> usize {
+    let mut sizes: BTreeMap<(&str, u64), usize> = BTreeMap::new();
+    for voter in voters.iter().copied() {
+        let name = group(voter);
+        let own_group = if name.is_empty() { voter.id } else { 0 };
+        *sizes.entry((name, own_group)).or_default() += 1;
+    }
+    let mut sizes: Vec<usize> = sizes.into_values().collect();
+    sizes.sort_unstable_by(|a, b| b.cmp(a));
+    sizes.into_iter().take(count as usize).sum()
+}
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -75,13 +75,15 @@
             id: self.me(),
             role: self.role_summary(),
             membership: self.shared_membership(previous),
-            promised_epoch: self.promised,
+            promised_epoch: self.promise.epoch(),
             lease_grant: grant.map(|g| LeaseGrantSummary {
-                primary: g.to,
+                primary: g.primary,
                 epoch: g.epoch,
             }),
-            disk: self.disk.state(self.now, self.config.disk_stall_timeout),
-            durable_index: self.held.as_ref().map(|h| h.disk.index),
+            disk: self
+                .writes
+                .disk_state(self.now, self.config.disk_stall_timeout),
+            durable_index: self.log.as_ref().map(|log| log.durable().index),
             departing: self.departure.is_some(),
         }
     }
@@ -89,20 +91,20 @@
     fn role_summary(&self) -> RoleSummary {
         match &self.role {
             Role::Follower => RoleSummary::Follower,
-            Role::Candidate(state) => RoleSummary::Candidate {
-                epoch: state.epoch,
-                phase: state.phase,
+            Role::Candidate(candidate) => RoleSummary::Candidate {
+                epoch: candidate.epoch(),
+                phase: candidate.phase(),
             },
-            Role::Primary(state) => RoleSummary::Primary {
-                epoch: state.epoch,
-                leased: self.lease_end(state) > self.now,
+            Role::Primary(primary) => RoleSummary::Primary {
+                epoch: primary.epoch(),
+                leased: self.is_acting_primary(),
             },
         }
     }
 
     fn shared_membership(&self, previous: Option<&MemberSummary>) -> Option<Arc<MembershipConfig>> {
         let known = previous.and_then(|p| p.membership.as_ref());
-        self.view.as_ref().map(|membership| match known {
+        self.membership.as_ref().map(|membership| match known {
             // An epoch is used for one membership configuration only.
             Some(known) if known.epoch == membership.epoch => known.clone(),
             _ => Arc::new(membership.clone()),
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -1,79 +1,159 @@
-//! A member as a voter and a copy: promises, views, changes, leases.
+//! A member as a voter: it answers pre-votes, and promises epochs to candidates (phase 1 of Paxos).
 
-use super::disk::After;
-use super::{Grant, Member, Output, PrimaryContact, Role};
-use crate::replicated_state::ReplicatedState;
-use protocol::{Change, LogPosition, MemberInfo, MembershipConfig, Message, Record, Snapshot};
+use super::write_queue::OnDurable;
+use super::{Member, Output};
+use protocol::{LogPosition, MemberInfo, MembershipConfig, Message, Record};
 use std::time::Duration;
 
+/// The highest epoch that this member has promised: it follows no lower one.
+#[derive(Clone, Debug)]
+pub(super) struct PromiseState {
+    epoch: u64,
+    /// The candidate that this incarnation's latest promise was given to.
+    candidate: Option<u64>,
+    /// No other candidate is preferred before this time.
+    preferred_until: Duration,
+}
+
+impl PromiseState {
+    pub(super) fn new(now: Duration) -> Self {
+        Self {
+            epoch: 0,
+            candidate: None,
+            preferred_until: now,
+        }
+    }
+
+    pub(super) fn epoch(&self) -> u64 {
+        self.epoch
+    }
+
+    /// Sets the epoch that is on disk, or whose membership configuration is being accepted.
+    pub(super) fn set_epoch(&mut self, epoch: u64) {
+        self.epoch = epoch;
+    }
+
+    fn give(&mut self, epoch: u64, candidate: u64) {
+        self.epoch = epoch;
+        self.candidate = Some(candidate);
+    }
+
+    fn is_given_to(&self, candidate: u64) -> bool {
+        self.candidate == Some(candidate)
+    }
+}
+
+/// What a voter that promised told of what it has accepted.
+#[derive(Clone, Debug)]
+pub(super) struct PromisedHistory {
+    /// The latest membership configuration that it accepted. Without voters it stands for none.
+    pub(super) membership: MembershipConfig,
+    /// How far its log goes, if it is a replica.
+    pub(super) log_position: Option<LogPosition>,
+}
+
+impl PromisedHistory {
+    /// What another voter told. One that has just joined may not have accepted any membership configuration: its promise
+    /// counts all the same.
+    pub(super) fn told(
+        membership: Option<MembershipConfig>,
+        log_position: Option<LogPosition>,
+    ) -> Self {
+        Self {
+            membership: membership.unwrap_or_default(),
+            log_position,
+        }
+    }
+}
+
+/// A voter's answer to a candidate that prepares an epoch.
+#[derive(Clone, Debug)]
+pub(super) struct PromiseReply {
+    pub(super) epoch: u64,
+    pub(super) granted: bool,
+    pub(super) history: Option<PromisedHistory>,
+    /// When asking again makes sense.
+    pub(super) retry_after: Duration,
+}
+
 impl Member {
-    /// Whether a promise to a candidate can be given now; else when asking again makes sense.
+    /// Whether this member may promise an epoch to a candidate now.
+    ///
+    /// # Errors
+    /// How long the candidate should wait before it asks again.
     fn may_promise(&self, candidate: u64) -> Result<(), Duration> {
-        let wait = self.config.lease_duration / 2;
-        // One that joins may be a voter without having been told yet: with no view of its own it can't know better
-        // than whoever asks, and a promise never does harm.
-        // Until a change of voters is settled, those who go count as well.
-        let counts = self.view.as_ref().is_none_or(|v| v.has_vote(self.me()));
-        let may_be_voter = counts && !self.given_up();
-        if !may_be_voter || !self.disk_healthy() {
-            return Err(wait);
+        // A voter that joins may not have been told yet. Without a membership configuration of its own it can't know
+        // better than the candidate, and a promise never does harm. Until a change of voters is complete, those who are
+        // removed have a vote as well.
+        let may_have_vote = self
+            .membership
+            .as_ref()
+            .is_none_or(|m| m.has_vote(self.me()));
+        if !may_have_vote || self.is_given_up() || !self.disk_healthy() {
+            return Err(self.config.lease_duration / 2);
         }
-        let grant = self
-            .grant
-            .filter(|g| g.to != candidate && g.until > self.now);
-        let own = match &self.role {
-            Role::Primary(state) if candidate != self.me() => Some(self.lease_end(state)),
-            _ => None,
-        };
-        // What it granted before it was started again is not known.
-        let earlier = self
+        let granted = self.grant.filter(|g| g.primary != candidate);
+        let granted_until = granted.map(|g| g.until).filter(|until| *until > self.now);
+        let own_primary = self.role.primary().filter(|_| candidate != self.me());
+        let own_until = own_primary.map(|primary| self.lease_end(primary));
+        // The leases that an earlier incarnation granted aren't known.
+        let earlier_until = self
             .restarted
-            .then_some(self.started + self.config.lease_duration);
-        let until = [grant.map(|g| g.until), own, earlier]
-            .into_iter()
-            .flatten()
-            .max();
-        match until.filter(|until| *until > self.now) {
-            Some(until) => Err(until - self.now),
-            None => Ok(()),
-        }
+            .then_some(self.started_at + self.config.lease_duration);
+        let until = [granted_until, own_until, earlier_until];
+        self.passed(until.into_iter().flatten().max())
     }
 
-    /// Whether another candidate may be preferred now: not to one that moves a ledger, which may take long.
+    /// Whether this member may prefer another candidate now. One that transfers a large snapshot isn't interrupted.
+    ///
+    /// # Errors
+    /// How long the other candidate should wait before it asks again.
     fn may_prefer(&self, candidate: u64) -> Result<(), Duration> {
-        let told = Some(self.held_back_until).filter(|_| self.promised_to != Some(candidate));
-        let until = self.moves_ledger_until().max(told);
-        match until.filter(|until| *until > self.now) {
-            Some(until) => Err(until - self.now),
+        let told_until =
+            (!self.promise.is_given_to(candidate)).then_some(self.promise.preferred_until);
+        self.passed(self.long_phase_end().max(told_until))
+    }
+
+    /// Whether a time has passed.
+    ///
+    /// # Errors
+    /// How long it is until then.
+    fn passed(&self, time: Option<Duration>) -> Result<(), Duration> {
+        match time.filter(|time| *time > self.now) {
+            Some(time) => Err(time - self.now),
             None => Ok(()),
         }
     }
 
+    /// A member asks whether it could win an election. Nothing is promised yet.
     pub(super) fn on_pre_vote(
         &mut self,
         from: MemberInfo,
-        seen: u64,
-        view: u64,
+        known_epoch: u64,
+        accepted_epoch: u64,
         out: &mut Vec<Output>,
     ) {
-        self.see(seen);
-        // Whoever has been left out since can't win, it would only hold the others up.
-        let left_out = |v: &MembershipConfig| v.epoch > view && v.voter(from.id).is_none();
-        let may = if self.view.as_ref().is_some_and(left_out) {
+        self.observe_epoch(known_epoch);
+        // A member that has been left out since can't win: its campaign would only disturb the others.
+        let is_left_out = self
+            .membership
+            .as_ref()
+            .is_some_and(|own| own.epoch > accepted_epoch && own.voter(from.id).is_none());
+        let willing = if is_left_out {
             Err(4 * self.config.lease_duration)
         } else {
             self.may_promise(from.id)
                 .and_then(|()| self.may_prefer(from.id))
         };
-        let wait_ms = may.err().map_or(0, |w| w.as_millis() as u32);
         let message = Message::PreVoteReply {
-            granted: may.is_ok(),
-            promised_epoch: self.promised,
-            retry_after_ms: wait_ms,
+            granted: willing.is_ok(),
+            promised_epoch: self.promise.epoch(),
+            retry_after_ms: willing.err().map_or(0, |wait| wait.as_millis() as u32),
         };
         out.push(Output::Send { to: from, message });
     }
 
+    /// A candidate asks for a promise.
     pub(super) fn on_prepare(
         &mut self,
         from: MemberInfo,
@@ -81,296 +161,96 @@
         candidate: MemberInfo,
         out: &mut Vec<Output>,
     ) {
-        if epoch == self.promised && self.promised_to == Some(from.id) {
-            // It is still at it: a ledger is on its way.
-            self.election_at = self.now + self.config.lease_duration + self.election_delay();
-            self.held_back_until = self.now + self.config.lease_duration / 2;
+        if epoch == self.promise.epoch() && self.promise.is_given_to(from.id) {
+            // A reminder that its campaign goes on: it transfers a large snapshot.
+            self.postpone_election();
+            self.promise.preferred_until = self.now + self.config.lease_duration / 2;
             return;
         }
         let wait = match self.may_promise(from.id) {
-            Ok(()) if epoch > self.promised => return self.promise(candidate, epoch),
+            Ok(()) if epoch > self.promise.epoch() => return self.give_promise(candidate, epoch),
             Ok(()) => Duration::ZERO,
             Err(wait) => wait,
         };
-        let (seen, wait_ms) = (self.promised, wait.as_millis() as u32);
         let message = Message::Promise {
             epoch,
             granted: false,
-            promised_epoch: seen,
-            membership: self.view.clone(),
+            promised_epoch: self.promise.epoch(),
+            membership: self.membership.clone(),
             log_position: None,
-            retry_after_ms: wait_ms,
+            retry_after_ms: wait.as_millis() as u32,
         };
         out.push(Output::Send { to: from, message });
     }
 
-    /// Promises an epoch to a candidate, itself perhaps.
-    pub(super) fn promise(&mut self, to: MemberInfo, epoch: u64) {
-        self.promised = epoch;
-        self.promised_to = Some(to.id);
-        self.see(epoch);
-        if to.id != self.me() {
+    /// Promises an epoch to a candidate, which may be this member. The candidate is told once the promise is on disk.
+    pub(super) fn give_promise(&mut self, candidate: MemberInfo, epoch: u64) {
+        self.promise.give(epoch, candidate.id);
+        self.observe_epoch(epoch);
+        if candidate.id != self.me() {
             self.step_down();
-            self.election_at = self.now + self.config.lease_duration + self.election_delay();
+            self.postpone_election();
         }
-        self.write(&Record::Promised { epoch }, After::Promise { to, epoch });
+        let on_durable = OnDurable::Promise { candidate, epoch };
+        self.write(&Record::Promised { epoch }, on_durable);
     }
 
-    pub(super) fn promise_written(&mut self, to: MemberInfo, epoch: u64, out: &mut Vec<Output>) {
-        let (view, tag) = (self.view.clone(), self.tag());
-        if to.id == self.me() {
-            let me = self.config.local_member.clone();
-            return self.on_promise(me, epoch, true, view.zip(Some(tag)), 0, out);
+    pub(super) fn on_promise_durable(
+        &mut self,
+        candidate: MemberInfo,
+        epoch: u64,
+        out: &mut Vec<Output>,
+    ) {
+        let (membership, log_position) = (self.membership.clone(), self.log_position());
+        if candidate.id == self.me() {
+            let history = membership.map(|membership| PromisedHistory {
+                membership,
+                log_position,
+            });
+            let reply = PromiseReply {
+                epoch,
+                granted: true,
+                history,
+                retry_after: Duration::ZERO,
+            };
+            return self.on_promise(candidate.id, reply, out);
         }
         let message = Message::Promise {
             epoch,
             granted: true,
-            promised_epoch: self.promised,
-            membership: view,
-            log_position: tag,
+            promised_epoch: self.promise.epoch(),
+            membership,
+            log_position,
             retry_after_ms: 0,
         };
-        out.push(Output::Send { to, message });
+        out.push(Output::Send {
+            to: candidate,
+            message,
+        });
     }
 
-    /// How far the ledger on this disk goes.
-    pub(super) fn tag(&self) -> Option<LogPosition> {
-        let view = self.view.as_ref()?;
-        self.held.as_ref().map(|h| LogPosition {
-            epoch: view.epoch,
-            index: h.disk.index,
+    /// How far the log on this disk goes; none if this member is no replica.
+    fn log_position(&self) -> Option<LogPosition> {
+        let membership = self.membership.as_ref()?;
+        self.log.as_ref().map(|log| LogPosition {
+            epoch: membership.epoch,
+            index: log.durable().index,
         })
     }
 
+    /// A candidate that holds this member's promise asks for its replicated state.
     pub(super) fn on_fetch(&mut self, from: MemberInfo, epoch: u64, out: &mut Vec<Output>) {
-        // Only under the promise: from here on no change of an older view gets this copy's word.
-        if epoch != self.promised {
+        // After the promise this replica confirms no change of a lower epoch any more: the snapshot is complete.
+        if epoch != self.promise.epoch() {
             return;
         }
-        if let Some((tag, held)) = self.tag().zip(self.held.as_ref()) {
+        if let Some((log_position, log)) = self.log_position().zip(self.log.as_ref()) {
             let message = Message::SnapshotReply {
                 epoch,
-                log_position: tag,
-                snapshot: held.disk.snapshot(),
+                log_position,
+                snapshot: log.durable().snapshot(),
             };
             out.push(Output::Send { to: from, message });
         }
     }
-
-    pub(super) fn on_install(
-        &mut self,
-        from: MemberInfo,
-        view: MembershipConfig,
-        snapshot: Option<Snapshot>,
-        out: &mut Vec<Output>,
-    ) {
-        let epoch = view.epoch;
-        self.see(epoch);
-        self.note_succession(&view);
-        let held = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
-        let copy = view.replicas.contains(&self.me());
-        let ledger = snapshot.as_ref().map(ReplicatedState::of).transpose();
-        let fits = view.has_vote(self.me()) && epoch >= self.promised && copy == snapshot.is_some();
-        match ledger {
-            _ if held && epoch >= self.promised => {
-                let message = Message::InstallMembershipReply {
-                    epoch,
-                    accepted: true,
-                    promised_epoch: self.promised,
-                };
-                out.push(Output::Send { to: from, message });
-            }
-            Ok(ledger) if fits && self.disk_healthy() => {
-                self.promised = epoch;
-                self.waits_for_slow_disks = false;
-                self.step_down();
-                self.election_at = self.now + self.config.lease_duration + self.election_delay();
-                let record = Record::Accepted {
-                    membership: view.clone(),
-                    snapshot,
-                };
-                let ledger = ledger.map(Box::new);
-                self.write(
-                    &record,
-                    After::Installed {
-                        to: from,
-                        view: Box::new(view),
-                        ledger,
-                    },
-                );
-            }
-            _ => {
-                let message = Message::InstallMembershipReply {
-                    epoch,
-                    accepted: false,
-                    promised_epoch: self.promised,
-                };
-                out.push(Output::Send { to: from, message });
-            }
-        }
-    }
-
-    pub(super) fn on_append(
-        &mut self,
-        from: MemberInfo,
-        epoch: u64,
-        index: u64,
-        change: Change,
-        out: &mut Vec<Output>,
-    ) {
-        let follows = self
-            .view
-            .as_ref()
-            .is_some_and(|v| v.epoch == epoch && v.primary == from.id);
-        let follows = follows && !self.given_up();
-        let held = self
-            .held
-            .as_mut()
-            .filter(|_| follows && self.promised == epoch);
-        let message = match held {
-            Some(held) if index <= held.disk.index => Message::AppendReply {
-                epoch,
-                match_index: held.disk.index,
-                accepted: true,
-                promised_epoch: self.promised,
-            },
-            // On its way to the disk.
-            Some(held) if index <= held.head.index => return,
-            Some(held)
-                if index == held.head.index + 1
-                    && self.disk.fit(self.now, self.config.disk_stall_timeout) =>
-            {
-                match held.head.after(&change) {
-                    Ok(next) => {
-                        held.head = next.clone();
-                        let after = After::Appended {
-                            to: from.id,
-                            epoch,
-                            ledger: Box::new(next),
-                        };
-                        return self.write(
-                            &Record::Change {
-                                epoch,
-                                index,
-                                change,
-                            },
-                            after,
-                        );
-                    }
-                    Err(_) => Message::AppendReply {
-                        epoch,
-                        match_index: index,
-                        accepted: false,
-                        promised_epoch: self.promised,
-                    },
-                }
-            }
-            _ => Message::AppendReply {
-                epoch,
-                match_index: index,
-                accepted: false,
-                promised_epoch: self.promised,
-            },
-        };
-        out.push(Output::Send { to: from, message });
-    }
-
-    /// `told` is the number of the last change that is acknowledged, and this voter's clock as the primary heard it.
-    pub(super) fn on_renew(
-        &mut self,
-        from: MemberInfo,
-        epoch: u64,
-        stamp: u64,
-        told: (u64, u64),
-        out: &mut Vec<Output>,
-    ) {
-        let follows = self
-            .view
-            .as_ref()
-            .is_some_and(|v| v.epoch == epoch && v.primary == from.id);
-        let ok = follows && self.promised == epoch && !self.given_up();
-        if ok {
-            self.withdraw_candidacy();
-            let until = self.now + self.config.lease_duration;
-            self.grant = Some(Grant {
-                to: from.id,
-                epoch,
-                until,
-            });
-            self.election_at = until + self.election_delay();
-            self.take_proof(told.0, told.1);
-        }
-        let fit = self.disk_healthy() && self.departure.is_none();
-        if self.departure.is_some() {
-            out.push(Output::Send {
-                to: from.clone(),
-                message: Message::Leaving { epoch },
-            });
-        }
-        let (seen, clock) = (self.promised, self.clock());
-        let message = Message::LeaseReply {
-            epoch,
-            requested_at_ms: stamp,
-            granted: ok,
-            promised_epoch: seen,
-            disk_healthy: fit,
-            clock_ms: clock,
-        };
-        out.push(Output::Send { to: from, message });
-    }
-
-    /// Whoever grants a lease stands no more: it would be its own first voter while the lease is in force.
-    fn withdraw_candidacy(&mut self) {
-        if matches!(self.role, Role::Candidate(_)) {
-            self.step_down();
-        }
-    }
-
-    /// This voter's clock as it tells it to a primary.
-    fn clock(&self) -> u64 {
-        self.life_base.wrapping_add(self.now.as_millis() as u64)
-    }
-
-    /// A primary whose lease was in force has heard this voter's clock and tells how far the acknowledged ledger goes:
-    /// however long that was under way, nothing acknowledged before that moment is missing from it.
-    fn take_proof(&mut self, committed: u64, heard: u64) {
-        let at = Duration::from_millis(heard.wrapping_sub(self.life_base));
-        // 0, and the clock of an earlier life, are no moment of this one.
-        let of_this_life = heard != 0 && at <= self.now;
-        if of_this_life && self.proof.is_none_or(|known| known.at <= at) {
-            self.proof = Some(PrimaryContact {
-                at,
-                commit_index: committed,
-            });
-        }
-    }
-
-    /// While its lease was in force nobody else acknowledged anything: that stays proved.
-    fn keep_own_proof(&mut self) {
-        let Role::Primary(state) = &self.role else {
-            return;
-        };
-        let (at, committed) = (self.lease_end(state).min(self.now), state.committed_index());
-        if !at.is_zero() && self.proof.is_none_or(|known| known.at <= at) {
-            self.proof = Some(PrimaryContact {
-                at,
-                commit_index: committed,
-            });
-        }
-    }
-
-    /// The holder of a lease needs it no more. Somebody else's word says nothing of it.
-    pub(super) fn on_release(&mut self, from: u64, epoch: u64) {
-        if self.grant.is_some_and(|g| g.to == from && g.epoch <= epoch) {
-            self.grant = None;
-            self.election_at = self.now + self.election_delay();
-        }
-    }
-
-    /// Stops acting as primary or standing for election. Commands that wait are asked of whoever acts next.
-    pub(super) fn step_down(&mut self) {
-        self.keep_own_proof();
-        self.role = Role::Follower;
-        self.local.values_mut().for_each(|l| l.asked = None);
-    }
 }
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -2,19 +2,16 @@
 //! anew, so that it goes on as the only voter, as somebody else and in a new generation of epochs
 //! (`docs/operators/losing-a-majority.md`). No I/O.
 
-use crate::member::generation::next_generation;
+use crate::member::epoch::recovery_epoch;
 use crate::replicated_state::ReplicatedState;
 use crate::runtime::identity::{latest_identity, Identity, IdentityError, LogOwner, StoredLog};
 use protocol::{MemberInfo, MembershipConfig, Record};
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::collections::BTreeSet;
 
-/// Bits of an epoch that tell members apart, below the number of the election.
-const OWN_BITS: u32 = 20;
-
 /// Why a folder is not recovered from.
 #[derive(Debug, Snafu)]
-#[allow(missing_docs)]
+#[allow(missing_docs, reason = "the display texts say what the fields are")]
 pub enum Refusal {
     /// The identity's file tells none.
     #[snafu(display("no identity is kept here"))]
@@ -179,8 +176,7 @@
             }
             .fail();
         }
-        let own = id & ((1 << OWN_BITS) - 1);
-        let epoch = next_generation(self.promised) | (1 << OWN_BITS) | own;
+        let epoch = recovery_epoch(self.promised, id);
         let seat = self
             .view
             .voter(self.identity.id)
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -69,19 +69,23 @@
                     body: body.clone(),
                 }),
                 // A copy of it may come later, and has to be taken then: a refusal would be false.
-                Standing::Early => Plan::Answer(ResultCode::BaseNotInForce, self.told_base(*base)),
+                Standing::Early => {
+                    Plan::Answer(ResultCode::BaseNotInForce, self.other_base_text(*base))
+                }
                 Standing::Taken => Plan::Answer(ResultCode::Ok, vec![]),
-                Standing::Superseded => Plan::Answer(ResultCode::OtherBase, self.told_base(*base)),
+                Standing::Superseded => {
+                    Plan::Answer(ResultCode::OtherBase, self.other_base_text(*base))
+                }
                 // A refusal might be false, and a confirmation as well.
                 Standing::Forgotten => {
-                    Plan::Answer(ResultCode::OrderForgotten, self.told_base(*base))
+                    Plan::Answer(ResultCode::OrderForgotten, self.other_base_text(*base))
                 }
             },
         }
     }
 
     /// What a caller is told whose order doesn't build on the version in force.
-    pub(crate) fn told_base(&self, base: u64) -> Vec<u8> {
+    pub(crate) fn other_base_text(&self, base: u64) -> Vec<u8> {
         format!(
             "version {} is in force, not {base}",
             self.configuration.version
