--- /dev/null
+++ b/crates/coordinator/src/ops/admin_server.rs
@@ -0,0 +1,167 @@
+//! The operator's address: readiness, counters and manual ejection. Its server has a thread and a runtime of its
+//! own, so that it answers while the core is busy. It reads what the core publishes, and waits for the core only
+//! to confirm that an order is in force.
+
+use super::hot_restart::never_restarted;
+use super::list_overlay::{EjectionOrder, OverlayRequest};
+use super::manual_ejection::EjectionError;
+use super::Readiness;
+use crate::counters::Counters;
+use crate::net::http::{self, Answering, Gated, Incoming, Limits, Request, Response, Service};
+use std::net::TcpListener;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch};
+
+/// Limit on the callers that are served at once. One more takes the place of the caller that has been sending
+/// its request for longest.
+const MAX_CALLERS: usize = 24;
+/// Limit on the callers beside those whose connections are about to close.
+const MAX_CLOSING_CALLERS: usize = 4;
+/// Answers are due within 1 s: an order that is not in force by then is refused.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Longest id of a host that is looked for.
+const MAX_ID_BYTES: usize = 256;
+
+/// The server of the operator's address.
+pub struct AdminServer {
+    readiness: Readiness,
+    counters: Counters,
+    overlay: mpsc::Sender<OverlayRequest>,
+}
+
+impl AdminServer {
+    /// Creates a server whose orders go to this actor of the host list.
+    pub fn new(
+        readiness: Readiness,
+        counters: Counters,
+        overlay: mpsc::Sender<OverlayRequest>,
+    ) -> Self {
+        Self {
+            readiness,
+            counters,
+            overlay,
+        }
+    }
+
+    /// Serves on a thread of its own for as long as the process lives.
+    ///
+    /// # Errors
+    /// If the thread or its runtime can't be created.
+    pub fn serve(self, listener: TcpListener) -> std::io::Result<()> {
+        listener.set_nonblocking(true)?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        std::thread::Builder::new()
+            .name("admin-server".into())
+            .spawn(move || runtime.block_on(self.run(listener)))
+            .map(drop)
+    }
+
+    async fn run(self, listener: TcpListener) {
+        let limits = Limits {
+            clients: MAX_CALLERS,
+            most: MAX_CALLERS + MAX_CLOSING_CALLERS,
+            serve_on: Duration::ZERO,
+            answer_by: Duration::ZERO,
+            patience: Duration::ZERO,
+            one_call: true,
+            beside: never_restarted(),
+        };
+        let listener = match tokio::net::TcpListener::from_std(listener) {
+            Ok(listener) => listener,
+            Err(e) => return log::error!(error:% = e; "operator's address"),
+        };
+        let (_never_stopped, stop) = watch::channel(false);
+        let incoming = Incoming::Listener(Gated {
+            listener,
+            beside: never_restarted(),
+        });
+        http::serve(incoming, Arc::new(self), limits, Counters::default(), stop).await;
+    }
+
+    fn readiness(&self) -> Response {
+        match self.readiness.not_ready_reason() {
+            None => Response::text(200, "ready\n"),
+            Some(reason) => Response::text(503, format!("{reason}\n")),
+        }
+    }
+
+    fn counters(&self) -> Response {
+        let lines: String = self
+            .counters
+            .figures()
+            .into_iter()
+            .map(|(name, value)| format!("{name}={value}\n"))
+            .collect();
+        Response::text(200, lines)
+    }
+
+    /// Ejects or restores a host. `encoded_id` is its id as it stands in the path.
+    fn order(&self, encoded_id: &str, ejected: bool) -> Answering {
+        let host = percent_encoding::percent_decode_str(encoded_id)
+            .decode_utf8()
+            .unwrap_or_default()
+            .into_owned();
+        if host.is_empty() || host.len() > MAX_ID_BYTES {
+            return immediate(Response::text(404, "no such district host\n"));
+        }
+        let (reply, outcome) = oneshot::channel();
+        let order = OverlayRequest::Order(EjectionOrder {
+            host,
+            ejected,
+            reply,
+        });
+        if self.overlay.try_send(order).is_err() {
+            return immediate(Response::text(503, "too many orders wait\n"));
+        }
+        Box::pin(order_response(outcome, ejected))
+    }
+}
+
+/// Waits until an order is in force or refused.
+async fn order_response(
+    outcome: oneshot::Receiver<Result<(), EjectionError>>,
+    ejected: bool,
+) -> Response {
+    let done = if ejected { "offline\n" } else { "online\n" };
+    let Ok(outcome) = tokio::time::timeout(ORDER_TIMEOUT, outcome).await else {
+        return Response::text(503, "not in force yet: call again\n");
+    };
+    match outcome {
+        Ok(Ok(())) => Response::text(200, done),
+        Ok(Err(error @ EjectionError::UnknownHost)) => Response::text(404, format!("{error}\n")),
+        Ok(Err(error @ EjectionError::TooManyEjected)) => Response::text(503, format!("{error}\n")),
+        Err(_) => Response::text(503, "stopping\n"),
+    }
+}
+
+fn immediate(response: Response) -> Answering {
+    Box::pin(std::future::ready(response))
+}
+
+impl Service for AdminServer {
+    fn answer(&self, request: Request) -> Answering {
+        let path: Vec<&str> = request.path.split('/').skip(1).collect();
+        let allowed_method = match path[..] {
+            ["control", "ready" | "counters"] => "GET",
+            ["control", "district-hosts", _, "offline" | "online"] => "POST",
+            _ => return immediate(Response::text(404, "no such path\n")),
+        };
+        if request.method != allowed_method {
+            let refusal = Response::text(405, format!("only {allowed_method} here\n"));
+            return immediate(refusal.with("Allow", allowed_method.to_owned()));
+        }
+        match path[..] {
+            ["control", "ready"] => immediate(self.readiness()),
+            ["control", "counters"] => immediate(self.counters()),
+            [_, _, id, action] => self.order(id, action == "offline"),
+            _ => immediate(Response::text(404, "no such path\n")),
+        }
+    }
+
+    fn error(&self, status: u16, reason: &str) -> Response {
+        Response::text(status, format!("{reason}\n"))
+    }
+}
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -14,6 +14,6 @@
     pub hosts: Vec<HostInfo>,
     /// Number of proxies that share the retry budget and the hosts' connections, this one included.
     pub proxy_count: usize,
-    /// Addresses at which the other proxies take placement hints.
+    /// Addresses at which the other proxies take prefix hints.
     pub peer_hint_addresses: Vec<SocketAddrV4>,
 }
