--- a/crates/coordinator/src/bin/fennelpin-adapter/main.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/main.rs
@@ -15,7 +15,7 @@
 struct Instance {
     router: Router,
     words: Words,
-    voice: Option<LoadPublisher>,
+    load_publisher: Option<LoadPublisher>,
     /// What the router asked for in this batch so far.
     actions: Vec<Action>,
     touched: bool,
@@ -55,14 +55,14 @@
                 let (settings, words) = wire::settings(f.tail("options")?)?;
                 let router = Router::new(settings, seed as u64);
                 // Instances start anew with the clock further on: a later life has a larger number.
-                let life = now.as_micros() as u64;
-                let voice = words
+                let incarnation = now.as_micros() as u64;
+                let load_publisher = words
                     .talk
-                    .map(|talk| LoadPublisher::new(talk, life, seed as u64));
+                    .map(|talk| LoadPublisher::new(talk, incarnation, seed as u64));
                 let fresh = Instance {
                     router,
                     words,
-                    voice,
+                    load_publisher,
                     actions: Vec::new(),
                     touched: true,
                 };
@@ -80,9 +80,12 @@
         };
         if f.what() == "memo" {
             let from = f.value("author")?;
-            // What can't be read is a fellow's fault, and no reason to stop.
+            // What can't be read is a peer's fault, and no reason to stop.
             let blob = STANDARD.decode(f.text("blob")?).unwrap_or_default();
-            let _ = instance.voice.as_mut().map(|v| v.hear(now, from, &blob));
+            let _ = instance
+                .load_publisher
+                .as_mut()
+                .map(|v| v.receive(now, from, &blob));
             instance.touched = true;
             return Ok(());
         }
@@ -106,15 +109,17 @@
             let Instance {
                 router,
                 words,
-                voice,
+                load_publisher,
                 actions,
                 ..
             } = instance;
-            voice.iter_mut().for_each(|v| v.tell(now, router, actions));
+            load_publisher
+                .iter_mut()
+                .for_each(|v| v.report_peer_loads(now, router, actions));
             router.handle(now, Event::TurnEnded, actions);
-            let word = voice
+            let word = load_publisher
                 .as_mut()
-                .and_then(|v| v.speak(now, router, actions, |id| words.server(id)));
+                .and_then(|v| v.next_update(now, router, actions, |id| words.server(id)));
             if let Some(word) = word {
                 let blob = STANDARD.encode(word.bytes());
                 writeln!(reply, "broadcast_to {who} all {blob}").expect("writing to a string");
--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -91,7 +91,7 @@
     stats: Vec<String>,
     marks_retry: bool,
     /// How instances may tell each other, where they may.
-    pub talk: Option<coordinator::peers::Talk>,
+    pub talk: Option<coordinator::peers::GossipSettings>,
 }
 
 /// Reads the settings of a `start`.
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -314,8 +314,8 @@
     pub known: News,
     /// The settings.
     pub site: Site,
-    /// Where the coordinators that may be told something are; `None` where none may.
-    pub tier: Option<PeerAddresses>,
+    /// The addresses of the peers; `None` if the settings allow no gossip or an address is missing.
+    pub peer_addresses: Option<PeerAddresses>,
     /// The operator's file; empty on the platform.
     pub operator: Operator,
 }
@@ -365,26 +365,27 @@
     text.parse().map_err(|_| ConfigError::Value(key, text))
 }
 
-/// Where talk is allowed and all its addresses are told; the settings' rank says which of them is this one's.
-fn tier(
+/// The peers' addresses, where the settings allow gossip and all addresses are given. The settings' rank says
+/// which of them is this coordinator's.
+fn peer_addresses(
     peers: Option<Vec<String>>,
-    all: Option<String>,
+    broadcast: Option<String>,
     listen: Option<String>,
     site: &Site,
 ) -> Result<Option<PeerAddresses>, ConfigError> {
-    let fellows = peers
+    let peers = peers
         .unwrap_or_default()
         .into_iter()
-        .map(|p| socket("peers", p));
-    let fellows = fellows.collect::<Result<Vec<_>, _>>()?;
-    let all = all.map(|a| socket("peers_all", a)).transpose()?;
+        .map(|peer| socket("peers", peer))
+        .collect::<Result<Vec<_>, _>>()?;
+    let broadcast = broadcast.map(|a| socket("peers_all", a)).transpose()?;
     let listen = listen.map(|a| socket("peer_listen", a)).transpose()?;
-    let talks = site.talk.filter(|_| !fellows.is_empty());
-    Ok(listen.zip(talks).map(|(listen, talk)| PeerAddresses {
+    let gossip = site.talk.filter(|_| !peers.is_empty());
+    Ok(listen.zip(gossip).map(|(listen, gossip)| PeerAddresses {
         listen,
-        fellows,
-        all,
-        rank: talk.rank,
+        peers,
+        broadcast,
+        rank: gossip.rank,
     }))
 }
 
@@ -449,7 +450,7 @@
         let desk = desk.map(|d| address("operator", d)).transpose()?;
         let room = Room::of(&raw.limits, desk.is_some())?;
         let site = settings::read(&raw.settings.to_string())?;
-        let tier = tier(raw.peers, raw.peers_all, raw.peer_listen, &site)?;
+        let peer_addresses = peer_addresses(raw.peers, raw.peers_all, raw.peer_listen, &site)?;
         operator.check(&site)?;
         let cores = operator.cores.map_or(1, |c| c.count);
         let one = room.of_core(cores);
@@ -469,7 +470,7 @@
             seed: raw.seed.map_or(Ok(0), |s| number("seed", &s, 16))?,
             room,
             known,
-            tier,
+            peer_addresses,
             site,
             operator,
         })
--- a/crates/coordinator/src/core/settings.rs
+++ b/crates/coordinator/src/core/settings.rs
@@ -5,7 +5,7 @@
     Idempotency, LoadReport, QueryClass, RetryBudget, RouterSettings, ShardLayout, SlowStart,
     Tenant, ZoneId,
 };
-use crate::peers::Talk;
+use crate::peers::GossipSettings;
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
     /// Whether clients mark their repeats.
     pub marks_retry: bool,
     /// How coordinators may tell each other, where they may.
-    pub talk: Option<Talk>,
+    pub talk: Option<GossipSettings>,
     /// Limits outside the module.
     pub caps: Caps,
 }
@@ -363,8 +363,8 @@
         });
     let must_ask_in = (raw.registry_mode == "on_request")
         .then(|| s.must_ask_in.map_or(Duration::from_secs(10), from_ms));
-    let talk = caps.may_tell.then_some(Talk {
-        routers: raw.balancers,
+    let talk = caps.may_tell.then_some(GossipSettings {
+        coordinators: raw.balancers,
         rank: raw.rank,
         price: raw.costs.peer,
     });
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -91,8 +91,8 @@
     unreached: HashMap<ServerId, u32>,
     /// When the list's figures are shown next.
     show_at: Instant,
-    /// The talk with other coordinators, and where its words go.
-    voice: Option<(LoadPublisher, mpsc::Sender<Datagram>)>,
+    /// The gossip with the other coordinators, and where its updates go.
+    load_publisher: Option<(LoadPublisher, mpsc::Sender<Datagram>)>,
 }
 
 impl<T: Transport> Table<T> {
@@ -142,13 +142,17 @@
             seat: None,
             unreached: HashMap::new(),
             show_at: Instant::now(),
-            voice: None,
+            load_publisher: None,
         }
     }
 
-    /// The same in talk with other coordinators; its words go to the channel.
-    pub fn talking(mut self, voice: LoadPublisher, words: mpsc::Sender<Datagram>) -> Self {
-        self.voice = Some((voice, words));
+    /// The same in gossip with the other coordinators; its updates go to the channel.
+    pub fn with_gossip(
+        mut self,
+        load_publisher: LoadPublisher,
+        updates: mpsc::Sender<Datagram>,
+    ) -> Self {
+        self.load_publisher = Some((load_publisher, updates));
         self
     }
 
@@ -211,8 +215,9 @@
             }
             Mail::Heard(from, bytes) => {
                 let at = self.clock.at(now);
-                if let Some((voice, _)) = &mut self.voice {
-                    self.counters.inc(voice.hear(at, from, &bytes).counter());
+                if let Some((load_publisher, _)) = &mut self.load_publisher {
+                    self.counters
+                        .inc(load_publisher.receive(at, from, &bytes).counter());
                 }
             }
             Mail::Version(version) => {
--- a/crates/coordinator/src/core/table/turn.rs
+++ b/crates/coordinator/src/core/table/turn.rs
@@ -12,16 +12,18 @@
     /// Lets the module decide and carries out what it asks for.
     pub fn turn_end(&mut self, now: Instant) {
         let at = self.clock.at(now);
-        if let Some((voice, _)) = &mut self.voice {
-            voice.tell(at, &mut self.router, &mut self.actions);
+        if let Some((load_publisher, _)) = &mut self.load_publisher {
+            load_publisher.report_peer_loads(at, &mut self.router, &mut self.actions);
         }
         self.tell(now, Event::TurnEnded);
-        if let Some((voice, words)) = &mut self.voice {
-            let word = voice.speak(at, &self.router, &self.actions, |id| {
+        if let Some((load_publisher, updates)) = &mut self.load_publisher {
+            let update = load_publisher.next_update(at, &self.router, &self.actions, |id| {
                 self.servers.name(id.0)
             });
             // One that finds the socket busy is dropped: the next says the same anew.
-            word.into_iter().for_each(|w| drop(words.try_send(w)));
+            update
+                .into_iter()
+                .for_each(|update| drop(updates.try_send(update)));
         }
         if now >= self.show_at {
             self.show_at = now + SHOW;
--- a/crates/coordinator/src/peers/load_update.rs
+++ b/crates/coordinator/src/peers/load_update.rs
@@ -1,38 +1,43 @@
-//! A word on the wire: a version, a checksum, and what `postcard` makes of the rest.
+//! A load update on the wire: a version in one byte, a checksum in two, and then the fields as `postcard` writes
+//! them.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// A longer datagram is against the platform's rule.
-pub const MOST_BYTES: usize = 256;
+/// Longest datagram, by the platform's rule.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// The version of the format.
 const VERSION: u8 = 1;
-const HEAD: usize = 3;
+/// Bytes before the fields: the version and the checksum.
+const HEADER_BYTES: usize = 3;
+/// Fewest bytes that a host takes in an update.
+const MIN_HOST_BYTES: usize = 4;
 
-/// A host in a word: 24 bits of its name's hash. Two hosts of one list may share one, if seldom (1 in 800 for
-/// 200 hosts); what is told of either then counts for none.
+/// A host in an update: 24 bits of its name's hash. Two hosts of one list may share a tag (1 in 800 for 200
+/// hosts); what is told of either then counts for none.
 pub type HostTag = [u8; 3];
 
 /// The tag of a host's name, the same in every process.
-pub fn tag(name: &str) -> HostTag {
-    let mut hash = SipHasher13::new();
-    hash.write(name.as_bytes());
-    let h = hash.finish().to_be_bytes();
-    [h[0], h[1], h[2]]
+pub fn host_tag(name: &str) -> HostTag {
+    let mut hasher = SipHasher13::new();
+    hasher.write(name.as_bytes());
+    let hash = hasher.finish().to_be_bytes();
+    [hash[0], hash[1], hash[2]]
 }
 
-/// What one coordinator says at a time.
+/// What one coordinator tells its peers at a time. The order of the fields is the order on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadUpdate {
-    /// Since when its process lives: a later life beats an earlier one.
-    pub life: u64,
-    /// Its number within that life.
-    pub seq: u32,
-    /// Own parts out, by host.
-    pub hosts: Vec<(HostTag, u16)>,
+    /// The incarnation of the sender's process. A later one supersedes an earlier one.
+    pub incarnation: u64,
+    /// The number of the update within the incarnation.
+    pub sequence: u32,
+    /// The sender's own parts in flight, by host.
+    pub in_flight: Vec<(HostTag, u16)>,
 }
 
-/// Bytes that may go out: never more than [`MOST_BYTES`].
+/// The bytes of an update: at most [`MAX_DATAGRAM_BYTES`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram(Vec<u8>);
 
@@ -46,56 +51,63 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateError {
-    /// Empty or longer than allowed.
+    /// It is empty or longer than allowed.
     #[error("of a length that no word has")]
     Length,
-    /// Of another version.
+    /// It is of another version.
     #[error("of another version")]
     Version,
-    /// Garbled.
+    /// The checksum is wrong, or the fields can't be read.
     #[error("garbled")]
     Garbled,
 }
 
-fn sum(body: &[u8]) -> [u8; 2] {
-    let mut hash = SipHasher13::new();
-    hash.write(body);
-    let h = hash.finish().to_be_bytes();
-    [h[0], h[1]]
+fn checksum(body: &[u8]) -> [u8; 2] {
+    let mut hasher = SipHasher13::new();
+    hasher.write(body);
+    let hash = hasher.finish().to_be_bytes();
+    [hash[0], hash[1]]
 }
 
 impl LoadUpdate {
-    /// The word as a datagram, and how many of its hosts fit, from the first on.
-    pub fn write(&self) -> (Datagram, usize) {
-        // Six bytes for a host at most, so a cut to what fits ends soon.
-        let mut fit = self.hosts.len().min(MOST_BYTES / 4);
+    /// Encodes the update. Returns the datagram and how many hosts fit into it, from the first on.
+    pub fn encode(&self) -> (Datagram, usize) {
+        let mut hosts = self
+            .in_flight
+            .len()
+            .min(MAX_DATAGRAM_BYTES / MIN_HOST_BYTES);
         loop {
-            let word = LoadUpdate {
-                hosts: self.hosts[..fit].to_vec(),
+            let update = LoadUpdate {
+                in_flight: self.in_flight[..hosts].to_vec(),
                 ..*self
             };
-            let body = postcard::to_allocvec(&word).unwrap_or_default();
-            if HEAD + body.len() <= MOST_BYTES || fit == 0 {
-                let check = sum(&body);
-                return (Datagram([&[VERSION], &check[..], &body[..]].concat()), fit);
+            let body = postcard::to_allocvec(&update).unwrap_or_default();
+            if HEADER_BYTES + body.len() <= MAX_DATAGRAM_BYTES || hosts == 0 {
+                let datagram = [&[VERSION], &checksum(&body)[..], &body[..]].concat();
+                return (Datagram(datagram), hosts);
             }
-            fit -= 1;
+            // A host takes six bytes at most, so this ends soon.
+            hosts -= 1;
         }
     }
 
-    /// Reads what came.
-    pub fn read(bytes: &[u8]) -> Result<Self, UpdateError> {
-        if bytes.len() <= HEAD || bytes.len() > MOST_BYTES {
+    /// Decodes a datagram.
+    ///
+    /// # Errors
+    /// If the datagram is of a wrong length, of another version, or garbled.
+    pub fn decode(bytes: &[u8]) -> Result<Self, UpdateError> {
+        if bytes.len() <= HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(UpdateError::Length);
         }
         if bytes[0] != VERSION {
             return Err(UpdateError::Version);
         }
-        if bytes[1..HEAD] != sum(&bytes[HEAD..]) {
+        let (header, body) = bytes.split_at(HEADER_BYTES);
+        if header[1..] != checksum(body) {
             return Err(UpdateError::Garbled);
         }
-        match postcard::take_from_bytes(&bytes[HEAD..]) {
-            Ok((word, [])) => Ok(word),
+        match postcard::take_from_bytes(body) {
+            Ok((update, [])) => Ok(update),
             _ => Err(UpdateError::Garbled),
         }
     }
--- a/crates/coordinator/src/peers/publisher.rs
+++ b/crates/coordinator/src/peers/publisher.rs
@@ -1,96 +1,109 @@
-//! The talk beside one router: what its servers are called on the wire, what it has out, what it is told.
+//! Connects a router to the gossip: it tells the router what the peers have in flight, and the peers what the router
+//! has.
 
-use super::{tag, Datagram, Gossip, Heard, HostTag, Talk};
+use super::gossip::{DatagramOutcome, Gossip, GossipSettings};
+use super::load_update::{host_tag, Datagram, HostTag};
 use crate::interface::{Action, Event, ServerId};
 use crate::state::Router;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One router's voice and ear.
+/// The gossip of one router.
 pub struct LoadPublisher {
     gossip: Gossip,
-    /// Tags of the servers met; `None` for one whose tag another has as well.
+    /// The tags of the servers met; `None` for a server whose tag another one has as well.
     tags: BTreeMap<ServerId, Option<HostTag>>,
-    sends: u64,
-    news: bool,
+    /// Parts sent to servers since the start.
+    parts_sent: u64,
+    /// Whether an update has come that the router was not told of.
+    has_new_loads: bool,
 }
 
 impl LoadPublisher {
     /// See [`Gossip::new`].
-    pub fn new(talk: Talk, life: u64, seed: u64) -> Self {
+    pub fn new(settings: GossipSettings, incarnation: u64, seed: u64) -> Self {
         Self {
-            gossip: Gossip::new(talk, life, seed),
+            gossip: Gossip::new(settings, incarnation, seed),
             tags: BTreeMap::new(),
-            sends: 0,
-            news: false,
+            parts_sent: 0,
+            has_new_loads: false,
         }
     }
 
-    /// A datagram came from the fellow of this number.
-    pub fn hear(&mut self, now: Duration, from: u32, bytes: &[u8]) -> Heard {
-        let heard = self.gossip.hear(now, from, bytes);
-        self.news |= heard == Heard::Taken;
-        heard
+    /// Handles a datagram of the peer of rank `from`.
+    pub fn receive(&mut self, now: Duration, from: u32, bytes: &[u8]) -> DatagramOutcome {
+        let outcome = self.gossip.receive(now, from, bytes);
+        self.has_new_loads |= outcome == DatagramOutcome::Applied;
+        outcome
     }
 
-    /// Before the turn ends: tells the router what fellows have out.
-    pub fn tell(&mut self, now: Duration, router: &mut Router, out: &mut Vec<Action>) {
-        if !std::mem::take(&mut self.news) {
+    /// Tells the router what the peers have in flight. Called before a turn ends; the router's actions are appended
+    /// to `actions`.
+    pub fn report_peer_loads(
+        &mut self,
+        now: Duration,
+        router: &mut Router,
+        actions: &mut Vec<Action>,
+    ) {
+        if !std::mem::take(&mut self.has_new_loads) {
             return;
         }
         for (server, _) in router.outs() {
-            let told = self
-                .tags
-                .get(&server)
-                .copied()
-                .flatten()
-                .and_then(|t| self.gossip.others(now, t));
-            if let Some(told) = told {
-                router.handle(
-                    now,
-                    Event::PeerLoad {
-                        server,
-                        in_flight: told.out,
-                        age: told.age,
-                    },
-                    out,
-                );
+            let load = self
+                .tag(server)
+                .and_then(|tag| self.gossip.peer_load(now, tag));
+            if let Some(load) = load {
+                let event = Event::PeerLoad {
+                    server,
+                    in_flight: load.in_flight,
+                    age: load.age,
+                };
+                router.handle(now, event, actions);
             }
         }
     }
 
-    /// Once a turn has ended with these actions: what is to be told to all fellows, if anything.
-    pub fn speak<'a>(
+    /// Returns the update for all peers, if one is due. Called once a turn has ended with these actions; `name` gives
+    /// a server's name.
+    pub fn next_update<'a>(
         &mut self,
         now: Duration,
         router: &Router,
         actions: &[Action],
         name: impl Fn(ServerId) -> &'a str,
     ) -> Option<Datagram> {
-        self.sends += actions
+        let sends = actions
             .iter()
-            .filter(|a| matches!(a, Action::Send { .. }))
-            .count() as u64;
-        let outs = router.outs();
-        if outs.iter().any(|(id, _)| !self.tags.contains_key(id)) {
-            self.name_all(&outs, name);
+            .filter(|action| matches!(action, Action::Send { .. }))
+            .count();
+        self.parts_sent += sends as u64;
+        let servers = router.outs();
+        if servers.iter().any(|(id, _)| !self.tags.contains_key(id)) {
+            self.assign_tags(&servers, name);
         }
-        let tagged = outs
+        let in_flight: Vec<(HostTag, u16)> = servers
             .iter()
-            .filter_map(|(id, n)| Some((self.tags.get(id).copied().flatten()?, *n)));
-        let outs: Vec<(HostTag, u16)> = tagged
-            .map(|(t, n)| (t, n.min(u32::from(u16::MAX)) as u16))
+            .filter_map(|(id, parts)| {
+                let parts = (*parts).min(u32::from(u16::MAX)) as u16;
+                Some((self.tag(*id)?, parts))
+            })
             .collect();
-        self.gossip.turn(now, &outs, self.sends)
+        self.gossip.next_update(now, &in_flight, self.parts_sent)
+    }
+
+    fn tag(&self, server: ServerId) -> Option<HostTag> {
+        self.tags.get(&server).copied().flatten()
     }
 
-    fn name_all<'a>(&mut self, outs: &[(ServerId, u32)], name: impl Fn(ServerId) -> &'a str) {
-        let tags: Vec<(ServerId, HostTag)> =
-            outs.iter().map(|(id, _)| (*id, tag(name(*id)))).collect();
-        let one = |t: &HostTag| tags.iter().filter(|other| other.1 == *t).count() == 1;
+    fn assign_tags<'a>(&mut self, servers: &[(ServerId, u32)], name: impl Fn(ServerId) -> &'a str) {
+        let tags: Vec<(ServerId, HostTag)> = servers
+            .iter()
+            .map(|(id, _)| (*id, host_tag(name(*id))))
+            .collect();
+        let is_unique = |tag: &HostTag| tags.iter().filter(|(_, other)| other == tag).count() == 1;
         self.tags = tags
             .iter()
-            .map(|(id, t)| (*id, one(t).then_some(*t)))
+            .map(|(id, tag)| (*id, is_unique(tag).then_some(*tag)))
             .collect();
     }
 }
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -10,7 +10,7 @@
 use crate::interface::ListKind;
 use crate::net::discovery_watch::{DiscoveryBackoff, Watch};
 use crate::net::dns_sd::Browser;
-use crate::net::gossip::Talk;
+use crate::net::gossip::GossipSocket;
 use crate::net::hosts::HostConnections;
 use crate::net::http::{self, Gated, Incoming, Limits};
 use crate::net::link::{Dialect, Frames};
@@ -159,8 +159,8 @@
 
 /// What the list's actor may be asked at once; one order more is refused.
 const MOST_REQUESTS: usize = 64;
-/// Words that may wait for the socket; one more is dropped.
-const MOST_WORDS: usize = 8;
+/// Limit on the load updates that wait for the socket; one more is dropped.
+const MAX_QUEUED_UPDATES: usize = 8;
 
 /// When a client that finds no room is asked to come back, where the settings name no longest wait.
 pub(crate) const HINT: Duration = Duration::from_secs(1);
@@ -365,18 +365,21 @@
         room.held,
         counters.clone(),
     );
-    if let Some((tier, talk)) = config.tier.clone().zip(config.site.talk) {
-        // Unix time: a later life of this coordinator has a larger number.
-        let life = SystemTime::now()
+    if let Some((addresses, gossip)) = config.peer_addresses.clone().zip(config.site.talk) {
+        // Unix time: a later process of this coordinator has a larger number.
+        let incarnation = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_micros() as u64;
-        let (tx, words) = mpsc::channel(MOST_WORDS);
-        table = table.talking(LoadPublisher::new(talk, life, config.seed), tx);
+        let (updates, outgoing) = mpsc::channel(MAX_QUEUED_UPDATES);
+        table = table.with_gossip(
+            LoadPublisher::new(gossip, incarnation, config.seed),
+            updates,
+        );
         tokio::spawn(
-            Talk {
-                tier,
-                words,
+            GossipSocket {
+                addresses,
+                updates: outgoing,
                 core: mail.clone(),
                 counters: counters.clone(),
             }
--- a/crates/coordinator/tests/gossip.rs
+++ b/crates/coordinator/tests/gossip.rs
@@ -1,7 +1,8 @@
 //! Coordinators that tell each other: the laws of what they believe, and what bad input costs.
 
 use coordinator::peers::{
-    tag, Gossip, Heard, HostTag, LoadUpdate, PeerLoads, Talk, UpdateError, MOST_BYTES,
+    host_tag, DatagramOutcome, Gossip, GossipSettings, HostTag, LoadUpdate, PeerLoads, UpdateError,
+    MAX_DATAGRAM_BYTES,
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -10,24 +11,31 @@
     Duration::from_millis(n)
 }
 
-fn word() -> impl Strategy<Value = (u32, LoadUpdate)> {
+fn any_update() -> impl Strategy<Value = (u32, LoadUpdate)> {
     let host = (0u8..6, 0u16..50).prop_map(|(h, out)| ([h, 0, 0], out));
     let hosts = proptest::collection::btree_map(0u8..6, host, 0..6);
-    (0u32..3, 0u64..3, 1u32..6, hosts).prop_map(|(from, life, seq, hosts)| {
+    (0u32..3, 0u64..3, 1u32..6, hosts).prop_map(|(from, incarnation, sequence, hosts)| {
         let mut hosts: Vec<(HostTag, u16)> = hosts.into_values().collect();
         hosts.sort();
         hosts.dedup_by_key(|h| h.0);
-        (from, LoadUpdate { life, seq, hosts })
+        (
+            from,
+            LoadUpdate {
+                incarnation,
+                sequence,
+                in_flight: hosts,
+            },
+        )
     })
 }
 
-/// One sender says one thing under one number: of words that share it the first drawn counts.
-fn honest(words: Vec<(u32, LoadUpdate)>) -> Vec<(u32, LoadUpdate)> {
+/// One sender says one thing under one number: of updates that share it the first drawn counts.
+fn honest(updates: Vec<(u32, LoadUpdate)>) -> Vec<(u32, LoadUpdate)> {
     let mut kept: Vec<(u32, LoadUpdate)> = Vec::new();
-    for (from, w) in words {
+    for (from, w) in updates {
         if !kept
             .iter()
-            .any(|(f, k)| *f == from && (k.life, k.seq) == (w.life, w.seq))
+            .any(|(f, k)| *f == from && (k.incarnation, k.sequence) == (w.incarnation, w.sequence))
         {
             kept.push((from, w));
         }
@@ -35,178 +43,188 @@
     kept
 }
 
-fn heard<'a>(words: impl Iterator<Item = &'a (u32, LoadUpdate)>) -> PeerLoads {
-    let mut view = PeerLoads::new(4);
-    for (from, w) in words {
-        view.take(ms(100), *from, w);
+fn heard<'a>(updates: impl Iterator<Item = &'a (u32, LoadUpdate)>) -> PeerLoads {
+    let mut peer_loads = PeerLoads::new(4);
+    for (from, w) in updates {
+        peer_loads.merge(ms(100), *from, w);
     }
-    view
+    peer_loads
 }
 
 proptest! {
     #[test]
-    fn order_and_copies_do_not_matter(words in proptest::collection::vec(word(), 0..12), turn in 0usize..12) {
-        let words = honest(words);
-        let turn = turn.min(words.len());
-        let there = heard(words.iter());
-        prop_assert_eq!(&heard(words.iter().rev()), &there);
-        prop_assert_eq!(&heard(words[turn..].iter().chain(&words[..turn]).chain(&words)), &there);
+    fn peer_loads_when_updates_are_reordered_or_doubled_then_they_are_the_same(updates in proptest::collection::vec(any_update(), 0..12), turn in 0usize..12) {
+        let updates = honest(updates);
+        let turn = turn.min(updates.len());
+        let there = heard(updates.iter());
+        prop_assert_eq!(&heard(updates.iter().rev()), &there);
+        prop_assert_eq!(&heard(updates[turn..].iter().chain(&updates[..turn]).chain(&updates)), &there);
     }
 
     #[test]
-    fn older_never_beats_newer(words in proptest::collection::vec(word(), 1..12)) {
-        let words = honest(words);
-        let view = heard(words.iter());
-        let latest = |from: u32| words.iter().filter(|w| w.0 == from).max_by_key(|w| (w.1.life, w.1.seq));
+    fn peer_loads_when_an_older_update_comes_later_then_the_newer_one_stands(updates in proptest::collection::vec(any_update(), 1..12)) {
+        let updates = honest(updates);
+        let peer_loads = heard(updates.iter());
+        let latest = |from: u32| updates.iter().filter(|w| w.0 == from).max_by_key(|w| (w.1.incarnation, w.1.sequence));
         if let (Some(a), Some(b), Some(c)) = (latest(0), latest(1), latest(2)) {
-            // What each said of a host in its latest life, last.
+            // What each said of a host in its latest incarnation, last.
             for host in 0u8..6 {
-                let said = |from: u32, life: u64| {
-                    let of = words.iter().filter(|w| w.0 == from && w.1.life == life);
-                    let named = of.filter_map(|w| Some((w.1.seq, w.1.hosts.iter().find(|h| h.0 == [host, 0, 0])?.1)));
+                let said = |from: u32, incarnation: u64| {
+                    let of = updates.iter().filter(|w| w.0 == from && w.1.incarnation == incarnation);
+                    let named = of.filter_map(|w| Some((w.1.sequence, w.1.in_flight.iter().find(|h| h.0 == [host, 0, 0])?.1)));
                     named.max_by_key(|n| n.0).map_or(0, |n| n.1)
                 };
-                let sum = said(0, a.1.life) + said(1, b.1.life) + said(2, c.1.life);
-                let told = view.others(ms(100), [host, 0, 0]).expect("all three have spoken");
-                prop_assert_eq!(told.out, f64::from(sum));
+                let sum = said(0, a.1.incarnation) + said(1, b.1.incarnation) + said(2, c.1.incarnation);
+                let told = peer_loads.load(ms(100), [host, 0, 0]).expect("all three have spoken");
+                prop_assert_eq!(told.in_flight, f64::from(sum));
             }
         }
     }
 
     #[test]
-    fn what_is_written_is_read_and_fits(hosts in proptest::collection::vec((any::<HostTag>(), any::<u16>()), 0..300), life: u64, seq: u32) {
-        let word = LoadUpdate { life, seq, hosts };
-        let (datagram, fit) = word.write();
-        prop_assert!(datagram.bytes().len() <= MOST_BYTES && (fit == word.hosts.len() || fit >= 36));
-        let read = LoadUpdate::read(datagram.bytes()).expect("its own");
-        prop_assert_eq!(read.hosts, &word.hosts[..fit]);
+    fn update_when_encoded_then_it_fits_and_decodes_to_the_same(hosts in proptest::collection::vec((any::<HostTag>(), any::<u16>()), 0..300), incarnation: u64, sequence: u32) {
+        let update = LoadUpdate { incarnation, sequence, in_flight: hosts };
+        let (datagram, fit) = update.encode();
+        prop_assert!(datagram.bytes().len() <= MAX_DATAGRAM_BYTES && (fit == update.in_flight.len() || fit >= 36));
+        let read = LoadUpdate::decode(datagram.bytes()).expect("its own");
+        prop_assert_eq!(read.in_flight, &update.in_flight[..fit]);
     }
 
     #[test]
-    fn garbled_bytes_are_no_word(bytes in proptest::collection::vec(any::<u8>(), 0..400), flip in 0usize..256, bit in 0u8..8) {
-        // Sixteen bits of a checksum let one in 65,536 through: such a word is as good as a lie, and harmless.
-        let _ = LoadUpdate::read(&bytes);
-        let word = LoadUpdate { life: 7, seq: 9, hosts: vec![([1, 2, 3], 4), ([5, 6, 7], 8)] };
-        let mut bytes = word.write().0.bytes().to_vec();
+    fn bytes_when_garbled_then_they_are_no_update(bytes in proptest::collection::vec(any::<u8>(), 0..400), flip in 0usize..256, bit in 0u8..8) {
+        // Sixteen bits of a checksum let one in 65,536 through: such an update is as good as a lie, and harmless.
+        let _ = LoadUpdate::decode(&bytes);
+        let update = LoadUpdate { incarnation: 7, sequence: 9, in_flight: vec![([1, 2, 3], 4), ([5, 6, 7], 8)] };
+        let mut bytes = update.encode().0.bytes().to_vec();
         let at = flip % bytes.len();
         bytes[at] ^= 1 << bit;
-        prop_assert!(LoadUpdate::read(&bytes).is_err());
+        prop_assert!(LoadUpdate::decode(&bytes).is_err());
     }
 }
 
 const HOST: HostTag = [1, 2, 3];
 
-fn gossip(rank: u32, life: u64) -> Gossip {
+fn gossip(rank: u32, incarnation: u64) -> Gossip {
     Gossip::new(
-        Talk {
-            routers: 3,
+        GossipSettings {
+            coordinators: 3,
             rank,
             price: 0.0072,
         },
-        life,
+        incarnation,
         u64::from(rank) + 5,
     )
 }
 
 fn say(from: &mut Gossip, now: u64, out: u16) -> Vec<u8> {
-    from.turn(ms(now), &[(HOST, out)], now)
-        .expect("time for a word")
+    from.next_update(ms(now), &[(HOST, out)], now)
+        .expect("time for a update")
         .bytes()
         .to_vec()
 }
 
 #[test]
-fn a_sum_needs_all_fellows_and_ends_with_their_silence() {
+fn peer_load_when_a_peer_is_silent_then_there_is_none() {
     let (mut a, mut b, mut c) = (gossip(0, 1), gossip(1, 1), gossip(2, 1));
-    assert_eq!(a.hear(ms(200), 1, &say(&mut b, 200, 4)), Heard::Taken);
-    assert_eq!(a.others(ms(200), HOST), None, "one has not spoken");
-    a.hear(ms(210), 2, &say(&mut c, 210, 3));
-    assert_eq!(a.others(ms(220), HOST).map(|t| t.out), Some(7.0));
-    assert_eq!(a.others(ms(2400), HOST), None, "both have been silent");
+    assert_eq!(
+        a.receive(ms(200), 1, &say(&mut b, 200, 4)),
+        DatagramOutcome::Applied
+    );
+    assert_eq!(a.peer_load(ms(200), HOST), None, "one has not spoken");
+    a.receive(ms(210), 2, &say(&mut c, 210, 3));
+    assert_eq!(a.peer_load(ms(220), HOST).map(|t| t.in_flight), Some(7.0));
+    assert_eq!(a.peer_load(ms(2400), HOST), None, "both have been silent");
 }
 
 #[test]
-fn a_restarted_fellow_is_believed_anew_and_its_past_life_no_more() {
+fn peer_when_restarted_then_its_past_incarnation_counts_no_more() {
     let (mut a, mut b, mut c) = (gossip(0, 1), gossip(1, 1), gossip(2, 1));
     let old = say(&mut b, 100, 9);
     let older = say(&mut b, 300, 8);
-    a.hear(ms(300), 1, &older);
-    a.hear(ms(300), 2, &say(&mut c, 300, 1));
+    a.receive(ms(300), 1, &older);
+    a.receive(ms(300), 2, &say(&mut c, 300, 1));
     let mut again = gossip(1, 2);
-    // Its first word names another host: what it had out before has ended with it.
+    // Its first update names another host: what it had out before has ended with it.
     let first = again
-        .turn(ms(400), &[([9, 9, 9], 2)], 10)
-        .expect("time for a word");
-    assert_eq!(a.hear(ms(400), 1, first.bytes()), Heard::Taken);
-    assert_eq!(a.others(ms(400), HOST).map(|t| t.out), Some(1.0));
-    assert_eq!(a.hear(ms(410), 1, &old), Heard::Old, "of a past life");
-    assert_eq!(a.others(ms(410), HOST).map(|t| t.out), Some(1.0));
-    // A clock set back: after a long silence an earlier life counts as a new one.
-    assert_eq!(a.hear(ms(20_000), 1, &old), Heard::Taken);
+        .next_update(ms(400), &[([9, 9, 9], 2)], 10)
+        .expect("time for a update");
+    assert_eq!(
+        a.receive(ms(400), 1, first.bytes()),
+        DatagramOutcome::Applied
+    );
+    assert_eq!(a.peer_load(ms(400), HOST).map(|t| t.in_flight), Some(1.0));
+    assert_eq!(
+        a.receive(ms(410), 1, &old),
+        DatagramOutcome::Stale,
+        "of a past incarnation"
+    );
+    assert_eq!(a.peer_load(ms(410), HOST).map(|t| t.in_flight), Some(1.0));
+    // A clock set back: after a long silence an earlier incarnation counts as a new one.
+    assert_eq!(a.receive(ms(20_000), 1, &old), DatagramOutcome::Applied);
 }
 
 #[test]
-fn strangers_other_versions_and_wrong_lengths_are_told_apart() {
+fn datagram_when_bad_then_its_outcome_says_why() {
     let mut a = gossip(0, 1);
     let good = say(&mut gossip(1, 1), 200, 4);
     let other = [&[9u8], &good[1..]].concat();
     assert_eq!(
-        a.hear(ms(200), 1, &other),
-        Heard::UpdateError(UpdateError::Version)
+        a.receive(ms(200), 1, &other),
+        DatagramOutcome::Undecodable(UpdateError::Version)
     );
     assert_eq!(
-        a.hear(ms(200), 1, &[]),
-        Heard::UpdateError(UpdateError::Length)
+        a.receive(ms(200), 1, &[]),
+        DatagramOutcome::Undecodable(UpdateError::Length)
     );
     assert_eq!(
-        a.hear(ms(200), 1, &[1; 257]),
-        Heard::UpdateError(UpdateError::Length)
+        a.receive(ms(200), 1, &[1; 257]),
+        DatagramOutcome::Undecodable(UpdateError::Length)
     );
-    assert_eq!(a.hear(ms(200), 1, &good), Heard::Taken);
-    a.hear(ms(200), 2, &say(&mut gossip(2, 1), 200, 4));
+    assert_eq!(a.receive(ms(200), 1, &good), DatagramOutcome::Applied);
+    a.receive(ms(200), 2, &say(&mut gossip(2, 1), 200, 4));
     assert_eq!(
-        a.hear(ms(200), 3, &good),
-        Heard::Refused,
+        a.receive(ms(200), 3, &good),
+        DatagramOutcome::Rejected,
         "one more than there are"
     );
 }
 
 #[test]
-fn talk_keeps_to_its_budget_and_its_pauses() {
+fn updates_when_load_changes_often_then_they_keep_to_budget_and_pauses() {
     let mut a = gossip(0, 1);
-    let (mut bytes, mut words, mut last) = (0usize, 0u32, 0u64);
+    let (mut bytes, mut updates, mut last) = (0usize, 0u32, 0u64);
     // 30 parts a second, something new at every tick, 100 hosts.
     for now in (0..20_000).step_by(10) {
         let outs: Vec<(HostTag, u16)> = (0..100)
             .map(|h| ([h, 0, 0], (now / 10 % 7) as u16))
             .collect();
-        if let Some(d) = a.turn(ms(now), &outs, now * 30 / 1000) {
+        if let Some(d) = a.next_update(ms(now), &outs, now * 30 / 1000) {
             assert!(
-                d.bytes().len() <= MOST_BYTES && (words == 0 || now - last >= 25),
+                d.bytes().len() <= MAX_DATAGRAM_BYTES && (updates == 0 || now - last >= 25),
                 "{now}"
             );
-            (bytes, words, last) = (bytes + d.bytes().len() * 2, words + 1, now);
+            (bytes, updates, last) = (bytes + d.bytes().len() * 2, updates + 1, now);
         }
     }
     // A thousandth of all worth at 0.0072 for a full message a part, and what was saved up at first.
     let allowed = 600.0 * 256.0 * 0.001 / 0.0072 + 2.0 * 4.0 * 256.0;
     assert!(
-        words > 20 && (bytes as f64) <= allowed * 1.1,
-        "{words} words, {bytes} bytes of {allowed}"
+        updates > 20 && (bytes as f64) <= allowed * 1.1,
+        "{updates} updates, {bytes} bytes of {allowed}"
     );
 }
 
 #[test]
-fn hosts_that_do_not_fit_take_turns() {
+fn hosts_when_they_do_not_fit_then_they_take_turns() {
     let mut a = gossip(0, 1);
     let outs: Vec<(HostTag, u16)> = (0..200).map(|h| ([h, 1, 0], 3)).collect();
     let mut told = std::collections::BTreeSet::new();
     for now in (0..4000).step_by(50) {
-        if let Some(d) = a.turn(ms(now), &outs, now) {
+        if let Some(d) = a.next_update(ms(now), &outs, now) {
             told.extend(
-                LoadUpdate::read(d.bytes())
+                LoadUpdate::decode(d.bytes())
                     .expect("readable")
-                    .hosts
+                    .in_flight
                     .into_iter()
                     .map(|h| h.0),
             );
@@ -216,9 +234,9 @@
 }
 
 #[test]
-fn names_have_the_same_tag_in_every_process() {
+fn host_tag_when_computed_in_any_process_then_it_is_the_same() {
     assert_eq!(
-        (tag("s-5be2a07c"), tag("s-5be2a07d")),
+        (host_tag("s-5be2a07c"), host_tag("s-5be2a07d")),
         ([62, 105, 205], [240, 63, 184])
     );
 }
--- a/crates/coordinator/tests/wire_formats.rs
+++ b/crates/coordinator/tests/wire_formats.rs
@@ -10,7 +10,7 @@
 use coordinator::ops::hot_restart::{take_over, HotRestart, RestartRole};
 use coordinator::ops::list_overlay::{AttachedProcess, EjectionOrder, OverlayRequest};
 use coordinator::ops::manual_ejection::ManualEjections;
-use coordinator::peers::{tag, LoadUpdate};
+use coordinator::peers::{host_tag, LoadUpdate};
 use coordinator::ServerState;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -281,23 +281,27 @@
     218, 171, 194, 255, 255, 3,
 ];
 
-fn word() -> LoadUpdate {
+fn update() -> LoadUpdate {
     LoadUpdate {
-        life: 1_764_669_250_123_456,
-        seq: 300,
-        hosts: vec![(tag("s-0"), 0), (tag("s-1"), 7), (tag("s-2"), 65_535)],
+        incarnation: 1_764_669_250_123_456,
+        sequence: 300,
+        in_flight: vec![
+            (host_tag("s-0"), 0),
+            (host_tag("s-1"), 7),
+            (host_tag("s-2"), 65_535),
+        ],
     }
 }
 
 #[test]
 fn load_update_when_written_then_it_is_these_bytes() {
-    let (datagram, fit) = word().write();
+    let (datagram, fit) = update().encode();
     assert_eq!((datagram.bytes(), fit), (DATAGRAM, 3));
 }
 
 #[test]
 fn load_update_when_these_bytes_come_then_they_are_read() {
-    assert_eq!(LoadUpdate::read(DATAGRAM), Ok(word()));
+    assert_eq!(LoadUpdate::decode(DATAGRAM), Ok(update()));
 }
 
 #[test]
