--- a/crates/coordinator/src/peers/publisher.rs
+++ b/crates/coordinator/src/peers/publisher.rs
@@ -3,8 +3,8 @@
 
 use super::gossip::{DatagramOutcome, Gossip, GossipSettings};
 use super::load_update::{host_tag, Datagram, HostTag};
+use crate::decision::Router;
 use crate::interface::{Action, Event, ServerId};
-use crate::state::Router;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
         if !std::mem::take(&mut self.has_new_loads) {
             return;
         }
-        for (server, _) in router.outs() {
+        for (server, _) in router.in_flight() {
             let load = self
                 .tag(server)
                 .and_then(|tag| self.gossip.peer_load(now, tag));
@@ -77,7 +77,7 @@
             .filter(|action| matches!(action, Action::Send { .. }))
             .count();
         self.parts_sent += sends as u64;
-        let servers = router.outs();
+        let servers = router.in_flight();
         if servers.iter().any(|(id, _)| !self.tags.contains_key(id)) {
             self.assign_tags(&servers, name);
         }
