--- a/crates/proxy/tests/breaks.rs
+++ b/crates/proxy/tests/broken_connections.rs
@@ -1,5 +1,5 @@
-//! A host that breaks at each byte of a request's reading and at each byte of its answer, for each kind of
-//! request, on new connections and on used ones: how many hosts hear of the attempt, and what the client gets.
+//! A host that breaks at each byte of reading a request and of writing its response, for each kind of route, on new and on
+//! reused connections: how many hosts get the request, and what the client gets.
 
 mod common;
 use common::*;
@@ -183,7 +183,7 @@
             tokio::task::spawn_local(serve(stream, number, stage.clone()));
         }
     });
-    info(&format!("h{number}"), "s", addr)
+    host_info(&format!("h{number}"), "s", addr)
 }
 
 /// What came of one break.
@@ -198,12 +198,12 @@
 async fn play(path: &str, reused: bool, due: Break, how: End) -> Played {
     let stage = Rc::new(RefCell::new(Stage::default()));
     let hosts = vec![host(0, &stage).await, host(1, &stage).await];
-    let proxy = Proxy::blank().await;
-    proxy.know(document(1, ROUTES), hosts).await;
+    let proxy = Proxy::without_configuration().await;
+    proxy.apply_fleet(configuration(1, ROUTES), hosts).await;
     let mut client = proxy.client().await;
     while reused && stage.borrow().served.contains(&0) {
         client.send(&request("/pure/a", "zero", "")).await;
-        assert_eq!(client.message().await.unwrap().status(), 200);
+        assert_eq!(client.read_message().await.unwrap().status(), 200);
     }
     {
         let mut stage = stage.borrow_mut();
@@ -212,7 +212,7 @@
     }
     let before = proxy.counters.get().attempts;
     client.send(&request(path, "one", "")).await;
-    let answer = client.message().await;
+    let answer = client.read_message().await;
     let heard = stage.borrow().heard.clone();
     Played {
         heard,
@@ -242,16 +242,16 @@
         "/pure/a" | "/once/a" => answer.body == BODY,
         _ => answer.body == all,
     };
-    let good = answer.status() == 200 && answer.whole && right;
+    let good = answer.status() == 200 && answer.complete && right;
     match path {
         // It may run again: some host gives the whole answer.
         "/pure/a" | "/more/a" => assert!(good, "{case}: {answer:?}"),
         "/once/a" => assert!(
-            good || (answer.status() == 502 && answer.whole),
+            good || (answer.status() == 502 && answer.complete),
             "{case}: {answer:?}"
         ),
         _ => {
-            let cut = answer.status() == 200 && !answer.whole && all.starts_with(&answer.body);
+            let cut = answer.status() == 200 && !answer.complete && all.starts_with(&answer.body);
             assert!(good || cut || answer.status() == 502, "{case}: {answer:?}");
         }
     }
@@ -262,7 +262,7 @@
 }
 
 #[rstest]
-fn a_host_that_breaks_at_any_byte(
+fn connection_that_breaks_at_any_byte_runs_a_request_at_most_once(
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
     #[values(false, true)] reused: bool,
 ) {
@@ -270,7 +270,7 @@
     let mut once = |due: Break, how: End| {
         let case = format!("{path} {due:?} {how:?} reused {reused}");
         let mut came = None;
-        story(async { came = Some(play(path, reused, due, how).await) });
+        run_async_test(async { came = Some(play(path, reused, due, how).await) });
         let came = came.unwrap();
         if let (true, Break::Answering(_)) = (reused, due) {
             assert!(came.heard[0].used, "{case}: not on a used connection");
--- a/crates/proxy/tests/gone_clients.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that leave: nothing reaches a host for them any more, and what hosts do for them is ended.
+//! Clients that disconnect: no host gets anything for them any more, and work for them is ended.
 
 mod common;
 use common::*;
@@ -11,15 +11,18 @@
 
 /// Sends a request and closes before the proxy has had a turn.
 fn ask_and_leave(proxy: &Proxy, path: &str, id: &str) {
-    let mut client = std::net::TcpStream::connect(SocketAddr::V4(proxy.front)).unwrap();
+    let mut client = std::net::TcpStream::connect(SocketAddr::V4(proxy.client_address)).unwrap();
     client.write_all(request(path, id, "").as_bytes()).unwrap();
 }
 
 /// An idle connection of the proxy to each of two hosts, in their order.
-async fn idle_at_both(proxy: &Proxy, hosts: &mut [Host; 2]) -> [Peer; 2] {
+async fn idle_at_both(proxy: &Proxy, hosts: &mut [FakeHost; 2]) -> [TestConnection; 2] {
     let mut conns = [None, None];
     while conns.iter().any(Option::is_none) {
-        let mut clients = [proxy.ask("/pure/a").await, proxy.ask("/pure/a").await];
+        let mut clients = [
+            proxy.send_request("/pure/a").await,
+            proxy.send_request("/pure/a").await,
+        ];
         let mut asked = Vec::new();
         for _ in &clients {
             let [one, two] = hosts;
@@ -31,33 +34,33 @@
             asked.push(next);
         }
         for (host, mut conn) in asked {
-            conn.send(&good("one", "warm")).await;
+            conn.send(&ok_response("one", "warm")).await;
             conns[host] = Some(conn);
         }
         for client in &mut clients {
-            assert_eq!(client.message().await.unwrap().body, "warm");
+            assert_eq!(client.read_message().await.unwrap().body, "warm");
         }
     }
     conns.map(Option::unwrap)
 }
 
 /// The connection of a host on which a request comes, new or used before.
-async fn request_at(host: &mut Host, used: &mut Option<Peer>) -> Peer {
+async fn request_at(host: &mut FakeHost, used: &mut Option<TestConnection>) -> TestConnection {
     let asked = match used {
         Some(conn) => {
             tokio::select! {
-                new = host.conn() => Some(new),
-                message = conn.message() => {
+                new = host.accept() => Some(new),
+                message = conn.read_message() => {
                     message.expect("a request");
                     None
                 }
             }
         }
-        None => Some(host.conn().await),
+        None => Some(host.accept().await),
     };
     match asked {
         Some(mut new) => {
-            new.message().await.expect("a request");
+            new.read_message().await.expect("a request");
             new
         }
         None => used.take().expect("a connection"),
@@ -65,16 +68,16 @@
 }
 
 #[rstest]
-fn a_client_that_has_left_before_it_is_read_reaches_no_host(
+fn request_of_a_disconnected_client_reaches_no_host(
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let mut client = proxy.ask("/pure/a").await;
-        let mut conn = host.conn().await;
-        conn.answer("warm").await;
-        client.message().await.unwrap();
+        let mut client = proxy.send_request("/pure/a").await;
+        let mut conn = host.accept().await;
+        conn.respond_ok("warm").await;
+        client.read_message().await.unwrap();
         ask_and_leave(&proxy, path, "gone");
         while proxy.counters.get().client_disconnects == 0 {
             tokio::task::yield_now().await;
@@ -82,11 +85,11 @@
         // The idle connection is still there, and the next request is the first thing on it.
         client.send(&request("/once/a", "next", "")).await;
         assert_eq!(
-            conn.answer("next").await.field("fennelpin-attempt-id"),
+            conn.respond_ok("next").await.field("fennelpin-attempt-id"),
             Some("next")
         );
-        assert_eq!(client.message().await.unwrap().body, "next");
-        assert!(host.unasked());
+        assert_eq!(client.read_message().await.unwrap().body, "next");
+        assert!(host.has_no_connection());
         assert_eq!(proxy.counters.get().attempts, 2);
     });
 }
@@ -96,9 +99,12 @@
 #[case::refused("/pure/a")]
 #[case::refused_once("/once/a")]
 #[case::resumed("/more/a")]
-fn a_client_that_leaves_between_two_tries_reaches_no_second_host(#[case] path: &str) {
-    story(async {
-        let mut hosts = [Host::new("h1", "s").await, Host::new("h2", "s").await];
+fn client_disconnect_between_attempts_prevents_the_retry(#[case] path: &str) {
+    run_async_test(async {
+        let mut hosts = [
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        ];
         let proxy = Proxy::new(&[&hosts[0], &hosts[1]]).await;
         let mut conns = idle_at_both(&proxy, &mut hosts).await;
         let before = proxy.counters.get().attempts;
@@ -106,8 +112,8 @@
         client.send(&request(path, "gone", "")).await;
         let [one, two] = &mut conns;
         let (first, message) = tokio::select! {
-            message = one.message() => (0, message),
-            message = two.message() => (1, message),
+            message = one.read_message() => (0, message),
+            message = two.read_message() => (1, message),
         };
         assert_eq!(message.unwrap().field("fennelpin-attempt-id"), Some("gone"));
         let [one, two] = conns;
@@ -124,7 +130,7 @@
                     event(1)
                 ))
                 .await;
-            client.until("piece 1\n\n").await;
+            client.read_until("piece 1\n\n").await;
             drop(asked);
         } else {
             asked.stream.try_write(refusal.as_bytes()).unwrap();
@@ -142,25 +148,25 @@
         let mut next = proxy.client().await;
         next.send(&request("/once/a", "next", "")).await;
         tokio::select! {
-            request = other.message() => {
+            request = other.read_message() => {
                 assert_eq!(request.unwrap().field("fennelpin-attempt-id"), Some("next"));
-                other.send(&good("next", "next")).await;
+                other.send(&ok_response("next", "next")).await;
             }
-            mut conn = hosts[first].conn() => drop(conn.answer("next").await),
+            mut conn = hosts[first].accept() => drop(conn.respond_ok("next").await),
         }
-        assert_eq!(next.message().await.unwrap().body, "next");
+        assert_eq!(next.read_message().await.unwrap().body, "next");
     });
 }
 
 /// A client that reads nothing holds up its stream; its end is seen all the same.
 #[test]
-fn a_client_that_leaves_while_its_answer_is_held_up_ends_the_host_s_work() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn client_disconnect_under_backpressure_closes_the_host_connection() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let client = proxy.ask("/live/a").await;
-        let mut conn = host.conn().await;
-        conn.begin("seal", &[]).await;
+        let client = proxy.send_request("/live/a").await;
+        let mut conn = host.accept().await;
+        conn.start_stream("seal", &[]).await;
         let event = format!("data: {}\n\n", "a".repeat(64 * 1024));
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         // Until the way to the client is full, the proxy's buffers with it.
@@ -176,7 +182,7 @@
             tokio::task::yield_now().await;
         }
         drop(client);
-        conn.closed().await;
+        conn.wait_until_closed().await;
         assert_eq!(proxy.counters.get().responses, 0);
     });
 }
--- /dev/null
+++ b/crates/proxy/tests/common/proxy_under_test.rs
@@ -0,0 +1,192 @@
+//! The proxy under test.
+
+use super::{request, unused_address, FakeHost, TestConnection};
+use balancing::HostInfo;
+use configuration::{Configuration, ProcessSettings};
+use proxy::counters::{Counters, SharedCounters};
+use proxy::{Error, FleetSnapshot};
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::net::TcpStream;
+use tokio::sync::{oneshot, watch};
+use tokio::task::JoinHandle;
+
+/// A proxy that serves on a task of its own.
+pub struct Proxy {
+    pub client_address: SocketAddrV4,
+    pub readiness_address: SocketAddrV4,
+    pub fleet: watch::Sender<Option<Arc<FleetSnapshot>>>,
+    pub stop: Option<oneshot::Sender<()>>,
+    pub serving: JoinHandle<Result<Counters, Error>>,
+    pub counters: Rc<SharedCounters>,
+}
+
+/// Routes to service `s` with three attempts: `/pure/`, `/once/` (mutating), `/live/` (stream), `/more/` (resumable
+/// stream), and with a deadline of 150 ms `/quick/` (pure) and `/quick/once/` (mutating).
+pub const ROUTES: &str = r#"
+    {"name":"p","hostname":"x.example","path_prefix":"/pure/","route_class":"pure","deadline_ms":8000,"target_ms":100,"service":"s","max_tries":3},
+    {"name":"o","hostname":"x.example","path_prefix":"/once/","route_class":"mutating","deadline_ms":8000,"service":"s","max_tries":3},
+    {"name":"l","hostname":"x.example","path_prefix":"/live/","route_class":"streaming","deadline_ms":8000,"service":"s","max_tries":3},
+    {"name":"m","hostname":"x.example","path_prefix":"/more/","route_class":"streaming","deadline_ms":8000,"service":"s","max_tries":3,"resumable":true},
+    {"name":"q","hostname":"x.example","path_prefix":"/quick/","route_class":"pure","deadline_ms":150,"service":"s","max_tries":3},
+    {"name":"d","hostname":"x.example","path_prefix":"/quick/once/","route_class":"mutating","deadline_ms":150,"service":"s","max_tries":3}"#;
+
+/// A configuration with these routes, services `s` and `t`, and small limits on requests.
+pub fn configuration(version: u64, routes: &str) -> Arc<Configuration> {
+    let text = format!(
+        r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}},{{"name":"t"}}],"limits":{{"max_header_bytes":4096,"max_body_bytes":100000}}}}"#
+    );
+    Arc::new(Configuration::read(text.as_bytes(), version - 1).unwrap())
+}
+
+/// Settings of the process that a test may change.
+pub struct ProxyOptions {
+    pub grace_s: f64,
+    pub retry_slack: f64,
+    pub fd_limit: u64,
+    pub memory_mb: u64,
+    /// Where the proxy takes prefix hints; nowhere by default.
+    pub hints: Option<SocketAddrV4>,
+    /// Whether the whole system starts for the first time.
+    pub bootstrap: bool,
+}
+
+impl Default for ProxyOptions {
+    fn default() -> Self {
+        Self {
+            grace_s: 8.0,
+            retry_slack: 1000.0,
+            fd_limit: 1024,
+            memory_mb: 256,
+            hints: None,
+            bootstrap: false,
+        }
+    }
+}
+
+impl Proxy {
+    /// A proxy that knows no fleet yet.
+    pub async fn without_configuration() -> Self {
+        Self::with_options(ProxyOptions::default()).await
+    }
+
+    /// A proxy with other settings that knows no fleet yet.
+    pub async fn with_options(options: ProxyOptions) -> Self {
+        let ProxyOptions {
+            grace_s,
+            retry_slack,
+            fd_limit,
+            memory_mb,
+            hints,
+            bootstrap,
+        } = options;
+        // Hints are taken at the third port of the range.
+        let (ip, ports) = hints.map_or((Ipv4Addr::LOCALHOST, (7000, 7001)), |h| {
+            (*h.ip(), (h.port() - 2, h.port()))
+        });
+        let (front, readiness) = (unused_address().await, unused_address().await);
+        let text = format!(
+            r#"{{"node_name":"n","role":"r","ip_addr":"{ip}","zone":"a","port_range":[{},{}],"bootstrap":{bootstrap},
+                "bind":{{"front":"{front}","readiness":"{readiness}"}},"bounds":{{"grace_s":{grace_s},"retry_slack":{retry_slack}}},
+                "limits":{{"memory_mb":{memory_mb},"fd_limit":{fd_limit}}}}}"#,
+            ports.0, ports.1
+        );
+        let boot = ProcessSettings::read(&text).unwrap();
+        let (fleet, updates) = watch::channel(None);
+        let (stop, stopped) = oneshot::channel::<()>();
+        let stopped = async move {
+            if stopped.await.is_err() {
+                std::future::pending::<()>().await;
+            }
+        };
+        let counters = Rc::new(SharedCounters::default());
+        let done = tokio::task::spawn_local(proxy::serve_with_counters(
+            boot,
+            updates,
+            counters.clone(),
+            stopped,
+        ));
+        // The listeners are bound once the task has run.
+        while !done.is_finished() && TcpStream::connect(SocketAddr::V4(readiness)).await.is_err() {
+            tokio::task::yield_now().await;
+        }
+        Self {
+            client_address: front,
+            readiness_address: readiness,
+            fleet,
+            stop: Some(stop),
+            serving: done,
+            counters,
+        }
+    }
+
+    /// A proxy with [`ROUTES`] and these hosts.
+    pub async fn new(hosts: &[&FakeHost]) -> Self {
+        let proxy = Self::without_configuration().await;
+        proxy
+            .apply_fleet(
+                configuration(1, ROUTES),
+                hosts.iter().map(|h| h.info.clone()).collect(),
+            )
+            .await;
+        proxy
+    }
+
+    /// Gives the proxy a configuration and hosts, and waits until it has them.
+    pub async fn apply_fleet(&self, configuration: Arc<Configuration>, hosts: Vec<HostInfo>) {
+        self.apply_fleet_with_peers(configuration, hosts, vec![])
+            .await;
+    }
+
+    /// As [`Proxy::apply_fleet`], with other proxies by the addresses of their prefix hints.
+    pub async fn apply_fleet_with_peers(
+        &self,
+        configuration: Arc<Configuration>,
+        hosts: Vec<HostInfo>,
+        peers: Vec<SocketAddrV4>,
+    ) {
+        self.fleet
+            .send(Some(Arc::new(FleetSnapshot {
+                configuration,
+                hosts,
+                proxy_count: 2,
+                peer_hint_addresses: peers,
+            })))
+            .unwrap();
+        for _ in 0..4 {
+            tokio::task::yield_now().await;
+        }
+    }
+
+    /// A client's new connection.
+    pub async fn client(&self) -> TestConnection {
+        TestConnection::connect(self.client_address).await
+    }
+
+    /// The status of the readiness probe.
+    pub async fn readiness_status(&self) -> u16 {
+        let mut peer = TestConnection::connect(self.readiness_address).await;
+        peer.send("GET /fennelpin/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+            .await;
+        peer.read_message().await.unwrap().status()
+    }
+
+    /// Sends a request with the id `one` on a connection of its own.
+    pub async fn send_request(&self, path: &str) -> TestConnection {
+        let mut client = self.client().await;
+        client.send(&request(path, "one", "")).await;
+        client
+    }
+
+    /// Asks the process to end.
+    pub fn signal_stop(&mut self) {
+        self.stop.take().unwrap().send(()).unwrap();
+    }
+
+    /// Asks the process to end, and waits for it and its counts.
+    pub async fn stop(mut self) -> Counters {
+        self.stop.take().unwrap().send(()).unwrap();
+        self.serving.await.unwrap().unwrap()
+    }
+}
--- a/crates/proxy/tests/configuration_changes.rs
+++ b/crates/proxy/tests/configuration_changes.rs
@@ -1,4 +1,4 @@
-//! A configuration that changes: requests that are under way are answered as the one before said.
+//! Configuration changes: requests in flight are answered by the configuration that they came under.
 
 mod common;
 use common::*;
@@ -39,21 +39,21 @@
 }
 
 #[rstest]
-fn what_is_at_a_host_is_answered(
+fn request_in_flight_survives_a_configuration_change(
     #[values(dropped(), moved(), hasty(), narrow())] next: Arc<Configuration>,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let mut client = proxy.ask(path).await;
-        let mut conn = host.conn().await;
-        conn.message().await.unwrap();
-        proxy.know(next, vec![host.info.clone()]).await;
-        conn.send(&good("one", "done")).await;
-        let answer = client.message().await.unwrap();
+        let mut client = proxy.send_request(path).await;
+        let mut conn = host.accept().await;
+        conn.read_message().await.unwrap();
+        proxy.apply_fleet(next, vec![host.info.clone()]).await;
+        conn.send(&ok_response("one", "done")).await;
+        let answer = client.read_message().await.unwrap();
         assert_eq!(
-            (answer.status(), answer.whole, answer.body.as_str()),
+            (answer.status(), answer.complete, answer.body.as_str()),
             (200, true, "done")
         );
         let counted = proxy.counters.get();
@@ -70,58 +70,68 @@
 }
 
 #[rstest]
-fn a_stream_goes_on(
+fn stream_survives_a_configuration_change(
     #[values(dropped(), moved(), hasty(), narrow())] next: Arc<Configuration>,
     #[values("/live/a", "/more/a")] path: &str,
 ) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let mut client = proxy.ask(path).await;
-        let mut conn = host.conn().await;
-        conn.begin("seal", &[1]).await;
-        client.until("piece 1\n\n").await;
-        proxy.know(next, vec![host.info.clone()]).await;
-        conn.events(&[2]).await;
+        let mut client = proxy.send_request(path).await;
+        let mut conn = host.accept().await;
+        conn.start_stream("seal", &[1]).await;
+        client.read_until("piece 1\n\n").await;
+        proxy.apply_fleet(next, vec![host.info.clone()]).await;
+        conn.send_events(&[2]).await;
         conn.send("0\r\n\r\n").await;
-        let answer = client.message().await.unwrap();
-        assert_eq!((answer.whole, answer.body), (true, events([1, 2])));
+        let answer = client.read_message().await.unwrap();
+        assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
     });
 }
 
 /// A body that has begun under wider bounds is read to its end under them.
 #[test]
-fn a_request_that_is_half_read_is_served() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn half_read_request_is_served_after_a_configuration_change() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
         let head = "POST /pure/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\n\
                     Expect: 100-continue\r\nContent-Length: 10\r\n\r\n";
         client.send(head).await;
-        assert!(client.head().await.unwrap().starts_with("HTTP/1.1 100 "));
-        proxy.know(narrow(), vec![host.info.clone()]).await;
+        assert!(client
+            .read_head()
+            .await
+            .unwrap()
+            .starts_with("HTTP/1.1 100 "));
+        proxy.apply_fleet(narrow(), vec![host.info.clone()]).await;
         client.send("0123456789").await;
-        assert_eq!(host.conn().await.answer("done").await.body, "0123456789");
-        assert_eq!(client.message().await.unwrap().body, "done");
+        assert_eq!(
+            host.accept().await.respond_ok("done").await.body,
+            "0123456789"
+        );
+        assert_eq!(client.read_message().await.unwrap().body, "done");
     });
 }
 
 /// The connection of a client outlives the change, and its next request goes by the new routes.
 #[test]
-fn the_next_request_on_a_connection_goes_by_the_new_routes() {
-    story(async {
-        let (mut old, mut new) = (Host::new("h1", "s").await, Host::new("h2", "t").await);
+fn next_request_on_a_connection_uses_the_new_routes() {
+    run_async_test(async {
+        let (mut old, mut new) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "t").await,
+        );
         let proxy = Proxy::new(&[&old, &new]).await;
-        let mut client = proxy.ask("/once/a").await;
-        old.conn().await.answer("old").await;
-        assert_eq!(client.message().await.unwrap().body, "old");
+        let mut client = proxy.send_request("/once/a").await;
+        old.accept().await.respond_ok("old").await;
+        assert_eq!(client.read_message().await.unwrap().body, "old");
         proxy
-            .know(moved(), vec![old.info.clone(), new.info.clone()])
+            .apply_fleet(moved(), vec![old.info.clone(), new.info.clone()])
             .await;
         client.send(&request("/once/a", "two", "")).await;
-        new.conn().await.answer("new").await;
-        assert_eq!(client.message().await.unwrap().body, "new");
-        assert!(old.unasked());
+        new.accept().await.respond_ok("new").await;
+        assert_eq!(client.read_message().await.unwrap().body, "new");
+        assert!(old.has_no_connection());
     });
 }
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections that stand idle.
+//! The pool of idle connections, and limits on open ones.
 
 use proxy::upstream::pool::{idle_timeout, ConnectionPermit, ConnectionPool};
 use rstest::rstest;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_one_used_last_is_taken_and_none_beyond_its_time() {
+fn last_used_connection_is_taken_unless_expired() {
     let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 10);
     put(&mut pool, "a", 2, 3);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_host_takes_no_more_than_its_share() {
+fn connections_to_a_host_are_limited() {
     let mut pool: ConnectionPool<Conn> = ConnectionPool::new(9);
     let first = pool.try_open(&host("a"), 2).unwrap();
     let second = pool.try_open(&host("a"), 2).unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn idle_connections_make_room_for_new_ones() {
+fn idle_connection_is_closed_at_the_total_limit() {
     let mut pool = ConnectionPool::new(2);
     put(&mut pool, "a", 1, 10);
     let _used = pool.try_open(&host("b"), 9).unwrap();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn hosts_that_are_gone_take_their_connections_along() {
+fn connections_to_removed_hosts_are_closed() {
     let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 10);
     put(&mut pool, "b", 2, 10);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_has_stood_for_too_long_is_swept() {
+fn expired_connections_are_closed() {
     let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 2);
     put(&mut pool, "a", 2, 10);
@@ -101,9 +101,6 @@
 #[case(Some("timeout=60"), 10_000)]
 #[case(Some("timeout=99999999999"), 10_000)]
 #[case(Some("timeout=soon"), 10_000)]
-fn a_connection_stands_idle_for_less_than_its_host_says(
-    #[case] keep_alive: Option<&str>,
-    #[case] ms: u64,
-) {
+fn idle_timeout_is_shorter_than_the_host_says(#[case] keep_alive: Option<&str>, #[case] ms: u64) {
     assert_eq!(idle_timeout(keep_alive), Duration::from_millis(ms));
 }
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines: what hosts are told of them, and that nothing is held beyond them.
+//! Deadlines: what hosts are told of them, and that nothing is kept beyond them.
 
 mod common;
 use common::*;
@@ -23,15 +23,15 @@
 }
 
 /// The routes of the other tests with this deadline, and room for long bodies.
-async fn short(hosts: &[&Host]) -> Proxy {
-    let proxy = Proxy::blank().await;
+async fn short(hosts: &[&FakeHost]) -> Proxy {
+    let proxy = Proxy::without_configuration().await;
     let routes = ROUTES.replace("8000", &DEADLINE.as_millis().to_string());
     let text = format!(
         r#"{{"version":1,"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":{LARGE}}}}}"#
     );
     let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
     proxy
-        .know(
+        .apply_fleet(
             document.into(),
             hosts.iter().map(|h| h.info.clone()).collect(),
         )
@@ -46,18 +46,18 @@
 #[case::none_that_can_be_read("Fennelpin-Deadline-Ms: soon\r\n", 8000)]
 #[case::below_zero("Fennelpin-Deadline-Ms: -1\r\n", 8000)]
 #[case::in_fractions("Fennelpin-Deadline-Ms: 650.5\r\n", 650)]
-fn a_host_is_told_what_is_left_of_the_shorter_deadline(
+fn host_gets_the_rest_of_the_shorter_deadline(
     #[case] line: &str,
     #[case] most: u64,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
         let since = Instant::now();
         client.send(&request(path, "one", line)).await;
-        let asked = host.conn().await.message().await.unwrap();
+        let asked = host.accept().await.read_message().await.unwrap();
         let most = Duration::from_millis(most);
         let least = most.saturating_sub(since.elapsed() + Duration::from_millis(1));
         assert!((least..=most).contains(&left(&asked)), "{:?}", left(&asked));
@@ -71,17 +71,20 @@
 
 /// A silent host is left for another: what that one is told ends when the first one's time did.
 #[rstest]
-fn a_second_try_is_told_what_is_left_then(#[values("/pure/a", "/more/a")] path: &str) {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn retry_gets_the_time_left_then(#[values("/pure/a", "/more/a")] path: &str) {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
-        let _client = proxy.ask(path).await;
-        let (mut first, other) = first_of(&mut one, &mut two).await;
-        let before = left(&first.message().await.unwrap());
+        let _client = proxy.send_request(path).await;
+        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let before = left(&first.read_message().await.unwrap());
         let since = Instant::now();
-        let mut second = other.conn().await;
+        let mut second = other.accept().await;
         let waited = since.elapsed();
-        let after = left(&second.message().await.unwrap());
+        let after = left(&second.read_message().await.unwrap());
         assert!(waited > SLACK, "the first one was waited for: {waited:?}");
         assert!(
             after + waited <= before + Duration::from_millis(50),
@@ -92,18 +95,21 @@
 
 /// A stream that is taken up elsewhere keeps its client's deadline.
 #[test]
-fn a_resumed_stream_is_told_what_is_left_then() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn resumed_stream_gets_the_time_left_then() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
-        let mut client = proxy.ask("/more/a").await;
-        let (mut first, other) = first_of(&mut one, &mut two).await;
-        let before = left(&first.begin("seal", &[1]).await);
-        client.until("piece 1\n\n").await;
+        let mut client = proxy.send_request("/more/a").await;
+        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let before = left(&first.start_stream("seal", &[1]).await);
+        client.read_until("piece 1\n\n").await;
         let since = Instant::now();
-        let mut second = other.conn().await;
+        let mut second = other.accept().await;
         let waited = since.elapsed();
-        let asked = second.message().await.unwrap();
+        let asked = second.read_message().await.unwrap();
         assert_eq!(asked.field("last-event-id"), Some("1"));
         assert!(waited > SLACK, "the first one was waited for: {waited:?}");
         assert!(
@@ -116,19 +122,19 @@
 
 /// A request that was sent ahead has waited for the answer before it: its own time has gone on.
 #[test]
-fn the_time_of_a_request_sent_ahead_runs_from_when_it_came() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn deadline_of_a_pipelined_request_runs_from_its_arrival() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = short(&[&host]).await;
         let mut client = proxy.client().await;
         let ahead = request("/once/b", "two", "Fennelpin-Deadline-Ms: 290\r\n");
         client
             .send(&(request("/quick/once/a", "one", "") + &ahead))
             .await;
-        let mut conn = host.conn().await;
-        conn.message().await.unwrap();
-        assert_eq!(client.message().await.unwrap().status(), 504);
-        let asked = host.conn().await.message().await.unwrap();
+        let mut conn = host.accept().await;
+        conn.read_message().await.unwrap();
+        assert_eq!(client.read_message().await.unwrap().status(), 504);
+        let asked = host.accept().await.read_message().await.unwrap();
         assert!(
             left(&asked) <= Duration::from_millis(290 - 150),
             "{:?}",
@@ -166,9 +172,9 @@
 #[case::pure_large_without_end("/pure/a", Play::SendsALargeAnswerWithoutEnd)]
 #[case::pure_small("/pure/a", Play::BeginsASmallAnswer)]
 #[case::refusal("/once/a", Play::RefusesWithoutEnd)]
-fn at_its_route_s_deadline_a_request_is_at_its_end(#[case] path: &str, #[case] how: Play) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn request_ends_at_the_route_deadline(#[case] path: &str, #[case] how: Play) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = short(&[&host]).await;
         let mut client = proxy.client().await;
         let since = Instant::now();
@@ -180,7 +186,7 @@
         );
         let ask = async {
             client.send(&text).await;
-            let answer = client.message().await;
+            let answer = client.read_message().await;
             (answer, since.elapsed())
         };
         let (answer, took) = tokio::select! {
@@ -197,7 +203,7 @@
                 | Play::RefusesWithoutEnd
         );
         if begun {
-            assert!(!answer.whole, "{}", answer.head);
+            assert!(!answer.complete, "{}", answer.head);
         } else {
             assert!(
                 [502, 503, 504].contains(&answer.status()),
@@ -208,14 +214,14 @@
     });
 }
 
-async fn play(host: &mut Host, how: Play) {
-    let mut conn = host.conn().await;
+async fn play(host: &mut FakeHost, how: Play) {
+    let mut conn = host.accept().await;
     match how {
-        Play::SaysNothing => drop(conn.message().await),
+        Play::SaysNothing => drop(conn.read_message().await),
         Play::ReadsNothing => {}
-        Play::BeginsAStream => drop(conn.begin("seal", &[1]).await),
+        Play::BeginsAStream => drop(conn.start_stream("seal", &[1]).await),
         Play::SendsEventsWithoutEnd => {
-            conn.begin("seal", &[1]).await;
+            conn.start_stream("seal", &[1]).await;
             for id in 2.. {
                 let event = event(id);
                 let chunk = format!("{:x}\r\n{event}\r\n", event.len());
@@ -234,10 +240,10 @@
         }
         Play::BeginsALargeAnswer => {
             let lines = format!("200 OK\r\n{SEAL}\r\nContent-Length: 900000");
-            conn.reply(&lines, &"0123456789".repeat(40_000)).await;
+            conn.respond(&lines, &"0123456789".repeat(40_000)).await;
         }
         Play::SendsALargeAnswerWithoutEnd => {
-            conn.reply(
+            conn.respond(
                 &format!("200 OK\r\n{SEAL}\r\nTransfer-Encoding: chunked"),
                 "",
             )
@@ -245,11 +251,11 @@
             while written(&conn, &format!("1000\r\n{}\r\n", "0".repeat(0x1000))).await {}
         }
         Play::BeginsASmallAnswer => {
-            conn.reply(&format!("200 OK\r\n{SEAL}\r\nContent-Length: 9"), "0123")
+            conn.respond(&format!("200 OK\r\n{SEAL}\r\nContent-Length: 9"), "0123")
                 .await;
         }
         Play::RefusesWithoutEnd => {
-            conn.reply(
+            conn.respond(
                 "503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 900",
                 "no",
             )
@@ -261,7 +267,7 @@
 }
 
 /// Writes a text, however long that takes; false once the proxy has closed.
-async fn written(conn: &Peer, text: &str) -> bool {
+async fn written(conn: &TestConnection, text: &str) -> bool {
     let mut rest = text.as_bytes();
     while !rest.is_empty() {
         match conn.stream.try_write(rest) {
--- a/crates/proxy/tests/event_stream.rs
+++ b/crates/proxy/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Events of a stream: whole ones, in order, none twice.
+//! Splitting a stream into complete events, in order and each once.
 
 use proxy::event_stream::{Event, EventOffset, EventSplitter};
 use rstest::rstest;
@@ -17,7 +17,7 @@
 #[case("data: id: 3\n\n", None)]
 #[case(": only a remark\n\n", None)]
 #[case("id: 1\ndata: a\ndata: b\n\n", Some("1"))]
-fn an_event_is_the_same_however_it_is_cut(#[case] text: &str, #[case] id: Option<&str>) {
+fn event_is_the_same_at_any_split(#[case] text: &str, #[case] id: Option<&str>) {
     let whole = [(text.to_owned(), id.map(str::to_owned))];
     for cut in 0..=text.len() {
         let mut splitter = EventSplitter::new(1024);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn several_events_in_one_piece_and_the_rest() {
+fn several_events_in_one_piece_are_split() {
     let mut splitter = EventSplitter::new(1024);
     splitter
         .push(b"id: 1\n\nid: 2\ndata: x\n\nid: 3\nda")
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn lines_that_end_with_cr_alone() {
+fn lines_that_end_with_cr_alone_are_split() {
     let mut splitter = EventSplitter::new(1024);
     splitter.push(b"id: 1\rdata: a\r\r").unwrap();
     assert!(
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_event_that_grows_too_large_is_an_error() {
+fn event_over_the_limit_is_an_error() {
     let mut splitter = EventSplitter::new(8);
     assert!(splitter.push(b"data: 12").is_ok());
     assert!(splitter.next_event().is_none());
@@ -89,7 +89,7 @@
 #[case(Some("10"), Some("9"), false)]
 #[case(Some("9"), Some("10"), true)]
 #[case(Some("4"), None, true)]
-fn what_was_passed_on_before_is_not_again(
+fn event_already_forwarded_is_not_new(
     #[case] last: Option<&str>,
     #[case] id: Option<&str>,
     #[case] admitted: bool,
--- a/crates/proxy/tests/passed_on.rs
+++ b/crates/proxy/tests/forwarded_fields.rs
@@ -1,5 +1,4 @@
-//! What a host gets of a client's request, and a client of a host's answer: the fields that belong to the other
-//! end are passed on unchanged, at each try.
+//! Fields that are for the other end are forwarded unchanged, with each attempt.
 
 mod common;
 use common::*;
@@ -54,20 +53,23 @@
     "Fennelpin-Token-Counts: many,few".to_owned(),
     "Fennelpin-Prompt-Prefix: no parts at all".to_owned(),
 ])]
-fn what_a_client_says_of_its_prompt_reaches_each_host_unchanged(
+fn prompt_fields_reach_each_host_unchanged(
     #[case] lines: Vec<String>,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
         client.send(&request(path, "one", &fields(&lines))).await;
         let lines: Vec<String> = lines.iter().map(|l| l.trim_end().to_owned()).collect();
-        let (mut first, other) = first_of(&mut one, &mut two).await;
-        assert_passed_on(&trimmed(first.refuse().await), &lines);
-        let mut second = other.conn().await;
-        assert_passed_on(&trimmed(second.answer("done").await), &lines);
+        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        assert_passed_on(&trimmed(first.respond_refusal().await), &lines);
+        let mut second = other.accept().await;
+        assert_passed_on(&trimmed(second.respond_ok("done").await), &lines);
     });
 }
 
@@ -81,20 +83,23 @@
 }
 
 #[test]
-fn a_resumed_stream_s_prompt_is_the_client_s() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn resumed_stream_keeps_the_client_prompt_fields() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
         let lines = PROMPT.map(str::to_owned);
         client
             .send(&request("/more/a", "one", &fields(&lines)))
             .await;
-        let (mut first, other) = first_of(&mut one, &mut two).await;
-        assert_passed_on(&first.begin("seal", &[1]).await, &lines);
-        client.until("piece 1\n\n").await;
+        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        assert_passed_on(&first.start_stream("seal", &[1]).await, &lines);
+        client.read_until("piece 1\n\n").await;
         drop(first);
-        let asked = other.conn().await.message().await.unwrap();
+        let asked = other.accept().await.read_message().await.unwrap();
         assert_eq!(asked.field("last-event-id"), Some("1"));
         assert_passed_on(&asked, &lines);
     });
@@ -102,9 +107,9 @@
 
 /// Where the system sets no priority the client's own stays, as do the versions that it and its host speak of.
 #[test]
-fn priority_and_versions_pass_where_the_system_sets_none() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn priority_and_versions_are_forwarded_when_the_proxy_sets_none() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
         client
@@ -115,54 +120,57 @@
             ))
             .await;
         let lines = "200 OK\r\nFennelpin-Host-Seal: seal\r\nVersions: 4\r\nContent-Length: 4";
-        let asked = host.conn().await.reply(lines, "done").await;
+        let asked = host.accept().await.respond(lines, "done").await;
         assert_eq!(
             (asked.field("priority"), asked.field("expect-version")),
             (Some("3"), Some("4"))
         );
-        assert_eq!(client.message().await.unwrap().field("versions"), Some("4"));
+        assert_eq!(
+            client.read_message().await.unwrap().field("versions"),
+            Some("4")
+        );
     });
 }
 
 /// An event may begin with the version from which on it counts.
 #[rstest]
-fn an_event_with_a_version_passes_as_it_is(#[values("/live/a", "/more/a")] path: &str) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn event_with_a_version_is_forwarded_unchanged(#[values("/live/a", "/more/a")] path: &str) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let mut client = proxy.ask(path).await;
-        let mut conn = host.conn().await;
-        conn.begin("seal", &[1]).await;
+        let mut client = proxy.send_request(path).await;
+        let mut conn = host.accept().await;
+        conn.start_stream("seal", &[1]).await;
         let event = "versions: 5\nid: 2\ndata: piece 2\n\n";
         conn.send(&format!("{:x}\r\n{event}\r\n0\r\n\r\n", event.len()))
             .await;
-        let answer = client.message().await.unwrap();
-        assert_eq!((answer.whole, answer.body), (true, events([1]) + event));
+        let answer = client.read_message().await.unwrap();
+        assert_eq!((answer.complete, answer.body), (true, events([1]) + event));
     });
 }
 
 /// A host that turns a request away for the version that its client expects is still the host that it was.
 #[test]
-fn a_client_that_expects_another_version_takes_no_host_out() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn version_mismatch_does_not_take_a_host_out() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
         client
             .send(&request("/pure/a", "one", "Expect-Version: 9\r\n"))
             .await;
-        let mut conn = host.conn().await;
-        conn.reply(
+        let mut conn = host.accept().await;
+        conn.respond(
             "421 Other\r\nFennelpin-Not-Executed: version\r\nContent-Length: 0",
             "",
         )
         .await;
-        assert_eq!(client.message().await.unwrap().status(), 503);
+        assert_eq!(client.read_message().await.unwrap().status(), 503);
         let mut other = proxy.client().await;
         let served = async {
             loop {
                 other.send(&request("/pure/a", "two", "")).await;
-                let answer = other.message().await.unwrap();
+                let answer = other.read_message().await.unwrap();
                 if answer.status() == 200 {
                     break answer;
                 }
@@ -170,8 +178,8 @@
         };
         let play = async {
             tokio::select! {
-                Some(_) = conn.message() => conn.send(&good("two", "done")).await,
-                mut new = host.conn() => drop(new.answer("done").await),
+                Some(_) = conn.read_message() => conn.send(&ok_response("two", "done")).await,
+                mut new = host.accept() => drop(new.respond_ok("done").await),
             }
             std::future::pending::<()>().await;
         };
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -4,11 +4,11 @@
 use common::*;
 
 #[test]
-fn a_plain_request_reaches_its_host_and_the_answer_comes_back_unchanged() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn plain_request_and_response_are_forwarded_unchanged() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        assert_eq!(proxy.ready().await, 200);
+        assert_eq!(proxy.readiness_status().await, 200);
         let mut client = proxy.client().await;
         client
             .send(&request(
@@ -17,8 +17,8 @@
                 "X-Own: 1\r\nConnection: keep-alive, x-hop\r\nX-Hop: 2\r\n",
             ))
             .await;
-        let mut conn = host.conn().await;
-        let asked = conn.answer("hello").await;
+        let mut conn = host.accept().await;
+        let asked = conn.respond_ok("hello").await;
         assert!(asked.head.starts_with("POST /pure/a?b=c HTTP/1.1\r\n"));
         assert_eq!(
             (asked.body.as_str(), asked.field("host")),
@@ -40,14 +40,14 @@
             .parse()
             .unwrap();
         assert!((7000..=8000).contains(&left));
-        let answer = client.message().await.unwrap();
+        let answer = client.read_message().await.unwrap();
         assert_eq!((answer.status(), answer.body.as_str()), (200, "hello"));
         assert_eq!(answer.field("fennelpin-host-seal"), Some("seal"));
         // Both connections serve again.
         client
             .send(&request("/pure/a", "two", "Fennelpin-Deadline-Ms: 500\r\n"))
             .await;
-        let asked = conn.answer("again").await;
+        let asked = conn.respond_ok("again").await;
         assert!(
             asked
                 .field("fennelpin-deadline-ms")
@@ -56,71 +56,77 @@
                 .unwrap()
                 <= 500
         );
-        assert_eq!(client.message().await.unwrap().body, "again");
+        assert_eq!(client.read_message().await.unwrap().body, "again");
     });
 }
 
 #[test]
-fn a_refused_request_goes_to_another_host() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn refused_request_is_retried_at_another_host() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
         client.send(&request("/once/a", "one", "")).await;
         let (first, other) = tokio::select! {
-            conn = one.conn() => (conn, &mut two),
-            conn = two.conn() => (conn, &mut one),
+            conn = one.accept() => (conn, &mut two),
+            conn = two.accept() => (conn, &mut one),
         };
         let mut first = first;
-        first.refuse().await;
-        other.conn().await.answer("done").await;
-        assert_eq!(client.message().await.unwrap().body, "done");
+        first.respond_refusal().await;
+        other.accept().await.respond_ok("done").await;
+        assert_eq!(client.read_message().await.unwrap().body, "done");
     });
 }
 
 #[test]
-fn a_stream_is_passed_on_as_it_comes() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn stream_is_forwarded_as_it_comes() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         for path in ["/live/a", "/more/a"] {
             let mut client = proxy.client().await;
             client
                 .send(&request(path, "one", "Connection: close\r\n"))
                 .await;
-            let mut conn = host.conn().await;
-            conn.begin("seal", &[1]).await;
-            client.until("piece 1\n\n").await;
-            conn.events(&[2]).await;
-            client.until("piece 2\n\n").await;
+            let mut conn = host.accept().await;
+            conn.start_stream("seal", &[1]).await;
+            client.read_until("piece 1\n\n").await;
+            conn.send_events(&[2]).await;
+            client.read_until("piece 2\n\n").await;
             conn.send("0\r\n\r\n").await;
             drop(conn);
-            let answer = client.message().await.unwrap();
-            assert_eq!((answer.whole, answer.body), (true, events([1, 2])));
+            let answer = client.read_message().await.unwrap();
+            assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
         }
     });
 }
 
 #[test]
-fn a_stream_that_breaks_goes_on_at_another_host() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn broken_resumable_stream_is_resumed_at_another_host() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
         client.send(&request("/more/a", "one", "")).await;
         let (mut first, other) = tokio::select! {
-            conn = one.conn() => (conn, &mut two),
-            conn = two.conn() => (conn, &mut one),
+            conn = one.accept() => (conn, &mut two),
+            conn = two.accept() => (conn, &mut one),
         };
-        first.begin("first", &[1, 2]).await;
+        first.start_stream("first", &[1, 2]).await;
         first.send("30\r\nid: 3\ndata: ha").await;
         drop(first);
-        let mut second = other.conn().await;
-        let asked = second.begin("second", &[2, 3, 4]).await;
+        let mut second = other.accept().await;
+        let asked = second.start_stream("second", &[2, 3, 4]).await;
         assert_eq!(asked.field("last-event-id"), Some("2"));
         second.send("0\r\n\r\n").await;
-        let answer = client.message().await.unwrap();
+        let answer = client.read_message().await.unwrap();
         assert_eq!(answer.field("fennelpin-host-seal"), Some("first"));
-        assert_eq!((answer.whole, answer.body), (true, events([1, 2, 3, 4])));
+        assert_eq!((answer.complete, answer.body), (true, events([1, 2, 3, 4])));
     });
 }
--- a/crates/proxy/tests/scripts.rs
+++ b/crates/proxy/tests/generated_scripts.rs
@@ -1,4 +1,4 @@
-//! Drawn scripts: what hosts send around an answer, and what clients send on one connection.
+//! Generated scripts: what hosts send around a response, and what clients send on one connection.
 
 mod common;
 use common::*;
@@ -88,12 +88,16 @@
 
 /// A host that answers the second request of the whole test by the script and all others at once and rightly. It
 /// ends a connection that it has nothing more to say on.
-async fn play(mut host: Host, script: Vec<Sends>, ran: tokio::sync::mpsc::UnboundedSender<String>) {
+async fn play(
+    mut host: FakeHost,
+    script: Vec<Sends>,
+    ran: tokio::sync::mpsc::UnboundedSender<String>,
+) {
     let mut script = Some(script);
     let mut answered = 0;
     loop {
-        let mut conn = host.conn().await;
-        while let Some(asked) = conn.message().await {
+        let mut conn = host.accept().await;
+        while let Some(asked) = conn.read_message().await {
             let id = asked.field("fennelpin-attempt-id").unwrap().to_owned();
             let _ = ran.send(id.clone());
             answered += 1;
@@ -113,20 +117,20 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_a_host_sends_each_client_gets_its_own_answer_or_none(
+    fn arbitrary_host_output_never_reaches_the_wrong_client(
         script in prop::collection::vec(sends(), 0..6),
         path in prop_oneof![Just("/pure/a"), Just("/once/a")],
     ) {
-        story(async {
-            let host = Host::new("h1", "s").await;
+        run_async_test(async {
+            let host = FakeHost::new("h1", "s").await;
             let proxy = Proxy::new(&[&host]).await;
             let (ran, mut runs) = tokio::sync::mpsc::unbounded_channel();
             tokio::task::spawn_local(play(host, script.clone(), ran));
             for id in ["first", "second", "third", "fourth"] {
                 let mut client = proxy.client().await;
                 client.send(&request(path, id, "")).await;
-                let answer = client.message().await.expect("an answer");
-                assert!(answer.whole, "{script:?}: {answer:?}");
+                let answer = client.read_message().await.expect("an answer");
+                assert!(answer.complete, "{script:?}: {answer:?}");
                 match answer.status() {
                     200 => assert_eq!(answer.body, body_of(id), "{script:?}"),
                     status => assert!(id == "second" && [502, 503].contains(&status), "{script:?}: {id} {answer:?}"),
@@ -214,20 +218,20 @@
 }
 
 /// A host that reads requests byte by byte and tells what it ran.
-async fn record(mut host: Host, ran: tokio::sync::mpsc::UnboundedSender<(String, Vec<u8>)>) {
+async fn record(mut host: FakeHost, ran: tokio::sync::mpsc::UnboundedSender<(String, Vec<u8>)>) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     loop {
-        let mut conn = host.conn().await;
+        let mut conn = host.accept().await;
         let ran = ran.clone();
         tokio::task::spawn_local(async move {
-            while let Some(head) = conn.head().await {
+            while let Some(head) = conn.read_head().await {
                 let field = |name: &str| {
                     let value = head.lines().find_map(|l| l.strip_prefix(name)).unwrap();
                     value.trim().to_owned()
                 };
                 let id = field("Fennelpin-Attempt-Id:");
                 let mut body = vec![0; field("Content-Length:").parse().unwrap()];
-                let held = conn.take_held(body.len());
+                let held = conn.take_buffered(body.len());
                 body[..held.len()].copy_from_slice(&held);
                 if conn
                     .stream
@@ -255,13 +259,13 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_a_client_sends_ahead_hosts_run_its_requests_and_nothing_else(
+    fn arbitrary_pipelined_input_runs_only_valid_requests(
         good in prop::collection::vec(asks(), 0..5),
         bad in prop::option::of(wrong()),
         cuts in prop::collection::vec(1usize..90, 1..12),
     ) {
-        story(async {
-            let host = Host::new("h1", "s").await;
+        run_async_test(async {
+            let host = FakeHost::new("h1", "s").await;
             let proxy = Proxy::new(&[&host]).await;
             let (ran, mut runs) = tokio::sync::mpsc::unbounded_channel();
             tokio::task::spawn_local(record(host, ran));
@@ -284,13 +288,13 @@
                 rest = later;
             }
             for id in 0..good.len() {
-                let answer = client.message().await.expect("an answer");
+                let answer = client.read_message().await.expect("an answer");
                 assert_eq!((answer.status(), answer.body), (200, body_of(&id.to_string())));
             }
             if bad.is_some() {
-                let answer = client.message().await.expect("an answer");
+                let answer = client.read_message().await.expect("an answer");
                 assert_eq!((answer.status(), answer.field("connection")), (400, Some("close")));
-                assert_eq!(client.message().await, None);
+                assert_eq!(client.read_message().await, None);
             }
             let mut seen = Vec::new();
             while let Ok(run) = runs.try_recv() {
--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,83 +1,83 @@
-//! The end of the process: what it has taken is answered, and clients learn in time.
+//! The end of the process: requests in flight are answered, and clients are told in time.
 
 mod common;
 use common::*;
 use tokio::net::TcpStream;
 
-fn short() -> Setup {
-    Setup {
+fn short() -> ProxyOptions {
+    ProxyOptions {
         grace_s: 1.7,
-        ..Setup::default()
+        ..ProxyOptions::default()
     }
 }
 
-async fn proxy(setup: Setup, host: &Host) -> Proxy {
-    let proxy = Proxy::set_up(setup).await;
+async fn proxy(setup: ProxyOptions, host: &FakeHost) -> Proxy {
+    let proxy = Proxy::with_options(setup).await;
     proxy
-        .know(document(1, ROUTES), vec![host.info.clone()])
+        .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
         .await;
     proxy
 }
 
 #[test]
-fn told_to_stop_it_is_not_ready_and_serves_on() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn stopping_proxy_is_not_ready_and_still_serves() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = proxy(short(), &host).await;
-        let mut old = proxy.ask("/pure/a").await;
-        let mut conn = host.conn().await;
-        conn.answer("before").await;
-        assert_eq!(old.message().await.unwrap().field("connection"), None);
-        proxy.tell_to_stop();
-        while proxy.ready().await == 200 {}
+        let mut old = proxy.send_request("/pure/a").await;
+        let mut conn = host.accept().await;
+        conn.respond_ok("before").await;
+        assert_eq!(old.read_message().await.unwrap().field("connection"), None);
+        proxy.signal_stop();
+        while proxy.readiness_status().await == 200 {}
         // The platform still sends connections, and old ones may still ask: each gets its answer, the last there.
-        let mut new = proxy.ask("/once/a").await;
-        conn.answer("new").await;
-        let answer = new.message().await.unwrap();
+        let mut new = proxy.send_request("/once/a").await;
+        conn.respond_ok("new").await;
+        let answer = new.read_message().await.unwrap();
         assert_eq!(
             (answer.body.as_str(), answer.field("connection")),
             ("new", Some("close"))
         );
-        new.closed().await;
+        new.wait_until_closed().await;
         old.send(&request("/once/a", "two", "")).await;
-        conn.answer("old").await;
-        let answer = old.message().await.unwrap();
+        conn.respond_ok("old").await;
+        let answer = old.read_message().await.unwrap();
         assert_eq!(
             (answer.body.as_str(), answer.field("connection")),
             ("old", Some("close"))
         );
-        old.closed().await;
+        old.wait_until_closed().await;
     });
 }
 
 #[test]
-fn what_runs_is_answered_before_the_process_ends() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn requests_in_flight_are_answered_before_the_process_ends() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = proxy(
-            Setup {
+            ProxyOptions {
                 grace_s: 4.5,
-                ..Setup::default()
+                ..ProxyOptions::default()
             },
             &host,
         )
         .await;
         let mut idle = proxy.client().await;
-        let mut busy = proxy.ask("/live/a").await;
-        let mut conn = host.conn().await;
-        conn.begin("seal", &[1]).await;
-        busy.until("piece 1\n\n").await;
+        let mut busy = proxy.send_request("/live/a").await;
+        let mut conn = host.accept().await;
+        conn.start_stream("seal", &[1]).await;
+        busy.read_until("piece 1\n\n").await;
         let told = std::time::Instant::now();
-        proxy.tell_to_stop();
+        proxy.signal_stop();
         // The idle connection goes once the platform has noticed; the stream stays.
-        idle.closed().await;
+        idle.wait_until_closed().await;
         let waited = told.elapsed().as_millis();
         assert!((2000..3600).contains(&waited), "{waited} ms");
-        conn.events(&[2]).await;
+        conn.send_events(&[2]).await;
         conn.send("0\r\n\r\n").await;
-        let answer = busy.message().await.unwrap();
-        assert_eq!((answer.whole, answer.body), (true, events([1, 2])));
-        let counted = proxy.done.await.unwrap().unwrap();
+        let answer = busy.read_message().await.unwrap();
+        assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
+        let counted = proxy.serving.await.unwrap().unwrap();
         assert_eq!((counted.responses, counted.truncated_responses), (1, 0));
         assert!(
             told.elapsed().as_millis() < 4000,
@@ -87,28 +87,28 @@
 }
 
 #[test]
-fn what_could_not_be_over_before_the_end_is_sent_on_in_time() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn late_request_that_may_outlast_the_process_is_rejected() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = proxy(
-            Setup {
+            ProxyOptions {
                 grace_s: 6.0,
-                ..Setup::default()
+                ..ProxyOptions::default()
             },
             &host,
         )
         .await;
         let mut idle = proxy.client().await;
-        let mut late = proxy.ask("/live/a").await;
-        let mut stream = host.conn().await;
-        stream.begin("seal", &[1]).await;
-        late.until("piece 1\n\n").await;
-        proxy.tell_to_stop();
+        let mut late = proxy.send_request("/live/a").await;
+        let mut stream = host.accept().await;
+        stream.start_stream("seal", &[1]).await;
+        late.read_until("piece 1\n\n").await;
+        proxy.signal_stop();
         // Once the platform has noticed, connections that stand idle go.
-        idle.closed().await;
+        idle.wait_until_closed().await;
         // A stream of eight seconds would be cut by the process's end: it is refused before any host hears of it.
         for path in ["/live/b", "/once/b", "/more/b"] {
-            let answer = proxy.ask(path).await.message().await.unwrap();
+            let answer = proxy.send_request(path).await.read_message().await.unwrap();
             assert_eq!(
                 (answer.status(), answer.field("connection")),
                 (503, Some("close")),
@@ -120,11 +120,11 @@
                 answer.head
             );
         }
-        assert!(host.unasked());
+        assert!(host.has_no_connection());
         // One that may run twice is told to come again if need be: it is served.
-        let mut pure = proxy.ask("/pure/b").await;
-        host.conn().await.answer("once more").await;
-        assert_eq!(pure.message().await.unwrap().body, "once more");
+        let mut pure = proxy.send_request("/pure/b").await;
+        host.accept().await.respond_ok("once more").await;
+        assert_eq!(pure.read_message().await.unwrap().body, "once more");
         // What is over before the process is, is still served, and so is what was taken before.
         let mut short = proxy.client().await;
         short
@@ -134,67 +134,67 @@
                 "Fennelpin-Deadline-Ms: 700\r\n",
             ))
             .await;
-        host.conn().await.answer("in time").await;
-        let answer = short.message().await.unwrap();
+        host.accept().await.respond_ok("in time").await;
+        let answer = short.read_message().await.unwrap();
         assert_eq!(
             (answer.body.as_str(), answer.field("connection")),
             ("in time", Some("close"))
         );
-        stream.events(&[2]).await;
+        stream.send_events(&[2]).await;
         stream.send("0\r\n\r\n").await;
-        let answer = late.message().await.unwrap();
-        assert_eq!((answer.whole, answer.body), (true, events([1, 2])));
-        let counted = proxy.done.await.unwrap().unwrap();
+        let answer = late.read_message().await.unwrap();
+        assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
+        let counted = proxy.serving.await.unwrap().unwrap();
         assert_eq!((counted.responses, counted.truncated_responses), (3, 0));
     });
 }
 
 #[test]
-fn what_is_still_out_at_the_end_is_told_the_truth() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn request_in_flight_at_the_end_gets_a_true_status() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = proxy(short(), &host).await;
-        let mut sent = proxy.ask("/once/a").await;
-        let mut conn = host.conn().await;
-        conn.message().await.unwrap();
+        let mut sent = proxy.send_request("/once/a").await;
+        let mut conn = host.accept().await;
+        conn.read_message().await.unwrap();
         let mut half = proxy.client().await;
         half.send("POST /once/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: two\r\n")
             .await;
         let told = std::time::Instant::now();
-        proxy.tell_to_stop();
-        let answer = sent.message().await.unwrap();
+        proxy.signal_stop();
+        let answer = sent.read_message().await.unwrap();
         assert_eq!(
             (answer.status(), answer.field("connection")),
             (502, Some("close")),
             "it may have run"
         );
-        conn.closed().await;
-        proxy.done.await.unwrap().unwrap();
+        conn.wait_until_closed().await;
+        proxy.serving.await.unwrap().unwrap();
         assert!(
             told.elapsed().as_millis() < 1700,
             "before the grace is over: {:?}",
             told.elapsed()
         );
-        half.closed().await;
+        half.wait_until_closed().await;
     });
 }
 
 #[test]
-fn the_end_is_counted() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn counters_are_returned_at_the_end() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = proxy(
-            Setup {
+            ProxyOptions {
                 grace_s: 0.8,
-                ..Setup::default()
+                ..ProxyOptions::default()
             },
             &host,
         )
         .await;
-        let mut client = proxy.ask("/pure/a").await;
-        let mut conn = host.conn().await;
-        conn.answer("done").await;
-        client.message().await.unwrap();
+        let mut client = proxy.send_request("/pure/a").await;
+        let mut conn = host.accept().await;
+        conn.respond_ok("done").await;
+        client.read_message().await.unwrap();
         let counters = proxy.counters.clone();
         let counted = proxy.stop().await;
         assert_eq!(counted, counters.get());
@@ -213,26 +213,26 @@
 /// A request whose answer can't be awaited any more is refused before a host hears of it: sent out and given up, it
 /// could neither be answered nor sent again.
 #[test]
-fn a_request_that_comes_in_the_last_moments_is_refused_and_not_given_up() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn request_in_the_last_moments_is_rejected_before_a_host_has_it() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = proxy(short(), &host).await;
         // The platform's clients keep coming to the end, and the host answers each at once.
         let clients: Vec<_> = (0..8)
-            .map(|n| tokio::task::spawn_local(keep_asking(proxy.front, n)))
+            .map(|n| tokio::task::spawn_local(keep_asking(proxy.client_address, n)))
             .collect();
         let answers = tokio::task::spawn_local(async move {
             loop {
-                let mut conn = host.conn().await;
+                let mut conn = host.accept().await;
                 tokio::task::spawn_local(async move {
-                    while let Some(request) = conn.message().await {
+                    while let Some(request) = conn.read_message().await {
                         let id = request.field("fennelpin-attempt-id").unwrap_or("none");
-                        conn.send(&good(id, "done")).await;
+                        conn.send(&ok_response(id, "done")).await;
                     }
                 });
             }
         });
-        proxy.tell_to_stop();
+        proxy.signal_stop();
         let mut refused = 0;
         for client in clients {
             for status in client.await.unwrap() {
@@ -245,7 +245,7 @@
         }
         assert!(refused > 0, "the last ones are refused");
         answers.abort();
-        proxy.done.await.unwrap().unwrap();
+        proxy.serving.await.unwrap().unwrap();
     });
 }
 
@@ -256,11 +256,11 @@
         let Ok(stream) = TcpStream::connect(std::net::SocketAddr::V4(front)).await else {
             break;
         };
-        let mut peer = Peer::new(stream);
+        let mut peer = TestConnection::new(stream);
         peer.send(&request("/once/a", &format!("{client}-{n}"), ""))
             .await;
         // One that the end of the process meets unread has no answer.
-        if let Some(answer) = peer.message().await {
+        if let Some(answer) = peer.read_message().await {
             statuses.push(answer.status());
         }
     }
--- a/crates/proxy/tests/hosts.rs
+++ b/crates/proxy/tests/host_failures.rs
@@ -1,4 +1,4 @@
-//! Hosts that refuse, fail, break off, fall silent or send what is no answer.
+//! Hosts that refuse, fail, break off, are silent or send an invalid response.
 
 mod common;
 use common::*;
@@ -9,17 +9,20 @@
 const SEAL: &str = "Fennelpin-Host-Seal: seal";
 
 /// What is sent to the first host is followed by the second: how often it is asked, and what the client gets.
-async fn two(path: &str, play: impl AsyncFnOnce(Peer), answers: bool) -> Message {
-    let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+async fn two(path: &str, play: impl AsyncFnOnce(TestConnection), answers: bool) -> Message {
+    let (mut one, mut two) = (
+        FakeHost::new("h1", "s").await,
+        FakeHost::new("h2", "s").await,
+    );
     let proxy = Proxy::new(&[&one, &two]).await;
-    let mut client = proxy.ask(path).await;
-    let (first, other) = first_of(&mut one, &mut two).await;
+    let mut client = proxy.send_request(path).await;
+    let (first, other) = first_connection(&mut one, &mut two).await;
     play(first).await;
     if answers {
-        other.conn().await.answer("second").await;
+        other.accept().await.respond_ok("second").await;
     }
-    let answer = client.message().await.expect("an answer");
-    assert!(other.unasked());
+    let answer = client.read_message().await.expect("an answer");
+    assert!(other.has_no_connection());
     answer
 }
 
@@ -47,18 +50,18 @@
     "ok"
 )]
 #[case::garbage("\u{1}\u{2}\u{3}", "")]
-fn what_is_no_answer(
+fn invalid_response_is_retried_only_if_idempotent(
     #[case] lines: &str,
     #[case] body: &str,
     #[values("/pure/a", "/once/a")] path: &str,
 ) {
-    story(async {
+    run_async_test(async {
         let pure = path == "/pure/a";
-        let play = async |mut conn: Peer| {
-            conn.reply(lines, body).await;
+        let play = async |mut conn: TestConnection| {
+            conn.respond(lines, body).await;
         };
         let answer = two(path, play, pure).await;
-        assert!(answer.whole);
+        assert!(answer.complete);
         assert_eq!(answer.field("content-encoding"), None);
         if pure {
             assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
@@ -69,11 +72,13 @@
 }
 
 #[rstest]
-fn a_connection_that_ends_without_an_answer(#[values("/pure/a", "/once/a", "/live/a")] path: &str) {
-    story(async {
+fn closed_connection_is_retried_only_if_idempotent(
+    #[values("/pure/a", "/once/a", "/live/a")] path: &str,
+) {
+    run_async_test(async {
         let pure = path == "/pure/a";
-        let play = async |mut conn: Peer| {
-            conn.message().await.unwrap();
+        let play = async |mut conn: TestConnection| {
+            conn.read_message().await.unwrap();
         };
         let answer = two(path, play, pure).await;
         assert_eq!(answer.status(), if pure { 200 } else { 502 });
@@ -100,14 +105,14 @@
     "400 Bad Request\r\nFennelpin-Not-Executed: id\r\nTransfer-Encoding: chunked",
     "0\r\n\r\n"
 )]
-fn a_refusal_goes_on(
+fn refused_request_goes_to_another_host(
     #[case] lines: &str,
     #[case] body: &str,
     #[values("/pure/a", "/once/a", "/live/a")] path: &str,
 ) {
-    story(async {
-        let play = async |mut conn: Peer| {
-            conn.reply(lines, body).await;
+    run_async_test(async {
+        let play = async |mut conn: TestConnection| {
+            conn.respond(lines, body).await;
         };
         let answer = two(path, play, true).await;
         assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
@@ -115,15 +120,18 @@
 }
 
 #[test]
-fn refused_by_all_the_client_is_told_when_to_come_back() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn request_refused_by_all_hosts_gets_retry_after() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
-        let mut client = proxy.ask("/once/a").await;
-        let (mut first, other) = first_of(&mut one, &mut two).await;
-        first.refuse().await;
-        other.conn().await.refuse().await;
-        let answer = client.message().await.unwrap();
+        let mut client = proxy.send_request("/once/a").await;
+        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        first.respond_refusal().await;
+        other.accept().await.respond_refusal().await;
+        let answer = client.read_message().await.unwrap();
         assert_eq!(
             (answer.status(), answer.field("fennelpin-attempt-id")),
             (503, Some("one"))
@@ -133,102 +141,109 @@
 }
 
 #[test]
-fn the_body_of_a_refusal_is_not_waited_for() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn refusal_body_is_not_waited_for() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
         client
             .send(&request("/once/a", "one", "Fennelpin-Deadline-Ms: 40\r\n"))
             .await;
-        let (mut first, other) = first_of(&mut one, &mut two).await;
+        let (mut first, other) = first_connection(&mut one, &mut two).await;
         first
-            .reply(
+            .respond(
                 "503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 9",
                 "part",
             )
             .await;
-        other.conn().await.answer("second").await;
-        assert_eq!(client.message().await.unwrap().body, "second");
+        other.accept().await.respond_ok("second").await;
+        assert_eq!(client.read_message().await.unwrap().body, "second");
     });
 }
 
 #[test]
-fn max_tries_is_the_most_hosts_that_hear_of_a_try() {
-    story(async {
-        let mut hosts = [Host::new("h1", "s").await, Host::new("h2", "s").await];
-        let proxy = Proxy::blank().await;
+fn max_tries_limits_the_hosts_that_get_a_request() {
+    run_async_test(async {
+        let mut hosts = [
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        ];
+        let proxy = Proxy::without_configuration().await;
         let routes = ROUTES.replace("\"max_tries\":3", "\"max_tries\":1");
         proxy
-            .know(
-                document(1, &routes),
+            .apply_fleet(
+                configuration(1, &routes),
                 hosts.iter().map(|h| h.info.clone()).collect(),
             )
             .await;
-        let mut client = proxy.ask("/pure/a").await;
+        let mut client = proxy.send_request("/pure/a").await;
         let [one, two] = &mut hosts;
-        let (mut conn, other) = first_of(one, two).await;
-        conn.refuse().await;
-        assert_eq!(client.message().await.unwrap().status(), 503);
-        assert!(other.unasked());
+        let (mut conn, other) = first_connection(one, two).await;
+        conn.respond_refusal().await;
+        assert_eq!(client.read_message().await.unwrap().status(), 503);
+        assert!(other.has_no_connection());
     });
 }
 
 #[test]
-fn without_budget_nothing_goes_to_a_second_host() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
-        let proxy = Proxy::set_up(Setup {
+fn retry_without_budget_is_rejected() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
+        let proxy = Proxy::with_options(ProxyOptions {
             retry_slack: 0.0,
-            ..Setup::default()
+            ..ProxyOptions::default()
         })
         .await;
         proxy
-            .know(
-                document(1, ROUTES),
+            .apply_fleet(
+                configuration(1, ROUTES),
                 vec![one.info.clone(), two.info.clone()],
             )
             .await;
-        let mut client = proxy.ask("/pure/a").await;
-        let (mut conn, other) = first_of(&mut one, &mut two).await;
-        conn.refuse().await;
-        let answer = client.message().await.unwrap();
+        let mut client = proxy.send_request("/pure/a").await;
+        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        conn.respond_refusal().await;
+        let answer = client.read_message().await.unwrap();
         assert!(answer.body.starts_with("402 "), "{}", answer.body);
-        assert!(answer.field("retry-after").is_some() && other.unasked());
+        assert!(answer.field("retry-after").is_some() && other.has_no_connection());
     });
 }
 
 #[rstest]
-fn hosts_that_can_not_be_reached_cost_no_budget(
-    #[values("/pure/a", "/once/a", "/live/a")] path: &str,
-) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
-        let proxy = Proxy::set_up(Setup {
+fn unreachable_hosts_cost_no_retry_budget(#[values("/pure/a", "/once/a", "/live/a")] path: &str) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let proxy = Proxy::with_options(ProxyOptions {
             retry_slack: 0.0,
-            ..Setup::default()
+            ..ProxyOptions::default()
         })
         .await;
         let dead = [
-            info("d1", "s", free_addr().await),
-            info("d2", "s", free_addr().await),
+            host_info("d1", "s", unused_address().await),
+            host_info("d2", "s", unused_address().await),
         ];
         proxy
-            .know(
-                document(1, ROUTES),
+            .apply_fleet(
+                configuration(1, ROUTES),
                 [&dead[..], &[host.info.clone()]].concat(),
             )
             .await;
         for _ in 0..4 {
-            let mut client = proxy.ask(path).await;
-            host.conn()
+            let mut client = proxy.send_request(path).await;
+            host.accept()
                 .await
-                .reply(
+                .respond(
                     &format!("200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: 1"),
                     "x",
                 )
                 .await;
-            assert_eq!(client.message().await.unwrap().body, "x");
+            assert_eq!(client.read_message().await.unwrap().body, "x");
         }
         assert_eq!(
             (proxy.counters.get().attempts, proxy.counters.get().retries),
@@ -256,24 +271,25 @@
 }
 
 #[rstest]
-fn a_host_that_says_nothing_to_a_connection_is_left_for_another(
-    #[values("/pure/a", "/once/a")] path: &str,
-) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
-        let proxy = Proxy::blank().await;
+fn host_that_accepts_no_connection_is_replaced(#[values("/pure/a", "/once/a")] path: &str) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let proxy = Proxy::without_configuration().await;
         let (addr, _listener, _waiting) = dark().await;
         let far = balancing::HostInfo {
             zone: "b".into(),
             ..host.info.clone()
         };
         proxy
-            .know(document(1, ROUTES), vec![info("dark", "s", addr), far])
+            .apply_fleet(
+                configuration(1, ROUTES),
+                vec![host_info("dark", "s", addr), far],
+            )
             .await;
         let asked = tokio::time::Instant::now();
-        let mut client = proxy.ask(path).await;
-        host.conn().await.answer("done").await;
-        assert_eq!(client.message().await.unwrap().body, "done");
+        let mut client = proxy.send_request(path).await;
+        host.accept().await.respond_ok("done").await;
+        assert_eq!(client.read_message().await.unwrap().body, "done");
         assert!(
             asked.elapsed() < Duration::from_millis(900),
             "{:?}",
@@ -292,14 +308,14 @@
 }
 
 #[rstest]
-fn a_host_s_own_failure(
+fn host_error_is_retried_only_if_idempotent(
     #[values("/pure/a", "/once/a")] path: &str,
     #[values(500, 504, 507)] status: u16,
 ) {
-    story(async {
+    run_async_test(async {
         let pure = path == "/pure/a";
-        let play = async |mut conn: Peer| {
-            conn.reply(
+        let play = async |mut conn: TestConnection| {
+            conn.respond(
                 &format!("{status} Own\r\n{SEAL}\r\nX-Own: 1\r\nContent-Length: 4"),
                 "oops",
             )
@@ -319,19 +335,22 @@
 }
 
 #[test]
-fn failed_everywhere_the_last_failure_is_passed_on() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn last_host_error_is_forwarded_when_all_fail() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
-        let mut client = proxy.ask("/pure/a").await;
-        let (mut first, other) = first_of(&mut one, &mut two).await;
-        first.reply("500 Own\r\nContent-Length: 5", "first").await;
+        let mut client = proxy.send_request("/pure/a").await;
+        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        first.respond("500 Own\r\nContent-Length: 5", "first").await;
         other
-            .conn()
+            .accept()
             .await
-            .reply("500 Own\r\nContent-Length: 4", "last")
+            .respond("500 Own\r\nContent-Length: 4", "last")
             .await;
-        let answer = client.message().await.unwrap();
+        let answer = client.read_message().await.unwrap();
         assert_eq!((answer.status(), answer.body.as_str()), (500, "last"));
     });
 }
@@ -343,10 +362,10 @@
     "2\r\nno\r\n0\r\n\r\n"
 )]
 #[case("302 Found\r\nLocation: /x\r\nContent-Length: 2", "no")]
-fn other_answers_are_passed_on(#[case] lines: &str, #[case] body: &str) {
-    story(async {
-        let play = async |mut conn: Peer| {
-            conn.reply(lines, body).await;
+fn other_responses_are_forwarded_unchanged(#[case] lines: &str, #[case] body: &str) {
+    run_async_test(async {
+        let play = async |mut conn: TestConnection| {
+            conn.respond(lines, body).await;
         };
         let answer = two("/pure/a", play, false).await;
         assert_eq!(
@@ -357,76 +376,76 @@
 }
 
 /// One host with one connection that has been used once.
-async fn used(lines: &str) -> (Host, Proxy, Peer, Peer) {
-    let mut host = Host::new("h1", "s").await;
+async fn used(lines: &str) -> (FakeHost, Proxy, TestConnection, TestConnection) {
+    let mut host = FakeHost::new("h1", "s").await;
     let proxy = Proxy::new(&[&host]).await;
-    let mut client = proxy.ask("/once/a").await;
-    let mut conn = host.conn().await;
-    conn.reply(
+    let mut client = proxy.send_request("/once/a").await;
+    let mut conn = host.accept().await;
+    conn.respond(
         &format!("200 OK\r\n{SEAL}\r\nContent-Length: 1{lines}"),
         "1",
     )
     .await;
-    assert_eq!(client.message().await.unwrap().body, "1");
+    assert_eq!(client.read_message().await.unwrap().body, "1");
     (host, proxy, client, conn)
 }
 
-async fn ask_again(client: &mut Peer) {
+async fn ask_again(client: &mut TestConnection) {
     client.send(&request("/once/b", "two", "")).await;
 }
 
 #[test]
-fn a_connection_that_the_host_has_closed_is_not_used_again() {
-    story(async {
+fn connection_closed_by_the_host_is_not_reused() {
+    run_async_test(async {
         let (mut host, _proxy, mut client, conn) = used("").await;
         drop(conn);
         ask_again(&mut client).await;
-        host.conn().await.answer("2").await;
-        assert_eq!(client.message().await.unwrap().body, "2");
+        host.accept().await.respond_ok("2").await;
+        assert_eq!(client.read_message().await.unwrap().body, "2");
     });
 }
 
 #[test]
-fn a_connection_with_stray_bytes_is_not_used_again() {
-    story(async {
+fn connection_with_stray_bytes_is_not_reused() {
+    run_async_test(async {
         let (mut host, _proxy, mut client, mut conn) = used("").await;
-        conn.send(&good("two", "stray")).await;
+        conn.send(&ok_response("two", "stray")).await;
         ask_again(&mut client).await;
-        host.conn().await.answer("2").await;
-        assert_eq!(client.message().await.unwrap().body, "2");
-        conn.closed().await;
+        host.accept().await.respond_ok("2").await;
+        assert_eq!(client.read_message().await.unwrap().body, "2");
+        conn.wait_until_closed().await;
     });
 }
 
 #[rstest]
 #[case("\r\nConnection: close")]
 #[case("\r\nKeep-Alive: timeout=0")]
-fn a_connection_that_is_not_to_be_used_again(#[case] lines: &str) {
-    story(async {
+fn connection_that_a_response_closes_is_not_reused(#[case] lines: &str) {
+    run_async_test(async {
         let (mut host, _proxy, mut client, mut conn) = used(lines).await;
         ask_again(&mut client).await;
-        host.conn().await.answer("2").await;
-        assert_eq!(client.message().await.unwrap().body, "2");
-        conn.closed().await;
+        host.accept().await.respond_ok("2").await;
+        assert_eq!(client.read_message().await.unwrap().body, "2");
+        conn.wait_until_closed().await;
     });
 }
 
 #[test]
-fn a_drained_host_s_connections_are_closed() {
-    story(async {
+fn idle_connections_to_a_draining_host_are_closed() {
+    run_async_test(async {
         let (host, proxy, mut client, mut conn) = used("").await;
-        let mut next = Host::new("h2", "s").await;
+        let mut next = FakeHost::new("h2", "s").await;
         let leaving = balancing::HostInfo {
             draining: true,
             ..host.info.clone()
         };
         proxy
-            .know(document(1, ROUTES), vec![leaving, next.info.clone()])
+            .apply_fleet(configuration(1, ROUTES), vec![leaving, next.info.clone()])
             .await;
-        conn.closed().await;
+        conn.wait_until_closed().await;
         ask_again(&mut client).await;
-        next.conn().await.answer("2").await;
-        assert_eq!(client.message().await.unwrap().body, "2");
+        next.accept().await.respond_ok("2").await;
+        assert_eq!(client.read_message().await.unwrap().body, "2");
     });
 }
 
@@ -447,59 +466,59 @@
     "500 Own\r\nTransfer-Encoding: chunked",
     "2\r\nno\r\n0\r\n\r\n"
 )]
-fn an_answer_to_another_request_is_passed_over(
+fn response_to_another_request_is_skipped(
     #[case] what: &str,
     #[case] lines: &str,
     #[case] body: &str,
 ) {
-    story(async {
+    run_async_test(async {
         let (mut host, proxy, mut client, mut conn) = used("").await;
         ask_again(&mut client).await;
-        conn.message().await.unwrap();
+        conn.read_message().await.unwrap();
         conn.send(&format!(
             "HTTP/1.1 {lines}\r\nFennelpin-Attempt-Id: one\r\n\r\n{body}"
         ))
         .await;
-        conn.send(&good("two", "ours")).await;
+        conn.send(&ok_response("two", "ours")).await;
         assert_eq!(
-            client.message().await.unwrap().body,
+            client.read_message().await.unwrap().body,
             "ours",
             "after a {what}"
         );
         assert_eq!(proxy.counters.get().stray_responses, 1);
         // One more may still come: the connection isn't used again.
-        conn.closed().await;
+        conn.wait_until_closed().await;
         client.send(&request("/once/c", "three", "")).await;
-        host.conn().await.answer("3").await;
-        assert_eq!(client.message().await.unwrap().body, "3");
+        host.accept().await.respond_ok("3").await;
+        assert_eq!(client.read_message().await.unwrap().body, "3");
     });
 }
 
 #[test]
-fn a_refusal_without_an_id_may_belong_to_another_request() {
-    story(async {
+fn refusal_without_id_on_a_reused_connection_is_invalid() {
+    run_async_test(async {
         let (_host, _proxy, mut client, mut conn) = used("").await;
         ask_again(&mut client).await;
-        conn.message().await.unwrap();
+        conn.read_message().await.unwrap();
         conn.send("HTTP/1.1 503 No\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0\r\n\r\n")
             .await;
         drop(conn);
-        assert_eq!(client.message().await.unwrap().status(), 502);
+        assert_eq!(client.read_message().await.unwrap().status(), 502);
     });
 }
 
 #[rstest]
-fn an_answer_that_is_there_before_the_request_is_all_written_counts(
-    #[values("", "closes", "stray")] more: &str,
-) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
-        let proxy = Proxy::blank().await;
+fn early_response_is_taken_before_the_body_is_written(#[values("", "closes", "stray")] more: &str) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let proxy = Proxy::without_configuration().await;
         let text = format!(
             r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":9000000}}}}"#
         );
         let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
-        proxy.know(document.into(), vec![host.info.clone()]).await;
+        proxy
+            .apply_fleet(document.into(), vec![host.info.clone()])
+            .await;
         let mut client = proxy.client().await;
         let body = "a".repeat(8_000_000);
         let head = format!(
@@ -507,45 +526,45 @@
             body.len()
         );
         client.send(&(head + &body)).await;
-        let mut conn = host.conn().await;
-        conn.head().await.unwrap();
+        let mut conn = host.accept().await;
+        conn.read_head().await.unwrap();
         if more == "stray" {
             // Not ours: the rest of the request still has to go out.
-            conn.send(&good("zero", "stray")).await;
-            assert_eq!(conn.take_body(body.len()).await, body);
+            conn.send(&ok_response("zero", "stray")).await;
+            assert_eq!(conn.read_body_bytes(body.len()).await, body);
         }
         conn.send(
             "HTTP/1.1 413 Content Too Large\r\nFennelpin-Attempt-Id: one\r\nContent-Length: 3\r\n\r\nbig",
         )
         .await;
         let conn = (more != "closes").then_some(conn);
-        let answer = client.message().await.unwrap();
+        let answer = client.read_message().await.unwrap();
         assert_eq!((answer.status(), answer.body.as_str()), (413, "big"));
         if let Some(mut conn) = conn {
-            conn.closed().await;
+            conn.wait_until_closed().await;
         }
     });
 }
 
 #[test]
-fn a_large_answer_passes_through() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn large_response_is_streamed_through() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let body = "0123456789".repeat(100_000);
         for _ in 0..2 {
-            let mut client = proxy.ask("/pure/a").await;
+            let mut client = proxy.send_request("/pure/a").await;
             let play = async {
-                let mut conn = host.conn().await;
+                let mut conn = host.accept().await;
                 let lines = format!(
                     "200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: {}",
                     body.len()
                 );
-                conn.reply(&lines, &body).await;
+                conn.respond(&lines, &body).await;
             };
-            let (answer, ()) = tokio::join!(client.message(), play);
+            let (answer, ()) = tokio::join!(client.read_message(), play);
             let answer = answer.unwrap();
-            assert!(answer.whole && answer.body == body);
+            assert!(answer.complete && answer.body == body);
         }
     });
 }
@@ -553,81 +572,89 @@
 #[rstest]
 #[case::length("Content-Length: 900000", "")]
 #[case::chunks("Transfer-Encoding: chunked", "80e80\r\n")]
-fn a_large_answer_that_is_cut_does_not_look_whole(#[case] framing: &str, #[case] start: &str) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn truncated_large_response_looks_incomplete(#[case] framing: &str, #[case] start: &str) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let mut client = proxy.ask("/pure/a").await;
+        let mut client = proxy.send_request("/pure/a").await;
         let body = start.to_owned() + &"0123456789".repeat(40_000);
         let play = async {
-            let mut conn = host.conn().await;
-            conn.reply(&format!("200 OK\r\n{SEAL}\r\n{framing}"), &body)
+            let mut conn = host.accept().await;
+            conn.respond(&format!("200 OK\r\n{SEAL}\r\n{framing}"), &body)
                 .await;
         };
-        let (answer, ()) = tokio::join!(client.message(), play);
-        assert!(!answer.unwrap().whole);
+        let (answer, ()) = tokio::join!(client.read_message(), play);
+        assert!(!answer.unwrap().complete);
         assert_eq!(proxy.counters.get().truncated_responses, 1);
     });
 }
 
 #[rstest]
-fn a_cut_answer_whose_end_is_the_connection_s_ends_with_a_reset(#[values(true, false)] cut: bool) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn truncated_close_delimited_response_ends_with_a_reset(#[values(true, false)] cut: bool) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         // A client that knows no chunks: only the connection can show it an answer's end.
         let mut client = proxy.client().await;
         client
             .send(&request("/once/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
             .await;
-        let mut conn = host.conn().await;
+        let mut conn = host.accept().await;
         let body = "0123456789".repeat(40_000);
         let play = async {
-            conn.reply(&format!("200 OK\r\n{SEAL}"), &body).await;
+            conn.respond(&format!("200 OK\r\n{SEAL}"), &body).await;
             conn
         };
-        let (_, conn) = tokio::join!(client.until(&body), play);
+        let (_, conn) = tokio::join!(client.read_until(&body), play);
         if cut {
             conn.reset();
         } else {
             drop(conn);
         }
-        assert_eq!(client.ends_in_order().await, !cut);
+        assert_eq!(client.ends_without_reset().await, !cut);
     });
 }
 
 #[test]
-fn a_host_gets_no_more_connections_than_its_share() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
-        let proxy = Proxy::blank().await;
+fn host_gets_at_most_its_share_of_connections() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
+        let proxy = Proxy::without_configuration().await;
         // Of a host's eight connections four are this proxy's, as there are two.
         let text = format!(
             r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s","conn_limit":8}}]}}"#
         );
         let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
-        let info = |h: &Host| balancing::HostInfo {
+        let info = |h: &FakeHost| balancing::HostInfo {
             capacity: 99,
             ..h.info.clone()
         };
         proxy
-            .know(document.into(), vec![info(&one), info(&two)])
+            .apply_fleet(document.into(), vec![info(&one), info(&two)])
             .await;
         let (mut clients, mut conns) = (Vec::new(), Vec::new());
         for _ in 0..8 {
-            clients.push(proxy.ask("/once/a").await);
-            let (mut conn, _) = first_of(&mut one, &mut two).await;
-            conn.message().await.unwrap();
+            clients.push(proxy.send_request("/once/a").await);
+            let (mut conn, _) = first_connection(&mut one, &mut two).await;
+            conn.read_message().await.unwrap();
             conns.push(conn);
         }
-        let answer = proxy.ask("/once/a").await.message().await.unwrap();
+        let answer = proxy
+            .send_request("/once/a")
+            .await
+            .read_message()
+            .await
+            .unwrap();
         assert_eq!(
             (answer.status(), proxy.counters.get().host_connects),
             (503, 8)
         );
         drop(conns);
         for mut client in clients {
-            assert_eq!(client.message().await.unwrap().status(), 502);
+            assert_eq!(client.read_message().await.unwrap().status(), 502);
         }
     });
 }
@@ -636,13 +663,13 @@
 #[case::not_sent("/quick/once/a", false, 503)]
 #[case::once("/quick/once/a", true, 504)]
 #[case::pure("/quick/a", true, 504)]
-fn with_the_time_over_the_answer_says_whether_it_may_have_run(
+fn status_at_the_deadline_tells_whether_the_request_may_have_run(
     #[case] path: &str,
     #[case] sent: bool,
     #[case] status: u16,
 ) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
         let deadline = if sent {
@@ -651,24 +678,28 @@
             "Fennelpin-Deadline-Ms: 0\r\n"
         };
         client.send(&request(path, "one", deadline)).await;
-        let conn = if sent { Some(host.conn().await) } else { None };
-        let answer = client.message().await.unwrap();
+        let conn = if sent {
+            Some(host.accept().await)
+        } else {
+            None
+        };
+        let answer = client.read_message().await.unwrap();
         assert_eq!(answer.status(), status);
-        assert!(host.unasked());
+        assert!(host.has_no_connection());
         if let Some(mut conn) = conn {
-            conn.closed().await;
+            conn.wait_until_closed().await;
         }
     });
 }
 
 #[test]
-fn the_host_s_answer_at_the_deadline_still_counts() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn host_response_at_the_deadline_is_forwarded() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let mut client = proxy.ask("/quick/once/a").await;
-        let mut conn = host.conn().await;
-        let asked = conn.message().await.unwrap();
+        let mut client = proxy.send_request("/quick/once/a").await;
+        let mut conn = host.accept().await;
+        let asked = conn.read_message().await.unwrap();
         let left: u64 = asked
             .field("fennelpin-deadline-ms")
             .unwrap()
@@ -677,28 +708,31 @@
         assert!(left <= 150);
         conn.send("HTTP/1.1 504 Own\r\nFennelpin-Attempt-Id: one\r\nContent-Length: 4\r\n\r\nlate")
             .await;
-        let answer = client.message().await.unwrap();
+        let answer = client.read_message().await.unwrap();
         assert_eq!((answer.status(), answer.body.as_str()), (504, "late"));
     });
 }
 
 #[rstest]
-fn a_silent_host_is_left_for_another(#[values("/pure/a", "/more/a")] path: &str) {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn request_fails_over_from_a_silent_host(#[values("/pure/a", "/more/a")] path: &str) {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
-        let mut client = proxy.ask(path).await;
-        let (mut silent, other) = first_of(&mut one, &mut two).await;
-        silent.message().await.unwrap();
-        let mut conn = other.conn().await;
-        silent.closed().await;
+        let mut client = proxy.send_request(path).await;
+        let (mut silent, other) = first_connection(&mut one, &mut two).await;
+        silent.read_message().await.unwrap();
+        let mut conn = other.accept().await;
+        silent.wait_until_closed().await;
         if path == "/pure/a" {
-            conn.answer("second").await;
-            assert_eq!(client.message().await.unwrap().body, "second");
+            conn.respond_ok("second").await;
+            assert_eq!(client.read_message().await.unwrap().body, "second");
         } else {
-            conn.begin("seal", &[1]).await;
+            conn.start_stream("seal", &[1]).await;
             conn.send("0\r\n\r\n").await;
-            assert_eq!(client.message().await.unwrap().body, events([1]));
+            assert_eq!(client.read_message().await.unwrap().body, events([1]));
         }
         assert_eq!(
             (proxy.counters.get().failovers, proxy.counters.get().retries),
@@ -708,18 +742,21 @@
 }
 
 #[test]
-fn what_may_run_once_waits_for_a_silent_host() {
-    story(async {
-        let (mut one, mut two) = (Host::new("h1", "s").await, Host::new("h2", "s").await);
+fn non_idempotent_request_waits_for_a_silent_host() {
+    run_async_test(async {
+        let (mut one, mut two) = (
+            FakeHost::new("h1", "s").await,
+            FakeHost::new("h2", "s").await,
+        );
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
         client
             .send(&request("/once/a", "one", "Fennelpin-Deadline-Ms: 900\r\n"))
             .await;
-        let (mut silent, other) = first_of(&mut one, &mut two).await;
-        silent.message().await.unwrap();
-        let answer = client.message().await.unwrap();
+        let (mut silent, other) = first_connection(&mut one, &mut two).await;
+        silent.read_message().await.unwrap();
+        let answer = client.read_message().await.unwrap();
         assert_eq!(answer.status(), 504);
-        assert!(other.unasked());
+        assert!(other.has_no_connection());
     });
 }
--- a/crates/proxy/tests/late_streams.rs
+++ b/crates/proxy/tests/late_streams_at_shutdown.rs
@@ -1,4 +1,4 @@
-//! Streams that come when the process has long been told to stop: none is begun that its end would cut.
+//! Streams that come late in a shutdown: none is begun that the end of the process would truncate.
 
 mod common;
 use common::*;
@@ -10,21 +10,21 @@
 
 /// What a client gets that asks for a stream of at most `deadline_ms` once streams aren't taken any more.
 async fn ask_late(path: &str, deadline_ms: u64) -> Message {
-    let mut host = Host::new("h1", "s").await;
-    let mut proxy = Proxy::set_up(Setup {
+    let mut host = FakeHost::new("h1", "s").await;
+    let mut proxy = Proxy::with_options(ProxyOptions {
         grace_s: GRACE_S,
-        ..Setup::default()
+        ..ProxyOptions::default()
     })
     .await;
     proxy
-        .know(document(1, ROUTES), vec![host.info.clone()])
+        .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
         .await;
     // A request that is out keeps the process there; the idle connection's end shows that time has passed.
-    let mut busy = proxy.ask("/once/a").await;
-    let mut conn = host.conn().await;
-    conn.message().await.unwrap();
+    let mut busy = proxy.send_request("/once/a").await;
+    let mut conn = host.accept().await;
+    conn.read_message().await.unwrap();
     let told = Instant::now();
-    proxy.tell_to_stop();
+    proxy.signal_stop();
     let deadline = format!("Fennelpin-Deadline-Ms: {deadline_ms}\r\n");
     loop {
         let late = told.elapsed() > Duration::from_millis(3100);
@@ -32,21 +32,21 @@
         let path = if late { path } else { "/quick/a" };
         client.send(&request(path, "late", &deadline)).await;
         let answer = tokio::select! {
-            mut conn = host.conn() => {
+            mut conn = host.accept() => {
                 if late {
-                    conn.begin("seal", &[1]).await;
+                    conn.start_stream("seal", &[1]).await;
                     conn.send("0\r\n\r\n").await;
                 } else {
-                    conn.answer("early").await;
+                    conn.respond_ok("early").await;
                 }
-                client.message().await.unwrap()
+                client.read_message().await.unwrap()
             }
-            answer = client.message() => answer.unwrap(),
+            answer = client.read_message() => answer.unwrap(),
         };
         if late {
-            conn.send(&good("one", "busy")).await;
-            assert_eq!(busy.message().await.unwrap().body, "busy");
-            assert!(answer.status() == 200 || host.unasked());
+            conn.send(&ok_response("one", "busy")).await;
+            assert_eq!(busy.read_message().await.unwrap().body, "busy");
+            assert!(answer.status() == 200 || host.has_no_connection());
             return answer;
         }
     }
@@ -57,12 +57,12 @@
 #[case::may_go_on_elsewhere("/more/a", 8000, 503)]
 #[case::ends_before_it("/live/a", 500, 200)]
 #[case::no_stream("/pure/a", 8000, 200)]
-fn a_stream_that_may_outlast_the_process_goes_elsewhere(
+fn late_stream_that_may_outlast_the_process_is_rejected(
     #[case] path: &str,
     #[case] deadline_ms: u64,
     #[case] status: u16,
 ) {
-    story(async {
+    run_async_test(async {
         let answer = ask_late(path, deadline_ms).await;
         assert_eq!(answer.status(), status, "{}", answer.head);
         assert_eq!(answer.field("connection"), Some("close"));
--- a/crates/proxy/tests/starting.rs
+++ b/crates/proxy/tests/port_in_use.rs
@@ -1,7 +1,7 @@
-//! The start of the process beside the end of the one before it.
+//! A start while the process before still has the port.
 
 mod common;
-use common::free_addr;
+use common::unused_address;
 use configuration::ProcessSettings;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
@@ -9,9 +9,9 @@
 
 /// Whoever listened there before may not be gone quite yet.
 #[test]
-fn a_port_that_is_still_in_use_is_waited_for() {
-    common::story(async {
-        let (front, readiness) = (free_addr().await, free_addr().await);
+fn port_in_use_is_waited_for() {
+    common::run_async_test(async {
+        let (front, readiness) = (unused_address().await, unused_address().await);
         let text = format!(
             r#"{{"node_name":"n","role":"r","ip_addr":"127.0.0.1","zone":"a","port_range":[7000,7001],
                 "bind":{{"front":"{front}","readiness":"{readiness}"}}}}"#
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/prefix_hints.rs
@@ -1,4 +1,4 @@
-//! Hints between proxies, in datagrams on 127.0.0.0/8.
+//! Prefix hints between proxies, in datagrams on 127.0.0.0/8.
 
 mod common;
 use common::*;
@@ -21,7 +21,7 @@
 
 impl Other {
     async fn new() -> Self {
-        let addr = free_addr().await;
+        let addr = unused_address().await;
         let socket = UdpSocket::bind(addr).unwrap();
         socket.set_nonblocking(true).unwrap();
         Self { socket, addr }
@@ -115,12 +115,12 @@
 
 /// A proxy that takes hints, and where.
 async fn proxy(bootstrap: bool) -> (Proxy, SocketAddrV4) {
-    let hints = free_addr().await;
+    let hints = unused_address().await;
     (
-        Proxy::set_up(Setup {
+        Proxy::with_options(ProxyOptions {
             hints: Some(hints),
             bootstrap,
-            ..Setup::default()
+            ..ProxyOptions::default()
         })
         .await,
         hints,
@@ -128,13 +128,13 @@
 }
 
 /// Serves a prompt: the shared part 7 and one of its own.
-async fn serve(proxy: &Proxy, host: &mut Host, own: &str) {
+async fn serve(proxy: &Proxy, host: &mut FakeHost, own: &str) {
     let mut client = proxy.client().await;
     client
         .send(&request("/pure/a", "one", &format!("{SHARED}{own}\r\n")))
         .await;
-    host.conn().await.answer("done").await;
-    assert_eq!(client.message().await.unwrap().body, "done");
+    host.accept().await.respond_ok("done").await;
+    assert_eq!(client.read_message().await.unwrap().body, "done");
 }
 
 fn expected(host: &str) -> Placement {
@@ -148,14 +148,14 @@
 }
 
 #[test]
-fn two_proxies_tell_each_other() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn hint_reaches_the_other_proxy() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let ((one, at), (two, other_at)) = (proxy(true).await, proxy(true).await);
         let asker = Other::new().await;
-        one.know_others(models(), vec![host.info.clone()], vec![other_at])
+        one.apply_fleet_with_peers(models(), vec![host.info.clone()], vec![other_at])
             .await;
-        two.know_others(models(), vec![host.info.clone()], vec![at])
+        two.apply_fleet_with_peers(models(), vec![host.info.clone()], vec![at])
             .await;
         serve(&one, &mut host, "1:100").await;
         assert_eq!(asker.recalled(other_at).await, [expected("h1")]);
@@ -174,14 +174,14 @@
 }
 
 #[test]
-fn a_proxy_that_starts_asks_the_others() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn starting_proxy_asks_its_peers() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let ((old, at), (new, new_at)) = (proxy(true).await, proxy(false).await);
         let asker = Other::new().await;
-        old.know(models(), vec![host.info.clone()]).await;
+        old.apply_fleet(models(), vec![host.info.clone()]).await;
         serve(&old, &mut host, "1:100").await;
-        new.know_others(models(), vec![host.info.clone()], vec![at])
+        new.apply_fleet_with_peers(models(), vec![host.info.clone()], vec![at])
             .await;
         assert_eq!(asker.recalled(new_at).await, [expected("h1")]);
     });
@@ -192,9 +192,9 @@
 #[rstest]
 #[case(16, 13_100)]
 #[case(18, 100)]
-fn in_a_large_fleet_only_the_next_in_the_ring_are_told(#[case] count: usize, #[case] unread: u32) {
-    story(async move {
-        let mut host = Host::new("h1", "s").await;
+fn large_fleet_sends_hints_to_the_next_in_the_ring(#[case] count: usize, #[case] unread: u32) {
+    run_async_test(async move {
+        let mut host = FakeHost::new("h1", "s").await;
         let mut others = Vec::new();
         for _ in 0..count / 2 {
             others.push(Other::new().await);
@@ -205,7 +205,7 @@
         }
         let addrs = others.iter().rev().map(|o| o.addr).collect();
         proxy
-            .know_others(models(), vec![host.info.clone()], addrs)
+            .apply_fleet_with_peers(models(), vec![host.info.clone()], addrs)
             .await;
         // What is heard stands for all only after a second.
         tokio::time::pause();
@@ -237,19 +237,19 @@
 }
 
 #[test]
-fn what_is_kept_is_told_in_small_datagrams() {
-    story(async {
+fn known_prefixes_are_sent_in_small_datagrams() {
+    run_async_test(async {
         let hosts: Vec<_> = ["h1", "h2"]
-            .map(|id| info(id, "s", "127.0.0.1:9".parse().unwrap()))
+            .map(|id| host_info(id, "s", "127.0.0.1:9".parse().unwrap()))
             .into();
         let long = "h".repeat(MOST - 30);
         let with_long = [
             hosts,
-            vec![info(&long, "s", "127.0.0.1:9".parse().unwrap())],
+            vec![host_info(&long, "s", "127.0.0.1:9".parse().unwrap())],
         ]
         .concat();
         let (proxy, at) = proxy(true).await;
-        proxy.know(models(), with_long).await;
+        proxy.apply_fleet(models(), with_long).await;
         let other = Other::new().await;
         let mut all: Vec<(String, u64)> = Vec::new();
         for (host, from) in [("h1", 0), ("h2", 200), ("h1", 400), (&long, 600)] {
@@ -296,13 +296,13 @@
 }
 
 #[test]
-fn what_is_no_hint_is_counted_and_does_no_harm() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
+fn invalid_hints_are_counted_and_ignored() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
         let (proxy, at) = proxy(true).await;
         let other = Other::new().await;
         proxy
-            .know_others(models(), vec![host.info.clone()], vec![other.addr])
+            .apply_fleet_with_peers(models(), vec![host.info.clone()], vec![other.addr])
             .await;
         let whole = placed("h1", 21..40);
         let mut version = whole.clone();
--- a/crates/proxy/tests/denied.rs
+++ b/crates/proxy/tests/requests_without_configuration.rs
@@ -1,4 +1,4 @@
-//! What is proper is never denied: a proxy that knows no configuration yet says "come back", and nothing else.
+//! Valid requests are never denied: without a configuration the proxy asks clients to come back.
 
 mod common;
 use common::*;
@@ -21,32 +21,34 @@
 #[case::nowhere(request("/nowhere/", "one", ""))]
 #[case::long_head(post(&format!("X-Long: {}\r\nContent-Length: 2\r\n", "a".repeat(LONG_HEAD))) + "hi")]
 #[case::long_body(post(&format!("Content-Length: {LONG_BODY}\r\n")))]
-fn before_a_configuration_is_known_all_are_told_to_come_back(#[case] text: String) {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
-        let proxy = Proxy::blank().await;
+fn any_valid_request_without_configuration_is_retryable(#[case] text: String) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let proxy = Proxy::without_configuration().await;
         let mut client = proxy.client().await;
         client.send(&text).await;
-        let answer = client.message().await.unwrap();
+        let answer = client.read_message().await.unwrap();
         assert_eq!(answer.status(), 503, "{}", answer.head);
         assert!(answer.field("retry-after").is_some(), "{}", answer.head);
-        assert!(host.unasked());
+        assert!(host.has_no_connection());
     });
 }
 
 /// The bounds that are in force are those of the configuration that is known when the request comes.
 #[test]
-fn what_the_newest_configuration_allows_is_served_on_a_connection_from_before_it() {
-    story(async {
-        let mut host = Host::new("h1", "s").await;
-        let proxy = Proxy::blank().await;
+fn new_limits_apply_to_open_connections() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let proxy = Proxy::without_configuration().await;
         let mut client = proxy.client().await;
         client.send(&request("/pure/a", "one", "")).await;
-        assert_eq!(client.message().await.unwrap().status(), 503);
+        assert_eq!(client.read_message().await.unwrap().status(), 503);
         let text =
             format!(r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],{WIDE}}}"#);
         let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
-        proxy.know(document.into(), vec![host.info.clone()]).await;
+        proxy
+            .apply_fleet(document.into(), vec![host.info.clone()])
+            .await;
         let long = format!(
             "X-Long: {}\r\nContent-Length: {LONG_BODY}\r\n",
             "a".repeat(LONG_HEAD)
@@ -55,10 +57,10 @@
         let text = post(&long) + &body;
         let send = client.send(&text);
         let play = async {
-            let asked = host.conn().await.answer("done").await;
+            let asked = host.accept().await.respond_ok("done").await;
             assert_eq!(asked.body.len(), LONG_BODY);
         };
         tokio::join!(send, play);
-        assert_eq!(client.message().await.unwrap().body, "done");
+        assert_eq!(client.read_message().await.unwrap().body, "done");
     });
 }
--- a/crates/proxy/tests/retry.rs
+++ b/crates/proxy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request goes to another host, and how it ends if not.
+//! Whether a request goes to another host, and how it ends otherwise.
 
 use configuration::ResultCode;
 use proxy::retry::{AttemptOutcome, RetryDecision, RetryState};
@@ -28,7 +28,7 @@
     AttemptOutcome::HostFailed,
     RetryDecision::GiveUp(ResultCode::HostBroke)
 )]
-fn after_an_attempt_that_was_sent(
+fn decision_after_a_sent_attempt_follows_its_outcome(
     #[case] idempotent: bool,
     #[case] end: AttemptOutcome,
     #[case] next: RetryDecision,
@@ -41,7 +41,7 @@
 #[rstest]
 #[case(true)]
 #[case(false)]
-fn what_was_not_sent_goes_on(#[case] idempotent: bool) {
+fn unreachable_host_is_replaced_and_costs_no_budget(#[case] idempotent: bool) {
     let mut trial = trial(idempotent, 1);
     assert_eq!(
         trial.on_attempt_ended(NOW, AttemptOutcome::Unreachable),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn hosts_that_can_not_be_reached_have_a_limit() {
+fn unreachable_hosts_are_limited() {
     let mut trial = trial(true, 9);
     let ends: Vec<_> = (0..6)
         .map(|_| trial.on_attempt_ended(NOW, AttemptOutcome::Unreachable))
@@ -63,7 +63,7 @@
 #[rstest]
 #[case(AttemptOutcome::NotExecuted, ResultCode::NoHost)]
 #[case(AttemptOutcome::Broken, ResultCode::HostBroke)]
-fn the_last_try_ends_it(#[case] end: AttemptOutcome, #[case] code: ResultCode) {
+fn last_attempt_ends_the_request(#[case] end: AttemptOutcome, #[case] code: ResultCode) {
     let mut trial = trial(true, 1);
     trial.record_sent();
     assert_eq!(
@@ -75,7 +75,10 @@
 #[rstest]
 #[case(AttemptOutcome::NotExecuted, ResultCode::LateNotRun)]
 #[case(AttemptOutcome::Broken, ResultCode::LateMayHaveRun)]
-fn with_the_time_over_it_ends(#[case] end: AttemptOutcome, #[case] code: ResultCode) {
+fn attempt_that_ends_after_the_deadline_ends_the_request(
+    #[case] end: AttemptOutcome,
+    #[case] code: ResultCode,
+) {
     let mut trial = trial(true, 3);
     trial.record_sent();
     assert_eq!(
@@ -85,7 +88,7 @@
 }
 
 #[test]
-fn a_broken_attempt_stays_in_what_may_be_promised() {
+fn broken_attempt_bars_a_not_executed_promise_for_good() {
     let mut trial = trial(true, 3);
     trial.record_sent();
     trial.on_attempt_ended(NOW, AttemptOutcome::Broken);
@@ -99,7 +102,7 @@
 }
 
 #[test]
-fn one_that_moved_away_may_have_run() {
+fn request_that_failed_over_may_have_run() {
     let mut trial = trial(true, 2);
     trial.record_sent();
     assert!(trial.may_fail_over(NOW));
@@ -116,7 +119,7 @@
 }
 
 #[test]
-fn only_what_may_run_twice_moves() {
+fn only_idempotent_requests_fail_over() {
     let mut once = trial(false, 3);
     once.record_sent();
     assert!(!once.may_fail_over(NOW));
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn a_repeat_is_paid_once_a_host_hears_of_it() {
+fn budget_taken_for_an_unreachable_host_is_kept() {
     let mut trial = trial(true, 9);
     assert!(!trial.needs_retry_budget(), "the first is free");
     trial.record_sent();
--- a/crates/proxy/tests/routes.rs
+++ b/crates/proxy/tests/routes.rs
@@ -1,10 +1,10 @@
-//! Which route a request takes, and to which service.
+//! The route of a request, and the service of a route.
 
 use configuration::Configuration;
 use proxy::routes::{select_service, RouteTable};
 use rstest::rstest;
 
-fn document() -> Configuration {
+fn configuration() -> Configuration {
     let route = |name: &str, host: &str, prefix: &str, more: &str| {
         format!(
             r#"{{"name":"{name}","hostname":"{host}","path_prefix":"{prefix}","route_class":"pure","deadline_ms":100,{more}}}"#
@@ -42,8 +42,8 @@
 #[case("x", "", None)]
 #[case("y", "/any/where", Some("y"))]
 #[case("w", "/a/", None)]
-fn the_longest_prefix_wins(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
-    let routes = RouteTable::new(&document());
+fn longest_prefix_wins(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
+    let routes = RouteTable::new(&configuration());
     assert_eq!(
         routes.find(host, path.as_bytes()).map(|r| r.name.as_str()),
         name
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_split_follows_its_weights() {
-    let routes = RouteTable::new(&document());
+fn weighted_split_follows_its_weights() {
+    let routes = RouteTable::new(&configuration());
     let route = routes.find("z", b"/a/").unwrap();
     let step = u64::MAX / 1000;
     let drawn: Vec<_> = (0..1000)
--- a/crates/proxy/tests/wire_format.rs
+++ b/crates/proxy/tests/wire_format.rs
@@ -29,7 +29,7 @@
     Fennelpin-Expected-Host: other\r\nFennelpin-Prompt-Prefix: 1f:100,2a:7\r\nFennelpin-Token-Counts: 107,20\r\nX-Empty:\r\n";
 
 async fn record_requests(transcript: &mut Transcript) {
-    let mut host = Host::new("h1", "s").await;
+    let mut host = FakeHost::new("h1", "s").await;
     let proxy = Proxy::new(&[&host]).await;
     for (path, fields) in [
         ("/pure/a?b=c", FIELDS),
@@ -38,15 +38,15 @@
     ] {
         let mut client = proxy.client().await;
         client.send(&request(path, "one", fields)).await;
-        let mut conn = host.conn().await;
-        transcript.add(&format!("request {path}"), &conn.head().await.unwrap());
+        let mut conn = host.accept().await;
+        transcript.add(&format!("request {path}"), &conn.read_head().await.unwrap());
     }
     let mut client = proxy.client().await;
     client
         .send("GET http://x.example:80/pure/a HTTP/1.0\r\nFennelpin-Attempt-Id: two\r\n\r\n")
         .await;
-    let mut conn = host.conn().await;
-    transcript.add("request without a body", &conn.head().await.unwrap());
+    let mut conn = host.accept().await;
+    transcript.add("request without a body", &conn.read_head().await.unwrap());
 }
 
 /// Method, path and version of a request; status line, framing and body of the host's response.
@@ -112,7 +112,7 @@
 ];
 
 async fn record_responses(transcript: &mut Transcript) {
-    let mut host = Host::new("h1", "s").await;
+    let mut host = FakeHost::new("h1", "s").await;
     let proxy = Proxy::new(&[&host]).await;
     let fields = "X-Own: a  b\r\nConnection: X-Hop, Fennelpin-Host-Seal\r\nx-hop: 1\r\nKeep-Alive: timeout=5\r\n\
         Fennelpin-Host-Seal: seal\r\nFennelpin-Host-Load: 1,2,3\r\nServer: s";
@@ -123,12 +123,12 @@
                 "{method} {path} HTTP/{version}\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\n{connection}\r\n"
             );
             client.send(&asked).await;
-            let mut conn = host.conn().await;
-            conn.reply(&format!("{lines}\r\n{fields}\r\nConnection: close"), body)
+            let mut conn = host.accept().await;
+            conn.respond(&format!("{lines}\r\n{fields}\r\nConnection: close"), body)
                 .await;
             let title = format!("response {method} {path} {version} {lines:?} {connection:?}");
             let received = if connection.is_empty() {
-                client.head().await.unwrap()
+                client.read_head().await.unwrap()
             } else {
                 to_the_end(&mut client).await
             };
@@ -137,14 +137,14 @@
     }
 }
 
-async fn to_the_end(client: &mut Peer) -> String {
-    client.closed().await;
-    String::from_utf8(client.take_held(usize::MAX)).unwrap()
+async fn to_the_end(client: &mut TestConnection) -> String {
+    client.wait_until_closed().await;
+    String::from_utf8(client.take_buffered(usize::MAX)).unwrap()
 }
 
 async fn record_local_replies(transcript: &mut Transcript) {
-    let host = Host::new("h1", "s").await;
-    let blank = Proxy::blank().await;
+    let host = FakeHost::new("h1", "s").await;
+    let blank = Proxy::without_configuration().await;
     let alone = Proxy::new(&[]).await;
     let served = Proxy::new(&[&host]).await;
     let with_id = |path: &str, method: &str| {
@@ -186,13 +186,13 @@
     client.send(&request("/none/a", "one", "")).await;
     transcript.add(
         "local reply that keeps the connection",
-        &client.head().await.unwrap(),
+        &client.read_head().await.unwrap(),
     );
 }
 
 async fn record_readiness(transcript: &mut Transcript) {
-    let host = Host::new("h1", "s").await;
-    let blank = Proxy::blank().await;
+    let host = FakeHost::new("h1", "s").await;
+    let blank = Proxy::without_configuration().await;
     let served = Proxy::new(&[&host]).await;
     for (title, proxy, path) in [
         ("not ready", &blank, "/fennelpin/readiness"),
@@ -200,7 +200,7 @@
         ("unknown", &served, "/fennelpin"),
     ] {
         for connection in ["", "Connection: close\r\n"] {
-            let mut client = Peer::connect(proxy.readiness).await;
+            let mut client = TestConnection::connect(proxy.readiness_address).await;
             client
                 .send(&format!(
                     "GET {path} HTTP/1.1\r\nHost: x\r\n{connection}\r\n"
@@ -208,15 +208,15 @@
                 .await;
             transcript.add(
                 &format!("readiness: {title}"),
-                &client.head().await.unwrap(),
+                &client.read_head().await.unwrap(),
             );
         }
     }
 }
 
 #[test]
-fn heads_and_local_replies_are_written_as_the_release_before_wrote_them() {
-    story(async {
+fn heads_and_local_replies_match_the_recorded_release() {
+    run_async_test(async {
         let mut transcript = Transcript::default();
         record_requests(&mut transcript).await;
         record_responses(&mut transcript).await;
