--- /dev/null
+++ b/crates/fennelpin-cli/src/fleet_updates.rs
@@ -0,0 +1,87 @@
+//! What the proxy learns of the fleet from the agent on its machine.
+
+use balancing::HostInfo;
+use configuration::ProcessSettings;
+use protocol::HostRecord;
+use proxy::FleetSnapshot;
+use replication::client::{self, Control};
+use replication::{phase, Mirror, Puller, SharedMirror, Snapshot};
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+
+/// Follows this machine's agent for as long as the receiver lives. The value is `None` until there is a configuration.
+/// Runs on a `LocalSet`.
+pub fn follow(settings: &ProcessSettings) -> watch::Receiver<Option<Arc<FleetSnapshot>>> {
+    let heartbeat_interval = Duration::from_millis(settings.beat_period_ms);
+    let mirror = SharedMirror::new(Mirror::new(0, heartbeat_interval).at_the_end());
+    let mut puller = Puller::new(&settings.node_name, 1, None).fixed();
+    puller.set_seeds(&[replication::agent_addr(settings)]);
+    let (control, control_events) = mpsc::unbounded_channel();
+    let snapshots = mirror.subscribe();
+    tokio::task::spawn_local(client::run(
+        puller,
+        replication::no_seat(settings),
+        replication::caller(settings, 0),
+        mirror,
+        control_events,
+    ));
+    let (fleet, receiver) = watch::channel(None);
+    let publishing = publish(settings.node_name.clone(), snapshots, fleet, control);
+    tokio::task::spawn_local(publishing);
+    receiver
+}
+
+/// Publishes each snapshot of the mirror for the proxy, and tells the agent which configuration is in force.
+async fn publish(
+    node_name: String,
+    mut snapshots: watch::Receiver<Arc<Snapshot>>,
+    fleet: watch::Sender<Option<Arc<FleetSnapshot>>>,
+    control: mpsc::UnboundedSender<Control>,
+) {
+    let mut version_in_force = 0;
+    loop {
+        let snapshot = snapshots.borrow_and_update().clone();
+        let version = snapshot.document.version;
+        if version > 0 {
+            if version != version_in_force {
+                version_in_force = version;
+                log::info!(version; "configuration in force");
+                // The puller ends only with the process.
+                let _ = control.send(Control::Version(version));
+            }
+            fleet.send_replace(Some(Arc::new(fleet_snapshot(&node_name, &snapshot))));
+        }
+        if snapshots.changed().await.is_err() {
+            return;
+        }
+    }
+}
+
+fn fleet_snapshot(node_name: &str, snapshot: &Snapshot) -> FleetSnapshot {
+    let present_hosts = snapshot
+        .hosts
+        .values()
+        .filter(|host| host.phase < phase::GONE);
+    let peers = snapshot.hints.iter().filter(|(name, _)| *name != node_name);
+    FleetSnapshot {
+        configuration: snapshot.document.clone(),
+        hosts: present_hosts.map(host_info).collect(),
+        proxy_count: snapshot.coordinators.len().max(1),
+        peer_hint_addresses: peers.map(|(_, addr)| SocketAddrV4::from(addr)).collect(),
+    }
+}
+
+fn host_info(record: &HostRecord) -> HostInfo {
+    HostInfo {
+        id: record.id.as_str().into(),
+        service: record.service.as_str().into(),
+        addr: SocketAddrV4::from(&record.addr),
+        zone: record.zone.as_str().into(),
+        capacity: record.capacity,
+        draining: record.phase == phase::DRAINING,
+        heartbeat_expired: record.silent,
+        slow_start_remaining: Duration::from_millis(record.cold_left_ms.into()),
+    }
+}
--- a/crates/fennelpin-cli/src/lib.rs
+++ b/crates/fennelpin-cli/src/lib.rs
@@ -1,25 +1,32 @@
-//! The parts of the system's one binary: its three programs ([`roles`]) and the operators' commands. The binary
-//! itself only reads the command line ([`options`]) and starts the logs ([`logs`]).
+//! The parts of the system's one binary: its three programs and the operators' commands. The binary itself only reads
+//! the command line, starts the logs and calls them.
 //!
-//! What operators may set comes from one place, with defaults, a file and the environment over each other:
+//! What operators may set comes from one place; the environment goes over a file, and the file over the defaults:
 //!
 //! ```
-//! use fennelpin_cli::operator::Operator;
-//! let operator = Operator::read(None).unwrap();
-//! assert_eq!(operator.tuning().lease.as_millis(), 1000);
+//! use fennelpin_cli::operator_settings::OperatorSettings;
+//! let settings = OperatorSettings::read(None).unwrap();
+//! assert_eq!(settings.runtime_settings().lease.as_millis(), 1000);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod config;
-pub mod control;
-pub mod failure;
+// What the operator gives.
+pub mod command_line;
+pub mod operator_settings;
+pub mod process_settings;
+
+// The three programs.
+mod fleet_updates;
+pub mod programs;
+
+// The operators' commands.
+pub mod config_commands;
 pub mod local;
-pub mod logs;
-pub mod operator;
-pub mod options;
-pub mod roles;
-pub mod settings;
-pub mod status;
-pub mod store;
-mod world;
+pub mod status_report;
+pub mod store_commands;
+
+// What they share.
+pub mod control_client;
+pub mod error;
+pub mod logging;
--- a/crates/fennelpin-cli/src/local/mod.rs
+++ b/crates/fennelpin-cli/src/local/mod.rs
@@ -1,164 +1,167 @@
-//! The whole system on one machine: members, proxies with their agents, modelled hosts, a first configuration,
-//! a little load. Each program is a process of its own; all of them end with this one.
-
-pub mod fleet;
-pub mod hosts;
-pub mod load;
-
-use crate::control::{Call, Members};
-use crate::failure::{Failure, StartSnafu};
-use crate::options::Local;
-use crate::status;
-use fleet::{Fleet, Plan};
-use serde_json::Value;
+//! `local`: the whole system on one machine, with modelled hosts, a first configuration and some load. Each program is
+//! a process of its own; all of them end with this one.
+
+pub mod cluster;
+pub mod load_generator;
+pub mod model_hosts;
+
+use crate::command_line::LocalOptions;
+use crate::config_commands::rejected;
+use crate::control_client::{ControlCall, ControlClient};
+use crate::error::{CliError, StartupSnafu};
+use crate::status_report;
+use cluster::{ClusterPlan, LocalCluster};
+use load_generator::LoadSummary;
+use serde_json::{json, Value};
 use snafu::ResultExt;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
-use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::runtime::Builder;
-use tokio::task::LocalSet;
+use tokio::task::{spawn_blocking, LocalSet};
 
 /// Longest wait until everything is up.
-const UP: Duration = Duration::from_secs(20);
-/// Pause between two looks at what comes up.
-const LOOK: Duration = Duration::from_millis(50);
-
-/// The folder, which goes with the run where it wasn't named.
-struct Place {
-    dir: PathBuf,
-    goes: bool,
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait for the programs' graceful shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause between two requests that check whether a proxy is ready.
+const READINESS_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The folder of a run. It is removed with the run unless the operator named it.
+struct RunDirectory {
+    path: PathBuf,
+    is_temporary: bool,
+}
+
+impl RunDirectory {
+    fn new(named: Option<PathBuf>) -> Self {
+        let is_temporary = named.is_none();
+        let path = named.unwrap_or_else(|| {
+            std::env::temp_dir().join(format!("fennelpin-cli-local-{}", std::process::id()))
+        });
+        Self { path, is_temporary }
+    }
 }
 
-impl Drop for Place {
+impl Drop for RunDirectory {
     fn drop(&mut self) {
-        if self.goes {
-            // What can't be removed stays in the temporary folder.
-            let _ = std::fs::remove_dir_all(&self.dir);
+        if self.is_temporary {
+            // What can't be removed stays among the temporary files.
+            let _ = std::fs::remove_dir_all(&self.path);
         }
     }
 }
 
-fn broken(what: impl Into<String>) -> Failure {
-    Failure::Local { what: what.into() }
+fn local_error(what: impl Into<String>) -> CliError {
+    CliError::LocalRun { what: what.into() }
 }
 
-/// Runs the system, gives it load, prints what came of it, and ends it.
+/// Runs the system under load, prints the results, and ends it.
 ///
 /// # Errors
-/// Where something doesn't come up, and where a request of the load fails.
-pub fn run(plan: &Local) -> Result<(), Failure> {
-    let own = std::env::temp_dir().join(format!("fennelpin-cli-local-{}", std::process::id()));
-    let place = Place {
-        goes: plan.dir.is_none(),
-        dir: plan.dir.clone().unwrap_or(own),
+/// Where a part of the system doesn't come up, or a request of the load fails.
+pub fn run(options: &LocalOptions) -> Result<(), CliError> {
+    let directory = RunDirectory::new(options.dir.clone());
+    let plan = ClusterPlan {
+        program: std::env::current_exe().context(StartupSnafu)?,
+        dir: directory.path.clone(),
+        net: options.net,
+        port: options.port,
+        members: options.members,
+        proxies: options.proxies,
     };
-    let program = std::env::current_exe().context(StartSnafu)?;
-    let fleet_plan = Plan {
-        program,
-        dir: place.dir.clone(),
-        net: plan.net,
-        port: plan.port,
-        members: plan.members,
-        proxies: plan.proxies,
-    };
-    let members = Members {
-        control: fleet_plan.controls().into_iter().map(Into::into).collect(),
-        wait: UP,
-    };
-    let controls = members
-        .control
-        .iter()
-        .map(ToString::to_string)
-        .collect::<Vec<_>>()
-        .join(",");
-    let started = Instant::now();
-    let mut fleet = Fleet::new(fleet_plan.clone())?;
-    fleet.start_all()?;
+    let started_at = Instant::now();
+    let mut cluster = LocalCluster::new(plan.clone())?;
+    cluster.start_all()?;
     println!(
         "{} processes started; logs and disks in {}",
-        fleet.names().len(),
-        place.dir.display()
+        cluster.process_names().len(),
+        directory.path.display()
     );
-
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .context(StartSnafu)?;
-    let summary = LocalSet::new().block_on(&runtime, async {
-        let hosts = hosts::start(&fleet_plan, plan.hosts)
-            .await
-            .context(StartSnafu)?;
-        let first = configuration();
-        let asked = members.clone();
-        // The calls block; the hosts go on.
-        let blocking = tokio::task::spawn_blocking(move || take(&asked, &first));
-        blocking.await.map_err(|e| broken(e.to_string()))??;
-        println!(
-            "configuration taken after {:.1} s",
-            started.elapsed().as_secs_f64()
-        );
-        ready(&fleet_plan.fronts(), &fleet_plan).await?;
-        println!(
-            "all proxies ready after {:.1} s",
-            started.elapsed().as_secs_f64()
-        );
-        println!(
-            "{} requests a second for {} s ...",
-            plan.rate,
-            plan.time.as_secs()
-        );
-        let summary = load::run(&fleet_plan.fronts(), plan.rate, plan.time).await;
-        println!("\n{summary}");
-        println!("requests by host: {}\n", hosts.shares());
-        let asked = members.clone();
-        let statuses = tokio::task::spawn_blocking(move || asked.statuses());
-        println!(
-            "{}\n",
-            status::report(&statuses.await.map_err(|e| broken(e.to_string()))??, false)
-        );
-        if plan.stay {
-            println!("runs on until interrupted; try, in another terminal:");
-            println!("  fennelpin-cli status --control {controls}");
-            println!("  fennelpin-cli config history --control {controls}");
-            println!(
-                "  curl -H 'Host: {}' http://{}/ping/",
-                load::HOSTNAME,
-                fleet_plan.fronts()[0]
-            );
-            tokio::signal::ctrl_c().await.context(StartSnafu)?;
-        }
-        Ok::<_, Failure>(summary)
-    })?;
-    fleet.stop(Duration::from_secs(10));
+        .context(StartupSnafu)?;
+    let exercise = exercise(&plan, options, started_at);
+    let summary = LocalSet::new().block_on(&runtime, exercise)?;
+    cluster.stop(SHUTDOWN_TIMEOUT);
     match summary.failed {
         0 => Ok(()),
-        failed => Err(broken(format!(
+        failed => Err(local_error(format!(
             "{failed} requests failed; the logs are gone unless --dir was given"
         ))),
     }
 }
 
-/// The first configuration: a service that answers at once and one whose answers are streams.
-fn configuration() -> String {
-    let route = |name: &str, kind: &str, more: Value| {
-        let mut route = serde_json::json!({"name": name, "hostname": load::HOSTNAME,
-            "path_prefix": format!("/{name}/"), "route_class": kind, "deadline_ms": 5000, "target_ms": 300,
-            "rank": 0, "service": name, "max_tries": 2});
-        if let (Value::Object(route), Value::Object(more)) = (&mut route, more) {
-            route.extend(more);
-        }
-        route
-    };
-    let service = |name: &str| {
-        serde_json::json!({"name": name, "health_path": "/health", "conn_limit": 200, "protocol": "h1",
-            "encryption": false})
+/// Configures the running processes, gives them load, and prints what comes of it.
+async fn exercise(
+    plan: &ClusterPlan,
+    options: &LocalOptions,
+    started_at: Instant,
+) -> Result<LoadSummary, CliError> {
+    let hosts = model_hosts::start(plan, options.hosts)
+        .await
+        .context(StartupSnafu)?;
+    let members = ControlClient {
+        addresses: plan.controls().into_iter().map(Into::into).collect(),
+        timeout: STARTUP_TIMEOUT,
     };
-    serde_json::json!({
+    let client = members.clone();
+    // The client blocks; the hosts' tasks have to run meanwhile.
+    spawn_blocking(move || apply_first_configuration(&client))
+        .await
+        .map_err(|error| local_error(error.to_string()))??;
+    println!(
+        "configuration taken after {:.1} s",
+        started_at.elapsed().as_secs_f64()
+    );
+    wait_until_ready(plan).await?;
+    println!(
+        "all proxies ready after {:.1} s",
+        started_at.elapsed().as_secs_f64()
+    );
+    let (rate, duration) = (options.requests_per_second, options.load_duration);
+    println!("{rate} requests a second for {} s ...", duration.as_secs());
+    let summary = load_generator::run(&plan.fronts(), rate, duration).await;
+    println!("\n{summary}");
+    println!("requests by host: {}\n", hosts.request_counts());
+    print_status(members).await?;
+    if options.keep_running {
+        print_hints(plan);
+        tokio::signal::ctrl_c().await.context(StartupSnafu)?;
+    }
+    Ok(summary)
+}
+
+async fn print_status(members: ControlClient) -> Result<(), CliError> {
+    let statuses = spawn_blocking(move || members.member_statuses())
+        .await
+        .map_err(|error| local_error(error.to_string()))??;
+    println!("{}\n", status_report::report(&statuses, false));
+    Ok(())
+}
+
+/// Prints commands that the operator may try on the running system.
+fn print_hints(plan: &ClusterPlan) {
+    let controls: Vec<String> = plan.controls().iter().map(ToString::to_string).collect();
+    let controls = controls.join(",");
+    println!("runs on until interrupted; try, in another terminal:");
+    println!("  fennelpin-cli status --control {controls}");
+    println!("  fennelpin-cli config history --control {controls}");
+    println!(
+        "  curl -H 'Host: {}' http://{}/ping/",
+        load_generator::HOSTNAME,
+        plan.fronts()[0]
+    );
+}
+
+/// The first configuration: a service that answers at once, and one whose answers are streams.
+fn first_configuration() -> String {
+    json!({
         "version": 1,
         "routes": [
-            route("ping", "pure", serde_json::json!({})),
-            route("chat", "streaming", serde_json::json!({"resumable": false, "gap_aim_ms": 400})),
+            route("ping", "pure", json!({})),
+            route("chat", "streaming", json!({"resumable": false, "gap_aim_ms": 400})),
         ],
         "services": [service("ping"), service("chat")],
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 4194304, "header_timeout_ms": 3000,
@@ -167,50 +170,65 @@
     .to_string()
 }
 
-/// Has the first configuration taken, unless the folder's disks hold one already.
-fn take(members: &Members, body: &str) -> Result<(), Failure> {
-    let call = Call {
+/// The route to the service of the same name, with more fields of its kind.
+fn route(name: &str, kind: &str, more: Value) -> Value {
+    let mut route = json!({"name": name, "hostname": load_generator::HOSTNAME,
+        "path_prefix": format!("/{name}/"), "route_class": kind, "deadline_ms": 5000, "target_ms": 300,
+        "rank": 0, "service": name, "max_tries": 2});
+    if let (Value::Object(route), Value::Object(more)) = (&mut route, more) {
+        route.extend(more);
+    }
+    route
+}
+
+fn service(name: &str) -> Value {
+    json!({"name": name, "health_path": "/health", "conn_limit": 200, "protocol": "h1", "encryption": false})
+}
+
+/// Applies the first configuration, unless the members' disks hold one already.
+fn apply_first_configuration(members: &ControlClient) -> Result<(), CliError> {
+    let body = first_configuration();
+    let answer = members.call(&ControlCall {
         name: "Configuration.Replace",
-        base: Some(0),
+        base_version: Some(0),
         body: Some(body.as_bytes()),
-    };
-    let answer = members.ask(&call)?;
+    })?;
     match answer.status {
         200 | 412 => Ok(()),
-        _ => {
-            let (code, reason) = answer.result();
-            Err(Failure::Refused { code, reason })
-        }
+        _ => Err(rejected(&answer)),
     }
 }
 
-async fn ready(fronts: &[SocketAddrV4], plan: &Plan) -> Result<(), Failure> {
-    let until = Instant::now() + UP;
-    for front in fronts {
-        let at = plan.readiness(front);
-        while load::get(at, "/fennelpin/readiness").await != Some(200) {
-            if Instant::now() > until {
-                return Err(broken(format!(
-                    "the proxy at {front} isn't ready after {} s",
-                    UP.as_secs()
-                )));
-            }
-            tokio::time::sleep(LOOK).await;
+/// Waits until all proxies are ready and requests of both kinds reach a host.
+async fn wait_until_ready(plan: &ClusterPlan) -> Result<(), CliError> {
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
+    for front in plan.fronts() {
+        let readiness = plan.readiness(&front);
+        if !wait_until_ok(readiness, "/fennelpin/readiness", deadline).await {
+            return Err(local_error(format!(
+                "the proxy at {front} isn't ready after {} s",
+                STARTUP_TIMEOUT.as_secs()
+            )));
         }
-        // Hosts' beats reach the proxies through members and agents.
+        // The hosts' heartbeats reach the proxies through members and agents.
         for path in ["/ping/", "/chat/"] {
-            while load::get(*front, path).await != Some(200) {
-                if Instant::now() > until {
-                    return Err(broken(format!(
-                        "no host answers {path} by the proxy at {front}"
-                    )));
-                }
-                tokio::time::sleep(LOOK).await;
+            if !wait_until_ok(front, path, deadline).await {
+                return Err(local_error(format!(
+                    "no host answers {path} by the proxy at {front}"
+                )));
             }
         }
     }
     Ok(())
 }
 
-/// What tasks share.
-type Shared<T> = Arc<std::sync::Mutex<T>>;
+/// Sends requests until one is answered with 200. Whether that was before the deadline.
+async fn wait_until_ok(addr: SocketAddrV4, path: &str, deadline: Instant) -> bool {
+    while load_generator::get(addr, path).await != Some(200) {
+        if Instant::now() > deadline {
+            return false;
+        }
+        tokio::time::sleep(READINESS_INTERVAL).await;
+    }
+    true
+}
--- a/crates/fennelpin-cli/src/logs.rs
+++ b/crates/fennelpin-cli/src/logging.rs
@@ -1,6 +1,6 @@
-//! Logs on standard error: a line for each change of state, counters now and then.
+//! Logs on standard error, as text or JSON.
 
-use crate::operator::{Format, Level};
+use crate::operator_settings::{LogFormat, LogLevel};
 use log::LevelFilter;
 use logforth::append::Stderr;
 use logforth::kv::{KeyView, ValueView, Visitor};
@@ -10,13 +10,14 @@
 use std::fmt::Write;
 use std::time::SystemTime;
 
-/// Seconds of the time of day, level, place, text and values.
+/// One line of text: Unix time, level, target, message and `key=value` pairs.
 #[derive(Debug)]
-struct Text;
+struct TextLayout;
 
-struct Pairs(String);
+/// Appends ` key=value` for each pair of a record.
+struct TextPairs(String);
 
-impl Visitor for Pairs {
+impl Visitor for TextPairs {
     fn visit(&mut self, key: KeyView, value: ValueView) -> Result<(), Error> {
         // Writing to a string can't fail.
         let _ = write!(self.0, " {key}={value}");
@@ -24,7 +25,8 @@
     }
 }
 
-fn time(record: &Record) -> String {
+/// Unix time of a record in seconds, with milliseconds.
+fn unix_time(record: &Record) -> String {
     let time = record
         .time()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -32,12 +34,12 @@
     format!("{}.{:03}", time.as_secs(), time.subsec_millis())
 }
 
-impl Layout for Text {
+impl Layout for TextLayout {
     fn format(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
         let (level, target) = (record.level().name(), record.target());
-        let mut pairs = Pairs(format!(
+        let mut pairs = TextPairs(format!(
             "{} {level} {target}: {}",
-            time(record),
+            unix_time(record),
             record.payload()
         ));
         record.key_values().visit(&mut pairs)?;
@@ -45,16 +47,17 @@
     }
 }
 
-/// The same as one JSON object.
+/// One JSON object: `time`, `level`, `target`, `message` and the pairs.
 #[derive(Debug)]
-struct Json;
+struct JsonLayout;
 
-struct Fields(Map<String, Value>);
+/// Collects the pairs of a record as JSON values.
+struct JsonFields(Map<String, Value>);
 
-impl Visitor for Fields {
+impl Visitor for JsonFields {
     fn visit(&mut self, key: KeyView, value: ValueView) -> Result<(), Error> {
         let text = value.to_string();
-        // Numbers and truth values stay what they are.
+        // Numbers and booleans keep their types.
         let value = match serde_json::from_str(&text) {
             Ok(plain @ (Value::Number(_) | Value::Bool(_))) => plain,
             _ => Value::String(text),
@@ -64,12 +67,12 @@
     }
 }
 
-impl Layout for Json {
+impl Layout for JsonLayout {
     fn format(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
-        let mut fields = Fields(Map::new());
+        let mut fields = JsonFields(Map::new());
         record.key_values().visit(&mut fields)?;
         let own = [
-            ("time", time(record)),
+            ("time", unix_time(record)),
             ("level", record.level().name().to_owned()),
             ("target", record.target().to_owned()),
             ("message", record.payload().to_string()),
@@ -81,11 +84,11 @@
     }
 }
 
-/// Starts logging of lines of `level` and above.
-pub fn start(level: Level, format: Format) {
+/// Starts the log with lines of this level and above. Does nothing where a log was started before.
+pub fn start(level: LogLevel, format: LogFormat) {
     let stderr = match format {
-        Format::Text => Stderr::default().with_layout(Text),
-        Format::Json => Stderr::default().with_layout(Json),
+        LogFormat::Text => Stderr::default().with_layout(TextLayout),
+        LogFormat::Json => Stderr::default().with_layout(JsonLayout),
     };
     let logger = logforth::core::builder()
         .dispatch(|d| d.append(stderr))
@@ -93,12 +96,12 @@
     let bridge = logforth::bridge::log::LogBridge::new(logger);
     if log::set_boxed_logger(Box::new(bridge)).is_ok() {
         log::set_max_level(match level {
-            Level::Off => LevelFilter::Off,
-            Level::Error => LevelFilter::Error,
-            Level::Warn => LevelFilter::Warn,
-            Level::Info => LevelFilter::Info,
-            Level::Debug => LevelFilter::Debug,
-            Level::Trace => LevelFilter::Trace,
+            LogLevel::Off => LevelFilter::Off,
+            LogLevel::Error => LevelFilter::Error,
+            LogLevel::Warn => LevelFilter::Warn,
+            LogLevel::Info => LevelFilter::Info,
+            LogLevel::Debug => LevelFilter::Debug,
+            LogLevel::Trace => LevelFilter::Trace,
         });
     }
 }
--- a/crates/fennelpin-cli/src/main.rs
+++ b/crates/fennelpin-cli/src/main.rs
@@ -1,104 +1,128 @@
-//! The system's one binary: its three programs are subcommands, and so are the operators' commands.
+//! The system's one binary. Its three programs are subcommands, and so are the operators' commands.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use bpaf::ParseFailure;
-use fennelpin_cli::failure::Failure;
-use fennelpin_cli::operator::Operator;
-use fennelpin_cli::options::{self, Config, Options, Store, Verb};
-use fennelpin_cli::{config, local, logs, roles, status, store};
+use fennelpin_cli::command_line::{self, Command, ConfigCommand, Options, StoreCommand};
+use fennelpin_cli::error::{CliError, EXIT_WRONG_INPUT};
+use fennelpin_cli::operator_settings::OperatorSettings;
+use fennelpin_cli::{config_commands, local, logging, programs, status_report, store_commands};
 use std::process::ExitCode;
 
-/// What was given on the command line is wrong.
-const USAGE: u8 = 2;
-
 fn main() -> ExitCode {
-    let options = match options::options().run_inner(bpaf::Args::current_args()) {
+    let options = match command_line::options().run_inner(bpaf::Args::current_args()) {
         Ok(options) => options,
-        Err(ParseFailure::Stdout(text, whole)) => {
-            println!("{}", text.monochrome(whole));
-            return ExitCode::SUCCESS;
+        Err(failure) => return print_parse_failure(failure),
+    };
+    match run(options) {
+        Ok(code) => code,
+        Err(error) => {
+            // A terminal gets the error without the time that a log line has.
+            eprintln!("fennelpin-cli: {}", error.chain());
+            ExitCode::from(error.exit_code())
+        }
+    }
+}
+
+/// Prints what the parser gives in place of options: help, completions or an error.
+fn print_parse_failure(failure: ParseFailure) -> ExitCode {
+    match failure {
+        ParseFailure::Stdout(text, full) => {
+            println!("{}", text.monochrome(full));
+            ExitCode::SUCCESS
         }
-        Err(ParseFailure::Completion(text)) => {
+        ParseFailure::Completion(text) => {
             print!("{text}");
-            return ExitCode::SUCCESS;
+            ExitCode::SUCCESS
         }
-        Err(ParseFailure::Stderr(text)) => {
+        ParseFailure::Stderr(text) => {
             eprintln!("fennelpin-cli: {}", text.monochrome(true));
-            return ExitCode::from(USAGE);
+            ExitCode::from(EXIT_WRONG_INPUT)
         }
-    };
-    match run(options) {
-        Ok(code) => code,
-        Err(failure) => {
-            // Who reads a terminal wants no time before it.
-            eprintln!("fennelpin-cli: {}", failure.chain());
-            ExitCode::from(failure.exit())
+    }
+}
+
+fn run(options: Options) -> Result<ExitCode, CliError> {
+    let mut settings = OperatorSettings::read(options.operator.as_deref())?;
+    settings.log_level = options.level.unwrap_or(settings.log_level);
+    settings.log_format = options.format.unwrap_or(settings.log_format);
+    logging::start(settings.log_level, settings.log_format);
+    match options.command {
+        Command::ControlPlane(program) => {
+            return Ok(log_result(programs::control_plane(&program, &settings)))
         }
+        Command::Agent(program) => return Ok(log_result(programs::agent(&program))),
+        Command::Proxy(program) => return Ok(log_result(programs::proxy(&program))),
+        Command::Config(command) => return run_config(command),
+        Command::Store(command) => run_store(command)?,
+        Command::Status(options) => status_report::run(&options)?,
+        Command::Local(options) => local::run(&options)?,
+        Command::Codes => print_result_codes(),
+        Command::Completion(shell) => print_completion(&shell)?,
+        Command::Version => print_version(),
     }
+    Ok(ExitCode::SUCCESS)
 }
 
-/// The exit code of a program, whose failure goes into its log.
-fn logged(done: Result<(), Failure>) -> ExitCode {
-    match done {
+/// The exit code of a program. Its error goes into its log.
+fn log_result(result: Result<(), CliError>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            log::error!("{}", failure.chain());
-            ExitCode::from(failure.exit())
+        Err(error) => {
+            log::error!("{}", error.chain());
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-fn run(options: Options) -> Result<ExitCode, Failure> {
-    let mut operator = Operator::read(options.operator.as_deref())?;
-    operator.log_level = options.level.unwrap_or(operator.log_level);
-    operator.log_format = options.format.unwrap_or(operator.log_format);
-    logs::start(operator.log_level, operator.log_format);
-    let done = |()| ExitCode::SUCCESS;
-    match options.verb {
-        Verb::ControlPlane(from) => Ok(logged(roles::control_plane(&from, &operator))),
-        Verb::Agent(from) => Ok(logged(roles::agent(&from))),
-        Verb::Proxy(from) => Ok(logged(roles::proxy(&from))),
-        Verb::Version => {
-            println!(
-                "fennelpin-cli {} (messages: {})",
-                env!("CARGO_PKG_VERSION"),
-                protocol::VERSION
-            );
-            Ok(ExitCode::SUCCESS)
-        }
-        Verb::Codes => {
-            for code in configuration::ResultCode::ALL {
-                println!("{:>3}  {}  {}", code.number(), code.status(), code.text());
+fn run_config(command: ConfigCommand) -> Result<ExitCode, CliError> {
+    match command {
+        ConfigCommand::Check(options) => config_commands::check(&options)?,
+        ConfigCommand::Show(options) => config_commands::show(&options)?,
+        ConfigCommand::Diff(options) => {
+            let are_equal = config_commands::diff(&options)?;
+            if !are_equal {
+                return Ok(ExitCode::from(config_commands::EXIT_DIFFERENT));
             }
-            Ok(ExitCode::SUCCESS)
         }
-        Verb::Completion(shell) => {
-            match options::completion(&shell) {
-                Some(text) => print!("{text}"),
-                None => return Err(Failure::NoCompletion { shell }),
-            }
-            Ok(ExitCode::SUCCESS)
-        }
-        Verb::Status(asked) => status::run(&asked).map(done),
-        Verb::Config(Config::Check(check)) => config::check(&check).map(done),
-        Verb::Config(Config::Show(show)) => config::show(&show).map(done),
-        Verb::Config(Config::Diff(diff)) => config::diff(&diff).map(|same| {
-            if same {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::from(config::DIFFERS)
-            }
-        }),
-        Verb::Config(Config::Apply(apply)) => config::apply(&apply).map(done),
-        Verb::Config(Config::History(members)) => config::history(&members).map(done),
-        Verb::Config(Config::Rollback(rollback)) => config::rollback(&rollback).map(done),
-        Verb::Store(Store::Inspect(dir)) => store::inspect(&dir).map(done),
-        Verb::Store(Store::Verify(dir)) => store::verify(&dir).map(done),
-        Verb::Store(Store::Recover {
+        ConfigCommand::Apply(options) => config_commands::apply(&options)?,
+        ConfigCommand::History(members) => config_commands::history(&members)?,
+        ConfigCommand::Rollback(options) => config_commands::rollback(&options)?,
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
+fn run_store(command: StoreCommand) -> Result<(), CliError> {
+    match command {
+        StoreCommand::Inspect(dir) => store_commands::inspect(&dir),
+        StoreCommand::Verify(dir) => store_commands::verify(&dir),
+        StoreCommand::Recover {
             lost, others, dir, ..
-        }) => store::recover(&dir, &lost, &others).map(done),
-        Verb::Store(Store::Rewrite { dir, .. }) => store::rewrite(&dir).map(done),
-        Verb::Local(plan) => local::run(&plan).map(done),
+        } => store_commands::recover(&dir, &lost, &others),
+        StoreCommand::Rewrite { dir, .. } => store_commands::rewrite(&dir),
+    }
+}
+
+fn print_result_codes() {
+    for code in configuration::ResultCode::ALL {
+        println!("{:>3}  {}  {}", code.number(), code.status(), code.text());
     }
 }
+
+fn print_completion(shell: &str) -> Result<(), CliError> {
+    let Some(text) = command_line::completion(shell) else {
+        return Err(CliError::UnknownShell {
+            shell: shell.to_owned(),
+        });
+    };
+    print!("{text}");
+    Ok(())
+}
+
+fn print_version() {
+    println!(
+        "fennelpin-cli {} (messages: {})",
+        env!("CARGO_PKG_VERSION"),
+        protocol::VERSION
+    );
+}
--- a/crates/fennelpin-cli/tests/bad_days/control.rs
+++ b/crates/fennelpin-cli/tests/bad_days/callers.rs
@@ -1,7 +1,7 @@
 //! Callers of the control API: one that is heard out, one that hangs up, one that calls in advance, and an operator
 //! that sends one order after the other.
 
-use fennelpin_cli::control::{ask, Answer, Call};
+use fennelpin_cli::control_client::{call_member, ControlAnswer, ControlCall};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -35,33 +35,33 @@
         }
     }
 
-    pub fn call(&self) -> Call<'_> {
-        Call {
+    pub fn call(&self) -> ControlCall<'_> {
+        ControlCall {
             name: "Configuration.Replace",
-            base: Some(self.base),
+            base_version: Some(self.base),
             body: Some(self.body.as_bytes()),
         }
     }
 }
 
-pub const READ: Call = Call {
+pub const READ: ControlCall = ControlCall {
     name: "Configuration.Read",
-    base: None,
+    base_version: None,
     body: None,
 };
 
 /// The version that an answer's configuration has.
-pub fn version_of(answer: &Answer) -> u64 {
+pub fn version_of(answer: &ControlAnswer) -> u64 {
     let document: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
     document["version"].as_u64().unwrap()
 }
 
 /// Makes a call of one member after the other, unchanged, until there is a clear answer. The member that gave it
 /// is the first to be asked the next time.
-pub fn until_clear(members: &mut [SocketAddr], call: &Call) -> Answer {
+pub fn until_clear(members: &mut [SocketAddr], call: &ControlCall) -> ControlAnswer {
     let end = Instant::now() + LONG;
     while Instant::now() < end {
-        match ask(members[0], call, SECOND) {
+        match call_member(members[0], call, SECOND) {
             Ok(answer) if answer.status < 500 => return answer,
             _ => members.rotate_left(1),
         }
@@ -70,11 +70,11 @@
 }
 
 /// The text of a call.
-pub fn text_of(call: &Call, close: bool) -> Vec<u8> {
+pub fn text_of(call: &ControlCall, close: bool) -> Vec<u8> {
     let method = if call.body.is_some() { "POST" } else { "GET" };
     let body = call.body.unwrap_or_default();
     let base = call
-        .base
+        .base_version
         .map_or_else(String::new, |b| format!("Fennelpin-Base-Version: {b}\r\n"));
     let close = if close { "Connection: close\r\n" } else { "" };
     let head = format!(
@@ -86,7 +86,7 @@
 }
 
 /// Makes a call and closes the connection before an answer can be read.
-pub fn hang_up(to: SocketAddr, call: &Call) {
+pub fn hang_up(to: SocketAddr, call: &ControlCall) {
     // One that can't be reached hears nothing.
     let Ok(mut stream) = TcpStream::connect_timeout(&to, SECOND) else {
         return;
@@ -100,7 +100,7 @@
 }
 
 impl Waiting {
-    pub fn at(to: SocketAddr, call: &Call) -> Self {
+    pub fn at(to: SocketAddr, call: &ControlCall) -> Self {
         let mut stream = TcpStream::connect_timeout(&to, SECOND).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         stream.write_all(&text_of(call, true)).unwrap();
@@ -108,10 +108,10 @@
     }
 
     /// The answer, once the member is awake.
-    pub fn answer(mut self) -> Answer {
+    pub fn answer(mut self) -> ControlAnswer {
         let mut text = Vec::new();
         self.stream.read_to_end(&mut text).unwrap();
-        Answer::read(&text)
+        ControlAnswer::read(&text)
             .unwrap_or_else(|| panic!("no whole answer: {}", String::from_utf8_lossy(&text)))
     }
 }
--- a/crates/fennelpin-cli/tests/bad_days/cut_off.rs
+++ b/crates/fennelpin-cli/tests/bad_days/cut_off.rs
@@ -1,9 +1,9 @@
 //! A member that stood still for twenty seconds: it neither hands out its old configuration as the current one nor
 //! judges orders by it.
 
-use crate::control::{configuration, until_clear, version_of, Operator, Order, Waiting, READ};
+use crate::callers::{configuration, until_clear, version_of, Operator, Order, Waiting, READ};
 use crate::stage::{until, Stage};
-use fennelpin_cli::local::fleet::Program;
+use fennelpin_cli::local::cluster::Program;
 use protocol::{Message, Subscriber};
 use replication::{FrameReader, Pull, Update, STALE_MS};
 use rstest::rstest;
--- a/crates/fennelpin-cli/tests/bad_days/hosts.rs
+++ b/crates/fennelpin-cli/tests/bad_days/hosts.rs
@@ -1,6 +1,6 @@
 //! Hosts that break off, fall silent, say too much, or answer late, by turns; they note which requests they heard.
 
-use fennelpin_cli::control::{ask, Call};
+use fennelpin_cli::control_client::{call_member, ControlCall};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -100,14 +100,14 @@
         json!({"service": "s", "address": addr, "zone": "zone-1", "version": "v1", "capacity": 8,
         "phase": "ready", "cold_left_ms": 0, "call_seq": seq})
         .to_string();
-    let call = Call {
+    let call = ControlCall {
         name: &name,
-        base: None,
+        base_version: None,
         body: Some(body.as_bytes()),
     };
     let _ = controls
         .iter()
-        .any(|c| ask(*c, &call, SECOND).is_ok_and(|a| a.status == 200));
+        .any(|c| call_member(*c, &call, SECOND).is_ok_and(|a| a.status == 200));
 }
 
 #[derive(Clone)]
--- a/crates/fennelpin-cli/tests/bad_days/main.rs
+++ b/crates/fennelpin-cli/tests/bad_days/main.rs
@@ -1,7 +1,7 @@
 //! Real processes under the control plane's worst days, one module for each: what must hold whoever is cut off,
 //! killed or wiped, and however answers are lost.
 
-mod control;
+mod callers;
 mod cut_off;
 mod hosts;
 mod many_changes;
--- a/crates/fennelpin-cli/tests/bad_days/many_changes.rs
+++ b/crates/fennelpin-cli/tests/bad_days/many_changes.rs
@@ -1,6 +1,6 @@
 //! Hundreds of changes while a member is away: it catches up once it is back, and leads with the newest state.
 
-use crate::control::{Operator, Order};
+use crate::callers::{Operator, Order};
 use crate::stage::{until, Stage};
 
 const ALL: [u8; 3] = [1, 2, 3];
--- a/crates/fennelpin-cli/tests/bad_days/partition.rs
+++ b/crates/fennelpin-cli/tests/bad_days/partition.rs
@@ -1,10 +1,10 @@
 //! A member whose links are cut, both ways or one way, for longer than all leases and patience, while orders go on at
 //! the others: it confirms nothing, refuses nothing, and nobody takes its old configuration for the newest.
 
-use crate::control::{until_clear, version_of, Operator, Waiting, READ};
+use crate::callers::{until_clear, version_of, Operator, Waiting, READ};
 use crate::relay::Direction;
 use crate::stage::{until, Stage};
-use fennelpin_cli::local::fleet::Program;
+use fennelpin_cli::local::cluster::Program;
 use replication::{FRESH_WAIT, STALE_MS};
 use rstest::rstest;
 use std::time::{Duration, Instant, SystemTime};
--- a/crates/fennelpin-cli/tests/bad_days/recovery.rs
+++ b/crates/fennelpin-cli/tests/bad_days/recovery.rs
@@ -1,6 +1,6 @@
 //! A member that goes on alone after `store recover`, started as a process again and joined by two empty ones.
 
-use crate::control::Operator;
+use crate::callers::Operator;
 use crate::stage::{until, Stage};
 use std::process::Command;
 
--- a/crates/fennelpin-cli/tests/bad_days/restarts.rs
+++ b/crates/fennelpin-cli/tests/bad_days/restarts.rs
@@ -1,10 +1,10 @@
 //! Agents and proxies that are started again while requests are under way: none is lost or sent twice, and the newest
 //! configuration is in force afterwards.
 
-use crate::control::{until_clear, Order};
+use crate::callers::{until_clear, Order};
 use crate::hosts::{self, Text, Turn};
 use crate::stage::{until, Stage};
-use fennelpin_cli::local::fleet::Program;
+use fennelpin_cli::local::cluster::Program;
 use rustix::process::Signal;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/fennelpin-cli/tests/bad_days/second_loss.rs
+++ b/crates/fennelpin-cli/tests/bad_days/second_loss.rs
@@ -1,7 +1,7 @@
 //! A second loss right after a repair, a replacement or a departure: nothing acknowledged is lost, and orders are
 //! taken wherever a majority lives.
 
-use crate::control::Operator;
+use crate::callers::Operator;
 use crate::stage::Stage;
 
 /// Orders between two events.
--- a/crates/fennelpin-cli/tests/bad_days/stage.rs
+++ b/crates/fennelpin-cli/tests/bad_days/stage.rs
@@ -1,9 +1,9 @@
 //! The processes of a test, at addresses of their own, and what they say of themselves.
 
-use crate::control::{Operator, LONG, SECOND};
+use crate::callers::{Operator, LONG, SECOND};
 use crate::relay::{Cuts, Relay};
-use fennelpin_cli::control::{ask, Call};
-use fennelpin_cli::local::fleet::{Fleet, Plan, Program};
+use fennelpin_cli::control_client::{call_member, ControlCall};
+use fennelpin_cli::local::cluster::{ClusterPlan, LocalCluster, Program};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
@@ -43,7 +43,7 @@
 
 /// A running system.
 pub struct Stage {
-    pub fleet: Fleet,
+    pub fleet: LocalCluster,
     /// What is cut between the members, where they are behind a relay.
     pub cuts: Arc<Cuts>,
     _relays: Vec<Relay>,
@@ -61,7 +61,7 @@
     pub fn relayed(members: u8, proxies: u8) -> Self {
         let cuts = Arc::new(Cuts::default());
         let mut relays = Vec::new();
-        let behind_relay = |fleet: &mut Fleet| {
+        let behind_relay = |fleet: &mut LocalCluster| {
             for n in 1..=members {
                 let port = fleet.plan().port;
                 let outside = SocketAddrV4::new(*fleet.plan().control(n).ip(), port);
@@ -90,12 +90,12 @@
         members: u8,
         proxies: u8,
         settings: &[(&str, &str)],
-        prepare: impl FnOnce(&mut Fleet),
+        prepare: impl FnOnce(&mut LocalCluster),
     ) -> Self {
         let dir = tempfile::tempdir().unwrap();
         let (port, held) = ports();
         let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
-        let plan = Plan {
+        let plan = ClusterPlan {
             program,
             dir: dir.path().into(),
             net: NET,
@@ -103,7 +103,7 @@
             members,
             proxies,
         };
-        let mut fleet = Fleet::new(plan).unwrap();
+        let mut fleet = LocalCluster::new(plan).unwrap();
         for (key, value) in settings {
             fleet.env(&format!("FENNELPIN_CLI_{key}"), value);
         }
@@ -153,7 +153,7 @@
 
     /// Waits until a program that was asked to end has done so.
     pub fn await_end(&mut self, name: &str) {
-        assert!(self.fleet.await_end(name, LONG), "{name} doesn't end");
+        assert!(self.fleet.wait_for_end(name, LONG), "{name} doesn't end");
     }
 
     /// The member stands still.
@@ -187,11 +187,11 @@
 
     /// What a member says of itself, if it does.
     pub fn status(&self, n: u8) -> Option<Value> {
-        let answer = ask(
+        let answer = call_member(
             self.control(n),
-            &Call {
+            &ControlCall {
                 name: "status",
-                ..Call::default()
+                ..ControlCall::default()
             },
             SECOND,
         )
--- a/crates/fennelpin-cli/tests/bad_days/two_operators.rs
+++ b/crates/fennelpin-cli/tests/bad_days/two_operators.rs
@@ -1,9 +1,9 @@
 //! Two operators under one number, whose answers get lost, across kills of the primary: one is confirmed, and what
 //! was taken is never refused.
 
-use crate::control::{hang_up, until_clear, Order, READ, SECOND};
+use crate::callers::{hang_up, until_clear, Order, READ, SECOND};
 use crate::stage::{until, Stage};
-use fennelpin_cli::control::{ask, Answer};
+use fennelpin_cli::control_client::{call_member, ControlAnswer};
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
 
@@ -43,7 +43,7 @@
         let kills = round % KILL_EVERY == KILL_EVERY - 1;
         let primary = kills.then(|| until("somebody acts", || stage.acting(&ALL)));
         let (sent, lost) = channel();
-        let answers: Vec<Answer> = std::thread::scope(|scope| {
+        let answers: Vec<ControlAnswer> = std::thread::scope(|scope| {
             let operators: Vec<_> = (0..2u64)
                 .map(|k| {
                     let (sent, order) = (sent.clone(), &orders[k as usize]);
@@ -91,7 +91,7 @@
             .iter()
             .for_each(|order| hang_up(stage.control(primary), &order.call()));
         stage.kill(primary);
-        let answers: Vec<Answer> = std::thread::scope(|scope| {
+        let answers: Vec<ControlAnswer> = std::thread::scope(|scope| {
             let ask = |k: usize| {
                 let (mut members, order) =
                     (from(&stage, u64::from(primary) + k as u64), &orders[k]);
@@ -111,7 +111,7 @@
     stage: &Stage,
     round: u64,
     orders: &[Order; 2],
-    answers: &[Answer],
+    answers: &[ControlAnswer],
     taken: &mut Vec<Order>,
 ) {
     let statuses: Vec<u16> = answers.iter().map(|a| a.status).collect();
@@ -144,7 +144,7 @@
     taken.push(orders[winner].clone());
     // Sent again after others were taken: confirmed, or left unclear.
     let older = &taken[taken.len() / 2];
-    if let Ok(answer) = ask(stage.control(1 + (round % 3) as u8), &older.call(), SECOND) {
+    if let Ok(answer) = call_member(stage.control(1 + (round % 3) as u8), &older.call(), SECOND) {
         assert!(
             answer.status == 200 || answer.status >= 500,
             "round {round}: {older:?} refused: {answer:?}"
--- a/crates/fennelpin-cli/tests/bad_days/wrong_caller.rs
+++ b/crates/fennelpin-cli/tests/bad_days/wrong_caller.rs
@@ -1,9 +1,9 @@
 //! Each answer goes to its caller, and what may not run twice is sent once, whatever the hosts do.
 
-use crate::control::{configuration, text_of, until_clear, Order, READ};
+use crate::callers::{configuration, text_of, until_clear, Order, READ};
 use crate::hosts::{self, Text};
 use crate::stage::{until, Stage};
-use fennelpin_cli::control::Call;
+use fennelpin_cli::control_client::ControlCall;
 use std::io::Write;
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::Duration;
@@ -78,9 +78,9 @@
     let plan = stage.fleet.plan();
     let mut controls: Vec<SocketAddr> = ALL.iter().map(|n| stage.control(*n)).collect();
     let body = routes();
-    let first = Call {
+    let first = ControlCall {
         name: "Configuration.Replace",
-        base: Some(0),
+        base_version: Some(0),
         body: Some(body.as_bytes()),
     };
     assert_eq!(until_clear(&mut controls, &first).status, 200);
@@ -144,16 +144,17 @@
         let history: Vec<String> = (0..40)
             .map(|k| format!("Configuration.History/{}", 1000 + k))
             .collect();
-        let ask = |name: &'static str| Call {
+        let ask = |name: &'static str| ControlCall {
             name,
-            base: None,
+            base_version: None,
             body: None,
         };
-        let mut calls: Vec<Call> = vec![READ, next.call(), READ, next.call(), beside.call(), READ];
+        let mut calls: Vec<ControlCall> =
+            vec![READ, next.call(), READ, next.call(), beside.call(), READ];
         for (k, name) in history.iter().enumerate() {
-            let call = Call {
+            let call = ControlCall {
                 name,
-                base: None,
+                base_version: None,
                 body: None,
             };
             calls.insert((k * 7) % calls.len(), call);
--- a/crates/fennelpin-cli/tests/operators.rs
+++ b/crates/fennelpin-cli/tests/operators.rs
@@ -1,13 +1,13 @@
 //! The operators' commands against a running system of one member.
 
-use fennelpin_cli::local::fleet::{Fleet, Plan};
+use fennelpin_cli::local::cluster::{ClusterPlan, LocalCluster};
 use serde_json::Value;
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::Path;
 use std::process::Command;
 
 struct Desk {
-    fleet: Fleet,
+    fleet: LocalCluster,
     dir: tempfile::TempDir,
 }
 
@@ -44,7 +44,7 @@
         let dir = tempfile::tempdir().unwrap();
         let (net, port) = place(net);
         let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
-        let plan = Plan {
+        let plan = ClusterPlan {
             program,
             dir: dir.path().join("fleet"),
             net,
@@ -52,7 +52,7 @@
             members: 1,
             proxies: 0,
         };
-        let mut fleet = Fleet::new(plan).unwrap();
+        let mut fleet = LocalCluster::new(plan).unwrap();
         fleet.start_all().unwrap();
         Desk { fleet, dir }
     }
--- a/crates/fennelpin-cli/tests/processes.rs
+++ b/crates/fennelpin-cli/tests/processes.rs
@@ -1,8 +1,8 @@
 //! Real processes: three members and two proxies with their agents, killed, stopped and wiped while
 //! configurations are sent. What was acknowledged is read back, none lost, none taken beside another.
 
-use fennelpin_cli::control::{ask, Answer, Call, Members};
-use fennelpin_cli::local::fleet::{Fleet, Plan, Program};
+use fennelpin_cli::control_client::{call_member, ControlAnswer, ControlCall, ControlClient};
+use fennelpin_cli::local::cluster::{ClusterPlan, LocalCluster, Program};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -20,13 +20,13 @@
 /// Configurations that are acknowledged at least.
 const WANTED: usize = 300;
 
-fn fleet(dir: &Path) -> Fleet {
+fn fleet(dir: &Path) -> LocalCluster {
     // Addresses and ports that other runs of this test don't use at the same time.
     let net = 100 + (std::process::id() % 100) as u8;
     let free = TcpListener::bind((std::net::Ipv4Addr::new(127, net, 0, 1), 0)).unwrap();
     let port = free.local_addr().unwrap().port().min(65_000);
     let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
-    let plan = Plan {
+    let plan = ClusterPlan {
         program,
         dir: dir.into(),
         net,
@@ -34,7 +34,7 @@
         members: 3,
         proxies: 2,
     };
-    let mut fleet = Fleet::new(plan).unwrap();
+    let mut fleet = LocalCluster::new(plan).unwrap();
     fleet.env("FENNELPIN_CLI_LEASE_MS", "300");
     fleet.env("FENNELPIN_CLI_STALL_MS", "250");
     fleet.start_all().unwrap();
@@ -61,10 +61,10 @@
 
 /// Makes a call of one member after the other, unchanged, until there is a clear answer. The member that gave it
 /// is the first to be asked the next time.
-fn until_clear(members: &mut [SocketAddr], call: &Call) -> Answer {
+fn until_clear(members: &mut [SocketAddr], call: &ControlCall) -> ControlAnswer {
     let end = Instant::now() + LONG;
     while Instant::now() < end {
-        match ask(members[0], call, SECOND) {
+        match call_member(members[0], call, SECOND) {
             Ok(answer) if answer.status < 500 => return answer,
             _ => members.rotate_left(1),
         }
@@ -83,9 +83,9 @@
         };
         let answer = until_clear(
             &mut members,
-            &Call {
+            &ControlCall {
                 name,
-                base: Some(version),
+                base_version: Some(version),
                 body: Some(body.as_bytes()),
             },
         );
@@ -99,15 +99,15 @@
             // Another one on the same base comes too late, wherever it goes in; the same one is done already.
             members.rotate_left(1);
             let other = whole(next + 1);
-            let call = Call {
+            let call = ControlCall {
                 name,
-                base: Some(version),
+                base_version: Some(version),
                 body: Some(other.as_bytes()),
             };
             assert_eq!(until_clear(&mut members, &call).status, 412);
-            let call = Call {
+            let call = ControlCall {
                 name,
-                base: Some(version),
+                base_version: Some(version),
                 body: Some(body.as_bytes()),
             };
             assert_eq!(until_clear(&mut members, &call).status, 200);
@@ -121,8 +121,8 @@
 }
 
 /// The member that acts, and whether all three are back: voters of a settled view, the replicas among them.
-fn membership_state(members: &Members) -> (Option<u8>, bool) {
-    let Ok(statuses) = members.statuses() else {
+fn membership_state(members: &ControlClient) -> (Option<u8>, bool) {
+    let Ok(statuses) = members.member_statuses() else {
         return (None, false);
     };
     let Some(acting) = statuses.iter().find(|s| s["member"]["acts"] == true) else {
@@ -152,8 +152,8 @@
 }
 
 struct Story {
-    fleet: Fleet,
-    members: Members,
+    fleet: LocalCluster,
+    members: ControlClient,
     events: Receiver<u64>,
     acknowledged: Vec<u64>,
 }
@@ -179,7 +179,7 @@
             assert!(
                 Instant::now() < end,
                 "not all members come back: {:?}",
-                self.members.statuses()
+                self.members.member_statuses()
             );
         }
     }
@@ -262,9 +262,9 @@
         .into_iter()
         .map(Into::into)
         .collect();
-    let members = Members {
-        control: control.clone(),
-        wait: SECOND,
+    let members = ControlClient {
+        addresses: control.clone(),
+        timeout: SECOND,
     };
     let (acknowledged, events) = channel();
     let stop = Arc::new(AtomicBool::new(false));
@@ -285,7 +285,12 @@
         if round == 0 {
             // Changed settings: all go on. (One that the system has only just made doesn't take signals yet.)
             story.all_listen();
-            let names: Vec<String> = story.fleet.names().into_iter().map(str::to_owned).collect();
+            let names: Vec<String> = story
+                .fleet
+                .process_names()
+                .into_iter()
+                .map(str::to_owned)
+                .collect();
             names
                 .iter()
                 .for_each(|name| story.signal(name, Signal::HUP));
@@ -327,9 +332,9 @@
         story.fleet.start(Program::ControlPlane, n, false).unwrap();
     }
     for member in control {
-        let read = Call {
+        let read = ControlCall {
             name: "Configuration.Read",
-            ..Call::default()
+            ..ControlCall::default()
         };
         let answer = until_clear(&mut [member], &read);
         assert_eq!(
--- a/crates/fennelpin-cli/tests/settings.rs
+++ b/crates/fennelpin-cli/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file is followed: what the agent behind it asks changes with it.
 
 use configuration::{Configuration, ProcessSettings};
-use fennelpin_cli::settings::follow_seeds;
+use fennelpin_cli::process_settings::follow_seeds;
 use replication::{client, Mirror, Puller, SharedMirror, Snapshot};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/fennelpin-cli/tests/signals.rs
+++ b/crates/fennelpin-cli/tests/signals.rs
@@ -1,6 +1,6 @@
 //! Signals that come while a program is only starting.
 
-use fennelpin_cli::local::fleet::Program;
+use fennelpin_cli::local::cluster::Program;
 use rstest::rstest;
 use rustix::fs::{mknodat, FileType, Mode, CWD};
 use rustix::process::{kill_process, Pid, Signal};
