--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -4,8 +4,8 @@
 //! on them. Two processes, so that each peak is its own.
 
 use configuration::FaultBudget;
-use control_plane::ledger::ReplicatedState;
-use control_plane::member::{Config, Input, Member, Output};
+use control_plane::member::{Input, Member, MemberConfig, Output};
+use control_plane::replicated_state::ReplicatedState;
 use protocol::{Change, MemberInfo, MembershipConfig, Message};
 use std::time::{Duration, Instant};
 
@@ -38,14 +38,14 @@
     }
 }
 
-fn config() -> Config {
-    Config {
-        me: seat(2),
+fn config() -> MemberConfig {
+    MemberConfig {
+        local_member: seat(2),
         bootstrap_voters: None,
-        budget: FaultBudget::default(),
-        lease: Duration::from_secs(1),
-        patience: Duration::from_millis(3500),
-        stall: Duration::from_millis(600),
+        fault_budget: FaultBudget::default(),
+        lease_duration: Duration::from_secs(1),
+        request_timeout: Duration::from_millis(3500),
+        disk_stall_timeout: Duration::from_millis(600),
     }
 }
 
@@ -74,7 +74,7 @@
                     rewrites += 1;
                 }
                 disk.extend(records);
-                inputs.push(Input::Wrote {
+                inputs.push(Input::WriteCompleted {
                     ticket,
                     result: Ok(()),
                 });
@@ -86,13 +86,13 @@
 
 fn play(routes: usize, changes: u64, under_way: u64) -> Vec<Vec<u8>> {
     let voters = vec![seat(1), seat(2)];
-    let before = voters.clone();
+    let previous_voters = voters.clone();
     let view = MembershipConfig {
         epoch: EPOCH,
         primary: 1,
         replicas: vec![1, 2],
         voters,
-        before,
+        previous_voters,
     };
     let mut member = Member::new(config(), &[], Duration::ZERO, 1);
     let (mut disk, mut longest, mut rewrites) = (Vec::new(), 0, 0);
@@ -100,21 +100,24 @@
     let from = seat(1);
     let install = Input::Message {
         from: from.clone(),
-        message: Message::InstallMembership { view, snapshot },
+        message: Message::InstallMembership {
+            membership: view,
+            snapshot,
+        },
     };
     take(&mut member, Duration::ZERO, install, &mut disk);
     let started = Instant::now();
     let mut stepping = Duration::ZERO;
-    for seq in 1..=changes {
-        let now = Duration::from_millis(50 * seq);
+    for index in 1..=changes {
+        let now = Duration::from_millis(50 * index);
         let change = Change::Configure {
-            base: seq - 1,
+            base: index - 1,
             amend: false,
-            body: body(seq, routes),
+            body: body(index, routes),
         };
         let append = Message::AppendChange {
             epoch: EPOCH,
-            seq,
+            index,
             change,
         };
         let before = Instant::now();
@@ -127,13 +130,13 @@
             },
             &mut disk,
         );
-        if seq.is_multiple_of(5) {
-            let committed = seq.saturating_sub(under_way);
+        if index.is_multiple_of(5) {
+            let committed = index.saturating_sub(under_way);
             let renew = Message::RenewLease {
                 epoch: EPOCH,
-                stamp: 1,
-                committed,
-                heard: 0,
+                requested_at_ms: 1,
+                commit_index: committed,
+                echoed_clock_ms: 0,
             };
             rewrites += take(
                 &mut member,
@@ -191,7 +194,7 @@
                 "  start on {count} records, {kib} KiB: {:.1} ms, peak {} KiB, sound {}",
                 took.as_secs_f64() * 1e3,
                 peak_kib(),
-                member.unsound().is_none()
+                member.replay_error().is_none()
             );
         }
         _ => eprintln!("restart_cost ROUTES CHANGES UNDER_WAY FILE | restart_cost FILE"),
--- a/crates/control-plane/src/host_registry.rs
+++ b/crates/control-plane/src/host_registry.rs
@@ -181,7 +181,7 @@
     /// Others know a life of this member with a higher number, and would take this one's records for older: it goes
     /// on under a number above that, and everything is told anew.
     pub fn follow_life(&mut self, later: u64) {
-        let next = incarnation::following(later, 0, self.mark.life);
+        let next = incarnation::next_incarnation(later, 0, self.mark.life);
         if next <= later {
             return;
         }
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -18,10 +18,10 @@
 
 pub use candidate::{candidate_of, ElectionPhase};
 pub use recovery::ReplayError;
-pub use summary::{DiskState, GrantSummary, MemberSummary, RoleSummary};
+pub use summary::{DiskState, LeaseGrantSummary, MemberSummary, RoleSummary};
 pub use view::{choose_replicas, majority_shortfall};
 
-use crate::ledger::ReplicatedState;
+use crate::replicated_state::ReplicatedState;
 use acknowledged::Acknowledged;
 use candidate::CandidateState;
 use commands::LocalCommand;
@@ -39,20 +39,20 @@
 
 /// What a member is told at its start.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct MemberConfig {
     /// Its own seat.
-    pub me: MemberInfo,
+    pub local_member: MemberInfo,
     /// The voters of view 0, for those that are among them since the whole system started for the first time; a
     /// view on the disk goes before.
     pub bootstrap_voters: Option<Vec<MemberInfo>>,
     /// What may be lost at once.
-    pub budget: FaultBudget,
+    pub fault_budget: FaultBudget,
     /// How long a lease lasts.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// How long a command of a caller may wait for its answer.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// A write that takes longer means that the disk stalls.
-    pub stall: Duration,
+    pub disk_stall_timeout: Duration,
 }
 
 /// A write that the disk refused.
@@ -78,7 +78,7 @@
         message: Message,
     },
     /// A write that was asked for is over.
-    Wrote {
+    WriteCompleted {
         /// Its number.
         ticket: u64,
         /// How it ended; what was refused is not on disk.
@@ -92,12 +92,12 @@
         command: Command,
     },
     /// A member shows that it is there.
-    Reachable {
+    PeerReachable {
         /// Its seat.
-        seat: MemberInfo,
+        member: MemberInfo,
     },
     /// The process is asked to end.
-    Leave,
+    Depart,
 }
 
 /// What a member asks for.
@@ -130,21 +130,21 @@
         body: Vec<u8>,
     },
     /// The newest acknowledged ledger, from the primary.
-    Publish {
+    PublishState {
         /// Number of its last change.
-        seq: u64,
+        index: u64,
         /// The configuration.
-        document: Arc<Configuration>,
+        configuration: Arc<Configuration>,
         /// Hosts that are leaving or gone.
         drains: Vec<String>,
     },
     /// The ledger that was known to be acknowledged when the process last ended: good until a primary shows a
     /// newer one.
-    Restore {
+    RestoreState {
         /// Number of its last change.
-        seq: u64,
+        index: u64,
         /// The configuration.
-        document: Arc<Configuration>,
+        configuration: Arc<Configuration>,
         /// Hosts that are leaving or gone.
         drains: Vec<String>,
     },
@@ -154,7 +154,7 @@
         at: Duration,
     },
     /// Nothing is left to hand over: the process may end.
-    Left,
+    DepartureComplete,
 }
 
 /// A lease granted as a voter.
@@ -171,7 +171,7 @@
     /// The moment, by this process's clock.
     pub at: Duration,
     /// Number of the last change that was acknowledged then.
-    pub committed: u64,
+    pub commit_index: u64,
 }
 
 /// The ledger as a copy holds it.
@@ -195,7 +195,7 @@
 
 #[derive(Clone, Debug)]
 enum Role {
-    Idle,
+    Follower,
     Candidate(Box<CandidateState>),
     Primary(Box<PrimaryState>),
 }
@@ -203,7 +203,7 @@
 /// A member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    config: Config,
+    config: MemberConfig,
     now: Duration,
     started: Duration,
     /// Whether it may have granted a lease in an earlier life.
@@ -262,7 +262,7 @@
 impl Member {
     /// A member whose disk holds these records. `random` differs from life to life; it spreads
     /// what several members do and tells the commands of one life from those of another.
-    pub fn new(config: Config, records: &[Vec<u8>], now: Duration, random: u64) -> Self {
+    pub fn new(config: MemberConfig, records: &[Vec<u8>], now: Duration, random: u64) -> Self {
         let mut member = Self {
             now,
             started: now,
@@ -283,7 +283,7 @@
             proof: None,
             life_base: random.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             peers: BTreeMap::new(),
-            role: Role::Idle,
+            role: Role::Follower,
             election_at: now,
             disk: Disk::default(),
             local: BTreeMap::new(),
@@ -294,19 +294,19 @@
             config,
         };
         if let Some(voters) = member.config.bootstrap_voters.clone() {
-            let before = voters.clone();
+            let previous_voters = voters.clone();
             member.view = Some(MembershipConfig {
                 epoch: 0,
                 primary: 0,
                 replicas: vec![],
                 voters,
-                before,
+                previous_voters,
             });
         }
         member.recover(records);
         member.disk.kept(records.iter().map(Vec::len).sum());
         let start = if member.restarted {
-            member.config.lease
+            member.config.lease_duration
         } else {
             Duration::ZERO
         };
@@ -342,9 +342,9 @@
         self.now = self.now.max(now);
         if let Some(ledger) = self.restored.take() {
             let drains = ledger.drains.into_iter().collect();
-            out.push(Output::Restore {
-                seq: ledger.seq,
-                document: ledger.document,
+            out.push(Output::RestoreState {
+                index: ledger.index,
+                configuration: ledger.configuration,
                 drains,
             });
         }
@@ -356,10 +356,10 @@
                 self.note(&from);
                 self.on_message(from, message, out);
             }
-            Input::Wrote { ticket, result } => self.on_wrote(ticket, result, out),
+            Input::WriteCompleted { ticket, result } => self.on_wrote(ticket, result, out),
             Input::Command { ticket, command } => self.on_command(ticket, command),
-            Input::Reachable { seat } => self.on_reachable(&seat),
-            Input::Leave => self.on_leave(out),
+            Input::PeerReachable { member } => self.on_reachable(&member),
+            Input::Depart => self.on_leave(out),
         }
         self.end_if_given_up();
         self.run_departure(out);
@@ -375,73 +375,107 @@
 
     fn on_message(&mut self, from: MemberInfo, message: Message, out: &mut Vec<Output>) {
         match message {
-            Message::PreVote { seen, view } => self.on_pre_vote(from, seen, view, out),
+            Message::PreVote {
+                known_epoch,
+                accepted_epoch,
+            } => self.on_pre_vote(from, known_epoch, accepted_epoch, out),
             Message::Prepare { epoch, candidate } => self.on_prepare(from, epoch, candidate, out),
-            Message::InstallMembership { view, snapshot } => {
-                self.on_install(from, view, snapshot, out);
+            Message::InstallMembership {
+                membership,
+                snapshot,
+            } => {
+                self.on_install(from, membership, snapshot, out);
             }
-            Message::AppendChange { epoch, seq, change } => {
-                self.on_append(from, epoch, seq, change, out);
+            Message::AppendChange {
+                epoch,
+                index,
+                change,
+            } => {
+                self.on_append(from, epoch, index, change, out);
             }
             Message::RenewLease {
                 epoch,
-                stamp,
-                committed,
-                heard,
+                requested_at_ms,
+                commit_index,
+                echoed_clock_ms,
             } => {
-                self.on_renew(from, epoch, stamp, (committed, heard), out);
-                self.record_committed(epoch, committed);
+                self.on_renew(
+                    from,
+                    epoch,
+                    requested_at_ms,
+                    (commit_index, echoed_clock_ms),
+                    out,
+                );
+                self.record_committed(epoch, commit_index);
             }
             Message::FetchSnapshot { epoch } => self.on_fetch(from, epoch, out),
             Message::ReleaseLease { epoch } => self.on_release(from.id, epoch),
             Message::Leaving { .. } => self.on_peer_leaving(from.id),
             Message::PreVoteReply {
-                willing,
-                seen,
-                wait_ms,
-            } => self.on_pre_vote_reply(from, willing, seen, wait_ms, out),
+                granted,
+                promised_epoch,
+                retry_after_ms,
+            } => self.on_pre_vote_reply(from, granted, promised_epoch, retry_after_ms, out),
             Message::Promise {
                 epoch,
                 granted,
-                seen,
-                view,
-                tag,
-                wait_ms,
+                promised_epoch,
+                membership,
+                log_position,
+                retry_after_ms,
             } => {
-                self.see(seen);
+                self.see(promised_epoch);
                 // A voter that has just joined may not have accepted any view yet: its promise counts all the same.
-                let has = (view.unwrap_or_default(), tag);
-                self.on_promise(from, epoch, granted, Some(has), wait_ms, out);
+                let has = (membership.unwrap_or_default(), log_position);
+                self.on_promise(from, epoch, granted, Some(has), retry_after_ms, out);
             }
             Message::SnapshotReply {
                 epoch, snapshot, ..
             } => self.on_fetched(from, epoch, &snapshot, out),
-            Message::InstallMembershipReply { epoch, ok, seen } => {
-                self.see(seen);
-                self.on_installed(from.id, epoch, ok, out);
+            Message::InstallMembershipReply {
+                epoch,
+                accepted,
+                promised_epoch,
+            } => {
+                self.see(promised_epoch);
+                self.on_installed(from.id, epoch, accepted, out);
             }
             Message::AppendReply {
                 epoch,
-                seq,
-                ok,
-                seen,
+                match_index,
+                accepted,
+                promised_epoch,
             } => {
-                self.see(seen);
-                self.on_appended(from.id, epoch, seq, ok, out);
+                self.see(promised_epoch);
+                self.on_appended(from.id, epoch, match_index, accepted, out);
             }
             Message::LeaseReply {
                 epoch,
-                stamp,
-                ok,
-                seen,
-                fit,
-                clock,
+                requested_at_ms,
+                granted,
+                promised_epoch,
+                disk_healthy,
+                clock_ms,
             } => {
-                self.see(seen);
-                self.on_renewed(from, epoch, stamp, ok, (fit, clock), out);
+                self.see(promised_epoch);
+                self.on_renewed(
+                    from,
+                    epoch,
+                    requested_at_ms,
+                    granted,
+                    (disk_healthy, clock_ms),
+                    out,
+                );
             }
-            Message::ForwardCommand { id, command } => self.on_ask(from, id, command),
-            Message::CommandResult { id, code, text } => self.on_answer(id, code, text, out),
+            Message::ForwardCommand {
+                request_id,
+                command,
+            } => self.on_ask(from, request_id, command),
+            Message::CommandResult {
+                request_id,
+                code,
+                body,
+            } => self.on_answer(request_id, code, body, out),
             Message::Hello { .. }
             | Message::Peers { .. }
             | Message::Pull { .. }
@@ -458,7 +492,7 @@
         let voter = self
             .view
             .as_ref()
-            .is_some_and(|v| v.seat(seat.id).is_some());
+            .is_some_and(|v| v.voter(seat.id).is_some());
         let heard = self.peers.get(&seat.id).map(|p| p.heard).filter(|_| voter);
         self.note(seat);
         if let Some(peer) = self.peers.get_mut(&seat.id) {
@@ -469,7 +503,7 @@
     }
 
     fn note(&mut self, seat: &MemberInfo) {
-        if seat.id == 0 || seat.id == self.config.me.id {
+        if seat.id == 0 || seat.id == self.config.local_member.id {
             return;
         }
         // At one address there is one process: another identity there has lost its disk.
@@ -494,39 +528,43 @@
     }
 
     fn me(&self) -> u64 {
-        self.config.me.id
+        self.config.local_member.id
     }
 
     fn is_voter(&self) -> bool {
         self.view
             .as_ref()
-            .is_some_and(|v| v.seat(self.me()).is_some())
+            .is_some_and(|v| v.voter(self.me()).is_some())
     }
 
     /// A replica notes what the primary of its view has acknowledged, for its next life.
-    fn record_committed(&mut self, epoch: u64, seq: u64) {
+    fn record_committed(&mut self, epoch: u64, index: u64) {
         let follows = self.view.as_ref().is_some_and(|v| v.epoch == epoch);
-        let Some(held) = self.held.as_ref().filter(|h| follows && h.disk.seq >= seq) else {
+        let Some(held) = self
+            .held
+            .as_ref()
+            .filter(|h| follows && h.disk.index >= index)
+        else {
             return;
         };
-        if self.acknowledged.acknowledge(seq, &held.disk) {
-            self.write(&Record::Committed { seq }, After::Nothing);
+        if self.acknowledged.acknowledge(index, &held.disk) {
+            self.write(&Record::Committed { index }, After::Nothing);
         }
     }
 
     /// The freshest word on where a seat is.
     fn fresh(&self, seat: &MemberInfo) -> MemberInfo {
         match seat.id {
-            id if id == self.me() => self.config.me.clone(),
+            id if id == self.me() => self.config.local_member.clone(),
             id => self.peers.get(&id).map_or(seat, |p| &p.seat).clone(),
         }
     }
 
     fn member_info(&self, id: u64) -> Option<MemberInfo> {
-        let voter = self
-            .view
-            .as_ref()
-            .and_then(|v| v.seat(id).or(v.before.iter().find(|s| s.id == id)));
+        let voter = self.view.as_ref().and_then(|v| {
+            v.voter(id)
+                .or(v.previous_voters.iter().find(|s| s.id == id))
+        });
         self.peers.get(&id).map(|p| &p.seat).or(voter).cloned()
     }
 
@@ -548,7 +586,7 @@
 
     /// Voters stand one after the other: replicas first, in the view's order.
     fn election_delay(&mut self) -> Duration {
-        let step = self.config.lease / 8;
+        let step = self.config.lease_duration / 8;
         let me = self.me();
         let rank = self.view.as_ref().map_or(0, |v| {
             let replicas = v.replicas.iter().copied();
@@ -569,7 +607,7 @@
     /// Who acts, as far as known here: the holder of a lease that hasn't ended.
     pub fn primary(&self) -> Option<MemberInfo> {
         if let Role::Primary(_) = &self.role {
-            Some(self.config.me.clone())
+            Some(self.config.local_member.clone())
         } else {
             let granted = self
                 .grant
@@ -589,7 +627,7 @@
 
     /// Whether a member was heard of lately, itself or by a link to it; one never heard of may be about to be reached.
     fn in_touch_with(&self, id: u64) -> bool {
-        let silent_at = |heard: Duration| heard + IN_TOUCH_LEASES * self.config.lease;
+        let silent_at = |heard: Duration| heard + IN_TOUCH_LEASES * self.config.lease_duration;
         self.peers
             .get(&id)
             .is_none_or(|peer| self.now < silent_at(peer.heard))
@@ -603,33 +641,33 @@
     }
 
     /// Whether this member acts now.
-    pub fn acts(&self) -> bool {
-        self.acts_at(self.now)
+    pub fn is_acting_primary(&self) -> bool {
+        self.is_acting_primary_at(self.now)
     }
 
     /// Whether this member acts at a time, no earlier than that of its latest step, at which nothing has reached it
     /// since.
-    pub fn acts_at(&self, now: Duration) -> bool {
+    pub fn is_acting_primary_at(&self, now: Duration) -> bool {
         matches!(&self.role, Role::Primary(state) if self.lease_end(state) > now)
     }
 
     /// The latest view that this member accepted.
-    pub fn view(&self) -> Option<&MembershipConfig> {
+    pub fn membership(&self) -> Option<&MembershipConfig> {
         self.view.as_ref()
     }
 
     /// The highest epoch that this member has promised.
-    pub fn promised(&self) -> u64 {
+    pub fn promised_epoch(&self) -> u64 {
         self.promised
     }
 
     /// What is proved of how fresh the acknowledged ledger is that this member may show; nothing before a primary
     /// has been heard of in this life.
-    pub fn proof(&self, now: Duration) -> Option<PrimaryContact> {
+    pub fn primary_contact(&self, now: Duration) -> Option<PrimaryContact> {
         match &self.role {
             Role::Primary(state) if self.lease_end(state) > now => Some(PrimaryContact {
                 at: now,
-                committed: state.committed_seq(),
+                commit_index: state.committed_index(),
             }),
             _ => self.proof,
         }
@@ -637,17 +675,18 @@
 
     /// Why this member can't rely on its records, where that is so: it promises, accepts and holds nothing until
     /// its disk is emptied.
-    pub fn unsound(&self) -> Option<&ReplayError> {
+    pub fn replay_error(&self) -> Option<&ReplayError> {
         self.unsound.as_deref()
     }
 
     /// Whether the disk takes writes and its records can be relied on.
-    pub fn fit(&self) -> bool {
-        self.unsound.is_none() && self.disk.fit(self.now, self.config.stall)
+    pub fn disk_healthy(&self) -> bool {
+        self.unsound.is_none() && self.disk.fit(self.now, self.config.disk_stall_timeout)
     }
 
     fn next_wake(&self) -> Duration {
-        let idle = self.is_voter() && matches!(self.role, Role::Idle) && self.departure.is_none();
+        let idle =
+            self.is_voter() && matches!(self.role, Role::Follower) && self.departure.is_none();
         let stand = idle.then(|| {
             self.election_at
                 .max(self.grant.map_or(self.election_at, |g| g.until))
@@ -659,13 +698,13 @@
             self.candidate_wake(),
             self.commands_wake(),
             self.departure_wake(),
-            self.disk.wake(self.config.stall),
+            self.disk.wake(self.config.disk_stall_timeout),
         ]
         .into_iter()
         .flatten()
         .min()
-        .unwrap_or(self.now + self.config.lease)
+        .unwrap_or(self.now + self.config.lease_duration)
         .max(self.now + grace)
-        .min(self.now + 4 * self.config.lease)
+        .min(self.now + 4 * self.config.lease_duration)
     }
 }
--- a/crates/control-plane/src/runtime/identity.rs
+++ b/crates/control-plane/src/runtime/identity.rs
@@ -74,7 +74,7 @@
     pub fn of(mut records: Vec<Vec<u8>>) -> Self {
         let owner = records
             .first()
-            .and_then(|r| protocol::read_one::<LogOwner>(r).ok());
+            .and_then(|r| protocol::decode_record::<LogOwner>(r).ok());
         if owner.is_some() {
             records.remove(0);
         }
@@ -146,7 +146,7 @@
     }
 
     fn life_after(&self, before: u64) -> u64 {
-        incarnation::following(before, self.clock_ms, self.random)
+        incarnation::next_incarnation(before, self.clock_ms, self.random)
     }
 
     /// The identity of the life that starts now, given what both files held.
@@ -204,7 +204,7 @@
 /// Where one of them can't be read.
 pub fn latest_identity(records: &[Vec<u8>]) -> Result<Option<Identity>, IdentityError> {
     let read = |(record, bytes): (usize, &Vec<u8>)| {
-        protocol::read_one::<Identity>(bytes).context(UnreadableSnafu { record })
+        protocol::decode_record::<Identity>(bytes).context(UnreadableSnafu { record })
     };
     let identities: Result<Vec<Identity>, IdentityError> =
         records.iter().enumerate().map(read).collect();
--- a/crates/fennelpin-cli/src/main.rs
+++ b/crates/fennelpin-cli/src/main.rs
@@ -123,6 +123,6 @@
     println!(
         "fennelpin-cli {} (messages: {})",
         env!("CARGO_PKG_VERSION"),
-        protocol::VERSION
+        protocol::FRAME_VERSION
     );
 }
--- a/crates/proxy/src/hints/publisher.rs
+++ b/crates/proxy/src/hints/publisher.rs
@@ -59,7 +59,7 @@
         };
         let message = protocol::encode(&Message::PromptPlaced {
             placement: of(hint),
-            unread: hint.uncached_tokens,
+            prefill_tokens: hint.uncached_tokens,
         });
         if message.len() > DATAGRAM {
             return;
