--- a/crates/scale-test/src/hollow.rs
+++ b/crates/scale-test/src/child_process.rs
@@ -1,4 +1,4 @@
-//! The real processes: started with settings of their own, ended with this value.
+//! A process of the run, with settings and log of its own.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -7,14 +7,17 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// Pause between two checks whether the process has ended.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
 /// A process of the run; it is killed when this is dropped.
 #[derive(Debug)]
-pub struct Program {
+pub struct ChildProcess {
     child: Child,
 }
 
-impl Program {
-    /// Starts `program` as `role`; settings and log are files `name`.* in `dir`.
+impl ChildProcess {
+    /// Starts `program` with the subcommand `role`. Settings and log are the files `NAME.json` and `NAME.log` in `dir`.
     ///
     /// # Errors
     /// Where a file can't be written or the process can't be started.
@@ -24,7 +27,7 @@
         dir: &Path,
         name: &str,
         settings: &Value,
-    ) -> std::io::Result<Program> {
+    ) -> std::io::Result<ChildProcess> {
         let file = dir.join(format!("{name}.json"));
         std::fs::write(&file, settings.to_string())?;
         if let Some(disk) = settings["state_dir"].as_str() {
@@ -42,10 +45,10 @@
             .stdout(log.try_clone()?)
             .stderr(log)
             .spawn()?;
-        Ok(Program { child })
+        Ok(ChildProcess { child })
     }
 
-    /// Its process identity.
+    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -54,10 +57,10 @@
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
-    /// Freezes it.
+    /// Stops it until [`thaw`](Self::thaw).
     ///
     /// # Errors
-    /// Where it is gone.
+    /// Where it has ended.
     pub fn freeze(&self) -> std::io::Result<()> {
         self.signal(Signal::STOP)
     }
@@ -65,25 +68,25 @@
     /// Lets it go on.
     ///
     /// # Errors
-    /// Where it is gone.
+    /// Where it has ended.
     pub fn thaw(&self) -> std::io::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks it to end, and kills it where it hasn't after `wait`.
-    pub fn end(mut self, wait: Duration) {
-        let until = Instant::now() + wait;
+    /// Asks it to end, and kills it if it hasn't after `timeout`.
+    pub fn terminate(mut self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         if self.signal(Signal::TERM).is_ok() {
-            while Instant::now() < until && matches!(self.child.try_wait(), Ok(None)) {
-                std::thread::sleep(Duration::from_millis(20));
+            while Instant::now() < deadline && matches!(self.child.try_wait(), Ok(None)) {
+                std::thread::sleep(EXIT_CHECK_INTERVAL);
             }
         }
     }
 }
 
-impl Drop for Program {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // One that is gone already needs no end.
+        // Fails where it has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is played: sizes, lengths, addresses, settings.
+//! Sizes, durations, addresses and settings of a run.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -6,48 +6,55 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// First port of the members' range; the addresses differ.
+/// First port of each member's range. The members have different addresses.
 pub const PORT: u16 = 7660;
-const CONTROL: u16 = 8146;
+/// Port of each member for calls.
+const CONTROL_PORT: u16 = 8146;
+/// Ports of the range after the first one.
+const PORT_RANGE: u16 = 15;
+/// Services of the configuration.
+const SERVICES: usize = 3;
+/// Deadline of the routes in the first configuration.
+const DEADLINE_MS: u64 = 4000;
 
-/// Sizes and lengths of a run.
+/// Sizes and durations of a run.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// Real members of the control plane, each a process.
+pub struct RunPlan {
+    /// Number of real members of the control plane, each a process.
     pub members: usize,
-    /// Real agents, each a process, with a hollow proxy's mirror behind it.
+    /// Number of real agents, each a process, with a simulated proxy's mirror behind it.
     pub agents: usize,
-    /// Hollow coordinators.
+    /// Number of simulated coordinators.
     pub coordinators: usize,
-    /// Hollow hosts.
+    /// Number of simulated hosts.
     pub hosts: usize,
-    /// Routes in the configuration.
+    /// Number of routes in the configuration.
     pub routes: usize,
-    /// Zones, in regions of two.
+    /// Number of zones; two make a region.
     pub zones: usize,
     /// Time between a host's heartbeats.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time between changes of the configuration.
-    pub change: Duration,
-    /// Time between hosts that leave and are replaced.
-    pub churn: Duration,
-    /// Time in which the hollow ones start, one after the other.
+    pub change_interval: Duration,
+    /// Time between two hosts that leave and are replaced.
+    pub churn_interval: Duration,
+    /// Time over which the simulated coordinators and hosts start.
     pub ramp: Duration,
-    /// Length of each phase.
+    /// Duration of each phase.
     pub phase: Duration,
-    /// How long a majority of the core is frozen.
+    /// Time for which a majority of the members is frozen.
     pub freeze: Duration,
-    /// Whether hollow coordinators wait for news at all members that they watch, as they once did.
-    pub thrice: bool,
-    /// Folder for disks, settings and logs of the processes.
+    /// Whether coordinators pull from all members that they watch, not from one.
+    pub pull_from_all: bool,
+    /// Folder for the processes' disks, settings and logs.
     pub dir: PathBuf,
-    /// The program that plays members and agents.
+    /// The program that runs members and agents.
     pub program: PathBuf,
-    /// Second part of all addresses, so that runs side by side don't meet.
+    /// Second number of all addresses, so that runs at the same time don't collide.
     pub net: u8,
 }
 
-impl Plan {
+impl RunPlan {
     /// Name of a zone by number.
     pub fn zone(&self, n: usize) -> String {
         format!("z{}", n % self.zones.max(1))
@@ -58,19 +65,19 @@
         format!("r{}", n % self.zones.max(1) / 2)
     }
 
-    /// Where the member with this number is.
+    /// Address of the member with this number.
     pub fn member(&self, n: usize) -> Ipv4Addr {
         Ipv4Addr::new(127, self.net, 1, n as u8 + 1)
     }
 
-    /// Where the real agent with this number is.
+    /// Address of the real agent with this number.
     pub fn agent(&self, n: usize) -> Ipv4Addr {
         Ipv4Addr::new(127, self.net, 2, n as u8 + 1)
     }
 
-    /// Where the member with this number takes calls.
+    /// Address of the member with this number for calls.
     pub fn control(&self, n: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(self.member(n), CONTROL)
+        SocketAddrV4::new(self.member(n), CONTROL_PORT)
     }
 
     fn settings(&self, name: String, n: usize, ip: Ipv4Addr) -> Value {
@@ -82,9 +89,9 @@
             .collect();
         json!({
             "node_name": name, "role": "role", "ip_addr": ip, "zone": self.zone(n), "region": self.region(n),
-            "zones": zones, "port_range": [PORT, PORT + 15], "seed_nodes": seeds, "bootstrap": false,
+            "zones": zones, "port_range": [PORT, PORT + PORT_RANGE], "seed_nodes": seeds, "bootstrap": false,
             "limits": {"fd_limit": 4096, "memory_mb": 256, "cpu_fraction": 1.0, "disk_mb": 128},
-            "beat_period_ms": self.beat.as_millis() as u64,
+            "beat_period_ms": self.heartbeat_interval.as_millis() as u64,
             "fault_budget": {"machine_losses": 1, "zones": 1, "region_losses": 0},
         })
     }
@@ -103,15 +110,17 @@
         self.settings(format!("edge-real-{n}"), n, self.agent(n))
     }
 
-    /// Settings of a hollow coordinator.
+    /// Settings of a simulated coordinator.
     pub fn coordinator_settings(&self, n: usize) -> Value {
         self.settings(format!("edge-{n}"), n, Ipv4Addr::LOCALHOST)
     }
 
     /// The first configuration.
     pub fn configuration(&self) -> Value {
-        let routes: Vec<Value> = (0..self.routes).map(|n| self.route(n, 4000)).collect();
-        let services: Vec<Value> = (0..3)
+        let routes: Vec<Value> = (0..self.routes)
+            .map(|n| self.route(n, DEADLINE_MS))
+            .collect();
+        let services: Vec<Value> = (0..SERVICES)
             .map(|n| {
                 json!({"name": format!("model-{n}"), "health_path": "/health", "conn_limit": 400,
                 "protocol": "h1", "encryption": false})
@@ -120,11 +129,11 @@
         json!({"version": 1, "routes": routes, "services": services, "limits": {}})
     }
 
-    /// A route with a deadline of its own.
+    /// The route with this number, with a deadline of its own.
     pub fn route(&self, n: usize, deadline_ms: u64) -> Value {
         json!({"name": format!("tenant-{n}"), "hostname": format!("t{n}.example"), "path_prefix": "/generate/",
             "route_class": "streaming", "deadline_ms": deadline_ms, "target_ms": 600, "rank": n % 3,
-            "service": format!("model-{}", n % 3), "max_tries": 2, "affine": true, "resumable": true,
+            "service": format!("model-{}", n % SERVICES), "max_tries": 2, "affine": true, "resumable": true,
             "gap_aim_ms": 300})
     }
 }
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,37 +1,39 @@
 //! Figures of a phase, as text and as CSV.
 
-/// The value below which `share` of the values lie; nothing where there are none.
+/// The smallest value that this share of the values doesn't exceed; 0 where there are none.
 pub fn percentile(values: &[f64], share: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
-    let at = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
-    sorted.get(at).copied().unwrap_or_default()
+    let rank = (sorted.len() as f64 * share).ceil() as usize;
+    let index = rank.clamp(1, sorted.len().max(1)) - 1;
+    sorted.get(index).copied().unwrap_or_default()
 }
 
-/// One phase: names and figures in order.
+/// Figures of one phase.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Row {
-    /// Its name.
+pub struct PhaseReport {
+    /// Name of the phase.
     pub phase: String,
-    /// Its figures.
+    /// Names and values of the figures, in order. Names end with the unit.
     pub figures: Vec<(&'static str, f64)>,
 }
 
-impl Row {
-    /// The head of a CSV of such rows.
-    pub fn head(&self) -> String {
-        let names: Vec<&str> = self.figures.iter().map(|f| f.0).collect();
+impl PhaseReport {
+    /// First line of a CSV file of such reports.
+    pub fn csv_header(&self) -> String {
+        let names: Vec<&str> = self.figures.iter().map(|(name, _)| *name).collect();
         format!("phase,{}", names.join(","))
     }
 
-    /// A line of CSV.
-    pub fn line(&self) -> String {
-        let figures: Vec<String> = self.figures.iter().map(|f| format!("{:.3}", f.1)).collect();
-        format!("{},{}", self.phase, figures.join(","))
+    /// The report as a line of a CSV file.
+    pub fn csv_line(&self) -> String {
+        let figures = self.figures.iter().map(|(_, value)| format!("{value:.3}"));
+        format!("{},{}", self.phase, figures.collect::<Vec<_>>().join(","))
     }
 
-    /// A figure by its name.
+    /// Value of a figure; `None` where there is none of this name.
     pub fn get(&self, name: &str) -> Option<f64> {
-        self.figures.iter().find(|f| f.0 == name).map(|f| f.1)
+        let figure = self.figures.iter().find(|(other, _)| *other == name)?;
+        Some(figure.1)
     }
 }
