--- a/crates/fennelpin-cli/tests/command_line.rs
+++ b/crates/fennelpin-cli/tests/command_line.rs
@@ -1,27 +1,11 @@
 //! The binary's command line: exit codes and errors.
 
+mod harness;
+
+use harness::command::{fennelpin_cli, finish, run};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
-use std::process::{Command, Output};
-
-fn fennelpin_cli() -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_fennelpin-cli"));
-    command.env_clear();
-    command
-}
-
-fn run(args: &[&str]) -> Output {
-    fennelpin_cli().args(args).output().unwrap()
-}
-
-fn err(output: &Output) -> String {
-    String::from_utf8(output.stderr.clone()).unwrap()
-}
-
-fn out(output: &Output) -> String {
-    String::from_utf8(output.stdout.clone()).unwrap()
-}
 
 const GOOD: &str = r#"{"version":3,"routes":[{"name":"r","hostname":"h","path_prefix":"/a/","route_class":"pure","deadline_ms":1000,"service":"s"}],"services":[{"name":"s"}]}"#;
 
@@ -35,11 +19,15 @@
 #[case::zsh(&["completion", "zsh"], 0, "fennelpin-cli")]
 #[case::fish(&["completion", "fish"], 0, "fennelpin-cli")]
 #[case::elvish(&["completion", "elvish"], 0, "fennelpin-cli")]
-fn what_is_asked_for_is_printed(#[case] args: &[&str], #[case] code: i32, #[case] text: &str) {
+fn output_when_asked_for_then_printed(
+    #[case] args: &[&str],
+    #[case] code: i32,
+    #[case] text: &str,
+) {
     let done = run(args);
-    assert_eq!(done.status.code(), Some(code), "{}", err(&done));
-    assert!(out(&done).contains(text), "{}", out(&done));
-    assert_eq!(err(&done), "");
+    assert_eq!(done.code, code, "{}", done.stderr);
+    assert!(done.stdout.contains(text), "{}", done.stdout);
+    assert_eq!(done.stderr, "");
 }
 
 #[rstest]
@@ -57,11 +45,11 @@
 #[case::missing_file(&["config", "check", "/nowhere.json"], "/nowhere.json")]
 #[case::missing_operator_file(&["--operator", "/nowhere.toml", "version"], "/nowhere.toml")]
 #[case::rewrite_of_a_running_store(&["store", "rewrite", "/nowhere"], "--stopped")]
-fn wrong_input_ends_with_2(#[case] args: &[&str], #[case] text: &str) {
+fn exit_code_when_input_is_wrong_then_2(#[case] args: &[&str], #[case] text: &str) {
     let done = run(args);
-    assert_eq!(done.status.code(), Some(2), "{}", err(&done));
-    assert!(err(&done).contains(text), "{}", err(&done));
-    assert_eq!(out(&done), "");
+    assert_eq!(done.code, 2, "{}", done.stderr);
+    assert!(done.stderr.contains(text), "{}", done.stderr);
+    assert_eq!(done.stdout, "");
 }
 
 #[rstest]
@@ -69,7 +57,7 @@
 #[case::wrong_type("lease_ms = \"long\"", "\"lease_ms\"")]
 #[case::out_of_bounds("stall_ms = 1", "\"stall_ms\": 1 is not between")]
 #[case::no_toml("lease_ms =", "operator.toml")]
-fn a_bad_operator_file_names_key_and_place(#[case] text: &str, #[case] key: &str) {
+fn operator_file_when_invalid_then_key_and_file_are_named(#[case] text: &str, #[case] key: &str) {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("operator.toml");
     std::fs::write(&file, text).unwrap();
@@ -79,41 +67,41 @@
         vec!["config", "check", "--operator-file", path],
     ] {
         let done = run(&args);
-        assert_eq!(done.status.code(), Some(2));
+        assert_eq!(done.code, 2);
         assert!(
-            err(&done).contains(key) && err(&done).contains("operator.toml"),
+            done.stderr.contains(key) && done.stderr.contains("operator.toml"),
             "{}",
-            err(&done)
+            done.stderr
         );
     }
 }
 
 #[test]
-fn the_environment_goes_over_the_file_and_is_named_where_it_is_wrong() {
+fn environment_when_set_then_goes_over_the_file() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("operator.toml");
     std::fs::write(&file, "lease_ms = 700\ncounters_s = 9\n").unwrap();
     let check = |name: &str, value: &str| {
         let mut command = fennelpin_cli();
-        command
-            .args(["config", "check", "--operator-file"])
-            .arg(&file)
-            .env(name, value)
-            .output()
-            .unwrap()
+        finish(
+            command
+                .args(["config", "check", "--operator-file"])
+                .arg(&file)
+                .env(name, value),
+        )
     };
     let done = check("FENNELPIN_CLI_LEASE_MS", "800");
     assert!(
-        out(&done).contains("lease_ms: 800") && out(&done).contains("counters_s: 9"),
+        done.stdout.contains("lease_ms: 800") && done.stdout.contains("counters_s: 9"),
         "{}",
-        out(&done)
+        done.stdout
     );
     let done = check("FENNELPIN_CLI_LEASE", "800");
-    assert_eq!(done.status.code(), Some(2));
+    assert_eq!(done.code, 2);
     assert!(
-        err(&done).contains("FENNELPIN_CLI_") && err(&done).contains("\"lease\""),
+        done.stderr.contains("FENNELPIN_CLI_") && done.stderr.contains("\"lease\""),
         "{}",
-        err(&done)
+        done.stderr
     );
 }
 
@@ -123,33 +111,37 @@
 #[case::unknown_service(&GOOD.replace("\"service\":\"s\"", "\"service\":\"t\""), 2, "(101): r: t")]
 #[case::no_deadline(&GOOD.replace("1000", "0"), 2, "(104): r")]
 #[case::bad_field(&GOOD.replace("pure", "poor"), 2, "(107)")]
-fn configurations_are_checked(#[case] text: &str, #[case] code: i32, #[case] says: &str) {
+fn configuration_when_checked_then_errors_are_named(
+    #[case] text: &str,
+    #[case] code: i32,
+    #[case] says: &str,
+) {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("c.json");
     std::fs::write(&file, text).unwrap();
     let done = run(&["config", "check", file.to_str().unwrap()]);
-    assert_eq!(done.status.code(), Some(code));
+    assert_eq!(done.code, code);
     assert!(
-        (out(&done) + &err(&done)).contains(says),
+        (done.stdout.clone() + &done.stderr).contains(says),
         "{}{}",
-        out(&done),
-        err(&done)
+        done.stdout,
+        done.stderr
     );
 }
 
 #[test]
-fn a_port_where_nobody_listens_ends_with_1() {
+fn exit_code_when_nobody_listens_then_1() {
     let free = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
         .to_string();
     let done = run(&["status", "--control", &free]);
-    assert_eq!(done.status.code(), Some(1));
-    assert!(err(&done).contains(&free), "{}", err(&done));
+    assert_eq!(done.code, 1);
+    assert!(done.stderr.contains(&free), "{}", done.stderr);
 }
 
-/// Answers all calls with one text until its last caller has gone.
+/// A member that answers one call after the other with these texts.
 fn scripted(answers: Vec<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -185,7 +177,7 @@
 }
 
 #[test]
-fn a_refusal_ends_with_3_and_tells_the_code() {
+fn exit_code_when_rejected_then_3() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("c.json");
     std::fs::write(&file, GOOD).unwrap();
@@ -202,8 +194,8 @@
         &member.to_string(),
         file.to_str().unwrap(),
     ]);
-    assert_eq!(done.status.code(), Some(3));
-    let text = err(&done);
+    assert_eq!(done.code, 3);
+    let text = &done.stderr;
     assert!(
         text.contains("code 120") && text.contains("another version is in force (version 9)"),
         "{text}"
@@ -211,7 +203,7 @@
 }
 
 #[test]
-fn a_503_is_asked_again_and_an_unclear_end_says_so() {
+fn call_when_answered_503_then_repeated_until_the_time_out() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("c.json");
     std::fs::write(&file, GOOD).unwrap();
@@ -228,8 +220,8 @@
         answer("200 OK", "{}"),
     ]);
     let done = run(&["config", "apply", "--control", &member.to_string(), path]);
-    assert_eq!((done.status.code(), err(&done).as_str()), (Some(0), ""));
-    assert!(out(&done).contains("on version 2"), "{}", out(&done));
+    assert_eq!((done.code, done.stderr.as_str()), (0, ""));
+    assert!(done.stdout.contains("on version 2"), "{}", done.stdout);
 
     let member = scripted(vec![old, busy]);
     let done = run(&[
@@ -241,16 +233,16 @@
         &member.to_string(),
         path,
     ]);
-    assert_eq!(done.status.code(), Some(1));
+    assert_eq!(done.code, 1);
     assert!(
-        err(&done).contains("no clear answer (code 200"),
+        done.stderr.contains("no clear answer (code 200"),
         "{}",
-        err(&done)
+        done.stderr
     );
 }
 
 #[test]
-fn logs_are_json_where_that_is_wanted() {
+fn log_format_when_json_then_each_line_is_an_object() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("boot.json");
     // An address of this test's own, where nobody else takes the ports in between.
@@ -298,7 +290,7 @@
 }
 
 #[test]
-fn a_programs_failure_is_in_its_log() {
+fn error_when_a_program_fails_then_logged() {
     let done = run(&[
         "--log-format",
         "json",
@@ -306,8 +298,8 @@
         "--settings",
         "/nowhere.json",
     ]);
-    assert_eq!(done.status.code(), Some(2));
-    let line: serde_json::Value = serde_json::from_str(err(&done).trim()).unwrap();
+    assert_eq!(done.code, 2);
+    let line: serde_json::Value = serde_json::from_str(done.stderr.trim()).unwrap();
     assert_eq!(line["level"], "ERROR");
     assert!(
         line["message"].as_str().unwrap().contains("/nowhere.json"),
--- a/crates/fennelpin-cli/tests/bad_days/restarts.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/agent_and_proxy_restarts.rs
@@ -1,11 +1,13 @@
 //! Agents and proxies that are started again while requests are under way: none is lost or sent twice, and the newest
 //! configuration is in force afterwards.
 
-use crate::callers::{until_clear, Order};
-use crate::hosts::{self, Text, Turn};
-use crate::stage::{until, Stage};
+use crate::harness::callers::{call_until_conclusive, ChangeRequest};
+use crate::harness::cluster::TestCluster;
+use crate::harness::faulty_hosts::{self, HostBehaviour, HttpMessage};
+use crate::harness::wait_until;
 use fennelpin_cli::local::cluster::Program;
 use rustix::process::Signal;
+use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Instant;
@@ -14,10 +16,10 @@
 /// Clients at once, over both proxies.
 const CLIENTS: usize = 4;
 /// Answers that come between two events.
-const SOME: usize = 200;
+const CHANGES: usize = 200;
 
 /// A configuration that keeps the routes and tells its version by one more.
-fn configuration(version: u64) -> Order {
+fn configuration(version: u64) -> ChangeRequest {
     let route = |name: &str, path: &str, kind: &str| {
         format!(
             r#"{{"name":"{name}","hostname":"h.example","path_prefix":"/{path}/","route_class":"{kind}","deadline_ms":5000,"service":"s","max_tries":2}}"#
@@ -32,7 +34,7 @@
         r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s","health_path":"/health","conn_limit":64}}]}}"#,
         routes.join(",")
     );
-    Order {
+    ChangeRequest {
         base: version - 1,
         version,
         body,
@@ -41,7 +43,7 @@
 
 /// What became of a client's tries.
 #[derive(Debug, Default)]
-struct Tally {
+struct ClientResult {
     served: usize,
     /// Refused with the promise that they haven't run.
     refused: Vec<String>,
@@ -62,15 +64,15 @@
     /// Waits until so many more requests are served.
     fn flows(&self) {
         let before = self.served.load(Ordering::Relaxed);
-        until("requests are served", || {
-            (self.served.load(Ordering::Relaxed) >= before + SOME).then_some(())
+        wait_until("requests are served", || {
+            (self.served.load(Ordering::Relaxed) >= before + CHANGES).then_some(())
         });
     }
 
     /// One client, over connections that are kept.
-    fn client(&self, front: SocketAddrV4, number: usize) -> Tally {
+    fn client(&self, front: SocketAddrV4, number: usize) -> ClientResult {
         let route = if number % 3 == 2 { "pure" } else { "once" };
-        let mut tally = Tally::default();
+        let mut result = ClientResult::default();
         let mut kept = None;
         for n in 0.. {
             if self.stop.load(Ordering::Relaxed) {
@@ -78,23 +80,27 @@
             }
             let body = format!("{route}-{number}-{n}");
             // A proxy that is about to start is waited for.
-            let (mut stream, mut buffer) = kept
-                .take()
-                .unwrap_or_else(|| (until("a proxy", || hosts::connect(front)), Vec::new()));
-            let sent = hosts::send(&mut stream, route, &body);
-            let Some(answer) = sent.and_then(|()| Text::read(&mut stream, &mut buffer)) else {
-                tally.unanswered.push(body);
+            let (mut stream, mut buffer) = kept.take().unwrap_or_else(|| {
+                (
+                    wait_until("a proxy", || faulty_hosts::connect(front)),
+                    Vec::new(),
+                )
+            });
+            let sent = faulty_hosts::send(&mut stream, route, &body);
+            let Some(answer) = sent.and_then(|()| HttpMessage::read(&mut stream, &mut buffer))
+            else {
+                result.unanswered.push(body);
                 self.troubled.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             match answer.status() {
                 200 => {
                     assert_eq!(answer.body, body, "another caller's answer: {answer:?}");
-                    tally.served += 1;
+                    result.served += 1;
                     self.served.fetch_add(1, Ordering::Relaxed);
                 }
                 503 => {
-                    tally.refused.push(body);
+                    result.refused.push(body);
                     self.troubled.fetch_add(1, Ordering::Relaxed);
                 }
                 _ => panic!("neither an answer nor a promise: {answer:?}"),
@@ -103,7 +109,7 @@
                 kept = Some((stream, buffer));
             }
         }
-        tally
+        result
     }
 }
 
@@ -134,7 +140,7 @@
         },
     ];
 
-    fn run(self, stage: &mut Stage, edge: u8) {
+    fn run(self, cluster: &mut TestCluster, edge: u8) {
         println!("{self:?} at edge-{edge}");
         let name = |p: &Program| {
             format!(
@@ -147,37 +153,50 @@
             )
         };
         for program in self.programs {
-            stage.signal_program(&name(program), self.signal);
+            cluster.signal_program(&name(program), self.signal);
         }
         for program in self.programs {
-            stage.await_end(&name(program));
-            stage.fleet.start(*program, edge, false).unwrap();
+            cluster.await_end(&name(program));
+            cluster.processes.start(*program, edge, false).unwrap();
         }
     }
 }
 
-#[test]
-fn agents_and_proxies_that_are_started_again_lose_no_request_and_send_none_twice() {
-    let mut stage = Stage::new(3, 2);
-    let fronts = stage.fleet.plan().fronts();
-    let mut controls: Vec<SocketAddr> = ALL.iter().map(|n| stage.control(*n)).collect();
-    let mut version = 1;
-    let mut order = |version: u64| {
-        let answer = until_clear(&mut controls, &configuration(version).call());
+/// Sends configurations one after the other.
+struct Configurator {
+    controls: Vec<SocketAddr>,
+    version: u64,
+}
+
+impl Configurator {
+    fn apply_next(&mut self) {
+        self.version += 1;
+        let change = configuration(self.version);
+        let answer = call_until_conclusive(&mut self.controls, &change.call());
         assert_eq!(answer.status, 200, "{:?}", answer.result());
+    }
+}
+
+#[test]
+fn requests_when_agents_and_proxies_restart_then_none_is_lost_or_sent_twice() {
+    let mut cluster = TestCluster::new(3, 2);
+    let fronts = cluster.processes.plan().fronts();
+    let controls: Vec<SocketAddr> = ALL.iter().map(|n| cluster.control(*n)).collect();
+    let mut configurator = Configurator {
+        controls: controls.clone(),
+        version: 0,
     };
-    order(version);
-    let addrs: Vec<SocketAddrV4> = (1..=4).map(|n| stage.fleet.plan().host(n)).collect();
-    let beats: Vec<SocketAddr> = ALL.iter().map(|n| stage.control(*n)).collect();
-    let hosts = hosts::start(&addrs, &beats, &[Turn::Answer]);
+    configurator.apply_next();
+    let addrs: Vec<SocketAddrV4> = (1..=4).map(|n| cluster.processes.plan().host(n)).collect();
+    let hosts = faulty_hosts::start(&addrs, &controls, &[HostBehaviour::Answer]);
     for front in &fronts {
-        until("the proxy knows the hosts", || {
-            hosts::served(*front).then_some(())
+        wait_until("the proxy knows the hosts", || {
+            faulty_hosts::served(*front).then_some(())
         });
     }
 
     let traffic = Traffic::default();
-    let tallies: Vec<Tally> = std::thread::scope(|scope| {
+    let results: Vec<ClientResult> = std::thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
             .map(|n| {
                 let (front, traffic) = (fronts[n % fronts.len()], &traffic);
@@ -185,53 +204,66 @@
             })
             .collect();
         for (n, restart) in Restart::ALL.into_iter().enumerate() {
-            traffic.flows();
             let edge = 1 + (n % 2) as u8;
-            let start = Instant::now();
-            let before = traffic.troubled.load(Ordering::Relaxed);
-            restart.run(&mut stage, edge);
-            // While it starts the configuration changes.
-            version += 1;
-            order(version);
-            for edge in [1, 2] {
-                until("the newest is in force", || {
-                    (stage.in_force(edge).last() == Some(&version)).then_some(())
-                });
-            }
-            println!("in force at both proxies after {:?}", start.elapsed());
-            traffic.flows();
-            let troubled = traffic.troubled.load(Ordering::Relaxed);
-            let takes_requests = restart.programs.contains(&Program::Proxy);
-            assert!(
-                takes_requests || troubled == before,
-                "an agent's end costs no request: {troubled} have trouble"
-            );
+            restart_under_traffic(&mut cluster, restart, edge, &traffic, &mut configurator);
         }
         traffic.stop.store(true, Ordering::Relaxed);
         clients.into_iter().map(|c| c.join().unwrap()).collect()
     });
+    assert_none_lost_or_sent_twice(&results, &hosts.received.lock().unwrap());
+}
+
+/// Restarts programs of a machine while requests and a change of the configuration are under way.
+fn restart_under_traffic(
+    cluster: &mut TestCluster,
+    restart: Restart,
+    edge: u8,
+    traffic: &Traffic,
+    configurator: &mut Configurator,
+) {
+    traffic.flows();
+    let start = Instant::now();
+    let before = traffic.troubled.load(Ordering::Relaxed);
+    restart.run(cluster, edge);
+    // The configuration changes while the programs start.
+    configurator.apply_next();
+    let version = configurator.version;
+    for edge in [1, 2] {
+        wait_until("the newest is in force", || {
+            (cluster.versions_in_force(edge).last() == Some(&version)).then_some(())
+        });
+    }
+    println!("in force at both proxies after {:?}", start.elapsed());
+    traffic.flows();
+    let troubled = traffic.troubled.load(Ordering::Relaxed);
+    let takes_requests = restart.programs.contains(&Program::Proxy);
+    assert!(
+        takes_requests || troubled == before,
+        "an agent's end costs no request: {troubled} have trouble"
+    );
+}
 
-    let heard = hosts.heard.lock().unwrap();
-    for (body, times) in heard.iter().filter(|h| h.0.starts_with("once")) {
+fn assert_none_lost_or_sent_twice(results: &[ClientResult], received: &BTreeMap<String, usize>) {
+    for (body, times) in received.iter().filter(|h| h.0.starts_with("once")) {
         assert_eq!(*times, 1, "{body} was sent {times} times");
     }
-    let sum = |of: fn(&Tally) -> usize| tallies.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&ClientResult) -> usize| results.iter().map(of).sum::<usize>();
     println!(
         "{} served, {} refused, {} unread",
         sum(|t| t.served),
         sum(|t| t.refused.len()),
         sum(|t| t.unanswered.len())
     );
-    for tally in &tallies {
-        for body in &tally.refused {
+    for result in results {
+        for body in &result.refused {
             assert!(
-                !heard.contains_key(body),
+                !received.contains_key(body),
                 "refused, though a host has run it: {body}"
             );
         }
-        for body in &tally.unanswered {
+        for body in &result.unanswered {
             assert!(
-                !heard.contains_key(body),
+                !received.contains_key(body),
                 "lost, though a host has run it: {body}"
             );
         }
--- a/crates/fennelpin-cli/tests/bad_days/wrong_caller.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/answer_routing.rs
@@ -1,8 +1,11 @@
 //! Each answer goes to its caller, and what may not run twice is sent once, whatever the hosts do.
 
-use crate::callers::{configuration, text_of, until_clear, Order, READ};
-use crate::hosts::{self, Text};
-use crate::stage::{until, Stage};
+use crate::harness::callers::{
+    call_until_conclusive, configuration, request_bytes, ChangeRequest, READ,
+};
+use crate::harness::cluster::TestCluster;
+use crate::harness::faulty_hosts::{self, HttpMessage};
+use crate::harness::wait_until;
 use fennelpin_cli::control_client::ControlCall;
 use std::io::Write;
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
@@ -33,67 +36,67 @@
 
 /// What a client made of its requests.
 #[derive(Debug, Default)]
-struct Tally {
+struct ClientResult {
     served: usize,
     failed: usize,
     broken_off: usize,
 }
 
 /// Sends one request after the other over connections that are kept, and checks each answer.
-fn client(front: SocketAddrV4, route: &str, number: usize) -> Tally {
-    let mut tally = Tally::default();
+fn client(front: SocketAddrV4, route: &str, number: usize) -> ClientResult {
+    let mut result = ClientResult::default();
     let mut kept: Option<(TcpStream, Vec<u8>)> = None;
     for n in 0..REQUESTS {
         let body = format!("{route}-{number}-{n}");
         let (mut stream, mut buffer) = kept
             .take()
-            .unwrap_or_else(|| (hosts::connect(front).unwrap(), Vec::new()));
-        hosts::send(&mut stream, route, &body).unwrap();
-        let Some(answer) = Text::read(&mut stream, &mut buffer) else {
-            tally.broken_off += 1;
+            .unwrap_or_else(|| (faulty_hosts::connect(front).unwrap(), Vec::new()));
+        faulty_hosts::send(&mut stream, route, &body).unwrap();
+        let Some(answer) = HttpMessage::read(&mut stream, &mut buffer) else {
+            result.broken_off += 1;
             continue;
         };
         if answer.status() == 200 {
             assert_eq!(answer.body, body, "another caller's answer: {answer:?}");
-            tally.served += 1;
+            result.served += 1;
         } else {
             assert!(answer.status() >= 500, "{answer:?}");
-            tally.failed += 1;
+            result.failed += 1;
         }
         assert_eq!(
             answer.field("fennelpin-attempt-id"),
-            Some(hosts::attempt_id(&body).as_str()),
+            Some(faulty_hosts::attempt_id(&body).as_str()),
             "{answer:?}"
         );
         if answer.field("connection") != Some("close") {
             kept = Some((stream, buffer));
         }
     }
-    tally
+    result
 }
 
 #[test]
-fn hosts_that_reset_fall_silent_and_say_too_much_get_nothing_twice_and_mix_nothing_up() {
-    let stage = Stage::new(3, 2);
-    let plan = stage.fleet.plan();
-    let mut controls: Vec<SocketAddr> = ALL.iter().map(|n| stage.control(*n)).collect();
+fn answers_when_hosts_fail_in_all_ways_then_each_goes_to_its_caller() {
+    let cluster = TestCluster::new(3, 2);
+    let plan = cluster.processes.plan();
+    let mut controls: Vec<SocketAddr> = ALL.iter().map(|n| cluster.control(*n)).collect();
     let body = routes();
     let first = ControlCall {
         name: "Configuration.Replace",
         base_version: Some(0),
         body: Some(body.as_bytes()),
     };
-    assert_eq!(until_clear(&mut controls, &first).status, 200);
+    assert_eq!(call_until_conclusive(&mut controls, &first).status, 200);
     let addrs: Vec<SocketAddrV4> = (1..=4).map(|n| plan.host(n)).collect();
-    let hosts = hosts::start(&addrs, &controls, hosts::ALL_TURNS);
+    let hosts = faulty_hosts::start(&addrs, &controls, faulty_hosts::ALL_BEHAVIOURS);
     let fronts = plan.fronts();
     for front in &fronts {
-        until("the proxy knows the hosts", || {
-            hosts::served(*front).then_some(())
+        wait_until("the proxy knows the hosts", || {
+            faulty_hosts::served(*front).then_some(())
         });
     }
 
-    let tallies: Vec<(&str, Tally)> = std::thread::scope(|scope| {
+    let results: Vec<(&str, ClientResult)> = std::thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
             .map(|n| {
                 let route = if n % 3 == 2 { "pure" } else { "once" };
@@ -106,9 +109,9 @@
             .map(|(route, c)| (route, c.join().unwrap()))
             .collect()
     });
-    println!("{tallies:?}");
-    let heard = hosts.heard.lock().unwrap();
-    for (body, times) in heard.iter() {
+    println!("{results:?}");
+    let received = hosts.received.lock().unwrap();
+    for (body, times) in received.iter() {
         let most = if body.starts_with("once") {
             1
         } else {
@@ -116,7 +119,7 @@
         };
         assert!(*times <= most, "{body} was sent {times} times");
     }
-    let once = tallies.iter().filter(|t| t.0 == "once").map(|t| &t.1);
+    let once = results.iter().filter(|t| t.0 == "once").map(|t| &t.1);
     let (served, all) = once.fold((0, 0), |(s, a), t| {
         (s + t.served, a + t.served + t.failed + t.broken_off)
     });
@@ -129,15 +132,15 @@
 
 /// Calls that come in one piece on one connection are answered one by one, in their order.
 #[test]
-fn pipelined_calls_of_the_control_api_get_their_own_answers() {
-    let stage = Stage::new(3, 0);
-    let mut operator = stage.operator(&ALL);
+fn calls_when_pipelined_then_answered_in_order() {
+    let cluster = TestCluster::new(3, 0);
+    let mut operator = cluster.operator(&ALL);
     operator.order();
-    stage.settled(&ALL);
+    cluster.wait_until_stable(&ALL);
     for n in ALL {
         let base = operator.newest();
-        let next = Order::new(base, base + 1, "v");
-        let beside = Order {
+        let next = ChangeRequest::new(base, base + 1, "v");
+        let beside = ChangeRequest {
             body: configuration(base + 1, "beside"),
             ..next.clone()
         };
@@ -161,14 +164,14 @@
         }
         calls.push(ask("no-such-call"));
 
-        let mut stream = TcpStream::connect(stage.control(n)).unwrap();
+        let mut stream = TcpStream::connect(cluster.control(n)).unwrap();
         stream.set_read_timeout(Some(WAIT)).unwrap();
-        let text: Vec<u8> = calls.iter().flat_map(|c| text_of(c, false)).collect();
+        let text: Vec<u8> = calls.iter().flat_map(|c| request_bytes(c, false)).collect();
         stream.write_all(&text).unwrap();
         let (mut buffer, mut current) = (Vec::new(), base);
         for call in &calls {
-            let answer =
-                Text::read(&mut stream, &mut buffer).unwrap_or_else(|| panic!("none to {call:?}"));
+            let answer = HttpMessage::read(&mut stream, &mut buffer)
+                .unwrap_or_else(|| panic!("none to {call:?}"));
             let expected = match call.name {
                 "Configuration.Read" => (200, configuration(current, "v")),
                 "Configuration.Replace" if call.body == Some(next.body.as_bytes()) => {
--- a/crates/fennelpin-cli/tests/bad_days/many_changes.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/catch_up.rs
@@ -1,7 +1,8 @@
 //! Hundreds of changes while a member is away: it catches up once it is back, and leads with the newest state.
 
-use crate::callers::{Operator, Order};
-use crate::stage::{until, Stage};
+use crate::harness::callers::{ChangeRequest, TestOperator};
+use crate::harness::cluster::TestCluster;
+use crate::harness::wait_until;
 
 const ALL: [u8; 3] = [1, 2, 3];
 /// Changes that it misses.
@@ -12,7 +13,7 @@
 const TAKEOVERS: usize = 6;
 
 /// A configuration of some KiB, of which little is the same in the next version.
-fn large(base: u64, version: u64) -> Order {
+fn large(base: u64, version: u64) -> ChangeRequest {
     let route = |n: usize| {
         format!(
             r#"{{"name":"r{n}","hostname":"h.example","path_prefix":"/v{version}/{n}/","route_class":"pure","deadline_ms":1000,"service":"s"}}"#
@@ -22,60 +23,62 @@
     let routes = routes.join(",");
     let body =
         format!(r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}}]}}"#);
-    Order {
+    ChangeRequest {
         base,
         version,
         body,
     }
 }
 
-fn order(operator: &mut Operator) {
+fn order(operator: &mut TestOperator) {
     let base = operator.newest();
     operator.send(large(base, base + 1));
 }
 
 #[test]
-fn a_member_that_missed_five_hundred_changes_catches_up_and_leads_with_the_newest() {
-    let mut stage = Stage::new(3, 0);
-    let mut operator = stage.operator(&ALL);
+fn member_when_it_missed_many_changes_then_catches_up_and_leads() {
+    let mut cluster = TestCluster::new(3, 0);
+    let mut operator = cluster.operator(&ALL);
     (0..5).for_each(|_| order(&mut operator));
-    let primary = stage.settled(&ALL);
-    let away = stage.backups(&ALL, primary)[0];
-    stage.kill(away);
+    let primary = cluster.wait_until_stable(&ALL);
+    let away = cluster.backups(&ALL, primary)[0];
+    cluster.kill(away);
     (0..MISSED).for_each(|_| order(&mut operator));
     assert!(operator.count() > MISSED);
 
-    stage.start(away);
+    cluster.start(away);
     // Killed once more while it catches up.
-    until("it answers", || {
-        stage.status(away).filter(|s| s["opening"] == false)
+    wait_until("it answers", || {
+        cluster.status(away).filter(|s| s["opening"] == false)
     });
-    stage.kill(away);
+    cluster.kill(away);
     order(&mut operator);
-    stage.start(away);
+    cluster.start(away);
     let newest = operator.newest();
     let caught_up = |s: &serde_json::Value| s["ledger"]["version"] == newest;
-    until("it has caught up", || stage.status(away).filter(caught_up));
-    stage.settled(&ALL);
+    wait_until("it has caught up", || {
+        cluster.status(away).filter(caught_up)
+    });
+    cluster.wait_until_stable(&ALL);
 
     // The others' primaries go until it leads.
     for _ in 0..TAKEOVERS {
-        let primary = stage.settled(&ALL);
+        let primary = cluster.wait_until_stable(&ALL);
         if primary == away {
             break;
         }
         order(&mut operator);
-        stage.kill(primary);
-        until("another acts", || {
-            stage.acting(&ALL).filter(|n| *n != primary)
+        cluster.kill(primary);
+        wait_until("another acts", || {
+            cluster.primary(&ALL).filter(|n| *n != primary)
         });
-        operator.read_back(stage.control(away));
+        operator.assert_reads_back(cluster.control(away));
         order(&mut operator);
-        stage.start(primary);
+        cluster.start(primary);
     }
-    assert_eq!(stage.settled(&ALL), away, "it never leads");
-    operator.read_back(stage.control(away));
+    assert_eq!(cluster.wait_until_stable(&ALL), away, "it never leads");
+    operator.assert_reads_back(cluster.control(away));
     order(&mut operator);
     ALL.iter()
-        .for_each(|n| operator.read_back(stage.control(*n)));
+        .for_each(|n| operator.assert_reads_back(cluster.control(*n)));
 }
--- a/crates/fennelpin-cli/tests/bad_days/two_operators.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/concurrent_operators.rs
@@ -1,8 +1,10 @@
 //! Two operators under one number, whose answers get lost, across kills of the primary: one is confirmed, and what
 //! was taken is never refused.
 
-use crate::callers::{hang_up, until_clear, Order, READ, SECOND};
-use crate::stage::{until, Stage};
+use crate::harness::callers::{call_and_hang_up, call_until_conclusive, ChangeRequest, READ};
+use crate::harness::cluster::TestCluster;
+use crate::harness::wait_until;
+use crate::harness::CALL_TIMEOUT;
 use fennelpin_cli::control_client::{call_member, ControlAnswer};
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
@@ -15,33 +17,36 @@
 const SAME_EVERY: u64 = 3;
 
 /// The members in the order in which an operator asks them.
-fn from(stage: &Stage, first: u64) -> Vec<SocketAddr> {
-    let mut members: Vec<SocketAddr> = ALL.iter().map(|n| stage.control(*n)).collect();
+fn from(cluster: &TestCluster, first: u64) -> Vec<SocketAddr> {
+    let mut members: Vec<SocketAddr> = ALL.iter().map(|n| cluster.control(*n)).collect();
     members.rotate_left(first as usize % ALL.len());
     members
 }
 
 #[test]
-fn of_two_orders_under_one_number_one_is_confirmed_and_what_is_taken_is_never_refused() {
-    let mut stage = Stage::new(3, 0);
-    let first = Order::new(0, 1, "first");
-    assert_eq!(until_clear(&mut from(&stage, 0), &first.call()).status, 200);
-    let mut taken = vec![first];
+fn changes_when_two_have_one_version_then_one_is_confirmed() {
+    let mut cluster = TestCluster::new(3, 0);
+    let first = ChangeRequest::new(0, 1, "first");
+    assert_eq!(
+        call_until_conclusive(&mut from(&cluster, 0), &first.call()).status,
+        200
+    );
+    let mut acknowledged = vec![first];
 
     for round in 0..ROUNDS {
-        let base = taken.last().unwrap().version;
+        let base = acknowledged.last().unwrap().version;
         let orders = match round % SAME_EVERY {
             0 => [
-                Order::new(base, base + 1, "both"),
-                Order::new(base, base + 1, "both"),
+                ChangeRequest::new(base, base + 1, "both"),
+                ChangeRequest::new(base, base + 1, "both"),
             ],
             _ => [
-                Order::new(base, base + 1, "a"),
-                Order::new(base, base + 1, "b"),
+                ChangeRequest::new(base, base + 1, "a"),
+                ChangeRequest::new(base, base + 1, "b"),
             ],
         };
         let kills = round % KILL_EVERY == KILL_EVERY - 1;
-        let primary = kills.then(|| until("somebody acts", || stage.acting(&ALL)));
+        let primary = kills.then(|| wait_until("somebody acts", || cluster.primary(&ALL)));
         let (sent, lost) = channel();
         let answers: Vec<ControlAnswer> = std::thread::scope(|scope| {
             let operators: Vec<_> = (0..2u64)
@@ -49,13 +54,13 @@
                     let (sent, order) = (sent.clone(), &orders[k as usize]);
                     // The primary among those that are asked first, in the rounds in which it is killed.
                     let start = primary.map_or(round + k, |p| u64::from(p) - 1 + k);
-                    let mut members = from(&stage, start);
+                    let mut members = from(&cluster, start);
                     scope.spawn(move || {
                         // The answer is lost; sent again, unchanged, elsewhere.
-                        hang_up(members[0], &order.call());
+                        call_and_hang_up(members[0], &order.call());
                         sent.send(()).unwrap();
                         members.rotate_left(1);
-                        until_clear(&mut members, &order.call())
+                        call_until_conclusive(&mut members, &order.call())
                     })
                 })
                 .collect();
@@ -65,54 +70,57 @@
         });
         if let Some(primary) = primary {
             // And those of the round itself: killed, and started again.
-            stage.kill(primary);
-            stage.start(primary);
+            cluster.kill(primary);
+            cluster.start(primary);
         }
-        judge(&stage, round, &orders, &answers, &mut taken);
+        check(&cluster, round, &orders, &answers, &mut acknowledged);
     }
-    println!("{} orders confirmed in {ROUNDS} rounds", taken.len());
+    println!("{} orders confirmed in {ROUNDS} rounds", acknowledged.len());
 }
 
 #[test]
-fn a_primary_killed_while_two_operators_wait_confirms_one_and_refuses_nothing_taken() {
-    let mut stage = Stage::new(3, 0);
-    let first = Order::new(0, 1, "first");
-    assert_eq!(until_clear(&mut from(&stage, 0), &first.call()).status, 200);
-    let mut taken = vec![first];
+fn changes_when_primary_is_killed_then_one_is_confirmed() {
+    let mut cluster = TestCluster::new(3, 0);
+    let first = ChangeRequest::new(0, 1, "first");
+    assert_eq!(
+        call_until_conclusive(&mut from(&cluster, 0), &first.call()).status,
+        200
+    );
+    let mut acknowledged = vec![first];
     for round in 1..=6 {
-        let primary = stage.settled(&ALL);
-        let base = taken.last().unwrap().version;
+        let primary = cluster.wait_until_stable(&ALL);
+        let base = acknowledged.last().unwrap().version;
         let orders = [
-            Order::new(base, base + 1, "a"),
-            Order::new(base, base + 1, "b"),
+            ChangeRequest::new(base, base + 1, "a"),
+            ChangeRequest::new(base, base + 1, "b"),
         ];
         // Each is at the primary, and under way, when it dies: nobody reads what it says.
         orders
             .iter()
-            .for_each(|order| hang_up(stage.control(primary), &order.call()));
-        stage.kill(primary);
+            .for_each(|order| call_and_hang_up(cluster.control(primary), &order.call()));
+        cluster.kill(primary);
         let answers: Vec<ControlAnswer> = std::thread::scope(|scope| {
             let ask = |k: usize| {
                 let (mut members, order) =
-                    (from(&stage, u64::from(primary) + k as u64), &orders[k]);
-                scope.spawn(move || until_clear(&mut members, &order.call()))
+                    (from(&cluster, u64::from(primary) + k as u64), &orders[k]);
+                scope.spawn(move || call_until_conclusive(&mut members, &order.call()))
             };
             let asked = [ask(0), ask(1)];
             asked.into_iter().map(|a| a.join().unwrap()).collect()
         });
-        stage.start(primary);
-        judge(&stage, round, &orders, &answers, &mut taken);
+        cluster.start(primary);
+        check(&cluster, round, &orders, &answers, &mut acknowledged);
     }
 }
 
 /// One of two different orders is confirmed, both where they are the same; the winner is confirmed by every member
 /// again, the other refused; an older one isn't refused either.
-fn judge(
-    stage: &Stage,
+fn check(
+    cluster: &TestCluster,
     round: u64,
-    orders: &[Order; 2],
+    orders: &[ChangeRequest; 2],
     answers: &[ControlAnswer],
-    taken: &mut Vec<Order>,
+    acknowledged: &mut Vec<ChangeRequest>,
 ) {
     let statuses: Vec<u16> = answers.iter().map(|a| a.status).collect();
     let same = orders[0] == orders[1];
@@ -122,29 +130,34 @@
     assert_eq!(sorted, expected, "round {round}: {answers:?}");
     let winner = statuses.iter().position(|s| *s == 200).unwrap();
     for n in ALL {
-        let again = until_clear(&mut [stage.control(n)], &orders[winner].call());
+        let again = call_until_conclusive(&mut [cluster.control(n)], &orders[winner].call());
         assert_eq!(
             again.status, 200,
             "round {round}: taken, and refused at core-{n}: {again:?}"
         );
         if !same {
-            let other = until_clear(&mut [stage.control(n)], &orders[1 - winner].call());
+            let other =
+                call_until_conclusive(&mut [cluster.control(n)], &orders[1 - winner].call());
             assert_eq!(
                 other.status, 412,
                 "round {round}: both confirmed at core-{n}: {other:?}"
             );
         }
-        let read = until_clear(&mut [stage.control(n)], &READ);
+        let read = call_until_conclusive(&mut [cluster.control(n)], &READ);
         assert_eq!(
             String::from_utf8(read.body).unwrap(),
             orders[winner].body,
             "round {round} at core-{n}"
         );
     }
-    taken.push(orders[winner].clone());
+    acknowledged.push(orders[winner].clone());
     // Sent again after others were taken: confirmed, or left unclear.
-    let older = &taken[taken.len() / 2];
-    if let Ok(answer) = call_member(stage.control(1 + (round % 3) as u8), &older.call(), SECOND) {
+    let older = &acknowledged[acknowledged.len() / 2];
+    if let Ok(answer) = call_member(
+        cluster.control(1 + (round % 3) as u8),
+        &older.call(),
+        CALL_TIMEOUT,
+    ) {
         assert!(
             answer.status == 200 || answer.status >= 500,
             "round {round}: {older:?} refused: {answer:?}"
--- a/crates/fennelpin-cli/tests/bad_days/cut_off.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/frozen_member.rs
@@ -1,8 +1,12 @@
 //! A member that stood still for twenty seconds: it neither hands out its old configuration as the current one nor
 //! judges orders by it.
 
-use crate::callers::{configuration, until_clear, version_of, Operator, Order, Waiting, READ};
-use crate::stage::{until, Stage};
+use crate::harness::callers::{
+    call_until_conclusive, configuration, configuration_version, ChangeRequest, PendingCall,
+    TestOperator, READ,
+};
+use crate::harness::cluster::TestCluster;
+use crate::harness::wait_until;
 use fennelpin_cli::local::cluster::Program;
 use protocol::{Message, Subscriber};
 use replication::{FrameReader, Pull, Update, STALE_AGE_MS};
@@ -23,8 +27,8 @@
 }
 
 impl WaitingPull {
-    fn at(inner: SocketAddr) -> Self {
-        let mut stream = TcpStream::connect(inner).unwrap();
+    fn at(message_address: SocketAddr) -> Self {
+        let mut stream = TcpStream::connect(message_address).unwrap();
         let caller = Subscriber {
             name: "edge-9".into(),
             ..Subscriber::default()
@@ -61,7 +65,7 @@
 
 /// Who says that nothing acknowledged before a moment is missing has all that was acknowledged before it: the first
 /// version that it hasn't was acknowledged later.
-fn true_age(operator: &Operator, version: u64, age_ms: u32, woken: Instant) {
+fn true_age(operator: &TestOperator, version: u64, age_ms: u32, woken: Instant) {
     let Some(acknowledged) = operator.acknowledged(version + 1) else {
         return;
     };
@@ -73,17 +77,57 @@
 }
 
 #[test]
-fn a_primary_that_stood_still_for_twenty_seconds_serves_and_judges_nothing_by_its_old_state() {
-    let mut stage = Stage::as_in_service(3, 1);
-    let mut operator = stage.operator(&ALL);
+fn primary_when_thawed_then_answers_nothing_by_its_old_state() {
+    let mut cluster = TestCluster::with_default_settings(3, 1);
+    let mut operator = cluster.operator(&ALL);
     (0..20).for_each(|_| operator.order());
-    let old = stage.settled(&ALL);
+    let old = cluster.wait_until_stable(&ALL);
     let known = operator.newest();
-    until("the first proxy has it", || {
-        stage.in_force(1).last().filter(|v| **v >= known).copied()
+    wait_until("the first proxy has it", || {
+        versions_since(&cluster, 1, known)
     });
+    change_while_frozen(&cluster, &mut operator, old);
+    thaw_and_check_answers(&mut cluster, &operator, old, known);
 
-    stage.freeze(old);
+    // The agent that started beside it took no old configuration for the newest.
+    let newest = operator.newest();
+    wait_until("the second proxy has it", || {
+        versions_since(&cluster, 2, newest)
+    });
+    assert!(
+        cluster.versions_in_force(2).iter().all(|v| *v >= newest),
+        "{:?}, newest {newest}",
+        cluster.versions_in_force(2)
+    );
+
+    cluster.wait_until_stable(&ALL);
+    operator.order();
+    ALL.iter()
+        .for_each(|n| operator.assert_reads_back(cluster.control(*n)));
+    let newest = operator.newest();
+    wait_until("both proxies have it", || {
+        [1, 2]
+            .iter()
+            .all(|edge| cluster.versions_in_force(*edge).last() == Some(&newest))
+            .then_some(())
+    });
+    assert!(
+        cluster.versions_in_force(1).is_sorted(),
+        "never back: {:?}",
+        cluster.versions_in_force(1)
+    );
+}
+
+/// The version in force at a proxy, once that is at least `version`.
+fn versions_since(cluster: &TestCluster, edge: u8, version: u64) -> Option<u64> {
+    let versions = cluster.versions_in_force(edge);
+    versions.last().filter(|v| **v >= version).copied()
+}
+
+/// Freezes the primary. Changes are acknowledged without it, none after a long wait.
+fn change_while_frozen(cluster: &TestCluster, operator: &mut TestOperator, old: u8) {
+    let known = operator.newest();
+    cluster.freeze(old);
     let stood = Instant::now();
     operator.longest = Duration::ZERO;
     while stood.elapsed() < STANDSTILL {
@@ -94,32 +138,35 @@
         operator.newest() - known,
         operator.longest
     );
-    let said = || stage.say(&ALL);
     assert!(
         operator.longest < TAKEOVER,
         "orders are held back: {:?}\n{}",
         operator.longest,
-        said()
+        cluster.describe(&ALL)
     );
+}
 
+/// Thaws the former primary, with calls in its sockets, and an agent that starts beside it. It may neither take its old
+/// configuration for the newest nor judge changes by it.
+fn thaw_and_check_answers(cluster: &mut TestCluster, operator: &TestOperator, old: u8, known: u64) {
     // What waits in its sockets is the first that it sees when it wakes.
     let newest = operator.newest();
-    let read = Waiting::at(stage.control(old), &READ);
-    let pull = WaitingPull::at(stage.inner(old));
-    let beside = Order {
+    let read = PendingCall::at(cluster.control(old), &READ);
+    let pull = WaitingPull::at(cluster.message_address(old));
+    let beside = ChangeRequest {
         body: configuration(newest + 1, "beside"),
-        ..Order::new(known, newest + 1, "")
+        ..ChangeRequest::new(known, newest + 1, "")
     };
-    let false_yes = Waiting::at(stage.control(old), &beside.call());
-    let false_no = Waiting::at(stage.control(old), &operator.last().call());
-    stage.fleet.start(Program::Agent, 2, false).unwrap();
-    stage.fleet.start(Program::Proxy, 2, false).unwrap();
+    let false_yes = PendingCall::at(cluster.control(old), &beside.call());
+    let false_no = PendingCall::at(cluster.control(old), &operator.last().call());
+    cluster.processes.start(Program::Agent, 2, false).unwrap();
+    cluster.processes.start(Program::Proxy, 2, false).unwrap();
     let woken = Instant::now();
-    stage.wake(old);
+    cluster.thaw(old);
 
     let read = read.answer();
     assert!(
-        read.status >= 500 || version_of(&read) >= newest,
+        read.status >= 500 || configuration_version(&read) >= newest,
         "an old configuration: {read:?}"
     );
     let (version, age_ms) = pull.answer();
@@ -128,7 +175,7 @@
         age_ms > STALE_AGE_MS || version >= newest,
         "an old one as current: {version}, {age_ms} ms"
     );
-    true_age(&operator, version, age_ms, woken);
+    true_age(operator, version, age_ms, woken);
     let false_yes = false_yes.answer();
     assert!(
         false_yes.status == 412 || false_yes.status >= 500,
@@ -139,79 +186,56 @@
         false_no.status == 200 || false_no.status >= 500,
         "taken long ago: {false_no:?}"
     );
-    // The agent that started beside it took nothing old for the truth.
-    until("the second proxy has it", || {
-        stage.in_force(2).last().filter(|v| **v >= newest).copied()
-    });
-    assert!(
-        stage.in_force(2).iter().all(|v| *v >= newest),
-        "{:?}, newest {newest}",
-        stage.in_force(2)
-    );
-
-    stage.settled(&ALL);
-    operator.order();
-    ALL.iter()
-        .for_each(|n| operator.read_back(stage.control(*n)));
-    let newest = operator.newest();
-    until("both proxies have it", || {
-        [1, 2]
-            .iter()
-            .all(|edge| stage.in_force(*edge).last() == Some(&newest))
-            .then_some(())
-    });
-    assert!(
-        stage.in_force(1).is_sorted(),
-        "never back: {:?}",
-        stage.in_force(1)
-    );
 }
 
 /// What a member is when it is frozen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Was {
+enum MemberRole {
     Primary,
     Backup,
     Witness,
 }
 
 #[rstest]
-#[case::primary(Was::Primary)]
-#[case::backup(Was::Backup)]
-#[case::witness(Was::Witness)]
-fn a_member_that_wakes_alone_answers_nothing_for_certain(#[case] was: Was) {
-    let stage = Stage::new(3, 0);
-    let mut operator = stage.operator(&ALL);
+#[case::primary(MemberRole::Primary)]
+#[case::backup(MemberRole::Backup)]
+#[case::witness(MemberRole::Witness)]
+fn member_when_thawed_alone_then_answers_nothing_for_certain(#[case] was: MemberRole) {
+    let cluster = TestCluster::new(3, 0);
+    let mut operator = cluster.operator(&ALL);
     (0..5).for_each(|_| operator.order());
-    let primary = stage.settled(&ALL);
-    let backup = stage.backups(&ALL, primary)[0];
+    let primary = cluster.wait_until_stable(&ALL);
+    let backup = cluster.backups(&ALL, primary)[0];
     let old = match was {
-        Was::Primary => primary,
-        Was::Backup => backup,
-        Was::Witness => 6 - primary - backup,
+        MemberRole::Primary => primary,
+        MemberRole::Backup => backup,
+        MemberRole::Witness => 6 - primary - backup,
     };
     let known = operator.newest();
-    stage.freeze(old);
-    let taken = |operator: &mut Operator| (0..10).for_each(|_| operator.order());
-    taken(&mut operator);
+    cluster.freeze(old);
+    let acknowledged = |operator: &mut TestOperator| (0..10).for_each(|_| operator.order());
+    acknowledged(&mut operator);
     let newest = operator.newest();
     let others: Vec<u8> = ALL.into_iter().filter(|n| *n != old).collect();
-    others.iter().for_each(|n| stage.freeze(*n));
+    others.iter().for_each(|n| cluster.freeze(*n));
 
-    let control = stage.control(old);
-    let beside = Order {
+    let control = cluster.control(old);
+    let beside = ChangeRequest {
         body: configuration(newest + 1, "beside"),
-        ..Order::new(known, newest + 1, "")
+        ..ChangeRequest::new(known, newest + 1, "")
     };
     let calls = [
-        Waiting::at(control, &READ),
-        Waiting::at(control, &beside.call()),
-        Waiting::at(control, &operator.last().call()),
-        Waiting::at(control, &Order::new(newest, newest + 1, "next").call()),
+        PendingCall::at(control, &READ),
+        PendingCall::at(control, &beside.call()),
+        PendingCall::at(control, &operator.last().call()),
+        PendingCall::at(
+            control,
+            &ChangeRequest::new(newest, newest + 1, "next").call(),
+        ),
     ];
-    let pull = WaitingPull::at(stage.inner(old));
+    let pull = WaitingPull::at(cluster.message_address(old));
     let woken = Instant::now();
-    stage.wake(old);
+    cluster.thaw(old);
     let (version, age_ms) = pull.answer();
     assert!(
         version < newest,
@@ -225,14 +249,14 @@
             "neither yes nor no can be known: {answer:?}"
         );
     }
-    let status = stage.status(old).unwrap();
+    let status = cluster.status(old).unwrap();
     assert_eq!(status["member"]["acts"], false, "{status}");
 
-    others.iter().for_each(|n| stage.wake(*n));
+    others.iter().for_each(|n| cluster.thaw(*n));
     // What it was sent may be taken now, once and by all of them alike.
-    until("a majority answers again", || stage.acting(&ALL));
-    stage.settled(&ALL);
-    let read = until_clear(&mut [control], &READ);
+    wait_until("a majority answers again", || cluster.primary(&ALL));
+    cluster.wait_until_stable(&ALL);
+    let read = call_until_conclusive(&mut [control], &READ);
     let body = String::from_utf8(read.body.clone()).unwrap();
     let may_be = [
         operator.last().body.clone(),
@@ -240,7 +264,7 @@
     ];
     assert!(may_be.contains(&body), "{body}");
     for n in ALL {
-        let same = until_clear(&mut [stage.control(n)], &READ);
-        assert_eq!(version_of(&same), version_of(&read));
+        let same = call_until_conclusive(&mut [cluster.control(n)], &READ);
+        assert_eq!(configuration_version(&same), configuration_version(&read));
     }
 }
--- a/crates/fennelpin-cli/tests/settings.rs
+++ b/crates/fennelpin-cli/tests/followed_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file is followed: what the agent behind it asks changes with it.
+//! The settings file is followed: the agent pulls from the members that it names.
 
 use configuration::{Configuration, ProcessSettings};
 use fennelpin_cli::process_settings::follow_seeds;
@@ -113,14 +113,14 @@
 }
 
 #[tokio::test]
-async fn a_change_of_the_settings_file_brings_other_seeds() {
+async fn seeds_when_settings_file_changes_then_followed() {
     LocalSet::new()
         .run_until(other_seeds(["127.0.0.4", "127.0.0.5"], false))
         .await;
 }
 
 #[tokio::test]
-async fn the_signal_for_changed_settings_brings_other_seeds() {
+async fn seeds_when_sighup_comes_then_followed() {
     LocalSet::new()
         .run_until(other_seeds(["127.0.0.10", "127.0.0.11"], true))
         .await;
@@ -128,7 +128,7 @@
 
 /// A file that can't be read changes nothing; once it can, it counts.
 #[tokio::test]
-async fn a_half_written_file_is_read_again() {
+async fn settings_when_half_written_then_read_again() {
     let follow = async {
         let dir = tempfile::tempdir().unwrap();
         let file = dir.path().join("boot.json");
--- a/crates/fennelpin-cli/tests/bad_days/callers.rs
+++ b/crates/fennelpin-cli/tests/harness/callers.rs
@@ -1,32 +1,28 @@
-//! Callers of the control API: one that is heard out, one that hangs up, one that calls in advance, and an operator
-//! that sends one order after the other.
+//! Callers of the control API: one that repeats a call, one that hangs up, one whose call waits at a frozen member, and an
+//! operator that sends one change after the other.
 
+use super::{CALL_TIMEOUT, TIMEOUT};
 use fennelpin_cli::control_client::{call_member, ControlAnswer, ControlCall};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// What doesn't happen within this time doesn't happen.
-pub const LONG: Duration = Duration::from_secs(20);
-/// An operator's wait for one member.
-pub const SECOND: Duration = Duration::from_secs(1);
-
-/// A configuration whose one route tells who sent it.
+/// A configuration with one route that tells who sent it.
 pub fn configuration(version: u64, sender: &str) -> String {
     format!(
         r#"{{"version":{version},"routes":[{{"name":"r","hostname":"h.example","path_prefix":"/{sender}{version}/","route_class":"pure","deadline_ms":1000,"service":"s"}}],"services":[{{"name":"s"}}]}}"#
     )
 }
 
-/// An order: a configuration on top of a version.
+/// A request to put a configuration on top of a version.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct ChangeRequest {
     pub base: u64,
     pub version: u64,
     pub body: String,
 }
 
-impl Order {
+impl ChangeRequest {
     pub fn new(base: u64, version: u64, sender: &str) -> Self {
         Self {
             base,
@@ -50,18 +46,18 @@
     body: None,
 };
 
-/// The version that an answer's configuration has.
-pub fn version_of(answer: &ControlAnswer) -> u64 {
+/// Version of the configuration in an answer.
+pub fn configuration_version(answer: &ControlAnswer) -> u64 {
     let document: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
     document["version"].as_u64().unwrap()
 }
 
-/// Makes a call of one member after the other, unchanged, until there is a clear answer. The member that gave it
-/// is the first to be asked the next time.
-pub fn until_clear(members: &mut [SocketAddr], call: &ControlCall) -> ControlAnswer {
-    let end = Instant::now() + LONG;
+/// Calls one member after the other until there is a conclusive answer. The member that gave it is the first one the
+/// next time.
+pub fn call_until_conclusive(members: &mut [SocketAddr], call: &ControlCall) -> ControlAnswer {
+    let end = Instant::now() + TIMEOUT;
     while Instant::now() < end {
-        match call_member(members[0], call, SECOND) {
+        match call_member(members[0], call, CALL_TIMEOUT) {
             Ok(answer) if answer.status < 500 => return answer,
             _ => members.rotate_left(1),
         }
@@ -69,8 +65,8 @@
     panic!("no clear answer to {call:?}");
 }
 
-/// The text of a call.
-pub fn text_of(call: &ControlCall, close: bool) -> Vec<u8> {
+/// A call as HTTP.
+pub fn request_bytes(call: &ControlCall, close: bool) -> Vec<u8> {
     let method = if call.body.is_some() { "POST" } else { "GET" };
     let body = call.body.unwrap_or_default();
     let base = call
@@ -85,29 +81,29 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Makes a call and closes the connection before an answer can be read.
-pub fn hang_up(to: SocketAddr, call: &ControlCall) {
-    // One that can't be reached hears nothing.
-    let Ok(mut stream) = TcpStream::connect_timeout(&to, SECOND) else {
+/// Sends a call, and closes the connection without reading an answer.
+pub fn call_and_hang_up(to: SocketAddr, call: &ControlCall) {
+    // A member that can't be reached doesn't get it.
+    let Ok(mut stream) = TcpStream::connect_timeout(&to, CALL_TIMEOUT) else {
         return;
     };
-    let _ = stream.write_all(&text_of(call, false));
+    let _ = stream.write_all(&request_bytes(call, false));
 }
 
-/// A call that waits in a member's sockets while the member stands still.
-pub struct Waiting {
+/// A call that waits in a socket while the member is frozen.
+pub struct PendingCall {
     stream: TcpStream,
 }
 
-impl Waiting {
+impl PendingCall {
     pub fn at(to: SocketAddr, call: &ControlCall) -> Self {
-        let mut stream = TcpStream::connect_timeout(&to, SECOND).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
-        stream.write_all(&text_of(call, true)).unwrap();
+        let mut stream = TcpStream::connect_timeout(&to, CALL_TIMEOUT).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        stream.write_all(&request_bytes(call, true)).unwrap();
         Self { stream }
     }
 
-    /// The answer, once the member is awake.
+    /// The answer, once the member is thawed.
     pub fn answer(mut self) -> ControlAnswer {
         let mut text = Vec::new();
         self.stream.read_to_end(&mut text).unwrap();
@@ -116,46 +112,46 @@
     }
 }
 
-/// Sends one order after the other, each on the one before.
-pub struct Operator {
+/// Sends one change after the other, each on top of the one before.
+pub struct TestOperator {
     members: Vec<SocketAddr>,
-    taken: Vec<Order>,
-    /// When the acknowledgement of each had come.
+    acknowledged: Vec<ChangeRequest>,
+    /// When each was acknowledged.
     times: Vec<Instant>,
-    /// The longest that an order has waited for its acknowledgement.
+    /// Longest time from a change to its acknowledgement.
     pub longest: Duration,
 }
 
-impl Operator {
+impl TestOperator {
     pub fn new(members: Vec<SocketAddr>) -> Self {
         Self {
             members,
-            taken: Vec::new(),
+            acknowledged: Vec::new(),
             times: Vec::new(),
             longest: Duration::ZERO,
         }
     }
 
-    /// The same operator with another list of members.
+    /// The same operator, who calls other members.
     pub fn at(self, members: Vec<SocketAddr>) -> Self {
         Self { members, ..self }
     }
 
-    /// The order that comes next.
-    pub fn next(&self) -> Order {
+    /// The next change.
+    pub fn next(&self) -> ChangeRequest {
         let base = self.newest();
-        Order::new(base, base + 1, "v")
+        ChangeRequest::new(base, base + 1, "v")
     }
 
-    /// Sends the next order and waits for its acknowledgement.
+    /// Sends the next change, and waits for its acknowledgement.
     pub fn order(&mut self) {
         let next = self.next();
         self.send(next);
     }
 
-    pub fn send(&mut self, order: Order) {
+    pub fn send(&mut self, order: ChangeRequest) {
         let start = Instant::now();
-        let answer = until_clear(&mut self.members, &order.call());
+        let answer = call_until_conclusive(&mut self.members, &order.call());
         assert_eq!(
             answer.status,
             200,
@@ -165,42 +161,45 @@
             answer.result()
         );
         self.longest = self.longest.max(start.elapsed());
-        self.taken.push(order);
+        self.acknowledged.push(order);
         self.times.push(Instant::now());
     }
 
-    /// The newest version acknowledged.
+    /// The newest acknowledged version.
     pub fn newest(&self) -> u64 {
-        self.taken.last().map_or(0, |o| o.version)
+        self.acknowledged.last().map_or(0, |o| o.version)
     }
 
-    /// The newest order acknowledged.
-    pub fn last(&self) -> &Order {
-        self.taken.last().unwrap()
+    /// The newest acknowledged change.
+    pub fn last(&self) -> &ChangeRequest {
+        self.acknowledged.last().unwrap()
     }
 
-    /// When the acknowledgement of a version had come, the latest.
+    /// When a version was acknowledged at the latest.
     pub fn acknowledged(&self, version: u64) -> Option<Instant> {
-        let at = self.taken.iter().position(|o| o.version == version)?;
+        let at = self
+            .acknowledged
+            .iter()
+            .position(|o| o.version == version)?;
         Some(self.times[at])
     }
 
-    /// The newest version that was acknowledged at a moment.
+    /// The newest version that was acknowledged before a moment.
     pub fn newest_at(&self, moment: Instant) -> u64 {
         let acknowledged = self.times.partition_point(|at| *at <= moment);
         acknowledged
             .checked_sub(1)
-            .map_or(0, |last| self.taken[last].version)
+            .map_or(0, |last| self.acknowledged[last].version)
     }
 
-    /// How many were acknowledged.
+    /// Number of acknowledged changes.
     pub fn count(&self) -> usize {
-        self.taken.len()
+        self.acknowledged.len()
     }
 
-    /// Reads the newest back at a member.
-    pub fn read_back(&self, member: SocketAddr) {
-        let answer = until_clear(&mut [member], &READ);
+    /// Checks that a member has the newest acknowledged configuration.
+    pub fn assert_reads_back(&self, member: SocketAddr) {
+        let answer = call_until_conclusive(&mut [member], &READ);
         let read = String::from_utf8(answer.body).unwrap();
         assert_eq!(read, self.last().body, "read back at {member}");
     }
--- a/crates/fennelpin-cli/tests/bad_days/stage.rs
+++ b/crates/fennelpin-cli/tests/harness/cluster.rs
@@ -1,7 +1,8 @@
-//! The processes of a test, at addresses of their own, and what they say of themselves.
+//! A cluster of real processes, at addresses of its own, and what the processes report of themselves.
 
-use crate::callers::{Operator, LONG, SECOND};
-use crate::relay::{Cuts, Relay};
+use super::callers::TestOperator;
+use super::relay::{Partitions, Relay};
+use super::{CALL_TIMEOUT, TIMEOUT};
 use fennelpin_cli::control_client::{call_member, ControlCall};
 use fennelpin_cli::local::cluster::{ClusterPlan, LocalCluster, Program};
 use rustix::process::{kill_process, Pid, Signal};
@@ -11,27 +12,27 @@
 use std::time::{Duration, Instant};
 
 /// Second number of all addresses.
-const NET: u8 = 18;
-/// First ports: outside the range that connections get theirs from.
+pub const NET: u8 = 18;
+/// First ports of clusters. They are outside the range of ephemeral ports.
 const PORTS: std::ops::Range<u16> = 28_000..29_000;
-/// Lines of a log that are shown where a test fails.
+/// Last lines of each log that a failing test shows.
 const LINES: usize = 40;
 /// Third number of the addresses at which members behind a relay listen.
 const BEHIND_RELAY: u8 = 3;
-/// Short waits, so that takeovers are quick.
-const QUICK: [(&str, &str); 3] = [
+/// Short time-outs, so that takeovers are quick.
+const SHORT_TIMEOUTS: [(&str, &str); 3] = [
     ("LEASE_MS", "300"),
     ("STALL_MS", "250"),
     ("PATIENCE_MS", "1000"),
 ];
-/// Ports of one system.
-const BLOCK: u16 = 10;
+/// Number of ports of one cluster.
+const PORTS_PER_CLUSTER: u16 = 10;
 
-/// Ports that no other running test has: held by a listener for as long as the test runs.
-fn ports() -> (u16, TcpListener) {
-    let blocks = (PORTS.end - PORTS.start) / BLOCK;
+/// The first of some ports that no other running test uses. The listener reserves them while it lives.
+pub fn reserve_ports() -> (u16, TcpListener) {
+    let blocks = (PORTS.end - PORTS.start) / PORTS_PER_CLUSTER;
     let first = std::process::id() as u16 % blocks;
-    let tries = (0..blocks).map(|n| PORTS.start + (first + n) % blocks * BLOCK);
+    let tries = (0..blocks).map(|n| PORTS.start + (first + n) % blocks * PORTS_PER_CLUSTER);
     let free = |port| {
         Some((
             port,
@@ -41,59 +42,59 @@
     tries.filter_map(free).next().expect("free ports")
 }
 
-/// A running system.
-pub struct Stage {
-    pub fleet: LocalCluster,
-    /// What is cut between the members, where they are behind a relay.
-    pub cuts: Arc<Cuts>,
-    _relays: Vec<Relay>,
+/// A running cluster. Its processes are killed when this is dropped.
+pub struct TestCluster {
+    pub processes: LocalCluster,
+    /// The partitions between members that are behind a relay.
+    pub partitions: Arc<Partitions>,
+    relays: Vec<Relay>,
     _dir: tempfile::TempDir,
-    _ports: TcpListener,
+    _reserved_ports: TcpListener,
 }
 
-impl Stage {
-    /// So many members and machines with agent and proxy. Leases are short, so that takeovers are.
+impl TestCluster {
+    /// A cluster with short leases, so that takeovers are quick.
     pub fn new(members: u8, proxies: u8) -> Self {
-        Self::with(members, proxies, &QUICK, |_| ())
+        Self::with_settings(members, proxies, &SHORT_TIMEOUTS, |_| ())
     }
 
-    /// As [`Stage::new`], each member behind a relay.
+    /// As [`TestCluster::new`], with each member behind a relay.
     pub fn relayed(members: u8, proxies: u8) -> Self {
-        let cuts = Arc::new(Cuts::default());
+        let partitions = Arc::new(Partitions::default());
         let mut relays = Vec::new();
-        let behind_relay = |fleet: &mut LocalCluster| {
+        let behind_relay = |processes: &mut LocalCluster| {
             for n in 1..=members {
-                let port = fleet.plan().port;
-                let outside = SocketAddrV4::new(*fleet.plan().control(n).ip(), port);
+                let port = processes.plan().port;
+                let outside = SocketAddrV4::new(*processes.plan().control(n).ip(), port);
                 let inside = SocketAddrV4::new(Ipv4Addr::new(127, NET, BEHIND_RELAY, n), port);
                 let listener = TcpListener::bind(outside).unwrap();
                 relays.push(Relay::start(
                     listener,
                     format!("core-{n}"),
                     inside.into(),
-                    cuts.clone(),
+                    partitions.clone(),
                 ));
-                fleet.set_listener(n, inside);
+                processes.set_listener(n, inside);
             }
         };
-        let mut stage = Self::with(members, proxies, &QUICK, behind_relay);
-        (stage.cuts, stage._relays) = (cuts, relays);
-        stage
+        let mut cluster = Self::with_settings(members, proxies, &SHORT_TIMEOUTS, behind_relay);
+        (cluster.partitions, cluster.relays) = (partitions, relays);
+        cluster
     }
 
-    /// One with the settings that are in force in service, for tests that judge how long something takes.
-    pub fn as_in_service(members: u8, proxies: u8) -> Self {
-        Self::with(members, proxies, &[], |_| ())
+    /// A cluster with the default settings, for tests that check how long something takes.
+    pub fn with_default_settings(members: u8, proxies: u8) -> Self {
+        Self::with_settings(members, proxies, &[], |_| ())
     }
 
-    fn with(
+    pub fn with_settings(
         members: u8,
         proxies: u8,
         settings: &[(&str, &str)],
         prepare: impl FnOnce(&mut LocalCluster),
     ) -> Self {
         let dir = tempfile::tempdir().unwrap();
-        let (port, held) = ports();
+        let (port, reservation) = reserve_ports();
         let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
         let plan = ClusterPlan {
             program,
@@ -103,37 +104,37 @@
             members,
             proxies,
         };
-        let mut fleet = LocalCluster::new(plan).unwrap();
+        let mut processes = LocalCluster::new(plan).unwrap();
         for (key, value) in settings {
-            fleet.env(&format!("FENNELPIN_CLI_{key}"), value);
+            processes.env(&format!("FENNELPIN_CLI_{key}"), value);
         }
-        prepare(&mut fleet);
-        fleet.start_all().unwrap();
+        prepare(&mut processes);
+        processes.start_all().unwrap();
         Self {
-            fleet,
-            cuts: Arc::default(),
-            _relays: Vec::new(),
+            processes,
+            partitions: Arc::default(),
+            relays: Vec::new(),
             _dir: dir,
-            _ports: held,
+            _reserved_ports: reservation,
         }
     }
 
     pub fn control(&self, n: u8) -> SocketAddr {
-        self.fleet.plan().control(n).into()
+        self.processes.plan().control(n).into()
     }
 
-    /// Where a member takes the system's own messages.
-    pub fn inner(&self, n: u8) -> SocketAddr {
-        let port = self.fleet.plan().port;
+    /// A member's address for the system's own messages.
+    pub fn message_address(&self, n: u8) -> SocketAddr {
+        let port = self.processes.plan().port;
         (self.control(n).ip(), port).into()
     }
 
-    pub fn operator(&self, members: &[u8]) -> Operator {
-        Operator::new(members.iter().map(|n| self.control(*n)).collect())
+    pub fn operator(&self, members: &[u8]) -> TestOperator {
+        TestOperator::new(members.iter().map(|n| self.control(*n)).collect())
     }
 
-    /// The operator with these members on its list.
-    pub fn only(&self, operator: Operator, members: &[u8]) -> Operator {
+    /// The same operator, who calls only these members.
+    pub fn with_members(&self, operator: TestOperator, members: &[u8]) -> TestOperator {
         operator.at(members.iter().map(|n| self.control(*n)).collect())
     }
 
@@ -147,45 +148,50 @@
 
     /// Sends a signal to a program, by machine and program: `edge-1/proxy`.
     pub fn signal_program(&self, name: &str, signal: Signal) {
-        let pid = Pid::from_raw(self.fleet.pid(name).unwrap() as i32).unwrap();
+        let pid = Pid::from_raw(self.processes.pid(name).unwrap() as i32).unwrap();
         kill_process(pid, signal).unwrap();
     }
 
-    /// Waits until a program that was asked to end has done so.
+    /// Waits for the end of a program that was asked to end.
     pub fn await_end(&mut self, name: &str) {
-        assert!(self.fleet.wait_for_end(name, LONG), "{name} doesn't end");
+        assert!(
+            self.processes.wait_for_end(name, TIMEOUT),
+            "{name} doesn't end"
+        );
     }
 
-    /// The member stands still.
+    /// Stops a member until [`thaw`](Self::thaw).
     pub fn freeze(&self, n: u8) {
         self.signal(n, Signal::STOP);
     }
 
-    pub fn wake(&self, n: u8) {
+    pub fn thaw(&self, n: u8) {
         self.signal(n, Signal::CONT);
     }
 
-    /// Asks a member to end and waits until it has.
-    pub fn leave(&mut self, n: u8) {
+    /// Asks a member to end, and waits for its end.
+    pub fn shut_down(&mut self, n: u8) {
         self.signal(n, Signal::TERM);
         self.await_end(&Self::name(n));
     }
 
     pub fn kill(&mut self, n: u8) {
-        self.fleet.kill(&Self::name(n));
+        self.processes.kill(&Self::name(n));
     }
 
-    /// The member's disk is gone.
+    /// Kills a member and deletes its disk.
     pub fn wipe(&mut self, n: u8) {
         self.kill(n);
-        std::fs::remove_dir_all(self.fleet.plan().disk(n)).unwrap();
+        std::fs::remove_dir_all(self.processes.plan().disk(n)).unwrap();
     }
 
     pub fn start(&mut self, n: u8) {
-        self.fleet.start(Program::ControlPlane, n, false).unwrap();
+        self.processes
+            .start(Program::ControlPlane, n, false)
+            .unwrap();
     }
 
-    /// What a member says of itself, if it does.
+    /// A member's status; `None` where it doesn't answer.
     pub fn status(&self, n: u8) -> Option<Value> {
         let answer = call_member(
             self.control(n),
@@ -193,39 +199,43 @@
                 name: "status",
                 ..ControlCall::default()
             },
-            SECOND,
+            CALL_TIMEOUT,
         )
         .ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
-    /// The member that acts, by its own word.
-    pub fn acting(&self, members: &[u8]) -> Option<u8> {
+    /// The member that reports to be the primary.
+    pub fn primary(&self, members: &[u8]) -> Option<u8> {
         members
             .iter()
             .copied()
             .find(|n| self.status(*n).is_some_and(|s| s["member"]["acts"] == true))
     }
 
-    /// The member that acts, once these members and no others are the voters of a settled view that all of them
-    /// have, two of them its replicas.
-    pub fn settled(&self, members: &[u8]) -> u8 {
-        let end = Instant::now() + LONG;
+    /// Waits until these members, and no others, are the voters of a stable membership configuration that all of them
+    /// have, with two replicas among them. Returns the primary.
+    pub fn wait_until_stable(&self, members: &[u8]) -> u8 {
+        let end = Instant::now() + TIMEOUT;
         loop {
-            if let Some(primary) = self.settled_now(members) {
+            if let Some(primary) = self.stable_primary(members) {
                 return primary;
             }
-            assert!(Instant::now() < end, "not settled: {}", self.say(members));
+            assert!(
+                Instant::now() < end,
+                "not settled: {}",
+                self.describe(members)
+            );
             std::thread::yield_now();
         }
     }
 
-    /// What members say of themselves, and the last lines of their logs.
-    pub fn say(&self, members: &[u8]) -> String {
+    /// Statuses of members, and the last lines of their logs.
+    pub fn describe(&self, members: &[u8]) -> String {
         let of = |n: &u8| {
             let status = self.status(*n).unwrap_or_default();
             let file = self
-                .fleet
+                .processes
                 .plan()
                 .dir
                 .join(format!("core-{n}-control-plane.log"));
@@ -237,11 +247,11 @@
         members.iter().map(of).collect()
     }
 
-    /// The last lines of what a machine's programs have logged.
+    /// The last lines of the logs of a machine's programs.
     pub fn logs(&self, machine: &str) -> String {
         let of = |program: &str| {
             let file = self
-                .fleet
+                .processes
                 .plan()
                 .dir
                 .join(format!("{machine}-{program}.log"));
@@ -255,7 +265,8 @@
         ["control-plane", "agent", "proxy"].map(of).concat()
     }
 
-    fn settled_now(&self, members: &[u8]) -> Option<u8> {
+    /// As [`wait_until_stable`](Self::wait_until_stable), without waiting.
+    pub fn stable_primary(&self, members: &[u8]) -> Option<u8> {
         let statuses: Option<Vec<Value>> = members.iter().map(|n| self.status(*n)).collect();
         let statuses = statuses?;
         let primary = statuses.iter().position(|s| s["member"]["acts"] == true)?;
@@ -275,7 +286,7 @@
         all.then(|| members[primary])
     }
 
-    /// The replicas of a settled view, the primary not among them.
+    /// The replicas but the primary.
     pub fn backups(&self, members: &[u8], primary: u8) -> Vec<u8> {
         let view = self.status(primary).unwrap()["member"]["view"].clone();
         let replicas = view["replicas"].as_array().unwrap();
@@ -285,17 +296,21 @@
             .collect()
     }
 
-    /// The versions that a machine's proxy has had in force, in order, as its log tells.
-    pub fn in_force(&self, edge: u8) -> Vec<u64> {
-        self.came_in_force(edge)
+    /// The versions that a machine's proxy has had in force, in order, by its log.
+    pub fn versions_in_force(&self, edge: u8) -> Vec<u64> {
+        self.versions_in_force_at(edge)
             .into_iter()
             .map(|came| came.1)
             .collect()
     }
 
-    /// When each of them came in force, since the epoch of the clock.
-    pub fn came_in_force(&self, edge: u8) -> Vec<(Duration, u64)> {
-        let file = self.fleet.plan().dir.join(format!("edge-{edge}-proxy.log"));
+    /// The same with the Unix time at which each came in force.
+    pub fn versions_in_force_at(&self, edge: u8) -> Vec<(Duration, u64)> {
+        let file = self
+            .processes
+            .plan()
+            .dir
+            .join(format!("edge-{edge}-proxy.log"));
         let log = std::fs::read_to_string(file).unwrap_or_default();
         let came = |line: &str| {
             let (before, version) = line.split_once("configuration in force version=")?;
@@ -309,26 +324,14 @@
     }
 }
 
-impl Drop for Stage {
-    /// Whatever a test fails for, the processes' own words help to find the cause.
+impl Drop for TestCluster {
+    /// Where a test fails, statuses and logs help to find the cause.
     fn drop(&mut self) {
         if std::thread::panicking() {
-            let members: Vec<u8> = (1..=self.fleet.plan().members).collect();
-            eprintln!("{}", self.say(&members));
-            (1..=self.fleet.plan().proxies)
+            let members: Vec<u8> = (1..=self.processes.plan().members).collect();
+            eprintln!("{}", self.describe(&members));
+            (1..=self.processes.plan().proxies)
                 .for_each(|n| eprintln!("{}", self.logs(&format!("edge-{n}"))));
         }
     }
 }
-
-/// Waits until a condition holds.
-pub fn until<T>(what: &str, mut holds: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LONG;
-    loop {
-        if let Some(done) = holds() {
-            return done;
-        }
-        assert!(Instant::now() < end, "not in time: {what}");
-        std::thread::yield_now();
-    }
-}
--- a/crates/fennelpin-cli/tests/bad_days/hosts.rs
+++ b/crates/fennelpin-cli/tests/harness/faulty_hosts.rs
@@ -1,5 +1,6 @@
-//! Hosts that break off, fall silent, say too much, or answer late, by turns; they note which requests they heard.
+//! Hosts that fail in several ways by turns, and record which requests they received.
 
+use super::CALL_TIMEOUT;
 use fennelpin_cli::control_client::{call_member, ControlCall};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -11,90 +12,91 @@
 use std::time::Duration;
 
 /// Time between heartbeats.
-const BEAT: Duration = Duration::from_millis(500);
-/// An operator's wait for one member.
-const SECOND: Duration = Duration::from_secs(1);
-
-/// A client's wait for an answer.
-const CLIENT_WAIT: Duration = Duration::from_secs(10);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait of a client for an answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What a host does with a request.
 #[derive(Clone, Copy, Debug)]
-pub enum Turn {
+pub enum HostBehaviour {
     Answer,
     /// The connection is reset once the request has been read.
     Reset,
-    /// Nothing is said for as long as the connection lasts; then the answer, to whoever is there.
+    /// No answer until the other side has closed the connection; then the answer.
     Silence,
-    /// Half an answer, and the end.
+    /// Part of an answer, then the connection is closed.
     Half,
-    /// The answer, and another one behind it that nobody asked for.
+    /// The answer, and a second one behind it.
     TooMuch,
-    /// The answer, and the end of a connection that was to be kept.
+    /// The answer, then a connection that was to be kept is closed.
     Close,
-    /// The end before any answer.
+    /// The connection is closed without an answer.
     End,
 }
 
-/// All of it, by turns.
-pub const ALL_TURNS: &[Turn] = &[
-    Turn::Answer,
-    Turn::Reset,
-    Turn::Answer,
-    Turn::TooMuch,
-    Turn::Silence,
-    Turn::Answer,
-    Turn::Half,
-    Turn::Answer,
-    Turn::Close,
-    Turn::End,
-    Turn::Answer,
-    Turn::Answer,
+/// All behaviours, by turns.
+pub const ALL_BEHAVIOURS: &[HostBehaviour] = &[
+    HostBehaviour::Answer,
+    HostBehaviour::Reset,
+    HostBehaviour::Answer,
+    HostBehaviour::TooMuch,
+    HostBehaviour::Silence,
+    HostBehaviour::Answer,
+    HostBehaviour::Half,
+    HostBehaviour::Answer,
+    HostBehaviour::Close,
+    HostBehaviour::End,
+    HostBehaviour::Answer,
+    HostBehaviour::Answer,
 ];
 
-/// How often each request's body was heard, over all hosts.
-pub type Heard = Arc<Mutex<BTreeMap<String, usize>>>;
+/// How often each request was received, by its body, over all hosts.
+pub type ReceivedRequests = Arc<Mutex<BTreeMap<String, usize>>>;
 
-/// Hosts of one service; their heartbeats end with this.
+/// Hosts of one service. Their heartbeats end when this is dropped.
 pub struct Hosts {
-    pub heard: Heard,
+    pub received: ReceivedRequests,
     _beats: Vec<Sender<()>>,
 }
 
-/// Starts hosts at these addresses, which beat at these members and do with their requests what `turns` says.
-pub fn start(addrs: &[SocketAddrV4], controls: &[SocketAddr], turns: &'static [Turn]) -> Hosts {
-    let heard = Heard::default();
-    let taken = Arc::new(AtomicUsize::new(0));
-    let mut beats = Vec::new();
+/// Starts hosts at these addresses. They send heartbeats to these members, and behave as `behaviours` says by turns.
+pub fn start(
+    addrs: &[SocketAddrV4],
+    controls: &[SocketAddr],
+    behaviours: &'static [HostBehaviour],
+) -> Hosts {
+    let received = ReceivedRequests::default();
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let mut heartbeats = Vec::new();
     for (n, addr) in addrs.iter().enumerate() {
         let id = format!("i-{}-{n}", std::process::id());
         let listener = TcpListener::bind(addr).unwrap();
         let host = Host {
             id: id.clone(),
-            heard: heard.clone(),
-            turns,
-            taken: taken.clone(),
+            received: received.clone(),
+            behaviours,
+            request_count: request_count.clone(),
         };
         std::thread::spawn(move || accept(&listener, &host));
         let (end, ended) = channel();
         let (addr, controls) = (*addr, controls.to_vec());
         std::thread::spawn(move || {
             for seq in 1u64.. {
-                beat(&id, addr, seq, &controls);
-                if ended.recv_timeout(BEAT) != Err(RecvTimeoutError::Timeout) {
+                send_heartbeat(&id, addr, seq, &controls);
+                if ended.recv_timeout(HEARTBEAT_INTERVAL) != Err(RecvTimeoutError::Timeout) {
                     return;
                 }
             }
         });
-        beats.push(end);
+        heartbeats.push(end);
     }
     Hosts {
-        heard,
-        _beats: beats,
+        received,
+        _beats: heartbeats,
     }
 }
 
-fn beat(id: &str, addr: SocketAddrV4, seq: u64, controls: &[SocketAddr]) {
+fn send_heartbeat(id: &str, addr: SocketAddrV4, seq: u64, controls: &[SocketAddr]) {
     let name = format!("Hosts.Heartbeat/{id}");
     let body =
         json!({"service": "s", "address": addr, "zone": "zone-1", "version": "v1", "capacity": 8,
@@ -107,39 +109,39 @@
     };
     let _ = controls
         .iter()
-        .any(|c| call_member(*c, &call, SECOND).is_ok_and(|a| a.status == 200));
+        .any(|c| call_member(*c, &call, CALL_TIMEOUT).is_ok_and(|a| a.status == 200));
 }
 
 #[derive(Clone)]
 struct Host {
     id: String,
-    heard: Heard,
-    turns: &'static [Turn],
-    taken: Arc<AtomicUsize>,
+    received: ReceivedRequests,
+    behaviours: &'static [HostBehaviour],
+    request_count: Arc<AtomicUsize>,
 }
 
 fn accept(listener: &TcpListener, host: &Host) {
     while let Ok((stream, _)) = listener.accept() {
         let host = host.clone();
-        // Whoever breaks off has its reasons.
+        // A connection may break at any time.
         std::thread::spawn(move || drop(host.serve(stream)));
     }
 }
 
-/// A client's connection.
+/// Opens a client's connection.
 pub fn connect(to: SocketAddrV4) -> Option<TcpStream> {
     let stream = TcpStream::connect(to).ok()?;
     stream.set_nodelay(true).ok()?;
-    stream.set_read_timeout(Some(CLIENT_WAIT)).ok()?;
+    stream.set_read_timeout(Some(CLIENT_TIMEOUT)).ok()?;
     Some(stream)
 }
 
-/// The identity of the request with this body.
+/// Attempt id of the request with this body.
 pub fn attempt_id(body: &str) -> String {
     format!("{body}-id")
 }
 
-/// Sends a client's request; none where the connection has ended.
+/// Sends a client's request; `None` where the connection has ended.
 pub fn send(stream: &mut TcpStream, route: &str, body: &str) -> Option<()> {
     let (id, length) = (attempt_id(body), body.len());
     let text = format!(
@@ -149,26 +151,26 @@
     stream.write_all(text.as_bytes()).ok()
 }
 
-/// Whether a request that may run twice is served.
+/// Whether an idempotent request is served.
 pub fn served(front: SocketAddrV4) -> bool {
     let Some(mut stream) = connect(front) else {
         return false;
     };
-    let answer =
-        send(&mut stream, "pure", "first").and_then(|()| Text::read(&mut stream, &mut Vec::new()));
+    let answer = send(&mut stream, "pure", "first")
+        .and_then(|()| HttpMessage::read(&mut stream, &mut Vec::new()));
     answer.is_some_and(|a| a.status() == 200)
 }
 
-/// A message read whole: its head in lower case and its body.
+/// A complete message: its head in lower case, and its body.
 #[derive(Debug)]
-pub struct Text {
+pub struct HttpMessage {
     pub head: String,
     pub body: String,
 }
 
-impl Text {
-    /// The next message of a connection; none where it ends without one.
-    pub fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Text> {
+impl HttpMessage {
+    /// The next message of a connection; `None` where the connection ends before.
+    pub fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<HttpMessage> {
         let end = loop {
             if let Some(at) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
                 break at + 4;
@@ -178,7 +180,7 @@
         let head = String::from_utf8(buffer[..end].to_vec())
             .ok()?
             .to_ascii_lowercase();
-        let text = Text {
+        let text = HttpMessage {
             head,
             body: String::new(),
         };
@@ -190,7 +192,7 @@
         }
         let body = String::from_utf8(buffer[end..end + length].to_vec()).ok()?;
         buffer.drain(..end + length);
-        Some(Text { body, ..text })
+        Some(HttpMessage { body, ..text })
     }
 
     pub fn field(&self, name: &str) -> Option<&str> {
@@ -212,9 +214,9 @@
 }
 
 fn more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<()> {
-    let mut some = [0; 4096];
-    let n = stream.read(&mut some).ok().filter(|n| *n > 0)?;
-    buffer.extend_from_slice(&some[..n]);
+    let mut chunk = [0; 4096];
+    let n = stream.read(&mut chunk).ok().filter(|n| *n > 0)?;
+    buffer.extend_from_slice(&chunk[..n]);
     Some(())
 }
 
@@ -222,7 +224,7 @@
     fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let mut buffer = Vec::new();
-        while let Some(request) = Text::read(&mut stream, &mut buffer) {
+        while let Some(request) = HttpMessage::read(&mut stream, &mut buffer) {
             if request.head.starts_with("get ") {
                 let text = format!(
                     "HTTP/1.1 200 OK\r\nFennelpin-Host-Id: {}\r\nContent-Length: 0\r\n\r\n",
@@ -232,25 +234,28 @@
                 continue;
             }
             *self
-                .heard
+                .received
                 .lock()
                 .unwrap()
                 .entry(request.body.clone())
                 .or_default() += 1;
-            let turn = self.turns[self.taken.fetch_add(1, Ordering::Relaxed) % self.turns.len()];
+            let behaviour = self.behaviours
+                [self.request_count.fetch_add(1, Ordering::Relaxed) % self.behaviours.len()];
             let answer = self.answer(&request, &request.body);
-            match turn {
-                Turn::Answer => stream.write_all(answer.as_bytes())?,
-                Turn::TooMuch => {
+            match behaviour {
+                HostBehaviour::Answer => stream.write_all(answer.as_bytes())?,
+                HostBehaviour::TooMuch => {
                     let more = self.answer(&request, "somebody else's");
                     stream.write_all([answer, more].concat().as_bytes())?;
                 }
-                Turn::Close => return stream.write_all(answer.as_bytes()),
-                Turn::Half => return stream.write_all(&answer.as_bytes()[..answer.len() - 3]),
-                Turn::End => return Ok(()),
-                Turn::Reset => return reset(&stream),
-                Turn::Silence => {
-                    // Until the other side has had enough; what is said then comes too late.
+                HostBehaviour::Close => return stream.write_all(answer.as_bytes()),
+                HostBehaviour::Half => {
+                    return stream.write_all(&answer.as_bytes()[..answer.len() - 3])
+                }
+                HostBehaviour::End => return Ok(()),
+                HostBehaviour::Reset => return reset(&stream),
+                HostBehaviour::Silence => {
+                    // Until the other side has given up. The answer comes too late then.
                     let _ = more(&mut stream, &mut buffer);
                     let _ = stream.write_all(answer.as_bytes());
                     return Ok(());
@@ -260,7 +265,7 @@
         Ok(())
     }
 
-    fn answer(&self, request: &Text, body: &str) -> String {
+    fn answer(&self, request: &HttpMessage, body: &str) -> String {
         let id = request.field("fennelpin-attempt-id").unwrap_or("none");
         format!(
             "HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: {}.{body}\r\n\
--- a/crates/fennelpin-cli/tests/bad_days/relay.rs
+++ b/crates/fennelpin-cli/tests/harness/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay in front of the members: what any process and a member say to each other passes through it, and can be
-//! held back in either direction, as when a link is cut.
+//! A TCP relay in front of the members. All messages to and from a member pass through it, and can be held back in either
+//! direction, as in a partition.
 
 use protocol::Message;
 use std::collections::BTreeSet;
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread::JoinHandle;
 
-/// Bytes that are passed on in one piece.
-const PIECE: usize = 16 * 1024;
+/// Bytes that are passed on at a time.
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// A direction between two machines, by their names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,15 +31,15 @@
     }
 }
 
-/// The directions that are cut now.
+/// The directions that are cut at the moment.
 #[derive(Debug, Default)]
-pub struct Cuts {
+pub struct Partitions {
     directions: Mutex<BTreeSet<Direction>>,
     changed: Condvar,
 }
 
-impl Cuts {
-    /// Cuts these directions and no others. What has come for one that is no longer cut goes on its way.
+impl Partitions {
+    /// Cuts these directions and no others. What was held back in the others goes on.
     pub fn set(&self, directions: impl IntoIterator<Item = Direction>) {
         *self.directions.lock().unwrap() = directions.into_iter().collect();
         self.changed.notify_all();
@@ -56,7 +56,7 @@
     }
 }
 
-/// A relay in front of one member; with it ends its listener.
+/// A relay in front of one member. Its listener ends when this is dropped.
 pub struct Relay {
     listener: TcpListener,
     accepts: Option<JoinHandle<()>>,
@@ -64,13 +64,18 @@
 
 impl Relay {
     /// Relays what comes in at `listener` to the member with this name, which listens at `to`.
-    pub fn start(listener: TcpListener, member: String, to: SocketAddr, cuts: Arc<Cuts>) -> Self {
+    pub fn start(
+        listener: TcpListener,
+        member: String,
+        to: SocketAddr,
+        partitions: Arc<Partitions>,
+    ) -> Self {
         let accepting = listener.try_clone().unwrap();
         let accepts = std::thread::spawn(move || {
             while let Ok((caller, _)) = accepting.accept() {
-                let (member, cuts) = (member.clone(), cuts.clone());
-                // One side has ended, or was never there: the other side sees that too.
-                std::thread::spawn(move || drop(relay(caller, &member, to, &cuts)));
+                let (member, partitions) = (member.clone(), partitions.clone());
+                // One side has closed the connection, or was never there. The other side sees that too.
+                std::thread::spawn(move || drop(relay(caller, &member, to, &partitions)));
             }
         });
         Self {
@@ -82,7 +87,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        // Nobody accepts any more; the address is free for the next test.
+        // The address is free for the next test.
         let _ = rustix::net::shutdown(&self.listener, rustix::net::Shutdown::Both);
         let _ = self.accepts.take().map(JoinHandle::join);
     }
@@ -93,12 +98,12 @@
     mut caller: TcpStream,
     member: &str,
     to: SocketAddr,
-    cuts: &Arc<Cuts>,
+    partitions: &Arc<Partitions>,
 ) -> std::io::Result<()> {
     let (name, first) = introduction(&mut caller)?;
     let inward = Direction::new(&name, member);
     let outward = inward.reversed();
-    cuts.wait_until_open(&[&inward, &outward]);
+    partitions.wait_until_open(&[&inward, &outward]);
     if has_left(&caller)? {
         return Ok(());
     }
@@ -106,13 +111,13 @@
     caller.set_nodelay(true)?;
     callee.set_nodelay(true)?;
     callee.write_all(&first)?;
-    let back = (callee.try_clone()?, caller.try_clone()?, cuts.clone());
+    let back = (callee.try_clone()?, caller.try_clone()?, partitions.clone());
     std::thread::spawn(move || pass_on(back.0, back.1, &outward, &back.2));
-    pass_on(caller, callee, &inward, cuts);
+    pass_on(caller, callee, &inward, partitions);
     Ok(())
 }
 
-/// The name that a caller's first message tells, and the bytes that have come with it.
+/// The name in a caller's first message, and the bytes that have come so far.
 fn introduction(caller: &mut TcpStream) -> std::io::Result<(String, Vec<u8>)> {
     let mut bytes = Vec::new();
     loop {
@@ -121,7 +126,7 @@
             Ok(None) => {}
             other => panic!("no introduction: {other:?}"),
         }
-        let mut piece = [0; PIECE];
+        let mut piece = [0; CHUNK_BYTES];
         let length = caller.read(&mut piece)?;
         if length == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
@@ -138,16 +143,16 @@
     Ok(left)
 }
 
-/// Passes on what comes, whenever its direction is open, and the end behind it.
-fn pass_on(mut from: TcpStream, mut to: TcpStream, direction: &Direction, cuts: &Cuts) {
-    let mut piece = vec![0; PIECE];
+/// Passes on what comes while the direction is open, and the end of the stream.
+fn pass_on(mut from: TcpStream, mut to: TcpStream, direction: &Direction, partitions: &Partitions) {
+    let mut piece = vec![0; CHUNK_BYTES];
     loop {
         let read = from.read(&mut piece);
-        cuts.wait_until_open(&[direction]);
+        partitions.wait_until_open(&[direction]);
         let passed = match read {
             Ok(length) if length > 0 => to.write_all(&piece[..length]),
             _ => {
-                // Whoever has ended already needs no word of it.
+                // Fails where the other side has closed the connection already.
                 let _ = to.shutdown(Shutdown::Write);
                 return;
             }
--- a/crates/fennelpin-cli/tests/signals.rs
+++ b/crates/fennelpin-cli/tests/startup_signals.rs
@@ -1,4 +1,4 @@
-//! Signals that come while a program is only starting.
+//! Signals that come while a program starts.
 
 use fennelpin_cli::local::cluster::Program;
 use rstest::rstest;
@@ -53,7 +53,7 @@
 
 /// The program reads its settings from a pipe, so that it can be told that they have changed before it knows them.
 #[rstest]
-fn settings_that_change_before_they_are_read_end_no_program(
+fn program_when_sighup_comes_before_settings_are_read_then_keeps_running(
     #[values(Program::ControlPlane, Program::Agent, Program::Proxy)] program: Program,
 ) {
     let dir = tempfile::tempdir().unwrap();
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/store_recover_command.rs
@@ -83,8 +83,8 @@
     AppendLog::open(dir, name).unwrap().1
 }
 
-/// All that is refused changes nothing.
-fn refused(dir: &Path, arguments: &[&str], code: i32, says: &str) {
+/// Checks that a recovery is refused and changes nothing.
+fn assert_refused(dir: &Path, arguments: &[&str], code: i32, says: &str) {
     let before = (records(dir, "identity"), records(dir, "ledger"));
     let output = recover(arguments, dir);
     assert_eq!(output.status.code(), Some(code), "{}", errors(&output));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_replica_goes_on_alone_as_somebody_else() {
+fn replica_when_recovered_then_only_voter_with_a_new_id() {
     let root = tempfile::tempdir().unwrap();
     let dir = root.path().join("2");
     member(&dir, 2, EPOCH);
@@ -127,7 +127,7 @@
             && dir.join("identity.before-recovery").exists()
     );
     // Once is enough: the new one has nobody to give up.
-    refused(
+    assert_refused(
         &dir,
         &["--stopped", "--lost", "core-1,core-3"],
         3,
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_is_not_sure_is_refused() {
+fn recovery_when_unsafe_then_refused_and_nothing_is_changed() {
     let root = tempfile::tempdir().unwrap();
     let (replica, witness, later) = (
         root.path().join("2"),
@@ -147,28 +147,28 @@
     member(&witness, 3, EPOCH);
     member(&later, 1, EPOCH + (1 << 20));
     let all = ["--stopped", "--lost", "core-1,core-3"];
-    refused(&replica, &all[1..], 2, "--stopped");
-    refused(&replica, &["--stopped"], 3, "core-1,core-3");
-    refused(
+    assert_refused(&replica, &all[1..], 2, "--stopped");
+    assert_refused(&replica, &["--stopped"], 3, "core-1,core-3");
+    assert_refused(
         &replica,
         &["--stopped", "--lost", "core-1"],
         3,
         "core-1,core-3",
     );
-    refused(
+    assert_refused(
         &replica,
         &["--stopped", "--lost", "core-1,core-2,core-3"],
         3,
         "core-1,core-3",
     );
-    refused(
+    assert_refused(
         &witness,
         &["--stopped", "--lost", "core-1,core-2"],
         3,
         "it is no replica",
     );
     let other = later.to_string_lossy().into_owned();
-    refused(
+    assert_refused(
         &replica,
         &[&all[..], &["--other", &other]].concat(),
         3,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_damaged_file_is_refused() {
+fn recovery_when_file_is_corrupt_then_refused() {
     let root = tempfile::tempdir().unwrap();
     let dir = root.path().join("2");
     member(&dir, 2, EPOCH);
