--- a/crates/coordinator/src/core/actor.rs
+++ b/crates/coordinator/src/core/actor.rs
@@ -1,9 +1,9 @@
 //! The module's actor: a mailbox, and turns over all that waits in it.
 
 use super::{Answer, Mail, NewQuery, Table, Transport};
+use crate::cores::current_core;
 use crate::counters::Counters;
 use crate::interface::Cause;
-use crate::shard::here;
 use multi_core::core_dispatch::CoreDispatcher;
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
@@ -84,7 +84,7 @@
         };
         let key = query.key.as_ref().map(|k| self.hash.hash_one(k));
         // Without a sound core the sender is dropped: the ticket ends at once.
-        let Some(core) = self.dispatcher.core_for_query(here(), key, now) else {
+        let Some(core) = self.dispatcher.core_for_query(current_core(), key, now) else {
             return ticket;
         };
         if !self.dispatcher.try_enqueue(core, now) {
@@ -98,7 +98,7 @@
             return ticket;
         }
         ticket.at = Some((self.dispatcher.clone(), core));
-        if core != here() {
+        if core != current_core() {
             self.counters.inc("cores.handed_over");
             ticket.watch = Some((Box::pin(tokio::time::sleep(WATCH)), self.origin));
         }
--- a/crates/coordinator/src/core/table/list.rs
+++ b/crates/coordinator/src/core/table/list.rs
@@ -53,7 +53,10 @@
             // A core that stood still reads of a drain late: where the host's gate has shut meanwhile, the
             // module must not count on a grace that is over.
             let shut = e.state == ServerState::Draining
-                && self.seat.as_ref().is_some_and(|s| s.shut(&e.id, now));
+                && self
+                    .seat
+                    .as_ref()
+                    .is_some_and(|s| s.is_gate_closed(&e.id, now));
             let state = if shut { ServerState::Gone } else { e.state };
             told.push(ServerEntry {
                 server,
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -12,9 +12,9 @@
     Idempotency, Instant, ListKind, Mail, Missing, NewQuery, Outcome, Piece, RequestId,
     ServerEntry, ServerId, ServerState, Transport, ZoneId,
 };
+use crate::cores::SharedCoreState;
 use crate::counters::Counters;
 use crate::peers::{Datagram, LoadPublisher};
-use crate::shard::Seat;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tokio::sync::{mpsc, oneshot};
 
@@ -86,7 +86,7 @@
     most_held: usize,
     actions: Vec<Action>,
     /// What it shares with other cores of the process; `None` where it is the only one.
-    seat: Option<Seat>,
+    seat: Option<SharedCoreState>,
     /// Connections in a row that did not come up, by host.
     unreached: HashMap<ServerId, u32>,
     /// When the list's figures are shown next.
@@ -157,7 +157,7 @@
     }
 
     /// The same as one of several cores.
-    pub fn among(mut self, seat: Seat) -> Self {
+    pub fn among(mut self, seat: SharedCoreState) -> Self {
         self.seat = Some(seat);
         self
     }
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -2,7 +2,7 @@
 
 use super::{
     oneshot, Answer, Arc, Cause, Duration, Event, Instant, Missing, NewQuery, Outcome, Part, Piece,
-    Query, RequestId, Seat, Table, Transport,
+    Query, RequestId, SharedCoreState, Table, Transport,
 };
 
 impl<T: Transport> Table<T> {
@@ -15,7 +15,7 @@
     ) {
         // Two queries by one name would share their parts' names: the hosts would take one's for a copy of
         // the other's.
-        let elsewhere = |s: &Seat| !s.names.claim(&new.name, s.core);
+        let elsewhere = |s: &SharedCoreState| !s.names.claim(&new.name, s.core);
         if self.names.contains_key(&new.name) || self.seat.as_ref().is_some_and(elsewhere) {
             self.counters.inc("answered.name_taken");
             let _ = reply.send(Answer::NameTaken);
--- /dev/null
+++ b/crates/coordinator/src/cores/supervisor.rs
@@ -0,0 +1,218 @@
+//! Starts the cores' threads and waits for their end. The present thread accepts connections, follows the host
+//! list and handles signals. A core that ends or panics takes its own connections along; the others serve on. The
+//! process ends with an error once none is left.
+
+use super::acceptor::Acceptor;
+use super::core_thread::{CoreThread, EndGuard};
+use super::list_distributor::ListDistributor;
+use super::SharedCoreState;
+use crate::config::{Config, CoresConfig};
+use crate::core::{Core, Mail};
+use crate::counters::Counters;
+use crate::front::Fronts;
+use crate::net::http::Handed;
+use crate::ops::hot_restart::RestartRole;
+use crate::ops::list_overlay::ListOverlay;
+use crate::serve::components::{fronts, retry_after, ServiceParts};
+use crate::serve::operations::Operations;
+use multi_core::core_dispatch::CoreDispatcher;
+use multi_core::drain_gates::DrainGates;
+use multi_core::key_ownership::KeyOwnership;
+use multi_core::shared_budget::SharedBudget;
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::Instant;
+use tokio::sync::{mpsc, watch};
+
+type CoreHandle = JoinHandle<std::io::Result<()>>;
+
+/// Serves with several cores until told to stop.
+///
+/// # Errors
+/// If a thread or runtime can't be had, or the last core has ended without being told to.
+pub(crate) async fn run(service: ServiceParts, cores: CoresConfig) -> std::io::Result<()> {
+    let ServiceParts {
+        config,
+        clients,
+        counters,
+        stop,
+        discovery_moves,
+        operations,
+    } = service;
+    let (readiness, overlay, requests) = match operations {
+        Some(Operations {
+            readiness,
+            overlay,
+            requests,
+        }) => (Some(readiness), overlay, Some(requests)),
+        None => (None, ListOverlay::default(), None),
+    };
+    log::info!(cores = cores.count, pinned = cores.pin; "{}", config.summary());
+    let (state, inboxes) = SupervisorState::new(&config, cores);
+    let core = Core::new(
+        state.mailboxes.clone(),
+        state.dispatcher.clone(),
+        state.origin,
+        retry_after(&config),
+        counters.clone(),
+    );
+    let context = CoreContext {
+        fronts: Arc::new(fronts(&config, core, &counters, readiness.clone())),
+        config: &config,
+        counters: &counters,
+        stop: &stop,
+        restart_role: &clients.restart_role,
+        pin: cores.pin,
+    };
+    let (threads, connections, mut ended) = state.start_cores(inboxes, &context)?;
+    drop(context);
+    let distributor = ListDistributor {
+        gates: state.gates,
+        cores: state.mailboxes,
+        origin: state.origin,
+        drain_grace: config.site.caps.drain_grace,
+        counters: counters.clone(),
+    };
+    tokio::spawn(distributor.run(config, discovery_moves, overlay, requests));
+    if let Some(readiness) = readiness {
+        readiness.set_accepting();
+    }
+    let acceptor = Acceptor {
+        listener: clients,
+        dispatcher: state.dispatcher,
+        cores: connections,
+        origin: state.origin,
+    };
+    tokio::select! {
+        () = acceptor.run() => {}
+        () = wait_for_cores(cores.count, &mut ended, &stop, &counters) => {}
+    }
+    join_cores(threads);
+    if *stop.borrow() {
+        Ok(())
+    } else {
+        Err(std::io::Error::other("all cores have ended"))
+    }
+}
+
+/// What all cores share.
+struct SupervisorState {
+    mailboxes: Vec<mpsc::UnboundedSender<Mail>>,
+    dispatcher: Arc<CoreDispatcher>,
+    budget: Arc<SharedBudget>,
+    names: Arc<KeyOwnership>,
+    gates: Arc<DrainGates>,
+    /// The origin of the dispatcher's and the gates' times.
+    origin: Instant,
+}
+
+/// What each core's thread gets a copy of.
+struct CoreContext<'a> {
+    config: &'a Config,
+    fronts: Arc<Fronts>,
+    counters: &'a Counters,
+    stop: &'a watch::Receiver<bool>,
+    restart_role: &'a watch::Receiver<RestartRole>,
+    pin: bool,
+}
+
+/// The cores' threads, where each takes its connections from, and the numbers of those that have ended.
+type StartedCores = (
+    Vec<CoreHandle>,
+    Vec<mpsc::UnboundedSender<Handed>>,
+    mpsc::UnboundedReceiver<usize>,
+);
+
+impl SupervisorState {
+    fn new(config: &Config, cores: CoresConfig) -> (Self, Vec<mpsc::UnboundedReceiver<Mail>>) {
+        let count = cores.count;
+        let max_open = config.site.caps.open;
+        let (mailboxes, inboxes) = (0..count).map(|_| mpsc::unbounded_channel()).unzip();
+        let state = Self {
+            mailboxes,
+            dispatcher: CoreDispatcher::new(count, max_open),
+            budget: SharedBudget::new(max_open, count, (max_open / (4 * count)).max(1)),
+            names: KeyOwnership::new(),
+            gates: DrainGates::new(count),
+            origin: Instant::now(),
+        };
+        (state, inboxes)
+    }
+
+    fn start_cores(
+        &self,
+        inboxes: Vec<mpsc::UnboundedReceiver<Mail>>,
+        context: &CoreContext,
+    ) -> std::io::Result<StartedCores> {
+        let (ended, ended_cores) = mpsc::unbounded_channel();
+        let (mut threads, mut connections) = (Vec::new(), Vec::new());
+        for (core, inbox) in inboxes.into_iter().enumerate() {
+            let (sender, receiver) = mpsc::unbounded_channel();
+            connections.push(sender);
+            let core_thread = CoreThread {
+                core,
+                config: context.config.clone(),
+                fronts: context.fronts.clone(),
+                inbox,
+                mail: self.mailboxes[core].clone(),
+                connections: receiver,
+                shared: self.shared_state(core),
+                dispatcher: self.dispatcher.clone(),
+                origin: self.origin,
+                counters: context.counters.clone(),
+                stop: context.stop.clone(),
+                pin: context.pin,
+                restart_role: context.restart_role.clone(),
+            };
+            let guard = EndGuard {
+                dispatcher: self.dispatcher.clone(),
+                core,
+                ended: ended.clone(),
+            };
+            let thread = std::thread::Builder::new().name(format!("core-{core}"));
+            threads.push(thread.spawn(move || core_thread.run(guard))?);
+        }
+        Ok((threads, connections, ended_cores))
+    }
+
+    fn shared_state(&self, core: usize) -> SharedCoreState {
+        let others = self.mailboxes.iter().enumerate();
+        SharedCoreState {
+            core,
+            lease: SharedBudget::lease(&self.budget, core),
+            names: self.names.clone(),
+            gates: self.gates.clone(),
+            origin: self.origin,
+            others: others
+                .filter(|(other, _)| *other != core)
+                .map(|(_, mailbox)| mailbox.clone())
+                .collect(),
+        }
+    }
+}
+
+/// Waits until all cores have ended.
+async fn wait_for_cores(
+    count: usize,
+    ended: &mut mpsc::UnboundedReceiver<usize>,
+    stop: &watch::Receiver<bool>,
+    counters: &Counters,
+) {
+    for left in (0..count).rev() {
+        let Some(core) = ended.recv().await else {
+            return;
+        };
+        if !*stop.borrow() {
+            counters.inc("cores.ended");
+            log::error!(left, core; "a core has ended; the others serve on");
+        }
+    }
+}
+
+fn join_cores(threads: Vec<CoreHandle>) {
+    for thread in threads {
+        if let Ok(Err(e)) = thread.join() {
+            log::error!(error:% = e; "core");
+        }
+    }
+}
--- a/crates/coordinator/src/counters.rs
+++ b/crates/coordinator/src/counters.rs
@@ -2,7 +2,7 @@
 //! stripe of its own, so that no two wait for one lock; what is shown is the sum. The operators' figures
 //! are among them: one count, whichever page shows it.
 
-use crate::shard::here;
+use crate::cores::current_core;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -93,7 +93,7 @@
     }
 
     fn own(&self) -> MutexGuard<'_, Stripe> {
-        Self::lock(&self.0.stripes[here() % self.0.stripes.len()])
+        Self::lock(&self.0.stripes[current_core() % self.0.stripes.len()])
     }
 
     /// Adds one.
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -48,6 +48,7 @@
 
 pub mod config;
 pub mod core;
+pub mod cores;
 pub mod counters;
 pub mod decision;
 pub mod front;
@@ -57,7 +58,6 @@
 pub mod ops;
 pub mod peers;
 pub mod serve;
-pub mod shard;
 
 pub use decision::{Router, ServerCounts};
 pub use interface::*;
--- a/crates/coordinator/src/logger.rs
+++ b/crates/coordinator/src/logger.rs
@@ -78,7 +78,7 @@
             Self::Text => {
                 let mut line = format!("{s}.{ms:03} {} {}", record.level(), record.args());
                 let _ = record.key_values().visit(&mut TextPairs(&mut line));
-                if let Some(core) = crate::shard::among_several() {
+                if let Some(core) = crate::cores::current_core_of_several() {
                     let _ = write!(line, " core={core}");
                 }
                 line
@@ -86,7 +86,7 @@
             Self::Json => {
                 let mut fields = Map::new();
                 let _ = record.key_values().visit(&mut JsonPairs(&mut fields));
-                if let Some(core) = crate::shard::among_several() {
+                if let Some(core) = crate::cores::current_core_of_several() {
                     fields.insert("core".into(), core.into());
                 }
                 // What every line has goes before a key of the same name.
--- a/crates/coordinator/src/net/discovery_watch.rs
+++ b/crates/coordinator/src/net/discovery_watch.rs
@@ -50,7 +50,7 @@
 
 /// A list or a change of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListUpdate {
     /// Its version.
     pub revision: u64,
     /// Whether it is the whole list.
@@ -85,7 +85,7 @@
 }
 
 /// Reads a list. An entry that can't be read is left out and logged: it must not cost the others.
-pub fn news(json: &[u8]) -> Result<News, serde_json::Error> {
+pub fn parse_update(json: &[u8]) -> Result<ListUpdate, serde_json::Error> {
     let raw: RawList = serde_json::from_slice(json)?;
     let mut members = Vec::new();
     for value in raw.members {
@@ -97,7 +97,7 @@
             Err(e) => log::warn!("list: entry left out: {e}"),
         }
     }
-    Ok(News {
+    Ok(ListUpdate {
         revision: raw.revision,
         complete: raw.complete,
         members,
@@ -149,7 +149,7 @@
     /// The counters.
     pub counters: Counters,
     /// When to call again.
-    pub pace: DiscoveryBackoff,
+    pub backoff: DiscoveryBackoff,
     /// Watches of earlier addresses, which this one takes over from once it has heard something.
     pub replaces: Vec<AbortHandle>,
 }
@@ -167,7 +167,7 @@
     /// Watches, and goes on at each further address that comes. The list stands, and the watch before goes
     /// on, until the new one speaks; versions of one discovery mean nothing to another.
     pub async fn follow_moves(self, mut moves: mpsc::UnboundedReceiver<String>) {
-        let (core, counters, pace) = (self.core.clone(), self.counters.clone(), self.pace);
+        let (core, counters, backoff) = (self.core.clone(), self.counters.clone(), self.backoff);
         let mut addr = self.addr.clone();
         let mut running = vec![tokio::spawn(self.run()).abort_handle()];
         while let Some(next) = moves.recv().await {
@@ -185,7 +185,7 @@
                 revision: None,
                 core,
                 counters,
-                pace,
+                backoff,
                 replaces,
             };
             running.push(tokio::spawn(watch.run()).abort_handle());
@@ -194,18 +194,18 @@
 
     /// Watches for ever, over as many connections as it takes.
     pub async fn run(mut self) {
-        let (mut backoff, spread) = self.pace.backoff();
+        let (mut backoff, spread) = self.backoff.backoff();
         if self.revision.is_some() {
             tokio::time::sleep(backoff.start(spread)).await;
         }
         // The first object comes with the head; where none did, the next watch is given longer.
-        let mut first = self.pace.head();
+        let mut first = self.backoff.head();
         loop {
             let before = self.revision;
             let mut lines = 0;
             let end = self.follow(&mut lines, first).await;
             first = if lines > 0 {
-                self.pace.head()
+                self.backoff.head()
             } else {
                 (2 * first).min(SILENT)
             };
@@ -245,7 +245,7 @@
         );
         conn.write_all(ask.as_bytes()).await?;
         let slow = |_| HttpError::Slow;
-        let (status, headers) = timeout(self.pace.head(), response_head(&mut conn))
+        let (status, headers) = timeout(self.backoff.head(), response_head(&mut conn))
             .await
             .map_err(slow)??;
         log::debug!("list: status {status}{since}");
@@ -274,11 +274,11 @@
     /// One object. A malformed one costs the connection, as what it would have told is missing now: the
     /// next watch starts from the last version that was read.
     fn line(&mut self, line: &[u8]) -> Result<(), HttpError> {
-        let News {
+        let ListUpdate {
             revision,
             complete,
             members,
-        } = news(line).map_err(|e| {
+        } = parse_update(line).map_err(|e| {
             log::warn!("list: {e}");
             HttpError::Malformed("list line")
         })?;
--- a/crates/coordinator/src/net/hosts.rs
+++ b/crates/coordinator/src/net/hosts.rs
@@ -43,11 +43,11 @@
 struct Shared {
     dialect: Arc<dyn Dialect>,
     caps: Caps,
-    /// Connections to all hosts at once: a host's first one is always opened, further ones only below this.
-    most_links: usize,
+    /// Limit on the connections to all hosts: a host's first one is always opened, further ones only below this.
+    max_connections: usize,
     /// Of that another process of the coordinator has half, while there is one.
-    beside: watch::Receiver<RestartRole>,
-    links: Arc<AtomicUsize>,
+    restart_role: watch::Receiver<RestartRole>,
+    open_connections: Arc<AtomicUsize>,
     core: mpsc::UnboundedSender<Mail>,
     counters: Counters,
     /// The gates that all cores share, and the origin of their times.
@@ -60,30 +60,40 @@
     mailboxes: BTreeMap<ServerId, mpsc::UnboundedSender<PeerMail>>,
 }
 
+/// What the hosts' actors need.
+pub struct HostConnectionsSetup {
+    /// How hosts are spoken to.
+    pub dialect: Arc<dyn Dialect>,
+    /// The limits of the settings.
+    pub caps: Caps,
+    /// Limit on the connections to all hosts. A host's first one is always opened.
+    pub max_connections: usize,
+    /// The core's mailbox, where answers go.
+    pub core: mpsc::UnboundedSender<Mail>,
+    /// The counters.
+    pub counters: Counters,
+    /// The drain gates that all cores share, and the origin of their times; `None` with one core.
+    pub gates: Option<(Arc<DrainGates>, Instant)>,
+    /// The role of this process in a hot restart: while there is another process each has half of the connections.
+    pub restart_role: watch::Receiver<RestartRole>,
+}
+
 impl HostConnections {
-    /// No hosts yet, and room for so many connections. Answers go to the core's mailbox.
-    pub fn new(
-        dialect: Arc<dyn Dialect>,
-        mut caps: Caps,
-        most_links: usize,
-        core: mpsc::UnboundedSender<Mail>,
-        counters: Counters,
-        gates: Option<(Arc<DrainGates>, Instant)>,
-        beside: watch::Receiver<RestartRole>,
-    ) -> Self {
-        // A host whose connection carries all that it may reads nothing more on it, not even a withdrawal: a
-        // part sent elsewhere would then be a second copy. So one place stays free.
+    /// Creates the transport with no hosts yet.
+    pub fn new(setup: HostConnectionsSetup) -> Self {
+        let mut caps = setup.caps;
+        // A host whose connection carries all that it may reads nothing more on it, not even a cancellation: a
+        // part sent elsewhere would then run twice. So one place stays free.
         caps.streams = caps.streams.saturating_sub(1).max(1);
-        let links = Arc::default();
         let shared = Arc::new(Shared {
-            dialect,
+            dialect: setup.dialect,
             caps,
-            most_links,
-            beside,
-            links,
-            core,
-            counters,
-            gates,
+            max_connections: setup.max_connections,
+            restart_role: setup.restart_role,
+            open_connections: Arc::default(),
+            core: setup.core,
+            counters: setup.counters,
+            gates: setup.gates,
         });
         Self {
             shared,
@@ -255,9 +265,14 @@
 
     fn may_open(&self) -> bool {
         let own = self.own_links();
-        let all = self.shared.links.load(Ordering::Relaxed);
+        let all = self.shared.open_connections.load(Ordering::Relaxed);
         own < self.shared.dialect.most_links()
-            && all < self.shared.beside.borrow().share_of(self.shared.most_links)
+            && all
+                < self
+                    .shared
+                    .restart_role
+                    .borrow()
+                    .share_of(self.shared.max_connections)
     }
 
     fn open(&mut self) -> mpsc::UnboundedSender<LinkMail> {
@@ -277,7 +292,10 @@
             core: self.shared.core.clone(),
             counters: self.shared.counters.clone(),
         };
-        let (task, links) = (self.shared.dialect.open(setup), self.shared.links.clone());
+        let (task, links) = (
+            self.shared.dialect.open(setup),
+            self.shared.open_connections.clone(),
+        );
         links.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
             task.await;
--- a/crates/coordinator/src/net/http/client.rs
+++ b/crates/coordinator/src/net/http/client.rs
@@ -106,7 +106,7 @@
         };
         let stopping = *closing.borrow();
         let replaced = shared.limits.replaced();
-        if !keep || over || stopping || replaced || shared.limits.one_call {
+        if !keep || over || stopping || replaced || shared.limits.one_request_per_connection {
             finish(&mut conn, &answer, &shared.counters).await;
             let codes = [
                 (stopping, "stopping"),
--- a/crates/coordinator/src/net/http/incoming.rs
+++ b/crates/coordinator/src/net/http/incoming.rs
@@ -23,7 +23,7 @@
     /// The listener.
     pub listener: TcpListener,
     /// How this process stands to another.
-    pub beside: watch::Receiver<RestartRole>,
+    pub restart_role: watch::Receiver<RestartRole>,
 }
 
 impl Gated {
@@ -35,7 +35,7 @@
         loop {
             // The other end of the watch goes only where there is never another process.
             if self
-                .beside
+                .restart_role
                 .wait_for(|b| *b != RestartRole::Replaced)
                 .await
                 .is_err()
@@ -44,7 +44,7 @@
             }
             tokio::select! {
                 came = self.listener.accept() => return came,
-                changed = self.beside.changed() => if changed.is_err() { return self.listener.accept().await },
+                changed = self.restart_role.changed() => if changed.is_err() { return self.listener.accept().await },
             }
         }
     }
--- a/crates/coordinator/src/net/http/mod.rs
+++ b/crates/coordinator/src/net/http/mod.rs
@@ -25,10 +25,9 @@
 /// Ring for what comes in; a head must fit into it.
 pub const INPUT: usize = 16 * 1024;
 const OUTPUT: usize = 16 * 1024;
-/// When all seats are taken, a connection that has been asking for so long without a whole request (of
-/// clients), or standing idle for so long, goes for a new one: its client can come back, one turned away is
-/// not served.
-pub const PATIENCE: Duration = Duration::from_millis(100);
+/// When all slots are taken, a client's connection that has not sent its request completely for so long is closed
+/// for a new one: its client can come back, while one that is rejected is not served.
+pub const REQUEST_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(100);
 
 /// An answer on its way.
 pub type Answering = Pin<Box<dyn Future<Output = Response> + Send>>;
@@ -48,33 +47,34 @@
 /// Limits of a server.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Clients that are served.
-    pub clients: usize,
-    /// Clients beyond that are still told so; above this sum they are let go.
-    pub most: usize,
-    /// Once told to stop, requests are served for so long, as clients keep the connections they have.
+    /// Clients that are served at once.
+    pub max_clients: usize,
+    /// Connections that are kept at once. Clients beyond `max_clients` get an answer that says that there are too
+    /// many; connections beyond this are closed at once.
+    pub max_connections: usize,
+    /// How long requests are served after the stop, as clients keep the connections they have.
     pub serve_on: Duration,
-    /// By then all of them must be answered.
-    pub answer_by: Duration,
-    /// When all seats are taken, a connection that has been asking for so long makes room.
-    pub patience: Duration,
+    /// How long after the stop all of them must be answered.
+    pub answer_within: Duration,
+    /// When all slots are taken, a connection that has not sent its request for so long makes room.
+    pub request_timeout_when_full: Duration,
     /// Whether a connection is for one request alone.
-    pub one_call: bool,
-    /// How this process stands to another: both have half of the seats, and one that is replaced takes no
-    /// new connections and closes each with its next answer.
-    pub beside: watch::Receiver<RestartRole>,
+    pub one_request_per_connection: bool,
+    /// The role of this process in a hot restart. While there are two processes each has half of the slots. A
+    /// process that is replaced accepts no connections and closes each one with its next answer.
+    pub restart_role: watch::Receiver<RestartRole>,
 }
 
 impl Limits {
     fn replaced(&self) -> bool {
-        *self.beside.borrow() == RestartRole::Replaced
+        *self.restart_role.borrow() == RestartRole::Replaced
     }
 
     fn clients(&self) -> usize {
-        self.beside.borrow().share_of(self.clients)
+        self.restart_role.borrow().share_of(self.max_clients)
     }
 
-    fn most(&self) -> usize {
-        self.beside.borrow().share_of(self.most)
+    fn connections(&self) -> usize {
+        self.restart_role.borrow().share_of(self.max_connections)
     }
 }
--- a/crates/coordinator/src/net/http/server.rs
+++ b/crates/coordinator/src/net/http/server.rs
@@ -45,7 +45,7 @@
     /// Asks the connection that has been of no use for longest to leave.
     fn make_room(&self, full: bool) -> Option<u64> {
         self.seats()
-            .make_room(Instant::now(), full, self.limits.patience)
+            .make_room(Instant::now(), full, self.limits.request_timeout_when_full)
     }
 
     /// Whether a request is refused for want of seats, as the one that was to leave for it has not, and no
@@ -87,7 +87,7 @@
         (stream, from, guard): (TcpStream, SocketAddr, Option<Guard>),
         closing: &watch::Receiver<bool>,
     ) {
-        let (clients, most) = (self.limits.clients(), self.limits.most());
+        let (clients, most) = (self.limits.clients(), self.limits.connections());
         let full = self.seats().staying() >= clients;
         let idlers = self.seats().idlers();
         let crowded = full || idlers as f64 > IDLERS * clients as f64;
@@ -135,8 +135,8 @@
         latest,
     });
     let (close, closing) = watch::channel(false);
-    let mut beside = shared.limits.beside.clone();
-    let mut has_other = beside.has_changed().is_ok();
+    let mut restart_role = shared.limits.restart_role.clone();
+    let mut has_other = restart_role.has_changed().is_ok();
     let mut stopped: Option<Instant> = None;
     loop {
         let rest = if stopped.is_some() {
@@ -153,14 +153,14 @@
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             },
-            _ = beside.changed(), if has_other => {
-                has_other = beside.has_changed().is_ok();
+            _ = restart_role.changed(), if has_other => {
+                has_other = restart_role.has_changed().is_ok();
                 shared.make_half();
             }
             _ = stop.wait_for(|s| *s), if stopped.is_none() => {
                 let now = Instant::now();
                 stopped = Some(now);
-                let _ = shared.latest.set(now + shared.limits.answer_by);
+                let _ = shared.latest.set(now + shared.limits.answer_within);
             }
             _ = tokio::time::sleep(rest) => {}
         }
@@ -172,7 +172,8 @@
             break;
         }
         // A crowd that leaves at once must have left before more of it come.
-        if shared.limits.one_call && shared.clients.load(Ordering::Relaxed) >= shared.limits.clients
+        if shared.limits.one_request_per_connection
+            && shared.clients.load(Ordering::Relaxed) >= shared.limits.max_clients
         {
             tokio::task::yield_now().await;
         }
--- a/crates/coordinator/src/ops/admin_server.rs
+++ b/crates/coordinator/src/ops/admin_server.rs
@@ -16,7 +16,7 @@
 /// Limit on the callers that are served at once. One more takes the place of the caller that has been sending
 /// its request for longest.
 const MAX_CALLERS: usize = 24;
-/// Limit on the callers beside those whose connections are about to close.
+/// Limit on the callers restart_role those whose connections are about to close.
 const MAX_CLOSING_CALLERS: usize = 4;
 /// Answers are due within 1 s: an order that is not in force by then is refused.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
@@ -61,13 +61,13 @@
 
     async fn run(self, listener: TcpListener) {
         let limits = Limits {
-            clients: MAX_CALLERS,
-            most: MAX_CALLERS + MAX_CLOSING_CALLERS,
+            max_clients: MAX_CALLERS,
+            max_connections: MAX_CALLERS + MAX_CLOSING_CALLERS,
             serve_on: Duration::ZERO,
-            answer_by: Duration::ZERO,
-            patience: Duration::ZERO,
-            one_call: true,
-            beside: never_restarted(),
+            answer_within: Duration::ZERO,
+            request_timeout_when_full: Duration::ZERO,
+            one_request_per_connection: true,
+            restart_role: never_restarted(),
         };
         let listener = match tokio::net::TcpListener::from_std(listener) {
             Ok(listener) => listener,
@@ -76,7 +76,7 @@
         let (_never_stopped, stop) = watch::channel(false);
         let incoming = Incoming::Listener(Gated {
             listener,
-            beside: never_restarted(),
+            restart_role: never_restarted(),
         });
         http::serve(incoming, Arc::new(self), limits, Counters::default(), stop).await;
     }
--- /dev/null
+++ b/crates/coordinator/src/serve/single_core.rs
@@ -0,0 +1,110 @@
+//! Serving with one core: all actors on one thread.
+
+use super::components::{
+    dialect, fronts, incarnation, limits, retry_after, start_list_source, ServiceParts,
+};
+use crate::config::Config;
+use crate::core::{self, Clock, Core, Mail, Table};
+use crate::counters::Counters;
+use crate::interface::ListKind;
+use crate::net::gossip::GossipSocket;
+use crate::net::hosts::{HostConnections, HostConnectionsSetup};
+use crate::net::http::{self, Incoming};
+use crate::ops::list_overlay;
+use crate::peers::LoadPublisher;
+use multi_core::core_dispatch::CoreDispatcher;
+use std::sync::Arc;
+use std::time::Instant;
+use tokio::sync::mpsc;
+
+/// Limit on the load updates that wait for the socket; one more is dropped.
+const MAX_QUEUED_UPDATES: usize = 8;
+
+/// Serves until told to stop.
+///
+/// # Errors
+/// If the core has ended.
+pub(super) async fn run(service: ServiceParts) -> std::io::Result<()> {
+    let ServiceParts {
+        config,
+        clients,
+        counters,
+        stop,
+        discovery_moves,
+        operations,
+    } = service;
+    log::info!("{}", config.summary());
+    let (mail, inbox) = mpsc::unbounded_channel();
+    let origin = Instant::now();
+    let dispatcher = CoreDispatcher::new(1, config.site.caps.open);
+    let core = Core::new(
+        vec![mail.clone()],
+        dispatcher.clone(),
+        origin,
+        retry_after(&config),
+        counters.clone(),
+    );
+    let mut readiness = operations.as_ref().map(|o| o.readiness.clone());
+    let fronts = fronts(&config, core, &counters, readiness.clone());
+    let limits = limits(&config, config.capacity, clients.restart_role.clone());
+    let hosts = HostConnections::new(HostConnectionsSetup {
+        dialect: dialect(&config),
+        caps: config.site.caps.clone(),
+        max_connections: config.capacity.host_connections,
+        core: mail.clone(),
+        counters: counters.clone(),
+        gates: None,
+        restart_role: clients.restart_role.clone(),
+    });
+    let table = Table::new(
+        config.site.clone(),
+        config.seed,
+        Clock::new(),
+        hosts,
+        config.capacity.response_bytes,
+        counters.clone(),
+    );
+    let table = with_gossip(table, &config, &mail, &counters);
+    let mut list_updates = mail.clone();
+    if let Some(operations) = operations {
+        let (updates, inbox) = mpsc::unbounded_channel();
+        let actor = list_overlay::run(operations.overlay, inbox, operations.requests, mail);
+        tokio::spawn(actor);
+        list_updates = updates;
+    }
+    // The list as last known comes first, so that the first query finds hosts.
+    let known = config.known_list.members.clone();
+    let _ = list_updates.send(Mail::List(ListKind::Cached, known));
+    let core_task = tokio::spawn(core::start(table, inbox, (dispatcher, 0, origin)));
+    start_list_source(config, list_updates, &counters, discovery_moves);
+    if let Some(readiness) = readiness.take() {
+        readiness.set_accepting();
+    }
+    tokio::select! {
+        () = http::serve(Incoming::Listener(clients), Arc::new(fronts), limits, counters, stop) => Ok(()),
+        _ = core_task => Err(std::io::Error::other("the core has ended")),
+    }
+}
+
+/// The table in gossip with its peers, where that is configured. Starts the actor of the datagrams.
+fn with_gossip(
+    table: Table<HostConnections>,
+    config: &Config,
+    core: &mpsc::UnboundedSender<Mail>,
+    counters: &Counters,
+) -> Table<HostConnections> {
+    let addresses = config.peer_addresses.clone();
+    let Some((addresses, settings)) = addresses.zip(config.site.talk) else {
+        return table;
+    };
+    let (updates, outgoing) = mpsc::channel(MAX_QUEUED_UPDATES);
+    let socket = GossipSocket {
+        addresses,
+        updates: outgoing,
+        core: core.clone(),
+        counters: counters.clone(),
+    };
+    let publisher = LoadPublisher::new(settings, incarnation(), config.seed);
+    tokio::spawn(socket.run());
+    table.with_gossip(publisher, updates)
+}
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -59,13 +59,13 @@
 
 fn limits() -> Limits {
     Limits {
-        clients: 8,
-        most: 8,
+        max_clients: 8,
+        max_connections: 8,
         serve_on: ms(3000),
-        answer_by: ms(3300),
-        patience: http::PATIENCE,
-        one_call: false,
-        beside: never_restarted(),
+        answer_within: ms(3300),
+        request_timeout_when_full: http::REQUEST_TIMEOUT_WHEN_FULL,
+        one_request_per_connection: false,
+        restart_role: never_restarted(),
     }
 }
 
@@ -116,7 +116,7 @@
         let listener = self.listener.take().expect("served once");
         let incoming = Incoming::Listener(Gated {
             listener,
-            beside: never_restarted(),
+            restart_role: never_restarted(),
         });
         let service = Arc::new(Scripted(self.met.clone()));
         let served = http::serve(
@@ -277,9 +277,9 @@
         text
     });
     let one_seat = Limits {
-        clients: 1,
-        most: 2,
-        patience: ms(0),
+        max_clients: 1,
+        max_connections: 2,
+        request_timeout_when_full: ms(0),
         ..limits()
     };
     let text = door.serve_within(one_seat, async {
@@ -319,9 +319,9 @@
         (start, ended)
     });
     let one_seat = Limits {
-        clients: 1,
-        most: 2,
-        patience: ms(0),
+        max_clients: 1,
+        max_connections: 2,
+        request_timeout_when_full: ms(0),
         ..limits()
     };
     let (start, first_ended) = door.serve_within(one_seat, async {
--- a/crates/coordinator/tests/host_connections.rs
+++ b/crates/coordinator/tests/host_connections.rs
@@ -5,7 +5,7 @@
 use coordinator::core::{settings, CallPart, Ended, Endpoint, Mail, Transport};
 use coordinator::counters::Counters;
 use coordinator::front::opensearch::hosts::{payload, OpenSearchHosts};
-use coordinator::net::hosts::HostConnections;
+use coordinator::net::hosts::{HostConnections, HostConnectionsSetup};
 use coordinator::net::link::{Dialect, Frames};
 use coordinator::{Outcome, RequestId, ServerId, ServerState};
 use std::sync::Arc;
@@ -30,15 +30,15 @@
             .unwrap();
         let caps = settings::read(&settings().to_string()).unwrap().caps;
         let (core, mail) = mpsc::unbounded_channel();
-        let peers = HostConnections::new(
+        let peers = HostConnections::new(HostConnectionsSetup {
             dialect,
             caps,
-            64,
+            max_connections: 64,
             core,
-            Counters::default(),
-            None,
-            coordinator::ops::hot_restart::never_restarted(),
-        );
+            counters: Counters::default(),
+            gates: None,
+            restart_role: coordinator::ops::hot_restart::never_restarted(),
+        });
         let (addr, zone) = (addr.to_owned(), "a".to_owned());
         let host = Endpoint {
             id: "h".into(),
--- a/crates/coordinator/tests/lists.rs
+++ b/crates/coordinator/tests/lists.rs
@@ -27,7 +27,7 @@
 }
 
 impl Bench {
-    fn new(addr: &str, pace: DiscoveryBackoff) -> Self {
+    fn new(addr: &str, backoff: DiscoveryBackoff) -> Self {
         let (core, news) = mpsc::unbounded_channel();
         let (moves, moved) = mpsc::unbounded_channel();
         let counters = Counters::default();
@@ -37,7 +37,7 @@
             revision: None,
             core,
             counters: count,
-            pace,
+            backoff,
             replaces: Vec::new(),
         };
         tokio::spawn(watch.follow_moves(moved));
--- a/crates/coordinator/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! What tests share: scripted peers, settings, clients, and the coordinator between them.
 #![allow(dead_code)]
 
-use coordinator::config::{Config, Operator};
+use coordinator::config::{Config, OperatorConfig};
 use coordinator::counters::Counters;
 pub use fake_hosts::scripted::*;
 use serde_json::{json, Value};
@@ -57,11 +57,11 @@
 
 impl Coordinator {
     pub fn start(config: &str, operator: &str) -> Self {
-        let operator = Operator::parse(operator).unwrap();
+        let operator = OperatorConfig::parse(operator).unwrap();
         let config = Config::parse(config, operator, |_| None).unwrap();
         let desk = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let desk_addr = desk.local_addr().unwrap().to_string();
-        let desk = config.desk.is_some().then_some(desk);
+        let desk = config.operator_address.is_some().then_some(desk);
         let counters = Counters::striped(config.operator.cores.map_or(1, |c| c.count));
         let (stop, stopping) = tokio::sync::watch::channel(false);
         let (moves, moved) = tokio::sync::mpsc::unbounded_channel();
@@ -75,12 +75,12 @@
             runtime.block_on(async {
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
                 tx.send(listener.local_addr().unwrap().to_string()).unwrap();
-                let doors = coordinator::serve::Doors {
+                let listeners = coordinator::serve::Listeners {
                     clients: listener,
-                    desk,
-                    before: None,
+                    operator: desk,
+                    taken_over: None,
                 };
-                coordinator::serve::serve(config, doors, ours, stopping, moved)
+                coordinator::serve::serve(config, listeners, ours, stopping, moved)
                     .await
                     .unwrap();
             });
--- a/crates/load-test/tests/scenario.rs
+++ b/crates/load-test/tests/scenario.rs
@@ -28,7 +28,7 @@
         ..s.clone()
     };
     let site = coordinator::core::settings::read(&s.settings(0).to_string()).unwrap();
-    let read = coordinator::config::Operator::parse(&operator.operator().unwrap()).unwrap();
+    let read = coordinator::config::OperatorConfig::parse(&operator.operator().unwrap()).unwrap();
     read.check(&site).unwrap();
     assert_eq!(s.operator(), None);
 }
