--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -165,7 +165,7 @@
     let incarnation = next_incarnation(0, 10_000, 2);
     processes.restart(incarnation);
     processes.run(&["a"], 6, &mut calls).await;
-    let marks = processes.agent.update(|mirror, _| mirror.vector());
+    let marks = processes.agent.update(|mirror, _| mirror.version_vector());
     let newest = marks
         .iter()
         .filter(|mark| mark.member_id == ID)
--- a/crates/proxy/src/hints/listener.rs
+++ b/crates/proxy/src/hints/listener.rs
@@ -54,7 +54,7 @@
     }
 }
 
-fn record(state: &ProxyState, placement: &protocol::Placement, prefill_tokens: u32) {
+fn record(state: &ProxyState, placement: &protocol::PromptPlacement, prefill_tokens: u32) {
     let parts: Vec<PromptPart> = placement
         .parts
         .iter()
@@ -97,7 +97,7 @@
 struct PlacementBatch<'a> {
     socket: &'a UdpSocket,
     to: SocketAddr,
-    entries: Vec<protocol::Placement>,
+    entries: Vec<protocol::PromptPlacement>,
     bytes: usize,
 }
 
@@ -113,7 +113,7 @@
 
     /// Adds an entry, and sends what was collected before where both don't fit. False for an entry that fits into no
     /// datagram, as its host's name alone is too long.
-    fn push(&mut self, entry: protocol::Placement) -> bool {
+    fn push(&mut self, entry: protocol::PromptPlacement) -> bool {
         const CAPACITY: usize = MAX_DATAGRAM_BYTES - FRAME_BYTES;
         let entry_bytes = ENTRY_OVERHEAD_BYTES + entry.host.len() + PART_BYTES * entry.parts.len();
         if entry_bytes > CAPACITY {
