--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -1,11 +1,12 @@
-//! The side that pulls: runs a [`Puller`] over TCP and feeds a [`SharedMirror`].
+//! The client: runs a [`Puller`] over TCP and applies what comes to a [`SharedMirror`].
 
-use crate::frames::{FrameReader, Step};
-use crate::news::{Pull, Update, AGE_UNKNOWN};
+use crate::frame_reader::{FrameReader, Step};
+use crate::mirror::{Mirror, VisibleVersion};
 use crate::puller::{Action, Puller};
-use crate::shared::SharedMirror;
+use crate::shared_mirror::SharedMirror;
 use crate::transitions::{self, PullRecorder};
-use protocol::{encode, Addr, MemberInfo, Message, Subscriber};
+use crate::update::{Pull, Update, AGE_UNKNOWN};
+use protocol::{encode, Addr, ControlPlaneInfo, MemberInfo, Message, Subscriber};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddrV4;
@@ -17,19 +18,20 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep_until;
 
-/// What the rest of the process tells the client.
+/// What the rest of the process tells a running client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Control {
-    /// The seeds' addresses, as the settings have them now.
+    /// The addresses of the seeds in the settings now.
     Seeds(Vec<Addr>),
-    /// The version of the configuration in force that is reported upward.
+    /// Version of the configuration in force, to be reported with each pull.
     Version(u64),
 }
 
+/// What comes of a connection.
 enum Event {
     Connected,
     /// Some bytes of an answer came.
-    Part,
+    PartialAnswer,
     Update(Box<Update>),
     Failed(io::Error),
 }
@@ -39,21 +41,22 @@
     pulls: mpsc::UnboundedSender<Pull>,
 }
 
-/// A puller with its connections.
+/// The connections of a puller.
 struct Client {
     hello: MemberInfo,
     shared: Arc<SharedMirror>,
     connections: HashMap<u64, Connection>,
     tasks: JoinSet<()>,
     events: mpsc::UnboundedSender<(u64, Event)>,
-    caller: Subscriber,
+    subscriber: Subscriber,
 }
 
-/// Pulls until it is dropped, or until `control` is closed. `hello` is the first frame on each connection.
+/// Pulls until it is dropped, or until `control` is closed. `hello` names this process in the first frame on each
+/// connection.
 pub async fn run(
     mut puller: Puller,
     hello: MemberInfo,
-    caller: Subscriber,
+    subscriber: Subscriber,
     shared: Arc<SharedMirror>,
     mut control: mpsc::UnboundedReceiver<Control>,
 ) {
@@ -65,66 +68,79 @@
         connections: HashMap::new(),
         tasks,
         events,
-        caller,
+        subscriber,
     };
-    let mut fleet = 0;
+    let mut control_plane_version = 0;
     let mut recorder = PullRecorder::default();
     loop {
-        // What has come counts before what hasn't come in time.
+        // What has come is handled before any time-out.
         while let Ok((link, event)) = incoming.try_recv() {
-            let actions = client.take(&mut puller, link, event);
+            let actions = client.on_event(&mut puller, link, event);
             client.act(actions);
         }
-        let (mirror_next, learnt, coordinators, taken) = shared.update(|mirror, _| {
-            let learnt =
-                (mirror.control_plane().version != fleet).then(|| mirror.control_plane().clone());
-            (
-                mirror.next_tick(),
-                learnt,
-                mirror.coordinator_estimate(),
-                mirror.visible_version(),
-            )
-        });
-        puller.set_coordinators(coordinators);
-        if let Some(learnt) = learnt {
-            fleet = learnt.version;
-            puller.set_members(learnt.members.iter().map(|s| s.addr));
+        let state = shared.update(|mirror, _| MirrorState::of(mirror, control_plane_version));
+        puller.set_coordinators(state.coordinators);
+        if let Some(control_plane) = &state.new_control_plane {
+            control_plane_version = control_plane.version;
+            puller.set_members(control_plane.members.iter().map(|member| member.addr));
         }
         client.act(puller.tick(shared.now()));
-        // Members tell the same of themselves by their views, proxies by what is in force.
+        // Only agents log this: members log their membership, proxies the configuration in force.
         if puller.prefers_one_member() {
             recorder.pulls(&puller).iter().for_each(transitions::log);
             recorder
-                .configuration(taken.0, taken.1)
+                .configuration(state.visible)
                 .iter()
                 .for_each(transitions::log);
         }
-        let next = mirror_next.into_iter().chain(puller.next_tick()).min();
+        let next = state.next_tick.into_iter().chain(puller.next_tick()).min();
         let at = next.unwrap_or_else(|| shared.now() + Duration::from_secs(60));
         tokio::select! {
             Some((link, event)) = incoming.recv() => {
-                let actions = client.take(&mut puller, link, event);
+                let actions = client.on_event(&mut puller, link, event);
                 client.act(actions);
             }
-            told = control.recv() => match told {
+            message = control.recv() => match message {
                 Some(Control::Seeds(seeds)) => puller.set_seeds(&seeds),
-                Some(Control::Version(version)) => client.caller.configuration_version = version,
+                Some(Control::Version(version)) => client.subscriber.configuration_version = version,
                 None => return,
             },
             Some(_) = client.tasks.join_next() => {}
             () = sleep_until(shared.at(at)) => {
-                shared.update(super::mirror::Mirror::tick);
+                shared.update(Mirror::tick);
             }
         }
     }
 }
 
+/// What the client needs to know of the mirror.
+struct MirrorState {
+    next_tick: Option<Duration>,
+    /// The control plane's members, if their version is another than the one known.
+    new_control_plane: Option<ControlPlaneInfo>,
+    coordinators: usize,
+    visible: VisibleVersion,
+}
+
+impl MirrorState {
+    fn of(mirror: &Mirror, known_version: u64) -> Self {
+        let control_plane = mirror.control_plane();
+        Self {
+            next_tick: mirror.next_tick(),
+            new_control_plane: (control_plane.version != known_version)
+                .then(|| control_plane.clone()),
+            coordinators: mirror.coordinator_estimate(),
+            visible: mirror.visible_version(),
+        }
+    }
+}
+
 impl Client {
-    fn take(&mut self, puller: &mut Puller, link: u64, event: Event) -> Vec<Action> {
+    fn on_event(&mut self, puller: &mut Puller, link: u64, event: Event) -> Vec<Action> {
         let now = self.shared.now();
         match event {
             Event::Connected => puller.connected(now, link),
-            Event::Part => {
+            Event::PartialAnswer => {
                 puller.partial_answer(now, link);
                 Vec::new()
             }
@@ -133,23 +149,26 @@
                 self.connections.remove(&link);
                 puller.failed(now, link)
             }
-            Event::Update(news) => {
-                // Of a link that was given up nobody knows when it was asked.
-                let news = match puller.pull_sent_at(link) {
-                    Some(asked) => news.aged(asked, now),
-                    None => Update {
-                        age_ms: AGE_UNKNOWN,
-                        ..*news
-                    },
-                };
-                let taken = self.shared.update(|mirror, now| mirror.apply(now, &news));
-                let actions = puller.answered(now, link, news.member, news.age_ms, taken);
-                if puller.all_members_stale() {
-                    self.shared.update(|mirror, _| mirror.show_unconfirmed());
-                }
-                actions
-            }
+            Event::Update(update) => self.on_update(puller, link, *update),
+        }
+    }
+
+    fn on_update(&mut self, puller: &mut Puller, link: u64, update: Update) -> Vec<Action> {
+        let now = self.shared.now();
+        // For a link that was given up it isn't known when the pull left, so the age can't be told.
+        let update = match puller.pull_sent_at(link) {
+            Some(sent_at) => update.aged(sent_at, now),
+            None => Update {
+                age_ms: AGE_UNKNOWN,
+                ..update
+            },
+        };
+        let applied = self.shared.update(|mirror, now| mirror.apply(now, &update));
+        let actions = puller.answered(now, link, update.member, update.age_ms, applied);
+        if puller.all_members_stale() {
+            self.shared.update(|mirror, _| mirror.show_unconfirmed());
         }
+        actions
     }
 
     fn act(&mut self, actions: Vec<Action>) {
@@ -171,7 +190,7 @@
                 Action::Pull { link, wait_ms } => {
                     let pull = self
                         .shared
-                        .update(|mirror, _| mirror.pull(&self.caller, wait_ms));
+                        .update(|mirror, _| mirror.pull(&self.subscriber, wait_ms));
                     if let Some(connection) = self.connections.get(&link) {
                         let _ = connection.pulls.send(pull);
                     }
@@ -186,7 +205,7 @@
     }
 }
 
-/// One connection: its timeouts are the puller's, which ends this task.
+/// Runs one connection. The puller watches its time-outs and ends the task.
 async fn connection(
     link: u64,
     addr: Addr,
@@ -217,15 +236,15 @@
                 let message = match step? {
                     Step::Message(message) => message,
                     Step::Part => {
-                        events.send((link, Event::Part)).map_err(|_| over())?;
+                        events.send((link, Event::PartialAnswer)).map_err(|_| over())?;
                         continue;
                     }
                     Step::End => return Err(io::ErrorKind::UnexpectedEof.into()),
                 };
-                let Ok(news) = Update::from_message(*message) else {
+                let Ok(update) = Update::from_message(*message) else {
                     return Err(io::Error::new(io::ErrorKind::InvalidData, "no news"));
                 };
-                events.send((link, Event::Update(Box::new(news)))).map_err(|_| over())?;
+                events.send((link, Event::Update(Box::new(update)))).map_err(|_| over())?;
             }
         }
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -4,25 +4,27 @@
 #![warn(missing_docs)]
 
 pub mod client;
-mod frames;
+mod frame_reader;
 mod mirror;
-mod news;
 mod puller;
 mod rendezvous;
 mod serve;
-mod shared;
+mod shared_mirror;
+mod timing;
 pub mod transitions;
+mod update;
 
-pub use frames::{FrameReader, Step};
-pub use mirror::{Mirror, Snapshot, CONFIRMATION_TIMEOUT};
-pub use news::{Pull, Update, AGE_UNKNOWN};
-pub use puller::{
-    Action, Puller, ANSWER_SLACK, CONNECT_TIMEOUT, MEMBERS_PER_AGENT, PACE, PULL_WAIT_MS,
-    STALE_AGE_MS, STANDBY_POLL_INTERVAL,
-};
+pub use frame_reader::{FrameReader, Step};
+pub use mirror::{Mirror, Snapshot, VisibleVersion};
+pub use puller::{Action, PullSummary, Puller};
 pub use rendezvous::{ranked, rendezvous_weight};
 pub use serve::{answer, serve};
-pub use shared::{SharedMirror, Traffic};
+pub use shared_mirror::{SharedMirror, Traffic};
+pub use timing::{
+    UpdatePause, ANSWER_SLACK, CONFIRMATION_TIMEOUT, CONNECT_TIMEOUT, MEMBERS_PER_AGENT,
+    PULL_WAIT_MS, STALE_AGE_MS, STANDBY_POLL_INTERVAL, UPDATE_PAUSE,
+};
+pub use update::{Pull, Update, AGE_UNKNOWN};
 
 use configuration::ProcessSettings;
 use protocol::{Addr, MemberInfo, Subscriber};
--- a/crates/replication/src/mirror/mod.rs
+++ b/crates/replication/src/mirror/mod.rs
@@ -1,151 +1,161 @@
-//! What the control plane says, as far as this process knows it.
+//! The mirror: a process's copy of what the control plane publishes.
 
 mod hosts;
-mod ledger;
-mod sources;
-mod withheld;
+mod origins;
+mod replicated_state;
+mod unconfirmed;
 
-pub use withheld::CONFIRMATION_TIMEOUT;
-
-use crate::news::{Pull, Update, AGE_UNKNOWN};
-use crate::puller::STALE_AGE_MS;
+use crate::timing::STALE_AGE_MS;
+use crate::update::{Pull, Update, AGE_UNKNOWN};
 use configuration::Configuration;
-use ledger::{Applied, LedgerMirror};
+use origins::Origins;
 use protocol::{Addr, ControlPlaneInfo, CoordinatorRecord, HostRecord, OriginVersion, Subscriber};
-use sources::Sources;
+use replicated_state::{Applied, StateMirror};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use withheld::Withheld;
+use unconfirmed::Unconfirmed;
 
-/// Fleets of one epoch, told apart in the low bits of the mark.
-const MARK_BITS: u32 = 16;
+/// The low bits of [`ControlPlaneInfo::version`] that count changes within one epoch.
+const CHANGE_NUMBER_BITS: u32 = 16;
 
-/// The merged truth at one moment.
+/// All that a mirror shows at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Number of the ledger's last change.
+    /// Index of the last change of the replicated state.
     pub index: u64,
-    /// The configuration; version 0 where none has come yet.
+    /// The configuration; its version is 0 if none has come yet.
     pub configuration: Arc<Configuration>,
-    /// Hosts by identity, merged over all sources and drains; see [`crate::phase`].
+    /// Hosts by id, merged from all origins and the draining hosts; see [`crate::phase`].
     pub hosts: BTreeMap<String, HostRecord>,
-    /// Names of the coordinators that pull now, over all sources.
+    /// Names of the coordinators that pull now, merged from all origins.
     pub coordinators: BTreeSet<String>,
-    /// Where their proxies take hints, by the machines' names.
+    /// Where the coordinators' proxies take prompt placements, by machine name.
     pub hints_addrs: BTreeMap<String, Addr>,
-    /// Hosts that the ledger has as leaving or gone.
+    /// Ids of the hosts that the replicated state has as draining or gone.
     pub draining_hosts: Arc<BTreeSet<String>>,
-    /// The control plane.
+    /// The members of the control plane.
     pub control_plane: ControlPlaneInfo,
 }
 
-/// The mirror. Takes only what is newer than what it has; hands on exactly what a puller lacks.
+/// The configuration version that a mirror shows. Both fields are 0 while a configuration is withheld.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct VisibleVersion {
+    /// Version of the configuration.
+    pub configuration_version: u64,
+    /// Index of the last change of the replicated state.
+    pub index: u64,
+}
+
+/// The mirror. It takes only what is newer than what it has, and tells each puller exactly what that one lacks.
 #[derive(Clone)]
 pub struct Mirror {
-    member: u64,
+    member_id: u64,
     generation: u64,
-    ledger: LedgerMirror,
-    sources: Sources,
-    fleet: ControlPlaneInfo,
-    /// Until when it is proved that nothing is missing here, in ns of this process's clock; negative for a time before
-    /// its start, as proofs that others hand on may be older than this process.
-    fresh: Option<i64>,
-    withheld: Withheld,
-    /// What [`Mirror::next_tick`] found, and at which generation; finding it looks at every record.
-    due: Cell<Option<(u64, Option<Duration>)>>,
+    state: StateMirror,
+    origins: Origins,
+    control_plane: ControlPlaneInfo,
+    /// Nothing committed before this time is missing here, in ns of this process's clock. It is negative for a time
+    /// before the process started, as a contact with the primary that others had may be older than this process.
+    confirmed_at_ns: Option<i64>,
+    unconfirmed: Unconfirmed,
+    /// What [`Mirror::next_tick`] found last, and at which generation: finding it looks at every record.
+    cached_next_tick: Cell<Option<(u64, Option<Duration>)>>,
 }
 
 const NANOSECONDS_PER_MS: i64 = 1_000_000;
 
-/// A time of this process's clock, in ns.
+/// A time of this process's clock in ns.
 fn nanoseconds(time: Duration) -> i64 {
     i64::try_from(time.as_nanos()).unwrap_or(i64::MAX)
 }
 
 impl Mirror {
-    /// An empty one. `member` is this process's identity, 0 where it is no member; `beat` is the time between
-    /// a host's heartbeats.
-    pub fn new(member: u64, beat: Duration) -> Self {
+    /// Creates an empty mirror. `member_id` is 0 for a process that is no member; `heartbeat_period` is the time between
+    /// two heartbeats of a host.
+    pub fn new(member_id: u64, heartbeat_period: Duration) -> Self {
         Self {
-            member,
+            member_id,
             generation: 0,
-            ledger: LedgerMirror::new(),
-            sources: Sources::new(beat),
-            fleet: ControlPlaneInfo::default(),
-            fresh: None,
-            withheld: Withheld::Never,
-            due: Cell::new(None),
+            state: StateMirror::new(),
+            origins: Origins::new(heartbeat_period),
+            control_plane: ControlPlaneInfo::default(),
+            confirmed_at_ns: None,
+            unconfirmed: Unconfirmed::Shown,
+            cached_next_tick: Cell::new(None),
         }
     }
 
-    /// For a process that hands nothing on: no older documents are kept.
+    /// Keeps no older configurations, for a process that nobody pulls from.
     pub fn without_history(mut self) -> Self {
-        self.ledger.forget_history();
+        self.state.disable_history();
         self
     }
 
-    /// For a process that starts with nothing: a configuration from a member that is cut off from a primary (its news
-    /// are older than [`STALE_AGE_MS`], or it has had no proof in its life) isn't shown before a member that isn't has
-    /// answered, or [`CONFIRMATION_TIMEOUT`] is over, or all members have told that they know no better
-    /// ([`Mirror::show_withheld`]). What is shown then is the newest that was heard of.
+    /// Withholds an unconfirmed configuration, for a process that starts with nothing. A configuration is unconfirmed
+    /// if its member's age is above [`STALE_AGE_MS`] or unknown. It is shown once a member in contact with a primary
+    /// has answered, or after [`CONFIRMATION_TIMEOUT`](crate::CONFIRMATION_TIMEOUT), or when all members have answered
+    /// that they have no contact ([`Mirror::show_unconfirmed`]). The newest that has come is shown then.
     pub fn withholding_unconfirmed(mut self) -> Self {
-        self.withheld = Withheld::Nothing;
+        self.unconfirmed = Unconfirmed::Awaited;
         self
     }
 
-    /// Nobody who can be reached knows better: what is withheld is shown.
+    /// Shows a withheld configuration: no member that can be reached knows better.
     pub fn show_unconfirmed(&mut self) {
-        if self.withheld.holds() {
-            self.withheld.end();
+        if self.unconfirmed.is_withholding() {
+            self.unconfirmed.show();
             self.generation += 1;
         }
     }
 
-    /// Sets this process's identity, where it is known later than the mirror.
-    pub fn set_member(&mut self, member: u64) {
-        self.member = member;
+    /// Sets this process's member id, where it becomes known only after the mirror was created.
+    pub fn set_member(&mut self, member_id: u64) {
+        self.member_id = member_id;
     }
 
-    /// Rises with each change of what [`Mirror::view`] tells.
+    /// Rises with each change of what [`Mirror::snapshot`] shows.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Number of the ledger's last change.
+    /// Index of the last change of the replicated state.
     pub fn index(&self) -> u64 {
-        self.ledger.seq
+        self.state.index
     }
 
-    /// The configuration; version 0 where none has come yet.
+    /// The newest configuration, also while it is withheld; its version is 0 if none has come yet.
     pub fn configuration(&self) -> &Arc<Configuration> {
-        &self.ledger.document
+        &self.state.configuration
     }
 
-    /// Version of the configuration that is shown, and number of the ledger's change; 0 while one is withheld.
-    pub fn visible_version(&self) -> (u64, u64) {
-        if self.withheld.holds() {
-            (0, 0)
-        } else {
-            (self.ledger.document.version, self.ledger.seq)
+    /// The configuration version that is shown.
+    pub fn visible_version(&self) -> VisibleVersion {
+        if self.unconfirmed.is_withholding() {
+            return VisibleVersion::default();
+        }
+        VisibleVersion {
+            configuration_version: self.state.configuration.version,
+            index: self.state.index,
         }
     }
 
-    /// The control plane.
+    /// The members of the control plane.
     pub fn control_plane(&self) -> &ControlPlaneInfo {
-        &self.fleet
+        &self.control_plane
     }
 
-    /// About how many coordinators pull now, by number alone: each is counted by as many members as it pulls from.
+    /// Estimates how many coordinators pull now: the origins' counts, divided by the number of members that each
+    /// coordinator pulls from.
     pub fn coordinator_estimate(&self) -> usize {
-        self.sources.coordinators()
+        self.origins.coordinators()
     }
 
-    /// Since when, at most, this process may have missed what the primary acknowledged, in ms; [`AGE_UNKNOWN`] where
-    /// it has had no proof at all.
+    /// For how long, at most, this process may have missed committed changes, in ms; [`AGE_UNKNOWN`] if it has had no
+    /// contact with a primary, direct or through others.
     pub fn age_ms(&self, now: Duration) -> u32 {
-        match self.fresh {
+        match self.confirmed_at_ns {
             Some(at) => {
                 let age = nanoseconds(now).saturating_sub(at).max(0) / NANOSECONDS_PER_MS;
                 u32::try_from(age).unwrap_or(AGE_UNKNOWN)
@@ -154,45 +164,44 @@
         }
     }
 
-    /// There was proof that nothing acknowledged before `at` is missing here.
+    /// Records a contact with the primary: nothing committed before `at` is missing here.
     pub fn record_primary_contact(&mut self, at: Duration) {
-        self.fresh = self.fresh.max(Some(nanoseconds(at)));
+        self.confirmed_at_ns = self.confirmed_at_ns.max(Some(nanoseconds(at)));
     }
 
-    /// Takes the ledger's acknowledged state from this process's own ledger. True where it was newer.
+    /// Takes the committed state from this process's own replica. Returns whether it was newer.
     pub fn set_replicated_state<'a>(
         &mut self,
-        seq: u64,
-        document: Arc<Configuration>,
-        drains: impl IntoIterator<Item = &'a String>,
+        index: u64,
+        configuration: Arc<Configuration>,
+        draining_hosts: impl IntoIterator<Item = &'a String>,
     ) -> bool {
-        let newer = self
-            .ledger
-            .set(seq, document, drains.into_iter().cloned().collect());
+        let draining_hosts = draining_hosts.into_iter().cloned().collect();
+        let newer = self.state.set(index, configuration, draining_hosts);
         self.changed(newer)
     }
 
-    /// Takes a fleet that this process knows itself: one of a higher epoch, or, where this process is the
-    /// primary, a change within the epoch. The others hear of such changes by their pulls.
+    /// Takes the control plane's members as this process itself knows them: those of a higher epoch, or a change within
+    /// the epoch if this process is the primary. Other processes learn of it by their pulls. Returns whether it was new.
     pub fn set_control_plane(
         &mut self,
         epoch: u64,
         primary: u64,
         members: Vec<protocol::MemberInfo>,
     ) -> bool {
-        let base = epoch.saturating_mul(1 << MARK_BITS).max(1);
-        let mark = if base > self.fleet.version {
+        let base = epoch.saturating_mul(1 << CHANGE_NUMBER_BITS).max(1);
+        let version = if base > self.control_plane.version {
             base
-        } else if epoch == self.fleet.epoch
-            && primary == self.member
-            && self.fleet.members != members
+        } else if epoch == self.control_plane.epoch
+            && primary == self.member_id
+            && self.control_plane.members != members
         {
-            self.fleet.version + 1
+            self.control_plane.version + 1
         } else {
             return false;
         };
-        self.fleet = ControlPlaneInfo {
-            version: mark,
+        self.control_plane = ControlPlaneInfo {
+            version,
             epoch,
             primary,
             members,
@@ -200,177 +209,194 @@
         self.changed(true)
     }
 
-    /// Counts a change of what is told; hands `changed` back.
+    /// Raises the generation if `changed`, and returns `changed`.
     fn changed(&mut self, changed: bool) -> bool {
         self.generation += u64::from(changed);
         changed
     }
 
-    /// Takes news: only what is newer than what is here. True where something was taken.
-    pub fn apply(&mut self, now: Duration, news: &Update) -> bool {
+    /// Applies what is newer than what is here. Returns whether something was.
+    pub fn apply(&mut self, now: Duration, update: &Update) -> bool {
         let before = self.generation;
-        let mut whole = true;
-        if let Some(config) = &news.configuration {
-            let applied = self.ledger.apply(config);
-            whole = applied != Applied::Missing;
-            let taken = self.changed(applied == Applied::Taken);
-            if taken && news.age_ms > STALE_AGE_MS {
-                self.withheld.begin(now);
+        let mut complete = true;
+        if let Some(configuration) = &update.configuration {
+            let applied = self.state.apply(configuration);
+            complete = applied != Applied::Missing;
+            let is_newer = self.changed(applied == Applied::Newer);
+            if is_newer && update.age_ms > STALE_AGE_MS {
+                self.unconfirmed.on_unconfirmed(now);
             }
         }
-        for id in &news.removed_origins {
+        for id in &update.removed_origins {
             self.remove_origin(now, *id);
         }
-        for source in &news.origins {
-            let newer = self.sources.apply(now, source);
+        for origin in &update.origins {
+            let newer = self.origins.apply(now, origin);
             self.changed(newer);
         }
-        if let Some(fleet) = news
+        if let Some(control_plane) = update
             .control_plane
             .as_ref()
-            .filter(|f| f.version > self.fleet.version)
+            .filter(|c| c.version > self.control_plane.version)
         {
-            self.fleet = fleet.clone();
+            self.control_plane = control_plane.clone();
             self.changed(true);
         }
-        if whole {
-            self.take_age(now, news.age_ms);
+        if complete {
+            self.take_age(now, update.age_ms);
         }
         self.generation != before
     }
 
-    /// Nothing is missing here that the speaker has, who may have missed what was acknowledged for `age_ms`.
+    /// Takes over the age of a sender whose records are now all here.
     fn take_age(&mut self, now: Duration, age_ms: u32) {
         if age_ms <= STALE_AGE_MS {
-            let shown = self.withheld.end();
+            let shown = self.unconfirmed.show();
             self.changed(shown);
         }
         if age_ms != AGE_UNKNOWN {
             let at = nanoseconds(now).saturating_sub(i64::from(age_ms) * NANOSECONDS_PER_MS);
-            self.fresh = self.fresh.max(Some(at));
+            self.confirmed_at_ns = self.confirmed_at_ns.max(Some(at));
         }
     }
 
-    /// A source is no more: its hosts stay for a few beat periods, so that they can call another member. It
-    /// comes back only with a new life or, within that time, with a new change.
-    pub fn remove_origin(&mut self, now: Duration, id: u64) {
-        let new = self.sources.retire(now, id);
-        self.changed(new);
+    /// Removes an origin. Its hosts stay for a few heartbeat periods, so that they can call another member. The origin
+    /// comes back only with a new incarnation or, within that time, with a new change.
+    pub fn remove_origin(&mut self, now: Duration, member_id: u64) {
+        let is_new = self.origins.remove(now, member_id);
+        self.changed(is_new);
     }
 
-    /// Drops what is over. True where the view changed.
+    /// Drops records whose time is over. Returns whether the snapshot changed.
     pub fn tick(&mut self, now: Duration) -> bool {
-        self.due.set(None);
+        self.cached_next_tick.set(None);
         let before = self.generation;
-        if self.withheld.until().is_some_and(|at| now >= at) {
+        if self.unconfirmed.deadline().is_some_and(|at| now >= at) {
             self.show_unconfirmed();
         }
-        let dropped = self.sources.tick(now);
+        let dropped = self.origins.tick(now);
         self.changed(dropped);
         self.generation != before
     }
 
     /// When [`Mirror::tick`] next has something to do.
     pub fn next_tick(&self) -> Option<Duration> {
-        if let Some((_, due)) = self
-            .due
-            .get()
-            .filter(|(generation, _)| *generation == self.generation)
-        {
-            return due;
+        if let Some((generation, next_tick)) = self.cached_next_tick.get() {
+            if generation == self.generation {
+                return next_tick;
+            }
         }
-        let due = self
-            .sources
+        let next_tick = self
+            .origins
             .next_tick()
             .into_iter()
-            .chain(self.withheld.until())
+            .chain(self.unconfirmed.deadline())
             .min();
-        self.due.set(Some((self.generation, due)));
-        due
+        self.cached_next_tick
+            .set(Some((self.generation, next_tick)));
+        next_tick
     }
 
-    /// What this mirror has of each source, for a pull.
+    /// How far this mirror has the records of each origin, for a pull.
     pub fn version_vector(&self) -> Vec<OriginVersion> {
-        self.sources.vector()
+        self.origins.version_vector()
     }
 
-    /// Asks for what this mirror lacks.
-    pub fn pull(&self, caller: &Subscriber, wait_ms: u32) -> Pull {
-        // That what is withheld is the current one is no news: it has to be asked for.
-        let wait_ms = if self.withheld.holds() { 0 } else { wait_ms };
+    /// The pull that asks for what this mirror lacks.
+    pub fn pull(&self, subscriber: &Subscriber, wait_ms: u32) -> Pull {
+        // A confirmation of the withheld configuration is no update, so no answer would come before the wait is over.
+        let wait_ms = if self.unconfirmed.is_withholding() {
+            0
+        } else {
+            wait_ms
+        };
         Pull {
-            subscriber: caller.clone(),
+            subscriber: subscriber.clone(),
             wait_ms,
-            index: self.ledger.seq,
-            configuration_version: self.ledger.asked_version(),
-            control_plane_version: self.fleet.version,
+            index: self.state.index,
+            configuration_version: self.state.version_to_request(),
+            control_plane_version: self.control_plane.version,
             origins: self.version_vector(),
         }
     }
 
-    /// News that say only how old this mirror may be.
+    /// An update that tells this mirror's age and nothing else.
     pub fn empty_update(&self, now: Duration) -> Update {
         Update {
-            member: self.member,
+            member: self.member_id,
             age_ms: self.age_ms(now),
             ..Update::default()
         }
     }
 
-    /// Exactly what the puller lacks; `None` where that is nothing.
+    /// Exactly what the puller lacks; `None` if it lacks nothing.
     pub fn update_for(&self, now: Duration, pull: &Pull) -> Option<Update> {
-        let mut news = self.empty_update(now);
-        if self.ledger.seq > pull.index && !self.withheld.holds() {
-            news.configuration = Some(self.ledger.news(pull.configuration_version, pull.index));
+        let mut update = self.empty_update(now);
+        if self.state.index > pull.index && !self.unconfirmed.is_withholding() {
+            update.configuration = Some(
+                self.state
+                    .update_since(pull.configuration_version, pull.index),
+            );
         }
-        if self.fleet.version > pull.control_plane_version {
-            news.control_plane = Some(self.fleet.clone());
+        if self.control_plane.version > pull.control_plane_version {
+            update.control_plane = Some(self.control_plane.clone());
         }
-        (news.origins, news.removed_origins) = self.sources.news(&pull.origins);
-        (!news.is_empty()).then_some(news)
+        (update.origins, update.removed_origins) = self.origins.updates_since(&pull.origins);
+        (!update.is_empty()).then_some(update)
     }
 
-    /// The highest number of a life of member `id` that makes the one numbered `life` count as over.
-    pub fn superseding_incarnation(&self, id: u64, life: u64) -> Option<u64> {
-        self.sources.later_life(id, life)
+    /// The highest known incarnation of a member that supersedes `incarnation`: it is later, or `incarnation` itself is
+    /// known to be closed.
+    pub fn superseding_incarnation(&self, member_id: u64, incarnation: u64) -> Option<u64> {
+        self.origins.superseding_incarnation(member_id, incarnation)
     }
 
-    /// Takes note of lives that a puller knows by its vector and that are newer than those known here.
-    pub fn observe_incarnations(&mut self, vector: &[OriginVersion]) {
-        let heard = self.sources.hear_of_lives(vector);
-        self.changed(heard);
+    /// Records incarnations in a puller's version vector that are newer than those known here.
+    pub fn observe_incarnations(&mut self, version_vector: &[OriginVersion]) {
+        let has_newer = self.origins.observe_incarnations(version_vector);
+        self.changed(has_newer);
     }
 
-    /// The newest record of a host among all sources but `own` (a member's identity).
-    pub fn host_at_other_origins(&self, own: u64, host: &str) -> Option<&HostRecord> {
-        self.sources.host_elsewhere(own, host)
+    /// The newest record of a host among all origins but the member `own_id`.
+    pub fn host_at_other_origins(&self, own_id: u64, host: &str) -> Option<&HostRecord> {
+        self.origins.host_at_others(own_id, host)
     }
 
-    /// The merged truth.
+    /// All that is shown now. Merges the records of all origins, which costs as much as there are records.
     pub fn snapshot(&self) -> Snapshot {
-        let (ledger, document, drains) = if self.withheld.holds() {
-            Default::default()
-        } else {
-            (
-                self.ledger.seq,
-                self.ledger.document.clone(),
-                self.ledger.drains.clone(),
-            )
-        };
-        let hosts = hosts::merged(self.sources.hosts(), &drains, self.sources.arrivals());
-        let pulling: Vec<&CoordinatorRecord> = self.sources.pulling().collect();
+        let (index, configuration, draining_hosts) = self.visible_state();
+        let hosts = hosts::merged(
+            self.origins.hosts(),
+            &draining_hosts,
+            self.origins.arrivals(),
+        );
+        let coordinators: Vec<&CoordinatorRecord> = self.origins.pulling_coordinators().collect();
         Snapshot {
-            index: ledger,
-            configuration: document,
+            index,
+            configuration,
             hosts,
-            hints_addrs: pulling
+            hints_addrs: coordinators
+                .iter()
+                .filter(|record| record.hints_addr.port > 0)
+                .map(|record| (record.name.clone(), record.hints_addr))
+                .collect(),
+            coordinators: coordinators
                 .iter()
-                .filter(|r| r.hints_addr.port > 0)
-                .map(|r| (r.name.clone(), r.hints_addr))
+                .map(|record| record.name.clone())
                 .collect(),
-            coordinators: pulling.iter().map(|r| r.name.clone()).collect(),
-            draining_hosts: drains,
-            control_plane: self.fleet.clone(),
+            draining_hosts,
+            control_plane: self.control_plane.clone(),
+        }
+    }
+
+    fn visible_state(&self) -> (u64, Arc<Configuration>, Arc<BTreeSet<String>>) {
+        if self.unconfirmed.is_withholding() {
+            return Default::default();
         }
+        (
+            self.state.index,
+            self.state.configuration.clone(),
+            self.state.draining_hosts.clone(),
+        )
     }
 }
--- /dev/null
+++ b/crates/replication/src/mirror/replicated_state.rs
@@ -0,0 +1,279 @@
+//! The replicated state in a mirror: the configuration and the draining hosts, and what of them a puller lacks.
+
+use configuration::{Configuration, ConfigurationDelta};
+use protocol::ConfigurationUpdate;
+use std::collections::{BTreeSet, VecDeque};
+use std::sync::Arc;
+
+/// The most past configurations that are kept, to tell pullers what changed since.
+const MAX_PAST_CONFIGURATIONS: usize = 32;
+/// The most bytes of JSON that the kept configurations may have in items that differ between them. The newest is kept
+/// whatever its length.
+const MAX_HISTORY_BYTES: usize = 4 << 20;
+/// The most changes of the draining hosts that are kept, for each configuration that may be kept.
+const DRAINING_CHANGES_PER_CONFIGURATION: usize = 8;
+
+/// A configuration that is or was in force.
+#[derive(Clone)]
+struct PastConfiguration {
+    configuration: Arc<Configuration>,
+    /// Bytes of JSON of its items that the configuration before doesn't have.
+    bytes: usize,
+}
+
+/// What one or several changes of the replicated state did to the draining hosts.
+#[derive(Clone)]
+struct DrainingChange {
+    /// Index of the last of these changes.
+    index: u64,
+    added: Vec<String>,
+    removed: Vec<String>,
+}
+
+/// How the draining hosts changed since an index.
+struct DrainingDelta {
+    /// Index that the changes add to; 0 if `added` are all draining hosts.
+    base_index: u64,
+    added: Vec<String>,
+    removed: Vec<String>,
+}
+
+/// What became of update of the configuration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Applied {
+    /// It was newer and has been applied.
+    Newer,
+    /// All of it was here already.
+    Known,
+    /// It adds to a state that is not the one here, so it is still missing.
+    Missing,
+}
+
+/// The replicated state as far as this process knows it to be committed.
+#[derive(Clone)]
+pub(super) struct StateMirror {
+    /// Index of the last change.
+    pub(super) index: u64,
+    /// The configuration; its version is 0 if none has come yet.
+    pub(super) configuration: Arc<Configuration>,
+    /// Ids of hosts that are draining or removed.
+    pub(super) draining_hosts: Arc<BTreeSet<String>>,
+    /// The latest configurations, the one in force last.
+    history: VecDeque<PastConfiguration>,
+    /// The most configurations that `history` keeps.
+    max_history: usize,
+    /// An update couldn't be applied: the next pull asks for the whole configuration.
+    needs_full_configuration: bool,
+    /// The latest changes of the draining hosts, each starting where the one before ends.
+    draining_changes: VecDeque<DrainingChange>,
+    /// Index at which the first of them starts.
+    draining_floor: u64,
+}
+
+impl StateMirror {
+    pub(super) fn new() -> Self {
+        Self {
+            index: 0,
+            configuration: Arc::default(),
+            draining_hosts: Arc::default(),
+            history: VecDeque::new(),
+            max_history: MAX_PAST_CONFIGURATIONS,
+            needs_full_configuration: false,
+            draining_changes: VecDeque::new(),
+            draining_floor: 0,
+        }
+    }
+
+    /// Keeps no past configurations, as nobody pulls from this process.
+    pub(super) fn disable_history(&mut self) {
+        self.max_history = 0;
+    }
+
+    /// The configuration version that a pull names; 0 asks for the whole configuration.
+    pub(super) fn version_to_request(&self) -> u64 {
+        if self.needs_full_configuration {
+            0
+        } else {
+            self.configuration.version
+        }
+    }
+
+    /// Takes a committed state. Returns whether it was newer.
+    pub(super) fn set(
+        &mut self,
+        index: u64,
+        configuration: Arc<Configuration>,
+        draining_hosts: BTreeSet<String>,
+    ) -> bool {
+        if index <= self.index || configuration.version < self.configuration.version {
+            return false;
+        }
+        self.index = index;
+        self.remember(configuration);
+        let added = draining_hosts
+            .difference(&self.draining_hosts)
+            .cloned()
+            .collect();
+        let removed = self
+            .draining_hosts
+            .difference(&draining_hosts)
+            .cloned()
+            .collect();
+        self.draining_changes.push_back(DrainingChange {
+            index,
+            added,
+            removed,
+        });
+        while self.draining_changes.len() > self.max_history * DRAINING_CHANGES_PER_CONFIGURATION {
+            self.draining_floor = self.draining_changes.pop_front().map_or(index, |c| c.index);
+        }
+        self.draining_hosts = Arc::new(draining_hosts);
+        true
+    }
+
+    /// Adds a configuration that is newer to the history, and drops what goes beyond the history's limits.
+    fn remember(&mut self, configuration: Arc<Configuration>) {
+        self.needs_full_configuration = false;
+        if configuration.version <= self.configuration.version {
+            return;
+        }
+        let bytes = configuration.unshared_bytes(&self.configuration);
+        self.configuration = configuration.clone();
+        self.history.push_back(PastConfiguration {
+            configuration,
+            bytes,
+        });
+        let mut total: usize = self.history.iter().map(|past| past.bytes).sum();
+        while self.history.len() > self.max_history
+            || (self.history.len() > 1 && total > MAX_HISTORY_BYTES)
+        {
+            total -= self.history.pop_front().map_or(0, |past| past.bytes);
+        }
+    }
+
+    /// Applies an update if it is newer and adds to the state that is here.
+    pub(super) fn apply(&mut self, update: &ConfigurationUpdate) -> Applied {
+        if update.index <= self.index || update.version < self.configuration.version {
+            return Applied::Known;
+        }
+        let Some(draining_hosts) = self.draining_hosts_after(update) else {
+            return Applied::Missing;
+        };
+        let Some(base) = self.base_of(update) else {
+            return Applied::Missing;
+        };
+        let configuration = if update.version == self.configuration.version {
+            self.configuration.clone()
+        } else if let Ok(patched) = base.patched(&delta(update)) {
+            Arc::new(patched)
+        } else {
+            self.needs_full_configuration = true;
+            return Applied::Missing;
+        };
+        if self.set(update.index, configuration, draining_hosts) {
+            Applied::Newer
+        } else {
+            Applied::Missing
+        }
+    }
+
+    /// The configuration that an update adds to; `None` if it is not the one here. An update that leaves the
+    /// configuration as it is adds to any.
+    fn base_of(&self, update: &ConfigurationUpdate) -> Option<Arc<Configuration>> {
+        let base = if update.base_version == 0 {
+            Arc::default()
+        } else {
+            self.configuration.clone()
+        };
+        let leaves_configuration = update.version == self.configuration.version;
+        (leaves_configuration || update.base_version == base.version).then_some(base)
+    }
+
+    /// The draining hosts that an update leads to; `None` if it adds to others than those here.
+    fn draining_hosts_after(&self, update: &ConfigurationUpdate) -> Option<BTreeSet<String>> {
+        let mut draining_hosts: BTreeSet<String> = match update.drains_base_index {
+            0 => BTreeSet::new(),
+            base if base == self.index => (*self.draining_hosts).clone(),
+            _ => return None,
+        };
+        draining_hosts.extend(update.drains.iter().cloned());
+        for removed in &update.removed_drains {
+            draining_hosts.remove(removed);
+        }
+        Some(draining_hosts)
+    }
+
+    /// How the draining hosts changed since the change with index `since`.
+    fn draining_changes_since(&self, since: u64) -> DrainingDelta {
+        // Between two indexes that are kept, hosts may have come and gone whose changes aren't kept.
+        let is_kept = since == self.draining_floor
+            || self
+                .draining_changes
+                .iter()
+                .any(|change| change.index == since);
+        if since == 0 || !is_kept {
+            return DrainingDelta {
+                base_index: 0,
+                added: self.draining_hosts.iter().cloned().collect(),
+                removed: Vec::new(),
+            };
+        }
+        let later = || {
+            self.draining_changes
+                .iter()
+                .filter(|change| change.index > since)
+        };
+        let added: BTreeSet<&String> = later()
+            .flat_map(|change| &change.added)
+            .filter(|host| self.draining_hosts.contains(*host))
+            .collect();
+        let removed: BTreeSet<&String> = later()
+            .flat_map(|change| &change.removed)
+            .filter(|host| !self.draining_hosts.contains(*host))
+            .collect();
+        DrainingDelta {
+            base_index: since,
+            added: added.into_iter().cloned().collect(),
+            removed: removed.into_iter().cloned().collect(),
+        }
+    }
+
+    /// What a puller lacks that has this configuration version and all changes up to `index`.
+    pub(super) fn update_since(&self, version: u64, index: u64) -> ConfigurationUpdate {
+        let draining = self.draining_changes_since(index);
+        let empty = Configuration::default();
+        let base = self
+            .history
+            .iter()
+            .map(|past| &*past.configuration)
+            .find(|configuration| configuration.version == version)
+            .unwrap_or(&empty);
+        let delta = base.delta(&self.configuration);
+        ConfigurationUpdate {
+            index: self.index,
+            base_version: delta.base_version,
+            version: delta.version,
+            routes: delta.routes,
+            services: delta.services,
+            removed_routes: delta.removed_routes,
+            removed_services: delta.removed_services,
+            limits: delta.limits.into_iter().collect(),
+            drains_base_index: draining.base_index,
+            drains: draining.added,
+            removed_drains: draining.removed,
+        }
+    }
+}
+
+/// The change of the configuration in an update.
+fn delta(update: &ConfigurationUpdate) -> ConfigurationDelta {
+    ConfigurationDelta {
+        base_version: update.base_version,
+        version: update.version,
+        routes: update.routes.clone(),
+        services: update.services.clone(),
+        removed_routes: update.removed_routes.clone(),
+        removed_services: update.removed_services.clone(),
+        limits: update.limits.first().cloned(),
+    }
+}
--- a/crates/replication/src/puller.rs
+++ b/crates/replication/src/puller.rs
@@ -1,31 +1,14 @@
 //! Who is pulled from, and when: a state machine without I/O.
 
 use crate::rendezvous::ranked;
-use crate::transitions::PullSummary;
+use crate::timing::{
+    ANSWER_SLACK, CONNECT_TIMEOUT, EARLY_ANSWER_PAUSE, INITIAL_BACKOFF, MAX_BACKOFF, PULL_WAIT_MS,
+    STALE_AGE_MS, STANDBY_POLL_INTERVAL, UPDATE_PAUSE,
+};
 use protocol::Addr;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How many members an agent pulls from.
-pub const MEMBERS_PER_AGENT: usize = 3;
-/// How long a pull waits for news, in ms.
-pub const PULL_WAIT_MS: u32 = 1000;
-/// How often the members beside the leading one are asked what that one hasn't told.
-pub const STANDBY_POLL_INTERVAL: Duration = Duration::from_millis(700);
-/// Pause after news for each coordinator that pulls, and the longest: what comes meanwhile comes together, so that
-/// the members' work grows as the coordinators and not as these times what changes.
-pub const PACE: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(200));
-/// How much longer than [`PULL_WAIT_MS`] an answer may take.
-pub const ANSWER_SLACK: Duration = Duration::from_millis(700);
-/// How long a connection may take to come up.
-pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// From this age on a member counts as cut off from the primary, in ms.
-pub const STALE_AGE_MS: u32 = 1500;
-const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-const MAX_BACKOFF: Duration = Duration::from_millis(1000);
-/// Pause after an answer that came early and told nothing new.
-const EARLY_ANSWER_PAUSE: Duration = Duration::from_millis(50);
-
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
@@ -50,6 +33,15 @@
     },
 }
 
+/// Where a puller gets its updates.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PullSummary {
+    /// Address of the preferred member; `None` if no member that answers is in contact with a primary.
+    pub preferred: Option<Addr>,
+    /// How many members answer without contact to a primary.
+    pub stale: usize,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     /// Not connected; tries again at this time.
@@ -68,18 +60,18 @@
     phase: Phase,
     backoff: Duration,
     /// Whether it has answered since it came up.
-    heard: bool,
-    dead: bool,
+    answered: bool,
+    failed: bool,
     stale: bool,
     member: u64,
     /// When the pull left that is out, or was last.
-    asked: Duration,
+    pulled_at: Duration,
 }
 
 impl Link {
-    fn leads(&self) -> bool {
-        self.heard
-            && !self.dead
+    fn can_be_preferred(&self) -> bool {
+        self.answered
+            && !self.failed
             && !self.stale
             && matches!(self.phase, Phase::Polling(_) | Phase::Resting(_))
     }
@@ -89,41 +81,41 @@
 #[derive(Debug)]
 pub struct Puller {
     name: String,
-    watched: usize,
-    wait: Duration,
-    own: Option<Addr>,
-    fixed: bool,
-    led: bool,
-    pace: Duration,
+    member_count: usize,
+    pull_wait: Duration,
+    own_addr: Option<Addr>,
+    seeds_only: bool,
+    prefers_one: bool,
+    update_pause: Duration,
     seeds: Vec<Addr>,
-    learnt: Vec<Addr>,
+    members: Vec<Addr>,
     order: Vec<Addr>,
     links: BTreeMap<Addr, Link>,
-    numbers: u64,
+    last_link_number: u64,
 }
 
 impl Puller {
     /// For the process `name`, which pulls from `watched` members and never from `own`.
-    pub fn new(name: &str, watched: usize, own: Option<Addr>) -> Self {
+    pub fn new(name: &str, member_count: usize, own_addr: Option<Addr>) -> Self {
         Self {
             name: name.to_owned(),
-            watched,
-            wait: Duration::from_millis(PULL_WAIT_MS.into()),
-            own,
-            fixed: false,
-            led: false,
-            pace: Duration::ZERO,
+            member_count,
+            pull_wait: Duration::from_millis(PULL_WAIT_MS.into()),
+            own_addr,
+            seeds_only: false,
+            prefers_one: false,
+            update_pause: Duration::ZERO,
             seeds: Vec::new(),
-            learnt: Vec::new(),
+            members: Vec::new(),
             order: Vec::new(),
             links: BTreeMap::new(),
-            numbers: 0,
+            last_link_number: 0,
         }
     }
 
     /// One that keeps to its seeds, whatever members it hears of: a proxy's, whose seed is its agent.
     pub fn seeds_only(mut self) -> Self {
-        self.fixed = true;
+        self.seeds_only = true;
         self
     }
 
@@ -131,21 +123,20 @@
     /// isn't cut off. The others are asked every [`STANDBY_POLL_INTERVAL`] what the leading one hasn't told yet, so that news come
     /// once, and a leading one that is frozen or behind holds nobody back for longer.
     pub fn preferring_one_member(mut self) -> Self {
-        self.led = true;
+        self.prefers_one = true;
         self
     }
 
     /// Takes how many coordinators pull now.
     pub fn set_coordinators(&mut self, coordinators: usize) {
-        if !self.fixed {
-            let coordinators = u32::try_from(coordinators).unwrap_or(u32::MAX);
-            self.pace = PACE.0.saturating_mul(coordinators).min(PACE.1);
+        if !self.seeds_only {
+            self.update_pause = UPDATE_PAUSE.with_coordinators(coordinators);
         }
     }
 
     /// Some bytes of an answer came: who is slow isn't silent.
     pub fn partial_answer(&mut self, now: Duration, link: u64) {
-        if let Some((_, known)) = self.of(link) {
+        if let Some((_, known)) = self.connected_link(link) {
             if let Phase::Polling(until) = &mut known.phase {
                 *until = (*until).max(now + ANSWER_SLACK);
             }
@@ -155,13 +146,13 @@
     /// When the pull left that is out at a link.
     pub fn pull_sent_at(&self, link: u64) -> Option<Duration> {
         let known = self.links.values().find(|l| l.number == link)?;
-        matches!(known.phase, Phase::Polling(_)).then_some(known.asked)
+        matches!(known.phase, Phase::Polling(_)).then_some(known.pulled_at)
     }
 
     /// Whether all members that are known have answered, and each is cut off from a primary: nobody is left who
     /// could tell better.
     pub fn all_members_stale(&self) -> bool {
-        let cut_off = |l: &Link| l.heard && !l.dead && l.stale;
+        let cut_off = |l: &Link| l.answered && !l.failed && l.stale;
         !self.order.is_empty()
             && self
                 .order
@@ -170,21 +161,21 @@
     }
 
     /// The leading member's address; none where news are waited for at all members.
-    fn leader(&self) -> Option<Addr> {
-        let mut order = self.order.iter().filter(|_| self.led);
+    fn preferred(&self) -> Option<Addr> {
+        let mut order = self.order.iter().filter(|_| self.prefers_one);
         order
-            .find(|a| self.links.get(a).is_some_and(Link::leads))
+            .find(|a| self.links.get(a).is_some_and(Link::can_be_preferred))
             .copied()
     }
 
     /// Whether news are waited for at one member only.
     pub fn prefers_one_member(&self) -> bool {
-        self.led
+        self.prefers_one
     }
 
     /// At whom news are waited for now, in short.
     pub fn summary(&self) -> PullSummary {
-        let answers = |l: &&Link| l.heard && !l.dead;
+        let answers = |l: &&Link| l.answered && !l.failed;
         let stale = self
             .links
             .values()
@@ -192,16 +183,20 @@
             .filter(|l| l.stale)
             .count();
         PullSummary {
-            leader: self.leader(),
+            preferred: self.preferred(),
             stale,
         }
     }
 
     fn pull(&mut self, now: Duration, addr: Addr, waits: bool) -> Option<Action> {
-        let wait = if waits { self.wait } else { Duration::ZERO };
+        let wait = if waits {
+            self.pull_wait
+        } else {
+            Duration::ZERO
+        };
         let link = self.links.get_mut(&addr)?;
         link.phase = Phase::Polling(now + wait + ANSWER_SLACK);
-        link.asked = now;
+        link.pulled_at = now;
         Some(Action::Pull {
             link: link.number,
             wait_ms: wait.as_millis() as u32,
@@ -218,8 +213,8 @@
     /// acts on it.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Addr>) {
         let members: Vec<Addr> = members.into_iter().filter(|a| a.port != 0).collect();
-        if !self.fixed && !members.is_empty() && members != self.learnt {
-            self.learnt = members;
+        if !self.seeds_only && !members.is_empty() && members != self.members {
+            self.members = members;
             self.reorder();
         }
     }
@@ -228,9 +223,9 @@
         let all: BTreeSet<Addr> = self
             .seeds
             .iter()
-            .chain(&self.learnt)
+            .chain(&self.members)
             .copied()
-            .filter(|a| Some(*a) != self.own)
+            .filter(|a| Some(*a) != self.own_addr)
             .collect();
         self.order = ranked(&self.name, all, |a| {
             let mut bytes = a.ip.to_be_bytes().to_vec();
@@ -241,20 +236,20 @@
 
     /// A connection came up.
     pub fn connected(&mut self, now: Duration, link: u64) -> Vec<Action> {
-        let Some((addr, known)) = self.of(link) else {
+        let Some((addr, known)) = self.connected_link(link) else {
             return Vec::new();
         };
-        known.heard = false;
-        let waits = self.leader().is_none();
+        known.answered = false;
+        let waits = self.preferred().is_none();
         self.pull(now, addr, waits).into_iter().collect()
     }
 
     /// A connection failed, or ended.
     pub fn failed(&mut self, now: Duration, link: u64) -> Vec<Action> {
-        let Some((addr, _)) = self.of(link) else {
+        let Some((addr, _)) = self.connected_link(link) else {
             return Vec::new();
         };
-        self.fail(now, addr);
+        self.back_off(now, addr);
         self.tick(now)
     }
 
@@ -267,14 +262,14 @@
         age_ms: u32,
         taken: bool,
     ) -> Vec<Action> {
-        let pace = self.pace;
-        let Some((addr, known)) = self.of(link) else {
+        let pace = self.update_pause;
+        let Some((addr, known)) = self.connected_link(link) else {
             return Vec::new();
         };
         let Phase::Polling(until) = known.phase else {
             return Vec::new();
         };
-        (known.dead, known.heard, known.backoff, known.member) =
+        (known.failed, known.answered, known.backoff, known.member) =
             (false, true, INITIAL_BACKOFF, member);
         known.stale = age_ms > STALE_AGE_MS;
         let early = now + ANSWER_SLACK + EARLY_ANSWER_PAUSE < until;
@@ -287,19 +282,19 @@
                 Duration::ZERO
             },
         );
-        if self.leader().is_some_and(|leader| leader != addr) {
-            self.rest(addr, now + STANDBY_POLL_INTERVAL);
+        if self.preferred().is_some_and(|preferred| preferred != addr) {
+            self.rest_until(addr, now + STANDBY_POLL_INTERVAL);
         }
         self.tick(now)
     }
 
-    fn rest(&mut self, addr: Addr, until: Duration) {
+    fn rest_until(&mut self, addr: Addr, until: Duration) {
         if let Some(link) = self.links.get_mut(&addr) {
             link.phase = Phase::Resting(until);
         }
     }
 
-    fn of(&mut self, number: u64) -> Option<(Addr, &mut Link)> {
+    fn connected_link(&mut self, number: u64) -> Option<(Addr, &mut Link)> {
         let found = self
             .links
             .iter_mut()
@@ -307,11 +302,11 @@
         found.map(|(addr, link)| (*addr, link))
     }
 
-    fn fail(&mut self, now: Duration, addr: Addr) {
+    fn back_off(&mut self, now: Duration, addr: Addr) {
         if let Some(link) = self.links.get_mut(&addr) {
             link.phase = Phase::Down(now + link.backoff);
             link.backoff = (link.backoff * 2).min(MAX_BACKOFF);
-            link.dead = true;
+            link.failed = true;
         }
     }
 
@@ -330,17 +325,17 @@
             if let Some(link) = self.links.get(&addr) {
                 actions.push(Action::Close { link: link.number });
             }
-            self.fail(now, addr);
+            self.back_off(now, addr);
         }
         // The first in the order, until enough of them are well.
         let mut picked = BTreeSet::new();
         let mut well = 0;
         for addr in &self.order {
-            if well >= self.watched {
+            if well >= self.member_count {
                 break;
             }
             picked.insert(*addr);
-            well += usize::from(self.links.get(addr).is_none_or(|l| !l.dead && !l.stale));
+            well += usize::from(self.links.get(addr).is_none_or(|l| !l.failed && !l.stale));
         }
         self.links.retain(|addr, link| {
             let keep = picked.contains(addr);
@@ -349,25 +344,26 @@
             }
             keep
         });
-        let (leader, mut due) = (self.leader(), Vec::new());
+        let (preferred, mut due) = (self.preferred(), Vec::new());
         // One that has just come to lead waits for news from now on.
-        let takes_over =
-            |addr, at| Some(addr) == leader && at > now + EARLY_ANSWER_PAUSE.max(self.pace);
+        let takes_over = |addr, at| {
+            Some(addr) == preferred && at > now + EARLY_ANSWER_PAUSE.max(self.update_pause)
+        };
         for addr in picked {
             let link = self.links.entry(addr).or_insert(Link {
                 number: 0,
                 phase: Phase::Down(now),
                 backoff: INITIAL_BACKOFF,
-                heard: false,
-                dead: false,
+                answered: false,
+                failed: false,
                 stale: false,
                 member: 0,
-                asked: now,
+                pulled_at: now,
             });
             match link.phase {
                 Phase::Down(at) if now >= at => {
-                    self.numbers += 1;
-                    link.number = self.numbers;
+                    self.last_link_number += 1;
+                    link.number = self.last_link_number;
                     link.phase = Phase::Connecting(now + CONNECT_TIMEOUT);
                     actions.push(Action::Connect {
                         link: link.number,
@@ -379,7 +375,7 @@
             }
         }
         for addr in due {
-            let waits = leader.is_none_or(|leader| leader == addr);
+            let waits = preferred.is_none_or(|preferred| preferred == addr);
             actions.extend(self.pull(now, addr, waits));
         }
         actions
@@ -398,7 +394,7 @@
         let alive = self
             .links
             .iter()
-            .filter(|(_, l)| !l.dead && matches!(l.phase, Phase::Polling(_) | Phase::Resting(_)));
+            .filter(|(_, l)| !l.failed && matches!(l.phase, Phase::Polling(_) | Phase::Resting(_)));
         alive.map(|(addr, link)| (*addr, link.member))
     }
 }
--- a/crates/replication/src/serve.rs
+++ b/crates/replication/src/serve.rs
@@ -1,8 +1,8 @@
 //! The side that is pulled from.
 
-use crate::frames::FrameReader;
-use crate::news::{Pull, Update};
-use crate::shared::SharedMirror;
+use crate::frame_reader::FrameReader;
+use crate::shared_mirror::SharedMirror;
+use crate::update::{Pull, Update};
 use protocol::{encode, Message, Subscriber};
 use std::io;
 use std::sync::Arc;
--- a/crates/replication/src/transitions.rs
+++ b/crates/replication/src/transitions.rs
@@ -1,47 +1,39 @@
-//! What an agent's log tells of its pulls: from whom it takes the news, and since when it has nobody to take them
-//! from. Found by comparing, as the puller knows nothing of a log.
+//! What an agent logs about its pulls: the member that it prefers, since when no member is in contact with a primary,
+//! and the configurations that it applied. Found by comparison, as the puller itself doesn't log.
 
-use crate::puller::Puller;
+use crate::mirror::VisibleVersion;
+use crate::puller::{PullSummary, Puller};
 use protocol::Addr;
 use std::net::SocketAddrV4;
 
-/// What the lines name as their place.
+/// The log target of these lines.
 const TARGET: &str = "agent::state";
 
-/// Whom news are waited for at.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PullSummary {
-    /// The leading member's address; none where no member both answers and is up to date.
-    pub leader: Option<Addr>,
-    /// Members that answer, but may have missed what the primary acknowledged.
-    pub stale: usize,
-}
-
-/// One change.
+/// A change worth a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PullTransition {
-    /// News are waited for at another member.
-    Follows {
+    /// Another member is preferred: pulls wait there for updates.
+    PreferredMember {
         /// Its address.
-        leader: Addr,
-        /// Whether nobody led before: what this process has is fresh from now on.
+        member: Addr,
+        /// Whether no member was preferred before: what this process has is confirmed again.
         fresh_again: bool,
     },
-    /// No member that answers is up to date: what this process has grows old.
-    NobodyLeads {
-        /// Members that answer, but may have missed something.
+    /// No member that answers is in contact with a primary: what this process has grows old.
+    NoFreshMember {
+        /// How many members answer without contact to a primary.
         stale: usize,
     },
-    /// A version of the configuration was taken.
-    Configuration {
+    /// A configuration was applied.
+    ConfigurationApplied {
         /// The version.
         version: u64,
-        /// Number of the ledger's change that brought it.
-        ledger: u64,
+        /// Index of the change that brought it.
+        index: u64,
     },
 }
 
-/// Follows a puller and its mirror.
+/// Follows a puller and its mirror, and finds what changed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PullRecorder {
     pulls: PullSummary,
@@ -49,45 +41,49 @@
 }
 
 impl PullRecorder {
-    /// Takes how the pulls stand now; what has changed since the last time.
+    /// Compares where updates come from with the last call; the change, if there is one.
     pub fn pulls(&mut self, puller: &Puller) -> Option<PullTransition> {
         let after = puller.summary();
         let before = std::mem::replace(&mut self.pulls, after);
-        match after.leader {
-            leader if leader == before.leader => None,
-            Some(leader) => {
-                let fresh_again = before.leader.is_none();
-                Some(PullTransition::Follows {
-                    leader,
+        match after.preferred {
+            member if member == before.preferred => None,
+            Some(member) => {
+                let fresh_again = before.preferred.is_none();
+                Some(PullTransition::PreferredMember {
+                    member,
                     fresh_again,
                 })
             }
-            None => Some(PullTransition::NobodyLeads { stale: after.stale }),
+            None => Some(PullTransition::NoFreshMember { stale: after.stale }),
         }
     }
 
-    /// Takes what the mirror has now; what has changed since the last time.
-    pub fn configuration(&mut self, version: u64, ledger: u64) -> Option<PullTransition> {
+    /// Compares the configuration that the mirror shows with the last call; the change, if there is one.
+    pub fn configuration(&mut self, visible: VisibleVersion) -> Option<PullTransition> {
+        let version = visible.configuration_version;
         let changed = std::mem::replace(&mut self.version, version) != version;
-        changed.then_some(PullTransition::Configuration { version, ledger })
+        changed.then_some(PullTransition::ConfigurationApplied {
+            version,
+            index: visible.index,
+        })
     }
 }
 
-/// Writes the line of a change.
+/// Logs a change.
 pub fn log(transition: &PullTransition) {
     match transition {
-        PullTransition::Follows {
-            leader,
+        PullTransition::PreferredMember {
+            member,
             fresh_again,
         } => {
-            let leader = SocketAddrV4::from(leader);
-            log::info!(target: TARGET, member:% = leader, fresh_again; "pulls from another member");
+            let member = SocketAddrV4::from(member);
+            log::info!(target: TARGET, member:% = member, fresh_again; "preferred member changed");
         }
-        PullTransition::NobodyLeads { stale } => {
-            log::warn!(target: TARGET, stale; "no member is up to date: goes on with what it has");
+        PullTransition::NoFreshMember { stale } => {
+            log::warn!(target: TARGET, stale; "no member is in contact with a primary: serving the last known state");
         }
-        PullTransition::Configuration { version, ledger } => {
-            log::info!(target: TARGET, version, ledger; "configuration taken");
+        PullTransition::ConfigurationApplied { version, index } => {
+            log::info!(target: TARGET, version, index; "configuration applied");
         }
     }
 }
--- a/crates/replication/tests/puller.rs
+++ b/crates/replication/tests/puller.rs
@@ -1,7 +1,9 @@
 //! The puller: whom it pulls from, and when.
 
 use protocol::Addr;
-use replication::{Action, Puller, MEMBERS_PER_AGENT, PACE, PULL_WAIT_MS, STANDBY_POLL_INTERVAL};
+use replication::{
+    Action, Puller, MEMBERS_PER_AGENT, PULL_WAIT_MS, STANDBY_POLL_INTERVAL, UPDATE_PAUSE,
+};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -412,7 +414,7 @@
 #[rstest]
 #[case::few(7, 7)]
 #[case::many(100, 100)]
-#[case::the_longest(1000, PACE.1.as_millis() as u64)]
+#[case::the_longest(1000, UPDATE_PAUSE.max.as_millis() as u64)]
 fn after_news_it_pauses_for_each_coordinator(#[case] coordinators: usize, #[case] pause: u64) {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.puller.set_coordinators(coordinators);
--- a/crates/replication/tests/transitions.rs
+++ b/crates/replication/tests/transitions.rs
@@ -2,7 +2,7 @@
 
 use protocol::Addr;
 use replication::transitions::{PullRecorder, PullTransition};
-use replication::{Action, Puller, MEMBERS_PER_AGENT, STALE_AGE_MS};
+use replication::{Action, Puller, VisibleVersion, MEMBERS_PER_AGENT, STALE_AGE_MS};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -81,14 +81,15 @@
 fn the_member_that_leads_and_its_loss_are_told_once() {
     let mut agent = Agent::new();
     (0..3).for_each(|_| agent.round());
-    let Some(PullTransition::Follows { leader, .. }) = agent.told.last().copied() else {
+    let Some(PullTransition::PreferredMember { member: leader, .. }) = agent.told.last().copied()
+    else {
         panic!("{:?}", agent.told);
     };
     let first = agent.told.first().unwrap();
     assert!(
         matches!(
             first,
-            PullTransition::Follows {
+            PullTransition::PreferredMember {
                 fresh_again: true,
                 ..
             }
@@ -104,7 +105,7 @@
     (0..20).for_each(|_| agent.round());
     assert_eq!(agent.told.len(), 1, "{:?}", agent.told);
     let moved = |t: &PullTransition| {
-        matches!(t, PullTransition::Follows { leader: l, fresh_again: false }
+        matches!(t, PullTransition::PreferredMember { member: l, fresh_again: false }
         if *l != leader)
     };
     assert!(moved(&agent.told[0]), "{:?}", agent.told);
@@ -115,9 +116,9 @@
     (0..20).for_each(|_| agent.round());
     assert_eq!(
         agent.told.last(),
-        Some(&PullTransition::NobodyLeads { stale: 3 })
+        Some(&PullTransition::NoFreshMember { stale: 3 })
     );
-    let lost = |t: &&PullTransition| matches!(t, PullTransition::NobodyLeads { .. });
+    let lost = |t: &&PullTransition| matches!(t, PullTransition::NoFreshMember { .. });
     assert_eq!(
         agent.told.iter().filter(lost).count(),
         1,
@@ -131,7 +132,7 @@
     assert!(
         matches!(
             agent.told[0],
-            PullTransition::Follows {
+            PullTransition::PreferredMember {
                 fresh_again: true,
                 ..
             }
@@ -141,14 +142,25 @@
     );
 }
 
+fn visible(configuration_version: u64, index: u64) -> VisibleVersion {
+    VisibleVersion {
+        configuration_version,
+        index,
+    }
+}
+
 #[test]
 fn a_version_is_told_once() {
     let mut recorder = PullRecorder::default();
-    assert_eq!(recorder.configuration(0, 0), None, "none has come yet");
-    let taken = PullTransition::Configuration {
+    assert_eq!(
+        recorder.configuration(visible(0, 0)),
+        None,
+        "none has come yet"
+    );
+    let taken = PullTransition::ConfigurationApplied {
         version: 7,
-        ledger: 2,
+        index: 2,
     };
-    assert_eq!(recorder.configuration(7, 2), Some(taken));
-    assert_eq!(recorder.configuration(7, 3), None, "a drain alone");
+    assert_eq!(recorder.configuration(visible(7, 2)), Some(taken));
+    assert_eq!(recorder.configuration(visible(7, 3)), None, "a drain alone");
 }
