--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -75,12 +75,12 @@
     shutdown: impl Future<Output = ()>,
 ) -> Result<(), RuntimeError> {
     let origin = Instant::now();
-    let control = process.bind.control.context(NoControlSnafu)?;
+    let control_addr = process.bind.control.context(NoControlSnafu)?;
     let state_dir = process.state_dir.clone().context(NoDiskSnafu)?;
     let (events, mut queue) = unbounded_channel();
-    let context = start_context(&process, control)?;
+    let context = start_context(&process, control_addr)?;
     // The API is there before the disk is: a disk that stalls holds up no caller.
-    let listener = listen(control).await?;
+    let listener = listen(control_addr).await?;
     let api = ControlApi::start(&process, listener, events.clone(), settings.command_timeout);
     let storage =
         storage::start(state_dir, context, report_storage_to(&events)).context(ThreadSnafu)?;
@@ -88,7 +88,7 @@
     let Some(stored) = stored_state(&mut queue, shutdown.as_mut()).await? else {
         return Ok(());
     };
-    let me = member_info(&process, control, stored.identity.id);
+    let me = member_info(&process, control_addr, stored.identity.id);
     log_starting(&stored);
     let mirror = mirror(&process, &stored, origin);
     let history = Rc::new(RefCell::new(ConfigurationHistory::default()));
@@ -206,14 +206,14 @@
 
     /// What other members were told comes by pulls, as for an agent.
     fn start_pulling(&self, peers: &PeerConnections, seeds: watch::Receiver<Vec<SocketAddrV4>>) {
-        let (puller_control, control) = unbounded_channel();
+        let (puller_control, control_addr) = unbounded_channel();
         let puller = Puller::new(&self.process.node_name, usize::MAX, Some(self.me.addr));
         spawn_local(client::run(
             puller,
             self.me.clone(),
             replication::subscriber(self.process, self.me.id),
             self.mirror.clone(),
-            control,
+            control_addr,
         ));
         spawn_local(seeds::follow(
             peers.clone(),
@@ -269,10 +269,10 @@
 
 fn start_context(
     process: &ProcessSettings,
-    control: SocketAddrV4,
+    control_addr: SocketAddrV4,
 ) -> Result<StartContext, RuntimeError> {
     Ok(StartContext {
-        control,
+        control: control_addr,
         seeds: process.seed_nodes.clone(),
         port: process.port_range.0,
         bootstrap: process.bootstrap,
@@ -283,12 +283,12 @@
     })
 }
 
-fn member_info(process: &ProcessSettings, control: SocketAddrV4, id: u64) -> MemberInfo {
+fn member_info(process: &ProcessSettings, control_addr: SocketAddrV4, id: u64) -> MemberInfo {
     MemberInfo {
         id,
         name: process.node_name.clone(),
         addr: SocketAddrV4::new(process.ip_addr, process.port_range.0).into(),
-        control_addr: control.into(),
+        control_addr: control_addr.into(),
         zone: process.zone.clone(),
         region: process.region.clone(),
     }
--- a/crates/proxy/src/hints/publisher.rs
+++ b/crates/proxy/src/hints/publisher.rs
@@ -3,7 +3,7 @@
 use super::MAX_DATAGRAM_BYTES;
 use balancing::PrefixHint;
 use configuration::ProcessSettings;
-use protocol::Message;
+use protocol::{Message, PromptPart};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 use tokio::net::UdpSocket;
@@ -85,7 +85,7 @@
 
 /// A hint in its form on the wire.
 pub(super) fn to_wire(hint: &PrefixHint) -> protocol::PromptPlacement {
-    let parts = hint.prefix.iter().map(|part| protocol::PromptPart {
+    let parts = hint.prefix.iter().map(|part| PromptPart {
         id: part.id,
         tokens: part.tokens,
     });
