--- a/crates/proxy/src/exchange/admission.rs
+++ b/crates/proxy/src/exchange/admission.rs
@@ -123,7 +123,8 @@
     Err(Rejection::retry_after(ResultCode::Leaving, MIN_RETRY_AFTER))
 }
 
-/// A duration of milliseconds; a very long one for what is out of range.
+/// A duration of milliseconds; what is out of range counts as no limit.
 pub(super) fn duration_from_ms(ms: f64) -> Duration {
+    // A quarter, so that a few can be added up.
     Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4)
 }
--- a/crates/proxy/src/exchange/streaming.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -1,5 +1,6 @@
 //! Relays a stream as it comes, and resumes it at another host where the route allows it.
 
+use super::admission::duration_from_ms;
 use super::attempt::{AttemptResult, HostResponse};
 use super::client_writer::ClientWriter;
 use super::host_selection::SelectedHost;
@@ -28,7 +29,7 @@
     let ms = (STALL_PER_TARGET * route.target_ms.unwrap_or(0.0))
         .max(STALL_PER_GAP_TARGET * route.gap_aim_ms.unwrap_or(0.0))
         .max(MIN_STALL_MS);
-    Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4)
+    duration_from_ms(ms)
 }
 
 /// A stream that is being relayed from one host.
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -4,13 +4,14 @@
 use common::*;
 use rstest::rstest;
 
-const LIMITS: &str = r#""limits":{"max_header_bytes":1024,"max_body_bytes":100,"header_timeout_ms":60,"idle_timeout_ms":120}"#;
+const SMALL_LIMITS: &str = r#""limits":{"max_header_bytes":1024,"max_body_bytes":100,"header_timeout_ms":60,"idle_timeout_ms":120}"#;
 
 /// A proxy with narrow bounds.
-async fn narrow(host: &FakeHost) -> Proxy {
+async fn proxy_with_small_limits(host: &FakeHost) -> Proxy {
     let proxy = Proxy::without_configuration().await;
-    let text =
-        format!(r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],{LIMITS}}}"#);
+    let text = format!(
+        r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],{SMALL_LIMITS}}}"#
+    );
     let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
     proxy
         .apply_fleet(document.into(), vec![host.info.clone()])
@@ -35,7 +36,7 @@
 fn request_over_a_limit_gets_its_status(#[case] text: String, #[case] status: u16) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = narrow(&host).await;
+        let proxy = proxy_with_small_limits(&host).await;
         let mut client = proxy.client().await;
         client.send(&text).await;
         let answer = client.read_message().await.expect("an answer");
@@ -56,7 +57,7 @@
 fn idle_client_connection_is_closed_without_a_reply() {
     run_async_test(async {
         let host = FakeHost::new("h1", "s").await;
-        let proxy = narrow(&host).await;
+        let proxy = proxy_with_small_limits(&host).await;
         let mut client = proxy.client().await;
         assert_eq!(client.read_message().await, None);
     });
@@ -396,7 +397,7 @@
 fn bytes_behind_a_rejected_request_are_not_run(#[case] fields: &str, #[case] status: u16) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = narrow(&host).await;
+        let proxy = proxy_with_small_limits(&host).await;
         let mut client = proxy.client().await;
         client
             .send(&(head(fields) + &request("/once/a", "hidden", "")))
@@ -415,7 +416,7 @@
 fn idle_time_out_is_the_operators() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = narrow(&host).await;
+        let proxy = proxy_with_small_limits(&host).await;
         let mut client = proxy.send_request("/once/a").await;
         host.accept().await.respond_ok("1").await;
         assert_eq!(client.read_message().await.unwrap().body, "1");
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -7,16 +7,16 @@
 use std::net::SocketAddr;
 
 /// A way is full once it has taken nothing for so many turns.
-const REFUSED_IN_A_ROW: usize = 100;
+const BLOCKED_WRITES_IN_A_ROW: usize = 100;
 
 /// Sends a request and closes before the proxy has had a turn.
-fn ask_and_leave(proxy: &Proxy, path: &str, id: &str) {
+fn send_and_disconnect(proxy: &Proxy, path: &str, id: &str) {
     let mut client = std::net::TcpStream::connect(SocketAddr::V4(proxy.client_address)).unwrap();
     client.write_all(request(path, id, "").as_bytes()).unwrap();
 }
 
 /// An idle connection of the proxy to each of two hosts, in their order.
-async fn idle_at_both(proxy: &Proxy, hosts: &mut [FakeHost; 2]) -> [TestConnection; 2] {
+async fn idle_connections_to_both(proxy: &Proxy, hosts: &mut [FakeHost; 2]) -> [TestConnection; 2] {
     let mut conns = [None, None];
     while conns.iter().any(Option::is_none) {
         let mut clients = [
@@ -28,8 +28,8 @@
             let [one, two] = hosts;
             let [idle_one, idle_two] = &mut conns;
             let next = tokio::select! {
-                conn = request_at(one, idle_one) => (0, conn),
-                conn = request_at(two, idle_two) => (1, conn),
+                conn = next_request_at(one, idle_one) => (0, conn),
+                conn = next_request_at(two, idle_two) => (1, conn),
             };
             asked.push(next);
         }
@@ -45,7 +45,7 @@
 }
 
 /// The connection of a host on which a request comes, new or used before.
-async fn request_at(host: &mut FakeHost, used: &mut Option<TestConnection>) -> TestConnection {
+async fn next_request_at(host: &mut FakeHost, used: &mut Option<TestConnection>) -> TestConnection {
     let asked = match used {
         Some(conn) => {
             tokio::select! {
@@ -78,7 +78,7 @@
         let mut conn = host.accept().await;
         conn.respond_ok("warm").await;
         client.read_message().await.unwrap();
-        ask_and_leave(&proxy, path, "gone");
+        send_and_disconnect(&proxy, path, "gone");
         while proxy.counters.get().client_disconnects == 0 {
             tokio::task::yield_now().await;
         }
@@ -106,7 +106,7 @@
             FakeHost::new("h2", "s").await,
         ];
         let proxy = Proxy::new(&[&hosts[0], &hosts[1]]).await;
-        let mut conns = idle_at_both(&proxy, &mut hosts).await;
+        let mut conns = idle_connections_to_both(&proxy, &mut hosts).await;
         let before = proxy.counters.get().attempts;
         let mut client = proxy.client().await;
         client.send(&request(path, "gone", "")).await;
@@ -171,7 +171,7 @@
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         // Until the way to the client is full, the proxy's buffers with it.
         let mut refused = 0;
-        while refused < REFUSED_IN_A_ROW {
+        while refused < BLOCKED_WRITES_IN_A_ROW {
             match conn.stream.try_write(chunk.as_bytes()) {
                 Ok(_) => refused = 0,
                 Err(e) => {
--- a/crates/proxy/tests/close_delimited_responses.rs
+++ b/crates/proxy/tests/close_delimited_responses.rs
@@ -4,17 +4,17 @@
 use common::*;
 use rstest::rstest;
 
-const SEAL: &str = "Fennelpin-Host-Seal: seal";
-const SMALL: usize = 40;
+const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
+const BUFFERED_BYTES: usize = 40;
 /// More than is held before it is passed on.
-const LARGE: usize = 400_000;
+const STREAMED_BYTES: usize = 400_000;
 
 fn body(length: usize) -> String {
     "0123456789".repeat(length / 10)
 }
 
 /// The client's request, and the host's connection once an answer without a length has begun on it.
-async fn begun(
+async fn begin_response(
     host: &mut FakeHost,
     proxy: &Proxy,
     path: &str,
@@ -25,7 +25,7 @@
     let body = body(length);
     let asked = conn.read_message().await.expect("a request");
     assert_eq!(asked.field("fennelpin-attempt-id"), Some("one"));
-    let head = format!("HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: one\r\n{SEAL}\r\n\r\n");
+    let head = format!("HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: one\r\n{SEAL_FIELD}\r\n\r\n");
     let text = head + &body;
     let mut rest = text.as_bytes();
     while !rest.is_empty() {
@@ -41,12 +41,12 @@
 #[rstest]
 fn close_delimited_response_with_an_orderly_end_is_complete(
     #[values("/pure/a", "/once/a", "/live/a")] path: &str,
-    #[values(0, SMALL, LARGE)] length: usize,
+    #[values(0, BUFFERED_BYTES, STREAMED_BYTES)] length: usize,
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let (mut client, conn) = begun(&mut host, &proxy, path, length).await;
+        let (mut client, conn) = begin_response(&mut host, &proxy, path, length).await;
         drop(conn);
         let answer = client.read_message().await.expect("an answer");
         assert!(answer.complete && answer.status() == 200, "{}", answer.head);
@@ -58,12 +58,12 @@
 #[rstest]
 fn close_delimited_response_with_a_reset_is_incomplete(
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
-    #[values(0, SMALL, LARGE)] length: usize,
+    #[values(0, BUFFERED_BYTES, STREAMED_BYTES)] length: usize,
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let (mut client, conn) = begun(&mut host, &proxy, path, length).await;
+        let (mut client, conn) = begin_response(&mut host, &proxy, path, length).await;
         conn.reset();
         if let Some(answer) = client.read_message().await {
             assert!(
@@ -79,13 +79,13 @@
 /// A process that is killed takes its connections along, and their ends may look as if they were in order: so what
 /// is passed on shows its own end.
 #[rstest]
-#[case::large("/once/a", LARGE)]
-#[case::stream("/live/a", SMALL)]
+#[case::large("/once/a", STREAMED_BYTES)]
+#[case::stream("/live/a", BUFFERED_BYTES)]
 fn http11_client_can_tell_the_end_from_a_killed_proxy(#[case] path: &str, #[case] length: usize) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let (mut client, conn) = begun(&mut host, &proxy, path, length).await;
+        let (mut client, conn) = begin_response(&mut host, &proxy, path, length).await;
         let head = client.read_head().await.expect("an answer");
         assert!(head.contains("Transfer-Encoding: chunked\r\n"), "{head}");
         assert!(!head.contains("Connection: close"), "{head}");
@@ -109,9 +109,10 @@
             .send(&request("/live/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
             .await;
         let mut conn = host.accept().await;
-        let body = body(LARGE);
+        let body = body(STREAMED_BYTES);
         let play = async {
-            conn.respond(&format!("200 OK\r\n{SEAL}"), &body).await;
+            conn.respond(&format!("200 OK\r\n{SEAL_FIELD}"), &body)
+                .await;
             conn
         };
         let (seen, conn) = tokio::join!(client.read_until(&body), play);
--- a/crates/proxy/tests/configuration_changes.rs
+++ b/crates/proxy/tests/configuration_changes.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// What the next configuration says.
-fn next(routes: &str, limits: &str) -> Arc<Configuration> {
+fn next_configuration(routes: &str, limits: &str) -> Arc<Configuration> {
     let services = r#"[{"name":"s"},{"name":"t"}]"#;
     let text = format!(
         r#"{{"version":2,"routes":[{routes}],"services":{services},"limits":{{{limits}}}}}"#
@@ -16,23 +16,23 @@
 }
 
 /// Changes that take away what the requests under way rest on.
-fn dropped() -> Arc<Configuration> {
-    next("", "")
+fn without_routes() -> Arc<Configuration> {
+    next_configuration("", "")
 }
 
-fn moved() -> Arc<Configuration> {
-    next(&ROUTES.replace(r#""service":"s""#, r#""service":"t""#), "")
+fn with_routes_to_another_service() -> Arc<Configuration> {
+    next_configuration(&ROUTES.replace(r#""service":"s""#, r#""service":"t""#), "")
 }
 
-fn hasty() -> Arc<Configuration> {
-    next(
+fn with_short_deadlines() -> Arc<Configuration> {
+    next_configuration(
         &ROUTES.replace(r#""deadline_ms":8000"#, r#""deadline_ms":1"#),
         "",
     )
 }
 
-fn narrow() -> Arc<Configuration> {
-    next(
+fn with_small_limits() -> Arc<Configuration> {
+    next_configuration(
         ROUTES,
         r#""max_header_bytes":64,"max_body_bytes":1,"header_timeout_ms":1,"idle_timeout_ms":1000"#,
     )
@@ -40,7 +40,13 @@
 
 #[rstest]
 fn request_in_flight_survives_a_configuration_change(
-    #[values(dropped(), moved(), hasty(), narrow())] next: Arc<Configuration>,
+    #[values(
+        without_routes(),
+        with_routes_to_another_service(),
+        with_short_deadlines(),
+        with_small_limits()
+    )]
+    next: Arc<Configuration>,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
@@ -71,7 +77,13 @@
 
 #[rstest]
 fn stream_survives_a_configuration_change(
-    #[values(dropped(), moved(), hasty(), narrow())] next: Arc<Configuration>,
+    #[values(
+        without_routes(),
+        with_routes_to_another_service(),
+        with_short_deadlines(),
+        with_small_limits()
+    )]
+    next: Arc<Configuration>,
     #[values("/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
@@ -104,7 +116,9 @@
             .await
             .unwrap()
             .starts_with("HTTP/1.1 100 "));
-        proxy.apply_fleet(narrow(), vec![host.info.clone()]).await;
+        proxy
+            .apply_fleet(with_small_limits(), vec![host.info.clone()])
+            .await;
         client.send("0123456789").await;
         assert_eq!(
             host.accept().await.respond_ok("done").await.body,
@@ -127,7 +141,10 @@
         old.accept().await.respond_ok("old").await;
         assert_eq!(client.read_message().await.unwrap().body, "old");
         proxy
-            .apply_fleet(moved(), vec![old.info.clone(), new.info.clone()])
+            .apply_fleet(
+                with_routes_to_another_service(),
+                vec![old.info.clone(), new.info.clone()],
+            )
             .await;
         client.send(&request("/once/a", "two", "")).await;
         new.accept().await.respond_ok("new").await;
--- a/crates/proxy/tests/connection_pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn s(seconds: u64) -> Duration {
-    Duration::from_secs(seconds)
+fn seconds(s: u64) -> Duration {
+    Duration::from_secs(s)
 }
 
 #[derive(Debug)]
-struct Conn(
+struct NumberedConnection(
     u32,
     #[allow(dead_code, reason = "held until it is dropped")] ConnectionPermit,
 );
@@ -20,9 +20,9 @@
     name.into()
 }
 
-fn put(pool: &mut ConnectionPool<Conn>, name: &str, number: u32, until: u64) {
+fn put(pool: &mut ConnectionPool<NumberedConnection>, name: &str, number: u32, until: u64) {
     let ticket = pool.try_open(&host(name), 9).unwrap();
-    pool.put_idle(name, Conn(number, ticket), s(until));
+    pool.put_idle(name, NumberedConnection(number, ticket), seconds(until));
 }
 
 #[test]
@@ -31,19 +31,19 @@
     put(&mut pool, "a", 1, 10);
     put(&mut pool, "a", 2, 3);
     put(&mut pool, "a", 3, 10);
-    assert_eq!(pool.take_idle(s(1), "a").unwrap().0, 3);
+    assert_eq!(pool.take_idle(seconds(1), "a").unwrap().0, 3);
     assert_eq!(
-        pool.take_idle(s(5), "a").unwrap().0,
+        pool.take_idle(seconds(5), "a").unwrap().0,
         1,
         "the second had stood for too long"
     );
-    assert!(pool.take_idle(s(5), "a").is_none() && pool.take_idle(s(5), "b").is_none());
+    assert!(pool.take_idle(seconds(5), "a").is_none() && pool.take_idle(seconds(5), "b").is_none());
     assert_eq!(pool.open_count(), 0);
 }
 
 #[test]
 fn connections_to_a_host_are_limited() {
-    let mut pool: ConnectionPool<Conn> = ConnectionPool::new(9);
+    let mut pool: ConnectionPool<NumberedConnection> = ConnectionPool::new(9);
     let first = pool.try_open(&host("a"), 2).unwrap();
     let second = pool.try_open(&host("a"), 2).unwrap();
     assert!(pool.try_open(&host("a"), 2).is_none());
@@ -60,7 +60,7 @@
     put(&mut pool, "a", 1, 10);
     let _used = pool.try_open(&host("b"), 9).unwrap();
     let _new = pool.try_open(&host("b"), 9).expect("the idle one has gone");
-    assert!(pool.take_idle(s(1), "a").is_none());
+    assert!(pool.take_idle(seconds(1), "a").is_none());
     assert!(pool.try_open(&host("b"), 9).is_none(), "nothing is idle");
     assert_eq!(pool.open_count(), 2);
 }
@@ -70,16 +70,16 @@
     let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 10);
     put(&mut pool, "b", 2, 10);
-    let late = Conn(3, pool.try_open(&host("a"), 9).unwrap());
+    let late = NumberedConnection(3, pool.try_open(&host("a"), 9).unwrap());
     pool.retain_hosts(&HashSet::from(["b"]));
     assert_eq!(pool.open_count(), 2);
-    pool.put_idle("a", late, s(10));
+    pool.put_idle("a", late, seconds(10));
     assert!(
-        pool.take_idle(s(1), "a").is_none(),
+        pool.take_idle(seconds(1), "a").is_none(),
         "one that comes back later is dropped as well"
     );
     pool.close_idle("b");
-    assert!(pool.take_idle(s(1), "b").is_none());
+    assert!(pool.take_idle(seconds(1), "b").is_none());
     assert_eq!(pool.open_count(), 0);
 }
 
@@ -88,7 +88,7 @@
     let mut pool = ConnectionPool::new(9);
     put(&mut pool, "a", 1, 2);
     put(&mut pool, "a", 2, 10);
-    pool.close_expired(s(5));
+    pool.close_expired(seconds(5));
     assert_eq!(pool.open_count(), 1);
 }
 
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 /// Longest time past a route's deadline to the end of an answer.
-const SLACK: Duration = Duration::from_millis(500);
+const TOLERANCE: Duration = Duration::from_millis(500);
 /// Deadline of the routes here, and more than what sockets on the way hold.
 const DEADLINE: Duration = Duration::from_millis(300);
-const LARGE: usize = 16 << 20;
-const SEAL: &str = "Fennelpin-Host-Seal: seal";
+const LARGE_BYTES: usize = 16 << 20;
+const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 
-fn left(request: &Message) -> Duration {
+fn time_left(request: &Message) -> Duration {
     Duration::from_millis(
         request
             .field("fennelpin-deadline-ms")
@@ -23,11 +23,11 @@
 }
 
 /// The routes of the other tests with this deadline, and room for long bodies.
-async fn short(hosts: &[&FakeHost]) -> Proxy {
+async fn proxy_with_short_deadlines(hosts: &[&FakeHost]) -> Proxy {
     let proxy = Proxy::without_configuration().await;
     let routes = ROUTES.replace("8000", &DEADLINE.as_millis().to_string());
     let text = format!(
-        r#"{{"version":1,"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":{LARGE}}}}}"#
+        r#"{{"version":1,"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":{LARGE_BYTES}}}}}"#
     );
     let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
     proxy
@@ -60,7 +60,11 @@
         let asked = host.accept().await.read_message().await.unwrap();
         let most = Duration::from_millis(most);
         let least = most.saturating_sub(since.elapsed() + Duration::from_millis(1));
-        assert!((least..=most).contains(&left(&asked)), "{:?}", left(&asked));
+        assert!(
+            (least..=most).contains(&time_left(&asked)),
+            "{:?}",
+            time_left(&asked)
+        );
         let lines = asked
             .head
             .lines()
@@ -69,7 +73,7 @@
     });
 }
 
-/// A silent host is left for another: what that one is told ends when the first one's time did.
+/// After a failover the second host gets the same deadline as the first one.
 #[rstest]
 fn retry_gets_the_time_left_then(#[values("/pure/a", "/more/a")] path: &str) {
     run_async_test(async {
@@ -80,12 +84,15 @@
         let proxy = Proxy::new(&[&one, &two]).await;
         let _client = proxy.send_request(path).await;
         let (mut first, other) = first_connection(&mut one, &mut two).await;
-        let before = left(&first.read_message().await.unwrap());
+        let before = time_left(&first.read_message().await.unwrap());
         let since = Instant::now();
         let mut second = other.accept().await;
         let waited = since.elapsed();
-        let after = left(&second.read_message().await.unwrap());
-        assert!(waited > SLACK, "the first one was waited for: {waited:?}");
+        let after = time_left(&second.read_message().await.unwrap());
+        assert!(
+            waited > TOLERANCE,
+            "the first one was waited for: {waited:?}"
+        );
         assert!(
             after + waited <= before + Duration::from_millis(50),
             "{before:?}, {after:?} {waited:?} later"
@@ -104,18 +111,21 @@
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.send_request("/more/a").await;
         let (mut first, other) = first_connection(&mut one, &mut two).await;
-        let before = left(&first.start_stream("seal", &[1]).await);
+        let before = time_left(&first.start_stream("seal", &[1]).await);
         client.read_until("piece 1\n\n").await;
         let since = Instant::now();
         let mut second = other.accept().await;
         let waited = since.elapsed();
         let asked = second.read_message().await.unwrap();
         assert_eq!(asked.field("last-event-id"), Some("1"));
-        assert!(waited > SLACK, "the first one was waited for: {waited:?}");
         assert!(
-            left(&asked) + waited <= before + Duration::from_millis(50),
+            waited > TOLERANCE,
+            "the first one was waited for: {waited:?}"
+        );
+        assert!(
+            time_left(&asked) + waited <= before + Duration::from_millis(50),
             "{before:?}, {:?}",
-            left(&asked)
+            time_left(&asked)
         );
     });
 }
@@ -125,7 +135,7 @@
 fn deadline_of_a_pipelined_request_runs_from_its_arrival() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = short(&[&host]).await;
+        let proxy = proxy_with_short_deadlines(&[&host]).await;
         let mut client = proxy.client().await;
         let ahead = request("/once/b", "two", "Fennelpin-Deadline-Ms: 290\r\n");
         client
@@ -136,49 +146,53 @@
         assert_eq!(client.read_message().await.unwrap().status(), 504);
         let asked = host.accept().await.read_message().await.unwrap();
         assert!(
-            left(&asked) <= Duration::from_millis(290 - 150),
+            time_left(&asked) <= Duration::from_millis(290 - 150),
             "{:?}",
-            left(&asked)
+            time_left(&asked)
         );
     });
 }
 
 /// What a host does until long after the deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Play {
-    SaysNothing,
-    ReadsNothing,
-    BeginsAStream,
-    SendsEventsWithoutEnd,
-    BeginsALargeAnswer,
-    SendsALargeAnswerWithoutEnd,
-    BeginsASmallAnswer,
-    RefusesWithoutEnd,
+enum HostBehavior {
+    Silent,
+    NeverReads,
+    StallsInStream,
+    EndlessStream,
+    StallsInLargeResponse,
+    EndlessLargeResponse,
+    StallsInSmallResponse,
+    EndlessRefusal,
 }
 
 #[rstest]
-#[case::pure("/pure/a", Play::SaysNothing)]
-#[case::once("/once/a", Play::SaysNothing)]
-#[case::live("/live/a", Play::SaysNothing)]
-#[case::more("/more/a", Play::SaysNothing)]
-#[case::pure_unread("/pure/a", Play::ReadsNothing)]
-#[case::once_unread("/once/a", Play::ReadsNothing)]
-#[case::live_begun("/live/a", Play::BeginsAStream)]
-#[case::more_begun("/more/a", Play::BeginsAStream)]
-#[case::live_without_end("/live/a", Play::SendsEventsWithoutEnd)]
-#[case::more_without_end("/more/a", Play::SendsEventsWithoutEnd)]
-#[case::pure_large("/pure/a", Play::BeginsALargeAnswer)]
-#[case::once_large("/once/a", Play::BeginsALargeAnswer)]
-#[case::pure_large_without_end("/pure/a", Play::SendsALargeAnswerWithoutEnd)]
-#[case::pure_small("/pure/a", Play::BeginsASmallAnswer)]
-#[case::refusal("/once/a", Play::RefusesWithoutEnd)]
-fn request_ends_at_the_route_deadline(#[case] path: &str, #[case] how: Play) {
+#[case::pure("/pure/a", HostBehavior::Silent)]
+#[case::once("/once/a", HostBehavior::Silent)]
+#[case::live("/live/a", HostBehavior::Silent)]
+#[case::more("/more/a", HostBehavior::Silent)]
+#[case::pure_unread("/pure/a", HostBehavior::NeverReads)]
+#[case::once_unread("/once/a", HostBehavior::NeverReads)]
+#[case::live_begun("/live/a", HostBehavior::StallsInStream)]
+#[case::more_begun("/more/a", HostBehavior::StallsInStream)]
+#[case::live_without_end("/live/a", HostBehavior::EndlessStream)]
+#[case::more_without_end("/more/a", HostBehavior::EndlessStream)]
+#[case::pure_large("/pure/a", HostBehavior::StallsInLargeResponse)]
+#[case::once_large("/once/a", HostBehavior::StallsInLargeResponse)]
+#[case::pure_large_without_end("/pure/a", HostBehavior::EndlessLargeResponse)]
+#[case::pure_small("/pure/a", HostBehavior::StallsInSmallResponse)]
+#[case::refusal("/once/a", HostBehavior::EndlessRefusal)]
+fn request_ends_at_the_route_deadline(#[case] path: &str, #[case] how: HostBehavior) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = short(&[&host]).await;
+        let proxy = proxy_with_short_deadlines(&[&host]).await;
         let mut client = proxy.client().await;
         let since = Instant::now();
-        let body = "b".repeat(if how == Play::ReadsNothing { LARGE } else { 2 });
+        let body = "b".repeat(if how == HostBehavior::NeverReads {
+            LARGE_BYTES
+        } else {
+            2
+        });
         let text = format!(
             "POST {path} HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\n\
              Fennelpin-Deadline-Ms: 60000\r\nContent-Length: {}\r\n\r\n{body}",
@@ -191,16 +205,16 @@
         };
         let (answer, took) = tokio::select! {
             done = ask => done,
-            () = play(&mut host, how) => unreachable!("the host goes on"),
+            () = play_host(&mut host, how) => unreachable!("the host goes on"),
         };
-        assert!(took <= DEADLINE + SLACK, "{took:?}");
+        assert!(took <= DEADLINE + TOLERANCE, "{took:?}");
         let answer = answer.expect("an answer");
         let begun = !matches!(
             how,
-            Play::SaysNothing
-                | Play::ReadsNothing
-                | Play::BeginsASmallAnswer
-                | Play::RefusesWithoutEnd
+            HostBehavior::Silent
+                | HostBehavior::NeverReads
+                | HostBehavior::StallsInSmallResponse
+                | HostBehavior::EndlessRefusal
         );
         if begun {
             assert!(!answer.complete, "{}", answer.head);
@@ -214,13 +228,13 @@
     });
 }
 
-async fn play(host: &mut FakeHost, how: Play) {
+async fn play_host(host: &mut FakeHost, how: HostBehavior) {
     let mut conn = host.accept().await;
     match how {
-        Play::SaysNothing => drop(conn.read_message().await),
-        Play::ReadsNothing => {}
-        Play::BeginsAStream => drop(conn.start_stream("seal", &[1]).await),
-        Play::SendsEventsWithoutEnd => {
+        HostBehavior::Silent => drop(conn.read_message().await),
+        HostBehavior::NeverReads => {}
+        HostBehavior::StallsInStream => drop(conn.start_stream("seal", &[1]).await),
+        HostBehavior::EndlessStream => {
             conn.start_stream("seal", &[1]).await;
             for id in 2.. {
                 let event = event(id);
@@ -238,23 +252,26 @@
                 }
             }
         }
-        Play::BeginsALargeAnswer => {
-            let lines = format!("200 OK\r\n{SEAL}\r\nContent-Length: 900000");
+        HostBehavior::StallsInLargeResponse => {
+            let lines = format!("200 OK\r\n{SEAL_FIELD}\r\nContent-Length: 900000");
             conn.respond(&lines, &"0123456789".repeat(40_000)).await;
         }
-        Play::SendsALargeAnswerWithoutEnd => {
+        HostBehavior::EndlessLargeResponse => {
             conn.respond(
-                &format!("200 OK\r\n{SEAL}\r\nTransfer-Encoding: chunked"),
+                &format!("200 OK\r\n{SEAL_FIELD}\r\nTransfer-Encoding: chunked"),
                 "",
             )
             .await;
-            while written(&conn, &format!("1000\r\n{}\r\n", "0".repeat(0x1000))).await {}
+            while try_send(&conn, &format!("1000\r\n{}\r\n", "0".repeat(0x1000))).await {}
         }
-        Play::BeginsASmallAnswer => {
-            conn.respond(&format!("200 OK\r\n{SEAL}\r\nContent-Length: 9"), "0123")
-                .await;
+        HostBehavior::StallsInSmallResponse => {
+            conn.respond(
+                &format!("200 OK\r\n{SEAL_FIELD}\r\nContent-Length: 9"),
+                "0123",
+            )
+            .await;
         }
-        Play::RefusesWithoutEnd => {
+        HostBehavior::EndlessRefusal => {
             conn.respond(
                 "503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 900",
                 "no",
@@ -267,7 +284,7 @@
 }
 
 /// Writes a text, however long that takes; false once the proxy has closed.
-async fn written(conn: &TestConnection, text: &str) -> bool {
+async fn try_send(conn: &TestConnection, text: &str) -> bool {
     let mut rest = text.as_bytes();
     while !rest.is_empty() {
         match conn.stream.try_write(rest) {
--- a/crates/proxy/tests/draining_hosts.rs
+++ b/crates/proxy/tests/draining_hosts.rs
@@ -7,27 +7,27 @@
 
 /// How a host leaves the roster.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
+enum DepartureKind {
     Drains,
     /// It departs and serves on: the roster has it no longer.
     Departs,
 }
 
 /// The hosts as the roster has them once the first has left.
-fn without_first(hosts: [&HostInfo; 2], how: Leaves) -> Vec<HostInfo> {
+fn hosts_after_departure(hosts: [&HostInfo; 2], how: DepartureKind) -> Vec<HostInfo> {
     let draining = HostInfo {
         draining: true,
         ..hosts[0].clone()
     };
     match how {
-        Leaves::Drains => vec![draining, hosts[1].clone()],
-        Leaves::Departs => vec![hosts[1].clone()],
+        DepartureKind::Drains => vec![draining, hosts[1].clone()],
+        DepartureKind::Departs => vec![hosts[1].clone()],
     }
 }
 
 #[rstest]
 fn draining_host_finishes_its_requests_and_gets_no_new_ones(
-    #[values(Leaves::Drains, Leaves::Departs)] how: Leaves,
+    #[values(DepartureKind::Drains, DepartureKind::Departs)] how: DepartureKind,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
@@ -48,7 +48,7 @@
         idle.send(&ok_response("one", "idle")).await;
         assert_eq!(idle_client.read_message().await.unwrap().body, "idle");
 
-        let roster = without_first([&one.info, &two.info], how);
+        let roster = hosts_after_departure([&one.info, &two.info], how);
         proxy.apply_fleet(configuration(1, ROUTES), roster).await;
         idle.wait_until_closed().await;
         for n in 0..8 {
@@ -67,7 +67,7 @@
         busy.send(&ok_response("one", "late")).await;
         let answer = client.read_message().await.unwrap();
         assert_eq!((answer.complete, answer.body.as_str()), (true, "late"));
-        if how == Leaves::Departs {
+        if how == DepartureKind::Departs {
             // Its connection isn't kept either.
             busy.wait_until_closed().await;
         }
@@ -77,7 +77,7 @@
 /// A host that departs while a stream runs there serves it to its end.
 #[rstest]
 fn draining_host_finishes_its_stream(
-    #[values(Leaves::Drains, Leaves::Departs)] how: Leaves,
+    #[values(DepartureKind::Drains, DepartureKind::Departs)] how: DepartureKind,
     #[values("/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
@@ -88,7 +88,7 @@
         let mut conn = one.accept().await;
         conn.start_stream("seal", &[1]).await;
         client.read_until("piece 1\n\n").await;
-        let roster = without_first([&one.info, &two.info], how);
+        let roster = hosts_after_departure([&one.info, &two.info], how);
         proxy.apply_fleet(configuration(1, ROUTES), roster).await;
         conn.send_events(&[2, 3]).await;
         conn.send("0\r\n\r\n").await;
--- a/crates/proxy/tests/event_stream.rs
+++ b/crates/proxy/tests/event_stream.rs
@@ -3,7 +3,7 @@
 use proxy::event_stream::{Event, EventOffset, EventSplitter};
 use rstest::rstest;
 
-fn all(splitter: &mut EventSplitter) -> Vec<(String, Option<String>)> {
+fn drain_events(splitter: &mut EventSplitter) -> Vec<(String, Option<String>)> {
     std::iter::from_fn(|| splitter.next_event())
         .map(|e| (String::from_utf8(e.bytes.to_vec()).unwrap(), e.id))
         .collect()
@@ -24,7 +24,7 @@
         let mut got = Vec::new();
         for part in [&text[..cut], &text[cut..]] {
             assert!(splitter.push(part.as_bytes()).is_ok());
-            got.extend(all(&mut splitter));
+            got.extend(drain_events(&mut splitter));
         }
         assert_eq!(got, whole, "cut at {cut}");
         assert!(splitter.take_incomplete().is_empty());
@@ -37,7 +37,10 @@
     splitter
         .push(b"id: 1\n\nid: 2\ndata: x\n\nid: 3\nda")
         .unwrap();
-    let ids: Vec<_> = all(&mut splitter).into_iter().filter_map(|e| e.1).collect();
+    let ids: Vec<_> = drain_events(&mut splitter)
+        .into_iter()
+        .filter_map(|e| e.1)
+        .collect();
     assert_eq!(ids, ["1", "2"]);
     assert_eq!(&splitter.take_incomplete()[..], b"id: 3\nda");
     splitter.push(b"data: y\n\n").unwrap();
@@ -58,7 +61,7 @@
     );
     splitter.push(b"id: 2\r\r:").unwrap();
     assert_eq!(
-        all(&mut splitter)
+        drain_events(&mut splitter)
             .into_iter()
             .filter_map(|e| e.1)
             .collect::<Vec<_>>(),
--- a/crates/proxy/tests/forwarded_fields.rs
+++ b/crates/proxy/tests/forwarded_fields.rs
@@ -5,25 +5,25 @@
 use rstest::rstest;
 
 /// What a client says of its prompt, in its own way of writing.
-const PROMPT: [&str; 3] = [
+const PROMPT_FIELDS: [&str; 3] = [
     "Fennelpin-Model-Name: m:Adapter/7 (x)",
     "Fennelpin-Token-Counts: 1460,80",
     "fennelpin-PROMPT-prefix: 5c1E07a2:800,91bd3f06:410,  e4402b7d:250",
 ];
 
 /// More parts than would fit on one short line.
-fn long_prefix() -> String {
+fn long_prompt_prefix() -> String {
     let parts: Vec<String> = (0..120)
         .map(|n| format!("{:016X}:{n}", u64::MAX - n))
         .collect();
     format!("Fennelpin-Prompt-Prefix: {}", parts.join(","))
 }
 
-fn fields(lines: &[String]) -> String {
+fn field_lines(lines: &[String]) -> String {
     lines.iter().map(|l| format!("{l}\r\n")).collect()
 }
 
-fn assert_passed_on(asked: &Message, lines: &[String]) {
+fn assert_forwarded(asked: &Message, lines: &[String]) {
     for line in lines {
         assert_eq!(
             asked.head.lines().filter(|l| l == line).count(),
@@ -46,8 +46,8 @@
 }
 
 #[rstest]
-#[case::plain(PROMPT.map(str::to_owned).to_vec())]
-#[case::long(vec![PROMPT[0].to_owned(), PROMPT[1].to_owned(), long_prefix()])]
+#[case::plain(PROMPT_FIELDS.map(str::to_owned).to_vec())]
+#[case::long(vec![PROMPT_FIELDS[0].to_owned(), PROMPT_FIELDS[1].to_owned(), long_prompt_prefix()])]
 #[case::unreadable(vec![
     "Fennelpin-Model-Name:".to_owned() + " ",
     "Fennelpin-Token-Counts: many,few".to_owned(),
@@ -64,17 +64,22 @@
         );
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
-        client.send(&request(path, "one", &fields(&lines))).await;
+        client
+            .send(&request(path, "one", &field_lines(&lines)))
+            .await;
         let lines: Vec<String> = lines.iter().map(|l| l.trim_end().to_owned()).collect();
         let (mut first, other) = first_connection(&mut one, &mut two).await;
-        assert_passed_on(&trimmed(first.respond_refusal().await), &lines);
+        assert_forwarded(&without_outer_space(first.respond_refusal().await), &lines);
         let mut second = other.accept().await;
-        assert_passed_on(&trimmed(second.respond_ok("done").await), &lines);
+        assert_forwarded(
+            &without_outer_space(second.respond_ok("done").await),
+            &lines,
+        );
     });
 }
 
 /// Blanks at the end of a line aren't part of a value.
-fn trimmed(message: Message) -> Message {
+fn without_outer_space(message: Message) -> Message {
     let head: Vec<&str> = message.head.lines().map(str::trim_end).collect();
     Message {
         head: head.join("\r\n"),
@@ -91,17 +96,17 @@
         );
         let proxy = Proxy::new(&[&one, &two]).await;
         let mut client = proxy.client().await;
-        let lines = PROMPT.map(str::to_owned);
+        let lines = PROMPT_FIELDS.map(str::to_owned);
         client
-            .send(&request("/more/a", "one", &fields(&lines)))
+            .send(&request("/more/a", "one", &field_lines(&lines)))
             .await;
         let (mut first, other) = first_connection(&mut one, &mut two).await;
-        assert_passed_on(&first.start_stream("seal", &[1]).await, &lines);
+        assert_forwarded(&first.start_stream("seal", &[1]).await, &lines);
         client.read_until("piece 1\n\n").await;
         drop(first);
         let asked = other.accept().await.read_message().await.unwrap();
         assert_eq!(asked.field("last-event-id"), Some("1"));
-        assert_passed_on(&asked, &lines);
+        assert_forwarded(&asked, &lines);
     });
 }
 
--- a/crates/proxy/tests/generated_scripts.rs
+++ b/crates/proxy/tests/generated_scripts.rs
@@ -6,7 +6,7 @@
 
 /// Something that a host sends when an answer is due.
 #[derive(Clone, Debug)]
-enum Sends {
+enum HostOutput {
     /// An answer to an earlier attempt.
     Stray {
         status: u16,
@@ -16,25 +16,25 @@
         named: bool,
     },
     /// A refusal that names no attempt.
-    Unnamed,
+    WithoutId,
     Garbage(Vec<u8>),
     /// The attempt's own answer.
-    Own {
+    Valid {
         chunked: bool,
     },
     /// The first bytes of the attempt's own answer, and the end.
-    Cut(usize),
+    Truncated(usize),
 }
 
-fn sends() -> impl Strategy<Value = Sends> {
+fn host_output() -> impl Strategy<Value = HostOutput> {
     let status = prop_oneof![Just(200), Just(404), Just(500), Just(503)];
     prop_oneof![
-        2 => (status, any::<bool>()).prop_map(|(status, chunked)| Sends::Stray { status, chunked }),
-        1 => any::<bool>().prop_map(|named| Sends::Interim { named }),
-        1 => Just(Sends::Unnamed),
-        1 => prop::collection::vec(any::<u8>(), 1..40).prop_map(Sends::Garbage),
-        4 => any::<bool>().prop_map(|chunked| Sends::Own { chunked }),
-        1 => (0usize..100).prop_map(Sends::Cut),
+        2 => (status, any::<bool>()).prop_map(|(status, chunked)| HostOutput::Stray { status, chunked }),
+        1 => any::<bool>().prop_map(|named| HostOutput::Interim { named }),
+        1 => Just(HostOutput::WithoutId),
+        1 => prop::collection::vec(any::<u8>(), 1..40).prop_map(HostOutput::Garbage),
+        4 => any::<bool>().prop_map(|chunked| HostOutput::Valid { chunked }),
+        1 => (0usize..100).prop_map(HostOutput::Truncated),
     ]
 }
 
@@ -42,7 +42,7 @@
     format!("the answer to {id}")
 }
 
-fn answer(status: u16, id: &str, chunked: bool) -> String {
+fn response_text(status: u16, id: &str, chunked: bool) -> String {
     let body = body_of(id);
     let head = format!(
         "HTTP/1.1 {status} X\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: seal\r\n"
@@ -58,26 +58,26 @@
 }
 
 /// The bytes of a script, and whether the connection ends behind them.
-fn bytes(script: &[Sends], id: &str) -> (Vec<u8>, bool) {
+fn script_bytes(script: &[HostOutput], id: &str) -> (Vec<u8>, bool) {
     let mut out = Vec::new();
     for sends in script {
         match sends {
-            Sends::Stray { status, chunked } => {
-                out.extend(answer(*status, "earlier", *chunked).bytes());
+            HostOutput::Stray { status, chunked } => {
+                out.extend(response_text(*status, "earlier", *chunked).bytes());
             }
-            Sends::Interim { named: true } => {
+            HostOutput::Interim { named: true } => {
                 out.extend(
                     format!("HTTP/1.1 103 Hints\r\nFennelpin-Attempt-Id: {id}\r\n\r\n").bytes(),
                 );
             }
-            Sends::Interim { named: false } => out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"),
-            Sends::Unnamed => {
+            HostOutput::Interim { named: false } => out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"),
+            HostOutput::WithoutId => {
                 out.extend(b"HTTP/1.1 503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0\r\n\r\n");
             }
-            Sends::Garbage(bytes) => out.extend(bytes),
-            Sends::Own { chunked } => out.extend(answer(200, id, *chunked).bytes()),
-            Sends::Cut(most) => {
-                let own = answer(200, id, false);
+            HostOutput::Garbage(bytes) => out.extend(bytes),
+            HostOutput::Valid { chunked } => out.extend(response_text(200, id, *chunked).bytes()),
+            HostOutput::Truncated(most) => {
+                let own = response_text(200, id, false);
                 out.extend(own.bytes().take((*most).min(own.len() - 1)));
                 return (out, true);
             }
@@ -88,9 +88,9 @@
 
 /// A host that answers the second request of the whole test by the script and all others at once and rightly. It
 /// ends a connection that it has nothing more to say on.
-async fn play(
+async fn play_script(
     mut host: FakeHost,
-    script: Vec<Sends>,
+    script: Vec<HostOutput>,
     ran: tokio::sync::mpsc::UnboundedSender<String>,
 ) {
     let mut script = Some(script);
@@ -102,10 +102,10 @@
             let _ = ran.send(id.clone());
             answered += 1;
             if answered != 2 {
-                conn.send(&answer(200, &id, false)).await;
+                conn.send(&response_text(200, &id, false)).await;
                 continue;
             }
-            let (bytes, _) = bytes(&script.take().unwrap(), &id);
+            let (bytes, _) = script_bytes(&script.take().unwrap(), &id);
             use tokio::io::AsyncWriteExt;
             let _ = conn.stream.write_all(&bytes).await;
             break;
@@ -118,14 +118,14 @@
 
     #[test]
     fn arbitrary_host_output_never_reaches_the_wrong_client(
-        script in prop::collection::vec(sends(), 0..6),
+        script in prop::collection::vec(host_output(), 0..6),
         path in prop_oneof![Just("/pure/a"), Just("/once/a")],
     ) {
         run_async_test(async {
             let host = FakeHost::new("h1", "s").await;
             let proxy = Proxy::new(&[&host]).await;
             let (ran, mut runs) = tokio::sync::mpsc::unbounded_channel();
-            tokio::task::spawn_local(play(host, script.clone(), ran));
+            tokio::task::spawn_local(play_script(host, script.clone(), ran));
             for id in ["first", "second", "third", "fourth"] {
                 let mut client = proxy.client().await;
                 client.send(&request(path, id, "")).await;
@@ -151,13 +151,13 @@
 
 /// A request as a client sends it.
 #[derive(Clone, Debug)]
-struct Asks {
+struct ClientInput {
     body: Vec<u8>,
     /// Sizes of its chunks; with a length where there are none.
     chunks: Vec<usize>,
 }
 
-fn asks() -> impl Strategy<Value = Asks> {
+fn client_input() -> impl Strategy<Value = ClientInput> {
     let body = prop::collection::vec(
         prop_oneof![
             Just(b'\r'),
@@ -168,11 +168,12 @@
         ],
         0..60,
     );
-    (body, prop::collection::vec(1usize..20, 0..4)).prop_map(|(body, chunks)| Asks { body, chunks })
+    (body, prop::collection::vec(1usize..20, 0..4))
+        .prop_map(|(body, chunks)| ClientInput { body, chunks })
 }
 
 /// What no request is: nothing that follows may be run.
-fn wrong() -> impl Strategy<Value = String> {
+fn malformed_request() -> impl Strategy<Value = String> {
     let head = |fields: &str| {
         format!(
             "POST /pure/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: bad\r\n{fields}\r\n"
@@ -194,7 +195,7 @@
     ]
 }
 
-fn text(asks: &Asks, id: usize) -> Vec<u8> {
+fn input_bytes(asks: &ClientInput, id: usize) -> Vec<u8> {
     let mut out =
         format!("POST /once/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: {id}\r\n")
             .into_bytes();
@@ -218,7 +219,10 @@
 }
 
 /// A host that reads requests byte by byte and tells what it ran.
-async fn record(mut host: FakeHost, ran: tokio::sync::mpsc::UnboundedSender<(String, Vec<u8>)>) {
+async fn record_requests(
+    mut host: FakeHost,
+    ran: tokio::sync::mpsc::UnboundedSender<(String, Vec<u8>)>,
+) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     loop {
         let mut conn = host.accept().await;
@@ -244,7 +248,7 @@
                 let _ = ran.send((id.clone(), body));
                 if conn
                     .stream
-                    .write_all(answer(200, &id, false).as_bytes())
+                    .write_all(response_text(200, &id, false).as_bytes())
                     .await
                     .is_err()
                 {
@@ -260,20 +264,20 @@
 
     #[test]
     fn arbitrary_pipelined_input_runs_only_valid_requests(
-        good in prop::collection::vec(asks(), 0..5),
-        bad in prop::option::of(wrong()),
+        good in prop::collection::vec(client_input(), 0..5),
+        bad in prop::option::of(malformed_request()),
         cuts in prop::collection::vec(1usize..90, 1..12),
     ) {
         run_async_test(async {
             let host = FakeHost::new("h1", "s").await;
             let proxy = Proxy::new(&[&host]).await;
             let (ran, mut runs) = tokio::sync::mpsc::unbounded_channel();
-            tokio::task::spawn_local(record(host, ran));
-            let mut all: Vec<u8> = good.iter().enumerate().flat_map(|(id, asks)| text(asks, id)).collect();
+            tokio::task::spawn_local(record_requests(host, ran));
+            let mut all: Vec<u8> = good.iter().enumerate().flat_map(|(id, asks)| input_bytes(asks, id)).collect();
             if let Some(bad) = &bad {
                 all.extend(bad.bytes());
                 // Behind what can't be read nothing is a request.
-                all.extend(text(&Asks { body: b"hidden".to_vec(), chunks: vec![] }, 99));
+                all.extend(input_bytes(&ClientInput { body: b"hidden".to_vec(), chunks: vec![] }, 99));
             }
             let mut client = proxy.client().await;
             let mut rest = &all[..];
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -4,14 +4,14 @@
 use common::*;
 use tokio::net::TcpStream;
 
-fn short() -> ProxyOptions {
+fn short_grace() -> ProxyOptions {
     ProxyOptions {
         grace_s: 1.7,
         ..ProxyOptions::default()
     }
 }
 
-async fn proxy(setup: ProxyOptions, host: &FakeHost) -> Proxy {
+async fn proxy_with_host(setup: ProxyOptions, host: &FakeHost) -> Proxy {
     let proxy = Proxy::with_options(setup).await;
     proxy
         .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
@@ -23,7 +23,7 @@
 fn stopping_proxy_is_not_ready_and_still_serves() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy(short(), &host).await;
+        let mut proxy = proxy_with_host(short_grace(), &host).await;
         let mut old = proxy.send_request("/pure/a").await;
         let mut conn = host.accept().await;
         conn.respond_ok("before").await;
@@ -54,7 +54,7 @@
 fn requests_in_flight_are_answered_before_the_process_ends() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy(
+        let mut proxy = proxy_with_host(
             ProxyOptions {
                 grace_s: 4.5,
                 ..ProxyOptions::default()
@@ -90,7 +90,7 @@
 fn late_request_that_may_outlast_the_process_is_rejected() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy(
+        let mut proxy = proxy_with_host(
             ProxyOptions {
                 grace_s: 6.0,
                 ..ProxyOptions::default()
@@ -153,7 +153,7 @@
 fn request_in_flight_at_the_end_gets_a_true_status() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy(short(), &host).await;
+        let mut proxy = proxy_with_host(short_grace(), &host).await;
         let mut sent = proxy.send_request("/once/a").await;
         let mut conn = host.accept().await;
         conn.read_message().await.unwrap();
@@ -183,7 +183,7 @@
 fn counters_are_returned_at_the_end() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = proxy(
+        let proxy = proxy_with_host(
             ProxyOptions {
                 grace_s: 0.8,
                 ..ProxyOptions::default()
@@ -216,10 +216,10 @@
 fn request_in_the_last_moments_is_rejected_before_a_host_has_it() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy(short(), &host).await;
+        let mut proxy = proxy_with_host(short_grace(), &host).await;
         // The platform's clients keep coming to the end, and the host answers each at once.
         let clients: Vec<_> = (0..8)
-            .map(|n| tokio::task::spawn_local(keep_asking(proxy.client_address, n)))
+            .map(|n| tokio::task::spawn_local(send_requests_until_refused(proxy.client_address, n)))
             .collect();
         let answers = tokio::task::spawn_local(async move {
             loop {
@@ -250,7 +250,7 @@
 }
 
 /// Sends one request after the other, each on a connection of its own, until nobody listens; the answers' statuses.
-async fn keep_asking(front: std::net::SocketAddrV4, client: usize) -> Vec<u16> {
+async fn send_requests_until_refused(front: std::net::SocketAddrV4, client: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for n in 0.. {
         let Ok(stream) = TcpStream::connect(std::net::SocketAddr::V4(front)).await else {
--- a/crates/proxy/tests/host_failures.rs
+++ b/crates/proxy/tests/host_failures.rs
@@ -6,10 +6,14 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-const SEAL: &str = "Fennelpin-Host-Seal: seal";
+const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 
 /// What is sent to the first host is followed by the second: how often it is asked, and what the client gets.
-async fn two(path: &str, play: impl AsyncFnOnce(TestConnection), answers: bool) -> Message {
+async fn play_first_of_two(
+    path: &str,
+    play: impl AsyncFnOnce(TestConnection),
+    answers: bool,
+) -> Message {
     let (mut one, mut two) = (
         FakeHost::new("h1", "s").await,
         FakeHost::new("h2", "s").await,
@@ -60,7 +64,7 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = two(path, play, pure).await;
+        let answer = play_first_of_two(path, play, pure).await;
         assert!(answer.complete);
         assert_eq!(answer.field("content-encoding"), None);
         if pure {
@@ -80,7 +84,7 @@
         let play = async |mut conn: TestConnection| {
             conn.read_message().await.unwrap();
         };
-        let answer = two(path, play, pure).await;
+        let answer = play_first_of_two(path, play, pure).await;
         assert_eq!(answer.status(), if pure { 200 } else { 502 });
         assert_eq!(
             answer.field("retry-after"),
@@ -114,7 +118,7 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = two(path, play, true).await;
+        let answer = play_first_of_two(path, play, true).await;
         assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
     });
 }
@@ -239,7 +243,7 @@
             host.accept()
                 .await
                 .respond(
-                    &format!("200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: 1"),
+                    &format!("200 OK\r\n{SEAL_FIELD}\r\nConnection: close\r\nContent-Length: 1"),
                     "x",
                 )
                 .await;
@@ -253,7 +257,7 @@
 }
 
 /// A place that takes no connection and says nothing: its queue of new ones is full.
-async fn dark() -> (
+async fn unresponsive_listener() -> (
     SocketAddrV4,
     tokio::net::TcpListener,
     Vec<std::net::TcpStream>,
@@ -275,7 +279,7 @@
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::without_configuration().await;
-        let (addr, _listener, _waiting) = dark().await;
+        let (addr, _listener, _waiting) = unresponsive_listener().await;
         let far = balancing::HostInfo {
             zone: "b".into(),
             ..host.info.clone()
@@ -316,12 +320,12 @@
         let pure = path == "/pure/a";
         let play = async |mut conn: TestConnection| {
             conn.respond(
-                &format!("{status} Own\r\n{SEAL}\r\nX-Own: 1\r\nContent-Length: 4"),
+                &format!("{status} Own\r\n{SEAL_FIELD}\r\nX-Own: 1\r\nContent-Length: 4"),
                 "oops",
             )
             .await;
         };
-        let answer = two(path, play, pure).await;
+        let answer = play_first_of_two(path, play, pure).await;
         if pure {
             assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
         } else {
@@ -367,7 +371,7 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = two("/pure/a", play, false).await;
+        let answer = play_first_of_two("/pure/a", play, false).await;
         assert_eq!(
             (&answer.head[9..12], answer.body.as_str()),
             (&lines[..3], "no")
@@ -376,13 +380,15 @@
 }
 
 /// One host with one connection that has been used once.
-async fn used(lines: &str) -> (FakeHost, Proxy, TestConnection, TestConnection) {
+async fn proxy_with_idle_connection(
+    lines: &str,
+) -> (FakeHost, Proxy, TestConnection, TestConnection) {
     let mut host = FakeHost::new("h1", "s").await;
     let proxy = Proxy::new(&[&host]).await;
     let mut client = proxy.send_request("/once/a").await;
     let mut conn = host.accept().await;
     conn.respond(
-        &format!("200 OK\r\n{SEAL}\r\nContent-Length: 1{lines}"),
+        &format!("200 OK\r\n{SEAL_FIELD}\r\nContent-Length: 1{lines}"),
         "1",
     )
     .await;
@@ -390,16 +396,16 @@
     (host, proxy, client, conn)
 }
 
-async fn ask_again(client: &mut TestConnection) {
+async fn send_second_request(client: &mut TestConnection) {
     client.send(&request("/once/b", "two", "")).await;
 }
 
 #[test]
 fn connection_closed_by_the_host_is_not_reused() {
     run_async_test(async {
-        let (mut host, _proxy, mut client, conn) = used("").await;
+        let (mut host, _proxy, mut client, conn) = proxy_with_idle_connection("").await;
         drop(conn);
-        ask_again(&mut client).await;
+        send_second_request(&mut client).await;
         host.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
     });
@@ -408,9 +414,9 @@
 #[test]
 fn connection_with_stray_bytes_is_not_reused() {
     run_async_test(async {
-        let (mut host, _proxy, mut client, mut conn) = used("").await;
+        let (mut host, _proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
         conn.send(&ok_response("two", "stray")).await;
-        ask_again(&mut client).await;
+        send_second_request(&mut client).await;
         host.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
         conn.wait_until_closed().await;
@@ -422,8 +428,8 @@
 #[case("\r\nKeep-Alive: timeout=0")]
 fn connection_that_a_response_closes_is_not_reused(#[case] lines: &str) {
     run_async_test(async {
-        let (mut host, _proxy, mut client, mut conn) = used(lines).await;
-        ask_again(&mut client).await;
+        let (mut host, _proxy, mut client, mut conn) = proxy_with_idle_connection(lines).await;
+        send_second_request(&mut client).await;
         host.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
         conn.wait_until_closed().await;
@@ -433,7 +439,7 @@
 #[test]
 fn idle_connections_to_a_draining_host_are_closed() {
     run_async_test(async {
-        let (host, proxy, mut client, mut conn) = used("").await;
+        let (host, proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
         let mut next = FakeHost::new("h2", "s").await;
         let leaving = balancing::HostInfo {
             draining: true,
@@ -443,7 +449,7 @@
             .apply_fleet(configuration(1, ROUTES), vec![leaving, next.info.clone()])
             .await;
         conn.wait_until_closed().await;
-        ask_again(&mut client).await;
+        send_second_request(&mut client).await;
         next.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
     });
@@ -472,8 +478,8 @@
     #[case] body: &str,
 ) {
     run_async_test(async {
-        let (mut host, proxy, mut client, mut conn) = used("").await;
-        ask_again(&mut client).await;
+        let (mut host, proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
+        send_second_request(&mut client).await;
         conn.read_message().await.unwrap();
         conn.send(&format!(
             "HTTP/1.1 {lines}\r\nFennelpin-Attempt-Id: one\r\n\r\n{body}"
@@ -497,8 +503,8 @@
 #[test]
 fn refusal_without_id_on_a_reused_connection_is_invalid() {
     run_async_test(async {
-        let (_host, _proxy, mut client, mut conn) = used("").await;
-        ask_again(&mut client).await;
+        let (_host, _proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
+        send_second_request(&mut client).await;
         conn.read_message().await.unwrap();
         conn.send("HTTP/1.1 503 No\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0\r\n\r\n")
             .await;
@@ -557,7 +563,7 @@
             let play = async {
                 let mut conn = host.accept().await;
                 let lines = format!(
-                    "200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: {}",
+                    "200 OK\r\n{SEAL_FIELD}\r\nConnection: close\r\nContent-Length: {}",
                     body.len()
                 );
                 conn.respond(&lines, &body).await;
@@ -580,7 +586,7 @@
         let body = start.to_owned() + &"0123456789".repeat(40_000);
         let play = async {
             let mut conn = host.accept().await;
-            conn.respond(&format!("200 OK\r\n{SEAL}\r\n{framing}"), &body)
+            conn.respond(&format!("200 OK\r\n{SEAL_FIELD}\r\n{framing}"), &body)
                 .await;
         };
         let (answer, ()) = tokio::join!(client.read_message(), play);
@@ -602,7 +608,8 @@
         let mut conn = host.accept().await;
         let body = "0123456789".repeat(40_000);
         let play = async {
-            conn.respond(&format!("200 OK\r\n{SEAL}"), &body).await;
+            conn.respond(&format!("200 OK\r\n{SEAL_FIELD}"), &body)
+                .await;
             conn
         };
         let (_, conn) = tokio::join!(client.read_until(&body), play);
--- a/crates/proxy/tests/late_streams_at_shutdown.rs
+++ b/crates/proxy/tests/late_streams_at_shutdown.rs
@@ -9,7 +9,7 @@
 const GRACE_S: f64 = 5.5;
 
 /// What a client gets that asks for a stream of at most `deadline_ms` once streams aren't taken any more.
-async fn ask_late(path: &str, deadline_ms: u64) -> Message {
+async fn request_late(path: &str, deadline_ms: u64) -> Message {
     let mut host = FakeHost::new("h1", "s").await;
     let mut proxy = Proxy::with_options(ProxyOptions {
         grace_s: GRACE_S,
@@ -63,7 +63,7 @@
     #[case] status: u16,
 ) {
     run_async_test(async {
-        let answer = ask_late(path, deadline_ms).await;
+        let answer = request_late(path, deadline_ms).await;
         assert_eq!(answer.status(), status, "{}", answer.head);
         assert_eq!(answer.field("connection"), Some("close"));
         assert_eq!(answer.field("retry-after").is_some(), status == 503);
--- a/crates/proxy/tests/prefix_hints.rs
+++ b/crates/proxy/tests/prefix_hints.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 /// Longest datagram.
-const MOST: usize = 1200;
-const SHARED: &str = "Fennelpin-Prompt-Prefix: 7:13000,";
+const MAX_DATAGRAM_BYTES: usize = 1200;
+const SHARED_PREFIX: &str = "Fennelpin-Prompt-Prefix: 7:13000,";
 
 /// Another proxy, played by the test.
-struct Other {
+struct PeerProxy {
     socket: UdpSocket,
     addr: SocketAddrV4,
 }
 
-impl Other {
+impl PeerProxy {
     async fn new() -> Self {
         let addr = unused_address().await;
         let socket = UdpSocket::bind(addr).unwrap();
@@ -27,19 +27,19 @@
         Self { socket, addr }
     }
 
-    fn tell(&self, proxy: SocketAddrV4, bytes: &[u8]) {
+    fn send_hint(&self, proxy: SocketAddrV4, bytes: &[u8]) {
         assert_eq!(self.socket.send_to(bytes, proxy).unwrap(), bytes.len());
     }
 
-    fn ask(&self, proxy: SocketAddrV4) {
-        self.tell(
+    fn request_placements(&self, proxy: SocketAddrV4) {
+        self.send_hint(
             proxy,
             &protocol::encode(&Message::PlacementsRequest { reserved: 0 }),
         );
     }
 
     /// What has come by now, and its length.
-    fn came(&self) -> Option<(Message, usize)> {
+    fn try_receive(&self) -> Option<(Message, usize)> {
         let mut buffer = [0; 4096];
         match self.socket.recv(&mut buffer) {
             Ok(length) => Some((
@@ -51,9 +51,9 @@
         }
     }
 
-    async fn hear(&self) -> (Message, usize) {
+    async fn receive(&self) -> (Message, usize) {
         loop {
-            match self.came() {
+            match self.try_receive() {
                 Some(came) => return came,
                 None => tokio::task::yield_now().await,
             }
@@ -61,7 +61,7 @@
     }
 
     /// The next of what was placed; questions are passed over.
-    async fn placed(&self) -> (Placement, u32) {
+    async fn prompt_placed(&self) -> (Placement, u32) {
         loop {
             if let (
                 Message::PromptPlaced {
@@ -69,19 +69,19 @@
                     prefill_tokens,
                 },
                 _,
-            ) = self.hear().await
+            ) = self.receive().await
             {
                 return (placement, prefill_tokens);
             }
         }
     }
 
-    /// Asks until some host is told to keep something.
-    async fn recalled(&self, proxy: SocketAddrV4) -> Vec<Placement> {
+    /// Asks until the answer names the cached prefix of some host.
+    async fn receive_placements(&self, proxy: SocketAddrV4) -> Vec<Placement> {
         loop {
-            self.ask(proxy);
+            self.request_placements(proxy);
             for _ in 0..100 {
-                if let Some((Message::Placements { placements }, _)) = self.came() {
+                if let Some((Message::Placements { placements }, _)) = self.try_receive() {
                     return placements;
                 }
                 tokio::task::yield_now().await;
@@ -90,7 +90,7 @@
     }
 }
 
-fn placed(host: &str, parts: impl IntoIterator<Item = u64>) -> Vec<u8> {
+fn prompt_placed(host: &str, parts: impl IntoIterator<Item = u64>) -> Vec<u8> {
     let parts = parts
         .into_iter()
         .map(|id| Part { id, tokens: 10 })
@@ -105,7 +105,7 @@
 }
 
 /// A configuration whose service runs a model.
-fn models() -> Arc<configuration::Configuration> {
+fn configuration_with_cache() -> Arc<configuration::Configuration> {
     let text = format!(
         r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s","runtime":{{"capacity":8,"cache_tokens":500000}}}}],
             "limits":{{"max_header_bytes":4096,"max_body_bytes":100000}}}}"#
@@ -128,16 +128,20 @@
 }
 
 /// Serves a prompt: the shared part 7 and one of its own.
-async fn serve(proxy: &Proxy, host: &mut FakeHost, own: &str) {
+async fn serve_prompt(proxy: &Proxy, host: &mut FakeHost, own: &str) {
     let mut client = proxy.client().await;
     client
-        .send(&request("/pure/a", "one", &format!("{SHARED}{own}\r\n")))
+        .send(&request(
+            "/pure/a",
+            "one",
+            &format!("{SHARED_PREFIX}{own}\r\n"),
+        ))
         .await;
     host.accept().await.respond_ok("done").await;
     assert_eq!(client.read_message().await.unwrap().body, "done");
 }
 
-fn expected(host: &str) -> Placement {
+fn expected_placement(host: &str) -> Placement {
     Placement {
         host: host.into(),
         parts: vec![Part {
@@ -152,13 +156,24 @@
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let ((one, at), (two, other_at)) = (proxy(true).await, proxy(true).await);
-        let asker = Other::new().await;
-        one.apply_fleet_with_peers(models(), vec![host.info.clone()], vec![other_at])
-            .await;
-        two.apply_fleet_with_peers(models(), vec![host.info.clone()], vec![at])
-            .await;
-        serve(&one, &mut host, "1:100").await;
-        assert_eq!(asker.recalled(other_at).await, [expected("h1")]);
+        let asker = PeerProxy::new().await;
+        one.apply_fleet_with_peers(
+            configuration_with_cache(),
+            vec![host.info.clone()],
+            vec![other_at],
+        )
+        .await;
+        two.apply_fleet_with_peers(
+            configuration_with_cache(),
+            vec![host.info.clone()],
+            vec![at],
+        )
+        .await;
+        serve_prompt(&one, &mut host, "1:100").await;
+        assert_eq!(
+            asker.receive_placements(other_at).await,
+            [expected_placement("h1")]
+        );
         assert_eq!(
             (
                 one.counters.get().invalid_hints,
@@ -178,17 +193,25 @@
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let ((old, at), (new, new_at)) = (proxy(true).await, proxy(false).await);
-        let asker = Other::new().await;
-        old.apply_fleet(models(), vec![host.info.clone()]).await;
-        serve(&old, &mut host, "1:100").await;
-        new.apply_fleet_with_peers(models(), vec![host.info.clone()], vec![at])
+        let asker = PeerProxy::new().await;
+        old.apply_fleet(configuration_with_cache(), vec![host.info.clone()])
             .await;
-        assert_eq!(asker.recalled(new_at).await, [expected("h1")]);
+        serve_prompt(&old, &mut host, "1:100").await;
+        new.apply_fleet_with_peers(
+            configuration_with_cache(),
+            vec![host.info.clone()],
+            vec![at],
+        )
+        .await;
+        assert_eq!(
+            asker.receive_placements(new_at).await,
+            [expected_placement("h1")]
+        );
     });
 }
 
-/// With more than 16 others, those that follow in the order of addresses are told, and nobody takes what is
-/// heard for the whole: the home is taken to keep the shared part.
+/// With more than 16 peers, hints go to those that follow in the order of addresses, and nobody takes the hints it gets
+/// for all there are: the host with affinity is assumed to have the shared part cached.
 #[rstest]
 #[case(16, 13_100)]
 #[case(18, 100)]
@@ -197,30 +220,30 @@
         let mut host = FakeHost::new("h1", "s").await;
         let mut others = Vec::new();
         for _ in 0..count / 2 {
-            others.push(Other::new().await);
+            others.push(PeerProxy::new().await);
         }
         let (proxy, at) = proxy(true).await;
         while others.len() < count {
-            others.push(Other::new().await);
+            others.push(PeerProxy::new().await);
         }
         let addrs = others.iter().rev().map(|o| o.addr).collect();
         proxy
-            .apply_fleet_with_peers(models(), vec![host.info.clone()], addrs)
+            .apply_fleet_with_peers(configuration_with_cache(), vec![host.info.clone()], addrs)
             .await;
         // What is heard stands for all only after a second.
         tokio::time::pause();
         tokio::time::advance(Duration::from_secs(2)).await;
         tokio::time::resume();
-        serve(&proxy, &mut host, "1:100").await;
+        serve_prompt(&proxy, &mut host, "1:100").await;
         others.sort_by_key(|o| (o.addr < at, o.addr));
         for (n, other) in others.iter().enumerate().take(16) {
             if n < 2 {
                 assert!(
-                    matches!(other.hear().await.0, Message::PlacementsRequest { .. }),
+                    matches!(other.receive().await.0, Message::PlacementsRequest { .. }),
                     "{n} is asked"
                 );
             }
-            let (told, length) = other.hear().await;
+            let (told, length) = other.receive().await;
             let Message::PromptPlaced {
                 placement,
                 prefill_tokens: left,
@@ -228,11 +251,11 @@
             else {
                 panic!("{n}: {told:?}")
             };
-            assert_eq!((placement, left), (expected("h1"), unread));
-            assert!(length < MOST);
+            assert_eq!((placement, left), (expected_placement("h1"), unread));
+            assert!(length < MAX_DATAGRAM_BYTES);
         }
         // All went out at once: whoever has nothing now was not told.
-        assert!(others.iter().all(|o| o.came().is_none()));
+        assert!(others.iter().all(|o| o.try_receive().is_none()));
     });
 }
 
@@ -242,19 +265,21 @@
         let hosts: Vec<_> = ["h1", "h2"]
             .map(|id| host_info(id, "s", "127.0.0.1:9".parse().unwrap()))
             .into();
-        let long = "h".repeat(MOST - 30);
+        let long = "h".repeat(MAX_DATAGRAM_BYTES - 30);
         let with_long = [
             hosts,
             vec![host_info(&long, "s", "127.0.0.1:9".parse().unwrap())],
         ]
         .concat();
         let (proxy, at) = proxy(true).await;
-        proxy.apply_fleet(models(), with_long).await;
-        let other = Other::new().await;
+        proxy
+            .apply_fleet(configuration_with_cache(), with_long)
+            .await;
+        let other = PeerProxy::new().await;
         let mut all: Vec<(String, u64)> = Vec::new();
         for (host, from) in [("h1", 0), ("h2", 200), ("h1", 400), (&long, 600)] {
             for n in (from..from + 200).step_by(50) {
-                other.tell(at, &placed(host, n..n + 50));
+                other.send_hint(at, &prompt_placed(host, n..n + 50));
                 all.extend(
                     (n..n + 50)
                         .map(|n| (host.to_owned(), n))
@@ -262,14 +287,14 @@
                 );
             }
         }
-        other.ask(at);
+        other.request_placements(at);
         let mut heard = Vec::new();
         let mut datagrams = 0;
         while heard.len() < all.len() {
-            let (Message::Placements { placements }, length) = other.hear().await else {
+            let (Message::Placements { placements }, length) = other.receive().await else {
                 panic!("no answer")
             };
-            assert!(length < MOST, "{length} bytes");
+            assert!(length < MAX_DATAGRAM_BYTES, "{length} bytes");
             datagrams += 1;
             for placement in placements {
                 assert!(placement.parts.iter().all(|p| p.tokens == 10));
@@ -287,11 +312,11 @@
         // 600 parts of 12 bytes: not one datagram for each entry.
         assert!((7..=12).contains(&datagrams), "{datagrams}");
         // The host whose name alone fills a datagram is left out.
-        other.tell(at, b"end");
+        other.send_hint(at, b"end");
         while proxy.counters.get().invalid_hints == 0 {
             tokio::task::yield_now().await;
         }
-        assert!(other.came().is_none());
+        assert!(other.try_receive().is_none());
     });
 }
 
@@ -300,11 +325,15 @@
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let (proxy, at) = proxy(true).await;
-        let other = Other::new().await;
+        let other = PeerProxy::new().await;
         proxy
-            .apply_fleet_with_peers(models(), vec![host.info.clone()], vec![other.addr])
+            .apply_fleet_with_peers(
+                configuration_with_cache(),
+                vec![host.info.clone()],
+                vec![other.addr],
+            )
             .await;
-        let whole = placed("h1", 21..40);
+        let whole = prompt_placed("h1", 21..40);
         let mut version = whole.clone();
         version[4] = 99;
         let mut kind = whole.clone();
@@ -320,22 +349,22 @@
             version,
             kind,
         ];
-        garbage.iter().for_each(|g| other.tell(at, g));
+        garbage.iter().for_each(|g| other.send_hint(at, g));
         while proxy.counters.get().invalid_hints < garbage.len() as u64 {
             tokio::task::yield_now().await;
         }
         // Hosts nobody knows of, and lists that claim to be longer than they are.
-        other.tell(at, &placed("nobody", 21..40));
+        other.send_hint(at, &prompt_placed("nobody", 21..40));
         let lists = (0..whole.len()).map(|n| {
             let mut bytes = whole.clone();
             bytes[n] ^= 255;
             bytes
         });
-        lists.for_each(|bytes| other.tell(at, &bytes));
+        lists.for_each(|bytes| other.send_hint(at, &bytes));
         // Datagrams are heard in order: once this is answered all of them were.
-        other.recalled(at).await;
-        serve(&proxy, &mut host, "1:100").await;
-        assert_eq!(other.placed().await.0, expected("h1"));
+        other.receive_placements(at).await;
+        serve_prompt(&proxy, &mut host, "1:100").await;
+        assert_eq!(other.prompt_placed().await.0, expected_placement("h1"));
         let has = |k: &Placement| {
             k.host == "h1"
                 && k.parts.contains(&Part {
@@ -343,7 +372,7 @@
                     tokens: 13_000,
                 })
         };
-        while !other.recalled(at).await.iter().any(has) {}
+        while !other.receive_placements(at).await.iter().any(has) {}
         assert!(proxy.counters.get().invalid_hints >= garbage.len() as u64);
     });
 }
--- a/crates/proxy/tests/response_matching.rs
+++ b/crates/proxy/tests/response_matching.rs
@@ -4,9 +4,9 @@
 use common::*;
 use rstest::rstest;
 
-const SEAL: &str = "Fennelpin-Host-Seal: seal";
+const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 
-fn wide_document() -> std::sync::Arc<configuration::Configuration> {
+fn configuration_with_wide_limits() -> std::sync::Arc<configuration::Configuration> {
     let text = format!(
         r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":9000000}}}}"#
     );
@@ -16,11 +16,11 @@
 }
 
 /// A proxy that takes large bodies, so that a host can answer before all is written.
-async fn wide(setup: ProxyOptions, hosts: &[&FakeHost]) -> Proxy {
+async fn proxy_with_wide_limits(setup: ProxyOptions, hosts: &[&FakeHost]) -> Proxy {
     let proxy = Proxy::with_options(setup).await;
     proxy
         .apply_fleet(
-            wide_document(),
+            configuration_with_wide_limits(),
             hosts.iter().map(|h| h.info.clone()).collect(),
         )
         .await;
@@ -42,7 +42,7 @@
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = wide(ProxyOptions::default(), &[&host]).await;
+        let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&host]).await;
         let mut client = proxy.client().await;
         client.send(&large_request("/once/a")).await;
         let mut conn = host.accept().await;
@@ -63,7 +63,7 @@
 fn early_response_behind_an_interim_one_is_taken() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = wide(ProxyOptions::default(), &[&host]).await;
+        let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&host]).await;
         let mut client = proxy.client().await;
         client.send(&large_request("/once/a")).await;
         let mut conn = host.accept().await;
@@ -86,7 +86,7 @@
     run_async_test(async {
         let mut one = FakeHost::new("h1", "s").await;
         let mut two = FakeHost::new("h2", "s").await;
-        let proxy = wide(ProxyOptions::default(), &[&one, &two]).await;
+        let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&one, &two]).await;
         let mut client = proxy.client().await;
         client.send(&large_request("/once/a")).await;
         let (mut first, other) = first_connection(&mut one, &mut two).await;
@@ -118,7 +118,7 @@
         let mut conn = host.accept().await;
         let asked = conn
             .respond(
-                &format!("200 OK\r\n{SEAL}\r\n{lists}Content-Length: 4"),
+                &format!("200 OK\r\n{SEAL_FIELD}\r\n{lists}Content-Length: 4"),
                 "done",
             )
             .await;
@@ -141,7 +141,7 @@
 fn half_written_request_at_the_end_may_have_run() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = wide(
+        let mut proxy = proxy_with_wide_limits(
             ProxyOptions {
                 grace_s: 1.0,
                 ..ProxyOptions::default()
@@ -166,7 +166,7 @@
         let mut client = proxy.send_request("/once/a").await;
         let mut conn = host.accept().await;
         conn.respond(
-            &format!("200 OK\r\nFennelpin-Attempt-Id: one\r\n{SEAL}\r\nContent-Length: 1"),
+            &format!("200 OK\r\nFennelpin-Attempt-Id: one\r\n{SEAL_FIELD}\r\nContent-Length: 1"),
             "x",
         )
         .await;
@@ -201,7 +201,7 @@
         let mut client = proxy.send_request("/once/a").await;
         let (mut conn, other) = first_connection(&mut one, &mut two).await;
         conn.respond(
-            &format!("200 OK\r\n{SEAL}\r\nFennelpin-Not-Executed: full\r\nContent-Length: 3"),
+            &format!("200 OK\r\n{SEAL_FIELD}\r\nFennelpin-Not-Executed: full\r\nContent-Length: 3"),
             "ran",
         )
         .await;
@@ -236,7 +236,7 @@
         );
         client.send(&(bare + &request("/once/a", "one", ""))).await;
         let mut conn = host.accept().await;
-        conn.respond(&format!("{lines}\r\n{SEAL}"), "").await;
+        conn.respond(&format!("{lines}\r\n{SEAL_FIELD}"), "").await;
         let head = client.read_head().await.unwrap();
         assert!(
             head.starts_with(&format!("HTTP/1.1 {}", &lines[..3])),
@@ -259,7 +259,7 @@
     });
 }
 
-/// The client was told of chunks: they go on, whatever the next host's framing is.
+/// The first head announced chunks: the response stays chunked, whatever the next host's framing is.
 #[test]
 fn framing_of_the_first_host_holds_for_the_response() {
     run_async_test(async {
@@ -276,7 +276,7 @@
         drop(conn);
         let mut conn = next_connection(&mut [one, two, three]).await;
         conn.respond(
-            &format!("200 OK\r\n{SEAL}\r\nContent-Type: text/event-stream"),
+            &format!("200 OK\r\n{SEAL_FIELD}\r\nContent-Type: text/event-stream"),
             &event(3),
         )
         .await;
@@ -366,7 +366,7 @@
     run_async_test(async {
         let mut one = FakeHost::new("h1", "s").await;
         let mut two = FakeHost::new("h2", "s").await;
-        let proxy = wide(ProxyOptions::default(), &[&one]).await;
+        let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&one]).await;
         let mut client = proxy.client().await;
         let mut conn = None;
         if used {
@@ -383,7 +383,10 @@
         };
         conn.read_head().await.unwrap();
         proxy
-            .apply_fleet(wide_document(), vec![one.info.clone(), two.info.clone()])
+            .apply_fleet(
+                configuration_with_wide_limits(),
+                vec![one.info.clone(), two.info.clone()],
+            )
             .await;
         // Unread bytes make the system reset it at a plain close too; in order it ends its own side only.
         if in_order {
@@ -397,7 +400,7 @@
     });
 }
 
-/// What came behind a whole answer belongs to no request, and the rest of it may still come.
+/// Bytes behind a complete response belong to no request, and more of them may follow.
 #[rstest]
 fn connection_with_bytes_behind_a_response_is_not_reused(
     #[values("H", "HTTP/1.1 200 OK\r\nFennelpin-Att", "\r\n")] behind: &str,
