--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -14,7 +14,7 @@
     text.parse().unwrap()
 }
 
-fn birth(control: &str, bootstrap: bool) -> StartContext {
+fn start_context(control: &str, bootstrap: bool) -> StartContext {
     StartContext {
         control: addr(control),
         seeds: SEEDS.iter().map(|s| addr(s)).collect(),
@@ -26,10 +26,10 @@
 }
 
 #[rstest]
-fn founders_know_each_other() {
+fn initial_voters_when_bootstrapping_know_each_other() {
     let all: Vec<Identity> = SEEDS
         .iter()
-        .map(|s| birth(s, true).identity(None))
+        .map(|s| start_context(s, true).identity(None))
         .collect();
     for (seed, identity) in SEEDS.iter().zip(&all) {
         assert_eq!(
@@ -48,11 +48,14 @@
 }
 
 #[rstest]
-#[case::wiped_founder(SEEDS[0], false)]
+#[case::wiped_initial_voter(SEEDS[0], false)]
 #[case::no_seed("10.4.0.1:8146", true)]
 #[case::late("10.4.0.1:8146", false)]
-fn others_come_with_a_new_identity_and_no_say(#[case] control: &str, #[case] bootstrap: bool) {
-    let identity = birth(control, bootstrap).identity(None);
+fn member_when_it_is_no_initial_voter_has_a_random_id_and_no_vote(
+    #[case] control: &str,
+    #[case] bootstrap: bool,
+) {
+    let identity = start_context(control, bootstrap).identity(None);
     assert_eq!((identity.id, identity.initial_voters), (77, vec![]));
 }
 
@@ -60,13 +63,13 @@
 #[case::clock_went_on(next_incarnation(5, 0, 1), 1_000)]
 #[case::clock_went_back(next_incarnation(0, 2_000, u64::MAX), 2_001)]
 #[case::of_an_earlier_release(1_700_000_000_000, 1_700_000_000_000 / (1 << TAIL_BITS) + 1)]
-fn a_life_is_numbered_above_the_one_before(#[case] before: u64, #[case] clock: u64) {
+fn incarnation_when_restarted_is_above_the_one_before(#[case] before: u64, #[case] clock: u64) {
     let kept = Identity {
         id: 5,
         incarnation: before,
         ..Identity::default()
     };
-    let identity = birth(SEEDS[0], true).identity(Some(kept));
+    let identity = start_context(SEEDS[0], true).identity(Some(kept));
     assert!(identity.incarnation > before);
     assert_eq!(
         identity,
@@ -80,24 +83,24 @@
 
 /// The number couldn't be kept, and the clock is below the one that is.
 #[test]
-fn two_lives_on_a_full_disk_never_have_the_same_number() {
+fn incarnations_when_the_disk_is_full_never_repeat() {
     let kept = Some(Identity {
         id: 5,
         incarnation: next_incarnation(0, 9_000, 1),
         ..Identity::default()
     });
-    let first = birth(SEEDS[0], false).identity(kept.clone());
+    let first = start_context(SEEDS[0], false).identity(kept.clone());
     let second = StartContext {
         random: 78,
         clock_ms: 500,
-        ..birth(SEEDS[0], false)
+        ..start_context(SEEDS[0], false)
     }
     .identity(kept);
     assert_ne!(first.incarnation, second.incarnation);
 }
 
 #[test]
-fn the_highest_numbers_of_lives_harm_nobody() {
+fn incarnation_when_numbers_are_at_their_limit_saturates() {
     assert_eq!(
         next_incarnation(u64::MAX, u64::MAX, 0),
         u64::MAX << TAIL_BITS
@@ -105,9 +108,9 @@
 }
 
 #[rstest]
-fn the_latest_record_counts() {
-    let first = birth(SEEDS[0], true).identity(None);
-    let second = birth(SEEDS[0], false).identity(Some(first.clone()));
+fn latest_identity_when_a_record_is_damaged_is_an_error() {
+    let first = start_context(SEEDS[0], true).identity(None);
+    let second = start_context(SEEDS[0], false).identity(Some(first.clone()));
     let records = [
         protocol::encode_record(&first),
         protocol::encode_record(&second),
@@ -122,7 +125,7 @@
     ));
 }
 
-fn ledger(owner: Option<&Identity>, records: &[&[u8]]) -> StoredLog {
+fn stored_log(owner: Option<&Identity>, records: &[&[u8]]) -> StoredLog {
     let owner = owner.map(|identity| {
         protocol::encode_record(&LogOwner {
             identity: identity.clone(),
@@ -139,9 +142,9 @@
 /// Each file there or not: nobody goes on under an identity whose promises are lost, or with the promises of
 /// somebody else.
 #[rstest]
-fn either_file_may_be_lost() {
-    let start = birth(SEEDS[0], true);
-    let (first, again) = (start.identity(None), birth(SEEDS[0], false));
+fn identity_when_either_file_is_lost_never_takes_foreign_promises() {
+    let start = start_context(SEEDS[0], true);
+    let (first, again) = (start.identity(None), start_context(SEEDS[0], false));
     let other = Identity {
         id: 5,
         incarnation: 1,
@@ -156,35 +159,38 @@
     let own = (first.id, 3);
     // Both, neither.
     assert_eq!(
-        id(Some(&first), &ledger(Some(&first), &records)).unwrap(),
+        id(Some(&first), &stored_log(Some(&first), &records)).unwrap(),
         own
     );
-    assert_eq!(id(Some(&first), &ledger(Some(&first), &[])).unwrap(), own);
-    assert_eq!(id(None, &ledger(None, &[])).unwrap(), (77, 0));
-    // The ledger was lost: somebody else, and no voter of view 0, though the settings still say that all is new.
-    assert_eq!(id(Some(&first), &ledger(None, &[])).unwrap(), (77, 0));
+    assert_eq!(
+        id(Some(&first), &stored_log(Some(&first), &[])).unwrap(),
+        own
+    );
+    assert_eq!(id(None, &stored_log(None, &[])).unwrap(), (77, 0));
+    // The log was lost: another member, and no initial voter, though the settings still say that all is new.
+    assert_eq!(id(Some(&first), &stored_log(None, &[])).unwrap(), (77, 0));
     let lost = start
-        .identity_with(Some(first.clone()), &ledger(None, &[]))
+        .identity_with(Some(first.clone()), &stored_log(None, &[]))
         .unwrap();
     assert_eq!((lost.id, lost.initial_voters.len()), (77, 0));
     // The identity's file was lost: the ledger says whose it is.
-    assert_eq!(id(None, &ledger(Some(&first), &records)).unwrap(), own);
-    assert_eq!(id(None, &ledger(Some(&first), &[])).unwrap(), own);
+    assert_eq!(id(None, &stored_log(Some(&first), &records)).unwrap(), own);
+    assert_eq!(id(None, &stored_log(Some(&first), &[])).unwrap(), own);
     // Ended after a new identity had begun its ledger, before the identity's file followed.
     assert_eq!(
-        id(Some(&first), &ledger(Some(&other), &[])).unwrap(),
+        id(Some(&first), &stored_log(Some(&other), &[])).unwrap(),
         (5, 0)
     );
     // Somebody else's promises, or nobody knows whose.
-    let foreign = id(Some(&first), &ledger(Some(&other), &records));
+    let foreign = id(Some(&first), &stored_log(Some(&other), &records));
     assert!(matches!(
         foreign,
         Err(IdentityError::OtherOwner { owner: 5, .. })
     ));
     assert!(matches!(
-        id(None, &ledger(None, &records)),
+        id(None, &stored_log(None, &records)),
         Err(IdentityError::NoIdentity)
     ));
     // A ledger of an earlier release.
-    assert_eq!(id(Some(&first), &ledger(None, &records)).unwrap(), own);
+    assert_eq!(id(Some(&first), &stored_log(None, &records)).unwrap(), own);
 }
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -20,8 +20,8 @@
 
 const CONFIGURATION: &str = r#"{"version":3,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/","route_class":"pure","deadline_ms":1000,"service":"s"}],"services":[{"name":"s","health_path":"/health","conn_limit":10}],"limits":{}}"#;
 
-/// A core of three machines.
-struct Core {
+/// Members of a control plane on loopback.
+struct TestControlPlane {
     dirs: Vec<PathBuf>,
     ips: Vec<Ipv4Addr>,
     ports: (u16, u16),
@@ -29,12 +29,12 @@
     running: Vec<Option<(oneshot::Sender<()>, JoinHandle<()>)>>,
 }
 
-impl Core {
+impl TestControlPlane {
     fn new(net: u8, root: &Path) -> Self {
-        Self::of(3, net, root)
+        Self::with_members(3, net, root)
     }
 
-    fn of(count: u8, net: u8, root: &Path) -> Self {
+    fn with_members(count: u8, net: u8, root: &Path) -> Self {
         let ips: Vec<Ipv4Addr> = (1..=count).map(|n| Ipv4Addr::new(127, 0, net, n)).collect();
         let free = || {
             TcpListener::bind((ips[0], 0))
@@ -60,11 +60,11 @@
 
     fn start(&mut self, n: usize, bootstrap: bool) {
         std::fs::create_dir_all(&self.dirs[n]).unwrap();
-        self.start_on(n, bootstrap);
+        self.start_without_folder(n, bootstrap);
     }
 
     /// Starts the member on whatever stands where its folder should be.
-    fn start_on(&mut self, n: usize, bootstrap: bool) {
+    fn start_without_folder(&mut self, n: usize, bootstrap: bool) {
         let seeds: Vec<_> = (0..3).map(|n| self.control(n).to_string()).collect();
         let boot = serde_json::json!({
             "node_name": format!("core-{n}"), "role": "core", "ip_addr": self.ips[n], "zone": format!("z{n}"),
@@ -90,12 +90,12 @@
         done.await.unwrap();
     }
 
-    /// Ends the member without a word.
+    /// Ends the member without shutting it down.
     fn kill(&mut self, n: usize) {
         self.running[n].take().unwrap().1.abort();
     }
 
-    async fn identity(&self, n: usize) -> serde_json::Value {
+    async fn member_id(&self, n: usize) -> serde_json::Value {
         let status = call(self.control(n), "GET", "/fennelpin/status", &[], "")
             .await
             .unwrap();
@@ -103,13 +103,19 @@
     }
 }
 
-async fn on_core<F: std::future::Future<Output = ()>>(net: u8, test: impl FnOnce(Core) -> F) {
+async fn run_with_three_members<F: std::future::Future<Output = ()>>(
+    net: u8,
+    test: impl FnOnce(TestControlPlane) -> F,
+) {
     let root = tempfile::tempdir().unwrap();
-    let core = Core::new(net, root.path());
+    let control_plane = TestControlPlane::new(net, root.path());
     let tasks = LocalSet::new();
-    timeout(Duration::from_secs(60), tasks.run_until(test(core)))
-        .await
-        .expect("the test hangs");
+    timeout(
+        Duration::from_secs(60),
+        tasks.run_until(test(control_plane)),
+    )
+    .await
+    .expect("the test hangs");
 }
 
 async fn replace(to: SocketAddrV4, base: &str, body: &str) -> Answer {
@@ -133,81 +139,93 @@
 }
 
 #[tokio::test]
-async fn a_configuration_is_taken_anywhere_and_outlives_the_core() {
-    on_core(61, |mut core| async move {
-        (0..3).for_each(|n| core.start(n, true));
-        let taken = replace(core.control(1), "0", CONFIGURATION).await;
+async fn configuration_when_all_members_restart_is_kept() {
+    run_with_three_members(61, |mut control_plane| async move {
+        (0..3).for_each(|n| control_plane.start(n, true));
+        let taken = replace(control_plane.control(1), "0", CONFIGURATION).await;
         assert_eq!(
             (taken.status, &*taken.body),
             (200, r#"{"code":0,"reason":"done"}"#)
         );
         assert_eq!(
-            replace(core.control(2), "0", CONFIGURATION).await.status,
+            replace(control_plane.control(2), "0", CONFIGURATION)
+                .await
+                .status,
             200,
             "the same call again"
         );
         let other = CONFIGURATION.replace(":3,", ":4,");
-        assert_eq!(replace(core.control(0), "1", &other).await.status, 412);
-        assert_eq!(replace(core.control(0), "3", "{").await.status, 400);
+        assert_eq!(
+            replace(control_plane.control(0), "1", &other).await.status,
+            412
+        );
+        assert_eq!(
+            replace(control_plane.control(0), "3", "{").await.status,
+            400
+        );
         for n in 0..3 {
-            assert_eq!(read(core.control(n)).await.body, CONFIGURATION);
+            assert_eq!(read(control_plane.control(n)).await.body, CONFIGURATION);
         }
-        let before = core.identity(1).await;
+        let before = control_plane.member_id(1).await;
         for n in 0..3 {
-            core.stop(n).await;
+            control_plane.stop(n).await;
         }
-        (0..3).for_each(|n| core.start(n, false));
-        assert_eq!(read(core.control(2)).await.body, CONFIGURATION);
-        assert_eq!(core.identity(1).await, before);
+        (0..3).for_each(|n| control_plane.start(n, false));
+        assert_eq!(read(control_plane.control(2)).await.body, CONFIGURATION);
+        assert_eq!(control_plane.member_id(1).await, before);
     })
     .await;
 }
 
-/// All power was lost while the first view was made: the disks hold identities and promises, and no view.
+/// All power was lost while the first membership was agreed on: the disks hold identities and promises, and no membership.
 #[tokio::test]
-async fn initial_voters_with_a_promise_and_no_view_still_have_a_say() {
-    on_core(99, |mut core| async move {
+async fn initial_voters_when_they_have_promised_without_a_membership_still_vote() {
+    run_with_three_members(99, |mut control_plane| async move {
         for n in 0..3 {
-            std::fs::create_dir_all(&core.dirs[n]).unwrap();
+            std::fs::create_dir_all(&control_plane.dirs[n]).unwrap();
             let facts = StartContext {
-                control: core.control(n),
-                seeds: (0..3).map(|n| core.control(n)).collect(),
-                port: core.ports.0,
+                control: control_plane.control(n),
+                seeds: (0..3).map(|n| control_plane.control(n)).collect(),
+                port: control_plane.ports.0,
                 bootstrap: true,
                 random: 1,
                 clock_ms: 1,
             };
             let identity = protocol::encode_record(&facts.identity(None));
-            AppendLog::open(&core.dirs[n], "identity")
+            AppendLog::open(&control_plane.dirs[n], "identity")
                 .unwrap()
                 .0
                 .append(&[&identity])
                 .unwrap();
             let promised = protocol::encode_record(&Record::Promised { epoch: 1 << 20 });
-            AppendLog::open(&core.dirs[n], "ledger")
+            AppendLog::open(&control_plane.dirs[n], "ledger")
                 .unwrap()
                 .0
                 .append(&[&promised])
                 .unwrap();
         }
-        (0..3).for_each(|n| core.start(n, false));
+        (0..3).for_each(|n| control_plane.start(n, false));
         assert_eq!(
-            replace(core.control(1), "0", CONFIGURATION).await.status,
+            replace(control_plane.control(1), "0", CONFIGURATION)
+                .await
+                .status,
             200
         );
-        assert_eq!(read(core.control(2)).await.body, CONFIGURATION);
+        assert_eq!(read(control_plane.control(2)).await.body, CONFIGURATION);
     })
     .await;
 }
 
-/// Eight operators at once, one number, eight contents: one is confirmed, and whoever sends its order again, to any
-/// member, before and after all were started again, hears the same.
+/// Eight operators at once, one version, eight contents: one is confirmed. Whoever sends its request again, to any
+/// member, before and after all were restarted, gets the same reply.
 #[tokio::test]
-async fn of_eight_orders_at_once_one_is_confirmed_and_each_hears_the_same_again() {
-    on_core(67, |mut core| async move {
-        (0..3).for_each(|n| core.start(n, true));
+async fn requests_when_eight_compete_confirm_one_and_repeat_their_replies() {
+    run_with_three_members(67, |mut control_plane| async move {
+        (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(core.control(0), "0", CONFIGURATION).await.status,
+            replace(control_plane.control(0), "0", CONFIGURATION)
+                .await
+                .status,
             200
         );
         let bodies: Vec<String> = (0..8)
@@ -221,7 +239,7 @@
             .iter()
             .enumerate()
             .map(|(n, body)| {
-                let (to, body) = (core.control(n % 3), body.clone());
+                let (to, body) = (control_plane.control(n % 3), body.clone());
                 spawn_local(async move { replace(to, "3", &body).await })
             })
             .collect();
@@ -239,52 +257,66 @@
             7,
             "{statuses:?}"
         );
-        for life in 0..2 {
+        for incarnation in 0..2 {
             for (n, body) in bodies.iter().enumerate() {
-                let again = replace(core.control((n + 1 + life) % 3), "3", body).await;
-                assert_eq!(again.status, statuses[n], "order {n} in life {life}");
+                let again =
+                    replace(control_plane.control((n + 1 + incarnation) % 3), "3", body).await;
+                assert_eq!(
+                    again.status, statuses[n],
+                    "request {n} in incarnation {incarnation}"
+                );
             }
             for n in 0..3 {
-                core.stop(n).await;
+                control_plane.stop(n).await;
             }
-            (0..3).for_each(|n| core.start(n, false));
+            (0..3).for_each(|n| control_plane.start(n, false));
         }
         // A later change doesn't make them forgotten.
         let later = CONFIGURATION.replace(":3,", ":9,");
-        assert_eq!(replace(core.control(0), "4", &later).await.status, 200);
+        assert_eq!(
+            replace(control_plane.control(0), "4", &later).await.status,
+            200
+        );
         let winner = statuses.iter().position(|s| *s == 200).unwrap();
         assert_eq!(
-            replace(core.control(1), "3", &bodies[winner]).await.status,
+            replace(control_plane.control(1), "3", &bodies[winner])
+                .await
+                .status,
             200
         );
-        assert_eq!(read(core.control(2)).await.body, later);
+        assert_eq!(read(control_plane.control(2)).await.body, later);
     })
     .await;
 }
 
 #[tokio::test]
-async fn one_member_may_leave_at_any_time() {
-    on_core(62, |mut core| async move {
-        (0..3).for_each(|n| core.start(n, true));
+async fn control_plane_when_one_member_shuts_down_goes_on() {
+    run_with_three_members(62, |mut control_plane| async move {
+        (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(core.control(0), "0", CONFIGURATION).await.status,
+            replace(control_plane.control(0), "0", CONFIGURATION)
+                .await
+                .status,
             200
         );
         for n in 0..3 {
-            core.stop(n).await;
-            assert_eq!(read(core.control((n + 1) % 3)).await.body, CONFIGURATION);
-            core.start(n, false);
-            assert_eq!(read(core.control(n)).await.body, CONFIGURATION);
+            control_plane.stop(n).await;
+            assert_eq!(
+                read(control_plane.control((n + 1) % 3)).await.body,
+                CONFIGURATION
+            );
+            control_plane.start(n, false);
+            assert_eq!(read(control_plane.control(n)).await.body, CONFIGURATION);
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_host_is_acknowledged() {
-    on_core(63, |mut core| async move {
-        (0..3).for_each(|n| core.start(n, true));
-        let beat = |phase: &str, seq: u32| {
+async fn host_when_it_calls_any_member_is_acknowledged() {
+    run_with_three_members(63, |mut control_plane| async move {
+        (0..3).for_each(|n| control_plane.start(n, true));
+        let heartbeat = |phase: &str, seq: u32| {
             serde_json::json!({"service": "s", "address": "10.0.0.9:80", "zone": "z0", "version": "v1",
                 "capacity": 4, "phase": phase, "cold_left_ms": 0, "call_seq": seq})
             .to_string()
@@ -292,41 +324,48 @@
         let at = "/fennelpin/Hosts.Heartbeat/i-1";
         // A ready beat needs nobody but the member that takes it, once its disk has told who it is.
         let open = |a: &Answer| !(a.status == 503 && a.body.contains("204"));
-        let ready = call_until(core.control(0), "POST", at, &[], &beat("ready", 1), open).await;
+        let ready = call_until(control_plane.control(0), "POST", at, &[], &heartbeat("ready", 1), open).await;
         assert_eq!(ready.status, 200, "{}", ready.body);
         // A drain has to be kept by others, too.
-        call_until(core.control(1), "POST", at, &[], &beat("draining", 2), |a| a.status == 200).await;
+        call_until(control_plane.control(1), "POST", at, &[], &heartbeat("draining", 2), |a| a.status == 200).await;
         let gone = "/fennelpin/Hosts.Depart/i-1";
-        call_until(core.control(2), "POST", gone, &[], "{}", |a| a.status == 200).await;
-        let bad = call(core.control(0), "POST", at, &[], "{}").await.unwrap();
+        call_until(control_plane.control(2), "POST", gone, &[], "{}", |a| a.status == 200).await;
+        let bad = call(control_plane.control(0), "POST", at, &[], "{}").await.unwrap();
         assert_eq!(bad.status, 400);
     })
     .await;
 }
 
-/// More members than may have a say: the ones beyond only mirror, and hand on what they are asked.
+/// More members than may be voters: the others only mirror, and forward requests.
 #[tokio::test]
-async fn a_member_without_a_say_hands_calls_to_the_primary() {
+async fn member_when_it_is_no_voter_forwards_to_the_primary() {
     let root = tempfile::tempdir().unwrap();
-    let mut core = Core::of(11, 66, root.path());
+    let mut control_plane = TestControlPlane::with_members(11, 66, root.path());
     let play = async {
-        (0..11).for_each(|n| core.start(n, true));
+        (0..11).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(core.control(0), "0", CONFIGURATION).await.status,
+            replace(control_plane.control(0), "0", CONFIGURATION)
+                .await
+                .status,
             200
         );
         for n in 0..11 {
-            assert_eq!(read(core.control(n)).await.body, CONFIGURATION);
+            assert_eq!(read(control_plane.control(n)).await.body, CONFIGURATION);
         }
-        let beat =
+        let heartbeat =
             serde_json::json!({"service": "s", "address": "10.0.0.9:80", "zone": "z0", "version": "v1",
             "capacity": 4, "phase": "draining", "cold_left_ms": 0, "call_seq": 1})
             .to_string();
         for n in 0..11 {
             let at = format!("/fennelpin/Hosts.Heartbeat/i-{n}");
-            call_until(core.control(n), "POST", &at, &[], &beat, |a| {
-                a.status == 200
-            })
+            call_until(
+                control_plane.control(n),
+                "POST",
+                &at,
+                &[],
+                &heartbeat,
+                |a| a.status == 200,
+            )
             .await;
         }
     };
@@ -336,12 +375,12 @@
 }
 
 #[tokio::test]
-async fn calls_are_answered_before_the_disk_is_there() {
-    on_core(64, |mut core| async move {
+async fn requests_when_the_disk_is_missing_are_answered() {
+    run_with_three_members(64, |mut control_plane| async move {
         // A file where the folder should be: nothing can be opened.
-        std::fs::write(&core.dirs[0], "").unwrap();
-        core.start_on(0, true);
-        let at = core.control(0);
+        std::fs::write(&control_plane.dirs[0], "").unwrap();
+        control_plane.start_without_folder(0, true);
+        let at = control_plane.control(0);
         let answer = call_until(at, "GET", "/fennelpin/Configuration.Read", &[], "", |_| {
             true
         })
@@ -350,8 +389,8 @@
         assert!(answer.body.contains(r#""code":204"#), "{}", answer.body);
         let status = call(at, "GET", "/fennelpin/status", &[], "").await.unwrap();
         assert!(status.body.contains(r#""opening":true"#), "{}", status.body);
-        std::fs::remove_file(&core.dirs[0]).unwrap();
-        std::fs::create_dir(&core.dirs[0]).unwrap();
+        std::fs::remove_file(&control_plane.dirs[0]).unwrap();
+        std::fs::create_dir(&control_plane.dirs[0]).unwrap();
         call_until(at, "GET", "/fennelpin/status", &[], "", |a| {
             a.body.contains(r#""opening":false"#)
         })
@@ -361,31 +400,48 @@
 }
 
 #[tokio::test]
-async fn versions_taken_are_told_with_their_configurations() {
-    on_core(65, |mut core| async move {
-        (0..3).for_each(|n| core.start(n, true));
+async fn history_when_versions_were_in_force_has_their_configurations() {
+    run_with_three_members(65, |mut control_plane| async move {
+        (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(core.control(0), "0", CONFIGURATION).await.status,
+            replace(control_plane.control(0), "0", CONFIGURATION)
+                .await
+                .status,
             200
         );
         let second = CONFIGURATION.replace(":3,", ":8,");
-        assert_eq!(replace(core.control(1), "3", &second).await.status, 200);
+        assert_eq!(
+            replace(control_plane.control(1), "3", &second).await.status,
+            200
+        );
         // The primary has seen both; the others at least the newest.
         let mut whole = 0;
         for n in 0..3 {
             let list = "/fennelpin/Configuration.History";
             let newest = |a: &Answer| a.body.contains(r#""version":8"#);
-            let told = call_until(core.control(n), "GET", list, &[], "", newest).await;
+            let told = call_until(control_plane.control(n), "GET", list, &[], "", newest).await;
             if told.body.contains(r#""version":3"#) {
-                let old = call(core.control(n), "GET", &format!("{list}/3"), &[], "")
-                    .await
-                    .unwrap();
+                let old = call(
+                    control_plane.control(n),
+                    "GET",
+                    &format!("{list}/3"),
+                    &[],
+                    "",
+                )
+                .await
+                .unwrap();
                 assert_eq!((old.status, &*old.body), (200, CONFIGURATION));
                 whole += 1;
             }
-            let none = call(core.control(n), "GET", &format!("{list}/5"), &[], "")
-                .await
-                .unwrap();
+            let none = call(
+                control_plane.control(n),
+                "GET",
+                &format!("{list}/5"),
+                &[],
+                "",
+            )
+            .await
+            .unwrap();
             assert_eq!(none.status, 404);
         }
         assert!(whole > 0);
@@ -393,16 +449,18 @@
     .await;
 }
 
-/// A member beyond the voters is in touch for longer than any silence is borne, and then takes a lost voter's place.
+/// A member that is no voter is reachable for longer than any time-out, and then takes a lost voter's place.
 #[tokio::test]
-async fn a_spare_member_takes_a_lost_voters_place() {
+async fn spare_member_when_a_voter_is_lost_takes_its_place() {
     let root = tempfile::tempdir().unwrap();
-    let mut core = Core::of(10, 67, root.path());
-    core.settings.lease_duration = Duration::from_millis(300);
+    let mut control_plane = TestControlPlane::with_members(10, 67, root.path());
+    control_plane.settings.lease_duration = Duration::from_millis(300);
     let play = async {
-        (0..10).for_each(|n| core.start(n, true));
+        (0..10).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(core.control(0), "0", CONFIGURATION).await.status,
+            replace(control_plane.control(0), "0", CONFIGURATION)
+                .await
+                .status,
             200
         );
         let voters = |a: &Answer| {
@@ -418,7 +476,7 @@
         };
         let status = "/fennelpin/status";
         let full = |a: &Answer| voters(a).len() == 9;
-        let nine = call_until(core.control(0), "GET", status, &[], "", full).await;
+        let nine = call_until(control_plane.control(0), "GET", status, &[], "", full).await;
         let has = voters(&nine);
 
         let spare = (0..10)
@@ -428,9 +486,9 @@
         let lost = (1..10)
             .find(|n| has.contains(&format!("core-{n}")))
             .unwrap();
-        core.kill(lost);
+        control_plane.kill(lost);
         let taken = |a: &Answer| voters(a).contains(&spare);
-        call_until(core.control(0), "GET", status, &[], "", taken).await;
+        call_until(control_plane.control(0), "GET", status, &[], "", taken).await;
     };
     timeout(Duration::from_secs(60), LocalSet::new().run_until(play))
         .await
@@ -526,16 +584,24 @@
 
 #[tokio::test]
 async fn status_page_when_all_is_known_has_these_keys() {
-    on_core(68, |mut core| async move {
-        (0..3).for_each(|n| core.start(n, true));
-        let taken = replace(core.control(0), "0", CONFIGURATION).await;
+    run_with_three_members(68, |mut control_plane| async move {
+        (0..3).for_each(|n| control_plane.start(n, true));
+        let taken = replace(control_plane.control(0), "0", CONFIGURATION).await;
         assert_eq!(taken.status, 200);
         let heartbeat = serde_json::json!({"service": "s", "address": "10.0.0.9:80", "zone": "z0",
             "version": "v1", "capacity": 4, "phase": "ready", "cold_left_ms": 0, "call_seq": 1})
         .to_string();
         let path = "/fennelpin/Hosts.Heartbeat/i-1";
         let done = |a: &Answer| a.status == 200;
-        call_until(core.control(0), "POST", path, &[], &heartbeat, done).await;
+        call_until(
+            control_plane.control(0),
+            "POST",
+            path,
+            &[],
+            &heartbeat,
+            done,
+        )
+        .await;
         let pull = protocol::encode(&Message::Pull {
             subscriber: Subscriber {
                 name: "proxy-1".into(),
@@ -548,7 +614,7 @@
             control_plane_version: 0,
             origins: Vec::new(),
         });
-        let mut subscriber = TcpStream::connect((core.ips[0], core.ports.0))
+        let mut subscriber = TcpStream::connect((control_plane.ips[0], control_plane.ports.0))
             .await
             .unwrap();
         subscriber.write_all(&pull).await.unwrap();
@@ -561,7 +627,15 @@
                 && status["member"]["primary"].is_string()
                 && status["member"]["age_ms"].is_u64()
         };
-        let status = call_until(core.control(0), "GET", "/fennelpin/status", &[], "", whole).await;
+        let status = call_until(
+            control_plane.control(0),
+            "GET",
+            "/fennelpin/status",
+            &[],
+            "",
+            whole,
+        )
+        .await;
         let mut paths = BTreeSet::new();
         key_paths(&serde_json::from_str(&status.body).unwrap(), "", &mut paths);
         assert_eq!(paths.iter().collect::<Vec<_>>(), STATUS_KEYS);
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -1,4 +1,4 @@
-//! PeerConnections between members over real sockets; waits are on tokio's paused clock.
+//! Connections between members over real sockets; waits are on tokio's paused clock.
 
 use control_plane::runtime::peer_connections::{PeerConnections, PeerEvent};
 use protocol::{Change, MemberInfo, Message};
@@ -12,9 +12,9 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-type Log = Rc<RefCell<Vec<PeerEvent>>>;
+type EventLog = Rc<RefCell<Vec<PeerEvent>>>;
 
-fn seat(id: u64, addr: SocketAddrV4) -> MemberInfo {
+fn member_info(id: u64, addr: SocketAddrV4) -> MemberInfo {
     MemberInfo {
         id,
         name: format!("m{id}"),
@@ -23,21 +23,21 @@
     }
 }
 
-fn v4(listener: &TcpListener) -> SocketAddrV4 {
+fn addr_of(listener: &TcpListener) -> SocketAddrV4 {
     listener.local_addr().unwrap().to_string().parse().unwrap()
 }
 
-fn links() -> (PeerConnections, Log) {
-    let log = Log::default();
-    let heard = log.clone();
-    let me = seat(1, "127.0.0.99:9".parse().unwrap());
+fn peer_connections() -> (PeerConnections, EventLog) {
+    let log = EventLog::default();
+    let events = log.clone();
+    let me = member_info(1, "127.0.0.99:9".parse().unwrap());
     (
-        PeerConnections::new(me, move |h| heard.borrow_mut().push(h)),
+        PeerConnections::new(me, move |event| events.borrow_mut().push(event)),
         log,
     )
 }
 
-fn story(work: impl std::future::Future<Output = ()>) {
+fn run_local(work: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -46,7 +46,7 @@
 }
 
 /// Takes the dialler's connection and says who is there.
-async fn greet(listener: &TcpListener, who: &MemberInfo) -> FrameReader<TcpStream> {
+async fn accept_and_greet(listener: &TcpListener, who: &MemberInfo) -> FrameReader<TcpStream> {
     let (stream, _) = listener.accept().await.unwrap();
     let mut frames = FrameReader::new(stream, Vec::new());
     assert!(
@@ -62,25 +62,25 @@
     FrameReader::new(stream, rest)
 }
 
-async fn until(what: impl Fn() -> bool) {
-    while !what() {
+async fn wait_until(condition: impl Fn() -> bool) {
+    while !condition() {
         tokio::task::yield_now().await;
     }
 }
 
-fn yield_message() -> Message {
+fn release_lease() -> Message {
     Message::ReleaseLease { epoch: 7 }
 }
 
 #[test]
-fn a_peer_that_falls_silent_is_probed_given_up_and_dialled_again() {
-    story(async {
+fn peer_when_silent_is_probed_disconnected_and_dialled_again() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = seat(2, v4(&listener));
-        let (links, _) = links();
-        links.set_seeds(&[v4(&listener)]);
-        let mut frames = greet(&listener, &other).await;
-        until(|| links.counters().connected == 1).await;
+        let other = member_info(2, addr_of(&listener));
+        let (peers, _) = peer_connections();
+        peers.set_seeds(&[addr_of(&listener)]);
+        let mut frames = accept_and_greet(&listener, &other).await;
+        wait_until(|| peers.counters().connected == 1).await;
         assert!(matches!(
             frames.next().await.unwrap(),
             Some(Message::Peers { .. })
@@ -104,21 +104,21 @@
             "{:?}",
             start.elapsed()
         );
-        assert_eq!(links.counters().disconnected, 1);
-        assert_eq!(links.reachable_members().len(), 1, "it counts no more");
+        assert_eq!(peers.counters().disconnected, 1);
+        assert_eq!(peers.reachable_members().len(), 1, "it counts no more");
         // A seed is dialled whatever happens.
-        let _frames = greet(&listener, &other).await;
-        until(|| links.counters().connected == 2).await;
-        assert_eq!(links.reachable_members().len(), 2);
+        let _frames = accept_and_greet(&listener, &other).await;
+        wait_until(|| peers.counters().connected == 2).await;
+        assert_eq!(peers.reachable_members().len(), 2);
     });
 }
 
 #[test]
-fn a_peer_that_never_says_who_it_is_doesnt_count() {
-    story(async {
+fn peer_when_it_sends_no_hello_is_not_reachable() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (links, log) = links();
-        links.set_seeds(&[v4(&listener)]);
+        let (peers, log) = peer_connections();
+        peers.set_seeds(&[addr_of(&listener)]);
         let (_mute, _) = listener.accept().await.unwrap();
         tokio::time::pause();
         let start = Instant::now();
@@ -132,43 +132,46 @@
         assert_eq!(
             (
                 log.borrow().len(),
-                links.counters().connected,
-                links.reachable_members().len()
+                peers.counters().connected,
+                peers.reachable_members().len()
             ),
             (0, 0, 1)
         );
         drop(mute);
-        let _frames = greet(&listener, &seat(2, v4(&listener))).await;
-        until(|| links.counters().connected == 1).await;
+        let _frames = accept_and_greet(&listener, &member_info(2, addr_of(&listener))).await;
+        wait_until(|| peers.counters().connected == 1).await;
         assert!(matches!(log.borrow()[..], [PeerEvent::Connected(ref s)] if s.id == 2));
-        assert_eq!(links.counters().disconnected, 0);
+        assert_eq!(peers.counters().disconnected, 0);
     });
 }
 
 #[test]
-fn what_is_meant_for_another_identity_at_an_address_isnt_sent() {
-    story(async {
+fn message_when_another_member_has_the_address_is_dropped() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (before, now) = (seat(2, v4(&listener)), seat(3, v4(&listener)));
-        let (links, log) = links();
-        links.set_seeds(&[v4(&listener)]);
-        let mut frames = greet(&listener, &before).await;
-        until(|| links.counters().connected == 1).await;
+        let (before, now) = (
+            member_info(2, addr_of(&listener)),
+            member_info(3, addr_of(&listener)),
+        );
+        let (peers, log) = peer_connections();
+        peers.set_seeds(&[addr_of(&listener)]);
+        let mut frames = accept_and_greet(&listener, &before).await;
+        wait_until(|| peers.counters().connected == 1).await;
         assert!(matches!(log.borrow()[0], PeerEvent::Connected(ref s) if s.id == 2));
         assert!(matches!(
             frames.next().await.unwrap(),
             Some(Message::Peers { .. })
         ));
-        links.send(&before, &yield_message());
-        assert_eq!(frames.next().await.unwrap(), Some(yield_message()));
+        peers.send(&before, &release_lease());
+        assert_eq!(frames.next().await.unwrap(), Some(release_lease()));
         // Its disk is wiped: somebody else comes up at the address.
         drop(frames);
-        let mut frames = greet(&listener, &now).await;
-        until(|| links.counters().connected == 2).await;
-        let dropped = links.counters().dropped;
-        links.send(&before, &yield_message());
-        assert_eq!(links.counters().dropped, dropped + 1);
-        links.send(&now, &Message::ReleaseLease { epoch: 8 });
+        let mut frames = accept_and_greet(&listener, &now).await;
+        wait_until(|| peers.counters().connected == 2).await;
+        let dropped = peers.counters().dropped;
+        peers.send(&before, &release_lease());
+        assert_eq!(peers.counters().dropped, dropped + 1);
+        peers.send(&now, &Message::ReleaseLease { epoch: 8 });
         assert!(matches!(
             frames.next().await.unwrap(),
             Some(Message::Peers { .. })
@@ -181,41 +184,41 @@
 }
 
 #[test]
-fn a_peer_that_takes_nothing_is_given_up_and_what_waits_is_bounded() {
-    story(async {
+fn peer_when_it_reads_nothing_is_disconnected_and_its_queue_is_bounded() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = seat(2, v4(&listener));
-        let (links, _) = links();
-        links.set_seeds(&[v4(&listener)]);
+        let other = member_info(2, addr_of(&listener));
+        let (peers, _) = peer_connections();
+        peers.set_seeds(&[addr_of(&listener)]);
         // It says who it is, over both connections, and reads no more.
-        let _stuck = greet(&listener, &other).await;
-        until(|| links.counters().connected == 1).await;
+        let _stuck = accept_and_greet(&listener, &other).await;
+        wait_until(|| peers.counters().connected == 1).await;
         let text = vec![b'x'; 1 << 20];
         let long = Message::CommandResult {
             request_id: 1,
             code: 0,
             body: text,
         };
-        links.send(&other, &long);
-        let _stuck_data = greet(&listener, &other).await;
-        until(|| links.counters().connected == 2).await;
+        peers.send(&other, &long);
+        let _stuck_data = accept_and_greet(&listener, &other).await;
+        wait_until(|| peers.counters().connected == 2).await;
         for _ in 0..40 {
-            links.send(&other, &long);
+            peers.send(&other, &long);
             tokio::task::yield_now().await;
         }
         assert!(
-            links.counters().dropped > 0,
+            peers.counters().dropped > 0,
             "four of them fit beside what is on its way"
         );
         tokio::time::pause();
         let start = Instant::now();
-        let _frames = greet(&listener, &other).await;
+        let _frames = accept_and_greet(&listener, &other).await;
         assert!(
             start.elapsed() < Duration::from_millis(3400),
             "by the write's time, {:?}",
             start.elapsed()
         );
-        assert_eq!(links.counters().disconnected, 1);
+        assert_eq!(peers.counters().disconnected, 1);
     });
 }
 
@@ -232,19 +235,19 @@
     }
 }
 
-fn renewal(stamp: u64) -> Message {
+fn lease_renewal(requested_at_ms: u64) -> Message {
     Message::RenewLease {
         epoch: 7,
-        requested_at_ms: stamp,
+        requested_at_ms,
         commit_index: 0,
         echoed_clock_ms: 0,
     }
 }
 
-const LONGEST: usize = 4 << 20;
+const MAX_CHANGE_BYTES: usize = 4 << 20;
 
 /// The next message that isn't the probe of a peer that has been silent: a busy machine takes its time.
-async fn next_but_probes(frames: &mut FrameReader<TcpStream>) -> Option<Message> {
+async fn next_except_probes(frames: &mut FrameReader<TcpStream>) -> Option<Message> {
     loop {
         match frames.next().await.unwrap() {
             Some(Message::Peers { .. }) => {}
@@ -253,66 +256,75 @@
     }
 }
 
-/// The control connection of a peer that is there, with its first messages read, and the links to it.
-async fn linked(
+/// The control connection of a peer that is there, with its first messages read, and the peers to it.
+async fn connected_peer(
     listener: &TcpListener,
     other: &MemberInfo,
 ) -> (PeerConnections, FrameReader<TcpStream>) {
-    let (links, _) = links();
-    links.set_seeds(&[v4(listener)]);
-    let mut control = greet(listener, other).await;
-    until(|| links.counters().connected == 1).await;
+    let (peers, _) = peer_connections();
+    peers.set_seeds(&[addr_of(listener)]);
+    let mut control = accept_and_greet(listener, other).await;
+    wait_until(|| peers.counters().connected == 1).await;
     assert!(matches!(
         control.next().await.unwrap(),
         Some(Message::Peers { .. })
     ));
-    (links, control)
+    (peers, control)
 }
 
 #[test]
-fn a_long_change_holds_up_no_renewal() {
-    story(async {
+fn lease_renewal_when_a_long_change_is_queued_is_not_delayed() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = seat(2, v4(&listener));
-        let (links, mut control) = linked(&listener, &other).await;
+        let other = member_info(2, addr_of(&listener));
+        let (peers, mut control) = connected_peer(&listener, &other).await;
         // Nobody reads the long change while the lease is renewed.
-        links.send(&other, &change(1, LONGEST));
-        links.send(&other, &change(2, 10));
-        for stamp in 0..20 {
-            links.send(&other, &renewal(stamp));
-            assert_eq!(next_but_probes(&mut control).await, Some(renewal(stamp)));
+        peers.send(&other, &change(1, MAX_CHANGE_BYTES));
+        peers.send(&other, &change(2, 10));
+        for requested_at_ms in 0..20 {
+            peers.send(&other, &lease_renewal(requested_at_ms));
+            assert_eq!(
+                next_except_probes(&mut control).await,
+                Some(lease_renewal(requested_at_ms))
+            );
         }
         // Changes come in their order, the small one after the long one.
-        let mut data = greet(&listener, &other).await;
+        let mut data = accept_and_greet(&listener, &other).await;
         assert!(matches!(
             data.next().await.unwrap(),
             Some(Message::Peers { .. })
         ));
-        for stamp in 20..40 {
-            links.send(&other, &renewal(stamp));
-            assert_eq!(next_but_probes(&mut control).await, Some(renewal(stamp)));
+        for requested_at_ms in 20..40 {
+            peers.send(&other, &lease_renewal(requested_at_ms));
+            assert_eq!(
+                next_except_probes(&mut control).await,
+                Some(lease_renewal(requested_at_ms))
+            );
         }
-        assert_eq!(next_but_probes(&mut data).await, Some(change(1, LONGEST)));
-        assert_eq!(next_but_probes(&mut data).await, Some(change(2, 10)));
-        assert_eq!(links.counters().disconnected, 0);
+        assert_eq!(
+            next_except_probes(&mut data).await,
+            Some(change(1, MAX_CHANGE_BYTES))
+        );
+        assert_eq!(next_except_probes(&mut data).await, Some(change(2, 10)));
+        assert_eq!(peers.counters().disconnected, 0);
     });
 }
 
 #[test]
-fn a_message_that_a_broken_connection_cut_off_comes_whole_over_the_next() {
-    story(async {
+fn message_when_its_connection_breaks_is_sent_again_over_the_next() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = seat(2, v4(&listener));
-        let (links, mut control) = linked(&listener, &other).await;
+        let other = member_info(2, addr_of(&listener));
+        let (peers, mut control) = connected_peer(&listener, &other).await;
         // More than the system's own buffers hold.
         let long = Message::CommandResult {
             request_id: 1,
             code: 0,
             body: vec![b'x'; 15 << 20],
         };
-        links.send(&other, &long);
-        links.send(&other, &change(1, 10));
-        let mut data = greet(&listener, &other).await;
+        peers.send(&other, &long);
+        peers.send(&other, &change(1, 10));
+        let mut data = accept_and_greet(&listener, &other).await;
         assert!(matches!(
             data.next().await.unwrap(),
             Some(Message::Peers { .. })
@@ -320,21 +332,21 @@
         // Some of the first bytes come, and no more.
         assert!(matches!(data.step().await.unwrap(), Step::Part));
         drop(data);
-        let mut data = greet(&listener, &other).await;
-        assert_eq!(next_but_probes(&mut data).await, Some(long));
-        links.send(&other, &change(2, 10));
+        let mut data = accept_and_greet(&listener, &other).await;
+        assert_eq!(next_except_probes(&mut data).await, Some(long));
+        peers.send(&other, &change(2, 10));
         assert_eq!(
-            next_but_probes(&mut data).await,
+            next_except_probes(&mut data).await,
             Some(change(2, 10)),
             "nothing fits beside the longest"
         );
-        links.send(&other, &renewal(1));
+        peers.send(&other, &lease_renewal(1));
         assert_eq!(
-            next_but_probes(&mut control).await,
-            Some(renewal(1)),
+            next_except_probes(&mut control).await,
+            Some(lease_renewal(1)),
             "the other connection stays"
         );
-        assert_eq!(links.counters().disconnected, 1);
+        assert_eq!(peers.counters().disconnected, 1);
     });
 }
 
@@ -352,7 +364,7 @@
 }
 
 /// Lets time pass in small steps, with the sockets' work done at each.
-async fn pass(time: Duration) {
+async fn advance_in_steps(time: Duration) {
     let until = Instant::now() + time;
     while Instant::now() < until {
         tokio::time::advance(Duration::from_millis(50).min(until - Instant::now())).await;
@@ -364,19 +376,19 @@
 
 /// A peer that reads a whole frame slowly is there: what it hasn't read yet explains its silence.
 #[test]
-fn a_link_that_takes_seconds_for_a_change_is_kept() {
-    story(async {
+fn connection_when_a_change_takes_seconds_is_kept() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = seat(2, v4(&listener));
-        let (links, control) = linked(&listener, &other).await;
+        let other = member_info(2, addr_of(&listener));
+        let (peers, control) = connected_peer(&listener, &other).await;
         tokio::task::spawn_local(answer_probes(control));
-        links.send(&other, &change(1, LONGEST));
-        let mut data = greet(&listener, &other).await;
+        peers.send(&other, &change(1, MAX_CHANGE_BYTES));
+        let mut data = accept_and_greet(&listener, &other).await;
         assert!(matches!(
             data.next().await.unwrap(),
             Some(Message::Peers { .. })
         ));
-        until(|| links.counters().connected == 2).await;
+        wait_until(|| peers.counters().connected == 2).await;
         tokio::time::pause();
         let start = Instant::now();
         let mut received = data.received();
@@ -387,7 +399,7 @@
                 Step::Part => {
                     let bytes = data.received() - received;
                     received = data.received();
-                    pass(Duration::from_secs_f64(bytes as f64 / 1.1e6)).await;
+                    advance_in_steps(Duration::from_secs_f64(bytes as f64 / 1.1e6)).await;
                 }
                 Step::End => panic!("given up after {:?}", start.elapsed()),
             }
@@ -398,18 +410,18 @@
             start.elapsed()
         );
         assert!(matches!(change, Message::AppendChange { index: 1, .. }));
-        assert_eq!(links.counters().disconnected, 0);
+        assert_eq!(peers.counters().disconnected, 0);
     });
 }
 
 /// The peer's frame comes a little at a time, over longer than a silent connection is kept.
 #[tokio::test(start_paused = true)]
-async fn a_frame_that_takes_long_is_taken_whole() {
-    let (links, log) = links();
+async fn frame_when_it_takes_long_is_received() {
+    let (peers, log) = peer_connections();
     let local = LocalSet::new();
     let (ours, mut theirs) = tokio::io::duplex(1 << 20);
     let (input, output) = tokio::io::split(ours);
-    let other = seat(2, "127.0.0.98:9".parse().unwrap());
+    let other = member_info(2, "127.0.0.98:9".parse().unwrap());
     local.spawn_local(async move {
         let frame = protocol::encode(&change(1, 1 << 20));
         for part in frame.chunks(frame.len() / 16) {
@@ -420,7 +432,7 @@
     let first = Message::Peers {
         members: Vec::new(),
     };
-    let serve = links.serve(other, first, FrameReader::new(input, Vec::new()), output);
+    let serve = peers.serve(other, first, FrameReader::new(input, Vec::new()), output);
     local.run_until(serve).await.unwrap();
     let told = log.borrow();
     assert!(
--- a/crates/control-plane/tests/slow_peer_connections.rs
+++ b/crates/control-plane/tests/slow_peer_connections.rs
@@ -1,5 +1,5 @@
-//! Large changes and takeovers with large ledgers over slow links, and on slow disks: three members, links that carry so
-//! many bytes a second, each lane in order, and disks, all in simulated time.
+//! Large changes and takeovers with large states over slow connections and on slow disks: three members, connections
+//! with a given bytes_per_second, each channel in order, and disks, all in simulated time.
 
 use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{Input, Member, MemberConfig, Output};
@@ -10,14 +10,14 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
 
-const LEASE: Duration = Duration::from_millis(1000);
-const DELAY: Duration = Duration::from_millis(2);
-const SYNC: Duration = Duration::from_millis(2);
+const LEASE_DURATION: Duration = Duration::from_millis(1000);
+const NETWORK_DELAY: Duration = Duration::from_millis(2);
+const SYNC_TIME: Duration = Duration::from_millis(2);
 /// A disk whose writes take longer than so is no longer relied on.
-const STALL: Duration = Duration::from_millis(600);
-/// Bytes of one lane that are on their way in the network, ahead of what the other lane sends.
-const IN_FLIGHT: f64 = 65536.0;
-const FAST: f64 = 125e6;
+const DISK_STALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Bytes of one channel that are on their way in the network, ahead of what the other channel sends.
+const MAX_BYTES_IN_FLIGHT: f64 = 65536.0;
+const FAST_BYTES_PER_SECOND: f64 = 125e6;
 
 enum Event {
     Message { from: u64, to: u64, frame: Vec<u8> },
@@ -25,27 +25,27 @@
     Wake { to: u64 },
 }
 
-struct World {
+struct SimulatedCluster {
     now: Duration,
-    rate: f64,
+    bytes_per_second: f64,
     /// How long a write takes.
     sync: Duration,
     /// A member whose writes take longer than a disk may.
     stalled: Option<u64>,
     /// Nothing that is sent arrives.
-    cut: bool,
+    is_partitioned: bool,
     members: HashMap<u64, Member>,
     events: HashMap<u64, Event>,
     order: BinaryHeap<Reverse<(Duration, u64)>>,
     count: u64,
-    /// When a lane of a link is free again.
+    /// When a channel of a link is free again.
     links: HashMap<(u64, u64, Channel), Duration>,
     answers: HashMap<u64, ResultCode>,
-    /// Members whose wish to stand never arrives.
-    unheard: Vec<u64>,
+    /// Members whose pre-votes never arrive.
+    pre_votes_lost: Vec<u64>,
 }
 
-fn seat(id: u64) -> MemberInfo {
+fn member_info(id: u64) -> MemberInfo {
     let addr = protocol::Addr {
         ip: id as u32,
         port: 1,
@@ -59,49 +59,49 @@
     }
 }
 
-impl World {
+impl SimulatedCluster {
     fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             now: Duration::ZERO,
-            rate: FAST,
-            sync: SYNC,
+            bytes_per_second: FAST_BYTES_PER_SECOND,
+            sync: SYNC_TIME,
             stalled: None,
-            cut: false,
+            is_partitioned: false,
             members: HashMap::new(),
             events: HashMap::new(),
             order: BinaryHeap::new(),
             count: 0,
             links: HashMap::new(),
             answers: HashMap::new(),
-            unheard: vec![],
+            pre_votes_lost: vec![],
         };
         for id in 1..=3 {
             let config = MemberConfig {
-                local_member: seat(id),
-                bootstrap_voters: Some((1..=3).map(seat).collect()),
+                local_member: member_info(id),
+                bootstrap_voters: Some((1..=3).map(member_info).collect()),
                 fault_budget: FaultBudget {
                     machine_losses: 1,
                     zones: 0,
                     region_losses: 0,
                 },
-                lease_duration: LEASE,
+                lease_duration: LEASE_DURATION,
                 request_timeout: Duration::from_millis(3500),
-                disk_stall_timeout: STALL,
+                disk_stall_timeout: DISK_STALL_TIMEOUT,
             };
             let member = Member::new(config, &[], Duration::ZERO, seed * 31 + id);
-            world.members.insert(id, member);
+            cluster.members.insert(id, member);
         }
         for id in 1..=3 {
             (1..=3).filter(|other| *other != id).for_each(|other| {
-                world.input(
+                cluster.input(
                     id,
                     Input::PeerReachable {
-                        member: seat(other),
+                        member: member_info(other),
                     },
                 );
             });
         }
-        world
+        cluster
     }
 
     fn at(&mut self, at: Duration, event: Event) {
@@ -121,7 +121,7 @@
                 Output::Send { to: other, message } => self.send(to, other.id, &message),
                 Output::Write { ticket, .. } => {
                     let takes = if self.stalled == Some(to) {
-                        4 * STALL
+                        4 * DISK_STALL_TIMEOUT
                     } else {
                         self.sync
                     };
@@ -137,44 +137,48 @@
     }
 
     fn send(&mut self, from: u64, to: u64, message: &Message) {
-        if self.cut {
+        if self.is_partitioned {
             return;
         }
-        if self.unheard.contains(&from) && matches!(message, Message::PreVote { .. }) {
+        if self.pre_votes_lost.contains(&from) && matches!(message, Message::PreVote { .. }) {
             return;
         }
         let frame = protocol::encode(message);
-        let lane = Channel::for_message(message, frame.len());
-        let free = self.lane_free(from, to, lane);
-        let queued = (free - self.now).as_secs_f64() * self.rate;
+        let channel = Channel::for_message(message, frame.len());
+        let free = self.channel_free_at(from, to, channel);
+        let queued = (free - self.now).as_secs_f64() * self.bytes_per_second;
         if queued > 0.0 && queued as usize + frame.len() > MAX_QUEUED_BYTES {
             return;
         }
-        let free = free + Duration::from_secs_f64(frame.len() as f64 / self.rate);
-        self.links.insert((from, to, lane), free);
-        let ahead = match lane {
-            Channel::Control if self.lane_free(from, to, Channel::Data) > self.now => {
-                IN_FLIGHT / self.rate
+        let free = free + Duration::from_secs_f64(frame.len() as f64 / self.bytes_per_second);
+        self.links.insert((from, to, channel), free);
+        let ahead = match channel {
+            Channel::Control if self.channel_free_at(from, to, Channel::Data) > self.now => {
+                MAX_BYTES_IN_FLIGHT / self.bytes_per_second
             }
             _ => 0.0,
         };
-        let at = free + Duration::from_secs_f64(ahead) + DELAY;
+        let at = free + Duration::from_secs_f64(ahead) + NETWORK_DELAY;
         self.at(at, Event::Message { from, to, frame });
     }
 
-    fn lane_free(&self, from: u64, to: u64, lane: Channel) -> Duration {
+    fn channel_free_at(&self, from: u64, to: u64, channel: Channel) -> Duration {
         self.links
-            .get(&(from, to, lane))
+            .get(&(from, to, channel))
             .copied()
             .unwrap_or_default()
             .max(self.now)
     }
 
     /// Runs until `done`, for `most` at most; how long it took.
-    fn until(&mut self, most: Duration, done: impl Fn(&World) -> bool) -> Option<Duration> {
+    fn run_until(
+        &mut self,
+        time_limit: Duration,
+        done: impl Fn(&SimulatedCluster) -> bool,
+    ) -> Option<Duration> {
         let start = self.now;
         while let Some(Reverse((at, number))) = self.order.pop() {
-            if at > start + most {
+            if at > start + time_limit {
                 return None;
             }
             self.now = self.now.max(at);
@@ -185,7 +189,7 @@
                     self.input(
                         to,
                         Input::Message {
-                            from: seat(from),
+                            from: member_info(from),
                             message,
                         },
                     );
@@ -207,7 +211,7 @@
         None
     }
 
-    fn acting(&self) -> Option<u64> {
+    fn acting_primary(&self) -> Option<u64> {
         self.members
             .iter()
             .find(|m| m.1.is_acting_primary())
@@ -215,16 +219,16 @@
     }
 
     /// Lets what is under way come to its end; who acts then, and in which view.
-    fn settle(&mut self) -> (u64, u64) {
-        self.until(Duration::from_secs(5), |_| false);
-        let primary = self.acting().unwrap();
+    fn run_until_primary_has_backup(&mut self) -> (u64, u64) {
+        self.run_until(Duration::from_secs(5), |_| false);
+        let primary = self.acting_primary().unwrap();
         (primary, self.members[&primary].membership().unwrap().epoch)
     }
 
     /// Hands a command to the member that acts, and waits for its answer.
-    fn order(&mut self, ticket: u64, command: &Command) -> Option<ResultCode> {
-        self.until(Duration::from_secs(10), |w| w.acting().is_some())?;
-        let primary = self.acting()?;
+    fn run_command(&mut self, ticket: u64, command: &Command) -> Option<ResultCode> {
+        self.run_until(Duration::from_secs(10), |w| w.acting_primary().is_some())?;
+        let primary = self.acting_primary()?;
         self.input(
             primary,
             Input::Command {
@@ -232,7 +236,7 @@
                 command: command.clone(),
             },
         );
-        self.until(Duration::from_secs(10), |w| w.answers.contains_key(&ticket))?;
+        self.run_until(Duration::from_secs(10), |w| w.answers.contains_key(&ticket))?;
         self.answers.get(&ticket).copied()
     }
 }
@@ -263,35 +267,47 @@
 
 /// The one that holds the ledger doesn't get to stand: a witness does, and fetches the ledger first.
 #[rstest]
-#[case::usual(300 * KIB, FAST, 4)]
+#[case::usual(300 * KIB, FAST_BYTES_PER_SECOND, 4)]
 #[case::between_regions(300 * KIB, 2e6, 4)]
 #[case::two_mib_in_two_seconds(2 * MIB, 1e6, 25)]
 #[case::longest_body_in_four_seconds(4 * MIB - 10 * KIB, 1.1e6, 45)]
-fn a_witness_fetches_the_ledger_however_long_it_is(
+fn witness_when_the_state_is_long_fetches_it(
     #[case] bytes: usize,
-    #[case] rate: f64,
+    #[case] bytes_per_second: f64,
     #[case] most_s: u64,
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
-    let mut world = World::new(seed);
-    assert_eq!(world.order(1, &configure(0, bytes)), Some(ResultCode::Ok));
-    let lost = world.acting().unwrap();
-    let replicas = world.members[&lost].membership().unwrap().replicas.clone();
-    world.rate = rate;
-    world.members.remove(&lost);
-    world.unheard = replicas;
-    let took = world.until(Duration::from_secs(120), |w| w.acting().is_some());
+    let mut cluster = SimulatedCluster::new(seed);
+    assert_eq!(
+        cluster.run_command(1, &configure(0, bytes)),
+        Some(ResultCode::Ok)
+    );
+    let lost = cluster.acting_primary().unwrap();
+    let replicas = cluster.members[&lost]
+        .membership()
+        .unwrap()
+        .replicas
+        .clone();
+    cluster.bytes_per_second = bytes_per_second;
+    cluster.members.remove(&lost);
+    cluster.pre_votes_lost = replicas;
+    let took = cluster.run_until(Duration::from_secs(120), |w| w.acting_primary().is_some());
     let took = took.expect("somebody acts in the end");
-    println!("{bytes} bytes at {rate} bytes/s, seed {seed}: {took:?}");
+    println!("{bytes} bytes at {bytes_per_second} bytes/s, seed {seed}: {took:?}");
     assert!(
-        !world.unheard.contains(&world.acting().unwrap()),
+        !cluster
+            .pre_votes_lost
+            .contains(&cluster.acting_primary().unwrap()),
         "a witness acts"
     );
     assert!(took <= Duration::from_secs(most_s), "{took:?}");
-    world.rate = FAST;
-    assert_eq!(world.order(2, &configure(0, bytes)), Some(ResultCode::Ok));
+    cluster.bytes_per_second = FAST_BYTES_PER_SECOND;
     assert_eq!(
-        world.order(3, &configure(0, bytes / 2)),
+        cluster.run_command(2, &configure(0, bytes)),
+        Some(ResultCode::Ok)
+    );
+    assert_eq!(
+        cluster.run_command(3, &configure(0, bytes / 2)),
         Some(ResultCode::OtherBase)
     );
 }
@@ -299,35 +315,44 @@
 /// The primary is lost for good. Whoever is left needs the ledger on both disks: by a link that carries so many
 /// bytes a second that takes longer than a candidate usually has.
 #[rstest]
-#[case::small(10 * KIB, FAST, 3)]
-#[case::usual(300 * KIB, FAST, 3)]
-#[case::longest_body(4 * MIB - 10 * KIB, FAST, 3)]
+#[case::small(10 * KIB, FAST_BYTES_PER_SECOND, 3)]
+#[case::usual(300 * KIB, FAST_BYTES_PER_SECOND, 3)]
+#[case::longest_body(4 * MIB - 10 * KIB, FAST_BYTES_PER_SECOND, 3)]
 #[case::between_regions(300 * KIB, 2e6, 3)]
 #[case::two_mib_in_two_seconds(2 * MIB, 1e6, 8)]
 #[case::longest_body_in_four_seconds(4 * MIB - 10 * KIB, 1.1e6, 12)]
-fn a_takeover_ends_however_long_the_ledger_is(
+fn takeover_when_the_state_is_long_ends(
     #[case] bytes: usize,
-    #[case] rate: f64,
+    #[case] bytes_per_second: f64,
     #[case] most_s: u64,
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
 ) {
-    let mut world = World::new(seed);
-    assert_eq!(world.order(1, &configure(0, bytes)), Some(ResultCode::Ok));
-    let lost = world.acting().unwrap();
-    world.rate = rate;
-    world.members.remove(&lost);
-    let took = world.until(Duration::from_secs(120), |w| w.acting().is_some());
+    let mut cluster = SimulatedCluster::new(seed);
+    assert_eq!(
+        cluster.run_command(1, &configure(0, bytes)),
+        Some(ResultCode::Ok)
+    );
+    let lost = cluster.acting_primary().unwrap();
+    cluster.bytes_per_second = bytes_per_second;
+    cluster.members.remove(&lost);
+    let took = cluster.run_until(Duration::from_secs(120), |w| w.acting_primary().is_some());
     let took = took.expect("somebody acts in the end");
-    println!("{bytes} bytes at {rate} bytes/s, seed {seed}: {took:?}");
+    println!("{bytes} bytes at {bytes_per_second} bytes/s, seed {seed}: {took:?}");
     assert!(took <= Duration::from_secs(most_s), "{took:?}");
     // What was acknowledged is still in force: the same order again is known, another on its base is refused.
-    world.rate = FAST;
-    assert_eq!(world.order(2, &configure(0, bytes)), Some(ResultCode::Ok));
+    cluster.bytes_per_second = FAST_BYTES_PER_SECOND;
+    assert_eq!(
+        cluster.run_command(2, &configure(0, bytes)),
+        Some(ResultCode::Ok)
+    );
     assert_eq!(
-        world.order(3, &configure(0, bytes / 2)),
+        cluster.run_command(3, &configure(0, bytes / 2)),
         Some(ResultCode::OtherBase)
     );
-    assert_eq!(world.order(4, &configure(1, bytes)), Some(ResultCode::Ok));
+    assert_eq!(
+        cluster.run_command(4, &configure(1, bytes)),
+        Some(ResultCode::Ok)
+    );
 }
 
 /// Both that are left have to write before either may act. Where a write takes longer than a candidate usually waits,
@@ -336,31 +361,31 @@
 #[case::usual(Duration::from_millis(20), 3)]
 #[case::slow(Duration::from_millis(450), 6)]
 #[case::longer_than_half_a_lease(Duration::from_millis(510), 12)]
-#[case::almost_stalled(STALL - Duration::from_millis(10), 12)]
-fn a_takeover_ends_however_slow_the_disks_are(
+#[case::almost_stalled(DISK_STALL_TIMEOUT - Duration::from_millis(10), 12)]
+fn takeover_when_disks_are_slow_ends(
     #[case] sync: Duration,
     #[case] most_s: u64,
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
 ) {
-    let mut world = World::new(seed);
+    let mut cluster = SimulatedCluster::new(seed);
     assert_eq!(
-        world.order(1, &configure(0, 10 * KIB)),
+        cluster.run_command(1, &configure(0, 10 * KIB)),
         Some(ResultCode::Ok)
     );
-    let lost = world.acting().unwrap();
-    world.sync = sync;
-    world.members.remove(&lost);
-    let took = world.until(Duration::from_secs(120), |w| w.acting().is_some());
+    let lost = cluster.acting_primary().unwrap();
+    cluster.sync = sync;
+    cluster.members.remove(&lost);
+    let took = cluster.run_until(Duration::from_secs(120), |w| w.acting_primary().is_some());
     let took = took.expect("somebody acts in the end");
     println!("writes take {sync:?}, seed {seed}: {took:?}");
     assert!(took <= Duration::from_secs(most_s), "{took:?}");
-    world.sync = SYNC;
+    cluster.sync = SYNC_TIME;
     assert_eq!(
-        world.order(2, &configure(0, 10 * KIB)),
+        cluster.run_command(2, &configure(0, 10 * KIB)),
         Some(ResultCode::Ok)
     );
     assert_eq!(
-        world.order(3, &configure(1, 10 * KIB)),
+        cluster.run_command(3, &configure(1, 10 * KIB)),
         Some(ResultCode::Ok)
     );
 }
@@ -368,25 +393,25 @@
 /// The last that a primary heard of its replica before it lost its lease was that its disk stalls. Nobody tells it
 /// when the disk takes writes again but the replica's promise, which it has just written.
 #[rstest]
-fn a_replica_whose_disk_has_stalled_is_relied_on_once_it_has_promised(
+fn replica_when_its_disk_stalled_counts_again_after_its_promise(
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
 ) {
-    let mut world = World::new(seed);
+    let mut cluster = SimulatedCluster::new(seed);
     assert_eq!(
-        world.order(1, &configure(0, 10 * KIB)),
+        cluster.run_command(1, &configure(0, 10 * KIB)),
         Some(ResultCode::Ok)
     );
-    let primary = world.acting().unwrap();
-    let replicas = world.members[&primary]
+    let primary = cluster.acting_primary().unwrap();
+    let replicas = cluster.members[&primary]
         .membership()
         .unwrap()
         .replicas
         .clone();
     let replica = *replicas.iter().find(|id| **id != primary).unwrap();
-    world.members.retain(|id, _| replicas.contains(id));
-    world.stalled = Some(replica);
+    cluster.members.retain(|id, _| replicas.contains(id));
+    cluster.stalled = Some(replica);
     let command = configure(1, 10 * KIB);
-    world.input(
+    cluster.input(
         primary,
         Input::Command {
             ticket: 2,
@@ -394,22 +419,22 @@
         },
     );
     // It is told so with the replica's next answers to its renewals; then its lease ends.
-    let told = world.now + STALL + LEASE;
-    world
-        .until(Duration::from_secs(20), |w| w.now > told)
+    let told = cluster.now + DISK_STALL_TIMEOUT + LEASE_DURATION;
+    cluster
+        .run_until(Duration::from_secs(20), |w| w.now > told)
         .unwrap();
-    world.cut = true;
-    world
-        .until(Duration::from_secs(20), |w| w.acting().is_none())
+    cluster.is_partitioned = true;
+    cluster
+        .run_until(Duration::from_secs(20), |w| w.acting_primary().is_none())
         .expect("the lease ends");
-    (world.cut, world.stalled) = (false, None);
-    let took = world.until(Duration::from_secs(20), |w| w.acting().is_some());
+    (cluster.is_partitioned, cluster.stalled) = (false, None);
+    let took = cluster.run_until(Duration::from_secs(20), |w| w.acting_primary().is_some());
     println!("seed {seed}: {took:?} until somebody acts again");
     took.expect("somebody acts again");
     // Taken or not the first time, it is taken now.
-    assert_eq!(world.order(3, &command), Some(ResultCode::Ok));
+    assert_eq!(cluster.run_command(3, &command), Some(ResultCode::Ok));
     assert_eq!(
-        world.order(4, &configure(2, 10 * KIB)),
+        cluster.run_command(4, &configure(2, 10 * KIB)),
         Some(ResultCode::Ok)
     );
 }
@@ -417,38 +442,41 @@
 /// A change of the longest body keeps the lease, however long its bytes are on their way, and is acknowledged. The
 /// order is sent again where it has got no clear answer.
 #[rstest]
-fn a_long_change_keeps_the_lease(
+fn lease_when_a_change_is_long_is_kept(
     #[values(300 * KIB, 4 * MIB - 10 * KIB)] bytes: usize,
     #[values(1.0, 2.0, 6.0)] megabytes_a_second: f64,
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
-    let mut world = World::new(seed);
+    let mut cluster = SimulatedCluster::new(seed);
     assert_eq!(
-        world.order(1, &configure(0, 10 * KIB)),
+        cluster.run_command(1, &configure(0, 10 * KIB)),
         Some(ResultCode::Ok)
     );
-    let (primary, epoch) = world.settle();
-    world.rate = megabytes_a_second * 1e6;
+    let (primary, epoch) = cluster.run_until_primary_has_backup();
+    cluster.bytes_per_second = megabytes_a_second * 1e6;
     for base in 1..4 {
-        let start = world.now;
+        let start = cluster.now;
         let command = configure(base, bytes);
-        let answer = (1..4).find_map(|again| match world.order(10 * base + again, &command) {
-            Some(ResultCode::Unclear) => None,
-            answer => answer,
-        });
+        let answer =
+            (1..4).find_map(
+                |again| match cluster.run_command(10 * base + again, &command) {
+                    Some(ResultCode::Unclear) => None,
+                    answer => answer,
+                },
+            );
         assert_eq!(answer, Some(ResultCode::Ok), "change {base}");
-        assert_eq!(world.acting(), Some(primary));
+        assert_eq!(cluster.acting_primary(), Some(primary));
         assert_eq!(
-            world.members[&primary].membership().unwrap().epoch,
+            cluster.members[&primary].membership().unwrap().epoch,
             epoch,
             "no view was needed"
         );
-        let needed = Duration::from_secs_f64(bytes as f64 / world.rate);
-        let took = world.now - start;
+        let needed = Duration::from_secs_f64(bytes as f64 / cluster.bytes_per_second);
+        let took = cluster.now - start;
         println!("{bytes} bytes at {megabytes_a_second} MB/s, seed {seed}: {took:?}");
         // The order itself waits for the next event, a renewal at the latest.
         assert!(
-            took <= needed + LEASE / 4 + Duration::from_millis(50),
+            took <= needed + LEASE_DURATION / 4 + Duration::from_millis(50),
             "{took:?}, {needed:?} needed"
         );
     }
@@ -456,15 +484,17 @@
 
 /// Orders come while long changes are under way: each is acknowledged in its turn, by the same primary.
 #[rstest]
-fn changes_behind_a_long_one_are_acknowledged_in_their_turn(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut world = World::new(seed);
+fn changes_when_queued_behind_a_long_one_are_acknowledged_in_order(
+    #[values(1, 2, 3, 4)] seed: u64,
+) {
+    let mut cluster = SimulatedCluster::new(seed);
     assert_eq!(
-        world.order(1, &configure(0, 10 * KIB)),
+        cluster.run_command(1, &configure(0, 10 * KIB)),
         Some(ResultCode::Ok)
     );
-    let (primary, epoch) = world.settle();
-    world.rate = 2e6;
-    world.input(
+    let (primary, epoch) = cluster.run_until_primary_has_backup();
+    cluster.bytes_per_second = 2e6;
+    cluster.input(
         primary,
         Input::Command {
             ticket: 2,
@@ -475,17 +505,17 @@
         let command = Command::Drain {
             host: format!("host-{ticket}"),
         };
-        world.input(primary, Input::Command { ticket, command });
+        cluster.input(primary, Input::Command { ticket, command });
     }
     let most = Duration::from_millis(2300);
-    let took = world.until(most, |w| {
+    let took = cluster.run_until(most, |w| {
         (2..20).all(|ticket| w.answers.contains_key(&ticket))
     });
-    assert!(took.is_some(), "all are answered: {:?}", world.answers);
+    assert!(took.is_some(), "all are answered: {:?}", cluster.answers);
     assert!(
-        (2..20).all(|ticket| world.answers[&ticket] == ResultCode::Ok),
+        (2..20).all(|ticket| cluster.answers[&ticket] == ResultCode::Ok),
         "{:?}",
-        world.answers
+        cluster.answers
     );
-    assert_eq!(world.members[&primary].membership().unwrap().epoch, epoch);
+    assert_eq!(cluster.members[&primary].membership().unwrap().epoch, epoch);
 }
--- a/crates/control-plane/tests/storage.rs
+++ b/crates/control-plane/tests/storage.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, Sender};
 
-fn birth(bootstrap: bool) -> StartContext {
+fn start_context(bootstrap: bool) -> StartContext {
     let control = "10.1.0.1:8146".parse().unwrap();
     StartContext {
         control,
@@ -27,7 +27,10 @@
     Vec<Vec<u8>>,
 ) {
     let (tell, told) = channel();
-    let writes = start(dir.into(), birth(bootstrap), move |t| drop(tell.send(t))).unwrap();
+    let writes = start(dir.into(), start_context(bootstrap), move |t| {
+        drop(tell.send(t))
+    })
+    .unwrap();
     match told.recv().unwrap() {
         StorageEvent::Open {
             identity,
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn a_member_comes_back_as_itself_with_its_records() {
+fn member_when_restarted_has_its_identity_and_records() {
     let dir = tempfile::tempdir().unwrap();
     let (writes, told, first, records) = open(dir.path(), true);
     assert!(records.is_empty());
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn a_wiped_disk_is_somebody_else() {
+fn member_when_its_disk_was_wiped_has_another_id() {
     let dir = tempfile::tempdir().unwrap();
     let (_, _, first, _) = open(dir.path(), true);
     for entry in std::fs::read_dir(dir.path()).unwrap() {
@@ -91,7 +94,10 @@
 #[rstest::rstest]
 #[case::identity("identity", true)]
 #[case::ledger("ledger", false)]
-fn a_member_that_lost_one_file(#[case] file: &str, #[case] same: bool) {
+fn member_when_one_file_was_lost_keeps_its_id_only_with_its_log(
+    #[case] file: &str,
+    #[case] same: bool,
+) {
     let dir = tempfile::tempdir().unwrap();
     let (writes, told, first, _) = open(dir.path(), true);
     write(&writes, 1, &["a"], false);
@@ -110,11 +116,11 @@
     assert_eq!(second.initial_voters.is_empty(), !same);
 }
 
-/// The ledger's file is made before the identity's: whoever has an identity on disk has a ledger that says so.
+/// The log is made before the identity's file: an identity on disk has a log that names it.
 #[test]
-fn an_identity_is_never_kept_without_its_ledger() {
+fn identity_when_the_log_cannot_be_made_is_not_stored() {
     let dir = tempfile::tempdir().unwrap();
-    // The ledger's first file can't be made.
+    // The log can't be made.
     std::fs::create_dir(dir.path().join("ledger.new")).unwrap();
     let (writes, told, _, _) = open(dir.path(), true);
     write(&writes, 1, &["a"], false);
