--- a/crates/control-plane/tests/configuration_requests.rs
+++ b/crates/control-plane/tests/configuration_requests.rs
@@ -1,12 +1,15 @@
 //! Configuration requests as they come over a connection: base versions, bodies that are cut short, pipelining. Real
 //! sockets, and a replicated state in memory behind them.
 
+mod http_client;
+
 use configuration::ResultCode;
 use control_plane::replicated_state::{Plan, ReplicatedState};
 use control_plane::runtime::control_request::ControlRequest;
 use control_plane::runtime::control_server::{
     ControlCounters, ControlServer, HandleRequest, Reply,
 };
+use http_client::{read_to_end, run_local};
 use protocol::Command;
 use rstest::rstest;
 use std::cell::RefCell;
@@ -15,7 +18,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::task::{spawn_local, LocalSet};
+use tokio::task::spawn_local;
 
 const BODY: &str = r#"{"version":3,"routes":[],"services":[],"limits":{}}"#;
 
@@ -80,27 +83,12 @@
     }
 }
 
-fn run_local(work: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    LocalSet::new().block_on(&runtime, work);
-}
-
 /// A request with these additional header lines, each with its line's end.
 fn replace_request(headers: &str) -> String {
     let length = BODY.len();
     format!("POST /fennelpin/Configuration.Replace HTTP/1.1\r\nHost: h\r\n{headers}Content-Length: {length}\r\n\r\n{BODY}")
 }
 
-async fn read_to_end(stream: &mut TcpStream) -> String {
-    let mut text = String::new();
-    // A reset after the answer is as good as an end.
-    let _ = stream.read_to_string(&mut text).await;
-    text
-}
-
 #[rstest]
 #[case::missing("", 121)]
 #[case::twice_alike("Fennelpin-Base-Version: 0\r\nFennelpin-Base-Version: 0\r\n", 121)]
--- a/crates/control-plane/tests/control_server.rs
+++ b/crates/control-plane/tests/control_server.rs
@@ -1,10 +1,13 @@
 //! The control API's limits, over real sockets; waits are on tokio's paused clock.
 
+mod http_client;
+
 use configuration::ResultCode;
 use control_plane::runtime::control_request::ControlRequest;
 use control_plane::runtime::control_server::{
     ControlCounters, ControlServer, HandleRequest, Reply, MAX_BODY_BYTES,
 };
+use http_client::{read_to_end, run_local};
 use rstest::rstest;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,7 +16,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Semaphore};
-use tokio::task::{spawn_local, LocalSet};
+use tokio::task::spawn_local;
 use tokio::time::{timeout, Instant};
 
 /// Answers each request once it has a permit.
@@ -67,24 +70,9 @@
     }
 }
 
-fn run_local(work: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    LocalSet::new().block_on(&runtime, work);
-}
-
 const REPLACE: &str =
     "POST /fennelpin/Configuration.Replace HTTP/1.1\r\nHost: h\r\nFennelpin-Base-Version: 0\r\n";
 
-async fn read_to_end(stream: &mut TcpStream) -> String {
-    let mut text = String::new();
-    // A reset after the answer is as good as an end.
-    let _ = stream.read_to_string(&mut text).await;
-    text
-}
-
 async fn exchange(api: &Api, text: &str) -> String {
     let mut stream = TcpStream::connect(api.addr).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
--- a/crates/control-plane/tests/client/mod.rs
+++ b/crates/control-plane/tests/http_client/mod.rs
@@ -1,19 +1,39 @@
-//! A caller of the control API: one call on a connection of its own.
+//! A client of the control API for tests: one request a connection, or bytes as they are.
+#![allow(dead_code, reason = "each test binary uses a part of it")]
 
+use std::future::Future;
 use std::net::SocketAddrV4;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
+use tokio::task::LocalSet;
 
-/// An answer.
+/// A response.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: String,
 }
 
-/// Makes one call.
+/// Runs a test that spawns local tasks.
+pub fn run_local(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    LocalSet::new().block_on(&runtime, test);
+}
+
+/// What comes until the connection ends.
+pub async fn read_to_end(stream: &mut TcpStream) -> String {
+    let mut text = String::new();
+    // A reset after the answer is as good as an end.
+    let _ = stream.read_to_string(&mut text).await;
+    text
+}
+
+/// Sends one request and reads its response.
 pub async fn call(
     to: SocketAddrV4,
     method: &str,
@@ -34,10 +54,10 @@
     stream.write_all(body.as_bytes()).await?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await?;
-    read(&answer).ok_or(std::io::ErrorKind::UnexpectedEof.into())
+    parse(&answer).ok_or(std::io::ErrorKind::UnexpectedEof.into())
 }
 
-fn read(answer: &str) -> Option<Answer> {
+fn parse(answer: &str) -> Option<Answer> {
     let (head, body) = answer.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     Some(Answer {
@@ -46,18 +66,18 @@
     })
 }
 
-/// Makes a call again and again until its answer will do.
+/// Sends a request again and again until its response is accepted.
 pub async fn call_until(
     to: SocketAddrV4,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-    will_do: impl Fn(&Answer) -> bool,
+    is_accepted: impl Fn(&Answer) -> bool,
 ) -> Answer {
     loop {
         match call(to, method, path, headers, body).await {
-            Ok(answer) if will_do(&answer) => return answer,
+            Ok(answer) if is_accepted(&answer) => return answer,
             _ => tokio::task::yield_now().await,
         }
     }
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -1,12 +1,12 @@
 //! Three members on loopback, with real sockets and folders: calls go in at any of them.
 
-mod client;
+mod http_client;
 
 use append_log::AppendLog;
-use client::{call, call_until, Answer};
 use configuration::ProcessSettings;
 use control_plane::runtime::identity::StartContext;
 use control_plane::runtime::{run, RuntimeSettings};
+use http_client::{call, call_until, Answer};
 use protocol::{Message, Record, Subscriber};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -1,6 +1,9 @@
 //! Connections between members over real sockets; waits are on tokio's paused clock.
 
+mod http_client;
+
 use control_plane::runtime::peer_connections::{PeerConnections, PeerEvent};
+use http_client::run_local;
 use protocol::{Change, MemberInfo, Message};
 use replication::{FrameReader, Step};
 use std::cell::RefCell;
@@ -37,14 +40,6 @@
     )
 }
 
-fn run_local(work: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    LocalSet::new().block_on(&runtime, work);
-}
-
 /// Takes the dialler's connection and says who is there.
 async fn accept_and_greet(listener: &TcpListener, who: &MemberInfo) -> FrameReader<TcpStream> {
     let (stream, _) = listener.accept().await.unwrap();
