--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -1,7 +1,7 @@
-//! What hundreds of changes cost a replica: the longest that its file gets, the time of a new start, the memory of both.
+//! What hundreds of changes cost a replica: the longest that its log gets, the time of a restart, the memory of both.
 //!
-//! `restart_cost ROUTES CHANGES UNDER_WAY FILE` plays the changes and leaves the records; `restart_cost FILE` starts
-//! on them. Two processes, so that each peak is its own.
+//! `restart_cost ROUTES CHANGES UNCOMMITTED FILE` appends the changes and writes the log's records to the file;
+//! `restart_cost FILE` starts a member on them. Two processes, so that each has a memory peak of its own.
 
 use configuration::FaultBudget;
 use control_plane::member::{Input, Member, MemberConfig, Output};
@@ -27,7 +27,7 @@
     .into_bytes()
 }
 
-fn seat(id: u64) -> MemberInfo {
+fn member_info(id: u64) -> MemberInfo {
     MemberInfo {
         id,
         addr: protocol::Addr {
@@ -40,7 +40,7 @@
 
 fn config() -> MemberConfig {
     MemberConfig {
-        local_member: seat(2),
+        local_member: member_info(2),
         bootstrap_voters: None,
         fault_budget: FaultBudget::default(),
         lease_duration: Duration::from_secs(1),
@@ -56,147 +56,159 @@
         .unwrap_or_default()
 }
 
-fn take(member: &mut Member, now: Duration, input: Input, disk: &mut Vec<Vec<u8>>) -> usize {
+/// Takes an input, with all writes succeeding at once. Returns how often the log was rewritten.
+fn step_and_write(
+    member: &mut Member,
+    now: Duration,
+    input: Input,
+    log: &mut Vec<Vec<u8>>,
+) -> usize {
     let mut inputs = vec![input];
     let mut rewrites = 0;
     while let Some(input) = inputs.pop() {
-        let mut out = Vec::new();
-        member.step(now, input, &mut out);
-        for output in out {
-            if let Output::Write {
+        let mut outputs = Vec::new();
+        member.step(now, input, &mut outputs);
+        for output in outputs {
+            let Output::Write {
                 ticket,
                 records,
                 rewrite,
             } = output
-            {
-                if rewrite {
-                    disk.clear();
-                    rewrites += 1;
-                }
-                disk.extend(records);
-                inputs.push(Input::WriteCompleted {
-                    ticket,
-                    result: Ok(()),
-                });
+            else {
+                continue;
+            };
+            if rewrite {
+                log.clear();
+                rewrites += 1;
             }
+            log.extend(records);
+            inputs.push(Input::WriteCompleted {
+                ticket,
+                result: Ok(()),
+            });
         }
     }
     rewrites
 }
 
-fn play(routes: usize, changes: u64, under_way: u64) -> Vec<Vec<u8>> {
-    let voters = vec![seat(1), seat(2)];
-    let previous_voters = voters.clone();
-    let view = MembershipConfig {
+fn from_primary(message: Message) -> Input {
+    Input::Message {
+        from: member_info(1),
+        message,
+    }
+}
+
+/// Makes member 2 a replica of member 1.
+fn install_membership() -> Input {
+    let voters = vec![member_info(1), member_info(2)];
+    from_primary(Message::InstallMembership {
+        membership: MembershipConfig {
+            epoch: EPOCH,
+            primary: 1,
+            replicas: vec![1, 2],
+            voters: voters.clone(),
+            previous_voters: voters,
+        },
+        snapshot: Some(ReplicatedState::default().snapshot()),
+    })
+}
+
+fn append_change(index: u64, routes: usize) -> Input {
+    from_primary(Message::AppendChange {
         epoch: EPOCH,
-        primary: 1,
-        replicas: vec![1, 2],
-        voters,
-        previous_voters,
-    };
-    let mut member = Member::new(config(), &[], Duration::ZERO, 1);
-    let (mut disk, mut longest, mut rewrites) = (Vec::new(), 0, 0);
-    let snapshot = Some(ReplicatedState::default().snapshot());
-    let from = seat(1);
-    let install = Input::Message {
-        from: from.clone(),
-        message: Message::InstallMembership {
-            membership: view,
-            snapshot,
+        index,
+        change: Change::Configure {
+            base: index - 1,
+            amend: false,
+            body: body(index, routes),
         },
-    };
-    take(&mut member, Duration::ZERO, install, &mut disk);
+    })
+}
+
+fn renew_lease(commit_index: u64) -> Input {
+    from_primary(Message::RenewLease {
+        epoch: EPOCH,
+        requested_at_ms: 1,
+        commit_index,
+        echoed_clock_ms: 0,
+    })
+}
+
+/// Appends changes of which the latest `uncommitted` aren't committed yet. Returns the log's records.
+fn append_changes(routes: usize, changes: u64, uncommitted: u64) -> Vec<Vec<u8>> {
+    let mut member = Member::new(config(), &[], Duration::ZERO, 1);
+    let (mut log, mut max_bytes, mut rewrites) = (Vec::new(), 0, 0);
+    step_and_write(&mut member, Duration::ZERO, install_membership(), &mut log);
     let started = Instant::now();
     let mut stepping = Duration::ZERO;
     for index in 1..=changes {
         let now = Duration::from_millis(50 * index);
-        let change = Change::Configure {
-            base: index - 1,
-            amend: false,
-            body: body(index, routes),
-        };
-        let append = Message::AppendChange {
-            epoch: EPOCH,
-            index,
-            change,
-        };
+        let append = append_change(index, routes);
         let before = Instant::now();
-        rewrites += take(
-            &mut member,
-            now,
-            Input::Message {
-                from: from.clone(),
-                message: append,
-            },
-            &mut disk,
-        );
+        rewrites += step_and_write(&mut member, now, append, &mut log);
         if index.is_multiple_of(5) {
-            let committed = index.saturating_sub(under_way);
-            let renew = Message::RenewLease {
-                epoch: EPOCH,
-                requested_at_ms: 1,
-                commit_index: committed,
-                echoed_clock_ms: 0,
-            };
-            rewrites += take(
-                &mut member,
-                now,
-                Input::Message {
-                    from: from.clone(),
-                    message: renew,
-                },
-                &mut disk,
-            );
+            let renew = renew_lease(index.saturating_sub(uncommitted));
+            rewrites += step_and_write(&mut member, now, renew, &mut log);
         }
         stepping += before.elapsed();
-        longest = longest.max(disk.iter().map(Vec::len).sum::<usize>());
+        max_bytes = max_bytes.max(log.iter().map(Vec::len).sum::<usize>());
     }
     println!(
-        "routes {routes}, body {} B, changes {changes}, under way {under_way}: file at most {} KiB, {rewrites} rewrites, {:.2} ms a change, peak {} KiB, {:.1} s in all",
+        "routes {routes}, body {} B, changes {changes}, uncommitted {uncommitted}: log at most {} KiB, {rewrites} rewrites, {:.2} ms a change, peak {} KiB, {:.1} s in all",
         body(changes, routes).len(),
-        longest >> 10,
+        max_bytes >> 10,
         stepping.as_secs_f64() * 1e3 / changes as f64,
         peak_kib(),
         started.elapsed().as_secs_f64()
     );
-    disk
+    log
+}
+
+fn write_records(file: &str, records: &[Vec<u8>]) {
+    let mut bytes = Vec::new();
+    for record in records {
+        bytes.extend_from_slice(&(record.len() as u32).to_le_bytes());
+        bytes.extend_from_slice(record);
+    }
+    std::fs::write(file, bytes).expect("the file can be written");
+}
+
+fn read_records(file: &str) -> Vec<Vec<u8>> {
+    let bytes = std::fs::read(file).expect("the file can be read");
+    let mut rest = bytes.as_slice();
+    let mut records = Vec::new();
+    while let Some((head, tail)) = rest.split_first_chunk::<4>() {
+        let (record, after) = tail.split_at(u32::from_le_bytes(*head) as usize);
+        records.push(record.to_vec());
+        rest = after;
+    }
+    records
+}
+
+fn restart(records: &[Vec<u8>]) {
+    let before = Instant::now();
+    let member = Member::new(config(), records, Duration::ZERO, 1);
+    let took = before.elapsed();
+    println!(
+        "  start on {} records, {} KiB: {:.1} ms, peak {} KiB, intact {}",
+        records.len(),
+        records.iter().map(Vec::len).sum::<usize>() >> 10,
+        took.as_secs_f64() * 1e3,
+        peak_kib(),
+        member.replay_error().is_none()
+    );
 }
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.as_slice() {
-        [routes, changes, under_way, file] => {
+        [routes, changes, uncommitted, file] => {
             let number = |text: &String| text.parse::<u64>().unwrap_or_default();
-            let disk = play(number(routes) as usize, number(changes), number(under_way));
-            let mut bytes = Vec::new();
-            for record in disk {
-                bytes.extend_from_slice(&(record.len() as u32).to_le_bytes());
-                bytes.extend_from_slice(&record);
-            }
-            std::fs::write(file, bytes).expect("the file can be written");
-        }
-        [file] => {
-            let bytes = std::fs::read(file).expect("the file can be read");
-            let mut rest = bytes.as_slice();
-            let mut records = Vec::new();
-            while let Some((head, tail)) = rest.split_first_chunk::<4>() {
-                let (record, after) = tail.split_at(u32::from_le_bytes(*head) as usize);
-                records.push(record.to_vec());
-                rest = after;
-            }
-            drop(bytes);
-            let before = Instant::now();
-            let member = Member::new(config(), &records, Duration::ZERO, 1);
-            let took = before.elapsed();
-            let count = records.len();
-            let kib = records.iter().map(Vec::len).sum::<usize>() >> 10;
-            println!(
-                "  start on {count} records, {kib} KiB: {:.1} ms, peak {} KiB, sound {}",
-                took.as_secs_f64() * 1e3,
-                peak_kib(),
-                member.replay_error().is_none()
-            );
+            let routes = number(routes) as usize;
+            let log = append_changes(routes, number(changes), number(uncommitted));
+            write_records(file, &log);
         }
-        _ => eprintln!("restart_cost ROUTES CHANGES UNDER_WAY FILE | restart_cost FILE"),
+        [file] => restart(&read_records(file)),
+        _ => eprintln!("restart_cost ROUTES CHANGES UNCOMMITTED FILE | restart_cost FILE"),
     }
 }
--- a/crates/control-plane/src/runtime/identity.rs
+++ b/crates/control-plane/src/runtime/identity.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Snafu)]
 pub enum IdentityError {
     /// A record of the identity's file can't be read.
-    #[snafu(display("the identity's record {record} can't be read"))]
+    #[snafu(display("record {record} of the identity file can't be decoded"))]
     Unreadable {
         /// Index of the record, from 0.
         record: usize,
@@ -50,10 +50,10 @@
         source: protocol::DecodeError,
     },
     /// The log is of an earlier release, and the identity's file is missing.
-    #[snafu(display("a ledger, and no identity that it belongs to"))]
+    #[snafu(display("the log has records, and no identity file names their owner"))]
     NoIdentity,
     /// The two files are of different members.
-    #[snafu(display("the ledger belongs to {owner}, the identity's file to {identity}"))]
+    #[snafu(display("the log belongs to member {owner}, the identity file to member {identity}"))]
     OtherOwner {
         /// Id of the log's owner.
         owner: u64,
--- a/crates/control-plane/src/runtime/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -70,11 +70,11 @@
 #[derive(Debug, Snafu)]
 pub enum RuntimeError {
     /// The settings name no address for `control`.
-    #[snafu(display("bind.control is missing: the role has to serve control"))]
+    #[snafu(display("bind.control is missing: a member serves the control API there"))]
     NoControl,
     /// The settings name no state directory.
-    #[snafu(display("state_dir is missing: members keep their word on a disk"))]
-    NoDisk,
+    #[snafu(display("state_dir is missing: a member stores its promises there"))]
+    NoStateDir,
     /// An address can't be listened on.
     #[snafu(display("cannot listen on {addr}"))]
     Listen {
@@ -84,16 +84,16 @@
         source: std::io::Error,
     },
     /// The storage thread can't be started, or has ended.
-    #[snafu(display("the disk's thread"))]
-    Thread {
+    #[snafu(display("cannot start the storage thread, or it has ended"))]
+    StorageThread {
         /// What the system answered.
         source: std::io::Error,
     },
     /// The system has no random numbers.
-    #[snafu(display("no random numbers: {detail}"))]
+    #[snafu(display("cannot get random numbers"))]
     Random {
         /// What the system answered.
-        detail: String,
+        source: getrandom::Error,
     },
 }
 
--- a/crates/control-plane/src/runtime/start.rs
+++ b/crates/control-plane/src/runtime/start.rs
@@ -9,8 +9,8 @@
 use super::transitions::TransitionLog;
 use super::{host_cache, inbound, seeds};
 use super::{
-    Event, Events, ListenSnafu, NoControlSnafu, NoDiskSnafu, RuntimeError, RuntimeSettings,
-    ThreadSnafu,
+    Event, Events, ListenSnafu, NoControlSnafu, NoStateDirSnafu, RandomSnafu, RuntimeError,
+    RuntimeSettings, StorageThreadSnafu,
 };
 use crate::configuration_history::ConfigurationHistory;
 use crate::member::{Member, MemberConfig};
@@ -76,14 +76,14 @@
 ) -> Result<(), RuntimeError> {
     let origin = Instant::now();
     let control = process.bind.control.context(NoControlSnafu)?;
-    let state_dir = process.state_dir.clone().context(NoDiskSnafu)?;
+    let state_dir = process.state_dir.clone().context(NoStateDirSnafu)?;
     let (events, mut queue) = unbounded_channel();
     let context = start_context(&process, control)?;
     // The API is there before the disk is: a disk that stalls holds up no caller.
     let listener = listen(control).await?;
     let api = ControlApi::start(&process, listener, events.clone(), settings.command_timeout);
-    let storage =
-        storage::start(state_dir, context, report_storage_to(&events)).context(ThreadSnafu)?;
+    let storage = storage::start(state_dir, context, report_storage_to(&events))
+        .context(StorageThreadSnafu)?;
     let mut shutdown = pin!(shutdown);
     let Some(stored) = stored_state(&mut queue, shutdown.as_mut()).await? else {
         return Ok(());
@@ -356,7 +356,7 @@
     };
     let stored = opened
         .ok_or_else(|| std::io::Error::from(std::io::ErrorKind::BrokenPipe))
-        .context(ThreadSnafu)?;
+        .context(StorageThreadSnafu)?;
     Ok(Some(stored))
 }
 
@@ -401,9 +401,7 @@
 }
 
 fn random() -> Result<u64, RuntimeError> {
-    getrandom::u64().map_err(|error| RuntimeError::Random {
-        detail: error.to_string(),
-    })
+    getrandom::u64().context(RandomSnafu)
 }
 
 /// How long a member that is asked to end may take to hand over what it holds.
--- a/crates/control-plane/src/runtime/storage/open.rs
+++ b/crates/control-plane/src/runtime/storage/open.rs
@@ -24,9 +24,9 @@
 /// Why the files can't be opened.
 #[derive(Debug, Snafu)]
 enum OpenError {
-    #[snafu(display("a file can't be opened"))]
+    #[snafu(display("cannot open a file of the state directory"))]
     File { source: append_log::Error },
-    #[snafu(display("it isn't known who this member is"))]
+    #[snafu(display("cannot tell which member this state directory belongs to"))]
     UnknownIdentity { source: IdentityError },
 }
 
--- a/crates/fennelpin-cli/src/failure.rs
+++ b/crates/fennelpin-cli/src/failure.rs
@@ -180,7 +180,7 @@
             | Failure::NoCompletion { .. }
             | Failure::Configuration { .. } => 2,
             Failure::ControlPlane {
-                source: Root::NoControl | Root::NoDisk,
+                source: Root::NoControl | Root::NoStateDir,
             } => 2,
             Failure::Refused { .. } | Failure::NotRecovered { .. } | Failure::LaterView { .. } => 3,
             _ => 1,
