--- a/crates/control-plane/src/runtime/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`start`](self) (`start.rs`) | from the settings and the disk to a running member |
+//! | `start/` | from the settings and the disk to a running member |
 //! | `event_loop.rs`, `outputs.rs` | hand inputs to the state machine, carry out its outputs |
 //! | [`storage`], [`identity`], `host_cache.rs` | the state directory |
 //! | [`peer_connections`], `inbound.rs`, `seeds.rs`, [`connection`] | connections to and from other processes |
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -216,6 +216,27 @@
     .await;
 }
 
+/// Sends all bodies at once, to all members in turn. Returns the statuses in the order of the bodies.
+async fn replace_at_once(
+    control_plane: &TestControlPlane,
+    base: &'static str,
+    bodies: &[String],
+) -> Vec<u16> {
+    let sent: Vec<JoinHandle<Answer>> = bodies
+        .iter()
+        .enumerate()
+        .map(|(n, body)| {
+            let (to, body) = (control_plane.control(n % 3), body.clone());
+            spawn_local(async move { replace(to, base, &body).await })
+        })
+        .collect();
+    let mut statuses = Vec::new();
+    for answer in sent {
+        statuses.push(answer.await.unwrap().status);
+    }
+    statuses
+}
+
 /// Eight operators at once, one version, eight contents: one is confirmed. Whoever sends its request again, to any
 /// member, before and after all were restarted, gets the same reply.
 #[tokio::test]
@@ -235,18 +256,7 @@
                     .replace("/a/", &format!("/a{n}/"))
             })
             .collect();
-        let sent: Vec<JoinHandle<Answer>> = bodies
-            .iter()
-            .enumerate()
-            .map(|(n, body)| {
-                let (to, body) = (control_plane.control(n % 3), body.clone());
-                spawn_local(async move { replace(to, "3", &body).await })
-            })
-            .collect();
-        let mut statuses = Vec::new();
-        for answer in sent {
-            statuses.push(answer.await.unwrap().status);
-        }
+        let statuses = replace_at_once(&control_plane, "3", &bodies).await;
         assert_eq!(
             statuses.iter().filter(|s| **s == 200).count(),
             1,
--- a/crates/control-plane/tests/storage.rs
+++ b/crates/control-plane/tests/storage.rs
@@ -28,7 +28,7 @@
 ) {
     let (tell, told) = channel();
     let writes = start(dir.into(), start_context(bootstrap), move |t| {
-        drop(tell.send(t))
+        drop(tell.send(t));
     })
     .unwrap();
     match told.recv().unwrap() {
