--- a/crates/control-plane/examples/restart_cost.rs
+++ b/crates/control-plane/examples/restart_cost.rs
@@ -118,8 +118,8 @@
         epoch: EPOCH,
         index,
         change: Change::Configure {
-            base: index - 1,
-            amend: false,
+            base_version: index - 1,
+            is_amendment: false,
             body: body(index, routes),
         },
     })
--- a/crates/control-plane/src/runtime/start/connections.rs
+++ b/crates/control-plane/src/runtime/start/connections.rs
@@ -80,7 +80,7 @@
         spawn_local(client::run(
             puller,
             self.me.clone(),
-            replication::caller(self.process, self.me.id),
+            replication::subscriber(self.process, self.me.id),
             self.mirror.clone(),
             control,
         ));
@@ -102,7 +102,7 @@
     loop {
         sleep(interval).await;
         publisher.tick();
-        let configuration = publisher.mirror().snapshot().document.clone();
+        let configuration = publisher.mirror().snapshot().configuration.clone();
         history
             .borrow_mut()
             .record(&configuration, SystemTime::now());
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -219,8 +219,8 @@
 
 fn change(index: u64, bytes: usize) -> Message {
     let change = Change::Configure {
-        base: index,
-        amend: false,
+        base_version: index,
+        is_amendment: false,
         body: vec![b'x'; bytes],
     };
     Message::AppendChange {
--- a/crates/control-plane/tests/registry_publisher.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -75,13 +75,13 @@
     RegistryPublisher::new(8, 1, HEARTBEAT_INTERVAL, other.clone()).handle(&request("i", 4));
     tokio::time::advance(HEARTBEAT_INTERVAL * 3).await;
     let update = other
-        .update(|m, now| m.news_for(now, &pull_of(&shared)))
+        .update(|m, now| m.update_for(now, &pull_of(&shared)))
         .unwrap();
     shared.update(|m, now| m.apply(now, &update));
     publisher.tick();
     assert_eq!(shared.snapshot().hosts["i"].call_seq, 4);
     assert!(
-        shared.update(|m, _| m.host_elsewhere(8, "i").is_none()),
+        shared.update(|m, _| m.host_at_other_origins(8, "i").is_none()),
         "only the other has it"
     );
 }
--- a/crates/model-check/src/cluster/world/reader.rs
+++ b/crates/model-check/src/cluster/world/reader.rs
@@ -15,7 +15,7 @@
 }
 
 pub(super) fn new_reader() -> SharedMirror {
-    SharedMirror::new(Mirror::new(0, LEASE).at_the_end())
+    SharedMirror::new(Mirror::new(0, LEASE).without_history())
 }
 
 /// Until when a mirror says that it lacks nothing, by the global clock; ages are told in whole ms.
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -53,7 +53,7 @@
             id,
             name: format!("core-{n}"),
             addr,
-            control: Addr {
+            control_addr: Addr {
                 port: CONTROL_PORT,
                 ..addr
             },
--- a/crates/simulator/src/world/pulls.rs
+++ b/crates/simulator/src/world/pulls.rs
@@ -41,7 +41,7 @@
         let Some(subscriber) = self.subscribers.get_mut(&process) else {
             return true;
         };
-        if let Some(update) = subscriber.mirror.news_for(now, &waiting.pull) {
+        if let Some(update) = subscriber.mirror.update_for(now, &waiting.pull) {
             self.answer_pull(process, &waiting, update);
             true
         } else {
@@ -59,7 +59,7 @@
             return;
         };
         let waiting = subscriber.waiting.swap_remove(index);
-        let update = subscriber.mirror.no_news(now);
+        let update = subscriber.mirror.empty_update(now);
         self.answer_pull(process, &waiting, update);
     }
 
--- a/crates/simulator/src/world/subscriber.rs
+++ b/crates/simulator/src/world/subscriber.rs
@@ -79,8 +79,8 @@
 impl InForce {
     pub(super) fn of(mirror: &Mirror) -> Self {
         Self {
-            index: mirror.ledger(),
-            version: mirror.document().version,
+            index: mirror.index(),
+            version: mirror.configuration().version,
         }
     }
 }
--- a/crates/simulator/src/world/subscriber_events.rs
+++ b/crates/simulator/src/world/subscriber_events.rs
@@ -58,12 +58,12 @@
             }
             ProcessId::Agent(_) => (
                 Mirror::new(0, HEARTBEAT_INTERVAL),
-                Puller::new(&name, MEMBERS_PER_AGENT, None).led(),
+                Puller::new(&name, MEMBERS_PER_AGENT, None).preferring_one_member(),
                 seeds,
             ),
             ProcessId::Proxy(k) => (
-                Mirror::new(0, HEARTBEAT_INTERVAL).at_the_end(),
-                Puller::new(&name, 1, None).fixed(),
+                Mirror::new(0, HEARTBEAT_INTERVAL).without_history(),
+                Puller::new(&name, 1, None).seeds_only(),
                 vec![agent_addr(k)],
             ),
         };
@@ -243,12 +243,12 @@
             return;
         };
         if subscriber.mirror.generation() != generation {
-            let version = subscriber.mirror.fleet().version;
+            let version = subscriber.mirror.control_plane().version;
             if version != subscriber.puller_info_version {
                 subscriber.puller_info_version = version;
                 let members: Vec<Addr> = subscriber
                     .mirror
-                    .fleet()
+                    .control_plane()
                     .members
                     .iter()
                     .map(|s| s.addr)
@@ -352,7 +352,7 @@
 impl SubscriberProcess {
     /// Applies the answer to a pull.
     fn apply_update(&mut self, now: Duration, link: u64, update: Update) -> Vec<Action> {
-        let update = match self.puller.asked(link) {
+        let update = match self.puller.pull_sent_at(link) {
             Some(asked) => update.aged(asked, now),
             // The pull was given up: when it was sent is not known any more.
             None => Update {
