--- a/crates/fennelpin-cli/src/error.rs
+++ b/crates/fennelpin-cli/src/error.rs
@@ -187,7 +187,7 @@
             | CliError::UnknownShell { .. }
             | CliError::InvalidConfiguration { .. }
             | CliError::ControlPlane {
-                source: RuntimeError::NoControl | RuntimeError::NoDisk,
+                source: RuntimeError::NoControl | RuntimeError::NoStateDir,
             } => EXIT_WRONG_INPUT,
             CliError::Rejected { .. }
             | CliError::RecoveryRefused { .. }
