--- a/crates/control-plane/src/applied_requests.rs
+++ b/crates/control-plane/src/applied_requests.rs
@@ -1,8 +1,8 @@
-//! The memory of configuration orders that were taken. It is part of the ledger: replicas write it with each
-//! change, and snapshots, takeovers, rewrites of the file and members that join carry it along.
+//! The configuration requests that were applied: they make repeated requests idempotent. They are part of the replicated
+//! state, so that replicas, snapshots, rewritten files and members that join all have them.
 //!
-//! Versions only rise, so at most one order was ever taken on top of a given version. An order is therefore
-//! looked up by the version that it builds on, and compared whole with the one that was taken there.
+//! Versions only rise, so at most one request was ever applied to a given version. A request is therefore looked up by
+//! its base version, and compared as a whole with the one that was applied there.
 
 use crate::content::{hash_part, Content};
 use protocol::AppliedRequest;
@@ -10,13 +10,13 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Orders in a chunk. Ledgers that follow one another share their full chunks.
-const CHUNK_ORDERS: usize = 64;
-/// Orders that are remembered at least; beyond these, the oldest chunk goes as a whole.
-pub const MIN_REMEMBERED_ORDERS: usize = 4096;
-const MAX_CHUNKS: usize = MIN_REMEMBERED_ORDERS / CHUNK_ORDERS;
+/// Requests per chunk. Successive states share their full chunks.
+const CHUNK_REQUESTS: usize = 64;
+/// At least this many requests are retained. Beyond these, the oldest chunk is dropped as a whole.
+pub const MIN_RETAINED_REQUESTS: usize = 4096;
+const MAX_CHUNKS: usize = MIN_RETAINED_REQUESTS / CHUNK_REQUESTS;
 
-/// The latest orders that were taken, oldest first.
+/// The latest requests that were applied, oldest first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppliedRequests {
     full: VecDeque<Arc<[AppliedRequest]>>,
@@ -24,10 +24,10 @@
 }
 
 impl AppliedRequests {
-    /// Adds an order that builds on a newer version than all before it.
-    pub fn push(&mut self, order: AppliedRequest) {
-        self.tail.push(order);
-        if self.tail.len() < CHUNK_ORDERS {
+    /// Adds a request whose base version is newer than those of all requests before it.
+    pub fn push(&mut self, request: AppliedRequest) {
+        self.tail.push(request);
+        if self.tail.len() < CHUNK_REQUESTS {
             return;
         }
         self.full.push_back(std::mem::take(&mut self.tail).into());
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The orders, oldest first.
+    /// The requests, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &AppliedRequest> {
         self.full
             .iter()
@@ -44,54 +44,52 @@
             .chain(&self.tail)
     }
 
-    /// The order that was taken on top of a version, where it is remembered.
-    pub fn on(&self, base: u64) -> Option<&AppliedRequest> {
-        let later = self
+    /// The request that was applied to a version, if it is retained.
+    pub fn built_on(&self, base: u64) -> Option<&AppliedRequest> {
+        let position = self
             .full
-            .partition_point(|chunk| chunk[CHUNK_ORDERS - 1].base < base);
-        let chunk = self
-            .full
-            .get(later)
-            .map_or(&self.tail[..], |chunk| &chunk[..]);
-        chunk
-            .binary_search_by_key(&base, |order| order.base)
-            .ok()
-            .map(|at| &chunk[at])
+            .partition_point(|chunk| chunk[CHUNK_REQUESTS - 1].base < base);
+        let chunk = match self.full.get(position) {
+            Some(chunk) => &chunk[..],
+            None => &self.tail[..],
+        };
+        let found = chunk.binary_search_by_key(&base, |request| request.base);
+        found.ok().map(|position| &chunk[position])
     }
 
-    /// The version that the oldest remembered order builds on.
+    /// The base version of the oldest retained request.
     pub fn oldest_base(&self) -> Option<u64> {
-        self.iter().next().map(|order| order.base)
+        self.iter().next().map(|request| request.base)
     }
 }
 
 impl FromIterator<AppliedRequest> for AppliedRequests {
-    fn from_iter<I: IntoIterator<Item = AppliedRequest>>(orders: I) -> Self {
-        let mut accepted = Self::default();
-        orders.into_iter().for_each(|order| accepted.push(order));
-        accepted
+    fn from_iter<I: IntoIterator<Item = AppliedRequest>>(requests: I) -> Self {
+        let mut applied = Self::default();
+        for request in requests {
+            applied.push(request);
+        }
+        applied
     }
 }
 
-/// What tells an order from all others: the version that it builds on, the one that it brings (0 where the body
-/// names none), and SHA-256 over the kind of the call and its content.
+/// What identifies a configuration request: its base version, the version that its body names (0 if none), and SHA-256
+/// over its kind and content.
 ///
-/// The content is what the body's JSON says: the order of keys, white space and escapes make no difference. A body
-/// that is no JSON, or names a key of an object twice, is taken byte by byte.
-pub fn fingerprint(base: u64, amend: bool, body: &[u8]) -> AppliedRequest {
+/// The content is what the body's JSON means: the order of keys, white space and escapes make no difference. A body that
+/// isn't JSON, or that repeats a key of an object, is hashed byte by byte.
+pub fn request_fingerprint(base: u64, amend: bool, body: &[u8]) -> AppliedRequest {
     let mut hash = Sha256::new();
     hash.update([u8::from(amend)]);
-    let content = Content::read(body);
+    let content = Content::parse(body);
     match &content {
         Some(content) => content.hash(&mut hash),
         None => hash_part(b'x', body, &mut hash),
     }
-    let version = content
-        .and_then(|content| content.whole_number("version"))
-        .unwrap_or(0);
+    let version = content.and_then(|content| content.integer("version"));
     AppliedRequest {
         base,
-        version,
+        version: version.unwrap_or(0),
         digest: hash.finalize().into(),
     }
 }
--- a/crates/control-plane/src/content.rs
+++ b/crates/control-plane/src/content.rs
@@ -24,13 +24,13 @@
 }
 
 impl Content {
-    /// The content of a body; none where it is no JSON or says something twice.
-    pub(crate) fn read(body: &[u8]) -> Option<Content> {
+    /// The content of a body; none if it is no JSON or repeats a key.
+    pub(crate) fn parse(body: &[u8]) -> Option<Content> {
         serde_json::from_slice(body).ok()
     }
 
-    /// The whole number under a key.
-    pub(crate) fn whole_number(&self, key: &str) -> Option<u64> {
+    /// The integer under a key of an object.
+    pub(crate) fn integer(&self, key: &str) -> Option<u64> {
         match self {
             Content::Object(fields) => match fields.get(key)? {
                 Content::Number(text) => text.parse().ok(),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,8 +1,16 @@
-//! The control plane: who acts ([`member`]), what lasts ([`replicated_state`]): state machines without I/O or clock. The
-//! runtime round them ([`runtime`]) is thin. `docs/design/system.md` tells how they work together.
+//! The control plane's state machines and the runtime round them.
 //!
-//! A member alone, as the first of its system: told its time, it asks for what it promises to be put on disk, and acts
-//! once that is there.
+//! - [`member`]: who is primary, and how changes are replicated. A state machine without I/O or clock.
+//! - [`replicated_state`] and [`applied_requests`]: what is replicated, and what makes requests idempotent.
+//! - [`recovery`]: how a replica goes on after a majority is lost for good.
+//! - [`host_registry`], [`registry_publisher`], [`configuration_history`], [`incarnation`]: what a member knows of hosts,
+//!   and how others get it.
+//! - [`runtime`]: sockets, disk threads and timers.
+//!
+//! `docs/design/system.md` tells how they work together.
+//!
+//! The example runs a single member, the first of its system. It asks for records to be written, and becomes primary
+//! once they are on disk.
 //!
 //! ```
 //! use control_plane::member::{MemberConfig, Input, Member, Output};
@@ -36,7 +44,7 @@
 //!             _ => {}
 //!         }
 //!     }
-//!     assert!(now < Duration::from_secs(60), "it stands before long");
+//!     assert!(now < Duration::from_secs(60), "it campaigns soon");
 //! }
 //! assert!(!disk.is_empty(), "nothing is promised that isn't on disk");
 //! assert_eq!(member.membership().unwrap().primary, 7);
--- a/crates/control-plane/src/member/backup.rs
+++ b/crates/control-plane/src/member/backup.rs
@@ -25,7 +25,10 @@
         let is_replica = membership.replicas.contains(&self.me());
         let concerns_this_member =
             membership.has_vote(self.me()) && is_replica == snapshot.is_some();
-        let state = snapshot.as_ref().map(ReplicatedState::of).transpose();
+        let state = snapshot
+            .as_ref()
+            .map(ReplicatedState::from_snapshot)
+            .transpose();
         match state {
             Ok(state) if concerns_this_member && is_promised && self.disk_healthy() => {
                 self.accept_membership(from, membership, snapshot, state);
@@ -121,7 +124,7 @@
         if index != appended + 1 || !disk_healthy {
             return self.reply_to_append(from, epoch, index, false, out);
         }
-        let Ok(next) = log.appended().after(&change) else {
+        let Ok(next) = log.appended().apply(&change) else {
             return self.reply_to_append(from, epoch, index, false, out);
         };
         log.append(next.clone());
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -371,7 +371,7 @@
         // If no configuration can be installed yet, more promises may arrive.
         candidate.continue_with_phase(ElectionPhase::Prepare);
         let latest = candidate.latest_promised().cloned();
-        if let Some((latest, state)) = latest.zip(ReplicatedState::of(snapshot).ok()) {
+        if let Some((latest, state)) = latest.zip(ReplicatedState::from_snapshot(snapshot).ok()) {
             self.phase_timeouts.reset_fetch();
             self.install(latest, state, out);
         }
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -213,7 +213,7 @@
             return;
         }
         let change = Change::Forget { hosts };
-        if let Ok(next) = log.appended().after(&change) {
+        if let Ok(next) = log.appended().apply(&change) {
             self.replicate(change, next, Vec::new(), out);
         }
     }
--- a/crates/control-plane/src/member/replay.rs
+++ b/crates/control-plane/src/member/replay.rs
@@ -208,13 +208,16 @@
             }
             .fail();
         }
-        let next = last.after(change);
-        let next = next.map_err(|(_, detail)| ReplayError::Change { record, detail })?;
+        let next = last.apply(change);
+        let next = next.map_err(|error| ReplayError::Change {
+            record,
+            detail: error.to_string(),
+        })?;
         self.last = Some(next);
         Ok(())
     }
 }
 
 fn state_of(record: usize, snapshot: &Snapshot) -> Result<ReplicatedState, ReplayError> {
-    ReplicatedState::of(snapshot).context(InvalidSnapshotSnafu { record })
+    ReplicatedState::from_snapshot(snapshot).context(InvalidSnapshotSnafu { record })
 }
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -1,55 +1,96 @@
-//! The ledger: the configuration in force, the calls that led to it, the hosts that are leaving. Pure.
+//! The replicated state: the configuration in force, the requests that led to it, and the hosts that drain. A pure state
+//! machine.
 
-use crate::applied_requests::{fingerprint, AppliedRequests};
-use configuration::{Configuration, ResultCode};
+use crate::applied_requests::{request_fingerprint, AppliedRequests};
+use configuration::{Configuration, InvalidConfiguration, ResultCode};
 use protocol::{Change, Command, Snapshot};
+use snafu::Snafu;
 use std::cmp::Ordering;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The longest configuration, in bytes of its items: as long as the longest body of a call. A ledger then fits into
-/// one frame and one record, however it came about.
-pub const MAX_DOCUMENT_BYTES: usize = 4 << 20;
+/// The largest configuration, in bytes of its items: as large as the largest body of a request. A state therefore always
+/// fits into one frame and one record.
+pub const MAX_CONFIGURATION_BYTES: usize = 4 << 20;
 
-/// A ledger after its change number `index`.
+/// The state after the change with number `index`.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct ReplicatedState {
-    /// Number of the last change.
+    /// Index of the last change.
     pub index: u64,
-    /// The configuration; version 0 stands for none.
+    /// The configuration. Version 0 stands for none.
     pub configuration: Arc<Configuration>,
-    /// The latest orders that were taken.
+    /// The latest requests that were applied.
     pub applied_requests: AppliedRequests,
-    /// Hosts that are leaving or gone, oldest first.
+    /// Hosts that are draining or gone, oldest first.
     pub drains: VecDeque<String>,
 }
 
-/// What a command comes to on a ledger.
+/// What a command comes to in a state.
 #[derive(Debug)]
 pub enum Plan {
-    /// This change has to be made; the ledger after it goes with it.
+    /// This change has to be made; it leads to the state beside it.
     Change(Change, Box<ReplicatedState>),
-    /// Nothing has to change.
+    /// Nothing changes: the command's result and its body.
     Answer(ResultCode, Vec<u8>),
 }
 
-/// What an order is to a ledger.
-enum Standing {
-    /// It builds on the configuration in force.
-    Next,
-    /// It builds on a version that isn't in force yet: it may be taken once that version is.
-    Early,
-    /// It was taken.
-    Taken,
-    /// Another order was taken on the version that it builds on, or that version was never in force and never
-    /// will be.
-    Superseded,
-    /// It builds on a version from before the memory of orders: it may have been taken.
-    Forgotten,
+/// Why a change can't be made.
+#[derive(Debug, Snafu)]
+pub enum ChangeError {
+    /// The configuration that it builds on isn't in force.
+    #[snafu(display("{base} on {in_force}"))]
+    OtherBase {
+        /// The version that it builds on.
+        base: u64,
+        /// The version in force.
+        in_force: u64,
+    },
+    /// It leads to no valid configuration.
+    #[snafu(display("{detail}"))]
+    Invalid {
+        /// The result that the caller gets.
+        code: ResultCode,
+        /// What is wrong, and where.
+        detail: String,
+    },
+}
+
+impl ChangeError {
+    /// The result that the caller gets.
+    pub fn code(&self) -> ResultCode {
+        match self {
+            Self::OtherBase { .. } => ResultCode::OtherBase,
+            Self::Invalid { code, .. } => *code,
+        }
+    }
+}
+
+impl From<InvalidConfiguration> for ChangeError {
+    fn from(error: InvalidConfiguration) -> Self {
+        Self::Invalid {
+            code: error.code,
+            detail: error.detail,
+        }
+    }
+}
+
+/// How the base version of a configuration request relates to the state.
+enum BasePrecondition {
+    /// It is in force.
+    Met,
+    /// It isn't in force yet: the request may be applied once it is.
+    Ahead,
+    /// The request was applied.
+    AlreadyApplied,
+    /// Another request was applied to that version, or the version was never in force and never will be.
+    Conflict,
+    /// The version is older than all retained requests: the request may have been applied.
+    Expired,
 }
 
 impl ReplicatedState {
-    /// What a command comes to here.
+    /// Plans a command: the change that it requires, or its answer.
     pub fn plan(&self, command: &Command) -> Plan {
         match command {
             Command::Read { .. } if self.configuration.version == 0 => {
@@ -61,30 +102,31 @@
             Command::Drain { host } if self.drains.contains(host) => {
                 Plan::Answer(ResultCode::Ok, vec![])
             }
-            Command::Drain { host } => self.make(Change::Drain { host: host.clone() }),
-            Command::Configure { base, amend, body } => match self.standing(*base, *amend, body) {
-                Standing::Next => self.make(Change::Configure {
-                    base: *base,
-                    amend: *amend,
-                    body: body.clone(),
-                }),
-                // A copy of it may come later, and has to be taken then: a refusal would be false.
-                Standing::Early => {
-                    Plan::Answer(ResultCode::BaseNotInForce, self.other_base_text(*base))
-                }
-                Standing::Taken => Plan::Answer(ResultCode::Ok, vec![]),
-                Standing::Superseded => {
-                    Plan::Answer(ResultCode::OtherBase, self.other_base_text(*base))
-                }
-                // A refusal might be false, and a confirmation as well.
-                Standing::Forgotten => {
-                    Plan::Answer(ResultCode::OrderForgotten, self.other_base_text(*base))
-                }
-            },
+            Command::Drain { host } => self.plan_change(Change::Drain { host: host.clone() }),
+            Command::Configure { base, amend, body } => self.plan_request(*base, *amend, body),
         }
     }
 
-    /// What a caller is told whose order doesn't build on the version in force.
+    fn plan_request(&self, base: u64, amend: bool, body: &[u8]) -> Plan {
+        let code = match self.base_precondition(base, amend, body) {
+            BasePrecondition::Met => {
+                return self.plan_change(Change::Configure {
+                    base,
+                    amend,
+                    body: body.to_vec(),
+                });
+            }
+            BasePrecondition::AlreadyApplied => return Plan::Answer(ResultCode::Ok, vec![]),
+            // A copy of the request may arrive later and must be applied then: a rejection would be false.
+            BasePrecondition::Ahead => ResultCode::BaseNotInForce,
+            BasePrecondition::Conflict => ResultCode::OtherBase,
+            // A rejection might be false, and so might a confirmation.
+            BasePrecondition::Expired => ResultCode::OrderForgotten,
+        };
+        Plan::Answer(code, self.other_base_text(base))
+    }
+
+    /// The answer's body if a request doesn't build on the version in force.
     pub(crate) fn other_base_text(&self, base: u64) -> Vec<u8> {
         format!(
             "version {} is in force, not {base}",
@@ -93,63 +135,52 @@
         .into_bytes()
     }
 
-    fn standing(&self, base: u64, amend: bool, body: &[u8]) -> Standing {
+    fn base_precondition(&self, base: u64, amend: bool, body: &[u8]) -> BasePrecondition {
         match base.cmp(&self.configuration.version) {
-            Ordering::Equal => return Standing::Next,
-            Ordering::Greater => return Standing::Early,
+            Ordering::Equal => return BasePrecondition::Met,
+            Ordering::Greater => return BasePrecondition::Ahead,
             Ordering::Less => {}
         }
-        match self.applied_requests.on(base) {
-            Some(taken) if *taken == fingerprint(base, amend, body) => Standing::Taken,
-            Some(_) => Standing::Superseded,
-            None if self
-                .applied_requests
-                .oldest_base()
-                .is_none_or(|oldest| base < oldest) =>
-            {
-                Standing::Forgotten
-            }
-            None => Standing::Superseded,
+        if let Some(applied) = self.applied_requests.built_on(base) {
+            return if *applied == request_fingerprint(base, amend, body) {
+                BasePrecondition::AlreadyApplied
+            } else {
+                BasePrecondition::Conflict
+            };
+        }
+        let oldest_base = self.applied_requests.oldest_base();
+        if oldest_base.is_none_or(|oldest| base < oldest) {
+            BasePrecondition::Expired
+        } else {
+            BasePrecondition::Conflict
         }
     }
 
-    fn make(&self, change: Change) -> Plan {
-        match self.after(&change) {
-            Ok(next)
-                if next.configuration.unshared_bytes(&Configuration::default())
-                    > MAX_DOCUMENT_BYTES =>
-            {
-                let text = format!("the whole would be longer than {MAX_DOCUMENT_BYTES} bytes");
-                Plan::Answer(ResultCode::TooLarge, text.into_bytes())
-            }
-            Ok(next) => Plan::Change(change, Box::new(next)),
-            Err((code, text)) => Plan::Answer(code, text.into_bytes()),
+    fn plan_change(&self, change: Change) -> Plan {
+        let next = match self.apply(&change) {
+            Ok(next) => next,
+            Err(error) => return Plan::Answer(error.code(), error.to_string().into_bytes()),
+        };
+        let bytes = next.configuration.unshared_bytes(&Configuration::default());
+        if bytes > MAX_CONFIGURATION_BYTES {
+            let text = format!("the whole would be longer than {MAX_CONFIGURATION_BYTES} bytes");
+            return Plan::Answer(ResultCode::TooLarge, text.into_bytes());
         }
+        Plan::Change(change, Box::new(next))
     }
 
-    /// The ledger after a change.
+    /// The state after a change.
     ///
     /// # Errors
-    /// Where the change can't be made: the code and the place.
-    pub fn after(&self, change: &Change) -> Result<ReplicatedState, (ResultCode, String)> {
+    /// If the change can't be made in this state.
+    pub fn apply(&self, change: &Change) -> Result<ReplicatedState, ChangeError> {
         let mut next = self.clone();
         next.index += 1;
         match change {
             Change::Configure { base, amend, body } => {
-                if *base != self.configuration.version {
-                    return Err((
-                        ResultCode::OtherBase,
-                        format!("{base} on {}", self.configuration.version),
-                    ));
-                }
-                let configuration = match amend {
-                    true => self.configuration.amended(body),
-                    false => Configuration::read(body, self.configuration.version),
-                };
-                let configuration = configuration.map_err(|e| (e.code, e.detail))?;
-                next.applied_requests.push(fingerprint(*base, *amend, body));
-                // Most items are as they were: hundreds of changes under way cost little more than one.
-                next.configuration = Arc::new(configuration.sharing(&self.configuration));
+                next.configuration = Arc::new(self.configure(*base, *amend, body)?);
+                let request = request_fingerprint(*base, *amend, body);
+                next.applied_requests.push(request);
             }
             Change::Drain { host } => next.drains.push_back(host.clone()),
             Change::Forget { hosts } => next.drains.retain(|d| !hosts.contains(d)),
@@ -157,26 +188,40 @@
         Ok(next)
     }
 
-    /// The whole of it, to be sent or written.
+    fn configure(&self, base: u64, amend: bool, body: &[u8]) -> Result<Configuration, ChangeError> {
+        let in_force = self.configuration.version;
+        if base != in_force {
+            return OtherBaseSnafu { base, in_force }.fail();
+        }
+        let configuration = if amend {
+            self.configuration.amended(body)?
+        } else {
+            Configuration::read(body, in_force)?
+        };
+        // Most items stay the same: hundreds of changes in flight take little more memory than one.
+        Ok(configuration.sharing(&self.configuration))
+    }
+
+    /// The whole state, to be sent or written.
     pub fn snapshot(&self) -> Snapshot {
-        let none = self.configuration.version == 0;
+        let configuration = if self.configuration.version == 0 {
+            String::new()
+        } else {
+            self.configuration.to_json()
+        };
         Snapshot {
             index: self.index,
-            configuration: if none {
-                String::new()
-            } else {
-                self.configuration.to_json()
-            },
+            configuration,
             applied_requests: self.applied_requests.iter().cloned().collect(),
             drains: self.drains.iter().cloned().collect(),
         }
     }
 
-    /// The ledger that a snapshot holds.
+    /// The state of a snapshot.
     ///
     /// # Errors
-    /// Where its configuration can't be read.
-    pub fn of(snapshot: &Snapshot) -> Result<ReplicatedState, configuration::InvalidConfiguration> {
+    /// If the snapshot's configuration is invalid.
+    pub fn from_snapshot(snapshot: &Snapshot) -> Result<ReplicatedState, InvalidConfiguration> {
         let configuration = match snapshot.configuration.as_str() {
             "" => Configuration::default(),
             text => Configuration::read(text.as_bytes(), 0)?,
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/ledger.rs
@@ -133,9 +133,12 @@
         answer(&ledger, &Command::Drain { host: "i-1".into() }),
         ResultCode::Ok
     );
-    assert_eq!(ReplicatedState::of(&ledger.snapshot()).unwrap(), ledger);
+    assert_eq!(
+        ReplicatedState::from_snapshot(&ledger.snapshot()).unwrap(),
+        ledger
+    );
     let forgotten = ledger
-        .after(&Change::Forget {
+        .apply(&Change::Forget {
             hosts: vec!["i-1".into()],
         })
         .unwrap();
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -3,7 +3,7 @@
 
 use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{DiskError, Input, Member, MemberConfig, Output, ReplayError};
-use control_plane::replicated_state::{Plan, ReplicatedState, MAX_DOCUMENT_BYTES};
+use control_plane::replicated_state::{Plan, ReplicatedState, MAX_CONFIGURATION_BYTES};
 use protocol::{AppliedRequest, Change, Command, MemberInfo, MembershipConfig, Message, Record};
 use rstest::rstest;
 use std::time::Duration;
@@ -463,7 +463,7 @@
     };
     let mut routes: Vec<String> = (0..3).map(|n| route(n, &note)).collect();
     let used: usize = routes.iter().map(String::len).sum();
-    routes.push(route(3, &note[..MAX_DOCUMENT_BYTES - used - 200]));
+    routes.push(route(3, &note[..MAX_CONFIGURATION_BYTES - used - 200]));
     let whole = format!(
         r#"{{"version":2,"routes":[{}],"services":[{{"name":"s"}}]}}"#,
         routes.join(",")
@@ -477,7 +477,7 @@
         panic!("it is taken")
     };
     let mut ledger = *next;
-    assert!(whole.len() > MAX_DOCUMENT_BYTES - 200 && whole.len() < MAX_DOCUMENT_BYTES);
+    assert!(whole.len() > MAX_CONFIGURATION_BYTES - 200 && whole.len() < MAX_CONFIGURATION_BYTES);
     ledger.drains = (0..10_000).map(|n| format!("{n:0>256}")).collect();
     let append = Message::AppendChange {
         epoch: 1,
--- a/crates/control-plane/tests/orders.rs
+++ b/crates/control-plane/tests/orders.rs
@@ -6,7 +6,7 @@
 mod order_cluster;
 
 use configuration::ResultCode;
-use control_plane::applied_requests::{fingerprint, MIN_REMEMBERED_ORDERS};
+use control_plane::applied_requests::{request_fingerprint, MIN_RETAINED_REQUESTS};
 use control_plane::replicated_state::{Plan, ReplicatedState};
 use order_cluster::{Cluster, Held};
 use proptest::prelude::*;
@@ -65,10 +65,13 @@
 #[rstest]
 #[case::the_next(1)]
 #[case::after_512_others(513)]
-#[case::as_long_as_promised(MIN_REMEMBERED_ORDERS as u64 - 1)]
+#[case::as_long_as_promised(MIN_RETAINED_REQUESTS as u64 - 1)]
 fn a_taken_order_is_confirmed_again_after_others_and_a_lost_one_is_refused(#[case] others: u64) {
     let ledger = after_orders(others + 1);
-    for ledger in [ReplicatedState::of(&ledger.snapshot()).unwrap(), ledger] {
+    for ledger in [
+        ReplicatedState::from_snapshot(&ledger.snapshot()).unwrap(),
+        ledger,
+    ] {
         assert_eq!(answer(&ledger, &order(0, 2, "first")), ResultCode::Ok);
         assert_eq!(
             answer(&ledger, &order(0, 2, "second")),
@@ -87,14 +90,14 @@
 
 #[test]
 fn an_order_older_than_the_memory_is_neither_refused_nor_confirmed() {
-    let ledger = after_orders(MIN_REMEMBERED_ORDERS as u64 + 200);
+    let ledger = after_orders(MIN_RETAINED_REQUESTS as u64 + 200);
     let remembered = ledger.applied_requests.iter().count();
     assert!(
-        (MIN_REMEMBERED_ORDERS..MIN_REMEMBERED_ORDERS + 64).contains(&remembered),
+        (MIN_RETAINED_REQUESTS..MIN_RETAINED_REQUESTS + 64).contains(&remembered),
         "{remembered}"
     );
     for ledger in [
-        ReplicatedState::of(&ledger.snapshot()).unwrap(),
+        ReplicatedState::from_snapshot(&ledger.snapshot()).unwrap(),
         ledger.clone(),
     ] {
         assert_eq!(ledger.applied_requests.iter().count(), remembered);
@@ -211,9 +214,9 @@
     fn fingerprints_are_equal_exactly_where_contents_are(one in json_value(), two in json_value()) {
         let compact = one.to_string().into_bytes();
         let spaced = serde_json::to_vec_pretty(&one).unwrap();
-        prop_assert_eq!(fingerprint(4, true, &compact), fingerprint(4, true, &spaced));
+        prop_assert_eq!(request_fingerprint(4, true, &compact), request_fingerprint(4, true, &spaced));
         let other = two.to_string().into_bytes();
-        prop_assert_eq!(fingerprint(4, true, &compact) == fingerprint(4, true, &other), one == two);
+        prop_assert_eq!(request_fingerprint(4, true, &compact) == request_fingerprint(4, true, &other), one == two);
     }
 
     /// Operators send orders on any version, new ones and old ones again; the ledger is now and then replaced by
@@ -244,7 +247,7 @@
                 }
             }
             if snapshot {
-                ledger = ReplicatedState::of(&ledger.snapshot()).unwrap();
+                ledger = ReplicatedState::from_snapshot(&ledger.snapshot()).unwrap();
             }
         }
     }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -5,7 +5,7 @@
 
 use cluster::{ms, Cluster};
 use configuration::ResultCode;
-use control_plane::recovery::{latest_view, Refusal, Survivor};
+use control_plane::recovery::{latest_epoch, RecoveredRecords, RecoveryError, SurvivingReplica};
 use control_plane::runtime::identity::{Identity, StoredLog};
 use std::time::Duration;
 
@@ -29,13 +29,20 @@
     (cluster, left)
 }
 
-fn names(survivor: &Survivor) -> Vec<String> {
-    survivor.others().iter().map(|s| s.name.clone()).collect()
+fn names(survivor: &SurvivingReplica) -> Vec<String> {
+    survivor
+        .other_voters()
+        .iter()
+        .map(|s| s.name.clone())
+        .collect()
 }
 
 fn recover(cluster: &mut Cluster, n: usize) {
-    let survivor = Survivor::read(&identity(cluster, n), cluster.records(n)).unwrap();
-    let (identity, records) = survivor.recovered(&names(&survivor), NEW).unwrap();
+    let survivor = SurvivingReplica::read(&identity(cluster, n), cluster.records(n)).unwrap();
+    let RecoveredRecords {
+        identity,
+        log: records,
+    } = survivor.recover(&names(&survivor), NEW).unwrap();
     let identity: Identity = protocol::decode_record(&identity).unwrap();
     assert_eq!(
         (
@@ -136,31 +143,35 @@
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
     let epoch = cluster.view(witness).epoch;
     (0..3).for_each(|n| cluster.kill(n));
-    let refused = Survivor::read(&identity(&cluster, witness), cluster.records(witness));
-    assert!(matches!(refused, Err(Refusal::NoReplica { epoch: e }) if e == epoch));
+    let refused = SurvivingReplica::read(&identity(&cluster, witness), cluster.records(witness));
+    assert!(matches!(refused, Err(RecoveryError::NoReplica { epoch: e }) if e == epoch));
     // It knows of the view all the same.
-    assert_eq!(latest_view(cluster.records(witness)), epoch);
+    assert_eq!(latest_epoch(cluster.records(witness)), epoch);
 }
 
 #[test]
 fn all_that_are_given_up_are_named_and_no_other() {
     let (cluster, left) = all_but_one_lost();
-    let survivor = Survivor::read(&identity(&cluster, left), cluster.records(left)).unwrap();
-    assert_eq!((survivor.version(), survivor.last_change()), (1, 1));
+    let survivor =
+        SurvivingReplica::read(&identity(&cluster, left), cluster.records(left)).unwrap();
+    assert_eq!(
+        (survivor.configuration_version(), survivor.last_index()),
+        (1, 1)
+    );
     let all = names(&survivor);
     assert_eq!(all.len(), 2);
     let more = [all.clone(), vec!["core-9".into()]].concat();
     for wrong in [&all[..1], &[], &more] {
         assert!(
-            matches!(survivor.recovered(wrong, NEW), Err(Refusal::Lost { wanted }) if wanted == all)
+            matches!(survivor.recover(wrong, NEW), Err(RecoveryError::Lost { wanted }) if wanted == all)
         );
     }
     let by_id: Vec<String> = survivor
-        .others()
+        .other_voters()
         .iter()
         .map(|s| format!("{:016x}", s.id))
         .collect();
-    assert!(survivor.recovered(&by_id, NEW).is_ok());
+    assert!(survivor.recover(&by_id, NEW).is_ok());
 }
 
 #[test]
@@ -168,18 +179,18 @@
     let (cluster, left) = all_but_one_lost();
     let (identity, records) = (identity(&cluster, left), cluster.records(left).to_vec());
     assert!(matches!(
-        Survivor::read(&[], &records),
-        Err(Refusal::NoIdentity)
+        SurvivingReplica::read(&[], &records),
+        Err(RecoveryError::NoIdentity)
     ));
     assert!(matches!(
-        Survivor::read(&identity, &[]),
-        Err(Refusal::NoView)
+        SurvivingReplica::read(&identity, &[]),
+        Err(RecoveryError::NoMembership)
     ));
     let mut broken = records.clone();
     broken[1].push(0);
     assert!(matches!(
-        Survivor::read(&identity, &broken),
-        Err(Refusal::Unreadable { number: 2, .. })
+        SurvivingReplica::read(&identity, &broken),
+        Err(RecoveryError::Unreadable { number: 2, .. })
     ));
     let change = protocol::Change::Drain { host: "i-1".into() };
     let mut gap = records;
@@ -189,7 +200,7 @@
         change,
     }));
     assert!(matches!(
-        Survivor::read(&identity, &gap),
-        Err(Refusal::Gap { index: 99, .. })
+        SurvivingReplica::read(&identity, &gap),
+        Err(RecoveryError::Gap { index: 99, .. })
     ));
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -7,9 +7,9 @@
 
 use append_log::{AppendLog, Cut, Shape};
 use configuration::FaultBudget;
-use control_plane::applied_requests::fingerprint;
+use control_plane::applied_requests::request_fingerprint;
 use control_plane::member::{Member, MemberConfig};
-use control_plane::recovery::Survivor;
+use control_plane::recovery::SurvivingReplica;
 use control_plane::replicated_state::ReplicatedState;
 use control_plane::runtime::identity::{
     latest_identity, Identity, LogOwner, StartContext, StoredLog,
@@ -115,7 +115,7 @@
     Snapshot {
         index: 7,
         configuration: VERSION_3.into(),
-        applied_requests: vec![fingerprint(0, false, VERSION_3.as_bytes())],
+        applied_requests: vec![request_fingerprint(0, false, VERSION_3.as_bytes())],
         drains: vec!["i-1".into(), "i-2".into()],
     }
 }
@@ -125,8 +125,8 @@
         index: 11,
         configuration: VERSION_3.replace(":3,", ":5,"),
         applied_requests: vec![
-            fingerprint(0, false, VERSION_3.as_bytes()),
-            fingerprint(3, false, VERSION_3.as_bytes()),
+            request_fingerprint(0, false, VERSION_3.as_bytes()),
+            request_fingerprint(3, false, VERSION_3.as_bytes()),
         ],
         drains: vec!["i-3".into()],
     }
@@ -445,11 +445,11 @@
     let dir = copy_of(name);
     let identities = stored_records(dir.path(), "identity");
     let records = stored_records(dir.path(), "ledger");
-    let survivor = Survivor::read(&identities, &records).unwrap();
+    let survivor = SurvivingReplica::read(&identities, &records).unwrap();
     assert_eq!(survivor.epoch(), SECOND_EPOCH);
-    assert_eq!(survivor.last_change(), 11);
-    assert_eq!(survivor.version(), 5);
-    assert_eq!(survivor.known_acknowledged(), acknowledged);
+    assert_eq!(survivor.last_index(), 11);
+    assert_eq!(survivor.configuration_version(), 5);
+    assert_eq!(survivor.commit_index(), acknowledged);
 }
 
 /// The changes of the log, made again on the snapshot before them, give the state that was in force.
@@ -464,8 +464,8 @@
             Record::Accepted {
                 snapshot: Some(snapshot),
                 ..
-            } => state = ReplicatedState::of(&snapshot).unwrap(),
-            Record::Change { change, .. } => state = state.after(&change).unwrap(),
+            } => state = ReplicatedState::from_snapshot(&snapshot).unwrap(),
+            Record::Change { change, .. } => state = state.apply(&change).unwrap(),
             _ => {}
         }
     }
@@ -475,9 +475,9 @@
     assert_eq!(snapshot.drains, ["i-3"]);
     let version_4 = VERSION_3.replace(":3,", ":4,");
     let applied = [
-        fingerprint(0, false, VERSION_3.as_bytes()),
-        fingerprint(3, false, version_4.as_bytes()),
-        fingerprint(4, true, LIMITS_OF_VERSION_5.as_bytes()),
+        request_fingerprint(0, false, VERSION_3.as_bytes()),
+        request_fingerprint(3, false, version_4.as_bytes()),
+        request_fingerprint(4, true, LIMITS_OF_VERSION_5.as_bytes()),
     ];
     assert_eq!(snapshot.applied_requests, applied);
 }
--- a/crates/fennelpin-cli/src/failure.rs
+++ b/crates/fennelpin-cli/src/failure.rs
@@ -130,7 +130,7 @@
     #[snafu(display("not recovered, nothing is changed"))]
     NotRecovered {
         /// Why.
-        source: control_plane::recovery::Refusal,
+        source: control_plane::recovery::RecoveryError,
     },
     /// Another disk knows a later view than the one that was to be recovered from.
     #[snafu(display(
--- a/crates/fennelpin-cli/src/store.rs
+++ b/crates/fennelpin-cli/src/store.rs
@@ -5,7 +5,7 @@
     StoreSnafu,
 };
 use append_log::AppendLog;
-use control_plane::recovery::{latest_view, Survivor};
+use control_plane::recovery::{latest_epoch, SurvivingReplica};
 use snafu::{ensure, ResultExt};
 use std::path::{Path, PathBuf};
 
@@ -82,9 +82,9 @@
 /// view, or the disk refuses.
 pub fn recover(dir: &Path, lost: &[String], others: &[PathBuf]) -> Result<(), Failure> {
     let (identity, records) = (read(dir, "identity")?, read(dir, "ledger")?);
-    let survivor = Survivor::read(&identity, &records).context(NotRecoveredSnafu)?;
+    let survivor = SurvivingReplica::read(&identity, &records).context(NotRecoveredSnafu)?;
     for other in others {
-        let later = latest_view(&read(other, "ledger")?);
+        let later = latest_epoch(&read(other, "ledger")?);
         let epoch = survivor.epoch();
         ensure!(
             later <= epoch,
@@ -99,14 +99,14 @@
     println!(
         "view of epoch {}, configuration of version {}",
         survivor.epoch(),
-        survivor.version()
+        survivor.configuration_version()
     );
     println!(
         "changes up to {} are kept; up to {} they are known to have been acknowledged",
-        survivor.last_change(),
-        survivor.known_acknowledged()
+        survivor.last_index(),
+        survivor.commit_index()
     );
-    for member in survivor.others() {
+    for member in survivor.other_voters() {
         println!(
             "given up: {} {:016x} {}",
             member.name,
@@ -122,13 +122,13 @@
             .build()
         })?
         .max(1);
-    let (identity, records) = survivor.recovered(lost, id).context(NotRecoveredSnafu)?;
+    let recovered = survivor.recover(lost, id).context(NotRecoveredSnafu)?;
     for name in ["identity", "ledger"] {
         let path = dir.join(format!("{name}.{KEPT}"));
         std::fs::copy(dir.join(name), &path).context(NoCopySnafu { path: &path })?;
     }
-    write(dir, "ledger", &records)?;
-    write(dir, "identity", &[identity])?;
+    write(dir, "ledger", &recovered.log)?;
+    write(dir, "identity", &[recovered.identity])?;
     println!("goes on as {id:016x}, the only voter; the files as they were end in .{KEPT}");
     Ok(())
 }
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -1,7 +1,7 @@
 //! `fennelpin-cli store recover` on folders as stopped members leave them.
 
 use append_log::AppendLog;
-use control_plane::recovery::latest_view;
+use control_plane::recovery::latest_epoch;
 use control_plane::runtime::identity::{latest_identity, Identity, LogOwner, StoredLog};
 use protocol::{Addr, MemberInfo, MembershipConfig, Record, Snapshot};
 use std::path::Path;
@@ -112,7 +112,7 @@
     assert_eq!(found.owner.map(|o| o.id), Some(identity.id));
     let ledger = found.records;
     assert!(
-        latest_view(&ledger) > EPOCH << 20,
+        latest_epoch(&ledger) > EPOCH << 20,
         "no election of the old members reaches it"
     );
     let alone = ledger.iter().any(|r| match protocol::decode_record(r) {
--- a/crates/model-check/src/orders.rs
+++ b/crates/model-check/src/orders.rs
@@ -180,7 +180,7 @@
                 .iter_mut()
                 .for_each(|call| call.digest = Default::default());
         }
-        ReplicatedState::of(&snapshot).unwrap_or_default()
+        ReplicatedState::from_snapshot(&snapshot).unwrap_or_default()
     }
 
     fn plan(&self, ledger: &ReplicatedState, order: usize) -> Plan {
