--- a/crates/control-plane/src/applied_requests.rs
+++ b/crates/control-plane/src/applied_requests.rs
@@ -48,18 +48,18 @@
     pub fn built_on(&self, base: u64) -> Option<&AppliedRequest> {
         let position = self
             .full
-            .partition_point(|chunk| chunk[CHUNK_REQUESTS - 1].base < base);
+            .partition_point(|chunk| chunk[CHUNK_REQUESTS - 1].base_version < base);
         let chunk = match self.full.get(position) {
             Some(chunk) => &chunk[..],
             None => &self.tail[..],
         };
-        let found = chunk.binary_search_by_key(&base, |request| request.base);
+        let found = chunk.binary_search_by_key(&base, |request| request.base_version);
         found.ok().map(|position| &chunk[position])
     }
 
     /// The base version of the oldest retained request.
     pub fn oldest_base(&self) -> Option<u64> {
-        self.iter().next().map(|request| request.base)
+        self.iter().next().map(|request| request.base_version)
     }
 }
 
@@ -88,7 +88,7 @@
     }
     let version = content.and_then(|content| content.integer("version"));
     AppliedRequest {
-        base,
+        base_version: base,
         version: version.unwrap_or(0),
         digest: hash.finalize().into(),
     }
--- a/crates/control-plane/src/registry_publisher.rs
+++ b/crates/control-plane/src/registry_publisher.rs
@@ -58,7 +58,7 @@
     pub fn handle(&self, request: &HostRequest) -> bool {
         self.change(|registry, mirror, now| {
             let elsewhere: Option<HostRecord> = mirror
-                .host_elsewhere(self.member_id, request.host())
+                .host_at_other_origins(self.member_id, request.host())
                 .cloned();
             registry.handle(now, request, elsewhere.as_ref())
         })
@@ -74,7 +74,7 @@
         self.change(|registry, mirror, now| {
             let call_seq_elsewhere = |host: &str| {
                 mirror
-                    .host_elsewhere(self.member_id, host)
+                    .host_at_other_origins(self.member_id, host)
                     .map(|record| record.call_seq)
             };
             registry.tick(now, call_seq_elsewhere)
@@ -112,7 +112,7 @@
         let mut registry = self.lock();
         self.mirror.update(|mirror, now| {
             let own_incarnation = registry.version().incarnation;
-            if let Some(later) = mirror.later_life(self.member_id, own_incarnation) {
+            if let Some(later) = mirror.superseding_incarnation(self.member_id, own_incarnation) {
                 registry.advance_incarnation(later);
             }
             let result = change(&mut registry, mirror, now);
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -111,8 +111,8 @@
         let code = match self.base_precondition(base, amend, body) {
             BasePrecondition::Met => {
                 return self.plan_change(Change::Configure {
-                    base,
-                    amend,
+                    base_version: base,
+                    is_amendment: amend,
                     body: body.to_vec(),
                 });
             }
@@ -177,9 +177,14 @@
         let mut next = self.clone();
         next.index += 1;
         match change {
-            Change::Configure { base, amend, body } => {
-                next.configuration = Arc::new(self.configure(*base, *amend, body)?);
-                let request = request_fingerprint(*base, *amend, body);
+            Change::Configure {
+                base_version,
+                is_amendment,
+                body,
+            } => {
+                next.configuration =
+                    Arc::new(self.configure(*base_version, *is_amendment, body)?);
+                let request = request_fingerprint(*base_version, *is_amendment, body);
                 next.applied_requests.push(request);
             }
             Change::Drain { host } => next.drains.push_back(host.clone()),
--- a/crates/control-plane/src/runtime/event_loop.rs
+++ b/crates/control-plane/src/runtime/event_loop.rs
@@ -202,7 +202,7 @@
     /// What others published may be newer than what the member heard itself.
     fn learn_primary_from_mirror(&mut self) {
         self.services.mirror.update(|mirror, _| {
-            let info = mirror.fleet();
+            let info = mirror.control_plane();
             let primary = info.members.iter().find(|member| member.id == info.primary);
             if let Some(primary) = primary {
                 self.member.learn_primary(info.epoch, primary.clone());
--- a/crates/control-plane/src/runtime/request_handler.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -104,7 +104,7 @@
         let reachable = opened.peers.reachable_members();
         match heartbeat_target(request.host(), opened.me.id, &reachable) {
             Some(member) => {
-                let target = SocketAddrV4::from(&member.control);
+                let target = SocketAddrV4::from(&member.control_addr);
                 Reply::json(json!({"beat_target": target.to_string()}).to_string())
             }
             None => Reply::json("{}"),
@@ -114,7 +114,7 @@
     /// A host is draining or gone: acknowledged once that is as durable as the configuration.
     async fn drain(&self, opened: &OpenMember, host: &str) -> Reply {
         let known = opened.publisher.mirror().snapshot();
-        if known.drains.contains(host) {
+        if known.draining_hosts.contains(host) {
             return Reply::json("{}");
         }
         let drain = Command::Drain {
--- a/crates/control-plane/src/runtime/status_page.rs
+++ b/crates/control-plane/src/runtime/status_page.rs
@@ -39,9 +39,9 @@
             "leaving": self.is_leaving,
             "ledger": ledger_json(&known),
             "fleet": {
-                "epoch": known.fleet.epoch,
-                "primary": hex(known.fleet.primary),
-                "members": known.fleet.members.len(),
+                "epoch": known.control_plane.epoch,
+                "primary": hex(known.control_plane.primary),
+                "members": known.control_plane.members.len(),
             },
             "member": self.member.as_ref().map(member_status_json),
             "hosts": known.hosts.values().map(host_json).collect::<Vec<_>>(),
@@ -67,8 +67,8 @@
 }
 
 fn ledger_json(known: &Snapshot) -> Value {
-    json!({"seq": known.ledger, "version": known.document.version, "drains": known.drains.len(),
-        "routes": known.document.routes.len(), "services": known.document.services.len()})
+    json!({"seq": known.index, "version": known.configuration.version, "drains": known.draining_hosts.len(),
+        "routes": known.configuration.routes.len(), "services": known.configuration.services.len()})
 }
 
 fn host_json(host: &HostRecord) -> Value {
@@ -85,7 +85,7 @@
 
 fn member_json(member: &MemberInfo) -> Value {
     json!({"id": hex(member.id), "name": member.name, "zone": member.zone, "region": member.region,
-        "control": SocketAddrV4::from(&member.control).to_string()})
+        "control": SocketAddrV4::from(&member.control_addr).to_string()})
 }
 
 fn member_status_json(status: &MemberStatus) -> Value {
--- a/crates/fennelpin-cli/tests/settings.rs
+++ b/crates/fennelpin-cli/tests/followed_settings.rs
@@ -1,7 +1,7 @@
-//! The settings file is followed: what the agent behind it asks changes with it.
+//! The settings file is followed: the agent pulls from the members that it names.
 
 use configuration::{Configuration, ProcessSettings};
-use fennelpin_cli::settings::follow_seeds;
+use fennelpin_cli::process_settings::follow_seeds;
 use replication::{client, Mirror, Puller, SharedMirror, Snapshot};
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 /// A member whose ledger has this version.
 fn member(id: u64, version: u64, listener: TcpListener) {
     let shared = SharedMirror::new(Mirror::new(id, Duration::from_millis(1200)));
-    shared.update(|m, _| m.set_ledger(version, document(version), &[]));
+    shared.update(|m, _| m.set_replicated_state(version, document(version), &[]));
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
@@ -46,14 +46,14 @@
 }
 
 fn proxy(boot: &ProcessSettings) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
-    let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).at_the_end());
+    let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).without_history());
     let (control, told) = mpsc::unbounded_channel();
-    let mut puller = Puller::new(&boot.node_name, 1, None).fixed();
+    let mut puller = Puller::new(&boot.node_name, 1, None).seeds_only();
     puller.set_seeds(&[replication::agent_addr(boot)]);
     tokio::spawn(client::run(
         puller,
-        replication::no_seat(boot),
-        replication::caller(boot, 0),
+        replication::non_member_info(boot),
+        replication::subscriber(boot, 0),
         shared.clone(),
         told,
     ));
@@ -61,7 +61,7 @@
 }
 
 async fn until(views: &mut watch::Receiver<Arc<Snapshot>>, version: u64) {
-    timeout(LONG, views.wait_for(|v| v.document.version == version))
+    timeout(LONG, views.wait_for(|v| v.configuration.version == version))
         .await
         .expect("it comes")
         .unwrap();
@@ -113,14 +113,14 @@
 }
 
 #[tokio::test]
-async fn a_change_of_the_settings_file_brings_other_seeds() {
+async fn seeds_when_settings_file_changes_then_followed() {
     LocalSet::new()
         .run_until(other_seeds(["127.0.0.4", "127.0.0.5"], false))
         .await;
 }
 
 #[tokio::test]
-async fn the_signal_for_changed_settings_brings_other_seeds() {
+async fn seeds_when_sighup_comes_then_followed() {
     LocalSet::new()
         .run_until(other_seeds(["127.0.0.10", "127.0.0.11"], true))
         .await;
@@ -128,7 +128,7 @@
 
 /// A file that can't be read changes nothing; once it can, it counts.
 #[tokio::test]
-async fn a_half_written_file_is_read_again() {
+async fn settings_when_half_written_then_read_again() {
     let follow = async {
         let dir = tempfile::tempdir().unwrap();
         let file = dir.path().join("boot.json");
