--- a/crates/fennelpin-cli/src/error.rs
+++ b/crates/fennelpin-cli/src/error.rs
@@ -137,7 +137,7 @@
     #[snafu(display("not recovered, nothing is changed"))]
     RecoveryRefused {
         /// The reason.
-        source: control_plane::recovery::Refusal,
+        source: control_plane::recovery::RecoveryError,
     },
     /// Another disk has a newer membership configuration than the one that was to be recovered from.
     #[snafu(display(
