--- a/crates/control-plane/src/runtime/outputs.rs
+++ b/crates/control-plane/src/runtime/outputs.rs
@@ -61,7 +61,7 @@
             .record(&configuration, SystemTime::now());
         self.services
             .mirror
-            .update(|mirror, _| mirror.set_ledger(index, configuration, drains));
+            .update(|mirror, _| mirror.set_replicated_state(index, configuration, drains));
     }
 
     fn wake_by(&mut self, at: Duration) {
--- a/crates/coordinator/src/net/http/client.rs
+++ b/crates/coordinator/src/net/http/client.rs
@@ -89,7 +89,7 @@
         let over = shared.refuses(admission);
         let answer = if over {
             shared.counters.inc("answered.refused.client_cap");
-            let answer = shared.service.no_seat(&request);
+            let answer = shared.service.non_member_info(&request);
             Some(answer.retry_after(Some(Duration::from_secs(1))))
         } else {
             answer_or_gone(&mut conn, || shared.service.answer(request)).await
@@ -106,7 +106,7 @@
         };
         let stopping = *closing.borrow();
         let replaced = shared.limits.replaced();
-        if !keep || over || stopping || replaced || shared.limits.one_call {
+        if !keep || over || stopping || replaced || shared.limits.one_request_per_connection {
             finish(&mut conn, &answer, &shared.counters).await;
             let codes = [
                 (stopping, "stopping"),
--- a/crates/proxy/tests/event_stream.rs
+++ b/crates/proxy/tests/event_stream.rs
@@ -1,9 +1,9 @@
-//! Events of a stream: whole ones, in order, none twice.
+//! Splitting a stream into complete events, in order and each once.
 
 use proxy::event_stream::{Event, EventOffset, EventSplitter};
 use rstest::rstest;
 
-fn all(splitter: &mut EventSplitter) -> Vec<(String, Option<String>)> {
+fn drain_events(splitter: &mut EventSplitter) -> Vec<(String, Option<String>)> {
     std::iter::from_fn(|| splitter.next_event())
         .map(|e| (String::from_utf8(e.bytes.to_vec()).unwrap(), e.id))
         .collect()
@@ -17,14 +17,14 @@
 #[case("data: id: 3\n\n", None)]
 #[case(": only a remark\n\n", None)]
 #[case("id: 1\ndata: a\ndata: b\n\n", Some("1"))]
-fn an_event_is_the_same_however_it_is_cut(#[case] text: &str, #[case] id: Option<&str>) {
+fn event_is_the_same_at_any_split(#[case] text: &str, #[case] id: Option<&str>) {
     let whole = [(text.to_owned(), id.map(str::to_owned))];
     for cut in 0..=text.len() {
         let mut splitter = EventSplitter::new(1024);
         let mut got = Vec::new();
         for part in [&text[..cut], &text[cut..]] {
             assert!(splitter.push(part.as_bytes()).is_ok());
-            got.extend(all(&mut splitter));
+            got.extend(drain_events(&mut splitter));
         }
         assert_eq!(got, whole, "cut at {cut}");
         assert!(splitter.take_incomplete().is_empty());
@@ -32,12 +32,15 @@
 }
 
 #[test]
-fn several_events_in_one_piece_and_the_rest() {
+fn several_events_in_one_piece_are_split() {
     let mut splitter = EventSplitter::new(1024);
     splitter
         .push(b"id: 1\n\nid: 2\ndata: x\n\nid: 3\nda")
         .unwrap();
-    let ids: Vec<_> = all(&mut splitter).into_iter().filter_map(|e| e.1).collect();
+    let ids: Vec<_> = drain_events(&mut splitter)
+        .into_iter()
+        .filter_map(|e| e.1)
+        .collect();
     assert_eq!(ids, ["1", "2"]);
     assert_eq!(&splitter.take_incomplete()[..], b"id: 3\nda");
     splitter.push(b"data: y\n\n").unwrap();
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn lines_that_end_with_cr_alone() {
+fn lines_that_end_with_cr_alone_are_split() {
     let mut splitter = EventSplitter::new(1024);
     splitter.push(b"id: 1\rdata: a\r\r").unwrap();
     assert!(
@@ -58,7 +61,7 @@
     );
     splitter.push(b"id: 2\r\r:").unwrap();
     assert_eq!(
-        all(&mut splitter)
+        drain_events(&mut splitter)
             .into_iter()
             .filter_map(|e| e.1)
             .collect::<Vec<_>>(),
@@ -67,7 +70,7 @@
 }
 
 #[test]
-fn an_event_that_grows_too_large_is_an_error() {
+fn event_over_the_limit_is_an_error() {
     let mut splitter = EventSplitter::new(8);
     assert!(splitter.push(b"data: 12").is_ok());
     assert!(splitter.next_event().is_none());
@@ -89,7 +92,7 @@
 #[case(Some("10"), Some("9"), false)]
 #[case(Some("9"), Some("10"), true)]
 #[case(Some("4"), None, true)]
-fn what_was_passed_on_before_is_not_again(
+fn event_already_forwarded_is_not_new(
     #[case] last: Option<&str>,
     #[case] id: Option<&str>,
     #[case] admitted: bool,
