--- a/crates/fake-hosts/src/discovery.rs
+++ b/crates/fake-hosts/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery: an agent for each coordinator, which has what it was sent so far and serves
+//! A fake discovery: an agent for each coordinator, which has the list so far and serves
 //! it as `GET /catalog/members`, whole or as a watch.
 
 use crate::event_log::{Epoch, Event, EventKind, EventLog, Phase};
--- a/crates/fake-hosts/src/relay.rs
+++ b/crates/fake-hosts/src/relay.rs
@@ -1,5 +1,5 @@
 //! A relay between coordinators: each pair's datagrams pass through sockets of its own, where they can be lost,
-//! doubled, delayed out of order, or cut off in one direction.
+//! duplicated, delayed out of order, or cut off in one direction.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a relay's thread looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often a relay's thread checks whether it has to end.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What happens to datagrams on their way.
 #[derive(Clone, Debug, Default)]
@@ -38,7 +38,10 @@
 }
 
 impl Relay {
-    /// A relay to these addresses, without faults; its draws follow from the seed.
+    /// Starts a relay to these addresses, without faults. Its random numbers follow from the seed.
+    ///
+    /// # Errors
+    /// If a socket can't be had.
     pub fn start(listens: Vec<SocketAddr>, seed: u64) -> std::io::Result<Self> {
         let n = listens.len();
         let bind = |_| UdpSocket::bind("127.0.0.1:0");
@@ -62,17 +65,17 @@
         };
         for from in 0..n {
             for to in (0..n).filter(|to| *to != from) {
-                relay.carry(from, to, seed ^ (from * n + to) as u64);
+                relay.forward(from, to, seed ^ (from * n + to) as u64);
             }
         }
         Ok(relay)
     }
 
-    fn carry(&self, from: usize, to: usize, seed: u64) {
+    fn forward(&self, from: usize, to: usize, seed: u64) {
         let (sockets, listens) = (self.sockets.clone(), self.listens.clone());
         let (faults, passed, stop) = (self.faults.clone(), self.passed.clone(), self.stop.clone());
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let _ = sockets[from][to].set_read_timeout(Some(LOOK));
+        let _ = sockets[from][to].set_read_timeout(Some(STOP_POLL_INTERVAL));
         thread::spawn(move || {
             let mut buffer = [0; 2048];
             while !stop.load(Ordering::Relaxed) {
@@ -89,13 +92,13 @@
                         (sockets.clone(), listens[to], buffer[..n].to_vec());
                     let wait = now.delay.mul_f64(rng.random::<f64>());
                     // It leaves by the address under which the receiver knows the sender.
-                    let go = move || drop(sockets[to][from].send_to(&bytes, listen));
+                    let send = move || drop(sockets[to][from].send_to(&bytes, listen));
                     if wait.is_zero() {
-                        go();
+                        send();
                     } else {
                         thread::spawn(move || {
                             thread::sleep(wait);
-                            go();
+                            send();
                         });
                     }
                 }
@@ -110,7 +113,10 @@
         }
     }
 
-    /// Sends bytes to one coordinator as though another had said them.
+    /// Sends bytes to one coordinator as though another had sent them.
+    ///
+    /// # Errors
+    /// If the datagram can't be sent.
     pub fn forge(&self, from: usize, to: usize, bytes: &[u8]) -> std::io::Result<usize> {
         self.sockets[to][from].send_to(bytes, self.listens[to])
     }
--- a/crates/fake-hosts/src/scripted.rs
+++ b/crates/fake-hosts/src/scripted.rs
@@ -1,6 +1,5 @@
-//! Scripted peers: district hosts in both dialects and discovery, on threads of their own. A script that
-//! is broken ends its thread with a message: these are for tests.
-#![allow(missing_docs)]
+//! Scripted peers for tests: district hosts in both dialects and discovery, on threads of their own. A peer whose script
+//! or input is malformed ends its thread with a message.
 
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -14,11 +13,15 @@
 /// Longest wait for anything that must come.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
+/// A duration in milliseconds.
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
 /// Waits for something to become true.
+///
+/// # Panics
+/// If it doesn't within [`PATIENCE`].
 pub fn until(what: &str, mut is: impl FnMut() -> bool) {
     let start = Instant::now();
     while !is() {
@@ -30,9 +33,13 @@
 /// What a scripted host does with a part.
 #[derive(Clone, PartialEq)]
 pub enum Act {
+    /// Answers with this value.
     Serve(String),
+    /// Answers with an error.
     Broke,
+    /// Rejects it.
     Skip,
+    /// Doesn't answer.
     Silent,
     /// Breaks the connection.
     Break,
@@ -45,12 +52,17 @@
 /// A part as a host met it.
 #[derive(Clone, Debug)]
 pub struct Seen {
+    /// The host's number.
     pub host: usize,
     /// The part, however the dialect names it: query, dot, shard.
     pub id: String,
+    /// The shard.
     pub shard: u32,
+    /// The idempotency key.
     pub key: Option<String>,
+    /// The query's text.
     pub text: String,
+    /// When it arrived.
     pub at: Instant,
     /// When it was over for the host: answered, withdrawn or cut off.
     pub over: Option<Instant>,
@@ -63,6 +75,10 @@
 pub struct Ledger(Arc<Mutex<Vec<Seen>>>);
 
 impl Ledger {
+    /// All parts so far.
+    ///
+    /// # Panics
+    /// If a host's thread panicked while it recorded a part.
     pub fn all(&self) -> Vec<Seen> {
         self.0.lock().unwrap().clone()
     }
@@ -79,7 +95,10 @@
         seen.over.get_or_insert_with(Instant::now);
     }
 
-    /// Attempts by part; checks that none overlapped and no keyed one came after its window.
+    /// Number of attempts by part; checks that none overlapped and no keyed one came after its window.
+    ///
+    /// # Panics
+    /// If a part was sent more than `most` times, its attempts overlapped, or one came after its window.
     pub fn attempts(&self, most: usize, window: Duration) -> HashMap<String, usize> {
         let mut parts: HashMap<String, Vec<Seen>> = HashMap::new();
         for s in self.all() {
@@ -110,19 +129,26 @@
 
 /// A scripted district host.
 pub struct Host {
+    /// Where it listens.
     pub addr: String,
+    /// Its connections so far.
     pub conns: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 /// An address where connections never come up: its listener's queue is full.
 pub struct Stuck {
+    /// The address.
     pub addr: String,
     _listener: socket2::Socket,
     _waiting: Vec<TcpStream>,
 }
 
 impl Stuck {
-    #[allow(clippy::new_without_default)]
+    /// Listens with a full backlog.
+    ///
+    /// # Panics
+    /// If no socket can be had.
+    #[allow(clippy::new_without_default, reason = "it opens sockets")]
     pub fn new() -> Self {
         let listener =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -141,6 +167,9 @@
 }
 
 /// Starts a host that speaks frames or OpenSearch.
+///
+/// # Panics
+/// If no socket can be had.
 pub fn host(
     n: usize,
     http: bool,
@@ -170,6 +199,7 @@
     Host { addr, conns }
 }
 
+/// A frame: its length in four bytes, a letter, the rest.
 pub fn frame(letter: char, rest: &str) -> Vec<u8> {
     let mut f = (rest.len() as u32 + 1).to_be_bytes().to_vec();
     f.push(letter as u8);
@@ -177,6 +207,28 @@
     f
 }
 
+/// Reads the next part of a call's frame.
+fn read_part(host: usize, rest: &mut &[u8]) -> std::io::Result<Seen> {
+    let mut line = String::new();
+    rest.read_line(&mut line)?;
+    let fields: Vec<&str> = line.trim_end().split(' ').collect();
+    let (text, left) = rest.split_at(fields[3].parse().unwrap());
+    let text = String::from_utf8(text.to_vec()).unwrap();
+    *rest = left;
+    let mut entries = fields[2].split(',');
+    let key = entries.find_map(|p| p.strip_prefix("k="));
+    Ok(Seen {
+        host,
+        id: fields[0].to_owned(),
+        shard: fields[1].parse().unwrap(),
+        key: key.map(str::to_owned),
+        text,
+        at: Instant::now(),
+        over: None,
+        ran: true,
+    })
+}
+
 fn speak_frames(
     host: usize,
     mut stream: TcpStream,
@@ -200,27 +252,8 @@
             b'q' => {
                 let mut rest = &rest[..];
                 while !rest.is_empty() {
-                    let mut line = String::new();
-                    rest.read_line(&mut line)?;
-                    let f: Vec<&str> = line.trim_end().split(' ').collect();
-                    let (text, left) = rest.split_at(f[3].parse().unwrap());
-                    rest = left;
-                    let key = f[2]
-                        .split(',')
-                        .find_map(|p| p.strip_prefix("k="))
-                        .map(str::to_owned);
-                    let text = String::from_utf8(text.to_vec()).unwrap();
-                    let (id, shard, at) = (f[0].to_owned(), f[1].parse().unwrap(), Instant::now());
-                    let seen = Seen {
-                        host,
-                        id: id.clone(),
-                        shard,
-                        key,
-                        text,
-                        at,
-                        over: None,
-                        ran: true,
-                    };
+                    let seen = read_part(host, &mut rest)?;
+                    let id = seen.id.clone();
                     let n = ledger.add(seen.clone());
                     open.push((id.clone(), n));
                     let (word, value) = match script(&seen) {
@@ -248,7 +281,13 @@
     }
 }
 
-/// One HTTP message: its first line, headers and body.
+/// Reads one HTTP message: its first line, headers and body.
+///
+/// # Errors
+/// If the stream ends.
+///
+/// # Panics
+/// If the message is malformed.
 pub fn message(
     stream: &mut impl BufRead,
 ) -> std::io::Result<(String, HashMap<String, String>, String)> {
@@ -278,6 +317,37 @@
     Ok((lines.remove(0), headers, String::from_utf8(body).unwrap()))
 }
 
+/// The shard that a `preference` names.
+fn preferred_shard(preference: &str) -> u32 {
+    let (_, shard) = preference.rsplit_once("_shards:").unwrap();
+    shard.trim_matches('"').parse().unwrap()
+}
+
+/// The shards and bodies of a request's searches.
+fn searches(target: &str, body: &str) -> Vec<(u32, String)> {
+    if target != "/_msearch" {
+        return vec![(preferred_shard(target), body.to_owned())];
+    }
+    let lines: Vec<&str> = body.lines().collect();
+    let pairs = lines.chunks(2).map(|pair| {
+        let head: Value = serde_json::from_str(pair[0]).unwrap();
+        let shard = preferred_shard(head["preference"].as_str().unwrap());
+        (shard, pair[1].to_owned())
+    });
+    pairs.collect()
+}
+
+/// The body of an answer to several searches.
+fn combine(answers: Vec<(u16, String)>) -> String {
+    let with_status = |(status, body): (u16, String)| {
+        let mut value: Value = serde_json::from_str(&body).unwrap_or(json!({}));
+        value["status"] = status.into();
+        value
+    };
+    let responses: Vec<Value> = answers.into_iter().map(with_status).collect();
+    json!({ "responses": responses }).to_string()
+}
+
 fn speak_http(
     host: usize,
     stream: TcpStream,
@@ -294,30 +364,8 @@
             write!(output, "HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{{}}")?;
             continue;
         }
-        let shard_of = |p: &str| {
-            p.rsplit_once("_shards:")
-                .unwrap()
-                .1
-                .trim_matches('"')
-                .parse::<u32>()
-                .unwrap()
-        };
         let many = target == "/_msearch";
-        let searches: Vec<(u32, String)> = if !many {
-            vec![(shard_of(&target), body.clone())]
-        } else {
-            body.lines()
-                .collect::<Vec<_>>()
-                .chunks(2)
-                .map(|p| {
-                    let head: Value = serde_json::from_str(p[0]).unwrap();
-                    (
-                        shard_of(head["preference"].as_str().unwrap()),
-                        p[1].to_owned(),
-                    )
-                })
-                .collect()
-        };
+        let searches = searches(&target, &body);
         let (mut answers, mut silent, mut broken) = (Vec::new(), false, false);
         for (shard, text) in searches {
             // Parts of several queries may share a call; only its first one's name is told.
@@ -356,16 +404,10 @@
         if silent {
             continue;
         }
-        let (status, body) = if !many {
-            answers.remove(0)
+        let (status, body) = if many {
+            (200, combine(answers))
         } else {
-            let one = |(status, body): (u16, String)| {
-                let mut value: Value = serde_json::from_str(&body).unwrap_or(json!({}));
-                value["status"] = status.into();
-                value
-            };
-            let all: Vec<Value> = answers.into_iter().map(one).collect();
-            (200, json!({"responses": all}).to_string())
+            answers.remove(0)
         };
         write!(
             output,
@@ -381,7 +423,10 @@
            "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// Scripted discovery: what is sent here goes out as a line of every watch.
+/// Starts a scripted discovery: its address, and a sender whose lines go out to the current watch.
+///
+/// # Panics
+/// If no socket can be had.
 pub fn discovery() -> (String, Sender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
--- a/crates/fake-hosts/src/search.rs
+++ b/crates/fake-hosts/src/search.rs
@@ -15,6 +15,10 @@
 /// Largest head and body that are taken.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_BODY_BYTES: usize = 1024 * 1024;
+/// Capacity for the input of a connection.
+const INPUT_BUFFER_BYTES: usize = 16 * 1024;
+/// Timeout of a search that names none, in milliseconds.
+const DEFAULT_TIMEOUT_MS: u64 = 60_000;
 /// Hits that a host has for a search, at most.
 const HITS_PER_SHARD: u64 = 10;
 
@@ -146,80 +150,100 @@
 }
 
 async fn converse(host: &Rc<Host>, coordinator: u16, stream: &mut TcpStream) {
-    let mut input = BytesMut::with_capacity(16 * 1024);
+    let mut input = BytesMut::with_capacity(INPUT_BUFFER_BYTES);
     loop {
-        let asked = match tokio::time::timeout(host.conn.idle, request(stream, &mut input)).await {
-            Ok(Some(asked)) => asked,
-            _ => return,
+        let next = tokio::time::timeout(host.conn.idle, request(stream, &mut input));
+        let Ok(Some(asked)) = next.await else {
+            return;
         };
         if asked.target == "/" {
-            if stream
-                .write_all(text(200, &json!({})).as_bytes())
-                .await
-                .is_err()
-            {
+            if send(stream, 200, &json!({})).await.is_err() {
                 return;
             }
             continue;
         }
         let Some(searches) = searches(&asked) else {
-            let _ = stream
-                .write_all(text(400, &json!({"status": 400})).as_bytes())
-                .await;
+            let _ = send(stream, 400, &json!({"status": 400})).await;
             return;
         };
         let mut open = OpenAttempts::new(host.clone(), coordinator);
-        let (mut ended, mut order) = (HashMap::new(), Vec::new());
-        for (n, (shard, body)) in searches.iter().enumerate() {
-            let wait = body["timeout"]
-                .as_str()
-                .and_then(|t| t.strip_suffix("ms"))
-                .and_then(|t| t.parse().ok());
-            let wait = Duration::from_millis(wait.unwrap_or(60_000));
-            // Parts of several queries may share a call; the text says whose a part is.
-            let marked = reference(&body.to_string(), *shard);
-            let (shard, key, first) = (*shard, asked.key.as_deref(), n == 0);
-            let arrival = ArrivingPart {
-                name: &asked.name,
-                shard,
-                key,
-                wait,
-                marked,
-                first,
-            };
-            let (attempt, end) = open.arrive("", form(shard, body), arrival);
-            order.push(attempt);
-            ended.extend(end.map(|e| (attempt, e)));
-        }
-        let outbox = open.outbox.clone();
-        while ended.len() < order.len() {
-            tokio::select! {
-                () = outbox.wait() => for reply in outbox.take() {
-                    if open.answered(&reply).is_some() {
-                        ended.insert(reply.attempt, reply.end);
-                    }
-                },
-                // The sender's only way to give a part up is to close.
-                more = stream.read_buf(&mut input) => if !more.is_ok_and(|n| n > 0) { return },
-            }
-        }
-        let one = |((shard, body), attempt): (&(u32, Value), &u64)| {
-            answer(form(*shard, body), ended[attempt])
-        };
-        let mut answers: Vec<(u16, Value)> = searches.iter().zip(&order).map(one).collect();
-        let (status, body) = match &mut answers[..] {
-            [_] if asked.target != "/_msearch" => answers.remove(0),
-            _ => (
-                200,
-                json!({"responses": answers.into_iter().map(|(_, b)| b).collect::<Vec<_>>()}),
-            ),
+        let Some(answers) = run_searches(&mut open, &asked, &searches, stream, &mut input).await
+        else {
+            return;
         };
-        if stream
-            .write_all(text(status, &body).as_bytes())
-            .await
-            .is_err()
-        {
+        let (status, body) = combine(&asked, answers);
+        if send(stream, status, &body).await.is_err() {
             return;
         }
     }
 }
+
+async fn send(stream: &mut TcpStream, status: u16, body: &Value) -> std::io::Result<()> {
+    stream.write_all(text(status, body).as_bytes()).await
+}
+
+/// Runs the searches of a request; their answers in order, or `None` if the sender closes the connection first, which is
+/// its only way to withdraw them.
+async fn run_searches(
+    open: &mut OpenAttempts,
+    asked: &SearchRequest,
+    searches: &[(u32, Value)],
+    stream: &mut TcpStream,
+    input: &mut BytesMut,
+) -> Option<Vec<(u16, Value)>> {
+    let (mut ended, mut order) = (HashMap::new(), Vec::new());
+    for (n, (shard, body)) in searches.iter().enumerate() {
+        let arrival = arriving_part(asked, *shard, body, n == 0);
+        let (attempt, end) = open.arrive("", form(*shard, body), arrival);
+        order.push(attempt);
+        ended.extend(end.map(|e| (attempt, e)));
+    }
+    let outbox = open.outbox.clone();
+    while ended.len() < order.len() {
+        tokio::select! {
+            () = outbox.wait() => for reply in outbox.take() {
+                if open.answered(&reply).is_some() {
+                    ended.insert(reply.attempt, reply.end);
+                }
+            },
+            more = stream.read_buf(input) => if !more.is_ok_and(|n| n > 0) { return None },
+        }
+    }
+    let answered = searches.iter().zip(&order);
+    Some(
+        answered
+            .map(|((shard, body), attempt)| answer(form(*shard, body), ended[attempt]))
+            .collect(),
+    )
+}
+
+/// A search as a part of a query.
+fn arriving_part<'a>(
+    asked: &'a SearchRequest,
+    shard: u32,
+    body: &Value,
+    first: bool,
+) -> ArrivingPart<'a> {
+    let timeout = body["timeout"].as_str();
+    let wait_ms = timeout
+        .and_then(|t| t.strip_suffix("ms"))
+        .and_then(|t| t.parse().ok());
+    ArrivingPart {
+        name: &asked.name,
+        shard,
+        key: asked.key.as_deref(),
+        wait: Duration::from_millis(wait_ms.unwrap_or(DEFAULT_TIMEOUT_MS)),
+        // Parts of several queries may share a call; the text says whose a part is.
+        marked: reference(&body.to_string(), shard),
+        first,
+    }
+}
+
+/// The answer to a request: that of its search, or the answers to several.
+fn combine(asked: &SearchRequest, mut answers: Vec<(u16, Value)>) -> (u16, Value) {
+    if asked.target != "/_msearch" && answers.len() == 1 {
+        return answers.remove(0);
+    }
+    let bodies: Vec<Value> = answers.into_iter().map(|(_, body)| body).collect();
+    (200, json!({"responses": bodies}))
+}
--- a/crates/fake-hosts/tests/modules/event_log.rs
+++ b/crates/fake-hosts/tests/modules/event_log.rs
@@ -1,7 +1,7 @@
 use fake_hosts::event_log::{mark, reference, AttemptRef};
 
 #[test]
-fn a_mark_is_found_again_in_any_text() {
+fn mark_is_found_when_embedded_in_any_text() {
     let r = AttemptRef {
         query: 12,
         attempt: 1,
--- a/crates/fake-hosts/tests/modules/frames.rs
+++ b/crates/fake-hosts/tests/modules/frames.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_call_is_read_part_by_part_and_a_bad_one_not_at_all() {
+fn call_is_parsed_when_well_formed_and_rejected_otherwise() {
     let call = "a.3 3 d=240,k=k1 8\nlab:1.2;a.4 4 d=240 0\n";
     let all = parse_call(call.as_bytes()).unwrap();
     assert_eq!(
--- a/crates/fake-hosts/tests/modules/model.rs
+++ b/crates/fake-hosts/tests/modules/model.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn running_parts_share_the_cores_and_the_rest_waits_its_turn() {
+fn parts_share_cores_and_queue_when_slots_are_full() {
     let mut m = HostModel::new(plain(), 1, 0);
     // Four slots on two cores: four parts of 100 ms take 200 ms, the fifth then 100 ms alone.
     for id in 0..5 {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_waiting_room_ends_and_a_late_part_is_not_begun() {
+fn part_is_rejected_when_the_queue_is_full_and_expires_when_late() {
     let spec = HostSpec {
         queue_per_core: 1.0,
         cores: 1,
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_cold_host_is_slow_and_falls_when_pushed_but_not_when_fed_gently() {
+fn cold_host_falls_over_only_when_overloaded() {
     let gentle = |per_second: u32| {
         let mut m = HostModel::new(
             HostSpec {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_pause_holds_up_all_work_for_its_length() {
+fn no_work_is_done_when_a_host_pauses() {
     let often = HostSpec {
         pause_us: [50_000; 2],
         pause_every_us: [1_000_000; 2],
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_report_shows_late_and_stays_until_the_next() {
+fn report_is_shown_late_and_kept_until_the_next() {
     let spec = HostSpec {
         report_noise: 0.0,
         report_every_us: 100,
--- a/crates/load-test/src/compare.rs
+++ b/crates/load-test/src/compare.rs
@@ -32,12 +32,13 @@
     if a.plan != b.plan {
         let _ = writeln!(t, "| plan | {} | {} | differ |", a.plan, b.plan);
     }
-    for (name, of) in METRICS {
-        let (x, y) = (of(a), of(b));
-        let _ = writeln!(t, "| {name} | {x:.3} | {y:.3} | {} |", ratio(x, y));
+    for (name, metric) in METRICS {
+        let (of_a, of_b) = (metric(a), metric(b));
+        let ratio = ratio(of_a, of_b);
+        let _ = writeln!(t, "| {name} | {of_a:.3} | {of_b:.3} | {ratio} |");
     }
-    for (side, s) in [("A", a), ("B", b)] {
-        if let Some(why) = &s.void {
+    for (side, summary) in [("A", a), ("B", b)] {
+        if let Some(why) = &summary.void {
             let _ = writeln!(t, "\n{side} is void: {why}");
         }
     }
@@ -64,15 +65,15 @@
         all.len(),
         all.len() - good.len()
     );
-    for (name, of) in METRICS {
-        let (a, b): (Vec<f64>, Vec<f64>) = good.iter().map(|(a, b)| (of(a), of(b))).unzip();
+    for (name, metric) in METRICS {
+        let (a, b): (Vec<f64>, Vec<f64>) = good.iter().map(|(a, b)| (metric(a), metric(b))).unzip();
         let ratios: Vec<f64> = a
             .iter()
             .zip(&b)
             .filter(|(a, _)| **a != 0.0)
             .map(|(a, b)| b / a)
             .collect();
-        let (Some(ra), Some(rb)) = (Range::of(&a), Range::of(&b)) else {
+        let (Some(range_a), Some(range_b)) = (Range::of(&a), Range::of(&b)) else {
             continue;
         };
         let spread = Range::of(&ratios).map_or("- | - | -".to_owned(), |r| {
@@ -81,7 +82,7 @@
         let _ = writeln!(
             t,
             "| {name} | {:.3} | {:.3} | {spread} |",
-            ra.median, rb.median
+            range_a.median, range_b.median
         );
     }
     t
--- a/crates/load-test/src/lib.rs
+++ b/crates/load-test/src/lib.rs
@@ -1,4 +1,4 @@
-//! A load generator and lab: a whole deployment on loopback, driven open-loop, audited and reported.
+//! A load generator: a whole deployment on loopback, driven open-loop, audited and reported.
 //!
 //! Free of I/O and clock: [`curve`], [`arrivals`], [`plan`], [`clients`], [`audit`], [`stats`]. On sockets and
 //! processes: [`engine`], [`deploy`], [`run`]. `docs/design/load-generator.md` says why it is built this way.
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole run: stand-ins, coordinators, generator, faults by their timetable, then the audit.
+//! A whole run: fake hosts, coordinators, generator, faults by their timetable, then the audit.
 
 use crate::audit::{audit, Evidence, Violation};
 use crate::deploy::{program, Coordinators, DeployError, Usage};
@@ -150,9 +150,9 @@
     )
 }
 
-/// A deployment that runs: stand-ins and coordinators, all ready.
+/// A running deployment: fake hosts and coordinators, all ready.
 pub struct Deployment {
-    /// The stand-ins.
+    /// The fake hosts and discovery.
     pub fleet: Fleet,
     /// The coordinators.
     pub coordinators: Coordinators,
--- a/crates/load-test/src/scenario/fleet.rs
+++ b/crates/load-test/src/scenario/fleet.rs
@@ -191,7 +191,7 @@
 }
 
 impl Scenario {
-    /// The fleet as the stand-ins take it. A host's cell goes by its number, its zone by its place within
+    /// The fleet as the fake hosts take it. A host's cell goes by its number, its zone by its place within
     /// the cell, so that each cell has hosts in several zones.
     pub fn fleet_spec(&self) -> FleetSpec {
         let (f, h) = (&self.fleet, &self.fleet.host);
--- a/crates/load-test/tests/generator.rs
+++ b/crates/load-test/tests/generator.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn each_request_planned_during_a_stall_is_late_by_what_it_waited() {
+fn latency_includes_the_stall_when_requests_were_planned_during_it() {
     let s = scenario(1.0, 3.0, Arrivals::Constant, 10, 2);
     // By hand: 20 ms each; from 0.5 s on it stands still for 1 s.
     let times: Vec<u64> = (0..200).map(|n| n * 10_000).collect();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_and_a_target_gives_no_byte_too_many() {
+fn connection_is_reused_when_answers_have_no_extra_bytes() {
     let s = scenario(1.0, 1.0, Arrivals::Constant, 10, 1);
     let plan = Plan((0..50).map(|n| query_at(&s, n * 4000, 0)).collect());
     let (addr, conns) = server(|_, stream| ok(stream));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn an_answer_cut_half_way_is_no_answer() {
+fn attempt_is_cut_when_its_answer_ends_half_way() {
     let s = scenario(1.0, 1.0, Arrivals::Constant, 10, 1);
     let plan = Plan((0..10).map(|n| query_at(&s, n * 1000, 0)).collect());
     let (addr, _) = server(|n, stream| {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_end_that_crosses_a_request_on_a_kept_connection_is_sent_once_more() {
+fn request_is_sent_again_when_a_kept_connection_ends_under_it() {
     let s = scenario(1.0, 1.0, Arrivals::Constant, 10, 1);
     let plan = Plan((0..20).map(|n| query_at(&s, n * 20_000, 0)).collect());
     // Every second request of a connection is met by its end, unread as far as the client can tell.
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn retries_of_a_thousand_clients_in_one_instant_all_count() {
+fn all_attempts_are_recorded_when_a_thousand_clients_retry_at_once() {
     let mut s = scenario(1.0, 1.0, Arrivals::Constant, 10, 2);
     s.clients.connections = 200;
     let one = |_| Planned {
--- a/crates/load-test/tests/load_test.rs
+++ b/crates/load-test/tests/load_test.rs
@@ -1,5 +1,5 @@
-//! The lab as a program: whole deployments, their hard hours, and its exit codes. The coordinator is the
-//! one that the workspace's test run has built.
+//! `load-test` as a program: whole deployments, faults, and exit codes. The coordinator is the one that the workspace's
+//! test run has built.
 
 use load_test::clients::AttemptOutcome;
 use load_test::record::ProcessEvent;
@@ -30,7 +30,7 @@
 }
 
 fn scenario(name: &str, more: &str) -> String {
-    // A busy machine may hold a stand-in's thread up: the auditor's limits are not what is tested here.
+    // A busy machine may delay a fake host's thread: the auditor's limits are not what is tested here.
     format!(
         "name = '{name}'\nlength_s = 4\n[audit]\nslack_ms = 500\n{FLEET}[traffic]\n{TRAFFIC}{more}"
     )
@@ -46,7 +46,7 @@
     run(&s, &o).unwrap()
 }
 
-fn lab(args: &[&str]) -> (Option<i32>, String) {
+fn run_program(args: &[&str]) -> (Option<i32>, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_load-test"))
         .args(args)
         .output()
@@ -58,7 +58,7 @@
 }
 
 /// What must hold of any run: all that was planned is accounted for, and no rule is broken.
-fn sound(o: &Outcome) {
+fn assert_no_rule_broken(o: &Outcome) {
     assert_eq!(
         o.queries.len(),
         o.plan.0.len(),
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn both_fronts_are_driven_and_audited() {
+fn no_rule_is_broken_when_both_fronts_are_driven() {
     let o = outcome("fronts", "[traffic.arrivals]\nprocess = 'poisson'\n");
-    sound(&o);
+    assert_no_rule_broken(&o);
     let text =
         scenario("opensearch", "").replace("[traffic]\n", "[traffic]\nfronts = ['opensearch']\n");
     let hosts = text.replace("hosts = 8\n", "hosts = 8\ndialect = 'opensearch'\n");
@@ -94,7 +94,7 @@
             },
         )
         .unwrap();
-        sound(&o);
+        assert_no_rule_broken(&o);
         assert!(
             o.figures.outcomes["served"] > 100,
             "{:?}",
@@ -104,13 +104,13 @@
 }
 
 #[test]
-fn what_is_planned_while_a_coordinator_stands_still_counts_as_late() {
+fn queries_are_late_when_planned_while_a_coordinator_is_stopped() {
     let fault = "[[fault]]\nat_s = 1\nkind = 'coordinator-stall'\nwhich = [0]\nfor_s = 2\n";
     let o = outcome(
         "stall",
         &format!("[clients]\npatience = [1.0, 1.0]\n{fault}"),
     );
-    sound(&o);
+    assert_no_rule_broken(&o);
     let at = |life| o.processes.0.iter().find(|e| e.event == life).unwrap().at;
     let (stopped, went_on) = (at(ProcessEvent::Stopped), at(ProcessEvent::Continued));
     assert!(went_on - stopped >= 1_900_000);
@@ -138,12 +138,12 @@
 }
 
 #[test]
-fn a_killed_coordinators_open_requests_are_accounted_for_and_excused() {
+fn open_requests_are_recorded_and_excused_when_a_coordinator_is_killed() {
     let faults = "[clients]\nnotice_s = [0.5, 0.5]\n\
         [[fault]]\nat_s = 0.4\nkind = 'host-slow'\nwhich = [0, 1, 2, 3, 4, 5, 6, 7]\nfor_s = 2\ntimes = 30\n\
         [[fault]]\nat_s = 1.2\nkind = 'coordinator-kill'\nwhich = [0]\nfor_s = 1\n";
     let o = outcome("kill", faults);
-    sound(&o);
+    assert_no_rule_broken(&o);
     let killed = o
         .processes
         .0
@@ -190,7 +190,7 @@
 
 /// Hosts that die, drain and come back cold while four cores of two coordinators want them.
 #[test]
-fn four_cores_keep_the_rules_while_hosts_drain_and_come_back_cold() {
+fn no_rule_is_broken_when_hosts_drain_and_restart_cold_under_four_cores() {
     let faults = "[[fault]]\nat_s = 0.3\nkind = 'host-crash'\nwhich = [0, 5]\nfor_s = 1\n\
         [[fault]]\nat_s = 0.5\nkind = 'host-release'\nwhich = [2]\nfor_s = 1.5\n\
         [[fault]]\nat_s = 1\nkind = 'host-silent'\nwhich = [7]\nfor_s = 2\n";
@@ -207,7 +207,7 @@
         },
     )
     .unwrap();
-    sound(&o);
+    assert_no_rule_broken(&o);
     let told = |what: &fake_hosts::event_log::EventKind| {
         matches!(what, fake_hosts::event_log::EventKind::ListUpdateSent(_))
     };
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_run_leaves_its_results_and_a_plan_that_can_be_shown() {
+fn results_and_plan_are_kept_when_a_run_ends() {
     let path = file(
         "results",
         &scenario(
@@ -238,7 +238,7 @@
         out.to_str().unwrap(),
         trace.to_str().unwrap(),
     );
-    let (code, said) = lab(&["run", path, "--out", out, "--record", trace]);
+    let (code, said) = run_program(&["run", path, "--out", out, "--record", trace]);
     assert!(code == Some(0) || code == Some(4), "{said}");
     for name in [
         "summary.json",
@@ -264,15 +264,15 @@
             .unwrap()
             .to_owned()
     };
-    let (_, shown) = lab(&["trace", "show", path]);
-    let (_, traced) = lab(&["trace", "show", path, "--trace", trace]);
+    let (_, shown) = run_program(&["trace", "show", path]);
+    let (_, traced) = run_program(&["trace", "show", path, "--trace", trace]);
     assert_eq!(digest(&said), digest(&shown));
     assert_eq!(
         digest(&said),
         digest(&traced),
         "a recorded run is the plan again"
     );
-    let (code, said) = lab(&["compare", out, out]);
+    let (code, said) = run_program(&["compare", out, out]);
     assert!(
         code == Some(0) && said.contains("| latency p50 ms |"),
         "{said}"
@@ -281,7 +281,7 @@
 
 /// A program that answers everything with a whole answer of no parts in place of a coordinator.
 #[test]
-fn a_broken_rule_has_its_own_exit_code_and_its_story() {
+fn exit_code_and_timeline_are_given_when_a_rule_is_broken() {
     let liar = dir("liar").join("liar.sh");
     let listen = "sed -n 's/.*\"listen\": \"\\([^\"]*\\)\".*/\\1/p' \"$5\"";
     let text = format!(
@@ -296,7 +296,7 @@
     );
     let out = dir("liar").join("out");
     let (path, out) = (path.to_str().unwrap(), out.to_str().unwrap());
-    let (code, said) = lab(&["run", path, "--bin", liar.to_str().unwrap(), "--out", out]);
+    let (code, said) = run_program(&["run", path, "--bin", liar.to_str().unwrap(), "--out", out]);
     assert_eq!(code, Some(3), "{said}");
     assert!(
         said.contains("BROKEN honest") && said.contains("marked whole with 0 of"),
@@ -309,12 +309,12 @@
 }
 
 #[test]
-fn bad_files_end_with_2_before_anything_runs() {
+fn exit_code_is_2_when_a_file_is_bad() {
     let bad = file(
         "bad",
         &scenario("bad", "").replace("hosts = 8", "hosts = 0"),
     );
-    let (code, said) = lab(&["run", bad.to_str().unwrap()]);
+    let (code, said) = run_program(&["run", bad.to_str().unwrap()]);
     assert!(
         code == Some(2) && said.contains("fleet.hosts") && said.contains("scenario.toml"),
         "{said}"
@@ -323,17 +323,17 @@
     let path = file("trace", text);
     let day = path.with_file_name("day.csv");
     std::fs::write(&day, "at_us,class\n5,nearby-search\n4,nearby-search\n").unwrap();
-    let (code, said) = lab(&["run", path.to_str().unwrap()]);
+    let (code, said) = run_program(&["run", path.to_str().unwrap()]);
     assert!(
         code == Some(2) && said.contains("day.csv: line 3: time goes back"),
         "{said}"
     );
-    let (code, said) = lab(&["run", path.to_str().unwrap(), "--bin", "/nowhere/fennelpin"]);
+    let (code, said) = run_program(&["run", path.to_str().unwrap(), "--bin", "/nowhere/fennelpin"]);
     assert!(code == Some(2), "{said}");
 }
 
 #[test]
-fn a_full_descriptor_table_makes_queries_late_and_the_run_void_but_drops_none() {
+fn run_is_void_and_no_query_dropped_when_descriptors_run_out() {
     let mut target = Command::new(env!("CARGO_BIN_EXE_load-test"))
         .args(["target", "--fixed-ms", "400"])
         .stdout(Stdio::piped())
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn up_prints_addresses_that_answer_until_it_is_told_to_end() {
+fn printed_addresses_answer_when_a_deployment_is_up() {
     let path = file("up", &scenario("up", ""));
     let mut child = Command::new(env!("CARGO_BIN_EXE_load-test"))
         .args(["up", path.to_str().unwrap()])
--- a/crates/load-test/tests/modules/arrivals.rs
+++ b/crates/load-test/tests/modules/arrivals.rs
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn constant_arrivals_are_even() {
+fn gaps_are_equal_when_arrivals_are_constant() {
     let t = draw(Arrivals::Constant, 250.0, 20.0, 1);
     assert!((4999..=5000).contains(&t.len()));
     assert!(t.windows(2).all(|p| (p[1] - p[0] - 0.004).abs() < 1e-6));
 }
 
 #[test]
-fn poisson_arrivals_have_the_mean_the_variance_and_the_gaps_of_one() {
+fn mean_dispersion_and_gaps_match_theory_when_arrivals_are_poisson() {
     let t = draw(Arrivals::Poisson, 100.0, 2000.0, 2);
     // 200,000 arrivals: the mean's deviation is 0.22%, the dispersion's over 20,000 windows 1%.
     let (mean, dispersion) = counts(&t, 2000.0, 0.1);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn bursty_arrivals_have_the_mean_and_the_dispersion_of_their_closed_form() {
+fn mean_and_dispersion_match_closed_form_when_arrivals_are_bursty() {
     let process = Arrivals::Bursty {
         ratio: 5.0,
         busy_s: 0.5,
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_times_and_another_does_not() {
+fn arrival_times_are_equal_only_when_the_seed_is() {
     let process = Arrivals::Bursty {
         ratio: 3.0,
         busy_s: 1.0,
--- a/crates/load-test/tests/modules/audit.rs
+++ b/crates/load-test/tests/modules/audit.rs
@@ -170,12 +170,12 @@
 }
 
 #[test]
-fn a_clean_ledger_passes() {
+fn no_violation_when_the_event_log_is_clean() {
     assert_eq!(broken(|_| {}), []);
 }
 
 #[test]
-fn a_query_without_an_answer_is_lost_unless_its_coordinator_was_killed_or_stopped() {
+fn unanswered_query_is_lost_unless_its_coordinator_was_killed_or_stopped() {
     for end in [
         AttemptOutcome::Closed,
         AttemptOutcome::Cut,
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn an_answer_after_the_clients_time_is_lost_as_well() {
+fn query_is_lost_when_its_answer_is_late() {
     assert_eq!(broken(|w| w.tried().ended = 13 * S + 60_000), []);
     assert_eq!(broken(|w| w.tried().ended = 13 * S + 80_000), [Rule::Lost]);
     let refused = broken(|w| (w.tried().end, w.tried().ended) = (AttemptOutcome::Refused, 14 * S));
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_second_answer_is_seen() {
+fn violation_when_a_second_answer_arrives() {
     assert_eq!(broken(|w| w.tried().extra = true), [Rule::Twice]);
 }
 
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn two_attempts_at_once_overlap_but_not_one_after_the_other() {
+fn overlap_is_found_only_when_attempts_are_open_at_once() {
     let out_until = 10 * S + 500_000;
     for end in [AttemptEnd::Withdrawn, AttemptEnd::Cut, AttemptEnd::Skipped] {
         assert_eq!(
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn attempts_are_capped_and_keyed_ones_end_with_their_window() {
+fn violation_when_attempts_exceed_the_cap_or_the_key_window() {
     let four = broken(|w| {
         for n in 0..3u64 {
             let at = 10 * S + 700_000 + n * 1000;
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn nothing_reaches_a_host_two_seconds_after_the_news_that_it_drains_or_is_gone() {
+fn violation_when_a_part_arrives_two_seconds_after_a_drain_was_announced() {
     for phase in [Phase::Terminating, Phase::Gone] {
         let told = |at| {
             broken(|w| {
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn a_cold_host_that_falls_is_put_down_to_those_who_knew() {
+fn violation_when_a_cold_host_falls_over_by_coordinators_that_knew() {
     let fell = |up, told: Option<Micros>| {
         broken(|w| {
             w.events
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn answers_that_say_more_than_is_true_are_found() {
+fn violation_when_an_answer_claims_too_much() {
     let say = |shards: &[u32], values: &[u64], full| {
         broken(|w| {
             w.tried().shards = shards.to_vec();
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn parts_nobody_asked_for_and_parts_at_the_wrong_host_are_strays() {
+fn violation_when_a_part_is_unplanned_or_at_the_wrong_host() {
     assert_eq!(
         broken(|w| w.events.push(arrived(10 * S, 2, 30, 2))),
         [Rule::Stray]
@@ -464,7 +464,7 @@
 }
 
 #[test]
-fn over_http_parts_are_told_apart_by_the_clients_mark() {
+fn parts_are_told_apart_by_the_mark_when_the_dialect_is_http() {
     // Two queries in one call: the second one's part bears the first one's name.
     let two = |dialect| {
         broken(|w| {
@@ -488,7 +488,7 @@
 }
 
 #[test]
-fn a_story_tells_all_of_a_query_in_order() {
+fn timeline_is_in_order_when_a_query_has_several_events() {
     let mut w = World::new();
     w.events.push(about(
         10 * S + 2,
--- a/crates/load-test/tests/modules/calibrate.rs
+++ b/crates/load-test/tests/modules/calibrate.rs
@@ -3,7 +3,7 @@
 use load_test::scenario::Arrivals;
 
 #[test]
-fn references_are_those_of_a_hand() {
+fn reference_times_equal_those_worked_out_by_hand() {
     let s = scenario(1.0, 10.0, Arrivals::Constant, 10, 1);
     let plan = Plan(
         [0, 900, 1000, 1500, 2990, 3100]
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn lindley_over_a_long_plan_agrees_with_the_closed_form() {
+fn mean_wait_matches_closed_form_when_the_plan_is_long() {
     let s = scenario(2000.0, 300.0, Arrivals::Poisson, 80, 1);
     let exact = spread(&queues(&Plan::draw(&s), 80, 20_000));
     let off = exact.mean * 1e3 / md1_mean(25e-6, 20_000.0) - 1.0;
--- a/crates/load-test/tests/modules/charts.rs
+++ b/crates/load-test/tests/modules/charts.rs
@@ -3,7 +3,7 @@
 use load_test::stats::Window;
 
 #[test]
-fn each_tick_of_the_percentiles_has_its_own_label() {
+fn labels_differ_when_percentiles_differ() {
     let labels = [0.0, 0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0].map(percentile_label);
     assert_eq!(
         labels,
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn charts_are_drawn_with_their_marks_and_of_nothing_as_well() {
+fn charts_are_drawn_when_there_are_marks_or_no_data() {
     let mut h = load_test::stats::histogram();
     (1..1000).for_each(|n| h.saturating_record(n * 100));
     let windows: Vec<Window> = (0..10)
--- a/crates/load-test/tests/modules/clients.rs
+++ b/crates/load-test/tests/modules/clients.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_client_tries_so_often_and_waits_as_it_was_told() {
+fn retry_delay_follows_backoff_and_retry_after_when_an_attempt_fails() {
     let (s, q) = parts();
     let safe = &s.classes[0];
     let go = |backoff, t| next_attempt_delay(&q, safe, backoff, t);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_booking_is_repeated_within_its_window_and_an_unsafe_query_only_if_it_never_ran() {
+fn retry_is_allowed_when_the_class_permits_it() {
     let (s, q) = parts();
     let keyed = &s.classes[2];
     let go = |class, end, elapsed| {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_front_layer_prefers_the_zone_and_leaves_it_when_all_there_are_down() {
+fn other_zone_is_chosen_when_all_coordinators_of_the_zone_are_down() {
     let up = [true, false, true, false];
     for draw in 0..4 {
         assert_eq!(coordinator(0, 2, &up, draw) % 2, 0);
--- a/crates/load-test/tests/modules/compare.rs
+++ b/crates/load-test/tests/modules/compare.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn pairs_are_compared_pair_by_pair_and_void_ones_left_out() {
+fn void_pairs_are_left_out_when_builds_are_compared() {
     let pair = |a, b| (summary(a, false), summary(b, false));
     let void = (summary(1.0, false), summary(900.0, true));
     let t = pairs(&[pair(10.0, 11.0), pair(20.0, 20.0), pair(40.0, 60.0), void]);
--- a/crates/load-test/tests/modules/curve.rs
+++ b/crates/load-test/tests/modules/curve.rs
@@ -1,7 +1,7 @@
 use load_test::curve::{expected, Shape, Walk};
 
 #[test]
-fn shapes_have_the_area_that_geometry_gives_them() {
+fn integral_matches_geometry_for_each_shape() {
     let surge = Shape::Surge {
         rate: 100.0,
         at_s: 2.0,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_walk_lays_even_amounts_along_the_curve() {
+fn walk_advances_by_equal_amounts_when_the_rate_rises() {
     // A rate that rises from 0 by 2 a second: the n-th query is due at the root of n.
     let shapes = [Shape::Ramp {
         from: 0.0,
--- a/crates/load-test/tests/modules/drivers.rs
+++ b/crates/load-test/tests/modules/drivers.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 #[test]
-fn answers_of_both_fronts_are_read_for_what_they_claim() {
+fn claims_are_parsed_when_either_front_answers() {
     let text = "name = 'x'\nlength_s = 5\n[traffic]\nfronts = ['platform', 'opensearch']\n\
                 [[traffic.shape]]\nkind = 'steady'\nrate = 100\n";
     let s = Scenario::parse(text, Path::new("x.toml")).unwrap();
--- a/crates/load-test/tests/modules/faults.rs
+++ b/crates/load-test/tests/modules/faults.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 #[test]
-fn faults_come_apart_into_actions_in_the_order_of_their_times() {
+fn actions_are_ordered_by_time_when_faults_overlap() {
     let text =
         "name = 'x'\nlength_s = 20\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 1\n\
         [clients]\nnotice_s = [2.0, 2.0]\n\
--- a/crates/load-test/tests/modules/plan.rs
+++ b/crates/load-test/tests/modules/plan.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_plan_byte_for_byte() {
+fn plan_is_equal_byte_for_byte_when_the_seed_is() {
     let s = scenario("");
     assert_eq!(Plan::draw(&s).text(), Plan::draw(&s).text());
     let other = Scenario {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_mix_has_the_shares_that_the_scenario_names() {
+fn shares_match_the_scenario_when_a_plan_is_drawn() {
     let plan = Plan::draw(&scenario("")).0;
     let n = plan.len() as f64;
     let share = |is: &dyn Fn(&&Planned) -> bool| plan.iter().filter(is).count() as f64 / n;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn queries_of_one_key_and_class_need_the_same_districts() {
+fn shards_are_equal_when_key_and_class_are() {
     let plan = Plan::draw(&scenario("")).0;
     let shards = |q: &Planned| q.parts.iter().map(|p| p.shard).collect::<Vec<_>>();
     let mut seen = std::collections::HashMap::new();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_hot_key_has_its_share_while_it_lasts_and_none_outside() {
+fn hot_key_has_its_share_only_while_it_lasts() {
     let plan = Plan::draw(&scenario(
         "[[traffic.hot_key]]\nat_s = 50\nfor_s = 100\nshare = 0.2\n",
     ))
--- a/crates/load-test/tests/modules/record.rs
+++ b/crates/load-test/tests/modules/record.rs
@@ -1,7 +1,7 @@
 use load_test::record::{CoordinatorEvent, ProcessEvent, ProcessHistory};
 
 #[test]
-fn a_coordinator_is_excused_for_kills_stalls_and_what_came_long_after_sigterm() {
+fn coordinator_is_excused_when_killed_stopped_or_long_after_sigterm() {
     let e = |at, event| CoordinatorEvent {
         at,
         coordinator: 0,
--- a/crates/load-test/tests/modules/results.rs
+++ b/crates/load-test/tests/modules/results.rs
@@ -1,7 +1,7 @@
 use load_test::results::report_to_html;
 
 #[test]
-fn a_page_keeps_tables_lists_and_verdicts_apart_and_escapes_them() {
+fn html_is_escaped_and_structured_when_a_report_has_tables_and_lists() {
     let html = report_to_html(
         "# a < b\n\n```\nBROKEN <x>\n```\n- one\n| ms | count |\n| --- | --- |\n| a & b | 1 |\nend",
     );
--- a/crates/load-test/tests/modules/stats.rs
+++ b/crates/load-test/tests/modules/stats.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn figures_are_those_worked_out_by_hand() {
+fn figures_equal_those_worked_out_by_hand() {
     let s = scenario();
     let mut mixer = Mixer::new(&s);
     // 1,000 queries, one each 10 ms: 990 answered after 10 ms, 10 after 1 s, the last 100 refused beside them.
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn worth_falls_with_lateness_and_with_what_is_missing() {
+fn value_falls_when_an_answer_is_late_or_partial() {
     let s = scenario();
     let mut mixer = Mixer::new(&s);
     let plan = Plan(vec![mixer.query(0, Some(1), None, None)]);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_range_is_told_by_its_median_and_its_ends() {
+fn range_has_median_and_ends_when_values_are_given() {
     let r = Range::of(&[3.0, 1.0, 2.0, 10.0]).unwrap();
     assert_eq!((r.least, r.median, r.most), (1.0, 2.5, 10.0));
     assert_eq!(Range::of(&[]), None);
--- a/crates/load-test/tests/modules/trace.rs
+++ b/crates/load-test/tests/modules/trace.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_plan_comes_back_from_either_form_as_it_was() {
+fn plan_is_unchanged_when_written_and_read_in_either_format() {
     let s = scenario();
     let plan = Plan::draw(&s);
     for (name, form) in [
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_trace_from_elsewhere_needs_a_time_and_a_class() {
+fn plan_is_completed_when_a_trace_has_only_time_and_class() {
     let s = scenario();
     let plan = parse(
         "at_us,class\n0,nearby-search\n1500,ride-booking\n",
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_bad_line_is_named_and_nothing_is_run() {
+fn error_names_the_line_when_a_trace_is_malformed() {
     let s = scenario();
     let good = "{\"at_us\":5,\"class\":\"nearby-search\"}\n";
     for (text, name, line, why) in [
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_trace_is_scaled_in_time_and_rate_and_looped() {
+fn trace_is_scaled_and_looped_when_the_scenario_says_so() {
     let s = scenario();
     let plan = Plan::draw(&s);
     let table = |time_scale, rate_scale, looped| TraceTable {
--- a/crates/load-test/tests/scenario.rs
+++ b/crates/load-test/tests/scenario.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_scenario_needs_little_and_its_settings_are_what_a_coordinator_reads() {
+fn defaults_and_settings_are_accepted_when_a_scenario_is_minimal() {
     let s = Scenario::parse(LEAST, Path::new("day.toml")).unwrap();
     assert_eq!((s.classes.len(), s.tenants.len(), s.shards()), (3, 4, 12));
     for c in 0..2 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn errors_name_the_file_and_the_key() {
+fn error_names_file_and_key_when_a_value_is_invalid() {
     let add = |more: &str| format!("{LEAST}{more}");
     for (text, key) in [
         ("length_s = 5".to_owned(), "name"),
