--- a/crates/control-plane/src/runtime/peer_connections/dial.rs
+++ b/crates/control-plane/src/runtime/peer_connections/dial.rs
@@ -196,7 +196,7 @@
                         self.report(PeerEvent::Message(sender.clone(), Box::new(message)));
                     }
                 },
-                Step::Part => {}
+                Step::Partial => {}
                 Step::End => return,
             }
         }
--- a/crates/control-plane/src/runtime/peer_connections/mod.rs
+++ b/crates/control-plane/src/runtime/peer_connections/mod.rs
@@ -203,7 +203,7 @@
             match next {
                 Step::Message(message) => self.receive(&sender, *message, &mut output).await?,
                 // However long a frame takes: its bytes come.
-                Step::Part => {}
+                Step::Partial => {}
                 Step::End => return Ok(()),
             }
             // The member that dialled probes well before that.
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -318,7 +318,7 @@
             Some(Message::Peers { .. })
         ));
         // Some of the first bytes come, and no more.
-        assert!(matches!(data.step().await.unwrap(), Step::Part));
+        assert!(matches!(data.step().await.unwrap(), Step::Partial));
         drop(data);
         let mut data = greet(&listener, &other).await;
         assert_eq!(next_but_probes(&mut data).await, Some(long));
@@ -384,7 +384,7 @@
             match data.step().await.unwrap() {
                 Step::Message(message) if matches!(*message, Message::Peers { .. }) => {}
                 Step::Message(message) => break *message,
-                Step::Part => {
+                Step::Partial => {
                     let bytes = data.received() - received;
                     received = data.received();
                     pass(Duration::from_secs_f64(bytes as f64 / 1.1e6)).await;
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -228,14 +228,14 @@
                 let mut frame = first.take().unwrap_or_default();
                 frame.extend(encode(&pull.ok_or_else(over)?.into_message()));
                 write.write_all(&frame).await?;
-                shared.count(frame.len() as u64, 0);
+                shared.count_traffic(frame.len() as u64, 0);
             }
             step = frames.step() => {
-                shared.count(0, frames.received() - counted);
+                shared.count_traffic(0, frames.received() - counted);
                 counted = frames.received();
                 let message = match step? {
                     Step::Message(message) => message,
-                    Step::Part => {
+                    Step::Partial => {
                         events.send((link, Event::PartialAnswer)).map_err(|_| over())?;
                         continue;
                     }
--- a/crates/replication/src/frame_reader.rs
+++ b/crates/replication/src/frame_reader.rs
@@ -1,21 +1,26 @@
-//! Whole messages from a stream of bytes.
+//! Reads frames from a stream of bytes.
 
 use protocol::{decode, Message};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// What a look at a stream brings.
+/// How many bytes the buffer keeps while it is empty.
+const MAX_IDLE_BUFFER: usize = 16 << 10;
+/// How many bytes one read has room for at least.
+const READ_SIZE: usize = 4096;
+
+/// What one read of the stream brought.
 #[derive(Debug)]
 pub enum Step {
-    /// A whole message.
+    /// A complete message.
     Message(Box<Message>),
-    /// Some bytes more.
-    Part,
+    /// Some bytes of a message.
+    Partial,
     /// The end of the stream.
     End,
 }
 
-/// Reads frames. What was read and not yet decoded is kept, so a read that is given up loses nothing.
+/// Reads frames. Bytes that are not decoded yet are kept, so a read may be cancelled without loss.
 pub struct FrameReader<R> {
     stream: R,
     buffer: Vec<u8>,
@@ -23,7 +28,7 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// Reads from `stream`, after the bytes that `buffer` already holds.
+    /// Creates a reader of `stream`. `buffer` holds what was read of it already.
     pub fn new(stream: R, buffer: Vec<u8>) -> Self {
         Self {
             stream,
@@ -35,18 +40,18 @@
     /// The next message; `None` at the end of the stream.
     ///
     /// # Errors
-    /// Where the stream fails, ends inside a frame, or its bytes are no frame.
+    /// Fails if the stream fails or ends within a frame, or if its bytes are not a frame.
     pub async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
             match self.step().await? {
                 Step::Message(message) => return Ok(Some(*message)),
-                Step::Part => {}
+                Step::Partial => {}
                 Step::End => return Ok(None),
             }
         }
     }
 
-    /// Reads once at most.
+    /// Decodes the next message if it is there already, else reads from the stream once.
     ///
     /// # Errors
     /// As [`FrameReader::next`].
@@ -55,29 +60,29 @@
             Ok(Some((message, length))) => {
                 self.buffer.drain(..length);
                 if self.buffer.is_empty() {
-                    self.buffer.shrink_to(16 << 10);
+                    self.buffer.shrink_to(MAX_IDLE_BUFFER);
                 }
                 return Ok(Step::Message(Box::new(message)));
             }
             Ok(None) => {}
             Err(e) => return Err(io::Error::new(io::ErrorKind::InvalidData, e.to_string())),
         }
-        self.buffer.reserve(4096);
+        self.buffer.reserve(READ_SIZE);
         let read = self.stream.read_buf(&mut self.buffer).await?;
         self.received += read as u64;
         match read {
             0 if self.buffer.is_empty() => Ok(Step::End),
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
-            _ => Ok(Step::Part),
+            _ => Ok(Step::Partial),
         }
     }
 
-    /// Bytes read from the stream so far.
+    /// How many bytes were read from the stream so far.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// The stream and the bytes that aren't decoded yet.
+    /// Returns the stream and the bytes that aren't decoded yet.
     pub fn into_parts(self) -> (R, Vec<u8>) {
         (self.stream, self.buffer)
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,5 +1,7 @@
-//! The mirror of what the control plane says ([`Mirror`]), and the pulls that keep it fresh ([`Puller`]);
-//! used by members, agents and proxies alike. [`client`] and [`serve`] are the thin shells round them.
+//! Replication of what the control plane publishes, from members to agents, proxies and other members.
+//!
+//! A [`Mirror`] is a process's copy. A [`Puller`] decides from which members it is kept fresh. Both are state machines
+//! without I/O; [`client`] and [`serve`] run them over TCP, and a [`SharedMirror`] publishes the changes in a process.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -34,74 +36,79 @@
 pub mod phase {
     /// Takes requests.
     pub const READY: u8 = 0;
-    /// Leaving: takes no new requests.
+    /// Draining: takes no new requests and ends soon.
     pub const DRAINING: u8 = 1;
     /// Has ended.
     pub const GONE: u8 = 2;
-    /// The source has nothing more to say of the host: a tombstone.
+    /// The origin has nothing more to say of the host: a tombstone.
     pub const FORGOTTEN: u8 = 3;
 }
 
-/// Where members listen, given the `control` address of one.
-pub fn member_addr(boot: &ProcessSettings, control: &SocketAddrV4) -> Addr {
+/// Where a member takes the system's own messages, given its `control` address.
+pub fn member_addr(settings: &ProcessSettings, control: &SocketAddrV4) -> Addr {
     Addr {
         ip: u32::from(*control.ip()),
-        port: boot.port_range.0,
+        port: settings.port_range.0,
     }
 }
 
-/// Where the seeds of the settings listen.
-pub fn seed_addrs(boot: &ProcessSettings) -> Vec<Addr> {
-    boot.seed_nodes
+/// Where the seeds in the settings take the system's own messages.
+pub fn seed_addrs(settings: &ProcessSettings) -> Vec<Addr> {
+    settings
+        .seed_nodes
         .iter()
-        .map(|s| member_addr(boot, s))
+        .map(|seed| member_addr(settings, seed))
         .collect()
 }
 
-/// Where a machine's agent listens for its proxy: on the loopback address; several machines that are played on
-/// one have addresses of their own there.
-pub fn agent_addr(boot: &ProcessSettings) -> Addr {
-    let ip = if boot.ip_addr.is_loopback() {
-        boot.ip_addr
+/// Where a machine's agent listens for its proxy: the second port on the loopback address. Several machines that run on
+/// one for a test have loopback addresses of their own.
+pub fn agent_addr(settings: &ProcessSettings) -> Addr {
+    let ip = if settings.ip_addr.is_loopback() {
+        settings.ip_addr
     } else {
         Ipv4Addr::LOCALHOST
     };
-    let usual = SocketAddrV4::new(ip, boot.port_range.0.saturating_add(1));
-    boot.bind.agent.unwrap_or(usual).into()
+    let default = SocketAddrV4::new(ip, settings.port_range.0.saturating_add(1));
+    settings.bind.agent.unwrap_or(default).into()
 }
 
-/// Where a machine's proxy takes the other proxies' hints; without enough ports, nowhere (port 0).
-pub fn hints_addr(boot: &ProcessSettings) -> Addr {
-    let port = boot.port_range.0.saturating_add(2);
+/// Where a machine's proxy takes prompt placements of other proxies. The port is 0 if the port range is too short.
+pub fn hints_addr(settings: &ProcessSettings) -> Addr {
+    let port = settings.port_range.0.saturating_add(2);
     Addr {
-        ip: u32::from(boot.ip_addr),
-        port: if port <= boot.port_range.1 { port } else { 0 },
+        ip: u32::from(settings.ip_addr),
+        port: if port <= settings.port_range.1 {
+            port
+        } else {
+            0
+        },
     }
 }
 
-/// This process as one that pulls; `member` is its identity, or 0 where it is no member.
-pub fn subscriber(boot: &ProcessSettings, member: u64) -> Subscriber {
+/// This process as a subscriber. `member_id` is 0 if it is no member.
+pub fn subscriber(settings: &ProcessSettings, member_id: u64) -> Subscriber {
     Subscriber {
-        name: boot.node_name.clone(),
-        zone: boot.zone.clone(),
-        region: boot.region.clone(),
-        hints_addr: hints_addr(boot),
-        member_id: member,
+        name: settings.node_name.clone(),
+        zone: settings.zone.clone(),
+        region: settings.region.clone(),
+        hints_addr: hints_addr(settings),
+        member_id,
         configuration_version: 0,
     }
 }
 
-/// The first frame's seat of a process that is no member.
-pub fn non_member_info(boot: &ProcessSettings) -> MemberInfo {
+/// The sender in the first frame of a process that is no member.
+pub fn non_member_info(settings: &ProcessSettings) -> MemberInfo {
     MemberInfo {
         id: 0,
-        name: boot.node_name.clone(),
+        name: settings.node_name.clone(),
         addr: Addr {
-            ip: u32::from(boot.ip_addr),
+            ip: u32::from(settings.ip_addr),
             port: 0,
         },
         control_addr: Addr::default(),
-        zone: boot.zone.clone(),
-        region: boot.region.clone(),
+        zone: settings.zone.clone(),
+        region: settings.region.clone(),
     }
 }
--- a/crates/replication/src/mirror/hosts.rs
+++ b/crates/replication/src/mirror/hosts.rs
@@ -1,10 +1,10 @@
-//! Hosts as all sources together tell of them.
+//! The hosts of a mirror, merged from the records of all origins.
 
 use crate::phase;
 use protocol::{Addr, HostRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Order in which hosts were first seen.
+/// The order in which hosts were first seen.
 #[derive(Clone, Default)]
 pub(super) struct Arrivals {
     numbers: HashMap<String, u64>,
@@ -12,28 +12,30 @@
 }
 
 impl Arrivals {
-    /// A host is seen.
-    pub(super) fn note(&mut self, host: &str) {
+    /// Records that a host was seen.
+    pub(super) fn record(&mut self, host: &str) {
         if !self.numbers.contains_key(host) {
             self.last += 1;
             self.numbers.insert(host.to_owned(), self.last);
         }
     }
 
-    /// Forgets hosts that aren't known any more.
+    /// Drops hosts that aren't known any more.
     pub(super) fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.numbers.retain(|host, _| known(host));
     }
 
-    fn of(&self, host: &str) -> u64 {
+    /// The host's number; 0 if it was never seen.
+    fn number(&self, host: &str) -> u64 {
         self.numbers.get(host).copied().unwrap_or_default()
     }
 }
 
-/// Hosts by identity: of each the newest record, as far on its way out as any source or the ledger has it.
+/// Merges records to one for each host: the newest, with the phase that is the furthest in any record. A host that the
+/// replicated state has among `draining` is draining at least.
 pub(super) fn merged<'a>(
     records: impl Iterator<Item = &'a HostRecord>,
-    drains: &BTreeSet<String>,
+    draining: &BTreeSet<String>,
     arrivals: &Arrivals,
 ) -> BTreeMap<String, HostRecord> {
     let mut hosts: BTreeMap<String, HostRecord> = BTreeMap::new();
@@ -52,40 +54,50 @@
     }
     for (id, record) in &mut hosts {
         record.phase = furthest.get(id.as_str()).copied().unwrap_or(record.phase);
-        if drains.contains(id) {
+        if draining.contains(id) {
             record.phase = record.phase.max(phase::DRAINING);
         }
     }
-    one_at_each_address(&mut hosts, arrivals);
+    keep_newest_at_each_address(&mut hosts, arrivals);
     hosts
 }
 
-/// Of several hosts at one address, all but the newest are gone.
-fn one_at_each_address(hosts: &mut BTreeMap<String, HostRecord>, arrivals: &Arrivals) {
-    let mut newest: HashMap<Addr, (bool, bool, u64, String)> = HashMap::new();
-    let rank = |r: &HostRecord| {
-        (
-            r.phase < phase::GONE,
-            !r.heartbeat_expired,
-            arrivals.of(&r.id),
-            r.id.clone(),
-        )
-    };
+/// How likely a host is the present owner of its address. Fields are compared in this order.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct AddressClaim {
+    is_up: bool,
+    has_heartbeat: bool,
+    arrival: u64,
+    id: String,
+}
+
+impl AddressClaim {
+    fn of(record: &HostRecord, arrivals: &Arrivals) -> Self {
+        Self {
+            is_up: record.phase < phase::GONE,
+            has_heartbeat: !record.heartbeat_expired,
+            arrival: arrivals.number(&record.id),
+            id: record.id.clone(),
+        }
+    }
+}
+
+/// Marks all but the newest host at each address as gone: an address is reused only after its host has ended.
+fn keep_newest_at_each_address(hosts: &mut BTreeMap<String, HostRecord>, arrivals: &Arrivals) {
+    let mut newest: HashMap<Addr, AddressClaim> = HashMap::new();
     for record in hosts.values() {
-        let rank = rank(record);
+        let claim = AddressClaim::of(record, arrivals);
         match newest.get_mut(&record.addr) {
-            Some(best) if *best >= rank => {}
-            Some(best) => *best = rank,
+            Some(best) if *best >= claim => {}
+            Some(best) => *best = claim,
             None => {
-                newest.insert(record.addr, rank);
+                newest.insert(record.addr, claim);
             }
         }
     }
     for record in hosts.values_mut() {
-        if newest
-            .get(&record.addr)
-            .is_some_and(|best| best.3 != record.id)
-        {
+        let best = newest.get(&record.addr);
+        if best.is_some_and(|best| best.id != record.id) {
             record.phase = phase::GONE;
         }
     }
--- a/crates/replication/src/mirror/origins.rs
+++ b/crates/replication/src/mirror/origins.rs
@@ -419,7 +419,7 @@
                     removed_at,
                 },
             );
-            arrivals.note(&record.id);
+            arrivals.record(&record.id);
         }
         for record in &update.coordinators {
             let known = self.coordinators.get(&record.name);
--- a/crates/replication/src/puller.rs
+++ b/crates/replication/src/puller/mod.rs
@@ -1,29 +1,32 @@
-//! Who is pulled from, and when: a state machine without I/O.
+//! The puller: which members are pulled from, and when. A state machine without I/O.
+
+mod link;
 
 use crate::rendezvous::ranked;
 use crate::timing::{
     ANSWER_SLACK, CONNECT_TIMEOUT, EARLY_ANSWER_PAUSE, INITIAL_BACKOFF, MAX_BACKOFF, PULL_WAIT_MS,
     STALE_AGE_MS, STANDBY_POLL_INTERVAL, UPDATE_PAUSE,
 };
+use link::{Link, Phase};
 use protocol::Addr;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What to do.
+/// What the client has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Open a connection.
     Connect {
         /// The link's number, never used twice.
         link: u64,
-        /// Where to.
+        /// The member's address.
         addr: Addr,
     },
     /// Send a pull.
     Pull {
         /// The link.
         link: u64,
-        /// How long its answer may wait for news, in ms.
+        /// How long the answer may wait for an update, in ms.
         wait_ms: u32,
     },
     /// Close the connection, or give up opening it.
@@ -42,42 +45,8 @@
     pub stale: usize,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Phase {
-    /// Not connected; tries again at this time.
-    Down(Duration),
-    /// Connecting until this time.
-    Connecting(Duration),
-    /// Waiting for an answer until this time.
-    Polling(Duration),
-    /// Connected; pulls again at this time.
-    Resting(Duration),
-}
-
-#[derive(Debug)]
-struct Link {
-    number: u64,
-    phase: Phase,
-    backoff: Duration,
-    /// Whether it has answered since it came up.
-    answered: bool,
-    failed: bool,
-    stale: bool,
-    member: u64,
-    /// When the pull left that is out, or was last.
-    pulled_at: Duration,
-}
-
-impl Link {
-    fn can_be_preferred(&self) -> bool {
-        self.answered
-            && !self.failed
-            && !self.stale
-            && matches!(self.phase, Phase::Polling(_) | Phase::Resting(_))
-    }
-}
-
-/// Picks the members to pull from and keeps one pull outstanding at each; see [`Puller::led`] for fewer.
+/// Picks the members to pull from by rendezvous hashing, and keeps one pull waiting at each. With
+/// [`Puller::preferring_one_member`] a pull waits at one of them only.
 #[derive(Debug)]
 pub struct Puller {
     name: String,
@@ -86,16 +55,19 @@
     own_addr: Option<Addr>,
     seeds_only: bool,
     prefers_one: bool,
+    /// Pause after an update, by the number of coordinators.
     update_pause: Duration,
     seeds: Vec<Addr>,
+    /// The members' addresses, once they are known.
     members: Vec<Addr>,
+    /// All candidates, the first choice first.
     order: Vec<Addr>,
     links: BTreeMap<Addr, Link>,
     last_link_number: u64,
 }
 
 impl Puller {
-    /// For the process `name`, which pulls from `watched` members and never from `own`.
+    /// Creates the puller of the process `name`, which pulls from `member_count` members and never from `own_addr`.
     pub fn new(name: &str, member_count: usize, own_addr: Option<Addr>) -> Self {
         Self {
             name: name.to_owned(),
@@ -113,78 +85,73 @@
         }
     }
 
-    /// One that keeps to its seeds, whatever members it hears of: a proxy's, whose seed is its agent.
+    /// Pulls from the seeds alone, whatever members become known. For a proxy, whose seed is its agent.
     pub fn seeds_only(mut self) -> Self {
         self.seeds_only = true;
         self
     }
 
-    /// One that waits for news at one member only, the leading one: the first in its order that answers and
-    /// isn't cut off. The others are asked every [`STANDBY_POLL_INTERVAL`] what the leading one hasn't told yet, so that news come
-    /// once, and a leading one that is frozen or behind holds nobody back for longer.
+    /// Lets pulls wait at one member only, the preferred one: the first in the order that answers and is in contact with
+    /// a primary. The others are asked every [`STANDBY_POLL_INTERVAL`] for what that one hasn't told. Updates thus come
+    /// once, and a preferred member that is frozen or behind delays them by no more than that.
     pub fn preferring_one_member(mut self) -> Self {
         self.prefers_one = true;
         self
     }
 
-    /// Takes how many coordinators pull now.
+    /// Sets how many coordinators pull now, for the pause after an update.
     pub fn set_coordinators(&mut self, coordinators: usize) {
         if !self.seeds_only {
             self.update_pause = UPDATE_PAUSE.with_coordinators(coordinators);
         }
     }
 
-    /// Some bytes of an answer came: who is slow isn't silent.
+    /// Some bytes of an answer came, so the answer gets more time.
     pub fn partial_answer(&mut self, now: Duration, link: u64) {
-        if let Some((_, known)) = self.connected_link(link) {
+        if let Some((_, known)) = self.open_link(link) {
             if let Phase::Polling(until) = &mut known.phase {
                 *until = (*until).max(now + ANSWER_SLACK);
             }
         }
     }
 
-    /// When the pull left that is out at a link.
+    /// When the pull was sent whose answer a link waits for; `None` if there is none.
     pub fn pull_sent_at(&self, link: u64) -> Option<Duration> {
-        let known = self.links.values().find(|l| l.number == link)?;
+        let known = self.links.values().find(|known| known.number == link)?;
         matches!(known.phase, Phase::Polling(_)).then_some(known.pulled_at)
     }
 
-    /// Whether all members that are known have answered, and each is cut off from a primary: nobody is left who
-    /// could tell better.
+    /// Whether all known members have answered and none is in contact with a primary, so that none knows better.
     pub fn all_members_stale(&self) -> bool {
-        let cut_off = |l: &Link| l.answered && !l.failed && l.stale;
+        let is_stale = |link: &Link| link.answers() && link.stale;
         !self.order.is_empty()
             && self
                 .order
                 .iter()
-                .all(|a| self.links.get(a).is_some_and(cut_off))
+                .all(|addr| self.links.get(addr).is_some_and(is_stale))
     }
 
-    /// The leading member's address; none where news are waited for at all members.
+    /// The preferred member's address; `None` if pulls wait at all members.
     fn preferred(&self) -> Option<Addr> {
-        let mut order = self.order.iter().filter(|_| self.prefers_one);
-        order
-            .find(|a| self.links.get(a).is_some_and(Link::can_be_preferred))
-            .copied()
+        if !self.prefers_one {
+            return None;
+        }
+        let can_be_preferred =
+            |addr: &&Addr| self.links.get(*addr).is_some_and(Link::can_be_preferred);
+        self.order.iter().find(can_be_preferred).copied()
     }
 
-    /// Whether news are waited for at one member only.
+    /// Whether pulls wait at one member only.
     pub fn prefers_one_member(&self) -> bool {
         self.prefers_one
     }
 
-    /// At whom news are waited for now, in short.
+    /// Where updates come from now.
     pub fn summary(&self) -> PullSummary {
-        let answers = |l: &&Link| l.answered && !l.failed;
-        let stale = self
-            .links
-            .values()
-            .filter(answers)
-            .filter(|l| l.stale)
-            .count();
+        let is_stale = |link: &&Link| link.answers() && link.stale;
         PullSummary {
             preferred: self.preferred(),
-            stale,
+            stale: self.links.values().filter(is_stale).count(),
         }
     }
 
@@ -203,14 +170,13 @@
         })
     }
 
-    /// Takes the seeds' addresses, as the settings have them now; [`Puller::tick`] acts on it.
+    /// Sets the seeds' addresses. [`Puller::tick`] acts on them.
     pub fn set_seeds(&mut self, seeds: &[Addr]) {
         self.seeds = seeds.to_vec();
         self.reorder();
     }
 
-    /// Takes the members' addresses, as the fleet has them now; none is taken for no word. [`Puller::tick`]
-    /// acts on it.
+    /// Sets the members' addresses. An empty list changes nothing. [`Puller::tick`] acts on them.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Addr>) {
         let members: Vec<Addr> = members.into_iter().filter(|a| a.port != 0).collect();
         if !self.seeds_only && !members.is_empty() && members != self.members {
@@ -236,7 +202,7 @@
 
     /// A connection came up.
     pub fn connected(&mut self, now: Duration, link: u64) -> Vec<Action> {
-        let Some((addr, known)) = self.connected_link(link) else {
+        let Some((addr, known)) = self.open_link(link) else {
             return Vec::new();
         };
         known.answered = false;
@@ -244,44 +210,43 @@
         self.pull(now, addr, waits).into_iter().collect()
     }
 
-    /// A connection failed, or ended.
+    /// A connection failed or ended.
     pub fn failed(&mut self, now: Duration, link: u64) -> Vec<Action> {
-        let Some((addr, _)) = self.connected_link(link) else {
+        let Some((addr, _)) = self.open_link(link) else {
             return Vec::new();
         };
         self.back_off(now, addr);
         self.tick(now)
     }
 
-    /// An answer came from `member`; `taken`: the mirror took something from it.
+    /// An answer of this age came from a member. `applied`: something in it was new to the mirror.
     pub fn answered(
         &mut self,
         now: Duration,
         link: u64,
-        member: u64,
+        member_id: u64,
         age_ms: u32,
-        taken: bool,
+        applied: bool,
     ) -> Vec<Action> {
-        let pace = self.update_pause;
-        let Some((addr, known)) = self.connected_link(link) else {
+        let update_pause = self.update_pause;
+        let Some((addr, known)) = self.open_link(link) else {
             return Vec::new();
         };
         let Phase::Polling(until) = known.phase else {
             return Vec::new();
         };
-        (known.failed, known.answered, known.backoff, known.member) =
-            (false, true, INITIAL_BACKOFF, member);
+        known.failed = false;
+        known.answered = true;
+        known.backoff = INITIAL_BACKOFF;
+        known.member_id = member_id;
         known.stale = age_ms > STALE_AGE_MS;
-        let early = now + ANSWER_SLACK + EARLY_ANSWER_PAUSE < until;
-        known.phase = Phase::Resting(
-            now + if early && !taken {
-                EARLY_ANSWER_PAUSE.max(pace)
-            } else if taken {
-                pace
-            } else {
-                Duration::ZERO
-            },
-        );
+        let is_early = now + ANSWER_SLACK + EARLY_ANSWER_PAUSE < until;
+        let pause = match (applied, is_early) {
+            (true, _) => update_pause,
+            (false, true) => EARLY_ANSWER_PAUSE.max(update_pause),
+            (false, false) => Duration::ZERO,
+        };
+        known.phase = Phase::Resting(now + pause);
         if self.preferred().is_some_and(|preferred| preferred != addr) {
             self.rest_until(addr, now + STANDBY_POLL_INTERVAL);
         }
@@ -294,11 +259,12 @@
         }
     }
 
-    fn connected_link(&mut self, number: u64) -> Option<(Addr, &mut Link)> {
+    /// The link with this number, if it is connecting or connected.
+    fn open_link(&mut self, number: u64) -> Option<(Addr, &mut Link)> {
         let found = self
             .links
             .iter_mut()
-            .find(|(_, l)| l.number == number && !matches!(l.phase, Phase::Down(_)));
+            .find(|(_, link)| link.number == number && !matches!(link.phase, Phase::Down(_)));
         found.map(|(addr, link)| (*addr, link))
     }
 
@@ -312,54 +278,15 @@
 
     /// Does what is due.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
-        let mut actions = Vec::new();
-        let late =
-            |phase: Phase| matches!(phase, Phase::Connecting(t) | Phase::Polling(t) if now >= t);
-        let failed: Vec<Addr> = self
-            .links
-            .iter()
-            .filter(|(_, l)| late(l.phase))
-            .map(|(a, _)| *a)
-            .collect();
-        for addr in failed {
-            if let Some(link) = self.links.get(&addr) {
-                actions.push(Action::Close { link: link.number });
-            }
-            self.back_off(now, addr);
-        }
-        // The first in the order, until enough of them are well.
-        let mut picked = BTreeSet::new();
-        let mut well = 0;
-        for addr in &self.order {
-            if well >= self.member_count {
-                break;
-            }
-            picked.insert(*addr);
-            well += usize::from(self.links.get(addr).is_none_or(|l| !l.failed && !l.stale));
-        }
-        self.links.retain(|addr, link| {
-            let keep = picked.contains(addr);
-            if !keep && !matches!(link.phase, Phase::Down(_)) {
-                actions.push(Action::Close { link: link.number });
-            }
-            keep
-        });
-        let (preferred, mut due) = (self.preferred(), Vec::new());
-        // One that has just come to lead waits for news from now on.
-        let takes_over = |addr, at| {
-            Some(addr) == preferred && at > now + EARLY_ANSWER_PAUSE.max(self.update_pause)
-        };
+        let mut actions = self.close_timed_out(now);
+        let picked = self.pick_members();
+        actions.extend(self.close_all_but(&picked));
+        let preferred = self.preferred();
+        let mut due = Vec::new();
         for addr in picked {
-            let link = self.links.entry(addr).or_insert(Link {
-                number: 0,
-                phase: Phase::Down(now),
-                backoff: INITIAL_BACKOFF,
-                answered: false,
-                failed: false,
-                stale: false,
-                member: 0,
-                pulled_at: now,
-            });
+            let is_preferred = Some(addr) == preferred;
+            let pause = EARLY_ANSWER_PAUSE.max(self.update_pause);
+            let link = self.links.entry(addr).or_insert_with(|| Link::new(now));
             match link.phase {
                 Phase::Down(at) if now >= at => {
                     self.last_link_number += 1;
@@ -370,7 +297,10 @@
                         addr,
                     });
                 }
-                Phase::Resting(at) if now >= at || takes_over(addr, at) => due.push(addr),
+                // A standby that has become the preferred member pulls before its turn.
+                Phase::Resting(at) if now >= at || (is_preferred && at > now + pause) => {
+                    due.push(addr);
+                }
                 _ => {}
             }
         }
@@ -381,20 +311,60 @@
         actions
     }
 
+    /// Closes links whose connection or answer has taken too long.
+    fn close_timed_out(&mut self, now: Duration) -> Vec<Action> {
+        let mut timed_out = Vec::new();
+        for (addr, link) in &self.links {
+            if link.phase.is_timed_out(now) {
+                timed_out.push((*addr, link.number));
+            }
+        }
+        let mut actions = Vec::new();
+        for (addr, link) in timed_out {
+            actions.push(Action::Close { link });
+            self.back_off(now, addr);
+        }
+        actions
+    }
+
+    /// The members to pull from: the first in the order, until enough of them are healthy.
+    fn pick_members(&self) -> BTreeSet<Addr> {
+        let mut picked = BTreeSet::new();
+        let mut healthy = 0;
+        for addr in &self.order {
+            if healthy >= self.member_count {
+                break;
+            }
+            picked.insert(*addr);
+            let link = self.links.get(addr);
+            healthy += usize::from(link.is_none_or(|link| !link.failed && !link.stale));
+        }
+        picked
+    }
+
+    /// Closes and drops the links to other members.
+    fn close_all_but(&mut self, picked: &BTreeSet<Addr>) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.links.retain(|addr, link| {
+            let keep = picked.contains(addr);
+            if !keep && !matches!(link.phase, Phase::Down(_)) {
+                actions.push(Action::Close { link: link.number });
+            }
+            keep
+        });
+        actions
+    }
+
     /// When [`Puller::tick`] next has something to do.
     pub fn next_tick(&self) -> Option<Duration> {
-        let at = |l: &Link| match l.phase {
-            Phase::Down(t) | Phase::Connecting(t) | Phase::Polling(t) | Phase::Resting(t) => t,
-        };
-        self.links.values().map(at).min()
+        self.links.values().map(|link| link.phase.deadline()).min()
     }
 
-    /// Members that answer, by address; the identity is 0 for an agent.
+    /// Addresses and ids of the members that answer; the id of an agent is 0.
     pub fn answering_members(&self) -> impl Iterator<Item = (Addr, u64)> + '_ {
-        let alive = self
-            .links
+        self.links
             .iter()
-            .filter(|(_, l)| !l.failed && matches!(l.phase, Phase::Polling(_) | Phase::Resting(_)));
-        alive.map(|(addr, link)| (*addr, link.member))
+            .filter(|(_, link)| !link.failed && link.is_connected())
+            .map(|(addr, link)| (*addr, link.member_id))
     }
 }
--- a/crates/replication/src/rendezvous.rs
+++ b/crates/replication/src/rendezvous.rs
@@ -1,9 +1,10 @@
-//! Rendezvous hashing: each pair of names has a weight, and who weighs most is picked.
+//! Rendezvous hashing (highest random weight): each pair of key and candidate has a weight, and a key belongs to the
+//! candidate that weighs most for it.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// The weight of `candidate` for `key`: the same in every process.
+/// The weight of `candidate` for `key`. It is the same in every process.
 pub fn rendezvous_weight(key: &str, candidate: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(key.as_bytes());
@@ -12,7 +13,7 @@
     hasher.finish()
 }
 
-/// The candidates, those that weigh most for `key` first.
+/// The candidates in falling order of their weight for `key`. `bytes` gives what of a candidate is hashed.
 pub fn ranked<T: Ord>(
     key: &str,
     candidates: impl IntoIterator<Item = T>,
--- a/crates/replication/src/serve.rs
+++ b/crates/replication/src/serve.rs
@@ -1,4 +1,4 @@
-//! The side that is pulled from.
+//! The server: answers pulls from a [`SharedMirror`].
 
 use crate::frame_reader::FrameReader;
 use crate::shared_mirror::SharedMirror;
@@ -10,47 +10,54 @@
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
 use tokio::time::{timeout, timeout_at};
 
-/// Longest wait that a puller may ask for.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
-/// Longest pause before a peer's next message.
-const IDLE: Duration = Duration::from_secs(10);
-/// Longest time that a peer may take to read an answer.
-const SEND: Duration = Duration::from_secs(3);
+/// The longest wait that a puller gets, whatever it asks for.
+const MAX_WAIT: Duration = Duration::from_secs(5);
+/// How long a peer may pause before its next message.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a peer may take to read an answer.
+const SEND_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The answer to a pull: at once where there are news, else when there are, or empty after the pull's wait.
+/// Answers a pull: at once if the puller lacks something, else as soon as it does. The answer is empty if the pull's wait
+/// ends first.
 pub async fn answer(shared: &SharedMirror, pull: &Pull) -> Update {
     let mut changes = shared.changes();
     let since = shared.now();
     shared.update(|mirror, _| mirror.observe_incarnations(&pull.origins));
-    let until = shared.at(since) + Duration::from_millis(pull.wait_ms.into()).min(LONGEST_WAIT);
-    // Of the same moment as the age: a standstill makes both greater.
-    let held = |now: Duration, news: Update| {
-        let held_ms = u32::try_from(now.saturating_sub(since).as_millis()).unwrap_or(u32::MAX);
-        Update { held_ms, ..news }
-    };
+    let until = shared.at(since) + Duration::from_millis(pull.wait_ms.into()).min(MAX_WAIT);
     loop {
         changes.borrow_and_update();
-        let news =
-            shared.update(|mirror, now| mirror.update_for(now, pull).map(|news| held(now, news)));
-        if let Some(news) = news {
-            return news;
+        let update = shared.update(|mirror, now| {
+            let update = mirror.update_for(now, pull)?;
+            Some(with_held_time(update, since, now))
+        });
+        if let Some(update) = update {
+            return update;
         }
         if !matches!(timeout_at(until, changes.changed()).await, Ok(Ok(()))) {
-            return shared.update(|mirror, now| held(now, mirror.empty_update(now)));
+            return shared
+                .update(|mirror, now| with_held_time(mirror.empty_update(now), since, now));
         }
     }
 }
 
-/// Answers the pulls on one connection until it ends; `buffer` holds what was read of it already, and
-/// `on_caller` hears of each pull.
+/// Sets how long the pull was held. `now` has to be the time that the update's age was taken at: if the process stands
+/// still, both become greater.
+fn with_held_time(update: Update, since: Duration, now: Duration) -> Update {
+    let held_ms = u32::try_from(now.saturating_sub(since).as_millis()).unwrap_or(u32::MAX);
+    Update { held_ms, ..update }
+}
+
+/// Answers the pulls on one connection until it ends. `buffer` holds what was read of it already; `on_subscriber` is
+/// called with the sender of each pull.
 ///
 /// # Errors
-/// Where the connection fails, a peer is silent or doesn't read for too long, or sends something else.
+/// Fails if the connection fails, if the peer sends nothing or reads nothing for too long, or if it sends another
+/// message than a pull.
 pub async fn serve<S>(
     stream: S,
     buffer: Vec<u8>,
     shared: Arc<SharedMirror>,
-    mut on_caller: impl FnMut(&Subscriber),
+    mut on_subscriber: impl FnMut(&Subscriber),
 ) -> io::Result<()>
 where
     S: AsyncRead + AsyncWrite,
@@ -58,7 +65,7 @@
     let (read, mut write) = tokio::io::split(stream);
     let mut frames = FrameReader::new(Box::pin(read), buffer);
     loop {
-        let message = match timeout(IDLE, frames.next()).await?? {
+        let message = match timeout(IDLE_TIMEOUT, frames.next()).await?? {
             None => return Ok(()),
             Some(Message::Hello { .. }) => continue,
             Some(message) => message,
@@ -66,8 +73,8 @@
         let Ok(pull) = Pull::from_message(message) else {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "no pull"));
         };
-        on_caller(&pull.subscriber);
+        on_subscriber(&pull.subscriber);
         let frame = encode(&answer(&shared, &pull).await.into_message());
-        timeout(SEND, write.write_all(&frame)).await??;
+        timeout(SEND_TIMEOUT, write.write_all(&frame)).await??;
     }
 }
--- a/crates/replication/src/shared_mirror.rs
+++ b/crates/replication/src/shared_mirror.rs
@@ -1,4 +1,4 @@
-//! A mirror shared by the tasks of one process.
+//! A mirror that the tasks of one process share.
 
 use crate::mirror::{Mirror, Snapshot};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,25 +7,25 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Bytes that the pulls for a mirror have cost since its start.
+/// How many bytes the pulls for a mirror have cost since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes of the pulls.
+    /// Bytes of the pulls that were sent.
     pub sent: u64,
-    /// Bytes of the answers.
+    /// Bytes of the answers that were received.
     pub received: u64,
 }
 
 struct State {
     mirror: Mirror,
-    /// Generation that the latest snapshot shows.
-    shown: u64,
+    /// Generation of the latest published snapshot.
+    published: u64,
 }
 
-/// A [`Mirror`] whose changes are published.
+/// A [`Mirror`] that publishes its changes.
 pub struct SharedMirror {
     state: Mutex<State>,
-    origin: Instant,
+    clock_start: Instant,
     changes: watch::Sender<u64>,
     snapshots: watch::Sender<Arc<Snapshot>>,
     sent: AtomicU64,
@@ -33,23 +33,23 @@
 }
 
 impl SharedMirror {
-    /// Shares a mirror; its times are counted from now on.
+    /// Shares a mirror whose clock starts now.
     pub fn new(mirror: Mirror) -> Arc<Self> {
         Self::since(mirror, Instant::now())
     }
 
-    /// Shares a mirror whose times are counted from `origin`.
-    pub fn since(mirror: Mirror, origin: Instant) -> Arc<Self> {
-        let shown = mirror.generation();
+    /// Shares a mirror whose clock started at `clock_start`.
+    pub fn since(mirror: Mirror, clock_start: Instant) -> Arc<Self> {
+        let published = mirror.generation();
         let (changes, snapshots) = (
-            watch::Sender::new(shown),
+            watch::Sender::new(published),
             watch::Sender::new(Arc::new(mirror.snapshot())),
         );
-        let state = Mutex::new(State { mirror, shown });
+        let state = Mutex::new(State { mirror, published });
         let (sent, received) = Default::default();
         Arc::new(Self {
             state,
-            origin,
+            clock_start,
             changes,
             snapshots,
             sent,
@@ -57,73 +57,73 @@
         })
     }
 
-    /// The time since the origin.
+    /// The time on the mirror's clock.
     pub fn now(&self) -> Duration {
-        self.origin.elapsed()
+        self.clock_start.elapsed()
     }
 
-    /// The instant that a time since the origin stands for.
+    /// The instant that a time on the mirror's clock stands for.
     pub fn at(&self, time: Duration) -> Instant {
-        self.origin + time
+        self.clock_start + time
     }
 
-    /// Reads or changes the mirror; a change is published.
+    /// Reads or changes the mirror, and publishes a change.
     pub fn update<R>(&self, change: impl FnOnce(&mut Mirror, Duration) -> R) -> R {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let before = state.mirror.generation();
         let result = change(&mut state.mirror, self.now());
         let after = state.mirror.generation();
         if after != before {
-            // The merged truth costs as much as all hosts together: only where somebody looks at each.
+            // A snapshot costs as much as there are records, so it is made only for those who look at each.
             if self.snapshots.receiver_count() > 0 {
-                self.show(&mut state);
+                self.publish(&mut state);
             }
             self.changes.send_replace(after);
         }
         result
     }
 
-    fn show(&self, state: &mut State) {
-        if state.shown != state.mirror.generation() {
-            state.shown = state.mirror.generation();
+    fn publish(&self, state: &mut State) {
+        if state.published != state.mirror.generation() {
+            state.published = state.mirror.generation();
             self.snapshots
                 .send_replace(Arc::new(state.mirror.snapshot()));
         }
     }
 
-    fn up_to_date(&self) {
-        self.show(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner));
+    fn publish_latest(&self) {
+        self.publish(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// The mirror's generation, as it rises.
+    /// The mirror's generation. It changes with each change of the mirror.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Bytes that the pulls for this mirror have cost since its start.
+    /// How many bytes the pulls for this mirror have cost since its start.
     pub fn traffic(&self) -> Traffic {
-        let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
         Traffic {
-            sent: of(&self.sent),
-            received: of(&self.received),
+            sent: self.sent.load(Ordering::Relaxed),
+            received: self.received.load(Ordering::Relaxed),
         }
     }
 
-    pub(crate) fn count(&self, sent: u64, received: u64) {
+    /// Counts bytes of pulls.
+    pub(crate) fn count_traffic(&self, sent: u64, received: u64) {
         self.sent.fetch_add(sent, Ordering::Relaxed);
         self.received.fetch_add(received, Ordering::Relaxed);
     }
 
-    /// Each view as it comes; the one of now at once.
+    /// The snapshots as they are made, beginning with the present one.
     pub fn subscribe(&self) -> watch::Receiver<Arc<Snapshot>> {
-        let views = self.snapshots.subscribe();
-        self.up_to_date();
-        views
+        let snapshots = self.snapshots.subscribe();
+        self.publish_latest();
+        snapshots
     }
 
-    /// The view of now.
+    /// The present snapshot.
     pub fn snapshot(&self) -> Arc<Snapshot> {
-        self.up_to_date();
+        self.publish_latest();
         self.snapshots.borrow().clone()
     }
 }
--- a/crates/replication/src/update.rs
+++ b/crates/replication/src/update.rs
@@ -5,25 +5,25 @@
 };
 use std::time::Duration;
 
-/// Asks for what the speaker lacks: [`Message::Pull`].
+/// A request for what the sender lacks: [`Message::Pull`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pull {
-    /// Who pulls.
+    /// The sender.
     pub subscriber: Subscriber,
-    /// How long the answer may wait for news, in ms.
+    /// How long the answer may wait for an update, in ms.
     pub wait_ms: u32,
-    /// Number of the ledger's last change that the speaker has.
+    /// Index of the last change of the replicated state that the sender has.
     pub index: u64,
-    /// Version of the configuration that it has.
+    /// Configuration version that it has.
     pub configuration_version: u64,
-    /// Mark of the fleet that it has.
+    /// Version of the [`ControlPlaneInfo`] that it has.
     pub control_plane_version: u64,
-    /// What it has of each source. A number of `u64::MAX` says that it wants nothing more of this life.
+    /// Its version vector. A sequence number of `u64::MAX` says that it wants nothing more of this incarnation.
     pub origins: Vec<OriginVersion>,
 }
 
 impl Pull {
-    /// As a message.
+    /// Converts it to a message.
     pub fn into_message(self) -> Message {
         let Self {
             subscriber,
@@ -43,10 +43,10 @@
         }
     }
 
-    /// The pull that a message is.
+    /// Takes the pull out of a message.
     ///
     /// # Errors
-    /// The message back, where it is another one.
+    /// Returns the message if it is another one.
     pub fn from_message(message: Message) -> Result<Self, Box<Message>> {
         match message {
             Message::Pull {
@@ -69,32 +69,32 @@
     }
 }
 
-/// [`Update::age_ms`] of a speaker that has had no proof in this life: what it says of the configuration may be as old
-/// as its disk.
+/// [`Update::age_ms`] of a sender that has had no contact with a primary in its incarnation: its configuration may be as
+/// old as its disk.
 pub const AGE_UNKNOWN: u32 = u32::MAX;
 
-/// What a puller lacked: [`Message::Update`].
+/// What a subscriber lacked: [`Message::Update`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
-    /// Who speaks; 0 for an agent.
+    /// Member id of the sender; 0 for an agent.
     pub member: u64,
-    /// Since when, at most, the speaker may have missed what the primary acknowledged, in ms; [`AGE_UNKNOWN`]
-    /// where it has had no proof in this life.
+    /// For how long, at most, the sender may have missed committed changes, in ms; [`AGE_UNKNOWN`] if it has had no
+    /// contact with a primary in its incarnation.
     pub age_ms: u32,
-    /// How long the speaker had the pull before it answered, in ms.
+    /// How long the sender held the pull before it answered, in ms.
     pub held_ms: u32,
-    /// Configuration and drains.
+    /// Changes of the configuration and of the draining hosts.
     pub configuration: Option<ConfigurationUpdate>,
-    /// Hosts and coordinators.
+    /// Records of hosts and coordinators.
     pub origins: Vec<OriginUpdate>,
-    /// Sources that are no more.
+    /// Ids of members that are no origins any more.
     pub removed_origins: Vec<u64>,
-    /// The control plane.
+    /// The members of the control plane, if they changed.
     pub control_plane: Option<ControlPlaneInfo>,
 }
 
 impl Update {
-    /// Whether it says nothing but its age.
+    /// Whether it tells nothing but its age.
     pub fn is_empty(&self) -> bool {
         self.configuration.is_none()
             && self.origins.is_empty()
@@ -102,20 +102,20 @@
             && self.control_plane.is_none()
     }
 
-    /// Counts the age from `asked`, when the pull left, to `now`: however long the answer lay in a buffer, of this
-    /// process or on the way, it can't be taken for a fresh one. The time that the speaker held the pull isn't
-    /// counted, as the age it tells is that at the end of it.
-    pub fn aged(mut self, asked: Duration, now: Duration) -> Self {
+    /// Adds to the age the time that pull and answer travelled, given when the pull was sent and the time now. However
+    /// long the answer lay in a buffer, it can't be taken for a fresh one. The time that the sender held the pull isn't
+    /// added, as the age that it tells is that at the end of this time.
+    pub fn aged(mut self, sent_at: Duration, now: Duration) -> Self {
         if self.age_ms != AGE_UNKNOWN {
             let held = Duration::from_millis(self.held_ms.into());
-            let travelled = now.saturating_sub(asked).saturating_sub(held);
+            let travelled = now.saturating_sub(sent_at).saturating_sub(held);
             let travelled_ms = u32::try_from(travelled.as_millis()).unwrap_or(AGE_UNKNOWN);
             self.age_ms = self.age_ms.saturating_add(travelled_ms);
         }
         self
     }
 
-    /// As a message.
+    /// Converts it to a message.
     pub fn into_message(self) -> Message {
         let Self {
             member,
@@ -137,10 +137,10 @@
         }
     }
 
-    /// The news that a message is.
+    /// Takes the update out of a message.
     ///
     /// # Errors
-    /// The message back, where it is another one.
+    /// Returns the message if it is another one.
     pub fn from_message(message: Message) -> Result<Self, Box<Message>> {
         match message {
             Message::Update {
