--- a/crates/append-log/src/disk.rs
+++ b/crates/append-log/src/disk.rs
@@ -17,7 +17,7 @@
     fn open(&mut self, name: &str) -> io::Result<Option<Self::File>>;
 
     /// Opens a file for reading alone; `None` where there is none.
-    fn open_to_read(&mut self, name: &str) -> io::Result<Option<Self::File>>;
+    fn open_read_only(&mut self, name: &str) -> io::Result<Option<Self::File>>;
 
     /// Makes an empty file, in the place of one that is there.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
@@ -29,7 +29,7 @@
     fn remove(&mut self, name: &str) -> io::Result<bool>;
 
     /// Makes names last.
-    fn sync_names(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// An open file of a [`Disk`].
@@ -44,7 +44,7 @@
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
 
     /// Cuts the file off at this length in bytes.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
 
     /// Makes the bytes last.
     fn sync(&mut self) -> io::Result<()>;
@@ -52,21 +52,21 @@
 
 /// A folder of the file system.
 #[derive(Debug)]
-pub struct Folder {
+pub struct Directory {
     path: PathBuf,
 }
 
-impl Folder {
+impl Directory {
     /// The folder at this path, which has to be there.
-    pub fn at(path: &Path) -> Folder {
-        Folder {
+    pub fn new(path: &Path) -> Directory {
+        Directory {
             path: path.to_owned(),
         }
     }
 }
 
 /// What is not there is no error here.
-fn if_there<T>(result: io::Result<T>) -> io::Result<Option<T>> {
+fn found<T>(result: io::Result<T>) -> io::Result<Option<T>> {
     match result {
         Ok(value) => Ok(Some(value)),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
@@ -74,24 +74,24 @@
     }
 }
 
-impl Disk for Folder {
-    type File = FolderFile;
+impl Disk for Directory {
+    type File = DirectoryFile;
 
-    fn open(&mut self, name: &str) -> io::Result<Option<FolderFile>> {
-        let file = if_there(
+    fn open(&mut self, name: &str) -> io::Result<Option<DirectoryFile>> {
+        let file = found(
             OpenOptions::new()
                 .read(true)
                 .write(true)
                 .open(self.path.join(name)),
         )?;
-        Ok(file.map(|file| FolderFile { file, at: 0 }))
+        Ok(file.map(|file| DirectoryFile { file, at: 0 }))
     }
 
-    fn open_to_read(&mut self, name: &str) -> io::Result<Option<FolderFile>> {
-        Ok(if_there(File::open(self.path.join(name)))?.map(|file| FolderFile { file, at: 0 }))
+    fn open_read_only(&mut self, name: &str) -> io::Result<Option<DirectoryFile>> {
+        Ok(found(File::open(self.path.join(name)))?.map(|file| DirectoryFile { file, at: 0 }))
     }
 
-    fn create(&mut self, name: &str) -> io::Result<FolderFile> {
+    fn create(&mut self, name: &str) -> io::Result<DirectoryFile> {
         let path = self.path.join(name);
         let file = OpenOptions::new()
             .read(true)
@@ -99,7 +99,7 @@
             .create(true)
             .truncate(true)
             .open(path)?;
-        Ok(FolderFile { file, at: 0 })
+        Ok(DirectoryFile { file, at: 0 })
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -107,24 +107,24 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<bool> {
-        Ok(if_there(fs::remove_file(self.path.join(name)))?.is_some())
+        Ok(found(fs::remove_file(self.path.join(name)))?.is_some())
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
 
-/// An open file of a [`Folder`].
+/// An open file of a [`Directory`].
 #[derive(Debug)]
-pub struct FolderFile {
+pub struct DirectoryFile {
     file: File,
     /// Where the next read or write begins, so that appending needs no seek.
     at: u64,
 }
 
-impl FolderFile {
-    fn go_to(&mut self, offset: u64) -> io::Result<()> {
+impl DirectoryFile {
+    fn seek_to(&mut self, offset: u64) -> io::Result<()> {
         if self.at != offset {
             self.at = self.file.seek(SeekFrom::Start(offset))?;
         }
@@ -132,27 +132,27 @@
     }
 }
 
-impl DiskFile for FolderFile {
+impl DiskFile for DirectoryFile {
     fn length(&mut self) -> io::Result<u64> {
         self.at = self.file.seek(SeekFrom::End(0))?;
         Ok(self.at)
     }
 
     fn read_at(&mut self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
-        self.go_to(offset)?;
+        self.seek_to(offset)?;
         let read = self.file.read(into)?;
         self.at += read as u64;
         Ok(read)
     }
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
-        self.go_to(offset)?;
+        self.seek_to(offset)?;
         let written = self.file.write(bytes)?;
         self.at += written as u64;
         Ok(written)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.file.set_len(length)
     }
 
--- a/crates/append-log/src/error.rs
+++ b/crates/append-log/src/error.rs
@@ -31,7 +31,7 @@
     },
     /// A record is damaged though what was written after it is whole: no torn write does that.
     #[snafu(display(
-        "'{name}': record {record} at byte {offset} is damaged; the next whole record begins at byte {whole_at}"
+        "'{name}': record {record} at byte {offset} is damaged; the next whole record begins at byte {next_record_at}"
     ))]
     Damaged {
         /// The file.
@@ -41,7 +41,7 @@
         /// Where it begins, in bytes from the start.
         offset: u64,
         /// Where the next whole record begins, in bytes from the start.
-        whole_at: u64,
+        next_record_at: u64,
     },
     /// The file does not begin with a whole header.
     #[snafu(display("'{name}' has no whole header of this kind of file"))]
@@ -71,7 +71,7 @@
 
 impl Error {
     /// Sorts an error of the system: is there no room, or is it something else?
-    pub(crate) fn of(doing: &'static str, name: &str, source: io::Error) -> Error {
+    pub(crate) fn from_io(doing: &'static str, name: &str, source: io::Error) -> Error {
         let name = name.to_owned();
         match source.kind() {
             ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => {
--- a/crates/append-log/src/format.rs
+++ b/crates/append-log/src/format.rs
@@ -25,28 +25,28 @@
 pub const MAGIC: [u8; 8] = *b"furrow\r\n";
 
 /// The format that is written, and the newest that is read.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// Length of the file's header in bytes, in all versions.
-pub const HEADER: usize = 16;
+pub const FILE_HEADER_BYTES: usize = 16;
 
 /// Length of a record's head in bytes.
-pub const RECORD_HEAD: usize = 16;
+pub const RECORD_HEADER_BYTES: usize = 16;
 
-/// The longest body of a record, in bytes.
-pub const MAX_RECORD: usize = 16 << 20;
+/// The longest_body body of a record, in bytes.
+pub const MAX_RECORD_BYTES: usize = 16 << 20;
 
-/// The longest batch, in bytes with the records' heads.
-pub const MAX_BATCH: usize = 64 << 20;
+/// The longest_body batch, in bytes with the records' heads.
+pub const MAX_BATCH_BYTES: usize = 64 << 20;
 
 /// How much is read at once, in bytes.
-const CHUNK: usize = 64 << 10;
+const CHUNK_BYTES: usize = 64 << 10;
 
 static CRC32C: Crc<u32, Table<16>> = Crc::<u32, Table<16>>::new(&CRC_32_ISCSI);
 
 /// The header of a file of this version.
-pub fn header(version: u32) -> [u8; HEADER] {
-    let mut bytes = [0; HEADER];
+pub fn header(version: u32) -> [u8; FILE_HEADER_BYTES] {
+    let mut bytes = [0; FILE_HEADER_BYTES];
     bytes[..8].copy_from_slice(&MAGIC);
     bytes[8..12].copy_from_slice(&version.to_le_bytes());
     let sum = CRC32C.checksum(&bytes[..12]);
@@ -55,8 +55,8 @@
 }
 
 /// The version that a header tells; `None` if it isn't whole.
-pub fn version_of(bytes: &[u8]) -> Option<u32> {
-    let bytes = bytes.first_chunk::<HEADER>()?;
+pub fn header_version(bytes: &[u8]) -> Option<u32> {
+    let bytes = bytes.first_chunk::<FILE_HEADER_BYTES>()?;
     let version = number(bytes, 8);
     (*bytes == header(version)).then_some(version)
 }
@@ -64,25 +64,25 @@
 /// Puts a record behind `into`, whose first byte has the place `base` in the file.
 ///
 /// `batch` is the place of the batch's first record, `None` if this is the first. A body of more than
-/// [`MAX_RECORD`] or a batch of more than [`MAX_BATCH`] bytes can't be read back: callers check.
-pub fn put_record(into: &mut Vec<u8>, base: u64, batch: Option<u64>, body: &[u8]) {
+/// [`MAX_RECORD_BYTES`] or a batch of more than [`MAX_BATCH_BYTES`] bytes can't be read back: callers check.
+pub fn encode_record_into(into: &mut Vec<u8>, base: u64, batch: Option<u64>, body: &[u8]) {
     let offset = base + into.len() as u64;
     let back = offset - batch.unwrap_or(offset);
-    into.reserve(RECORD_HEAD + body.len());
+    into.reserve(RECORD_HEADER_BYTES + body.len());
     into.extend_from_slice(&(body.len() as u32).to_le_bytes());
     into.extend_from_slice(&(back as u32).to_le_bytes());
     into.extend_from_slice(&CRC32C.checksum(body).to_le_bytes());
     let start = into.len() - 12;
-    let sum = head_sum(offset, &into[start..]);
+    let sum = header_checksum(offset, &into[start..]);
     into.extend_from_slice(&sum.to_le_bytes());
     into.extend_from_slice(body);
 }
 
-fn number(bytes: &[u8; HEADER], at: usize) -> u32 {
+fn number(bytes: &[u8; FILE_HEADER_BYTES], at: usize) -> u32 {
     u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
 }
 
-fn head_sum(offset: u64, first: &[u8]) -> u32 {
+fn header_checksum(offset: u64, first: &[u8]) -> u32 {
     let mut digest = CRC32C.digest();
     digest.update(&offset.to_le_bytes());
     digest.update(first);
@@ -90,19 +90,22 @@
 }
 
 /// A record's head whose own checksum fits.
-struct Head {
+struct RecordHeader {
     length: usize,
     batch: u64,
     body_sum: u32,
 }
 
-fn head_at(offset: u64, bytes: &[u8]) -> Option<Head> {
-    let bytes = bytes.first_chunk::<RECORD_HEAD>()?;
+fn parse_record_header(offset: u64, bytes: &[u8]) -> Option<RecordHeader> {
+    let bytes = bytes.first_chunk::<RECORD_HEADER_BYTES>()?;
     let (length, back) = (number(bytes, 0) as usize, u64::from(number(bytes, 4)));
-    if length > MAX_RECORD || back > offset || number(bytes, 12) != head_sum(offset, &bytes[..12]) {
+    if length > MAX_RECORD_BYTES
+        || back > offset
+        || number(bytes, 12) != header_checksum(offset, &bytes[..12])
+    {
         return None;
     }
-    Some(Head {
+    Some(RecordHeader {
         length,
         batch: offset - back,
         body_sum: number(bytes, 8),
@@ -111,7 +114,7 @@
 
 /// What comes next in a file.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum ScannedSegment {
     /// A whole record.
     Record {
         /// Where it begins, in bytes from the start of the file.
@@ -130,26 +133,26 @@
     },
 }
 
-/// Goes through the pieces of a file, from behind its header to its end.
-pub struct Pieces<'a, F> {
+/// Goes through the scanner of a file, from behind its header to its end.
+pub struct SegmentScanner<'a, F> {
     file: &'a mut F,
     /// Length of the file in bytes.
     end: u64,
-    /// Where the next piece begins.
+    /// Where the next segment begins.
     offset: u64,
     /// What was read of the file, from `base` on.
     buffer: Vec<u8>,
     base: u64,
 }
 
-impl<'a, F: DiskFile> Pieces<'a, F> {
-    /// The pieces of this file, from behind its header on.
-    pub fn of(file: &'a mut F) -> io::Result<Self> {
+impl<'a, F: DiskFile> SegmentScanner<'a, F> {
+    /// The scanner of this file, from behind its header on.
+    pub fn new(file: &'a mut F) -> io::Result<Self> {
         let end = file.length()?;
-        Ok(Pieces {
+        Ok(SegmentScanner {
             file,
             end,
-            offset: HEADER as u64,
+            offset: FILE_HEADER_BYTES as u64,
             buffer: Vec::new(),
             base: 0,
         })
@@ -157,7 +160,7 @@
 
     /// The version that the file's header tells; `None` if it isn't whole.
     pub fn version(&mut self) -> io::Result<Option<u32>> {
-        Ok(version_of(self.view(0, HEADER)?))
+        Ok(header_version(self.view(0, FILE_HEADER_BYTES)?))
     }
 
     /// Length of the file in bytes.
@@ -165,11 +168,11 @@
         self.end
     }
 
-    /// The next piece; `None` at the end.
+    /// The next segment; `None` at the end.
     ///
     /// # Errors
     /// What the disk says when it doesn't give the bytes.
-    pub fn next_piece(&mut self) -> io::Result<Option<Piece>> {
+    pub fn next_segment(&mut self) -> io::Result<Option<ScannedSegment>> {
         let offset = self.offset;
         if offset >= self.end {
             return Ok(None);
@@ -177,8 +180,8 @@
         let head = self.head(offset)?;
         if let Some(head) = &head {
             if let Some(body) = self.body(offset, head)? {
-                self.offset = offset + (RECORD_HEAD + head.length) as u64;
-                return Ok(Some(Piece::Record {
+                self.offset = offset + (RECORD_HEADER_BYTES + head.length) as u64;
+                return Ok(Some(ScannedSegment::Record {
                     offset,
                     batch: head.batch,
                     body,
@@ -186,7 +189,7 @@
             }
         }
         // The length in a whole head is true, so the next record is behind that many bytes.
-        let mut next = offset + head.map_or(1, |head| (RECORD_HEAD + head.length) as u64);
+        let mut next = offset + head.map_or(1, |head| (RECORD_HEADER_BYTES + head.length) as u64);
         while next < self.end {
             if let Some(head) = self.head(next)? {
                 if self.body(next, &head)?.is_some() {
@@ -196,24 +199,27 @@
             next += 1;
         }
         self.offset = next.min(self.end);
-        Ok(Some(Piece::Gap {
+        Ok(Some(ScannedSegment::Gap {
             offset,
             bytes: self.offset - offset,
         }))
     }
 
-    fn head(&mut self, offset: u64) -> io::Result<Option<Head>> {
-        Ok(head_at(offset, self.view(offset, RECORD_HEAD)?))
+    fn head(&mut self, offset: u64) -> io::Result<Option<RecordHeader>> {
+        Ok(parse_record_header(
+            offset,
+            self.view(offset, RECORD_HEADER_BYTES)?,
+        ))
     }
 
     /// The body that belongs to this head; `None` if it isn't whole.
-    fn body(&mut self, offset: u64, head: &Head) -> io::Result<Option<Vec<u8>>> {
-        let start = offset + RECORD_HEAD as u64;
+    fn body(&mut self, offset: u64, head: &RecordHeader) -> io::Result<Option<Vec<u8>>> {
+        let start = offset + RECORD_HEADER_BYTES as u64;
         if start + head.length as u64 > self.end {
             return Ok(None);
         }
         let mut body = vec![0; head.length];
-        let known = self.view(start, head.length.min(CHUNK))?;
+        let known = self.view(start, head.length.min(CHUNK_BYTES))?;
         let (first, rest) = body.split_at_mut(known.len());
         first.copy_from_slice(known);
         let start = start + first.len() as u64;
@@ -228,7 +234,7 @@
         let length = self.end.saturating_sub(offset).min(length as u64) as usize;
         let held = self.base..self.base + self.buffer.len() as u64;
         if offset < held.start || offset + length as u64 > held.end {
-            let wanted = self.end.saturating_sub(offset).min(CHUNK as u64) as usize;
+            let wanted = self.end.saturating_sub(offset).min(CHUNK_BYTES as u64) as usize;
             self.buffer.clear();
             self.buffer.resize(wanted, 0);
             self.base = offset;
--- a/crates/append-log/src/lib.rs
+++ b/crates/append-log/src/lib.rs
@@ -27,7 +27,9 @@
 pub mod format;
 mod report;
 
-pub use disk::{Disk, DiskFile, Folder, FolderFile};
+pub use disk::{Directory, DirectoryFile, Disk, DiskFile};
 pub use error::Error;
-pub use file::{AppendLog, Cut};
-pub use report::{inspect, inspect_on, verify, verify_on, Inspection, Part, Shape, Verification};
+pub use file::{AppendLog, TruncatedTail};
+pub use report::{
+    inspect, inspect_on, verify, verify_on, FileCondition, FileSegment, Inspection, Verification,
+};
--- a/crates/append-log/src/report.rs
+++ b/crates/append-log/src/report.rs
@@ -1,16 +1,16 @@
-//! Reports for operators: what a file holds and in what shape it is. Nothing here writes.
+//! Reports for operators: what a file holds and in what condition it is. Nothing here writes.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
 use std::path::Path;
 
-use crate::file::fresh;
-use crate::format::{Piece, Pieces, VERSION};
-use crate::{Disk, DiskFile, Error, Folder};
+use crate::file::temporary_name;
+use crate::format::{ScannedSegment, SegmentScanner, FORMAT_VERSION};
+use crate::{Directory, Disk, DiskFile, Error};
 
-/// In what shape a file is, and so what its next opening does.
+/// In what condition a file is, and so what its next opening does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum FileCondition {
     /// All of it is whole.
     Whole,
     /// The last batch isn't whole: an opening cuts the file off here.
@@ -25,7 +25,7 @@
         /// Where it begins, in bytes from the start.
         offset: u64,
         /// Where the next whole record of a later batch begins.
-        whole_at: u64,
+        next_record_at: u64,
     },
     /// It was written by a later release: an opening is refused.
     Newer {
@@ -36,19 +36,19 @@
     NoHeader,
 }
 
-impl fmt::Display for Shape {
+impl fmt::Display for FileCondition {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Shape::Whole => write!(to, "whole"),
-            Shape::Torn { offset } => write!(to, "torn: the next start cuts it off at byte {offset}"),
-            Shape::Damaged { record, offset, whole_at } => write!(
+            FileCondition::Whole => write!(to, "whole"),
+            FileCondition::Torn { offset } => write!(to, "torn: the next start cuts it off at byte {offset}"),
+            FileCondition::Damaged { record, offset, next_record_at } => write!(
                 to,
-                "damaged: record {record} at byte {offset}; byte {whole_at} begins a whole record of a later batch"
+                "damaged: record {record} at byte {offset}; byte {next_record_at} begins a whole record of a later batch"
             ),
-            Shape::Newer { found } => {
-                write!(to, "format {found} of a later release; known are formats up to {VERSION}")
+            FileCondition::Newer { found } => {
+                write!(to, "format {found} of a later release; known are formats up to {FORMAT_VERSION}")
             }
-            Shape::NoHeader => write!(to, "no whole header of this kind of file"),
+            FileCondition::NoHeader => write!(to, "no whole header of this kind of file"),
         }
     }
 }
@@ -66,36 +66,39 @@
     pub batches: u64,
     /// The bytes of these records without their heads.
     pub body_bytes: u64,
-    /// The longest of these records, in bytes.
-    pub longest: u64,
-    /// In what shape the file is.
-    pub shape: Shape,
+    /// The longest_body of these records, in bytes.
+    pub longest_body: u64,
+    /// In what condition the file is.
+    pub condition: FileCondition,
     /// The length in bytes of what an interrupted rewrite left beside it.
-    pub remains: Option<u64>,
+    pub interrupted_rewrite_bytes: Option<u64>,
 }
 
 impl Inspection {
     /// Whether an opening works.
     pub fn opens(&self) -> bool {
-        matches!(self.shape, Shape::Whole | Shape::Torn { .. })
+        matches!(
+            self.condition,
+            FileCondition::Whole | FileCondition::Torn { .. }
+        )
     }
 }
 
 impl fmt::Display for Inspection {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(to, "{}: {}", self.name, self.shape)?;
+        writeln!(to, "{}: {}", self.name, self.condition)?;
         writeln!(to, "  {} bytes, {} in bodies", self.length, self.body_bytes)?;
         let Inspection {
             records,
             batches,
-            longest,
+            longest_body,
             ..
         } = self;
         write!(
             to,
-            "  {records} whole records in {batches} batches, the longest {longest} bytes"
+            "  {records} whole records in {batches} batches, the longest {longest_body} bytes"
         )?;
-        if let Some(bytes) = self.remains {
+        if let Some(bytes) = self.interrupted_rewrite_bytes {
             write!(
                 to,
                 "\n  an interrupted rewrite left {bytes} bytes; the next start removes them"
@@ -107,7 +110,7 @@
 
 /// A part of a file, as [`verify`] tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum FileSegment {
     /// A whole record.
     Record {
         /// Where it begins, in bytes from the start of the file.
@@ -126,17 +129,17 @@
     },
 }
 
-impl fmt::Display for Part {
+impl fmt::Display for FileSegment {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Part::Record {
+            FileSegment::Record {
                 offset,
                 batch,
                 bytes,
             } => {
                 write!(to, "  byte {offset}: a whole record of {bytes} bytes, of the batch at byte {batch}")
             }
-            Part::Gap { offset, bytes } => {
+            FileSegment::Gap { offset, bytes } => {
                 write!(
                     to,
                     "  byte {offset}: {bytes} bytes that belong to no whole record"
@@ -152,7 +155,7 @@
     /// The whole.
     pub summary: Inspection,
     /// All parts behind the header, also what lies behind damage; none where the header isn't whole or known.
-    pub parts: Vec<Part>,
+    pub parts: Vec<FileSegment>,
 }
 
 impl fmt::Display for Verification {
@@ -178,12 +181,12 @@
 /// assert!(report.opens());
 /// assert_eq!(
 ///     report.to_string(),
-///     "ledger: whole\n  59 bytes, 11 in bodies\n  2 whole records in 1 batches, the longest 6 bytes"
+///     "ledger: whole\n  59 bytes, 11 in bodies\n  2 whole records in 1 batches, the longest_body 6 bytes"
 /// );
 /// # std::fs::remove_dir_all(&folder).unwrap();
 /// ```
 pub fn inspect(folder: &Path, name: &str) -> Result<Inspection, Error> {
-    inspect_on(Folder::at(folder), name)
+    inspect_on(Directory::new(folder), name)
 }
 
 /// The same on any disk; see [`inspect`].
@@ -191,7 +194,7 @@
 /// # Errors
 /// As [`inspect`].
 pub fn inspect_on<D: Disk>(disk: D, name: &str) -> Result<Inspection, Error> {
-    report(disk, name, |_| {}).map_err(|error| Error::of("read", name, error))
+    report(disk, name, |_| {}).map_err(|error| Error::from_io("read", name, error))
 }
 
 /// Says of each record of a file whether it is whole. It may be in use, as with [`inspect`].
@@ -199,7 +202,7 @@
 /// # Errors
 /// [`Error::Io`] if there is no such file or it can't be read.
 pub fn verify(folder: &Path, name: &str) -> Result<Verification, Error> {
-    verify_on(Folder::at(folder), name)
+    verify_on(Directory::new(folder), name)
 }
 
 /// The same on any disk; see [`verify`].
@@ -209,44 +212,48 @@
 pub fn verify_on<D: Disk>(disk: D, name: &str) -> Result<Verification, Error> {
     let mut parts = Vec::new();
     let summary = report(disk, name, |part| parts.push(part))
-        .map_err(|error| Error::of("read", name, error))?;
+        .map_err(|error| Error::from_io("read", name, error))?;
     Ok(Verification { summary, parts })
 }
 
 /// Goes through the file and tells its parts.
-fn report<D: Disk>(mut disk: D, name: &str, mut tell: impl FnMut(Part)) -> io::Result<Inspection> {
+fn report<D: Disk>(
+    mut disk: D,
+    name: &str,
+    mut tell: impl FnMut(FileSegment),
+) -> io::Result<Inspection> {
     let mut file = disk
-        .open_to_read(name)?
+        .open_read_only(name)?
         .ok_or(io::Error::from(ErrorKind::NotFound))?;
-    let remains = match disk.open_to_read(&fresh(name))? {
+    let interrupted_rewrite_bytes = match disk.open_read_only(&temporary_name(name))? {
         Some(mut file) => Some(file.length()?),
         None => None,
     };
-    let mut pieces = Pieces::of(&mut file)?;
+    let mut scanner = SegmentScanner::new(&mut file)?;
     let mut found = Inspection {
         name: name.to_owned(),
-        length: pieces.end(),
+        length: scanner.end(),
         records: 0,
         batches: 0,
         body_bytes: 0,
-        longest: 0,
-        shape: Shape::NoHeader,
-        remains,
+        longest_body: 0,
+        condition: FileCondition::NoHeader,
+        interrupted_rewrite_bytes,
     };
-    match pieces.version()? {
-        Some(VERSION) => {}
-        Some(version) if version > VERSION => {
-            found.shape = Shape::Newer { found: version };
+    match scanner.version()? {
+        Some(FORMAT_VERSION) => {}
+        Some(version) if version > FORMAT_VERSION => {
+            found.condition = FileCondition::Newer { found: version };
             return Ok(found);
         }
         _ => return Ok(found),
     }
-    let mut judge = Judge::default();
-    while let Some(piece) = pieces.next_piece()? {
-        let last = judge.last_batch();
-        let is_good = judge.see(&piece);
-        tell(match piece {
-            Piece::Record {
+    let mut classifier = SegmentClassifier::default();
+    while let Some(segment) = scanner.next_segment()? {
+        let last = classifier.last_good_batch();
+        let is_good = classifier.see(&segment);
+        tell(match segment {
+            ScannedSegment::Record {
                 offset,
                 batch,
                 body,
@@ -255,67 +262,67 @@
                 if is_good {
                     found.batches += u64::from(last != Some(batch));
                     found.body_bytes += bytes;
-                    found.longest = found.longest.max(bytes);
+                    found.longest_body = found.longest_body.max(bytes);
                 }
-                Part::Record {
+                FileSegment::Record {
                     offset,
                     batch,
                     bytes,
                 }
             }
-            Piece::Gap { offset, bytes } => Part::Gap { offset, bytes },
+            ScannedSegment::Gap { offset, bytes } => FileSegment::Gap { offset, bytes },
         });
     }
-    found.records = judge.records;
-    found.shape = judge.shape();
+    found.records = classifier.records;
+    found.condition = classifier.condition();
     Ok(found)
 }
 
-/// Tells torn from damaged, of the pieces of a file one after the other.
+/// Tells torn from damaged, of the scanner of a file one after the other.
 #[derive(Default)]
-pub(crate) struct Judge {
+pub(crate) struct SegmentClassifier {
     /// How many whole records there are before any gap.
     records: u64,
     /// Where the batch of the last of them begins.
-    last_batch: Option<u64>,
+    last_good_batch: Option<u64>,
     /// Where the first gap begins.
     gap: Option<u64>,
     /// Where a whole record begins whose batch was written after what the gap held.
-    whole_at: Option<u64>,
+    next_record_at: Option<u64>,
 }
 
-impl Judge {
-    /// Takes the next piece; whether it is a record that counts.
-    pub(crate) fn see(&mut self, piece: &Piece) -> bool {
-        match (piece, self.gap) {
-            (Piece::Record { batch, .. }, None) => {
+impl SegmentClassifier {
+    /// Takes the next segment; whether it is a record that counts.
+    pub(crate) fn see(&mut self, segment: &ScannedSegment) -> bool {
+        match (segment, self.gap) {
+            (ScannedSegment::Record { batch, .. }, None) => {
                 self.records += 1;
-                self.last_batch = Some(*batch);
+                self.last_good_batch = Some(*batch);
                 return true;
             }
-            (Piece::Record { offset, batch, .. }, Some(gap)) if *batch > gap => {
-                self.whole_at.get_or_insert(*offset);
+            (ScannedSegment::Record { offset, batch, .. }, Some(gap)) if *batch > gap => {
+                self.next_record_at.get_or_insert(*offset);
             }
-            (Piece::Record { .. } | Piece::Gap { .. }, Some(_)) => {}
-            (Piece::Gap { offset, .. }, None) => self.gap = Some(*offset),
+            (ScannedSegment::Record { .. } | ScannedSegment::Gap { .. }, Some(_)) => {}
+            (ScannedSegment::Gap { offset, .. }, None) => self.gap = Some(*offset),
         }
         false
     }
 
     /// Where the last batch begins that has a record that counts.
-    pub(crate) fn last_batch(&self) -> Option<u64> {
-        self.last_batch
+    pub(crate) fn last_good_batch(&self) -> Option<u64> {
+        self.last_good_batch
     }
 
-    /// What the pieces seen come to.
-    pub(crate) fn shape(&self) -> Shape {
-        match (self.gap, self.whole_at) {
-            (None, _) => Shape::Whole,
-            (Some(offset), None) => Shape::Torn { offset },
-            (Some(offset), Some(whole_at)) => Shape::Damaged {
+    /// What the scanner seen come to.
+    pub(crate) fn condition(&self) -> FileCondition {
+        match (self.gap, self.next_record_at) {
+            (None, _) => FileCondition::Whole,
+            (Some(offset), None) => FileCondition::Torn { offset },
+            (Some(offset), Some(next_record_at)) => FileCondition::Damaged {
                 record: self.records,
                 offset,
-                whole_at,
+                next_record_at,
             },
         }
     }
--- a/crates/append-log/tests/folder.rs
+++ b/crates/append-log/tests/folder.rs
@@ -57,7 +57,7 @@
         records,
         [b"one".to_vec(), vec![], b"three".to_vec(), vec![7; 200_000]]
     );
-    assert_eq!((ledger.len(), ledger.cut()), (length, None));
+    assert_eq!((ledger.len(), ledger.truncated_tail()), (length, None));
     assert_eq!(
         fs::metadata(scratch.0.join("ledger")).unwrap().len(),
         length
@@ -85,7 +85,7 @@
     ledger.append(&[b"three"]).unwrap();
     let (mut short, _) = AppendLog::open(&scratch.0, "short").unwrap();
     short
-        .rewrite(&[&[1; (64 << 10) - format::HEADER - format::RECORD_HEAD]])
+        .rewrite(&[&[1; (64 << 10) - format::FILE_HEADER_BYTES - format::RECORD_HEADER_BYTES]])
         .unwrap();
     assert!(!short.wants_rewrite(0));
     short.append(&[b""]).unwrap();
@@ -105,7 +105,7 @@
 fn too_large_a_record_changes_nothing() {
     let scratch = Scratch::new();
     let (mut ledger, _) = scratch.open();
-    let large = vec![0; format::MAX_RECORD + 1];
+    let large = vec![0; format::MAX_RECORD_BYTES + 1];
     assert!(matches!(
         ledger.append(&[b"small", &large]),
         Err(Error::TooLarge { .. })
@@ -114,7 +114,7 @@
         ledger.rewrite(&[&large]),
         Err(Error::TooLarge { .. })
     ));
-    let largest = &large[..format::MAX_RECORD];
+    let largest = &large[..format::MAX_RECORD_BYTES];
     assert!(matches!(
         ledger.append(&[largest; 5]),
         Err(Error::TooLarge { .. })
@@ -140,7 +140,7 @@
     drop(ledger);
     let (mut ledger, records) = scratch.open();
     assert_eq!(records, [b"one"]);
-    assert_eq!(ledger.cut().unwrap().offset, good);
+    assert_eq!(ledger.truncated_tail().unwrap().offset, good);
     ledger.append(&[b"three"]).unwrap();
     drop(ledger);
     assert_eq!(scratch.open().1, [b"one".to_vec(), b"three".to_vec()]);
@@ -158,17 +158,17 @@
     drop(ledger);
     let path = scratch.0.join("ledger");
     let mut bytes = fs::read(&path).unwrap();
-    bytes[offset as usize + format::RECORD_HEAD] ^= 1;
+    bytes[offset as usize + format::RECORD_HEADER_BYTES] ^= 1;
     fs::write(&path, &bytes).unwrap();
     let Err(Error::Damaged {
         record: 1,
         offset: at,
-        whole_at,
+        next_record_at,
         ..
     }) = AppendLog::open(&scratch.0, "ledger")
     else {
         panic!("damage not told");
     };
-    assert_eq!((at, whole_at), (offset, next));
+    assert_eq!((at, next_record_at), (offset, next));
     assert_eq!(fs::read(&path).unwrap(), bytes, "left as it is");
 }
--- a/crates/append-log/tests/losses.rs
+++ b/crates/append-log/tests/losses.rs
@@ -129,7 +129,7 @@
     let disk = Simulated::new();
     play(&disk, &[Append(vec!["a"]), Append(vec!["bb", "cc"])]);
     let whole = disk.bytes("ledger").unwrap();
-    let batch = whole.len() - 2 * (format::RECORD_HEAD + 2);
+    let batch = whole.len() - 2 * (format::RECORD_HEADER_BYTES + 2);
     for length in batch..whole.len() {
         for steps in 0..20 {
             let disk = Simulated::new();
@@ -137,7 +137,7 @@
             disk.put("ledger.new", b"remains");
             disk.kill_after(steps);
             let _ = AppendLog::open_on(disk.clone(), "ledger");
-            let second = length >= batch + format::RECORD_HEAD + 2;
+            let second = length >= batch + format::RECORD_HEADER_BYTES + 2;
             let may_be = [if second {
                 owned(&["a", "bb"])
             } else {
@@ -179,8 +179,8 @@
     let records = open(&disk).1;
     let ends: Vec<u64> = records
         .iter()
-        .scan(format::HEADER, |end, record| {
-            *end += format::RECORD_HEAD + record.len();
+        .scan(format::FILE_HEADER_BYTES, |end, record| {
+            *end += format::RECORD_HEADER_BYTES + record.len();
             Some(*end as u64)
         })
         .collect();
@@ -193,21 +193,21 @@
         let at = (bit / 8) as u64;
         let hit = ends.iter().position(|end| at < *end).unwrap();
         match AppendLog::open_on(disk.clone(), "ledger") {
-            Err(Error::Header { .. }) => assert!(at < format::HEADER as u64),
+            Err(Error::Header { .. }) => assert!(at < format::FILE_HEADER_BYTES as u64),
             Err(Error::Damaged {
                 record,
                 offset,
-                whole_at,
+                next_record_at,
                 ..
             }) => {
                 assert!(at < last, "{bit}");
                 let begin = if hit == 0 {
-                    format::HEADER as u64
+                    format::FILE_HEADER_BYTES as u64
                 } else {
                     ends[hit - 1]
                 };
                 assert_eq!(
-                    (record, offset, whole_at),
+                    (record, offset, next_record_at),
                     (hit as u64, begin, ends[hit]),
                     "{bit}"
                 );
@@ -216,7 +216,10 @@
             Ok((ledger, left)) => {
                 assert!(at >= last, "{bit}");
                 assert_eq!(left, records[..hit], "{bit}");
-                assert_eq!(ledger.cut().map(|cut| cut.offset), Some(ends[hit - 1]));
+                assert_eq!(
+                    ledger.truncated_tail().map(|cut| cut.offset),
+                    Some(ends[hit - 1])
+                );
             }
         }
         if at < last {
@@ -252,10 +255,10 @@
     ledger.append(&[b"inner", b"inner too"]).unwrap();
     ledger.append(&[b"second"]).unwrap();
     let inside = disk.bytes("ledger").unwrap();
-    let mut outer = format::header(format::VERSION).to_vec();
-    format::put_record(&mut outer, 0, None, b"one");
+    let mut outer = format::header(format::FORMAT_VERSION).to_vec();
+    format::encode_record_into(&mut outer, 0, None, b"one");
     let good = outer.len() as u64;
-    format::put_record(&mut outer, 0, None, &inside);
+    format::encode_record_into(&mut outer, 0, None, &inside);
     for length in good as usize..outer.len() {
         // With its head damaged too, its length isn't known and every byte of it is tried.
         for damage in [0, 1] {
@@ -288,7 +291,7 @@
 #[test]
 fn a_later_format_is_refused_with_its_number() {
     let disk = Simulated::new();
-    let mut bytes = format::header(format::VERSION + 3).to_vec();
+    let mut bytes = format::header(format::FORMAT_VERSION + 3).to_vec();
     bytes.extend_from_slice(b"whatever comes then");
     disk.put("ledger", &bytes);
     let refused = AppendLog::open_on(disk.clone(), "ledger");
@@ -309,7 +312,7 @@
     let disk = Simulated::new();
     play(&disk, &[Append(vec!["a"])]);
     let used = disk.bytes("ledger").unwrap().len();
-    for room in 0..3 * (format::RECORD_HEAD + 2) {
+    for room in 0..3 * (format::RECORD_HEADER_BYTES + 2) {
         let disk = disk.after_kill();
         let (mut ledger, _) = open(&disk);
         disk.set_faults(Faults {
@@ -347,7 +350,7 @@
     play(&disk, &[Append(vec!["a"])]);
     let whole = disk.bytes("ledger").unwrap();
     let mut torn = whole.clone();
-    format::put_record(&mut torn, 0, None, b"torn");
+    format::encode_record_into(&mut torn, 0, None, b"torn");
     for length in whole.len()..torn.len() {
         let disk = Simulated::new();
         disk.put("ledger", &torn[..length]);
@@ -377,7 +380,7 @@
     let disk = Simulated::new();
     play(&disk, &[Append(vec!["a"]), Append(vec!["bb", "cc"])]);
     let mut torn = disk.bytes("ledger").unwrap();
-    let batch = torn.len() - 2 * (format::RECORD_HEAD + 2);
+    let batch = torn.len() - 2 * (format::RECORD_HEADER_BYTES + 2);
     torn[batch] ^= 1;
     let disk = Simulated::new();
     disk.put("ledger", &torn);
--- a/crates/append-log/tests/reports.rs
+++ b/crates/append-log/tests/reports.rs
@@ -2,7 +2,7 @@
 
 mod simulated;
 
-use append_log::{format, inspect_on, verify_on, AppendLog, Error, Part, Shape};
+use append_log::{format, inspect_on, verify_on, AppendLog, Error, FileCondition, FileSegment};
 use rstest::rstest;
 use simulated::{Faults, Simulated};
 
@@ -13,8 +13,8 @@
     ledger.append(&[b"one"]).unwrap();
     ledger.append(&[b"three", b""]).unwrap();
     ledger.append(&[b"seven!!"]).unwrap();
-    let head = format::RECORD_HEAD as u64;
-    let first = format::HEADER as u64;
+    let head = format::RECORD_HEADER_BYTES as u64;
+    let first = format::FILE_HEADER_BYTES as u64;
     let starts = vec![
         first,
         first + head + 3,
@@ -50,32 +50,35 @@
             summary.records,
             summary.batches,
             summary.body_bytes,
-            summary.longest
+            summary.longest_body
         ),
         (4, 3, 15, 7)
     );
     assert_eq!(
-        (summary.length, summary.remains),
+        (summary.length, summary.interrupted_rewrite_bytes),
         (bytes.len() as u64, Some(7))
     );
-    assert_eq!((summary.shape, summary.opens()), (Shape::Whole, true));
+    assert_eq!(
+        (summary.condition, summary.opens()),
+        (FileCondition::Whole, true)
+    );
     let expected = [
-        Part::Record {
+        FileSegment::Record {
             offset: starts[0],
             batch: starts[0],
             bytes: 3,
         },
-        Part::Record {
+        FileSegment::Record {
             offset: starts[1],
             batch: starts[1],
             bytes: 5,
         },
-        Part::Record {
+        FileSegment::Record {
             offset: starts[2],
             batch: starts[1],
             bytes: 0,
         },
-        Part::Record {
+        FileSegment::Record {
             offset: starts[3],
             batch: starts[3],
             bytes: 7,
@@ -104,35 +107,35 @@
     let (starts, mut bytes) = three_batches();
     bytes[starts[1] as usize] ^= 4;
     let report = verify_on(disk_with(&bytes), "ledger").unwrap();
-    let shape = Shape::Damaged {
+    let condition = FileCondition::Damaged {
         record: 1,
         offset: starts[1],
-        whole_at: starts[3],
+        next_record_at: starts[3],
     };
     assert_eq!(
         (
-            report.summary.shape,
+            report.summary.condition,
             report.summary.opens(),
             report.summary.records
         ),
-        (shape, false, 1)
+        (condition, false, 1)
     );
     let expected = [
-        Part::Record {
+        FileSegment::Record {
             offset: starts[0],
             batch: starts[0],
             bytes: 3,
         },
-        Part::Gap {
+        FileSegment::Gap {
             offset: starts[1],
             bytes: starts[2] - starts[1],
         },
-        Part::Record {
+        FileSegment::Record {
             offset: starts[2],
             batch: starts[1],
             bytes: 0,
         },
-        Part::Record {
+        FileSegment::Record {
             offset: starts[3],
             batch: starts[3],
             bytes: 7,
@@ -163,39 +166,40 @@
         let report = inspect_on(disk_with(&bytes), "ledger").unwrap();
         let disk = Simulated::new();
         disk.put("ledger", &bytes);
-        let shape = match AppendLog::open_on(disk, "ledger") {
-            Ok((ledger, records)) => {
-                assert_eq!(report.records, records.len() as u64);
-                ledger
-                    .cut()
-                    .map_or(Shape::Whole, |cut| Shape::Torn { offset: cut.offset })
-            }
-            Err(Error::Damaged {
-                record,
-                offset,
-                whole_at,
-                ..
-            }) => Shape::Damaged {
-                record,
-                offset,
-                whole_at,
-            },
-            Err(Error::Header { .. }) => Shape::NoHeader,
-            Err(error) => panic!("{error}"),
-        };
-        assert_eq!(report.shape, shape);
+        let condition =
+            match AppendLog::open_on(disk, "ledger") {
+                Ok((ledger, records)) => {
+                    assert_eq!(report.records, records.len() as u64);
+                    ledger.truncated_tail().map_or(FileCondition::Whole, |cut| {
+                        FileCondition::Torn { offset: cut.offset }
+                    })
+                }
+                Err(Error::Damaged {
+                    record,
+                    offset,
+                    next_record_at,
+                    ..
+                }) => FileCondition::Damaged {
+                    record,
+                    offset,
+                    next_record_at,
+                },
+                Err(Error::Header { .. }) => FileCondition::NoHeader,
+                Err(error) => panic!("{error}"),
+            };
+        assert_eq!(report.condition, condition);
     }
 }
 
 #[rstest]
-#[case::newer(&format::header(7), Shape::Newer { found: 7 })]
-#[case::older(&format::header(0), Shape::NoHeader)]
-#[case::empty(b"", Shape::NoHeader)]
-fn other_files(#[case] bytes: &[u8], #[case] shape: Shape) {
+#[case::newer(&format::header(7), FileCondition::Newer { found: 7 })]
+#[case::older(&format::header(0), FileCondition::NoHeader)]
+#[case::empty(b"", FileCondition::NoHeader)]
+fn other_files(#[case] bytes: &[u8], #[case] condition: FileCondition) {
     let report = verify_on(disk_with(bytes), "ledger").unwrap();
     assert_eq!(
-        (report.summary.shape, report.summary.opens()),
-        (shape, false)
+        (report.summary.condition, report.summary.opens()),
+        (condition, false)
     );
     assert!(report.parts.is_empty());
 }
--- a/crates/append-log/tests/simulated/mod.rs
+++ b/crates/append-log/tests/simulated/mod.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 enum Change {
     Write { offset: usize, bytes: Vec<u8> },
-    Cut(usize),
+    TruncatedTail(usize),
 }
 
 impl Change {
@@ -25,13 +25,13 @@
                 }
                 to[*offset..end].copy_from_slice(bytes);
             }
-            Change::Cut(length) => to.truncate(*length),
+            Change::TruncatedTail(length) => to.truncate(*length),
         }
     }
 
     /// What a loss of power may leave of it: all, nothing, the first bytes, the last ones, all but a sector of 8
     /// bytes; each as the changes that come to the same.
-    fn remains(&self) -> Vec<Vec<Change>> {
+    fn interrupted_rewrite_bytes(&self) -> Vec<Vec<Change>> {
         let Change::Write { offset, bytes } = self else {
             return vec![vec![], vec![self.clone()]];
         };
@@ -252,13 +252,13 @@
         for file in &inner.files {
             let mut bytes = file.synced.clone();
             for change in &file.changes {
-                let remains = change.remains();
+                let interrupted_rewrite_bytes = change.interrupted_rewrite_bytes();
                 let which = if choose(3) == 0 {
-                    choose(remains.len())
+                    choose(interrupted_rewrite_bytes.len())
                 } else {
                     choose(2)
                 };
-                remains[which]
+                interrupted_rewrite_bytes[which]
                     .iter()
                     .for_each(|change| change.apply(&mut bytes));
             }
@@ -303,11 +303,11 @@
     fn after_power_loss(&self) -> Vec<Vec<u8>> {
         let mut all = vec![self.synced.clone()];
         for change in &self.changes {
-            let remains = change.remains();
+            let interrupted_rewrite_bytes = change.interrupted_rewrite_bytes();
             all = all
                 .iter()
                 .flat_map(|before| {
-                    remains.iter().map(|changes| {
+                    interrupted_rewrite_bytes.iter().map(|changes| {
                         let mut bytes = before.clone();
                         changes.iter().for_each(|change| change.apply(&mut bytes));
                         bytes
@@ -337,7 +337,7 @@
         }))
     }
 
-    fn open_to_read(&mut self, name: &str) -> io::Result<Option<SimulatedFile>> {
+    fn open_read_only(&mut self, name: &str) -> io::Result<Option<SimulatedFile>> {
         self.open(name)
     }
 
@@ -348,7 +348,7 @@
             return Err(full());
         }
         let file = if let Some(file) = inner.names.get(name).copied() {
-            inner.change(file, Change::Cut(0));
+            inner.change(file, Change::TruncatedTail(0));
             file
         } else {
             let file = inner.files.len();
@@ -390,7 +390,7 @@
         Ok(is_there)
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let mut inner = self.0.borrow_mut();
         inner.step()?;
         if inner.faults.fails_sync_names {
@@ -463,13 +463,13 @@
         }
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         let mut inner = self.disk.borrow_mut();
         inner.step()?;
         if inner.faults.refuses_writes {
             return Err(full());
         }
-        inner.change(self.file, Change::Cut(length as usize));
+        inner.change(self.file, Change::TruncatedTail(length as usize));
         Ok(())
     }
 
--- a/crates/append-log/tests/stored_files.rs
+++ b/crates/append-log/tests/stored_files.rs
@@ -3,7 +3,7 @@
 
 mod simulated;
 
-use append_log::{inspect_on, verify_on, AppendLog, Cut, Error, Shape};
+use append_log::{inspect_on, verify_on, AppendLog, Error, FileCondition, TruncatedTail};
 use rstest::rstest;
 use simulated::Simulated;
 
@@ -29,20 +29,20 @@
 #[case::rewritten("rewritten.log", fixture!("rewritten.log"), fixture!("rewritten.appended.log"),
     &[&b"live one"[..], b"live two", b"after"], None)]
 #[case::torn_in_last_record("torn_tail.log", fixture!("torn_tail.log"), fixture!("torn_tail.appended.log"),
-    &[&b"first"[..], b"second", b"", b"third \x00\xff"], Some(Cut { offset: 99, bytes: 18 }))]
+    &[&b"first"[..], b"second", b"", b"third \x00\xff"], Some(TruncatedTail { offset: 99, bytes: 18 }))]
 #[case::torn_within_a_batch("torn_batch.log", fixture!("torn_batch.log"), fixture!("torn_batch.appended.log"),
-    &[&b"first"[..], b"second", b""], Some(Cut { offset: 75, bytes: 3 }))]
+    &[&b"first"[..], b"second", b""], Some(TruncatedTail { offset: 75, bytes: 3 }))]
 fn open_when_file_is_whole_or_torn_then_gives_records_and_takes_more(
     #[case] name: &str,
     #[case] stored: &[u8],
     #[case] appended: &[u8],
     #[case] expected_records: &[&[u8]],
-    #[case] expected_cut: Option<Cut>,
+    #[case] expected_cut: Option<TruncatedTail>,
 ) {
     let disk = disk_with(name, stored);
     let (mut log, records) = AppendLog::open_on(disk.clone(), name).unwrap();
     assert_eq!(records, expected_records);
-    assert_eq!(log.cut(), expected_cut);
+    assert_eq!(log.truncated_tail(), expected_cut);
     let good_bytes = expected_cut.map_or(stored.len(), |cut| cut.offset as usize);
     assert_eq!(log.len(), good_bytes as u64);
     assert_eq!(disk.bytes(name).unwrap(), stored[..good_bytes]);
@@ -78,7 +78,7 @@
             Error::Damaged {
                 record: 1,
                 offset: 37,
-                whole_at: 99,
+                next_record_at: 99,
                 ..
             }
         ),
@@ -121,21 +121,21 @@
 }
 
 #[rstest]
-#[case::batches("batches.log", fixture!("batches.log"), fixture!("batches.report.txt"), Shape::Whole)]
-#[case::rewritten("rewritten.log", fixture!("rewritten.log"), fixture!("rewritten.report.txt"), Shape::Whole)]
+#[case::batches("batches.log", fixture!("batches.log"), fixture!("batches.report.txt"), FileCondition::Whole)]
+#[case::rewritten("rewritten.log", fixture!("rewritten.log"), fixture!("rewritten.report.txt"), FileCondition::Whole)]
 #[case::torn_in_last_record("torn_tail.log", fixture!("torn_tail.log"), fixture!("torn_tail.report.txt"),
-    Shape::Torn { offset: 99 })]
+    FileCondition::Torn { offset: 99 })]
 #[case::torn_within_a_batch("torn_batch.log", fixture!("torn_batch.log"), fixture!("torn_batch.report.txt"),
-    Shape::Torn { offset: 75 })]
+    FileCondition::Torn { offset: 75 })]
 #[case::damaged("damaged.log", fixture!("damaged.log"), fixture!("damaged.report.txt"),
-    Shape::Damaged { record: 1, offset: 37, whole_at: 99 })]
-#[case::newer("newer.log", fixture!("newer.log"), fixture!("newer.report.txt"), Shape::Newer { found: 2 })]
-#[case::no_header("no_header.log", fixture!("no_header.log"), fixture!("no_header.report.txt"), Shape::NoHeader)]
+    FileCondition::Damaged { record: 1, offset: 37, next_record_at: 99 })]
+#[case::newer("newer.log", fixture!("newer.log"), fixture!("newer.report.txt"), FileCondition::Newer { found: 2 })]
+#[case::no_header("no_header.log", fixture!("no_header.log"), fixture!("no_header.report.txt"), FileCondition::NoHeader)]
 fn verify_and_inspect_then_report_as_the_earlier_release_did(
     #[case] name: &str,
     #[case] stored: &[u8],
     #[case] report: &[u8],
-    #[case] shape: Shape,
+    #[case] condition: FileCondition,
 ) {
     let disk = disk_with(name, stored);
     if name == "torn_batch.log" {
@@ -147,8 +147,8 @@
         report,
         "{verification}"
     );
-    assert_eq!(verification.summary.shape, shape);
-    let opens = matches!(shape, Shape::Whole | Shape::Torn { .. });
+    assert_eq!(verification.summary.condition, condition);
+    let opens = matches!(condition, FileCondition::Whole | FileCondition::Torn { .. });
     assert_eq!(verification.summary.opens(), opens);
     assert_eq!(inspect_on(disk, name).unwrap(), verification.summary);
 }
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/many_changes.rs
@@ -506,7 +506,7 @@
     }
     let record = protocol::encode_record(&accepted(Some(&ledger)));
     assert!(
-        record.len() <= append_log::format::MAX_RECORD,
+        record.len() <= append_log::format::MAX_RECORD_BYTES,
         "{} bytes",
         record.len()
     );
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -5,7 +5,7 @@
 //! - `torn`: the same, with the last five bytes of the log missing, as after a loss of power.
 //! - `rewritten`: a member whose log was rewritten once.
 
-use append_log::{AppendLog, Cut, Shape};
+use append_log::{AppendLog, FileCondition, TruncatedTail};
 use configuration::FaultBudget;
 use control_plane::applied_requests::fingerprint;
 use control_plane::member::{Member, MemberConfig};
@@ -342,13 +342,13 @@
 fn log_file_with_a_torn_tail_loses_the_last_record_alone() {
     let dir = copy_of("torn");
     let length = std::fs::metadata(dir.path().join("ledger")).unwrap().len();
-    let shape = append_log::inspect(dir.path(), "ledger").unwrap().shape;
-    let Shape::Torn { offset } = shape else {
-        panic!("{shape:?}");
+    let condition = append_log::inspect(dir.path(), "ledger").unwrap().condition;
+    let FileCondition::Torn { offset } = condition else {
+        panic!("{condition:?}");
     };
     let (log, stored) = AppendLog::open(dir.path(), "ledger").unwrap();
     let bytes = length - offset;
-    assert_eq!(log.cut(), Some(Cut { offset, bytes }));
+    assert_eq!(log.truncated_tail(), Some(TruncatedTail { offset, bytes }));
     let mut expected = appended_records().concat();
     assert_eq!(expected.pop(), Some(Record::Committed { index: 11 }));
     assert_log(&stored, &identity(1_000), &expected);
