--- a/crates/append-log/src/error.rs
+++ b/crates/append-log/src/error.rs
@@ -1,14 +1,14 @@
-//! What can go wrong.
+//! The errors of an [`AppendLog`](crate::AppendLog).
 
 use std::io::{self, ErrorKind};
 
 use snafu::Snafu;
 
-/// Why the file could not be opened or changed.
+/// Why a log could not be opened, read or changed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The disk has no room. The file stands as before the call and takes records again once there is room.
+    /// The disk is full. The log is as before the call and takes records again once there is space.
     #[snafu(display("no room on the disk to {doing} '{name}'"))]
     Full {
         /// What was being done.
@@ -18,8 +18,7 @@
         /// What the system said.
         source: io::Error,
     },
-    /// The disk refused for another reason. Whether the call's records are on it is not known; a later call may
-    /// work.
+    /// The disk failed for another reason. Whether the call's records are on it is unknown. A later call may work.
     #[snafu(display("can't {doing} '{name}'"))]
     Io {
         /// What was being done.
@@ -29,27 +28,27 @@
         /// What the system said.
         source: io::Error,
     },
-    /// A record is damaged though what was written after it is whole: no torn write does that.
+    /// A record is damaged though later records are complete, which no torn write does.
     #[snafu(display(
         "'{name}': record {record} at byte {offset} is damaged; the next whole record begins at byte {next_record_at}"
     ))]
     Damaged {
         /// The file.
         name: String,
-        /// How many whole records come before it.
+        /// How many complete records come before it.
         record: u64,
         /// Where it begins, in bytes from the start.
         offset: u64,
-        /// Where the next whole record begins, in bytes from the start.
+        /// Where the next complete record begins, in bytes from the start.
         next_record_at: u64,
     },
-    /// The file does not begin with a whole header.
+    /// The file does not begin with a complete header.
     #[snafu(display("'{name}' has no whole header of this kind of file"))]
     Header {
         /// The file.
         name: String,
     },
-    /// The file was written by a later release.
+    /// A later release wrote the file.
     #[snafu(display("'{name}' has format {found}; known are formats up to {known}"))]
     Newer {
         /// The file.
@@ -70,7 +69,7 @@
 }
 
 impl Error {
-    /// Sorts an error of the system: is there no room, or is it something else?
+    /// Classifies an error of the system: the disk is full, or something else.
     pub(crate) fn from_io(doing: &'static str, name: &str, source: io::Error) -> Error {
         let name = name.to_owned();
         match source.kind() {
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Whether the disk has no room, so that the same call works once there is some.
+    /// Whether the disk is full, so that the same call works once there is space.
     pub fn is_full(&self) -> bool {
         matches!(self, Error::Full { .. })
     }
--- a/crates/append-log/src/lib.rs
+++ b/crates/append-log/src/lib.rs
@@ -1,4 +1,4 @@
-//! An append-only file of checksummed records that is rewritten when it gets long.
+//! An append-only file of checksummed records, which is rewritten when it gets long.
 //!
 //! A [`AppendLog`] gives back at [`AppendLog::open`] what was written, in order, and survives a kill or a loss of power at
 //! any byte. What an `Ok` of [`AppendLog::append`] or [`AppendLog::rewrite`] covers lasts; what ended in an error may be
@@ -21,15 +21,18 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod condition;
 mod disk;
 mod error;
-mod file;
 pub mod format;
+mod log;
+mod recovery;
 mod report;
+mod scanner;
 
+pub use condition::FileCondition;
 pub use disk::{Directory, DirectoryFile, Disk, DiskFile};
 pub use error::Error;
-pub use file::{AppendLog, TruncatedTail};
-pub use report::{
-    inspect, inspect_on, verify, verify_on, FileCondition, FileSegment, Inspection, Verification,
-};
+pub use log::AppendLog;
+pub use recovery::TruncatedTail;
+pub use report::{inspect, inspect_on, verify, verify_on, FileSegment, Inspection, Verification};
--- a/crates/append-log/src/file.rs
+++ b/crates/append-log/src/log.rs
@@ -1,71 +1,63 @@
-//! The file: opened, appended to, rewritten, mended.
+//! The log: opened, appended to, rewritten, repaired.
 
 use std::io;
 use std::path::Path;
 
+use crate::disk::{read_fully, write_fully};
 use crate::format::{
-    self, ScannedSegment, SegmentScanner, FILE_HEADER_BYTES, FORMAT_VERSION, MAX_BATCH_BYTES,
-    MAX_RECORD_BYTES, RECORD_HEADER_BYTES,
+    self, temporary_name, FILE_HEADER_BYTES, FORMAT_VERSION, MAX_BATCH_BYTES, MAX_RECORD_BYTES,
+    RECORD_HEADER_BYTES,
 };
-use crate::report::{FileCondition, SegmentClassifier};
+use crate::recovery::{read_records, rewrite_in_place, TruncatedTail};
 use crate::{Directory, Disk, DiskFile, Error};
 
-/// A file is never rewritten below this length, in bytes.
+/// Below this length in bytes a file is never rewritten.
 const MIN_REWRITE_BYTES: u64 = 64 << 10;
 
-/// It is long when it is more than this many times what lives in it.
+/// A file is worth a rewrite if it is more than this many times as long as its live records.
 const REWRITE_RATIO: u64 = 4;
 
-/// How much is written at once when a file is rewritten, in bytes; what the buffer may keep between calls.
+/// How many bytes a rewrite writes at once, and how many the buffer may keep between calls.
 const CHUNK_BYTES: usize = 256 << 10;
 
-/// What [`AppendLog::open`] cut off: the last batch was not written whole.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TruncatedTail {
-    /// Where the file was cut off, in bytes from its start.
-    pub offset: u64,
-    /// How many bytes went.
-    pub bytes: u64,
-}
-
-/// How far the open file can be relied on.
+/// How far the file can be relied on.
 enum State<F> {
-    /// There is none yet; the first append makes it.
+    /// There is none yet; the first append creates it.
     Absent,
     /// It holds `length` bytes, all synced.
     Synced(F),
-    /// Behind `length` bytes, all synced, there may be others that have to go.
+    /// Behind `length` bytes, all synced, there may be others that have to be cut off.
     UnsyncedTail(F),
-    /// A sync failed or the name may not last. What was synced before can be read; it has to be copied.
+    /// A sync failed, or the file's name may not last. What was synced before can be read; it has to be copied.
     Untrusted,
 }
 
 /// An append-only file of records.
 ///
-/// A record is any bytes, up to [`MAX_RECORD_BYTES`]. After an error the file takes further calls: the next one first
-/// brings it back to what was synced last.
+/// A record is any bytes, up to [`MAX_RECORD_BYTES`]. After an error the log takes further calls: the next one first
+/// brings the file back to what was synced last.
 pub struct AppendLog<D: Disk = Directory> {
     disk: D,
     name: String,
     state: State<D::File>,
     /// How many bytes are synced.
     length: u64,
-    cut: Option<TruncatedTail>,
+    truncated_tail: Option<TruncatedTail>,
     buffer: Vec<u8>,
 }
 
 impl AppendLog {
-    /// Opens the file of this name in a folder that is there, and gives its records in order.
+    /// Opens the file of this name in an existing directory, and returns its records in order.
     ///
-    /// Nothing is made before the first append, so a full disk opens too. All records given are synced. A last batch
-    /// that isn't whole is cut off behind its last whole record ([`AppendLog::cut`]); the interrupted_rewrite_bytes of an interrupted
-    /// rewrite are removed.
+    /// Nothing is created before the first append, so a log on a full disk opens too. All returned records are synced. An
+    /// incomplete last batch is cut off behind its last complete record ([`AppendLog::truncated_tail`]). What an
+    /// interrupted rewrite left is removed.
     ///
     /// # Errors
-    /// [`Error::Damaged`] and [`Error::Header`] where bytes are bad that had been synced, [`Error::Newer`] for a
-    /// file of a later release, [`Error::Full`] and [`Error::Io`] if the disk refuses; the file is left as it is.
-    pub fn open(folder: &Path, name: &str) -> Result<(AppendLog, Vec<Vec<u8>>), Error> {
-        AppendLog::open_on(Directory::new(folder), name)
+    /// [`Error::Damaged`] and [`Error::Header`] if bytes that had been synced are damaged, [`Error::Newer`] for a file of a
+    /// later release, [`Error::Full`] and [`Error::Io`] if the disk fails. The file is left as it is.
+    pub fn open(directory: &Path, name: &str) -> Result<(AppendLog, Vec<Vec<u8>>), Error> {
+        AppendLog::open_on(Directory::new(directory), name)
     }
 }
 
@@ -77,51 +69,44 @@
     pub fn open_on(mut disk: D, name: &str) -> Result<(AppendLog<D>, Vec<Vec<u8>>), Error> {
         let failed = |doing| move |error| Error::from_io(doing, name, error);
         let mut records = Vec::new();
-        let (mut length, mut cut, mut state) = (0, None, State::Absent);
+        let (mut length, mut truncated_tail, mut state) = (0, None, State::Absent);
         if let Some(mut file) = disk.open(name).map_err(failed("open"))? {
-            let found = read(&mut file, name, &mut records)?;
+            let found = read_records(&mut file, name, &mut records)?;
             length = found.length;
-            if length < found.end {
-                cut = Some(TruncatedTail {
-                    offset: length,
-                    bytes: found.end - length,
-                });
-            }
-            // A disk that takes no writes may refuse the cut; the file is readable all the same.
-            let is_cut = cut.is_none() || file.truncate(length).is_ok();
-            // The process before may have been killed between write and sync, or after a sync that failed: what it
-            // wrote then counts as clean and no sync brings it to the disk. So the last batch is written once more,
-            // the same bytes, where the disk takes writes.
+            truncated_tail = found.torn_tail();
+            // A disk that takes no writes may refuse to truncate; the file is readable all the same.
+            let is_truncated = truncated_tail.is_none() || file.truncate(length).is_ok();
+            // The process before may have been killed between write and sync, or after a sync that failed. What it wrote
+            // then counts as clean, and no sync brings it to the disk. So the last batch is written once more, if the
+            // disk takes writes.
             let _ = rewrite_in_place(&mut file, found.batch, length);
             file.sync().map_err(failed("sync"))?;
-            state = if is_cut {
+            state = if is_truncated {
                 State::Synced(file)
             } else {
                 State::UnsyncedTail(file)
             };
         }
-        // The interrupted_rewrite_bytes of a rewrite; if they stay, the next rewrite takes their place.
+        // What an interrupted rewrite left. If it stays, the next rewrite takes its place.
         let _ = disk.remove(&temporary_name(name));
         if !matches!(state, State::Absent) {
             disk.sync_directory()
                 .map_err(failed("sync the folder of"))?;
         }
-        Ok((
-            AppendLog {
-                disk,
-                name: name.to_owned(),
-                state,
-                length,
-                cut,
-                buffer: Vec::new(),
-            },
-            records,
-        ))
+        let log = AppendLog {
+            disk,
+            name: name.to_owned(),
+            state,
+            length,
+            truncated_tail,
+            buffer: Vec::new(),
+        };
+        Ok((log, records))
     }
 
-    /// What was cut off when the file was opened.
+    /// What was cut off when the log was opened.
     pub fn truncated_tail(&self) -> Option<TruncatedTail> {
-        self.cut
+        self.truncated_tail
     }
 
     /// How many bytes of the file are synced; 0 while there is none.
@@ -134,19 +119,19 @@
         self.length <= FILE_HEADER_BYTES as u64
     }
 
-    /// Whether the file is long for what lives in it, given in bytes.
+    /// Whether the file is worth a rewrite that leaves `live_bytes`.
     pub fn wants_rewrite(&self, live_bytes: u64) -> bool {
         self.length > MIN_REWRITE_BYTES && self.length > live_bytes.saturating_mul(REWRITE_RATIO)
     }
 
-    /// Appends records: one write and one sync for all of them. None of them is a promise before the `Ok`.
+    /// Appends records with one write and one sync for all of them. None of them is durable before the `Ok`.
     ///
     /// # Errors
     /// [`Error::TooLarge`] and nothing was done; [`Error::Full`] or [`Error::Io`] if the disk refused. Then the
     /// records count as not written, here and for the next append; only if the process ends before the next call
     /// can they (or some of the first of them) turn up at its next start.
     pub fn append(&mut self, records: &[&[u8]]) -> Result<(), Error> {
-        check(records)?;
+        check_lengths(records)?;
         if records.is_empty() {
             return Ok(());
         }
@@ -178,7 +163,7 @@
             };
             format::encode_record_into(&mut self.buffer, self.length, first, record);
         }
-        let written = format::write_fully(&mut file, self.length, &self.buffer);
+        let written = write_fully(&mut file, self.length, &self.buffer);
         let bytes = self.buffer.len() as u64;
         self.buffer.clear();
         self.buffer.shrink_to(CHUNK_BYTES);
@@ -199,13 +184,13 @@
         Ok(())
     }
 
-    /// Puts a new file with these records, and no others, in the place of the old one, which stays whole until then.
+    /// Replaces the file by a new one with these records. The old one stays complete until then.
     ///
     /// # Errors
     /// [`Error::TooLarge`] and nothing was done; [`Error::Full`] or [`Error::Io`] if the disk refused. Then the file
-    /// is the old one, or the new one whole.
+    /// is the old one, or the complete new one.
     pub fn rewrite(&mut self, records: &[&[u8]]) -> Result<(), Error> {
-        check(records)?;
+        check_lengths(records)?;
         let mut buffer = std::mem::take(&mut self.buffer);
         let result = self.replace(|file| {
             buffer.extend_from_slice(&format::header(FORMAT_VERSION));
@@ -214,12 +199,12 @@
                 // Each is its own batch: all are synced before the file gets its name.
                 format::encode_record_into(&mut buffer, base, None, record);
                 if buffer.len() >= CHUNK_BYTES {
-                    format::write_fully(file, base, &buffer)?;
+                    write_fully(file, base, &buffer)?;
                     base += buffer.len() as u64;
                     buffer.clear();
                 }
             }
-            format::write_fully(file, base, &buffer)?;
+            write_fully(file, base, &buffer)?;
             Ok(base + buffer.len() as u64)
         });
         buffer.clear();
@@ -228,7 +213,7 @@
         result
     }
 
-    /// Brings the file back to the bytes that are synced, and to nothing else; makes it if there is none.
+    /// Brings the file back to exactly the bytes that are synced; creates it if there is none.
     fn repair(&mut self) -> Result<(), Error> {
         if let State::Absent = self.state {
             return self.rewrite(&[]);
@@ -263,30 +248,31 @@
             let (mut at, mut chunk) = (0, vec![0; CHUNK_BYTES.min(length as usize)]);
             while at < length {
                 let part = (length - at).min(CHUNK_BYTES as u64) as usize;
-                if format::read_fully(&mut old, at, &mut chunk[..part])? < part {
+                if read_fully(&mut old, at, &mut chunk[..part])? < part {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
-                format::write_fully(file, at, &chunk[..part])?;
+                write_fully(file, at, &chunk[..part])?;
                 at += part as u64;
             }
             Ok(length)
         })
     }
 
-    /// Writes a file under another name, and gives it the name of the old one once it is synced.
+    /// Fills a file under a temporary name, and renames it to the log's name once it is synced.
     fn replace(&mut self, fill: impl FnOnce(&mut D::File) -> io::Result<u64>) -> Result<(), Error> {
         let temporary = temporary_name(&self.name);
         let failed = |error| Error::from_io("rewrite", &self.name, error);
-        let made = self.disk.create(&temporary).and_then(|mut file| {
+        let filled = self.disk.create(&temporary).and_then(|mut file| {
             let length = fill(&mut file)?;
             file.sync()?;
             Ok((file, length))
         });
-        let renamed = made.and_then(|made| self.disk.rename(&temporary, &self.name).map(|()| made));
+        let renamed =
+            filled.and_then(|filled| self.disk.rename(&temporary, &self.name).map(|()| filled));
         let (file, length) = match renamed {
-            Ok(made) => made,
+            Ok(filled) => filled,
             Err(error) => {
-                // Its room is wanted back; if this fails too, the next rewrite takes its place.
+                // Frees its space; if this fails too, the next rewrite takes its place.
                 let _ = self.disk.remove(&temporary);
                 return Err(failed(error));
             }
@@ -302,12 +288,7 @@
     }
 }
 
-/// The name that a rewritten file has until it is whole.
-pub(crate) fn temporary_name(name: &str) -> String {
-    format!("{name}.new")
-}
-
-fn check(records: &[&[u8]]) -> Result<(), Error> {
+fn check_lengths(records: &[&[u8]]) -> Result<(), Error> {
     match records.iter().map(|record| record.len()).max() {
         Some(longest_body) if longest_body > MAX_RECORD_BYTES => Err(Error::TooLarge {
             bytes: longest_body as u64,
@@ -316,81 +297,3 @@
         _ => Ok(()),
     }
 }
-
-/// What there is of a file.
-struct Found {
-    /// How many bytes are good.
-    length: u64,
-    /// How many there are.
-    end: u64,
-    /// Where the last good batch begins.
-    batch: u64,
-}
-
-/// Reads the records of a file.
-fn read<F: DiskFile>(file: &mut F, name: &str, records: &mut Vec<Vec<u8>>) -> Result<Found, Error> {
-    let failed = |error| Error::from_io("read", name, error);
-    let mut scanner = SegmentScanner::new(file).map_err(failed)?;
-    match scanner.version().map_err(failed)? {
-        Some(FORMAT_VERSION) => {}
-        Some(found) if found > FORMAT_VERSION => {
-            return Err(Error::Newer {
-                name: name.to_owned(),
-                found,
-                known: FORMAT_VERSION,
-            });
-        }
-        _ => {
-            return Err(Error::Header {
-                name: name.to_owned(),
-            })
-        }
-    }
-    let mut classifier = SegmentClassifier::default();
-    while let Some(segment) = scanner.next_segment().map_err(failed)? {
-        match (classifier.see(&segment), segment) {
-            (true, ScannedSegment::Record { body, .. }) => records.push(body),
-            _ => {
-                if let FileCondition::Damaged {
-                    record,
-                    offset,
-                    next_record_at,
-                } = classifier.condition()
-                {
-                    return Err(Error::Damaged {
-                        name: name.to_owned(),
-                        record,
-                        offset,
-                        next_record_at,
-                    });
-                }
-            }
-        }
-    }
-    let end = scanner.end();
-    let length = if let FileCondition::Torn { offset } = classifier.condition() {
-        offset
-    } else {
-        end
-    };
-    Ok(Found {
-        length,
-        end,
-        batch: classifier.last_good_batch().unwrap_or(length),
-    })
-}
-
-/// Writes these bytes of the file over themselves.
-fn rewrite_in_place<F: DiskFile>(file: &mut F, mut from: u64, to: u64) -> io::Result<()> {
-    let mut chunk = vec![0; CHUNK_BYTES.min(to.saturating_sub(from) as usize)];
-    while from < to {
-        let part = (to - from).min(CHUNK_BYTES as u64) as usize;
-        let read = format::read_fully(file, from, &mut chunk[..part])?;
-        format::write_fully(file, from, &chunk[..read])?;
-        if read < part {
-            break;
-        }
-        from += part as u64;
-    }
-    Ok(())
-}
--- a/crates/append-log/src/report.rs
+++ b/crates/append-log/src/report.rs
@@ -4,55 +4,11 @@
 use std::io::{self, ErrorKind};
 use std::path::Path;
 
-use crate::file::temporary_name;
-use crate::format::{ScannedSegment, SegmentScanner, FORMAT_VERSION};
+use crate::condition::{FileCondition, SegmentClassifier};
+use crate::format::{temporary_name, FORMAT_VERSION};
+use crate::scanner::{ScannedSegment, SegmentScanner};
 use crate::{Directory, Disk, DiskFile, Error};
 
-/// In what condition a file is, and so what its next opening does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FileCondition {
-    /// All of it is whole.
-    Whole,
-    /// The last batch isn't whole: an opening cuts the file off here.
-    Torn {
-        /// Where the good bytes end, in bytes from the start.
-        offset: u64,
-    },
-    /// A record is damaged that had been synced: an opening is refused.
-    Damaged {
-        /// How many whole records come before it.
-        record: u64,
-        /// Where it begins, in bytes from the start.
-        offset: u64,
-        /// Where the next whole record of a later batch begins.
-        next_record_at: u64,
-    },
-    /// It was written by a later release: an opening is refused.
-    Newer {
-        /// Its format version.
-        found: u32,
-    },
-    /// It has no whole header: an opening is refused.
-    NoHeader,
-}
-
-impl fmt::Display for FileCondition {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            FileCondition::Whole => write!(to, "whole"),
-            FileCondition::Torn { offset } => write!(to, "torn: the next start cuts it off at byte {offset}"),
-            FileCondition::Damaged { record, offset, next_record_at } => write!(
-                to,
-                "damaged: record {record} at byte {offset}; byte {next_record_at} begins a whole record of a later batch"
-            ),
-            FileCondition::Newer { found } => {
-                write!(to, "format {found} of a later release; known are formats up to {FORMAT_VERSION}")
-            }
-            FileCondition::NoHeader => write!(to, "no whole header of this kind of file"),
-        }
-    }
-}
-
 /// What a file holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inspection {
@@ -66,7 +22,7 @@
     pub batches: u64,
     /// The bytes of these records without their heads.
     pub body_bytes: u64,
-    /// The longest_body of these records, in bytes.
+    /// The longest of these records, in bytes.
     pub longest_body: u64,
     /// In what condition the file is.
     pub condition: FileCondition,
@@ -181,7 +137,7 @@
 /// assert!(report.opens());
 /// assert_eq!(
 ///     report.to_string(),
-///     "ledger: whole\n  59 bytes, 11 in bodies\n  2 whole records in 1 batches, the longest_body 6 bytes"
+///     "ledger: whole\n  59 bytes, 11 in bodies\n  2 whole records in 1 batches, the longest 6 bytes"
 /// );
 /// # std::fs::remove_dir_all(&folder).unwrap();
 /// ```
@@ -251,7 +207,7 @@
     let mut classifier = SegmentClassifier::default();
     while let Some(segment) = scanner.next_segment()? {
         let last = classifier.last_good_batch();
-        let is_good = classifier.see(&segment);
+        let is_good = classifier.accept(&segment);
         tell(match segment {
             ScannedSegment::Record {
                 offset,
@@ -277,53 +233,3 @@
     found.condition = classifier.condition();
     Ok(found)
 }
-
-/// Tells torn from damaged, of the scanner of a file one after the other.
-#[derive(Default)]
-pub(crate) struct SegmentClassifier {
-    /// How many whole records there are before any gap.
-    records: u64,
-    /// Where the batch of the last of them begins.
-    last_good_batch: Option<u64>,
-    /// Where the first gap begins.
-    gap: Option<u64>,
-    /// Where a whole record begins whose batch was written after what the gap held.
-    next_record_at: Option<u64>,
-}
-
-impl SegmentClassifier {
-    /// Takes the next segment; whether it is a record that counts.
-    pub(crate) fn see(&mut self, segment: &ScannedSegment) -> bool {
-        match (segment, self.gap) {
-            (ScannedSegment::Record { batch, .. }, None) => {
-                self.records += 1;
-                self.last_good_batch = Some(*batch);
-                return true;
-            }
-            (ScannedSegment::Record { offset, batch, .. }, Some(gap)) if *batch > gap => {
-                self.next_record_at.get_or_insert(*offset);
-            }
-            (ScannedSegment::Record { .. } | ScannedSegment::Gap { .. }, Some(_)) => {}
-            (ScannedSegment::Gap { offset, .. }, None) => self.gap = Some(*offset),
-        }
-        false
-    }
-
-    /// Where the last batch begins that has a record that counts.
-    pub(crate) fn last_good_batch(&self) -> Option<u64> {
-        self.last_good_batch
-    }
-
-    /// What the scanner seen come to.
-    pub(crate) fn condition(&self) -> FileCondition {
-        match (self.gap, self.next_record_at) {
-            (None, _) => FileCondition::Whole,
-            (Some(offset), None) => FileCondition::Torn { offset },
-            (Some(offset), Some(next_record_at)) => FileCondition::Damaged {
-                record: self.records,
-                offset,
-                next_record_at,
-            },
-        }
-    }
-}
