--- a/crates/append-log/src/report.rs
+++ b/crates/append-log/src/report.rs
@@ -1,57 +1,13 @@
-//! Reports for operators: what a file holds and in what shape it is. Nothing here writes.
+//! Reports for operators: what a file holds and in what condition it is. Nothing here writes.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
 use std::path::Path;
 
-use crate::file::fresh;
-use crate::format::{Piece, Pieces, VERSION};
-use crate::{Disk, DiskFile, Error, Folder};
-
-/// In what shape a file is, and so what its next opening does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
-    /// All of it is whole.
-    Whole,
-    /// The last batch isn't whole: an opening cuts the file off here.
-    Torn {
-        /// Where the good bytes end, in bytes from the start.
-        offset: u64,
-    },
-    /// A record is damaged that had been synced: an opening is refused.
-    Damaged {
-        /// How many whole records come before it.
-        record: u64,
-        /// Where it begins, in bytes from the start.
-        offset: u64,
-        /// Where the next whole record of a later batch begins.
-        whole_at: u64,
-    },
-    /// It was written by a later release: an opening is refused.
-    Newer {
-        /// Its format version.
-        found: u32,
-    },
-    /// It has no whole header: an opening is refused.
-    NoHeader,
-}
-
-impl fmt::Display for Shape {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Shape::Whole => write!(to, "whole"),
-            Shape::Torn { offset } => write!(to, "torn: the next start cuts it off at byte {offset}"),
-            Shape::Damaged { record, offset, whole_at } => write!(
-                to,
-                "damaged: record {record} at byte {offset}; byte {whole_at} begins a whole record of a later batch"
-            ),
-            Shape::Newer { found } => {
-                write!(to, "format {found} of a later release; known are formats up to {VERSION}")
-            }
-            Shape::NoHeader => write!(to, "no whole header of this kind of file"),
-        }
-    }
-}
+use crate::condition::{FileCondition, SegmentClassifier};
+use crate::format::{temporary_name, FORMAT_VERSION};
+use crate::scanner::{ScannedSegment, SegmentScanner};
+use crate::{Directory, Disk, DiskFile, Error};
 
 /// What a file holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -67,35 +23,38 @@
     /// The bytes of these records without their heads.
     pub body_bytes: u64,
     /// The longest of these records, in bytes.
-    pub longest: u64,
-    /// In what shape the file is.
-    pub shape: Shape,
+    pub longest_body: u64,
+    /// In what condition the file is.
+    pub condition: FileCondition,
     /// The length in bytes of what an interrupted rewrite left beside it.
-    pub remains: Option<u64>,
+    pub interrupted_rewrite_bytes: Option<u64>,
 }
 
 impl Inspection {
     /// Whether an opening works.
     pub fn opens(&self) -> bool {
-        matches!(self.shape, Shape::Whole | Shape::Torn { .. })
+        matches!(
+            self.condition,
+            FileCondition::Whole | FileCondition::Torn { .. }
+        )
     }
 }
 
 impl fmt::Display for Inspection {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(to, "{}: {}", self.name, self.shape)?;
+        writeln!(to, "{}: {}", self.name, self.condition)?;
         writeln!(to, "  {} bytes, {} in bodies", self.length, self.body_bytes)?;
         let Inspection {
             records,
             batches,
-            longest,
+            longest_body,
             ..
         } = self;
         write!(
             to,
-            "  {records} whole records in {batches} batches, the longest {longest} bytes"
+            "  {records} whole records in {batches} batches, the longest {longest_body} bytes"
         )?;
-        if let Some(bytes) = self.remains {
+        if let Some(bytes) = self.interrupted_rewrite_bytes {
             write!(
                 to,
                 "\n  an interrupted rewrite left {bytes} bytes; the next start removes them"
@@ -107,7 +66,7 @@
 
 /// A part of a file, as [`verify`] tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum FileSegment {
     /// A whole record.
     Record {
         /// Where it begins, in bytes from the start of the file.
@@ -126,17 +85,17 @@
     },
 }
 
-impl fmt::Display for Part {
+impl fmt::Display for FileSegment {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Part::Record {
+            FileSegment::Record {
                 offset,
                 batch,
                 bytes,
             } => {
                 write!(to, "  byte {offset}: a whole record of {bytes} bytes, of the batch at byte {batch}")
             }
-            Part::Gap { offset, bytes } => {
+            FileSegment::Gap { offset, bytes } => {
                 write!(
                     to,
                     "  byte {offset}: {bytes} bytes that belong to no whole record"
@@ -152,7 +111,7 @@
     /// The whole.
     pub summary: Inspection,
     /// All parts behind the header, also what lies behind damage; none where the header isn't whole or known.
-    pub parts: Vec<Part>,
+    pub parts: Vec<FileSegment>,
 }
 
 impl fmt::Display for Verification {
@@ -183,7 +142,7 @@
 /// # std::fs::remove_dir_all(&folder).unwrap();
 /// ```
 pub fn inspect(folder: &Path, name: &str) -> Result<Inspection, Error> {
-    inspect_on(Folder::at(folder), name)
+    inspect_on(Directory::new(folder), name)
 }
 
 /// The same on any disk; see [`inspect`].
@@ -191,7 +150,7 @@
 /// # Errors
 /// As [`inspect`].
 pub fn inspect_on<D: Disk>(disk: D, name: &str) -> Result<Inspection, Error> {
-    report(disk, name, |_| {}).map_err(|error| Error::of("read", name, error))
+    report(disk, name, |_| {}).map_err(|error| Error::from_io("read", name, error))
 }
 
 /// Says of each record of a file whether it is whole. It may be in use, as with [`inspect`].
@@ -199,7 +158,7 @@
 /// # Errors
 /// [`Error::Io`] if there is no such file or it can't be read.
 pub fn verify(folder: &Path, name: &str) -> Result<Verification, Error> {
-    verify_on(Folder::at(folder), name)
+    verify_on(Directory::new(folder), name)
 }
 
 /// The same on any disk; see [`verify`].
@@ -209,44 +168,48 @@
 pub fn verify_on<D: Disk>(disk: D, name: &str) -> Result<Verification, Error> {
     let mut parts = Vec::new();
     let summary = report(disk, name, |part| parts.push(part))
-        .map_err(|error| Error::of("read", name, error))?;
+        .map_err(|error| Error::from_io("read", name, error))?;
     Ok(Verification { summary, parts })
 }
 
 /// Goes through the file and tells its parts.
-fn report<D: Disk>(mut disk: D, name: &str, mut tell: impl FnMut(Part)) -> io::Result<Inspection> {
+fn report<D: Disk>(
+    mut disk: D,
+    name: &str,
+    mut tell: impl FnMut(FileSegment),
+) -> io::Result<Inspection> {
     let mut file = disk
-        .open_to_read(name)?
+        .open_read_only(name)?
         .ok_or(io::Error::from(ErrorKind::NotFound))?;
-    let remains = match disk.open_to_read(&fresh(name))? {
+    let interrupted_rewrite_bytes = match disk.open_read_only(&temporary_name(name))? {
         Some(mut file) => Some(file.length()?),
         None => None,
     };
-    let mut pieces = Pieces::of(&mut file)?;
+    let mut scanner = SegmentScanner::new(&mut file)?;
     let mut found = Inspection {
         name: name.to_owned(),
-        length: pieces.end(),
+        length: scanner.end(),
         records: 0,
         batches: 0,
         body_bytes: 0,
-        longest: 0,
-        shape: Shape::NoHeader,
-        remains,
+        longest_body: 0,
+        condition: FileCondition::NoHeader,
+        interrupted_rewrite_bytes,
     };
-    match pieces.version()? {
-        Some(VERSION) => {}
-        Some(version) if version > VERSION => {
-            found.shape = Shape::Newer { found: version };
+    match scanner.version()? {
+        Some(FORMAT_VERSION) => {}
+        Some(version) if version > FORMAT_VERSION => {
+            found.condition = FileCondition::Newer { found: version };
             return Ok(found);
         }
         _ => return Ok(found),
     }
-    let mut judge = Judge::default();
-    while let Some(piece) = pieces.next_piece()? {
-        let last = judge.last_batch();
-        let is_good = judge.see(&piece);
-        tell(match piece {
-            Piece::Record {
+    let mut classifier = SegmentClassifier::default();
+    while let Some(segment) = scanner.next_segment()? {
+        let last = classifier.last_good_batch();
+        let is_good = classifier.accept(&segment);
+        tell(match segment {
+            ScannedSegment::Record {
                 offset,
                 batch,
                 body,
@@ -255,68 +218,18 @@
                 if is_good {
                     found.batches += u64::from(last != Some(batch));
                     found.body_bytes += bytes;
-                    found.longest = found.longest.max(bytes);
+                    found.longest_body = found.longest_body.max(bytes);
                 }
-                Part::Record {
+                FileSegment::Record {
                     offset,
                     batch,
                     bytes,
                 }
             }
-            Piece::Gap { offset, bytes } => Part::Gap { offset, bytes },
+            ScannedSegment::Gap { offset, bytes } => FileSegment::Gap { offset, bytes },
         });
     }
-    found.records = judge.records;
-    found.shape = judge.shape();
+    found.records = classifier.records;
+    found.condition = classifier.condition();
     Ok(found)
 }
-
-/// Tells torn from damaged, of the pieces of a file one after the other.
-#[derive(Default)]
-pub(crate) struct Judge {
-    /// How many whole records there are before any gap.
-    records: u64,
-    /// Where the batch of the last of them begins.
-    last_batch: Option<u64>,
-    /// Where the first gap begins.
-    gap: Option<u64>,
-    /// Where a whole record begins whose batch was written after what the gap held.
-    whole_at: Option<u64>,
-}
-
-impl Judge {
-    /// Takes the next piece; whether it is a record that counts.
-    pub(crate) fn see(&mut self, piece: &Piece) -> bool {
-        match (piece, self.gap) {
-            (Piece::Record { batch, .. }, None) => {
-                self.records += 1;
-                self.last_batch = Some(*batch);
-                return true;
-            }
-            (Piece::Record { offset, batch, .. }, Some(gap)) if *batch > gap => {
-                self.whole_at.get_or_insert(*offset);
-            }
-            (Piece::Record { .. } | Piece::Gap { .. }, Some(_)) => {}
-            (Piece::Gap { offset, .. }, None) => self.gap = Some(*offset),
-        }
-        false
-    }
-
-    /// Where the last batch begins that has a record that counts.
-    pub(crate) fn last_batch(&self) -> Option<u64> {
-        self.last_batch
-    }
-
-    /// What the pieces seen come to.
-    pub(crate) fn shape(&self) -> Shape {
-        match (self.gap, self.whole_at) {
-            (None, _) => Shape::Whole,
-            (Some(offset), None) => Shape::Torn { offset },
-            (Some(offset), Some(whole_at)) => Shape::Damaged {
-                record: self.records,
-                offset,
-                whole_at,
-            },
-        }
-    }
-}
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -325,7 +325,7 @@
             Some(Message::Peers { .. })
         ));
         // Some of the first bytes come, and no more.
-        assert!(matches!(data.step().await.unwrap(), Step::Part));
+        assert!(matches!(data.step().await.unwrap(), Step::Partial));
         drop(data);
         let mut data = accept_and_greet(&listener, &other).await;
         assert_eq!(next_except_probes(&mut data).await, Some(long));
@@ -391,7 +391,7 @@
             match data.step().await.unwrap() {
                 Step::Message(message) if matches!(*message, Message::Peers { .. }) => {}
                 Step::Message(message) => break *message,
-                Step::Part => {
+                Step::Partial => {
                     let bytes = data.received() - received;
                     received = data.received();
                     advance_in_steps(Duration::from_secs_f64(bytes as f64 / 1.1e6)).await;
