--- a/crates/fennelpin-cli/src/fleet_updates.rs
+++ b/crates/fennelpin-cli/src/fleet_updates.rs
@@ -15,15 +15,15 @@
 /// Runs on a `LocalSet`.
 pub fn follow(settings: &ProcessSettings) -> watch::Receiver<Option<Arc<FleetSnapshot>>> {
     let heartbeat_interval = Duration::from_millis(settings.beat_period_ms);
-    let mirror = SharedMirror::new(Mirror::new(0, heartbeat_interval).at_the_end());
-    let mut puller = Puller::new(&settings.node_name, 1, None).fixed();
+    let mirror = SharedMirror::new(Mirror::new(0, heartbeat_interval).without_history());
+    let mut puller = Puller::new(&settings.node_name, 1, None).seeds_only();
     puller.set_seeds(&[replication::agent_addr(settings)]);
     let (control, control_events) = mpsc::unbounded_channel();
     let snapshots = mirror.subscribe();
     tokio::task::spawn_local(client::run(
         puller,
-        replication::no_seat(settings),
-        replication::caller(settings, 0),
+        replication::non_member_info(settings),
+        replication::subscriber(settings, 0),
         mirror,
         control_events,
     ));
@@ -43,7 +43,7 @@
     let mut version_in_force = 0;
     loop {
         let snapshot = snapshots.borrow_and_update().clone();
-        let version = snapshot.document.version;
+        let version = snapshot.configuration.version;
         if version > 0 {
             if version != version_in_force {
                 version_in_force = version;
@@ -64,9 +64,12 @@
         .hosts
         .values()
         .filter(|host| host.phase < phase::GONE);
-    let peers = snapshot.hints.iter().filter(|(name, _)| *name != node_name);
+    let peers = snapshot
+        .hints_addrs
+        .iter()
+        .filter(|(name, _)| *name != node_name);
     FleetSnapshot {
-        configuration: snapshot.document.clone(),
+        configuration: snapshot.configuration.clone(),
         hosts: present_hosts.map(host_info).collect(),
         proxy_count: snapshot.coordinators.len().max(1),
         peer_hint_addresses: peers.map(|(_, addr)| SocketAddrV4::from(addr)).collect(),
--- a/crates/fennelpin-cli/src/operator_settings.rs
+++ b/crates/fennelpin-cli/src/operator_settings.rs
@@ -94,10 +94,10 @@
         Self {
             log_level: LogLevel::Info,
             log_format: LogFormat::Text,
-            counters_s: runtime.counters.as_secs(),
-            lease_ms: ms(runtime.lease),
-            stall_ms: ms(runtime.stall),
-            patience_ms: ms(runtime.patience),
+            counters_s: runtime.counters_interval.as_secs(),
+            lease_ms: ms(runtime.lease_duration),
+            stall_ms: ms(runtime.disk_stall_timeout),
+            patience_ms: ms(runtime.command_timeout),
         }
     }
 }
@@ -182,10 +182,10 @@
     /// The settings of a control plane's member.
     pub fn runtime_settings(&self) -> RuntimeSettings {
         RuntimeSettings {
-            lease: Duration::from_millis(self.lease_ms),
-            patience: Duration::from_millis(self.patience_ms),
-            stall: Duration::from_millis(self.stall_ms),
-            counters: Duration::from_secs(self.counters_s),
+            lease_duration: Duration::from_millis(self.lease_ms),
+            command_timeout: Duration::from_millis(self.patience_ms),
+            disk_stall_timeout: Duration::from_millis(self.stall_ms),
+            counters_interval: Duration::from_secs(self.counters_s),
         }
     }
 }
--- a/crates/fennelpin-cli/tests/command_line.rs
+++ b/crates/fennelpin-cli/tests/command_line.rs
@@ -271,10 +271,10 @@
     let first: serde_json::Value = serde_json::from_str(&lines.next().unwrap().unwrap()).unwrap();
     assert_eq!(
         (&first["level"], &first["message"]),
-        (&"INFO".into(), &"member starts".into())
+        (&"INFO".into(), &"member starting".into())
     );
     assert!(
-        first["id"].is_number() && first["founder"] == true,
+        first["id"].is_number() && first["initial_voter"] == true,
         "{first}"
     );
     // The end of its input ends it in order.
--- a/crates/fennelpin-cli/tests/store_recover_command.rs
+++ b/crates/fennelpin-cli/tests/store_recover_command.rs
@@ -19,7 +19,7 @@
         id,
         name,
         addr,
-        control: addr,
+        control_addr: addr,
         zone: format!("z{id}"),
         region: "r".into(),
     }
@@ -45,7 +45,7 @@
     ];
     let identity = Identity {
         id,
-        life: 7,
+        incarnation: 7,
         ..Identity::default()
     };
     std::fs::create_dir_all(dir).unwrap();
@@ -108,7 +108,7 @@
         .unwrap()
         .unwrap();
     assert!(identity.id != 2 && identity.initial_voters.is_empty());
-    let found = StoredLog::of(records(&dir, "ledger"));
+    let found = StoredLog::from_records(records(&dir, "ledger"));
     assert_eq!(found.owner.map(|o| o.id), Some(identity.id));
     let ledger = found.records;
     assert!(
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -3,7 +3,7 @@
 use protocol::{
     Addr, AppliedRequest, Change, Command, ConfigurationUpdate, ControlPlaneInfo,
     CoordinatorRecord, HostRecord, LogPosition, MemberInfo, MembershipConfig, Message,
-    OriginUpdate, OriginVersion, Part, Placement, Record, Snapshot, Subscriber,
+    OriginUpdate, OriginVersion, PromptPart, PromptPlacement, Record, Snapshot, Subscriber,
 };
 
 fn texts(items: &[&str]) -> Vec<String> {
@@ -22,7 +22,7 @@
         id,
         name: format!("core-{id}"),
         addr: addr(id as u32, 7660),
-        control: addr(id as u32, 8146),
+        control_addr: addr(id as u32, 8146),
         zone: "zone-ä".into(),
         region: "north".into(),
     }
@@ -44,12 +44,12 @@
         configuration: r#"{"version":2,"routes":[],"services":[]}"#.into(),
         applied_requests: vec![
             AppliedRequest {
-                base: 1,
+                base_version: 1,
                 version: 2,
                 digest: [0xab; 32],
             },
             AppliedRequest {
-                base: 2,
+                base_version: 2,
                 version: 0x1122_3344,
                 digest: std::array::from_fn(|n| n as u8 + 1),
             },
@@ -58,15 +58,15 @@
     }
 }
 
-fn placement(host: &str) -> Placement {
-    Placement {
+fn placement(host: &str) -> PromptPlacement {
+    PromptPlacement {
         host: host.into(),
         parts: vec![
-            Part {
+            PromptPart {
                 id: 0xfeed_beef_0000_0001,
                 tokens: 128,
             },
-            Part { id: 2, tokens: 64 },
+            PromptPart { id: 2, tokens: 64 },
         ],
     }
 }
@@ -146,8 +146,8 @@
         (
             "Configure",
             Change::Configure {
-                base: 8,
-                amend: true,
+                base_version: 8,
+                is_amendment: true,
                 body: vec![0, 1, 0xff],
             },
         ),
@@ -212,6 +212,7 @@
 
 pub fn messages() -> Vec<(&'static str, Message)> {
     let mut all = elections();
+    all.extend(installations());
     all.extend(replication());
     all.extend(commands_and_hints());
     all.extend(subscriptions());
@@ -274,6 +275,11 @@
                 retry_after_ms: 300,
             },
         ),
+    ]
+}
+
+fn installations() -> Vec<(&'static str, Message)> {
+    vec![
         (
             "InstallMembership",
             Message::InstallMembership {
--- a/crates/scale-test/src/simulated_coordinators.rs
+++ b/crates/scale-test/src/simulated_coordinators.rs
@@ -93,7 +93,7 @@
 
 /// Pulls as a proxy does: from the agent of its machine alone.
 fn proxy_puller(settings: &ProcessSettings) -> Puller {
-    let mut puller = Puller::new(&settings.node_name, 1, None).fixed();
+    let mut puller = Puller::new(&settings.node_name, 1, None).seeds_only();
     puller.set_seeds(&[replication::agent_addr(settings)]);
     puller
 }
@@ -122,8 +122,8 @@
     }
     let pulling = client::run(
         puller,
-        replication::no_seat(settings),
-        replication::caller(settings, 0),
+        replication::non_member_info(settings),
+        replication::subscriber(settings, 0),
         mirror,
         control_events,
     );
@@ -145,7 +145,7 @@
         let mut version_in_force = 0;
         loop {
             changes.borrow_and_update();
-            let version = mirror.update(|mirror, _| mirror.document().version);
+            let version = mirror.update(|mirror, _| mirror.configuration().version);
             if version > version_in_force {
                 version_in_force = version;
                 let entry = (version, Instant::now());
