--- a/crates/fennelpin-cli/tests/fault_injection/agent_and_proxy_restarts.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/agent_and_proxy_restarts.rs
@@ -1,5 +1,5 @@
-//! Agents and proxies that are started again while requests are under way: none is lost or sent twice, and the newest
-//! configuration is in force afterwards.
+//! Agents and proxies that restart while requests are in flight: none is lost or sent twice, and the newest configuration
+//! is in force afterwards.
 
 use crate::harness::callers::{call_until_conclusive, ChangeRequest};
 use crate::harness::cluster::TestCluster;
@@ -13,12 +13,12 @@
 use std::time::Instant;
 
 const ALL: [u8; 3] = [1, 2, 3];
-/// Clients at once, over both proxies.
+/// Concurrent clients, over both proxies.
 const CLIENTS: usize = 4;
-/// Answers that come between two events.
+/// Answers that come between two restarts.
 const CHANGES: usize = 200;
 
-/// A configuration that keeps the routes and tells its version by one more.
+/// A configuration with the same routes and one more whose path tells the version.
 fn configuration(version: u64) -> ChangeRequest {
     let route = |name: &str, path: &str, kind: &str| {
         format!(
@@ -41,35 +41,35 @@
     }
 }
 
-/// What became of a client's tries.
+/// Outcomes of a client's requests.
 #[derive(Debug, Default)]
 struct ClientResult {
     served: usize,
-    /// Refused with the promise that they haven't run.
+    /// Rejected with the promise that they have not run.
     refused: Vec<String>,
-    /// Without an answer.
+    /// Bodies of requests without an answer.
     unanswered: Vec<String>,
 }
 
-/// Clients that send one request after the other until they are told to stop.
+/// Clients that send one request after the other until they are asked to stop.
 #[derive(Default)]
 struct Traffic {
     stop: AtomicBool,
     served: AtomicUsize,
-    /// Refused, or without an answer.
-    troubled: AtomicUsize,
+    /// Requests that were rejected or had no answer.
+    unserved: AtomicUsize,
 }
 
 impl Traffic {
-    /// Waits until so many more requests are served.
-    fn flows(&self) {
+    /// Waits until more requests are served.
+    fn wait_until_served(&self) {
         let before = self.served.load(Ordering::Relaxed);
         wait_until("requests are served", || {
             (self.served.load(Ordering::Relaxed) >= before + CHANGES).then_some(())
         });
     }
 
-    /// One client, over connections that are kept.
+    /// Runs one client, over connections that are kept.
     fn client(&self, front: SocketAddrV4, number: usize) -> ClientResult {
         let route = if number % 3 == 2 { "pure" } else { "once" };
         let mut result = ClientResult::default();
@@ -79,7 +79,7 @@
                 break;
             }
             let body = format!("{route}-{number}-{n}");
-            // A proxy that is about to start is waited for.
+            // The proxy may be starting.
             let (mut stream, mut buffer) = kept.take().unwrap_or_else(|| {
                 (
                     wait_until("a proxy", || faulty_hosts::connect(front)),
@@ -90,7 +90,7 @@
             let Some(answer) = sent.and_then(|()| HttpMessage::read(&mut stream, &mut buffer))
             else {
                 result.unanswered.push(body);
-                self.troubled.fetch_add(1, Ordering::Relaxed);
+                self.unserved.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             match answer.status() {
@@ -101,7 +101,7 @@
                 }
                 503 => {
                     result.refused.push(body);
-                    self.troubled.fetch_add(1, Ordering::Relaxed);
+                    self.unserved.fetch_add(1, Ordering::Relaxed);
                 }
                 _ => panic!("neither an answer nor a promise: {answer:?}"),
             }
@@ -113,7 +113,7 @@
     }
 }
 
-/// How a machine's programs are started again.
+/// A restart of a machine's programs.
 #[derive(Clone, Copy, Debug)]
 struct Restart {
     programs: &'static [Program],
@@ -221,9 +221,9 @@
     traffic: &Traffic,
     configurator: &mut Configurator,
 ) {
-    traffic.flows();
+    traffic.wait_until_served();
     let start = Instant::now();
-    let before = traffic.troubled.load(Ordering::Relaxed);
+    let before = traffic.unserved.load(Ordering::Relaxed);
     restart.run(cluster, edge);
     // The configuration changes while the programs start.
     configurator.apply_next();
@@ -234,12 +234,12 @@
         });
     }
     println!("in force at both proxies after {:?}", start.elapsed());
-    traffic.flows();
-    let troubled = traffic.troubled.load(Ordering::Relaxed);
+    traffic.wait_until_served();
+    let unserved = traffic.unserved.load(Ordering::Relaxed);
     let takes_requests = restart.programs.contains(&Program::Proxy);
     assert!(
-        takes_requests || troubled == before,
-        "an agent's end costs no request: {troubled} have trouble"
+        takes_requests || unserved == before,
+        "an agent's end costs no request: {unserved} have trouble"
     );
 }
 
--- a/crates/fennelpin-cli/tests/fault_injection/answer_routing.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/answer_routing.rs
@@ -1,4 +1,4 @@
-//! Each answer goes to its caller, and what may not run twice is sent once, whatever the hosts do.
+//! Each answer goes to its caller, and a request that isn't idempotent is sent once, whatever the hosts do.
 
 use crate::harness::callers::{
     call_until_conclusive, configuration, request_bytes, ChangeRequest, READ,
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 const ALL: [u8; 3] = [1, 2, 3];
-/// Clients at once, and requests of each.
+/// Concurrent clients, and requests of each.
 const CLIENTS: usize = 6;
 const REQUESTS: usize = 60;
-/// The longest that a request is held: what a silent host costs.
+/// Deadline of requests: the time that a silent host costs.
 const DEADLINE_MS: u64 = 400;
-/// A client's wait for an answer.
+/// Longest wait of a client for an answer.
 const WAIT: Duration = Duration::from_secs(10);
-/// The most hosts that a request that may run twice is sent to.
+/// Most hosts that an idempotent request is sent to.
 const MAX_TRIES: usize = 3;
 
 fn routes() -> String {
@@ -34,7 +34,7 @@
     )
 }
 
-/// What a client made of its requests.
+/// Outcomes of a client's requests.
 #[derive(Debug, Default)]
 struct ClientResult {
     served: usize,
@@ -130,12 +130,12 @@
     assert!(served < all, "the hosts did nothing wrong");
 }
 
-/// Calls that come in one piece on one connection are answered one by one, in their order.
+/// Calls that come together on one connection are answered one by one, in order.
 #[test]
 fn calls_when_pipelined_then_answered_in_order() {
     let cluster = TestCluster::new(3, 0);
     let mut operator = cluster.operator(&ALL);
-    operator.order();
+    operator.apply_next();
     cluster.wait_until_stable(&ALL);
     for n in ALL {
         let base = operator.newest();
--- a/crates/fennelpin-cli/tests/fault_injection/catch_up.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/catch_up.rs
@@ -1,18 +1,18 @@
-//! Hundreds of changes while a member is away: it catches up once it is back, and leads with the newest state.
+//! Hundreds of changes while a member is down: it catches up once it is back, and becomes primary with the newest state.
 
 use crate::harness::callers::{ChangeRequest, TestOperator};
 use crate::harness::cluster::TestCluster;
 use crate::harness::wait_until;
 
 const ALL: [u8; 3] = [1, 2, 3];
-/// Changes that it misses.
+/// Changes that the member misses.
 const MISSED: usize = 500;
 /// Routes of a large configuration.
 const ROUTES: usize = 60;
-/// Takeovers after which the member leads at the latest.
+/// Takeovers after which the member is primary at the latest.
 const TAKEOVERS: usize = 6;
 
-/// A configuration of some KiB, of which little is the same in the next version.
+/// A configuration of some KiB that differs much from version to version.
 fn large(base: u64, version: u64) -> ChangeRequest {
     let route = |n: usize| {
         format!(
@@ -47,7 +47,7 @@
     assert!(operator.count() > MISSED);
 
     cluster.start(away);
-    // Killed once more while it catches up.
+    // It is killed once more while it catches up.
     wait_until("it answers", || {
         cluster.status(away).filter(|s| s["opening"] == false)
     });
@@ -61,7 +61,7 @@
     });
     cluster.wait_until_stable(&ALL);
 
-    // The others' primaries go until it leads.
+    // Other primaries are killed until it becomes primary.
     for _ in 0..TAKEOVERS {
         let primary = cluster.wait_until_stable(&ALL);
         if primary == away {
--- a/crates/fennelpin-cli/tests/fault_injection/concurrent_operators.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/concurrent_operators.rs
@@ -1,5 +1,5 @@
-//! Two operators under one number, whose answers get lost, across kills of the primary: one is confirmed, and what
-//! was taken is never refused.
+//! Two operators send changes with the same version, answers are lost, primaries are killed: one change is confirmed, and
+//! what was applied is never rejected.
 
 use crate::harness::callers::{call_and_hang_up, call_until_conclusive, ChangeRequest, READ};
 use crate::harness::cluster::TestCluster;
@@ -11,13 +11,13 @@
 
 const ALL: [u8; 3] = [1, 2, 3];
 const ROUNDS: u64 = 30;
-/// In each of so many rounds the primary is killed.
+/// The primary is killed in one of this many rounds.
 const KILL_EVERY: u64 = 5;
-/// In each of so many rounds both send the very same order.
+/// Both send the same change in one of this many rounds.
 const SAME_EVERY: u64 = 3;
 
-/// The members in the order in which an operator asks them.
-fn from(cluster: &TestCluster, first: u64) -> Vec<SocketAddr> {
+/// The members in the order in which an operator calls them.
+fn members_from(cluster: &TestCluster, first: u64) -> Vec<SocketAddr> {
     let mut members: Vec<SocketAddr> = ALL.iter().map(|n| cluster.control(*n)).collect();
     members.rotate_left(first as usize % ALL.len());
     members
@@ -28,7 +28,7 @@
     let mut cluster = TestCluster::new(3, 0);
     let first = ChangeRequest::new(0, 1, "first");
     assert_eq!(
-        call_until_conclusive(&mut from(&cluster, 0), &first.call()).status,
+        call_until_conclusive(&mut members_from(&cluster, 0), &first.call()).status,
         200
     );
     let mut acknowledged = vec![first];
@@ -52,11 +52,11 @@
             let operators: Vec<_> = (0..2u64)
                 .map(|k| {
                     let (sent, order) = (sent.clone(), &orders[k as usize]);
-                    // The primary among those that are asked first, in the rounds in which it is killed.
+                    // In rounds in which the primary is killed, it is among those that are called first.
                     let start = primary.map_or(round + k, |p| u64::from(p) - 1 + k);
-                    let mut members = from(&cluster, start);
+                    let mut members = members_from(&cluster, start);
                     scope.spawn(move || {
-                        // The answer is lost; sent again, unchanged, elsewhere.
+                        // The answer is lost. The same change is sent to another member.
                         call_and_hang_up(members[0], &order.call());
                         sent.send(()).unwrap();
                         members.rotate_left(1);
@@ -69,7 +69,7 @@
             operators.into_iter().map(|o| o.join().unwrap()).collect()
         });
         if let Some(primary) = primary {
-            // And those of the round itself: killed, and started again.
+            // The primary may lose the later answers too: it is killed, and started again.
             cluster.kill(primary);
             cluster.start(primary);
         }
@@ -83,7 +83,7 @@
     let mut cluster = TestCluster::new(3, 0);
     let first = ChangeRequest::new(0, 1, "first");
     assert_eq!(
-        call_until_conclusive(&mut from(&cluster, 0), &first.call()).status,
+        call_until_conclusive(&mut members_from(&cluster, 0), &first.call()).status,
         200
     );
     let mut acknowledged = vec![first];
@@ -94,15 +94,17 @@
             ChangeRequest::new(base, base + 1, "a"),
             ChangeRequest::new(base, base + 1, "b"),
         ];
-        // Each is at the primary, and under way, when it dies: nobody reads what it says.
+        // The primary has both changes when it is killed, and nobody reads its answers.
         orders
             .iter()
             .for_each(|order| call_and_hang_up(cluster.control(primary), &order.call()));
         cluster.kill(primary);
         let answers: Vec<ControlAnswer> = std::thread::scope(|scope| {
             let ask = |k: usize| {
-                let (mut members, order) =
-                    (from(&cluster, u64::from(primary) + k as u64), &orders[k]);
+                let (mut members, order) = (
+                    members_from(&cluster, u64::from(primary) + k as u64),
+                    &orders[k],
+                );
                 scope.spawn(move || call_until_conclusive(&mut members, &order.call()))
             };
             let asked = [ask(0), ask(1)];
@@ -113,8 +115,8 @@
     }
 }
 
-/// One of two different orders is confirmed, both where they are the same; the winner is confirmed by every member
-/// again, the other refused; an older one isn't refused either.
+/// One of two different changes is confirmed; both are if they are equal. Every member confirms the winner again and
+/// rejects the other one. An older change isn't rejected either.
 fn check(
     cluster: &TestCluster,
     round: u64,
@@ -151,7 +153,7 @@
         );
     }
     acknowledged.push(orders[winner].clone());
-    // Sent again after others were taken: confirmed, or left unclear.
+    // An older change that is sent again is confirmed, or the answer is inconclusive.
     let older = &acknowledged[acknowledged.len() / 2];
     if let Ok(answer) = call_member(
         cluster.control(1 + (round % 3) as u8),
--- a/crates/fennelpin-cli/tests/fault_injection/frozen_member.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/frozen_member.rs
@@ -1,11 +1,10 @@
-//! A member that stood still for twenty seconds: it neither hands out its old configuration as the current one nor
-//! judges orders by it.
+//! A member that was frozen: it neither hands out its old configuration as the newest one nor judges changes by it.
 
 use crate::harness::callers::{
     call_until_conclusive, configuration, configuration_version, ChangeRequest, PendingCall,
     TestOperator, READ,
 };
-use crate::harness::cluster::TestCluster;
+use crate::harness::cluster::{MemberRole, TestCluster};
 use crate::harness::wait_until;
 use fennelpin_cli::local::cluster::Program;
 use protocol::{Message, Subscriber};
@@ -15,13 +14,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long the primary stands still.
+/// Time for which the primary is frozen.
 const STANDSTILL: Duration = Duration::from_secs(20);
-/// The longest that orders may wait while a majority lives: one member that says nothing, and a takeover.
+/// Longest time that a change may wait while a majority lives: a time-out at one member, and a takeover.
 const TAKEOVER: Duration = Duration::from_secs(5);
 const ALL: [u8; 3] = [1, 2, 3];
 
-/// A pull that waits in a member's sockets.
+/// A pull that waits in a socket while the member is frozen.
 struct WaitingPull {
     stream: TcpStream,
 }
@@ -43,7 +42,7 @@
         Self { stream }
     }
 
-    /// Version of the configuration in the answer, and how old the member says that it may be, in ms.
+    /// Version of the configuration in the answer, and its age in ms by the member's word.
     fn answer(self) -> (u64, u32) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -63,9 +62,9 @@
     }
 }
 
-/// Who says that nothing acknowledged before a moment is missing has all that was acknowledged before it: the first
-/// version that it hasn't was acknowledged later.
-fn true_age(operator: &TestOperator, version: u64, age_ms: u32, woken: Instant) {
+/// A member that claims to have all changes up to a moment has all that were acknowledged before: the first version that
+/// it lacks was acknowledged later.
+fn assert_true_age(operator: &TestOperator, version: u64, age_ms: u32, woken: Instant) {
     let Some(acknowledged) = operator.acknowledged(version + 1) else {
         return;
     };
@@ -80,7 +79,7 @@
 fn primary_when_thawed_then_answers_nothing_by_its_old_state() {
     let mut cluster = TestCluster::with_default_settings(3, 1);
     let mut operator = cluster.operator(&ALL);
-    (0..20).for_each(|_| operator.order());
+    operator.apply_changes(20);
     let old = cluster.wait_until_stable(&ALL);
     let known = operator.newest();
     wait_until("the first proxy has it", || {
@@ -101,7 +100,7 @@
     );
 
     cluster.wait_until_stable(&ALL);
-    operator.order();
+    operator.apply_next();
     ALL.iter()
         .for_each(|n| operator.assert_reads_back(cluster.control(*n)));
     let newest = operator.newest();
@@ -131,7 +130,7 @@
     let stood = Instant::now();
     operator.longest = Duration::ZERO;
     while stood.elapsed() < STANDSTILL {
-        operator.order();
+        operator.apply_next();
     }
     println!(
         "{} orders taken meanwhile, the longest after {:?}",
@@ -149,7 +148,7 @@
 /// Thaws the former primary, with calls in its sockets, and an agent that starts beside it. It may neither take its old
 /// configuration for the newest nor judge changes by it.
 fn thaw_and_check_answers(cluster: &mut TestCluster, operator: &TestOperator, old: u8, known: u64) {
-    // What waits in its sockets is the first that it sees when it wakes.
+    // What waits in its sockets is the first thing that it sees when it is thawed.
     let newest = operator.newest();
     let read = PendingCall::at(cluster.control(old), &READ);
     let pull = WaitingPull::at(cluster.message_address(old));
@@ -175,7 +174,7 @@
         age_ms > STALE_AGE_MS || version >= newest,
         "an old one as current: {version}, {age_ms} ms"
     );
-    true_age(operator, version, age_ms, woken);
+    assert_true_age(operator, version, age_ms, woken);
     let false_yes = false_yes.answer();
     assert!(
         false_yes.status == 412 || false_yes.status >= 500,
@@ -188,32 +187,18 @@
     );
 }
 
-/// What a member is when it is frozen.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum MemberRole {
-    Primary,
-    Backup,
-    Witness,
-}
-
 #[rstest]
 #[case::primary(MemberRole::Primary)]
 #[case::backup(MemberRole::Backup)]
 #[case::witness(MemberRole::Witness)]
-fn member_when_thawed_alone_then_answers_nothing_for_certain(#[case] was: MemberRole) {
+fn member_when_thawed_alone_then_answers_nothing_for_certain(#[case] role: MemberRole) {
     let cluster = TestCluster::new(3, 0);
     let mut operator = cluster.operator(&ALL);
-    (0..5).for_each(|_| operator.order());
-    let primary = cluster.wait_until_stable(&ALL);
-    let backup = cluster.backups(&ALL, primary)[0];
-    let old = match was {
-        MemberRole::Primary => primary,
-        MemberRole::Backup => backup,
-        MemberRole::Witness => 6 - primary - backup,
-    };
+    operator.apply_changes(5);
+    let old = cluster.member_with_role(&ALL, role);
     let known = operator.newest();
     cluster.freeze(old);
-    let acknowledged = |operator: &mut TestOperator| (0..10).for_each(|_| operator.order());
+    let acknowledged = |operator: &mut TestOperator| operator.apply_changes(10);
     acknowledged(&mut operator);
     let newest = operator.newest();
     let others: Vec<u8> = ALL.into_iter().filter(|n| *n != old).collect();
@@ -241,7 +226,7 @@
         version < newest,
         "it can't know what it has missed: {version}"
     );
-    true_age(&operator, version, age_ms, woken);
+    assert_true_age(&operator, version, age_ms, woken);
     for call in calls {
         let answer = call.answer();
         assert!(
@@ -253,7 +238,7 @@
     assert_eq!(status["member"]["acts"], false, "{status}");
 
     others.iter().for_each(|n| cluster.thaw(*n));
-    // What it was sent may be taken now, once and by all of them alike.
+    // What it was sent may be applied now, once and by all members alike.
     wait_until("a majority answers again", || cluster.primary(&ALL));
     cluster.wait_until_stable(&ALL);
     let read = call_until_conclusive(&mut [control], &READ);
--- a/crates/fennelpin-cli/tests/fault_injection/store_recovery.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/store_recovery.rs
@@ -1,23 +1,18 @@
-//! A member that goes on alone after `store recover`, started as a process again and joined by two empty ones.
+//! A member that goes on alone after `store recover`, is started again, and is joined by two empty ones.
 
-use crate::harness::callers::TestOperator;
 use crate::harness::cluster::TestCluster;
 use crate::harness::wait_until;
 use std::process::Command;
 
 const ALL: [u8; 3] = [1, 2, 3];
-/// Orders between two events.
+/// Changes between two events.
 const CHANGES: usize = 20;
 
-fn apply_changes(operator: &mut TestOperator) {
-    (0..CHANGES).for_each(|_| operator.order());
-}
-
-/// Gives up all members but this one, if its disk is as new as the others'.
+/// Gives up all members but this one, if no other disk is newer.
 fn recover(cluster: &TestCluster, kept: u8, ids: &[String]) -> Result<(), String> {
     let plan = cluster.processes.plan();
     let lost: Vec<u8> = ALL.into_iter().filter(|n| *n != kept).collect();
-    // A view that was made before a member had told its name knows it by its identity.
+    // A membership configuration may not have a member's name yet, but has its id.
     let lost_ids: Vec<&str> = lost
         .iter()
         .map(|n| ids[usize::from(*n) - 1].as_str())
@@ -45,9 +40,9 @@
 fn member_when_recovered_alone_then_keeps_all_and_others_join() {
     let mut cluster = TestCluster::new(3, 1);
     let mut operator = cluster.operator(&ALL);
-    apply_changes(&mut operator);
+    operator.apply_changes(CHANGES);
     cluster.wait_until_stable(&ALL);
-    apply_changes(&mut operator);
+    operator.apply_changes(CHANGES);
     let ids = ALL.map(|n| {
         cluster.status(n).unwrap()["id"]
             .as_str()
@@ -55,7 +50,7 @@
             .to_owned()
     });
     ALL.iter().for_each(|n| cluster.kill(*n));
-    // Who is a replica of the latest view is told by the disks: the recovery refuses all others.
+    // The recovery refuses members that aren't replicas of the newest membership configuration.
     let recovered: Vec<Result<(), String>> =
         ALL.iter().map(|n| recover(&cluster, *n, &ids)).collect();
     let kept = recovered
@@ -79,16 +74,16 @@
     lost.iter().for_each(|n| cluster.start(*n));
     cluster.wait_until_stable(&ALL);
     operator = cluster.with_members(operator, &ALL);
-    apply_changes(&mut operator);
+    operator.apply_changes(CHANGES);
     ALL.iter()
         .for_each(|n| operator.assert_reads_back(cluster.control(*n)));
-    // The one that was recovered is needed no longer.
+    // The recovered member isn't needed any more.
     cluster.wait_until_stable(&ALL);
     cluster.wipe(kept);
     operator = cluster.with_members(operator, &lost);
     lost.iter()
         .for_each(|n| operator.assert_reads_back(cluster.control(*n)));
-    apply_changes(&mut operator);
+    operator.apply_changes(CHANGES);
     let newest = operator.newest();
     wait_until("the proxy has it", || {
         (cluster.versions_in_force(1).last() == Some(&newest)).then_some(())
--- a/crates/fennelpin-cli/tests/harness/callers.rs
+++ b/crates/fennelpin-cli/tests/harness/callers.rs
@@ -143,8 +143,13 @@
         ChangeRequest::new(base, base + 1, "v")
     }
 
+    /// Sends this many changes one after the other.
+    pub fn apply_changes(&mut self, count: usize) {
+        (0..count).for_each(|_| self.apply_next());
+    }
+
     /// Sends the next change, and waits for its acknowledgement.
-    pub fn order(&mut self) {
+    pub fn apply_next(&mut self) {
         let next = self.next();
         self.send(next);
     }
--- a/crates/fennelpin-cli/tests/harness/cluster.rs
+++ b/crates/fennelpin-cli/tests/harness/cluster.rs
@@ -42,6 +42,14 @@
     tries.filter_map(free).next().expect("free ports")
 }
 
+/// Role of a member in a cluster of three.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum MemberRole {
+    Primary,
+    Backup,
+    Witness,
+}
+
 /// A running cluster. Its processes are killed when this is dropped.
 pub struct TestCluster {
     pub processes: LocalCluster,
@@ -296,6 +304,17 @@
             .collect()
     }
 
+    /// The one of three members that has this role, once the membership is stable.
+    pub fn member_with_role(&self, members: &[u8; 3], role: MemberRole) -> u8 {
+        let primary = self.wait_until_stable(members);
+        let backup = self.backups(members, primary)[0];
+        match role {
+            MemberRole::Primary => primary,
+            MemberRole::Backup => backup,
+            MemberRole::Witness => members.iter().sum::<u8>() - primary - backup,
+        }
+    }
+
     /// The versions that a machine's proxy has had in force, in order, by its log.
     pub fn versions_in_force(&self, edge: u8) -> Vec<u64> {
         self.versions_in_force_at(edge)
