--- a/crates/fennelpin-cli/src/store_commands.rs
+++ b/crates/fennelpin-cli/src/store_commands.rs
@@ -5,7 +5,7 @@
     RecoveryRefusedSnafu, StoreSnafu,
 };
 use append_log::AppendLog;
-use control_plane::recovery::{latest_view, Survivor};
+use control_plane::recovery::{latest_epoch, SurvivingReplica};
 use snafu::{ensure, ResultExt};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -84,18 +84,18 @@
 pub fn recover(dir: &Path, lost: &[String], others: &[PathBuf]) -> Result<(), CliError> {
     let identity = read_records(dir, IDENTITY_FILE)?;
     let state = read_records(dir, STATE_FILE)?;
-    let survivor = Survivor::read(&identity, &state).context(RecoveryRefusedSnafu)?;
+    let survivor = SurvivingReplica::read(&identity, &state).context(RecoveryRefusedSnafu)?;
     for other in others {
         ensure_not_newer(other, dir, survivor.epoch())?;
     }
     print_survivor(&survivor);
     let id = new_member_id()?;
-    let (identity, state) = survivor.recovered(lost, id).context(RecoveryRefusedSnafu)?;
+    let recovered = survivor.recover(lost, id).context(RecoveryRefusedSnafu)?;
     for name in [IDENTITY_FILE, STATE_FILE] {
         back_up(dir, name)?;
     }
-    write_records(dir, STATE_FILE, &state)?;
-    write_records(dir, IDENTITY_FILE, &[identity])?;
+    write_records(dir, STATE_FILE, &recovered.log)?;
+    write_records(dir, IDENTITY_FILE, &[recovered.identity])?;
     println!(
         "goes on as {id:016x}, the only voter; the files as they were end in .{BACKUP_EXTENSION}"
     );
@@ -104,7 +104,7 @@
 
 /// Checks that another member's membership configuration isn't newer than that of `epoch` in `dir`.
 fn ensure_not_newer(other: &Path, dir: &Path, epoch: u64) -> Result<(), CliError> {
-    let later = latest_view(&read_records(other, STATE_FILE)?);
+    let later = latest_epoch(&read_records(other, STATE_FILE)?);
     ensure!(
         later <= epoch,
         NewerMembershipSnafu {
@@ -117,18 +117,18 @@
     Ok(())
 }
 
-fn print_survivor(survivor: &Survivor) {
+fn print_survivor(survivor: &SurvivingReplica) {
     println!(
         "view of epoch {}, configuration of version {}",
         survivor.epoch(),
-        survivor.version()
+        survivor.configuration_version()
     );
     println!(
         "changes up to {} are kept; up to {} they are known to have been acknowledged",
-        survivor.last_change(),
-        survivor.known_acknowledged()
+        survivor.last_index(),
+        survivor.commit_index()
     );
-    for member in survivor.others() {
+    for member in survivor.other_voters() {
         println!(
             "given up: {} {:016x} {}",
             member.name,
--- a/crates/load-test/src/engine.rs
+++ b/crates/load-test/src/engine.rs
@@ -1,14 +1,14 @@
 //! The generator on sockets: workers, each with a runtime of its own and a share of the plan. A worker
 //! starts each query at its instant whatever became of those before (open loop), paced by a thread.
 
-use crate::clients::{self, Tried, TryEnd};
-use crate::drivers::{Ask, Driver, Said};
+use crate::clients::{self, AttemptOutcome, AttemptResult};
+use crate::drivers::{Driver, ParsedAnswer, RequestContext};
 use crate::plan::{Plan, Planned};
-use crate::record::{QueryRecord, TryRecord};
+use crate::record::{AttemptRecord, QueryRecord};
 use crate::scenario::Scenario;
 use coordinator::net::buffered_stream::BufferedStream;
 use coordinator::net::http::{response_head, Body, HttpError};
-use fake_hosts::ledger::{Epoch, Ref};
+use fake_hosts::event_log::{AttemptRef, Epoch};
 use fake_hosts::model::Micros;
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -19,14 +19,18 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, Semaphore};
 
-const INPUT: usize = 16 * 1024;
-const OUTPUT: usize = 8 * 1024;
+const INPUT_BUFFER_BYTES: usize = 16 * 1024;
+const OUTPUT_BUFFER_BYTES: usize = 8 * 1024;
 /// Largest answer that is read.
-const MOST_ANSWER: usize = 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 /// A connection that is not up by then counts as refused.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How soon the generator tries again when it has no descriptor left.
-const NO_DESCRIPTOR: Duration = Duration::from_millis(5);
+const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Capacity for the text of a request.
+const REQUEST_BUFFER_BYTES: usize = 640;
+/// How much longer than it says a client waits, beside the scenario's slack.
+const GIVE_UP_SLACK: Duration = Duration::from_millis(20);
 /// `EMFILE` and `ENFILE`.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
 
@@ -125,34 +129,72 @@
     Ok(all)
 }
 
+impl AttemptRecord {
+    /// An attempt that is about to be sent. It counts as given up until it has an answer.
+    fn unanswered(query: u32, attempt: u8, coordinator: usize, wait_us: u64) -> Self {
+        Self {
+            query,
+            attempt,
+            coordinator: coordinator as u16,
+            sent: 0,
+            ended: 0,
+            wait_us,
+            end: AttemptOutcome::GaveUp,
+            retry_after_us: None,
+            shards: Vec::new(),
+            values: Vec::new(),
+            extra: false,
+        }
+    }
+
+    /// Records what the answer claims.
+    fn read(&mut self, answer: ParsedAnswer) {
+        self.end = match answer {
+            ParsedAnswer::Served {
+                full,
+                shards,
+                values,
+            } => {
+                (self.shards, self.values) = (shards, values);
+                AttemptOutcome::Served(full)
+            }
+            ParsedAnswer::Refused => AttemptOutcome::Refused,
+            ParsedAnswer::Failed(status) => AttemptOutcome::Failed(status),
+            ParsedAnswer::Unreadable => AttemptOutcome::Unreadable,
+        };
+    }
+}
+
 struct Worker {
     shared: Arc<Shared>,
     /// Idle connections, by coordinator; the one used last is used next.
     idle: RefCell<Vec<Vec<BufferedStream>>>,
-    seats: Semaphore,
+    /// Limits the open connections.
+    connection_slots: Semaphore,
     records: RefCell<Vec<QueryRecord>>,
 }
 
 enum Connected {
     Kept(BufferedStream),
     New(BufferedStream),
-    Failed(TryEnd),
+    Failed(AttemptOutcome),
 }
 
 /// How an exchange on one connection ended.
 enum Exchange {
     Answer(u16, Option<u64>, bytes::Bytes, bool),
-    Failed(TryEnd),
+    Failed(AttemptOutcome),
 }
 
 impl Worker {
     fn new(shared: Arc<Shared>, workers: usize) -> Rc<Self> {
         let idle = RefCell::new(shared.targets.iter().map(|_| Vec::new()).collect());
-        let seats = Semaphore::new((shared.scenario.clients.connections / workers).max(1));
+        let connection_slots =
+            Semaphore::new((shared.scenario.clients.connections / workers).max(1));
         Rc::new(Self {
             shared,
             idle,
-            seats,
+            connection_slots,
             records: RefCell::default(),
         })
     }
@@ -202,13 +244,13 @@
             record.ended = tried.ended;
             record.tries.push(tried);
             let elapsed_us = record.ended.saturating_sub(record.due);
-            let tried = Tried {
+            let tried = AttemptResult {
                 tries: attempt + 1,
                 end,
                 retry_after_us,
                 elapsed_us,
             };
-            match clients::next_try(q, class, s.clients.backoff, tried) {
+            match clients::next_attempt_delay(q, class, s.clients.backoff, tried) {
                 Some(0) => {}
                 Some(wait) => tokio::time::sleep(Duration::from_micros(wait)).await,
                 None => break,
@@ -221,93 +263,70 @@
         self.records.borrow_mut().push(record);
     }
 
+    /// The coordinator that an attempt goes to.
+    fn choose_coordinator(&self, q: &Planned, query: u32, attempt: u8) -> usize {
+        let shared = &self.shared;
+        let believed_up = shared.believed_up.iter();
+        let up: Vec<bool> = believed_up.map(|b| b.load(Ordering::Relaxed)).collect();
+        let zones = shared.scenario.fleet.zones.len();
+        let draw = u64::from(query) * 7 + u64::from(attempt);
+        clients::coordinator(q.zone.into(), zones, &up, draw)
+    }
+
     async fn attempt(
         &self,
         q: &Planned,
         record: &mut QueryRecord,
         attempt: u8,
         wait_us: u64,
-    ) -> TryRecord {
-        let (shared, epoch) = (&self.shared, self.shared.epoch);
-        let up: Vec<bool> = shared
-            .believed_up
-            .iter()
-            .map(|b| b.load(Ordering::Relaxed))
-            .collect();
-        let zones = shared.scenario.fleet.zones.len();
-        let draw = u64::from(record.query) * 7 + u64::from(attempt);
-        let coordinator = clients::coordinator(q.zone.into(), zones, &up, draw);
+    ) -> AttemptRecord {
+        let shared = &self.shared;
+        let coordinator = self.choose_coordinator(q, record.query, attempt);
         let name = format!("{}{:x}-{attempt}", shared.run, record.query);
         let key = format!("{}k{:x}", shared.run, record.query);
-        let reference = Ref {
-            query: record.query,
-            attempt,
-        };
-        let ask = Ask {
+        let context = RequestContext {
             planned: q,
-            reference,
+            reference: AttemptRef {
+                query: record.query,
+                attempt,
+            },
             name: &name,
             key: &key,
             wait_ms: wait_us / 1000,
         };
         let driver = &shared.drivers[usize::from(q.front)];
-        let mut request = Vec::with_capacity(640);
-        driver.request(&ask, &mut request);
-        let slack = shared.scenario.audit.slack_ms + 20;
-        let give_up =
-            Instant::now() + Duration::from_micros(wait_us) + Duration::from_millis(slack);
-        let mut tried = TryRecord {
-            query: record.query,
-            attempt,
-            coordinator: coordinator as u16,
-            sent: 0,
-            ended: 0,
-            wait_us,
-            end: TryEnd::GaveUp,
-            retry_after_us: None,
-            shards: Vec::new(),
-            values: Vec::new(),
-            extra: false,
-        };
-        let talk = self.talk(coordinator, &request, &mut tried, &mut record.first_sent);
-        if let Ok(exchange) = tokio::time::timeout_at(give_up.into(), talk).await {
-            match exchange {
-                Exchange::Failed(end) => tried.end = end,
-                Exchange::Answer(status, retry_after_us, body, extra) => {
-                    (tried.retry_after_us, tried.extra) = (retry_after_us, extra);
-                    tried.end = match driver.read(&ask, status, &body) {
-                        Said::Served {
-                            full,
-                            shards,
-                            values,
-                        } => {
-                            (tried.shards, tried.values) = (shards, values);
-                            TryEnd::Served(full)
-                        }
-                        Said::Refused => TryEnd::Refused,
-                        Said::Failed(status) => TryEnd::Failed(status),
-                        Said::Unreadable => TryEnd::Unreadable,
-                    };
-                }
+        let mut request = Vec::with_capacity(REQUEST_BUFFER_BYTES);
+        driver.request(&context, &mut request);
+        let slack = Duration::from_millis(shared.scenario.audit.slack_ms) + GIVE_UP_SLACK;
+        let give_up = Instant::now() + Duration::from_micros(wait_us) + slack;
+        let mut tried = AttemptRecord::unanswered(record.query, attempt, coordinator, wait_us);
+        let exchange = self.exchange(coordinator, &request, &mut tried, &mut record.first_sent);
+        match tokio::time::timeout_at(give_up.into(), exchange).await {
+            Ok(Exchange::Failed(end)) => tried.end = end,
+            Ok(Exchange::Answer(status, retry_after_us, body, extra)) => {
+                (tried.retry_after_us, tried.extra) = (retry_after_us, extra);
+                tried.read(driver.read(&context, status, &body));
             }
+            // The client has given up.
+            Err(_) => {}
         }
         if tried.ended == 0 {
-            tried.ended = epoch.now();
+            tried.ended = shared.epoch.now();
         }
         tried
     }
 
     /// Sends a request and reads its answer. A connection that ends between requests may cross one: that is
     /// sent once more on a new connection.
-    async fn talk(
+    async fn exchange(
         &self,
         c: usize,
         request: &[u8],
-        tried: &mut TryRecord,
+        tried: &mut AttemptRecord,
         first_sent: &mut Micros,
     ) -> Exchange {
-        let Ok(_seat) = self.seats.acquire().await else {
-            return Exchange::Failed(TryEnd::NoConnection);
+        let Ok(_slot) = self.connection_slots.acquire().await else {
+            return Exchange::Failed(AttemptOutcome::NoConnection);
         };
         let mut may_keep = true;
         loop {
@@ -325,7 +344,7 @@
                     may_keep = false;
                     continue;
                 }
-                return Exchange::Failed(TryEnd::Closed);
+                return Exchange::Failed(AttemptOutcome::Closed);
             }
             tried.sent = epoch.now();
             let (status, headers) = match response_head(&mut conn).await {
@@ -335,18 +354,18 @@
                     continue;
                 }
                 Err(HttpError::Closed | HttpError::Io(_)) => {
-                    return Exchange::Failed(TryEnd::Closed)
+                    return Exchange::Failed(AttemptOutcome::Closed)
                 }
-                Err(HttpError::Cut) => return Exchange::Failed(TryEnd::Cut),
-                Err(_) => return Exchange::Failed(TryEnd::Unreadable),
+                Err(HttpError::Cut) => return Exchange::Failed(AttemptOutcome::Cut),
+                Err(_) => return Exchange::Failed(AttemptOutcome::Unreadable),
             };
             let body = match Body::of_response(&headers) {
-                Ok(body) => body.whole(&mut conn, MOST_ANSWER).await,
+                Ok(body) => body.whole(&mut conn, MAX_ANSWER_BYTES).await,
                 Err(e) => Err(e),
             };
             let Ok(body) = body else {
                 // The clock stops where the answer broke off.
-                return Exchange::Failed(TryEnd::Cut);
+                return Exchange::Failed(AttemptOutcome::Cut);
             };
             tried.ended = epoch.now();
             let retry = headers
@@ -366,7 +385,7 @@
         }
     }
 
-    async fn connect(&self, c: usize, may_keep: bool, tried: &mut TryRecord) -> Connected {
+    async fn connect(&self, c: usize, may_keep: bool, tried: &mut AttemptRecord) -> Connected {
         let pop = || self.idle.borrow_mut()[c].pop().filter(|_| may_keep);
         while let Some(conn) = pop() {
             match conn.stream.try_read(&mut [0]) {
@@ -378,20 +397,27 @@
         }
         let addr = self.shared.targets[c].to_string();
         loop {
-            match BufferedStream::connect(&addr, CONNECT, INPUT, OUTPUT).await {
+            match BufferedStream::connect(
+                &addr,
+                CONNECT_TIMEOUT,
+                INPUT_BUFFER_BYTES,
+                OUTPUT_BUFFER_BYTES,
+            )
+            .await
+            {
                 Ok(conn) => return Connected::New(conn),
                 Err(e)
                     if e.raw_os_error()
                         .is_some_and(|n| OUT_OF_DESCRIPTORS.contains(&n)) =>
                 {
                     // The generator's own lack: the query waits and counts as late, it is not dropped.
-                    tried.end = TryEnd::NoDescriptor;
+                    tried.end = AttemptOutcome::NoDescriptor;
                     self.idle.borrow_mut().iter_mut().for_each(Vec::clear);
-                    tokio::time::sleep(NO_DESCRIPTOR).await;
+                    tokio::time::sleep(DESCRIPTOR_RETRY_DELAY).await;
                 }
-                Err(_) => return Connected::Failed(TryEnd::NoConnection),
+                Err(_) => return Connected::Failed(AttemptOutcome::NoConnection),
             }
-            tried.end = TryEnd::GaveUp;
+            tried.end = AttemptOutcome::GaveUp;
         }
     }
 }
