--- a/crates/coordinator/src/config/operator.rs
+++ b/crates/coordinator/src/config/operator.rs
@@ -190,7 +190,9 @@
             ));
         }
         // Without a key a retry in such a class could take effect twice.
-        if site.settings.classes[class].idempotency != Idempotency::Idempotent && self.key_header.is_none() {
+        if site.settings.classes[class].idempotency != Idempotency::Idempotent
+            && self.key_header.is_none()
+        {
             return Err(ConfigError::Missing("opensearch.index.key_header"));
         }
         Ok(())
--- a/crates/coordinator/src/front/mod.rs
+++ b/crates/coordinator/src/front/mod.rs
@@ -28,10 +28,10 @@
         }
     }
 
-    fn non_member_info(&self, request: &Request) -> Response {
+    fn no_slot(&self, request: &Request) -> Response {
         match &self.opensearch {
             Some(_) => OpenSearch::error(503, "too many clients"),
-            None => self.platform.non_member_info(request),
+            None => self.platform.no_slot(request),
         }
     }
 }
--- a/crates/coordinator/src/front/opensearch/hosts.rs
+++ b/crates/coordinator/src/front/opensearch/hosts.rs
@@ -152,7 +152,7 @@
         out == 0
     }
 
-    fn most_links(&self) -> usize {
+    fn max_connections(&self) -> usize {
         10
     }
 }
@@ -373,7 +373,7 @@
         let answer = async {
             let (status, headers) = response_head(conn).await?;
             let body = Body::of_response(&headers)?
-                .whole(conn, MOST_ANSWER)
+                .read_all(conn, MOST_ANSWER)
                 .await?;
             Ok((status, body))
         };
--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -257,7 +257,7 @@
         Response::text(status, format!("{reason}\n"))
     }
 
-    fn non_member_info(&self, request: &Request) -> Response {
+    fn no_slot(&self, request: &Request) -> Response {
         let answer = self.error(503, "too many clients");
         match self.query(request) {
             Ok(query) => answer.ends(query.class.0 as usize, End::Shed),
--- a/crates/coordinator/src/net/buffered_stream.rs
+++ b/crates/coordinator/src/net/buffered_stream.rs
@@ -27,6 +27,9 @@
     }
 
     /// Connects within a time.
+    ///
+    /// # Errors
+    /// If the address refuses the connection or does not answer within the time.
     pub async fn connect(
         addr: &str,
         within: Duration,
@@ -40,6 +43,9 @@
     }
 
     /// Reads once; 0 is the end of the stream. Nothing is lost if this is dropped half-way.
+    ///
+    /// # Errors
+    /// If the socket fails, or the input ring is full.
     pub async fn fill(&mut self) -> io::Result<usize> {
         if self.input.free() == 0 {
             return Err(io::Error::new(
@@ -57,6 +63,9 @@
     }
 
     /// Writes as much as the socket takes now; says how much that was.
+    ///
+    /// # Errors
+    /// If the socket fails.
     pub fn push(&mut self) -> io::Result<usize> {
         let mut total = 0;
         while !self.output.is_empty() {
@@ -71,6 +80,9 @@
     }
 
     /// Writes all of `bytes` through the ring, waiting for the peer as often as the ring is full.
+    ///
+    /// # Errors
+    /// If the socket fails.
     pub async fn write_all(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         loop {
             let taken = self.output.put(bytes);
--- a/crates/coordinator/src/net/discovery_watch.rs
+++ b/crates/coordinator/src/net/discovery_watch.rs
@@ -3,7 +3,7 @@
 use super::backoff::Backoff;
 use super::buffered_stream::BufferedStream;
 use super::http::{response_head, Body, HttpError, INPUT};
-use super::json_objects::{Found, NoObject, Objects};
+use super::json_objects::{Found, ObjectError, Objects};
 use crate::core::{Endpoint, Mail};
 use crate::counters::Counters;
 use crate::interface::{ListKind, ServerState};
@@ -15,18 +15,18 @@
 
 /// Discovery sends a line every 2 s; one silent for so long is asked anew, early enough that a drain it
 /// did not tell is still kept.
-const SILENT: Duration = Duration::from_millis(4500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(4500);
 /// What a silent watch missed counts as told so long after its last line: by then a new one must have spoken.
-const TOLD: Duration = Duration::from_secs(6);
-const CONNECT: Duration = Duration::from_secs(1);
+const COUNTS_AS_TOLD_AFTER: Duration = Duration::from_secs(6);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Waits after calls that failed, of one coordinator among a few; with more of them each waits longer.
 pub const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
-const A_FEW: u32 = 5;
+const SMALL_FLEET: u32 = 5;
 /// With a list in hand the first calls of a fleet that starts at one moment are spread over so much for each
 /// coordinator beyond a few: about what a call of some tens of lines takes discovery.
-const START: Duration = Duration::from_millis(40);
+const START_SPREAD_PER_COORDINATOR: Duration = Duration::from_millis(40);
 /// Largest object of a watch.
-const MOST_LINE: usize = 1024 * 1024;
+const MAX_OBJECT_BYTES: usize = 1024 * 1024;
 
 #[derive(Deserialize)]
 struct RawList {
@@ -85,6 +85,9 @@
 }
 
 /// Reads a list. An entry that can't be read is left out and logged: it must not cost the others.
+///
+/// # Errors
+/// If the text is not JSON, or lacks the revision or the members.
 pub fn parse_update(json: &[u8]) -> Result<ListUpdate, serde_json::Error> {
     let raw: RawList = serde_json::from_slice(json)?;
     let mut members = Vec::new();
@@ -122,17 +125,17 @@
     /// grace. Where calls wait in turn, all of the time that silence may last.
     fn head(&self) -> Duration {
         match self.shared {
-            None => (self.grace / 2).clamp(CONNECT / 4, SILENT),
-            Some(_) => SILENT,
+            None => (self.grace / 2).clamp(CONNECT_TIMEOUT / 4, SILENCE_TIMEOUT),
+            Some(_) => SILENCE_TIMEOUT,
         }
     }
 
     /// The waits after calls that failed, and the spread of the first call.
     pub fn backoff(&self) -> (Backoff, Duration) {
         let (fleet, longest) = self.shared.unwrap_or((1, BACKOFF.1));
-        let spread = START.saturating_mul(fleet.saturating_sub(A_FEW));
+        let spread = START_SPREAD_PER_COORDINATOR.saturating_mul(fleet.saturating_sub(SMALL_FLEET));
         (
-            Backoff::new(self.seed, fleet, BACKOFF, A_FEW, longest),
+            Backoff::new(self.seed, fleet, BACKOFF, SMALL_FLEET, longest),
             spread,
         )
     }
@@ -154,11 +157,11 @@
     pub replaces: Vec<AbortHandle>,
 }
 
-impl From<NoObject> for HttpError {
-    fn from(e: NoObject) -> Self {
+impl From<ObjectError> for HttpError {
+    fn from(e: ObjectError) -> Self {
         match e {
-            NoObject::Malformed => Self::Malformed("list line"),
-            NoObject::TooLarge => Self::BodyTooLarge,
+            ObjectError::Malformed => Self::Malformed("list line"),
+            ObjectError::TooLarge => Self::BodyTooLarge,
         }
     }
 }
@@ -207,7 +210,7 @@
             first = if lines > 0 {
                 self.backoff.head()
             } else {
-                (2 * first).min(SILENT)
+                (2 * first).min(SILENCE_TIMEOUT)
             };
             self.counters.inc("list.ended");
             if lines > 0 || self.revision != before {
@@ -217,7 +220,7 @@
             // before what was missed counts, whatever a fleet that lost the service would wait.
             let silent = lines > 0 && matches!(end, HttpError::Slow);
             let longest = if silent {
-                (TOLD - SILENT) / 2
+                (COUNTS_AS_TOLD_AFTER - SILENCE_TIMEOUT) / 2
             } else {
                 Duration::MAX
             };
@@ -235,7 +238,7 @@
     }
 
     async fn try_follow(&mut self, lines: &mut u64, first: Duration) -> Result<(), HttpError> {
-        let mut conn = BufferedStream::connect(&self.addr, CONNECT, INPUT, 1024).await?;
+        let mut conn = BufferedStream::connect(&self.addr, CONNECT_TIMEOUT, INPUT, 1024).await?;
         let since = self
             .revision
             .map_or(String::new(), |r| format!("&since={r}"));
@@ -252,15 +255,16 @@
         if status != 200 {
             return Err(HttpError::Malformed("discovery's status"));
         }
-        let (mut body, mut objects) = (Body::of_response(&headers)?, Objects::new(MOST_LINE));
+        let (mut body, mut objects) =
+            (Body::of_response(&headers)?, Objects::new(MAX_OBJECT_BYTES));
         // Silence counts from the last whole line: one that drips, or stops half-way, tells nothing.
         let mut until = Instant::now() + first;
         while timeout_at(until, body.next(&mut conn, objects.input()))
             .await
             .map_err(slow)??
         {
-            while let Some(found) = objects.found()? {
-                until = Instant::now() + SILENT;
+            while let Some(found) = objects.next()? {
+                until = Instant::now() + SILENCE_TIMEOUT;
                 *lines += 1;
                 if let Found::Object(line) = found {
                     self.line(&line)?;
--- a/crates/coordinator/src/net/dns_sd.rs
+++ b/crates/coordinator/src/net/dns_sd.rs
@@ -13,28 +13,28 @@
 use tokio::sync::mpsc;
 
 /// Time for which a record that was taken back still counts.
-const GOODBYE: Duration = Duration::from_secs(1);
+const GOODBYE_DELAY: Duration = Duration::from_secs(1);
 /// Share of a record's time after which it is asked for again.
-const REFRESH: f64 = 0.8;
+const REFRESH_SHARE: f64 = 0.8;
 /// Longest time that any record is believed.
-const LONGEST: Duration = Duration::from_secs(75 * 60);
+const MAX_TTL: Duration = Duration::from_secs(75 * 60);
 /// Between questions that bring no answer.
 const BACKOFF: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 /// Records held at most: no responder's mistake may fill the memory.
-const MOST_RECORDS: usize = 4096;
+const MAX_RECORDS: usize = 4096;
 /// Largest message that is taken, as RFC 6762 has it.
-const MOST_MESSAGE: usize = 9000;
+const MAX_MESSAGE_BYTES: usize = 9000;
 
 /// A name and a type: what a question asks for.
 type Key = (Name, RecordType);
 
-struct Held {
+struct CachedRecord {
     data: RData,
     until: Instant,
     refresh: Instant,
 }
 
-struct Asked {
+struct PendingQuestion {
     next: Instant,
     wait: Duration,
 }
@@ -42,8 +42,8 @@
 /// The records known so far, and what has to be asked. Sans-I/O.
 pub struct Cache {
     service: Name,
-    records: BTreeMap<Key, Vec<Held>>,
-    asked: BTreeMap<Key, Asked>,
+    records: BTreeMap<Key, Vec<CachedRecord>>,
+    asked: BTreeMap<Key, PendingQuestion>,
 }
 
 impl Cache {
@@ -86,7 +86,7 @@
         let set = self.records.entry(key.clone()).or_default();
         if r.ttl == 0 {
             for held in set.iter_mut().filter(|h| h.data == r.data) {
-                held.until = held.until.min(now + GOODBYE);
+                held.until = held.until.min(now + GOODBYE_DELAY);
                 // A goodbye is not asked about again.
                 held.refresh = held.until;
             }
@@ -99,12 +99,12 @@
         }
         fresh.insert(key.clone());
         set.retain(|h| h.data != r.data);
-        if count < MOST_RECORDS {
-            let ttl = Duration::from_secs(r.ttl.into()).min(LONGEST);
-            set.push(Held {
+        if count < MAX_RECORDS {
+            let ttl = Duration::from_secs(r.ttl.into()).min(MAX_TTL);
+            set.push(CachedRecord {
                 data: r.data.clone(),
                 until: now + ttl,
-                refresh: now + ttl.mul_f64(REFRESH),
+                refresh: now + ttl.mul_f64(REFRESH_SHARE),
             });
         }
         self.asked.remove(&key);
@@ -118,7 +118,7 @@
         self.records.retain(|_, set| !set.is_empty());
     }
 
-    fn get(&self, name: &Name, kind: RecordType) -> &[Held] {
+    fn get(&self, name: &Name, kind: RecordType) -> &[CachedRecord] {
         self.records
             .get(&(name.to_lowercase(), kind))
             .map_or(&[], Vec::as_slice)
@@ -241,7 +241,7 @@
                 .map_or(BACKOFF.0, |a| (a.wait * 2).min(BACKOFF.1));
             self.asked.insert(
                 key.clone(),
-                Asked {
+                PendingQuestion {
                     next: now + wait,
                     wait,
                 },
@@ -292,7 +292,7 @@
         socket.connect(&self.responder).await?;
         let mut cache = Cache::new(self.service.clone());
         let (mut told, mut heard) = (None, false);
-        let mut buffer = vec![0; MOST_MESSAGE];
+        let mut buffer = vec![0; MAX_MESSAGE_BYTES];
         loop {
             let now = Instant::now();
             cache.expire(now);
--- a/crates/coordinator/src/net/frames.rs
+++ b/crates/coordinator/src/net/frames.rs
@@ -7,9 +7,9 @@
 use std::time::Instant;
 
 /// Longest line before a value, and longest frame without one.
-const MOST_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 /// Largest frame taken from a host: its value must fit into an answer to a client.
-pub const MOST_FRAME: usize = 64 * 1024 + MOST_LINE;
+pub const MAX_FRAME_BYTES: usize = 64 * 1024 + MAX_LINE_BYTES;
 
 /// What a host says.
 #[derive(Debug, PartialEq)]
@@ -88,6 +88,9 @@
 
 /// Takes the next frame off the front of `bytes`, if all of it is there. One that can't become a good frame
 /// is an error as soon as that shows: waiting for the rest of it would cost its part's whole time.
+///
+/// # Errors
+/// If the bytes can not become a good frame.
 pub fn next(bytes: &mut BytesMut) -> Result<Option<Reply>, FrameError> {
     let Some(length) = bytes
         .first_chunk::<4>()
@@ -95,7 +98,7 @@
     else {
         return Ok(None);
     };
-    if length == 0 || length > MOST_FRAME {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err(FrameError::Length(length));
     }
     let Some(letter) = bytes.get(4).copied() else {
@@ -106,14 +109,14 @@
     let here = &bytes[5..bytes.len().min(4 + length)];
     let line = match letter {
         b'a' => {
-            let end = here.iter().take(MOST_LINE).position(|b| *b == b'\n');
-            if end.is_none() && (here.len() >= MOST_LINE || here.len() + 1 == length) {
+            let end = here.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n');
+            if end.is_none() && (here.len() >= MAX_LINE_BYTES || here.len() + 1 == length) {
                 return Err(bad());
             }
             end.map(|end| answer_line(&text(&here[..end])?).ok_or_else(bad))
                 .transpose()?
         }
-        b'p' | b'l' | b'e' if length <= MOST_LINE => None,
+        b'p' | b'l' | b'e' if length <= MAX_LINE_BYTES => None,
         b'p' | b'l' | b'e' => return Err(bad()),
         other => return Err(FrameError::Letter(char::from(other))),
     };
--- a/crates/coordinator/src/net/hosts.rs
+++ b/crates/coordinator/src/net/hosts.rs
@@ -27,7 +27,7 @@
     /// Whether it leads to an address that the host has left: it still answers for what is out on it.
     old: bool,
     mail: mpsc::UnboundedSender<LinkMail>,
-    gauge: Arc<ConnectionLoad>,
+    load: Arc<ConnectionLoad>,
 }
 
 struct Peer {
@@ -36,7 +36,7 @@
     stop_at: Option<Instant>,
     gate: Option<(Arc<DrainGate>, Instant)>,
     links: Vec<LinkRef>,
-    pace: Arc<StallDetector>,
+    stall_detector: Arc<StallDetector>,
     shared: Arc<Shared>,
 }
 
@@ -119,7 +119,7 @@
                 .gates
                 .as_ref()
                 .map(|(gates, origin)| (gates.gate(&host.id), *origin));
-            let (links, pace) = (
+            let (links, stall_detector) = (
                 Vec::new(),
                 Arc::new(StallDetector::among(shared.caps.coordinators)),
             );
@@ -129,7 +129,7 @@
                 stop_at,
                 gate,
                 links,
-                pace,
+                stall_detector,
                 shared,
             };
             tokio::spawn(peer.run(rx));
@@ -195,7 +195,7 @@
                     for l in self
                         .links
                         .iter_mut()
-                        .filter(|l| l.gauge.parts.load(Ordering::Relaxed) == 0)
+                        .filter(|l| l.load.parts.load(Ordering::Relaxed) == 0)
                     {
                         l.old = true;
                         let _ = l.mail.send(LinkMail::Release);
@@ -219,8 +219,8 @@
 
     /// Whether a link has kept parts waiting in silence for longer than the host usually takes.
     fn stalled(&self, l: &LinkRef) -> bool {
-        self.pace.stalled(
-            l.gauge.waits(),
+        self.stall_detector.is_stalled(
+            l.load.waits(),
             Instant::now(),
             self.shared.caps.connect_timeout,
         )
@@ -235,9 +235,9 @@
         let still = now_stalled.iter().filter(|s| **s).count() > 1;
         let room = |l: &&LinkRef| {
             !l.old
-                && !l.gauge.silent.load(Ordering::Relaxed)
+                && !l.load.silent.load(Ordering::Relaxed)
                 && self.shared.dialect.room(
-                    l.gauge.parts.load(Ordering::Relaxed),
+                    l.load.parts.load(Ordering::Relaxed),
                     parts,
                     self.shared.caps.streams,
                 )
@@ -247,8 +247,10 @@
             .iter()
             .zip(now_stalled)
             .filter(|(l, stalled)| room(l) && (still || !stalled));
-        let load = |l: &LinkRef| l.gauge.parts.load(Ordering::Relaxed);
-        let spread = self.pace.spread(self.shared.dialect.most_links());
+        let load = |l: &LinkRef| l.load.parts.load(Ordering::Relaxed);
+        let spread = self
+            .stall_detector
+            .spread(self.shared.dialect.max_connections());
         if spread == 1 {
             return able
                 .max_by_key(|(l, stalled)| (!stalled, load(l)))
@@ -266,7 +268,7 @@
     fn may_open(&self) -> bool {
         let own = self.own_links();
         let all = self.shared.open_connections.load(Ordering::Relaxed);
-        own < self.shared.dialect.most_links()
+        own < self.shared.dialect.max_connections()
             && all
                 < self
                     .shared
@@ -277,7 +279,7 @@
 
     fn open(&mut self) -> mpsc::UnboundedSender<LinkMail> {
         let (tx, mail) = mpsc::unbounded_channel();
-        let gauge = Arc::new(ConnectionLoad::default());
+        let load = Arc::new(ConnectionLoad::default());
         let setup = LinkSetup {
             server: self.server,
             addr: self.addr.clone(),
@@ -287,8 +289,8 @@
             stop_at: self.stop_at,
             gate: self.gate.clone(),
             mail,
-            gauge: gauge.clone(),
-            pace: self.pace.clone(),
+            load: load.clone(),
+            stall_detector: self.stall_detector.clone(),
             core: self.shared.core.clone(),
             counters: self.shared.counters.clone(),
         };
@@ -304,7 +306,7 @@
         self.links.push(LinkRef {
             old: false,
             mail: tx.clone(),
-            gauge,
+            load,
         });
         tx
     }
@@ -319,21 +321,21 @@
                     .links
                     .iter()
                     .filter(|l| !l.old)
-                    .min_by_key(|l| l.gauge.parts.load(Ordering::Relaxed))
+                    .min_by_key(|l| l.load.parts.load(Ordering::Relaxed))
                 {
                     Some(l) => l.mail.clone(),
                     None => self.open(),
                 },
             };
-            let gauge = self
+            let load = self
                 .links
                 .iter()
                 .find(|l| l.mail.same_channel(&link))
-                .map(|l| l.gauge.clone());
+                .map(|l| l.load.clone());
             let n = parts.len();
             match link.send(LinkMail::Call(parts)) {
                 Ok(()) => {
-                    gauge.into_iter().for_each(|g| {
+                    load.into_iter().for_each(|g| {
                         g.parts.fetch_add(n, Ordering::Relaxed);
                     });
                     return;
--- a/crates/coordinator/src/net/http/client.rs
+++ b/crates/coordinator/src/net/http/client.rs
@@ -1,11 +1,11 @@
-//! One client's connection: its requests are read, answered and written in turn.
+//! One client's connection: its requests are read, answered and written one after the other.
 
 use super::client_liveness::answer_or_gone;
 use super::connection_slots::{Admission, Phase};
-use super::message::{HttpError, Response};
+use super::message::{HttpError, Request, Response};
 use super::read::read_request;
 use super::server::Shared;
-use super::{MOST_BODY, OUTPUT};
+use super::{MAX_BODY_BYTES, OUTPUT};
 use crate::counters::Counters;
 use crate::net::buffered_stream::BufferedStream;
 use bytes::BytesMut;
@@ -14,162 +14,241 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{watch, Notify};
 
-/// A client must have sent its first request whole in this time from connecting, and any later one from
-/// its first byte: whoever says nothing, or half of something, is let go while it still counts as prompt.
-const SLOW_REQUEST: Duration = Duration::from_secs(2);
-/// An unused connection is closed after this, and sooner once more than a share of the seats is taken.
-const IDLE: (Duration, Duration) = (Duration::from_secs(10), Duration::from_millis(2200));
-const ROOMY: f64 = 0.25;
-/// After so many answers in a row to what was no query the next request is read so much later for each one
-/// more, up to a limit: who asks again at once must not starve the others.
-const FREE_BAD: u32 = 2;
-const BAD_PAUSE: Duration = Duration::from_millis(50);
-const MOST_PAUSES: u32 = 8;
-/// A client that does not take its answer is let go after this.
-const SLOW_CLIENT: Duration = Duration::from_secs(5);
-
-/// Serves one client; gives the number of requests and the reason for the end.
-pub(super) async fn client(
-    mut conn: BufferedStream,
-    shared: &Shared,
-    seat: u64,
-    admission: Admission,
-    leave: Arc<Notify>,
-    mut closing: watch::Receiver<bool>,
-) -> (u64, &'static str) {
-    let (mut served, mut bad) = (0, 0u32);
-    let mut since = Instant::now();
-    loop {
-        if conn.input.is_empty() {
-            conn.input.give_back();
-            conn.output.give_back();
-            let idle = if shared.crowded(ROOMY) {
-                IDLE.1
-            } else {
-                IDLE.0
-            };
-            let end = since + if served == 0 { SLOW_REQUEST } else { idle };
-            tokio::select! {
-                biased;
-                got = conn.fill() => match got {
-                    Ok(0) => return (served, "peer_closed"),
-                    Ok(_) => {}
-                    Err(_) => return (served, "io_error"),
-                },
-                _ = closing.wait_for(|c| *c) => return (served, "stopping"),
-                () = shared.told_to_leave(seat, &leave) => return (served, "made_room"),
-                _ = tokio::time::sleep_until(end.into()) => return (served, if served == 0 { "silent" } else { "idle" }),
+/// A client must have sent its first request completely within this from connecting, and any later one from its
+/// first byte. A client that sends nothing, or half a request, is closed while it still counts as prompt.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// An unused connection is closed after this.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// An unused connection is closed after this once [`CROWDED_SHARE`] of the slots is taken.
+const IDLE_TIMEOUT_WHEN_CROWDED: Duration = Duration::from_millis(2200);
+/// The share of the slots above which unused connections are closed sooner.
+const CROWDED_SHARE: f64 = 0.25;
+/// So many answers in a row to what was no query cost a client nothing.
+const FREE_BAD_REQUESTS: u32 = 2;
+/// For each one more, its next request is read so much later: who asks again at once must not starve the others.
+const BAD_REQUEST_PAUSE: Duration = Duration::from_millis(50);
+/// Limit on the pauses that add up.
+const MAX_BAD_REQUEST_PAUSES: u32 = 8;
+/// A client that does not take its answer within this is closed.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a closed connection is read on.
+const LINGER: Duration = Duration::from_millis(200);
+/// When a client that found no slot is asked to come back.
+const NO_SLOT_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// A reason code of the log: why a connection ended.
+type EndCode = &'static str;
+
+/// A client's connection and its slot.
+pub(super) struct Client<'a> {
+    pub(super) stream: BufferedStream,
+    pub(super) shared: &'a Shared,
+    /// The number of its slot.
+    pub(super) slot: u64,
+    pub(super) admission: Admission,
+    /// Notified when it may have to leave its slot.
+    pub(super) leave: Arc<Notify>,
+    /// Turns true when the server ends.
+    pub(super) closing: watch::Receiver<bool>,
+}
+
+/// What a client has done so far.
+struct Progress {
+    /// Requests that were read.
+    served: u64,
+    /// Answers in a row to what was no query.
+    bad_requests: u32,
+    /// When the connection was opened, its last answer was written, or its present request began.
+    since: Instant,
+}
+
+impl Client<'_> {
+    /// Serves the client until its connection ends. Returns the number of requests and why it ended.
+    pub(super) async fn serve(mut self) -> (u64, EndCode) {
+        let mut progress = Progress {
+            served: 0,
+            bad_requests: 0,
+            since: Instant::now(),
+        };
+        loop {
+            if let Err(code) = self.serve_request(&mut progress).await {
+                return (progress.served, code);
             }
         }
-        if served > 0 {
-            since = Instant::now();
-            shared.seats().enter(seat, Phase::Asking, since);
+    }
+
+    async fn serve_request(&mut self, progress: &mut Progress) -> Result<(), EndCode> {
+        if self.stream.input.is_empty() {
+            self.wait_for_input(progress).await?;
         }
-        let read = tokio::select! {
-            biased;
-            read = tokio::time::timeout_at((since + SLOW_REQUEST).into(), read_request(&mut conn, MOST_BODY)) => read,
-            () = shared.told_to_leave(seat, &leave) => return (served, "made_room"),
-        };
-        let (mut request, keep) = match read.unwrap_or(Err(HttpError::Slow)) {
-            Ok(read) => read,
-            Err(e) => {
-                shared.counters.inc("requests.unreadable");
-                if let Some(status) = e.status() {
-                    let answer = shared.service.error(status, &e.to_string());
-                    finish(&mut conn, &answer, &shared.counters).await;
-                }
-                return (served, e.code());
-            }
-        };
-        served += 1;
-        request.latest = shared.latest.get().copied();
+        if progress.served > 0 {
+            progress.since = Instant::now();
+            self.enter(Phase::Asking, progress.since);
+        }
+        let (mut request, keep_alive) = self.read(progress.since).await?;
+        progress.served += 1;
+        request.latest = self.shared.latest.get().copied();
         let arrived = request.arrived;
-        shared.seats().enter(seat, Phase::Busy, Instant::now());
-        let _open = shared.counters.open();
-        let over = shared.refuses(admission);
-        let answer = if over {
-            shared.counters.inc("answered.refused.client_cap");
-            let answer = shared.service.non_member_info(&request);
-            Some(answer.retry_after(Some(Duration::from_secs(1))))
+        self.enter(Phase::Busy, Instant::now());
+        let _open_request = self.shared.counters.open();
+        let no_slot = self.shared.refuses(self.admission);
+        let answer = if no_slot {
+            self.shared.counters.inc("answered.refused.client_cap");
+            let answer = self.shared.service.no_slot(&request);
+            Some(answer.retry_after(Some(NO_SLOT_RETRY_AFTER)))
         } else {
-            answer_or_gone(&mut conn, || shared.service.answer(request)).await
-        };
-        let Some(answer) = answer else {
-            return (served, "client_gone");
+            let service = &self.shared.service;
+            answer_or_gone(&mut self.stream, || service.answer(request)).await
         };
+        let answer = answer.ok_or("client_gone")?;
         log::trace!("answered {} after {:?}", answer.status, arrived.elapsed());
-        // 429 and the fives are answers to queries; the other fours are for what was none.
-        bad = if (400..429).contains(&answer.status) {
-            bad + 1
+        progress.count_bad(answer.status);
+        if let Some(code) = self.last_answer_code(keep_alive, no_slot) {
+            self.finish(&answer).await;
+            return Err(code);
+        }
+        self.respond(&answer).await?;
+        progress.since = Instant::now();
+        self.enter(Phase::Idle, progress.since);
+        progress.pause_after_bad().await;
+        Ok(())
+    }
+
+    fn enter(&self, phase: Phase, now: Instant) {
+        self.shared.slots().enter(self.slot, phase, now);
+    }
+
+    /// Waits for the first bytes of a request.
+    async fn wait_for_input(&mut self, progress: &Progress) -> Result<(), EndCode> {
+        self.stream.input.release_memory();
+        self.stream.output.release_memory();
+        let idle_timeout = if self.shared.crowded(CROWDED_SHARE) {
+            IDLE_TIMEOUT_WHEN_CROWDED
         } else {
-            0
+            IDLE_TIMEOUT
+        };
+        let (timeout, code) = if progress.served == 0 {
+            (REQUEST_TIMEOUT, "silent")
+        } else {
+            (idle_timeout, "idle")
         };
-        let stopping = *closing.borrow();
-        let replaced = shared.limits.replaced();
-        if !keep || over || stopping || replaced || shared.limits.one_request_per_connection {
-            finish(&mut conn, &answer, &shared.counters).await;
-            let codes = [
-                (stopping, "stopping"),
-                (over, "at_cap"),
-                (replaced, "replaced"),
-            ];
-            return (
-                served,
-                codes.iter().find(|c| c.0).map_or("asked_to_close", |c| c.1),
-            );
+        let end = progress.since + timeout;
+        tokio::select! {
+            biased;
+            read = self.stream.fill() => match read {
+                Ok(0) => Err("peer_closed"),
+                Ok(_) => Ok(()),
+                Err(_) => Err("io_error"),
+            },
+            _ = self.closing.wait_for(|closing| *closing) => Err("stopping"),
+            () = self.shared.told_to_leave(self.slot, &self.leave) => Err("made_room"),
+            () = tokio::time::sleep_until(end.into()) => Err(code),
+        }
+    }
+
+    /// Reads a request that began at `since`. Returns whether the connection may be kept after it.
+    async fn read(&mut self, since: Instant) -> Result<(Request, bool), EndCode> {
+        let deadline = since + REQUEST_TIMEOUT;
+        let read = tokio::select! {
+            biased;
+            read = tokio::time::timeout_at(deadline.into(), read_request(&mut self.stream, MAX_BODY_BYTES)) => read,
+            () = self.shared.told_to_leave(self.slot, &self.leave) => return Err("made_room"),
+        };
+        let error = match read.unwrap_or(Err(HttpError::Slow)) {
+            Ok(read) => return Ok(read),
+            Err(error) => error,
+        };
+        self.shared.counters.inc("requests.unreadable");
+        if let Some(status) = error.status() {
+            let answer = self.shared.service.error(status, &error.to_string());
+            self.finish(&answer).await;
+        }
+        Err(error.code())
+    }
+
+    /// Why the present answer is the connection's last; `None` if it is not.
+    fn last_answer_code(&self, keep_alive: bool, no_slot: bool) -> Option<EndCode> {
+        if *self.closing.borrow() {
+            return Some("stopping");
+        }
+        if no_slot {
+            return Some("at_cap");
         }
-        match tokio::time::timeout(SLOW_CLIENT, write(&mut conn, &answer, false)).await {
-            Ok(Ok(())) => tally(&answer, &shared.counters),
-            Ok(Err(_)) => return (served, "client_gone"),
-            Err(_) => return (served, "client_too_slow"),
+        if self.shared.limits.replaced() {
+            return Some("replaced");
         }
-        since = Instant::now();
-        shared.seats().enter(seat, Phase::Idle, since);
-        if bad > FREE_BAD {
-            tokio::time::sleep(BAD_PAUSE * (bad - FREE_BAD).min(MOST_PAUSES)).await;
+        let one_request = self.shared.limits.one_request_per_connection;
+        (!keep_alive || one_request).then_some("asked_to_close")
+    }
+
+    /// Writes an answer after which the connection is kept.
+    async fn respond(&mut self, answer: &Response) -> Result<(), EndCode> {
+        match tokio::time::timeout(RESPONSE_TIMEOUT, write(&mut self.stream, answer, false)).await {
+            Ok(Ok(())) => count_ends(answer, &self.shared.counters),
+            Ok(Err(_)) => return Err("client_gone"),
+            Err(_) => return Err("client_too_slow"),
+        }
+        Ok(())
+    }
+
+    /// Writes the last answer and ends the connection.
+    async fn finish(&mut self, answer: &Response) {
+        let written = tokio::time::timeout(RESPONSE_TIMEOUT, write(&mut self.stream, answer, true));
+        if let Ok(Ok(())) = written.await {
+            count_ends(answer, &self.shared.counters);
+            linger(&mut self.stream).await;
         }
     }
 }
 
-/// The answer is its client's now: what ends with it counts.
-fn tally(answer: &Response, counters: &Counters) {
-    answer
-        .ends
-        .iter()
-        .for_each(|(class, end)| counters.ended(*class, *end));
+impl Progress {
+    /// 429 and the 5xx are answers to queries; the other 4xx answer what was no query.
+    fn count_bad(&mut self, status: u16) {
+        self.bad_requests = if (400..429).contains(&status) {
+            self.bad_requests + 1
+        } else {
+            0
+        };
+    }
+
+    async fn pause_after_bad(&self) {
+        if self.bad_requests > FREE_BAD_REQUESTS {
+            let pauses = (self.bad_requests - FREE_BAD_REQUESTS).min(MAX_BAD_REQUEST_PAUSES);
+            tokio::time::sleep(BAD_REQUEST_PAUSE * pauses).await;
+        }
+    }
 }
 
-/// A last answer, and then no more.
-async fn finish(conn: &mut BufferedStream, answer: &Response, counters: &Counters) {
-    if let Ok(Ok(())) = tokio::time::timeout(SLOW_CLIENT, write(conn, answer, true)).await {
-        tally(answer, counters);
-        linger(conn).await;
+/// Counts the requests that end with an answer, once the client has it.
+fn count_ends(answer: &Response, counters: &Counters) {
+    for (class, end) in &answer.ends {
+        counters.ended(*class, *end);
     }
 }
 
-async fn write(conn: &mut BufferedStream, answer: &Response, close: bool) -> std::io::Result<()> {
-    // Small answers go out in one piece: a client must be able to tell a cut one.
+async fn write(stream: &mut BufferedStream, answer: &Response, close: bool) -> std::io::Result<()> {
+    // Small answers go out in one piece: a client must be able to recognise one that was cut.
     let mut head = BytesMut::from(answer.head(close).as_bytes());
     if answer.body.len() < OUTPUT / 2 {
         head.extend_from_slice(&answer.body);
-        return conn.write_all(&head).await;
+        return stream.write_all(&head).await;
     }
-    conn.write_all(&head).await?;
-    conn.write_all(&answer.body).await
+    stream.write_all(&head).await?;
+    stream.write_all(&answer.body).await
 }
 
-/// Reads on for a moment: closing with input unread would reset the connection and take the answer along.
-async fn linger(conn: &mut BufferedStream) {
-    let _ = conn.stream.shutdown().await;
+/// Reads on for a moment: closing with unread input would reset the connection and take the answer along.
+async fn linger(stream: &mut BufferedStream) {
+    let _ = stream.stream.shutdown().await;
     let drain = async {
-        let mut left = 4 * MOST_BODY;
+        let mut left = 4 * MAX_BODY_BYTES;
         while left > 0 {
-            conn.input.consume(conn.input.len());
-            match conn.fill().await {
-                Ok(n) if n > 0 => left = left.saturating_sub(n),
+            stream.input.consume(stream.input.len());
+            match stream.fill().await {
+                Ok(bytes) if bytes > 0 => left = left.saturating_sub(bytes),
                 _ => return,
             }
         }
     };
-    let _ = tokio::time::timeout(Duration::from_millis(200), drain).await;
+    let _ = tokio::time::timeout(LINGER, drain).await;
 }
--- a/crates/coordinator/src/net/http/mod.rs
+++ b/crates/coordinator/src/net/http/mod.rs
@@ -21,7 +21,7 @@
 use tokio::sync::watch;
 
 /// Largest body that is taken.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Ring for what comes in; a head must fit into it.
 pub const INPUT: usize = 16 * 1024;
 const OUTPUT: usize = 16 * 1024;
@@ -39,7 +39,7 @@
     /// Words an error that the server itself finds.
     fn error(&self, status: u16, reason: &str) -> Response;
     /// Refuses a request at the cap on clients.
-    fn non_member_info(&self, _request: &Request) -> Response {
+    fn no_slot(&self, _request: &Request) -> Response {
         self.error(503, "too many clients")
     }
 }
--- a/crates/coordinator/src/net/http/read.rs
+++ b/crates/coordinator/src/net/http/read.rs
@@ -7,7 +7,7 @@
 use http1::{DecodeStep, Framing, HeadLimits, RequestHead, ResponseHead};
 use std::time::Instant;
 
-const MOST_HEAD: HeadLimits = HeadLimits {
+const MAX_HEAD: HeadLimits = HeadLimits {
     max_bytes: INPUT,
     max_fields: 64,
 };
@@ -21,7 +21,7 @@
 }
 
 fn request_head(conn: &mut BufferedStream) -> Result<Option<RequestHead>, HttpError> {
-    let Some((head, n)) = RequestHead::parse(conn.input.contiguous(), MOST_HEAD)? else {
+    let Some((head, n)) = RequestHead::parse(conn.input.contiguous(), MAX_HEAD)? else {
         return Ok(None);
     };
     conn.input.consume(n);
@@ -29,9 +29,12 @@
 }
 
 /// Reads a response's head: its status and headers.
+///
+/// # Errors
+/// If the head is malformed or too large, or the connection ends or fails first.
 pub async fn response_head(conn: &mut BufferedStream) -> Result<(u16, Headers), HttpError> {
     loop {
-        if let Some((head, n)) = ResponseHead::parse(conn.input.contiguous(), MOST_HEAD, false)? {
+        if let Some((head, n)) = ResponseHead::parse(conn.input.contiguous(), MAX_HEAD, false)? {
             conn.input.consume(n);
             return Ok((head.status, Headers::of(head.fields)?));
         }
@@ -57,6 +60,9 @@
     }
 
     /// The body of a response with these headers.
+    ///
+    /// # Errors
+    /// If the headers contradict each other on its length.
     pub fn of_response(headers: &Headers) -> Result<Self, HttpError> {
         Ok(Self::new(
             Framing::from_fields(&headers.0)?.unwrap_or(Framing::CloseDelimited),
@@ -64,11 +70,14 @@
     }
 
     /// Whether its length is told and beyond a limit.
-    fn beyond(&self, most: usize) -> bool {
-        matches!(self.framing, Framing::Length(n) if n > most as u64)
+    fn beyond(&self, max_bytes: usize) -> bool {
+        matches!(self.framing, Framing::Length(n) if n > max_bytes as u64)
     }
 
     /// Appends what comes next to `out`; false at the end.
+    ///
+    /// # Errors
+    /// If the body is malformed, or the connection ends or fails first.
     pub async fn next(
         &mut self,
         conn: &mut BufferedStream,
@@ -97,17 +106,20 @@
     }
 
     /// Reads the whole body, up to a limit.
-    pub async fn whole(
+    ///
+    /// # Errors
+    /// As [`Body::next`]; also if the body is longer than the limit.
+    pub async fn read_all(
         mut self,
         conn: &mut BufferedStream,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Bytes, HttpError> {
         let mut out = BytesMut::new();
-        if self.beyond(most) {
+        if self.beyond(max_bytes) {
             return Err(HttpError::BodyTooLarge);
         }
         while self.next(conn, &mut out).await? {
-            if out.len() > most {
+            if out.len() > max_bytes {
                 return Err(HttpError::BodyTooLarge);
             }
         }
@@ -117,7 +129,7 @@
 
 pub(super) async fn read_request(
     conn: &mut BufferedStream,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<(Request, bool), HttpError> {
     let head = loop {
         if !conn.input.is_empty() {
@@ -138,13 +150,13 @@
     );
     let body = Body::new(head.framing.unwrap_or(Framing::Length(0)));
     let headers = Headers::of(head.fields)?;
-    if body.beyond(most) {
+    if body.beyond(max_bytes) {
         return Err(HttpError::BodyTooLarge);
     }
     if headers.0.has_token("Expect", "100-continue") {
         conn.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
-    let body = body.whole(conn, most).await?;
+    let body = body.read_all(conn, max_bytes).await?;
     let (path, query) = target.split_once('?').unwrap_or((&target, ""));
     let (path, query) = (path.to_owned(), query.to_owned());
     let (arrived, latest) = (Instant::now(), None);
--- a/crates/coordinator/src/net/http/server.rs
+++ b/crates/coordinator/src/net/http/server.rs
@@ -1,7 +1,7 @@
 //! The server: connections are seated and served until it is told to stop, and then until all that was taken
 //! is answered.
 
-use super::client::client;
+use super::client::Client;
 use super::connection_slots::{Admission, ConnectionSlots};
 use super::incoming::{Guard, Incoming};
 use super::{Limits, Service, INPUT, OUTPUT};
@@ -14,13 +14,22 @@
 use tokio::net::TcpStream;
 use tokio::sync::{watch, Notify};
 
-/// Share of the seats that may stand idle: beyond it the one that has for longest goes with each that comes,
+/// Share of the slots that may stand idle: beyond it the one that has for longest goes with each that comes,
 /// as clients that ask once and stay use up what connections the usual ones may have.
-const IDLERS: f64 = 0.2;
+const MAX_IDLE_SHARE: f64 = 0.2;
 /// Once stopping, this is the least time for which new connections are taken.
-const STOP_LEAST: Duration = Duration::from_millis(600);
+const MIN_STOP_TIME: Duration = Duration::from_millis(600);
 /// Nothing taken may be waited for beyond this.
-const STOP_LONGEST: Duration = Duration::from_secs(12);
+const MAX_STOP_TIME: Duration = Duration::from_secs(12);
+
+/// Pause after a failed accept: out of descriptors, until some that are in use come back.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// How often a stopping server checks whether it may end.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often a server that accepts no more checks whether all connections have ended.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest sleep of a server that is not stopping.
+const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
 /// What the server's connections share.
 pub(super) struct Shared {
@@ -28,52 +37,55 @@
     pub(super) counters: Counters,
     pub(super) limits: Limits,
     clients: AtomicUsize,
-    seats: Mutex<ConnectionSlots>,
+    slots: Mutex<ConnectionSlots>,
     /// Set once stopping: when all must be answered.
     pub(super) latest: OnceLock<Instant>,
 }
 
 impl Shared {
-    pub(super) fn seats(&self) -> MutexGuard<'_, ConnectionSlots> {
-        self.seats.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn slots(&self) -> MutexGuard<'_, ConnectionSlots> {
+        self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn crowded(&self, share: f64) -> bool {
-        self.seats().staying() as f64 > share * self.limits.clients() as f64
+        self.slots().staying_count() as f64 > share * self.limits.clients() as f64
     }
 
     /// Asks the connection that has been of no use for longest to leave.
     fn make_room(&self, full: bool) -> Option<u64> {
-        self.seats()
+        self.slots()
             .make_room(Instant::now(), full, self.limits.request_timeout_when_full)
     }
 
-    /// Whether a request is refused for want of seats, as the one that was to leave for it has not, and no
-    /// other can. Those who had a seat before all were taken keep it.
+    /// Whether a request is refused for want of slots, as the one that was to leave for it has not, and no
+    /// other can. Those who had a slot before all were taken keep it.
     pub(super) fn refuses(&self, admission: Admission) -> bool {
-        let without_seat = match admission {
+        let without_slot = match admission {
             Admission::Free => false,
-            Admission::InPlaceOf(other) => self.seats().stays(other),
+            Admission::InPlaceOf(other) => self.slots().is_staying(other),
             Admission::Extra => true,
         };
-        without_seat && self.crowded(1.0) && self.make_room(true).is_none()
+        without_slot && self.crowded(1.0) && self.make_room(true).is_none()
     }
 
-    /// Waits until this seat has to be left.
-    pub(super) async fn told_to_leave(&self, seat: u64, leave: &Notify) {
+    /// Waits until this slot has to be left.
+    pub(super) async fn told_to_leave(&self, slot: u64, leave: &Notify) {
         loop {
             leave.notified().await;
             // What was asked before its client's last request holds no more.
-            if self.seats().leaves(seat) {
+            if self.slots().is_leaving(slot) {
                 self.counters.inc("clients.made_room");
                 return;
             }
         }
     }
 
-    /// What stands beyond the share of this process, as there is another now, goes as far as it is of no use.
-    fn make_half(&self) {
-        let over = self.seats().staying().saturating_sub(self.limits.clients());
+    /// Closes connections beyond this process's share, as there is another process now, as far as they are of no use.
+    fn shrink_to_share(&self) {
+        let over = self
+            .slots()
+            .staying_count()
+            .saturating_sub(self.limits.clients());
         for _ in 0..over {
             if self.make_room(true).is_none() {
                 return;
@@ -81,16 +93,16 @@
         }
     }
 
-    /// ConnectionSlots a new connection and serves it; above the hard cap it is closed at once.
-    fn welcome(
+    /// Gives a new connection a slot and serves it. Above the limit on connections it is closed at once.
+    fn admit(
         self: &Arc<Self>,
         (stream, from, guard): (TcpStream, SocketAddr, Option<Guard>),
         closing: &watch::Receiver<bool>,
     ) {
         let (clients, most) = (self.limits.clients(), self.limits.connections());
-        let full = self.seats().staying() >= clients;
-        let idlers = self.seats().idlers();
-        let crowded = full || idlers as f64 > IDLERS * clients as f64;
+        let full = self.slots().staying_count() >= clients;
+        let idle = self.slots().idle_count();
+        let crowded = full || idle as f64 > MAX_IDLE_SHARE * clients as f64;
         let leaver = if crowded { self.make_room(full) } else { None };
         let admission = match leaver {
             _ if !full => Admission::Free,
@@ -103,12 +115,19 @@
             return;
         }
         self.clients.fetch_add(1, Ordering::Relaxed);
-        let (number, leave) = self.seats().take(Instant::now());
+        let (number, leave) = self.slots().take(Instant::now());
         let (shared, closing) = (self.clone(), closing.clone());
         tokio::spawn(async move {
-            let conn = BufferedStream::new(stream, INPUT, OUTPUT);
-            let (served, code) = client(conn, &shared, number, admission, leave, closing).await;
-            shared.seats().release(number);
+            let client = Client {
+                stream: BufferedStream::new(stream, INPUT, OUTPUT),
+                shared: &shared,
+                slot: number,
+                admission,
+                leave,
+                closing,
+            };
+            let (served, code) = client.serve().await;
+            shared.slots().release(number);
             shared.clients.fetch_sub(1, Ordering::Relaxed);
             drop(guard);
             shared.counters.inc("clients.ended");
@@ -117,6 +136,38 @@
     }
 }
 
+impl Shared {
+    /// Whether the server may end, so long after the stop.
+    fn may_end(&self, since_stop: Duration) -> bool {
+        let has_clients = self.clients.load(Ordering::Relaxed) > 0;
+        let min_stop_time = if self.limits.replaced() {
+            Duration::ZERO
+        } else {
+            MIN_STOP_TIME
+        };
+        since_stop >= self.limits.serve_on || (!has_clients && since_stop >= min_stop_time)
+    }
+
+    /// Serves what the system has accepted by now, as closing the listener would reset it, and waits until all
+    /// connections have ended.
+    async fn finish(
+        self: &Arc<Self>,
+        mut incoming: Incoming,
+        close: &watch::Sender<bool>,
+        closing: &watch::Receiver<bool>,
+    ) {
+        while let Ok(Ok(accepted)) = tokio::time::timeout(Duration::ZERO, incoming.accept()).await {
+            self.admit(accepted, closing);
+        }
+        drop(incoming);
+        let _ = close.send(true);
+        let end = Instant::now() + MAX_STOP_TIME;
+        while self.clients.load(Ordering::Relaxed) > 0 && Instant::now() < end {
+            tokio::time::sleep(END_CHECK_INTERVAL).await;
+        }
+    }
+}
+
 /// Serves until told to stop, and then until all that was taken is answered.
 pub async fn serve(
     mut incoming: Incoming,
@@ -125,13 +176,13 @@
     counters: Counters,
     mut stop: watch::Receiver<bool>,
 ) {
-    let (clients, seats, latest) = Default::default();
+    let (clients, slots, latest) = Default::default();
     let shared = Arc::new(Shared {
         service,
         counters,
         limits,
         clients,
-        seats,
+        slots,
         latest,
     });
     let (close, closing) = watch::channel(false);
@@ -140,22 +191,21 @@
     let mut stopped: Option<Instant> = None;
     loop {
         let rest = if stopped.is_some() {
-            Duration::from_millis(50)
+            STOP_CHECK_INTERVAL
         } else {
-            Duration::from_secs(3600)
+            MAX_SLEEP
         };
         tokio::select! {
             came = incoming.accept() => match came {
-                Ok(came) => shared.welcome(came, &closing),
-                // Out of descriptors: the ones in use come back.
+                Ok(came) => shared.admit(came, &closing),
                 Err(e) => {
                     log::warn!("accept: {e}");
-                    tokio::time::sleep(Duration::from_millis(20)).await;
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             },
             _ = restart_role.changed(), if has_other => {
                 has_other = restart_role.has_changed().is_ok();
-                shared.make_half();
+                shared.shrink_to_share();
             }
             _ = stop.wait_for(|s| *s), if stopped.is_none() => {
                 let now = Instant::now();
@@ -164,11 +214,7 @@
             }
             _ = tokio::time::sleep(rest) => {}
         }
-        let nobody = shared.clients.load(Ordering::Relaxed) == 0;
-        let replaced = shared.limits.replaced();
-        let least = if replaced { Duration::ZERO } else { STOP_LEAST };
-        let over = |t: Duration| t >= shared.limits.serve_on || (nobody && t >= least);
-        if stopped.map(|s| s.elapsed()).is_some_and(over) {
+        if stopped.is_some_and(|since| shared.may_end(since.elapsed())) {
             break;
         }
         // A crowd that leaves at once must have left before more of it come.
@@ -178,14 +224,5 @@
             tokio::task::yield_now().await;
         }
     }
-    // What the machine has accepted by now is served too: closing the listener would reset it.
-    while let Ok(Ok(came)) = tokio::time::timeout(Duration::ZERO, incoming.accept()).await {
-        shared.welcome(came, &closing);
-    }
-    drop(incoming);
-    let _ = close.send(true);
-    let end = Instant::now() + STOP_LONGEST;
-    while shared.clients.load(Ordering::Relaxed) > 0 && Instant::now() < end {
-        tokio::time::sleep(Duration::from_millis(5)).await;
-    }
+    shared.finish(incoming, &close, &closing).await;
 }
--- a/crates/coordinator/src/net/json_objects.rs
+++ b/crates/coordinator/src/net/json_objects.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Deepest nesting taken; lists have three levels.
-pub const DEEPEST: usize = 16;
+pub const MAX_DEPTH: usize = 16;
 
 /// What stands next in the stream.
 #[derive(Debug, PartialEq)]
@@ -18,7 +18,7 @@
 
 /// Bytes that are no objects, or one over the limit.
 #[derive(Debug, PartialEq)]
-pub enum NoObject {
+pub enum ObjectError {
     /// Not JSON, or JSON that is no object.
     Malformed,
     /// An object that is larger than allowed.
@@ -38,7 +38,7 @@
 
 /// Where the last byte stood.
 #[derive(Clone, Copy, PartialEq)]
-enum At {
+enum Position {
     Between,
     Text,
     Escape,
@@ -49,27 +49,27 @@
 pub struct Objects {
     bytes: BytesMut,
     /// Bytes looked at already.
-    seen: usize,
-    most: usize,
+    scanned: usize,
+    max_bytes: usize,
     /// The brackets that are open.
     open: Vec<u8>,
     want: Want,
-    at: At,
+    position: Position,
     /// Whether the present line holds nothing so far.
     empty: bool,
 }
 
 impl Objects {
-    /// A reader of objects of so many bytes at most.
-    pub fn new(most: usize) -> Self {
-        let (bytes, seen, open) = (BytesMut::new(), 0, Vec::new());
+    /// A reader of objects of at most `max_bytes`.
+    pub fn new(max_bytes: usize) -> Self {
+        let (bytes, scanned, open) = (BytesMut::new(), 0, Vec::new());
         Self {
             bytes,
-            seen,
-            most,
+            scanned,
+            max_bytes,
             open,
             want: Want::Value,
-            at: At::Between,
+            position: Position::Between,
             empty: true,
         }
     }
@@ -80,34 +80,37 @@
     }
 
     /// The next object or empty line, if all of it is there.
-    pub fn found(&mut self) -> Result<Option<Found>, NoObject> {
-        while let Some(byte) = self.bytes.get(self.seen).copied() {
-            self.seen += 1;
+    ///
+    /// # Errors
+    /// If the bytes are no JSON objects, or an object is too large.
+    pub fn next(&mut self) -> Result<Option<Found>, ObjectError> {
+        while let Some(byte) = self.bytes.get(self.scanned).copied() {
+            self.scanned += 1;
             if byte == b'\n' {
                 let empty = std::mem::replace(&mut self.empty, true);
-                match (self.at, self.open.is_empty()) {
-                    (At::Text | At::Escape, _) => return Err(NoObject::Malformed),
+                match (self.position, self.open.is_empty()) {
+                    (Position::Text | Position::Escape, _) => return Err(ObjectError::Malformed),
                     (_, true) => {
-                        drop(self.bytes.split_to(std::mem::take(&mut self.seen)));
+                        drop(self.bytes.split_to(std::mem::take(&mut self.scanned)));
                         if empty {
                             return Ok(Some(Found::Empty));
                         }
                     }
                     // An empty line comes between objects alone: the one before was never ended.
-                    (_, false) if empty => return Err(NoObject::Malformed),
-                    (_, false) => self.at = At::Between,
+                    (_, false) if empty => return Err(ObjectError::Malformed),
+                    (_, false) => self.position = Position::Between,
                 }
                 continue;
             }
             self.empty &= byte.is_ascii_whitespace();
-            self.step(byte).ok_or(NoObject::Malformed)?;
+            self.step(byte).ok_or(ObjectError::Malformed)?;
             if self.open.is_empty() && byte == b'}' {
-                let object = self.bytes.split_to(std::mem::take(&mut self.seen));
+                let object = self.bytes.split_to(std::mem::take(&mut self.scanned));
                 self.want = Want::Value;
                 return Ok(Some(Found::Object(object.freeze())));
             }
-            if self.seen > self.most {
-                return Err(NoObject::TooLarge);
+            if self.scanned > self.max_bytes {
+                return Err(ObjectError::TooLarge);
             }
         }
         Ok(None)
@@ -115,19 +118,19 @@
 
     /// One byte; `None` if it can't stand here.
     fn step(&mut self, byte: u8) -> Option<()> {
-        match (self.at, byte) {
-            (At::Escape, _) => self.at = At::Text,
-            (At::Text, b'\\') => self.at = At::Escape,
-            (At::Text, b'"') => self.at = At::Between,
-            (At::Text, _) => {}
+        match (self.position, byte) {
+            (Position::Escape, _) => self.position = Position::Text,
+            (Position::Text, b'\\') => self.position = Position::Escape,
+            (Position::Text, b'"') => self.position = Position::Between,
+            (Position::Text, _) => {}
             (_, b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'+' | b'-' | b'.') => {
-                if self.at != At::Word {
+                if self.position != Position::Word {
                     self.value()?;
-                    self.at = At::Word;
+                    self.position = Position::Word;
                 }
             }
             _ => {
-                self.at = At::Between;
+                self.position = Position::Between;
                 self.mark(byte)?;
             }
         }
@@ -145,10 +148,12 @@
         let inside = self.open.last().copied();
         match (byte, self.want) {
             (b' ' | b'\t' | b'\r', _) => {}
-            (b'"', Want::Key | Want::KeyOrEnd) => (self.at, self.want) = (At::Text, Want::Colon),
+            (b'"', Want::Key | Want::KeyOrEnd) => {
+                (self.position, self.want) = (Position::Text, Want::Colon)
+            }
             (b'"', _) => {
                 self.value()?;
-                self.at = At::Text;
+                self.position = Position::Text;
             }
             (b'{' | b'[', _) => {
                 if byte == b'[' || inside.is_some() {
@@ -160,7 +165,7 @@
                 } else {
                     Want::ValueOrEnd
                 };
-                return (self.open.len() <= DEEPEST).then_some(());
+                return (self.open.len() <= MAX_DEPTH).then_some(());
             }
             (b'}', Want::KeyOrEnd | Want::CommaOrEnd) if inside == Some(b'{') => {
                 self.open.pop();
--- a/crates/coordinator/src/net/link/connection.rs
+++ b/crates/coordinator/src/net/link/connection.rs
@@ -142,8 +142,8 @@
             self.tell_left(Some(now));
             let wait = self.setup.idle_limit().saturating_sub(now - self.used);
             if !self.busy() {
-                self.conn.input.give_back();
-                self.conn.output.give_back();
+                self.conn.input.release_memory();
+                self.conn.output.release_memory();
                 self.partial = BytesMut::new();
             }
             if !self.busy() && self.leaving.is_empty() && (wait.is_zero() || !open) {
@@ -172,12 +172,12 @@
             if probe_late {
                 self.probes.clear();
                 self.probed(Outcome::Timeout, None);
-                self.setup.gauge.silent.store(true, Ordering::Relaxed);
+                self.setup.load.silent.store(true, Ordering::Relaxed);
             }
             if self
                 .setup
-                .pace
-                .lost(self.setup.gauge.waits(), self.setup.connect_timeout)
+                .stall_detector
+                .is_lost(self.setup.load.waits(), self.setup.connect_timeout)
             {
                 return (
                     "silent",
@@ -193,7 +193,7 @@
                 return ("worn", format!("{} parts given up", self.gone));
             }
             // A link that keeps silent carries no new calls; once nothing is out on it, it is of no use.
-            if self.setup.gauge.silent.load(Ordering::Relaxed)
+            if self.setup.load.silent.load(Ordering::Relaxed)
                 && !self.busy()
                 && self.leaving.is_empty()
             {
@@ -280,21 +280,21 @@
             .map(|(id, _)| id.clone())
         {
             let sent = self.out.remove(&id).map(|o| o.sent);
-            let (waits, now) = (self.setup.gauge.waits(), Instant::now());
-            let stalled = self
-                .setup
-                .pace
-                .stalled(waits, now, self.setup.connect_timeout);
+            let (waits, now) = (self.setup.load.waits(), Instant::now());
+            let stalled =
+                self.setup
+                    .stall_detector
+                    .is_stalled(waits, now, self.setup.connect_timeout);
             if (outcome == Outcome::Timeout || stalled) && sent.is_some_and(|s| self.heard < s) {
-                self.setup.gauge.silent.store(true, Ordering::Relaxed);
+                self.setup.load.silent.store(true, Ordering::Relaxed);
             }
             self.setup
-                .gauge
+                .load
                 .set_waits(waits.filter(|_| !self.out.is_empty()));
             self.small.push_back(frames::short(b'c', &id));
             remember(&mut self.given_up, id, REMEMBERED.1);
             self.gone += 1;
-            self.setup.gauge.parts.fetch_add(1, Ordering::Relaxed);
+            self.setup.load.parts.fetch_add(1, Ordering::Relaxed);
             self.leave(part, attempt, outcome);
         } else if let Some(s) = self.sending.as_mut() {
             // Its frame has begun and must be finished; the withdrawal follows it.
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -85,9 +85,9 @@
     /// Its mailbox.
     pub mail: mpsc::UnboundedReceiver<LinkMail>,
     /// What its peer sees of it.
-    pub gauge: Arc<ConnectionLoad>,
+    pub load: Arc<ConnectionLoad>,
     /// How fast the host answers, over all its links.
-    pub pace: Arc<StallDetector>,
+    pub stall_detector: Arc<StallDetector>,
     /// The core's mailbox.
     pub core: mpsc::UnboundedSender<Mail>,
     /// The counters.
@@ -108,7 +108,7 @@
     }
 
     /// Connections to one host at once. Descriptors are few.
-    fn most_links(&self) -> usize {
+    fn max_connections(&self) -> usize {
         6
     }
 }
@@ -136,7 +136,7 @@
 
     /// The same with all that came along.
     pub fn report(&self, ended: Ended) {
-        self.gauge.parts.fetch_sub(1, Ordering::Relaxed);
+        self.load.parts.fetch_sub(1, Ordering::Relaxed);
         let _ = self.core.send(Mail::Ended(ended));
     }
 
--- a/crates/coordinator/src/net/link/reading.rs
+++ b/crates/coordinator/src/net/link/reading.rs
@@ -36,7 +36,7 @@
                         sent,
                     }) = self.out.remove(&id)
                     {
-                        self.setup.pace.answered(sent, now);
+                        self.setup.stall_detector.record_answer(sent, now);
                         // A copy of its own: a slice would keep the whole buffer it came in.
                         let value =
                             (outcome == Outcome::Ok).then(|| Bytes::copy_from_slice(&value));
@@ -51,7 +51,7 @@
                     } else if let Some(n) = self.given_up.iter().position(|g| *g == id) {
                         self.given_up.remove(n);
                         self.gone -= 1;
-                        self.setup.gauge.parts.fetch_sub(1, Ordering::Relaxed);
+                        self.setup.load.parts.fetch_sub(1, Ordering::Relaxed);
                         self.setup.counters.inc("ended.late");
                     } else if self.answered.contains(&id) {
                         self.spoilt = true;
@@ -72,12 +72,9 @@
         if self.out.is_empty() && self.probes.is_empty() && !self.partial.is_empty() {
             return Err(("extra_bytes", String::new()));
         }
+        self.setup.load.silent.store(self.spoilt, Ordering::Relaxed);
         self.setup
-            .gauge
-            .silent
-            .store(self.spoilt, Ordering::Relaxed);
-        self.setup
-            .gauge
+            .load
             .set_waits(Some(now).filter(|_| !self.out.is_empty()));
         Ok(())
     }
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -43,13 +43,15 @@
         link.setup.log_end(code, &detail);
         let closed = matches!(code, "host_closed" | "extra_bytes" | "worn");
         link.setup
-            .gauge
+            .load
             .parts
             .fetch_sub(link.gone, Ordering::Relaxed);
         if matches!(code, "host_closed" | "host_reset" | "write_failed") {
-            link.setup
-                .pace
-                .ended(link.heard, Instant::now(), link.setup.connect_timeout);
+            link.setup.stall_detector.record_end(
+                link.heard,
+                Instant::now(),
+                link.setup.connect_timeout,
+            );
         } else {
             // The end is ours: the host has to see it before the core hears of it.
             let _ = link.conn.stream.shutdown().await;
--- a/crates/coordinator/src/net/link/writing.rs
+++ b/crates/coordinator/src/net/link/writing.rs
@@ -108,8 +108,8 @@
             self.out.insert(frames::part_id(p), out);
         }
         self.setup
-            .gauge
-            .set_waits(self.setup.gauge.waits().or(Some(now)));
+            .load
+            .set_waits(self.setup.load.waits().or(Some(now)));
         for (part, attempt, outcome) in sending.given_up {
             self.cancel(part, attempt, outcome);
         }
--- a/crates/coordinator/src/net/ring_buffer.rs
+++ b/crates/coordinator/src/net/ring_buffer.rs
@@ -3,8 +3,8 @@
 use std::io;
 use tokio::net::TcpStream;
 
-/// A ring buffer. It never grows: a full one pushes back on whoever fills it. It takes its memory with the
-/// first byte, and [`RingBuffer::give_back`] returns it: connections that stand idle hold none.
+/// A ring buffer. It never grows: a full one takes no more from whoever fills it. It allocates its memory with the
+/// first byte, and [`RingBuffer::release_memory`] frees it: idle connections hold none.
 pub struct RingBuffer {
     buf: Box<[u8]>,
     capacity: usize,
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Returns the memory if nothing is held.
-    pub fn give_back(&mut self) {
+    /// Frees the memory if nothing is held.
+    pub fn release_memory(&mut self) {
         if self.len == 0 {
             self.buf = Box::default();
         }
@@ -73,7 +73,7 @@
         };
     }
 
-    fn room(&mut self) -> &mut [u8] {
+    fn free_run(&mut self) -> &mut [u8] {
         let cap = self.capacity;
         if self.buf.is_empty() {
             self.buf = vec![0; cap].into_boxed_slice();
@@ -94,9 +94,9 @@
     pub fn put(&mut self, bytes: &[u8]) -> usize {
         let mut taken = 0;
         while taken < bytes.len() && self.free() > 0 {
-            let room = self.room();
-            let n = room.len().min(bytes.len() - taken);
-            room[..n].copy_from_slice(&bytes[taken..taken + n]);
+            let free_run = self.free_run();
+            let n = free_run.len().min(bytes.len() - taken);
+            free_run[..n].copy_from_slice(&bytes[taken..taken + n]);
             self.len += n;
             taken += n;
         }
@@ -104,13 +104,19 @@
     }
 
     /// One read of a ready socket into the ring; 0 is the end of the stream.
+    ///
+    /// # Errors
+    /// If the socket fails or has nothing to read.
     pub fn read_from(&mut self, stream: &TcpStream) -> io::Result<usize> {
-        let n = stream.try_read(self.room())?;
+        let n = stream.try_read(self.free_run())?;
         self.len += n;
         Ok(n)
     }
 
     /// One write of what the ring holds to a ready socket.
+    ///
+    /// # Errors
+    /// If the socket fails or takes nothing now.
     pub fn write_to(&mut self, stream: &TcpStream) -> io::Result<usize> {
         let n = stream.try_write(self.first())?;
         self.consume(n);
--- a/crates/coordinator/tests/backoff.rs
+++ b/crates/coordinator/tests/backoff.rs
@@ -39,9 +39,9 @@
             };
             next = now + 1000 / rate;
             if now - since < 2000 {
-                done += 1
+                done += 1;
             } else {
-                calls[who] = Some(now + 1 + fleet[who].failed().as_millis() as u64)
+                calls[who] = Some(now + 1 + fleet[who].failed().as_millis() as u64);
             }
         }
     }
--- a/crates/coordinator/tests/host_connections.rs
+++ b/crates/coordinator/tests/host_connections.rs
@@ -498,6 +498,6 @@
     assert_eq!(bench.ended(), (2, Outcome::Reset));
     (3..=20).for_each(|n| bench.call(n));
     bench.runtime.block_on(wait_for(&ledger, 20));
-    let most = Frames.most_links();
+    let most = Frames.max_connections();
     assert_eq!(h.conns.lock().unwrap().len(), 1 + most);
 }
--- a/crates/coordinator/tests/json_objects.rs
+++ b/crates/coordinator/tests/json_objects.rs
@@ -1,15 +1,15 @@
 //! JSON objects found in a stream, however it is cut.
 
 use bytes::Bytes;
-use coordinator::net::json_objects::{Found, NoObject, Objects, DEEPEST};
+use coordinator::net::json_objects::{Found, ObjectError, Objects, MAX_DEPTH};
 
 /// Feeds the text in pieces of this size; gives what was found and how it ended.
-fn read(text: &str, piece: usize) -> (Vec<Found>, Result<(), NoObject>) {
+fn read(text: &str, piece: usize) -> (Vec<Found>, Result<(), ObjectError>) {
     let (mut reader, mut found) = (Objects::new(400), Vec::new());
     for bytes in text.as_bytes().chunks(piece) {
         reader.input().extend_from_slice(bytes);
         loop {
-            match reader.found() {
+            match reader.next() {
                 Ok(Some(one)) => found.push(one),
                 Ok(None) => break,
                 Err(e) => return (found, Err(e)),
@@ -73,14 +73,14 @@
         for piece in [1, 100] {
             assert_eq!(
                 read(bad, piece),
-                (vec![], Err(NoObject::Malformed)),
+                (vec![], Err(ObjectError::Malformed)),
                 "{bad:?}"
             );
         }
     }
-    let deep = format!("{{\"a\":{}", "[".repeat(DEEPEST));
-    assert_eq!(read(&deep, 100).1, Err(NoObject::Malformed));
+    let deep = format!("{{\"a\":{}", "[".repeat(MAX_DEPTH));
+    assert_eq!(read(&deep, 100).1, Err(ObjectError::Malformed));
     let long = format!("{{\"a\":\"{}", "x".repeat(400));
-    assert_eq!(read(&long, 100).1, Err(NoObject::TooLarge));
+    assert_eq!(read(&long, 100).1, Err(ObjectError::TooLarge));
     assert_eq!(read("{\"a\":[1", 3), (vec![], Ok(())), "it may still go on");
 }
--- a/crates/coordinator/tests/ring_buffer.rs
+++ b/crates/coordinator/tests/ring_buffer.rs
@@ -21,6 +21,6 @@
         );
         ring.consume(n);
         expect = expect.wrapping_add(n as u8);
-        ring.give_back();
+        ring.release_memory();
     }
 }
--- a/crates/load-test/src/engine.rs
+++ b/crates/load-test/src/engine.rs
@@ -341,7 +341,7 @@
                 Err(_) => return Exchange::Failed(AttemptOutcome::Unreadable),
             };
             let body = match Body::of_response(&headers) {
-                Ok(body) => body.whole(&mut conn, MAX_ANSWER_BYTES).await,
+                Ok(body) => body.read_all(&mut conn, MAX_ANSWER_BYTES).await,
                 Err(e) => Err(e),
             };
             let Ok(body) = body else {
