--- a/crates/model-check/src/request_model.rs
+++ b/crates/model-check/src/request_model.rs
@@ -182,7 +182,7 @@
                 request.digest = Default::default();
             }
         }
-        ReplicatedState::of(&snapshot).unwrap_or_default()
+        ReplicatedState::from_snapshot(&snapshot).unwrap_or_default()
     }
 
     fn plan(&self, state: &ReplicatedState, request: usize) -> Plan {
