--- a/crates/control-plane/src/runtime/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -62,12 +62,12 @@
         let has_changed = current != self.published;
         self.services.mirror.update(|mirror, _| {
             if has_changed {
-                mirror.set_fleet(current.epoch, current.primary, current.members.clone());
+                mirror.set_control_plane(current.epoch, current.primary, current.members.clone());
             }
             // A contact proves nothing about changes that haven't come yet.
-            if let Some(contact) = contact.filter(|contact| mirror.ledger() >= contact.commit_index)
+            if let Some(contact) = contact.filter(|contact| mirror.index() >= contact.commit_index)
             {
-                mirror.proved(contact.at);
+                mirror.record_primary_contact(contact.at);
             }
         });
         self.published = current;
--- a/crates/proxy/tests/prefix_hints.rs
+++ b/crates/proxy/tests/prefix_hints.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use protocol::{Message, Part, Placement};
+use protocol::{Message, PromptPart, PromptPlacement};
 use rstest::rstest;
 use std::io::ErrorKind;
 use std::net::{SocketAddrV4, UdpSocket};
@@ -61,7 +61,7 @@
     }
 
     /// The next of what was placed; questions are passed over.
-    async fn prompt_placed(&self) -> (Placement, u32) {
+    async fn prompt_placed(&self) -> (PromptPlacement, u32) {
         loop {
             if let (
                 Message::PromptPlaced {
@@ -77,7 +77,7 @@
     }
 
     /// Asks until the answer names the cached prefix of some host.
-    async fn receive_placements(&self, proxy: SocketAddrV4) -> Vec<Placement> {
+    async fn receive_placements(&self, proxy: SocketAddrV4) -> Vec<PromptPlacement> {
         loop {
             self.request_placements(proxy);
             for _ in 0..100 {
@@ -93,10 +93,10 @@
 fn prompt_placed(host: &str, parts: impl IntoIterator<Item = u64>) -> Vec<u8> {
     let parts = parts
         .into_iter()
-        .map(|id| Part { id, tokens: 10 })
+        .map(|id| PromptPart { id, tokens: 10 })
         .collect();
     protocol::encode(&Message::PromptPlaced {
-        placement: Placement {
+        placement: PromptPlacement {
             host: host.into(),
             parts,
         },
@@ -141,10 +141,10 @@
     assert_eq!(client.read_message().await.unwrap().body, "done");
 }
 
-fn expected_placement(host: &str) -> Placement {
-    Placement {
+fn expected_placement(host: &str) -> PromptPlacement {
+    PromptPlacement {
         host: host.into(),
-        parts: vec![Part {
+        parts: vec![PromptPart {
             id: 7,
             tokens: 13_000,
         }],
@@ -365,9 +365,9 @@
         other.receive_placements(at).await;
         serve_prompt(&proxy, &mut host, "1:100").await;
         assert_eq!(other.prompt_placed().await.0, expected_placement("h1"));
-        let has = |k: &Placement| {
+        let has = |k: &PromptPlacement| {
             k.host == "h1"
-                && k.parts.contains(&Part {
+                && k.parts.contains(&PromptPart {
                     id: 7,
                     tokens: 13_000,
                 })
--- a/crates/simulator/src/world/member_mirrors.rs
+++ b/crates/simulator/src/world/member_mirrors.rs
@@ -25,7 +25,7 @@
         {
             subscriber
                 .mirror
-                .set_ledger(*index, configuration.clone(), drains);
+                .set_replicated_state(*index, configuration.clone(), drains);
             self.follow_up(ProcessId::Member(n), generation);
         }
     }
@@ -46,7 +46,7 @@
         let generation = subscriber.mirror.generation();
         if subscriber.published_membership != (membership.epoch, membership.primary) {
             subscriber.published_membership = (membership.epoch, membership.primary);
-            subscriber.mirror.set_fleet(
+            subscriber.mirror.set_control_plane(
                 membership.epoch,
                 membership.primary,
                 membership.voters.clone(),
@@ -54,9 +54,9 @@
         }
         if let Some(proof) = member
             .primary_contact(now)
-            .filter(|proof| subscriber.mirror.ledger() >= proof.commit_index)
+            .filter(|proof| subscriber.mirror.index() >= proof.commit_index)
         {
-            subscriber.mirror.proved(proof.at);
+            subscriber.mirror.record_primary_contact(proof.at);
         }
         if subscriber.mirror.generation() != generation {
             self.follow_up(ProcessId::Member(n), generation);
@@ -73,7 +73,7 @@
             primary,
             members,
             ..
-        } = subscriber.mirror.fleet();
+        } = subscriber.mirror.control_plane();
         if let (Some(primary), Some(member)) = (
             members.iter().find(|s| s.id == *primary),
             self.nodes[n].member.as_mut(),
