--- a/crates/proxy/tests/broken_connections.rs
+++ b/crates/proxy/tests/broken_connections.rs
@@ -17,7 +17,7 @@
 enum BreakPoint {
     /// After so many bytes of the request were read.
     DuringRequest(usize),
-    /// After so many bytes of the answer were written.
+    /// After so many bytes of the response were written.
     DuringResponse(usize),
 }
 
@@ -165,13 +165,13 @@
                 scenario.received.push(received);
             }
         }
-        let answer = response_to(&String::from_utf8(request).unwrap());
+        let response = response_to(&String::from_utf8(request).unwrap());
         let pending_break = scenario.borrow_mut().pending_break.take();
         if let Some((BreakPoint::DuringResponse(most), how)) = pending_break {
-            write_all_bytes(&stream, &answer.as_bytes()[..most.min(answer.len())]).await;
+            write_all_bytes(&stream, &response.as_bytes()[..most.min(response.len())]).await;
             return close(stream, how);
         }
-        write_all_bytes(&stream, answer.as_bytes()).await;
+        write_all_bytes(&stream, response.as_bytes()).await;
         scenario.borrow_mut().served[host] += 1;
         used = true;
     }
@@ -195,10 +195,10 @@
     received: Vec<ReceivedRequest>,
     /// Connections that a byte of the attempt was given to.
     sent: u64,
-    answer: Option<Message>,
+    response: Option<Message>,
 }
 
-/// Plays one break; what the hosts received of the attempt, and the client's answer.
+/// Plays one break; what the hosts received of the attempt, and the client's response.
 async fn play_break(
     path: &str,
     reused: bool,
@@ -221,12 +221,12 @@
     }
     let before = proxy.counters.get().attempts;
     client.send(&request(path, "one", "")).await;
-    let answer = client.read_message().await;
+    let response = client.read_message().await;
     let received = scenario.borrow().received.clone();
     PlayResult {
         received,
         sent: proxy.counters.get().attempts - before,
-        answer,
+        response,
     }
 }
 
@@ -236,7 +236,7 @@
     PlayResult {
         received,
         sent,
-        answer,
+        response,
     }: PlayResult,
 ) {
     let idempotent = matches!(path, "/pure/a" | "/more/a");
@@ -245,27 +245,31 @@
         received.len() <= most && sent <= most as u64,
         "{case}: {sent} sent, {received:?}"
     );
-    let answer = answer.unwrap_or_else(|| panic!("{case}: no answer"));
+    let response = response.unwrap_or_else(|| panic!("{case}: no answer"));
     let all = events(1..=LAST_EVENT);
     let right = match path {
-        "/pure/a" | "/once/a" => answer.body == BODY,
-        _ => answer.body == all,
+        "/pure/a" | "/once/a" => response.body == BODY,
+        _ => response.body == all,
     };
-    let good = answer.status() == 200 && answer.complete && right;
+    let good = response.status() == 200 && response.complete && right;
     match path {
-        // It may run again: some host gives the whole answer.
-        "/pure/a" | "/more/a" => assert!(good, "{case}: {answer:?}"),
+        // It may run again: some host gives the complete response.
+        "/pure/a" | "/more/a" => assert!(good, "{case}: {response:?}"),
         "/once/a" => assert!(
-            good || (answer.status() == 502 && answer.complete),
-            "{case}: {answer:?}"
+            good || (response.status() == 502 && response.complete),
+            "{case}: {response:?}"
         ),
         _ => {
-            let cut = answer.status() == 200 && !answer.complete && all.starts_with(&answer.body);
-            assert!(good || cut || answer.status() == 502, "{case}: {answer:?}");
+            let cut =
+                response.status() == 200 && !response.complete && all.starts_with(&response.body);
+            assert!(
+                good || cut || response.status() == 502,
+                "{case}: {response:?}"
+            );
         }
     }
     // Some host got the complete request, or the client was promised that nothing ran.
-    if answer.status() == 200 {
+    if response.status() == 200 {
         assert!(received.iter().any(|h| h.complete), "{case}: {received:?}");
     }
 }
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -39,11 +39,11 @@
         let proxy = proxy_with_small_limits(&host).await;
         let mut client = proxy.client().await;
         client.send(&text).await;
-        let answer = client.read_message().await.expect("an answer");
-        assert_eq!(answer.status(), status);
-        assert!(answer.complete && host.has_no_connection());
+        let response = client.read_message().await.expect("an answer");
+        assert_eq!(response.status(), status);
+        assert!(response.complete && host.has_no_connection());
         if status != 404 && !text.starts_with("GET /pure/ HTTP/1.1\r\nHost: x.example") {
-            assert_eq!(answer.field("connection"), Some("close"));
+            assert_eq!(response.field("connection"), Some("close"));
             client.wait_until_closed().await;
         }
     });
@@ -134,14 +134,14 @@
     run_async_test(async {
         let mut proxy = Proxy::without_configuration().await;
         assert_eq!(proxy.readiness_status().await, 503);
-        let answer = proxy
+        let response = proxy
             .send_request("/pure/a")
             .await
             .read_message()
             .await
             .unwrap();
-        assert_eq!(answer.status(), 503);
-        let after: f64 = answer.field("retry-after").unwrap().parse().unwrap();
+        assert_eq!(response.status(), 503);
+        let after: f64 = response.field("retry-after").unwrap().parse().unwrap();
         assert!(after > 0.0 && after <= 1.0);
         proxy
             .apply_fleet(configuration(1, ROUTES), Vec::new())
@@ -319,17 +319,17 @@
             client.read_head().await.unwrap();
             busy.push(client);
         }
-        let answer = proxy
+        let response = proxy
             .send_request("/once/a")
             .await
             .read_message()
             .await
             .unwrap();
         assert_eq!(
-            (answer.status(), answer.field("connection")),
+            (response.status(), response.field("connection")),
             (503, Some("close"))
         );
-        assert!(answer.field("retry-after").is_some());
+        assert!(response.field("retry-after").is_some());
     });
 }
 
@@ -345,14 +345,14 @@
         proxy
             .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
             .await;
-        let answer = proxy
+        let response = proxy
             .send_request("/once/a")
             .await
             .read_message()
             .await
             .unwrap();
         assert_eq!(
-            (answer.status(), answer.field("fennelpin-attempt-id")),
+            (response.status(), response.field("fennelpin-attempt-id")),
             (503, Some("one"))
         );
     });
@@ -378,10 +378,10 @@
         let mut conn = host.accept().await;
         conn.respond("200 OK\r\nFennelpin-Host-Seal: s\r\nContent-Length: 7", "")
             .await;
-        let answer = client.read_head().await.unwrap();
+        let response = client.read_head().await.unwrap();
         assert!(
-            answer.starts_with("HTTP/1.1 200 ") && answer.contains("Content-Length: 7\r\n"),
-            "{answer}"
+            response.starts_with("HTTP/1.1 200 ") && response.contains("Content-Length: 7\r\n"),
+            "{response}"
         );
         conn.respond_ok("body").await;
         assert_eq!(client.read_message().await.unwrap().body, "body");
@@ -402,9 +402,9 @@
         client
             .send(&(head(fields) + &request("/once/a", "hidden", "")))
             .await;
-        let answer = client.read_message().await.unwrap();
+        let response = client.read_message().await.unwrap();
         assert_eq!(
-            (answer.status(), answer.field("connection")),
+            (response.status(), response.field("connection")),
             (status, Some("close"))
         );
         assert_eq!(client.read_message().await, None);
@@ -422,7 +422,7 @@
         assert_eq!(client.read_message().await.unwrap().body, "1");
         let rested = std::time::Instant::now();
         assert_eq!(client.read_message().await, None);
-        // The proxy's clock starts as its answer is written, the client's as it is read.
+        // The proxy's clock starts as its response is written, the client's as it is read.
         assert!(
             rested.elapsed() >= std::time::Duration::from_millis(4 * 120 / 5),
             "{:?}",
--- a/crates/proxy/tests/close_delimited_responses.rs
+++ b/crates/proxy/tests/close_delimited_responses.rs
@@ -13,7 +13,7 @@
     "0123456789".repeat(length / 10)
 }
 
-/// The client's request, and the host's connection once an answer without a length has begun on it.
+/// The client's request, and the host's connection once a response without a length has begun on it.
 async fn begin_response(
     host: &mut FakeHost,
     proxy: &Proxy,
@@ -48,10 +48,14 @@
         let proxy = Proxy::new(&[&host]).await;
         let (mut client, conn) = begin_response(&mut host, &proxy, path, length).await;
         drop(conn);
-        let answer = client.read_message().await.expect("an answer");
-        assert!(answer.complete && answer.status() == 200, "{}", answer.head);
-        assert_eq!(answer.body.len(), length);
-        assert!(answer.body == body(length));
+        let response = client.read_message().await.expect("an answer");
+        assert!(
+            response.complete && response.status() == 200,
+            "{}",
+            response.head
+        );
+        assert_eq!(response.body.len(), length);
+        assert!(response.body == body(length));
     });
 }
 
@@ -65,12 +69,12 @@
         let proxy = Proxy::new(&[&host]).await;
         let (mut client, conn) = begin_response(&mut host, &proxy, path, length).await;
         conn.reset();
-        if let Some(answer) = client.read_message().await {
+        if let Some(response) = client.read_message().await {
             assert!(
-                answer.status() != 200 || !answer.complete,
+                response.status() != 200 || !response.complete,
                 "{} {}",
-                answer.head,
-                answer.body.len()
+                response.head,
+                response.body.len()
             );
         }
     });
--- a/crates/proxy/tests/configuration_changes.rs
+++ b/crates/proxy/tests/configuration_changes.rs
@@ -57,9 +57,9 @@
         conn.read_message().await.unwrap();
         proxy.apply_fleet(next, vec![host.info.clone()]).await;
         conn.send(&ok_response("one", "done")).await;
-        let answer = client.read_message().await.unwrap();
+        let response = client.read_message().await.unwrap();
         assert_eq!(
-            (answer.status(), answer.complete, answer.body.as_str()),
+            (response.status(), response.complete, response.body.as_str()),
             (200, true, "done")
         );
         let counted = proxy.counters.get();
@@ -96,8 +96,8 @@
         proxy.apply_fleet(next, vec![host.info.clone()]).await;
         conn.send_events(&[2]).await;
         conn.send("0\r\n\r\n").await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body), (true, events([1, 2])));
     });
 }
 
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// Longest time past a route's deadline to the end of an answer.
+/// Longest time past a route's deadline to the end of a response.
 const TOLERANCE: Duration = Duration::from_millis(500);
 /// Deadline of the routes here, and more than what sockets on the way hold.
 const DEADLINE: Duration = Duration::from_millis(300);
@@ -130,7 +130,7 @@
     });
 }
 
-/// A request that was sent ahead has waited for the answer before it: its own time has gone on.
+/// A request that was sent ahead has waited for the response before it: its own time has gone on.
 #[test]
 fn deadline_of_a_pipelined_request_runs_from_its_arrival() {
     run_async_test(async {
@@ -200,15 +200,15 @@
         );
         let ask = async {
             client.send(&text).await;
-            let answer = client.read_message().await;
-            (answer, since.elapsed())
+            let response = client.read_message().await;
+            (response, since.elapsed())
         };
-        let (answer, took) = tokio::select! {
+        let (response, took) = tokio::select! {
             done = ask => done,
             () = play_host(&mut host, how) => unreachable!("the host goes on"),
         };
         assert!(took <= DEADLINE + TOLERANCE, "{took:?}");
-        let answer = answer.expect("an answer");
+        let response = response.expect("an answer");
         let begun = !matches!(
             how,
             HostBehavior::Silent
@@ -217,12 +217,12 @@
                 | HostBehavior::EndlessRefusal
         );
         if begun {
-            assert!(!answer.complete, "{}", answer.head);
+            assert!(!response.complete, "{}", response.head);
         } else {
             assert!(
-                [502, 503, 504].contains(&answer.status()),
+                [502, 503, 504].contains(&response.status()),
                 "{}",
-                answer.head
+                response.head
             );
         }
     });
--- a/crates/proxy/tests/draining_hosts.rs
+++ b/crates/proxy/tests/draining_hosts.rs
@@ -65,8 +65,8 @@
         }
         assert!(one.has_no_connection());
         busy.send(&ok_response("one", "late")).await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body.as_str()), (true, "late"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body.as_str()), (true, "late"));
         if how == DepartureKind::Departs {
             // Its connection isn't kept either.
             busy.wait_until_closed().await;
@@ -92,12 +92,15 @@
         proxy.apply_fleet(configuration(1, ROUTES), roster).await;
         conn.send_events(&[2, 3]).await;
         conn.send("0\r\n\r\n").await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, events([1, 2, 3])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!(
+            (response.complete, response.body),
+            (true, events([1, 2, 3]))
+        );
     });
 }
 
-/// Once it is off the roster a broken answer of its goes the usual way: on to another host, or to its end.
+/// Once it is off the roster a broken response of its goes the usual way: on to another host, or to its end.
 #[rstest]
 #[case::pure("/pure/a", true)]
 #[case::once("/once/a", false)]
--- a/crates/proxy/tests/forwarded_fields.rs
+++ b/crates/proxy/tests/forwarded_fields.rs
@@ -149,8 +149,11 @@
         let event = "versions: 5\nid: 2\ndata: piece 2\n\n";
         conn.send(&format!("{:x}\r\n{event}\r\n0\r\n\r\n", event.len()))
             .await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, events([1]) + event));
+        let response = client.read_message().await.unwrap();
+        assert_eq!(
+            (response.complete, response.body),
+            (true, events([1]) + event)
+        );
     });
 }
 
@@ -175,9 +178,9 @@
         let served = async {
             loop {
                 other.send(&request("/pure/a", "two", "")).await;
-                let answer = other.read_message().await.unwrap();
-                if answer.status() == 200 {
-                    break answer;
+                let response = other.read_message().await.unwrap();
+                if response.status() == 200 {
+                    break response;
                 }
             }
         };
@@ -189,7 +192,7 @@
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            answer = served => assert_eq!(answer.body, "done"),
+            response = served => assert_eq!(response.body, "done"),
             () = play => unreachable!("the host goes on"),
         }
     });
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -40,9 +40,9 @@
             .parse()
             .unwrap();
         assert!((7000..=8000).contains(&left));
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "hello"));
-        assert_eq!(answer.field("fennelpin-host-seal"), Some("seal"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.status(), response.body.as_str()), (200, "hello"));
+        assert_eq!(response.field("fennelpin-host-seal"), Some("seal"));
         // Both connections serve again.
         client
             .send(&request("/pure/a", "two", "Fennelpin-Deadline-Ms: 500\r\n"))
@@ -98,8 +98,8 @@
             client.read_until("piece 2\n\n").await;
             conn.send("0\r\n\r\n").await;
             drop(conn);
-            let answer = client.read_message().await.unwrap();
-            assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
+            let response = client.read_message().await.unwrap();
+            assert_eq!((response.complete, response.body), (true, events([1, 2])));
         }
     });
 }
@@ -125,8 +125,11 @@
         let asked = second.start_stream("second", &[2, 3, 4]).await;
         assert_eq!(asked.field("last-event-id"), Some("2"));
         second.send("0\r\n\r\n").await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!(answer.field("fennelpin-host-seal"), Some("first"));
-        assert_eq!((answer.complete, answer.body), (true, events([1, 2, 3, 4])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.field("fennelpin-host-seal"), Some("first"));
+        assert_eq!(
+            (response.complete, response.body),
+            (true, events([1, 2, 3, 4]))
+        );
     });
 }
--- a/crates/proxy/tests/generated_scripts.rs
+++ b/crates/proxy/tests/generated_scripts.rs
@@ -4,10 +4,10 @@
 use common::*;
 use proptest::prelude::*;
 
-/// Something that a host sends when an answer is due.
+/// Something that a host sends when a response is due.
 #[derive(Clone, Debug)]
 enum HostOutput {
-    /// An answer to an earlier attempt.
+    /// A response to an earlier attempt.
     Stray {
         status: u16,
         chunked: bool,
@@ -18,11 +18,11 @@
     /// A refusal that names no attempt.
     WithoutId,
     Garbage(Vec<u8>),
-    /// The attempt's own answer.
+    /// The attempt's own response.
     Valid {
         chunked: bool,
     },
-    /// The first bytes of the attempt's own answer, and the end.
+    /// The first bytes of the attempt's own response, and the end.
     Truncated(usize),
 }
 
@@ -86,7 +86,7 @@
     (out, false)
 }
 
-/// A host that answers the second request of the whole test by the script and all others at once and rightly. It
+/// A host that responds to the second request of the test by the script, and to all others at once and correctly. It
 /// ends a connection that it has nothing more to say on.
 async fn play_script(
     mut host: FakeHost,
@@ -129,14 +129,14 @@
             for id in ["first", "second", "third", "fourth"] {
                 let mut client = proxy.client().await;
                 client.send(&request(path, id, "")).await;
-                let answer = client.read_message().await.expect("an answer");
-                assert!(answer.complete, "{script:?}: {answer:?}");
-                match answer.status() {
-                    200 => assert_eq!(answer.body, body_of(id), "{script:?}"),
-                    status => assert!(id == "second" && [502, 503].contains(&status), "{script:?}: {id} {answer:?}"),
+                let response = client.read_message().await.expect("an answer");
+                assert!(response.complete, "{script:?}: {response:?}");
+                match response.status() {
+                    200 => assert_eq!(response.body, body_of(id), "{script:?}"),
+                    status => assert!(id == "second" && [502, 503].contains(&status), "{script:?}: {id} {response:?}"),
                 }
                 if id != "second" {
-                    assert_eq!(answer.field("fennelpin-attempt-id"), Some(id));
+                    assert_eq!(response.field("fennelpin-attempt-id"), Some(id));
                 }
             }
             drop(proxy);
@@ -292,12 +292,12 @@
                 rest = later;
             }
             for id in 0..good.len() {
-                let answer = client.read_message().await.expect("an answer");
-                assert_eq!((answer.status(), answer.body), (200, body_of(&id.to_string())));
+                let response = client.read_message().await.expect("an answer");
+                assert_eq!((response.status(), response.body), (200, body_of(&id.to_string())));
             }
             if bad.is_some() {
-                let answer = client.read_message().await.expect("an answer");
-                assert_eq!((answer.status(), answer.field("connection")), (400, Some("close")));
+                let response = client.read_message().await.expect("an answer");
+                assert_eq!((response.status(), response.field("connection")), (400, Some("close")));
                 assert_eq!(client.read_message().await, None);
             }
             let mut seen = Vec::new();
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -30,20 +30,20 @@
         assert_eq!(old.read_message().await.unwrap().field("connection"), None);
         proxy.signal_stop();
         while proxy.readiness_status().await == 200 {}
-        // The platform still sends connections, and old ones may still ask: each gets its answer, the last there.
+        // The platform still sends connections, and old ones may still ask: each gets its response, the last there.
         let mut new = proxy.send_request("/once/a").await;
         conn.respond_ok("new").await;
-        let answer = new.read_message().await.unwrap();
+        let response = new.read_message().await.unwrap();
         assert_eq!(
-            (answer.body.as_str(), answer.field("connection")),
+            (response.body.as_str(), response.field("connection")),
             ("new", Some("close"))
         );
         new.wait_until_closed().await;
         old.send(&request("/once/a", "two", "")).await;
         conn.respond_ok("old").await;
-        let answer = old.read_message().await.unwrap();
+        let response = old.read_message().await.unwrap();
         assert_eq!(
-            (answer.body.as_str(), answer.field("connection")),
+            (response.body.as_str(), response.field("connection")),
             ("old", Some("close"))
         );
         old.wait_until_closed().await;
@@ -75,8 +75,8 @@
         assert!((2000..3600).contains(&waited), "{waited} ms");
         conn.send_events(&[2]).await;
         conn.send("0\r\n\r\n").await;
-        let answer = busy.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
+        let response = busy.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body), (true, events([1, 2])));
         let counted = proxy.serving.await.unwrap().unwrap();
         assert_eq!((counted.responses, counted.truncated_responses), (1, 0));
         assert!(
@@ -108,16 +108,16 @@
         idle.wait_until_closed().await;
         // A stream of eight seconds would be cut by the process's end: it is refused before any host hears of it.
         for path in ["/live/b", "/once/b", "/more/b"] {
-            let answer = proxy.send_request(path).await.read_message().await.unwrap();
+            let response = proxy.send_request(path).await.read_message().await.unwrap();
             assert_eq!(
-                (answer.status(), answer.field("connection")),
+                (response.status(), response.field("connection")),
                 (503, Some("close")),
                 "{path}"
             );
             assert!(
-                answer.field("retry-after").is_some(),
+                response.field("retry-after").is_some(),
                 "{path}: {}",
-                answer.head
+                response.head
             );
         }
         assert!(host.has_no_connection());
@@ -135,15 +135,15 @@
             ))
             .await;
         host.accept().await.respond_ok("in time").await;
-        let answer = short.read_message().await.unwrap();
+        let response = short.read_message().await.unwrap();
         assert_eq!(
-            (answer.body.as_str(), answer.field("connection")),
+            (response.body.as_str(), response.field("connection")),
             ("in time", Some("close"))
         );
         stream.send_events(&[2]).await;
         stream.send("0\r\n\r\n").await;
-        let answer = late.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
+        let response = late.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body), (true, events([1, 2])));
         let counted = proxy.serving.await.unwrap().unwrap();
         assert_eq!((counted.responses, counted.truncated_responses), (3, 0));
     });
@@ -162,9 +162,9 @@
             .await;
         let told = std::time::Instant::now();
         proxy.signal_stop();
-        let answer = sent.read_message().await.unwrap();
+        let response = sent.read_message().await.unwrap();
         assert_eq!(
-            (answer.status(), answer.field("connection")),
+            (response.status(), response.field("connection")),
             (502, Some("close")),
             "it may have run"
         );
@@ -210,18 +210,18 @@
     });
 }
 
-/// A request whose answer can't be awaited any more is refused before a host hears of it: sent out and given up, it
+/// A request whose response can't be awaited any more is refused before a host hears of it: sent out and given up, it
 /// could neither be answered nor sent again.
 #[test]
 fn request_in_the_last_moments_is_rejected_before_a_host_has_it() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = proxy_with_host(short_grace(), &host).await;
-        // The platform's clients keep coming to the end, and the host answers each at once.
+        // The platform's clients keep coming to the end, and the host responds to each at once.
         let clients: Vec<_> = (0..8)
             .map(|n| tokio::task::spawn_local(send_requests_until_refused(proxy.client_address, n)))
             .collect();
-        let answers = tokio::task::spawn_local(async move {
+        let responses = tokio::task::spawn_local(async move {
             loop {
                 let mut conn = host.accept().await;
                 tokio::task::spawn_local(async move {
@@ -244,12 +244,12 @@
             }
         }
         assert!(refused > 0, "the last ones are refused");
-        answers.abort();
+        responses.abort();
         proxy.serving.await.unwrap().unwrap();
     });
 }
 
-/// Sends one request after the other, each on a connection of its own, until nobody listens; the answers' statuses.
+/// Sends one request after the other, each on a connection of its own, until nobody listens; the responses' statuses.
 async fn send_requests_until_refused(front: std::net::SocketAddrV4, client: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for n in 0.. {
@@ -259,9 +259,9 @@
         let mut peer = TestConnection::new(stream);
         peer.send(&request("/once/a", &format!("{client}-{n}"), ""))
             .await;
-        // One that the end of the process meets unread has no answer.
-        if let Some(answer) = peer.read_message().await {
-            statuses.push(answer.status());
+        // One that the end of the process meets unread has no response.
+        if let Some(response) = peer.read_message().await {
+            statuses.push(response.status());
         }
     }
     statuses
--- a/crates/proxy/tests/host_failures.rs
+++ b/crates/proxy/tests/host_failures.rs
@@ -12,7 +12,7 @@
 async fn play_first_of_two(
     path: &str,
     play: impl AsyncFnOnce(TestConnection),
-    answers: bool,
+    responses: bool,
 ) -> Message {
     let (mut one, mut two) = (
         FakeHost::new("h1", "s").await,
@@ -22,15 +22,15 @@
     let mut client = proxy.send_request(path).await;
     let (first, other) = first_connection(&mut one, &mut two).await;
     play(first).await;
-    if answers {
+    if responses {
         other.accept().await.respond_ok("second").await;
     }
-    let answer = client.read_message().await.expect("an answer");
+    let response = client.read_message().await.expect("an answer");
     assert!(other.has_no_connection());
-    answer
+    response
 }
 
-/// What no answer is: for a request that may run twice the next host is asked, for another it is the end.
+/// Invalid responses: an idempotent request goes to the next host, any other ends.
 #[rstest]
 #[case::no_seal("200 OK\r\nContent-Length: 2", "ok")]
 #[case::encoded(
@@ -64,13 +64,13 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = play_first_of_two(path, play, pure).await;
-        assert!(answer.complete);
-        assert_eq!(answer.field("content-encoding"), None);
+        let response = play_first_of_two(path, play, pure).await;
+        assert!(response.complete);
+        assert_eq!(response.field("content-encoding"), None);
         if pure {
-            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
+            assert_eq!((response.status(), response.body.as_str()), (200, "second"));
         } else {
-            assert_eq!(answer.status(), 502);
+            assert_eq!(response.status(), 502);
         }
     });
 }
@@ -84,10 +84,10 @@
         let play = async |mut conn: TestConnection| {
             conn.read_message().await.unwrap();
         };
-        let answer = play_first_of_two(path, play, pure).await;
-        assert_eq!(answer.status(), if pure { 200 } else { 502 });
+        let response = play_first_of_two(path, play, pure).await;
+        assert_eq!(response.status(), if pure { 200 } else { 502 });
         assert_eq!(
-            answer.field("retry-after"),
+            response.field("retry-after"),
             None,
             "no promise, so nothing to come back for"
         );
@@ -118,8 +118,8 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = play_first_of_two(path, play, true).await;
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
+        let response = play_first_of_two(path, play, true).await;
+        assert_eq!((response.status(), response.body.as_str()), (200, "second"));
     });
 }
 
@@ -135,12 +135,12 @@
         let (mut first, other) = first_connection(&mut one, &mut two).await;
         first.respond_refusal().await;
         other.accept().await.respond_refusal().await;
-        let answer = client.read_message().await.unwrap();
+        let response = client.read_message().await.unwrap();
         assert_eq!(
-            (answer.status(), answer.field("fennelpin-attempt-id")),
+            (response.status(), response.field("fennelpin-attempt-id")),
             (503, Some("one"))
         );
-        assert!(answer.field("retry-after").is_some());
+        assert!(response.field("retry-after").is_some());
     });
 }
 
@@ -213,9 +213,9 @@
         let mut client = proxy.send_request("/pure/a").await;
         let (mut conn, other) = first_connection(&mut one, &mut two).await;
         conn.respond_refusal().await;
-        let answer = client.read_message().await.unwrap();
-        assert!(answer.body.starts_with("402 "), "{}", answer.body);
-        assert!(answer.field("retry-after").is_some() && other.has_no_connection());
+        let response = client.read_message().await.unwrap();
+        assert!(response.body.starts_with("402 "), "{}", response.body);
+        assert!(response.field("retry-after").is_some() && other.has_no_connection());
     });
 }
 
@@ -325,13 +325,19 @@
             )
             .await;
         };
-        let answer = play_first_of_two(path, play, pure).await;
+        let response = play_first_of_two(path, play, pure).await;
         if pure {
-            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
+            assert_eq!((response.status(), response.body.as_str()), (200, "second"));
         } else {
-            assert_eq!((answer.status(), answer.body.as_str()), (status, "oops"));
             assert_eq!(
-                (answer.field("x-own"), answer.field("fennelpin-host-seal")),
+                (response.status(), response.body.as_str()),
+                (status, "oops")
+            );
+            assert_eq!(
+                (
+                    response.field("x-own"),
+                    response.field("fennelpin-host-seal")
+                ),
                 (Some("1"), Some("seal"))
             );
         }
@@ -354,8 +360,8 @@
             .await
             .respond("500 Own\r\nContent-Length: 4", "last")
             .await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.status(), answer.body.as_str()), (500, "last"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.status(), response.body.as_str()), (500, "last"));
     });
 }
 
@@ -371,9 +377,9 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = play_first_of_two("/pure/a", play, false).await;
+        let response = play_first_of_two("/pure/a", play, false).await;
         assert_eq!(
-            (&answer.head[9..12], answer.body.as_str()),
+            (&response.head[9..12], response.body.as_str()),
             (&lines[..3], "no")
         );
     });
@@ -544,8 +550,8 @@
         )
         .await;
         let conn = (more != "closes").then_some(conn);
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.status(), answer.body.as_str()), (413, "big"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.status(), response.body.as_str()), (413, "big"));
         if let Some(mut conn) = conn {
             conn.wait_until_closed().await;
         }
@@ -568,9 +574,9 @@
                 );
                 conn.respond(&lines, &body).await;
             };
-            let (answer, ()) = tokio::join!(client.read_message(), play);
-            let answer = answer.unwrap();
-            assert!(answer.complete && answer.body == body);
+            let (response, ()) = tokio::join!(client.read_message(), play);
+            let response = response.unwrap();
+            assert!(response.complete && response.body == body);
         }
     });
 }
@@ -589,8 +595,8 @@
             conn.respond(&format!("200 OK\r\n{SEAL_FIELD}\r\n{framing}"), &body)
                 .await;
         };
-        let (answer, ()) = tokio::join!(client.read_message(), play);
-        assert!(!answer.unwrap().complete);
+        let (response, ()) = tokio::join!(client.read_message(), play);
+        assert!(!response.unwrap().complete);
         assert_eq!(proxy.counters.get().truncated_responses, 1);
     });
 }
@@ -600,7 +606,7 @@
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        // A client that knows no chunks: only the connection can show it an answer's end.
+        // A client that knows no chunks: only the connection can show it the end of a response.
         let mut client = proxy.client().await;
         client
             .send(&request("/once/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
@@ -649,14 +655,14 @@
             conn.read_message().await.unwrap();
             conns.push(conn);
         }
-        let answer = proxy
+        let response = proxy
             .send_request("/once/a")
             .await
             .read_message()
             .await
             .unwrap();
         assert_eq!(
-            (answer.status(), proxy.counters.get().host_connects),
+            (response.status(), proxy.counters.get().host_connects),
             (503, 8)
         );
         drop(conns);
@@ -690,8 +696,8 @@
         } else {
             None
         };
-        let answer = client.read_message().await.unwrap();
-        assert_eq!(answer.status(), status);
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.status(), status);
         assert!(host.has_no_connection());
         if let Some(mut conn) = conn {
             conn.wait_until_closed().await;
@@ -715,8 +721,8 @@
         assert!(left <= 150);
         conn.send("HTTP/1.1 504 Own\r\nFennelpin-Attempt-Id: one\r\nContent-Length: 4\r\n\r\nlate")
             .await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.status(), answer.body.as_str()), (504, "late"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.status(), response.body.as_str()), (504, "late"));
     });
 }
 
@@ -762,8 +768,8 @@
             .await;
         let (mut silent, other) = first_connection(&mut one, &mut two).await;
         silent.read_message().await.unwrap();
-        let answer = client.read_message().await.unwrap();
-        assert_eq!(answer.status(), 504);
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.status(), 504);
         assert!(other.has_no_connection());
     });
 }
--- a/crates/proxy/tests/late_streams_at_shutdown.rs
+++ b/crates/proxy/tests/late_streams_at_shutdown.rs
@@ -31,7 +31,7 @@
         let mut client = proxy.client().await;
         let path = if late { path } else { "/quick/a" };
         client.send(&request(path, "late", &deadline)).await;
-        let answer = tokio::select! {
+        let response = tokio::select! {
             mut conn = host.accept() => {
                 if late {
                     conn.start_stream("seal", &[1]).await;
@@ -41,13 +41,13 @@
                 }
                 client.read_message().await.unwrap()
             }
-            answer = client.read_message() => answer.unwrap(),
+            response = client.read_message() => response.unwrap(),
         };
         if late {
             conn.send(&ok_response("one", "busy")).await;
             assert_eq!(busy.read_message().await.unwrap().body, "busy");
-            assert!(answer.status() == 200 || host.has_no_connection());
-            return answer;
+            assert!(response.status() == 200 || host.has_no_connection());
+            return response;
         }
     }
 }
@@ -63,9 +63,9 @@
     #[case] status: u16,
 ) {
     run_async_test(async {
-        let answer = request_late(path, deadline_ms).await;
-        assert_eq!(answer.status(), status, "{}", answer.head);
-        assert_eq!(answer.field("connection"), Some("close"));
-        assert_eq!(answer.field("retry-after").is_some(), status == 503);
+        let response = request_late(path, deadline_ms).await;
+        assert_eq!(response.status(), status, "{}", response.head);
+        assert_eq!(response.field("connection"), Some("close"));
+        assert_eq!(response.field("retry-after").is_some(), status == 503);
     });
 }
--- a/crates/proxy/tests/prefix_hints.rs
+++ b/crates/proxy/tests/prefix_hints.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Asks until the answer names the cached prefix of some host.
+    /// Asks until the response names the cached prefix of some host.
     async fn receive_placements(&self, proxy: SocketAddrV4) -> Vec<PromptPlacement> {
         loop {
             self.request_placements(proxy);
--- a/crates/proxy/tests/requests_without_configuration.rs
+++ b/crates/proxy/tests/requests_without_configuration.rs
@@ -27,9 +27,9 @@
         let proxy = Proxy::without_configuration().await;
         let mut client = proxy.client().await;
         client.send(&text).await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!(answer.status(), 503, "{}", answer.head);
-        assert!(answer.field("retry-after").is_some(), "{}", answer.head);
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.status(), 503, "{}", response.head);
+        assert!(response.field("retry-after").is_some(), "{}", response.head);
         assert!(host.has_no_connection());
     });
 }
--- a/crates/proxy/tests/response_matching.rs
+++ b/crates/proxy/tests/response_matching.rs
@@ -15,7 +15,7 @@
         .into()
 }
 
-/// A proxy that takes large bodies, so that a host can answer before all is written.
+/// A proxy that takes large bodies, so that a host can respond before all is written.
 async fn proxy_with_wide_limits(setup: ProxyOptions, hosts: &[&FakeHost]) -> Proxy {
     let proxy = Proxy::with_options(setup).await;
     proxy
@@ -105,7 +105,7 @@
     });
 }
 
-/// What a head lists as its connection's own concerns is left out, but never what ties an answer to its request.
+/// What a head lists as its connection's own concerns is left out, but never what ties a response to its request.
 #[test]
 fn attempt_id_and_seal_are_forwarded_despite_connection_lists() {
     run_async_test(async {
@@ -126,11 +126,14 @@
             (asked.field("fennelpin-attempt-id"), asked.field("x-own")),
             (Some("one"), None)
         );
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "done"));
-        assert_eq!(answer.field("fennelpin-attempt-id"), Some("one"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.status(), response.body.as_str()), (200, "done"));
+        assert_eq!(response.field("fennelpin-attempt-id"), Some("one"));
         assert_eq!(
-            (answer.field("fennelpin-host-seal"), answer.field("x-own")),
+            (
+                response.field("fennelpin-host-seal"),
+                response.field("x-own")
+            ),
             (Some("seal"), None)
         );
     });
@@ -210,7 +213,7 @@
     });
 }
 
-/// Nothing follows the head of such an answer: what did would be taken for the next one's start.
+/// Nothing follows the head of such a response: anything that did would be taken for the next one's start.
 #[rstest]
 #[case::head(
     "HEAD",
@@ -286,8 +289,11 @@
         let asked = conn.start_stream("third", &[]).await;
         assert_eq!(asked.field("last-event-id"), Some("3"));
         conn.send("0\r\n\r\n").await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, events([1, 2, 3])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!(
+            (response.complete, response.body),
+            (true, events([1, 2, 3]))
+        );
     });
 }
 
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -21,8 +21,8 @@
         conn.start_stream("seal", &[1, 2]).await;
         conn.send(end).await;
         drop(conn);
-        let answer = client.read_message().await.unwrap();
-        assert!(!answer.complete && answer.body.starts_with(&events([1, 2])));
+        let response = client.read_message().await.unwrap();
+        assert!(!response.complete && response.body.starts_with(&events([1, 2])));
         assert!(other.has_no_connection());
     });
 }
@@ -53,9 +53,12 @@
         assert_eq!(asked.field("last-event-id"), Some("9"));
         assert_eq!(asked.field("fennelpin-attempt-id"), Some("one"));
         next.send("0\r\n\r\n").await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!(answer.field("fennelpin-host-seal"), Some("first"));
-        assert_eq!((answer.complete, answer.body), (true, events([8, 9, 10])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.field("fennelpin-host-seal"), Some("first"));
+        assert_eq!(
+            (response.complete, response.body),
+            (true, events([8, 9, 10]))
+        );
         assert_eq!(
             (
                 proxy.counters.get().resumed_streams,
@@ -86,9 +89,9 @@
             None
         );
         next.send("0\r\n\r\n").await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!(answer.field("fennelpin-host-seal"), Some("second"));
-        assert_eq!((answer.complete, answer.body), (true, events([1])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.field("fennelpin-host-seal"), Some("second"));
+        assert_eq!((response.complete, response.body), (true, events([1])));
     });
 }
 
@@ -105,12 +108,12 @@
         conn.start_stream("first", &[1, 2]).await;
         drop(conn);
         other.accept().await.respond_refusal().await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (false, events([1, 2])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body), (false, events([1, 2])));
     });
 }
 
-/// Within an answer that has begun, only events of a stream may follow.
+/// Within a response that has begun, only events of a stream may follow.
 #[rstest]
 #[case("404 Not Found\r\nContent-Length: 4", "none")]
 #[case("500 Own\r\nContent-Length: 4", "oops")]
@@ -126,8 +129,8 @@
         conn.start_stream("first", &[1, 2]).await;
         drop(conn);
         other.accept().await.respond(lines, body).await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (false, events([1, 2])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body), (false, events([1, 2])));
     });
 }
 
@@ -169,8 +172,8 @@
         conn.wait_until_closed().await;
         next.start_stream("second", &[2]).await;
         next.send("0\r\n\r\n").await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body), (true, events([1, 2])));
     });
 }
 
@@ -233,8 +236,8 @@
         assert!(quiet.is_err(), "the connection stays");
         conn.send_events(&[2]).await;
         conn.send("0\r\n\r\n").await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, events([1, 2])));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body), (true, events([1, 2])));
     });
 }
 
@@ -250,8 +253,8 @@
             text.len()
         );
         host.accept().await.respond(&lines, &text).await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.complete, answer.body), (true, text));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.complete, response.body), (true, text));
     });
 }
 
