--- a/crates/load-test/tests/modules/audit.rs
+++ b/crates/load-test/tests/modules/audit.rs
@@ -64,16 +64,19 @@
     }
 }
 
+fn planned_part(shard: u32, weight: f64) -> PlannedPart {
+    PlannedPart {
+        shard,
+        weight,
+        work_us: 1000,
+    }
+}
+
 impl World {
     fn new() -> Self {
         let text =
             "name = 'x'\nlength_s = 50\n[traffic]\n[[traffic.shape]]\nkind = 'steady'\nrate = 1\n";
         let scenario = Scenario::parse(text, Path::new("x.toml")).unwrap();
-        let part = |shard, weight| PlannedPart {
-            shard,
-            weight,
-            work_us: 1000,
-        };
         let planned = Planned {
             at_us: 0,
             class: 1,
@@ -85,7 +88,7 @@
             retries: 0,
             backoff_us: 0,
             honours: false,
-            parts: vec![part(0, 0.75), part(1, 0.25)],
+            parts: vec![planned_part(0, 0.75), planned_part(1, 0.25)],
         };
         let tried = AttemptRecord {
             query: 0,
--- a/crates/load-test/tests/modules/drivers.rs
+++ b/crates/load-test/tests/modules/drivers.rs
@@ -1,18 +1,22 @@
 use fake_hosts::event_log::AttemptRef;
 use load_test::drivers::{of, ParsedAnswer, RequestContext};
+use load_test::plan::Planned;
 use load_test::scenario::Scenario;
 use std::path::Path;
 
-#[test]
-fn claims_are_parsed_when_either_front_answers() {
+/// A scenario with both fronts, and a query of two parts.
+fn scenario_and_query() -> (Scenario, Planned) {
     let text = "name = 'x'\nlength_s = 5\n[traffic]\nfronts = ['platform', 'opensearch']\n\
                 [[traffic.shape]]\nkind = 'steady'\nrate = 100\n";
     let s = Scenario::parse(text, Path::new("x.toml")).unwrap();
     let mut planned = load_test::plan::Mixer::new(&s).query(0, Some(1), Some(2), Some(3));
     planned.parts.truncate(2);
-    let (a, b) = (planned.parts[0].shard, planned.parts[1].shard);
-    let ask = RequestContext {
-        planned: &planned,
+    (s, planned)
+}
+
+fn context(planned: &Planned) -> RequestContext<'_> {
+    RequestContext {
+        planned,
         reference: AttemptRef {
             query: 7,
             attempt: 1,
@@ -20,7 +24,14 @@
         name: "n1",
         key: "k1",
         wait_ms: 900,
-    };
+    }
+}
+
+#[test]
+fn claims_are_parsed_when_either_front_answers() {
+    let (s, planned) = scenario_and_query();
+    let (a, b) = (planned.parts[0].shard, planned.parts[1].shard);
+    let ask = context(&planned);
     let drivers = of(&s);
     let mut out = Vec::new();
     drivers[0].request(&ask, &mut out);
--- a/crates/load-test/tests/modules/trace.rs
+++ b/crates/load-test/tests/modules/trace.rs
@@ -41,11 +41,10 @@
     assert!(plan.0.iter().all(|q| !q.parts.is_empty()));
 }
 
-#[test]
-fn error_names_the_line_when_a_trace_is_malformed() {
-    let s = scenario();
+/// Malformed traces: text, file name, number of the bad line, and what the message says.
+fn malformed_traces() -> [(String, &'static str, usize, &'static str); 9] {
     let good = "{\"at_us\":5,\"class\":\"nearby-search\"}\n";
-    for (text, name, line, why) in [
+    [
         (
             "at_us,class\n7,nearby-search\n5,nearby-search\n".to_owned(),
             "t.csv",
@@ -100,7 +99,13 @@
             1,
             "'wait_us'",
         ),
-    ] {
+    ]
+}
+
+#[test]
+fn error_names_the_line_when_a_trace_is_malformed() {
+    let s = scenario();
+    for (text, name, line, why) in malformed_traces() {
         let e = parse(&text, Path::new(name), &s).expect_err(&text);
         let said = e.to_string();
         assert!(
