--- /dev/null
+++ b/crates/configuration/src/delta.rs
@@ -0,0 +1,90 @@
+//! The difference between two versions of a configuration.
+
+use crate::configuration::Configuration;
+use crate::error::{invalid, InvalidConfiguration};
+use crate::item::{diff_items, remove_items, upsert_items, ConfigurationItem};
+use crate::result_code::ResultCode;
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+
+/// The difference between a configuration and a later one.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct ConfigurationDelta {
+    /// The version that it starts from.
+    #[serde(rename = "from")]
+    pub base_version: u64,
+    /// The version that it leads to.
+    #[serde(rename = "to")]
+    pub version: u64,
+    /// Routes added or replaced, as JSON.
+    pub routes: Vec<String>,
+    /// Services added or replaced, as JSON.
+    pub services: Vec<String>,
+    /// Names of the routes that were removed.
+    #[serde(rename = "gone_routes")]
+    pub removed_routes: Vec<String>,
+    /// Names of the services that were removed.
+    #[serde(rename = "gone_services")]
+    pub removed_services: Vec<String>,
+    /// The limits as JSON, if they changed.
+    pub limits: Option<String>,
+}
+
+impl Configuration {
+    /// The difference between this configuration and a newer one.
+    pub fn delta(&self, newer: &Configuration) -> ConfigurationDelta {
+        let (routes, removed_routes) = diff_items(&self.routes, &newer.routes);
+        let (services, removed_services) = diff_items(&self.services, &newer.services);
+        let limits = newer
+            .limits
+            .as_ref()
+            .filter(|_| self.limits != newer.limits)
+            .map(|limits| limits.raw.to_string());
+        ConfigurationDelta {
+            base_version: self.version,
+            version: newer.version,
+            routes,
+            services,
+            removed_routes,
+            removed_services,
+            limits,
+        }
+    }
+
+    /// This configuration with a delta applied. A delta comes from the system itself, so the result is not validated.
+    /// The order of the items may differ from the original's.
+    ///
+    /// # Errors
+    /// [`ResultCode::OtherBase`] if the delta starts from another version, [`ResultCode::BadValue`] if an item can't be
+    /// parsed.
+    pub fn patched(
+        &self,
+        delta: &ConfigurationDelta,
+    ) -> Result<Configuration, InvalidConfiguration> {
+        if delta.base_version != self.version {
+            return invalid(
+                ResultCode::OtherBase,
+                format!("{} on {}", delta.base_version, self.version),
+            );
+        }
+        let mut next = self.clone();
+        next.version = delta.version;
+        remove_items(&mut next.routes, &delta.removed_routes);
+        remove_items(&mut next.services, &delta.removed_services);
+        upsert_items(&mut next.routes, parse_items(&delta.routes)?);
+        upsert_items(&mut next.services, parse_items(&delta.services)?);
+        if let Some(limits) = &delta.limits {
+            next.limits = Some(ConfigurationItem::read(limits)?);
+        }
+        Ok(next)
+    }
+}
+
+fn parse_items<T: DeserializeOwned>(
+    texts: &[String],
+) -> Result<Vec<ConfigurationItem<T>>, InvalidConfiguration> {
+    texts
+        .iter()
+        .map(|text| ConfigurationItem::read(text))
+        .collect()
+}
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the system is told: the settings of a process ([`ProcessSettings`]) and the operator's configuration
-//! ([`Configuration`]), read and checked. No I/O.
+//! What the system is told: the settings of a process ([`ProcessSettings`]) and the operators' configuration
+//! ([`Configuration`]), parsed and validated; and the numbered results of calls ([`ResultCode`]). No I/O.
 //!
 //! ```
 //! use configuration::Configuration;
@@ -11,13 +11,19 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod boot;
-mod codes;
-mod document;
+mod configuration;
+mod delta;
+mod error;
+mod item;
+mod process_settings;
+mod result_code;
+mod schema;
+mod validation;
 
-pub use boot::{Bind, Bounds, FaultBudget, MachineLimits, ProcessSettings};
-pub use codes::ResultCode;
-pub use document::{
-    Configuration, ConfigurationDelta, ConfigurationItem, Engine, HasName, InvalidConfiguration,
-    Limits, Route, RouteKind, RouteTarget, Service,
-};
+pub use configuration::Configuration;
+pub use delta::ConfigurationDelta;
+pub use error::InvalidConfiguration;
+pub use item::{ConfigurationItem, HasName};
+pub use process_settings::{Bind, Bounds, FaultBudget, MachineLimits, ProcessSettings};
+pub use result_code::ResultCode;
+pub use schema::{Engine, Limits, Route, RouteKind, RouteTarget, Service};
--- /dev/null
+++ b/crates/configuration/src/validation.rs
@@ -0,0 +1,89 @@
+//! The rules that an operator's configuration has to keep.
+
+use crate::configuration::Configuration;
+use crate::error::{invalid, InvalidConfiguration};
+use crate::item::duplicate_name;
+use crate::result_code::ResultCode;
+use crate::schema::Route;
+use std::collections::HashSet;
+
+/// Checks a configuration that is to follow version `current_version` (0: none). The order of the checks decides which
+/// reason an operator gets.
+///
+/// # Errors
+/// The first rule that is broken, with the item.
+pub(crate) fn validate(
+    configuration: &Configuration,
+    current_version: u64,
+) -> Result<(), InvalidConfiguration> {
+    let duplicate =
+        duplicate_name(&configuration.routes).or(duplicate_name(&configuration.services));
+    if let Some(name) = duplicate {
+        return invalid(ResultCode::SameName, name);
+    }
+    let services: HashSet<&str> = configuration
+        .services
+        .iter()
+        .map(|service| service.value.name.as_str())
+        .collect();
+    let mut places = HashSet::new();
+    for route in configuration.routes.iter().map(|route| &*route.value) {
+        validate_targets_exist(route, &services)?;
+        let place = (
+            route.hostname.to_ascii_lowercase(),
+            route.path_prefix.as_str(),
+        );
+        if !places.insert(place) {
+            return invalid(ResultCode::SamePlace, &route.name);
+        }
+        validate_weights(route)?;
+        validate_deadline(route)?;
+        validate_path_prefix(route)?;
+    }
+    if configuration.version <= current_version {
+        let detail = format!("{} after {current_version}", configuration.version);
+        return invalid(ResultCode::OldVersion, detail);
+    }
+    Ok(())
+}
+
+fn validate_targets_exist(
+    route: &Route,
+    services: &HashSet<&str>,
+) -> Result<(), InvalidConfiguration> {
+    for (service, _) in route.targets() {
+        if !services.contains(service) {
+            let detail = format!("{}: {service}", route.name);
+            return invalid(ResultCode::UnknownService, detail);
+        }
+    }
+    Ok(())
+}
+
+fn validate_weights(route: &Route) -> Result<(), InvalidConfiguration> {
+    let weights: Vec<f64> = route.targets().iter().map(|target| target.1).collect();
+    if weights
+        .iter()
+        .any(|weight| !weight.is_finite() || *weight < 0.0)
+    {
+        return invalid(ResultCode::BadValue, format!("{}: a weight", route.name));
+    }
+    if weights.iter().sum::<f64>() <= 0.0 {
+        return invalid(ResultCode::NoWeight, &route.name);
+    }
+    Ok(())
+}
+
+fn validate_deadline(route: &Route) -> Result<(), InvalidConfiguration> {
+    if route.deadline_ms.is_nan() || route.deadline_ms <= 0.0 {
+        return invalid(ResultCode::NoDeadline, &route.name);
+    }
+    Ok(())
+}
+
+fn validate_path_prefix(route: &Route) -> Result<(), InvalidConfiguration> {
+    if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
+        return invalid(ResultCode::BadValue, format!("{}: path_prefix", route.name));
+    }
+    Ok(())
+}
--- a/crates/configuration/tests/codes.rs
+++ b/crates/configuration/tests/result_code.rs
@@ -41,7 +41,7 @@
         assert!(pair[0].number() < pair[1].number(), "{pair:?}");
     }
     for code in ResultCode::ALL {
-        assert_eq!(ResultCode::of(code.number()), Some(*code));
+        assert_eq!(ResultCode::from_number(code.number()), Some(*code));
     }
-    assert_eq!(ResultCode::of(65_535), None);
+    assert_eq!(ResultCode::from_number(65_535), None);
 }
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -175,7 +175,7 @@
         body: Vec<u8>,
         out: &mut Vec<Output>,
     ) {
-        let code = ResultCode::of(code).unwrap_or(ResultCode::Unclear);
+        let code = ResultCode::from_number(code).unwrap_or(ResultCode::Unclear);
         let ticket = self.commands.ticket(request_id);
         self.answer(CommandSource::Local { ticket }, code, body, out);
     }
--- a/crates/control-plane/tests/configuration_requests.rs
+++ b/crates/control-plane/tests/configuration_requests.rs
@@ -110,7 +110,7 @@
             .await
             .unwrap();
         let answer = read_to_end(&mut stream).await;
-        let status = ResultCode::of(code).unwrap().status();
+        let status = ResultCode::from_number(code).unwrap().status();
         assert!(
             answer.starts_with(&format!("HTTP/1.1 {status} ")),
             "{answer}"
