--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,21 +1,23 @@
-//! The agent beside each proxy: finds the control plane, pulls what is new, and feeds the proxy over loopback.
+//! The agent beside each proxy. It finds the control plane, pulls updates from members, and passes them on to the proxy
+//! over loopback.
 //!
 //! ```
 //! # let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
 //! # runtime.block_on(async {
 //! let text = r#"{"node_name":"edge-1","role":"agent","ip_addr":"127.0.0.9","zone":"a",
 //!     "port_range":[7660,7675],"bind":{"agent":"127.0.0.1:0"},"seed_nodes":["127.0.0.8:8146"]}"#;
-//! let boot = configuration::ProcessSettings::read(text).unwrap();
-//! // Whoever follows the settings file says here when its seeds change.
-//! let (_seeds, following) = tokio::sync::watch::channel(boot.seed_nodes.clone());
-//! let stop = std::future::ready(());
-//! agent::run(boot, following, stop).await.unwrap();
+//! let settings = configuration::ProcessSettings::read(text).unwrap();
+//! // Whoever watches the settings file sends the seeds here when they change.
+//! let (_sender, seeds) = tokio::sync::watch::channel(settings.seed_nodes.clone());
+//! let shutdown = std::future::ready(());
+//! agent::run(settings, seeds, shutdown).await.unwrap();
 //! # });
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use configuration::ProcessSettings;
+use protocol::Addr;
 use replication::client::{self, Control};
 use replication::{
     agent_addr, member_addr, non_member_info, serve, subscriber, Mirror, Puller, SharedMirror,
@@ -24,19 +26,23 @@
 use snafu::{ResultExt, Snafu};
 use std::future::Future;
 use std::net::SocketAddrV4;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{self, UnboundedSender};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Most connections at once: one proxy needs one, and one more while it starts anew.
-const CONNECTIONS: usize = 16;
+/// The most connections at one time. A proxy needs one, and a second one while it restarts.
+const MAX_CONNECTIONS: usize = 16;
+
+/// Pause after a failed accept, so that other connections may end and free descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why the agent can't run.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Its loopback address can't be listened on.
+    /// It can't listen on its loopback address.
     #[snafu(display("can't listen on {addr}: {source}"))]
     Listen {
         /// The address.
@@ -46,109 +52,118 @@
     },
 }
 
-/// Runs the agent until `stop`. `seeds` brings the seeds' `control` addresses whenever they change.
+/// Runs the agent until `shutdown` completes. `seeds` holds the `control` addresses of the seeds.
 ///
 /// # Errors
-/// Where it can't listen.
+/// [`Error::Listen`] if it can't listen on its loopback address.
 pub async fn run(
-    boot: ProcessSettings,
+    settings: ProcessSettings,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    stop: impl Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> Result<(), Error> {
-    let addr = SocketAddrV4::from(&agent_addr(&boot));
+    let addr = SocketAddrV4::from(&agent_addr(&settings));
     let listener = TcpListener::bind(addr)
         .await
         .context(ListenSnafu { addr })?;
-    let shared = SharedMirror::new(mirror(&boot));
-    let (control, told) = mpsc::unbounded_channel();
-    let mut puller = puller(&boot);
-    let first: Vec<_> = seeds
-        .borrow_and_update()
-        .iter()
-        .map(|s| member_addr(&boot, s))
-        .collect();
-    puller.set_seeds(&first);
+    let shared = SharedMirror::new(mirror(&settings));
+    let (control, control_receiver) = mpsc::unbounded_channel();
+    let mut puller = puller(&settings);
+    puller.set_seeds(&seed_members(&settings, &mut seeds));
     let pulling = client::run(
         puller,
-        non_member_info(&boot),
-        subscriber(&boot, 0),
+        non_member_info(&settings),
+        subscriber(&settings, 0),
         shared.clone(),
-        told,
+        control_receiver,
     );
-    let watching = follow_seeds(&boot, seeds, &control);
-    let serving = async {
-        let mut tasks = JoinSet::new();
-        loop {
-            tokio::select! {
-                accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) if tasks.len() < CONNECTIONS => {
-                        tasks.spawn(feed(stream, shared.clone(), control.clone()));
-                    }
-                    Ok(_) => log::warn!("more than {CONNECTIONS} connections on loopback"),
-                    // Nothing to accept with: a pause lets others end.
-                    Err(e) => {
-                        log::warn!("accept: {e}");
-                        tokio::time::sleep(Duration::from_millis(100)).await;
-                    }
-                },
-                Some(_) = tasks.join_next() => {}
-            }
-        }
-    };
     tokio::select! {
-        () = stop => {}
+        () = shutdown => {}
         () = pulling => {}
-        () = watching => {}
-        () = serving => {}
+        () = follow_seeds(&settings, seeds, &control) => {}
+        () = accept_proxies(&listener, &shared, &control) => {}
     }
     Ok(())
 }
 
-/// What an agent starts with: nothing, and it takes nothing for the truth that a member tells which is cut off, while
-/// another may know better.
-pub fn mirror(boot: &ProcessSettings) -> Mirror {
-    Mirror::new(0, Duration::from_millis(boot.beat_period_ms)).withholding_unconfirmed()
+/// The mirror that an agent starts with. It is empty, and withholds an unconfirmed configuration while another member may
+/// know a newer one.
+pub fn mirror(settings: &ProcessSettings) -> Mirror {
+    let heartbeat_period = Duration::from_millis(settings.beat_period_ms);
+    Mirror::new(0, heartbeat_period).withholding_unconfirmed()
 }
 
-/// Whom an agent pulls from: a few members, one of which tells it the news.
-pub fn puller(boot: &ProcessSettings) -> Puller {
-    let mut puller = Puller::new(&boot.node_name, MEMBERS_PER_AGENT, None).preferring_one_member();
-    puller.set_seeds(&replication::seed_addrs(boot));
+/// The puller of an agent: it pulls from a few members and waits for updates at one of them.
+pub fn puller(settings: &ProcessSettings) -> Puller {
+    let mut puller =
+        Puller::new(&settings.node_name, MEMBERS_PER_AGENT, None).preferring_one_member();
+    puller.set_seeds(&replication::seed_addrs(settings));
     puller
 }
 
-/// Serves the proxy, and reports upward what it has in force.
-async fn feed(
+/// Accepts the proxy's connections and serves them.
+async fn accept_proxies(
+    listener: &TcpListener,
+    shared: &Arc<SharedMirror>,
+    control: &UnboundedSender<Control>,
+) {
+    let mut connections = JoinSet::new();
+    loop {
+        tokio::select! {
+            accepted = listener.accept() => match accepted {
+                Ok((stream, _)) if connections.len() < MAX_CONNECTIONS => {
+                    connections.spawn(serve_proxy(stream, shared.clone(), control.clone()));
+                }
+                Ok(_) => log::warn!("more than {MAX_CONNECTIONS} connections on loopback"),
+                Err(error) => {
+                    log::warn!("accept: {error}");
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+                }
+            },
+            Some(_) = connections.join_next() => {}
+        }
+    }
+}
+
+/// Serves one connection of the proxy, and reports the configuration version that is in force there.
+async fn serve_proxy(
     stream: TcpStream,
-    shared: std::sync::Arc<SharedMirror>,
+    shared: Arc<SharedMirror>,
     control: UnboundedSender<Control>,
 ) {
     let _ = stream.set_nodelay(true);
-    let mut last = None;
-    let ended = serve(stream, Vec::new(), shared, |caller| {
-        if last.replace(caller.configuration_version) != Some(caller.configuration_version) {
-            let _ = control.send(Control::Version(caller.configuration_version));
+    let mut reported_version = None;
+    let serving = serve(stream, Vec::new(), shared, |proxy| {
+        let version = proxy.configuration_version;
+        if reported_version.replace(version) != Some(version) {
+            let _ = control.send(Control::Version(version));
         }
     });
-    if let Err(e) = ended.await {
-        log::info!("proxy's connection ended: {e}");
+    if let Err(error) = serving.await {
+        log::info!("proxy's connection ended: {error}");
     }
 }
 
-/// Hands the seeds on whenever they change.
+/// Passes the seeds on to the client whenever they change. Never completes.
 async fn follow_seeds(
-    boot: &ProcessSettings,
+    settings: &ProcessSettings,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
     control: &UnboundedSender<Control>,
 ) {
     while seeds.changed().await.is_ok() {
-        let now: Vec<_> = seeds
-            .borrow_and_update()
-            .iter()
-            .map(|s| member_addr(boot, s))
-            .collect();
-        // The puller ends with the agent.
-        let _ = control.send(Control::Seeds(now));
+        // The client ends only with the agent.
+        let _ = control.send(Control::Seeds(seed_members(settings, &mut seeds)));
     }
-    std::future::pending().await
+    std::future::pending::<()>().await;
+}
+
+/// Where the present seeds take the system's own messages.
+fn seed_members(
+    settings: &ProcessSettings,
+    seeds: &mut watch::Receiver<Vec<SocketAddrV4>>,
+) -> Vec<Addr> {
+    seeds
+        .borrow_and_update()
+        .iter()
+        .map(|seed| member_addr(settings, seed))
+        .collect()
 }
