--- a/crates/agent/tests/chain.rs
+++ b/crates/agent/tests/member_to_proxy.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn boot(port: u16, seeds: &[&str]) -> ProcessSettings {
+fn settings(port: u16, seeds: &[&str]) -> ProcessSettings {
     let seeds: Vec<String> = seeds.iter().map(|ip| format!("{ip}:9")).collect();
     let json = serde_json::json!({
         "node_name": "edge-1", "role": "agent", "ip_addr": "127.0.0.9", "zone": "z", "region": "r",
@@ -56,7 +56,7 @@
     }
 }
 
-fn source(id: u64, seq: u64, hosts: Vec<HostRecord>) -> Update {
+fn origin_update(id: u64, seq: u64, hosts: Vec<HostRecord>) -> Update {
     let mark = OriginVersion {
         member_id: id,
         incarnation: 1,
@@ -116,15 +116,17 @@
     fake
 }
 
-fn proxy(boot: &ProcessSettings) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
+fn proxy(
+    settings: &ProcessSettings,
+) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
     let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).without_history());
     let (control, told) = mpsc::unbounded_channel();
-    let mut puller = Puller::new(&boot.node_name, 1, None).seeds_only();
-    puller.set_seeds(&[replication::agent_addr(boot)]);
+    let mut puller = Puller::new(&settings.node_name, 1, None).seeds_only();
+    puller.set_seeds(&[replication::agent_addr(settings)]);
     tokio::spawn(client::run(
         puller,
-        replication::non_member_info(boot),
-        replication::subscriber(boot, 0),
+        replication::non_member_info(settings),
+        replication::subscriber(settings, 0),
         shared.clone(),
         told,
     ));
@@ -133,11 +135,11 @@
 
 /// The agent with the seeds of its settings.
 fn agent<S: Future<Output = ()>>(
-    boot: &ProcessSettings,
+    settings: &ProcessSettings,
     stop: S,
 ) -> impl Future<Output = Result<(), agent::Error>> {
-    let (sender, seeds) = watch::channel(boot.seed_nodes.clone());
-    let running = agent::run(boot.clone(), seeds, stop);
+    let (sender, seeds) = watch::channel(settings.seed_nodes.clone());
+    let running = agent::run(settings.clone(), seeds, stop);
     async move {
         let _kept = sender;
         running.await
@@ -145,19 +147,19 @@
 }
 
 #[tokio::test]
-async fn agent_and_proxy_follow_the_members() {
+async fn members_when_they_change_then_agent_and_proxy_follow() {
     let (listener, port) = listen("127.0.0.2").await;
     let first = member(11, listener);
     let second = member(12, TcpListener::bind(("127.0.0.3", port)).await.unwrap());
-    let boot = boot(port, &["127.0.0.2"]);
-    tokio::spawn(agent(&boot, std::future::pending()));
-    let (shared, control) = proxy(&boot);
+    let settings = settings(port, &["127.0.0.2"]);
+    tokio::spawn(agent(&settings, std::future::pending()));
+    let (shared, control) = proxy(&settings);
     let mut views = shared.subscribe();
 
     first.shared.update(|m, now| {
         m.record_primary_contact(now);
         m.set_replicated_state(1, document(1), &[]);
-        m.apply(now, &source(11, 1, vec![host("i-1", 1)]))
+        m.apply(now, &origin_update(11, 1, vec![host("i-1", 1)]))
     });
     until(&mut views, |v| {
         v.configuration.version == 1 && v.hosts.contains_key("i-1")
@@ -167,7 +169,7 @@
     // A change, and a drain.
     first.shared.update(|m, now| {
         m.set_replicated_state(2, document(4), &["i-1".to_owned()]);
-        m.apply(now, &source(11, 2, vec![host("i-2", 1)]))
+        m.apply(now, &origin_update(11, 2, vec![host("i-2", 1)]))
     });
     until(&mut views, |v| {
         v.configuration.version == 4 && v.hosts.len() == 2 && v.hosts["i-1"].phase == 1
@@ -208,14 +210,14 @@
     });
     second
         .shared
-        .update(|m, now| m.apply(now, &source(12, 1, vec![host("i-3", 1)])));
+        .update(|m, now| m.apply(now, &origin_update(12, 1, vec![host("i-3", 1)])));
     until(&mut views, |v| v.hosts.contains_key("i-3")).await;
 }
 
 /// The seeds change from one member to another, which alone has the second version. (`fennelpin-cli`'s tests have
 /// them change in the settings file.)
 #[tokio::test]
-async fn other_seeds_are_asked() {
+async fn seeds_when_they_change_then_new_ones_are_pulled_from() {
     let (listener, port) = listen("127.0.0.4").await;
     let first = member(11, listener);
     let second = member(12, TcpListener::bind(("127.0.0.5", port)).await.unwrap());
@@ -225,10 +227,10 @@
     second
         .shared
         .update(|m, _| m.set_replicated_state(2, document(2), &[]));
-    let boot = boot(port, &["127.0.0.4"]);
-    let (sender, seeds) = watch::channel(boot.seed_nodes.clone());
-    tokio::spawn(agent::run(boot.clone(), seeds, std::future::pending()));
-    let (shared, _control) = proxy(&boot);
+    let settings = settings(port, &["127.0.0.4"]);
+    let (sender, seeds) = watch::channel(settings.seed_nodes.clone());
+    tokio::spawn(agent::run(settings.clone(), seeds, std::future::pending()));
+    let (shared, _control) = proxy(&settings);
     let mut views = shared.subscribe();
     until(&mut views, |v| v.configuration.version == 1).await;
     sender.send(vec!["127.0.0.5:9".parse().unwrap()]).unwrap();
@@ -236,18 +238,18 @@
 }
 
 #[tokio::test]
-async fn it_ends_when_told_to() {
+async fn shutdown_then_agent_ends() {
     let (_listener, port) = listen("127.0.0.6").await;
-    agent(&boot(port, &["127.0.0.6"]), std::future::ready(()))
+    agent(&settings(port, &["127.0.0.6"]), std::future::ready(()))
         .await
         .unwrap();
 }
 
 #[tokio::test]
-async fn an_address_in_use_is_an_error() {
+async fn start_when_address_is_in_use_then_fails() {
     let (_listener, port) = listen("127.0.0.7").await;
     let _taken = TcpListener::bind(("127.0.0.9", port + 1)).await.unwrap();
-    let ended = agent(&boot(port, &["127.0.0.7"]), std::future::pending()).await;
+    let ended = agent(&settings(port, &["127.0.0.7"]), std::future::pending()).await;
     assert!(ended
         .unwrap_err()
         .to_string()
--- a/crates/append-log/tests/folder.rs
+++ b/crates/append-log/tests/directory.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn records_come_back_in_order() {
+fn open_then_returns_records_in_order() {
     let scratch = Scratch::new();
     let (mut ledger, records) = scratch.open();
     assert!(records.is_empty() && ledger.is_empty());
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_rewritten_file_holds_only_what_it_was_given() {
+fn rewrite_then_file_holds_only_the_new_records() {
     let scratch = Scratch::new();
     let (mut ledger, _) = scratch.open();
     for number in 0..1_000_u32 {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn too_large_a_record_changes_nothing() {
+fn append_when_record_is_too_large_then_changes_nothing() {
     let scratch = Scratch::new();
     let (mut ledger, _) = scratch.open();
     let large = vec![0; format::MAX_RECORD_BYTES + 1];
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_off() {
+fn open_when_tail_is_torn_then_truncates_it() {
     let scratch = Scratch::new();
     let (mut ledger, _) = scratch.open();
     ledger.append(&[b"one"]).unwrap();
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn damage_before_whole_records_is_told_with_its_place() {
+fn open_when_damage_precedes_complete_records_then_fails_with_its_offset() {
     let scratch = Scratch::new();
     let (mut ledger, _) = scratch.open();
     ledger.append(&[b"one"]).unwrap();
--- a/crates/append-log/tests/folder_losses.rs
+++ b/crates/append-log/tests/directory_losses.rs
@@ -30,7 +30,7 @@
     ("ledger", false, &[b"change 3"]),
 ];
 
-fn play(disk: &Simulated) -> Progress {
+fn run_calls(disk: &Simulated) -> Progress {
     let mut progress = Progress::default();
     let open = |name: &str| AppendLog::open_on(disk.clone(), name);
     let (Ok((mut identity, _)), Ok((mut ledger, _)), Ok((mut roster, _))) =
@@ -74,7 +74,7 @@
     records == before || records == under_way || grown
 }
 
-fn check(disk: &Simulated, progress: &Progress, what: &str) {
+fn check_recovered(disk: &Simulated, progress: &Progress, what: &str) {
     let open = |name: &str| {
         AppendLog::open_on(disk.clone(), name)
             .unwrap_or_else(|e| panic!("{what}: {e}"))
@@ -102,21 +102,21 @@
 }
 
 #[rstest]
-fn each_name_is_kept_or_lost_by_itself() {
+fn power_loss_when_names_last_or_not_then_log_recovers() {
     let whole = Simulated::new();
-    play(&whole);
+    run_calls(&whole);
     let mut losses = 0;
     for steps in 0..=whole.steps() {
         let disk = Simulated::new();
         disk.kill_after(steps);
-        let progress = play(&disk);
-        check(
+        let progress = run_calls(&disk);
+        check_recovered(
             &disk.after_kill(),
             &progress,
             &format!("killed after {steps}"),
         );
         for (number, left) in disk.after_power_loss().iter().enumerate() {
-            check(
+            check_recovered(
                 left,
                 &progress,
                 &format!("power lost after {steps}, {number}"),
--- a/crates/append-log/tests/losses.rs
+++ b/crates/append-log/tests/losses.rs
@@ -32,7 +32,7 @@
 }
 
 /// What the file may hold: what was acknowledged, or that with the first records of the call that was under way.
-fn play(disk: &Simulated, story: &[Call]) -> Vec<Records> {
+fn run_calls(disk: &Simulated, story: &[Call]) -> Vec<Records> {
     let mut now = Records::new();
     let Ok((mut ledger, _)) = AppendLog::open_on(disk.clone(), "ledger") else {
         return vec![now];
@@ -61,7 +61,7 @@
 
 /// Opens what a loss left; the records given are among `may_be`, outlast a further loss of power, and the file takes
 /// more.
-fn check(disk: &Simulated, may_be: &[Records], what: &str) {
+fn check_recovered(disk: &Simulated, may_be: &[Records], what: &str) {
     let (mut ledger, records) = match AppendLog::open_on(disk.clone(), "ledger") {
         Ok(opened) => opened,
         Err(error) => panic!("{what}: {error}"),
@@ -101,21 +101,21 @@
 #[case::appends(0)]
 #[case::rewrites(1)]
 #[case::rewrites_first(2)]
-fn kill_and_power_loss_at_every_byte(#[case] number: usize) {
+fn kill_or_power_loss_at_every_byte_then_log_recovers(#[case] number: usize) {
     let story = &stories()[number];
     let whole = Simulated::new();
-    play(&whole, story);
+    run_calls(&whole, story);
     for steps in 0..=whole.steps() {
         let disk = Simulated::new();
         disk.kill_after(steps);
-        let may_be = play(&disk, story);
-        check(
+        let may_be = run_calls(&disk, story);
+        check_recovered(
             &disk.after_kill(),
             &may_be,
             &format!("killed after {steps}"),
         );
         for (number, left) in disk.after_power_loss().iter().enumerate() {
-            check(
+            check_recovered(
                 left,
                 &may_be,
                 &format!("power lost after {steps}, {number}"),
@@ -125,9 +125,9 @@
 }
 
 #[test]
-fn kill_and_power_loss_while_a_torn_file_is_opened() {
+fn kill_or_power_loss_while_a_torn_file_is_opened_then_log_recovers() {
     let disk = Simulated::new();
-    play(&disk, &[Append(vec!["a"]), Append(vec!["bb", "cc"])]);
+    run_calls(&disk, &[Append(vec!["a"]), Append(vec!["bb", "cc"])]);
     let whole = disk.bytes("ledger").unwrap();
     let batch = whole.len() - 2 * (format::RECORD_HEADER_BYTES + 2);
     for length in batch..whole.len() {
@@ -143,13 +143,13 @@
             } else {
                 owned(&["a"])
             }];
-            check(
+            check_recovered(
                 &disk.after_kill(),
                 &may_be,
                 &format!("killed at {length}, {steps}"),
             );
             for left in disk.after_power_loss() {
-                check(&left, &may_be, &format!("power lost at {length}, {steps}"));
+                check_recovered(&left, &may_be, &format!("power lost at {length}, {steps}"));
             }
         }
     }
@@ -157,7 +157,7 @@
 
 /// A batch is one write and one sync; the first one makes the file besides.
 #[test]
-fn a_batch_is_one_write_and_one_sync() {
+fn append_of_a_batch_then_writes_once_and_syncs_once() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     ledger.append(&[b"first"]).unwrap();
@@ -169,7 +169,7 @@
 /// Every bit of a file of four batches, one of them of three records, turned over: the file is refused with the place,
 /// or the records are those before the damage in the last batch.
 #[test]
-fn each_bit_turned_over_is_told_or_a_torn_tail() {
+fn open_when_any_bit_is_flipped_then_reports_damage_or_a_torn_tail() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     ledger.rewrite(&[b"zero", b"one"]).unwrap();
@@ -230,7 +230,7 @@
 
 /// Two damages: a later batch is known by any of its records.
 #[test]
-fn damage_is_told_though_the_next_batch_lost_its_first_record_too() {
+fn open_when_two_batches_are_damaged_then_reports_damage() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     ledger.append(&[b"one"]).unwrap();
@@ -249,7 +249,7 @@
 
 /// Records are bound to their place: a file inside a record isn't taken for records.
 #[test]
-fn records_inside_a_torn_record_are_none() {
+fn open_when_a_torn_body_holds_records_then_ignores_them() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     ledger.append(&[b"inner", b"inner too"]).unwrap();
@@ -278,7 +278,7 @@
 #[case::nothing(b"")]
 #[case::half_a_header(b"furrow\r\n\x01\0\0\0")]
 #[case::something_else(b"{\"version\": 3, \"routes\": []}")]
-fn other_files_are_refused_and_left(#[case] bytes: &[u8]) {
+fn open_when_file_is_of_another_kind_then_fails_and_leaves_it(#[case] bytes: &[u8]) {
     let disk = Simulated::new();
     disk.put("ledger", bytes);
     assert!(matches!(
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_later_format_is_refused_with_its_number() {
+fn open_when_format_is_later_then_fails_with_its_number() {
     let disk = Simulated::new();
     let mut bytes = format::header(format::FORMAT_VERSION + 3).to_vec();
     bytes.extend_from_slice(b"whatever comes then");
@@ -308,9 +308,9 @@
 /// Room for any number of the bytes of a batch of three: the error says that the disk is full, nothing of the batch
 /// stays, and the file takes records once there is room, without a new start.
 #[test]
-fn a_full_disk_takes_records_again_once_there_is_room() {
+fn append_when_a_full_disk_has_space_again_then_succeeds() {
     let disk = Simulated::new();
-    play(&disk, &[Append(vec!["a"])]);
+    run_calls(&disk, &[Append(vec!["a"])]);
     let used = disk.bytes("ledger").unwrap().len();
     for room in 0..3 * (format::RECORD_HEADER_BYTES + 2) {
         let disk = disk.after_kill();
@@ -345,9 +345,9 @@
 
 /// A disk that refuses every write, cuts too, from any byte of a batch on.
 #[rstest]
-fn a_disk_that_refuses_all_writes_recovers(#[values(false, true)] restarts: bool) {
+fn append_when_disk_accepts_writes_again_then_succeeds(#[values(false, true)] restarts: bool) {
     let disk = Simulated::new();
-    play(&disk, &[Append(vec!["a"])]);
+    run_calls(&disk, &[Append(vec!["a"])]);
     let whole = disk.bytes("ledger").unwrap();
     let mut torn = whole.clone();
     format::encode_record_into(&mut torn, 0, None, b"torn");
@@ -376,9 +376,9 @@
 /// A torn batch that could not be cut off, as the disk was full, has a whole record just where the next append's first
 /// one ends: it doesn't come back with it.
 #[test]
-fn a_refused_cut_is_made_up_for_before_the_next_append() {
+fn append_when_truncation_was_refused_then_truncates_first() {
     let disk = Simulated::new();
-    play(&disk, &[Append(vec!["a"]), Append(vec!["bb", "cc"])]);
+    run_calls(&disk, &[Append(vec!["a"]), Append(vec!["bb", "cc"])]);
     let mut torn = disk.bytes("ledger").unwrap();
     let batch = torn.len() - 2 * (format::RECORD_HEADER_BYTES + 2);
     torn[batch] ^= 1;
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn an_empty_folder_on_a_full_disk_opens_and_recovers() {
+fn open_when_disk_is_full_and_empty_then_succeeds() {
     let disk = Simulated::new();
     disk.set_faults(Faults {
         refuses_writes: true,
@@ -415,7 +415,9 @@
 
 /// A sync fails and what it should have covered never reaches the disk, or does, though later syncs don't tell.
 #[rstest]
-fn a_failed_sync_is_not_trusted(#[values(false, true)] failed_sync_writes: bool) {
+fn append_after_a_failed_sync_then_copies_the_file(
+    #[values(false, true)] failed_sync_writes: bool,
+) {
     for then_power in [false, true] {
         let disk = Simulated::new();
         let (mut ledger, _) = open(&disk);
@@ -431,9 +433,9 @@
         }
         let may_be = [owned(&["a", "b"]), owned(&["a", "b", "c"])];
         for left in disk.after_power_loss() {
-            check(&left, &may_be, "power lost after a failed sync");
+            check_recovered(&left, &may_be, "power lost after a failed sync");
         }
-        check(
+        check_recovered(
             &disk.after_kill(),
             &may_be[..1],
             "killed after a failed sync",
@@ -452,7 +454,7 @@
                     owned(&["a", "b", "e"]),
                 ];
                 for left in disk.after_power_loss() {
-                    check(&left, &may_be, "power lost while mending");
+                    check_recovered(&left, &may_be, "power lost while mending");
                 }
             }
         }
@@ -484,14 +486,17 @@
 #[case::rename(Faults { fails_rename: true, ..Faults::default() }, false)]
 #[case::names(Faults { fails_sync_names: true, ..Faults::default() }, true)]
 #[case::writes(Faults { refuses_writes: true, ..Faults::default() }, false)]
-fn a_failed_rewrite_leaves_the_old_or_the_new(#[case] faults: Faults, #[case] is_new: bool) {
+fn rewrite_when_it_fails_then_leaves_the_old_or_the_new_file(
+    #[case] faults: Faults,
+    #[case] is_new: bool,
+) {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     ledger.append(&slices(&["a", "b"])).unwrap();
     disk.set_faults(faults);
     ledger.rewrite(&slices(&["ab"])).unwrap_err();
     for left in disk.after_power_loss() {
-        check(
+        check_recovered(
             &left,
             &[owned(&["a", "b"]), owned(&["ab"])],
             "power lost after a failed rewrite",
@@ -511,7 +516,7 @@
 
 /// The folder's sync fails when the first append makes the file: its records are not in it twice.
 #[test]
-fn a_first_append_that_failed_leaves_no_records() {
+fn append_when_the_first_fails_then_leaves_no_records() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     disk.set_faults(Faults {
@@ -525,7 +530,7 @@
 }
 
 #[test]
-fn hundred_thousand_records_come_back() {
+fn open_with_hundred_thousand_records_then_returns_all() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     let records: Records = (0..100_000_u32)
@@ -547,7 +552,7 @@
 /// The process that saw a sync fail is killed at any step: the next one finds bytes that a sync calls synced though
 /// they may never have reached the disk.
 #[rstest]
-fn a_kill_after_a_failed_sync(#[values(false, true)] failed_sync_writes: bool) {
+fn kill_after_a_failed_sync_then_log_recovers(#[values(false, true)] failed_sync_writes: bool) {
     for steps in 0..200 {
         let disk = Simulated::new();
         let (mut ledger, _) = open(&disk);
@@ -565,13 +570,13 @@
             owned(&["a", "b", "c"]),
             owned(&["a", "b", "c", "d"]),
         ];
-        check(
+        check_recovered(
             &disk.after_kill(),
             &may_be,
             &format!("killed after {steps}"),
         );
         for left in disk.after_power_loss() {
-            check(&left, &may_be, &format!("power lost after {steps}"));
+            check_recovered(&left, &may_be, &format!("power lost after {steps}"));
         }
     }
 }
@@ -579,7 +584,7 @@
 /// A rewrite that found no room, then ones whose names may not last: whatever a loss of power leaves of the names,
 /// the file under the name is a whole one.
 #[test]
-fn rewrites_that_fail_one_after_the_other() {
+fn rewrite_when_several_fail_in_a_row_then_log_recovers() {
     let disk = Simulated::new();
     let (mut ledger, _) = open(&disk);
     ledger.append(&slices(&["a", "b"])).unwrap();
@@ -596,6 +601,6 @@
     ledger.append(&slices(&["c"])).unwrap_err();
     let may_be = [owned(&["a", "b"]), owned(&["ab"])];
     for left in disk.after_power_loss() {
-        check(&left, &may_be, "power lost");
+        check_recovered(&left, &may_be, "power lost");
     }
 }
--- a/crates/append-log/tests/reports.rs
+++ b/crates/append-log/tests/reports.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_whole_file() {
+fn verify_when_file_is_complete_then_lists_all_records() {
     let (starts, bytes) = three_batches();
     let disk = disk_with(&bytes);
     disk.put("ledger.new", b"remains");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_damaged_file_is_told_to_its_end() {
+fn verify_when_file_is_damaged_then_lists_all_to_its_end() {
     let (starts, mut bytes) = three_batches();
     bytes[starts[1] as usize] ^= 4;
     let report = verify_on(disk_with(&bytes), "ledger").unwrap();
@@ -152,7 +152,7 @@
 
 /// What is told is what an opening does: for each length of the file, and each byte of it changed.
 #[test]
-fn the_shape_is_what_an_opening_does() {
+fn inspect_then_condition_predicts_what_opening_does() {
     let (_, whole) = three_batches();
     let mut files: Vec<Vec<u8>> = (0..=whole.len())
         .map(|length| whole[..length].to_vec())
@@ -195,7 +195,10 @@
 #[case::newer(&format::header(7), FileCondition::Newer { found: 7 })]
 #[case::older(&format::header(0), FileCondition::NoHeader)]
 #[case::empty(b"", FileCondition::NoHeader)]
-fn other_files(#[case] bytes: &[u8], #[case] condition: FileCondition) {
+fn inspect_when_file_is_of_another_kind_then_tells_so(
+    #[case] bytes: &[u8],
+    #[case] condition: FileCondition,
+) {
     let report = verify_on(disk_with(bytes), "ledger").unwrap();
     assert_eq!(
         (report.summary.condition, report.summary.opens()),
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_an_error() {
+fn inspect_when_file_does_not_exist_then_fails() {
     let error = inspect_on(Simulated::new(), "ledger").unwrap_err();
     assert!(
         matches!(error, Error::Io { ref source, .. } if source.kind() == std::io::ErrorKind::NotFound)
--- a/crates/configuration/tests/result_code.rs
+++ b/crates/configuration/tests/result_code.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_table_lists_every_code_in_order() {
+fn docs_table_then_lists_every_code_in_order() {
     let code: Vec<_> = ResultCode::ALL
         .iter()
         .map(|c| (c.number(), c.status(), c.text().to_owned()))
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn numbers_are_told_once_and_found_again() {
+fn from_number_then_finds_each_code_by_its_unique_number() {
     for pair in ResultCode::ALL.windows(2) {
         assert!(pair[0].number() < pair[1].number(), "{pair:?}");
     }
--- a/crates/replication/tests/mirror.rs
+++ b/crates/replication/tests/mirror.rs
@@ -62,11 +62,17 @@
     }
 }
 
-fn source(id: u64, life: u64, seq: u64, whole: bool, hosts: Vec<HostRecord>) -> OriginUpdate {
+fn origin_update(
+    id: u64,
+    incarnation: u64,
+    seq: u64,
+    whole: bool,
+    hosts: Vec<HostRecord>,
+) -> OriginUpdate {
     OriginUpdate {
         version: OriginVersion {
             member_id: id,
-            incarnation: life,
+            incarnation,
             sequence: seq,
         },
         complete: whole,
@@ -75,7 +81,7 @@
     }
 }
 
-fn news(sources: Vec<OriginUpdate>) -> Update {
+fn update_of(sources: Vec<OriginUpdate>) -> Update {
     Update {
         origins: sources,
         ..Update::default()
@@ -88,15 +94,15 @@
 
 /// `to` pulls from `from` once.
 fn follow(to: &mut Mirror, from: &Mirror, now: Duration) -> Option<Update> {
-    let news = from.update_for(now, &pull(to));
-    if let Some(news) = &news {
-        to.apply(now, news);
+    let update_of = from.update_for(now, &pull(to));
+    if let Some(update_of) = &update_of {
+        to.apply(now, update_of);
     }
-    news
+    update_of
 }
 
 #[test]
-fn a_puller_gets_exactly_what_it_lacks() {
+fn pull_when_behind_then_brings_exactly_what_is_lacking() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     assert_eq!(
         follow(&mut agent, &member, ms(0)),
@@ -106,7 +112,7 @@
     member.set_replicated_state(1, document(2), &["x".to_owned()]);
     member.apply(
         ms(0),
-        &news(vec![source(
+        &update_of(vec![origin_update(
             1,
             1,
             3,
@@ -125,11 +131,14 @@
 
     member.apply(
         ms(1),
-        &news(vec![source(1, 1, 4, false, vec![host("b", 9)])]),
+        &update_of(vec![origin_update(1, 1, 4, false, vec![host("b", 9)])]),
     );
     let change = follow(&mut agent, &member, ms(1)).unwrap();
     assert_eq!(change.configuration, None);
-    assert_eq!(change.origins, [source(1, 1, 4, false, vec![host("b", 9)])]);
+    assert_eq!(
+        change.origins,
+        [origin_update(1, 1, 4, false, vec![host("b", 9)])]
+    );
 
     member.set_replicated_state(2, document(5), &[]);
     let change = follow(&mut agent, &member, ms(2))
@@ -156,7 +165,7 @@
 }
 
 #[test]
-fn drains_alone_carry_no_configuration() {
+fn update_when_only_drains_changed_then_has_no_configuration() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_replicated_state(1, document(2), &[]);
     follow(&mut agent, &member, ms(0));
@@ -177,7 +186,7 @@
 }
 
 #[test]
-fn of_drains_only_what_changed_is_told() {
+fn update_when_drains_changed_then_has_the_changes_only() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_replicated_state(1, document(2), &names(&["a", "b", "c"]));
     let config = follow(&mut agent, &member, ms(0))
@@ -217,7 +226,7 @@
 }
 
 #[test]
-fn who_is_at_a_change_that_was_jumped_over_here_gets_all_drains() {
+fn update_when_puller_is_at_a_skipped_index_then_has_all_drains() {
     let (mut far, mut near, mut agent) = (mirror(1), mirror(2), mirror(0));
     far.set_replicated_state(1, document(2), &names(&["a"]));
     follow(&mut near, &far, ms(0));
@@ -240,7 +249,7 @@
 }
 
 #[test]
-fn changes_of_drains_are_taken_on_top_of_what_they_add_to_only() {
+fn apply_when_drains_add_to_another_index_then_changes_nothing() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_replicated_state(1, document(2), &names(&["a"]));
     follow(&mut agent, &member, ms(0));
@@ -261,7 +270,7 @@
 }
 
 #[test]
-fn who_is_far_behind_gets_all_drains() {
+fn update_when_puller_is_far_behind_then_has_all_drains() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_replicated_state(1, document(2), &names(&["a"]));
     follow(&mut agent, &member, ms(0));
@@ -283,7 +292,7 @@
 }
 
 #[test]
-fn drains_come_before_any_configuration() {
+fn apply_when_no_configuration_has_come_then_takes_drains() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_replicated_state(1, Arc::default(), &["i".to_owned()]);
     follow(&mut agent, &member, ms(0));
@@ -300,7 +309,7 @@
 #[case::lower_ledger(3, 9)]
 #[case::same_ledger(4, 9)]
 #[case::lower_version(5, 3)]
-fn it_never_goes_back(#[case] ledger: u64, #[case] version: u64) {
+fn apply_when_state_is_older_then_changes_nothing(#[case] ledger: u64, #[case] version: u64) {
     let (mut old, mut agent) = (mirror(1), mirror(0));
     agent.set_replicated_state(4, document(4), &[]);
     old.set_replicated_state(ledger, document(version), &[]);
@@ -311,7 +320,7 @@
 }
 
 #[test]
-fn a_change_on_another_version_is_passed_over_and_asked_for_again() {
+fn apply_when_base_version_differs_then_changes_nothing_and_pulls_again() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_replicated_state(1, document(2), &[]);
     follow(&mut agent, &member, ms(0));
@@ -331,7 +340,7 @@
 }
 
 #[test]
-fn an_unreadable_change_makes_it_ask_for_the_whole() {
+fn apply_when_an_item_is_invalid_then_pulls_the_whole_configuration() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.set_replicated_state(1, document(2), &[]);
     follow(&mut agent, &member, ms(0));
@@ -358,7 +367,7 @@
 }
 
 #[test]
-fn a_version_out_of_memory_gets_the_whole() {
+fn update_when_version_is_out_of_history_then_has_the_whole_configuration() {
     let mut member = mirror(1);
     for n in 1..=40 {
         member.set_replicated_state(n, document(n), &[]);
@@ -379,15 +388,15 @@
 }
 
 #[test]
-fn any_member_brings_all_sources() {
+fn pull_from_any_member_then_brings_all_origins() {
     let (mut a, mut b, mut agent) = (mirror(1), mirror(2), mirror(0));
     a.apply(
         ms(0),
-        &news(vec![source(1, 1, 1, true, vec![host("a", 1)])]),
+        &update_of(vec![origin_update(1, 1, 1, true, vec![host("a", 1)])]),
     );
     b.apply(
         ms(0),
-        &news(vec![source(2, 1, 1, true, vec![host("b", 1)])]),
+        &update_of(vec![origin_update(2, 1, 1, true, vec![host("b", 1)])]),
     );
     follow(&mut a, &b, ms(0));
     follow(&mut agent, &a, ms(0));
@@ -404,30 +413,33 @@
 }
 
 #[test]
-fn an_older_number_or_a_change_of_an_unknown_life_is_passed_over() {
+fn apply_when_sequence_is_older_or_incarnation_unknown_then_changes_nothing() {
     let mut agent = mirror(0);
     agent.apply(
         ms(0),
-        &news(vec![source(1, 2, 5, true, vec![host("a", 5)])]),
+        &update_of(vec![origin_update(1, 2, 5, true, vec![host("a", 5)])]),
     );
-    assert!(!agent.apply(ms(0), &news(vec![source(1, 2, 4, true, vec![])])));
     assert!(!agent.apply(
         ms(0),
-        &news(vec![source(1, 3, 9, false, vec![host("b", 1)])])
+        &update_of(vec![origin_update(1, 2, 4, true, vec![])])
+    ));
+    assert!(!agent.apply(
+        ms(0),
+        &update_of(vec![origin_update(1, 3, 9, false, vec![host("b", 1)])])
     ));
     assert!(!agent.apply(
         ms(0),
-        &news(vec![source(9, 1, 9, false, vec![host("b", 1)])])
+        &update_of(vec![origin_update(9, 1, 9, false, vec![host("b", 1)])])
     ));
     assert_eq!(agent.snapshot().hosts.len(), 1);
 }
 
 #[test]
-fn a_new_life_keeps_the_hosts_of_the_older_for_four_beats() {
+fn new_incarnation_when_hosts_of_the_older_remain_then_keeps_them_four_heartbeats() {
     let mut agent = mirror(0);
     agent.apply(
         ms(0),
-        &news(vec![source(
+        &update_of(vec![origin_update(
             1,
             1,
             5,
@@ -435,11 +447,14 @@
             vec![host("a", 5), host("b", 5)],
         )]),
     );
-    agent.apply(ms(100), &news(vec![source(1, 2, 1, true, vec![])]));
+    agent.apply(
+        ms(100),
+        &update_of(vec![origin_update(1, 2, 1, true, vec![])]),
+    );
     assert_eq!(agent.snapshot().hosts.len(), 2, "they stay");
     agent.apply(
         ms(900),
-        &news(vec![source(1, 2, 2, false, vec![host("b", 6)])]),
+        &update_of(vec![origin_update(1, 2, 2, false, vec![host("b", 6)])]),
     );
     assert_eq!(agent.next_tick(), Some(ms(4100)));
     assert!(!agent.tick(ms(4099)));
@@ -449,11 +464,11 @@
         ["b"],
         "who has not called again is dropped"
     );
-    // Who still has the older life doesn't bring it back.
+    // Who still has the older incarnation doesn't bring it back.
     let mut slow = mirror(2);
     slow.apply(
         ms(0),
-        &news(vec![source(
+        &update_of(vec![origin_update(
             1,
             1,
             5,
@@ -464,19 +479,19 @@
     assert_eq!(slow.update_for(ms(4200), &pull(&agent)), None);
     assert!(!agent.apply(
         ms(4200),
-        &news(vec![source(1, 1, 6, true, vec![host("a", 5)])])
+        &update_of(vec![origin_update(1, 1, 6, true, vec![host("a", 5)])])
     ));
-    // And who has the older life is told of the newer.
+    // And who has the older incarnation is told of the newer.
     follow(&mut slow, &agent, ms(4200));
     assert_eq!(slow.snapshot().hosts["b"].call_seq, 6);
 }
 
 #[test]
-fn a_retired_source_goes_after_four_beats_and_others_hear_of_it() {
+fn removed_origin_then_goes_after_four_heartbeats_and_pullers_are_told() {
     let (mut member, mut agent) = (mirror(2), mirror(0));
     member.apply(
         ms(0),
-        &news(vec![source(1, 1, 5, true, vec![host("a", 5)])]),
+        &update_of(vec![origin_update(1, 1, 5, true, vec![host("a", 5)])]),
     );
     follow(&mut agent, &member, ms(0));
     member.remove_origin(ms(1000), 1);
@@ -493,33 +508,33 @@
     );
     assert!(member.tick(ms(5500)));
     assert_eq!(follow(&mut agent, &member, ms(5600)), None);
-    // The member comes back with a new life.
+    // The member comes back with a new incarnation.
     member.apply(
         ms(6000),
-        &news(vec![source(1, 2, 1, true, vec![host("a", 9)])]),
+        &update_of(vec![origin_update(1, 2, 1, true, vec![host("a", 9)])]),
     );
     follow(&mut agent, &member, ms(6000));
     assert_eq!(agent.snapshot().hosts["a"].call_seq, 9);
 }
 
 #[test]
-fn a_retired_source_that_still_speaks_stays() {
+fn removed_origin_when_it_sends_a_change_then_stays() {
     let mut member = mirror(2);
     member.apply(
         ms(0),
-        &news(vec![source(1, 1, 5, true, vec![host("a", 5)])]),
+        &update_of(vec![origin_update(1, 1, 5, true, vec![host("a", 5)])]),
     );
     member.remove_origin(ms(0), 1);
     member.apply(
         ms(100),
-        &news(vec![source(1, 1, 6, false, vec![host("b", 1)])]),
+        &update_of(vec![origin_update(1, 1, 6, false, vec![host("b", 1)])]),
     );
     assert!(!member.tick(ms(9000)));
     assert_eq!(member.snapshot().hosts.len(), 2);
 }
 
 #[test]
-fn hosts_are_merged_over_sources() {
+fn snapshot_when_origins_differ_then_merges_hosts() {
     let mut agent = mirror(0);
     let with = |id: &str, call_seq, phase, silent| HostRecord {
         phase,
@@ -541,9 +556,9 @@
     ];
     agent.apply(
         ms(0),
-        &news(vec![
-            source(1, 1, 1, true, first),
-            source(2, 1, 1, true, second),
+        &update_of(vec![
+            origin_update(1, 1, 1, true, first),
+            origin_update(2, 1, 1, true, second),
         ]),
     );
     agent.set_replicated_state(1, document(1), &["moved".to_owned()]);
@@ -561,14 +576,20 @@
 }
 
 #[test]
-fn of_two_hosts_at_one_address_the_newest_counts() {
+fn snapshot_when_two_hosts_share_an_address_then_the_older_is_gone() {
     let mut agent = mirror(0);
     let at = |id: &str, call_seq| HostRecord {
         addr: Addr { ip: 9, port: 9 },
         ..host(id, call_seq)
     };
-    agent.apply(ms(0), &news(vec![source(1, 1, 1, true, vec![at("z", 50)])]));
-    agent.apply(ms(9), &news(vec![source(2, 1, 1, true, vec![at("a", 1)])]));
+    agent.apply(
+        ms(0),
+        &update_of(vec![origin_update(1, 1, 1, true, vec![at("z", 50)])]),
+    );
+    agent.apply(
+        ms(9),
+        &update_of(vec![origin_update(2, 1, 1, true, vec![at("a", 1)])]),
+    );
     let hosts = agent.snapshot().hosts;
     assert_eq!(
         (hosts["z"].phase, hosts["a"].phase),
@@ -580,19 +601,25 @@
     let mut at_once = mirror(0);
     at_once.apply(
         ms(9),
-        &news(vec![source(1, 1, 1, true, vec![at("a", 1), at("z", 50)])]),
+        &update_of(vec![origin_update(
+            1,
+            1,
+            1,
+            true,
+            vec![at("a", 1), at("z", 50)],
+        )]),
     );
     assert_eq!(at_once.snapshot().hosts["z"].phase, phase::GONE);
 }
 
 #[test]
-fn gone_records_are_forgotten_after_a_minute_and_don_t_come_back() {
+fn gone_records_when_retention_is_over_then_are_dropped_for_good() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.apply(
         ms(0),
-        &news(vec![
-            source(1, 1, 1, true, vec![host("a", 1)]),
-            source(2, 1, 1, true, vec![]),
+        &update_of(vec![
+            origin_update(1, 1, 1, true, vec![host("a", 1)]),
+            origin_update(2, 1, 1, true, vec![]),
         ]),
     );
     follow(&mut agent, &member, ms(0));
@@ -600,7 +627,10 @@
         phase: phase::GONE,
         ..host("a", 7)
     };
-    member.apply(ms(500), &news(vec![source(2, 1, 2, false, vec![end])]));
+    member.apply(
+        ms(500),
+        &update_of(vec![origin_update(2, 1, 2, false, vec![end])]),
+    );
     let late = pull(&agent);
     follow(&mut agent, &member, ms(500));
     assert_eq!(agent.snapshot().hosts["a"].phase, phase::GONE);
@@ -616,11 +646,11 @@
 }
 
 #[test]
-fn what_a_whole_leaves_out_is_gone_for_those_behind_too() {
+fn complete_update_when_it_omits_records_then_pullers_behind_get_a_complete_one() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.apply(
         ms(0),
-        &news(vec![source(
+        &update_of(vec![origin_update(
             2,
             1,
             1,
@@ -631,25 +661,25 @@
     follow(&mut agent, &member, ms(0));
     member.apply(
         ms(0),
-        &news(vec![source(2, 1, 9, true, vec![host("b", 1)])]),
+        &update_of(vec![origin_update(2, 1, 9, true, vec![host("b", 1)])]),
     );
     follow(&mut agent, &member, ms(0));
     assert_eq!(agent.snapshot().hosts.keys().collect::<Vec<_>>(), ["b"]);
 }
 
 #[test]
-fn coordinators_are_counted_once_over_all_sources() {
+fn snapshot_when_origins_share_coordinators_then_lists_each_once() {
     let mut agent = mirror(0);
     let with = |id, names: &[(&str, bool)]| OriginUpdate {
         coordinators: names
             .iter()
             .map(|(n, gone)| coordinator(n, *gone))
             .collect(),
-        ..source(id, 1, 1, true, vec![])
+        ..origin_update(id, 1, 1, true, vec![])
     };
     agent.apply(
         ms(0),
-        &news(vec![
+        &update_of(vec![
             with(1, &[("a", false), ("b", true)]),
             with(2, &[("a", true), ("c", false)]),
         ]),
@@ -666,7 +696,7 @@
 }
 
 #[test]
-fn its_age_is_that_of_the_best_proof() {
+fn age_when_several_contacts_are_known_then_is_that_of_the_latest() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     assert_eq!(agent.age_ms(ms(5000)), u32::MAX, "no word yet");
     member.record_primary_contact(ms(1000));
@@ -687,12 +717,12 @@
 }
 
 #[test]
-fn a_change_that_does_not_fit_is_no_proof() {
+fn apply_when_update_does_not_fit_then_age_is_not_taken() {
     let (mut member, mut agent) = (mirror(1), mirror(0));
     member.record_primary_contact(ms(1000));
     member.set_replicated_state(1, document(1), &[]);
     member.set_replicated_state(2, document(2), &[]);
-    let news = member
+    let update_of = member
         .update_for(
             ms(1000),
             &Pull {
@@ -702,12 +732,12 @@
             },
         )
         .unwrap();
-    agent.apply(ms(1000), &news);
+    agent.apply(ms(1000), &update_of);
     assert_eq!(agent.age_ms(ms(1000)), u32::MAX);
 }
 
 #[test]
-fn the_fleet_only_rises_and_only_the_primary_changes_it_within_an_epoch() {
+fn set_control_plane_within_an_epoch_then_only_the_primary_raises_the_version() {
     let seat = |id| MemberInfo {
         id,
         ..MemberInfo::default()
@@ -736,28 +766,28 @@
 }
 
 #[test]
-fn what_others_have_of_a_host() {
+fn host_at_other_origins_then_gives_the_newest_of_their_records() {
     let mut member = mirror(1);
     let sources = vec![
-        source(1, 1, 1, true, vec![host("a", 9)]),
-        source(2, 1, 1, true, vec![host("a", 4)]),
-        source(3, 1, 1, true, vec![host("a", 6)]),
+        origin_update(1, 1, 1, true, vec![host("a", 9)]),
+        origin_update(2, 1, 1, true, vec![host("a", 4)]),
+        origin_update(3, 1, 1, true, vec![host("a", 6)]),
     ];
-    member.apply(ms(0), &news(sources));
+    member.apply(ms(0), &update_of(sources));
     assert_eq!(member.host_at_other_origins(1, "a").unwrap().call_seq, 6);
     assert!(member.host_at_other_origins(1, "b").is_none());
 }
 
 #[test]
-fn coordinators_are_counted_once_though_several_members_tell_of_them() {
+fn coordinator_estimate_when_several_members_report_then_counts_each_once() {
     let mut agent = mirror(0);
     assert_eq!(agent.coordinator_estimate(), 0);
     for id in 1..=5 {
-        let mut told = source(id, 1, 1, true, vec![]);
+        let mut told = origin_update(id, 1, 1, true, vec![]);
         told.coordinators = (0..6)
             .map(|n| coordinator(&format!("edge-{id}-{n}"), false))
             .collect();
-        agent.apply(ms(0), &news(vec![told]));
+        agent.apply(ms(0), &update_of(vec![told]));
     }
     assert_eq!(
         agent.coordinator_estimate(),
@@ -788,7 +818,10 @@
 #[rstest]
 #[case::little_differs(false, &[1, 10, 19])]
 #[case::all_differs(true, &[18, 19])]
-fn memory_of_past_configurations_is_bounded(#[case] all_differ: bool, #[case] known: &[u64]) {
+fn history_when_configurations_are_large_then_is_bounded(
+    #[case] all_differ: bool,
+    #[case] known: &[u64],
+) {
     let mut member = mirror(1);
     let mut versions = vec![];
     for version in 1..=20 {
@@ -803,14 +836,14 @@
     for behind in 1..20_u64 {
         let mut agent = mirror(0).without_history();
         agent.set_replicated_state(behind, versions[behind as usize - 1].clone(), &[]);
-        let news = member.update_for(ms(0), &pull(&agent)).unwrap();
-        let from = news.configuration.as_ref().unwrap().base_version;
+        let update_of = member.update_for(ms(0), &pull(&agent)).unwrap();
+        let from = update_of.configuration.as_ref().unwrap().base_version;
         if known.contains(&behind) {
             assert_eq!(from, behind);
         } else if all_differ {
             assert_eq!(from, if behind < 18 { 0 } else { behind }, "{behind}");
         }
-        agent.apply(ms(0), &news);
+        agent.apply(ms(0), &update_of);
         assert_eq!(agent.configuration().version, 20);
         assert_eq!(agent.configuration().routes, member.configuration().routes);
     }
--- a/crates/replication/tests/puller.rs
+++ b/crates/replication/tests/puller.rs
@@ -118,7 +118,10 @@
 #[case::fewer(&[1, 2], 2)]
 #[case::three(&[1, 2, 3], 3)]
 #[case::more(&[1, 2, 3, 4, 5], 3)]
-fn it_pulls_from_three_or_all(#[case] seeds: &[u32], #[case] links: usize) {
+fn tick_at_start_then_connects_to_three_members_or_all(
+    #[case] seeds: &[u32],
+    #[case] links: usize,
+) {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, seeds);
     bench.up();
     assert_eq!(
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn rendezvous_hashing_picks_by_name_and_is_stable() {
+fn order_when_a_member_is_added_then_moves_one_at_most() {
     let pick = |name: &str, members: std::ops::Range<u32>| {
         let mut puller = Puller::new(name, MEMBERS_PER_AGENT, None);
         puller.set_members(members.map(addr));
@@ -152,14 +155,14 @@
 }
 
 #[test]
-fn it_never_pulls_from_itself() {
+fn seeds_when_own_address_is_among_them_then_it_is_skipped() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[99, 1]);
     bench.up();
     assert_eq!(bench.to(), [1].into());
 }
 
 #[test]
-fn an_answer_is_followed_by_the_next_pull() {
+fn answer_then_next_pull_is_sent() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     bench.answered(1000, 1, 0, false);
@@ -178,7 +181,7 @@
 }
 
 #[test]
-fn who_doesn_t_answer_is_dead_and_replaced() {
+fn answer_when_overdue_then_link_fails_and_another_is_added() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2, 3, 4]);
     let first = bench.up();
     let silent = first[0];
@@ -206,7 +209,7 @@
 }
 
 #[test]
-fn a_connection_that_hangs_is_given_up() {
+fn connection_when_it_hangs_then_is_closed() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.tick(0);
     assert_eq!(bench.puller.next_tick(), Some(ms(700)));
@@ -217,7 +220,7 @@
 }
 
 #[test]
-fn pauses_between_tries_grow_to_a_second() {
+fn backoff_when_connections_fail_then_grows_to_a_second() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.tick(0);
     let mut now = 0;
@@ -241,7 +244,7 @@
 }
 
 #[test]
-fn to_one_that_is_cut_off_another_is_added() {
+fn stale_member_then_another_is_added() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2, 3, 4, 5]);
     let first = bench.up();
     for (now, age_ms, links) in [(500, 1500, 3), (1000, 1501, 4), (1500, 10, 3)] {
@@ -252,7 +255,7 @@
 }
 
 #[test]
-fn it_goes_on_with_learnt_members_when_all_seeds_are_dead() {
+fn seeds_when_all_fail_then_known_members_are_used() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2]);
     bench.up();
     bench
@@ -270,7 +273,7 @@
 }
 
 #[test]
-fn other_seeds_are_taken() {
+fn set_seeds_then_new_ones_are_pulled_from() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2]);
     bench.up();
     bench.puller.set_seeds(&[addr(2), addr(7)]);
@@ -284,7 +287,7 @@
 }
 
 #[test]
-fn a_fixed_one_keeps_to_its_seeds() {
+fn seeds_only_when_members_become_known_then_keeps_to_seeds() {
     let mut puller = Puller::new("edge-1", 1, None).seeds_only();
     puller.set_seeds(&[addr(5)]);
     puller.set_members([addr(1), addr(2)]);
@@ -298,7 +301,7 @@
 }
 
 #[test]
-fn word_from_a_link_that_is_closed_is_passed_over() {
+fn event_of_a_closed_link_then_is_ignored() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     let old = bench.link(1);
@@ -309,8 +312,8 @@
     assert_eq!(bench.puller.answering_members().count(), 0);
 }
 
-/// A led puller whose three members have answered; the leading one first.
-fn led() -> (Bench, Vec<u32>) {
+/// A preferring_bench puller whose three members have answered; the leading one first.
+fn preferring_bench() -> (Bench, Vec<u32>) {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2, 3]);
     bench.puller = Puller::new("edge-1", MEMBERS_PER_AGENT, Some(addr(99))).preferring_one_member();
     bench.puller.set_seeds(&[addr(1), addr(2), addr(3)]);
@@ -320,7 +323,7 @@
         waits, [PULL_WAIT_MS; 3],
         "until one leads, news are waited for at all"
     );
-    // Whoever answered before the first in the order may have led until then.
+    // Whoever answered before the first in the order may have preferring_bench until then.
     for _ in 0..2 {
         for n in order.clone() {
             if bench.pulls.contains(&bench.link(n)) {
@@ -338,8 +341,8 @@
 }
 
 #[test]
-fn a_led_one_waits_for_news_at_one_member_and_looks_at_the_others() {
-    let (mut bench, order) = led();
+fn preferring_one_then_waits_there_and_polls_the_standbys() {
+    let (mut bench, order) = preferring_bench();
     let look = 10 + STANDBY_POLL_INTERVAL.as_millis() as u64;
     bench.answered(100, order[0], 0, true);
     assert_eq!(bench.pulls, [bench.link(order[0])], "news come once");
@@ -364,12 +367,12 @@
 #[rstest]
 #[case::cut_off(true)]
 #[case::ended(false)]
-fn another_leads_when_the_first_is_cut_off_or_ends(#[case] cut_off: bool) {
-    let (mut bench, order) = led();
+fn preferred_member_when_stale_or_closed_then_another_is_preferred(#[case] cut_off: bool) {
+    let (mut bench, order) = preferring_bench();
     if cut_off {
-        bench.answered(100, order[0], 1501, true)
+        bench.answered(100, order[0], 1501, true);
     } else {
-        bench.failed(100, order[0])
+        bench.failed(100, order[0]);
     }
     let waiting = |bench: &Bench| -> Vec<u32> {
         let pulls = bench
@@ -393,8 +396,8 @@
 }
 
 #[test]
-fn a_leading_one_that_is_frozen_holds_nobody_back() {
-    let (mut bench, order) = led();
+fn preferred_member_when_frozen_then_standbys_bring_updates() {
+    let (mut bench, order) = preferring_bench();
     // It answers nothing more; the others are asked all the same, at the latest a look after the last answer.
     let mut now = 10;
     for _ in 0..2 {
@@ -414,8 +417,8 @@
 #[rstest]
 #[case::few(7, 7)]
 #[case::many(100, 100)]
-#[case::the_longest(1000, UPDATE_PAUSE.max.as_millis() as u64)]
-fn after_news_it_pauses_for_each_coordinator(#[case] coordinators: usize, #[case] pause: u64) {
+#[case::max_pause(1000, UPDATE_PAUSE.max.as_millis() as u64)]
+fn update_then_pause_grows_with_the_coordinators(#[case] coordinators: usize, #[case] pause: u64) {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.puller.set_coordinators(coordinators);
     bench.up();
@@ -434,7 +437,7 @@
 }
 
 #[test]
-fn an_answer_that_is_still_coming_is_waited_for() {
+fn partial_answer_then_time_out_is_extended() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     let link = bench.link(1);
@@ -450,7 +453,7 @@
 }
 
 #[test]
-fn it_knows_when_a_pull_left_that_is_out() {
+fn pull_sent_at_then_is_known_while_the_pull_is_out() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1]);
     bench.up();
     let link = bench.link(1);
@@ -468,7 +471,7 @@
 }
 
 #[test]
-fn it_knows_whether_anybody_may_know_better() {
+fn all_members_stale_when_one_is_fresh_or_silent_then_is_false() {
     let mut bench = Bench::new(MEMBERS_PER_AGENT, &[1, 2]);
     assert!(!bench.puller.all_members_stale(), "nobody was asked");
     bench.up();
--- a/crates/replication/tests/serve.rs
+++ b/crates/replication/tests/serve.rs
@@ -34,7 +34,7 @@
         incarnation: 1,
         sequence: 1,
     };
-    let source = OriginUpdate {
+    let origin_update = OriginUpdate {
         version: mark,
         complete: true,
         hosts: vec![host],
@@ -42,13 +42,13 @@
     };
     Update {
         age_ms: 5,
-        origins: vec![source],
+        origins: vec![origin_update],
         ..Update::default()
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn pulls_are_answered_and_callers_heard() {
+async fn serve_then_answers_pulls_and_reports_subscribers() {
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
     let (near, far) = duplex(1 << 16);
     let callers: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -83,9 +83,9 @@
         .unwrap();
     tokio::time::advance(Duration::from_millis(300)).await;
     shared.update(|m, now| m.apply(now, &one_host()));
-    let news = Update::from_message(frames.next().await.unwrap().unwrap()).unwrap();
+    let update_of = Update::from_message(frames.next().await.unwrap().unwrap()).unwrap();
     assert_eq!(
-        (news.origins.len(), news.age_ms, asked.elapsed()),
+        (update_of.origins.len(), update_of.age_ms, asked.elapsed()),
         (1, 5, Duration::from_millis(300)),
         "at once"
     );
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_peer_is_let_go() {
+async fn serve_when_peer_is_silent_then_times_out() {
     let (_near, far) = duplex(64);
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
     let ended = serve(far, Vec::new(), shared, |_| ()).await;
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_doesn_t_read_is_let_go() {
+async fn serve_when_peer_does_not_read_then_times_out() {
     let (mut near, far) = duplex(64);
     let shared = SharedMirror::new(Mirror::new(7, BEAT));
     shared.update(|m, now| m.apply(now, &one_host()));
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_no_pull_ends_the_connection() {
+async fn serve_when_message_is_no_pull_then_ends_the_connection() {
     for bytes in [encode(&Message::ReleaseLease { epoch: 1 }), vec![255; 16]] {
         let (_near, far) = duplex(64);
         let shared = SharedMirror::new(Mirror::new(7, BEAT));
--- a/crates/replication/tests/transitions.rs
+++ b/crates/replication/tests/transitions.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_member_that_leads_and_its_loss_are_told_once() {
+fn preferred_member_when_it_changes_or_is_lost_then_is_reported_once() {
     let mut agent = Agent::new();
     (0..3).for_each(|_| agent.round());
     let Some(PullTransition::PreferredMember { member: leader, .. }) = agent.told.last().copied()
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_version_is_told_once() {
+fn configuration_when_applied_then_is_reported_once() {
     let mut recorder = PullRecorder::default();
     assert_eq!(
         recorder.configuration(visible(0, 0)),
--- a/crates/replication/tests/stale.rs
+++ b/crates/replication/tests/unconfirmed.rs
@@ -1,4 +1,4 @@
-//! Old news: how their age is counted, and what a process that starts with nothing makes of them.
+//! Old update_of: how their age is counted, and what a process that starts with nothing makes of them.
 
 use configuration::Configuration;
 use protocol::{MemberInfo, Subscriber};
@@ -51,7 +51,7 @@
     let pull = Mirror::new(0, BEAT).pull(&Subscriber::default(), 0);
     mirror
         .update_for(now, &pull)
-        .and_then(|news| news.configuration)
+        .and_then(|update_of| update_of.configuration)
         .map(|config| config.version)
 }
 
@@ -62,25 +62,27 @@
 #[case::the_speaker_stood_still(1000, 21_002, 20_000, 20_010, 20_012)]
 #[case::held_up_on_the_way(1000, 19_000, 1000, 0, 17_000)]
 #[case::no_proof_at_all(1000, 1004, 0, AGE_UNKNOWN, AGE_UNKNOWN)]
-fn an_answer_s_age_counts_from_when_its_pull_left(
+fn age_of_an_answer_then_counts_from_when_the_pull_was_sent(
     #[case] asked: u64,
     #[case] now: u64,
     #[case] held_ms: u32,
     #[case] told: u32,
     #[case] age_ms: u32,
 ) {
-    let news = Update {
+    let update_of = Update {
         age_ms: told,
         held_ms,
         ..Update::default()
     };
-    assert_eq!(news.aged(ms(asked), ms(now)).age_ms, age_ms);
+    assert_eq!(update_of.aged(ms(asked), ms(now)).age_ms, age_ms);
 }
 
 #[rstest]
 #[case::never_confirmed(None)]
 #[case::cut_off_for_long(Some(ms(0)))]
-fn beside_one_that_is_cut_off_the_current_one_is_waited_for(#[case] proved: Option<Duration>) {
+fn unconfirmed_configuration_when_a_fresh_member_answers_then_the_current_one_is_shown(
+    #[case] proved: Option<Duration>,
+) {
     let now = ms(20_000);
     let (cut_off, well) = (member(1, 1, proved), member(2, 3, Some(now)));
     let mut agent = starting();
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn a_member_that_has_a_primary_confirms_what_one_without_told() {
+fn unconfirmed_configuration_when_a_fresh_member_confirms_it_then_is_shown() {
     let now = ms(20_000);
     let (restarted, well) = (member(1, 3, None), member(2, 3, Some(now)));
     let mut agent = starting();
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn where_nobody_else_answers_it_is_shown_after_a_bounded_wait() {
+fn unconfirmed_configuration_when_nobody_else_answers_then_is_shown_after_the_time_out() {
     let now = ms(20_000);
     let mut agent = starting();
     follow(&mut agent, &member(1, 1, None), now);
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn where_all_know_no_better_it_is_shown_at_once() {
+fn unconfirmed_configuration_when_all_members_are_stale_then_is_shown_at_once() {
     let mut agent = starting();
     follow(&mut agent, &member(1, 1, None), ms(0));
     follow(&mut agent, &member(2, 2, None), ms(5));
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn a_fresh_one_is_shown_at_once() {
+fn confirmed_configuration_then_is_shown_at_once() {
     let now = ms(9000);
     let mut agent = starting();
     follow(
@@ -171,14 +173,14 @@
 }
 
 #[test]
-fn a_proxy_takes_what_its_agent_shows() {
+fn proxy_mirror_then_shows_what_its_agent_shows() {
     let (now, mut proxy) = (ms(9000), Mirror::new(0, BEAT).without_history());
     follow(&mut proxy, &member(1, 1, None), now);
     assert_eq!(proxy.snapshot().configuration.version, 10);
 }
 
 #[test]
-fn hosts_and_members_aren_t_withheld() {
+fn hosts_and_members_when_configuration_is_withheld_then_are_shown() {
     let (mut cut_off, mut agent) = (member(1, 1, None), starting());
     let seat = MemberInfo {
         id: 1,
@@ -191,7 +193,7 @@
 
 /// Found by `model-check age --deviations 2`: an age beyond the process's own uptime was told as the uptime.
 #[test]
-fn a_proof_older_than_the_process_keeps_its_age() {
+fn contact_older_than_the_process_then_keeps_its_age() {
     let mut started = Mirror::new(0, BEAT);
     started.apply(
         ms(100),
