--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -1,10 +1,12 @@
 //! A candidate alone, told what it would hear from the others.
 
-use configuration::FaultBudget;
-use control_plane::member::{Input, Member, MemberConfig, Output};
+mod support;
+
+use control_plane::member::{Input, Member, Output};
 use control_plane::replicated_state::ReplicatedState;
 use protocol::{Addr, LogPosition, MemberInfo, MembershipConfig, Message};
 use std::time::Duration;
+use support::{budget, member_config};
 
 const VIEW_EPOCH: u64 = 2 << 20 | 2;
 
@@ -90,19 +92,12 @@
 
 /// It holds no ledger, and needs all three for the replicas: the third promise comes while it fetches the ledger.
 #[test]
-fn a_promise_that_comes_during_the_fetch_counts() {
-    let config = MemberConfig {
-        local_member: member(1),
-        bootstrap_voters: Some((1..=3).map(member).collect()),
-        fault_budget: FaultBudget {
-            machine_losses: 2,
-            zones: 0,
-            region_losses: 0,
-        },
-        lease_duration: Duration::from_millis(1000),
-        request_timeout: Duration::from_millis(3500),
-        disk_stall_timeout: Duration::from_millis(600),
-    };
+fn promise_when_it_arrives_during_the_fetch_then_it_counts() {
+    let config = member_config(
+        member(1),
+        Some((1..=3).map(member).collect()),
+        budget(2, 0, 0),
+    );
     let now = Duration::from_secs(1);
     let mut candidate = Candidate {
         member: Member::new(config, &[], now, 1),
--- a/crates/control-plane/tests/departure.rs
+++ b/crates/control-plane/tests/departure.rs
@@ -1,10 +1,11 @@
 //! A member that leaves for good isn't made a voter again, however long it serves on and whoever is the primary
 //! (`docs/design/hardening/3-second-loss.md`).
 
-mod cluster;
+mod support;
 
-use cluster::{budget, ms, Cluster};
 use rstest::rstest;
+use support::event_cluster::Cluster;
+use support::{budget, ms};
 
 const SOON: std::time::Duration = ms(8000);
 
@@ -37,7 +38,7 @@
 #[case::three_leases(3000)]
 #[case::six_leases(6000)]
 #[case::twelve_leases(12_000)]
-fn one_that_serves_on_is_no_voter_again(#[case] serves_on: u64) {
+fn departing_member_when_it_serves_on_then_it_is_no_voter_again(#[case] serves_on: u64) {
     let (mut cluster, leaver) = four_of_which_one_leaves();
     let again = cluster.until(ms(serves_on), |c| c.votes(leaver));
     assert!(again.is_none(), "while it serves on: {:?}", cluster.views());
@@ -51,7 +52,9 @@
 #[rstest]
 #[case::by_another(false)]
 #[case::by_one_started_again(true)]
-fn a_takeover_does_not_bring_it_back(#[case] others_start_again: bool) {
+fn departing_member_when_another_takes_over_then_it_is_no_voter_again(
+    #[case] others_start_again: bool,
+) {
     let (mut cluster, leaver) = four_of_which_one_leaves();
     cluster.run(ms(3000));
     let first = cluster.primary().unwrap();
@@ -72,7 +75,7 @@
 
 /// A member without a vote leaves: nobody counts on it when the next voter makes room.
 #[test]
-fn a_spare_that_left_takes_nobodys_place() {
+fn departing_spare_when_a_voter_is_lost_then_it_does_not_replace_it() {
     let mut cluster = Cluster::start(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a"]);
     cluster.apply(0, 1);
     cluster.run(ms(4000));
@@ -93,7 +96,7 @@
 
 /// A member that ended as planned and is back in another life is a voter again.
 #[test]
-fn one_that_is_back_is_a_voter_again() {
+fn departed_member_when_it_is_back_then_it_is_a_voter_again() {
     let (mut cluster, leaver) = four_of_which_one_leaves();
     cluster.until(SOON, |c| c.left(leaver)).expect("it ends");
     cluster.kill(leaver);
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -1,13 +1,14 @@
 //! A lease that was granted holds to its end: neither a candidacy of the voter's own nor a word of somebody else lets
 //! another primary begin while the holder may still answer reads. One voter, message by message.
 
-use configuration::FaultBudget;
-use control_plane::member::{Input, Member, MemberConfig, Output};
+mod support;
+
+use control_plane::member::{Input, Member, Output};
 use protocol::{Addr, MemberInfo, MembershipConfig, Message};
 use rstest::rstest;
 use std::time::Duration;
+use support::{budget, member_config, ms, LEASE};
 
-const LEASE: Duration = Duration::from_millis(1000);
 /// Identities: who holds the lease, who grants it, and the third voter.
 const HOLDER: u64 = 1;
 const VOTER: u64 = 2;
@@ -16,10 +17,6 @@
 const EPOCH: u64 = (1 << 20) | HOLDER;
 const LATER_EPOCH: u64 = (2 << 20) | THIRD;
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
-
 fn seat(id: u64) -> MemberInfo {
     let addr = Addr {
         ip: id as u32,
@@ -43,17 +40,7 @@
 
 impl Voter {
     fn started() -> Self {
-        let config = MemberConfig {
-            local_member: seat(VOTER),
-            bootstrap_voters: None,
-            fault_budget: FaultBudget {
-                machine_losses: 1,
-                ..FaultBudget::default()
-            },
-            lease_duration: LEASE,
-            request_timeout: ms(3500),
-            disk_stall_timeout: ms(600),
-        };
+        let config = member_config(seat(VOTER), None, budget(1, 0, 0));
         let mut voter = Self {
             now: ms(0),
             member: Member::new(config, &[], ms(0), 7),
@@ -160,7 +147,7 @@
 #[case::of_the_holder_as_a_candidate(HOLDER, LATER_EPOCH, true)]
 #[case::of_somebody_else(THIRD, LATER_EPOCH, false)]
 #[case::of_an_earlier_lease(HOLDER, EPOCH - 1, false)]
-fn a_lease_is_released_by_its_holder_only(
+fn lease_when_released_by_another_member_then_it_lasts(
     #[case] from: u64,
     #[case] epoch: u64,
     #[case] released: bool,
@@ -175,7 +162,7 @@
 /// The holder was out of touch for a lease, is heard again while the voter's question is under way, and only then
 /// comes the answer of the third, who has lost touch meanwhile.
 #[test]
-fn who_grants_a_lease_stands_no_more() {
+fn candidate_when_it_grants_a_lease_then_it_campaigns_no_more() {
     let mut voter = Voter::started();
     voter.asks_for_pre_votes();
     voter.grants();
--- a/crates/control-plane/tests/many_changes.rs
+++ b/crates/control-plane/tests/log_rewrites.rs
@@ -1,14 +1,16 @@
 //! Hundreds of changes: what the file comes to, what a member that starts again makes of it, and what it does where
 //! its records can't be relied on.
 
+mod support;
+
 use configuration::{FaultBudget, ResultCode};
 use control_plane::member::{DiskError, Input, Member, MemberConfig, Output, ReplayError};
 use control_plane::replicated_state::{Plan, ReplicatedState, MAX_CONFIGURATION_BYTES};
 use protocol::{AppliedRequest, Change, Command, MemberInfo, MembershipConfig, Message, Record};
 use rstest::rstest;
 use std::time::Duration;
+use support::{member_config, LEASE};
 
-const LEASE: Duration = Duration::from_millis(1000);
 /// Changes between two words of the primary.
 const RENEWED_EACH: u64 = 5;
 const ME: u64 = 2;
@@ -53,14 +55,7 @@
 }
 
 fn config(me: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> MemberConfig {
-    MemberConfig {
-        local_member: seat(me),
-        bootstrap_voters,
-        fault_budget: FaultBudget::default(),
-        lease_duration: LEASE,
-        request_timeout: Duration::from_millis(3500),
-        disk_stall_timeout: Duration::from_millis(600),
-    }
+    member_config(seat(me), bootstrap_voters, FaultBudget::default())
 }
 
 fn view() -> MembershipConfig {
@@ -236,7 +231,7 @@
 #[case::small(2_000, 10, 1)]
 #[case::hundreds_of_routes(600, 600, 1)]
 #[case::eight_under_way(600, 600, 8)]
-fn a_file_is_rewritten_while_changes_keep_coming(
+fn file_when_changes_keep_coming_then_it_is_rewritten(
     #[case] changes: u64,
     #[case] routes: usize,
     #[case] under_way: u64,
@@ -285,7 +280,7 @@
 /// A restart at any moment of a long row of changes: the ledger shown is one that was acknowledged and never an
 /// older one than an earlier life showed; the ledger held has all that the replica confirmed.
 #[test]
-fn a_restart_after_any_change_loses_nothing() {
+fn member_when_restarted_after_any_change_then_nothing_is_lost() {
     let mut machine = replica();
     machine.compares = true;
     let mut shown = 0;
@@ -328,7 +323,7 @@
 
 /// A full disk refuses every write: the replica says so to the primary, and says when there is room again.
 #[test]
-fn a_replica_whose_disk_was_full_is_fit_again() {
+fn replica_when_its_disk_has_room_again_then_it_is_healthy() {
     let mut machine = replica();
     machine.refuses_all = true;
     machine.hear(Message::AppendChange {
@@ -402,7 +397,7 @@
 
 /// A rewrite needs room for a second file. Where that is refused and appends are not, the primary goes on.
 #[test]
-fn a_rewrite_without_room_holds_up_no_change() {
+fn rewrite_when_refused_then_changes_go_on() {
     let mut machine = Machine::start(config(ME, Some(vec![seat(ME)])), vec![], Duration::ZERO);
     machine.until_it_acts();
     machine.refuses_rewrites = true;
@@ -454,7 +449,7 @@
 /// The longest ledger there can be, with 10,000 hosts that leave at once by names of the longest kind: one frame and
 /// one record hold it whole.
 #[test]
-fn the_longest_ledger_fits_a_frame_and_a_record() {
+fn largest_state_when_encoded_then_it_fits_a_frame_and_a_record() {
     let note = "x".repeat(1 << 20);
     let route = |n: usize, note: &str| {
         format!(
@@ -547,7 +542,7 @@
 #[case::cannot_be_made(vec![numbered(EPOCH, 2, 9)], None, |e: &ReplayError| matches!(e, ReplayError::Change { record: 2, .. }))]
 #[case::no_ledger(vec![accepted(None), numbered(EPOCH, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::NoLedger { record: 3 }))]
 #[case::ledger(vec![unreadable_ledger()], None, |e: &ReplayError| matches!(e, ReplayError::InvalidSnapshot { record: 2, .. }))]
-fn a_member_whose_records_cannot_be_relied_on_has_no_say(
+fn member_when_its_records_are_corrupt_then_it_has_no_vote(
     #[case] records: Vec<Record>,
     #[case] raw: Option<Vec<u8>>,
     #[case] expected: fn(&ReplayError) -> bool,
--- a/crates/control-plane/tests/without_a_say.rs
+++ b/crates/control-plane/tests/members_without_vote.rs
@@ -1,20 +1,18 @@
 //! A member without a say knows who acts by what others tell alone: it hands calls on while it is in touch with that
 //! member, and sends its callers elsewhere once it isn't.
 
-use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Input, Member, MemberConfig, Output};
+mod support;
+
+use configuration::ResultCode;
+use control_plane::member::{Input, Member, Output};
 use protocol::{Addr, Command, MemberInfo, Message};
 use rstest::rstest;
 use std::time::Duration;
+use support::{budget, member_config, ms};
 
-const LEASE: Duration = Duration::from_millis(1000);
 const READ: Command = Command::Read { reserved: 0 };
 const EPOCH: u64 = 1 << 20;
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
-
 fn seat(id: u64) -> MemberInfo {
     let addr = Addr {
         ip: id as u32,
@@ -40,17 +38,7 @@
 
 impl Mirroring {
     fn told_of(primary: u64) -> Self {
-        let config = MemberConfig {
-            local_member: seat(9),
-            bootstrap_voters: None,
-            fault_budget: FaultBudget {
-                machine_losses: 1,
-                ..FaultBudget::default()
-            },
-            lease_duration: LEASE,
-            request_timeout: ms(3500),
-            disk_stall_timeout: ms(600),
-        };
+        let config = member_config(seat(9), None, budget(1, 0, 0));
         let member = Member::new(config, &[], ms(0), 7);
         let mut mirroring = Self {
             now: ms(0),
@@ -110,7 +98,7 @@
 }
 
 #[test]
-fn it_hands_on_to_whom_it_was_told_of() {
+fn command_when_the_primary_is_known_from_others_then_forwarded_to_it() {
     let mut mirroring = Mirroring::told_of(1);
     let (took, code) = mirroring.call(1, Some(1));
     assert!(mirroring.forwarded > 0);
@@ -119,7 +107,7 @@
 
 /// Whom it was told of and has never heard of itself, it may be about to reach.
 #[test]
-fn who_was_never_heard_of_is_tried() {
+fn command_when_the_primary_was_never_heard_of_then_forwarded_to_it() {
     let mut mirroring = Mirroring::told_of(1);
     mirroring.step(Input::Command {
         ticket: 1,
@@ -131,7 +119,7 @@
 /// Five and twenty seconds after it lost touch callers are told within 0.25 s that no primary has their call; once it
 /// is in touch again their calls are handed on.
 #[rstest]
-fn it_knows_when_it_has_lost_touch(#[values(5, 20)] seconds: u64) {
+fn member_when_the_primary_is_silent_then_it_counts_as_unreachable(#[values(5, 20)] seconds: u64) {
     let mut mirroring = Mirroring::told_of(1);
     mirroring.run(ms(3000), Some(1));
     mirroring.run(ms(seconds * 1000), None);
--- a/crates/control-plane/tests/cut_off.rs
+++ b/crates/control-plane/tests/partition.rs
@@ -1,14 +1,15 @@
 //! Members that are cut off, one way or both, or stand still for twenty seconds: what they take for proof, what they
 //! answer, and that the others go on. Simulated time; what a cut holds up comes when it ends.
 
-mod cut_core;
+mod support;
 
 use configuration::ResultCode;
-use cut_core::{configuration, ms, replace, Core, ACK, CUT, LEASE, READ};
 use rstest::rstest;
+use support::partition_cluster::{configuration, replace, Core, ACK, CUT, READ};
+use support::{ms, LEASE};
 
 #[test]
-fn in_calm_times_all_have_fresh_proof() {
+fn members_when_nothing_fails_then_all_have_a_recent_primary_contact() {
     let mut core = Core::started(3, 1);
     for _ in 0..40 {
         core.run(ms(53));
@@ -22,7 +23,7 @@
 #[rstest]
 #[case::a_replica(false)]
 #[case::a_witness(true)]
-fn who_wakes_takes_nothing_old_for_proof(#[case] witness: bool) {
+fn member_when_it_wakes_then_old_messages_are_no_primary_contact(#[case] witness: bool) {
     let mut core = Core::started(3, 1);
     core.order(&[0], replace(0, 5));
     let (primary, replicas) = (core.primary(), core.replicas());
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_primary_that_wakes_confirms_and_tells_nothing() {
+fn primary_when_it_wakes_after_its_lease_then_it_confirms_and_tells_nothing() {
     let mut core = Core::started(3, 1);
     core.order(&[0], replace(0, 5));
     let old = core.primary();
@@ -110,7 +111,7 @@
 #[case::another(3, 1, false)]
 #[case::two_of_five_with_the_primary(5, 2, true)]
 #[case::two_of_five(5, 2, false)]
-fn cut_off_for_twenty_seconds(
+fn members_when_partitioned_for_twenty_seconds_then_requests_are_applied_by_the_majority(
     #[case] members: usize,
     #[case] losses: u32,
     #[case] with_primary: bool,
@@ -178,7 +179,10 @@
 #[rstest]
 #[case::it_hears_but_isn_t_heard(true)]
 #[case::it_is_heard_but_hears_nothing(false)]
-fn cut_off_one_way(#[case] hears: bool, #[values(false, true)] the_primary: bool) {
+fn member_when_partitioned_one_way_then_its_contact_ages(
+    #[case] hears: bool,
+    #[values(false, true)] the_primary: bool,
+) {
     let mut core = Core::started(3, 1);
     assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let primary = core.primary();
@@ -222,7 +226,7 @@
 #[rstest]
 #[case::alone(1)]
 #[case::again_and_again(4)]
-fn restarted_while_cut_off(#[case] times: usize) {
+fn member_when_restarted_while_partitioned_then_its_state_is_unconfirmed(#[case] times: usize) {
     let mut core = Core::started(3, 1);
     assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     core.run(ms(1000));
@@ -248,7 +252,7 @@
 
 /// Those cut off are restarted, then the others.
 #[test]
-fn all_restarted_during_the_cut() {
+fn members_when_all_restart_during_a_partition_then_the_majority_goes_on() {
     let mut core = Core::started(3, 1);
     assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
     let one = core.primary();
@@ -272,7 +276,7 @@
 
 /// Its copy follows the order, but nobody grants the lease any more: the answer waits, and is no false yes.
 #[test]
-fn an_order_under_way_at_the_cut_gets_no_false_answer() {
+fn request_when_in_flight_at_the_partition_then_it_gets_no_false_answer() {
     for after in 0..12 {
         let mut core = Core::started(3, 1);
         assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
--- a/crates/control-plane/tests/cut_off_groups.rs
+++ b/crates/control-plane/tests/partition_by_zone.rs
@@ -2,12 +2,13 @@
 //! still, as far as the budget allows; and clocks that drift meanwhile. In every case the healthy side takes orders
 //! within the bound, whoever is cut off neither confirms nor refuses, and no two act at once.
 
-mod cut_core;
+mod support;
 
 use configuration::{FaultBudget, ResultCode};
 use control_plane::member::majority_shortfall;
-use cut_core::{configuration, ms, replace, Core, ACK, CUT, LEASE, READ};
 use rstest::rstest;
+use support::partition_cluster::{configuration, replace, Core, ACK, CUT, READ};
+use support::{ms, LEASE};
 
 /// Two machines in each of three zones, of which one may be lost.
 const ZONES: ([&str; 6], FaultBudget) = (
@@ -125,7 +126,7 @@
 
 /// A zone or region with the primary, or another one.
 #[rstest]
-fn a_zone_or_region_cut_off(
+fn zone_or_region_when_partitioned_then_the_majority_goes_on(
     #[values(ZONES, REGIONS)] (places, budget): ([&str; 6], FaultBudget),
     #[values(Way::Neither, Way::In, Way::Out)] way: Way,
     #[values(true, false)] with_primary: bool,
@@ -166,7 +167,7 @@
 
 /// One and two of five, heard only or hearing only, the primary among them or not.
 #[rstest]
-fn one_way_with_five_members(
+fn five_members_when_partitioned_one_way_then_the_majority_goes_on(
     #[values(1, 2)] many: usize,
     #[values(Way::In, Way::Out)] way: Way,
     #[values(true, false)] with_primary: bool,
@@ -209,7 +210,7 @@
 /// One stands still for twenty seconds and wakes while another is cut off, for twenty seconds too, of five members
 /// that bear both.
 #[rstest]
-fn one_sleeps_while_another_is_cut_off(
+fn member_when_paused_while_another_is_partitioned_then_one_primary_acts(
     #[values(Part::Primary, Part::Replica, Part::Witness)] sleeps: Part,
     #[values(Part::Primary, Part::Replica, Part::Witness)] cut: Part,
     #[values(0, 400, 10_000)] cut_after_ms: u64,
@@ -260,7 +261,7 @@
 #[rstest]
 #[case::the_primary_s_is_slow(-40_000, 40_000)]
 #[case::the_primary_s_is_fast(40_000, -40_000)]
-fn clocks_drift_while_the_primary_is_cut_off(
+fn clocks_when_they_drift_during_a_partition_then_one_primary_acts(
     #[case] primary_ppm: i64,
     #[case] others_ppm: i64,
     #[values(Way::Neither, Way::In, Way::Out)] way: Way,
@@ -291,7 +292,7 @@
 /// Clocks that drift by far more than a tenth against each other: two act at once, and the check sees it.
 #[test]
 #[should_panic(expected = "act at")]
-fn clocks_that_drift_too_far_are_found_out() {
+fn clocks_when_they_drift_too_far_then_the_check_fails() {
     let mut core = Core::started(3, 1);
     let primary = core.primary();
     for n in 0..3 {
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -1,13 +1,14 @@
 //! An operator goes on from one replica's disk when a majority is lost for good
 //! (`docs/operators/losing-a-majority.md`).
 
-mod cluster;
+mod support;
 
-use cluster::{ms, Cluster};
 use configuration::ResultCode;
 use control_plane::recovery::{latest_epoch, RecoveredRecords, RecoveryError, SurvivingReplica};
 use control_plane::runtime::identity::{Identity, StoredLog};
 use std::time::Duration;
+use support::event_cluster::Cluster;
+use support::ms;
 
 const SOON: Duration = ms(8000);
 const NEW: u64 = 0xabcdef;
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn without_a_majority_nothing_is_taken() {
+fn requests_when_no_majority_is_left_then_none_is_applied() {
     let (mut cluster, left) = all_but_one_lost();
     cluster.restart(left);
     let ticket = cluster.call(left, Cluster::configure(1, 2));
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_recovered_replica_tells_what_was_acknowledged_and_takes_changes_with_others() {
+fn recovered_replica_when_others_join_then_it_accepts_changes() {
     let (mut cluster, left) = all_but_one_lost();
     recover(&mut cluster, left);
     cluster
@@ -94,7 +95,7 @@
 
 /// Members that were given up come back, as a majority of their own, before and after others have joined.
 #[test]
-fn members_given_up_come_back_and_follow() {
+fn given_up_members_when_they_come_back_then_they_follow() {
     let (mut cluster, left) = all_but_one_lost();
     recover(&mut cluster, left);
     cluster
@@ -112,7 +113,7 @@
 
 /// They have taken a change of their own by then: it goes, the recovered ledger stays, and only one side acts.
 #[test]
-fn members_given_up_that_acted_meanwhile_end_their_part() {
+fn given_up_members_when_they_acted_meanwhile_then_they_step_down() {
     let (mut cluster, left) = all_but_one_lost();
     let old: Vec<usize> = (0..3).filter(|n| *n != left).collect();
     recover(&mut cluster, left);
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn a_witness_is_refused() {
+fn recovery_when_the_member_is_a_witness_then_refused() {
     let mut cluster = Cluster::of_three();
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn all_that_are_given_up_are_named_and_no_other() {
+fn recovery_when_lost_members_are_not_named_exactly_then_refused() {
     let (cluster, left) = all_but_one_lost();
     let survivor =
         SurvivingReplica::read(&identity(&cluster, left), cluster.records(left)).unwrap();
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn records_that_are_not_as_they_should_be_are_refused() {
+fn recovery_when_records_are_invalid_then_refused() {
     let (cluster, left) = all_but_one_lost();
     let (identity, records) = (identity(&cluster, left), cluster.records(left).to_vec());
     assert!(matches!(
--- a/crates/control-plane/tests/orders.rs
+++ b/crates/control-plane/tests/repeated_requests.rs
@@ -1,17 +1,17 @@
 //! Configuration orders sent again, by several operators, through several members: never two confirmed on one
 //! version, never a taken one refused. Members run on simulated time; no sockets, no files.
 
-#[path = "orders/early.rs"]
-mod early;
-mod order_cluster;
+#[path = "repeated_requests/early_proposals.rs"]
+mod early_proposals;
+mod support;
 
 use configuration::ResultCode;
 use control_plane::applied_requests::{request_fingerprint, MIN_RETAINED_REQUESTS};
 use control_plane::replicated_state::{Plan, ReplicatedState};
-use order_cluster::{Cluster, Held};
 use proptest::prelude::*;
 use protocol::{Change, Command, Message};
 use rstest::rstest;
+use support::request_cluster::{Cluster, Held};
 
 fn body(version: u64, note: &str) -> Vec<u8> {
     format!(r#"{{"version":{version},"routes":[],"services":[{{"name":"s","note":"{note}"}}]}}"#)
@@ -52,7 +52,7 @@
 const SAME_FNV: (&str, &str) = ("_s4aICVnRYI", "4JAZqIeLCtH");
 
 #[test]
-fn two_orders_of_one_short_digest_are_not_both_confirmed() {
+fn two_requests_when_their_short_digests_are_equal_then_one_is_confirmed() {
     let ledger = taken(&ReplicatedState::default(), &order(0, 2, "x"));
     let ledger = taken(&ledger, &order(2, 3, SAME_FNV.0));
     assert_eq!(answer(&ledger, &order(2, 3, SAME_FNV.0)), ResultCode::Ok);
@@ -66,7 +66,9 @@
 #[case::the_next(1)]
 #[case::after_512_others(513)]
 #[case::as_long_as_promised(MIN_RETAINED_REQUESTS as u64 - 1)]
-fn a_taken_order_is_confirmed_again_after_others_and_a_lost_one_is_refused(#[case] others: u64) {
+fn repeated_request_when_applied_then_it_is_confirmed_and_when_superseded_then_rejected(
+    #[case] others: u64,
+) {
     let ledger = after_orders(others + 1);
     for ledger in [
         ReplicatedState::from_snapshot(&ledger.snapshot()).unwrap(),
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn an_order_older_than_the_memory_is_neither_refused_nor_confirmed() {
+fn repeated_request_when_older_than_retained_then_neither_rejected_nor_confirmed() {
     let ledger = after_orders(MIN_RETAINED_REQUESTS as u64 + 200);
     let remembered = ledger.applied_requests.iter().count();
     assert!(
@@ -187,7 +189,7 @@
 }
 
 #[test]
-fn the_same_content_on_the_version_that_it_led_to_is_invalid() {
+fn request_when_repeated_on_the_version_that_it_led_to_then_invalid() {
     let ledger = taken(&ReplicatedState::default(), &order(0, 2, "x"));
     assert_eq!(answer(&ledger, &order(2, 2, "x")), ResultCode::OldVersion);
 }
@@ -211,7 +213,7 @@
 
 proptest! {
     #[test]
-    fn fingerprints_are_equal_exactly_where_contents_are(one in json_value(), two in json_value()) {
+    fn fingerprints_when_compared_then_equal_exactly_if_contents_are(one in json_value(), two in json_value()) {
         let compact = one.to_string().into_bytes();
         let spaced = serde_json::to_vec_pretty(&one).unwrap();
         prop_assert_eq!(request_fingerprint(4, true, &compact), request_fingerprint(4, true, &spaced));
@@ -222,7 +224,7 @@
     /// Operators send orders on any version, new ones and old ones again; the ledger is now and then replaced by
     /// its snapshot, as in a takeover.
     #[test]
-    fn each_version_is_followed_by_one_order_and_that_one_is_always_confirmed(
+    fn requests_when_repeated_at_random_then_one_per_version_is_confirmed(
         steps in prop::collection::vec((0u64..40, 0u64..3, 0u64..4, any::<bool>()), 1..200)
     ) {
         let mut ledger = ReplicatedState::default();
@@ -254,7 +256,7 @@
 }
 
 #[test]
-fn an_answer_to_a_call_of_an_earlier_life_reaches_no_caller_of_the_next() {
+fn answer_when_for_an_earlier_incarnation_then_it_reaches_no_caller() {
     let mut cluster = Cluster::new(3);
     let primary = cluster.primary();
     let other = cluster.witness();
@@ -272,7 +274,7 @@
 }
 
 #[test]
-fn a_forwarded_order_that_is_delivered_again_late_changes_nothing() {
+fn forwarded_request_when_delivered_again_late_then_nothing_changes() {
     let mut cluster = Cluster::new(3);
     let primary = cluster.primary();
     let other = cluster.witness();
@@ -299,7 +301,7 @@
 
 /// The order was taken, its answer lost; it is sent again after a takeover, a restart of all, a rewrite.
 #[test]
-fn an_order_sent_again_is_confirmed_by_the_next_primary_and_after_a_restart() {
+fn repeated_request_when_the_primary_changes_then_it_is_confirmed() {
     let mut cluster = Cluster::new(3);
     let first = cluster.primary();
     cluster.command(first, 1, order(0, 2, "a"));
@@ -323,7 +325,7 @@
 
 /// Hundreds of orders, so that the files are rewritten; all of them are known again after a restart of all.
 #[test]
-fn taken_orders_outlive_rewrites_of_the_file() {
+fn applied_requests_when_the_file_is_rewritten_then_they_remain() {
     const ORDERS: u64 = 400;
     let mut cluster = Cluster::new(3);
     let primary = cluster.primary();
@@ -352,7 +354,7 @@
 
 /// A replica loses its disk and joins again with nothing; then the primary is lost for good.
 #[test]
-fn a_member_that_joined_empty_knows_the_orders_taken_before() {
+fn member_when_it_joins_empty_then_it_knows_applied_requests() {
     let mut cluster = Cluster::new(3);
     let primary = cluster.primary();
     let witness = cluster.witness();
@@ -375,7 +377,7 @@
 /// A primary that is cut off has an order pending. The others take another one on the same version. Neither the
 /// answer of the first nor one that rests on it may ever say yes.
 #[test]
-fn an_order_that_a_cut_off_primary_could_not_make_safe_is_never_confirmed() {
+fn request_when_a_partitioned_primary_cannot_replicate_it_then_never_confirmed() {
     let mut cluster = Cluster::new(3);
     let old = cluster.primary();
     let others: Vec<usize> = (0..3).filter(|n| *n != old).collect();
@@ -415,7 +417,7 @@
 /// A replica is lost while an order waits for it: the primary makes a view without it. What waited is dropped with the
 /// old view, and planned anew in the next, for its own callers and for those of others.
 #[test]
-fn an_order_under_way_when_the_primary_makes_a_new_view_is_confirmed_in_that_view() {
+fn request_when_in_flight_during_a_membership_change_then_confirmed_after_it() {
     let mut cluster = Cluster::new(3);
     let (primary, witness) = (cluster.primary(), cluster.witness());
     let replica = (0..3).find(|n| ![primary, witness].contains(n)).unwrap();
@@ -441,7 +443,7 @@
 /// What a member answers stands even where the primary freezes: a caller's order is asked of the next primary as
 /// soon as that one acts, and not only when the caller tries again.
 #[test]
-fn an_order_handed_to_a_primary_that_stands_still_is_asked_of_the_next_at_once() {
+fn request_when_its_primary_is_paused_then_sent_to_the_next_at_once() {
     let mut cluster = Cluster::new(3);
     let frozen = cluster.primary();
     let others: Vec<usize> = (0..3).filter(|n| *n != frozen).collect();
@@ -464,7 +466,7 @@
 /// A member that has been cut off for a while doesn't hold its callers: they go elsewhere, or hear from it as soon as
 /// it is back in touch.
 #[test]
-fn a_member_that_is_cut_off_sends_its_callers_away_at_once() {
+fn member_when_partitioned_then_callers_are_answered_at_once() {
     let mut cluster = Cluster::new(3);
     let primary = cluster.primary();
     let other = cluster.witness();
@@ -498,7 +500,7 @@
 #[rstest]
 #[case::same_version(true)]
 #[case::other_versions(false)]
-fn of_eight_orders_at_once_one_is_confirmed(#[case] same: bool) {
+fn eight_requests_when_sent_at_once_then_one_is_confirmed(#[case] same: bool) {
     let mut cluster = Cluster::new(3);
     let sent: Vec<(usize, u64, Command)> = (0..8u64)
         .map(|n| {
@@ -536,7 +538,7 @@
 }
 
 #[test]
-fn the_same_order_from_two_senders_is_confirmed_to_both() {
+fn request_when_sent_by_two_senders_then_confirmed_to_both() {
     let mut cluster = Cluster::new(3);
     for member in 0..3 {
         cluster.command(member, 1, order(0, 2, "a"));
--- a/crates/control-plane/tests/orders/early.rs
+++ b/crates/control-plane/tests/repeated_requests/early_proposals.rs
@@ -1,6 +1,6 @@
 //! Orders that build on a version which isn't in force yet: never refused, as a late copy of them may be taken.
 
-use super::order_cluster::Cluster;
+use super::support::request_cluster::Cluster;
 use super::{answer, order, taken};
 use configuration::ResultCode;
 use control_plane::replicated_state::ReplicatedState;
@@ -12,7 +12,7 @@
 const AT_ONCE: u64 = 8;
 
 #[test]
-fn an_order_above_the_version_in_force_is_refused_only_once_its_base_can_never_be() {
+fn early_request_when_its_base_can_never_be_in_force_then_rejected() {
     let ledger = taken(&ReplicatedState::default(), &order(0, 2, "first"));
     let early = order(5, 7, "early");
     assert_eq!(answer(&ledger, &early), ResultCode::BaseNotInForce);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_caller_with_a_mistyped_base_is_told_the_version_in_force_while_it_waits() {
+fn early_request_when_its_base_does_not_come_then_told_the_version_in_force() {
     let mut cluster = Cluster::new(3);
     let members = [cluster.primary(), cluster.witness()];
     cluster.command(members[0], 1, order(0, 2, "first"));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_copy_that_comes_late_is_taken_and_its_order_was_never_refused() {
+fn early_request_when_a_copy_arrives_late_then_applied() {
     let mut cluster = Cluster::new(3);
     let (primary, other) = (cluster.primary(), cluster.witness());
     cluster.command(other, 1, order(2, 5, "early"));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn orders_that_build_on_one_another_are_taken_in_whatever_order_they_come() {
+fn dependent_requests_when_they_arrive_in_any_order_then_all_are_applied() {
     let mut cluster = Cluster::new(3);
     cluster.primary();
     let since = cluster.now_ms();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn beyond_the_orders_that_may_be_under_way_a_caller_hears_at_once() {
+fn early_requests_when_too_many_are_held_then_answered_at_once() {
     let mut cluster = Cluster::new(3);
     let primary = cluster.primary();
     for n in 0..=AT_ONCE {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_early_order_held_by_a_primary_that_stands_still_is_asked_of_the_next() {
+fn early_request_when_its_primary_is_paused_then_sent_to_the_next() {
     let mut cluster = Cluster::new(3);
     let frozen = cluster.primary();
     let others: Vec<usize> = (0..3).filter(|n| *n != frozen).collect();
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/replicated_state.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn of_two_on_one_base_the_second_is_refused_and_the_first_again_is_confirmed() {
+fn two_requests_when_on_one_base_then_the_second_is_rejected_and_the_first_is_idempotent() {
     let (first, second) = (replace(0, body(2, "s")), replace(0, body(3, "s")));
     let ledger = taken(&ReplicatedState::default(), &first);
     assert_eq!(answer(&ledger, &second), ResultCode::OtherBase);
@@ -52,14 +52,17 @@
 #[case(replace(2, body(2, "s")), ResultCode::OldVersion)]
 #[case(replace(2, body(3, "other")), ResultCode::UnknownService)]
 #[case(replace(1, body(3, "s")), ResultCode::OtherBase)]
-fn an_invalid_configuration_changes_nothing(#[case] command: Command, #[case] code: ResultCode) {
+fn configuration_when_invalid_then_nothing_changes(
+    #[case] command: Command,
+    #[case] code: ResultCode,
+) {
     let ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
     assert_eq!(answer(&ledger, &command), code);
 }
 
 /// A ledger has to fit into a frame and a record, whichever way it grew.
 #[test]
-fn amendments_cannot_make_a_configuration_too_long() {
+fn amendments_when_the_result_is_too_large_then_they_are_rejected() {
     let amendment = |base: u64, n: usize| {
         let note = "x".repeat(1 << 20);
         let route = format!(
@@ -91,7 +94,7 @@
 
 /// What changes hold in memory together is what differs between them.
 #[test]
-fn a_whole_configuration_shares_what_stays() {
+fn configuration_when_replaced_then_unchanged_items_are_shared() {
     let routes = |version: u64| {
         let route = |n: u64| {
             let deadline = if n == version { 2 } else { 1 };
@@ -118,7 +121,7 @@
 }
 
 #[test]
-fn nothing_taken_yet_is_said_clearly() {
+fn read_when_nothing_was_applied_then_the_code_says_so() {
     assert_eq!(
         answer(&ReplicatedState::default(), &Command::Read { reserved: 0 }),
         ResultCode::NoConfiguration
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn a_snapshot_holds_the_whole_ledger() {
+fn snapshot_when_read_back_then_the_state_is_equal() {
     let ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
     let ledger = taken(&ledger, &Command::Drain { host: "i-1".into() });
     assert_eq!(
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -1,13 +1,14 @@
 //! A second loss right after a repair, a replacement or a departure leaves a majority and all that was
 //! acknowledged (`docs/design/hardening/3-second-loss.md`).
 
-mod cluster;
+mod support;
 
-use cluster::{budget, ms, Cluster, LEASE};
 use configuration::ResultCode;
 use control_plane::member::majority_shortfall;
 use protocol::{MemberInfo, Message};
 use rstest::rstest;
+use support::event_cluster::Cluster;
+use support::{budget, ms, LEASE};
 
 const SOON: std::time::Duration = ms(8000);
 
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn a_replica_leaves_only_once_another_holds_the_ledger() {
+fn replica_when_departing_then_waits_until_another_holds_the_state() {
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     cluster.leave(second);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_primary_leaves_only_once_two_others_hold_the_ledger() {
+fn primary_when_departing_then_waits_until_two_others_hold_the_state() {
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     cluster.leave(first);
@@ -63,7 +64,7 @@
 
 /// The other replica and its disk are lost; the only one that holds the ledger is asked to end.
 #[test]
-fn one_that_alone_holds_the_ledger_waits_for_the_next() {
+fn last_replica_when_departing_then_waits_for_the_next() {
     let mut cluster = Cluster::of_three();
     let (first, second, _) = parts(&mut cluster);
     cluster.kill(second);
@@ -82,7 +83,7 @@
 
 /// Where nobody comes for a while the last copy is put onto a witness before it goes.
 #[test]
-fn one_that_cannot_hand_over_in_full_hands_over_to_whoever_is_there() {
+fn primary_when_it_cannot_hand_over_in_full_then_hands_over_to_whoever_is_there() {
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     cluster.kill(second);
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn all_may_leave_at_once_and_soon() {
+fn members_when_all_depart_then_they_end_soon() {
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
     (0..3).for_each(|n| cluster.leave(n));
@@ -117,7 +118,7 @@
 #[case::primary(0)]
 #[case::replica(1)]
 #[case::witness(2)]
-fn a_planned_replacement_leaves_room_for_a_loss_at_once(#[case] part: usize) {
+fn planned_replacement_when_a_loss_follows_then_it_is_borne(#[case] part: usize) {
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
     let new = cluster.add("r/d");
@@ -150,7 +151,7 @@
 
 /// The primary is lost right after its view with a new voter has been agreed on, of which that voter was not told.
 #[test]
-fn a_voter_that_was_not_told_yet_may_promise() {
+fn voter_when_not_told_yet_then_it_may_promise() {
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     cluster.kill(witness);
@@ -174,7 +175,7 @@
 
 /// Between the view with both sets of voters and the one that settles it, the loss of any one must not stop all.
 #[test]
-fn a_change_of_voters_is_settled_at_once() {
+fn change_of_voters_when_committed_then_stable_at_once() {
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
     let new = cluster.add("r/d");
@@ -189,7 +190,7 @@
 
 /// One machine after the other is replaced, each time with a kill between.
 #[test]
-fn replaced_again_and_again_with_kills_between() {
+fn members_when_replaced_repeatedly_with_kills_between_then_requests_are_applied() {
     let mut cluster = Cluster::of_three();
     let mut alive = vec![0, 1, 2];
     for round in 0..6 {
@@ -224,7 +225,7 @@
 #[case::primary(0)]
 #[case::replica(1)]
 #[case::witness(2)]
-fn a_wiped_machine_is_a_voter_again_in_time(#[case] part: usize) {
+fn wiped_machine_when_it_is_back_then_it_is_a_voter_in_time(#[case] part: usize) {
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     let wiped = [first, second, witness][part];
@@ -238,7 +239,7 @@
 
 /// One that came while a voter was about to be missed joins once that voter is given up, however long that takes.
 #[test]
-fn a_member_that_came_too_early_joins_later() {
+fn member_when_it_came_too_early_then_it_joins_later() {
     let mut cluster = Cluster::of_three();
     let (_, _, witness) = parts(&mut cluster);
     cluster.cut(witness, true);
@@ -288,7 +289,10 @@
 #[case::seeds_of_one_zone(budget(1, 1, 0), &["r/a", "r/a", "r/b", "r/c", "r/c"])]
 #[case::regions(budget(1, 0, 1), &["r/a", "s/b", "t/c", "r/d", "r/e"])]
 #[case::machines_and_zones(budget(2, 1, 0), &["r/a", "r/b", "r/c", "r/a", "r/b"])]
-fn any_zone_or_region_may_go(#[case] budget: configuration::FaultBudget, #[case] zones: &[&str]) {
+fn zone_or_region_when_lost_then_requests_are_applied(
+    #[case] budget: configuration::FaultBudget,
+    #[case] zones: &[&str],
+) {
     let by_region = budget.region_losses > 0;
     let group = |place: &str| {
         let (region, zone) = place.split_once('/').unwrap();
@@ -309,7 +313,7 @@
 
 /// Machines removed one after the other, without others in their place, down to what the budget needs.
 #[test]
-fn several_are_removed_in_turn() {
+fn members_when_several_are_removed_then_in_turn() {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a", "r/b"]);
     cluster.apply(0, 1);
     cluster
@@ -341,7 +345,7 @@
 #[case::of_the_primary(0)]
 #[case::of_a_replica(1)]
 #[case::of_another(2)]
-fn one_of_three_disks_is_lost_before_more_have_joined(#[case] part: usize) {
+fn disk_when_lost_before_more_members_have_joined_then_reads_are_answered(#[case] part: usize) {
     let mut cluster = Cluster::start(budget(2, 0, 0), &["r/a", "r/b", "r/c"]);
     cluster.apply(0, 1);
     let lost = cluster.replicas()[part];
@@ -375,7 +379,7 @@
 /// A voter that leaves for good serves on for a while, and is heard of until its end: it doesn't become a voter again,
 /// beside which the next loss would leave no majority.
 #[test]
-fn one_that_left_for_good_is_no_voter_again() {
+fn member_when_departed_for_good_then_it_is_no_voter_again() {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a"]);
     cluster.apply(0, 1);
     cluster
--- a/crates/control-plane/tests/second_loss_sweep.rs
+++ b/crates/control-plane/tests/second_loss_sweep.rs
@@ -2,13 +2,14 @@
 //! in time, nothing acknowledged is lost, and after the time to catch up the next loss is borne as well
 //! (`docs/design/hardening/3-second-loss.md`).
 
-mod cluster;
+mod support;
 
-use cluster::{budget, ms, Cluster};
 use configuration::{FaultBudget, ResultCode};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
+use support::event_cluster::Cluster;
+use support::{budget, ms};
 
 /// Time that a machine has after its start until it no longer counts as lost.
 const CATCH_UP: Duration = ms(5000);
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/support/event_cluster.rs
@@ -1,15 +1,14 @@
 //! Members without I/O on a clock of the test's own: the network takes 1 ms, a disk 2 ms, a link says every second
 //! who is there. The same calls give the same run.
-#![allow(dead_code)] // Each test file uses its own part.
 
+use super::{budget, member_config, ms};
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Input, Member, MemberConfig, Output};
+use control_plane::member::{Input, Member, Output};
 use protocol::{Addr, Command, MemberInfo, MembershipConfig, Message};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-pub const LEASE: Duration = Duration::from_millis(1000);
 const NETWORK: Duration = Duration::from_millis(1);
 const DISK: Duration = Duration::from_millis(2);
 const LINK_REPORT: Duration = Duration::from_millis(1000);
@@ -17,19 +16,6 @@
 const LEAVE_TIME: Duration = Duration::from_millis(5000);
 const LAST_WORDS: Duration = Duration::from_millis(50);
 
-pub const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
-/// What may be lost: machines, zones, regions.
-pub const fn budget(machine_losses: u32, zones: u32, region_losses: u32) -> FaultBudget {
-    FaultBudget {
-        machine_losses,
-        zones,
-        region_losses,
-    }
-}
-
 #[derive(Clone)]
 enum Event {
     Wake,
@@ -179,14 +165,11 @@
 
     fn boot(&mut self, n: usize, initial: bool) {
         let voters = || self.nodes.iter().take(3).map(|n| n.seat.clone()).collect();
-        let config = MemberConfig {
-            local_member: self.nodes[n].seat.clone(),
-            bootstrap_voters: initial.then(voters),
-            fault_budget: self.budget,
-            lease_duration: LEASE,
-            request_timeout: ms(3500),
-            disk_stall_timeout: ms(600),
-        };
+        let config = member_config(
+            self.nodes[n].seat.clone(),
+            initial.then(voters),
+            self.budget,
+        );
         let random = 77 * (n as u64 + 1) + u64::from(self.nodes[n].life);
         let node = &mut self.nodes[n];
         node.life += 1;
--- a/crates/control-plane/tests/cut_core/mod.rs
+++ b/crates/control-plane/tests/support/partition_cluster.rs
@@ -1,22 +1,17 @@
 //! A core on simulated time whose members are cut off, one way or both, or stand still: what a cut holds up comes when
 //! it ends. Each member counts by a clock of its own, which may run fast or slow.
-#![allow(dead_code)] // Each test file uses its own part.
 
+use super::{member_config, ms, LEASE};
 use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Input, Member, MemberConfig, Output};
+use control_plane::member::{Input, Member, Output};
 use protocol::{Addr, Command, MemberInfo};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-pub const LEASE: Duration = Duration::from_millis(1000);
 /// The longest that an order may wait (`ack_ms` of the deployments).
 pub const ACK: Duration = Duration::from_millis(4000);
 pub const CUT: Duration = Duration::from_secs(20);
 
-pub fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
-
 /// Time between two reports of a link that its member is there.
 const LINK_REPORT: Duration = Duration::from_millis(1000);
 /// The voters of view 0 where members stand in zones: as many as there are seeds.
@@ -142,14 +137,11 @@
     fn node(&self, n: usize, records: Vec<Vec<u8>>) -> Node {
         let voters = self.seats[..self.initial_voters].to_vec();
         let initial = n < self.initial_voters && records.is_empty();
-        let config = MemberConfig {
-            local_member: self.seats[n].clone(),
-            bootstrap_voters: Some(voters).filter(|_| initial),
-            fault_budget: self.budget,
-            lease_duration: LEASE,
-            request_timeout: ms(3500),
-            disk_stall_timeout: ms(600),
-        };
+        let config = member_config(
+            self.seats[n].clone(),
+            Some(voters).filter(|_| initial),
+            self.budget,
+        );
         let random = self.now.as_millis() as u64 * 16 + n as u64;
         Node {
             member: Member::new(config, &records, ms(0), random),
--- a/crates/control-plane/tests/order_cluster/mod.rs
+++ b/crates/control-plane/tests/support/request_cluster.rs
@@ -1,7 +1,8 @@
 //! Members on simulated time: messages take 1 ms, writes 2 ms; what has to be held, cut or lost is told.
 
-use configuration::{FaultBudget, ResultCode};
-use control_plane::member::{Input, Member, MemberConfig, Output};
+use super::{budget, member_config};
+use configuration::ResultCode;
+use control_plane::member::{Input, Member, Output};
 use protocol::{Addr, Command, MemberInfo, Message};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -109,18 +110,11 @@
         let voters: Vec<MemberInfo> = self.nodes.iter().map(|n| n.info.clone()).collect();
         let node = &mut self.nodes[n];
         node.life += 1;
-        let config = MemberConfig {
-            local_member: node.info.clone(),
-            bootstrap_voters: (node.life == 1).then(|| voters.clone()),
-            fault_budget: FaultBudget {
-                machine_losses: 1,
-                zones: 0,
-                region_losses: 0,
-            },
-            lease_duration: Duration::from_millis(1000),
-            request_timeout: Duration::from_millis(3500),
-            disk_stall_timeout: Duration::from_millis(600),
-        };
+        let config = member_config(
+            node.info.clone(),
+            (node.life == 1).then(|| voters.clone()),
+            budget(1, 0, 0),
+        );
         let random = (n as u64 + 1) * 1_000_003 + node.life * 7_919;
         node.member = Some(Member::new(config, &node.records, self.now, random));
         node.answers.clear();
