--- a/crates/control-plane/tests/log_rewrites.rs
+++ b/crates/control-plane/tests/log_rewrites.rs
@@ -501,7 +501,7 @@
     }
     let record = protocol::encode_record(&accepted(Some(&ledger)));
     assert!(
-        record.len() <= append_log::format::MAX_RECORD,
+        record.len() <= append_log::format::MAX_RECORD_BYTES,
         "{} bytes",
         record.len()
     );
--- a/crates/fennelpin-cli/src/lib.rs
+++ b/crates/fennelpin-cli/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use fennelpin_cli::operator_settings::OperatorSettings;
 //! let settings = OperatorSettings::read(None).unwrap();
-//! assert_eq!(settings.runtime_settings().lease.as_millis(), 1000);
+//! assert_eq!(settings.runtime_settings().lease_duration.as_millis(), 1000);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/proxy/tests/host_failures.rs
+++ b/crates/proxy/tests/host_failures.rs
@@ -6,10 +6,14 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-const SEAL: &str = "Fennelpin-Host-Seal: seal";
+const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 
 /// What is sent to the first host is followed by the second: how often it is asked, and what the client gets.
-async fn two(path: &str, play: impl AsyncFnOnce(TestConnection), answers: bool) -> Message {
+async fn play_first_of_two(
+    path: &str,
+    play: impl AsyncFnOnce(TestConnection),
+    responses: bool,
+) -> Message {
     let (mut one, mut two) = (
         FakeHost::new("h1", "s").await,
         FakeHost::new("h2", "s").await,
@@ -18,15 +22,15 @@
     let mut client = proxy.send_request(path).await;
     let (first, other) = first_connection(&mut one, &mut two).await;
     play(first).await;
-    if answers {
+    if responses {
         other.accept().await.respond_ok("second").await;
     }
-    let answer = client.read_message().await.expect("an answer");
+    let response = client.read_message().await.expect("an answer");
     assert!(other.has_no_connection());
-    answer
+    response
 }
 
-/// What no answer is: for a request that may run twice the next host is asked, for another it is the end.
+/// Invalid responses: an idempotent request goes to the next host, any other ends.
 #[rstest]
 #[case::no_seal("200 OK\r\nContent-Length: 2", "ok")]
 #[case::encoded(
@@ -60,13 +64,13 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = two(path, play, pure).await;
-        assert!(answer.complete);
-        assert_eq!(answer.field("content-encoding"), None);
+        let response = play_first_of_two(path, play, pure).await;
+        assert!(response.complete);
+        assert_eq!(response.field("content-encoding"), None);
         if pure {
-            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
+            assert_eq!((response.status(), response.body.as_str()), (200, "second"));
         } else {
-            assert_eq!(answer.status(), 502);
+            assert_eq!(response.status(), 502);
         }
     });
 }
@@ -80,10 +84,10 @@
         let play = async |mut conn: TestConnection| {
             conn.read_message().await.unwrap();
         };
-        let answer = two(path, play, pure).await;
-        assert_eq!(answer.status(), if pure { 200 } else { 502 });
+        let response = play_first_of_two(path, play, pure).await;
+        assert_eq!(response.status(), if pure { 200 } else { 502 });
         assert_eq!(
-            answer.field("retry-after"),
+            response.field("retry-after"),
             None,
             "no promise, so nothing to come back for"
         );
@@ -114,8 +118,8 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = two(path, play, true).await;
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
+        let response = play_first_of_two(path, play, true).await;
+        assert_eq!((response.status(), response.body.as_str()), (200, "second"));
     });
 }
 
@@ -131,12 +135,12 @@
         let (mut first, other) = first_connection(&mut one, &mut two).await;
         first.respond_refusal().await;
         other.accept().await.respond_refusal().await;
-        let answer = client.read_message().await.unwrap();
+        let response = client.read_message().await.unwrap();
         assert_eq!(
-            (answer.status(), answer.field("fennelpin-attempt-id")),
+            (response.status(), response.field("fennelpin-attempt-id")),
             (503, Some("one"))
         );
-        assert!(answer.field("retry-after").is_some());
+        assert!(response.field("retry-after").is_some());
     });
 }
 
@@ -209,9 +213,9 @@
         let mut client = proxy.send_request("/pure/a").await;
         let (mut conn, other) = first_connection(&mut one, &mut two).await;
         conn.respond_refusal().await;
-        let answer = client.read_message().await.unwrap();
-        assert!(answer.body.starts_with("402 "), "{}", answer.body);
-        assert!(answer.field("retry-after").is_some() && other.has_no_connection());
+        let response = client.read_message().await.unwrap();
+        assert!(response.body.starts_with("402 "), "{}", response.body);
+        assert!(response.field("retry-after").is_some() && other.has_no_connection());
     });
 }
 
@@ -239,7 +243,7 @@
             host.accept()
                 .await
                 .respond(
-                    &format!("200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: 1"),
+                    &format!("200 OK\r\n{SEAL_FIELD}\r\nConnection: close\r\nContent-Length: 1"),
                     "x",
                 )
                 .await;
@@ -253,7 +257,7 @@
 }
 
 /// A place that takes no connection and says nothing: its queue of new ones is full.
-async fn dark() -> (
+async fn unresponsive_listener() -> (
     SocketAddrV4,
     tokio::net::TcpListener,
     Vec<std::net::TcpStream>,
@@ -275,7 +279,7 @@
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::without_configuration().await;
-        let (addr, _listener, _waiting) = dark().await;
+        let (addr, _listener, _waiting) = unresponsive_listener().await;
         let far = balancing::HostInfo {
             zone: "b".into(),
             ..host.info.clone()
@@ -316,18 +320,24 @@
         let pure = path == "/pure/a";
         let play = async |mut conn: TestConnection| {
             conn.respond(
-                &format!("{status} Own\r\n{SEAL}\r\nX-Own: 1\r\nContent-Length: 4"),
+                &format!("{status} Own\r\n{SEAL_FIELD}\r\nX-Own: 1\r\nContent-Length: 4"),
                 "oops",
             )
             .await;
         };
-        let answer = two(path, play, pure).await;
+        let response = play_first_of_two(path, play, pure).await;
         if pure {
-            assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
+            assert_eq!((response.status(), response.body.as_str()), (200, "second"));
         } else {
-            assert_eq!((answer.status(), answer.body.as_str()), (status, "oops"));
             assert_eq!(
-                (answer.field("x-own"), answer.field("fennelpin-host-seal")),
+                (response.status(), response.body.as_str()),
+                (status, "oops")
+            );
+            assert_eq!(
+                (
+                    response.field("x-own"),
+                    response.field("fennelpin-host-seal")
+                ),
                 (Some("1"), Some("seal"))
             );
         }
@@ -350,8 +360,8 @@
             .await
             .respond("500 Own\r\nContent-Length: 4", "last")
             .await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.status(), answer.body.as_str()), (500, "last"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.status(), response.body.as_str()), (500, "last"));
     });
 }
 
@@ -367,22 +377,24 @@
         let play = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let answer = two("/pure/a", play, false).await;
+        let response = play_first_of_two("/pure/a", play, false).await;
         assert_eq!(
-            (&answer.head[9..12], answer.body.as_str()),
+            (&response.head[9..12], response.body.as_str()),
             (&lines[..3], "no")
         );
     });
 }
 
 /// One host with one connection that has been used once.
-async fn used(lines: &str) -> (FakeHost, Proxy, TestConnection, TestConnection) {
+async fn proxy_with_idle_connection(
+    lines: &str,
+) -> (FakeHost, Proxy, TestConnection, TestConnection) {
     let mut host = FakeHost::new("h1", "s").await;
     let proxy = Proxy::new(&[&host]).await;
     let mut client = proxy.send_request("/once/a").await;
     let mut conn = host.accept().await;
     conn.respond(
-        &format!("200 OK\r\n{SEAL}\r\nContent-Length: 1{lines}"),
+        &format!("200 OK\r\n{SEAL_FIELD}\r\nContent-Length: 1{lines}"),
         "1",
     )
     .await;
@@ -390,16 +402,16 @@
     (host, proxy, client, conn)
 }
 
-async fn ask_again(client: &mut TestConnection) {
+async fn send_second_request(client: &mut TestConnection) {
     client.send(&request("/once/b", "two", "")).await;
 }
 
 #[test]
 fn connection_closed_by_the_host_is_not_reused() {
     run_async_test(async {
-        let (mut host, _proxy, mut client, conn) = used("").await;
+        let (mut host, _proxy, mut client, conn) = proxy_with_idle_connection("").await;
         drop(conn);
-        ask_again(&mut client).await;
+        send_second_request(&mut client).await;
         host.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
     });
@@ -408,9 +420,9 @@
 #[test]
 fn connection_with_stray_bytes_is_not_reused() {
     run_async_test(async {
-        let (mut host, _proxy, mut client, mut conn) = used("").await;
+        let (mut host, _proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
         conn.send(&ok_response("two", "stray")).await;
-        ask_again(&mut client).await;
+        send_second_request(&mut client).await;
         host.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
         conn.wait_until_closed().await;
@@ -422,8 +434,8 @@
 #[case("\r\nKeep-Alive: timeout=0")]
 fn connection_that_a_response_closes_is_not_reused(#[case] lines: &str) {
     run_async_test(async {
-        let (mut host, _proxy, mut client, mut conn) = used(lines).await;
-        ask_again(&mut client).await;
+        let (mut host, _proxy, mut client, mut conn) = proxy_with_idle_connection(lines).await;
+        send_second_request(&mut client).await;
         host.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
         conn.wait_until_closed().await;
@@ -433,7 +445,7 @@
 #[test]
 fn idle_connections_to_a_draining_host_are_closed() {
     run_async_test(async {
-        let (host, proxy, mut client, mut conn) = used("").await;
+        let (host, proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
         let mut next = FakeHost::new("h2", "s").await;
         let leaving = balancing::HostInfo {
             draining: true,
@@ -443,7 +455,7 @@
             .apply_fleet(configuration(1, ROUTES), vec![leaving, next.info.clone()])
             .await;
         conn.wait_until_closed().await;
-        ask_again(&mut client).await;
+        send_second_request(&mut client).await;
         next.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
     });
@@ -472,8 +484,8 @@
     #[case] body: &str,
 ) {
     run_async_test(async {
-        let (mut host, proxy, mut client, mut conn) = used("").await;
-        ask_again(&mut client).await;
+        let (mut host, proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
+        send_second_request(&mut client).await;
         conn.read_message().await.unwrap();
         conn.send(&format!(
             "HTTP/1.1 {lines}\r\nFennelpin-Attempt-Id: one\r\n\r\n{body}"
@@ -497,8 +509,8 @@
 #[test]
 fn refusal_without_id_on_a_reused_connection_is_invalid() {
     run_async_test(async {
-        let (_host, _proxy, mut client, mut conn) = used("").await;
-        ask_again(&mut client).await;
+        let (_host, _proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
+        send_second_request(&mut client).await;
         conn.read_message().await.unwrap();
         conn.send("HTTP/1.1 503 No\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0\r\n\r\n")
             .await;
@@ -538,8 +550,8 @@
         )
         .await;
         let conn = (more != "closes").then_some(conn);
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.status(), answer.body.as_str()), (413, "big"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.status(), response.body.as_str()), (413, "big"));
         if let Some(mut conn) = conn {
             conn.wait_until_closed().await;
         }
@@ -557,14 +569,14 @@
             let play = async {
                 let mut conn = host.accept().await;
                 let lines = format!(
-                    "200 OK\r\n{SEAL}\r\nConnection: close\r\nContent-Length: {}",
+                    "200 OK\r\n{SEAL_FIELD}\r\nConnection: close\r\nContent-Length: {}",
                     body.len()
                 );
                 conn.respond(&lines, &body).await;
             };
-            let (answer, ()) = tokio::join!(client.read_message(), play);
-            let answer = answer.unwrap();
-            assert!(answer.complete && answer.body == body);
+            let (response, ()) = tokio::join!(client.read_message(), play);
+            let response = response.unwrap();
+            assert!(response.complete && response.body == body);
         }
     });
 }
@@ -580,11 +592,11 @@
         let body = start.to_owned() + &"0123456789".repeat(40_000);
         let play = async {
             let mut conn = host.accept().await;
-            conn.respond(&format!("200 OK\r\n{SEAL}\r\n{framing}"), &body)
+            conn.respond(&format!("200 OK\r\n{SEAL_FIELD}\r\n{framing}"), &body)
                 .await;
         };
-        let (answer, ()) = tokio::join!(client.read_message(), play);
-        assert!(!answer.unwrap().complete);
+        let (response, ()) = tokio::join!(client.read_message(), play);
+        assert!(!response.unwrap().complete);
         assert_eq!(proxy.counters.get().truncated_responses, 1);
     });
 }
@@ -594,7 +606,7 @@
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        // A client that knows no chunks: only the connection can show it an answer's end.
+        // A client that knows no chunks: only the connection can show it the end of a response.
         let mut client = proxy.client().await;
         client
             .send(&request("/once/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
@@ -602,7 +614,8 @@
         let mut conn = host.accept().await;
         let body = "0123456789".repeat(40_000);
         let play = async {
-            conn.respond(&format!("200 OK\r\n{SEAL}"), &body).await;
+            conn.respond(&format!("200 OK\r\n{SEAL_FIELD}"), &body)
+                .await;
             conn
         };
         let (_, conn) = tokio::join!(client.read_until(&body), play);
@@ -642,14 +655,14 @@
             conn.read_message().await.unwrap();
             conns.push(conn);
         }
-        let answer = proxy
+        let response = proxy
             .send_request("/once/a")
             .await
             .read_message()
             .await
             .unwrap();
         assert_eq!(
-            (answer.status(), proxy.counters.get().host_connects),
+            (response.status(), proxy.counters.get().host_connects),
             (503, 8)
         );
         drop(conns);
@@ -683,8 +696,8 @@
         } else {
             None
         };
-        let answer = client.read_message().await.unwrap();
-        assert_eq!(answer.status(), status);
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.status(), status);
         assert!(host.has_no_connection());
         if let Some(mut conn) = conn {
             conn.wait_until_closed().await;
@@ -708,8 +721,8 @@
         assert!(left <= 150);
         conn.send("HTTP/1.1 504 Own\r\nFennelpin-Attempt-Id: one\r\nContent-Length: 4\r\n\r\nlate")
             .await;
-        let answer = client.read_message().await.unwrap();
-        assert_eq!((answer.status(), answer.body.as_str()), (504, "late"));
+        let response = client.read_message().await.unwrap();
+        assert_eq!((response.status(), response.body.as_str()), (504, "late"));
     });
 }
 
@@ -755,8 +768,8 @@
             .await;
         let (mut silent, other) = first_connection(&mut one, &mut two).await;
         silent.read_message().await.unwrap();
-        let answer = client.read_message().await.unwrap();
-        assert_eq!(answer.status(), 504);
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.status(), 504);
         assert!(other.has_no_connection());
     });
 }
--- /dev/null
+++ b/crates/replication/src/puller/mod.rs
@@ -0,0 +1,370 @@
+//! The puller: which members are pulled from, and when. A state machine without I/O.
+
+mod link;
+
+use crate::rendezvous::ranked;
+use crate::timing::{
+    ANSWER_SLACK, CONNECT_TIMEOUT, EARLY_ANSWER_PAUSE, INITIAL_BACKOFF, MAX_BACKOFF, PULL_WAIT_MS,
+    STALE_AGE_MS, STANDBY_POLL_INTERVAL, UPDATE_PAUSE,
+};
+use link::{Link, Phase};
+use protocol::Addr;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// What the client has to do.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Action {
+    /// Open a connection.
+    Connect {
+        /// The link's number, never used twice.
+        link: u64,
+        /// The member's address.
+        addr: Addr,
+    },
+    /// Send a pull.
+    Pull {
+        /// The link.
+        link: u64,
+        /// How long the answer may wait for an update, in ms.
+        wait_ms: u32,
+    },
+    /// Close the connection, or give up opening it.
+    Close {
+        /// The link.
+        link: u64,
+    },
+}
+
+/// Where a puller gets its updates.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PullSummary {
+    /// Address of the preferred member; `None` if no member that answers is in contact with a primary.
+    pub preferred: Option<Addr>,
+    /// How many members answer without contact to a primary.
+    pub stale: usize,
+}
+
+/// Picks the members to pull from by rendezvous hashing, and keeps one pull waiting at each. With
+/// [`Puller::preferring_one_member`] a pull waits at one of them only.
+#[derive(Debug)]
+pub struct Puller {
+    name: String,
+    member_count: usize,
+    pull_wait: Duration,
+    own_addr: Option<Addr>,
+    seeds_only: bool,
+    prefers_one: bool,
+    /// Pause after an update, by the number of coordinators.
+    update_pause: Duration,
+    seeds: Vec<Addr>,
+    /// The members' addresses, once they are known.
+    members: Vec<Addr>,
+    /// All candidates, the first choice first.
+    order: Vec<Addr>,
+    links: BTreeMap<Addr, Link>,
+    last_link_number: u64,
+}
+
+impl Puller {
+    /// Creates the puller of the process `name`, which pulls from `member_count` members and never from `own_addr`.
+    pub fn new(name: &str, member_count: usize, own_addr: Option<Addr>) -> Self {
+        Self {
+            name: name.to_owned(),
+            member_count,
+            pull_wait: Duration::from_millis(PULL_WAIT_MS.into()),
+            own_addr,
+            seeds_only: false,
+            prefers_one: false,
+            update_pause: Duration::ZERO,
+            seeds: Vec::new(),
+            members: Vec::new(),
+            order: Vec::new(),
+            links: BTreeMap::new(),
+            last_link_number: 0,
+        }
+    }
+
+    /// Pulls from the seeds alone, whatever members become known. For a proxy, whose seed is its agent.
+    pub fn seeds_only(mut self) -> Self {
+        self.seeds_only = true;
+        self
+    }
+
+    /// Lets pulls wait at one member only, the preferred one: the first in the order that answers and is in contact with
+    /// a primary. The others are asked every [`STANDBY_POLL_INTERVAL`] for what that one hasn't told. Updates thus come
+    /// once, and a preferred member that is frozen or behind delays them by no more than that.
+    pub fn preferring_one_member(mut self) -> Self {
+        self.prefers_one = true;
+        self
+    }
+
+    /// Sets how many coordinators pull now, for the pause after an update.
+    pub fn set_coordinators(&mut self, coordinators: usize) {
+        if !self.seeds_only {
+            self.update_pause = UPDATE_PAUSE.with_coordinators(coordinators);
+        }
+    }
+
+    /// Some bytes of an answer came, so the answer gets more time.
+    pub fn partial_answer(&mut self, now: Duration, link: u64) {
+        if let Some((_, known)) = self.open_link(link) {
+            if let Phase::Polling(until) = &mut known.phase {
+                *until = (*until).max(now + ANSWER_SLACK);
+            }
+        }
+    }
+
+    /// When the pull was sent whose answer a link waits for; `None` if there is none.
+    pub fn pull_sent_at(&self, link: u64) -> Option<Duration> {
+        let known = self.links.values().find(|known| known.number == link)?;
+        matches!(known.phase, Phase::Polling(_)).then_some(known.pulled_at)
+    }
+
+    /// Whether all known members have answered and none is in contact with a primary, so that none knows better.
+    pub fn all_members_stale(&self) -> bool {
+        let is_stale = |link: &Link| link.answers() && link.stale;
+        !self.order.is_empty()
+            && self
+                .order
+                .iter()
+                .all(|addr| self.links.get(addr).is_some_and(is_stale))
+    }
+
+    /// The preferred member's address; `None` if pulls wait at all members.
+    fn preferred(&self) -> Option<Addr> {
+        if !self.prefers_one {
+            return None;
+        }
+        let can_be_preferred =
+            |addr: &&Addr| self.links.get(*addr).is_some_and(Link::can_be_preferred);
+        self.order.iter().find(can_be_preferred).copied()
+    }
+
+    /// Whether pulls wait at one member only.
+    pub fn prefers_one_member(&self) -> bool {
+        self.prefers_one
+    }
+
+    /// Where updates come from now.
+    pub fn summary(&self) -> PullSummary {
+        let is_stale = |link: &&Link| link.answers() && link.stale;
+        PullSummary {
+            preferred: self.preferred(),
+            stale: self.links.values().filter(is_stale).count(),
+        }
+    }
+
+    fn pull(&mut self, now: Duration, addr: Addr, waits: bool) -> Option<Action> {
+        let wait = if waits {
+            self.pull_wait
+        } else {
+            Duration::ZERO
+        };
+        let link = self.links.get_mut(&addr)?;
+        link.phase = Phase::Polling(now + wait + ANSWER_SLACK);
+        link.pulled_at = now;
+        Some(Action::Pull {
+            link: link.number,
+            wait_ms: wait.as_millis() as u32,
+        })
+    }
+
+    /// Sets the seeds' addresses. [`Puller::tick`] acts on them.
+    pub fn set_seeds(&mut self, seeds: &[Addr]) {
+        self.seeds = seeds.to_vec();
+        self.reorder();
+    }
+
+    /// Sets the members' addresses. An empty list changes nothing. [`Puller::tick`] acts on them.
+    pub fn set_members(&mut self, members: impl IntoIterator<Item = Addr>) {
+        let members: Vec<Addr> = members.into_iter().filter(|a| a.port != 0).collect();
+        if !self.seeds_only && !members.is_empty() && members != self.members {
+            self.members = members;
+            self.reorder();
+        }
+    }
+
+    fn reorder(&mut self) {
+        let all: BTreeSet<Addr> = self
+            .seeds
+            .iter()
+            .chain(&self.members)
+            .copied()
+            .filter(|a| Some(*a) != self.own_addr)
+            .collect();
+        self.order = ranked(&self.name, all, |a| {
+            let mut bytes = a.ip.to_be_bytes().to_vec();
+            bytes.extend(a.port.to_be_bytes());
+            bytes
+        });
+    }
+
+    /// A connection came up.
+    pub fn connected(&mut self, now: Duration, link: u64) -> Vec<Action> {
+        let Some((addr, known)) = self.open_link(link) else {
+            return Vec::new();
+        };
+        known.answered = false;
+        let waits = self.preferred().is_none();
+        self.pull(now, addr, waits).into_iter().collect()
+    }
+
+    /// A connection failed or ended.
+    pub fn failed(&mut self, now: Duration, link: u64) -> Vec<Action> {
+        let Some((addr, _)) = self.open_link(link) else {
+            return Vec::new();
+        };
+        self.back_off(now, addr);
+        self.tick(now)
+    }
+
+    /// An answer of this age came from a member. `applied`: something in it was new to the mirror.
+    pub fn answered(
+        &mut self,
+        now: Duration,
+        link: u64,
+        member_id: u64,
+        age_ms: u32,
+        applied: bool,
+    ) -> Vec<Action> {
+        let update_pause = self.update_pause;
+        let Some((addr, known)) = self.open_link(link) else {
+            return Vec::new();
+        };
+        let Phase::Polling(until) = known.phase else {
+            return Vec::new();
+        };
+        known.failed = false;
+        known.answered = true;
+        known.backoff = INITIAL_BACKOFF;
+        known.member_id = member_id;
+        known.stale = age_ms > STALE_AGE_MS;
+        let is_early = now + ANSWER_SLACK + EARLY_ANSWER_PAUSE < until;
+        let pause = match (applied, is_early) {
+            (true, _) => update_pause,
+            (false, true) => EARLY_ANSWER_PAUSE.max(update_pause),
+            (false, false) => Duration::ZERO,
+        };
+        known.phase = Phase::Resting(now + pause);
+        if self.preferred().is_some_and(|preferred| preferred != addr) {
+            self.rest_until(addr, now + STANDBY_POLL_INTERVAL);
+        }
+        self.tick(now)
+    }
+
+    fn rest_until(&mut self, addr: Addr, until: Duration) {
+        if let Some(link) = self.links.get_mut(&addr) {
+            link.phase = Phase::Resting(until);
+        }
+    }
+
+    /// The link with this number, if it is connecting or connected.
+    fn open_link(&mut self, number: u64) -> Option<(Addr, &mut Link)> {
+        let found = self
+            .links
+            .iter_mut()
+            .find(|(_, link)| link.number == number && !matches!(link.phase, Phase::Down(_)));
+        found.map(|(addr, link)| (*addr, link))
+    }
+
+    fn back_off(&mut self, now: Duration, addr: Addr) {
+        if let Some(link) = self.links.get_mut(&addr) {
+            link.phase = Phase::Down(now + link.backoff);
+            link.backoff = (link.backoff * 2).min(MAX_BACKOFF);
+            link.failed = true;
+        }
+    }
+
+    /// Does what is due.
+    pub fn tick(&mut self, now: Duration) -> Vec<Action> {
+        let mut actions = self.close_timed_out(now);
+        let picked = self.pick_members();
+        actions.extend(self.close_all_but(&picked));
+        let preferred = self.preferred();
+        let mut due = Vec::new();
+        for addr in picked {
+            let is_preferred = Some(addr) == preferred;
+            let pause = EARLY_ANSWER_PAUSE.max(self.update_pause);
+            let link = self.links.entry(addr).or_insert_with(|| Link::new(now));
+            match link.phase {
+                Phase::Down(at) if now >= at => {
+                    self.last_link_number += 1;
+                    link.number = self.last_link_number;
+                    link.phase = Phase::Connecting(now + CONNECT_TIMEOUT);
+                    actions.push(Action::Connect {
+                        link: link.number,
+                        addr,
+                    });
+                }
+                // A standby that has become the preferred member pulls before its turn.
+                Phase::Resting(at) if now >= at || (is_preferred && at > now + pause) => {
+                    due.push(addr);
+                }
+                _ => {}
+            }
+        }
+        for addr in due {
+            let waits = preferred.is_none_or(|preferred| preferred == addr);
+            actions.extend(self.pull(now, addr, waits));
+        }
+        actions
+    }
+
+    /// Closes links whose connection or answer has taken too long.
+    fn close_timed_out(&mut self, now: Duration) -> Vec<Action> {
+        let mut timed_out = Vec::new();
+        for (addr, link) in &self.links {
+            if link.phase.is_timed_out(now) {
+                timed_out.push((*addr, link.number));
+            }
+        }
+        let mut actions = Vec::new();
+        for (addr, link) in timed_out {
+            actions.push(Action::Close { link });
+            self.back_off(now, addr);
+        }
+        actions
+    }
+
+    /// The members to pull from: the first in the order, until enough of them are healthy.
+    fn pick_members(&self) -> BTreeSet<Addr> {
+        let mut picked = BTreeSet::new();
+        let mut healthy = 0;
+        for addr in &self.order {
+            if healthy >= self.member_count {
+                break;
+            }
+            picked.insert(*addr);
+            let link = self.links.get(addr);
+            healthy += usize::from(link.is_none_or(|link| !link.failed && !link.stale));
+        }
+        picked
+    }
+
+    /// Closes and drops the links to other members.
+    fn close_all_but(&mut self, picked: &BTreeSet<Addr>) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.links.retain(|addr, link| {
+            let keep = picked.contains(addr);
+            if !keep && !matches!(link.phase, Phase::Down(_)) {
+                actions.push(Action::Close { link: link.number });
+            }
+            keep
+        });
+        actions
+    }
+
+    /// When [`Puller::tick`] next has something to do.
+    pub fn next_tick(&self) -> Option<Duration> {
+        self.links.values().map(|link| link.phase.deadline()).min()
+    }
+
+    /// Addresses and ids of the members that answer; the id of an agent is 0.
+    pub fn answering_members(&self) -> impl Iterator<Item = (Addr, u64)> + '_ {
+        self.links
+            .iter()
+            .filter(|(_, link)| !link.failed && link.is_connected())
+            .map(|(addr, link)| (*addr, link.member_id))
+    }
+}
