--- a/crates/control-plane/src/runtime/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -9,7 +9,7 @@
 //! | [`storage`], [`identity`], `host_cache.rs` | the state directory |
 //! | [`peer_connections`], `inbound.rs`, `seeds.rs`, [`connection`] | connections to and from other processes |
 //! | [`control_server`], [`control_request`], `request_handler.rs`, `status_page.rs` | the control API |
-//! | [`transitions`], `status.rs` | what the log and others are told of the member |
+//! | [`transitions`], `status.rs` | log lines, counters, and what others see of the member |
 
 pub mod connection;
 pub mod control_request;
@@ -130,7 +130,7 @@
 /// `seeds` brings the seeds' `control` addresses whenever they change. For a current-thread runtime; all tasks that
 /// were started end with it.
 ///
-/// Requests are answered from the start: until the disk has told who this member is, with 503 and
+/// Requests are answered from the start: until the identity is read from the disk, with 503 and
 /// [`ResultCode::Opening`].
 ///
 /// # Errors
--- a/crates/control-plane/src/runtime/request_handler.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -27,7 +27,7 @@
 /// Longest time that a request waits for the disk at the start.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is there once the disk has told who this member is.
+/// What exists once the identity is read from the disk.
 pub(super) struct OpenMember {
     pub(super) me: MemberInfo,
     pub(super) incarnation: u64,
--- a/crates/control-plane/src/runtime/seeds.rs
+++ b/crates/control-plane/src/runtime/seeds.rs
@@ -9,7 +9,7 @@
 
 /// Hands the seeds' addresses to the peer connections and to the puller, now and whenever they change.
 ///
-/// Never ends: without news the last seeds stay.
+/// Never ends: when `seeds` is closed, the last addresses stay.
 pub(super) async fn follow(
     peers: PeerConnections,
     puller: UnboundedSender<client::Control>,
--- a/crates/control-plane/src/runtime/start/connections.rs
+++ b/crates/control-plane/src/runtime/start/connections.rs
@@ -73,7 +73,7 @@
         Ok(peers)
     }
 
-    /// What other members were told comes by pulls, as for an agent.
+    /// Pulls what other members publish, as an agent does.
     fn start_pulling(&self, peers: &PeerConnections, seeds: watch::Receiver<Vec<SocketAddrV4>>) {
         let (puller_control, control) = unbounded_channel();
         let puller = Puller::new(&self.process.node_name, usize::MAX, Some(self.me.addr));
--- a/crates/control-plane/src/runtime/start/control_api.rs
+++ b/crates/control-plane/src/runtime/start/control_api.rs
@@ -21,7 +21,7 @@
     pub(super) counters: Rc<ControlCounters>,
     /// Set when the process is asked to end.
     pub(super) shutdown: watch::Sender<bool>,
-    /// Set once the disk has told who this member is.
+    /// Set once the identity is read from the disk.
     pub(super) opened: watch::Sender<Option<Rc<OpenMember>>>,
 }
 
--- a/crates/control-plane/src/runtime/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -1,4 +1,4 @@
-//! What is told of the member: to callers, to the mirror that others pull from, and as counters in the log.
+//! The status of a member, as callers and the mirror get it, and its counters in the log.
 
 use super::control_server::ControlCounters;
 use super::event_loop::EventLoop;
@@ -18,7 +18,7 @@
     pub(super) since_primary_contact: Option<Duration>,
 }
 
-/// What the mirror was told of the control plane.
+/// What was last published of the control plane.
 #[derive(Default, PartialEq)]
 pub(super) struct PublishedControlPlane {
     epoch: u64,
--- a/crates/control-plane/src/runtime/status_page.rs
+++ b/crates/control-plane/src/runtime/status_page.rs
@@ -17,7 +17,7 @@
     pub(super) opened: &'a OpenMember,
 }
 
-/// The page while the disk hasn't told who this member is.
+/// The page before the identity is read from the disk.
 pub(super) fn before_open(node_name: &str, is_leaving: bool) -> Value {
     json!({"node": node_name, "opening": true, "leaving": is_leaving})
 }
--- a/crates/control-plane/src/runtime/storage/mod.rs
+++ b/crates/control-plane/src/runtime/storage/mod.rs
@@ -17,6 +17,13 @@
 use std::path::PathBuf;
 use std::sync::mpsc;
 
+/// Name of the file with the identities.
+const IDENTITY_FILE: &str = "identity";
+/// Name of the log's file.
+const LOG_FILE: &str = "ledger";
+/// Name of the file with the hosts as last known.
+const HOST_CACHE_FILE: &str = "roster";
+
 /// A write that waits for the disk.
 #[derive(Debug)]
 pub struct Write {
--- a/crates/control-plane/src/runtime/storage/open.rs
+++ b/crates/control-plane/src/runtime/storage/open.rs
@@ -1,7 +1,7 @@
 //! Opens a member's files, again and again until the disk allows it.
 
 use super::identity_file::IdentityFile;
-use super::{StorageEvent, Write};
+use super::{StorageEvent, Write, HOST_CACHE_FILE, IDENTITY_FILE, LOG_FILE};
 use crate::runtime::identity::{latest_identity, Identity, IdentityError, StartContext, StoredLog};
 use append_log::AppendLog;
 use snafu::{ResultExt, Snafu};
@@ -63,8 +63,8 @@
 
 /// Opens identity and log; gives the log's records without its owner.
 fn open(dir: &Path, context: &StartContext) -> Result<(OpenFiles, Vec<Vec<u8>>), OpenError> {
-    let (file, stored_identities) = AppendLog::open(dir, "identity").context(FileSnafu)?;
-    let (mut log, stored_records) = AppendLog::open(dir, "ledger").context(FileSnafu)?;
+    let (file, stored_identities) = AppendLog::open(dir, IDENTITY_FILE).context(FileSnafu)?;
+    let (mut log, stored_records) = AppendLog::open(dir, LOG_FILE).context(FileSnafu)?;
     let stored_log = StoredLog::from_records(stored_records);
     let stored_identity = latest_identity(&stored_identities).context(UnknownIdentitySnafu)?;
     let identity = context
@@ -87,7 +87,7 @@
 
 /// Opens the hosts' file with its content. What can't be read is reported anew by the hosts.
 fn open_host_cache(dir: &Path) -> (Option<AppendLog>, Option<Vec<u8>>) {
-    match AppendLog::open(dir, "roster") {
+    match AppendLog::open(dir, HOST_CACHE_FILE) {
         Ok((file, mut records)) => (Some(file), records.pop()),
         Err(error) => {
             log::warn!(error:%; "host cache unavailable");
