--- a/crates/model-check/src/cluster/world/members.rs
+++ b/crates/model-check/src/cluster/world/members.rs
@@ -123,19 +123,14 @@
                 drains,
             } => {
                 let epoch = self.epoch(n);
-                Arc::make_mut(&mut self.observations).check_same_state(
-                    self.now,
-                    epoch,
-                    index,
-                    &configuration,
-                    &drains,
-                )?;
+                let observations = Arc::make_mut(&mut self.observations);
+                observations.check_same_state(self.now, epoch, index, &configuration, &drains)?;
                 self.publish_to_mirror(n, index, configuration, &drains);
             }
-            Output::DepartureComplete => self.schedule(
-                Duration::ZERO,
-                Event::Kill(n, self.machines[n].incarnations),
-            ),
+            Output::DepartureComplete => {
+                let end = Event::Kill(n, self.machines[n].incarnations);
+                self.schedule(Duration::ZERO, end);
+            }
         }
         Ok(None)
     }
--- a/crates/simulator/src/world/seeded_bugs.rs
+++ b/crates/simulator/src/world/seeded_bugs.rs
@@ -65,24 +65,10 @@
             }
             (
                 SeededBug::ReplicaConfirmsEarly,
-                Message::AppendChange {
-                    epoch,
-                    index,
-                    change,
-                },
+                message @ Message::AppendChange { epoch, index, .. },
             ) => {
-                let reply = Message::AppendReply {
-                    epoch,
-                    match_index: index,
-                    accepted: true,
-                    promised_epoch: epoch,
-                };
-                self.forge_reply(n, to, reply);
-                Some(Message::AppendChange {
-                    epoch,
-                    index,
-                    change,
-                })
+                self.forge_reply(n, to, early_reply(epoch, index));
+                Some(message)
             }
             (
                 SeededBug::CountedBeforeSnapshot,
@@ -267,6 +253,16 @@
     }
 }
 
+/// A replica's confirmation of a change.
+fn early_reply(epoch: u64, index: u64) -> Message {
+    Message::AppendReply {
+        epoch,
+        match_index: index,
+        accepted: true,
+        promised_epoch: epoch,
+    }
+}
+
 fn forget_previous_voters(membership: &mut MembershipConfig) {
     membership.previous_voters = membership.voters.clone();
 }
