--- a/crates/control-plane/src/content.rs
+++ b/crates/control-plane/src/content.rs
@@ -1,17 +1,17 @@
-//! The content of an order's body: what its JSON says, whichever way that is written.
+//! The content of a configuration request's body: what its JSON means, however it is written.
 //!
-//! Read by a visitor of its own and not as `serde_json::Value`: that one keeps the last of several values of one key,
-//! which would make one order of two different bodies.
+//! A visitor of its own reads it, and not `serde_json::Value`: that one keeps the last of several values of a key, so that
+//! two different bodies would pass for one request.
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Whole numbers up to here are the same whether they are written with a fraction or without.
+/// Integers below this are the same whether they are written with a fraction or without (2^53).
 const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
-/// A JSON value in which no object has a key twice.
+/// A JSON value in which no object repeats a key.
 #[derive(Debug)]
 pub(crate) enum Content {
     Null,
--- a/crates/control-plane/src/member/replay.rs
+++ b/crates/control-plane/src/member/replay.rs
@@ -33,13 +33,13 @@
     },
     /// A change comes without a state before it.
     #[snafu(display("record {record}: a change without a ledger"))]
-    NoLedger {
+    NoState {
         /// Position of the record, from 0.
         record: usize,
     },
     /// A change doesn't follow the one before.
     #[snafu(display(
-        "record {record}: change {index} of epoch {epoch} after {held_index} of {held_epoch}"
+        "record {record}: change {index} of epoch {epoch} after {last_index} of {last_epoch}"
     ))]
     OutOfOrder {
         /// Position of the record, from 0.
@@ -49,9 +49,9 @@
         /// The change's index.
         index: u64,
         /// Epoch of the membership configuration before it.
-        held_epoch: u64,
+        last_epoch: u64,
         /// Index of the change before it.
-        held_index: u64,
+        last_index: u64,
     },
     /// A change can't be applied again.
     #[snafu(display("record {record}: the change can't be made again: {detail}"))]
@@ -143,7 +143,7 @@
                     commit_indexes: BTreeSet::new(),
                 });
             }
-            Record::Change { .. } if segments.is_empty() => return NoLedgerSnafu { record }.fail(),
+            Record::Change { .. } if segments.is_empty() => return NoStateSnafu { record }.fail(),
             Record::Change { .. } => {}
             Record::Committed { index } => {
                 if let Some(segment) = segments.last_mut() {
@@ -195,16 +195,16 @@
         change: &Change,
     ) -> Result<(), ReplayError> {
         let Some(last) = &self.last else {
-            return NoLedgerSnafu { record }.fail();
+            return NoStateSnafu { record }.fail();
         };
-        let (held_epoch, held_index) = (self.membership.epoch, last.index);
-        if epoch != held_epoch || index != held_index + 1 {
+        let (last_epoch, last_index) = (self.membership.epoch, last.index);
+        if epoch != last_epoch || index != last_index + 1 {
             return OutOfOrderSnafu {
                 record,
                 epoch,
                 index,
-                held_epoch,
-                held_index,
+                last_epoch,
+                last_index,
             }
             .fail();
         }
--- a/crates/control-plane/tests/departure.rs
+++ b/crates/control-plane/tests/departure.rs
@@ -19,7 +19,7 @@
         })
         .expect("four voters");
     let leaver = cluster.primary().unwrap();
-    cluster.leave(leaver);
+    cluster.depart(leaver);
     let dropped =
         |c: &Cluster| c.primary().is_some() && !c.votes(leaver) && c.current().is_stable();
     cluster.until(SOON, dropped).expect("it is dropped");
@@ -41,10 +41,18 @@
 fn departing_member_when_it_serves_on_then_it_is_no_voter_again(#[case] serves_on: u64) {
     let (mut cluster, leaver) = four_of_which_one_leaves();
     let again = cluster.until(ms(serves_on), |c| c.votes(leaver));
-    assert!(again.is_none(), "while it serves on: {:?}", cluster.views());
+    assert!(
+        again.is_none(),
+        "while it serves on: {:?}",
+        cluster.memberships()
+    );
     cluster.kill(leaver);
     let again = cluster.until(ms(10_000), |c| c.votes(leaver));
-    assert!(again.is_none(), "after its end: {:?}", cluster.views());
+    assert!(
+        again.is_none(),
+        "after its end: {:?}",
+        cluster.memberships()
+    );
     bears_a_loss(cluster);
 }
 
@@ -66,10 +74,18 @@
     cluster.run(ms(100));
     cluster.restart(first);
     let again = cluster.until(ms(4000), |c| c.votes(leaver));
-    assert!(again.is_none(), "while it serves on: {:?}", cluster.views());
+    assert!(
+        again.is_none(),
+        "while it serves on: {:?}",
+        cluster.memberships()
+    );
     cluster.kill(leaver);
     let again = cluster.until(ms(10_000), |c| c.votes(leaver));
-    assert!(again.is_none(), "after its end: {:?}", cluster.views());
+    assert!(
+        again.is_none(),
+        "after its end: {:?}",
+        cluster.memberships()
+    );
     bears_a_loss(cluster);
 }
 
@@ -82,19 +98,19 @@
     let spare = (0..4)
         .find(|n| !cluster.votes(*n))
         .expect("three voters, one of each zone");
-    cluster.leave(spare);
+    cluster.depart(spare);
     cluster
         .until(SOON, |c| c.left(spare))
         .expect("it may end at once");
     cluster.run(ms(20));
     cluster.kill(spare);
     let leaver = cluster.primary().unwrap();
-    cluster.leave(leaver);
+    cluster.depart(leaver);
     let voted = cluster.until(ms(4000), |c| c.votes(spare));
-    assert!(voted.is_none(), "{:?}", cluster.views());
+    assert!(voted.is_none(), "{:?}", cluster.memberships());
 }
 
-/// A member that ended as planned and is back in another life is a voter again.
+/// A member that ended as planned and is back in another incarnation is a voter again.
 #[test]
 fn departed_member_when_it_is_back_then_it_is_a_voter_again() {
     let (mut cluster, leaver) = four_of_which_one_leaves();
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -17,7 +17,7 @@
 const EPOCH: u64 = (1 << 20) | HOLDER;
 const LATER_EPOCH: u64 = (2 << 20) | THIRD;
 
-fn seat(id: u64) -> MemberInfo {
+fn member_info(id: u64) -> MemberInfo {
     let addr = Addr {
         ip: id as u32,
         port: 7660,
@@ -40,12 +40,12 @@
 
 impl Voter {
     fn started() -> Self {
-        let config = member_config(seat(VOTER), None, budget(1, 0, 0));
+        let config = member_config(member_info(VOTER), None, budget(1, 0, 0));
         let mut voter = Self {
             now: ms(0),
             member: Member::new(config, &[], ms(0), 7),
         };
-        let voters: Vec<MemberInfo> = [HOLDER, VOTER, THIRD].map(seat).to_vec();
+        let voters: Vec<MemberInfo> = [HOLDER, VOTER, THIRD].map(member_info).to_vec();
         let view = MembershipConfig {
             epoch: EPOCH,
             primary: HOLDER,
@@ -93,7 +93,7 @@
     fn hears(&mut self, from: u64, message: Message) -> Vec<Message> {
         self.now += ms(1);
         self.step(Input::Message {
-            from: seat(from),
+            from: member_info(from),
             message,
         })
     }
--- a/crates/control-plane/tests/log_rewrites.rs
+++ b/crates/control-plane/tests/log_rewrites.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn seat(id: u64) -> MemberInfo {
+fn member_info(id: u64) -> MemberInfo {
     let addr = protocol::Addr {
         ip: id as u32,
         port: 1,
@@ -55,11 +55,11 @@
 }
 
 fn config(me: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> MemberConfig {
-    member_config(seat(me), bootstrap_voters, FaultBudget::default())
+    member_config(member_info(me), bootstrap_voters, FaultBudget::default())
 }
 
 fn view() -> MembershipConfig {
-    let voters = vec![seat(PRIMARY), seat(ME)];
+    let voters = vec![member_info(PRIMARY), member_info(ME)];
     let previous_voters = voters.clone();
     MembershipConfig {
         epoch: EPOCH,
@@ -93,7 +93,7 @@
     again.now += 2 * LEASE;
     again.hear(Message::Prepare {
         epoch: 9 << 20,
-        candidate: seat(PRIMARY),
+        candidate: member_info(PRIMARY),
     });
     let tag = again.take_outputs().iter().find_map(|o| match o {
         Output::Send {
@@ -189,12 +189,12 @@
 
     fn hear(&mut self, message: Message) {
         self.step(Input::Message {
-            from: seat(PRIMARY),
+            from: member_info(PRIMARY),
             message,
         });
     }
 
-    /// Lets time pass until the member acts.
+    /// Lets time pass until the member is the acting primary.
     fn until_it_acts(&mut self) {
         while !self.member.is_acting_primary() {
             self.now += Duration::from_millis(20);
@@ -398,7 +398,11 @@
 /// A rewrite needs room for a second file. Where that is refused and appends are not, the primary goes on.
 #[test]
 fn rewrite_when_refused_then_changes_go_on() {
-    let mut machine = Machine::start(config(ME, Some(vec![seat(ME)])), vec![], Duration::ZERO);
+    let mut machine = Machine::start(
+        config(ME, Some(vec![member_info(ME)])),
+        vec![],
+        Duration::ZERO,
+    );
     machine.until_it_acts();
     machine.refuses_rewrites = true;
     for version in 1..=200 {
@@ -536,11 +540,11 @@
 #[rstest]
 #[case::unreadable(vec![], Some(vec![77, 1, 2]), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
 #[case::longer(vec![], Some([protocol::encode_record(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
-#[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 3, held_index: 1, .. }))]
-#[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 1, held_index: 1, .. }))]
+#[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 3, last_index: 1, .. }))]
+#[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 1, last_index: 1, .. }))]
 #[case::of_another_view(vec![numbered(EPOCH + 1, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { .. }))]
 #[case::cannot_be_made(vec![numbered(EPOCH, 2, 9)], None, |e: &ReplayError| matches!(e, ReplayError::Change { record: 2, .. }))]
-#[case::no_ledger(vec![accepted(None), numbered(EPOCH, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::NoLedger { record: 3 }))]
+#[case::no_ledger(vec![accepted(None), numbered(EPOCH, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::NoState { record: 3 }))]
 #[case::ledger(vec![unreadable_ledger()], None, |e: &ReplayError| matches!(e, ReplayError::InvalidSnapshot { record: 2, .. }))]
 fn member_when_its_records_are_corrupt_then_it_has_no_vote(
     #[case] records: Vec<Record>,
@@ -571,7 +575,7 @@
         });
         machine.hear(Message::Prepare {
             epoch,
-            candidate: seat(PRIMARY),
+            candidate: member_info(PRIMARY),
         });
         machine.hear(Message::FetchSnapshot { epoch });
         machine.hear(Message::AppendChange {
--- a/crates/control-plane/tests/members_without_vote.rs
+++ b/crates/control-plane/tests/members_without_vote.rs
@@ -1,5 +1,5 @@
-//! A member without a say knows who acts by what others tell alone: it hands calls on while it is in touch with that
-//! member, and sends its callers elsewhere once it isn't.
+//! A member without a vote learns who is primary from others alone. It forwards commands while that member is reachable,
+//! and sends its callers elsewhere once it isn't.
 
 mod support;
 
@@ -13,7 +13,7 @@
 const READ: Command = Command::Read { reserved: 0 };
 const EPOCH: u64 = 1 << 20;
 
-fn seat(id: u64) -> MemberInfo {
+fn member_info(id: u64) -> MemberInfo {
     let addr = Addr {
         ip: id as u32,
         port: 7660,
@@ -38,7 +38,7 @@
 
 impl Mirroring {
     fn told_of(primary: u64) -> Self {
-        let config = member_config(seat(9), None, budget(1, 0, 0));
+        let config = member_config(member_info(9), None, budget(1, 0, 0));
         let member = Member::new(config, &[], ms(0), 7);
         let mut mirroring = Self {
             now: ms(0),
@@ -46,7 +46,7 @@
             forwarded: 0,
             answers: vec![],
         };
-        mirroring.member.learn_primary(EPOCH, seat(primary));
+        mirroring.member.learn_primary(EPOCH, member_info(primary));
         mirroring
     }
 
@@ -73,7 +73,7 @@
             let reports = (self.now.as_millis() as u64).is_multiple_of(1000);
             match linked_to.filter(|_| reports) {
                 Some(primary) => self.step(Input::PeerReachable {
-                    member: seat(primary),
+                    member: member_info(primary),
                 }),
                 None => self.step(Input::Tick),
             }
--- a/crates/control-plane/tests/partition.rs
+++ b/crates/control-plane/tests/partition.rs
@@ -5,12 +5,12 @@
 
 use configuration::ResultCode;
 use rstest::rstest;
-use support::partition_cluster::{configuration, replace, Core, ACK, CUT, READ};
+use support::partition_cluster::{configuration, replace, PartitionCluster, ACK, CUT, READ};
 use support::{ms, LEASE};
 
 #[test]
 fn members_when_nothing_fails_then_all_have_a_recent_primary_contact() {
-    let mut core = Core::started(3, 1);
+    let mut core = PartitionCluster::started(3, 1);
     for _ in 0..40 {
         core.run(ms(53));
         for n in 0..3 {
@@ -24,8 +24,8 @@
 #[case::a_replica(false)]
 #[case::a_witness(true)]
 fn member_when_it_wakes_then_old_messages_are_no_primary_contact(#[case] witness: bool) {
-    let mut core = Core::started(3, 1);
-    core.order(&[0], replace(0, 5));
+    let mut core = PartitionCluster::started(3, 1);
+    core.request_until_definite(&[0], replace(0, 5));
     let (primary, replicas) = (core.primary(), core.replicas());
     let sleeper = (0..3).find(|n| {
         if witness {
@@ -36,13 +36,16 @@
     });
     let sleeper = sleeper.unwrap();
     core.run(ms(1000));
-    core.nodes[sleeper].frozen = true;
+    core.nodes[sleeper].paused = true;
     core.run(CUT);
     let awake = core.others(&[sleeper]);
-    assert_eq!(core.order(&awake, replace(5, 7)).1, ResultCode::Ok);
-    core.thaw(sleeper);
+    assert_eq!(
+        core.request_until_definite(&awake, replace(5, 7)).1,
+        ResultCode::Ok
+    );
+    core.resume(sleeper);
     // Everything that waited is handed over at this one moment.
-    while core.turn(sleeper) {
+    while core.step_next(sleeper) {
         assert!(
             core.age(sleeper).unwrap() >= CUT,
             "proof after {:?}",
@@ -67,12 +70,12 @@
 
 #[test]
 fn primary_when_it_wakes_after_its_lease_then_it_confirms_and_tells_nothing() {
-    let mut core = Core::started(3, 1);
-    core.order(&[0], replace(0, 5));
+    let mut core = PartitionCluster::started(3, 1);
+    core.request_until_definite(&[0], replace(0, 5));
     let old = core.primary();
-    core.nodes[old].frozen = true;
+    core.nodes[old].paused = true;
     let awake = core.others(&[old]);
-    let (took, code) = core.order(&awake, replace(5, 7));
+    let (took, code) = core.request_until_definite(&awake, replace(5, 7));
     assert!(
         code == ResultCode::Ok && took < ACK,
         "{code:?} after {took:?}"
@@ -85,10 +88,10 @@
         core.call(old, replace(7, 9)),
     ];
     core.nodes[old].inbox.rotate_right(3);
-    core.thaw(old);
+    core.resume(old);
     // Before anything has reached it, too: its status is asked for by people.
     assert!(!core.nodes[old].member.is_acting_primary_at(core.clock(old)));
-    core.turn(old);
+    core.step_next(old);
     assert!(!core.nodes[old].member.is_acting_primary());
     core.run(ACK);
     let answers: Vec<(ResultCode, &[u8])> = calls
@@ -116,8 +119,11 @@
     #[case] losses: u32,
     #[case] with_primary: bool,
 ) {
-    let mut core = Core::started(members, losses);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+    let mut core = PartitionCluster::started(members, losses);
+    assert_eq!(
+        core.request_until_definite(&[0], replace(0, 5)).1,
+        ResultCode::Ok
+    );
     let primary = core.primary();
     let rest = core.others(&[primary]);
     let lost: Vec<usize> = if with_primary {
@@ -134,7 +140,7 @@
     // An order at the cut and others all the while, each sent to the healthy side.
     let mut version = 5;
     while core.now < end {
-        let (took, code) = core.order(&healthy, replace(version, version + 2));
+        let (took, code) = core.request_until_definite(&healthy, replace(version, version + 2));
         assert!(
             code == ResultCode::Ok && took < ACK,
             "{code:?} after {took:?}"
@@ -165,14 +171,14 @@
         assert_eq!(code.status(), 503, "{code:?}");
     }
     assert!(
-        lost.iter().all(|n| core.nodes[*n].shown <= 5),
+        lost.iter().all(|n| core.nodes[*n].published_version <= 5),
         "nothing that the others didn't agree on"
     );
     core.heal();
     core.run(ms(3000));
     for n in 0..members {
         assert!(core.age(n).expect("proof") < ms(600));
-        assert_eq!(core.asked(n, READ).2, configuration(version), "at {n}");
+        assert_eq!(core.request(n, READ).2, configuration(version), "at {n}");
     }
 }
 
@@ -183,8 +189,11 @@
     #[case] hears: bool,
     #[values(false, true)] the_primary: bool,
 ) {
-    let mut core = Core::started(3, 1);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+    let mut core = PartitionCluster::started(3, 1);
+    assert_eq!(
+        core.request_until_definite(&[0], replace(0, 5)).1,
+        ResultCode::Ok
+    );
     let primary = core.primary();
     let one = if the_primary {
         primary
@@ -200,7 +209,7 @@
     }
     let (healthy, cut_at) = (core.others(&[one]), core.now);
     for version in [5, 7, 9, 11, 13] {
-        let (took, code) = core.order(&healthy, replace(version, version + 2));
+        let (took, code) = core.request_until_definite(&healthy, replace(version, version + 2));
         assert!(
             code == ResultCode::Ok && took < ACK,
             "{code:?} after {took:?}"
@@ -214,12 +223,12 @@
             core.age(one)
         );
     }
-    let read = core.asked(one, READ);
+    let read = core.request(one, READ);
     assert!(read.1.status() == 503, "{:?}", read.1);
     core.heal();
     core.run(ms(3000));
     assert!(core.age(one).unwrap() < ms(600));
-    assert_eq!(core.asked(one, READ).2, configuration(15));
+    assert_eq!(core.request(one, READ).2, configuration(15));
 }
 
 /// It shows what its disk knows to be acknowledged, and says that nobody has confirmed it.
@@ -227,8 +236,11 @@
 #[case::alone(1)]
 #[case::again_and_again(4)]
 fn member_when_restarted_while_partitioned_then_its_state_is_unconfirmed(#[case] times: usize) {
-    let mut core = Core::started(3, 1);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+    let mut core = PartitionCluster::started(3, 1);
+    assert_eq!(
+        core.request_until_definite(&[0], replace(0, 5)).1,
+        ResultCode::Ok
+    );
     core.run(ms(1000));
     let primary = core.primary();
     let one = core.replicas().into_iter().find(|n| *n != primary).unwrap();
@@ -237,49 +249,67 @@
     for _ in 0..times {
         core.restart(one);
         core.run(CUT / times as u32);
-        assert_eq!((core.nodes[one].shown, core.age(one)), (5, None));
+        assert_eq!(
+            (core.nodes[one].published_version, core.age(one)),
+            (5, None)
+        );
     }
-    assert_eq!(core.order(&healthy, replace(5, 7)).1, ResultCode::Ok);
-    assert_eq!(core.asked(one, READ).1, ResultCode::NoPrimary);
-    // What was under way to an earlier life comes now.
+    assert_eq!(
+        core.request_until_definite(&healthy, replace(5, 7)).1,
+        ResultCode::Ok
+    );
+    assert_eq!(core.request(one, READ).1, ResultCode::NoPrimary);
+    // What was under way to an earlier incarnation comes now.
     core.heal();
-    core.turn(one);
+    core.step_next(one);
     assert_eq!(core.age(one), None);
     core.run(ms(3000));
     assert!(core.age(one).unwrap() < ms(600));
-    assert_eq!(core.asked(one, READ).2, configuration(7));
+    assert_eq!(core.request(one, READ).2, configuration(7));
 }
 
 /// Those cut off are restarted, then the others.
 #[test]
 fn members_when_all_restart_during_a_partition_then_the_majority_goes_on() {
-    let mut core = Core::started(3, 1);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+    let mut core = PartitionCluster::started(3, 1);
+    assert_eq!(
+        core.request_until_definite(&[0], replace(0, 5)).1,
+        ResultCode::Ok
+    );
     let one = core.primary();
     core.cut_off(&[one]);
     let healthy = core.others(&[one]);
-    assert_eq!(core.order(&healthy, replace(5, 7)).1, ResultCode::Ok);
+    assert_eq!(
+        core.request_until_definite(&healthy, replace(5, 7)).1,
+        ResultCode::Ok
+    );
     core.restart(one);
     core.run(ms(5000));
     healthy.iter().for_each(|n| core.restart(*n));
-    let (took, code) = core.order(&healthy, replace(7, 9));
+    let (took, code) = core.request_until_definite(&healthy, replace(7, 9));
     assert!(
         code == ResultCode::Ok && took < ACK,
         "{code:?} after {took:?}"
     );
     core.run(CUT);
-    assert_eq!((core.nodes[one].shown, core.age(one)), (5, None));
+    assert_eq!(
+        (core.nodes[one].published_version, core.age(one)),
+        (5, None)
+    );
     core.heal();
     core.run(ms(3000));
-    assert_eq!(core.asked(one, READ).2, configuration(9));
+    assert_eq!(core.request(one, READ).2, configuration(9));
 }
 
 /// Its copy follows the order, but nobody grants the lease any more: the answer waits, and is no false yes.
 #[test]
 fn request_when_in_flight_at_the_partition_then_it_gets_no_false_answer() {
     for after in 0..12 {
-        let mut core = Core::started(3, 1);
-        assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+        let mut core = PartitionCluster::started(3, 1);
+        assert_eq!(
+            core.request_until_definite(&[0], replace(0, 5)).1,
+            ResultCode::Ok
+        );
         let old = core.primary();
         let ticket = core.call(old, replace(5, 7));
         core.run(ms(after));
@@ -295,7 +325,7 @@
         );
         // The same again on the other side is taken whether it got there before or not.
         let healthy = core.others(&[old]);
-        let (took, code) = core.order(&healthy, replace(5, 7));
+        let (took, code) = core.request_until_definite(&healthy, replace(5, 7));
         assert!(
             code == ResultCode::Ok && took < ACK,
             "{code:?} after {took:?}"
@@ -303,7 +333,7 @@
         core.heal();
         core.run(ms(3000));
         for n in 0..3 {
-            assert_eq!(core.asked(n, READ).2, configuration(7));
+            assert_eq!(core.request(n, READ).2, configuration(7));
         }
     }
 }
--- a/crates/control-plane/tests/partition_by_zone.rs
+++ b/crates/control-plane/tests/partition_by_zone.rs
@@ -7,7 +7,7 @@
 use configuration::{FaultBudget, ResultCode};
 use control_plane::member::majority_shortfall;
 use rstest::rstest;
-use support::partition_cluster::{configuration, replace, Core, ACK, CUT, READ};
+use support::partition_cluster::{configuration, replace, PartitionCluster, ACK, CUT, READ};
 use support::{ms, LEASE};
 
 /// Two machines in each of three zones, of which one may be lost.
@@ -39,7 +39,7 @@
     Out,
 }
 
-impl Core {
+impl PartitionCluster {
     fn cut_side(&mut self, side: &[usize], way: Way) {
         match way {
             Way::Neither => self.cut_off(side),
@@ -59,7 +59,7 @@
     ) -> u64 {
         let (begun, mut version) = (self.now, from);
         while self.now < begun + long {
-            let (took, code) = self.order(healthy, replace(version, version + 2));
+            let (took, code) = self.request_until_definite(healthy, replace(version, version + 2));
             assert!(
                 code == ResultCode::Ok && took < ACK,
                 "{code:?} after {took:?}"
@@ -108,7 +108,7 @@
     fn all_agree_on(&mut self, version: u64, may_be_followed: bool) -> u64 {
         self.heal();
         self.run(ms(3000));
-        let (_, code, body) = self.asked(self.primary(), READ);
+        let (_, code, body) = self.request(self.primary(), READ);
         let followed = may_be_followed && body == configuration(version + 1);
         let version = if followed { version + 1 } else { version };
         assert_eq!((code, body), (ResultCode::Ok, configuration(version)));
@@ -118,7 +118,7 @@
                 "{n}: {:?}",
                 self.age(n)
             );
-            assert_eq!(self.asked(n, READ).2, configuration(version), "at {n}");
+            assert_eq!(self.request(n, READ).2, configuration(version), "at {n}");
         }
         version
     }
@@ -131,18 +131,21 @@
     #[values(Way::Neither, Way::In, Way::Out)] way: Way,
     #[values(true, false)] with_primary: bool,
 ) {
-    let mut core = Core::in_places(budget, &places);
+    let mut core = PartitionCluster::in_places(budget, &places);
     // Whichever goes, a majority is left: two of the seeds may stand in one of them.
     let seats: Vec<_> = core
         .voters()
         .iter()
-        .map(|n| core.seats[*n].clone())
+        .map(|n| core.member_infos[*n].clone())
         .collect();
     assert!(
         majority_shortfall(&budget, &seats.iter().collect::<Vec<_>>()) <= 0,
         "{seats:?}"
     );
-    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+    assert_eq!(
+        core.request_until_definite(&[0], replace(0, 5)).1,
+        ResultCode::Ok
+    );
     let primary = core.primary();
     let group = |n: usize| {
         places[n]
@@ -172,8 +175,11 @@
     #[values(Way::In, Way::Out)] way: Way,
     #[values(true, false)] with_primary: bool,
 ) {
-    let mut core = Core::started(5, 2);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+    let mut core = PartitionCluster::started(5, 2);
+    assert_eq!(
+        core.request_until_definite(&[0], replace(0, 5)).1,
+        ResultCode::Ok
+    );
     let primary = core.primary();
     let rest = core.others(&[primary]);
     let first = with_primary.then_some(primary);
@@ -192,7 +198,7 @@
     Witness,
 }
 
-impl Core {
+impl PartitionCluster {
     /// A member of a part, another one than `than`.
     fn of_part(&self, part: Part, than: Option<usize>) -> Option<usize> {
         let (primary, replicas) = (self.primary(), self.replicas());
@@ -215,8 +221,11 @@
     #[values(Part::Primary, Part::Replica, Part::Witness)] cut: Part,
     #[values(0, 400, 10_000)] cut_after_ms: u64,
 ) {
-    let mut core = Core::started(5, 2);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+    let mut core = PartitionCluster::started(5, 2);
+    assert_eq!(
+        core.request_until_definite(&[0], replace(0, 5)).1,
+        ResultCode::Ok
+    );
     let sleeper = core.of_part(sleeps, None).unwrap();
     // The part as it was before, or, where a takeover lies between, as it is then.
     let chosen = core.of_part(cut, Some(sleeper));
@@ -228,7 +237,7 @@
         );
         return;
     }
-    core.nodes[sleeper].frozen = true;
+    core.nodes[sleeper].paused = true;
     let mut version = 5;
     if takeover_first {
         let healthy = core.others(&[sleeper]);
@@ -240,8 +249,8 @@
     core.cut_off(&[one]);
     let healthy = core.others(&[sleeper, one]);
     version = core.orders_go_on(CUT - ms(cut_after_ms), &healthy, &[one], version);
-    core.thaw(sleeper);
-    while core.turn(sleeper) {
+    core.resume(sleeper);
+    while core.step_next(sleeper) {
         assert!(
             !core.nodes[sleeper].member.is_acting_primary(),
             "it woke and acts"
@@ -251,7 +260,7 @@
     core.run(LEASE * 2);
     let awake = core.others(&[one]);
     version = core.orders_go_on(ms(cut_after_ms).max(LEASE), &awake, &[], version);
-    assert_eq!(core.asked(sleeper, READ).2, configuration(version));
+    assert_eq!(core.request(sleeper, READ).2, configuration(version));
     let unclear = core.nothing_is_answered_by(&[one], version);
     core.all_agree_on(version, unclear);
 }
@@ -266,8 +275,11 @@
     #[case] others_ppm: i64,
     #[values(Way::Neither, Way::In, Way::Out)] way: Way,
 ) {
-    let mut core = Core::started(3, 1);
-    assert_eq!(core.order(&[0], replace(0, 5)).1, ResultCode::Ok);
+    let mut core = PartitionCluster::started(3, 1);
+    assert_eq!(
+        core.request_until_definite(&[0], replace(0, 5)).1,
+        ResultCode::Ok
+    );
     let mut version = 5;
     for _ in 0..2 {
         let primary = core.primary();
@@ -293,7 +305,7 @@
 #[test]
 #[should_panic(expected = "act at")]
 fn clocks_when_they_drift_too_far_then_the_check_fails() {
-    let mut core = Core::started(3, 1);
+    let mut core = PartitionCluster::started(3, 1);
     let primary = core.primary();
     for n in 0..3 {
         core.set_drift(n, if n == primary { -300_000 } else { 300_000 });
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -74,7 +74,7 @@
     let (mut cluster, left) = all_but_one_lost();
     recover(&mut cluster, left);
     cluster
-        .until(SOON, |c| c.acts(left))
+        .until(SOON, |c| c.is_primary(left))
         .expect("it acts alone");
     assert_eq!(cluster.version(), Some(1));
     // On one disk alone nothing new is acknowledged: the next loss would take it.
@@ -99,19 +99,19 @@
     let (mut cluster, left) = all_but_one_lost();
     recover(&mut cluster, left);
     cluster
-        .until(SOON, |c| c.acts(left))
+        .until(SOON, |c| c.is_primary(left))
         .expect("it acts alone");
     let old: Vec<usize> = (0..3).filter(|n| *n != left).collect();
     old.iter().for_each(|n| cluster.restart(*n));
     cluster.apply(1, 2);
     cluster.run(ms(3000));
     assert_eq!(cluster.version(), Some(2));
-    let acting = (0..3).filter(|n| cluster.acts(*n)).count();
-    assert_eq!(acting, 1, "{:?}", cluster.views());
+    let acting = (0..3).filter(|n| cluster.is_primary(*n)).count();
+    assert_eq!(acting, 1, "{:?}", cluster.memberships());
     assert!(old.iter().all(|n| cluster.votes(*n)));
 }
 
-/// They have taken a change of their own by then: it goes, the recovered ledger stays, and only one side acts.
+/// They have taken a change of their own by then: it goes, the recovered ledger stays, and only one side has a primary.
 #[test]
 fn given_up_members_when_they_acted_meanwhile_then_they_step_down() {
     let (mut cluster, left) = all_but_one_lost();
@@ -120,19 +120,19 @@
     cluster.cut(left, true);
     old.iter().for_each(|n| cluster.restart(*n));
     cluster
-        .until(SOON, |c| old.iter().any(|n| c.acts(*n)))
+        .until(SOON, |c| old.iter().any(|n| c.is_primary(*n)))
         .expect("the old majority acts");
     cluster.run(ms(20_000));
-    assert!(cluster.acts(left));
+    assert!(cluster.is_primary(left));
     cluster.cut(left, false);
     cluster.run(ms(4000));
-    let acting: Vec<usize> = (0..3).filter(|n| cluster.acts(*n)).collect();
-    assert_eq!(acting.len(), 1, "{:?}", cluster.views());
+    let acting: Vec<usize> = (0..3).filter(|n| cluster.is_primary(*n)).collect();
+    assert_eq!(acting.len(), 1, "{:?}", cluster.memberships());
     assert_eq!(cluster.current().voters.len(), 3);
     assert!(
         cluster.votes(left),
         "the recovered lineage holds on: {:?}",
-        cluster.views()
+        cluster.memberships()
     );
     cluster.apply(1, 2);
 }
@@ -142,11 +142,11 @@
     let mut cluster = Cluster::of_three();
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
-    let epoch = cluster.view(witness).epoch;
+    let epoch = cluster.membership(witness).epoch;
     (0..3).for_each(|n| cluster.kill(n));
     let refused = SurvivingReplica::read(&identity(&cluster, witness), cluster.records(witness));
     assert!(matches!(refused, Err(RecoveryError::NoReplica { epoch: e }) if e == epoch));
-    // It knows of the view all the same.
+    // It knows of the membership all the same.
     assert_eq!(latest_epoch(cluster.records(witness)), epoch);
 }
 
--- a/crates/control-plane/tests/repeated_requests.rs
+++ b/crates/control-plane/tests/repeated_requests.rs
@@ -390,7 +390,7 @@
         (cluster.answered(old, 1), cluster.answered(old, 2)),
         (None, None)
     );
-    cluster.run_until(|c| others.iter().any(|n| c.acts(*n)));
+    cluster.run_until(|c| others.iter().any(|n| c.is_primary(*n)));
     cluster.command(others[0], 3, order(0, 2, "other"));
     assert_eq!(cluster.answer_to(others[0], 3), ResultCode::Ok);
     cluster.heal();
@@ -414,8 +414,8 @@
     assert_eq!(cluster.answer_to(old, 4), ResultCode::OtherBase);
 }
 
-/// A replica is lost while an order waits for it: the primary makes a view without it. What waited is dropped with the
-/// old view, and planned anew in the next, for its own callers and for those of others.
+/// A replica is lost while an order waits for it: the primary installs a membership without it. What waited is dropped with the
+/// old membership, and planned anew in the next, for its own callers and for those of others.
 #[test]
 fn request_when_in_flight_during_a_membership_change_then_confirmed_after_it() {
     let mut cluster = Cluster::new(3);
@@ -437,21 +437,21 @@
         codes,
         [ResultCode::Ok, ResultCode::Ok, ResultCode::OtherBase]
     );
-    assert!(cluster.acts(primary));
+    assert!(cluster.is_primary(primary));
 }
 
 /// What a member answers stands even where the primary freezes: a caller's order is asked of the next primary as
-/// soon as that one acts, and not only when the caller tries again.
+/// soon as that one is primary, and not only when the caller tries again.
 #[test]
 fn request_when_its_primary_is_paused_then_sent_to_the_next_at_once() {
     let mut cluster = Cluster::new(3);
-    let frozen = cluster.primary();
-    let others: Vec<usize> = (0..3).filter(|n| *n != frozen).collect();
-    cluster.freeze(frozen);
+    let paused = cluster.primary();
+    let others: Vec<usize> = (0..3).filter(|n| *n != paused).collect();
+    cluster.pause(paused);
     for member in &others {
         cluster.command(*member, 1, order(0, 2, "a"));
     }
-    cluster.run_until(|c| others.iter().any(|n| c.acts(*n)));
+    cluster.run_until(|c| others.iter().any(|n| c.is_primary(*n)));
     let since = cluster.now_ms();
     for member in &others {
         assert_eq!(cluster.answer_to(*member, 1), ResultCode::Ok);
--- a/crates/control-plane/tests/repeated_requests/early_proposals.rs
+++ b/crates/control-plane/tests/repeated_requests/early_proposals.rs
@@ -116,12 +116,12 @@
 #[test]
 fn early_request_when_its_primary_is_paused_then_sent_to_the_next() {
     let mut cluster = Cluster::new(3);
-    let frozen = cluster.primary();
-    let others: Vec<usize> = (0..3).filter(|n| *n != frozen).collect();
+    let paused = cluster.primary();
+    let others: Vec<usize> = (0..3).filter(|n| *n != paused).collect();
     cluster.command(others[0], 1, order(2, 5, "early"));
     cluster.run_ms(50);
-    cluster.freeze(frozen);
-    cluster.run_until(|c| others.iter().any(|n| c.acts(*n)));
+    cluster.pause(paused);
+    cluster.run_until(|c| others.iter().any(|n| c.is_primary(*n)));
     cluster.command(others[1], 2, order(0, 2, "base"));
     assert_eq!(cluster.answer_to(others[1], 2), ResultCode::Ok);
     assert_eq!(cluster.answer_to(others[0], 1), ResultCode::Ok);
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -19,7 +19,7 @@
     cluster.primary().unwrap()
 }
 
-/// Machines by their part in the view: primary, other replica, witness.
+/// Machines by their part in the membership: primary, other replica, witness.
 fn parts(cluster: &mut Cluster) -> (usize, usize, usize) {
     primary(cluster);
     let replicas = cluster.replicas();
@@ -31,7 +31,7 @@
 fn replica_when_departing_then_waits_until_another_holds_the_state() {
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
-    cluster.leave(second);
+    cluster.depart(second);
     assert!(
         !cluster.left(second),
         "it ends while the primary's is the only other copy"
@@ -43,7 +43,7 @@
     cluster.kill(first);
     // Whatever the witness alone may not do, it has what was acknowledged.
     assert!(cluster
-        .view(witness)
+        .membership(witness)
         .replicas
         .contains(&cluster.id(witness)));
 }
@@ -52,7 +52,7 @@
 fn primary_when_departing_then_waits_until_two_others_hold_the_state() {
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
-    cluster.leave(first);
+    cluster.depart(first);
     let took = cluster.until(SOON, |c| c.left(first)).expect("it may end");
     assert!(took < LEASE, "handed over after {took:?}");
     let mut replicas = cluster.replicas();
@@ -68,7 +68,7 @@
     let mut cluster = Cluster::of_three();
     let (first, second, _) = parts(&mut cluster);
     cluster.kill(second);
-    cluster.leave(first);
+    cluster.depart(first);
     cluster.run(ms(500));
     assert!(!cluster.left(first), "the only copy ends");
     cluster.wipe(second);
@@ -87,9 +87,9 @@
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     cluster.kill(second);
-    cluster.leave(first);
+    cluster.depart(first);
     cluster
-        .until(SOON, |c| c.acts(witness))
+        .until(SOON, |c| c.is_primary(witness))
         .expect("the witness takes over");
     cluster.kill(first);
     cluster.wipe(second);
@@ -101,7 +101,7 @@
 fn members_when_all_depart_then_they_end_soon() {
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
-    (0..3).for_each(|n| cluster.leave(n));
+    (0..3).for_each(|n| cluster.depart(n));
     let all = |c: &Cluster| (0..3).all(|n| c.left(n));
     let took = cluster.until(SOON, all).expect("all end");
     assert!(
@@ -131,7 +131,7 @@
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
     let old = [replicas[0], replicas[1], witness][part];
-    cluster.leave(old);
+    cluster.depart(old);
     cluster
         .until(SOON, |c| c.left(old))
         .expect("the old one ends");
@@ -149,14 +149,14 @@
     cluster.apply(1, 2);
 }
 
-/// The primary is lost right after its view with a new voter has been agreed on, of which that voter was not told.
+/// The primary is lost right after its membership with a new voter has been agreed on, of which that voter was not told.
 #[test]
 fn voter_when_not_told_yet_then_it_may_promise() {
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     cluster.kill(witness);
     cluster.run(ms(3500));
-    // Installing views doesn't reach the new one, but all else does.
+    // Installing memberships doesn't reach the new one, but all else does.
     let new = cluster.add("r/d");
     cluster.loses = Some(std::rc::Rc::new(move |_, to, message| {
         to == new && matches!(message, Message::InstallMembership { .. })
@@ -164,16 +164,16 @@
     cluster
         .until(SOON, |c| c.votes(new) && c.current().is_stable())
         .expect("it becomes a voter");
-    assert_eq!(cluster.view(new).epoch, 0);
+    assert_eq!(cluster.membership(new).epoch, 0);
     cluster.kill(first);
     cluster.loses = None;
     cluster
-        .until(SOON, |c| c.acts(second))
+        .until(SOON, |c| c.is_primary(second))
         .expect("the other replica and the new voter are a majority");
     assert_eq!(cluster.version(), Some(1));
 }
 
-/// Between the view with both sets of voters and the one that settles it, the loss of any one must not stop all.
+/// Between the membership with both sets of voters and the one that settles it, the loss of any one must not stop all.
 #[test]
 fn change_of_voters_when_committed_then_stable_at_once() {
     let mut cluster = Cluster::of_three();
@@ -208,7 +208,7 @@
         assert!(
             cluster.votes(new) && !cluster.votes(gone),
             "round {round}: {:?}",
-            cluster.views()
+            cluster.memberships()
         );
         let next = alive[0];
         cluster.kill(next);
@@ -220,7 +220,7 @@
     assert_eq!(cluster.version(), Some(7));
 }
 
-/// A wiped machine counts as lost until its new self has a say in its old one's place.
+/// A wiped machine counts as lost until its new id is a voter in place of the old one.
 #[rstest]
 #[case::primary(0)]
 #[case::replica(1)]
@@ -281,7 +281,7 @@
     );
 }
 
-/// Which members have a say rests on where they are: any zone may go, and there is a majority.
+/// Which members are voters depends on where they are: any zone may be lost, and a majority is left.
 #[rstest]
 #[case::four(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a"])]
 #[case::five(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a", "r/b"])]
@@ -323,7 +323,7 @@
         .expect("all join");
     for round in 0..2 {
         let first = primary(&mut cluster);
-        cluster.leave(first);
+        cluster.depart(first);
         cluster.until(SOON, |c| c.left(first)).expect("it ends");
         cluster.kill(first);
         cluster.run(ms(1000));
@@ -331,7 +331,7 @@
             cluster.current().voters.len(),
             4 - round,
             "{:?}",
-            cluster.views()
+            cluster.memberships()
         );
     }
     let next = primary(&mut cluster);
@@ -388,16 +388,16 @@
         })
         .expect("four voters");
     let leaver = cluster.primary().unwrap();
-    cluster.leave(leaver);
+    cluster.depart(leaver);
     cluster
         .until(SOON, |c| {
-            !c.acts(leaver) && c.primary().is_some() && !c.votes(leaver)
+            !c.is_primary(leaver) && c.primary().is_some() && !c.votes(leaver)
         })
         .expect("it is dropped");
     cluster.run(ms(1200));
     cluster.kill(leaver);
     let again = cluster.until(ms(10_000), |c| c.votes(leaver));
-    assert!(again.is_none(), "{:?}", cluster.views());
+    assert!(again.is_none(), "{:?}", cluster.memberships());
     let next = cluster.primary().unwrap();
     cluster.kill(next);
     cluster.apply(1, 2);
--- a/crates/control-plane/tests/second_loss_sweep.rs
+++ b/crates/control-plane/tests/second_loss_sweep.rs
@@ -1,4 +1,4 @@
-//! The second loss at **every** step of a repair, a replacement or a departure: somebody acts again and takes an order
+//! The second loss at **every** step of a repair, a replacement or a departure: there is a primary again that accepts requests
 //! in time, nothing acknowledged is lost, and after the time to catch up the next loss is borne as well
 //! (`docs/design/hardening/3-second-loss.md`).
 
@@ -146,7 +146,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Later {
     Start(usize),
-    /// Starts again the process that was asked to end in this life.
+    /// Starts again the process that was asked to end in this incarnation.
     StartOnceEnded(usize, u32),
     WipedStart(usize),
     Add(usize),
@@ -215,10 +215,14 @@
         while let Some(due) = self.later.iter().position(|l| l.0 <= now) {
             match self.later.remove(due).1 {
                 Later::Start(n) if !self.cluster.runs(n) => self.cluster.restart(n),
-                Later::StartOnceEnded(n, life) if self.cluster.life(n) == life => {
-                    self.at(ms(50), Later::StartOnceEnded(n, life));
+                Later::StartOnceEnded(n, incarnation)
+                    if self.cluster.incarnation(n) == incarnation =>
+                {
+                    self.at(ms(50), Later::StartOnceEnded(n, incarnation));
                 }
-                Later::StartOnceEnded(n, life) if self.cluster.life(n) == life + 1 => {
+                Later::StartOnceEnded(n, incarnation)
+                    if self.cluster.incarnation(n) == incarnation + 1 =>
+                {
                     self.cluster.restart(n);
                 }
                 Later::WipedStart(n) => self.cluster.wipe(n),
@@ -303,8 +307,8 @@
             }
             Change::Restart => {
                 self.cluster.terminate(n);
-                let life = self.cluster.life(n);
-                self.at(ms(50), Later::StartOnceEnded(n, life));
+                let incarnation = self.cluster.incarnation(n);
+                self.at(ms(50), Later::StartOnceEnded(n, incarnation));
             }
             Change::Die => {
                 self.cluster.kill(n);
@@ -356,7 +360,7 @@
         } else {
             Err(format!(
                 "{before} is the last one taken: {:?}",
-                self.cluster.views()
+                self.cluster.memberships()
             ))
         }
     }
--- a/crates/control-plane/tests/support/event_cluster.rs
+++ b/crates/control-plane/tests/support/event_cluster.rs
@@ -34,7 +34,7 @@
 }
 
 impl Event {
-    /// Whether it is a step of a change of the view, and not one that recurs while nothing changes.
+    /// Whether it is a step of a change of the membership, and not one that recurs while nothing changes.
     fn is_step(&self) -> bool {
         match self {
             Event::Deliver { message, .. } => !matches!(
@@ -53,11 +53,11 @@
 /// Whether a message from one machine to another is lost.
 type Loses = Rc<dyn Fn(usize, usize, &Message) -> bool>;
 
-/// A view as one machine sees it: identities.
+/// A membership as one machine sees it: identities.
 #[derive(Debug)]
-pub struct Seen {
+pub struct SeenMembership {
     pub id: u64,
-    pub acts: bool,
+    pub is_primary: bool,
     pub epoch: u64,
     pub replicas: Vec<u64>,
     pub voters: Vec<u64>,
@@ -66,10 +66,10 @@
 
 #[derive(Clone)]
 struct Node {
-    seat: MemberInfo,
+    member_info: MemberInfo,
     member: Option<Member>,
-    /// Number of its life; what an earlier one had under way comes to nothing.
-    life: u32,
+    /// Number of its incarnation; what an earlier one had under way comes to nothing.
+    incarnation: u32,
     records: Vec<Vec<u8>>,
     cut: bool,
     left: bool,
@@ -93,7 +93,7 @@
     pub slow_disks: BTreeMap<usize, Duration>,
     /// Messages that are lost: from, to, message.
     pub loses: Option<Loses>,
-    /// Most voters and least voters of any view that was installed.
+    /// Most voters and least voters of any membership that was installed.
     pub sizes: (usize, usize),
 }
 
@@ -134,7 +134,7 @@
             port: 7660,
         };
         let (region, zone) = zone.split_once('/').unwrap();
-        let seat = MemberInfo {
+        let member_info = MemberInfo {
             id: n as u64 + 1,
             name: format!("core-{n}"),
             addr,
@@ -144,9 +144,9 @@
         };
         let (records, wake) = (vec![], ms(0));
         self.nodes.push(Node {
-            seat,
+            member_info,
             member: None,
-            life: 0,
+            incarnation: 0,
             records,
             cut: false,
             left: false,
@@ -164,15 +164,21 @@
     }
 
     fn boot(&mut self, n: usize, initial: bool) {
-        let voters = || self.nodes.iter().take(3).map(|n| n.seat.clone()).collect();
+        let voters = || {
+            self.nodes
+                .iter()
+                .take(3)
+                .map(|n| n.member_info.clone())
+                .collect()
+        };
         let config = member_config(
-            self.nodes[n].seat.clone(),
+            self.nodes[n].member_info.clone(),
             initial.then(voters),
             self.budget,
         );
-        let random = 77 * (n as u64 + 1) + u64::from(self.nodes[n].life);
+        let random = 77 * (n as u64 + 1) + u64::from(self.nodes[n].incarnation);
         let node = &mut self.nodes[n];
-        node.life += 1;
+        node.incarnation += 1;
         node.wake = ms(0);
         (node.left, node.ends) = (false, false);
         node.member = Some(Member::new(config, &node.records, self.now, random));
@@ -188,14 +194,14 @@
     /// The process ends at once; its disk stays.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].member = None;
-        self.nodes[n].life += 1;
+        self.nodes[n].incarnation += 1;
     }
 
     /// The machine loses its disk and starts again at the same address, as somebody else.
     pub fn wipe(&mut self, n: usize) {
         self.kill(n);
         self.nodes[n].records.clear();
-        self.nodes[n].seat.id += 1000;
+        self.nodes[n].member_info.id += 1000;
         self.boot(n, false);
     }
 
@@ -206,12 +212,12 @@
 
     /// Starts a stopped machine as somebody else, with other records on its disk.
     pub fn restart_as(&mut self, n: usize, id: u64, records: Vec<Vec<u8>>) {
-        self.nodes[n].seat.id = id;
+        self.nodes[n].member_info.id = id;
         self.nodes[n].records = records;
         self.boot(n, false);
     }
 
-    pub fn leave(&mut self, n: usize) {
+    pub fn depart(&mut self, n: usize) {
         self.step(n, Input::Depart);
     }
 
@@ -219,14 +225,18 @@
     pub fn terminate(&mut self, n: usize) {
         self.nodes[n].ends = true;
         self.push(LEAVE_TIME, n, Event::End);
-        self.leave(n);
+        self.depart(n);
     }
 
     /// The process ends at once; what it was writing is on its disk.
     pub fn kill_after_write(&mut self, n: usize) {
-        let life = self.nodes[n].life;
+        let incarnation = self.nodes[n].incarnation;
         let node = &mut self.nodes[n];
-        for (_, _, event) in self.queue.values().filter(|e| e.0 == n && e.1 == life) {
+        for (_, _, event) in self
+            .queue
+            .values()
+            .filter(|e| e.0 == n && e.1 == incarnation)
+        {
             if let Event::Wrote {
                 records, rewrite, ..
             } = event
@@ -240,9 +250,9 @@
         self.kill(n);
     }
 
-    /// The number of a machine's life: another one for each process, and for none in between.
-    pub fn life(&self, n: usize) -> u32 {
-        self.nodes[n].life
+    /// The number of a machine's incarnation: another one for each process, and for none in between.
+    pub fn incarnation(&self, n: usize) -> u32 {
+        self.nodes[n].incarnation
     }
 
     /// Whether a machine's process runs.
@@ -265,10 +275,10 @@
     }
 
     pub fn id(&self, n: usize) -> u64 {
-        self.nodes[n].seat.id
+        self.nodes[n].member_info.id
     }
 
-    pub fn view(&self, n: usize) -> MembershipConfig {
+    pub fn membership(&self, n: usize) -> MembershipConfig {
         self.nodes[n]
             .member
             .as_ref()
@@ -277,7 +287,7 @@
             .unwrap_or_default()
     }
 
-    pub fn acts(&self, n: usize) -> bool {
+    pub fn is_primary(&self, n: usize) -> bool {
         self.nodes[n]
             .member
             .as_ref()
@@ -285,20 +295,23 @@
     }
 
     pub fn primary(&self) -> Option<usize> {
-        (0..self.nodes.len()).find(|n| self.acts(*n))
+        (0..self.nodes.len()).find(|n| self.is_primary(*n))
     }
 
-    /// The primary's view.
+    /// The primary's membership.
     pub fn current(&self) -> MembershipConfig {
-        self.primary().map(|n| self.view(n)).unwrap_or_default()
+        self.primary()
+            .map(|n| self.membership(n))
+            .unwrap_or_default()
     }
 
-    /// Machines that are replicas in the primary's view, the primary first.
+    /// Machines that are replicas in the primary's membership, the primary first.
     pub fn replicas(&self) -> Vec<usize> {
-        let view = self.current();
-        view.replicas
+        let membership = self.current();
+        membership
+            .replicas
             .iter()
-            .filter_map(|id| self.nodes.iter().position(|n| n.seat.id == *id))
+            .filter_map(|id| self.nodes.iter().position(|n| n.member_info.id == *id))
             .collect()
     }
 
@@ -308,9 +321,9 @@
 
     fn push(&mut self, after: Duration, node: usize, event: Event) {
         self.events += 1;
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         self.queue
-            .insert((self.now + after, self.events), (node, life, event));
+            .insert((self.now + after, self.events), (node, incarnation, event));
     }
 
     fn step(&mut self, n: usize, input: Input) {
@@ -319,19 +332,23 @@
             member.step(self.now, input, &mut out);
         }
         for output in out {
-            self.perform(n, output);
+            self.handle_output(n, output);
         }
-        let view = self.view(n);
-        if view.epoch > 0 {
-            let len = view.voters.len();
+        let membership = self.membership(n);
+        if membership.epoch > 0 {
+            let len = membership.voters.len();
             self.sizes = (self.sizes.0.max(len), self.sizes.1.min(len));
         }
     }
 
-    fn perform(&mut self, n: usize, output: Output) {
+    fn handle_output(&mut self, n: usize, output: Output) {
         match output {
             Output::Send { to, message } => {
-                let Some(to) = self.nodes.iter().position(|m| m.seat.addr == to.addr) else {
+                let Some(to) = self
+                    .nodes
+                    .iter()
+                    .position(|m| m.member_info.addr == to.addr)
+                else {
                     return;
                 };
                 let lost = self
@@ -343,7 +360,7 @@
                     && !self.nodes[to].cut
                     && self.nodes[to].member.is_some()
                 {
-                    let from = self.nodes[n].seat.clone();
+                    let from = self.nodes[n].member_info.clone();
                     self.push(
                         NETWORK,
                         to,
@@ -387,7 +404,7 @@
         }
     }
 
-    fn happen(&mut self, n: usize, event: Event) {
+    fn handle_event(&mut self, n: usize, event: Event) {
         match event {
             Event::Wake if self.now >= self.nodes[n].wake => self.step(n, Input::Tick),
             Event::Wake => {}
@@ -419,13 +436,13 @@
                 );
             }
             Event::Links => {
-                let seat = self.nodes[n].seat.clone();
+                let member_info = self.nodes[n].member_info.clone();
                 for to in (0..self.nodes.len()).filter(|to| *to != n) {
                     if !self.nodes[n].cut && !self.nodes[to].cut {
                         self.step(
                             to,
                             Input::PeerReachable {
-                                member: seat.clone(),
+                                member: member_info.clone(),
                             },
                         );
                     }
@@ -436,21 +453,21 @@
         }
     }
 
-    /// Lets the next thing happen that is due until then.
+    /// Lets the next event happen that is due until then.
     fn next(&mut self, until: Duration) -> bool {
-        let Some(((at, _), (n, life, event))) = self.queue.pop_first() else {
+        let Some(((at, _), (n, incarnation, event))) = self.queue.pop_first() else {
             self.now = until;
             return false;
         };
         if at > until {
-            self.queue.insert((at, 0), (n, life, event));
+            self.queue.insert((at, 0), (n, incarnation, event));
             self.now = until;
             return false;
         }
         self.now = self.now.max(at);
-        if self.nodes[n].life == life && self.nodes[n].member.is_some() {
+        if self.nodes[n].incarnation == incarnation && self.nodes[n].member.is_some() {
             self.steps += u64::from(event.is_step());
-            self.happen(n, event);
+            self.handle_event(n, event);
         }
         true
     }
@@ -511,7 +528,7 @@
             }
             self.run(ms(20));
         }
-        panic!("version {version} isn't taken: {:?}", self.views());
+        panic!("version {version} isn't taken: {:?}", self.memberships());
     }
 
     /// The version that the control plane tells.
@@ -526,18 +543,19 @@
         Some(document.version)
     }
 
-    /// The views of all that run.
-    pub fn views(&self) -> Vec<Seen> {
-        let ids = |seats: &[MemberInfo]| seats.iter().map(|s| s.id).collect::<Vec<_>>();
+    /// The memberships of all that run.
+    pub fn memberships(&self) -> Vec<SeenMembership> {
+        let ids =
+            |member_infos: &[MemberInfo]| member_infos.iter().map(|s| s.id).collect::<Vec<_>>();
         let seen = |n: usize| {
-            let view = self.view(n);
-            let (voters, before) = (ids(&view.voters), ids(&view.previous_voters));
-            let (id, acts, epoch) = (self.id(n), self.acts(n), view.epoch);
-            Seen {
+            let membership = self.membership(n);
+            let (voters, before) = (ids(&membership.voters), ids(&membership.previous_voters));
+            let (id, is_primary, epoch) = (self.id(n), self.is_primary(n), membership.epoch);
+            SeenMembership {
                 id,
-                acts,
+                is_primary,
                 epoch,
-                replicas: view.replicas,
+                replicas: membership.replicas,
                 voters,
                 before,
             }
--- a/crates/control-plane/tests/support/partition_cluster.rs
+++ b/crates/control-plane/tests/support/partition_cluster.rs
@@ -14,13 +14,13 @@
 
 /// Time between two reports of a link that its member is there.
 const LINK_REPORT: Duration = Duration::from_millis(1000);
-/// The voters of view 0 where members stand in zones: as many as there are seeds.
+/// The voters of epoch 0 where members stand in zones: as many as there are seeds.
 const SEEDS: usize = 3;
 /// Parts of a second in a million, by which clocks drift.
 const MILLION: i64 = 1_000_000;
 
 /// The member of a number in a place, `region/zone`.
-fn seat(n: usize, place: &str) -> MemberInfo {
+fn member_info(n: usize, place: &str) -> MemberInfo {
     let addr = Addr {
         ip: n as u32 + 1,
         port: 7660,
@@ -69,8 +69,8 @@
     pub inbox: VecDeque<Waiting>,
     /// By its own clock.
     pub wake: Duration,
-    pub frozen: bool,
-    pub shown: u64,
+    pub paused: bool,
+    pub published_version: u64,
     /// How much faster than true time its clock runs, in millionths, and since when.
     drift_ppm: i64,
     drifts_since: Duration,
@@ -79,11 +79,11 @@
 }
 
 /// A core on simulated time. A message takes 1 ms, a write 2 ms.
-pub struct Core {
+pub struct PartitionCluster {
     pub now: Duration,
     pub nodes: Vec<Node>,
     budget: FaultBudget,
-    pub seats: Vec<MemberInfo>,
+    pub member_infos: Vec<MemberInfo>,
     initial_voters: usize,
     /// From whom to whom nothing comes through for now.
     pub cut: BTreeSet<(usize, usize)>,
@@ -91,7 +91,7 @@
     pub tickets: u64,
 }
 
-impl Core {
+impl PartitionCluster {
     /// One whose members have agreed on a primary: all are voters from the start, each in a zone of its own.
     pub fn started(members: usize, losses: u32) -> Self {
         let places: Vec<String> = (0..members).map(|n| format!("r/zone-{n}")).collect();
@@ -116,10 +116,10 @@
             now: ms(0),
             nodes: vec![],
             budget,
-            seats: places
+            member_infos: places
                 .iter()
                 .enumerate()
-                .map(|(n, place)| seat(n, place))
+                .map(|(n, place)| member_info(n, place))
                 .collect(),
             initial_voters,
             cut: [].into(),
@@ -135,10 +135,10 @@
     }
 
     fn node(&self, n: usize, records: Vec<Vec<u8>>) -> Node {
-        let voters = self.seats[..self.initial_voters].to_vec();
+        let voters = self.member_infos[..self.initial_voters].to_vec();
         let initial = n < self.initial_voters && records.is_empty();
         let config = member_config(
-            self.seats[n].clone(),
+            self.member_infos[n].clone(),
             Some(voters).filter(|_| initial),
             self.budget,
         );
@@ -148,8 +148,8 @@
             records,
             inbox: VecDeque::new(),
             wake: ms(0),
-            frozen: false,
-            shown: 0,
+            paused: false,
+            published_version: 0,
             drift_ppm: 0,
             drifts_since: self.now,
             clock_then: ms(0),
@@ -209,7 +209,9 @@
     /// Members in a place: a zone, or a region with all its zones.
     pub fn members_in(&self, place: &str) -> Vec<usize> {
         (0..self.nodes.len())
-            .filter(|n| self.seats[*n].zone == place || self.seats[*n].region == place)
+            .filter(|n| {
+                self.member_infos[*n].zone == place || self.member_infos[*n].region == place
+            })
             .collect()
     }
 
@@ -219,24 +221,24 @@
 
     pub fn primary(&self) -> usize {
         let acting = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].member.is_acting_primary() && !self.nodes[*n].frozen);
+            .filter(|n| self.nodes[*n].member.is_acting_primary() && !self.nodes[*n].paused);
         acting
             .max_by_key(|n| self.nodes[*n].member.promised_epoch())
             .expect("one acts")
     }
 
     pub fn replicas(&self) -> Vec<usize> {
-        let view = self.nodes[self.primary()].member.membership().unwrap();
+        let membership = self.nodes[self.primary()].member.membership().unwrap();
         (0..self.nodes.len())
-            .filter(|n| view.replicas.contains(&self.seats[*n].id))
+            .filter(|n| membership.replicas.contains(&self.member_infos[*n].id))
             .collect()
     }
 
-    /// Those who have a say in the primary's view.
+    /// The voters of the primary's membership.
     pub fn voters(&self) -> Vec<usize> {
-        let view = self.nodes[self.primary()].member.membership().unwrap();
+        let membership = self.nodes[self.primary()].member.membership().unwrap();
         (0..self.nodes.len())
-            .filter(|n| view.voter(self.seats[*n].id).is_some())
+            .filter(|n| membership.voter(self.member_infos[*n].id).is_some())
             .collect()
     }
 
@@ -246,7 +248,7 @@
             .collect()
     }
 
-    /// Since the latest proof; `None` where there was none in its life.
+    /// The time since the latest primary contact; `None` before the first one of its incarnation.
     pub fn age(&self, n: usize) -> Option<Duration> {
         let clock = self.clock(n);
         self.nodes[n]
@@ -270,7 +272,7 @@
     }
 
     /// Calls and waits for the answer, for [`ACK`] at most: how long it took, its code and its body.
-    pub fn asked(&mut self, n: usize, command: Command) -> (Duration, ResultCode, Vec<u8>) {
+    pub fn request(&mut self, n: usize, command: Command) -> (Duration, ResultCode, Vec<u8>) {
         let (since, ticket) = (self.now, self.call(n, command));
         while self.now < since + ACK {
             self.run(ms(1));
@@ -282,10 +284,14 @@
     }
 
     /// As the operator: sends the same again, to one member after the other, until it gets a clear answer.
-    pub fn order(&mut self, to: &[usize], command: Command) -> (Duration, ResultCode) {
+    pub fn request_until_definite(
+        &mut self,
+        to: &[usize],
+        command: Command,
+    ) -> (Duration, ResultCode) {
         let since = self.now;
         for n in to.iter().cycle() {
-            let (_, code, _) = self.asked(*n, command.clone());
+            let (_, code, _) = self.request(*n, command.clone());
             if code.status() < 500 {
                 return (self.now - since, code);
             }
@@ -298,7 +304,7 @@
         let end = self.now + long;
         loop {
             for n in 0..self.nodes.len() {
-                while self.turn(n) {}
+                while self.step_next(n) {}
             }
             if self.now >= end {
                 return;
@@ -315,9 +321,9 @@
         let many = self.nodes.len();
         for (a, b) in (0..many).flat_map(|a| (0..many).map(move |b| (a, b))) {
             let up = a != b && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a));
-            if up && !self.nodes[a].frozen {
+            if up && !self.nodes[a].paused {
                 let input = Input::PeerReachable {
-                    member: self.seats[a].clone(),
+                    member: self.member_infos[a].clone(),
                 };
                 self.nodes[b].inbox.push_back(Waiting {
                     at: self.now + ms(1),
@@ -329,9 +335,9 @@
     }
 
     /// One input of a member; false where nothing is due.
-    pub fn turn(&mut self, n: usize) -> bool {
+    pub fn step_next(&mut self, n: usize) -> bool {
         let (now, clock, cut, node) = (self.now, self.clock(n), &self.cut, &mut self.nodes[n]);
-        if node.frozen {
+        if node.paused {
             return false;
         }
         let due = |w: &Waiting| w.at <= now && w.from.is_none_or(|from| !cut.contains(&(from, n)));
@@ -349,7 +355,7 @@
         let mut out = Vec::new();
         node.member.step(clock, input, &mut out);
         for output in out {
-            self.perform(n, output);
+            self.handle_output(n, output);
         }
         self.check_one_acts();
         true
@@ -363,13 +369,13 @@
         assert!(acting.len() <= 1, "{acting:?} act at {:?}", self.now);
     }
 
-    fn perform(&mut self, n: usize, output: Output) {
+    fn handle_output(&mut self, n: usize, output: Output) {
         let now = self.now;
         match output {
             Output::Send { to, message } => {
                 let to = to.addr.ip as usize - 1;
                 let input = Input::Message {
-                    from: self.seats[n].clone(),
+                    from: self.member_infos[n].clone(),
                     message,
                 };
                 self.nodes[to].inbox.push_back(Waiting {
@@ -406,14 +412,14 @@
             }
             Output::PublishState { configuration, .. }
             | Output::RestoreState { configuration, .. } => {
-                self.nodes[n].shown = configuration.version;
+                self.nodes[n].published_version = configuration.version;
             }
             Output::Wake { at } => self.nodes[n].wake = at,
             Output::DepartureComplete => {}
         }
     }
 
-    pub fn thaw(&mut self, n: usize) {
-        self.nodes[n].frozen = false;
+    pub fn resume(&mut self, n: usize) {
+        self.nodes[n].paused = false;
     }
 }
--- a/crates/control-plane/tests/support/request_cluster.rs
+++ b/crates/control-plane/tests/support/request_cluster.rs
@@ -28,7 +28,7 @@
     },
     Wrote {
         node: usize,
-        life: u64,
+        incarnation: u64,
         ticket: u64,
         records: Vec<Vec<u8>>,
         rewrite: bool,
@@ -42,7 +42,7 @@
     info: MemberInfo,
     /// None while it is down.
     member: Option<Member>,
-    life: u64,
+    incarnation: u64,
     records: Vec<Vec<u8>>,
     rewrites: usize,
     wake: Duration,
@@ -58,7 +58,7 @@
     held: Option<Held>,
     kept_back: Vec<Event>,
     cut: BTreeSet<usize>,
-    frozen: BTreeSet<usize>,
+    paused: BTreeSet<usize>,
     sent: Vec<(usize, usize, Message)>,
     forwarded: BTreeMap<usize, usize>,
 }
@@ -83,7 +83,7 @@
         let node = |n: usize| Node {
             info: info(n),
             member: None,
-            life: 0,
+            incarnation: 0,
             records: Vec::new(),
             rewrites: 0,
             wake: Duration::ZERO,
@@ -97,7 +97,7 @@
             held: None,
             kept_back: Vec::new(),
             cut: BTreeSet::new(),
-            frozen: BTreeSet::new(),
+            paused: BTreeSet::new(),
             sent: Vec::new(),
             forwarded: BTreeMap::new(),
         };
@@ -109,13 +109,13 @@
     pub fn restart(&mut self, n: usize) {
         let voters: Vec<MemberInfo> = self.nodes.iter().map(|n| n.info.clone()).collect();
         let node = &mut self.nodes[n];
-        node.life += 1;
+        node.incarnation += 1;
         let config = member_config(
             node.info.clone(),
-            (node.life == 1).then(|| voters.clone()),
+            (node.incarnation == 1).then(|| voters.clone()),
             budget(1, 0, 0),
         );
-        let random = (n as u64 + 1) * 1_000_003 + node.life * 7_919;
+        let random = (n as u64 + 1) * 1_000_003 + node.incarnation * 7_919;
         node.member = Some(Member::new(config, &node.records, self.now, random));
         node.answers.clear();
         let me = self.nodes[n].info.clone();
@@ -133,13 +133,13 @@
         self.restart(n);
     }
 
-    /// Whether a member is a replica in the view of whoever acts, and that view's voters are agreed on.
+    /// Whether a member is a replica in the membership of the primary, and that membership is stable.
     pub fn is_settled_replica(&self, n: usize) -> bool {
-        let primary = (0..self.nodes.len()).find(|p| self.acts(*p));
-        let view = primary
+        let primary = (0..self.nodes.len()).find(|p| self.is_primary(*p));
+        let membership = primary
             .and_then(|p| self.nodes[p].member.as_ref())
             .and_then(Member::membership);
-        view.is_some_and(|v| v.is_stable() && v.replicas.contains(&self.nodes[n].info.id))
+        membership.is_some_and(|v| v.is_stable() && v.replicas.contains(&self.nodes[n].info.id))
     }
 
     /// Rewrites of a member's file so far.
@@ -163,8 +163,8 @@
     }
 
     /// A member stands still; what comes for it is lost.
-    pub fn freeze(&mut self, n: usize) {
-        self.frozen.insert(n);
+    pub fn pause(&mut self, n: usize) {
+        self.paused.insert(n);
     }
 
     /// Keeps something back from now on.
@@ -181,16 +181,16 @@
             .for_each(|event| self.schedule(WRITE_DELAY, event));
     }
 
-    /// The member that acts, once one does.
+    /// The primary, once there is one.
     pub fn primary(&mut self) -> usize {
-        self.run_until(|c| (0..c.nodes.len()).any(|n| c.acts(n)));
-        (0..self.nodes.len()).find(|n| self.acts(*n)).unwrap()
+        self.run_until(|c| (0..c.nodes.len()).any(|n| c.is_primary(n)));
+        (0..self.nodes.len()).find(|n| self.is_primary(*n)).unwrap()
     }
 
     /// A member that holds no replica.
     pub fn witness(&mut self) -> usize {
         let primary = self.primary();
-        let view = self.nodes[primary]
+        let membership = self.nodes[primary]
             .member
             .as_ref()
             .and_then(Member::membership)
@@ -198,13 +198,13 @@
             .unwrap();
         self.nodes
             .iter()
-            .position(|n| !view.replicas.contains(&n.info.id))
+            .position(|n| !membership.replicas.contains(&n.info.id))
             .unwrap()
     }
 
-    /// Whether a member acts.
-    pub fn acts(&self, n: usize) -> bool {
-        !self.frozen.contains(&n)
+    /// Whether a member is the acting primary.
+    pub fn is_primary(&self, n: usize) -> bool {
+        !self.paused.contains(&n)
             && self.nodes[n]
                 .member
                 .as_ref()
@@ -221,7 +221,7 @@
         self.step(n, Input::Command { ticket, command });
     }
 
-    /// What a call of a member's present life was answered.
+    /// What a call of a member's present incarnation was answered.
     pub fn answered(&self, n: usize, ticket: u64) -> Option<ResultCode> {
         self.nodes[n].answers.get(&ticket).map(|a| a.0)
     }
@@ -263,7 +263,7 @@
     pub fn run_ms(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.events.first_key_value().is_some_and(|e| e.0 .0 <= end) {
-            self.turn();
+            self.step_next();
         }
         self.now = end;
     }
@@ -273,7 +273,7 @@
         let end = self.now + LONGEST_WAIT;
         while !holds(self) {
             assert!(self.now < end && !self.events.is_empty(), "it never comes");
-            self.turn();
+            self.step_next();
         }
     }
 
@@ -282,7 +282,7 @@
         self.events.insert((self.now + after, self.sequence), event);
     }
 
-    fn turn(&mut self) {
+    fn step_next(&mut self) {
         let Some(((at, _), event)) = self.events.pop_first() else {
             return;
         };
@@ -306,12 +306,13 @@
             }
             Event::Wrote {
                 node,
-                life,
+                incarnation,
                 ticket,
                 records,
                 rewrite,
             } => {
-                if self.nodes[node].life != life || self.nodes[node].member.is_none() {
+                if self.nodes[node].incarnation != incarnation || self.nodes[node].member.is_none()
+                {
                     return;
                 }
                 if rewrite {
@@ -336,7 +337,7 @@
     }
 
     fn step(&mut self, n: usize, input: Input) {
-        if self.frozen.contains(&n) {
+        if self.paused.contains(&n) {
             return;
         }
         let now = self.now;
@@ -347,10 +348,10 @@
         member.step(now, input, &mut outputs);
         outputs
             .into_iter()
-            .for_each(|output| self.perform(n, output));
+            .for_each(|output| self.handle_output(n, output));
     }
 
-    fn perform(&mut self, n: usize, output: Output) {
+    fn handle_output(&mut self, n: usize, output: Output) {
         match output {
             Output::Send { to, message } => {
                 let Some(to) = self.nodes.iter().position(|m| m.info.id == to.id) else {
@@ -366,7 +367,7 @@
             } => {
                 let event = Event::Wrote {
                     node: n,
-                    life: self.nodes[n].life,
+                    incarnation: self.nodes[n].incarnation,
                     ticket,
                     records,
                     rewrite,
