--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: lines of text to events, actions to lines, the settings from JSON. Decides nothing.
 
 pub use coordinator::core::settings::from_ms;
-use coordinator::core::{names::Names, settings::load_report};
+use coordinator::core::{names::NameTable, settings::load_report};
 use coordinator::{
     Action, ClassId, Event, ListKind, LoadReport, Outcome, RequestId, RouterSettings, ServerEntry,
     ServerId, ServerState, TenantId, ZoneId,
@@ -82,10 +82,10 @@
 /// The words of one instance: nothing here is shared between instances.
 #[derive(Default)]
 pub struct Words {
-    requests: Names,
+    requests: NameTable,
     queries: HashMap<String, RequestId>,
-    servers: Names,
-    zones: Names,
+    servers: NameTable,
+    zones: NameTable,
     classes: Vec<String>,
     tenants: Vec<String>,
     stats: Vec<String>,
@@ -102,12 +102,12 @@
         zones: site.zones,
         classes: site.classes,
         tenants: site.tenants,
-        stats: site.stats,
-        marks_retry: site.marks_retry,
+        stats: site.report_values,
+        marks_retry: site.clients_mark_retries,
         talk: site.talk,
         ..Words::default()
     };
-    Ok((site.settings, words))
+    Ok((site.router, words))
 }
 
 /// One line of a server list, not yet in any instance's numbers.
@@ -179,8 +179,8 @@
         if kind != ListKind::Failed {
             for e in raw {
                 entries.push(ServerEntry {
-                    server: ServerId(self.servers.number(&e.node)),
-                    zone: ZoneId(self.zones.number(&e.zone)),
+                    server: ServerId(self.servers.number_or_insert(&e.node)),
+                    zone: ZoneId(self.zones.number_or_insert(&e.zone)),
                     cell: e.cell,
                     state: e.state,
                     started_at: e.boot.map(from_ms),
@@ -221,7 +221,7 @@
                 f.optional();
                 let whole = f.text("whole_no")?.to_owned();
                 let shard = f.number("shard")?;
-                let id = RequestId(self.requests.number(xid).into());
+                let id = RequestId(self.requests.number_or_insert(xid).into());
                 let weight = f.number("size_or_weight")?;
                 if shard < 0.0 {
                     let bits = f.optional().and_then(|b| b.parse::<u32>().ok());
@@ -249,7 +249,7 @@
             "attempt_end" => {
                 let part = self
                     .requests
-                    .find(f.text("xid")?)
+                    .number(f.text("xid")?)
                     .map(|n| RequestId(n.into()));
                 let attempt = f.value("hop")?;
                 f.text("node")?;
@@ -267,7 +267,7 @@
                     report,
                 }
             }
-            "withdrawn" => match self.requests.find(f.text("xid")?) {
+            "withdrawn" => match self.requests.number(f.text("xid")?) {
                 Some(n) => Event::ClientLeft {
                     query: RequestId(n.into()),
                 },
@@ -276,7 +276,7 @@
             "check_result" => {
                 let outcome = outcome(f.text("how")?).map_err(|e| format!("check_result: {e}"))?;
                 f.number("latency")?;
-                let server = self.servers.find(f.text("node")?).map(ServerId);
+                let server = self.servers.number(f.text("node")?).map(ServerId);
                 let report = self.report(f.optional());
                 let Some(server) = server else {
                     return Ok(None);
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -1,6 +1,6 @@
 //! Configuration: read, checked and given its defaults here and nowhere else.
 
-use crate::core::settings::{self, Site};
+use crate::core::settings::{self, SiteSettings};
 use crate::interface::Idempotency;
 use crate::net::discovery_watch::{news, News};
 use crate::net::gossip::PeerAddresses;
@@ -242,7 +242,7 @@
     }
 
     /// Checks it against the settings that it goes with.
-    pub fn check(&self, site: &Site) -> Result<(), ConfigError> {
+    pub fn check(&self, site: &SiteSettings) -> Result<(), ConfigError> {
         let mut names = BTreeSet::new();
         let indices = self.opensearch.iter().flat_map(|o| &o.index);
         for i in indices {
@@ -265,7 +265,7 @@
             let shards: BTreeSet<&u32> = i.districts.values().collect();
             if shards.is_empty()
                 || shards.len() < i.districts.len()
-                || shards.len() >= site.caps.open
+                || shards.len() >= site.limits.max_open
             {
                 return Err(ConfigError::Value(
                     "opensearch.index.districts",
@@ -273,7 +273,7 @@
                 ));
             }
             // Without a key a repeat in such a class could take effect twice.
-            if site.settings.classes[class].idempotency != Idempotency::Idempotent
+            if site.router.classes[class].idempotency != Idempotency::Idempotent
                 && i.key_header.is_none()
             {
                 return Err(ConfigError::Missing("opensearch.index.key_header"));
@@ -313,7 +313,7 @@
     /// The host list as last known.
     pub known: News,
     /// The settings.
-    pub site: Site,
+    pub site: SiteSettings,
     /// Where the coordinators that may be told something are; `None` where none may.
     pub tier: Option<PeerAddresses>,
     /// The operator's file; empty on the platform.
@@ -370,7 +370,7 @@
     peers: Option<Vec<String>>,
     all: Option<String>,
     listen: Option<String>,
-    site: &Site,
+    site: &SiteSettings,
 ) -> Result<Option<PeerAddresses>, ConfigError> {
     let fellows = peers
         .unwrap_or_default()
@@ -492,15 +492,15 @@
             known.members.len(),
             site.classes
                 .iter()
-                .zip(&site.settings.classes)
+                .zip(&site.router.classes)
                 .map(|(n, c)| format!("{n}:{:?}/{:?}", c.latency_target, c.client_timeout))
                 .collect::<Vec<_>>()
                 .join(","),
             room.clients,
             room.links,
-            site.caps.open,
-            site.caps.streams,
-            site.settings.max_retry_after,
+            site.limits.max_open,
+            site.limits.max_parts_per_connection,
+            site.router.max_retry_after,
         )
     }
 }
--- a/crates/coordinator/src/core/names.rs
+++ b/crates/coordinator/src/core/names.rs
@@ -1,42 +1,42 @@
-//! Names to numbers and back.
+//! Names and the numbers that stand for them in the decision module (interning).
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Numbers names in the order of their first appearance.
+/// Gives each name a number, in the order of their first appearance.
 #[derive(Default, Debug, Clone)]
-pub struct Names {
+pub struct NameTable {
     numbers: HashMap<Arc<str>, u32>,
     names: HashMap<u32, Arc<str>>,
-    next: u32,
+    next_number: u32,
 }
 
-impl Names {
-    /// The number of a name, given out if it is new.
-    pub fn number(&mut self, name: &str) -> u32 {
-        if let Some(n) = self.numbers.get(name) {
-            return *n;
+impl NameTable {
+    /// The number of a name. A new name gets the next one.
+    pub fn number_or_insert(&mut self, name: &str) -> u32 {
+        if let Some(number) = self.numbers.get(name) {
+            return *number;
         }
-        let (n, name) = (self.next, Arc::<str>::from(name));
-        self.next += 1;
-        self.names.insert(n, name.clone());
-        self.numbers.insert(name, n);
-        n
+        let (number, name) = (self.next_number, Arc::<str>::from(name));
+        self.next_number += 1;
+        self.names.insert(number, name.clone());
+        self.numbers.insert(name, number);
+        number
     }
 
-    /// The number of a name known already.
-    pub fn find(&self, name: &str) -> Option<u32> {
+    /// The number of a name, if it has one.
+    pub fn number(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
-    /// The name behind a number that was given out here.
-    pub fn name(&self, n: u32) -> &str {
-        self.names.get(&n).map_or("", |name| name)
+    /// The name of a number; empty for a number that stands for none.
+    pub fn name(&self, number: u32) -> &str {
+        self.names.get(&number).map_or("", |name| name)
     }
 
-    /// Drops a name that will not be asked for again; if it is, it gets a new number.
-    pub fn forget(&mut self, n: u32) {
-        if let Some(name) = self.names.remove(&n) {
+    /// Drops a name. If it appears again, it gets a new number.
+    pub fn remove(&mut self, number: u32) {
+        if let Some(name) = self.names.remove(&number) {
             self.numbers.remove(&name);
         }
     }
--- a/crates/coordinator/src/core/table/attempts.rs
+++ b/crates/coordinator/src/core/table/attempts.rs
@@ -1,127 +1,144 @@
 //! An attempt from its start to its end.
 
-use super::{
-    Attempt, Bytes, CallPart, Duration, Ended, Event, Instant, Outcome, RequestId, ServerId, Table,
-    Transport,
-};
+use super::{Attempt, QueryTable};
+use crate::core::message::AttemptEnd;
+use crate::core::transport::{PartRequest, Transport};
+use crate::interface::{Event, Outcome, RequestId, ServerId};
+use bytes::Bytes;
+use std::time::{Duration, Instant};
 
-impl<T: Transport> Table<T> {
-    pub(super) fn on_ended(&mut self, mut e: Ended, now: Instant) {
-        let Some(attempt) = self.attempts.remove(&(e.part, e.attempt)) else {
+impl<T: Transport> QueryTable<T> {
+    /// Handles the end of an attempt: keeps its value, and tells the decision module.
+    pub(super) fn attempt_ended(&mut self, mut end: AttemptEnd, now: Instant) {
+        let Some(attempt) = self.attempts.remove(&(end.part, end.attempt)) else {
             return;
         };
-        self.release_name(&attempt.name);
-        if let Some(n) = self.out.get_mut(&attempt.server) {
-            *n -= 1;
-            if *n == 0 {
-                self.out.remove(&attempt.server);
-            }
-        }
-        self.hear(attempt.server, e.outcome);
-        let size = e.value.as_ref().map_or(0, Bytes::len);
-        if size > self.most_held - self.held {
+        self.release_name(&attempt.query_name);
+        self.count_ended_at(attempt.server);
+        self.count_failed_connect(attempt.server, end.outcome);
+        let size = end.value.as_ref().map_or(0, Bytes::len);
+        if size > self.max_value_bytes - self.value_bytes {
             self.counters.inc("ended.no_room");
-            (e.outcome, e.value) = (Outcome::Error, None);
-        }
-        self.timeouts.remove(&(attempt.give_up, e.part, e.attempt));
-        self.counters.inc(match e.outcome {
-            Outcome::Ok => "ended.served",
-            Outcome::Error => "ended.error",
-            Outcome::Rejected => "ended.full",
-            Outcome::Timeout => "ended.timeout",
-            Outcome::ConnectFailed => "ended.connect_failed",
-            Outcome::Reset => "ended.reset",
-            Outcome::Cancelled => "ended.cancelled",
-            Outcome::NotSent => "ended.moot",
-        });
-        let part = self.parts.get_mut(&e.part);
-        let closed = e.outcome == Outcome::Ok || part.is_none();
-        if let Some(part) = part {
-            part.last = Some(e.outcome);
-            part.out = false;
-            if e.outcome == Outcome::Ok && part.value.is_none() {
-                self.held += size;
-                part.value = e.value;
-            }
+            (end.outcome, end.value) = (Outcome::Error, None);
         }
-        let latency = now.saturating_duration_since(attempt.sent);
+        self.timeouts
+            .remove(&(attempt.times_out_at, end.part, end.attempt));
+        self.counters.inc(outcome_counter(end.outcome));
+        let closed = self.end_part_attempt(&mut end, size);
+        let latency = now.saturating_duration_since(attempt.sent_at);
         log::trace!(
             "ended {} {:?} {latency:?} {} {:?}",
             attempt.server.0,
-            e.outcome,
-            attempt.name,
-            e.report
+            end.outcome,
+            attempt.query_name,
+            end.report
         );
-        let (part, attempt, outcome, report) = (e.part, e.attempt, e.outcome, e.report);
-        self.tell(
+        self.notify_router(
             now,
             Event::AttemptEnded {
-                part,
-                attempt,
-                outcome,
+                part: end.part,
+                attempt: end.attempt,
+                outcome: end.outcome,
                 latency,
                 closed,
-                report,
+                report: end.report,
             },
         );
     }
 
-    /// The attempt's outcome comes back once the host was told: a resend can't overlap with it.
-    pub(super) fn give_up(&mut self, part: RequestId, n: u32, outcome: Outcome) {
-        if let Some(a) = self.attempts.get_mut(&(part, n)).filter(|a| !a.given_up) {
-            a.given_up = true;
+    fn count_ended_at(&mut self, server: ServerId) {
+        if let Some(count) = self.in_flight.get_mut(&server) {
+            *count -= 1;
+            if *count == 0 {
+                self.in_flight.remove(&server);
+            }
+        }
+    }
+
+    /// Records the end in its part and keeps the first value. Returns whether the part is over.
+    fn end_part_attempt(&mut self, end: &mut AttemptEnd, size: usize) -> bool {
+        let served = end.outcome == Outcome::Ok;
+        let Some(part) = self.parts.get_mut(&end.part) else {
+            return true;
+        };
+        part.last_outcome = Some(end.outcome);
+        part.in_flight = false;
+        if served && part.value.is_none() {
+            self.value_bytes += size;
+            part.value = end.value.take();
+        }
+        served
+    }
+
+    /// Cancels an attempt, or ends one that timed out. Its outcome comes back once the host was
+    /// told, so that another attempt can't overlap with it.
+    pub(super) fn give_up_attempt(&mut self, part: RequestId, number: u32, outcome: Outcome) {
+        let attempt = self.attempts.get_mut(&(part, number));
+        if let Some(attempt) = attempt.filter(|a| !a.given_up) {
+            attempt.given_up = true;
             self.counters.inc("sent.cancels");
-            self.transport.cancel(a.server, part, n, outcome);
+            self.transport.cancel(attempt.server, part, number, outcome);
         }
     }
 
+    /// Begins an attempt. Returns the request to send; `None` if the part or its query is over.
     pub(super) fn new_attempt(
         &mut self,
         id: RequestId,
         server: ServerId,
         timeout: Duration,
         now: Instant,
-    ) -> Option<CallPart> {
+    ) -> Option<PartRequest> {
         let part = self.parts.get_mut(&id)?;
-        let q = self.queries.get(&part.query)?;
-        let attempt = part.attempts;
+        let query = self.queries.get(&part.query)?;
+        let number = part.attempts;
         part.attempts += 1;
-        part.out = true;
-        self.counters.inc(if attempt == 0 {
+        part.in_flight = true;
+        self.counters.inc(if number == 0 {
             "sent.first"
         } else {
             "sent.resends"
         });
-        let give_up = (now + timeout).min(q.deadline);
+        let times_out_at = (now + timeout).min(query.deadline);
         log::trace!(
-            "send {} {}.{} n={attempt} for {timeout:?}",
+            "send {} {}.{} n={number} for {timeout:?}",
             server.0,
-            q.name,
+            query.name,
             part.shard
         );
-        let (name, key, payload) = (q.name.clone(), q.key.clone(), q.payload.clone());
-        self.names
-            .entry(name.clone())
-            .and_modify(|n| *n += 1)
-            .or_insert(1);
-        let open = Attempt {
+        let request = PartRequest {
+            part: id,
+            attempt: number,
+            query_name: query.name.clone(),
+            shard: part.shard,
+            times_out_at,
+            idempotency_key: query.idempotency_key.clone(),
+            payload: query.payload.clone(),
+        };
+        let attempt = Attempt {
             server,
-            name: name.clone(),
-            sent: now,
-            give_up,
+            query_name: query.name.clone(),
+            sent_at: now,
+            times_out_at,
             given_up: false,
         };
-        self.attempts.insert((id, attempt), open);
-        *self.out.entry(server).or_default() += 1;
-        self.timeouts.insert((give_up, id, attempt));
-        Some(CallPart {
-            part: id,
-            attempt,
-            name,
-            shard: part.shard,
-            give_up,
-            key,
-            payload,
-        })
+        *self.names_in_use.entry(query.name.clone()).or_insert(0) += 1;
+        self.attempts.insert((id, number), attempt);
+        *self.in_flight.entry(server).or_default() += 1;
+        self.timeouts.insert((times_out_at, id, number));
+        Some(request)
+    }
+}
+
+fn outcome_counter(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "ended.served",
+        Outcome::Error => "ended.error",
+        Outcome::Rejected => "ended.full",
+        Outcome::Timeout => "ended.timeout",
+        Outcome::ConnectFailed => "ended.connect_failed",
+        Outcome::Reset => "ended.reset",
+        Outcome::Cancelled => "ended.cancelled",
+        Outcome::NotSent => "ended.moot",
     }
 }
--- a/crates/coordinator/src/core/table/list.rs
+++ b/crates/coordinator/src/core/table/list.rs
@@ -1,121 +1,155 @@
-//! The hosts: what the list says of them, and which of them can't be reached.
+//! The host list: its updates, hosts that are gone, and hosts that can't be reached.
 
-use super::{
-    Arc, BTreeSet, Duration, Endpoint, Event, Instant, ListKind, Mail, Outcome, ServerEntry,
-    ServerId, ServerState, Table, Transport, ZoneId,
-};
+use super::QueryTable;
+use crate::core::message::{CoreMessage, Endpoint};
+use crate::core::transport::Transport;
+use crate::interface::{Event, ListKind, Outcome, ServerEntry, ServerId, ServerState, ZoneId};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
 
-/// Sends to a draining host stop this long before the rule says, as the frame still has to be written.
+/// Sends to a draining host stop this long before the rule says, as the frame still has to be
+/// written.
 const DRAIN_MARGIN: Duration = Duration::from_millis(50);
-/// So many connections in a row that did not come up are news for the other cores.
-const UNREACHED: u32 = 2;
-/// A host that has been gone for so long, with nothing out on it, is forgotten with all that goes by its
-/// name: hosts are replaced under new names all the time.
-const FORGET: Duration = Duration::from_secs(15);
+/// The other cores are told of a host after so many connections in a row that failed.
+const FAILED_CONNECTS_TO_TELL: u32 = 2;
+/// A host that has been gone for so long, with nothing in flight, is forgotten with its name: hosts
+/// are replaced under new names all the time.
+const GONE_RETENTION: Duration = Duration::from_secs(15);
 
-impl<T: Transport> Table<T> {
-    /// Tells the other cores of a host that could not be reached twice in a row: each would otherwise
-    /// find out at the cost of its own parts.
-    pub(super) fn hear(&mut self, server: ServerId, outcome: Outcome) {
+impl<T: Transport> QueryTable<T> {
+    /// Tells the other cores of a host that could not be reached twice in a row. Each would
+    /// otherwise find out at the cost of its own parts.
+    pub(super) fn count_failed_connect(&mut self, server: ServerId, outcome: Outcome) {
         let Some(seat) = &self.seat else { return };
         if outcome != Outcome::ConnectFailed {
-            self.unreached.remove(&server);
+            self.failed_connects.remove(&server);
             return;
         }
-        let n = self.unreached.entry(server).or_default();
-        *n += 1;
-        if *n == UNREACHED {
+        let failures = self.failed_connects.entry(server).or_default();
+        *failures += 1;
+        if *failures == FAILED_CONNECTS_TO_TELL {
             let id: Arc<str> = self.servers.name(server.0).into();
             for other in &seat.others {
-                // One that has ended hears nothing more.
-                let _ = other.send(Mail::Unreached(id.clone()));
+                // A core that has ended takes no messages.
+                let _ = other.send(CoreMessage::HostUnreachable(id.clone()));
             }
             self.counters.inc("cores.told_unreached");
         }
     }
 
-    pub(super) fn on_list(&mut self, kind: ListKind, entries: Vec<Endpoint>, now: Instant) {
-        let stop = Some(now + self.drain_grace.saturating_sub(DRAIN_MARGIN));
-        let mut told = Vec::with_capacity(entries.len());
-        let mut seen = BTreeSet::new();
-        for e in entries {
-            let server = ServerId(self.servers.number(&e.id));
-            seen.insert(server);
-            let zone = ZoneId(self.zones.number(&e.zone));
-            let boot = self.clock.boot(e.up_since_ms);
+    /// Applies an update of the host list.
+    pub(super) fn update_host_list(
+        &mut self,
+        kind: ListKind,
+        endpoints: Vec<Endpoint>,
+        now: Instant,
+    ) {
+        let stop_at = now + self.drain_grace.saturating_sub(DRAIN_MARGIN);
+        let mut entries = Vec::with_capacity(endpoints.len());
+        let mut listed = BTreeSet::new();
+        for endpoint in endpoints {
+            let server = ServerId(self.servers.number_or_insert(&endpoint.id));
+            listed.insert(server);
             log::trace!(
                 "list {kind:?} {} = {} cell {} {:?}",
                 server.0,
-                e.id,
-                e.cell,
-                e.state
+                endpoint.id,
+                endpoint.cell,
+                endpoint.state
             );
-            // A core that stood still reads of a drain late: where the host's gate has shut meanwhile, the
-            // module must not count on a grace that is over.
-            let shut = e.state == ServerState::Draining
-                && self.seat.as_ref().is_some_and(|s| s.shut(&e.id, now));
-            let state = if shut { ServerState::Gone } else { e.state };
-            told.push(ServerEntry {
-                server,
-                zone,
-                cell: e.cell,
-                state,
-                started_at: boot,
-            });
-            // The grace counts from the first news of a drain, not from its repetition.
-            let same = self.listed.get(&server).is_some_and(|old| *old == e);
-            if !same {
-                let was_ready = self
-                    .listed
-                    .get(&server)
-                    .is_none_or(|old| old.state == ServerState::Ready);
-                let ready = e.state == ServerState::Ready;
-                if ready || was_ready {
-                    self.transport.listed(server, &e, stop.filter(|_| !ready));
-                }
-                self.listed.insert(server, e);
-            }
+            entries.push(self.server_entry(server, &endpoint, now));
+            self.update_endpoint(server, endpoint, stop_at);
         }
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            for (server, host) in self.listed.iter_mut().filter(|(s, _)| !seen.contains(s)) {
-                if host.state == ServerState::Ready {
-                    self.transport.listed(*server, host, stop);
-                }
-                host.state = ServerState::Gone;
-            }
-        }
-        let is_gone = |host: &Endpoint| host.state == ServerState::Gone;
-        self.gone
-            .retain(|s, _| self.listed.get(s).is_some_and(is_gone));
-        for (server, _) in self.listed.iter().filter(|(_, host)| is_gone(host)) {
-            self.gone.entry(*server).or_insert(now + FORGET);
+            self.mark_missing_as_gone(&listed, stop_at);
         }
+        self.schedule_forgetting(now);
         self.counters.inc("list.news");
-        self.tell(
-            now,
-            Event::ServerList {
-                kind,
-                entries: told,
+        self.notify_router(now, Event::ServerList { kind, entries });
+    }
+
+    fn server_entry(&mut self, server: ServerId, endpoint: &Endpoint, now: Instant) -> ServerEntry {
+        // A core that stood still reads of a drain late. If the host's gate has shut meanwhile, the
+        // decision module must not count on a grace that is over.
+        let shut = endpoint.state == ServerState::Draining
+            && self
+                .seat
+                .as_ref()
+                .is_some_and(|seat| seat.shut(&endpoint.id, now));
+        ServerEntry {
+            server,
+            zone: ZoneId(self.zones.number_or_insert(&endpoint.zone)),
+            cell: endpoint.cell,
+            state: if shut {
+                ServerState::Gone
+            } else {
+                endpoint.state
             },
-        );
+            started_at: self.clock.at_unix_ms(endpoint.up_since_ms),
+        }
+    }
+
+    /// Tells the transport of a change. The grace of a drain counts from its first notice, not from
+    /// repetitions.
+    fn update_endpoint(&mut self, server: ServerId, endpoint: Endpoint, stop_at: Instant) {
+        let known = self.endpoints.get(&server);
+        if known == Some(&endpoint) {
+            return;
+        }
+        let was_ready = known.is_none_or(|old| old.state == ServerState::Ready);
+        let ready = endpoint.state == ServerState::Ready;
+        if ready || was_ready {
+            self.transport
+                .host_listed(server, &endpoint, (!ready).then_some(stop_at));
+        }
+        self.endpoints.insert(server, endpoint);
+    }
+
+    /// Hosts that a complete list doesn't name are gone.
+    fn mark_missing_as_gone(&mut self, listed: &BTreeSet<ServerId>, stop_at: Instant) {
+        for (server, endpoint) in &mut self.endpoints {
+            if listed.contains(server) {
+                continue;
+            }
+            if endpoint.state == ServerState::Ready {
+                self.transport.host_listed(*server, endpoint, Some(stop_at));
+            }
+            endpoint.state = ServerState::Gone;
+        }
+    }
+
+    fn schedule_forgetting(&mut self, now: Instant) {
+        let is_gone = |endpoint: &Endpoint| endpoint.state == ServerState::Gone;
+        self.forget_at
+            .retain(|server, _| self.endpoints.get(server).is_some_and(is_gone));
+        for (server, endpoint) in &self.endpoints {
+            if is_gone(endpoint) {
+                self.forget_at
+                    .entry(*server)
+                    .or_insert(now + GONE_RETENTION);
+            }
+        }
     }
 
-    pub(super) fn forget_gone(&mut self, now: Instant) {
+    /// Forgets the hosts that have been gone for long and have nothing in flight. What is in flight
+    /// still ends.
+    pub(super) fn forget_gone_hosts(&mut self, now: Instant) {
         let due: Vec<ServerId> = self
-            .gone
+            .forget_at
             .iter()
-            .filter(|g| *g.1 <= now)
-            .map(|g| *g.0)
+            .filter(|(_, at)| **at <= now)
+            .map(|(server, _)| *server)
             .collect();
         for server in due {
-            // What is out there still ends by its actor.
-            if !self.out.contains_key(&server) {
-                self.gone.remove(&server);
-                self.listed.remove(&server);
-                self.servers.forget(server.0);
-                self.transport.forget(server);
-                self.counters.inc("list.forgotten");
+            if self.in_flight.contains_key(&server) {
+                continue;
             }
+            self.forget_at.remove(&server);
+            self.endpoints.remove(&server);
+            self.servers.remove(server.0);
+            self.transport.forget_host(server);
+            self.counters.inc("list.forgotten");
         }
     }
 }
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -1,31 +1,36 @@
-//! Queries, parts and attempts, and what the module's actions do to them.
+//! The queries, parts and attempts of one core, and what the decision module's actions do to them.
 
 mod attempts;
 mod list;
 mod queries;
 mod turn;
 
-use super::names::Names;
-use super::settings::Site;
-use super::{
-    Action, Answer, Arc, Bytes, CallPart, Cause, Clock, Duration, Ended, Endpoint, Event,
-    Idempotency, Instant, ListKind, Mail, Missing, NewQuery, Outcome, Piece, RequestId,
-    ServerEntry, ServerId, ServerState, Transport, ZoneId,
-};
+use super::clock::Clock;
+use super::message::{CoreMessage, Endpoint};
+use super::names::NameTable;
+use super::query::Answer;
+use super::settings::SiteSettings;
+use super::transport::Transport;
 use crate::counters::Counters;
+use crate::decision::Router;
+use crate::interface::{Action, Cause, Event, Idempotency, Outcome, RequestId, ServerId};
 use crate::peers::{Datagram, LoadPublisher};
 use crate::shard::Seat;
+use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
-/// Longest sleep of the core.
-const LONGEST_REST: Duration = Duration::from_secs(1);
+/// The core wakes up at least this often.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
+/// A query between its arrival and its answer.
 struct Query {
     ticket: u64,
     reply: oneshot::Sender<Answer>,
     name: Arc<str>,
-    key: Option<Arc<str>>,
+    idempotency_key: Option<Arc<str>>,
     payload: Bytes,
     deadline: Instant,
     parts: Vec<RequestId>,
@@ -34,167 +39,187 @@
 struct Part {
     query: RequestId,
     shard: u32,
+    /// Number of attempts so far.
     attempts: u32,
-    out: bool,
+    /// Whether its latest attempt is in flight.
+    in_flight: bool,
     value: Option<Bytes>,
-    last: Option<Outcome>,
+    last_outcome: Option<Outcome>,
 }
 
+/// An attempt in flight.
 struct Attempt {
     server: ServerId,
-    name: Arc<str>,
-    sent: Instant,
-    give_up: Instant,
-    /// Whether it was given up: its outcome is then on the way.
+    query_name: Arc<str>,
+    sent_at: Instant,
+    times_out_at: Instant,
+    /// Whether it was cancelled or timed out: its outcome is then on the way.
     given_up: bool,
 }
 
-/// The core's state. Sans-I/O but for the transport it is given.
-pub struct Table<T> {
-    router: crate::Router,
+/// An attempt: its part and its number.
+type AttemptKey = (RequestId, u32);
+
+/// The load that this coordinator publishes to its peers, and the way to the socket.
+struct PeerLink {
+    publisher: LoadPublisher,
+    datagrams: mpsc::Sender<Datagram>,
+}
+
+/// The state of one core. Sans-I/O but for the transport that it is given.
+pub struct QueryTable<T> {
+    router: Router,
     clock: Clock,
     transport: T,
     counters: Counters,
-    open_cap: usize,
-    bundle: usize,
+    /// Queries and parts that may be open at once.
+    max_open: usize,
+    max_parts_per_call: usize,
     drain_grace: Duration,
-    longest_hint: Option<Duration>,
-    keyed: Vec<bool>,
-    /// Whether hosts may be told of what is given up: the module then withdraws what nobody waits for.
-    may_cancel: bool,
-    servers: Names,
-    zones: Names,
-    listed: BTreeMap<ServerId, Endpoint>,
+    max_retry_after: Option<Duration>,
+    /// By class: whether hosts are sent the idempotency key.
+    class_sends_key: Vec<bool>,
+    /// Whether attempts may be cancelled. The decision module then cancels what nobody waits for.
+    cancellation: bool,
+    servers: NameTable,
+    zones: NameTable,
+    endpoints: BTreeMap<ServerId, Endpoint>,
     /// Hosts that are gone, and when they are to be forgotten.
-    gone: BTreeMap<ServerId, Instant>,
+    forget_at: BTreeMap<ServerId, Instant>,
     queries: HashMap<RequestId, Query>,
-    tickets: HashMap<u64, RequestId>,
+    queries_by_ticket: HashMap<u64, RequestId>,
     parts: HashMap<RequestId, Part>,
-    attempts: HashMap<(RequestId, u32), Attempt>,
-    /// Attempts out on each host.
-    out: HashMap<ServerId, usize>,
-    /// Names in use, with the number of open queries and attempts under each.
-    names: HashMap<Arc<str>, u32>,
-    /// Attempts by the time of their time-out.
+    attempts: HashMap<AttemptKey, Attempt>,
+    /// Number of attempts in flight at each host.
+    in_flight: HashMap<ServerId, usize>,
+    /// Query names in use, with the number of open queries and attempts of each.
+    names_in_use: HashMap<Arc<str>, u32>,
+    /// Attempts by the time at which they time out.
     timeouts: BTreeSet<(Instant, RequestId, u32)>,
     deadlines: BTreeSet<(Instant, RequestId)>,
-    wakes: BTreeSet<Instant>,
+    wake_ups: BTreeSet<Instant>,
     next_id: u64,
-    /// Bytes of the values held, and how many may be. Hosts' answers must not take the memory: a value
-    /// beyond that counts as an error of its host.
-    held: usize,
-    most_held: usize,
+    /// Bytes of the values held. Hosts' answers must not use up the memory: a value beyond the
+    /// limit counts as an error of its host.
+    value_bytes: usize,
+    max_value_bytes: usize,
     actions: Vec<Action>,
-    /// What it shares with other cores of the process; `None` where it is the only one.
+    /// What it shares with the other cores of the process; `None` if it is the only one.
     seat: Option<Seat>,
-    /// Connections in a row that did not come up, by host.
-    unreached: HashMap<ServerId, u32>,
-    /// When the list's figures are shown next.
-    show_at: Instant,
-    /// The talk with other coordinators, and where its words go.
-    voice: Option<(LoadPublisher, mpsc::Sender<Datagram>)>,
+    /// Connections in a row that failed, by host.
+    failed_connects: HashMap<ServerId, u32>,
+    /// When the counts of the host list are shown next.
+    show_counts_at: Instant,
+    peers: Option<PeerLink>,
 }
 
-impl<T: Transport> Table<T> {
-    /// A core with nothing in it, for values of so many bytes at once.
+impl<T: Transport> QueryTable<T> {
+    /// A core without queries. It holds values of up to `max_value_bytes` in all.
     pub fn new(
-        site: Site,
+        site: SiteSettings,
         seed: u64,
         clock: Clock,
         transport: T,
-        most_held: usize,
+        max_value_bytes: usize,
         counters: Counters,
     ) -> Self {
-        let keyed = site
-            .settings
+        let settings = site.router;
+        let class_sends_key = settings
             .classes
             .iter()
             .map(|c| c.idempotency != Idempotency::Idempotent)
             .collect();
         Self {
-            open_cap: site.caps.open,
-            bundle: site.settings.max_parts_per_call.max(1) as usize,
-            drain_grace: site.caps.drain_grace,
-            longest_hint: site.settings.max_retry_after,
-            may_cancel: site.settings.cancellation,
-            router: crate::Router::new(site.settings, seed),
+            max_open: site.limits.max_open,
+            max_parts_per_call: settings.max_parts_per_call.max(1) as usize,
+            drain_grace: site.limits.drain_grace,
+            max_retry_after: settings.max_retry_after,
+            cancellation: settings.cancellation,
+            router: Router::new(settings, seed),
             clock,
             transport,
             counters,
-            keyed,
-            servers: Names::default(),
+            class_sends_key,
+            servers: NameTable::default(),
             zones: site.zones,
-            listed: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            forget_at: BTreeMap::new(),
             queries: HashMap::new(),
-            tickets: HashMap::new(),
+            queries_by_ticket: HashMap::new(),
             parts: HashMap::new(),
             attempts: HashMap::new(),
-            out: HashMap::new(),
-            names: HashMap::new(),
+            in_flight: HashMap::new(),
+            names_in_use: HashMap::new(),
             timeouts: BTreeSet::new(),
             deadlines: BTreeSet::new(),
-            wakes: BTreeSet::new(),
+            wake_ups: BTreeSet::new(),
             next_id: 0,
-            held: 0,
-            most_held,
+            value_bytes: 0,
+            max_value_bytes,
             actions: Vec::new(),
             seat: None,
-            unreached: HashMap::new(),
-            show_at: Instant::now(),
-            voice: None,
+            failed_connects: HashMap::new(),
+            show_counts_at: Instant::now(),
+            peers: None,
         }
     }
 
-    /// The same in talk with other coordinators; its words go to the channel.
-    pub fn talking(mut self, voice: LoadPublisher, words: mpsc::Sender<Datagram>) -> Self {
-        self.voice = Some((voice, words));
+    /// The same, publishing its load to other coordinators: its datagrams go to the channel.
+    #[must_use]
+    pub fn with_peers(
+        mut self,
+        publisher: LoadPublisher,
+        datagrams: mpsc::Sender<Datagram>,
+    ) -> Self {
+        self.peers = Some(PeerLink {
+            publisher,
+            datagrams,
+        });
         self
     }
 
-    /// The same as one of several cores.
-    pub fn among(mut self, seat: Seat) -> Self {
+    /// The same, as one of several cores.
+    #[must_use]
+    pub fn with_seat(mut self, seat: Seat) -> Self {
         self.seat = Some(seat);
         self
     }
 
-    /// When the core has something to do of its own accord.
-    pub fn next_wake(&self) -> Instant {
+    /// When the core has something to do without a message.
+    pub fn next_wake_at(&self) -> Instant {
         let timeout = self.timeouts.first().map(|t| t.0);
-        let deadline = self.deadlines.first().map(|t| t.0);
-        let first = [timeout, deadline, self.wakes.first().copied()]
+        let deadline = self.deadlines.first().map(|d| d.0);
+        let first = [timeout, deadline, self.wake_ups.first().copied()]
             .into_iter()
             .flatten()
             .min();
-        let latest = Instant::now() + LONGEST_REST;
-        first.map_or(latest, |t| t.min(latest))
+        let latest = Instant::now() + MAX_SLEEP;
+        first.map_or(latest, |at| at.min(latest))
     }
 
-    fn tell(&mut self, now: Instant, event: Event) {
+    /// Tells the decision module of an event.
+    fn notify_router(&mut self, now: Instant, event: Event) {
         self.router
             .handle(self.clock.at(now), event, &mut self.actions);
     }
 
-    fn fresh(&mut self) -> RequestId {
+    fn new_id(&mut self) -> RequestId {
         self.next_id += 1;
         RequestId(self.next_id)
     }
 
-    /// Takes one message. What the module makes of it comes with the turn's end.
-    pub fn take(&mut self, mail: Mail, now: Instant) {
-        match mail {
-            Mail::Query(query, ticket, reply) => self.on_query(*query, ticket, reply, now),
-            Mail::Withdraw(ticket) => {
-                if let Some(id) = self.tickets.get(&ticket).copied() {
-                    self.counters.inc("answered.none.client_gone");
-                    self.close(id);
-                    self.tell(now, Event::ClientLeft { query: id });
-                }
+    /// Handles one message. What the decision module makes of it comes with
+    /// [`end_turn`](Self::end_turn).
+    pub fn handle_message(&mut self, message: CoreMessage, now: Instant) {
+        match message {
+            CoreMessage::Submit(query, ticket, reply) => {
+                self.submit_query(*query, ticket, reply, now);
             }
-            Mail::Ended(ended) => self.on_ended(ended, now),
-            Mail::Probed(server, outcome, report) => {
-                self.hear(server, outcome);
-                self.tell(
+            CoreMessage::Withdraw(ticket) => self.withdraw_query(ticket, now),
+            CoreMessage::AttemptEnded(end) => self.attempt_ended(end, now),
+            CoreMessage::ProbeEnded(server, outcome, report) => {
+                self.count_failed_connect(server, outcome);
+                self.notify_router(
                     now,
                     Event::ProbeEnded {
                         server,
@@ -203,52 +228,60 @@
                     },
                 );
             }
-            Mail::List(kind, entries) => self.on_list(kind, entries, now),
-            Mail::Unreached(id) => {
-                if let Some(server) = self.servers.find(&id).map(ServerId) {
-                    self.tell(now, Event::Unreachable { server });
-                }
-            }
-            Mail::Heard(from, bytes) => {
-                let at = self.clock.at(now);
-                if let Some((voice, _)) = &mut self.voice {
-                    self.counters.inc(voice.hear(at, from, &bytes).counter());
+            CoreMessage::HostList(kind, endpoints) => self.update_host_list(kind, endpoints, now),
+            CoreMessage::HostUnreachable(id) => {
+                if let Some(server) = self.servers.number(&id).map(ServerId) {
+                    self.notify_router(now, Event::Unreachable { server });
                 }
             }
-            Mail::Version(version) => {
+            CoreMessage::Gossip(from, bytes) => self.gossip_received(from, &bytes, now),
+            CoreMessage::ListVersion(version) => {
                 if let Some(seat) = &self.seat {
                     seat.gates.acknowledge(seat.core, version);
                 }
             }
-            // Who asked may have given up waiting.
-            Mail::Taken(word) => drop(word.send(())),
+            // The sender may have given up waiting.
+            CoreMessage::Barrier(reply) => drop(reply.send(())),
         }
     }
 
-    /// Time-outs, deadlines and wake-ups that are due.
+    fn gossip_received(&mut self, from: u32, bytes: &[u8], now: Instant) {
+        let at = self.clock.at(now);
+        if let Some(peers) = &mut self.peers {
+            let heard = peers.publisher.hear(at, from, bytes);
+            self.counters.inc(heard.counter());
+        }
+    }
+
+    /// Handles the wake-ups, time-outs and deadlines that are due.
     pub fn run_timers(&mut self, now: Instant) {
-        self.forget_gone(now);
-        while self.wakes.first().is_some_and(|t| *t <= now) {
-            self.wakes.pop_first();
-            self.tell(now, Event::Wake);
+        self.forget_gone_hosts(now);
+        while self.wake_ups.first().is_some_and(|at| *at <= now) {
+            self.wake_ups.pop_first();
+            self.notify_router(now, Event::Wake);
         }
-        while let Some((_, part, n)) = self.timeouts.first().copied().filter(|t| t.0 <= now) {
+        while let Some((_, part, number)) = self.timeouts.first().copied().filter(|t| t.0 <= now) {
             self.timeouts.pop_first();
-            self.give_up(part, n, Outcome::Timeout);
+            self.give_up_attempt(part, number, Outcome::Timeout);
         }
-        while let Some((_, id)) = self.deadlines.first().copied().filter(|t| t.0 <= now) {
-            // The module ends its queries before their time; this holds whatever it does.
-            if let Some(q) = self.close(id) {
-                self.counters.inc("answered.failed.deadline");
-                let missing = self.missing(&q.parts);
-                self.drop_parts(&q.parts);
-                let _ = q.reply.send(Answer::Failed {
-                    retry_after: None,
-                    cause: Cause::TooLate,
-                    missing,
-                });
-            }
-            self.tell(now, Event::ClientLeft { query: id });
+        while let Some((_, query)) = self.deadlines.first().copied().filter(|d| d.0 <= now) {
+            self.fail_at_deadline(query);
+            self.notify_router(now, Event::ClientLeft { query });
+        }
+    }
+
+    /// The decision module ends its queries before their deadline. This makes sure of it, whatever
+    /// the module does.
+    fn fail_at_deadline(&mut self, id: RequestId) {
+        if let Some(query) = self.close_query(id) {
+            self.counters.inc("answered.failed.deadline");
+            let missing = self.missing_parts(&query.parts);
+            self.drop_parts(&query.parts);
+            let _ = query.reply.send(Answer::Failed {
+                retry_after: None,
+                cause: Cause::TooLate,
+                missing,
+            });
         }
     }
 }
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -1,47 +1,34 @@
 //! A query from its arrival to its answer.
 
-use super::{
-    oneshot, Answer, Arc, Cause, Duration, Event, Instant, Missing, NewQuery, Outcome, Part, Piece,
-    Query, RequestId, Seat, Table, Transport,
-};
+use super::{Part, Query, QueryTable};
+use crate::core::query::{Answer, MissingPart, NewPart, NewQuery, PartAnswer};
+use crate::core::transport::Transport;
+use crate::interface::{Cause, Event, Outcome, RequestId};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::sync::oneshot;
 
-impl<T: Transport> Table<T> {
-    pub(super) fn on_query(
+/// When the client of a query beyond the limit should retry, if the settings have no longest hint.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+impl<T: Transport> QueryTable<T> {
+    /// Takes a query, unless its name is in use or too much is open.
+    pub(super) fn submit_query(
         &mut self,
         new: NewQuery,
         ticket: u64,
         reply: oneshot::Sender<Answer>,
         now: Instant,
     ) {
-        // Two queries by one name would share their parts' names: the hosts would take one's for a copy of
-        // the other's.
-        let elsewhere = |s: &Seat| !s.names.claim(&new.name, s.core);
-        if self.names.contains_key(&new.name) || self.seat.as_ref().is_some_and(elsewhere) {
+        if !self.claim_name(&new.name) {
             self.counters.inc("answered.name_taken");
             let _ = reply.send(Answer::NameTaken);
             return;
         }
         self.counters.inc("taken.queries");
         self.counters.add("taken.parts", new.parts.len() as u64);
-        let deadline = new.arrived + new.wait;
-        // Over the cap on what may be open a query never reaches the module: it would cost memory for
-        // work that can't be done in time.
-        let wanted = 1 + new.parts.len();
-        let room = match &self.seat {
-            Some(seat) => seat.lease.acquire(wanted),
-            None => self.queries.len() + self.parts.len() + wanted <= self.open_cap,
-        };
-        if !room {
-            if let Some(seat) = &self.seat {
-                seat.names.release(&new.name, seat.core);
-            }
-            self.counters.inc("answered.refused.open_cap");
-            let retry_after = Some(self.longest_hint.unwrap_or(Duration::from_secs(1)));
-            let _ = reply.send(Answer::Refused {
-                retry_after,
-                cause: Cause::Overloaded,
-                missing: vec![],
-            });
+        if !self.reserve_open(1 + new.parts.len()) {
+            self.reject_over_limit(&new.name, reply);
             return;
         }
         log::trace!(
@@ -50,166 +37,233 @@
             new.class.0,
             new.parts.len()
         );
-        let id = self.fresh();
-        let at = self.clock.at(deadline);
-        let (class, tenant, repeat) = (new.class, new.tenant, new.repeat);
-        self.tell(
+        self.open_query(new, ticket, reply, now);
+    }
+
+    /// Claims a query's name over all cores. Two open queries of one name would share the names of
+    /// their parts: hosts would take one's for a copy of the other's.
+    fn claim_name(&self, name: &Arc<str>) -> bool {
+        let seat = self.seat.as_ref();
+        !self.names_in_use.contains_key(name)
+            && seat.is_none_or(|seat| seat.names.claim(name, seat.core))
+    }
+
+    /// Reserves so many queries and parts within the limit on what may be open.
+    fn reserve_open(&mut self, wanted: usize) -> bool {
+        match &self.seat {
+            Some(seat) => seat.lease.acquire(wanted),
+            None => self.queries.len() + self.parts.len() + wanted <= self.max_open,
+        }
+    }
+
+    /// A query over the limit never reaches the decision module: it would cost memory for work that
+    /// can't be done in time.
+    fn reject_over_limit(&mut self, name: &Arc<str>, reply: oneshot::Sender<Answer>) {
+        if let Some(seat) = &self.seat {
+            seat.names.release(name, seat.core);
+        }
+        self.counters.inc("answered.refused.open_cap");
+        let _ = reply.send(Answer::Rejected {
+            retry_after: Some(self.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER)),
+            cause: Cause::Overloaded,
+            missing: vec![],
+        });
+    }
+
+    fn open_query(
+        &mut self,
+        new: NewQuery,
+        ticket: u64,
+        reply: oneshot::Sender<Answer>,
+        now: Instant,
+    ) {
+        let id = self.new_id();
+        let deadline = new.arrived_at + new.client_wait;
+        self.notify_router(
             now,
             Event::Query {
                 id,
-                class,
-                tenant,
-                deadline: at,
-                is_retry: repeat,
+                class: new.class,
+                tenant: new.tenant,
+                deadline: self.clock.at(deadline),
+                is_retry: new.is_retry,
             },
         );
-        let mut parts = Vec::with_capacity(new.parts.len());
-        for p in &new.parts {
-            let part = self.fresh();
-            parts.push(part);
-            let fresh = Part {
-                query: id,
-                shard: p.shard,
-                attempts: 0,
-                out: false,
-                value: None,
-                last: None,
-            };
-            self.parts.insert(part, fresh);
-            self.tell(
-                now,
-                Event::Part {
-                    id: part,
-                    query: id,
-                    shard: p.shard,
-                    weight: p.weight,
-                },
-            );
-        }
-        self.tickets.insert(ticket, id);
+        let parts = new
+            .parts
+            .iter()
+            .map(|part| self.open_part(id, part, now))
+            .collect();
+        self.queries_by_ticket.insert(ticket, id);
         self.deadlines.insert((deadline, id));
-        let NewQuery {
-            name, key, payload, ..
-        } = new;
-        self.names.insert(name.clone(), 1);
-        let key = key.filter(|_| self.keyed.get(class.0 as usize).copied().unwrap_or(false));
-        self.queries.insert(
-            id,
-            Query {
-                ticket,
-                reply,
-                name,
-                key,
-                payload,
-                deadline,
-                parts,
+        self.names_in_use.insert(new.name.clone(), 1);
+        let sends_key = self.class_sends_key.get(new.class.0 as usize).copied();
+        let query = Query {
+            ticket,
+            reply,
+            name: new.name,
+            idempotency_key: new.idempotency_key.filter(|_| sends_key.unwrap_or(false)),
+            payload: new.payload,
+            deadline,
+            parts,
+        };
+        self.queries.insert(id, query);
+    }
+
+    fn open_part(&mut self, query: RequestId, new: &NewPart, now: Instant) -> RequestId {
+        let id = self.new_id();
+        let part = Part {
+            query,
+            shard: new.shard,
+            attempts: 0,
+            in_flight: false,
+            value: None,
+            last_outcome: None,
+        };
+        self.parts.insert(id, part);
+        self.notify_router(
+            now,
+            Event::Part {
+                id,
+                query,
+                shard: new.shard,
+                weight: new.weight,
             },
         );
+        id
+    }
+
+    /// Drops a query whose client stopped waiting.
+    pub(super) fn withdraw_query(&mut self, ticket: u64, now: Instant) {
+        if let Some(query) = self.queries_by_ticket.get(&ticket).copied() {
+            self.counters.inc("answered.none.client_gone");
+            self.close_query(query);
+            self.notify_router(now, Event::ClientLeft { query });
+        }
     }
 
+    /// Releases one use of a query's name.
     pub(super) fn release_name(&mut self, name: &Arc<str>) {
-        if let Some(n) = self.names.get_mut(name) {
-            *n -= 1;
-            if *n == 0 {
-                self.names.remove(name);
-                if let Some(seat) = &self.seat {
-                    seat.names.release(name, seat.core);
-                }
+        let Some(uses) = self.names_in_use.get_mut(name) else {
+            return;
+        };
+        *uses -= 1;
+        if *uses == 0 {
+            self.names_in_use.remove(name);
+            if let Some(seat) = &self.seat {
+                seat.names.release(name, seat.core);
             }
         }
     }
 
-    pub(super) fn missing(&self, parts: &[RequestId]) -> Vec<Missing> {
-        let parts = parts.iter().filter_map(|p| self.parts.get(p));
-        let last = |p: &Part| {
-            if p.out {
-                Some(Outcome::Timeout)
-            } else {
-                p.last
-            }
-        };
+    /// The parts of these that have no answer.
+    pub(super) fn missing_parts(&self, parts: &[RequestId]) -> Vec<MissingPart> {
         parts
-            .filter(|p| p.value.is_none())
-            .map(|p| Missing {
-                shard: p.shard,
-                last: last(p),
+            .iter()
+            .filter_map(|id| self.parts.get(id))
+            .filter(|part| part.value.is_none())
+            .map(|part| MissingPart {
+                shard: part.shard,
+                last_outcome: if part.in_flight {
+                    Some(Outcome::Timeout)
+                } else {
+                    part.last_outcome
+                },
             })
             .collect()
     }
 
+    /// Removes parts with their values.
     pub(super) fn drop_parts(&mut self, parts: &[RequestId]) {
-        for part in parts.iter().filter_map(|p| self.parts.remove(p)) {
-            self.held -= part.value.map_or(0, |v| v.len());
+        for part in parts.iter().filter_map(|id| self.parts.remove(id)) {
+            self.value_bytes -= part.value.map_or(0, |value| value.len());
             if let Some(seat) = &self.seat {
                 seat.lease.release(1);
             }
         }
     }
 
-    /// What of these parts has not begun yet never does: their query is over, or its client has left.
-    fn retract(&mut self, parts: &[RequestId]) {
-        for (id, part) in parts
-            .iter()
-            .filter_map(|id| Some((*id, self.parts.get(id)?)))
-        {
-            for n in 0..part.attempts {
-                if let Some(a) = self.attempts.get(&(id, n)).filter(|a| !a.given_up) {
-                    self.transport.retract(a.server, id, n);
+    /// Takes back what of these parts hasn't been sent yet: their query is over, or its client has
+    /// left.
+    fn retract_parts(&mut self, parts: &[RequestId]) {
+        for id in parts {
+            let Some(part) = self.parts.get(id) else {
+                continue;
+            };
+            for number in 0..part.attempts {
+                let attempt = self.attempts.get(&(*id, number));
+                if let Some(attempt) = attempt.filter(|a| !a.given_up) {
+                    self.transport.retract(attempt.server, *id, number);
                 }
             }
         }
     }
 
-    /// Takes a query out; its parts stay until the caller has read them.
-    pub(super) fn close(&mut self, id: RequestId) -> Option<Query> {
-        let q = self.queries.remove(&id)?;
+    /// Removes a query. Its parts stay until the caller has read them.
+    pub(super) fn close_query(&mut self, id: RequestId) -> Option<Query> {
+        let query = self.queries.remove(&id)?;
         if let Some(seat) = &self.seat {
             seat.lease.release(1);
         }
-        self.tickets.remove(&q.ticket);
-        self.deadlines.remove(&(q.deadline, id));
-        self.release_name(&q.name);
-        if !self.may_cancel {
-            self.retract(&q.parts);
+        self.queries_by_ticket.remove(&query.ticket);
+        self.deadlines.remove(&(query.deadline, id));
+        self.release_name(&query.name);
+        if !self.cancellation {
+            self.retract_parts(&query.parts);
         }
-        if q.reply.is_closed() {
-            self.drop_parts(&q.parts);
+        if query.reply.is_closed() {
+            self.drop_parts(&query.parts);
         }
-        Some(q)
+        Some(query)
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, whole: bool) {
-        let Some(q) = self.close(id) else { return };
-        let missing = self.missing(&q.parts);
-        let piece = |p: &RequestId| {
-            let part = self.parts.get(p)?;
-            part.value.clone().map(|value| Piece {
-                shard: part.shard,
-                value,
-            })
+    /// Answers a query from the parts that were answered.
+    pub(super) fn answer_query(&mut self, id: RequestId, complete: bool) {
+        let Some(query) = self.close_query(id) else {
+            return;
         };
-        let pieces: Vec<Piece> = q.parts.iter().filter_map(piece).collect();
-        // Never marked whole before all that makes it whole is in.
-        let full = whole && !pieces.is_empty();
-        self.counters.inc(if full {
+        let missing = self.missing_parts(&query.parts);
+        let parts: Vec<PartAnswer> = query
+            .parts
+            .iter()
+            .filter_map(|id| self.part_answer(*id))
+            .collect();
+        // Never marked complete without any part.
+        let complete = complete && !parts.is_empty();
+        self.counters.inc(if complete {
             "answered.served.full"
         } else {
             "answered.served.partial"
         });
-        self.drop_parts(&q.parts);
-        let _ = q.reply.send(Answer::Served {
-            full,
-            pieces,
+        self.drop_parts(&query.parts);
+        let _ = query.reply.send(Answer::Served {
+            complete,
+            parts,
             missing,
         });
     }
 
-    pub(super) fn end(&mut self, id: RequestId, answer: impl FnOnce(Vec<Missing>) -> Answer) {
-        let Some(q) = self.close(id) else { return };
-        let missing = self.missing(&q.parts);
-        self.drop_parts(&q.parts);
+    fn part_answer(&self, id: RequestId) -> Option<PartAnswer> {
+        let part = self.parts.get(&id)?;
+        Some(PartAnswer {
+            shard: part.shard,
+            value: part.value.clone()?,
+        })
+    }
+
+    /// Ends a query without its parts' answers.
+    pub(super) fn end_unserved(
+        &mut self,
+        id: RequestId,
+        answer: impl FnOnce(Vec<MissingPart>) -> Answer,
+    ) {
+        let Some(query) = self.close_query(id) else {
+            return;
+        };
+        let missing = self.missing_parts(&query.parts);
+        self.drop_parts(&query.parts);
         let answer = answer(missing);
-        log::trace!("end {} {answer:?}", q.name);
-        let _ = q.reply.send(answer);
+        log::trace!("end {} {answer:?}", query.name);
+        let _ = query.reply.send(answer);
     }
 }
--- a/crates/coordinator/src/core/table/turn.rs
+++ b/crates/coordinator/src/core/table/turn.rs
@@ -1,111 +1,144 @@
-//! The end of a turn: the module decides, and what it asks for is carried out.
-
-use super::{
-    Action, Answer, BTreeMap, CallPart, Cause, Duration, Event, Instant, Outcome, ServerId, Table,
-    Transport,
-};
+//! The end of a turn: the decision module decides, and its actions are carried out.
 
+use super::QueryTable;
+use crate::core::query::Answer;
+use crate::core::transport::{PartRequest, Transport};
 use crate::counters::Pool;
 use crate::decision::Router;
+use crate::interface::{Action, Cause, Event, Outcome, RequestId, ServerId};
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// How often the counts of the host list are shown.
+const SHOW_COUNTS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often the operators' figures of the list are brought up to date.
-const SHOW: Duration = Duration::from_millis(100);
+/// The parts to send in this turn, by host.
+type Calls = BTreeMap<ServerId, Vec<PartRequest>>;
+
+impl<T: Transport> QueryTable<T> {
+    /// Lets the decision module decide, and carries its actions out.
+    pub fn end_turn(&mut self, now: Instant) {
+        self.tell_router_peer_loads(now);
+        self.notify_router(now, Event::TurnEnded);
+        self.publish_load(now);
+        if now >= self.show_counts_at {
+            self.show_counts_at = now + SHOW_COUNTS_INTERVAL;
+            self.counters.show_pool(host_counts(&self.router));
+        }
+        let mut calls = Calls::new();
+        for action in std::mem::take(&mut self.actions) {
+            self.carry_out(action, &mut calls, now);
+        }
+        self.send_calls(calls);
+    }
 
-impl<T: Transport> Table<T> {
-    /// Lets the module decide and carries out what it asks for.
-    pub fn turn_end(&mut self, now: Instant) {
+    fn tell_router_peer_loads(&mut self, now: Instant) {
         let at = self.clock.at(now);
-        if let Some((voice, _)) = &mut self.voice {
-            voice.tell(at, &mut self.router, &mut self.actions);
+        if let Some(peers) = &mut self.peers {
+            peers
+                .publisher
+                .tell(at, &mut self.router, &mut self.actions);
         }
-        self.tell(now, Event::TurnEnded);
-        if let Some((voice, words)) = &mut self.voice {
-            let word = voice.speak(at, &self.router, &self.actions, |id| {
+    }
+
+    fn publish_load(&mut self, now: Instant) {
+        let at = self.clock.at(now);
+        let Some(peers) = &mut self.peers else {
+            return;
+        };
+        let datagram = peers
+            .publisher
+            .speak(at, &self.router, &self.actions, |id| {
                 self.servers.name(id.0)
             });
-            // One that finds the socket busy is dropped: the next says the same anew.
-            word.into_iter().for_each(|w| drop(words.try_send(w)));
-        }
-        if now >= self.show_at {
-            self.show_at = now + SHOW;
-            self.counters.show_pool(host_pool(&self.router));
+        if let Some(datagram) = datagram {
+            // One that finds the socket busy is dropped: the next one tells the same anew.
+            drop(peers.datagrams.try_send(datagram));
         }
-        let mut calls: BTreeMap<ServerId, Vec<CallPart>> = BTreeMap::new();
-        for action in std::mem::take(&mut self.actions) {
-            match action {
-                Action::Send {
-                    part,
-                    server,
-                    timeout,
-                } => {
-                    if let Some(call) = self.new_attempt(part, server, timeout, now) {
-                        calls.entry(server).or_default().push(call);
-                    }
-                }
-                Action::Cancel { part, attempt } => self.give_up(part, attempt, Outcome::Cancelled),
-                Action::Answer {
-                    query,
-                    complete: whole,
-                } => self.answer(query, whole),
-                Action::Reject {
-                    query,
-                    retry_after,
-                    cause,
-                } => {
-                    self.counters.inc(match cause {
-                        Cause::Overloaded => "answered.refused.busy",
-                        Cause::NoHost => "answered.refused.no_host",
-                        Cause::TooLate => "answered.refused.late",
-                        Cause::PartsLost => "answered.refused.lost",
-                    });
-                    self.end(query, |missing| Answer::Refused {
-                        retry_after,
-                        cause,
-                        missing,
-                    });
-                }
-                Action::Fail {
-                    query,
-                    retry_after,
-                    cause,
-                } => {
-                    self.counters.inc(match cause {
-                        Cause::Overloaded | Cause::NoHost => "answered.failed.no_host",
-                        Cause::TooLate => "answered.failed.late",
-                        Cause::PartsLost => "answered.failed.lost",
-                    });
-                    self.end(query, |missing| Answer::Failed {
-                        retry_after,
-                        cause,
-                        missing,
-                    });
-                }
-                Action::Probe { server } => {
-                    self.counters.inc("sent.probes");
-                    self.transport.probe(server);
-                }
-                Action::CloseIdleConnections { server } => self.transport.release(server),
-                // Discovery pushes here: the list actor watches it from the start.
-                Action::Subscribe => {}
-                Action::Wake { after } => {
-                    self.wakes.insert(now + after);
+    }
+
+    fn carry_out(&mut self, action: Action, calls: &mut Calls, now: Instant) {
+        match action {
+            Action::Send {
+                part,
+                server,
+                timeout,
+            } => {
+                if let Some(request) = self.new_attempt(part, server, timeout, now) {
+                    calls.entry(server).or_default().push(request);
                 }
             }
+            Action::Cancel { part, attempt } => {
+                self.give_up_attempt(part, attempt, Outcome::Cancelled);
+            }
+            Action::Answer { query, complete } => self.answer_query(query, complete),
+            Action::Reject {
+                query,
+                retry_after,
+                cause,
+            } => self.reject_query(query, retry_after, cause),
+            Action::Fail {
+                query,
+                retry_after,
+                cause,
+            } => self.fail_query(query, retry_after, cause),
+            Action::Probe { server } => {
+                self.counters.inc("sent.probes");
+                self.transport.probe(server);
+            }
+            Action::CloseIdleConnections { server } => {
+                self.transport.close_idle_connections(server);
+            }
+            // Discovery is watched from the start: the list's updates come without being asked for.
+            Action::Subscribe => {}
+            Action::Wake { after } => {
+                self.wake_ups.insert(now + after);
+            }
         }
-        // One turn's parts to one host are one call, up to the batch limit.
+    }
+
+    fn reject_query(&mut self, query: RequestId, retry_after: Option<Duration>, cause: Cause) {
+        self.counters.inc(match cause {
+            Cause::Overloaded => "answered.refused.busy",
+            Cause::NoHost => "answered.refused.no_host",
+            Cause::TooLate => "answered.refused.late",
+            Cause::PartsLost => "answered.refused.lost",
+        });
+        self.end_unserved(query, |missing| Answer::Rejected {
+            retry_after,
+            cause,
+            missing,
+        });
+    }
+
+    fn fail_query(&mut self, query: RequestId, retry_after: Option<Duration>, cause: Cause) {
+        self.counters.inc(match cause {
+            Cause::Overloaded | Cause::NoHost => "answered.failed.no_host",
+            Cause::TooLate => "answered.failed.late",
+            Cause::PartsLost => "answered.failed.lost",
+        });
+        self.end_unserved(query, |missing| Answer::Failed {
+            retry_after,
+            cause,
+            missing,
+        });
+    }
+
+    /// Sends the parts of one turn for one host as one call, or as several if there are too many.
+    fn send_calls(&mut self, calls: Calls) {
         for (server, parts) in calls {
             let mut parts = parts.into_iter().peekable();
             while parts.peek().is_some() {
                 self.counters.inc("sent.calls");
-                self.transport
-                    .call(server, parts.by_ref().take(self.bundle).collect());
+                let call = parts.by_ref().take(self.max_parts_per_call).collect();
+                self.transport.send_call(server, call);
             }
         }
     }
 }
 
 /// The counts of the host list as the status page shows them.
-fn host_pool(router: &Router) -> Pool {
+fn host_counts(router: &Router) -> Pool {
     let counts = router.server_counts();
     Pool {
         size: counts.listed,
--- a/crates/coordinator/src/front/opensearch/answer.rs
+++ b/crates/coordinator/src/front/opensearch/answer.rs
@@ -1,7 +1,7 @@
 //! Answers in OpenSearch's form: hits merged over districts, shard failures, errors.
 
 use super::dsl::{Search, SortKey};
-use crate::core::Missing;
+use crate::core::MissingPart;
 use crate::interface::Outcome;
 use crate::net::http::Response;
 use serde::{Deserialize, Serialize};
@@ -47,9 +47,9 @@
     pub late: bool,
 }
 
-impl From<Missing> for ShardFailure {
-    fn from(m: Missing) -> Self {
-        let (kind, reason, late) = match m.last {
+impl From<MissingPart> for ShardFailure {
+    fn from(m: MissingPart) -> Self {
+        let (kind, reason, late) = match m.last_outcome {
             None => (
                 "no_shard_available_action_exception",
                 "no host was asked in time",
@@ -131,7 +131,11 @@
 }
 
 /// Merges the hosts' answers. One that can't be read counts as a failed district.
-pub fn merge(pieces: &[crate::core::Piece], missing: Vec<Missing>, sort: &[SortKey]) -> Merged {
+pub fn merge(
+    pieces: &[crate::core::PartAnswer],
+    missing: Vec<MissingPart>,
+    sort: &[SortKey],
+) -> Merged {
     let mut m = Merged {
         failures: missing.into_iter().map(ShardFailure::from).collect(),
         ..Merged::default()
--- a/crates/coordinator/src/front/opensearch/hosts.rs
+++ b/crates/coordinator/src/front/opensearch/hosts.rs
@@ -1,7 +1,7 @@
 //! The OpenSearch dialect towards district hosts: `_search` for one part, `_msearch` for a call of
 //! several, each naming its shard by `preference`.
 
-use crate::core::{CallPart, Ended, Mail};
+use crate::core::{AttemptEnd, CoreMessage, PartRequest};
 use crate::interface::{Outcome, RequestId};
 use crate::net::buffered_stream::BufferedStream;
 use crate::net::http::{response_head, Body, HttpError};
@@ -26,11 +26,11 @@
 }
 
 /// Reads a payload back, adding the time left as the host's own `timeout`.
-fn search_of(part: &CallPart, now: Instant) -> Option<(String, String)> {
+fn search_of(part: &PartRequest, now: Instant) -> Option<(String, String)> {
     let (index, body) = std::str::from_utf8(&part.payload).ok()?.split_once('\n')?;
     let mut body: Map<String, Value> = serde_json::from_str(body).ok()?;
     let left = part
-        .give_up
+        .times_out_at
         .saturating_duration_since(now)
         .as_millis()
         .max(1);
@@ -39,7 +39,7 @@
 }
 
 /// The request for a call. All its parts have the same key, if any.
-fn request(parts: &[CallPart], host: &str, now: Instant) -> Option<Vec<u8>> {
+fn request(parts: &[PartRequest], host: &str, now: Instant) -> Option<Vec<u8>> {
     let (target, kind, body) = match parts {
         [part] => {
             let (index, body) = search_of(part, now)?;
@@ -61,13 +61,13 @@
     };
     let first = parts.first()?;
     let key = first
-        .key
+        .idempotency_key
         .as_ref()
         .map_or(String::new(), |k| format!("Idempotency-Key: {k}\r\n"));
     let head = format!(
         "POST {target} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/{kind}\r\n\
          X-Opaque-Id: {}\r\n{key}Content-Length: {}\r\n\r\n",
-        first.name,
+        first.query_name,
         body.len()
     );
     Some([head.into_bytes(), body.into_bytes()].concat())
@@ -159,9 +159,9 @@
 
 struct Http {
     setup: LinkSetup,
-    queue: VecDeque<Vec<CallPart>>,
+    queue: VecDeque<Vec<PartRequest>>,
     /// Parts whose request has begun and which are not given up.
-    out: Vec<CallPart>,
+    out: Vec<PartRequest>,
     /// Whether the request's last byte is written.
     written: bool,
     /// Probes that wait for their turn, or for their answer.
@@ -227,14 +227,14 @@
             LinkMail::Call(mut parts) => {
                 // A request has one header for the key, so parts with different keys go apart.
                 while let Some(first) = parts.first() {
-                    let key = first.key.clone();
-                    let (same, rest) = parts.into_iter().partition(|p| p.key == key);
+                    let key = first.idempotency_key.clone();
+                    let (same, rest) = parts.into_iter().partition(|p| p.idempotency_key == key);
                     self.queue.push_back(same);
                     parts = rest;
                 }
             }
             LinkMail::Cancel(part, attempt, outcome) => {
-                let this = |p: &CallPart| (p.part, p.attempt) == (part, attempt);
+                let this = |p: &PartRequest| (p.part, p.attempt) == (part, attempt);
                 if take_out(&mut self.queue, part, attempt) {
                     let never = if outcome == Outcome::Timeout {
                         Outcome::NotSent
@@ -267,7 +267,7 @@
         let _ = self
             .setup
             .core
-            .send(Mail::Probed(self.setup.server, outcome, None));
+            .send(CoreMessage::ProbeEnded(self.setup.server, outcome, None));
     }
 
     /// Asks for the host's root, the cheapest request there is; any answer will do.
@@ -333,7 +333,7 @@
                     for (p, (outcome, value)) in asked.iter().zip(read(asked.len(), status, &body))
                     {
                         let (part, attempt) = (p.part, p.attempt);
-                        self.setup.report(Ended {
+                        self.setup.report(AttemptEnd {
                             part,
                             attempt,
                             outcome,
--- a/crates/coordinator/src/front/opensearch/mod.rs
+++ b/crates/coordinator/src/front/opensearch/mod.rs
@@ -11,8 +11,8 @@
 mod search;
 
 use crate::config::{IndexConfig, OpenSearchConfig};
-use crate::core::settings::Site;
-use crate::core::Core;
+use crate::core::settings::SiteSettings;
+use crate::core::CoreHandle;
 use crate::counters::Counters;
 use crate::interface::{ClassId, QueryClass, TenantId};
 use crate::net::http::{Answering, Request, Response};
@@ -46,7 +46,7 @@
 }
 
 struct Shared {
-    core: Core,
+    core: CoreHandle,
     counters: Counters,
     indices: BTreeMap<String, Index>,
     classes: Vec<QueryClass>,
@@ -77,8 +77,8 @@
     /// The front over this core. `incarnation` must be new with each start of the process.
     pub fn new(
         config: &OpenSearchConfig,
-        site: &Site,
-        core: Core,
+        site: &SiteSettings,
+        core: CoreHandle,
         counters: Counters,
         incarnation: u64,
     ) -> Self {
@@ -104,7 +104,7 @@
             core,
             counters,
             indices: config.index.iter().filter_map(index).collect(),
-            classes: site.settings.classes.clone(),
+            classes: site.router.classes.clone(),
             tenants: site.tenants.clone(),
             scrolls: Mutex::new(Scrolls::new(incarnation, config.scroll_contexts)),
             incarnation,
--- a/crates/coordinator/src/front/opensearch/search.rs
+++ b/crates/coordinator/src/front/opensearch/search.rs
@@ -65,10 +65,10 @@
             name: format!("{:x}-{n:x}", self.0.incarnation).into(),
             class: index.class,
             tenant: terms.tenant.as_ref().and_then(number).or(index.tenant),
-            arrived: terms.arrived,
-            wait,
-            repeat: None,
-            key: terms.key.as_deref().map(Arc::from),
+            arrived_at: terms.arrived,
+            client_wait: wait,
+            is_retry: None,
+            idempotency_key: terms.key.as_deref().map(Arc::from),
             parts: shards
                 .into_iter()
                 .map(|shard| NewPart { shard, weight })
@@ -78,8 +78,8 @@
         let stopping = || Failure::new(503, "node_closed_exception", "the coordinator is stopping");
         let read = |answer: Answer| match answer {
             Answer::Served {
-                full,
-                pieces,
+                complete: full,
+                parts: pieces,
                 missing,
             } => {
                 let merged = merge(&pieces, missing, &search.sort);
@@ -111,7 +111,7 @@
                 "version_conflict_engine_exception",
                 "name in use",
             )),
-            Answer::Refused {
+            Answer::Rejected {
                 retry_after,
                 cause,
                 missing,
@@ -124,7 +124,7 @@
                 // A district whose listed hosts answer to nobody is as good as one that no host holds.
                 let unreached = missing
                     .iter()
-                    .any(|m| matches!(m.last, None | Some(Outcome::ConnectFailed)));
+                    .any(|m| matches!(m.last_outcome, None | Some(Outcome::ConnectFailed)));
                 let (status, kind, reason) = match cause {
                     Cause::TooLate | Cause::PartsLost if unreached => (
                         503,
--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's own front: `POST /<class>` with the parts in JSON.
 
-use crate::core::{Answer, Core, NewPart, NewQuery};
+use crate::core::{Answer, CoreHandle, NewPart, NewQuery};
 use crate::counters::{Counters, End};
 use crate::interface::{ClassId, Idempotency, TenantId};
 use crate::net::http::{Answering, Request, Response, Service};
@@ -36,7 +36,7 @@
 
 /// What the front needs to know of the site.
 pub struct Platform {
-    core: Core,
+    core: CoreHandle,
     counters: Counters,
     classes: Vec<String>,
     tenants: Vec<String>,
@@ -63,9 +63,9 @@
 impl Platform {
     /// The front of this core, for these classes and tenants.
     pub fn new(
-        core: Core,
+        core: CoreHandle,
         counters: Counters,
-        site: &crate::core::settings::Site,
+        site: &crate::core::settings::SiteSettings,
         readiness: Option<Readiness>,
     ) -> Self {
         Self {
@@ -73,12 +73,12 @@
             counters,
             classes: site.classes.clone(),
             tenants: site.tenants.clone(),
-            marks_retry: site.marks_retry,
-            most_parts: site.caps.open,
-            shards: site.caps.shards,
+            marks_retry: site.clients_mark_retries,
+            most_parts: site.limits.max_open,
+            shards: site.limits.shards,
             readiness,
             keyed: site
-                .settings
+                .router
                 .classes
                 .iter()
                 .map(|c| matches!(c.idempotency, Idempotency::Keyed(_)))
@@ -159,17 +159,17 @@
             name: name.into(),
             class: ClassId(class as u32),
             tenant: tenant.map(|t| TenantId(t as u32)),
-            arrived: r.arrived,
-            wait: r.left().map_or(wait, |left| left.min(wait)),
-            repeat: self.marks_retry.then_some(retry),
-            key: key.map(Arc::from),
+            arrived_at: r.arrived,
+            client_wait: r.left().map_or(wait, |left| left.min(wait)),
+            is_retry: self.marks_retry.then_some(retry),
+            idempotency_key: key.map(Arc::from),
             parts,
             payload: Bytes::from(body.statement),
         })
     }
 }
 
-fn served(full: bool, pieces: &[crate::core::Piece]) -> Option<Bytes> {
+fn served(full: bool, pieces: &[crate::core::PartAnswer]) -> Option<Bytes> {
     let mut out = BytesMut::new();
     out.put_slice(format!("{{\"full\":{full},\"pieces\":[").as_bytes());
     for (n, p) in pieces.iter().enumerate() {
@@ -195,14 +195,18 @@
             Response::text(409, "Req-Id belongs to an open request\n"),
             End::Errors,
         ),
-        Some(Answer::Served { full, pieces, .. }) => match served(full, &pieces) {
+        Some(Answer::Served {
+            complete: full,
+            parts: pieces,
+            ..
+        }) => match served(full, &pieces) {
             Some(body) => (Response::json(200, body), End::Ok),
             None => (
                 Response::text(502, "a host's value is no text\n"),
                 End::Errors,
             ),
         },
-        Some(Answer::Refused { retry_after, .. }) => (
+        Some(Answer::Rejected { retry_after, .. }) => (
             Response::text(429, "refused\n").retry_after(retry_after),
             End::Shed,
         ),
--- a/crates/coordinator/src/net/discovery_watch.rs
+++ b/crates/coordinator/src/net/discovery_watch.rs
@@ -4,7 +4,7 @@
 use super::buffered_stream::BufferedStream;
 use super::http::{response_head, Body, HttpError, INPUT};
 use super::json_objects::{Found, NoObject, Objects};
-use crate::core::{Endpoint, Mail};
+use crate::core::{CoreMessage, Endpoint};
 use crate::counters::Counters;
 use crate::interface::{ListKind, ServerState};
 use serde::Deserialize;
@@ -145,7 +145,7 @@
     /// The version known so far; `None` asks for the whole list.
     pub revision: Option<u64>,
     /// The core's mailbox.
-    pub core: mpsc::UnboundedSender<Mail>,
+    pub core: mpsc::UnboundedSender<CoreMessage>,
     /// The counters.
     pub counters: Counters,
     /// When to call again.
@@ -293,7 +293,7 @@
         } else {
             ListKind::Changes
         };
-        let _ = self.core.send(Mail::List(kind, members));
+        let _ = self.core.send(CoreMessage::HostList(kind, members));
         Ok(())
     }
 }
--- a/crates/coordinator/src/net/dns_sd.rs
+++ b/crates/coordinator/src/net/dns_sd.rs
@@ -2,7 +2,7 @@
 //! says where each listens, TXT carries its cell, zone and phase. A record counts for as long as its
 //! TTL says; one with a TTL of 0 is a goodbye (RFC 6762, 10.1) and goes a second later.
 
-use crate::core::{Endpoint, Mail};
+use crate::core::{CoreMessage, Endpoint};
 use crate::counters::Counters;
 use crate::interface::{ListKind, ServerState};
 use hickory_proto::op::{Message, MessageType, Query};
@@ -269,7 +269,7 @@
     /// The service's name.
     pub service: Name,
     /// The core's mailbox.
-    pub core: mpsc::UnboundedSender<Mail>,
+    pub core: mpsc::UnboundedSender<CoreMessage>,
     /// The counters.
     pub counters: Counters,
 }
@@ -299,7 +299,9 @@
             let hosts = cache.hosts();
             // Until something was heard, the list as last known stands.
             if heard && told.as_ref() != Some(&hosts) {
-                let _ = self.core.send(Mail::List(ListKind::Full, hosts.clone()));
+                let _ = self
+                    .core
+                    .send(CoreMessage::HostList(ListKind::Full, hosts.clone()));
                 told = Some(hosts);
             }
             for (name, kind) in cache.questions(now) {
--- a/crates/coordinator/src/net/frames.rs
+++ b/crates/coordinator/src/net/frames.rs
@@ -1,7 +1,7 @@
 //! The frames that district hosts speak: a length of four bytes, a letter, the rest.
 
 use crate::core::settings::load_report;
-use crate::core::CallPart;
+use crate::core::PartRequest;
 use crate::interface::{LoadReport, Outcome};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::time::Instant;
@@ -46,17 +46,24 @@
 }
 
 /// The name of a part on the wire.
-pub fn part_id(part: &CallPart) -> String {
-    format!("{}.{}", part.name, part.shard)
+pub fn part_id(part: &PartRequest) -> String {
+    format!("{}.{}", part.query_name, part.shard)
 }
 
 /// A call as pieces to write: a line and the query's text for each part.
-pub fn call(parts: &[CallPart], now: Instant) -> Vec<Bytes> {
+pub fn call(parts: &[PartRequest], now: Instant) -> Vec<Bytes> {
     let mut pieces = vec![Bytes::new()];
     let mut length = 1;
     for p in parts {
-        let wait = p.give_up.saturating_duration_since(now).as_millis().max(1);
-        let key = p.key.as_ref().map_or(String::new(), |k| format!(",k={k}"));
+        let wait = p
+            .times_out_at
+            .saturating_duration_since(now)
+            .as_millis()
+            .max(1);
+        let key = p
+            .idempotency_key
+            .as_ref()
+            .map_or(String::new(), |k| format!(",k={k}"));
         let line = format!(
             "{} {} d={wait}{key} {}\n",
             part_id(p),
--- a/crates/coordinator/src/net/gossip.rs
+++ b/crates/coordinator/src/net/gossip.rs
@@ -1,6 +1,6 @@
 //! The datagrams between coordinators: bytes in and out, no more. What is said and believed is in `src/peers`.
 
-use crate::core::Mail;
+use crate::core::CoreMessage;
 use crate::counters::Counters;
 use crate::peers::{Datagram, MOST_BYTES};
 use bytes::Bytes;
@@ -34,7 +34,7 @@
     /// What is to be sent to all.
     pub words: mpsc::Receiver<Datagram>,
     /// The core's mailbox.
-    pub core: mpsc::UnboundedSender<Mail>,
+    pub core: mpsc::UnboundedSender<CoreMessage>,
     /// The counters.
     pub counters: Counters,
 }
@@ -115,8 +115,9 @@
             return;
         }
         // The core's end is this actor's end too, by the channel of words.
-        let _ = self
-            .core
-            .send(Mail::Heard(rank as u32, Bytes::copy_from_slice(bytes)));
+        let _ = self.core.send(CoreMessage::Gossip(
+            rank as u32,
+            Bytes::copy_from_slice(bytes),
+        ));
     }
 }
--- a/crates/coordinator/src/net/hosts.rs
+++ b/crates/coordinator/src/net/hosts.rs
@@ -2,8 +2,8 @@
 
 use super::link::{ConnectionLoad, Dialect, LinkMail, LinkSetup};
 use super::stall_detector::StallDetector;
-use crate::core::settings::Caps;
-use crate::core::{CallPart, Endpoint, Mail, Transport};
+use crate::core::settings::CoordinatorLimits;
+use crate::core::{CoreMessage, Endpoint, PartRequest, Transport};
 use crate::counters::Counters;
 use crate::interface::{Outcome, RequestId, ServerId};
 use crate::ops::hot_restart::RestartRole;
@@ -16,7 +16,7 @@
 
 enum PeerMail {
     Endpoint(String, Option<Instant>),
-    Call(Vec<CallPart>),
+    Call(Vec<PartRequest>),
     Cancel(RequestId, u32, Outcome),
     Retract(RequestId, u32),
     Probe,
@@ -42,13 +42,13 @@
 
 struct Shared {
     dialect: Arc<dyn Dialect>,
-    caps: Caps,
+    caps: CoordinatorLimits,
     /// Connections to all hosts at once: a host's first one is always opened, further ones only below this.
     most_links: usize,
     /// Of that another process of the coordinator has half, while there is one.
     beside: watch::Receiver<RestartRole>,
     links: Arc<AtomicUsize>,
-    core: mpsc::UnboundedSender<Mail>,
+    core: mpsc::UnboundedSender<CoreMessage>,
     counters: Counters,
     /// The gates that all cores share, and the origin of their times.
     gates: Option<(Arc<DrainGates>, Instant)>,
@@ -64,16 +64,16 @@
     /// No hosts yet, and room for so many connections. Answers go to the core's mailbox.
     pub fn new(
         dialect: Arc<dyn Dialect>,
-        mut caps: Caps,
+        mut caps: CoordinatorLimits,
         most_links: usize,
-        core: mpsc::UnboundedSender<Mail>,
+        core: mpsc::UnboundedSender<CoreMessage>,
         counters: Counters,
         gates: Option<(Arc<DrainGates>, Instant)>,
         beside: watch::Receiver<RestartRole>,
     ) -> Self {
         // A host whose connection carries all that it may reads nothing more on it, not even a withdrawal: a
         // part sent elsewhere would then be a second copy. So one place stays free.
-        caps.streams = caps.streams.saturating_sub(1).max(1);
+        caps.max_parts_per_connection = caps.max_parts_per_connection.saturating_sub(1).max(1);
         let links = Arc::default();
         let shared = Arc::new(Shared {
             dialect,
@@ -100,7 +100,7 @@
 }
 
 impl Transport for HostConnections {
-    fn listed(&mut self, server: ServerId, host: &Endpoint, stop_at: Option<Instant>) {
+    fn host_listed(&mut self, server: ServerId, host: &Endpoint, stop_at: Option<Instant>) {
         let shared = self.shared.clone();
         let addr = host.addr.clone();
         self.mailboxes.entry(server).or_insert_with(|| {
@@ -128,7 +128,7 @@
         self.tell(server, PeerMail::Endpoint(host.addr.clone(), stop_at));
     }
 
-    fn call(&mut self, server: ServerId, parts: Vec<CallPart>) {
+    fn send_call(&mut self, server: ServerId, parts: Vec<PartRequest>) {
         self.tell(server, PeerMail::Call(parts));
     }
 
@@ -144,11 +144,11 @@
         self.tell(server, PeerMail::Probe);
     }
 
-    fn release(&mut self, server: ServerId) {
+    fn close_idle_connections(&mut self, server: ServerId) {
         self.tell(server, PeerMail::Release);
     }
 
-    fn forget(&mut self, server: ServerId) {
+    fn forget_host(&mut self, server: ServerId) {
         // Its actor ends with its mailbox, and each link once nothing is out on it.
         self.mailboxes.remove(&server);
     }
@@ -175,7 +175,8 @@
                 PeerMail::Probe => {
                     let link = self.sound_link(0).unwrap_or_else(|| self.open());
                     if link.send(LinkMail::Probe).is_err() {
-                        let failed = Mail::Probed(self.server, Outcome::ConnectFailed, None);
+                        let failed =
+                            CoreMessage::ProbeEnded(self.server, Outcome::ConnectFailed, None);
                         let _ = self.shared.core.send(failed);
                     }
                 }
@@ -229,7 +230,7 @@
                 && self.shared.dialect.room(
                     l.gauge.parts.load(Ordering::Relaxed),
                     parts,
-                    self.shared.caps.streams,
+                    self.shared.caps.max_parts_per_connection,
                 )
         };
         let able = self
@@ -266,9 +267,9 @@
         let setup = LinkSetup {
             server: self.server,
             addr: self.addr.clone(),
-            streams: self.shared.caps.streams,
+            streams: self.shared.caps.max_parts_per_connection,
             connect_timeout: self.shared.caps.connect_timeout,
-            idle: self.shared.caps.conn_idle,
+            idle: self.shared.caps.connection_idle_timeout,
             stop_at: self.stop_at,
             gate: self.gate.clone(),
             mail,
@@ -291,7 +292,7 @@
         tx
     }
 
-    fn call(&mut self, mut parts: Vec<CallPart>) {
+    fn call(&mut self, mut parts: Vec<PartRequest>) {
         loop {
             let link = match self.sound_link(parts.len()) {
                 Some(link) => link,
--- a/crates/coordinator/src/net/link/connection.rs
+++ b/crates/coordinator/src/net/link/connection.rs
@@ -2,7 +2,7 @@
 
 use super::run::take_unconnected;
 use super::{LinkMail, LinkSetup};
-use crate::core::CallPart;
+use crate::core::PartRequest;
 use crate::interface::{Outcome, RequestId};
 use crate::net::buffered_stream::BufferedStream;
 use crate::net::frames;
@@ -30,7 +30,7 @@
 
 /// A call whose bytes are on their way.
 pub(super) struct Sending {
-    pub(super) parts: Vec<CallPart>,
+    pub(super) parts: Vec<PartRequest>,
     pub(super) pieces: VecDeque<Bytes>,
     /// Parts given up meanwhile.
     pub(super) given_up: Vec<(RequestId, u32, Outcome)>,
@@ -40,7 +40,7 @@
 pub(super) struct Link {
     pub(super) setup: LinkSetup,
     pub(super) conn: BufferedStream,
-    pub(super) queue: VecDeque<Vec<CallPart>>,
+    pub(super) queue: VecDeque<Vec<PartRequest>>,
     pub(super) sending: Option<Sending>,
     /// Parts whose frame is written, by their name.
     pub(super) out: HashMap<String, Out>,
@@ -76,7 +76,7 @@
     pub(super) fn new(
         setup: LinkSetup,
         conn: BufferedStream,
-        queue: VecDeque<Vec<CallPart>>,
+        queue: VecDeque<Vec<PartRequest>>,
     ) -> Self {
         let now = Instant::now();
         Self {
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -9,7 +9,7 @@
 pub use run::take_out;
 
 use super::stall_detector::StallDetector;
-use crate::core::{CallPart, Ended, Mail};
+use crate::core::{AttemptEnd, CoreMessage, PartRequest};
 use crate::counters::Counters;
 use crate::interface::{Outcome, RequestId, ServerId};
 use multi_core::drain_gates::DrainGate;
@@ -30,7 +30,7 @@
 /// What a link is told.
 pub enum LinkMail {
     /// Send these parts as one call.
-    Call(Vec<CallPart>),
+    Call(Vec<PartRequest>),
     /// Give an attempt up.
     Cancel(RequestId, u32, Outcome),
     /// Take an attempt back if it has not begun.
@@ -89,7 +89,7 @@
     /// How fast the host answers, over all its links.
     pub pace: Arc<StallDetector>,
     /// The core's mailbox.
-    pub core: mpsc::UnboundedSender<Mail>,
+    pub core: mpsc::UnboundedSender<CoreMessage>,
     /// The counters.
     pub counters: Counters,
 }
@@ -125,7 +125,7 @@
 impl LinkSetup {
     /// Reports the end of a part that was handed to this link.
     pub fn ended(&self, part: RequestId, attempt: u32, outcome: Outcome) {
-        self.report(Ended {
+        self.report(AttemptEnd {
             part,
             attempt,
             outcome,
@@ -135,9 +135,9 @@
     }
 
     /// The same with all that came along.
-    pub fn report(&self, ended: Ended) {
+    pub fn report(&self, ended: AttemptEnd) {
         self.gauge.parts.fetch_sub(1, Ordering::Relaxed);
-        let _ = self.core.send(Mail::Ended(ended));
+        let _ = self.core.send(CoreMessage::AttemptEnded(ended));
     }
 
     /// Time without use after which the link closes by itself.
@@ -147,14 +147,15 @@
 
     /// The parts of a call that may still be sent; the others end here, never sent. Waiting in our own
     /// buffers counts against a part's time-out and against a drain's grace.
-    pub fn sendable(&self, call: Vec<CallPart>, now: Instant) -> Vec<CallPart> {
+    pub fn sendable(&self, call: Vec<PartRequest>, now: Instant) -> Vec<PartRequest> {
         let shut = |(gate, origin): &(Arc<DrainGate>, Instant)| {
             !gate.allows_send(now.saturating_duration_since(*origin).as_micros() as u64)
         };
         let stopped =
             self.stop_at.is_some_and(|t| now >= t) || self.gate.as_ref().is_some_and(shut);
-        let (go, stay): (Vec<_>, Vec<_>) =
-            call.into_iter().partition(|p| !stopped && now < p.give_up);
+        let (go, stay): (Vec<_>, Vec<_>) = call
+            .into_iter()
+            .partition(|p| !stopped && now < p.times_out_at);
         for p in stay {
             self.counters.inc("sent.withheld");
             self.ended(p.part, p.attempt, Outcome::NotSent);
--- a/crates/coordinator/src/net/link/reading.rs
+++ b/crates/coordinator/src/net/link/reading.rs
@@ -1,7 +1,7 @@
 //! Reading: answers are matched with what is out, and what is left at the end is reported.
 
 use super::connection::{remember, Link, Out, REMEMBERED};
-use crate::core::{Ended, Mail};
+use crate::core::{AttemptEnd, CoreMessage};
 use crate::interface::Outcome;
 use crate::net::frames::{self, Reply};
 use bytes::Bytes;
@@ -13,7 +13,7 @@
         let _ = self
             .setup
             .core
-            .send(Mail::Probed(self.setup.server, outcome, report));
+            .send(CoreMessage::ProbeEnded(self.setup.server, outcome, report));
     }
 
     pub(super) fn read(&mut self) -> Result<(), (&'static str, String)> {
@@ -40,7 +40,7 @@
                         // A copy of its own: a slice would keep the whole buffer it came in.
                         let value =
                             (outcome == Outcome::Ok).then(|| Bytes::copy_from_slice(&value));
-                        self.setup.report(Ended {
+                        self.setup.report(AttemptEnd {
                             part,
                             attempt,
                             outcome,
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Link;
 use super::{LinkMail, LinkSetup, CANCEL_HEAD};
-use crate::core::{CallPart, Mail};
+use crate::core::{CoreMessage, PartRequest};
 use crate::interface::{Outcome, RequestId};
 use crate::net::buffered_stream::BufferedStream;
 use std::collections::VecDeque;
@@ -86,7 +86,7 @@
 /// never goes out on it. What needs the connection is held until it is there.
 async fn connect(
     setup: &mut LinkSetup,
-    queue: &mut VecDeque<Vec<CallPart>>,
+    queue: &mut VecDeque<Vec<PartRequest>>,
     held: &mut Held,
 ) -> std::io::Result<BufferedStream> {
     let addr = setup.addr.clone();
@@ -106,8 +106,8 @@
 }
 
 /// Takes an attempt out of the calls that have not begun; whether it was there.
-pub fn take_out(queue: &mut VecDeque<Vec<CallPart>>, part: RequestId, attempt: u32) -> bool {
-    let this = |p: &CallPart| (p.part, p.attempt) == (part, attempt);
+pub fn take_out(queue: &mut VecDeque<Vec<PartRequest>>, part: RequestId, attempt: u32) -> bool {
+    let this = |p: &PartRequest| (p.part, p.attempt) == (part, attempt);
     let there = queue.iter().flatten().any(this);
     queue.iter_mut().for_each(|c| c.retain(|p| !this(p)));
     queue.retain(|c| !c.is_empty());
@@ -116,7 +116,7 @@
 
 pub(super) fn take_unconnected(
     setup: &mut LinkSetup,
-    queue: &mut VecDeque<Vec<CallPart>>,
+    queue: &mut VecDeque<Vec<PartRequest>>,
     mail: LinkMail,
 ) {
     match mail {
@@ -138,7 +138,7 @@
             }
         }
         LinkMail::Probe => {
-            let failed = Mail::Probed(setup.server, Outcome::ConnectFailed, None);
+            let failed = CoreMessage::ProbeEnded(setup.server, Outcome::ConnectFailed, None);
             let _ = setup.core.send(failed);
         }
         LinkMail::StopAt(at) => setup.stop_at = at,
@@ -147,7 +147,7 @@
 }
 
 /// No connection came about: nothing that waits for it has run.
-fn refuse_all(setup: &mut LinkSetup, mut queue: VecDeque<Vec<CallPart>>) {
+fn refuse_all(setup: &mut LinkSetup, mut queue: VecDeque<Vec<PartRequest>>) {
     while let Ok(mail) = setup.mail.try_recv() {
         take_unconnected(setup, &mut queue, mail);
     }
--- a/crates/coordinator/src/net/link/writing.rs
+++ b/crates/coordinator/src/net/link/writing.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Link, Out, Sending};
 use super::CANCEL_HEAD;
-use crate::core::CallPart;
+use crate::core::PartRequest;
 use crate::interface::Outcome;
 use crate::net::frames;
 use bytes::Buf;
@@ -60,7 +60,7 @@
     /// A call starts only once the ring is empty, so that it does not wait there past its time.
     fn begin_call(&mut self) -> bool {
         let there = self.out.len() + self.gone;
-        let room = |c: &Vec<CallPart>| there == 0 || there + c.len() <= self.setup.streams;
+        let room = |c: &Vec<PartRequest>| there == 0 || there + c.len() <= self.setup.streams;
         let Some(call) = self
             .queue
             .front()
--- a/crates/coordinator/src/ops/list_overlay.rs
+++ b/crates/coordinator/src/ops/list_overlay.rs
@@ -1,7 +1,7 @@
 //! The actor between the sources of the list and the core, where hosts can be taken out by hand.
 
 use super::manual_ejection::{EjectionError, ManualEjections};
-use crate::core::{Endpoint, Mail};
+use crate::core::{CoreMessage, Endpoint};
 use crate::interface::ListKind;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
@@ -73,15 +73,15 @@
 }
 
 /// Asks a core for word that what it was sent is in force.
-pub fn word_of(core: &mpsc::UnboundedSender<Mail>) -> oneshot::Receiver<()> {
+pub fn word_of(core: &mpsc::UnboundedSender<CoreMessage>) -> oneshot::Receiver<()> {
     let (word, taken) = oneshot::channel();
-    let _ = core.send(Mail::Taken(word));
+    let _ = core.send(CoreMessage::Barrier(word));
     taken
 }
 
-impl ListSink for mpsc::UnboundedSender<Mail> {
+impl ListSink for mpsc::UnboundedSender<CoreMessage> {
     fn publish(&self, kind: ListKind, hosts: Vec<Endpoint>) {
-        let _ = self.send(Mail::List(kind, hosts));
+        let _ = self.send(CoreMessage::HostList(kind, hosts));
     }
 
     fn in_force(&self) -> Vec<oneshot::Receiver<()>> {
@@ -138,7 +138,7 @@
 /// Passes news on and does what is asked until the sources of both have gone.
 pub async fn run(
     mut overlay: ListOverlay,
-    mut news: mpsc::UnboundedReceiver<Mail>,
+    mut news: mpsc::UnboundedReceiver<CoreMessage>,
     mut requests: mpsc::Receiver<Request>,
     sink: impl ListSink,
 ) {
@@ -146,7 +146,7 @@
     while listening || asked {
         tokio::select! {
             mail = news.recv(), if listening => match mail {
-                Some(Mail::List(kind, hosts)) => sink.publish(kind, overlay.bans.news(kind, hosts)),
+                Some(CoreMessage::HostList(kind, hosts)) => sink.publish(kind, overlay.bans.news(kind, hosts)),
                 Some(_) => {}
                 None => listening = false,
             },
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -1,7 +1,7 @@
 //! The coordinator as a process: all actors put together, from start to SIGTERM.
 
 use crate::config::{Config, HostDialect, Room, Source};
-use crate::core::{self, Clock, Core, Mail, Table};
+use crate::core::{self, Clock, CoreHandle, CoreMessage, Dispatch, QueryTable};
 use crate::counters::Counters;
 use crate::front::opensearch::hosts::OpenSearchHosts;
 use crate::front::opensearch::OpenSearch;
@@ -168,7 +168,7 @@
 /// All fronts over the way to the core.
 pub(crate) fn fronts(
     config: &Config,
-    core: Core,
+    core: CoreHandle,
     counters: &Counters,
     readiness: Option<Readiness>,
 ) -> Fronts {
@@ -200,7 +200,7 @@
 pub(crate) fn limits(config: &Config, room: Room, beside: watch::Receiver<RestartRole>) -> Limits {
     let longest = config
         .site
-        .settings
+        .router
         .classes
         .iter()
         .map(|c| c.client_timeout)
@@ -224,7 +224,7 @@
 /// Starts the actor of the host list; its news go to `core`.
 pub(crate) fn list_source(
     config: Config,
-    core: mpsc::UnboundedSender<Mail>,
+    core: mpsc::UnboundedSender<CoreMessage>,
     counters: &Counters,
     moves: mpsc::UnboundedReceiver<String>,
 ) {
@@ -241,14 +241,14 @@
             .run(),
         );
     } else if let Some(addr) = config.discovery {
-        let settings = &config.site.settings;
+        let settings = &config.site.router;
         let shared = settings
             .subscribe_within
             .map(|within| (settings.routers, within));
         let pace = DiscoveryBackoff {
             seed: config.seed,
             shared,
-            grace: config.site.caps.drain_grace,
+            grace: config.site.limits.drain_grace,
         };
         let replaces = Vec::new();
         tokio::spawn(
@@ -327,16 +327,11 @@
     let (mail, inbox) = mpsc::unbounded_channel();
     let (origin, dispatcher) = (
         Instant::now(),
-        CoreDispatcher::new(1, config.site.caps.open),
-    );
-    let hint = config.site.settings.max_retry_after.unwrap_or(HINT);
-    let core = Core::new(
-        vec![mail.clone()],
-        dispatcher.clone(),
-        origin,
-        hint,
-        counters.clone(),
+        CoreDispatcher::new(1, config.site.limits.max_open),
     );
+    let hint = config.site.router.max_retry_after.unwrap_or(HINT);
+    let dispatch = Dispatch { dispatcher, origin };
+    let core = CoreHandle::new(vec![mail.clone()], dispatch.clone(), hint, counters.clone());
     let fronts = fronts(
         &config,
         core,
@@ -344,7 +339,7 @@
         staff.as_ref().map(|s| s.readiness.clone()),
     );
     let (room, limits) = (config.room, limits(&config, config.room, beside.clone()));
-    let caps = config.site.caps.clone();
+    let caps = config.site.limits.clone();
     let (count, cores) = (counters.clone(), None);
     let peers = HostConnections::new(
         dialect(&config),
@@ -356,7 +351,7 @@
         beside,
     );
     let site = config.site.clone();
-    let mut table = Table::new(
+    let mut table = QueryTable::new(
         site,
         config.seed,
         Clock::new(),
@@ -371,7 +366,7 @@
             .unwrap_or_default()
             .as_micros() as u64;
         let (tx, words) = mpsc::channel(MOST_WORDS);
-        table = table.talking(LoadPublisher::new(talk, life, config.seed), tx);
+        table = table.with_peers(LoadPublisher::new(talk, life, config.seed), tx);
         tokio::spawn(
             Talk {
                 tier,
@@ -394,8 +389,11 @@
         (news, readiness) = (told, Some(staff.readiness));
     }
     // The list as last known comes first, so that the first query finds hosts.
-    let _ = news.send(Mail::List(ListKind::Cached, config.known.members.clone()));
-    let core_task = tokio::spawn(core::start(table, inbox, (dispatcher, 0, origin)));
+    let _ = news.send(CoreMessage::HostList(
+        ListKind::Cached,
+        config.known.members.clone(),
+    ));
+    let core_task = tokio::spawn(core::run(table, inbox, 0, dispatch));
     list_source(config, news, &counters, moves);
     let incoming = Incoming::Listener(listener);
     readiness.iter().for_each(super::ops::Readiness::accepts);
--- a/crates/coordinator/src/shard/mod.rs
+++ b/crates/coordinator/src/shard/mod.rs
@@ -6,7 +6,7 @@
 
 pub use run::run;
 
-use crate::core::Mail;
+use crate::core::CoreMessage;
 use multi_core::drain_gates::DrainGates;
 use multi_core::key_ownership::KeyOwnership;
 use multi_core::shared_budget::BudgetLease;
@@ -47,7 +47,7 @@
     /// The origin of the gates' times.
     pub origin: Instant,
     /// The other cores' mailboxes.
-    pub others: Vec<mpsc::UnboundedSender<Mail>>,
+    pub others: Vec<mpsc::UnboundedSender<CoreMessage>>,
 }
 
 impl Seat {
--- a/crates/coordinator/src/shard/run.rs
+++ b/crates/coordinator/src/shard/run.rs
@@ -4,7 +4,7 @@
 
 use super::{settle_on, Seat};
 use crate::config::{Config, CoresConfig};
-use crate::core::{self, Clock, Core, Endpoint, Mail, Table};
+use crate::core::{self, Clock, CoreHandle, CoreMessage, Dispatch, Endpoint, QueryTable};
 use crate::counters::Counters;
 use crate::front::Fronts;
 use crate::interface::{ListKind, ServerState};
@@ -35,8 +35,8 @@
     core: usize,
     config: Config,
     fronts: Arc<Fronts>,
-    inbox: mpsc::UnboundedReceiver<Mail>,
-    mail: mpsc::UnboundedSender<Mail>,
+    inbox: mpsc::UnboundedReceiver<CoreMessage>,
+    mail: mpsc::UnboundedSender<CoreMessage>,
     handed: mpsc::UnboundedReceiver<Handed>,
     seat: Seat,
     dispatcher: Arc<CoreDispatcher>,
@@ -93,20 +93,18 @@
     };
     log::info!(cores = n, pinned = cores.pin; "{}", config.summary());
     let origin = Instant::now();
-    let open = config.site.caps.open;
+    let open = config.site.limits.max_open;
     let dispatcher = CoreDispatcher::new(n, open);
     let budget = SharedBudget::new(open, n, (open / (4 * n)).max(1));
     let (names, gates) = (KeyOwnership::new(), DrainGates::new(n));
     let (mails, inboxes): (Vec<_>, Vec<_>) = (0..n).map(|_| mpsc::unbounded_channel()).unzip();
     let (doors, handed): (Vec<_>, Vec<_>) = (0..n).map(|_| mpsc::unbounded_channel()).unzip();
-    let hint = config.site.settings.max_retry_after.unwrap_or(HINT);
-    let core = Core::new(
-        mails.clone(),
-        dispatcher.clone(),
+    let hint = config.site.router.max_retry_after.unwrap_or(HINT);
+    let dispatch = Dispatch {
+        dispatcher: dispatcher.clone(),
         origin,
-        hint,
-        counters.clone(),
-    );
+    };
+    let core = CoreHandle::new(mails.clone(), dispatch, hint, counters.clone());
     let fronts = Arc::new(fronts(&config, core, &counters, readiness.clone()));
     let (over, mut ended) = mpsc::unbounded_channel();
     let mut threads = Vec::new();
@@ -155,7 +153,7 @@
         gates,
         mails,
         origin,
-        grace: config.site.caps.drain_grace,
+        grace: config.site.limits.drain_grace,
         counters: counters.clone(),
     };
     tokio::spawn(spread.run(config, moves, overlay, requests));
@@ -232,7 +230,7 @@
 /// Follows the host list for all cores: gates first, then the news, then its version to acknowledge.
 struct Spread {
     gates: Arc<DrainGates>,
-    mails: Vec<mpsc::UnboundedSender<Mail>>,
+    mails: Vec<mpsc::UnboundedSender<CoreMessage>>,
     origin: Instant,
     grace: Duration,
     counters: Counters,
@@ -260,7 +258,7 @@
         loop {
             tokio::select! {
                 mail = inbox.recv() => match mail {
-                    Some(Mail::List(kind, hosts)) => {
+                    Some(CoreMessage::HostList(kind, hosts)) => {
                         self.publish(kind, overlay.bans.news(kind, hosts));
                         published = Instant::now();
                     }
@@ -300,8 +298,8 @@
             .prune(now.saturating_sub(FORGET).as_micros() as u64);
         for mail in &self.mails {
             // One that has ended needs no news.
-            let _ = mail.send(Mail::List(kind, hosts.clone()));
-            let _ = mail.send(Mail::Version(version));
+            let _ = mail.send(CoreMessage::HostList(kind, hosts.clone()));
+            let _ = mail.send(CoreMessage::ListVersion(version));
         }
     }
 
@@ -349,11 +347,11 @@
         let n = dispatcher.core_count();
         let room = config.room.of_core(n);
         // To the rules that all routers keep together each core is one more: a cold host's budget first of all.
-        config.site.settings.routers = config.site.settings.routers.saturating_mul(n as u32);
+        config.site.router.routers = config.site.router.routers.saturating_mul(n as u32);
         let seed = config.seed ^ (core as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let dialect = dialect(&config);
         let limits = limits(&config, room, beside.clone());
-        let caps = config.site.caps.clone();
+        let caps = config.site.limits.clone();
         let peers = HostConnections::new(
             dialect,
             caps,
@@ -363,7 +361,7 @@
             Some((gates, origin)),
             beside,
         );
-        let table = Table::new(
+        let table = QueryTable::new(
             config.site,
             seed,
             Clock::new(),
@@ -371,8 +369,13 @@
             room.held,
             counters.clone(),
         )
-        .among(seat);
-        let task = tokio::spawn(core::start(table, inbox, (dispatcher, core, origin)));
+        .with_seat(seat);
+        let task = tokio::spawn(core::run(
+            table,
+            inbox,
+            core,
+            Dispatch { dispatcher, origin },
+        ));
         let service: Arc<dyn Service> = fronts;
         tokio::select! {
             () = http::serve(Incoming::Handed(handed), service, limits, counters, stop) => Ok(()),
--- a/crates/coordinator/tests/core.rs
+++ b/crates/coordinator/tests/core.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use coordinator::core::{
-    settings, Answer, CallPart, Clock, Ended, Endpoint, Mail, NewPart, NewQuery, Table, Transport,
+    settings, Answer, AttemptEnd, Clock, CoreMessage, Endpoint, NewPart, NewQuery, PartRequest,
+    QueryTable, Transport,
 };
 use coordinator::counters::Counters;
 use coordinator::{ClassId, ListKind, Outcome, RequestId, ServerId, ServerState};
@@ -24,8 +25,8 @@
 struct Script(Arc<Mutex<Asked>>);
 
 impl Transport for Script {
-    fn listed(&mut self, _: ServerId, _: &Endpoint, _: Option<Instant>) {}
-    fn call(&mut self, server: ServerId, parts: Vec<CallPart>) {
+    fn host_listed(&mut self, _: ServerId, _: &Endpoint, _: Option<Instant>) {}
+    fn send_call(&mut self, server: ServerId, parts: Vec<PartRequest>) {
         self.0
             .lock()
             .unwrap()
@@ -39,8 +40,8 @@
         self.0.lock().unwrap().retracted.push(part);
     }
     fn probe(&mut self, _: ServerId) {}
-    fn release(&mut self, _: ServerId) {}
-    fn forget(&mut self, server: ServerId) {
+    fn close_idle_connections(&mut self, _: ServerId) {}
+    fn forget_host(&mut self, server: ServerId) {
         self.0.lock().unwrap().forgotten.push(server);
     }
 }
@@ -58,7 +59,7 @@
 }
 
 /// A query of one part under this ticket.
-fn query(ticket: u64, arrived: Instant) -> (Mail, tokio::sync::oneshot::Receiver<Answer>) {
+fn query(ticket: u64, arrived: Instant) -> (CoreMessage, tokio::sync::oneshot::Receiver<Answer>) {
     let (name, class, parts) = (
         "q".into(),
         ClassId(0),
@@ -72,15 +73,15 @@
         name,
         class,
         tenant: None,
-        arrived,
-        wait,
-        repeat: None,
-        key: None,
+        arrived_at: arrived,
+        client_wait: wait,
+        is_retry: None,
+        idempotency_key: None,
         parts,
         payload,
     };
     let (reply, answer) = tokio::sync::oneshot::channel();
-    (Mail::Query(Box::new(query), ticket, reply), answer)
+    (CoreMessage::Submit(Box::new(query), ticket, reply), answer)
 }
 
 /// A client leaves while its part waits with the transport: it is withdrawn where hosts may be told so, else
@@ -94,7 +95,7 @@
             let site = settings::read(&settings.to_string()).unwrap();
             let (script, start) = (Script::default(), Instant::now());
             let counters = Counters::default();
-            let mut table = Table::new(
+            let mut table = QueryTable::new(
                 site,
                 7,
                 Clock::new(),
@@ -102,18 +103,18 @@
                 1 << 20,
                 counters.clone(),
             );
-            table.take(
-                Mail::List(ListKind::Full, vec![host(0, ServerState::Ready)]),
+            table.handle_message(
+                CoreMessage::HostList(ListKind::Full, vec![host(0, ServerState::Ready)]),
                 start,
             );
             let (query, answer) = query(1, start);
-            table.take(query, start);
+            table.handle_message(query, start);
             if !same_turn {
-                table.turn_end(start);
+                table.end_turn(start);
             }
             drop(answer);
-            table.take(Mail::Withdraw(1), start);
-            table.turn_end(start);
+            table.handle_message(CoreMessage::Withdraw(1), start);
+            table.end_turn(start);
             let asked = script.0.lock().unwrap();
             let (sent, stopped) = (
                 asked.calls.len(),
@@ -135,7 +136,7 @@
 fn a_host_that_is_gone_and_idle_is_forgotten() {
     let site = settings::read(&settings().to_string()).unwrap();
     let (script, counters, start) = (Script::default(), Counters::default(), Instant::now());
-    let mut table = Table::new(
+    let mut table = QueryTable::new(
         site,
         7,
         Clock::new(),
@@ -143,16 +144,16 @@
         1 << 20,
         counters.clone(),
     );
-    table.take(
-        Mail::List(ListKind::Full, vec![host(0, ServerState::Ready)]),
+    table.handle_message(
+        CoreMessage::HostList(ListKind::Full, vec![host(0, ServerState::Ready)]),
         start,
     );
     let (query, _answer) = query(1, start);
-    table.take(query, start);
-    table.turn_end(start);
+    table.handle_message(query, start);
+    table.end_turn(start);
     let (server, part) = script.0.lock().unwrap().calls[0];
-    table.take(
-        Mail::List(ListKind::Changes, vec![host(0, ServerState::Gone)]),
+    table.handle_message(
+        CoreMessage::HostList(ListKind::Changes, vec![host(0, ServerState::Gone)]),
         start,
     );
     table.run_timers(start + ms(20_000));
@@ -160,24 +161,27 @@
         script.0.lock().unwrap().forgotten.is_empty(),
         "a part is still out there"
     );
-    let ended = Ended {
+    let ended = AttemptEnd {
         part,
         attempt: 0,
         outcome: Outcome::Reset,
         value: None,
         report: None,
     };
-    table.take(Mail::Ended(ended), start + ms(20_000));
+    table.handle_message(CoreMessage::AttemptEnded(ended), start + ms(20_000));
     table.run_timers(start + ms(20_001));
     assert_eq!(script.0.lock().unwrap().forgotten, [server]);
     // One that comes back in time is kept.
-    table.take(
-        Mail::List(ListKind::Full, vec![host(1, ServerState::Ready)]),
+    table.handle_message(
+        CoreMessage::HostList(ListKind::Full, vec![host(1, ServerState::Ready)]),
         start + ms(30_000),
     );
-    table.take(Mail::List(ListKind::Full, vec![]), start + ms(31_000));
-    table.take(
-        Mail::List(ListKind::Full, vec![host(1, ServerState::Ready)]),
+    table.handle_message(
+        CoreMessage::HostList(ListKind::Full, vec![]),
+        start + ms(31_000),
+    );
+    table.handle_message(
+        CoreMessage::HostList(ListKind::Full, vec![host(1, ServerState::Ready)]),
         start + ms(40_000),
     );
     table.run_timers(start + ms(60_000));
--- a/crates/coordinator/tests/decision/concurrency_limit.rs
+++ b/crates/coordinator/tests/decision/concurrency_limit.rs
@@ -105,7 +105,7 @@
         harness.now += 5;
         // It rejects some, which wait for the capacity that the others leave.
         parts[3..].iter().for_each(|p| {
-            assert!(sends(&harness.end_attempt(*p, 0, Outcome::Rejected, 0.0)).is_empty())
+            assert!(sends(&harness.end_attempt(*p, 0, Outcome::Rejected, 0.0)).is_empty());
         });
         let calls = parts[..3]
             .iter()
--- a/crates/coordinator/tests/host_connections.rs
+++ b/crates/coordinator/tests/host_connections.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use coordinator::core::{settings, CallPart, Ended, Endpoint, Mail, Transport};
+use coordinator::core::{settings, AttemptEnd, CoreMessage, Endpoint, PartRequest, Transport};
 use coordinator::counters::Counters;
 use coordinator::front::opensearch::hosts::{payload, OpenSearchHosts};
 use coordinator::net::hosts::HostConnections;
@@ -18,7 +18,7 @@
 struct Bench {
     runtime: tokio::runtime::Runtime,
     peers: HostConnections,
-    mail: mpsc::UnboundedReceiver<Mail>,
+    mail: mpsc::UnboundedReceiver<CoreMessage>,
     host: Endpoint,
 }
 
@@ -28,7 +28,7 @@
             .enable_all()
             .build()
             .unwrap();
-        let caps = settings::read(&settings().to_string()).unwrap().caps;
+        let caps = settings::read(&settings().to_string()).unwrap().limits;
         let (core, mail) = mpsc::unbounded_channel();
         let peers = HostConnections::new(
             dialect,
@@ -54,7 +54,7 @@
             mail,
             host,
         };
-        bench.act(|p, host| p.listed(HOST, host, None));
+        bench.act(|p, host| p.host_listed(HOST, host, None));
         bench
     }
 
@@ -67,23 +67,23 @@
         let give_up = Instant::now() + PATIENCE;
         let payload = payload("taxis", &Default::default());
         let name = format!("q{n}").into();
-        let part = CallPart {
+        let part = PartRequest {
             part: RequestId(n),
             attempt: 0,
-            name,
+            query_name: name,
             shard: 0,
-            give_up,
-            key: None,
+            times_out_at: give_up,
+            idempotency_key: None,
             payload,
         };
-        self.act(|p, _| p.call(HOST, vec![part]));
+        self.act(|p, _| p.send_call(HOST, vec![part]));
     }
 
     fn cancel(&mut self, n: u64) {
         self.act(|p, _| p.cancel(HOST, RequestId(n), 0, Outcome::Cancelled));
     }
 
-    fn next(&mut self) -> Mail {
+    fn next(&mut self) -> CoreMessage {
         let Self { runtime, mail, .. } = self;
         runtime.block_on(async {
             tokio::time::timeout(PATIENCE, mail.recv())
@@ -94,13 +94,13 @@
     }
 
     fn ended(&mut self) -> (u64, Outcome) {
-        let Ended { part, outcome, .. } = self.end();
+        let AttemptEnd { part, outcome, .. } = self.end();
         (part.0, outcome)
     }
 
-    fn end(&mut self) -> Ended {
+    fn end(&mut self) -> AttemptEnd {
         match self.next() {
-            Mail::Ended(ended) => ended,
+            CoreMessage::AttemptEnded(ended) => ended,
             _ => panic!("not the end of an attempt"),
         }
     }
@@ -114,7 +114,7 @@
     let mut bench = Bench::new(Arc::new(Frames), &host.addr);
     bench.call(1);
     assert_eq!(bench.ended(), (1, Outcome::Ok));
-    bench.act(|p, _| p.release(HOST));
+    bench.act(|p, _| p.close_idle_connections(HOST));
     bench.call(2);
     assert_eq!(bench.ended(), (2, Outcome::Ok));
 }
@@ -193,16 +193,16 @@
         "q1".into(),
         vec![b'x'; 64 << 20].into(),
     );
-    let part = CallPart {
+    let part = PartRequest {
         part: RequestId(1),
         attempt: 0,
-        name,
+        query_name: name,
         shard: 0,
-        give_up,
-        key: None,
+        times_out_at: give_up,
+        idempotency_key: None,
         payload,
     };
-    bench.act(|p, _| p.call(HOST, vec![part]));
+    bench.act(|p, _| p.send_call(HOST, vec![part]));
     let (tx, accepted) = std::sync::mpsc::channel();
     std::thread::spawn(move || tx.send(listener.accept().unwrap().0));
     let begun = |s: &std::net::TcpStream| matches!(s.peek(&mut [0]), Ok(1));
@@ -238,7 +238,7 @@
     );
     assert!(matches!(
         bench.next(),
-        Mail::Probed(HOST, Outcome::ConnectFailed, None)
+        CoreMessage::ProbeEnded(HOST, Outcome::ConnectFailed, None)
     ));
 }
 
@@ -248,7 +248,7 @@
     let ledger = Ledger::default();
     let host = host(0, false, &ledger, |_| Act::Serve("v".into()));
     let mut bench = Bench::new(Arc::new(Frames), &host.addr);
-    bench.act(|p, host| p.listed(HOST, host, Some(Instant::now())));
+    bench.act(|p, host| p.host_listed(HOST, host, Some(Instant::now())));
     bench.call(1);
     let (_, outcome) = bench.ended();
     assert!(
@@ -313,7 +313,7 @@
         let mut bench = Bench::new(Arc::new(Frames), &h.addr);
         for q in [1, 2] {
             bench.call(q);
-            let Ended {
+            let AttemptEnd {
                 part,
                 outcome,
                 value,
@@ -414,7 +414,7 @@
         let mut bench = Bench::new(Arc::new(OpenSearchHosts), &addr);
         bench.act(|p, _| p.probe(HOST));
         assert!(
-            matches!(bench.next(), Mail::Probed(HOST, got, _) if got == outcome),
+            matches!(bench.next(), CoreMessage::ProbeEnded(HOST, got, _) if got == outcome),
             "{outcome:?}"
         );
     }
--- a/crates/coordinator/tests/lists.rs
+++ b/crates/coordinator/tests/lists.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use coordinator::core::Mail;
+use coordinator::core::CoreMessage;
 use coordinator::counters::Counters;
 use coordinator::interface::ListKind;
 use coordinator::net::discovery_watch::{DiscoveryBackoff, Watch};
@@ -20,7 +20,7 @@
 
 /// The watch under test and what it tells.
 struct Bench {
-    news: mpsc::UnboundedReceiver<Mail>,
+    news: mpsc::UnboundedReceiver<CoreMessage>,
     moves: mpsc::UnboundedSender<String>,
     counters: Counters,
     started: Instant,
@@ -55,7 +55,7 @@
             .await
             .expect("a list in time")
         {
-            Some(Mail::List(kind, members)) => {
+            Some(CoreMessage::HostList(kind, members)) => {
                 assert!(matches!(kind, ListKind::Full | ListKind::Changes));
                 members[0].id.clone()
             }
