--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -2,19 +2,16 @@
 //! anew, so that it goes on as the only voter, as somebody else and in a new generation of epochs
 //! (`docs/operators/losing-a-majority.md`). No I/O.
 
-use crate::member::generation::next_generation;
+use crate::member::epoch::recovery_epoch;
 use crate::replicated_state::ReplicatedState;
 use crate::runtime::identity::{latest_identity, Identity, IdentityError, LogOwner, StoredLog};
 use protocol::{MemberInfo, MembershipConfig, Record};
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::collections::BTreeSet;
 
-/// Bits of an epoch that tell members apart, below the number of the election.
-const OWN_BITS: u32 = 20;
-
 /// Why a folder is not recovered from.
 #[derive(Debug, Snafu)]
-#[allow(missing_docs)]
+#[allow(missing_docs, reason = "the display texts say what the fields are")]
 pub enum Refusal {
     /// The identity's file tells none.
     #[snafu(display("no identity is kept here"))]
@@ -79,7 +76,7 @@
         let identity = latest_identity(identity)
             .context(IdentitySnafu)?
             .context(NoIdentitySnafu)?;
-        let StoredLog { owner, records } = StoredLog::of(records.to_vec());
+        let StoredLog { owner, records } = StoredLog::from_records(records.to_vec());
         if let Some(owner) = owner.map(|o| o.id).filter(|id| *id != identity.id) {
             return OtherOwnerSnafu {
                 owner,
@@ -179,8 +176,7 @@
             }
             .fail();
         }
-        let own = id & ((1 << OWN_BITS) - 1);
-        let epoch = next_generation(self.promised) | (1 << OWN_BITS) | own;
+        let epoch = recovery_epoch(self.promised, id);
         let seat = self
             .view
             .voter(self.identity.id)
@@ -206,7 +202,7 @@
         ];
         let identity = Identity {
             id,
-            life: self.identity.life,
+            incarnation: self.identity.incarnation,
             initial_voters: Vec::new(),
         };
         let owner = protocol::encode_record(&LogOwner {
--- a/crates/coordinator/src/core/settings/mod.rs
+++ b/crates/coordinator/src/core/settings/mod.rs
@@ -9,7 +9,7 @@
     Idempotency, LoadReport, QueryClass, RetryBudget, RouterSettings, ShardLayout, SlowStart,
     Tenant, ZoneId,
 };
-use crate::peers::Talk;
+use crate::peers::GossipSettings;
 use schema::{RawCaps, RawClass, RawFamily, RawSafety, RawSettings, RawTenant};
 use std::time::Duration;
 
@@ -73,7 +73,7 @@
     /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
     /// How coordinators may publish their load to each other, if they may.
-    pub talk: Option<Talk>,
+    pub talk: Option<GossipSettings>,
     /// Limits of the program.
     pub limits: CoordinatorLimits,
 }
@@ -120,8 +120,8 @@
     Ok(SiteSettings {
         router: router_settings(&raw, zone)?,
         limits: limits(&raw),
-        talk: raw.caps.may_tell.then_some(Talk {
-            routers: raw.coordinators,
+        talk: raw.caps.may_tell.then_some(GossipSettings {
+            coordinators: raw.coordinators,
             rank: raw.rank,
             price: raw.costs.peer,
         }),
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -166,7 +166,7 @@
 
     /// The same, publishing its load to other coordinators: its datagrams go to the channel.
     #[must_use]
-    pub fn with_peers(
+    pub fn with_gossip(
         mut self,
         publisher: LoadPublisher,
         datagrams: mpsc::Sender<Datagram>,
@@ -248,7 +248,7 @@
     fn gossip_received(&mut self, from: u32, bytes: &[u8], now: Instant) {
         let at = self.clock.at(now);
         if let Some(peers) = &mut self.peers {
-            let heard = peers.publisher.hear(at, from, bytes);
+            let heard = peers.publisher.receive(at, from, bytes);
             self.counters.inc(heard.counter());
         }
     }
--- a/crates/coordinator/src/core/table/turn.rs
+++ b/crates/coordinator/src/core/table/turn.rs
@@ -37,7 +37,7 @@
         if let Some(peers) = &mut self.peers {
             peers
                 .publisher
-                .tell(at, &mut self.router, &mut self.actions);
+                .report_peer_loads(at, &mut self.router, &mut self.actions);
         }
     }
 
@@ -48,7 +48,7 @@
         };
         let datagram = peers
             .publisher
-            .speak(at, &self.router, &self.actions, |id| {
+            .next_update(at, &self.router, &self.actions, |id| {
                 self.servers.name(id.0)
             });
         if let Some(datagram) = datagram {
--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -225,7 +225,11 @@
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/_health") => {
                 return done(
-                    match self.readiness.as_ref().and_then(Readiness::obstacle) {
+                    match self
+                        .readiness
+                        .as_ref()
+                        .and_then(Readiness::not_ready_reason)
+                    {
                         None => Response::text(200, "ok\n"),
                         Some(why) => Response::text(503, format!("{why}\n")),
                     },
@@ -257,7 +261,7 @@
         Response::text(status, format!("{reason}\n"))
     }
 
-    fn no_seat(&self, request: &Request) -> Response {
+    fn non_member_info(&self, request: &Request) -> Response {
         let answer = self.error(503, "too many clients");
         match self.query(request) {
             Ok(query) => answer.ends(query.class.0 as usize, End::Shed),
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -10,13 +10,13 @@
 use crate::interface::ListKind;
 use crate::net::discovery_watch::{DiscoveryBackoff, Watch};
 use crate::net::dns_sd::Browser;
-use crate::net::gossip::Talk;
+use crate::net::gossip::GossipSocket;
 use crate::net::hosts::HostConnections;
 use crate::net::http::{self, Gated, Incoming, Limits};
 use crate::net::link::{Dialect, Frames};
 use crate::ops::admin_server::AdminServer;
 use crate::ops::hot_restart::{self, HotRestart, RestartRole, TakenOverState};
-use crate::ops::list_overlay::{self, ListOverlay, Request};
+use crate::ops::list_overlay::{self, ListOverlay, OverlayRequest};
 use crate::ops::manual_ejection::ManualEjections;
 use crate::ops::Readiness;
 use crate::peers::LoadPublisher;
@@ -101,18 +101,18 @@
 async fn take_over(
     config: &Config,
 ) -> std::io::Result<(TcpListener, Option<(ManualEjections, UnixStream)>)> {
-    if let Some(path) = hot_restart::meeting_place(&config.name).filter(|p| p.exists()) {
+    if let Some(path) = hot_restart::socket_path(&config.name).filter(|p| p.exists()) {
         match hot_restart::take_over(&path, &config.name, &config.listen).await {
             Ok(TakenOverState {
                 listener,
-                bans,
+                ejections,
                 link,
             }) => {
-                log::info!(out = bans.out().count(), hosts = bans.listed().len(); "turnover: taken over");
-                return Ok((TcpListener::from_std(listener)?, Some((bans, link))));
+                log::info!(out = ejections.ejected().count(), hosts = ejections.endpoints().len(); "hot restart: taken over");
+                return Ok((TcpListener::from_std(listener)?, Some((ejections, link))));
             }
             Err(e) => {
-                log::warn!(path:% = path.display(), error:% = e; "turnover: nothing taken over");
+                log::warn!(path:% = path.display(), error:% = e; "hot restart: nothing taken over");
             }
         }
     }
@@ -144,7 +144,7 @@
     /// The hosts that are out by hand.
     pub overlay: ListOverlay,
     /// What the list's actor is asked.
-    pub requests: mpsc::Receiver<Request>,
+    pub requests: mpsc::Receiver<OverlayRequest>,
 }
 
 /// Where a coordinator listens.
@@ -159,8 +159,8 @@
 
 /// What the list's actor may be asked at once; one order more is refused.
 const MOST_REQUESTS: usize = 64;
-/// Words that may wait for the socket; one more is dropped.
-const MOST_WORDS: usize = 8;
+/// Limit on the load updates that wait for the socket; one more is dropped.
+const MAX_QUEUED_UPDATES: usize = 8;
 
 /// When a client that finds no room is asked to come back, where the settings name no longest wait.
 pub(crate) const HINT: Duration = Duration::from_secs(1);
@@ -282,7 +282,7 @@
     } = doors;
     let mut config = config;
     let (stand, beside) = watch::channel(if before.is_some() {
-        RestartRole::Both
+        RestartRole::Overlapping
     } else {
         RestartRole::Alone
     });
@@ -291,13 +291,14 @@
         let readiness = Readiness::new(stop.clone(), beside.clone(), counters.clone());
         let (members, requests) = mpsc::channel(MOST_REQUESTS);
         AdminServer::new(readiness.clone(), counters.clone(), members.clone()).serve(at)?;
-        let (bans, link) = before.map_or((ManualEjections::default(), None), |(bans, link)| {
-            (bans, Some(link))
-        });
+        let (ejections, link) = before
+            .map_or((ManualEjections::default(), None), |(ejections, link)| {
+                (ejections, Some(link))
+            });
         if link.is_some() {
-            config.known.members = bans.listed();
+            config.known.members = ejections.endpoints();
         }
-        if let Some(path) = hot_restart::meeting_place(&config.name) {
+        if let Some(path) = hot_restart::socket_path(&config.name) {
             let (name, listen) = (config.name.clone(), config.listen.clone());
             let listener = std::net::TcpListener::from(listener.as_fd().try_clone_to_owned()?);
             let turnover = HotRestart {
@@ -305,14 +306,14 @@
                 name,
                 listen,
                 listener,
-                members,
-                beside: stand,
+                overlay: members,
+                role: stand,
             };
             tokio::spawn(turnover.run(link));
         }
         staff = Some(Staff {
             readiness,
-            overlay: ListOverlay::new(bans),
+            overlay: ListOverlay::new(ejections),
             requests,
         });
     }
@@ -359,18 +360,21 @@
         room.held,
         counters.clone(),
     );
-    if let Some((tier, talk)) = config.tier.clone().zip(config.site.talk) {
-        // Unix time: a later life of this coordinator has a larger number.
-        let life = SystemTime::now()
+    if let Some((addresses, gossip)) = config.peer_addresses.clone().zip(config.site.talk) {
+        // Unix time: a later process of this coordinator has a larger number.
+        let incarnation = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_micros() as u64;
-        let (tx, words) = mpsc::channel(MOST_WORDS);
-        table = table.with_peers(LoadPublisher::new(talk, life, config.seed), tx);
+        let (updates, outgoing) = mpsc::channel(MAX_QUEUED_UPDATES);
+        table = table.with_gossip(
+            LoadPublisher::new(gossip, incarnation, config.seed),
+            updates,
+        );
         tokio::spawn(
-            Talk {
-                tier,
-                words,
+            GossipSocket {
+                addresses,
+                updates: outgoing,
                 core: mail.clone(),
                 counters: counters.clone(),
             }
@@ -396,7 +400,9 @@
     let core_task = tokio::spawn(core::run(table, inbox, 0, dispatch));
     list_source(config, news, &counters, moves);
     let incoming = Incoming::Listener(listener);
-    readiness.iter().for_each(super::ops::Readiness::accepts);
+    readiness
+        .iter()
+        .for_each(super::ops::Readiness::set_accepting);
     tokio::select! {
         _ = http::serve(incoming, Arc::new(fronts), limits, counters, stop) => Ok(()),
         _ = core_task => Err(std::io::Error::other("the core has ended")),
--- a/crates/fennelpin-cli/tests/recover.rs
+++ b/crates/fennelpin-cli/tests/recover.rs
@@ -19,7 +19,7 @@
         id,
         name,
         addr,
-        control: addr,
+        control_addr: addr,
         zone: format!("z{id}"),
         region: "r".into(),
     }
@@ -45,7 +45,7 @@
     ];
     let identity = Identity {
         id,
-        life: 7,
+        incarnation: 7,
         ..Identity::default()
     };
     std::fs::create_dir_all(dir).unwrap();
@@ -108,7 +108,7 @@
         .unwrap()
         .unwrap();
     assert!(identity.id != 2 && identity.initial_voters.is_empty());
-    let found = StoredLog::of(records(&dir, "ledger"));
+    let found = StoredLog::from_records(records(&dir, "ledger"));
     assert_eq!(found.owner.map(|o| o.id), Some(identity.id));
     let ledger = found.records;
     assert!(
@@ -123,8 +123,8 @@
     });
     assert!(alone);
     assert!(
-        dir.join("ledger.previous_voters-recovery").exists()
-            && dir.join("identity.previous_voters-recovery").exists()
+        dir.join("ledger.before-recovery").exists()
+            && dir.join("identity.before-recovery").exists()
     );
     // Once is enough: the new one has nobody to give up.
     refused(
--- a/crates/load-test/tests/scenario.rs
+++ b/crates/load-test/tests/scenario.rs
@@ -18,7 +18,7 @@
     assert_eq!((s.classes.len(), s.tenants.len(), s.shards()), (3, 4, 12));
     for c in 0..2 {
         let site = coordinator::core::settings::read(&s.settings(c).to_string()).unwrap();
-        assert_eq!((site.classes.len(), site.caps.shards), (3, Some(12)));
+        assert_eq!((site.classes.len(), site.limits.shards), (3, Some(12)));
     }
     let operator = Scenario {
         traffic: TrafficTable {
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -3,7 +3,7 @@
 use protocol::{
     Addr, AppliedRequest, Change, Command, ConfigurationUpdate, ControlPlaneInfo,
     CoordinatorRecord, HostRecord, LogPosition, MemberInfo, MembershipConfig, Message,
-    OriginUpdate, OriginVersion, Part, Placement, Record, Snapshot, Subscriber,
+    OriginUpdate, OriginVersion, PromptPart, PromptPlacement, Record, Snapshot, Subscriber,
 };
 
 fn texts(items: &[&str]) -> Vec<String> {
@@ -22,7 +22,7 @@
         id,
         name: format!("core-{id}"),
         addr: addr(id as u32, 7660),
-        control: addr(id as u32, 8146),
+        control_addr: addr(id as u32, 8146),
         zone: "zone-ä".into(),
         region: "north".into(),
     }
@@ -44,12 +44,12 @@
         configuration: r#"{"version":2,"routes":[],"services":[]}"#.into(),
         applied_requests: vec![
             AppliedRequest {
-                base: 1,
+                base_version: 1,
                 version: 2,
                 digest: [0xab; 32],
             },
             AppliedRequest {
-                base: 2,
+                base_version: 2,
                 version: 0x1122_3344,
                 digest: std::array::from_fn(|n| n as u8 + 1),
             },
@@ -58,15 +58,15 @@
     }
 }
 
-fn placement(host: &str) -> Placement {
-    Placement {
+fn placement(host: &str) -> PromptPlacement {
+    PromptPlacement {
         host: host.into(),
         parts: vec![
-            Part {
+            PromptPart {
                 id: 0xfeed_beef_0000_0001,
                 tokens: 128,
             },
-            Part { id: 2, tokens: 64 },
+            PromptPart { id: 2, tokens: 64 },
         ],
     }
 }
@@ -76,40 +76,40 @@
         name: "edge-1".into(),
         zone: "b".into(),
         region: "south".into(),
-        addr: addr(70, 7662),
-        member: 11,
-        version: 12,
+        hints_addr: addr(70, 7662),
+        member_id: 11,
+        configuration_version: 12,
     }
 }
 
 fn origin_version(id: u64) -> OriginVersion {
     OriginVersion {
-        id,
-        life: 4,
-        seq: u64::MAX - id,
+        member_id: id,
+        incarnation: 4,
+        sequence: u64::MAX - id,
     }
 }
 
 fn configuration_update() -> ConfigurationUpdate {
     ConfigurationUpdate {
-        seq: 40,
-        from: 6,
-        to: 7,
+        index: 40,
+        base_version: 6,
+        version: 7,
         routes: texts(&[r#"{"name":"r1"}"#, r#"{"name":"r2"}"#]),
         services: texts(&[r#"{"name":"s1"}"#]),
-        gone_routes: texts(&["r3"]),
-        gone_services: texts(&["s3", "s4"]),
+        removed_routes: texts(&["r3"]),
+        removed_services: texts(&["s3", "s4"]),
         limits: texts(&[r#"{"max_body_bytes":9}"#]),
-        drains_from: 38,
+        drains_base_index: 38,
         drains: texts(&["i-4", "i-5"]),
-        gone_drains: texts(&["i-6"]),
+        removed_drains: texts(&["i-6"]),
     }
 }
 
 fn origin_update() -> OriginUpdate {
     OriginUpdate {
-        mark: origin_version(5),
-        whole: true,
+        version: origin_version(5),
+        complete: true,
         hosts: vec![HostRecord {
             id: "i-8".into(),
             service: "chat".into(),
@@ -117,24 +117,24 @@
             zone: "c".into(),
             capacity: 16,
             phase: 2,
-            silent: true,
+            heartbeat_expired: true,
             call_seq: 99,
-            cold_left_ms: 4500,
+            slow_start_remaining_ms: 4500,
         }],
         coordinators: vec![CoordinatorRecord {
             name: "edge-2".into(),
             zone: "d".into(),
             region: "west".into(),
-            addr: addr(71, 7662),
+            hints_addr: addr(71, 7662),
             gone: true,
-            version: 13,
+            configuration_version: 13,
         }],
     }
 }
 
 fn control_plane() -> ControlPlaneInfo {
     ControlPlaneInfo {
-        mark: 0x0007_0001,
+        version: 0x0007_0001,
         epoch: 7,
         primary: 3,
         members: vec![member(3), member(5)],
@@ -146,8 +146,8 @@
         (
             "Configure",
             Change::Configure {
-                base: 8,
-                amend: true,
+                base_version: 8,
+                is_amendment: true,
                 body: vec![0, 1, 0xff],
             },
         ),
@@ -212,6 +212,7 @@
 
 pub fn messages() -> Vec<(&'static str, Message)> {
     let mut all = elections();
+    all.extend(installations());
     all.extend(replication());
     all.extend(commands_and_hints());
     all.extend(subscriptions());
@@ -274,6 +275,11 @@
                 retry_after_ms: 300,
             },
         ),
+    ]
+}
+
+fn installations() -> Vec<(&'static str, Message)> {
+    vec![
         (
             "InstallMembership",
             Message::InstallMembership {
@@ -390,12 +396,12 @@
         (
             "Pull",
             Message::Pull {
-                caller: subscriber(),
+                subscriber: subscriber(),
                 wait_ms: 1000,
-                ledger: 62,
-                version: 63,
-                fleet: 64,
-                sources: vec![origin_version(5), origin_version(6)],
+                index: 62,
+                configuration_version: 63,
+                control_plane_version: 64,
+                origins: vec![origin_version(5), origin_version(6)],
             },
         ),
         (
@@ -404,10 +410,10 @@
                 member: 65,
                 age_ms: 66,
                 held_ms: 67,
-                config: Some(configuration_update()),
-                sources: vec![origin_update()],
-                retired: vec![68, 69],
-                fleet: Some(control_plane()),
+                configuration: Some(configuration_update()),
+                origins: vec![origin_update()],
+                removed_origins: vec![68, 69],
+                control_plane: Some(control_plane()),
             },
         ),
     ]
--- /dev/null
+++ b/crates/proxy/src/exchange/host_selection.rs
@@ -0,0 +1,79 @@
+//! Second step: selects the host of the next attempt.
+
+use super::admission::Rejection;
+use super::Exchange;
+use crate::state::InFlightAttempt;
+use balancing::{HostChoice, RequestContext};
+use configuration::ResultCode;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// With less time left than this no host is asked.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
+
+/// The host of an attempt.
+pub(super) struct SelectedHost {
+    pub(super) attempt: InFlightAttempt,
+    pub(super) id: Arc<str>,
+    pub(super) address: SocketAddrV4,
+    /// Value of the `Priority` field to send, where it helps.
+    pub(super) priority: Option<u8>,
+}
+
+impl Exchange<'_> {
+    /// The host of the next attempt. A retry is taken from the retry budget first.
+    pub(super) fn select_host(&mut self) -> Result<SelectedHost, Rejection> {
+        let now = self.state.now();
+        let time_left = self.retry.deadline().saturating_sub(now);
+        if time_left < MIN_TIME_LEFT {
+            return Err(Rejection::new(self.retry.deadline_code()));
+        }
+        self.take_retry_budget(now)?;
+        let mut load_balancer = self.state.load_balancer.borrow_mut();
+        let context = RequestContext {
+            service: self.service,
+            rank: self.route.rank,
+            idempotent: self.retry.idempotent(),
+            prompt_parts: &self.prompt_parts,
+            prompt_tokens: self.prompt_tokens,
+            time_remaining: time_left,
+            attempted_hosts: &self.attempted_hosts,
+        };
+        match load_balancer.choose_host(now, &context) {
+            HostChoice::Selected {
+                attempt,
+                id,
+                addr,
+                priority,
+            } => {
+                if let Some(hint) = load_balancer.take_prefix_hint() {
+                    self.state.hints.borrow().publish(&hint);
+                }
+                Ok(SelectedHost {
+                    attempt: InFlightAttempt::new(self.state, attempt),
+                    id,
+                    address: addr,
+                    priority,
+                })
+            }
+            HostChoice::Unavailable { retry_after } => Err(Rejection::retry_after(
+                self.retry.code_unless_run(ResultCode::NoHost),
+                retry_after,
+            )),
+        }
+    }
+
+    fn take_retry_budget(&mut self, now: Duration) -> Result<(), Rejection> {
+        if !self.retry.needs_retry_budget() {
+            return Ok(());
+        }
+        let mut load_balancer = self.state.load_balancer.borrow_mut();
+        if !load_balancer.withdraw_retry(now, self.service) {
+            let code = self.retry.code_unless_run(ResultCode::BudgetSpent);
+            return Err(Rejection::new(code));
+        }
+        self.retry.record_budget_taken();
+        Ok(())
+    }
+}
