--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -1,7 +1,11 @@
-//! The wire: lines of text to events, actions to lines, the settings from JSON. Decides nothing.
+//! The simulator's wire: lines of text to events, actions to lines, the settings from JSON. Decides
+//! nothing.
 
-pub use coordinator::core::settings::from_ms;
-use coordinator::core::{names::NameTable, settings::load_report};
+use crate::error::WireError;
+use crate::fields::Fields;
+use coordinator::core::names::NameTable;
+use coordinator::core::settings::{self, from_ms, load_report};
+use coordinator::peers::GossipSettings;
 use coordinator::{
     Action, ClassId, Event, ListKind, LoadReport, Outcome, RequestId, RouterSettings, ServerEntry,
     ServerId, ServerState, TenantId, ZoneId,
@@ -10,149 +14,96 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// A plain message on what is wrong with the input.
-pub type Result<T> = std::result::Result<T, String>;
+/// Bit of a query's flags that marks a client's retry.
+const RETRY_FLAG: u32 = 2;
 
-fn to_ms(d: Duration) -> f64 {
-    d.as_micros() as f64 / 1000.0
-}
-
-/// The values of one line, taken in order.
-pub struct Fields<'a> {
-    what: &'a str,
-    rest: Option<&'a str>,
-}
-
-impl<'a> Fields<'a> {
-    /// Splits the message's word off a line.
-    pub fn new(line: &'a str) -> Self {
-        let (what, rest) = line
-            .split_once(' ')
-            .map_or((line, None), |(w, r)| (w, Some(r)));
-        Self { what, rest }
-    }
-
-    /// The message's word.
-    pub fn what(&self) -> &'a str {
-        self.what
-    }
-
-    /// The next value as text; `None` if it is absent.
-    pub fn optional(&mut self) -> Option<&'a str> {
-        let (value, rest) = self
-            .rest?
-            .split_once(' ')
-            .map_or((self.rest?, None), |(v, r)| (v, Some(r)));
-        self.rest = rest;
-        (value != "-").then_some(value)
-    }
-
-    /// The next value as text.
-    pub fn text(&mut self, name: &str) -> Result<&'a str> {
-        let what = self.what;
-        self.optional()
-            .ok_or_else(|| format!("{what}: '{name}' is missing"))
-    }
-
-    /// The next value, parsed.
-    pub fn value<T: std::str::FromStr>(&mut self, name: &str) -> Result<T> {
-        let what = self.what;
-        let text = self.text(name)?;
-        text.parse()
-            .map_err(|_| format!("{what}: '{name}' can't be read from '{text}'"))
-    }
-
-    /// The next value, a finite number.
-    pub fn number(&mut self, name: &str) -> Result<f64> {
-        let what = self.what;
-        let n: f64 = self.value(name)?;
-        n.is_finite()
-            .then_some(n)
-            .ok_or_else(|| format!("{what}: '{name}' is not a finite number"))
-    }
-
-    /// All that is left of the line.
-    pub fn tail(&mut self, name: &str) -> Result<&'a str> {
-        self.rest
-            .take()
-            .ok_or_else(|| format!("{}: '{name}' is missing", self.what))
-    }
-}
-
-/// The words of one instance: nothing here is shared between instances.
+/// The names on the wire of one instance and the numbers that the decision module knows them by.
+/// Nothing here is shared between instances.
 #[derive(Default)]
-pub struct Words {
+pub struct WireNames {
     requests: NameTable,
+    /// Queries by their number on the wire.
     queries: HashMap<String, RequestId>,
     servers: NameTable,
     zones: NameTable,
     classes: Vec<String>,
     tenants: Vec<String>,
-    stats: Vec<String>,
-    marks_retry: bool,
-    /// How instances may tell each other, where they may.
-    pub talk: Option<coordinator::peers::GossipSettings>,
-}
-
-/// Reads the settings of a `start`.
-pub fn settings(json: &str) -> Result<(RouterSettings, Words)> {
-    let site =
-        coordinator::core::settings::read(json).map_err(|e| format!("start: 'options': {e}"))?;
-    let words = Words {
-        zones: site.zones,
-        classes: site.classes,
-        tenants: site.tenants,
-        stats: site.report_values,
-        marks_retry: site.clients_mark_retries,
-        talk: site.talk,
-        ..Words::default()
-    };
-    Ok((site.router, words))
+    report_values: Vec<String>,
+    clients_mark_retries: bool,
+    /// How instances may publish their load to each other, if they may.
+    pub gossip: Option<GossipSettings>,
 }
 
-/// One line of a server list, not yet in any instance's numbers.
+/// An entry of a server list, not yet in any instance's numbers.
 pub struct RawEntry {
     node: String,
     zone: String,
     cell: u32,
     state: ServerState,
-    boot: Option<f64>,
+    started_at_ms: Option<f64>,
+}
+
+/// Reads the settings of a `start`.
+///
+/// # Errors
+/// See [`settings::read`].
+pub fn read_settings(json: &str) -> Result<(RouterSettings, WireNames), WireError> {
+    let site = settings::read(json)?;
+    let names = WireNames {
+        zones: site.zones,
+        classes: site.classes,
+        tenants: site.tenants,
+        report_values: site.report_values,
+        clients_mark_retries: site.clients_mark_retries,
+        gossip: site.talk,
+        ..WireNames::default()
+    };
+    Ok((site.router, names))
 }
 
-/// Reads an `m` line.
-pub fn entry(f: &mut Fields) -> Result<RawEntry> {
-    if f.what() != "m" {
-        return Err(format!(
-            "snapshot_rows: an 'm' line is missing before '{}'",
-            f.what()
-        ));
+/// Reads an `m` line: an entry of a server list.
+///
+/// # Errors
+/// If it is another line, or a value is missing or unreadable.
+pub fn read_entry(fields: &mut Fields) -> Result<RawEntry, WireError> {
+    if fields.word() != "m" {
+        return Err(WireError::EntryExpected(fields.word().to_owned()));
     }
-    let node = f.text("node")?.to_owned();
-    let zone = f.text("area")?.to_owned();
-    f.optional();
-    let cell = f.value("position")?;
-    let state = match f.text("availability")? {
+    let node = fields.text("node")?.to_owned();
+    let zone = fields.text("area")?.to_owned();
+    fields.skip();
+    let cell = fields.value("position")?;
+    let state = match fields.text("availability")? {
         "0" => ServerState::Gone,
         "1" => ServerState::Ready,
         "2" => ServerState::Draining,
-        other => return Err(format!("m: 'availability' can't be '{other}'")),
+        other => return Err(unknown("m", "availability", other)),
     };
-    f.optional();
-    let boot = f
+    fields.skip();
+    let started_at_ms = fields
         .optional()
-        .and_then(|b| b.parse().ok())
-        .filter(|b| *b > 0.0);
+        .and_then(|ms| ms.parse().ok())
+        .filter(|ms| *ms > 0.0);
     Ok(RawEntry {
         node,
         zone,
         cell,
         state,
-        boot,
+        started_at_ms,
     })
 }
 
-fn outcome(code: &str) -> Result<Outcome> {
-    Ok(match code {
+fn unknown(message: &'static str, field: &'static str, value: &str) -> WireError {
+    WireError::Unknown {
+        message,
+        field,
+        value: value.to_owned(),
+    }
+}
+
+/// Reads how an attempt or a probe ended, a status code.
+fn read_outcome(fields: &mut Fields, message: &'static str) -> Result<Outcome, WireError> {
+    Ok(match fields.text("how")? {
         "200" => Outcome::Ok,
         "500" => Outcome::Error,
         "503" => Outcome::Rejected,
@@ -161,37 +112,38 @@
         "598" => Outcome::Reset,
         "499" => Outcome::Cancelled,
         "410" => Outcome::NotSent,
-        other => return Err(format!("'how' can't be '{other}'")),
+        other => return Err(unknown(message, "how", other)),
     })
 }
 
-impl Words {
-    /// The list event for this instance.
-    pub fn list(&mut self, kind: &str, raw: &[RawEntry]) -> Result<Event> {
+impl WireNames {
+    /// The update of the server list for this instance.
+    ///
+    /// # Errors
+    /// If the kind of list is unknown.
+    pub fn server_list(&mut self, kind: &str, raw: &[RawEntry]) -> Result<Event, WireError> {
         let kind = match kind {
             "0" => ListKind::Changes,
             "1" => ListKind::Full,
             "2" => ListKind::Cached,
             "3" => ListKind::Failed,
-            other => return Err(format!("roster_change: 'scope' can't be '{other}'")),
+            other => return Err(unknown("roster_change", "scope", other)),
         };
         let mut entries = Vec::new();
         if kind != ListKind::Failed {
-            for e in raw {
-                entries.push(ServerEntry {
-                    server: ServerId(self.servers.number_or_insert(&e.node)),
-                    zone: ZoneId(self.zones.number_or_insert(&e.zone)),
-                    cell: e.cell,
-                    state: e.state,
-                    started_at: e.boot.map(from_ms),
-                });
-            }
+            entries.extend(raw.iter().map(|entry| self.server_entry(entry)));
         }
         Ok(Event::ServerList { kind, entries })
     }
 
-    fn report(&self, row: Option<&str>) -> Option<LoadReport> {
-        load_report(self.stats.iter().map(String::as_str).zip(row?.split(',')))
+    fn server_entry(&mut self, raw: &RawEntry) -> ServerEntry {
+        ServerEntry {
+            server: ServerId(self.servers.number_or_insert(&raw.node)),
+            zone: ZoneId(self.zones.number_or_insert(&raw.zone)),
+            cell: raw.cell,
+            state: raw.state,
+            started_at: raw.started_at_ms.map(from_ms),
+        }
     }
 
     /// The name of a server.
@@ -199,146 +151,162 @@
         self.servers.name(id.0)
     }
 
-    /// Reads an event of a running instance; `None` for one that says nothing to the module.
-    pub fn event(&mut self, f: &mut Fields) -> Result<Option<Event>> {
-        Ok(Some(match f.what() {
-            "job_in" => {
-                let xid = f.text("xid")?;
-                let band = f.text("band")?;
-                let class = self
-                    .classes
-                    .iter()
-                    .position(|c| c == band)
-                    .map(|n| ClassId(n as u32));
-                let class =
-                    class.ok_or_else(|| format!("job_in: 'band' names no class: '{band}'"))?;
-                let tenant = f
-                    .optional()
-                    .and_then(|t| self.tenants.iter().position(|n| n == t))
-                    .map(|n| TenantId(n as u32));
-                f.optional();
-                let deadline = from_ms(f.number("client_deadline")?);
-                f.optional();
-                let whole = f.text("whole_no")?.to_owned();
-                let shard = f.number("shard")?;
-                let id = RequestId(self.requests.number_or_insert(xid).into());
-                let weight = f.number("size_or_weight")?;
-                if shard < 0.0 {
-                    let bits = f.optional().and_then(|b| b.parse::<u32>().ok());
-                    let repeat = bits.filter(|_| self.marks_retry).map(|b| b & 2 != 0);
-                    self.queries.insert(whole, id);
-                    Event::Query {
-                        id,
-                        class,
-                        tenant,
-                        deadline,
-                        is_retry: repeat,
-                    }
-                } else {
-                    let Some(query) = self.queries.get(&whole).copied() else {
-                        return Ok(None);
-                    };
-                    Event::Part {
-                        id,
-                        query,
-                        shard: shard as u32,
-                        weight,
-                    }
-                }
-            }
-            "attempt_end" => {
-                let part = self
-                    .requests
-                    .number(f.text("xid")?)
-                    .map(|n| RequestId(n.into()));
-                let attempt = f.value("hop")?;
-                f.text("node")?;
-                let outcome = outcome(f.text("how")?).map_err(|e| format!("attempt_end: {e}"))?;
-                let latency = from_ms(f.number("latency")?);
-                let closed = f.text("closed")? == "1";
-                let report = self.report(f.optional());
-                let Some(part) = part else { return Ok(None) };
-                Event::AttemptEnded {
-                    part,
-                    attempt,
-                    outcome,
-                    latency,
-                    closed,
-                    report,
-                }
-            }
-            "withdrawn" => match self.requests.number(f.text("xid")?) {
-                Some(n) => Event::ClientLeft {
-                    query: RequestId(n.into()),
-                },
-                None => return Ok(None),
-            },
-            "check_result" => {
-                let outcome = outcome(f.text("how")?).map_err(|e| format!("check_result: {e}"))?;
-                f.number("latency")?;
-                let server = self.servers.number(f.text("node")?).map(ServerId);
-                let report = self.report(f.optional());
-                let Some(server) = server else {
-                    return Ok(None);
-                };
-                Event::ProbeEnded {
-                    server,
-                    outcome,
-                    report,
-                }
+    /// Reads an event of a running instance; `None` for one that doesn't concern the decision
+    /// module.
+    ///
+    /// # Errors
+    /// If the event is unknown, or a value is missing or unreadable.
+    pub fn read_event(&mut self, fields: &mut Fields) -> Result<Option<Event>, WireError> {
+        match fields.word() {
+            "job_in" => self.read_query_or_part(fields),
+            "attempt_end" => self.read_attempt_end(fields),
+            "withdrawn" => {
+                let query = self.known_request(fields.text("xid")?);
+                Ok(query.map(|query| Event::ClientLeft { query }))
             }
+            "check_result" => self.read_probe_end(fields),
             "wake" => {
-                f.text("handle")?;
-                Event::Wake
+                fields.text("handle")?;
+                Ok(Some(Event::Wake))
             }
-            "accepted" => return Ok(None),
-            other => return Err(format!("unknown event '{other}'")),
+            "accepted" => Ok(None),
+            other => Err(WireError::UnknownEvent(other.to_owned())),
+        }
+    }
+
+    /// Reads a query, or with a shard of 0 and above a part of one.
+    fn read_query_or_part(&mut self, fields: &mut Fields) -> Result<Option<Event>, WireError> {
+        let xid = fields.text("xid")?;
+        let class = self.class(fields.text("band")?)?;
+        let tenant = fields.optional().and_then(|name| self.tenant(name));
+        fields.skip();
+        let deadline = from_ms(fields.number("client_deadline")?);
+        fields.skip();
+        let query_number = fields.text("whole_no")?.to_owned();
+        let shard = fields.number("shard")?;
+        let id = RequestId(self.requests.number_or_insert(xid).into());
+        let weight = fields.number("size_or_weight")?;
+        if shard >= 0.0 {
+            let query = self.queries.get(&query_number).copied();
+            return Ok(query.map(|query| Event::Part {
+                id,
+                query,
+                shard: shard as u32,
+                weight,
+            }));
+        }
+        let flags = fields.optional().and_then(|bits| bits.parse::<u32>().ok());
+        let is_retry = flags
+            .filter(|_| self.clients_mark_retries)
+            .map(|bits| bits & RETRY_FLAG != 0);
+        self.queries.insert(query_number, id);
+        Ok(Some(Event::Query {
+            id,
+            class,
+            tenant,
+            deadline,
+            is_retry,
+        }))
+    }
+
+    fn read_attempt_end(&self, fields: &mut Fields) -> Result<Option<Event>, WireError> {
+        let part = self.known_request(fields.text("xid")?);
+        let attempt = fields.value("hop")?;
+        fields.text("node")?;
+        let outcome = read_outcome(fields, "attempt_end")?;
+        let latency = from_ms(fields.number("latency")?);
+        let closed = fields.text("closed")? == "1";
+        let report = self.load_report(fields.optional());
+        Ok(part.map(|part| Event::AttemptEnded {
+            part,
+            attempt,
+            outcome,
+            latency,
+            closed,
+            report,
+        }))
+    }
+
+    fn read_probe_end(&self, fields: &mut Fields) -> Result<Option<Event>, WireError> {
+        let outcome = read_outcome(fields, "check_result")?;
+        fields.number("latency")?;
+        let server = self.servers.number(fields.text("node")?).map(ServerId);
+        let report = self.load_report(fields.optional());
+        Ok(server.map(|server| Event::ProbeEnded {
+            server,
+            outcome,
+            report,
         }))
     }
 
-    /// Writes an action of instance `who` as a line.
-    pub fn action(&self, who: u32, action: &Action, out: &mut String) {
-        // Numbers that were given out here, so they fit.
-        let request = |id: &RequestId| u32::try_from(id.0).map_or("", |n| self.requests.name(n));
+    fn class(&self, name: &str) -> Result<ClassId, WireError> {
+        self.classes
+            .iter()
+            .position(|class| class == name)
+            .map(|index| ClassId(index as u32))
+            .ok_or_else(|| WireError::UnknownClass(name.to_owned()))
+    }
+
+    fn tenant(&self, name: &str) -> Option<TenantId> {
+        let index = self.tenants.iter().position(|tenant| tenant == name)?;
+        Some(TenantId(index as u32))
+    }
+
+    fn known_request(&self, xid: &str) -> Option<RequestId> {
+        self.requests
+            .number(xid)
+            .map(|number| RequestId(number.into()))
+    }
+
+    fn load_report(&self, row: Option<&str>) -> Option<LoadReport> {
+        let names = self.report_values.iter().map(String::as_str);
+        load_report(names.zip(row?.split(',')))
+    }
+
+    /// Writes an action of an instance as a line.
+    pub fn write_action(&self, instance: u32, action: &Action, out: &mut String) {
+        let who = instance;
         let written = match action {
             Action::Send {
                 part,
                 server,
                 timeout,
             } => {
-                let node = self.servers.name(server.0);
-                writeln!(
-                    out,
-                    "submit_to {who} {} {} {node}",
-                    request(part),
-                    to_ms(*timeout)
-                )
+                let (xid, ms, node) = (self.request(*part), to_ms(*timeout), self.server(*server));
+                writeln!(out, "submit_to {who} {xid} {ms} {node}")
             }
             Action::Cancel { part, attempt } => {
-                writeln!(out, "withdraw {who} {} {attempt}", request(part))
+                writeln!(out, "withdraw {who} {} {attempt}", self.request(*part))
             }
-            Action::Answer {
-                query,
-                complete: whole,
-            } => {
-                writeln!(out, "wrap_up {who} {} {}", request(query), u8::from(*whole))
+            Action::Answer { query, complete } => {
+                let complete = u8::from(*complete);
+                writeln!(out, "wrap_up {who} {} {complete}", self.request(*query))
             }
             Action::Reject {
                 query, retry_after, ..
             } => {
                 let after = retry_after.map_or("-".to_owned(), |d| to_ms(d).to_string());
-                writeln!(out, "push_back {who} {} {after}", request(query))
+                writeln!(out, "push_back {who} {} {after}", self.request(*query))
             }
-            Action::Fail { query, .. } => writeln!(out, "finish_error {who} {}", request(query)),
-            Action::Probe { server } => {
-                writeln!(out, "sample {who} {}", self.servers.name(server.0))
+            Action::Fail { query, .. } => {
+                writeln!(out, "finish_error {who} {}", self.request(*query))
             }
+            Action::Probe { server } => writeln!(out, "sample {who} {}", self.server(*server)),
             Action::CloseIdleConnections { server } => {
-                writeln!(out, "release {who} {}", self.servers.name(server.0))
+                writeln!(out, "release {who} {}", self.server(*server))
             }
             Action::Subscribe => writeln!(out, "keep_informed {who} 1"),
             Action::Wake { after } => writeln!(out, "arm {who} {} tick", to_ms(*after)),
         };
         written.expect("writing to a string");
     }
+
+    /// The name of a query or part. Its number was given out here, so it fits.
+    fn request(&self, id: RequestId) -> &str {
+        u32::try_from(id.0).map_or("", |number| self.requests.name(number))
+    }
+}
+
+fn to_ms(time: Duration) -> f64 {
+    time.as_micros() as f64 / 1000.0
 }
