--- a/crates/coordinator/src/core/actor.rs
+++ b/crates/coordinator/src/core/actor.rs
@@ -4,9 +4,9 @@
 use super::query::{Answer, NewQuery};
 use super::table::QueryTable;
 use super::transport::Transport;
+use crate::cores::current_core;
 use crate::counters::Counters;
 use crate::interface::Cause;
-use crate::shard::here;
 use multi_core::core_dispatch::CoreDispatcher;
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
@@ -110,7 +110,7 @@
             .map(|key| self.key_hasher.hash_one(key));
         let dispatcher = &self.dispatch.dispatcher;
         // Without a healthy core the sender is dropped: the query ends at once.
-        let Some(core) = dispatcher.core_for_query(here(), key, now) else {
+        let Some(core) = dispatcher.core_for_query(current_core(), key, now) else {
             return pending;
         };
         if !dispatcher.try_enqueue(core, now) {
@@ -126,7 +126,7 @@
             core,
             dispatch: self.dispatch.clone(),
         });
-        if core != here() {
+        if core != current_core() {
             self.counters.inc("cores.handed_over");
             pending.core_check = Some(Box::pin(tokio::time::sleep(CORE_CHECK_INTERVAL)));
         }
--- a/crates/coordinator/src/core/table/list.rs
+++ b/crates/coordinator/src/core/table/list.rs
@@ -21,7 +21,7 @@
     /// Tells the other cores of a host that could not be reached twice in a row. Each would
     /// otherwise find out at the cost of its own parts.
     pub(super) fn count_failed_connect(&mut self, server: ServerId, outcome: Outcome) {
-        let Some(seat) = &self.seat else { return };
+        let Some(shared) = &self.shared else { return };
         if outcome != Outcome::ConnectFailed {
             self.failed_connects.remove(&server);
             return;
@@ -30,7 +30,7 @@
         *failures += 1;
         if *failures == FAILED_CONNECTS_TO_TELL {
             let id: Arc<str> = self.servers.name(server.0).into();
-            for other in &seat.others {
+            for other in &shared.others {
                 // A core that has ended takes no messages.
                 let _ = other.send(CoreMessage::HostUnreachable(id.clone()));
             }
@@ -74,9 +74,9 @@
         // decision module must not count on a grace that is over.
         let shut = endpoint.state == ServerState::Draining
             && self
-                .seat
+                .shared
                 .as_ref()
-                .is_some_and(|seat| seat.shut(&endpoint.id, now));
+                .is_some_and(|shared| shared.is_gate_closed(&endpoint.id, now));
         ServerEntry {
             server,
             zone: ZoneId(self.zones.number_or_insert(&endpoint.zone)),
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -11,11 +11,11 @@
 use super::query::Answer;
 use super::settings::SiteSettings;
 use super::transport::Transport;
+use crate::cores::SharedCoreState;
 use crate::counters::Counters;
 use crate::decision::Router;
 use crate::interface::{Action, Cause, Event, Idempotency, Outcome, RequestId, ServerId};
 use crate::peers::{Datagram, LoadPublisher};
-use crate::shard::Seat;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -105,7 +105,7 @@
     max_value_bytes: usize,
     actions: Vec<Action>,
     /// What it shares with the other cores of the process; `None` if it is the only one.
-    seat: Option<Seat>,
+    shared: Option<SharedCoreState>,
     /// Connections in a row that failed, by host.
     failed_connects: HashMap<ServerId, u32>,
     /// When the counts of the host list are shown next.
@@ -157,7 +157,7 @@
             value_bytes: 0,
             max_value_bytes,
             actions: Vec::new(),
-            seat: None,
+            shared: None,
             failed_connects: HashMap::new(),
             show_counts_at: Instant::now(),
             peers: None,
@@ -180,8 +180,8 @@
 
     /// The same, as one of several cores.
     #[must_use]
-    pub fn with_seat(mut self, seat: Seat) -> Self {
-        self.seat = Some(seat);
+    pub fn with_shared_state(mut self, shared: SharedCoreState) -> Self {
+        self.shared = Some(shared);
         self
     }
 
@@ -236,8 +236,8 @@
             }
             CoreMessage::Gossip(from, bytes) => self.gossip_received(from, &bytes, now),
             CoreMessage::ListVersion(version) => {
-                if let Some(seat) = &self.seat {
-                    seat.gates.acknowledge(seat.core, version);
+                if let Some(shared) = &self.shared {
+                    shared.gates.acknowledge(shared.core, version);
                 }
             }
             // The sender may have given up waiting.
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -43,15 +43,15 @@
     /// Claims a query's name over all cores. Two open queries of one name would share the names of
     /// their parts: hosts would take one's for a copy of the other's.
     fn claim_name(&self, name: &Arc<str>) -> bool {
-        let seat = self.seat.as_ref();
+        let shared = self.shared.as_ref();
         !self.names_in_use.contains_key(name)
-            && seat.is_none_or(|seat| seat.names.claim(name, seat.core))
+            && shared.is_none_or(|shared| shared.names.claim(name, shared.core))
     }
 
     /// Reserves so many queries and parts within the limit on what may be open.
     fn reserve_open(&mut self, wanted: usize) -> bool {
-        match &self.seat {
-            Some(seat) => seat.lease.acquire(wanted),
+        match &self.shared {
+            Some(shared) => shared.lease.acquire(wanted),
             None => self.queries.len() + self.parts.len() + wanted <= self.max_open,
         }
     }
@@ -59,8 +59,8 @@
     /// A query over the limit never reaches the decision module: it would cost memory for work that
     /// can't be done in time.
     fn reject_over_limit(&mut self, name: &Arc<str>, reply: oneshot::Sender<Answer>) {
-        if let Some(seat) = &self.seat {
-            seat.names.release(name, seat.core);
+        if let Some(shared) = &self.shared {
+            shared.names.release(name, shared.core);
         }
         self.counters.inc("answered.refused.open_cap");
         let _ = reply.send(Answer::Rejected {
@@ -150,8 +150,8 @@
         *uses -= 1;
         if *uses == 0 {
             self.names_in_use.remove(name);
-            if let Some(seat) = &self.seat {
-                seat.names.release(name, seat.core);
+            if let Some(shared) = &self.shared {
+                shared.names.release(name, shared.core);
             }
         }
     }
@@ -177,8 +177,8 @@
     pub(super) fn drop_parts(&mut self, parts: &[RequestId]) {
         for part in parts.iter().filter_map(|id| self.parts.remove(id)) {
             self.value_bytes -= part.value.map_or(0, |value| value.len());
-            if let Some(seat) = &self.seat {
-                seat.lease.release(1);
+            if let Some(shared) = &self.shared {
+                shared.lease.release(1);
             }
         }
     }
@@ -202,8 +202,8 @@
     /// Removes a query. Its parts stay until the caller has read them.
     pub(super) fn close_query(&mut self, id: RequestId) -> Option<Query> {
         let query = self.queries.remove(&id)?;
-        if let Some(seat) = &self.seat {
-            seat.lease.release(1);
+        if let Some(shared) = &self.shared {
+            shared.lease.release(1);
         }
         self.queries_by_ticket.remove(&query.ticket);
         self.deadlines.remove(&(query.deadline, id));
--- a/crates/coordinator/src/net/discovery_watch.rs
+++ b/crates/coordinator/src/net/discovery_watch.rs
@@ -3,7 +3,7 @@
 use super::backoff::Backoff;
 use super::buffered_stream::BufferedStream;
 use super::http::{response_head, Body, HttpError, INPUT};
-use super::json_objects::{Found, NoObject, Objects};
+use super::json_objects::{Found, ObjectError, Objects};
 use crate::core::{CoreMessage, Endpoint};
 use crate::counters::Counters;
 use crate::interface::{ListKind, ServerState};
@@ -15,18 +15,18 @@
 
 /// Discovery sends a line every 2 s; one silent for so long is asked anew, early enough that a drain it
 /// did not tell is still kept.
-const SILENT: Duration = Duration::from_millis(4500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(4500);
 /// What a silent watch missed counts as told so long after its last line: by then a new one must have spoken.
-const TOLD: Duration = Duration::from_secs(6);
-const CONNECT: Duration = Duration::from_secs(1);
+const COUNTS_AS_TOLD_AFTER: Duration = Duration::from_secs(6);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Waits after calls that failed, of one coordinator among a few; with more of them each waits longer.
 pub const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
-const A_FEW: u32 = 5;
+const SMALL_FLEET: u32 = 5;
 /// With a list in hand the first calls of a fleet that starts at one moment are spread over so much for each
 /// coordinator beyond a few: about what a call of some tens of lines takes discovery.
-const START: Duration = Duration::from_millis(40);
+const START_SPREAD_PER_COORDINATOR: Duration = Duration::from_millis(40);
 /// Largest object of a watch.
-const MOST_LINE: usize = 1024 * 1024;
+const MAX_OBJECT_BYTES: usize = 1024 * 1024;
 
 #[derive(Deserialize)]
 struct RawList {
@@ -50,7 +50,7 @@
 
 /// A list or a change of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListUpdate {
     /// Its version.
     pub revision: u64,
     /// Whether it is the whole list.
@@ -85,7 +85,10 @@
 }
 
 /// Reads a list. An entry that can't be read is left out and logged: it must not cost the others.
-pub fn news(json: &[u8]) -> Result<News, serde_json::Error> {
+///
+/// # Errors
+/// If the text is not JSON, or lacks the revision or the members.
+pub fn parse_update(json: &[u8]) -> Result<ListUpdate, serde_json::Error> {
     let raw: RawList = serde_json::from_slice(json)?;
     let mut members = Vec::new();
     for value in raw.members {
@@ -97,7 +100,7 @@
             Err(e) => log::warn!("list: entry left out: {e}"),
         }
     }
-    Ok(News {
+    Ok(ListUpdate {
         revision: raw.revision,
         complete: raw.complete,
         members,
@@ -122,17 +125,17 @@
     /// grace. Where calls wait in turn, all of the time that silence may last.
     fn head(&self) -> Duration {
         match self.shared {
-            None => (self.grace / 2).clamp(CONNECT / 4, SILENT),
-            Some(_) => SILENT,
+            None => (self.grace / 2).clamp(CONNECT_TIMEOUT / 4, SILENCE_TIMEOUT),
+            Some(_) => SILENCE_TIMEOUT,
         }
     }
 
     /// The waits after calls that failed, and the spread of the first call.
     pub fn backoff(&self) -> (Backoff, Duration) {
         let (fleet, longest) = self.shared.unwrap_or((1, BACKOFF.1));
-        let spread = START.saturating_mul(fleet.saturating_sub(A_FEW));
+        let spread = START_SPREAD_PER_COORDINATOR.saturating_mul(fleet.saturating_sub(SMALL_FLEET));
         (
-            Backoff::new(self.seed, fleet, BACKOFF, A_FEW, longest),
+            Backoff::new(self.seed, fleet, BACKOFF, SMALL_FLEET, longest),
             spread,
         )
     }
@@ -149,16 +152,16 @@
     /// The counters.
     pub counters: Counters,
     /// When to call again.
-    pub pace: DiscoveryBackoff,
+    pub backoff: DiscoveryBackoff,
     /// Watches of earlier addresses, which this one takes over from once it has heard something.
     pub replaces: Vec<AbortHandle>,
 }
 
-impl From<NoObject> for HttpError {
-    fn from(e: NoObject) -> Self {
+impl From<ObjectError> for HttpError {
+    fn from(e: ObjectError) -> Self {
         match e {
-            NoObject::Malformed => Self::Malformed("list line"),
-            NoObject::TooLarge => Self::BodyTooLarge,
+            ObjectError::Malformed => Self::Malformed("list line"),
+            ObjectError::TooLarge => Self::BodyTooLarge,
         }
     }
 }
@@ -167,7 +170,7 @@
     /// Watches, and goes on at each further address that comes. The list stands, and the watch before goes
     /// on, until the new one speaks; versions of one discovery mean nothing to another.
     pub async fn follow_moves(self, mut moves: mpsc::UnboundedReceiver<String>) {
-        let (core, counters, pace) = (self.core.clone(), self.counters.clone(), self.pace);
+        let (core, counters, backoff) = (self.core.clone(), self.counters.clone(), self.backoff);
         let mut addr = self.addr.clone();
         let mut running = vec![tokio::spawn(self.run()).abort_handle()];
         while let Some(next) = moves.recv().await {
@@ -185,7 +188,7 @@
                 revision: None,
                 core,
                 counters,
-                pace,
+                backoff,
                 replaces,
             };
             running.push(tokio::spawn(watch.run()).abort_handle());
@@ -194,20 +197,20 @@
 
     /// Watches for ever, over as many connections as it takes.
     pub async fn run(mut self) {
-        let (mut backoff, spread) = self.pace.backoff();
+        let (mut backoff, spread) = self.backoff.backoff();
         if self.revision.is_some() {
             tokio::time::sleep(backoff.start(spread)).await;
         }
         // The first object comes with the head; where none did, the next watch is given longer.
-        let mut first = self.pace.head();
+        let mut first = self.backoff.head();
         loop {
             let before = self.revision;
             let mut lines = 0;
             let end = self.follow(&mut lines, first).await;
             first = if lines > 0 {
-                self.pace.head()
+                self.backoff.head()
             } else {
-                (2 * first).min(SILENT)
+                (2 * first).min(SILENCE_TIMEOUT)
             };
             self.counters.inc("list.ended");
             if lines > 0 || self.revision != before {
@@ -217,7 +220,7 @@
             // before what was missed counts, whatever a fleet that lost the service would wait.
             let silent = lines > 0 && matches!(end, HttpError::Slow);
             let longest = if silent {
-                (TOLD - SILENT) / 2
+                (COUNTS_AS_TOLD_AFTER - SILENCE_TIMEOUT) / 2
             } else {
                 Duration::MAX
             };
@@ -235,7 +238,7 @@
     }
 
     async fn try_follow(&mut self, lines: &mut u64, first: Duration) -> Result<(), HttpError> {
-        let mut conn = BufferedStream::connect(&self.addr, CONNECT, INPUT, 1024).await?;
+        let mut conn = BufferedStream::connect(&self.addr, CONNECT_TIMEOUT, INPUT, 1024).await?;
         let since = self
             .revision
             .map_or(String::new(), |r| format!("&since={r}"));
@@ -245,22 +248,23 @@
         );
         conn.write_all(ask.as_bytes()).await?;
         let slow = |_| HttpError::Slow;
-        let (status, headers) = timeout(self.pace.head(), response_head(&mut conn))
+        let (status, headers) = timeout(self.backoff.head(), response_head(&mut conn))
             .await
             .map_err(slow)??;
         log::debug!("list: status {status}{since}");
         if status != 200 {
             return Err(HttpError::Malformed("discovery's status"));
         }
-        let (mut body, mut objects) = (Body::of_response(&headers)?, Objects::new(MOST_LINE));
+        let (mut body, mut objects) =
+            (Body::of_response(&headers)?, Objects::new(MAX_OBJECT_BYTES));
         // Silence counts from the last whole line: one that drips, or stops half-way, tells nothing.
         let mut until = Instant::now() + first;
         while timeout_at(until, body.next(&mut conn, objects.input()))
             .await
             .map_err(slow)??
         {
-            while let Some(found) = objects.found()? {
-                until = Instant::now() + SILENT;
+            while let Some(found) = objects.next()? {
+                until = Instant::now() + SILENCE_TIMEOUT;
                 *lines += 1;
                 if let Found::Object(line) = found {
                     self.line(&line)?;
@@ -274,11 +278,11 @@
     /// One object. A malformed one costs the connection, as what it would have told is missing now: the
     /// next watch starts from the last version that was read.
     fn line(&mut self, line: &[u8]) -> Result<(), HttpError> {
-        let News {
+        let ListUpdate {
             revision,
             complete,
             members,
-        } = news(line).map_err(|e| {
+        } = parse_update(line).map_err(|e| {
             log::warn!("list: {e}");
             HttpError::Malformed("list line")
         })?;
--- a/crates/coordinator/src/net/hosts.rs
+++ b/crates/coordinator/src/net/hosts.rs
@@ -27,7 +27,7 @@
     /// Whether it leads to an address that the host has left: it still answers for what is out on it.
     old: bool,
     mail: mpsc::UnboundedSender<LinkMail>,
-    gauge: Arc<ConnectionLoad>,
+    load: Arc<ConnectionLoad>,
 }
 
 struct Peer {
@@ -36,18 +36,18 @@
     stop_at: Option<Instant>,
     gate: Option<(Arc<DrainGate>, Instant)>,
     links: Vec<LinkRef>,
-    pace: Arc<StallDetector>,
+    stall_detector: Arc<StallDetector>,
     shared: Arc<Shared>,
 }
 
 struct Shared {
     dialect: Arc<dyn Dialect>,
     caps: CoordinatorLimits,
-    /// Connections to all hosts at once: a host's first one is always opened, further ones only below this.
-    most_links: usize,
+    /// Limit on the connections to all hosts: a host's first one is always opened, further ones only below this.
+    max_connections: usize,
     /// Of that another process of the coordinator has half, while there is one.
-    beside: watch::Receiver<RestartRole>,
-    links: Arc<AtomicUsize>,
+    restart_role: watch::Receiver<RestartRole>,
+    open_connections: Arc<AtomicUsize>,
     core: mpsc::UnboundedSender<CoreMessage>,
     counters: Counters,
     /// The gates that all cores share, and the origin of their times.
@@ -60,30 +60,40 @@
     mailboxes: BTreeMap<ServerId, mpsc::UnboundedSender<PeerMail>>,
 }
 
+/// What the hosts' actors need.
+pub struct HostConnectionsSetup {
+    /// How hosts are spoken to.
+    pub dialect: Arc<dyn Dialect>,
+    /// The limits of the settings.
+    pub caps: CoordinatorLimits,
+    /// Limit on the connections to all hosts. A host's first one is always opened.
+    pub max_connections: usize,
+    /// The core's mailbox, where answers go.
+    pub core: mpsc::UnboundedSender<CoreMessage>,
+    /// The counters.
+    pub counters: Counters,
+    /// The drain gates that all cores share, and the origin of their times; `None` with one core.
+    pub gates: Option<(Arc<DrainGates>, Instant)>,
+    /// The role of this process in a hot restart: while there is another process each has half of the connections.
+    pub restart_role: watch::Receiver<RestartRole>,
+}
+
 impl HostConnections {
-    /// No hosts yet, and room for so many connections. Answers go to the core's mailbox.
-    pub fn new(
-        dialect: Arc<dyn Dialect>,
-        mut caps: CoordinatorLimits,
-        most_links: usize,
-        core: mpsc::UnboundedSender<CoreMessage>,
-        counters: Counters,
-        gates: Option<(Arc<DrainGates>, Instant)>,
-        beside: watch::Receiver<RestartRole>,
-    ) -> Self {
-        // A host whose connection carries all that it may reads nothing more on it, not even a withdrawal: a
-        // part sent elsewhere would then be a second copy. So one place stays free.
+    /// Creates the transport with no hosts yet.
+    pub fn new(setup: HostConnectionsSetup) -> Self {
+        let mut caps = setup.caps;
+        // A host whose connection carries all that it may reads nothing more on it, not even a cancellation: a
+        // part sent elsewhere would then run twice. So one place stays free.
         caps.max_parts_per_connection = caps.max_parts_per_connection.saturating_sub(1).max(1);
-        let links = Arc::default();
         let shared = Arc::new(Shared {
-            dialect,
+            dialect: setup.dialect,
             caps,
-            most_links,
-            beside,
-            links,
-            core,
-            counters,
-            gates,
+            max_connections: setup.max_connections,
+            restart_role: setup.restart_role,
+            open_connections: Arc::default(),
+            core: setup.core,
+            counters: setup.counters,
+            gates: setup.gates,
         });
         Self {
             shared,
@@ -109,7 +119,7 @@
                 .gates
                 .as_ref()
                 .map(|(gates, origin)| (gates.gate(&host.id), *origin));
-            let (links, pace) = (
+            let (links, stall_detector) = (
                 Vec::new(),
                 Arc::new(StallDetector::among(shared.caps.coordinators)),
             );
@@ -119,7 +129,7 @@
                 stop_at,
                 gate,
                 links,
-                pace,
+                stall_detector,
                 shared,
             };
             tokio::spawn(peer.run(rx));
@@ -186,7 +196,7 @@
                     for l in self
                         .links
                         .iter_mut()
-                        .filter(|l| l.gauge.parts.load(Ordering::Relaxed) == 0)
+                        .filter(|l| l.load.parts.load(Ordering::Relaxed) == 0)
                     {
                         l.old = true;
                         let _ = l.mail.send(LinkMail::Release);
@@ -210,8 +220,8 @@
 
     /// Whether a link has kept parts waiting in silence for longer than the host usually takes.
     fn stalled(&self, l: &LinkRef) -> bool {
-        self.pace.stalled(
-            l.gauge.waits(),
+        self.stall_detector.is_stalled(
+            l.load.waits(),
             Instant::now(),
             self.shared.caps.connect_timeout,
         )
@@ -226,9 +236,9 @@
         let still = now_stalled.iter().filter(|s| **s).count() > 1;
         let room = |l: &&LinkRef| {
             !l.old
-                && !l.gauge.silent.load(Ordering::Relaxed)
+                && !l.load.silent.load(Ordering::Relaxed)
                 && self.shared.dialect.room(
-                    l.gauge.parts.load(Ordering::Relaxed),
+                    l.load.parts.load(Ordering::Relaxed),
                     parts,
                     self.shared.caps.max_parts_per_connection,
                 )
@@ -238,8 +248,10 @@
             .iter()
             .zip(now_stalled)
             .filter(|(l, stalled)| room(l) && (still || !stalled));
-        let load = |l: &LinkRef| l.gauge.parts.load(Ordering::Relaxed);
-        let spread = self.pace.spread(self.shared.dialect.most_links());
+        let load = |l: &LinkRef| l.load.parts.load(Ordering::Relaxed);
+        let spread = self
+            .stall_detector
+            .spread(self.shared.dialect.max_connections());
         if spread == 1 {
             return able
                 .max_by_key(|(l, stalled)| (!stalled, load(l)))
@@ -256,14 +268,19 @@
 
     fn may_open(&self) -> bool {
         let own = self.own_links();
-        let all = self.shared.links.load(Ordering::Relaxed);
-        own < self.shared.dialect.most_links()
-            && all < self.shared.beside.borrow().share_of(self.shared.most_links)
+        let all = self.shared.open_connections.load(Ordering::Relaxed);
+        own < self.shared.dialect.max_connections()
+            && all
+                < self
+                    .shared
+                    .restart_role
+                    .borrow()
+                    .share_of(self.shared.max_connections)
     }
 
     fn open(&mut self) -> mpsc::UnboundedSender<LinkMail> {
         let (tx, mail) = mpsc::unbounded_channel();
-        let gauge = Arc::new(ConnectionLoad::default());
+        let load = Arc::new(ConnectionLoad::default());
         let setup = LinkSetup {
             server: self.server,
             addr: self.addr.clone(),
@@ -273,12 +290,15 @@
             stop_at: self.stop_at,
             gate: self.gate.clone(),
             mail,
-            gauge: gauge.clone(),
-            pace: self.pace.clone(),
+            load: load.clone(),
+            stall_detector: self.stall_detector.clone(),
             core: self.shared.core.clone(),
             counters: self.shared.counters.clone(),
         };
-        let (task, links) = (self.shared.dialect.open(setup), self.shared.links.clone());
+        let (task, links) = (
+            self.shared.dialect.open(setup),
+            self.shared.open_connections.clone(),
+        );
         links.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
             task.await;
@@ -287,7 +307,7 @@
         self.links.push(LinkRef {
             old: false,
             mail: tx.clone(),
-            gauge,
+            load,
         });
         tx
     }
@@ -302,21 +322,21 @@
                     .links
                     .iter()
                     .filter(|l| !l.old)
-                    .min_by_key(|l| l.gauge.parts.load(Ordering::Relaxed))
+                    .min_by_key(|l| l.load.parts.load(Ordering::Relaxed))
                 {
                     Some(l) => l.mail.clone(),
                     None => self.open(),
                 },
             };
-            let gauge = self
+            let load = self
                 .links
                 .iter()
                 .find(|l| l.mail.same_channel(&link))
-                .map(|l| l.gauge.clone());
+                .map(|l| l.load.clone());
             let n = parts.len();
             match link.send(LinkMail::Call(parts)) {
                 Ok(()) => {
-                    gauge.into_iter().for_each(|g| {
+                    load.into_iter().for_each(|g| {
                         g.parts.fetch_add(n, Ordering::Relaxed);
                     });
                     return;
