--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -18,7 +18,7 @@
     CoresConfig, DnsSdConfig, HostDialect, IndexConfig, OpenSearchConfig, OperatorConfig,
 };
 
-use crate::core::settings::{self, Site};
+use crate::core::settings::{self, SiteSettings};
 use crate::net::discovery_watch::{parse_update, ListUpdate};
 use crate::net::gossip::PeerAddresses;
 use capacity::RawLimits;
@@ -66,7 +66,7 @@
     /// The host list as last known.
     pub known_list: ListUpdate,
     /// The settings.
-    pub site: Site,
+    pub site: SiteSettings,
     /// The addresses of the peers; `None` if the settings allow no gossip or an address is missing.
     pub peer_addresses: Option<PeerAddresses>,
     /// The operator's file; empty on the platform.
@@ -207,15 +207,15 @@
             known_list.members.len(),
             site.classes
                 .iter()
-                .zip(&site.settings.classes)
+                .zip(&site.router.classes)
                 .map(|(n, c)| format!("{n}:{:?}/{:?}", c.latency_target, c.client_timeout))
                 .collect::<Vec<_>>()
                 .join(","),
             capacity.clients,
             capacity.host_connections,
-            site.caps.open,
-            site.caps.streams,
-            site.settings.max_retry_after,
+            site.limits.max_open,
+            site.limits.max_parts_per_connection,
+            site.router.max_retry_after,
         )
     }
 }
--- a/crates/coordinator/src/cores/list_distributor.rs
+++ b/crates/coordinator/src/cores/list_distributor.rs
@@ -2,7 +2,7 @@
 //! version, which each core acknowledges.
 
 use crate::config::Config;
-use crate::core::{Endpoint, Mail};
+use crate::core::{CoreMessage, Endpoint};
 use crate::counters::Counters;
 use crate::interface::{ListKind, ServerState};
 use crate::ops::list_overlay::{request_confirmation, ListOverlay, ListSink, OverlayRequest};
@@ -24,7 +24,7 @@
 pub(super) struct ListDistributor {
     pub(super) gates: Arc<DrainGates>,
     /// The cores' mailboxes.
-    pub(super) cores: Vec<mpsc::UnboundedSender<Mail>>,
+    pub(super) cores: Vec<mpsc::UnboundedSender<CoreMessage>>,
     /// The origin of the gates' times.
     pub(super) origin: Instant,
     /// How long a draining host may still be sent to.
@@ -52,7 +52,7 @@
         loop {
             tokio::select! {
                 mail = inbox.recv() => match mail {
-                    Some(Mail::List(kind, endpoints)) => {
+                    Some(CoreMessage::HostList(kind, endpoints)) => {
                         self.publish(kind, overlay.ejections.apply_update(kind, endpoints));
                         published_at = Instant::now();
                     }
@@ -105,8 +105,8 @@
         self.gates.prune(forget_before.as_micros() as u64);
         for core in &self.cores {
             // A core that has ended needs no update.
-            let _ = core.send(Mail::List(kind, endpoints.clone()));
-            let _ = core.send(Mail::Version(version));
+            let _ = core.send(CoreMessage::HostList(kind, endpoints.clone()));
+            let _ = core.send(CoreMessage::ListVersion(version));
         }
     }
 
--- a/crates/coordinator/src/cores/shared_state.rs
+++ b/crates/coordinator/src/cores/shared_state.rs
@@ -1,6 +1,6 @@
 //! What a core's table shares with the other cores.
 
-use crate::core::Mail;
+use crate::core::CoreMessage;
 use multi_core::drain_gates::DrainGates;
 use multi_core::key_ownership::KeyOwnership;
 use multi_core::shared_budget::BudgetLease;
@@ -22,7 +22,7 @@
     /// The origin of the gates' times.
     pub origin: Instant,
     /// The other cores' mailboxes.
-    pub others: Vec<mpsc::UnboundedSender<Mail>>,
+    pub others: Vec<mpsc::UnboundedSender<CoreMessage>>,
 }
 
 impl SharedCoreState {
--- a/crates/coordinator/src/net/gossip.rs
+++ b/crates/coordinator/src/net/gossip.rs
@@ -1,7 +1,7 @@
 //! The datagrams between coordinators: bytes in and out, no more. What is told and believed is in
 //! [`peers`](crate::peers).
 
-use crate::core::Mail;
+use crate::core::CoreMessage;
 use crate::counters::Counters;
 use crate::peers::{Datagram, MAX_DATAGRAM_BYTES};
 use bytes::Bytes;
@@ -37,7 +37,7 @@
     /// The updates that are to be sent to all peers.
     pub updates: mpsc::Receiver<Datagram>,
     /// The core's mailbox.
-    pub core: mpsc::UnboundedSender<Mail>,
+    pub core: mpsc::UnboundedSender<CoreMessage>,
     /// The counters.
     pub counters: Counters,
 }
@@ -151,8 +151,9 @@
             return;
         }
         // If the core has ended, the channel of updates ends this actor too.
-        let _ = self
-            .core
-            .send(Mail::Heard(rank as u32, Bytes::copy_from_slice(bytes)));
+        let _ = self.core.send(CoreMessage::Gossip(
+            rank as u32,
+            Bytes::copy_from_slice(bytes),
+        ));
     }
 }
--- a/crates/coordinator/src/ops/list_overlay.rs
+++ b/crates/coordinator/src/ops/list_overlay.rs
@@ -2,7 +2,7 @@
 //! each update.
 
 use super::manual_ejection::{EjectionError, ManualEjections};
-use crate::core::{Endpoint, Mail};
+use crate::core::{CoreMessage, Endpoint};
 use crate::interface::ListKind;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
@@ -84,15 +84,15 @@
 }
 
 /// Asks a core to confirm that it has applied all that it was sent before.
-pub fn request_confirmation(core: &mpsc::UnboundedSender<Mail>) -> oneshot::Receiver<()> {
+pub fn request_confirmation(core: &mpsc::UnboundedSender<CoreMessage>) -> oneshot::Receiver<()> {
     let (confirm, confirmed) = oneshot::channel();
-    let _ = core.send(Mail::Taken(confirm));
+    let _ = core.send(CoreMessage::Barrier(confirm));
     confirmed
 }
 
-impl ListSink for mpsc::UnboundedSender<Mail> {
+impl ListSink for mpsc::UnboundedSender<CoreMessage> {
     fn publish(&self, kind: ListKind, endpoints: Vec<Endpoint>) {
-        let _ = self.send(Mail::List(kind, endpoints));
+        let _ = self.send(CoreMessage::HostList(kind, endpoints));
     }
 
     fn confirmations(&self) -> Vec<oneshot::Receiver<()>> {
@@ -153,7 +153,7 @@
 /// Passes updates on and handles requests until the senders of both have gone.
 pub async fn run(
     mut overlay: ListOverlay,
-    mut updates: mpsc::UnboundedReceiver<Mail>,
+    mut updates: mpsc::UnboundedReceiver<CoreMessage>,
     mut requests: mpsc::Receiver<OverlayRequest>,
     sink: impl ListSink,
 ) {
@@ -161,7 +161,7 @@
     while updates_open || requests_open {
         tokio::select! {
             mail = updates.recv(), if updates_open => match mail {
-                Some(Mail::List(kind, endpoints)) => {
+                Some(CoreMessage::HostList(kind, endpoints)) => {
                     sink.publish(kind, overlay.ejections.apply_update(kind, endpoints));
                 }
                 Some(_) => {}
--- a/crates/coordinator/src/serve/components.rs
+++ b/crates/coordinator/src/serve/components.rs
@@ -2,7 +2,7 @@
 
 use super::operations::Operations;
 use crate::config::{Capacity, Config, HostDialect};
-use crate::core::{Core, Mail};
+use crate::core::{CoreHandle, CoreMessage};
 use crate::counters::Counters;
 use crate::front::opensearch::hosts::OpenSearchHosts;
 use crate::front::opensearch::OpenSearch;
@@ -44,7 +44,7 @@
 
 /// When a client that finds no capacity is asked to come back.
 pub(crate) fn retry_after(config: &Config) -> Duration {
-    let settings = &config.site.settings;
+    let settings = &config.site.router;
     settings.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER)
 }
 
@@ -62,7 +62,7 @@
 /// All fronts over the way to the core.
 pub(crate) fn fronts(
     config: &Config,
-    core: Core,
+    core: CoreHandle,
     counters: &Counters,
     readiness: Option<Readiness>,
 ) -> Fronts {
@@ -97,7 +97,7 @@
     capacity: Capacity,
     restart_role: watch::Receiver<RestartRole>,
 ) -> Limits {
-    let classes = &config.site.settings.classes;
+    let classes = &config.site.router.classes;
     let longest = classes.iter().map(|class| class.client_timeout).max();
     let answer_within = longest.unwrap_or_default().min(MAX_STOP_TIME) + STOP_GRACE;
     Limits {
@@ -114,7 +114,7 @@
 /// Starts the actor of the host list. Its updates go to `core`.
 pub(crate) fn start_list_source(
     config: Config,
-    core: mpsc::UnboundedSender<Mail>,
+    core: mpsc::UnboundedSender<CoreMessage>,
     counters: &Counters,
     discovery_moves: mpsc::UnboundedReceiver<String>,
 ) {
@@ -128,13 +128,13 @@
         };
         tokio::spawn(browser.run());
     } else if let Some(addr) = config.discovery {
-        let settings = &config.site.settings;
+        let settings = &config.site.router;
         let backoff = DiscoveryBackoff {
             seed: config.seed,
             shared: settings
                 .subscribe_within
                 .map(|within| (settings.routers, within)),
-            grace: config.site.caps.drain_grace,
+            grace: config.site.limits.drain_grace,
         };
         let known = config.known_list;
         let watch = Watch {
