--- a/crates/coordinator/src/config/operator.rs
+++ b/crates/coordinator/src/config/operator.rs
@@ -2,7 +2,7 @@
 
 use super::error::{ConfigError, SyntaxError};
 use super::parse::address;
-use crate::core::settings::Site;
+use crate::core::settings::SiteSettings;
 use crate::interface::Idempotency;
 use hickory_proto::rr::Name;
 use serde::Deserialize;
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// [`ConfigError::Value`] or [`ConfigError::Missing`] with the first key that is wrong.
-    pub fn check(&self, site: &Site) -> Result<(), ConfigError> {
+    pub fn check(&self, site: &SiteSettings) -> Result<(), ConfigError> {
         let mut names = BTreeSet::new();
         for index in self.opensearch.iter().flat_map(|o| &o.index) {
             index.check(site, &mut names)?;
@@ -157,7 +157,7 @@
     /// Checks an index; `names` holds those of the indices before it.
     fn check<'a>(
         &'a self,
-        site: &Site,
+        site: &SiteSettings,
         names: &mut BTreeSet<&'a String>,
     ) -> Result<(), ConfigError> {
         let Some(class) = site.classes.iter().position(|name| *name == self.class) else {
@@ -183,14 +183,14 @@
         }
         let shards: BTreeSet<&u32> = self.districts.values().collect();
         let is_one_to_one = shards.len() == self.districts.len();
-        if shards.is_empty() || !is_one_to_one || shards.len() >= site.caps.open {
+        if shards.is_empty() || !is_one_to_one || shards.len() >= site.limits.max_open {
             return Err(ConfigError::Value(
                 "opensearch.index.districts",
                 format!("{:?}", self.districts),
             ));
         }
         // Without a key a retry in such a class could take effect twice.
-        if site.settings.classes[class].idempotency != Idempotency::Idempotent
+        if site.router.classes[class].idempotency != Idempotency::Idempotent
             && self.key_header.is_none()
         {
             return Err(ConfigError::Missing("opensearch.index.key_header"));
--- a/crates/coordinator/src/config/parse.rs
+++ b/crates/coordinator/src/config/parse.rs
@@ -1,7 +1,7 @@
 //! Reading single values of the configuration.
 
 use super::error::ConfigError;
-use crate::core::settings::Site;
+use crate::core::settings::SiteSettings;
 use crate::net::gossip::PeerAddresses;
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
     peers: Option<Vec<String>>,
     broadcast: Option<String>,
     listen: Option<String>,
-    site: &Site,
+    site: &SiteSettings,
 ) -> Result<Option<PeerAddresses>, ConfigError> {
     let peers = peers
         .unwrap_or_default()
--- a/crates/coordinator/src/cores/core_thread.rs
+++ b/crates/coordinator/src/cores/core_thread.rs
@@ -3,7 +3,7 @@
 use super::current::set_current_core;
 use super::SharedCoreState;
 use crate::config::Config;
-use crate::core::{self, Clock, Mail, Table};
+use crate::core::{self, Clock, CoreMessage, Dispatch, QueryTable};
 use crate::counters::Counters;
 use crate::front::Fronts;
 use crate::net::hosts::{HostConnections, HostConnectionsSetup};
@@ -20,9 +20,9 @@
     pub(super) core: usize,
     pub(super) config: Config,
     pub(super) fronts: Arc<Fronts>,
-    pub(super) inbox: mpsc::UnboundedReceiver<Mail>,
+    pub(super) inbox: mpsc::UnboundedReceiver<CoreMessage>,
     /// The other end of `inbox`.
-    pub(super) mail: mpsc::UnboundedSender<Mail>,
+    pub(super) mail: mpsc::UnboundedSender<CoreMessage>,
     /// The connections that the core is given.
     pub(super) connections: mpsc::UnboundedReceiver<Handed>,
     pub(super) shared: SharedCoreState,
@@ -74,20 +74,20 @@
         let cores = self.dispatcher.core_count();
         let capacity = config.capacity.per_core(cores);
         // To the rules that all routers keep together, each core is one router: a cold host's budget first of all.
-        let settings = &mut config.site.settings;
+        let settings = &mut config.site.router;
         settings.routers = settings.routers.saturating_mul(cores as u32);
         let seed = config.seed ^ (core as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let limits = limits(&config, capacity, self.restart_role.clone());
         let hosts = HostConnections::new(HostConnectionsSetup {
             dialect: dialect(&config),
-            caps: config.site.caps.clone(),
+            caps: config.site.limits.clone(),
             max_connections: capacity.host_connections,
             core: self.mail,
             counters: self.counters.clone(),
             gates: Some((self.shared.gates.clone(), self.origin)),
             restart_role: self.restart_role,
         });
-        let table = Table::new(
+        let table = QueryTable::new(
             config.site,
             seed,
             Clock::new(),
@@ -95,9 +95,12 @@
             capacity.response_bytes,
             self.counters.clone(),
         )
-        .among(self.shared);
-        let context = (self.dispatcher, core, self.origin);
-        let core_task = tokio::spawn(core::start(table, self.inbox, context));
+        .with_shared_state(self.shared);
+        let dispatch = Dispatch {
+            dispatcher: self.dispatcher,
+            origin: self.origin,
+        };
+        let core_task = tokio::spawn(core::run(table, self.inbox, core, dispatch));
         let incoming = Incoming::Handed(self.connections);
         tokio::select! {
             () = http::serve(incoming, self.fronts, limits, self.counters, self.stop) => Ok(()),
--- a/crates/coordinator/src/cores/supervisor.rs
+++ b/crates/coordinator/src/cores/supervisor.rs
@@ -7,7 +7,7 @@
 use super::list_distributor::ListDistributor;
 use super::SharedCoreState;
 use crate::config::{Config, CoresConfig};
-use crate::core::{Core, Mail};
+use crate::core::{CoreHandle, CoreMessage, Dispatch};
 use crate::counters::Counters;
 use crate::front::Fronts;
 use crate::net::http::Handed;
@@ -24,7 +24,7 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 
-type CoreHandle = JoinHandle<std::io::Result<()>>;
+type CoreJoinHandle = JoinHandle<std::io::Result<()>>;
 
 /// Serves with several cores until told to stop.
 ///
@@ -49,10 +49,13 @@
     };
     log::info!(cores = cores.count, pinned = cores.pin; "{}", config.summary());
     let (state, inboxes) = SupervisorState::new(&config, cores);
-    let core = Core::new(
+    let dispatch = Dispatch {
+        dispatcher: state.dispatcher.clone(),
+        origin: state.origin,
+    };
+    let core = CoreHandle::new(
         state.mailboxes.clone(),
-        state.dispatcher.clone(),
-        state.origin,
+        dispatch,
         retry_after(&config),
         counters.clone(),
     );
@@ -70,7 +73,7 @@
         gates: state.gates,
         cores: state.mailboxes,
         origin: state.origin,
-        drain_grace: config.site.caps.drain_grace,
+        drain_grace: config.site.limits.drain_grace,
         counters: counters.clone(),
     };
     tokio::spawn(distributor.run(config, discovery_moves, overlay, requests));
@@ -97,7 +100,7 @@
 
 /// What all cores share.
 struct SupervisorState {
-    mailboxes: Vec<mpsc::UnboundedSender<Mail>>,
+    mailboxes: Vec<mpsc::UnboundedSender<CoreMessage>>,
     dispatcher: Arc<CoreDispatcher>,
     budget: Arc<SharedBudget>,
     names: Arc<KeyOwnership>,
@@ -118,15 +121,18 @@
 
 /// The cores' threads, where each takes its connections from, and the numbers of those that have ended.
 type StartedCores = (
-    Vec<CoreHandle>,
+    Vec<CoreJoinHandle>,
     Vec<mpsc::UnboundedSender<Handed>>,
     mpsc::UnboundedReceiver<usize>,
 );
 
 impl SupervisorState {
-    fn new(config: &Config, cores: CoresConfig) -> (Self, Vec<mpsc::UnboundedReceiver<Mail>>) {
+    fn new(
+        config: &Config,
+        cores: CoresConfig,
+    ) -> (Self, Vec<mpsc::UnboundedReceiver<CoreMessage>>) {
         let count = cores.count;
-        let max_open = config.site.caps.open;
+        let max_open = config.site.limits.max_open;
         let (mailboxes, inboxes) = (0..count).map(|_| mpsc::unbounded_channel()).unzip();
         let state = Self {
             mailboxes,
@@ -141,7 +147,7 @@
 
     fn start_cores(
         &self,
-        inboxes: Vec<mpsc::UnboundedReceiver<Mail>>,
+        inboxes: Vec<mpsc::UnboundedReceiver<CoreMessage>>,
         context: &CoreContext,
     ) -> std::io::Result<StartedCores> {
         let (ended, ended_cores) = mpsc::unbounded_channel();
@@ -209,7 +215,7 @@
     }
 }
 
-fn join_cores(threads: Vec<CoreHandle>) {
+fn join_cores(threads: Vec<CoreJoinHandle>) {
     for thread in threads {
         if let Ok(Err(e)) = thread.join() {
             log::error!(error:% = e; "core");
--- a/crates/coordinator/src/serve/single_core.rs
+++ b/crates/coordinator/src/serve/single_core.rs
@@ -4,7 +4,7 @@
     dialect, fronts, incarnation, limits, retry_after, start_list_source, ServiceParts,
 };
 use crate::config::Config;
-use crate::core::{self, Clock, Core, Mail, Table};
+use crate::core::{self, Clock, CoreHandle, CoreMessage, Dispatch, QueryTable};
 use crate::counters::Counters;
 use crate::interface::ListKind;
 use crate::net::gossip::GossipSocket;
@@ -36,11 +36,11 @@
     log::info!("{}", config.summary());
     let (mail, inbox) = mpsc::unbounded_channel();
     let origin = Instant::now();
-    let dispatcher = CoreDispatcher::new(1, config.site.caps.open);
-    let core = Core::new(
+    let dispatcher = CoreDispatcher::new(1, config.site.limits.max_open);
+    let dispatch = Dispatch { dispatcher, origin };
+    let core = CoreHandle::new(
         vec![mail.clone()],
-        dispatcher.clone(),
-        origin,
+        dispatch.clone(),
         retry_after(&config),
         counters.clone(),
     );
@@ -49,14 +49,14 @@
     let limits = limits(&config, config.capacity, clients.restart_role.clone());
     let hosts = HostConnections::new(HostConnectionsSetup {
         dialect: dialect(&config),
-        caps: config.site.caps.clone(),
+        caps: config.site.limits.clone(),
         max_connections: config.capacity.host_connections,
         core: mail.clone(),
         counters: counters.clone(),
         gates: None,
         restart_role: clients.restart_role.clone(),
     });
-    let table = Table::new(
+    let table = QueryTable::new(
         config.site.clone(),
         config.seed,
         Clock::new(),
@@ -74,8 +74,8 @@
     }
     // The list as last known comes first, so that the first query finds hosts.
     let known = config.known_list.members.clone();
-    let _ = list_updates.send(Mail::List(ListKind::Cached, known));
-    let core_task = tokio::spawn(core::start(table, inbox, (dispatcher, 0, origin)));
+    let _ = list_updates.send(CoreMessage::HostList(ListKind::Cached, known));
+    let core_task = tokio::spawn(core::run(table, inbox, 0, dispatch));
     start_list_source(config, list_updates, &counters, discovery_moves);
     if let Some(readiness) = readiness.take() {
         readiness.set_accepting();
@@ -88,11 +88,11 @@
 
 /// The table in gossip with its peers, where that is configured. Starts the actor of the datagrams.
 fn with_gossip(
-    table: Table<HostConnections>,
+    table: QueryTable<HostConnections>,
     config: &Config,
-    core: &mpsc::UnboundedSender<Mail>,
+    core: &mpsc::UnboundedSender<CoreMessage>,
     counters: &Counters,
-) -> Table<HostConnections> {
+) -> QueryTable<HostConnections> {
     let addresses = config.peer_addresses.clone();
     let Some((addresses, settings)) = addresses.zip(config.site.talk) else {
         return table;
--- a/crates/load-test/tests/scenario.rs
+++ b/crates/load-test/tests/scenario.rs
@@ -18,7 +18,7 @@
     assert_eq!((s.classes.len(), s.tenants.len(), s.shards()), (3, 4, 12));
     for c in 0..2 {
         let site = coordinator::core::settings::read(&s.settings(c).to_string()).unwrap();
-        assert_eq!((site.classes.len(), site.caps.shards), (3, Some(12)));
+        assert_eq!((site.classes.len(), site.limits.shards), (3, Some(12)));
     }
     let operator = Scenario {
         traffic: TrafficTable {
