--- a/crates/coordinator/tests/adapter.rs
+++ b/crates/coordinator/tests/adapter.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_named_in_one_line() {
+fn malformed_input_is_named_in_one_line() {
     let cases = [
         ("frame x\n", "line 1: frame: 'clock'"),
         (
@@ -134,7 +134,7 @@
 
 /// Bit 2 of a query marks a client's repeat, where clients mark them at all.
 #[test]
-fn a_client_s_mark_of_a_repeat_is_passed_on() {
+fn a_clients_retry_mark_reaches_the_router() {
     for (marks, bits, action) in [
         (true, 3, "push_back"),
         (true, 1, "submit_to"),
--- a/crates/coordinator/tests/core.rs
+++ b/crates/coordinator/tests/core.rs
@@ -87,7 +87,7 @@
 /// A client leaves while its part waits with the transport: it is withdrawn where hosts may be told so, else
 /// taken back, which stops what has not begun. Leaving in the turn of the query, nothing is sent at all.
 #[test]
-fn what_a_client_leaves_behind_is_stopped_whether_or_not_hosts_may_be_told() {
+fn a_client_that_leaves_stops_its_parts_with_and_without_cancellation() {
     for may_cancel in [true, false] {
         for same_turn in [true, false] {
             let mut settings = settings();
@@ -133,7 +133,7 @@
 /// Where hosts are replaced by others all day, what goes by the name of one must go with it, but not while a
 /// part is still out there.
 #[test]
-fn a_host_that_is_gone_and_idle_is_forgotten() {
+fn a_host_that_is_gone_is_forgotten_once_nothing_is_in_flight() {
     let site = settings::read(&settings().to_string()).unwrap();
     let (script, counters, start) = (Script::default(), Counters::default(), Instant::now());
     let mut table = QueryTable::new(
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -180,7 +180,7 @@
 
 /// Request and end wait in the socket together, as after a standstill or a pause: the query is not begun.
 #[test]
-fn a_client_that_left_before_its_request_is_read_has_nothing_sent_on() {
+fn a_client_that_left_before_its_request_is_read_has_nothing_forwarded() {
     for how in LEAVES {
         let mut door = Door::new();
         let mut client = door.client();
@@ -211,7 +211,7 @@
 /// A client that has sent more behind its request than is taken, and leaves: its end stands behind what nobody
 /// reads, and is seen all the same, before the request is begun and while it waits.
 #[test]
-fn a_client_that_leaves_behind_more_than_is_taken_is_seen_to_leave() {
+fn a_client_that_leaves_unread_input_behind_is_seen_to_leave() {
     let mut door = Door::new();
     let mut client = door.client();
     client
@@ -264,7 +264,7 @@
 /// The one seat is taken, its patience over and its request waiting unread, as after a standstill, when
 /// another client comes: the first keeps its seat and the other is told to come back.
 #[test]
-fn a_client_whose_request_waits_unread_keeps_its_seat() {
+fn a_client_whose_request_waits_unread_keeps_its_slot() {
     let mut door = Door::new();
     let (mut first, mut second) = (door.client(), door.client());
     first.write_all(&post(10)).unwrap();
@@ -302,7 +302,7 @@
 
 /// The same crossing with a first client that has nothing to say: it goes, and the other is served.
 #[test]
-fn a_client_that_asks_in_vain_leaves_its_seat_to_the_next() {
+fn a_client_whose_request_fails_leaves_its_slot_to_the_next() {
     let mut door = Door::new();
     let (mut first, mut second) = (door.client(), door.client());
     first
--- a/crates/coordinator/tests/deployments.rs
+++ b/crates/coordinator/tests/deployments.rs
@@ -562,7 +562,7 @@
 }
 
 #[test]
-fn with_nothing_wrong_nothing_is_refused_or_late() {
+fn without_faults_nothing_is_rejected_or_late() {
     each(|w, case| {
         w.play(10_000, 0.55);
         let good = w.in_time();
@@ -572,7 +572,7 @@
 
 /// Twice what the servers can do: most of what they do has to be of use.
 #[test]
-fn in_overload_the_servers_work_is_of_use() {
+fn in_overload_most_work_of_the_servers_is_of_use() {
     each(|w, case| {
         w.play(10_000, 2.0);
         let good = w.in_time();
@@ -583,7 +583,7 @@
 /// A server dies, is gone from the list late, comes back cold: hardly a query is lost by it, it is not sent more than
 /// the rule allows, and it does its share again soon after it is warm.
 #[test]
-fn a_server_that_dies_and_comes_back_cold_is_left_spared_and_used_again() {
+fn a_server_that_crashes_is_ejected_warmed_up_and_used_again() {
     each(|w, case| {
         w.play(4000, 0.55);
         w.servers[0].down = true;
@@ -627,7 +627,7 @@
 
 /// A server drains: what is sent to it after the grace fails the test where it is sent; the rest do its work.
 #[test]
-fn a_draining_server_is_left_within_its_grace() {
+fn a_draining_server_gets_nothing_after_its_grace() {
     each(|w, case| {
         w.play(4000, 0.55);
         w.list(
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -226,7 +226,7 @@
 /// window, and yet it is used: with each router's slots lost whenever no part came in step, cold hosts idled
 /// at a third of what they can while their warm fellows were full.
 #[test]
-fn a_cold_host_is_neither_pushed_over_nor_left_idle() {
+fn a_warming_host_is_neither_overloaded_nor_left_idle() {
     let mut fleet = Fleet::new();
     let quick = |_, _| (Outcome::Ok, PART);
     // 600 parts a second on 12 servers: 50 each, half of what one can do.
@@ -258,7 +258,7 @@
 /// A host that fails at once among sound ones: a router sees it seldom, and a hundred of them have to find
 /// out by themselves, but no part is lost by it and its share shrinks.
 #[test]
-fn a_quick_failer_loses_its_share() {
+fn a_host_that_fails_quickly_loses_its_share() {
     let mut fleet = Fleet::new();
     fleet.play(3000, 166, |_, _| (Outcome::Ok, PART));
     let from = fleet.now;
@@ -287,7 +287,7 @@
 /// Six in ten hosts are replaced within seconds: none that drains gets anything after its grace, and each
 /// query has its one final answer.
 #[test]
-fn nothing_goes_to_a_drained_host_while_six_in_ten_are_replaced() {
+fn a_drained_host_gets_nothing_while_six_in_ten_are_replaced() {
     let mut fleet = Fleet::new();
     fleet.play(3000, 166, |_, _| (Outcome::Ok, PART));
     for wave in [[0, 1, 2, 3], [4, 5, 6, 7]] {
--- a/crates/coordinator/tests/recorded_decisions.rs
+++ b/crates/coordinator/tests/recorded_decisions.rs
@@ -88,7 +88,7 @@
                 self.cause(*cause);
             }
             Action::Probe { server } | Action::CloseIdleConnections { server } => {
-                self.word(server.0.into())
+                self.word(server.0.into());
             }
             Action::Subscribe => {}
             Action::Wake { after } => self.time(*after),
