--- a/crates/coordinator/tests/deployments.rs
+++ b/crates/coordinator/tests/deployments.rs
@@ -478,9 +478,9 @@
                     left: work as f64,
                 };
                 if self.servers[server.0 as usize].down {
-                    self.end(&job, server.0 as usize, Outcome::ConnectFailed)
+                    self.end(&job, server.0 as usize, Outcome::ConnectFailed);
                 } else {
-                    self.servers[server.0 as usize].jobs.push_back(job)
+                    self.servers[server.0 as usize].jobs.push_back(job);
                 }
             }
             Action::Cancel { part, attempt } => {
