--- a/crates/model-check/src/cluster/world/members.rs
+++ b/crates/model-check/src/cluster/world/members.rs
@@ -82,18 +82,12 @@
                 records,
                 rewrite,
             } => {
-                let slow = self.machines[n].slow;
                 let write = PendingWrite {
                     ticket,
                     records,
                     rewrite,
                 };
-                if !slow {
-                    return Ok(Some(write));
-                }
-                if let Some(process) = &mut self.machine(n).process {
-                    process.writes.push_back(write);
-                }
+                return Ok(self.start_write(n, write));
             }
             Output::Wake { at } => {
                 if let Some(process) = &mut self.machine(n).process {
@@ -135,6 +129,17 @@
         Ok(None)
     }
 
+    /// Queues a write at a slow disk; hands back one that a fast disk ends at once.
+    fn start_write(&mut self, n: usize, write: PendingWrite) -> Option<PendingWrite> {
+        if !self.machines[n].slow {
+            return Some(write);
+        }
+        if let Some(process) = &mut self.machine(n).process {
+            process.writes.push_back(write);
+        }
+        None
+    }
+
     fn publish_to_mirror(
         &mut self,
         n: usize,
--- a/crates/simulator/src/world/seeded_bugs.rs
+++ b/crates/simulator/src/world/seeded_bugs.rs
@@ -27,16 +27,12 @@
         match (self.plan.seeded_bug, message) {
             (
                 SeededBug::PreviousVotersForgotten,
-                Message::InstallMembership {
-                    mut membership,
-                    snapshot,
-                },
+                mut message @ Message::InstallMembership { .. },
             ) => {
-                forget_previous_voters(&mut membership);
-                Some(Message::InstallMembership {
-                    membership,
-                    snapshot,
-                })
+                if let Message::InstallMembership { membership, .. } = &mut message {
+                    forget_previous_voters(membership);
+                }
+                Some(message)
             }
             (SeededBug::AppliedRequestsNotInSnapshot | SeededBug::DrainsNotInSnapshot, message) => {
                 Some(self.without_parts(message))
@@ -48,20 +44,8 @@
             (SeededBug::FetchedSnapshotIsOld, message @ Message::SnapshotReply { .. }) => {
                 Some(self.with_old_snapshot(n, message))
             }
-            (
-                SeededBug::AnswersMixedUp,
-                Message::CommandResult {
-                    request_id,
-                    code,
-                    body,
-                },
-            ) => {
-                let wrong = u64::from(self.random_below(10) == 0);
-                Some(Message::CommandResult {
-                    request_id: request_id + wrong,
-                    code,
-                    body,
-                })
+            (SeededBug::AnswersMixedUp, message @ Message::CommandResult { .. }) => {
+                Some(self.with_wrong_request_id(message))
             }
             (
                 SeededBug::ReplicaConfirmsEarly,
@@ -83,6 +67,14 @@
         }
     }
 
+    /// One result in ten names the request after the one that it answers.
+    fn with_wrong_request_id(&mut self, mut message: Message) -> Message {
+        if let Message::CommandResult { request_id, .. } = &mut message {
+            *request_id += u64::from(self.random_below(10) == 0);
+        }
+        message
+    }
+
     /// Sends a membership with its snapshot late, and confirms it in the receiver's name at once.
     fn install_late(&mut self, n: usize, to: usize, message: Message) {
         if let Message::InstallMembership { membership, .. } = &message {
