--- a/crates/control-plane/tests/partition.rs
+++ b/crates/control-plane/tests/partition.rs
@@ -202,9 +202,9 @@
     };
     for other in core.others(&[one]) {
         if hears {
-            core.cut(one, other)
+            core.cut(one, other);
         } else {
-            core.cut(other, one)
+            core.cut(other, one);
         }
     }
     let (healthy, cut_at) = (core.others(&[one]), core.now);
