--- a/crates/coordinator/src/cores/supervisor.rs
+++ b/crates/coordinator/src/cores/supervisor.rs
@@ -12,7 +12,8 @@
 use crate::front::Fronts;
 use crate::net::http::Handed;
 use crate::ops::hot_restart::RestartRole;
-use crate::ops::list_overlay::ListOverlay;
+use crate::ops::list_overlay::{ListOverlay, OverlayRequest};
+use crate::ops::Readiness;
 use crate::serve::components::{fronts, retry_after, ServiceParts};
 use crate::serve::operations::Operations;
 use multi_core::core_dispatch::CoreDispatcher;
@@ -39,14 +40,7 @@
         discovery_moves,
         operations,
     } = service;
-    let (readiness, overlay, requests) = match operations {
-        Some(Operations {
-            readiness,
-            overlay,
-            requests,
-        }) => (Some(readiness), overlay, Some(requests)),
-        None => (None, ListOverlay::default(), None),
-    };
+    let (readiness, overlay, requests) = split(operations);
     log::info!(cores = cores.count, pinned = cores.pin; "{}", config.summary());
     let (state, inboxes) = SupervisorState::new(&config, cores);
     let dispatch = Dispatch {
@@ -98,6 +92,24 @@
     }
 }
 
+/// What the supervisor needs of the operations; an empty overlay without an operator's address.
+fn split(
+    operations: Option<Operations>,
+) -> (
+    Option<Readiness>,
+    ListOverlay,
+    Option<mpsc::Receiver<OverlayRequest>>,
+) {
+    match operations {
+        Some(Operations {
+            readiness,
+            overlay,
+            requests,
+        }) => (Some(readiness), overlay, Some(requests)),
+        None => (None, ListOverlay::default(), None),
+    }
+}
+
 /// What all cores share.
 struct SupervisorState {
     mailboxes: Vec<mpsc::UnboundedSender<CoreMessage>>,
--- a/crates/coordinator/src/front/opensearch/dsl.rs
+++ b/crates/coordinator/src/front/opensearch/dsl.rs
@@ -54,6 +54,9 @@
 }
 
 /// A time such as `500ms`, `2s` or `1m`.
+///
+/// # Errors
+/// If the text is no such time, or zero.
 pub fn time(name: &str, text: &str) -> Result<Duration, Bad> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
@@ -161,6 +164,9 @@
 
 impl Reader<'_> {
     /// Reads the body of a search.
+    ///
+    /// # Errors
+    /// If a clause is not understood; the reason names it.
     pub fn search(&self, body: &Value) -> Result<Search, Bad> {
         let mut s = Search {
             districts: None,
@@ -197,6 +203,9 @@
     }
 
     /// Reads the body of a count: a query and nothing else.
+    ///
+    /// # Errors
+    /// If a clause is not understood; the reason names it.
     pub fn count(&self, body: &Value) -> Result<Search, Bad> {
         if let Some(key) = object("request", body)?.keys().find(|k| *k != "query") {
             return Err(unsupported(key, "request"));
@@ -230,18 +239,7 @@
                 }
                 Ok(())
             }
-            "term" => {
-                let (field, value) = only(kind, value)?;
-                let value = match value.as_object() {
-                    Some(map) => match (map.get("value"), map.len()) {
-                        (Some(value), 1) => value,
-                        _ => return Err(wrong(kind, "must have a [value] and nothing else")),
-                    },
-                    None => value,
-                };
-                self.narrow(field, [scalar(kind, value)?].into(), districts);
-                Ok(())
-            }
+            "term" => self.term(kind, value, districts),
             "terms" => {
                 let (field, values) = only(kind, value)?;
                 let values = values
@@ -254,26 +252,46 @@
                 self.narrow(field, values, districts);
                 Ok(())
             }
-            "geo_distance" => {
-                let map = object(kind, value)?;
-                for (key, value) in map {
-                    match key.as_str() {
-                        "distance" => distance(value)?,
-                        "distance_type" if matches!(value.as_str(), Some("arc" | "plane")) => {}
-                        field if field == self.location_field => point(field, value)?,
-                        other => return Err(unsupported(other, kind)),
-                    }
-                }
-                if map.contains_key("distance") && map.contains_key(self.location_field) {
-                    Ok(())
-                } else {
-                    Err(wrong(kind, "needs a distance and a point"))
-                }
-            }
+            "geo_distance" => self.geo_distance(kind, value),
             other => Err(unsupported(other, "query")),
         }
     }
 
+    fn term(
+        &self,
+        kind: &str,
+        value: &Value,
+        districts: &mut Option<BTreeSet<String>>,
+    ) -> Result<(), Bad> {
+        let (field, value) = only(kind, value)?;
+        let value = match value.as_object() {
+            Some(map) => match (map.get("value"), map.len()) {
+                (Some(value), 1) => value,
+                _ => return Err(wrong(kind, "must have a [value] and nothing else")),
+            },
+            None => value,
+        };
+        self.narrow(field, [scalar(kind, value)?].into(), districts);
+        Ok(())
+    }
+
+    fn geo_distance(&self, kind: &str, value: &Value) -> Result<(), Bad> {
+        let map = object(kind, value)?;
+        for (key, value) in map {
+            match key.as_str() {
+                "distance" => distance(value)?,
+                "distance_type" if matches!(value.as_str(), Some("arc" | "plane")) => {}
+                field if field == self.location_field => point(field, value)?,
+                other => return Err(unsupported(other, kind)),
+            }
+        }
+        if map.contains_key("distance") && map.contains_key(self.location_field) {
+            Ok(())
+        } else {
+            Err(wrong(kind, "needs a distance and a point"))
+        }
+    }
+
     fn narrow(
         &self,
         field: &str,
--- a/crates/coordinator/src/front/opensearch/hosts.rs
+++ b/crates/coordinator/src/front/opensearch/hosts.rs
@@ -330,17 +330,7 @@
                 Ok(Some((status, body))) => {
                     self.out.clear();
                     self.written = false;
-                    for (p, (outcome, value)) in asked.iter().zip(read(asked.len(), status, &body))
-                    {
-                        let (part, attempt) = (p.part, p.attempt);
-                        self.setup.report(AttemptEnd {
-                            part,
-                            attempt,
-                            outcome,
-                            value,
-                            report: None,
-                        });
-                    }
+                    self.report_answers(&asked, status, &body);
                     continue;
                 }
                 Ok(None) => ("withdrawn", String::new()),
@@ -350,6 +340,18 @@
         }
     }
 
+    fn report_answers(&self, parts: &[PartRequest], status: u16, body: &Bytes) {
+        for (part, (outcome, value)) in parts.iter().zip(read(parts.len(), status, body)) {
+            self.setup.report(AttemptEnd {
+                part: part.part,
+                attempt: part.attempt,
+                outcome,
+                value,
+                report: None,
+            });
+        }
+    }
+
     /// One request and its answer; `None` if a part of it was given up.
     async fn exchange(
         &mut self,
--- a/crates/coordinator/src/front/opensearch/many.rs
+++ b/crates/coordinator/src/front/opensearch/many.rs
@@ -13,6 +13,9 @@
 /// Searches that one `_msearch` may hold.
 const MOST_SEARCHES: usize = 32;
 
+/// An index and the search in it, or what is wrong with the search.
+type PreparedSearch = (String, Result<(Search, Terms), Failure>);
+
 impl OpenSearch {
     pub(super) fn msearch(
         &self,
@@ -55,12 +58,11 @@
         })
     }
 
-    #[allow(clippy::type_complexity)]
     fn prepare_many(
         &self,
         default: &str,
         request: &Request,
-    ) -> Result<Vec<(String, Result<(Search, Terms), Failure>)>, Failure> {
+    ) -> Result<Vec<PreparedSearch>, Failure> {
         let params = Params::read(request, &["timeout", "allow_partial_search_results"])?;
         let body = std::str::from_utf8(&request.body)
             .map_err(|_| illegal("the body is no text".into()))?;
--- a/crates/coordinator/src/front/opensearch/scroll.rs
+++ b/crates/coordinator/src/front/opensearch/scroll.rs
@@ -58,7 +58,10 @@
         self.open.retain(|_, c| c.until > now);
     }
 
-    /// Whether there is room for one more.
+    /// Checks whether there is room for one more context.
+    ///
+    /// # Errors
+    /// 429 if as many are open as may be, or they hold as many bytes as they may.
     pub fn room(&mut self, now: Instant) -> Result<(), Failure> {
         self.expire(now);
         let bytes: usize = self.open.values().map(|c| c.merged.bytes).sum();
@@ -77,7 +80,10 @@
         })
     }
 
-    /// Keeps what is left; gives the context's id.
+    /// Keeps the rest of an answer in a context. Returns the context's id.
+    ///
+    /// # Errors
+    /// As [`Scrolls::room`].
     pub fn open(
         &mut self,
         index: &str,
@@ -123,6 +129,9 @@
     }
 
     /// Moves a context on by a page and gives it to `read`.
+    ///
+    /// # Errors
+    /// 400 if the id can't be read, 404 if there is no such context any more.
     pub fn next<T>(
         &mut self,
         id: &str,
@@ -139,7 +148,10 @@
         Ok(read(context))
     }
 
-    /// Frees contexts; `None` means all. Gives how many were freed.
+    /// Frees contexts; `None` means all. Returns how many were freed.
+    ///
+    /// # Errors
+    /// 400 if an id can't be read.
     pub fn free(&mut self, ids: Option<&[String]>, now: Instant) -> Result<usize, Failure> {
         self.expire(now);
         let Some(ids) = ids else {
--- a/crates/coordinator/src/front/opensearch/search.rs
+++ b/crates/coordinator/src/front/opensearch/search.rs
@@ -3,10 +3,10 @@
 use super::answer::{merge, Failure, Merged};
 use super::dsl::Search;
 use super::params::{json_body, keep_alive, Params};
-use super::{hosts, illegal, ok, scroll, Answered, OpenSearch, Terms};
-use crate::core::{Answer, NewPart, NewQuery};
+use super::{hosts, illegal, ok, scroll, Answered, Index, OpenSearch, Terms};
+use crate::core::{Answer, MissingPart, NewPart, NewQuery};
 use crate::counters::End;
-use crate::interface::{Cause, Idempotency, Outcome, TenantId};
+use crate::interface::{Cause, Idempotency, Outcome, QueryClass, TenantId};
 use crate::net::http::Request;
 use std::future::Future;
 use std::pin::Pin;
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Sums of shares may fall this short by rounding.
-const ROUNDING: f64 = 1e-9;
+/// By how much a sum of shares may fall short, as they are rounded.
+const MAX_ROUNDING_ERROR: f64 = 1e-9;
 
 impl OpenSearch {
     /// Runs one search over its districts: one query for the core, one final answer.
@@ -26,14 +26,7 @@
         terms: Terms,
     ) -> Result<Merged, Failure> {
         let index = self.index(&index_name)?;
-        let shards = match &search.districts {
-            None => index.config.districts.values().copied().collect(),
-            // A district that is not configured has no documents.
-            Some(names) => names
-                .iter()
-                .filter_map(|n| index.config.districts.get(n).copied())
-                .collect::<Vec<_>>(),
-        };
+        let shards = shards(index, &search);
         if shards.is_empty() {
             return Ok(Merged::default());
         }
@@ -44,67 +37,85 @@
                 "index [{index_name}] needs a key in the header [{name}]"
             )));
         }
-        let number = |t: &String| {
-            self.0
-                .tenants
-                .iter()
-                .position(|n| n == t)
-                .map(|n| TenantId(n as u32))
+        let shard_count = shards.len();
+        let query = self.new_query(&index_name, &search, &terms, shards)?;
+        self.0.counters.inc("opensearch.searches");
+        let result = match self.0.core.submit(query).await {
+            Some(answer) => self.read_answer(answer, class, &search, &terms, shard_count),
+            None => Err(Failure::new(
+                503,
+                "node_closed_exception",
+                "the coordinator is stopping",
+            )),
+        };
+        // A search in a request of many has no answer of its own to be counted with: it ends here.
+        let end = match &result {
+            Ok(_) => End::Ok,
+            Err(failure) if matches!(failure.status, 429 | 503) => End::Shed,
+            Err(_) => End::Errors,
         };
+        self.0.counters.ended(index.class.0 as usize, end);
+        result
+    }
+
+    /// The query for the core.
+    fn new_query(
+        &self,
+        index_name: &str,
+        search: &Search,
+        terms: &Terms,
+        shards: Vec<u32>,
+    ) -> Result<NewQuery, Failure> {
+        let index = self.index(index_name)?;
+        let class = &self.0.classes[index.class.0 as usize];
         let wait = search
             .timeout
             .or(terms.timeout)
             .unwrap_or(class.client_timeout)
             .min(class.client_timeout);
-        let wait = terms.left.map_or(wait, |left| left.min(wait));
-        let n = self.0.next.fetch_add(1, Ordering::Relaxed);
-        let count = shards.len();
-        let weight = 1.0 / count as f64;
-        self.0.counters.inc("opensearch.searches");
-        let ticket = self.0.core.submit(NewQuery {
-            name: format!("{:x}-{n:x}", self.0.incarnation).into(),
+        let number = self.0.next.fetch_add(1, Ordering::Relaxed);
+        let weight = 1.0 / shards.len() as f64;
+        let tenant = terms.tenant.as_ref().and_then(|name| self.tenant(name));
+        Ok(NewQuery {
+            name: format!("{:x}-{number:x}", self.0.incarnation).into(),
             class: index.class,
-            tenant: terms.tenant.as_ref().and_then(number).or(index.tenant),
+            tenant: tenant.or(index.tenant),
             arrived_at: terms.arrived,
-            client_wait: wait,
+            client_wait: terms.left.map_or(wait, |left| left.min(wait)),
             is_retry: None,
             idempotency_key: terms.key.as_deref().map(Arc::from),
             parts: shards
                 .into_iter()
                 .map(|shard| NewPart { shard, weight })
                 .collect(),
-            payload: hosts::payload(&index_name, &search.forward),
-        });
-        let stopping = || Failure::new(503, "node_closed_exception", "the coordinator is stopping");
-        let read = |answer: Answer| match answer {
+            payload: hosts::payload(index_name, &search.forward),
+        })
+    }
+
+    fn tenant(&self, name: &str) -> Option<TenantId> {
+        let number = self.0.tenants.iter().position(|tenant| tenant == name)?;
+        Some(TenantId(number as u32))
+    }
+
+    fn read_answer(
+        &self,
+        answer: Answer,
+        class: &QueryClass,
+        search: &Search,
+        terms: &Terms,
+        shard_count: usize,
+    ) -> Result<Merged, Failure> {
+        match answer {
             Answer::Served {
                 complete: full,
                 parts: pieces,
                 missing,
             } => {
                 let merged = merge(&pieces, missing, &search.sort);
-                let share = merged.successful as f64 / count as f64;
                 if merged.failures.is_empty() && full {
                     return Ok(merged);
                 }
-                // In part only where the client and the class allow it, and never under the class's floor.
-                let partial =
-                    class.min_share < class.complete_share && share + ROUNDING >= class.min_share;
-                if terms.allow_partial && partial {
-                    self.0.counters.inc("opensearch.partial");
-                    return Ok(merged);
-                }
-                self.0.counters.inc("opensearch.partial_not_allowed");
-                let (status, kind) = if merged.late() {
-                    (504, "timeout_exception")
-                } else {
-                    (503, "search_phase_execution_exception")
-                };
-                let shards = merged.failures;
-                Err(Failure {
-                    shards,
-                    ..Failure::new(status, kind, "Partial shards failure")
-                })
+                self.partial_answer(merged, class, terms, shard_count)
             }
             Answer::NameTaken => Err(Failure::new(
                 409,
@@ -120,51 +131,36 @@
                 retry_after,
                 cause,
                 missing,
-            } => {
-                // A district whose listed hosts answer to nobody is as good as one that no host holds.
-                let unreached = missing
-                    .iter()
-                    .any(|m| matches!(m.last_outcome, None | Some(Outcome::ConnectFailed)));
-                let (status, kind, reason) = match cause {
-                    Cause::TooLate | Cause::PartsLost if unreached => (
-                        503,
-                        "no_shard_available_action_exception",
-                        "no host of a district can be reached",
-                    ),
-                    Cause::Overloaded => (
-                        429,
-                        "rejected_execution_exception",
-                        "more work than can be done in time",
-                    ),
-                    Cause::NoHost => (
-                        503,
-                        "no_shard_available_action_exception",
-                        "no host in service holds a district",
-                    ),
-                    Cause::TooLate => (504, "timeout_exception", "the search's time is over"),
-                    Cause::PartsLost => {
-                        (503, "search_phase_execution_exception", "all shards failed")
-                    }
-                };
-                let shards = missing.into_iter().map(Into::into).collect();
-                Err(Failure {
-                    retry_after,
-                    shards,
-                    ..Failure::new(status, kind, reason)
-                })
-            }
+            } => Err(failure(retry_after, cause, missing)),
+        }
+    }
+
+    /// An answer that lacks districts is given only if the client and the class allow it, and never below the
+    /// class's least share.
+    fn partial_answer(
+        &self,
+        merged: Merged,
+        class: &QueryClass,
+        terms: &Terms,
+        shard_count: usize,
+    ) -> Result<Merged, Failure> {
+        let share = merged.successful as f64 / shard_count as f64;
+        let is_enough =
+            class.min_share < class.complete_share && share + MAX_ROUNDING_ERROR >= class.min_share;
+        if terms.allow_partial && is_enough {
+            self.0.counters.inc("opensearch.partial");
+            return Ok(merged);
+        }
+        self.0.counters.inc("opensearch.partial_not_allowed");
+        let (status, kind) = if merged.late() {
+            (504, "timeout_exception")
+        } else {
+            (503, "search_phase_execution_exception")
         };
-        let found = ticket.await.ok_or_else(stopping).and_then(read);
-        // A search in a request of many has no answer of its own to be counted with: it ends here.
-        self.0.counters.ended(
-            index.class.0 as usize,
-            match &found {
-                Ok(_) => End::Ok,
-                Err(f) if matches!(f.status, 429 | 503) => End::Shed,
-                Err(_) => End::Errors,
-            },
-        );
-        found
+        Err(Failure {
+            shards: merged.failures,
+            ..Failure::new(status, kind, "Partial shards failure")
+        })
     }
 
     pub(super) fn search(
@@ -263,3 +259,47 @@
         })
     }
 }
+
+/// The shards that may hold hits. A district that is not configured has no documents.
+fn shards(index: &Index, search: &Search) -> Vec<u32> {
+    let districts = &index.config.districts;
+    match &search.districts {
+        None => districts.values().copied().collect(),
+        Some(names) => names
+            .iter()
+            .filter_map(|name| districts.get(name).copied())
+            .collect(),
+    }
+}
+
+/// The wire form of a query that was refused or failed.
+fn failure(retry_after: Option<Duration>, cause: Cause, missing: Vec<MissingPart>) -> Failure {
+    // A district of which no listed host can be reached is as good as one that no host holds.
+    let is_unreached = missing
+        .iter()
+        .any(|part| matches!(part.last_outcome, None | Some(Outcome::ConnectFailed)));
+    let (status, kind, reason) = match cause {
+        Cause::TooLate | Cause::PartsLost if is_unreached => (
+            503,
+            "no_shard_available_action_exception",
+            "no host of a district can be reached",
+        ),
+        Cause::Overloaded => (
+            429,
+            "rejected_execution_exception",
+            "more work than can be done in time",
+        ),
+        Cause::NoHost => (
+            503,
+            "no_shard_available_action_exception",
+            "no host in service holds a district",
+        ),
+        Cause::TooLate => (504, "timeout_exception", "the search's time is over"),
+        Cause::PartsLost => (503, "search_phase_execution_exception", "all shards failed"),
+    };
+    Failure {
+        retry_after,
+        shards: missing.into_iter().map(Into::into).collect(),
+        ..Failure::new(status, kind, reason)
+    }
+}
--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -11,10 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time that a client may ask us to wait.
-const LONGEST_WAIT_MS: u64 = 600_000;
-/// By how much the parts' shares may miss 1, as they are rounded.
-const ROUNDING: f64 = 1e-3;
+/// Longest time that a client may ask to wait, in milliseconds.
+const MAX_WAIT_MS: u64 = 600_000;
+/// Longest request id and idempotency key.
+const MAX_ID_BYTES: usize = 128;
+/// By how much the sum of the parts' shares may differ from 1, as they are rounded.
+const MAX_ROUNDING_ERROR: f64 = 1e-3;
 
 #[derive(Deserialize)]
 struct RawBody {
@@ -41,7 +43,7 @@
     classes: Vec<String>,
     tenants: Vec<String>,
     marks_retry: bool,
-    most_parts: usize,
+    max_parts: usize,
     /// Number of shards, and the classes whose parts go by a key.
     shards: Option<u32>,
     keyed: Vec<bool>,
@@ -60,6 +62,12 @@
     Method,
 }
 
+impl Bad {
+    fn because(reason: &str) -> Self {
+        Self::Request(reason.to_owned())
+    }
+}
+
 impl Platform {
     /// The front of this core, for these classes and tenants.
     pub fn new(
@@ -74,7 +82,7 @@
             classes: site.classes.clone(),
             tenants: site.tenants.clone(),
             marks_retry: site.clients_mark_retries,
-            most_parts: site.limits.max_open,
+            max_parts: site.limits.max_open,
             shards: site.limits.shards,
             readiness,
             keyed: site
@@ -86,89 +94,117 @@
         }
     }
 
-    fn query(&self, r: &Request) -> Result<NewQuery, Bad> {
-        let path = r.path.trim_matches('/');
+    /// Reads a request as a query.
+    fn query(&self, request: &Request) -> Result<NewQuery, Bad> {
+        let path = request.path.trim_matches('/');
         let class = self
             .classes
             .iter()
-            .position(|c| c == path)
+            .position(|name| name == path)
             .ok_or(Bad::Path)?;
-        if r.method != "POST" {
+        if request.method != "POST" {
             return Err(Bad::Method);
         }
-        let bad = |what: &str| Bad::Request(what.to_owned());
-        let kind = r.headers.get("Req-Kind").unwrap_or(path);
-        if kind != path {
-            return Err(bad("Req-Kind is not the path's class"));
-        }
-        let name = r
-            .headers
-            .get("Req-Id")
-            .ok_or_else(|| bad("Req-Id is missing"))?;
-        // It goes into the hosts' lines, where a space or a line's end would be another field.
-        let plain =
-            |s: &str| !s.is_empty() && s.len() <= 128 && s.bytes().all(|b| b.is_ascii_graphic());
-        if !plain(name) {
-            return Err(bad("Req-Id can't be used"));
+        let headers = &request.headers;
+        if headers.get("Req-Kind").unwrap_or(path) != path {
+            return Err(Bad::because("Req-Kind is not the path's class"));
         }
-        let wait = r
-            .headers
-            .get("Req-Deadline-Ms")
-            .and_then(|d| d.parse::<u64>().ok());
-        let wait = wait.filter(|d| (1..=LONGEST_WAIT_MS).contains(d));
-        let wait = wait.ok_or_else(|| bad("Req-Deadline-Ms is missing or no time"))?;
-        let wait = Duration::from_millis(wait);
-        let key = r.headers.get("Idempotency-Key");
-        if key.is_some_and(|k| !plain(k) || k.contains(',')) {
-            return Err(bad("Idempotency-Key can't be used"));
+        let name = request_id(request)?;
+        let wait = requested_wait(request)?;
+        let key = self.idempotency_key(request, class)?;
+        let body: RawBody =
+            serde_json::from_slice(&request.body).map_err(|e| Bad::Request(e.to_string()))?;
+        let parts = self.parts(body.tablets)?;
+        let owner = headers.get("Req-Owner");
+        let tenant = owner.and_then(|owner| self.tenants.iter().position(|name| name == owner));
+        let is_retry = headers.get("Req-Retry") == Some("1");
+        Ok(NewQuery {
+            name: name.into(),
+            class: ClassId(class as u32),
+            tenant: tenant.map(|number| TenantId(number as u32)),
+            arrived_at: request.arrived,
+            client_wait: request.left().map_or(wait, |left| left.min(wait)),
+            is_retry: self.marks_retry.then_some(is_retry),
+            idempotency_key: key.map(Arc::from),
+            parts,
+            payload: Bytes::from(body.statement),
+        })
+    }
+
+    fn idempotency_key<'a>(
+        &self,
+        request: &'a Request,
+        class: usize,
+    ) -> Result<Option<&'a str>, Bad> {
+        let key = request.headers.get("Idempotency-Key");
+        if key.is_some_and(|key| !is_plain(key) || key.contains(',')) {
+            return Err(Bad::because("Idempotency-Key can't be used"));
         }
-        // Without one a repeat could take effect twice.
+        // Without a key a retry could take effect twice.
         if self.keyed[class] && key.is_none() {
-            return Err(bad("Idempotency-Key is missing"));
+            return Err(Bad::because("Idempotency-Key is missing"));
         }
-        let body: RawBody =
-            serde_json::from_slice(&r.body).map_err(|e| Bad::Request(e.to_string()))?;
-        if body.tablets.is_empty() || body.tablets.len() > self.most_parts {
-            return Err(bad("'tablets' has no parts or too many"));
+        Ok(key)
+    }
+
+    fn parts(&self, raw: Vec<RawPart>) -> Result<Vec<NewPart>, Bad> {
+        if raw.is_empty() || raw.len() > self.max_parts {
+            return Err(Bad::because("'tablets' has no parts or too many"));
         }
         let (mut seen, mut sum) = (BTreeSet::new(), 0.0);
-        let mut parts = Vec::with_capacity(body.tablets.len());
-        for p in body.tablets {
-            if !seen.insert(p.tablet) {
-                return Err(bad("'tablet' names a shard twice"));
+        let mut parts = Vec::with_capacity(raw.len());
+        for part in raw {
+            if !seen.insert(part.tablet) {
+                return Err(Bad::because("'tablet' names a shard twice"));
             }
-            if self.shards.is_some_and(|n| p.tablet >= n) {
-                return Err(bad("'tablet' names no shard"));
+            if self.shards.is_some_and(|shards| part.tablet >= shards) {
+                return Err(Bad::because("'tablet' names no shard"));
             }
-            if !(p.fraction > 0.0 && p.fraction <= 1.0) {
-                return Err(bad("'fraction' is no share"));
+            if !(part.fraction > 0.0 && part.fraction <= 1.0) {
+                return Err(Bad::because("'fraction' is no share"));
             }
-            sum += p.fraction;
+            sum += part.fraction;
             parts.push(NewPart {
-                shard: p.tablet,
-                weight: p.fraction,
+                shard: part.tablet,
+                weight: part.fraction,
             });
         }
-        if (sum - 1.0).abs() > ROUNDING {
-            return Err(bad("the 'fraction's don't add up to 1"));
+        if (sum - 1.0).abs() > MAX_ROUNDING_ERROR {
+            return Err(Bad::because("the 'fraction's don't add up to 1"));
         }
-        let owner = r.headers.get("Req-Owner");
-        let tenant = owner.and_then(|o| self.tenants.iter().position(|t| t == o));
-        let retry = r.headers.get("Req-Retry") == Some("1");
-        Ok(NewQuery {
-            name: name.into(),
-            class: ClassId(class as u32),
-            tenant: tenant.map(|t| TenantId(t as u32)),
-            arrived_at: r.arrived,
-            client_wait: r.left().map_or(wait, |left| left.min(wait)),
-            is_retry: self.marks_retry.then_some(retry),
-            idempotency_key: key.map(Arc::from),
-            parts,
-            payload: Bytes::from(body.statement),
-        })
+        Ok(parts)
     }
 }
 
+/// Whether a text can stand in the hosts' lines, where a space or a line's end would begin another field.
+fn is_plain(text: &str) -> bool {
+    !text.is_empty()
+        && text.len() <= MAX_ID_BYTES
+        && text.bytes().all(|byte| byte.is_ascii_graphic())
+}
+
+fn request_id(request: &Request) -> Result<&str, Bad> {
+    let id = request
+        .headers
+        .get("Req-Id")
+        .ok_or_else(|| Bad::because("Req-Id is missing"))?;
+    if !is_plain(id) {
+        return Err(Bad::because("Req-Id can't be used"));
+    }
+    Ok(id)
+}
+
+/// How long the client wants to wait.
+fn requested_wait(request: &Request) -> Result<Duration, Bad> {
+    request
+        .headers
+        .get("Req-Deadline-Ms")
+        .and_then(|text| text.parse::<u64>().ok())
+        .filter(|wait_ms| (1..=MAX_WAIT_MS).contains(wait_ms))
+        .map(Duration::from_millis)
+        .ok_or_else(|| Bad::because("Req-Deadline-Ms is missing or no time"))
+}
+
 fn served(full: bool, pieces: &[crate::core::PartAnswer]) -> Option<Bytes> {
     let mut out = BytesMut::new();
     out.put_slice(format!("{{\"full\":{full},\"pieces\":[").as_bytes());
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -1,6 +1,6 @@
 //! A link's life: it connects, works, and hands back what never ran once the connection has ended.
 
-use super::connection::Link;
+use super::connection::{Link, LinkEnd};
 use super::{LinkMail, LinkSetup, CANCEL_HEAD};
 use crate::core::{CoreMessage, PartRequest};
 use crate::interface::{Outcome, RequestId};
@@ -35,8 +35,8 @@
         for _ in 0..held.probes {
             link.take(LinkMail::Probe);
         }
-        let (code, detail) = if held.release && !link.busy() {
-            ("released", String::new())
+        let LinkEnd { code, detail } = if held.release && !link.busy() {
+            LinkEnd::new("released", "")
         } else {
             link.serve().await
         };
--- a/crates/coordinator/tests/host_connections.rs
+++ b/crates/coordinator/tests/host_connections.rs
@@ -204,7 +204,12 @@
     };
     bench.act(|p, _| p.send_call(HOST, vec![part]));
     let (tx, accepted) = std::sync::mpsc::channel();
-    std::thread::spawn(move || tx.send(listener.accept().unwrap().0));
+    std::thread::spawn(move || {
+        let stream = listener.accept().unwrap().0;
+        // A peek that blocked would hold up the one thread that writes the call.
+        stream.set_nonblocking(true).unwrap();
+        tx.send(stream)
+    });
     let begun = |s: &std::net::TcpStream| matches!(s.peek(&mut [0]), Ok(1));
     let Bench { runtime, .. } = &bench;
     let host = runtime.block_on(async {
