--- a/crates/balancing/src/host.rs
+++ b/crates/balancing/src/host.rs
@@ -30,7 +30,7 @@
     pub(crate) lateness: Lateness,
     /// When anything came from it.
     pub(crate) last_response_at: Option<Duration>,
-    /// Until when it counts as full, because it rejected a request.
+    /// Until when it counts as full, because it refused a request.
     pub(crate) overloaded_until: Option<Duration>,
     /// Whether it answered 421 or another host has its address. It isn't used until its record changes.
     pub(crate) misdirected: bool,
@@ -85,7 +85,7 @@
         self.info.heartbeat_expired && silent
     }
 
-    /// Whether it counts as full because it rejected a request lately.
+    /// Whether it counts as full because it refused a request lately.
     pub(crate) fn is_overloaded(&self, now: Duration) -> bool {
         self.overloaded_until.is_some_and(|until| now < until)
     }
--- a/crates/balancing/src/host_choice/search.rs
+++ b/crates/balancing/src/host_choice/search.rs
@@ -182,7 +182,7 @@
             .collect()
     }
 
-    /// Time until the first of the hosts that rejected a request may take one again.
+    /// Time until the first of the hosts that refused a request may take one again.
     pub(super) fn first_overload_end(&self) -> Duration {
         self.hosts
             .iter()
--- a/crates/balancing/src/state/attempts.rs
+++ b/crates/balancing/src/state/attempts.rs
@@ -8,7 +8,7 @@
 use crate::types::{AttemptId, HostChoice, HostLoad, Outcome, RequestContext};
 use std::time::Duration;
 
-/// A host that rejected a request gets no other one for this time.
+/// A host that refused a request gets no other one for this time.
 const OVERLOAD_BACKOFF: Duration = Duration::from_millis(100);
 /// A client that left after this time without a byte shows that the host is unresponsive.
 const CANCELLED_AS_TIMEOUT: Duration = Duration::from_millis(800);
@@ -214,7 +214,7 @@
                 return true;
             }
             Outcome::Failed => self.health.on_error(now, HostError::ErrorResponse),
-            Outcome::Overloaded | Outcome::Rejected => {
+            Outcome::Overloaded | Outcome::Refused => {
                 self.health.on_success();
                 self.overloaded_until = Some(now + OVERLOAD_BACKOFF);
             }
@@ -253,7 +253,7 @@
 /// Whether an outcome shows that the host answered.
 fn came_from_host(outcome: Outcome) -> bool {
     match outcome {
-        Outcome::Succeeded | Outcome::Failed | Outcome::Overloaded | Outcome::Rejected => true,
+        Outcome::Succeeded | Outcome::Failed | Outcome::Overloaded | Outcome::Refused => true,
         // Another host answered, or none did.
         Outcome::Misdirected
         | Outcome::ConnectFailed
--- a/crates/balancing/src/types.rs
+++ b/crates/balancing/src/types.rs
@@ -123,10 +123,10 @@
     Succeeded,
     /// The host ran the request and failed: 500, 504 or a 4xx of its own.
     Failed,
-    /// The host rejected the request because it is at capacity: 429 or 503.
+    /// The host refused the request, without running it, because it is at capacity: 429 or 503.
     Overloaded,
-    /// The request was rejected for another reason.
-    Rejected,
+    /// The host refused the request for another reason, or this process has as many connections to it as it may.
+    Refused,
     /// 421 Misdirected Request: another host has the address now.
     Misdirected,
     /// No connection came up: the request never ran.
--- a/crates/balancing/tests/join_idle_queue.rs
+++ b/crates/balancing/tests/join_idle_queue.rs
@@ -135,7 +135,7 @@
 #[rstest]
 #[case(Outcome::Failed)]
 #[case(Outcome::Overloaded)]
-#[case(Outcome::Rejected)]
+#[case(Outcome::Refused)]
 #[case(Outcome::ConnectFailed)]
 #[case(Outcome::ConnectionLost)]
 #[case(Outcome::TimedOut)]
--- a/crates/balancing/tests/recorded_decisions.rs
+++ b/crates/balancing/tests/recorded_decisions.rs
@@ -22,7 +22,7 @@
     Outcome::Succeeded,
     Outcome::Failed,
     Outcome::Overloaded,
-    Outcome::Rejected,
+    Outcome::Refused,
     Outcome::Misdirected,
     Outcome::ConnectFailed,
     Outcome::ConnectionLost,
--- a/crates/control-plane/src/member/installation.rs
+++ b/crates/control-plane/src/member/installation.rs
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Once a majority of the voters has the configuration too, this member is primary.
+    /// Once a majority of the voters (and of the previous ones) has the membership configuration too, this member is primary.
     fn become_primary_if_installed(&mut self, target: InstallTarget, out: &mut Vec<Output>) {
         let InstallTarget { membership, state } = target;
         let Some(candidate) = self.role.candidate() else {
--- a/crates/control-plane/src/member/phase_timeouts.rs
+++ b/crates/control-plane/src/member/phase_timeouts.rs
@@ -19,7 +19,7 @@
 pub(super) struct PhaseTimeouts {
     /// How often in a row the time to fetch a snapshot was too short.
     fetch_doublings: u32,
-    /// A campaign has ended for lack of answers since this member was last primary or accepted a configuration.
+    /// A campaign has ended for lack of answers since this member was last primary or accepted a membership configuration.
     expects_slow_disks: bool,
 }
 
@@ -52,7 +52,7 @@
         let Some(candidate) = self.role.candidate() else {
             return;
         };
-        // A departing member campaigns no more, but a primary changes its configuration until it has handed over.
+        // A departing member campaigns no more, but a primary changes its membership configuration until it has handed over.
         let departs = self.departure.is_some() && !candidate.is_primary();
         let timed_out = self.now >= candidate.phase_started_at() + self.phase_timeout(candidate);
         if !timed_out && !departs {
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -257,7 +257,8 @@
         }
     }
 
-    /// Commits the changes that all replicas have on disk, for as long as the lease lasts.
+    /// Commits the changes that all replicas have on disk, for as long as the lease lasts, and answers their commands.
+    /// No change is acknowledged anywhere else.
     pub(super) fn commit(&mut self, out: &mut Vec<Output>) {
         if !self.is_acting_primary() {
             return;
--- a/crates/fennelpin-cli/src/operator_settings.rs
+++ b/crates/fennelpin-cli/src/operator_settings.rs
@@ -83,7 +83,7 @@
     pub lease_ms: u64,
     /// A write to disk that takes longer than this, in ms, means that the disk stalls.
     pub stall_ms: u64,
-    /// Longest time in ms that a configuration call may take.
+    /// Longest time in ms from a configuration request's last byte to its reply.
     pub patience_ms: u64,
 }
 
--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -124,7 +124,7 @@
         let outcome = match response.head.status {
             421 if !expects_version => Outcome::Misdirected,
             429 | 503 => Outcome::Overloaded,
-            _ => Outcome::Rejected,
+            _ => Outcome::Refused,
         };
         let HostResponse { host, load, .. } = response;
         if outcome == Outcome::Misdirected {
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -43,7 +43,7 @@
     /// What it says about the host.
     pub(super) fn host_outcome(self) -> Outcome {
         match self {
-            Self::AtConnectionLimit => Outcome::Rejected,
+            Self::AtConnectionLimit => Outcome::Refused,
             Self::Unreachable => Outcome::ConnectFailed,
             Self::Broken => Outcome::TimedOut,
         }
