--- a/crates/proxy/src/client/request_reader.rs
+++ b/crates/proxy/src/client/request_reader.rs
@@ -17,7 +17,7 @@
 pub(super) enum ReadError {
     /// The client sent nothing, or disconnected.
     Disconnected,
-    /// The request is refused.
+    /// The request is rejected: it gets a local reply.
     Rejected {
         code: ResultCode,
         /// The attempt's id, if it was read.
--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -100,10 +100,10 @@
         }
         let success = (200..300).contains(&head.status);
         let unsealed = success && head.fields.get(HOST_SEAL).is_none();
-        // A refusal that doesn't say that nothing ran is no promise that could be forwarded.
-        let bare_refusal = matches!(head.status, 408 | 429 | 503);
+        // A refusal's status without the word that nothing ran: no promise that could be forwarded.
+        let has_bare_refusal_status = matches!(head.status, 408 | 429 | 503);
         let encoded = head.fields.get("content-encoding").is_some();
-        if encoded || unsealed || bare_refusal {
+        if encoded || unsealed || has_bare_refusal_status {
             return ResponseKind::Invalid;
         }
         let is_event_stream = head
