--- a/crates/append-log/src/lib.rs
+++ b/crates/append-log/src/lib.rs
@@ -9,13 +9,13 @@
 //! use append_log::AppendLog;
 //! # let folder = std::env::temp_dir().join(format!("append-log-doc-{}", std::process::id()));
 //! # std::fs::create_dir_all(&folder).unwrap();
-//! let (mut ledger, records) = AppendLog::open(&folder, "ledger").unwrap();
+//! let (mut log, records) = AppendLog::open(&folder, "records").unwrap();
 //! assert!(records.is_empty());
-//! ledger.append(&[b"first", b"second"]).unwrap();
-//! drop(ledger);
-//! let (mut ledger, records) = AppendLog::open(&folder, "ledger").unwrap();
+//! log.append(&[b"first", b"second"]).unwrap();
+//! drop(log);
+//! let (mut log, records) = AppendLog::open(&folder, "records").unwrap();
 //! assert_eq!(records, [&b"first"[..], b"second"]);
-//! ledger.rewrite(&[b"both in one"]).unwrap();
+//! log.rewrite(&[b"both in one"]).unwrap();
 //! # std::fs::remove_dir_all(&folder).unwrap();
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/append-log/src/report.rs
+++ b/crates/append-log/src/report.rs
@@ -131,8 +131,8 @@
 /// ```
 /// # let folder = std::env::temp_dir().join(format!("append-log-inspect-{}", std::process::id()));
 /// # std::fs::create_dir_all(&folder).unwrap();
-/// let (mut ledger, _) = append_log::AppendLog::open(&folder, "ledger").unwrap();
-/// ledger.append(&[b"first", b"second"]).unwrap();
+/// let (mut log, _) = append_log::AppendLog::open(&folder, "ledger").unwrap();
+/// log.append(&[b"first", b"second"]).unwrap();
 /// let report = append_log::inspect(&folder, "ledger").unwrap();
 /// assert!(report.opens());
 /// assert_eq!(
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -1,11 +1,11 @@
 //! A candidate: it asks for pre-votes, prepares an epoch, and fetches the replicated state. `installation` then installs
-//! its membership configuration. A primary goes the same way to change its own configuration.
+//! its membership configuration. A primary goes the same way to change its own.
 //!
 //! This is Vertical Paxos (Lamport, Malkhi and Zhou 2009) with the voters as the configuration master: a majority of the
-//! voters promises the epoch, and a replica of the latest configuration supplies the state.
+//! voters promises the epoch, and a replica of the latest membership configuration supplies the state.
 //!
-//! A configuration whose voters differ from the previous ones may not have been committed. Until its primary has
-//! followed it with one that keeps the voters, a candidate needs a majority of both and hands both on as they are.
+//! A membership configuration whose voters differ from the previous ones may not have been installed. Until its primary
+//! has followed it with one that keeps the voters, a candidate needs a majority of both and hands both on as they are.
 
 use super::epoch::next_epoch;
 use super::voter::{PromiseReply, PromisedHistory};
@@ -67,9 +67,9 @@
     installed: BTreeSet<u64>,
     target: Option<InstallTarget>,
     change: MembershipChange,
-    /// The epoch of which this member was primary, whose configuration it therefore knows to be committed.
+    /// The epoch of which this member was primary: it knows the membership configuration of that one to be installed.
     committed_epoch: Option<u64>,
-    /// Since when it has been the primary, if it changes its own configuration.
+    /// Since when it has been the primary, if it changes its own membership configuration.
     acting_since: Option<Duration>,
     /// Nobody else has promised in time: fewer replicas than the fault budget asks for will do if there are too few
     /// voters for the budget anyway.
@@ -139,7 +139,7 @@
         self.committed_epoch.is_some()
     }
 
-    /// Whether this member was primary of this epoch, so that the configuration is known to be committed.
+    /// Whether this member was primary of this epoch, so that it knows the membership configuration to be installed.
     pub(super) fn knows_committed(&self, epoch: u64) -> bool {
         self.committed_epoch == Some(epoch)
     }
@@ -195,7 +195,7 @@
             .max_by_key(|membership| membership.epoch)
     }
 
-    /// The replicas of a configuration that have promised, with the index that their logs go up to.
+    /// The replicas of a membership configuration that have promised, with the index that their logs go up to.
     fn promised_replicas(&self, membership: &MembershipConfig) -> Vec<(u64, u64)> {
         let holds_state = |(id, history): &(&u64, &PromisedHistory)| {
             let position = history.log_position;
@@ -253,7 +253,8 @@
         }
     }
 
-    /// Asks for promises of a new epoch. A primary gives the change that it wants to make to its configuration.
+    /// Asks for promises of a new epoch. A primary gives the change that it wants to make to its membership
+    /// configuration.
     pub(super) fn prepare(&mut self, change: Option<MembershipChange>, out: &mut Vec<Output>) {
         let highest = self.highest_epoch_seen.max(self.promise.epoch());
         let epoch = next_epoch(highest, self.me());
@@ -309,14 +310,16 @@
             candidate.promises.insert(from, history);
             return self.on_promises_changed(out);
         }
-        // The state that is being fetched is that of the latest configuration known so far: a later one comes too late.
+        // The state that is being fetched is that of the latest membership configuration known so far: a later one comes
+        // too late.
         let latest = candidate.latest_promised().map(|latest| latest.epoch);
         if latest.is_some_and(|latest| history.membership.epoch <= latest) {
             candidate.promises.insert(from, history);
         }
     }
 
-    /// Goes on once a majority of the latest configuration's voters has promised, one of its replicas among them.
+    /// Goes on once a majority of the latest membership configuration's voters has promised, one of its replicas among
+    /// them.
     pub(super) fn on_promises_changed(&mut self, out: &mut Vec<Output>) {
         let Some(candidate) = self.role.candidate() else {
             return;
@@ -324,7 +327,7 @@
         let Some(latest) = candidate.latest_promised().cloned() else {
             return;
         };
-        // The latest configuration may have voters that this member's own hasn't.
+        // The latest membership configuration may have voters that this member's own hasn't.
         self.request_promises(all_voters(&latest), out);
         let Some(candidate) = self.role.candidate() else {
             return;
@@ -368,7 +371,7 @@
         if candidate.epoch != epoch || candidate.phase != ElectionPhase::Fetch {
             return;
         }
-        // If no configuration can be installed yet, more promises may arrive.
+        // If no membership configuration can be installed yet, more promises may arrive.
         candidate.continue_with_phase(ElectionPhase::Prepare);
         let latest = candidate.latest_promised().cloned();
         if let Some((latest, state)) = latest.zip(ReplicatedState::from_snapshot(snapshot).ok()) {
--- a/crates/control-plane/src/member/installation.rs
+++ b/crates/control-plane/src/member/installation.rs
@@ -158,7 +158,7 @@
         out: &mut Vec<Output>,
     ) {
         if let Some(primary) = self.role.primary_mut().filter(|_| accepted) {
-            // A voter grants no lease before it has accepted the configuration: it is asked at once.
+            // A voter grants no lease before it has accepted the membership configuration: it is asked at once.
             if primary.epoch() == epoch && primary.record_accepted(from) {
                 primary.renew_at(self.now);
             }
@@ -186,7 +186,7 @@
         self.become_primary_if_installed(target, out);
     }
 
-    /// Once all replicas have the configuration, the other voters get it.
+    /// Once all replicas have the membership configuration, the other voters get it.
     fn install_on_witnesses(&mut self, membership: &MembershipConfig, out: &mut Vec<Output>) {
         let Some(candidate) = self.role.candidate_mut() else {
             return;
@@ -209,7 +209,8 @@
         }
     }
 
-    /// Once a majority of the voters (and of the previous ones) has the membership configuration too, this member is primary.
+    /// Once a majority of the voters (and of the previous ones) has the membership configuration too, this member is
+    /// primary.
     fn become_primary_if_installed(&mut self, target: InstallTarget, out: &mut Vec<Output>) {
         let InstallTarget { membership, state } = target;
         let Some(candidate) = self.role.candidate() else {
--- a/crates/control-plane/src/member/interface.rs
+++ b/crates/control-plane/src/member/interface.rs
@@ -1,4 +1,4 @@
-//! What a member is told and what it asks for: its configuration, inputs and outputs.
+//! What goes into a member and what comes out of it: its settings, inputs and outputs.
 
 use configuration::{Configuration, FaultBudget, ResultCode};
 use protocol::{Command, MemberInfo, Message};
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -30,7 +30,7 @@
     },
     /// It is the primary of a membership configuration.
     Primary {
-        /// Epoch of that configuration.
+        /// Epoch of that membership configuration.
         epoch: u64,
         /// Whether it holds leases of a majority. Without them it acknowledges and answers nothing.
         leased: bool,
