--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -14,7 +14,7 @@
 /// on: its callers are better served by another member.
 const PARTITIONED_AFTER_LEASES: u32 = 2;
 /// The longest that a command waits for its answer at such a member.
-const PARTITIONED_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
+const PARTITIONED_COMMAND_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Where an answer goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,7 +31,7 @@
     command: Command,
     received_at: Duration,
     /// The latest primary that got the command; none if it has to be sent to the next one.
-    last_request: Option<SentRequest>,
+    last_sent: Option<SentCommand>,
     /// Whether any primary may have got it.
     may_have_run: bool,
     /// A primary that hasn't answered gets the command again after this time.
@@ -39,7 +39,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct SentRequest {
+struct SentCommand {
     primary: u64,
     at: Duration,
 }
@@ -50,16 +50,16 @@
             retry_interval: RETRY_INTERVAL + extra_flight_time(command_bytes(&command)),
             command,
             received_at: now,
-            last_request: None,
+            last_sent: None,
             may_have_run: false,
         }
     }
 
     /// Whether it has to be sent to the primary now. The own state machine loses no command.
     fn is_due(&self, primary: u64, own_id: u64, now: Duration) -> bool {
-        self.last_request.is_none_or(|request| {
-            let has_no_answer = primary != own_id && now >= request.at + self.retry_interval;
-            request.primary != primary || has_no_answer
+        self.last_sent.is_none_or(|sent| {
+            let has_no_answer = primary != own_id && now >= sent.at + self.retry_interval;
+            sent.primary != primary || has_no_answer
         })
     }
 
@@ -73,8 +73,8 @@
     }
 
     fn next_retry(&self, own_id: u64) -> Option<Duration> {
-        let request = self.last_request.filter(|r| r.primary != own_id)?;
-        Some(request.at + self.retry_interval)
+        let sent = self.last_sent.filter(|r| r.primary != own_id)?;
+        Some(sent.at + self.retry_interval)
     }
 }
 
@@ -98,9 +98,9 @@
     }
 
     /// The next primary gets all commands, whoever got them before.
-    pub(super) fn forget_requests(&mut self) {
+    pub(super) fn forget_sent(&mut self) {
         for command in self.by_ticket.values_mut() {
-            command.last_request = None;
+            command.last_sent = None;
         }
     }
 
@@ -126,7 +126,7 @@
         let mut due = Vec::new();
         for (ticket, command) in &mut self.by_ticket {
             if command.is_due(primary, own_id, now) {
-                command.last_request = Some(SentRequest { primary, at: now });
+                command.last_sent = Some(SentCommand { primary, at: now });
                 command.may_have_run = true;
                 due.push((*ticket, command.command.clone()));
             }
@@ -209,7 +209,7 @@
     pub(super) fn run_commands(&mut self, out: &mut Vec<Output>) {
         let is_known = self.primary().is_some();
         self.commands.record_primary(is_known, self.now);
-        let timeout = self.request_timeout();
+        let timeout = self.command_timeout();
         for (ticket, code) in self.commands.timed_out(self.now, timeout) {
             self.answer(CommandSource::Local { ticket }, code, Vec::new(), out);
         }
@@ -245,16 +245,16 @@
     }
 
     /// How long a command may wait here now.
-    fn request_timeout(&self) -> Duration {
+    fn command_timeout(&self) -> Duration {
         let timeout = self.config.request_timeout;
         match self.partitioned_at() {
-            Some(at) if self.now >= at => PARTITIONED_REQUEST_TIMEOUT.min(timeout),
+            Some(at) if self.now >= at => PARTITIONED_COMMAND_TIMEOUT.min(timeout),
             _ => timeout,
         }
     }
 
     pub(super) fn commands_wake(&self) -> Option<Duration> {
-        let timeout = self.request_timeout();
+        let timeout = self.command_timeout();
         let commands = &self.commands.by_ticket;
         let ends = commands.values().map(|c| c.received_at + timeout);
         let retries = commands.values().filter_map(|c| c.next_retry(self.me()));
--- a/crates/control-plane/src/member/role.rs
+++ b/crates/control-plane/src/member/role.rs
@@ -51,6 +51,6 @@
     pub(super) fn step_down(&mut self) {
         self.keep_own_contact();
         self.role = Role::Follower;
-        self.commands.forget_requests();
+        self.commands.forget_sent();
     }
 }
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -47,7 +47,7 @@
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct MembershipConfig {
-    /// Its number; never used for two configurations.
+    /// Its number; never used for two membership configurations.
     pub epoch: u64,
     /// Id of the member that takes changes.
     pub primary: u64,
@@ -56,12 +56,12 @@
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub replicas: Vec<u64>,
-    /// The members that vote on the next configuration.
+    /// The members that vote on the next membership configuration.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub voters: Vec<MemberInfo>,
-    /// The voters of the configuration before. While they differ from `voters`, a quorum is a majority of both (joint
-    /// quorum).
+    /// The voters of the membership configuration before. While they differ from `voters`, a quorum is a majority of both
+    /// (joint quorum).
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub previous_voters: Vec<MemberInfo>,
