--- a/crates/coordinator/tests/decision_layout.rs
+++ b/crates/coordinator/tests/decision_layout.rs
@@ -110,12 +110,16 @@
 }
 
 #[test]
-fn the_deploy_file_names_exactly_the_folder_of_the_decision_module() {
+fn the_deploy_file_names_exactly_the_files_of_the_decision_module() {
     let text = std::fs::read_to_string(repository().join("deploy/balancer.toml")).unwrap();
     let deploy: toml::Table = text.parse().unwrap();
     let policy = deploy["policy"].as_array().unwrap();
     let policy: Vec<&str> = policy.iter().map(|v| v.as_str().unwrap()).collect();
-    assert_eq!(policy, [FOLDER]);
+    let files: Vec<String> = files()
+        .into_iter()
+        .map(|(name, _)| format!("{FOLDER}/{name}"))
+        .collect();
+    assert_eq!(policy, files);
     let node = deploy["node"].as_array().unwrap();
     for path in node {
         let path = path.as_str().unwrap();
