--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -218,6 +218,7 @@
     /// Ends a request that is in flight when the process ends.
     async fn end_unfinished(&self, request: &Request, progress: &ResponseProgress) {
         if progress.started() {
+            self.record_truncation_at_shutdown(request, progress);
             self.show_truncation(progress);
             return;
         }
@@ -226,6 +227,26 @@
         reply.send(self.state, self.stream, true).await;
     }
 
+    /// Counts and logs a response that the end of the process truncates.
+    fn record_truncation_at_shutdown(&self, request: &Request, progress: &ResponseProgress) {
+        self.state.counters.add(|c| c.truncated_at_shutdown += 1);
+        let Some(shutdown) = self.state.shutdown.get() else {
+            return;
+        };
+        let now = Instant::now();
+        let signalled_at = self.state.at(shutdown.signalled_at);
+        let deadline_left = progress
+            .deadline()
+            .map(|deadline| deadline.saturating_duration_since(now).as_millis());
+        log::warn!(
+            "response truncated by the shutdown attempt_id={} signalled_ms_ago={} received_ms_ago={} deadline_left_ms={}",
+            String::from_utf8_lossy(request.attempt_id().unwrap_or_default()).escape_debug(),
+            now.saturating_duration_since(signalled_at).as_millis(),
+            now.saturating_duration_since(request.received_at).as_millis(),
+            deadline_left.unwrap_or_default(),
+        );
+    }
+
     fn show_truncation(&self, progress: &ResponseProgress) {
         if progress.would_look_complete() {
             reset_on_close(self.stream);
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -34,6 +34,8 @@
     local_errors;
     /// Responses truncated because the host's was.
     truncated_responses;
+    /// Responses truncated because this process ended.
+    truncated_at_shutdown;
     /// Clients that disconnected before their response was complete.
     client_disconnects;
     /// Connections that were tried to be opened to hosts.
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -111,6 +111,7 @@
         let service = admission::select_service(state, route)?;
         let deadline = admission::deadline(state, request, route);
         admission::check_shutdown(state, route, deadline)?;
+        progress.set_deadline(state.at(deadline));
         state
             .load_balancer
             .borrow_mut()
--- a/crates/proxy/src/response_progress.rs
+++ b/crates/proxy/src/response_progress.rs
@@ -2,6 +2,7 @@
 
 use configuration::ResultCode;
 use std::cell::Cell;
+use tokio::time::Instant;
 
 /// What becomes of the client's connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,6 +21,8 @@
     started: Cell<bool>,
     may_have_run: Cell<bool>,
     close_delimited: Cell<bool>,
+    /// When the request has to end; `None` until it is admitted.
+    deadline: Cell<Option<Instant>>,
 }
 
 impl ResponseProgress {
@@ -38,6 +41,16 @@
         self.may_have_run.set(may_have_run);
     }
 
+    /// When the request has to end, once it is admitted.
+    pub(crate) fn deadline(&self) -> Option<Instant> {
+        self.deadline.get()
+    }
+
+    /// The request is admitted and has to end by this instant.
+    pub(crate) fn set_deadline(&self, deadline: Instant) {
+        self.deadline.set(Some(deadline));
+    }
+
     /// Whether the client takes the end of the connection for the end of the response.
     pub(crate) fn set_close_delimited(&self, close_delimited: bool) {
         self.close_delimited.set(close_delimited);
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -12,6 +12,8 @@
 /// A shutdown under way. All times are durations since the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Shutdown {
+    /// When the process was asked to end.
+    pub(crate) signalled_at: Duration,
     /// Until then every request is admitted.
     pub(crate) full_service_until: Duration,
     /// Until then requests are admitted that the client may repeat if the process ends before their response.
@@ -27,6 +29,7 @@
         let repeatable_until = responses_until.saturating_sub(LAST_REQUESTS);
         let full_service_until = repeatable_until.min(now + FULL_SERVICE);
         Self {
+            signalled_at: now,
             full_service_until,
             repeatable_until,
             responses_until,
