--- a/crates/proxy/tests/streams_at_shutdown.rs
+++ b/crates/proxy/tests/streams_at_shutdown.rs
@@ -2,9 +2,13 @@
 
 mod common;
 use common::*;
+use rstest::rstest;
+use std::time::{Duration, Instant};
 
 /// Less than the routes' deadlines of 8 s.
 const GRACE_S: f64 = 1.5;
+/// A stream in flight is truncated no sooner than this before the platform's kill.
+const MAX_TRUNCATION_MARGIN: Duration = Duration::from_millis(200);
 
 async fn proxy_with_host(host: &FakeHost) -> Proxy {
     let proxy = Proxy::with_options(ProxyOptions {
@@ -37,3 +41,74 @@
         );
     });
 }
+
+/// What a client gets that asks for a stream of at most `deadline_ms` right after the signal, on a connection that was
+/// open before it or on a new one. The host never ends the stream by itself.
+async fn request_after_signal(
+    host: &mut FakeHost,
+    path: &str,
+    deadline_ms: u64,
+    on_open_connection: bool,
+) -> Message {
+    let mut proxy = proxy_with_host(host).await;
+    let mut open = proxy.client().await;
+    open.send(&request("/quick/a", "early", "")).await;
+    let mut conn = host.accept().await;
+    conn.respond_ok("early").await;
+    assert_eq!(open.read_message().await.unwrap().body, "early");
+    proxy.signal_stop();
+    while proxy.readiness_status().await == 200 {}
+    let mut client = if on_open_connection {
+        open
+    } else {
+        proxy.client().await
+    };
+    let deadline = format!("Fennelpin-Deadline-Ms: {deadline_ms}\r\n");
+    client.send(&request(path, "late", &deadline)).await;
+    let (sent, response) = tokio::join!(conn.read_message(), client.read_message());
+    let response = response.expect("an answer or a refusal");
+    assert_eq!(
+        sent.is_some(),
+        response.status() != 503,
+        "{}",
+        response.head
+    );
+    response
+}
+
+#[rstest]
+#[case::stream("/live/a")]
+#[case::resumable_stream("/more/a")]
+fn stream_after_the_signal_when_it_may_outlast_the_grace_is_rejected(
+    #[case] path: &str,
+    #[values(false, true)] on_open_connection: bool,
+) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let response = request_after_signal(&mut host, path, 8000, on_open_connection).await;
+        assert_eq!(response.status(), 503, "{}", response.head);
+        assert_eq!(response.field("connection"), Some("close"));
+        assert!(response.field("retry-after").is_some());
+        assert!(response.complete);
+    });
+}
+
+#[test]
+fn stream_in_flight_at_the_signal_is_served_until_shortly_before_the_kill() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let mut proxy = proxy_with_host(&host).await;
+        let mut client = proxy.send_request("/live/a").await;
+        let mut stream = host.accept().await;
+        stream.start_stream("seal", &[1]).await;
+        client.read_until("piece 1\n\n").await;
+        let signalled_at = Instant::now();
+        proxy.signal_stop();
+        stream.wait_until_closed().await;
+        let served = signalled_at.elapsed();
+        let grace = Duration::from_secs_f64(GRACE_S);
+        assert!(served >= grace - MAX_TRUNCATION_MARGIN, "{served:?}");
+        proxy.serving.await.unwrap().unwrap();
+        assert!(signalled_at.elapsed() < grace, "killed");
+    });
+}
