--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -188,8 +188,13 @@
         let phase = &mut self.phase;
         let process_ends = async {
             let _ = phase
-                .wait_for(|phase| *phase == DrainPhase::ClosingAll)
+                .wait_for(|phase| *phase >= DrainPhase::EndingUnanswered)
                 .await;
+            if progress.started() {
+                let _ = phase
+                    .wait_for(|phase| *phase == DrainPhase::ClosingAll)
+                    .await;
+            }
         };
         let outcome = tokio::select! {
             biased;
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 /// Connections over the limit that still get a rejection; more are closed at once.
 const MAX_REJECTED_CONNECTIONS: usize = 200;
@@ -27,7 +27,9 @@
     Serving,
     /// Idle connections are closed.
     ClosingIdle,
-    /// All connections are closed, each request with a response.
+    /// Requests whose response has not begun get a local reply.
+    EndingUnanswered,
+    /// All connections are closed; responses that have begun are truncated.
     ClosingAll,
 }
 
@@ -88,8 +90,9 @@
     /// Accepts connections until none is open, at most until `until`.
     pub(crate) async fn accept_until_idle(&self, listener: &TcpListener, until: Instant) {
         while Instant::now() < until && self.open.get() > 0 {
+            let next_poll = until.min(Instant::now() + IDLE_POLL_INTERVAL);
             tokio::select! {
-                () = sleep(IDLE_POLL_INTERVAL) => {}
+                () = sleep_until(next_poll) => {}
                 accepted = listener.accept() => self.handle_accepted(accepted).await,
             }
         }
--- a/crates/proxy/src/exchange/admission.rs
+++ b/crates/proxy/src/exchange/admission.rs
@@ -3,10 +3,10 @@
 use crate::client::Request;
 use crate::headers::{ATTEMPT_ID, DEADLINE_MS};
 use crate::local_reply::LocalReply;
-use crate::response_progress::ConnectionOutcome;
+use crate::response_progress::{ConnectionOutcome, ResponseProgress};
 use crate::routes;
 use crate::state::ProxyState;
-use configuration::{ResultCode, Route, RouteKind};
+use configuration::{ResultCode, Route};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -47,7 +47,10 @@
         state: &ProxyState,
         client: &TcpStream,
         request: &Request,
+        progress: &ResponseProgress,
     ) -> ConnectionOutcome {
+        // At the end of the process no second reply may follow the beginning of this one.
+        progress.start();
         let close = is_last_response(state, request);
         let sent = LocalReply::new(self.code, request.attempt_id(), self.retry_after)
             .to(&request.head)
@@ -115,8 +118,7 @@
     route: &Route,
     deadline: Duration,
 ) -> Result<(), Rejection> {
-    let repeatable = route.kind == RouteKind::Pure;
-    if state.admits(deadline, repeatable) {
+    if state.admits(deadline, route.kind) {
         return Ok(());
     }
     // A retry reaches another proxy, which may serve it at once.
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -87,11 +87,11 @@
 ) -> ConnectionOutcome {
     let route = match admission::find_route(state, request) {
         Ok(route) => route,
-        Err(rejection) => return rejection.send(state, client, request).await,
+        Err(rejection) => return rejection.send(state, client, request, progress).await,
     };
     let mut exchange = match Exchange::admit(state, client, request, progress, &route) {
         Ok(exchange) => exchange,
-        Err(rejection) => return rejection.send(state, client, request).await,
+        Err(rejection) => return rejection.send(state, client, request, progress).await,
     };
     match exchange.forward().await {
         Ok(outcome) => outcome,
@@ -172,7 +172,7 @@
             .retry_after
             .unwrap_or_else(|| self.default_retry_after());
         Rejection::retry_after(rejection.code, retry_after)
-            .send(self.state, self.client, self.request)
+            .send(self.state, self.client, self.request, self.progress)
             .await
     }
 
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -3,7 +3,7 @@
 use crate::client::{ClientConnections, DrainPhase};
 use crate::counters::{Counters, SharedCounters};
 use crate::fleet::FleetSnapshot;
-use crate::shutdown::{Shutdown, KILL_MARGIN};
+use crate::shutdown::Shutdown;
 use crate::state::ProxyState;
 use crate::{hints, readiness};
 use configuration::ProcessSettings;
@@ -121,9 +121,12 @@
     clients.set_phase(DrainPhase::ClosingIdle);
     let responses_until = state.at(shutdown.responses_until);
     clients.accept_until_idle(listener, responses_until).await;
+    clients.set_phase(DrainPhase::EndingUnanswered);
+    let streams_until = state.at(shutdown.streams_until);
+    clients.accept_until_idle(listener, streams_until).await;
     clients.accept_pending(listener).await;
     clients.set_phase(DrainPhase::ClosingAll);
-    clients.closed(Instant::now() + KILL_MARGIN / 2).await;
+    clients.closed(state.at(shutdown.exit_at)).await;
 }
 
 async fn bind(purpose: &'static str, addr: Option<SocketAddrV4>) -> Result<TcpListener, Error> {
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,12 +1,23 @@
 //! The schedule of a graceful shutdown: which requests are still admitted, and by when all have their response.
+//!
+//! A response that has begun can't be replaced by a rejection any more. So what counts for a stream that comes after
+//! the signal is whether its deadline lies before the end of the process, however long the signal is past. A response
+//! that is forwarded in one piece can be replaced until its last moment, so such requests are admitted for longer.
 
+use configuration::RouteKind;
 use std::time::Duration;
 
-/// From the signal on every request is admitted for so long: until the platform has noticed that the proxy is not ready.
+/// From the signal on idle connections are kept, and requests admitted that may run once, for so long: until the
+/// platform has noticed that the proxy is not ready.
 const FULL_SERVICE: Duration = Duration::from_millis(2500);
-/// All requests have their response so long before the platform kills the process.
-pub(crate) const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// In the last moments before that a request has to fit into the time that is left, as a host may need as long.
+/// Requests whose response has not begun get a local reply so long before the platform kills the process.
+const REPLY_MARGIN: Duration = Duration::from_millis(700);
+/// Responses that have begun are truncated so long before the platform kills the process. Connections end meanwhile.
+const TRUNCATION_MARGIN: Duration = Duration::from_millis(200);
+/// The process waits for its connections to end until so long before the platform kills it.
+const EXIT_MARGIN: Duration = Duration::from_millis(100);
+/// In the last moments before the local replies a request has to fit into the time that is left, as a host may need as
+/// long.
 const LAST_REQUESTS: Duration = Duration::from_millis(300);
 
 /// A shutdown under way. All times are durations since the start of the process.
@@ -14,18 +25,22 @@
 pub(crate) struct Shutdown {
     /// When the process was asked to end.
     pub(crate) signalled_at: Duration,
-    /// Until then every request is admitted.
+    /// Until then idle connections are kept.
     pub(crate) full_service_until: Duration,
     /// Until then requests are admitted that the client may repeat if the process ends before their response.
     repeatable_until: Duration,
-    /// By then every admitted request has its response.
+    /// Then all requests whose response has not begun get a local reply.
     pub(crate) responses_until: Duration,
+    /// Then all responses that have begun are truncated.
+    pub(crate) streams_until: Duration,
+    /// Then the process ends, whatever is open.
+    pub(crate) exit_at: Duration,
 }
 
 impl Shutdown {
     /// The schedule of a shutdown that begins now; the platform kills the process after `grace`.
     pub(crate) fn begin(now: Duration, grace: Duration) -> Self {
-        let responses_until = now + grace.saturating_sub(KILL_MARGIN);
+        let responses_until = now + grace.saturating_sub(REPLY_MARGIN);
         let repeatable_until = responses_until.saturating_sub(LAST_REQUESTS);
         let full_service_until = repeatable_until.min(now + FULL_SERVICE);
         Self {
@@ -33,18 +48,22 @@
             full_service_until,
             repeatable_until,
             responses_until,
+            streams_until: now + grace.saturating_sub(TRUNCATION_MARGIN),
+            exit_at: now + grace.saturating_sub(EXIT_MARGIN),
         }
     }
 
-    /// Whether a request that comes now may be given to a host. After full service it has to be over before the process
-    /// is: a stream would be truncated, and a call that may run once would end without a clear result. A `repeatable`
-    /// request, answered in one piece, gets a retryable rejection at the end instead, so it is admitted for longer.
-    pub(crate) fn admits(&self, now: Duration, deadline: Duration, repeatable: bool) -> bool {
-        let until = if repeatable {
-            self.repeatable_until
-        } else {
-            self.full_service_until
-        };
-        now < until || deadline <= self.responses_until
+    /// Whether a request that comes now may be given to a host.
+    ///
+    /// - A stream, only if its deadline is over before the process is: the end would truncate it.
+    /// - A call that may run once, during full service too: at the end it gets a status that says that it may have run.
+    /// - A `pure` request, for longer: at the end it gets a rejection, and another proxy serves the retry.
+    pub(crate) fn admits(&self, now: Duration, deadline: Duration, kind: RouteKind) -> bool {
+        let fits = deadline <= self.responses_until;
+        match kind {
+            RouteKind::Streaming => now < self.responses_until && deadline <= self.streams_until,
+            RouteKind::Mutating => fits || now < self.full_service_until,
+            RouteKind::Pure => fits || now < self.repeatable_until,
+        }
     }
 }
--- a/crates/proxy/src/state/mod.rs
+++ b/crates/proxy/src/state/mod.rs
@@ -20,7 +20,7 @@
 use crate::upstream::UpstreamConnection;
 use balancing::{LoadBalancer, LoadBalancerSettings};
 use capacity::Capacity;
-use configuration::{Limits, ProcessSettings};
+use configuration::{Limits, ProcessSettings, RouteKind};
 use in_flight::InFlightCount;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -116,12 +116,11 @@
         has_hosts && self.shutdown.get().is_none()
     }
 
-    /// Whether a request with this deadline may be given to a host now. `repeatable` requests are answered in one piece
-    /// and may run twice.
-    pub(crate) fn admits(&self, deadline: Duration, repeatable: bool) -> bool {
+    /// Whether a request with this deadline, on a route of this kind, may be given to a host now.
+    pub(crate) fn admits(&self, deadline: Duration, kind: RouteKind) -> bool {
         self.shutdown
             .get()
-            .is_none_or(|shutdown| shutdown.admits(self.now(), deadline, repeatable))
+            .is_none_or(|shutdown| shutdown.admits(self.now(), deadline, kind))
     }
 
     /// Connections that one host of this service takes from this process.
