--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -185,6 +185,9 @@
     /// Forwards a request, unless the client disconnects or the process ends first.
     async fn forward_request(&mut self, request: &Request) -> ConnectionOutcome {
         let progress = ResponseProgress::default();
+        if !self.buf.is_empty() {
+            progress.set_input_ahead();
+        }
         let phase = &mut self.phase;
         let process_ends = async {
             let _ = phase
@@ -196,22 +199,24 @@
                     .await;
             }
         };
-        let outcome = tokio::select! {
+        let ended = tokio::select! {
             biased;
             // Polled first: nothing more is sent to a host for a client that has disconnected, however late that is seen.
-            () = disconnected(self.stream, &mut self.buf, &mut self.received_at) => {
+            () = disconnected(self.stream, &mut self.buf, &mut self.received_at, &progress) => {
                 self.state.counters.add(|c| c.client_disconnects += 1);
                 return ConnectionOutcome::Close;
             }
-            outcome = exchange::handle(self.state, self.stream, request, &progress) => outcome,
-            () = process_ends => {
-                self.end_unfinished(request, &progress).await;
-                return ConnectionOutcome::Close;
-            }
+            outcome = exchange::handle(self.state, self.stream, request, &progress) => Some(outcome),
+            () = process_ends => None,
+        };
+        let outcome = match ended {
+            Some(outcome) => outcome,
+            None => self.end_unfinished(request, &progress).await,
         };
         match outcome {
             ConnectionOutcome::KeepAlive => {}
             ConnectionOutcome::Close => close_gracefully(self.stream).await,
+            ConnectionOutcome::Truncated if ended.is_none() => self.show_truncation(&progress),
             ConnectionOutcome::Truncated => {
                 self.state.counters.add(|c| c.truncated_responses += 1);
                 self.show_truncation(&progress);
@@ -221,15 +226,23 @@
     }
 
     /// Ends a request that is in flight when the process ends.
-    async fn end_unfinished(&self, request: &Request, progress: &ResponseProgress) {
+    async fn end_unfinished(
+        &self,
+        request: &Request,
+        progress: &ResponseProgress,
+    ) -> ConnectionOutcome {
         if progress.started() {
             self.record_truncation_at_shutdown(request, progress);
-            self.show_truncation(progress);
-            return;
+            return ConnectionOutcome::Truncated;
         }
         let code = progress.code_unless_run(ResultCode::Leaving);
-        let reply = LocalReply::new(code, request.attempt_id(), Some(OVERLOADED_RETRY_AFTER));
-        reply.send(self.state, self.stream, true).await;
+        let reply = LocalReply::new(code, request.attempt_id(), Some(OVERLOADED_RETRY_AFTER))
+            .to(&request.head);
+        let close = !progress.has_input_ahead();
+        match (reply.send(self.state, self.stream, close).await, close) {
+            (false, _) | (true, true) => ConnectionOutcome::Close,
+            (true, false) => ConnectionOutcome::KeepAlive,
+        }
     }
 
     /// Counts and logs a response that the end of the process truncates.
@@ -260,10 +273,18 @@
 }
 
 /// Resolves when the client has disconnected. Keeps what it sends ahead, and when that was received.
-async fn disconnected(stream: &TcpStream, buf: &mut BytesMut, received_at: &mut Instant) {
+async fn disconnected(
+    stream: &TcpStream,
+    buf: &mut BytesMut,
+    received_at: &mut Instant,
+    progress: &ResponseProgress,
+) {
     while buf.len() < MAX_READ_AHEAD_BYTES {
         match socket::read(stream, buf).await {
-            Ok(n) if n > 0 => *received_at = Instant::now(),
+            Ok(n) if n > 0 => {
+                *received_at = Instant::now();
+                progress.set_input_ahead();
+            }
             _ => return,
         }
     }
--- a/crates/proxy/src/exchange/admission.rs
+++ b/crates/proxy/src/exchange/admission.rs
@@ -51,7 +51,7 @@
     ) -> ConnectionOutcome {
         // At the end of the process no second reply may follow the beginning of this one.
         progress.start();
-        let close = is_last_response(state, request);
+        let close = is_last_response(state, request, progress);
         let sent = LocalReply::new(self.code, request.attempt_id(), self.retry_after)
             .to(&request.head)
             .send(state, client, close)
@@ -64,9 +64,15 @@
     }
 }
 
-/// Whether the response to this request is the last on its connection.
-pub(super) fn is_last_response(state: &ProxyState, request: &Request) -> bool {
-    state.shutdown.get().is_some() || !request.head.is_keep_alive()
+/// Whether the response to this request is the last on its connection. In a shutdown it is, unless the client has already
+/// sent more: behind a last response that would get no answer.
+pub(super) fn is_last_response(
+    state: &ProxyState,
+    request: &Request,
+    progress: &ResponseProgress,
+) -> bool {
+    let is_shutting_down = state.shutdown.get().is_some();
+    (is_shutting_down && !progress.has_input_ahead()) || !request.head.is_keep_alive()
 }
 
 /// The route of a request.
--- a/crates/proxy/src/exchange/buffered.rs
+++ b/crates/proxy/src/exchange/buffered.rs
@@ -70,7 +70,7 @@
         head: &ResponseHead,
         body: &Bytes,
     ) -> ConnectionOutcome {
-        let close = is_last_response(self.state, self.request);
+        let close = is_last_response(self.state, self.request, self.progress);
         let framing = if self.has_no_body(head) {
             None
         } else {
--- a/crates/proxy/src/exchange/client_writer.rs
+++ b/crates/proxy/src/exchange/client_writer.rs
@@ -31,7 +31,8 @@
         exchange.progress.set_close_delimited(close_delimited);
         Self {
             framing,
-            close: close_delimited || is_last_response(exchange.state, exchange.request),
+            close: close_delimited
+                || is_last_response(exchange.state, exchange.request, exchange.progress),
         }
     }
 
--- a/crates/proxy/src/response_progress.rs
+++ b/crates/proxy/src/response_progress.rs
@@ -21,6 +21,8 @@
     started: Cell<bool>,
     may_have_run: Cell<bool>,
     close_delimited: Cell<bool>,
+    /// Whether the client has sent something behind the request.
+    has_input_ahead: Cell<bool>,
     /// When the request has to end; `None` until it is admitted.
     deadline: Cell<Option<Instant>>,
 }
@@ -51,6 +53,16 @@
         self.deadline.set(Some(deadline));
     }
 
+    /// Whether the client has sent something behind the request, which has to be answered too.
+    pub(crate) fn has_input_ahead(&self) -> bool {
+        self.has_input_ahead.get()
+    }
+
+    /// The client has sent something behind the request.
+    pub(crate) fn set_input_ahead(&self) {
+        self.has_input_ahead.set(true);
+    }
+
     /// Whether the client takes the end of the connection for the end of the response.
     pub(crate) fn set_close_delimited(&self, close_delimited: bool) {
         self.close_delimited.set(close_delimited);
--- /dev/null
+++ b/crates/proxy/tests/requests_ahead_at_shutdown.rs
@@ -0,0 +1,63 @@
+//! Requests that a client has sent ahead when the process is asked to end: each has its answer.
+
+mod common;
+use common::*;
+
+async fn proxy_with_host(host: &FakeHost, grace_s: f64) -> Proxy {
+    let proxy = Proxy::with_options(ProxyOptions {
+        grace_s,
+        ..ProxyOptions::default()
+    })
+    .await;
+    proxy
+        .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
+        .await;
+    proxy
+}
+
+#[test]
+fn requests_sent_ahead_before_the_signal_are_all_answered() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let mut proxy = proxy_with_host(&host, 4.0).await;
+        let mut client = proxy.client().await;
+        let (one, two) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
+        client.send(&format!("{one}{two}")).await;
+        let mut conn = host.accept().await;
+        let first = conn.read_message().await.unwrap();
+        assert_eq!(first.field("fennelpin-attempt-id"), Some("one"));
+        proxy.signal_stop();
+        while proxy.readiness_status().await == 200 {}
+        conn.send(&ok_response("one", "first")).await;
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.body, "first");
+        assert_eq!(response.field("connection"), None, "more is to come");
+        conn.respond_ok("second").await;
+        let response = client.read_message().await.expect("the second answer");
+        assert_eq!(response.body, "second");
+        assert_eq!(response.field("connection"), Some("close"));
+        client.wait_until_closed().await;
+    });
+}
+
+#[test]
+fn request_sent_ahead_of_one_that_the_end_cuts_off_is_rejected() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let mut proxy = proxy_with_host(&host, 1.2).await;
+        let mut client = proxy.client().await;
+        let (one, two) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
+        client.send(&format!("{one}{two}")).await;
+        let mut conn = host.accept().await;
+        conn.read_message().await.unwrap();
+        proxy.signal_stop();
+        let response = client.read_message().await.unwrap();
+        assert_eq!(response.status(), 502, "it may have run");
+        let response = client.read_message().await.expect("a refusal");
+        assert_eq!(response.status(), 503);
+        assert_eq!(response.field("fennelpin-attempt-id"), Some("two"));
+        assert_eq!(response.field("connection"), Some("close"));
+        assert!(host.has_no_connection());
+        proxy.serving.await.unwrap().unwrap();
+    });
+}
