--- a/crates/fennelpin-cli/src/local/cluster.rs
+++ b/crates/fennelpin-cli/src/local/cluster.rs
@@ -8,7 +8,7 @@
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
 /// Pause between two checks whether a process has ended.
@@ -111,7 +111,12 @@
         self.dir.join(format!("core-{n}"))
     }
 
-    /// The settings file of a program on machine `n`.
+    /// Path of the settings file of a program on a machine of this name; its log lies beside it.
+    pub fn settings_file(&self, program: Program, machine: &str) -> PathBuf {
+        self.dir.join(format!("{machine}-{}.json", program.name()))
+    }
+
+    /// The settings of a program on machine `n`.
     fn settings(&self, program: Program, n: u8, bootstrap: bool) -> Value {
         let seeds: Vec<String> = self
             .controls()
@@ -158,6 +163,8 @@
     env: Vec<(String, String)>,
     /// By member: where it listens for messages, if others reach it at another address.
     listeners: BTreeMap<u8, SocketAddrV4>,
+    /// `bounds` of all settings files; the programs' defaults if it is `null`.
+    bounds: Value,
 }
 
 impl LocalCluster {
@@ -178,6 +185,7 @@
             children: BTreeMap::new(),
             env: Vec::new(),
             listeners: BTreeMap::new(),
+            bounds: Value::Null,
         })
     }
 
@@ -191,6 +199,11 @@
         self.listeners.insert(n, addr);
     }
 
+    /// Sets the `bounds` of processes that are started from now on.
+    pub fn set_bounds(&mut self, bounds: Value) {
+        self.bounds = bounds;
+    }
+
     /// The plan that the processes follow.
     pub fn plan(&self) -> &ClusterPlan {
         &self.plan
@@ -227,14 +240,14 @@
         if let (Program::ControlPlane, Some(listener)) = (program, self.listeners.get(&n)) {
             settings["bind"]["member"] = json!(listener);
         }
+        if !self.bounds.is_null() {
+            settings["bounds"] = self.bounds.clone();
+        }
         let machine = settings["node_name"]
             .as_str()
             .unwrap_or_default()
             .to_owned();
-        let file = self
-            .plan
-            .dir
-            .join(format!("{machine}-{}.json", program.name()));
+        let file = self.plan.settings_file(program, &machine);
         let failed = |e: std::io::Error| local_error(format!("{machine}: {e}"));
         fs::write(&file, settings.to_string()).map_err(failed)?;
         if program == Program::ControlPlane {
@@ -273,6 +286,14 @@
         }
     }
 
+    /// The status with which a process has ended; `None` while it runs. An ended process is no longer among the started
+    /// ones afterwards.
+    pub fn take_exit_status(&mut self, name: &str) -> Option<ExitStatus> {
+        let status = self.children.get_mut(name)?.try_wait().ok()??;
+        self.children.remove(name);
+        Some(status)
+    }
+
     /// Waits for the end of a process that was asked to end. Whether it came within `timeout`.
     pub fn wait_for_end(&mut self, name: &str, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
--- a/crates/fennelpin-cli/tests/harness/faulty_hosts.rs
+++ b/crates/fennelpin-cli/tests/harness/faulty_hosts.rs
@@ -1,8 +1,6 @@
 //! Hosts that fail in several ways by turns, and record which requests they received.
 
-use super::CALL_TIMEOUT;
-use fennelpin_cli::control_client::{call_member, ControlCall};
-use serde_json::json;
+use super::heartbeat::{HostRecord, HEARTBEAT_INTERVAL};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -11,8 +9,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between heartbeats.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait of a client for an answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -79,10 +75,16 @@
         };
         std::thread::spawn(move || accept(&listener, &host));
         let (end, ended) = channel();
-        let (addr, controls) = (*addr, controls.to_vec());
+        let host_record = HostRecord {
+            id,
+            address: *addr,
+            zone: "zone-1".into(),
+            capacity: 8,
+        };
+        let controls = controls.to_vec();
         std::thread::spawn(move || {
             for seq in 1u64.. {
-                send_heartbeat(&id, addr, seq, &controls);
+                host_record.send_heartbeat(seq, &controls);
                 if ended.recv_timeout(HEARTBEAT_INTERVAL) != Err(RecvTimeoutError::Timeout) {
                     return;
                 }
@@ -96,22 +98,6 @@
     }
 }
 
-fn send_heartbeat(id: &str, addr: SocketAddrV4, seq: u64, controls: &[SocketAddr]) {
-    let name = format!("Hosts.Heartbeat/{id}");
-    let body =
-        json!({"service": "s", "address": addr, "zone": "zone-1", "version": "v1", "capacity": 8,
-        "phase": "ready", "cold_left_ms": 0, "call_seq": seq})
-        .to_string();
-    let call = ControlCall {
-        name: &name,
-        base_version: None,
-        body: Some(body.as_bytes()),
-    };
-    let _ = controls
-        .iter()
-        .any(|c| call_member(*c, &call, CALL_TIMEOUT).is_ok_and(|a| a.status == 200));
-}
-
 #[derive(Clone)]
 struct Host {
     id: String,
@@ -153,10 +139,15 @@
 
 /// Whether an idempotent request is served.
 pub fn served(front: SocketAddrV4) -> bool {
+    is_body_served(front, "first")
+}
+
+/// Whether an idempotent request with this body is served.
+pub fn is_body_served(front: SocketAddrV4, body: &str) -> bool {
     let Some(mut stream) = connect(front) else {
         return false;
     };
-    let answer = send(&mut stream, "pure", "first")
+    let answer = send(&mut stream, "pure", body)
         .and_then(|()| HttpMessage::read(&mut stream, &mut Vec::new()));
     answer.is_some_and(|a| a.status() == 200)
 }
@@ -213,7 +204,8 @@
     }
 }
 
-fn more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<()> {
+/// Reads once; `None` at the end of the stream.
+pub fn more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<()> {
     let mut chunk = [0; 4096];
     let n = stream.read(&mut chunk).ok().filter(|n| *n > 0)?;
     buffer.extend_from_slice(&chunk[..n]);
--- a/crates/fennelpin-cli/tests/harness/mod.rs
+++ b/crates/fennelpin-cli/tests/harness/mod.rs
@@ -6,6 +6,7 @@
 pub mod cluster;
 pub mod command;
 pub mod faulty_hosts;
+pub mod heartbeat;
 pub mod relay;
 
 use std::time::{Duration, Instant};
--- /dev/null
+++ b/crates/fennelpin-cli/tests/soak/driver.rs
@@ -0,0 +1,200 @@
+//! Plays the platform: sends the signals of a schedule, kills what doesn't end in time, and starts what has ended.
+
+use super::harness::cluster::TestCluster;
+use super::recorder::Recorder;
+use super::schedule::{Action, Event, Target};
+use super::settings::GRACE;
+use super::stop_signal::StopSignal;
+use fennelpin_cli::local::cluster::Program;
+use rand::RngExt;
+use rand_pcg::Pcg64Mcg;
+use rustix::process::Signal;
+use std::process::ExitStatus;
+use std::time::{Duration, Instant};
+
+/// Time between two looks at the processes.
+const TICK: Duration = Duration::from_millis(5);
+/// Longest time from the end of a process to its next start.
+const MAX_RESTART_DELAY_MS: u64 = 500;
+
+/// What the platform knows of a process.
+#[derive(Clone, Copy, Debug)]
+enum ProcessState {
+    Running,
+    /// It got SIGTERM.
+    Terminating {
+        since: Instant,
+    },
+    Killed,
+    Down {
+        restart_at: Instant,
+    },
+}
+
+/// The platform.
+pub struct Driver<'a> {
+    pub cluster: TestCluster,
+    recorder: &'a Recorder,
+    random: Pcg64Mcg,
+    processes: Vec<(Target, ProcessState)>,
+    pause: StopSignal,
+}
+
+impl<'a> Driver<'a> {
+    pub fn new(cluster: TestCluster, recorder: &'a Recorder, seed: u64) -> Self {
+        let plan = cluster.processes.plan();
+        let members = (1..=plan.members).map(|number| (Program::ControlPlane, number));
+        let edges = (1..=plan.proxies)
+            .flat_map(|number| [(Program::Agent, number), (Program::Proxy, number)]);
+        let processes = members
+            .chain(edges)
+            .map(|(program, number)| (Target { program, number }, ProcessState::Running))
+            .collect();
+        Self {
+            cluster,
+            recorder,
+            random: Pcg64Mcg::new(u128::from(seed) << 8 | 7),
+            processes,
+            pause: StopSignal::default(),
+        }
+    }
+
+    /// Plays the schedule until `end`.
+    pub fn play(&mut self, events: &[Event], end: Duration) {
+        let start = Instant::now();
+        let mut coming = events.iter().peekable();
+        while start.elapsed() < end {
+            while let Some(event) = coming.next_if(|event| event.at <= start.elapsed()) {
+                self.apply(event);
+            }
+            self.look_after_processes();
+            self.pause.wait(TICK);
+        }
+    }
+
+    /// Goes on until all processes run.
+    pub fn settle(&mut self) {
+        while !self.all_run() {
+            self.look_after_processes();
+            self.pause.wait(TICK);
+        }
+    }
+
+    /// Kills all members at once, and starts them.
+    pub fn kill_all_members(&mut self) {
+        let members: Vec<Target> = self
+            .processes
+            .iter()
+            .map(|process| process.0)
+            .filter(|target| target.program == Program::ControlPlane)
+            .collect();
+        for target in members {
+            self.signal(target, Signal::KILL);
+        }
+        self.settle();
+    }
+
+    fn all_run(&self) -> bool {
+        let mut states = self.processes.iter().map(|process| process.1);
+        states.all(|state| matches!(state, ProcessState::Running))
+    }
+
+    fn apply(&mut self, event: &Event) {
+        match event.action {
+            Action::Signal(signal) => self.signal(event.target, signal),
+            Action::RewriteSettings => self.rewrite_settings(event.target),
+        }
+    }
+
+    fn signal(&mut self, target: Target, signal: Signal) {
+        let name = target.process_name();
+        if self.cluster.processes.pid(&name).is_none() {
+            return;
+        }
+        self.recorder.record_signal(&name, signal);
+        self.cluster.signal_program(&name, signal);
+        let state = self.state(target);
+        match (signal, *state) {
+            (Signal::TERM, ProcessState::Running) => {
+                *state = ProcessState::Terminating {
+                    since: Instant::now(),
+                };
+            }
+            (Signal::KILL, _) => *state = ProcessState::Killed,
+            _ => {}
+        }
+    }
+
+    fn state(&mut self, target: Target) -> &mut ProcessState {
+        let process = self
+            .processes
+            .iter_mut()
+            .find(|process| process.0 == target);
+        &mut process.expect("a process of the plan").1
+    }
+
+    fn look_after_processes(&mut self) {
+        for index in 0..self.processes.len() {
+            let (target, state) = self.processes[index];
+            self.processes[index].1 = self.next_state(target, state);
+        }
+    }
+
+    fn next_state(&mut self, target: Target, state: ProcessState) -> ProcessState {
+        if let ProcessState::Down { restart_at } = state {
+            return self.restart_when_due(target, restart_at);
+        }
+        let name = target.process_name();
+        if let Some(status) = self.cluster.processes.take_exit_status(&name) {
+            self.check_end(&name, state, status);
+            let delay = Duration::from_millis(self.random.random_range(0..MAX_RESTART_DELAY_MS));
+            return ProcessState::Down {
+                restart_at: Instant::now() + delay,
+            };
+        }
+        match state {
+            ProcessState::Terminating { since } if since.elapsed() > GRACE => {
+                self.recorder
+                    .record_failure(format!("{name} outlasted its grace"));
+                self.cluster.signal_program(&name, Signal::KILL);
+                ProcessState::Killed
+            }
+            state => state,
+        }
+    }
+
+    fn restart_when_due(&mut self, target: Target, restart_at: Instant) -> ProcessState {
+        if Instant::now() < restart_at {
+            return ProcessState::Down { restart_at };
+        }
+        let processes = &mut self.cluster.processes;
+        processes
+            .start(target.program, target.number, false)
+            .unwrap();
+        ProcessState::Running
+    }
+
+    fn check_end(&self, name: &str, state: ProcessState, status: ExitStatus) {
+        let expected = match state {
+            ProcessState::Terminating { .. } => status.success(),
+            ProcessState::Killed => true,
+            ProcessState::Running | ProcessState::Down { .. } => false,
+        };
+        if !expected {
+            self.recorder
+                .record_failure(format!("{name} ended with {status} while {state:?}"));
+        }
+    }
+
+    /// Writes a program's settings anew, with its seeds in another order.
+    fn rewrite_settings(&mut self, target: Target) {
+        let plan = self.cluster.processes.plan();
+        let file = plan.settings_file(target.program, &target.machine());
+        let text = std::fs::read_to_string(&file).unwrap();
+        let mut settings: serde_json::Value = serde_json::from_str(&text).unwrap();
+        if let Some(seeds) = settings["seed_nodes"].as_array_mut() {
+            seeds.rotate_left(1);
+        }
+        std::fs::write(&file, settings.to_string()).unwrap();
+    }
+}
--- /dev/null
+++ b/crates/fennelpin-cli/tests/soak/rules.rs
@@ -0,0 +1,174 @@
+//! What must hold, whatever the platform plans.
+
+use super::recorder::{Recording, RequestEnd, RequestRecord};
+use super::settings::GRACE;
+use rustix::process::Signal;
+use std::fmt;
+use std::time::{Duration, Instant};
+
+/// A connection that ends without a response so soon after the request may have crossed it.
+const LOSS_SLACK: Duration = Duration::from_millis(200);
+/// So long before the kill a process may truncate what was in flight at SIGTERM.
+const TRUNCATION_MARGIN: Duration = Duration::from_millis(300);
+/// A request that was handed to the kernel so soon after SIGTERM may have been sent before it.
+const SIGNAL_SLACK: Duration = Duration::from_millis(20);
+/// A response so near to the deadline was ended by it.
+const DEADLINE_SLACK: Duration = Duration::from_millis(50);
+/// Longest time from a request to its end beyond its deadline.
+const MAX_OVERTIME: Duration = Duration::from_secs(1);
+
+/// A broken rule.
+#[derive(Clone, Debug)]
+pub enum Violation {
+    /// A request ended without an answer or a refusal.
+    Lost(RequestRecord),
+    /// A response that isn't the request's, or incomplete.
+    Mixed(RequestRecord),
+    /// A request that may run once ran more often.
+    RanTwice { id: String, runs: usize },
+    /// A request that may run once was rejected, though it ran.
+    RejectedButRan(RequestRecord),
+    /// A response that sound hosts and a planned end don't explain.
+    UnexpectedStatus(RequestRecord),
+    /// A request that was held for longer than its deadline.
+    HeldBack(RequestRecord),
+    /// A read gave a version below one that was acknowledged before.
+    StaleRead { read: u64, acknowledged: u64 },
+    /// Anything else that was seen as it happened.
+    Failure(String),
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let mut request = |what: &str, request: &RequestRecord| {
+            let held = request.ended_at.duration_since(request.sent_at);
+            write!(f, "{what}: held {held:?}, {request:?}")
+        };
+        match self {
+            Violation::Lost(record) => request("LOST", record),
+            Violation::Mixed(record) => request("MIXED", record),
+            Violation::RejectedButRan(record) => request("REFUSED", record),
+            Violation::UnexpectedStatus(record) => request("unexpected status", record),
+            Violation::HeldBack(record) => request("held back", record),
+            Violation::RanTwice { id, runs } => write!(f, "TWICE: {id} ran {runs} times"),
+            Violation::StaleRead { read, acknowledged } => {
+                write!(f, "CONFIG: read {read} after {acknowledged}")
+            }
+            Violation::Failure(text) => write!(f, "{text}"),
+        }
+    }
+}
+
+/// Judges a run.
+pub fn violations(recording: &Recording) -> Vec<Violation> {
+    let mut found: Vec<Violation> = recording
+        .failures
+        .iter()
+        .cloned()
+        .map(Violation::Failure)
+        .collect();
+    for request in &recording.requests {
+        found.extend(judge_request(recording, request));
+    }
+    found.extend(stale_reads(recording));
+    found
+}
+
+fn judge_request(recording: &Recording, request: &RequestRecord) -> Vec<Violation> {
+    let mut found = Vec::new();
+    let record = || request.clone();
+    let runs = recording.runs.get(&request.id).map_or(0, Vec::len);
+    if !request.kind.idempotent() && runs > 1 {
+        found.push(Violation::RanTwice {
+            id: request.id.clone(),
+            runs,
+        });
+    }
+    match &request.end {
+        RequestEnd::Answered { status } => match status {
+            200 => {}
+            503 if !request.kind.idempotent() && runs > 0 => {
+                found.push(Violation::RejectedButRan(record()));
+            }
+            503 => {}
+            504 if is_at_deadline(request) => {}
+            502 if ends_with_the_process(recording, request) => {}
+            _ => found.push(Violation::UnexpectedStatus(record())),
+        },
+        RequestEnd::Truncated | RequestEnd::Unanswered => {
+            if is_lost(recording, request, runs > 0) {
+                found.push(Violation::Lost(record()));
+            }
+        }
+        RequestEnd::TimedOut => found.push(Violation::HeldBack(record())),
+        RequestEnd::Malformed { .. } => found.push(Violation::Mixed(record())),
+    }
+    if request.ended_at.duration_since(request.turn_at) > request.deadline + MAX_OVERTIME {
+        found.push(Violation::HeldBack(record()));
+    }
+    found
+}
+
+fn held(request: &RequestRecord) -> Duration {
+    request.ended_at.duration_since(request.sent_at)
+}
+
+fn is_at_deadline(request: &RequestRecord) -> bool {
+    request.ended_at + DEADLINE_SLACK >= request.began_at + request.deadline
+}
+
+/// Whether a connection that ended without a complete response cost a request that was not to be lost.
+fn is_lost(recording: &Recording, request: &RequestRecord, passed_on: bool) -> bool {
+    let crossed_the_close =
+        !passed_on && (request.behind_incomplete || held(request) <= LOSS_SLACK);
+    !crossed_the_close && !is_at_deadline(request) && !outlasted_the_grace(recording, request)
+}
+
+/// When the request's proxy was asked to end.
+fn terminations<'a>(
+    recording: &'a Recording,
+    request: &RequestRecord,
+) -> impl Iterator<Item = Instant> + 'a {
+    let proxy = format!("edge-{}/proxy", request.edge);
+    recording
+        .signals
+        .iter()
+        .filter(move |record| record.process == proxy && record.signal == Signal::TERM)
+        .map(|record| record.at)
+}
+
+/// Whether the request was in flight at SIGTERM and ended shortly before the kill.
+fn outlasted_the_grace(recording: &Recording, request: &RequestRecord) -> bool {
+    terminations(recording, request).any(|at| {
+        request.sent_at <= at + SIGNAL_SLACK
+            && request.ended_at + TRUNCATION_MARGIN >= at + GRACE
+            && request.ended_at <= at + GRACE + LOSS_SLACK
+    })
+}
+
+/// Whether the request ended in the last second of a shutdown, in which requests in flight get a status.
+fn ends_with_the_process(recording: &Recording, request: &RequestRecord) -> bool {
+    terminations(recording, request).any(|at| {
+        let last_second = at + GRACE - Duration::from_secs(1);
+        request.ended_at >= last_second && request.ended_at <= at + GRACE + LOSS_SLACK
+    })
+}
+
+fn stale_reads(recording: &Recording) -> Vec<Violation> {
+    let mut found = Vec::new();
+    for read in &recording.read {
+        let newest = recording
+            .acknowledged
+            .iter()
+            .filter(|acknowledged| acknowledged.answered_at <= read.sent_at)
+            .map(|acknowledged| acknowledged.version)
+            .max();
+        if let Some(acknowledged) = newest.filter(|newest| read.version < *newest) {
+            found.push(Violation::StaleRead {
+                read: read.version,
+                acknowledged,
+            });
+        }
+    }
+    found
+}
--- /dev/null
+++ b/crates/fennelpin-cli/tests/soak/run.rs
@@ -0,0 +1,210 @@
+//! One run from its seed to its report.
+
+use super::clients::Client;
+use super::driver::Driver;
+use super::front_selection::{Front, FrontSelection};
+use super::harness::cluster::TestCluster;
+use super::harness::{faulty_hosts, wait_until};
+use super::operator;
+use super::recorder::{Recorder, Recording, RequestEnd, VersionRecord};
+use super::rules::{self, Violation};
+use super::schedule;
+use super::settings::{SoakSettings, GRACE_S};
+use super::stop_signal::StopSignal;
+use super::stream_hosts;
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::fmt;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Hosts of one service.
+const HOSTS: u8 = 6;
+/// Part of the runs in which all members are killed at the end: one in so many.
+const KILL_ALL_EVERY: u64 = 2;
+/// Body of the request that shows that a proxy serves: no delay, no events.
+const FIRST_REQUEST: &str = "first:0:0:0";
+/// Violations that a report names, at most.
+const MAX_NAMED: usize = 12;
+
+/// What came of a run.
+pub struct Report {
+    seed: u64,
+    edges: u8,
+    events: usize,
+    /// Requests by how they ended.
+    ends: BTreeMap<String, usize>,
+    changes: usize,
+    longest_change: Duration,
+    pub violations: Vec<Violation>,
+}
+
+impl fmt::Display for Report {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(
+            f,
+            "seed {} edges {}: {} signals and rewrites, {} changes (longest {} ms), requests {:?}, {} violations",
+            self.seed,
+            self.edges,
+            self.events,
+            self.changes,
+            self.longest_change.as_millis(),
+            self.ends,
+            self.violations.len()
+        )?;
+        for violation in self.violations.iter().take(MAX_NAMED) {
+            write!(f, "\n  {violation}")?;
+        }
+        Ok(())
+    }
+}
+
+/// Plays the run of a seed.
+pub fn run_seed(settings: &SoakSettings, seed: u64) -> Report {
+    let events = schedule::draw(seed, settings.edges, settings.members, settings.duration);
+    let recorder = Arc::new(Recorder::default());
+    let hosts_stop = Arc::new(StopSignal::default());
+    let cluster = start_cluster(settings, &recorder, &hosts_stop);
+    let fronts = FrontSelection::new(fronts(&cluster));
+    let members: Vec<SocketAddr> = (1..=settings.members).map(|n| cluster.control(n)).collect();
+    let mut driver = Driver::new(cluster, &recorder, seed);
+    let stop = StopSignal::default();
+    std::thread::scope(|scope| {
+        scope.spawn(|| fronts.probe_until(&stop));
+        scope.spawn(|| operator::change_until(members.clone(), seed, &recorder, &stop));
+        scope.spawn(|| operator::read_until(&members, seed, &recorder, &stop));
+        for number in 0..settings.clients {
+            let client = Client::new(number, seed, &fronts, &recorder, &stop);
+            scope.spawn(|| client.run());
+        }
+        driver.play(&events, settings.duration);
+        stop.raise();
+        // The clients' last requests are still under way while processes end and start.
+        driver.settle();
+    });
+    if seed % KILL_ALL_EVERY == 0 {
+        driver.kill_all_members();
+    }
+    check_settled(&driver.cluster, &members, &recorder);
+    hosts_stop.raise();
+    let report = report(seed, settings, events.len(), &recorder.take());
+    keep_logs(settings, &driver.cluster, &report);
+    report
+}
+
+fn start_cluster(
+    settings: &SoakSettings,
+    recorder: &Arc<Recorder>,
+    hosts_stop: &Arc<StopSignal>,
+) -> TestCluster {
+    let cluster = TestCluster::with_settings(settings.members, settings.edges, &[], |processes| {
+        processes.set_bounds(json!({"grace_s": GRACE_S}));
+    });
+    let all: Vec<u8> = (1..=settings.members).collect();
+    let mut members: Vec<SocketAddr> = all.iter().map(|n| cluster.control(*n)).collect();
+    let hosts: Vec<_> = (1..=HOSTS)
+        .map(|n| cluster.processes.plan().host(n))
+        .collect();
+    stream_hosts::start(&hosts, &members, recorder, hosts_stop);
+    let sent_at = Instant::now();
+    let first = operator::change(1);
+    let answer = operator::call(&mut members, &first.call(), &StopSignal::default());
+    assert_eq!(answer.expect("an answer to the first change").status, 200);
+    recorder.record_acknowledged(VersionRecord {
+        version: 1,
+        sent_at,
+        answered_at: Instant::now(),
+    });
+    for front in cluster.processes.plan().fronts() {
+        wait_until("a proxy serves", || {
+            faulty_hosts::is_body_served(front, FIRST_REQUEST).then_some(())
+        });
+    }
+    cluster
+}
+
+fn fronts(cluster: &TestCluster) -> Vec<Front> {
+    let plan = cluster.processes.plan();
+    let addresses = plan.fronts();
+    (1..)
+        .zip(&addresses)
+        .map(|(edge, clients)| Front {
+            edge,
+            clients: *clients,
+            readiness: plan.readiness(clients),
+        })
+        .collect()
+}
+
+/// After all has settled the newest acknowledged version is read back, and in force at each proxy.
+fn check_settled(cluster: &TestCluster, members: &[SocketAddr], recorder: &Recorder) {
+    let sent_at = Instant::now();
+    let read = operator::call(
+        &mut members.to_vec(),
+        &super::harness::callers::READ,
+        &StopSignal::default(),
+    );
+    let Some(answer) = read.filter(|answer| answer.status == 200) else {
+        recorder.record_failure("the configuration can't be read back".to_owned());
+        return;
+    };
+    let version = super::harness::callers::configuration_version(&answer);
+    recorder.record_read(VersionRecord {
+        version,
+        sent_at,
+        answered_at: Instant::now(),
+    });
+    for edge in 1..=cluster.processes.plan().proxies {
+        wait_until("the newest configuration is in force", || {
+            (cluster.versions_in_force(edge).last() == Some(&version)).then_some(())
+        });
+    }
+}
+
+fn report(seed: u64, settings: &SoakSettings, events: usize, recording: &Recording) -> Report {
+    let mut ends = BTreeMap::new();
+    for request in &recording.requests {
+        let end = match &request.end {
+            RequestEnd::Answered { status } => status.to_string(),
+            RequestEnd::Malformed { .. } => "Malformed".to_owned(),
+            other => format!("{other:?}"),
+        };
+        *ends.entry(end).or_insert(0) += 1;
+    }
+    let times = recording
+        .acknowledged
+        .iter()
+        .map(|change| change.answered_at.duration_since(change.sent_at));
+    Report {
+        seed,
+        edges: settings.edges,
+        events,
+        ends,
+        changes: recording.acknowledged.len(),
+        longest_change: times.max().unwrap_or_default(),
+        violations: rules::violations(recording),
+    }
+}
+
+/// Copies the logs of a run that broke a rule.
+fn keep_logs(settings: &SoakSettings, cluster: &TestCluster, report: &Report) {
+    let Some(folder) = settings
+        .kept_logs
+        .as_ref()
+        .filter(|_| !report.violations.is_empty())
+    else {
+        return;
+    };
+    let folder = folder.join(format!("seed-{}-edges-{}", report.seed, report.edges));
+    std::fs::create_dir_all(&folder).unwrap();
+    for entry in std::fs::read_dir(&cluster.processes.plan().dir).unwrap() {
+        let path = entry.unwrap().path();
+        if path.extension().is_some_and(|extension| extension == "log") {
+            let name = path.file_name().unwrap();
+            std::fs::copy(&path, folder.join(name)).unwrap();
+        }
+    }
+    let violations: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
+    std::fs::write(folder.join("violations.txt"), violations.join("\n")).unwrap();
+}
--- /dev/null
+++ b/crates/fennelpin-cli/tests/soak/stream_hosts.rs
@@ -0,0 +1,175 @@
+//! Sound hosts: each runs a request as its body says, and records that it did.
+
+use super::harness::faulty_hosts::HttpMessage;
+use super::harness::heartbeat::{HostRecord, HEARTBEAT_INTERVAL};
+use super::recorder::Recorder;
+use super::stop_signal::StopSignal;
+use std::fmt;
+use std::io::Write;
+use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
+use std::str::FromStr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Requests that a host says it can run at once.
+const CAPACITY: u32 = 64;
+
+/// What a host is to do for a request; the request's body.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Work {
+    pub id: String,
+    /// Time until the response begins.
+    pub delay: Duration,
+    /// Events of a stream; 0 for a plain response, which is the request's body.
+    pub events: u64,
+    /// Time between two events.
+    pub gap: Duration,
+}
+
+impl fmt::Display for Work {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let (delay, gap) = (self.delay.as_millis(), self.gap.as_millis());
+        write!(f, "{}:{delay}:{}:{gap}", self.id, self.events)
+    }
+}
+
+/// The text is no [`Work`].
+#[derive(Debug)]
+pub struct MalformedWork;
+
+impl FromStr for Work {
+    type Err = MalformedWork;
+
+    fn from_str(text: &str) -> Result<Self, MalformedWork> {
+        let parts: Vec<&str> = text.split(':').collect();
+        let [id, delay, events, gap] = parts[..] else {
+            return Err(MalformedWork);
+        };
+        let number = |text: &str| text.parse::<u64>().map_err(|_| MalformedWork);
+        Ok(Self {
+            id: id.to_owned(),
+            delay: Duration::from_millis(number(delay)?),
+            events: number(events)?,
+            gap: Duration::from_millis(number(gap)?),
+        })
+    }
+}
+
+/// An event of a stream.
+pub fn event(id: u64) -> String {
+    format!("id: {id}\ndata: event {id}\n\n")
+}
+
+/// Starts hosts at these addresses. They send heartbeats to these members until `stop` is raised.
+pub fn start(
+    addresses: &[SocketAddrV4],
+    controls: &[SocketAddr],
+    recorder: &Arc<Recorder>,
+    stop: &Arc<StopSignal>,
+) {
+    for (n, address) in addresses.iter().enumerate() {
+        let record = HostRecord {
+            id: format!("host-{}-{n}", std::process::id()),
+            address: *address,
+            zone: format!("zone-{}", n % 3 + 1),
+            capacity: CAPACITY,
+        };
+        let host = Host {
+            id: record.id.clone(),
+            recorder: recorder.clone(),
+            stop: stop.clone(),
+        };
+        let listener = TcpListener::bind(address).unwrap();
+        std::thread::spawn(move || host.accept(&listener));
+        let (controls, stop) = (controls.to_vec(), stop.clone());
+        std::thread::spawn(move || {
+            for sequence in 1.. {
+                record.send_heartbeat(sequence, &controls);
+                if stop.wait(HEARTBEAT_INTERVAL) {
+                    return;
+                }
+            }
+        });
+    }
+}
+
+#[derive(Clone)]
+struct Host {
+    id: String,
+    recorder: Arc<Recorder>,
+    stop: Arc<StopSignal>,
+}
+
+impl Host {
+    fn accept(&self, listener: &TcpListener) {
+        while let Ok((stream, _)) = listener.accept() {
+            let host = self.clone();
+            // The proxy closes connections at any time.
+            std::thread::spawn(move || drop(host.serve(stream)));
+        }
+    }
+
+    fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
+        stream.set_nodelay(true)?;
+        let mut buffer = Vec::new();
+        while let Some(request) = HttpMessage::read(&mut stream, &mut buffer) {
+            let Ok(work) = request.body.parse::<Work>() else {
+                let text = format!(
+                    "HTTP/1.1 200 OK\r\nFennelpin-Host-Id: {}\r\nContent-Length: 0\r\n\r\n",
+                    self.id
+                );
+                stream.write_all(text.as_bytes())?;
+                continue;
+            };
+            self.recorder.record_run(&work.id);
+            self.stop.wait(work.delay);
+            if work.events == 0 {
+                self.respond(&mut stream, &request, &work)?;
+            } else {
+                self.respond_with_stream(&mut stream, &request, &work)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// The head's first lines.
+    fn head(&self, request: &HttpMessage) -> String {
+        let id = request.field("fennelpin-attempt-id").unwrap_or("none");
+        format!(
+            "HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: {}.{id}\r\n",
+            self.id
+        )
+    }
+
+    fn respond(
+        &self,
+        stream: &mut TcpStream,
+        request: &HttpMessage,
+        work: &Work,
+    ) -> std::io::Result<()> {
+        let (head, body) = (self.head(request), work.to_string());
+        let text = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
+        stream.write_all(text.as_bytes())
+    }
+
+    fn respond_with_stream(
+        &self,
+        stream: &mut TcpStream,
+        request: &HttpMessage,
+        work: &Work,
+    ) -> std::io::Result<()> {
+        let head = self.head(request);
+        let text =
+            format!("{head}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
+        stream.write_all(text.as_bytes())?;
+        let resumed_after = request
+            .field("last-event-id")
+            .map_or(0, |id| id.parse().unwrap_or(0));
+        for id in resumed_after + 1..=work.events {
+            let event = event(id);
+            stream.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes())?;
+            self.stop.wait(work.gap);
+        }
+        stream.write_all(b"0\r\n\r\n")
+    }
+}
