--- a/crates/fennelpin-cli/tests/harness/faulty_hosts.rs
+++ b/crates/fennelpin-cli/tests/harness/faulty_hosts.rs
@@ -1,6 +1,6 @@
 //! Hosts that fail in several ways by turns, and record which requests they received.
 
-use super::heartbeat::{HostRecord, HEARTBEAT_INTERVAL};
+use super::heartbeat::{HostPhase, HostRecord, HEARTBEAT_INTERVAL};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -84,7 +84,7 @@
         let controls = controls.to_vec();
         std::thread::spawn(move || {
             for seq in 1u64.. {
-                host_record.send_heartbeat(seq, &controls);
+                host_record.send_heartbeat(HostPhase::Ready, seq, &controls);
                 if ended.recv_timeout(HEARTBEAT_INTERVAL) != Err(RecvTimeoutError::Timeout) {
                     return;
                 }
--- a/crates/fennelpin-cli/tests/harness/heartbeat.rs
+++ b/crates/fennelpin-cli/tests/harness/heartbeat.rs
@@ -9,6 +9,23 @@
 /// Time between heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
+/// What a host says of its life.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HostPhase {
+    Ready,
+    /// It takes no new requests soon.
+    Draining,
+}
+
+impl HostPhase {
+    fn name(self) -> &'static str {
+        match self {
+            Self::Ready => "ready",
+            Self::Draining => "draining",
+        }
+    }
+}
+
 /// What a host says of itself.
 #[derive(Clone, Debug)]
 pub struct HostRecord {
@@ -20,11 +37,11 @@
 
 impl HostRecord {
     /// Sends a heartbeat to one member after the other until one acknowledges it. Whether one did.
-    pub fn send_heartbeat(&self, sequence: u64, controls: &[SocketAddr]) -> bool {
+    pub fn send_heartbeat(&self, phase: HostPhase, sequence: u64, controls: &[SocketAddr]) -> bool {
         let name = format!("Hosts.Heartbeat/{}", self.id);
         let body =
             json!({"service": "s", "address": self.address, "zone": self.zone, "version": "v1",
-            "capacity": self.capacity, "phase": "ready", "cold_left_ms": 0, "call_seq": sequence})
+            "capacity": self.capacity, "phase": phase.name(), "cold_left_ms": 0, "call_seq": sequence})
             .to_string();
         let call = ControlCall {
             name: &name,
--- a/crates/fennelpin-cli/tests/soak/driver.rs
+++ b/crates/fennelpin-cli/tests/soak/driver.rs
@@ -1,7 +1,7 @@
 //! Plays the platform: sends the signals of a schedule, kills what doesn't end in time, and starts what has ended.
 
 use super::harness::cluster::TestCluster;
-use super::recorder::Recorder;
+use super::recorder::{ProcessEvent, Recorder};
 use super::schedule::{Action, Event, Target};
 use super::settings::GRACE;
 use super::stop_signal::StopSignal;
@@ -17,6 +17,19 @@
 /// Longest time from the end of a process to its next start.
 const MAX_RESTART_DELAY_MS: u64 = 500;
 
+/// For how long a member that is back still counts as lost.
+const CATCH_UP: Duration = Duration::from_secs(4);
+
+/// What is lost at the end of a run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FinalLoss {
+    None,
+    /// All members are killed at once.
+    Members,
+    /// A member loses its disk, and all processes are killed at once.
+    DiskAndProcesses,
+}
+
 /// What the platform knows of a process.
 #[derive(Clone, Copy, Debug)]
 enum ProcessState {
@@ -80,20 +93,41 @@
         }
     }
 
-    /// Kills all members at once, and starts them.
-    pub fn kill_all_members(&mut self) {
-        let members: Vec<Target> = self
-            .processes
-            .iter()
-            .map(|process| process.0)
-            .filter(|target| target.program == Program::ControlPlane)
-            .collect();
-        for target in members {
-            self.signal(target, Signal::KILL);
+    /// Brings about a loss, and starts what it ended. Before it, all have run for as long as a machine that is back still
+    /// counts as lost.
+    pub fn lose(&mut self, loss: FinalLoss) {
+        self.pause.wait(CATCH_UP);
+        let plan = self.cluster.processes.plan();
+        let wiped = self.random.random_range(1..=plan.members);
+        let disk = plan.disk(wiped);
+        for target in self.targets() {
+            let is_hit = match loss {
+                FinalLoss::None => false,
+                FinalLoss::Members => target.program == Program::ControlPlane,
+                FinalLoss::DiskAndProcesses => true,
+            };
+            if is_hit {
+                self.signal(target, Signal::KILL);
+            }
+        }
+        if loss == FinalLoss::DiskAndProcesses {
+            self.cluster.kill(wiped);
+            std::fs::remove_dir_all(disk).unwrap();
+            let target = Target {
+                program: Program::ControlPlane,
+                number: wiped,
+            };
+            *self.state(target) = ProcessState::Down {
+                restart_at: Instant::now(),
+            };
         }
         self.settle();
     }
 
+    fn targets(&self) -> Vec<Target> {
+        self.processes.iter().map(|process| process.0).collect()
+    }
+
     fn all_run(&self) -> bool {
         let mut states = self.processes.iter().map(|process| process.1);
         states.all(|state| matches!(state, ProcessState::Running))
@@ -111,7 +145,8 @@
         if self.cluster.processes.pid(&name).is_none() {
             return;
         }
-        self.recorder.record_signal(&name, signal);
+        self.recorder
+            .record_process(&name, ProcessEvent::Signalled(signal));
         self.cluster.signal_program(&name, signal);
         let state = self.state(target);
         match (signal, *state) {
@@ -167,6 +202,8 @@
         if Instant::now() < restart_at {
             return ProcessState::Down { restart_at };
         }
+        self.recorder
+            .record_process(&target.process_name(), ProcessEvent::Started);
         let processes = &mut self.cluster.processes;
         processes
             .start(target.program, target.number, false)
--- a/crates/fennelpin-cli/tests/soak/recorder.rs
+++ b/crates/fennelpin-cli/tests/soak/recorder.rs
@@ -59,15 +59,36 @@
     pub ended_at: Instant,
 }
 
-/// A signal to a program.
+/// What the platform did to a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProcessEvent {
+    Signalled(Signal),
+    Started,
+}
+
+/// Something that the platform did to a process.
 #[derive(Clone, Debug)]
-pub struct SignalRecord {
+pub struct ProcessRecord {
     /// Machine and program: `edge-1/proxy`.
     pub process: String,
-    pub signal: Signal,
+    pub event: ProcessEvent,
+    pub at: Instant,
+}
+
+/// A host began to run a request.
+#[derive(Clone, Debug)]
+pub struct RunRecord {
+    pub host: String,
     pub at: Instant,
 }
 
+/// A host's word that it is draining was acknowledged.
+#[derive(Clone, Debug)]
+pub struct DrainRecord {
+    pub host: String,
+    pub acknowledged_at: Instant,
+}
+
 /// A configuration that was acknowledged, or read.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionRecord {
@@ -82,8 +103,9 @@
 #[derive(Default)]
 pub struct Recorder {
     requests: Mutex<Vec<RequestRecord>>,
-    runs: Mutex<HashMap<String, Vec<Instant>>>,
-    signals: Mutex<Vec<SignalRecord>>,
+    runs: Mutex<HashMap<String, Vec<RunRecord>>>,
+    drains: Mutex<Vec<DrainRecord>>,
+    processes: Mutex<Vec<ProcessRecord>>,
     acknowledged: Mutex<Vec<VersionRecord>>,
     read: Mutex<Vec<VersionRecord>>,
     failures: Mutex<Vec<String>>,
@@ -92,9 +114,10 @@
 /// All records of a run that is over.
 pub struct Recording {
     pub requests: Vec<RequestRecord>,
-    /// By attempt id: when hosts began to run the request.
-    pub runs: HashMap<String, Vec<Instant>>,
-    pub signals: Vec<SignalRecord>,
+    /// By attempt id: the hosts that began to run the request.
+    pub runs: HashMap<String, Vec<RunRecord>>,
+    pub drains: Vec<DrainRecord>,
+    pub processes: Vec<ProcessRecord>,
     pub acknowledged: Vec<VersionRecord>,
     pub read: Vec<VersionRecord>,
     /// Failures that were seen as they happened.
@@ -107,15 +130,27 @@
     }
 
     /// A host begins to run a request.
-    pub fn record_run(&self, id: &str) {
+    pub fn record_run(&self, id: &str, host: &str) {
         let mut runs = self.runs.lock().unwrap();
-        runs.entry(id.to_owned()).or_default().push(Instant::now());
+        runs.entry(id.to_owned()).or_default().push(RunRecord {
+            host: host.to_owned(),
+            at: Instant::now(),
+        });
+    }
+
+    /// A host's word that it is draining was acknowledged just now.
+    pub fn record_drain(&self, host: &str) {
+        self.drains.lock().unwrap().push(DrainRecord {
+            host: host.to_owned(),
+            acknowledged_at: Instant::now(),
+        });
     }
 
-    pub fn record_signal(&self, process: &str, signal: Signal) {
-        self.signals.lock().unwrap().push(SignalRecord {
+    /// The platform does something to a process.
+    pub fn record_process(&self, process: &str, event: ProcessEvent) {
+        self.processes.lock().unwrap().push(ProcessRecord {
             process: process.to_owned(),
-            signal,
+            event,
             at: Instant::now(),
         });
     }
@@ -141,7 +176,8 @@
         Recording {
             requests: take(&self.requests),
             runs: take(&self.runs),
-            signals: take(&self.signals),
+            drains: take(&self.drains),
+            processes: take(&self.processes),
             acknowledged: take(&self.acknowledged),
             read: take(&self.read),
             failures: take(&self.failures),
--- a/crates/fennelpin-cli/tests/soak/rules.rs
+++ b/crates/fennelpin-cli/tests/soak/rules.rs
@@ -1,8 +1,9 @@
 //! What must hold, whatever the platform plans.
 
-use super::recorder::{Recording, RequestEnd, RequestRecord};
+use super::recorder::{ProcessEvent, Recording, RequestEnd, RequestRecord, RunRecord};
 use super::settings::GRACE;
 use rustix::process::Signal;
+use std::collections::BTreeMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
@@ -14,6 +15,10 @@
 const SIGNAL_SLACK: Duration = Duration::from_millis(20);
 /// A response so near to the deadline was ended by it.
 const DEADLINE_SLACK: Duration = Duration::from_millis(50);
+/// From the acknowledgement on requests may still reach a draining host for so long.
+const DRAIN_TIME: Duration = Duration::from_secs(2);
+/// A machine is in touch once nothing has happened to it and to the members for so long.
+const CONTACT_TIME: Duration = Duration::from_secs(3);
 /// Longest time from a request to its end beyond its deadline.
 const MAX_OVERTIME: Duration = Duration::from_secs(1);
 
@@ -34,6 +39,8 @@
     HeldBack(RequestRecord),
     /// A read gave a version below one that was acknowledged before.
     StaleRead { read: u64, acknowledged: u64 },
+    /// A request reached a host too long after the acknowledgement that it is draining.
+    SentToDraining { id: String, after: Duration },
     /// Anything else that was seen as it happened.
     Failure(String),
 }
@@ -54,6 +61,12 @@
             Violation::StaleRead { read, acknowledged } => {
                 write!(f, "CONFIG: read {read} after {acknowledged}")
             }
+            Violation::SentToDraining { id, after } => {
+                write!(
+                    f,
+                    "DRAIN: {id} reached a host {after:?} after the acknowledgement"
+                )
+            }
             Violation::Failure(text) => write!(f, "{text}"),
         }
     }
@@ -71,6 +84,7 @@
         found.extend(judge_request(recording, request));
     }
     found.extend(stale_reads(recording));
+    found.extend(sent_to_draining(recording));
     found
 }
 
@@ -130,10 +144,11 @@
     request: &RequestRecord,
 ) -> impl Iterator<Item = Instant> + 'a {
     let proxy = format!("edge-{}/proxy", request.edge);
+    let terminated = ProcessEvent::Signalled(Signal::TERM);
     recording
-        .signals
+        .processes
         .iter()
-        .filter(move |record| record.process == proxy && record.signal == Signal::TERM)
+        .filter(move |record| record.process == proxy && record.event == terminated)
         .map(|record| record.at)
 }
 
@@ -172,3 +187,40 @@
     }
     found
 }
+
+fn sent_to_draining(recording: &Recording) -> Vec<Violation> {
+    let mut found = Vec::new();
+    for request in &recording.requests {
+        let runs = recording.runs.get(&request.id);
+        for run in runs.into_iter().flatten() {
+            let drain = recording.drains.iter().find(|drain| drain.host == run.host);
+            let Some(after) = drain.map(|d| run.at.saturating_duration_since(d.acknowledged_at))
+            else {
+                continue;
+            };
+            if after > DRAIN_TIME && is_in_touch(recording, request.edge, run) {
+                let id = request.id.clone();
+                found.push(Violation::SentToDraining { id, after });
+            }
+        }
+    }
+    found
+}
+
+/// Whether a machine that passed a request on, and all members, had run undisturbed for long enough.
+fn is_in_touch(recording: &Recording, edge: u8, run: &RunRecord) -> bool {
+    let machine = format!("edge-{edge}/");
+    let hangup = ProcessEvent::Signalled(Signal::HUP);
+    let mut last_events = BTreeMap::new();
+    for record in &recording.processes {
+        let concerns = record.process.starts_with(&machine) || record.process.starts_with("core-");
+        if concerns && record.event != hangup && record.at <= run.at {
+            last_events.insert(&record.process, record);
+        }
+    }
+    last_events.values().all(|record| match record.event {
+        ProcessEvent::Started => run.at.duration_since(record.at) >= CONTACT_TIME,
+        // It has not started again yet.
+        ProcessEvent::Signalled(_) => false,
+    })
+}
--- a/crates/fennelpin-cli/tests/soak/run.rs
+++ b/crates/fennelpin-cli/tests/soak/run.rs
@@ -1,7 +1,7 @@
 //! One run from its seed to its report.
 
 use super::clients::Client;
-use super::driver::Driver;
+use super::driver::{Driver, FinalLoss};
 use super::front_selection::{Front, FrontSelection};
 use super::harness::cluster::TestCluster;
 use super::harness::{faulty_hosts, wait_until};
@@ -21,8 +21,12 @@
 
 /// Hosts of one service.
 const HOSTS: u8 = 6;
-/// Part of the runs in which all members are killed at the end: one in so many.
-const KILL_ALL_EVERY: u64 = 2;
+/// What is lost at the end, by turns.
+const FINAL_LOSSES: [FinalLoss; 3] = [
+    FinalLoss::None,
+    FinalLoss::Members,
+    FinalLoss::DiskAndProcesses,
+];
 /// Body of the request that shows that a proxy serves: no delay, no events.
 const FIRST_REQUEST: &str = "first:0:0:0";
 /// Violations that a report names, at most.
@@ -65,7 +69,7 @@
     let events = schedule::draw(seed, settings.edges, settings.members, settings.duration);
     let recorder = Arc::new(Recorder::default());
     let hosts_stop = Arc::new(StopSignal::default());
-    let cluster = start_cluster(settings, &recorder, &hosts_stop);
+    let cluster = start_cluster(settings, seed, &recorder, &hosts_stop);
     let fronts = FrontSelection::new(fronts(&cluster));
     let members: Vec<SocketAddr> = (1..=settings.members).map(|n| cluster.control(n)).collect();
     let mut driver = Driver::new(cluster, &recorder, seed);
@@ -83,9 +87,7 @@
         // The clients' last requests are still under way while processes end and start.
         driver.settle();
     });
-    if seed % KILL_ALL_EVERY == 0 {
-        driver.kill_all_members();
-    }
+    driver.lose(FINAL_LOSSES[seed as usize % FINAL_LOSSES.len()]);
     check_settled(&driver.cluster, &members, &recorder);
     hosts_stop.raise();
     let report = report(seed, settings, events.len(), &recorder.take());
@@ -95,6 +97,7 @@
 
 fn start_cluster(
     settings: &SoakSettings,
+    seed: u64,
     recorder: &Arc<Recorder>,
     hosts_stop: &Arc<StopSignal>,
 ) -> TestCluster {
@@ -106,7 +109,8 @@
     let hosts: Vec<_> = (1..=HOSTS)
         .map(|n| cluster.processes.plan().host(n))
         .collect();
-    stream_hosts::start(&hosts, &members, recorder, hosts_stop);
+    let drain_times = schedule::draw_drain_times(seed, hosts.len(), settings.duration);
+    stream_hosts::start(&hosts, &drain_times, &members, recorder, hosts_stop);
     let sent_at = Instant::now();
     let first = operator::change(1);
     let answer = operator::call(&mut members, &first.call(), &StopSignal::default());
--- a/crates/fennelpin-cli/tests/soak/schedule.rs
+++ b/crates/fennelpin-cli/tests/soak/schedule.rs
@@ -103,6 +103,18 @@
     events
 }
 
+/// Draws when hosts begin to drain; most never do.
+pub fn draw_drain_times(seed: u64, hosts: usize, duration: Duration) -> Vec<Option<Duration>> {
+    let mut random = Pcg64Mcg::new(u128::from(seed) << 8 | 9);
+    let draining = 0..hosts / 3;
+    (0..hosts)
+        .map(|host| {
+            let share = random.random_range(0.2..0.8);
+            draining.contains(&host).then(|| duration.mul_f64(share))
+        })
+        .collect()
+}
+
 struct Drawer {
     random: Pcg64Mcg,
     edges: u8,
--- a/crates/fennelpin-cli/tests/soak/stream_hosts.rs
+++ b/crates/fennelpin-cli/tests/soak/stream_hosts.rs
@@ -1,7 +1,7 @@
 //! Sound hosts: each runs a request as its body says, and records that it did.
 
 use super::harness::faulty_hosts::HttpMessage;
-use super::harness::heartbeat::{HostRecord, HEARTBEAT_INTERVAL};
+use super::harness::heartbeat::{HostPhase, HostRecord, HEARTBEAT_INTERVAL};
 use super::recorder::Recorder;
 use super::stop_signal::StopSignal;
 use std::fmt;
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::str::FromStr;
 use std::sync::Arc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// Requests that a host says it can run at once.
 const CAPACITY: u32 = 64;
@@ -60,9 +60,11 @@
     format!("id: {id}\ndata: event {id}\n\n")
 }
 
-/// Starts hosts at these addresses. They send heartbeats to these members until `stop` is raised.
+/// Starts hosts at these addresses. They send heartbeats to these members until `stop` is raised, and say that they are
+/// draining after these times; they serve on all the same.
 pub fn start(
     addresses: &[SocketAddrV4],
+    drain_times: &[Option<Duration>],
     controls: &[SocketAddr],
     recorder: &Arc<Recorder>,
     stop: &Arc<StopSignal>,
@@ -81,15 +83,48 @@
         };
         let listener = TcpListener::bind(address).unwrap();
         std::thread::spawn(move || host.accept(&listener));
-        let (controls, stop) = (controls.to_vec(), stop.clone());
-        std::thread::spawn(move || {
-            for sequence in 1.. {
-                record.send_heartbeat(sequence, &controls);
-                if stop.wait(HEARTBEAT_INTERVAL) {
-                    return;
-                }
+        let heartbeats = Heartbeats {
+            record,
+            drain_after: drain_times[n],
+            controls: controls.to_vec(),
+            recorder: recorder.clone(),
+            stop: stop.clone(),
+        };
+        std::thread::spawn(move || heartbeats.send_until_stopped());
+    }
+}
+
+/// The heartbeats of one host.
+struct Heartbeats {
+    record: HostRecord,
+    drain_after: Option<Duration>,
+    controls: Vec<SocketAddr>,
+    recorder: Arc<Recorder>,
+    stop: Arc<StopSignal>,
+}
+
+impl Heartbeats {
+    fn send_until_stopped(&self) {
+        let start = Instant::now();
+        let mut drain_acknowledged = false;
+        for sequence in 1.. {
+            let drains = self
+                .drain_after
+                .is_some_and(|after| start.elapsed() >= after);
+            let phase = if drains {
+                HostPhase::Draining
+            } else {
+                HostPhase::Ready
+            };
+            let acknowledged = self.record.send_heartbeat(phase, sequence, &self.controls);
+            if drains && acknowledged && !drain_acknowledged {
+                drain_acknowledged = true;
+                self.recorder.record_drain(&self.record.id);
+            }
+            if self.stop.wait(HEARTBEAT_INTERVAL) {
+                return;
             }
-        });
+        }
     }
 }
 
@@ -121,7 +156,7 @@
                 stream.write_all(text.as_bytes())?;
                 continue;
             };
-            self.recorder.record_run(&work.id);
+            self.recorder.record_run(&work.id, &self.id);
             self.stop.wait(work.delay);
             if work.events == 0 {
                 self.respond(&mut stream, &request, &work)?;
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -16,9 +16,8 @@
 const MAX_REJECTED_CONNECTIONS: usize = 200;
 /// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// How often it is looked whether connections are still open while new ones are accepted, and after that.
-const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How often it is looked whether connections are still open while new ones are accepted.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How far a graceful shutdown has come, for connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
@@ -105,13 +104,6 @@
         }
     }
 
-    /// Waits until no connection is open, at most until `until`.
-    pub(crate) async fn closed(&self, until: Instant) {
-        while Instant::now() < until && self.open.get() > 0 {
-            sleep(CLOSE_POLL_INTERVAL).await;
-        }
-    }
-
     async fn handle_accepted(&self, accepted: io::Result<(TcpStream, SocketAddr)>) {
         match accepted {
             Ok((stream, _)) => self.serve(stream),
--- a/crates/proxy/src/exchange/buffered.rs
+++ b/crates/proxy/src/exchange/buffered.rs
@@ -3,16 +3,20 @@
 use super::admission::is_last_response;
 use super::attempt::{AttemptResult, HostResponse};
 use super::client_writer::ClientWriter;
-use super::host_wait::HostWait;
+use super::host_wait::{HostWait, WaitError};
 use super::{Exchange, HostError, MAX_BUFFERED_BYTES};
 use crate::response_progress::ConnectionOutcome;
 use crate::retry::AttemptOutcome;
+use crate::state::BodyReservation;
 use crate::upstream::{self, BodyRead, UpstreamConnection};
 use balancing::Outcome;
 use bytes::{Bytes, BytesMut};
 use http1::{BodyDecoder, Framing, ResponseHead};
 use tokio::time::timeout_at;
 
+/// The same limit for a response that the end of the process might truncate.
+const MAX_BUFFERED_BYTES_IN_SHUTDOWN: usize = 4 * 1024 * 1024;
+
 impl Exchange<'_> {
     /// Reads a response completely and forwards it, unless it is large.
     pub(super) async fn relay_buffered(
@@ -27,14 +31,25 @@
         wait.response_began();
         let mut decoder = BodyDecoder::new(response.head.framing);
         let mut body = BytesMut::new();
-        let read_body = async |c: &mut UpstreamConnection| {
-            c.read_body(&mut decoder, &mut body, MAX_BUFFERED_BYTES)
-                .await
-        };
-        let attempt = &response.host.attempt;
-        let read = wait
-            .run(self, &mut response.connection, attempt, read_body)
+        let mut read = self
+            .read_body_up_to(
+                MAX_BUFFERED_BYTES,
+                &mut response,
+                &mut wait,
+                &mut decoder,
+                &mut body,
+            )
             .await;
+        let mut reservation = None;
+        if matches!(read, Ok(BodyRead::OverLimit)) {
+            reservation = self.reserve_for_shutdown();
+        }
+        if reservation.is_some() {
+            let limit = MAX_BUFFERED_BYTES_IN_SHUTDOWN;
+            read = self
+                .read_body_up_to(limit, &mut response, &mut wait, &mut decoder, &mut body)
+                .await;
+        }
         match read {
             Ok(BodyRead::Complete) => self.on_complete_body(response, body.freeze()).await,
             Ok(BodyRead::OverLimit) => {
@@ -45,6 +60,32 @@
         }
     }
 
+    /// Reads a body until it is complete or larger than `limit` bytes. Another call goes on.
+    async fn read_body_up_to(
+        &mut self,
+        limit: usize,
+        response: &mut HostResponse,
+        wait: &mut HostWait,
+        decoder: &mut BodyDecoder,
+        body: &mut BytesMut,
+    ) -> Result<BodyRead, WaitError> {
+        let read_body = async |c: &mut UpstreamConnection| c.read_body(decoder, body, limit).await;
+        let attempt = &response.host.attempt;
+        wait.run(self, &mut response.connection, attempt, read_body)
+            .await
+    }
+
+    /// Reserves memory for a large response that the end of the process might truncate: until it is complete, a rejection
+    /// can still take its place. `None` where the process isn't ending before the deadline, or there is no memory.
+    fn reserve_for_shutdown(&self) -> Option<BodyReservation> {
+        let shutdown = self.state.shutdown.get()?;
+        if !shutdown.may_truncate(self.retry.deadline()) {
+            return None;
+        }
+        let memory = &self.state.body_memory;
+        memory.try_reserve(MAX_BUFFERED_BYTES_IN_SHUTDOWN)
+    }
+
     async fn on_complete_body(&mut self, response: HostResponse, body: Bytes) -> AttemptResult {
         let HostResponse {
             host,
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -126,7 +126,8 @@
     clients.accept_until_idle(listener, streams_until).await;
     clients.accept_pending(listener).await;
     clients.set_phase(DrainPhase::ClosingAll);
-    clients.closed(state.at(shutdown.exit_at)).await;
+    let exit_at = state.at(shutdown.exit_at);
+    clients.accept_until_idle(listener, exit_at).await;
 }
 
 async fn bind(purpose: &'static str, addr: Option<SocketAddrV4>) -> Result<TcpListener, Error> {
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -61,9 +61,13 @@
     pub(crate) fn admits(&self, now: Duration, deadline: Duration, kind: RouteKind) -> bool {
         let fits = deadline <= self.responses_until;
         match kind {
-            RouteKind::Streaming => now < self.responses_until && deadline <= self.streams_until,
+            RouteKind::Streaming => now < self.responses_until && !self.may_truncate(deadline),
             RouteKind::Mutating => fits || now < self.full_service_until,
             RouteKind::Pure => fits || now < self.repeatable_until,
         }
     }
+    /// Whether a response with this deadline, once it has begun, may be truncated by the end of the process.
+    pub(crate) fn may_truncate(&self, deadline: Duration) -> bool {
+        deadline > self.streams_until
+    }
 }
--- a/crates/proxy/tests/streams_at_shutdown.rs
+++ b/crates/proxy/tests/streams_at_shutdown.rs
@@ -112,3 +112,32 @@
         assert!(signalled_at.elapsed() < grace, "killed");
     });
 }
+
+/// Larger than what is buffered at other times.
+const LARGE_BODY_BYTES: usize = 400_000;
+
+#[rstest]
+#[case::stalls(LARGE_BODY_BYTES - 1, 502)]
+#[case::ends(LARGE_BODY_BYTES, 200)]
+fn large_response_in_a_shutdown_is_begun_only_when_it_is_complete(
+    #[case] sent_bytes: usize,
+    #[case] status: u16,
+) {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let mut proxy = proxy_with_host(&host).await;
+        proxy.signal_stop();
+        while proxy.readiness_status().await == 200 {}
+        let mut client = proxy.send_request("/pure/a").await;
+        let mut conn = host.accept().await;
+        conn.read_message().await.unwrap();
+        let body = "x".repeat(sent_bytes);
+        conn.send(&format!(
+            "HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: one\r\nFennelpin-Host-Seal: seal\r\n\
+             Content-Length: {LARGE_BODY_BYTES}\r\n\r\n{body}"
+        ))
+        .await;
+        let response = client.read_message().await.expect("an answer or a refusal");
+        assert_eq!((response.status(), response.complete), (status, true));
+    });
+}
