--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -13,9 +13,9 @@
 /// Requests whose response has not begun get a local reply so long before the platform kills the process.
 const REPLY_MARGIN: Duration = Duration::from_millis(700);
 /// Responses that have begun are truncated so long before the platform kills the process. Connections end meanwhile.
-const TRUNCATION_MARGIN: Duration = Duration::from_millis(200);
+const TRUNCATION_MARGIN: Duration = Duration::from_millis(150);
 /// The process waits for its connections to end until so long before the platform kills it.
-const EXIT_MARGIN: Duration = Duration::from_millis(100);
+const EXIT_MARGIN: Duration = Duration::from_millis(75);
 /// In the last moments before the local replies a request has to fit into the time that is left, as a host may need as
 /// long.
 const LAST_REQUESTS: Duration = Duration::from_millis(300);
--- a/crates/proxy/tests/common/proxy_under_test.rs
+++ b/crates/proxy/tests/common/proxy_under_test.rs
@@ -133,6 +133,19 @@
         proxy
     }
 
+    /// A proxy with [`ROUTES`] to one host, which the platform kills so long after it asked for its end.
+    pub async fn with_grace(grace_s: f64, host: &FakeHost) -> Self {
+        let proxy = Self::with_options(ProxyOptions {
+            grace_s,
+            ..ProxyOptions::default()
+        })
+        .await;
+        proxy
+            .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
+            .await;
+        proxy
+    }
+
     /// Gives the proxy a configuration and hosts, and waits until it has them.
     pub async fn apply_fleet(&self, configuration: Arc<Configuration>, hosts: Vec<HostInfo>) {
         self.apply_fleet_with_peers(configuration, hosts, vec![])
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -4,26 +4,14 @@
 use common::*;
 use tokio::net::TcpStream;
 
-fn short_grace() -> ProxyOptions {
-    ProxyOptions {
-        grace_s: 1.7,
-        ..ProxyOptions::default()
-    }
-}
-
-async fn proxy_with_host(setup: ProxyOptions, host: &FakeHost) -> Proxy {
-    let proxy = Proxy::with_options(setup).await;
-    proxy
-        .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
-        .await;
-    proxy
-}
+/// Shorter than full service.
+const SHORT_GRACE_S: f64 = 1.7;
 
 #[test]
 fn stopping_proxy_is_not_ready_and_still_serves() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(short_grace(), &host).await;
+        let mut proxy = Proxy::with_grace(SHORT_GRACE_S, &host).await;
         let mut old = proxy.send_request("/pure/a").await;
         let mut conn = host.accept().await;
         conn.respond_ok("before").await;
@@ -54,14 +42,7 @@
 fn requests_in_flight_are_answered_before_the_process_ends() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(
-            ProxyOptions {
-                grace_s: 4.5,
-                ..ProxyOptions::default()
-            },
-            &host,
-        )
-        .await;
+        let mut proxy = Proxy::with_grace(4.5, &host).await;
         let mut idle = proxy.client().await;
         let mut busy = proxy.send_request("/live/a").await;
         let mut conn = host.accept().await;
@@ -90,14 +71,7 @@
 fn late_request_that_may_outlast_the_process_is_rejected() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(
-            ProxyOptions {
-                grace_s: 6.0,
-                ..ProxyOptions::default()
-            },
-            &host,
-        )
-        .await;
+        let mut proxy = Proxy::with_grace(6.0, &host).await;
         let mut idle = proxy.client().await;
         let mut late = proxy.send_request("/live/a").await;
         let mut stream = host.accept().await;
@@ -153,7 +127,7 @@
 fn request_in_flight_at_the_end_gets_a_true_status() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(short_grace(), &host).await;
+        let mut proxy = Proxy::with_grace(SHORT_GRACE_S, &host).await;
         let mut sent = proxy.send_request("/once/a").await;
         let mut conn = host.accept().await;
         conn.read_message().await.unwrap();
@@ -183,14 +157,7 @@
 fn counters_are_returned_at_the_end() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let proxy = proxy_with_host(
-            ProxyOptions {
-                grace_s: 0.8,
-                ..ProxyOptions::default()
-            },
-            &host,
-        )
-        .await;
+        let proxy = Proxy::with_grace(0.8, &host).await;
         let mut client = proxy.send_request("/pure/a").await;
         let mut conn = host.accept().await;
         conn.respond_ok("done").await;
@@ -216,7 +183,7 @@
 fn request_in_the_last_moments_is_rejected_before_a_host_has_it() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(short_grace(), &host).await;
+        let mut proxy = Proxy::with_grace(SHORT_GRACE_S, &host).await;
         // The platform's clients keep coming to the end, and the host responds to each at once.
         let clients: Vec<_> = (0..8)
             .map(|n| tokio::task::spawn_local(send_requests_until_refused(proxy.client_address, n)))
--- a/crates/proxy/tests/late_streams_at_shutdown.rs
+++ b/crates/proxy/tests/late_streams_at_shutdown.rs
@@ -11,14 +11,7 @@
 /// What a client gets that asks for a stream of at most `deadline_ms` once streams aren't taken any more.
 async fn request_late(path: &str, deadline_ms: u64) -> Message {
     let mut host = FakeHost::new("h1", "s").await;
-    let mut proxy = Proxy::with_options(ProxyOptions {
-        grace_s: GRACE_S,
-        ..ProxyOptions::default()
-    })
-    .await;
-    proxy
-        .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
-        .await;
+    let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
     // A request that is out keeps the process there; the idle connection's end shows that time has passed.
     let mut busy = proxy.send_request("/once/a").await;
     let mut conn = host.accept().await;
--- a/crates/proxy/tests/requests_ahead_at_shutdown.rs
+++ b/crates/proxy/tests/requests_ahead_at_shutdown.rs
@@ -3,23 +3,11 @@
 mod common;
 use common::*;
 
-async fn proxy_with_host(host: &FakeHost, grace_s: f64) -> Proxy {
-    let proxy = Proxy::with_options(ProxyOptions {
-        grace_s,
-        ..ProxyOptions::default()
-    })
-    .await;
-    proxy
-        .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
-        .await;
-    proxy
-}
-
 #[test]
 fn requests_sent_ahead_before_the_signal_are_all_answered() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(&host, 4.0).await;
+        let mut proxy = Proxy::with_grace(4.0, &host).await;
         let mut client = proxy.client().await;
         let (one, two) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
         client.send(&format!("{one}{two}")).await;
@@ -44,7 +32,7 @@
 fn request_sent_ahead_of_one_that_the_end_cuts_off_is_rejected() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(&host, 1.2).await;
+        let mut proxy = Proxy::with_grace(1.2, &host).await;
         let mut client = proxy.client().await;
         let (one, two) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
         client.send(&format!("{one}{two}")).await;
--- a/crates/proxy/tests/streams_at_shutdown.rs
+++ b/crates/proxy/tests/streams_at_shutdown.rs
@@ -10,23 +10,11 @@
 /// A stream in flight is truncated no sooner than this before the platform's kill.
 const MAX_TRUNCATION_MARGIN: Duration = Duration::from_millis(200);
 
-async fn proxy_with_host(host: &FakeHost) -> Proxy {
-    let proxy = Proxy::with_options(ProxyOptions {
-        grace_s: GRACE_S,
-        ..ProxyOptions::default()
-    })
-    .await;
-    proxy
-        .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
-        .await;
-    proxy
-}
-
 #[test]
 fn stream_that_outlasts_the_grace_when_it_came_before_the_signal_is_truncated_and_counted() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(&host).await;
+        let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
         let mut client = proxy.send_request("/live/a").await;
         let mut stream = host.accept().await;
         stream.start_stream("seal", &[1]).await;
@@ -50,7 +38,7 @@
     deadline_ms: u64,
     on_open_connection: bool,
 ) -> Message {
-    let mut proxy = proxy_with_host(host).await;
+    let mut proxy = Proxy::with_grace(GRACE_S, host).await;
     let mut open = proxy.client().await;
     open.send(&request("/quick/a", "early", "")).await;
     let mut conn = host.accept().await;
@@ -97,7 +85,7 @@
 fn stream_in_flight_at_the_signal_is_served_until_shortly_before_the_kill() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(&host).await;
+        let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
         let mut client = proxy.send_request("/live/a").await;
         let mut stream = host.accept().await;
         stream.start_stream("seal", &[1]).await;
@@ -125,7 +113,7 @@
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let mut proxy = proxy_with_host(&host).await;
+        let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
         proxy.signal_stop();
         while proxy.readiness_status().await == 200 {}
         let mut client = proxy.send_request("/pure/a").await;
