--- a/crates/coordinator/src/core/table/attempts.rs
+++ b/crates/coordinator/src/core/table/attempts.rs
@@ -7,6 +7,9 @@
 use bytes::Bytes;
 use std::time::{Duration, Instant};
 
+/// A part is not sent so shortly before the window of its key ends: it still has to be written.
+const WRITE_MARGIN: Duration = Duration::from_millis(20);
+
 impl<T: Transport> QueryTable<T> {
     /// Handles the end of an attempt: keeps its value, and tells the decision module.
     pub(super) fn attempt_ended(&mut self, mut end: AttemptEnd, now: Instant) {
@@ -24,7 +27,7 @@
         self.timeouts
             .remove(&(attempt.times_out_at, end.part, end.attempt));
         self.counters.inc(outcome_counter(end.outcome));
-        let closed = self.end_part_attempt(&mut end, size);
+        let closed = self.end_part_attempt(&mut end, size, attempt.sent_at);
         let latency = now.saturating_duration_since(attempt.sent_at);
         log::trace!(
             "ended {} {:?} {latency:?} {} {:?}",
@@ -56,13 +59,19 @@
     }
 
     /// Records the end in its part and keeps the first value. Returns whether the part is over.
-    fn end_part_attempt(&mut self, end: &mut AttemptEnd, size: usize) -> bool {
+    fn end_part_attempt(&mut self, end: &mut AttemptEnd, size: usize, sent_at: Instant) -> bool {
         let served = end.outcome == Outcome::Ok;
         let Some(part) = self.parts.get_mut(&end.part) else {
             return true;
         };
         part.last_outcome = Some(end.outcome);
         part.in_flight = false;
+        if !end.outcome.never_ran() {
+            let since = part
+                .may_have_run_since
+                .map_or(sent_at, |since| since.min(sent_at));
+            part.may_have_run_since = Some(since);
+        }
         if served && part.value.is_none() {
             self.value_bytes += size;
             part.value = end.value.take();
@@ -81,6 +90,18 @@
         }
     }
 
+    /// When it is too late to send a part once more: its key holds for a window from the first attempt that may have run.
+    /// The decision module has looked at it, but the attempt may still have to wait for a connection.
+    fn send_before(&self, id: RequestId) -> Option<Instant> {
+        let part = self.parts.get(&id)?;
+        let window = self.queries.get(&part.query)?.repeat_window?;
+        let in_flight = (0..part.attempts)
+            .filter_map(|number| self.attempts.get(&(id, number)))
+            .map(|attempt| attempt.sent_at);
+        let first = in_flight.chain(part.may_have_run_since).min()?;
+        Some(first + window.saturating_sub(WRITE_MARGIN))
+    }
+
     /// Begins an attempt. Returns the request to send; `None` if the part or its query is over.
     pub(super) fn new_attempt(
         &mut self,
@@ -89,6 +110,7 @@
         timeout: Duration,
         now: Instant,
     ) -> Option<PartRequest> {
+        let send_before = self.send_before(id);
         let part = self.parts.get_mut(&id)?;
         let query = self.queries.get(&part.query)?;
         let number = part.attempts;
@@ -112,6 +134,7 @@
             query_name: query.name.clone(),
             shard: part.shard,
             times_out_at,
+            send_before,
             idempotency_key: query.idempotency_key.clone(),
             payload: query.payload.clone(),
         };
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -33,6 +33,9 @@
     idempotency_key: Option<Arc<str>>,
     payload: Bytes,
     deadline: Instant,
+    /// For how long after the first attempt that may have run a part may be sent again; `None` for no limit, or where it
+    /// may not be sent again at all.
+    repeat_window: Option<Duration>,
     parts: Vec<RequestId>,
 }
 
@@ -45,6 +48,8 @@
     in_flight: bool,
     value: Option<Bytes>,
     last_outcome: Option<Outcome>,
+    /// When the first of the attempts that have ended and may have run was sent.
+    may_have_run_since: Option<Instant>,
 }
 
 /// An attempt in flight.
@@ -77,8 +82,8 @@
     max_parts_per_call: usize,
     drain_grace: Duration,
     max_retry_after: Option<Duration>,
-    /// By class: whether hosts are sent the idempotency key.
-    class_sends_key: Vec<bool>,
+    /// By class: how a part may be repeated.
+    class_idempotency: Vec<Idempotency>,
     /// Whether attempts may be cancelled. The decision module then cancels what nobody waits for.
     cancellation: bool,
     servers: NameTable,
@@ -124,11 +129,7 @@
         counters: Counters,
     ) -> Self {
         let settings = site.router;
-        let class_sends_key = settings
-            .classes
-            .iter()
-            .map(|c| c.idempotency != Idempotency::Idempotent)
-            .collect();
+        let class_idempotency = settings.classes.iter().map(|c| c.idempotency).collect();
         Self {
             max_open: site.limits.max_open,
             max_parts_per_call: settings.max_parts_per_call.max(1) as usize,
@@ -139,7 +140,7 @@
             clock,
             transport,
             counters,
-            class_sends_key,
+            class_idempotency,
             servers: NameTable::default(),
             zones: site.zones,
             endpoints: BTreeMap::new(),
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -3,7 +3,7 @@
 use super::{Part, Query, QueryTable};
 use crate::core::query::{Answer, MissingPart, NewPart, NewQuery, PartAnswer};
 use crate::core::transport::Transport;
-use crate::interface::{Cause, Event, Outcome, RequestId};
+use crate::interface::{Cause, Event, Idempotency, Outcome, RequestId};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
@@ -97,14 +97,25 @@
         self.queries_by_ticket.insert(ticket, id);
         self.deadlines.insert((deadline, id));
         self.names_in_use.insert(new.name.clone(), 1);
-        let sends_key = self.class_sends_key.get(new.class.0 as usize).copied();
+        let idempotency = self
+            .class_idempotency
+            .get(new.class.0 as usize)
+            .copied()
+            .unwrap_or(Idempotency::Idempotent);
+        // Hosts are sent the key where a repeat could do harm.
+        let sends_key = idempotency != Idempotency::Idempotent;
+        let repeat_window = match idempotency {
+            Idempotency::Keyed(window) => Some(window),
+            Idempotency::Idempotent | Idempotency::NotIdempotent => None,
+        };
         let query = Query {
             ticket,
             reply,
             name: new.name,
-            idempotency_key: new.idempotency_key.filter(|_| sends_key.unwrap_or(false)),
+            idempotency_key: new.idempotency_key.filter(|_| sends_key),
             payload: new.payload,
             deadline,
+            repeat_window,
             parts,
         };
         self.queries.insert(id, query);
@@ -119,6 +130,7 @@
             in_flight: false,
             value: None,
             last_outcome: None,
+            may_have_run_since: None,
         };
         self.parts.insert(id, part);
         self.notify_router(
--- a/crates/coordinator/src/core/transport.rs
+++ b/crates/coordinator/src/core/transport.rs
@@ -19,12 +19,27 @@
     pub shard: u32,
     /// When the attempt times out.
     pub times_out_at: Instant,
+    /// When it is too late to send it, though the attempt has not timed out: the repeat of a part whose key no longer holds
+    /// then.
+    pub send_before: Option<Instant>,
     /// The query's key.
     pub idempotency_key: Option<Arc<str>>,
     /// The query's payload.
     pub payload: Bytes,
 }
 
+impl PartRequest {
+    /// Whether its first byte may be written now.
+    pub fn may_be_sent(&self, now: Instant) -> bool {
+        now < self.times_out_at && self.may_be_repeated(now)
+    }
+
+    /// Whether its key, if it is a repeat, still holds.
+    pub fn may_be_repeated(&self, now: Instant) -> bool {
+        self.send_before.is_none_or(|too_late| now < too_late)
+    }
+}
+
 /// Carries calls to hosts. The end of each attempt and probe comes back as one
 /// [`CoreMessage`](super::CoreMessage).
 pub trait Transport: Send {
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -145,8 +145,8 @@
         self.idle.mul_f64(IDLE_SHARE)
     }
 
-    /// The parts of a call that may still be sent; the others end here, never sent. Waiting in our own
-    /// buffers counts against a part's time-out and against a drain's grace.
+    /// The parts of a call that may still be sent; the others end here, never sent. Waiting for a connection and in our
+    /// own buffers counts against a part's time-out, against the window of its key and against a drain's grace.
     pub fn sendable(&self, call: Vec<PartRequest>, now: Instant) -> Vec<PartRequest> {
         let shut = |(gate, origin): &(Arc<DrainGate>, Instant)| {
             !gate.allows_send(now.saturating_duration_since(*origin).as_micros() as u64)
@@ -155,9 +155,12 @@
             self.stop_at.is_some_and(|t| now >= t) || self.gate.as_ref().is_some_and(shut);
         let (go, stay): (Vec<_>, Vec<_>) = call
             .into_iter()
-            .partition(|p| !stopped && now < p.times_out_at);
+            .partition(|p| !stopped && p.may_be_sent(now));
         for p in stay {
             self.counters.inc("sent.withheld");
+            if !p.may_be_repeated(now) {
+                self.counters.inc("sent.withheld.window");
+            }
             self.ended(p.part, p.attempt, Outcome::NotSent);
         }
         go
--- a/crates/coordinator/tests/core.rs
+++ b/crates/coordinator/tests/core.rs
@@ -16,6 +16,8 @@
 #[derive(Default)]
 struct Asked {
     calls: Vec<(ServerId, RequestId)>,
+    /// Of each part that was sent: when it is too late for that.
+    send_before: Vec<Option<Instant>>,
     forgotten: Vec<ServerId>,
     cancelled: Vec<RequestId>,
     retracted: Vec<RequestId>,
@@ -27,11 +29,11 @@
 impl Transport for Script {
     fn host_listed(&mut self, _: ServerId, _: &Endpoint, _: Option<Instant>) {}
     fn send_call(&mut self, server: ServerId, parts: Vec<PartRequest>) {
-        self.0
-            .lock()
-            .unwrap()
-            .calls
-            .extend(parts.iter().map(|p| (server, p.part)));
+        let mut asked = self.0.lock().unwrap();
+        asked.calls.extend(parts.iter().map(|p| (server, p.part)));
+        asked
+            .send_before
+            .extend(parts.iter().map(|p| p.send_before));
     }
     fn cancel(&mut self, _: ServerId, part: RequestId, _: u32, _: Outcome) {
         self.0.lock().unwrap().cancelled.push(part);
@@ -60,9 +62,17 @@
 
 /// A query of one part under this ticket.
 fn query(ticket: u64, arrived: Instant) -> (CoreMessage, tokio::sync::oneshot::Receiver<Answer>) {
-    let (name, class, parts) = (
+    query_of_class(ClassId(0), ticket, arrived)
+}
+
+/// The same of another class.
+fn query_of_class(
+    class: ClassId,
+    ticket: u64,
+    arrived: Instant,
+) -> (CoreMessage, tokio::sync::oneshot::Receiver<Answer>) {
+    let (name, parts) = (
         "q".into(),
-        ClassId(0),
         vec![NewPart {
             shard: 0,
             weight: 1.0,
@@ -130,6 +140,57 @@
     }
 }
 
+/// The keyed class of the settings, and the window of its keys.
+const KEYED: ClassId = ClassId(2);
+const KEY_WINDOW_MS: u64 = 1000;
+
+/// The repeat of a keyed part may wait for a connection: the transport is told when its key no longer holds.
+#[test]
+fn a_repeat_of_a_keyed_part_is_to_be_sent_within_its_window() {
+    let site = settings::read(&settings().to_string()).unwrap();
+    let (script, start) = (Script::default(), Instant::now());
+    let mut table = QueryTable::new(
+        site,
+        7,
+        Clock::new(),
+        script.clone(),
+        1 << 20,
+        Counters::default(),
+    );
+    let hosts = vec![host(0, ServerState::Ready), host(1, ServerState::Ready)];
+    table.handle_message(CoreMessage::HostList(ListKind::Full, hosts), start);
+    let (query, _answer) = query_of_class(KEYED, 1, start);
+    table.handle_message(query, start);
+    table.end_turn(start);
+    let part = script.0.lock().unwrap().calls[0].1;
+    assert_eq!(
+        script.0.lock().unwrap().send_before,
+        [None],
+        "nothing ran before"
+    );
+    // It may have run: the connection broke behind it.
+    let ended = AttemptEnd {
+        part,
+        attempt: 0,
+        outcome: Outcome::Reset,
+        value: None,
+        report: None,
+    };
+    table.handle_message(CoreMessage::AttemptEnded(ended), start + ms(100));
+    for n in 1..KEY_WINDOW_MS {
+        let now = start + ms(100 + n);
+        table.run_timers(now);
+        table.end_turn(now);
+        if script.0.lock().unwrap().calls.len() > 1 {
+            break;
+        }
+    }
+    let asked = script.0.lock().unwrap();
+    let window_end = start + ms(KEY_WINDOW_MS);
+    let send_before = asked.send_before[1].expect("a limit");
+    assert!(send_before < window_end && send_before > start + ms(KEY_WINDOW_MS / 2));
+}
+
 /// Where hosts are replaced by others all day, what goes by the name of one must go with it, but not while a
 /// part is still out there.
 #[test]
--- a/crates/coordinator/tests/host_connections.rs
+++ b/crates/coordinator/tests/host_connections.rs
@@ -64,6 +64,11 @@
     }
 
     fn call(&mut self, n: u64) {
+        self.call_before(n, None);
+    }
+
+    /// A call that is not to be sent any more after this.
+    fn call_before(&mut self, n: u64, send_before: Option<Instant>) {
         let give_up = Instant::now() + PATIENCE;
         let payload = payload("taxis", &Default::default());
         let name = format!("q{n}").into();
@@ -73,6 +78,7 @@
             query_name: name,
             shard: 0,
             times_out_at: give_up,
+            send_before,
             idempotency_key: None,
             payload,
         };
@@ -199,6 +205,7 @@
         query_name: name,
         shard: 0,
         times_out_at: give_up,
+        send_before: None,
         idempotency_key: None,
         payload,
     };
@@ -262,6 +269,25 @@
     );
 }
 
+/// A part that has waited for its connection until its key no longer holds is withheld: the host would run it again.
+#[test]
+fn a_repeat_after_the_window_of_its_key_is_withheld() {
+    for (dialect, http) in [
+        (Arc::new(Frames) as Arc<dyn Dialect>, false),
+        (Arc::new(OpenSearchHosts), true),
+    ] {
+        let ledger = Ledger::default();
+        let answer = if http { r#"{"hits":{}}"# } else { "v" };
+        let host = host(0, http, &ledger, move |_| Act::Serve(answer.into()));
+        let mut bench = Bench::new(dialect, &host.addr);
+        bench.call_before(1, Some(Instant::now()));
+        assert_eq!(bench.ended(), (1, Outcome::NotSent));
+        assert!(ledger.all().is_empty(), "sent though it was too late");
+        bench.call_before(2, Some(Instant::now() + PATIENCE));
+        assert_eq!(bench.ended(), (2, Outcome::Ok));
+    }
+}
+
 /// An answer that can't be read has run, and its connection is of no further use: the part ends at once as
 /// an error, not at its time-out, and the host is not taken for dead. No such length gets a buffer.
 #[test]
