--- a/crates/fennelpin-cli/tests/fault_injection/frozen_member.rs
+++ b/crates/fennelpin-cli/tests/fault_injection/frozen_member.rs
@@ -86,6 +86,7 @@
         versions_since(&cluster, 1, known)
     });
     change_while_frozen(&cluster, &mut operator, old);
+    wait_until_published(&cluster, old, operator.newest());
     thaw_and_check_answers(&mut cluster, &operator, old, known);
 
     // The agent that started beside it took no old configuration for the newest.
@@ -123,6 +124,19 @@
     versions.last().filter(|v| **v >= version).copied()
 }
 
+/// Waits until all members but a frozen one publish a version. A backup learns of a commit a moment after the operator,
+/// so that an agent that starts in between may take the version before it for the newest, and rightly so.
+fn wait_until_published(cluster: &TestCluster, frozen: u8, version: u64) {
+    let publishes = |n: &u8| {
+        let status = cluster.status(*n);
+        status.is_some_and(|status| status["ledger"]["version"] == version)
+    };
+    wait_until("the members that live publish the newest", || {
+        let mut living = ALL.iter().filter(|n| **n != frozen);
+        living.all(publishes).then_some(())
+    });
+}
+
 /// Freezes the primary. Changes are acknowledged without it, none after a long wait.
 fn change_while_frozen(cluster: &TestCluster, operator: &mut TestOperator, old: u8) {
     let known = operator.newest();
