--- a/crates/coordinator/tests/ops.rs
+++ b/crates/coordinator/tests/ops.rs
@@ -237,7 +237,7 @@
             client.query("near", &format!("q{asked}"), 2000, &[0]);
         }
         clients.iter_mut().for_each(|client| {
-            assert_eq!(client.read().0, want, "of q{asked}: {}", c.counters.text())
+            assert_eq!(client.read().0, want, "of q{asked}: {}", c.counters.text());
         });
     };
     until("both are used", || {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -121,6 +121,9 @@
     clients.set_phase(DrainPhase::ClosingIdle);
     let responses_until = state.at(shutdown.responses_until);
     clients.accept_until_idle(listener, responses_until).await;
+    // With no connection open this may be long before the schedule's end. A request that is still on its way must not be
+    // given to a host by a process that ends now.
+    state.shutdown.set(Some(shutdown.ended_early(state.now())));
     clients.set_phase(DrainPhase::EndingUnanswered);
     let streams_until = state.at(shutdown.streams_until);
     clients.accept_until_idle(listener, streams_until).await;
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -53,6 +53,17 @@
         }
     }
 
+    /// The schedule of a process that has nothing left to wait for: nothing more is admitted.
+    pub(crate) fn ended_early(self, now: Duration) -> Self {
+        Self {
+            full_service_until: self.full_service_until.min(now),
+            repeatable_until: self.repeatable_until.min(now),
+            responses_until: self.responses_until.min(now),
+            streams_until: self.streams_until.min(now),
+            ..self
+        }
+    }
+
     /// Whether a request that comes now may be given to a host.
     ///
     /// - A stream, only if its deadline is over before the process is: the end would truncate it.
--- /dev/null
+++ b/crates/proxy/tests/pending_connections_at_shutdown.rs
@@ -0,0 +1,56 @@
+//! Connections that the kernel has completed when a process that is asked to end has nothing left to wait for.
+
+mod common;
+use common::*;
+use std::io::Write;
+use std::net::TcpStream;
+use std::sync::mpsc;
+use std::time::Duration;
+
+/// Full service, after which a process with no open connection ends, and a little more.
+const STANDSTILL: Duration = Duration::from_millis(2600);
+/// Processes at once: which event of one turn is seen first is left to chance.
+const PROXIES: usize = 10;
+
+#[test]
+fn request_on_a_pending_connection_is_served_or_rejected_before_a_host_has_it() {
+    run_async_test(async {
+        let mut host = FakeHost::new("h1", "s").await;
+        let mut proxies = Vec::new();
+        for _ in 0..PROXIES {
+            let proxy = Proxy::with_grace(8.0, &host).await;
+            // On a connection that is kept a request is written in the turn in which it is read.
+            let mut early = proxy.send_request("/quick/a").await;
+            let mut conn = host.accept().await;
+            conn.respond_ok("early").await;
+            early.read_message().await.unwrap();
+            tokio::task::spawn_local(async move {
+                conn.respond_ok("done").await;
+                conn.wait_until_closed().await;
+            });
+            proxies.push(proxy);
+        }
+        proxies.iter_mut().for_each(Proxy::signal_stop);
+        for proxy in &proxies {
+            while proxy.readiness_status().await == 200 {}
+        }
+        let mut clients = Vec::new();
+        for proxy in &proxies {
+            // Blocking, so that the proxy can't accept it yet.
+            let mut client = TcpStream::connect(proxy.client_address).unwrap();
+            client
+                .write_all(request("/pure/a", "one", "").as_bytes())
+                .unwrap();
+            client.set_nonblocking(true).unwrap();
+            clients.push(client);
+        }
+        // Nothing runs here for so long: the proxies find the end of full service and their connections in one turn.
+        let (_sender, receiver) = mpsc::channel::<()>();
+        assert!(receiver.recv_timeout(STANDSTILL).is_err());
+        for client in clients {
+            let mut client = TestConnection::new(tokio::net::TcpStream::from_std(client).unwrap());
+            let response = client.read_message().await.expect("an answer or a refusal");
+            assert!([200, 503].contains(&response.status()), "{}", response.head);
+        }
+    });
+}
