--- a/crates/fennelpin-cli/tests/soak/run.rs
+++ b/crates/fennelpin-cli/tests/soak/run.rs
@@ -12,7 +12,7 @@
 use super::schedule;
 use super::settings::{SoakSettings, GRACE_S};
 use super::stop_signal::StopSignal;
-use super::stream_hosts;
+use super::stream_hosts::{self, Hosts};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -70,7 +70,7 @@
     let events = schedule::draw(seed, settings.edges, settings.members, settings.duration);
     let recorder = Arc::new(Recorder::default());
     let hosts_stop = Arc::new(StopSignal::default());
-    let cluster = start_cluster(settings, seed, &recorder, &hosts_stop);
+    let (cluster, _hosts) = start_cluster(settings, seed, &recorder, &hosts_stop);
     let fronts = FrontSelection::new(fronts(&cluster));
     let members: Vec<SocketAddr> = (1..=settings.members).map(|n| cluster.control(n)).collect();
     let mut driver = Driver::new(cluster, &recorder, seed);
@@ -101,7 +101,7 @@
     seed: u64,
     recorder: &Arc<Recorder>,
     hosts_stop: &Arc<StopSignal>,
-) -> TestCluster {
+) -> (TestCluster, Hosts) {
     let cluster = TestCluster::with_settings(settings.members, settings.edges, &[], |processes| {
         processes.set_bounds(json!({"grace_s": GRACE_S}));
     });
@@ -111,7 +111,7 @@
         .map(|n| cluster.processes.plan().host(n))
         .collect();
     let drain_times = schedule::draw_drain_times(seed, hosts.len(), settings.duration);
-    stream_hosts::start(&hosts, &drain_times, &members, recorder, hosts_stop);
+    let hosts = stream_hosts::start(&hosts, &drain_times, &members, recorder, hosts_stop);
     let sent_at = Instant::now();
     let first = operator::change(1);
     let answer = operator::call(&mut members, &first.call(), &StopSignal::default());
@@ -126,7 +126,7 @@
             faulty_hosts::is_body_served(front, FIRST_REQUEST).then_some(())
         });
     }
-    cluster
+    (cluster, hosts)
 }
 
 fn fronts(cluster: &TestCluster) -> Vec<Front> {
--- a/crates/fennelpin-cli/tests/soak/stream_hosts.rs
+++ b/crates/fennelpin-cli/tests/soak/stream_hosts.rs
@@ -9,6 +9,7 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::str::FromStr;
 use std::sync::Arc;
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
 /// Requests that a host says it can run at once.
@@ -60,6 +61,25 @@
     format!("id: {id}\ndata: event {id}\n\n")
 }
 
+/// Running hosts. They listen no more once this is dropped.
+#[derive(Default)]
+pub struct Hosts {
+    listeners: Vec<TcpListener>,
+    accepts: Vec<JoinHandle<()>>,
+}
+
+impl Drop for Hosts {
+    /// Frees the addresses for the next run.
+    fn drop(&mut self) {
+        for listener in &self.listeners {
+            let _ = rustix::net::shutdown(listener, rustix::net::Shutdown::Both);
+        }
+        for accepts in self.accepts.drain(..) {
+            let _ = accepts.join();
+        }
+    }
+}
+
 /// Starts hosts at these addresses. They send heartbeats to these members until `stop` is raised, and say that they are
 /// draining after these times; they serve on all the same.
 pub fn start(
@@ -68,7 +88,8 @@
     controls: &[SocketAddr],
     recorder: &Arc<Recorder>,
     stop: &Arc<StopSignal>,
-) {
+) -> Hosts {
+    let mut hosts = Hosts::default();
     for (n, address) in addresses.iter().enumerate() {
         let record = HostRecord {
             id: format!("host-{}-{n}", std::process::id()),
@@ -82,7 +103,9 @@
             stop: stop.clone(),
         };
         let listener = TcpListener::bind(address).unwrap();
-        std::thread::spawn(move || host.accept(&listener));
+        hosts.listeners.push(listener.try_clone().unwrap());
+        let accepts = std::thread::spawn(move || host.accept(&listener));
+        hosts.accepts.push(accepts);
         let heartbeats = Heartbeats {
             record,
             drain_after: drain_times[n],
@@ -92,6 +115,7 @@
         };
         std::thread::spawn(move || heartbeats.send_until_stopped());
     }
+    hosts
 }
 
 /// The heartbeats of one host.
