--- a/tools/mixed_days.py
+++ b/tools/mixed_days.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
 """Draws days that mix every kind of trouble, long and short, at any moment and more than once, for `fleetbench run`.
 
-    tools/mixed_days.py FOLDER FROM TO [--long]     FOLDER lies outside the repository; a day for each seed FROM to TO-1
+    tools/mixed_days.py FOLDER FROM TO [--long | --planned]     FOLDER lies outside the repository; a day for each seed FROM to TO-1
 
 The same seed draws the same day. `--long` makes the troubles of the control side last up to 22 s and storms hold up to
-300 changes. The names of days are labels only.
+300 changes. `--planned` has planned work alone, in series that overlap, beside what clients do. The names of days are labels only.
 """
 
 import pathlib
@@ -30,15 +30,22 @@
     "config_change", "config_storm", "config_storm", "config_race", "config_race", "bad_config", "big_config", "release",
     "scale_out", "scale_in", "roll_term", "roll_term", "seed_turnover", "hup",
 )
+# Planned work alone has more of what stops processes.
+PLANS_ALONE = PLANS + ("roll_term", "roll_term", "hup", "hup")
+# What clients do by themselves; no machine or link is in trouble by it.
+CLIENT_FAULTS = ("burst", "hot_key", "hot_key", "retry_abuse", "give_up")
+# How many entries of planned work a day has at most, and one of planned work alone.
+MOST_PLANNED, MOST_PLANNED_ALONE = 6, 14
 CLOSINGS = ("power_off_all", "wipe_after_ack", "kill_all")
 
 
 class Day:
     """One day that is being drawn."""
 
-    def __init__(self, seed, long):
+    def __init__(self, seed, long, planned):
         self.draw = random.Random(seed)
         self.long = long
+        self.planned = planned
 
     def pick(self, *words):
         """One of some words."""
@@ -129,12 +136,23 @@
             drawn.append({"at": moment, "kind": kind} | fields(kind))
         return sorted(drawn, key=lambda entry: entry["at"])
 
-    def text(self, name, seed):
-        """The day as TOML."""
-        plan = self.entries(PLANS, self.plan, 6)
+    def all_faults(self):
+        """Faults of every kind."""
         control = self.entries(CONTROL_FAULTS, lambda kind: self.fault(kind, True), 6)
         other = self.entries(OTHER_FAULTS, lambda kind: self.fault(kind, False), 4)
-        faults = sorted(control + other, key=lambda entry: entry["at"])
+        return sorted(control + other, key=lambda entry: entry["at"])
+
+    def client_faults(self):
+        """What clients do."""
+        return self.entries(CLIENT_FAULTS, lambda kind: self.fault(kind, False), 4)
+
+    def text(self, name, seed):
+        """The day as TOML."""
+        if self.planned:
+            plan = self.entries(PLANS_ALONE, self.plan, MOST_PLANNED_ALONE)
+        else:
+            plan = self.entries(PLANS, self.plan, MOST_PLANNED)
+        faults = self.client_faults() if self.planned else self.all_faults()
         lines = [f'name = "{name}"', 'slot = "trouble"', f"seed = {seed}"]
         if self.draw.random() < 0.8:
             closing = {"kind": self.pick(*CLOSINGS), "down_s": round(self.draw.uniform(0.4, 1.6), 2)}
@@ -152,13 +170,14 @@
 
 
 def main():
-    words = [word for word in sys.argv[1:] if word != "--long"]
-    folder, first, end = pathlib.Path(words[0]), int(words[1]), int(words[2])
-    long = "--long" in sys.argv
+    arguments = [word for word in sys.argv[1:] if not word.startswith("--")]
+    folder, first, end = pathlib.Path(arguments[0]), int(arguments[1]), int(arguments[2])
+    long, planned = "--long" in sys.argv, "--planned" in sys.argv
+    sort = "long" if long else "planned" if planned else "mixed"
     folder.mkdir(parents=True, exist_ok=True)
     for seed in range(first, end):
-        name = f"{'long' if long else 'mixed'}-{seed}"
-        (folder / f"{name}.toml").write_text(Day(seed, long).text(name, seed))
+        name = f"{sort}-{seed}"
+        (folder / f"{name}.toml").write_text(Day(seed, long, planned).text(name, seed))
         print(folder / f"{name}.toml")
 
 
