--- a/crates/fennelpin-cli/tests/harness/cluster.rs
+++ b/crates/fennelpin-cli/tests/harness/cluster.rs
@@ -8,6 +8,7 @@
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -100,10 +101,21 @@
         proxies: u8,
         settings: &[(&str, &str)],
         prepare: impl FnOnce(&mut LocalCluster),
+    ) -> Self {
+        let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
+        Self::with_program(program, members, proxies, settings, prepare)
+    }
+
+    /// As [`TestCluster::with_settings`], with processes of this binary.
+    pub fn with_program(
+        program: PathBuf,
+        members: u8,
+        proxies: u8,
+        settings: &[(&str, &str)],
+        prepare: impl FnOnce(&mut LocalCluster),
     ) -> Self {
         let dir = tempfile::tempdir().unwrap();
         let (port, reservation) = reserve_ports();
-        let program = env!("CARGO_BIN_EXE_fennelpin-cli").into();
         let plan = ClusterPlan {
             program,
             dir: dir.path().into(),
