--- a/crates/coordinator/tests/gossip_processes.rs
+++ b/crates/coordinator/tests/gossip_processes.rs
@@ -17,9 +17,22 @@
     addr: String,
 }
 
+/// Number of processes that were started.
+static STARTED: AtomicU32 = AtomicU32::new(0);
+
+/// The binary of the next process: by turns this build, and the one that `FENNELPIN_OTHER_COORDINATOR` names, if any.
+fn next_binary() -> PathBuf {
+    let this_build = PathBuf::from(env!("CARGO_BIN_EXE_fennelpin"));
+    let other_build = std::env::var_os("FENNELPIN_OTHER_COORDINATOR");
+    match other_build {
+        Some(other) if STARTED.fetch_add(1, Ordering::Relaxed) % 2 == 1 => other.into(),
+        _ => this_build,
+    }
+}
+
 impl Process {
     fn start(config: &PathBuf, log: &PathBuf) -> Self {
-        let child = Command::new(env!("CARGO_BIN_EXE_fennelpin"))
+        let child = Command::new(next_binary())
             .args(["serve", "--log", "info"])
             .envs([("PROXY_CONFIG", config)])
             .env_remove("PROXY_OPERATOR")
