--- a/crates/idle-list/src/lib.rs
+++ b/crates/idle-list/src/lib.rs
@@ -1,18 +1,18 @@
-//! The idle list of Join-Idle-Queue (there the I-queue): which servers one dispatcher believes idle. Source: Lu et al.,
-//! "Join-Idle-Queue: A novel load balancing algorithm for dynamically scalable web services", 2011.
+//! The idle list of Join-Idle-Queue, called I-queue in the paper: the servers that one dispatcher considers idle.
+//! Source: Lu et al., "Join-Idle-Queue: A novel load balancing algorithm for dynamically scalable web services", 2011.
 //!
-//! The list has no clock, no randomness and no I/O. Calls carry the time as a duration since an origin that the caller
-//! chooses. Which of the idle servers is used is the caller's choice.
+//! The list has no clock, no randomness and no I/O. Calls pass the time as a duration since an origin that the caller
+//! chooses. The caller decides which of the idle servers to use.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Age up to which a record counts, for callers that have no other bound.
+/// Default age up to which a record is valid.
 pub const DEFAULT_MAX_AGE: Duration = Duration::from_secs(2);
 
-/// What was last recorded of a server.
+/// The latest record of a server.
 #[derive(Clone, Copy, Debug)]
 struct Record {
     entries: u32,
@@ -21,9 +21,9 @@
 
 /// The idle list of one service at one dispatcher.
 ///
-/// An idle server holds one or several entries: the number of requests that it can take and still count as idle. A
-/// server without entries keeps its record until the record expires. As nothing has been heard of the server since,
-/// there is no reason to list it again before.
+/// An idle server has one or more entries: the number of requests that it can accept while it still counts as idle. A
+/// server without entries keeps its record until the record expires. Without news of the server, there is no reason to
+/// list it again before then.
 #[derive(Clone, Debug)]
 pub struct IdleList<K> {
     records: BTreeMap<K, Record>,
@@ -31,7 +31,7 @@
 }
 
 impl<K: Ord + Copy> IdleList<K> {
-    /// An empty list whose records count up to this age.
+    /// Creates an empty list whose records are valid up to the age `max_age`.
     pub fn new(max_age: Duration) -> Self {
         Self {
             records: BTreeMap::new(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Records a server with this many entries, in place of an earlier record; 0 stands for a busy server.
+    /// Records the number of entries of a server, replacing an earlier record; 0 means a busy server.
     pub fn set_entries(&mut self, now: Duration, server: K, entries: u32) {
         self.records.insert(
             server,
@@ -50,7 +50,7 @@
         );
     }
 
-    /// Uses up one entry of a server; `false` where it has none.
+    /// Consumes one entry of a server. Returns `false` if the server has none.
     pub fn take_entry(&mut self, now: Duration, server: K) -> bool {
         let max_age = self.max_age;
         let Some(record) = self.records.get_mut(&server) else {
@@ -68,23 +68,23 @@
         self.records.remove(&server);
     }
 
-    /// Removes all records made before this time: the dispatcher stalled, and what it knew is out of date.
+    /// Removes all records made before `time`, for example because the dispatcher stalled and they are out of date.
     pub fn remove_recorded_before(&mut self, time: Duration) {
         self.records.retain(|_, record| record.recorded_at >= time);
     }
 
-    /// Number of a server's entries; 0 without a valid record.
+    /// Returns the number of entries of a server; 0 without a valid record.
     pub fn entries(&self, now: Duration, server: K) -> u32 {
         self.valid_record(now, server)
             .map_or(0, |record| record.entries)
     }
 
-    /// Whether there is a valid record of a server, idle or not.
+    /// Returns whether there is a valid record of a server, idle or not.
     pub fn has_record(&self, now: Duration, server: K) -> bool {
         self.valid_record(now, server).is_some()
     }
 
-    /// The servers that have entries, in the order of their keys.
+    /// Returns the servers that have entries, in the order of their keys.
     pub fn idle_servers(&self, now: Duration) -> impl Iterator<Item = K> + '_ {
         let max_age = self.max_age;
         self.records
--- a/crates/rendezvous/src/lib.rs
+++ b/crates/rendezvous/src/lib.rs
@@ -1,5 +1,5 @@
-//! Rendezvous hashing (highest random weight): each pair of key and candidate has a weight, and a key belongs to the
-//! candidate that weighs most for it. When a candidate comes or goes, only the keys that it has change hands.
+//! Rendezvous hashing (highest random weight): each pair of key and candidate has a weight, and a key is assigned to
+//! the candidate with the highest weight. Adding or removing a candidate reassigns only the keys of that candidate.
 //!
 //! ```
 //! let members = [1u64, 2, 3];
@@ -13,7 +13,7 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// The weight of `candidate` for `key`. It is the same in every process.
+/// Computes the weight of `candidate` for `key`. All processes compute the same weight.
 pub fn rendezvous_weight(key: &str, candidate: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(key.as_bytes());
@@ -22,7 +22,7 @@
     hasher.finish()
 }
 
-/// The candidates in falling order of their weight for `key`. `bytes` gives what of a candidate is hashed.
+/// Sorts the candidates by descending weight for `key`. `bytes` returns the bytes of a candidate that are hashed.
 pub fn ranked<T: Ord>(
     key: &str,
     candidates: impl IntoIterator<Item = T>,
