--- a/crates/balancing/src/adaptive_throttle.rs
+++ b/crates/balancing/src/adaptive_throttle.rs
@@ -1,11 +1,11 @@
-//! Adaptive throttling: a proxy turns requests away while too few of those that it sends on are answered in time.
+//! Adaptive throttling: a proxy rejects requests while too few of the requests that it forwards are answered in time.
 //!
-//! The probability of a rejection is `(offered - 1 - HEADROOM * in_time) / (offered + 1)` over a sliding window, and never
-//! below 0 (Beyer et al., *Site Reliability Engineering*, chapter 21, with answers in time in place of accepted
-//! requests). When the load is gone, the share that is admitted grows by the factor [`HEADROOM`] in each window.
+//! The rejection probability is `(offered - 1 - HEADROOM * in_time) / (offered + 1)` over a sliding window, and never
+//! below 0 (Beyer et al., *Site Reliability Engineering*, chapter 21, with responses in time in place of accepted
+//! requests). When an overload ends, the admitted share grows by the factor [`HEADROOM`] in each window.
 //!
-//! Only services whose routes have a latency target are throttled, and only requests that no host has seen count as
-//! offered. While a service is throttled, its retries are rejected with the same probability.
+//! Only requests on routes with a latency target are throttled, and only requests that were not sent to a host before
+//! count as offered. While a service is throttled, its retries are rejected with the same probability.
 
 use crate::service::Service;
 use crate::state::{AttemptRecord, BalancerState};
@@ -15,22 +15,22 @@
 use std::time::Duration;
 
 /// Length of the sliding window.
-const WINDOW: Duration = Duration::from_secs(1);
-/// Requests that are admitted for each one that was answered in time. Nothing is rejected while fewer than a quarter
-/// are late.
+const THROTTLE_WINDOW: Duration = Duration::from_secs(1);
+/// Number of requests admitted for each request that was answered in time. Nothing is rejected while fewer than a
+/// quarter of the requests are late.
 const HEADROOM: f64 = 1.3;
-/// Largest probability of a rejection: the requests that are still admitted show when the load is gone.
-const MAX_REJECTION: f64 = 0.9;
-/// An answer is late only beyond this multiple of what it would take on an idle host: a long prompt may miss its
-/// target by its own prefill.
+/// Upper bound of the rejection probability. The requests that are still admitted show when the overload has ended.
+const MAX_REJECTION_PROBABILITY: f64 = 0.9;
+/// A response is late only if it takes more than this multiple of the time that it would take on an idle host: a long
+/// prompt may miss its latency target because of its own prefill.
 const UNLOADED_LATENCY_FACTOR: f64 = 1.5;
-/// Resolution of the random draw against a probability.
-const DRAW_STEPS: usize = 1 << 20;
+/// Number of steps in which a probability is compared with a random number.
+const RANDOM_DRAW_STEPS: usize = 1 << 20;
 
-/// What became of a service's requests lately.
+/// Counts of a service's recent requests and of those answered in time.
 #[derive(Debug)]
 pub(crate) struct AdaptiveThrottle {
-    /// Requests that were rejected here, answered in time, late, or refused by a full host.
+    /// Requests that this proxy rejected, that were answered in time, that were late, or that a full host refused.
     offered: SlidingCount,
     in_time: SlidingCount,
 }
@@ -38,36 +38,36 @@
 impl AdaptiveThrottle {
     pub(crate) fn new() -> Self {
         Self {
-            offered: SlidingCount::new(WINDOW),
-            in_time: SlidingCount::new(WINDOW),
+            offered: SlidingCount::new(THROTTLE_WINDOW),
+            in_time: SlidingCount::new(THROTTLE_WINDOW),
         }
     }
 
-    /// Counts a request whose first event has come, and was due at `late_at`.
-    pub(crate) fn record_first_event(&mut self, now: Duration, late_at: Duration) {
+    /// Counts a request whose first event has arrived; it is in time up to `due_at`.
+    pub(crate) fn record_first_event(&mut self, now: Duration, due_at: Duration) {
         self.offered.add(now);
-        if now <= late_at {
+        if now <= due_at {
             self.in_time.add(now);
         }
     }
 
-    /// Counts a request that was late, refused by a full host, or rejected here.
+    /// Counts a request that was late, refused by a full host, or rejected by this proxy.
     pub(crate) fn record_not_in_time(&mut self, now: Duration) {
         self.offered.add(now);
     }
 
-    /// Probability with which a request is to be rejected.
+    /// Returns the probability, from 0 to [`MAX_REJECTION_PROBABILITY`], with which a request is rejected.
     pub(crate) fn rejection_probability(&self, now: Duration) -> f64 {
         let offered = f64::from(self.offered.upper_bound(now));
         let in_time = f64::from(self.in_time.upper_bound(now));
-        // One request that wasn't in time, alone in the window, shows nothing.
+        // A single late request in an otherwise empty window is no sign of overload.
         let excess = offered - 1.0 - HEADROOM * in_time;
-        (excess / (offered + 1.0)).clamp(0.0, MAX_REJECTION)
+        (excess / (offered + 1.0)).clamp(0.0, MAX_REJECTION_PROBABILITY)
     }
 }
 
 impl AttemptRecord {
-    /// Counts the attempt as one that is not in time, unless it has been counted.
+    /// Counts the attempt as not in time, unless it has been counted already.
     pub(crate) fn count_not_in_time(&mut self, now: Duration, throttle: &mut AdaptiveThrottle) {
         if self.late_at.take().is_some() {
             throttle.record_not_in_time(now);
@@ -76,7 +76,7 @@
 }
 
 impl BalancerState {
-    /// Whether a request is rejected so that others can be answered in time. Draws at random.
+    /// Decides at random whether to reject a request so that others can be answered in time.
     pub(crate) fn rejects_by_throttle(&mut self, now: Duration, request: &RequestContext) -> bool {
         if request.target_remaining.is_none() {
             return false;
@@ -88,11 +88,11 @@
         if probability <= 0.0 {
             return false;
         }
-        let threshold = (probability * DRAW_STEPS as f64) as usize;
-        self.random.below(DRAW_STEPS) < threshold
+        let threshold = (probability * RANDOM_DRAW_STEPS as f64) as usize;
+        self.random.below(RANDOM_DRAW_STEPS) < threshold
     }
 
-    /// Counts a request that is rejected here before any host has seen it.
+    /// Counts a request that this proxy rejects, unless it was sent to a host before.
     pub(crate) fn record_throttled(&mut self, now: Duration, request: &RequestContext) {
         if !request.attempted_hosts.is_empty() {
             return;
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Counts the attempts in flight whose first event has become late. Those that were sent before a stall of this
-    /// process aren't counted: it isn't known whether they were answered in time.
+    /// Counts the attempts in flight whose first event has become late. Attempts sent before a stall of this process
+    /// are not counted: it is unknown whether they were answered in time.
     pub(crate) fn count_late_attempts(&mut self, now: Duration) {
         for (_, attempt) in &mut self.attempts {
             if attempt.sent_at < self.resumed_at {
@@ -120,8 +120,9 @@
     }
 }
 
-/// Time after its sending at which a request's first event is late. `None` where the route has no latency target.
-pub(crate) fn late_after(
+/// Returns the time after sending within which a request's first event must arrive so as not to be late. `None` if the
+/// route has no latency target.
+pub(crate) fn first_event_time_limit(
     service: &Service,
     request: &RequestContext,
     uncached_tokens: u32,
--- a/crates/balancing/src/attempt_timeout.rs
+++ b/crates/balancing/src/attempt_timeout.rs
@@ -1,20 +1,21 @@
-//! Attempt time-out: how long to wait for a host's first byte before another host is worth asking.
+//! Attempt timeout: how long to wait for a host's first byte before the request is sent to another host.
 
 use crate::state::{BalancerState, STALL_THRESHOLD};
 use crate::time::{as_ms, from_ms};
 use std::time::Duration;
 
-/// Shortest and longest time-out, in ms.
+/// Shortest attempt timeout, in ms.
 const MIN_TIMEOUT_MS: f64 = 600.0;
+/// Longest attempt timeout, in ms.
 const MAX_TIMEOUT_MS: f64 = 2500.0;
-/// Time-out as a multiple of the latency that nearly all answers stay below.
-const LATENCY_FACTOR: f64 = 1.5;
-/// Share of the time to the deadline that may be waited, so that another host still has time to answer.
+/// Timeout as a multiple of a high quantile of the service's latency.
+const TIMEOUT_LATENCY_FACTOR: f64 = 1.5;
+/// Largest share of the time to the deadline that an attempt may wait, so that another host still has time to respond.
 const MAX_SHARE_OF_TIME_REMAINING: f64 = 0.4;
 
 impl BalancerState {
-    /// Time after the sending at which another host is worth asking. `None` where the request mustn't run twice, has
-    /// an answer, or has ended.
+    /// Returns the time after sending at which to try another host. `None` if the request isn't idempotent, its
+    /// response has begun, or the attempt has ended.
     pub(crate) fn attempt_timeout(&self, now: Duration, attempt: usize) -> Option<Duration> {
         let attempt = self.attempts.get(attempt)?;
         if !attempt.idempotent || attempt.has_response {
@@ -30,15 +31,16 @@
         let max_ms = MAX_TIMEOUT_MS
             .min(MAX_SHARE_OF_TIME_REMAINING * remaining_ms)
             .max(MIN_TIMEOUT_MS);
-        let shows_life = host.last_response_at.is_some_and(|last| {
+        let responded_recently = host.last_response_at.is_some_and(|last| {
             last > attempt.sent_at && now.saturating_sub(last) < STALL_THRESHOLD
         });
-        if shows_life {
-            // It works on what it was sent. Another host would have to prefill all of it again.
+        if responded_recently {
+            // The host is processing its requests. Another host would have to prefill the whole prompt again.
             return Some(from_ms(max_ms));
         }
-        let usual_ratio = service.latency_ratio.value().max(1.0);
-        let usual_ms = LATENCY_FACTOR * usual_ratio * attempt.estimated_latency_ms;
-        Some(from_ms(usual_ms.clamp(MIN_TIMEOUT_MS, max_ms)))
+        let latency_ratio_quantile = service.latency_ratio.value().max(1.0);
+        let timeout_ms =
+            TIMEOUT_LATENCY_FACTOR * latency_ratio_quantile * attempt.estimated_latency_ms;
+        Some(from_ms(timeout_ms.clamp(MIN_TIMEOUT_MS, max_ms)))
     }
 }
--- a/crates/balancing/src/host.rs
+++ b/crates/balancing/src/host.rs
@@ -1,4 +1,4 @@
-//! What is known of a host.
+//! The state that the load balancer keeps for a host.
 
 use crate::affinity::host_hash;
 use crate::load_estimate::{Lateness, PrefillBacklog};
@@ -8,40 +8,42 @@
 use crate::types::HostInfo;
 use std::time::Duration;
 
-/// After an answer a host counts as alive for this time, whatever its heartbeats say: they may be seconds late.
+/// Time after a response for which a host counts as alive even without heartbeats, which may be seconds late.
 const ALIVE_AFTER_RESPONSE: Duration = Duration::from_secs(1);
 
-/// Number of a host in [`BalancerState::hosts`](crate::state::BalancerState::hosts).
+/// Key of a host in [`BalancerState::hosts`](crate::state::BalancerState::hosts).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct HostKey(pub(crate) usize);
 
-/// A host of the registry, or a removed one that still has attempts in flight.
+/// A host in the registry, or a removed host that still has attempts in flight.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) info: HostInfo,
     pub(crate) service: ServiceKey,
-    /// Hash of its identity, for affinity.
+    /// Hash of the host's identity, for affinity.
     pub(crate) hash: u64,
     pub(crate) health: HostHealth,
     pub(crate) prefix_cache: PrefixCache,
-    /// Numbers of this proxy's attempts in flight.
+    /// Keys of this proxy's attempts in flight at the host.
     pub(crate) in_flight: Vec<usize>,
     pub(crate) prefill_backlog: PrefillBacklog,
     pub(crate) lateness: Lateness,
-    /// When anything came from it.
+    /// When this proxy last received anything from the host.
     pub(crate) last_response_at: Option<Duration>,
-    /// Until when it counts as full, because it refused a request.
+    /// Time until which the host counts as full, because it refused a request.
     pub(crate) overloaded_until: Option<Duration>,
-    /// Whether it answered 421 or another host has its address. It isn't used until its record changes.
+    /// Whether the host responded with 421 or another host has its address. It gets no requests until its registry
+    /// record changes.
     pub(crate) misdirected: bool,
-    /// Whether it has left the registry. It is kept until its attempts have ended.
+    /// Whether the host has left the registry. It is kept until its attempts have ended.
     pub(crate) removed: bool,
+    /// When this proxy first saw the host in the registry.
     pub(crate) known_since: Duration,
-    /// Until when it reports to be slow from its start.
+    /// Time until which the host reports that it is still slow after its start.
     pub(crate) slow_start_until: Duration,
-    /// When it reported to be busy, unless it has reported otherwise since.
+    /// When the host reported that it was busy, unless a later report says otherwise.
     pub(crate) busy_reported_at: Option<Duration>,
-    /// Whether other hosts of its service were there when it joined.
+    /// Whether its service had other hosts when the host joined.
     pub(crate) joined_running_service: bool,
 }
 
@@ -72,12 +74,12 @@
         }
     }
 
-    /// Whether the host takes requests at all.
+    /// Returns whether the host accepts new requests according to the registry and has not been misdirected.
     pub(crate) fn is_usable(&self) -> bool {
         !self.info.draining && !self.misdirected && !self.removed
     }
 
-    /// Whether its heartbeats have stopped and nothing else came from it lately.
+    /// Returns whether the host's heartbeats have stopped and nothing else arrived from it recently.
     pub(crate) fn is_unreachable(&self, now: Duration) -> bool {
         let silent = self
             .last_response_at
@@ -85,12 +87,12 @@
         self.info.heartbeat_expired && silent
     }
 
-    /// Whether it counts as full because it refused a request lately.
+    /// Returns whether the host counts as full because it recently refused a request.
     pub(crate) fn is_overloaded(&self, now: Duration) -> bool {
         self.overloaded_until.is_some_and(|until| now < until)
     }
 
-    /// Whether nothing speaks against the host: it may be in the idle list.
+    /// Returns whether the host may be in the idle list: it is usable, not ejected, reachable and not overloaded.
     pub(crate) fn is_available(&self, now: Duration) -> bool {
         self.is_usable()
             && !self.health.is_ejected()
--- a/crates/balancing/src/host_choice/candidate.rs
+++ b/crates/balancing/src/host_choice/candidate.rs
@@ -1,37 +1,38 @@
-//! What a request costs at a host: the time that it waits, and the prefill that it causes.
+//! Cost of a request at a host: its waiting time and the prefill that it causes.
 
 use super::search::HostSearch;
-use crate::affinity::{affinity_key, weight};
+use crate::affinity::{affinity_key, host_weight};
 use crate::host::{Host, HostKey};
 use crate::types::PromptPart;
 use std::time::Duration;
 
-/// Cost of prefill time as a multiple of waiting time: it holds up all requests at the host.
+/// Cost of prefill time as a multiple of waiting time, because prefill delays all requests at the host.
 const PREFILL_COST_FACTOR: f64 = 4.0;
-/// Discount at the affinity host as a share of the prefill time of the shared parts. So a new prompt goes there unless
-/// others are much better, and is found there again after what the proxies know is lost.
+/// Discount at the affinity host, as a share of the prefill time of the shared parts. A new prompt thus goes there
+/// unless other hosts are much cheaper, and is found there again after the proxies have lost their state.
 const AFFINITY_DISCOUNT: f64 = 0.5;
-/// Caches keep what was sent before a restart of all proxies for at least this time.
+/// Time after a restart of all proxies for which caches are assumed to keep the prompts that were sent before it.
 const CACHE_ASSUMED_AFTER_RESTART: Duration = Duration::from_secs(30);
 
-/// A host that a request may go to.
+/// A host that a request may be sent to.
 pub(super) struct Candidate {
     pub(super) host: HostKey,
+    /// Cost of the request at the host, in ms of waiting time.
     pub(super) cost_ms: f64,
-    /// The heaviest one comes first in the prompt's affinity order.
+    /// Weight of the host in the prompt's affinity order; the highest comes first.
     pub(super) affinity_weight: u64,
     /// Whether the host is in this proxy's zone.
     pub(super) same_zone: bool,
     pub(super) uncached_tokens: u32,
-    /// Expected time to the first event.
+    /// Expected time to the first event, in ms.
     pub(super) first_event_ms: f64,
 }
 
 impl HostSearch<'_> {
     pub(super) fn candidate(&self, key: HostKey, host: &Host) -> Candidate {
         let same_zone = host.info.zone == self.state.zone;
-        let affinity_weight =
-            affinity_key(self.request.prompt_parts).map_or(0, |prompt| weight(prompt, host.hash));
+        let affinity_weight = affinity_key(self.request.prompt_parts)
+            .map_or(0, |prompt| host_weight(prompt, host.hash));
         let wait_ms = self.state.expected_wait_ms(self.now, host);
         if !self.service.runs_model() {
             let usage = host.in_flight.len() as f64 / f64::from(host.info.capacity.max(1));
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Tokens of the prompt that a host has to prefill.
+    /// Returns the number of prompt tokens that a host has to prefill.
     pub(super) fn uncached_tokens(&self, host: &Host, has_affinity: bool) -> u32 {
         let parts = self.request.prompt_parts;
         let prompt_tokens = if parts.is_empty() {
@@ -80,8 +81,8 @@
         prompt_tokens.saturating_sub(known_cached.max(assumed_cached))
     }
 
-    /// Whether the affinity host is assumed to have the shared parts in its cache, as all proxies send them there:
-    /// while not all caches are known, or where what was known may have been lost with a restart.
+    /// Returns whether the affinity host is assumed to have the shared parts in its cache, because all proxies send
+    /// them there: while not all caches are known, or if that knowledge may have been lost with a restart.
     fn assumes_affinity_cached(&self) -> bool {
         if !self.state.knows_all_caches(self.now) {
             return true;
@@ -99,7 +100,7 @@
         hosts.any(|(_, host)| host.prefix_cache.contains(prompt))
     }
 
-    /// The parts of the prompt that other requests may have too.
+    /// Returns the parts of the prompt that the prompts of other requests may contain too.
     fn shared_parts(&self) -> &[PromptPart] {
         let parts = self.request.prompt_parts;
         parts.split_last().map_or(&[], |(_own, shared)| shared)
--- a/crates/balancing/src/host_choice/mod.rs
+++ b/crates/balancing/src/host_choice/mod.rs
@@ -1,7 +1,8 @@
-//! Host choice: an idle host of the service, or a random one among the best.
+//! Host choice: an idle host of the service, or a random one among the cheapest.
 //!
-//! A request that is throttled, or would be late on every host, goes to none. Else, in this order: a probe of an ejected host that is due; the cheapest host of the idle list; with none listed, a
-//! random host among those that cost about as little as the cheapest.
+//! A request that is throttled, or would be late on every host, is sent to none. Otherwise the order is: an ejected
+//! host that is due for a probe; the cheapest host of the idle list; if none is listed, a random host among those that
+//! cost little more than the cheapest.
 
 mod candidate;
 mod search;
@@ -14,22 +15,25 @@
 use crate::types::{HostChoice, RequestContext};
 use std::time::Duration;
 
-/// Hosts whose costs differ by less, in ms, count as equal. Then the affinity order or the zone decides.
-const EQUAL_COST_MS: f64 = 4.0;
-/// Without idle hosts, one is drawn among those within this factor and this many ms of the best.
+/// Largest cost difference, in ms, of hosts that count as equal. Among equal hosts, the affinity order or the zone
+/// decides.
+const EQUAL_COST_TOLERANCE_MS: f64 = 4.0;
+/// If no host is idle, the random choice includes hosts up to this multiple of the lowest cost, plus
+/// [`DRAW_COST_MARGIN_MS`].
 const DRAW_COST_FACTOR: f64 = 1.5;
+/// Cost in ms that is added to the limit of the random choice.
 const DRAW_COST_MARGIN_MS: f64 = 20.0;
-/// When a request may come back for which no host is known.
+/// Retry-After of a request whose service has no known hosts.
 const NO_HOST_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// When a request may come back at the earliest for which all hosts are full.
+/// Shortest Retry-After of a request for which all hosts are full.
 const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// When a request may come back that was throttled.
+/// Retry-After of a throttled request.
 const THROTTLED_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// The host that a request goes to.
+/// The host that a request is sent to.
 pub(crate) struct ChosenHost {
     pub(crate) host: HostKey,
-    /// Tokens of the prompt that the host has to prefill, as estimated.
+    /// Estimated number of prompt tokens that the host has to prefill.
     pub(crate) uncached_tokens: u32,
     /// Whether the request probes an ejected host.
     pub(crate) probe: bool,
@@ -38,11 +42,11 @@
 /// Why no host was chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoHostChosen {
-    /// No host of the service is known that takes requests.
+    /// The service has no known host that accepts requests.
     NoHost,
-    /// All hosts are full, or the request was sent to each of them before.
+    /// Each host is full, or the request was sent to it before.
     AllFull {
-        /// Time until the first of them may take a request again.
+        /// Time until the first full host may accept a request again.
         overload_end: Duration,
     },
     /// The hosts are overloaded: the request, or another in its place, would be answered too late.
@@ -66,10 +70,10 @@
 }
 
 impl BalancerState {
-    /// Chooses a host for a request, and uses up an entry of the idle list.
+    /// Chooses a host for a request, and consumes one of the host's entries in the idle list.
     ///
     /// # Errors
-    /// Where no host can take the request, or the hosts are overloaded: why, and when to ask again.
+    /// Returns the reason if no host can accept the request or the hosts are overloaded.
     pub(crate) fn choose_host(
         &mut self,
         now: Duration,
@@ -104,11 +108,11 @@
         }
         let prefers_affinity = service.runs_model() && affinity_key(request.prompt_parts).is_some();
         let chosen = if !candidates.from_idle_list {
-            self.draw_near_best(candidates.hosts)
+            self.draw_near_cheapest(candidates.hosts)
         } else if prefers_affinity {
             cheapest(candidates.hosts).max_by_key(|host| host.affinity_weight)
         } else {
-            self.draw_near_zone(cheapest(candidates.hosts).collect())
+            self.draw_in_own_zone(cheapest(candidates.hosts).collect())
         };
         let chosen = chosen.ok_or(NoHostChosen::NoHost)?;
         if let Some(service) = self.services.get_mut(service_key.0) {
@@ -121,18 +125,18 @@
         })
     }
 
-    /// A random one of those that cost about as little as the cheapest.
-    fn draw_near_best(&mut self, candidates: Vec<Candidate>) -> Option<Candidate> {
+    /// Chooses a random candidate among those that cost little more than the cheapest.
+    fn draw_near_cheapest(&mut self, candidates: Vec<Candidate>) -> Option<Candidate> {
         let limit_ms = lowest_cost_ms(&candidates) * DRAW_COST_FACTOR + DRAW_COST_MARGIN_MS;
-        let near_best: Vec<Candidate> = candidates
+        let near_cheapest: Vec<Candidate> = candidates
             .into_iter()
             .filter(|candidate| candidate.cost_ms <= limit_ms)
             .collect();
-        self.draw(near_best)
+        self.draw(near_cheapest)
     }
 
-    /// A random one of those in this proxy's zone; of all where none is.
-    fn draw_near_zone(&mut self, mut candidates: Vec<Candidate>) -> Option<Candidate> {
+    /// Chooses a random candidate in this proxy's zone, or among all if none is in it.
+    fn draw_in_own_zone(&mut self, mut candidates: Vec<Candidate>) -> Option<Candidate> {
         if candidates.iter().any(|candidate| candidate.same_zone) {
             candidates.retain(|candidate| candidate.same_zone);
         }
@@ -145,9 +149,9 @@
     }
 }
 
-/// Those that cost as little as the cheapest, but for a difference that doesn't count.
+/// Returns the candidates whose cost counts as equal to the lowest.
 fn cheapest(candidates: Vec<Candidate>) -> impl Iterator<Item = Candidate> {
-    let limit_ms = lowest_cost_ms(&candidates) + EQUAL_COST_MS;
+    let limit_ms = lowest_cost_ms(&candidates) + EQUAL_COST_TOLERANCE_MS;
     candidates
         .into_iter()
         .filter(move |candidate| candidate.cost_ms <= limit_ms)
--- a/crates/balancing/src/host_choice/search.rs
+++ b/crates/balancing/src/host_choice/search.rs
@@ -1,9 +1,9 @@
-//! Which hosts of the service may take the request.
+//! Search for the hosts of a service that may accept a request.
 
 use super::candidate::Candidate;
 use super::ChosenHost;
-use crate::adaptive_throttle::late_after;
-use crate::affinity::{affinity_key, weight};
+use crate::adaptive_throttle::first_event_time_limit;
+use crate::affinity::{affinity_key, host_weight};
 use crate::host::{Host, HostKey};
 use crate::service::Service;
 use crate::state::BalancerState;
@@ -11,31 +11,31 @@
 use crate::types::RequestContext;
 use std::time::Duration;
 
-/// A request with at most this many uncached tokens may probe a host at once.
+/// Largest number of uncached tokens with which a request may probe a host as soon as the probe is due.
 const MAX_PROBE_TOKENS: u32 = 2000;
-/// A longer one may probe it when the probe is late by this time.
+/// Time by which a probe must be overdue before a request with a longer prompt may probe the host.
 const LONG_PROMPT_PROBE_DELAY: Duration = Duration::from_millis(300);
-/// With fewer than one in this many hosts healthy, suspicious ones are used too (panic mode).
+/// If fewer than 1 in this many hosts are healthy, suspicious hosts are used too (panic mode).
 const PANIC_DIVISOR: usize = 4;
 
-/// The hosts of a service, seen for one request.
+/// The hosts of a service, evaluated for one request.
 pub(super) struct HostSearch<'a> {
     pub(super) state: &'a BalancerState,
     pub(super) now: Duration,
     pub(super) service: &'a Service,
     pub(super) request: &'a RequestContext<'a>,
-    /// The host that all proxies send this prompt to; `None` where the prompt isn't known or no model runs.
+    /// The host that all proxies prefer for this prompt; `None` if the prompt is unknown or the hosts run no model.
     pub(super) affinity_host: Option<HostKey>,
     /// All hosts of the service.
     hosts: Vec<(HostKey, &'a Host)>,
-    /// Those that may take the request: usable, not full, not attempted before.
-    open_hosts: Vec<(HostKey, &'a Host)>,
+    /// Hosts that may accept the request: usable, not full, not attempted before.
+    eligible_hosts: Vec<(HostKey, &'a Host)>,
 }
 
 /// The hosts to choose among.
 pub(super) struct Candidates {
     pub(super) hosts: Vec<Candidate>,
-    /// Whether they are the idle ones.
+    /// Whether the hosts come from the idle list.
     pub(super) from_idle_list: bool,
 }
 
@@ -51,14 +51,14 @@
             .iter()
             .filter_map(|key| Some((*key, state.hosts.get(key.0)?)))
             .collect();
-        let is_open = |host: &Host| {
+        let is_eligible = |host: &Host| {
             host.is_usable()
                 && !request.attempted_hosts.contains(&host.info.id)
                 && !is_full(now, service, host)
         };
-        let open_hosts = hosts
+        let eligible_hosts = hosts
             .iter()
-            .filter(|(_, host)| is_open(host))
+            .filter(|(_, host)| is_eligible(host))
             .copied()
             .collect();
         Self {
@@ -68,19 +68,19 @@
             service,
             request,
             hosts,
-            open_hosts,
+            eligible_hosts,
         }
     }
 
-    /// Number of usable hosts, whether or not they may take this request.
+    /// Returns the number of usable hosts, whether or not they may accept this request.
     pub(super) fn usable_hosts(&self) -> usize {
         let usable = self.hosts.iter().filter(|(_, host)| host.is_usable());
         usable.count()
     }
 
-    /// An ejected host that this request is to probe: the one whose ejection ended first.
+    /// Returns the ejected host that this request is to probe, if any: the one whose ejection ended first.
     pub(super) fn due_probe(&self) -> Option<ChosenHost> {
-        let due = self.open_hosts.iter().filter(|(_, host)| {
+        let due = self.eligible_hosts.iter().filter(|(_, host)| {
             host.health
                 .is_probe_due(self.now, host.info.heartbeat_expired)
         });
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Whether this request may be risked for a probe.
+    /// Returns whether this request may probe the host, at the risk that it fails.
     fn may_probe(&self, host: &Host, uncached_tokens: u32) -> bool {
         if host.health.is_probe_overdue(self.now) {
             return true;
@@ -106,7 +106,8 @@
         self.request.idempotent && (is_short || delay >= LONG_PROMPT_PROBE_DELAY)
     }
 
-    /// The idle hosts; where none is idle, all that may take the request.
+    /// Returns the idle hosts as candidates. If none is idle, returns all healthy hosts that may accept the request, or
+    /// the least bad ones if none is healthy.
     pub(super) fn candidates(&self) -> Candidates {
         let healthy = self.healthy_hosts();
         if healthy.is_empty() {
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Whether no model host is idle, and all would answer a request that no host has seen too late.
+    /// Returns whether no model host is idle, and a request that was not sent to a host before would be late on all of
+    /// them.
     pub(super) fn is_late_everywhere(&self, candidates: &Candidates) -> bool {
         let may_be_late = candidates.from_idle_list
             || !self.service.runs_model()
@@ -137,8 +139,8 @@
             return false;
         }
         candidates.hosts.iter().all(|candidate| {
-            late_after(self.service, self.request, candidate.uncached_tokens)
-                .is_some_and(|late_after| candidate.first_event_ms > as_ms(late_after))
+            first_event_time_limit(self.service, self.request, candidate.uncached_tokens)
+                .is_some_and(|limit| candidate.first_event_ms > as_ms(limit))
         })
     }
 
@@ -149,17 +151,18 @@
             .collect()
     }
 
-    /// The open hosts that are healthy. In panic mode also those that are suspicious without being unresponsive.
+    /// Returns the eligible hosts that are healthy. In panic mode, includes those that are suspicious without being
+    /// unresponsive.
     fn healthy_hosts(&self) -> Vec<(HostKey, &'a Host)> {
         let mut healthy: Vec<(HostKey, &Host)> = self
-            .open_hosts
+            .eligible_hosts
             .iter()
             .filter(|(_, host)| is_healthy(self.now, host))
             .copied()
             .collect();
         if !healthy.is_empty() && healthy.len() * PANIC_DIVISOR < self.usable_hosts() {
             let suspicious = self
-                .open_hosts
+                .eligible_hosts
                 .iter()
                 .filter(|(_, host)| self.may_serve_in_panic(host));
             healthy.extend(suspicious.copied());
@@ -171,14 +174,15 @@
         if host.health.is_ejected() {
             return !host.health.is_unresponsive() && !host.info.heartbeat_expired;
         }
-        // With so many hosts without heartbeats it is rather the heartbeats that fail.
+        // If so many hosts have no heartbeats, the fault is more likely in the heartbeats than in the hosts.
         host.is_unreachable(self.now)
     }
 
-    /// Where no host is healthy: those that aren't ejected, or else those with the mildest ejection.
+    /// Returns the hosts to use if none is healthy: those that aren't ejected, otherwise those with the least severe
+    /// ejection.
     fn least_bad_hosts(&self) -> Vec<(HostKey, &'a Host)> {
         let not_ejected: Vec<(HostKey, &Host)> = self
-            .open_hosts
+            .eligible_hosts
             .iter()
             .filter(|(_, host)| !host.health.is_ejected())
             .copied()
@@ -187,18 +191,18 @@
             return not_ejected;
         }
         let severities = self
-            .open_hosts
+            .eligible_hosts
             .iter()
             .map(|(_, host)| host.health.severity());
-        let mildest = severities.min();
-        self.open_hosts
+        let lowest_severity = severities.min();
+        self.eligible_hosts
             .iter()
-            .filter(|(_, host)| Some(host.health.severity()) == mildest)
+            .filter(|(_, host)| Some(host.health.severity()) == lowest_severity)
             .copied()
             .collect()
     }
 
-    /// Time until the first of the hosts that refused a request may take one again.
+    /// Returns the time until the first of the hosts that refused a request may accept one again.
     pub(super) fn first_overload_end(&self) -> Duration {
         self.hosts
             .iter()
@@ -209,8 +213,8 @@
     }
 }
 
-/// The healthy host that comes first in the prompt's affinity order. Hosts that this request was sent to before count
-/// too: the host is the one that others send such prompts to.
+/// Returns the healthy host that comes first in the prompt's affinity order. Hosts that this request was sent to before
+/// are included, as other requests with such prompts go to the same host.
 fn find_affinity_host(
     now: Duration,
     service: &Service,
@@ -224,16 +228,16 @@
     hosts
         .iter()
         .filter(|(_, host)| host.is_usable() && is_healthy(now, host))
-        .max_by_key(|(_, host)| weight(prompt, host.hash))
+        .max_by_key(|(_, host)| host_weight(prompt, host.hash))
         .map(|(key, _)| *key)
 }
 
-/// Whether a host is neither ejected nor unreachable.
+/// Returns whether a host is neither ejected nor unreachable.
 fn is_healthy(now: Duration, host: &Host) -> bool {
     !host.health.is_ejected() && !host.is_unreachable(now)
 }
 
-/// Whether a host takes no more requests of this proxy now.
+/// Returns whether a host accepts no further requests from this proxy now.
 fn is_full(now: Duration, service: &Service, host: &Host) -> bool {
     let connection_limit = service
         .info
--- a/crates/balancing/src/join_idle_queue.rs
+++ b/crates/balancing/src/join_idle_queue.rs
@@ -1,6 +1,6 @@
-//! Join-Idle-Queue: when a host counts as idle, and how many entries of the idle list that is worth.
+//! Join-Idle-Queue: when a host counts as idle, and how many entries it gets in the idle list.
 //!
-//! Hosts send no message when they fall idle. The proxy derives it from their load reports and from its own attempts.
+//! Hosts send no message when they become idle. The proxy derives it from their load reports and from its own attempts.
 
 use crate::host::{Host, HostKey};
 use crate::service::{Service, ServiceKey};
@@ -9,18 +9,18 @@
 use idle_list::DEFAULT_MAX_AGE;
 use std::time::Duration;
 
-/// A model host is idle while a request would wait less than this there, in ms. With more, a short prompt would miss
-/// its latency target.
+/// Expected wait, in ms, from which a model host no longer counts as idle. With a longer wait, a short prompt would
+/// miss its latency target.
 const MAX_IDLE_WAIT_MS: f64 = 600.0;
-/// A model host is busy when more than one in this many of its slots has a request waiting.
+/// A model host is busy when more than one request is queued for each group of this many slots.
 const SLOTS_PER_WAITING_REQUEST: u32 = 8;
-/// Entries of a model host at which nothing waits.
+/// Idle list entries of a model host at which no request waits.
 const MAX_MODEL_ENTRIES: f64 = 10.0;
-/// A host without a model is busy when its answers take longer than usual by this factor.
+/// A host without a model is busy when its responses take more than this multiple of the base latency.
 const BUSY_LATENCY_FACTOR: f64 = 4.0;
 
 impl BalancerState {
-    /// Entries that a host is worth now; 0 where it isn't idle.
+    /// Returns the number of entries that a host gets in the idle list now; 0 if it isn't idle.
     fn idle_entries(&self, now: Duration, key: HostKey) -> u32 {
         let Some(host) = self.hosts.get(key.0) else {
             return 0;
@@ -45,7 +45,7 @@
         max_idle_requests(host.info.capacity).saturating_sub(host.in_flight.len() as u32)
     }
 
-    /// Estimates anew how idle a host is.
+    /// Recomputes a host's entries in the idle list.
     pub(crate) fn refresh_idle_host(&mut self, now: Duration, key: HostKey) {
         let entries = self.idle_entries(now, key);
         self.set_idle_entries(now, key, entries);
@@ -62,21 +62,21 @@
         }
     }
 
-    /// Takes a host off the idle list. It is estimated anew at the next choice.
-    pub(crate) fn forget_idle_host(&mut self, key: HostKey) {
+    /// Removes a host's record from the idle list. The next host choice recomputes it.
+    pub(crate) fn remove_idle_record(&mut self, key: HostKey) {
         if let Some(service) = self.service_of_host_mut(key) {
             service.idle_hosts.remove(key);
         }
     }
 
-    /// Takes in a host's load report.
+    /// Applies a host's load report.
     pub(crate) fn on_load_report(&mut self, now: Duration, key: HostKey, load: HostLoad) {
         let Some(host) = self.hosts.get_mut(key.0) else {
             return;
         };
         let service = self.services.get(host.service.0);
         let runs_model = service.is_some_and(Service::runs_model);
-        host.busy_reported_at = is_busy(load, runs_model).then_some(now);
+        host.busy_reported_at = shows_busy_host(load, runs_model).then_some(now);
         let mut entries = self.idle_entries(now, key);
         if !runs_model {
             let free = max_idle_requests(load.slots).saturating_sub(load.running);
@@ -85,7 +85,7 @@
         self.set_idle_entries(now, key, entries);
     }
 
-    /// Estimates the hosts of a service that the idle list has no valid record of.
+    /// Recomputes the entries of a service's hosts that have no valid record in the idle list.
     pub(crate) fn refresh_expired_idle_hosts(&mut self, now: Duration, key: ServiceKey) {
         let Some(service) = self.services.get(key.0) else {
             return;
@@ -101,9 +101,9 @@
     }
 }
 
-/// Whether a load report shows a busy host.
-fn is_busy(load: HostLoad, runs_model: bool) -> bool {
-    // Where requests run in batches, one or two always wait for their prefill.
+/// Returns whether a load report shows a busy host.
+fn shows_busy_host(load: HostLoad, runs_model: bool) -> bool {
+    // On a host that runs requests in batches, one or two always wait for their prefill.
     let max_waiting = if runs_model {
         load.slots / SLOTS_PER_WAITING_REQUEST
     } else {
@@ -112,13 +112,13 @@
     load.waiting > max_waiting || load.running > max_idle_requests(load.slots)
 }
 
-/// Whether the host's latest load report showed it busy and is recent enough to count.
+/// Returns whether the host's latest load report showed it busy and is still valid.
 fn reported_busy(now: Duration, host: &Host) -> bool {
     host.busy_reported_at
         .is_some_and(|at| now.saturating_sub(at) <= DEFAULT_MAX_AGE)
 }
 
-/// Requests at a host up to which it counts as idle: half of its slots.
+/// Returns the number of running requests up to which a host counts as idle: half of its slots, at least 1.
 fn max_idle_requests(slots: u32) -> u32 {
     (slots / 2).max(1)
 }
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -1,11 +1,11 @@
-//! The proxy's load balancing: which host a request goes to, when another host is tried, which hosts are healthy.
+//! The proxy's load balancing: which host a request is sent to, when another host is tried, which hosts are healthy.
 //!
-//! [`LoadBalancer`] is Join-Idle-Queue: a request takes a host of its service from the list of idle hosts and uses
-//! up one entry of it; with none listed, a random host among the best is taken. Source: Lu et al., "Join-Idle-Queue:
-//! A novel load balancing algorithm for dynamically scalable web services", 2011.
+//! [`LoadBalancer`] implements Join-Idle-Queue: a request goes to a host on the idle list of its service and consumes
+//! one of the host's entries. If no host is listed, a random one of the cheapest hosts is chosen. Source: Lu et al.,
+//! "Join-Idle-Queue: A novel load balancing algorithm for dynamically scalable web services", 2011.
 //!
-//! The crate has no clock, no I/O and no randomness but a seed. Every call carries the time as a [`Duration`] since an
-//! origin that the caller chooses.
+//! The crate has no clock and no I/O, and its random choices depend only on a seed. Every call passes the time as a
+//! [`Duration`] since an origin that the caller chooses.
 //!
 //! Each mechanism has a module of its own; `docs/design/policy.md` lists them with their constants and reasons.
 //!
@@ -16,7 +16,7 @@
 mod load_balancer;
 mod types;
 
-// The mechanisms.
+// The mechanisms of load balancing.
 mod adaptive_throttle;
 mod affinity;
 mod attempt_timeout;
@@ -28,7 +28,7 @@
 mod retry_budget;
 mod slow_start;
 
-// What they work on.
+// The state and the tools that the mechanisms use.
 mod host;
 mod random;
 mod service;
--- a/crates/balancing/src/load_estimate.rs
+++ b/crates/balancing/src/load_estimate.rs
@@ -1,21 +1,21 @@
-//! How long a request would wait at a host: the prefill that is queued there, how late its latest answers were, how
-//! long an answer is overdue.
+//! Estimate of how long a request would wait at a host, from the prefill queued there, the lateness of the host's
+//! latest responses, and the time by which a response is overdue.
 
 use crate::host::Host;
 use crate::state::{AttemptRecord, BalancerState};
 use crate::time::{as_ms, from_ms};
 use std::time::Duration;
 
-/// Time constant with which lateness decays, in ms.
+/// Time constant of the exponential decay of lateness, in ms.
 const LATENESS_DECAY_MS: f64 = 800.0;
-/// Weight of the latest answer in the lateness.
+/// Weight of the latest response in the lateness.
 const LATENESS_GAIN: f64 = 0.5;
-/// An answer is overdue beyond this multiple of its estimated latency.
+/// A response is overdue beyond this multiple of its estimated latency.
 const OVERDUE_FACTOR: f64 = 1.5;
-/// A longer pause between the events of a stream shows that the host is stalled.
+/// Longest pause between the events of a stream that does not count as a stall of the host.
 const STREAM_PAUSE_TOLERANCE: Duration = Duration::from_millis(400);
 
-/// How much later than estimated a host's answers are. It decays with time.
+/// How much later than estimated a host's responses are. It decays exponentially with time.
 #[derive(Debug)]
 pub(crate) struct Lateness {
     ms: f64,
@@ -30,13 +30,13 @@
         }
     }
 
-    /// The lateness in ms, never below 0.
+    /// Returns the lateness in ms, never below 0.
     pub(crate) fn ms(&self, now: Duration) -> f64 {
         let age_ms = as_ms(now.saturating_sub(self.measured_at));
         self.ms * (-age_ms / LATENESS_DECAY_MS).exp()
     }
 
-    /// Records that an answer came so much later than estimated; below 0 for earlier.
+    /// Records that a response arrived `late_ms` later than estimated; negative if it was early.
     pub(crate) fn add(&mut self, now: Duration, late_ms: f64) {
         let before = self.ms(now);
         self.ms = (LATENESS_GAIN * before + LATENESS_GAIN * late_ms).max(0.0);
@@ -44,12 +44,12 @@
     }
 }
 
-/// The prefill that is queued at a host, as the time at which it will be done.
+/// The prefill queued at a host, stored as the time at which it will be finished.
 #[derive(Debug)]
 pub(crate) struct PrefillBacklog {
-    /// Of this proxy's requests.
+    /// When the prefill of this proxy's requests will be finished.
     own_until: Duration,
-    /// Of the other proxies' requests, by their hints.
+    /// When the prefill of the other proxies' requests will be finished, according to their hints.
     peers_until: Duration,
 }
 
@@ -69,7 +69,7 @@
         self.peers_until = self.peers_until.max(now) + from_ms(prefill_ms);
     }
 
-    /// None of this proxy's requests waits for its prefill any more.
+    /// Clears this proxy's backlog, once none of its requests waits for prefill any more.
     pub(crate) fn clear_own(&mut self, now: Duration) {
         self.own_until = now;
     }
@@ -80,7 +80,7 @@
 }
 
 impl BalancerState {
-    /// Time that a request would wait at a host before its prefill begins, in ms.
+    /// Returns the time that a request would wait at a host before its prefill begins, in ms.
     pub(crate) fn expected_wait_ms(&self, now: Duration, host: &Host) -> f64 {
         let mut overdue_ms: f64 = 0.0;
         for attempt in self.attempts_at(host) {
@@ -91,8 +91,8 @@
         host.prefill_backlog.ms(now) + host.lateness.ms(now) + overdue_ms.max(0.0)
     }
 
-    /// How long the next bytes of an attempt are overdue, in ms; below 0 where they aren't. `None` where nothing is
-    /// expected of it: it has begun to answer and isn't a stream.
+    /// Returns how long the next bytes of an attempt are overdue, in ms; negative if they aren't. `None` if no further
+    /// bytes are expected: the response has begun and isn't a stream.
     fn overdue_ms(&self, now: Duration, host: &Host, attempt: &AttemptRecord) -> Option<f64> {
         let since = attempt.sent_at.max(self.resumed_at);
         if !attempt.has_response {
--- a/crates/balancing/src/prefix_cache.rs
+++ b/crates/balancing/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! What a host's prefix cache holds, estimated from the prompts that were sent to the host.
+//! Estimated contents of a host's prefix cache, derived from the prompts that were sent to the host.
 
 use crate::types::PromptPart;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -7,17 +7,17 @@
 #[derive(Debug)]
 struct CachedPart {
     tokens: u32,
-    /// Number of its latest use.
+    /// Sequence number of the part's latest use.
     last_use: u64,
 }
 
-/// The prompt parts in a host's cache, evicted in LRU order.
+/// The prompt parts in a host's prefix cache, evicted in least recently used order.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     parts: HashMap<u64, CachedPart>,
-    /// Ids of the parts that other requests may have too.
+    /// Ids of the parts that the prompts of other requests may contain too.
     shared: HashSet<u64>,
-    /// Id of the part by the number of its latest use.
+    /// Ids of the parts, by the sequence number of their latest use.
     parts_by_use: BTreeMap<u64, u64>,
     tokens: f64,
     uses: u64,
@@ -28,7 +28,7 @@
         self.parts.contains_key(&part_id)
     }
 
-    /// Tokens at the beginning of a prompt that are cached.
+    /// Returns the number of tokens in the longest cached prefix of a prompt.
     pub(crate) fn cached_prefix_tokens(&self, prompt: &[PromptPart]) -> u32 {
         prompt
             .iter()
@@ -37,7 +37,8 @@
             .sum()
     }
 
-    /// Records the use of a prompt's parts, and evicts others until at most `capacity` tokens are left.
+    /// Records the use of a prompt's parts, and evicts the least recently used ones until at most `capacity` tokens are
+    /// left.
     pub(crate) fn insert(&mut self, prompt: &[PromptPart], capacity: f64) {
         for part in prompt {
             self.insert_part(*part);
@@ -60,16 +61,16 @@
             last_use: self.uses,
         };
         match self.parts.insert(part.id, cached) {
-            Some(before) => {
-                self.parts_by_use.remove(&before.last_use);
-                self.tokens += f64::from(part.tokens) - f64::from(before.tokens);
+            Some(previous) => {
+                self.parts_by_use.remove(&previous.last_use);
+                self.tokens += f64::from(part.tokens) - f64::from(previous.tokens);
             }
             None => self.tokens += f64::from(part.tokens),
         }
         self.parts_by_use.insert(self.uses, part.id);
     }
 
-    /// Marks cached parts as shared. Whether any of them wasn't before.
+    /// Marks cached parts as shared. Returns whether any of them wasn't shared before.
     pub(crate) fn mark_shared(&mut self, parts: &[PromptPart]) -> bool {
         let mut any_new = false;
         for part in parts {
@@ -78,7 +79,7 @@
         any_new
     }
 
-    /// The shared parts, the most recently used first.
+    /// Returns the shared parts, the most recently used first.
     pub(crate) fn shared_parts(&self) -> Vec<PromptPart> {
         let latest_first = self.parts_by_use.values().rev();
         latest_first
--- a/crates/balancing/src/retry_budget.rs
+++ b/crates/balancing/src/retry_budget.rs
@@ -1,25 +1,25 @@
-//! Retry budget: all proxies together send no more retries than a share of the requests. Each proxy keeps to its own
-//! part without asking the others.
+//! Retry budget: all proxies together send at most a fixed share of the requests as retries, plus a slack. Each proxy
+//! keeps to its own part of the budget without communicating with the others.
 
 use crate::state::BalancerState;
 use crate::statistics::SlidingCount;
 use std::time::Duration;
 
-/// Share of the allowed retries that is used.
+/// Share of the allowed retries that a proxy uses.
 const SAFETY_FACTOR: f64 = 0.8;
-/// Share of its slack that a proxy has in its first window: the process before it may have used up the rest.
+/// Share of its slack that a proxy uses in its first window, as its predecessor process may have used the rest.
 const FIRST_WINDOW_SLACK: f64 = 0.25;
-/// Number of proxies that is assumed until it is known.
+/// Number of proxies assumed until the actual number is known.
 const ASSUMED_PROXIES: usize = 16;
-/// Number of proxies that may exist beside the known ones.
+/// Number of proxies that may exist in addition to the known ones.
 const UNKNOWN_PROXIES: usize = 2;
 
-/// The limits that hold for the budgets of all services.
+/// Limits that apply to the retry budgets of all services.
 #[derive(Debug)]
 pub(crate) struct RetryLimits {
     /// Retries allowed for each request.
     pub(crate) ratio: f64,
-    /// Retries allowed in each window beside those, over all proxies together.
+    /// Retries allowed in each window in addition to those of `ratio`, over all proxies together.
     pub(crate) slack: f64,
     /// Length of the sliding window.
     pub(crate) window: Duration,
@@ -30,7 +30,7 @@
 }
 
 impl RetryLimits {
-    /// This proxy's part of the slack.
+    /// Returns this proxy's part of the slack, in retries per window.
     fn own_slack(&self, now: Duration) -> f64 {
         let in_first_window = self
             .started_at
@@ -62,20 +62,20 @@
         }
     }
 
-    /// Counts a request; the budget grows by its share.
+    /// Counts a request, which adds its share to the budget.
     pub(crate) fn deposit(&mut self, now: Duration) {
         self.requests.add(now);
     }
 
-    /// Whether the window that ends now holds neither requests nor retries.
+    /// Returns whether the window that ends now contains neither requests nor retries.
     pub(crate) fn is_unused(&self, now: Duration) -> bool {
         self.requests.upper_bound(now) == 0 && self.retries.upper_bound(now) == 0
     }
 
-    /// Takes one retry out of the budget, where the window that ends now has one left.
+    /// Withdraws one retry from the budget if the window that ends now has one left. Returns whether it had.
     ///
-    /// No other window is overdrawn then: a window that ends at a retry holds at least as many as those that end
-    /// after it.
+    /// Then no other window exceeds the budget: a window that ends at a retry contains at least as many retries as the
+    /// windows that end after it and before the next retry.
     pub(crate) fn withdraw(&mut self, now: Duration, limits: &RetryLimits) -> bool {
         let requests = f64::from(self.requests.lower_bound(now));
         let allowed = SAFETY_FACTOR * (limits.ratio * requests + limits.own_slack(now));
@@ -88,7 +88,7 @@
 }
 
 impl BalancerState {
-    /// Takes one retry out of a service's budget. Whether there was one left.
+    /// Withdraws one retry from a service's budget. Returns whether there was one left.
     pub(crate) fn withdraw_retry(&mut self, now: Duration, service: &str) -> bool {
         let key = self.find_or_add_service(service);
         let Some(service) = self.services.get_mut(key.0) else {
--- a/crates/balancing/src/service.rs
+++ b/crates/balancing/src/service.rs
@@ -1,4 +1,4 @@
-//! What is known of a service: its hosts, its idle list, its usual latencies.
+//! The state that the load balancer keeps for a service: its hosts, its idle list, its typical latencies.
 
 use crate::adaptive_throttle::AdaptiveThrottle;
 use crate::host::HostKey;
@@ -8,30 +8,30 @@
 use idle_list::{IdleList, DEFAULT_MAX_AGE};
 use std::time::Duration;
 
-/// Time to the first event without prefill, in ms, assumed until answers tell.
+/// Time to the first event without prefill, in ms, assumed until responses have been measured.
 const ASSUMED_BASE_LATENCY_MS: f64 = 30.0;
-/// Prefill time of one token, in ms, assumed until answers tell.
+/// Prefill time of one token, in ms, assumed until responses have been measured.
 const ASSUMED_PREFILL_MS_PER_TOKEN: f64 = 0.0125;
-/// The attempt time-out builds on the latency that this share of answers stays below.
+/// Quantile of the latency ratio from which the attempt timeout is derived.
 const LATENCY_QUANTILE: f64 = 0.97;
-/// Ratio of actual to estimated latency at that quantile, assumed until answers tell.
+/// Ratio of actual to estimated latency at that quantile, assumed until responses have been measured.
 const ASSUMED_LATENCY_RATIO: f64 = 2.5;
 
-/// Number of a service in [`BalancerState::services`](crate::state::BalancerState::services).
+/// Key of a service in [`BalancerState::services`](crate::state::BalancerState::services).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ServiceKey(pub(crate) usize);
 
-/// A service that is configured, has hosts, or had requests lately.
+/// A service that is configured, has hosts, or recently had requests.
 pub(crate) struct Service {
-    /// Its configuration; `None` where only hosts or requests name it.
+    /// Configuration of the service; `None` if only hosts or requests refer to it.
     pub(crate) info: Option<ServiceInfo>,
     pub(crate) hosts: Vec<HostKey>,
     pub(crate) idle_hosts: IdleList<HostKey>,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) throttle: AdaptiveThrottle,
-    /// Time to the first event in ms, by the tokens that are prefilled.
+    /// Time to the first event without waiting, in ms, as a function of the number of prefilled tokens.
     pub(crate) first_event_latency: LinearTrend,
-    /// Actual latency over the estimated one.
+    /// High quantile of the ratio of actual to estimated latency.
     pub(crate) latency_ratio: QuantileEstimate,
 }
 
@@ -51,22 +51,22 @@
         }
     }
 
-    /// Whether the hosts run a model and have a prefix cache.
+    /// Returns whether the hosts run a model and have a prefix cache.
     pub(crate) fn runs_model(&self) -> bool {
         self.cache_capacity_tokens().is_some()
     }
 
-    /// Capacity of one host's prefix cache; `None` where the hosts run no model.
+    /// Returns the capacity of one host's prefix cache in tokens; `None` if the hosts run no model.
     pub(crate) fn cache_capacity_tokens(&self) -> Option<f64> {
         self.info.as_ref()?.cache_capacity_tokens
     }
 
-    /// Time to the first event without waiting and prefill, in ms.
+    /// Returns the time to the first event without waiting and prefill, in ms.
     pub(crate) fn base_latency_ms(&self) -> f64 {
         self.first_event_latency.intercept()
     }
 
-    /// Prefill time of this many tokens, in ms.
+    /// Returns the prefill time of a number of tokens, in ms.
     pub(crate) fn prefill_ms(&self, tokens: u32) -> f64 {
         f64::from(tokens) * self.first_event_latency.slope()
     }
--- a/crates/balancing/src/state/attempts.rs
+++ b/crates/balancing/src/state/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts in flight: sent, answered, ended.
+//! Attempts in flight: their sending, their responses and their end.
 
 use super::BalancerState;
-use crate::adaptive_throttle::late_after;
+use crate::adaptive_throttle::first_event_time_limit;
 use crate::host::{Host, HostKey};
 use crate::host_choice::ChosenHost;
 use crate::outlier_ejection::{HealthChange, HostError};
@@ -9,18 +9,18 @@
 use crate::types::{AttemptId, HealthTransition, HostChoice, HostLoad, Outcome, RequestContext};
 use std::time::Duration;
 
-/// A host that refused a request gets no other one for this time.
+/// Time for which a host that refused a request gets no further requests.
 const OVERLOAD_BACKOFF: Duration = Duration::from_millis(100);
-/// A client that left after this time without a byte shows that the host is unresponsive.
-const CANCELLED_AS_TIMEOUT: Duration = Duration::from_millis(800);
+/// Age from which an attempt that the client cancelled without having received a byte counts as a timeout of the host.
+const CANCELLATION_TIMEOUT_THRESHOLD: Duration = Duration::from_millis(800);
 
-/// `Priority` of the most urgent rank. 0 would be the first; the ends of the scale stay free.
+/// `Priority` of the most urgent rank without a tenant. Smaller values, down to 0, stay unused.
 const BASE_PRIORITY: u32 = 2;
 /// Distance between the priorities of two ranks.
 const PRIORITY_PER_RANK: u32 = 2;
-/// Ranks of routes that are told apart within a tenant's rank.
+/// Number of route ranks that are distinguished within a tenant's rank.
 const ROUTE_RANKS_PER_TENANT_RANK: u32 = 3;
-/// Largest value that `Priority` may have.
+/// Largest value of `Priority`.
 const MAX_PRIORITY: u32 = 9;
 
 /// An attempt in flight.
@@ -28,45 +28,45 @@
 pub(crate) struct AttemptRecord {
     pub(crate) host: HostKey,
     pub(crate) sent_at: Duration,
-    /// Time to the first event in ms, as estimated when it was sent.
+    /// Time to the first event in ms, as estimated when the attempt was sent.
     pub(crate) estimated_latency_ms: f64,
-    /// How much of that is waiting.
+    /// Part of `estimated_latency_ms` that is waiting.
     estimated_wait_ms: f64,
     uncached_tokens: u32,
-    /// Whether the answer has begun.
+    /// Whether the response has begun.
     pub(crate) has_response: bool,
-    /// When the answer last went on after its beginning.
+    /// When the response last made progress after its beginning.
     pub(crate) last_progress_at: Option<Duration>,
     pub(crate) idempotent: bool,
-    /// Whether it probes an ejected host.
+    /// Whether the attempt probes an ejected host.
     pub(crate) probe: bool,
-    /// Time to the deadline when it was sent.
+    /// Time to the deadline when the attempt was sent.
     pub(crate) time_remaining: Duration,
-    /// When its first event is late. `None` where that doesn't count, or has been counted.
+    /// Time after which the first event is late. `None` if lateness isn't counted or has been counted already.
     pub(crate) late_at: Option<Duration>,
 }
 
-/// What an attempt's end tells of its host.
+/// Facts about an ended attempt that affect the state of its host.
 struct EndedAttempt {
     outcome: Outcome,
     probe: bool,
-    /// Time in flight, without the time before this process last resumed.
+    /// Time in flight, without the time before this process last resumed after a stall.
     age: Duration,
-    /// Whether nothing at all came from the host since the attempt was sent.
+    /// Whether nothing arrived from the host since the attempt was sent.
     host_silent: bool,
 }
 
 impl BalancerState {
-    /// The attempts in flight at a host.
+    /// Returns the attempts in flight at a host.
     pub(crate) fn attempts_at<'a>(
         &'a self,
         host: &'a Host,
     ) -> impl Iterator<Item = &'a AttemptRecord> {
-        let numbers = host.in_flight.iter();
-        numbers.filter_map(|number| self.attempts.get(*number))
+        let attempt_keys = host.in_flight.iter();
+        attempt_keys.filter_map(|attempt_key| self.attempts.get(*attempt_key))
     }
 
-    /// Records that a request is sent to a host. `None` where the host is not known any more.
+    /// Records that a request is sent to a host. Returns `None` if the host is no longer known.
     pub(crate) fn send(
         &mut self,
         now: Duration,
@@ -89,7 +89,8 @@
             idempotent: request.idempotent,
             probe: chosen.probe,
             time_remaining: request.time_remaining,
-            late_at: late_after(service, request, chosen.uncached_tokens).map(|after| now + after),
+            late_at: first_event_time_limit(service, request, chosen.uncached_tokens)
+                .map(|after| now + after),
         });
         self.record_prompt(
             now,
@@ -110,16 +111,16 @@
         })
     }
 
-    /// Records the beginning of an attempt's answer.
-    pub(crate) fn on_first_byte(&mut self, now: Duration, number: usize) {
-        let Some(attempt) = self.attempts.get_mut(number) else {
+    /// Records the beginning of an attempt's response.
+    pub(crate) fn on_first_byte(&mut self, now: Duration, attempt_key: usize) {
+        let Some(attempt) = self.attempts.get_mut(attempt_key) else {
             return;
         };
         if std::mem::replace(&mut attempt.has_response, true) {
             return;
         }
         let key = attempt.host;
-        // The time of an answer that came during a stall of this process isn't known.
+        // The arrival time of a response that came during a stall of this process is unknown.
         let is_timed = self.resumed_at <= attempt.sent_at;
         let latency_ms = as_ms(now.saturating_sub(attempt.sent_at));
         let late_ms = latency_ms - attempt.estimated_latency_ms;
@@ -149,9 +150,9 @@
         self.refresh_idle_host(now, key);
     }
 
-    /// Records that an attempt's answer goes on.
-    pub(crate) fn on_progress(&mut self, now: Duration, number: usize) {
-        let Some(attempt) = self.attempts.get_mut(number) else {
+    /// Records the progress of an attempt's response.
+    pub(crate) fn on_progress(&mut self, now: Duration, attempt_key: usize) {
+        let Some(attempt) = self.attempts.get_mut(attempt_key) else {
             return;
         };
         attempt.last_progress_at = Some(now);
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Once none of this proxy's attempts at a host waits for its answer, the host's own backlog is over.
+    /// Clears this proxy's prefill backlog at a host once none of its attempts there waits for a response.
     fn clear_finished_prefill(&mut self, now: Duration, key: HostKey) {
         let Some(host) = self.hosts.get(key.0) else {
             return;
@@ -177,19 +178,19 @@
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Duration,
-        number: usize,
+        attempt_key: usize,
         outcome: Outcome,
         load: Option<HostLoad>,
     ) {
         if outcome == Outcome::Succeeded {
-            self.on_first_byte(now, number);
+            self.on_first_byte(now, attempt_key);
         }
-        let Some(mut attempt) = self.attempts.try_remove(number) else {
+        let Some(mut attempt) = self.attempts.try_remove(attempt_key) else {
             return;
         };
         let key = attempt.host;
         if let Some(host) = self.hosts.get_mut(key.0) {
-            host.in_flight.retain(|other| *other != number);
+            host.in_flight.retain(|other| *other != attempt_key);
         }
         if outcome == Outcome::Overloaded {
             if let Some(service) = self.service_of_host_mut(key) {
@@ -223,7 +224,7 @@
 }
 
 impl Host {
-    /// Updates the host's health by an attempt's end.
+    /// Updates the host's health after an attempt has ended.
     fn health_change_at_end(
         &mut self,
         now: Duration,
@@ -231,7 +232,8 @@
     ) -> Option<HealthChange> {
         let is_timeout = ended.host_silent
             && (ended.outcome == Outcome::TimedOut
-                || (ended.outcome == Outcome::Cancelled && ended.age >= CANCELLED_AS_TIMEOUT));
+                || (ended.outcome == Outcome::Cancelled
+                    && ended.age >= CANCELLATION_TIMEOUT_THRESHOLD));
         match ended.outcome {
             Outcome::Succeeded | Outcome::Overloaded | Outcome::Refused => self.health.on_success(),
             Outcome::Failed => self.health.on_error(now, HostError::ErrorResponse),
@@ -242,15 +244,15 @@
                 self.health.on_error(now, HostError::Timeout)
             }
             Outcome::TimedOut | Outcome::Cancelled | Outcome::Misdirected => {
-                self.end_probe_without_verdict(ended);
+                self.end_inconclusive_probe(ended);
                 None
             }
         }
     }
 
-    /// Updates what else is known of the host by an attempt's end. Whether the host may be idle now.
+    /// Updates the host's other state after an attempt has ended. Returns whether the host may be idle now.
     fn on_attempt_ended(&mut self, now: Duration, ended: &EndedAttempt) -> bool {
-        if came_from_host(ended.outcome) {
+        if is_host_response(ended.outcome) {
             self.last_response_at = Some(now);
         }
         match ended.outcome {
@@ -271,7 +273,9 @@
             | Outcome::ConnectFailed
             | Outcome::ConnectionLost
             | Outcome::TimedOut => false,
-            Outcome::Cancelled => !(ended.host_silent && ended.age >= CANCELLED_AS_TIMEOUT),
+            Outcome::Cancelled => {
+                !(ended.host_silent && ended.age >= CANCELLATION_TIMEOUT_THRESHOLD)
+            }
         }
     }
 
@@ -283,18 +287,18 @@
         }
     }
 
-    fn end_probe_without_verdict(&mut self, ended: &EndedAttempt) {
+    fn end_inconclusive_probe(&mut self, ended: &EndedAttempt) {
         if ended.probe {
             self.health.on_probe_inconclusive();
         }
     }
 }
 
-/// Whether an outcome shows that the host answered.
-fn came_from_host(outcome: Outcome) -> bool {
+/// Returns whether an outcome shows that the host itself responded.
+fn is_host_response(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Succeeded | Outcome::Failed | Outcome::Overloaded | Outcome::Refused => true,
-        // Another host answered, or none did.
+        // Another host responded, or none did.
         Outcome::Misdirected
         | Outcome::ConnectFailed
         | Outcome::ConnectionLost
@@ -303,8 +307,8 @@
     }
 }
 
-/// Value of `Priority` for a rank; the order of the ranks is kept. Among tenants, the tenant's rank comes first, and
-/// ranks of routes that find no place on the scale count as the last one that does.
+/// Returns the value of `Priority` for a rank. The order of ranks is kept up to [`MAX_PRIORITY`]. A tenant's rank takes
+/// precedence over the route's rank, and route ranks beyond those distinguished count as the last one distinguished.
 fn priority(tenant_rank: Option<u32>, rank: u32) -> u8 {
     let priority = match tenant_rank {
         None => rank
--- a/crates/balancing/src/state/discovery.rs
+++ b/crates/balancing/src/state/discovery.rs
@@ -1,4 +1,4 @@
-//! Services and hosts come and go.
+//! Addition, update and removal of services and hosts.
 
 use super::BalancerState;
 use crate::host::{Host, HostKey};
@@ -36,7 +36,7 @@
         self.remove_unused_services(now);
     }
 
-    /// The key of a service, which is added where it isn't known.
+    /// Returns the key of a service, which is added if it is unknown.
     pub(crate) fn find_or_add_service(&mut self, name: &str) -> ServiceKey {
         if let Some(key) = self.service_keys.get(name) {
             return *key;
@@ -47,7 +47,7 @@
         key
     }
 
-    /// Removes services that are neither configured nor have hosts nor had requests lately.
+    /// Removes services that are not configured, have no hosts and had no recent requests.
     fn remove_unused_services(&mut self, now: Duration) {
         let services = &mut self.services;
         self.service_keys.retain(|_, key| {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Adds a host, or updates its record.
+    /// Adds a host, or updates its record. A host whose address or service changed is replaced.
     fn set_host(&mut self, now: Duration, info: &HostInfo, new_services: &HashSet<ServiceKey>) {
         if let Some(&key) = self.host_keys.get(&info.id) {
             let Some(host) = self.hosts.get(key.0) else {
@@ -102,12 +102,12 @@
             host.health.on_heartbeat_resumed(now);
         }
         if heartbeat_resumed || info.draining || host.is_unreachable(now) {
-            self.forget_idle_host(key);
+            self.remove_idle_record(key);
         }
     }
 
     fn add_host(&mut self, now: Duration, info: &HostInfo, new_services: &HashSet<ServiceKey>) {
-        // An older host with the same address has ended.
+        // An older host with the same address no longer exists.
         for (_, other) in &mut self.hosts {
             if other.info.addr == info.addr && other.known_since < now {
                 other.misdirected = true;
@@ -127,9 +127,9 @@
         }
     }
 
-    /// Removes a host, at once or when its attempts have ended.
+    /// Removes a host, immediately or once its attempts have ended.
     fn remove_host(&mut self, key: HostKey) {
-        self.forget_idle_host(key);
+        self.remove_idle_record(key);
         let Some(host) = self.hosts.get_mut(key.0) else {
             return;
         };
@@ -140,10 +140,10 @@
         self.drop_removed_host(key);
     }
 
-    /// Forgets a removed host once no attempt is in flight there.
+    /// Drops the state of a removed host once it has no attempts in flight.
     pub(super) fn drop_removed_host(&mut self, key: HostKey) {
-        let is_done = |host: &&Host| host.removed && host.in_flight.is_empty();
-        let Some(host) = self.hosts.get(key.0).filter(is_done) else {
+        let is_droppable = |host: &&Host| host.removed && host.in_flight.is_empty();
+        let Some(host) = self.hosts.get(key.0).filter(is_droppable) else {
             return;
         };
         if let Some(service) = self.services.get_mut(host.service.0) {
--- a/crates/balancing/src/state/mod.rs
+++ b/crates/balancing/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! All that the load balancer remembers. The mechanisms' modules work on it.
+//! The load balancer's state, which the modules of the mechanisms extend with their methods.
 
 mod attempts;
 mod discovery;
@@ -16,10 +16,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A longer time without a call shows that this process stalled. What it knew of idle hosts is out of date then.
+/// Longest time without a call that does not count as a stall of this process. After a stall, the idle lists and load
+/// reports are out of date.
 pub(crate) const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// The load balancer's memory.
+/// The state of the load balancer.
 pub(crate) struct BalancerState {
     /// This proxy's zone.
     pub(crate) zone: Arc<str>,
@@ -30,16 +31,16 @@
     pub(crate) hosts: Slab<Host>,
     pub(crate) attempts: Slab<AttemptRecord>,
     pub(crate) retry_limits: RetryLimits,
-    /// Since when all proxies send each other hints.
+    /// Time since which this proxy exchanges prefix hints with all other proxies; `None` while it doesn't.
     pub(crate) hints_complete_since: Option<Duration>,
-    /// The hint that the latest choice gives to other proxies.
+    /// The hint for other proxies that the latest host choice produced.
     pub(crate) pending_hint: Option<PrefixHint>,
-    /// Changes of hosts' health that haven't been taken yet.
+    /// Health transitions of hosts that the caller hasn't taken yet.
     pub(crate) health_transitions: Vec<HealthTransition>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub(crate) is_first_start: bool,
     last_call_at: Option<Duration>,
-    /// When this process last resumed after a stall.
+    /// When this process last resumed after a stall; zero without a stall.
     pub(crate) resumed_at: Duration,
 }
 
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Records a call. After a stall, the idle lists and load reports from before it are dropped.
+    /// Records the time of a call. After a stall, drops the idle lists and load reports from before it.
     pub(crate) fn on_call(&mut self, now: Duration) {
         self.retry_limits.started_at.get_or_insert(now);
         let has_stalled = self
@@ -91,12 +92,12 @@
         }
     }
 
-    /// When this proxy started.
+    /// Returns the time of the first call, which counts as the start of this proxy.
     pub(crate) fn started_at(&self) -> Duration {
         self.retry_limits.started_at.unwrap_or_default()
     }
 
-    /// The service of this name, which is added where it isn't known.
+    /// Returns the service named `name`, which is added if it is unknown.
     pub(crate) fn service_mut(&mut self, name: &str) -> Option<&mut Service> {
         let key = self.find_or_add_service(name);
         self.services.get_mut(key.0)
--- a/crates/balancing/src/state/prefix_hints.rs
+++ b/crates/balancing/src/state/prefix_hints.rs
@@ -1,23 +1,23 @@
-//! Hints between proxies: which prompts are in which host's prefix cache.
+//! Hints between proxies about which prompts are in which host's prefix cache.
 
 use super::BalancerState;
 use crate::host::HostKey;
 use crate::types::{PrefixHint, PromptPart};
 use std::time::Duration;
 
-/// A prompt with at least this many uncached tokens is worth a hint, for the prefill that it means.
+/// Number of uncached tokens from which a prompt produces a hint, so that other proxies account for its prefill.
 const MIN_HINTED_TOKENS: u32 = 500;
-/// After this time of hearing all proxies, what is known of the caches is taken to be complete.
+/// Time after which the known cache contents count as complete, once all proxies exchange hints.
 const HINTS_SETTLE_TIME: Duration = Duration::from_secs(1);
 
 impl BalancerState {
-    /// Whether what is known of the prefix caches comes from all proxies.
+    /// Returns whether the known contents of the prefix caches include the prompts of all proxies.
     pub(crate) fn knows_all_caches(&self, now: Duration) -> bool {
         self.hints_complete_since
             .is_some_and(|since| now >= since + HINTS_SETTLE_TIME)
     }
 
-    /// Takes in the hint of another proxy.
+    /// Applies another proxy's hint.
     pub(crate) fn on_prefix_hint(
         &mut self,
         now: Duration,
@@ -37,7 +37,7 @@
         let Some(capacity) = service.cache_capacity_tokens() else {
             return;
         };
-        // No prompt is longer than a cache, whatever a datagram says.
+        // No prompt is longer than a cache, so a hint with a longer prefix is invalid.
         let prefix_tokens: f64 = prefix.iter().map(|part| f64::from(part.tokens)).sum();
         if prefix_tokens > capacity {
             return;
@@ -48,7 +48,7 @@
         host.prefill_backlog.add_peers(now, prefill_ms);
     }
 
-    /// The shared parts in the caches of all usable hosts.
+    /// Returns the shared parts in the caches of all usable hosts.
     pub(crate) fn cached_prefixes(&self) -> Vec<PrefixHint> {
         let usable = self.hosts.iter().filter(|(_, host)| host.is_usable());
         usable
@@ -61,8 +61,8 @@
             .collect()
     }
 
-    /// Records in the host's cache that a prompt was sent there, and leaves a hint for the other proxies where it
-    /// is worth one.
+    /// Records in the host's cache that a prompt was sent there. Produces a hint for the other proxies if shared parts
+    /// are new in the cache or many tokens are uncached.
     pub(super) fn record_prompt(
         &mut self,
         now: Duration,
@@ -83,7 +83,7 @@
         };
         let prefill_ms = service.prefill_ms(uncached_tokens);
         host.prefill_backlog.add_own(now, prefill_ms);
-        // Proxies whose hints don't come fill the cache as fast as this one.
+        // Assumes that proxies whose hints don't arrive fill the cache as fast as this one.
         let own_capacity = if knows_all {
             capacity
         } else {
--- a/crates/balancing/src/statistics/linear_trend.rs
+++ b/crates/balancing/src/statistics/linear_trend.rs
@@ -1,15 +1,15 @@
-//! A straight line through points.
+//! A running linear regression.
 
-/// Number of points that the line remembers, about.
-const MEMORY_POINTS: f64 = 128.0;
-/// Weight of the assumed slope: that of 8 points at a distance of 4000 from the mean.
+/// Upper bound of the effective number of points; older points decay exponentially.
+const MAX_EFFECTIVE_POINTS: f64 = 128.0;
+/// Weight of the assumed slope, equal to that of 8 points at a distance of 4000 from the mean.
 const PRIOR_WEIGHT: f64 = 8.0 * 4000.0 * 4000.0;
-/// The slope stays within this factor of the assumed one.
+/// Largest factor by which the slope may differ from the assumed slope, up or down.
 const MAX_SLOPE_FACTOR: f64 = 8.0;
-/// The intercept is never below this.
+/// Lower bound of the intercept.
 const MIN_INTERCEPT: f64 = 1.0;
 
-/// Least squares line with exponential decay, drawn towards a slope that is assumed at first.
+/// Least squares line with exponential decay, regularized towards an assumed slope.
 #[derive(Debug)]
 pub(crate) struct LinearTrend {
     points: f64,
@@ -21,7 +21,7 @@
 }
 
 impl LinearTrend {
-    /// A line through one point at (0, `intercept`) with this slope.
+    /// Creates a line through one point at (0, `intercept`) with the assumed slope `slope`.
     pub(crate) fn new(intercept: f64, slope: f64) -> Self {
         Self {
             points: 1.0,
@@ -34,7 +34,7 @@
     }
 
     pub(crate) fn add(&mut self, x: f64, y: f64) {
-        self.points = (self.points + 1.0).min(MEMORY_POINTS);
+        self.points = (self.points + 1.0).min(MAX_EFFECTIVE_POINTS);
         let gain = 1.0 / self.points;
         let (dx, dy) = (x - self.mean_x, y - self.mean_y);
         self.mean_x += gain * dx;
@@ -43,7 +43,7 @@
         self.covariance = (1.0 - gain) * (self.covariance + gain * dx * dy);
     }
 
-    /// Rise of y for each unit of x.
+    /// Returns the rise of y per unit of x.
     pub(crate) fn slope(&self) -> f64 {
         let (points, prior) = (self.points, self.prior_slope);
         let slope = (points * self.covariance + PRIOR_WEIGHT * prior)
@@ -51,7 +51,7 @@
         slope.clamp(prior / MAX_SLOPE_FACTOR, prior * MAX_SLOPE_FACTOR)
     }
 
-    /// Height of the line at x = 0.
+    /// Returns the value of the line at x = 0.
     pub(crate) fn intercept(&self) -> f64 {
         (self.mean_y - self.slope() * self.mean_x).max(MIN_INTERCEPT)
     }
--- a/crates/balancing/src/statistics/mod.rs
+++ b/crates/balancing/src/statistics/mod.rs
@@ -1,4 +1,4 @@
-//! Running statistics. None has a clock of its own.
+//! Running statistics. None of them has a clock of its own.
 
 mod linear_trend;
 mod quantile;
--- a/crates/balancing/src/statistics/quantile.rs
+++ b/crates/balancing/src/statistics/quantile.rs
@@ -1,30 +1,30 @@
-//! A quantile without stored samples.
+//! A quantile estimate that stores no samples.
 
-/// Change of the estimate with one sample, as a share of the estimate.
-const STEP: f64 = 0.1;
+/// Step of the estimate, as a share of the estimate, before it is weighted by the quantile.
+const RELATIVE_STEP: f64 = 0.1;
 
-/// Running estimate of a quantile: each sample moves it by a small step up or down, the steps weighted so that the
-/// wanted share of samples lies below it.
+/// Running estimate of a quantile. Each sample moves the estimate by a small step up or down; the steps are weighted so
+/// that the share `quantile` of the samples lies below it.
 #[derive(Debug)]
 pub(crate) struct QuantileEstimate {
-    share_below: f64,
+    quantile: f64,
     value: f64,
 }
 
 impl QuantileEstimate {
-    pub(crate) fn new(share_below: f64, initial: f64) -> Self {
+    pub(crate) fn new(quantile: f64, initial: f64) -> Self {
         Self {
-            share_below,
+            quantile,
             value: initial,
         }
     }
 
     pub(crate) fn add(&mut self, sample: f64) {
-        let step = STEP * self.value;
+        let step = RELATIVE_STEP * self.value;
         self.value += if sample > self.value {
-            step * self.share_below
+            step * self.quantile
         } else {
-            -step * (1.0 - self.share_below)
+            -step * (1.0 - self.quantile)
         };
     }
 
--- a/crates/balancing/src/types.rs
+++ b/crates/balancing/src/types.rs
@@ -1,54 +1,54 @@
-//! What goes into and comes out of the load balancer.
+//! Input and output types of the load balancer.
 
 use crate::outlier_ejection::HealthChange;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Settings of a [`LoadBalancer`](crate::LoadBalancer) that hold for the life of the process.
+/// Settings of a [`LoadBalancer`](crate::LoadBalancer) that stay fixed for the lifetime of the process.
 #[derive(Clone, Debug)]
 pub struct LoadBalancerSettings {
-    /// Zone of this proxy. Among equal hosts one of the same zone is chosen.
+    /// Zone of this proxy. Among equal hosts, one in the same zone is preferred.
     pub zone: Arc<str>,
-    /// Retries allowed for each request, over all proxies together.
+    /// Retries allowed per request, over all proxies together.
     pub retry_ratio: f64,
     /// Length of the sliding window over which requests and retries are counted.
     pub retry_window: Duration,
-    /// Retries allowed in one window beside those of `retry_ratio`, over all proxies together.
+    /// Retries allowed in one window in addition to those of `retry_ratio`, over all proxies together.
     pub retry_slack: f64,
     /// Seed of the random choices.
     pub random_seed: u64,
 }
 
-/// What is configured of a service.
+/// Configuration of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceInfo {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that one host accepts, over all callers.
+    /// Number of connections that one host accepts, over all callers.
     pub connection_limit: u32,
-    /// Tokens that the prefix cache of one host holds; `None` where the hosts run no model.
+    /// Number of tokens that the prefix cache of one host holds; `None` if the hosts run no model.
     pub cache_capacity_tokens: Option<f64>,
 }
 
-/// What the host registry tells of a host.
+/// A host's record in the host registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostInfo {
-    /// Identity of the host; a new one with every start.
+    /// Identity of the host, which is new with every start.
     pub id: Arc<str>,
-    /// Name of its service.
+    /// Name of the host's service.
     pub service: Arc<str>,
-    /// Address at which it takes requests.
+    /// Address at which the host accepts requests.
     pub addr: SocketAddrV4,
-    /// Zone that it runs in.
+    /// Zone that the host runs in.
     pub zone: Arc<str>,
-    /// Requests that it works on at the same time.
+    /// Number of requests that the host processes concurrently.
     pub capacity: u32,
-    /// Whether it is draining: it gets no new requests. Hosts that are gone are not listed at all.
+    /// Whether the host is draining and gets no new requests. Hosts that are gone are not listed at all.
     pub draining: bool,
-    /// Whether its heartbeats have stopped.
+    /// Whether the host's heartbeats have stopped.
     pub heartbeat_expired: bool,
-    /// Time for which it is still slow after its start.
+    /// Time for which the host is still slow after its start.
     pub slow_start_remaining: Duration,
 }
 
@@ -64,109 +64,110 @@
 /// A request that needs a host.
 #[derive(Clone, Debug)]
 pub struct RequestContext<'a> {
-    /// Name of the service that it asks for.
+    /// Name of the requested service.
     pub service: &'a str,
-    /// Urgency of its tenant, which goes before `rank`; 0 is the most urgent. `None` without a tenant.
+    /// Urgency of the request's tenant, which takes precedence over `rank`; 0 is the most urgent. `None` without a
+    /// tenant.
     pub tenant_rank: Option<u32>,
-    /// Urgency: 0 is the most urgent.
+    /// Urgency of the request's route; 0 is the most urgent.
     pub rank: u32,
-    /// Whether it may run twice.
+    /// Whether the request may be executed twice.
     pub idempotent: bool,
-    /// Parts of its prompt in order. The last one is the request's own, the others may be shared. Empty where
-    /// they are unknown.
+    /// Parts of the prompt, in order. The last one belongs to this request alone, the others may be shared. Empty if
+    /// the parts are unknown.
     pub prompt_parts: &'a [PromptPart],
-    /// Length of its prompt in tokens, used where the parts are unknown; 0 where this is unknown too.
+    /// Length of the prompt in tokens, used if the parts are unknown; 0 if the length is unknown too.
     pub prompt_tokens: u32,
-    /// Time until its deadline.
+    /// Time until the deadline of the request.
     pub time_remaining: Duration,
-    /// Time until its first event counts as late; `None` where its route has no latency target.
+    /// Time until the first event counts as late; `None` if the route has no latency target.
     pub target_remaining: Option<Duration>,
-    /// Identities of the hosts that it was sent to before; none of them is chosen again.
+    /// Identities of the hosts that the request was sent to before; none of them is chosen again.
     pub attempted_hosts: &'a [Arc<str>],
 }
 
-/// Number of an attempt in flight. It may be used again once the attempt has ended.
+/// Identifier of an attempt in flight. It may be reused once the attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId(pub usize);
 
-/// Answer to [`LoadBalancer::choose_host`](crate::LoadBalancer::choose_host).
+/// Result of [`LoadBalancer::choose_host`](crate::LoadBalancer::choose_host).
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostChoice {
-    /// The request goes to this host. The attempt counts as in flight from now on.
+    /// The request is to be sent to this host. The attempt counts as in flight from now on.
     Selected {
-        /// Number of the attempt.
+        /// Identifier of the attempt.
         attempt: AttemptId,
         /// Identity of the host.
         id: Arc<str>,
         /// Address of the host.
         addr: SocketAddrV4,
-        /// Value of the header `Priority`, where one is to be sent.
+        /// Value of the `Priority` header, if one is to be sent.
         priority: Option<u8>,
     },
-    /// No host can take the request now.
+    /// No host can accept the request now.
     Unavailable {
-        /// Time after which to ask again.
+        /// Time after which the client may retry.
         retry_after: Duration,
     },
     /// The hosts are overloaded: this request, or another in its place, would be answered too late.
     Throttled {
-        /// Time after which to ask again.
+        /// Time after which the client may retry.
         retry_after: Duration,
     },
 }
 
-/// The load that a host reports of itself in `Fennelpin-Host-Load`.
+/// The load that a host reports in the `Fennelpin-Host-Load` header.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostLoad {
-    /// Requests that are running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that are queued.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that can run at the same time.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A complete good answer came.
+    /// A complete successful response arrived.
     Succeeded,
-    /// The host ran the request and failed: 500, 504 or a 4xx of its own.
+    /// The host executed the request and failed: 500, 504, or a 4xx status that the host itself produced.
     Failed,
-    /// The host refused the request, without running it, because it is at capacity: 429 or 503.
+    /// The host refused the request without executing it, because it is at capacity: 429 or 503.
     Overloaded,
-    /// The host refused the request for another reason, or this process has as many connections to it as it may.
+    /// The host refused the request for another reason, or this process has reached its limit of connections to it.
     Refused,
     /// 421 Misdirected Request: another host has the address now.
     Misdirected,
-    /// No connection came up: the request never ran.
+    /// The connection couldn't be established: the request was never executed.
     ConnectFailed,
-    /// The connection broke, or what came is no answer.
+    /// The connection broke, or the received data isn't a valid response.
     ConnectionLost,
-    /// No answer came in time.
+    /// No response arrived in time.
     TimedOut,
-    /// The client left, or the proxy gave the request up.
+    /// The client disconnected, or the proxy cancelled the request.
     Cancelled,
 }
 
-/// A change of a host's health, for logs and counters.
+/// A change of a host's health, for logs and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HealthTransition {
     /// Identity of the host.
     pub host_id: Arc<str>,
     /// The host's service.
     pub service: Arc<str>,
-    /// What has changed.
+    /// The change.
     pub change: HealthChange,
 }
 
-/// Tells other proxies that a host has a prompt's prefix in its cache.
+/// A message to other proxies that a host has a prompt's prefix in its cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixHint {
     /// Identity of the host.
     pub host_id: Arc<str>,
     /// The shared parts of the prompt, in order.
     pub prefix: Vec<PromptPart>,
-    /// Tokens of the prompt that were not in the cache: the host has to prefill them.
+    /// Number of prompt tokens that were not in the cache: the host has to prefill them.
     pub uncached_tokens: u32,
 }
