--- a/crates/balancing/tests/affinity.rs
+++ b/crates/balancing/tests/affinity.rs
@@ -1,4 +1,5 @@
-//! Affinity of prompts to hosts: all proxies agree, a busy or failed host is left, prompts return to it.
+//! Affinity of prompts to hosts: all proxies choose the same host, prompts move away from a busy or failed host, and
+//! they return once it has recovered.
 
 mod common;
 use balancing::{HostChoice, LoadBalancer, LoadBalancerSettings, Outcome};
@@ -7,22 +8,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-fn affinity_hosts(balancer: &mut LoadBalancer, t: u64, subjects: u64) -> BTreeMap<u64, Arc<str>> {
+/// Returns the host that is chosen for a prompt of each subject. The attempts are cancelled at once.
+fn affinity_hosts(
+    balancer: &mut LoadBalancer,
+    now_ms: u64,
+    subjects: u64,
+) -> BTreeMap<u64, Arc<str>> {
     (0..subjects)
-        .map(|s| {
-            let (a, id) = selected(balancer.choose_host(
-                ms(t),
-                &model_request(&[part(s, 13_000), part(1_000_000 + t * 1000 + s, 500)]),
+        .map(|subject| {
+            let (attempt, id) = selected(balancer.choose_host(
+                ms(now_ms),
+                &model_request(&[
+                    part(subject, 13_000),
+                    part(1_000_000 + now_ms * 1000 + subject, 500),
+                ]),
             ));
-            balancer.on_attempt_ended(ms(t), a, Outcome::Cancelled, None);
-            (s, id)
+            balancer.on_attempt_ended(ms(now_ms), attempt, Outcome::Cancelled, None);
+            (subject, id)
         })
         .collect()
 }
 
 #[test]
-fn affinity_hosts_when_several_proxies_choose_then_equal_and_spread() {
-    let (mut one, hosts) = balancer_with(9, 0);
+fn affinity_hosts_when_two_proxies_choose_then_equal_and_spread() {
+    let (mut first, hosts) = balancer_with_hosts(9, 0);
     let mut other = LoadBalancer::new(LoadBalancerSettings {
         random_seed: 99,
         zone: "c".into(),
@@ -32,98 +41,111 @@
     let mut reversed = hosts.clone();
     reversed.reverse();
     other.set_hosts(ms(0), &reversed);
-    let (a, b) = (
-        affinity_hosts(&mut one, 1, 121),
+    let (first_hosts, other_hosts) = (
+        affinity_hosts(&mut first, 1, 121),
         affinity_hosts(&mut other, 1, 121),
     );
-    assert_eq!(a, b);
-    let mut count: BTreeMap<_, u32> = BTreeMap::new();
-    a.values()
-        .for_each(|h| *count.entry(h.clone()).or_default() += 1);
-    assert_eq!(count.len(), 9);
-    assert!(count.values().all(|n| *n < 30), "{count:?}");
+    assert_eq!(first_hosts, other_hosts);
+    let mut subjects_by_host: BTreeMap<_, u32> = BTreeMap::new();
+    first_hosts
+        .values()
+        .for_each(|host| *subjects_by_host.entry(host.clone()).or_default() += 1);
+    assert_eq!(subjects_by_host.len(), 9);
+    assert!(
+        subjects_by_host.values().all(|count| *count < 30),
+        "{subjects_by_host:?}"
+    );
 }
 
 #[test]
-fn prompts_when_their_affinity_host_fails_then_spread_and_return() {
-    let (mut balancer, _) = balancer_with(9, 0);
+fn prompts_when_their_affinity_host_fails_then_spread_and_return_after_recovery() {
+    let (mut balancer, _) = balancer_with_hosts(9, 0);
     let before = affinity_hosts(&mut balancer, 1, 121);
-    let dead = before[&0].clone();
-    let (a, id) =
+    let failed_host = before[&0].clone();
+    let (attempt, id) =
         selected(balancer.choose_host(ms(10), &model_request(&[part(0, 13_000), part(77, 500)])));
-    assert_eq!(id, dead);
-    balancer.on_attempt_ended(ms(11), a, Outcome::ConnectFailed, None);
+    assert_eq!(id, failed_host);
+    balancer.on_attempt_ended(ms(11), attempt, Outcome::ConnectFailed, None);
     let during = affinity_hosts(&mut balancer, 20, 121);
     let moved: BTreeSet<_> = before
         .iter()
-        .filter(|(s, h)| during[s] != **h)
-        .map(|(s, _)| *s)
+        .filter(|(subject, host)| during[subject] != **host)
+        .map(|(subject, _)| *subject)
+        .collect();
+    assert!(
+        moved.iter().all(|subject| before[subject] == failed_host),
+        "only the prompts of the failed host move"
+    );
+    assert!(during.values().all(|host| *host != failed_host));
+    let replacements: BTreeSet<_> = moved
+        .iter()
+        .map(|subject| during[subject].clone())
         .collect();
     assert!(
-        moved.iter().all(|s| before[s] == dead),
-        "only its own prompts move"
+        replacements.len() >= 4,
+        "the prompts spread over several hosts: {replacements:?}"
     );
-    assert!(during.values().all(|h| *h != dead));
-    let heirs: BTreeSet<_> = moved.iter().map(|s| during[s].clone()).collect();
-    assert!(heirs.len() >= 4, "to several others: {heirs:?}");
-    // The probe finds it healthy.
+    // The probe succeeds, and the host is healthy again.
     tick_until(&mut balancer, 20, 700);
-    let (a, id) =
+    let (attempt, id) =
         selected(balancer.choose_host(ms(700), &model_request(&[part(5, 100), part(78, 100)])));
-    assert_eq!(id, dead);
-    balancer.on_first_byte(ms(750), a);
-    balancer.on_attempt_ended(ms(800), a, Outcome::Succeeded, None);
+    assert_eq!(id, failed_host);
+    balancer.on_first_byte(ms(750), attempt);
+    balancer.on_attempt_ended(ms(800), attempt, Outcome::Succeeded, None);
     tick_until(&mut balancer, 800, 5000);
     assert_eq!(affinity_hosts(&mut balancer, 5000, 121), before);
 }
 
 #[test]
 fn prompts_when_their_affinity_host_has_a_backlog_then_go_elsewhere() {
-    let (mut balancer, _) = balancer_with(9, 0);
-    let mut at: BTreeMap<Arc<str>, u32> = BTreeMap::new();
+    let (mut balancer, _) = balancer_with_hosts(9, 0);
+    let mut requests_by_host: BTreeMap<Arc<str>, u32> = BTreeMap::new();
     for n in 0..24 {
-        // Little is shared and much is own: the affinity host has no great advantage.
+        // Most of the prompt isn't shared, so the affinity host has only a small advantage.
         let (_, id) = selected(
             balancer.choose_host(ms(1), &model_request(&[part(7, 300), part(100 + n, 4_000)])),
         );
-        *at.entry(id).or_default() += 1;
+        *requests_by_host.entry(id).or_default() += 1;
     }
-    assert!(at.len() >= 4, "{at:?}");
-    assert!(at.values().all(|n| *n <= 8), "{at:?}");
+    assert!(requests_by_host.len() >= 4, "{requests_by_host:?}");
+    assert!(
+        requests_by_host.values().all(|count| *count <= 8),
+        "{requests_by_host:?}"
+    );
 }
 
 #[test]
 fn prompts_when_their_affinity_host_is_idle_then_stay_there() {
-    let (mut balancer, _) = balancer_with(9, 0);
-    let mut at = BTreeSet::new();
+    let (mut balancer, _) = balancer_with_hosts(9, 0);
+    let mut chosen_hosts = BTreeSet::new();
     for n in 0..50 {
-        let t = 1 + n * 100;
-        let (a, id) = selected(balancer.choose_host(
-            ms(t),
+        let now_ms = 1 + n * 100;
+        let (attempt, id) = selected(balancer.choose_host(
+            ms(now_ms),
             &model_request(&[part(7, 13_000), part(100 + n, 500)]),
         ));
-        balancer.on_first_byte(ms(t + 40), a);
-        balancer.on_attempt_ended(ms(t + 80), a, Outcome::Succeeded, None);
-        at.insert(id);
+        balancer.on_first_byte(ms(now_ms + 40), attempt);
+        balancer.on_attempt_ended(ms(now_ms + 80), attempt, Outcome::Succeeded, None);
+        chosen_hosts.insert(id);
     }
-    assert_eq!(at.len(), 1);
+    assert_eq!(chosen_hosts.len(), 1);
 }
 
 #[test]
-fn short_prompt_when_its_host_prefills_a_long_one_then_goes_elsewhere() {
-    let (mut balancer, _) = balancer_with(3, 0);
+fn short_prompt_when_its_affinity_host_prefills_a_long_one_then_goes_elsewhere() {
+    let (mut balancer, _) = balancer_with_hosts(3, 0);
     let short = [part(3, 300), part(4, 500)];
-    let (a, affinity_host) = selected(balancer.choose_host(ms(1), &model_request(&short)));
-    balancer.on_first_byte(ms(30), a);
-    balancer.on_attempt_ended(ms(40), a, Outcome::Succeeded, None);
+    let (attempt, affinity_host) = selected(balancer.choose_host(ms(1), &model_request(&short)));
+    balancer.on_first_byte(ms(30), attempt);
+    balancer.on_attempt_ended(ms(40), attempt, Outcome::Succeeded, None);
     // A long prompt with the same affinity host.
-    let (s, _) = affinity_hosts(&mut balancer, 41, 50)
+    let (subject, _) = affinity_hosts(&mut balancer, 41, 50)
         .into_iter()
-        .find(|(_, h)| *h == affinity_host)
-        .expect("homes are spread");
+        .find(|(_, host)| *host == affinity_host)
+        .expect("affinity hosts are spread over all hosts");
     selected(balancer.choose_host(
         ms(50),
-        &model_request(&[part(s, 13_000), part(9000, 20_000)]),
+        &model_request(&[part(subject, 13_000), part(9000, 20_000)]),
     ));
     assert_ne!(
         selected(balancer.choose_host(ms(51), &model_request(&short))).1,
@@ -132,8 +154,8 @@
 }
 
 #[test]
-fn host_when_an_answer_is_overdue_then_avoided_before_ejection() {
-    let (mut balancer, _) = balancer_with(9, 0);
+fn host_when_a_response_is_overdue_then_avoided_before_ejection() {
+    let (mut balancer, _) = balancer_with_hosts(9, 0);
     let parts = |n| [part(7, 2_000), part(n, 500)];
     let (_, affinity_host) = selected(balancer.choose_host(ms(1), &model_request(&parts(100))));
     tick_until(&mut balancer, 1, 450);
@@ -145,18 +167,19 @@
 
 #[test]
 fn host_when_a_stream_pauses_then_avoided() {
-    let (mut balancer, _) = balancer_with(9, 0);
+    let (mut balancer, _) = balancer_with_hosts(9, 0);
     let parts = |n| [part(7, 2_000), part(n, 500)];
-    let (a, affinity_host) = selected(balancer.choose_host(ms(1), &model_request(&parts(100))));
-    balancer.on_first_byte(ms(40), a);
-    balancer.on_progress(ms(60), a);
+    let (attempt, affinity_host) =
+        selected(balancer.choose_host(ms(1), &model_request(&parts(100))));
+    balancer.on_first_byte(ms(40), attempt);
+    balancer.on_progress(ms(60), attempt);
     tick_until(&mut balancer, 60, 200);
     assert_eq!(
         selected(balancer.choose_host(ms(200), &model_request(&parts(101)))).1,
         affinity_host
     );
-    balancer.on_progress(ms(210), a);
-    balancer.on_first_byte(ms(230), a);
+    balancer.on_progress(ms(210), attempt);
+    balancer.on_first_byte(ms(230), attempt);
     tick_until(&mut balancer, 230, 900);
     assert_ne!(
         selected(balancer.choose_host(ms(900), &model_request(&parts(102)))).1,
@@ -170,14 +193,14 @@
 #[case(2, 6)]
 #[case(9, 9)]
 fn priority_when_rank_is_more_urgent_then_lower(#[case] rank: u32, #[case] expected: u8) {
-    let (mut balancer, _) = balancer_with(3, 0);
+    let (mut balancer, _) = balancer_with_hosts(3, 0);
     let parts = [part(1, 10), part(2, 10)];
     let request = balancing::RequestContext {
         rank,
         ..model_request(&parts)
     };
     let HostChoice::Selected { priority, .. } = balancer.choose_host(ms(1), &request) else {
-        panic!("no host")
+        panic!("no host was selected")
     };
     assert_eq!(priority, Some(expected));
 }
--- a/crates/balancing/tests/common/mod.rs
+++ b/crates/balancing/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Shared by the tests: a load balancer with hosts, requests and choices.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Shared test helpers: load balancers with hosts, requests, and the results of choices.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use balancing::{
     AttemptId, HostChoice, HostInfo, LoadBalancer, LoadBalancerSettings, PromptPart,
@@ -23,6 +23,7 @@
     }
 }
 
+/// Creates the record of the host with index `n`, in one of the first `zones` of three zones.
 pub fn host(service: &str, n: usize, zones: usize) -> HostInfo {
     HostInfo {
         id: format!("{service}-{n}").into(),
@@ -51,13 +52,16 @@
     ]
 }
 
-/// A load balancer with `models` model hosts and `plains` plain ones, in three zones.
-pub fn balancer_with(models: usize, plains: usize) -> (LoadBalancer, Vec<HostInfo>) {
+/// Creates a load balancer with model hosts and plain hosts in three zones, in a system of six proxies.
+pub fn balancer_with_hosts(
+    model_hosts: usize,
+    plain_hosts: usize,
+) -> (LoadBalancer, Vec<HostInfo>) {
     let mut balancer = LoadBalancer::new(settings());
     balancer.set_services(ms(0), &services());
     balancer.set_proxy_count(ms(0), 6);
-    let mut hosts: Vec<_> = (0..models).map(|n| host("model", n, 3)).collect();
-    hosts.extend((0..plains).map(|n| HostInfo {
+    let mut hosts: Vec<_> = (0..model_hosts).map(|n| host("model", n, 3)).collect();
+    hosts.extend((0..plain_hosts).map(|n| HostInfo {
         addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, n as u8 + 1), 8000),
         ..host("plain", n, 3)
     }));
@@ -65,6 +69,7 @@
     (balancer, hosts)
 }
 
+/// An idempotent request to a host without a model.
 pub const PLAIN_REQUEST: RequestContext = RequestContext {
     service: "plain",
     tenant_rank: None,
@@ -81,28 +86,32 @@
     PromptPart { id, tokens }
 }
 
+/// Creates a request to a model host with these prompt parts.
 pub fn model_request(parts: &[PromptPart]) -> RequestContext<'_> {
     RequestContext {
         service: "model",
         prompt_parts: parts,
-        prompt_tokens: parts.iter().map(|p| p.tokens).sum(),
+        prompt_tokens: parts.iter().map(|part| part.tokens).sum(),
         time_remaining: ms(8000),
         target_remaining: None,
         ..PLAIN_REQUEST
     }
 }
 
+/// Returns the attempt and the host's identity of a choice; panics if no host was selected.
 pub fn selected(choice: HostChoice) -> (AttemptId, Arc<str>) {
     match choice {
         HostChoice::Selected { attempt, id, .. } => (attempt, id),
-        HostChoice::Unavailable { .. } | HostChoice::Throttled { .. } => panic!("no host"),
+        HostChoice::Unavailable { .. } | HostChoice::Throttled { .. } => {
+            panic!("no host was selected")
+        }
     }
 }
 
-/// Ticks every 100 ms, as the proxy does.
-pub fn tick_until(balancer: &mut LoadBalancer, from: u64, to: u64) {
-    for t in (from..to).step_by(100) {
-        balancer.tick(ms(t));
+/// Ticks every 100 ms, as the proxy does, and at the end.
+pub fn tick_until(balancer: &mut LoadBalancer, from_ms: u64, to_ms: u64) {
+    for now_ms in (from_ms..to_ms).step_by(100) {
+        balancer.tick(ms(now_ms));
     }
-    balancer.tick(ms(to));
+    balancer.tick(ms(to_ms));
 }
