--- a/crates/balancing/tests/recorded_decisions.rs
+++ b/crates/balancing/tests/recorded_decisions.rs
@@ -1,6 +1,6 @@
-//! Pins every decision: long made-up streams of events must give the outputs that were recorded before the crate was
-//! rewritten for its readers (revision bb16a52). A digest changes with any other order of random draws or of
-//! floating-point operations, so a deliberate change of behaviour has to record new digests.
+//! Regression test of all decisions: long generated event sequences must produce the outputs recorded at revision
+//! bb16a52, before the crate was refactored for readability. The digests depend on the order of random draws and of
+//! floating-point operations, so a deliberate change of behaviour requires new recorded digests.
 
 use balancing::{
     AttemptId, HostChoice, HostInfo, HostLoad, LoadBalancer, LoadBalancerSettings, Outcome,
@@ -11,13 +11,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Events in one stream.
+/// Number of events in one sequence.
 const EVENTS: usize = 24_000;
-/// A digest is compared after every this many events, so that a failure tells how far the stream was as recorded.
+/// Number of events between two digests. A failure shows up to which digest the outputs are as recorded.
 const EVENTS_PER_DIGEST: usize = 4_000;
+/// Names of the services; those whose names end with `model` run a model.
 const SERVICES: [&str; 4] = ["large-model", "small-model", "plain", "plain-small"];
-/// Hosts of each service at the start.
+/// Number of hosts of each service at the start.
 const HOSTS_PER_SERVICE: u64 = 7;
+/// All outcomes of an attempt.
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Succeeded,
     Outcome::Failed,
@@ -30,7 +32,7 @@
     Outcome::Cancelled,
 ];
 
-/// Knuth's linear congruential generator (MMIX); the high bits are used.
+/// Knuth's linear congruential generator for MMIX, of which only the high bits are used.
 struct Lcg(u64);
 
 impl Lcg {
@@ -42,6 +44,7 @@
         (self.0 >> 33) % limit
     }
 
+    /// Returns `true` with a probability of 1 in `n`.
     fn one_in(&mut self, n: u64) -> bool {
         self.below(n) == 0
     }
@@ -51,33 +54,33 @@
     PromptPart { id, tokens }
 }
 
-/// FNV-1a over all outputs.
+/// FNV-1a hash of all outputs.
 struct Digest(u64);
 
 impl Digest {
-    fn bytes(&mut self, bytes: &[u8]) {
+    fn add_bytes(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    fn number(&mut self, number: u64) {
-        self.bytes(&number.to_le_bytes());
+    fn add_number(&mut self, number: u64) {
+        self.add_bytes(&number.to_le_bytes());
     }
 
-    fn text(&mut self, text: &str) {
-        self.number(text.len() as u64);
-        self.bytes(text.as_bytes());
+    fn add_text(&mut self, text: &str) {
+        self.add_number(text.len() as u64);
+        self.add_bytes(text.as_bytes());
     }
 
-    fn duration(&mut self, duration: Duration) {
-        self.number(duration.as_nanos() as u64);
+    fn add_duration(&mut self, duration: Duration) {
+        self.add_number(duration.as_nanos() as u64);
     }
 }
 
-/// How often each output came, to show that the streams reach them all.
+/// How often each kind of output occurred, to show that the sequences cover them all.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Counts {
+struct OutputCounts {
     selected: u32,
     refused: u32,
     with_priority: u32,
@@ -88,14 +91,16 @@
     hints: u32,
 }
 
-struct Stream {
+/// Generates the events of one sequence, applies them to a load balancer and records its outputs.
+struct EventGenerator {
     balancer: LoadBalancer,
     random: Lcg,
     digest: Digest,
-    counts: Counts,
+    counts: OutputCounts,
     now: Duration,
     hosts: Vec<HostInfo>,
-    hosts_made: u64,
+    /// Number of hosts added so far; also the number in the next host's identity.
+    hosts_added: u64,
     in_flight: Vec<AttemptId>,
 }
 
@@ -113,7 +118,7 @@
     ]
 }
 
-impl Stream {
+impl EventGenerator {
     fn new(seed: u64) -> Self {
         let balancer = LoadBalancer::new(LoadBalancerSettings {
             zone: "a".into(),
@@ -122,33 +127,37 @@
             retry_slack: 30.0,
             random_seed: seed,
         });
-        let mut stream = Self {
+        let mut generator = Self {
             balancer,
             random: Lcg(seed),
             digest: Digest(0xcbf2_9ce4_8422_2325),
-            counts: Counts::default(),
+            counts: OutputCounts::default(),
             now: Duration::ZERO,
             hosts: Vec::new(),
-            hosts_made: 0,
+            hosts_added: 0,
             in_flight: Vec::new(),
         };
         if seed.is_multiple_of(2) {
-            stream.balancer.set_first_start();
+            generator.balancer.set_first_start();
         }
         for n in 0..HOSTS_PER_SERVICE * 4 {
-            stream.add_host((n % 4) as usize);
+            generator.add_host((n % 4) as usize);
         }
-        stream.balancer.set_services(stream.now, &service_infos());
-        stream.balancer.set_hosts(stream.now, &stream.hosts);
-        stream
+        generator
+            .balancer
+            .set_services(generator.now, &service_infos());
+        generator
+            .balancer
+            .set_hosts(generator.now, &generator.hosts);
+        generator
     }
 
     fn add_host(&mut self, service: usize) {
-        let n = self.hosts_made;
-        self.hosts_made += 1;
-        // Some addresses are used again by another host while the first one may still be listed.
+        let n = self.hosts_added;
+        self.hosts_added += 1;
+        // Addresses are reused by later hosts while the earlier host may still be listed.
         let last_byte = (n % 200) as u8 + 1;
-        let cold = if self.random.one_in(3) { 4000 } else { 0 };
+        let slow_start_ms = if self.random.one_in(3) { 4000 } else { 0 };
         self.hosts.push(HostInfo {
             id: format!("host-{n}").into(),
             service: SERVICES[service].into(),
@@ -157,7 +166,7 @@
             capacity: [64, 16, 6, 2][service],
             draining: false,
             heartbeat_expired: false,
-            slow_start_remaining: Duration::from_millis(cold),
+            slow_start_remaining: Duration::from_millis(slow_start_ms),
         });
     }
 
@@ -170,7 +179,7 @@
                 self.add_host(service);
             }
             1 => {
-                // Another host starts at the address of one that is listed, which may stay or go.
+                // Another host starts at the address of a listed host, which is removed.
                 let addr = self.hosts[index].addr;
                 let service = self.random.below(4) as usize;
                 self.add_host(service);
@@ -196,7 +205,7 @@
             _ => {
                 for host in &mut self.hosts {
                     (host.heartbeat_expired, host.draining) = (false, false);
-                    // One that answered 421 is used again only once its record has changed.
+                    // A host that responded with 421 is used again only once its record has changed.
                     if self.random.one_in(4) {
                         host.addr.set_port(host.addr.port() + 1);
                     }
@@ -206,8 +215,9 @@
         self.balancer.set_hosts(self.now, &self.hosts);
     }
 
-    /// Parts of a model_request out of a small set, so that they are shared; the last one is the request's own.
-    fn parts(&mut self) -> Vec<PromptPart> {
+    /// Generates prompt parts from a small set, so that they are shared. The last one usually belongs to this request
+    /// alone.
+    fn generate_parts(&mut self) -> Vec<PromptPart> {
         let group = self.random.below(12);
         let subject = self.random.below(5);
         let mut parts = match self.random.below(5) {
@@ -228,26 +238,27 @@
         parts
     }
 
-    fn choose(&mut self) {
+    /// Sends a request, and retries it on another host with a probability of 1 in 5, up to two times.
+    fn send_request(&mut self) {
         let service = match self.random.below(40) {
             0 => "unknown",
             n => SERVICES[(n % 4) as usize],
         };
         self.balancer.on_request(self.now, service);
         let parts = if service.ends_with("model") {
-            self.parts()
+            self.generate_parts()
         } else {
             Vec::new()
         };
         let prompt_tokens = self.random.below(5000) as u32;
-        // Drawn when a request still told how many tokens it makes at most; the stream stays the same with it.
+        // This unused draw keeps the sequence as recorded: requests used to have a maximum number of output tokens.
         self.random.below(500);
         let idempotent = self.random.below(3) > 0;
         let rank = self.random.below(5) as u32;
         let time_remaining = Duration::from_millis(200 + self.random.below(12_000));
-        let mut tried: Vec<Arc<str>> = Vec::new();
+        let mut attempted_hosts: Vec<Arc<str>> = Vec::new();
         for round in 0..3 {
-            if round > 0 && !self.take_retry(service) {
+            if round > 0 && !self.withdraw_retry(service) {
                 return;
             }
             let request = RequestContext {
@@ -259,7 +270,7 @@
                 prompt_tokens,
                 time_remaining,
                 target_remaining: None,
-                attempted_hosts: &tried,
+                attempted_hosts: &attempted_hosts,
             };
             let choice = self.balancer.choose_host(self.now, &request);
             let Some((attempt, host)) = self.record_choice(choice) else {
@@ -267,16 +278,16 @@
             };
             self.in_flight.push(attempt);
             self.record_timeout(attempt);
-            tried.push(host);
+            attempted_hosts.push(host);
             if !self.random.one_in(5) {
                 return;
             }
         }
     }
 
-    fn take_retry(&mut self, service: &str) -> bool {
+    fn withdraw_retry(&mut self, service: &str) -> bool {
         let allowed = self.balancer.withdraw_retry(self.now, service);
-        self.digest.number(u64::from(allowed));
+        self.digest.add_number(u64::from(allowed));
         if allowed {
             self.counts.retries_allowed += 1;
         } else {
@@ -295,17 +306,17 @@
             } => {
                 self.counts.selected += 1;
                 self.counts.with_priority += u32::from(priority.is_some());
-                self.digest.number(attempt.0 as u64);
-                self.digest.text(&id);
-                self.digest.text(&addr.to_string());
-                self.digest.number(priority.map_or(u64::MAX, u64::from));
+                self.digest.add_number(attempt.0 as u64);
+                self.digest.add_text(&id);
+                self.digest.add_text(&addr.to_string());
+                self.digest.add_number(priority.map_or(u64::MAX, u64::from));
                 self.record_hint();
                 Some((attempt, id))
             }
             HostChoice::Unavailable { retry_after } | HostChoice::Throttled { retry_after } => {
                 self.counts.refused += 1;
-                self.digest.number(u64::MAX - 1);
-                self.digest.duration(retry_after);
+                self.digest.add_number(u64::MAX - 1);
+                self.digest.add_duration(retry_after);
                 None
             }
         }
@@ -314,38 +325,38 @@
     fn record_hint(&mut self) {
         if let Some(hint) = self.balancer.take_prefix_hint() {
             self.counts.hints += 1;
-            self.digest.text(&hint.host_id);
-            self.digest.number(u64::from(hint.uncached_tokens));
+            self.digest.add_text(&hint.host_id);
+            self.digest.add_number(u64::from(hint.uncached_tokens));
             self.record_parts(&hint.prefix);
         }
     }
 
     fn record_parts(&mut self, parts: &[PromptPart]) {
         for PromptPart { id, tokens } in parts {
-            self.digest.number(*id);
-            self.digest.number(u64::from(*tokens));
+            self.digest.add_number(*id);
+            self.digest.add_number(u64::from(*tokens));
         }
     }
 
     fn record_timeout(&mut self, attempt: AttemptId) {
         if let Some(timeout) = self.balancer.attempt_timeout(self.now, attempt) {
             self.counts.timeouts += 1;
-            self.digest.duration(timeout);
+            self.digest.add_duration(timeout);
         } else {
             self.counts.without_timeout += 1;
-            self.digest.number(u64::MAX);
+            self.digest.add_number(u64::MAX);
         }
     }
 
-    /// All that the load balancer believes to be cached.
-    fn record_cached(&mut self) {
+    /// Records all prefixes that the load balancer considers cached.
+    fn record_cached_prefixes(&mut self) {
         for hint in self.balancer.cached_prefixes() {
-            self.digest.text(&hint.host_id);
+            self.digest.add_text(&hint.host_id);
             self.record_parts(&hint.prefix);
         }
     }
 
-    fn load(&mut self) -> HostLoad {
+    fn generate_load(&mut self) -> HostLoad {
         let slots = [64, 16, 6, 2][self.random.below(4) as usize];
         HostLoad {
             running: self.random.below(u64::from(slots) + 1) as u32,
@@ -363,7 +374,8 @@
         Some((index, self.in_flight[index]))
     }
 
-    fn answer(&mut self) {
+    /// Applies an event of a response to a random attempt in flight.
+    fn apply_response_event(&mut self) {
         let Some((index, attempt)) = self.random_attempt() else {
             return;
         };
@@ -371,7 +383,7 @@
             0..=2 => self.balancer.on_first_byte(self.now, attempt),
             3..=4 => self.balancer.on_progress(self.now, attempt),
             5 => {
-                let load = self.load();
+                let load = self.generate_load();
                 self.balancer.on_load_report(self.now, attempt, load);
             }
             6 => self.record_timeout(attempt),
@@ -380,7 +392,7 @@
                     0 => OUTCOMES[self.random.below(9) as usize],
                     _ => Outcome::Succeeded,
                 };
-                let load = self.random.one_in(3).then(|| self.load());
+                let load = self.random.one_in(3).then(|| self.generate_load());
                 self.in_flight.swap_remove(index);
                 self.balancer
                     .on_attempt_ended(self.now, attempt, outcome, load);
@@ -388,8 +400,8 @@
         }
     }
 
-    /// Ends the oldest attempts, so that not more than a busy proxy has are in flight.
-    fn end_oldest(&mut self) {
+    /// Ends the oldest attempts, so that at most 60 are in flight, as in a busy proxy.
+    fn end_oldest_attempts(&mut self) {
         while self.in_flight.len() > 60 {
             let attempt = self.in_flight.remove(0);
             self.balancer
@@ -397,13 +409,13 @@
         }
     }
 
-    fn hint(&mut self) {
+    fn receive_hint(&mut self) {
         let index = self.random.below(self.hosts.len() as u64) as usize;
         let host = self.hosts[index].id.clone();
-        let parts = self.parts();
-        let unread = self.random.below(200_000) as u32;
+        let parts = self.generate_parts();
+        let uncached_tokens = self.random.below(200_000) as u32;
         self.balancer
-            .on_prefix_hint(self.now, &host, &parts, unread);
+            .on_prefix_hint(self.now, &host, &parts, uncached_tokens);
     }
 
     fn change_settings(&mut self) {
@@ -420,19 +432,19 @@
                 self.balancer.set_services(self.now, &services);
             }
             2 => {
-                // An empty list of hosts to be asked for their load was recorded here.
+                // The recorded digests contain a zero here, the length of a former list of hosts to poll for load.
                 self.balancer.tick(self.now);
-                self.digest.number(0);
+                self.digest.add_number(0);
             }
             _ => {
-                let all = self.random.below(3) > 0;
-                self.balancer.set_hints_complete(self.now, all);
+                let complete = self.random.below(3) > 0;
+                self.balancer.set_hints_complete(self.now, complete);
             }
         }
     }
 
-    /// Time passes: mostly by some ms, now and then by a stall or by more than a window of the budget.
-    fn advance(&mut self) {
+    /// Advances the time: mostly by a few ms, occasionally by a stall or by more than a window of the retry budget.
+    fn advance_time(&mut self) {
         let ms = match self.random.below(4000) {
             0 => 15_000,
             1..=12 => 260 + self.random.below(3000),
@@ -443,18 +455,19 @@
         self.now += Duration::from_millis(ms) + Duration::from_micros(micros);
     }
 
+    /// Generates and applies one event.
     fn step(&mut self) {
-        self.advance();
+        self.advance_time();
         match self.random.below(200) {
             0..=1 => self.change_hosts(),
             2 => self.change_settings(),
-            3 => self.record_cached(),
-            4..=11 => self.hint(),
+            3 => self.record_cached_prefixes(),
+            4..=11 => self.receive_hint(),
             12..=25 => self.balancer.tick(self.now),
-            26..=85 => self.choose(),
-            _ => self.answer(),
+            26..=85 => self.send_request(),
+            _ => self.apply_response_event(),
         }
-        self.end_oldest();
+        self.end_oldest_attempts();
     }
 }
 
@@ -463,19 +476,19 @@
 #[case(2, [0x39e2_8bbd_ded3_ea6d, 0x9091_e7a1_a8cc_c093, 0xaea6_3fc3_fdac_878c, 0xd7a4_f81b_f371_9a5a, 0xde92_b3c0_2389_baea, 0x0964_322d_24bd_667f])]
 #[case(3, [0x528a_641b_1e2f_6303, 0xac3c_c3b2_38a3_dda6, 0x96a3_8a9d_cecb_8ead, 0x1f46_d8f8_589c_0dff, 0x57c9_f15d_4d06_d97a, 0xf8cb_d36e_cc84_1d36])]
 #[case(4, [0x9730_2aed_800a_f6c0, 0xd143_7a64_e5fa_bbca, 0x879a_4916_128f_e164, 0x8786_149c_b635_e6f3, 0xd060_f8f1_e7cb_78d1, 0x4cc5_62b5_994b_d330])]
-fn decisions_when_a_recorded_stream_is_replayed_then_equal_those_recorded(
+fn decisions_when_a_recorded_sequence_is_replayed_then_as_recorded(
     #[case] seed: u64,
     #[case] recorded: [u64; EVENTS / EVENTS_PER_DIGEST],
 ) {
-    let mut stream = Stream::new(seed);
+    let mut generator = EventGenerator::new(seed);
     let mut digests = Vec::new();
     for event in 1..=EVENTS {
-        stream.step();
+        generator.step();
         if event % EVENTS_PER_DIGEST == 0 {
-            digests.push(stream.digest.0);
+            digests.push(generator.digest.0);
         }
     }
-    let counts = &stream.counts;
+    let counts = &generator.counts;
     assert_eq!(digests, recorded, "{digests:#018x?}");
     assert!(
         [
