--- a/crates/balancing/tests/prefix_hints.rs
+++ b/crates/balancing/tests/prefix_hints.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// A time in ms after the period in which affinity hosts are assumed to have their prefixes cached.
-const AFTER_ASSUMED_CACHE_MS: u64 = 40_000;
+const SETTLED_MS: u64 = 40_000;
 
 /// Creates a load balancer with nine model hosts and complete hints from the start.
 fn balancer_with_hints() -> LoadBalancer {
@@ -47,14 +47,9 @@
 fn prompt_when_hinted_at_a_host_then_goes_there(#[values(3, 7, 11)] subject: u64) {
     let mut balancer = balancer_with_hints();
     let hinted_host = other_host(subject);
-    balancer.on_prefix_hint(
-        ms(AFTER_ASSUMED_CACHE_MS),
-        &hinted_host,
-        &[part(subject, 13_000)],
-        0,
-    );
+    balancer.on_prefix_hint(ms(SETTLED_MS), &hinted_host, &[part(subject, 13_000)], 0);
     let (_, id) = selected(balancer.choose_host(
-        ms(AFTER_ASSUMED_CACHE_MS),
+        ms(SETTLED_MS),
         &model_request(&[part(subject, 13_000), part(2, 500)]),
     ));
     assert_eq!(id, hinted_host);
@@ -79,16 +74,11 @@
 ) {
     let mut balancer = balancer_with_hints();
     let hinted_host = affinity_host(7);
-    hinted_tokens.iter().for_each(|uncached_tokens| {
-        balancer.on_prefix_hint(
-            ms(AFTER_ASSUMED_CACHE_MS),
-            &hinted_host,
-            &[],
-            *uncached_tokens,
-        )
-    });
+    hinted_tokens
+        .iter()
+        .for_each(|tokens| balancer.on_prefix_hint(ms(SETTLED_MS), &hinted_host, &[], *tokens));
     let (_, id) = selected(balancer.choose_host(
-        ms(AFTER_ASSUMED_CACHE_MS + after_ms),
+        ms(SETTLED_MS + after_ms),
         &model_request(&[part(7, 300), part(2, 200)]),
     ));
     assert_eq!(id == hinted_host, chosen);
@@ -104,9 +94,9 @@
     #[case] chosen: bool,
 ) {
     let mut balancer = balancer_with_hints();
-    balancer.on_prefix_hint(ms(AFTER_ASSUMED_CACHE_MS), &affinity_host(7), &[], u32::MAX);
+    balancer.on_prefix_hint(ms(SETTLED_MS), &affinity_host(7), &[], u32::MAX);
     let (_, id) = selected(balancer.choose_host(
-        ms(AFTER_ASSUMED_CACHE_MS + after_ms),
+        ms(SETTLED_MS + after_ms),
         &model_request(&[part(7, 300), part(2, 200)]),
     ));
     assert_eq!(id == affinity_host(7), chosen);
@@ -123,14 +113,9 @@
     #[case] chosen: bool,
 ) {
     let mut balancer = balancer_with_hints();
-    balancer.on_prefix_hint(
-        ms(AFTER_ASSUMED_CACHE_MS),
-        &affinity_host(7),
-        &[],
-        queued_tokens,
-    );
+    balancer.on_prefix_hint(ms(SETTLED_MS), &affinity_host(7), &[], queued_tokens);
     let (_, id) = selected(balancer.choose_host(
-        ms(AFTER_ASSUMED_CACHE_MS),
+        ms(SETTLED_MS),
         &model_request(&[part(7, 13_000), part(2, 500)]),
     ));
     assert_eq!(id == affinity_host(7), chosen);
@@ -144,7 +129,7 @@
 #[case::after_assumed_period(false, true, 30_100, 13_500)]
 #[case::first_start(true, true, 1_500, 13_500)]
 #[case::hints_not_settled_yet(true, true, 900, 500)]
-#[case::hints_incomplete(true, false, AFTER_ASSUMED_CACHE_MS, 500)]
+#[case::hints_incomplete(true, false, SETTLED_MS, 500)]
 fn affinity_host_when_caches_are_not_all_known_then_assumed_to_have_the_prefix(
     #[case] first_start: bool,
     #[case] hints_complete: bool,
@@ -191,24 +176,21 @@
         ));
         balancer.take_prefix_hint().map(|hint| hint.uncached_tokens)
     };
+    assert_eq!(uncached_tokens(&mut balancer, SETTLED_MS, 1), Some(13_500));
+    balancer.set_hints_complete(ms(SETTLED_MS), false);
     assert_eq!(
-        uncached_tokens(&mut balancer, AFTER_ASSUMED_CACHE_MS, 1),
-        Some(13_500)
-    );
-    balancer.set_hints_complete(ms(AFTER_ASSUMED_CACHE_MS), false);
-    assert_eq!(
-        uncached_tokens(&mut balancer, AFTER_ASSUMED_CACHE_MS + 5000, 2),
+        uncached_tokens(&mut balancer, SETTLED_MS + 5000, 2),
         Some(500)
     );
-    balancer.set_hints_complete(ms(AFTER_ASSUMED_CACHE_MS + 5000), true);
-    balancer.set_hints_complete(ms(AFTER_ASSUMED_CACHE_MS + 5900), true);
+    balancer.set_hints_complete(ms(SETTLED_MS + 5000), true);
+    balancer.set_hints_complete(ms(SETTLED_MS + 5900), true);
     assert_eq!(
-        uncached_tokens(&mut balancer, AFTER_ASSUMED_CACHE_MS + 5900, 3),
+        uncached_tokens(&mut balancer, SETTLED_MS + 5900, 3),
         Some(500),
         "hints count as complete only after one second"
     );
     assert_eq!(
-        uncached_tokens(&mut balancer, AFTER_ASSUMED_CACHE_MS + 6000, 4),
+        uncached_tokens(&mut balancer, SETTLED_MS + 6000, 4),
         Some(13_500)
     );
 }
@@ -222,19 +204,19 @@
         balancer.on_attempt_ended(ms(now_ms), attempt, Outcome::Succeeded, None);
         (balancer.take_prefix_hint(), balancer.take_prefix_hint())
     };
-    let (first, second) = hints_for_prompt(AFTER_ASSUMED_CACHE_MS, part(100, 50));
+    let (first, second) = hints_for_prompt(SETTLED_MS, part(100, 50));
     assert!(
         first.is_some_and(|hint| hint.prefix == [part(7, 13_000)]),
         "the shared part is new in the host's cache"
     );
     assert_eq!(second, None, "a hint is taken only once");
     assert_eq!(
-        hints_for_prompt(AFTER_ASSUMED_CACHE_MS + 1, part(101, 499)),
+        hints_for_prompt(SETTLED_MS + 1, part(101, 499)),
         (None, None),
         "the prefix is known, and few tokens are uncached"
     );
     assert_eq!(
-        hints_for_prompt(AFTER_ASSUMED_CACHE_MS + 2, part(102, 500))
+        hints_for_prompt(SETTLED_MS + 2, part(102, 500))
             .0
             .map(|hint| hint.uncached_tokens),
         Some(500),
@@ -272,15 +254,10 @@
     balancer.set_hints_complete(ms(0), hints_complete);
     for n in 0..40 {
         let (attempt, _) = selected(balancer.choose_host(
-            ms(AFTER_ASSUMED_CACHE_MS),
+            ms(SETTLED_MS),
             &model_request(&[part(n, 13_000), part(1000 + n, 1)]),
         ));
-        balancer.on_attempt_ended(
-            ms(AFTER_ASSUMED_CACHE_MS),
-            attempt,
-            Outcome::Succeeded,
-            None,
-        );
+        balancer.on_attempt_ended(ms(SETTLED_MS), attempt, Outcome::Succeeded, None);
     }
     assert_eq!(
         shared_part_ids(&balancer),
@@ -341,12 +318,12 @@
 fn cached_prefixes_when_listed_then_most_recently_used_parts_first() {
     let (mut balancer, _) = balancer_with_hosts(1, 0);
     balancer.set_hints_complete(ms(0), true);
-    [1, 2, 3, 1].iter().for_each(|n| {
-        balancer.on_prefix_hint(ms(AFTER_ASSUMED_CACHE_MS), "model-0", &[part(*n, 100)], 0)
-    });
+    [1, 2, 3, 1]
+        .iter()
+        .for_each(|n| balancer.on_prefix_hint(ms(SETTLED_MS), "model-0", &[part(*n, 100)], 0));
     assert_eq!(shared_part_ids(&balancer), [1, 3, 2]);
     selected(balancer.choose_host(
-        ms(AFTER_ASSUMED_CACHE_MS),
+        ms(SETTLED_MS),
         &model_request(&[part(2, 100), part(8, 100), part(9, 50)]),
     ));
     assert_eq!(shared_part_ids(&balancer), [8, 2, 1, 3]);
