--- a/crates/balancing/tests/model/mod.rs
+++ b/crates/balancing/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! A queueing model of model hosts behind several proxies: batches, prefill in chunks between tokens, prefix
-//! caches. It runs on a clock of its own; the same seed gives the same run.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A queueing model of model hosts behind several proxies, with batching, chunked prefill and prefix caches. It has a
+//! simulated clock; the same seed gives the same run.
+#![allow(dead_code, reason = "each test file uses only some of the model")]
 
 use balancing::PromptPart;
 
@@ -10,11 +10,12 @@
 pub mod simulation;
 pub mod traffic;
 
-/// Microseconds since the run began.
+/// Time since the start of the run, or a duration, in microseconds.
 pub type Time = u64;
 
 pub const SECOND: Time = 1_000_000;
 
+/// Converts ms to a time; negative numbers become 0.
 pub fn from_ms(ms: f64) -> Time {
     (ms.max(0.0) * 1000.0) as Time
 }
@@ -23,7 +24,7 @@
     PromptPart { id, tokens }
 }
 
-/// SplitMix64.
+/// A SplitMix64 pseudo-random number generator.
 #[derive(Clone)]
 pub struct Random(pub u64);
 
@@ -35,23 +36,27 @@
         n ^ (n >> 31)
     }
 
-    /// Between 0 and 1, neither of them.
-    pub fn unit(&mut self) -> f64 {
+    /// Returns a uniformly distributed number between 0 and 1, both excluded.
+    pub fn uniform(&mut self) -> f64 {
         ((self.next() >> 11) as f64 + 0.5) / (1u64 << 53) as f64
     }
 
+    /// Returns a number below `n`; 0 if `n` is 0.
     pub fn below(&mut self, n: usize) -> usize {
         ((u128::from(self.next()) * n as u128) >> 64) as usize
     }
 
+    /// Returns an exponentially distributed number with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        -mean * self.unit().ln()
+        -mean * self.uniform().ln()
     }
 
-    /// Log-normal with this mean and coefficient of variation, at most `max`.
-    pub fn spread(&mut self, mean: f64, variation: f64, max: f64) -> f64 {
+    /// Returns a log-normally distributed number with this mean and coefficient of variation, limited to the range from
+    /// 1 to `max`.
+    pub fn log_normal(&mut self, mean: f64, variation: f64, max: f64) -> f64 {
         let sigma = (1.0 + variation * variation).ln().sqrt();
-        let normal = (-2.0 * self.unit().ln()).sqrt() * (std::f64::consts::TAU * self.unit()).cos();
+        let normal =
+            (-2.0 * self.uniform().ln()).sqrt() * (std::f64::consts::TAU * self.uniform()).cos();
         (mean * (sigma * normal - sigma * sigma / 2.0).exp()).clamp(1.0, max)
     }
 }
--- a/crates/balancing/tests/model/router.rs
+++ b/crates/balancing/tests/model/router.rs
@@ -1,4 +1,4 @@
-//! What chooses hosts: the load balancer, or one of two baselines.
+//! The routers that choose hosts: the load balancer, or one of two baselines.
 
 use super::Time;
 use balancing::{
@@ -11,39 +11,49 @@
 
 use super::Random;
 
-fn at(t: Time) -> Duration {
-    Duration::from_micros(t)
+fn to_duration(time: Time) -> Duration {
+    Duration::from_micros(time)
 }
 
+/// The strategy of host choice. The table of results prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
+    /// The load balancer of this crate.
     Policy,
-    /// Any host at random.
+    /// A random host.
     Random,
-    /// The host with the fewest of this proxy's own requests.
+    /// The host with the fewest requests in flight from this proxy.
     LeastLoaded,
 }
 
+/// The router of one proxy.
 pub enum Router {
-    Policy(Box<LoadBalancer>),
+    LoadBalancer(Box<LoadBalancer>),
     Baseline(Baseline),
 }
 
+/// A router that chooses a random or the least loaded host, without prefix caches, health or a retry budget.
 #[derive(Default)]
 pub struct Baseline {
-    least: bool,
+    is_least_loaded: bool,
     hosts: Vec<HostInfo>,
-    max_output_tokens: HashMap<Arc<str>, u32>,
-    attempts: Vec<Arc<str>>,
-    seed: u64,
+    /// Number of this proxy's requests in flight, by host.
+    in_flight: HashMap<Arc<str>, u32>,
+    /// Host of each attempt.
+    attempt_hosts: Vec<Arc<str>>,
+    random_state: u64,
 }
 
-pub struct Sent {
+/// The host that a router selected for a request.
+pub struct SelectedHost {
+    /// Number of the attempt at this router.
     pub attempt: usize,
+    /// Identity of the host.
     pub id: Arc<str>,
     pub priority: u8,
 }
 
+/// Name of the only service.
 pub const SERVICE: &str = "model";
 
 impl Router {
@@ -51,18 +61,18 @@
         strategy: Strategy,
         index: usize,
         proxies: usize,
-        cache_capacity: u64,
+        cache_capacity_tokens: u64,
         now: Time,
     ) -> Self {
         let seed = 1000 + index as u64 + now;
         if strategy != Strategy::Policy {
             return Self::Baseline(Baseline {
-                least: strategy == Strategy::LeastLoaded,
-                seed,
+                is_least_loaded: strategy == Strategy::LeastLoaded,
+                random_state: seed,
                 ..Baseline::default()
             });
         }
-        let mut policy = LoadBalancer::new(LoadBalancerSettings {
+        let mut balancer = LoadBalancer::new(LoadBalancerSettings {
             zone: format!("z{}", index % 3).into(),
             retry_ratio: 0.2,
             retry_window: Duration::from_secs(10),
@@ -72,42 +82,50 @@
         let info = ServiceInfo {
             name: SERVICE.into(),
             connection_limit: 620,
-            cache_capacity_tokens: Some(cache_capacity as f64),
+            cache_capacity_tokens: Some(cache_capacity_tokens as f64),
         };
-        policy.set_services(at(now), &[info]);
-        policy.set_proxy_count(at(now), proxies);
-        Self::Policy(Box::new(policy))
+        balancer.set_services(to_duration(now), &[info]);
+        balancer.set_proxy_count(to_duration(now), proxies);
+        Self::LoadBalancer(Box::new(balancer))
     }
 
     pub fn set_hosts(&mut self, now: Time, hosts: &[HostInfo]) {
         match self {
-            Self::Policy(p) => p.set_hosts(at(now), hosts),
-            Self::Baseline(p) => p.hosts = hosts.to_vec(),
+            Self::LoadBalancer(balancer) => balancer.set_hosts(to_duration(now), hosts),
+            Self::Baseline(baseline) => baseline.hosts = hosts.to_vec(),
         }
     }
 
     pub fn on_request(&mut self, now: Time) {
-        if let Self::Policy(p) = self {
-            p.on_request(at(now), SERVICE);
+        if let Self::LoadBalancer(balancer) = self {
+            balancer.on_request(to_duration(now), SERVICE);
         }
     }
 
     pub fn withdraw_retry(&mut self, now: Time) -> bool {
         match self {
-            Self::Policy(p) => p.withdraw_retry(at(now), SERVICE),
+            Self::LoadBalancer(balancer) => balancer.withdraw_retry(to_duration(now), SERVICE),
             Self::Baseline(_) => true,
         }
     }
 
-    pub fn choose_host(&mut self, now: Time, ask: &RequestContext) -> Result<Sent, Duration> {
+    /// Chooses a host for a request.
+    ///
+    /// # Errors
+    /// Returns the time after which to retry if no host can accept the request.
+    pub fn choose_host(
+        &mut self,
+        now: Time,
+        request: &RequestContext,
+    ) -> Result<SelectedHost, Duration> {
         match self {
-            Self::Policy(p) => match p.choose_host(at(now), ask) {
+            Self::LoadBalancer(balancer) => match balancer.choose_host(to_duration(now), request) {
                 HostChoice::Selected {
                     attempt,
                     id,
                     priority,
                     ..
-                } => Ok(Sent {
+                } => Ok(SelectedHost {
                     attempt: attempt.0,
                     id,
                     priority: priority.unwrap_or(5),
@@ -116,74 +134,82 @@
                     Err(retry_after)
                 }
             },
-            Self::Baseline(p) => p.choose_host(ask).ok_or(Duration::from_millis(500)),
+            Self::Baseline(baseline) => baseline
+                .choose_host(request)
+                .ok_or(Duration::from_millis(500)),
         }
     }
 
     pub fn on_first_byte(&mut self, now: Time, attempt: usize, load: Option<HostLoad>) {
-        if let Self::Policy(p) = self {
-            p.on_first_byte(at(now), AttemptId(attempt));
+        if let Self::LoadBalancer(balancer) = self {
+            balancer.on_first_byte(to_duration(now), AttemptId(attempt));
             if let Some(load) = load {
-                p.on_load_report(at(now), AttemptId(attempt), load);
+                balancer.on_load_report(to_duration(now), AttemptId(attempt), load);
             }
         }
     }
 
     pub fn on_progress(&mut self, now: Time, attempt: usize) {
-        if let Self::Policy(p) = self {
-            p.on_progress(at(now), AttemptId(attempt));
+        if let Self::LoadBalancer(balancer) = self {
+            balancer.on_progress(to_duration(now), AttemptId(attempt));
         }
     }
 
     pub fn on_attempt_ended(&mut self, now: Time, attempt: usize, outcome: Outcome) {
         match self {
-            Self::Policy(p) => p.on_attempt_ended(at(now), AttemptId(attempt), outcome, None),
-            Self::Baseline(p) => {
-                let id = p.attempts[attempt].clone();
-                p.max_output_tokens
+            Self::LoadBalancer(balancer) => {
+                balancer.on_attempt_ended(to_duration(now), AttemptId(attempt), outcome, None);
+            }
+            Self::Baseline(baseline) => {
+                let id = baseline.attempt_hosts[attempt].clone();
+                baseline
+                    .in_flight
                     .entry(id)
-                    .and_modify(|n| *n = n.saturating_sub(1));
+                    .and_modify(|count| *count = count.saturating_sub(1));
             }
         }
     }
 
-    /// The baselines ask another host after a second.
+    /// Returns the time after which to try another host; one second with the baselines.
     pub fn attempt_timeout(&self, now: Time, attempt: usize) -> Option<Duration> {
         match self {
-            Self::Policy(p) => p.attempt_timeout(at(now), AttemptId(attempt)),
+            Self::LoadBalancer(balancer) => {
+                balancer.attempt_timeout(to_duration(now), AttemptId(attempt))
+            }
             Self::Baseline(_) => Some(Duration::from_secs(1)),
         }
     }
 
     pub fn tick(&mut self, now: Time) {
-        if let Self::Policy(p) = self {
-            p.tick(at(now));
+        if let Self::LoadBalancer(balancer) = self {
+            balancer.tick(to_duration(now));
         }
     }
 }
 
 impl Baseline {
-    fn choose_host(&mut self, ask: &RequestContext) -> Option<Sent> {
-        let mut fit: Vec<&HostInfo> = self.hosts.iter().filter(|h| !h.draining).collect();
-        fit.retain(|h| !ask.attempted_hosts.contains(&h.id));
-        if fit.iter().any(|h| !h.heartbeat_expired) {
-            fit.retain(|h| !h.heartbeat_expired);
+    fn choose_host(&mut self, request: &RequestContext) -> Option<SelectedHost> {
+        let mut eligible: Vec<&HostInfo> =
+            self.hosts.iter().filter(|host| !host.draining).collect();
+        eligible.retain(|host| !request.attempted_hosts.contains(&host.id));
+        if eligible.iter().any(|host| !host.heartbeat_expired) {
+            eligible.retain(|host| !host.heartbeat_expired);
         }
-        if self.least {
-            let own = |h: &HostInfo| self.max_output_tokens.get(&h.id).copied().unwrap_or(0);
-            let least = fit.iter().map(|h| own(h)).min()?;
-            fit.retain(|h| own(h) == least);
+        if self.is_least_loaded {
+            let in_flight = |host: &HostInfo| self.in_flight.get(&host.id).copied().unwrap_or(0);
+            let fewest = eligible.iter().map(|host| in_flight(host)).min()?;
+            eligible.retain(|host| in_flight(host) == fewest);
         }
-        let mut random = Random(self.seed);
-        let n = random.below(fit.len());
-        let id = fit.get(n)?.id.clone();
-        self.seed = random.next();
-        *self.max_output_tokens.entry(id.clone()).or_default() += 1;
-        self.attempts.push(id.clone());
-        Some(Sent {
-            attempt: self.attempts.len() - 1,
+        let mut random = Random(self.random_state);
+        let index = random.below(eligible.len());
+        let id = eligible.get(index)?.id.clone();
+        self.random_state = random.next();
+        *self.in_flight.entry(id.clone()).or_default() += 1;
+        self.attempt_hosts.push(id.clone());
+        Some(SelectedHost {
+            attempt: self.attempt_hosts.len() - 1,
             id,
-            priority: 2 + 2 * ask.rank as u8,
+            priority: 2 + 2 * request.rank as u8,
         })
     }
 }
--- a/crates/balancing/tests/queueing.rs
+++ b/crates/balancing/tests/queueing.rs
@@ -1,66 +1,70 @@
-//! The load balancer in the queueing model, compared with random and least-loaded choice. The figures are examples.
-//! `cargo test -p balancing --test queueing -- --nocapture` prints the table of docs/measurements/policy.md.
+//! Comparison of the load balancer with random and least-loaded choice in the queueing model. The parameters of the
+//! scenarios are examples. `cargo test -p balancing --test queueing -- --nocapture` prints the table of
+//! docs/measurements/policy.md; its columns and the names of its rows are those of that page.
 
 mod model;
 use model::engine::EngineProfile;
-use model::report::{Report, HEAD};
+use model::report::{Report, TABLE_HEADER};
 use model::router::Strategy;
 use model::simulation::{Fault, Scenario, Simulation};
-use model::traffic::{Distribution, RequestClass, SharedPart, TrafficSurge, RUN};
+use model::traffic::{Distribution, RequestClass, SharedPart, TrafficSurge, RUN_LENGTH};
 use model::SECOND;
 use rstest::rstest;
 
-/// Many slots, fast prefill.
-const QUICK: EngineProfile = EngineProfile {
-    batch: 128,
-    queue: 358,
+/// Hosts with many slots and fast prefill.
+const FAST_PREFILL: EngineProfile = EngineProfile {
+    slots: 128,
+    max_queued: 358,
     step_ms: 3.4,
-    step_ms_per_slot: 0.097,
-    context_ms_per_k: 0.0023,
-    tokens_per_ms: 112.0,
-    pairs_ms_per_m: 0.218,
+    step_ms_per_running: 0.097,
+    step_ms_per_k_context: 0.0023,
+    prefill_tokens_per_ms: 112.0,
+    prefill_ms_per_m_pairs: 0.218,
     overhead_ms: 31.0,
-    chunk: 1024,
-    cache_capacity: 754_000,
-    stride: 5,
+    prefill_chunk_tokens: 1024,
+    cache_capacity_tokens: 754_000,
+    tokens_per_event: 5,
     reports_load: true,
 };
-/// Half that prefill speed, no load reports.
-const DENSE: EngineProfile = EngineProfile {
-    batch: 64,
-    queue: 179,
+/// Hosts with about half that prefill speed, without load reports.
+const SLOW_PREFILL: EngineProfile = EngineProfile {
+    slots: 64,
+    max_queued: 179,
     step_ms: 3.1,
-    step_ms_per_slot: 0.0165,
-    context_ms_per_k: 0.0068,
-    tokens_per_ms: 62.0,
-    pairs_ms_per_m: 0.367,
+    step_ms_per_running: 0.0165,
+    step_ms_per_k_context: 0.0068,
+    prefill_tokens_per_ms: 62.0,
+    prefill_ms_per_m_pairs: 0.367,
     overhead_ms: 3.7,
-    chunk: 2048,
-    cache_capacity: 536_000,
-    stride: 6,
+    prefill_chunk_tokens: 2048,
+    cache_capacity_tokens: 536_000,
+    tokens_per_event: 6,
     reports_load: false,
 };
-const SMALL: EngineProfile = EngineProfile {
-    batch: 16,
-    queue: 32,
-    cache_capacity: 705_000,
-    stride: 7,
-    ..QUICK
+/// Hosts with few slots.
+const FEW_SLOTS: EngineProfile = EngineProfile {
+    slots: 16,
+    max_queued: 32,
+    cache_capacity_tokens: 705_000,
+    tokens_per_event: 7,
+    ..FAST_PREFILL
 };
 
+/// Requests with long prompts.
 const LONG: RequestClass = RequestClass {
     name: "long",
     per_s: 21.4,
     latency_target_ms: 600.0,
-    pause_ms: 300.0,
+    max_pause_ms: 300.0,
     deadline_ms: 8000.0,
     value: 2.0,
     rank: 1,
     idempotent: true,
     shared: &[SharedPart::new(13_300.0, 0.7, 39_900.0, 121)],
-    own: Distribution::new(3_720.0, 1.1, 53_200.0),
+    own_tokens: Distribution::new(3_720.0, 1.1, 53_200.0),
     events: Distribution::new(24.0, 1.4, 96.0),
 };
+/// Requests with prompts of medium length, which aren't idempotent.
 const MIDDLE: RequestClass = RequestClass {
     name: "middle",
     per_s: 16.7,
@@ -73,10 +77,11 @@
         SharedPart::new(2_520.0, 0.4, 6_290.0, 4),
         SharedPart::new(3_780.0, 0.7, 11_300.0, 63),
     ],
-    own: Distribution::new(2_890.0, 1.0, 39_600.0),
+    own_tokens: Distribution::new(2_890.0, 1.0, 39_600.0),
     events: Distribution::new(10.4, 1.4, 42.0),
     ..LONG
 };
+/// Requests with short prompts.
 const SHORT: RequestClass = RequestClass {
     name: "short",
     per_s: 23.3,
@@ -89,14 +94,14 @@
         SharedPart::new(210.0, 0.4, 524.0, 40),
         SharedPart::new(140.0, 0.7, 419.0, 132),
     ],
-    own: Distribution::new(1_110.0, 1.0, 3_790.0),
+    own_tokens: Distribution::new(1_110.0, 1.0, 3_790.0),
     events: Distribution::new(34.5, 0.9, 120.0),
     ..LONG
 };
-/// 61 a second in all; with the requests to hosts without a model a site has 77.
+/// 61 requests per second in total; a site has 77, including those to hosts without a model.
 const CLASSES: &[RequestClass] = &[LONG, MIDDLE, SHORT];
-/// 77 a second, all of them to model hosts: more than they serve with ease.
-const PRESSED: &[RequestClass] = &[
+/// 77 requests per second, all of them to model hosts, which is a high load for them.
+const HIGH_LOAD_CLASSES: &[RequestClass] = &[
     RequestClass {
         per_s: 27.0,
         ..LONG
@@ -110,36 +115,36 @@
         ..SHORT
     },
 ];
-/// 46 a second in all, for hosts with slower prefill.
-const FEWER: &[RequestClass] = &[
+/// 46 requests per second in total, for hosts with slower prefill.
+const SLOW_PREFILL_CLASSES: &[RequestClass] = &[
     RequestClass {
         per_s: 12.8,
-        pause_ms: 400.0,
+        max_pause_ms: 400.0,
         ..LONG
     },
     RequestClass {
         per_s: 9.9,
-        pause_ms: 400.0,
+        max_pause_ms: 400.0,
         ..MIDDLE
     },
     RequestClass {
         per_s: 23.0,
-        pause_ms: 400.0,
+        max_pause_ms: 400.0,
         ..SHORT
     },
 ];
-/// 780 a second in all, over many more subjects.
-const MANY: &[RequestClass] = &[
+/// About 780 requests per second in total, with many more subjects.
+const LARGE_CLASSES: &[RequestClass] = &[
     RequestClass {
         per_s: 320.0,
-        pause_ms: 200.0,
+        max_pause_ms: 200.0,
         shared: &[SharedPart::new(13_300.0, 0.7, 39_900.0, 1809)],
         events: Distribution::new(17.0, 1.4, 68.0),
         ..LONG
     },
     RequestClass {
         per_s: 252.0,
-        pause_ms: 200.0,
+        max_pause_ms: 200.0,
         latency_target_ms: 400.0,
         shared: &[
             SharedPart::new(2_520.0, 0.4, 6_290.0, 4),
@@ -150,7 +155,7 @@
     },
     RequestClass {
         per_s: 204.0,
-        pause_ms: 200.0,
+        max_pause_ms: 200.0,
         latency_target_ms: 300.0,
         shared: &[
             SharedPart::new(210.0, 0.4, 524.0, 80),
@@ -161,65 +166,75 @@
     },
 ];
 
+/// A site without faults and surges.
 const CALM: Scenario = Scenario {
     hosts: 9,
     proxies: 7,
-    profile: QUICK,
+    profile: FAST_PREFILL,
     classes: CLASSES,
     surge: TrafficSurge::None,
     fault: Fault::None,
-    length: RUN,
+    length: RUN_LENGTH,
     seed: 7,
 };
-const AT: u64 = 12 * SECOND;
-const LASTS: u64 = 5 * SECOND;
-const BURST: TrafficSurge = TrafficSurge::Burst(1.5, AT, AT + LASTS);
-const HOT: TrafficSurge = TrafficSurge::HotKey(0.28, AT, AT + LASTS);
+/// Time at which faults and surges begin.
+const FAULT_AT: u64 = 12 * SECOND;
+/// Duration of faults and surges.
+const FAULT_DURATION: u64 = 5 * SECOND;
+const BURST: TrafficSurge = TrafficSurge::Burst(1.5, FAULT_AT, FAULT_AT + FAULT_DURATION);
+const HOT_KEY: TrafficSurge = TrafficSurge::HotKey(0.28, FAULT_AT, FAULT_AT + FAULT_DURATION);
 const CRASH: Fault = Fault::Crash {
     hosts: 2,
-    at: AT,
-    lasts: LASTS,
+    at: FAULT_AT,
+    duration: FAULT_DURATION,
 };
-const DARK: Fault = Fault::Unresponsive {
+const UNRESPONSIVE: Fault = Fault::Unresponsive {
     hosts: 2,
-    at: AT,
-    lasts: LASTS,
+    at: FAULT_AT,
+    duration: FAULT_DURATION,
 };
 const RELEASE: Fault = Fault::Release {
     hosts: 5,
-    at: AT,
-    gap: SECOND,
+    at: FAULT_AT,
+    interval: SECOND,
 };
-const RESTART: Fault = Fault::Restart { proxy: 3, at: AT };
-const DENSE_CALM: Scenario = Scenario {
-    profile: DENSE,
-    classes: FEWER,
+const PROXY_RESTART: Fault = Fault::Restart {
+    proxy: 3,
+    at: FAULT_AT,
+};
+const SLOW_PREFILL_CALM: Scenario = Scenario {
+    profile: SLOW_PREFILL,
+    classes: SLOW_PREFILL_CLASSES,
     ..CALM
 };
-const LARGE_AT: u64 = 6 * SECOND;
-const LARGE_BURST: TrafficSurge = TrafficSurge::Burst(1.5, LARGE_AT, LARGE_AT + LASTS);
-const LARGE_HOT: TrafficSurge = TrafficSurge::HotKey(0.28, LARGE_AT, LARGE_AT + LASTS);
-const LARGE_DARK: Fault = Fault::Unresponsive {
+/// Time at which faults and surges of the large site begin.
+const LARGE_FAULT_AT: u64 = 6 * SECOND;
+const LARGE_BURST: TrafficSurge =
+    TrafficSurge::Burst(1.5, LARGE_FAULT_AT, LARGE_FAULT_AT + FAULT_DURATION);
+const LARGE_HOT_KEY: TrafficSurge =
+    TrafficSurge::HotKey(0.28, LARGE_FAULT_AT, LARGE_FAULT_AT + FAULT_DURATION);
+const LARGE_UNRESPONSIVE: Fault = Fault::Unresponsive {
     hosts: 24,
-    at: LARGE_AT,
-    lasts: LASTS,
+    at: LARGE_FAULT_AT,
+    duration: FAULT_DURATION,
 };
-/// Shorter, as it is large.
-const LARGE: Scenario = Scenario {
+/// A large site. The run is shorter because it has many more events.
+const LARGE_CALM: Scenario = Scenario {
     hosts: 140,
     proxies: 74,
-    profile: SMALL,
-    classes: MANY,
+    profile: FEW_SLOTS,
+    classes: LARGE_CLASSES,
     length: 12 * SECOND,
     ..CALM
 };
 
-/// Runs all three strategies and prints their reports.
-fn play(name: &str, scenario: Scenario) -> [Report; 3] {
-    let ways = [Strategy::Policy, Strategy::LeastLoaded, Strategy::Random];
-    let reports = ways.map(|strategy| Simulation::run(scenario, strategy));
-    println!("{HEAD}");
-    for (strategy, report) in ways.iter().zip(&reports) {
+/// Runs a scenario with all three strategies and prints their reports. Returns them in the order load balancer, least
+/// loaded, random.
+fn run_all_strategies(name: &str, scenario: Scenario) -> [Report; 3] {
+    let strategies = [Strategy::Policy, Strategy::LeastLoaded, Strategy::Random];
+    let reports = strategies.map(|strategy| Simulation::run(scenario, strategy));
+    println!("{TABLE_HEADER}");
+    for (strategy, report) in strategies.iter().zip(&reports) {
         println!("| {name} | {strategy:?} | {report}");
     }
     reports
@@ -227,39 +242,39 @@
 
 #[rstest]
 #[case("calm", CALM)]
-#[case("pressed", Scenario { classes: PRESSED, ..CALM })]
+#[case("pressed", Scenario { classes: HIGH_LOAD_CLASSES, ..CALM })]
 #[case("burst", Scenario { surge: BURST, ..CALM })]
-#[case("hot key", Scenario { surge: HOT, ..CALM })]
+#[case("hot key", Scenario { surge: HOT_KEY, ..CALM })]
 #[case("crash", Scenario { fault: CRASH, ..CALM })]
-#[case("dark", Scenario { fault: DARK, ..CALM })]
+#[case("dark", Scenario { fault: UNRESPONSIVE, ..CALM })]
 #[case("release", Scenario { fault: RELEASE, ..CALM })]
-#[case("restart", Scenario { fault: RESTART, ..CALM })]
-#[case("dense calm", DENSE_CALM)]
-#[case("dense burst", Scenario { surge: BURST, ..DENSE_CALM })]
-#[case("dense hot key", Scenario { surge: HOT, ..DENSE_CALM })]
-#[case("dense crash", Scenario { fault: CRASH, ..DENSE_CALM })]
-#[case("dense dark", Scenario { fault: DARK, ..DENSE_CALM })]
-#[case("dense release", Scenario { fault: RELEASE, ..DENSE_CALM })]
-#[case("large calm", LARGE)]
-#[case("large burst", Scenario { surge: LARGE_BURST, ..LARGE })]
-#[case("large hot key", Scenario { surge: LARGE_HOT, ..LARGE })]
-#[case("large dark", Scenario { fault: LARGE_DARK, ..LARGE })]
+#[case("restart", Scenario { fault: PROXY_RESTART, ..CALM })]
+#[case("dense calm", SLOW_PREFILL_CALM)]
+#[case("dense burst", Scenario { surge: BURST, ..SLOW_PREFILL_CALM })]
+#[case("dense hot key", Scenario { surge: HOT_KEY, ..SLOW_PREFILL_CALM })]
+#[case("dense crash", Scenario { fault: CRASH, ..SLOW_PREFILL_CALM })]
+#[case("dense dark", Scenario { fault: UNRESPONSIVE, ..SLOW_PREFILL_CALM })]
+#[case("dense release", Scenario { fault: RELEASE, ..SLOW_PREFILL_CALM })]
+#[case("large calm", LARGE_CALM)]
+#[case("large burst", Scenario { surge: LARGE_BURST, ..LARGE_CALM })]
+#[case("large hot key", Scenario { surge: LARGE_HOT_KEY, ..LARGE_CALM })]
+#[case("large dark", Scenario { fault: LARGE_UNRESPONSIVE, ..LARGE_CALM })]
 fn load_balancer_when_compared_then_beats_the_baselines(
     #[case] name: &str,
     #[case] scenario: Scenario,
 ) {
-    let [balancer_with, least, random] = play(name, scenario);
+    let [balancer, least_loaded, random] = run_all_strategies(name, scenario);
     assert!(
-        balancer_with.value(|_| true) >= least.value(|_| true),
-        "{balancer_with}"
+        balancer.earned_value_share(|_| true) >= least_loaded.earned_value_share(|_| true),
+        "{balancer}"
     );
     assert!(
-        balancer_with.value(|_| true) >= random.value(|_| true),
-        "{balancer_with}"
+        balancer.earned_value_share(|_| true) >= random.earned_value_share(|_| true),
+        "{balancer}"
     );
     assert!(
-        balancer_with.prefilled_again <= least.prefilled_again,
-        "{balancer_with}"
+        balancer.prefilled_again <= least_loaded.prefilled_again,
+        "{balancer}"
     );
 }
 
