--- a/crates/balancing/tests/common/mod.rs
+++ b/crates/balancing/tests/common/mod.rs
@@ -23,13 +23,13 @@
     }
 }
 
-/// Creates the record of the host with index `n`, in one of the first `zones` of three zones.
-pub fn host(service: &str, n: usize, zones: usize) -> HostInfo {
+/// Creates the record of the host with this index, in one of the first `zones` of three zones.
+pub fn host(service: &str, index: usize, zones: usize) -> HostInfo {
     HostInfo {
-        id: format!("{service}-{n}").into(),
+        id: format!("{service}-{index}").into(),
         service: service.into(),
-        addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, n as u8 + 1), 8000),
-        zone: ["a", "b", "c"][n % zones].into(),
+        addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 8000),
+        zone: ["a", "b", "c"][index % zones].into(),
         capacity: if service == "model" { 64 } else { 6 },
         draining: false,
         heartbeat_expired: false,
@@ -60,10 +60,12 @@
     let mut balancer = LoadBalancer::new(settings());
     balancer.set_services(ms(0), &services());
     balancer.set_proxy_count(ms(0), 6);
-    let mut hosts: Vec<_> = (0..model_hosts).map(|n| host("model", n, 3)).collect();
-    hosts.extend((0..plain_hosts).map(|n| HostInfo {
-        addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, n as u8 + 1), 8000),
-        ..host("plain", n, 3)
+    let mut hosts: Vec<_> = (0..model_hosts)
+        .map(|index| host("model", index, 3))
+        .collect();
+    hosts.extend((0..plain_hosts).map(|index| HostInfo {
+        addr: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, index as u8 + 1), 8000),
+        ..host("plain", index, 3)
     }));
     balancer.set_hosts(ms(0), &hosts);
     (balancer, hosts)
--- a/crates/balancing/tests/join_idle_queue.rs
+++ b/crates/balancing/tests/join_idle_queue.rs
@@ -17,7 +17,11 @@
 }
 
 /// Sends a request to the plain host with this index, by listing the other two as attempted before.
-fn send_to(balancer: &mut LoadBalancer, now_ms: u64, host_index: usize) -> balancing::AttemptId {
+fn send_to_host(
+    balancer: &mut LoadBalancer,
+    now_ms: u64,
+    host_index: usize,
+) -> balancing::AttemptId {
     let attempted: Vec<Arc<str>> = (0..3)
         .filter(|other| *other != host_index)
         .map(|other| format!("plain-{other}").into())
@@ -33,13 +37,13 @@
 }
 
 /// Sends a request to the plain host with this index, which responds with a load report after 15 ms.
-fn serve(
+fn serve_request(
     balancer: &mut LoadBalancer,
     now_ms: u64,
     host_index: usize,
     load_report: Option<HostLoad>,
 ) {
-    let attempt = send_to(balancer, now_ms, host_index);
+    let attempt = send_to_host(balancer, now_ms, host_index);
     balancer.on_first_byte(ms(now_ms + 15), attempt);
     balancer.on_attempt_ended(ms(now_ms + 15), attempt, Outcome::Succeeded, load_report);
 }
@@ -77,7 +81,7 @@
 #[test]
 fn host_when_it_reports_busy_then_avoided_until_the_report_expires() {
     let (mut balancer, _) = balancer_with_hosts(0, 3);
-    serve(&mut balancer, 0, 0, load_report(5, 2));
+    serve_request(&mut balancer, 0, 0, load_report(5, 2));
     for now_ms in (100..2000).step_by(100) {
         let (attempt, id) = selected(balancer.choose_host(ms(now_ms), &PLAIN_REQUEST));
         assert_ne!(&*id, "plain-0", "at {now_ms} ms");
@@ -99,12 +103,12 @@
 #[test]
 fn host_when_it_reports_idle_then_listed_again() {
     let (mut balancer, _) = balancer_with_hosts(0, 3);
-    serve(&mut balancer, 0, 0, load_report(5, 2));
+    serve_request(&mut balancer, 0, 0, load_report(5, 2));
     assert_ne!(
         &*selected(balancer.choose_host(ms(20), &PLAIN_REQUEST)).1,
         "plain-0"
     );
-    serve(&mut balancer, 30, 0, load_report(0, 0));
+    serve_request(&mut balancer, 30, 0, load_report(0, 0));
     assert_eq!(
         &*selected(balancer.choose_host(ms(50), &PLAIN_REQUEST)).1,
         "plain-0"
@@ -114,7 +118,7 @@
 #[test]
 fn load_report_when_in_a_response_head_then_counts_at_once() {
     let (mut balancer, _) = balancer_with_hosts(0, 3);
-    let attempt = send_to(&mut balancer, 0, 0);
+    let attempt = send_to_host(&mut balancer, 0, 0);
     balancer.on_load_report(
         ms(5),
         attempt,
@@ -133,7 +137,7 @@
 #[test]
 fn host_when_it_reports_no_load_then_own_attempts_decide_whether_it_is_idle() {
     let (mut balancer, _) = balancer_with_hosts(0, 3);
-    let attempts: Vec<_> = (0..3).map(|_| send_to(&mut balancer, 0, 0)).collect();
+    let attempts: Vec<_> = (0..3).map(|_| send_to_host(&mut balancer, 0, 0)).collect();
     assert_ne!(
         &*selected(balancer.choose_host(ms(1), &PLAIN_REQUEST)).1,
         "plain-0",
@@ -158,7 +162,7 @@
 #[case(Outcome::Misdirected)]
 fn host_when_an_attempt_fails_then_not_idle(#[case] outcome: Outcome) {
     let (mut balancer, _) = balancer_with_hosts(0, 3);
-    let attempt = send_to(&mut balancer, 0, 0);
+    let attempt = send_to_host(&mut balancer, 0, 0);
     balancer.on_attempt_ended(ms(10), attempt, outcome, None);
     for _ in 0..5 {
         assert_ne!(
@@ -216,7 +220,7 @@
 #[test]
 fn host_when_it_responded_with_421_then_not_used_until_its_record_changes() {
     let (mut balancer, mut hosts) = balancer_with_hosts(0, 3);
-    let attempt = send_to(&mut balancer, 0, 0);
+    let attempt = send_to_host(&mut balancer, 0, 0);
     balancer.on_attempt_ended(ms(5), attempt, Outcome::Misdirected, None);
     balancer.set_hosts(ms(3000), &hosts);
     assert!(
@@ -237,8 +241,8 @@
     // Records a busy report and the entries of the other hosts, all before the stall.
     let balancer_with_reports = || {
         let (mut balancer, _) = balancer_with_hosts(0, 3);
-        serve(&mut balancer, 0, 0, load_report(6, 3));
-        serve(&mut balancer, 0, 1, load_report(0, 0));
+        serve_request(&mut balancer, 0, 0, load_report(6, 3));
+        serve_request(&mut balancer, 0, 1, load_report(0, 0));
         balancer
     };
     let mut balancer = balancer_with_reports();
@@ -286,7 +290,7 @@
 fn choice_when_all_hosts_are_full_then_unavailable_with_short_retry_after() {
     let (mut balancer, _) = balancer_with_hosts(0, 3);
     for n in 0..3 {
-        let attempt = send_to(&mut balancer, 0, n);
+        let attempt = send_to_host(&mut balancer, 0, n);
         balancer.on_attempt_ended(ms(2), attempt, Outcome::Overloaded, None);
     }
     let balancing::HostChoice::Unavailable { retry_after } =
--- a/crates/balancing/tests/queueing_model.rs
+++ b/crates/balancing/tests/queueing_model.rs
@@ -126,7 +126,7 @@
     assert_eq!(
         run_to_completion(&mut engine)
             .into_iter()
-            .flat_map(|(_, attempts)| attempts)
+            .flat_map(|step| step.1)
             .collect::<Vec<_>>(),
         [2, 1]
     );
