--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -18,7 +18,7 @@
 
 use configuration::ProcessSettings;
 use protocol::Addr;
-use replication::client::{self, Control};
+use replication::client::{self, ClientCommand};
 use replication::{
     agent_addr, member_addr, non_member_info, serve, subscriber, Mirror, Puller, SharedMirror,
     MEMBERS_PER_AGENT,
@@ -106,7 +106,7 @@
 async fn accept_proxies(
     listener: &TcpListener,
     shared: &Arc<SharedMirror>,
-    control: &UnboundedSender<Control>,
+    control: &UnboundedSender<ClientCommand>,
 ) {
     let mut connections = JoinSet::new();
     loop {
@@ -130,14 +130,14 @@
 async fn serve_proxy(
     stream: TcpStream,
     shared: Arc<SharedMirror>,
-    control: UnboundedSender<Control>,
+    control: UnboundedSender<ClientCommand>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut reported_version = None;
     let serving = serve(stream, Vec::new(), shared, |proxy| {
         let version = proxy.configuration_version;
         if reported_version.replace(version) != Some(version) {
-            let _ = control.send(Control::Version(version));
+            let _ = control.send(ClientCommand::SetConfigurationVersion(version));
         }
     });
     if let Err(error) = serving.await {
@@ -149,11 +149,11 @@
 async fn follow_seeds(
     settings: &ProcessSettings,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    control: &UnboundedSender<Control>,
+    control: &UnboundedSender<ClientCommand>,
 ) {
     while seeds.changed().await.is_ok() {
         // The client ends only with the agent.
-        let _ = control.send(Control::Seeds(seed_members(settings, &mut seeds)));
+        let _ = control.send(ClientCommand::SetSeeds(seed_members(settings, &mut seeds)));
     }
     std::future::pending::<()>().await;
 }
--- a/crates/agent/tests/member_to_proxy.rs
+++ b/crates/agent/tests/member_to_proxy.rs
@@ -118,7 +118,10 @@
 
 fn proxy(
     settings: &ProcessSettings,
-) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
+) -> (
+    Arc<SharedMirror>,
+    mpsc::UnboundedSender<client::ClientCommand>,
+) {
     let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).without_history());
     let (control, told) = mpsc::unbounded_channel();
     let mut puller = Puller::new(&settings.node_name, 1, None).seeds_only();
@@ -181,7 +184,9 @@
     );
 
     // The proxy's version goes up through the agent.
-    control.send(client::Control::Version(4)).unwrap();
+    control
+        .send(client::ClientCommand::SetConfigurationVersion(4))
+        .unwrap();
     timeout(LONG, async {
         while !first
             .callers
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -284,7 +284,7 @@
         let Some(primary) = self.role.primary_mut() else {
             return;
         };
-        primary.coordination.deadlines.begin(now);
+        primary.coordination.deadlines.start_acting(now);
         let committed = primary.replication.commit();
         if committed.needs_publishing {
             self.publish(out);
--- a/crates/control-plane/src/runtime/seeds.rs
+++ b/crates/control-plane/src/runtime/seeds.rs
@@ -12,7 +12,7 @@
 /// Never ends: when `seeds` is closed, the last addresses stay.
 pub(super) async fn follow(
     peers: PeerConnections,
-    puller: UnboundedSender<client::Control>,
+    puller: UnboundedSender<client::ClientCommand>,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
     port: u16,
 ) {
@@ -25,7 +25,7 @@
         peers.set_seeds(&addresses);
         let addresses = addresses.into_iter().map(Into::into).collect();
         // The puller ends with the process only.
-        let _ = puller.send(client::Control::Seeds(addresses));
+        let _ = puller.send(client::ClientCommand::SetSeeds(addresses));
         if seeds.changed().await.is_err() {
             return std::future::pending().await;
         }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -11,7 +11,7 @@
 //! use protocol::CoordinationRequest;
 //! use std::time::Duration;
 //! let (mut state, mut deadlines) = (CoordinationState::default(), LockDeadlines::default());
-//! deadlines.begin(Duration::ZERO);
+//! deadlines.start_acting(Duration::ZERO);
 //! let acquire = |holder: &str| CoordinationRequest::AcquireLock {
 //!     name: "l1".into(),
 //!     holder: holder.into(),
--- a/crates/coordination/src/lock_deadlines.rs
+++ b/crates/coordination/src/lock_deadlines.rs
@@ -36,7 +36,7 @@
 
 impl LockDeadlines {
     /// The primary acts now. Only the first call counts.
-    pub fn begin(&mut self, now: Duration) {
+    pub fn start_acting(&mut self, now: Duration) {
         self.acting_since.get_or_insert(now);
     }
 
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -53,7 +53,7 @@
 impl Primary {
     pub fn acting_since(now: Duration) -> Self {
         let mut deadlines = LockDeadlines::default();
-        deadlines.begin(now);
+        deadlines.start_acting(now);
         Self {
             state: CoordinationState::default(),
             deadlines,
@@ -64,7 +64,7 @@
     /// Another primary with the same state begins to act.
     pub fn take_over(&mut self, now: Duration) {
         self.deadlines = LockDeadlines::default();
-        self.deadlines.begin(now);
+        self.deadlines.start_acting(now);
     }
 
     pub fn run(&mut self, request: CoordinationRequest, now: Duration) -> Answer {
--- a/crates/fennelpin-cli/src/fleet_updates.rs
+++ b/crates/fennelpin-cli/src/fleet_updates.rs
@@ -4,7 +4,7 @@
 use configuration::ProcessSettings;
 use protocol::HostRecord;
 use proxy::{ConfigurationAge, FleetSnapshot};
-use replication::client::{self, Control};
+use replication::client::{self, ClientCommand};
 use replication::{phase, Mirror, Puller, SharedMirror, Snapshot, AGE_UNKNOWN};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
     configuration_age: ConfigurationAge,
     mut snapshots: watch::Receiver<Arc<Snapshot>>,
     fleet: watch::Sender<Option<Arc<FleetSnapshot>>>,
-    control: mpsc::UnboundedSender<Control>,
+    control: mpsc::UnboundedSender<ClientCommand>,
 ) {
     let mut version_in_force = 0;
     loop {
@@ -57,7 +57,7 @@
                 version_in_force = version;
                 log::info!(version; "configuration in force");
                 // The puller ends only with the process.
-                let _ = control.send(Control::Version(version));
+                let _ = control.send(ClientCommand::SetConfigurationVersion(version));
             }
             fleet.send_replace(Some(Arc::new(fleet_snapshot(
                 &node_name,
--- a/crates/fennelpin-cli/tests/followed_settings.rs
+++ b/crates/fennelpin-cli/tests/followed_settings.rs
@@ -45,7 +45,12 @@
     });
 }
 
-fn proxy(boot: &ProcessSettings) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
+fn proxy(
+    boot: &ProcessSettings,
+) -> (
+    Arc<SharedMirror>,
+    mpsc::UnboundedSender<client::ClientCommand>,
+) {
     let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).without_history());
     let (control, told) = mpsc::unbounded_channel();
     let mut puller = Puller::new(&boot.node_name, 1, None).seeds_only();
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -20,11 +20,11 @@
 
 /// What the rest of the process tells a running client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Control {
+pub enum ClientCommand {
     /// The addresses of the seeds in the settings now.
-    Seeds(Vec<Addr>),
+    SetSeeds(Vec<Addr>),
     /// Version of the configuration in force, to be reported with each pull.
-    Version(u64),
+    SetConfigurationVersion(u64),
 }
 
 /// What comes of a connection.
@@ -58,7 +58,7 @@
     hello: MemberInfo,
     subscriber: Subscriber,
     shared: Arc<SharedMirror>,
-    mut control: mpsc::UnboundedReceiver<Control>,
+    mut control: mpsc::UnboundedReceiver<ClientCommand>,
 ) {
     let (events, mut incoming) = mpsc::unbounded_channel();
     let tasks = JoinSet::new();
@@ -101,8 +101,8 @@
                 client.act(actions);
             }
             message = control.recv() => match message {
-                Some(Control::Seeds(seeds)) => puller.set_seeds(&seeds),
-                Some(Control::Version(version)) => client.subscriber.configuration_version = version,
+                Some(ClientCommand::SetSeeds(seeds)) => puller.set_seeds(&seeds),
+                Some(ClientCommand::SetConfigurationVersion(version)) => client.subscriber.configuration_version = version,
                 None => return,
             },
             Some(_) = client.tasks.join_next() => {}
--- a/crates/scale-test/src/simulated_coordinators.rs
+++ b/crates/scale-test/src/simulated_coordinators.rs
@@ -34,7 +34,7 @@
 struct Coordinator {
     tasks: [JoinHandle<()>; 2],
     /// The pulls end when this is dropped.
-    _control: UnboundedSender<client::Control>,
+    _control: UnboundedSender<client::ClientCommand>,
 }
 
 impl Drop for Coordinator {
@@ -138,7 +138,7 @@
     number: usize,
     logs: CoordinatorLogs,
     mirror: Arc<SharedMirror>,
-    control: UnboundedSender<client::Control>,
+    control: UnboundedSender<client::ClientCommand>,
 ) -> impl std::future::Future<Output = ()> {
     let mut changes = mirror.changes();
     async move {
@@ -150,7 +150,7 @@
                 version_in_force = version;
                 let entry = (version, Instant::now());
                 lock(&logs)[number].versions.push(entry);
-                let _ = control.send(client::Control::Version(version));
+                let _ = control.send(client::ClientCommand::SetConfigurationVersion(version));
             }
             if changes.changed().await.is_err() {
                 return;
