--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! How values are laid out in bytes: `binrw`'s form, little-endian, with these rules for what it leaves open.
+//! Byte layout of messages and records: little-endian `binrw`, with these rules for the types that `binrw` leaves open.
 //!
 //! | value | bytes |
 //! | --- | --- |
@@ -8,17 +8,17 @@
 //! | `Option<T>` at the end of a record or message | nothing, or the value |
 //! | `bool` | one byte; any other than 0 is true |
 //!
-//! The functions come in pairs: `read_*` for `parse_with` and `write_*` for `write_with` of a field.
+//! The functions come in pairs: `read_*` for a field's `parse_with` and `write_*` for its `write_with`.
 
 use crate::error::{ContentSnafu, DecodeError};
 use binrw::{BinRead, BinResult, BinWrite, Endian};
 use std::io::{Cursor, Read, Seek, SeekFrom};
 
-/// The most memory in bytes that is reserved for a list or string because of its stated length alone. A damaged length
-/// thus costs no memory.
+/// Upper limit of the memory reserved in advance for a list or string, in bytes. The length prefix isn't trusted: a
+/// corrupt one must not cause a large allocation.
 const MAX_RESERVED_BYTES: usize = 4096;
 
-/// About how much memory a short string takes, in bytes, to bound what is reserved for a list of them.
+/// Approximate memory use of a short string, in bytes. Limits how many list entries are reserved in advance.
 const RESERVED_BYTES_PER_STRING: usize = 32;
 
 /// Encodes one value without a frame, for records on disk.
@@ -26,16 +26,16 @@
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
-    let mut out = Cursor::new(Vec::new());
-    // Writing to memory doesn't fail.
-    let _ = value.write_options(&mut out, Endian::Little, ());
-    out.into_inner()
+    let mut output = Cursor::new(Vec::new());
+    // Writing to a `Vec` doesn't fail.
+    let _ = value.write_options(&mut output, Endian::Little, ());
+    output.into_inner()
 }
 
-/// Decodes one value that takes up all of `bytes`.
+/// Decodes one value that fills `bytes` completely.
 ///
 /// # Errors
-/// [`DecodeError::Content`] if the bytes are not such a value, or if bytes are left over.
+/// [`DecodeError::Content`] if the bytes don't encode a `T` or if bytes remain after it.
 pub fn decode_record<T>(bytes: &[u8]) -> Result<T, DecodeError>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
@@ -44,11 +44,11 @@
     match T::read_options(&mut input, Endian::Little, ()) {
         Ok(value) if input.position() == bytes.len() as u64 => Ok(value),
         Ok(_) => ContentSnafu {
-            detail: "bytes are left over",
+            detail: "bytes remain after the value",
         }
         .fail(),
-        Err(e) => ContentSnafu {
-            detail: e.root_cause().to_string(),
+        Err(error) => ContentSnafu {
+            detail: error.root_cause().to_string(),
         }
         .fail(),
     }
@@ -60,78 +60,88 @@
     T: for<'a> BinRead<Args<'a> = ()>,
 {
     let count = u32::read_options(reader, endian, ())? as usize;
-    let mut all =
+    let mut items =
         Vec::with_capacity(count.min(MAX_RESERVED_BYTES / std::mem::size_of::<T>().max(1)));
     for _ in 0..count {
-        all.push(T::read_options(reader, endian, ())?);
+        items.push(T::read_options(reader, endian, ())?);
     }
-    Ok(all)
+    Ok(items)
 }
 
 #[allow(clippy::ptr_arg, reason = "binrw passes the field by reference")]
 #[binrw::writer(writer, endian)]
-pub(crate) fn write_list<T>(all: &Vec<T>) -> BinResult<()>
+pub(crate) fn write_list<T>(items: &Vec<T>) -> BinResult<()>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
-    (all.len() as u32).write_options(writer, endian, ())?;
-    all.iter()
-        .try_for_each(|one| one.write_options(writer, endian, ()))
-}
-
-fn read_counted_bytes<R: Read + Seek>(reader: &mut R, endian: Endian) -> BinResult<Vec<u8>> {
-    let count = u32::read_options(reader, endian, ())? as usize;
-    let mut all = Vec::with_capacity(count.min(MAX_RESERVED_BYTES));
-    let read = reader.by_ref().take(count as u64).read_to_end(&mut all)?;
-    if read < count {
+    (items.len() as u32).write_options(writer, endian, ())?;
+    items
+        .iter()
+        .try_for_each(|item| item.write_options(writer, endian, ()))
+}
+
+fn read_length_prefixed_bytes<R: Read + Seek>(
+    reader: &mut R,
+    endian: Endian,
+) -> BinResult<Vec<u8>> {
+    let length = u32::read_options(reader, endian, ())? as usize;
+    let mut bytes = Vec::with_capacity(length.min(MAX_RESERVED_BYTES));
+    let read = reader
+        .by_ref()
+        .take(length as u64)
+        .read_to_end(&mut bytes)?;
+    if read < length {
         return Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into());
     }
-    Ok(all)
+    Ok(bytes)
 }
 
 #[binrw::parser(reader, endian)]
 pub(crate) fn read_bytes() -> BinResult<Vec<u8>> {
-    read_counted_bytes(reader, endian)
+    read_length_prefixed_bytes(reader, endian)
 }
 
 #[allow(clippy::ptr_arg, reason = "binrw passes the field by reference")]
 #[binrw::writer(writer, endian)]
-pub(crate) fn write_bytes(all: &Vec<u8>) -> BinResult<()> {
-    (all.len() as u32).write_options(writer, endian, ())?;
-    Ok(writer.write_all(all)?)
+pub(crate) fn write_bytes(bytes: &Vec<u8>) -> BinResult<()> {
+    (bytes.len() as u32).write_options(writer, endian, ())?;
+    Ok(writer.write_all(bytes)?)
 }
 
 #[binrw::parser(reader, endian)]
 pub(crate) fn read_string() -> BinResult<String> {
-    let at = reader.stream_position()?;
-    String::from_utf8(read_counted_bytes(reader, endian)?).map_err(|e| binrw::Error::AssertFail {
-        pos: at,
-        message: e.to_string(),
+    let start = reader.stream_position()?;
+    String::from_utf8(read_length_prefixed_bytes(reader, endian)?).map_err(|error| {
+        binrw::Error::AssertFail {
+            pos: start,
+            message: error.to_string(),
+        }
     })
 }
 
 #[binrw::writer(writer, endian)]
-pub(crate) fn write_string(all: &String) -> BinResult<()> {
-    (all.len() as u32).write_options(writer, endian, ())?;
-    Ok(writer.write_all(all.as_bytes())?)
+pub(crate) fn write_string(string: &String) -> BinResult<()> {
+    (string.len() as u32).write_options(writer, endian, ())?;
+    Ok(writer.write_all(string.as_bytes())?)
 }
 
 #[binrw::parser(reader, endian)]
 pub(crate) fn read_strings() -> BinResult<Vec<String>> {
     let count = u32::read_options(reader, endian, ())? as usize;
-    let mut all = Vec::with_capacity(count.min(MAX_RESERVED_BYTES / RESERVED_BYTES_PER_STRING));
+    let mut strings = Vec::with_capacity(count.min(MAX_RESERVED_BYTES / RESERVED_BYTES_PER_STRING));
     for _ in 0..count {
-        all.push(read_string(reader, endian, ())?);
+        strings.push(read_string(reader, endian, ())?);
     }
-    Ok(all)
+    Ok(strings)
 }
 
 #[allow(clippy::ptr_arg, reason = "binrw passes the field by reference")]
 #[binrw::writer(writer, endian)]
-pub(crate) fn write_strings(all: &Vec<String>) -> BinResult<()> {
-    (all.len() as u32).write_options(writer, endian, ())?;
-    all.iter()
-        .try_for_each(|one| write_string(one, writer, endian, ()))
+pub(crate) fn write_strings(strings: &Vec<String>) -> BinResult<()> {
+    (strings.len() as u32).write_options(writer, endian, ())?;
+    strings
+        .iter()
+        .try_for_each(|string| write_string(string, writer, endian, ()))
 }
 
 #[binrw::parser(reader, endian)]
@@ -142,45 +152,47 @@
     match u8::read_options(reader, endian, ())? {
         0 => Ok(None),
         1 => Ok(Some(T::read_options(reader, endian, ())?)),
-        other => Err(binrw::Error::AssertFail {
+        tag => Err(binrw::Error::AssertFail {
             pos: reader.stream_position()?,
-            message: format!("neither there nor not: {other}"),
+            message: format!("invalid option tag {tag}, expected 0 or 1"),
         }),
     }
 }
 
 #[binrw::writer(writer, endian)]
-pub(crate) fn write_option<T>(one: &Option<T>) -> BinResult<()>
+pub(crate) fn write_option<T>(value: &Option<T>) -> BinResult<()>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
-    u8::from(one.is_some()).write_options(writer, endian, ())?;
-    one.iter()
-        .try_for_each(|one| one.write_options(writer, endian, ()))
+    u8::from(value.is_some()).write_options(writer, endian, ())?;
+    value
+        .iter()
+        .try_for_each(|value| value.write_options(writer, endian, ()))
 }
 
-/// Reads an optional value behind which nothing follows: records of releases that don't know it end before it.
+/// Reads an optional value at the end of a record. Releases that don't know the field write records that end before it.
 #[binrw::parser(reader, endian)]
-pub(crate) fn read_trailing<T>() -> BinResult<Option<T>>
+pub(crate) fn read_trailing_option<T>() -> BinResult<Option<T>>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
 {
-    let at = reader.stream_position()?;
+    let start = reader.stream_position()?;
     let end = reader.seek(SeekFrom::End(0))?;
-    reader.seek(SeekFrom::Start(at))?;
-    if at == end {
+    reader.seek(SeekFrom::Start(start))?;
+    if start == end {
         return Ok(None);
     }
     T::read_options(reader, endian, ()).map(Some)
 }
 
 #[binrw::writer(writer, endian)]
-pub(crate) fn write_trailing<T>(one: &Option<T>) -> BinResult<()>
+pub(crate) fn write_trailing_option<T>(value: &Option<T>) -> BinResult<()>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
-    one.iter()
-        .try_for_each(|one| one.write_options(writer, endian, ()))
+    value
+        .iter()
+        .try_for_each(|value| value.write_options(writer, endian, ()))
 }
 
 #[binrw::parser(reader, endian)]
@@ -189,6 +201,6 @@
 }
 
 #[binrw::writer(writer, endian)]
-pub(crate) fn write_bool(one: &bool) -> BinResult<()> {
-    u8::from(*one).write_options(writer, endian, ())
+pub(crate) fn write_bool(value: &bool) -> BinResult<()> {
+    u8::from(*value).write_options(writer, endian, ())
 }
--- a/crates/protocol/src/coordination.rs
+++ b/crates/protocol/src/coordination.rs
@@ -1,4 +1,4 @@
-//! Locks, numbers and cells: the requests of applications, the changes that they lead to, and the state as a whole.
+//! Locks, counters and cells: the requests of applications, the resulting changes, and the complete state.
 
 use crate::codec::{
     read_bool, read_list, read_option, read_string, write_bool, write_list, write_option,
@@ -6,61 +6,61 @@
 };
 use binrw::binrw;
 
-/// A request of an application, forwarded to the primary.
+/// Request of an application, forwarded to the primary.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinationRequest {
-    /// Takes a lock.
+    /// Acquires a lock.
     #[brw(magic(1u8))]
     AcquireLock {
-        /// The lock's name.
+        /// Name of the lock.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
-        /// Who takes it.
+        /// Name of the holder.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         holder: String,
-        /// How long it is held unless it is renewed, in ms.
+        /// Time for which the lock is held unless it is renewed, in ms.
         hold_ms: u32,
-        /// Number of the call. A copy of the call has the same one, and gets the same fence.
+        /// Number of the call. A repeated call has the same number and receives the same fencing token.
         attempt: u64,
     },
     /// Extends the time for which a lock is held.
     #[brw(magic(2u8))]
     RenewLock {
-        /// The lock's name.
+        /// Name of the lock.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
-        /// Who holds it.
+        /// Name of the holder.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         holder: String,
-        /// The fencing token that the holder got.
+        /// Fencing token that the holder received.
         fence: u64,
-        /// How long it is held from now on, in ms.
+        /// Time for which the lock is held from now on, in ms.
         hold_ms: u32,
     },
-    /// Gives a lock back.
+    /// Releases a lock.
     #[brw(magic(3u8))]
     ReleaseLock {
-        /// The lock's name.
+        /// Name of the lock.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
-        /// Who holds it.
+        /// Name of the holder.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         holder: String,
-        /// The fencing token that the holder got.
+        /// Fencing token that the holder received.
         fence: u64,
     },
     /// Takes the next number of a counter.
     #[brw(magic(4u8))]
     NextNumber {
-        /// The counter's name.
+        /// Name of the counter.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
@@ -68,15 +68,15 @@
     /// Puts a value into a cell.
     #[brw(magic(5u8))]
     PutCell {
-        /// The cell's name.
+        /// Name of the cell.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
-        /// The value.
+        /// Value of the cell.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         value: String,
-        /// The revision that the cell must have, 0 if it must not exist; none if it may have any.
+        /// Revision that the cell must have, 0 if it must not exist; `None` to put the value unconditionally.
         #[br(parse_with = read_option)]
         #[bw(write_with = write_option)]
         expected_revision: Option<u64>,
@@ -84,7 +84,7 @@
     /// Reads a cell.
     #[brw(magic(6u8))]
     ReadCell {
-        /// The cell's name.
+        /// Name of the cell.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
@@ -92,210 +92,210 @@
     /// Waits for puts into the cells of a group.
     #[brw(magic(7u8))]
     Watch {
-        /// The group's name, with the dot at its end.
+        /// Name of the group, including its final dot.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         group: String,
-        /// Puts above this revision are asked for; 0 asks for the group's present revision only.
+        /// Revision after which puts are requested; 0 asks only for the group's current revision.
         after: u64,
-        /// How long to wait for a put, in ms.
+        /// Longest time to wait for a put, in ms.
         wait_ms: u32,
     },
-    /// An operator asks for all locks.
+    /// Lists all locks, for an operator.
     #[brw(magic(8u8))]
     ListLocks {
-        /// Always 0; keeps the variant's form in bytes.
+        /// Always 0. Reserves the variant's single byte of content.
         reserved: u8,
     },
-    /// An operator asks for the cells of a group.
+    /// Lists the cells of a group, for an operator.
     #[brw(magic(9u8))]
     ListCells {
-        /// The group's name, with the dot at its end; empty for the groups themselves.
+        /// Name of the group, including its final dot; empty to list the groups themselves.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         group: String,
     },
-    /// An operator takes a lock away from its holder.
+    /// Takes a lock away from its holder, for an operator.
     #[brw(magic(10u8))]
     FreeLock {
-        /// The lock's name.
+        /// Name of the lock.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
     },
 }
 
-/// One step of the locks, numbers and cells.
+/// Change of the locks, counters and cells.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinationChange {
-    /// A lock has a holder, with the next fencing token.
+    /// A lock was acquired. The holder gets the next fencing token.
     #[brw(magic(1u8))]
     LockAcquired {
-        /// The lock's name.
+        /// Name of the lock.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
-        /// Who holds it.
+        /// Name of the holder.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         holder: String,
-        /// How long it is held unless it is renewed, in ms.
+        /// Time for which the lock is held unless it is renewed, in ms.
         hold_ms: u32,
-        /// Number of the call that took it.
+        /// Number of the call that acquired the lock.
         attempt: u64,
     },
-    /// A lock's holder asked for a longer time than before.
+    /// A lock's holder extended its hold beyond the previous time.
     #[brw(magic(2u8))]
     LockExtended {
-        /// The lock's name.
+        /// Name of the lock.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
-        /// How long it is held unless it is renewed, in ms.
+        /// Time for which the lock is held unless it is renewed, in ms.
         hold_ms: u32,
     },
-    /// A lock has no holder any more.
+    /// A lock was released.
     #[brw(magic(3u8))]
     LockReleased {
-        /// The lock's name.
+        /// Name of the lock.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
     },
-    /// A counter gave its next number.
+    /// A counter returned its next number.
     #[brw(magic(4u8))]
     NumberTaken {
-        /// The counter's name.
+        /// Name of the counter.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
     },
-    /// A cell has another value, with the next revision of its group.
+    /// A value was put into a cell, with the next revision of the cell's group.
     #[brw(magic(5u8))]
     CellPut {
-        /// The cell's name.
+        /// Name of the cell.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
-        /// The value.
+        /// Value of the cell.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         value: String,
-        /// The revision that the cell has to have, 0 if it must not exist; none if it may have any.
+        /// Revision that the cell must have, 0 if it must not exist; `None` for an unconditional put.
         #[br(parse_with = read_option)]
         #[bw(write_with = write_option)]
         expected_revision: Option<u64>,
     },
-    /// The oldest puts of a group aren't kept any more.
+    /// The oldest puts of a group were dropped from its history.
     #[brw(magic(6u8))]
     HistoryTrimmed {
-        /// The group's name.
+        /// Name of the group.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         group: String,
-        /// Revision of the last put that isn't kept.
+        /// Revision of the latest put that is no longer in the history.
         floor: u64,
     },
 }
 
-/// A lock that has a holder.
+/// Lock that has a holder.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct LockRecord {
-    /// The lock's name.
+    /// Name of the lock.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub name: String,
-    /// Who holds it.
+    /// Name of the holder.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub holder: String,
-    /// The holder's fencing token.
+    /// Fencing token of the holder.
     pub fence: u64,
-    /// The longest time that the holder may count on since its last call, in ms.
+    /// Longest time that the holder may count on since its last call, in ms.
     pub hold_ms: u32,
-    /// Number of the call that took it.
+    /// Number of the call that acquired the lock.
     pub attempt: u64,
 }
 
-/// A counter.
+/// Counter.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberRecord {
-    /// The counter's name.
+    /// Name of the counter.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub name: String,
-    /// The number that it gave last.
+    /// Number that the counter returned last.
     pub value: u64,
 }
 
-/// A put into a cell.
+/// Put into a cell.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellRecord {
-    /// The cell's name.
+    /// Name of the cell.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub name: String,
-    /// The value.
+    /// Value of the cell.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub value: String,
-    /// The put's revision.
+    /// Revision of the put.
     pub revision: u64,
-    /// The revision that the cell had before; 0 if it didn't exist.
+    /// Revision that the cell had before; 0 if it didn't exist.
     pub replaced_revision: u64,
-    /// Whether the put asked for that revision.
+    /// Whether the put was conditional on that revision.
     #[br(parse_with = read_bool)]
     #[bw(write_with = write_bool)]
     pub is_conditional: bool,
 }
 
-/// The cells of a group, and the puts that led to them.
+/// Cells of a group, and the puts that led to them.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellGroupRecord {
-    /// The group's name, with the dot at its end.
+    /// Name of the group, including its final dot.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub name: String,
-    /// Revision of the last put that isn't kept in the history.
+    /// Revision of the latest put that is no longer in the history.
     pub floor: u64,
-    /// The latest put into each cell, by name.
+    /// Latest put into each cell, by name.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub cells: Vec<CellRecord>,
-    /// All puts above the floor, oldest first.
+    /// All puts after `floor`, oldest first.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub history: Vec<CellRecord>,
 }
 
-/// All locks, numbers and cells.
+/// All locks, counters and cells.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct CoordinationSnapshot {
     /// Index of the last change of the configuration or of the drains.
     pub fleet_index: u64,
-    /// The fencing token that was given last.
+    /// Fencing token that was issued last.
     pub last_fence: u64,
-    /// The locks that have a holder, by name.
+    /// Locks that have a holder, by name.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub locks: Vec<LockRecord>,
-    /// The counters, by name.
+    /// Counters, by name.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub numbers: Vec<NumberRecord>,
-    /// The groups of cells, by name.
+    /// Groups of cells, by name.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub groups: Vec<CellGroupRecord>,
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,29 +1,29 @@
-//! Why received or stored bytes can't be decoded.
+//! Errors of decoding received or stored bytes.
 
 use snafu::Snafu;
 
 use crate::format::FRAME_VERSION;
 
-/// Why bytes are not a valid frame or record.
+/// Error of decoding a frame or a record.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DecodeError {
-    /// The frame's length is 0 or above [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES).
-    #[snafu(display("a frame of {length} bytes"))]
+    /// The frame's length is 0 or exceeds [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES).
+    #[snafu(display("frame length of {length} bytes is 0 or above the limit"))]
     Length {
-        /// The length in the frame's header, in bytes.
+        /// Length given in the frame's header, in bytes.
         length: usize,
     },
-    /// The frame has another format version.
-    #[snafu(display("a frame of version {version}, {FRAME_VERSION} is spoken"))]
+    /// The frame's format version differs from [`FRAME_VERSION`](crate::FRAME_VERSION).
+    #[snafu(display("frame version {version} is not supported, expected {FRAME_VERSION}"))]
     Version {
-        /// The version in the frame's header.
+        /// Version given in the frame's header.
         version: u8,
     },
-    /// The content is not a value of the expected type.
-    #[snafu(display("unreadable: {detail}"))]
+    /// The content doesn't encode a value of the expected type.
+    #[snafu(display("invalid content: {detail}"))]
     Content {
-        /// What is wrong.
+        /// Description of the invalid part.
         detail: String,
     },
 }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: how messages are delimited on a stream and in datagrams.
+//! Frames, which delimit messages on a stream and in datagrams.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -11,13 +11,13 @@
 use crate::format::{FRAME_VERSION, MAX_FRAME_BYTES};
 use crate::message::Message;
 
-/// Bytes of the length at a frame's start.
+/// Size of the length field at the start of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes of length and version together.
+/// Size of the length and version fields together, in bytes.
 const HEADER_BYTES: usize = LENGTH_BYTES + 1;
 
-/// Encodes a message as a frame. The caller keeps messages below [`MAX_FRAME_BYTES`].
+/// Encodes a message as a frame. The caller must keep the message below [`MAX_FRAME_BYTES`]; the size isn't checked.
 pub fn encode(message: &Message) -> Vec<u8> {
     let body = encode_record(message);
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -27,11 +27,11 @@
     frame
 }
 
-/// Decodes the frame at the start of `bytes`: the message, and the length of the whole frame in bytes.
-/// `None` if the frame isn't complete yet.
+/// Decodes the frame at the start of `bytes`. Returns the message and the length of the whole frame in bytes, or `None`
+/// if the frame is incomplete.
 ///
 /// # Errors
-/// Fails if the bytes are not a frame of this version. The connection that they came from can't be used any more.
+/// Fails if the bytes are not a frame of this version. The connection that they came from can't be used any longer.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Message, usize)>, DecodeError> {
     let Some(header) = bytes.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between the system's own processes, and the records that members keep on disk. No I/O.
+//! Messages between the system's own processes, and the records that control plane members store on disk. No I/O.
 //!
-//! [`Message`] lists all messages. On the wire each is a frame: [`encode`] and [`decode`]. A stored record has no frame:
-//! [`encode_record`] and [`decode_record`]. The form of both is fixed by `tests/wire_format.rs`.
+//! [`Message`] lists all messages. On the wire each message is a frame, see [`encode`] and [`decode`]. Stored records
+//! have no frame, see [`encode_record`] and [`decode_record`]. `tests/wire_format.rs` pins the bytes of both.
 //!
 //! ```
 //! use protocol::{decode, encode, Message};
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -5,32 +5,32 @@
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// An IPv4 address with a port.
+/// IPv4 address and port.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Addr {
-    /// The address, its first byte in the highest bits.
+    /// IPv4 address with the first octet in the most significant byte.
     pub ip: u32,
-    /// The port.
+    /// Port number.
     pub port: u16,
 }
 
-/// A member of the control plane: a process with a disk.
+/// Member of the control plane: a process with persistent storage.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct MemberInfo {
-    /// Its id, drawn at random when its disk is first used. A member that lost its disk comes back with another id;
-    /// 0 stands for a process that is no member.
+    /// Member id, drawn at random when its disk is first used. A member that lost its disk returns with another id. 0
+    /// stands for a process that is not a member.
     pub id: u64,
     /// Name of its machine.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub name: String,
-    /// Where it takes messages of other processes of the system.
+    /// Address on which it accepts messages of the system's other processes.
     pub addr: Addr,
-    /// Where it takes the HTTP calls of hosts and operators.
+    /// Address on which it accepts the HTTP calls of hosts and operators.
     pub control_addr: Addr,
     /// Its zone.
     #[br(parse_with = read_string)]
@@ -42,43 +42,44 @@
     pub region: String,
 }
 
-/// A membership configuration: the primary, replicas and voters of one epoch. A quorum of the voters has to accept it.
+/// Membership configuration: the primary, replicas and voters of one epoch. It takes effect once a quorum of the voters
+/// has accepted it.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct MembershipConfig {
-    /// Its number; never used for two membership configurations.
+    /// Epoch number, unique to this membership configuration.
     pub epoch: u64,
-    /// Id of the member that takes changes.
+    /// Id of the member that accepts changes.
     pub primary: u64,
-    /// Ids of the members that hold the replicated state, the primary among them. A change is acknowledged once it is
-    /// on the disks of all of them.
+    /// Ids of the members that hold the replicated state, including the primary. A change is acknowledged once all of
+    /// them have it on disk.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub replicas: Vec<u64>,
-    /// The members that vote on the next membership configuration.
+    /// Members that vote on the next membership configuration.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub voters: Vec<MemberInfo>,
-    /// The voters of the membership configuration before. While they differ from `voters`, a quorum is a majority of both
-    /// (joint quorum).
+    /// Voters of the preceding membership configuration. While they differ from `voters`, a quorum needs a majority of
+    /// each group (joint quorum).
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub previous_voters: Vec<MemberInfo>,
 }
 
-/// The control plane as subscribers are told of it.
+/// Control plane membership as published to subscribers.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct ControlPlaneInfo {
-    /// Rises with each change of the content.
+    /// Version number, raised with each change of the content.
     pub version: u64,
     /// Epoch of the membership configuration.
     pub epoch: u64,
-    /// Id of that configuration's primary; 0 if none is known.
+    /// Id of the primary of that configuration; 0 if unknown.
     pub primary: u64,
-    /// The members, voters first.
+    /// Members, voters first.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub members: Vec<MemberInfo>,
@@ -100,7 +101,7 @@
 }
 
 impl MembershipConfig {
-    /// The voter with this id.
+    /// Returns the voter with this id.
     pub fn voter(&self, id: u64) -> Option<&MemberInfo> {
         self.voters.iter().find(|voter| voter.id == id)
     }
@@ -113,22 +114,26 @@
             .any(|voter| voter.id == id)
     }
 
-    /// Whether the members that `has` accepts are a majority of the voters and a majority of the previous voters.
-    pub fn has_quorum(&self, has: impl Fn(u64) -> bool) -> bool {
-        is_majority(&self.voters, &has) && is_majority(&self.previous_voters, &has)
+    /// Whether the members for which `is_counted` returns true form a majority of the voters and a majority of the
+    /// previous voters.
+    pub fn has_quorum(&self, is_counted: impl Fn(u64) -> bool) -> bool {
+        is_majority(&self.voters, &is_counted) && is_majority(&self.previous_voters, &is_counted)
     }
 
-    /// Whether voters and previous voters are the same members.
+    /// Whether voters and previous voters are the same members, that is, no membership change is in progress.
     pub fn is_stable(&self) -> bool {
-        ids(&self.voters) == ids(&self.previous_voters)
+        member_ids(&self.voters) == member_ids(&self.previous_voters)
     }
 }
 
-fn is_majority(members: &[MemberInfo], has: impl Fn(u64) -> bool) -> bool {
-    let count = members.iter().filter(|member| has(member.id)).count();
+fn is_majority(members: &[MemberInfo], is_counted: impl Fn(u64) -> bool) -> bool {
+    let count = members
+        .iter()
+        .filter(|member| is_counted(member.id))
+        .count();
     2 * count > members.len()
 }
 
-fn ids(members: &[MemberInfo]) -> BTreeSet<u64> {
+fn member_ids(members: &[MemberInfo]) -> BTreeSet<u64> {
     members.iter().map(|member| member.id).collect()
 }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,4 +1,5 @@
-//! The messages between the system's processes. The numbers of the variants are fixed; new variants take new numbers.
+//! Messages between the system's processes. The variants' numbers are part of the wire format: they never change, and a
+//! new variant takes a new number.
 
 use crate::codec::{
     read_bool, read_bytes, read_list, read_option, read_string, write_bool, write_bytes,
@@ -10,18 +11,18 @@
 use crate::updates::{ConfigurationUpdate, OriginUpdate, OriginVersion, Subscriber, TenantsUpdate};
 use binrw::binrw;
 
-/// A message. The numbers in the variants' `magic` are on the wire.
+/// Message between two processes. The number in a variant's `magic` identifies it on the wire.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// The first message on a connection: names the sender.
+    /// First message on a connection. Identifies the sender.
     #[brw(magic(1u8))]
     Hello {
-        /// The sender; its id is 0 if it is no member.
+        /// Sender; its id is 0 if it is not a member.
         sender: MemberInfo,
     },
-    /// Members that the sender knows, so that others find them.
+    /// Announces the members that the sender knows, for peer discovery.
     #[brw(magic(2u8))]
     Peers {
         /// The members.
@@ -29,117 +30,118 @@
         #[bw(write_with = write_list)]
         members: Vec<MemberInfo>,
     },
-    /// Asks whether a promise would be granted, before [`Message::Prepare`] asks for it. A candidate that can't win thus
-    /// disturbs nobody.
+    /// Asks whether a promise would be granted, before [`Message::Prepare`] requests it. A candidate that can't win
+    /// thus doesn't disrupt the current primary.
     #[brw(magic(8u8))]
     PreVote {
-        /// The highest epoch that the sender knows.
+        /// Highest epoch known to the sender.
         known_epoch: u64,
         /// Epoch of the membership configuration that the sender accepted last.
         accepted_epoch: u64,
     },
-    /// The answer to [`Message::PreVote`].
+    /// Reply to [`Message::PreVote`].
     #[brw(magic(9u8))]
     PreVoteReply {
         /// Whether a promise would be granted now.
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         granted: bool,
-        /// The highest epoch that the sender has promised.
+        /// Highest epoch that the sender has promised.
         promised_epoch: u64,
-        /// After how long it makes sense to ask again, in ms.
+        /// Suggested delay before the next attempt, in ms.
         retry_after_ms: u32,
     },
-    /// Asks for a promise to follow no lower epoch (phase 1 of Paxos).
+    /// Requests a promise to accept no lower epoch (phase 1 of Paxos).
     #[brw(magic(10u8))]
     Prepare {
-        /// The epoch.
+        /// Epoch to promise.
         epoch: u64,
-        /// The member that asks.
+        /// Member that asks for the promise.
         candidate: MemberInfo,
     },
-    /// The answer to [`Message::Prepare`].
+    /// Reply to [`Message::Prepare`].
     #[brw(magic(11u8))]
     Promise {
-        /// The epoch that was asked for.
+        /// Epoch of the request.
         epoch: u64,
         /// Whether the promise is granted.
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         granted: bool,
-        /// The highest epoch that the sender has promised.
+        /// Highest epoch that the sender has promised.
         promised_epoch: u64,
-        /// The membership configuration that the sender accepted last.
+        /// Membership configuration that the sender accepted last.
         #[br(parse_with = read_option)]
         #[bw(write_with = write_option)]
         membership: Option<MembershipConfig>,
-        /// How far its replica log goes, if it is a replica.
+        /// End of its log, if it is a replica.
         #[br(parse_with = read_option)]
         #[bw(write_with = write_option)]
         log_position: Option<LogPosition>,
-        /// After how long it makes sense to ask again, in ms.
+        /// Suggested delay before the next attempt, in ms.
         retry_after_ms: u32,
     },
-    /// Asks to accept a membership configuration (phase 2 of Paxos).
+    /// Requests acceptance of a membership configuration (phase 2 of Paxos).
     #[brw(magic(12u8))]
     InstallMembership {
-        /// The configuration.
+        /// Membership configuration to accept.
         membership: MembershipConfig,
-        /// The replicated state at its start, for a receiver that becomes a replica.
+        /// Replicated state at the start of the configuration, for a receiver that becomes a replica.
         #[br(parse_with = read_option)]
         #[bw(write_with = write_option)]
         snapshot: Option<Snapshot>,
     },
-    /// The answer to [`Message::InstallMembership`].
+    /// Reply to [`Message::InstallMembership`].
     #[brw(magic(13u8))]
     InstallMembershipReply {
         /// Epoch of the membership configuration.
         epoch: u64,
-        /// Whether the configuration is accepted and on disk.
+        /// Whether the configuration was accepted and is on disk.
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         accepted: bool,
-        /// The highest epoch that the sender has promised.
+        /// Highest epoch that the sender has promised.
         promised_epoch: u64,
     },
-    /// A change that a backup has to append to its log.
+    /// Change that a backup must append to its log.
     #[brw(magic(14u8))]
     AppendChange {
         /// Epoch of the membership configuration.
         epoch: u64,
-        /// Index of the change.
+        /// Index of the change in the log.
         index: u64,
-        /// The change.
+        /// Change to append.
         change: Change,
     },
-    /// The answer to [`Message::AppendChange`].
+    /// Reply to [`Message::AppendChange`].
     #[brw(magic(15u8))]
     AppendReply {
         /// Epoch of the membership configuration.
         epoch: u64,
-        /// All changes up to this index are on the backup's disk.
+        /// Index up to which all changes are on the backup's disk.
         match_index: u64,
-        /// Whether the backup goes on as a replica; it does not after a failed write.
+        /// Whether the backup remains a replica; false after a failed write.
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         accepted: bool,
-        /// The highest epoch that the sender has promised.
+        /// Highest epoch that the sender has promised.
         promised_epoch: u64,
     },
-    /// The primary asks a voter to grant or renew its lease.
+    /// Asks a voter to grant or renew the primary's lease.
     #[brw(magic(16u8))]
     RenewLease {
         /// Epoch of the primary's membership configuration.
         epoch: u64,
-        /// The primary's clock when it asked, in ms. The lease runs from then.
+        /// Primary's clock when it sent the request, in ms. The lease starts at this time.
         requested_at_ms: u64,
         /// Index of the last committed change.
         commit_index: u64,
-        /// `clock_ms` of the latest [`Message::LeaseReply`] from this voter; 0 if there is none or if the lease isn't in
-        /// force now. It proves to the voter that the primary acted after that moment.
+        /// `clock_ms` of the latest [`Message::LeaseReply`] from this voter; 0 if there is none or if the lease isn't
+        /// in force now. It proves to the voter that the primary was acting after that reply.
         echoed_clock_ms: u64,
     },
-    /// As [`Message::RenewLease`], where the last committed change was none of the configuration or the drains.
+    /// Variant of [`Message::RenewLease`] for a log whose last committed change concerned neither the configuration nor
+    /// the drains.
     #[brw(magic(26u8))]
     RenewLeaseWithFleetIndex {
         /// Epoch of the primary's membership configuration.
@@ -153,7 +155,7 @@
         /// Index of the last committed change of the configuration or the drains.
         fleet_index: u64,
     },
-    /// The answer to [`Message::RenewLease`] and [`Message::RenewLeaseWithFleetIndex`].
+    /// Reply to [`Message::RenewLease`] and [`Message::RenewLeaseWithFleetIndex`].
     #[brw(magic(17u8))]
     LeaseReply {
         /// Epoch of the membership configuration.
@@ -164,108 +166,111 @@
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         granted: bool,
-        /// The highest epoch that the sender has promised.
+        /// Highest epoch that the sender has promised.
         promised_epoch: u64,
-        /// Whether the sender's disk takes writes in time.
+        /// Whether the sender's disk completes writes in time.
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         disk_healthy: bool,
-        /// The voter's clock when it answered, in ms. It starts at a number that differs with each incarnation.
+        /// Voter's clock when it replied, in ms. The clock starts at a different value in each incarnation.
         clock_ms: u64,
     },
-    /// The primary gives up its lease.
+    /// Gives up the primary's lease.
     #[brw(magic(18u8))]
     ReleaseLease {
         /// Epoch of the primary's membership configuration.
         epoch: u64,
     },
-    /// The sender shuts down gracefully: it gets no new roles, and others take over those it has.
+    /// Announces a graceful shutdown: the sender takes on no new roles, and other members take over its current ones.
     #[brw(magic(25u8))]
     Leaving {
         /// Epoch of the membership configuration that the sender accepted last.
         epoch: u64,
     },
-    /// Asks for the replicated state. The promise for this epoch fences the log: nothing older can change it any more.
+    /// Requests the replicated state. The promise for this epoch fences the log, so that no lower epoch can change it
+    /// any longer.
     #[brw(magic(19u8))]
     FetchSnapshot {
-        /// The epoch that the sender prepares.
+        /// Epoch that the sender prepares.
         epoch: u64,
     },
-    /// The answer to [`Message::FetchSnapshot`].
+    /// Reply to [`Message::FetchSnapshot`].
     #[brw(magic(20u8))]
     SnapshotReply {
         /// Epoch of the request.
         epoch: u64,
-        /// How far the log goes.
+        /// End of the log.
         log_position: LogPosition,
-        /// The replicated state there.
+        /// Replicated state at the end of the log.
         snapshot: Snapshot,
     },
-    /// A command that another member's caller sent, forwarded to the primary.
+    /// Forwards to the primary a command that a caller sent to another member.
     #[brw(magic(30u8))]
     ForwardCommand {
-        /// Number of the request, chosen by the sender.
+        /// Request number, chosen by the sender.
         request_id: u64,
-        /// The command.
+        /// Command to run.
         command: Command,
     },
-    /// The answer to [`Message::ForwardCommand`].
+    /// Reply to [`Message::ForwardCommand`].
     #[brw(magic(31u8))]
     CommandResult {
         /// Number of the request.
         request_id: u64,
-        /// Number of the result code (`docs/result-codes.md`).
+        /// Numeric result code (`docs/result-codes.md`).
         code: u16,
-        /// The answer's body.
+        /// Body of the reply.
         #[br(parse_with = read_bytes)]
         #[bw(write_with = write_bytes)]
         body: Vec<u8>,
     },
-    /// A proxy has sent a prompt to a host. Sent as a datagram, like the next two, so it may be lost.
+    /// Reports that the sending proxy has sent a prompt to a host. A datagram, like the next two messages, so it may be
+    /// lost.
     #[brw(magic(50u8))]
     PromptPlaced {
-        /// What the host has cached from now on.
+        /// Prompt parts that the host has cached from now on.
         placement: PromptPlacement,
-        /// Tokens that the host has to prefill for the prompt.
+        /// Number of tokens that the host has to prefill for the prompt.
         prefill_tokens: u32,
     },
-    /// A proxy that has just started asks what hosts have cached.
+    /// Asks another proxy for its known prompt placements, after a start.
     #[brw(magic(51u8))]
     PlacementsRequest {
-        /// Always 0; keeps the variant's form in bytes.
+        /// Always 0. Reserves the variant's single byte of content.
         reserved: u8,
     },
-    /// The answer to [`Message::PlacementsRequest`], split over several datagrams.
+    /// Reply to [`Message::PlacementsRequest`], split over several datagrams.
     #[brw(magic(52u8))]
     Placements {
-        /// What hosts have cached.
+        /// Prompt parts that hosts have cached.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         placements: Vec<PromptPlacement>,
     },
-    /// A proxy asks a tenant's home whether a request is within the tenant's quota. A datagram, like the next three.
+    /// Asks the member that is the tenant's home whether a request is within the tenant's quota. A datagram, like the
+    /// next three messages.
     #[brw(magic(53u8))]
     QuotaRequest {
-        /// Number of the proxy's life.
+        /// Incarnation number of the proxy.
         proxy: u64,
-        /// Number of the request; the same when it is sent again.
+        /// Request number; a retransmission has the same one.
         sequence: u64,
         /// The tenant's name.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         tenant: String,
-        /// Configuration version that the proxy has the limit from.
+        /// Version of the configuration from which the proxy took the limit.
         configuration_version: u64,
-        /// The tenant's limit in units a second.
+        /// Tenant's rate limit, in units per second.
         rate_per_s: f64,
-        /// Units allowed beyond the rate.
+        /// Burst size: units allowed beyond the rate.
         burst_size: f64,
-        /// Units that the request counts as. Below 0: units that were granted and not used.
+        /// Units that the request costs. A negative value returns units that were granted and not used.
         cost: f64,
-        /// How long the request may be held, in ms; `u32::MAX` if the units were used already.
+        /// Longest time for which the request may be delayed, in ms; `u32::MAX` if the units are already used.
         max_wait_ms: u32,
     },
-    /// The answer to [`Message::QuotaRequest`].
+    /// Reply to [`Message::QuotaRequest`].
     #[brw(magic(54u8))]
     QuotaReply {
         /// Number of the request.
@@ -274,56 +279,57 @@
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         granted: bool,
-        /// If it is, how long it has to be held; else after how long one may be granted. In ms.
+        /// If granted, the time for which the request must be delayed; otherwise the time after which a request may be
+        /// granted. In ms.
         wait_ms: u32,
-        /// How much of the burst is at hand now, in percent.
+        /// Share of the burst that is available now, in percent.
         burst_left_percent: u8,
     },
-    /// A proxy tells a member that it is there.
+    /// Announces a proxy to a member, so that the member knows of its presence.
     #[brw(magic(55u8))]
     QuotaPresence {
-        /// Number of the proxy's life.
+        /// Incarnation number of the proxy.
         proxy: u64,
-        /// For how long its process has been there without using any quota, in ms; 0 once it has.
+        /// Time for which the proxy's process has run without using any quota, in ms; 0 once it has used some.
         unused_ms: u32,
-        /// Ids of the members that it doesn't reach.
+        /// Ids of the members that the proxy can't reach.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         unreachable: Vec<u64>,
     },
-    /// The answer to [`Message::QuotaPresence`].
+    /// Reply to [`Message::QuotaPresence`].
     #[brw(magic(56u8))]
     QuotaPresenceReply {
-        /// The member's id.
+        /// Id of the replying member.
         member: u64,
     },
-    /// Asks for the updates that the sender lacks (long poll).
+    /// Requests the updates that the sender lacks (long poll).
     #[brw(magic(40u8))]
     Pull {
-        /// The sender.
+        /// Sender of the pull.
         subscriber: Subscriber,
-        /// How long the answer may wait for an update, in ms.
+        /// Longest time for which the reply may wait for an update, in ms.
         wait_ms: u32,
-        /// Index of the last change of the replicated state that the sender has.
+        /// Index of the last change of the replicated state known to the sender.
         index: u64,
-        /// Configuration version that it has.
+        /// Configuration version known to the sender.
         configuration_version: u64,
-        /// Version of the [`ControlPlaneInfo`] that it has.
+        /// Version of the [`ControlPlaneInfo`] known to the sender.
         control_plane_version: u64,
-        /// Its version vector: what it has of each origin.
+        /// Version vector of the sender: the version of each origin that it holds.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         origins: Vec<OriginVersion>,
     },
-    /// The answer to [`Message::Pull`]: what the subscriber lacks.
+    /// Reply to [`Message::Pull`] with what the subscriber lacks.
     #[brw(magic(41u8))]
     Update {
         /// Member id of the sender; 0 for an agent.
         member: u64,
-        /// For how long, at most, the sender may have missed committed changes, in ms; `u32::MAX` if it has had no
-        /// contact with a primary in its incarnation.
+        /// Upper bound of the time for which the sender may have missed committed changes, in ms; `u32::MAX` if it has
+        /// had no contact with a primary in its incarnation.
         age_ms: u32,
-        /// How long the sender held the pull before it answered, in ms.
+        /// Time for which the sender held the pull before it replied, in ms.
         held_ms: u32,
         /// Changes of the configuration and of the draining hosts.
         #[br(parse_with = read_option)]
@@ -333,25 +339,25 @@
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         origins: Vec<OriginUpdate>,
-        /// Ids of members that are no origins any more.
+        /// Ids of members that are no longer origins.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         removed_origins: Vec<u64>,
-        /// The members of the control plane, if they changed.
+        /// Members of the control plane, if they changed.
         #[br(parse_with = read_option)]
         #[bw(write_with = write_option)]
         control_plane: Option<ControlPlaneInfo>,
     },
-    /// As [`Message::Update`], where the tenants changed too. A sender without changed tenants sends the other form, which
-    /// processes of earlier versions read.
+    /// Variant of [`Message::Update`] for changed tenants. Without such changes a sender uses [`Message::Update`],
+    /// which earlier releases can read.
     #[brw(magic(42u8))]
     UpdateWithTenants {
         /// Member id of the sender; 0 for an agent.
         member: u64,
-        /// For how long, at most, the sender may have missed committed changes, in ms; `u32::MAX` if it has had no
-        /// contact with a primary in its incarnation.
+        /// Upper bound of the time for which the sender may have missed committed changes, in ms; `u32::MAX` if it has
+        /// had no contact with a primary in its incarnation.
         age_ms: u32,
-        /// How long the sender held the pull before it answered, in ms.
+        /// Time for which the sender held the pull before it replied, in ms.
         held_ms: u32,
         /// Changes of the configuration and of the draining hosts.
         #[br(parse_with = read_option)]
@@ -361,11 +367,11 @@
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         origins: Vec<OriginUpdate>,
-        /// Ids of members that are no origins any more.
+        /// Ids of members that are no longer origins.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         removed_origins: Vec<u64>,
-        /// The members of the control plane, if they changed.
+        /// Members of the control plane, if they changed.
         #[br(parse_with = read_option)]
         #[bw(write_with = write_option)]
         control_plane: Option<ControlPlaneInfo>,
--- a/crates/protocol/src/prompt_placement.rs
+++ b/crates/protocol/src/prompt_placement.rs
@@ -1,29 +1,29 @@
-//! What proxies tell each other about the prompt prefixes that hosts have cached.
+//! Prompt placements: which prompt prefixes hosts have cached, as shared between proxies.
 
 use crate::codec::{read_list, read_string, write_list, write_string};
 use binrw::binrw;
 
-/// One part of a prompt's prefix, as a host's KV cache holds it.
+/// Part of a prompt prefix, as held in a host's KV cache.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct PromptPart {
-    /// Identifies the content: equal parts have equal ids.
+    /// Content id: equal parts have equal ids.
     pub id: u64,
-    /// Number of its tokens.
+    /// Number of tokens in the part.
     pub tokens: u32,
 }
 
-/// A prompt that a host was sent, so that its cache holds the parts.
+/// Prompt that was sent to a host, so that the host's cache holds its parts.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct PromptPlacement {
-    /// The host's id.
+    /// Id of the host.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub host: String,
-    /// The parts that other prompts may share, in the prompt's order.
+    /// Parts that other prompts may share, in the order of the prompt.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub parts: Vec<PromptPart>,
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -1,27 +1,27 @@
-//! The records of a member's log on disk.
+//! Records of a member's log on disk.
 
 use crate::codec::{read_option, write_option};
 use crate::membership::MembershipConfig;
 use crate::replicated_state::{Change, Snapshot};
 use binrw::binrw;
 
-/// A record of a member's log. Replaying the records in order gives the member's state.
+/// Record of a member's log. Replaying all records in order restores the member's state.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// The member promised to follow no lower epoch.
+    /// The member promised to accept no lower epoch.
     #[brw(magic(1u8))]
     Promised {
-        /// The promised epoch.
+        /// Promised epoch.
         epoch: u64,
     },
     /// The member accepted a membership configuration.
     #[brw(magic(2u8))]
     Accepted {
-        /// The configuration.
+        /// Accepted membership configuration.
         membership: MembershipConfig,
-        /// The replicated state at its start, if the member is a replica.
+        /// Replicated state at the start of the configuration, if the member is a replica.
         #[br(parse_with = read_option)]
         #[bw(write_with = write_option)]
         snapshot: Option<Snapshot>,
@@ -31,15 +31,15 @@
     Change {
         /// Epoch of the membership configuration.
         epoch: u64,
-        /// Index of the change.
+        /// Index of the change in the log.
         index: u64,
-        /// The change.
+        /// Appended change.
         change: Change,
     },
-    /// All changes up to this one are committed.
+    /// All changes up to and including this one are committed.
     #[brw(magic(4u8))]
     Committed {
-        /// Index of the change.
+        /// Index of the change in the log.
         index: u64,
     },
 }
--- a/crates/protocol/src/replicated_state.rs
+++ b/crates/protocol/src/replicated_state.rs
@@ -1,48 +1,49 @@
-//! The replicated state: its changes and snapshots, and the commands that lead to changes.
+//! Replicated state: its changes, snapshots and the commands that result in changes.
 
 use crate::codec::{
-    read_bool, read_bytes, read_list, read_string, read_strings, read_trailing, write_bool,
-    write_bytes, write_list, write_string, write_strings, write_trailing,
+    read_bool, read_bytes, read_list, read_string, read_strings, read_trailing_option, write_bool,
+    write_bytes, write_list, write_string, write_strings, write_trailing_option,
 };
 use crate::coordination::{CoordinationChange, CoordinationRequest, CoordinationSnapshot};
 use binrw::binrw;
 
-/// How far a replica's log goes.
+/// Position of the last entry in a replica's log.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct LogPosition {
-    /// Epoch of the membership configuration under which it was last written.
+    /// Epoch of the membership configuration under which the log was last written.
     pub epoch: u64,
-    /// Index of its last change.
+    /// Index of the last change.
     pub index: u64,
 }
 
-/// A configuration request that was applied. It makes a repetition of the request idempotent.
+/// Configuration request that was applied. It is kept so that a repeated request is recognized and has no further
+/// effect.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct AppliedRequest {
-    /// The configuration version that it was based on.
+    /// Configuration version on which the request was based.
     pub base_version: u64,
-    /// The configuration version that it led to.
+    /// Configuration version that resulted from the request.
     pub version: u64,
-    /// SHA-256 of its kind and content.
+    /// SHA-256 digest of the request's kind and content.
     pub digest: [u8; 32],
 }
 
-/// The whole replicated state.
+/// Complete replicated state.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Snapshot {
-    /// Index of its last change.
+    /// Index of the last change.
     pub index: u64,
-    /// The operators' configuration as JSON; empty if there is none yet.
+    /// Operators' configuration as JSON; empty if there is none yet.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub configuration: String,
-    /// The configuration requests applied last.
+    /// Most recently applied configuration requests.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub applied_requests: Vec<AppliedRequest>,
@@ -50,27 +51,28 @@
     #[br(parse_with = read_strings)]
     #[bw(write_with = write_strings)]
     pub drains: Vec<String>,
-    /// Locks, numbers and cells; none if there never were any. The last field: it has no bytes if there is none.
-    #[br(parse_with = read_trailing)]
-    #[bw(write_with = write_trailing)]
+    /// Locks, counters and cells; `None` if there never were any. Must stay the last field: `None` is encoded as no
+    /// bytes.
+    #[br(parse_with = read_trailing_option)]
+    #[bw(write_with = write_trailing_option)]
     pub coordination: Option<CoordinationSnapshot>,
 }
 
-/// One step of the replicated state.
+/// Change of the replicated state.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// An operator's configuration request.
+    /// Configuration request of an operator.
     #[brw(magic(1u8))]
     Configure {
-        /// The configuration version that it is based on.
+        /// Configuration version on which the request is based.
         base_version: u64,
-        /// Whether the body amends the configuration; else it replaces it.
+        /// Whether the body amends the configuration; otherwise it replaces it.
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         is_amendment: bool,
-        /// The request's body as it was sent, JSON.
+        /// Body of the request as JSON, byte for byte as received.
         #[br(parse_with = read_bytes)]
         #[bw(write_with = write_bytes)]
         body: Vec<u8>,
@@ -78,28 +80,28 @@
     /// A host is draining or gone.
     #[brw(magic(2u8))]
     Drain {
-        /// The host's id.
+        /// Id of the host.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         host: String,
     },
-    /// Hosts that drained have been gone for so long that nothing of them is kept.
+    /// Hosts that drained were gone long enough that no record of them is kept.
     #[brw(magic(3u8))]
     Forget {
-        /// The hosts' ids.
+        /// Ids of the hosts.
         #[br(parse_with = read_strings)]
         #[bw(write_with = write_strings)]
         hosts: Vec<String>,
     },
-    /// A lock, a number or a cell has changed.
+    /// A lock, a counter or a cell has changed.
     #[brw(magic(4u8))]
     Coordinate {
-        /// The change.
+        /// Change of the coordination state.
         change: CoordinationChange,
     },
 }
 
-/// A call of a host, an operator or an application, forwarded to the primary.
+/// Call of a host, an operator or an application, forwarded to the primary.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq)]
@@ -107,35 +109,35 @@
     /// Replaces or amends the configuration.
     #[brw(magic(1u8))]
     Configure {
-        /// The configuration version that it is based on.
+        /// Configuration version on which the request is based.
         base: u64,
-        /// Whether the body amends the configuration; else it replaces it.
+        /// Whether the body amends the configuration; otherwise it replaces it.
         #[br(parse_with = read_bool)]
         #[bw(write_with = write_bool)]
         amend: bool,
-        /// The request's body as it was sent, JSON.
+        /// Body of the request as JSON, byte for byte as received.
         #[br(parse_with = read_bytes)]
         #[bw(write_with = write_bytes)]
         body: Vec<u8>,
     },
-    /// Reads the newest configuration.
+    /// Reads the latest configuration.
     #[brw(magic(2u8))]
     Read {
-        /// Always 0; keeps the variant's form in bytes.
+        /// Always 0. Reserves the variant's single byte of content.
         reserved: u8,
     },
     /// A host is draining or gone.
     #[brw(magic(3u8))]
     Drain {
-        /// The host's id.
+        /// Id of the host.
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         host: String,
     },
-    /// A call for locks, numbers or cells.
+    /// Call that concerns locks, counters or cells.
     #[brw(magic(4u8))]
     Coordinate {
-        /// The call.
+        /// Request of the application or operator.
         request: CoordinationRequest,
     },
 }
--- a/crates/protocol/src/updates.rs
+++ b/crates/protocol/src/updates.rs
@@ -1,4 +1,4 @@
-//! What subscribers are told: hosts and coordinators by origin, and the configuration.
+//! Updates for subscribers: hosts and coordinators by origin, and the configuration.
 
 use crate::codec::{
     read_bool, read_list, read_string, read_strings, write_bool, write_list, write_string,
@@ -7,41 +7,41 @@
 use crate::membership::Addr;
 use binrw::binrw;
 
-/// An entry of a version vector: how far a process has the records of one origin.
+/// Entry of a version vector: the version of one origin's records that a process holds.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct OriginVersion {
     /// Id of the member whose registry the records come from.
     pub member_id: u64,
-    /// The member's incarnation.
+    /// Incarnation of the member.
     pub incarnation: u64,
     /// Sequence number of the latest change within the incarnation.
     pub sequence: u64,
 }
 
-/// What an origin knows of a host from the host's own calls.
+/// Host state, as known to an origin from the host's own calls.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct HostRecord {
-    /// The host's id, new with every start.
+    /// Id of the host, new with each start.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub id: String,
-    /// Name of its service.
+    /// Name of the service that it runs.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub service: String,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub addr: Addr,
     /// Its zone.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub zone: String,
-    /// How many requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub capacity: u32,
-    /// 0 ready, 1 draining, 2 gone, 3 tombstone (`replication::phase`).
+    /// Lifecycle phase: 0 ready, 1 draining, 2 gone, 3 tombstone (`replication::phase`).
     pub phase: u8,
     /// Whether its next heartbeat is overdue.
     #[br(parse_with = read_bool)]
@@ -49,11 +49,11 @@
     pub heartbeat_expired: bool,
     /// Sequence number of its latest call.
     pub call_seq: u64,
-    /// How much longer its slow start lasts, in ms; 0 if it is over.
+    /// Remaining time of its slow start, in ms; 0 if it is over.
     pub slow_start_remaining_ms: u32,
 }
 
-/// What an origin knows of a coordinator that pulls from it.
+/// Coordinator state, as known to an origin from which the coordinator pulls.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
@@ -70,13 +70,13 @@
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub region: String,
-    /// Where its proxy takes prompt placements of other proxies; port 0 if it takes none.
+    /// Address on which its proxy accepts prompt placements from other proxies; port 0 if it accepts none.
     pub hints_addr: Addr,
-    /// Whether it no longer pulls.
+    /// Whether it has stopped pulling.
     #[br(parse_with = read_bool)]
     #[bw(write_with = write_bool)]
     pub gone: bool,
-    /// Version of the configuration that is in force there.
+    /// Version of the configuration in force on its machine.
     pub configuration_version: u64,
 }
 
@@ -85,9 +85,9 @@
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct OriginUpdate {
-    /// The origin's version with these records applied.
+    /// Version of the origin once these records are applied.
     pub version: OriginVersion,
-    /// Whether these are all of the origin's records; else they add to earlier ones.
+    /// Whether these are all records of the origin; otherwise they extend earlier ones.
     #[br(parse_with = read_bool)]
     #[bw(write_with = write_bool)]
     pub complete: bool,
@@ -108,9 +108,9 @@
 pub struct ConfigurationUpdate {
     /// Index of the last change of the replicated state.
     pub index: u64,
-    /// Configuration version that the items add to; 0 if they are the whole configuration.
+    /// Configuration version that the items extend; 0 if they are the whole configuration.
     pub base_version: u64,
-    /// Configuration version that they lead to; 0 if there is none yet.
+    /// Configuration version that results from them; 0 if there is none yet.
     pub version: u64,
     /// Routes that were added or changed, each as JSON.
     #[br(parse_with = read_strings)]
@@ -128,11 +128,11 @@
     #[br(parse_with = read_strings)]
     #[bw(write_with = write_strings)]
     pub removed_services: Vec<String>,
-    /// The client limits as JSON if they changed: one item or none.
+    /// Client limits as JSON if they changed: one item or none.
     #[br(parse_with = read_strings)]
     #[bw(write_with = write_strings)]
     pub limits: Vec<String>,
-    /// Index of the change that `drains` adds to; 0 if they are all draining hosts.
+    /// Index of the change that `drains` extends; 0 if `drains` holds all draining hosts.
     pub drains_base_index: u64,
     /// Ids of hosts that are draining or gone.
     #[br(parse_with = read_strings)]
@@ -144,7 +144,7 @@
     pub removed_drains: Vec<String>,
 }
 
-/// Changes of the tenants that a subscriber lacks. They belong to the [`ConfigurationUpdate`] that they come with.
+/// Changes of the tenants that a subscriber lacks. Belongs to the [`ConfigurationUpdate`] sent with it.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
@@ -163,7 +163,7 @@
     pub removed: Vec<String>,
 }
 
-/// A process that pulls updates.
+/// Process that pulls updates.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
@@ -180,10 +180,10 @@
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub region: String,
-    /// Where its proxy takes prompt placements of other proxies; port 0 if it takes none.
+    /// Address on which its proxy accepts prompt placements from other proxies; port 0 if it accepts none.
     pub hints_addr: Addr,
-    /// Its member id; 0 if it is no member.
+    /// Member id; 0 if it is not a member.
     pub member_id: u64,
-    /// Version of the configuration that is in force there.
+    /// Version of the configuration in force on its machine.
     pub configuration_version: u64,
 }
--- a/crates/protocol/tests/coordination_format.rs
+++ b/crates/protocol/tests/coordination_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of locks, numbers and cells in messages, records and snapshots. `fixtures/coordination.txt` was written by the
-//! first release that has them: each line is `<sample> <hex>`.
+//! Byte format of locks, counters and cells in messages, records and snapshots. `fixtures/coordination.txt` holds the
+//! bytes written by the first release that had them; each line is `<sample> <hex>`.
 
 mod samples;
 
@@ -14,7 +14,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn cell(revision: u64, is_conditional: bool) -> CellRecord {
+fn cell_record(revision: u64, is_conditional: bool) -> CellRecord {
     CellRecord {
         name: "g1.a".into(),
         value: format!("v{revision}"),
@@ -116,8 +116,8 @@
             groups: vec![CellGroupRecord {
                 name: "g1.".into(),
                 floor: 6,
-                cells: vec![cell(8, true)],
-                history: vec![cell(7, false), cell(8, true)],
+                cells: vec![cell_record(8, true)],
+                history: vec![cell_record(7, false), cell_record(8, true)],
             }],
         }),
         ..samples::snapshot()
@@ -134,24 +134,24 @@
     }
 }
 
-fn encoded() -> Vec<(String, Vec<u8>)> {
-    let mut all: Vec<(String, Vec<u8>)> = Vec::new();
+fn encoded_samples() -> Vec<(String, Vec<u8>)> {
+    let mut samples: Vec<(String, Vec<u8>)> = Vec::new();
     for (number, request) in requests().into_iter().enumerate() {
         let bytes = encode_record(&Command::Coordinate { request });
-        all.push((format!("Command.Coordinate.{number}"), bytes));
+        samples.push((format!("Command.Coordinate.{number}"), bytes));
     }
     for (number, change) in changes().into_iter().enumerate() {
         let bytes = encode_record(&Change::Coordinate { change });
-        all.push((format!("Change.Coordinate.{number}"), bytes));
+        samples.push((format!("Change.Coordinate.{number}"), bytes));
     }
-    all.push(("Snapshot".into(), encode_record(&snapshot())));
-    all.push(("RenewLease".into(), encode_record(&renewal())));
-    all
+    samples.push(("Snapshot".into(), encode_record(&snapshot())));
+    samples.push(("RenewLease".into(), encode_record(&renewal())));
+    samples
 }
 
 #[test]
 fn bytes_of_coordination_match_fixture() {
-    let lines: Vec<String> = encoded()
+    let lines: Vec<String> = encoded_samples()
         .iter()
         .map(|(name, bytes)| format!("{name} {}", hex(bytes)))
         .collect();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn values_when_encoded_then_decode_to_the_same() {
+fn encoded_values_decode_to_equal_values() {
     for request in requests() {
         let command = Command::Coordinate { request };
         assert_eq!(
@@ -186,10 +186,16 @@
 }
 
 #[test]
-fn snapshot_without_coordination_has_the_bytes_of_earlier_releases() {
-    let with = encode_record(&snapshot());
-    let without = encode_record(&samples::snapshot());
-    assert_eq!(with[..without.len()], without[..]);
-    let cut_short = decode_record::<Snapshot>(&with[..with.len() - 1]);
-    assert!(cut_short.is_err(), "half of what follows is no snapshot");
+fn snapshot_without_coordination_encodes_as_in_earlier_releases() {
+    let with_coordination = encode_record(&snapshot());
+    let without_coordination = encode_record(&samples::snapshot());
+    assert_eq!(
+        with_coordination[..without_coordination.len()],
+        without_coordination[..]
+    );
+    let truncated = decode_record::<Snapshot>(&with_coordination[..with_coordination.len() - 1]);
+    assert!(
+        truncated.is_err(),
+        "an incomplete coordination state is rejected"
+    );
 }
--- a/crates/protocol/tests/samples/mod.rs
+++ b/crates/protocol/tests/samples/mod.rs
@@ -1,5 +1,5 @@
-//! Sample values of every message and record, each field different from its default.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Sample values of every message and record. Each field differs from its default.
+#![allow(dead_code, reason = "each test file uses a part of the samples")]
 
 use protocol::{
     Addr, AppliedRequest, Change, Command, ConfigurationUpdate, ControlPlaneInfo,
@@ -8,7 +8,7 @@
     TenantsUpdate,
 };
 
-fn texts(items: &[&str]) -> Vec<String> {
+fn strings(items: &[&str]) -> Vec<String> {
     items.iter().map(|&item| item.to_owned()).collect()
 }
 
@@ -56,7 +56,7 @@
                 digest: std::array::from_fn(|n| n as u8 + 1),
             },
         ],
-        drains: texts(&["i-1", "i-2"]),
+        drains: strings(&["i-1", "i-2"]),
         coordination: None,
     }
 }
@@ -98,14 +98,14 @@
         index: 40,
         base_version: 6,
         version: 7,
-        routes: texts(&[r#"{"name":"r1"}"#, r#"{"name":"r2"}"#]),
-        services: texts(&[r#"{"name":"s1"}"#]),
-        removed_routes: texts(&["r3"]),
-        removed_services: texts(&["s3", "s4"]),
-        limits: texts(&[r#"{"max_body_bytes":9}"#]),
+        routes: strings(&[r#"{"name":"r1"}"#, r#"{"name":"r2"}"#]),
+        services: strings(&[r#"{"name":"s1"}"#]),
+        removed_routes: strings(&["r3"]),
+        removed_services: strings(&["s3", "s4"]),
+        limits: strings(&[r#"{"max_body_bytes":9}"#]),
         drains_base_index: 38,
-        drains: texts(&["i-4", "i-5"]),
-        removed_drains: texts(&["i-6"]),
+        drains: strings(&["i-4", "i-5"]),
+        removed_drains: strings(&["i-6"]),
     }
 }
 
@@ -158,7 +158,7 @@
         (
             "Forget",
             Change::Forget {
-                hosts: texts(&["i-10", "i-11"]),
+                hosts: strings(&["i-10", "i-11"]),
             },
         ),
     ]
@@ -214,16 +214,16 @@
 }
 
 pub fn messages() -> Vec<(&'static str, Message)> {
-    let mut all = elections();
-    all.extend(installations());
-    all.extend(replication());
-    all.extend(commands_and_hints());
-    all.extend(quotas());
-    all.extend(subscriptions());
-    all
+    let mut messages = election_messages();
+    messages.extend(membership_messages());
+    messages.extend(replication_messages());
+    messages.extend(command_and_placement_messages());
+    messages.extend(quota_messages());
+    messages.extend(subscription_messages());
+    messages
 }
 
-fn elections() -> Vec<(&'static str, Message)> {
+fn election_messages() -> Vec<(&'static str, Message)> {
     vec![
         ("Hello", Message::Hello { sender: member(3) }),
         (
@@ -282,7 +282,7 @@
     ]
 }
 
-fn installations() -> Vec<(&'static str, Message)> {
+fn membership_messages() -> Vec<(&'static str, Message)> {
     vec![
         (
             "InstallMembership",
@@ -314,7 +314,7 @@
     ]
 }
 
-fn replication() -> Vec<(&'static str, Message)> {
+fn replication_messages() -> Vec<(&'static str, Message)> {
     vec![
         (
             "AppendChange",
@@ -358,7 +358,7 @@
     ]
 }
 
-fn commands_and_hints() -> Vec<(&'static str, Message)> {
+fn command_and_placement_messages() -> Vec<(&'static str, Message)> {
     vec![
         (
             "ForwardCommand",
@@ -395,7 +395,7 @@
     ]
 }
 
-fn subscriptions() -> Vec<(&'static str, Message)> {
+fn subscription_messages() -> Vec<(&'static str, Message)> {
     vec![
         (
             "Pull",
@@ -432,15 +432,15 @@
                 control_plane: Some(control_plane()),
                 tenants: TenantsUpdate {
                     present: true,
-                    tenants: texts(&[r#"{"name":"t1"}"#]),
-                    removed: texts(&["t2", "t3"]),
+                    tenants: strings(&[r#"{"name":"t1"}"#]),
+                    removed: strings(&["t2", "t3"]),
                 },
             },
         ),
     ]
 }
 
-fn quotas() -> Vec<(&'static str, Message)> {
+fn quota_messages() -> Vec<(&'static str, Message)> {
     vec![
         (
             "QuotaRequest",
--- a/crates/protocol/tests/wire_format.rs
+++ b/crates/protocol/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of every message and every stored record. `fixtures/wire_format.txt` was written by the release before
-//! the types were renamed: each line is `<type>.<sample> <hex>`.
+//! Byte format of every message and stored record. `fixtures/wire_format.txt` was written by the release that preceded
+//! a renaming of the types; each line is `<type>.<sample> <hex>`.
 
 mod samples;
 
@@ -13,16 +13,16 @@
     let (_, digits) = FIXTURE
         .lines()
         .filter_map(|line| line.split_once(' '))
-        .find(|(line_name, _)| *line_name == name)
+        .find(|(sample_name, _)| *sample_name == name)
         .unwrap_or_else(|| panic!("the fixture has no line for {name}"));
     assert_eq!(digits.len() % 2, 0, "{name}");
     (0..digits.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
+        .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).unwrap())
         .collect()
 }
 
-fn check_values<T>(kind: &str, samples: Vec<(&'static str, T)>)
+fn assert_matches_fixture<T>(kind: &str, samples: Vec<(&'static str, T)>)
 where
     T: PartialEq + Debug + for<'a> BinRead<Args<'a> = ()> + for<'a> BinWrite<Args<'a> = ()>,
 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn frame_of_each_message_matches_fixture_both_ways() {
+fn each_message_encodes_to_and_decodes_from_its_fixture_frame() {
     for (name, message) in samples::messages() {
         let frame = expected_bytes(&format!("Message.{name}"));
         assert_eq!(encode(&message), frame, "{name}");
@@ -44,39 +44,47 @@
 }
 
 #[test]
-fn bytes_of_each_record_match_fixture_both_ways() {
-    check_values("Record", samples::records());
+fn each_record_encodes_to_and_decodes_from_its_fixture_bytes() {
+    assert_matches_fixture("Record", samples::records());
 }
 
 #[test]
-fn bytes_of_each_change_match_fixture_both_ways() {
-    check_values("Change", samples::changes());
+fn each_change_encodes_to_and_decodes_from_its_fixture_bytes() {
+    assert_matches_fixture("Change", samples::changes());
 }
 
 #[test]
-fn bytes_of_each_command_match_fixture_both_ways() {
-    check_values("Command", samples::commands());
+fn each_command_encodes_to_and_decodes_from_its_fixture_bytes() {
+    assert_matches_fixture("Command", samples::commands());
 }
 
 #[test]
-fn bytes_of_a_snapshot_match_fixture_both_ways() {
-    check_values("Snapshot", vec![("Full", samples::snapshot())]);
+fn snapshot_encodes_to_and_decodes_from_its_fixture_bytes() {
+    assert_matches_fixture("Snapshot", vec![("Full", samples::snapshot())]);
 }
 
 #[test]
-fn fixture_holds_each_sample_once_and_nothing_else() {
+fn fixture_holds_exactly_one_line_per_sample() {
     let mut samples: Vec<String> = Vec::new();
     samples.extend(
         samples::messages()
             .iter()
-            .map(|s| format!("Message.{}", s.0)),
+            .map(|sample| format!("Message.{}", sample.0)),
+    );
+    samples.extend(
+        samples::records()
+            .iter()
+            .map(|sample| format!("Record.{}", sample.0)),
+    );
+    samples.extend(
+        samples::changes()
+            .iter()
+            .map(|sample| format!("Change.{}", sample.0)),
     );
-    samples.extend(samples::records().iter().map(|s| format!("Record.{}", s.0)));
-    samples.extend(samples::changes().iter().map(|s| format!("Change.{}", s.0)));
     samples.extend(
         samples::commands()
             .iter()
-            .map(|s| format!("Command.{}", s.0)),
+            .map(|sample| format!("Command.{}", sample.0)),
     );
     samples.push("Snapshot.Full".to_owned());
     let lines: Vec<&str> = FIXTURE
