--- a/crates/coordination/src/cells.rs
+++ b/crates/coordination/src/cells.rs
@@ -1,13 +1,13 @@
-//! Cells, in groups that share one count of revisions, and the latest puts of each group.
+//! Cells in groups that share one revision counter, and the history of recent puts of each group.
 
 use imbl::{OrdMap, Vector};
 use snafu::Snafu;
 use std::sync::Arc;
 
-/// Bytes that a cell or a put takes beside its name and its value, approximately.
-const OVERHEAD_BYTES: usize = 48;
+/// Approximate memory use of a cell or put in addition to its name and value, in bytes.
+const PUT_OVERHEAD_BYTES: usize = 48;
 
-/// The group of a cell: its name up to the first dot, with it. A name without a dot is a group of its own.
+/// Returns the group of a cell: its name up to and including the first dot. A name without a dot is a group of its own.
 ///
 /// ```
 /// assert_eq!(coordination::group_of("g1.a.b"), "g1.");
@@ -20,60 +20,60 @@
     }
 }
 
-/// A put into a cell.
+/// Put into a cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cell {
-    /// The cell's name.
+    /// Name of the cell.
     pub name: Arc<str>,
-    /// The value.
+    /// Value of the cell.
     pub value: Arc<str>,
-    /// The put's revision.
+    /// Revision of the put.
     pub revision: u64,
-    /// The revision that the cell had before; 0 if it didn't exist.
+    /// Revision that the cell had before; 0 if it didn't exist.
     pub replaced_revision: u64,
-    /// Whether the put asked for that revision.
+    /// Whether the put was conditional on that revision.
     pub is_conditional: bool,
 }
 
 impl Cell {
-    /// Bytes that the put takes, approximately.
+    /// Approximate memory use of the put, in bytes.
     fn bytes(&self) -> usize {
-        OVERHEAD_BYTES + self.name.len() + self.value.len()
+        PUT_OVERHEAD_BYTES + self.name.len() + self.value.len()
     }
 }
 
-/// The puts above a revision can't be told: the oldest of them isn't kept any more.
+/// Error of reading the puts after a revision when the oldest of them is no longer in the history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("the history begins above revision {floor}"))]
+#[snafu(display("the history holds only puts after revision {floor}"))]
 pub struct HistoryTrimmedError {
-    /// Revision of the last put that isn't kept.
+    /// Revision of the latest put that is no longer in the history.
     pub floor: u64,
 }
 
-/// What became of an earlier put with the same expected revision.
+/// Outcome of an earlier put with the same expected revision.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum EarlierPut {
     /// The same value was put, with this revision.
     Same(u64),
     /// Another value was put, or the cell never had that revision.
     Other,
-    /// The puts of that time aren't kept any more.
-    Forgotten,
+    /// The history no longer reaches back to that revision.
+    NotInHistory,
 }
 
-/// A group of cells. Its revisions rise by one with each put.
+/// Group of cells. Each put raises its revision by one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CellGroup {
-    /// The latest put into each cell.
+    /// Latest put into each cell, by cell name.
     cells: OrdMap<Arc<str>, Cell>,
-    /// All puts above the floor, oldest first.
+    /// All puts after `floor`, oldest first.
     history: Vector<Cell>,
-    /// Revision of the last put that isn't in the history.
+    /// Revision of the latest put that is no longer in the history.
     floor: u64,
 }
 
 impl CellGroup {
-    /// A group of its parts; none if their revisions don't fit together.
+    /// Builds a group from its parts; `None` if the revisions of the history aren't consecutive from `floor`.
     pub(crate) fn from_parts(floor: u64, cells: Vec<Cell>, history: Vec<Cell>) -> Option<Self> {
         let expected = (floor + 1..).zip(&history);
         let is_gapless = expected
@@ -87,35 +87,35 @@
         })
     }
 
-    /// Revision of the latest put; 0 if there was none.
+    /// Returns the revision of the latest put; 0 if there was none.
     pub fn revision(&self) -> u64 {
         self.history.last().map_or(self.floor, |put| put.revision)
     }
 
-    /// Revision of the last put that isn't kept in the history.
+    /// Returns the revision of the latest put that is no longer in the history.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// A cell, as it was put last.
+    /// Returns the latest put into a cell.
     pub fn cell(&self, name: &str) -> Option<&Cell> {
         self.cells.get(name)
     }
 
-    /// All cells, by name.
+    /// Returns the latest put into each cell, by cell name.
     pub fn cells(&self) -> impl Iterator<Item = &Cell> {
         self.cells.values()
     }
 
-    /// All puts that are kept, oldest first.
+    /// Returns the puts in the history, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Cell> {
         self.history.iter()
     }
 
-    /// The puts above a revision, oldest first.
+    /// Returns the puts after a revision, oldest first.
     ///
     /// # Errors
-    /// If the oldest of them isn't kept any more.
+    /// [`HistoryTrimmedError`] if the oldest of them is no longer in the history.
     pub fn puts_above(
         &self,
         revision: u64,
@@ -123,31 +123,34 @@
         if revision < self.floor {
             return HistoryTrimmedSnafu { floor: self.floor }.fail();
         }
-        // A revision above all that were given is as good as the latest.
-        let known = (revision - self.floor).min(self.history.len() as u64);
-        Ok(self.history.iter().skip(known as usize))
+        // A revision that the group hasn't reached is treated like its latest one.
+        let skipped = (revision - self.floor).min(self.history.len() as u64);
+        Ok(self.history.iter().skip(skipped as usize))
     }
 
-    /// The puts into a cell that are known, latest first.
+    /// Returns the known puts into a cell, latest first.
     fn puts_into(&self, name: &str) -> impl Iterator<Item = &Cell> {
-        std::iter::successors(self.cell(name), |put| self.kept_put(put.replaced_revision))
+        std::iter::successors(self.cell(name), |put| {
+            self.put_at_revision(put.replaced_revision)
+        })
     }
 
-    /// The put with a revision, if it is kept in the history.
-    fn kept_put(&self, revision: u64) -> Option<&Cell> {
+    /// Returns the put with this revision, if it is in the history.
+    fn put_at_revision(&self, revision: u64) -> Option<&Cell> {
         let position = revision.checked_sub(self.floor + 1)?;
         self.history.get(position as usize)
     }
 
-    /// The revision of a put that asked for no revision, if it arrived before. No two such puts into a cell have the same
-    /// value.
+    /// Returns the revision of an earlier unconditional put of this value, so that a repeated put can be recognized. No
+    /// two such puts into a cell have the same value.
     pub(crate) fn earlier_unconditional_put(&self, name: &str, value: &str) -> Option<u64> {
         self.puts_into(name)
             .find(|put| &*put.value == value && !put.is_conditional)
             .map(|put| put.revision)
     }
 
-    /// What became of a put that may have arrived before. The cell's revision isn't the expected one any more.
+    /// Returns the outcome of a conditional put that may have arrived before. The cell's revision isn't the expected
+    /// one any longer.
     pub(crate) fn earlier_put(&self, name: &str, expected: u64, value: &str) -> EarlierPut {
         let follows = |put: &&Cell| put.replaced_revision == expected;
         match self.puts_into(name).find(follows) {
@@ -155,13 +158,13 @@
                 EarlierPut::Same(put.revision)
             }
             Some(_) => EarlierPut::Other,
-            // Whatever followed the expected revision came after it, and would be in the history.
+            // The put that followed the expected revision is newer than it, so the history would hold it.
             None if expected >= self.floor => EarlierPut::Other,
-            None => EarlierPut::Forgotten,
+            None => EarlierPut::NotInHistory,
         }
     }
 
-    /// Adds a put with the next revision. Returns the bytes that it adds.
+    /// Adds a put with the next revision. Returns the increase in memory use, in bytes.
     pub(crate) fn put(&mut self, name: &str, value: &str, is_conditional: bool) -> isize {
         let cell = Cell {
             name: name.into(),
@@ -172,11 +175,11 @@
         };
         let bytes = cell.bytes() as isize;
         self.history.push_back(cell.clone());
-        let before = self.cells.insert(cell.name.clone(), cell);
-        2 * bytes - before.map_or(0, |before| before.bytes() as isize)
+        let replaced = self.cells.insert(cell.name.clone(), cell);
+        2 * bytes - replaced.map_or(0, |replaced| replaced.bytes() as isize)
     }
 
-    /// Drops the puts up to a revision from the history. Returns the bytes that this sets free.
+    /// Drops the puts up to and including a revision from the history. Returns the freed memory, in bytes.
     pub(crate) fn trim(&mut self, floor: u64) -> usize {
         let mut freed = 0;
         while self
@@ -192,7 +195,7 @@
         freed
     }
 
-    /// Bytes that the group takes, approximately.
+    /// Approximate memory use of the group, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let cells: usize = self.cells.values().map(Cell::bytes).sum();
         let history: usize = self.history.iter().map(Cell::bytes).sum();
--- a/crates/coordination/src/decision.rs
+++ b/crates/coordination/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a request comes to in a state: a change that has to be made, or an answer.
+//! Decides the outcome of a request in a given state: a change to make, or an answer.
 
 use crate::cells::{group_of, Cell, EarlierPut};
 use crate::limits::MAX_STATE_BYTES;
@@ -8,73 +8,73 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The most puts that one answer to a watch tells.
-const MAX_EVENTS: usize = 1000;
-/// The most bytes of names and values in one answer to a watch. One put is told whatever its length.
-const MAX_EVENT_BYTES: usize = 256 << 10;
+/// Maximum number of puts in one answer to a watch.
+const MAX_EVENTS_PER_ANSWER: usize = 1000;
+/// Maximum size of the names and values in one answer to a watch, in bytes. A single larger put is still sent.
+const MAX_EVENT_BYTES_PER_ANSWER: usize = 256 << 10;
 
-/// What a request comes to.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// This change has to be made; its answer follows from the state after it.
+    /// The change must be made. The answer follows from the state after it.
     Change(CoordinationChange),
-    /// Nothing changes.
+    /// The answer; the state doesn't change.
     Answer(Answer),
 }
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The caller holds the lock.
     Acquired {
-        /// Its fencing token.
+        /// Fencing token of the hold.
         fence: u64,
     },
     /// Another holder has the lock.
     LockHeld,
-    /// The lock is held for longer.
+    /// The hold was extended.
     Renewed,
-    /// The lock isn't the caller's any more.
+    /// The caller no longer holds the lock.
     LockLost,
     /// The caller doesn't hold the lock.
     Released,
-    /// The counter's next number.
+    /// Next number of the counter.
     Number {
-        /// The number.
+        /// Number taken from the counter.
         value: u64,
     },
-    /// The value is in the cell, or was.
+    /// The value was put into the cell, now or by an earlier copy of the request.
     Put {
-        /// The revision that it got first.
+        /// Revision of the first such put.
         revision: u64,
     },
-    /// The cell has another revision than the expected one. The value isn't put, and never will be.
+    /// The cell's revision differs from the expected one. The value is not put and never will be.
     Conflict {
-        /// The cell's revision; 0 if it doesn't exist.
+        /// Revision of the cell; 0 if it doesn't exist.
         revision: u64,
     },
-    /// The cell's value.
+    /// Value of the cell.
     Value(Cell),
     /// The cell doesn't exist.
     NoCell,
-    /// The puts of a group.
+    /// Puts into the cells of a group.
     Events {
-        /// Puts above the revision that was asked for, oldest first.
+        /// Puts after the requested revision, oldest first.
         events: Vec<Cell>,
-        /// All puts up to this revision are told.
+        /// Revision up to which all puts have been sent.
         revision: u64,
     },
-    /// The puts that were asked for aren't kept any more.
+    /// The history no longer holds the requested puts.
     HistoryGone,
-    /// Whether the value was ever put isn't known any more.
+    /// The history no longer shows whether the value was ever put.
     Forgotten,
-    /// There is no room for more.
+    /// The memory limit is reached.
     Full,
 }
 
 impl CoordinationState {
-    /// Decides what a request that may change something comes to. Requests that only read are answered by
-    /// [`read`](Self::read).
+    /// Decides the outcome of a request that may change the state. Requests that only read are answered by
+    /// [`read`](Self::read) and [`watch`](Self::watch).
     pub fn decide(
         &self,
         request: &CoordinationRequest,
@@ -144,11 +144,11 @@
         now: Duration,
     ) -> Decision {
         match self.lock(name) {
-            Some(lock) if &*lock.holder != holder && !deadlines.has_ended(name, lock, now) => {
+            Some(lock) if &*lock.holder != holder && !deadlines.has_expired(name, lock, now) => {
                 Decision::Answer(Answer::LockHeld)
             }
-            // A copy of the call that took the lock. Any other call gets a higher token: a delayed release of the
-            // holder's earlier hold must not end this one.
+            // A repetition of the call that acquired the lock. Any other call gets a higher token: a delayed release of
+            // the holder's earlier hold must not end the new one.
             Some(lock) if &*lock.holder == holder && lock.attempt == attempt => {
                 Decision::Answer(Answer::Acquired { fence: lock.fence })
             }
@@ -156,8 +156,8 @@
         }
     }
 
-    /// A holder whose time is over may go on as long as nobody else has taken the lock. It may have an older token of
-    /// its own, if a copy of its call was answered late.
+    /// Decides a renewal. A holder whose time is over may still renew as long as nobody else has acquired the lock. Its
+    /// token may be older than the current one if a repetition of its call was answered late.
     fn decide_renew(&self, name: &str, holder: &str, fence: u64, hold_ms: u32) -> Decision {
         match self.lock(name) {
             Some(lock) if &*lock.holder == holder && fence <= lock.fence => {
@@ -199,7 +199,7 @@
         if revision == expected {
             return put();
         }
-        // A revision that the group hasn't reached may come: that the value is never put would be false.
+        // The group may still reach this revision. An answer that the value is never put could turn out false.
         if expected > group.map_or(0, crate::CellGroup::revision) {
             return Decision::Answer(Answer::Forgotten);
         }
@@ -209,7 +209,7 @@
         Decision::Answer(match earlier {
             EarlierPut::Same(revision) => Answer::Put { revision },
             EarlierPut::Other => Answer::Conflict { revision },
-            EarlierPut::Forgotten => Answer::Forgotten,
+            EarlierPut::NotInHistory => Answer::Forgotten,
         })
     }
 
@@ -225,7 +225,7 @@
         self.bytes + added <= MAX_STATE_BYTES
     }
 
-    /// The answer to the request that led to a change; `self` is the state directly after it.
+    /// Returns the answer to the request that led to a change. `self` is the state directly after the change.
     pub fn answer_to(&self, change: &CoordinationChange) -> Answer {
         match change {
             CoordinationChange::LockAcquired { .. } => Answer::Acquired {
@@ -252,13 +252,13 @@
         }
     }
 
-    /// What a watch of a group is told now; none if there is nothing to tell yet.
+    /// Returns the answer to a watch of a group; `None` if there are no puts to report yet.
     pub fn watch(&self, group: &Arc<str>, after: u64) -> Option<Answer> {
-        let present = self.group_revision(group);
+        let current_revision = self.group_revision(group);
         if after == 0 {
             return Some(Answer::Events {
                 events: Vec::new(),
-                revision: present,
+                revision: current_revision,
             });
         }
         let Ok(puts) = self.group(group)?.puts_above(after) else {
@@ -266,11 +266,11 @@
         };
         let mut bytes = 0;
         let events: Vec<Cell> = puts
-            .take(MAX_EVENTS)
+            .take(MAX_EVENTS_PER_ANSWER)
             .take_while(|put| {
                 let is_first = bytes == 0;
                 bytes += put.name.len() + put.value.len();
-                is_first || bytes <= MAX_EVENT_BYTES
+                is_first || bytes <= MAX_EVENT_BYTES_PER_ANSWER
             })
             .cloned()
             .collect();
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,10 +1,11 @@
-//! Locks, numbers, cells and watches for applications. State machines without I/O or clock; times are durations since the
-//! start of the process.
+//! Locks, counters, cells and watches for applications. State machines without I/O or clock; times are durations since
+//! the start of the process.
 //!
-//! [`CoordinationState`] is a part of the replicated state: all replicas make the same [changes](CoordinationState::apply).
-//! Only the primary [decides](CoordinationState::decide) what a request comes to. When a lock ends is not in the
-//! replicated state: the primary counts it by its own steady clock ([`LockDeadlines`]), and one that has just begun to act
-//! counts the whole time of each lock anew. So no two clocks are ever compared.
+//! [`CoordinationState`] is part of the replicated state: all replicas [apply](CoordinationState::apply) the same
+//! changes. Only the primary [decides](CoordinationState::decide) the outcome of a request. Lock expiry is not part of
+//! the replicated state: the primary tracks it by its own monotonic clock ([`LockDeadlines`]), and a primary that has
+//! just started to act counts the full hold time of each lock from then. The clocks of two processes are thus never
+//! compared.
 //!
 //! ```
 //! use coordination::{Answer, CoordinationState, Decision, LockDeadlines};
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -1,62 +1,62 @@
-//! What names, values and times may be, and how large the state may grow.
+//! Limits of names, values, times and the size of the state.
 
 use snafu::Snafu;
 
-/// The longest name of a lock, a counter, a cell or a holder, in bytes.
+/// Maximum length of the name of a lock, counter, cell or holder, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// The longest value of a cell, in bytes.
+/// Maximum length of a cell's value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
-/// The longest time for which a lock may be held without a renewal, in ms.
+/// Maximum time for which a lock may be held without a renewal, in ms.
 pub const MAX_HOLD_MS: u32 = 600_000;
-/// The longest time for which a watch may wait, in ms.
+/// Maximum time for which a watch may wait, in ms.
 pub const MAX_WAIT_MS: u32 = 30_000;
-/// The most bytes that locks, numbers and cells may take together: a whole state, configuration included, fits into one
-/// frame and one record.
+/// Maximum memory use of all locks, counters and cells together, in bytes. It keeps a complete snapshot, configuration
+/// included, within one frame and one log record.
 pub const MAX_STATE_BYTES: usize = 4 << 20;
 
-/// A state of more bytes is short of memory: what nobody needs any more is dropped.
-pub(crate) const SHORT_OF_MEMORY_BYTES: usize = MAX_STATE_BYTES / 2;
+/// State size in bytes above which memory is short: history and expired locks that nobody needs any longer are dropped.
+pub(crate) const MEMORY_PRESSURE_BYTES: usize = MAX_STATE_BYTES / 2;
 
-/// Why a field of a request can't be taken.
+/// Reason to reject a field of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum InvalidField {
-    /// It is empty.
+    /// The field is empty.
     #[snafu(display("{field} is empty"))]
     Empty {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// It is too long.
-    #[snafu(display("{field} has more than {limit} bytes"))]
+    /// The field is too long.
+    #[snafu(display("{field} is longer than {limit} bytes"))]
     TooLong {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The most bytes that it may have.
+        /// Maximum length of the field, in bytes.
         limit: usize,
     },
-    /// It holds control characters.
-    #[snafu(display("{field} holds a control character"))]
+    /// The field holds control characters.
+    #[snafu(display("{field} contains a control character"))]
     ControlCharacter {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// It is out of bounds.
+    /// The number is out of bounds.
     #[snafu(display("{field} is not between 1 and {limit}"))]
     OutOfBounds {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The largest value.
+        /// Largest valid value.
         limit: u32,
     },
-    /// A group's name has no dot at its end, or one before it.
-    #[snafu(display("a group is named by what its cells begin with, up to the first dot"))]
-    NoGroup,
+    /// A group's name doesn't end with a dot, or holds another one.
+    #[snafu(display("the name of a group must end at its first dot"))]
+    InvalidGroupName,
 }
 
-/// Checks the name of a lock, a counter, a cell or a holder.
+/// Checks the name of a lock, counter, cell or holder.
 ///
 /// # Errors
-/// If it is empty, too long, or holds control characters.
+/// [`InvalidField`] if the name is empty, too long, or holds control characters.
 pub fn check_name(field: &'static str, name: &str) -> Result<(), InvalidField> {
     if name.is_empty() {
         return EmptySnafu { field }.fail();
@@ -71,24 +71,24 @@
     Ok(())
 }
 
-/// Checks the name of a group: it ends at its first dot.
+/// Checks the name of a group, which must end at its first dot.
 ///
 /// # Errors
-/// As [`check_name`], and if it doesn't end at its first dot.
+/// As [`check_name`], and [`InvalidField::InvalidGroupName`] if the name doesn't end at its first dot.
 pub fn check_group_name(name: &str) -> Result<(), InvalidField> {
     check_name("the group", name)?;
     let ends_at_first_dot = name.find('.') == Some(name.len() - 1);
     if ends_at_first_dot {
         Ok(())
     } else {
-        NoGroupSnafu.fail()
+        InvalidGroupNameSnafu.fail()
     }
 }
 
-/// Checks a cell's value.
+/// Checks the value of a cell.
 ///
 /// # Errors
-/// If it is too long.
+/// [`InvalidField::TooLong`] if it exceeds [`MAX_VALUE_BYTES`].
 pub fn check_value(value: &str) -> Result<(), InvalidField> {
     if value.len() > MAX_VALUE_BYTES {
         let (field, limit) = ("the value", MAX_VALUE_BYTES);
@@ -97,10 +97,10 @@
     Ok(())
 }
 
-/// Checks for how long a lock is to be held; `hold_ms` as it was sent, in ms. A fraction is rounded up.
+/// Checks the requested hold time of a lock. `hold_ms` is the number in the request, in ms; a fraction is rounded up.
 ///
 /// # Errors
-/// If it is not above 0 or too long.
+/// [`InvalidField::OutOfBounds`] if it is not above 0, or above [`MAX_HOLD_MS`].
 pub fn check_hold_ms(hold_ms: f64) -> Result<u32, InvalidField> {
     if hold_ms > 0.0 && hold_ms <= f64::from(MAX_HOLD_MS) {
         return Ok(hold_ms.ceil() as u32);
--- a/crates/coordination/src/lock_deadlines.rs
+++ b/crates/coordination/src/lock_deadlines.rs
@@ -1,19 +1,19 @@
-//! When the locks end, as the primary counts it.
+//! Expiry of the locks, as tracked by the primary.
 //!
-//! A holder counts from the moment at which it sent its last good call, the primary from the moment at which it decided
-//! that call, which is later. So a lock never ends at the primary before it has ended for its holder. A primary that has
-//! just begun to act doesn't know when its predecessor decided: no later than it began to act itself, as leases exclude
-//! each other, so it counts the whole time of each lock from then. The rates of two clocks may differ a little: the primary
-//! counts a hundredth more.
+//! A holder counts its hold time from the moment at which it sent its last successful call. The primary counts from the
+//! moment at which it decided that call, which is later. A lock thus never expires at the primary before it has expired
+//! for its holder. A primary that has just started to act doesn't know when its predecessor decided the call. As their
+//! leases exclude each other, that was no later than its own start, so it counts the full hold time of each lock from
+//! then. The rates of two clocks may differ slightly, so the primary adds 1 % to each hold time.
 
-use crate::limits::SHORT_OF_MEMORY_BYTES;
+use crate::limits::MEMORY_PRESSURE_BYTES;
 use crate::state::{CoordinationState, Lock};
 use protocol::CoordinationChange;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How much longer than the holder the primary counts, as a divisor of the time.
-const CLOCK_RATE_DIVISOR: u32 = 100;
+/// Divisor of the hold time that gives the primary's allowance for different clock rates.
+const CLOCK_DRIFT_DIVISOR: u32 = 100;
 
 #[derive(Clone, Copy, Debug)]
 struct Deadline {
@@ -21,39 +21,43 @@
     at: Duration,
 }
 
-/// Locks that ended this long ago are released if memory is short.
-const ENDED_LOCK_RETENTION: Duration = Duration::from_secs(60);
-/// Locks that are released together at most.
+/// Time after which an expired lock is released if memory is short.
+const EXPIRED_LOCK_RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of locks to release at once.
 const MAX_RELEASED_LOCKS: usize = 64;
 
-/// When the locks end, by the clock of the primary that this belongs to.
+/// Deadlines of the locks, by the clock of the primary to which this value belongs.
 #[derive(Clone, Debug, Default)]
 pub struct LockDeadlines {
-    /// Since when the primary acts.
+    /// Time at which the primary started to act.
     acting_since: Option<Duration>,
     deadlines: BTreeMap<String, Deadline>,
 }
 
 impl LockDeadlines {
-    /// The primary acts now. Only the first call counts.
+    /// Records that the primary starts to act. Calls after the first have no effect.
     pub fn start_acting(&mut self, now: Duration) {
         self.acting_since.get_or_insert(now);
     }
 
-    /// When a lock ends; none while that isn't known, as the primary doesn't act yet.
+    /// Returns the time at which a lock expires; `None` while the primary doesn't act, as the deadline is unknown then.
     pub fn deadline(&self, name: &str, lock: &Lock) -> Option<Duration> {
-        let by_takeover = self.acting_since? + hold(lock.hold_ms);
-        let known = self.deadlines.get(name).filter(|d| d.fence == lock.fence);
-        Some(known.map_or(by_takeover, |known| known.at))
+        let counted_from_start = self.acting_since? + hold_time_at_primary(lock.hold_ms);
+        let recorded = self
+            .deadlines
+            .get(name)
+            .filter(|deadline| deadline.fence == lock.fence);
+        Some(recorded.map_or(counted_from_start, |deadline| deadline.at))
     }
 
-    /// Whether the time of a lock is over.
-    pub fn has_ended(&self, name: &str, lock: &Lock, now: Duration) -> bool {
+    /// Whether the hold time of a lock is over.
+    pub fn has_expired(&self, name: &str, lock: &Lock, now: Duration) -> bool {
         self.deadline(name, lock).is_some_and(|at| now >= at)
     }
 
-    /// A holder's call was good: its lock lasts for `hold_ms` from now on, and no shorter than it did. `before` is the
-    /// lock as it was before the call, if it had the same holder; `fence` is its fencing token from now on.
+    /// Extends the deadline after a successful call of the holder: the lock lasts for `hold_ms` from now on, and at
+    /// least until its previous deadline. `before` is the lock as it was before the call, if it had the same holder;
+    /// `fence` is its fencing token from now on.
     pub fn extend(
         &mut self,
         name: &str,
@@ -62,32 +66,32 @@
         hold_ms: u32,
         now: Duration,
     ) {
-        let counted_on = before.and_then(|lock| self.deadline(name, lock));
-        let at = (now + hold(hold_ms)).max(counted_on.unwrap_or_default());
+        let previous_deadline = before.and_then(|lock| self.deadline(name, lock));
+        let at = (now + hold_time_at_primary(hold_ms)).max(previous_deadline.unwrap_or_default());
         self.deadlines.insert(name.into(), Deadline { fence, at });
     }
 
-    /// The changes that release locks whose time was over long ago, if memory is short.
+    /// Returns the changes that release locks which expired long ago. Empty unless memory is short.
     pub fn due_releases(
         &self,
         state: &CoordinationState,
         now: Duration,
     ) -> Vec<CoordinationChange> {
-        if state.bytes() <= SHORT_OF_MEMORY_BYTES {
+        if state.bytes() <= MEMORY_PRESSURE_BYTES {
             return Vec::new();
         }
-        let has_ended_long_ago = |(name, lock): &(&str, &Lock)| {
+        let expired_long_ago = |(name, lock): &(&str, &Lock)| {
             let deadline = self.deadline(name, lock);
-            deadline.is_some_and(|at| now >= at + ENDED_LOCK_RETENTION)
+            deadline.is_some_and(|at| now >= at + EXPIRED_LOCK_RETENTION)
         };
-        let ended = state.locks().filter(has_ended_long_ago);
-        ended
+        let expired = state.locks().filter(expired_long_ago);
+        expired
             .take(MAX_RELEASED_LOCKS)
             .map(|(name, _)| CoordinationChange::LockReleased { name: name.into() })
             .collect()
     }
 
-    /// Drops what is known of locks that have another holder or none.
+    /// Drops the deadlines of locks that have been released or acquired anew.
     pub fn retain_held(&mut self, state: &CoordinationState) {
         self.deadlines.retain(|name, deadline| {
             let lock = state.lock(name);
@@ -96,7 +100,7 @@
     }
 }
 
-fn hold(hold_ms: u32) -> Duration {
-    let counted_by_holder = Duration::from_millis(u64::from(hold_ms));
-    counted_by_holder + counted_by_holder / CLOCK_RATE_DIVISOR
+fn hold_time_at_primary(hold_ms: u32) -> Duration {
+    let hold_time = Duration::from_millis(u64::from(hold_ms));
+    hold_time + hold_time / CLOCK_DRIFT_DIVISOR
 }
--- a/crates/coordination/src/snapshot.rs
+++ b/crates/coordination/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole state in the form in which it is sent and stored.
+//! Conversion of the complete state from and to the form in which it is sent and stored.
 
 use crate::cells::{Cell, CellGroup};
 use crate::state::{CoordinationState, Lock};
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 
 impl CoordinationState {
-    /// The whole state, beside the index of the last change of the rest.
+    /// Returns a snapshot of the state. `fleet_index` is the index of the last change of the rest of the replicated
+    /// state.
     pub fn snapshot(&self, fleet_index: u64) -> CoordinationSnapshot {
         let numbers = self.numbers.iter().map(|(name, value)| NumberRecord {
             name: name.to_string(),
@@ -21,20 +22,20 @@
         }
     }
 
-    /// The state of a snapshot; none if a group's revisions don't fit together.
+    /// Restores the state from a snapshot; `None` if the revisions of a group's history aren't consecutive.
     pub fn from_snapshot(snapshot: &CoordinationSnapshot) -> Option<Self> {
-        let locks = snapshot.locks.iter().map(lock_of);
+        let locks = snapshot.locks.iter().map(lock_from_record);
         let numbers = snapshot.numbers.iter();
         let groups: Option<Vec<(Arc<str>, CellGroup)>> =
-            snapshot.groups.iter().map(group_of_record).collect();
+            snapshot.groups.iter().map(group_from_record).collect();
         let mut state = Self {
             last_fence: snapshot.last_fence,
             locks: locks.collect(),
-            numbers: numbers.map(number_of).collect(),
+            numbers: numbers.map(number_from_record).collect(),
             groups: groups?.into_iter().collect(),
             bytes: 0,
         };
-        state.bytes = state.count_bytes();
+        state.bytes = state.compute_bytes();
         Some(state)
     }
 }
@@ -49,7 +50,7 @@
     }
 }
 
-fn lock_of(record: &LockRecord) -> (Arc<str>, Lock) {
+fn lock_from_record(record: &LockRecord) -> (Arc<str>, Lock) {
     let lock = Lock {
         holder: record.holder.as_str().into(),
         fence: record.fence,
@@ -59,7 +60,7 @@
     (record.name.as_str().into(), lock)
 }
 
-fn number_of(record: &NumberRecord) -> (Arc<str>, u64) {
+fn number_from_record(record: &NumberRecord) -> (Arc<str>, u64) {
     (record.name.as_str().into(), record.value)
 }
 
@@ -73,7 +74,7 @@
     }
 }
 
-fn cell_of(record: &CellRecord) -> Cell {
+fn cell_from_record(record: &CellRecord) -> Cell {
     Cell {
         name: record.name.as_str().into(),
         value: record.value.as_str().into(),
@@ -92,9 +93,9 @@
     }
 }
 
-fn group_of_record(record: &CellGroupRecord) -> Option<(Arc<str>, CellGroup)> {
-    let cells = record.cells.iter().map(cell_of).collect();
-    let history = record.history.iter().map(cell_of).collect();
+fn group_from_record(record: &CellGroupRecord) -> Option<(Arc<str>, CellGroup)> {
+    let cells = record.cells.iter().map(cell_from_record).collect();
+    let history = record.history.iter().map(cell_from_record).collect();
     let group = CellGroup::from_parts(record.floor, cells, history)?;
     Some((record.name.as_str().into(), group))
 }
--- a/crates/coordination/src/state.rs
+++ b/crates/coordination/src/state.rs
@@ -1,6 +1,7 @@
-//! The state of all locks, numbers and cells, and its changes.
+//! State of all locks, counters and cells, and its changes.
 //!
-//! The maps share their structure between successive states: a copy costs the same however much the state holds.
+//! The maps share their structure between successive states, so the cost of a copy doesn't depend on the size of the
+//! state.
 
 use crate::cells::{group_of, Cell, CellGroup};
 use imbl::OrdMap;
@@ -8,121 +9,121 @@
 use snafu::{ensure, OptionExt, Snafu};
 use std::sync::Arc;
 
-/// Bytes that a lock or a counter takes beside its names, approximately.
-const OVERHEAD_BYTES: usize = 48;
+/// Approximate memory use of a lock or counter in addition to its names, in bytes.
+const ENTRY_OVERHEAD_BYTES: usize = 48;
 
-/// A lock that has a holder.
+/// Lock that has a holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lock {
-    /// Who holds it, or did when its time ended.
+    /// Name of the holder, which stays after the hold time is over until the lock is released or acquired anew.
     pub holder: Arc<str>,
-    /// The holder's fencing token.
+    /// Fencing token of the holder.
     pub fence: u64,
-    /// The longest time that the holder may count on since its last call, in ms.
+    /// Longest time that the holder may count on since its last call, in ms.
     pub hold_ms: u32,
-    /// Number of the call that took it.
+    /// Number of the call that acquired the lock.
     pub attempt: u64,
 }
 
-/// Why a change doesn't fit the state.
+/// Reason why a change doesn't apply to the state.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ApplyError {
     /// The lock has no holder.
     #[snafu(display("lock {name} has no holder"))]
     NoHolder {
-        /// The lock's name.
+        /// Name of the lock.
         name: String,
     },
-    /// The cell has another revision.
-    #[snafu(display("cell {name} has revision {revision}, not {expected}"))]
+    /// The cell's revision differs from the expected one.
+    #[snafu(display("cell {name} has revision {revision}, expected {expected}"))]
     OtherRevision {
-        /// The cell's name.
+        /// Name of the cell.
         name: String,
-        /// The revision that the change expects.
+        /// Revision that the change expects.
         expected: u64,
-        /// The cell's revision.
+        /// Revision of the cell.
         revision: u64,
     },
-    /// There is no such group of cells.
-    #[snafu(display("there is no group {group}"))]
+    /// The group of cells doesn't exist.
+    #[snafu(display("group {group} does not exist"))]
     NoSuchGroup {
-        /// The group's name.
+        /// Name of the group.
         group: String,
     },
 }
 
-/// All locks, numbers and cells.
+/// All locks, counters and cells.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CoordinationState {
-    /// The fencing token that was given last, of all locks.
+    /// Fencing token issued last, across all locks.
     pub(crate) last_fence: u64,
     pub(crate) locks: OrdMap<Arc<str>, Lock>,
     pub(crate) numbers: OrdMap<Arc<str>, u64>,
     pub(crate) groups: OrdMap<Arc<str>, CellGroup>,
-    /// Bytes that all of it takes, approximately.
+    /// Approximate size of all of it, in bytes.
     pub(crate) bytes: usize,
 }
 
 impl CoordinationState {
-    /// Whether there never was a lock, a number or a cell.
+    /// Whether there has never been a lock, a counter or a cell.
     pub fn is_unused(&self) -> bool {
         self.last_fence == 0 && self.numbers.is_empty() && self.groups.is_empty()
     }
 
-    /// Bytes that all of it takes in a snapshot, approximately.
+    /// Returns the approximate size of the state in a snapshot, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The fencing token that was given last.
+    /// Returns the fencing token that was issued last.
     pub fn last_fence(&self) -> u64 {
         self.last_fence
     }
 
-    /// A lock, if it has a holder.
+    /// Returns a lock, if it has a holder.
     pub fn lock(&self, name: &str) -> Option<&Lock> {
         self.locks.get(name)
     }
 
-    /// All locks that have a holder, by name.
+    /// Returns all locks that have a holder, by name.
     pub fn locks(&self) -> impl Iterator<Item = (&str, &Lock)> {
         self.locks.iter().map(|(name, lock)| (&**name, lock))
     }
 
-    /// The number that a counter gave last; 0 if it gave none.
+    /// Returns the last number taken from a counter; 0 if none was taken.
     pub fn number(&self, name: &str) -> u64 {
         self.numbers.get(name).copied().unwrap_or(0)
     }
 
-    /// A group of cells.
+    /// Returns a group of cells.
     pub fn group(&self, name: &str) -> Option<&CellGroup> {
         self.groups.get(name)
     }
 
-    /// All groups of cells, by name.
+    /// Returns all groups of cells, by name.
     pub fn groups(&self) -> impl Iterator<Item = (&str, &CellGroup)> {
         self.groups.iter().map(|(name, group)| (&**name, group))
     }
 
-    /// A cell, as it was put last.
+    /// Returns the latest put into a cell.
     pub fn cell(&self, name: &str) -> Option<&Cell> {
         self.group(group_of(name))?.cell(name)
     }
 
-    /// Revision of a cell; 0 if it doesn't exist.
+    /// Returns the revision of a cell; 0 if it doesn't exist.
     pub(crate) fn cell_revision(&self, name: &str) -> u64 {
         self.cell(name).map_or(0, |cell| cell.revision)
     }
 
-    /// Revision of the latest put into a group; 0 if there was none.
+    /// Returns the revision of the latest put into a group; 0 if there was none.
     pub fn group_revision(&self, name: &str) -> u64 {
         self.group(name).map_or(0, CellGroup::revision)
     }
 
-    /// Makes a change.
+    /// Applies a change.
     ///
     /// # Errors
-    /// If the change doesn't fit the state, which is as before then.
+    /// [`ApplyError`] if the change doesn't fit the state. The state is unchanged then.
     pub fn apply(&mut self, change: &CoordinationChange) -> Result<(), ApplyError> {
         match change {
             CoordinationChange::LockAcquired {
@@ -146,20 +147,20 @@
 
     fn acquire(&mut self, name: &str, holder: &str, hold_ms: u32, attempt: u64) {
         self.last_fence += 1;
-        let before = self.locks.get(name);
-        // The same holder may still count on a longer time that an earlier call gave it.
-        let counted_on = before
+        let previous = self.locks.get(name);
+        // The same holder may still count on a longer time from an earlier call.
+        let previous_hold_ms = previous
             .filter(|lock| &*lock.holder == holder)
             .map_or(0, |lock| lock.hold_ms);
         let lock = Lock {
             holder: holder.into(),
             fence: self.last_fence,
-            hold_ms: hold_ms.max(counted_on),
+            hold_ms: hold_ms.max(previous_hold_ms),
             attempt,
         };
         self.bytes += lock_bytes(name, &lock);
-        if let Some(before) = self.locks.insert(name.into(), lock) {
-            self.bytes -= lock_bytes(name, &before);
+        if let Some(previous) = self.locks.insert(name.into(), lock) {
+            self.bytes -= lock_bytes(name, &previous);
         }
     }
 
@@ -178,7 +179,7 @@
     fn take_number(&mut self, name: &str) {
         let last = self.number(name);
         if self.numbers.insert(name.into(), last + 1).is_none() {
-            self.bytes += OVERHEAD_BYTES + name.len();
+            self.bytes += ENTRY_OVERHEAD_BYTES + name.len();
         }
     }
 
@@ -201,27 +202,27 @@
     }
 
     fn trim(&mut self, group: &str, floor: u64) -> Result<(), ApplyError> {
-        let cells = self
+        let cell_group = self
             .groups
             .get_mut(group)
             .context(NoSuchGroupSnafu { group })?;
-        self.bytes -= cells.trim(floor);
+        self.bytes -= cell_group.trim(floor);
         Ok(())
     }
 
-    /// Counts the bytes of all that is there.
-    pub(crate) fn count_bytes(&self) -> usize {
+    /// Computes the approximate size of the state from its entries, in bytes.
+    pub(crate) fn compute_bytes(&self) -> usize {
         let locks: usize = self
             .locks()
             .map(|(name, lock)| lock_bytes(name, lock))
             .sum();
         let names = self.numbers.keys();
-        let numbers: usize = names.map(|name| OVERHEAD_BYTES + name.len()).sum();
+        let numbers: usize = names.map(|name| ENTRY_OVERHEAD_BYTES + name.len()).sum();
         let cells: usize = self.groups.values().map(CellGroup::bytes).sum();
         locks + numbers + cells
     }
 }
 
 fn lock_bytes(name: &str, lock: &Lock) -> usize {
-    OVERHEAD_BYTES + name.len() + lock.holder.len()
+    ENTRY_OVERHEAD_BYTES + name.len() + lock.holder.len()
 }
--- a/crates/coordination/src/watches.rs
+++ b/crates/coordination/src/watches.rs
@@ -1,27 +1,27 @@
-//! Watches that wait for a put. Their number is bounded.
+//! Watches that wait for a put, bounded in number.
 
 use crate::decision::Answer;
 use crate::state::CoordinationState;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The most watches that wait at once.
+/// Maximum number of waiting watches.
 pub const MAX_WATCHES: usize = 4096;
 
-/// A watch that waits. `C` tells who asked.
+/// Waiting watch. `C` identifies the caller.
 #[derive(Clone, Debug)]
 pub struct ParkedWatch<C> {
-    /// Who asked.
+    /// Caller that gets the answer.
     pub caller: C,
-    /// The group's name.
+    /// Name of the watched group.
     pub group: Arc<str>,
-    /// Puts above this revision are asked for.
+    /// Revision after which puts are requested.
     pub after: u64,
-    /// Until when it waits.
+    /// Time at which the wait ends.
     pub until: Duration,
 }
 
-/// The watches that wait at the primary.
+/// Watches that wait at the primary.
 #[derive(Clone, Debug)]
 pub struct Watches<C> {
     parked: Vec<ParkedWatch<C>>,
@@ -34,10 +34,10 @@
 }
 
 impl<C: PartialEq> Watches<C> {
-    /// Lets a watch wait.
+    /// Adds a watch that waits.
     ///
     /// # Errors
-    /// Gives the watch back if too many wait.
+    /// Returns the watch if [`MAX_WATCHES`] are waiting already.
     pub fn park(&mut self, watch: ParkedWatch<C>) -> Result<(), ParkedWatch<C>> {
         if self.parked.len() >= MAX_WATCHES {
             return Err(watch);
@@ -46,37 +46,40 @@
         Ok(())
     }
 
-    /// Whether a caller's watch waits.
+    /// Whether a watch of this caller is waiting.
     pub fn contains(&self, caller: &C) -> bool {
         self.parked.iter().any(|watch| watch.caller == *caller)
     }
 
-    /// Takes out the watches that there is something to tell of, with their answers.
+    /// Removes the watches for which there are puts to report, and returns their callers and answers.
     pub fn take_ready(&mut self, committed: &CoordinationState) -> Vec<(C, Answer)> {
-        let answer = |watch: &ParkedWatch<C>| committed.watch(&watch.group, watch.after);
-        self.take(answer)
+        let answer_to = |watch: &ParkedWatch<C>| committed.watch(&watch.group, watch.after);
+        self.take_answered(answer_to)
     }
 
-    /// Takes out the watches that have waited for their time, with their answers.
+    /// Removes the watches whose wait is over, and returns their callers and answers.
     pub fn take_expired(
         &mut self,
         committed: &CoordinationState,
         now: Duration,
     ) -> Vec<(C, Answer)> {
-        let answer = |watch: &ParkedWatch<C>| {
+        let answer_to = |watch: &ParkedWatch<C>| {
             (watch.until <= now).then(|| Answer::Events {
                 events: Vec::new(),
                 revision: committed.group_revision(&watch.group),
             })
         };
-        self.take(answer)
+        self.take_answered(answer_to)
     }
 
-    fn take(&mut self, answer: impl Fn(&ParkedWatch<C>) -> Option<Answer>) -> Vec<(C, Answer)> {
+    fn take_answered(
+        &mut self,
+        answer_to: impl Fn(&ParkedWatch<C>) -> Option<Answer>,
+    ) -> Vec<(C, Answer)> {
         let mut taken = Vec::new();
         let parked = std::mem::take(&mut self.parked);
         for watch in parked {
-            match answer(&watch) {
+            match answer_to(&watch) {
                 Some(answer) => taken.push((watch.caller, answer)),
                 None => self.parked.push(watch),
             }
@@ -84,7 +87,7 @@
         taken
     }
 
-    /// When the first watch has waited for its time.
+    /// Returns the earliest time at which a watch's wait ends.
     pub fn next_expiry(&self) -> Option<Duration> {
         self.parked.iter().map(|watch| watch.until).min()
     }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A primary of one replica: it decides, makes the change at once and keeps the locks' deadlines.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Primary without other replicas: decides requests, applies changes immediately and tracks the locks' deadlines.
+#![allow(dead_code, reason = "each test file uses a part of the helpers")]
 
 use coordination::{Answer, CoordinationState, Decision, LockDeadlines};
 use protocol::{CoordinationChange, CoordinationRequest};
@@ -46,8 +46,8 @@
 pub struct Primary {
     pub state: CoordinationState,
     pub deadlines: LockDeadlines,
-    /// Changes made so far.
-    pub changes: usize,
+    /// Number of changes made so far.
+    pub change_count: usize,
 }
 
 impl Primary {
@@ -57,33 +57,33 @@
         Self {
             state: CoordinationState::default(),
             deadlines,
-            changes: 0,
+            change_count: 0,
         }
     }
 
-    /// Another primary with the same state begins to act.
+    /// Simulates that another primary with the same state starts to act.
     pub fn take_over(&mut self, now: Duration) {
         self.deadlines = LockDeadlines::default();
         self.deadlines.start_acting(now);
     }
 
-    pub fn run(&mut self, request: CoordinationRequest, now: Duration) -> Answer {
+    pub fn handle(&mut self, request: CoordinationRequest, now: Duration) -> Answer {
         let before = self.state.clone();
         let answer = match self.state.decide(&request, &self.deadlines, now) {
             Decision::Answer(answer) => answer,
-            Decision::Change(change) => self.make(&change),
+            Decision::Change(change) => self.apply(&change),
         };
-        self.extend_lock(&request, &answer, &before, now);
+        self.record_extension(&request, &answer, &before, now);
         answer
     }
 
-    fn make(&mut self, change: &CoordinationChange) -> Answer {
+    fn apply(&mut self, change: &CoordinationChange) -> Answer {
         self.state.apply(change).unwrap();
-        self.changes += 1;
+        self.change_count += 1;
         self.state.answer_to(change)
     }
 
-    fn extend_lock(
+    fn record_extension(
         &mut self,
         request: &CoordinationRequest,
         answer: &Answer,
@@ -98,7 +98,9 @@
             _ => return,
         };
         let lock = self.state.lock(name).unwrap();
-        let same_holder = before.lock(name).filter(|b| b.holder == lock.holder);
+        let same_holder = before
+            .lock(name)
+            .filter(|previous| previous.holder == lock.holder);
         let fence = lock.fence;
         self.deadlines
             .extend(name, same_holder, fence, hold_ms, now);
