--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: runs a [`Puller`] over TCP and applies what comes to a [`SharedMirror`].
+//! Client that runs a [`Puller`] over TCP and applies the received updates to a [`SharedMirror`].
 
 use crate::frame_reader::{FrameReader, Step};
 use crate::mirror::{Mirror, VisibleVersion};
@@ -18,19 +18,19 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep_until;
 
-/// What the rest of the process tells a running client.
+/// Command from the rest of the process to a running client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand {
-    /// The addresses of the seeds in the settings now.
+    /// Replaces the seeds' addresses.
     SetSeeds(Vec<Addr>),
-    /// Version of the configuration in force, to be reported with each pull.
+    /// Sets the version of the configuration in force, which each pull reports.
     SetConfigurationVersion(u64),
 }
 
-/// What comes of a connection.
-enum Event {
+/// Event on a connection.
+enum ConnectionEvent {
     Connected,
-    /// Some bytes of an answer came.
+    /// Some bytes of an answer arrived.
     PartialAnswer,
     Update(Box<Update>),
     Failed(io::Error),
@@ -41,24 +41,24 @@
     pulls: mpsc::UnboundedSender<Pull>,
 }
 
-/// The connections of a puller.
+/// Connections of a puller, by link number.
 struct Client {
     hello: MemberInfo,
     shared: Arc<SharedMirror>,
     connections: HashMap<u64, Connection>,
     tasks: JoinSet<()>,
-    events: mpsc::UnboundedSender<(u64, Event)>,
+    events: mpsc::UnboundedSender<(u64, ConnectionEvent)>,
     subscriber: Subscriber,
 }
 
-/// Pulls until it is dropped, or until `control` is closed. `hello` names this process in the first frame on each
-/// connection.
+/// Pulls until the returned future is dropped or `commands` is closed. `hello` identifies this process in the first
+/// frame on each connection.
 pub async fn run(
     mut puller: Puller,
     hello: MemberInfo,
     subscriber: Subscriber,
     shared: Arc<SharedMirror>,
-    mut control: mpsc::UnboundedReceiver<ClientCommand>,
+    mut commands: mpsc::UnboundedReceiver<ClientCommand>,
 ) {
     let (events, mut incoming) = mpsc::unbounded_channel();
     let tasks = JoinSet::new();
@@ -73,10 +73,10 @@
     let mut control_plane_version = 0;
     let mut recorder = PullRecorder::default();
     loop {
-        // What has come is handled before any time-out.
+        // Events that have arrived are handled before any timeout.
         while let Ok((link, event)) = incoming.try_recv() {
             let actions = client.on_event(&mut puller, link, event);
-            client.act(actions);
+            client.perform(actions);
         }
         let state = shared.update(|mirror, _| MirrorState::of(mirror, control_plane_version));
         puller.set_coordinators(state.coordinators);
@@ -84,12 +84,15 @@
             control_plane_version = control_plane.version;
             puller.set_members(control_plane.members.iter().map(|member| member.addr));
         }
-        client.act(puller.tick(shared.now()));
-        // Only agents log this: members log their membership, proxies the configuration in force.
+        client.perform(puller.tick(shared.now()));
+        // Only agents log their pulls: members log their membership, and proxies the configuration in force.
         if puller.prefers_one_member() {
-            recorder.pulls(&puller).iter().for_each(transitions::log);
             recorder
-                .configuration(state.visible)
+                .observe_pulls(&puller)
+                .iter()
+                .for_each(transitions::log);
+            recorder
+                .observe_configuration(state.visible)
                 .iter()
                 .for_each(transitions::log);
         }
@@ -98,11 +101,12 @@
         tokio::select! {
             Some((link, event)) = incoming.recv() => {
                 let actions = client.on_event(&mut puller, link, event);
-                client.act(actions);
+                client.perform(actions);
             }
-            message = control.recv() => match message {
+            command = commands.recv() => match command {
                 Some(ClientCommand::SetSeeds(seeds)) => puller.set_seeds(&seeds),
-                Some(ClientCommand::SetConfigurationVersion(version)) => client.subscriber.configuration_version = version,
+                Some(ClientCommand::SetConfigurationVersion(version)) =>
+                    client.subscriber.configuration_version = version,
                 None => return,
             },
             Some(_) = client.tasks.join_next() => {}
@@ -113,10 +117,10 @@
     }
 }
 
-/// What the client needs to know of the mirror.
+/// Part of the mirror's state that the client acts on.
 struct MirrorState {
     next_tick: Option<Duration>,
-    /// The control plane's members, if their version is another than the one known.
+    /// Members of the control plane, if their version differs from the known one.
     new_control_plane: Option<ControlPlaneInfo>,
     coordinators: usize,
     visible: VisibleVersion,
@@ -136,26 +140,26 @@
 }
 
 impl Client {
-    fn on_event(&mut self, puller: &mut Puller, link: u64, event: Event) -> Vec<Action> {
+    fn on_event(&mut self, puller: &mut Puller, link: u64, event: ConnectionEvent) -> Vec<Action> {
         let now = self.shared.now();
         match event {
-            Event::Connected => puller.connected(now, link),
-            Event::PartialAnswer => {
+            ConnectionEvent::Connected => puller.connected(now, link),
+            ConnectionEvent::PartialAnswer => {
                 puller.partial_answer(now, link);
                 Vec::new()
             }
-            Event::Failed(error) => {
-                log::debug!("link {link}: {error}");
+            ConnectionEvent::Failed(error) => {
+                log::debug!("connection of link {link} failed: {error}");
                 self.connections.remove(&link);
                 puller.failed(now, link)
             }
-            Event::Update(update) => self.on_update(puller, link, *update),
+            ConnectionEvent::Update(update) => self.on_update(puller, link, *update),
         }
     }
 
     fn on_update(&mut self, puller: &mut Puller, link: u64, update: Update) -> Vec<Action> {
         let now = self.shared.now();
-        // For a link that was given up it isn't known when the pull left, so the age can't be told.
+        // For a link that was given up, the time of the pull is unknown, and so is the age.
         let update = match puller.pull_sent_at(link) {
             Some(sent_at) => update.aged(sent_at, now),
             None => Update {
@@ -171,7 +175,7 @@
         actions
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Connect { link, addr } => {
@@ -182,8 +186,8 @@
                     let (events, shared) = (self.events.clone(), self.shared.clone());
                     let task = self.tasks.spawn(async move {
                         let Err(error) =
-                            connection(link, addr, hello, queue, &events, &shared).await;
-                        let _ = events.send((link, Event::Failed(error)));
+                            run_connection(link, addr, hello, queue, &events, &shared).await;
+                        let _ = events.send((link, ConnectionEvent::Failed(error)));
                     });
                     self.connections.insert(link, Connection { task, pulls });
                 }
@@ -205,46 +209,48 @@
     }
 }
 
-/// Runs one connection. The puller watches its time-outs and ends the task.
-async fn connection(
+/// Runs one connection. The puller watches its timeouts and ends the task.
+async fn run_connection(
     link: u64,
     addr: Addr,
     hello: Vec<u8>,
     mut pulls: mpsc::UnboundedReceiver<Pull>,
-    events: &mpsc::UnboundedSender<(u64, Event)>,
+    events: &mpsc::UnboundedSender<(u64, ConnectionEvent)>,
     shared: &SharedMirror,
 ) -> io::Result<std::convert::Infallible> {
-    let over = || io::Error::from(io::ErrorKind::BrokenPipe);
+    let closed = || io::Error::from(io::ErrorKind::BrokenPipe);
     let stream = TcpStream::connect(SocketAddrV4::from(&addr)).await?;
     stream.set_nodelay(true)?;
     let (read, mut write) = stream.into_split();
     let mut frames = FrameReader::new(read, Vec::new());
-    let mut first = Some(hello);
-    let mut counted = 0;
-    events.send((link, Event::Connected)).map_err(|_| over())?;
+    let mut unsent_hello = Some(hello);
+    let mut counted_bytes = 0;
+    events
+        .send((link, ConnectionEvent::Connected))
+        .map_err(|_| closed())?;
     loop {
         tokio::select! {
             pull = pulls.recv() => {
-                let mut frame = first.take().unwrap_or_default();
-                frame.extend(encode(&pull.ok_or_else(over)?.into_message()));
+                let mut frame = unsent_hello.take().unwrap_or_default();
+                frame.extend(encode(&pull.ok_or_else(closed)?.into_message()));
                 write.write_all(&frame).await?;
                 shared.count_traffic(frame.len() as u64, 0);
             }
             step = frames.step() => {
-                shared.count_traffic(0, frames.received() - counted);
-                counted = frames.received();
+                shared.count_traffic(0, frames.received() - counted_bytes);
+                counted_bytes = frames.received();
                 let message = match step? {
                     Step::Message(message) => message,
                     Step::Partial => {
-                        events.send((link, Event::PartialAnswer)).map_err(|_| over())?;
+                        events.send((link, ConnectionEvent::PartialAnswer)).map_err(|_| closed())?;
                         continue;
                     }
                     Step::End => return Err(io::ErrorKind::UnexpectedEof.into()),
                 };
                 let Ok(update) = Update::from_message(*message) else {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "no news"));
+                    return Err(io::Error::new(io::ErrorKind::InvalidData, "expected an update"));
                 };
-                events.send((link, Event::Update(Box::new(update)))).map_err(|_| over())?;
+                events.send((link, ConnectionEvent::Update(Box::new(update)))).map_err(|_| closed())?;
             }
         }
     }
--- a/crates/replication/src/frame_reader.rs
+++ b/crates/replication/src/frame_reader.rs
@@ -1,26 +1,26 @@
-//! Reads frames from a stream of bytes.
+//! Reader of frames from a byte stream.
 
 use protocol::{decode, Message};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// How many bytes the buffer keeps while it is empty.
-const MAX_IDLE_BUFFER: usize = 16 << 10;
-/// How many bytes one read has room for at least.
-const READ_SIZE: usize = 4096;
+/// Capacity that an empty buffer keeps, in bytes.
+const MAX_IDLE_BUFFER_BYTES: usize = 16 << 10;
+/// Minimum free space in the buffer for one read, in bytes.
+const MIN_READ_BYTES: usize = 4096;
 
-/// What one read of the stream brought.
+/// Result of one read from the stream.
 #[derive(Debug)]
 pub enum Step {
     /// A complete message.
     Message(Box<Message>),
-    /// Some bytes of a message.
+    /// Some bytes of a message, which isn't complete yet.
     Partial,
     /// The end of the stream.
     End,
 }
 
-/// Reads frames. Bytes that are not decoded yet are kept, so a read may be cancelled without loss.
+/// Reader of frames. Bytes that aren't decoded yet are kept, so a read may be cancelled without loss.
 pub struct FrameReader<R> {
     stream: R,
     buffer: Vec<u8>,
@@ -28,7 +28,7 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// Creates a reader of `stream`. `buffer` holds what was read of it already.
+    /// Creates a reader of `stream`. `buffer` holds the bytes that were already read from it.
     pub fn new(stream: R, buffer: Vec<u8>) -> Self {
         Self {
             stream,
@@ -37,10 +37,10 @@
         }
     }
 
-    /// The next message; `None` at the end of the stream.
+    /// Returns the next message; `None` at the end of the stream.
     ///
     /// # Errors
-    /// Fails if the stream fails or ends within a frame, or if its bytes are not a frame.
+    /// Fails if the stream fails or ends within a frame, or if its bytes are not a valid frame.
     pub async fn next(&mut self) -> io::Result<Option<Message>> {
         loop {
             match self.step().await? {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Decodes the next message if it is there already, else reads from the stream once.
+    /// Decodes the next message if it is already buffered, else reads from the stream once.
     ///
     /// # Errors
     /// As [`FrameReader::next`].
@@ -60,14 +60,19 @@
             Ok(Some((message, length))) => {
                 self.buffer.drain(..length);
                 if self.buffer.is_empty() {
-                    self.buffer.shrink_to(MAX_IDLE_BUFFER);
+                    self.buffer.shrink_to(MAX_IDLE_BUFFER_BYTES);
                 }
                 return Ok(Step::Message(Box::new(message)));
             }
             Ok(None) => {}
-            Err(e) => return Err(io::Error::new(io::ErrorKind::InvalidData, e.to_string())),
+            Err(error) => {
+                return Err(io::Error::new(
+                    io::ErrorKind::InvalidData,
+                    error.to_string(),
+                ))
+            }
         }
-        self.buffer.reserve(READ_SIZE);
+        self.buffer.reserve(MIN_READ_BYTES);
         let read = self.stream.read_buf(&mut self.buffer).await?;
         self.received += read as u64;
         match read {
@@ -77,7 +82,7 @@
         }
     }
 
-    /// How many bytes were read from the stream so far.
+    /// Returns the number of bytes read from the stream so far.
     pub fn received(&self) -> u64 {
         self.received
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,7 +1,8 @@
-//! Replication of what the control plane publishes, from members to agents, proxies and other members.
+//! Replication of the control plane's published state, from members to agents, proxies and other members.
 //!
-//! A [`Mirror`] is a process's copy. A [`Puller`] decides from which members it is kept fresh. Both are state machines
-//! without I/O; [`client`] and [`serve`] run them over TCP, and a [`SharedMirror`] publishes the changes in a process.
+//! A [`Mirror`] is the copy that one process holds. A [`Puller`] decides from which members the copy is updated. Both
+//! are state machines without I/O; [`client`] and [`serve`] run them over TCP, and a [`SharedMirror`] publishes the
+//! mirror's changes within a process.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -30,22 +31,22 @@
 use protocol::{Addr, MemberInfo, Subscriber};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// What [`protocol::HostRecord::phase`] may hold.
+/// Values of [`protocol::HostRecord::phase`].
 pub mod phase {
-    /// Takes requests.
+    /// Accepts requests.
     pub const READY: u8 = 0;
-    /// Draining: takes no new requests and ends soon.
+    /// Draining: accepts no new requests and ends soon.
     pub const DRAINING: u8 = 1;
     /// Has ended.
     pub const GONE: u8 = 2;
-    /// The origin has nothing more to say of the host: a tombstone.
+    /// Tombstone: the origin no longer has a record of the host.
     pub const FORGOTTEN: u8 = 3;
 }
 
-/// Port for quota requests, counted from the port for the system's own messages.
+/// Offset of the port for quota requests from the port for the system's own messages.
 const QUOTA_PORT_OFFSET: u16 = 3;
 
-/// Where a member takes the system's own messages, given its `control` address.
+/// Returns the address on which a member accepts the system's own messages, given its `control` address.
 pub fn member_addr(settings: &ProcessSettings, control: &SocketAddrV4) -> Addr {
     Addr {
         ip: u32::from(*control.ip()),
@@ -53,7 +54,7 @@
     }
 }
 
-/// Where the seeds in the settings take the system's own messages.
+/// Returns the addresses on which the configured seed nodes accept the system's own messages.
 pub fn seed_addrs(settings: &ProcessSettings) -> Vec<Addr> {
     settings
         .seed_nodes
@@ -62,8 +63,8 @@
         .collect()
 }
 
-/// Where a machine's agent listens for its proxy: the second port on the loopback address. Several machines that run on
-/// one for a test have loopback addresses of their own.
+/// Returns the address on which a machine's agent listens for its proxy: by default the second port of the range, on
+/// the loopback address. Several machines simulated on one host for a test have different loopback addresses.
 pub fn agent_addr(settings: &ProcessSettings) -> Addr {
     let ip = if settings.ip_addr.is_loopback() {
         settings.ip_addr
@@ -74,7 +75,8 @@
     settings.bind.agent.unwrap_or(default).into()
 }
 
-/// Where a machine's proxy takes prompt placements of other proxies. The port is 0 if the port range is too short.
+/// Returns the address on which a machine's proxy accepts prompt placements from other proxies. The port is 0 if the
+/// port range is too short.
 pub fn hints_addr(settings: &ProcessSettings) -> Addr {
     let port = settings.port_range.0.saturating_add(2);
     Addr {
@@ -87,8 +89,8 @@
     }
 }
 
-/// Where a member takes quota requests, given where it takes the system's own messages: the fourth port of the range, for
-/// datagrams.
+/// Returns the address on which a member accepts quota requests as datagrams: the fourth port of the range. `member` is
+/// its address for the system's own messages.
 pub fn quota_addr(member: &Addr) -> Addr {
     Addr {
         port: member.port.saturating_add(QUOTA_PORT_OFFSET),
@@ -96,7 +98,7 @@
     }
 }
 
-/// This process as a subscriber. `member_id` is 0 if it is no member.
+/// Returns this process's description as a subscriber. `member_id` is 0 if it is not a member.
 pub fn subscriber(settings: &ProcessSettings, member_id: u64) -> Subscriber {
     Subscriber {
         name: settings.node_name.clone(),
@@ -108,7 +110,7 @@
     }
 }
 
-/// The sender in the first frame of a process that is no member.
+/// Returns the sender for the first frame of a process that is not a member.
 pub fn non_member_info(settings: &ProcessSettings) -> MemberInfo {
     MemberInfo {
         id: 0,
--- a/crates/replication/src/mirror/hosts.rs
+++ b/crates/replication/src/mirror/hosts.rs
@@ -1,47 +1,47 @@
-//! The hosts of a mirror, merged from the records of all origins.
+//! Hosts of a mirror, merged from the records of all origins.
 
 use crate::phase;
 use protocol::{Addr, HostRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The order in which hosts were first seen.
+/// Order in which hosts were first seen.
 #[derive(Clone, Default)]
 pub(super) struct Arrivals {
-    numbers: HashMap<String, u64>,
+    positions: HashMap<String, u64>,
     last: u64,
 }
 
 impl Arrivals {
     /// Records that a host was seen.
     pub(super) fn record(&mut self, host: &str) {
-        if !self.numbers.contains_key(host) {
+        if !self.positions.contains_key(host) {
             self.last += 1;
-            self.numbers.insert(host.to_owned(), self.last);
+            self.positions.insert(host.to_owned(), self.last);
         }
     }
 
-    /// Drops hosts that aren't known any more.
-    pub(super) fn retain(&mut self, known: impl Fn(&str) -> bool) {
-        self.numbers.retain(|host, _| known(host));
+    /// Drops hosts that are no longer known.
+    pub(super) fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
+        self.positions.retain(|host, _| is_known(host));
     }
 
-    /// The host's number; 0 if it was never seen.
-    fn number(&self, host: &str) -> u64 {
-        self.numbers.get(host).copied().unwrap_or_default()
+    /// Returns the host's position in the order, starting at 1; 0 if it was never seen.
+    fn position(&self, host: &str) -> u64 {
+        self.positions.get(host).copied().unwrap_or_default()
     }
 }
 
-/// Merges records to one for each host: the newest, with the phase that is the furthest in any record. A host that the
-/// replicated state has among `draining` is draining at least.
-pub(super) fn merged<'a>(
+/// Merges the records of all origins into one per host: the latest record, with the highest phase of any record. A host
+/// in `draining` has at least the phase [`phase::DRAINING`].
+pub(super) fn merge_hosts<'a>(
     records: impl Iterator<Item = &'a HostRecord>,
     draining: &BTreeSet<String>,
     arrivals: &Arrivals,
 ) -> BTreeMap<String, HostRecord> {
     let mut hosts: BTreeMap<String, HostRecord> = BTreeMap::new();
-    let mut furthest: HashMap<&str, u8> = HashMap::new();
-    for record in records.filter(|r| r.phase != phase::FORGOTTEN) {
-        let phase = furthest.entry(&record.id).or_default();
+    let mut highest_phases: HashMap<&str, u8> = HashMap::new();
+    for record in records.filter(|record| record.phase != phase::FORGOTTEN) {
+        let phase = highest_phases.entry(&record.id).or_default();
         *phase = (*phase).max(record.phase);
         match hosts.get(&record.id) {
             Some(known)
@@ -53,7 +53,10 @@
         }
     }
     for (id, record) in &mut hosts {
-        record.phase = furthest.get(id.as_str()).copied().unwrap_or(record.phase);
+        record.phase = highest_phases
+            .get(id.as_str())
+            .copied()
+            .unwrap_or(record.phase);
         if draining.contains(id) {
             record.phase = record.phase.max(phase::DRAINING);
         }
@@ -62,7 +65,7 @@
     hosts
 }
 
-/// How likely a host is the present owner of its address. Fields are compared in this order.
+/// Ranking of a host as the current owner of its address. Fields are compared in the order of declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AddressClaim {
     is_up: bool,
@@ -76,13 +79,13 @@
         Self {
             is_up: record.phase < phase::GONE,
             has_heartbeat: !record.heartbeat_expired,
-            arrival: arrivals.number(&record.id),
+            arrival: arrivals.position(&record.id),
             id: record.id.clone(),
         }
     }
 }
 
-/// Marks all but the newest host at each address as gone: an address is reused only after its host has ended.
+/// Marks all but the newest host at each address as gone, since an address is reused only after its host has ended.
 fn keep_newest_at_each_address(hosts: &mut BTreeMap<String, HostRecord>, arrivals: &Arrivals) {
     let mut newest: HashMap<Addr, AddressClaim> = HashMap::new();
     for record in hosts.values() {
--- a/crates/replication/src/mirror/mod.rs
+++ b/crates/replication/src/mirror/mod.rs
@@ -1,4 +1,4 @@
-//! The mirror: a process's copy of what the control plane publishes.
+//! Mirror: a process's copy of the state that the control plane publishes.
 
 mod hosts;
 mod origins;
@@ -17,29 +17,29 @@
 use std::time::Duration;
 use unconfirmed::Unconfirmed;
 
-/// The low bits of [`ControlPlaneInfo::version`] that count changes within one epoch.
+/// Number of low bits of [`ControlPlaneInfo::version`] that count changes within one epoch.
 const CHANGE_NUMBER_BITS: u32 = 16;
 
-/// All that a mirror shows at one moment.
+/// Everything that a mirror shows at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// Index of the last change of the replicated state.
     pub index: u64,
-    /// The configuration; its version is 0 if none has come yet.
+    /// Configuration; its version is 0 if none has arrived yet.
     pub configuration: Arc<Configuration>,
-    /// Hosts by id, merged from all origins and the draining hosts; see [`crate::phase`].
+    /// Hosts by id, merged from all origins and the draining hosts. See [`crate::phase`].
     pub hosts: BTreeMap<String, HostRecord>,
     /// Names of the coordinators that pull now, merged from all origins.
     pub coordinators: BTreeSet<String>,
-    /// Where the coordinators' proxies take prompt placements, by machine name.
+    /// Addresses on which the coordinators' proxies accept prompt placements, by machine name.
     pub hints_addrs: BTreeMap<String, Addr>,
-    /// Ids of the hosts that the replicated state has as draining or gone.
+    /// Ids of the hosts that are draining or gone according to the replicated state.
     pub draining_hosts: Arc<BTreeSet<String>>,
-    /// The members of the control plane.
+    /// Members of the control plane.
     pub control_plane: ControlPlaneInfo,
 }
 
-/// The configuration version that a mirror shows. Both fields are 0 while a configuration is withheld.
+/// Configuration version that a mirror shows. Both fields are 0 while a configuration is withheld.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VisibleVersion {
     /// Version of the configuration.
@@ -48,7 +48,8 @@
     pub index: u64,
 }
 
-/// The mirror. It takes only what is newer than what it has, and tells each puller exactly what that one lacks.
+/// Copy of the published state. It applies only what is newer than its content, and sends each puller exactly what that
+/// puller lacks.
 #[derive(Clone)]
 pub struct Mirror {
     member_id: u64,
@@ -56,24 +57,24 @@
     state: StateMirror,
     origins: Origins,
     control_plane: ControlPlaneInfo,
-    /// Nothing committed before this time is missing here, in ns of this process's clock. It is negative for a time
-    /// before the process started, as a contact with the primary that others had may be older than this process.
+    /// Time up to which no committed change is missing here, in ns of this process's clock. It is negative for a time
+    /// before the process started, as another process may have had its contact with the primary before then.
     confirmed_at_ns: Option<i64>,
     unconfirmed: Unconfirmed,
-    /// What [`Mirror::next_tick`] found last, and at which generation: finding it looks at every record.
+    /// Last result of [`Mirror::next_tick`] and its generation. Computing it visits every record.
     cached_next_tick: Cell<Option<(u64, Option<Duration>)>>,
 }
 
 const NANOSECONDS_PER_MS: i64 = 1_000_000;
 
-/// A time of this process's clock in ns.
-fn nanoseconds(time: Duration) -> i64 {
+/// Converts a time of this process's clock to ns.
+fn to_nanoseconds(time: Duration) -> i64 {
     i64::try_from(time.as_nanos()).unwrap_or(i64::MAX)
 }
 
 impl Mirror {
-    /// Creates an empty mirror. `member_id` is 0 for a process that is no member; `heartbeat_period` is the time between
-    /// two heartbeats of a host.
+    /// Creates an empty mirror. `member_id` is 0 for a process that is not a member; `heartbeat_period` is the interval
+    /// between two heartbeats of a host.
     pub fn new(member_id: u64, heartbeat_period: Duration) -> Self {
         Self {
             member_id,
@@ -87,22 +88,22 @@
         }
     }
 
-    /// Keeps no older configurations, for a process that nobody pulls from.
+    /// Disables the history of configurations, for a process from which nobody pulls.
     pub fn without_history(mut self) -> Self {
         self.state.disable_history();
         self
     }
 
-    /// Withholds an unconfirmed configuration, for a process that starts with nothing. A configuration is unconfirmed
-    /// if its member's age is above [`STALE_AGE_MS`] or unknown. It is shown once a member in contact with a primary
-    /// has answered, or after [`CONFIRMATION_TIMEOUT`](crate::CONFIRMATION_TIMEOUT), or when all members have answered
-    /// that they have no contact ([`Mirror::show_unconfirmed`]). The newest that has come is shown then.
+    /// Withholds an unconfirmed configuration, for a process that starts without state. A configuration is unconfirmed
+    /// if the age of the sending member is above [`STALE_AGE_MS`] or unknown. The latest one received is shown once a
+    /// member in contact with a primary has answered, after [`CONFIRMATION_TIMEOUT`](crate::CONFIRMATION_TIMEOUT), or
+    /// when all members have answered that they have no contact ([`Mirror::show_unconfirmed`]).
     pub fn withholding_unconfirmed(mut self) -> Self {
         self.unconfirmed = Unconfirmed::Awaited;
         self
     }
 
-    /// Shows a withheld configuration: no member that can be reached knows better.
+    /// Shows a withheld configuration, as no reachable member knows of a newer one.
     pub fn show_unconfirmed(&mut self) {
         if self.unconfirmed.is_withholding() {
             self.unconfirmed.show();
@@ -110,12 +111,12 @@
         }
     }
 
-    /// Sets this process's member id, where it becomes known only after the mirror was created.
+    /// Sets this process's member id, for a process that learns it only after the mirror was created.
     pub fn set_member(&mut self, member_id: u64) {
         self.member_id = member_id;
     }
 
-    /// Rises with each change of what [`Mirror::snapshot`] shows.
+    /// Returns the generation, which rises with each change of the content of [`Mirror::snapshot`].
     pub fn generation(&self) -> u64 {
         self.generation
     }
@@ -125,12 +126,12 @@
         self.state.index
     }
 
-    /// The newest configuration, also while it is withheld; its version is 0 if none has come yet.
+    /// Returns the latest configuration, even while it is withheld; its version is 0 if none has arrived yet.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.state.configuration
     }
 
-    /// The configuration version that is shown.
+    /// Returns the configuration version that is shown.
     pub fn visible_version(&self) -> VisibleVersion {
         if self.unconfirmed.is_withholding() {
             return VisibleVersion::default();
@@ -141,35 +142,35 @@
         }
     }
 
-    /// The members of the control plane.
+    /// Members of the control plane.
     pub fn control_plane(&self) -> &ControlPlaneInfo {
         &self.control_plane
     }
 
-    /// Estimates how many coordinators pull now: the origins' counts, divided by the number of members that each
-    /// coordinator pulls from.
+    /// Estimates how many coordinators pull now: the sum of the origins' counts, divided by the number of members from
+    /// which each coordinator pulls.
     pub fn coordinator_estimate(&self) -> usize {
-        self.origins.coordinators()
+        self.origins.coordinator_estimate()
     }
 
-    /// For how long, at most, this process may have missed committed changes, in ms; [`AGE_UNKNOWN`] if it has had no
-    /// contact with a primary, direct or through others.
+    /// Returns an upper bound of the time for which this process may have missed committed changes, in ms;
+    /// [`AGE_UNKNOWN`] if it has had no contact with a primary, direct or through others.
     pub fn age_ms(&self, now: Duration) -> u32 {
         match self.confirmed_at_ns {
             Some(at) => {
-                let age = nanoseconds(now).saturating_sub(at).max(0) / NANOSECONDS_PER_MS;
+                let age = to_nanoseconds(now).saturating_sub(at).max(0) / NANOSECONDS_PER_MS;
                 u32::try_from(age).unwrap_or(AGE_UNKNOWN)
             }
             None => AGE_UNKNOWN,
         }
     }
 
-    /// Records a contact with the primary: nothing committed before `at` is missing here.
+    /// Records a contact with the primary: no change committed before `at` is missing here.
     pub fn record_primary_contact(&mut self, at: Duration) {
-        self.confirmed_at_ns = self.confirmed_at_ns.max(Some(nanoseconds(at)));
+        self.confirmed_at_ns = self.confirmed_at_ns.max(Some(to_nanoseconds(at)));
     }
 
-    /// Takes the committed state from this process's own replica. Returns whether it was newer.
+    /// Sets the committed state of this process's own replica. Returns whether it was newer.
     pub fn set_replicated_state<'a>(
         &mut self,
         index: u64,
@@ -178,20 +179,21 @@
     ) -> bool {
         let draining_hosts = draining_hosts.into_iter().cloned().collect();
         let newer = self.state.set(index, configuration, draining_hosts);
-        self.changed(newer)
+        self.bump_generation_if(newer)
     }
 
-    /// Takes the control plane's members as this process itself knows them: those of a higher epoch, or a change within
-    /// the epoch if this process is the primary. Other processes learn of it by their pulls. Returns whether it was new.
+    /// Sets the control plane's members as known to this process itself: those of a higher epoch, or a change within
+    /// the epoch if this process is the primary. Other processes learn of that change by their pulls. Returns whether
+    /// it was new.
     pub fn set_control_plane(
         &mut self,
         epoch: u64,
         primary: u64,
         members: Vec<protocol::MemberInfo>,
     ) -> bool {
-        let base = epoch.saturating_mul(1 << CHANGE_NUMBER_BITS).max(1);
-        let version = if base > self.control_plane.version {
-            base
+        let first_version = epoch.saturating_mul(1 << CHANGE_NUMBER_BITS).max(1);
+        let version = if first_version > self.control_plane.version {
+            first_version
         } else if epoch == self.control_plane.epoch
             && primary == self.member_id
             && self.control_plane.members != members
@@ -206,23 +208,23 @@
             primary,
             members,
         };
-        self.changed(true)
+        self.bump_generation_if(true)
     }
 
-    /// Raises the generation if `changed`, and returns `changed`.
-    fn changed(&mut self, changed: bool) -> bool {
+    /// Raises the generation if `changed` is true, and returns `changed`.
+    fn bump_generation_if(&mut self, changed: bool) -> bool {
         self.generation += u64::from(changed);
         changed
     }
 
-    /// Applies what is newer than what is here. Returns whether something was.
+    /// Applies the parts of an update that are newer than the content. Returns whether there were any.
     pub fn apply(&mut self, now: Duration, update: &Update) -> bool {
         let before = self.generation;
-        let mut complete = true;
+        let mut all_applied = true;
         if let Some(configuration) = &update.configuration {
             let applied = self.state.apply(configuration, update.tenants.as_ref());
-            complete = applied != Applied::Missing;
-            let is_newer = self.changed(applied == Applied::Newer);
+            all_applied = applied != Applied::BaseMismatch;
+            let is_newer = self.bump_generation_if(applied == Applied::Newer);
             if is_newer && update.age_ms > STALE_AGE_MS {
                 self.unconfirmed.on_unconfirmed(now);
             }
@@ -232,42 +234,42 @@
         }
         for origin in &update.origins {
             let newer = self.origins.apply(now, origin);
-            self.changed(newer);
+            self.bump_generation_if(newer);
         }
         if let Some(control_plane) = update
             .control_plane
             .as_ref()
-            .filter(|c| c.version > self.control_plane.version)
+            .filter(|received| received.version > self.control_plane.version)
         {
             self.control_plane = control_plane.clone();
-            self.changed(true);
+            self.bump_generation_if(true);
         }
-        if complete {
-            self.take_age(now, update.age_ms);
+        if all_applied {
+            self.adopt_age(now, update.age_ms);
         }
         self.generation != before
     }
 
-    /// Takes over the age of a sender whose records are now all here.
-    fn take_age(&mut self, now: Duration, age_ms: u32) {
+    /// Takes over the age of a sender once all its records are applied here.
+    fn adopt_age(&mut self, now: Duration, age_ms: u32) {
         if age_ms <= STALE_AGE_MS {
             let shown = self.unconfirmed.show();
-            self.changed(shown);
+            self.bump_generation_if(shown);
         }
         if age_ms != AGE_UNKNOWN {
-            let at = nanoseconds(now).saturating_sub(i64::from(age_ms) * NANOSECONDS_PER_MS);
+            let at = to_nanoseconds(now).saturating_sub(i64::from(age_ms) * NANOSECONDS_PER_MS);
             self.confirmed_at_ns = self.confirmed_at_ns.max(Some(at));
         }
     }
 
-    /// Removes an origin. Its hosts stay for a few heartbeat periods, so that they can call another member. The origin
-    /// comes back only with a new incarnation or, within that time, with a new change.
+    /// Removes an origin. Its hosts are kept for a few heartbeat periods, so that they can call another member. The
+    /// origin returns only with a new incarnation or, within that time, with a new change.
     pub fn remove_origin(&mut self, now: Duration, member_id: u64) {
         let is_new = self.origins.remove(now, member_id);
-        self.changed(is_new);
+        self.bump_generation_if(is_new);
     }
 
-    /// Drops records whose time is over. Returns whether the snapshot changed.
+    /// Drops expired records. Returns whether the snapshot changed.
     pub fn tick(&mut self, now: Duration) -> bool {
         self.cached_next_tick.set(None);
         let before = self.generation;
@@ -275,11 +277,11 @@
             self.show_unconfirmed();
         }
         let dropped = self.origins.tick(now);
-        self.changed(dropped);
+        self.bump_generation_if(dropped);
         self.generation != before
     }
 
-    /// When [`Mirror::tick`] next has something to do.
+    /// Returns the time at which [`Mirror::tick`] next has something to do.
     pub fn next_tick(&self) -> Option<Duration> {
         if let Some((generation, next_tick)) = self.cached_next_tick.get() {
             if generation == self.generation {
@@ -297,14 +299,15 @@
         next_tick
     }
 
-    /// How far this mirror has the records of each origin, for a pull.
+    /// Returns the version of each origin held here, for a pull.
     pub fn version_vector(&self) -> Vec<OriginVersion> {
         self.origins.version_vector()
     }
 
-    /// The pull that asks for what this mirror lacks.
+    /// Returns the pull that requests what this mirror lacks.
     pub fn pull(&self, subscriber: &Subscriber, wait_ms: u32) -> Pull {
-        // A confirmation of the withheld configuration is no update, so no answer would come before the wait is over.
+        // A confirmation of the withheld configuration is not an update, so a waiting pull would delay it until the
+        // wait is over.
         let wait_ms = if self.unconfirmed.is_withholding() {
             0
         } else {
@@ -320,7 +323,7 @@
         }
     }
 
-    /// An update that tells this mirror's age and nothing else.
+    /// Returns an update that contains only this mirror's age.
     pub fn empty_update(&self, now: Duration) -> Update {
         Update {
             member: self.member_id,
@@ -329,7 +332,7 @@
         }
     }
 
-    /// Exactly what the puller lacks; `None` if it lacks nothing.
+    /// Returns exactly what the puller lacks; `None` if it lacks nothing.
     pub fn update_for(&self, now: Duration, pull: &Pull) -> Option<Update> {
         let mut update = self.empty_update(now);
         if self.state.index > pull.index && !self.unconfirmed.is_withholding() {
@@ -346,8 +349,8 @@
         (!update.is_empty()).then_some(update)
     }
 
-    /// The highest known incarnation of a member that supersedes `incarnation`: it is later, or `incarnation` itself is
-    /// known to be closed.
+    /// Returns the highest known incarnation of a member that supersedes `incarnation`: a later one, or `incarnation`
+    /// itself if it is known to be closed.
     pub fn superseding_incarnation(&self, member_id: u64, incarnation: u64) -> Option<u64> {
         self.origins.superseding_incarnation(member_id, incarnation)
     }
@@ -355,18 +358,18 @@
     /// Records incarnations in a puller's version vector that are newer than those known here.
     pub fn observe_incarnations(&mut self, version_vector: &[OriginVersion]) {
         let has_newer = self.origins.observe_incarnations(version_vector);
-        self.changed(has_newer);
+        self.bump_generation_if(has_newer);
     }
 
-    /// The newest record of a host among all origins but the member `own_id`.
+    /// Returns the latest record of a host among all origins except the member `own_id`.
     pub fn host_at_other_origins(&self, own_id: u64, host: &str) -> Option<&HostRecord> {
-        self.origins.host_at_others(own_id, host)
+        self.origins.host_at_other_origins(own_id, host)
     }
 
-    /// All that is shown now. Merges the records of all origins, which costs as much as there are records.
+    /// Returns everything that is shown now. Merges the records of all origins, so the cost grows with their number.
     pub fn snapshot(&self) -> Snapshot {
         let (index, configuration, draining_hosts) = self.visible_state();
-        let hosts = hosts::merged(
+        let hosts = hosts::merge_hosts(
             self.origins.hosts(),
             &draining_hosts,
             self.origins.arrivals(),
--- a/crates/replication/src/mirror/origins.rs
+++ b/crates/replication/src/mirror/origins.rs
@@ -1,4 +1,4 @@
-//! The origins in a mirror: the records of hosts and coordinators that each member has, by incarnation.
+//! Origins in a mirror: the records of hosts and coordinators held by each member, by incarnation.
 
 use super::hosts::Arrivals;
 use crate::phase;
@@ -7,32 +7,32 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// How long tombstones and records of what is gone are kept.
+/// Retention time of tombstones and of records of hosts and coordinators that are gone.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// For how many heartbeat periods a closed incarnation keeps its hosts.
-const CLOSING_HEARTBEATS: u32 = 4;
+/// Retention of a closed incarnation's hosts, in heartbeat periods.
+const CLOSED_RETENTION_HEARTBEATS: u32 = 4;
 
-/// In a version vector: the process wants nothing more of this incarnation or earlier ones.
-const WANTS_NOTHING: u64 = u64::MAX;
+/// Sequence number in a version vector by which a process asks for no more records of this incarnation or earlier ones.
+const NO_MORE_RECORDS: u64 = u64::MAX;
 
-/// A record with what is needed to hand it on.
+/// Record with the data needed to pass it on.
 #[derive(Clone)]
 struct StoredRecord<T> {
     record: T,
-    /// Sequence number of the origin's change that brought it, or a later one.
+    /// Sequence number of the origin's change that brought the record, or a later one.
     sequence: u64,
-    /// Since when it says that its subject is gone, or is a tombstone.
+    /// Time since which the record is a tombstone or says that its subject is gone.
     removed_at: Option<Duration>,
 }
 
-/// The records of one incarnation of an origin.
+/// Records of one incarnation of an origin.
 #[derive(Clone, Default)]
 struct OriginState {
     sequence: u64,
-    /// A puller with a lower sequence number gets all records: what was removed since isn't known any more.
+    /// Sequence number below which a puller gets all records, as removals since then are no longer known.
     complete_from: u64,
-    /// Since when the incarnation is closed: the member has a later one or was removed.
+    /// Time at which the incarnation was closed: the member has a later one or was removed.
     closed_at: Option<Duration>,
     hosts: HashMap<String, StoredRecord<HostRecord>>,
     coordinators: BTreeMap<String, StoredRecord<CoordinatorRecord>>,
@@ -41,13 +41,13 @@
 /// All known origins.
 #[derive(Clone)]
 pub(super) struct Origins {
-    /// Time between a host's heartbeats.
+    /// Interval between two heartbeats of a host.
     heartbeat_period: Duration,
-    /// By member id and incarnation.
+    /// Records by member id and incarnation.
     incarnations: BTreeMap<(u64, u64), OriginState>,
-    /// Removed origins, by member id: up to which incarnation. Pullers are told.
+    /// Removed origins: by member id, the incarnation up to which the origin was removed. Pullers are told of them.
     removed: BTreeMap<u64, u64>,
-    /// Dropped incarnations, by member id: nothing of this incarnation or earlier ones is taken any more.
+    /// Dropped incarnations: by member id, the incarnation up to which no updates are accepted any longer.
     tombstones: BTreeMap<u64, u64>,
     arrivals: Arrivals,
 }
@@ -64,48 +64,53 @@
     }
 
     fn open_incarnations(&self) -> impl Iterator<Item = &OriginState> {
-        self.incarnations.values().filter(|s| s.closed_at.is_none())
+        self.incarnations
+            .values()
+            .filter(|origin| origin.closed_at.is_none())
     }
 
     /// Estimates how many coordinators pull now.
-    pub(super) fn coordinators(&self) -> usize {
-        let records: usize = self.open_incarnations().map(|s| s.coordinators.len()).sum();
+    pub(super) fn coordinator_estimate(&self) -> usize {
+        let records: usize = self
+            .open_incarnations()
+            .map(|origin| origin.coordinators.len())
+            .sum();
         records / self.open_incarnations().count().clamp(1, MEMBERS_PER_AGENT)
     }
 
-    /// The coordinators that pull now, from all incarnations that aren't closed.
+    /// Returns the records of the coordinators that pull now, from all incarnations that aren't closed.
     pub(super) fn pulling_coordinators(&self) -> impl Iterator<Item = &CoordinatorRecord> {
         self.open_incarnations()
-            .flat_map(|s| s.coordinators.values())
-            .filter(|k| !k.record.gone)
-            .map(|k| &k.record)
+            .flat_map(|origin| origin.coordinators.values())
+            .filter(|stored| !stored.record.gone)
+            .map(|stored| &stored.record)
     }
 
-    /// All records of hosts.
+    /// Returns all records of hosts.
     pub(super) fn hosts(&self) -> impl Iterator<Item = &HostRecord> {
         self.incarnations
             .values()
-            .flat_map(|s| s.hosts.values())
-            .map(|k| &k.record)
+            .flat_map(|origin| origin.hosts.values())
+            .map(|stored| &stored.record)
     }
 
-    /// The order in which hosts were first seen.
+    /// Returns the order in which hosts were first seen.
     pub(super) fn arrivals(&self) -> &Arrivals {
         &self.arrivals
     }
 
-    /// The newest record of a host among all origins but the member `own_id`.
-    pub(super) fn host_at_others(&self, own_id: u64, host: &str) -> Option<&HostRecord> {
+    /// Returns the latest record of a host among all origins except the member `own_id`.
+    pub(super) fn host_at_other_origins(&self, own_id: u64, host: &str) -> Option<&HostRecord> {
         let others = self
             .incarnations
             .iter()
             .filter(|((id, _), _)| *id != own_id);
         let records = others
-            .filter_map(|(_, s)| s.hosts.get(host))
-            .map(|k| &k.record);
+            .filter_map(|(_, origin)| origin.hosts.get(host))
+            .map(|stored| &stored.record);
         records
-            .filter(|r| r.phase != phase::FORGOTTEN)
-            .max_by_key(|r| r.call_seq)
+            .filter(|record| record.phase != phase::FORGOTTEN)
+            .max_by_key(|record| record.call_seq)
     }
 
     /// Applies an origin's update. Returns whether it was newer.
@@ -118,7 +123,7 @@
         if self
             .tombstones
             .get(&member_id)
-            .is_some_and(|upto| incarnation <= *upto)
+            .is_some_and(|up_to| incarnation <= *up_to)
         {
             return false;
         }
@@ -138,14 +143,14 @@
             .incarnations
             .entry((member_id, incarnation))
             .or_default();
-        // Who still makes changes isn't gone for good.
+        // An origin that still makes changes wasn't removed for good.
         origin.closed_at = newest
-            .filter(|n| *n > incarnation)
+            .filter(|newest| *newest > incarnation)
             .and(origin.closed_at.or(Some(now)));
         if origin.closed_at.is_none() {
             self.removed.remove(&member_id);
         }
-        origin.take(now, update, &mut self.arrivals);
+        origin.apply(now, update, &mut self.arrivals);
         true
     }
 
@@ -156,7 +161,8 @@
             .map(|((_, incarnation), _)| *incarnation)
     }
 
-    /// The highest known incarnation of a member that is later than `incarnation`, or that makes it a closed one.
+    /// Returns the highest known incarnation of a member that is later than `incarnation`, or that marks `incarnation`
+    /// as closed.
     pub(super) fn superseding_incarnation(&self, id: u64, incarnation: u64) -> Option<u64> {
         let newer = self
             .newest_incarnation(id)
@@ -165,31 +171,33 @@
             .tombstones
             .get(&id)
             .copied()
-            .filter(|upto| *upto >= incarnation);
+            .filter(|up_to| *up_to >= incarnation);
         newer.max(tombstones)
     }
 
-    /// Records incarnations in a puller's version vector that are newer than those known here, without records: their
-    /// members have to learn of them. Returns whether there were any.
+    /// Records incarnations in a puller's version vector that are newer than those known here, without records, so that
+    /// their members learn of them. Returns whether there were any.
     pub(super) fn observe_incarnations(&mut self, version_vector: &[OriginVersion]) -> bool {
-        let mut heard = false;
-        for mark in version_vector
+        let mut has_newer = false;
+        for version in version_vector
             .iter()
-            .filter(|mark| mark.sequence != WANTS_NOTHING)
+            .filter(|version| version.sequence != NO_MORE_RECORDS)
         {
             if self
-                .newest_incarnation(mark.member_id)
-                .is_some_and(|newest| newest < mark.incarnation)
+                .newest_incarnation(version.member_id)
+                .is_some_and(|newest| newest < version.incarnation)
             {
-                self.incarnations
-                    .insert((mark.member_id, mark.incarnation), OriginState::default());
-                heard = true;
+                self.incarnations.insert(
+                    (version.member_id, version.incarnation),
+                    OriginState::default(),
+                );
+                has_newer = true;
             }
         }
-        heard
+        has_newer
     }
 
-    /// Removes an origin. Returns whether that is new.
+    /// Removes an origin. Returns whether the removal is new.
     pub(super) fn remove(&mut self, now: Duration, id: u64) -> bool {
         let Some(incarnation) = self.newest_incarnation(id) else {
             return false;
@@ -197,7 +205,7 @@
         if self
             .removed
             .get(&id)
-            .is_some_and(|upto| incarnation <= *upto)
+            .is_some_and(|up_to| incarnation <= *up_to)
         {
             return false;
         }
@@ -208,48 +216,55 @@
         true
     }
 
-    /// Drops records and incarnations whose time is over. Returns whether hosts may have changed.
+    /// Drops expired records and incarnations. Returns whether the hosts may have changed.
     pub(super) fn tick(&mut self, now: Duration) -> bool {
-        let tombstones = self.drop_closed_incarnations(now);
-        let forgotten = self.drop_expired(now);
-        if tombstones || forgotten {
+        let dropped_incarnations = self.drop_closed_incarnations(now);
+        let dropped_hosts = self.drop_expired(now);
+        if dropped_incarnations || dropped_hosts {
             let incarnations = &self.incarnations;
-            self.arrivals
-                .retain(|id| incarnations.values().any(|s| s.hosts.contains_key(id)));
+            self.arrivals.retain(|id| {
+                incarnations
+                    .values()
+                    .any(|origin| origin.hosts.contains_key(id))
+            });
         }
-        tombstones || forgotten
+        dropped_incarnations || dropped_hosts
     }
 
-    /// Drops incarnations that have been closed for long enough. Returns whether there were any.
+    /// Drops incarnations that have been closed for the retention time. Returns whether there were any.
     fn drop_closed_incarnations(&mut self, now: Duration) -> bool {
-        let closed_at = self.heartbeat_period * CLOSING_HEARTBEATS;
-        let ended: Vec<(u64, u64)> = self
+        let closed_retention = self.heartbeat_period * CLOSED_RETENTION_HEARTBEATS;
+        let expired: Vec<(u64, u64)> = self
             .incarnations
             .iter()
-            .filter(|(_, s)| s.closed_at.is_some_and(|at| now >= at + closed_at))
-            .map(|(k, _)| *k)
+            .filter(|(_, origin)| {
+                origin
+                    .closed_at
+                    .is_some_and(|at| now >= at + closed_retention)
+            })
+            .map(|(key, _)| *key)
             .collect();
-        for (id, incarnation) in &ended {
+        for (id, incarnation) in &expired {
             self.incarnations.remove(&(*id, *incarnation));
-            let upto = self.tombstones.entry(*id).or_default();
-            *upto = (*upto).max(*incarnation);
+            let up_to = self.tombstones.entry(*id).or_default();
+            *up_to = (*up_to).max(*incarnation);
         }
-        !ended.is_empty()
+        !expired.is_empty()
     }
 
-    /// Drops tombstones and records of what is gone. Returns whether a gone host was among them.
+    /// Drops expired tombstones and records of what is gone. Returns whether a gone host was among them.
     fn drop_expired(&mut self, now: Duration) -> bool {
         let mut gone: Vec<(String, u64)> = Vec::new();
         for origin in self.incarnations.values_mut() {
             origin.drop_expired(now, &mut gone);
         }
-        // A host that is gone for long doesn't come back by what an older record said elsewhere.
+        // An older record at another origin must not bring back a host that has long been gone.
         for (id, call_seq) in &gone {
             for origin in self.incarnations.values_mut() {
                 if origin
                     .hosts
                     .get(id)
-                    .is_some_and(|k| k.record.call_seq <= *call_seq)
+                    .is_some_and(|stored| stored.record.call_seq <= *call_seq)
                 {
                     origin.hosts.remove(id);
                 }
@@ -258,54 +273,60 @@
         !gone.is_empty()
     }
 
-    /// When [`Origins::tick`] next has something to do. Looks at every record.
+    /// Returns the time at which [`Origins::tick`] next has something to do. Visits every record.
     pub(super) fn next_tick(&self) -> Option<Duration> {
-        let closed_at = self.heartbeat_period * CLOSING_HEARTBEATS;
-        let of = |s: &OriginState| {
-            let hosts = s.hosts.values().filter_map(|k| k.removed_at);
-            let removed_at = hosts
-                .chain(s.coordinators.values().filter_map(|k| k.removed_at))
+        let closed_retention = self.heartbeat_period * CLOSED_RETENTION_HEARTBEATS;
+        let next_expiry = |origin: &OriginState| {
+            let hosts = origin.hosts.values().filter_map(|stored| stored.removed_at);
+            let first_removed_at = hosts
+                .chain(
+                    origin
+                        .coordinators
+                        .values()
+                        .filter_map(|stored| stored.removed_at),
+                )
                 .min();
-            s.closed_at
-                .map(|at| at + closed_at)
+            origin
+                .closed_at
+                .map(|at| at + closed_retention)
                 .into_iter()
-                .chain(removed_at.map(|at| at + TOMBSTONE_RETENTION))
+                .chain(first_removed_at.map(|at| at + TOMBSTONE_RETENTION))
                 .min()
         };
-        self.incarnations.values().filter_map(of).min()
+        self.incarnations.values().filter_map(next_expiry).min()
     }
 
-    /// How far each origin is known, for a pull.
+    /// Returns the version of each known origin, for a pull.
     pub(super) fn version_vector(&self) -> Vec<OriginVersion> {
-        let open_incarnations =
-            self.incarnations
-                .iter()
-                .map(|((id, incarnation), s)| OriginVersion {
-                    member_id: *id,
-                    incarnation: *incarnation,
-                    sequence: s.sequence,
-                });
-        let ended = self
+        let known = self
+            .incarnations
+            .iter()
+            .map(|((id, incarnation), origin)| OriginVersion {
+                member_id: *id,
+                incarnation: *incarnation,
+                sequence: origin.sequence,
+            });
+        let dropped = self
             .tombstones
             .iter()
             .map(|(id, incarnation)| OriginVersion {
                 member_id: *id,
                 incarnation: *incarnation,
-                sequence: WANTS_NOTHING,
+                sequence: NO_MORE_RECORDS,
             });
-        let told = self
+        let closing = self
             .removed
             .iter()
             .filter(|(id, incarnation)| self.tombstones.get(id) != Some(*incarnation));
-        let removed = told.map(|(id, incarnation)| OriginVersion {
+        let removed = closing.map(|(id, incarnation)| OriginVersion {
             member_id: *id,
             incarnation: *incarnation,
-            sequence: WANTS_NOTHING,
+            sequence: NO_MORE_RECORDS,
         });
-        open_incarnations.chain(ended).chain(removed).collect()
+        known.chain(dropped).chain(removed).collect()
     }
 
-    /// What a puller with this version vector lacks: updates, and the ids of removed origins.
+    /// Returns what a puller with this version vector lacks: updates, and the ids of removed origins.
     pub(super) fn updates_since(
         &self,
         version_vector: &[OriginVersion],
@@ -335,11 +356,11 @@
     }
 }
 
-/// What a puller has, by its version vector.
+/// Records that a puller has, according to its version vector.
 struct KnownVersions {
     /// Sequence number by member id and incarnation.
     sequences: HashMap<(u64, u64), u64>,
-    /// By member id, the incarnation up to which the puller wants nothing more.
+    /// Incarnation, by member id, up to which the puller wants no more records.
     dropped: HashMap<u64, u64>,
 }
 
@@ -350,7 +371,7 @@
             dropped: HashMap::new(),
         };
         for version in version_vector {
-            if version.sequence == WANTS_NOTHING {
+            if version.sequence == NO_MORE_RECORDS {
                 let up_to = known.dropped.entry(version.member_id).or_default();
                 *up_to = (*up_to).max(version.incarnation);
             } else {
@@ -367,7 +388,7 @@
     }
 
     /// Whether the puller lacks records of this version. It doesn't if it has them, or if it has dropped this
-    /// incarnation or a later one and has nothing of this one.
+    /// incarnation or a later one and has no records of this one.
     fn lacks(&self, version: OriginVersion) -> bool {
         match self.sequence(version) {
             Some(sequence) => sequence < version.sequence,
@@ -378,7 +399,8 @@
         }
     }
 
-    /// Whether the puller has records of an origin that was removed up to this incarnation, and doesn't know of that.
+    /// Whether the puller has records of an origin that was removed up to this incarnation, and doesn't know of the
+    /// removal.
     fn lacks_removal(&self, member_id: u64, removed_up_to: u64) -> bool {
         let latest = self
             .sequences
@@ -396,18 +418,18 @@
 
 impl OriginState {
     /// Applies a newer update.
-    fn take(&mut self, now: Duration, update: &OriginUpdate, arrivals: &mut Arrivals) {
+    fn apply(&mut self, now: Duration, update: &OriginUpdate, arrivals: &mut Arrivals) {
         let sequence = update.version.sequence;
         if update.complete {
             self.drop_unlisted(update);
         }
         self.sequence = sequence;
-        // Who has called less often is taken for the younger one.
+        // Among hosts that arrive together, the one that has called less often counts as the newer one.
         let mut hosts: Vec<&HostRecord> = update.hosts.iter().collect();
-        hosts.sort_by_key(|r| std::cmp::Reverse(r.call_seq));
+        hosts.sort_by_key(|record| std::cmp::Reverse(record.call_seq));
         for record in hosts {
             let known = self.hosts.get(&record.id);
-            if known.is_some_and(|k| k.record == *record) {
+            if known.is_some_and(|stored| stored.record == *record) {
                 continue;
             }
             let removed_at = (record.phase >= phase::GONE).then_some(now);
@@ -423,7 +445,7 @@
         }
         for record in &update.coordinators {
             let known = self.coordinators.get(&record.name);
-            if known.is_some_and(|k| k.record == *record) {
+            if known.is_some_and(|stored| stored.record == *record) {
                 continue;
             }
             let removed_at = record.gone.then_some(now);
@@ -439,11 +461,11 @@
     }
 
     fn drop_unlisted(&mut self, update: &OriginUpdate) {
-        let hosts: HashSet<&str> = update.hosts.iter().map(|h| h.id.as_str()).collect();
+        let hosts: HashSet<&str> = update.hosts.iter().map(|host| host.id.as_str()).collect();
         let names: HashSet<&str> = update
             .coordinators
             .iter()
-            .map(|c| c.name.as_str())
+            .map(|coordinator| coordinator.name.as_str())
             .collect();
         let count = self.hosts.len() + self.coordinators.len();
         self.hosts.retain(|host, _| hosts.contains(host.as_str()));
@@ -454,31 +476,32 @@
         }
     }
 
-    /// Drops records whose retention is over. Adds id and last call of hosts that are gone to `gone`.
+    /// Drops records whose retention is over. Adds id and latest call of the gone hosts to `gone`.
     fn drop_expired(&mut self, now: Duration, gone: &mut Vec<(String, u64)>) {
-        let removed_at =
+        let is_expired =
             |at: &Option<Duration>| at.is_some_and(|at| now >= at + TOMBSTONE_RETENTION);
         let complete_from = &mut self.complete_from;
-        self.hosts.retain(|id, kept| {
-            if !removed_at(&kept.removed_at) {
+        self.hosts.retain(|id, stored| {
+            if !is_expired(&stored.removed_at) {
                 return true;
             }
-            *complete_from = (*complete_from).max(kept.sequence);
-            if kept.record.phase == phase::GONE {
-                gone.push((id.clone(), kept.record.call_seq));
+            *complete_from = (*complete_from).max(stored.sequence);
+            if stored.record.phase == phase::GONE {
+                gone.push((id.clone(), stored.record.call_seq));
             }
             false
         });
-        self.coordinators.retain(|_, kept| {
-            let keep = !removed_at(&kept.removed_at);
+        self.coordinators.retain(|_, stored| {
+            let keep = !is_expired(&stored.removed_at);
             if !keep {
-                *complete_from = (*complete_from).max(kept.sequence);
+                *complete_from = (*complete_from).max(stored.sequence);
             }
             keep
         });
     }
 
-    /// The records that a puller lacks which has changes up to `known_sequence`; all if it has none.
+    /// Returns the records that a puller lacks which has all changes up to `known_sequence`; all records if it has
+    /// none.
     fn update_since(&self, version: OriginVersion, known_sequence: Option<u64>) -> OriginUpdate {
         let complete = known_sequence.is_none_or(|sequence| sequence < self.complete_from);
         let since = if complete {
--- a/crates/replication/src/mirror/replicated_state.rs
+++ b/crates/replication/src/mirror/replicated_state.rs
@@ -1,27 +1,27 @@
-//! The replicated state in a mirror: the configuration and the draining hosts, and what of them a puller lacks.
+//! Replicated state in a mirror: the configuration and the draining hosts, and the parts of them that a puller lacks.
 
 use configuration::{Configuration, ConfigurationDelta, TenantsDelta};
 use protocol::{ConfigurationUpdate, TenantsUpdate};
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// The most past configurations that are kept, to tell pullers what changed since.
+/// Maximum number of configurations kept to compute the changes for pullers.
 const MAX_PAST_CONFIGURATIONS: usize = 32;
-/// The most bytes of JSON that the kept configurations may have in items that differ between them. The newest is kept
-/// whatever its length.
+/// Maximum size of the kept configurations, in bytes of JSON of the items that differ between them. The latest one is
+/// kept whatever its size.
 const MAX_HISTORY_BYTES: usize = 4 << 20;
-/// The most changes of the draining hosts that are kept, for each configuration that may be kept.
+/// Maximum number of kept changes of the draining hosts, per configuration that may be kept.
 const DRAINING_CHANGES_PER_CONFIGURATION: usize = 8;
 
-/// A configuration that is or was in force.
+/// Configuration that is or was in force.
 #[derive(Clone)]
 struct PastConfiguration {
     configuration: Arc<Configuration>,
-    /// Bytes of JSON of its items that the configuration before doesn't have.
+    /// Size of its items that the preceding configuration doesn't have, in bytes of JSON.
     bytes: usize,
 }
 
-/// What one or several changes of the replicated state did to the draining hosts.
+/// Effect of one or several changes of the replicated state on the draining hosts.
 #[derive(Clone)]
 struct DrainingChange {
     /// Index of the last of these changes.
@@ -30,41 +30,41 @@
     removed: Vec<String>,
 }
 
-/// How the draining hosts changed since an index.
+/// Changes of the draining hosts since an index.
 struct DrainingDelta {
-    /// Index that the changes add to; 0 if `added` are all draining hosts.
+    /// Index that the changes extend; 0 if `added` holds all draining hosts.
     base_index: u64,
     added: Vec<String>,
     removed: Vec<String>,
 }
 
-/// What became of update of the configuration.
+/// Result of applying an update of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Applied {
-    /// It was newer and has been applied.
+    /// The update was newer and has been applied.
     Newer,
-    /// All of it was here already.
+    /// The content was known already.
     Known,
-    /// It adds to a state that is not the one here, so it is still missing.
-    Missing,
+    /// The update extends another state than the one here, so it couldn't be applied.
+    BaseMismatch,
 }
 
-/// The replicated state as far as this process knows it to be committed.
+/// Replicated state, as far as this process knows it to be committed.
 #[derive(Clone)]
 pub(super) struct StateMirror {
     /// Index of the last change.
     pub(super) index: u64,
-    /// The configuration; its version is 0 if none has come yet.
+    /// Configuration; its version is 0 if none has arrived yet.
     pub(super) configuration: Arc<Configuration>,
-    /// Ids of hosts that are draining or removed.
+    /// Ids of hosts that are draining or gone.
     pub(super) draining_hosts: Arc<BTreeSet<String>>,
-    /// The latest configurations, the one in force last.
+    /// Latest configurations, the one in force last.
     history: VecDeque<PastConfiguration>,
-    /// The most configurations that `history` keeps.
+    /// Maximum length of `history`.
     max_history: usize,
-    /// An update couldn't be applied: the next pull asks for the whole configuration.
+    /// Whether an update couldn't be applied, so that the next pull asks for the whole configuration.
     needs_full_configuration: bool,
-    /// The latest changes of the draining hosts, each starting where the one before ends.
+    /// Latest changes of the draining hosts, each starting where the preceding one ends.
     draining_changes: VecDeque<DrainingChange>,
     /// Index at which the first of them starts.
     draining_floor: u64,
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Keeps no past configurations, as nobody pulls from this process.
+    /// Disables the history, for a process from which nobody pulls.
     pub(super) fn disable_history(&mut self) {
         self.max_history = 0;
     }
 
-    /// The configuration version that a pull names; 0 asks for the whole configuration.
+    /// Returns the configuration version for a pull; 0 asks for the whole configuration.
     pub(super) fn version_to_request(&self) -> u64 {
         if self.needs_full_configuration {
             0
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes a committed state. Returns whether it was newer.
+    /// Sets a committed state. Returns whether it was newer.
     pub(super) fn set(
         &mut self,
         index: u64,
@@ -109,7 +109,7 @@
             return false;
         }
         self.index = index;
-        self.remember(configuration);
+        self.set_configuration(configuration);
         let added = draining_hosts
             .difference(&self.draining_hosts)
             .cloned()
@@ -125,14 +125,17 @@
             removed,
         });
         while self.draining_changes.len() > self.max_history * DRAINING_CHANGES_PER_CONFIGURATION {
-            self.draining_floor = self.draining_changes.pop_front().map_or(index, |c| c.index);
+            self.draining_floor = self
+                .draining_changes
+                .pop_front()
+                .map_or(index, |change| change.index);
         }
         self.draining_hosts = Arc::new(draining_hosts);
         true
     }
 
-    /// Adds a configuration that is newer to the history, and drops what goes beyond the history's limits.
-    fn remember(&mut self, configuration: Arc<Configuration>) {
+    /// Sets a newer configuration and adds it to the history, which is then cut to its limits.
+    fn set_configuration(&mut self, configuration: Arc<Configuration>) {
         self.needs_full_configuration = false;
         if configuration.version <= self.configuration.version {
             return;
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Applies an update if it is newer and adds to the state that is here.
+    /// Applies an update if it is newer and extends the state that is here.
     pub(super) fn apply(
         &mut self,
         update: &ConfigurationUpdate,
@@ -161,29 +164,29 @@
             return Applied::Known;
         }
         let Some(draining_hosts) = self.draining_hosts_after(update) else {
-            return Applied::Missing;
+            return Applied::BaseMismatch;
         };
-        let Some(base) = self.base_of(update) else {
-            return Applied::Missing;
+        let Some(base) = self.base_for(update) else {
+            return Applied::BaseMismatch;
         };
         let configuration = if update.version == self.configuration.version {
             self.configuration.clone()
-        } else if let Ok(patched) = base.patched(&delta(update, tenants)) {
+        } else if let Ok(patched) = base.patched(&configuration_delta(update, tenants)) {
             Arc::new(patched)
         } else {
             self.needs_full_configuration = true;
-            return Applied::Missing;
+            return Applied::BaseMismatch;
         };
         if self.set(update.index, configuration, draining_hosts) {
             Applied::Newer
         } else {
-            Applied::Missing
+            Applied::BaseMismatch
         }
     }
 
-    /// The configuration that an update adds to; `None` if it is not the one here. An update that leaves the
-    /// configuration as it is adds to any.
-    fn base_of(&self, update: &ConfigurationUpdate) -> Option<Arc<Configuration>> {
+    /// Returns the configuration that an update extends; `None` if it isn't the one here. An update that doesn't change
+    /// the configuration extends any.
+    fn base_for(&self, update: &ConfigurationUpdate) -> Option<Arc<Configuration>> {
         let base = if update.base_version == 0 {
             Arc::default()
         } else {
@@ -193,7 +196,7 @@
         (leaves_configuration || update.base_version == base.version).then_some(base)
     }
 
-    /// The draining hosts that an update leads to; `None` if it adds to others than those here.
+    /// Returns the draining hosts after an update; `None` if it extends another state than the one here.
     fn draining_hosts_after(&self, update: &ConfigurationUpdate) -> Option<BTreeSet<String>> {
         let mut draining_hosts: BTreeSet<String> = match update.drains_base_index {
             0 => BTreeSet::new(),
@@ -207,9 +210,9 @@
         Some(draining_hosts)
     }
 
-    /// How the draining hosts changed since the change with index `since`.
+    /// Returns the changes of the draining hosts since the change with index `since`.
     fn draining_changes_since(&self, since: u64) -> DrainingDelta {
-        // Between two indexes that are kept, hosts may have come and gone whose changes aren't kept.
+        // Between two known indexes, hosts may have been added and removed again by changes that weren't kept.
         let is_kept = since == self.draining_floor
             || self
                 .draining_changes
@@ -242,7 +245,7 @@
         }
     }
 
-    /// What a puller lacks that has this configuration version and all changes up to `index`.
+    /// Returns what a puller lacks that has this configuration version and all changes up to `index`.
     pub(super) fn update_since(
         &self,
         version: u64,
@@ -279,8 +282,11 @@
     }
 }
 
-/// The change of the configuration in an update.
-fn delta(update: &ConfigurationUpdate, tenants: Option<&TenantsUpdate>) -> ConfigurationDelta {
+/// Converts an update to a change of the configuration.
+fn configuration_delta(
+    update: &ConfigurationUpdate,
+    tenants: Option<&TenantsUpdate>,
+) -> ConfigurationDelta {
     ConfigurationDelta {
         base_version: update.base_version,
         version: update.version,
--- a/crates/replication/src/mirror/unconfirmed.rs
+++ b/crates/replication/src/mirror/unconfirmed.rs
@@ -1,16 +1,17 @@
-//! A configuration from a member without contact to a primary, withheld while another member may know a newer one.
+//! Withholding of a configuration from a member without contact with a primary, while another member may have a newer
+//! one.
 
 use crate::timing::CONFIRMATION_TIMEOUT;
 use std::time::Duration;
 
-/// What becomes of an unconfirmed configuration: one that a member without contact to a primary sent.
+/// Treatment of an unconfirmed configuration: one sent by a member without contact with a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unconfirmed {
-    /// It is shown at once.
+    /// Shown at once.
     Shown,
-    /// It will be withheld; none has come yet.
+    /// To be withheld; none has arrived yet.
     Awaited,
-    /// One has come and is withheld until this time.
+    /// One has arrived and is withheld until this time.
     WithheldUntil(Duration),
 }
 
@@ -20,7 +21,7 @@
         self.deadline().is_some()
     }
 
-    /// Until when a configuration is withheld.
+    /// Returns the time until which a configuration is withheld.
     pub(super) fn deadline(self) -> Option<Duration> {
         match self {
             Self::WithheldUntil(at) => Some(at),
@@ -28,7 +29,7 @@
         }
     }
 
-    /// An unconfirmed configuration has come.
+    /// Records the arrival of an unconfirmed configuration.
     pub(super) fn on_unconfirmed(&mut self, now: Duration) {
         if *self == Self::Awaited {
             *self = Self::WithheldUntil(now + CONFIRMATION_TIMEOUT);
--- a/crates/replication/src/puller/link.rs
+++ b/crates/replication/src/puller/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one member, as the puller sees it.
+//! State of the connection to one member, as tracked by the puller.
 
 use crate::timing::INITIAL_BACKOFF;
 use std::time::Duration;
@@ -9,48 +9,48 @@
     Down(Duration),
     /// Connecting; fails at this time.
     Connecting(Duration),
-    /// A pull is out; fails without an answer at this time.
+    /// A pull is outstanding; fails without an answer at this time.
     Polling(Duration),
     /// Connected; pulls again at this time.
-    Resting(Duration),
+    Idle(Duration),
 }
 
 impl Phase {
-    /// When the phase ends if nothing comes of the connection.
+    /// Returns the time at which the phase ends unless an event on the connection ends it earlier.
     pub(super) fn deadline(self) -> Duration {
         match self {
-            Self::Down(at) | Self::Connecting(at) | Self::Polling(at) | Self::Resting(at) => at,
+            Self::Down(at) | Self::Connecting(at) | Self::Polling(at) | Self::Idle(at) => at,
         }
     }
 
-    /// Whether a connection or an answer has taken too long.
+    /// Whether the connection attempt or the answer has taken too long.
     pub(super) fn is_timed_out(self, now: Duration) -> bool {
         matches!(self, Self::Connecting(at) | Self::Polling(at) if now >= at)
     }
 }
 
-/// The connection to one member.
+/// Connection to one member.
 #[derive(Debug)]
 pub(super) struct Link {
     /// Number of the connection; 0 before the first.
     pub(super) number: u64,
     pub(super) phase: Phase,
-    /// How long to wait after the next failure.
+    /// Delay after the next failure.
     pub(super) backoff: Duration,
-    /// Whether the member has answered since the connection came up.
+    /// Whether the member has answered since the connection was established.
     pub(super) answered: bool,
     /// Whether the connection failed and the member hasn't answered since.
     pub(super) failed: bool,
-    /// Whether the latest answer was from a member without contact to a primary.
+    /// Whether the member had no contact with a primary at its latest answer.
     pub(super) stale: bool,
-    /// The member's id; 0 for an agent.
+    /// Member id; 0 for an agent.
     pub(super) member_id: u64,
-    /// When the latest pull was sent.
+    /// Time at which the latest pull was sent.
     pub(super) pulled_at: Duration,
 }
 
 impl Link {
-    /// A link that connects at once.
+    /// Creates a link that connects at once.
     pub(super) fn new(now: Duration) -> Self {
         Self {
             number: 0,
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn is_connected(&self) -> bool {
-        matches!(self.phase, Phase::Polling(_) | Phase::Resting(_))
+        matches!(self.phase, Phase::Polling(_) | Phase::Idle(_))
     }
 
     /// Whether the member answers.
@@ -73,7 +73,7 @@
         self.answered && !self.failed
     }
 
-    /// Whether the member answers and is in contact with a primary.
+    /// Whether the member is connected, answers, and is in contact with a primary.
     pub(super) fn can_be_preferred(&self) -> bool {
         self.answers() && !self.stale && self.is_connected()
     }
--- a/crates/replication/src/puller/mod.rs
+++ b/crates/replication/src/puller/mod.rs
@@ -1,4 +1,4 @@
-//! The puller: which members are pulled from, and when. A state machine without I/O.
+//! Puller: decides which members to pull from, and when. A state machine without I/O.
 
 mod link;
 
@@ -12,41 +12,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the client has to do.
+/// Action that the client must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Open a connection.
     Connect {
-        /// The link's number, never used twice.
+        /// Number of the new link, never reused.
         link: u64,
-        /// The member's address.
+        /// Address of the member.
         addr: Addr,
     },
     /// Send a pull.
     Pull {
-        /// The link.
+        /// Number of the link.
         link: u64,
-        /// How long the answer may wait for an update, in ms.
+        /// Longest time for which the answer may wait for an update, in ms.
         wait_ms: u32,
     },
-    /// Close the connection, or give up opening it.
+    /// Close the connection, or abort opening it.
     Close {
-        /// The link.
+        /// Number of the link.
         link: u64,
     },
 }
 
-/// Where a puller gets its updates.
+/// Sources of a puller's updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PullSummary {
     /// Address of the preferred member; `None` if no member that answers is in contact with a primary.
     pub preferred: Option<Addr>,
-    /// How many members answer without contact to a primary.
+    /// Number of members that answer without contact with a primary.
     pub stale: usize,
 }
 
-/// Picks the members to pull from by rendezvous hashing, and keeps one pull waiting at each. With
-/// [`Puller::preferring_one_member`] a pull waits at one of them only.
+/// Selection of the members to pull from, by rendezvous hashing. One pull waits at each of them; with
+/// [`Puller::preferring_one_member`], at one of them only.
 #[derive(Debug)]
 pub struct Puller {
     name: String,
@@ -55,13 +55,13 @@
     own_addr: Option<Addr>,
     seeds_only: bool,
     prefers_one: bool,
-    /// Pause after an update, by the number of coordinators.
+    /// Pause after an update, which depends on the number of coordinators.
     update_pause: Duration,
     seeds: Vec<Addr>,
-    /// The members' addresses, once they are known.
+    /// Addresses of the members, once they are known.
     members: Vec<Addr>,
-    /// All candidates, the first choice first.
-    order: Vec<Addr>,
+    /// All candidates, in order of preference.
+    candidates: Vec<Addr>,
     links: BTreeMap<Addr, Link>,
     last_link_number: u64,
 }
@@ -79,34 +79,35 @@
             update_pause: Duration::ZERO,
             seeds: Vec::new(),
             members: Vec::new(),
-            order: Vec::new(),
+            candidates: Vec::new(),
             links: BTreeMap::new(),
             last_link_number: 0,
         }
     }
 
-    /// Pulls from the seeds alone, whatever members become known. For a proxy, whose seed is its agent.
+    /// Restricts the puller to the seeds, whatever members become known. For a proxy, whose seed is its agent.
     pub fn seeds_only(mut self) -> Self {
         self.seeds_only = true;
         self
     }
 
-    /// Lets pulls wait at one member only, the preferred one: the first in the order that answers and is in contact with
-    /// a primary. The others are asked every [`STANDBY_POLL_INTERVAL`] for what that one hasn't told. Updates thus come
-    /// once, and a preferred member that is frozen or behind delays them by no more than that.
+    /// Lets pulls wait at one member only: the preferred one, which is the first in order of preference that answers
+    /// and is in contact with a primary. The others are polled every [`STANDBY_POLL_INTERVAL`] for updates that it
+    /// hasn't sent. Updates thus arrive once, and a preferred member that is frozen or behind delays them by no more
+    /// than that interval.
     pub fn preferring_one_member(mut self) -> Self {
         self.prefers_one = true;
         self
     }
 
-    /// Sets how many coordinators pull now, for the pause after an update.
+    /// Sets the number of coordinators that pull now, which determines the pause after an update.
     pub fn set_coordinators(&mut self, coordinators: usize) {
         if !self.seeds_only {
-            self.update_pause = UPDATE_PAUSE.with_coordinators(coordinators);
+            self.update_pause = UPDATE_PAUSE.for_coordinators(coordinators);
         }
     }
 
-    /// Some bytes of an answer came, so the answer gets more time.
+    /// Handles the arrival of some bytes of an answer, which gives the answer more time.
     pub fn partial_answer(&mut self, now: Duration, link: u64) {
         if let Some((_, known)) = self.open_link(link) {
             if let Phase::Polling(until) = &mut known.phase {
@@ -115,30 +116,31 @@
         }
     }
 
-    /// When the pull was sent whose answer a link waits for; `None` if there is none.
+    /// Returns the time at which the outstanding pull of a link was sent; `None` if there is none.
     pub fn pull_sent_at(&self, link: u64) -> Option<Duration> {
         let known = self.links.values().find(|known| known.number == link)?;
         matches!(known.phase, Phase::Polling(_)).then_some(known.pulled_at)
     }
 
-    /// Whether all known members have answered and none is in contact with a primary, so that none knows better.
+    /// Whether all known members have answered and none is in contact with a primary, so that none can confirm a newer
+    /// state.
     pub fn all_members_stale(&self) -> bool {
         let is_stale = |link: &Link| link.answers() && link.stale;
-        !self.order.is_empty()
+        !self.candidates.is_empty()
             && self
-                .order
+                .candidates
                 .iter()
                 .all(|addr| self.links.get(addr).is_some_and(is_stale))
     }
 
-    /// The preferred member's address; `None` if pulls wait at all members.
+    /// Returns the preferred member's address; `None` if there is none, so that pulls wait at all members.
     fn preferred(&self) -> Option<Addr> {
         if !self.prefers_one {
             return None;
         }
         let can_be_preferred =
             |addr: &&Addr| self.links.get(*addr).is_some_and(Link::can_be_preferred);
-        self.order.iter().find(can_be_preferred).copied()
+        self.candidates.iter().find(can_be_preferred).copied()
     }
 
     /// Whether pulls wait at one member only.
@@ -146,7 +148,7 @@
         self.prefers_one
     }
 
-    /// Where updates come from now.
+    /// Returns the current sources of updates.
     pub fn summary(&self) -> PullSummary {
         let is_stale = |link: &&Link| link.answers() && link.stale;
         PullSummary {
@@ -155,8 +157,8 @@
         }
     }
 
-    fn pull(&mut self, now: Duration, addr: Addr, waits: bool) -> Option<Action> {
-        let wait = if waits {
+    fn pull(&mut self, now: Duration, addr: Addr, is_long_poll: bool) -> Option<Action> {
+        let wait = if is_long_poll {
             self.pull_wait
         } else {
             Duration::ZERO
@@ -173,44 +175,44 @@
     /// Sets the seeds' addresses. [`Puller::tick`] acts on them.
     pub fn set_seeds(&mut self, seeds: &[Addr]) {
         self.seeds = seeds.to_vec();
-        self.reorder();
+        self.rank_candidates();
     }
 
     /// Sets the members' addresses. An empty list changes nothing. [`Puller::tick`] acts on them.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Addr>) {
-        let members: Vec<Addr> = members.into_iter().filter(|a| a.port != 0).collect();
+        let members: Vec<Addr> = members.into_iter().filter(|addr| addr.port != 0).collect();
         if !self.seeds_only && !members.is_empty() && members != self.members {
             self.members = members;
-            self.reorder();
+            self.rank_candidates();
         }
     }
 
-    fn reorder(&mut self) {
-        let all: BTreeSet<Addr> = self
+    fn rank_candidates(&mut self) {
+        let known_addrs: BTreeSet<Addr> = self
             .seeds
             .iter()
             .chain(&self.members)
             .copied()
-            .filter(|a| Some(*a) != self.own_addr)
+            .filter(|addr| Some(*addr) != self.own_addr)
             .collect();
-        self.order = ranked(&self.name, all, |a| {
-            let mut bytes = a.ip.to_be_bytes().to_vec();
-            bytes.extend(a.port.to_be_bytes());
+        self.candidates = ranked(&self.name, known_addrs, |addr| {
+            let mut bytes = addr.ip.to_be_bytes().to_vec();
+            bytes.extend(addr.port.to_be_bytes());
             bytes
         });
     }
 
-    /// A connection came up.
+    /// Handles an established connection.
     pub fn connected(&mut self, now: Duration, link: u64) -> Vec<Action> {
         let Some((addr, known)) = self.open_link(link) else {
             return Vec::new();
         };
         known.answered = false;
-        let waits = self.preferred().is_none();
-        self.pull(now, addr, waits).into_iter().collect()
+        let is_long_poll = self.preferred().is_none();
+        self.pull(now, addr, is_long_poll).into_iter().collect()
     }
 
-    /// A connection failed or ended.
+    /// Handles a connection that failed or ended.
     pub fn failed(&mut self, now: Duration, link: u64) -> Vec<Action> {
         let Some((addr, _)) = self.open_link(link) else {
             return Vec::new();
@@ -219,7 +221,7 @@
         self.tick(now)
     }
 
-    /// An answer of this age came from a member. `applied`: something in it was new to the mirror.
+    /// Handles an answer of this age from a member. `applied` says whether something in it was new to the mirror.
     pub fn answered(
         &mut self,
         now: Duration,
@@ -246,20 +248,20 @@
             (false, true) => EARLY_ANSWER_PAUSE.max(update_pause),
             (false, false) => Duration::ZERO,
         };
-        known.phase = Phase::Resting(now + pause);
+        known.phase = Phase::Idle(now + pause);
         if self.preferred().is_some_and(|preferred| preferred != addr) {
-            self.rest_until(addr, now + STANDBY_POLL_INTERVAL);
+            self.idle_until(addr, now + STANDBY_POLL_INTERVAL);
         }
         self.tick(now)
     }
 
-    fn rest_until(&mut self, addr: Addr, until: Duration) {
+    fn idle_until(&mut self, addr: Addr, until: Duration) {
         if let Some(link) = self.links.get_mut(&addr) {
-            link.phase = Phase::Resting(until);
+            link.phase = Phase::Idle(until);
         }
     }
 
-    /// The link with this number, if it is connecting or connected.
+    /// Returns the link with this number, if it is connecting or connected.
     fn open_link(&mut self, number: u64) -> Option<(Addr, &mut Link)> {
         let found = self
             .links
@@ -276,7 +278,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Performs what is due, and returns the resulting actions.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = self.close_timed_out(now);
         let picked = self.pick_members();
@@ -297,21 +299,21 @@
                         addr,
                     });
                 }
-                // A standby that has become the preferred member pulls before its turn.
-                Phase::Resting(at) if now >= at || (is_preferred && at > now + pause) => {
+                // A standby that has become the preferred member pulls before its scheduled time.
+                Phase::Idle(at) if now >= at || (is_preferred && at > now + pause) => {
                     due.push(addr);
                 }
                 _ => {}
             }
         }
         for addr in due {
-            let waits = preferred.is_none_or(|preferred| preferred == addr);
-            actions.extend(self.pull(now, addr, waits));
+            let is_long_poll = preferred.is_none_or(|preferred| preferred == addr);
+            actions.extend(self.pull(now, addr, is_long_poll));
         }
         actions
     }
 
-    /// Closes links whose connection or answer has taken too long.
+    /// Closes links whose connection attempt or answer has taken too long.
     fn close_timed_out(&mut self, now: Duration) -> Vec<Action> {
         let mut timed_out = Vec::new();
         for (addr, link) in &self.links {
@@ -327,11 +329,11 @@
         actions
     }
 
-    /// The members to pull from: the first in the order, until enough of them are healthy.
+    /// Selects the members to pull from: the first in order of preference, until enough of them are healthy.
     fn pick_members(&self) -> BTreeSet<Addr> {
         let mut picked = BTreeSet::new();
         let mut healthy = 0;
-        for addr in &self.order {
+        for addr in &self.candidates {
             if healthy >= self.member_count {
                 break;
             }
@@ -342,25 +344,25 @@
         picked
     }
 
-    /// Closes and drops the links to other members.
+    /// Closes and drops the links to all other members.
     fn close_all_but(&mut self, picked: &BTreeSet<Addr>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.links.retain(|addr, link| {
-            let keep = picked.contains(addr);
-            if !keep && !matches!(link.phase, Phase::Down(_)) {
+            let is_picked = picked.contains(addr);
+            if !is_picked && !matches!(link.phase, Phase::Down(_)) {
                 actions.push(Action::Close { link: link.number });
             }
-            keep
+            is_picked
         });
         actions
     }
 
-    /// When [`Puller::tick`] next has something to do.
+    /// Returns the time at which [`Puller::tick`] next has something to do.
     pub fn next_tick(&self) -> Option<Duration> {
         self.links.values().map(|link| link.phase.deadline()).min()
     }
 
-    /// Addresses and ids of the members that answer; the id of an agent is 0.
+    /// Returns the addresses and ids of the members that answer; the id of an agent is 0.
     pub fn answering_members(&self) -> impl Iterator<Item = (Addr, u64)> + '_ {
         self.links
             .iter()
--- a/crates/replication/src/shared_mirror.rs
+++ b/crates/replication/src/shared_mirror.rs
@@ -1,4 +1,4 @@
-//! A mirror that the tasks of one process share.
+//! Mirror shared by the tasks of one process.
 
 use crate::mirror::{Mirror, Snapshot};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,19 +7,19 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How many bytes the pulls for a mirror have cost since its start.
+/// Network traffic of the pulls for a mirror since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes of the pulls that were sent.
+    /// Size of the sent pulls, in bytes.
     pub sent: u64,
-    /// Bytes of the answers that were received.
+    /// Size of the received answers, in bytes.
     pub received: u64,
 }
 
 struct State {
     mirror: Mirror,
     /// Generation of the latest published snapshot.
-    published: u64,
+    published_generation: u64,
 }
 
 /// A [`Mirror`] that publishes its changes.
@@ -40,12 +40,15 @@
 
     /// Shares a mirror whose clock started at `clock_start`.
     pub fn since(mirror: Mirror, clock_start: Instant) -> Arc<Self> {
-        let published = mirror.generation();
+        let published_generation = mirror.generation();
         let (changes, snapshots) = (
-            watch::Sender::new(published),
+            watch::Sender::new(published_generation),
             watch::Sender::new(Arc::new(mirror.snapshot())),
         );
-        let state = Mutex::new(State { mirror, published });
+        let state = Mutex::new(State {
+            mirror,
+            published_generation,
+        });
         let (sent, received) = Default::default();
         Arc::new(Self {
             state,
@@ -57,12 +60,12 @@
         })
     }
 
-    /// The time on the mirror's clock.
+    /// Returns the time on the mirror's clock.
     pub fn now(&self) -> Duration {
         self.clock_start.elapsed()
     }
 
-    /// The instant that a time on the mirror's clock stands for.
+    /// Returns the instant of a time on the mirror's clock.
     pub fn at(&self, time: Duration) -> Instant {
         self.clock_start + time
     }
@@ -74,7 +77,7 @@
         let result = change(&mut state.mirror, self.now());
         let after = state.mirror.generation();
         if after != before {
-            // A snapshot costs as much as there are records, so it is made only for those who look at each.
+            // The cost of a snapshot grows with the number of records, so one is made only if there are subscribers.
             if self.snapshots.receiver_count() > 0 {
                 self.publish(&mut state);
             }
@@ -84,8 +87,8 @@
     }
 
     fn publish(&self, state: &mut State) {
-        if state.published != state.mirror.generation() {
-            state.published = state.mirror.generation();
+        if state.published_generation != state.mirror.generation() {
+            state.published_generation = state.mirror.generation();
             self.snapshots
                 .send_replace(Arc::new(state.mirror.snapshot()));
         }
@@ -95,12 +98,12 @@
         self.publish(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// The mirror's generation. It changes with each change of the mirror.
+    /// Returns a receiver of the mirror's generation, which changes with each change of the mirror.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// How many bytes the pulls for this mirror have cost since its start.
+    /// Returns the network traffic of the pulls for this mirror since its start.
     pub fn traffic(&self) -> Traffic {
         Traffic {
             sent: self.sent.load(Ordering::Relaxed),
@@ -108,20 +111,20 @@
         }
     }
 
-    /// Counts bytes of pulls.
+    /// Adds bytes sent and received by pulls to the traffic.
     pub(crate) fn count_traffic(&self, sent: u64, received: u64) {
         self.sent.fetch_add(sent, Ordering::Relaxed);
         self.received.fetch_add(received, Ordering::Relaxed);
     }
 
-    /// The snapshots as they are made, beginning with the present one.
+    /// Returns a receiver of the snapshots, starting with the current one.
     pub fn subscribe(&self) -> watch::Receiver<Arc<Snapshot>> {
         let snapshots = self.snapshots.subscribe();
         self.publish_latest();
         snapshots
     }
 
-    /// The present snapshot.
+    /// Returns the current snapshot.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         self.publish_latest();
         self.snapshots.borrow().clone()
--- a/crates/replication/src/transitions.rs
+++ b/crates/replication/src/transitions.rs
@@ -1,39 +1,39 @@
-//! What an agent logs about its pulls: the member that it prefers, since when no member is in contact with a primary,
-//! and the configurations that it applied. Found by comparison, as the puller itself doesn't log.
+//! Log lines of an agent about its pulls: changes of the preferred member, the loss of contact with a primary, and the
+//! applied configurations. Changes are found by comparison, as the puller itself doesn't log.
 
 use crate::mirror::VisibleVersion;
 use crate::puller::{PullSummary, Puller};
 use protocol::Addr;
 use std::net::SocketAddrV4;
 
-/// The log target of these lines.
+/// Log target of these lines.
 const TARGET: &str = "agent::state";
 
-/// A change worth a log line.
+/// Change that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PullTransition {
     /// Another member is preferred: pulls wait there for updates.
     PreferredMember {
-        /// Its address.
+        /// Address of the member.
         member: Addr,
-        /// Whether no member was preferred before: what this process has is confirmed again.
+        /// Whether no member was preferred before, so that this process's state is confirmed again.
         fresh_again: bool,
     },
-    /// No member that answers is in contact with a primary: what this process has grows old.
+    /// No member that answers is in contact with a primary, so this process's state is growing old.
     NoFreshMember {
-        /// How many members answer without contact to a primary.
+        /// Number of members that answer without contact with a primary.
         stale: usize,
     },
     /// A configuration was applied.
     ConfigurationApplied {
-        /// The version.
+        /// Version of the configuration.
         version: u64,
         /// Index of the change that brought it.
         index: u64,
     },
 }
 
-/// Follows a puller and its mirror, and finds what changed.
+/// Detector of changes in a puller and its mirror.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PullRecorder {
     pulls: PullSummary,
@@ -41,8 +41,8 @@
 }
 
 impl PullRecorder {
-    /// Compares where updates come from with the last call; the change, if there is one.
-    pub fn pulls(&mut self, puller: &Puller) -> Option<PullTransition> {
+    /// Compares the source of updates with the previous call. Returns the change, if there is one.
+    pub fn observe_pulls(&mut self, puller: &Puller) -> Option<PullTransition> {
         let after = puller.summary();
         let before = std::mem::replace(&mut self.pulls, after);
         match after.preferred {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Compares the configuration that the mirror shows with the last call; the change, if there is one.
-    pub fn configuration(&mut self, visible: VisibleVersion) -> Option<PullTransition> {
+    /// Compares the configuration shown by the mirror with the previous call. Returns the change, if there is one.
+    pub fn observe_configuration(&mut self, visible: VisibleVersion) -> Option<PullTransition> {
         let version = visible.configuration_version;
         let changed = std::mem::replace(&mut self.version, version) != version;
         changed.then_some(PullTransition::ConfigurationApplied {
--- a/crates/replication/src/update.rs
+++ b/crates/replication/src/update.rs
@@ -1,4 +1,4 @@
-//! [`Message::Pull`] and [`Message::Update`] as values of their own.
+//! [`Message::Pull`] and [`Message::Update`] as structs.
 
 use protocol::{
     ConfigurationUpdate, ControlPlaneInfo, Message, OriginUpdate, OriginVersion, Subscriber,
@@ -6,25 +6,26 @@
 };
 use std::time::Duration;
 
-/// A request for what the sender lacks: [`Message::Pull`].
+/// Request for the updates that the sender lacks: [`Message::Pull`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pull {
-    /// The sender.
+    /// Sender of the pull.
     pub subscriber: Subscriber,
-    /// How long the answer may wait for an update, in ms.
+    /// Longest time for which the answer may wait for an update, in ms.
     pub wait_ms: u32,
-    /// Index of the last change of the replicated state that the sender has.
+    /// Index of the last change of the replicated state known to the sender.
     pub index: u64,
-    /// Configuration version that it has.
+    /// Configuration version known to the sender.
     pub configuration_version: u64,
-    /// Version of the [`ControlPlaneInfo`] that it has.
+    /// Version of the [`ControlPlaneInfo`] known to the sender.
     pub control_plane_version: u64,
-    /// Its version vector. A sequence number of `u64::MAX` says that it wants nothing more of this incarnation.
+    /// Version vector of the sender. A sequence number of `u64::MAX` means that the sender wants no more records of
+    /// this incarnation.
     pub origins: Vec<OriginVersion>,
 }
 
 impl Pull {
-    /// Converts it to a message.
+    /// Converts the struct to a message.
     pub fn into_message(self) -> Message {
         let Self {
             subscriber,
@@ -44,10 +45,10 @@
         }
     }
 
-    /// Takes the pull out of a message.
+    /// Extracts a pull from a message.
     ///
     /// # Errors
-    /// Returns the message if it is another one.
+    /// Returns the message unchanged if it is of another kind.
     pub fn from_message(message: Message) -> Result<Self, Box<Message>> {
         match message {
             Message::Pull {
@@ -70,34 +71,34 @@
     }
 }
 
-/// [`Update::age_ms`] of a sender that has had no contact with a primary in its incarnation: its configuration may be as
-/// old as its disk.
+/// [`Update::age_ms`] of a sender that has had no contact with a primary in its incarnation. Its configuration may be
+/// as old as the state on its disk.
 pub const AGE_UNKNOWN: u32 = u32::MAX;
 
-/// What a subscriber lacked: [`Message::Update`], or [`Message::UpdateWithTenants`] where the tenants changed.
+/// Updates that a subscriber lacked: [`Message::Update`], or [`Message::UpdateWithTenants`] if the tenants changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
     /// Member id of the sender; 0 for an agent.
     pub member: u64,
-    /// For how long, at most, the sender may have missed committed changes, in ms; [`AGE_UNKNOWN`] if it has had no
-    /// contact with a primary in its incarnation.
+    /// Upper bound of the time for which the sender may have missed committed changes, in ms; [`AGE_UNKNOWN`] if it has
+    /// had no contact with a primary in its incarnation.
     pub age_ms: u32,
-    /// How long the sender held the pull before it answered, in ms.
+    /// Time for which the sender held the pull before it answered, in ms.
     pub held_ms: u32,
     /// Changes of the configuration and of the draining hosts.
     pub configuration: Option<ConfigurationUpdate>,
-    /// Changes of the tenants, as a part of those of the configuration.
+    /// Changes of the tenants, which belong to those of the configuration.
     pub tenants: Option<TenantsUpdate>,
     /// Records of hosts and coordinators.
     pub origins: Vec<OriginUpdate>,
-    /// Ids of members that are no origins any more.
+    /// Ids of members that are no longer origins.
     pub removed_origins: Vec<u64>,
-    /// The members of the control plane, if they changed.
+    /// Members of the control plane, if they changed.
     pub control_plane: Option<ControlPlaneInfo>,
 }
 
 impl Update {
-    /// Whether it tells nothing but its age.
+    /// Whether the update contains nothing but its age.
     pub fn is_empty(&self) -> bool {
         self.configuration.is_none()
             && self.origins.is_empty()
@@ -105,20 +106,20 @@
             && self.control_plane.is_none()
     }
 
-    /// Adds to the age the time that pull and answer travelled, given when the pull was sent and the time now. However
-    /// long the answer lay in a buffer, it can't be taken for a fresh one. The time that the sender held the pull isn't
-    /// added, as the age that it tells is that at the end of this time.
+    /// Adds the network time of pull and answer to the age, given the time at which the pull was sent and the current
+    /// time. An answer that was buffered for long thus can't pass for a fresh one. The time for which the sender held
+    /// the pull isn't added, as the sender's age refers to the end of that time.
     pub fn aged(mut self, sent_at: Duration, now: Duration) -> Self {
         if self.age_ms != AGE_UNKNOWN {
             let held = Duration::from_millis(self.held_ms.into());
-            let travelled = now.saturating_sub(sent_at).saturating_sub(held);
-            let travelled_ms = u32::try_from(travelled.as_millis()).unwrap_or(AGE_UNKNOWN);
-            self.age_ms = self.age_ms.saturating_add(travelled_ms);
+            let network_time = now.saturating_sub(sent_at).saturating_sub(held);
+            let network_time_ms = u32::try_from(network_time.as_millis()).unwrap_or(AGE_UNKNOWN);
+            self.age_ms = self.age_ms.saturating_add(network_time_ms);
         }
         self
     }
 
-    /// Converts it to a message.
+    /// Converts the struct to a message.
     pub fn into_message(self) -> Message {
         let Self {
             member,
@@ -153,10 +154,10 @@
         }
     }
 
-    /// Takes the update out of a message.
+    /// Extracts an update from a message.
     ///
     /// # Errors
-    /// Returns the message if it is another one.
+    /// Returns the message unchanged if it is of another kind.
     pub fn from_message(message: Message) -> Result<Self, Box<Message>> {
         match message {
             Message::Update {
--- a/crates/replication/tests/transitions.rs
+++ b/crates/replication/tests/transitions.rs
@@ -1,4 +1,4 @@
-//! What an agent's log tells of its pulls.
+//! Transitions that an agent logs about its pulls.
 
 use protocol::Addr;
 use replication::transitions::{PullRecorder, PullTransition};
@@ -10,82 +10,85 @@
     Addr { ip: n, port: 7660 }
 }
 
-/// A puller whose members all answer, but for those that are said to be cut off.
+/// Puller whose members all answer; those with an old age are out of contact with the primary.
 struct Agent {
     puller: Puller,
     recorder: PullRecorder,
     links: BTreeMap<u64, Addr>,
-    /// How old the answers of a member are, in ms.
-    ages: BTreeMap<u32, u32>,
+    /// Age of a member's answers, in ms; 0 if there is no entry.
+    ages_ms: BTreeMap<u32, u32>,
     now: Duration,
-    told: Vec<PullTransition>,
+    reported: Vec<PullTransition>,
 }
 
 impl Agent {
     fn new() -> Self {
         let mut puller = Puller::new("edge-1", MEMBERS_PER_AGENT, None).preferring_one_member();
         puller.set_seeds(&[addr(1), addr(2), addr(3)]);
-        let (recorder, links, ages) = Default::default();
+        let (recorder, links, ages_ms) = Default::default();
         Self {
             puller,
             recorder,
             links,
-            ages,
+            ages_ms,
             now: Duration::ZERO,
-            told: Vec::new(),
+            reported: Vec::new(),
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         let mut queue = actions;
         while let Some(action) = queue.pop() {
-            let more = match action {
+            let following = match action {
                 Action::Connect { link, addr } => {
                     self.links.insert(link, addr);
                     self.puller.connected(self.now, link)
                 }
-                Action::Pull { link, wait_ms: 0 } => self.answer(link),
+                Action::Pull { link, wait_ms: 0 } => self.answer_pull(link),
                 Action::Pull { .. } => Vec::new(),
                 Action::Close { link } => {
                     self.links.remove(&link);
                     Vec::new()
                 }
             };
-            queue.extend(more);
-            self.told.extend(self.recorder.pulls(&self.puller));
+            queue.extend(following);
+            self.reported
+                .extend(self.recorder.observe_pulls(&self.puller));
         }
     }
 
-    fn answer(&mut self, link: u64) -> Vec<Action> {
+    fn answer_pull(&mut self, link: u64) -> Vec<Action> {
         let Some(addr) = self.links.get(&link).copied() else {
             return Vec::new();
         };
-        let age = self.ages.get(&addr.ip).copied().unwrap_or(0);
+        let age_ms = self.ages_ms.get(&addr.ip).copied().unwrap_or(0);
         self.puller
-            .answered(self.now, link, addr.ip.into(), age, false)
+            .answered(self.now, link, addr.ip.into(), age_ms, false)
     }
 
-    /// All members answer once, whether or not their answer might wait longer.
-    fn round(&mut self) {
+    /// Lets all members answer once, including those whose answer could wait longer.
+    fn run_round(&mut self) {
         self.now += Duration::from_millis(900);
         let actions = self.puller.tick(self.now);
-        self.act(actions);
+        self.perform(actions);
         for link in self.links.keys().copied().collect::<Vec<_>>() {
-            let actions = self.answer(link);
-            self.act(actions);
+            let actions = self.answer_pull(link);
+            self.perform(actions);
         }
     }
 }
 
 #[test]
-fn preferred_member_when_it_changes_or_is_lost_then_is_reported_once() {
+fn change_and_loss_of_the_preferred_member_are_reported_once() {
     let mut agent = Agent::new();
-    (0..3).for_each(|_| agent.round());
-    let Some(PullTransition::PreferredMember { member: leader, .. }) = agent.told.last().copied()
+    (0..3).for_each(|_| agent.run_round());
+    let Some(PullTransition::PreferredMember {
+        member: preferred, ..
+    }) = agent.reported.last().copied()
     else {
-        panic!("{:?}", agent.told);
+        panic!("{:?}", agent.reported);
     };
-    let first = agent.told.first().unwrap();
+    let first = agent.reported.first().unwrap();
     assert!(
         matches!(
             first,
@@ -96,49 +99,50 @@
         ),
         "{first:?}"
     );
-    agent.told.clear();
-    (0..20).for_each(|_| agent.round());
-    assert_eq!(agent.told, [], "nothing while all is well");
+    agent.reported.clear();
+    (0..20).for_each(|_| agent.run_round());
+    assert_eq!(agent.reported, [], "no transitions while nothing changes");
 
-    // The leading one is cut off from the primary: another takes its place at once.
-    agent.ages.insert(leader.ip, STALE_AGE_MS + 1);
-    (0..20).for_each(|_| agent.round());
-    assert_eq!(agent.told.len(), 1, "{:?}", agent.told);
-    let moved = |t: &PullTransition| {
-        matches!(t, PullTransition::PreferredMember { member: l, fresh_again: false }
-        if *l != leader)
+    // The preferred member loses contact with the primary: another takes its place at once.
+    agent.ages_ms.insert(preferred.ip, STALE_AGE_MS + 1);
+    (0..20).for_each(|_| agent.run_round());
+    assert_eq!(agent.reported.len(), 1, "{:?}", agent.reported);
+    let is_other = |transition: &PullTransition| {
+        matches!(transition, PullTransition::PreferredMember { member, fresh_again: false }
+        if *member != preferred)
     };
-    assert!(moved(&agent.told[0]), "{:?}", agent.told);
+    assert!(is_other(&agent.reported[0]), "{:?}", agent.reported);
 
-    // So are the others.
-    agent.told.clear();
-    agent.ages.extend((1..=3).map(|n| (n, STALE_AGE_MS + 1)));
-    (0..20).for_each(|_| agent.round());
+    // The other members lose contact as well.
+    agent.reported.clear();
+    agent.ages_ms.extend((1..=3).map(|n| (n, STALE_AGE_MS + 1)));
+    (0..20).for_each(|_| agent.run_round());
     assert_eq!(
-        agent.told.last(),
+        agent.reported.last(),
         Some(&PullTransition::NoFreshMember { stale: 3 })
     );
-    let lost = |t: &&PullTransition| matches!(t, PullTransition::NoFreshMember { .. });
+    let is_loss =
+        |transition: &&PullTransition| matches!(transition, PullTransition::NoFreshMember { .. });
     assert_eq!(
-        agent.told.iter().filter(lost).count(),
+        agent.reported.iter().filter(is_loss).count(),
         1,
         "{:?}",
-        agent.told
+        agent.reported
     );
 
-    agent.told.clear();
-    agent.ages.clear();
-    (0..20).for_each(|_| agent.round());
+    agent.reported.clear();
+    agent.ages_ms.clear();
+    (0..20).for_each(|_| agent.run_round());
     assert!(
         matches!(
-            agent.told[0],
+            agent.reported[0],
             PullTransition::PreferredMember {
                 fresh_again: true,
                 ..
             }
         ),
         "{:?}",
-        agent.told
+        agent.reported
     );
 }
 
@@ -150,17 +154,21 @@
 }
 
 #[test]
-fn configuration_when_applied_then_is_reported_once() {
+fn applied_configuration_is_reported_once() {
     let mut recorder = PullRecorder::default();
     assert_eq!(
-        recorder.configuration(visible(0, 0)),
+        recorder.observe_configuration(visible(0, 0)),
         None,
-        "none has come yet"
+        "no configuration has arrived yet"
     );
-    let taken = PullTransition::ConfigurationApplied {
+    let applied = PullTransition::ConfigurationApplied {
         version: 7,
         index: 2,
     };
-    assert_eq!(recorder.configuration(visible(7, 2)), Some(taken));
-    assert_eq!(recorder.configuration(visible(7, 3)), None, "a drain alone");
+    assert_eq!(recorder.observe_configuration(visible(7, 2)), Some(applied));
+    assert_eq!(
+        recorder.observe_configuration(visible(7, 3)),
+        None,
+        "only the drains changed"
+    );
 }
