--- a/crates/replication/tests/serve.rs
+++ b/crates/replication/tests/serve.rs
@@ -1,4 +1,4 @@
-//! One connection that is served, on a paused clock.
+//! Serving of one connection, on a paused clock.
 
 use protocol::{
     encode, Addr, HostRecord, MemberInfo, Message, OriginUpdate, OriginVersion, Subscriber,
@@ -10,7 +10,7 @@
 use tokio::io::{duplex, split, AsyncWriteExt};
 use tokio::time::Instant;
 
-const BEAT: Duration = Duration::from_millis(1000);
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(1000);
 
 fn pull(name: &str, wait_ms: u32) -> Pull {
     Pull {
@@ -23,19 +23,19 @@
     }
 }
 
-fn one_host() -> Update {
+fn update_with_one_host() -> Update {
     let host = HostRecord {
         id: "i".into(),
         addr: Addr { ip: 1, port: 1 },
         ..HostRecord::default()
     };
-    let mark = OriginVersion {
+    let version = OriginVersion {
         member_id: 7,
         incarnation: 1,
         sequence: 1,
     };
     let origin_update = OriginUpdate {
-        version: mark,
+        version,
         complete: true,
         hosts: vec![host],
         coordinators: vec![],
@@ -48,22 +48,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn serve_then_answers_pulls_and_reports_subscribers() {
-    let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let (near, far) = duplex(1 << 16);
-    let callers: Arc<Mutex<Vec<String>>> = Arc::default();
-    let heard = callers.clone();
-    // What was read of the connection before is part of it.
+async fn serve_answers_pulls_and_reports_subscribers() {
+    let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_PERIOD));
+    let (client_end, server_end) = duplex(1 << 16);
+    let subscriber_names: Arc<Mutex<Vec<String>>> = Arc::default();
+    let reported_names = subscriber_names.clone();
+    // The bytes already read from the connection are passed to the server.
     let hello = encode(&Message::Hello {
         sender: MemberInfo::default(),
     });
-    let served = tokio::spawn(serve(far, hello, shared.clone(), move |caller| {
-        heard.lock().unwrap().push(caller.name.clone());
-    }));
-    let (read, mut write) = split(near);
+    let served = tokio::spawn(serve(
+        server_end,
+        hello,
+        shared.clone(),
+        move |subscriber| {
+            reported_names.lock().unwrap().push(subscriber.name.clone());
+        },
+    ));
+    let (read, mut write) = split(client_end);
     let mut frames = FrameReader::new(read, Vec::new());
 
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     write
         .write_all(&encode(&pull("a", 1000).into_message()))
         .await
@@ -71,45 +76,46 @@
     let empty = Update::from_message(frames.next().await.unwrap().unwrap()).unwrap();
     assert!(empty.is_empty());
     assert_eq!(
-        (empty.member, empty.age_ms, asked.elapsed()),
-        (7, u32::MAX, BEAT),
-        "after the wait"
+        (empty.member, empty.age_ms, sent_at.elapsed()),
+        (7, u32::MAX, HEARTBEAT_PERIOD),
+        "an empty answer after the wait"
     );
 
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     write
         .write_all(&encode(&pull("b", 1000).into_message()))
         .await
         .unwrap();
     tokio::time::advance(Duration::from_millis(300)).await;
-    shared.update(|m, now| m.apply(now, &one_host()));
-    let update_of = Update::from_message(frames.next().await.unwrap().unwrap()).unwrap();
+    shared.update(|mirror, now| mirror.apply(now, &update_with_one_host()));
+    let update = Update::from_message(frames.next().await.unwrap().unwrap()).unwrap();
     assert_eq!(
-        (update_of.origins.len(), update_of.age_ms, asked.elapsed()),
+        (update.origins.len(), update.age_ms, sent_at.elapsed()),
         (1, 5, Duration::from_millis(300)),
-        "at once"
+        "the update is sent at once"
     );
 
     drop((frames, write));
     served.await.unwrap().unwrap();
-    assert_eq!(*callers.lock().unwrap(), ["a", "b"]);
+    assert_eq!(*subscriber_names.lock().unwrap(), ["a", "b"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn serve_when_peer_is_silent_then_times_out() {
-    let (_near, far) = duplex(64);
-    let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    let ended = serve(far, Vec::new(), shared, |_| ()).await;
-    assert_eq!(ended.unwrap_err().kind(), ErrorKind::TimedOut);
+async fn serve_times_out_when_the_peer_is_silent() {
+    let (_client_end, server_end) = duplex(64);
+    let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_PERIOD));
+    let result = serve(server_end, Vec::new(), shared, |_| ()).await;
+    assert_eq!(result.unwrap_err().kind(), ErrorKind::TimedOut);
 }
 
 #[tokio::test(start_paused = true)]
-async fn serve_when_peer_does_not_read_then_times_out() {
-    let (mut near, far) = duplex(64);
-    let shared = SharedMirror::new(Mirror::new(7, BEAT));
-    shared.update(|m, now| m.apply(now, &one_host()));
-    let served = tokio::spawn(serve(far, Vec::new(), shared, |_| ()));
-    near.write_all(&encode(&pull("a", 0).into_message()))
+async fn serve_times_out_when_the_peer_does_not_read() {
+    let (mut client_end, server_end) = duplex(64);
+    let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_PERIOD));
+    shared.update(|mirror, now| mirror.apply(now, &update_with_one_host()));
+    let served = tokio::spawn(serve(server_end, Vec::new(), shared, |_| ()));
+    client_end
+        .write_all(&encode(&pull("a", 0).into_message()))
         .await
         .unwrap();
     assert_eq!(
@@ -119,11 +125,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn serve_when_message_is_no_pull_then_ends_the_connection() {
+async fn serve_ends_the_connection_on_another_message_than_a_pull() {
     for bytes in [encode(&Message::ReleaseLease { epoch: 1 }), vec![255; 16]] {
-        let (_near, far) = duplex(64);
-        let shared = SharedMirror::new(Mirror::new(7, BEAT));
-        let ended = serve(far, bytes, shared, |_| ()).await;
-        assert_eq!(ended.unwrap_err().kind(), ErrorKind::InvalidData);
+        let (_client_end, server_end) = duplex(64);
+        let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_PERIOD));
+        let result = serve(server_end, bytes, shared, |_| ()).await;
+        assert_eq!(result.unwrap_err().kind(), ErrorKind::InvalidData);
     }
 }
--- a/crates/replication/tests/unconfirmed.rs
+++ b/crates/replication/tests/unconfirmed.rs
@@ -1,4 +1,4 @@
-//! Old update_of: how their age is counted, and what a process that starts with nothing makes of them.
+//! Age of updates, and the treatment of old ones by a process that starts without state.
 
 use configuration::Configuration;
 use protocol::{MemberInfo, Subscriber};
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const BEAT: Duration = Duration::from_millis(1000);
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(1000);
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
-fn document(version: u64) -> Arc<Configuration> {
+fn configuration(version: u64) -> Arc<Configuration> {
     let text = format!(
         r#"{{"version":{version},"routes":[{{"name":"a","hostname":"h","path_prefix":"/","route_class":"pure",
         "deadline_ms":{version}000,"service":"s"}}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
@@ -21,139 +21,150 @@
     Arc::new(Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
-/// A member whose ledger is at a change that brought version 10 times as high.
-fn member(id: u64, seq: u64, proved: Option<Duration>) -> Mirror {
-    let mut mirror = Mirror::new(id, BEAT);
-    mirror.set_replicated_state(seq, document(10 * seq), &[format!("drained-{seq}")]);
-    proved
+/// Member whose replicated state is at `index`, with a configuration version 10 times as high.
+fn member(id: u64, index: u64, confirmed_at: Option<Duration>) -> Mirror {
+    let mut mirror = Mirror::new(id, HEARTBEAT_PERIOD);
+    mirror.set_replicated_state(
+        index,
+        configuration(10 * index),
+        &[format!("drained-{index}")],
+    );
+    confirmed_at
         .into_iter()
         .for_each(|at| mirror.record_primary_contact(at));
     mirror
 }
 
-fn starting() -> Mirror {
-    Mirror::new(0, BEAT).withholding_unconfirmed()
+fn starting_mirror() -> Mirror {
+    Mirror::new(0, HEARTBEAT_PERIOD).withholding_unconfirmed()
 }
 
-/// One pull and its answer, which takes no time.
-fn follow(to: &mut Mirror, from: &Mirror, now: Duration) {
-    let pull = to.pull(&Subscriber::default(), 0);
-    to.apply(
+/// Pulls once, with an answer that takes no time.
+fn pull_once(puller: &mut Mirror, source: &Mirror, now: Duration) {
+    let pull = puller.pull(&Subscriber::default(), 0);
+    puller.apply(
         now,
-        &from
+        &source
             .update_for(now, &pull)
-            .unwrap_or_else(|| from.empty_update(now)),
+            .unwrap_or_else(|| source.empty_update(now)),
     );
 }
 
-/// What a proxy behind it is told.
-fn handed_on(mirror: &Mirror, now: Duration) -> Option<u64> {
-    let pull = Mirror::new(0, BEAT).pull(&Subscriber::default(), 0);
+/// Returns the configuration version that a proxy which pulls from this mirror would receive.
+fn version_sent_to_proxy(mirror: &Mirror, now: Duration) -> Option<u64> {
+    let pull = Mirror::new(0, HEARTBEAT_PERIOD).pull(&Subscriber::default(), 0);
     mirror
         .update_for(now, &pull)
-        .and_then(|update_of| update_of.configuration)
-        .map(|config| config.version)
+        .and_then(|update| update.configuration)
+        .map(|configuration| configuration.version)
 }
 
 #[rstest]
-#[case::at_once(1000, 1004, 0, 30, 34)]
-#[case::held_by_the_speaker(1000, 2003, 1000, 30, 33)]
-#[case::the_puller_stood_still(1000, 21_500, 500, 30, 20_030)]
-#[case::the_speaker_stood_still(1000, 21_002, 20_000, 20_010, 20_012)]
-#[case::held_up_on_the_way(1000, 19_000, 1000, 0, 17_000)]
-#[case::no_proof_at_all(1000, 1004, 0, AGE_UNKNOWN, AGE_UNKNOWN)]
-fn age_of_an_answer_then_counts_from_when_the_pull_was_sent(
-    #[case] asked: u64,
+#[case::answered_at_once(1000, 1004, 0, 30, 34)]
+#[case::held_by_the_member(1000, 2003, 1000, 30, 33)]
+#[case::puller_was_frozen(1000, 21_500, 500, 30, 20_030)]
+#[case::member_was_frozen(1000, 21_002, 20_000, 20_010, 20_012)]
+#[case::delayed_by_the_network(1000, 19_000, 1000, 0, 17_000)]
+#[case::unknown_age(1000, 1004, 0, AGE_UNKNOWN, AGE_UNKNOWN)]
+fn age_of_an_answer_counts_from_the_time_of_the_pull(
+    #[case] sent_at: u64,
     #[case] now: u64,
     #[case] held_ms: u32,
-    #[case] told: u32,
-    #[case] age_ms: u32,
+    #[case] sender_age_ms: u32,
+    #[case] expected_age_ms: u32,
 ) {
-    let update_of = Update {
-        age_ms: told,
+    let update = Update {
+        age_ms: sender_age_ms,
         held_ms,
         ..Update::default()
     };
-    assert_eq!(update_of.aged(ms(asked), ms(now)).age_ms, age_ms);
+    assert_eq!(update.aged(ms(sent_at), ms(now)).age_ms, expected_age_ms);
 }
 
 #[rstest]
 #[case::never_confirmed(None)]
-#[case::cut_off_for_long(Some(ms(0)))]
-fn unconfirmed_configuration_when_a_fresh_member_answers_then_the_current_one_is_shown(
-    #[case] proved: Option<Duration>,
+#[case::out_of_contact_for_long(Some(ms(0)))]
+fn unconfirmed_configuration_is_replaced_once_a_fresh_member_answers(
+    #[case] confirmed_at: Option<Duration>,
 ) {
     let now = ms(20_000);
-    let (cut_off, well) = (member(1, 1, proved), member(2, 3, Some(now)));
-    let mut agent = starting();
-    follow(&mut agent, &cut_off, now);
+    let (out_of_contact, in_contact) = (member(1, 1, confirmed_at), member(2, 3, Some(now)));
+    let mut agent = starting_mirror();
+    pull_once(&mut agent, &out_of_contact, now);
     assert_eq!(
         (
             agent.snapshot().configuration.version,
             agent.snapshot().draining_hosts.len()
         ),
         (0, 0),
-        "the old one isn't shown"
+        "the old configuration is not shown"
+    );
+    assert_eq!(
+        version_sent_to_proxy(&agent, now),
+        None,
+        "nor sent to proxies"
     );
-    assert_eq!(handed_on(&agent, now), None, "nor handed on");
-    follow(&mut agent, &well, now + CONFIRMATION_TIMEOUT / 2);
+    pull_once(&mut agent, &in_contact, now + CONFIRMATION_TIMEOUT / 2);
     assert_eq!(agent.snapshot().configuration.version, 30);
-    assert_eq!(handed_on(&agent, now), Some(30));
-    follow(&mut agent, &cut_off, now + CONFIRMATION_TIMEOUT);
+    assert_eq!(version_sent_to_proxy(&agent, now), Some(30));
+    pull_once(&mut agent, &out_of_contact, now + CONFIRMATION_TIMEOUT);
     assert_eq!(
         agent.snapshot().configuration.version,
         30,
-        "it never goes back"
+        "the version never goes back"
     );
 }
 
 #[test]
-fn unconfirmed_configuration_when_a_fresh_member_confirms_it_then_is_shown() {
+fn unconfirmed_configuration_is_shown_once_a_fresh_member_confirms_it() {
     let now = ms(20_000);
-    let (restarted, well) = (member(1, 3, None), member(2, 3, Some(now)));
-    let mut agent = starting();
-    follow(&mut agent, &restarted, now);
+    let (restarted, in_contact) = (member(1, 3, None), member(2, 3, Some(now)));
+    let mut agent = starting_mirror();
+    pull_once(&mut agent, &restarted, now);
     let pull = agent.pull(&Subscriber::default(), 0);
     assert!(
-        well.update_for(now, &pull).is_none(),
-        "what is withheld isn't sent a second time"
+        in_contact.update_for(now, &pull).is_none(),
+        "the withheld configuration is not sent a second time"
     );
-    follow(&mut agent, &well, now + ms(1));
+    pull_once(&mut agent, &in_contact, now + ms(1));
     assert_eq!(agent.snapshot().configuration.version, 30);
 }
 
 #[test]
-fn unconfirmed_configuration_when_nobody_else_answers_then_is_shown_after_the_time_out() {
+fn unconfirmed_configuration_is_shown_after_the_timeout() {
     let now = ms(20_000);
-    let mut agent = starting();
-    follow(&mut agent, &member(1, 1, None), now);
+    let mut agent = starting_mirror();
+    pull_once(&mut agent, &member(1, 1, None), now);
     assert_eq!(agent.next_tick(), Some(now + CONFIRMATION_TIMEOUT));
     agent.tick(now + CONFIRMATION_TIMEOUT - ms(1));
     assert_eq!(agent.snapshot().configuration.version, 0);
-    // Another that is cut off doesn't prolong it.
-    follow(
+    // Another member without contact doesn't prolong the wait.
+    pull_once(
         &mut agent,
         &member(2, 2, None),
         now + CONFIRMATION_TIMEOUT - ms(1),
     );
-    assert!(agent.tick(now + CONFIRMATION_TIMEOUT), "waiters hear of it");
+    assert!(
+        agent.tick(now + CONFIRMATION_TIMEOUT),
+        "the change is reported"
+    );
     assert_eq!(
         agent.snapshot().configuration.version,
         20,
-        "the newest that was heard of"
+        "the latest configuration received"
     );
-    assert_eq!(handed_on(&agent, now), Some(20));
+    assert_eq!(version_sent_to_proxy(&agent, now), Some(20));
     assert_eq!(agent.next_tick(), None);
-    // From then on it goes forward by whoever knows more.
-    follow(&mut agent, &member(3, 4, None), now + CONFIRMATION_TIMEOUT);
+    // From then on, any member with a newer configuration updates it.
+    pull_once(&mut agent, &member(3, 4, None), now + CONFIRMATION_TIMEOUT);
     assert_eq!(agent.snapshot().configuration.version, 40);
 }
 
 #[test]
-fn unconfirmed_configuration_when_all_members_are_stale_then_is_shown_at_once() {
-    let mut agent = starting();
-    follow(&mut agent, &member(1, 1, None), ms(0));
-    follow(&mut agent, &member(2, 2, None), ms(5));
+fn unconfirmed_configuration_is_shown_at_once_if_all_members_are_stale() {
+    let mut agent = starting_mirror();
+    pull_once(&mut agent, &member(1, 1, None), ms(0));
+    pull_once(&mut agent, &member(2, 2, None), ms(5));
     let before = agent.generation();
     agent.show_unconfirmed();
     assert!(agent.generation() > before);
@@ -161,10 +172,10 @@
 }
 
 #[test]
-fn confirmed_configuration_then_is_shown_at_once() {
+fn confirmed_configuration_is_shown_at_once() {
     let now = ms(9000);
-    let mut agent = starting();
-    follow(
+    let mut agent = starting_mirror();
+    pull_once(
         &mut agent,
         &member(1, 1, Some(now - ms(STALE_AGE_MS.into()))),
         now,
@@ -173,43 +184,48 @@
 }
 
 #[test]
-fn proxy_mirror_then_shows_what_its_agent_shows() {
-    let (now, mut proxy) = (ms(9000), Mirror::new(0, BEAT).without_history());
-    follow(&mut proxy, &member(1, 1, None), now);
+fn mirror_of_a_proxy_shows_what_its_agent_shows() {
+    let (now, mut proxy) = (ms(9000), Mirror::new(0, HEARTBEAT_PERIOD).without_history());
+    pull_once(&mut proxy, &member(1, 1, None), now);
     assert_eq!(proxy.snapshot().configuration.version, 10);
 }
 
 #[test]
-fn hosts_and_members_when_configuration_is_withheld_then_are_shown() {
-    let (mut cut_off, mut agent) = (member(1, 1, None), starting());
-    let seat = MemberInfo {
+fn members_are_shown_while_the_configuration_is_withheld() {
+    let (mut out_of_contact, mut agent) = (member(1, 1, None), starting_mirror());
+    let member_info = MemberInfo {
         id: 1,
         ..MemberInfo::default()
     };
-    cut_off.set_control_plane(1, 1, vec![seat]);
-    follow(&mut agent, &cut_off, ms(0));
-    assert_eq!(agent.control_plane().members.len(), 1, "whom else to ask");
+    out_of_contact.set_control_plane(1, 1, vec![member_info]);
+    pull_once(&mut agent, &out_of_contact, ms(0));
+    assert_eq!(
+        agent.control_plane().members.len(),
+        1,
+        "other members to pull from are known"
+    );
 }
 
-/// Found by `model-check age --deviations 2`: an age beyond the process's own uptime was told as the uptime.
+/// Regression test for a case found by `model-check age --deviations 2`: an age above the process's uptime was reported
+/// as the uptime.
 #[test]
-fn contact_older_than_the_process_then_keeps_its_age() {
-    let mut started = Mirror::new(0, BEAT);
-    started.apply(
+fn contact_before_the_start_of_the_process_keeps_its_age() {
+    let mut mirror = Mirror::new(0, HEARTBEAT_PERIOD);
+    mirror.apply(
         ms(100),
         &Update {
             age_ms: 20_000,
             ..Update::default()
         },
     );
-    assert_eq!(started.age_ms(ms(100)), 20_000);
-    assert_eq!(started.age_ms(ms(350)), 20_250);
-    started.apply(
+    assert_eq!(mirror.age_ms(ms(100)), 20_000);
+    assert_eq!(mirror.age_ms(ms(350)), 20_250);
+    mirror.apply(
         ms(400),
         &Update {
             age_ms: 30,
             ..Update::default()
         },
     );
-    assert_eq!(started.age_ms(ms(400)), 30);
+    assert_eq!(mirror.age_ms(ms(400)), 30);
 }
