--- a/crates/coordination/src/decision.rs
+++ b/crates/coordination/src/decision.rs
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Reads a cell.
+    /// Returns the answer to a request that reads a cell.
     pub fn read(&self, name: &str) -> Answer {
         match self.cell(name) {
             Some(cell) => Answer::Value(cell.clone()),
--- a/crates/coordination/src/watches.rs
+++ b/crates/coordination/src/watches.rs
@@ -76,15 +76,15 @@
         &mut self,
         answer_to: impl Fn(&ParkedWatch<C>) -> Option<Answer>,
     ) -> Vec<(C, Answer)> {
-        let mut taken = Vec::new();
+        let mut answered = Vec::new();
         let parked = std::mem::take(&mut self.parked);
         for watch in parked {
             match answer_to(&watch) {
-                Some(answer) => taken.push((watch.caller, answer)),
+                Some(answer) => answered.push((watch.caller, answer)),
                 None => self.parked.push(watch),
             }
         }
-        taken
+        answered
     }
 
     /// Returns the earliest time at which a watch's wait ends.
--- a/crates/protocol/src/coordination.rs
+++ b/crates/protocol/src/coordination.rs
@@ -104,7 +104,7 @@
     /// Lists all locks, for an operator.
     #[brw(magic(8u8))]
     ListLocks {
-        /// Always 0. Reserves the variant's single byte of content.
+        /// Always 0. Kept so that the variant's encoding doesn't change.
         reserved: u8,
     },
     /// Lists the cells of a group, for an operator.
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -236,7 +236,7 @@
     /// Asks another proxy for its known prompt placements, after a start.
     #[brw(magic(51u8))]
     PlacementsRequest {
-        /// Always 0. Reserves the variant's single byte of content.
+        /// Always 0. Kept so that the variant's encoding doesn't change.
         reserved: u8,
     },
     /// Reply to [`Message::PlacementsRequest`], split over several datagrams.
--- a/crates/protocol/src/replicated_state.rs
+++ b/crates/protocol/src/replicated_state.rs
@@ -123,7 +123,7 @@
     /// Reads the latest configuration.
     #[brw(magic(2u8))]
     Read {
-        /// Always 0. Reserves the variant's single byte of content.
+        /// Always 0. Kept so that the variant's encoding doesn't change.
         reserved: u8,
     },
     /// A host is draining or gone.
--- a/crates/replication/src/client.rs
+++ b/crates/replication/src/client.rs
@@ -96,8 +96,8 @@
                 .iter()
                 .for_each(transitions::log);
         }
-        let next = state.next_tick.into_iter().chain(puller.next_tick()).min();
-        let at = next.unwrap_or_else(|| shared.now() + Duration::from_secs(60));
+        let next_tick = state.next_tick.into_iter().chain(puller.next_tick()).min();
+        let wake_at = next_tick.unwrap_or_else(|| shared.now() + Duration::from_secs(60));
         tokio::select! {
             Some((link, event)) = incoming.recv() => {
                 let actions = client.on_event(&mut puller, link, event);
@@ -110,7 +110,7 @@
                 None => return,
             },
             Some(_) = client.tasks.join_next() => {}
-            () = sleep_until(shared.at(at)) => {
+            () = sleep_until(shared.at(wake_at)) => {
                 shared.update(Mirror::tick);
             }
         }
--- a/crates/replication/src/mirror/hosts.rs
+++ b/crates/replication/src/mirror/hosts.rs
@@ -8,15 +8,15 @@
 #[derive(Clone, Default)]
 pub(super) struct Arrivals {
     positions: HashMap<String, u64>,
-    last: u64,
+    last_position: u64,
 }
 
 impl Arrivals {
     /// Records that a host was seen.
     pub(super) fn record(&mut self, host: &str) {
         if !self.positions.contains_key(host) {
-            self.last += 1;
-            self.positions.insert(host.to_owned(), self.last);
+            self.last_position += 1;
+            self.positions.insert(host.to_owned(), self.last_position);
         }
     }
 
@@ -44,8 +44,8 @@
         let phase = highest_phases.entry(&record.id).or_default();
         *phase = (*phase).max(record.phase);
         match hosts.get(&record.id) {
-            Some(known)
-                if (known.call_seq, !known.heartbeat_expired)
+            Some(merged)
+                if (merged.call_seq, !merged.heartbeat_expired)
                     >= (record.call_seq, !record.heartbeat_expired) => {}
             _ => {
                 hosts.insert(record.id.clone(), record.clone());
@@ -87,20 +87,20 @@
 
 /// Marks all but the newest host at each address as gone, since an address is reused only after its host has ended.
 fn keep_newest_at_each_address(hosts: &mut BTreeMap<String, HostRecord>, arrivals: &Arrivals) {
-    let mut newest: HashMap<Addr, AddressClaim> = HashMap::new();
+    let mut strongest_claims: HashMap<Addr, AddressClaim> = HashMap::new();
     for record in hosts.values() {
         let claim = AddressClaim::of(record, arrivals);
-        match newest.get_mut(&record.addr) {
-            Some(best) if *best >= claim => {}
-            Some(best) => *best = claim,
+        match strongest_claims.get_mut(&record.addr) {
+            Some(strongest) if *strongest >= claim => {}
+            Some(strongest) => *strongest = claim,
             None => {
-                newest.insert(record.addr, claim);
+                strongest_claims.insert(record.addr, claim);
             }
         }
     }
     for record in hosts.values_mut() {
-        let best = newest.get(&record.addr);
-        if best.is_some_and(|best| best.id != record.id) {
+        let strongest = strongest_claims.get(&record.addr);
+        if strongest.is_some_and(|strongest| strongest.id != record.id) {
             record.phase = phase::GONE;
         }
     }
--- a/crates/replication/src/mirror/replicated_state.rs
+++ b/crates/replication/src/mirror/replicated_state.rs
@@ -146,11 +146,11 @@
             configuration,
             bytes,
         });
-        let mut total: usize = self.history.iter().map(|past| past.bytes).sum();
+        let mut total_bytes: usize = self.history.iter().map(|past| past.bytes).sum();
         while self.history.len() > self.max_history
-            || (self.history.len() > 1 && total > MAX_HISTORY_BYTES)
+            || (self.history.len() > 1 && total_bytes > MAX_HISTORY_BYTES)
         {
-            total -= self.history.pop_front().map_or(0, |past| past.bytes);
+            total_bytes -= self.history.pop_front().map_or(0, |past| past.bytes);
         }
     }
 
--- a/crates/replication/src/puller/mod.rs
+++ b/crates/replication/src/puller/mod.rs
@@ -109,8 +109,8 @@
 
     /// Handles the arrival of some bytes of an answer, which gives the answer more time.
     pub fn partial_answer(&mut self, now: Duration, link: u64) {
-        if let Some((_, known)) = self.open_link(link) {
-            if let Phase::Polling(until) = &mut known.phase {
+        if let Some((_, open_link)) = self.open_link(link) {
+            if let Phase::Polling(until) = &mut open_link.phase {
                 *until = (*until).max(now + ANSWER_SLACK);
             }
         }
@@ -118,8 +118,8 @@
 
     /// Returns the time at which the outstanding pull of a link was sent; `None` if there is none.
     pub fn pull_sent_at(&self, link: u64) -> Option<Duration> {
-        let known = self.links.values().find(|known| known.number == link)?;
-        matches!(known.phase, Phase::Polling(_)).then_some(known.pulled_at)
+        let found = self.links.values().find(|found| found.number == link)?;
+        matches!(found.phase, Phase::Polling(_)).then_some(found.pulled_at)
     }
 
     /// Whether all known members have answered and none is in contact with a primary, so that none can confirm a newer
@@ -204,10 +204,10 @@
 
     /// Handles an established connection.
     pub fn connected(&mut self, now: Duration, link: u64) -> Vec<Action> {
-        let Some((addr, known)) = self.open_link(link) else {
+        let Some((addr, open_link)) = self.open_link(link) else {
             return Vec::new();
         };
-        known.answered = false;
+        open_link.answered = false;
         let is_long_poll = self.preferred().is_none();
         self.pull(now, addr, is_long_poll).into_iter().collect()
     }
@@ -231,24 +231,24 @@
         applied: bool,
     ) -> Vec<Action> {
         let update_pause = self.update_pause;
-        let Some((addr, known)) = self.open_link(link) else {
+        let Some((addr, open_link)) = self.open_link(link) else {
             return Vec::new();
         };
-        let Phase::Polling(until) = known.phase else {
+        let Phase::Polling(until) = open_link.phase else {
             return Vec::new();
         };
-        known.failed = false;
-        known.answered = true;
-        known.backoff = INITIAL_BACKOFF;
-        known.member_id = member_id;
-        known.stale = age_ms > STALE_AGE_MS;
+        open_link.failed = false;
+        open_link.answered = true;
+        open_link.backoff = INITIAL_BACKOFF;
+        open_link.member_id = member_id;
+        open_link.stale = age_ms > STALE_AGE_MS;
         let is_early = now + ANSWER_SLACK + EARLY_ANSWER_PAUSE < until;
         let pause = match (applied, is_early) {
             (true, _) => update_pause,
             (false, true) => EARLY_ANSWER_PAUSE.max(update_pause),
             (false, false) => Duration::ZERO,
         };
-        known.phase = Phase::Idle(now + pause);
+        open_link.phase = Phase::Idle(now + pause);
         if self.preferred().is_some_and(|preferred| preferred != addr) {
             self.idle_until(addr, now + STANDBY_POLL_INTERVAL);
         }
