--- a/crates/replication/tests/mirror.rs
+++ b/crates/replication/tests/mirror.rs
@@ -64,27 +64,27 @@
 }
 
 fn origin_update(
-    member_id: u64,
+    member: u64,
     incarnation: u64,
-    sequence: u64,
-    complete: bool,
+    sequence_number: u64,
+    is_complete: bool,
     hosts: Vec<HostRecord>,
 ) -> OriginUpdate {
     OriginUpdate {
         version: OriginVersion {
-            member_id,
+            member_id: member,
             incarnation,
-            sequence,
+            sequence: sequence_number,
         },
-        complete,
+        complete: is_complete,
         hosts,
         coordinators: vec![],
     }
 }
 
-fn update_with_origins(origins: Vec<OriginUpdate>) -> Update {
+fn update_with_origins(origin_updates: Vec<OriginUpdate>) -> Update {
     Update {
-        origins,
+        origins: origin_updates,
         ..Update::default()
     }
 }
@@ -555,9 +555,9 @@
 #[test]
 fn snapshot_merges_the_hosts_of_all_origins() {
     let mut agent = mirror(0);
-    let record = |id: &str, call_seq, phase, heartbeat_expired| HostRecord {
+    let record = |id: &str, call_seq, phase, is_silent| HostRecord {
         phase,
-        heartbeat_expired,
+        heartbeat_expired: is_silent,
         ..host(id, call_seq)
     };
     let first = vec![
@@ -816,12 +816,12 @@
 #[test]
 fn host_at_other_origins_returns_their_latest_record() {
     let mut member = mirror(1);
-    let origins = vec![
+    let origin_updates = vec![
         origin_update(1, 1, 1, true, vec![host("a", 9)]),
         origin_update(2, 1, 1, true, vec![host("a", 4)]),
         origin_update(3, 1, 1, true, vec![host("a", 6)]),
     ];
-    member.apply(ms(0), &update_with_origins(origins));
+    member.apply(ms(0), &update_with_origins(origin_updates));
     assert_eq!(member.host_at_other_origins(1, "a").unwrap().call_seq, 6);
     assert!(member.host_at_other_origins(1, "b").is_none());
 }
--- a/crates/replication/tests/serve.rs
+++ b/crates/replication/tests/serve.rs
@@ -29,13 +29,13 @@
         addr: Addr { ip: 1, port: 1 },
         ..HostRecord::default()
     };
-    let version = OriginVersion {
+    let origin_version = OriginVersion {
         member_id: 7,
         incarnation: 1,
         sequence: 1,
     };
     let origin_update = OriginUpdate {
-        version,
+        version: origin_version,
         complete: true,
         hosts: vec![host],
         coordinators: vec![],
--- a/crates/replication/tests/transitions.rs
+++ b/crates/replication/tests/transitions.rs
@@ -108,8 +108,8 @@
     (0..20).for_each(|_| agent.run_round());
     assert_eq!(agent.reported.len(), 1, "{:?}", agent.reported);
     let is_other = |transition: &PullTransition| {
-        matches!(transition, PullTransition::PreferredMember { member, fresh_again: false }
-        if *member != preferred)
+        matches!(transition, PullTransition::PreferredMember { member: other, fresh_again: false }
+        if *other != preferred)
     };
     assert!(is_other(&agent.reported[0]), "{:?}", agent.reported);
 
