--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -116,7 +116,7 @@
             () = sleep(idle_timeout) => {}
         }
         // Closing now would lose a request that the kernel has already taken.
-        if socket::is_quiet(self.stream) {
+        if socket::is_open_and_idle(self.stream) {
             IdleOutcome::Close
         } else {
             IdleOutcome::Raced
@@ -186,7 +186,7 @@
     async fn forward_request(&mut self, request: &Request) -> ConnectionOutcome {
         let progress = ResponseProgress::default();
         if !self.buf.is_empty() {
-            progress.set_input_ahead();
+            progress.set_pipelined_input();
         }
         let phase = &mut self.phase;
         let process_ends = async {
@@ -237,8 +237,8 @@
         }
         let code = progress.code_unless_run(ResultCode::Leaving);
         let reply = LocalReply::new(code, request.attempt_id(), Some(OVERLOADED_RETRY_AFTER))
-            .to(&request.head);
-        let close = !progress.has_input_ahead();
+            .for_request(&request.head);
+        let close = !progress.has_pipelined_input();
         match (reply.send(self.state, self.stream, close).await, close) {
             (false, _) | (true, true) => ConnectionOutcome::Close,
             (true, false) => ConnectionOutcome::KeepAlive,
@@ -283,7 +283,7 @@
         match socket::read(stream, buf).await {
             Ok(n) if n > 0 => {
                 *received_at = Instant::now();
-                progress.set_input_ahead();
+                progress.set_pipelined_input();
             }
             _ => return,
         }
--- a/crates/proxy/src/exchange/admission.rs
+++ b/crates/proxy/src/exchange/admission.rs
@@ -55,7 +55,7 @@
         progress.start();
         let close = is_last_response(state, request, progress);
         let sent = LocalReply::new(self.code, request.attempt_id(), self.retry_after)
-            .to(&request.head)
+            .for_request(&request.head)
             .send(state, client, close)
             .await;
         match (sent, close) {
@@ -74,7 +74,7 @@
     progress: &ResponseProgress,
 ) -> bool {
     let is_shutting_down = state.shutdown.get().is_some();
-    (is_shutting_down && !progress.has_input_ahead()) || !request.head.is_keep_alive()
+    (is_shutting_down && !progress.has_pipelined_input()) || !request.head.is_keep_alive()
 }
 
 /// The route of a request, and who sends it.
--- a/crates/proxy/src/local_reply.rs
+++ b/crates/proxy/src/local_reply.rs
@@ -53,7 +53,7 @@
     }
 
     /// Leaves the body out if the request's method is `HEAD`.
-    pub(crate) fn to(mut self, request: &RequestHead) -> Self {
+    pub(crate) fn for_request(mut self, request: &RequestHead) -> Self {
         self.head_only = request.method() == b"HEAD";
         self
     }
--- a/crates/proxy/src/response_progress.rs
+++ b/crates/proxy/src/response_progress.rs
@@ -22,7 +22,7 @@
     may_have_run: Cell<bool>,
     close_delimited: Cell<bool>,
     /// Whether the client has sent something behind the request.
-    has_input_ahead: Cell<bool>,
+    has_pipelined_input: Cell<bool>,
     /// When the request has to end; `None` until it is admitted.
     deadline: Cell<Option<Instant>>,
 }
@@ -59,13 +59,13 @@
     }
 
     /// Whether the client has sent something behind the request, which has to be answered too.
-    pub(crate) fn has_input_ahead(&self) -> bool {
-        self.has_input_ahead.get()
+    pub(crate) fn has_pipelined_input(&self) -> bool {
+        self.has_pipelined_input.get()
     }
 
     /// The client has sent something behind the request.
-    pub(crate) fn set_input_ahead(&self) {
-        self.has_input_ahead.set(true);
+    pub(crate) fn set_pipelined_input(&self) {
+        self.has_pipelined_input.set(true);
     }
 
     /// Whether the client takes the end of the connection for the end of the response.
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -55,7 +55,7 @@
 }
 
 /// Whether there is nothing to read and the peer has not closed, as the kernel knows it now.
-pub(crate) fn is_quiet(stream: &TcpStream) -> bool {
+pub(crate) fn is_open_and_idle(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     let peeked = recv(stream, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
     matches!(peeked, Err(rustix::io::Errno::AGAIN))
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -40,7 +40,7 @@
     loop {
         let idle = state.pool.borrow_mut().take_idle(state.now(), &target.host);
         match idle {
-            Some(connection) if connection.is_quiet() => return Ok(connection),
+            Some(connection) if connection.is_open_and_idle() => return Ok(connection),
             // The host has closed it, or sent what nobody asked for.
             Some(_) => {}
             None => return connect(state, target).await,
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -81,8 +81,8 @@
     }
 
     /// Whether there is nothing to read and the host has not closed, as the kernel knows it now.
-    pub(crate) fn is_quiet(&self) -> bool {
-        socket::is_quiet(&self.stream)
+    pub(crate) fn is_open_and_idle(&self) -> bool {
+        socket::is_open_and_idle(&self.stream)
     }
 
     /// Writes a request. Stops early if its response is there before all is written: a host may refuse a large body and
