--- a/crates/proxy/src/event_stream.rs
+++ b/crates/proxy/src/event_stream.rs
@@ -120,7 +120,7 @@
 pub struct EventOffset {
     last_event_id: Option<String>,
     /// Data without an id was forwarded, so that no host can be told what to resume behind.
-    unknown: bool,
+    has_unresumable_data: bool,
 }
 
 impl EventOffset {
@@ -128,7 +128,7 @@
     pub fn after(last_event_id: Option<&str>) -> Self {
         Self {
             last_event_id: last_event_id.map(str::to_owned),
-            unknown: false,
+            has_unresumable_data: false,
         }
     }
 
@@ -139,13 +139,13 @@
 
     /// Whether another host can resume here, with nothing missing and nothing sent twice.
     pub fn is_resumable(&self) -> bool {
-        !self.unknown
+        !self.has_unresumable_data
     }
 
     /// Advances past an event; false if the client has the event already. Numeric ids rise along a stream.
     pub fn advance(&mut self, event: &Event) -> bool {
         let Some(id) = &event.id else {
-            self.unknown |= event.has_data();
+            self.has_unresumable_data |= event.has_data();
             return true;
         };
         let last_number = self.last_event_id.as_deref().and_then(event_number);
--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -32,7 +32,7 @@
     pub(super) connection: UpstreamConnection,
     pub(super) head: ResponseHead,
     /// Whether responses to other requests came before it. If so, the connection is not used again.
-    pub(super) behind_strays: bool,
+    pub(super) after_stray_responses: bool,
     pub(super) load: Option<HostLoad>,
 }
 
@@ -71,13 +71,13 @@
             connection,
             load: host_load(&matched.head.fields),
             head: matched.head,
-            behind_strays: matched.behind_strays,
+            after_stray_responses: matched.after_stray_responses,
         };
-        self.relay(response, wait).await
+        self.relay_response(response, wait).await
     }
 
-    async fn relay(&mut self, response: HostResponse, wait: HostWait) -> AttemptResult {
-        match self.classify(&response.head) {
+    async fn relay_response(&mut self, response: HostResponse, wait: HostWait) -> AttemptResult {
+        match self.classify_response(&response.head) {
             ResponseKind::Refusal => self.on_refusal(response),
             ResponseKind::Invalid => {
                 self.state.counters.add(|c| c.broken_responses += 1);
@@ -96,16 +96,16 @@
         }
     }
 
-    fn classify(&self, head: &ResponseHead) -> ResponseKind {
+    fn classify_response(&self, head: &ResponseHead) -> ResponseKind {
         if is_refusal(head) {
             return ResponseKind::Refusal;
         }
         let success = (200..300).contains(&head.status);
         let unsealed = success && head.fields.get(HOST_SEAL).is_none();
         // A refusal's status without the word that nothing ran: no promise that could be forwarded.
-        let has_bare_refusal_status = matches!(head.status, 408 | 429 | 503);
+        let has_unmarked_refusal_status = matches!(head.status, 408 | 429 | 503);
         let encoded = head.fields.get("content-encoding").is_some();
-        if encoded || unsealed || has_bare_refusal_status {
+        if encoded || unsealed || has_unmarked_refusal_status {
             return ResponseKind::Invalid;
         }
         let is_event_stream = head
@@ -139,7 +139,7 @@
                 response.connection,
                 host.id,
                 response.head,
-                response.behind_strays,
+                response.after_stray_responses,
             );
         }
         host.attempt.finish(outcome, load);
--- a/crates/proxy/src/exchange/await_response.rs
+++ b/crates/proxy/src/exchange/await_response.rs
@@ -22,7 +22,7 @@
 pub(super) struct MatchedResponse {
     pub(super) head: ResponseHead,
     /// Whether responses to other requests came before it.
-    pub(super) behind_strays: bool,
+    pub(super) after_stray_responses: bool,
 }
 
 impl Exchange<'_> {
@@ -35,14 +35,14 @@
     ) -> Result<MatchedResponse, WaitError> {
         let to_head_request = self.request.is_head();
         let matcher = ResponseMatcher::new(self.request.attempt_id().unwrap_or_default());
-        for strays in 0..=MAX_STRAY_RESPONSES {
+        for stray_count in 0..=MAX_STRAY_RESPONSES {
             let read_head = async |c: &mut UpstreamConnection| c.read_head(to_head_request).await;
-            let head = wait.run(self, connection, attempt, read_head).await?;
-            let first_on_connection = strays == 0 && !connection.reused();
+            let head = wait.read(self, connection, attempt, read_head).await?;
+            let first_on_connection = stray_count == 0 && !connection.reused();
             if matcher.matches(&head, first_on_connection) {
                 return Ok(MatchedResponse {
                     head,
-                    behind_strays: strays > 0,
+                    after_stray_responses: stray_count > 0,
                 });
             }
             self.state.counters.add(|c| c.stray_responses += 1);
@@ -52,7 +52,7 @@
                 c.read_body(&mut decoder, &mut body, MAX_BUFFERED_BYTES)
                     .await
             };
-            match wait.run(self, connection, attempt, skip_body).await? {
+            match wait.read(self, connection, attempt, skip_body).await? {
                 BodyRead::Complete => {}
                 BodyRead::OverLimit => break,
             }
@@ -67,9 +67,9 @@
         mut connection: UpstreamConnection,
         host: Arc<str>,
         head: ResponseHead,
-        behind_strays: bool,
+        after_stray_responses: bool,
     ) {
-        if behind_strays || !head.is_keep_alive() {
+        if after_stray_responses || !head.is_keep_alive() {
             return;
         }
         let state = self.state.clone();
--- a/crates/proxy/src/exchange/buffered.rs
+++ b/crates/proxy/src/exchange/buffered.rs
@@ -29,7 +29,7 @@
         if response.head.status < 400 {
             response.host.attempt.record_response_start();
         }
-        wait.response_began();
+        wait.mark_response_started();
         let mut decoder = BodyDecoder::new(response.head.framing);
         let mut body = BytesMut::new();
         let mut read = self
@@ -77,7 +77,7 @@
     ) -> Result<BodyRead, WaitError> {
         let read_body = async |c: &mut UpstreamConnection| c.read_body(decoder, body, limit).await;
         let attempt = &response.host.attempt;
-        wait.run(self, &mut response.connection, attempt, read_body)
+        wait.read(self, &mut response.connection, attempt, read_body)
             .await
     }
 
@@ -96,22 +96,22 @@
             host,
             connection,
             head,
-            behind_strays,
+            after_stray_responses,
             load,
         } = response;
-        if !behind_strays {
+        if !after_stray_responses {
             upstream::release(self.state, &host.id, connection, &head);
         }
         host.attempt.finish(outcome_of_status(head.status), load);
         if head.status < 500 {
-            return AttemptResult::Answered(self.write_buffered(&head, &body).await);
+            return AttemptResult::Answered(self.write_complete_response(&head, &body).await);
         }
         self.host_error = Some(HostError { head, body });
         AttemptResult::Failed(AttemptOutcome::HostFailed)
     }
 
     /// Writes a complete response to the client.
-    pub(super) async fn write_buffered(
+    pub(super) async fn write_complete_response(
         &self,
         head: &ResponseHead,
         body: &Bytes,
@@ -124,7 +124,7 @@
         };
         let head = self.response_head(head, framing, close);
         self.progress.start();
-        if !self.write(&head, body).await {
+        if !self.write_to_client(&head, body).await {
             return ConnectionOutcome::Truncated;
         }
         self.response_complete(close)
@@ -138,11 +138,11 @@
         start: BytesMut,
     ) -> AttemptResult {
         let mut writer = ClientWriter::new(self, &response.head);
-        let mut sent = writer.write(self, &response.head, &start).await;
+        let mut sent = writer.write_piece(self, &response.head, &start).await;
         while sent {
             let piece = response.connection.read_body_piece(&mut decoder);
             let data = match timeout_at(self.response_deadline(), piece).await {
-                Ok(Ok(Some(data))) if !self.is_over_time() => data,
+                Ok(Ok(Some(data))) if !self.is_past_max_overrun() => data,
                 Ok(Ok(None)) => return self.finish_large(response, writer).await,
                 Ok(Err(_)) => {
                     self.state.counters.add(|c| c.broken_responses += 1);
@@ -155,7 +155,7 @@
                 }
             };
             response.host.attempt.record_progress();
-            sent = writer.write(self, &response.head, &data).await;
+            sent = writer.write_piece(self, &response.head, &data).await;
         }
         AttemptResult::Answered(ConnectionOutcome::Truncated)
     }
@@ -169,10 +169,10 @@
             host,
             connection,
             head,
-            behind_strays,
+            after_stray_responses,
             ..
         } = response;
-        if !behind_strays {
+        if !after_stray_responses {
             upstream::release(self.state, &host.id, connection, &head);
         }
         host.attempt.finish(outcome_of_status(head.status), None);
--- a/crates/proxy/src/exchange/client_writer.rs
+++ b/crates/proxy/src/exchange/client_writer.rs
@@ -10,7 +10,7 @@
 use tokio::time::{timeout_at, Instant};
 
 /// First guess of a head's size in bytes.
-const HEAD_CAPACITY_BYTES: usize = 512;
+const INITIAL_HEAD_CAPACITY_BYTES: usize = 512;
 
 /// Writes a response to the client piece by piece. The head goes with the first piece, and only once for all hosts that
 /// the response comes from: its framing, and what it says of the connection, hold for them all.
@@ -37,7 +37,7 @@
     }
 
     /// Writes a piece of the body; false if the client doesn't take it.
-    pub(super) async fn write(
+    pub(super) async fn write_piece(
         &mut self,
         exchange: &Exchange<'_>,
         head: &ResponseHead,
@@ -50,7 +50,7 @@
             exchange.response_head(head, Some(self.framing), self.close)
         };
         if self.framing != Framing::Chunked {
-            return exchange.write(&out, data).await;
+            return exchange.write_to_client(&out, data).await;
         }
         // An empty chunk would end the body.
         if !data.is_empty() {
@@ -58,7 +58,7 @@
             out.extend_from_slice(data);
             out.extend_from_slice(b"\r\n");
         }
-        exchange.write(&out, b"").await
+        exchange.write_to_client(&out, b"").await
     }
 
     /// Whether the client can tell the end of the response from a broken connection. If so, it must not be told of an
@@ -74,10 +74,10 @@
         head: &ResponseHead,
     ) -> ConnectionOutcome {
         let started = exchange.progress.started();
-        if !started && !self.write(exchange, head, b"").await {
+        if !started && !self.write_piece(exchange, head, b"").await {
             return ConnectionOutcome::Truncated;
         }
-        if self.framing == Framing::Chunked && !exchange.write(b"0\r\n\r\n", b"").await {
+        if self.framing == Framing::Chunked && !exchange.write_to_client(b"0\r\n\r\n", b"").await {
             return ConnectionOutcome::Truncated;
         }
         exchange.response_complete(self.close)
@@ -104,7 +104,7 @@
         framing: Option<Framing>,
         close: bool,
     ) -> Vec<u8> {
-        let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
+        let mut head = Vec::with_capacity(INITIAL_HEAD_CAPACITY_BYTES);
         head.extend_from_slice(format!("HTTP/1.1 {} ", host_head.status).as_bytes());
         head.extend_from_slice(host_head.reason_phrase());
         head.extend_from_slice(b"\r\n");
@@ -140,7 +140,7 @@
     }
 
     /// Writes to the client; false if it doesn't take it in time.
-    pub(super) async fn write(&self, head: &[u8], body: &[u8]) -> bool {
+    pub(super) async fn write_to_client(&self, head: &[u8], body: &[u8]) -> bool {
         let write_deadline = self.deadline().max(Instant::now() + CLIENT_WRITE_TIMEOUT);
         let mut written = 0;
         let write = socket::write_all(self.client, head, body, &mut written);
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -19,7 +19,7 @@
 /// Largest value of the `Priority` field.
 const MAX_PRIORITY: u8 = 9;
 /// First guess of a head's size in bytes.
-const HEAD_CAPACITY_BYTES: usize = 512;
+const INITIAL_HEAD_CAPACITY_BYTES: usize = 512;
 
 /// Why a request was not sent completely.
 #[derive(Clone, Copy, Debug)]
@@ -117,7 +117,7 @@
     /// Half of the latency target, within bounds. A lost SYN is sent again only after a second: another host is the
     /// better choice, as nothing has run here.
     fn connect_timeout(&self) -> Duration {
-        Duration::try_from_secs_f64(self.target_ms() / 2e3)
+        Duration::try_from_secs_f64(self.latency_target_ms() / 2e3)
             .unwrap_or(MAX_CONNECT_TIMEOUT)
             .clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
     }
@@ -127,7 +127,7 @@
         let client_head = &self.request.head;
         // Once events have gone to the client, this proxy knows where to resume.
         let resume_after = self.offset.last_event_id().filter(|_| self.route.resumable);
-        let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
+        let mut head = Vec::with_capacity(INITIAL_HEAD_CAPACITY_BYTES);
         head.extend_from_slice(client_head.method());
         head.push(b' ');
         head.extend_from_slice(client_head.target());
--- a/crates/proxy/src/exchange/host_wait.rs
+++ b/crates/proxy/src/exchange/host_wait.rs
@@ -39,12 +39,12 @@
     }
 
     /// The response has begun: from here on the host is waited for until the deadline.
-    pub(super) fn response_began(&mut self) {
+    pub(super) fn mark_response_started(&mut self) {
         self.may_fail_over = false;
     }
 
     /// Runs a cancel-safe read on the connection; it may be dropped and started again.
-    pub(super) async fn run<T>(
+    pub(super) async fn read<T>(
         &mut self,
         exchange: &mut Exchange<'_>,
         connection: &mut UpstreamConnection,
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -46,13 +46,13 @@
 /// off.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 /// After the deadline a host is given this long to give its own response.
-const DEADLINE_GRACE: Duration = Duration::from_millis(50);
+const HOST_RESPONSE_GRACE: Duration = Duration::from_millis(50);
 /// After the deadline a response that never pauses is relayed for this long at most.
-const MAX_OVERTIME: Duration = Duration::from_millis(200);
+const MAX_DEADLINE_OVERRUN: Duration = Duration::from_millis(200);
 /// `Retry-After`, as a share of the route's latency target, where the load balancer names none.
-const RETRY_AFTER_TARGET_SHARE: f64 = 0.1;
+const RETRY_AFTER_SHARE_OF_TARGET: f64 = 0.1;
 /// Latency target of a route that gives none, in milliseconds.
-const DEFAULT_TARGET_MS: f64 = 1000.0;
+const DEFAULT_LATENCY_TARGET_MS: f64 = 1000.0;
 
 /// One request on its way.
 struct Exchange<'a> {
@@ -194,7 +194,7 @@
         }
         // A host's own error says more than a reply of the proxy's.
         if let Some(error) = self.host_error.take() {
-            return self.write_buffered(&error.head, &error.body).await;
+            return self.write_complete_response(&error.head, &error.body).await;
         }
         if rejection.code == ResultCode::HostsOverloaded {
             self.state.counters.add(|c| c.throttled_requests += 1);
@@ -208,14 +208,14 @@
     }
 
     fn default_retry_after(&self) -> Duration {
-        duration_from_ms(self.target_ms())
-            .mul_f64(RETRY_AFTER_TARGET_SHARE)
+        duration_from_ms(self.latency_target_ms())
+            .mul_f64(RETRY_AFTER_SHARE_OF_TARGET)
             .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// The route's latency target in milliseconds.
-    fn target_ms(&self) -> f64 {
-        self.route.target_ms.unwrap_or(DEFAULT_TARGET_MS)
+    fn latency_target_ms(&self) -> f64 {
+        self.route.target_ms.unwrap_or(DEFAULT_LATENCY_TARGET_MS)
     }
 
     /// When the request has to end.
@@ -225,13 +225,13 @@
 
     /// When a host's response comes too late.
     fn response_deadline(&self) -> Instant {
-        self.deadline() + DEADLINE_GRACE
+        self.deadline() + HOST_RESPONSE_GRACE
     }
 
     /// Whether a response that goes on is to be truncated, though more of it is there: a host that never pauses would
     /// keep it for ever.
-    fn is_over_time(&self) -> bool {
-        Instant::now() >= self.deadline() + MAX_OVERTIME
+    fn is_past_max_overrun(&self) -> bool {
+        Instant::now() >= self.deadline() + MAX_DEADLINE_OVERRUN
     }
 
     /// Whether the response has no body, whatever its fields say.
--- a/crates/proxy/src/exchange/streaming.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -20,15 +20,15 @@
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 /// A resumable stream counts as stalled after the longest of this time and these multiples of the route's latency
 /// target and inter-event target. That is half of what its client bears.
-const MIN_STALL_MS: f64 = 1000.0;
-const STALL_PER_TARGET: f64 = 2.0;
-const STALL_PER_GAP_TARGET: f64 = 4.0;
+const MIN_STALL_TIMEOUT_MS: f64 = 1000.0;
+const STALL_LATENCY_TARGET_MULTIPLE: f64 = 2.0;
+const STALL_GAP_TARGET_MULTIPLE: f64 = 4.0;
 
 /// After how long without data a resumable stream is stalled.
 fn stall_timeout(route: &Route) -> Duration {
-    let ms = (STALL_PER_TARGET * route.target_ms.unwrap_or(0.0))
-        .max(STALL_PER_GAP_TARGET * route.gap_aim_ms.unwrap_or(0.0))
-        .max(MIN_STALL_MS);
+    let ms = (STALL_LATENCY_TARGET_MULTIPLE * route.target_ms.unwrap_or(0.0))
+        .max(STALL_GAP_TARGET_MULTIPLE * route.gap_aim_ms.unwrap_or(0.0))
+        .max(MIN_STALL_TIMEOUT_MS);
     duration_from_ms(ms)
 }
 
@@ -74,7 +74,7 @@
             } else {
                 attempt.record_response_start();
             }
-            if !relay.writer.write(self, &response.head, &data).await {
+            if !relay.writer.write_piece(self, &response.head, &data).await {
                 return AttemptResult::Answered(ConnectionOutcome::Truncated);
             }
         }
@@ -90,11 +90,11 @@
         let decoder = &mut relay.decoder;
         let connection = &mut response.connection;
         let piece = if relay.has_data {
-            self.read_later_piece(connection, decoder).await?
+            self.read_next_piece(connection, decoder).await?
         } else {
             let read_piece = async |c: &mut UpstreamConnection| c.read_body_piece(decoder).await;
             let attempt = &response.host.attempt;
-            wait.run(self, connection, attempt, read_piece).await?
+            wait.read(self, connection, attempt, read_piece).await?
         };
         let resumable = self.route.resumable;
         match piece {
@@ -117,15 +117,15 @@
             host,
             connection,
             head,
-            behind_strays,
+            after_stray_responses,
             ..
         } = response;
-        if !behind_strays {
+        if !after_stray_responses {
             upstream::release(self.state, &host.id, connection, &head);
         }
         host.attempt.finish(Outcome::Succeeded, None);
         let rest = relay.splitter.take_incomplete();
-        if !rest.is_empty() && !relay.writer.write(self, &head, &rest).await {
+        if !rest.is_empty() && !relay.writer.write_piece(self, &head, &rest).await {
             return AttemptResult::Answered(ConnectionOutcome::Truncated);
         }
         AttemptResult::Answered(relay.writer.finish(self, &head).await)
@@ -144,12 +144,12 @@
 
     /// Reads the next piece of a stream that has begun. A stalled stream that may be resumed goes to another host,
     /// unless this one shows itself alive on other connections: then the stream will go on here.
-    async fn read_later_piece(
+    async fn read_next_piece(
         &mut self,
         connection: &mut UpstreamConnection,
         decoder: &mut BodyDecoder,
     ) -> Result<Option<Bytes>, WaitError> {
-        if self.is_over_time() {
+        if self.is_past_max_overrun() {
             return Err(WaitError::DeadlinePassed);
         }
         let deadline = self.response_deadline();
@@ -180,7 +180,7 @@
     /// The complete events that have come and that the client does not have.
     fn take_new_events(&mut self, splitter: &mut EventSplitter) -> Bytes {
         let mut first = Bytes::new();
-        let mut several = BytesMut::new();
+        let mut combined = BytesMut::new();
         while let Some(event) = splitter.next_event() {
             if !self.offset.advance(&event) {
                 continue;
@@ -190,15 +190,15 @@
                 first = event.bytes;
                 continue;
             }
-            if several.is_empty() {
-                several.extend_from_slice(&first);
+            if combined.is_empty() {
+                combined.extend_from_slice(&first);
             }
-            several.extend_from_slice(&event.bytes);
+            combined.extend_from_slice(&event.bytes);
         }
-        if several.is_empty() {
+        if combined.is_empty() {
             first
         } else {
-            several.freeze()
+            combined.freeze()
         }
     }
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -9,19 +9,19 @@
 
 /// From the signal on idle connections are kept, and requests admitted that may run once, for so long: until the
 /// platform has noticed that the proxy is not ready.
-const FULL_SERVICE: Duration = Duration::from_millis(2500);
+const FULL_SERVICE_PERIOD: Duration = Duration::from_millis(2500);
 /// Requests whose response has not begun get a local reply so long before the platform kills the process.
-const REPLY_MARGIN: Duration = Duration::from_millis(700);
+const LOCAL_REPLY_MARGIN: Duration = Duration::from_millis(700);
 /// The longest time for which a quota of processor time pauses the process at once.
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+const MAX_CPU_THROTTLING_PAUSE: Duration = Duration::from_millis(100);
 /// The process waits for its connections to end until so long before the platform kills it. The platform counts from when
 /// it sent the signal: one pause may have kept the process from noticing it, and another one may come at the end.
-const EXIT_MARGIN: Duration = LONGEST_PAUSE.saturating_mul(2);
+const EXIT_MARGIN: Duration = MAX_CPU_THROTTLING_PAUSE.saturating_mul(2);
 /// Responses that have begun are truncated so long before the platform kills the process. Connections end meanwhile.
-const TRUNCATION_MARGIN: Duration = EXIT_MARGIN.saturating_add(LONGEST_PAUSE);
+const TRUNCATION_MARGIN: Duration = EXIT_MARGIN.saturating_add(MAX_CPU_THROTTLING_PAUSE);
 /// In the last moments before the local replies a request has to fit into the time that is left, as a host may need as
 /// long.
-const LAST_REQUESTS: Duration = Duration::from_millis(300);
+const LAST_REQUESTS_PERIOD: Duration = Duration::from_millis(300);
 
 /// A shutdown under way. All times are durations since the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// Until then idle connections are kept.
     pub(crate) full_service_until: Duration,
     /// Until then requests are admitted that the client may repeat if the process ends before their response.
-    repeatable_until: Duration,
+    pure_requests_until: Duration,
     /// Then all requests whose response has not begun get a local reply.
     pub(crate) responses_until: Duration,
     /// Then all responses that have begun are truncated.
@@ -43,13 +43,13 @@
 impl Shutdown {
     /// The schedule of a shutdown that begins now; the platform kills the process after `grace`.
     pub(crate) fn begin(now: Duration, grace: Duration) -> Self {
-        let responses_until = now + grace.saturating_sub(REPLY_MARGIN);
-        let repeatable_until = responses_until.saturating_sub(LAST_REQUESTS);
-        let full_service_until = repeatable_until.min(now + FULL_SERVICE);
+        let responses_until = now + grace.saturating_sub(LOCAL_REPLY_MARGIN);
+        let pure_requests_until = responses_until.saturating_sub(LAST_REQUESTS_PERIOD);
+        let full_service_until = pure_requests_until.min(now + FULL_SERVICE_PERIOD);
         Self {
             signalled_at: now,
             full_service_until,
-            repeatable_until,
+            pure_requests_until,
             responses_until,
             streams_until: now + grace.saturating_sub(TRUNCATION_MARGIN),
             exit_at: now + grace.saturating_sub(EXIT_MARGIN),
@@ -60,7 +60,7 @@
     pub(crate) fn ended_early(self, now: Duration) -> Self {
         Self {
             full_service_until: self.full_service_until.min(now),
-            repeatable_until: self.repeatable_until.min(now),
+            pure_requests_until: self.pure_requests_until.min(now),
             responses_until: self.responses_until.min(now),
             streams_until: self.streams_until.min(now),
             ..self
@@ -77,7 +77,7 @@
         match kind {
             RouteKind::Streaming => now < self.responses_until && !self.may_truncate(deadline),
             RouteKind::Mutating => fits || now < self.full_service_until,
-            RouteKind::Pure => fits || now < self.repeatable_until,
+            RouteKind::Pure => fits || now < self.pure_requests_until,
         }
     }
     /// Whether a response with this deadline, once it has begun, may be truncated by the end of the process.
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -6,13 +6,13 @@
 use tokio::net::TcpStream;
 
 /// Room in the buffer for each read, in bytes.
-const READ_BYTES: usize = 4096;
+const READ_BUFFER_BYTES: usize = 4096;
 
 /// Reads once, appending to `buf`; 0 is the end of the stream. Cancel-safe, and holds no memory until there is input.
 pub(crate) async fn read(stream: &TcpStream, buf: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
-        buf.reserve(READ_BYTES);
+        buf.reserve(READ_BUFFER_BYTES);
         match stream.try_read_buf(buf) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             result => return result,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// Longest time that a connection stays idle, whatever its host allows.
-const MAX_IDLE: Duration = Duration::from_secs(10);
+const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How much sooner than its host a connection is closed, so that no request meets the host's close.
-const IDLE_MARGIN: Duration = Duration::from_secs(1);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// Limit on the time-out that a host's `Keep-Alive` is taken to give.
 const MAX_KEEP_ALIVE_SECONDS: u64 = 3600;
 
@@ -24,12 +24,12 @@
 /// ```
 pub fn idle_timeout(keep_alive: Option<&str>) -> Duration {
     let Some(host_timeout) = keep_alive.and_then(keep_alive_timeout) else {
-        return MAX_IDLE;
+        return MAX_IDLE_TIMEOUT;
     };
     host_timeout
-        .saturating_sub(IDLE_MARGIN)
+        .saturating_sub(IDLE_TIMEOUT_MARGIN)
         .max(host_timeout / 2)
-        .min(MAX_IDLE)
+        .min(MAX_IDLE_TIMEOUT)
 }
 
 /// The `timeout` parameter of a `Keep-Alive` field.
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct ConnectionPermit {
     open_to_host: Rc<Cell<usize>>,
-    open_in_all: Rc<Cell<usize>>,
+    total_open: Rc<Cell<usize>>,
     last_activity: Rc<Cell<Duration>>,
 }
 
@@ -89,7 +89,7 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        for count in [&self.open_to_host, &self.open_in_all] {
+        for count in [&self.open_to_host, &self.total_open] {
             count.set(count.get().saturating_sub(1));
         }
     }
@@ -151,7 +151,7 @@
         }
         Some(ConnectionPermit {
             open_to_host: connections.open_count.clone(),
-            open_in_all: self.open_count.clone(),
+            total_open: self.open_count.clone(),
             last_activity: connections.last_activity.clone(),
         })
     }
