--- a/crates/proxy/src/deadline.rs
+++ b/crates/proxy/src/deadline.rs
@@ -1,11 +1,11 @@
-//! How long a request may take: the earlier of its client's deadline and its route's.
+//! The time limit of a request: the earlier of its client's deadline and its route's.
 
 use crate::headers::DEADLINE_MS;
 use configuration::Route;
 use http1::RequestHead;
 use std::time::Duration;
 
-/// The time that a request has from its first bytes on. Without a route only its client's deadline counts.
+/// Time that a request may take, counted from its first byte. Without a route only the client's deadline counts.
 pub(crate) fn time_allowed(head: &RequestHead, route: Option<&Route>) -> Duration {
     let client_ms = head
         .fields
@@ -17,8 +17,8 @@
     duration_from_ms(client_ms.min(route_ms))
 }
 
-/// A duration of milliseconds; what is out of range counts as no limit.
+/// Converts milliseconds to a duration. A value out of range counts as no limit.
 pub(crate) fn duration_from_ms(ms: f64) -> Duration {
-    // A quarter, so that a few can be added up.
+    // A quarter of the maximum, so that a few such durations can be added without overflow.
     Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::MAX / 4)
 }
--- a/crates/proxy/src/event_stream.rs
+++ b/crates/proxy/src/event_stream.rs
@@ -1,4 +1,5 @@
-//! Complete events of a `text/event-stream` (HTML standard, section 9.2), and where in a stream a client is.
+//! Splits a `text/event-stream` (HTML standard, section 9.2) into complete events, and tracks a client's position in
+//! the stream.
 //!
 //! ```
 //! use proxy::event_stream::EventSplitter;
@@ -12,17 +13,17 @@
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
-/// An event, with its bytes up to and with the blank line.
+/// An event, with its bytes up to and including the blank line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// The bytes as they came.
+    /// The bytes as they were received.
     pub bytes: Bytes,
-    /// The event's id, where it has one.
+    /// The event's id, if it has one.
     pub id: Option<String>,
 }
 
 impl Event {
-    /// Whether the event has data, and is more than a comment or a keep-alive.
+    /// Whether the event has data, unlike a comment or a keep-alive.
     pub fn has_data(&self) -> bool {
         self.bytes
             .split(|byte| matches!(byte, b'\n' | b'\r'))
@@ -30,11 +31,11 @@
     }
 }
 
-/// An incomplete event has grown beyond the splitter's limit.
+/// The error of an event that exceeds the splitter's limit while it is still incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("an event is larger than {max_event_bytes} bytes"))]
 pub struct EventTooLarge {
-    /// The splitter's limit.
+    /// The splitter's limit in bytes.
     pub max_event_bytes: usize,
 }
 
@@ -42,15 +43,15 @@
 #[derive(Debug)]
 pub struct EventSplitter {
     buf: BytesMut,
-    /// Where in `buf` the first line starts that was not looked at.
+    /// Position in `buf` of the first line that was not examined yet.
     line_start: usize,
-    /// Id of the incomplete event at the front of `buf`.
+    /// Id of the incomplete event at the front of `buf`, if its id line was read.
     id: Option<String>,
     max_event_bytes: usize,
 }
 
 impl EventSplitter {
-    /// A splitter for events of at most `max_event_bytes` bytes.
+    /// Creates a splitter for events of at most `max_event_bytes` bytes.
     pub fn new(max_event_bytes: usize) -> Self {
         Self {
             buf: BytesMut::new(),
@@ -63,7 +64,7 @@
     /// Appends the next bytes of the stream.
     ///
     /// # Errors
-    /// If more than the limit is buffered.
+    /// Fails if more bytes than the limit are buffered.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLarge> {
         self.buf.extend_from_slice(bytes);
         if self.buf.len() > self.max_event_bytes {
@@ -74,12 +75,12 @@
         Ok(())
     }
 
-    /// The next complete event.
+    /// Takes the next complete event; `None` if none is buffered.
     pub fn next_event(&mut self) -> Option<Event> {
         loop {
             let rest = &self.buf[self.line_start..];
             let line_length = rest.iter().position(|byte| matches!(byte, b'\n' | b'\r'))?;
-            // A line ends with LF, CR or both. Behind a CR at the end of the buffer an LF may follow.
+            // A line ends with LF, CR or CRLF. After a CR at the end of the buffer an LF may still arrive.
             let line_end_length = match (rest[line_length], rest.get(line_length + 1)) {
                 (b'\n', _) => 1,
                 (_, Some(b'\n')) => 2,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Takes what is buffered of an incomplete event.
+    /// Takes the buffered bytes of an incomplete event.
     pub fn take_incomplete(&mut self) -> Bytes {
         self.line_start = 0;
         self.id = None;
@@ -109,22 +110,22 @@
     }
 }
 
-/// The value of a line that gives an event's id.
+/// Returns the value of an `id:` line; `None` for any other line.
 fn event_id(line: &[u8]) -> Option<&[u8]> {
     let value = line.strip_prefix(b"id:")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
 }
 
-/// How far a client has a stream: the id of the last event that was forwarded.
+/// A client's position in a stream: the id of the last event that was forwarded to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventOffset {
     last_event_id: Option<String>,
-    /// Data without an id was forwarded, so that no host can be told what to resume behind.
+    /// Whether data without an id was forwarded, so that no event id tells a host where to resume.
     has_unresumable_data: bool,
 }
 
 impl EventOffset {
-    /// The offset behind the event that a client names in `Last-Event-Id`, or the start of the stream.
+    /// The offset after the event that a client names in `Last-Event-Id`, or the start of the stream if it names none.
     pub fn after(last_event_id: Option<&str>) -> Self {
         Self {
             last_event_id: last_event_id.map(str::to_owned),
@@ -132,17 +133,17 @@
         }
     }
 
-    /// Id of the last event that the client has.
+    /// Id of the last event that the client has received.
     pub fn last_event_id(&self) -> Option<&str> {
         self.last_event_id.as_deref()
     }
 
-    /// Whether another host can resume here, with nothing missing and nothing sent twice.
+    /// Whether another host can resume the stream at this offset without lost or duplicated events.
     pub fn is_resumable(&self) -> bool {
         !self.has_unresumable_data
     }
 
-    /// Advances past an event; false if the client has the event already. Numeric ids rise along a stream.
+    /// Advances past an event. Returns false if the client already has the event: numeric ids increase along a stream.
     pub fn advance(&mut self, event: &Event) -> bool {
         let Some(id) = &event.id else {
             self.has_unresumable_data |= event.has_data();
--- a/crates/proxy/src/exchange/admission.rs
+++ b/crates/proxy/src/exchange/admission.rs
@@ -13,21 +13,21 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// `Retry-After` for a request that another proxy may serve at once.
+/// Lower bound on the default `Retry-After`, also used for a request that another proxy may serve at once.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// `Retry-After` until this proxy has a configuration.
+/// Upper bound on the default `Retry-After`, also used until this proxy has a configuration and current API keys.
 pub(super) const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Why a request ends without a host's response.
+/// The reason why a request ends without a host's response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rejection {
     pub(super) code: ResultCode,
-    /// When to come back, where it is known.
+    /// Time after which the client should retry, if known.
     pub(super) retry_after: Option<Duration>,
 }
 
 impl Rejection {
-    /// Without a time to come back.
+    /// A rejection without a retry time.
     pub(super) fn new(code: ResultCode) -> Self {
         Self {
             code,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// With a time to come back.
+    /// A rejection that asks the client to retry after this time.
     pub(super) fn retry_after(code: ResultCode, after: Duration) -> Self {
         Self {
             code,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends the local reply.
+    /// Sends the rejection to the client as a local reply.
     pub(super) async fn send(
         self,
         state: &ProxyState,
@@ -51,7 +51,7 @@
         request: &Request,
         progress: &ResponseProgress,
     ) -> ConnectionOutcome {
-        // At the end of the process no second reply may follow the beginning of this one.
+        // From here on the shutdown must not send another reply for this request.
         progress.start();
         let close = is_last_response(state, request, progress);
         let sent = LocalReply::new(self.code, request.attempt_id(), self.retry_after)
@@ -66,8 +66,8 @@
     }
 }
 
-/// Whether the response to this request is the last on its connection. In a shutdown it is, unless the client has already
-/// sent more: behind a last response that would get no answer.
+/// Whether the response to this request is the last one on its connection. During a shutdown it is, unless the client
+/// has already sent more: that input would stay unanswered after a last response.
 pub(super) fn is_last_response(
     state: &ProxyState,
     request: &Request,
@@ -77,7 +77,7 @@
     (is_shutting_down && !progress.has_pipelined_input()) || !request.head.is_keep_alive()
 }
 
-/// The route of a request, and who sends it.
+/// Finds the route of a request and authenticates its sender.
 pub(super) fn find_route(
     state: &ProxyState,
     request: &Request,
@@ -93,7 +93,7 @@
         .host()
         .and_then(|host| table.routes.find(host, head.path()))
         .ok_or(Rejection::new(ResultCode::NoRoute))?;
-    // With two ids nobody could tell whose response is whose.
+    // With several ids a response could not be matched to its attempt.
     if head.fields.get_all(ATTEMPT_ID).count() != 1 {
         return Err(Rejection::new(ResultCode::BadRequest));
     }
@@ -108,7 +108,7 @@
     Ok((route.clone(), caller))
 }
 
-/// The service that a request on this route goes to.
+/// Selects the service for a request on this route.
 pub(super) fn select_service<'a>(
     state: &ProxyState,
     route: &'a Route,
@@ -116,7 +116,7 @@
     routes::select_service(route, state.random_u64()).ok_or(Rejection::new(ResultCode::NoHost))
 }
 
-/// The deadline of a request, as time since the start of the process: the earlier of its own and its route's.
+/// The deadline of a request, as time since the start of the process: the earlier of the client's and the route's.
 pub(super) fn deadline(state: &ProxyState, request: &Request, route: &Route) -> Duration {
     state
         .clock
@@ -124,7 +124,7 @@
         .saturating_add(time_allowed(&request.head, Some(route)))
 }
 
-/// Whether a request with this deadline may be given to a host at this time in the life of the process.
+/// Checks whether a request with this deadline may still be sent to a host if the process is shutting down.
 pub(super) fn check_shutdown(
     state: &ProxyState,
     route: &Route,
@@ -133,6 +133,6 @@
     if state.admits(deadline, route.kind) {
         return Ok(());
     }
-    // A retry reaches another proxy, which may serve it at once.
+    // The client's retry reaches another proxy, which may serve it at once.
     Err(Rejection::retry_after(ResultCode::Leaving, MIN_RETRY_AFTER))
 }
--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: sends the request to a host, judges the response and relays it.
+//! One attempt: sends the request to a host, classifies the response and relays it.
 
 use super::balancing_headers::host_load;
 use super::host_selection::SelectedHost;
@@ -14,42 +14,42 @@
 use configuration::{ResultCode, RouteKind};
 use http1::ResponseHead;
 
-/// What came of one attempt.
+/// The result of one attempt.
 pub(super) enum AttemptResult {
-    /// The client has a response, or as much of it as there is.
+    /// The client was sent a response, complete or truncated.
     Answered(ConnectionOutcome),
-    /// The attempt brought no response to forward.
+    /// The attempt ended without a response to forward.
     Failed(AttemptOutcome),
-    /// The response can't be forwarded, and no other host's could.
+    /// The response can't be forwarded, and a response from another host couldn't be either.
     Rejected(ResultCode),
-    /// The host was silent, and another one was selected.
+    /// The host did not respond in time, and another one was selected.
     FailedOver(SelectedHost),
 }
 
-/// A response whose head was read, and the connection that its body comes on.
+/// A response whose head has been read, with the connection that its body arrives on.
 pub(super) struct HostResponse {
     pub(super) host: SelectedHost,
     pub(super) connection: UpstreamConnection,
     pub(super) head: ResponseHead,
-    /// Whether responses to other requests came before it. If so, the connection is not used again.
+    /// Whether responses to other requests arrived before it. The connection is then not reused.
     pub(super) after_stray_responses: bool,
     pub(super) load: Option<HostLoad>,
 }
 
-/// What a response means by its head.
+/// How a response is handled, decided by its head.
 enum ResponseKind {
-    /// The host did not run the request.
+    /// The host states that it did not run the request.
     Refusal,
-    /// No host of the system would give this response.
+    /// Not a response that a host of this system can send.
     Invalid,
-    /// Relayed as it comes.
+    /// Relayed while it arrives.
     Stream,
-    /// Read completely and then relayed, unless it is large.
+    /// Read completely before it is relayed, unless it is too large.
     Buffered,
 }
 
 impl Exchange<'_> {
-    /// Makes one attempt.
+    /// Makes one attempt at the selected host.
     pub(super) async fn attempt(&mut self, host: SelectedHost) -> AttemptResult {
         let mut connection = match self.send_request(&host).await {
             Ok(connection) => connection,
@@ -86,7 +86,7 @@
                 AttemptResult::Failed(AttemptOutcome::Broken)
             }
             ResponseKind::Stream => self.relay_stream(response, wait).await,
-            // The client has the beginning of a stream: nothing else can follow.
+            // The client already has the start of a stream, which no other kind of response can continue.
             ResponseKind::Buffered if self.progress.started() => {
                 let attempt = response.host.attempt;
                 attempt.finish(Outcome::Failed, response.load);
@@ -102,7 +102,8 @@
         }
         let success = (200..300).contains(&head.status);
         let unsealed = success && head.fields.get(HOST_SEAL).is_none();
-        // A refusal's status without the word that nothing ran: no promise that could be forwarded.
+        // These statuses promise that the request did not run. Without the field that confirms it, they can't be
+        // forwarded.
         let has_unmarked_refusal_status = matches!(head.status, 408 | 429 | 503);
         let encoded = head.fields.get("content-encoding").is_some();
         if encoded || unsealed || has_unmarked_refusal_status {
@@ -112,8 +113,8 @@
             .fields
             .get_str("content-type")
             .is_some_and(|value| value.starts_with("text/event-stream"));
-        // Whether such a request is admitted in a shutdown doesn't go by the end of a stream: it is begun only when it is
-        // complete.
+        // During a shutdown, requests on non-streaming routes are admitted without regard to how long a stream may
+        // last. An event stream on such a route is therefore buffered until it is complete.
         let streaming = self.route.kind == RouteKind::Streaming
             || (is_event_stream && !self.may_be_truncated_by_shutdown());
         if success && streaming && !self.has_no_body(head) {
@@ -124,7 +125,8 @@
     }
 
     fn on_refusal(&self, response: HostResponse) -> AttemptResult {
-        // Refused for the version that its client expects, the request says nothing about who the host is.
+        // A 421 may also mean that the host does not have the version that the client expects. It then says nothing
+        // about the host's identity.
         let expects_version = self.request.head.fields.get(EXPECT_VERSION).is_some();
         let outcome = match response.head.status {
             421 if !expects_version => Outcome::Misdirected,
@@ -146,7 +148,7 @@
         AttemptResult::Failed(AttemptOutcome::NotExecuted)
     }
 
-    /// Ends an attempt whose response is not waited for any longer.
+    /// Ends an attempt whose response is no longer awaited.
     pub(super) fn on_wait_error(
         &self,
         error: WaitError,
@@ -162,7 +164,7 @@
                 attempt.finish(Outcome::TimedOut, None);
                 AttemptResult::Failed(AttemptOutcome::Broken)
             }
-            // The caller drops the old connection before the next host is asked.
+            // The caller drops the old connection before the request is sent to the next host.
             WaitError::FailedOver(next) => {
                 attempt.finish(Outcome::TimedOut, None);
                 AttemptResult::FailedOver(next)
--- a/crates/proxy/src/exchange/await_response.rs
+++ b/crates/proxy/src/exchange/await_response.rs
@@ -1,4 +1,4 @@
-//! Fourth step: waits for the head of the response that belongs to the attempt, past responses to others.
+//! Fourth step: waits for the head of the response that belongs to the attempt, skipping responses to other requests.
 
 use super::host_wait::{HostWait, WaitError};
 use super::{Exchange, MAX_BUFFERED_BYTES};
@@ -11,22 +11,22 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The body of a refusal is read up to this size, so that its connection can be used again.
+/// Largest refusal body, in bytes, that is read so that its connection can be reused.
 const MAX_REFUSAL_BODY_BYTES: usize = 64 * 1024;
-/// How long the body of a refusal is read.
+/// Longest time for reading the body of a refusal.
 const REFUSAL_READ_TIMEOUT: Duration = Duration::from_millis(50);
-/// Responses to other requests that are skipped before the connection is given up.
+/// Number of responses to other requests that are skipped before the connection is given up.
 const MAX_STRAY_RESPONSES: u32 = 4;
 
 /// The head of the response to an attempt.
 pub(super) struct MatchedResponse {
     pub(super) head: ResponseHead,
-    /// Whether responses to other requests came before it.
+    /// Whether responses to other requests arrived before it.
     pub(super) after_stray_responses: bool,
 }
 
 impl Exchange<'_> {
-    /// Waits for the response to an attempt.
+    /// Waits for the head of the response to an attempt.
     pub(super) async fn await_response(
         &mut self,
         connection: &mut UpstreamConnection,
@@ -60,8 +60,8 @@
         Err(WaitError::Broken)
     }
 
-    /// Reads the rest of a refusal in the background, so that the connection can be used again. The request doesn't wait
-    /// for it.
+    /// Reads the rest of a refusal in the background, so that the connection can be reused without delaying the
+    /// request.
     pub(super) fn drain_refusal(
         &self,
         mut connection: UpstreamConnection,
--- a/crates/proxy/src/exchange/buffered.rs
+++ b/crates/proxy/src/exchange/buffered.rs
@@ -1,4 +1,4 @@
-//! Relays a response that is read completely before it is forwarded, and one that is too large for that.
+//! Relays a response that is read completely before it is forwarded, or one that is too large for that.
 
 use super::admission::is_last_response;
 use super::attempt::{AttemptResult, HostResponse};
@@ -15,17 +15,17 @@
 use http1::{BodyDecoder, Framing, ResponseHead};
 use tokio::time::timeout_at;
 
-/// The same limit for a response that the end of the process might truncate.
+/// The same limit for a response that the end of the process might truncate during a shutdown.
 const MAX_BUFFERED_BYTES_IN_SHUTDOWN: usize = 4 * 1024 * 1024;
 
 impl Exchange<'_> {
-    /// Reads a response completely and forwards it, unless it is large.
+    /// Reads a response completely and forwards it. A response that is too large is relayed while it arrives.
     pub(super) async fn relay_buffered(
         &mut self,
         mut response: HostResponse,
         mut wait: HostWait,
     ) -> AttemptResult {
-        // Quick failures must not make a host look healthy.
+        // Errors that return quickly must not make a host look healthy.
         if response.head.status < 400 {
             response.host.attempt.record_response_start();
         }
@@ -53,7 +53,7 @@
         }
         match read {
             Ok(BodyRead::Complete) => self.on_complete_body(response, body.freeze()).await,
-            // Begun, it might be truncated: an error can still take its place.
+            // Once started, the response might be truncated. An error can still be sent in its place.
             Ok(BodyRead::OverLimit) if self.may_be_truncated_by_shutdown() => {
                 let code = self.progress.code_unless_run(ResultCode::Leaving);
                 AttemptResult::Rejected(code)
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Reads a body until it is complete or larger than `limit` bytes. Another call goes on.
+    /// Reads a body until it is complete or larger than `limit` bytes. A further call with a higher limit continues.
     async fn read_body_up_to(
         &mut self,
         limit: usize,
@@ -81,8 +81,9 @@
             .await
     }
 
-    /// Reserves memory for a large response that the end of the process might truncate: until it is complete, a rejection
-    /// can still take its place. `None` where the process isn't ending before the deadline, or there is no memory.
+    /// Reserves memory to buffer a large response that the end of the process might truncate: until it is complete, a
+    /// rejection can still be sent in its place. `None` if the process will not end before the deadline, or if there is
+    /// no memory left.
     fn reserve_for_shutdown(&self) -> Option<BodyReservation> {
         if !self.may_be_truncated_by_shutdown() {
             return None;
@@ -130,7 +131,7 @@
         self.response_complete(close)
     }
 
-    /// Relays the rest of a response that is too large to be buffered, behind its `start`.
+    /// Relays a response that is too large to be buffered: the bytes already read, `start`, and then the rest.
     async fn relay_large(
         &mut self,
         mut response: HostResponse,
@@ -180,7 +181,7 @@
     }
 }
 
-/// What a complete response says about its host.
+/// The outcome that a complete response with this status means for its host.
 fn outcome_of_status(status: u16) -> Outcome {
     if status < 400 {
         Outcome::Succeeded
--- a/crates/proxy/src/exchange/client_writer.rs
+++ b/crates/proxy/src/exchange/client_writer.rs
@@ -1,4 +1,4 @@
-//! Writes hosts' responses to the client.
+//! Writes the responses of hosts to the client.
 
 use super::admission::is_last_response;
 use super::Exchange;
@@ -9,11 +9,11 @@
 use http1::{Framing, ResponseHead};
 use tokio::time::{timeout_at, Instant};
 
-/// First guess of a head's size in bytes.
+/// Initial capacity, in bytes, of the buffer for a response head; it grows if needed.
 const INITIAL_HEAD_CAPACITY_BYTES: usize = 512;
 
-/// Writes a response to the client piece by piece. The head goes with the first piece, and only once for all hosts that
-/// the response comes from: its framing, and what it says of the connection, hold for them all.
+/// Writes a response to the client piece by piece. The head is sent once, with the first piece. If the response is
+/// resumed at other hosts, its framing and its connection fields stay as the first head announced them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClientWriter {
     framing: Framing,
@@ -21,7 +21,7 @@
 }
 
 impl ClientWriter {
-    /// The writer of the response that has begun, or else one for a response with this head.
+    /// Returns the writer of the response that has already started, or creates one for a response with this head.
     pub(super) fn new(exchange: &Exchange, head: &ResponseHead) -> Self {
         if let Some(writer) = exchange.started_writer.get() {
             return writer;
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Writes a piece of the body; false if the client doesn't take it.
+    /// Writes a piece of the body, preceded by the head if that was not sent yet. Returns false if the client does not
+    /// accept it in time.
     pub(super) async fn write_piece(
         &mut self,
         exchange: &Exchange<'_>,
@@ -61,13 +62,13 @@
         exchange.write_to_client(&out, b"").await
     }
 
-    /// Whether the client can tell the end of the response from a broken connection. If so, it must not be told of an
-    /// end that may be none.
+    /// Whether the framing marks the end of the response, so that the client can tell it from a broken connection. The
+    /// end must then not be written unless the response is known to be complete.
     pub(super) fn marks_end(&self) -> bool {
         self.framing != Framing::CloseDelimited
     }
 
-    /// Ends the response.
+    /// Writes the end of the response.
     pub(super) async fn finish(
         &mut self,
         exchange: &Exchange<'_>,
@@ -84,20 +85,22 @@
     }
 }
 
-/// How the body is delimited for the client.
+/// Chooses how the body is delimited for the client.
 fn client_framing(exchange: &Exchange, head: &ResponseHead) -> Framing {
     match head.framing {
         // The length of a stream that may be resumed at another host is not known.
         Framing::Length(length) if !exchange.route.resumable => Framing::Length(length),
-        // HTTP/1.0 has no chunks.
+        // HTTP/1.0 has no chunked encoding.
         _ if exchange.request.head.minor_version == 0 => Framing::CloseDelimited,
-        // A connection also ends when this process is killed. Chunks show where the body ends.
+        // The end of a connection may also mean that this process was killed. Chunked encoding marks the end of the
+        // body.
         _ => Framing::Chunked,
     }
 }
 
 impl Exchange<'_> {
-    /// The response's head as the client gets it. `framing` of `None` leaves the host's length as it is.
+    /// Builds the response head for the client. With a `framing` of `None` the host's `Content-Length` is kept, except
+    /// with status 204.
     pub(super) fn response_head(
         &self,
         host_head: &ResponseHead,
@@ -132,14 +135,15 @@
         head
     }
 
-    /// The idle time-out that clients are told: a second less than the true one, so that no request meets the close.
+    /// The idle timeout, in seconds, that is announced to clients: a second shorter than the real one, so that no
+    /// request is sent while the connection is being closed.
     fn advertised_idle_seconds(&self) -> u64 {
         (self.state.client_limits().idle_timeout_ms / 1000)
             .saturating_sub(1)
             .max(1)
     }
 
-    /// Writes to the client; false if it doesn't take it in time.
+    /// Writes to the client. Returns false if the client does not accept the bytes in time.
     pub(super) async fn write_to_client(&self, head: &[u8], body: &[u8]) -> bool {
         let write_deadline = self.deadline().max(Instant::now() + CLIENT_WRITE_TIMEOUT);
         let mut written = 0;
@@ -147,7 +151,7 @@
         matches!(timeout_at(write_deadline, write).await, Ok(Ok(())))
     }
 
-    /// Counts a complete response; `close` tells that it was the last on its connection.
+    /// Counts a complete response. `close` is true if it was the last one on its connection.
     pub(super) fn response_complete(&self, close: bool) -> ConnectionOutcome {
         self.state.counters.add(|c| c.responses += 1);
         if close {
--- a/crates/proxy/src/exchange/host_request.rs
+++ b/crates/proxy/src/exchange/host_request.rs
@@ -1,4 +1,4 @@
-//! Third step: writes the request as the host gets it, and sends it.
+//! Third step: builds the request for the selected host and sends it.
 
 use super::host_selection::SelectedHost;
 use super::Exchange;
@@ -13,27 +13,27 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Bounds on the time for a connection to come up.
+/// Bounds on the time for establishing a connection to a host.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Largest value of the `Priority` field.
 const MAX_PRIORITY: u8 = 9;
-/// First guess of a head's size in bytes.
+/// Initial capacity, in bytes, of the buffer for a request head; it grows if needed.
 const INITIAL_HEAD_CAPACITY_BYTES: usize = 512;
 
 /// Why a request was not sent completely.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SendError {
-    /// This process has as many connections to the host as it may.
+    /// This process has reached its limit of connections to the host.
     AtConnectionLimit,
-    /// Not a byte was written.
+    /// No byte of the request was written.
     Unreachable,
-    /// A part was written: the host may run the request.
+    /// Part of the request was written, so the host may run it.
     Broken,
 }
 
 impl SendError {
-    /// What it means for the request.
+    /// Converts the error to the outcome of the attempt, which decides whether to retry.
     pub(super) fn attempt_outcome(self) -> AttemptOutcome {
         match self {
             Self::AtConnectionLimit | Self::Unreachable => AttemptOutcome::Unreachable,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What it says about the host.
+    /// Converts the error to the outcome that is reported to the load balancer.
     pub(super) fn host_outcome(self) -> Outcome {
         match self {
             Self::AtConnectionLimit => Outcome::Refused,
@@ -61,7 +61,7 @@
 }
 
 impl Exchange<'_> {
-    /// Sends the request. A reused connection that turns out dead before a byte is written is replaced by a new one.
+    /// Sends the request. A reused connection that fails before a byte is written is replaced by a new one.
     pub(super) async fn send_request(
         &mut self,
         host: &SelectedHost,
@@ -72,7 +72,7 @@
         let sent = loop {
             let head = self.request_head(host);
             let matcher = ResponseMatcher::new(self.request.attempt_id().unwrap_or_default());
-            // From here on the host may have bytes, also if this is dropped half-way.
+            // From here on the host may have received bytes, even if this future is dropped before it completes.
             self.progress.set_may_have_run(true);
             let send = connection.send_request(&head, &self.request.body, &mut written, matcher);
             let sent = timeout_at(self.response_deadline(), send).await;
@@ -86,7 +86,7 @@
             connection = upstream::connect(self.state, &target).await?;
         };
         self.record_sent();
-        // After a failed write too: a host may respond before it has read everything.
+        // Also counted after a failed write: a host may respond before it has read the whole request.
         match sent {
             Ok(_) => Ok(connection),
             Err(_) => Err(SendError::Broken),
@@ -114,18 +114,18 @@
         }
     }
 
-    /// Half of the latency target, within bounds. A lost SYN is sent again only after a second: another host is the
-    /// better choice, as nothing has run here.
+    /// Half of the latency target, within bounds. The kernel retransmits a lost SYN only after a second. Trying another
+    /// host is faster, and safe because nothing has run here.
     fn connect_timeout(&self) -> Duration {
         Duration::try_from_secs_f64(self.latency_target_ms() / 2e3)
             .unwrap_or(MAX_CONNECT_TIMEOUT)
             .clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
     }
 
-    /// The request's head as this host gets it: the client's, with the fields that are this proxy's to set.
+    /// Builds the request head for this host: the client's head with the fields that the proxy sets or removes.
     fn request_head(&self, host: &SelectedHost) -> Vec<u8> {
         let client_head = &self.request.head;
-        // Once events have gone to the client, this proxy knows where to resume.
+        // Once events have been forwarded to the client, the proxy's own position replaces the client's.
         let resume_after = self.offset.last_event_id().filter(|_| self.route.resumable);
         let mut head = Vec::with_capacity(INITIAL_HEAD_CAPACITY_BYTES);
         head.extend_from_slice(client_head.method());
@@ -167,7 +167,7 @@
     }
 }
 
-/// Whether the proxy sets a field of this name itself, or drops it.
+/// Whether the proxy sets a field of this name itself or removes it.
 fn is_replaced(name: &[u8], sets_priority: bool, sets_last_event_id: bool) -> bool {
     let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
     is(CONTENT_LENGTH)
@@ -178,7 +178,7 @@
         || (sets_last_event_id && is(LAST_EVENT_ID))
 }
 
-/// Whether a field of this name holds a key, or tells a host whose request it is.
+/// Whether a field of this name holds an API key or names the tenant.
 fn is_key_field(name: &[u8]) -> bool {
     let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
     is(API_KEY) || is(TENANT)
--- a/crates/proxy/src/exchange/host_selection.rs
+++ b/crates/proxy/src/exchange/host_selection.rs
@@ -10,20 +10,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// With less time left than this no host is asked.
+/// Least time before the deadline at which a request is still sent to a host.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
-/// The host of an attempt.
+/// The host selected for an attempt.
 pub(super) struct SelectedHost {
     pub(super) attempt: InFlightAttempt,
     pub(super) id: Arc<str>,
     pub(super) address: SocketAddrV4,
-    /// Value of the `Priority` field to send, where it helps.
+    /// Value of the `Priority` field to send; `None` leaves the client's.
     pub(super) priority: Option<u8>,
 }
 
 impl Exchange<'_> {
-    /// The host of the next attempt. A retry is taken from the retry budget first.
+    /// Selects the host of the next attempt. A retry is first withdrawn from the retry budget.
     pub(super) fn select_host(&mut self) -> Result<SelectedHost, Rejection> {
         let now = self.state.now();
         let time_left = self.retry.deadline().saturating_sub(now);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Time until the first event is late by the route's latency target.
+    /// Time left until the first event misses the route's latency target.
     fn target_remaining(&self, now: Duration) -> Option<Duration> {
         let target = duration_from_ms(self.route.target_ms?);
         let received_at = self.state.clock.since_start(self.request.received_at);
--- a/crates/proxy/src/exchange/host_wait.rs
+++ b/crates/proxy/src/exchange/host_wait.rs
@@ -1,4 +1,4 @@
-//! How long a host is waited for before its response has begun.
+//! Decides how long the proxy waits for a host's response to start.
 
 use super::host_selection::SelectedHost;
 use super::Exchange;
@@ -7,30 +7,30 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// While a host is silent, the attempt's time-out is asked for again after this: other requests may find meanwhile that
-/// the host is down, or alive.
+/// Interval at which the attempt's timeout is read again while the host is silent. Meanwhile other requests may have
+/// found that the host is down, or that it responds.
 const TIMEOUT_RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a host is no longer waited for.
+/// Why the proxy stopped waiting for a host.
 pub(super) enum WaitError {
-    /// The connection broke, or carried no valid response.
+    /// The connection broke, or did not carry a valid response.
     Broken,
-    /// The request's time is over.
+    /// The request's deadline has passed.
     DeadlinePassed,
-    /// The host was silent, and another one was selected.
+    /// The host did not respond in time, and another one was selected.
     FailedOver(SelectedHost),
 }
 
-/// Waits for a host until the deadline. While the request may fail over, it waits only until the attempt times out and
-/// another host can be had.
+/// Waits for a host until the deadline. As long as the request may fail over, it waits only until the attempt times out
+/// and another host is available.
 pub(super) struct HostWait {
     sent_at: Instant,
-    /// Nothing has come of a response yet, and the request may go to another host.
+    /// Whether the request may still go to another host; false once the response has started.
     may_fail_over: bool,
 }
 
 impl HostWait {
-    /// Starts to wait for the response to a request that was just sent.
+    /// Starts waiting for the response to a request that was just sent.
     pub(super) fn new(exchange: &Exchange) -> Self {
         Self {
             sent_at: Instant::now(),
@@ -38,12 +38,13 @@
         }
     }
 
-    /// The response has begun: from here on the host is waited for until the deadline.
+    /// Records that the response has started; from now on the wait lasts until the deadline.
     pub(super) fn mark_response_started(&mut self) {
         self.may_fail_over = false;
     }
 
-    /// Runs a cancel-safe read on the connection; it may be dropped and started again.
+    /// Runs `read` on the connection until it succeeds, fails or the wait ends. `read` has to be cancel-safe, as it may
+    /// be dropped and started again.
     pub(super) async fn read<T>(
         &mut self,
         exchange: &mut Exchange<'_>,
@@ -64,7 +65,7 @@
             match timeout_at(wake_at, read(connection)).await {
                 Ok(Ok(done)) => return Ok(done),
                 Ok(Err(error)) => {
-                    log::debug!("host: {error}");
+                    log::debug!("can't read the host's response: {error}");
                     return Err(WaitError::Broken);
                 }
                 Err(_) if Instant::now() >= deadline => return Err(WaitError::DeadlinePassed),
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -1,12 +1,12 @@
-//! Takes one request through its steps to the response.
+//! Handles one request, from routing to the end of the response.
 //!
-//! 1. [`admission`]: its route, its service, whether it is admitted.
-//! 2. [`host_selection`]: the host of the next attempt, within the retry budget.
-//! 3. [`host_request`]: the request as the host gets it, and sending it.
-//! 4. [`await_response`], with [`host_wait`]: the head of the response that belongs to the attempt, as long as waiting
-//!    for this host is best.
-//! 5. [`attempt`]: what the response means; then [`buffered`] or [`streaming`] relay it by [`client_writer`].
-//! 6. [`Exchange::forward`]: whether another attempt follows, by [`crate::retry`].
+//! 1. [`admission`]: finds the route and the service, and decides whether the request is admitted.
+//! 2. [`host_selection`]: selects the host of the next attempt, within the retry budget.
+//! 3. [`host_request`]: builds the request for that host and sends it.
+//! 4. [`await_response`], with [`host_wait`]: waits for the head of the response that belongs to the attempt, until the
+//!    deadline or until another host takes over.
+//! 5. [`attempt`]: classifies the response; [`buffered`] or [`streaming`] relays it through [`client_writer`].
+//! 6. [`Exchange::forward`]: makes another attempt if [`crate::retry`] allows it.
 
 mod admission;
 mod attempt;
@@ -42,19 +42,19 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A response up to this size is read completely before it is forwarded, so that the request can be retried if it breaks
-/// off.
+/// A response of up to this size is read completely before it is forwarded, so that the request can be retried if the
+/// connection breaks.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
-/// After the deadline a host is given this long to give its own response.
+/// Time after the deadline in which a host may still send a response of its own.
 const HOST_RESPONSE_GRACE: Duration = Duration::from_millis(50);
-/// After the deadline a response that never pauses is relayed for this long at most.
+/// Longest time after the deadline for which a response is relayed that keeps arriving without a pause.
 const MAX_DEADLINE_OVERRUN: Duration = Duration::from_millis(200);
-/// `Retry-After`, as a share of the route's latency target, where the load balancer names none.
+/// `Retry-After` as a fraction of the route's latency target, used if the load balancer gives no value.
 const RETRY_AFTER_SHARE_OF_TARGET: f64 = 0.1;
-/// Latency target of a route that gives none, in milliseconds.
+/// Latency target, in milliseconds, of a route whose configuration sets none.
 const DEFAULT_LATENCY_TARGET_MS: f64 = 1000.0;
 
-/// One request on its way.
+/// A client's request in progress, with the state that all of its attempts share.
 struct Exchange<'a> {
     state: &'a Rc<ProxyState>,
     client: &'a TcpStream,
@@ -62,29 +62,29 @@
     progress: &'a ResponseProgress,
     route: &'a Route,
     caller: Caller,
-    /// What the request was granted of its tenant's quota.
+    /// Share of the tenant's quota that this request was granted; `None` if the tenant has no limit.
     quota: Option<QuotaCharge<'a>>,
     service: &'a str,
     retry: RetryState,
     attempted_hosts: Vec<Arc<str>>,
     prompt_parts: Vec<PromptPart>,
-    /// 0 if unknown.
+    /// Number of tokens in the prompt; 0 if unknown.
     prompt_tokens: u32,
-    /// How far the client has the stream.
+    /// Position in the stream up to which the client has received it.
     offset: EventOffset,
-    /// Writes the response to the client, once its head has gone.
+    /// Writer of the response to the client; set once the response head has been sent.
     started_writer: Cell<Option<ClientWriter>>,
-    /// A host's own error, forwarded if nothing better comes.
+    /// Latest error response of a host; forwarded if no other attempt succeeds.
     host_error: Option<HostError>,
 }
 
-/// An error response that a host gave, complete.
+/// A complete error response from a host.
 struct HostError {
     head: ResponseHead,
     body: Bytes,
 }
 
-/// Takes one request to its end.
+/// Handles one request until its response has ended or its connection has to be closed.
 pub(crate) async fn handle(
     state: &Rc<ProxyState>,
     client: &TcpStream,
@@ -110,7 +110,7 @@
 }
 
 impl<'a> Exchange<'a> {
-    /// Admits a request on its route.
+    /// Checks whether the request is admitted on its route, and prepares its exchange.
     fn admit(
         state: &'a Rc<ProxyState>,
         client: &'a TcpStream,
@@ -147,7 +147,7 @@
         })
     }
 
-    /// Asks for what the request counts as, where its tenant has a limit.
+    /// Acquires quota for the request if its tenant has a limit.
     async fn acquire_quota(&mut self) -> Result<(), QuotaExceeded> {
         let tokens =
             balancing_headers::total_tokens(self.request.head.fields.get_str(TOKEN_COUNTS));
@@ -155,7 +155,7 @@
         Ok(())
     }
 
-    /// Makes attempts until one is answered or no further one is allowed.
+    /// Makes attempts until the client has a response or no further attempt is allowed.
     async fn forward(&mut self) -> Result<ConnectionOutcome, Rejection> {
         let mut host = self.select_host()?;
         loop {
@@ -181,18 +181,18 @@
         }
     }
 
-    /// Whether the end of the process may truncate a response that begins now.
+    /// Whether the end of the process may truncate a response that starts now.
     fn may_be_truncated_by_shutdown(&self) -> bool {
         let shutdown = self.state.shutdown.get();
         shutdown.is_some_and(|shutdown| shutdown.may_truncate(self.retry.deadline()))
     }
 
-    /// Ends a request that no attempt answered.
+    /// Ends a request for which no attempt gave a response to forward.
     async fn end_without_response(&mut self, rejection: Rejection) -> ConnectionOutcome {
         if self.progress.started() {
             return ConnectionOutcome::Truncated;
         }
-        // A host's own error says more than a reply of the proxy's.
+        // A host's error response is more specific than a reply generated by the proxy.
         if let Some(error) = self.host_error.take() {
             return self.write_complete_response(&error.head, &error.body).await;
         }
@@ -218,28 +218,28 @@
         self.route.target_ms.unwrap_or(DEFAULT_LATENCY_TARGET_MS)
     }
 
-    /// When the request has to end.
+    /// Instant by which the request has to end.
     fn deadline(&self) -> Instant {
         self.state.at(self.retry.deadline())
     }
 
-    /// When a host's response comes too late.
+    /// Instant after which a host's response is no longer accepted.
     fn response_deadline(&self) -> Instant {
         self.deadline() + HOST_RESPONSE_GRACE
     }
 
-    /// Whether a response that goes on is to be truncated, though more of it is there: a host that never pauses would
-    /// keep it for ever.
+    /// Whether a response that is still arriving has to be truncated. Without this limit a host that never pauses could
+    /// keep the exchange open forever.
     fn is_past_max_overrun(&self) -> bool {
         Instant::now() >= self.deadline() + MAX_DEADLINE_OVERRUN
     }
 
-    /// Whether the response has no body, whatever its fields say.
+    /// Whether the response has no body, regardless of its header fields.
     fn has_no_body(&self, head: &ResponseHead) -> bool {
         self.request.is_head() || matches!(head.status, 204 | 304)
     }
 
-    /// Whether a stream that has begun may be resumed at another host.
+    /// Whether a stream that has started may be resumed at another host.
     fn may_resume(&self) -> bool {
         self.route.resumable && self.offset.is_resumable()
     }
--- a/crates/proxy/src/exchange/streaming.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -1,4 +1,4 @@
-//! Relays a stream as it comes, and resumes it at another host where the route allows it.
+//! Relays a stream while it arrives, and resumes it at another host if the route allows that.
 
 use super::attempt::{AttemptResult, HostResponse};
 use super::client_writer::ClientWriter;
@@ -16,15 +16,15 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Largest event of a stream that may be resumed.
+/// Largest event, in bytes, of a resumable stream.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
-/// A resumable stream counts as stalled after the longest of this time and these multiples of the route's latency
-/// target and inter-event target. That is half of what its client bears.
+/// A resumable stream counts as stalled after the longest of this time and the two multiples below: of the route's
+/// latency target and of its target for the gap between events. That is half of the silence that its client tolerates.
 const MIN_STALL_TIMEOUT_MS: f64 = 1000.0;
 const STALL_LATENCY_TARGET_MULTIPLE: f64 = 2.0;
 const STALL_GAP_TARGET_MULTIPLE: f64 = 4.0;
 
-/// After how long without data a resumable stream is stalled.
+/// Time without data after which a resumable stream counts as stalled.
 fn stall_timeout(route: &Route) -> Duration {
     let ms = (STALL_LATENCY_TARGET_MULTIPLE * route.target_ms.unwrap_or(0.0))
         .max(STALL_GAP_TARGET_MULTIPLE * route.gap_aim_ms.unwrap_or(0.0))
@@ -32,17 +32,17 @@
     duration_from_ms(ms)
 }
 
-/// A stream that is being relayed from one host.
+/// State of relaying a stream from one host.
 struct StreamRelay {
     decoder: BodyDecoder,
     writer: ClientWriter,
     splitter: EventSplitter,
-    /// Whether this host's data has gone to the client.
+    /// Whether data from this host has been sent to the client.
     has_data: bool,
 }
 
 impl Exchange<'_> {
-    /// Relays a stream: as it comes, or in complete events where it may be resumed at another host.
+    /// Relays a stream: as it arrives, or in complete events if it may be resumed at another host.
     pub(super) async fn relay_stream(
         &mut self,
         mut response: HostResponse,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// What is to be forwarded next, which may be nothing yet; `None` at the end of the stream.
+    /// Reads the next data to forward, which is empty while no event is complete; `None` at the end of the stream.
     async fn next_stream_data(
         &mut self,
         response: &mut HostResponse,
@@ -98,7 +98,7 @@
         };
         let resumable = self.route.resumable;
         match piece {
-            // This may be a broken connection. A stream that may be resumed goes on elsewhere.
+            // The end of the connection may also be a failure, so a resumable stream is resumed at another host.
             None if resumable && relay.decoder.is_close_delimited() && relay.writer.marks_end() => {
                 Err(WaitError::Broken)
             }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Ends a stream that has come to its end.
+    /// Finishes a stream whose end has been read.
     async fn finish_stream(&self, response: HostResponse, mut relay: StreamRelay) -> AttemptResult {
         let HostResponse {
             host,
@@ -131,8 +131,8 @@
         AttemptResult::Answered(relay.writer.finish(self, &head).await)
     }
 
-    /// Ends an attempt whose stream has broken. The stream goes on at another host where the client has nothing of it
-    /// yet, or where that host can be told where to resume; else it is truncated.
+    /// Ends an attempt whose stream has broken. If the client has received nothing yet, or the stream can be resumed,
+    /// it continues at another host; otherwise it is truncated.
     fn on_broken_stream(&self, error: WaitError, host: SelectedHost) -> AttemptResult {
         let truncated = self.progress.started() && !self.may_resume();
         let result = self.on_wait_error(error, host.attempt);
@@ -142,8 +142,8 @@
         result
     }
 
-    /// Reads the next piece of a stream that has begun. A stalled stream that may be resumed goes to another host,
-    /// unless this one shows itself alive on other connections: then the stream will go on here.
+    /// Reads the next piece of a stream after its first one. A stalled resumable stream fails over to another host,
+    /// unless this host is active on other connections: then the stream is expected to continue here.
     async fn read_next_piece(
         &mut self,
         connection: &mut UpstreamConnection,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The complete events that have come and that the client does not have.
+    /// Takes the complete events that have arrived and that the client does not have yet.
     fn take_new_events(&mut self, splitter: &mut EventSplitter) -> Bytes {
         let mut first = Bytes::new();
         let mut combined = BytesMut::new();
@@ -185,7 +185,7 @@
             if !self.offset.advance(&event) {
                 continue;
             }
-            // One event alone, the usual case, is not copied.
+            // A single event, the usual case, is not copied.
             if first.is_empty() {
                 first = event.bytes;
                 continue;
--- a/crates/proxy/src/local_reply.rs
+++ b/crates/proxy/src/local_reply.rs
@@ -1,4 +1,4 @@
-//! Responses that the proxy makes itself: rejections and errors.
+//! Responses that the proxy generates itself: rejections and errors.
 
 use crate::headers::{push_field, ATTEMPT_ID};
 use crate::socket;
@@ -9,10 +9,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Least time for a client to take a response.
+/// Least time that a client is given to accept a response.
 pub(crate) const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A response of the proxy's own.
+/// A response that the proxy generates itself.
 pub(crate) struct LocalReply {
     code: ResultCode,
     /// Status line and fields, without the blank line.
@@ -22,7 +22,8 @@
 }
 
 impl LocalReply {
-    /// A reply with this code to the attempt of this id. `retry_after` is told only with status 429 and 503.
+    /// Creates a reply with this code to the attempt with this id. `retry_after` is sent only with status 429 or 503,
+    /// in seconds with three decimals.
     pub(crate) fn new(
         code: ResultCode,
         attempt_id: Option<&[u8]>,
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Leaves the body out if the request's method is `HEAD`.
+    /// Omits the body if the request's method is `HEAD`.
     pub(crate) fn for_request(mut self, request: &RequestHead) -> Self {
         self.head_only = request.method() == b"HEAD";
         self
     }
 
-    /// Counts and writes the reply; false if the client doesn't take it in time.
+    /// Counts and writes the reply. Returns false if the client does not accept it in time.
     pub(crate) async fn send(&self, state: &ProxyState, client: &TcpStream, close: bool) -> bool {
         match self.code.status() {
             408 | 421 | 429 | 503 => state.counters.add(|c| c.local_rejections += 1),
@@ -84,7 +85,7 @@
     }
 }
 
-/// Counts a request that is rejected because the process is about to end; the first one is logged.
+/// Counts a request that is rejected because the process is about to end, and logs the first one.
 fn count_shutdown_rejection(state: &ProxyState) {
     if state.counters.get().rejected_at_shutdown == 0 {
         log::info!("rejecting requests: the process is about to end");
--- a/crates/proxy/src/response_matching.rs
+++ b/crates/proxy/src/response_matching.rs
@@ -1,23 +1,23 @@
-//! Decides to which attempt a host's response belongs. No I/O.
+//! Decides which attempt a host's response belongs to. No I/O.
 //!
-//! A host repeats the attempt's id in its response. Connections are used for one request at a time, but a response to
-//! an earlier request may still be under way on one.
+//! A host repeats the attempt's id in its response. A connection carries one request at a time, but the response to an
+//! earlier request may still arrive on it.
 
 use crate::headers::{ATTEMPT_ID, NOT_EXECUTED};
 use http1::ResponseHead;
 
-/// Whether a host says that it did not run the request: with 421, or with its own field and an error status. No other
-/// status says so.
+/// Whether a host states that it did not run the request: by status 421, or by an error status with the
+/// `Fennelpin-Not-Executed` field. No status other than 421 is enough without that field.
 pub(crate) fn is_refusal(head: &ResponseHead) -> bool {
     head.status == 421 || (head.status >= 400 && head.fields.get(NOT_EXECUTED).is_some())
 }
 
-/// Which attempt a response names.
+/// The attempt that a response names in its id field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NamedAttempt {
-    /// The one that is waited for.
+    /// The attempt whose response is awaited.
     This,
-    /// Another one, or several.
+    /// Another attempt, or several.
     Other,
     None,
 }
@@ -29,13 +29,13 @@
 }
 
 impl<'a> ResponseMatcher<'a> {
-    /// For the attempt with this id.
+    /// Creates a matcher for the attempt with this id.
     pub(crate) fn new(attempt_id: &'a [u8]) -> Self {
         Self { attempt_id }
     }
 
-    /// Whether this head begins the response to the attempt. One without an id can only be a refusal, and only as the
-    /// first response on its connection: there it can't belong to anyone else.
+    /// Whether this is the head of the response to the attempt. A response without an id matches only if it is a
+    /// refusal and the first response on its connection, as it then can't belong to another request.
     pub(crate) fn matches(&self, head: &ResponseHead, first_on_connection: bool) -> bool {
         match self.named_attempt(head) {
             NamedAttempt::This => true,
--- a/crates/proxy/src/response_progress.rs
+++ b/crates/proxy/src/response_progress.rs
@@ -1,39 +1,39 @@
-//! How far the response to a request is, which decides how its connection may end.
+//! Tracks how far the response to a request has got, which decides how its connection may end.
 
 use configuration::ResultCode;
 use std::cell::Cell;
 use tokio::time::Instant;
 
-/// What becomes of the client's connection after a response.
+/// What happens to the client's connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionOutcome {
-    /// It takes another request.
+    /// The connection stays open for another request.
     KeepAlive,
-    /// The response is complete and was the last.
+    /// The response is complete and was the last one on the connection.
     Close,
-    /// The response is incomplete, and the end of the connection has to show it.
+    /// The response is incomplete, and the connection has to end in a way that shows it.
     Truncated,
 }
 
-/// Shared by the task that makes a response and whoever may have to end it.
+/// Progress of one response, shared by the task that produces it and the tasks that may have to end it.
 #[derive(Default)]
 pub(crate) struct ResponseProgress {
     started: Cell<bool>,
     may_have_run: Cell<bool>,
     close_delimited: Cell<bool>,
-    /// Whether the client has sent something behind the request.
+    /// Whether the client has sent more bytes after the request.
     has_pipelined_input: Cell<bool>,
-    /// When the request has to end; `None` until it is admitted.
+    /// Instant by which the request has to end; `None` until it is admitted.
     deadline: Cell<Option<Instant>>,
 }
 
 impl ResponseProgress {
-    /// Bytes of the response go to the client from here on; whether some had gone before.
+    /// Records that bytes of the response are sent to the client from now on. Returns whether it had started before.
     pub(crate) fn start(&self) -> bool {
         self.started.replace(true)
     }
 
-    /// Whether bytes of the response have gone to the client.
+    /// Whether bytes of the response have been sent to the client, or are about to be.
     pub(crate) fn started(&self) -> bool {
         self.started.get()
     }
@@ -48,37 +48,37 @@
         self.may_have_run.get()
     }
 
-    /// When the request has to end, once it is admitted.
+    /// Instant by which the request has to end; `None` until it is admitted.
     pub(crate) fn deadline(&self) -> Option<Instant> {
         self.deadline.get()
     }
 
-    /// The request is admitted and has to end by this instant.
+    /// Records that the request is admitted and has to end by this instant.
     pub(crate) fn set_deadline(&self, deadline: Instant) {
         self.deadline.set(Some(deadline));
     }
 
-    /// Whether the client has sent something behind the request, which has to be answered too.
+    /// Whether the client has sent more bytes after the request, which have to be answered too.
     pub(crate) fn has_pipelined_input(&self) -> bool {
         self.has_pipelined_input.get()
     }
 
-    /// The client has sent something behind the request.
+    /// Records that the client has sent more bytes after the request.
     pub(crate) fn set_pipelined_input(&self) {
         self.has_pipelined_input.set(true);
     }
 
-    /// Whether the client takes the end of the connection for the end of the response.
+    /// Sets whether the end of the connection marks the end of the response for the client.
     pub(crate) fn set_close_delimited(&self, close_delimited: bool) {
         self.close_delimited.set(close_delimited);
     }
 
-    /// Whether an orderly end of the connection would make an incomplete response look complete.
+    /// Whether an orderly close of the connection would make an incomplete response look complete.
     pub(crate) fn would_look_complete(&self) -> bool {
         self.started.get() && self.close_delimited.get()
     }
 
-    /// `code` if the request can't have run; else a code that doesn't promise that.
+    /// Returns `code` if the request can't have run, otherwise a code that does not promise that.
     pub(crate) fn code_unless_run(&self, code: ResultCode) -> ResultCode {
         if self.may_have_run.get() {
             ResultCode::HostBroke
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -1,51 +1,54 @@
-//! Decides whether a request is sent to another host after an attempt, and which result code ends it otherwise.
+//! Decides whether a request is sent to another host after an attempt has ended, and which result code it ends with
+//! otherwise.
 //!
-//! No I/O. All times are durations since one origin that the caller chooses.
+//! No I/O. All times are durations since an origin that the caller chooses.
 
 use configuration::ResultCode;
 use std::time::Duration;
 
-/// Unreachable hosts that one request is tried on before it is given up.
+/// Number of unreachable hosts after which a request is given up.
 const MAX_UNREACHABLE_HOSTS: u32 = 6;
 
-/// How an attempt ended that brought no response to forward.
+/// The outcome of an attempt that ended without a response to forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Not a byte of the request was written: it did not run, and the host doesn't know of it.
+    /// No byte of the request was written: it did not run, and the host does not know of it.
     Unreachable,
-    /// The host says that it did not run the request.
+    /// The host states that it did not run the request.
     NotExecuted,
-    /// The request was sent, and then the connection broke, timed out or carried no valid response. It may have run.
+    /// The request was sent, and then the connection broke, timed out or did not carry a valid response. The request
+    /// may have run.
     Broken,
-    /// The host ran the request and failed.
+    /// The host ran the request and responded with an error.
     HostFailed,
 }
 
-/// What follows an attempt.
+/// The decision after an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Another host, subject to the retry budget where [`RetryState::needs_retry_budget`] says so.
+    /// Try another host. The retry is subject to the retry budget if [`RetryState::needs_retry_budget`] returns true.
     Retry,
-    /// The end: with a host's own error response where there is one, else with this code.
+    /// End the request, with a host's own error response if there is one, otherwise with this code.
     GiveUp(ResultCode),
 }
 
-/// What is known of one client request over all its attempts.
+/// State of one client request over all of its attempts.
 #[derive(Clone, Debug)]
 pub struct RetryState {
     idempotent: bool,
     max_attempts: u32,
     deadline: Duration,
-    /// Attempts of which a byte was written.
+    /// Number of attempts of which at least one byte was written.
     sent_attempts: u32,
     unreachable_hosts: u32,
-    /// A retry was taken from the budget and no byte of it was written yet.
+    /// Whether a retry was taken from the budget of which no byte has been written yet.
     budget_taken: bool,
     may_have_run: bool,
 }
 
 impl RetryState {
-    /// A request that no host has seen, with at most `max_attempts` attempts (at least one) until `deadline`.
+    /// Creates the state of a request that no host has received, with at most `max_attempts` attempts (at least one)
+    /// until `deadline`.
     pub fn new(idempotent: bool, max_attempts: u32, deadline: Duration) -> Self {
         Self {
             idempotent,
@@ -58,44 +61,44 @@
         }
     }
 
-    /// When the request has to end.
+    /// Time by which the request has to end.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// Whether the request may run more than once.
+    /// Whether the request is idempotent, so that it may run more than once.
     pub fn idempotent(&self) -> bool {
         self.idempotent
     }
 
-    /// The first byte of an attempt was written to a host.
+    /// Records that the first byte of an attempt was written to a host.
     pub fn record_sent(&mut self) {
         self.sent_attempts += 1;
         self.budget_taken = false;
     }
 
-    /// Whether the next attempt has to be taken from the retry budget. What was taken for a host that could not be
-    /// reached still counts for the next one.
+    /// Whether the next attempt has to be taken from the retry budget. A retry taken for a host that turned out to be
+    /// unreachable is still available for the next host.
     pub fn needs_retry_budget(&self) -> bool {
         self.sent_attempts > 0 && !self.budget_taken
     }
 
-    /// A retry was taken from the budget.
+    /// Records that a retry was taken from the budget.
     pub fn record_budget_taken(&mut self) {
         self.budget_taken = true;
     }
 
-    /// The request fails over from a silent host, which may have run it.
+    /// Records that the request fails over from a silent host, which may have run it.
     pub fn record_failover(&mut self) {
         self.may_have_run = true;
     }
 
-    /// Whether a byte of the request was written to any host.
+    /// Whether at least one byte of the request was written to any host.
     pub fn was_sent(&self) -> bool {
         self.sent_attempts > 0
     }
 
-    /// Whether the request may have run, so that nobody may be told that it has not.
+    /// Whether the request may have run, so that the client must not be told that it has not.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
@@ -105,7 +108,7 @@
         self.idempotent && self.sent_attempts < self.max_attempts && now < self.deadline
     }
 
-    /// Takes in the end of an attempt and decides what follows.
+    /// Records the outcome of an attempt and decides what follows.
     pub fn on_attempt_ended(&mut self, now: Duration, outcome: AttemptOutcome) -> RetryDecision {
         match outcome {
             AttemptOutcome::Unreachable => self.unreachable_hosts += 1,
@@ -125,7 +128,7 @@
         }
     }
 
-    /// `code` if the request can't have run; else a code that doesn't promise that.
+    /// Returns `code` if the request can't have run, otherwise a code that does not promise that.
     pub fn code_unless_run(&self, code: ResultCode) -> ResultCode {
         if self.may_have_run {
             ResultCode::HostBroke
@@ -134,7 +137,7 @@
         }
     }
 
-    /// The code for a request whose deadline has passed with no attempt in flight.
+    /// Returns the code for a request whose deadline has passed with no attempt in flight.
     pub fn deadline_code(&self) -> ResultCode {
         if self.may_have_run {
             ResultCode::LateMayHaveRun
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,47 +1,51 @@
-//! The schedule of a graceful shutdown: which requests are still admitted, and by when all have their response.
+//! The schedule of a graceful shutdown: which requests are still admitted, and by when all of them have a response.
 //!
-//! A response that has begun can't be replaced by a rejection any more. So what counts for a stream that comes after
-//! the signal is whether its deadline lies before the end of the process, however long the signal is past. A response
-//! that is forwarded in one piece can be replaced until its last moment, so such requests are admitted for longer.
+//! A response that has started can no longer be replaced by a rejection. A stream requested after the signal is
+//! therefore admitted only if its deadline lies before the end of the process, regardless of the time since the signal.
+//! A response that is forwarded in one piece can be replaced until it is complete, so such requests are admitted for
+//! longer.
 
 use configuration::RouteKind;
 use std::time::Duration;
 
-/// From the signal on idle connections are kept, and requests admitted that may run once, for so long: until the
-/// platform has noticed that the proxy is not ready.
+/// Time after the signal for which idle connections are kept and requests that may run only once are admitted: until
+/// the platform has noticed that the proxy is not ready.
 const FULL_SERVICE_PERIOD: Duration = Duration::from_millis(2500);
-/// Requests whose response has not begun get a local reply so long before the platform kills the process.
+/// Time before the platform kills the process at which requests whose response has not started get a local reply.
 const LOCAL_REPLY_MARGIN: Duration = Duration::from_millis(700);
-/// The longest time for which a quota of processor time pauses the process at once.
+/// Longest uninterrupted pause of the process by the CPU quota that the kernel enforces.
 const MAX_CPU_THROTTLING_PAUSE: Duration = Duration::from_millis(100);
-/// The process waits for its connections to end until so long before the platform kills it. The platform counts from when
-/// it sent the signal: one pause may have kept the process from noticing it, and another one may come at the end.
+/// Time before the platform kills the process at which it stops waiting for its connections and exits. The platform
+/// counts the grace period from sending the signal: one pause may have delayed the process in noticing the signal, and
+/// another one may occur at the end.
 const EXIT_MARGIN: Duration = MAX_CPU_THROTTLING_PAUSE.saturating_mul(2);
-/// Responses that have begun are truncated so long before the platform kills the process. Connections end meanwhile.
+/// Time before the platform kills the process at which started responses are truncated. It leaves time to close the
+/// connections.
 const TRUNCATION_MARGIN: Duration = EXIT_MARGIN.saturating_add(MAX_CPU_THROTTLING_PAUSE);
-/// In the last moments before the local replies a request has to fit into the time that is left, as a host may need as
-/// long.
+/// Time before the local replies in which a request is admitted only if its deadline lies before them, as a host may
+/// need that long to respond.
 const LAST_REQUESTS_PERIOD: Duration = Duration::from_millis(300);
 
-/// A shutdown under way. All times are durations since the start of the process.
+/// A shutdown in progress. All times are durations since the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Shutdown {
-    /// When the process was asked to end.
+    /// Time at which the process was signalled to stop.
     pub(crate) signalled_at: Duration,
-    /// Until then idle connections are kept.
+    /// End of full service: until then idle connections are kept and all requests but long streams are admitted.
     pub(crate) full_service_until: Duration,
-    /// Until then requests are admitted that the client may repeat if the process ends before their response.
+    /// Until then all `pure` requests are admitted, as the client may repeat them if the process ends before their
+    /// response.
     pure_requests_until: Duration,
-    /// Then all requests whose response has not begun get a local reply.
+    /// Time at which all requests whose response has not started get a local reply.
     pub(crate) responses_until: Duration,
-    /// Then all responses that have begun are truncated.
+    /// Time at which all responses that have started are truncated.
     pub(crate) streams_until: Duration,
-    /// Then the process ends, whatever is open.
+    /// Time at which the process exits, even if connections are still open.
     pub(crate) exit_at: Duration,
 }
 
 impl Shutdown {
-    /// The schedule of a shutdown that begins now; the platform kills the process after `grace`.
+    /// Creates the schedule of a shutdown that begins now. The platform kills the process after `grace`.
     pub(crate) fn begin(now: Duration, grace: Duration) -> Self {
         let responses_until = now + grace.saturating_sub(LOCAL_REPLY_MARGIN);
         let pure_requests_until = responses_until.saturating_sub(LAST_REQUESTS_PERIOD);
@@ -56,7 +60,7 @@
         }
     }
 
-    /// The schedule of a process that has nothing left to wait for: nothing more is admitted.
+    /// Returns the schedule of a process that has nothing left to wait for: no further request is admitted.
     pub(crate) fn ended_early(self, now: Duration) -> Self {
         Self {
             full_service_until: self.full_service_until.min(now),
@@ -67,11 +71,12 @@
         }
     }
 
-    /// Whether a request that comes now may be given to a host.
+    /// Whether a request that arrives now may be sent to a host.
     ///
-    /// - A stream, only if its deadline is over before the process is: the end would truncate it.
-    /// - A call that may run once, during full service too: at the end it gets a status that says that it may have run.
-    /// - A `pure` request, for longer: at the end it gets a rejection, and another proxy serves the retry.
+    /// - A stream only if its deadline passes before the process ends, which would truncate it.
+    /// - A request that may run only once if its deadline lies before the local replies, and any such request during
+    ///   full service: at the end it gets a status that says that it may have run.
+    /// - A `pure` request for longer: at the end it gets a rejection, and another proxy serves the retry.
     pub(crate) fn admits(&self, now: Duration, deadline: Duration, kind: RouteKind) -> bool {
         let fits = deadline <= self.responses_until;
         match kind {
@@ -80,7 +85,7 @@
             RouteKind::Pure => fits || now < self.pure_requests_until,
         }
     }
-    /// Whether a response with this deadline, once it has begun, may be truncated by the end of the process.
+    /// Whether the end of the process may truncate a response with this deadline once it has started.
     pub(crate) fn may_truncate(&self, deadline: Duration) -> bool {
         deadline > self.streams_until
     }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,14 +1,15 @@
-//! Reads and writes on a socket by shared reference, so that it can be read while it is being written to.
+//! Reads from and writes to a socket by shared reference, so that both can happen at the same time.
 
 use bytes::BytesMut;
 use rustix::net::{recv, RecvFlags};
 use std::io::{self, IoSlice};
 use tokio::net::TcpStream;
 
-/// Room in the buffer for each read, in bytes.
+/// Buffer space reserved for each read, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// Reads once, appending to `buf`; 0 is the end of the stream. Cancel-safe, and holds no memory until there is input.
+/// Reads once and appends to `buf`. Returns the number of bytes, 0 at the end of the stream. Cancel-safe, and allocates
+/// no memory until input arrives.
 pub(crate) async fn read(stream: &TcpStream, buf: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -20,7 +21,7 @@
     }
 }
 
-/// Writes `head` and then `body`. `written` counts the bytes that the kernel has taken, also if this fails or is
+/// Writes `head` and then `body`. `written` counts the bytes that the kernel has accepted, also if this fails or is
 /// dropped.
 pub(crate) async fn write_all(
     stream: &TcpStream,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Whether there is nothing to read and the peer has not closed, as the kernel knows it now.
+/// Whether there is nothing to read and the peer has not closed the connection, as far as the kernel knows now.
 pub(crate) fn is_open_and_idle(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     let peeked = recv(stream, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -1,4 +1,4 @@
-//! Takes connections to hosts from the pool or opens them, and puts them back.
+//! Acquires connections to hosts, from the pool or new ones, and releases them to the pool.
 
 use crate::state::ProxyState;
 use crate::upstream::pool;
@@ -10,14 +10,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
-/// Why there is no connection.
+/// The reason why no connection could be acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub(crate) enum AcquireError {
-    /// This process has as many connections to the host as it may.
-    #[snafu(display("no more connections allowed to the host"))]
+    /// This process has reached its limit of connections to the host.
+    #[snafu(display("the limit of connections to the host is reached"))]
     AtLimit,
-    /// The connection did not come up in time.
-    #[snafu(display("the host can't be reached"))]
+    /// The connection could not be established before its deadline.
+    #[snafu(display("can't connect to the host"))]
     ConnectFailed,
 }
 
@@ -26,13 +26,13 @@
 pub(crate) struct ConnectTarget {
     pub(crate) host: Arc<str>,
     pub(crate) address: SocketAddrV4,
-    /// Connections that the host takes from this process.
+    /// Largest number of connections to the host from this process.
     pub(crate) max_connections: usize,
-    /// When a new connection has to be up.
+    /// Instant by which a new connection has to be established.
     pub(crate) connect_deadline: Instant,
 }
 
-/// An idle connection to the host, or a new one.
+/// Takes an idle connection to the host from the pool, or opens a new one.
 pub(crate) async fn acquire(
     state: &ProxyState,
     target: &ConnectTarget,
@@ -41,14 +41,14 @@
         let idle = state.pool.borrow_mut().take_idle(state.now(), &target.host);
         match idle {
             Some(connection) if connection.is_open_and_idle() => return Ok(connection),
-            // The host has closed it, or sent what nobody asked for.
+            // The host has closed it, or has sent bytes that belong to no request.
             Some(_) => {}
             None => return connect(state, target).await,
         }
     }
 }
 
-/// A new connection to the host.
+/// Opens a new connection to the host.
 pub(crate) async fn connect(
     state: &ProxyState,
     target: &ConnectTarget,
@@ -68,7 +68,7 @@
     Err(AcquireError::ConnectFailed)
 }
 
-/// Puts a connection back after a complete response with this head, if another request may follow on it.
+/// Returns a connection to the pool after a complete response with this head, if the connection may be reused.
 pub(crate) fn release(
     state: &ProxyState,
     host: &str,
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,10 +1,10 @@
-//! A connection to a host. It carries one request at a time.
+//! Connections to hosts, each with one request at a time.
 //!
-//! The coordinator in service has its own connections to hosts, in `crates/coordinator/src/net/link`. They are not
-//! merged, as they behave differently. Here a connection has one request, whoever holds it may drop it at any time, the
-//! response is looked for while the request is still being written, and it is matched by the attempt's id. There a
-//! connection belongs to an actor that also cancels and retracts parts of calls and probes the host; it closes after
-//! 0.7 of the host's idle time, here a second (or half of the time) before it.
+//! The coordinator has connections to hosts of its own, in `crates/coordinator/src/net/link`. The two are not merged
+//! because they behave differently. Here a connection carries one request and may be dropped at any time, the response
+//! is already read while the request is still being written, and it is matched by the attempt id. There a connection
+//! belongs to an actor that also cancels and retracts parts of calls and probes the host. That one closes after 0.7 of
+//! the host's idle timeout; here a connection closes a second (or half of the timeout) before the host does.
 
 use crate::response_matching::ResponseMatcher;
 use crate::socket;
@@ -17,30 +17,30 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Limits on the head of a response.
+/// Limits on the size of a response head.
 const HEAD_LIMITS: HeadLimits = HeadLimits::with_max_bytes(32 * 1024);
 
-/// Why a response, or the rest of it, can't be read.
+/// The reason why a response, or the rest of it, can't be read.
 #[derive(Debug, Snafu)]
 pub(crate) enum UpstreamError {
     /// The socket failed.
     #[snafu(context(false), display("{source}"))]
     Socket {
-        /// The cause.
+        /// Error of the socket.
         source: io::Error,
     },
     /// The host closed the connection.
-    #[snafu(display("closed by the host"))]
+    #[snafu(display("the host closed the connection"))]
     Closed,
-    /// The bytes are no valid response.
+    /// The received bytes are not a valid response.
     #[snafu(context(false), display("{source}"))]
     Malformed {
-        /// The cause.
+        /// Error of the parser.
         source: ParseError,
     },
 }
 
-/// How reading a body up to a limit ended.
+/// The result of reading a body up to a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyRead {
     /// The body is complete.
@@ -56,14 +56,14 @@
     buf: BytesMut,
     /// Whether an earlier request was sent on it.
     reused: bool,
-    /// Whether a request was written in part only.
+    /// Whether the last request was written only in part.
     request_incomplete: bool,
     permit: ConnectionPermit,
     clock: Clock,
 }
 
 impl UpstreamConnection {
-    /// A connection that has just come up.
+    /// Wraps a connection that has just been established.
     pub(crate) fn new(stream: TcpStream, permit: ConnectionPermit, clock: Clock) -> Self {
         Self {
             stream,
@@ -80,13 +80,13 @@
         self.reused
     }
 
-    /// Whether there is nothing to read and the host has not closed, as the kernel knows it now.
+    /// Whether the host has neither sent bytes nor closed the connection, as far as the kernel knows now.
     pub(crate) fn is_open_and_idle(&self) -> bool {
         socket::is_open_and_idle(&self.stream)
     }
 
-    /// Writes a request. Stops early if its response is there before all is written: a host may refuse a large body and
-    /// read no more of it. `written` counts the bytes that the kernel took, also if this fails.
+    /// Writes a request. Stops early if its response arrives before everything is written: a host may refuse a large
+    /// body and stop reading it. `written` counts the bytes that the kernel has accepted, also if this fails.
     pub(crate) async fn send_request(
         &mut self,
         head: &[u8],
@@ -94,7 +94,7 @@
         written: &mut usize,
         matcher: ResponseMatcher<'_>,
     ) -> io::Result<()> {
-        // No other request may follow until this one is written completely.
+        // The connection can't be reused until the request is written completely.
         self.request_incomplete = true;
         loop {
             tokio::select! {
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Whether the head of the matching response is buffered, behind interim responses and strays.
+    /// Whether the head of the matching response is buffered, possibly after interim responses and responses to other
+    /// requests.
     fn has_response(&self, matcher: ResponseMatcher) -> bool {
         let mut rest = self.buf.clone();
         let mut first_on_connection = !self.reused;
@@ -139,7 +140,7 @@
         Ok(())
     }
 
-    /// Reads the head of the next response, past interim ones. Cancel-safe.
+    /// Reads the head of the next final response, skipping interim ones. Cancel-safe.
     pub(crate) async fn read_head(
         &mut self,
         to_head_request: bool,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Reads the next piece of a body; `None` at its end. Cancel-safe.
+    /// Reads the next piece of a body; `None` at the end of the body. Cancel-safe.
     pub(crate) async fn read_body_piece(
         &mut self,
         body: &mut BodyDecoder,
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Appends a body to `out`, up to a limit. Cancel-safe: another call with the same arguments goes on.
+    /// Appends a body to `out` until it is complete or `out` is longer than `max_bytes`. Cancel-safe: a further call
+    /// with the same arguments continues.
     pub(crate) async fn read_body(
         &mut self,
         body: &mut BodyDecoder,
@@ -192,14 +194,14 @@
         Ok(BodyRead::OverLimit)
     }
 
-    /// Whether the host was active since then, on this connection or another.
+    /// Whether bytes arrived from the host after `since`, on this connection or another one.
     pub(crate) fn host_active_since(&self, since: Instant) -> bool {
         self.clock.at(self.permit.last_activity()) > since
     }
 
-    /// The connection for the next request, after a complete response with this head; `None` where none may follow.
+    /// Prepares the connection for reuse after a complete response with this head; `None` if it can't be reused.
     pub(crate) fn into_idle(mut self, head: &ResponseHead) -> Option<Self> {
-        // Bytes behind a complete response belong to no request.
+        // Bytes after a complete response belong to no request.
         let has_stray_bytes = !self.buf.is_empty();
         if !head.is_keep_alive() || self.request_incomplete || has_stray_bytes {
             return None;
@@ -210,12 +212,12 @@
     }
 }
 
-/// Whether the final response is still to come.
+/// Whether this is an interim response, with the final one still to follow.
 fn is_interim(head: &ResponseHead) -> bool {
     (100..200).contains(&head.status)
 }
 
-/// Takes a body off the front of a buffer; false if it is incomplete.
+/// Removes a body from the front of a buffer. Returns false if the body is incomplete or malformed.
 fn skip_body(buf: &mut BytesMut, mut body: BodyDecoder) -> bool {
     loop {
         match body.decode(buf) {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts: the pool of idle ones, and reading and writing on each.
+//! Connections to hosts: the pool of idle connections, and reading and writing on a connection.
 
 pub(crate) mod acquire;
 pub(crate) mod connection;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,6 +1,6 @@
-//! Idle connections by host, and limits on open ones. No I/O.
+//! A pool of idle connections by host, with limits on the number of open ones. No I/O.
 //!
-//! All times are durations since one origin that the caller chooses.
+//! All times are durations since an origin that the caller chooses.
 
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
@@ -8,15 +8,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time that a connection stays idle, whatever its host allows.
+/// Longest time for which a connection stays idle, even if its host allows more.
 const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How much sooner than its host a connection is closed, so that no request meets the host's close.
+/// Time before the host's idle timeout at which a connection is closed, so that no request is sent while the host
+/// closes it.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
-/// Limit on the time-out that a host's `Keep-Alive` is taken to give.
+/// Upper bound on the timeout that is read from a host's `Keep-Alive` field.
 const MAX_KEEP_ALIVE_SECONDS: u64 = 3600;
 
-/// How long a connection may stay idle by its host's `Keep-Alive` field: a second less than that says, but at least
-/// half of it, and at most ten seconds.
+/// Time for which a connection may stay idle, from its host's `Keep-Alive` field: a second less than the field's
+/// timeout but at least half of it, and at most ten seconds. Without a timeout it is ten seconds.
 ///
 /// ```
 /// use std::time::Duration;
@@ -51,7 +52,7 @@
 
 #[derive(Debug)]
 struct HostConnections<C> {
-    /// In the order in which they fell idle.
+    /// In the order in which they became idle.
     idle: Vec<IdleConnection<C>>,
     open_count: Rc<Cell<usize>>,
     last_activity: Rc<Cell<Duration>>,
@@ -67,7 +68,8 @@
     }
 }
 
-/// Counts a connection as open until it is dropped, and tells when its host was last active on any connection.
+/// Counts a connection as open until the permit is dropped, and shares the time of the host's last activity on any
+/// connection.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     open_to_host: Rc<Cell<usize>>,
@@ -76,12 +78,12 @@
 }
 
 impl ConnectionPermit {
-    /// Bytes came from the host.
+    /// Records that bytes have arrived from the host.
     pub fn record_activity(&self, now: Duration) {
         self.last_activity.set(now);
     }
 
-    /// When bytes last came from the host, on this connection or another.
+    /// Time at which bytes last arrived from the host, on this connection or another one.
     pub fn last_activity(&self) -> Duration {
         self.last_activity.get()
     }
@@ -95,7 +97,7 @@
     }
 }
 
-/// Idle connections to all hosts.
+/// The idle connections to all hosts.
 #[derive(Debug)]
 pub struct ConnectionPool<C> {
     hosts: HashMap<Arc<str>, HostConnections<C>>,
@@ -104,7 +106,7 @@
 }
 
 impl<C> ConnectionPool<C> {
-    /// A pool that allows `max_open` open connections over all hosts.
+    /// Creates a pool that allows `max_open` open connections over all hosts.
     pub fn new(max_open: usize) -> Self {
         Self {
             hosts: HashMap::new(),
@@ -118,7 +120,7 @@
         self.open_count.get()
     }
 
-    /// Takes the host's connection that was used last and has not expired.
+    /// Takes the host's most recently used idle connection that has not expired.
     pub fn take_idle(&mut self, now: Duration, host: &str) -> Option<C> {
         let idle = &mut self.hosts.get_mut(host)?.idle;
         while let Some(last) = idle.pop() {
@@ -129,8 +131,8 @@
         None
     }
 
-    /// Permits one more connection to a host that takes `max_to_host` (at least one) from this process. At the limit
-    /// over all hosts an idle connection of any host is closed first. `None` if there is no room.
+    /// Permits one more connection to a host, of at most `max_to_host` (at least one). At the limit over all hosts an
+    /// idle connection to any host is closed first. `None` if a limit is reached.
     pub fn try_open(&mut self, host: &Arc<str>, max_to_host: usize) -> Option<ConnectionPermit> {
         if self.open_count.get() >= self.max_open {
             self.hosts
@@ -156,7 +158,7 @@
         })
     }
 
-    /// Puts back a connection that may be used until `expires_at`. It is closed if its host is no longer known.
+    /// Returns a connection to the pool, to be used until `expires_at`. It is closed if its host is no longer known.
     pub fn put_idle(&mut self, host: &str, connection: C, expires_at: Duration) {
         if let Some(connections) = self.hosts.get_mut(host) {
             connections.idle.push(IdleConnection {
@@ -173,12 +175,12 @@
         }
     }
 
-    /// Forgets all hosts but these, and closes the idle connections to them.
+    /// Keeps only these hosts, and closes the idle connections to all others.
     pub fn retain_hosts(&mut self, hosts: &HashSet<&str>) {
         self.hosts.retain(|host, _| hosts.contains(&**host));
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes idle connections that have expired.
     pub fn close_expired(&mut self, now: Duration) {
         for connections in self.hosts.values_mut() {
             connections.idle.retain(|idle| idle.expires_at > now);
