--- a/crates/proxy/tests/broken_connections.rs
+++ b/crates/proxy/tests/broken_connections.rs
@@ -34,7 +34,7 @@
     bytes: usize,
     complete: bool,
     /// Whether the connection had served a request before.
-    used: bool,
+    reused_connection: bool,
 }
 
 #[derive(Default)]
@@ -42,7 +42,7 @@
     /// Set until the break has happened; the first connection that gets to it takes it.
     pending_break: Option<(BreakPoint, CloseKind)>,
     /// Whether the attempt under test is out, and not one that opens connections.
-    watching: bool,
+    recording_attempt: bool,
     received: Vec<ReceivedRequest>,
     /// Requests that each host has answered.
     served: [usize; 2],
@@ -98,8 +98,8 @@
 }
 
 enum ReadResult {
-    Some,
-    Nothing,
+    Read,
+    WouldBlock,
     PeerClosed,
     BreakNow(CloseKind),
 }
@@ -111,69 +111,69 @@
     scenario: &RefCell<Scenario>,
 ) -> ReadResult {
     let mut scenario = scenario.borrow_mut();
-    let mut some = [0; 4096];
-    let mut room = some.len();
-    if let Some((BreakPoint::DuringRequest(most), how)) = scenario.pending_break {
-        room = most - request.len();
-        if room == 0 {
+    let mut buffer = [0; 4096];
+    let mut readable_bytes = buffer.len();
+    if let Some((BreakPoint::DuringRequest(limit), close_kind)) = scenario.pending_break {
+        readable_bytes = limit - request.len();
+        if readable_bytes == 0 {
             scenario.pending_break = None;
-            return ReadResult::BreakNow(how);
+            return ReadResult::BreakNow(close_kind);
         }
     }
-    match stream.try_read(&mut some[..room]) {
+    match stream.try_read(&mut buffer[..readable_bytes]) {
         Ok(0) => ReadResult::PeerClosed,
         Ok(n) => {
-            request.extend_from_slice(&some[..n]);
-            ReadResult::Some
+            request.extend_from_slice(&buffer[..n]);
+            ReadResult::Read
         }
-        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => ReadResult::Nothing,
+        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => ReadResult::WouldBlock,
         Err(_) => ReadResult::PeerClosed,
     }
 }
 
 /// Serves one connection, and breaks at the break point.
 async fn serve_as_host(stream: TcpStream, host: usize, scenario: Rc<RefCell<Scenario>>) {
-    let mut used = false;
+    let mut reused_connection = false;
     loop {
         let mut request = Vec::new();
-        let mut entry = None;
+        let mut entry_index = None;
         while !is_complete(&request) {
-            let at_start = used || !request.is_empty();
+            let at_start = reused_connection || !request.is_empty();
             if at_start && stream.readable().await.is_err() {
                 return;
             }
             match read_once(&stream, &mut request, &scenario) {
-                ReadResult::Some => {}
-                ReadResult::Nothing => {
+                ReadResult::Read => {}
+                ReadResult::WouldBlock => {
                     if stream.readable().await.is_err() {
                         return;
                     }
                     continue;
                 }
                 ReadResult::PeerClosed => return,
-                ReadResult::BreakNow(how) => return close(stream, how),
+                ReadResult::BreakNow(close_kind) => return close(stream, close_kind),
             }
             let mut scenario = scenario.borrow_mut();
-            if scenario.watching {
+            if scenario.recording_attempt {
                 let received = ReceivedRequest {
                     bytes: request.len(),
                     complete: is_complete(&request),
-                    used,
+                    reused_connection,
                 };
-                let number = *entry.get_or_insert(scenario.received.len());
+                let number = *entry_index.get_or_insert(scenario.received.len());
                 scenario.received.truncate(number);
                 scenario.received.push(received);
             }
         }
         let response = response_to(&String::from_utf8(request).unwrap());
         let pending_break = scenario.borrow_mut().pending_break.take();
-        if let Some((BreakPoint::DuringResponse(most), how)) = pending_break {
-            write_all_bytes(&stream, &response.as_bytes()[..most.min(response.len())]).await;
-            return close(stream, how);
+        if let Some((BreakPoint::DuringResponse(limit), close_kind)) = pending_break {
+            write_all_bytes(&stream, &response.as_bytes()[..limit.min(response.len())]).await;
+            return close(stream, close_kind);
         }
         write_all_bytes(&stream, response.as_bytes()).await;
         scenario.borrow_mut().served[host] += 1;
-        used = true;
+        reused_connection = true;
     }
 }
 
@@ -191,20 +191,20 @@
 }
 
 /// What came of one break.
-struct PlayResult {
+struct BreakResult {
     received: Vec<ReceivedRequest>,
     /// Connections that a byte of the attempt was given to.
-    sent: u64,
+    sent_count: u64,
     response: Option<Message>,
 }
 
 /// Plays one break; what the hosts received of the attempt, and the client's response.
-async fn play_break(
+async fn request_with_break(
     path: &str,
     reused: bool,
     pending_break: BreakPoint,
-    how: CloseKind,
-) -> PlayResult {
+    close_kind: CloseKind,
+) -> BreakResult {
     let scenario = Rc::new(RefCell::new(Scenario::default()));
     let hosts = vec![host(0, &scenario).await, host(1, &scenario).await];
     let proxy = Proxy::without_configuration().await;
@@ -216,16 +216,16 @@
     }
     {
         let mut scenario = scenario.borrow_mut();
-        scenario.pending_break = Some((pending_break, how));
-        scenario.watching = true;
+        scenario.pending_break = Some((pending_break, close_kind));
+        scenario.recording_attempt = true;
     }
     let before = proxy.counters.get().attempts;
     client.send(&request(path, "one", "")).await;
     let response = client.read_message().await;
     let received = scenario.borrow().received.clone();
-    PlayResult {
+    BreakResult {
         received,
-        sent: proxy.counters.get().attempts - before,
+        sent_count: proxy.counters.get().attempts - before,
         response,
     }
 }
@@ -233,37 +233,37 @@
 fn assert_break_is_safe(
     path: &str,
     case: &str,
-    PlayResult {
+    BreakResult {
         received,
-        sent,
+        sent_count,
         response,
-    }: PlayResult,
+    }: BreakResult,
 ) {
     let idempotent = matches!(path, "/pure/a" | "/more/a");
-    let most = if idempotent { 3 } else { 1 };
+    let limit = if idempotent { 3 } else { 1 };
     assert!(
-        received.len() <= most && sent <= most as u64,
-        "{case}: {sent} sent, {received:?}"
+        received.len() <= limit && sent_count <= limit as u64,
+        "{case}: {sent_count} sent, {received:?}"
     );
     let response = response.unwrap_or_else(|| panic!("{case}: no answer"));
     let all = events(1..=LAST_EVENT);
-    let right = match path {
+    let has_expected_body = match path {
         "/pure/a" | "/once/a" => response.body == BODY,
         _ => response.body == all,
     };
-    let good = response.status() == 200 && response.complete && right;
+    let complete_response = response.status() == 200 && response.complete && has_expected_body;
     match path {
         // It may run again: some host gives the complete response.
-        "/pure/a" | "/more/a" => assert!(good, "{case}: {response:?}"),
+        "/pure/a" | "/more/a" => assert!(complete_response, "{case}: {response:?}"),
         "/once/a" => assert!(
-            good || (response.status() == 502 && response.complete),
+            complete_response || (response.status() == 502 && response.complete),
             "{case}: {response:?}"
         ),
         _ => {
-            let cut =
+            let is_truncated =
                 response.status() == 200 && !response.complete && all.starts_with(&response.body);
             assert!(
-                good || cut || response.status() == 502,
+                complete_response || is_truncated || response.status() == 502,
                 "{case}: {response:?}"
             );
         }
@@ -279,29 +279,34 @@
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
     #[values(false, true)] reused: bool,
 ) {
-    let mut played = 0;
-    let mut once = |pending_break: BreakPoint, how: CloseKind| {
-        let case = format!("{path} {pending_break:?} {how:?} reused {reused}");
-        let mut came = None;
-        run_async_test(async { came = Some(play_break(path, reused, pending_break, how).await) });
-        let came = came.unwrap();
+    let mut break_count = 0;
+    let mut check_break = |pending_break: BreakPoint, close_kind: CloseKind| {
+        let case = format!("{path} {pending_break:?} {close_kind:?} reused {reused}");
+        let mut result = None;
+        run_async_test(async {
+            result = Some(request_with_break(path, reused, pending_break, close_kind).await)
+        });
+        let result = result.unwrap();
         if let (true, BreakPoint::DuringResponse(_)) = (reused, pending_break) {
-            assert!(came.received[0].used, "{case}: not on a used connection");
+            assert!(
+                result.received[0].reused_connection,
+                "{case}: not on a reused connection"
+            );
         }
-        played += 1;
-        let bytes = came.received.first().map_or(0, |h| h.bytes);
-        assert_break_is_safe(path, &case, came);
+        break_count += 1;
+        let bytes = result.received.first().map_or(0, |h| h.bytes);
+        assert_break_is_safe(path, &case, result);
         bytes
     };
-    let request = once(BreakPoint::DuringResponse(0), CloseKind::Orderly);
-    for how in [CloseKind::Orderly, CloseKind::Reset] {
+    let request = check_break(BreakPoint::DuringResponse(0), CloseKind::Orderly);
+    for close_kind in [CloseKind::Orderly, CloseKind::Reset] {
         for n in 0..request {
-            once(BreakPoint::DuringRequest(n), how);
+            check_break(BreakPoint::DuringRequest(n), close_kind);
         }
         let longest = response_to(&format!("{path}\nfennelpin-attempt-id: one\n")).len();
         for n in 0..=longest {
-            once(BreakPoint::DuringResponse(n), how);
+            check_break(BreakPoint::DuringResponse(n), close_kind);
         }
     }
-    println!("{played} breaks");
+    println!("{break_count} breaks");
 }
--- a/crates/proxy/tests/close_delimited_responses.rs
+++ b/crates/proxy/tests/close_delimited_responses.rs
@@ -5,16 +5,16 @@
 use rstest::rstest;
 
 const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
-const BUFFERED_BYTES: usize = 40;
+const BUFFERED_BODY_BYTES: usize = 40;
 /// More than is held before it is passed on.
-const STREAMED_BYTES: usize = 400_000;
+const STREAMED_BODY_BYTES: usize = 400_000;
 
 fn body(length: usize) -> String {
     "0123456789".repeat(length / 10)
 }
 
 /// The client's request, and the host's connection once a response without a length has begun on it.
-async fn begin_response(
+async fn start_response(
     host: &mut FakeHost,
     proxy: &Proxy,
     path: &str,
@@ -23,8 +23,8 @@
     let client = proxy.send_request(path).await;
     let mut conn = host.accept().await;
     let body = body(length);
-    let asked = conn.read_message().await.expect("a request");
-    assert_eq!(asked.field("fennelpin-attempt-id"), Some("one"));
+    let received = conn.read_message().await.expect("a request");
+    assert_eq!(received.field("fennelpin-attempt-id"), Some("one"));
     let head = format!("HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: one\r\n{SEAL_FIELD}\r\n\r\n");
     let text = head + &body;
     let mut rest = text.as_bytes();
@@ -41,12 +41,12 @@
 #[rstest]
 fn close_delimited_response_with_an_orderly_end_is_complete(
     #[values("/pure/a", "/once/a", "/live/a")] path: &str,
-    #[values(0, BUFFERED_BYTES, STREAMED_BYTES)] length: usize,
+    #[values(0, BUFFERED_BODY_BYTES, STREAMED_BODY_BYTES)] length: usize,
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let (mut client, conn) = begin_response(&mut host, &proxy, path, length).await;
+        let (mut client, conn) = start_response(&mut host, &proxy, path, length).await;
         drop(conn);
         let response = client.read_message().await.expect("an answer");
         assert!(
@@ -62,12 +62,12 @@
 #[rstest]
 fn close_delimited_response_with_a_reset_is_incomplete(
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
-    #[values(0, BUFFERED_BYTES, STREAMED_BYTES)] length: usize,
+    #[values(0, BUFFERED_BODY_BYTES, STREAMED_BODY_BYTES)] length: usize,
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let (mut client, conn) = begin_response(&mut host, &proxy, path, length).await;
+        let (mut client, conn) = start_response(&mut host, &proxy, path, length).await;
         conn.reset();
         if let Some(response) = client.read_message().await {
             assert!(
@@ -83,13 +83,16 @@
 /// A process that is killed takes its connections along, and their ends may look as if they were in order: so what
 /// is passed on shows its own end.
 #[rstest]
-#[case::large("/once/a", STREAMED_BYTES)]
-#[case::stream("/live/a", BUFFERED_BYTES)]
-fn http11_client_can_tell_the_end_from_a_killed_proxy(#[case] path: &str, #[case] length: usize) {
+#[case::large("/once/a", STREAMED_BODY_BYTES)]
+#[case::stream("/live/a", BUFFERED_BODY_BYTES)]
+fn http11_client_can_tell_a_complete_response_from_a_killed_proxy(
+    #[case] path: &str,
+    #[case] length: usize,
+) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        let (mut client, conn) = begin_response(&mut host, &proxy, path, length).await;
+        let (mut client, conn) = start_response(&mut host, &proxy, path, length).await;
         let head = client.read_head().await.expect("an answer");
         assert!(head.contains("Transfer-Encoding: chunked\r\n"), "{head}");
         assert!(!head.contains("Connection: close"), "{head}");
@@ -113,14 +116,14 @@
             .send(&request("/live/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
             .await;
         let mut conn = host.accept().await;
-        let body = body(STREAMED_BYTES);
-        let play = async {
+        let body = body(STREAMED_BODY_BYTES);
+        let respond = async {
             conn.respond(&format!("200 OK\r\n{SEAL_FIELD}"), &body)
                 .await;
             conn
         };
-        let (seen, conn) = tokio::join!(client.read_until(&body), play);
-        assert!(!seen.contains("Transfer-Encoding"));
+        let (received_text, conn) = tokio::join!(client.read_until(&body), respond);
+        assert!(!received_text.contains("Transfer-Encoding"));
         if reset {
             conn.reset();
         } else {
--- a/crates/proxy/tests/connection_pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn seconds(s: u64) -> Duration {
-    Duration::from_secs(s)
+fn seconds(count: u64) -> Duration {
+    Duration::from_secs(count)
 }
 
 #[derive(Debug)]
@@ -16,21 +16,30 @@
     #[allow(dead_code, reason = "held until it is dropped")] ConnectionPermit,
 );
 
-fn host(name: &str) -> Arc<str> {
-    name.into()
+fn host(id: &str) -> Arc<str> {
+    id.into()
 }
 
-fn put(pool: &mut ConnectionPool<NumberedConnection>, name: &str, number: u32, until: u64) {
-    let ticket = pool.try_open(&host(name), 9).unwrap();
-    pool.put_idle(name, NumberedConnection(number, ticket), seconds(until));
+fn put_idle_connection(
+    pool: &mut ConnectionPool<NumberedConnection>,
+    host_id: &str,
+    number: u32,
+    expires_at_s: u64,
+) {
+    let permit = pool.try_open(&host(host_id), 9).unwrap();
+    pool.put_idle(
+        host_id,
+        NumberedConnection(number, permit),
+        seconds(expires_at_s),
+    );
 }
 
 #[test]
 fn last_used_connection_is_taken_unless_expired() {
     let mut pool = ConnectionPool::new(9);
-    put(&mut pool, "a", 1, 10);
-    put(&mut pool, "a", 2, 3);
-    put(&mut pool, "a", 3, 10);
+    put_idle_connection(&mut pool, "a", 1, 10);
+    put_idle_connection(&mut pool, "a", 2, 3);
+    put_idle_connection(&mut pool, "a", 3, 10);
     assert_eq!(pool.take_idle(seconds(1), "a").unwrap().0, 3);
     assert_eq!(
         pool.take_idle(seconds(5), "a").unwrap().0,
@@ -57,9 +66,9 @@
 #[test]
 fn idle_connection_is_closed_at_the_total_limit() {
     let mut pool = ConnectionPool::new(2);
-    put(&mut pool, "a", 1, 10);
-    let _used = pool.try_open(&host("b"), 9).unwrap();
-    let _new = pool.try_open(&host("b"), 9).expect("the idle one has gone");
+    put_idle_connection(&mut pool, "a", 1, 10);
+    let _in_use = pool.try_open(&host("b"), 9).unwrap();
+    let _opened = pool.try_open(&host("b"), 9).expect("the idle one has gone");
     assert!(pool.take_idle(seconds(1), "a").is_none());
     assert!(pool.try_open(&host("b"), 9).is_none(), "nothing is idle");
     assert_eq!(pool.open_count(), 2);
@@ -68,12 +77,12 @@
 #[test]
 fn connections_to_removed_hosts_are_closed() {
     let mut pool = ConnectionPool::new(9);
-    put(&mut pool, "a", 1, 10);
-    put(&mut pool, "b", 2, 10);
-    let late = NumberedConnection(3, pool.try_open(&host("a"), 9).unwrap());
+    put_idle_connection(&mut pool, "a", 1, 10);
+    put_idle_connection(&mut pool, "b", 2, 10);
+    let returned_late = NumberedConnection(3, pool.try_open(&host("a"), 9).unwrap());
     pool.retain_hosts(&HashSet::from(["b"]));
     assert_eq!(pool.open_count(), 2);
-    pool.put_idle("a", late, seconds(10));
+    pool.put_idle("a", returned_late, seconds(10));
     assert!(
         pool.take_idle(seconds(1), "a").is_none(),
         "one that comes back later is dropped as well"
@@ -86,8 +95,8 @@
 #[test]
 fn expired_connections_are_closed() {
     let mut pool = ConnectionPool::new(9);
-    put(&mut pool, "a", 1, 2);
-    put(&mut pool, "a", 2, 10);
+    put_idle_connection(&mut pool, "a", 1, 2);
+    put_idle_connection(&mut pool, "a", 2, 10);
     pool.close_expired(seconds(5));
     assert_eq!(pool.open_count(), 1);
 }
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -9,7 +9,7 @@
 const TOLERANCE: Duration = Duration::from_millis(500);
 /// Deadline of the routes here, and more than what sockets on the way hold.
 const DEADLINE: Duration = Duration::from_millis(300);
-const LARGE_BYTES: usize = 16 << 20;
+const LARGE_BODY_BYTES: usize = 16 << 20;
 const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 
 fn time_left(request: &Message) -> Duration {
@@ -27,7 +27,7 @@
     let proxy = Proxy::without_configuration().await;
     let routes = ROUTES.replace("8000", &DEADLINE.as_millis().to_string());
     let text = format!(
-        r#"{{"version":1,"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":{LARGE_BYTES}}}}}"#
+        r#"{{"version":1,"routes":[{routes}],"services":[{{"name":"s"}}],"limits":{{"max_body_bytes":{LARGE_BODY_BYTES}}}}}"#
     );
     let document = configuration::Configuration::read(text.as_bytes(), 0).unwrap();
     proxy
@@ -43,51 +43,52 @@
 #[case::none("", 8000)]
 #[case::shorter("Fennelpin-Deadline-Ms: 700\r\n", 700)]
 #[case::longer("Fennelpin-Deadline-Ms: 60000\r\n", 8000)]
-#[case::none_that_can_be_read("Fennelpin-Deadline-Ms: soon\r\n", 8000)]
-#[case::below_zero("Fennelpin-Deadline-Ms: -1\r\n", 8000)]
-#[case::in_fractions("Fennelpin-Deadline-Ms: 650.5\r\n", 650)]
-fn host_gets_the_rest_of_the_shorter_deadline(
+#[case::malformed("Fennelpin-Deadline-Ms: soon\r\n", 8000)]
+#[case::negative("Fennelpin-Deadline-Ms: -1\r\n", 8000)]
+#[case::fractional("Fennelpin-Deadline-Ms: 650.5\r\n", 650)]
+fn host_gets_the_time_left_of_the_shorter_deadline(
     #[case] line: &str,
-    #[case] most: u64,
+    #[case] expected_ms: u64,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        let since = Instant::now();
+        let started_at = Instant::now();
         client.send(&request(path, "one", line)).await;
-        let asked = host.accept().await.read_message().await.unwrap();
-        let most = Duration::from_millis(most);
-        let least = most.saturating_sub(since.elapsed() + Duration::from_millis(1));
+        let received = host.accept().await.read_message().await.unwrap();
+        let max_time_left = Duration::from_millis(expected_ms);
+        let min_time_left =
+            max_time_left.saturating_sub(started_at.elapsed() + Duration::from_millis(1));
         assert!(
-            (least..=most).contains(&time_left(&asked)),
+            (min_time_left..=max_time_left).contains(&time_left(&received)),
             "{:?}",
-            time_left(&asked)
+            time_left(&received)
         );
-        let lines = asked
+        let lines = received
             .head
             .lines()
             .filter(|l| l.to_ascii_lowercase().starts_with("fennelpin-deadline-ms"));
-        assert_eq!(lines.count(), 1, "{}", asked.head);
+        assert_eq!(lines.count(), 1, "{}", received.head);
     });
 }
 
 /// After a failover the second host gets the same deadline as the first one.
 #[rstest]
-fn retry_gets_the_time_left_then(#[values("/pure/a", "/more/a")] path: &str) {
+fn failover_gets_the_remaining_time(#[values("/pure/a", "/more/a")] path: &str) {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let _client = proxy.send_request(path).await;
-        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let (mut first, other) = first_connection(&mut host_1, &mut host_2).await;
         let before = time_left(&first.read_message().await.unwrap());
-        let since = Instant::now();
+        let started_at = Instant::now();
         let mut second = other.accept().await;
-        let waited = since.elapsed();
+        let waited = started_at.elapsed();
         let after = time_left(&second.read_message().await.unwrap());
         assert!(
             waited > TOLERANCE,
@@ -102,30 +103,30 @@
 
 /// A stream that is taken up elsewhere keeps its client's deadline.
 #[test]
-fn resumed_stream_gets_the_time_left_then() {
+fn resumed_stream_gets_the_remaining_time() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/more/a").await;
-        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let (mut first, other) = first_connection(&mut host_1, &mut host_2).await;
         let before = time_left(&first.start_stream("seal", &[1]).await);
         client.read_until("piece 1\n\n").await;
-        let since = Instant::now();
+        let started_at = Instant::now();
         let mut second = other.accept().await;
-        let waited = since.elapsed();
-        let asked = second.read_message().await.unwrap();
-        assert_eq!(asked.field("last-event-id"), Some("1"));
+        let waited = started_at.elapsed();
+        let received = second.read_message().await.unwrap();
+        assert_eq!(received.field("last-event-id"), Some("1"));
         assert!(
             waited > TOLERANCE,
             "the first one was waited for: {waited:?}"
         );
         assert!(
-            time_left(&asked) + waited <= before + Duration::from_millis(50),
+            time_left(&received) + waited <= before + Duration::from_millis(50),
             "{before:?}, {:?}",
-            time_left(&asked)
+            time_left(&received)
         );
     });
 }
@@ -137,18 +138,18 @@
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = proxy_with_short_deadlines(&[&host]).await;
         let mut client = proxy.client().await;
-        let ahead = request("/once/b", "two", "Fennelpin-Deadline-Ms: 290\r\n");
+        let pipelined = request("/once/b", "two", "Fennelpin-Deadline-Ms: 290\r\n");
         client
-            .send(&(request("/quick/once/a", "one", "") + &ahead))
+            .send(&(request("/quick/once/a", "one", "") + &pipelined))
             .await;
         let mut conn = host.accept().await;
         conn.read_message().await.unwrap();
         assert_eq!(client.read_message().await.unwrap().status(), 504);
-        let asked = host.accept().await.read_message().await.unwrap();
+        let received = host.accept().await.read_message().await.unwrap();
         assert!(
-            time_left(&asked) <= Duration::from_millis(290 - 150),
+            time_left(&received) <= Duration::from_millis(290 - 150),
             "{:?}",
-            time_left(&asked)
+            time_left(&received)
         );
     });
 }
@@ -182,14 +183,14 @@
 #[case::pure_large_without_end("/pure/a", HostBehavior::EndlessLargeResponse)]
 #[case::pure_small("/pure/a", HostBehavior::StallsInSmallResponse)]
 #[case::refusal("/once/a", HostBehavior::EndlessRefusal)]
-fn request_ends_at_the_route_deadline(#[case] path: &str, #[case] how: HostBehavior) {
+fn request_ends_at_the_route_deadline(#[case] path: &str, #[case] behavior: HostBehavior) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = proxy_with_short_deadlines(&[&host]).await;
         let mut client = proxy.client().await;
-        let since = Instant::now();
-        let body = "b".repeat(if how == HostBehavior::NeverReads {
-            LARGE_BYTES
+        let started_at = Instant::now();
+        let body = "b".repeat(if behavior == HostBehavior::NeverReads {
+            LARGE_BODY_BYTES
         } else {
             2
         });
@@ -198,25 +199,25 @@
              Fennelpin-Deadline-Ms: 60000\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        let ask = async {
+        let exchange = async {
             client.send(&text).await;
             let response = client.read_message().await;
-            (response, since.elapsed())
+            (response, started_at.elapsed())
         };
-        let (response, took) = tokio::select! {
-            done = ask => done,
-            () = play_host(&mut host, how) => unreachable!("the host goes on"),
+        let (response, elapsed) = tokio::select! {
+            done = exchange => done,
+            () = run_host(&mut host, behavior) => unreachable!("the host goes on"),
         };
-        assert!(took <= DEADLINE + TOLERANCE, "{took:?}");
+        assert!(elapsed <= DEADLINE + TOLERANCE, "{elapsed:?}");
         let response = response.expect("an answer");
-        let begun = !matches!(
-            how,
+        let response_started = !matches!(
+            behavior,
             HostBehavior::Silent
                 | HostBehavior::NeverReads
                 | HostBehavior::StallsInSmallResponse
                 | HostBehavior::EndlessRefusal
         );
-        if begun {
+        if response_started {
             assert!(!response.complete, "{}", response.head);
         } else {
             assert!(
@@ -228,9 +229,9 @@
     });
 }
 
-async fn play_host(host: &mut FakeHost, how: HostBehavior) {
+async fn run_host(host: &mut FakeHost, behavior: HostBehavior) {
     let mut conn = host.accept().await;
-    match how {
+    match behavior {
         HostBehavior::Silent => drop(conn.read_message().await),
         HostBehavior::NeverReads => {}
         HostBehavior::StallsInStream => drop(conn.start_stream("seal", &[1]).await),
@@ -314,7 +315,7 @@
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\n{fields}\r\n"
         );
-        let since = Instant::now();
+        let started_at = Instant::now();
         client.send(&head).await;
         let mut pieces = tokio::time::interval(Duration::from_millis(20));
         let response = loop {
@@ -327,9 +328,9 @@
         let response = response.expect("a reply");
         assert_eq!((response.status(), response.complete), (408, true));
         assert!(
-            since.elapsed() < DEADLINE + TOLERANCE,
+            started_at.elapsed() < DEADLINE + TOLERANCE,
             "{:?}",
-            since.elapsed()
+            started_at.elapsed()
         );
         assert!(host.has_no_connection());
     });
--- a/crates/proxy/tests/event_stream.rs
+++ b/crates/proxy/tests/event_stream.rs
@@ -18,15 +18,15 @@
 #[case(": only a remark\n\n", None)]
 #[case("id: 1\ndata: a\ndata: b\n\n", Some("1"))]
 fn event_is_the_same_at_any_split(#[case] text: &str, #[case] id: Option<&str>) {
-    let whole = [(text.to_owned(), id.map(str::to_owned))];
-    for cut in 0..=text.len() {
+    let expected = [(text.to_owned(), id.map(str::to_owned))];
+    for split_at in 0..=text.len() {
         let mut splitter = EventSplitter::new(1024);
-        let mut got = Vec::new();
-        for part in [&text[..cut], &text[cut..]] {
-            assert!(splitter.push(part.as_bytes()).is_ok());
-            got.extend(drain_events(&mut splitter));
+        let mut events = Vec::new();
+        for piece in [&text[..split_at], &text[split_at..]] {
+            assert!(splitter.push(piece.as_bytes()).is_ok());
+            events.extend(drain_events(&mut splitter));
         }
-        assert_eq!(got, whole, "cut at {cut}");
+        assert_eq!(events, expected, "split at byte {split_at}");
         assert!(splitter.take_incomplete().is_empty());
     }
 }
@@ -92,15 +92,15 @@
 #[case(Some("10"), Some("9"), false)]
 #[case(Some("9"), Some("10"), true)]
 #[case(Some("4"), None, true)]
-fn event_already_forwarded_is_not_new(
+fn event_already_forwarded_is_skipped(
     #[case] last: Option<&str>,
     #[case] id: Option<&str>,
-    #[case] admitted: bool,
+    #[case] is_new: bool,
 ) {
-    let mut place = EventOffset::after(last);
-    assert_eq!(place.advance(&event(id)), admitted);
+    let mut offset = EventOffset::after(last);
+    assert_eq!(offset.advance(&event(id)), is_new);
     assert_eq!(
-        place.last_event_id(),
-        if admitted { id.or(last) } else { last }
+        offset.last_event_id(),
+        if is_new { id.or(last) } else { last }
     );
 }
--- a/crates/proxy/tests/forwarded_fields.rs
+++ b/crates/proxy/tests/forwarded_fields.rs
@@ -23,13 +23,13 @@
     lines.iter().map(|l| format!("{l}\r\n")).collect()
 }
 
-fn assert_forwarded(asked: &Message, lines: &[String]) {
+fn assert_forwarded(received: &Message, lines: &[String]) {
     for line in lines {
         assert_eq!(
-            asked.head.lines().filter(|l| l == line).count(),
+            received.head.lines().filter(|l| l == line).count(),
             1,
             "{line} in {}",
-            asked.head
+            received.head
         );
     }
     for name in [
@@ -37,18 +37,18 @@
         "fennelpin-token-counts",
         "fennelpin-prompt-prefix",
     ] {
-        let named = asked
+        let lines_of_name = received
             .head
             .lines()
             .filter(|l| l.to_ascii_lowercase().starts_with(name));
-        assert_eq!(named.count(), 1, "{name} in {}", asked.head);
+        assert_eq!(lines_of_name.count(), 1, "{name} in {}", received.head);
     }
 }
 
 #[rstest]
 #[case::plain(PROMPT_FIELDS.map(str::to_owned).to_vec())]
 #[case::long(vec![PROMPT_FIELDS[0].to_owned(), PROMPT_FIELDS[1].to_owned(), long_prompt_prefix()])]
-#[case::unreadable(vec![
+#[case::malformed(vec![
     "Fennelpin-Model-Name:".to_owned() + " ",
     "Fennelpin-Token-Counts: many,few".to_owned(),
     "Fennelpin-Prompt-Prefix: no parts at all".to_owned(),
@@ -58,28 +58,25 @@
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.client().await;
         client
             .send(&request(path, "one", &field_lines(&lines)))
             .await;
         let lines: Vec<String> = lines.iter().map(|l| l.trim_end().to_owned()).collect();
-        let (mut first, other) = first_connection(&mut one, &mut two).await;
-        assert_forwarded(&without_outer_space(first.respond_refusal().await), &lines);
+        let (mut first, other) = first_connection(&mut host_1, &mut host_2).await;
+        assert_forwarded(&with_trimmed_lines(first.respond_refusal().await), &lines);
         let mut second = other.accept().await;
-        assert_forwarded(
-            &without_outer_space(second.respond_ok("done").await),
-            &lines,
-        );
+        assert_forwarded(&with_trimmed_lines(second.respond_ok("done").await), &lines);
     });
 }
 
 /// Blanks at the end of a line aren't part of a value.
-fn without_outer_space(message: Message) -> Message {
+fn with_trimmed_lines(message: Message) -> Message {
     let head: Vec<&str> = message.head.lines().map(str::trim_end).collect();
     Message {
         head: head.join("\r\n"),
@@ -90,23 +87,23 @@
 #[test]
 fn resumed_stream_keeps_the_client_prompt_fields() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.client().await;
         let lines = PROMPT_FIELDS.map(str::to_owned);
         client
             .send(&request("/more/a", "one", &field_lines(&lines)))
             .await;
-        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let (mut first, other) = first_connection(&mut host_1, &mut host_2).await;
         assert_forwarded(&first.start_stream("seal", &[1]).await, &lines);
         client.read_until("piece 1\n\n").await;
         drop(first);
-        let asked = other.accept().await.read_message().await.unwrap();
-        assert_eq!(asked.field("last-event-id"), Some("1"));
-        assert_forwarded(&asked, &lines);
+        let received = other.accept().await.read_message().await.unwrap();
+        assert_eq!(received.field("last-event-id"), Some("1"));
+        assert_forwarded(&received, &lines);
     });
 }
 
@@ -125,9 +122,9 @@
             ))
             .await;
         let lines = "200 OK\r\nFennelpin-Host-Seal: seal\r\nVersions: 4\r\nContent-Length: 4";
-        let asked = host.accept().await.respond(lines, "done").await;
+        let received = host.accept().await.respond(lines, "done").await;
         assert_eq!(
-            (asked.field("priority"), asked.field("expect-version")),
+            (received.field("priority"), received.field("expect-version")),
             (Some("3"), Some("4"))
         );
         assert_eq!(
@@ -159,7 +156,7 @@
 
 /// A host that turns a request away for the version that its client expects is still the host that it was.
 #[test]
-fn version_mismatch_does_not_take_a_host_out() {
+fn version_mismatch_does_not_eject_the_host() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
@@ -175,7 +172,7 @@
         .await;
         assert_eq!(client.read_message().await.unwrap().status(), 503);
         let mut other = proxy.client().await;
-        let served = async {
+        let request_until_served = async {
             loop {
                 other.send(&request("/pure/a", "two", "")).await;
                 let response = other.read_message().await.unwrap();
@@ -184,7 +181,7 @@
                 }
             }
         };
-        let play = async {
+        let host_side = async {
             tokio::select! {
                 Some(_) = conn.read_message() => conn.send(&ok_response("two", "done")).await,
                 mut new = host.accept() => drop(new.respond_ok("done").await),
@@ -192,8 +189,8 @@
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            response = served => assert_eq!(response.body, "done"),
-            () = play => unreachable!("the host goes on"),
+            response = request_until_served => assert_eq!(response.body, "done"),
+            () = host_side => unreachable!("the host goes on"),
         }
     });
 }
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -18,23 +18,23 @@
             ))
             .await;
         let mut conn = host.accept().await;
-        let asked = conn.respond_ok("hello").await;
-        assert!(asked.head.starts_with("POST /pure/a?b=c HTTP/1.1\r\n"));
+        let received = conn.respond_ok("hello").await;
+        assert!(received.head.starts_with("POST /pure/a?b=c HTTP/1.1\r\n"));
         assert_eq!(
-            (asked.body.as_str(), asked.field("host")),
+            (received.body.as_str(), received.field("host")),
             ("hi", Some("x.example"))
         );
-        assert_eq!(asked.field("fennelpin-attempt-id"), Some("one"));
-        assert_eq!(asked.field("fennelpin-expected-host"), Some("h1"));
+        assert_eq!(received.field("fennelpin-attempt-id"), Some("one"));
+        assert_eq!(received.field("fennelpin-expected-host"), Some("h1"));
         assert_eq!(
             (
-                asked.field("x-own"),
-                asked.field("x-hop"),
-                asked.field("connection")
+                received.field("x-own"),
+                received.field("x-hop"),
+                received.field("connection")
             ),
             (Some("1"), None, None)
         );
-        let left: u64 = asked
+        let left: u64 = received
             .field("fennelpin-deadline-ms")
             .unwrap()
             .parse()
@@ -47,9 +47,9 @@
         client
             .send(&request("/pure/a", "two", "Fennelpin-Deadline-Ms: 500\r\n"))
             .await;
-        let asked = conn.respond_ok("again").await;
+        let received = conn.respond_ok("again").await;
         assert!(
-            asked
+            received
                 .field("fennelpin-deadline-ms")
                 .unwrap()
                 .parse::<u64>()
@@ -63,16 +63,16 @@
 #[test]
 fn refused_request_is_retried_at_another_host() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.client().await;
         client.send(&request("/once/a", "one", "")).await;
         let (first, other) = tokio::select! {
-            conn = one.accept() => (conn, &mut two),
-            conn = two.accept() => (conn, &mut one),
+            conn = host_1.accept() => (conn, &mut host_2),
+            conn = host_2.accept() => (conn, &mut host_1),
         };
         let mut first = first;
         first.respond_refusal().await;
@@ -107,23 +107,23 @@
 #[test]
 fn broken_resumable_stream_is_resumed_at_another_host() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.client().await;
         client.send(&request("/more/a", "one", "")).await;
         let (mut first, other) = tokio::select! {
-            conn = one.accept() => (conn, &mut two),
-            conn = two.accept() => (conn, &mut one),
+            conn = host_1.accept() => (conn, &mut host_2),
+            conn = host_2.accept() => (conn, &mut host_1),
         };
         first.start_stream("first", &[1, 2]).await;
         first.send("30\r\nid: 3\ndata: ha").await;
         drop(first);
         let mut second = other.accept().await;
-        let asked = second.start_stream("second", &[2, 3, 4]).await;
-        assert_eq!(asked.field("last-event-id"), Some("2"));
+        let received = second.start_stream("second", &[2, 3, 4]).await;
+        assert_eq!(received.field("last-event-id"), Some("2"));
         second.send("0\r\n\r\n").await;
         let response = client.read_message().await.unwrap();
         assert_eq!(response.field("fennelpin-host-seal"), Some("first"));
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -8,33 +8,36 @@
 const SHORT_GRACE_S: f64 = 1.7;
 
 #[test]
-fn stopping_proxy_is_not_ready_and_still_serves() {
+fn stopping_proxy_is_not_ready_but_still_serves() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(SHORT_GRACE_S, &host).await;
-        let mut old = proxy.send_request("/pure/a").await;
+        let mut existing = proxy.send_request("/pure/a").await;
         let mut conn = host.accept().await;
         conn.respond_ok("before").await;
-        assert_eq!(old.read_message().await.unwrap().field("connection"), None);
+        assert_eq!(
+            existing.read_message().await.unwrap().field("connection"),
+            None
+        );
         proxy.signal_stop();
         while proxy.readiness_status().await == 200 {}
         // The platform still sends connections, and old ones may still ask: each gets its response, the last there.
-        let mut new = proxy.send_request("/once/a").await;
+        let mut later = proxy.send_request("/once/a").await;
         conn.respond_ok("new").await;
-        let response = new.read_message().await.unwrap();
+        let response = later.read_message().await.unwrap();
         assert_eq!(
             (response.body.as_str(), response.field("connection")),
             ("new", Some("close"))
         );
-        new.wait_until_closed().await;
-        old.send(&request("/once/a", "two", "")).await;
+        later.wait_until_closed().await;
+        existing.send(&request("/once/a", "two", "")).await;
         conn.respond_ok("old").await;
-        let response = old.read_message().await.unwrap();
+        let response = existing.read_message().await.unwrap();
         assert_eq!(
             (response.body.as_str(), response.field("connection")),
             ("old", Some("close"))
         );
-        old.wait_until_closed().await;
+        existing.wait_until_closed().await;
     });
 }
 
@@ -48,20 +51,26 @@
         let mut conn = host.accept().await;
         conn.start_stream("seal", &[1]).await;
         busy.read_until("piece 1\n\n").await;
-        let told = std::time::Instant::now();
+        let signalled_at = std::time::Instant::now();
         proxy.signal_stop();
         // The idle connection goes once the platform has noticed; the stream stays.
         idle.wait_until_closed().await;
-        let waited = told.elapsed().as_millis();
+        let waited = signalled_at.elapsed().as_millis();
         assert!((2000..3600).contains(&waited), "{waited} ms");
         conn.send_events(&[2]).await;
         conn.send("0\r\n\r\n").await;
         let response = busy.read_message().await.unwrap();
         assert_eq!((response.complete, response.body), (true, events([1, 2])));
-        let counted = proxy.serving.await.unwrap().unwrap();
-        assert_eq!((counted.responses, counted.truncated_responses), (1, 0));
+        let counters_at_exit = proxy.serving.await.unwrap().unwrap();
+        assert_eq!(
+            (
+                counters_at_exit.responses,
+                counters_at_exit.truncated_responses
+            ),
+            (1, 0)
+        );
         assert!(
-            told.elapsed().as_millis() < 4000,
+            signalled_at.elapsed().as_millis() < 4000,
             "nothing is left to wait for"
         );
     });
@@ -118,23 +127,30 @@
         stream.send("0\r\n\r\n").await;
         let response = late.read_message().await.unwrap();
         assert_eq!((response.complete, response.body), (true, events([1, 2])));
-        let counted = proxy.serving.await.unwrap().unwrap();
-        assert_eq!((counted.responses, counted.truncated_responses), (3, 0));
+        let counters_at_exit = proxy.serving.await.unwrap().unwrap();
+        assert_eq!(
+            (
+                counters_at_exit.responses,
+                counters_at_exit.truncated_responses
+            ),
+            (3, 0)
+        );
     });
 }
 
 #[test]
-fn request_in_flight_at_the_end_gets_a_true_status() {
+fn request_in_flight_at_shutdown_is_not_reported_as_not_run() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(SHORT_GRACE_S, &host).await;
         let mut sent = proxy.send_request("/once/a").await;
         let mut conn = host.accept().await;
         conn.read_message().await.unwrap();
-        let mut half = proxy.client().await;
-        half.send("POST /once/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: two\r\n")
+        let mut incomplete = proxy.client().await;
+        incomplete
+            .send("POST /once/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: two\r\n")
             .await;
-        let told = std::time::Instant::now();
+        let signalled_at = std::time::Instant::now();
         proxy.signal_stop();
         let response = sent.read_message().await.unwrap();
         assert_eq!(
@@ -145,11 +161,11 @@
         conn.wait_until_closed().await;
         proxy.serving.await.unwrap().unwrap();
         assert!(
-            told.elapsed().as_millis() < 1700,
+            signalled_at.elapsed().as_millis() < 1700,
             "before the grace is over: {:?}",
-            told.elapsed()
+            signalled_at.elapsed()
         );
-        half.wait_until_closed().await;
+        incomplete.wait_until_closed().await;
     });
 }
 
@@ -163,14 +179,14 @@
         conn.respond_ok("done").await;
         client.read_message().await.unwrap();
         let counters = proxy.counters.clone();
-        let counted = proxy.stop().await;
-        assert_eq!(counted, counters.get());
+        let counters_at_exit = proxy.stop().await;
+        assert_eq!(counters_at_exit, counters.get());
         assert_eq!(
             (
-                counted.requests,
-                counted.attempts,
-                counted.responses,
-                counted.host_connects
+                counters_at_exit.requests,
+                counters_at_exit.attempts,
+                counters_at_exit.responses,
+                counters_at_exit.host_connects
             ),
             (1, 1, 1, 1)
         );
@@ -180,13 +196,18 @@
 /// A request whose response can't be awaited any more is refused before a host hears of it: sent out and given up, it
 /// could neither be answered nor sent again.
 #[test]
-fn request_in_the_last_moments_is_rejected_before_a_host_has_it() {
+fn request_shortly_before_the_end_is_rejected_before_it_reaches_a_host() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(SHORT_GRACE_S, &host).await;
         // The platform's clients keep coming to the end, and the host responds to each at once.
         let clients: Vec<_> = (0..8)
-            .map(|n| tokio::task::spawn_local(send_requests_until_refused(proxy.client_address, n)))
+            .map(|n| {
+                tokio::task::spawn_local(send_requests_until_connections_are_refused(
+                    proxy.client_address,
+                    n,
+                ))
+            })
             .collect();
         let responses = tokio::task::spawn_local(async move {
             loop {
@@ -200,34 +221,38 @@
             }
         });
         proxy.signal_stop();
-        let mut refused = 0;
+        let mut rejected_count = 0;
         for client in clients {
             for status in client.await.unwrap() {
                 assert!(
                     [200, 503].contains(&status),
                     "neither an answer nor a promise: {status}"
                 );
-                refused += usize::from(status == 503);
+                rejected_count += usize::from(status == 503);
             }
         }
-        assert!(refused > 0, "the last ones are refused");
+        assert!(rejected_count > 0, "the last ones are refused");
         responses.abort();
         proxy.serving.await.unwrap().unwrap();
     });
 }
 
 /// Sends one request after the other, each on a connection of its own, until nobody listens; the responses' statuses.
-async fn send_requests_until_refused(front: std::net::SocketAddrV4, client: usize) -> Vec<u16> {
+async fn send_requests_until_connections_are_refused(
+    proxy_address: std::net::SocketAddrV4,
+    client: usize,
+) -> Vec<u16> {
     let mut statuses = Vec::new();
     for n in 0.. {
-        let Ok(stream) = TcpStream::connect(std::net::SocketAddr::V4(front)).await else {
+        let Ok(stream) = TcpStream::connect(std::net::SocketAddr::V4(proxy_address)).await else {
             break;
         };
-        let mut peer = TestConnection::new(stream);
-        peer.send(&request("/once/a", &format!("{client}-{n}"), ""))
+        let mut connection = TestConnection::new(stream);
+        connection
+            .send(&request("/once/a", &format!("{client}-{n}"), ""))
             .await;
         // One that the end of the process meets unread has no response.
-        if let Some(response) = peer.read_message().await {
+        if let Some(response) = connection.read_message().await {
             statuses.push(response.status());
         }
     }
--- a/crates/proxy/tests/host_failures.rs
+++ b/crates/proxy/tests/host_failures.rs
@@ -9,20 +9,20 @@
 const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 
 /// What is sent to the first host is followed by the second: how often it is asked, and what the client gets.
-async fn play_first_of_two(
+async fn request_with_two_hosts(
     path: &str,
-    play: impl AsyncFnOnce(TestConnection),
-    responses: bool,
+    first_host: impl AsyncFnOnce(TestConnection),
+    second_host_responds: bool,
 ) -> Message {
-    let (mut one, mut two) = (
+    let (mut host_1, mut host_2) = (
         FakeHost::new("h1", "s").await,
         FakeHost::new("h2", "s").await,
     );
-    let proxy = Proxy::new(&[&one, &two]).await;
+    let proxy = Proxy::new(&[&host_1, &host_2]).await;
     let mut client = proxy.send_request(path).await;
-    let (first, other) = first_connection(&mut one, &mut two).await;
-    play(first).await;
-    if responses {
+    let (first, other) = first_connection(&mut host_1, &mut host_2).await;
+    first_host(first).await;
+    if second_host_responds {
         other.accept().await.respond_ok("second").await;
     }
     let response = client.read_message().await.expect("an answer");
@@ -60,14 +60,14 @@
     #[values("/pure/a", "/once/a")] path: &str,
 ) {
     run_async_test(async {
-        let pure = path == "/pure/a";
-        let play = async |mut conn: TestConnection| {
+        let is_idempotent = path == "/pure/a";
+        let respond = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let response = play_first_of_two(path, play, pure).await;
+        let response = request_with_two_hosts(path, respond, is_idempotent).await;
         assert!(response.complete);
         assert_eq!(response.field("content-encoding"), None);
-        if pure {
+        if is_idempotent {
             assert_eq!((response.status(), response.body.as_str()), (200, "second"));
         } else {
             assert_eq!(response.status(), 502);
@@ -80,12 +80,12 @@
     #[values("/pure/a", "/once/a", "/live/a")] path: &str,
 ) {
     run_async_test(async {
-        let pure = path == "/pure/a";
-        let play = async |mut conn: TestConnection| {
+        let is_idempotent = path == "/pure/a";
+        let respond = async |mut conn: TestConnection| {
             conn.read_message().await.unwrap();
         };
-        let response = play_first_of_two(path, play, pure).await;
-        assert_eq!(response.status(), if pure { 200 } else { 502 });
+        let response = request_with_two_hosts(path, respond, is_idempotent).await;
+        assert_eq!(response.status(), if is_idempotent { 200 } else { 502 });
         assert_eq!(
             response.field("retry-after"),
             None,
@@ -115,10 +115,10 @@
     #[values("/pure/a", "/once/a", "/live/a")] path: &str,
 ) {
     run_async_test(async {
-        let play = async |mut conn: TestConnection| {
+        let respond = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let response = play_first_of_two(path, play, true).await;
+        let response = request_with_two_hosts(path, respond, true).await;
         assert_eq!((response.status(), response.body.as_str()), (200, "second"));
     });
 }
@@ -126,13 +126,13 @@
 #[test]
 fn request_refused_by_all_hosts_gets_retry_after() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/once/a").await;
-        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let (mut first, other) = first_connection(&mut host_1, &mut host_2).await;
         first.respond_refusal().await;
         other.accept().await.respond_refusal().await;
         let response = client.read_message().await.unwrap();
@@ -147,16 +147,16 @@
 #[test]
 fn refusal_body_is_not_waited_for() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.client().await;
         client
             .send(&request("/once/a", "one", "Fennelpin-Deadline-Ms: 40\r\n"))
             .await;
-        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let (mut first, other) = first_connection(&mut host_1, &mut host_2).await;
         first
             .respond(
                 "503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 9",
@@ -184,8 +184,8 @@
             )
             .await;
         let mut client = proxy.send_request("/pure/a").await;
-        let [one, two] = &mut hosts;
-        let (mut conn, other) = first_connection(one, two).await;
+        let [host_1, host_2] = &mut hosts;
+        let (mut conn, other) = first_connection(host_1, host_2).await;
         conn.respond_refusal().await;
         assert_eq!(client.read_message().await.unwrap().status(), 503);
         assert!(other.has_no_connection());
@@ -195,7 +195,7 @@
 #[test]
 fn retry_without_budget_is_rejected() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
@@ -207,11 +207,11 @@
         proxy
             .apply_fleet(
                 configuration(1, ROUTES),
-                vec![one.info.clone(), two.info.clone()],
+                vec![host_1.info.clone(), host_2.info.clone()],
             )
             .await;
         let mut client = proxy.send_request("/pure/a").await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
         conn.respond_refusal().await;
         let response = client.read_message().await.unwrap();
         assert!(response.body.starts_with("402 "), "{}", response.body);
@@ -228,14 +228,14 @@
             ..ProxyOptions::default()
         })
         .await;
-        let dead = [
+        let unreachable = [
             host_info("d1", "s", unused_address().await),
             host_info("d2", "s", unused_address().await),
         ];
         proxy
             .apply_fleet(
                 configuration(1, ROUTES),
-                [&dead[..], &[host.info.clone()]].concat(),
+                [&unreachable[..], &[host.info.clone()]].concat(),
             )
             .await;
         for _ in 0..4 {
@@ -280,31 +280,31 @@
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::without_configuration().await;
         let (addr, _listener, _waiting) = unresponsive_listener().await;
-        let far = balancing::HostInfo {
+        let distant = balancing::HostInfo {
             zone: "b".into(),
             ..host.info.clone()
         };
         proxy
             .apply_fleet(
                 configuration(1, ROUTES),
-                vec![host_info("dark", "s", addr), far],
+                vec![host_info("dark", "s", addr), distant],
             )
             .await;
-        let asked = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         let mut client = proxy.send_request(path).await;
         host.accept().await.respond_ok("done").await;
         assert_eq!(client.read_message().await.unwrap().body, "done");
         assert!(
-            asked.elapsed() < Duration::from_millis(900),
+            started_at.elapsed() < Duration::from_millis(900),
             "{:?}",
-            asked.elapsed()
+            started_at.elapsed()
         );
-        let counted = proxy.counters.get();
+        let counters = proxy.counters.get();
         assert_eq!(
             (
-                counted.host_connect_failures,
-                counted.attempts,
-                counted.retries
+                counters.host_connect_failures,
+                counters.attempts,
+                counters.retries
             ),
             (1, 1, 0)
         );
@@ -317,16 +317,16 @@
     #[values(500, 504, 507)] status: u16,
 ) {
     run_async_test(async {
-        let pure = path == "/pure/a";
-        let play = async |mut conn: TestConnection| {
+        let is_idempotent = path == "/pure/a";
+        let respond = async |mut conn: TestConnection| {
             conn.respond(
                 &format!("{status} Own\r\n{SEAL_FIELD}\r\nX-Own: 1\r\nContent-Length: 4"),
                 "oops",
             )
             .await;
         };
-        let response = play_first_of_two(path, play, pure).await;
-        if pure {
+        let response = request_with_two_hosts(path, respond, is_idempotent).await;
+        if is_idempotent {
             assert_eq!((response.status(), response.body.as_str()), (200, "second"));
         } else {
             assert_eq!(
@@ -347,13 +347,13 @@
 #[test]
 fn last_host_error_is_forwarded_when_all_fail() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/pure/a").await;
-        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let (mut first, other) = first_connection(&mut host_1, &mut host_2).await;
         first.respond("500 Own\r\nContent-Length: 5", "first").await;
         other
             .accept()
@@ -374,10 +374,10 @@
 #[case("302 Found\r\nLocation: /x\r\nContent-Length: 2", "no")]
 fn other_responses_are_forwarded_unchanged(#[case] lines: &str, #[case] body: &str) {
     run_async_test(async {
-        let play = async |mut conn: TestConnection| {
+        let respond = async |mut conn: TestConnection| {
             conn.respond(lines, body).await;
         };
-        let response = play_first_of_two("/pure/a", play, false).await;
+        let response = request_with_two_hosts("/pure/a", respond, false).await;
         assert_eq!(
             (&response.head[9..12], response.body.as_str()),
             (&lines[..3], "no")
@@ -447,12 +447,15 @@
     run_async_test(async {
         let (host, proxy, mut client, mut conn) = proxy_with_idle_connection("").await;
         let mut next = FakeHost::new("h2", "s").await;
-        let leaving = balancing::HostInfo {
+        let draining_host = balancing::HostInfo {
             draining: true,
             ..host.info.clone()
         };
         proxy
-            .apply_fleet(configuration(1, ROUTES), vec![leaving, next.info.clone()])
+            .apply_fleet(
+                configuration(1, ROUTES),
+                vec![draining_host, next.info.clone()],
+            )
             .await;
         conn.wait_until_closed().await;
         send_second_request(&mut client).await;
@@ -479,7 +482,7 @@
     "2\r\nno\r\n0\r\n\r\n"
 )]
 fn response_to_another_request_is_skipped(
-    #[case] what: &str,
+    #[case] stray_kind: &str,
     #[case] lines: &str,
     #[case] body: &str,
 ) {
@@ -495,7 +498,7 @@
         assert_eq!(
             client.read_message().await.unwrap().body,
             "ours",
-            "after a {what}"
+            "after a {stray_kind}"
         );
         assert_eq!(proxy.counters.get().stray_responses, 1);
         // One more may still come: the connection isn't used again.
@@ -520,7 +523,9 @@
 }
 
 #[rstest]
-fn early_response_is_taken_before_the_body_is_written(#[values("", "closes", "stray")] more: &str) {
+fn early_response_is_forwarded_before_the_body_is_written(
+    #[values("", "closes", "stray")] extra: &str,
+) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::without_configuration().await;
@@ -540,7 +545,7 @@
         client.send(&(head + &body)).await;
         let mut conn = host.accept().await;
         conn.read_head().await.unwrap();
-        if more == "stray" {
+        if extra == "stray" {
             // Not ours: the rest of the request still has to go out.
             conn.send(&ok_response("zero", "stray")).await;
             assert_eq!(conn.read_body_bytes(body.len()).await, body);
@@ -549,7 +554,7 @@
             "HTTP/1.1 413 Content Too Large\r\nFennelpin-Attempt-Id: one\r\nContent-Length: 3\r\n\r\nbig",
         )
         .await;
-        let conn = (more != "closes").then_some(conn);
+        let conn = (extra != "closes").then_some(conn);
         let response = client.read_message().await.unwrap();
         assert_eq!((response.status(), response.body.as_str()), (413, "big"));
         if let Some(mut conn) = conn {
@@ -566,7 +571,7 @@
         let body = "0123456789".repeat(100_000);
         for _ in 0..2 {
             let mut client = proxy.send_request("/pure/a").await;
-            let play = async {
+            let respond = async {
                 let mut conn = host.accept().await;
                 let lines = format!(
                     "200 OK\r\n{SEAL_FIELD}\r\nConnection: close\r\nContent-Length: {}",
@@ -574,7 +579,7 @@
                 );
                 conn.respond(&lines, &body).await;
             };
-            let (response, ()) = tokio::join!(client.read_message(), play);
+            let (response, ()) = tokio::join!(client.read_message(), respond);
             let response = response.unwrap();
             assert!(response.complete && response.body == body);
         }
@@ -590,19 +595,19 @@
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.send_request("/pure/a").await;
         let body = start.to_owned() + &"0123456789".repeat(40_000);
-        let play = async {
+        let respond = async {
             let mut conn = host.accept().await;
             conn.respond(&format!("200 OK\r\n{SEAL_FIELD}\r\n{framing}"), &body)
                 .await;
         };
-        let (response, ()) = tokio::join!(client.read_message(), play);
+        let (response, ()) = tokio::join!(client.read_message(), respond);
         assert!(!response.unwrap().complete);
         assert_eq!(proxy.counters.get().truncated_responses, 1);
     });
 }
 
 #[rstest]
-fn truncated_close_delimited_response_ends_with_a_reset(#[values(true, false)] cut: bool) {
+fn truncated_close_delimited_response_ends_with_a_reset(#[values(true, false)] reset: bool) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
@@ -613,25 +618,25 @@
             .await;
         let mut conn = host.accept().await;
         let body = "0123456789".repeat(40_000);
-        let play = async {
+        let respond = async {
             conn.respond(&format!("200 OK\r\n{SEAL_FIELD}"), &body)
                 .await;
             conn
         };
-        let (_, conn) = tokio::join!(client.read_until(&body), play);
-        if cut {
+        let (_, conn) = tokio::join!(client.read_until(&body), respond);
+        if reset {
             conn.reset();
         } else {
             drop(conn);
         }
-        assert_eq!(client.ends_without_reset().await, !cut);
+        assert_eq!(client.ends_without_reset().await, !reset);
     });
 }
 
 #[test]
-fn host_gets_at_most_its_share_of_connections() {
+fn connections_to_a_host_are_limited_to_the_share_of_the_proxy() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
@@ -646,12 +651,12 @@
             ..h.info.clone()
         };
         proxy
-            .apply_fleet(document.into(), vec![info(&one), info(&two)])
+            .apply_fleet(document.into(), vec![info(&host_1), info(&host_2)])
             .await;
         let (mut clients, mut conns) = (Vec::new(), Vec::new());
         for _ in 0..8 {
             clients.push(proxy.send_request("/once/a").await);
-            let (mut conn, _) = first_connection(&mut one, &mut two).await;
+            let (mut conn, _) = first_connection(&mut host_1, &mut host_2).await;
             conn.read_message().await.unwrap();
             conns.push(conn);
         }
@@ -712,8 +717,8 @@
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.send_request("/quick/once/a").await;
         let mut conn = host.accept().await;
-        let asked = conn.read_message().await.unwrap();
-        let left: u64 = asked
+        let received = conn.read_message().await.unwrap();
+        let left: u64 = received
             .field("fennelpin-deadline-ms")
             .unwrap()
             .parse()
@@ -729,13 +734,13 @@
 #[rstest]
 fn request_fails_over_from_a_silent_host(#[values("/pure/a", "/more/a")] path: &str) {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request(path).await;
-        let (mut silent, other) = first_connection(&mut one, &mut two).await;
+        let (mut silent, other) = first_connection(&mut host_1, &mut host_2).await;
         silent.read_message().await.unwrap();
         let mut conn = other.accept().await;
         silent.wait_until_closed().await;
@@ -757,16 +762,16 @@
 #[test]
 fn non_idempotent_request_waits_for_a_silent_host() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.client().await;
         client
             .send(&request("/once/a", "one", "Fennelpin-Deadline-Ms: 900\r\n"))
             .await;
-        let (mut silent, other) = first_connection(&mut one, &mut two).await;
+        let (mut silent, other) = first_connection(&mut host_1, &mut host_2).await;
         silent.read_message().await.unwrap();
         let response = client.read_message().await.unwrap();
         assert_eq!(response.status(), 504);
@@ -776,15 +781,15 @@
 
 /// A host that refuses connections is ejected once, however many requests find it so, and is reinstated by an answer.
 #[test]
-fn host_when_ejected_and_back_is_counted_once() {
+fn ejection_and_reinstatement_of_a_host_are_counted_once() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.send_request("/pure/a").await;
         drop(host.accept().await);
         assert_ne!(client.read_message().await.unwrap().status(), 200);
-        let counted = proxy.counters.get();
-        assert_eq!((counted.hosts_ejected, counted.hosts_reinstated), (1, 0));
+        let counters = proxy.counters.get();
+        assert_eq!((counters.hosts_ejected, counters.hosts_reinstated), (1, 0));
         // The only host is used again as soon as its ejection is over.
         loop {
             let mut client = proxy.send_request("/pure/a").await;
@@ -797,7 +802,7 @@
                 break;
             }
         }
-        let counted = proxy.counters.get();
-        assert_eq!((counted.hosts_ejected, counted.hosts_reinstated), (1, 1));
+        let counters = proxy.counters.get();
+        assert_eq!((counters.hosts_ejected, counters.hosts_reinstated), (1, 1));
     });
 }
--- a/crates/proxy/tests/late_streams_at_shutdown.rs
+++ b/crates/proxy/tests/late_streams_at_shutdown.rs
@@ -9,24 +9,24 @@
 const GRACE_S: f64 = 5.5;
 
 /// What a client gets that asks for a stream of at most `deadline_ms` once streams aren't taken any more.
-async fn request_late(path: &str, deadline_ms: u64) -> Message {
+async fn request_stream_late(path: &str, deadline_ms: u64) -> Message {
     let mut host = FakeHost::new("h1", "s").await;
     let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
     // A request that is out keeps the process there; the idle connection's end shows that time has passed.
     let mut busy = proxy.send_request("/once/a").await;
     let mut conn = host.accept().await;
     conn.read_message().await.unwrap();
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     proxy.signal_stop();
     let deadline = format!("Fennelpin-Deadline-Ms: {deadline_ms}\r\n");
     loop {
-        let late = told.elapsed() > Duration::from_millis(3100);
+        let is_late = signalled_at.elapsed() > Duration::from_millis(3100);
         let mut client = proxy.client().await;
-        let path = if late { path } else { "/quick/a" };
+        let path = if is_late { path } else { "/quick/a" };
         client.send(&request(path, "late", &deadline)).await;
         let response = tokio::select! {
             mut conn = host.accept() => {
-                if late {
+                if is_late {
                     conn.start_stream("seal", &[1]).await;
                     conn.send("0\r\n\r\n").await;
                 } else {
@@ -36,7 +36,7 @@
             }
             response = client.read_message() => response.unwrap(),
         };
-        if late {
+        if is_late {
             conn.send(&ok_response("one", "busy")).await;
             assert_eq!(busy.read_message().await.unwrap().body, "busy");
             assert!(response.status() == 200 || host.has_no_connection());
@@ -47,16 +47,16 @@
 
 #[rstest]
 #[case::may_outlast_the_process("/live/a", 8000, 503)]
-#[case::may_go_on_elsewhere("/more/a", 8000, 503)]
-#[case::ends_before_it("/live/a", 500, 200)]
-#[case::no_stream("/pure/a", 8000, 200)]
+#[case::resumable("/more/a", 8000, 503)]
+#[case::ends_before_the_process("/live/a", 500, 200)]
+#[case::not_a_stream("/pure/a", 8000, 200)]
 fn late_stream_that_may_outlast_the_process_is_rejected(
     #[case] path: &str,
     #[case] deadline_ms: u64,
     #[case] status: u16,
 ) {
     run_async_test(async {
-        let response = request_late(path, deadline_ms).await;
+        let response = request_stream_late(path, deadline_ms).await;
         assert_eq!(response.status(), status, "{}", response.head);
         assert_eq!(response.field("connection"), Some("close"));
         assert_eq!(response.field("retry-after").is_some(), status == 503);
--- a/crates/proxy/tests/pending_connections_at_shutdown.rs
+++ b/crates/proxy/tests/pending_connections_at_shutdown.rs
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 /// Full service, after which a process with no open connection ends, and a little more.
-const STANDSTILL: Duration = Duration::from_millis(2600);
+const BLOCKED_TIME: Duration = Duration::from_millis(2600);
 /// Processes at once: which event of one turn is seen first is left to chance.
-const PROXIES: usize = 10;
+const PROXY_COUNT: usize = 10;
 
 #[test]
 fn request_on_a_pending_connection_is_served_or_rejected_before_a_host_has_it() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxies = Vec::new();
-        for _ in 0..PROXIES {
+        for _ in 0..PROXY_COUNT {
             let proxy = Proxy::with_grace(8.0, &host).await;
             // On a connection that is kept a request is written in the turn in which it is read.
             let mut early = proxy.send_request("/quick/a").await;
@@ -46,7 +46,7 @@
         }
         // Nothing runs here for so long: the proxies find the end of full service and their connections in one turn.
         let (_sender, receiver) = mpsc::channel::<()>();
-        assert!(receiver.recv_timeout(STANDSTILL).is_err());
+        assert!(receiver.recv_timeout(BLOCKED_TIME).is_err());
         for client in clients {
             let mut client = TestConnection::new(tokio::net::TcpStream::from_std(client).unwrap());
             let response = client.read_message().await.expect("an answer or a refusal");
--- a/crates/proxy/tests/requests_ahead_at_shutdown.rs
+++ b/crates/proxy/tests/requests_ahead_at_shutdown.rs
@@ -4,13 +4,13 @@
 use common::*;
 
 #[test]
-fn requests_sent_ahead_before_the_signal_are_all_answered() {
+fn requests_pipelined_before_the_signal_are_all_answered() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(4.0, &host).await;
         let mut client = proxy.client().await;
-        let (one, two) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
-        client.send(&format!("{one}{two}")).await;
+        let (request_1, request_2) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
+        client.send(&format!("{request_1}{request_2}")).await;
         let mut conn = host.accept().await;
         let first = conn.read_message().await.unwrap();
         assert_eq!(first.field("fennelpin-attempt-id"), Some("one"));
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn request_sent_ahead_of_one_that_the_end_cuts_off_is_rejected() {
+fn request_pipelined_after_one_that_the_shutdown_interrupts_is_rejected() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(1.2, &host).await;
         let mut client = proxy.client().await;
-        let (one, two) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
-        client.send(&format!("{one}{two}")).await;
+        let (request_1, request_2) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
+        client.send(&format!("{request_1}{request_2}")).await;
         let mut conn = host.accept().await;
         conn.read_message().await.unwrap();
         proxy.signal_stop();
--- a/crates/proxy/tests/response_matching.rs
+++ b/crates/proxy/tests/response_matching.rs
@@ -16,8 +16,8 @@
 }
 
 /// A proxy that takes large bodies, so that a host can respond before all is written.
-async fn proxy_with_wide_limits(setup: ProxyOptions, hosts: &[&FakeHost]) -> Proxy {
-    let proxy = Proxy::with_options(setup).await;
+async fn proxy_with_wide_limits(options: ProxyOptions, hosts: &[&FakeHost]) -> Proxy {
+    let proxy = Proxy::with_options(options).await;
     proxy
         .apply_fleet(
             configuration_with_wide_limits(),
@@ -27,18 +27,18 @@
     proxy
 }
 
-const LARGE: usize = 8_000_000;
+const LARGE_BODY_BYTES: usize = 8_000_000;
 
 fn large_request(path: &str) -> String {
     format!(
-        "POST {path} HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\nContent-Length: {LARGE}\r\n\r\n{}",
-        "a".repeat(LARGE)
+        "POST {path} HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\nContent-Length: {LARGE_BODY_BYTES}\r\n\r\n{}",
+        "a".repeat(LARGE_BODY_BYTES)
     )
 }
 
 #[rstest]
 fn interim_response_does_not_stop_the_request(
-    #[values("", "Fennelpin-Attempt-Id: one\r\n")] id: &str,
+    #[values("", "Fennelpin-Attempt-Id: one\r\n")] id_field: &str,
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
@@ -47,11 +47,11 @@
         client.send(&large_request("/once/a")).await;
         let mut conn = host.accept().await;
         conn.read_head().await.unwrap();
-        conn.send(&format!("HTTP/1.1 100 Continue\r\n{id}\r\n"))
+        conn.send(&format!("HTTP/1.1 100 Continue\r\n{id_field}\r\n"))
             .await;
         assert_eq!(
-            conn.read_body_bytes(LARGE).await.len(),
-            LARGE,
+            conn.read_body_bytes(LARGE_BODY_BYTES).await.len(),
+            LARGE_BODY_BYTES,
             "the body goes on"
         );
         conn.send(&ok_response("one", "done")).await;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn early_response_behind_an_interim_one_is_taken() {
+fn early_response_after_an_interim_one_is_forwarded() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&host]).await;
@@ -82,24 +82,30 @@
 #[rstest]
 #[case::named("Fennelpin-Attempt-Id: one\r\n", 1)]
 #[case::unnamed("", 0)]
-fn early_refusal_is_taken_before_the_body_is_written(#[case] id: &str, #[case] strays: usize) {
+fn early_refusal_is_handled_before_the_body_is_written(
+    #[case] id_field: &str,
+    #[case] stray_count: usize,
+) {
     run_async_test(async {
-        let mut one = FakeHost::new("h1", "s").await;
-        let mut two = FakeHost::new("h2", "s").await;
-        let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&one, &two]).await;
+        let mut host_1 = FakeHost::new("h1", "s").await;
+        let mut host_2 = FakeHost::new("h2", "s").await;
+        let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&host_1, &host_2]).await;
         let mut client = proxy.client().await;
         client.send(&large_request("/once/a")).await;
-        let (mut first, other) = first_connection(&mut one, &mut two).await;
+        let (mut first, other) = first_connection(&mut host_1, &mut host_2).await;
         first.read_head().await.unwrap();
         let refusal = format!(
-            "HTTP/1.1 503 Full\r\n{id}Fennelpin-Not-Executed: full\r\nContent-Length: 2\r\n\r\nno"
+            "HTTP/1.1 503 Full\r\n{id_field}Fennelpin-Not-Executed: full\r\nContent-Length: 2\r\n\r\nno"
         );
         first
-            .send(&(ok_response("zero", "stray").repeat(strays) + &refusal))
+            .send(&(ok_response("zero", "stray").repeat(stray_count) + &refusal))
             .await;
         // The host keeps the connection, and reads no more of it.
         let mut second = other.accept().await;
-        assert_eq!(second.respond_ok("second").await.body.len(), LARGE);
+        assert_eq!(
+            second.respond_ok("second").await.body.len(),
+            LARGE_BODY_BYTES
+        );
         assert_eq!(client.read_message().await.unwrap().body, "second");
         first.wait_until_closed().await;
     });
@@ -116,14 +122,17 @@
             "Connection: keep-alive, Fennelpin-Attempt-Id, Fennelpin-Host-Seal, X-Own\r\nX-Own: 1\r\n";
         client.send(&request("/once/a", "one", lists)).await;
         let mut conn = host.accept().await;
-        let asked = conn
+        let received = conn
             .respond(
                 &format!("200 OK\r\n{SEAL_FIELD}\r\n{lists}Content-Length: 4"),
                 "done",
             )
             .await;
         assert_eq!(
-            (asked.field("fennelpin-attempt-id"), asked.field("x-own")),
+            (
+                received.field("fennelpin-attempt-id"),
+                received.field("x-own")
+            ),
             (Some("one"), None)
         );
         let response = client.read_message().await.unwrap();
@@ -141,7 +150,7 @@
 
 /// From the first byte on no promise can be given that a request has not run.
 #[test]
-fn half_written_request_at_the_end_may_have_run() {
+fn partly_written_request_at_shutdown_may_have_run() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = proxy_with_wide_limits(
@@ -196,13 +205,13 @@
 #[test]
 fn success_status_is_never_a_refusal() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/once/a").await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
         conn.respond(
             &format!("200 OK\r\n{SEAL_FIELD}\r\nFennelpin-Not-Executed: full\r\nContent-Length: 3"),
             "ran",
@@ -227,22 +236,25 @@
 #[case::no_content_with_a_length("GET", "204 No Content\r\nContent-Length: 7")]
 fn bodiless_response_has_no_body(
     #[case] method: &str,
-    #[case] lines: &str,
+    #[case] head_lines: &str,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let mut client = proxy.client().await;
-        let bare = format!(
+        let request_without_body = format!(
             "{method} {path} HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: zero\r\n\r\n"
         );
-        client.send(&(bare + &request("/once/a", "one", ""))).await;
+        client
+            .send(&(request_without_body + &request("/once/a", "one", "")))
+            .await;
         let mut conn = host.accept().await;
-        conn.respond(&format!("{lines}\r\n{SEAL_FIELD}"), "").await;
+        conn.respond(&format!("{head_lines}\r\n{SEAL_FIELD}"), "")
+            .await;
         let head = client.read_head().await.unwrap();
         assert!(
-            head.starts_with(&format!("HTTP/1.1 {}", &lines[..3])),
+            head.starts_with(&format!("HTTP/1.1 {}", &head_lines[..3])),
             "{head}"
         );
         if method == "GET" {
@@ -273,11 +285,11 @@
         ];
         let proxy = Proxy::new(&[&hosts[0], &hosts[1], &hosts[2]]).await;
         let mut client = proxy.send_request("/more/a").await;
-        let [one, two, three] = &mut hosts;
-        let mut conn = next_connection(&mut [one, two, three]).await;
+        let [host_1, host_2, host_3] = &mut hosts;
+        let mut conn = next_connection(&mut [host_1, host_2, host_3]).await;
         conn.start_stream("first", &[1, 2]).await;
         drop(conn);
-        let mut conn = next_connection(&mut [one, two, three]).await;
+        let mut conn = next_connection(&mut [host_1, host_2, host_3]).await;
         conn.respond(
             &format!("200 OK\r\n{SEAL_FIELD}\r\nContent-Type: text/event-stream"),
             &event(3),
@@ -285,9 +297,9 @@
         .await;
         drop(conn);
         // Its end might be a cut: the third host says that there is no more.
-        let mut conn = next_connection(&mut [one, two, three]).await;
-        let asked = conn.start_stream("third", &[]).await;
-        assert_eq!(asked.field("last-event-id"), Some("3"));
+        let mut conn = next_connection(&mut [host_1, host_2, host_3]).await;
+        let received = conn.start_stream("third", &[]).await;
+        assert_eq!(received.field("last-event-id"), Some("3"));
         conn.send("0\r\n\r\n").await;
         let response = client.read_message().await.unwrap();
         assert_eq!(
@@ -300,21 +312,21 @@
 #[rstest]
 #[case::none("data: piece\n\n", true)]
 #[case::comment(": still here\n\n", false)]
-fn stream_is_not_resumed_behind_data_without_id(#[case] event: &str, #[case] cut: bool) {
+fn stream_is_not_resumed_after_data_without_id(#[case] event: &str, #[case] truncated: bool) {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/more/a").await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
         conn.start_stream("seal", &[1]).await;
         conn.send(&format!("{:x}\r\n{event}\r\n", event.len()))
             .await;
         client.read_until(event).await;
         drop(conn);
-        if cut {
+        if truncated {
             assert!(!client.read_message().await.unwrap().complete);
             assert!(other.has_no_connection());
         } else {
@@ -331,7 +343,7 @@
 
 /// A request that has come is not lost with a connection that would have gone as an idle one.
 #[test]
-fn request_that_races_an_eviction_is_answered() {
+fn request_that_races_an_idle_eviction_is_answered() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::with_options(ProxyOptions {
@@ -365,19 +377,19 @@
 /// Once the system has taken a byte of it, a request that may run once goes nowhere else.
 #[rstest]
 fn connection_that_breaks_during_a_write_is_retried_only_if_idempotent(
-    #[values(false, true)] used: bool,
-    #[values(false, true)] in_order: bool,
+    #[values(false, true)] reused: bool,
+    #[values(false, true)] orderly: bool,
     #[values("/once/a", "/live/a")] path: &str,
 ) {
     run_async_test(async {
-        let mut one = FakeHost::new("h1", "s").await;
-        let mut two = FakeHost::new("h2", "s").await;
-        let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&one]).await;
+        let mut host_1 = FakeHost::new("h1", "s").await;
+        let mut host_2 = FakeHost::new("h2", "s").await;
+        let proxy = proxy_with_wide_limits(ProxyOptions::default(), &[&host_1]).await;
         let mut client = proxy.client().await;
         let mut conn = None;
-        if used {
+        if reused {
             client.send(&request("/once/a", "zero", "")).await;
-            let mut first = one.accept().await;
+            let mut first = host_1.accept().await;
             first.respond_ok("zero").await;
             assert_eq!(client.read_message().await.unwrap().body, "zero");
             conn = Some(first);
@@ -385,31 +397,31 @@
         client.send(&large_request(path)).await;
         let mut conn = match conn {
             Some(conn) => conn,
-            None => one.accept().await,
+            None => host_1.accept().await,
         };
         conn.read_head().await.unwrap();
         proxy
             .apply_fleet(
                 configuration_with_wide_limits(),
-                vec![one.info.clone(), two.info.clone()],
+                vec![host_1.info.clone(), host_2.info.clone()],
             )
             .await;
         // Unread bytes make the system reset it at a plain close too; in order it ends its own side only.
-        if in_order {
+        if orderly {
             rustix::net::shutdown(&conn.stream, rustix::net::Shutdown::Write).unwrap();
         } else {
             conn.reset();
         }
         assert_eq!(client.read_message().await.unwrap().status(), 502);
-        assert_eq!(proxy.counters.get().attempts, if used { 2 } else { 1 });
-        assert!(one.has_no_connection() && two.has_no_connection());
+        assert_eq!(proxy.counters.get().attempts, if reused { 2 } else { 1 });
+        assert!(host_1.has_no_connection() && host_2.has_no_connection());
     });
 }
 
 /// Bytes behind a complete response belong to no request, and more of them may follow.
 #[rstest]
-fn connection_with_bytes_behind_a_response_is_not_reused(
-    #[values("H", "HTTP/1.1 200 OK\r\nFennelpin-Att", "\r\n")] behind: &str,
+fn connection_with_bytes_after_a_response_is_not_reused(
+    #[values("H", "HTTP/1.1 200 OK\r\nFennelpin-Att", "\r\n")] trailing: &str,
 ) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
@@ -417,7 +429,7 @@
         let mut client = proxy.send_request("/once/a").await;
         let mut conn = host.accept().await;
         conn.read_message().await.unwrap();
-        conn.send(&(ok_response("one", "1") + behind)).await;
+        conn.send(&(ok_response("one", "1") + trailing)).await;
         assert_eq!(client.read_message().await.unwrap().body, "1");
         client.send(&request("/once/b", "two", "")).await;
         host.accept().await.respond_ok("2").await;
@@ -466,16 +478,16 @@
 #[test]
 fn misdirected_status_closes_idle_connections_to_the_host() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one]).await;
+        let proxy = Proxy::new(&[&host_1]).await;
         let mut clients = [
             proxy.send_request("/once/a").await,
             proxy.send_request("/once/a").await,
         ];
-        let mut conns = [one.accept().await, one.accept().await];
+        let mut conns = [host_1.accept().await, host_1.accept().await];
         for conn in &mut conns {
             conn.respond_ok("1").await;
         }
@@ -484,21 +496,21 @@
         }
         let mut client = proxy.send_request("/once/b").await;
         let [first, second] = &mut conns;
-        let (asked, idle) = tokio::select! {
+        let (received, idle) = tokio::select! {
             head = first.read_head() => (head, (first, second)),
             head = second.read_head() => (head, (second, first)),
         };
-        assert!(asked.is_some());
+        assert!(received.is_some());
         proxy
             .apply_fleet(
                 configuration(1, ROUTES),
-                vec![one.info.clone(), two.info.clone()],
+                vec![host_1.info.clone(), host_2.info.clone()],
             )
             .await;
         idle.0
             .send("HTTP/1.1 421 Other\r\nFennelpin-Attempt-Id: one\r\nContent-Length: 0\r\n\r\n")
             .await;
-        two.accept().await.respond_ok("2").await;
+        host_2.accept().await.respond_ok("2").await;
         assert_eq!(client.read_message().await.unwrap().body, "2");
         idle.0.wait_until_closed().await;
         idle.1.wait_until_closed().await;
--- a/crates/proxy/tests/retry.rs
+++ b/crates/proxy/tests/retry.rs
@@ -7,10 +7,10 @@
 
 const NOW: Duration = Duration::from_secs(1);
 const DEADLINE: Duration = Duration::from_secs(9);
-const LATE: Duration = DEADLINE;
+const AT_DEADLINE: Duration = DEADLINE;
 
-fn trial(idempotent: bool, tries: u32) -> RetryState {
-    RetryState::new(idempotent, tries, DEADLINE)
+fn new_retry_state(idempotent: bool, max_attempts: u32) -> RetryState {
+    RetryState::new(idempotent, max_attempts, DEADLINE)
 }
 
 #[rstest]
@@ -30,44 +30,44 @@
 )]
 fn decision_after_a_sent_attempt_follows_its_outcome(
     #[case] idempotent: bool,
-    #[case] end: AttemptOutcome,
-    #[case] next: RetryDecision,
+    #[case] outcome: AttemptOutcome,
+    #[case] expected: RetryDecision,
 ) {
-    let mut trial = trial(idempotent, 2);
-    trial.record_sent();
-    assert_eq!(trial.on_attempt_ended(NOW, end), next);
+    let mut retry_state = new_retry_state(idempotent, 2);
+    retry_state.record_sent();
+    assert_eq!(retry_state.on_attempt_ended(NOW, outcome), expected);
 }
 
 #[rstest]
 #[case(true)]
 #[case(false)]
 fn unreachable_host_is_replaced_and_costs_no_budget(#[case] idempotent: bool) {
-    let mut trial = trial(idempotent, 1);
+    let mut retry_state = new_retry_state(idempotent, 1);
     assert_eq!(
-        trial.on_attempt_ended(NOW, AttemptOutcome::Unreachable),
+        retry_state.on_attempt_ended(NOW, AttemptOutcome::Unreachable),
         RetryDecision::Retry
     );
-    assert!(!trial.was_sent() && !trial.needs_retry_budget());
+    assert!(!retry_state.was_sent() && !retry_state.needs_retry_budget());
 }
 
 #[test]
 fn unreachable_hosts_are_limited() {
-    let mut trial = trial(true, 9);
-    let ends: Vec<_> = (0..6)
-        .map(|_| trial.on_attempt_ended(NOW, AttemptOutcome::Unreachable))
+    let mut retry_state = new_retry_state(true, 9);
+    let decisions: Vec<_> = (0..6)
+        .map(|_| retry_state.on_attempt_ended(NOW, AttemptOutcome::Unreachable))
         .collect();
-    assert_eq!(ends[..5], [RetryDecision::Retry; 5]);
-    assert_eq!(ends[5], RetryDecision::GiveUp(ResultCode::NoHost));
+    assert_eq!(decisions[..5], [RetryDecision::Retry; 5]);
+    assert_eq!(decisions[5], RetryDecision::GiveUp(ResultCode::NoHost));
 }
 
 #[rstest]
 #[case(AttemptOutcome::NotExecuted, ResultCode::NoHost)]
 #[case(AttemptOutcome::Broken, ResultCode::HostBroke)]
-fn last_attempt_ends_the_request(#[case] end: AttemptOutcome, #[case] code: ResultCode) {
-    let mut trial = trial(true, 1);
-    trial.record_sent();
+fn last_attempt_ends_the_request(#[case] outcome: AttemptOutcome, #[case] code: ResultCode) {
+    let mut retry_state = new_retry_state(true, 1);
+    retry_state.record_sent();
     assert_eq!(
-        trial.on_attempt_ended(NOW, end),
+        retry_state.on_attempt_ended(NOW, outcome),
         RetryDecision::GiveUp(code)
     );
 }
@@ -76,71 +76,71 @@
 #[case(AttemptOutcome::NotExecuted, ResultCode::LateNotRun)]
 #[case(AttemptOutcome::Broken, ResultCode::LateMayHaveRun)]
 fn attempt_that_ends_after_the_deadline_ends_the_request(
-    #[case] end: AttemptOutcome,
+    #[case] outcome: AttemptOutcome,
     #[case] code: ResultCode,
 ) {
-    let mut trial = trial(true, 3);
-    trial.record_sent();
+    let mut retry_state = new_retry_state(true, 3);
+    retry_state.record_sent();
     assert_eq!(
-        trial.on_attempt_ended(LATE, end),
+        retry_state.on_attempt_ended(AT_DEADLINE, outcome),
         RetryDecision::GiveUp(code)
     );
 }
 
 #[test]
 fn broken_attempt_bars_a_not_executed_promise_for_good() {
-    let mut trial = trial(true, 3);
-    trial.record_sent();
-    trial.on_attempt_ended(NOW, AttemptOutcome::Broken);
-    trial.record_sent();
-    trial.on_attempt_ended(NOW, AttemptOutcome::NotExecuted);
+    let mut retry_state = new_retry_state(true, 3);
+    retry_state.record_sent();
+    retry_state.on_attempt_ended(NOW, AttemptOutcome::Broken);
+    retry_state.record_sent();
+    retry_state.on_attempt_ended(NOW, AttemptOutcome::NotExecuted);
     assert_eq!(
-        trial.code_unless_run(ResultCode::BudgetSpent),
+        retry_state.code_unless_run(ResultCode::BudgetSpent),
         ResultCode::HostBroke
     );
-    assert_eq!(trial.deadline_code(), ResultCode::LateMayHaveRun);
+    assert_eq!(retry_state.deadline_code(), ResultCode::LateMayHaveRun);
 }
 
 #[test]
 fn request_that_failed_over_may_have_run() {
-    let mut trial = trial(true, 2);
-    trial.record_sent();
-    assert!(trial.may_fail_over(NOW));
-    trial.record_failover();
-    trial.record_sent();
+    let mut retry_state = new_retry_state(true, 2);
+    retry_state.record_sent();
+    assert!(retry_state.may_fail_over(NOW));
+    retry_state.record_failover();
+    retry_state.record_sent();
     assert!(
-        !trial.may_fail_over(NOW),
+        !retry_state.may_fail_over(NOW),
         "that was the last host it may go to"
     );
     assert_eq!(
-        trial.on_attempt_ended(NOW, AttemptOutcome::NotExecuted),
+        retry_state.on_attempt_ended(NOW, AttemptOutcome::NotExecuted),
         RetryDecision::GiveUp(ResultCode::HostBroke)
     );
 }
 
 #[test]
 fn only_idempotent_requests_fail_over() {
-    let mut once = trial(false, 3);
-    once.record_sent();
-    assert!(!once.may_fail_over(NOW));
-    let mut pure = trial(true, 3);
-    pure.record_sent();
-    assert!(!pure.may_fail_over(LATE));
+    let mut mutating = new_retry_state(false, 3);
+    mutating.record_sent();
+    assert!(!mutating.may_fail_over(NOW));
+    let mut idempotent = new_retry_state(true, 3);
+    idempotent.record_sent();
+    assert!(!idempotent.may_fail_over(AT_DEADLINE));
 }
 
 #[test]
 fn budget_taken_for_an_unreachable_host_is_kept() {
-    let mut trial = trial(true, 9);
-    assert!(!trial.needs_retry_budget(), "the first is free");
-    trial.record_sent();
-    trial.on_attempt_ended(NOW, AttemptOutcome::NotExecuted);
-    assert!(trial.needs_retry_budget());
-    trial.record_budget_taken();
-    trial.on_attempt_ended(NOW, AttemptOutcome::Unreachable);
+    let mut retry_state = new_retry_state(true, 9);
+    assert!(!retry_state.needs_retry_budget(), "the first is free");
+    retry_state.record_sent();
+    retry_state.on_attempt_ended(NOW, AttemptOutcome::NotExecuted);
+    assert!(retry_state.needs_retry_budget());
+    retry_state.record_budget_taken();
+    retry_state.on_attempt_ended(NOW, AttemptOutcome::Unreachable);
     assert!(
-        !trial.needs_retry_budget(),
+        !retry_state.needs_retry_budget(),
         "what was taken for a host that could not be reached is still there"
     );
-    trial.record_sent();
-    assert!(trial.needs_retry_budget());
+    retry_state.record_sent();
+    assert!(retry_state.needs_retry_budget());
 }
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -7,19 +7,19 @@
 #[rstest]
 #[case::in_an_event("30\r\nid: 3\ndata: ha")]
 #[case::between_events("")]
-#[case::in_a_chunk_s_size("3")]
+#[case::in_a_chunk_size("3")]
 #[case::garbage("zz\r\n")]
-fn broken_stream_that_is_not_resumable_is_truncated(#[case] end: &str) {
+fn broken_stream_that_is_not_resumable_is_truncated(#[case] ending: &str) {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/live/a").await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
         conn.start_stream("seal", &[1, 2]).await;
-        conn.send(end).await;
+        conn.send(ending).await;
         drop(conn);
         let response = client.read_message().await.unwrap();
         assert!(!response.complete && response.body.starts_with(&events([1, 2])));
@@ -30,28 +30,28 @@
 #[rstest]
 #[case::in_an_event("30\r\nid: 3\ndata: ha")]
 #[case::between_events("")]
-#[case::in_a_chunk_s_size("3")]
+#[case::in_a_chunk_size("3")]
 #[case::garbage("zz\r\n")]
-fn broken_resumable_stream_continues_without_gaps(#[case] end: &str) {
+fn broken_resumable_stream_continues_without_gaps(#[case] ending: &str) {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.client().await;
         client
             .send(&request("/more/a", "one", "Last-Event-Id: 7\r\n"))
             .await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
-        let asked = conn.start_stream("first", &[8, 9]).await;
-        assert_eq!(asked.field("last-event-id"), Some("7"));
-        conn.send(end).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
+        let received = conn.start_stream("first", &[8, 9]).await;
+        assert_eq!(received.field("last-event-id"), Some("7"));
+        conn.send(ending).await;
         drop(conn);
         let mut next = other.accept().await;
-        let asked = next.start_stream("second", &[9, 10]).await;
-        assert_eq!(asked.field("last-event-id"), Some("9"));
-        assert_eq!(asked.field("fennelpin-attempt-id"), Some("one"));
+        let received = next.start_stream("second", &[9, 10]).await;
+        assert_eq!(received.field("last-event-id"), Some("9"));
+        assert_eq!(received.field("fennelpin-attempt-id"), Some("one"));
         next.send("0\r\n\r\n").await;
         let response = client.read_message().await.unwrap();
         assert_eq!(response.field("fennelpin-host-seal"), Some("first"));
@@ -72,13 +72,13 @@
 #[test]
 fn stream_broken_before_its_first_event_uses_the_next_host_head() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/more/a").await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
         conn.start_stream("first", &[]).await;
         drop(conn);
         let mut next = other.accept().await;
@@ -98,13 +98,13 @@
 #[test]
 fn resume_refused_by_all_hosts_truncates_the_stream() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/more/a").await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
         conn.start_stream("first", &[1, 2]).await;
         drop(conn);
         other.accept().await.respond_refusal().await;
@@ -117,18 +117,21 @@
 #[rstest]
 #[case("404 Not Found\r\nContent-Length: 4", "none")]
 #[case("500 Own\r\nContent-Length: 4", "oops")]
-fn response_that_is_no_stream_never_follows_one(#[case] lines: &str, #[case] body: &str) {
+fn started_stream_is_not_continued_by_another_kind_of_response(
+    #[case] head_lines: &str,
+    #[case] body: &str,
+) {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/more/a").await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
         conn.start_stream("first", &[1, 2]).await;
         drop(conn);
-        other.accept().await.respond(lines, body).await;
+        other.accept().await.respond(head_lines, body).await;
         let response = client.read_message().await.unwrap();
         assert_eq!((response.complete, response.body), (false, events([1, 2])));
     });
@@ -156,19 +159,19 @@
 #[test]
 fn stalled_stream_is_resumed_before_its_client_gives_up() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut client = proxy.send_request("/more/a").await;
-        let (mut conn, other) = first_connection(&mut one, &mut two).await;
+        let (mut conn, other) = first_connection(&mut host_1, &mut host_2).await;
         conn.start_stream("first", &[1]).await;
         client.read_until("piece 1\n\n").await;
-        let silent = tokio::time::Instant::now();
+        let silent_since = tokio::time::Instant::now();
         let mut next = other.accept().await;
         // Streams may be silent for two seconds at least.
-        assert!((900..2000).contains(&silent.elapsed().as_millis()));
+        assert!((900..2000).contains(&silent_since.elapsed().as_millis()));
         conn.wait_until_closed().await;
         next.start_stream("second", &[2]).await;
         next.send("0\r\n\r\n").await;
@@ -180,40 +183,43 @@
 #[test]
 fn stalled_stream_is_waited_for_while_its_host_is_alive() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one]).await;
-        let (mut still, mut going) = (
+        let proxy = Proxy::new(&[&host_1]).await;
+        let (mut stalled_client, mut active_client) = (
             proxy.send_request("/more/a").await,
             proxy.send_request("/more/b").await,
         );
-        let (mut still_conn, mut going_conn) = (one.accept().await, one.accept().await);
-        still_conn.start_stream("first", &[1]).await;
-        going_conn.start_stream("first", &[1]).await;
-        still.read_until("piece 1\n\n").await;
-        let silent = tokio::time::Instant::now();
+        let (mut stalled_conn, mut active_conn) = (host_1.accept().await, host_1.accept().await);
+        stalled_conn.start_stream("first", &[1]).await;
+        active_conn.start_stream("first", &[1]).await;
+        stalled_client.read_until("piece 1\n\n").await;
+        let silent_since = tokio::time::Instant::now();
         proxy
             .apply_fleet(
                 configuration(1, ROUTES),
-                vec![one.info.clone(), two.info.clone()],
+                vec![host_1.info.clone(), host_2.info.clone()],
             )
             .await;
         for n in 2.. {
-            going_conn.send_events(&[n]).await;
-            going.read_until(&format!("piece {n}\n\n")).await;
-            if silent.elapsed().as_millis() > 1500 {
+            active_conn.send_events(&[n]).await;
+            active_client.read_until(&format!("piece {n}\n\n")).await;
+            if silent_since.elapsed().as_millis() > 1500 {
                 break;
             }
         }
-        assert!(two.has_no_connection());
+        assert!(host_2.has_no_connection());
         // With the host silent on all connections, both streams go on elsewhere.
-        let mut next = two.accept().await;
+        let mut next = host_2.accept().await;
         next.start_stream("second", &[9_999_999]).await;
-        let mut last = two.accept().await;
+        let mut last = host_2.accept().await;
         last.start_stream("second", &[9_999_999]).await;
-        for (client, conn) in [(&mut still, &mut next), (&mut going, &mut last)] {
+        for (client, conn) in [
+            (&mut stalled_client, &mut next),
+            (&mut active_client, &mut last),
+        ] {
             conn.send("0\r\n\r\n").await;
             client.read_until("piece 9999999\n\n").await;
         }
@@ -228,12 +234,12 @@
         let mut client = proxy.send_request("/more/a").await;
         let mut conn = host.accept().await;
         conn.start_stream("first", &[1]).await;
-        let quiet = tokio::time::timeout(
+        let closed = tokio::time::timeout(
             std::time::Duration::from_millis(1300),
             conn.wait_until_closed(),
         )
         .await;
-        assert!(quiet.is_err(), "the connection stays");
+        assert!(closed.is_err(), "the connection stays");
         conn.send_events(&[2]).await;
         conn.send("0\r\n\r\n").await;
         let response = client.read_message().await.unwrap();
@@ -242,7 +248,7 @@
 }
 
 #[test]
-fn stream_with_a_length_keeps_it() {
+fn stream_with_a_content_length_is_forwarded() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
@@ -261,13 +267,13 @@
 #[test]
 fn load_in_a_stream_head_is_reported_at_once() {
     run_async_test(async {
-        let (mut one, mut two) = (
+        let (mut host_1, mut host_2) = (
             FakeHost::new("h1", "s").await,
             FakeHost::new("h2", "s").await,
         );
-        let proxy = Proxy::new(&[&one, &two]).await;
+        let proxy = Proxy::new(&[&host_1, &host_2]).await;
         let mut first = proxy.send_request("/live/a").await;
-        let (mut busy, other) = first_connection(&mut one, &mut two).await;
+        let (mut busy, other) = first_connection(&mut host_1, &mut host_2).await;
         busy.respond(
             "200 OK\r\nFennelpin-Host-Seal: s\r\nFennelpin-Host-Load: 4,3,4\r\nContent-Type: text/event-stream\r\n\
              Transfer-Encoding: chunked",
--- a/crates/proxy/tests/streams_at_shutdown.rs
+++ b/crates/proxy/tests/streams_at_shutdown.rs
@@ -11,7 +11,7 @@
 const MAX_TRUNCATION_MARGIN: Duration = Duration::from_millis(350);
 
 #[test]
-fn stream_that_outlasts_the_grace_when_it_came_before_the_signal_is_truncated_and_counted() {
+fn stream_started_before_the_signal_that_outlasts_the_grace_is_truncated_and_counted() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
@@ -22,9 +22,9 @@
         proxy.signal_stop();
         let response = client.read_message().await.unwrap();
         assert!(!response.complete, "an end that looks like one");
-        let counted = proxy.serving.await.unwrap().unwrap();
+        let counters = proxy.serving.await.unwrap().unwrap();
         assert_eq!(
-            (counted.truncated_at_shutdown, counted.truncated_responses),
+            (counters.truncated_at_shutdown, counters.truncated_responses),
             (1, 0)
         );
     });
@@ -39,15 +39,15 @@
     on_open_connection: bool,
 ) -> Message {
     let mut proxy = Proxy::with_grace(GRACE_S, host).await;
-    let mut open = proxy.client().await;
-    open.send(&request("/quick/a", "early", "")).await;
+    let mut open_client = proxy.client().await;
+    open_client.send(&request("/quick/a", "early", "")).await;
     let mut conn = host.accept().await;
     conn.respond_ok("early").await;
-    assert_eq!(open.read_message().await.unwrap().body, "early");
+    assert_eq!(open_client.read_message().await.unwrap().body, "early");
     proxy.signal_stop();
     while proxy.readiness_status().await == 200 {}
     let mut client = if on_open_connection {
-        open
+        open_client
     } else {
         proxy.client().await
     };
@@ -67,7 +67,7 @@
 #[rstest]
 #[case::stream("/live/a")]
 #[case::resumable_stream("/more/a")]
-fn stream_after_the_signal_when_it_may_outlast_the_grace_is_rejected(
+fn stream_after_the_signal_that_may_outlast_the_grace_is_rejected(
     #[case] path: &str,
     #[values(false, true)] on_open_connection: bool,
 ) {
@@ -93,9 +93,12 @@
         let signalled_at = Instant::now();
         proxy.signal_stop();
         stream.wait_until_closed().await;
-        let served = signalled_at.elapsed();
+        let served_for = signalled_at.elapsed();
         let grace = Duration::from_secs_f64(GRACE_S);
-        assert!(served >= grace - MAX_TRUNCATION_MARGIN, "{served:?}");
+        assert!(
+            served_for >= grace - MAX_TRUNCATION_MARGIN,
+            "{served_for:?}"
+        );
         proxy.serving.await.unwrap().unwrap();
         assert!(signalled_at.elapsed() < grace, "killed");
     });
@@ -107,7 +110,7 @@
 #[rstest]
 #[case::stalls(LARGE_BODY_BYTES - 1, 502)]
 #[case::ends(LARGE_BODY_BYTES, 200)]
-fn large_response_in_a_shutdown_is_begun_only_when_it_is_complete(
+fn large_response_in_a_shutdown_is_started_only_when_it_is_complete(
     #[case] sent_bytes: usize,
     #[case] status: u16,
 ) {
@@ -139,7 +142,7 @@
 #[case::too_large("/pure/a", MAX_BUFFERED_BYTES + LARGE_BODY_BYTES, 256)]
 #[case::too_large_mutating("/once/a", MAX_BUFFERED_BYTES + LARGE_BODY_BYTES, 256)]
 #[case::without_memory("/pure/a", LARGE_BODY_BYTES, 8)]
-fn large_response_in_a_shutdown_when_it_cannot_be_buffered_is_not_begun(
+fn large_response_in_a_shutdown_that_cannot_be_buffered_is_not_started(
     #[case] path: &str,
     #[case] body_bytes: usize,
     #[case] memory_mb: u64,
@@ -177,7 +180,7 @@
 #[rstest]
 #[case::mutating("/once/a")]
 #[case::pure("/pure/a")]
-fn event_stream_on_another_route_when_it_may_outlast_the_grace_is_not_begun(#[case] path: &str) {
+fn event_stream_on_another_route_that_may_outlast_the_grace_is_not_started(#[case] path: &str) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
@@ -208,19 +211,19 @@
 }
 
 /// The longest time for which a quota of processor time pauses a process at once.
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+const MAX_CPU_THROTTLING_PAUSE: Duration = Duration::from_millis(100);
 
 /// Keeps this thread, which the proxy runs on too, from running anything else.
 fn pause_process() {
-    let began_at = Instant::now();
-    while began_at.elapsed() < LONGEST_PAUSE {
+    let started_at = Instant::now();
+    while started_at.elapsed() < MAX_CPU_THROTTLING_PAUSE {
         std::hint::spin_loop();
     }
 }
 
 /// The platform counts the grace from when it sends the signal, and the kernel's pauses know of no deadline.
 #[test]
-fn process_when_paused_at_the_signal_ends_early_enough_for_a_pause_at_its_end() {
+fn process_paused_at_the_signal_exits_early_enough_for_another_pause() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
@@ -232,8 +235,11 @@
         proxy.signal_stop();
         pause_process();
         proxy.serving.await.unwrap().unwrap();
-        let left = Duration::from_secs_f64(GRACE_S).saturating_sub(signalled_at.elapsed());
-        assert!(left >= LONGEST_PAUSE, "{left:?} before the kill");
+        let time_left = Duration::from_secs_f64(GRACE_S).saturating_sub(signalled_at.elapsed());
+        assert!(
+            time_left >= MAX_CPU_THROTTLING_PAUSE,
+            "{time_left:?} before the kill"
+        );
     });
 }
 
