--- a/crates/proxy/tests/broken_connections.rs
+++ b/crates/proxy/tests/broken_connections.rs
@@ -1,5 +1,6 @@
-//! A host that breaks at each byte of reading a request and of writing its response, for each kind of route, on new and on
-//! reused connections: how many hosts get the request, and what the client gets.
+//! Tests of a host that closes its connection at each byte of reading a request and of writing its response, for each
+//! kind of route, on new and on reused connections. They check how many hosts receive the request and what the client
+//! gets.
 
 mod common;
 use common::*;
@@ -12,39 +13,39 @@
 const BODY: &str = "the host's whole body";
 const LAST_EVENT: u64 = 3;
 
-/// Where the first host that hears of the attempt breaks.
+/// Where the first host that receives the attempt closes its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum BreakPoint {
-    /// After so many bytes of the request were read.
+    /// After this many bytes of the request were read.
     DuringRequest(usize),
-    /// After so many bytes of the response were written.
+    /// After this many bytes of the response were written.
     DuringResponse(usize),
 }
 
-/// How its connection ends.
+/// How the host closes its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CloseKind {
     Orderly,
     Reset,
 }
 
-/// What a connection of a host got of the attempt.
+/// The part of the attempt that one connection of a host received.
 #[derive(Clone, Debug, PartialEq)]
 struct ReceivedRequest {
     bytes: usize,
     complete: bool,
-    /// Whether the connection had served a request before.
+    /// Whether the connection had carried a request before.
     reused_connection: bool,
 }
 
 #[derive(Default)]
 struct Scenario {
-    /// Set until the break has happened; the first connection that gets to it takes it.
+    /// The break to perform; taken by the first connection that reaches it.
     pending_break: Option<(BreakPoint, CloseKind)>,
-    /// Whether the attempt under test is out, and not one that opens connections.
+    /// Whether requests are recorded: true for the attempt under test, false for those that only open connections.
     recording_attempt: bool,
     received: Vec<ReceivedRequest>,
-    /// Requests that each host has answered.
+    /// Number of requests that each host has responded to.
     served: [usize; 2],
 }
 
@@ -62,7 +63,8 @@
     })
 }
 
-/// The complete response to a request: a body with a length, or a chunked stream from the event offset on.
+/// Builds the complete response to a request: a body with a length, or a chunked stream that starts after the event in
+/// `Last-Event-Id`.
 fn response_to(request: &str) -> String {
     let id = field_value(request, "fennelpin-attempt-id").unwrap();
     let head =
@@ -104,7 +106,7 @@
     BreakNow(CloseKind),
 }
 
-/// Reads what has come, and no more than up to the next break.
+/// Reads the available bytes, but not beyond the next break.
 fn read_once(
     stream: &TcpStream,
     request: &mut Vec<u8>,
@@ -131,7 +133,7 @@
     }
 }
 
-/// Serves one connection, and breaks at the break point.
+/// Serves requests on one connection until the break point, where it closes the connection.
 async fn serve_as_host(stream: TcpStream, host: usize, scenario: Rc<RefCell<Scenario>>) {
     let mut reused_connection = false;
     loop {
@@ -190,19 +192,19 @@
     host_info(&format!("h{number}"), "s", addr)
 }
 
-/// What came of one break.
+/// The result of a request whose first host breaks.
 struct BreakResult {
     received: Vec<ReceivedRequest>,
-    /// Connections that a byte of the attempt was given to.
+    /// Number of connections on which at least one byte of the attempt was sent.
     sent_count: u64,
     response: Option<Message>,
 }
 
-/// Plays one break; what the hosts received of the attempt, and the client's response.
-async fn request_with_break(
+/// Sends a request to a proxy whose first host breaks. Returns what the hosts received and the client's response.
+async fn run_break(
     path: &str,
     reused: bool,
-    pending_break: BreakPoint,
+    break_point: BreakPoint,
     close_kind: CloseKind,
 ) -> BreakResult {
     let scenario = Rc::new(RefCell::new(Scenario::default()));
@@ -216,7 +218,7 @@
     }
     {
         let mut scenario = scenario.borrow_mut();
-        scenario.pending_break = Some((pending_break, close_kind));
+        scenario.pending_break = Some((break_point, close_kind));
         scenario.recording_attempt = true;
     }
     let before = proxy.counters.get().attempts;
@@ -245,7 +247,7 @@
         received.len() <= limit && sent_count <= limit as u64,
         "{case}: {sent_count} sent, {received:?}"
     );
-    let response = response.unwrap_or_else(|| panic!("{case}: no answer"));
+    let response = response.unwrap_or_else(|| panic!("{case}: no response"));
     let all = events(1..=LAST_EVENT);
     let has_expected_body = match path {
         "/pure/a" | "/once/a" => response.body == BODY,
@@ -253,7 +255,7 @@
     };
     let complete_response = response.status() == 200 && response.complete && has_expected_body;
     match path {
-        // It may run again: some host gives the complete response.
+        // The request is idempotent, so another host gives the complete response.
         "/pure/a" | "/more/a" => assert!(complete_response, "{case}: {response:?}"),
         "/once/a" => assert!(
             complete_response || (response.status() == 502 && response.complete),
@@ -268,7 +270,7 @@
             );
         }
     }
-    // Some host got the complete request, or the client was promised that nothing ran.
+    // A success requires that some host received the complete request.
     if response.status() == 200 {
         assert!(received.iter().any(|h| h.complete), "{case}: {received:?}");
     }
@@ -280,32 +282,30 @@
     #[values(false, true)] reused: bool,
 ) {
     let mut break_count = 0;
-    let mut check_break = |pending_break: BreakPoint, close_kind: CloseKind| {
-        let case = format!("{path} {pending_break:?} {close_kind:?} reused {reused}");
+    let mut check_break = |break_point: BreakPoint, kind: CloseKind| {
+        let case = format!("{path} {break_point:?} {kind:?} reused {reused}");
         let mut result = None;
-        run_async_test(async {
-            result = Some(request_with_break(path, reused, pending_break, close_kind).await)
-        });
+        run_async_test(async { result = Some(run_break(path, reused, break_point, kind).await) });
         let result = result.unwrap();
-        if let (true, BreakPoint::DuringResponse(_)) = (reused, pending_break) {
+        if let (true, BreakPoint::DuringResponse(_)) = (reused, break_point) {
             assert!(
                 result.received[0].reused_connection,
                 "{case}: not on a reused connection"
             );
         }
         break_count += 1;
-        let bytes = result.received.first().map_or(0, |h| h.bytes);
+        let received_bytes = result.received.first().map_or(0, |h| h.bytes);
         assert_break_is_safe(path, &case, result);
-        bytes
+        received_bytes
     };
-    let request = check_break(BreakPoint::DuringResponse(0), CloseKind::Orderly);
-    for close_kind in [CloseKind::Orderly, CloseKind::Reset] {
-        for n in 0..request {
-            check_break(BreakPoint::DuringRequest(n), close_kind);
+    let request_bytes = check_break(BreakPoint::DuringResponse(0), CloseKind::Orderly);
+    for kind in [CloseKind::Orderly, CloseKind::Reset] {
+        for n in 0..request_bytes {
+            check_break(BreakPoint::DuringRequest(n), kind);
         }
-        let longest = response_to(&format!("{path}\nfennelpin-attempt-id: one\n")).len();
-        for n in 0..=longest {
-            check_break(BreakPoint::DuringResponse(n), close_kind);
+        let response_bytes = response_to(&format!("{path}\nfennelpin-attempt-id: one\n")).len();
+        for n in 0..=response_bytes {
+            check_break(BreakPoint::DuringResponse(n), kind);
         }
     }
     println!("{break_count} breaks");
--- a/crates/proxy/tests/close_delimited_responses.rs
+++ b/crates/proxy/tests/close_delimited_responses.rs
@@ -1,4 +1,4 @@
-//! Responses that end with their connection: complete after an orderly close, incomplete after a reset.
+//! Tests of responses that end with their connection: complete after an orderly close, incomplete after a reset.
 
 mod common;
 use common::*;
@@ -6,14 +6,14 @@
 
 const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 const BUFFERED_BODY_BYTES: usize = 40;
-/// More than is held before it is passed on.
+/// More than the proxy buffers before it relays a response.
 const STREAMED_BODY_BYTES: usize = 400_000;
 
 fn body(length: usize) -> String {
     "0123456789".repeat(length / 10)
 }
 
-/// The client's request, and the host's connection once a response without a length has begun on it.
+/// Sends a request and starts a response without a length. Returns the connections of the client and of the host.
 async fn start_response(
     host: &mut FakeHost,
     proxy: &Proxy,
@@ -48,7 +48,7 @@
         let proxy = Proxy::new(&[&host]).await;
         let (mut client, conn) = start_response(&mut host, &proxy, path, length).await;
         drop(conn);
-        let response = client.read_message().await.expect("an answer");
+        let response = client.read_message().await.expect("a response");
         assert!(
             response.complete && response.status() == 200,
             "{}",
@@ -80,8 +80,8 @@
     });
 }
 
-/// A process that is killed takes its connections along, and their ends may look as if they were in order: so what
-/// is passed on shows its own end.
+/// The connections of a killed process may look as if they had been closed in order. The relayed response therefore
+/// marks its own end.
 #[rstest]
 #[case::large("/once/a", STREAMED_BODY_BYTES)]
 #[case::stream("/live/a", BUFFERED_BODY_BYTES)]
@@ -93,7 +93,7 @@
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
         let (mut client, conn) = start_response(&mut host, &proxy, path, length).await;
-        let head = client.read_head().await.expect("an answer");
+        let head = client.read_head().await.expect("a response");
         assert!(head.contains("Transfer-Encoding: chunked\r\n"), "{head}");
         assert!(!head.contains("Connection: close"), "{head}");
         drop(conn);
@@ -104,8 +104,8 @@
     });
 }
 
-/// A client that knows no chunks sees the end of its connection: in order, or a reset. `hosts.rs` has the same of
-/// what is no stream.
+/// An HTTP/1.0 client, which does not support chunked encoding, can tell by the end of its connection, an orderly close
+/// or a reset, whether the stream is complete. `host_failures.rs` tests the same for other responses.
 #[rstest]
 fn http10_client_sees_how_the_stream_ended(#[values(true, false)] reset: bool) {
     run_async_test(async {
--- a/crates/proxy/tests/connection_pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of idle connections, and limits on open ones.
+//! Tests of the pool of idle connections and its limits on open ones.
 
 use proxy::upstream::pool::{idle_timeout, ConnectionPermit, ConnectionPool};
 use rstest::rstest;
@@ -44,7 +44,7 @@
     assert_eq!(
         pool.take_idle(seconds(5), "a").unwrap().0,
         1,
-        "the second had stood for too long"
+        "the second one has expired"
     );
     assert!(pool.take_idle(seconds(5), "a").is_none() && pool.take_idle(seconds(5), "b").is_none());
     assert_eq!(pool.open_count(), 0);
@@ -68,9 +68,14 @@
     let mut pool = ConnectionPool::new(2);
     put_idle_connection(&mut pool, "a", 1, 10);
     let _in_use = pool.try_open(&host("b"), 9).unwrap();
-    let _opened = pool.try_open(&host("b"), 9).expect("the idle one has gone");
+    let _opened = pool
+        .try_open(&host("b"), 9)
+        .expect("the idle connection is closed to make room");
     assert!(pool.take_idle(seconds(1), "a").is_none());
-    assert!(pool.try_open(&host("b"), 9).is_none(), "nothing is idle");
+    assert!(
+        pool.try_open(&host("b"), 9).is_none(),
+        "no idle connection is left to close"
+    );
     assert_eq!(pool.open_count(), 2);
 }
 
@@ -85,7 +90,7 @@
     pool.put_idle("a", returned_late, seconds(10));
     assert!(
         pool.take_idle(seconds(1), "a").is_none(),
-        "one that comes back later is dropped as well"
+        "a connection returned after the removal is closed as well"
     );
     pool.close_idle("b");
     assert!(pool.take_idle(seconds(1), "b").is_none());
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -1,14 +1,15 @@
-//! Deadlines: what hosts are told of them, and that nothing is kept beyond them.
+//! Tests of deadlines: what hosts are told about them, and that no request is kept beyond them.
 
 mod common;
 use common::*;
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// Longest time past a route's deadline to the end of a response.
+/// Longest time after a route's deadline until the end of a response.
 const TOLERANCE: Duration = Duration::from_millis(500);
-/// Deadline of the routes here, and more than what sockets on the way hold.
+/// Deadline of the routes in [`proxy_with_short_deadlines`].
 const DEADLINE: Duration = Duration::from_millis(300);
+/// More bytes than the sockets between client and host can buffer.
 const LARGE_BODY_BYTES: usize = 16 << 20;
 const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 
@@ -22,7 +23,7 @@
     )
 }
 
-/// The routes of the other tests with this deadline, and room for long bodies.
+/// A proxy with [`ROUTES`], but with the short [`DEADLINE`] and a higher limit on bodies.
 async fn proxy_with_short_deadlines(hosts: &[&FakeHost]) -> Proxy {
     let proxy = Proxy::without_configuration().await;
     let routes = ROUTES.replace("8000", &DEADLINE.as_millis().to_string());
@@ -92,7 +93,7 @@
         let after = time_left(&second.read_message().await.unwrap());
         assert!(
             waited > TOLERANCE,
-            "the first one was waited for: {waited:?}"
+            "the second host was asked too early: {waited:?}"
         );
         assert!(
             after + waited <= before + Duration::from_millis(50),
@@ -101,7 +102,7 @@
     });
 }
 
-/// A stream that is taken up elsewhere keeps its client's deadline.
+/// A stream that is resumed at another host keeps its client's deadline.
 #[test]
 fn resumed_stream_gets_the_remaining_time() {
     run_async_test(async {
@@ -121,7 +122,7 @@
         assert_eq!(received.field("last-event-id"), Some("1"));
         assert!(
             waited > TOLERANCE,
-            "the first one was waited for: {waited:?}"
+            "the second host was asked too early: {waited:?}"
         );
         assert!(
             time_left(&received) + waited <= before + Duration::from_millis(50),
@@ -131,7 +132,7 @@
     });
 }
 
-/// A request that was sent ahead has waited for the response before it: its own time has gone on.
+/// The deadline of a pipelined request also runs while it waits for the response before it.
 #[test]
 fn deadline_of_a_pipelined_request_runs_from_its_arrival() {
     run_async_test(async {
@@ -154,7 +155,7 @@
     });
 }
 
-/// What a host does until long after the deadline.
+/// Behaviour of a host until long after the deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum HostBehavior {
     Silent,
@@ -206,10 +207,10 @@
         };
         let (response, elapsed) = tokio::select! {
             done = exchange => done,
-            () = run_host(&mut host, behavior) => unreachable!("the host goes on"),
+            () = run_host(&mut host, behavior) => unreachable!("the host never returns"),
         };
         assert!(elapsed <= DEADLINE + TOLERANCE, "{elapsed:?}");
-        let response = response.expect("an answer");
+        let response = response.expect("a response");
         let response_started = !matches!(
             behavior,
             HostBehavior::Silent
@@ -247,7 +248,7 @@
                         Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
                             tokio::task::yield_now().await;
                         }
-                        // The proxy has closed.
+                        // The proxy has closed the connection.
                         Err(_) => return std::future::pending().await,
                     }
                 }
@@ -284,7 +285,7 @@
     drop(conn);
 }
 
-/// Writes a text, however long that takes; false once the proxy has closed.
+/// Writes a text without a time limit. Returns false once the proxy has closed the connection.
 async fn try_send(conn: &TestConnection, text: &str) -> bool {
     let mut rest = text.as_bytes();
     while !rest.is_empty() {
@@ -297,8 +298,8 @@
     true
 }
 
-/// A body that comes in pieces, each well within the idle time-out, has to be complete by the deadline of its request:
-/// the client's own, or else its route's. No host hears of it.
+/// A body that arrives in pieces, each well within the idle timeout, has to be complete by the deadline of its request:
+/// the earlier of the client's and the route's. Otherwise no host receives the request.
 #[rstest]
 #[case::of_the_route("/pure/a", "Content-Length: 1000000\r\n")]
 #[case::of_the_client("/pure/a", "Content-Length: 1000000\r\nFennelpin-Deadline-Ms: 200\r\n")]
--- a/crates/proxy/tests/event_stream.rs
+++ b/crates/proxy/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Splitting a stream into complete events, in order and each once.
+//! Tests of splitting a stream into complete events and of skipping events that were already forwarded.
 
 use proxy::event_stream::{Event, EventOffset, EventSplitter};
 use rstest::rstest;
@@ -47,7 +47,7 @@
     assert_eq!(
         splitter.next_event().unwrap().id,
         None,
-        "nothing of the event before stays"
+        "the id of the previous event is discarded"
     );
 }
 
@@ -57,7 +57,7 @@
     splitter.push(b"id: 1\rdata: a\r\r").unwrap();
     assert!(
         splitter.next_event().is_none(),
-        "an LF may still belong to the last line"
+        "the last line may still end with an LF"
     );
     splitter.push(b"id: 2\r\r:").unwrap();
     assert_eq!(
--- a/crates/proxy/tests/forwarded_fields.rs
+++ b/crates/proxy/tests/forwarded_fields.rs
@@ -1,17 +1,17 @@
-//! Fields that are for the other end are forwarded unchanged, with each attempt.
+//! Tests that end-to-end header fields are forwarded unchanged with each attempt.
 
 mod common;
 use common::*;
 use rstest::rstest;
 
-/// What a client says of its prompt, in its own way of writing.
+/// Fields about a prompt, with the client's own spelling and whitespace.
 const PROMPT_FIELDS: [&str; 3] = [
     "Fennelpin-Model-Name: m:Adapter/7 (x)",
     "Fennelpin-Token-Counts: 1460,80",
     "fennelpin-PROMPT-prefix: 5c1E07a2:800,91bd3f06:410,  e4402b7d:250",
 ];
 
-/// More parts than would fit on one short line.
+/// A field with 120 parts, for a long line.
 fn long_prompt_prefix() -> String {
     let parts: Vec<String> = (0..120)
         .map(|n| format!("{:016X}:{n}", u64::MAX - n))
@@ -75,7 +75,7 @@
     });
 }
 
-/// Blanks at the end of a line aren't part of a value.
+/// Removes whitespace at the end of each line, which is not part of a field value.
 fn with_trimmed_lines(message: Message) -> Message {
     let head: Vec<&str> = message.head.lines().map(str::trim_end).collect();
     Message {
@@ -107,7 +107,8 @@
     });
 }
 
-/// Where the system sets no priority the client's own stays, as do the versions that it and its host speak of.
+/// If the proxy sets no priority, the client's is forwarded. The version fields of client and host are always
+/// forwarded.
 #[test]
 fn priority_and_versions_are_forwarded_when_the_proxy_sets_none() {
     run_async_test(async {
@@ -134,7 +135,7 @@
     });
 }
 
-/// An event may begin with the version from which on it counts.
+/// An event may start with a line that names the version since which it applies.
 #[rstest]
 fn event_with_a_version_is_forwarded_unchanged(#[values("/live/a", "/more/a")] path: &str) {
     run_async_test(async {
@@ -154,7 +155,8 @@
     });
 }
 
-/// A host that turns a request away for the version that its client expects is still the host that it was.
+/// A 421 for a request with an expected version does not mean that another host has the address, so the host is not
+/// ejected.
 #[test]
 fn version_mismatch_does_not_eject_the_host() {
     run_async_test(async {
@@ -190,7 +192,7 @@
         };
         tokio::select! {
             response = request_until_served => assert_eq!(response.body, "done"),
-            () = host_side => unreachable!("the host goes on"),
+            () = host_side => unreachable!("the host never returns"),
         }
     });
 }
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests from client to host and back.
+//! Tests of forwarding requests to hosts and their responses to clients.
 
 mod common;
 use common::*;
@@ -43,7 +43,7 @@
         let response = client.read_message().await.unwrap();
         assert_eq!((response.status(), response.body.as_str()), (200, "hello"));
         assert_eq!(response.field("fennelpin-host-seal"), Some("seal"));
-        // Both connections serve again.
+        // Both connections are reused.
         client
             .send(&request("/pure/a", "two", "Fennelpin-Deadline-Ms: 500\r\n"))
             .await;
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,10 +1,11 @@
-//! The end of the process: requests in flight are answered, and clients are told in time.
+//! Tests of the graceful shutdown: requests in flight get a response, and clients are told in time to close their
+//! connections.
 
 mod common;
 use common::*;
 use tokio::net::TcpStream;
 
-/// Shorter than full service.
+/// Grace period in seconds, shorter than the full service after the signal.
 const SHORT_GRACE_S: f64 = 1.7;
 
 #[test]
@@ -21,7 +22,8 @@
         );
         proxy.signal_stop();
         while proxy.readiness_status().await == 200 {}
-        // The platform still sends connections, and old ones may still ask: each gets its response, the last there.
+        // The platform still opens connections, and existing ones may still send requests. Each gets a response that
+        // closes its connection.
         let mut later = proxy.send_request("/once/a").await;
         conn.respond_ok("new").await;
         let response = later.read_message().await.unwrap();
@@ -53,7 +55,7 @@
         busy.read_until("piece 1\n\n").await;
         let signalled_at = std::time::Instant::now();
         proxy.signal_stop();
-        // The idle connection goes once the platform has noticed; the stream stays.
+        // The idle connection is closed once the platform has noticed the shutdown; the stream stays open.
         idle.wait_until_closed().await;
         let waited = signalled_at.elapsed().as_millis();
         assert!((2000..3600).contains(&waited), "{waited} ms");
@@ -71,7 +73,7 @@
         );
         assert!(
             signalled_at.elapsed().as_millis() < 4000,
-            "nothing is left to wait for"
+            "the process exits early when nothing is left to wait for"
         );
     });
 }
@@ -87,9 +89,10 @@
         stream.start_stream("seal", &[1]).await;
         late.read_until("piece 1\n\n").await;
         proxy.signal_stop();
-        // Once the platform has noticed, connections that stand idle go.
+        // Idle connections are closed once the platform has noticed the shutdown.
         idle.wait_until_closed().await;
-        // A stream of eight seconds would be cut by the process's end: it is refused before any host hears of it.
+        // Requests with a deadline of eight seconds may outlast the process, so they are rejected before a host
+        // receives them.
         for path in ["/live/b", "/once/b", "/more/b"] {
             let response = proxy.send_request(path).await.read_message().await.unwrap();
             assert_eq!(
@@ -104,11 +107,12 @@
             );
         }
         assert!(host.has_no_connection());
-        // One that may run twice is told to come again if need be: it is served.
+        // An idempotent request is served: if the process ended first, it would be rejected and the client could retry
+        // it.
         let mut pure = proxy.send_request("/pure/b").await;
         host.accept().await.respond_ok("once more").await;
         assert_eq!(pure.read_message().await.unwrap().body, "once more");
-        // What is over before the process is, is still served, and so is what was taken before.
+        // Requests that end before the process does are still served, and so are requests admitted before the signal.
         let mut short = proxy.client().await;
         short
             .send(&request(
@@ -162,7 +166,7 @@
         proxy.serving.await.unwrap().unwrap();
         assert!(
             signalled_at.elapsed().as_millis() < 1700,
-            "before the grace is over: {:?}",
+            "the process exits before the grace period ends: {:?}",
             signalled_at.elapsed()
         );
         incomplete.wait_until_closed().await;
@@ -193,21 +197,16 @@
     });
 }
 
-/// A request whose response can't be awaited any more is refused before a host hears of it: sent out and given up, it
-/// could neither be answered nor sent again.
+/// A request whose response can no longer be awaited is rejected before a host receives it. Once sent and abandoned, it
+/// could neither be answered nor retried.
 #[test]
 fn request_shortly_before_the_end_is_rejected_before_it_reaches_a_host() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(SHORT_GRACE_S, &host).await;
-        // The platform's clients keep coming to the end, and the host responds to each at once.
+        // Clients keep sending requests until the end, and the host responds to each at once.
         let clients: Vec<_> = (0..8)
-            .map(|n| {
-                tokio::task::spawn_local(send_requests_until_connections_are_refused(
-                    proxy.client_address,
-                    n,
-                ))
-            })
+            .map(|n| tokio::task::spawn_local(send_requests_until_refused(proxy.client_address, n)))
             .collect();
         let responses = tokio::task::spawn_local(async move {
             loop {
@@ -226,19 +225,20 @@
             for status in client.await.unwrap() {
                 assert!(
                     [200, 503].contains(&status),
-                    "neither an answer nor a promise: {status}"
+                    "neither a response nor a promise that the request did not run: {status}"
                 );
                 rejected_count += usize::from(status == 503);
             }
         }
-        assert!(rejected_count > 0, "the last ones are refused");
+        assert!(rejected_count > 0, "the last requests are rejected");
         responses.abort();
         proxy.serving.await.unwrap().unwrap();
     });
 }
 
-/// Sends one request after the other, each on a connection of its own, until nobody listens; the responses' statuses.
-async fn send_requests_until_connections_are_refused(
+/// Sends requests one after the other, each on a new connection, until connections are refused. Returns the status of
+/// each response.
+async fn send_requests_until_refused(
     proxy_address: std::net::SocketAddrV4,
     client: usize,
 ) -> Vec<u16> {
@@ -251,7 +251,7 @@
         connection
             .send(&request("/once/a", &format!("{client}-{n}"), ""))
             .await;
-        // One that the end of the process meets unread has no response.
+        // A request that is still unread when the process exits gets no response.
         if let Some(response) = connection.read_message().await {
             statuses.push(response.status());
         }
--- a/crates/proxy/tests/host_failures.rs
+++ b/crates/proxy/tests/host_failures.rs
@@ -1,4 +1,4 @@
-//! Hosts that refuse, fail, break off, are silent or send an invalid response.
+//! Tests of hosts that refuse requests, fail, close their connection, are silent or send invalid responses.
 
 mod common;
 use common::*;
@@ -8,7 +8,9 @@
 
 const SEAL_FIELD: &str = "Fennelpin-Host-Seal: seal";
 
-/// What is sent to the first host is followed by the second: how often it is asked, and what the client gets.
+/// Sends a request to a proxy with two hosts, runs `first_host` on the connection that gets it, and lets the other host
+/// respond if `second_host_responds`. Returns the client's response, and checks that the other host got no further
+/// connection.
 async fn request_with_two_hosts(
     path: &str,
     first_host: impl AsyncFnOnce(TestConnection),
@@ -25,12 +27,13 @@
     if second_host_responds {
         other.accept().await.respond_ok("second").await;
     }
-    let response = client.read_message().await.expect("an answer");
+    let response = client.read_message().await.expect("a response");
     assert!(other.has_no_connection());
     response
 }
 
-/// Invalid responses: an idempotent request goes to the next host, any other ends.
+/// After an invalid response an idempotent request is retried at the next host, and any other request ends with an
+/// error.
 #[rstest]
 #[case::no_seal("200 OK\r\nContent-Length: 2", "ok")]
 #[case::encoded(
@@ -89,12 +92,12 @@
         assert_eq!(
             response.field("retry-after"),
             None,
-            "no promise, so nothing to come back for"
+            "a request that may have run must not be reported as retryable"
         );
     });
 }
 
-/// A host's words that it has not run it let any request go on.
+/// If a host states that it did not run a request, the request is retried, idempotent or not.
 #[rstest]
 #[case(
     "503 Service Unavailable\r\nFennelpin-Not-Executed: full\r\nContent-Length: 2",
@@ -256,7 +259,7 @@
     });
 }
 
-/// A place that takes no connection and says nothing: its queue of new ones is full.
+/// A listener that accepts no connection and does not refuse any either, as its backlog is full.
 async fn unresponsive_listener() -> (
     SocketAddrV4,
     tokio::net::TcpListener,
@@ -266,7 +269,7 @@
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
     let SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
-        unreachable!("only IPv4 here")
+        unreachable!("the listener has an IPv4 address")
     };
     let connect =
         || std::net::TcpStream::connect_timeout(&SocketAddr::V4(addr), Duration::from_millis(60));
@@ -385,7 +388,7 @@
     });
 }
 
-/// One host with one connection that has been used once.
+/// A proxy with one host and one idle connection to it, after a response with these additional field lines.
 async fn proxy_with_idle_connection(
     lines: &str,
 ) -> (FakeHost, Proxy, TestConnection, TestConnection) {
@@ -501,7 +504,7 @@
             "after a {stray_kind}"
         );
         assert_eq!(proxy.counters.get().stray_responses, 1);
-        // One more may still come: the connection isn't used again.
+        // Another stray response may still arrive, so the connection is not reused.
         conn.wait_until_closed().await;
         client.send(&request("/once/c", "three", "")).await;
         host.accept().await.respond_ok("3").await;
@@ -546,7 +549,7 @@
         let mut conn = host.accept().await;
         conn.read_head().await.unwrap();
         if extra == "stray" {
-            // Not ours: the rest of the request still has to go out.
+            // A response to another request does not stop the proxy from sending the rest of this one.
             conn.send(&ok_response("zero", "stray")).await;
             assert_eq!(conn.read_body_bytes(body.len()).await, body);
         }
@@ -611,7 +614,8 @@
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
-        // A client that knows no chunks: only the connection can show it the end of a response.
+        // An HTTP/1.0 client does not support chunked encoding, so only the connection shows it the end of the
+        // response.
         let mut client = proxy.client().await;
         client
             .send(&request("/once/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
@@ -641,7 +645,7 @@
             FakeHost::new("h2", "s").await,
         );
         let proxy = Proxy::without_configuration().await;
-        // Of a host's eight connections four are this proxy's, as there are two.
+        // Of the eight connections to a host this proxy may use four, as there are two proxies.
         let text = format!(
             r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s","conn_limit":8}}]}}"#
         );
@@ -779,7 +783,8 @@
     });
 }
 
-/// A host that refuses connections is ejected once, however many requests find it so, and is reinstated by an answer.
+/// A host that closes connections is counted as ejected once, regardless of the number of failed requests, and as
+/// reinstated once after a response.
 #[test]
 fn ejection_and_reinstatement_of_a_host_are_counted_once() {
     run_async_test(async {
@@ -790,7 +795,7 @@
         assert_ne!(client.read_message().await.unwrap().status(), 200);
         let counters = proxy.counters.get();
         assert_eq!((counters.hosts_ejected, counters.hosts_reinstated), (1, 0));
-        // The only host is used again as soon as its ejection is over.
+        // The only host gets requests again once its ejection has ended.
         loop {
             let mut client = proxy.send_request("/pure/a").await;
             let mut conn = tokio::select! {
--- a/crates/proxy/tests/late_streams_at_shutdown.rs
+++ b/crates/proxy/tests/late_streams_at_shutdown.rs
@@ -1,18 +1,18 @@
-//! Streams that come late in a shutdown: none is begun that the end of the process would truncate.
+//! Tests of streams requested late in a shutdown: none is started that the end of the process would truncate.
 
 mod common;
 use common::*;
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// Longer than streams are still taken, and then some.
+/// Longer than the full service after the signal, so that a request can arrive after its end.
 const GRACE_S: f64 = 5.5;
 
-/// What a client gets that asks for a stream of at most `deadline_ms` once streams aren't taken any more.
+/// Returns the response to a request with a deadline of `deadline_ms` that is sent after full service has ended.
 async fn request_stream_late(path: &str, deadline_ms: u64) -> Message {
     let mut host = FakeHost::new("h1", "s").await;
     let mut proxy = Proxy::with_grace(GRACE_S, &host).await;
-    // A request that is out keeps the process there; the idle connection's end shows that time has passed.
+    // A request in flight keeps the process running until the late request is sent.
     let mut busy = proxy.send_request("/once/a").await;
     let mut conn = host.accept().await;
     conn.read_message().await.unwrap();
--- a/crates/proxy/tests/pending_connections_at_shutdown.rs
+++ b/crates/proxy/tests/pending_connections_at_shutdown.rs
@@ -1,4 +1,5 @@
-//! Connections that the kernel has completed when a process that is asked to end has nothing left to wait for.
+//! Test of connections that the kernel has accepted but the proxy has not, at the time when a stopping process has
+//! nothing left to wait for.
 
 mod common;
 use common::*;
@@ -7,9 +8,9 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Full service, after which a process with no open connection ends, and a little more.
+/// A little longer than the full service, after which a process without open connections exits.
 const BLOCKED_TIME: Duration = Duration::from_millis(2600);
-/// Processes at once: which event of one turn is seen first is left to chance.
+/// Number of proxies at once, as the order in which events of one turn of the event loop are handled is random.
 const PROXY_COUNT: usize = 10;
 
 #[test]
@@ -19,7 +20,7 @@
         let mut proxies = Vec::new();
         for _ in 0..PROXY_COUNT {
             let proxy = Proxy::with_grace(8.0, &host).await;
-            // On a connection that is kept a request is written in the turn in which it is read.
+            // With an open host connection a request is forwarded in the same turn in which it is read.
             let mut early = proxy.send_request("/quick/a").await;
             let mut conn = host.accept().await;
             conn.respond_ok("early").await;
@@ -36,7 +37,7 @@
         }
         let mut clients = Vec::new();
         for proxy in &proxies {
-            // Blocking, so that the proxy can't accept it yet.
+            // A blocking call, so that the proxy can't accept the connection yet.
             let mut client = TcpStream::connect(proxy.client_address).unwrap();
             client
                 .write_all(request("/pure/a", "one", "").as_bytes())
@@ -44,12 +45,15 @@
             client.set_nonblocking(true).unwrap();
             clients.push(client);
         }
-        // Nothing runs here for so long: the proxies find the end of full service and their connections in one turn.
+        // Blocks this thread, so that the proxies find the end of full service and the pending connections in one turn.
         let (_sender, receiver) = mpsc::channel::<()>();
         assert!(receiver.recv_timeout(BLOCKED_TIME).is_err());
         for client in clients {
             let mut client = TestConnection::new(tokio::net::TcpStream::from_std(client).unwrap());
-            let response = client.read_message().await.expect("an answer or a refusal");
+            let response = client
+                .read_message()
+                .await
+                .expect("a response or a rejection");
             assert!([200, 503].contains(&response.status()), "{}", response.head);
         }
     });
--- a/crates/proxy/tests/requests_ahead_at_shutdown.rs
+++ b/crates/proxy/tests/requests_ahead_at_shutdown.rs
@@ -1,4 +1,4 @@
-//! Requests that a client has sent ahead when the process is asked to end: each has its answer.
+//! Tests of pipelined requests when the process is signalled to stop: each gets a response.
 
 mod common;
 use common::*;
@@ -19,9 +19,13 @@
         conn.send(&ok_response("one", "first")).await;
         let response = client.read_message().await.unwrap();
         assert_eq!(response.body, "first");
-        assert_eq!(response.field("connection"), None, "more is to come");
+        assert_eq!(
+            response.field("connection"),
+            None,
+            "another response follows"
+        );
         conn.respond_ok("second").await;
-        let response = client.read_message().await.expect("the second answer");
+        let response = client.read_message().await.expect("the second response");
         assert_eq!(response.body, "second");
         assert_eq!(response.field("connection"), Some("close"));
         client.wait_until_closed().await;
@@ -41,7 +45,7 @@
         proxy.signal_stop();
         let response = client.read_message().await.unwrap();
         assert_eq!(response.status(), 502, "it may have run");
-        let response = client.read_message().await.expect("a refusal");
+        let response = client.read_message().await.expect("a rejection");
         assert_eq!(response.status(), 503);
         assert_eq!(response.field("fennelpin-attempt-id"), Some("two"));
         assert_eq!(response.field("connection"), Some("close"));
--- a/crates/proxy/tests/response_matching.rs
+++ b/crates/proxy/tests/response_matching.rs
@@ -1,4 +1,4 @@
-//! Which attempt a response belongs to, and how a client can tell its end.
+//! Tests of matching responses to attempts, and of the response framing that clients get.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
         .into()
 }
 
-/// A proxy that takes large bodies, so that a host can respond before all is written.
+/// A proxy that accepts large bodies, so that a host can respond before the request is written completely.
 async fn proxy_with_wide_limits(options: ProxyOptions, hosts: &[&FakeHost]) -> Proxy {
     let proxy = Proxy::with_options(options).await;
     proxy
@@ -52,7 +52,7 @@
         assert_eq!(
             conn.read_body_bytes(LARGE_BODY_BYTES).await.len(),
             LARGE_BODY_BYTES,
-            "the body goes on"
+            "the rest of the body is sent"
         );
         conn.send(&ok_response("one", "done")).await;
         assert_eq!(client.read_message().await.unwrap().body, "done");
@@ -78,7 +78,8 @@
     });
 }
 
-/// A host that turns a long body away reads no more of it, and what it said before belongs to another.
+/// A host that refuses a request with a large body stops reading it. A response that it sent before belongs to another
+/// request.
 #[rstest]
 #[case::named("Fennelpin-Attempt-Id: one\r\n", 1)]
 #[case::unnamed("", 0)]
@@ -100,7 +101,7 @@
         first
             .send(&(ok_response("zero", "stray").repeat(stray_count) + &refusal))
             .await;
-        // The host keeps the connection, and reads no more of it.
+        // The host keeps the connection open but reads no more of the body.
         let mut second = other.accept().await;
         assert_eq!(
             second.respond_ok("second").await.body.len(),
@@ -111,7 +112,7 @@
     });
 }
 
-/// What a head lists as its connection's own concerns is left out, but never what ties a response to its request.
+/// Fields listed in `Connection` are not forwarded, except those that identify the request and the host of a response.
 #[test]
 fn attempt_id_and_seal_are_forwarded_despite_connection_lists() {
     run_async_test(async {
@@ -148,7 +149,7 @@
     });
 }
 
-/// From the first byte on no promise can be given that a request has not run.
+/// Once its first byte is written to a host, a request must not be reported as not run.
 #[test]
 fn partly_written_request_at_shutdown_may_have_run() {
     run_async_test(async {
@@ -201,7 +202,7 @@
     });
 }
 
-/// A success has run, whatever else its head says.
+/// A request with a success status has run, even if the response has the field that says otherwise.
 #[test]
 fn success_status_is_never_a_refusal() {
     run_async_test(async {
@@ -222,7 +223,7 @@
     });
 }
 
-/// Nothing follows the head of such a response: anything that did would be taken for the next one's start.
+/// Nothing may follow the head of such a response: the client would take it for the start of the next one.
 #[rstest]
 #[case::head(
     "HEAD",
@@ -274,7 +275,8 @@
     });
 }
 
-/// The first head announced chunks: the response stays chunked, whatever the next host's framing is.
+/// The client's response stays chunked, as the first host's head announced it, even if the next host uses other
+/// framing.
 #[test]
 fn framing_of_the_first_host_holds_for_the_response() {
     run_async_test(async {
@@ -296,7 +298,7 @@
         )
         .await;
         drop(conn);
-        // Its end might be a cut: the third host says that there is no more.
+        // The end of that connection may be a failure, so the stream is resumed at the third host, which marks its end.
         let mut conn = next_connection(&mut [host_1, host_2, host_3]).await;
         let received = conn.start_stream("third", &[]).await;
         assert_eq!(received.field("last-event-id"), Some("3"));
@@ -341,7 +343,7 @@
     });
 }
 
-/// A request that has come is not lost with a connection that would have gone as an idle one.
+/// A request that has arrived is not lost when its connection is about to be closed as an idle one.
 #[test]
 fn request_that_races_an_idle_eviction_is_answered() {
     run_async_test(async {
@@ -354,7 +356,7 @@
         proxy
             .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
             .await;
-        // 60 in 100 of 16 descriptors: nine clients.
+        // The limit is 60% of 16 descriptors: nine clients.
         let mut idle = Vec::new();
         for _ in 0..9 {
             idle.push(proxy.client().await);
@@ -367,14 +369,14 @@
             .unwrap();
         host.accept().await.respond_ok("done").await;
         assert_eq!(
-            idle[0].read_message().await.expect("an answer").body,
+            idle[0].read_message().await.expect("a response").body,
             "done"
         );
         drop(late);
     });
 }
 
-/// Once the system has taken a byte of it, a request that may run once goes nowhere else.
+/// Once the kernel has accepted a byte of it, a request that may run only once is not sent to another host.
 #[rstest]
 fn connection_that_breaks_during_a_write_is_retried_only_if_idempotent(
     #[values(false, true)] reused: bool,
@@ -406,7 +408,8 @@
                 vec![host_1.info.clone(), host_2.info.clone()],
             )
             .await;
-        // Unread bytes make the system reset it at a plain close too; in order it ends its own side only.
+        // With unread bytes a plain close would also reset the connection, so the orderly case shuts down the write
+        // side only.
         if orderly {
             rustix::net::shutdown(&conn.stream, rustix::net::Shutdown::Write).unwrap();
         } else {
@@ -418,7 +421,7 @@
     });
 }
 
-/// Bytes behind a complete response belong to no request, and more of them may follow.
+/// Bytes after a complete response belong to no request, and more of them may follow.
 #[rstest]
 fn connection_with_bytes_after_a_response_is_not_reused(
     #[values("H", "HTTP/1.1 200 OK\r\nFennelpin-Att", "\r\n")] trailing: &str,
@@ -438,7 +441,7 @@
     });
 }
 
-/// Connections belong to a host's identity and not to its address.
+/// Connections belong to a host's id and not to its address.
 #[test]
 fn new_host_at_an_old_address_gets_its_own_connections() {
     run_async_test(async {
@@ -451,7 +454,7 @@
             Some("h1")
         );
         assert_eq!(client.read_message().await.unwrap().body, "1");
-        // A request to the old one is out as the news come.
+        // A request to the old host is in flight when the fleet changes.
         let mut late = proxy.send_request("/once/a").await;
         old.read_message().await.unwrap();
         let other = balancing::HostInfo {
@@ -474,7 +477,7 @@
     });
 }
 
-/// Told by the host that stands there now that it is another, nothing is sent over old connections.
+/// A 421 says that another host now has the address, so no request is sent on the old connections.
 #[test]
 fn misdirected_status_closes_idle_connections_to_the_host() {
     run_async_test(async {
--- a/crates/proxy/tests/retry.rs
+++ b/crates/proxy/tests/retry.rs
@@ -1,4 +1,5 @@
-//! Whether a request goes to another host, and how it ends otherwise.
+//! Tests of the decision whether a request is retried at another host, and of the result code that it ends with
+//! otherwise.
 
 use configuration::ResultCode;
 use proxy::retry::{AttemptOutcome, RetryDecision, RetryState};
@@ -108,10 +109,7 @@
     assert!(retry_state.may_fail_over(NOW));
     retry_state.record_failover();
     retry_state.record_sent();
-    assert!(
-        !retry_state.may_fail_over(NOW),
-        "that was the last host it may go to"
-    );
+    assert!(!retry_state.may_fail_over(NOW), "no attempt is left");
     assert_eq!(
         retry_state.on_attempt_ended(NOW, AttemptOutcome::NotExecuted),
         RetryDecision::GiveUp(ResultCode::HostBroke)
@@ -131,7 +129,10 @@
 #[test]
 fn budget_taken_for_an_unreachable_host_is_kept() {
     let mut retry_state = new_retry_state(true, 9);
-    assert!(!retry_state.needs_retry_budget(), "the first is free");
+    assert!(
+        !retry_state.needs_retry_budget(),
+        "the first attempt needs no budget"
+    );
     retry_state.record_sent();
     retry_state.on_attempt_ended(NOW, AttemptOutcome::NotExecuted);
     assert!(retry_state.needs_retry_budget());
@@ -139,7 +140,7 @@
     retry_state.on_attempt_ended(NOW, AttemptOutcome::Unreachable);
     assert!(
         !retry_state.needs_retry_budget(),
-        "what was taken for a host that could not be reached is still there"
+        "the retry taken for the unreachable host is still available"
     );
     retry_state.record_sent();
     assert!(retry_state.needs_retry_budget());
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: order, breaks, resumption.
+//! Tests of streams: order of events, broken connections and resumption.
 
 mod common;
 use common::*;
@@ -113,7 +113,7 @@
     });
 }
 
-/// Within a response that has begun, only events of a stream may follow.
+/// A stream that has started can only be continued by events of another stream.
 #[rstest]
 #[case("404 Not Found\r\nContent-Length: 4", "none")]
 #[case("500 Own\r\nContent-Length: 4", "oops")]
@@ -149,7 +149,7 @@
         assert!(!client.read_until("piece 1\n\n").await.contains("id: 2"));
         conn.send("f\r\ndata: piece 2\n\n\r\n0\r\n\r\n").await;
         assert_eq!(client.read_message().await.unwrap().body, events([1, 2]));
-        // The connection serves on.
+        // Both connections are reused.
         client.send(&request("/more/a", "two", "")).await;
         conn.start_stream("seal", &[1]).await;
         client.read_until("piece 1\n\n").await;
@@ -170,7 +170,7 @@
         client.read_until("piece 1\n\n").await;
         let silent_since = tokio::time::Instant::now();
         let mut next = other.accept().await;
-        // Streams may be silent for two seconds at least.
+        // Clients tolerate at least two seconds without data.
         assert!((900..2000).contains(&silent_since.elapsed().as_millis()));
         conn.wait_until_closed().await;
         next.start_stream("second", &[2]).await;
@@ -211,7 +211,7 @@
             }
         }
         assert!(host_2.has_no_connection());
-        // With the host silent on all connections, both streams go on elsewhere.
+        // Once the host is silent on all connections, both streams are resumed at the other host.
         let mut next = host_2.accept().await;
         next.start_stream("second", &[9_999_999]).await;
         let mut last = host_2.accept().await;
@@ -239,7 +239,7 @@
             conn.wait_until_closed(),
         )
         .await;
-        assert!(closed.is_err(), "the connection stays");
+        assert!(closed.is_err(), "the connection stays open");
         conn.send_events(&[2]).await;
         conn.send("0\r\n\r\n").await;
         let response = client.read_message().await.unwrap();
@@ -282,7 +282,7 @@
         .await;
         busy.send_events(&[1]).await;
         first.read_until("piece 1\n\n").await;
-        // While that stream goes on, its host is known to be busy.
+        // While that stream is open, its host is known to be busy.
         for _ in 0..4 {
             let mut client = proxy.send_request("/pure/a").await;
             let lines =
--- a/crates/proxy/tests/streams_at_shutdown.rs
+++ b/crates/proxy/tests/streams_at_shutdown.rs
@@ -1,4 +1,5 @@
-//! Streams in a graceful shutdown: one that is begun gets its end, and what the end of the process truncates is seen.
+//! Tests of streams during a graceful shutdown: started streams are completed if possible, and a truncated one is
+//! visible as such to its client and in the counters.
 
 mod common;
 use common::*;
@@ -7,7 +8,7 @@
 
 /// Less than the routes' deadlines of 8 s.
 const GRACE_S: f64 = 1.5;
-/// A stream in flight is truncated no sooner than this before the platform's kill.
+/// Longest time before the platform kills the process at which a stream in flight is truncated.
 const MAX_TRUNCATION_MARGIN: Duration = Duration::from_millis(350);
 
 #[test]
@@ -21,7 +22,10 @@
         client.read_until("piece 1\n\n").await;
         proxy.signal_stop();
         let response = client.read_message().await.unwrap();
-        assert!(!response.complete, "an end that looks like one");
+        assert!(
+            !response.complete,
+            "a truncated stream must not look complete"
+        );
         let counters = proxy.serving.await.unwrap().unwrap();
         assert_eq!(
             (counters.truncated_at_shutdown, counters.truncated_responses),
@@ -30,8 +34,8 @@
     });
 }
 
-/// What a client gets that asks for a stream of at most `deadline_ms` right after the signal, on a connection that was
-/// open before it or on a new one. The host never ends the stream by itself.
+/// Returns the response to a request with a deadline of `deadline_ms` that is sent right after the signal, on a
+/// connection that was open before it or on a new one. The host never ends the stream by itself.
 async fn request_after_signal(
     host: &mut FakeHost,
     path: &str,
@@ -54,7 +58,7 @@
     let deadline = format!("Fennelpin-Deadline-Ms: {deadline_ms}\r\n");
     client.send(&request(path, "late", &deadline)).await;
     let (sent, response) = tokio::join!(conn.read_message(), client.read_message());
-    let response = response.expect("an answer or a refusal");
+    let response = response.expect("a response or a rejection");
     assert_eq!(
         sent.is_some(),
         response.status() != 503,
@@ -104,7 +108,7 @@
     });
 }
 
-/// Larger than what is buffered at other times.
+/// Larger than the limit on buffered responses outside of a shutdown.
 const LARGE_BODY_BYTES: usize = 400_000;
 
 #[rstest]
@@ -128,16 +132,19 @@
              Content-Length: {LARGE_BODY_BYTES}\r\n\r\n{body}"
         ))
         .await;
-        let response = client.read_message().await.expect("an answer or a refusal");
+        let response = client
+            .read_message()
+            .await
+            .expect("a response or a rejection");
         assert_eq!((response.status(), response.complete), (status, true));
     });
 }
 
-/// What the proxy buffers of a large response in a shutdown, at most.
+/// Largest response, in bytes, that the proxy buffers during a shutdown.
 const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
 
-/// A response that can't be buffered until it is complete is answered by an error before a byte of it is out: begun, the
-/// end of the process would truncate it.
+/// If a response can't be buffered until it is complete, the client gets an error instead of its first bytes: once
+/// started, it would be truncated by the end of the process.
 #[rstest]
 #[case::too_large("/pure/a", MAX_BUFFERED_BYTES + LARGE_BODY_BYTES, 256)]
 #[case::too_large_mutating("/once/a", MAX_BUFFERED_BYTES + LARGE_BODY_BYTES, 256)]
@@ -163,20 +170,23 @@
         let mut client = proxy.send_request(path).await;
         let mut conn = host.accept().await;
         conn.read_message().await.unwrap();
-        // All but the last byte, which never comes.
+        // Sends all but the last byte, which never follows.
         let head = format!(
             "HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: one\r\nFennelpin-Host-Seal: seal\r\n\
              Content-Length: {body_bytes}\r\n\r\n"
         );
         let body = "x".repeat(body_bytes - 1);
-        // The proxy may close the connection before all is read, which ends this task.
+        // The proxy may close the connection before it has read everything, which ends this task.
         tokio::task::spawn_local(async move { conn.send(&format!("{head}{body}")).await });
-        let response = client.read_message().await.expect("an answer or a refusal");
+        let response = client
+            .read_message()
+            .await
+            .expect("a response or a rejection");
         assert_eq!((response.status(), response.complete), (502, true));
     });
 }
 
-/// A host may answer a route of another kind with a stream of events.
+/// A host may respond with an event stream on a route that is not a streaming route.
 #[rstest]
 #[case::mutating("/once/a")]
 #[case::pure("/pure/a")]
@@ -189,7 +199,10 @@
         let mut client = proxy.send_request(path).await;
         let mut conn = host.accept().await;
         conn.start_stream("seal", &[1]).await;
-        let response = client.read_message().await.expect("an answer or a refusal");
+        let response = client
+            .read_message()
+            .await
+            .expect("a response or a rejection");
         assert_eq!((response.status(), response.complete), (502, true));
     });
 }
@@ -205,15 +218,15 @@
         let mut conn = host.accept().await;
         conn.start_stream("seal", &[1, 2]).await;
         conn.send("0\r\n\r\n").await;
-        let response = client.read_message().await.expect("an answer");
+        let response = client.read_message().await.expect("a response");
         assert_eq!((response.complete, response.body), (true, events([1, 2])));
     });
 }
 
-/// The longest time for which a quota of processor time pauses a process at once.
+/// Longest uninterrupted pause of a process by the CPU quota that the kernel enforces.
 const MAX_CPU_THROTTLING_PAUSE: Duration = Duration::from_millis(100);
 
-/// Keeps this thread, which the proxy runs on too, from running anything else.
+/// Blocks this thread, which the proxy runs on too, for the longest such pause.
 fn pause_process() {
     let started_at = Instant::now();
     while started_at.elapsed() < MAX_CPU_THROTTLING_PAUSE {
@@ -221,7 +234,8 @@
     }
 }
 
-/// The platform counts the grace from when it sends the signal, and the kernel's pauses know of no deadline.
+/// The platform counts the grace period from sending the signal, and the kernel may pause the process both before it
+/// notices the signal and right before the kill.
 #[test]
 fn process_paused_at_the_signal_exits_early_enough_for_another_pause() {
     run_async_test(async {
