--- a/crates/proxy/tests/broken_connections.rs
+++ b/crates/proxy/tests/broken_connections.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const BODY: &str = "the host's whole body";
-const LAST_EVENT: u64 = 3;
+const LAST_EVENT_ID: u64 = 3;
 
 /// Where the first host that receives the attempt closes its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,7 +32,7 @@
 /// The part of the attempt that one connection of a host received.
 #[derive(Clone, Debug, PartialEq)]
 struct ReceivedRequest {
-    bytes: usize,
+    byte_count: usize,
     complete: bool,
     /// Whether the connection had carried a request before.
     reused_connection: bool,
@@ -73,7 +73,7 @@
         return format!("{head}Content-Length: {}\r\n\r\n{BODY}", BODY.len());
     }
     let from = field_value(request, "last-event-id").map_or(0, |v| v.parse().unwrap());
-    let chunks: String = (from + 1..=LAST_EVENT)
+    let chunks: String = (from + 1..=LAST_EVENT_ID)
         .map(|n| {
             let event = event(n);
             format!("{:x}\r\n{event}\r\n", event.len())
@@ -82,8 +82,8 @@
     format!("{head}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")
 }
 
-fn close(stream: TcpStream, end: CloseKind) {
-    if end == CloseKind::Reset {
+fn close(stream: TcpStream, kind: CloseKind) {
+    if kind == CloseKind::Reset {
         rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
     }
 }
@@ -158,7 +158,7 @@
             let mut scenario = scenario.borrow_mut();
             if scenario.recording_attempt {
                 let received = ReceivedRequest {
-                    bytes: request.len(),
+                    byte_count: request.len(),
                     complete: is_complete(&request),
                     reused_connection,
                 };
@@ -179,7 +179,7 @@
     }
 }
 
-async fn host(number: usize, scenario: &Rc<RefCell<Scenario>>) -> balancing::HostInfo {
+async fn start_host(number: usize, scenario: &Rc<RefCell<Scenario>>) -> balancing::HostInfo {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string().parse().unwrap();
     let scenario = scenario.clone();
@@ -208,7 +208,10 @@
     close_kind: CloseKind,
 ) -> BreakResult {
     let scenario = Rc::new(RefCell::new(Scenario::default()));
-    let hosts = vec![host(0, &scenario).await, host(1, &scenario).await];
+    let hosts = vec![
+        start_host(0, &scenario).await,
+        start_host(1, &scenario).await,
+    ];
     let proxy = Proxy::without_configuration().await;
     proxy.apply_fleet(configuration(1, ROUTES), hosts).await;
     let mut client = proxy.client().await;
@@ -248,7 +251,7 @@
         "{case}: {sent_count} sent, {received:?}"
     );
     let response = response.unwrap_or_else(|| panic!("{case}: no response"));
-    let all = events(1..=LAST_EVENT);
+    let all = events(1..=LAST_EVENT_ID);
     let has_expected_body = match path {
         "/pure/a" | "/once/a" => response.body == BODY,
         _ => response.body == all,
@@ -294,7 +297,7 @@
             );
         }
         break_count += 1;
-        let received_bytes = result.received.first().map_or(0, |h| h.bytes);
+        let received_bytes = result.received.first().map_or(0, |h| h.byte_count);
         assert_break_is_safe(path, &case, result);
         received_bytes
     };
--- a/crates/proxy/tests/close_delimited_responses.rs
+++ b/crates/proxy/tests/close_delimited_responses.rs
@@ -9,7 +9,7 @@
 /// More than the proxy buffers before it relays a response.
 const STREAMED_BODY_BYTES: usize = 400_000;
 
-fn body(length: usize) -> String {
+fn response_body(length: usize) -> String {
     "0123456789".repeat(length / 10)
 }
 
@@ -22,7 +22,7 @@
 ) -> (TestConnection, TestConnection) {
     let client = proxy.send_request(path).await;
     let mut conn = host.accept().await;
-    let body = body(length);
+    let body = response_body(length);
     let received = conn.read_message().await.expect("a request");
     assert_eq!(received.field("fennelpin-attempt-id"), Some("one"));
     let head = format!("HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: one\r\n{SEAL_FIELD}\r\n\r\n");
@@ -55,7 +55,7 @@
             response.head
         );
         assert_eq!(response.body.len(), length);
-        assert!(response.body == body(length));
+        assert!(response.body == response_body(length));
     });
 }
 
@@ -116,7 +116,7 @@
             .send(&request("/live/a", "one", "").replace("HTTP/1.1", "HTTP/1.0"))
             .await;
         let mut conn = host.accept().await;
-        let body = body(STREAMED_BODY_BYTES);
+        let body = response_body(STREAMED_BODY_BYTES);
         let respond = async {
             conn.respond(&format!("200 OK\r\n{SEAL_FIELD}"), &body)
                 .await;
--- a/crates/proxy/tests/connection_pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn last_used_connection_is_taken_unless_expired() {
+fn most_recently_used_connection_is_taken_unless_expired() {
     let mut pool = ConnectionPool::new(9);
     put_idle_connection(&mut pool, "a", 1, 10);
     put_idle_connection(&mut pool, "a", 2, 3);
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -175,8 +175,8 @@
 #[case::more("/more/a", HostBehavior::Silent)]
 #[case::pure_unread("/pure/a", HostBehavior::NeverReads)]
 #[case::once_unread("/once/a", HostBehavior::NeverReads)]
-#[case::live_begun("/live/a", HostBehavior::StallsInStream)]
-#[case::more_begun("/more/a", HostBehavior::StallsInStream)]
+#[case::live_started("/live/a", HostBehavior::StallsInStream)]
+#[case::more_started("/more/a", HostBehavior::StallsInStream)]
 #[case::live_without_end("/live/a", HostBehavior::EndlessStream)]
 #[case::more_without_end("/more/a", HostBehavior::EndlessStream)]
 #[case::pure_large("/pure/a", HostBehavior::StallsInLargeResponse)]
@@ -206,7 +206,7 @@
             (response, started_at.elapsed())
         };
         let (response, elapsed) = tokio::select! {
-            done = exchange => done,
+            result = exchange => result,
             () = run_host(&mut host, behavior) => unreachable!("the host never returns"),
         };
         assert!(elapsed <= DEADLINE + TOLERANCE, "{elapsed:?}");
--- a/crates/proxy/tests/response_matching.rs
+++ b/crates/proxy/tests/response_matching.rs
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn response_with_two_attempt_ids_matches_neither() {
+fn response_with_two_attempt_ids_matches_no_attempt() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
@@ -235,7 +235,7 @@
 )]
 #[case::no_content("GET", "204 No Content\r\nContent-Type: text/event-stream")]
 #[case::no_content_with_a_length("GET", "204 No Content\r\nContent-Length: 7")]
-fn bodiless_response_has_no_body(
+fn response_without_a_body_is_forwarded_without_one(
     #[case] method: &str,
     #[case] head_lines: &str,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
@@ -278,7 +278,7 @@
 /// The client's response stays chunked, as the first host's head announced it, even if the next host uses other
 /// framing.
 #[test]
-fn framing_of_the_first_host_holds_for_the_response() {
+fn resumed_response_keeps_the_framing_of_the_first_host() {
     run_async_test(async {
         let mut hosts = [
             FakeHost::new("h1", "s").await,
@@ -312,7 +312,7 @@
 }
 
 #[rstest]
-#[case::none("data: piece\n\n", true)]
+#[case::data("data: piece\n\n", true)]
 #[case::comment(": still here\n\n", false)]
 fn stream_is_not_resumed_after_data_without_id(#[case] event: &str, #[case] truncated: bool) {
     run_async_test(async {
@@ -443,7 +443,7 @@
 
 /// Connections belong to a host's id and not to its address.
 #[test]
-fn new_host_at_an_old_address_gets_its_own_connections() {
+fn new_host_at_a_reused_address_gets_its_own_connections() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::new(&[&host]).await;
--- a/crates/proxy/tests/retry.rs
+++ b/crates/proxy/tests/retry.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn broken_attempt_bars_a_not_executed_promise_for_good() {
+fn request_with_a_broken_attempt_is_never_reported_as_not_run() {
     let mut retry_state = new_retry_state(true, 3);
     retry_state.record_sent();
     retry_state.on_attempt_ended(NOW, AttemptOutcome::Broken);
