--- a/crates/proxy/src/exchange/await_response.rs
+++ b/crates/proxy/src/exchange/await_response.rs
@@ -1,4 +1,4 @@
-//! Fourth step: waits for the head of the response that belongs to the attempt, past responses to others.
+//! Fourth step: waits for the head of the response that belongs to the attempt, skipping responses to other requests.
 
 use super::host_wait::{HostWait, WaitError};
 use super::{Exchange, MAX_BUFFERED_BYTES};
@@ -11,22 +11,22 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The body of a refusal is read up to this size, so that its connection can be used again.
+/// Largest refusal body, in bytes, that is read so that its connection can be reused.
 const MAX_REFUSAL_BODY_BYTES: usize = 64 * 1024;
-/// How long the body of a refusal is read.
+/// Longest time for reading the body of a refusal.
 const REFUSAL_READ_TIMEOUT: Duration = Duration::from_millis(50);
-/// Responses to other requests that are skipped before the connection is given up.
+/// Number of responses to other requests that are skipped before the connection is given up.
 const MAX_STRAY_RESPONSES: u32 = 4;
 
 /// The head of the response to an attempt.
 pub(super) struct MatchedResponse {
     pub(super) head: ResponseHead,
-    /// Whether responses to other requests came before it.
-    pub(super) behind_strays: bool,
+    /// Whether responses to other requests arrived before it.
+    pub(super) after_stray_responses: bool,
 }
 
 impl Exchange<'_> {
-    /// Waits for the response to an attempt.
+    /// Waits for the head of the response to an attempt.
     pub(super) async fn await_response(
         &mut self,
         connection: &mut UpstreamConnection,
@@ -35,14 +35,14 @@
     ) -> Result<MatchedResponse, WaitError> {
         let to_head_request = self.request.is_head();
         let matcher = ResponseMatcher::new(self.request.attempt_id().unwrap_or_default());
-        for strays in 0..=MAX_STRAY_RESPONSES {
+        for stray_count in 0..=MAX_STRAY_RESPONSES {
             let read_head = async |c: &mut UpstreamConnection| c.read_head(to_head_request).await;
-            let head = wait.run(self, connection, attempt, read_head).await?;
-            let first_on_connection = strays == 0 && !connection.reused();
+            let head = wait.read(self, connection, attempt, read_head).await?;
+            let first_on_connection = stray_count == 0 && !connection.reused();
             if matcher.matches(&head, first_on_connection) {
                 return Ok(MatchedResponse {
                     head,
-                    behind_strays: strays > 0,
+                    after_stray_responses: stray_count > 0,
                 });
             }
             self.state.counters.add(|c| c.stray_responses += 1);
@@ -52,7 +52,7 @@
                 c.read_body(&mut decoder, &mut body, MAX_BUFFERED_BYTES)
                     .await
             };
-            match wait.run(self, connection, attempt, skip_body).await? {
+            match wait.read(self, connection, attempt, skip_body).await? {
                 BodyRead::Complete => {}
                 BodyRead::OverLimit => break,
             }
@@ -60,16 +60,16 @@
         Err(WaitError::Broken)
     }
 
-    /// Reads the rest of a refusal in the background, so that the connection can be used again. The request doesn't wait
-    /// for it.
+    /// Reads the rest of a refusal in the background, so that the connection can be reused without delaying the
+    /// request.
     pub(super) fn drain_refusal(
         &self,
         mut connection: UpstreamConnection,
         host: Arc<str>,
         head: ResponseHead,
-        behind_strays: bool,
+        after_stray_responses: bool,
     ) {
-        if behind_strays || !head.is_keep_alive() {
+        if after_stray_responses || !head.is_keep_alive() {
             return;
         }
         let state = self.state.clone();
--- a/crates/proxy/src/exchange/streaming.rs
+++ b/crates/proxy/src/exchange/streaming.rs
@@ -1,4 +1,4 @@
-//! Relays a stream as it comes, and resumes it at another host where the route allows it.
+//! Relays a stream while it arrives, and resumes it at another host if the route allows that.
 
 use super::attempt::{AttemptResult, HostResponse};
 use super::client_writer::ClientWriter;
@@ -16,33 +16,33 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Largest event of a stream that may be resumed.
+/// Largest event, in bytes, of a resumable stream.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
-/// A resumable stream counts as stalled after the longest of this time and these multiples of the route's latency
-/// target and inter-event target. That is half of what its client bears.
-const MIN_STALL_MS: f64 = 1000.0;
-const STALL_PER_TARGET: f64 = 2.0;
-const STALL_PER_GAP_TARGET: f64 = 4.0;
+/// A resumable stream counts as stalled after the longest of this time and the two multiples below: of the route's
+/// latency target and of its target for the gap between events. That is half of the silence that its client tolerates.
+const MIN_STALL_TIMEOUT_MS: f64 = 1000.0;
+const STALL_LATENCY_TARGET_MULTIPLE: f64 = 2.0;
+const STALL_GAP_TARGET_MULTIPLE: f64 = 4.0;
 
-/// After how long without data a resumable stream is stalled.
+/// Time without data after which a resumable stream counts as stalled.
 fn stall_timeout(route: &Route) -> Duration {
-    let ms = (STALL_PER_TARGET * route.target_ms.unwrap_or(0.0))
-        .max(STALL_PER_GAP_TARGET * route.gap_aim_ms.unwrap_or(0.0))
-        .max(MIN_STALL_MS);
+    let ms = (STALL_LATENCY_TARGET_MULTIPLE * route.target_ms.unwrap_or(0.0))
+        .max(STALL_GAP_TARGET_MULTIPLE * route.gap_aim_ms.unwrap_or(0.0))
+        .max(MIN_STALL_TIMEOUT_MS);
     duration_from_ms(ms)
 }
 
-/// A stream that is being relayed from one host.
+/// State of relaying a stream from one host.
 struct StreamRelay {
     decoder: BodyDecoder,
     writer: ClientWriter,
     splitter: EventSplitter,
-    /// Whether this host's data has gone to the client.
+    /// Whether data from this host has been sent to the client.
     has_data: bool,
 }
 
 impl Exchange<'_> {
-    /// Relays a stream: as it comes, or in complete events where it may be resumed at another host.
+    /// Relays a stream: as it arrives, or in complete events if it may be resumed at another host.
     pub(super) async fn relay_stream(
         &mut self,
         mut response: HostResponse,
@@ -74,13 +74,13 @@
             } else {
                 attempt.record_response_start();
             }
-            if !relay.writer.write(self, &response.head, &data).await {
+            if !relay.writer.write_piece(self, &response.head, &data).await {
                 return AttemptResult::Answered(ConnectionOutcome::Truncated);
             }
         }
     }
 
-    /// What is to be forwarded next, which may be nothing yet; `None` at the end of the stream.
+    /// Reads the next data to forward, which is empty while no event is complete; `None` at the end of the stream.
     async fn next_stream_data(
         &mut self,
         response: &mut HostResponse,
@@ -90,15 +90,15 @@
         let decoder = &mut relay.decoder;
         let connection = &mut response.connection;
         let piece = if relay.has_data {
-            self.read_later_piece(connection, decoder).await?
+            self.read_next_piece(connection, decoder).await?
         } else {
             let read_piece = async |c: &mut UpstreamConnection| c.read_body_piece(decoder).await;
             let attempt = &response.host.attempt;
-            wait.run(self, connection, attempt, read_piece).await?
+            wait.read(self, connection, attempt, read_piece).await?
         };
         let resumable = self.route.resumable;
         match piece {
-            // This may be a broken connection. A stream that may be resumed goes on elsewhere.
+            // The end of the connection may also be a failure, so a resumable stream is resumed at another host.
             None if resumable && relay.decoder.is_close_delimited() && relay.writer.marks_end() => {
                 Err(WaitError::Broken)
             }
@@ -111,28 +111,28 @@
         }
     }
 
-    /// Ends a stream that has come to its end.
+    /// Finishes a stream whose end has been read.
     async fn finish_stream(&self, response: HostResponse, mut relay: StreamRelay) -> AttemptResult {
         let HostResponse {
             host,
             connection,
             head,
-            behind_strays,
+            after_stray_responses,
             ..
         } = response;
-        if !behind_strays {
+        if !after_stray_responses {
             upstream::release(self.state, &host.id, connection, &head);
         }
         host.attempt.finish(Outcome::Succeeded, None);
         let rest = relay.splitter.take_incomplete();
-        if !rest.is_empty() && !relay.writer.write(self, &head, &rest).await {
+        if !rest.is_empty() && !relay.writer.write_piece(self, &head, &rest).await {
             return AttemptResult::Answered(ConnectionOutcome::Truncated);
         }
         AttemptResult::Answered(relay.writer.finish(self, &head).await)
     }
 
-    /// Ends an attempt whose stream has broken. The stream goes on at another host where the client has nothing of it
-    /// yet, or where that host can be told where to resume; else it is truncated.
+    /// Ends an attempt whose stream has broken. If the client has received nothing yet, or the stream can be resumed,
+    /// it continues at another host; otherwise it is truncated.
     fn on_broken_stream(&self, error: WaitError, host: SelectedHost) -> AttemptResult {
         let truncated = self.progress.started() && !self.may_resume();
         let result = self.on_wait_error(error, host.attempt);
@@ -142,14 +142,14 @@
         result
     }
 
-    /// Reads the next piece of a stream that has begun. A stalled stream that may be resumed goes to another host,
-    /// unless this one shows itself alive on other connections: then the stream will go on here.
-    async fn read_later_piece(
+    /// Reads the next piece of a stream after its first one. A stalled resumable stream fails over to another host,
+    /// unless this host is active on other connections: then the stream is expected to continue here.
+    async fn read_next_piece(
         &mut self,
         connection: &mut UpstreamConnection,
         decoder: &mut BodyDecoder,
     ) -> Result<Option<Bytes>, WaitError> {
-        if self.is_over_time() {
+        if self.is_past_max_overrun() {
             return Err(WaitError::DeadlinePassed);
         }
         let deadline = self.response_deadline();
@@ -177,28 +177,28 @@
         }
     }
 
-    /// The complete events that have come and that the client does not have.
+    /// Takes the complete events that have arrived and that the client does not have yet.
     fn take_new_events(&mut self, splitter: &mut EventSplitter) -> Bytes {
         let mut first = Bytes::new();
-        let mut several = BytesMut::new();
+        let mut combined = BytesMut::new();
         while let Some(event) = splitter.next_event() {
             if !self.offset.advance(&event) {
                 continue;
             }
-            // One event alone, the usual case, is not copied.
+            // A single event, the usual case, is not copied.
             if first.is_empty() {
                 first = event.bytes;
                 continue;
             }
-            if several.is_empty() {
-                several.extend_from_slice(&first);
+            if combined.is_empty() {
+                combined.extend_from_slice(&first);
             }
-            several.extend_from_slice(&event.bytes);
+            combined.extend_from_slice(&event.bytes);
         }
-        if several.is_empty() {
+        if combined.is_empty() {
             first
         } else {
-            several.freeze()
+            combined.freeze()
         }
     }
 }
--- a/crates/proxy/tests/broken_connections.rs
+++ b/crates/proxy/tests/broken_connections.rs
@@ -1,5 +1,6 @@
-//! A host that breaks at each byte of reading a request and of writing its response, for each kind of route, on new and on
-//! reused connections: how many hosts get the request, and what the client gets.
+//! Tests of a host that closes its connection at each byte of reading a request and of writing its response, for each
+//! kind of route, on new and on reused connections. They check how many hosts receive the request and what the client
+//! gets.
 
 mod common;
 use common::*;
@@ -10,41 +11,41 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const BODY: &str = "the host's whole body";
-const LAST_EVENT: u64 = 3;
+const LAST_EVENT_ID: u64 = 3;
 
-/// Where the first host that hears of the attempt breaks.
+/// Where the first host that receives the attempt closes its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum BreakPoint {
-    /// After so many bytes of the request were read.
+    /// After this many bytes of the request were read.
     DuringRequest(usize),
-    /// After so many bytes of the response were written.
+    /// After this many bytes of the response were written.
     DuringResponse(usize),
 }
 
-/// How its connection ends.
+/// How the host closes its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CloseKind {
     Orderly,
     Reset,
 }
 
-/// What a connection of a host got of the attempt.
+/// The part of the attempt that one connection of a host received.
 #[derive(Clone, Debug, PartialEq)]
 struct ReceivedRequest {
-    bytes: usize,
+    byte_count: usize,
     complete: bool,
-    /// Whether the connection had served a request before.
-    used: bool,
+    /// Whether the connection had carried a request before.
+    reused_connection: bool,
 }
 
 #[derive(Default)]
 struct Scenario {
-    /// Set until the break has happened; the first connection that gets to it takes it.
+    /// The break to perform; taken by the first connection that reaches it.
     pending_break: Option<(BreakPoint, CloseKind)>,
-    /// Whether the attempt under test is out, and not one that opens connections.
-    watching: bool,
+    /// Whether requests are recorded: true for the attempt under test, false for those that only open connections.
+    recording_attempt: bool,
     received: Vec<ReceivedRequest>,
-    /// Requests that each host has answered.
+    /// Number of requests that each host has responded to.
     served: [usize; 2],
 }
 
@@ -62,7 +63,8 @@
     })
 }
 
-/// The complete response to a request: a body with a length, or a chunked stream from the event offset on.
+/// Builds the complete response to a request: a body with a length, or a chunked stream that starts after the event in
+/// `Last-Event-Id`.
 fn response_to(request: &str) -> String {
     let id = field_value(request, "fennelpin-attempt-id").unwrap();
     let head =
@@ -71,7 +73,7 @@
         return format!("{head}Content-Length: {}\r\n\r\n{BODY}", BODY.len());
     }
     let from = field_value(request, "last-event-id").map_or(0, |v| v.parse().unwrap());
-    let chunks: String = (from + 1..=LAST_EVENT)
+    let chunks: String = (from + 1..=LAST_EVENT_ID)
         .map(|n| {
             let event = event(n);
             format!("{:x}\r\n{event}\r\n", event.len())
@@ -80,8 +82,8 @@
     format!("{head}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")
 }
 
-fn close(stream: TcpStream, end: CloseKind) {
-    if end == CloseKind::Reset {
+fn close(stream: TcpStream, kind: CloseKind) {
+    if kind == CloseKind::Reset {
         rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
     }
 }
@@ -98,86 +100,86 @@
 }
 
 enum ReadResult {
-    Some,
-    Nothing,
+    Read,
+    WouldBlock,
     PeerClosed,
     BreakNow(CloseKind),
 }
 
-/// Reads what has come, and no more than up to the next break.
+/// Reads the available bytes, but not beyond the next break.
 fn read_once(
     stream: &TcpStream,
     request: &mut Vec<u8>,
     scenario: &RefCell<Scenario>,
 ) -> ReadResult {
     let mut scenario = scenario.borrow_mut();
-    let mut some = [0; 4096];
-    let mut room = some.len();
-    if let Some((BreakPoint::DuringRequest(most), how)) = scenario.pending_break {
-        room = most - request.len();
-        if room == 0 {
+    let mut buffer = [0; 4096];
+    let mut readable_bytes = buffer.len();
+    if let Some((BreakPoint::DuringRequest(limit), close_kind)) = scenario.pending_break {
+        readable_bytes = limit - request.len();
+        if readable_bytes == 0 {
             scenario.pending_break = None;
-            return ReadResult::BreakNow(how);
+            return ReadResult::BreakNow(close_kind);
         }
     }
-    match stream.try_read(&mut some[..room]) {
+    match stream.try_read(&mut buffer[..readable_bytes]) {
         Ok(0) => ReadResult::PeerClosed,
         Ok(n) => {
-            request.extend_from_slice(&some[..n]);
-            ReadResult::Some
+            request.extend_from_slice(&buffer[..n]);
+            ReadResult::Read
         }
-        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => ReadResult::Nothing,
+        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => ReadResult::WouldBlock,
         Err(_) => ReadResult::PeerClosed,
     }
 }
 
-/// Serves one connection, and breaks at the break point.
+/// Serves requests on one connection until the break point, where it closes the connection.
 async fn serve_as_host(stream: TcpStream, host: usize, scenario: Rc<RefCell<Scenario>>) {
-    let mut used = false;
+    let mut reused_connection = false;
     loop {
         let mut request = Vec::new();
-        let mut entry = None;
+        let mut entry_index = None;
         while !is_complete(&request) {
-            let at_start = used || !request.is_empty();
+            let at_start = reused_connection || !request.is_empty();
             if at_start && stream.readable().await.is_err() {
                 return;
             }
             match read_once(&stream, &mut request, &scenario) {
-                ReadResult::Some => {}
-                ReadResult::Nothing => {
+                ReadResult::Read => {}
+                ReadResult::WouldBlock => {
                     if stream.readable().await.is_err() {
                         return;
                     }
                     continue;
                 }
                 ReadResult::PeerClosed => return,
-                ReadResult::BreakNow(how) => return close(stream, how),
+                ReadResult::BreakNow(close_kind) => return close(stream, close_kind),
             }
             let mut scenario = scenario.borrow_mut();
-            if scenario.watching {
+            if scenario.recording_attempt {
                 let received = ReceivedRequest {
-                    bytes: request.len(),
+                    byte_count: request.len(),
                     complete: is_complete(&request),
-                    used,
+                    reused_connection,
                 };
-                let number = *entry.get_or_insert(scenario.received.len());
+                let number = *entry_index.get_or_insert(scenario.received.len());
                 scenario.received.truncate(number);
                 scenario.received.push(received);
             }
         }
         let response = response_to(&String::from_utf8(request).unwrap());
         let pending_break = scenario.borrow_mut().pending_break.take();
-        if let Some((BreakPoint::DuringResponse(most), how)) = pending_break {
-            write_all_bytes(&stream, &response.as_bytes()[..most.min(response.len())]).await;
-            return close(stream, how);
+        if let Some((BreakPoint::DuringResponse(limit), close_kind)) = pending_break {
+            write_all_bytes(&stream, &response.as_bytes()[..limit.min(response.len())]).await;
+            return close(stream, close_kind);
         }
         write_all_bytes(&stream, response.as_bytes()).await;
         scenario.borrow_mut().served[host] += 1;
-        used = true;
+        reused_connection = true;
     }
 }
 
-async fn host(number: usize, scenario: &Rc<RefCell<Scenario>>) -> balancing::HostInfo {
+async fn start_host(number: usize, scenario: &Rc<RefCell<Scenario>>) -> balancing::HostInfo {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string().parse().unwrap();
     let scenario = scenario.clone();
@@ -190,23 +192,26 @@
     host_info(&format!("h{number}"), "s", addr)
 }
 
-/// What came of one break.
-struct PlayResult {
+/// The result of a request whose first host breaks.
+struct BreakResult {
     received: Vec<ReceivedRequest>,
-    /// Connections that a byte of the attempt was given to.
-    sent: u64,
+    /// Number of connections on which at least one byte of the attempt was sent.
+    sent_count: u64,
     response: Option<Message>,
 }
 
-/// Plays one break; what the hosts received of the attempt, and the client's response.
-async fn play_break(
+/// Sends a request to a proxy whose first host breaks. Returns what the hosts received and the client's response.
+async fn run_break(
     path: &str,
     reused: bool,
-    pending_break: BreakPoint,
-    how: CloseKind,
-) -> PlayResult {
+    break_point: BreakPoint,
+    close_kind: CloseKind,
+) -> BreakResult {
     let scenario = Rc::new(RefCell::new(Scenario::default()));
-    let hosts = vec![host(0, &scenario).await, host(1, &scenario).await];
+    let hosts = vec![
+        start_host(0, &scenario).await,
+        start_host(1, &scenario).await,
+    ];
     let proxy = Proxy::without_configuration().await;
     proxy.apply_fleet(configuration(1, ROUTES), hosts).await;
     let mut client = proxy.client().await;
@@ -216,16 +221,16 @@
     }
     {
         let mut scenario = scenario.borrow_mut();
-        scenario.pending_break = Some((pending_break, how));
-        scenario.watching = true;
+        scenario.pending_break = Some((break_point, close_kind));
+        scenario.recording_attempt = true;
     }
     let before = proxy.counters.get().attempts;
     client.send(&request(path, "one", "")).await;
     let response = client.read_message().await;
     let received = scenario.borrow().received.clone();
-    PlayResult {
+    BreakResult {
         received,
-        sent: proxy.counters.get().attempts - before,
+        sent_count: proxy.counters.get().attempts - before,
         response,
     }
 }
@@ -233,42 +238,42 @@
 fn assert_break_is_safe(
     path: &str,
     case: &str,
-    PlayResult {
+    BreakResult {
         received,
-        sent,
+        sent_count,
         response,
-    }: PlayResult,
+    }: BreakResult,
 ) {
     let idempotent = matches!(path, "/pure/a" | "/more/a");
-    let most = if idempotent { 3 } else { 1 };
+    let limit = if idempotent { 3 } else { 1 };
     assert!(
-        received.len() <= most && sent <= most as u64,
-        "{case}: {sent} sent, {received:?}"
+        received.len() <= limit && sent_count <= limit as u64,
+        "{case}: {sent_count} sent, {received:?}"
     );
-    let response = response.unwrap_or_else(|| panic!("{case}: no answer"));
-    let all = events(1..=LAST_EVENT);
-    let right = match path {
+    let response = response.unwrap_or_else(|| panic!("{case}: no response"));
+    let all = events(1..=LAST_EVENT_ID);
+    let has_expected_body = match path {
         "/pure/a" | "/once/a" => response.body == BODY,
         _ => response.body == all,
     };
-    let good = response.status() == 200 && response.complete && right;
+    let complete_response = response.status() == 200 && response.complete && has_expected_body;
     match path {
-        // It may run again: some host gives the complete response.
-        "/pure/a" | "/more/a" => assert!(good, "{case}: {response:?}"),
+        // The request is idempotent, so another host gives the complete response.
+        "/pure/a" | "/more/a" => assert!(complete_response, "{case}: {response:?}"),
         "/once/a" => assert!(
-            good || (response.status() == 502 && response.complete),
+            complete_response || (response.status() == 502 && response.complete),
             "{case}: {response:?}"
         ),
         _ => {
-            let cut =
+            let is_truncated =
                 response.status() == 200 && !response.complete && all.starts_with(&response.body);
             assert!(
-                good || cut || response.status() == 502,
+                complete_response || is_truncated || response.status() == 502,
                 "{case}: {response:?}"
             );
         }
     }
-    // Some host got the complete request, or the client was promised that nothing ran.
+    // A success requires that some host received the complete request.
     if response.status() == 200 {
         assert!(received.iter().any(|h| h.complete), "{case}: {received:?}");
     }
@@ -279,29 +284,32 @@
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
     #[values(false, true)] reused: bool,
 ) {
-    let mut played = 0;
-    let mut once = |pending_break: BreakPoint, how: CloseKind| {
-        let case = format!("{path} {pending_break:?} {how:?} reused {reused}");
-        let mut came = None;
-        run_async_test(async { came = Some(play_break(path, reused, pending_break, how).await) });
-        let came = came.unwrap();
-        if let (true, BreakPoint::DuringResponse(_)) = (reused, pending_break) {
-            assert!(came.received[0].used, "{case}: not on a used connection");
+    let mut break_count = 0;
+    let mut check_break = |break_point: BreakPoint, kind: CloseKind| {
+        let case = format!("{path} {break_point:?} {kind:?} reused {reused}");
+        let mut result = None;
+        run_async_test(async { result = Some(run_break(path, reused, break_point, kind).await) });
+        let result = result.unwrap();
+        if let (true, BreakPoint::DuringResponse(_)) = (reused, break_point) {
+            assert!(
+                result.received[0].reused_connection,
+                "{case}: not on a reused connection"
+            );
         }
-        played += 1;
-        let bytes = came.received.first().map_or(0, |h| h.bytes);
-        assert_break_is_safe(path, &case, came);
-        bytes
+        break_count += 1;
+        let received_bytes = result.received.first().map_or(0, |h| h.byte_count);
+        assert_break_is_safe(path, &case, result);
+        received_bytes
     };
-    let request = once(BreakPoint::DuringResponse(0), CloseKind::Orderly);
-    for how in [CloseKind::Orderly, CloseKind::Reset] {
-        for n in 0..request {
-            once(BreakPoint::DuringRequest(n), how);
+    let request_bytes = check_break(BreakPoint::DuringResponse(0), CloseKind::Orderly);
+    for kind in [CloseKind::Orderly, CloseKind::Reset] {
+        for n in 0..request_bytes {
+            check_break(BreakPoint::DuringRequest(n), kind);
         }
-        let longest = response_to(&format!("{path}\nfennelpin-attempt-id: one\n")).len();
-        for n in 0..=longest {
-            once(BreakPoint::DuringResponse(n), how);
+        let response_bytes = response_to(&format!("{path}\nfennelpin-attempt-id: one\n")).len();
+        for n in 0..=response_bytes {
+            check_break(BreakPoint::DuringResponse(n), kind);
         }
     }
-    println!("{played} breaks");
+    println!("{break_count} breaks");
 }
--- a/crates/proxy/tests/requests_ahead_at_shutdown.rs
+++ b/crates/proxy/tests/pipelined_requests_at_shutdown.rs
@@ -1,16 +1,16 @@
-//! Requests that a client has sent ahead when the process is asked to end: each has its answer.
+//! Tests of pipelined requests when the process is signalled to stop: each gets a response.
 
 mod common;
 use common::*;
 
 #[test]
-fn requests_sent_ahead_before_the_signal_are_all_answered() {
+fn requests_pipelined_before_the_signal_are_all_answered() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(4.0, &host).await;
         let mut client = proxy.client().await;
-        let (one, two) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
-        client.send(&format!("{one}{two}")).await;
+        let (request_1, request_2) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
+        client.send(&format!("{request_1}{request_2}")).await;
         let mut conn = host.accept().await;
         let first = conn.read_message().await.unwrap();
         assert_eq!(first.field("fennelpin-attempt-id"), Some("one"));
@@ -19,9 +19,13 @@
         conn.send(&ok_response("one", "first")).await;
         let response = client.read_message().await.unwrap();
         assert_eq!(response.body, "first");
-        assert_eq!(response.field("connection"), None, "more is to come");
+        assert_eq!(
+            response.field("connection"),
+            None,
+            "another response follows"
+        );
         conn.respond_ok("second").await;
-        let response = client.read_message().await.expect("the second answer");
+        let response = client.read_message().await.expect("the second response");
         assert_eq!(response.body, "second");
         assert_eq!(response.field("connection"), Some("close"));
         client.wait_until_closed().await;
@@ -29,19 +33,19 @@
 }
 
 #[test]
-fn request_sent_ahead_of_one_that_the_end_cuts_off_is_rejected() {
+fn request_pipelined_after_one_that_the_shutdown_interrupts_is_rejected() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let mut proxy = Proxy::with_grace(1.2, &host).await;
         let mut client = proxy.client().await;
-        let (one, two) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
-        client.send(&format!("{one}{two}")).await;
+        let (request_1, request_2) = (request("/once/a", "one", ""), request("/once/b", "two", ""));
+        client.send(&format!("{request_1}{request_2}")).await;
         let mut conn = host.accept().await;
         conn.read_message().await.unwrap();
         proxy.signal_stop();
         let response = client.read_message().await.unwrap();
         assert_eq!(response.status(), 502, "it may have run");
-        let response = client.read_message().await.expect("a refusal");
+        let response = client.read_message().await.expect("a rejection");
         assert_eq!(response.status(), 503);
         assert_eq!(response.field("fennelpin-attempt-id"), Some("two"));
         assert_eq!(response.field("connection"), Some("close"));
