--- a/crates/control-plane/src/member/backup.rs
+++ b/crates/control-plane/src/member/backup.rs
@@ -8,7 +8,7 @@
 
 impl Member {
     /// A candidate asks this member to accept a membership configuration; replicas get the state that it starts from.
-    pub(super) fn on_install(
+    pub(super) fn on_install_membership(
         &mut self,
         from: MemberInfo,
         membership: MembershipConfig,
@@ -17,14 +17,14 @@
     ) {
         let epoch = membership.epoch;
         self.observe_epoch(epoch);
-        self.note_succession(&membership);
+        self.record_successor(&membership);
         let is_promised = epoch >= self.promise.epoch();
         if is_promised && self.accepted_epoch() == Some(epoch) {
             return self.reply_to_install(from, epoch, true, out);
         }
-        let is_replica = membership.replicas.contains(&self.me());
+        let is_replica = membership.replicas.contains(&self.own_id());
         let concerns_this_member =
-            membership.has_vote(self.me()) && is_replica == snapshot.is_some();
+            membership.has_vote(self.own_id()) && is_replica == snapshot.is_some();
         let state = snapshot
             .as_ref()
             .map(ReplicatedState::from_snapshot)
@@ -58,7 +58,7 @@
             membership: Box::new(membership),
             state: state.map(Box::new),
         };
-        self.write(&record, on_durable);
+        self.queue_record(&record, on_durable);
     }
 
     pub(super) fn on_membership_durable(
@@ -70,12 +70,12 @@
     ) {
         let epoch = membership.epoch;
         if self.accepted_epoch().is_none_or(|own| own < epoch) {
-            self.committed.membership_begins(state.as_ref());
+            self.committed.start_membership(state.as_ref());
             self.log = state.map(ReplicaLog::new);
             self.membership = Some(membership);
         }
-        if candidate.id == self.me() {
-            self.on_installed(candidate.id, epoch, true, out);
+        if candidate.id == self.own_id() {
+            self.on_install_reply(candidate.id, epoch, true, out);
         } else {
             self.reply_to_install(candidate, epoch, true, out);
         }
@@ -97,7 +97,7 @@
     }
 
     /// The primary sent a change.
-    pub(super) fn on_append(
+    pub(super) fn on_append_change(
         &mut self,
         from: MemberInfo,
         epoch: u64,
@@ -105,7 +105,7 @@
         change: Change,
         out: &mut Vec<Output>,
     ) {
-        let follows = self.follows(epoch, from.id) && !self.is_given_up();
+        let follows = self.follows(epoch, from.id) && !self.is_superseded();
         let is_promised = self.promise.epoch() == epoch;
         let disk_healthy = self
             .writes
@@ -138,7 +138,7 @@
             epoch,
             state: Box::new(next),
         };
-        self.write(&record, on_durable);
+        self.queue_record(&record, on_durable);
     }
 
     fn reply_to_append(
@@ -169,7 +169,7 @@
             return;
         };
         if self.committed.commit(index, log.durable()) {
-            self.write(&Record::Committed { index }, OnDurable::Nothing);
+            self.queue_record(&Record::Committed { index }, OnDurable::Nothing);
         }
     }
 }
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -58,7 +58,7 @@
     phase: ElectionPhase,
     phase_started_at: Duration,
     /// When the voters that promised are next told that a large snapshot is on its way.
-    next_progress_at: Duration,
+    next_progress_report_at: Duration,
     pre_votes: BTreeSet<u64>,
     /// Whom a promise was asked of.
     asked: BTreeSet<u64>,
@@ -68,12 +68,12 @@
     target: Option<InstallTarget>,
     change: MembershipChange,
     /// The epoch of which this member was primary: it knows the membership configuration of that one to be installed.
-    committed_epoch: Option<u64>,
+    own_previous_epoch: Option<u64>,
     /// Since when it has been the primary, if it changes its own membership configuration.
-    acting_since: Option<Duration>,
+    primary_since: Option<Duration>,
     /// Nobody else has promised in time: fewer replicas than the fault budget asks for will do if there are too few
     /// voters for the budget anyway.
-    accepts_few_replicas: bool,
+    allows_under_replication: bool,
 }
 
 impl CandidateState {
@@ -83,16 +83,16 @@
             epoch: 0,
             phase: ElectionPhase::PreVote,
             phase_started_at: now,
-            next_progress_at: now,
+            next_progress_report_at: now,
             pre_votes: BTreeSet::new(),
             asked: BTreeSet::new(),
             promises: BTreeMap::new(),
             installed: BTreeSet::new(),
             target: None,
             change: MembershipChange::default(),
-            committed_epoch: None,
-            acting_since: None,
-            accepts_few_replicas: false,
+            own_previous_epoch: None,
+            primary_since: None,
+            allows_under_replication: false,
         }
     }
 
@@ -116,12 +116,12 @@
         self.phase_started_at
     }
 
-    pub(super) fn next_progress_at(&self) -> Duration {
-        self.next_progress_at
+    pub(super) fn next_progress_report_at(&self) -> Duration {
+        self.next_progress_report_at
     }
 
-    pub(super) fn set_next_progress(&mut self, at: Duration) {
-        self.next_progress_at = at;
+    pub(super) fn set_next_progress_report(&mut self, at: Duration) {
+        self.next_progress_report_at = at;
     }
 
     pub(super) fn enter_phase(&mut self, phase: ElectionPhase, now: Duration) {
@@ -135,30 +135,30 @@
     }
 
     /// Whether the candidate changes its own membership configuration as primary.
-    pub(super) fn is_primary(&self) -> bool {
-        self.committed_epoch.is_some()
+    pub(super) fn is_reconfiguring_primary(&self) -> bool {
+        self.own_previous_epoch.is_some()
     }
 
     /// Whether this member was primary of this epoch, so that it knows the membership configuration to be installed.
-    pub(super) fn knows_committed(&self, epoch: u64) -> bool {
-        self.committed_epoch == Some(epoch)
+    pub(super) fn knows_installed(&self, epoch: u64) -> bool {
+        self.own_previous_epoch == Some(epoch)
     }
 
     pub(super) fn change(&self) -> &MembershipChange {
         &self.change
     }
 
-    pub(super) fn acting_since(&self) -> Option<Duration> {
-        self.acting_since
+    pub(super) fn primary_since(&self) -> Option<Duration> {
+        self.primary_since
     }
 
-    pub(super) fn accepts_few_replicas(&self) -> bool {
-        self.accepts_few_replicas
+    pub(super) fn allows_under_replication(&self) -> bool {
+        self.allows_under_replication
     }
 
     /// Waits for one more phase time, and then is content with few replicas.
-    pub(super) fn accept_few_replicas(&mut self, now: Duration) {
-        self.accepts_few_replicas = true;
+    pub(super) fn allow_under_replication(&mut self, now: Duration) {
+        self.allows_under_replication = true;
         self.phase_started_at = now;
     }
 
@@ -244,11 +244,11 @@
 
     /// Prepares an epoch once a majority would promise.
     pub(super) fn on_pre_votes_changed(&mut self, out: &mut Vec<Output>) {
-        let me = self.me();
+        let own_id = self.own_id();
         let (Some(candidate), Some(membership)) = (self.role.candidate(), &self.membership) else {
             return;
         };
-        if membership.has_quorum(|id| id == me || candidate.pre_votes.contains(&id)) {
+        if membership.has_quorum(|id| id == own_id || candidate.pre_votes.contains(&id)) {
             self.prepare(None, out);
         }
     }
@@ -257,11 +257,11 @@
     /// configuration.
     pub(super) fn prepare(&mut self, change: Option<MembershipChange>, out: &mut Vec<Output>) {
         let highest = self.highest_epoch_seen.max(self.promise.epoch());
-        let epoch = next_epoch(highest, self.me());
+        let epoch = next_epoch(highest, self.own_id());
         let mut candidate = CandidateState::prepare(epoch, self.now);
         if let Some(primary) = self.role.primary() {
-            candidate.committed_epoch = Some(primary.epoch());
-            candidate.acting_since = Some(primary.acting_since());
+            candidate.own_previous_epoch = Some(primary.epoch());
+            candidate.primary_since = Some(primary.primary_since());
         }
         candidate.change = change.unwrap_or_default();
         self.step_down();
@@ -273,11 +273,11 @@
 
     /// Asks voters for promises that haven't been asked yet.
     fn request_promises(&mut self, voters: BTreeSet<u64>, out: &mut Vec<Output>) {
-        let me = self.me();
+        let own_id = self.own_id();
         let Some(candidate) = self.role.candidate_mut() else {
             return;
         };
-        let is_new = |id: &u64| *id != me && candidate.asked.insert(*id);
+        let is_new = |id: &u64| *id != own_id && candidate.asked.insert(*id);
         let new: Vec<u64> = voters.into_iter().filter(is_new).collect();
         let epoch = candidate.epoch;
         self.send_prepare(epoch, new, out);
@@ -336,35 +336,40 @@
             return;
         }
         if latest.epoch == 0 {
-            return self.install(latest, ReplicatedState::default(), out);
+            return self.install_membership(latest, ReplicatedState::default(), out);
         }
         self.obtain_state(latest, out);
     }
 
     /// Takes the state from the own disk, or fetches it from the replica that has most of it.
     fn obtain_state(&mut self, latest: MembershipConfig, out: &mut Vec<Output>) {
-        let (now, me) = (self.now, self.me());
+        let (now, own_id) = (self.now, self.own_id());
         let has_latest = self.accepted_epoch() == Some(latest.epoch);
         let Some(candidate) = self.role.candidate_mut() else {
             return;
         };
         let mut replicas = candidate.promised_replicas(&latest);
-        let holds_state = has_latest && replicas.iter().any(|(id, _)| *id == me);
+        let holds_state = has_latest && replicas.iter().any(|(id, _)| *id == own_id);
         if let Some(log) = self.log.as_ref().filter(|_| holds_state) {
             let state = log.durable().clone();
-            return self.install(latest, state, out);
+            return self.install_membership(latest, state, out);
         }
         replicas.sort_by_key(|(_, index)| *index);
-        let Some((replica, _)) = replicas.pop().filter(|(id, _)| *id != me) else {
+        let Some((replica, _)) = replicas.pop().filter(|(id, _)| *id != own_id) else {
             return;
         };
         let epoch = candidate.epoch;
         candidate.enter_phase(ElectionPhase::Fetch, now);
-        self.schedule_progress();
+        self.schedule_progress_report();
         self.send(replica, Message::FetchSnapshot { epoch }, out);
     }
 
-    pub(super) fn on_snapshot(&mut self, epoch: u64, snapshot: &Snapshot, out: &mut Vec<Output>) {
+    pub(super) fn on_snapshot_reply(
+        &mut self,
+        epoch: u64,
+        snapshot: &Snapshot,
+        out: &mut Vec<Output>,
+    ) {
         let Some(candidate) = self.role.candidate_mut() else {
             return;
         };
@@ -376,7 +381,7 @@
         let latest = candidate.latest_promised().cloned();
         if let Some((latest, state)) = latest.zip(ReplicatedState::from_snapshot(snapshot).ok()) {
             self.phase_timeouts.reset_fetch();
-            self.install(latest, state, out);
+            self.install_membership(latest, state, out);
         }
     }
 }
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -89,7 +89,7 @@
 
     /// What the caller is told in place of a result. 429 and 503 promise to callers of locks, numbers and cells that the
     /// call never takes effect: one that was sent more than once may, whatever one copy was answered.
-    fn told_code(&self, code: ResultCode) -> ResultCode {
+    fn reported_code(&self, code: ResultCode) -> ResultCode {
         let is_promise = matches!(code.status(), 429 | 503);
         let may_take_effect = code == ResultCode::Unclear || self.times_sent > 1;
         match self.command {
@@ -100,7 +100,7 @@
         }
     }
 
-    fn next_retry(&self, own_id: u64) -> Option<Duration> {
+    fn next_retry_at(&self, own_id: u64) -> Option<Duration> {
         let sent = self.last_sent.filter(|r| r.primary != own_id)?;
         Some(sent.at + self.retry_interval)
     }
@@ -108,14 +108,14 @@
 
 /// How long commands may wait for their answers.
 #[derive(Clone, Copy, Debug)]
-struct CommandWait {
+struct CommandTimeouts {
     request_timeout: Duration,
     /// Whether this member is partitioned off.
     is_partitioned: bool,
 }
 
-impl CommandWait {
-    fn of(self, command: &LocalCommand) -> Duration {
+impl CommandTimeouts {
+    fn limit_for(self, command: &LocalCommand) -> Duration {
         let timeout = command.timeout(self.request_timeout);
         if self.is_partitioned {
             timeout.min(PARTITIONED_COMMAND_TIMEOUT)
@@ -145,7 +145,7 @@
     }
 
     /// The next primary gets all commands, whoever got them before.
-    pub(super) fn forget_sent(&mut self) {
+    pub(super) fn mark_all_unsent(&mut self) {
         for command in self.by_ticket.values_mut() {
             command.last_sent = None;
         }
@@ -182,10 +182,10 @@
     }
 
     /// The commands that have waited too long, with the result that their callers get.
-    fn timed_out(&self, now: Duration, wait_limit: CommandWait) -> Vec<(u64, ResultCode)> {
+    fn timed_out(&self, now: Duration, timeouts: CommandTimeouts) -> Vec<(u64, ResultCode)> {
         let commands = self.by_ticket.iter();
         commands
-            .filter(|(_, command)| now >= command.received_at + wait_limit.of(command))
+            .filter(|(_, command)| now >= command.received_at + timeouts.limit_for(command))
             .map(|(ticket, command)| (*ticket, command.timeout_code()))
             .collect()
     }
@@ -237,7 +237,7 @@
         match source {
             CommandSource::Local { ticket } => {
                 if let Some(command) = self.commands.by_ticket.remove(&ticket) {
-                    let code = command.told_code(code);
+                    let code = command.reported_code(code);
                     out.push(Output::Answer { ticket, code, body });
                 }
             }
@@ -257,8 +257,8 @@
     pub(super) fn run_commands(&mut self, out: &mut Vec<Output>) {
         let is_known = self.primary().is_some();
         self.commands.record_primary(is_known, self.now);
-        let wait_limit = self.command_wait();
-        for (ticket, code) in self.commands.timed_out(self.now, wait_limit) {
+        let timeouts = self.command_timeouts();
+        for (ticket, code) in self.commands.timed_out(self.now, timeouts) {
             self.answer(CommandSource::Local { ticket }, code, Vec::new(), out);
         }
         if let Some(primary) = self.primary() {
@@ -269,7 +269,7 @@
     }
 
     fn send_to_primary(&mut self, primary: &MemberInfo, out: &mut Vec<Output>) {
-        let due = self.commands.take_due(primary.id, self.me(), self.now);
+        let due = self.commands.take_due(primary.id, self.own_id(), self.now);
         for (ticket, command) in due {
             if let Some(own) = self.role.primary_mut() {
                 own.propose(CommandSource::Local { ticket }, command);
@@ -293,19 +293,23 @@
     }
 
     /// How long commands may wait here now.
-    fn command_wait(&self) -> CommandWait {
+    fn command_timeouts(&self) -> CommandTimeouts {
         let is_partitioned = self.partitioned_at().is_some_and(|at| self.now >= at);
-        CommandWait {
+        CommandTimeouts {
             request_timeout: self.config.request_timeout,
             is_partitioned,
         }
     }
 
     pub(super) fn commands_wake(&self) -> Option<Duration> {
-        let wait_limit = self.command_wait();
+        let timeouts = self.command_timeouts();
         let commands = &self.commands.by_ticket;
-        let ends = commands.values().map(|c| c.received_at + wait_limit.of(c));
-        let retries = commands.values().filter_map(|c| c.next_retry(self.me()));
+        let ends = commands
+            .values()
+            .map(|c| c.received_at + timeouts.limit_for(c));
+        let retries = commands
+            .values()
+            .filter_map(|c| c.next_retry_at(self.own_id()));
         let partitioned = self
             .partitioned_at()
             .filter(|at| *at > self.now && !commands.is_empty());
--- a/crates/control-plane/src/member/committed_state.rs
+++ b/crates/control-plane/src/member/committed_state.rs
@@ -19,21 +19,21 @@
     /// The newest state at hand that isn't beyond it.
     newest: Option<ReplicatedState>,
     /// Whether the membership configuration in force began with that state or an earlier one.
-    is_of_this_membership: bool,
+    newest_is_in_current_membership: bool,
     /// States on this disk that aren't known to be committed, oldest first.
-    uncommitted: VecDeque<Uncommitted>,
+    uncommitted: VecDeque<UncommittedState>,
     uncommitted_bytes: usize,
 }
 
 /// A state, and the record of the change that led to it.
 #[derive(Clone, Debug)]
-struct Uncommitted {
+struct UncommittedState {
     state: ReplicatedState,
     /// None for the state that a membership configuration begins with.
     record: Option<Vec<u8>>,
 }
 
-impl Uncommitted {
+impl UncommittedState {
     fn bytes(&self) -> usize {
         snapshot_bytes(&self.state) + self.record.as_ref().map_or(0, Vec::len)
     }
@@ -60,10 +60,10 @@
     }
 
     /// A membership configuration begins with this state, which is on this disk.
-    pub(super) fn membership_begins(&mut self, state: Option<&ReplicatedState>) {
+    pub(super) fn start_membership(&mut self, state: Option<&ReplicatedState>) {
         self.uncommitted.clear();
         self.uncommitted_bytes = 0;
-        self.is_of_this_membership = false;
+        self.newest_is_in_current_membership = false;
         if let Some(state) = state {
             self.add(state.clone(), None);
         }
@@ -75,7 +75,7 @@
     }
 
     fn add(&mut self, state: ReplicatedState, record: Option<Vec<u8>>) {
-        let added = Uncommitted { state, record };
+        let added = UncommittedState { state, record };
         let bytes = added.bytes();
         let fits = self.uncommitted_bytes + bytes <= MAX_UNCOMMITTED_BYTES
             && self.uncommitted.len() < MAX_UNCOMMITTED_STATES;
@@ -88,7 +88,7 @@
     /// All changes up to `index` are committed; `durable` is the state on this disk. Returns whether the commit index
     /// has risen.
     pub(super) fn commit(&mut self, index: u64, durable: &ReplicatedState) -> bool {
-        if index <= self.commit_index && self.is_of_this_membership {
+        if index <= self.commit_index && self.newest_is_in_current_membership {
             return false;
         }
         let has_risen = index > self.commit_index;
@@ -96,21 +96,24 @@
         while let Some(committed) = self.uncommitted.pop_front_if(|u| u.state.index <= index) {
             self.uncommitted_bytes -= committed.bytes();
             self.newest = Some(committed.state);
-            self.is_of_this_membership = true;
+            self.newest_is_in_current_membership = true;
         }
         if durable.index == index {
             self.newest = Some(durable.clone());
-            self.is_of_this_membership = true;
+            self.newest_is_in_current_membership = true;
         }
         has_risen
     }
 
     /// The records of all changes from the newest committed state up to `index`; none if one isn't at hand.
-    pub(super) fn changes_up_to(&self, index: u64) -> Option<impl Iterator<Item = &Vec<u8>>> {
+    pub(super) fn change_records_up_to(
+        &self,
+        index: u64,
+    ) -> Option<impl Iterator<Item = &Vec<u8>>> {
         let newest = self
             .newest
             .as_ref()
-            .filter(|_| self.is_of_this_membership)?;
+            .filter(|_| self.newest_is_in_current_membership)?;
         let last = self
             .uncommitted
             .back()
@@ -122,7 +125,7 @@
     }
 
     /// The file was rewritten: it tells of the newest state at hand.
-    pub(super) fn file_rewritten(&mut self) {
+    pub(super) fn on_file_rewritten(&mut self) {
         self.commit_index = self.newest.as_ref().map_or(0, |state| state.index);
     }
 }
--- a/crates/control-plane/src/member/coordination_answer.rs
+++ b/crates/control-plane/src/member/coordination_answer.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The result code of an answer, and its body; empty if the code says all.
-pub(super) fn reply(answer: &Answer) -> (ResultCode, Vec<u8>) {
+pub(super) fn encode_answer(answer: &Answer) -> (ResultCode, Vec<u8>) {
     let (code, body) = match answer {
         Answer::Acquired { fence } => (ResultCode::Ok, json!({"fence": fence})),
         Answer::Renewed | Answer::Released => (ResultCode::Ok, json!({})),
@@ -20,7 +20,7 @@
             json!({"value": &*cell.value, "revision": cell.revision}),
         ),
         Answer::Events { events, revision } => {
-            let events: Vec<Value> = events.iter().map(event).collect();
+            let events: Vec<Value> = events.iter().map(cell_json).collect();
             let body = json!({"events": events, "revision": revision});
             (ResultCode::Ok, body)
         }
@@ -34,8 +34,8 @@
     (code, body.to_string().into_bytes())
 }
 
-fn event(put: &Cell) -> Value {
-    json!({"name": &*put.name, "value": &*put.value, "revision": put.revision})
+fn cell_json(cell: &Cell) -> Value {
+    json!({"name": &*cell.name, "value": &*cell.value, "revision": cell.revision})
 }
 
 /// All locks that have a holder, with the time after which another may take each, in ms.
@@ -64,7 +64,7 @@
         json!({"groups": groups.collect::<Vec<Value>>()})
     } else {
         let cells = state.group(group).into_iter().flat_map(CellGroup::cells);
-        json!({"cells": cells.map(event).collect::<Vec<Value>>(), "revision": state.group_revision(group)})
+        json!({"cells": cells.map(cell_json).collect::<Vec<Value>>(), "revision": state.group_revision(group)})
     };
     body.to_string().into_bytes()
 }
--- a/crates/control-plane/src/member/coordination_requests.rs
+++ b/crates/control-plane/src/member/coordination_requests.rs
@@ -5,7 +5,7 @@
 //! there. A lock is renewed in the primary's memory alone, as the next primary counts its whole time anew.
 
 use super::commands::CommandSource;
-use super::coordination_answer::{list_cells, list_locks, reply};
+use super::coordination_answer::{encode_answer, list_cells, list_locks};
 use super::replication::PendingAnswer;
 use super::{Member, Output};
 use configuration::ResultCode;
@@ -148,7 +148,7 @@
         answer: &Answer,
         out: &mut Vec<Output>,
     ) {
-        let (code, body) = reply(answer);
+        let (code, body) = encode_answer(answer);
         self.answer(source, code, body, out);
     }
 
@@ -198,7 +198,7 @@
                 primary
                     .coordination
                     .record_change(&change, before, fence, now);
-                let (code, body) = reply(&next.coordination.answer_to(&change));
+                let (code, body) = encode_answer(&next.coordination.answer_to(&change));
                 let answer = PendingAnswer::new(source, code, body);
                 self.replicate(replicated, next, vec![answer], out);
             }
@@ -215,9 +215,9 @@
                 if is_settled || !primary.replication.has_pending() {
                     return self.answer_coordination(source, &answer, out);
                 }
-                let (code, body) = reply(&answer);
+                let (code, body) = encode_answer(&answer);
                 let waiting = PendingAnswer::new(source, code, body);
-                primary.replication.answer_with_last(waiting);
+                primary.replication.answer_after_last_change(waiting);
             }
         }
     }
--- a/crates/control-plane/src/member/departure.rs
+++ b/crates/control-plane/src/member/departure.rs
@@ -24,7 +24,7 @@
     started_at: Duration,
     next_announcement_at: Duration,
     /// A later membership configuration without this member is on the disks of all its replicas.
-    is_succeeded: bool,
+    is_successor_installed: bool,
     /// The runtime was told that the process may end.
     is_complete: bool,
 }
@@ -37,7 +37,7 @@
         self.departure = Some(Departure {
             started_at: self.now,
             next_announcement_at: self.now,
-            is_succeeded: false,
+            is_successor_installed: false,
             is_complete: false,
         });
         self.announce_departure(out);
@@ -68,19 +68,20 @@
     }
 
     /// A membership configuration was received. Those without a replica get one only once all replicas have it on disk.
-    pub(super) fn note_succession(&mut self, membership: &MembershipConfig) {
+    pub(super) fn record_successor(&mut self, membership: &MembershipConfig) {
         let is_newer = self
             .accepted_epoch()
             .is_none_or(|own| membership.epoch > own);
-        let me = self.me();
-        let is_without_me = membership.voter(me).is_none() && !membership.replicas.contains(&me);
+        let own_id = self.own_id();
+        let excludes_self =
+            membership.voter(own_id).is_none() && !membership.replicas.contains(&own_id);
         if let Some(departure) = &mut self.departure {
-            departure.is_succeeded |= is_newer && is_without_me && membership.is_stable();
+            departure.is_successor_installed |= is_newer && excludes_self && membership.is_stable();
         }
     }
 
     /// Departing members without a vote in a membership configuration: they wait for it to be installed.
-    pub(super) fn departing_without_vote(&self, membership: &MembershipConfig) -> Vec<u64> {
+    pub(super) fn departing_nonvoters(&self, membership: &MembershipConfig) -> Vec<u64> {
         self.peers
             .ids()
             .filter(|id| self.is_peer_departing(*id) && !membership.has_vote(*id))
@@ -93,14 +94,15 @@
         let Some(departure) = self.departure.as_ref().filter(|d| !d.is_complete) else {
             return;
         };
-        let hand_over_end = self.hand_over_end(departure);
+        let hand_over_deadline = self.hand_over_deadline(departure);
         let others = self.other_voters();
         let all_depart = others.iter().all(|id| self.is_peer_departing(*id));
-        let may_release = self.now >= hand_over_end || all_depart || self.others_can_go_on();
+        let may_release =
+            self.now >= hand_over_deadline || all_depart || self.others_can_take_over();
         if self.role.primary().is_some() && may_release {
             self.release_lease(out);
         }
-        if self.role.is_follower() && (all_depart || self.is_succeeded()) {
+        if self.role.is_follower() && (all_depart || self.is_no_longer_needed()) {
             if let Some(departure) = &mut self.departure {
                 departure.is_complete = true;
             }
@@ -108,19 +110,22 @@
         }
     }
 
-    fn hand_over_end(&self, departure: &Departure) -> Duration {
+    fn hand_over_deadline(&self, departure: &Departure) -> Duration {
         departure.started_at + MAX_HAND_OVER_LEASES * self.config.lease_duration
     }
 
     /// Whether neither the replicated state nor a majority depends on this member any more.
-    fn is_succeeded(&self) -> bool {
-        let is_free = |membership: &MembershipConfig| {
+    fn is_no_longer_needed(&self) -> bool {
+        let is_independent = |membership: &MembershipConfig| {
             membership.is_stable()
-                && !membership.replicas.contains(&self.me())
+                && !membership.replicas.contains(&self.own_id())
                 && !self.is_about_to_lose_vote(membership)
         };
-        self.membership.as_ref().is_none_or(is_free)
-            || self.departure.as_ref().is_some_and(|d| d.is_succeeded)
+        self.membership.as_ref().is_none_or(is_independent)
+            || self
+                .departure
+                .as_ref()
+                .is_some_and(|d| d.is_successor_installed)
     }
 
     /// Whether the primary is about to remove this voter, or to replace it by a member that joins. If this member ended
@@ -129,11 +134,12 @@
         let joins = |id: u64| membership.voter(id).is_none();
         let mut peers = self.peers.iter();
         let others_join = peers.any(|peer| joins(peer.info().id) && self.may_join(peer));
-        membership.voter(self.me()).is_some() && (others_join || self.can_spare_voter(membership))
+        membership.voter(self.own_id()).is_some()
+            && (others_join || self.can_spare_voter(membership))
     }
 
     /// Whether the voters that answered lately and don't depart are a majority, with enough replicas among them.
-    fn others_can_go_on(&self) -> bool {
+    fn others_can_take_over(&self) -> bool {
         let (Some(primary), Some(membership)) = (self.role.primary(), &self.membership) else {
             return false;
         };
@@ -152,10 +158,10 @@
 
     pub(super) fn departure_wake(&self) -> Option<Duration> {
         let departure = self.departure.as_ref()?;
-        let hand_over_end = self.hand_over_end(departure);
-        let hands_over = !departure.is_complete && hand_over_end > self.now;
+        let hand_over_deadline = self.hand_over_deadline(departure);
+        let hands_over = !departure.is_complete && hand_over_deadline > self.now;
         Some(if hands_over {
-            hand_over_end.min(departure.next_announcement_at)
+            hand_over_deadline.min(departure.next_announcement_at)
         } else {
             departure.next_announcement_at
         })
--- a/crates/control-plane/src/member/dispatch.rs
+++ b/crates/control-plane/src/member/dispatch.rs
@@ -22,12 +22,12 @@
             Message::InstallMembership {
                 membership,
                 snapshot,
-            } => self.on_install(from, membership, snapshot, out),
+            } => self.on_install_membership(from, membership, snapshot, out),
             Message::AppendChange {
                 epoch,
                 index,
                 change,
-            } => self.on_append(from, epoch, index, change, out),
+            } => self.on_append_change(from, epoch, index, change, out),
             Message::RenewLease {
                 epoch,
                 requested_at_ms,
@@ -59,7 +59,7 @@
                 };
                 self.on_lease_request(from, request, out);
             }
-            Message::FetchSnapshot { epoch } => self.on_fetch(from, epoch, out),
+            Message::FetchSnapshot { epoch } => self.on_fetch_snapshot(from, epoch, out),
             Message::ReleaseLease { epoch } => self.on_lease_released(from.id, epoch),
             Message::Leaving { .. } => self.peers.record_departure(from.id, self.now),
             Message::ForwardCommand {
@@ -89,17 +89,17 @@
                 let reply = PromiseReply {
                     epoch,
                     granted,
-                    history: Some(PromisedHistory::told(membership, log_position)),
+                    history: Some(PromisedHistory::from_message(membership, log_position)),
                     retry_after: milliseconds(retry_after_ms),
                 };
                 self.on_promise(from.id, reply, out);
             }
             Message::SnapshotReply {
                 epoch, snapshot, ..
-            } => self.on_snapshot(epoch, &snapshot, out),
+            } => self.on_snapshot_reply(epoch, &snapshot, out),
             Message::InstallMembershipReply {
                 epoch, accepted, ..
-            } => self.on_installed(from.id, epoch, accepted, out),
+            } => self.on_install_reply(from.id, epoch, accepted, out),
             Message::AppendReply {
                 epoch,
                 match_index,
--- a/crates/control-plane/src/member/election_timer.rs
+++ b/crates/control-plane/src/member/election_timer.rs
@@ -12,10 +12,10 @@
 impl Member {
     /// A voter without a lease in force campaigns once its turn has come.
     pub(super) fn run_election_timer(&mut self, out: &mut Vec<Output>) {
-        let is_held_back = self.grant.is_some_and(|g| g.until > self.now)
+        let is_held_back = self.granted_lease.is_some_and(|g| g.until > self.now)
             || self.departure.is_some()
             || !self.disk_healthy();
-        let may_campaign = self.role.is_follower() && self.is_voter() && !self.is_given_up();
+        let may_campaign = self.role.is_follower() && self.is_voter() && !self.is_superseded();
         if is_held_back || !may_campaign || self.now < self.election_at {
             return;
         }
@@ -45,7 +45,7 @@
     }
 
     fn election_rank(&self) -> u32 {
-        let me = self.me();
+        let own_id = self.own_id();
         let Some(membership) = &self.membership else {
             return 0;
         };
@@ -57,14 +57,14 @@
             .filter(|id| !membership.replicas.contains(id));
         let rank = replicas
             .chain(witnesses)
-            .filter(|id| *id != membership.primary || *id == me)
-            .position(|id| id == me);
+            .filter(|id| *id != membership.primary || *id == own_id)
+            .position(|id| id == own_id);
         rank.unwrap_or(0) as u32
     }
 
     pub(super) fn election_wake(&self) -> Option<Duration> {
         let waits = self.is_voter() && self.role.is_follower() && self.departure.is_none();
-        let lease_end = self.grant.map_or(self.election_at, |g| g.until);
+        let lease_end = self.granted_lease.map_or(self.election_at, |g| g.until);
         waits.then(|| self.election_at.max(lease_end))
     }
 }
--- a/crates/control-plane/src/member/epoch.rs
+++ b/crates/control-plane/src/member/epoch.rs
@@ -43,15 +43,15 @@
 
 impl Member {
     /// Whether an operator has recovered the system without the membership configuration that this member knows.
-    pub(super) fn is_given_up(&self) -> bool {
+    pub(super) fn is_superseded(&self) -> bool {
         self.membership
             .as_ref()
             .is_some_and(|own| generation(self.highest_epoch_seen) > generation(own.epoch))
     }
 
     /// A member that was given up is neither candidate nor primary any more.
-    pub(super) fn step_down_if_given_up(&mut self) {
-        if self.is_given_up() && !self.role.is_follower() {
+    pub(super) fn step_down_if_superseded(&mut self) {
+        if self.is_superseded() && !self.role.is_follower() {
             self.step_down();
         }
     }
--- a/crates/control-plane/src/member/installation.rs
+++ b/crates/control-plane/src/member/installation.rs
@@ -13,7 +13,7 @@
 impl Member {
     /// Composes the new membership configuration and sends it to its replicas. If these would be too few, more promises
     /// may arrive.
-    pub(super) fn install(
+    pub(super) fn install_membership(
         &mut self,
         base: MembershipConfig,
         state: ReplicatedState,
@@ -22,12 +22,12 @@
         let Some(membership) = self
             .role
             .candidate()
-            .and_then(|candidate| self.compose(candidate, &base))
+            .and_then(|candidate| self.compose_membership(candidate, &base))
         else {
             return;
         };
         let snapshot = state.snapshot();
-        self.send_to_replicas(&membership, &snapshot, out);
+        self.install_on_replicas(&membership, &snapshot, out);
         let record = Record::Accepted {
             membership: membership.clone(),
             snapshot: Some(snapshot),
@@ -37,21 +37,24 @@
             membership: Box::new(membership.clone()),
             state: Some(Box::new(state.clone())),
         };
-        self.write(&record, on_durable);
+        self.queue_record(&record, on_durable);
         if let Some(candidate) = self.role.candidate_mut() {
             candidate.enter_phase(ElectionPhase::Replicas, self.now);
             candidate.set_target(InstallTarget { membership, state });
         }
-        self.schedule_progress();
+        self.schedule_progress_report();
     }
 
-    fn send_to_replicas(
+    fn install_on_replicas(
         &self,
         membership: &MembershipConfig,
         snapshot: &Snapshot,
         out: &mut Vec<Output>,
     ) {
-        let others = membership.replicas.iter().filter(|id| **id != self.me());
+        let others = membership
+            .replicas
+            .iter()
+            .filter(|id| **id != self.own_id());
         for replica in others.filter_map(|id| membership.voter(*id)) {
             let message = Message::InstallMembership {
                 membership: membership.clone(),
@@ -65,7 +68,7 @@
     }
 
     /// The membership configuration that follows `base`; none if its replicas would be too few.
-    fn compose(
+    fn compose_membership(
         &self,
         candidate: &CandidateState,
         base: &MembershipConfig,
@@ -74,7 +77,7 @@
             members.iter().map(|m| self.latest_info(m)).collect()
         };
         let mut voters = latest_infos(&base.voters);
-        let previous_voters = if candidate.knows_committed(base.epoch) {
+        let previous_voters = if candidate.knows_installed(base.epoch) {
             let change = candidate.change();
             let is_new = |joiner: &&MemberInfo| base.voter(joiner.id).is_none();
             voters.retain(|v| !change.remove.contains(&v.id));
@@ -83,14 +86,14 @@
         } else {
             latest_infos(&base.previous_voters)
         };
-        let me = self.me();
+        let own_id = self.own_id();
         let replicas = self.place_replicas(candidate, base, &voters)?;
         voters
             .iter()
-            .any(|v| v.id == me)
+            .any(|v| v.id == own_id)
             .then_some(MembershipConfig {
                 epoch: candidate.epoch(),
-                primary: me,
+                primary: own_id,
                 replicas,
                 voters,
                 previous_voters,
@@ -105,14 +108,15 @@
         base: &MembershipConfig,
         voters: &[MemberInfo],
     ) -> Option<Vec<u64>> {
-        let me = self.me();
+        let own_id = self.own_id();
         let mut available: Vec<&MemberInfo> = voters
             .iter()
             .filter(|v| self.is_available(candidate, base, v.id))
             .collect();
-        available.sort_by_key(|v| (v.id != me, !base.replicas.contains(&v.id)));
-        let is_healthy =
-            |id: u64| id == me || (self.peers.is_disk_healthy(id) && !self.is_peer_departing(id));
+        available.sort_by_key(|v| (v.id != own_id, !base.replicas.contains(&v.id)));
+        let is_healthy = |id: u64| {
+            id == own_id || (self.peers.is_disk_healthy(id) && !self.is_peer_departing(id))
+        };
         let among = |usable: &dyn Fn(u64) -> bool| -> Vec<&MemberInfo> {
             let usable = available.iter().filter(|v| usable(v.id));
             usable.copied().collect()
@@ -134,9 +138,9 @@
     /// Whether a voter can be a replica: it has promised, or joins.
     fn is_available(&self, candidate: &CandidateState, base: &MembershipConfig, id: u64) -> bool {
         let change = candidate.change();
-        let joins = candidate.knows_committed(base.epoch) && change.add.iter().any(|m| m.id == id);
+        let joins = candidate.knows_installed(base.epoch) && change.add.iter().any(|m| m.id == id);
         let answers = candidate.has_promised(id) || joins;
-        id == self.me() || (!change.exclude.contains(&id) && answers)
+        id == self.own_id() || (!change.exclude.contains(&id) && answers)
     }
 
     /// Whether there are too few voters for the fault budget. Then those that are there hold replicas, and the primary
@@ -145,12 +149,12 @@
         let budget = &self.config.fault_budget;
         let all: Vec<&MemberInfo> = voters.iter().collect();
         let lacks_majority =
-            candidate.accepts_few_replicas() && majority_shortfall(budget, &all) > 0;
+            candidate.allows_under_replication() && majority_shortfall(budget, &all) > 0;
         lacks_majority || choose_replicas(budget, &all).is_none()
     }
 
     /// A member has answered whether it has accepted the membership configuration of an epoch.
-    pub(super) fn on_installed(
+    pub(super) fn on_install_reply(
         &mut self,
         from: u64,
         epoch: u64,
@@ -159,8 +163,8 @@
     ) {
         if let Some(primary) = self.role.primary_mut().filter(|_| accepted) {
             // A voter grants no lease before it has accepted the membership configuration: it is asked at once.
-            if primary.epoch() == epoch && primary.record_accepted(from) {
-                primary.renew_at(self.now);
+            if primary.epoch() == epoch && primary.record_acceptance(from) {
+                primary.schedule_renewal(self.now);
             }
             return;
         }
@@ -199,7 +203,7 @@
         candidate.continue_with_phase(ElectionPhase::Witnesses);
         let receivers = all_voters(membership)
             .into_iter()
-            .chain(self.departing_without_vote(membership));
+            .chain(self.departing_nonvoters(membership));
         for id in receivers.filter(|id| !membership.replicas.contains(id)) {
             let message = Message::InstallMembership {
                 membership: membership.clone(),
@@ -221,18 +225,18 @@
             return;
         }
         let voters = membership.voters.iter().map(|v| v.id);
-        let awaiting_accept: BTreeSet<u64> =
+        let awaiting_acceptance: BTreeSet<u64> =
             voters.filter(|id| !candidate.has_installed(*id)).collect();
-        let acting_since = candidate.acting_since().unwrap_or(self.now);
+        let primary_since = candidate.primary_since().unwrap_or(self.now);
         let replicas = membership.replicas.iter();
         let replicas: Vec<&MemberInfo> = replicas.filter_map(|id| membership.voter(*id)).collect();
         let accepts_changes = choose_replicas(&self.config.fault_budget, &replicas).is_some();
         let watch_history = self.config.watch_history;
         let mut primary = PrimaryState::new(&membership, state, watch_history, self.now);
-        primary.continue_since(acting_since);
-        primary.await_accept(awaiting_accept);
-        primary.accept_changes(accepts_changes);
-        self.grant = None;
+        primary.set_primary_since(primary_since);
+        primary.set_awaiting_acceptance(awaiting_acceptance);
+        primary.set_accepts_changes(accepts_changes);
+        self.granted_lease = None;
         self.phase_timeouts.reset_slow_disks();
         self.role = Role::Primary(Box::new(primary));
         self.run_primary(out);
--- a/crates/control-plane/src/member/lease.rs
+++ b/crates/control-plane/src/member/lease.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The part of a lease's duration that the primary relies on.
-const RELIED_ON_FRACTION: f64 = 0.9;
+const PRIMARY_LEASE_FRACTION: f64 = 0.9;
 /// How often a lease is renewed, as a part of its duration.
 pub(super) const RENEWAL_FRACTION: f64 = 0.25;
 
@@ -135,11 +135,11 @@
         };
         let granted_at = primary
             .leases
-            .quorum_granted_at(membership, self.me(), self.now);
+            .quorum_granted_at(membership, self.own_id(), self.now);
         if granted_at.is_zero() {
             return Duration::ZERO;
         }
-        granted_at + self.config.lease_duration.mul_f64(RELIED_ON_FRACTION)
+        granted_at + self.config.lease_duration.mul_f64(PRIMARY_LEASE_FRACTION)
     }
 
     /// A primary whose lease has ended steps down.
@@ -158,7 +158,7 @@
     /// to accept it.
     pub(super) fn renew_leases(&mut self, out: &mut Vec<Output>) {
         let is_leased = self.is_acting_primary();
-        let (now, me) = (self.now, self.me());
+        let (now, own_id) = (self.now, self.own_id());
         let (Some(primary), Some(membership)) = (self.role.primary_mut(), &self.membership) else {
             return;
         };
@@ -167,8 +167,13 @@
             return;
         }
         let mut messages: Vec<(u64, Message)> = Vec::new();
-        for voter in membership.voters.iter().map(|v| v.id).filter(|v| *v != me) {
-            if primary.is_awaiting_accept(voter) && !membership.replicas.contains(&voter) {
+        for voter in membership
+            .voters
+            .iter()
+            .map(|v| v.id)
+            .filter(|v| *v != own_id)
+        {
+            if primary.is_awaiting_acceptance(voter) && !membership.replicas.contains(&voter) {
                 let install = Message::InstallMembership {
                     membership: membership.clone(),
                     snapshot: None,
@@ -200,7 +205,7 @@
     ) {
         let epoch = request.epoch;
         let granted =
-            self.follows(epoch, from.id) && self.promise.epoch() == epoch && !self.is_given_up();
+            self.follows(epoch, from.id) && self.promise.epoch() == epoch && !self.is_superseded();
         if granted {
             self.grant_lease(&from, &request);
         }
@@ -229,7 +234,7 @@
             self.step_down();
         }
         let until = self.now + self.config.lease_duration;
-        self.grant = Some(LeaseGrant {
+        self.granted_lease = Some(LeaseGrant {
             primary: primary.id,
             epoch: request.epoch,
             until,
@@ -254,11 +259,11 @@
             return;
         }
         if !reply.granted {
-            primary.record_not_accepted(from.id);
+            primary.record_missing_acceptance(from.id);
             return;
         }
         primary.leases.record(from.id, reply);
-        primary.record_accepted(from.id);
+        primary.record_acceptance(from.id);
         // Changes that were replicated before there was a lease wait for it.
         self.commit(out);
     }
@@ -273,7 +278,7 @@
         self.step_down();
         let voters = self.membership.iter().flat_map(|m| &m.voters);
         let voters: Vec<u64> = voters.map(|v| v.id).collect();
-        for voter in voters.into_iter().filter(|v| *v != self.me()) {
+        for voter in voters.into_iter().filter(|v| *v != self.own_id()) {
             self.send(voter, Message::ReleaseLease { epoch }, out);
         }
         // The others campaign first.
@@ -283,8 +288,8 @@
     /// The lease holder needs its lease no more. Messages of other members don't end a lease.
     pub(super) fn on_lease_released(&mut self, from: u64, epoch: u64) {
         let is_holder = |g: LeaseGrant| g.primary == from && g.epoch <= epoch;
-        if self.grant.is_some_and(is_holder) {
-            self.grant = None;
+        if self.granted_lease.is_some_and(is_holder) {
+            self.granted_lease = None;
             self.election_at = self.now + self.election_delay();
         }
     }
--- a/crates/control-plane/src/member/membership_change.rs
+++ b/crates/control-plane/src/member/membership_change.rs
@@ -25,13 +25,13 @@
 
 impl Member {
     /// How the membership configuration has to change; none if it is good.
-    pub(super) fn needed_change(&self, primary: &PrimaryState) -> Option<MembershipChange> {
+    pub(super) fn required_change(&self, primary: &PrimaryState) -> Option<MembershipChange> {
         let membership = self.membership.as_ref()?;
         let mut change = MembershipChange::default();
         if let Some(exclude) = self.replicas_to_replace(primary, membership) {
             change.exclude = exclude;
         }
-        self.add_joining(primary, membership, &mut change);
+        self.add_joining_members(primary, membership, &mut change);
         if change.add.is_empty() {
             change
                 .remove
@@ -41,9 +41,9 @@
         let is_overtaken = self.highest_epoch_seen > primary.epoch();
         // A replica that refused a change but answers has to start again from a snapshot.
         let mut failed = primary.replication.failed_replicas().iter();
-        let needs_snapshot = failed.any(|id| !self.is_replica_silent(primary, *id));
+        let needs_snapshot = failed.any(|id| !self.has_replica_timed_out(primary, *id));
         let can_accept_changes =
-            !primary.accepts_changes() && self.enough_voters_answer(primary, membership);
+            !primary.accepts_changes() && self.enough_voters_respond(primary, membership);
         let is_needed = is_overtaken
             || needs_snapshot
             || can_accept_changes
@@ -59,13 +59,13 @@
             .saturating_sub(granted_at.unwrap_or(primary.started_at()))
     }
 
-    fn is_replica_silent(&self, primary: &PrimaryState, id: u64) -> bool {
+    fn has_replica_timed_out(&self, primary: &PrimaryState, id: u64) -> bool {
         let timeout = self.config.lease_duration.mul_f64(REPLICA_TIMEOUT_FRACTION);
         self.time_without_grant(primary, id) >= timeout
     }
 
     /// Whether a voter granted a lease lately, can write and doesn't depart.
-    fn answers(&self, primary: &PrimaryState, id: u64) -> bool {
+    fn is_responsive(&self, primary: &PrimaryState, id: u64) -> bool {
         let recent = self.config.lease_duration.mul_f64(2.0 * RENEWAL_FRACTION);
         self.time_without_grant(primary, id) < recent
             && self.peers.is_disk_healthy(id)
@@ -74,11 +74,11 @@
 
     /// The time since any message of a voter. Voters had no reason to send one before this member was primary, except
     /// during the lease that it waited for before it took over; that counts also for a voter that was never heard of.
-    fn silence(&self, primary: &PrimaryState, id: u64) -> Duration {
-        let heard_at = self.peers.heard_at(id).unwrap_or(Duration::ZERO);
-        let acting_since = primary.acting_since();
-        let first_expected = acting_since.saturating_sub(self.config.lease_duration);
-        self.now.saturating_sub(heard_at.max(first_expected))
+    fn time_since_last_message(&self, primary: &PrimaryState, id: u64) -> Duration {
+        let last_heard_at = self.peers.last_heard_at(id).unwrap_or(Duration::ZERO);
+        let primary_since = primary.primary_since();
+        let first_expected = primary_since.saturating_sub(self.config.lease_duration);
+        self.now.saturating_sub(last_heard_at.max(first_expected))
     }
 
     /// Replicas that don't answer, can't write or depart; none if there are no others for them.
@@ -87,7 +87,7 @@
         primary: &PrimaryState,
         membership: &MembershipConfig,
     ) -> Option<BTreeSet<u64>> {
-        let me = self.me();
+        let own_id = self.own_id();
         let timeout = self.config.lease_duration.mul_f64(REPLICA_TIMEOUT_FRACTION);
         let has_failed = |id: u64| {
             primary.replication.is_late(id, self.now, timeout)
@@ -97,8 +97,11 @@
                 || primary.replication.failed_replicas().contains(&id)
         };
         let replicas = membership.replicas.iter().copied();
-        let failed: BTreeSet<u64> = replicas.filter(|id| *id != me && has_failed(*id)).collect();
-        let is_usable = |id: u64| id == me || (!failed.contains(&id) && self.answers(primary, id));
+        let failed: BTreeSet<u64> = replicas
+            .filter(|id| *id != own_id && has_failed(*id))
+            .collect();
+        let is_usable =
+            |id: u64| id == own_id || (!failed.contains(&id) && self.is_responsive(primary, id));
         let voters = membership.voters.iter();
         let usable: Vec<&MemberInfo> = voters.filter(|v| is_usable(v.id)).collect();
         choose_replicas(&self.config.fault_budget, &usable)?;
@@ -106,8 +109,8 @@
     }
 
     /// Whether voters that were too few for all replicas are enough now.
-    fn enough_voters_answer(&self, primary: &PrimaryState, membership: &MembershipConfig) -> bool {
-        let answers = |id: u64| id == self.me() || self.answers(primary, id);
+    fn enough_voters_respond(&self, primary: &PrimaryState, membership: &MembershipConfig) -> bool {
+        let answers = |id: u64| id == self.own_id() || self.is_responsive(primary, id);
         let voters = membership.voters.iter();
         let answering: Vec<&MemberInfo> = voters.filter(|v| answers(v.id)).collect();
         choose_replicas(&self.config.fault_budget, &answering).is_some()
@@ -115,7 +118,7 @@
 
     /// Whether a member without a vote may become a voter.
     pub(super) fn may_join(&self, peer: &Peer) -> bool {
-        let heard_until = peer.heard_at() + JOIN_WITHIN_LEASES * self.config.lease_duration;
+        let heard_until = peer.last_heard_at() + JOIN_WITHIN_LEASES * self.config.lease_duration;
         let info = peer.info();
         self.now < heard_until
             && peer.disk_healthy()
@@ -130,7 +133,7 @@
     }
 
     /// Members without a vote join: in place of a voter that is lost or departs, or in addition to the others.
-    fn add_joining(
+    fn add_joining_members(
         &self,
         primary: &PrimaryState,
         membership: &MembershipConfig,
@@ -153,7 +156,9 @@
         // A voter that has just fallen silent may be the one that a joiner is to replace. An additional voter beside a
         // lost one would leave less room for the next loss.
         let timeout = self.config.lease_duration.mul_f64(REPLICA_TIMEOUT_FRACTION);
-        let is_silent = |v: &MemberInfo| v.id != self.me() && self.silence(primary, v.id) > timeout;
+        let is_silent = |v: &MemberInfo| {
+            v.id != self.own_id() && self.time_since_last_message(primary, v.id) > timeout
+        };
         if !membership.voters.iter().any(is_silent) {
             let added = self.additional_voters(membership, &change.add, additional);
             change.add.extend(added);
@@ -170,9 +175,9 @@
     ) -> Option<u64> {
         let replace_after = REPLACE_AFTER_LEASES * self.config.lease_duration;
         let is_gone = |v: &&MemberInfo| {
-            let is_silent = self.silence(primary, v.id) > replace_after;
+            let is_silent = self.time_since_last_message(primary, v.id) > replace_after;
             let is_leaving = is_silent || self.is_peer_departing(v.id);
-            v.id != self.me() && is_leaving && !removed.contains(&v.id)
+            v.id != self.own_id() && is_leaving && !removed.contains(&v.id)
         };
         let mut voters = membership.voters.iter();
         let same_address = voters.clone().find(|v| v.addr == joiner.addr);
@@ -241,23 +246,24 @@
             REMOVE_AFTER_LEASES
         };
         let remove_after = leases * self.config.lease_duration;
-        let others = || membership.voters.iter().filter(|v| v.id != self.me());
+        let others = || membership.voters.iter().filter(|v| v.id != self.own_id());
         let departing = others().find(|v| self.is_peer_departing(v.id));
-        let silent = || others().find(|v| self.silence(primary, v.id) > remove_after);
+        let silent =
+            || others().find(|v| self.time_since_last_message(primary, v.id) > remove_after);
         removed.extend(departing.or_else(silent).map(|v| v.id));
-        removed.extend(self.voters_in_the_way(membership, &removed));
+        removed.extend(self.surplus_voters(membership, &removed));
         removed
     }
 
     /// Of the voters that stay, those without whom a majority survives the loss of any zone or region. None where too
     /// few others are there for that: fewer voters would bear the loss of fewer zones or regions.
-    fn voters_in_the_way(
+    fn surplus_voters(
         &self,
         membership: &MembershipConfig,
         removed: &BTreeSet<u64>,
     ) -> BTreeSet<u64> {
         let mut without = removed.clone();
-        while let Some(voter) = self.voter_in_large_group(membership, &without) {
+        while let Some(voter) = self.voter_in_oversized_group(membership, &without) {
             without.insert(voter);
         }
         if self.survives_without(membership, &without) {
@@ -269,12 +275,12 @@
 
     /// Whether a majority of the other voters survives any loss within the fault budget.
     fn survives_without(&self, membership: &MembershipConfig, removed: &BTreeSet<u64>) -> bool {
-        let staying = self.voters_that_stay(membership, removed);
+        let staying = self.remaining_voters(membership, removed);
         let staying: Vec<&MemberInfo> = staying.iter().collect();
         majority_shortfall(&self.config.fault_budget, &staying) <= 0
     }
 
-    fn voters_that_stay(
+    fn remaining_voters(
         &self,
         membership: &MembershipConfig,
         removed: &BTreeSet<u64>,
@@ -287,12 +293,12 @@
     }
 
     /// Of the voters that stay, one of a zone or region with so many voters that its loss would leave no majority.
-    fn voter_in_large_group(
+    fn voter_in_oversized_group(
         &self,
         membership: &MembershipConfig,
         removed: &BTreeSet<u64>,
     ) -> Option<u64> {
-        let staying = self.voters_that_stay(membership, removed);
+        let staying = self.remaining_voters(membership, removed);
         let shortfall_without = |id: u64| {
             let rest: Vec<&MemberInfo> = staying.iter().filter(|v| v.id != id).collect();
             majority_shortfall(&self.config.fault_budget, &rest)
@@ -302,7 +308,10 @@
         if shortfall <= 0 {
             return None;
         }
-        let others = staying.iter().map(|v| v.id).filter(|id| *id != self.me());
+        let others = staying
+            .iter()
+            .map(|v| v.id)
+            .filter(|id| *id != self.own_id());
         let best =
             others.min_by_key(|id| (shortfall_without(*id), membership.replicas.contains(id)))?;
         (shortfall_without(best) < shortfall).then_some(best)
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -92,7 +92,7 @@
     /// The committed state on disk, to be shown at the first step.
     restored: Option<ReplicatedState>,
     /// The lease that this member granted as a voter.
-    grant: Option<LeaseGrant>,
+    granted_lease: Option<LeaseGrant>,
     contact: ContactTracker,
     peers: Peers,
     role: Role,
@@ -102,14 +102,14 @@
     writes: WriteQueue,
     commands: LocalCommands,
     /// The primary that others told of.
-    known_primary: Option<KnownPrimary>,
+    reported_primary: Option<ReportedPrimary>,
     /// Present once the process was asked to end.
     departure: Option<Departure>,
 }
 
 /// A primary that others told of.
 #[derive(Clone, Debug)]
-struct KnownPrimary {
+struct ReportedPrimary {
     epoch: u64,
     info: MemberInfo,
 }
@@ -142,7 +142,7 @@
             committed: CommittedState::default(),
             replay_error: None,
             restored: None,
-            grant: None,
+            granted_lease: None,
             contact: ContactTracker::new(random),
             peers: Peers::new(config.local_member.id, config.lease_duration),
             role: Role::Follower,
@@ -150,7 +150,7 @@
             election_at: now,
             writes: WriteQueue::new(file_bytes),
             commands: LocalCommands::new(request_id_base(random), now),
-            known_primary: None,
+            reported_primary: None,
             departure: None,
             config,
         };
@@ -182,18 +182,18 @@
         self.restored = recovered.committed.clone();
         self.committed = CommittedState::recovered(recovered.committed);
         let durable = self.log.as_ref().map(ReplicaLog::durable);
-        self.committed.membership_begins(durable);
+        self.committed.start_membership(durable);
     }
 
     /// Takes one input and adds what has to be done to `out`. The last output is the time of the next wake.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.show_restored_state(out);
+        self.publish_restored_state(out);
         // If the process was paused, the lease may have ended: another primary may act, and nothing more may be
         // acknowledged here.
         self.step_down_if_lease_ended();
         self.on_input(input, out);
-        self.step_down_if_given_up();
+        self.step_down_if_superseded();
         self.run_departure(out);
         self.run_primary(out);
         self.run_candidate(out);
@@ -225,7 +225,7 @@
         }
     }
 
-    fn show_restored_state(&mut self, out: &mut Vec<Output>) {
+    fn publish_restored_state(&mut self, out: &mut Vec<Output>) {
         if let Some(state) = self.restored.take() {
             out.push(Output::RestoreState {
                 index: state.fleet_index,
@@ -258,19 +258,19 @@
         self.highest_epoch_seen = self.highest_epoch_seen.max(epoch);
     }
 
-    fn me(&self) -> u64 {
+    fn own_id(&self) -> u64 {
         self.config.local_member.id
     }
 
     fn is_voter(&self) -> bool {
         let membership = self.membership.as_ref();
-        membership.is_some_and(|m| m.voter(self.me()).is_some())
+        membership.is_some_and(|m| m.voter(self.own_id()).is_some())
     }
 
     /// The other voters of the membership configuration, the previous ones among them.
     fn other_voters(&self) -> BTreeSet<u64> {
         let mut voters = self.membership.as_ref().map(all_voters).unwrap_or_default();
-        voters.remove(&self.me());
+        voters.remove(&self.own_id());
         voters
     }
 
@@ -288,7 +288,7 @@
     /// The latest that is known of a member's addresses and place.
     fn latest_info(&self, member: &MemberInfo) -> MemberInfo {
         match member.id {
-            id if id == self.me() => self.config.local_member.clone(),
+            id if id == self.own_id() => self.config.local_member.clone(),
             id => self.peers.info(id).unwrap_or(member).clone(),
         }
     }
@@ -312,13 +312,13 @@
         if self.role.primary().is_some() {
             return Some(self.config.local_member.clone());
         }
-        let grant = self.grant.filter(|g| g.until > self.now);
+        let grant = self.granted_lease.filter(|g| g.until > self.now);
         let lease_holder = grant.and_then(|g| self.member_info(g.primary));
-        lease_holder.or_else(|| self.primary_that_others_told())
+        lease_holder.or_else(|| self.usable_reported_primary())
     }
 
-    fn primary_that_others_told(&self) -> Option<MemberInfo> {
-        let known = self.known_primary.as_ref()?;
+    fn usable_reported_primary(&self) -> Option<MemberInfo> {
+        let known = self.reported_primary.as_ref()?;
         let is_newer = self.accepted_epoch().is_none_or(|own| known.epoch > own);
         // A member without a vote grants no leases: it knows the primary from others alone.
         let is_useful = !self.is_voter() || is_newer;
@@ -328,9 +328,12 @@
 
     /// Takes from others who is the primary of an epoch. This only tells where commands are sent.
     pub fn learn_primary(&mut self, epoch: u64, primary: MemberInfo) {
-        let is_latest = self.known_primary.as_ref().is_none_or(|k| epoch >= k.epoch);
-        if primary.id != self.me() && is_latest {
-            self.known_primary = Some(KnownPrimary {
+        let is_latest = self
+            .reported_primary
+            .as_ref()
+            .is_none_or(|k| epoch >= k.epoch);
+        if primary.id != self.own_id() && is_latest {
+            self.reported_primary = Some(ReportedPrimary {
                 epoch,
                 info: primary,
             });
--- a/crates/control-plane/src/member/peers.rs
+++ b/crates/control-plane/src/member/peers.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     info: MemberInfo,
-    heard_at: Duration,
+    last_heard_at: Duration,
     /// As of its latest lease reply.
     disk_healthy: bool,
     /// When it last announced its departure.
@@ -29,8 +29,8 @@
         &self.info
     }
 
-    pub(super) fn heard_at(&self) -> Duration {
-        self.heard_at
+    pub(super) fn last_heard_at(&self) -> Duration {
+        self.last_heard_at
     }
 
     pub(super) fn disk_healthy(&self) -> bool {
@@ -67,8 +67,8 @@
         self.by_id.get(&id).map(|peer| &peer.info)
     }
 
-    pub(super) fn heard_at(&self, id: u64) -> Option<Duration> {
-        self.by_id.get(&id).map(|peer| peer.heard_at)
+    pub(super) fn last_heard_at(&self, id: u64) -> Option<Duration> {
+        self.by_id.get(&id).map(|peer| peer.last_heard_at)
     }
 
     /// A message of a member arrived.
@@ -81,11 +81,11 @@
             .retain(|id, peer| *id == sender.id || peer.info.addr != sender.addr);
         let peer = self.by_id.entry(sender.id).or_insert_with(|| Peer {
             info: sender.clone(),
-            heard_at: now,
+            last_heard_at: now,
             disk_healthy: true,
             departing_at: None,
         });
-        peer.heard_at = now;
+        peer.last_heard_at = now;
         if !sender.name.is_empty() {
             peer.info = sender.clone();
         }
@@ -94,12 +94,12 @@
     /// The connection to a member is up. That says little of a voter, because a connection may outlive its process for
     /// seconds. Of other members it is the only sign of life.
     pub(super) fn record_connection(&mut self, member: &MemberInfo, is_voter: bool, now: Duration) {
-        let heard_before = self.heard_at(member.id).filter(|_| is_voter);
+        let heard_before = self.last_heard_at(member.id).filter(|_| is_voter);
         self.record_message(member, now);
         let Some(peer) = self.by_id.get_mut(&member.id) else {
             return;
         };
-        peer.heard_at = heard_before.unwrap_or(peer.heard_at);
+        peer.last_heard_at = heard_before.unwrap_or(peer.last_heard_at);
         // Only voters are asked whether their disks are healthy.
         peer.disk_healthy |= !is_voter;
     }
@@ -153,8 +153,9 @@
     /// Whether a member was heard of lately, by a message or a connection. One that was never heard of may be about to
     /// be reached.
     pub(super) fn is_reachable(&self, id: u64, now: Duration) -> bool {
-        let unreachable_at = |heard_at| heard_at + UNREACHABLE_AFTER_LEASES * self.lease_duration;
-        self.heard_at(id)
-            .is_none_or(|heard_at| now < unreachable_at(heard_at))
+        let unreachable_at =
+            |last_heard_at| last_heard_at + UNREACHABLE_AFTER_LEASES * self.lease_duration;
+        self.last_heard_at(id)
+            .is_none_or(|last_heard_at| now < unreachable_at(last_heard_at))
     }
 }
--- a/crates/control-plane/src/member/phase_timeouts.rs
+++ b/crates/control-plane/src/member/phase_timeouts.rs
@@ -53,13 +53,13 @@
             return;
         };
         // A departing member campaigns no more, but a primary changes its membership configuration until it has handed over.
-        let departs = self.departure.is_some() && !candidate.is_primary();
+        let departs = self.departure.is_some() && !candidate.is_reconfiguring_primary();
         let timed_out = self.now >= candidate.phase_started_at() + self.phase_timeout(candidate);
         if !timed_out && !departs {
-            return self.tell_progress(out);
+            return self.report_progress(out);
         }
         self.phase_timeouts.record_timeout(candidate.phase());
-        if departs || !self.continue_with_few_replicas(out) {
+        if departs || !self.continue_under_replicated(out) {
             self.abandon_campaign();
         }
     }
@@ -72,15 +72,15 @@
 
     /// If a majority has promised in time, too few replicas are better than no primary: only a primary can add voters.
     /// Returns false if that doesn't help.
-    fn continue_with_few_replicas(&mut self, out: &mut Vec<Output>) -> bool {
+    fn continue_under_replicated(&mut self, out: &mut Vec<Output>) -> bool {
         let now = self.now;
         let Some(candidate) = self.role.candidate_mut() else {
             return false;
         };
-        if candidate.phase() != ElectionPhase::Prepare || candidate.accepts_few_replicas() {
+        if candidate.phase() != ElectionPhase::Prepare || candidate.allows_under_replication() {
             return false;
         }
-        candidate.accept_few_replicas(now);
+        candidate.allow_under_replication(now);
         self.on_promises_changed(out);
         let candidate = self.role.candidate();
         candidate.is_some_and(|candidate| candidate.phase() != ElectionPhase::Prepare)
@@ -117,25 +117,25 @@
     }
 
     /// Sets when the voters that promised are next told that a large snapshot is on its way.
-    pub(super) fn schedule_progress(&mut self) {
+    pub(super) fn schedule_progress_report(&mut self) {
         let next = self.now + self.config.lease_duration.mul_f64(PROGRESS_FRACTION);
         if let Some(candidate) = self.role.candidate_mut() {
-            candidate.set_next_progress(next);
+            candidate.set_next_progress_report(next);
         }
     }
 
     /// Voters that promised wait for as long as they hear that a large snapshot is on its way.
-    fn tell_progress(&mut self, out: &mut Vec<Output>) {
+    fn report_progress(&mut self, out: &mut Vec<Output>) {
         let Some(candidate) = self.role.candidate() else {
             return;
         };
-        if self.long_phase_end().is_none() || self.now < candidate.next_progress_at() {
+        if self.long_phase_end().is_none() || self.now < candidate.next_progress_report_at() {
             return;
         }
         let epoch = candidate.epoch();
-        let others = candidate.promised_by().filter(|id| *id != self.me());
+        let others = candidate.promised_by().filter(|id| *id != self.own_id());
         let others: Vec<u64> = others.collect();
-        self.schedule_progress();
+        self.schedule_progress_report();
         self.send_prepare(epoch, others, out);
     }
 
@@ -143,7 +143,7 @@
         let candidate = self.role.candidate()?;
         let phase_end = candidate.phase_started_at() + self.phase_timeout(candidate);
         Some(match self.long_phase_end() {
-            Some(_) => phase_end.min(candidate.next_progress_at()),
+            Some(_) => phase_end.min(candidate.next_progress_report_at()),
             None => phase_end,
         })
     }
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -25,13 +25,13 @@
     epoch: u64,
     started_at: Duration,
     /// Since when this member has been primary, in this epoch and in its own ones directly before.
-    acting_since: Duration,
+    primary_since: Duration,
     /// Whether the replicas satisfy the fault budget. Otherwise no change is accepted.
     accepts_changes: bool,
     pub(super) leases: HeldLeases,
     next_renewal_at: Duration,
     /// Voters that haven't accepted the membership configuration yet.
-    awaiting_accept: BTreeSet<u64>,
+    awaiting_acceptance: BTreeSet<u64>,
     pub(super) replication: Replication,
     /// Commands that wait to be run, in order.
     proposals: VecDeque<(CommandSource, Command)>,
@@ -51,11 +51,11 @@
         Self {
             epoch: membership.epoch,
             started_at: now,
-            acting_since: now,
+            primary_since: now,
             accepts_changes: true,
             leases: HeldLeases::default(),
             next_renewal_at: now,
-            awaiting_accept: BTreeSet::new(),
+            awaiting_acceptance: BTreeSet::new(),
             drained_at: state.drains.iter().map(|d| (d.clone(), now)).collect(),
             replication: Replication::new(state, &membership.replicas, now),
             proposals: VecDeque::new(),
@@ -65,15 +65,15 @@
     }
 
     /// It was the primary in epochs of its own directly before this one.
-    pub(super) fn continue_since(&mut self, acting_since: Duration) {
-        self.acting_since = acting_since;
+    pub(super) fn set_primary_since(&mut self, primary_since: Duration) {
+        self.primary_since = primary_since;
     }
 
-    pub(super) fn await_accept(&mut self, voters: BTreeSet<u64>) {
-        self.awaiting_accept = voters;
+    pub(super) fn set_awaiting_acceptance(&mut self, voters: BTreeSet<u64>) {
+        self.awaiting_acceptance = voters;
     }
 
-    pub(super) fn accept_changes(&mut self, accepts_changes: bool) {
+    pub(super) fn set_accepts_changes(&mut self, accepts_changes: bool) {
         self.accepts_changes = accepts_changes;
     }
 
@@ -85,8 +85,8 @@
         self.started_at
     }
 
-    pub(super) fn acting_since(&self) -> Duration {
-        self.acting_since
+    pub(super) fn primary_since(&self) -> Duration {
+        self.primary_since
     }
 
     pub(super) fn accepts_changes(&self) -> bool {
@@ -103,20 +103,20 @@
         self.replication.committed().fleet_index
     }
 
-    pub(super) fn is_awaiting_accept(&self, voter: u64) -> bool {
-        self.awaiting_accept.contains(&voter)
+    pub(super) fn is_awaiting_acceptance(&self, voter: u64) -> bool {
+        self.awaiting_acceptance.contains(&voter)
     }
 
     /// A voter has accepted the membership configuration. Returns whether that wasn't known.
-    pub(super) fn record_accepted(&mut self, voter: u64) -> bool {
-        self.awaiting_accept.remove(&voter)
+    pub(super) fn record_acceptance(&mut self, voter: u64) -> bool {
+        self.awaiting_acceptance.remove(&voter)
     }
 
-    pub(super) fn record_not_accepted(&mut self, voter: u64) {
-        self.awaiting_accept.insert(voter);
+    pub(super) fn record_missing_acceptance(&mut self, voter: u64) {
+        self.awaiting_acceptance.insert(voter);
     }
 
-    pub(super) fn renew_at(&mut self, at: Duration) {
+    pub(super) fn schedule_renewal(&mut self, at: Duration) {
         self.next_renewal_at = at;
     }
 
@@ -210,7 +210,7 @@
             .lease_duration
             .mul_f64(MIN_MEMBERSHIP_AGE_FRACTION);
         let is_due = !is_stable || self.now >= primary.started_at + min_age;
-        is_due.then(|| self.needed_change(primary)).flatten()
+        is_due.then(|| self.required_change(primary)).flatten()
     }
 
     fn forget_drained_hosts(&mut self, out: &mut Vec<Output>) {
@@ -268,7 +268,7 @@
             // An answer that depends on a change in flight waits for it.
             Plan::Answer(code, body) if primary.replication.has_pending() => {
                 let answer = PendingAnswer::new(source, code, body);
-                primary.replication.answer_with_last(answer);
+                primary.replication.answer_after_last_change(answer);
             }
             Plan::Answer(code, body) => self.answer(source, code, body, out),
         }
--- a/crates/control-plane/src/member/primary_contact.rs
+++ b/crates/control-plane/src/member/primary_contact.rs
@@ -75,7 +75,7 @@
     }
 
     /// While this primary's lease lasted nobody else acknowledged anything: that stays true after it has stepped down.
-    pub(super) fn keep_own_contact(&mut self) {
+    pub(super) fn record_own_contact(&mut self) {
         let Some(primary) = self.role.primary() else {
             return;
         };
--- a/crates/control-plane/src/member/replay.rs
+++ b/crates/control-plane/src/member/replay.rs
@@ -166,7 +166,7 @@
                 membership,
                 snapshot,
             } => {
-                let state = snapshot.map(|s| state_of(record, &s)).transpose()?;
+                let state = snapshot.map(|s| decode_snapshot(record, &s)).transpose()?;
                 replayed.membership = membership;
                 replayed.last = state;
             }
@@ -218,6 +218,6 @@
     }
 }
 
-fn state_of(record: usize, snapshot: &Snapshot) -> Result<ReplicatedState, ReplayError> {
+fn decode_snapshot(record: usize, snapshot: &Snapshot) -> Result<ReplicatedState, ReplayError> {
     ReplicatedState::from_snapshot(snapshot).context(InvalidSnapshotSnafu { record })
 }
--- a/crates/control-plane/src/member/replica_placement.rs
+++ b/crates/control-plane/src/member/replica_placement.rs
@@ -19,14 +19,14 @@
         if !more_machines && !more_zones && !more_regions {
             return Some(chosen.iter().map(|m| m.id).collect());
         }
-        let mut left = candidates
+        let mut remaining = candidates
             .iter()
             .filter(|m| !chosen.iter().any(|c| c.id == m.id));
-        let new_region = left
+        let new_region = remaining
             .clone()
             .find(|m| more_regions && !regions.contains(m.region.as_str()));
-        let new_zone = left.clone().find(|m| !zones.contains(m.zone.as_str()));
-        let any = left.next().filter(|_| more_machines || more_zones);
+        let new_zone = remaining.clone().find(|m| !zones.contains(m.zone.as_str()));
+        let any = remaining.next().filter(|_| more_machines || more_zones);
         chosen.push(new_region.or(new_zone).or(any)?);
     }
 }
@@ -38,15 +38,15 @@
 /// in another one brings the voters nearer to what the budget needs.
 pub fn majority_shortfall(budget: &FaultBudget, voters: &[&MemberInfo]) -> i64 {
     let machines = budget.machine_losses as usize;
-    let zones = largest_groups(voters, budget.zones, |v| &v.zone);
-    let regions = largest_groups(voters, budget.region_losses, |v| &v.region);
+    let zones = voters_in_largest_groups(voters, budget.zones, |v| &v.zone);
+    let regions = voters_in_largest_groups(voters, budget.region_losses, |v| &v.region);
     let lost = machines.max(zones).max(regions);
     2 * lost as i64 + 1 - voters.len() as i64
 }
 
 /// The number of voters in the `count` largest groups; one for each group that there isn't. A voter whose group is
 /// unknown forms one of its own.
-fn largest_groups<'v>(
+fn voters_in_largest_groups<'v>(
     voters: &[&'v MemberInfo],
     count: u32,
     group: impl Fn(&'v MemberInfo) -> &'v str,
--- a/crates/control-plane/src/member/replication.rs
+++ b/crates/control-plane/src/member/replication.rs
@@ -123,7 +123,7 @@
     }
 
     /// Answers once the last pending change is committed.
-    pub(super) fn answer_with_last(&mut self, answer: PendingAnswer) {
+    pub(super) fn answer_after_last_change(&mut self, answer: PendingAnswer) {
         if let Some(last) = self.pending.back_mut() {
             last.answers.push(answer);
         }
@@ -145,8 +145,8 @@
             answers.extend(change.answers);
         }
         let has_advanced = self.committed.index > index_before;
-        let is_news = self.committed.fleet_index > fleet_index_before;
-        let needs_publishing = is_news || !std::mem::replace(&mut self.is_published, true);
+        let has_fleet_change = self.committed.fleet_index > fleet_index_before;
+        let needs_publishing = has_fleet_change || !std::mem::replace(&mut self.is_published, true);
         NewlyCommitted {
             needs_publishing,
             has_advanced,
@@ -201,7 +201,7 @@
         answers: Vec<PendingAnswer>,
         out: &mut Vec<Output>,
     ) {
-        let (now, me) = (self.now, self.me());
+        let (now, own_id) = (self.now, self.own_id());
         let (Some(primary), Some(log)) = (self.role.primary_mut(), &mut self.log) else {
             return;
         };
@@ -211,7 +211,7 @@
         let replication = &mut primary.replication;
         replication.add(change.clone(), next.clone(), answers, now);
         let replicas = replication.match_index.keys().copied();
-        let backups: Vec<u64> = replicas.filter(|id| *id != me).collect();
+        let backups: Vec<u64> = replicas.filter(|id| *id != own_id).collect();
         for backup in backups {
             let message = Message::AppendChange {
                 epoch,
@@ -226,7 +226,7 @@
             change,
         };
         let state = Box::new(next);
-        self.write(&record, OnDurable::OwnChange { epoch, state });
+        self.queue_record(&record, OnDurable::OwnChange { epoch, state });
     }
 
     /// A replica has confirmed all changes up to an index, or refused one.
@@ -253,7 +253,7 @@
     }
 
     pub(super) fn retransmit_changes(&mut self, out: &mut Vec<Output>) {
-        let (now, me) = (self.now, self.me());
+        let (now, own_id) = (self.now, self.own_id());
         let interval = self.config.lease_duration.mul_f64(RETRANSMIT_FRACTION);
         let Some(primary) = self.role.primary_mut() else {
             return;
@@ -261,7 +261,7 @@
         let epoch = primary.epoch();
         let messages = primary
             .replication
-            .take_retransmissions(epoch, me, now, interval);
+            .take_retransmissions(epoch, own_id, now, interval);
         for (to, message) in messages {
             self.send(to, message, out);
         }
--- a/crates/control-plane/src/member/role.rs
+++ b/crates/control-plane/src/member/role.rs
@@ -49,8 +49,8 @@
 impl Member {
     /// Ends a campaign or the time as primary. Commands that wait are sent to the next primary.
     pub(super) fn step_down(&mut self) {
-        self.keep_own_contact();
+        self.record_own_contact();
         self.role = Role::Follower;
-        self.commands.forget_sent();
+        self.commands.mark_all_unsent();
     }
 }
--- a/crates/control-plane/src/member/storage.rs
+++ b/crates/control-plane/src/member/storage.rs
@@ -23,7 +23,7 @@
 }
 
 impl Member {
-    pub(super) fn write(&mut self, record: &Record, on_durable: OnDurable) {
+    pub(super) fn queue_record(&mut self, record: &Record, on_durable: OnDurable) {
         self.writes
             .push(protocol::encode_record(record), on_durable);
     }
@@ -35,7 +35,7 @@
         }
         if self.writes.needs_probe() {
             let epoch = self.promise.epoch();
-            self.write(&Record::Promised { epoch }, OnDurable::Nothing);
+            self.queue_record(&Record::Promised { epoch }, OnDurable::Nothing);
         }
         let write = if self.is_rewrite_due() {
             Some(
@@ -63,7 +63,7 @@
         let Some(durable) = self.log.as_ref().map(ReplicaLog::durable) else {
             return REWRITE_GROWTH * committed;
         };
-        match self.committed.changes_up_to(durable.index) {
+        match self.committed.change_records_up_to(durable.index) {
             Some(changes) => REWRITE_GROWTH * committed + 2 * changes.map(Vec::len).sum::<usize>(),
             None => REWRITE_GROWTH * (committed + snapshot_bytes(durable)),
         }
@@ -80,7 +80,8 @@
         };
         let committed = self.committed.newest();
         let durable = self.log.as_ref().map(ReplicaLog::durable);
-        let changes = durable.and_then(|durable| self.committed.changes_up_to(durable.index));
+        let changes =
+            durable.and_then(|durable| self.committed.change_records_up_to(durable.index));
         if let (Some(committed), Some(changes)) = (committed, changes) {
             records.push(accepted_record(membership, Some(committed)));
             records.push(committed_record(committed));
@@ -107,7 +108,7 @@
     ) {
         match self.writes.complete(ticket, result, self.now) {
             None | Some(Completion::RewriteRefused) => {}
-            Some(Completion::Rewritten) => self.committed.file_rewritten(),
+            Some(Completion::Rewritten) => self.committed.on_file_rewritten(),
             Some(Completion::Appended(written)) => {
                 for written in written {
                     self.on_durable(written, out);
@@ -118,7 +119,7 @@
                     log.discard_appended();
                 }
                 for on_durable in lost {
-                    self.on_refused(on_durable, out);
+                    self.on_write_refused(on_durable, out);
                 }
                 self.release_lease(out);
             }
@@ -151,7 +152,7 @@
             OnDurable::OwnChange { epoch, state } => {
                 let index = state.index;
                 self.on_change_durable(epoch, *state, change);
-                self.on_append_reply(self.me(), epoch, index, true, out);
+                self.on_append_reply(self.own_id(), epoch, index, true, out);
             }
             OnDurable::Nothing => {}
         }
@@ -166,13 +167,13 @@
     }
 
     /// The disk refused a record: whoever waits for it is told.
-    fn on_refused(&mut self, on_durable: OnDurable, out: &mut Vec<Output>) {
+    fn on_write_refused(&mut self, on_durable: OnDurable, out: &mut Vec<Output>) {
         match on_durable {
             OnDurable::Installed {
                 candidate,
                 membership,
                 ..
-            } if candidate.id != self.me() => {
+            } if candidate.id != self.own_id() => {
                 self.reply_to_install(candidate, membership.epoch, false, out);
             }
             OnDurable::Appended {
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -70,9 +70,9 @@
 impl Member {
     /// The state now. Pass the previous summary, so that an unchanged membership configuration isn't copied.
     pub fn summary(&self, previous: Option<&MemberSummary>) -> MemberSummary {
-        let grant = self.grant.filter(|g| g.until > self.now);
+        let grant = self.granted_lease.filter(|g| g.until > self.now);
         MemberSummary {
-            id: self.me(),
+            id: self.own_id(),
             role: self.role_summary(),
             membership: self.shared_membership(previous),
             promised_epoch: self.promise.epoch(),
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -55,7 +55,7 @@
 impl PromisedHistory {
     /// What another voter told. One that has just joined may not have accepted any membership configuration: its promise
     /// counts all the same.
-    pub(super) fn told(
+    pub(super) fn from_message(
         membership: Option<MembershipConfig>,
         log_position: Option<LogPosition>,
     ) -> Self {
@@ -88,20 +88,20 @@
         let may_have_vote = self
             .membership
             .as_ref()
-            .is_none_or(|m| m.has_vote(self.me()));
-        if !may_have_vote || self.is_given_up() || !self.disk_healthy() {
+            .is_none_or(|m| m.has_vote(self.own_id()));
+        if !may_have_vote || self.is_superseded() || !self.disk_healthy() {
             return Err(self.config.lease_duration / 2);
         }
-        let granted = self.grant.filter(|g| g.primary != candidate);
+        let granted = self.granted_lease.filter(|g| g.primary != candidate);
         let granted_until = granted.map(|g| g.until).filter(|until| *until > self.now);
-        let own_primary = self.role.primary().filter(|_| candidate != self.me());
+        let own_primary = self.role.primary().filter(|_| candidate != self.own_id());
         let own_until = own_primary.map(|primary| self.lease_end(primary));
         // The leases that an earlier incarnation granted aren't known.
         let earlier_until = self
             .restarted
             .then_some(self.started_at + self.config.lease_duration);
         let until = [granted_until, own_until, earlier_until];
-        self.passed(until.into_iter().flatten().max())
+        self.check_passed(until.into_iter().flatten().max())
     }
 
     /// Whether this member may prefer another candidate now. One that transfers a large snapshot isn't interrupted.
@@ -109,16 +109,16 @@
     /// # Errors
     /// How long the other candidate should wait before it asks again.
     fn may_prefer(&self, candidate: u64) -> Result<(), Duration> {
-        let told_until =
+        let preferred_until =
             (!self.promise.is_given_to(candidate)).then_some(self.promise.preferred_until);
-        self.passed(self.long_phase_end().max(told_until))
+        self.check_passed(self.long_phase_end().max(preferred_until))
     }
 
     /// Whether a time has passed.
     ///
     /// # Errors
     /// How long it is until then.
-    fn passed(&self, time: Option<Duration>) -> Result<(), Duration> {
+    fn check_passed(&self, time: Option<Duration>) -> Result<(), Duration> {
         match time.filter(|time| *time > self.now) {
             Some(time) => Err(time - self.now),
             None => Ok(()),
@@ -139,16 +139,16 @@
             .membership
             .as_ref()
             .is_some_and(|own| own.epoch > accepted_epoch && own.voter(from.id).is_none());
-        let willing = if is_left_out {
+        let verdict = if is_left_out {
             Err(4 * self.config.lease_duration)
         } else {
             self.may_promise(from.id)
                 .and_then(|()| self.may_prefer(from.id))
         };
         let message = Message::PreVoteReply {
-            granted: willing.is_ok(),
+            granted: verdict.is_ok(),
             promised_epoch: self.promise.epoch(),
-            retry_after_ms: willing.err().map_or(0, |wait| wait.as_millis() as u32),
+            retry_after_ms: verdict.err().map_or(0, |wait| wait.as_millis() as u32),
         };
         out.push(Output::Send { to: from, message });
     }
@@ -187,12 +187,12 @@
     pub(super) fn give_promise(&mut self, candidate: MemberInfo, epoch: u64) {
         self.promise.give(epoch, candidate.id);
         self.observe_epoch(epoch);
-        if candidate.id != self.me() {
+        if candidate.id != self.own_id() {
             self.step_down();
             self.postpone_election();
         }
         let on_durable = OnDurable::Promise { candidate, epoch };
-        self.write(&Record::Promised { epoch }, on_durable);
+        self.queue_record(&Record::Promised { epoch }, on_durable);
     }
 
     pub(super) fn on_promise_durable(
@@ -202,7 +202,7 @@
         out: &mut Vec<Output>,
     ) {
         let (membership, log_position) = (self.membership.clone(), self.log_position());
-        if candidate.id == self.me() {
+        if candidate.id == self.own_id() {
             let history = membership.map(|membership| PromisedHistory {
                 membership,
                 log_position,
@@ -239,7 +239,12 @@
     }
 
     /// A candidate that holds this member's promise asks for its replicated state.
-    pub(super) fn on_fetch(&mut self, from: MemberInfo, epoch: u64, out: &mut Vec<Output>) {
+    pub(super) fn on_fetch_snapshot(
+        &mut self,
+        from: MemberInfo,
+        epoch: u64,
+        out: &mut Vec<Output>,
+    ) {
         // After the promise this replica confirms no change of a lower epoch any more: the snapshot is complete.
         if epoch != self.promise.epoch() {
             return;
