--- a/crates/control-plane/src/applied_requests.rs
+++ b/crates/control-plane/src/applied_requests.rs
@@ -1,8 +1,8 @@
-//! The configuration requests that were applied: they make repeated requests idempotent. They are part of the replicated
-//! state, so that replicas, snapshots, rewritten files and members that join all have them.
+//! The configuration requests that were applied. They make repeated requests idempotent. They are part of the
+//! replicated state, so replicas, snapshots, rewritten files and joining members all have them.
 //!
 //! Versions only rise, so at most one request was ever applied to a given version. A request is therefore looked up by
-//! its base version, and compared as a whole with the one that was applied there.
+//! its base version, and compared as a whole with the one that was applied to it.
 
 use crate::content::{hash_part, Content};
 use protocol::AppliedRequest;
@@ -10,13 +10,13 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Requests per chunk. Successive states share their full chunks.
+/// Number of requests per chunk. Successive states share their full chunks.
 const CHUNK_REQUESTS: usize = 64;
-/// At least this many requests are retained. Beyond these, the oldest chunk is dropped as a whole.
+/// Minimum number of requests that are retained. Beyond it, the oldest chunk is dropped as a whole.
 pub const MIN_RETAINED_REQUESTS: usize = 4096;
 const MAX_CHUNKS: usize = MIN_RETAINED_REQUESTS / CHUNK_REQUESTS;
 
-/// The latest requests that were applied, oldest first. A copy costs the same however many there are.
+/// The latest requests that were applied, oldest first. The cost of a copy doesn't depend on their number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppliedRequests {
     full: Arc<VecDeque<Arc<[AppliedRequest]>>>,
@@ -75,11 +75,11 @@
     }
 }
 
-/// What identifies a configuration request: its base version, the version that its body names (0 if none), and SHA-256
-/// over its kind and content.
+/// The identity of a configuration request: its base version, the version that its body names (0 if none), and the
+/// SHA-256 digest of its kind and content.
 ///
-/// The content is what the body's JSON means: the order of keys, white space and escapes make no difference. A body that
-/// isn't JSON, or that repeats a key of an object, is hashed byte by byte.
+/// The content is the meaning of the body's JSON: the order of keys, white space and escapes make no difference. A
+/// body that isn't JSON, or that repeats a key of an object, is hashed byte by byte.
 pub fn request_fingerprint(base: u64, amend: bool, body: &[u8]) -> AppliedRequest {
     let mut hash = Sha256::new();
     hash.update([u8::from(amend)]);
--- a/crates/control-plane/src/content.rs
+++ b/crates/control-plane/src/content.rs
@@ -1,14 +1,14 @@
-//! The content of a configuration request's body: what its JSON means, however it is written.
+//! The content of a configuration request's body: the meaning of its JSON, regardless of its notation.
 //!
-//! A visitor of its own reads it, and not `serde_json::Value`: that one keeps the last of several values of a key, so that
-//! two different bodies would pass for one request.
+//! A separate visitor reads it instead of `serde_json::Value`, which keeps only the last of several values of a key,
+//! so that two different bodies would count as one request.
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Integers below this are the same whether they are written with a fraction or without (2^53).
+/// Integers below this bound (2^53) are equal whether they are written with a fraction or without.
 const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 /// A JSON value in which no object repeats a key.
@@ -24,12 +24,12 @@
 }
 
 impl Content {
-    /// The content of a body; none if it is no JSON or repeats a key.
+    /// The content of a body; `None` if it isn't JSON or repeats a key.
     pub(crate) fn parse(body: &[u8]) -> Option<Content> {
         serde_json::from_slice(body).ok()
     }
 
-    /// The integer under a key of an object.
+    /// The integer at a key of an object.
     pub(crate) fn integer(&self, key: &str) -> Option<u64> {
         match self {
             Content::Object(fields) => match fields.get(key)? {
--- a/crates/control-plane/src/member/backup.rs
+++ b/crates/control-plane/src/member/backup.rs
@@ -1,4 +1,4 @@
-//! A member accepts membership configurations, and as a backup it appends the primary's changes to its log.
+//! Acceptance of membership configurations, and a backup's log: it appends the changes that the primary sends.
 
 use super::replica_log::ReplicaLog;
 use super::write_queue::OnDurable;
@@ -7,7 +7,8 @@
 use protocol::{Change, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 
 impl Member {
-    /// A candidate asks this member to accept a membership configuration; replicas get the state that it starts from.
+    /// Handles a candidate's request to accept a membership configuration. Replicas receive the state that it starts
+    /// from.
     pub(super) fn on_install_membership(
         &mut self,
         from: MemberInfo,
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Writes a membership configuration to the disk. It takes effect, and the candidate is told, once it is there.
+    /// Queues a membership configuration for the disk. It takes effect, and the candidate receives a reply, once it is
+    /// durable.
     fn accept_membership(
         &mut self,
         from: MemberInfo,
@@ -61,6 +63,8 @@
         self.queue_record(&record, on_durable);
     }
 
+    /// Puts a durable membership configuration into effect, unless a newer one already is, and replies to the
+    /// candidate.
     pub(super) fn on_membership_durable(
         &mut self,
         candidate: MemberInfo,
@@ -81,6 +85,7 @@
         }
     }
 
+    /// Tells a candidate whether this member has accepted the membership configuration of an epoch.
     pub(super) fn reply_to_install(
         &self,
         to: MemberInfo,
@@ -96,7 +101,8 @@
         out.push(Output::Send { to, message });
     }
 
-    /// The primary sent a change.
+    /// Handles a change from the primary: queues it for the disk if it is the next one, and otherwise confirms or
+    /// rejects it at once.
     pub(super) fn on_append_change(
         &mut self,
         from: MemberInfo,
@@ -118,7 +124,7 @@
             return self.reply_to_append(from, epoch, durable, true, out);
         }
         if index <= appended {
-            // Its write is in flight.
+            // The write is in flight; the reply follows once it is durable.
             return;
         }
         if index != appended + 1 || !disk_healthy {
@@ -141,6 +147,7 @@
         self.queue_record(&record, on_durable);
     }
 
+    /// Confirms all changes up to `match_index` to the primary, or rejects that change.
     fn reply_to_append(
         &self,
         to: MemberInfo,
@@ -158,7 +165,8 @@
         out.push(Output::Send { to, message });
     }
 
-    /// Writes down how far the primary has committed, so that the next incarnation has a state to restore.
+    /// Records the primary's commit index on disk, so that the next incarnation has a committed state to restore. Does
+    /// nothing if this member's log doesn't reach that index yet.
     pub(super) fn record_committed(&mut self, epoch: u64, index: u64) {
         let has_epoch = self.accepted_epoch() == Some(epoch);
         let Some(log) = self
--- a/crates/control-plane/src/member/candidate.rs
+++ b/crates/control-plane/src/member/candidate.rs
@@ -1,11 +1,13 @@
-//! A candidate: it asks for pre-votes, prepares an epoch, and fetches the replicated state. `installation` then installs
-//! its membership configuration. A primary goes the same way to change its own.
+//! The candidate: it collects pre-votes, prepares an epoch and fetches the replicated state. The module `installation`
+//! then installs its membership configuration. A primary takes the same path to change its own membership
+//! configuration.
 //!
-//! This is Vertical Paxos (Lamport, Malkhi and Zhou 2009) with the voters as the configuration master: a majority of the
-//! voters promises the epoch, and a replica of the latest membership configuration supplies the state.
+//! This is Vertical Paxos (Lamport, Malkhi and Zhou 2009) with the voters as the configuration master: a majority of
+//! the voters promises the epoch, and a replica of the latest membership configuration supplies the state.
 //!
-//! A membership configuration whose voters differ from the previous ones may not have been installed. Until its primary
-//! has followed it with one that keeps the voters, a candidate needs a majority of both and hands both on as they are.
+//! A membership configuration that changes the voters may not have been installed completely. Until its primary has
+//! followed it with one that keeps the voters, a candidate needs a majority of both the new and the previous voters,
+//! and carries both over unchanged.
 
 use super::epoch::next_epoch;
 use super::voter::{PromiseReply, PromisedHistory};
@@ -15,69 +17,73 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A rejected pre-vote is asked for again this part of a lease's duration after the time that the voter told.
+/// Margin added to the wait that a voter asked for, before a rejected pre-vote is requested again, as a divisor of a
+/// lease's duration.
 const PRE_VOTE_RETRY_DIVISOR: u32 = 20;
 
-/// How a membership configuration is to differ from the previous one.
+/// The intended difference between the next membership configuration and the current one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct MembershipChange {
-    /// Members that are not to hold replicas.
+    /// Members that must not hold replicas.
     pub(super) exclude: BTreeSet<u64>,
-    /// New voters.
+    /// Voters to add.
     pub(super) add: Vec<MemberInfo>,
-    /// Voters that are removed.
+    /// Voters to remove.
     pub(super) remove: BTreeSet<u64>,
 }
 
-/// The step that a campaign is at.
+/// The phase of a campaign.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionPhase {
-    /// It asks whether the voters would promise. Nothing is on disk yet.
+    /// The candidate asks whether the voters would promise an epoch. Nothing is on disk yet.
     PreVote,
-    /// It gathers promises of its epoch.
+    /// The candidate collects promises for its epoch.
     Prepare,
-    /// It has promises of a majority and fetches the state from a replica.
+    /// A majority has promised; the candidate fetches the state from a replica.
     Fetch,
-    /// It waits for its replicas to have the membership configuration and the state on disk.
+    /// The candidate waits until its replicas have the membership configuration and the state on disk.
     Replicas,
-    /// It waits for a majority of the voters to have the membership configuration on disk.
+    /// The candidate waits until a majority of the voters has the membership configuration on disk.
     Witnesses,
 }
 
-/// The membership configuration that a candidate installs, and the state that it starts from.
+/// The membership configuration that a candidate installs, and the state that it starts with.
 #[derive(Clone, Debug)]
 pub(super) struct InstallTarget {
     pub(super) membership: MembershipConfig,
     pub(super) state: ReplicatedState,
 }
 
+/// The state of a campaign.
 #[derive(Clone, Debug)]
 pub(super) struct CandidateState {
-    /// The epoch that it prepares; 0 during the pre-vote.
+    /// The epoch that the candidate prepares; 0 during the pre-vote.
     epoch: u64,
     phase: ElectionPhase,
     phase_started_at: Duration,
-    /// When the voters that promised are next told that a large snapshot is on its way.
+    /// When the next [`Message::Prepare`] goes out that tells the promised voters that a large snapshot is being
+    /// transferred.
     next_progress_report_at: Duration,
     pre_votes: BTreeSet<u64>,
-    /// Whom a promise was asked of.
+    /// Voters that were asked for a promise.
     asked: BTreeSet<u64>,
     promises: BTreeMap<u64, PromisedHistory>,
-    /// Who has the target on disk.
+    /// Members that have the target on disk.
     installed: BTreeSet<u64>,
     target: Option<InstallTarget>,
     change: MembershipChange,
-    /// The epoch of which this member was primary: it knows the membership configuration of that one to be installed.
+    /// The epoch that this member was the primary of when it began to change its membership configuration. That
+    /// epoch's membership configuration is therefore known to be installed.
     own_previous_epoch: Option<u64>,
-    /// Since when it has been the primary, if it changes its own membership configuration.
+    /// Since when this member has been the primary, if it changes its own membership configuration.
     primary_since: Option<Duration>,
-    /// Nobody else has promised in time: fewer replicas than the fault budget asks for will do if there are too few
-    /// voters for the budget anyway.
+    /// Whether no further voter has promised in time. Fewer replicas than the fault budget requires are then
+    /// acceptable if there are too few voters for the budget in any case.
     allows_under_replication: bool,
 }
 
 impl CandidateState {
-    /// A campaign that begins with the pre-vote.
+    /// Creates a campaign that begins with the pre-vote.
     pub(super) fn pre_vote(now: Duration) -> Self {
         Self {
             epoch: 0,
@@ -96,6 +102,7 @@
         }
     }
 
+    /// Creates a campaign that begins with the request for promises.
     fn prepare(epoch: u64, now: Duration) -> Self {
         Self {
             epoch,
@@ -129,17 +136,17 @@
         self.phase_started_at = now;
     }
 
-    /// Goes on to the next phase within the time of the one before.
+    /// Moves to the next phase without restarting the phase's time limit.
     pub(super) fn continue_with_phase(&mut self, phase: ElectionPhase) {
         self.phase = phase;
     }
 
-    /// Whether the candidate changes its own membership configuration as primary.
+    /// Whether this is a primary that changes its own membership configuration.
     pub(super) fn is_reconfiguring_primary(&self) -> bool {
         self.own_previous_epoch.is_some()
     }
 
-    /// Whether this member was primary of this epoch, so that it knows the membership configuration to be installed.
+    /// Whether this epoch's membership configuration is known to be installed, because this member was its primary.
     pub(super) fn knows_installed(&self, epoch: u64) -> bool {
         self.own_previous_epoch == Some(epoch)
     }
@@ -156,7 +163,7 @@
         self.allows_under_replication
     }
 
-    /// Waits for one more phase time, and then is content with few replicas.
+    /// Restarts the phase's time limit; from now on too few replicas are acceptable.
     pub(super) fn allow_under_replication(&mut self, now: Duration) {
         self.allows_under_replication = true;
         self.phase_started_at = now;
@@ -166,7 +173,7 @@
         self.promises.contains_key(&id)
     }
 
-    /// Whoever has promised.
+    /// The ids of the voters that have promised.
     pub(super) fn promised_by(&self) -> impl Iterator<Item = u64> + '_ {
         self.promises.keys().copied()
     }
@@ -187,7 +194,8 @@
         self.installed.contains(&id)
     }
 
-    /// The latest membership configuration that a voter which promised has accepted. One without voters stands for none.
+    /// The latest membership configuration that any of the promised voters has accepted. One without voters counts as
+    /// none.
     fn latest_promised(&self) -> Option<&MembershipConfig> {
         let accepted = self.promises.values().map(|history| &history.membership);
         accepted
@@ -195,7 +203,7 @@
             .max_by_key(|membership| membership.epoch)
     }
 
-    /// The replicas of a membership configuration that have promised, with the index that their logs go up to.
+    /// The replicas of a membership configuration that have promised, each with the last index of its log.
     fn promised_replicas(&self, membership: &MembershipConfig) -> Vec<(u64, u64)> {
         let holds_state = |(id, history): &(&u64, &PromisedHistory)| {
             let position = history.log_position;
@@ -210,7 +218,7 @@
     }
 }
 
-/// All voters of a membership configuration, the previous ones among them.
+/// The ids of all voters of a membership configuration, including the previous ones.
 pub(super) fn all_voters(membership: &MembershipConfig) -> BTreeSet<u64> {
     membership
         .voters
@@ -221,6 +229,8 @@
 }
 
 impl Member {
+    /// Handles a voter's reply to a pre-vote. A rejection postpones this member's next campaign by `retry_after` and
+    /// a margin.
     pub(super) fn on_pre_vote_reply(
         &mut self,
         from: u64,
@@ -242,7 +252,7 @@
         self.election_at = self.election_at.max(self.now + retry_after + pause);
     }
 
-    /// Prepares an epoch once a majority would promise.
+    /// Starts to prepare an epoch once a majority has granted its pre-votes.
     pub(super) fn on_pre_votes_changed(&mut self, out: &mut Vec<Output>) {
         let own_id = self.own_id();
         let (Some(candidate), Some(membership)) = (self.role.candidate(), &self.membership) else {
@@ -253,7 +263,7 @@
         }
     }
 
-    /// Asks for promises of a new epoch. A primary gives the change that it wants to make to its membership
+    /// Requests promises for a new epoch. A primary passes the change that it wants to make to its membership
     /// configuration.
     pub(super) fn prepare(&mut self, change: Option<MembershipChange>, out: &mut Vec<Output>) {
         let highest = self.highest_epoch_seen.max(self.promise.epoch());
@@ -271,7 +281,7 @@
         self.request_promises(voters.unwrap_or_default(), out);
     }
 
-    /// Asks voters for promises that haven't been asked yet.
+    /// Requests promises from those of the voters that weren't asked yet.
     fn request_promises(&mut self, voters: BTreeSet<u64>, out: &mut Vec<Output>) {
         let own_id = self.own_id();
         let Some(candidate) = self.role.candidate_mut() else {
@@ -293,6 +303,7 @@
         }
     }
 
+    /// Handles a voter's promise or refusal.
     pub(super) fn on_promise(&mut self, from: u64, reply: PromiseReply, out: &mut Vec<Output>) {
         let Some(candidate) = self.role.candidate_mut() else {
             return;
@@ -310,16 +321,16 @@
             candidate.promises.insert(from, history);
             return self.on_promises_changed(out);
         }
-        // The state that is being fetched is that of the latest membership configuration known so far: a later one comes
-        // too late.
+        // The fetched state belongs to the latest membership configuration known when the fetch began; a promise that
+        // reports a later one can't be counted any more.
         let latest = candidate.latest_promised().map(|latest| latest.epoch);
         if latest.is_some_and(|latest| history.membership.epoch <= latest) {
             candidate.promises.insert(from, history);
         }
     }
 
-    /// Goes on once a majority of the latest membership configuration's voters has promised, one of its replicas among
-    /// them.
+    /// Continues once a majority of the voters of the latest membership configuration has promised, including one of
+    /// its replicas.
     pub(super) fn on_promises_changed(&mut self, out: &mut Vec<Output>) {
         let Some(candidate) = self.role.candidate() else {
             return;
@@ -327,7 +338,7 @@
         let Some(latest) = candidate.latest_promised().cloned() else {
             return;
         };
-        // The latest membership configuration may have voters that this member's own hasn't.
+        // The latest membership configuration may have voters that this member's own doesn't list.
         self.request_promises(all_voters(&latest), out);
         let Some(candidate) = self.role.candidate() else {
             return;
@@ -341,7 +352,8 @@
         self.obtain_state(latest, out);
     }
 
-    /// Takes the state from the own disk, or fetches it from the replica that has most of it.
+    /// Takes the state from this member's log if it is the latest, and otherwise fetches it from the replica with the
+    /// longest log.
     fn obtain_state(&mut self, latest: MembershipConfig, out: &mut Vec<Output>) {
         let (now, own_id) = (self.now, self.own_id());
         let has_latest = self.accepted_epoch() == Some(latest.epoch);
@@ -364,6 +376,7 @@
         self.send(replica, Message::FetchSnapshot { epoch }, out);
     }
 
+    /// Handles the state that a replica sent, and installs the membership configuration with it.
     pub(super) fn on_snapshot_reply(
         &mut self,
         epoch: u64,
@@ -376,7 +389,7 @@
         if candidate.epoch != epoch || candidate.phase != ElectionPhase::Fetch {
             return;
         }
-        // If no membership configuration can be installed yet, more promises may arrive.
+        // Falls back to collecting promises: if the replicas are too few, more promises may still arrive.
         candidate.continue_with_phase(ElectionPhase::Prepare);
         let latest = candidate.latest_promised().cloned();
         if let Some((latest, state)) = latest.zip(ReplicatedState::from_snapshot(snapshot).ok()) {
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of hosts and operators. Any member takes them; the primary runs them.
+//! Commands of hosts and operators. Any member accepts them; the primary executes them.
 
 use super::transfer_time::{command_bytes, extra_flight_time};
 use super::{Member, Output};
@@ -7,41 +7,42 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A command that the primary hasn't answered is sent again after this time, plus the time that a large one may be in
-/// flight. Running a command twice does no harm.
+/// Time after which an unanswered command is sent to the primary again. The extra flight time of a large command is
+/// added. Commands are idempotent, so a repeated one does no harm.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// A member that has known no primary for this many lease durations is partitioned off, or more than a takeover is going
-/// on: its callers are better served by another member.
+/// Lease durations without a known primary after which a member counts as partitioned. A takeover takes less time, so
+/// its callers are better served by another member.
 const PARTITIONED_AFTER_LEASES: u32 = 2;
-/// The longest that a command waits for its answer at such a member.
+/// Time limit of a command at a partitioned member.
 const PARTITIONED_COMMAND_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The longest that a call for locks, numbers or cells waits for its answer: its caller turns to another member after a
-/// second. It is also what a watch may take beyond the time that it waits.
+/// Time limit of a request for locks, numbers or cells. It is less than the second after which the caller turns to
+/// another member. It is also added to the time that a watch waits.
 const COORDINATION_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Where an answer goes.
+/// The origin of a command, which its answer goes back to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CommandSource {
-    /// A caller of this member.
+    /// A client of this member.
     Local { ticket: u64 },
-    /// Another member.
+    /// Another member, which forwarded the command.
     Remote { member: u64, request_id: u64 },
 }
 
-/// A command of a caller of this member.
+/// A command from a client of this member.
 #[derive(Clone, Debug)]
 struct LocalCommand {
     command: Command,
     received_at: Duration,
-    /// The latest primary that got the command; none if it has to be sent to the next one.
+    /// The primary that the command was last sent to; `None` if it must be sent to the next primary known.
     last_sent: Option<SentCommand>,
-    /// How many times a primary was sent it.
+    /// How many times the command was sent to a primary.
     times_sent: u32,
-    /// A primary that hasn't answered gets the command again after this time.
+    /// Time without an answer after which the command is sent to the same primary again.
     retry_interval: Duration,
 }
 
+/// The last time a command was sent, and the receiver's member id.
 #[derive(Clone, Copy, Debug)]
 struct SentCommand {
     primary: u64,
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Whether it has to be sent to the primary now. The own state machine loses no command.
+    /// Whether the command has to be sent to the primary now. A primary doesn't retry its own commands, because its
+    /// state machine loses none.
     fn is_due(&self, primary: u64, own_id: u64, now: Duration) -> bool {
         self.last_sent.is_none_or(|sent| {
             let has_no_answer = primary != own_id && now >= sent.at + self.retry_interval;
@@ -67,7 +69,7 @@
         })
     }
 
-    /// The result if no answer arrives in time.
+    /// The result code if no answer arrives in time.
     fn timeout_code(&self) -> ResultCode {
         if self.times_sent > 0 {
             ResultCode::Unclear
@@ -76,7 +78,7 @@
         }
     }
 
-    /// How long it may wait here, if commands may wait for `request_timeout`.
+    /// The time limit of this command, given that of ordinary commands.
     fn timeout(&self, request_timeout: Duration) -> Duration {
         match &self.command {
             Command::Coordinate {
@@ -87,8 +89,9 @@
         }
     }
 
-    /// What the caller is told in place of a result. 429 and 503 promise to callers of locks, numbers and cells that the
-    /// call never takes effect: one that was sent more than once may, whatever one copy was answered.
+    /// The result code that the client receives in place of `code`. For requests for locks, numbers and cells, HTTP
+    /// 429 and 503 guarantee that the request never takes effect. A request that was sent more than once may take
+    /// effect whatever the answer to one of its copies says, so its outcome is reported as unknown.
     fn reported_code(&self, code: ResultCode) -> ResultCode {
         let is_promise = matches!(code.status(), 429 | 503);
         let may_take_effect = code == ResultCode::Unclear || self.times_sent > 1;
@@ -106,11 +109,11 @@
     }
 }
 
-/// How long commands may wait for their answers.
+/// The time limits of commands.
 #[derive(Clone, Copy, Debug)]
 struct CommandTimeouts {
     request_timeout: Duration,
-    /// Whether this member is partitioned off.
+    /// Whether this member counts as partitioned.
     is_partitioned: bool,
 }
 
@@ -125,13 +128,13 @@
     }
 }
 
-/// The commands that callers of this member wait for.
+/// The commands whose clients wait at this member.
 #[derive(Clone, Debug)]
 pub(super) struct LocalCommands {
     by_ticket: BTreeMap<u64, LocalCommand>,
-    /// Since when no primary is known; none while one is.
+    /// Since when no primary is known; `None` while one is.
     without_primary_since: Option<Duration>,
-    /// Added to a ticket, it is the request id for other members. It differs for each incarnation.
+    /// Added to a ticket, this gives the request id that other members see. It differs between incarnations.
     request_id_base: u64,
 }
 
@@ -144,14 +147,15 @@
         }
     }
 
-    /// The next primary gets all commands, whoever got them before.
+    /// Marks all commands as not sent, so that the next primary receives them.
     pub(super) fn mark_all_unsent(&mut self) {
         for command in self.by_ticket.values_mut() {
             command.last_sent = None;
         }
     }
 
-    /// The ticket of a request id. An id that an earlier incarnation gave leads to a ticket that isn't there.
+    /// The ticket that belongs to a request id. For an id of an earlier incarnation this is a ticket that doesn't
+    /// exist.
     fn ticket(&self, request_id: u64) -> u64 {
         request_id.wrapping_sub(self.request_id_base)
     }
@@ -168,7 +172,7 @@
         };
     }
 
-    /// Takes the commands that have to be sent to the primary now.
+    /// Returns the commands that have to be sent to the primary now, and marks them as sent.
     fn take_due(&mut self, primary: u64, own_id: u64, now: Duration) -> Vec<(u64, Command)> {
         let mut due = Vec::new();
         for (ticket, command) in &mut self.by_ticket {
@@ -181,7 +185,7 @@
         due
     }
 
-    /// The commands that have waited too long, with the result that their callers get.
+    /// The commands past their time limit, with the result codes for their clients.
     fn timed_out(&self, now: Duration, timeouts: CommandTimeouts) -> Vec<(u64, ResultCode)> {
         let commands = self.by_ticket.iter();
         commands
@@ -197,7 +201,7 @@
         self.commands.by_ticket.insert(ticket, command);
     }
 
-    /// Another member forwarded a command. Its retry is no second proposal.
+    /// Queues a command that another member forwarded. A retry of a command that is still queued is ignored.
     pub(super) fn on_forwarded_command(
         &mut self,
         from: &MemberInfo,
@@ -227,6 +231,7 @@
         self.answer(CommandSource::Local { ticket }, code, body, out);
     }
 
+    /// Answers a command: a local client directly, another member with a message.
     pub(super) fn answer(
         &mut self,
         source: CommandSource,
@@ -252,8 +257,8 @@
         }
     }
 
-    /// Ends the commands that have waited too long, sends the others to the primary, and runs them if that is this
-    /// member.
+    /// Ends the commands past their time limit and sends the others to the primary. If this member is the primary, it
+    /// runs them.
     pub(super) fn run_commands(&mut self, out: &mut Vec<Output>) {
         let is_known = self.primary().is_some();
         self.commands.record_primary(is_known, self.now);
@@ -286,13 +291,13 @@
         }
     }
 
-    /// When this member counts as partitioned off, if no primary becomes known.
+    /// When this member counts as partitioned, if no primary becomes known until then.
     fn partitioned_at(&self) -> Option<Duration> {
         let since = self.commands.without_primary_since?;
         Some(since + PARTITIONED_AFTER_LEASES * self.config.lease_duration)
     }
 
-    /// How long commands may wait here now.
+    /// The time limits that apply now.
     fn command_timeouts(&self) -> CommandTimeouts {
         let is_partitioned = self.partitioned_at().is_some_and(|at| self.now >= at);
         CommandTimeouts {
--- a/crates/control-plane/src/member/committed_state.rs
+++ b/crates/control-plane/src/member/committed_state.rs
@@ -1,35 +1,36 @@
-//! The newest replicated state that a member knows to be committed. It is kept on disk: the next incarnation restores
-//! it, and a rewritten file tells no less than the one before.
+//! The newest replicated state that a member knows to be committed. It is kept on disk, so that the next incarnation
+//! can restore it. Rewriting the file doesn't lose it.
 
 use crate::replicated_state::ReplicatedState;
 use std::collections::VecDeque;
 
-/// How many uncommitted states are kept, and how many bytes they take on disk together. The oldest are kept, so that the
-/// primary's next commit index finds one of them however many changes are in flight.
+/// The number of uncommitted states that are kept. The oldest are kept, so that the primary's next commit index
+/// matches one of them however many changes are in flight.
 const MAX_UNCOMMITTED_STATES: usize = 64;
+/// Size on disk of all uncommitted states that are kept, in bytes.
 const MAX_UNCOMMITTED_BYTES: usize = 8 << 20;
-/// Bytes of a snapshot beside its items: numbers, names, brackets and the membership configuration.
+/// Size of a snapshot apart from its items, in bytes: numbers, names, brackets and the membership configuration.
 const SNAPSHOT_OVERHEAD_BYTES: usize = 1 << 10;
 
-/// The newest state that is known to be committed, and the states after it.
+/// The newest state that is known to be committed, and the states that follow it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CommittedState {
     /// The highest commit index that is on disk.
     commit_index: u64,
-    /// The newest state at hand that isn't beyond it.
+    /// The newest state in memory whose index is at most `commit_index`.
     newest: Option<ReplicatedState>,
-    /// Whether the membership configuration in force began with that state or an earlier one.
+    /// Whether `newest` is the state that the membership configuration in force began with, or a later one.
     newest_is_in_current_membership: bool,
     /// States on this disk that aren't known to be committed, oldest first.
     uncommitted: VecDeque<UncommittedState>,
     uncommitted_bytes: usize,
 }
 
-/// A state, and the record of the change that led to it.
+/// A state that isn't known to be committed, and the record of the change that led to it.
 #[derive(Clone, Debug)]
 struct UncommittedState {
     state: ReplicatedState,
-    /// None for the state that a membership configuration begins with.
+    /// `None` for the state that a membership configuration begins with.
     record: Option<Vec<u8>>,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl CommittedState {
-    /// The committed state that the records on disk tell of.
+    /// Creates the committed state that was recovered from the records on disk.
     pub(super) fn recovered(newest: Option<ReplicatedState>) -> Self {
         Self {
             commit_index: newest.as_ref().map_or(0, |state| state.index),
@@ -54,12 +55,12 @@
         self.commit_index
     }
 
-    /// The newest state at hand that is known to be committed.
+    /// The newest state in memory that is known to be committed.
     pub(super) fn newest(&self) -> Option<&ReplicatedState> {
         self.newest.as_ref()
     }
 
-    /// A membership configuration begins with this state, which is on this disk.
+    /// Starts a membership configuration with this state, which is on this disk.
     pub(super) fn start_membership(&mut self, state: Option<&ReplicatedState>) {
         self.uncommitted.clear();
         self.uncommitted_bytes = 0;
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The record of a change is on this disk; it led to this state.
+    /// Adds the state that a change led to. The change's record is on this disk.
     pub(super) fn add_change(&mut self, state: ReplicatedState, record: Vec<u8>) {
         self.add(state, Some(record));
     }
@@ -85,8 +86,8 @@
         }
     }
 
-    /// All changes up to `index` are committed; `durable` is the state on this disk. Returns whether the commit index
-    /// has risen.
+    /// Marks all changes up to `index` as committed; `durable` is the state on this disk. Returns whether the commit
+    /// index has risen.
     pub(super) fn commit(&mut self, index: u64, durable: &ReplicatedState) -> bool {
         if index <= self.commit_index && self.newest_is_in_current_membership {
             return false;
@@ -105,7 +106,8 @@
         has_risen
     }
 
-    /// The records of all changes from the newest committed state up to `index`; none if one isn't at hand.
+    /// The records of all changes after the newest committed state up to `index`; `None` if one of them isn't in
+    /// memory.
     pub(super) fn change_records_up_to(
         &self,
         index: u64,
@@ -124,7 +126,7 @@
             .then(|| self.uncommitted.iter().filter_map(|u| u.record.as_ref()))
     }
 
-    /// The file was rewritten: it tells of the newest state at hand.
+    /// Notes that the file was rewritten: it now records the newest committed state in memory.
     pub(super) fn on_file_rewritten(&mut self) {
         self.commit_index = self.newest.as_ref().map_or(0, |state| state.index);
     }
--- a/crates/control-plane/src/member/coordination_answer.rs
+++ b/crates/control-plane/src/member/coordination_answer.rs
@@ -1,11 +1,11 @@
-//! What callers of locks, numbers, cells and watches are told: the result code, and the body as JSON.
+//! Answers to requests for locks, numbers, cells and watches: the result code, and the body as JSON.
 
 use configuration::ResultCode;
 use coordination::{Answer, Cell, CellGroup, CoordinationState, LockDeadlines};
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// The result code of an answer, and its body; empty if the code says all.
+/// The result code of an answer, and its body, which is empty if the code says everything.
 pub(super) fn encode_answer(answer: &Answer) -> (ResultCode, Vec<u8>) {
     let (code, body) = match answer {
         Answer::Acquired { fence } => (ResultCode::Ok, json!({"fence": fence})),
@@ -38,7 +38,7 @@
     json!({"name": &*cell.name, "value": &*cell.value, "revision": cell.revision})
 }
 
-/// All locks that have a holder, with the time after which another may take each, in ms.
+/// JSON list of all locks that have a holder, each with the time after which another caller may acquire it, in ms.
 pub(super) fn list_locks(
     state: &CoordinationState,
     deadlines: &LockDeadlines,
@@ -55,7 +55,7 @@
         .into_bytes()
 }
 
-/// The groups of cells, or the cells of one group.
+/// JSON list of all groups of cells, or of the cells of one group if `group` isn't empty.
 pub(super) fn list_cells(state: &CoordinationState, group: &str) -> Vec<u8> {
     let body = if group.is_empty() {
         let groups = state.groups().map(|(name, group)| {
--- a/crates/control-plane/src/member/coordination_requests.rs
+++ b/crates/control-plane/src/member/coordination_requests.rs
@@ -1,8 +1,9 @@
-//! The primary serves locks, numbers, cells and watches.
+//! The primary's service for locks, numbers, cells and watches.
 //!
-//! What changes something goes the way of every change: to the disks of all replicas before it is answered. What only
-//! reads is answered from the committed state, under the lease: whatever was acknowledged before the request was sent is
-//! there. A lock is renewed in the primary's memory alone, as the next primary counts its whole time anew.
+//! Requests that change something are replicated like any other change: they are on the disks of all replicas before
+//! they are answered. Reads are answered from the committed state under the lease, so they include whatever was
+//! acknowledged before the read was sent. Renewing a lock only changes the primary's memory, because the next primary
+//! counts each lock's full hold time anew.
 
 use super::commands::CommandSource;
 use super::coordination_answer::{encode_answer, list_cells, list_locks};
@@ -14,12 +15,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Puts are kept for this much longer than watches may be resumed: calls are under way for some time.
+/// Time for which the history of cells is kept beyond the time in which watches may be resumed, because calls take
+/// some time to arrive.
 const RETENTION_MARGIN: Duration = Duration::from_secs(5);
-/// And by this part of that time.
+/// Additional retention, as a fraction of the time in which watches may be resumed.
 const RETENTION_MARGIN_FRACTION: f64 = 0.25;
 
-/// What a primary keeps in memory of the locks and watches.
+/// The state of locks and watches that a primary keeps in memory only.
 #[derive(Clone, Debug)]
 pub(super) struct CoordinationService {
     pub(super) deadlines: LockDeadlines,
@@ -28,7 +30,7 @@
 }
 
 impl CoordinationService {
-    /// Watches can be resumed for `history` after their last answer.
+    /// Creates the service. Watches can be resumed for `history` after their last answer.
     pub(super) fn new(history: Duration) -> Self {
         let retention = history + history.mul_f64(RETENTION_MARGIN_FRACTION) + RETENTION_MARGIN;
         Self {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Whether a caller's watch waits.
+    /// Whether a watch from this source is waiting.
     pub(super) fn has_watch(&self, source: CommandSource) -> bool {
         self.watches.contains(&source)
     }
@@ -48,8 +50,8 @@
         wakes.into_iter().flatten().min()
     }
 
-    /// A change was made that a caller asked for: its lock lasts from now on. `before` is the state before it, `fence`
-    /// the fencing token given last.
+    /// Extends a lock's deadline after a change that a client requested. `before` is the state before the change,
+    /// `fence` the last fencing token issued.
     fn record_change(
         &mut self,
         change: &CoordinationChange,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// A request was answered without a change: the lock that it took or renewed lasts from now on.
+    /// Extends the deadline of the lock that a request acquired again or renewed without a change of the state.
     fn record_answer(
         &mut self,
         request: &CoordinationRequest,
@@ -103,7 +105,7 @@
 }
 
 impl Member {
-    /// Runs a request under the primary's lease.
+    /// Runs a request. The caller makes sure that the primary's lease is in force.
     pub(super) fn run_coordination_request(
         &mut self,
         source: CommandSource,
@@ -189,7 +191,7 @@
                 let replicated = Change::Coordinate {
                     change: change.clone(),
                 };
-                // What the state decided fits the state.
+                // A change that the state itself decided always applies to it.
                 let Ok(next) = appended.apply(&replicated) else {
                     return;
                 };
@@ -207,7 +209,7 @@
                 primary
                     .coordination
                     .record_answer(request, &answer, state, now);
-                // An answer that the committed state gives too doesn't depend on changes in flight.
+                // An answer that the committed state gives as well doesn't depend on changes in flight.
                 let committed = &primary.replication.committed().coordination;
                 let deadlines = &primary.coordination.deadlines;
                 let is_settled =
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Watches are told of what has just been committed.
+    /// Answers the watches that wait for the changes just committed.
     pub(super) fn answer_watches(&mut self, out: &mut Vec<Output>) {
         let Some(primary) = self.role.primary_mut() else {
             return;
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Ends the watches that have waited for their time, and drops puts that aren't kept any more.
+    /// Ends the watches whose time is over, trims the history of cells, and releases locks past their deadlines.
     pub(super) fn run_coordination_timers(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         if !self.is_acting_primary() {
@@ -274,7 +276,7 @@
         let expired = primary.coordination.watches.take_expired(committed, now);
         let trims = if primary.accepts_changes() {
             let service = &mut primary.coordination;
-            // A lock whose change is in flight has its deadline already.
+            // A lock whose change is still in flight already has its deadline.
             service.deadlines.retain_held(&log.appended().coordination);
             let mut trims = service.retention.due_trims(committed, now);
             let appended = &log.appended().coordination;
--- a/crates/control-plane/src/member/departure.rs
+++ b/crates/control-plane/src/member/departure.rs
@@ -1,9 +1,9 @@
-//! A member that was asked to end (graceful shutdown). It tells the others and serves on until they hold what it holds;
-//! only then may the process end.
+//! Graceful shutdown of a member. It announces its departure to the others and keeps serving until they hold
+//! everything that it holds; only then may the process end.
 //!
-//! A replica waits until a membership configuration without it is on the disks of all its replicas. A primary releases
-//! its lease once enough others answer, and then waits for the same. If all others depart too, there is nobody to wait
-//! for.
+//! A replica waits until a membership configuration without it is on the disks of all replicas of that configuration.
+//! A primary releases its lease once enough other members respond, and then waits for the same. If all other members
+//! depart too, there is nothing to wait for.
 
 use super::replica_placement::choose_replicas;
 use super::{Member, Output};
@@ -11,11 +11,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A primary that can't hand over keeps its lease for this many lease durations. Then whoever is left may take over.
+/// Lease durations for which a departing primary that can't hand over keeps its lease. After that, any remaining
+/// member may take over.
 const MAX_HAND_OVER_LEASES: u32 = 3;
-/// How often a departing member announces its departure, as a part of a lease's duration.
+/// Interval between announcements of a departure, as a fraction of a lease's duration.
 const ANNOUNCEMENT_FRACTION: f64 = 0.5;
-/// How lately a voter must have granted a lease to be relied on, as a part of a lease's duration.
+/// Maximum age of a voter's latest lease grant for the voter to count as available, as a fraction of a lease's
+/// duration.
 const RECENT_GRANT_FRACTION: f64 = 0.5;
 
 /// The state of a departure.
@@ -23,13 +25,14 @@
 pub(super) struct Departure {
     started_at: Duration,
     next_announcement_at: Duration,
-    /// A later membership configuration without this member is on the disks of all its replicas.
+    /// Whether a later membership configuration without this member is on the disks of all its replicas.
     is_successor_installed: bool,
-    /// The runtime was told that the process may end.
+    /// Whether the runtime was told that the process may end.
     is_complete: bool,
 }
 
 impl Member {
+    /// Begins the departure, if it hasn't begun yet.
     pub(super) fn on_depart(&mut self, out: &mut Vec<Output>) {
         if self.departure.is_some() {
             return;
@@ -43,8 +46,8 @@
         self.announce_departure(out);
     }
 
-    /// Tells all others again and again, whether they have a vote or not: any of them may be the next to choose voters,
-    /// and other messages of this member don't tell that it departs.
+    /// Announces the departure to all other members at regular intervals, with or without a vote: any of them may
+    /// become the primary that chooses voters, and no other message of this member says that it departs.
     fn announce_departure(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(departure) = &mut self.departure else {
@@ -67,7 +70,8 @@
         self.peers.is_departing(id, self.now)
     }
 
-    /// A membership configuration was received. Those without a replica get one only once all replicas have it on disk.
+    /// Notes a received membership configuration that doesn't include this member. Members without a replica receive
+    /// it only once all its replicas have it on disk.
     pub(super) fn record_successor(&mut self, membership: &MembershipConfig) {
         let is_newer = self
             .accepted_epoch()
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Departing members without a vote in a membership configuration: they wait for it to be installed.
+    /// Departing members without a vote in a membership configuration. They wait for it to be installed.
     pub(super) fn departing_nonvoters(&self, membership: &MembershipConfig) -> Vec<u64> {
         self.peers
             .ids()
@@ -88,7 +92,8 @@
             .collect()
     }
 
-    /// Releases the lease once others can go on, and completes once nothing depends on this member.
+    /// Releases the lease once other members can take over, and completes the departure once nothing depends on this
+    /// member.
     pub(super) fn run_departure(&mut self, out: &mut Vec<Output>) {
         self.announce_departure(out);
         let Some(departure) = self.departure.as_ref().filter(|d| !d.is_complete) else {
@@ -110,6 +115,7 @@
         }
     }
 
+    /// When a departing primary releases its lease even if nobody can take over.
     fn hand_over_deadline(&self, departure: &Departure) -> Duration {
         departure.started_at + MAX_HAND_OVER_LEASES * self.config.lease_duration
     }
@@ -128,7 +134,7 @@
                 .is_some_and(|d| d.is_successor_installed)
     }
 
-    /// Whether the primary is about to remove this voter, or to replace it by a member that joins. If this member ended
+    /// Whether the primary is about to remove this voter, or to replace it by a joining member. If this member ended
     /// before that, the next loss would leave too few voters.
     fn is_about_to_lose_vote(&self, membership: &MembershipConfig) -> bool {
         let joins = |id: u64| membership.voter(id).is_none();
@@ -138,7 +144,8 @@
             && (others_join || self.can_spare_voter(membership))
     }
 
-    /// Whether the voters that answered lately and don't depart are a majority, with enough replicas among them.
+    /// Whether the voters that granted a lease recently and don't depart form a quorum, with enough replicas among
+    /// them.
     fn others_can_take_over(&self) -> bool {
         let (Some(primary), Some(membership)) = (self.role.primary(), &self.membership) else {
             return false;
--- a/crates/control-plane/src/member/dispatch.rs
+++ b/crates/control-plane/src/member/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands each message of another member to the part of this member that it is for.
+//! Dispatch of messages from other members to their handlers.
 
 use super::lease::{LeaseReply, LeaseRequest};
 use super::voter::{PromiseReply, PromisedHistory};
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes the answers to this member's own messages. Other messages are for the runtime.
+    /// Handles replies to this member's own messages. Other messages are for the runtime.
     fn on_reply(&mut self, from: &MemberInfo, message: Message, out: &mut Vec<Output>) {
         match message {
             Message::PreVoteReply {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Answers tell the highest epoch that their sender has promised.
+    /// Notes the highest epoch that the sender of a reply has promised.
     fn observe_promised_epoch(&mut self, message: &Message) {
         match message {
             Message::PreVoteReply { promised_epoch, .. }
--- a/crates/control-plane/src/member/early_proposals.rs
+++ b/crates/control-plane/src/member/early_proposals.rs
@@ -1,8 +1,8 @@
-//! Configuration requests whose base version isn't in force yet; the primary holds them for a while.
+//! Configuration requests whose base version isn't in force yet. The primary holds them for a limited time.
 //!
-//! An operator may send a request that builds on another one in flight. Such a request can't be rejected, because a late
-//! copy of it could be applied once its base is in force. It waits here: it is planned again as soon as its base is in
-//! force, and otherwise ends without a definite answer.
+//! An operator may send a request that builds on another one in flight. It can't be rejected, because a late copy of
+//! it could still be applied once its base is in force. It is planned again as soon as its base is in force, and
+//! otherwise ends with an indefinite result.
 
 use super::commands::CommandSource;
 use super::{Member, Output};
@@ -10,12 +10,13 @@
 use protocol::Command;
 use std::time::Duration;
 
-/// How long the primary holds such a request. Together with the ways to the primary and back this is less than the
-/// second after which a caller turns to another member, so that callers learn of a mistyped base.
+/// How long the primary holds such a request. Including the round trip to the primary this is less than the second
+/// after which a caller turns to another member, so that callers learn of a mistyped base.
 const EARLY_PROPOSAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many are held at once: as many as operators may have in flight.
+/// How many such requests are held at once: as many as operators may have in flight.
 const MAX_EARLY_PROPOSALS: usize = 8;
 
+/// A held request and its base version.
 #[derive(Clone, Debug)]
 struct EarlyProposal {
     base: u64,
@@ -24,7 +25,7 @@
     expires_at: Duration,
 }
 
-/// The early proposals that a primary holds, oldest first.
+/// The requests that a primary holds, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EarlyProposals {
     proposals: Vec<EarlyProposal>,
@@ -35,7 +36,7 @@
         self.proposals.iter().any(|p| p.source == source)
     }
 
-    /// Takes out those whose base version is in force or was.
+    /// Removes and returns the requests whose base version is in force or was.
     fn take_ready(&mut self, version: u64) -> Vec<(CommandSource, Command)> {
         self.proposals
             .extract_if(.., |p| p.base <= version)
@@ -43,7 +44,7 @@
             .collect()
     }
 
-    /// Takes out those that have expired: the source and the base version of each.
+    /// Removes the expired requests, and returns the source and the base version of each.
     fn take_expired(&mut self, now: Duration) -> Vec<(CommandSource, u64)> {
         self.proposals
             .extract_if(.., |p| p.expires_at <= now)
@@ -57,7 +58,7 @@
 }
 
 impl Member {
-    /// Holds a request until its base version is in force. If too many are held, the caller is told at once.
+    /// Holds a request until its base version is in force. If too many are held already, it is answered at once.
     pub(super) fn hold_early_proposal(
         &mut self,
         source: CommandSource,
@@ -83,7 +84,7 @@
         });
     }
 
-    /// Early proposals whose base version has come into force are planned again.
+    /// Queues the held requests whose base version has come into force.
     pub(super) fn requeue_early_proposals(&mut self) {
         let (Some(primary), Some(log)) = (self.role.primary_mut(), &self.log) else {
             return;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Ends the early proposals that have waited too long.
+    /// Ends the held requests that have expired.
     pub(super) fn expire_early_proposals(&mut self, out: &mut Vec<Output>) {
         let Some(primary) = self.role.primary_mut() else {
             return;
--- a/crates/control-plane/src/member/election_timer.rs
+++ b/crates/control-plane/src/member/election_timer.rs
@@ -1,16 +1,16 @@
-//! When a member campaigns. Members campaign one after the other, replicas first, so that one of them usually wins
-//! without a rival.
+//! The election timer. Members campaign one after the other, replicas first, so that one of them usually wins without
+//! competition.
 
 use super::candidate::CandidateState;
 use super::{Member, Output, Role};
 use protocol::Message;
 use std::time::Duration;
 
-/// The time between the campaigns of two members, as a part of a lease's duration.
+/// Delay between the campaigns of members of successive rank, as a divisor of a lease's duration.
 const RANK_DELAY_DIVISOR: u32 = 8;
 
 impl Member {
-    /// A voter without a lease in force campaigns once its turn has come.
+    /// Starts a campaign if this voter has no lease granted that is in force, and its election delay is over.
     pub(super) fn run_election_timer(&mut self, out: &mut Vec<Output>) {
         let is_held_back = self.granted_lease.is_some_and(|g| g.until > self.now)
             || self.departure.is_some()
@@ -32,18 +32,20 @@
         self.on_pre_votes_changed(out);
     }
 
-    /// Whoever was promised an epoch, or holds a lease, has time for it.
+    /// Postpones this member's campaign, so that the member that was promised an epoch or holds a lease has time to
+    /// act.
     pub(super) fn postpone_election(&mut self) {
         self.election_at = self.now + self.config.lease_duration + self.election_delay();
     }
 
-    /// How long this member lets others campaign first: replicas come before witnesses, in the order of the membership
-    /// configuration.
+    /// How long this member lets others campaign first. Replicas come before witnesses, in the order of the membership
+    /// configuration; a random part keeps members of equal rank apart.
     pub(super) fn election_delay(&mut self) -> Duration {
         let rank_delay = self.config.lease_duration / RANK_DELAY_DIVISOR;
         rank_delay * self.election_rank() + self.random.duration_below(rank_delay / 2)
     }
 
+    /// This member's position in the order of campaigns, from 0.
     fn election_rank(&self) -> u32 {
         let own_id = self.own_id();
         let Some(membership) = &self.membership else {
--- a/crates/control-plane/src/member/epoch.rs
+++ b/crates/control-plane/src/member/epoch.rs
@@ -1,16 +1,16 @@
-//! How an epoch is composed: a generation, the round of an election, and the low bits of the candidate's member id.
+//! The composition of an epoch: a generation, the round of an election, and the low bits of the candidate's member id.
 //!
-//! The candidate's bits make epochs of different candidates differ. Elections raise the round. Only an operator who
-//! recovers a system without its majority (`crate::recovery`) raises the generation. No member prepares an epoch of a
-//! generation that it has no membership configuration of. Members that the operator has given up therefore can neither
-//! outbid nor replace the recovered one, and they stop once they have heard of it.
+//! The candidate's bits make the epochs of different candidates differ. Each election raises the round. Only an
+//! operator who recovers a system that has lost its majority (`crate::recovery`) raises the generation. No member
+//! prepares an epoch of a generation that it has no membership configuration of. The members left out of the recovery
+//! can therefore neither outbid nor replace the recovered one, and they stop once they learn of it.
 
 use super::Member;
 use protocol::{MemberInfo, MembershipConfig};
 
-/// Bits below an epoch's generation.
+/// Number of bits below the generation.
 const GENERATION_SHIFT: u32 = 48;
-/// Low bits of an epoch that are those of its candidate's member id.
+/// Number of low bits, which come from the candidate's member id.
 const CANDIDATE_BITS: u32 = 20;
 const CANDIDATE_MASK: u64 = (1 << CANDIDATE_BITS) - 1;
 
@@ -19,20 +19,20 @@
     epoch >> GENERATION_SHIFT
 }
 
-/// The epoch of `candidate` in the round after that of `highest`.
+/// The epoch of `candidate` in the round that follows that of `highest`.
 pub(super) fn next_epoch(highest: u64, candidate: u64) -> u64 {
     let round = (highest >> CANDIDATE_BITS) + 1;
     (round << CANDIDATE_BITS) | (candidate & CANDIDATE_MASK)
 }
 
-/// The epoch with which `candidate` goes on alone after a recovery: the first of the generation after that of
+/// The epoch with which `candidate` continues alone after a recovery: the first of the generation that follows that of
 /// `highest`.
 pub(crate) fn recovery_epoch(highest: u64, candidate: u64) -> u64 {
     let next_generation = (generation(highest) + 1) << GENERATION_SHIFT;
     next_generation | (1 << CANDIDATE_BITS) | (candidate & CANDIDATE_MASK)
 }
 
-/// The voter of a membership configuration that prepared an epoch.
+/// The voter, current or previous, of a membership configuration that prepared an epoch.
 pub fn candidate_of(epoch: u64, membership: &MembershipConfig) -> Option<&MemberInfo> {
     membership
         .voters
@@ -42,14 +42,15 @@
 }
 
 impl Member {
-    /// Whether an operator has recovered the system without the membership configuration that this member knows.
+    /// Whether an operator has recovered the system into a newer generation than that of this member's membership
+    /// configuration.
     pub(super) fn is_superseded(&self) -> bool {
         self.membership
             .as_ref()
             .is_some_and(|own| generation(self.highest_epoch_seen) > generation(own.epoch))
     }
 
-    /// A member that was given up is neither candidate nor primary any more.
+    /// Steps down if a recovery has superseded this member: it may be neither candidate nor primary.
     pub(super) fn step_down_if_superseded(&mut self) {
         if self.is_superseded() && !self.role.is_follower() {
             self.step_down();
--- a/crates/control-plane/src/member/installation.rs
+++ b/crates/control-plane/src/member/installation.rs
@@ -1,5 +1,5 @@
-//! The last steps of a campaign: the candidate composes its membership configuration and installs it, first on the
-//! replicas and then on a majority of the voters (phase 2 of Paxos). Then it is primary.
+//! The last phases of a campaign: the candidate composes its membership configuration and installs it, first on the
+//! replicas and then on a majority of the voters (phase 2 of Paxos). After that it is the primary.
 
 use super::candidate::{all_voters, CandidateState, ElectionPhase, InstallTarget};
 use super::primary::PrimaryState;
@@ -11,8 +11,8 @@
 use std::collections::BTreeSet;
 
 impl Member {
-    /// Composes the new membership configuration and sends it to its replicas. If these would be too few, more promises
-    /// may arrive.
+    /// Composes the new membership configuration and sends it to its replicas. Does nothing if the replicas would be
+    /// too few, because more promises may arrive.
     pub(super) fn install_membership(
         &mut self,
         base: MembershipConfig,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// The membership configuration that follows `base`; none if its replicas would be too few.
+    /// The membership configuration that follows `base`; `None` if its replicas would be too few or this member isn't
+    /// a voter.
     fn compose_membership(
         &self,
         candidate: &CandidateState,
@@ -100,8 +101,8 @@
             })
     }
 
-    /// Chooses replicas among the voters that have promised or join, this member first and then those that hold replicas
-    /// already.
+    /// Chooses replicas among the voters that have promised or join. This member comes first, then those that already
+    /// hold replicas.
     fn place_replicas(
         &self,
         candidate: &CandidateState,
@@ -123,11 +124,12 @@
         };
         let budget = &self.config.fault_budget;
         let healthy = among(&is_healthy);
-        // A departing replica is better than none: what it alone holds is on another disk then.
+        // A departing replica is better than none: the state that only it holds is then on another disk as well.
         let or_departing = among(&|id| is_healthy(id) || self.is_peer_departing(id));
         choose_replicas(budget, &healthy)
             .or_else(|| choose_replicas(budget, &or_departing))
-            // Then whoever has promised: its disk took the promise, whatever it told a primary before.
+            // Otherwise any voter that has promised: its disk accepted the promise, whatever the voter last reported
+            // about it.
             .or_else(|| choose_replicas(budget, &available))
             .or_else(|| {
                 let too_few = self.has_too_few_voters(candidate, voters);
@@ -135,7 +137,7 @@
             })
     }
 
-    /// Whether a voter can be a replica: it has promised, or joins.
+    /// Whether a voter can hold a replica: it has promised, or joins.
     fn is_available(&self, candidate: &CandidateState, base: &MembershipConfig, id: u64) -> bool {
         let change = candidate.change();
         let joins = candidate.knows_installed(base.epoch) && change.add.iter().any(|m| m.id == id);
@@ -143,8 +145,8 @@
         id == self.own_id() || (!change.exclude.contains(&id) && answers)
     }
 
-    /// Whether there are too few voters for the fault budget. Then those that are there hold replicas, and the primary
-    /// accepts no change until more come.
+    /// Whether there are too few voters for the fault budget. In that case the available ones hold replicas, and the
+    /// primary accepts no change until more voters join.
     fn has_too_few_voters(&self, candidate: &CandidateState, voters: &[MemberInfo]) -> bool {
         let budget = &self.config.fault_budget;
         let all: Vec<&MemberInfo> = voters.iter().collect();
@@ -153,7 +155,7 @@
         lacks_majority || choose_replicas(budget, &all).is_none()
     }
 
-    /// A member has answered whether it has accepted the membership configuration of an epoch.
+    /// Handles a member's reply whether it has accepted the membership configuration of an epoch.
     pub(super) fn on_install_reply(
         &mut self,
         from: u64,
@@ -162,7 +164,8 @@
         out: &mut Vec<Output>,
     ) {
         if let Some(primary) = self.role.primary_mut().filter(|_| accepted) {
-            // A voter grants no lease before it has accepted the membership configuration: it is asked at once.
+            // A voter grants no lease before it has accepted the membership configuration, so leases are requested at
+            // once.
             if primary.epoch() == epoch && primary.record_acceptance(from) {
                 primary.schedule_renewal(self.now);
             }
@@ -190,7 +193,7 @@
         self.become_primary_if_installed(target, out);
     }
 
-    /// Once all replicas have the membership configuration, the other voters get it.
+    /// Sends the membership configuration to the other voters once all its replicas have it.
     fn install_on_witnesses(&mut self, membership: &MembershipConfig, out: &mut Vec<Output>) {
         let Some(candidate) = self.role.candidate_mut() else {
             return;
@@ -213,8 +216,8 @@
         }
     }
 
-    /// Once a majority of the voters (and of the previous ones) has the membership configuration too, this member is
-    /// primary.
+    /// Becomes the primary once a majority of the voters, and one of the previous voters, has the membership
+    /// configuration.
     fn become_primary_if_installed(&mut self, target: InstallTarget, out: &mut Vec<Output>) {
         let InstallTarget { membership, state } = target;
         let Some(candidate) = self.role.candidate() else {
--- a/crates/control-plane/src/member/lease.rs
+++ b/crates/control-plane/src/member/lease.rs
@@ -1,9 +1,9 @@
-//! Leases (Gray and Cheriton 1989): for a time, a voter promises to follow no other primary.
+//! Leases (Gray and Cheriton 1989): for a limited time, a voter promises to follow no other primary.
 //!
-//! The primary counts a lease from the moment at which it asked for it, and only for a part of its duration; the voter
-//! counts the whole duration from the moment at which it granted it. Clocks need not agree, but their rates may differ
-//! by no more than the part that isn't counted. Epochs alone keep committed changes safe. Leases keep a former primary
-//! from answering after another one has taken over.
+//! The primary counts a lease from the moment at which it requested it, and relies on only a part of its duration. The
+//! voter counts the whole duration from the moment at which it granted it. Clocks need not agree, but their rates may
+//! differ by no more than the part that the primary leaves unused. Epochs alone keep committed changes safe; leases
+//! keep a former primary from answering after another one has taken over.
 
 use super::primary::PrimaryState;
 use super::{Member, Output};
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The part of a lease's duration that the primary relies on.
+/// The fraction of a lease's duration that the primary relies on.
 const PRIMARY_LEASE_FRACTION: f64 = 0.9;
-/// How often a lease is renewed, as a part of its duration.
+/// Interval between renewals, as a fraction of a lease's duration.
 pub(super) const RENEWAL_FRACTION: f64 = 0.25;
 
 /// A lease that this member granted as a voter.
@@ -23,24 +23,26 @@
     pub(super) primary: u64,
     /// Epoch of the primary's membership configuration.
     pub(super) epoch: u64,
+    /// When the lease ends, by this member's clock.
     pub(super) until: Duration,
 }
 
-/// A primary's request for a lease, or for a longer one.
+/// A primary's request to grant or extend a lease.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseRequest {
     pub(super) epoch: u64,
-    /// The primary's clock when it asked.
+    /// The primary's clock when it sent the request, in ms.
     pub(super) requested_at_ms: u64,
     pub(super) commit_index: u64,
     /// Index of the last committed change of the configuration or the drains.
     pub(super) fleet_index: u64,
-    /// This voter's clock as of its latest reply; 0 if the primary has none or its lease has lapsed.
+    /// The voter's clock as of its latest reply, in ms; 0 if the primary knows none or its lease has lapsed.
     pub(super) echoed_clock_ms: u64,
 }
 
 impl LeaseRequest {
-    /// The message; in the form of releases without locks, numbers and cells where these would understand it.
+    /// The wire message. Where it suffices, this is the form that releases without locks, numbers and cells
+    /// understand.
     fn into_message(self) -> Message {
         let Self {
             epoch,
@@ -71,25 +73,25 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseReply {
     pub(super) epoch: u64,
-    /// As in the request.
+    /// The same value as in the request.
     pub(super) requested_at_ms: u64,
     pub(super) granted: bool,
     pub(super) disk_healthy: bool,
-    /// The voter's clock.
+    /// The voter's clock, in ms.
     pub(super) clock_ms: u64,
 }
 
 /// The leases that a primary holds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldLeases {
-    /// For each voter, when the latest lease that it granted was asked for.
+    /// For each voter, when the latest lease that it granted was requested.
     granted_at: BTreeMap<u64, Duration>,
     /// The clock that each voter sent with its latest grant, in ms.
     voter_clocks_ms: BTreeMap<u64, u64>,
 }
 
 impl HeldLeases {
-    /// When the latest lease that a voter granted was asked for.
+    /// When the latest lease that a voter granted was requested.
     pub(super) fn granted_at(&self, voter: u64) -> Option<Duration> {
         self.granted_at.get(&voter).copied()
     }
@@ -105,8 +107,8 @@
         self.voter_clocks_ms.insert(voter, reply.clock_ms);
     }
 
-    /// The latest moment at or after which a joint quorum of voters was asked for the leases that it granted; 0 if no
-    /// quorum has granted one. The primary is its own voter at any moment.
+    /// The latest time such that a joint quorum of voters granted leases that were requested at or after it; 0 if no
+    /// quorum has granted any. The primary always counts as a voter that grants its own lease.
     fn quorum_granted_at(
         &self,
         membership: &MembershipConfig,
@@ -142,7 +144,7 @@
         granted_at + self.config.lease_duration.mul_f64(PRIMARY_LEASE_FRACTION)
     }
 
-    /// A primary whose lease has ended steps down.
+    /// Steps down if this member is a primary whose lease has ended.
     pub(super) fn step_down_if_lease_ended(&mut self) {
         let Some(primary) = self.role.primary() else {
             return;
@@ -154,8 +156,8 @@
         }
     }
 
-    /// The primary asks each voter for a longer lease, and asks those that haven't accepted the membership configuration
-    /// to accept it.
+    /// Requests a lease extension from each voter if renewal is due, and asks the voters that haven't accepted the
+    /// membership configuration to accept it.
     pub(super) fn renew_leases(&mut self, out: &mut Vec<Output>) {
         let is_leased = self.is_acting_primary();
         let (now, own_id) = (self.now, self.own_id());
@@ -180,7 +182,7 @@
                 };
                 messages.push((voter, install));
             }
-            // Without a lease another primary may have acted since: the echo would prove nothing.
+            // Without a lease, another primary may have acted in the meantime, and the echo would prove nothing.
             let echo = primary.leases.voter_clock_ms(voter).filter(|_| is_leased);
             let request = LeaseRequest {
                 epoch: primary.epoch(),
@@ -196,7 +198,7 @@
         }
     }
 
-    /// A voter grants a lease to the primary that it follows.
+    /// Handles a primary's lease request: grants it if this member follows that primary.
     pub(super) fn on_lease_request(
         &mut self,
         from: MemberInfo,
@@ -229,7 +231,7 @@
     }
 
     fn grant_lease(&mut self, primary: &MemberInfo, request: &LeaseRequest) {
-        // A candidate would be its own first voter while the lease lasts.
+        // A candidate would vote for itself while the lease lasts.
         if self.role.candidate().is_some() {
             self.step_down();
         }
@@ -244,7 +246,7 @@
             .record_echo(request.fleet_index, request.echoed_clock_ms, self.now);
     }
 
-    /// The primary takes a voter's answer.
+    /// Handles a voter's reply to a lease request.
     pub(super) fn on_lease_reply(
         &mut self,
         from: &MemberInfo,
@@ -264,11 +266,11 @@
         }
         primary.leases.record(from.id, reply);
         primary.record_acceptance(from.id);
-        // Changes that were replicated before there was a lease wait for it.
+        // Changes that were replicated before the primary had a lease can be committed now.
         self.commit(out);
     }
 
-    /// A primary or candidate steps down, and tells the voters that no lease holds them back.
+    /// Steps down as primary or candidate, and tells the voters that this member's lease no longer binds them.
     pub(super) fn release_lease(&mut self, out: &mut Vec<Output>) {
         let epoch = match (self.role.primary(), self.role.candidate()) {
             (Some(primary), _) => primary.epoch(),
@@ -281,11 +283,11 @@
         for voter in voters.into_iter().filter(|v| *v != self.own_id()) {
             self.send(voter, Message::ReleaseLease { epoch }, out);
         }
-        // The others campaign first.
+        // Lets the others campaign first.
         self.election_at = self.now + 2 * self.config.lease_duration;
     }
 
-    /// The lease holder needs its lease no more. Messages of other members don't end a lease.
+    /// Handles the release of a lease by its holder. Messages of other members don't end a lease.
     pub(super) fn on_lease_released(&mut self, from: u64, epoch: u64) {
         let is_holder = |g: LeaseGrant| g.primary == from && g.epoch <= epoch;
         if self.granted_lease.is_some_and(is_holder) {
--- a/crates/control-plane/src/member/membership_change.rs
+++ b/crates/control-plane/src/member/membership_change.rs
@@ -1,5 +1,5 @@
-//! How a primary has to change its membership configuration: replicas that don't answer or depart are replaced, voters
-//! join and are removed.
+//! Changes that a primary has to make to its membership configuration: replicas that don't respond or depart are
+//! replaced, voters are added and removed.
 
 use super::candidate::MembershipChange;
 use super::lease::RENEWAL_FRACTION;
@@ -11,20 +11,20 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A replica that hasn't answered for this part of a lease's duration is replaced.
+/// A replica that hasn't responded for this fraction of a lease's duration is replaced.
 const REPLICA_TIMEOUT_FRACTION: f64 = 0.7;
-/// A voter that was silent for this many lease durations is replaced by a member that joins, or removed from an even
-/// number of voters.
+/// A voter that was silent for this many lease durations is replaced by a joining member, or removed if the number of
+/// voters is even.
 const REPLACE_AFTER_LEASES: u32 = 3;
-/// A voter that was silent for this many lease durations is removed if enough are left.
+/// A voter that was silent for this many lease durations is removed if enough voters remain.
 const REMOVE_AFTER_LEASES: u32 = 10;
-/// A member without a vote may join if it was heard of within this many lease durations.
+/// A member without a vote may become a voter if it was heard from within this many lease durations.
 const JOIN_WITHIN_LEASES: u32 = 3;
-/// More members than these have no vote; they only mirror.
+/// The largest number of voters. Further members have no vote and only mirror.
 const MAX_VOTERS: usize = 9;
 
 impl Member {
-    /// How the membership configuration has to change; none if it is good.
+    /// The change that the membership configuration needs; `None` if it needs none.
     pub(super) fn required_change(&self, primary: &PrimaryState) -> Option<MembershipChange> {
         let membership = self.membership.as_ref()?;
         let mut change = MembershipChange::default();
@@ -37,9 +37,9 @@
                 .remove
                 .extend(self.voters_to_remove(primary, membership));
         }
-        // Another candidate was promised a higher epoch: whoever promised it no longer follows this one.
+        // A higher epoch was promised to another candidate: the voters that promised it no longer follow this primary.
         let is_overtaken = self.highest_epoch_seen > primary.epoch();
-        // A replica that refused a change but answers has to start again from a snapshot.
+        // A replica that rejected a change but still responds has to start again from a snapshot.
         let mut failed = primary.replication.failed_replicas().iter();
         let needs_snapshot = failed.any(|id| !self.has_replica_timed_out(primary, *id));
         let can_accept_changes =
@@ -52,19 +52,20 @@
         is_needed.then_some(change)
     }
 
-    /// The time since the last lease that a voter granted was asked for.
+    /// The time since the latest lease that a voter granted was requested.
     fn time_without_grant(&self, primary: &PrimaryState, id: u64) -> Duration {
         let granted_at = primary.leases.granted_at(id);
         self.now
             .saturating_sub(granted_at.unwrap_or(primary.started_at()))
     }
 
+    /// Whether a replica hasn't granted a lease for so long that it is replaced.
     fn has_replica_timed_out(&self, primary: &PrimaryState, id: u64) -> bool {
         let timeout = self.config.lease_duration.mul_f64(REPLICA_TIMEOUT_FRACTION);
         self.time_without_grant(primary, id) >= timeout
     }
 
-    /// Whether a voter granted a lease lately, can write and doesn't depart.
+    /// Whether a voter granted a lease recently, has a healthy disk and doesn't depart.
     fn is_responsive(&self, primary: &PrimaryState, id: u64) -> bool {
         let recent = self.config.lease_duration.mul_f64(2.0 * RENEWAL_FRACTION);
         self.time_without_grant(primary, id) < recent
@@ -72,8 +73,9 @@
             && !self.is_peer_departing(id)
     }
 
-    /// The time since any message of a voter. Voters had no reason to send one before this member was primary, except
-    /// during the lease that it waited for before it took over; that counts also for a voter that was never heard of.
+    /// The time since the last message of a voter, of any kind. Voters had no reason to send one before this member
+    /// was primary, except during the lease that it waited for before it took over. That period also counts for a
+    /// voter that was never heard from.
     fn time_since_last_message(&self, primary: &PrimaryState, id: u64) -> Duration {
         let last_heard_at = self.peers.last_heard_at(id).unwrap_or(Duration::ZERO);
         let primary_since = primary.primary_since();
@@ -81,7 +83,8 @@
         self.now.saturating_sub(last_heard_at.max(first_expected))
     }
 
-    /// Replicas that don't answer, can't write or depart; none if there are no others for them.
+    /// Replicas that don't respond, can't write or depart; `None` if there are none, or no other voters to take their
+    /// place.
     fn replicas_to_replace(
         &self,
         primary: &PrimaryState,
@@ -108,7 +111,7 @@
         Some(failed).filter(|failed| !failed.is_empty())
     }
 
-    /// Whether voters that were too few for all replicas are enough now.
+    /// Whether enough voters respond now to hold all replicas.
     fn enough_voters_respond(&self, primary: &PrimaryState, membership: &MembershipConfig) -> bool {
         let answers = |id: u64| id == self.own_id() || self.is_responsive(primary, id);
         let voters = membership.voters.iter();
@@ -126,13 +129,14 @@
             && !self.peers.may_have_departed(info.id, self.now)
     }
 
-    /// Whether there are more voters than the loss of machines requires, so that a departing one is removed.
+    /// Whether there are more voters than the tolerated loss of machines requires, so that a departing one is removed.
     pub(super) fn can_spare_voter(&self, membership: &MembershipConfig) -> bool {
         let required = 2 * self.config.fault_budget.machine_losses as usize + 1;
         membership.voters.len() > required
     }
 
-    /// Members without a vote join: in place of a voter that is lost or departs, or in addition to the others.
+    /// Adds members without a vote to the change: in place of a voter that is lost or departs, or as additional
+    /// voters.
     fn add_joining_members(
         &self,
         primary: &PrimaryState,
@@ -153,8 +157,8 @@
                 None => additional.push(joiner.clone()),
             }
         }
-        // A voter that has just fallen silent may be the one that a joiner is to replace. An additional voter beside a
-        // lost one would leave less room for the next loss.
+        // A voter that has just fallen silent may be the one that a joining member should replace. An additional voter
+        // next to a lost one would leave less room for the next loss.
         let timeout = self.config.lease_duration.mul_f64(REPLICA_TIMEOUT_FRACTION);
         let is_silent = |v: &MemberInfo| {
             v.id != self.own_id() && self.time_since_last_message(primary, v.id) > timeout
@@ -165,7 +169,7 @@
         }
     }
 
-    /// The voter that a joining member replaces: one at the same address, or else one that is lost or departs.
+    /// The voter that a joining member replaces: the one at the same address, or else one that is lost or departs.
     fn voter_to_replace(
         &self,
         primary: &PrimaryState,
@@ -184,7 +188,7 @@
         same_address.or_else(|| voters.find(is_gone)).map(|v| v.id)
     }
 
-    /// Of members that join in addition to the voters, those with whom a majority survives any loss within the fault
+    /// Selects additional voters among the joining members, such that a majority survives any loss within the fault
     /// budget.
     fn additional_voters(
         &self,
@@ -200,7 +204,7 @@
         };
         let room = additional_voter_limit(voters.len(), added.len());
         let allowed = shortfall(&[]).max(0);
-        // If a majority may be lost, the joiner that helps most may stand anywhere among them.
+        // If a majority may be lost, the joiner that improves the situation most may be anywhere in the list.
         let shortfall_with = |joiner: &&MemberInfo| shortfall(std::slice::from_ref(*joiner));
         let best = joiners
             .iter()
@@ -227,9 +231,9 @@
         joiners
     }
 
-    /// Voters to remove without replacement: one that departs or has been silent for long, if enough are left, and those
-    /// without whom a majority survives the loss of their zone or region. They go at once, as the next loss may come
-    /// between two changes.
+    /// Voters to remove without a replacement: one that departs or has been silent for long, if enough remain, and
+    /// those whose removal makes a majority survive the loss of any zone or region. All go in one change, as the next
+    /// loss may come between two changes.
     fn voters_to_remove(
         &self,
         primary: &PrimaryState,
@@ -239,7 +243,7 @@
         if !self.can_spare_voter(membership) {
             return removed;
         }
-        // One of an even number of voters can go without a loss of tolerance.
+        // Removing one of an even number of voters doesn't reduce the tolerated losses.
         let leases = if membership.voters.len().is_multiple_of(2) {
             REPLACE_AFTER_LEASES
         } else {
@@ -255,8 +259,8 @@
         removed
     }
 
-    /// Of the voters that stay, those without whom a majority survives the loss of any zone or region. None where too
-    /// few others are there for that: fewer voters would bear the loss of fewer zones or regions.
+    /// Of the remaining voters, those whose removal makes a majority survive the loss of any zone or region. Empty if
+    /// too few other voters are available for that: with fewer voters, fewer zones or regions may be lost.
     fn surplus_voters(
         &self,
         membership: &MembershipConfig,
@@ -273,13 +277,14 @@
         }
     }
 
-    /// Whether a majority of the other voters survives any loss within the fault budget.
+    /// Whether a majority of the remaining voters survives any loss within the fault budget.
     fn survives_without(&self, membership: &MembershipConfig, removed: &BTreeSet<u64>) -> bool {
         let staying = self.remaining_voters(membership, removed);
         let staying: Vec<&MemberInfo> = staying.iter().collect();
         majority_shortfall(&self.config.fault_budget, &staying) <= 0
     }
 
+    /// The voters that aren't removed, with their latest known addresses and locations.
     fn remaining_voters(
         &self,
         membership: &MembershipConfig,
@@ -292,7 +297,7 @@
             .collect()
     }
 
-    /// Of the voters that stay, one of a zone or region with so many voters that its loss would leave no majority.
+    /// Of the remaining voters, one of a zone or region with so many voters that its loss would leave no majority.
     fn voter_in_oversized_group(
         &self,
         membership: &MembershipConfig,
@@ -303,7 +308,7 @@
             let rest: Vec<&MemberInfo> = staying.iter().filter(|v| v.id != id).collect();
             majority_shortfall(&self.config.fault_budget, &rest)
         };
-        // No member has the id 0.
+        // No member has the id 0, so this removes nobody.
         let shortfall = shortfall_without(0);
         if shortfall <= 0 {
             return None;
@@ -318,8 +323,8 @@
     }
 }
 
-/// How many members may join in addition at once. The present voters must be a majority of those to come, who may be lost
-/// before they have accepted the membership configuration.
+/// How many additional members may join at once. The present voters must be a majority of the new ones, who may be
+/// lost before they have accepted the membership configuration.
 fn additional_voter_limit(voters: usize, added: usize) -> usize {
     let below_maximum = MAX_VOTERS.saturating_sub(voters + added);
     let below_majority = voters.saturating_sub(1 + added).max(1);
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -1,9 +1,10 @@
-//! A member of the control plane: a state machine without I/O or clock. It takes inputs with the time, and tells what to
-//! send, to write and to answer.
+//! A member of the control plane: a state machine without I/O or a clock. Each input comes with the time; the outputs
+//! are the messages to send, the records to write and the answers to give.
 //!
-//! Replication is primary-backup under epochs, as in Vertical Paxos (Lamport, Malkhi and Zhou 2009): the primary writes a
-//! change to the disks of all replicas before it acknowledges it, and a majority of the voters decides who is primary.
-//! Epochs keep committed changes safe. Leases only tell who may act, and when others may campaign.
+//! Replication is primary-backup under epochs, as in Vertical Paxos (Lamport, Malkhi and Zhou 2009): the primary
+//! writes a change to the disks of all replicas before it acknowledges it, and a majority of the voters decides who is
+//! primary. Epochs keep committed changes safe. Leases only determine which member may act, and when others may
+//! campaign.
 
 mod backup;
 mod candidate;
@@ -63,16 +64,16 @@
 use voter::PromiseState;
 use write_queue::WriteQueue;
 
-/// The shortest time until the next wake.
+/// The shortest delay until the next wake.
 const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
-/// The longest time until the next wake, in lease durations.
+/// The longest delay until the next wake, in lease durations.
 const MAX_WAKE_DELAY_LEASES: u32 = 4;
 
-/// A member.
+/// The state machine of one member.
 #[derive(Clone, Debug)]
 pub struct Member {
     config: MemberConfig,
-    /// The time of the latest step. It never goes back.
+    /// The time of the latest step. It never decreases.
     now: Duration,
     started_at: Duration,
     /// Whether an earlier incarnation may have granted a lease.
@@ -83,13 +84,13 @@
     promise: PromiseState,
     /// The latest membership configuration that this member accepted.
     membership: Option<MembershipConfig>,
-    /// The replicated state; none if this member is no replica.
+    /// The log of the replicated state; `None` if this member is no replica.
     log: Option<ReplicaLog>,
-    /// What this disk knows to be committed.
+    /// The newest state that the records on this disk show as committed.
     committed: CommittedState,
-    /// Why the records on disk can't be relied on: such a member has no vote and holds no replica.
+    /// The error in the records on disk, if any. A member with such an error has no vote and holds no replica.
     replay_error: Option<Arc<ReplayError>>,
-    /// The committed state on disk, to be shown at the first step.
+    /// The committed state from disk, which the first step publishes.
     restored: Option<ReplicatedState>,
     /// The lease that this member granted as a voter.
     granted_lease: Option<LeaseGrant>,
@@ -97,24 +98,24 @@
     peers: Peers,
     role: Role,
     phase_timeouts: PhaseTimeouts,
-    /// When it may campaign next.
+    /// The earliest time of the next campaign.
     election_at: Duration,
     writes: WriteQueue,
     commands: LocalCommands,
-    /// The primary that others told of.
+    /// The primary that other members reported.
     reported_primary: Option<ReportedPrimary>,
-    /// Present once the process was asked to end.
+    /// The graceful shutdown, once the process was asked to end.
     departure: Option<Departure>,
 }
 
-/// A primary that others told of.
+/// A primary that other members reported.
 #[derive(Clone, Debug)]
 struct ReportedPrimary {
     epoch: u64,
     info: MemberInfo,
 }
 
-/// The membership configuration of a system that starts for the first time.
+/// The membership configuration of a system's first start: epoch 0 without a primary.
 fn bootstrap_membership(voters: Vec<MemberInfo>) -> MembershipConfig {
     MembershipConfig {
         epoch: 0,
@@ -126,7 +127,7 @@
 }
 
 impl Member {
-    /// A member that starts. `records` are those on its disk, none at the first start. `random` must differ between
+    /// Creates a member from the records on its disk, which are empty at its first start. `random` must differ between
     /// members and between starts: it spreads elections, and tells one incarnation's requests from another's.
     pub fn new(config: MemberConfig, records: &[Vec<u8>], now: Duration, random: u64) -> Self {
         let file_bytes = records.iter().map(Vec::len).sum();
@@ -155,7 +156,7 @@
             config,
         };
         member.recover(records);
-        // A lease that an earlier incarnation granted may last until then.
+        // An earlier incarnation may have granted a lease that lasts until then.
         let earliest = if member.restarted {
             now + member.config.lease_duration
         } else {
@@ -165,11 +166,12 @@
         member
     }
 
+    /// Restores the state from the records on disk.
     fn recover(&mut self, records: &[Vec<u8>]) {
         let recovered = match replay::replay(records) {
             Ok(recovered) => recovered,
             Err(error) => {
-                // What was promised isn't known: nothing is promised, accepted or replicated any more.
+                // The earlier promises are unknown, so this member must not promise, accept or replicate anything.
                 self.membership = None;
                 self.replay_error = Some(Arc::new(error));
                 return;
@@ -185,12 +187,12 @@
         self.committed.start_membership(durable);
     }
 
-    /// Takes one input and adds what has to be done to `out`. The last output is the time of the next wake.
+    /// Handles one input and appends the resulting actions to `out`. The last output is the time of the next wake.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.publish_restored_state(out);
-        // If the process was paused, the lease may have ended: another primary may act, and nothing more may be
-        // acknowledged here.
+        // If the process was paused, the lease may have ended. Another primary may act then, and this member must not
+        // acknowledge anything more.
         self.step_down_if_lease_ended();
         self.on_input(input, out);
         self.step_down_if_superseded();
@@ -235,6 +237,7 @@
         }
     }
 
+    /// When the next step is due without any other input.
     fn next_wake(&self) -> Duration {
         let wakes = [
             self.election_wake(),
@@ -267,14 +270,14 @@
         membership.is_some_and(|m| m.voter(self.own_id()).is_some())
     }
 
-    /// The other voters of the membership configuration, the previous ones among them.
+    /// The other voters of the membership configuration, including the previous ones.
     fn other_voters(&self) -> BTreeSet<u64> {
         let mut voters = self.membership.as_ref().map(all_voters).unwrap_or_default();
         voters.remove(&self.own_id());
         voters
     }
 
-    /// Epoch of the membership configuration that this member has accepted.
+    /// The epoch of the membership configuration that this member has accepted.
     fn accepted_epoch(&self) -> Option<u64> {
         self.membership.as_ref().map(|m| m.epoch)
     }
@@ -285,7 +288,7 @@
         membership.is_some_and(|m| m.epoch == epoch && m.primary == primary)
     }
 
-    /// The latest that is known of a member's addresses and place.
+    /// The latest known addresses and location of a member.
     fn latest_info(&self, member: &MemberInfo) -> MemberInfo {
         match member.id {
             id if id == self.own_id() => self.config.local_member.clone(),
@@ -301,13 +304,15 @@
         self.peers.info(id).or(as_voter).cloned()
     }
 
+    /// Sends a message to a member by its id. Nothing is sent if the member's address is unknown.
     fn send(&self, to: u64, message: Message, out: &mut Vec<Output>) {
         if let Some(to) = self.member_info(to) {
             out.push(Output::Send { to, message });
         }
     }
 
-    /// The primary, as far as is known here: the holder of a lease that hasn't ended, or the one that others told of.
+    /// The primary, as far as this member knows: the holder of a lease that is in force, or the one that other members
+    /// reported.
     pub fn primary(&self) -> Option<MemberInfo> {
         if self.role.primary().is_some() {
             return Some(self.config.local_member.clone());
@@ -320,13 +325,13 @@
     fn usable_reported_primary(&self) -> Option<MemberInfo> {
         let known = self.reported_primary.as_ref()?;
         let is_newer = self.accepted_epoch().is_none_or(|own| known.epoch > own);
-        // A member without a vote grants no leases: it knows the primary from others alone.
+        // A member without a vote grants no leases, so it knows the primary from other members only.
         let is_useful = !self.is_voter() || is_newer;
         let is_reachable = self.peers.is_reachable(known.info.id, self.now);
         (is_useful && is_reachable).then(|| known.info.clone())
     }
 
-    /// Takes from others who is the primary of an epoch. This only tells where commands are sent.
+    /// Notes the primary of an epoch as another member reported it. This only affects where commands are sent.
     pub fn learn_primary(&mut self, epoch: u64, primary: MemberInfo) {
         let is_latest = self
             .reported_primary
@@ -350,13 +355,13 @@
         self.promise.epoch()
     }
 
-    /// Why the records on disk can't be relied on, if so. Such a member promises, accepts and replicates nothing until
-    /// its disk is emptied.
+    /// The error in the records on disk, if any. A member with such an error promises, accepts and replicates nothing
+    /// until its disk is emptied.
     pub fn replay_error(&self) -> Option<&ReplayError> {
         self.replay_error.as_deref()
     }
 
-    /// Whether the disk accepts writes and its records can be relied on.
+    /// Whether the disk accepts writes in time and its records were read without an error.
     pub fn disk_healthy(&self) -> bool {
         let stall_timeout = self.config.disk_stall_timeout;
         self.replay_error.is_none() && self.writes.is_healthy(self.now, stall_timeout)
--- a/crates/control-plane/src/member/peers.rs
+++ b/crates/control-plane/src/member/peers.rs
@@ -1,26 +1,26 @@
-//! What a member knows of the others from their messages and from connections.
+//! Knowledge about other members, from their messages and connections.
 
 use protocol::MemberInfo;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A peer counts as unreachable after this many lease durations without a message. Connections report once per lease
+/// Lease durations without a message after which a peer counts as unreachable. Connections report once per lease
 /// duration that they are up.
 const UNREACHABLE_AFTER_LEASES: u32 = 3;
-/// A peer that announced its departure counts as departing for this many lease durations.
+/// Lease durations for which a peer counts as departing after it announced its departure.
 const DEPARTING_LEASES: u32 = 3;
-/// A peer that announced its departure doesn't become a voter again for this many lease durations: longer than one that
-/// has ended counts as reachable.
+/// Lease durations for which a peer that announced its departure doesn't become a voter again. This is longer than a
+/// member that has ended counts as reachable.
 const NO_REJOIN_LEASES: u32 = 5;
 
-/// Another member.
+/// What is known of another member.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     info: MemberInfo,
     last_heard_at: Duration,
-    /// As of its latest lease reply.
+    /// Whether its disk accepts writes, as of its latest lease reply.
     disk_healthy: bool,
-    /// When it last announced its departure.
+    /// When it last announced its departure, unless it has come back since.
     departing_at: Option<Duration>,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// All other members that were heard of.
+/// All other members that were heard from.
 #[derive(Clone, Debug)]
 pub(super) struct Peers {
     own_id: u64,
@@ -71,12 +71,12 @@
         self.by_id.get(&id).map(|peer| peer.last_heard_at)
     }
 
-    /// A message of a member arrived.
+    /// Notes a message of another member.
     pub(super) fn record_message(&mut self, sender: &MemberInfo, now: Duration) {
         if sender.id == 0 || sender.id == self.own_id {
             return;
         }
-        // One process listens at an address: another id there means that the earlier disk was lost.
+        // Only one process listens at an address, so another id there means that the earlier disk was lost.
         self.by_id
             .retain(|id, peer| *id == sender.id || peer.info.addr != sender.addr);
         let peer = self.by_id.entry(sender.id).or_insert_with(|| Peer {
@@ -91,8 +91,8 @@
         }
     }
 
-    /// The connection to a member is up. That says little of a voter, because a connection may outlive its process for
-    /// seconds. Of other members it is the only sign of life.
+    /// Notes that the connection to a member is up. That says little about a voter, because a connection may outlive
+    /// its process for seconds. It is the only sign of life of other members.
     pub(super) fn record_connection(&mut self, member: &MemberInfo, is_voter: bool, now: Duration) {
         let heard_before = self.last_heard_at(member.id).filter(|_| is_voter);
         self.record_message(member, now);
@@ -100,47 +100,48 @@
             return;
         };
         peer.last_heard_at = heard_before.unwrap_or(peer.last_heard_at);
-        // Only voters are asked whether their disks are healthy.
+        // Only voters report the health of their disks.
         peer.disk_healthy |= !is_voter;
     }
 
-    /// A voter answered a lease request and told how its disk is.
+    /// Notes the health of a voter's disk as reported in a lease reply.
     pub(super) fn record_disk_health(&mut self, id: u64, healthy: bool) {
         let Some(peer) = self.by_id.get_mut(&id) else {
             return;
         };
         peer.disk_healthy = healthy;
         if healthy {
-            // A departing member says that its disk is unhealthy: this is a later incarnation.
+            // A departing member reports an unhealthy disk, so this is a later incarnation.
             peer.departing_at = None;
         }
     }
 
-    /// A member couldn't write what it was asked to.
+    /// Notes that a member couldn't write what it was sent.
     pub(super) fn record_disk_failure(&mut self, id: u64) {
         if let Some(peer) = self.by_id.get_mut(&id) {
             peer.disk_healthy = false;
         }
     }
 
+    /// Notes that a member announced its departure.
     pub(super) fn record_departure(&mut self, id: u64, now: Duration) {
         if let Some(peer) = self.by_id.get_mut(&id) {
             peer.departing_at = Some(now);
         }
     }
 
-    /// Whether a member's disk accepts writes, as far as is known.
+    /// Whether a member's disk accepts writes, as far as known.
     pub(super) fn is_disk_healthy(&self, id: u64) -> bool {
         self.by_id.get(&id).is_none_or(|peer| peer.disk_healthy)
     }
 
-    /// Whether a member has announced its departure lately.
+    /// Whether a member has announced its departure recently.
     pub(super) fn is_departing(&self, id: u64, now: Duration) -> bool {
         self.announced_departure_within(id, DEPARTING_LEASES, now)
     }
 
-    /// Whether a member announced its departure so lately that what was heard of it since may have been its last
-    /// message. A later incarnation announces nothing of the kind, and joins once this time is over.
+    /// Whether a member announced its departure so recently that what was heard from it since may have been its last
+    /// message. A later incarnation makes no such announcement, and joins once this time is over.
     pub(super) fn may_have_departed(&self, id: u64, now: Duration) -> bool {
         self.announced_departure_within(id, NO_REJOIN_LEASES, now)
     }
@@ -150,8 +151,8 @@
         departing_at.is_some_and(|at| now < at + leases * self.lease_duration)
     }
 
-    /// Whether a member was heard of lately, by a message or a connection. One that was never heard of may be about to
-    /// be reached.
+    /// Whether a member was heard from recently, by a message or a connection. A member that was never heard from
+    /// counts as reachable, because its connection may be about to open.
     pub(super) fn is_reachable(&self, id: u64, now: Duration) -> bool {
         let unreachable_at =
             |last_heard_at| last_heard_at + UNREACHABLE_AFTER_LEASES * self.lease_duration;
--- a/crates/control-plane/src/member/phase_timeouts.rs
+++ b/crates/control-plane/src/member/phase_timeouts.rs
@@ -1,4 +1,4 @@
-//! How long each phase of a campaign may last, and what follows when its time is over.
+//! Time limits of a campaign's phases, and what follows when a phase exceeds its limit.
 
 use super::candidate::{CandidateState, ElectionPhase};
 use super::committed_state::snapshot_bytes;
@@ -6,35 +6,35 @@
 use super::{Member, Output};
 use std::time::Duration;
 
-/// A candidate doesn't know how large the snapshot is that it fetches. Each time that its time was too short, the next
-/// attempt takes twice as long, up to this many doublings.
+/// Maximum number of times that the fetch time-out is doubled. A candidate doesn't know the size of the snapshot that
+/// it fetches, so after each time-out the next attempt gets twice as long.
 const MAX_FETCH_DOUBLINGS: u32 = 4;
-/// A phase that may last longer than this part of a lease's duration is long: half of one is usual.
+/// A phase whose limit exceeds this fraction of a lease's duration is long; the usual limit is half a lease.
 const LONG_PHASE_FRACTION: f64 = 0.75;
-/// How often a candidate in a long phase tells its voters that it goes on, as a part of a lease's duration.
+/// Interval between progress reports of a candidate in a long phase, as a fraction of a lease's duration.
 const PROGRESS_FRACTION: f64 = 0.25;
 
-/// What earlier campaigns of this member have shown about how long phases take.
+/// What earlier campaigns of this member have shown about the duration of phases.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PhaseTimeouts {
-    /// How often in a row the time to fetch a snapshot was too short.
+    /// Number of successive fetches of a snapshot that timed out.
     fetch_doublings: u32,
-    /// A campaign has ended for lack of answers since this member was last primary or accepted a membership configuration.
+    /// Whether a campaign has timed out since this member was last primary or accepted a membership configuration.
     expects_slow_disks: bool,
 }
 
 impl PhaseTimeouts {
-    /// A snapshot was fetched in time.
+    /// Notes that a snapshot was fetched in time.
     pub(super) fn reset_fetch(&mut self) {
         self.fetch_doublings = 0;
     }
 
-    /// A membership configuration was installed or accepted.
+    /// Notes that a membership configuration was installed or accepted.
     pub(super) fn reset_slow_disks(&mut self) {
         self.expects_slow_disks = false;
     }
 
-    /// A phase ended for lack of answers.
+    /// Notes that a phase timed out.
     fn record_timeout(&mut self, phase: ElectionPhase) {
         match phase {
             ElectionPhase::PreVote => {}
@@ -47,12 +47,13 @@
 }
 
 impl Member {
-    /// Ends a campaign whose phase has lasted too long, and tells the voters of a long one that it goes on.
+    /// Abandons a campaign whose phase has exceeded its limit, or sends the progress reports of a long phase.
     pub(super) fn run_candidate(&mut self, out: &mut Vec<Output>) {
         let Some(candidate) = self.role.candidate() else {
             return;
         };
-        // A departing member campaigns no more, but a primary changes its membership configuration until it has handed over.
+        // A departing member doesn't campaign any more, but a primary changes its membership configuration until it
+        // has handed over.
         let departs = self.departure.is_some() && !candidate.is_reconfiguring_primary();
         let timed_out = self.now >= candidate.phase_started_at() + self.phase_timeout(candidate);
         if !timed_out && !departs {
@@ -64,14 +65,14 @@
         }
     }
 
-    /// Gives a campaign up; the next one is due once others have had their turn.
+    /// Ends a campaign without success. The next one is due once other members have had their turn.
     pub(super) fn abandon_campaign(&mut self) {
         self.step_down();
         self.election_at = self.election_at.max(self.now) + self.election_delay();
     }
 
-    /// If a majority has promised in time, too few replicas are better than no primary: only a primary can add voters.
-    /// Returns false if that doesn't help.
+    /// If a majority has promised in time, continues with too few replicas. That is better than no primary, because
+    /// only a primary can add voters. Returns false if the campaign can't continue.
     fn continue_under_replicated(&mut self, out: &mut Vec<Output>) -> bool {
         let now = self.now;
         let Some(candidate) = self.role.candidate_mut() else {
@@ -98,8 +99,8 @@
         }
     }
 
-    /// How long a candidate waits for others to write: half a lease's duration or, once that was too short, as long as a
-    /// disk may take that still counts as healthy.
+    /// How long a candidate waits for other members to write: half a lease's duration or, once that was too short, as
+    /// long as a disk may take that still counts as healthy.
     fn write_timeout(&self) -> Duration {
         let half_lease = self.config.lease_duration / 2;
         if !self.phase_timeouts.expects_slow_disks {
@@ -108,7 +109,7 @@
         half_lease.max(self.config.disk_stall_timeout + half_lease / 4)
     }
 
-    /// When the phase of a candidate that transfers a large snapshot ends; none for other members.
+    /// When the phase of a candidate that transfers a large snapshot ends; `None` in other cases.
     pub(super) fn long_phase_end(&self) -> Option<Duration> {
         let candidate = self.role.candidate()?;
         let timeout = self.phase_timeout(candidate);
@@ -116,7 +117,7 @@
         is_long.then_some(candidate.phase_started_at() + timeout)
     }
 
-    /// Sets when the voters that promised are next told that a large snapshot is on its way.
+    /// Sets the time of the next progress report to the voters that promised.
     pub(super) fn schedule_progress_report(&mut self) {
         let next = self.now + self.config.lease_duration.mul_f64(PROGRESS_FRACTION);
         if let Some(candidate) = self.role.candidate_mut() {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Voters that promised wait for as long as they hear that a large snapshot is on its way.
+    /// Tells the voters that promised that a large snapshot is being transferred, if a report is due. They wait while
+    /// they receive such reports.
     fn report_progress(&mut self, out: &mut Vec<Output>) {
         let Some(candidate) = self.role.candidate() else {
             return;
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -1,5 +1,5 @@
-//! The primary: it runs commands, replicates and commits changes, keeps its lease, and changes its membership
-//! configuration when members come and go.
+//! The primary: it executes commands, replicates and commits changes, renews its lease, and changes its membership
+//! configuration when members join, depart or fail.
 
 use super::commands::CommandSource;
 use super::coordination_requests::CoordinationService;
@@ -13,31 +13,32 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A membership configuration lasts at least this part of a lease's duration, unless it isn't stable.
+/// Minimum age at which a stable membership configuration is changed, as a fraction of a lease's duration.
 const MIN_MEMBERSHIP_AGE_FRACTION: f64 = 0.3;
-/// Drained hosts are forgotten after this time.
+/// Time after which drained hosts are removed from the replicated state.
 const DRAIN_RETENTION: Duration = Duration::from_secs(120);
-/// Committed changes that the primary's own disk need not know to be committed while more are in flight.
+/// Number of committed changes from which the primary records its commit index even while more are in flight.
 const MAX_UNRECORDED_COMMITS: u64 = 4;
 
+/// The state of a primary in one epoch.
 #[derive(Clone, Debug)]
 pub(super) struct PrimaryState {
     epoch: u64,
     started_at: Duration,
-    /// Since when this member has been primary, in this epoch and in its own ones directly before.
+    /// Since when this member has been primary, in this epoch and in its own epochs directly before.
     primary_since: Duration,
-    /// Whether the replicas satisfy the fault budget. Otherwise no change is accepted.
+    /// Whether the replicas satisfy the fault budget. Otherwise the primary accepts no change.
     accepts_changes: bool,
     pub(super) leases: HeldLeases,
     next_renewal_at: Duration,
     /// Voters that haven't accepted the membership configuration yet.
     awaiting_acceptance: BTreeSet<u64>,
     pub(super) replication: Replication,
-    /// Commands that wait to be run, in order.
+    /// Commands to be run, in order of arrival.
     proposals: VecDeque<(CommandSource, Command)>,
     pub(super) early_proposals: EarlyProposals,
     pub(super) coordination: CoordinationService,
-    /// When each draining host was recorded here.
+    /// When each drained host was recorded by this primary.
     drained_at: BTreeMap<String, Duration>,
 }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// It was the primary in epochs of its own directly before this one.
+    /// Sets since when this member has been primary, if it was so in epochs of its own directly before this one.
     pub(super) fn set_primary_since(&mut self, primary_since: Duration) {
         self.primary_since = primary_since;
     }
@@ -107,20 +108,22 @@
         self.awaiting_acceptance.contains(&voter)
     }
 
-    /// A voter has accepted the membership configuration. Returns whether that wasn't known.
+    /// Notes that a voter has accepted the membership configuration. Returns whether that wasn't known yet.
     pub(super) fn record_acceptance(&mut self, voter: u64) -> bool {
         self.awaiting_acceptance.remove(&voter)
     }
 
+    /// Notes that a voter hasn't accepted the membership configuration.
     pub(super) fn record_missing_acceptance(&mut self, voter: u64) {
         self.awaiting_acceptance.insert(voter);
     }
 
+    /// Sets when leases are renewed next.
     pub(super) fn schedule_renewal(&mut self, at: Duration) {
         self.next_renewal_at = at;
     }
 
-    /// Whether leases have to be renewed now; then the next renewal is due after the interval.
+    /// Whether leases have to be renewed now. If so, the next renewal is due after `interval`.
     pub(super) fn start_renewal_if_due(&mut self, now: Duration, interval: Duration) -> bool {
         let is_due = now >= self.next_renewal_at;
         if is_due {
@@ -129,11 +132,12 @@
         is_due
     }
 
+    /// Queues a command.
     pub(super) fn propose(&mut self, source: CommandSource, command: Command) {
         self.proposals.push_back((source, command));
     }
 
-    /// Whether a command waits to be run.
+    /// Whether a command from this source is queued, held as an early proposal or waiting as a watch.
     pub(super) fn has_proposal(&self, source: CommandSource) -> bool {
         let mut proposals = self.proposals.iter();
         proposals.any(|(other, _)| *other == source)
@@ -141,7 +145,7 @@
             || self.coordination.has_watch(source)
     }
 
-    /// Keeps track of when hosts were drained.
+    /// Notes when a change drained or forgot hosts.
     pub(super) fn record_drains(&mut self, change: &Change, now: Duration) {
         match change {
             Change::Drain { host } => drop(self.drained_at.insert(host.clone(), now)),
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Hosts that were drained so long ago that they are forgotten.
+    /// Hosts that were drained so long ago that they are to be forgotten.
     fn hosts_to_forget(&self, now: Duration) -> Vec<String> {
         let drained = self.drained_at.iter();
         drained
@@ -161,7 +165,8 @@
 }
 
 impl Member {
-    /// What a primary does in each step.
+    /// Does the primary's periodic work: changes the membership, commits, renews leases, retransmits and cleans up. A
+    /// primary with an unhealthy disk releases its lease, unless it is the only voter.
     pub(super) fn run_primary(&mut self, out: &mut Vec<Output>) {
         let Some(primary) = self.role.primary() else {
             return;
@@ -188,15 +193,15 @@
         self.is_acting_primary_at(self.now)
     }
 
-    /// Whether this member is the primary and holds its lease at a time. The time must not be before the latest step, and
-    /// nothing may have reached the member since that step.
+    /// Whether this member is the primary and holds its lease at a given time. The time must not be before the latest
+    /// step, and no input may have reached the member since that step.
     pub fn is_acting_primary_at(&self, now: Duration) -> bool {
         let primary = self.role.primary();
         primary.is_some_and(|primary| self.lease_end(primary) > now)
     }
 
-    /// The membership configuration has a minimum age before it is changed, but one that isn't stable is completed at
-    /// once.
+    /// The change of the membership configuration that is due now. A stable configuration has a minimum age before it
+    /// is changed; one that isn't stable is completed at once.
     fn due_membership_change(
         &self,
         primary: &PrimaryState,
@@ -213,6 +218,7 @@
         is_due.then(|| self.required_change(primary)).flatten()
     }
 
+    /// Proposes to forget hosts that were drained long ago, if no other change is in flight.
     fn forget_drained_hosts(&mut self, out: &mut Vec<Output>) {
         let (Some(primary), Some(log)) = (self.role.primary(), &self.log) else {
             return;
@@ -230,7 +236,7 @@
         }
     }
 
-    /// Runs the commands that wait, in order, for as long as the lease lasts.
+    /// Runs the queued commands in order, while the lease lasts.
     pub(super) fn run_proposals(&mut self, out: &mut Vec<Output>) {
         while self.is_acting_primary() {
             let proposal = self
@@ -265,7 +271,7 @@
             Plan::Answer(ResultCode::BaseNotInForce, _) => {
                 self.hold_early_proposal(source, command, out);
             }
-            // An answer that depends on a change in flight waits for it.
+            // An answer may depend on a change in flight and waits for it.
             Plan::Answer(code, body) if primary.replication.has_pending() => {
                 let answer = PendingAnswer::new(source, code, body);
                 primary.replication.answer_after_last_change(answer);
@@ -274,8 +280,8 @@
         }
     }
 
-    /// Commits the changes that all replicas have on disk, for as long as the lease lasts, and answers their commands.
-    /// No change is acknowledged anywhere else.
+    /// Commits the changes that all replicas have on disk, while the lease lasts, and answers their commands. This is
+    /// the only place where changes are acknowledged.
     pub(super) fn commit(&mut self, out: &mut Vec<Output>) {
         if !self.is_acting_primary() {
             return;
@@ -300,8 +306,8 @@
         }
     }
 
-    /// The primary writes its commit index down, unless more changes are in flight. If changes never cease, it does so
-    /// from time to time all the same.
+    /// Records the primary's commit index on disk unless changes are in flight. Under a continuous stream of changes
+    /// it is recorded every few changes.
     fn record_own_commits(&mut self) {
         let Some(primary) = self.role.primary() else {
             return;
@@ -313,6 +319,7 @@
         }
     }
 
+    /// Publishes the newest committed state.
     fn publish(&self, out: &mut Vec<Output>) {
         let Some(primary) = self.role.primary() else {
             return;
--- a/crates/control-plane/src/member/primary_contact.rs
+++ b/crates/control-plane/src/member/primary_contact.rs
@@ -1,15 +1,16 @@
-//! How fresh the committed state is that a member may show to callers.
+//! The freshness of the committed state that a member may show to clients.
 //!
-//! As with ReadIndex in Raft (Ongaro's thesis, section 6.4) a primary confirms that it still held its lease after a
-//! moment, and tells the index of the last committed change that the fleet is told of. Here the moment is the voter's own: the voter sends its clock with each lease
-//! reply, and the primary echoes it with a later lease request, but only while its lease lasts.
+//! As with ReadIndex in Raft (Ongaro's thesis, section 6.4), a primary confirms that it still held its lease after a
+//! given moment, and reports the index of the last committed change of the configuration or the drains. Here the
+//! moment is taken from the voter's own clock: the voter sends its clock with each lease reply, and the primary echoes
+//! it with a later lease request, but only while its lease lasts.
 
 use super::random::clock_base_ms;
 use super::Member;
 use std::time::Duration;
 
-/// A moment at which the primary held its lease, and how far the state was committed then. No change of the configuration
-/// or the drains that was acknowledged before the moment is missing from a state that goes as far as the index.
+/// A moment at which the primary held its lease, and the extent of the committed state then. A state that reaches the
+/// index includes every change of the configuration or the drains that was acknowledged before the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrimaryContact {
     /// The moment, by this process's clock.
@@ -21,8 +22,8 @@
 /// The latest primary contact of this incarnation.
 #[derive(Clone, Debug)]
 pub(super) struct ContactTracker {
-    /// Added to the clock that is sent to primaries. It differs for each incarnation, so that an echo of an earlier
-    /// incarnation's clock isn't taken for one of this incarnation's.
+    /// The offset of the clock that is sent to primaries, in ms. It differs between incarnations, so that an echo of
+    /// an earlier incarnation's clock isn't mistaken for one of this incarnation's.
     clock_base_ms: u64,
     latest: Option<PrimaryContact>,
 }
@@ -44,10 +45,10 @@
         self.clock_base_ms.wrapping_add(now.as_millis() as u64)
     }
 
-    /// A primary echoed this voter's clock.
+    /// Notes a primary's echo of this voter's clock.
     pub(super) fn record_echo(&mut self, fleet_index: u64, echoed_clock_ms: u64, now: Duration) {
         let at = Duration::from_millis(echoed_clock_ms.wrapping_sub(self.clock_base_ms));
-        // 0 stands for no echo, and the clock of an earlier incarnation lies in this one's future.
+        // 0 stands for no echo. The clock of an earlier incarnation lies in this one's future.
         let is_of_this_incarnation = echoed_clock_ms != 0 && at <= now;
         if is_of_this_incarnation {
             self.record(PrimaryContact { at, fleet_index });
@@ -63,7 +64,8 @@
 }
 
 impl Member {
-    /// The latest primary contact; none before the first one of this incarnation. An acting primary is its own contact.
+    /// The latest primary contact; `None` before the first one of this incarnation. An acting primary is its own
+    /// contact.
     pub fn primary_contact(&self, now: Duration) -> Option<PrimaryContact> {
         match self.role.primary() {
             Some(primary) if self.lease_end(primary) > now => Some(PrimaryContact {
@@ -74,7 +76,8 @@
         }
     }
 
-    /// While this primary's lease lasted nobody else acknowledged anything: that stays true after it has stepped down.
+    /// Records this primary's own lease as a contact before it steps down: nobody else acknowledged anything while the
+    /// lease lasted.
     pub(super) fn record_own_contact(&mut self) {
         let Some(primary) = self.role.primary() else {
             return;
--- a/crates/control-plane/src/member/random.rs
+++ b/crates/control-plane/src/member/random.rs
@@ -1,5 +1,5 @@
-//! Pseudo-random numbers. The runtime supplies a seed; a member draws nothing from the system, so that a simulation
-//! can repeat a run.
+//! Pseudo-random numbers. The runtime supplies the seed; a member takes no randomness from the system, so that a
+//! simulation can repeat a run.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The first request id of an incarnation. It is drawn, so that an answer to a command of an earlier incarnation is
+/// The base of an incarnation's request ids. It is random, so that an answer to a command of an earlier incarnation is
 /// never taken for an answer to one of this incarnation. SplitMix64 spreads the seed over all bits.
 pub(super) fn request_id_base(seed: u64) -> u64 {
     let mixed = seed.wrapping_add(GOLDEN_GAMMA);
@@ -38,7 +38,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// What an incarnation's clock counts from, in ms, where it is sent to primaries.
+/// The offset of an incarnation's clock as it is sent to primaries, in ms.
 pub(super) fn clock_base_ms(seed: u64) -> u64 {
     seed.wrapping_add(1).wrapping_mul(GOLDEN_GAMMA)
 }
--- a/crates/control-plane/src/member/replay.rs
+++ b/crates/control-plane/src/member/replay.rs
@@ -1,45 +1,45 @@
-//! What a member knows from the records on its disk when it starts.
+//! Recovery of a member's state from the records on its disk at the start.
 //!
-//! The records form segments; each begins with an accepted membership configuration. Only the last segment tells the
-//! replica's state. An earlier one is replayed only if no later one tells which state was committed. At most two states
-//! are in memory, however many changes there are.
+//! The records form segments, each of which begins with an accepted membership configuration. Only the last segment
+//! gives the replica's state. An earlier one is replayed only if no later one shows which state was committed. At most
+//! two states are in memory at once, however many changes there are.
 //!
 //! A record that can't be decoded, or a change that doesn't follow the one before, is never skipped: the member would
-//! pass for one with an older state, or with fewer promises, than it had.
+//! present itself with an older state, or with fewer promises, than it had.
 
 use crate::replicated_state::ReplicatedState;
 use protocol::{Change, MembershipConfig, Record, Snapshot};
 use snafu::{ResultExt, Snafu};
 use std::collections::BTreeSet;
 
-/// Why a member can't rely on its records.
+/// The reason why a member can't rely on its records.
 #[derive(Debug, Snafu)]
 pub enum ReplayError {
-    /// The record can't be decoded by this release.
+    /// This release can't decode the record.
     #[snafu(display("record {record} can't be read"))]
     Unreadable {
         /// Position of the record, from 0.
         record: usize,
-        /// Why.
+        /// The cause.
         source: protocol::DecodeError,
     },
-    /// The state that a membership configuration begins with can't be read.
-    #[snafu(display("record {record}: the ledger can't be read"))]
+    /// The snapshot that a membership configuration begins with can't be read.
+    #[snafu(display("record {record}: the snapshot can't be read"))]
     InvalidSnapshot {
         /// Position of the record, from 0.
         record: usize,
-        /// Why.
+        /// The cause.
         source: crate::replicated_state::SnapshotError,
     },
-    /// A change comes without a state before it.
-    #[snafu(display("record {record}: a change without a ledger"))]
+    /// A change has no snapshot before it.
+    #[snafu(display("record {record}: no snapshot precedes the change"))]
     NoState {
         /// Position of the record, from 0.
         record: usize,
     },
     /// A change doesn't follow the one before.
     #[snafu(display(
-        "record {record}: change {index} of epoch {epoch} after {last_index} of {last_epoch}"
+        "record {record}: change {index} of epoch {epoch} follows change {last_index} of epoch {last_epoch}"
     ))]
     OutOfOrder {
         /// Position of the record, from 0.
@@ -53,41 +53,41 @@
         /// Index of the change before it.
         last_index: u64,
     },
-    /// A change can't be applied again.
-    #[snafu(display("record {record}: the change can't be made again: {detail}"))]
+    /// A change can't be applied to the state before it.
+    #[snafu(display("record {record}: the change can't be applied: {detail}"))]
     Change {
         /// Position of the record, from 0.
         record: usize,
-        /// Why.
+        /// The cause.
         detail: String,
     },
 }
 
-/// What the records tell.
+/// The recovered state.
 #[derive(Debug, Default)]
 pub(super) struct Recovered {
     /// The highest epoch that was promised.
     pub(super) promised_epoch: u64,
     /// The latest membership configuration that was accepted.
     pub(super) membership: Option<MembershipConfig>,
-    /// The state after all changes on disk; none if the member is no replica.
+    /// The state after all changes on disk; `None` if the member is no replica.
     pub(super) durable: Option<ReplicatedState>,
     /// The newest state that was known to be committed.
     pub(super) committed: Option<ReplicatedState>,
 }
 
-/// The records from one accepted membership configuration up to the next one.
+/// The records from one accepted membership configuration to the next.
 #[derive(Debug)]
 struct Segment {
     /// Position of the record with the membership configuration.
     start: usize,
-    /// Position behind the last record.
+    /// Position after the last record.
     end: usize,
-    /// The commit indexes that were recorded.
+    /// The recorded commit indexes.
     commit_indexes: BTreeSet<u64>,
 }
 
-/// What a segment comes to.
+/// The result of replaying a segment.
 #[derive(Debug, Default)]
 struct ReplayedSegment {
     membership: MembershipConfig,
@@ -126,7 +126,7 @@
     protocol::decode_record(&records[record]).context(UnreadableSnafu { record })
 }
 
-/// Decodes each record, and finds where the segments begin.
+/// Decodes all records and finds the segments. Raises `promised_epoch` to the highest epoch recorded.
 fn find_segments(
     records: &[Vec<u8>],
     promised_epoch: &mut u64,
@@ -186,7 +186,7 @@
 }
 
 impl ReplayedSegment {
-    /// Applies the change of a record.
+    /// Applies the change of the given record.
     fn apply(
         &mut self,
         record: usize,
--- a/crates/control-plane/src/member/replica_log.rs
+++ b/crates/control-plane/src/member/replica_log.rs
@@ -1,17 +1,18 @@
-//! A replica's copy of the replicated state, as far as changes were received and as far as they are on disk.
+//! A replica's copy of the replicated state, as of the last change received and of the last change on disk.
 
 use crate::replicated_state::ReplicatedState;
 
+/// The replicated state at the end of a replica's log.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaLog {
-    /// After all changes received.
+    /// The state after all changes received.
     appended: ReplicatedState,
-    /// After all changes that are on disk.
+    /// The state after all changes that are on disk.
     durable: ReplicatedState,
 }
 
 impl ReplicaLog {
-    /// A log that starts from a state on disk.
+    /// Creates a log that starts from a state on disk.
     pub(super) fn new(durable: ReplicatedState) -> Self {
         Self {
             appended: durable.clone(),
@@ -27,17 +28,17 @@
         &self.durable
     }
 
-    /// A change was received; its write is on its way.
+    /// Appends a received change, given the state after it. Its write is queued.
     pub(super) fn append(&mut self, after: ReplicatedState) {
         self.appended = after;
     }
 
-    /// The changes up to this state are on disk.
+    /// Notes that the changes up to this state are on disk.
     pub(super) fn mark_durable(&mut self, durable: ReplicatedState) {
         self.durable = durable;
     }
 
-    /// The disk refused a write: changes that aren't on disk are given up.
+    /// Discards the changes that aren't on disk, after a write has failed.
     pub(super) fn discard_appended(&mut self) {
         self.appended = self.durable.clone();
     }
--- a/crates/control-plane/src/member/replica_placement.rs
+++ b/crates/control-plane/src/member/replica_placement.rs
@@ -1,11 +1,13 @@
-//! Which members hold replicas, and whether a majority of voters survives the losses that the fault budget allows.
+//! Placement of replicas and voters: which members hold replicas, and whether a majority of voters survives the losses
+//! that the fault budget allows.
 
 use configuration::FaultBudget;
 use protocol::MemberInfo;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Picks replicas so that one of them survives any loss within the fault budget: on enough machines, in enough zones and
-/// regions. The first candidate is always picked, and earlier ones are preferred. `None` if the candidates don't suffice.
+/// Chooses replicas so that at least one of them survives any loss within the fault budget: on enough machines, in
+/// enough zones and regions. The first candidate is always chosen, and earlier ones are preferred. `None` if the
+/// candidates don't suffice.
 pub fn choose_replicas(budget: &FaultBudget, candidates: &[&MemberInfo]) -> Option<Vec<u64>> {
     let min_machines = budget.machine_losses as usize + 1;
     let min_zones = budget.zones as usize + 1;
@@ -31,11 +33,11 @@
     }
 }
 
-/// How many voters a majority lacks after the worst loss of machines, zones or regions within the fault budget. It lacks
-/// none if this is 0 or less.
+/// The number of voters that a majority lacks after the worst loss of machines, zones or regions within the fault
+/// budget. 0 or less means that a majority survives.
 ///
-/// The loss counts in full where fewer machines, zones or regions are there than may be lost: so each voter that comes
-/// in another one brings the voters nearer to what the budget needs.
+/// The loss counts in full even if there are fewer machines, zones or regions than may be lost, so each voter that
+/// joins in another one brings the voters closer to what the budget requires.
 pub fn majority_shortfall(budget: &FaultBudget, voters: &[&MemberInfo]) -> i64 {
     let machines = budget.machine_losses as usize;
     let zones = voters_in_largest_groups(voters, budget.zones, |v| &v.zone);
@@ -44,8 +46,8 @@
     2 * lost as i64 + 1 - voters.len() as i64
 }
 
-/// The number of voters in the `count` largest groups; one for each group that there isn't. A voter whose group is
-/// unknown forms one of its own.
+/// The number of voters in the `count` largest groups; each missing group counts as one voter. A voter whose group is
+/// unknown forms a group of its own.
 fn voters_in_largest_groups<'v>(
     voters: &[&'v MemberInfo],
     count: u32,
--- a/crates/control-plane/src/member/replication.rs
+++ b/crates/control-plane/src/member/replication.rs
@@ -1,4 +1,5 @@
-//! The primary's replication: changes go to all replicas, and are committed once all have them on disk.
+//! The primary's replication: changes are sent to all replicas, and are committed once all of them have the changes on
+//! disk.
 
 use super::commands::CommandSource;
 use super::transfer_time::{change_bytes, extra_flight_time};
@@ -10,10 +11,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A change that a replica hasn't confirmed is sent again after this part of a lease's duration.
+/// Time after which an unconfirmed change is sent to a replica again, as a fraction of a lease's duration.
 const RETRANSMIT_FRACTION: f64 = 0.2;
 
-/// An answer that waits until a change is committed.
+/// An answer that is sent once a change is committed.
 #[derive(Clone, Debug)]
 pub(super) struct PendingAnswer {
     pub(super) source: CommandSource,
@@ -34,15 +35,16 @@
     /// The state after it.
     state: ReplicatedState,
     proposed_at: Duration,
-    /// When it was last sent to replicas that haven't confirmed it.
+    /// When the change was last sent to replicas that haven't confirmed it.
     sent_at: Duration,
     bytes: usize,
-    /// How much longer than a small one it may be in flight, behind the changes that weren't confirmed before it.
+    /// How much longer than a small change this one may be in flight, behind the changes that weren't confirmed before
+    /// it.
     extra_flight_time: Duration,
     answers: Vec<PendingAnswer>,
 }
 
-/// What has become committed.
+/// The result of advancing the commit index.
 #[derive(Debug)]
 pub(super) struct NewlyCommitted {
     /// Whether the committed configuration or drains have to be published.
@@ -52,23 +54,24 @@
     pub(super) answers: Vec<PendingAnswer>,
 }
 
+/// The committed state of an epoch and the changes that follow it.
 #[derive(Clone, Debug)]
 pub(super) struct Replication {
     committed: ReplicatedState,
-    /// Whether the committed state was published. That waits for the first lease, as another primary may act until
-    /// then.
+    /// Whether the committed state was published. That waits for the first lease, because another primary may act
+    /// until then.
     is_published: bool,
     /// Changes that aren't committed yet, oldest first.
     pending: VecDeque<PendingChange>,
     /// For each replica, the index up to which it has all changes on disk.
     match_index: BTreeMap<u64, u64>,
-    /// Replicas that refused a change and can't go on.
+    /// Replicas that rejected a change and can't continue.
     failed_replicas: BTreeSet<u64>,
     next_retransmit_at: Duration,
 }
 
 impl Replication {
-    /// Starts from a state that all replicas have on disk.
+    /// Creates the replication of a state that all replicas have on disk.
     pub(super) fn new(state: ReplicatedState, replicas: &[u64], now: Duration) -> Self {
         Self {
             match_index: replicas.iter().map(|id| (*id, state.index)).collect(),
@@ -92,7 +95,8 @@
         &self.failed_replicas
     }
 
-    /// Whether a replica hasn't confirmed the oldest change within `timeout`, apart from the change's own flight time.
+    /// Whether a replica hasn't confirmed the oldest pending change within `timeout`, in addition to the change's
+    /// extra flight time.
     pub(super) fn is_late(&self, replica: u64, now: Duration, timeout: Duration) -> bool {
         let Some(oldest) = self.pending.front() else {
             return false;
@@ -122,7 +126,7 @@
         });
     }
 
-    /// Answers once the last pending change is committed.
+    /// Sends an answer once the last pending change is committed.
     pub(super) fn answer_after_last_change(&mut self, answer: PendingAnswer) {
         if let Some(last) = self.pending.back_mut() {
             last.answers.push(answer);
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Commits what all replicas have on disk.
+    /// Commits the changes that all replicas have on disk.
     pub(super) fn commit(&mut self) -> NewlyCommitted {
         let commit_index = self.match_index.values().copied().min().unwrap_or(0);
         let (index_before, fleet_index_before) = (self.committed.index, self.committed.fleet_index);
@@ -154,7 +158,7 @@
         }
     }
 
-    /// The messages that replicas haven't confirmed in time, with their receivers.
+    /// Retransmissions of the changes that replicas haven't confirmed in time, with the receivers.
     fn take_retransmissions(
         &mut self,
         epoch: u64,
@@ -193,7 +197,8 @@
 }
 
 impl Member {
-    /// Appends a change to the log and sends it to all backups. The answers are sent once it is committed.
+    /// Appends a change to the log and sends it to all backups. `next` is the state after it. The answers are sent
+    /// once it is committed.
     pub(super) fn replicate(
         &mut self,
         change: Change,
@@ -229,7 +234,7 @@
         self.queue_record(&record, OnDurable::OwnChange { epoch, state });
     }
 
-    /// A replica has confirmed all changes up to an index, or refused one.
+    /// Handles a replica's reply: it has confirmed all changes up to an index, or rejected one.
     pub(super) fn on_append_reply(
         &mut self,
         from: u64,
@@ -252,6 +257,7 @@
         self.commit(out);
     }
 
+    /// Sends unconfirmed changes again, if that is due.
     pub(super) fn retransmit_changes(&mut self, out: &mut Vec<Output>) {
         let (now, own_id) = (self.now, self.own_id());
         let interval = self.config.lease_duration.mul_f64(RETRANSMIT_FRACTION);
--- a/crates/control-plane/src/member/role.rs
+++ b/crates/control-plane/src/member/role.rs
@@ -1,9 +1,10 @@
-//! The roles of a member. Each role owns the state that only it needs.
+//! The roles of a member. Each role holds the state that only it needs.
 
 use super::candidate::CandidateState;
 use super::primary::PrimaryState;
 use super::Member;
 
+/// The current role of a member.
 #[derive(Clone, Debug)]
 pub(super) enum Role {
     /// Neither candidate nor primary.
@@ -47,7 +48,7 @@
 }
 
 impl Member {
-    /// Ends a campaign or the time as primary. Commands that wait are sent to the next primary.
+    /// Makes this member a follower. Commands that wait for an answer are sent to the next primary.
     pub(super) fn step_down(&mut self) {
         self.record_own_contact();
         self.role = Role::Follower;
--- a/crates/control-plane/src/member/storage.rs
+++ b/crates/control-plane/src/member/storage.rs
@@ -1,4 +1,4 @@
-//! What a member writes to its disk, what follows once that is there, and when the file is rewritten.
+//! A member's writes: which records it writes, what happens once they are durable, and when the file is rewritten.
 
 use super::committed_state::snapshot_bytes;
 use super::replica_log::ReplicaLog;
@@ -23,12 +23,13 @@
 }
 
 impl Member {
+    /// Queues a record for the next write. `on_durable` follows once it is on disk.
     pub(super) fn queue_record(&mut self, record: &Record, on_durable: OnDurable) {
         self.writes
             .push(protocol::encode_record(record), on_durable);
     }
 
-    /// Starts the next write if one may start.
+    /// Starts the next write if one may start now.
     pub(super) fn start_write(&mut self, out: &mut Vec<Output>) {
         if !self.writes.may_start(self.now) {
             return;
@@ -48,8 +49,8 @@
         out.extend(write);
     }
 
-    /// Whether the file is large for what it has to hold. This depends on the file alone: changes that keep coming don't
-    /// put a rewrite off.
+    /// Whether the file is too large for its content. This depends on the file alone, so a continuous stream of
+    /// changes doesn't postpone a rewrite.
     fn is_rewrite_due(&mut self) -> bool {
         let Some(file_bytes) = self.writes.examine_size(self.now) else {
             return false;
@@ -57,7 +58,7 @@
         file_bytes > self.max_file_bytes()
     }
 
-    /// The file's size up to which a rewrite isn't worth its cost.
+    /// The file's size, in bytes, up to which a rewrite isn't worth its cost.
     fn max_file_bytes(&self) -> usize {
         let committed = self.committed.newest().map_or(0, snapshot_bytes);
         let Some(durable) = self.log.as_ref().map(ReplicaLog::durable) else {
@@ -69,9 +70,9 @@
         }
     }
 
-    /// All records that a rewritten file holds. What is known to be committed stays known: the committed state comes
-    /// first, and then the changes after it. If one of these isn't at hand, the committed state is recorded under a
-    /// membership configuration without voters, before the one in force.
+    /// The records of a rewritten file. What is known to be committed stays known: the committed state comes first,
+    /// followed by the changes after it. If one of these changes isn't in memory, the committed state is recorded
+    /// under a membership configuration without voters, before the one in force.
     fn rewritten_records(&self) -> Vec<Vec<u8>> {
         let epoch = self.promise.epoch();
         let mut records = vec![protocol::encode_record(&Record::Promised { epoch })];
@@ -89,7 +90,7 @@
             return records;
         }
         if let Some(committed) = committed {
-            // No member has a vote without voters: nobody could become primary from this state alone.
+            // Without voters no member has a vote, so nobody could become primary from this state alone.
             records.push(accepted_record(
                 MembershipConfig::default(),
                 Some(committed),
@@ -158,6 +159,7 @@
         }
     }
 
+    /// Marks a change as durable if its epoch is still the accepted one.
     fn on_change_durable(&mut self, epoch: u64, state: ReplicatedState, record: Vec<u8>) {
         let has_epoch = self.accepted_epoch() == Some(epoch);
         if let Some(log) = self.log.as_mut().filter(|_| has_epoch) {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// The disk refused a record: whoever waits for it is told.
+    /// Rejects the requests whose records the disk refused.
     fn on_write_refused(&mut self, on_durable: OnDurable, out: &mut Vec<Output>) {
         match on_durable {
             OnDurable::Installed {
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -1,4 +1,4 @@
-//! A member's observable state at one moment. The runtime compares the summaries before and after a step to log and
+//! A snapshot of a member's observable state. The runtime compares the summaries before and after a step to log and
 //! count state transitions.
 
 use super::{ElectionPhase, Member, Role};
@@ -21,18 +21,18 @@
 pub enum RoleSummary {
     /// Neither candidate nor primary.
     Follower,
-    /// It campaigns to become primary, or as primary changes its own membership configuration.
+    /// The member campaigns to become primary, or changes its own membership configuration as primary.
     Candidate {
         /// The epoch that it prepares; 0 during the pre-vote.
         epoch: u64,
-        /// The step that it is at.
+        /// The phase of the campaign.
         phase: ElectionPhase,
     },
-    /// It is the primary of a membership configuration.
+    /// The member is the primary of a membership configuration.
     Primary {
         /// Epoch of that membership configuration.
         epoch: u64,
-        /// Whether it holds leases of a majority. Without them it acknowledges and answers nothing.
+        /// Whether it holds leases of a majority. Without them it neither acknowledges changes nor answers reads.
         leased: bool,
     },
 }
@@ -53,22 +53,22 @@
     pub id: u64,
     /// Its role.
     pub role: RoleSummary,
-    /// The latest membership configuration that it accepted; none before it has joined.
+    /// The latest membership configuration that it accepted; `None` before it has joined.
     pub membership: Option<Arc<MembershipConfig>>,
     /// The highest epoch that it has promised.
     pub promised_epoch: u64,
-    /// The lease that it granted, while that lasts.
+    /// The lease that it granted, if still in force.
     pub lease_grant: Option<LeaseGrantSummary>,
-    /// Its disk.
+    /// The state of its disk.
     pub disk: DiskState,
-    /// Index of the last change on its disk; none where it is no replica.
+    /// Index of the last change on its disk; `None` if it is no replica.
     pub durable_index: Option<u64>,
     /// Whether it was asked to depart.
     pub departing: bool,
 }
 
 impl Member {
-    /// The state now. Pass the previous summary, so that an unchanged membership configuration isn't copied.
+    /// The current state. An unchanged membership configuration is shared with the previous summary instead of copied.
     pub fn summary(&self, previous: Option<&MemberSummary>) -> MemberSummary {
         let grant = self.granted_lease.filter(|g| g.until > self.now);
         MemberSummary {
@@ -105,7 +105,7 @@
     fn shared_membership(&self, previous: Option<&MemberSummary>) -> Option<Arc<MembershipConfig>> {
         let known = previous.and_then(|p| p.membership.as_ref());
         self.membership.as_ref().map(|membership| match known {
-            // An epoch is used for one membership configuration only.
+            // An epoch belongs to one membership configuration only.
             Some(known) if known.epoch == membership.epoch => known.clone(),
             _ => Arc::new(membership.clone()),
         })
--- a/crates/control-plane/src/member/transfer_time.rs
+++ b/crates/control-plane/src/member/transfer_time.rs
@@ -1,21 +1,21 @@
-//! Bounds on how long a message may be in flight: a large one takes as long as its bytes need.
+//! Bounds on the flight time of messages, which grows with their size.
 
 use protocol::{Change, Command};
 use std::time::Duration;
 
-/// The slowest rate at which bytes are expected to reach another member, in bytes per second.
+/// The lowest expected transfer rate to another member, in bytes per second.
 const MIN_TRANSFER_RATE: u32 = 1 << 20;
 
-/// Messages up to this size need no time beyond the usual time-outs.
+/// Messages up to this size, in bytes, need no time beyond the usual time-outs.
 const SMALL_MESSAGE_BYTES: usize = 64 << 10;
 
-/// How much longer than a small message one of `bytes` may be in flight before it counts as lost. It is twice the
-/// expected time, because a retransmission that comes too soon delays the next message.
+/// How much longer than a small message one of `bytes` bytes may be in flight before it counts as lost. This is twice
+/// the expected time, because a premature retransmission delays the next message.
 pub(super) fn extra_flight_time(bytes: usize) -> Duration {
     2 * transfer_time(bytes.saturating_sub(SMALL_MESSAGE_BYTES))
 }
 
-/// The longest time that `bytes` are expected to be in flight.
+/// The longest expected flight time of `bytes` bytes.
 pub(super) fn transfer_time(bytes: usize) -> Duration {
     Duration::from_secs(1).mul_f64(bytes as f64 / f64::from(MIN_TRANSFER_RATE))
 }
@@ -26,7 +26,7 @@
         Change::Configure { body, .. } => body.len(),
         Change::Drain { host } => host.len(),
         Change::Forget { hosts } => hosts.iter().map(String::len).sum(),
-        // Small: their values are bounded.
+        // Small, because the sizes of values are bounded.
         Change::Coordinate { .. } => 0,
     }
 }
--- a/crates/control-plane/src/member/voter.rs
+++ b/crates/control-plane/src/member/voter.rs
@@ -1,17 +1,17 @@
-//! A member as a voter: it answers pre-votes, and promises epochs to candidates (phase 1 of Paxos).
+//! The voter: it answers pre-votes, and promises epochs to candidates (phase 1 of Paxos).
 
 use super::write_queue::OnDurable;
 use super::{Member, Output};
 use protocol::{LogPosition, MemberInfo, MembershipConfig, Message, Record};
 use std::time::Duration;
 
-/// The highest epoch that this member has promised: it follows no lower one.
+/// The highest epoch that this member has promised. It follows no primary of a lower one.
 #[derive(Clone, Debug)]
 pub(super) struct PromiseState {
     epoch: u64,
-    /// The candidate that this incarnation's latest promise was given to.
+    /// The candidate that received this incarnation's latest promise.
     candidate: Option<u64>,
-    /// No other candidate is preferred before this time.
+    /// Pre-votes for other candidates are refused before this time.
     preferred_until: Duration,
 }
 
@@ -28,7 +28,7 @@
         self.epoch
     }
 
-    /// Sets the epoch that is on disk, or whose membership configuration is being accepted.
+    /// Sets the promised epoch from the records on disk, or from a membership configuration that is being accepted.
     pub(super) fn set_epoch(&mut self, epoch: u64) {
         self.epoch = epoch;
     }
@@ -43,18 +43,18 @@
     }
 }
 
-/// What a voter that promised told of what it has accepted.
+/// What a voter that promised reported about its accepted state.
 #[derive(Clone, Debug)]
 pub(super) struct PromisedHistory {
-    /// The latest membership configuration that it accepted. Without voters it stands for none.
+    /// The latest membership configuration that it accepted. One without voters stands for none.
     pub(super) membership: MembershipConfig,
-    /// How far its log goes, if it is a replica.
+    /// The end of its log, if it is a replica.
     pub(super) log_position: Option<LogPosition>,
 }
 
 impl PromisedHistory {
-    /// What another voter told. One that has just joined may not have accepted any membership configuration: its promise
-    /// counts all the same.
+    /// Creates the report from another voter's message. A voter that has just joined may not have accepted any
+    /// membership configuration; its promise counts nevertheless.
     pub(super) fn from_message(
         membership: Option<MembershipConfig>,
         log_position: Option<LogPosition>,
@@ -66,13 +66,13 @@
     }
 }
 
-/// A voter's answer to a candidate that prepares an epoch.
+/// A voter's reply to a candidate that prepares an epoch.
 #[derive(Clone, Debug)]
 pub(super) struct PromiseReply {
     pub(super) epoch: u64,
     pub(super) granted: bool,
     pub(super) history: Option<PromisedHistory>,
-    /// When asking again makes sense.
+    /// How long the candidate should wait before it asks again.
     pub(super) retry_after: Duration,
 }
 
@@ -82,9 +82,9 @@
     /// # Errors
     /// How long the candidate should wait before it asks again.
     fn may_promise(&self, candidate: u64) -> Result<(), Duration> {
-        // A voter that joins may not have been told yet. Without a membership configuration of its own it can't know
-        // better than the candidate, and a promise never does harm. Until a change of voters is complete, those who are
-        // removed have a vote as well.
+        // A joining voter may not have been informed yet: without a membership configuration of its own it can't know
+        // better than the candidate, and a promise never does harm. Until a change of voters is complete, the voters
+        // being removed have a vote as well.
         let may_have_vote = self
             .membership
             .as_ref()
@@ -96,7 +96,7 @@
         let granted_until = granted.map(|g| g.until).filter(|until| *until > self.now);
         let own_primary = self.role.primary().filter(|_| candidate != self.own_id());
         let own_until = own_primary.map(|primary| self.lease_end(primary));
-        // The leases that an earlier incarnation granted aren't known.
+        // The leases that an earlier incarnation granted are unknown.
         let earlier_until = self
             .restarted
             .then_some(self.started_at + self.config.lease_duration);
@@ -104,7 +104,8 @@
         self.check_passed(until.into_iter().flatten().max())
     }
 
-    /// Whether this member may prefer another candidate now. One that transfers a large snapshot isn't interrupted.
+    /// Whether this member may grant a pre-vote to another candidate now. A candidate that transfers a large snapshot
+    /// isn't interrupted.
     ///
     /// # Errors
     /// How long the other candidate should wait before it asks again.
@@ -114,10 +115,10 @@
         self.check_passed(self.long_phase_end().max(preferred_until))
     }
 
-    /// Whether a time has passed.
+    /// Checks that a time has passed.
     ///
     /// # Errors
-    /// How long it is until then.
+    /// The time left until then.
     fn check_passed(&self, time: Option<Duration>) -> Result<(), Duration> {
         match time.filter(|time| *time > self.now) {
             Some(time) => Err(time - self.now),
@@ -125,7 +126,7 @@
         }
     }
 
-    /// A member asks whether it could win an election. Nothing is promised yet.
+    /// Handles a pre-vote: a member asks whether it could win an election. Nothing is promised yet.
     pub(super) fn on_pre_vote(
         &mut self,
         from: MemberInfo,
@@ -134,7 +135,7 @@
         out: &mut Vec<Output>,
     ) {
         self.observe_epoch(known_epoch);
-        // A member that has been left out since can't win: its campaign would only disturb the others.
+        // A member that later membership configurations exclude can't win: its campaign would only disturb the others.
         let is_left_out = self
             .membership
             .as_ref()
@@ -153,7 +154,7 @@
         out.push(Output::Send { to: from, message });
     }
 
-    /// A candidate asks for a promise.
+    /// Handles a candidate's request for a promise.
     pub(super) fn on_prepare(
         &mut self,
         from: MemberInfo,
@@ -162,7 +163,7 @@
         out: &mut Vec<Output>,
     ) {
         if epoch == self.promise.epoch() && self.promise.is_given_to(from.id) {
-            // A reminder that its campaign goes on: it transfers a large snapshot.
+            // A progress report: the candidate transfers a large snapshot and its campaign continues.
             self.postpone_election();
             self.promise.preferred_until = self.now + self.config.lease_duration / 2;
             return;
@@ -183,7 +184,8 @@
         out.push(Output::Send { to: from, message });
     }
 
-    /// Promises an epoch to a candidate, which may be this member. The candidate is told once the promise is on disk.
+    /// Promises an epoch to a candidate, which may be this member. The candidate is informed once the promise is on
+    /// disk.
     pub(super) fn give_promise(&mut self, candidate: MemberInfo, epoch: u64) {
         self.promise.give(epoch, candidate.id);
         self.observe_epoch(epoch);
@@ -229,7 +231,7 @@
         });
     }
 
-    /// How far the log on this disk goes; none if this member is no replica.
+    /// The end of the log on this disk; `None` if this member is no replica.
     fn log_position(&self) -> Option<LogPosition> {
         let membership = self.membership.as_ref()?;
         self.log.as_ref().map(|log| LogPosition {
@@ -238,14 +240,14 @@
         })
     }
 
-    /// A candidate that holds this member's promise asks for its replicated state.
+    /// Handles the request of a candidate that holds this member's promise for the replicated state.
     pub(super) fn on_fetch_snapshot(
         &mut self,
         from: MemberInfo,
         epoch: u64,
         out: &mut Vec<Output>,
     ) {
-        // After the promise this replica confirms no change of a lower epoch any more: the snapshot is complete.
+        // After the promise, this replica confirms no change of a lower epoch any more, so the snapshot is complete.
         if epoch != self.promise.epoch() {
             return;
         }
--- a/crates/control-plane/src/member/write_queue.rs
+++ b/crates/control-plane/src/member/write_queue.rs
@@ -1,23 +1,25 @@
-//! Records that wait for the disk. One write is in flight at a time; records that arrive meanwhile go with the next one.
+//! The queue of records to be written to the disk. One write is in flight at a time; records that arrive meanwhile are
+//! part of the next one.
 
 use super::{DiskError, DiskState, Output};
 use crate::replicated_state::ReplicatedState;
 use protocol::{MemberInfo, MembershipConfig};
 use std::time::Duration;
 
-/// The time after which a write is tried again on a disk that refused one.
+/// Time after which a write is tried again on a disk that refused one.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// The time after which a refused rewrite is tried again. Appends may still find room meanwhile.
+/// Time after which a refused rewrite is tried again. Appends may still find space meanwhile.
 const REWRITE_RETRY_INTERVAL: Duration = Duration::from_secs(5);
-/// Files up to this size aren't rewritten.
+/// Files up to this size, in bytes, aren't rewritten.
 const REWRITE_MIN_BYTES: usize = 256 << 10;
-/// Bytes of records in one write, unless one record alone is larger. The file's largest batch is larger than this.
+/// Maximum size of the records of one write in bytes, unless a single record is larger. The maximum batch size of the
+/// log file is larger than this.
 const MAX_WRITE_BYTES: usize = 16 << 20;
 
-/// What follows once a record is on disk.
+/// The action that follows once a record is on disk.
 #[derive(Clone, Debug)]
 pub(super) enum OnDurable {
-    /// The candidate may be told of the promise.
+    /// The candidate may be informed of the promise.
     Promise { candidate: MemberInfo, epoch: u64 },
     /// The membership configuration takes effect.
     Installed {
@@ -25,7 +27,7 @@
         membership: Box<MembershipConfig>,
         state: Option<Box<ReplicatedState>>,
     },
-    /// The primary may be told that this backup has the change.
+    /// The primary may be informed that this backup has the change.
     Appended {
         primary: u64,
         epoch: u64,
@@ -36,7 +38,7 @@
         epoch: u64,
         state: Box<ReplicatedState>,
     },
-    /// Nothing follows.
+    /// No action.
     Nothing,
 }
 
@@ -46,24 +48,24 @@
     }
 }
 
-/// A record that is on disk.
+/// A record that is being written or is on disk.
 #[derive(Clone, Debug)]
 pub(super) struct Written {
     pub(super) on_durable: OnDurable,
-    /// The record, if it holds a change.
+    /// The encoded record, if it holds a change.
     pub(super) change: Option<Vec<u8>>,
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Debug)]
 pub(super) enum Completion {
     /// Records were appended.
     Appended(Vec<Written>),
     /// The file was rewritten.
     Rewritten,
-    /// The rewrite was refused. The old file remains in force, or a new one that means the same.
+    /// The rewrite was refused. The old file remains in force, or a new one with the same meaning.
     RewriteRefused,
-    /// The disk refused records. These and all that were queued behind them are lost.
+    /// The disk refused records. These and all records queued behind them are lost.
     Refused(Vec<OnDurable>),
 }
 
@@ -82,20 +84,21 @@
     is_rewrite: bool,
 }
 
+/// The write in flight and the records queued behind it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WriteQueue {
     queued: Vec<QueuedRecord>,
     in_flight: Option<InFlightWrite>,
     last_ticket: u64,
     file_bytes: usize,
-    /// The file's size when it was last examined whether it has to be rewritten.
+    /// The file's size in bytes when it was last considered for a rewrite.
     examined_bytes: usize,
     refused_at: Option<Duration>,
     rewrite_refused_at: Option<Duration>,
 }
 
 impl WriteQueue {
-    /// A queue for a file of this size.
+    /// Creates a queue for a file of this size in bytes.
     pub(super) fn new(file_bytes: usize) -> Self {
         Self {
             file_bytes,
@@ -107,18 +110,18 @@
         self.queued.push(QueuedRecord { bytes, on_durable });
     }
 
-    /// Whether a write may start: none is in flight, and a disk that refused one has had its pause.
+    /// Whether a write may start: none is in flight, and the retry interval after a refused one is over.
     pub(super) fn may_start(&self, now: Duration) -> bool {
         let paused = self.refused_at.is_some_and(|at| now < at + RETRY_INTERVAL);
         self.in_flight.is_none() && !paused
     }
 
-    /// Whether a record is needed to find out if a disk that refused one accepts writes again.
+    /// Whether a record is needed to test if a disk that refused one accepts writes again.
     pub(super) fn needs_probe(&self) -> bool {
         self.refused_at.is_some() && self.queued.is_empty()
     }
 
-    /// The file's size, if it has changed since it was last examined and is large enough for a rewrite.
+    /// The file's size in bytes, if it has changed since it was last considered and is large enough for a rewrite.
     pub(super) fn examine_size(&mut self, now: Duration) -> Option<usize> {
         let paused = self
             .rewrite_refused_at
@@ -138,7 +141,7 @@
         self.start(records, Vec::new(), true, now)
     }
 
-    /// Starts a write of what is queued; none if nothing is.
+    /// Starts a write of the queued records; `None` if there are none.
     pub(super) fn start_append(&mut self, now: Duration) -> Option<Output> {
         let (records, written) = self.next_batch();
         (!records.is_empty()).then(|| self.start(records, written, false, now))
@@ -167,6 +170,7 @@
         }
     }
 
+    /// Takes the next records up to the maximum size of a write.
     fn next_batch(&mut self) -> (Vec<Vec<u8>>, Vec<Written>) {
         let mut batch_bytes = 0;
         let fits = |record: &&QueuedRecord| {
@@ -186,7 +190,7 @@
         batch.map(split).unzip()
     }
 
-    /// A write has ended; none if it isn't the one in flight.
+    /// Ends a write; `None` if it isn't the one in flight.
     pub(super) fn complete(
         &mut self,
         ticket: u64,
@@ -235,7 +239,7 @@
         }
     }
 
-    /// When the write in flight counts as stalled, or when a refused one is tried again.
+    /// When the write in flight counts as stalled, or when a refused write is tried again.
     pub(super) fn wake(&self, stall_timeout: Duration) -> Option<Duration> {
         let stalls = self
             .in_flight
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -1,5 +1,5 @@
-//! The replicated state: the configuration in force, the requests that led to it, the hosts that drain, and the
-//! applications' locks, numbers and cells. A pure state machine.
+//! The replicated state, a pure state machine: the configuration in force, the requests that led to it, the hosts that
+//! drain, and the applications' locks, numbers and cells.
 
 use crate::applied_requests::{request_fingerprint, AppliedRequests};
 use configuration::{Configuration, InvalidConfiguration, ResultCode};
@@ -10,8 +10,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The largest configuration, in bytes of its items: as large as the largest body of a request. A state therefore always
-/// fits into one frame and one record.
+/// The largest configuration, in bytes of its items. It equals the largest body of a request, so a state always fits
+/// into one frame and one record.
 pub const MAX_CONFIGURATION_BYTES: usize = 4 << 20;
 
 /// The state after the change with number `index`.
@@ -19,7 +19,7 @@
 pub struct ReplicatedState {
     /// Index of the last change.
     pub index: u64,
-    /// Index of the last change of what the fleet is told: the configuration and the drains.
+    /// Index of the last change of the configuration or the drains, which are what the fleet is informed of.
     pub fleet_index: u64,
     /// The configuration. Version 0 stands for none.
     pub configuration: Arc<Configuration>,
@@ -31,36 +31,36 @@
     pub coordination: CoordinationState,
 }
 
-/// What a command comes to in a state.
+/// The outcome of planning a command in a state.
 #[derive(Debug)]
 pub enum Plan {
-    /// This change has to be made; it leads to the state beside it.
+    /// The command requires this change, which leads to the given state.
     Change(Change, Box<ReplicatedState>),
-    /// Nothing changes: the command's result and its body.
+    /// The command changes nothing. Its result code and the body of its answer.
     Answer(ResultCode, Vec<u8>),
 }
 
-/// Why a change can't be made.
+/// The reason why a change can't be applied.
 #[derive(Debug, Snafu)]
 pub enum ChangeError {
-    /// The configuration that it builds on isn't in force.
-    #[snafu(display("{base} on {in_force}"))]
+    /// The change builds on a configuration that isn't in force.
+    #[snafu(display("the change builds on version {base}, but version {in_force} is in force"))]
     OtherBase {
         /// The version that it builds on.
         base: u64,
         /// The version in force.
         in_force: u64,
     },
-    /// It doesn't fit the locks, numbers and cells.
+    /// The change contradicts the locks, numbers and cells.
     #[snafu(display("{source}"))]
     Coordination {
-        /// Why.
+        /// The cause.
         source: coordination::ApplyError,
     },
-    /// It leads to no valid configuration.
+    /// The resulting configuration would be invalid.
     #[snafu(display("{detail}"))]
     Invalid {
-        /// The result that the caller gets.
+        /// The result code that the client receives.
         code: ResultCode,
         /// What is wrong, and where.
         detail: String,
@@ -68,7 +68,7 @@
 }
 
 impl ChangeError {
-    /// The result that the caller gets.
+    /// The result code that the client receives.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::OtherBase { .. } => ResultCode::OtherBase,
@@ -78,16 +78,16 @@
     }
 }
 
-/// Why a snapshot can't be read.
+/// The reason why a snapshot can't be read.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
     /// Its configuration is invalid.
     #[snafu(context(false), display("{source}"))]
     Configuration {
-        /// Why.
+        /// The cause.
         source: InvalidConfiguration,
     },
-    /// The revisions of a group of cells don't fit together.
+    /// The revisions of a group of cells aren't consecutive.
     #[snafu(display("a group of cells lacks a revision"))]
     Cells,
 }
@@ -101,13 +101,13 @@
     }
 }
 
-/// How the base version of a configuration request relates to the state.
+/// The relation of a configuration request's base version to the state.
 enum BasePrecondition {
-    /// It is in force.
+    /// The version is in force.
     Met,
-    /// It isn't in force yet: the request may be applied once it is.
+    /// The version isn't in force yet. The request may be applied once it is.
     Ahead,
-    /// The request was applied.
+    /// This request was already applied.
     AlreadyApplied,
     /// Another request was applied to that version, or the version was never in force and never will be.
     Conflict,
@@ -116,7 +116,7 @@
 }
 
 impl ReplicatedState {
-    /// Plans a command: the change that it requires, or its answer.
+    /// Plans a command: returns the change that it requires, or its answer.
     pub fn plan(&self, command: &Command) -> Plan {
         match command {
             Command::Read { .. } if self.configuration.version == 0 => {
@@ -130,7 +130,7 @@
             }
             Command::Drain { host } => self.plan_change(Change::Drain { host: host.clone() }),
             Command::Configure { base, amend, body } => self.plan_request(*base, *amend, body),
-            // What it comes to depends on the primary's clock too: `Member::run_coordination_request` decides.
+            // The outcome also depends on the primary's clock, so `Member::run_coordination_request` decides.
             Command::Coordinate { .. } => Plan::Answer(ResultCode::OutcomeUnknown, vec![]),
         }
     }
@@ -145,7 +145,7 @@
                 });
             }
             BasePrecondition::AlreadyApplied => return Plan::Answer(ResultCode::Ok, vec![]),
-            // A copy of the request may arrive later and must be applied then: a rejection would be false.
+            // A copy of the request may arrive later and must be applied then, so a rejection would be false.
             BasePrecondition::Ahead => ResultCode::BaseNotInForce,
             BasePrecondition::Conflict => ResultCode::OtherBase,
             // A rejection might be false, and so might a confirmation.
@@ -154,7 +154,7 @@
         Plan::Answer(code, self.other_base_text(base))
     }
 
-    /// The answer's body if a request doesn't build on the version in force.
+    /// The body of the answer to a request that doesn't build on the version in force.
     pub(crate) fn other_base_text(&self, base: u64) -> Vec<u8> {
         format!(
             "version {} is in force, not {base}",
@@ -200,7 +200,7 @@
     /// The state after a change.
     ///
     /// # Errors
-    /// If the change can't be made in this state.
+    /// [`ChangeError`] if the change can't be applied to this state.
     pub fn apply(&self, change: &Change) -> Result<ReplicatedState, ChangeError> {
         let mut next = self.clone();
         next.index += 1;
@@ -239,11 +239,12 @@
         } else {
             Configuration::read(body, in_force)?
         };
-        // Most items stay the same: hundreds of changes in flight take little more memory than one.
+        // Most items stay the same. Sharing them keeps hundreds of changes in flight from taking much more memory than
+        // one.
         Ok(configuration.sharing(&self.configuration))
     }
 
-    /// The whole state, to be sent or written.
+    /// The whole state in the form that is sent or written.
     pub fn snapshot(&self) -> Snapshot {
         let configuration = if self.configuration.version == 0 {
             String::new()
@@ -259,16 +260,17 @@
         }
     }
 
-    /// None if there never was a lock, a number or a cell: the snapshot is then as releases without them write it.
+    /// `None` if there never was a lock, a number or a cell: the snapshot is then the same as in releases without
+    /// them.
     fn coordination_snapshot(&self) -> Option<CoordinationSnapshot> {
         let is_used = !self.coordination.is_unused();
         is_used.then(|| self.coordination.snapshot(self.fleet_index))
     }
 
-    /// The state of a snapshot.
+    /// Restores the state from a snapshot.
     ///
     /// # Errors
-    /// If the snapshot's configuration is invalid, or the revisions of its cells don't fit together.
+    /// [`SnapshotError`] if the snapshot's configuration is invalid, or the revisions of its cells aren't consecutive.
     pub fn from_snapshot(snapshot: &Snapshot) -> Result<ReplicatedState, SnapshotError> {
         let configuration = match snapshot.configuration.as_str() {
             "" => Configuration::default(),
