--- a/crates/control-plane/src/applied_requests.rs
+++ b/crates/control-plane/src/applied_requests.rs
@@ -47,7 +47,7 @@
     }
 
     /// The request that was applied to a version, if it is retained.
-    pub fn built_on(&self, base: u64) -> Option<&AppliedRequest> {
+    pub fn applied_to(&self, base: u64) -> Option<&AppliedRequest> {
         let position = self
             .full
             .partition_point(|chunk| chunk[CHUNK_REQUESTS - 1].base_version < base);
--- a/crates/control-plane/src/member/backup.rs
+++ b/crates/control-plane/src/member/backup.rs
@@ -114,7 +114,7 @@
         let follows = self.follows(epoch, from.id) && !self.is_superseded();
         let is_promised = self.promise.epoch() == epoch;
         let disk_healthy = self
-            .writes
+            .write_queue
             .is_healthy(self.now, self.config.disk_stall_timeout);
         let Some(log) = self.log.as_mut().filter(|_| follows && is_promised) else {
             return self.reply_to_append(from, epoch, index, false, out);
--- a/crates/control-plane/src/member/commands.rs
+++ b/crates/control-plane/src/member/commands.rs
@@ -164,7 +164,7 @@
         self.request_id_base.wrapping_add(ticket)
     }
 
-    fn record_primary(&mut self, is_known: bool, now: Duration) {
+    fn record_primary_known(&mut self, is_known: bool, now: Duration) {
         self.without_primary_since = if is_known {
             None
         } else {
@@ -261,7 +261,7 @@
     /// runs them.
     pub(super) fn run_commands(&mut self, out: &mut Vec<Output>) {
         let is_known = self.primary().is_some();
-        self.commands.record_primary(is_known, self.now);
+        self.commands.record_primary_known(is_known, self.now);
         let timeouts = self.command_timeouts();
         for (ticket, code) in self.commands.timed_out(self.now, timeouts) {
             self.answer(CommandSource::Local { ticket }, code, Vec::new(), out);
@@ -306,7 +306,7 @@
         }
     }
 
-    pub(super) fn commands_wake(&self) -> Option<Duration> {
+    pub(super) fn commands_wake_at(&self) -> Option<Duration> {
         let timeouts = self.command_timeouts();
         let commands = &self.commands.by_ticket;
         let ends = commands
--- a/crates/control-plane/src/member/coordination_requests.rs
+++ b/crates/control-plane/src/member/coordination_requests.rs
@@ -45,7 +45,7 @@
         self.watches.contains(&source)
     }
 
-    pub(super) fn wake(&self) -> Option<Duration> {
+    pub(super) fn next_wake_at(&self) -> Option<Duration> {
         let wakes = [self.watches.next_expiry(), self.retention.next_at()];
         wakes.into_iter().flatten().min()
     }
--- a/crates/control-plane/src/member/departure.rs
+++ b/crates/control-plane/src/member/departure.rs
@@ -163,7 +163,7 @@
             && choose_replicas(&self.config.fault_budget, &staying).is_some()
     }
 
-    pub(super) fn departure_wake(&self) -> Option<Duration> {
+    pub(super) fn departure_wake_at(&self) -> Option<Duration> {
         let departure = self.departure.as_ref()?;
         let hand_over_deadline = self.hand_over_deadline(departure);
         let hands_over = !departure.is_complete && hand_over_deadline > self.now;
--- a/crates/control-plane/src/member/election_timer.rs
+++ b/crates/control-plane/src/member/election_timer.rs
@@ -64,7 +64,7 @@
         rank.unwrap_or(0) as u32
     }
 
-    pub(super) fn election_wake(&self) -> Option<Duration> {
+    pub(super) fn election_wake_at(&self) -> Option<Duration> {
         let waits = self.is_voter() && self.role.is_follower() && self.departure.is_none();
         let lease_end = self.granted_lease.map_or(self.election_at, |g| g.until);
         waits.then(|| self.election_at.max(lease_end))
--- a/crates/control-plane/src/member/lease.rs
+++ b/crates/control-plane/src/member/lease.rs
@@ -224,7 +224,7 @@
             granted,
             promised_epoch: self.promise.epoch(),
             disk_healthy: self.disk_healthy() && self.departure.is_none(),
-            clock_ms: self.contact.clock_ms(self.now),
+            clock_ms: self.contact_tracker.clock_ms(self.now),
         };
         out.push(Output::Send { to: from, message });
         self.record_committed(epoch, request.commit_index);
@@ -242,7 +242,7 @@
             until,
         });
         self.election_at = until + self.election_delay();
-        self.contact
+        self.contact_tracker
             .record_echo(request.fleet_index, request.echoed_clock_ms, self.now);
     }
 
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -94,13 +94,13 @@
     restored: Option<ReplicatedState>,
     /// The lease that this member granted as a voter.
     granted_lease: Option<LeaseGrant>,
-    contact: ContactTracker,
+    contact_tracker: ContactTracker,
     peers: Peers,
     role: Role,
     phase_timeouts: PhaseTimeouts,
     /// The earliest time of the next campaign.
     election_at: Duration,
-    writes: WriteQueue,
+    write_queue: WriteQueue,
     commands: LocalCommands,
     /// The primary that other members reported.
     reported_primary: Option<ReportedPrimary>,
@@ -144,12 +144,12 @@
             replay_error: None,
             restored: None,
             granted_lease: None,
-            contact: ContactTracker::new(random),
+            contact_tracker: ContactTracker::new(random),
             peers: Peers::new(config.local_member.id, config.lease_duration),
             role: Role::Follower,
             phase_timeouts: PhaseTimeouts::default(),
             election_at: now,
-            writes: WriteQueue::new(file_bytes),
+            write_queue: WriteQueue::new(file_bytes),
             commands: LocalCommands::new(request_id_base(random), now),
             reported_primary: None,
             departure: None,
@@ -203,7 +203,7 @@
         self.run_commands(out);
         self.start_write(out);
         out.push(Output::Wake {
-            at: self.next_wake(),
+            at: self.next_wake_at(),
         });
     }
 
@@ -238,14 +238,15 @@
     }
 
     /// When the next step is due without any other input.
-    fn next_wake(&self) -> Duration {
+    fn next_wake_at(&self) -> Duration {
         let wakes = [
-            self.election_wake(),
-            self.primary_wake(),
-            self.candidate_wake(),
-            self.commands_wake(),
-            self.departure_wake(),
-            self.writes.wake(self.config.disk_stall_timeout),
+            self.election_wake_at(),
+            self.primary_wake_at(),
+            self.candidate_wake_at(),
+            self.commands_wake_at(),
+            self.departure_wake_at(),
+            self.write_queue
+                .next_wake_at(self.config.disk_stall_timeout),
         ];
         let lease_duration = self.config.lease_duration;
         wakes
@@ -364,6 +365,6 @@
     /// Whether the disk accepts writes in time and its records were read without an error.
     pub fn disk_healthy(&self) -> bool {
         let stall_timeout = self.config.disk_stall_timeout;
-        self.replay_error.is_none() && self.writes.is_healthy(self.now, stall_timeout)
+        self.replay_error.is_none() && self.write_queue.is_healthy(self.now, stall_timeout)
     }
 }
--- a/crates/control-plane/src/member/phase_timeouts.rs
+++ b/crates/control-plane/src/member/phase_timeouts.rs
@@ -141,7 +141,7 @@
         self.send_prepare(epoch, others, out);
     }
 
-    pub(super) fn candidate_wake(&self) -> Option<Duration> {
+    pub(super) fn candidate_wake_at(&self) -> Option<Duration> {
         let candidate = self.role.candidate()?;
         let phase_end = candidate.phase_started_at() + self.phase_timeout(candidate);
         Some(match self.long_phase_end() {
--- a/crates/control-plane/src/member/primary.rs
+++ b/crates/control-plane/src/member/primary.rs
@@ -332,12 +332,12 @@
         });
     }
 
-    pub(super) fn primary_wake(&self) -> Option<Duration> {
+    pub(super) fn primary_wake_at(&self) -> Option<Duration> {
         let primary = self.role.primary()?;
         let wakes = [
-            primary.replication.wake(),
+            primary.replication.next_wake_at(),
             primary.early_proposals.next_expiry(),
-            primary.coordination.wake(),
+            primary.coordination.next_wake_at(),
             Some(primary.next_renewal_at),
         ];
         wakes.into_iter().flatten().min()
--- a/crates/control-plane/src/member/primary_contact.rs
+++ b/crates/control-plane/src/member/primary_contact.rs
@@ -72,7 +72,7 @@
                 at: now,
                 fleet_index: primary.fleet_index(),
             }),
-            _ => self.contact.latest(),
+            _ => self.contact_tracker.latest(),
         }
     }
 
@@ -85,7 +85,8 @@
         let at = self.lease_end(primary).min(self.now);
         let fleet_index = primary.fleet_index();
         if !at.is_zero() {
-            self.contact.record(PrimaryContact { at, fleet_index });
+            self.contact_tracker
+                .record(PrimaryContact { at, fleet_index });
         }
     }
 }
--- a/crates/control-plane/src/member/replication.rs
+++ b/crates/control-plane/src/member/replication.rs
@@ -191,7 +191,7 @@
         messages
     }
 
-    pub(super) fn wake(&self) -> Option<Duration> {
+    pub(super) fn next_wake_at(&self) -> Option<Duration> {
         self.has_pending().then_some(self.next_retransmit_at)
     }
 }
--- a/crates/control-plane/src/member/storage.rs
+++ b/crates/control-plane/src/member/storage.rs
@@ -2,7 +2,7 @@
 
 use super::committed_state::snapshot_bytes;
 use super::replica_log::ReplicaLog;
-use super::write_queue::{Completion, OnDurable, Written};
+use super::write_queue::{Completion, OnDurable, WrittenRecord};
 use super::{DiskError, Member, Output};
 use crate::replicated_state::ReplicatedState;
 use protocol::{MembershipConfig, Message, Record};
@@ -25,26 +25,26 @@
 impl Member {
     /// Queues a record for the next write. `on_durable` follows once it is on disk.
     pub(super) fn queue_record(&mut self, record: &Record, on_durable: OnDurable) {
-        self.writes
+        self.write_queue
             .push(protocol::encode_record(record), on_durable);
     }
 
     /// Starts the next write if one may start now.
     pub(super) fn start_write(&mut self, out: &mut Vec<Output>) {
-        if !self.writes.may_start(self.now) {
+        if !self.write_queue.may_start(self.now) {
             return;
         }
-        if self.writes.needs_probe() {
+        if self.write_queue.needs_probe() {
             let epoch = self.promise.epoch();
             self.queue_record(&Record::Promised { epoch }, OnDurable::Nothing);
         }
         let write = if self.is_rewrite_due() {
             Some(
-                self.writes
+                self.write_queue
                     .start_rewrite(self.rewritten_records(), self.now),
             )
         } else {
-            self.writes.start_append(self.now)
+            self.write_queue.start_append(self.now)
         };
         out.extend(write);
     }
@@ -52,7 +52,7 @@
     /// Whether the file is too large for its content. This depends on the file alone, so a continuous stream of
     /// changes doesn't postpone a rewrite.
     fn is_rewrite_due(&mut self) -> bool {
-        let Some(file_bytes) = self.writes.examine_size(self.now) else {
+        let Some(file_bytes) = self.write_queue.examine_size(self.now) else {
             return false;
         };
         file_bytes > self.max_file_bytes()
@@ -107,7 +107,7 @@
         result: Result<(), DiskError>,
         out: &mut Vec<Output>,
     ) {
-        match self.writes.complete(ticket, result, self.now) {
+        match self.write_queue.complete(ticket, result, self.now) {
             None | Some(Completion::RewriteRefused) => {}
             Some(Completion::Rewritten) => self.committed.on_file_rewritten(),
             Some(Completion::Appended(written)) => {
@@ -127,7 +127,7 @@
         }
     }
 
-    fn on_durable(&mut self, written: Written, out: &mut Vec<Output>) {
+    fn on_durable(&mut self, written: WrittenRecord, out: &mut Vec<Output>) {
         let change = written.change.unwrap_or_default();
         match written.on_durable {
             OnDurable::Promise { candidate, epoch } => {
--- a/crates/control-plane/src/member/summary.rs
+++ b/crates/control-plane/src/member/summary.rs
@@ -81,7 +81,7 @@
                 epoch: g.epoch,
             }),
             disk: self
-                .writes
+                .write_queue
                 .disk_state(self.now, self.config.disk_stall_timeout),
             durable_index: self.log.as_ref().map(|log| log.durable().index),
             departing: self.departure.is_some(),
--- a/crates/control-plane/src/member/write_queue.rs
+++ b/crates/control-plane/src/member/write_queue.rs
@@ -50,7 +50,7 @@
 
 /// A record that is being written or is on disk.
 #[derive(Clone, Debug)]
-pub(super) struct Written {
+pub(super) struct WrittenRecord {
     pub(super) on_durable: OnDurable,
     /// The encoded record, if it holds a change.
     pub(super) change: Option<Vec<u8>>,
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub(super) enum Completion {
     /// Records were appended.
-    Appended(Vec<Written>),
+    Appended(Vec<WrittenRecord>),
     /// The file was rewritten.
     Rewritten,
     /// The rewrite was refused. The old file remains in force, or a new one with the same meaning.
@@ -79,7 +79,7 @@
 struct InFlightWrite {
     ticket: u64,
     started_at: Duration,
-    written: Vec<Written>,
+    written: Vec<WrittenRecord>,
     bytes: usize,
     is_rewrite: bool,
 }
@@ -150,7 +150,7 @@
     fn start(
         &mut self,
         records: Vec<Vec<u8>>,
-        written: Vec<Written>,
+        written: Vec<WrittenRecord>,
         is_rewrite: bool,
         now: Duration,
     ) -> Output {
@@ -171,7 +171,7 @@
     }
 
     /// Takes the next records up to the maximum size of a write.
-    fn next_batch(&mut self) -> (Vec<Vec<u8>>, Vec<Written>) {
+    fn next_batch(&mut self) -> (Vec<Vec<u8>>, Vec<WrittenRecord>) {
         let mut batch_bytes = 0;
         let fits = |record: &&QueuedRecord| {
             batch_bytes += record.bytes.len();
@@ -181,7 +181,7 @@
         let batch = self.queued.drain(..count.min(self.queued.len()));
         let split = |record: QueuedRecord| {
             let change = record.on_durable.is_change().then(|| record.bytes.clone());
-            let written = Written {
+            let written = WrittenRecord {
                 on_durable: record.on_durable,
                 change,
             };
@@ -240,7 +240,7 @@
     }
 
     /// When the write in flight counts as stalled, or when a refused write is tried again.
-    pub(super) fn wake(&self, stall_timeout: Duration) -> Option<Duration> {
+    pub(super) fn next_wake_at(&self, stall_timeout: Duration) -> Option<Duration> {
         let stalls = self
             .in_flight
             .as_ref()
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -169,7 +169,7 @@
             Ordering::Greater => return BasePrecondition::Ahead,
             Ordering::Less => {}
         }
-        if let Some(applied) = self.applied_requests.built_on(base) {
+        if let Some(applied) = self.applied_requests.applied_to(base) {
             return if *applied == request_fingerprint(base, amend, body) {
                 BasePrecondition::AlreadyApplied
             } else {
@@ -282,10 +282,10 @@
             }
             None => CoordinationState::default(),
         };
-        let told = snapshot.coordination.as_ref();
+        let stored = snapshot.coordination.as_ref();
         Ok(ReplicatedState {
             index: snapshot.index,
-            fleet_index: told.map_or(snapshot.index, |told| told.fleet_index),
+            fleet_index: stored.map_or(snapshot.index, |stored| stored.fleet_index),
             configuration: Arc::new(configuration),
             applied_requests: snapshot.applied_requests.iter().cloned().collect(),
             drains: Arc::new(snapshot.drains.iter().cloned().collect()),
