--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -1,4 +1,4 @@
-//! A candidate alone, told what it would hear from the others.
+//! A single candidate, which receives the replies of the other members one by one.
 
 mod support;
 
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use support::{budget, member_config};
 
-const VIEW_EPOCH: u64 = 2 << 20 | 2;
+const MEMBERSHIP_EPOCH: u64 = 2 << 20 | 2;
 
-fn member(id: u64) -> MemberInfo {
+fn member_info(id: u64) -> MemberInfo {
     let addr = Addr {
         ip: id as u32,
         port: 7,
@@ -25,14 +25,14 @@
     }
 }
 
-/// Member 1, its clock, and what it sent last.
-struct Candidate {
+/// Member 1, its clock, and the messages that it has sent.
+struct TestCandidate {
     member: Member,
     now: Duration,
     sent: Vec<(u64, Message)>,
 }
 
-impl Candidate {
+impl TestCandidate {
     fn input(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -51,62 +51,63 @@
         }
     }
 
-    fn hear(&mut self, from: u64, message: Message) {
+    fn receive(&mut self, from: u64, message: Message) {
         self.input(Input::Message {
-            from: member(from),
+            from: member_info(from),
             message,
         });
     }
 
-    fn prepared(&self) -> Option<u64> {
+    fn prepared_epoch(&self) -> Option<u64> {
         self.sent.iter().find_map(|s| match s.1 {
             Message::Prepare { epoch, .. } => Some(epoch),
             _ => None,
         })
     }
 
-    fn promise_of(&mut self, from: u64, epoch: u64) {
-        let voters: Vec<MemberInfo> = (1..=3).map(member).collect();
-        let view = MembershipConfig {
-            epoch: VIEW_EPOCH,
+    fn receive_promise(&mut self, from: u64, epoch: u64) {
+        let voters: Vec<MemberInfo> = (1..=3).map(member_info).collect();
+        let membership = MembershipConfig {
+            epoch: MEMBERSHIP_EPOCH,
             primary: 2,
             replicas: vec![2, 1, 3],
             previous_voters: voters.clone(),
             voters,
         };
-        let tag = Some(LogPosition {
-            epoch: VIEW_EPOCH,
+        let log_position = Some(LogPosition {
+            epoch: MEMBERSHIP_EPOCH,
             index: 0,
         });
         let promise = Message::Promise {
             epoch,
             granted: true,
             promised_epoch: epoch,
-            membership: Some(view),
-            log_position: tag,
+            membership: Some(membership),
+            log_position,
             retry_after_ms: 0,
         };
-        self.hear(from, promise);
+        self.receive(from, promise);
     }
 }
 
-/// It holds no ledger, and needs all three for the replicas: the third promise comes while it fetches the ledger.
+/// The candidate holds no replica and needs all three voters as replicas. The third promise arrives while it fetches
+/// the state, and has to count.
 #[test]
 fn promise_when_it_arrives_during_the_fetch_then_it_counts() {
     let config = member_config(
-        member(1),
-        Some((1..=3).map(member).collect()),
+        member_info(1),
+        Some((1..=3).map(member_info).collect()),
         budget(2, 0, 0),
     );
     let now = Duration::from_secs(1);
-    let mut candidate = Candidate {
+    let mut candidate = TestCandidate {
         member: Member::new(config, &[], now, 1),
         now,
         sent: Vec::new(),
     };
     candidate.now += Duration::from_secs(2);
     candidate.input(Input::Tick);
-    candidate.hear(
+    candidate.receive(
         2,
         Message::PreVoteReply {
             granted: true,
@@ -114,8 +115,10 @@
             retry_after_ms: 0,
         },
     );
-    let epoch = candidate.prepared().expect("it asks for promises");
-    candidate.promise_of(2, epoch);
+    let epoch = candidate
+        .prepared_epoch()
+        .expect("the candidate requests promises");
+    candidate.receive_promise(2, epoch);
     assert!(
         candidate
             .sent
@@ -123,24 +126,28 @@
         "{:?}",
         candidate.sent
     );
-    candidate.promise_of(3, epoch);
-    let tag = LogPosition {
-        epoch: VIEW_EPOCH,
+    candidate.receive_promise(3, epoch);
+    let log_position = LogPosition {
+        epoch: MEMBERSHIP_EPOCH,
         index: 0,
     };
-    candidate.hear(
+    candidate.receive(
         2,
         Message::SnapshotReply {
             epoch,
-            log_position: tag,
+            log_position,
             snapshot: ReplicatedState::default().snapshot(),
         },
     );
-    let told = |id| {
+    let was_sent_membership = |id| {
         candidate
             .sent
             .iter()
             .any(|s| s.0 == id && matches!(s.1, Message::InstallMembership { .. }))
     };
-    assert!(told(2) && told(3), "{:?}", candidate.sent);
+    assert!(
+        was_sent_membership(2) && was_sent_membership(3),
+        "{:?}",
+        candidate.sent
+    );
 }
--- a/crates/control-plane/tests/departure.rs
+++ b/crates/control-plane/tests/departure.rs
@@ -1,4 +1,4 @@
-//! A member that leaves for good isn't made a voter again, however long it serves on and whoever is the primary
+//! A member that departs for good isn't made a voter again, however long it keeps serving and whoever is the primary
 //! (`docs/design/hardening/3-second-loss.md`).
 
 mod support;
@@ -7,27 +7,30 @@
 use support::event_cluster::Cluster;
 use support::{budget, ms};
 
-const SOON: std::time::Duration = ms(8000);
+const SETTLE_TIMEOUT: std::time::Duration = ms(8000);
 
-/// Four voters of which one is enough to be lost; one of them leaves and has no vote any more.
-fn four_of_which_one_leaves() -> (Cluster, usize) {
+/// Four voters with a budget of one machine, one of which departs and has lost its vote. Returns the cluster and the
+/// departing machine.
+fn cluster_with_departing_member() -> (Cluster, usize) {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a"]);
     cluster.apply(0, 1);
     cluster
-        .until(SOON, |c| {
+        .until(SETTLE_TIMEOUT, |c| {
             c.current().voters.len() == 4 && c.current().is_stable()
         })
         .expect("four voters");
-    let leaver = cluster.primary().unwrap();
-    cluster.depart(leaver);
-    let dropped =
-        |c: &Cluster| c.primary().is_some() && !c.votes(leaver) && c.current().is_stable();
-    cluster.until(SOON, dropped).expect("it is dropped");
-    (cluster, leaver)
+    let departing = cluster.primary().unwrap();
+    cluster.depart(departing);
+    let is_removed =
+        |c: &Cluster| c.primary().is_some() && !c.votes(departing) && c.current().is_stable();
+    cluster
+        .until(SETTLE_TIMEOUT, is_removed)
+        .expect("the departing voter is removed");
+    (cluster, departing)
 }
 
-/// The next loss leaves a majority.
-fn bears_a_loss(mut cluster: Cluster) {
+/// Checks that the cluster accepts a change in time after the loss of its primary.
+fn assert_survives_a_loss(mut cluster: Cluster) {
     let next = cluster.primary().unwrap();
     cluster.kill(next);
     let took = cluster.apply(1, 2);
@@ -38,58 +41,58 @@
 #[case::three_leases(3000)]
 #[case::six_leases(6000)]
 #[case::twelve_leases(12_000)]
-fn departing_member_when_it_serves_on_then_it_is_no_voter_again(#[case] serves_on: u64) {
-    let (mut cluster, leaver) = four_of_which_one_leaves();
-    let again = cluster.until(ms(serves_on), |c| c.votes(leaver));
+fn departing_member_when_it_serves_on_then_it_is_no_voter_again(#[case] serving_ms: u64) {
+    let (mut cluster, departing) = cluster_with_departing_member();
+    let voted = cluster.until(ms(serving_ms), |c| c.votes(departing));
     assert!(
-        again.is_none(),
-        "while it serves on: {:?}",
+        voted.is_none(),
+        "while it keeps serving: {:?}",
         cluster.memberships()
     );
-    cluster.kill(leaver);
-    let again = cluster.until(ms(10_000), |c| c.votes(leaver));
+    cluster.kill(departing);
+    let voted = cluster.until(ms(10_000), |c| c.votes(departing));
     assert!(
-        again.is_none(),
+        voted.is_none(),
         "after its end: {:?}",
         cluster.memberships()
     );
-    bears_a_loss(cluster);
+    assert_survives_a_loss(cluster);
 }
 
-/// Who takes over, or has been started again since, knows of the departure too.
+/// A member that takes over, or that was restarted since, also knows of the departure.
 #[rstest]
-#[case::by_another(false)]
-#[case::by_one_started_again(true)]
+#[case::by_another_member(false)]
+#[case::by_a_restarted_member(true)]
 fn departing_member_when_another_takes_over_then_it_is_no_voter_again(
-    #[case] others_start_again: bool,
+    #[case] others_restart: bool,
 ) {
-    let (mut cluster, leaver) = four_of_which_one_leaves();
+    let (mut cluster, departing) = cluster_with_departing_member();
     cluster.run(ms(3000));
     let first = cluster.primary().unwrap();
     cluster.kill(first);
-    for n in (0..4).filter(|n| others_start_again && ![first, leaver].contains(n)) {
+    for n in (0..4).filter(|n| others_restart && ![first, departing].contains(n)) {
         cluster.kill(n);
         cluster.restart(n);
     }
     cluster.run(ms(100));
     cluster.restart(first);
-    let again = cluster.until(ms(4000), |c| c.votes(leaver));
+    let voted = cluster.until(ms(4000), |c| c.votes(departing));
     assert!(
-        again.is_none(),
-        "while it serves on: {:?}",
+        voted.is_none(),
+        "while it keeps serving: {:?}",
         cluster.memberships()
     );
-    cluster.kill(leaver);
-    let again = cluster.until(ms(10_000), |c| c.votes(leaver));
+    cluster.kill(departing);
+    let voted = cluster.until(ms(10_000), |c| c.votes(departing));
     assert!(
-        again.is_none(),
+        voted.is_none(),
         "after its end: {:?}",
         cluster.memberships()
     );
-    bears_a_loss(cluster);
+    assert_survives_a_loss(cluster);
 }
 
-/// A member without a vote leaves: nobody counts on it when the next voter makes room.
+/// A departing member without a vote doesn't replace the next voter that departs.
 #[test]
 fn departing_spare_when_a_voter_is_lost_then_it_does_not_replace_it() {
     let mut cluster = Cluster::start(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a"]);
@@ -100,25 +103,27 @@
         .expect("three voters, one of each zone");
     cluster.depart(spare);
     cluster
-        .until(SOON, |c| c.left(spare))
-        .expect("it may end at once");
+        .until(SETTLE_TIMEOUT, |c| c.left(spare))
+        .expect("the departure completes at once");
     cluster.run(ms(20));
     cluster.kill(spare);
-    let leaver = cluster.primary().unwrap();
-    cluster.depart(leaver);
+    let departing = cluster.primary().unwrap();
+    cluster.depart(departing);
     let voted = cluster.until(ms(4000), |c| c.votes(spare));
     assert!(voted.is_none(), "{:?}", cluster.memberships());
 }
 
-/// A member that ended as planned and is back in another incarnation is a voter again.
+/// A member that shut down gracefully and comes back in another incarnation becomes a voter again.
 #[test]
 fn departed_member_when_it_is_back_then_it_is_a_voter_again() {
-    let (mut cluster, leaver) = four_of_which_one_leaves();
-    cluster.until(SOON, |c| c.left(leaver)).expect("it ends");
-    cluster.kill(leaver);
+    let (mut cluster, departing) = cluster_with_departing_member();
+    cluster
+        .until(SETTLE_TIMEOUT, |c| c.left(departing))
+        .expect("the departure completes");
+    cluster.kill(departing);
     cluster.run(ms(300));
-    cluster.restart(leaver);
+    cluster.restart(departing);
     cluster
-        .until(SOON, |c| c.votes(leaver))
-        .expect("it joins again");
+        .until(SETTLE_TIMEOUT, |c| c.votes(departing))
+        .expect("the member becomes a voter again");
 }
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! A member that starts on a full disk after its clock was set back doesn't know its incarnation before. What hosts
-//! tell it reaches everybody all the same.
+//! A member that starts with a full disk after its clock was set back doesn't know its previous incarnation. The
+//! heartbeats that it receives must still reach all mirrors.
 
 use control_plane::host_registry::{Heartbeat, HostRequest};
 use control_plane::incarnation::next_incarnation;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
-const ID: u64 = 7;
+const MEMBER_ID: u64 = 7;
 
 fn heartbeat(host: &str, call_seq: u64) -> HostRequest {
     let (service, addr, zone) = (
@@ -37,18 +37,18 @@
     }
 }
 
-fn member(id: u64) -> Arc<SharedMirror> {
+fn shared_mirror(id: u64) -> Arc<SharedMirror> {
     SharedMirror::new(Mirror::new(id, HEARTBEAT_INTERVAL))
 }
 
-/// `to` pulls from `from` once, as it would over a connection.
+/// Lets `to` pull from `from` once, as it would over a connection.
 async fn pull(to: &SharedMirror, from: &SharedMirror) {
     let pull = to.update(|mirror, _| mirror.pull(&Subscriber::default(), 0));
     let update = answer(from, &pull).await;
     to.update(|mirror, now| mirror.apply(now, &update));
 }
 
-/// One member, a peer of it, and an agent that pulls from the peer only.
+/// A member, its peer, and an agent that pulls from the peer only.
 struct TestProcesses {
     member: Arc<SharedMirror>,
     publisher: Arc<RegistryPublisher>,
@@ -62,8 +62,8 @@
         Self {
             member: member.0,
             publisher: member.1,
-            peer: self::member(8),
-            agent: self::member(0),
+            peer: shared_mirror(8),
+            agent: shared_mirror(0),
         }
     }
 
@@ -71,7 +71,7 @@
         (self.member, self.publisher) = member_with_publisher(incarnation);
     }
 
-    /// Everybody pulls a few times, while the hosts call.
+    /// Lets the hosts send heartbeats, and all mirrors pull a few times after each.
     async fn run(&self, hosts: &[&str], heartbeats: u64, call_seq: &mut u64) {
         for _ in 0..heartbeats {
             *call_seq += 1;
@@ -90,86 +90,92 @@
         }
     }
 
-    fn shows(&self, host: &str) -> [bool; 3] {
+    /// Whether the member, the peer and the agent list a host.
+    fn lists_host(&self, host: &str) -> [bool; 3] {
         [&self.member, &self.peer, &self.agent]
             .map(|mirror| mirror.snapshot().hosts.contains_key(host))
     }
 }
 
 fn member_with_publisher(incarnation: u64) -> (Arc<SharedMirror>, Arc<RegistryPublisher>) {
-    let shared = member(ID);
-    let publisher = RegistryPublisher::new(ID, incarnation, HEARTBEAT_INTERVAL, shared.clone());
+    let shared = shared_mirror(MEMBER_ID);
+    let publisher =
+        RegistryPublisher::new(MEMBER_ID, incarnation, HEARTBEAT_INTERVAL, shared.clone());
     (shared, publisher)
 }
 
-/// The clock of the second start is earlier; neither number was kept.
+/// The clock of the second start is earlier, and the number of the first incarnation wasn't stored.
 #[rstest]
 #[case::set_back_a_little(next_incarnation(0, 9_000, 1), next_incarnation(0, 8_000, 2))]
-#[case::set_back_below_what_was_kept(next_incarnation(0, 9_000, 2), next_incarnation(0, 9_000, 1))]
+#[case::set_back_below_the_stored_number(
+    next_incarnation(0, 9_000, 2),
+    next_incarnation(0, 9_000, 1)
+)]
 #[case::set_back_by_years(next_incarnation(0, 1 << 41, 1), next_incarnation(0, 1, 2))]
 #[tokio::test(start_paused = true)]
 async fn hosts_when_the_clock_went_back_reach_everybody(#[case] first: u64, #[case] second: u64) {
     let mut processes = TestProcesses::new(first);
-    let mut calls = 0;
-    processes.run(&["a", "bb"], 3, &mut calls).await;
-    assert_eq!(processes.shows("a"), [true; 3]);
+    let mut call_seq = 0;
+    processes.run(&["a", "bb"], 3, &mut call_seq).await;
+    assert_eq!(processes.lists_host("a"), [true; 3]);
     processes.restart(second);
-    // One stays, one ended meanwhile, one is new; this member alone is called.
-    processes.run(&["a", "ccc"], 10, &mut calls).await;
+    // One host stays, one has ended, one is new. Only this member receives their heartbeats.
+    processes.run(&["a", "ccc"], 10, &mut call_seq).await;
     assert_eq!(
-        (processes.shows("a"), processes.shows("ccc")),
+        (processes.lists_host("a"), processes.lists_host("ccc")),
         ([true; 3], [true; 3])
     );
-    assert_eq!(processes.shows("bb"), [false; 3]);
+    assert_eq!(processes.lists_host("bb"), [false; 3]);
     processes
         .publisher
         .handle(&HostRequest::Depart { host: "a".into() });
-    processes.run(&["ccc"], 1, &mut calls).await;
+    processes.run(&["ccc"], 1, &mut call_seq).await;
     assert_eq!(
         processes.agent.snapshot().hosts["a"].phase,
         replication::phase::GONE
     );
 }
 
-/// Again and again, each time further back.
+/// The clock is set back several times, further each time.
 #[tokio::test(start_paused = true)]
 async fn hosts_when_the_clock_goes_back_again_and_again_reach_everybody() {
     let mut processes = TestProcesses::new(next_incarnation(0, 9_000, 1));
-    let mut calls = 0;
+    let mut call_seq = 0;
     for (n, host) in ["a", "bb", "ccc", "dddd"].iter().enumerate() {
-        processes.run(&[host], 6, &mut calls).await;
-        assert_eq!(processes.shows(host), [true; 3], "incarnation {n}");
+        processes.run(&[host], 6, &mut call_seq).await;
+        assert_eq!(processes.lists_host(host), [true; 3], "incarnation {n}");
         processes.restart(next_incarnation(0, 8_000 - 1_000 * n as u64, n as u64 + 2));
     }
 }
 
-/// All members start anew, and only an agent that doesn't pull from this member remembers its incarnation before.
+/// All members restart without their state. Only an agent that doesn't pull from this member remembers its previous
+/// incarnation.
 #[tokio::test(start_paused = true)]
 async fn hosts_when_only_an_agent_remembers_reach_everybody() {
     let mut processes = TestProcesses::new(next_incarnation(0, 9_000, 1));
-    let mut calls = 0;
-    processes.run(&["a"], 2, &mut calls).await;
-    processes.peer = member(8);
+    let mut call_seq = 0;
+    processes.run(&["a"], 2, &mut call_seq).await;
+    processes.peer = shared_mirror(8);
     processes.restart(next_incarnation(0, 3_000, 2));
-    processes.run(&["bb"], 10, &mut calls).await;
-    assert_eq!(processes.shows("bb"), [true; 3]);
-    assert_eq!(processes.shows("a"), [false; 3]);
+    processes.run(&["bb"], 10, &mut call_seq).await;
+    assert_eq!(processes.lists_host("bb"), [true; 3]);
+    assert_eq!(processes.lists_host("a"), [false; 3]);
 }
 
-/// A start like any other costs nobody anything: its number is higher, and stays what it is.
+/// After a regular restart the incarnation number is already higher, and the member keeps it.
 #[tokio::test(start_paused = true)]
 async fn incarnation_when_the_clock_went_on_stays() {
     let mut processes = TestProcesses::new(next_incarnation(0, 9_000, 1));
-    let mut calls = 0;
-    processes.run(&["a"], 2, &mut calls).await;
+    let mut call_seq = 0;
+    processes.run(&["a"], 2, &mut call_seq).await;
     let incarnation = next_incarnation(0, 10_000, 2);
     processes.restart(incarnation);
-    processes.run(&["a"], 6, &mut calls).await;
-    let marks = processes.agent.update(|mirror, _| mirror.version_vector());
-    let newest = marks
+    processes.run(&["a"], 6, &mut call_seq).await;
+    let version_vector = processes.agent.update(|mirror, _| mirror.version_vector());
+    let newest = version_vector
         .iter()
-        .filter(|mark| mark.member_id == ID)
-        .map(|mark| mark.incarnation)
+        .filter(|entry| entry.member_id == MEMBER_ID)
+        .map(|entry| entry.incarnation)
         .max();
     assert_eq!(newest, Some(incarnation));
 }
--- a/crates/control-plane/tests/leases.rs
+++ b/crates/control-plane/tests/leases.rs
@@ -1,5 +1,5 @@
-//! A lease that was granted holds to its end: neither a candidacy of the voter's own nor a word of somebody else lets
-//! another primary begin while the holder may still answer reads. One voter, message by message.
+//! A granted lease lasts until its end: neither the voter's own campaign nor a message of another member lets another
+//! primary begin while the lease holder may still answer reads. The tests send messages to a single voter.
 
 mod support;
 
@@ -9,13 +9,14 @@
 use std::time::Duration;
 use support::{budget, member_config, ms, LEASE};
 
-/// Identities: who holds the lease, who grants it, and the third voter.
+/// Member ids of the lease holder, the voter under test and the other voter.
 const HOLDER: u64 = 1;
 const VOTER: u64 = 2;
-const THIRD: u64 = 3;
-/// The view's epoch, and one above it.
+const OTHER_VOTER: u64 = 3;
+/// The epoch of the membership configuration.
 const EPOCH: u64 = (1 << 20) | HOLDER;
-const LATER_EPOCH: u64 = (2 << 20) | THIRD;
+/// An epoch above it.
+const LATER_EPOCH: u64 = (2 << 20) | OTHER_VOTER;
 
 fn member_info(id: u64) -> MemberInfo {
     let addr = Addr {
@@ -32,31 +33,31 @@
     }
 }
 
-/// A witness of a view whose primary is [`HOLDER`].
-struct Voter {
+/// A witness of a membership configuration whose primary is [`HOLDER`].
+struct TestVoter {
     now: Duration,
     member: Member,
 }
 
-impl Voter {
-    fn started() -> Self {
+impl TestVoter {
+    fn with_membership() -> Self {
         let config = member_config(member_info(VOTER), None, budget(1, 0, 0));
         let mut voter = Self {
             now: ms(0),
             member: Member::new(config, &[], ms(0), 7),
         };
-        let voters: Vec<MemberInfo> = [HOLDER, VOTER, THIRD].map(member_info).to_vec();
-        let view = MembershipConfig {
+        let voters: Vec<MemberInfo> = [HOLDER, VOTER, OTHER_VOTER].map(member_info).to_vec();
+        let membership = MembershipConfig {
             epoch: EPOCH,
             primary: HOLDER,
-            replicas: vec![HOLDER, THIRD],
+            replicas: vec![HOLDER, OTHER_VOTER],
             voters: voters.clone(),
             previous_voters: voters,
         };
-        let sent = voter.hears(
+        let sent = voter.receive(
             HOLDER,
             Message::InstallMembership {
-                membership: view,
+                membership,
                 snapshot: None,
             },
         );
@@ -70,7 +71,7 @@
         voter
     }
 
-    /// One input, and the messages that come of it; writes are on disk at once.
+    /// Handles one input and returns the messages sent. Writes complete at once.
     fn step(&mut self, input: Input) -> Vec<Message> {
         let (mut sent, mut inputs) = (Vec::new(), vec![input]);
         while let Some(input) = inputs.pop() {
@@ -90,7 +91,7 @@
         sent
     }
 
-    fn hears(&mut self, from: u64, message: Message) -> Vec<Message> {
+    fn receive(&mut self, from: u64, message: Message) -> Vec<Message> {
         self.now += ms(1);
         self.step(Input::Message {
             from: member_info(from),
@@ -98,15 +99,15 @@
         })
     }
 
-    /// Grants a lease to its holder.
-    fn grants(&mut self) {
+    /// Lets the voter grant a lease to [`HOLDER`].
+    fn grant_lease(&mut self) {
         let renewal = Message::RenewLease {
             epoch: EPOCH,
             requested_at_ms: 1,
             commit_index: 0,
             echoed_clock_ms: 0,
         };
-        let sent = self.hears(HOLDER, renewal);
+        let sent = self.receive(HOLDER, renewal);
         assert!(
             sent.iter()
                 .any(|m| matches!(m, Message::LeaseReply { granted: true, .. })),
@@ -114,10 +115,10 @@
         );
     }
 
-    /// Whether it would promise somebody else an epoch.
-    fn would_promise(&mut self) -> bool {
-        let sent = self.hears(
-            THIRD,
+    /// Whether the voter would promise an epoch to [`OTHER_VOTER`].
+    fn grants_pre_vote(&mut self) -> bool {
+        let sent = self.receive(
+            OTHER_VOTER,
             Message::PreVote {
                 known_epoch: EPOCH,
                 accepted_epoch: EPOCH,
@@ -127,8 +128,8 @@
             .any(|m| matches!(m, Message::PreVoteReply { granted: true, .. }))
     }
 
-    /// Time passes until it asks the others whether they would promise.
-    fn asks_for_pre_votes(&mut self) {
+    /// Advances the time until the voter requests pre-votes.
+    fn run_until_pre_vote(&mut self) {
         for _ in 0..3000 {
             self.now += ms(1);
             let sent = self.step(Input::Tick);
@@ -136,60 +137,60 @@
                 return;
             }
         }
-        panic!("it doesn't stand");
+        panic!("the voter requested no pre-votes within 3 s");
     }
 }
 
-/// Such a word comes from a candidate whose disk refuses its promise: it says that no lease of its own holds anybody
-/// back, and nothing about those of others.
+/// A candidate whose disk refuses its promise sends such a message. It only says that no lease of the sender binds
+/// anybody, and nothing about the leases of others.
 #[rstest]
 #[case::of_the_holder(HOLDER, EPOCH, true)]
 #[case::of_the_holder_as_a_candidate(HOLDER, LATER_EPOCH, true)]
-#[case::of_somebody_else(THIRD, LATER_EPOCH, false)]
+#[case::of_another_member(OTHER_VOTER, LATER_EPOCH, false)]
 #[case::of_an_earlier_lease(HOLDER, EPOCH - 1, false)]
 fn lease_when_released_by_another_member_then_it_lasts(
     #[case] from: u64,
     #[case] epoch: u64,
     #[case] released: bool,
 ) {
-    let mut voter = Voter::started();
-    voter.grants();
-    assert!(!voter.would_promise());
-    voter.hears(from, Message::ReleaseLease { epoch });
-    assert_eq!(voter.would_promise(), released);
+    let mut voter = TestVoter::with_membership();
+    voter.grant_lease();
+    assert!(!voter.grants_pre_vote());
+    voter.receive(from, Message::ReleaseLease { epoch });
+    assert_eq!(voter.grants_pre_vote(), released);
 }
 
-/// The holder was out of touch for a lease, is heard again while the voter's question is under way, and only then
-/// comes the answer of the third, who has lost touch meanwhile.
+/// The holder was unreachable for a lease duration and is heard from again while the voter's pre-vote is in flight.
+/// The reply of the other voter, which has meanwhile lost contact to the holder, arrives only after that.
 #[test]
 fn candidate_when_it_grants_a_lease_then_it_campaigns_no_more() {
-    let mut voter = Voter::started();
-    voter.asks_for_pre_votes();
-    voter.grants();
-    let willing = Message::PreVoteReply {
+    let mut voter = TestVoter::with_membership();
+    voter.run_until_pre_vote();
+    voter.grant_lease();
+    let granted = Message::PreVoteReply {
         granted: true,
         promised_epoch: EPOCH,
         retry_after_ms: 0,
     };
-    let sent = voter.hears(THIRD, willing);
+    let sent = voter.receive(OTHER_VOTER, granted);
     assert!(
         !sent.iter().any(|m| matches!(m, Message::Prepare { .. })),
         "{sent:?}"
     );
     assert!(
         voter.member.promised_epoch() == EPOCH,
-        "it promised itself {}",
+        "the voter promised epoch {}",
         voter.member.promised_epoch()
     );
-    // Once the lease has ended it stands again.
+    // Once the lease has ended, the voter campaigns again.
     voter.now += LEASE;
-    voter.asks_for_pre_votes();
-    let willing = Message::PreVoteReply {
+    voter.run_until_pre_vote();
+    let granted = Message::PreVoteReply {
         granted: true,
         promised_epoch: EPOCH,
         retry_after_ms: 0,
     };
-    let sent = voter.hears(THIRD, willing);
+    let sent = voter.receive(OTHER_VOTER, granted);
     assert!(
         sent.iter().any(|m| matches!(m, Message::Prepare { .. })),
         "{sent:?}"
--- a/crates/control-plane/tests/long_absence.rs
+++ b/crates/control-plane/tests/long_absence.rs
@@ -1,4 +1,4 @@
-//! A member that is away for hundreds of changes: it catches up, and never leads with an old state
+//! A member that is absent for hundreds of changes catches up, and never becomes primary with an old state
 //! (`docs/design/hardening/4-many-changes.md`).
 
 mod support;
@@ -8,57 +8,57 @@
 use support::event_cluster::Cluster;
 use support::ms;
 
-/// Changes of a long day.
-const CHANGES: u64 = 400;
-/// A member that is back no longer counts as lost after this.
-const CATCH_UP: Duration = ms(4000);
+/// Number of changes during the absence.
+const ABSENCE_CHANGES: u64 = 400;
+/// Time after which a returning member has caught up and no longer counts as lost.
+const CATCH_UP_TIME: Duration = ms(4000);
 
-/// How a member is away.
+/// The kind of a member's absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Absence {
-    /// Its process ends, and starts again with its disk.
+    /// Its process ends, and restarts with its disk.
     Stopped,
-    /// It is cut off from the others and runs on.
-    CutOff,
-    /// It loses its disk as it ends, and starts again empty.
+    /// It is partitioned from the other members and keeps running.
+    Partitioned,
+    /// It loses its disk when it ends, and restarts empty.
     Wiped,
 }
 
-/// What a member does in the membership when it goes.
+/// A member's function in the membership configuration when its absence begins.
 #[derive(Clone, Copy, Debug)]
-enum Role {
+enum MemberFunction {
     Primary,
     Replica,
     Witness,
 }
 
-impl Role {
+impl MemberFunction {
     fn member(self, cluster: &Cluster) -> usize {
         let replicas = cluster.replicas();
         match self {
-            Role::Primary => replicas[0],
-            Role::Replica => replicas[1],
-            Role::Witness => (0..3).find(|n| !replicas.contains(n)).unwrap(),
+            MemberFunction::Primary => replicas[0],
+            MemberFunction::Replica => replicas[1],
+            MemberFunction::Witness => (0..3).find(|n| !replicas.contains(n)).unwrap(),
         }
     }
 }
 
-fn leave(cluster: &mut Cluster, n: usize, absence: Absence) {
+fn make_absent(cluster: &mut Cluster, n: usize, absence: Absence) {
     match absence {
-        Absence::CutOff => cluster.cut(n, true),
+        Absence::Partitioned => cluster.cut(n, true),
         Absence::Stopped | Absence::Wiped => cluster.kill(n),
     }
 }
 
-fn come_back(cluster: &mut Cluster, n: usize, absence: Absence) {
+fn bring_back(cluster: &mut Cluster, n: usize, absence: Absence) {
     match absence {
-        Absence::CutOff => cluster.cut(n, false),
+        Absence::Partitioned => cluster.cut(n, false),
         Absence::Stopped => cluster.restart(n),
         Absence::Wiped => cluster.wipe(n),
     }
 }
 
-/// Applies changes, one after the other, on top of `version`. The newest version.
+/// Applies changes one after the other on top of `version`. Returns the newest version.
 fn apply_changes(cluster: &mut Cluster, version: u64, changes: u64) -> u64 {
     for base in version..version + changes {
         cluster.apply(base, base + 1);
@@ -68,17 +68,22 @@
 
 #[rstest]
 fn member_when_away_for_hundreds_of_changes_then_each_other_may_be_lost(
-    #[values(Absence::Stopped, Absence::CutOff, Absence::Wiped)] absence: Absence,
-    #[values(Role::Primary, Role::Replica, Role::Witness)] role: Role,
+    #[values(Absence::Stopped, Absence::Partitioned, Absence::Wiped)] absence: Absence,
+    #[values(
+        MemberFunction::Primary,
+        MemberFunction::Replica,
+        MemberFunction::Witness
+    )]
+    function: MemberFunction,
     #[values(0, 1)] lost: usize,
 ) {
     let mut cluster = Cluster::of_three();
-    let away = role.member(&cluster);
-    leave(&mut cluster, away, absence);
-    let newest = apply_changes(&mut cluster, 1, CHANGES);
-    come_back(&mut cluster, away, absence);
-    cluster.run(CATCH_UP);
-    // Either of the other two is lost for good: the member that was away is one of those that go on.
+    let away = function.member(&cluster);
+    make_absent(&mut cluster, away, absence);
+    let newest = apply_changes(&mut cluster, 1, ABSENCE_CHANGES);
+    bring_back(&mut cluster, away, absence);
+    cluster.run(CATCH_UP_TIME);
+    // One of the other two members is lost for good, so the member that was absent has to take part.
     let others: Vec<usize> = (0..3).filter(|n| *n != away).collect();
     cluster.kill(others[lost]);
     let newest = apply_changes(&mut cluster, newest, 1);
@@ -90,28 +95,33 @@
     );
     let survivor = others[1 - lost];
     assert!(cluster.runs(away) && cluster.runs(survivor));
-    assert_eq!(cluster.replicas().len(), 2, "both hold the state");
+    assert_eq!(
+        cluster.replicas().len(),
+        2,
+        "both remaining members hold replicas"
+    );
 }
 
-/// It is back for moments only, again and again, while the changes go on: it may be stopped at any step of catching up.
+/// The member returns repeatedly for a short time while changes continue, so it may be stopped at any step of catching
+/// up.
 #[rstest]
 fn member_when_back_for_moments_only_then_it_never_shows_an_older_state(
     #[values(Absence::Stopped, Absence::Wiped)] absence: Absence,
     #[values(1, 3, 7, 13, 40, 150, 900)] moment_ms: u64,
 ) {
     let mut cluster = Cluster::of_three();
-    let away = Role::Replica.member(&cluster);
+    let away = MemberFunction::Replica.member(&cluster);
     let mut newest = 1;
     for _ in 0..12 {
-        leave(&mut cluster, away, absence);
+        make_absent(&mut cluster, away, absence);
         newest = apply_changes(&mut cluster, newest, 8);
-        come_back(&mut cluster, away, absence);
+        bring_back(&mut cluster, away, absence);
         cluster.run(ms(moment_ms));
         if let Some(shown) = cluster.version() {
             assert_eq!(shown, newest, "{:?}", cluster.memberships());
         }
     }
-    cluster.run(CATCH_UP);
+    cluster.run(CATCH_UP_TIME);
     let others: Vec<usize> = (0..3).filter(|n| *n != away).collect();
     cluster.kill(others[0]);
     newest = apply_changes(&mut cluster, newest, 1);
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -1,4 +1,4 @@
-//! Three members on loopback, with real sockets and folders: calls go in at any of them.
+//! Members on loopback with real sockets and directories; requests go to any of them.
 
 mod http_client;
 
@@ -20,23 +20,27 @@
 
 const CONFIGURATION: &str = r#"{"version":3,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/","route_class":"pure","deadline_ms":1000,"service":"s"}],"services":[{"name":"s","health_path":"/health","conn_limit":10}],"limits":{}}"#;
 
-/// Members of a control plane on loopback.
+/// The members of a control plane on loopback.
 struct TestControlPlane {
     dirs: Vec<PathBuf>,
     ips: Vec<Ipv4Addr>,
+    /// The peer port and the control port, which are the same for all members.
     ports: (u16, u16),
     settings: RuntimeSettings,
+    /// The sender that stops each running member when it is dropped, and the member's task.
     running: Vec<Option<(oneshot::Sender<()>, JoinHandle<()>)>>,
 }
 
 impl TestControlPlane {
-    fn new(net: u8, root: &Path) -> Self {
-        Self::with_members(3, net, root)
+    fn new(subnet: u8, root: &Path) -> Self {
+        Self::with_members(3, subnet, root)
     }
 
-    fn with_members(count: u8, net: u8, root: &Path) -> Self {
-        let ips: Vec<Ipv4Addr> = (1..=count).map(|n| Ipv4Addr::new(127, 0, net, n)).collect();
-        let free = || {
+    fn with_members(count: u8, subnet: u8, root: &Path) -> Self {
+        let ips: Vec<Ipv4Addr> = (1..=count)
+            .map(|n| Ipv4Addr::new(127, 0, subnet, n))
+            .collect();
+        let free_port = || {
             TcpListener::bind((ips[0], 0))
                 .unwrap()
                 .local_addr()
@@ -44,7 +48,7 @@
                 .port()
         };
         let dirs = (1..=count).map(|n| root.join(n.to_string())).collect();
-        let ports = (free(), free());
+        let ports = (free_port(), free_port());
         Self {
             dirs,
             ips,
@@ -54,32 +58,34 @@
         }
     }
 
-    fn control(&self, n: usize) -> SocketAddrV4 {
+    fn control_addr(&self, n: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.ips[n], self.ports.1)
     }
 
     fn start(&mut self, n: usize, bootstrap: bool) {
         std::fs::create_dir_all(&self.dirs[n]).unwrap();
-        self.start_without_folder(n, bootstrap);
+        self.start_without_state_dir(n, bootstrap);
     }
 
-    /// Starts the member on whatever stands where its folder should be.
-    fn start_without_folder(&mut self, n: usize, bootstrap: bool) {
-        let seeds: Vec<_> = (0..3).map(|n| self.control(n).to_string()).collect();
-        let boot = serde_json::json!({
+    /// Starts the member without creating its state directory.
+    fn start_without_state_dir(&mut self, n: usize, bootstrap: bool) {
+        let seeds: Vec<_> = (0..3).map(|n| self.control_addr(n).to_string()).collect();
+        let process_settings = serde_json::json!({
             "node_name": format!("core-{n}"), "role": "core", "ip_addr": self.ips[n], "zone": format!("z{n}"),
-            "region": "r", "bind": {"control": self.control(n).to_string()},
+            "region": "r", "bind": {"control": self.control_addr(n).to_string()},
             "port_range": [self.ports.0, self.ports.0], "seed_nodes": seeds, "bootstrap": bootstrap,
             "state_dir": self.dirs[n], "fault_budget": {"machine_losses": 1},
         });
-        let boot = ProcessSettings::read(&boot.to_string()).unwrap();
+        let process_settings = ProcessSettings::read(&process_settings.to_string()).unwrap();
         let (stop, stopped) = oneshot::channel();
         let settings = self.settings;
         let done = spawn_local(async move {
-            let (_seeds, following) = watch::channel(boot.seed_nodes.clone());
-            run(boot, settings, following, async { drop(stopped.await) })
-                .await
-                .unwrap();
+            let (_seeds, seed_updates) = watch::channel(process_settings.seed_nodes.clone());
+            run(process_settings, settings, seed_updates, async {
+                drop(stopped.await)
+            })
+            .await
+            .unwrap();
         });
         self.running[n] = Some((stop, done));
     }
@@ -90,13 +96,13 @@
         done.await.unwrap();
     }
 
-    /// Ends the member without shutting it down.
+    /// Ends the member without a graceful shutdown.
     fn kill(&mut self, n: usize) {
         self.running[n].take().unwrap().1.abort();
     }
 
     async fn member_id(&self, n: usize) -> serde_json::Value {
-        let status = call(self.control(n), "GET", "/fennelpin/status", &[], "")
+        let status = call(self.control_addr(n), "GET", "/fennelpin/status", &[], "")
             .await
             .unwrap();
         serde_json::from_str::<serde_json::Value>(&status.body).unwrap()["id"].clone()
@@ -104,18 +110,18 @@
 }
 
 async fn run_with_three_members<F: std::future::Future<Output = ()>>(
-    net: u8,
+    subnet: u8,
     test: impl FnOnce(TestControlPlane) -> F,
 ) {
     let root = tempfile::tempdir().unwrap();
-    let control_plane = TestControlPlane::new(net, root.path());
+    let control_plane = TestControlPlane::new(subnet, root.path());
     let tasks = LocalSet::new();
     timeout(
         Duration::from_secs(60),
         tasks.run_until(test(control_plane)),
     )
     .await
-    .expect("the test hangs");
+    .expect("the test didn't end within 60 s");
 }
 
 async fn replace(to: SocketAddrV4, base: &str, body: &str) -> Answer {
@@ -142,56 +148,67 @@
 async fn configuration_when_all_members_restart_is_kept() {
     run_with_three_members(61, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
-        let taken = replace(control_plane.control(1), "0", CONFIGURATION).await;
+        let replaced = replace(control_plane.control_addr(1), "0", CONFIGURATION).await;
         assert_eq!(
-            (taken.status, &*taken.body),
+            (replaced.status, &*replaced.body),
             (200, r#"{"code":0,"reason":"done"}"#)
         );
         assert_eq!(
-            replace(control_plane.control(2), "0", CONFIGURATION)
+            replace(control_plane.control_addr(2), "0", CONFIGURATION)
                 .await
                 .status,
             200,
-            "the same call again"
+            "the same request again"
         );
         let other = CONFIGURATION.replace(":3,", ":4,");
         assert_eq!(
-            replace(control_plane.control(0), "1", &other).await.status,
+            replace(control_plane.control_addr(0), "1", &other)
+                .await
+                .status,
             412
         );
         assert_eq!(
-            replace(control_plane.control(0), "3", "{").await.status,
+            replace(control_plane.control_addr(0), "3", "{")
+                .await
+                .status,
             400
         );
         for n in 0..3 {
-            assert_eq!(read(control_plane.control(n)).await.body, CONFIGURATION);
+            assert_eq!(
+                read(control_plane.control_addr(n)).await.body,
+                CONFIGURATION
+            );
         }
         let before = control_plane.member_id(1).await;
         for n in 0..3 {
             control_plane.stop(n).await;
         }
         (0..3).for_each(|n| control_plane.start(n, false));
-        assert_eq!(read(control_plane.control(2)).await.body, CONFIGURATION);
+        assert_eq!(
+            read(control_plane.control_addr(2)).await.body,
+            CONFIGURATION
+        );
         assert_eq!(control_plane.member_id(1).await, before);
     })
     .await;
 }
 
-/// All power was lost while the first membership was agreed on: the disks hold identities and promises, and no membership.
+/// Guards against initial voters that don't vote after a power loss during the first election, when their disks hold
+/// identities and promises but no membership configuration.
 #[tokio::test]
 async fn initial_voters_when_they_have_promised_without_a_membership_still_vote() {
     run_with_three_members(99, |mut control_plane| async move {
         for n in 0..3 {
             std::fs::create_dir_all(&control_plane.dirs[n]).unwrap();
-            let facts = StartContext {
-                control: control_plane.control(n),
-                seeds: (0..3).map(|n| control_plane.control(n)).collect(),
+            let start_context = StartContext {
+                control: control_plane.control_addr(n),
+                seeds: (0..3).map(|n| control_plane.control_addr(n)).collect(),
                 port: control_plane.ports.0,
                 bootstrap: true,
                 random: 1,
                 clock_ms: 1,
             };
-            let identity = protocol::encode_record(&facts.identity(None));
+            let identity = protocol::encode_record(&start_context.identity(None));
             AppendLog::open(&control_plane.dirs[n], "identity")
                 .unwrap()
                 .0
@@ -206,17 +223,20 @@
         }
         (0..3).for_each(|n| control_plane.start(n, false));
         assert_eq!(
-            replace(control_plane.control(1), "0", CONFIGURATION)
+            replace(control_plane.control_addr(1), "0", CONFIGURATION)
                 .await
                 .status,
             200
         );
-        assert_eq!(read(control_plane.control(2)).await.body, CONFIGURATION);
+        assert_eq!(
+            read(control_plane.control_addr(2)).await.body,
+            CONFIGURATION
+        );
     })
     .await;
 }
 
-/// Sends all bodies at once, to all members in turn. Returns the statuses in the order of the bodies.
+/// Sends all bodies concurrently, to the members in turn. Returns the statuses in the order of the bodies.
 async fn replace_at_once(
     control_plane: &TestControlPlane,
     base: &'static str,
@@ -226,7 +246,7 @@
         .iter()
         .enumerate()
         .map(|(n, body)| {
-            let (to, body) = (control_plane.control(n % 3), body.clone());
+            let (to, body) = (control_plane.control_addr(n % 3), body.clone());
             spawn_local(async move { replace(to, base, &body).await })
         })
         .collect();
@@ -237,14 +257,14 @@
     statuses
 }
 
-/// Eight operators at once, one version, eight contents: one is confirmed. Whoever sends its request again, to any
-/// member, before and after all were restarted, gets the same reply.
+/// Eight operators concurrently send different configurations with the same base version: exactly one is confirmed.
+/// Each repeated request gets the same reply, from any member, before and after all members are restarted.
 #[tokio::test]
 async fn requests_when_eight_compete_confirm_one_and_repeat_their_replies() {
     run_with_three_members(67, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control(0), "0", CONFIGURATION)
+            replace(control_plane.control_addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
@@ -269,8 +289,12 @@
         );
         for incarnation in 0..2 {
             for (n, body) in bodies.iter().enumerate() {
-                let again =
-                    replace(control_plane.control((n + 1 + incarnation) % 3), "3", body).await;
+                let again = replace(
+                    control_plane.control_addr((n + 1 + incarnation) % 3),
+                    "3",
+                    body,
+                )
+                .await;
                 assert_eq!(
                     again.status, statuses[n],
                     "request {n} in incarnation {incarnation}"
@@ -281,30 +305,32 @@
             }
             (0..3).for_each(|n| control_plane.start(n, false));
         }
-        // A later change doesn't make them forgotten.
+        // The replies are still known after a later change.
         let later = CONFIGURATION.replace(":3,", ":9,");
         assert_eq!(
-            replace(control_plane.control(0), "4", &later).await.status,
+            replace(control_plane.control_addr(0), "4", &later)
+                .await
+                .status,
             200
         );
         let winner = statuses.iter().position(|s| *s == 200).unwrap();
         assert_eq!(
-            replace(control_plane.control(1), "3", &bodies[winner])
+            replace(control_plane.control_addr(1), "3", &bodies[winner])
                 .await
                 .status,
             200
         );
-        assert_eq!(read(control_plane.control(2)).await.body, later);
+        assert_eq!(read(control_plane.control_addr(2)).await.body, later);
     })
     .await;
 }
 
 #[tokio::test]
-async fn control_plane_when_one_member_shuts_down_goes_on() {
+async fn control_plane_when_one_member_shuts_down_keeps_serving() {
     run_with_three_members(62, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control(0), "0", CONFIGURATION)
+            replace(control_plane.control_addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
@@ -312,11 +338,14 @@
         for n in 0..3 {
             control_plane.stop(n).await;
             assert_eq!(
-                read(control_plane.control((n + 1) % 3)).await.body,
+                read(control_plane.control_addr((n + 1) % 3)).await.body,
                 CONFIGURATION
             );
             control_plane.start(n, false);
-            assert_eq!(read(control_plane.control(n)).await.body, CONFIGURATION);
+            assert_eq!(
+                read(control_plane.control_addr(n)).await.body,
+                CONFIGURATION
+            );
         }
     })
     .await;
@@ -332,35 +361,39 @@
             .to_string()
         };
         let at = "/fennelpin/Hosts.Heartbeat/i-1";
-        // A ready beat needs nobody but the member that takes it, once its disk has told who it is.
-        let open = |a: &Answer| !(a.status == 503 && a.body.contains("204"));
-        let ready = call_until(control_plane.control(0), "POST", at, &[], &heartbeat("ready", 1), open).await;
+        // A ready heartbeat needs only the member that receives it, once that member has read its identity from its
+        // disk.
+        let has_identity = |a: &Answer| !(a.status == 503 && a.body.contains("204"));
+        let ready = call_until(control_plane.control_addr(0), "POST", at, &[], &heartbeat("ready", 1), has_identity).await;
         assert_eq!(ready.status, 200, "{}", ready.body);
-        // A drain has to be kept by others, too.
-        call_until(control_plane.control(1), "POST", at, &[], &heartbeat("draining", 2), |a| a.status == 200).await;
+        // A drain also has to be replicated to other members.
+        call_until(control_plane.control_addr(1), "POST", at, &[], &heartbeat("draining", 2), |a| a.status == 200).await;
         let gone = "/fennelpin/Hosts.Depart/i-1";
-        call_until(control_plane.control(2), "POST", gone, &[], "{}", |a| a.status == 200).await;
-        let bad = call(control_plane.control(0), "POST", at, &[], "{}").await.unwrap();
+        call_until(control_plane.control_addr(2), "POST", gone, &[], "{}", |a| a.status == 200).await;
+        let bad = call(control_plane.control_addr(0), "POST", at, &[], "{}").await.unwrap();
         assert_eq!(bad.status, 400);
     })
     .await;
 }
 
-/// More members than may be voters: the others only mirror, and forward requests.
+/// With more members than may be voters, the others only mirror the state and forward requests.
 #[tokio::test]
 async fn member_when_it_is_no_voter_forwards_to_the_primary() {
     let root = tempfile::tempdir().unwrap();
     let mut control_plane = TestControlPlane::with_members(11, 66, root.path());
-    let play = async {
+    let scenario = async {
         (0..11).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control(0), "0", CONFIGURATION)
+            replace(control_plane.control_addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
         );
         for n in 0..11 {
-            assert_eq!(read(control_plane.control(n)).await.body, CONFIGURATION);
+            assert_eq!(
+                read(control_plane.control_addr(n)).await.body,
+                CONFIGURATION
+            );
         }
         let heartbeat =
             serde_json::json!({"service": "s", "address": "10.0.0.9:80", "zone": "z0", "version": "v1",
@@ -369,7 +402,7 @@
         for n in 0..11 {
             let at = format!("/fennelpin/Hosts.Heartbeat/i-{n}");
             call_until(
-                control_plane.control(n),
+                control_plane.control_addr(n),
                 "POST",
                 &at,
                 &[],
@@ -379,18 +412,18 @@
             .await;
         }
     };
-    timeout(Duration::from_secs(60), LocalSet::new().run_until(play))
+    timeout(Duration::from_secs(60), LocalSet::new().run_until(scenario))
         .await
-        .expect("the test hangs");
+        .expect("the test didn't end within 60 s");
 }
 
 #[tokio::test]
 async fn requests_when_the_disk_is_missing_are_answered() {
     run_with_three_members(64, |mut control_plane| async move {
-        // A file where the folder should be: nothing can be opened.
+        // A file in place of the directory: nothing can be opened.
         std::fs::write(&control_plane.dirs[0], "").unwrap();
-        control_plane.start_without_folder(0, true);
-        let at = control_plane.control(0);
+        control_plane.start_without_state_dir(0, true);
+        let at = control_plane.control_addr(0);
         let answer = call_until(at, "GET", "/fennelpin/Configuration.Read", &[], "", |_| {
             true
         })
@@ -414,25 +447,35 @@
     run_with_three_members(65, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control(0), "0", CONFIGURATION)
+            replace(control_plane.control_addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
         );
         let second = CONFIGURATION.replace(":3,", ":8,");
         assert_eq!(
-            replace(control_plane.control(1), "3", &second).await.status,
+            replace(control_plane.control_addr(1), "3", &second)
+                .await
+                .status,
             200
         );
-        // The primary has seen both; the others at least the newest.
-        let mut whole = 0;
+        // The primary has seen both versions, the other members at least the newest.
+        let mut complete_histories = 0;
         for n in 0..3 {
             let list = "/fennelpin/Configuration.History";
-            let newest = |a: &Answer| a.body.contains(r#""version":8"#);
-            let told = call_until(control_plane.control(n), "GET", list, &[], "", newest).await;
-            if told.body.contains(r#""version":3"#) {
+            let has_newest = |a: &Answer| a.body.contains(r#""version":8"#);
+            let history = call_until(
+                control_plane.control_addr(n),
+                "GET",
+                list,
+                &[],
+                "",
+                has_newest,
+            )
+            .await;
+            if history.body.contains(r#""version":3"#) {
                 let old = call(
-                    control_plane.control(n),
+                    control_plane.control_addr(n),
                     "GET",
                     &format!("{list}/3"),
                     &[],
@@ -441,10 +484,10 @@
                 .await
                 .unwrap();
                 assert_eq!((old.status, &*old.body), (200, CONFIGURATION));
-                whole += 1;
+                complete_histories += 1;
             }
             let none = call(
-                control_plane.control(n),
+                control_plane.control_addr(n),
                 "GET",
                 &format!("{list}/5"),
                 &[],
@@ -454,21 +497,21 @@
             .unwrap();
             assert_eq!(none.status, 404);
         }
-        assert!(whole > 0);
+        assert!(complete_histories > 0);
     })
     .await;
 }
 
-/// A member that is no voter is reachable for longer than any time-out, and then takes a lost voter's place.
+/// A member without a vote stays connected for longer than any time-out, and then replaces a lost voter.
 #[tokio::test]
 async fn spare_member_when_a_voter_is_lost_takes_its_place() {
     let root = tempfile::tempdir().unwrap();
     let mut control_plane = TestControlPlane::with_members(10, 67, root.path());
     control_plane.settings.lease_duration = Duration::from_millis(300);
-    let play = async {
+    let scenario = async {
         (0..10).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control(0), "0", CONFIGURATION)
+            replace(control_plane.control_addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
@@ -485,27 +528,43 @@
                 .collect::<Vec<_>>()
         };
         let status = "/fennelpin/status";
-        let full = |a: &Answer| voters(a).len() == 9;
-        let nine = call_until(control_plane.control(0), "GET", status, &[], "", full).await;
-        let has = voters(&nine);
+        let has_nine_voters = |a: &Answer| voters(a).len() == 9;
+        let nine_voters = call_until(
+            control_plane.control_addr(0),
+            "GET",
+            status,
+            &[],
+            "",
+            has_nine_voters,
+        )
+        .await;
+        let initial_voters = voters(&nine_voters);
 
         let spare = (0..10)
             .map(|n| format!("core-{n}"))
-            .find(|name| !has.contains(name))
+            .find(|name| !initial_voters.contains(name))
             .unwrap();
         let lost = (1..10)
-            .find(|n| has.contains(&format!("core-{n}")))
+            .find(|n| initial_voters.contains(&format!("core-{n}")))
             .unwrap();
         control_plane.kill(lost);
-        let taken = |a: &Answer| voters(a).contains(&spare);
-        call_until(control_plane.control(0), "GET", status, &[], "", taken).await;
+        let has_spare_as_voter = |a: &Answer| voters(a).contains(&spare);
+        call_until(
+            control_plane.control_addr(0),
+            "GET",
+            status,
+            &[],
+            "",
+            has_spare_as_voter,
+        )
+        .await;
     };
-    timeout(Duration::from_secs(60), LocalSet::new().run_until(play))
+    timeout(Duration::from_secs(60), LocalSet::new().run_until(scenario))
         .await
-        .expect("the test hangs");
+        .expect("the test didn't end within 60 s");
 }
 
-/// Adds the path of each key in `value`; those of a list's items once.
+/// Adds the path of each key in `value`. The items of a list share their paths.
 fn key_paths(value: &serde_json::Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         serde_json::Value::Object(fields) => {
@@ -593,20 +652,20 @@
     ".zone",
 ];
 
-/// A proxy as the members see it: a socket for quota requests.
-struct QuotaProxy {
+/// A proxy as the members see it: a socket that sends quota requests.
+struct TestProxy {
     socket: tokio::net::UdpSocket,
     number: u64,
 }
 
-impl QuotaProxy {
+impl TestProxy {
     async fn new(number: u64) -> Self {
         let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
         Self { socket, number }
     }
 
-    /// Sends until a reply comes: the member may not listen yet.
-    async fn call(&self, message: &Message, to: SocketAddrV4) -> Message {
+    /// Sends a message until a reply arrives, because the member may not listen yet.
+    async fn exchange(&self, message: &Message, to: SocketAddrV4) -> Message {
         let mut buffer = [0; 2048];
         loop {
             self.socket
@@ -626,14 +685,14 @@
             unused_ms: 0,
             unreachable: Vec::new(),
         };
-        match self.call(&announcement, to).await {
+        match self.exchange(&announcement, to).await {
             Message::QuotaPresenceReply { member } => member,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Asks for one unit; whether it was granted.
-    async fn ask(&self, sequence: u64, to: SocketAddrV4) -> bool {
+    /// Requests one unit of quota. Returns whether it was granted.
+    async fn request_unit(&self, sequence: u64, to: SocketAddrV4) -> bool {
         let request = Message::QuotaRequest {
             proxy: self.number,
             sequence,
@@ -644,7 +703,7 @@
             cost: 1.0,
             max_wait_ms: 0,
         };
-        match self.call(&request, to).await {
+        match self.exchange(&request, to).await {
             Message::QuotaReply {
                 sequence: answered,
                 granted,
@@ -659,33 +718,33 @@
 }
 
 #[tokio::test]
-async fn home_of_a_tenant_when_asked_then_grants_within_the_limit_and_the_status_page_tells() {
+async fn tenant_home_when_asked_then_grants_within_the_limit_and_the_status_page_shows_it() {
     run_with_three_members(70, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
-        let proxy = QuotaProxy::new(5).await;
+        let proxy = TestProxy::new(5).await;
         let quota_port = control_plane.ports.0 + 3;
         let mut homes = std::collections::BTreeMap::new();
         for ip in control_plane.ips.clone() {
             let addr = SocketAddrV4::new(ip, quota_port);
             homes.insert(proxy.announce(addr).await, addr);
         }
-        assert_eq!(homes.len(), 3, "each tells its id");
+        assert_eq!(homes.len(), 3, "each member reports its own id");
         let tenants = r#","tenants":[{"name":"acme","credentials":["k"],"rate_per_s":0.001,"burst_size":1}]}"#;
         let body = CONFIGURATION.replace(r#","limits":{}}"#, tenants);
-        assert_eq!(replace(control_plane.control(0), "0", &body).await.status, 200);
+        assert_eq!(replace(control_plane.control_addr(0), "0", &body).await.status, 200);
         let members: Vec<u64> = homes.keys().copied().collect();
         let home = homes[&quota::ranking("acme", &members)[0]];
-        // The home refuses until it knows the members. Then one request is granted, as the bucket isn't in debt, and the
-        // next ones would wait for minutes.
+        // The tenant's home member refuses until it knows the members. Then one request is granted, as the bucket
+        // isn't in debt, and the next ones would wait for minutes.
         let mut sequence = 1;
-        while !proxy.ask(sequence, home).await {
+        while !proxy.request_unit(sequence, home).await {
             proxy.announce(home).await;
             sequence += 1;
         }
-        assert!(proxy.ask(sequence, home).await, "the same request again");
-        assert!(!proxy.ask(sequence + 1, home).await);
+        assert!(proxy.request_unit(sequence, home).await, "the same request again");
+        assert!(!proxy.request_unit(sequence + 1, home).await);
         let n = control_plane.ips.iter().position(|ip| ip == home.ip()).unwrap();
-        let status = call(control_plane.control(n), "GET", "/fennelpin/status", &[], "")
+        let status = call(control_plane.control_addr(n), "GET", "/fennelpin/status", &[], "")
             .await
             .unwrap();
         let status: serde_json::Value = serde_json::from_str(&status.body).unwrap();
@@ -700,15 +759,15 @@
 async fn status_page_when_all_is_known_has_these_keys() {
     run_with_three_members(68, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
-        let taken = replace(control_plane.control(0), "0", CONFIGURATION).await;
-        assert_eq!(taken.status, 200);
+        let replaced = replace(control_plane.control_addr(0), "0", CONFIGURATION).await;
+        assert_eq!(replaced.status, 200);
         let heartbeat = serde_json::json!({"service": "s", "address": "10.0.0.9:80", "zone": "z0",
             "version": "v1", "capacity": 4, "phase": "ready", "cold_left_ms": 0, "call_seq": 1})
         .to_string();
         let path = "/fennelpin/Hosts.Heartbeat/i-1";
         let done = |a: &Answer| a.status == 200;
         call_until(
-            control_plane.control(0),
+            control_plane.control_addr(0),
             "POST",
             path,
             &[],
@@ -732,22 +791,22 @@
             .await
             .unwrap();
         subscriber.write_all(&pull).await.unwrap();
-        let whole = |a: &Answer| {
+        let is_complete = |a: &Answer| {
             let status: serde_json::Value = serde_json::from_str(&a.body).unwrap_or_default();
-            let there = |list: &str| status[list].as_array().is_some_and(|l| !l.is_empty());
-            there("hosts")
-                && there("coordinators")
-                && there("members")
+            let is_present = |list: &str| status[list].as_array().is_some_and(|l| !l.is_empty());
+            is_present("hosts")
+                && is_present("coordinators")
+                && is_present("members")
                 && status["member"]["primary"].is_string()
                 && status["member"]["age_ms"].is_u64()
         };
         let status = call_until(
-            control_plane.control(0),
+            control_plane.control_addr(0),
             "GET",
             "/fennelpin/status",
             &[],
             "",
-            whole,
+            is_complete,
         )
         .await;
         let mut paths = BTreeSet::new();
--- a/crates/control-plane/tests/members_without_vote.rs
+++ b/crates/control-plane/tests/members_without_vote.rs
@@ -1,5 +1,5 @@
-//! A member without a vote learns who is primary from others alone. It forwards commands while that member is reachable,
-//! and sends its callers elsewhere once it isn't.
+//! A member without a vote learns the primary from other members only. It forwards commands while the primary is
+//! reachable, and rejects them otherwise, so that its callers turn to another member.
 
 mod support;
 
@@ -28,26 +28,26 @@
     }
 }
 
-/// A member that no view names, and what it answered.
-struct Mirroring {
+/// A member that no membership configuration lists, with its answers.
+struct TestNonVoter {
     now: Duration,
     member: Member,
     forwarded: usize,
     answers: Vec<(u64, Duration, ResultCode)>,
 }
 
-impl Mirroring {
-    fn told_of(primary: u64) -> Self {
+impl TestNonVoter {
+    fn with_primary(primary: u64) -> Self {
         let config = member_config(member_info(9), None, budget(1, 0, 0));
         let member = Member::new(config, &[], ms(0), 7);
-        let mut mirroring = Self {
+        let mut non_voter = Self {
             now: ms(0),
             member,
             forwarded: 0,
             answers: vec![],
         };
-        mirroring.member.learn_primary(EPOCH, member_info(primary));
-        mirroring
+        non_voter.member.learn_primary(EPOCH, member_info(primary));
+        non_voter
     }
 
     fn step(&mut self, input: Input) {
@@ -65,13 +65,14 @@
         }
     }
 
-    /// Time passes; its link to the primary says every second that it is up, or nothing.
-    fn run(&mut self, long: Duration, linked_to: Option<u64>) {
-        let end = self.now + long;
+    /// Advances the time. While the member is connected to a primary, the connection reports once per second that it
+    /// is up.
+    fn run(&mut self, duration: Duration, connected_to: Option<u64>) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += ms(1);
-            let reports = (self.now.as_millis() as u64).is_multiple_of(1000);
-            match linked_to.filter(|_| reports) {
+            let is_report_due = (self.now.as_millis() as u64).is_multiple_of(1000);
+            match connected_to.filter(|_| is_report_due) {
                 Some(primary) => self.step(Input::PeerReachable {
                     member: member_info(primary),
                 }),
@@ -80,59 +81,59 @@
         }
     }
 
-    /// How long a call took and what it came to, where its primary answers nothing.
-    fn call(&mut self, ticket: u64, linked_to: Option<u64>) -> (Duration, ResultCode) {
+    /// Sends a command whose primary never answers. Returns the time until the answer and its result code.
+    fn call(&mut self, ticket: u64, connected_to: Option<u64>) -> (Duration, ResultCode) {
         let since = self.now;
         self.step(Input::Command {
             ticket,
             command: READ,
         });
-        self.run(ms(4000), linked_to);
+        self.run(ms(4000), connected_to);
         let answer = self
             .answers
             .iter()
             .find(|answer| answer.0 == ticket)
-            .expect("an answer");
+            .expect("the command was answered");
         (answer.1 - since, answer.2)
     }
 }
 
 #[test]
 fn command_when_the_primary_is_known_from_others_then_forwarded_to_it() {
-    let mut mirroring = Mirroring::told_of(1);
-    let (took, code) = mirroring.call(1, Some(1));
-    assert!(mirroring.forwarded > 0);
+    let mut non_voter = TestNonVoter::with_primary(1);
+    let (took, code) = non_voter.call(1, Some(1));
+    assert!(non_voter.forwarded > 0);
     assert_eq!((took, code), (ms(3500), ResultCode::Unclear));
 }
 
-/// Whom it was told of and has never heard of itself, it may be about to reach.
+/// A primary that was reported but never heard from may be about to be reached.
 #[test]
 fn command_when_the_primary_was_never_heard_of_then_forwarded_to_it() {
-    let mut mirroring = Mirroring::told_of(1);
-    mirroring.step(Input::Command {
+    let mut non_voter = TestNonVoter::with_primary(1);
+    non_voter.step(Input::Command {
         ticket: 1,
         command: READ,
     });
-    assert_eq!(mirroring.forwarded, 1);
+    assert_eq!(non_voter.forwarded, 1);
 }
 
-/// Five and twenty seconds after it lost touch callers are told within 0.25 s that no primary has their call; once it
-/// is in touch again their calls are handed on.
+/// After the connection has been lost for 5 s or 20 s, clients learn within 250 ms that no primary has received their
+/// command. Once it is connected again, commands are forwarded.
 #[rstest]
 fn member_when_the_primary_is_silent_then_it_counts_as_unreachable(#[values(5, 20)] seconds: u64) {
-    let mut mirroring = Mirroring::told_of(1);
-    mirroring.run(ms(3000), Some(1));
-    mirroring.run(ms(seconds * 1000), None);
-    let (took, code) = mirroring.call(1, None);
+    let mut non_voter = TestNonVoter::with_primary(1);
+    non_voter.run(ms(3000), Some(1));
+    non_voter.run(ms(seconds * 1000), None);
+    let (took, code) = non_voter.call(1, None);
     assert!(
         took <= ms(250) && code == ResultCode::NoPrimary,
         "{code:?} after {took:?}"
     );
-    assert_eq!(mirroring.forwarded, 0);
-    mirroring.run(ms(1000), Some(1));
-    mirroring.step(Input::Command {
+    assert_eq!(non_voter.forwarded, 0);
+    non_voter.run(ms(1000), Some(1));
+    non_voter.step(Input::Command {
         ticket: 2,
         command: READ,
     });
-    assert_eq!(mirroring.forwarded, 1);
+    assert_eq!(non_voter.forwarded, 1);
 }
--- a/crates/control-plane/tests/replicated_state.rs
+++ b/crates/control-plane/tests/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The ledger: what a call comes to, and which members may hold it.
+//! The replicated state: the outcome of commands, and which members may hold replicas.
 
 use configuration::{FaultBudget, ResultCode};
 use control_plane::member::choose_replicas;
@@ -13,7 +13,7 @@
     .into_bytes()
 }
 
-fn replace(base: u64, body: Vec<u8>) -> Command {
+fn replace_command(base: u64, body: Vec<u8>) -> Command {
     Command::Configure {
         base,
         amend: false,
@@ -21,46 +21,52 @@
     }
 }
 
-fn taken(ledger: &ReplicatedState, command: &Command) -> ReplicatedState {
-    match ledger.plan(command) {
+fn apply(state: &ReplicatedState, command: &Command) -> ReplicatedState {
+    match state.plan(command) {
         Plan::Change(_, next) => *next,
         Plan::Answer(code, text) => panic!("{code:?} {}", String::from_utf8_lossy(&text)),
     }
 }
 
-fn answer(ledger: &ReplicatedState, command: &Command) -> ResultCode {
-    match ledger.plan(command) {
+fn answer(state: &ReplicatedState, command: &Command) -> ResultCode {
+    match state.plan(command) {
         Plan::Answer(code, _) => code,
-        Plan::Change(..) => panic!("taken"),
+        Plan::Change(..) => panic!("the command requires a change"),
     }
 }
 
 #[test]
 fn two_requests_when_on_one_base_then_the_second_is_rejected_and_the_first_is_idempotent() {
-    let (first, second) = (replace(0, body(2, "s")), replace(0, body(3, "s")));
-    let ledger = taken(&ReplicatedState::default(), &first);
-    assert_eq!(answer(&ledger, &second), ResultCode::OtherBase);
-    assert_eq!(answer(&ledger, &first), ResultCode::Ok);
-    // Also once others have followed.
-    let later = taken(&ledger, &replace(2, body(5, "s")));
+    let (first, second) = (
+        replace_command(0, body(2, "s")),
+        replace_command(0, body(3, "s")),
+    );
+    let state = apply(&ReplicatedState::default(), &first);
+    assert_eq!(answer(&state, &second), ResultCode::OtherBase);
+    assert_eq!(answer(&state, &first), ResultCode::Ok);
+    // The reply stays the same after later changes.
+    let later = apply(&state, &replace_command(2, body(5, "s")));
     assert_eq!(answer(&later, &first), ResultCode::Ok);
     assert_eq!(later.configuration.version, 5);
 }
 
 #[rstest]
-#[case(replace(2, b"{".to_vec()), ResultCode::Unreadable)]
-#[case(replace(2, body(2, "s")), ResultCode::OldVersion)]
-#[case(replace(2, body(3, "other")), ResultCode::UnknownService)]
-#[case(replace(1, body(3, "s")), ResultCode::OtherBase)]
+#[case(replace_command(2, b"{".to_vec()), ResultCode::Unreadable)]
+#[case(replace_command(2, body(2, "s")), ResultCode::OldVersion)]
+#[case(replace_command(2, body(3, "other")), ResultCode::UnknownService)]
+#[case(replace_command(1, body(3, "s")), ResultCode::OtherBase)]
 fn configuration_when_invalid_then_nothing_changes(
     #[case] command: Command,
     #[case] code: ResultCode,
 ) {
-    let ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
-    assert_eq!(answer(&ledger, &command), code);
+    let state = apply(
+        &ReplicatedState::default(),
+        &replace_command(0, body(2, "s")),
+    );
+    assert_eq!(answer(&state, &command), code);
 }
 
-/// A ledger has to fit into a frame and a record, whichever way it grew.
+/// A state has to fit into one frame and one record, even if it grew by amendments.
 #[test]
 fn amendments_when_the_result_is_too_large_then_they_are_rejected() {
     let amendment = |base: u64, n: usize| {
@@ -79,20 +85,20 @@
             body,
         }
     };
-    let mut ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
+    let mut state = apply(
+        &ReplicatedState::default(),
+        &replace_command(0, body(2, "s")),
+    );
     for n in 0..3 {
-        ledger = taken(&ledger, &amendment(ledger.configuration.version, n));
+        state = apply(&state, &amendment(state.configuration.version, n));
     }
-    let version = ledger.configuration.version;
-    assert_eq!(
-        answer(&ledger, &amendment(version, 3)),
-        ResultCode::TooLarge
-    );
-    // In the place of another it still fits.
-    taken(&ledger, &amendment(version, 2));
+    let version = state.configuration.version;
+    assert_eq!(answer(&state, &amendment(version, 3)), ResultCode::TooLarge);
+    // It still fits in place of another route.
+    apply(&state, &amendment(version, 2));
 }
 
-/// What changes hold in memory together is what differs between them.
+/// Successive states only take memory for what differs between them.
 #[test]
 fn configuration_when_replaced_then_unchanged_items_are_shared() {
     let routes = |version: u64| {
@@ -109,14 +115,14 @@
         )
         .into_bytes()
     };
-    let first = taken(&ReplicatedState::default(), &replace(0, routes(1)));
-    let second = taken(&first, &replace(1, routes(2)));
+    let first = apply(&ReplicatedState::default(), &replace_command(0, routes(1)));
+    let second = apply(&first, &replace_command(1, routes(2)));
     assert_eq!(second.configuration.to_json().into_bytes(), routes(2));
-    let item = routes(1).len() / 200;
-    let differs = second.configuration.unshared_bytes(&first.configuration);
+    let item_bytes = routes(1).len() / 200;
+    let differing_bytes = second.configuration.unshared_bytes(&first.configuration);
     assert!(
-        differs > item && differs < 4 * item,
-        "{differs} bytes differ, an item has {item}"
+        differing_bytes > item_bytes && differing_bytes < 4 * item_bytes,
+        "{differing_bytes} bytes differ, an item has {item_bytes}"
     );
 }
 
@@ -130,17 +136,20 @@
 
 #[test]
 fn snapshot_when_read_back_then_the_state_is_equal() {
-    let ledger = taken(&ReplicatedState::default(), &replace(0, body(2, "s")));
-    let ledger = taken(&ledger, &Command::Drain { host: "i-1".into() });
+    let state = apply(
+        &ReplicatedState::default(),
+        &replace_command(0, body(2, "s")),
+    );
+    let state = apply(&state, &Command::Drain { host: "i-1".into() });
     assert_eq!(
-        answer(&ledger, &Command::Drain { host: "i-1".into() }),
+        answer(&state, &Command::Drain { host: "i-1".into() }),
         ResultCode::Ok
     );
     assert_eq!(
-        ReplicatedState::from_snapshot(&ledger.snapshot()).unwrap(),
-        ledger
+        ReplicatedState::from_snapshot(&state.snapshot()).unwrap(),
+        state
     );
-    let forgotten = ledger
+    let forgotten = state
         .apply(&Change::Forget {
             hosts: vec!["i-1".into()],
         })
@@ -148,7 +157,7 @@
     assert!(forgotten.drains.is_empty());
 }
 
-fn seat(id: u64, zone: &str, region: &str) -> MemberInfo {
+fn member_at(id: u64, zone: &str, region: &str) -> MemberInfo {
     MemberInfo {
         id,
         zone: zone.into(),
@@ -164,40 +173,42 @@
 #[case(0, 0, 1, Some(3))]
 #[case(9, 0, 0, None)]
 #[case(0, 9, 0, None)]
-fn copies_outlive_any_loss_allowed(
+fn replicas_survive_any_loss_within_the_fault_budget(
     #[case] machines: u32,
     #[case] zones: u32,
     #[case] regions: u32,
-    #[case] most: Option<usize>,
+    #[case] max_replicas: Option<usize>,
 ) {
     let budget = FaultBudget {
         machine_losses: machines,
         zones,
         region_losses: regions,
     };
-    let seats = [
-        seat(1, "a", "x"),
-        seat(2, "a", "x"),
-        seat(3, "b", "x"),
-        seat(4, "c", "y"),
-        seat(5, "c", "y"),
+    let members = [
+        member_at(1, "a", "x"),
+        member_at(2, "a", "x"),
+        member_at(3, "b", "x"),
+        member_at(4, "c", "y"),
+        member_at(5, "c", "y"),
     ];
-    let seats: Vec<&MemberInfo> = seats.iter().collect();
-    let replicas = choose_replicas(&budget, &seats);
-    assert_eq!(replicas.is_some(), most.is_some());
+    let members: Vec<&MemberInfo> = members.iter().collect();
+    let replicas = choose_replicas(&budget, &members);
+    assert_eq!(replicas.is_some(), max_replicas.is_some());
     let Some(replicas) = replicas else { return };
-    let of = |name: fn(&MemberInfo) -> &str| {
-        let names = seats
+    let distinct = |name: fn(&MemberInfo) -> &str| {
+        let names = members
             .iter()
-            .filter(|s| replicas.contains(&s.id))
-            .map(|s| name(s));
+            .filter(|m| replicas.contains(&m.id))
+            .map(|m| name(m));
         names.collect::<std::collections::BTreeSet<_>>().len() as u32
     };
     assert!(
-        replicas.len() <= most.unwrap() && replicas[0] == 1,
+        replicas.len() <= max_replicas.unwrap() && replicas[0] == 1,
         "{replicas:?}"
     );
     assert!(
-        replicas.len() as u32 > machines && of(|s| &s.zone) > zones && of(|s| &s.region) > regions
+        replicas.len() as u32 > machines
+            && distinct(|m| &m.zone) > zones
+            && distinct(|m| &m.region) > regions
     );
 }
