--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    fn control_addr(&self, n: usize) -> SocketAddrV4 {
+    /// The control address of a member.
+    fn addr(&self, n: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.ips[n], self.ports.1)
     }
 
@@ -69,23 +70,21 @@
 
     /// Starts the member without creating its state directory.
     fn start_without_state_dir(&mut self, n: usize, bootstrap: bool) {
-        let seeds: Vec<_> = (0..3).map(|n| self.control_addr(n).to_string()).collect();
-        let process_settings = serde_json::json!({
+        let seeds: Vec<_> = (0..3).map(|n| self.addr(n).to_string()).collect();
+        let process = serde_json::json!({
             "node_name": format!("core-{n}"), "role": "core", "ip_addr": self.ips[n], "zone": format!("z{n}"),
-            "region": "r", "bind": {"control": self.control_addr(n).to_string()},
+            "region": "r", "bind": {"control": self.addr(n).to_string()},
             "port_range": [self.ports.0, self.ports.0], "seed_nodes": seeds, "bootstrap": bootstrap,
             "state_dir": self.dirs[n], "fault_budget": {"machine_losses": 1},
         });
-        let process_settings = ProcessSettings::read(&process_settings.to_string()).unwrap();
+        let process = ProcessSettings::read(&process.to_string()).unwrap();
         let (stop, stopped) = oneshot::channel();
         let settings = self.settings;
         let done = spawn_local(async move {
-            let (_seeds, seed_updates) = watch::channel(process_settings.seed_nodes.clone());
-            run(process_settings, settings, seed_updates, async {
-                drop(stopped.await)
-            })
-            .await
-            .unwrap();
+            let (_sender, seeds) = watch::channel(process.seed_nodes.clone());
+            run(process, settings, seeds, async { drop(stopped.await) })
+                .await
+                .unwrap();
         });
         self.running[n] = Some((stop, done));
     }
@@ -102,7 +101,7 @@
     }
 
     async fn member_id(&self, n: usize) -> serde_json::Value {
-        let status = call(self.control_addr(n), "GET", "/fennelpin/status", &[], "")
+        let status = call(self.addr(n), "GET", "/fennelpin/status", &[], "")
             .await
             .unwrap();
         serde_json::from_str::<serde_json::Value>(&status.body).unwrap()["id"].clone()
@@ -148,13 +147,13 @@
 async fn configuration_when_all_members_restart_is_kept() {
     run_with_three_members(61, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
-        let replaced = replace(control_plane.control_addr(1), "0", CONFIGURATION).await;
+        let replaced = replace(control_plane.addr(1), "0", CONFIGURATION).await;
         assert_eq!(
             (replaced.status, &*replaced.body),
             (200, r#"{"code":0,"reason":"done"}"#)
         );
         assert_eq!(
-            replace(control_plane.control_addr(2), "0", CONFIGURATION)
+            replace(control_plane.addr(2), "0", CONFIGURATION)
                 .await
                 .status,
             200,
@@ -162,32 +161,19 @@
         );
         let other = CONFIGURATION.replace(":3,", ":4,");
         assert_eq!(
-            replace(control_plane.control_addr(0), "1", &other)
-                .await
-                .status,
+            replace(control_plane.addr(0), "1", &other).await.status,
             412
         );
-        assert_eq!(
-            replace(control_plane.control_addr(0), "3", "{")
-                .await
-                .status,
-            400
-        );
+        assert_eq!(replace(control_plane.addr(0), "3", "{").await.status, 400);
         for n in 0..3 {
-            assert_eq!(
-                read(control_plane.control_addr(n)).await.body,
-                CONFIGURATION
-            );
+            assert_eq!(read(control_plane.addr(n)).await.body, CONFIGURATION);
         }
         let before = control_plane.member_id(1).await;
         for n in 0..3 {
             control_plane.stop(n).await;
         }
         (0..3).for_each(|n| control_plane.start(n, false));
-        assert_eq!(
-            read(control_plane.control_addr(2)).await.body,
-            CONFIGURATION
-        );
+        assert_eq!(read(control_plane.addr(2)).await.body, CONFIGURATION);
         assert_eq!(control_plane.member_id(1).await, before);
     })
     .await;
@@ -201,8 +187,8 @@
         for n in 0..3 {
             std::fs::create_dir_all(&control_plane.dirs[n]).unwrap();
             let start_context = StartContext {
-                control: control_plane.control_addr(n),
-                seeds: (0..3).map(|n| control_plane.control_addr(n)).collect(),
+                control: control_plane.addr(n),
+                seeds: (0..3).map(|n| control_plane.addr(n)).collect(),
                 port: control_plane.ports.0,
                 bootstrap: true,
                 random: 1,
@@ -223,15 +209,12 @@
         }
         (0..3).for_each(|n| control_plane.start(n, false));
         assert_eq!(
-            replace(control_plane.control_addr(1), "0", CONFIGURATION)
+            replace(control_plane.addr(1), "0", CONFIGURATION)
                 .await
                 .status,
             200
         );
-        assert_eq!(
-            read(control_plane.control_addr(2)).await.body,
-            CONFIGURATION
-        );
+        assert_eq!(read(control_plane.addr(2)).await.body, CONFIGURATION);
     })
     .await;
 }
@@ -246,7 +229,7 @@
         .iter()
         .enumerate()
         .map(|(n, body)| {
-            let (to, body) = (control_plane.control_addr(n % 3), body.clone());
+            let (to, body) = (control_plane.addr(n % 3), body.clone());
             spawn_local(async move { replace(to, base, &body).await })
         })
         .collect();
@@ -264,7 +247,7 @@
     run_with_three_members(67, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control_addr(0), "0", CONFIGURATION)
+            replace(control_plane.addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
@@ -289,12 +272,7 @@
         );
         for incarnation in 0..2 {
             for (n, body) in bodies.iter().enumerate() {
-                let again = replace(
-                    control_plane.control_addr((n + 1 + incarnation) % 3),
-                    "3",
-                    body,
-                )
-                .await;
+                let again = replace(control_plane.addr((n + 1 + incarnation) % 3), "3", body).await;
                 assert_eq!(
                     again.status, statuses[n],
                     "request {n} in incarnation {incarnation}"
@@ -308,19 +286,17 @@
         // The replies are still known after a later change.
         let later = CONFIGURATION.replace(":3,", ":9,");
         assert_eq!(
-            replace(control_plane.control_addr(0), "4", &later)
-                .await
-                .status,
+            replace(control_plane.addr(0), "4", &later).await.status,
             200
         );
         let winner = statuses.iter().position(|s| *s == 200).unwrap();
         assert_eq!(
-            replace(control_plane.control_addr(1), "3", &bodies[winner])
+            replace(control_plane.addr(1), "3", &bodies[winner])
                 .await
                 .status,
             200
         );
-        assert_eq!(read(control_plane.control_addr(2)).await.body, later);
+        assert_eq!(read(control_plane.addr(2)).await.body, later);
     })
     .await;
 }
@@ -330,7 +306,7 @@
     run_with_three_members(62, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control_addr(0), "0", CONFIGURATION)
+            replace(control_plane.addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
@@ -338,14 +314,11 @@
         for n in 0..3 {
             control_plane.stop(n).await;
             assert_eq!(
-                read(control_plane.control_addr((n + 1) % 3)).await.body,
+                read(control_plane.addr((n + 1) % 3)).await.body,
                 CONFIGURATION
             );
             control_plane.start(n, false);
-            assert_eq!(
-                read(control_plane.control_addr(n)).await.body,
-                CONFIGURATION
-            );
+            assert_eq!(read(control_plane.addr(n)).await.body, CONFIGURATION);
         }
     })
     .await;
@@ -364,13 +337,13 @@
         // A ready heartbeat needs only the member that receives it, once that member has read its identity from its
         // disk.
         let has_identity = |a: &Answer| !(a.status == 503 && a.body.contains("204"));
-        let ready = call_until(control_plane.control_addr(0), "POST", at, &[], &heartbeat("ready", 1), has_identity).await;
+        let ready = call_until(control_plane.addr(0), "POST", at, &[], &heartbeat("ready", 1), has_identity).await;
         assert_eq!(ready.status, 200, "{}", ready.body);
         // A drain also has to be replicated to other members.
-        call_until(control_plane.control_addr(1), "POST", at, &[], &heartbeat("draining", 2), |a| a.status == 200).await;
+        call_until(control_plane.addr(1), "POST", at, &[], &heartbeat("draining", 2), |a| a.status == 200).await;
         let gone = "/fennelpin/Hosts.Depart/i-1";
-        call_until(control_plane.control_addr(2), "POST", gone, &[], "{}", |a| a.status == 200).await;
-        let bad = call(control_plane.control_addr(0), "POST", at, &[], "{}").await.unwrap();
+        call_until(control_plane.addr(2), "POST", gone, &[], "{}", |a| a.status == 200).await;
+        let bad = call(control_plane.addr(0), "POST", at, &[], "{}").await.unwrap();
         assert_eq!(bad.status, 400);
     })
     .await;
@@ -384,16 +357,13 @@
     let scenario = async {
         (0..11).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control_addr(0), "0", CONFIGURATION)
+            replace(control_plane.addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
         );
         for n in 0..11 {
-            assert_eq!(
-                read(control_plane.control_addr(n)).await.body,
-                CONFIGURATION
-            );
+            assert_eq!(read(control_plane.addr(n)).await.body, CONFIGURATION);
         }
         let heartbeat =
             serde_json::json!({"service": "s", "address": "10.0.0.9:80", "zone": "z0", "version": "v1",
@@ -401,14 +371,9 @@
             .to_string();
         for n in 0..11 {
             let at = format!("/fennelpin/Hosts.Heartbeat/i-{n}");
-            call_until(
-                control_plane.control_addr(n),
-                "POST",
-                &at,
-                &[],
-                &heartbeat,
-                |a| a.status == 200,
-            )
+            call_until(control_plane.addr(n), "POST", &at, &[], &heartbeat, |a| {
+                a.status == 200
+            })
             .await;
         }
     };
@@ -423,7 +388,7 @@
         // A file in place of the directory: nothing can be opened.
         std::fs::write(&control_plane.dirs[0], "").unwrap();
         control_plane.start_without_state_dir(0, true);
-        let at = control_plane.control_addr(0);
+        let at = control_plane.addr(0);
         let answer = call_until(at, "GET", "/fennelpin/Configuration.Read", &[], "", |_| {
             true
         })
@@ -447,16 +412,14 @@
     run_with_three_members(65, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control_addr(0), "0", CONFIGURATION)
+            replace(control_plane.addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
         );
         let second = CONFIGURATION.replace(":3,", ":8,");
         assert_eq!(
-            replace(control_plane.control_addr(1), "3", &second)
-                .await
-                .status,
+            replace(control_plane.addr(1), "3", &second).await.status,
             200
         );
         // The primary has seen both versions, the other members at least the newest.
@@ -464,37 +427,17 @@
         for n in 0..3 {
             let list = "/fennelpin/Configuration.History";
             let has_newest = |a: &Answer| a.body.contains(r#""version":8"#);
-            let history = call_until(
-                control_plane.control_addr(n),
-                "GET",
-                list,
-                &[],
-                "",
-                has_newest,
-            )
-            .await;
+            let history = call_until(control_plane.addr(n), "GET", list, &[], "", has_newest).await;
             if history.body.contains(r#""version":3"#) {
-                let old = call(
-                    control_plane.control_addr(n),
-                    "GET",
-                    &format!("{list}/3"),
-                    &[],
-                    "",
-                )
-                .await
-                .unwrap();
+                let old = call(control_plane.addr(n), "GET", &format!("{list}/3"), &[], "")
+                    .await
+                    .unwrap();
                 assert_eq!((old.status, &*old.body), (200, CONFIGURATION));
                 complete_histories += 1;
             }
-            let none = call(
-                control_plane.control_addr(n),
-                "GET",
-                &format!("{list}/5"),
-                &[],
-                "",
-            )
-            .await
-            .unwrap();
+            let none = call(control_plane.addr(n), "GET", &format!("{list}/5"), &[], "")
+                .await
+                .unwrap();
             assert_eq!(none.status, 404);
         }
         assert!(complete_histories > 0);
@@ -511,7 +454,7 @@
     let scenario = async {
         (0..10).for_each(|n| control_plane.start(n, true));
         assert_eq!(
-            replace(control_plane.control_addr(0), "0", CONFIGURATION)
+            replace(control_plane.addr(0), "0", CONFIGURATION)
                 .await
                 .status,
             200
@@ -530,7 +473,7 @@
         let status = "/fennelpin/status";
         let has_nine_voters = |a: &Answer| voters(a).len() == 9;
         let nine_voters = call_until(
-            control_plane.control_addr(0),
+            control_plane.addr(0),
             "GET",
             status,
             &[],
@@ -550,7 +493,7 @@
         control_plane.kill(lost);
         let has_spare_as_voter = |a: &Answer| voters(a).contains(&spare);
         call_until(
-            control_plane.control_addr(0),
+            control_plane.addr(0),
             "GET",
             status,
             &[],
@@ -731,7 +674,7 @@
         assert_eq!(homes.len(), 3, "each member reports its own id");
         let tenants = r#","tenants":[{"name":"acme","credentials":["k"],"rate_per_s":0.001,"burst_size":1}]}"#;
         let body = CONFIGURATION.replace(r#","limits":{}}"#, tenants);
-        assert_eq!(replace(control_plane.control_addr(0), "0", &body).await.status, 200);
+        assert_eq!(replace(control_plane.addr(0), "0", &body).await.status, 200);
         let members: Vec<u64> = homes.keys().copied().collect();
         let home = homes[&quota::ranking("acme", &members)[0]];
         // The tenant's home member refuses until it knows the members. Then one request is granted, as the bucket
@@ -744,7 +687,7 @@
         assert!(proxy.request_unit(sequence, home).await, "the same request again");
         assert!(!proxy.request_unit(sequence + 1, home).await);
         let n = control_plane.ips.iter().position(|ip| ip == home.ip()).unwrap();
-        let status = call(control_plane.control_addr(n), "GET", "/fennelpin/status", &[], "")
+        let status = call(control_plane.addr(n), "GET", "/fennelpin/status", &[], "")
             .await
             .unwrap();
         let status: serde_json::Value = serde_json::from_str(&status.body).unwrap();
@@ -759,22 +702,14 @@
 async fn status_page_when_all_is_known_has_these_keys() {
     run_with_three_members(68, |mut control_plane| async move {
         (0..3).for_each(|n| control_plane.start(n, true));
-        let replaced = replace(control_plane.control_addr(0), "0", CONFIGURATION).await;
+        let replaced = replace(control_plane.addr(0), "0", CONFIGURATION).await;
         assert_eq!(replaced.status, 200);
         let heartbeat = serde_json::json!({"service": "s", "address": "10.0.0.9:80", "zone": "z0",
             "version": "v1", "capacity": 4, "phase": "ready", "cold_left_ms": 0, "call_seq": 1})
         .to_string();
         let path = "/fennelpin/Hosts.Heartbeat/i-1";
         let done = |a: &Answer| a.status == 200;
-        call_until(
-            control_plane.control_addr(0),
-            "POST",
-            path,
-            &[],
-            &heartbeat,
-            done,
-        )
-        .await;
+        call_until(control_plane.addr(0), "POST", path, &[], &heartbeat, done).await;
         let pull = protocol::encode(&Message::Pull {
             subscriber: Subscriber {
                 name: "proxy-1".into(),
@@ -801,7 +736,7 @@
                 && status["member"]["age_ms"].is_u64()
         };
         let status = call_until(
-            control_plane.control_addr(0),
+            control_plane.addr(0),
             "GET",
             "/fennelpin/status",
             &[],
