--- a/crates/control-plane/src/member/backup.rs
+++ b/crates/control-plane/src/member/backup.rs
@@ -1,4 +1,4 @@
-//! A member accepts membership configurations, and as a backup it appends the primary's changes to its log.
+//! Acceptance of membership configurations, and a backup's log: it appends the changes that the primary sends.
 
 use super::replica_log::ReplicaLog;
 use super::write_queue::OnDurable;
@@ -7,8 +7,9 @@
 use protocol::{Change, MemberInfo, MembershipConfig, Message, Record, Snapshot};
 
 impl Member {
-    /// A candidate asks this member to accept a membership configuration; replicas get the state that it starts from.
-    pub(super) fn on_install(
+    /// Handles a candidate's request to accept a membership configuration. Replicas receive the state that it starts
+    /// from.
+    pub(super) fn on_install_membership(
         &mut self,
         from: MemberInfo,
         membership: MembershipConfig,
@@ -17,14 +18,14 @@
     ) {
         let epoch = membership.epoch;
         self.observe_epoch(epoch);
-        self.note_succession(&membership);
+        self.record_successor(&membership);
         let is_promised = epoch >= self.promise.epoch();
         if is_promised && self.accepted_epoch() == Some(epoch) {
             return self.reply_to_install(from, epoch, true, out);
         }
-        let is_replica = membership.replicas.contains(&self.me());
+        let is_replica = membership.replicas.contains(&self.own_id());
         let concerns_this_member =
-            membership.has_vote(self.me()) && is_replica == snapshot.is_some();
+            membership.has_vote(self.own_id()) && is_replica == snapshot.is_some();
         let state = snapshot
             .as_ref()
             .map(ReplicatedState::from_snapshot)
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Writes a membership configuration to the disk. It takes effect, and the candidate is told, once it is there.
+    /// Queues a membership configuration for the disk. It takes effect, and the candidate receives a reply, once it is
+    /// durable.
     fn accept_membership(
         &mut self,
         from: MemberInfo,
@@ -58,9 +60,11 @@
             membership: Box::new(membership),
             state: state.map(Box::new),
         };
-        self.write(&record, on_durable);
+        self.queue_record(&record, on_durable);
     }
 
+    /// Puts a durable membership configuration into effect, unless a newer one already is, and replies to the
+    /// candidate.
     pub(super) fn on_membership_durable(
         &mut self,
         candidate: MemberInfo,
@@ -70,17 +74,18 @@
     ) {
         let epoch = membership.epoch;
         if self.accepted_epoch().is_none_or(|own| own < epoch) {
-            self.committed.membership_begins(state.as_ref());
+            self.committed.start_membership(state.as_ref());
             self.log = state.map(ReplicaLog::new);
             self.membership = Some(membership);
         }
-        if candidate.id == self.me() {
-            self.on_installed(candidate.id, epoch, true, out);
+        if candidate.id == self.own_id() {
+            self.on_install_reply(candidate.id, epoch, true, out);
         } else {
             self.reply_to_install(candidate, epoch, true, out);
         }
     }
 
+    /// Tells a candidate whether this member has accepted the membership configuration of an epoch.
     pub(super) fn reply_to_install(
         &self,
         to: MemberInfo,
@@ -96,8 +101,9 @@
         out.push(Output::Send { to, message });
     }
 
-    /// The primary sent a change.
-    pub(super) fn on_append(
+    /// Handles a change from the primary: queues it for the disk if it is the next one, and otherwise confirms or
+    /// rejects it at once.
+    pub(super) fn on_append_change(
         &mut self,
         from: MemberInfo,
         epoch: u64,
@@ -105,10 +111,10 @@
         change: Change,
         out: &mut Vec<Output>,
     ) {
-        let follows = self.follows(epoch, from.id) && !self.is_given_up();
+        let follows = self.follows(epoch, from.id) && !self.is_superseded();
         let is_promised = self.promise.epoch() == epoch;
         let disk_healthy = self
-            .writes
+            .write_queue
             .is_healthy(self.now, self.config.disk_stall_timeout);
         let Some(log) = self.log.as_mut().filter(|_| follows && is_promised) else {
             return self.reply_to_append(from, epoch, index, false, out);
@@ -118,7 +124,7 @@
             return self.reply_to_append(from, epoch, durable, true, out);
         }
         if index <= appended {
-            // Its write is in flight.
+            // The write is in flight; the reply follows once it is durable.
             return;
         }
         if index != appended + 1 || !disk_healthy {
@@ -138,9 +144,10 @@
             epoch,
             state: Box::new(next),
         };
-        self.write(&record, on_durable);
+        self.queue_record(&record, on_durable);
     }
 
+    /// Confirms all changes up to `match_index` to the primary, or rejects that change.
     fn reply_to_append(
         &self,
         to: MemberInfo,
@@ -158,7 +165,8 @@
         out.push(Output::Send { to, message });
     }
 
-    /// Writes down how far the primary has committed, so that the next incarnation has a state to restore.
+    /// Records the primary's commit index on disk, so that the next incarnation has a committed state to restore. Does
+    /// nothing if this member's log doesn't reach that index yet.
     pub(super) fn record_committed(&mut self, epoch: u64, index: u64) {
         let has_epoch = self.accepted_epoch() == Some(epoch);
         let Some(log) = self
@@ -169,7 +177,7 @@
             return;
         };
         if self.committed.commit(index, log.durable()) {
-            self.write(&Record::Committed { index }, OnDurable::Nothing);
+            self.queue_record(&Record::Committed { index }, OnDurable::Nothing);
         }
     }
 }
--- a/crates/control-plane/src/member/committed_state.rs
+++ b/crates/control-plane/src/member/committed_state.rs
@@ -1,46 +1,47 @@
-//! The newest replicated state that a member knows to be committed. It is kept on disk: the next incarnation restores
-//! it, and a rewritten file tells no less than the one before.
+//! The newest replicated state that a member knows to be committed. It is kept on disk, so that the next incarnation
+//! can restore it. Rewriting the file doesn't lose it.
 
 use crate::replicated_state::ReplicatedState;
 use std::collections::VecDeque;
 
-/// How many uncommitted states are kept, and how many bytes they take on disk together. The oldest are kept, so that the
-/// primary's next commit index finds one of them however many changes are in flight.
+/// The number of uncommitted states that are kept. The oldest are kept, so that the primary's next commit index
+/// matches one of them however many changes are in flight.
 const MAX_UNCOMMITTED_STATES: usize = 64;
+/// Size on disk of all uncommitted states that are kept, in bytes.
 const MAX_UNCOMMITTED_BYTES: usize = 8 << 20;
-/// Bytes of a snapshot beside its items: numbers, names, brackets and the membership configuration.
+/// Size of a snapshot apart from its items, in bytes: numbers, names, brackets and the membership configuration.
 const SNAPSHOT_OVERHEAD_BYTES: usize = 1 << 10;
 
-/// The newest state that is known to be committed, and the states after it.
+/// The newest state that is known to be committed, and the states that follow it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CommittedState {
     /// The highest commit index that is on disk.
     commit_index: u64,
-    /// The newest state at hand that isn't beyond it.
+    /// The newest state in memory whose index is at most `commit_index`.
     newest: Option<ReplicatedState>,
-    /// Whether the membership configuration in force began with that state or an earlier one.
-    is_of_this_membership: bool,
+    /// Whether `newest` is the state that the membership configuration in force began with, or a later one.
+    newest_is_in_current_membership: bool,
     /// States on this disk that aren't known to be committed, oldest first.
-    uncommitted: VecDeque<Uncommitted>,
+    uncommitted: VecDeque<UncommittedState>,
     uncommitted_bytes: usize,
 }
 
-/// A state, and the record of the change that led to it.
+/// A state that isn't known to be committed, and the record of the change that led to it.
 #[derive(Clone, Debug)]
-struct Uncommitted {
+struct UncommittedState {
     state: ReplicatedState,
-    /// None for the state that a membership configuration begins with.
+    /// `None` for the state that a membership configuration begins with.
     record: Option<Vec<u8>>,
 }
 
-impl Uncommitted {
+impl UncommittedState {
     fn bytes(&self) -> usize {
         snapshot_bytes(&self.state) + self.record.as_ref().map_or(0, Vec::len)
     }
 }
 
 impl CommittedState {
-    /// The committed state that the records on disk tell of.
+    /// Creates the committed state that was recovered from the records on disk.
     pub(super) fn recovered(newest: Option<ReplicatedState>) -> Self {
         Self {
             commit_index: newest.as_ref().map_or(0, |state| state.index),
@@ -54,28 +55,28 @@
         self.commit_index
     }
 
-    /// The newest state at hand that is known to be committed.
+    /// The newest state in memory that is known to be committed.
     pub(super) fn newest(&self) -> Option<&ReplicatedState> {
         self.newest.as_ref()
     }
 
-    /// A membership configuration begins with this state, which is on this disk.
-    pub(super) fn membership_begins(&mut self, state: Option<&ReplicatedState>) {
+    /// Starts a membership configuration with this state, which is on this disk.
+    pub(super) fn start_membership(&mut self, state: Option<&ReplicatedState>) {
         self.uncommitted.clear();
         self.uncommitted_bytes = 0;
-        self.is_of_this_membership = false;
+        self.newest_is_in_current_membership = false;
         if let Some(state) = state {
             self.add(state.clone(), None);
         }
     }
 
-    /// The record of a change is on this disk; it led to this state.
+    /// Adds the state that a change led to. The change's record is on this disk.
     pub(super) fn add_change(&mut self, state: ReplicatedState, record: Vec<u8>) {
         self.add(state, Some(record));
     }
 
     fn add(&mut self, state: ReplicatedState, record: Option<Vec<u8>>) {
-        let added = Uncommitted { state, record };
+        let added = UncommittedState { state, record };
         let bytes = added.bytes();
         let fits = self.uncommitted_bytes + bytes <= MAX_UNCOMMITTED_BYTES
             && self.uncommitted.len() < MAX_UNCOMMITTED_STATES;
@@ -85,10 +86,10 @@
         }
     }
 
-    /// All changes up to `index` are committed; `durable` is the state on this disk. Returns whether the commit index
-    /// has risen.
+    /// Marks all changes up to `index` as committed; `durable` is the state on this disk. Returns whether the commit
+    /// index has risen.
     pub(super) fn commit(&mut self, index: u64, durable: &ReplicatedState) -> bool {
-        if index <= self.commit_index && self.is_of_this_membership {
+        if index <= self.commit_index && self.newest_is_in_current_membership {
             return false;
         }
         let has_risen = index > self.commit_index;
@@ -96,21 +97,25 @@
         while let Some(committed) = self.uncommitted.pop_front_if(|u| u.state.index <= index) {
             self.uncommitted_bytes -= committed.bytes();
             self.newest = Some(committed.state);
-            self.is_of_this_membership = true;
+            self.newest_is_in_current_membership = true;
         }
         if durable.index == index {
             self.newest = Some(durable.clone());
-            self.is_of_this_membership = true;
+            self.newest_is_in_current_membership = true;
         }
         has_risen
     }
 
-    /// The records of all changes from the newest committed state up to `index`; none if one isn't at hand.
-    pub(super) fn changes_up_to(&self, index: u64) -> Option<impl Iterator<Item = &Vec<u8>>> {
+    /// The records of all changes after the newest committed state up to `index`; `None` if one of them isn't in
+    /// memory.
+    pub(super) fn change_records_up_to(
+        &self,
+        index: u64,
+    ) -> Option<impl Iterator<Item = &Vec<u8>>> {
         let newest = self
             .newest
             .as_ref()
-            .filter(|_| self.is_of_this_membership)?;
+            .filter(|_| self.newest_is_in_current_membership)?;
         let last = self
             .uncommitted
             .back()
@@ -121,8 +126,8 @@
             .then(|| self.uncommitted.iter().filter_map(|u| u.record.as_ref()))
     }
 
-    /// The file was rewritten: it tells of the newest state at hand.
-    pub(super) fn file_rewritten(&mut self) {
+    /// Notes that the file was rewritten: it now records the newest committed state in memory.
+    pub(super) fn on_file_rewritten(&mut self) {
         self.commit_index = self.newest.as_ref().map_or(0, |state| state.index);
     }
 }
--- a/crates/control-plane/src/member/departure.rs
+++ b/crates/control-plane/src/member/departure.rs
@@ -1,9 +1,9 @@
-//! A member that was asked to end (graceful shutdown). It tells the others and serves on until they hold what it holds;
-//! only then may the process end.
+//! Graceful shutdown of a member. It announces its departure to the others and keeps serving until they hold
+//! everything that it holds; only then may the process end.
 //!
-//! A replica waits until a membership configuration without it is on the disks of all its replicas. A primary releases
-//! its lease once enough others answer, and then waits for the same. If all others depart too, there is nobody to wait
-//! for.
+//! A replica waits until a membership configuration without it is on the disks of all replicas of that configuration.
+//! A primary releases its lease once enough other members respond, and then waits for the same. If all other members
+//! depart too, there is nothing to wait for.
 
 use super::replica_placement::choose_replicas;
 use super::{Member, Output};
@@ -11,11 +11,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A primary that can't hand over keeps its lease for this many lease durations. Then whoever is left may take over.
+/// Lease durations for which a departing primary that can't hand over keeps its lease. After that, any remaining
+/// member may take over.
 const MAX_HAND_OVER_LEASES: u32 = 3;
-/// How often a departing member announces its departure, as a part of a lease's duration.
+/// Interval between announcements of a departure, as a fraction of a lease's duration.
 const ANNOUNCEMENT_FRACTION: f64 = 0.5;
-/// How lately a voter must have granted a lease to be relied on, as a part of a lease's duration.
+/// Maximum age of a voter's latest lease grant for the voter to count as available, as a fraction of a lease's
+/// duration.
 const RECENT_GRANT_FRACTION: f64 = 0.5;
 
 /// The state of a departure.
@@ -23,13 +25,14 @@
 pub(super) struct Departure {
     started_at: Duration,
     next_announcement_at: Duration,
-    /// A later membership configuration without this member is on the disks of all its replicas.
-    is_succeeded: bool,
-    /// The runtime was told that the process may end.
+    /// Whether a later membership configuration without this member is on the disks of all its replicas.
+    is_successor_installed: bool,
+    /// Whether the runtime was told that the process may end.
     is_complete: bool,
 }
 
 impl Member {
+    /// Begins the departure, if it hasn't begun yet.
     pub(super) fn on_depart(&mut self, out: &mut Vec<Output>) {
         if self.departure.is_some() {
             return;
@@ -37,14 +40,14 @@
         self.departure = Some(Departure {
             started_at: self.now,
             next_announcement_at: self.now,
-            is_succeeded: false,
+            is_successor_installed: false,
             is_complete: false,
         });
         self.announce_departure(out);
     }
 
-    /// Tells all others again and again, whether they have a vote or not: any of them may be the next to choose voters,
-    /// and other messages of this member don't tell that it departs.
+    /// Announces the departure to all other members at regular intervals, with or without a vote: any of them may
+    /// become the primary that chooses voters, and no other message of this member says that it departs.
     fn announce_departure(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(departure) = &mut self.departure else {
@@ -67,40 +70,44 @@
         self.peers.is_departing(id, self.now)
     }
 
-    /// A membership configuration was received. Those without a replica get one only once all replicas have it on disk.
-    pub(super) fn note_succession(&mut self, membership: &MembershipConfig) {
+    /// Notes a received membership configuration that doesn't include this member. Members without a replica receive
+    /// it only once all its replicas have it on disk.
+    pub(super) fn record_successor(&mut self, membership: &MembershipConfig) {
         let is_newer = self
             .accepted_epoch()
             .is_none_or(|own| membership.epoch > own);
-        let me = self.me();
-        let is_without_me = membership.voter(me).is_none() && !membership.replicas.contains(&me);
+        let own_id = self.own_id();
+        let excludes_self =
+            membership.voter(own_id).is_none() && !membership.replicas.contains(&own_id);
         if let Some(departure) = &mut self.departure {
-            departure.is_succeeded |= is_newer && is_without_me && membership.is_stable();
+            departure.is_successor_installed |= is_newer && excludes_self && membership.is_stable();
         }
     }
 
-    /// Departing members without a vote in a membership configuration: they wait for it to be installed.
-    pub(super) fn departing_without_vote(&self, membership: &MembershipConfig) -> Vec<u64> {
+    /// Departing members without a vote in a membership configuration. They wait for it to be installed.
+    pub(super) fn departing_nonvoters(&self, membership: &MembershipConfig) -> Vec<u64> {
         self.peers
             .ids()
             .filter(|id| self.is_peer_departing(*id) && !membership.has_vote(*id))
             .collect()
     }
 
-    /// Releases the lease once others can go on, and completes once nothing depends on this member.
+    /// Releases the lease once other members can take over, and completes the departure once nothing depends on this
+    /// member.
     pub(super) fn run_departure(&mut self, out: &mut Vec<Output>) {
         self.announce_departure(out);
         let Some(departure) = self.departure.as_ref().filter(|d| !d.is_complete) else {
             return;
         };
-        let hand_over_end = self.hand_over_end(departure);
+        let hand_over_deadline = self.hand_over_deadline(departure);
         let others = self.other_voters();
         let all_depart = others.iter().all(|id| self.is_peer_departing(*id));
-        let may_release = self.now >= hand_over_end || all_depart || self.others_can_go_on();
+        let may_release =
+            self.now >= hand_over_deadline || all_depart || self.others_can_take_over();
         if self.role.primary().is_some() && may_release {
             self.release_lease(out);
         }
-        if self.role.is_follower() && (all_depart || self.is_succeeded()) {
+        if self.role.is_follower() && (all_depart || self.is_no_longer_needed()) {
             if let Some(departure) = &mut self.departure {
                 departure.is_complete = true;
             }
@@ -108,32 +115,38 @@
         }
     }
 
-    fn hand_over_end(&self, departure: &Departure) -> Duration {
+    /// When a departing primary releases its lease even if nobody can take over.
+    fn hand_over_deadline(&self, departure: &Departure) -> Duration {
         departure.started_at + MAX_HAND_OVER_LEASES * self.config.lease_duration
     }
 
     /// Whether neither the replicated state nor a majority depends on this member any more.
-    fn is_succeeded(&self) -> bool {
-        let is_free = |membership: &MembershipConfig| {
+    fn is_no_longer_needed(&self) -> bool {
+        let is_independent = |membership: &MembershipConfig| {
             membership.is_stable()
-                && !membership.replicas.contains(&self.me())
+                && !membership.replicas.contains(&self.own_id())
                 && !self.is_about_to_lose_vote(membership)
         };
-        self.membership.as_ref().is_none_or(is_free)
-            || self.departure.as_ref().is_some_and(|d| d.is_succeeded)
+        self.membership.as_ref().is_none_or(is_independent)
+            || self
+                .departure
+                .as_ref()
+                .is_some_and(|d| d.is_successor_installed)
     }
 
-    /// Whether the primary is about to remove this voter, or to replace it by a member that joins. If this member ended
+    /// Whether the primary is about to remove this voter, or to replace it by a joining member. If this member ended
     /// before that, the next loss would leave too few voters.
     fn is_about_to_lose_vote(&self, membership: &MembershipConfig) -> bool {
         let joins = |id: u64| membership.voter(id).is_none();
         let mut peers = self.peers.iter();
         let others_join = peers.any(|peer| joins(peer.info().id) && self.may_join(peer));
-        membership.voter(self.me()).is_some() && (others_join || self.can_spare_voter(membership))
+        membership.voter(self.own_id()).is_some()
+            && (others_join || self.can_spare_voter(membership))
     }
 
-    /// Whether the voters that answered lately and don't depart are a majority, with enough replicas among them.
-    fn others_can_go_on(&self) -> bool {
+    /// Whether the voters that granted a lease recently and don't depart form a quorum, with enough replicas among
+    /// them.
+    fn others_can_take_over(&self) -> bool {
         let (Some(primary), Some(membership)) = (self.role.primary(), &self.membership) else {
             return false;
         };
@@ -150,12 +163,12 @@
             && choose_replicas(&self.config.fault_budget, &staying).is_some()
     }
 
-    pub(super) fn departure_wake(&self) -> Option<Duration> {
+    pub(super) fn departure_wake_at(&self) -> Option<Duration> {
         let departure = self.departure.as_ref()?;
-        let hand_over_end = self.hand_over_end(departure);
-        let hands_over = !departure.is_complete && hand_over_end > self.now;
+        let hand_over_deadline = self.hand_over_deadline(departure);
+        let hands_over = !departure.is_complete && hand_over_deadline > self.now;
         Some(if hands_over {
-            hand_over_end.min(departure.next_announcement_at)
+            hand_over_deadline.min(departure.next_announcement_at)
         } else {
             departure.next_announcement_at
         })
--- a/crates/control-plane/src/member/dispatch.rs
+++ b/crates/control-plane/src/member/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands each message of another member to the part of this member that it is for.
+//! Dispatch of messages from other members to their handlers.
 
 use super::lease::{LeaseReply, LeaseRequest};
 use super::voter::{PromiseReply, PromisedHistory};
@@ -22,12 +22,12 @@
             Message::InstallMembership {
                 membership,
                 snapshot,
-            } => self.on_install(from, membership, snapshot, out),
+            } => self.on_install_membership(from, membership, snapshot, out),
             Message::AppendChange {
                 epoch,
                 index,
                 change,
-            } => self.on_append(from, epoch, index, change, out),
+            } => self.on_append_change(from, epoch, index, change, out),
             Message::RenewLease {
                 epoch,
                 requested_at_ms,
@@ -59,7 +59,7 @@
                 };
                 self.on_lease_request(from, request, out);
             }
-            Message::FetchSnapshot { epoch } => self.on_fetch(from, epoch, out),
+            Message::FetchSnapshot { epoch } => self.on_fetch_snapshot(from, epoch, out),
             Message::ReleaseLease { epoch } => self.on_lease_released(from.id, epoch),
             Message::Leaving { .. } => self.peers.record_departure(from.id, self.now),
             Message::ForwardCommand {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes the answers to this member's own messages. Other messages are for the runtime.
+    /// Handles replies to this member's own messages. Other messages are for the runtime.
     fn on_reply(&mut self, from: &MemberInfo, message: Message, out: &mut Vec<Output>) {
         match message {
             Message::PreVoteReply {
@@ -89,17 +89,17 @@
                 let reply = PromiseReply {
                     epoch,
                     granted,
-                    history: Some(PromisedHistory::told(membership, log_position)),
+                    history: Some(PromisedHistory::from_message(membership, log_position)),
                     retry_after: milliseconds(retry_after_ms),
                 };
                 self.on_promise(from.id, reply, out);
             }
             Message::SnapshotReply {
                 epoch, snapshot, ..
-            } => self.on_snapshot(epoch, &snapshot, out),
+            } => self.on_snapshot_reply(epoch, &snapshot, out),
             Message::InstallMembershipReply {
                 epoch, accepted, ..
-            } => self.on_installed(from.id, epoch, accepted, out),
+            } => self.on_install_reply(from.id, epoch, accepted, out),
             Message::AppendReply {
                 epoch,
                 match_index,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Answers tell the highest epoch that their sender has promised.
+    /// Notes the highest epoch that the sender of a reply has promised.
     fn observe_promised_epoch(&mut self, message: &Message) {
         match message {
             Message::PreVoteReply { promised_epoch, .. }
--- a/crates/control-plane/src/member/election_timer.rs
+++ b/crates/control-plane/src/member/election_timer.rs
@@ -1,21 +1,21 @@
-//! When a member campaigns. Members campaign one after the other, replicas first, so that one of them usually wins
-//! without a rival.
+//! The election timer. Members campaign one after the other, replicas first, so that one of them usually wins without
+//! competition.
 
 use super::candidate::CandidateState;
 use super::{Member, Output, Role};
 use protocol::Message;
 use std::time::Duration;
 
-/// The time between the campaigns of two members, as a part of a lease's duration.
+/// Delay between the campaigns of members of successive rank, as a divisor of a lease's duration.
 const RANK_DELAY_DIVISOR: u32 = 8;
 
 impl Member {
-    /// A voter without a lease in force campaigns once its turn has come.
+    /// Starts a campaign if this voter has no lease granted that is in force, and its election delay is over.
     pub(super) fn run_election_timer(&mut self, out: &mut Vec<Output>) {
-        let is_held_back = self.grant.is_some_and(|g| g.until > self.now)
+        let is_held_back = self.granted_lease.is_some_and(|g| g.until > self.now)
             || self.departure.is_some()
             || !self.disk_healthy();
-        let may_campaign = self.role.is_follower() && self.is_voter() && !self.is_given_up();
+        let may_campaign = self.role.is_follower() && self.is_voter() && !self.is_superseded();
         if is_held_back || !may_campaign || self.now < self.election_at {
             return;
         }
@@ -32,20 +32,22 @@
         self.on_pre_votes_changed(out);
     }
 
-    /// Whoever was promised an epoch, or holds a lease, has time for it.
+    /// Postpones this member's campaign, so that the member that was promised an epoch or holds a lease has time to
+    /// act.
     pub(super) fn postpone_election(&mut self) {
         self.election_at = self.now + self.config.lease_duration + self.election_delay();
     }
 
-    /// How long this member lets others campaign first: replicas come before witnesses, in the order of the membership
-    /// configuration.
+    /// How long this member lets others campaign first. Replicas come before witnesses, in the order of the membership
+    /// configuration; a random part keeps members of equal rank apart.
     pub(super) fn election_delay(&mut self) -> Duration {
         let rank_delay = self.config.lease_duration / RANK_DELAY_DIVISOR;
         rank_delay * self.election_rank() + self.random.duration_below(rank_delay / 2)
     }
 
+    /// This member's position in the order of campaigns, from 0.
     fn election_rank(&self) -> u32 {
-        let me = self.me();
+        let own_id = self.own_id();
         let Some(membership) = &self.membership else {
             return 0;
         };
@@ -57,14 +59,14 @@
             .filter(|id| !membership.replicas.contains(id));
         let rank = replicas
             .chain(witnesses)
-            .filter(|id| *id != membership.primary || *id == me)
-            .position(|id| id == me);
+            .filter(|id| *id != membership.primary || *id == own_id)
+            .position(|id| id == own_id);
         rank.unwrap_or(0) as u32
     }
 
-    pub(super) fn election_wake(&self) -> Option<Duration> {
+    pub(super) fn election_wake_at(&self) -> Option<Duration> {
         let waits = self.is_voter() && self.role.is_follower() && self.departure.is_none();
-        let lease_end = self.grant.map_or(self.election_at, |g| g.until);
+        let lease_end = self.granted_lease.map_or(self.election_at, |g| g.until);
         waits.then(|| self.election_at.max(lease_end))
     }
 }
