--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -595,6 +595,9 @@
     ".zone",
 ];
 
+/// Time without a reply after which a message is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(50);
+
 /// A proxy as the members see it: a socket that sends quota requests.
 struct TestProxy {
     socket: tokio::net::UdpSocket,
@@ -607,17 +610,33 @@
         Self { socket, number }
     }
 
-    /// Sends a message until a reply arrives, because the member may not listen yet.
-    async fn exchange(&self, message: &Message, to: SocketAddrV4) -> Message {
-        let mut buffer = [0; 2048];
+    /// Sends a message until its reply arrives, because the member may not listen yet. Skips replies to messages that
+    /// were sent before: a reply that was only late comes twice, as its message was sent again.
+    async fn exchange<T>(
+        &self,
+        message: &Message,
+        to: SocketAddrV4,
+        read_reply: impl Fn(Message) -> Option<T>,
+    ) -> T {
         loop {
             self.socket
                 .send_to(&protocol::encode(message), to)
                 .await
                 .unwrap();
-            let reply = self.socket.recv_from(&mut buffer);
-            if let Ok(Ok((length, _))) = timeout(Duration::from_millis(50), reply).await {
-                return protocol::decode(&buffer[..length]).unwrap().unwrap().0;
+            let reply = self.receive_reply(&read_reply);
+            if let Ok(reply) = timeout(RESEND_INTERVAL, reply).await {
+                return reply;
+            }
+        }
+    }
+
+    async fn receive_reply<T>(&self, read_reply: impl Fn(Message) -> Option<T>) -> T {
+        let mut buffer = [0; 2048];
+        loop {
+            let (length, _) = self.socket.recv_from(&mut buffer).await.unwrap();
+            let (message, _) = protocol::decode(&buffer[..length]).unwrap().unwrap();
+            if let Some(reply) = read_reply(message) {
+                return reply;
             }
         }
     }
@@ -628,10 +647,12 @@
             unused_ms: 0,
             unreachable: Vec::new(),
         };
-        match self.exchange(&announcement, to).await {
-            Message::QuotaPresenceReply { member } => member,
+        let read_reply = |reply| match reply {
+            Message::QuotaPresenceReply { member } => Some(member),
+            Message::QuotaReply { .. } => None,
             other => panic!("{other:?}"),
-        }
+        };
+        self.exchange(&announcement, to, read_reply).await
     }
 
     /// Requests one unit of quota. Returns whether it was granted.
@@ -646,17 +667,19 @@
             cost: 1.0,
             max_wait_ms: 0,
         };
-        match self.exchange(&request, to).await {
+        let read_reply = |reply| match reply {
             Message::QuotaReply {
                 sequence: answered,
                 granted,
                 ..
-            } => {
+            } if answered >= sequence => {
                 assert_eq!(answered, sequence);
-                granted
+                Some(granted)
             }
+            Message::QuotaReply { .. } | Message::QuotaPresenceReply { .. } => None,
             other => panic!("{other:?}"),
-        }
+        };
+        self.exchange(&request, to, read_reply).await
     }
 }
 
