--- a/crates/proxy/src/quota/charge.rs
+++ b/crates/proxy/src/quota/charge.rs
@@ -1,4 +1,4 @@
-//! What a request was granted of its tenant's quota.
+//! Quota units that a request was granted.
 
 use crate::response_progress::ResponseProgress;
 use crate::state::ProxyState;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Units that a request was granted. Dropped, they are put back if the request can't have run.
+/// Units that a request was granted. When dropped, refunds them if the request can't have run.
 pub(crate) struct QuotaCharge<'a> {
     state: &'a ProxyState,
     progress: &'a ResponseProgress,
@@ -18,21 +18,21 @@
     cost: f64,
 }
 
-/// A request beyond its tenant's quota.
+/// Error for a request that exceeds its tenant's quota.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QuotaExceeded {
-    /// After how long a request may be granted.
+    /// Time after which a request may be granted.
     pub(crate) retry_after: Duration,
 }
 
 impl QuotaExceeded {
-    /// What the client is told.
+    /// Result code of the local reply.
     pub(crate) const CODE: ResultCode = ResultCode::QuotaExceeded;
 }
 
 impl<'a> QuotaCharge<'a> {
-    /// Asks for the units of a request with this sum of token counts; holds the request where that helps. `None` where
-    /// the caller has no limit.
+    /// Requests quota for a request with `tokens` tokens in total, and holds it for as long as the decision says.
+    /// Returns `None` if the caller has no limit.
     pub(crate) async fn acquire(
         state: &'a ProxyState,
         progress: &'a ResponseProgress,
@@ -71,22 +71,22 @@
         Ok(Some(charge))
     }
 
-    /// The request is sent once more, though it may have run: it counts once more.
+    /// Charges the request's cost again for another attempt, as the previous one may have run.
     pub(crate) fn charge_again(&self) {
-        self.report(self.cost);
+        self.report_usage(self.cost);
     }
 
-    fn report(&self, cost: f64) {
+    fn report_usage(&self, cost: f64) {
         self.state
             .quotas
-            .report(&self.tenant.name, self.limit, cost);
+            .report_usage(&self.tenant.name, self.limit, cost);
     }
 }
 
 impl Drop for QuotaCharge<'_> {
     fn drop(&mut self) {
         if !self.progress.may_have_run() {
-            self.report(-self.cost);
+            self.report_usage(-self.cost);
         }
     }
 }
--- a/crates/proxy/src/quota/client.rs
+++ b/crates/proxy/src/quota/client.rs
@@ -1,4 +1,4 @@
-//! Asks a tenant's home whether a request is within the quota.
+//! Requests quota decisions from the tenants' homes, or decides locally if none is reachable.
 
 use configuration::{RateLimit, Tenant};
 use protocol::Message;
@@ -12,65 +12,69 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How long a home is waited for, each time that it is asked. Between zones an answer takes some milliseconds.
+/// Timeouts for the first transmission of a request to a home and for its retransmission. Replies between zones take
+/// some milliseconds.
 const REPLY_TIMEOUTS: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(45)];
-/// Homes that are asked for one request.
-const MAX_HOMES: usize = 3;
-/// How long a request may be held until it is within the quota.
+/// Maximum number of homes that are asked for one request.
+const MAX_HOMES_PER_REQUEST: usize = 3;
+/// Maximum time for which a request may be held until it is within the quota.
 const MAX_WAIT: Duration = Duration::from_millis(50);
-/// `max_wait_ms` of units that were used already.
-const ALREADY_USED: u32 = u32::MAX;
+/// Value of `max_wait_ms` for units that have been used already.
+const ALREADY_USED_MAX_WAIT_MS: u32 = u32::MAX;
 
-/// A tenant's limit with the version of the configuration that has it.
+/// A tenant's limit with the version of the configuration that it comes from.
 #[derive(Clone, Copy)]
 struct VersionedLimit {
     version: u64,
     limit: RateLimit,
 }
 
-/// What a home answers.
+/// A home's reply to a quota request.
 #[derive(Clone, Copy, Debug)]
 struct HomeReply {
-    at: Duration,
+    received_at: Duration,
     decision: Decision,
-    /// How much of the burst it has at hand, from 0 to 1.
+    /// Fraction of the burst that is available at the home, from 0 to 1.
     burst_left: f64,
 }
 
-/// This proxy's way to the tenants' homes.
+/// Client for quota requests to the tenants' homes.
 #[derive(Default)]
 pub(crate) struct QuotaClient {
-    /// Number of this process's life.
+    /// Id of this proxy process; a restarted process has a new one.
     proxy: u64,
     socket: RefCell<Option<Rc<UdpSocket>>>,
     directory: RefCell<HomeDirectory>,
     addresses: RefCell<HashMap<u64, SocketAddrV4>>,
     local: RefCell<LocalQuota>,
-    /// Who waits for a reply, by the request's number.
-    waiting: RefCell<HashMap<u64, oneshot::Sender<HomeReply>>>,
+    /// Channels that receive the replies, by the request's sequence number.
+    pending_replies: RefCell<HashMap<u64, oneshot::Sender<HomeReply>>>,
     next_sequence: Cell<u64>,
     proxy_count: Cell<usize>,
     configuration_version: Cell<u64>,
     /// Whether any tenant has a limit.
     has_limits: Cell<bool>,
-    /// Whether this process has asked for any quota.
-    has_used: Cell<bool>,
+    /// Whether this process has requested any quota.
+    has_requested_quota: Cell<bool>,
 }
 
-/// A reply that is waited for. Dropped, it isn't any more.
-struct Waiting<'a> {
+/// Entry in `pending_replies`, removed when dropped.
+struct PendingReplyGuard<'a> {
     client: &'a QuotaClient,
     sequence: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingReplyGuard<'_> {
     fn drop(&mut self) {
-        self.client.waiting.borrow_mut().remove(&self.sequence);
+        self.client
+            .pending_replies
+            .borrow_mut()
+            .remove(&self.sequence);
     }
 }
 
 impl QuotaClient {
-    /// The client of the process's life with this number. Without a socket it decides by itself.
+    /// Creates the client of the proxy process with this id. Until it has a socket, it decides locally.
     pub(crate) fn new(proxy: u64) -> Self {
         Self {
             proxy,
@@ -78,12 +82,12 @@
         }
     }
 
-    /// Asks over this socket from now on.
+    /// Sets the socket for requests and announcements.
     pub(crate) fn set_socket(&self, socket: Rc<UdpSocket>) {
         *self.socket.borrow_mut() = Some(socket);
     }
 
-    /// Takes in the members with their addresses, the number of proxies and the tenants.
+    /// Updates the members with their addresses, the number of proxies, and the tenants of the configuration.
     pub(crate) fn set_fleet<'a>(
         &self,
         members: &[(u64, SocketAddrV4)],
@@ -105,12 +109,12 @@
             .retain_tenants(|name| names.contains(name));
     }
 
-    /// Whether any tenant has a limit.
+    /// Returns whether any tenant has a limit.
     pub(crate) fn has_limits(&self) -> bool {
         self.has_limits.get()
     }
 
-    /// Asks for `cost` units of a tenant. `random` is uniform in [0, 1).
+    /// Requests `cost` units of a tenant's quota. `random` is uniformly distributed in [0, 1).
     pub(crate) async fn acquire(
         &self,
         now: Duration,
@@ -119,21 +123,22 @@
         cost: f64,
         random: f64,
     ) -> Decision {
-        self.has_used.set(true);
-        let versioned = self.versioned(limit);
-        for _ in 0..MAX_HOMES {
+        self.has_requested_quota.set(true);
+        let versioned = self.versioned_limit(limit);
+        for _ in 0..MAX_HOMES_PER_REQUEST {
             let Some(home) = self.directory.borrow_mut().home(tenant) else {
                 break;
             };
-            if let Some(reply) = self.ask(home, tenant, versioned, cost).await {
+            if let Some(reply) = self.request_decision(home, tenant, versioned, cost).await {
                 let mut local = self.local.borrow_mut();
-                local.on_home_reply(reply.at, tenant, reply.burst_left);
+                local.on_home_reply(reply.received_at, tenant, reply.burst_left);
                 return reply.decision;
             }
             if self.directory.borrow_mut().on_timeout(home) {
                 log::info!(member = home; "quota home unreachable");
-                // Asks the others for a sign of life as well: where all are gone, each would be waited for in turn.
-                self.begin_round(now);
+                // Checks the other members as well: if all are unreachable, requests would otherwise wait for each in
+                // turn.
+                self.begin_announcement_round(now);
             }
         }
         let proxies = self.proxy_count.get();
@@ -141,31 +146,32 @@
         local.take(now, tenant, limit, proxies, cost, random)
     }
 
-    /// Tells the home of units that were used without being asked for, or (below 0) of such that were granted and not
-    /// used. A lost datagram isn't sent again: the error is one request's.
-    pub(crate) fn report(&self, tenant: &str, limit: RateLimit, cost: f64) {
+    /// Reports to the home units that were used without a request for them, or as a negative cost units that were
+    /// granted and not used. A lost report isn't retransmitted, as its error is limited to one request.
+    pub(crate) fn report_usage(&self, tenant: &str, limit: RateLimit, cost: f64) {
         let Some(home) = self.directory.borrow_mut().home(tenant) else {
             return;
         };
-        let sequence = self.take_sequence();
-        let limit = self.versioned(limit);
-        let message = self.request(sequence, tenant, limit, cost, ALREADY_USED);
+        let sequence = self.next_sequence_number();
+        let limit = self.versioned_limit(limit);
+        let message = self.quota_request(sequence, tenant, limit, cost, ALREADY_USED_MAX_WAIT_MS);
         self.send(&message, home);
     }
 
-    async fn ask(
+    /// Sends a request to a home, with one retransmission; `None` if the home doesn't reply in time.
+    async fn request_decision(
         &self,
         home: u64,
         tenant: &str,
         limit: VersionedLimit,
         cost: f64,
     ) -> Option<HomeReply> {
-        let sequence = self.take_sequence();
+        let sequence = self.next_sequence_number();
         let max_wait_ms = MAX_WAIT.as_millis() as u32;
-        let message = self.request(sequence, tenant, limit, cost, max_wait_ms);
+        let message = self.quota_request(sequence, tenant, limit, cost, max_wait_ms);
         let (sender, mut reply) = oneshot::channel();
-        self.waiting.borrow_mut().insert(sequence, sender);
-        let _waiting = Waiting {
+        self.pending_replies.borrow_mut().insert(sequence, sender);
+        let _pending_reply = PendingReplyGuard {
             client: self,
             sequence,
         };
@@ -178,7 +184,7 @@
         None
     }
 
-    fn request(
+    fn quota_request(
         &self,
         sequence: u64,
         tenant: &str,
@@ -198,13 +204,13 @@
         }
     }
 
-    /// Tells all members that this proxy is there, and counts the replies that are missing.
-    pub(super) fn begin_round(&self, now: Duration) {
-        self.directory.borrow_mut().begin_round();
+    /// Begins a round of announcements to all members, and counts the replies that are missing from earlier rounds.
+    pub(super) fn begin_announcement_round(&self, now: Duration) {
+        self.directory.borrow_mut().begin_announcement_round();
         self.announce(now);
     }
 
-    /// Tells all members that this proxy is there, and which of them it doesn't reach.
+    /// Announces to all members that this proxy is present, and which of them it can't reach.
     fn announce(&self, now: Duration) {
         let message = Message::QuotaPresence {
             proxy: self.proxy,
@@ -217,15 +223,15 @@
         }
     }
 
-    /// For how long this process has been there without using any quota; 0 once it has.
+    /// Returns the time for which this process has run without requesting any quota, in milliseconds; 0 once it has.
     fn unused_ms(&self, now: Duration) -> u32 {
-        if self.has_used.get() {
+        if self.has_requested_quota.get() {
             return 0;
         }
         u32::try_from(now.as_millis()).unwrap_or(u32::MAX)
     }
 
-    /// Takes a member's datagram. Whether it is one that members send here.
+    /// Handles a message from a member. Returns whether its kind is one that members send to proxies.
     pub(super) fn on_message(&self, now: Duration, message: Message) -> bool {
         match message {
             Message::QuotaReply {
@@ -241,13 +247,13 @@
                     Decision::Refused { retry_after: wait }
                 };
                 let reply = HomeReply {
-                    at: now,
+                    received_at: now,
                     decision,
                     burst_left: f64::from(burst_left_percent) / 100.0,
                 };
-                if let Some(waiting) = self.waiting.borrow_mut().remove(&sequence) {
-                    // Whoever asked may have stopped waiting.
-                    let _ = waiting.send(reply);
+                if let Some(reply_sender) = self.pending_replies.borrow_mut().remove(&sequence) {
+                    // Fails if the request has timed out meanwhile.
+                    let _ = reply_sender.send(reply);
                 }
             }
             Message::QuotaPresenceReply { member } => {
@@ -265,18 +271,18 @@
         let address = self.addresses.borrow().get(&member).copied();
         let socket = self.socket.borrow();
         if let (Some(socket), Some(address)) = (socket.as_ref(), address) {
-            // What can't be sent at once is lost, as any datagram may be.
+            // A datagram that can't be sent immediately is dropped, like one that is lost on the network.
             let _ = socket.try_send_to(&protocol::encode(message), SocketAddr::V4(address));
         }
     }
 
-    fn take_sequence(&self) -> u64 {
+    fn next_sequence_number(&self) -> u64 {
         let sequence = self.next_sequence.get();
         self.next_sequence.set(sequence.wrapping_add(1));
         sequence
     }
 
-    fn versioned(&self, limit: RateLimit) -> VersionedLimit {
+    fn versioned_limit(&self, limit: RateLimit) -> VersionedLimit {
         VersionedLimit {
             version: self.configuration_version.get(),
             limit,
--- a/crates/proxy/src/quota/mod.rs
+++ b/crates/proxy/src/quota/mod.rs
@@ -1,11 +1,12 @@
-//! Tenants' quotas: each request of a tenant with a limit is granted by the tenant's home, a member of the control plane,
-//! over datagrams. The decisions are the crate [`quota`]'s; here are the socket, the retries and the timers.
+//! Tenants' quotas: each request of a tenant with a limit needs a grant of the tenant's home, a member of the control
+//! plane, which is requested by datagrams. The crate [`quota`] makes the decisions; this module has the socket, the
+//! retransmissions and the timers.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `client` | asks a home, and another one where it is silent |
-//! | `charge` | what one request was granted, put back where it never ran |
-//! | `presence` | tells the members again and again that this proxy is there, and takes their datagrams |
+//! | `client` | requests decisions from a home, and from another one if the first doesn't reply |
+//! | `charge` | the units granted to one request, refunded if it never ran |
+//! | `presence` | announces this proxy to the members periodically, and receives their datagrams |
 
 mod charge;
 mod client;
--- a/crates/proxy/src/quota/presence.rs
+++ b/crates/proxy/src/quota/presence.rs
@@ -1,4 +1,4 @@
-//! The socket to the homes: announces this proxy again and again, and takes what comes.
+//! Socket for quota requests: announces this proxy to the members periodically, and receives their datagrams.
 
 use crate::state::ProxyState;
 use configuration::ProcessSettings;
@@ -8,17 +8,18 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// Time from one round of announcements to the next.
-const ROUND_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after a socket error, which may come again at once.
+/// Time between two rounds of announcements.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a socket error, which may otherwise recur immediately.
 const ERROR_BACKOFF: Duration = Duration::from_millis(20);
-/// Which port of the process's range the socket takes, counted from its first. Where it is taken, any other will do.
+/// Offset of the socket's port from the first port of the process's range. If that port can't be bound, an ephemeral
+/// one is used.
 const QUOTA_PORT_OFFSET: u16 = 4;
-/// Largest datagram that is read, in bytes.
+/// Maximum size of a received datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// Opens the socket, and runs it for as long as the future that is returned. `None` without a socket: the proxy then
-/// decides by its even share.
+/// Binds the socket and returns a future that announces and receives over it. `None` if no socket can be bound; the
+/// proxy then decides locally.
 pub(crate) async fn start(
     state: &Rc<ProxyState>,
     settings: &ProcessSettings,
@@ -45,7 +46,7 @@
     match UdpSocket::bind(SocketAddrV4::new(ip, 0)).await {
         Ok(socket) => Some(socket),
         Err(error) => {
-            log::warn!(error:%; "quotas are not asked for");
+            log::warn!(error:%; "no socket for quota requests; quotas are decided locally");
             None
         }
     }
@@ -54,9 +55,9 @@
 async fn announce(state: &ProxyState) {
     loop {
         if state.quotas.has_limits() {
-            state.quotas.begin_round(state.now());
+            state.quotas.begin_announcement_round(state.now());
         }
-        sleep(ROUND_INTERVAL).await;
+        sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
@@ -64,7 +65,7 @@
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            // The ICMP error for a datagram sent to a member that is gone, or an error that stays.
+            // An ICMP error for a datagram sent to a member that no longer runs, or a persistent error.
             sleep(ERROR_BACKOFF).await;
             continue;
         };
--- a/crates/quota/src/home_directory.rs
+++ b/crates/quota/src/home_directory.rs
@@ -1,24 +1,24 @@
-//! A proxy's part: which member is a tenant's home, as far as the proxy reaches it.
+//! The proxy's view of the members: which one is each tenant's home among those that the proxy can reach.
 
 use crate::placement::{home, ranking};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rounds of announcements without a reply after which a member counts as unreachable.
+/// Number of consecutive announcements without a reply after which a member counts as unreachable.
 const MAX_MISSED_REPLIES: u32 = 2;
 
-/// The members, and which of them this proxy doesn't reach.
+/// The control plane's members and their reachability from this proxy.
 #[derive(Debug, Default)]
 pub struct HomeDirectory {
     members: Vec<u64>,
     unreachable: BTreeSet<u64>,
-    /// Announcements that a member hasn't replied to, one after the other.
+    /// By member: consecutive announcements without a reply.
     missed_replies: BTreeMap<u64, u32>,
-    /// The members by tenant, in the order in which they are its home.
+    /// By tenant: the members in order of preference as its home.
     rankings: BTreeMap<String, Vec<u64>>,
 }
 
 impl HomeDirectory {
-    /// Takes in the ids of the members.
+    /// Replaces the list of member ids. Members that are no longer listed lose their reachability state.
     pub fn set_members(&mut self, members: Vec<u64>) {
         if self.members == members {
             return;
@@ -29,13 +29,13 @@
         self.rankings.clear();
     }
 
-    /// Forgets all tenants but those of these names.
+    /// Removes all tenants except those named.
     pub fn retain_tenants(&mut self, names: &BTreeSet<&str>) {
         self.rankings
             .retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// The tenant's home; `None` if no member is reached.
+    /// Returns the tenant's home; `None` if no member is reachable.
     pub fn home(&mut self, tenant: &str) -> Option<u64> {
         if !self.rankings.contains_key(tenant) {
             let ranking = ranking(tenant, &self.members);
@@ -44,25 +44,28 @@
         home(self.rankings.get(tenant)?, &self.unreachable)
     }
 
-    /// The members that this proxy doesn't reach, in order.
+    /// Returns the ids of the members that this proxy can't reach, in ascending order.
     pub fn unreachable(&self) -> Vec<u64> {
         self.unreachable.iter().copied().collect()
     }
 
-    /// A member didn't answer in time. Whether it counted as reachable.
+    /// Marks a member that didn't answer in time as unreachable. Returns whether it counted as reachable before.
     pub fn on_timeout(&mut self, member: u64) -> bool {
         self.members.contains(&member) && self.unreachable.insert(member)
     }
 
-    /// A member replied to an announcement. Whether it counted as unreachable.
+    /// Marks a member that replied to an announcement as reachable. Returns whether it counted as unreachable before.
     pub fn on_reply(&mut self, member: u64) -> bool {
         self.missed_replies.remove(&member);
         self.unreachable.remove(&member)
     }
 
-    /// The members to announce this proxy to, at regular intervals and when a member didn't answer. Those that have missed too many count as unreachable
-    /// from now on; they are told all the same, as their reply shows that they are back.
-    pub fn begin_round(&mut self) -> Vec<u64> {
+    /// Begins a round of announcements and returns the members to announce this proxy to. Called at regular intervals
+    /// and when a member didn't answer a request.
+    ///
+    /// Members that left too many announcements unanswered count as unreachable from now on. They are still announced
+    /// to, as their reply shows that they are reachable again.
+    pub fn begin_announcement_round(&mut self) -> Vec<u64> {
         for member in &self.members {
             let missed = self.missed_replies.entry(*member).or_default();
             if *missed >= MAX_MISSED_REPLIES {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,11 +1,12 @@
-//! Limits on tenants' requests over all proxies together. State machines without I/O or clock; times are durations since
-//! the start of the process.
+//! Rate limits for tenants, enforced over all proxies together. The state machines here have no I/O and no clock; times
+//! are durations since the start of the process.
 //!
-//! Each tenant has a home: the member of the control plane that comes first in the tenant's rendezvous order among those
-//! that a proxy reaches ([`HomeDirectory`]). The home keeps the tenant's [`TokenBucket`] and grants one request after the
-//! other ([`QuotaServer`]). A bucket starts empty, and it fills only by the share of the proxies that have this member as
-//! the tenant's home: wherever the proxies turn to, all homes of a tenant together grant no more than its limit. A proxy
-//! that reaches no home has its even share to itself ([`LocalQuota`]), which no home hands out meanwhile.
+//! Each tenant has a home: the first member of the control plane in the tenant's rendezvous order that a proxy can
+//! reach ([`HomeDirectory`]). The home keeps the tenant's [`TokenBucket`] and decides on its requests one at a time
+//! ([`QuotaServer`]). A bucket starts empty and is refilled only in proportion to the proxies that have this member as
+//! the tenant's home. So all homes of a tenant together grant no more than its limit, whichever members the proxies
+//! reach. A proxy that reaches no member decides by itself within an even share of the limit ([`LocalQuota`]), which no
+//! home grants meanwhile.
 //!
 //! ```
 //! use configuration::RateLimit;
--- a/crates/quota/src/local_quota.rs
+++ b/crates/quota/src/local_quota.rs
@@ -1,36 +1,38 @@
-//! Decisions of a proxy that reaches no home: it has its even share of each limit to itself.
+//! Local quota decisions of a proxy that reaches no member: it grants an even share of each limit by itself.
 
 use crate::token_bucket::Decision;
 use configuration::RateLimit;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// For so long it counts how much of a burst a home had at hand.
-const BURST_KNOWN_FOR: Duration = Duration::from_secs(2);
+/// Age up to which the fraction of the burst in a home's last reply is used.
+const MAX_BURST_LEFT_AGE: Duration = Duration::from_secs(2);
 
-/// One tenant's share of one proxy.
+/// This proxy's share of one tenant's limit.
 #[derive(Debug)]
 struct LocalShare {
+    /// Units available; below 0 in debt.
     level: f64,
     updated_at: Duration,
-    /// Part of a request's cost that has to be at hand; drawn anew after each request.
+    /// Fraction of a request's cost that has to be available, drawn at random again after each granted request.
     threshold: f64,
 }
 
-/// What a home told of a tenant last.
+/// The last reply of a home for a tenant.
 #[derive(Clone, Copy, Debug)]
 struct HomeReply {
-    at: Duration,
-    /// How much of the burst was at hand, from 0 to 1.
+    received_at: Duration,
+    /// Fraction of the burst that was available, from 0 to 1.
     burst_left: f64,
 }
 
-/// The proxy's even share of the tenants' limits, while it reaches no home.
+/// The proxy's even shares of the tenants' limits, used while it reaches no member.
 ///
-/// A share may be far smaller than a request. Where each proxy waited until it has a whole request at hand, the fleet
-/// would start with much too little; where each granted its first request at once, with much too much. A request is
-/// granted once a part of its cost is at hand that is drawn uniformly: over all proxies this grants what the rate brings.
-/// At first a proxy has its even share of what was left of the burst: its home, out of reach, hands that out no more.
+/// A share may be far smaller than the cost of one request. If each proxy waited until the whole cost is available, the
+/// fleet would grant far too little at first; if each granted its first request immediately, far too much. So a request
+/// is granted once a uniformly drawn fraction of its cost is available, which over all proxies amounts to the rate of
+/// the limit. A share starts with an even part of what was left of the burst, which the unreachable home no longer
+/// grants.
 #[derive(Debug, Default)]
 pub struct LocalQuota {
     shares: BTreeMap<String, LocalShare>,
@@ -38,7 +40,8 @@
 }
 
 impl LocalQuota {
-    /// Decides on a request of `cost` units, as one of `proxy_count` proxies. `random` is uniform in [0, 1).
+    /// Decides on a request of `cost` units, as one of `proxy_count` proxies. `random` is uniformly distributed in
+    /// [0, 1).
     pub fn take(
         &mut self,
         now: Duration,
@@ -78,17 +81,18 @@
         }
     }
 
-    /// A home decides for the tenant, with so much of the burst at hand (from 0 to 1): the share is back there.
+    /// Drops the tenant's local share, as a home decides for it again. `burst_left` is the fraction of the burst that
+    /// is available there, from 0 to 1.
     pub fn on_home_reply(&mut self, now: Duration, tenant: &str, burst_left: f64) {
         self.shares.remove(tenant);
         let reply = HomeReply {
-            at: now,
+            received_at: now,
             burst_left: burst_left.clamp(0.0, 1.0),
         };
         self.replies.insert(tenant.to_owned(), reply);
     }
 
-    /// Forgets all tenants but some.
+    /// Removes all tenants for which `is_kept` returns false.
     pub fn retain_tenants(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.shares.retain(|name, _| is_kept(name));
         self.replies.retain(|name, _| is_kept(name));
@@ -97,7 +101,7 @@
     fn burst_left(&self, now: Duration, tenant: &str) -> f64 {
         let reply = self.replies.get(tenant);
         reply
-            .filter(|reply| now.saturating_sub(reply.at) <= BURST_KNOWN_FOR)
+            .filter(|reply| now.saturating_sub(reply.received_at) <= MAX_BURST_LEFT_AGE)
             .map_or(0.0, |reply| reply.burst_left)
     }
 }
--- a/crates/quota/src/server.rs
+++ b/crates/quota/src/server.rs
@@ -1,66 +1,66 @@
-//! A member's part: the buckets of the tenants whose home it is.
+//! The member's side: decides on quota requests from the token buckets of the tenants whose home it is.
 
 use crate::decision_log::DecisionLog;
 pub use crate::decision_log::RequestId;
-use crate::presence::{Announced, Presence};
+use crate::presence::{Presence, PresenceChange};
 use crate::tenant_quota::TenantQuota;
 use crate::token_bucket::Decision;
 use configuration::RateLimit;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Tenants that are kept though they aren't in the configuration known here, which may be late.
+/// Maximum number of tenants kept beyond those of the configuration known here, which may be outdated.
 const MAX_UNKNOWN_TENANTS: usize = 1024;
-/// The answer for a tenant beyond these.
-const TOO_MANY_TENANTS: Decision = Decision::Refused {
+/// Decision for a tenant beyond [`MAX_UNKNOWN_TENANTS`].
+const TOO_MANY_TENANTS_DECISION: Decision = Decision::Refused {
     retry_after: Duration::from_millis(500),
 };
-/// Part of the borne excess that a home may hand out beyond its share. The rest is for the moments in which proxies turn
-/// from one home to another.
-const EXCESS_SHARE: f64 = 0.25;
-/// A tenant that isn't in the configuration known here is forgotten after it wasn't asked for during this time.
+/// Fraction of the tolerated excess that a home may grant beyond its share. The rest covers the periods in which
+/// proxies switch from one home to another.
+const HOME_EXCESS_SHARE: f64 = 0.25;
+/// Time without requests after which a tenant that isn't in the configuration known here is removed.
 const UNKNOWN_TENANT_RETENTION: Duration = Duration::from_secs(60);
 
 /// Settings of a [`QuotaServer`].
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaSettings {
-    /// This member's id.
+    /// Id of this member.
     pub member_id: u64,
-    /// Excess over the limits that the operators bear, as a share of them. Where the number of proxies isn't known for
-    /// sure, a home may hand out a part of that beyond its share.
+    /// Excess over the limits that the operators tolerate, as a fraction of the limit. As the number of proxies isn't
+    /// known exactly, a home may grant a part of that beyond its share.
     pub excess: f64,
 }
 
-/// A tenant's limit, and where it is from.
+/// A tenant's limit and the configuration that it comes from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantLimit {
-    /// Version of the configuration that has it.
+    /// Version of the configuration that defines the limit.
     pub configuration_version: u64,
-    /// The limit.
+    /// Rate and burst of the limit, in units.
     pub limit: RateLimit,
 }
 
-/// What a member knows of the fleet.
+/// The fleet as a member knows it.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Ids of the control plane's members, this one among them.
+    /// Ids of the control plane's members, including this one.
     pub members: Vec<u64>,
     /// Number of proxies.
     pub proxy_count: usize,
-    /// Tenants that have a limit.
+    /// Names and limits of the tenants that have a limit.
     pub tenants: Vec<(String, TenantLimit)>,
 }
 
-/// How a tenant uses its quota, as far as this member decides on it.
+/// A tenant's quota usage, as far as this member has decided on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantUse {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Its limit.
+    /// The tenant's limit.
     pub limit: RateLimit,
-    /// Units at hand; below 0 in debt.
+    /// Units available; below 0 in debt.
     pub level: f64,
-    /// Units granted since this process started.
+    /// Units granted since this process started, less those refunded.
     pub units_granted: f64,
     /// Requests granted since this process started.
     pub granted: u64,
@@ -68,25 +68,25 @@
     pub refused: u64,
 }
 
-/// Decides for the tenants whose home this member is. All others it could decide for have empty buckets.
+/// Decides on requests of the tenants whose home this member is. The buckets of all other tenants stay empty here.
 #[derive(Debug)]
 pub struct QuotaServer {
     settings: QuotaSettings,
-    /// When this process started.
+    /// Start of this process.
     started_at: Duration,
     members: Vec<u64>,
     proxy_count: usize,
     presence: Presence,
     tenants: BTreeMap<String, TenantQuota>,
     /// Names of the tenants in the configuration known here.
-    configured: BTreeSet<String>,
+    configured_tenants: BTreeSet<String>,
     decisions: DecisionLog,
-    /// Proxies, members or tenants have changed since the shares were worked out.
+    /// Whether proxies, members or tenants have changed since the shares were last computed.
     shares_outdated: bool,
 }
 
 impl QuotaServer {
-    /// A server that starts now and knows neither tenants nor proxies.
+    /// Creates a server that starts at `now`, with no tenants and no proxies.
     pub fn new(now: Duration, settings: QuotaSettings) -> Self {
         Self {
             settings,
@@ -95,13 +95,13 @@
             proxy_count: 0,
             presence: Presence::default(),
             tenants: BTreeMap::new(),
-            configured: BTreeSet::new(),
+            configured_tenants: BTreeSet::new(),
             decisions: DecisionLog::default(),
             shares_outdated: false,
         }
     }
 
-    /// Takes in what is known of the fleet. A tenant that is there already keeps its bucket.
+    /// Applies a new view of the fleet. Tenants that exist already keep their buckets.
     pub fn set_fleet(&mut self, now: Duration, fleet: FleetView) {
         if self.members != fleet.members {
             self.members = fleet.members;
@@ -110,18 +110,18 @@
             }
         }
         self.proxy_count = fleet.proxy_count;
-        self.configured = fleet.tenants.iter().map(|(name, _)| name.clone()).collect();
+        self.configured_tenants = fleet.tenants.iter().map(|(name, _)| name.clone()).collect();
         for (name, limit) in fleet.tenants {
             self.tenant(now, &name, limit);
         }
         self.shares_outdated = true;
     }
 
-    /// A proxy tells that it is there, and which members it doesn't reach. `unused` is for how long its process has been
-    /// there without using any quota; zero once it has.
+    /// Handles a proxy's announcement of its presence and of the members that it can't reach. `unused` is the time for
+    /// which its process has run without requesting any quota; zero once it has.
     ///
-    /// What such a proxy would have been granted since this process started is still to be had. So after a restart of the
-    /// whole system the buckets fill from the start on, not from the first announcement.
+    /// The share of the rate that such a proxy left unused since this process started is credited to the buckets. So
+    /// after a restart of the whole system the buckets fill from the start, not from the first announcement.
     pub fn on_presence(
         &mut self,
         now: Duration,
@@ -130,39 +130,39 @@
         unreachable: BTreeSet<u64>,
     ) {
         let age = now.saturating_sub(self.started_at);
-        let counts_since = now.saturating_sub(unused.min(age));
-        let announced = self
+        let credited_since = now.saturating_sub(unused.min(age));
+        let change = self
             .presence
-            .announce(now, proxy, unreachable, counts_since);
-        self.shares_outdated |= announced != Announced::Known;
-        if announced == Announced::New {
-            self.fill_for_new_proxy(now, proxy);
+            .announce(now, proxy, unreachable, credited_since);
+        self.shares_outdated |= change != PresenceChange::Unchanged;
+        if change == PresenceChange::Added {
+            self.credit_new_proxy(now, proxy);
         }
     }
 
-    fn fill_for_new_proxy(&mut self, now: Duration, proxy: u64) {
-        let Some(since) = self.presence.counts_since(proxy) else {
+    fn credit_new_proxy(&mut self, now: Duration, proxy: u64) {
+        let Some(since) = self.presence.credited_since(proxy) else {
             return;
         };
-        let share = 1.0 / self.proxies();
+        let share = 1.0 / self.sharing_proxy_count();
         let past = now.saturating_sub(since);
         let age = now.saturating_sub(self.started_at);
         let nothing_unreachable = BTreeSet::new();
         for tenant in self.tenants.values_mut() {
             if tenant.is_homed_at(self.settings.member_id, &nothing_unreachable) {
-                tenant.bucket.fill_for_past(share, past, age);
+                tenant.bucket.backfill(share, past, age);
             }
         }
     }
 
-    /// Number of proxies among which the limits are shared.
-    fn proxies(&self) -> f64 {
+    /// Returns the number of proxies that share the limits; at least 1.
+    fn sharing_proxy_count(&self) -> f64 {
         self.proxy_count.max(self.presence.count()).max(1) as f64
     }
 
-    /// Decides on a request of `cost` units of a tenant; `limit` is what the proxy knows. Costs below 0 put units back.
-    /// Without `max_wait` the units were used already, and are charged in any case. A request that came before gets the
-    /// decision that it got then.
+    /// Decides on a tenant's request of `cost` units; `limit` is the limit that the proxy knows. A negative cost
+    /// refunds units. Without `max_wait` the units have been used already and are charged in any case. A retransmitted
+    /// request gets its original decision.
     pub fn on_request(
         &mut self,
         now: Duration,
@@ -172,15 +172,15 @@
         cost: f64,
         max_wait: Option<Duration>,
     ) -> Decision {
-        self.shares_outdated |= self.presence.heard(now, id.proxy);
+        self.shares_outdated |= self.presence.record_contact(now, id.proxy);
         if let Some(decision) = self.decisions.find(id) {
             return decision;
         }
         if self.has_too_many_tenants(tenant) {
-            return TOO_MANY_TENANTS;
+            return TOO_MANY_TENANTS_DECISION;
         }
         let quota = self.tenant(now, tenant, limit);
-        quota.asked_at = now;
+        quota.last_request_at = now;
         self.update_shares(now);
         let quota = self.tenant(now, tenant, limit);
         let decision = quota.decide(now, cost, max_wait);
@@ -188,17 +188,19 @@
         decision
     }
 
-    /// Lets time pass. To be called about every 100 ms: over a longer pause buckets don't fill.
+    /// Removes silent proxies and unknown tenants, and refills the buckets. To be called about every 100 ms: of a pause
+    /// longer than 300 ms only that time is refilled.
     pub fn tick(&mut self, now: Duration) {
         if self.presence.expire(now) {
             let presence = &self.presence;
             self.decisions.retain(|proxy| presence.contains(proxy));
             self.shares_outdated = true;
         }
-        let configured = &self.configured;
+        let configured_tenants = &self.configured_tenants;
         self.tenants.retain(|name, tenant| {
-            let asked_lately = now.saturating_sub(tenant.asked_at) < UNKNOWN_TENANT_RETENTION;
-            asked_lately || configured.contains(name)
+            let requested_recently =
+                now.saturating_sub(tenant.last_request_at) < UNKNOWN_TENANT_RETENTION;
+            requested_recently || configured_tenants.contains(name)
         });
         self.update_shares(now);
         for tenant in self.tenants.values_mut() {
@@ -206,16 +208,19 @@
         }
     }
 
-    /// How much of a tenant's burst is at hand here, from 0 to 1.
+    /// Returns the fraction of a tenant's burst that is available here, from 0 to 1.
     pub fn burst_left(&self, tenant: &str) -> f64 {
         let tenant = self.tenants.get(tenant);
         tenant.map_or(0.0, |tenant| tenant.bucket.burst_left())
     }
 
-    /// How the tenants use their quotas that were asked for here, by name.
+    /// Returns the quota usage of the tenants with requests that were decided here, ordered by name.
     pub fn uses(&self) -> Vec<TenantUse> {
-        let asked = |tenant: &TenantQuota| tenant.granted + tenant.refused > 0;
-        let tenants = self.tenants.iter().filter(|(_, tenant)| asked(tenant));
+        let has_decisions = |tenant: &TenantQuota| tenant.granted + tenant.refused > 0;
+        let tenants = self
+            .tenants
+            .iter()
+            .filter(|(_, tenant)| has_decisions(tenant));
         tenants
             .map(|(name, tenant)| TenantUse {
                 tenant: name.clone(),
@@ -228,10 +233,10 @@
             .collect()
     }
 
-    /// Whether one more tenant that isn't in the configuration would take too much memory.
+    /// Returns whether `tenant` is new here and the number of tenants has reached its limit, which bounds the memory.
     fn has_too_many_tenants(&self, tenant: &str) -> bool {
-        let most = self.configured.len() + MAX_UNKNOWN_TENANTS;
-        self.tenants.len() >= most && !self.tenants.contains_key(tenant)
+        let max_tenants = self.configured_tenants.len() + MAX_UNKNOWN_TENANTS;
+        self.tenants.len() >= max_tenants && !self.tenants.contains_key(tenant)
     }
 
     fn tenant(&mut self, now: Duration, name: &str, limit: TenantLimit) -> &mut TenantQuota {
@@ -249,30 +254,32 @@
         quota
     }
 
-    /// A tenant that wasn't known here, with what its bucket would hold if it had been there all the time.
+    /// Creates the state of a tenant that wasn't known here, with the bucket filled as if it had been known from the
+    /// start.
     fn new_tenant(&self, now: Duration, name: &str, limit: TenantLimit) -> TenantQuota {
         let mut quota = TenantQuota::new(now, name, limit, &self.members);
-        let share = 1.0 / self.proxies();
+        let share = 1.0 / self.sharing_proxy_count();
         let age = now.saturating_sub(self.started_at);
-        for (unreachable, since) in self.presence.counted_proxies() {
+        for (unreachable, since) in self.presence.credited_proxies() {
             if quota.is_homed_at(self.settings.member_id, unreachable) {
                 let past = now.saturating_sub(since);
-                quota.bucket.fill_for_past(share, past, age);
+                quota.bucket.backfill(share, past, age);
             }
         }
         quota
     }
 
-    /// Fills each bucket by the share of the proxies that have this member as the tenant's home.
+    /// Sets each bucket's refill share to the fraction of proxies that have this member as the tenant's home.
     fn update_shares(&mut self, now: Duration) {
         if !std::mem::take(&mut self.shares_outdated) {
             return;
         }
-        let groups = self.presence.groups();
-        let proxies = self.proxies();
+        let proxies_by_unreachable = self.presence.counts_by_unreachable();
+        let proxies = self.sharing_proxy_count();
         for tenant in self.tenants.values_mut() {
-            let homed = tenant.proxies_homed_at(self.settings.member_id, &groups) as f64;
-            let share = homed / proxies * (1.0 + EXCESS_SHARE * self.settings.excess);
+            let homed_proxies =
+                tenant.proxies_homed_at(self.settings.member_id, &proxies_by_unreachable) as f64;
+            let share = homed_proxies / proxies * (1.0 + HOME_EXCESS_SHARE * self.settings.excess);
             tenant.bucket.set_share(now, share.min(1.0));
         }
     }
--- a/crates/quota/src/tenant_quota.rs
+++ b/crates/quota/src/tenant_quota.rs
@@ -1,4 +1,4 @@
-//! What a member knows of one tenant's quota.
+//! State of one tenant's quota at one member.
 
 use crate::placement::{home, ranking};
 use crate::token_bucket::{Decision, TokenBucket};
@@ -10,15 +10,16 @@
 #[derive(Debug)]
 pub(crate) struct TenantQuota {
     pub(crate) bucket: TokenBucket,
-    /// Version of the configuration that the limit is from.
+    /// Version of the configuration that the limit comes from.
     configuration_version: u64,
-    /// The members in the order in which they are this tenant's home.
+    /// The members in order of preference as this tenant's home.
     ranking: Vec<u64>,
-    pub(crate) asked_at: Duration,
-    /// Units granted, less those put back.
+    pub(crate) last_request_at: Duration,
+    /// Units granted, less those refunded.
     pub(crate) units_granted: f64,
-    /// Requests granted and refused.
+    /// Number of requests granted.
     pub(crate) granted: u64,
+    /// Number of requests refused.
     pub(crate) refused: u64,
 }
 
@@ -28,14 +29,14 @@
             bucket: TokenBucket::empty(now, limit.limit),
             configuration_version: limit.configuration_version,
             ranking: ranking(name, members),
-            asked_at: now,
+            last_request_at: now,
             units_granted: 0.0,
             granted: 0,
             refused: 0,
         }
     }
 
-    /// Takes a limit, unless one of a later configuration is known.
+    /// Applies a limit if it comes from a newer configuration than the current one.
     pub(crate) fn set_limit(&mut self, now: Duration, limit: TenantLimit) {
         if limit.configuration_version > self.configuration_version {
             self.configuration_version = limit.configuration_version;
@@ -47,44 +48,45 @@
         self.ranking = ranking(name, members);
     }
 
-    /// Whether this is the tenant's home for a proxy that doesn't reach some members.
+    /// Returns whether `member` is the tenant's home for a proxy that can't reach the `unreachable` members.
     pub(crate) fn is_homed_at(&self, member: u64, unreachable: &BTreeSet<u64>) -> bool {
         home(&self.ranking, unreachable) == Some(member)
     }
 
-    /// Number of the proxies that have `member` as this tenant's home.
+    /// Returns the number of proxies that have `member` as this tenant's home. `proxies_by_unreachable` counts the
+    /// proxies by the set of members that they can't reach.
     pub(crate) fn proxies_homed_at(
         &self,
         member: u64,
-        groups: &BTreeMap<&BTreeSet<u64>, usize>,
+        proxies_by_unreachable: &BTreeMap<&BTreeSet<u64>, usize>,
     ) -> usize {
-        groups
+        proxies_by_unreachable
             .iter()
             .filter(|(unreachable, _)| self.is_homed_at(member, unreachable))
             .map(|(_, count)| count)
             .sum()
     }
 
-    /// Decides on a request of `cost` units; below 0 it puts units back. What was used already is charged whatever the
-    /// bucket holds.
+    /// Decides on a request of `cost` units; a negative cost refunds units. Without `max_wait` the units have been used
+    /// already and are charged whatever the bucket's level.
     pub(crate) fn decide(
         &mut self,
         now: Duration,
         cost: f64,
         max_wait: Option<Duration>,
     ) -> Decision {
-        const AT_ONCE: Decision = Decision::Granted {
+        const GRANTED_WITHOUT_WAIT: Decision = Decision::Granted {
             wait: Duration::ZERO,
         };
         if cost < 0.0 {
             self.bucket.refund(now, -cost);
             self.units_granted += cost;
-            return AT_ONCE;
+            return GRANTED_WITHOUT_WAIT;
         }
         let Some(max_wait) = max_wait else {
             self.bucket.charge(now, cost);
             self.units_granted += cost;
-            return AT_ONCE;
+            return GRANTED_WITHOUT_WAIT;
         };
         let decision = self.bucket.take(now, cost, max_wait);
         match decision {
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Proxies and members together under faults, from seeds: all homes of a tenant together never grant more than its
-//! limit, and a tenant below its limit is hardly ever refused. Seeded bugs show that the checks find what they are for.
+//! Simulated fleets of proxies and members under injected faults, one per seed: all homes of a tenant together never
+//! grant more than its limit, and a tenant below its limit is rarely refused. Deliberate bugs show that the checks
+//! detect what they guard against.
 
 #[path = "fleet/simulation.rs"]
 mod simulation;
@@ -7,11 +8,11 @@
 use rstest::rstest;
 use simulation::{Bug, Faults, Plan, Simulation};
 
-/// Seeds of each run.
+/// Number of seeds that each test runs.
 const SEEDS: u64 = 60;
 
-/// A tenant that asks for several times its limit.
-fn overloaded(seed: u64, faults: Faults) -> Plan {
+/// Returns a plan with a tenant that demands 3 to 10 times its limit.
+fn overload_plan(seed: u64, faults: Faults) -> Plan {
     Plan {
         seed,
         faults,
@@ -25,31 +26,31 @@
 #[case::lost_datagrams(Faults::LostDatagrams)]
 #[case::killed_members(Faults::KilledMembers)]
 #[case::frozen_members(Faults::FrozenMembers)]
-#[case::cut_members(Faults::CutMembers)]
-#[case::split_by_zone(Faults::SplitByZone)]
+#[case::unreachable_members(Faults::UnreachableMembers)]
+#[case::zone_partition(Faults::ZonePartition)]
 #[case::killed_proxies(Faults::KilledProxies)]
-#[case::no_members(Faults::NoMembers)]
+#[case::all_members_unreachable(Faults::AllMembersUnreachable)]
 #[case::all(Faults::All)]
-fn tenant_beyond_its_limit_gets_no_more_than_the_bounds_allow(#[case] faults: Faults) {
+fn overloaded_tenant_is_granted_no_more_than_the_bound(#[case] faults: Faults) {
     for seed in 0..SEEDS {
-        let result = Simulation::run(&overloaded(seed, faults));
+        let result = Simulation::run(&overload_plan(seed, faults));
         assert!(
-            result.worst_excess <= 0.0,
-            "seed {seed}: {:.0} units beyond the bound at {:?}",
-            result.worst_excess,
-            result.worst_at
+            result.max_excess <= 0.0,
+            "seed {seed}: {:.0} units over the bound at {:?}",
+            result.max_excess,
+            result.max_excess_at
         );
     }
 }
 
 #[test]
-fn tenant_beyond_its_limit_gets_nearly_all_of_it() {
+fn overloaded_tenant_is_granted_nearly_its_whole_limit() {
     for seed in 0..SEEDS {
-        let result = Simulation::run(&overloaded(seed, Faults::None));
+        let result = Simulation::run(&overload_plan(seed, Faults::None));
         assert!(
-            result.used_of_limit > 0.97,
-            "seed {seed}: {:.3}",
-            result.used_of_limit
+            result.used_fraction > 0.97,
+            "seed {seed}: only {:.3} of the limit used",
+            result.used_fraction
         );
     }
 }
@@ -59,16 +60,16 @@
 #[case::lost_datagrams(Faults::LostDatagrams, 0.02)]
 #[case::killed_proxies(Faults::KilledProxies, 0.02)]
 #[case::killed_members(Faults::KilledMembers, 0.25)]
-#[case::cut_members(Faults::CutMembers, 0.12)]
-fn tenant_below_its_limit_is_hardly_refused(#[case] faults: Faults, #[case] most: f64) {
+#[case::unreachable_members(Faults::UnreachableMembers, 0.12)]
+fn tenant_below_its_limit_is_rarely_refused(#[case] faults: Faults, #[case] max_refused: f64) {
     for seed in 0..SEEDS {
         let plan = Plan {
             demand: 0.7,
-            ..overloaded(seed, faults)
+            ..overload_plan(seed, faults)
         };
         let result = Simulation::run(&plan);
         assert!(
-            result.refused_share < most,
+            result.refused_share < max_refused,
             "seed {seed}: {:.3} refused",
             result.refused_share
         );
@@ -77,17 +78,17 @@
 
 #[rstest]
 #[case::home_that_starts_full(Bug::HomeStartsFull, Faults::KilledMembers)]
-#[case::refund_without_number(Bug::RefundTwice, Faults::LostDatagrams)]
-#[case::every_home_fills_at_the_whole_rate(Bug::WholeRateEverywhere, Faults::SplitByZone)]
-#[case::local_share_granted_at_once(Bug::LocalGrantAtOnce, Faults::NoMembers)]
-#[case::local_share_of_the_whole_limit(Bug::LocalWholeLimit, Faults::NoMembers)]
-fn seeded_bug_is_found(#[case] bug: Bug, #[case] faults: Faults) {
+#[case::refund_not_deduplicated(Bug::RefundTwice, Faults::LostDatagrams)]
+#[case::every_home_refills_at_the_whole_rate(Bug::WholeRateAtEveryHome, Faults::ZonePartition)]
+#[case::local_share_granted_immediately(Bug::LocalGrantImmediately, Faults::AllMembersUnreachable)]
+#[case::local_share_of_the_whole_limit(Bug::LocalWholeLimit, Faults::AllMembersUnreachable)]
+fn deliberate_bug_is_detected(#[case] bug: Bug, #[case] faults: Faults) {
     let found = (0..4 * SEEDS).any(|seed| {
         let plan = Plan {
             bug: Some(bug),
-            ..overloaded(seed, faults)
+            ..overload_plan(seed, faults)
         };
-        Simulation::run(&plan).worst_excess > 0.0
+        Simulation::run(&plan).max_excess > 0.0
     });
-    assert!(found, "no seed shows {bug:?}");
+    assert!(found, "no seed detects {bug:?}");
 }
--- a/crates/quota/tests/fleet/simulation.rs
+++ b/crates/quota/tests/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! Simulated proxies and members with one tenant, in steps of a few milliseconds.
+//! Simulation of proxies and members that share the quota of one tenant, in steps of 5 ms.
 
 use configuration::RateLimit;
 use quota::{
@@ -15,49 +15,52 @@
 const PROXIES: u64 = 80;
 const ZONES: u64 = 4;
 const STEP: Duration = Duration::from_millis(5);
-const LENGTH: Duration = Duration::from_secs(40);
-/// Requests start once the buckets have had time to fill.
-const TRAFFIC_FROM: Duration = Duration::from_secs(4);
-const WINDOW: Duration = Duration::from_secs(8);
-const EXCESS: f64 = 0.1;
-/// Two large requests.
-const MARGIN: f64 = 190_000.0;
-const LARGEST_REQUEST: f64 = 93_000.0;
-const MEAN_REQUEST: f64 = 8_600.0;
+const RUN_TIME: Duration = Duration::from_secs(40);
+/// Time at which requests start, after the buckets have had time to fill.
+const TRAFFIC_START: Duration = Duration::from_secs(4);
+/// Length of the sliding window over which the granted units are checked.
+const CHECK_WINDOW: Duration = Duration::from_secs(8);
+/// Tolerated excess over the limit, as a fraction of it.
+const TOLERATED_EXCESS: f64 = 0.1;
+/// Units allowed beyond the tolerated excess, about two of the largest requests.
+const MARGIN_UNITS: f64 = 190_000.0;
+const MAX_REQUEST_COST: f64 = 93_000.0;
+const MEAN_REQUEST_COST: f64 = 8_600.0;
 const LIMIT: RateLimit = RateLimit {
     rate_per_s: 300_000.0,
     burst_size: 900_000.0,
 };
-/// A member that doesn't answer for so long is left for another.
-const ASK_TIMEOUT: Duration = Duration::from_millis(75);
+/// Time without a reply after which a proxy asks another member.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(75);
+/// Maximum time for which a request may be held.
 const MAX_WAIT: Duration = Duration::from_millis(50);
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What goes wrong.
+/// Kind of faults that a run injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Faults {
     None,
     LostDatagrams,
     KilledMembers,
     FrozenMembers,
-    /// Members that some proxies don't reach.
-    CutMembers,
-    /// Each zone reaches its own members only.
-    SplitByZone,
+    /// Some proxies can't reach some of the members for a while.
+    UnreachableMembers,
+    /// Each zone's proxies reach only the members of their own zone for a while.
+    ZonePartition,
     KilledProxies,
     /// No proxy reaches any member for a while.
-    NoMembers,
+    AllMembersUnreachable,
     All,
 }
 
-/// A mistake of a home's or a proxy's, put in on purpose.
+/// Deliberate bug of a home or a proxy that the checks have to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bug {
     HomeStartsFull,
     RefundTwice,
-    WholeRateEverywhere,
-    LocalGrantAtOnce,
+    WholeRateAtEveryHome,
+    LocalGrantImmediately,
     LocalWholeLimit,
 }
 
@@ -70,20 +73,20 @@
 }
 
 pub struct RunResult {
-    /// Units beyond the bound in the worst window; below 0 if it was kept.
-    pub worst_excess: f64,
-    pub worst_at: Duration,
+    /// Largest number of units over the bound in any window; below 0 if the bound was kept.
+    pub max_excess: f64,
+    pub max_excess_at: Duration,
     pub refused_share: f64,
-    /// Units used, as a share of what the rate brings while there is traffic.
-    pub used_of_limit: f64,
+    /// Units used as a fraction of the rate multiplied by the time with traffic.
+    pub used_fraction: f64,
 }
 
 struct SimulatedMember {
     server: QuotaServer,
     next_tick: Duration,
-    /// It takes nothing before this time.
+    /// Time until which it handles no datagrams and no ticks.
     stalled_until: Duration,
-    /// It is down until this time, and starts anew then.
+    /// Time at which it restarts without its state; `None` while it is up.
     down_until: Option<Duration>,
 }
 
@@ -98,42 +101,42 @@
 }
 
 pub struct Simulation {
-    plan_faults: Faults,
+    faults: Faults,
     bug: Option<Bug>,
     demand: f64,
     random: Pcg64Mcg,
     now: Duration,
     members: BTreeMap<u64, SimulatedMember>,
     proxies: Vec<SimulatedProxy>,
-    /// Units used, each with its time.
+    /// Time and units of each use in the current window.
     used: VecDeque<(Duration, f64)>,
     used_in_window: f64,
-    used_in_all: f64,
+    total_used: f64,
     requests: u64,
     refused: u64,
-    next_life: u64,
-    worst_excess: f64,
-    worst_at: Duration,
+    next_proxy_id: u64,
+    max_excess: f64,
+    max_excess_at: Duration,
 }
 
 impl Simulation {
     pub fn run(plan: &Plan) -> RunResult {
         let mut simulation = Self::new(plan);
-        while simulation.now < LENGTH {
+        while simulation.now < RUN_TIME {
             simulation.step();
         }
-        let traffic_s = (LENGTH - TRAFFIC_FROM).as_secs_f64();
+        let traffic_s = (RUN_TIME - TRAFFIC_START).as_secs_f64();
         RunResult {
-            worst_excess: simulation.worst_excess,
-            worst_at: simulation.worst_at,
+            max_excess: simulation.max_excess,
+            max_excess_at: simulation.max_excess_at,
             refused_share: simulation.refused as f64 / simulation.requests.max(1) as f64,
-            used_of_limit: simulation.used_in_all / (LIMIT.rate_per_s * traffic_s),
+            used_fraction: simulation.total_used / (LIMIT.rate_per_s * traffic_s),
         }
     }
 
     fn new(plan: &Plan) -> Self {
         let mut simulation = Self {
-            plan_faults: plan.faults,
+            faults: plan.faults,
             bug: plan.bug,
             demand: plan.demand,
             random: Pcg64Mcg::seed_from_u64(plan.seed),
@@ -142,12 +145,12 @@
             proxies: Vec::new(),
             used: VecDeque::new(),
             used_in_window: 0.0,
-            used_in_all: 0.0,
+            total_used: 0.0,
             requests: 0,
             refused: 0,
-            next_life: 1,
-            worst_excess: f64::NEG_INFINITY,
-            worst_at: Duration::ZERO,
+            next_proxy_id: 1,
+            max_excess: f64::NEG_INFINITY,
+            max_excess_at: Duration::ZERO,
         };
         for id in 1..=MEMBERS {
             let member = simulation.new_member(id);
@@ -163,7 +166,7 @@
     fn new_member(&self, id: u64) -> SimulatedMember {
         let settings = QuotaSettings {
             member_id: id,
-            excess: EXCESS,
+            excess: TOLERATED_EXCESS,
         };
         let mut server = QuotaServer::new(self.now, settings);
         server.set_fleet(self.now, fleet());
@@ -190,8 +193,8 @@
     }
 
     fn new_proxy(&mut self) -> SimulatedProxy {
-        let id = self.next_life;
-        self.next_life += 1;
+        let id = self.next_proxy_id;
+        self.next_proxy_id += 1;
         let mut directory = HomeDirectory::default();
         directory.set_members((1..=MEMBERS).collect());
         SimulatedProxy {
@@ -223,43 +226,43 @@
         self.check_window();
     }
 
-    fn has(&self, fault: Faults) -> bool {
-        self.plan_faults == fault || self.plan_faults == Faults::All
+    fn injects(&self, fault: Faults) -> bool {
+        self.faults == fault || self.faults == Faults::All
     }
 
-    /// Whether something that happens about once in `period_s` happens in this step.
-    fn chance(&mut self, period_s: f64) -> bool {
+    /// Returns at random whether an event with a mean interval of `period_s` seconds happens in this step.
+    fn happens_now(&mut self, period_s: f64) -> bool {
         self.random.random::<f64>() < STEP.as_secs_f64() / period_s
     }
 
     fn inject_faults(&mut self) {
-        let mut reborn = Vec::new();
+        let mut restarted = Vec::new();
         for (id, member) in &mut self.members {
             if member.down_until.is_some_and(|until| self.now >= until) {
-                reborn.push(*id);
+                restarted.push(*id);
             }
         }
-        for id in reborn {
+        for id in restarted {
             let member = self.new_member(id);
             self.members.insert(id, member);
         }
-        if self.now < TRAFFIC_FROM {
+        if self.now < TRAFFIC_START {
             return;
         }
         let id = 1 + self.random.random::<u64>() % MEMBERS;
-        if self.has(Faults::KilledMembers) && self.chance(5.0) {
+        if self.injects(Faults::KilledMembers) && self.happens_now(5.0) {
             let down = Duration::from_millis(500 + self.random.random::<u64>() % 3000);
             if let Some(member) = self.members.get_mut(&id) {
                 member.down_until = Some(self.now + down);
             }
         }
-        if self.has(Faults::FrozenMembers) && self.chance(4.0) {
+        if self.injects(Faults::FrozenMembers) && self.happens_now(4.0) {
             let stall = Duration::from_millis(200 + self.random.random::<u64>() % 4000);
             if let Some(member) = self.members.get_mut(&id) {
                 member.stalled_until = self.now + stall;
             }
         }
-        if self.has(Faults::KilledProxies) && self.chance(1.0) {
+        if self.injects(Faults::KilledProxies) && self.happens_now(1.0) {
             let index = (self.random.random::<u64>() % PROXIES) as usize;
             let down = Duration::from_millis(self.random.random::<u64>() % 2000);
             let mut proxy = self.new_proxy();
@@ -269,19 +272,20 @@
         }
     }
 
-    /// Whether a datagram from this proxy reaches this member, or one back the proxy.
+    /// Returns whether a datagram between this proxy and this member is delivered, in either direction.
     fn reaches(&mut self, proxy: usize, member: u64) -> bool {
-        let is_lost = self.has(Faults::LostDatagrams) && self.random.random::<f64>() < 0.05;
+        let is_lost = self.injects(Faults::LostDatagrams) && self.random.random::<f64>() < 0.05;
         let zone = proxy as u64 % ZONES;
-        let in_fault = self.now >= Duration::from_secs(10) && self.now < Duration::from_secs(18);
-        let cut = match self.plan_faults {
-            Faults::CutMembers => member.is_multiple_of(2) && zone == 0,
-            Faults::SplitByZone => member % ZONES != zone,
-            Faults::NoMembers => true,
+        let partition_active =
+            self.now >= Duration::from_secs(10) && self.now < Duration::from_secs(18);
+        let is_partitioned = match self.faults {
+            Faults::UnreachableMembers => member.is_multiple_of(2) && zone == 0,
+            Faults::ZonePartition => member % ZONES != zone,
+            Faults::AllMembersUnreachable => true,
             Faults::All => member % 3 == zone % 3,
             _ => false,
         };
-        !(is_lost || (cut && in_fault))
+        !(is_lost || (is_partitioned && partition_active))
     }
 
     fn is_serving(&self, member: u64) -> bool {
@@ -292,13 +296,13 @@
     fn run_proxy(&mut self, index: usize) {
         if self.now >= self.proxies[index].next_announcement {
             self.proxies[index].next_announcement = self.now + ANNOUNCE_INTERVAL;
-            self.proxies[index].directory.begin_round();
+            self.proxies[index].directory.begin_announcement_round();
             self.announce(index);
         }
-        if self.now < TRAFFIC_FROM {
+        if self.now < TRAFFIC_START {
             return;
         }
-        let requests_per_s = self.demand * LIMIT.rate_per_s / MEAN_REQUEST / PROXIES as f64;
+        let requests_per_s = self.demand * LIMIT.rate_per_s / MEAN_REQUEST_COST / PROXIES as f64;
         if self.random.random::<f64>() < requests_per_s * STEP.as_secs_f64() {
             self.request(index);
         }
@@ -317,13 +321,14 @@
                 continue;
             }
             let now = self.now;
-            let others: BTreeSet<u64> = (1..=MEMBERS).filter(|other| *other != member).collect();
+            let other_members: BTreeSet<u64> =
+                (1..=MEMBERS).filter(|other| *other != member).collect();
             if let Some(member) = self.members.get_mut(&member) {
                 let unreachable = unreachable.iter().copied().collect();
                 member.server.on_presence(now, id, unused, unreachable);
-                if self.bug == Some(Bug::WholeRateEverywhere) {
+                if self.bug == Some(Bug::WholeRateAtEveryHome) {
                     for other in 1..=PROXIES {
-                        let unreachable = others.clone();
+                        let unreachable = other_members.clone();
                         member.server.on_presence(now, other, unused, unreachable);
                     }
                 }
@@ -337,9 +342,9 @@
     fn request(&mut self, index: usize) {
         self.requests += 1;
         let uniform: f64 = self.random.random();
-        let cost = (-uniform.max(1e-9).ln() * MEAN_REQUEST).min(LARGEST_REQUEST);
+        let cost = (-uniform.max(1e-9).ln() * MEAN_REQUEST_COST).min(MAX_REQUEST_COST);
         match self.acquire(index, cost) {
-            Decision::Granted { wait } => self.record_used(wait, cost),
+            Decision::Granted { wait } => self.record_use(wait, cost),
             Decision::Refused { .. } => self.refused += 1,
         }
     }
@@ -349,19 +354,21 @@
             let Some(home) = self.proxies[index].directory.home(TENANT) else {
                 break;
             };
-            if let Some(decision) = self.ask(index, home, cost) {
-                let left = self.members[&home].server.burst_left(TENANT);
+            if let Some(decision) = self.request_decision(index, home, cost) {
+                let burst_left = self.members[&home].server.burst_left(TENANT);
                 let now = self.now;
-                self.proxies[index].local.on_home_reply(now, TENANT, left);
+                self.proxies[index]
+                    .local
+                    .on_home_reply(now, TENANT, burst_left);
                 return decision;
             }
             if self.proxies[index].directory.on_timeout(home) {
-                self.proxies[index].directory.begin_round();
+                self.proxies[index].directory.begin_announcement_round();
                 self.announce(index);
             }
         }
         let random = match self.bug {
-            Some(Bug::LocalGrantAtOnce) => 0.0,
+            Some(Bug::LocalGrantImmediately) => 0.0,
             _ => self.random.random(),
         };
         let proxies = match self.bug {
@@ -372,17 +379,18 @@
         local.take(self.now, TENANT, LIMIT, proxies, cost, random)
     }
 
-    /// The home's decision; `None` if it doesn't answer in time. A member that stands still takes the request once it is
-    /// awake, when nobody waits any more; the units are spent all the same, so nothing is left out here.
-    fn ask(&mut self, index: usize, home: u64, cost: f64) -> Option<Decision> {
+    /// Returns the home's decision; `None` if it doesn't answer in time. A real stalled member would handle the request
+    /// once it resumes, when no proxy waits for it any more. That is not simulated: it would only charge units that
+    /// nobody uses, so leaving it out can't hide an excess.
+    fn request_decision(&mut self, index: usize, home: u64, cost: f64) -> Option<Decision> {
         self.proxies[index].sequence += 1;
         let id = RequestId {
             proxy: self.proxies[index].id,
             sequence: self.proxies[index].sequence,
         };
         let mut waited = Duration::ZERO;
-        while waited < ASK_TIMEOUT {
-            waited += ASK_TIMEOUT / 2;
+        while waited < REPLY_TIMEOUT {
+            waited += REPLY_TIMEOUT / 2;
             if !self.is_serving(home) || !self.reaches(index, home) {
                 continue;
             }
@@ -390,7 +398,7 @@
             let member = self.members.get_mut(&home)?;
             let server = &mut member.server;
             let decision = server.on_request(now, id, TENANT, limit, cost, Some(MAX_WAIT));
-            self.maybe_refund(home, id, decision, cost);
+            self.inject_double_refund(home, id, decision, cost);
             if self.reaches(index, home) {
                 return Some(decision);
             }
@@ -398,8 +406,8 @@
         None
     }
 
-    /// With this bug a part of the granted units is put back twice, though it was put to use again after the first time.
-    fn maybe_refund(&mut self, home: u64, id: RequestId, decision: Decision, cost: f64) {
+    /// Injects [`Bug::RefundTwice`]: refunds half of the granted units twice, under two sequence numbers.
+    fn inject_double_refund(&mut self, home: u64, id: RequestId, decision: Decision, cost: f64) {
         let is_granted = matches!(decision, Decision::Granted { .. });
         if self.bug != Some(Bug::RefundTwice) || !is_granted {
             return;
@@ -418,15 +426,15 @@
         }
     }
 
-    fn record_used(&mut self, wait: Duration, cost: f64) {
+    fn record_use(&mut self, wait: Duration, cost: f64) {
         self.used.push_back((self.now + wait, cost));
         self.used_in_window += cost;
-        self.used_in_all += cost;
+        self.total_used += cost;
     }
 
-    /// Compares what was used in the window that ends now with the bound.
+    /// Compares the units used in the window that ends now with the bound.
     fn check_window(&mut self) {
-        let start = self.now.saturating_sub(WINDOW);
+        let start = self.now.saturating_sub(CHECK_WINDOW);
         while let Some((at, cost)) = self.used.front().copied() {
             if at >= start {
                 break;
@@ -434,11 +442,11 @@
             self.used_in_window -= cost;
             self.used.pop_front();
         }
-        let allowed = LIMIT.rate_per_s * WINDOW.as_secs_f64() + LIMIT.burst_size;
-        let excess = self.used_in_window - allowed * (1.0 + EXCESS) - MARGIN;
-        if excess > self.worst_excess {
-            self.worst_excess = excess;
-            self.worst_at = self.now;
+        let allowed = LIMIT.rate_per_s * CHECK_WINDOW.as_secs_f64() + LIMIT.burst_size;
+        let excess = self.used_in_window - allowed * (1.0 + TOLERATED_EXCESS) - MARGIN_UNITS;
+        if excess > self.max_excess {
+            self.max_excess = excess;
+            self.max_excess_at = self.now;
         }
     }
 }
--- a/crates/quota/tests/home_directory.rs
+++ b/crates/quota/tests/home_directory.rs
@@ -1,4 +1,4 @@
-//! Which home a proxy asks.
+//! Selection of the home that a proxy asks, by the members' reachability.
 
 use quota::{ranking, HomeDirectory};
 use std::collections::BTreeSet;
@@ -11,53 +11,56 @@
 }
 
 #[test]
-fn home_is_the_first_in_the_tenants_order_that_is_reached() {
-    let (mut directory, order) = directory();
-    for member in &order {
+fn home_is_the_first_reachable_member_of_the_ranking() {
+    let (mut directory, ranking_of_t) = directory();
+    for member in &ranking_of_t {
         assert_eq!(directory.home("t"), Some(*member));
         assert!(directory.on_timeout(*member));
-        assert!(!directory.on_timeout(*member), "it is known already");
+        assert!(
+            !directory.on_timeout(*member),
+            "it is marked as unreachable already"
+        );
     }
     assert_eq!(directory.home("t"), None);
 }
 
 #[test]
-fn home_that_replies_again_is_taken_again() {
-    let (mut directory, order) = directory();
-    directory.on_timeout(order[0]);
-    assert_eq!(directory.unreachable(), [order[0]]);
-    assert!(directory.on_reply(order[0]));
-    assert_eq!(directory.home("t"), Some(order[0]));
+fn home_that_replies_again_is_used_again() {
+    let (mut directory, ranking_of_t) = directory();
+    directory.on_timeout(ranking_of_t[0]);
+    assert_eq!(directory.unreachable(), [ranking_of_t[0]]);
+    assert!(directory.on_reply(ranking_of_t[0]));
+    assert_eq!(directory.home("t"), Some(ranking_of_t[0]));
 }
 
 #[test]
 fn member_that_misses_two_rounds_counts_as_unreachable() {
-    let (mut directory, order) = directory();
+    let (mut directory, ranking_of_t) = directory();
     for _ in 0..2 {
-        directory.begin_round();
+        directory.begin_announcement_round();
     }
-    assert_eq!(directory.home("t"), Some(order[0]));
-    for member in &order[1..] {
+    assert_eq!(directory.home("t"), Some(ranking_of_t[0]));
+    for member in &ranking_of_t[1..] {
         directory.on_reply(*member);
     }
-    directory.begin_round();
-    assert_eq!(directory.unreachable(), [order[0]]);
-    assert_eq!(directory.home("t"), Some(order[1]));
+    directory.begin_announcement_round();
+    assert_eq!(directory.unreachable(), [ranking_of_t[0]]);
+    assert_eq!(directory.home("t"), Some(ranking_of_t[1]));
 }
 
 #[test]
 fn member_that_replies_in_each_round_stays_reachable() {
-    let (mut directory, order) = directory();
+    let (mut directory, ranking_of_t) = directory();
     for _ in 0..20 {
-        for member in directory.begin_round() {
+        for member in directory.begin_announcement_round() {
             directory.on_reply(member);
         }
     }
-    assert_eq!(directory.home("t"), Some(order[0]));
+    assert_eq!(directory.home("t"), Some(ranking_of_t[0]));
 }
 
 #[test]
-fn changed_members_change_the_home_of_as_few_tenants_as_they_must() {
+fn removed_member_changes_only_the_homes_of_its_own_tenants() {
     let (mut directory, _) = directory();
     let tenants: Vec<String> = (0..200).map(|n| format!("tenant-{n}")).collect();
     let before: Vec<Option<u64>> = tenants.iter().map(|t| directory.home(t)).collect();
@@ -70,7 +73,7 @@
 }
 
 #[test]
-fn what_was_unreachable_and_is_no_member_any_more_is_forgotten() {
+fn removed_member_loses_its_unreachable_mark() {
     let (mut directory, _) = directory();
     directory.on_timeout(44);
     directory.set_members(vec![11, 22, 33]);
@@ -81,13 +84,13 @@
 }
 
 #[test]
-fn members_that_are_all_gone_are_known_after_two_of_them_were_waited_for() {
-    let (mut directory, order) = directory();
-    for member in &order[..2] {
+fn total_outage_is_detected_after_two_members_timed_out() {
+    let (mut directory, ranking_of_t) = directory();
+    for member in &ranking_of_t[..2] {
         assert_eq!(directory.home("t"), Some(*member));
         directory.on_timeout(*member);
-        directory.begin_round();
+        directory.begin_announcement_round();
     }
-    directory.begin_round();
+    directory.begin_announcement_round();
     assert_eq!(directory.home("t"), None);
 }
--- a/crates/quota/tests/local_quota.rs
+++ b/crates/quota/tests/local_quota.rs
@@ -1,4 +1,4 @@
-//! Decisions of a proxy that reaches no home.
+//! Local quota decisions of a proxy that reaches no member.
 
 use configuration::RateLimit;
 use quota::{Decision, LocalQuota};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 const PROXIES: usize = 10;
-/// 100 units a second for each proxy.
+/// Limit of the tenant over all proxies; 100 units a second for each of them.
 const LIMIT: RateLimit = RateLimit {
     rate_per_s: 1000.0,
     burst_size: 1000.0,
@@ -22,19 +22,22 @@
 }
 
 #[test]
-fn share_starts_empty_and_fills_at_an_even_part_of_the_rate() {
+fn share_starts_empty_and_is_refilled_at_an_even_part_of_the_rate() {
     let mut quota = LocalQuota::default();
     assert!(!is_granted(&mut quota, 0, 50.0, 0.5));
     assert!(!is_granted(&mut quota, 249, 50.0, 0.5));
-    assert!(is_granted(&mut quota, 250, 50.0, 0.5), "half is at hand");
+    assert!(
+        is_granted(&mut quota, 250, 50.0, 0.5),
+        "half of the cost is available"
+    );
     assert!(!is_granted(&mut quota, 251, 50.0, 0.5));
 }
 
 #[rstest]
 #[case::full(1.0, 500, true)]
 #[case::half(0.5, 500, false)]
-#[case::too_long_ago(1.0, 2001, false)]
-fn share_starts_with_its_part_of_the_burst_that_was_left(
+#[case::reply_too_old(1.0, 2001, false)]
+fn share_starts_with_an_even_part_of_the_remaining_burst(
     #[case] burst_left: f64,
     #[case] at_ms: u64,
     #[case] granted: bool,
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn share_that_went_back_to_a_home_starts_anew() {
+fn share_is_reset_by_a_reply_of_a_home() {
     let mut quota = LocalQuota::default();
     quota.on_home_reply(ms(0), "t", 1.0);
     assert!(is_granted(&mut quota, 10, 100.0, 0.9));
@@ -54,12 +57,12 @@
 }
 
 #[test]
-fn all_proxies_together_grant_about_what_the_rate_brings() {
+fn all_proxies_together_grant_about_the_rate() {
     let mut granted = 0.0;
     for proxy in 0..100 {
         let mut quota = LocalQuota::default();
         let random = |step: u64| ((proxy * 37 + step * 61) % 100) as f64 / 100.0;
-        // Each asks for far more than it has, in requests larger than its share of a second.
+        // Each proxy requests far more than its share, with a cost larger than its share of one second.
         for step in 0..200 {
             let decision = quota.take(ms(step * 10), "t", LIMIT, 100, 80.0, random(step));
             if matches!(decision, Decision::Granted { .. }) {
@@ -67,9 +70,9 @@
             }
         }
     }
-    let brought = LIMIT.rate_per_s * 2.0;
+    let expected = LIMIT.rate_per_s * 2.0;
     assert!(
-        (granted - brought).abs() < 0.3 * brought,
-        "{granted} of {brought}"
+        (granted - expected).abs() < 0.3 * expected,
+        "granted {granted}, expected about {expected}"
     );
 }
