--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,27 +1,27 @@
-//! Incremental decoding of message bodies (RFC 9112, section 6 and 7).
+//! Incremental decoding of message bodies (RFC 9112, sections 6 and 7).
 
 use crate::chunk::{parse_chunk_size, MAX_CHUNK_LINE_BYTES};
 use crate::error::{syntax_error, ParseError};
 use crate::framing::Framing;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// What [`BodyDecoder::decode`] took off a buffer.
+/// Result of [`BodyDecoder::decode`]: what was taken from the front of a buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Decoded {
-    /// Content of the body, without its framing.
+    /// The next piece of the body's content, without its framing.
     Data(Bytes),
     /// More input is needed.
     Incomplete,
-    /// The body is complete; what follows in the buffer belongs to the next message.
+    /// The body is complete; any bytes left in the buffer belong to the next message.
     End,
 }
 
-/// What [`BodyDecoder::decode_step`] found at the front of the input.
+/// Result of [`BodyDecoder::decode_step`]: what is at the front of the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeStep {
-    /// Number of bytes that belong to the framing: chunk sizes, line ends, trailers.
+    /// Number of bytes of framing: chunk-size lines, line endings, trailer fields.
     Framing(usize),
-    /// Number of bytes of content.
+    /// Number of content bytes.
     Data(usize),
     /// More input is needed.
     Incomplete,
@@ -29,22 +29,23 @@
     End,
 }
 
-/// What the decoder expects next.
+/// The part of the body that the decoder expects next.
 #[derive(Debug)]
 enum State {
     ChunkSize,
     Data {
         remaining_bytes: u64,
     },
-    /// The line end behind a chunk's data.
+    /// The line ending after a chunk's data.
     ChunkEnd,
     Trailer {
+        /// Length of the trailer lines decoded so far in bytes, not counting the LF of each.
         bytes_seen: usize,
     },
     Done,
 }
 
-/// Decodes one body, in pieces of any size.
+/// Decoder for one message body that accepts input in pieces of any size.
 #[derive(Debug)]
 pub struct BodyDecoder {
     framing: Framing,
@@ -52,7 +53,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for a body with this framing.
+    /// Creates a decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(0) => State::Done,
@@ -65,18 +66,20 @@
         Self { framing, state }
     }
 
-    /// Whether the body lasts until the connection is closed. The decoder never reports the end of such a body.
+    /// Returns whether the body ends when the connection is closed. The decoder never reports [`Decoded::End`] for such
+    /// a body.
     pub fn is_close_delimited(&self) -> bool {
         self.framing == Framing::CloseDelimited
     }
 
-    /// Whether content comes next. If so, input may be passed in arbitrary pieces; otherwise a line must be
-    /// contiguous.
+    /// Returns whether the decoder expects content next. If so, input may be passed in arbitrary pieces; otherwise each
+    /// line of the framing has to be contiguous.
     pub fn is_in_data(&self) -> bool {
         matches!(self.state, State::Data { .. })
     }
 
-    /// Looks at the front of `input` and advances past what it reports: the caller has to drop as many bytes.
+    /// Decodes the front of `input` and advances the decoder's state past the reported bytes. The caller has to remove
+    /// that many bytes from the input before the next call.
     ///
     /// # Errors
     /// [`ParseError::Syntax`] if a chunk or a trailer is malformed.
@@ -155,7 +158,7 @@
         Ok(DecodeStep::Framing(line_end + 1))
     }
 
-    /// Takes the next piece of the body off the front of `buf`.
+    /// Removes the next piece of the body, with any framing before it, from the front of `buf`.
     ///
     /// # Errors
     /// [`ParseError::Syntax`] if a chunk or a trailer is malformed.
--- a/crates/http1/src/chunk.rs
+++ b/crates/http1/src/chunk.rs
@@ -1,25 +1,25 @@
-//! The line that begins a chunk (RFC 9112, section 7.1).
+//! Chunk-size lines (RFC 9112, section 7.1).
 
 use crate::error::{syntax_error, ParseError};
 
-/// Limit on a chunk's size line with its extensions, and on a whole trailer section.
+/// Maximum length of a chunk-size line with its extensions, and of a whole trailer section.
 pub(crate) const MAX_CHUNK_LINE_BYTES: usize = 4096;
-/// Limit on the digits of a chunk's size: as many as fill 64 bits.
+/// Maximum number of hexadecimal digits in a chunk size: the most that fit into 64 bits.
 const MAX_SIZE_DIGITS: usize = 16;
 
-/// A chunk's size line.
+/// A parsed chunk-size line.
 pub(crate) struct ChunkSizeLine {
-    /// Length of the line with its line end.
+    /// Length of the line in bytes, including its line ending.
     pub(crate) line_bytes: usize,
-    /// Size of the chunk's data.
+    /// Length of the chunk's data in bytes; 0 for the last chunk.
     pub(crate) chunk_bytes: u64,
 }
 
-/// Parses a chunk's size line; `None` if more input is needed. A line without digits is an error: read as 0 it would
-/// pass for the last chunk.
+/// Parses a chunk-size line; `None` if more input is needed. A line without digits is an error, as a size read as 0
+/// would mark it as the last chunk.
 pub(crate) fn parse_chunk_size(input: &[u8]) -> Result<Option<ChunkSizeLine>, ParseError> {
     let Some(line_end) = input.iter().position(|byte| *byte == b'\n') else {
-        return if may_become_size_line(input) {
+        return if is_within_limits(input) {
             Ok(None)
         } else {
             syntax_error("chunk")
@@ -37,8 +37,8 @@
     }
 }
 
-/// Whether a line that has not ended yet is within the limits.
-fn may_become_size_line(input: &[u8]) -> bool {
+/// Returns whether an incomplete chunk-size line is still within the limits.
+fn is_within_limits(input: &[u8]) -> bool {
     let too_many_digits = input.len() > MAX_SIZE_DIGITS
         && input
             .iter()
@@ -47,7 +47,7 @@
     input.len() < MAX_CHUNK_LINE_BYTES && !too_many_digits
 }
 
-/// The size that a whole line gives, without its line end; `None` if the line is malformed.
+/// Parses the chunk size in a complete line without its line ending; `None` if the line is malformed.
 fn chunk_size(line: &[u8]) -> Option<u64> {
     let has_control = line
         .iter()
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,25 +1,25 @@
-//! Errors of parsing.
+//! Parse errors.
 
 use snafu::Snafu;
 
-/// Why a message can't be parsed.
+/// Reason why a message can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ParseError {
-    /// It isn't HTTP/1, or could be read in two ways.
+    /// The message isn't valid HTTP/1, or is ambiguous.
     #[snafu(display("malformed: {what}"))]
     Syntax {
-        /// The part of the message at fault.
+        /// The malformed part of the message, such as `request` or `chunk`.
         what: &'static str,
     },
-    /// The head is over its [limits](crate::HeadLimits).
+    /// The head exceeds its [limits](crate::HeadLimits).
     #[snafu(display("too large"))]
     HeadTooLarge,
-    /// `Content-Length` doesn't fit into 64 bits.
+    /// The value of `Content-Length` doesn't fit into 64 bits.
     #[snafu(display("length too large"))]
     LengthOverflow,
 }
 
-/// Fails with [`ParseError::Syntax`].
+/// Returns [`ParseError::Syntax`] for the named part of the message.
 pub(crate) fn syntax_error<T>(what: &'static str) -> Result<T, ParseError> {
     SyntaxSnafu { what }.fail()
 }
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -1,8 +1,8 @@
-//! The fields of a head, kept as spans of its bytes.
+//! Header fields of a message, stored as spans of the head's bytes.
 
 use bytes::Bytes;
 
-/// Hop-by-hop fields (RFC 9110, section 7.6.1) whatever `Connection` lists.
+/// Fields that are always hop-by-hop (RFC 9110, section 7.6.1), in addition to those that `Connection` lists.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -15,7 +15,7 @@
     "upgrade",
 ];
 
-/// Where a part stands in the bytes of a head.
+/// Byte range of a part within a head.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Span {
     offset: usize,
@@ -23,9 +23,9 @@
 }
 
 impl Span {
-    /// The span of `part`, which has to be a slice of `head`.
+    /// Returns the span of `part`, which has to be a slice of `head`.
     pub(crate) fn within(head: &[u8], part: &[u8]) -> Self {
-        // An empty part may point elsewhere; its offset doesn't matter.
+        // An empty part may point outside the head; its offset is irrelevant.
         Self {
             offset: (part.as_ptr() as usize).saturating_sub(head.as_ptr() as usize),
             length: part.len(),
@@ -33,14 +33,14 @@
     }
 }
 
-/// Name and value of a field.
+/// Spans of a field's name and value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FieldSpan {
     name: Span,
     value: Span,
 }
 
-/// The spans of parsed fields within the head that they were parsed from.
+/// Returns the spans of parsed fields within the head that they were parsed from.
 pub(crate) fn field_spans(head: &[u8], fields: &[httparse::Header]) -> Vec<FieldSpan> {
     fields
         .iter()
@@ -51,7 +51,7 @@
         .collect()
 }
 
-/// The fields of a head (RFC 9110, section 5), in their order and with the case of their names.
+/// Header fields of a message (RFC 9110, section 5), in the order received and with the original case of their names.
 #[derive(Clone, Debug, Default)]
 pub struct Fields {
     pub(crate) head: Bytes,
@@ -59,49 +59,51 @@
 }
 
 impl Fields {
-    /// The bytes of a span of the head.
+    /// Returns the bytes of a span of the head.
     pub(crate) fn slice(&self, span: Span) -> &[u8] {
         self.head
             .get(span.offset..span.offset + span.length)
             .unwrap_or_default()
     }
 
-    /// All fields, as names and values.
+    /// Iterates over the names and values of all fields.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.spans
             .iter()
             .map(|field| (self.slice(field.name), self.slice(field.value)))
     }
 
-    /// The value of the first field of this name. Names compare without case, here and below.
+    /// Returns the value of the first field with this name. All methods compare names case-insensitively.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.iter()
             .find(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
             .map(|(_, value)| value)
     }
 
-    /// The value of the first field of this name, without white space around it; `None` if it isn't UTF-8.
+    /// Returns the value of the first field with this name, trimmed; `None` if there is none or it isn't UTF-8.
     pub fn get_str(&self, name: &str) -> Option<&str> {
         self.get(name)
             .and_then(|value| std::str::from_utf8(value).ok())
             .map(str::trim)
     }
 
-    /// The values of all fields of this name.
+    /// Iterates over the values of all fields with this name.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter()
             .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
             .map(|(_, value)| value)
     }
 
-    /// Whether the comma-separated lists in the fields of this name contain a token.
+    /// Returns whether the comma-separated lists in the fields with this name contain a token, compared
+    /// case-insensitively.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.get_all(name)
             .flat_map(|value| value.split(|byte| *byte == b','))
             .any(|item| item.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// Whether a field of this name concerns only the connection it came on and must not be forwarded.
+    /// Returns whether a field with this name applies only to the connection that it was received on and must not be
+    /// forwarded.
     pub fn is_hop_by_hop(&self, name: &[u8]) -> bool {
         HOP_BY_HOP
             .iter()
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,25 +1,26 @@
-//! How a message's fields delimit its body (RFC 9112, section 6).
+//! Body framing, as determined by a message's fields (RFC 9112, section 6).
 
 use crate::error::{syntax_error, ParseError};
 use crate::fields::Fields;
 
-/// How the end of a body is known.
+/// Method by which the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// `Content-Length`, in bytes.
     Length(u64),
     /// `Transfer-Encoding: chunked`.
     Chunked,
-    /// The body ends with the connection. Only responses have it.
+    /// The body ends when the connection is closed; for responses only.
     CloseDelimited,
 }
 
 impl Framing {
-    /// The framing that a message's fields ask for; `None` if they say nothing of it.
+    /// Determines the framing from a message's fields; `None` if they specify none.
     ///
     /// # Errors
-    /// [`ParseError::Syntax`] if two readers could disagree, which allows request smuggling: a length and chunks, two
-    /// lengths that differ, another transfer coding. [`ParseError::LengthOverflow`] for a length beyond 64 bits.
+    /// [`ParseError::Syntax`] if two recipients could interpret the fields differently, which allows request smuggling:
+    /// both a length and a transfer coding, two different lengths, or a coding other than `chunked`.
+    /// [`ParseError::LengthOverflow`] if the length doesn't fit into 64 bits.
     pub fn from_fields(fields: &Fields) -> Result<Option<Framing>, ParseError> {
         let mut lengths = fields.get_all("content-length");
         let length = lengths.next();
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,24 +1,24 @@
-//! What the heads of requests and responses have in common.
+//! Parsing steps that requests and responses share.
 
 use crate::error::{syntax_error, ParseError};
 use crate::limits::HeadLimits;
 
-/// A head parsed from the front of an input.
+/// A head parsed from the front of an input, with its parts of type `T`.
 pub(crate) struct Parsed<T> {
-    /// Length of the head in the input.
+    /// Length of the head in the input, in bytes.
     pub(crate) head_bytes: usize,
     pub(crate) parts: T,
 }
 
-/// Whether each line ends with CR and LF. Some readers take a lone LF for the end of a line and others don't.
+/// Returns whether each line ends with CR LF. Some recipients accept a lone LF as a line ending and others don't.
 pub(crate) fn lines_end_with_crlf(head: &[u8]) -> bool {
     head.iter()
         .enumerate()
-        .all(|(at, byte)| *byte != b'\n' || (at > 0 && head.get(at - 1) == Some(&b'\r')))
+        .all(|(index, byte)| *byte != b'\n' || (index > 0 && head.get(index - 1) == Some(&b'\r')))
 }
 
-/// The length of a head by what `httparse` made of an input; `None` if more input is needed. `what` names the kind of
-/// head in errors.
+/// Converts the result of `httparse` into the length of the head in bytes; `None` if more input is needed. `what` names
+/// the kind of head in errors.
 pub(crate) fn head_length(
     parsed: httparse::Result<usize>,
     input_bytes: usize,
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 messages without I/O: heads are parsed by `httparse`, bodies decoded from their framing. Used by the proxy,
-//! which decodes from a buffer, and by the coordinator in service, which parses from a ring buffer.
+//! HTTP/1.1 message parsing without I/O: heads are parsed by `httparse`, bodies are decoded by their framing. Used by
+//! the proxy, which decodes from a [`bytes::BytesMut`], and by the coordinator's HTTP server, which parses from a ring
+//! buffer.
 //!
 //! ```
 //! use http1::{HeadLimits, BodyDecoder, Framing, Decoded, RequestHead};
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,4 +1,4 @@
-//! Heads of requests.
+//! Request heads.
 
 use crate::error::{syntax_error, ParseError};
 use crate::fields::{field_spans, FieldSpan, Fields, Span};
@@ -7,16 +7,16 @@
 use crate::limits::{HeadLimits, MAX_FIELDS};
 use bytes::{Bytes, BytesMut};
 
-/// The head of a request: request line and fields.
+/// Head of a request: request line and fields.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
     method: Span,
     target: Span,
-    /// Minor version of HTTP/1: 0 or 1.
+    /// HTTP minor version: 0 for HTTP/1.0, 1 for HTTP/1.1.
     pub minor_version: u8,
-    /// Its fields.
+    /// Header fields of the request.
     pub fields: Fields,
-    /// How the body is delimited; `None` if there is no body.
+    /// Framing of the body; `None` if there is no body.
     pub framing: Option<Framing>,
 }
 
@@ -62,10 +62,10 @@
         })
     }
 
-    /// Parses the head at the front of `input` and gives its length in bytes; `None` if more input is needed.
+    /// Parses the head at the front of `input` and returns it with its length in bytes; `None` if more input is needed.
     ///
     /// # Errors
-    /// If it is no request's head, could be read in two ways, or is over `limits`.
+    /// If the input isn't a valid request head, has ambiguous framing, or exceeds `limits`.
     pub fn parse(input: &[u8], limits: HeadLimits) -> Result<Option<(Self, usize)>, ParseError> {
         let Some(Parsed { head_bytes, parts }) = parse_parts(input, limits)? else {
             return Ok(None);
@@ -74,8 +74,8 @@
         Ok(Some((Self::from_parts(parts, head)?, head_bytes)))
     }
 
-    /// Takes a head off the front of `buf`; `None` if more input is needed. Stricter than [`RequestHead::parse`]: what
-    /// a server behind a proxy might read in another way is refused.
+    /// Parses a head and removes it from the front of `buf`; `None` if more input is needed. Stricter than
+    /// [`RequestHead::parse`]: rejects heads that a server behind a proxy might interpret differently.
     ///
     /// # Errors
     /// As [`RequestHead::parse`], and if a line ends with a lone LF, there are two `Host` fields, HTTP/1.0 has chunks,
@@ -100,12 +100,12 @@
         }
     }
 
-    /// The method.
+    /// Returns the request method, such as `GET`.
     pub fn method(&self) -> &[u8] {
         self.fields.slice(self.method)
     }
 
-    /// The target in origin form: path and query, without the scheme and authority of an absolute form.
+    /// Returns the target in origin form: path and query, without the scheme and authority of an absolute form.
     pub fn target(&self) -> &[u8] {
         let target = self.fields.slice(self.target);
         match split_authority(target) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The path, without the query.
+    /// Returns the target's path, without the query.
     pub fn path(&self) -> &[u8] {
         self.target()
             .split(|b| *b == b'?')
@@ -123,8 +123,8 @@
             .unwrap_or_default()
     }
 
-    /// The host that the target or else the `Host` field names, without its port; `None` if there is none or it isn't
-    /// UTF-8.
+    /// Returns the host name in the target, or else in the `Host` field, without its port; `None` if there is none or
+    /// it isn't UTF-8.
     pub fn host(&self) -> Option<&str> {
         let from_target = split_authority(self.fields.slice(self.target)).map(|(host, _)| host);
         let host = std::str::from_utf8(from_target.or_else(|| self.fields.get("host"))?)
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Whether the client lets the connection be used for another request.
+    /// Returns whether the client allows the connection to be reused for another request.
     pub fn is_keep_alive(&self) -> bool {
         match self.minor_version {
             0 => self.fields.has_token("connection", "keep-alive"),
@@ -145,7 +145,7 @@
     }
 }
 
-/// Authority and rest of a target in absolute form; `None` for other forms.
+/// Splits a target in absolute form into its authority and the rest; `None` for other forms.
 fn split_authority(target: &[u8]) -> Option<(&[u8], &[u8])> {
     let rest = target
         .strip_prefix(b"http://")
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -1,4 +1,4 @@
-//! Heads of responses.
+//! Response heads.
 
 use crate::error::{syntax_error, ParseError};
 use crate::fields::{field_spans, FieldSpan, Fields, Span};
@@ -7,17 +7,17 @@
 use crate::limits::{HeadLimits, MAX_FIELDS};
 use bytes::{Bytes, BytesMut};
 
-/// The head of a response: status line and fields.
+/// Head of a response: status line and fields.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// The status code.
+    /// Status code, such as 200.
     pub status: u16,
     reason: Span,
-    /// Minor version of HTTP/1: 0 or 1.
+    /// HTTP minor version: 0 for HTTP/1.0, 1 for HTTP/1.1.
     pub minor_version: u8,
-    /// Its fields.
+    /// Header fields of the response.
     pub fields: Fields,
-    /// How the body is delimited; a length of 0 for a response that never has a body.
+    /// Framing of the body; a length of 0 for a response that never has a body.
     pub framing: Framing,
 }
 
@@ -71,11 +71,11 @@
         })
     }
 
-    /// Parses the head at the front of `input` and gives its length in bytes; `None` if more input is needed.
-    /// `to_head_request` tells that the request's method was `HEAD`, so that no body follows.
+    /// Parses the head at the front of `input` and returns it with its length in bytes; `None` if more input is needed.
+    /// `to_head_request` states whether the request's method was `HEAD`, so that no body follows.
     ///
     /// # Errors
-    /// If it is no response's head, could be read in two ways, or is over `limits`.
+    /// If the input isn't a valid response head, has ambiguous framing, or exceeds `limits`.
     pub fn parse(
         input: &[u8],
         limits: HeadLimits,
@@ -89,7 +89,8 @@
         Ok(Some((head, head_bytes)))
     }
 
-    /// Takes a head off the front of `buf`, parsed as by [`ResponseHead::parse`].
+    /// Parses a head like [`ResponseHead::parse`] and removes it from the front of `buf`; `None` if more input is
+    /// needed.
     ///
     /// # Errors
     /// As [`ResponseHead::parse`], and if a line ends with a lone LF.
@@ -110,12 +111,12 @@
         }
     }
 
-    /// The reason phrase of the status line; may be empty.
+    /// Returns the reason phrase of the status line; may be empty.
     pub fn reason_phrase(&self) -> &[u8] {
         self.fields.slice(self.reason)
     }
 
-    /// Whether the server lets the connection be used for another request.
+    /// Returns whether the server allows the connection to be reused for another request.
     pub fn is_keep_alive(&self) -> bool {
         if self.framing == Framing::CloseDelimited {
             return false;
--- a/crates/http1/src/status.rs
+++ b/crates/http1/src/status.rs
@@ -1,6 +1,7 @@
-//! Reason phrases of status codes.
+//! Reason phrases for status codes.
 
-/// The usual reason phrase of a status code; `Error` for codes that neither program sends.
+/// Returns the standard reason phrase of a status code; `Error` for codes that neither the proxy nor the coordinator
+/// sends.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http1/tests/parsing.rs
+++ b/crates/http1/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Heads, framing and bodies of HTTP/1.1.
+//! Parsing of HTTP/1.1 heads, framing and bodies, including malformed ones.
 
 use bytes::BytesMut;
 use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead, ResponseHead};
@@ -6,12 +6,12 @@
 
 const LIMITS: HeadLimits = HeadLimits::with_max_bytes(1024);
 
-fn request(text: &str) -> Result<Option<RequestHead>, ParseError> {
+fn decode_request(text: &str) -> Result<Option<RequestHead>, ParseError> {
     RequestHead::decode(&mut BytesMut::from(text), LIMITS)
 }
 
-fn parsed_request(text: &str) -> RequestHead {
-    request(text).unwrap().unwrap()
+fn valid_request(text: &str) -> RequestHead {
+    decode_request(text).unwrap().unwrap()
 }
 
 #[rstest]
@@ -27,9 +27,12 @@
 #[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n")]
 #[case("Transfer-Encoding: identity\r\n")]
 #[case("Host: b\r\n")]
-fn request_with_ambiguous_framing_is_refused(#[case] fields: &str) {
+fn request_with_ambiguous_framing_is_rejected(#[case] fields: &str) {
     let text = format!("POST / HTTP/1.1\r\nHost: a\r\n{fields}\r\n");
-    assert!(matches!(request(&text), Err(ParseError::Syntax { .. })));
+    assert!(matches!(
+        decode_request(&text),
+        Err(ParseError::Syntax { .. })
+    ));
 }
 
 #[rstest]
@@ -44,11 +47,11 @@
 #[case("GET / HTTP/1.1\r\nHost: a\n\r\n")]
 #[case("GET / HTTP/1.1\r\nHost: a\r\n\n")]
 #[case("GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n")]
-fn malformed_request_is_refused(#[case] text: &str) {
+fn malformed_request_is_rejected(#[case] text: &str) {
     assert!(
-        matches!(request(text), Err(ParseError::Syntax { .. })),
+        matches!(decode_request(text), Err(ParseError::Syntax { .. })),
         "{:?}",
-        request(text)
+        decode_request(text)
     );
 }
 
@@ -56,22 +59,25 @@
 fn head_in_parts_is_decoded_once_complete_and_within_limits() {
     let text = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
     for n in 0..text.len() {
-        assert!(request(&text[..n]).unwrap().is_none());
+        assert!(decode_request(&text[..n]).unwrap().is_none());
     }
     let mut buf = BytesMut::from(format!("{text}GET").as_str());
     assert!(RequestHead::decode(&mut buf, LIMITS).unwrap().is_some());
-    assert_eq!(&buf[..], b"GET", "what follows stays");
+    assert_eq!(&buf[..], b"GET", "bytes after the head stay in the buffer");
     assert_eq!(
-        request(&format!("GET /{} ", "a".repeat(1024))).unwrap_err(),
+        decode_request(&format!("GET /{} ", "a".repeat(1024))).unwrap_err(),
         ParseError::HeadTooLarge
     );
     let many = "X: 1\r\n".repeat(120);
     assert_eq!(
-        request(&format!("GET / HTTP/1.1\r\n{many}\r\n")).unwrap_err(),
+        decode_request(&format!("GET / HTTP/1.1\r\n{many}\r\n")).unwrap_err(),
         ParseError::HeadTooLarge
     );
     let huge = "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n";
-    assert_eq!(request(huge).unwrap_err(), ParseError::LengthOverflow);
+    assert_eq!(
+        decode_request(huge).unwrap_err(),
+        ParseError::LengthOverflow
+    );
 }
 
 #[rstest]
@@ -95,9 +101,9 @@
     #[case] path: &str,
     #[case] host: Option<&str>,
 ) {
-    let absolute = request(text);
+    let decoded = decode_request(text);
 
-    let head = absolute.unwrap().unwrap();
+    let head = decoded.unwrap().unwrap();
     assert_eq!(
         (head.target(), head.path(), head.host()),
         (target.as_bytes(), path.as_bytes(), host)
@@ -112,27 +118,32 @@
 fn keep_alive_follows_version_and_connection_field(
     #[case] version: &str,
     #[case] fields: &str,
-    #[case] stays: bool,
+    #[case] keeps_alive: bool,
 ) {
     assert_eq!(
-        parsed_request(&format!("GET / HTTP/{version}\r\n{fields}\r\n")).is_keep_alive(),
-        stays
+        valid_request(&format!("GET / HTTP/{version}\r\n{fields}\r\n")).is_keep_alive(),
+        keeps_alive
     );
-    let answer = format!("HTTP/{version} 200 OK\r\nContent-Length: 0\r\n{fields}\r\n");
-    let answer = ResponseHead::decode(&mut BytesMut::from(answer.as_str()), LIMITS, false)
+    let response = format!("HTTP/{version} 200 OK\r\nContent-Length: 0\r\n{fields}\r\n");
+    let response = ResponseHead::decode(&mut BytesMut::from(response.as_str()), LIMITS, false)
         .unwrap()
         .unwrap();
-    assert_eq!(answer.is_keep_alive(), stays);
+    assert_eq!(response.is_keep_alive(), keeps_alive);
 }
 
 #[test]
 fn hop_by_hop_fields_are_recognized() {
-    let head = parsed_request(
+    let head = valid_request(
         "GET / HTTP/1.1\r\nConnection: keep-alive, X-Own\r\nx-own: 1\r\nOther: 2\r\n\r\n",
     );
-    let hop = |n: &str| head.fields.is_hop_by_hop(n.as_bytes());
-    assert!(hop("connection") && hop("X-OWN") && hop("TE") && hop("Transfer-Encoding"));
-    assert!(!hop("Other") && !hop("Host"));
+    let is_hop_by_hop = |name: &str| head.fields.is_hop_by_hop(name.as_bytes());
+    assert!(
+        is_hop_by_hop("connection")
+            && is_hop_by_hop("X-OWN")
+            && is_hop_by_hop("TE")
+            && is_hop_by_hop("Transfer-Encoding")
+    );
+    assert!(!is_hop_by_hop("Other") && !is_hop_by_hop("Host"));
     assert_eq!(head.fields.get_str("OTHER"), Some("2"));
 }
 
@@ -164,23 +175,24 @@
 #[case("HTTP/1.1 2000 OK\r\n\r\n")]
 #[case("HTTP/1.1 200 OK\nContent-Length: 1\r\n\r\n")]
 #[case("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n")]
-fn malformed_response_is_refused(#[case] text: &str) {
+fn malformed_response_is_rejected(#[case] text: &str) {
     assert!(ResponseHead::decode(&mut BytesMut::from(text), LIMITS, false).is_err());
 }
 
-/// The body, and the bytes behind it.
+/// A decoded body and the bytes after it.
 type BodyAndRest = (Vec<u8>, Vec<u8>);
 
-/// Decodes a body that comes in these parts; `None` if it is incomplete.
-fn decode(framing: Framing, parts: &[&[u8]]) -> Result<Option<BodyAndRest>, ParseError> {
-    let (mut body, mut buf, mut out) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
+/// Decodes a body that is received in these parts; `None` if it is incomplete.
+fn decode_body(framing: Framing, parts: &[&[u8]]) -> Result<Option<BodyAndRest>, ParseError> {
+    let (mut decoder, mut buf, mut content) =
+        (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     let mut parts = parts.iter();
     loop {
-        match body.decode(&mut buf)? {
-            Decoded::Data(data) => out.extend_from_slice(&data),
+        match decoder.decode(&mut buf)? {
+            Decoded::Data(data) => content.extend_from_slice(&data),
             Decoded::End => {
                 buf.extend_from_slice(&parts.copied().collect::<Vec<_>>().concat());
-                return Ok(Some((out, buf.to_vec())));
+                return Ok(Some((content, buf.to_vec())));
             }
             Decoded::Incomplete => match parts.next() {
                 Some(part) => buf.extend_from_slice(part),
@@ -208,20 +220,20 @@
     #[case] rest: &str,
 ) {
     for cut in 0..=text.len() {
-        let (a, b) = text.as_bytes().split_at(cut);
-        let got = decode(framing, &[a, b]).unwrap().unwrap();
+        let (first, second) = text.as_bytes().split_at(cut);
+        let decoded = decode_body(framing, &[first, second]).unwrap().unwrap();
         assert_eq!(
-            got,
+            decoded,
             (body.as_bytes().to_vec(), rest.as_bytes().to_vec()),
             "cut at {cut}"
         );
     }
-    let whole = text.len() - rest.len();
-    for n in 0..whole {
+    let body_length = text.len() - rest.len();
+    for length in 0..body_length {
         assert_eq!(
-            decode(framing, &[&text.as_bytes()[..n]]).unwrap(),
+            decode_body(framing, &[&text.as_bytes()[..length]]).unwrap(),
             None,
-            "cut short at {n}"
+            "truncated at {length}"
         );
     }
 }
@@ -247,35 +259,35 @@
 #[case("0\r\nT: 1\n\r\n")]
 #[case("-1\r\n")]
 #[case("fffffffffffffffff\r\n")]
-fn malformed_chunks_are_refused(#[case] text: &str) {
+fn malformed_chunks_are_rejected(#[case] text: &str) {
     assert!(matches!(
-        decode(Framing::Chunked, &[text.as_bytes()]),
+        decode_body(Framing::Chunked, &[text.as_bytes()]),
         Err(ParseError::Syntax { .. })
     ));
 }
 
 #[test]
-fn chunk_lines_and_trailers_over_the_limit_are_refused() {
+fn chunk_lines_and_trailers_over_the_limit_are_rejected() {
     let long = "x".repeat(5000);
     for text in [
         format!("1;{long}"),
         format!("0\r\nT: {long}"),
         "0\r\n".to_owned() + &"T: 1\r\n".repeat(900),
     ] {
-        assert!(decode(Framing::Chunked, &[text.as_bytes()]).is_err());
+        assert!(decode_body(Framing::Chunked, &[text.as_bytes()]).is_err());
     }
 }
 
 #[test]
-fn close_delimited_body_never_ends_by_itself() {
-    let mut body = BodyDecoder::new(Framing::CloseDelimited);
-    assert!(body.is_close_delimited());
+fn close_delimited_body_never_reports_its_end() {
+    let mut decoder = BodyDecoder::new(Framing::CloseDelimited);
+    assert!(decoder.is_close_delimited());
     assert_eq!(
-        body.decode(&mut BytesMut::from("abc")).unwrap(),
+        decoder.decode(&mut BytesMut::from("abc")).unwrap(),
         Decoded::Data("abc".into())
     );
     assert_eq!(
-        body.decode(&mut BytesMut::new()).unwrap(),
+        decoder.decode(&mut BytesMut::new()).unwrap(),
         Decoded::Incomplete
     );
 }
--- a/crates/http1/tests/properties.rs
+++ b/crates/http1/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for generated input: nothing panics, and the split of the input changes nothing.
+//! Property tests with generated input: parsing never panics, and its result doesn't depend on how the input is split.
 
 use bytes::BytesMut;
 use http1::{BodyDecoder, Decoded, Framing, HeadLimits, ParseError, RequestHead, ResponseHead};
@@ -6,24 +6,25 @@
 
 const LIMITS: HeadLimits = HeadLimits::with_max_bytes(2048);
 
-/// What decoding a body came to.
+/// Result of decoding a whole body.
 #[derive(Clone, Debug, PartialEq)]
 enum Outcome {
-    /// The body, and the bytes behind it.
+    /// The body and the bytes after it.
     Complete(Vec<u8>, Vec<u8>),
     Incomplete,
     Malformed,
 }
 
-fn decode(framing: Framing, parts: &[&[u8]]) -> Outcome {
-    let (mut body, mut buf, mut out) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
+fn decode_body(framing: Framing, parts: &[&[u8]]) -> Outcome {
+    let (mut decoder, mut buf, mut content) =
+        (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     let mut parts = parts.iter();
     loop {
-        match body.decode(&mut buf) {
-            Ok(Decoded::Data(data)) => out.extend_from_slice(&data),
+        match decoder.decode(&mut buf) {
+            Ok(Decoded::Data(data)) => content.extend_from_slice(&data),
             Ok(Decoded::End) => {
-                parts.for_each(|p| buf.extend_from_slice(p));
-                return Outcome::Complete(out, buf.to_vec());
+                parts.for_each(|part| buf.extend_from_slice(part));
+                return Outcome::Complete(content, buf.to_vec());
             }
             Ok(Decoded::Incomplete) => match parts.next() {
                 Some(part) => buf.extend_from_slice(part),
@@ -35,22 +36,22 @@
 }
 
 fn encode_chunks(body: &[u8], sizes: &[usize]) -> Vec<u8> {
-    let (mut out, mut rest) = (Vec::new(), body);
+    let (mut encoded, mut rest) = (Vec::new(), body);
     let mut sizes = sizes.iter().cycle();
     while !rest.is_empty() {
-        let (now, later) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
-        out.extend(format!("{:X}\r\n", now.len()).bytes());
-        out.extend(now);
-        out.extend(b"\r\n");
-        rest = later;
+        let (chunk, remaining) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
+        encoded.extend(format!("{:X}\r\n", chunk.len()).bytes());
+        encoded.extend(chunk);
+        encoded.extend(b"\r\n");
+        rest = remaining;
     }
-    out.extend(b"0\r\n\r\n");
-    out
+    encoded.extend(b"0\r\n\r\n");
+    encoded
 }
 
-/// Words that heads and chunks are made of, mixed with other bytes.
+/// Generates sequences of tokens that occur in heads and chunks, mixed with arbitrary bytes.
 fn http_like_bytes() -> impl Strategy<Value = Vec<u8>> {
-    let word = prop_oneof![
+    let token = prop_oneof![
         Just(b"\r\n".to_vec()),
         Just(b"\n".to_vec()),
         Just(b"0".to_vec()),
@@ -64,7 +65,7 @@
         Just(b"Transfer-Encoding: chunked\r\n".to_vec()),
         prop::collection::vec(any::<u8>(), 1..4),
     ];
-    prop::collection::vec(word, 0..24).prop_map(|words| words.concat())
+    prop::collection::vec(token, 0..24).prop_map(|tokens| tokens.concat())
 }
 
 proptest! {
@@ -75,7 +76,7 @@
         let _ = RequestHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS);
         let _ = ResponseHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS, false);
         for framing in [Framing::Chunked, Framing::Length(7)] {
-            let _ = decode(framing, &[&bytes]);
+            let _ = decode_body(framing, &[&bytes]);
         }
     }
 
@@ -88,31 +89,31 @@
     ) {
         let mut text = encode_chunks(&body, &sizes);
         text.extend(&rest);
-        let (a, b) = text.split_at(cut.index(text.len() + 1));
-        prop_assert_eq!(decode(Framing::Chunked, &[a, b]), Outcome::Complete(body, rest));
+        let (first, second) = text.split_at(cut.index(text.len() + 1));
+        prop_assert_eq!(decode_body(Framing::Chunked, &[first, second]), Outcome::Complete(body, rest));
     }
 
-    /// Also for input that is malformed somewhere.
+    /// Holds also if one byte of the input is replaced, which may make it malformed.
     #[test]
     fn split_of_input_does_not_change_the_result(
         body in prop::collection::vec(any::<u8>(), 0..40),
         sizes in prop::collection::vec(1usize..20, 1..4),
-        spoilt in prop::option::of((any::<prop::sample::Index>(), any::<u8>())),
+        replaced_byte in prop::option::of((any::<prop::sample::Index>(), any::<u8>())),
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..4),
     ) {
         let mut text = encode_chunks(&body, &sizes);
-        if let Some((at, byte)) = spoilt {
-            let at = at.index(text.len());
-            text[at] = byte;
+        if let Some((index, byte)) = replaced_byte {
+            let index = index.index(text.len());
+            text[index] = byte;
         }
-        let mut places: Vec<usize> = cuts.iter().map(|c| c.index(text.len() + 1)).collect();
-        places.extend([0, text.len()]);
-        places.sort_unstable();
-        let parts: Vec<&[u8]> = places.windows(2).map(|w| &text[w[0]..w[1]]).collect();
-        prop_assert_eq!(decode(Framing::Chunked, &parts), decode(Framing::Chunked, &[&text]));
+        let mut offsets: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len() + 1)).collect();
+        offsets.extend([0, text.len()]);
+        offsets.sort_unstable();
+        let parts: Vec<&[u8]> = offsets.windows(2).map(|ends| &text[ends[0]..ends[1]]).collect();
+        prop_assert_eq!(decode_body(Framing::Chunked, &parts), decode_body(Framing::Chunked, &[&text]));
     }
 
-    /// A prefix of a chunked body never passes for a complete one.
+    /// Guards against a truncated chunked body being accepted as complete.
     #[test]
     fn truncated_chunked_body_is_incomplete(
         body in prop::collection::vec(any::<u8>(), 0..40),
@@ -121,17 +122,17 @@
     ) {
         let text = encode_chunks(&body, &sizes);
         let cut = cut.index(text.len());
-        prop_assert_eq!(decode(Framing::Chunked, &[&text[..cut]]), Outcome::Incomplete);
+        prop_assert_eq!(decode_body(Framing::Chunked, &[&text[..cut]]), Outcome::Incomplete);
     }
 
     #[test]
     fn head_prefix_is_always_incomplete(bytes in http_like_bytes()) {
-        let whole = RequestHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS);
-        if let Ok(Some(head)) = whole {
+        let decoded = RequestHead::decode(&mut BytesMut::from(&bytes[..]), LIMITS);
+        if let Ok(Some(head)) = decoded {
             let length = RequestHead::parse(&bytes, LIMITS).unwrap().unwrap().1;
-            for n in 0..length {
-                let part = RequestHead::decode(&mut BytesMut::from(&bytes[..n]), LIMITS);
-                prop_assert!(matches!(part, Ok(None)), "{n}: {part:?}");
+            for prefix_length in 0..length {
+                let prefix = RequestHead::decode(&mut BytesMut::from(&bytes[..prefix_length]), LIMITS);
+                prop_assert!(matches!(prefix, Ok(None)), "{prefix_length}: {prefix:?}");
             }
             prop_assert!(!matches!(head.framing, Some(Framing::CloseDelimited)));
         }
