--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -1,4 +1,4 @@
-//! Ways to end a client's connection.
+//! Closing of client connections: gracefully after a response, or by a reset.
 
 use crate::socket;
 use bytes::BytesMut;
@@ -8,14 +8,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long input is discarded after the last response.
-const LINGER: Duration = Duration::from_millis(200);
+/// Time for which input is discarded after the last response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Ends the stream and discards input for a moment. Closing with unread input would reset the connection and could take
-/// the response along.
+/// Shuts down the sending direction and discards input for up to [`LINGER_TIMEOUT`]. Closing a socket with unread input
+/// resets the connection, and the client could lose the response.
 pub(super) async fn close_gracefully(stream: &TcpStream) {
     let _ = shutdown(stream, Shutdown::Write);
-    let _ = timeout(LINGER, discard_input(stream)).await;
+    let _ = timeout(LINGER_TIMEOUT, discard_input(stream)).await;
 }
 
 async fn discard_input(stream: &TcpStream) {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Makes the close a reset: an orderly one would make an incomplete response look complete.
+/// Makes the next close send a reset, as an orderly close would make an incomplete response look complete.
 pub(super) fn reset_on_close(stream: &TcpStream) {
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -1,11 +1,11 @@
-//! Serves one client's connection: its requests are read, answered and written in turn.
+//! Serves one client connection: reads its requests and answers them one after another.
 //!
-//! The coordinator in service has a server of its own, in `crates/coordinator/src/net/http`. They are not merged, as
-//! they behave differently. Here all limits are the operators' and change with the configuration; the connection that
-//! has been idle for longest is closed for a new one; a client may send requests ahead while its response is under way;
-//! and at the end of the process a response is made for what is still in flight. There the limits are constants, a
-//! first request has two seconds from connecting, connections that are slow to ask are closed for new ones too, and a
-//! client that repeats bad requests is read later and later.
+//! The coordinator has an HTTP server of its own, in `crates/coordinator/src/net/http`. The two are separate because
+//! they behave differently. Here all limits come from the operators and change with the configuration, the connection
+//! that has been idle for longest is evicted for a new one, a client may pipeline requests while its response is being
+//! sent, and a request without a response when the process ends gets a local reply. There the limits are constants,
+//! the first request has to arrive within two seconds of connecting, connections that are slow to send a request are
+//! evicted as well, and a client that repeats bad requests is read with increasing delays.
 
 use super::close::{close_gracefully, reset_on_close};
 use super::idle::IdleClients;
@@ -24,39 +24,41 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, Instant};
 
-/// Bytes that are read ahead of a client whose response is under way.
+/// Maximum number of bytes read ahead from a client while its response is being sent.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// During a shutdown, an idle connection is closed after this.
+/// Time without a request after which a connection is closed during a shutdown.
 const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
-/// `Retry-After` where a limit of this process is reached, or the process can't serve yet or no longer.
+/// `Retry-After` of rejections because a limit of this process is reached, or because it can't serve yet or is shutting
+/// down.
 const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A client's connection.
+/// A client's connection and the state of reading from it.
 pub(super) struct ClientConnection<'a> {
     state: &'a Rc<ProxyState>,
     stream: &'a TcpStream,
-    /// Received and not yet read as a request.
+    /// Bytes received that are not yet parsed as a request.
     buf: BytesMut,
-    /// When the latest bytes in `buf` were received.
+    /// Time at which the latest bytes in `buf` were received.
     received_at: Instant,
-    /// The process has as many connections as it may: this one gets a rejection.
+    /// Whether the connection exceeds the process's limit, so that its first request is rejected.
     over_limit: bool,
     phase: watch::Receiver<DrainPhase>,
+    /// Notified when this connection, while idle, has to close for a new one.
     evict_signal: Rc<Notify>,
 }
 
-/// How waiting for a request ended.
+/// Result of waiting for a request on an idle connection.
 enum IdleOutcome {
-    /// Bytes were received.
+    /// The first bytes of a request were received.
     Received,
-    /// The connection was to be closed, but a request has come meanwhile.
-    Raced,
-    /// The connection is to be closed.
+    /// The connection was about to be closed, but a request has arrived meanwhile and is still unread.
+    InputPending,
+    /// The connection has to be closed.
     Close,
 }
 
 impl<'a> ClientConnection<'a> {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(super) fn new(
         state: &'a Rc<ProxyState>,
         stream: &'a TcpStream,
@@ -74,17 +76,17 @@
         }
     }
 
-    /// Serves requests until the connection is to be closed.
+    /// Serves requests until the connection has to be closed.
     pub(super) async fn serve(&mut self) {
         loop {
             if self.buf.is_empty() {
                 match self.wait_for_request().await {
                     IdleOutcome::Received => self.received_at = Instant::now(),
-                    IdleOutcome::Raced => continue,
+                    IdleOutcome::InputPending => continue,
                     IdleOutcome::Close => return,
                 }
             }
-            // Boxed: only connections with a request in flight hold the memory that one needs.
+            // Boxed, so that only connections with a request in flight hold the memory for serving one.
             if Box::pin(self.serve_request()).await != ConnectionOutcome::KeepAlive {
                 return;
             }
@@ -92,11 +94,11 @@
     }
 
     async fn wait_for_request(&mut self) -> IdleOutcome {
-        // An idle connection holds no buffer.
+        // Frees the buffer, as an idle connection needs none.
         self.buf = BytesMut::new();
         let idle_timeout = Duration::from_millis(self.state.client_limits().idle_timeout_ms);
         let phase = &mut self.phase;
-        let drained = async {
+        let drain_timeout = async {
             let _ = phase
                 .wait_for(|phase| *phase >= DrainPhase::ClosingIdle)
                 .await;
@@ -111,19 +113,19 @@
                     _ => IdleOutcome::Close,
                 };
             }
-            () = drained => {}
+            () = drain_timeout => {}
             () = self.evict_signal.notified() => {}
             () = sleep(idle_timeout) => {}
         }
-        // Closing now would lose a request that the kernel has already taken.
+        // Closing now would lose a request that the kernel has already received.
         if socket::is_quiet(self.stream) {
             IdleOutcome::Close
         } else {
-            IdleOutcome::Raced
+            IdleOutcome::InputPending
         }
     }
 
-    /// Reads and answers one request.
+    /// Reads one request and responds to it.
     async fn serve_request(&mut self) -> ConnectionOutcome {
         let reader = RequestReader {
             state: self.state,
@@ -135,7 +137,9 @@
             Ok(request) => request,
             Err(ReadError::Disconnected) => return ConnectionOutcome::Close,
             Err(ReadError::Rejected { code, attempt_id }) => {
-                return self.reject_unread(code, attempt_id.as_deref()).await;
+                return self
+                    .reject_unread_request(code, attempt_id.as_deref())
+                    .await;
             }
         };
         self.state.counters.add(|c| c.requests += 1);
@@ -149,13 +153,13 @@
         self.forward_request(&request).await
     }
 
-    /// Rejects a request that could not be read.
-    async fn reject_unread(
+    /// Rejects a request that could not be read completely.
+    async fn reject_unread_request(
         &self,
         code: ResultCode,
         attempt_id: Option<&[u8]>,
     ) -> ConnectionOutcome {
-        // Without a configuration nobody knows the limit on a request's size.
+        // Without a configuration the limits on a request's size are not known.
         let limit_unknown = matches!(code, ResultCode::TooLarge | ResultCode::HeadTooLarge)
             && self.state.routing_table().is_none();
         let code = if limit_unknown {
@@ -168,7 +172,7 @@
         self.reject(code, attempt_id, retry_after).await
     }
 
-    /// Sends a last reply and closes the connection.
+    /// Sends a local reply and closes the connection.
     async fn reject(
         &self,
         code: ResultCode,
@@ -182,14 +186,14 @@
         ConnectionOutcome::Close
     }
 
-    /// Forwards a request, unless the client disconnects or the process ends first.
+    /// Forwards a request, until the client disconnects or the process's shutdown ends it.
     async fn forward_request(&mut self, request: &Request) -> ConnectionOutcome {
         let progress = ResponseProgress::default();
         if !self.buf.is_empty() {
             progress.set_input_ahead();
         }
         let phase = &mut self.phase;
-        let process_ends = async {
+        let ended_by_shutdown = async {
             let _ = phase
                 .wait_for(|phase| *phase >= DrainPhase::EndingUnanswered)
                 .await;
@@ -199,34 +203,35 @@
                     .await;
             }
         };
-        let ended = tokio::select! {
+        let finished = tokio::select! {
             biased;
-            // Polled first: nothing more is sent to a host for a client that has disconnected, however late that is seen.
-            () = disconnected(self.stream, &mut self.buf, &mut self.received_at, &progress) => {
+            // Polled first, so that once a disconnect is seen nothing more is sent to a host for this client.
+            () = wait_for_disconnect(self.stream, &mut self.buf, &mut self.received_at, &progress) => {
                 self.state.counters.add(|c| c.client_disconnects += 1);
                 return ConnectionOutcome::Close;
             }
             outcome = exchange::handle(self.state, self.stream, request, &progress) => Some(outcome),
-            () = process_ends => None,
+            () = ended_by_shutdown => None,
         };
-        let outcome = match ended {
+        let outcome = match finished {
             Some(outcome) => outcome,
-            None => self.end_unfinished(request, &progress).await,
+            None => self.end_request_at_shutdown(request, &progress).await,
         };
         match outcome {
             ConnectionOutcome::KeepAlive => {}
             ConnectionOutcome::Close => close_gracefully(self.stream).await,
-            ConnectionOutcome::Truncated if ended.is_none() => self.show_truncation(&progress),
+            ConnectionOutcome::Truncated if finished.is_none() => self.signal_truncation(&progress),
             ConnectionOutcome::Truncated => {
                 self.state.counters.add(|c| c.truncated_responses += 1);
-                self.show_truncation(&progress);
+                self.signal_truncation(&progress);
             }
         }
         outcome
     }
 
-    /// Ends a request that is in flight when the process ends.
-    async fn end_unfinished(
+    /// Ends a request that is in flight when the process ends: with a local reply, or by truncating a response that has
+    /// begun.
+    async fn end_request_at_shutdown(
         &self,
         request: &Request,
         progress: &ResponseProgress,
@@ -245,7 +250,7 @@
         }
     }
 
-    /// Counts and logs a response that the end of the process truncates.
+    /// Counts and logs a response that is truncated because the process ends.
     fn record_truncation_at_shutdown(&self, request: &Request, progress: &ResponseProgress) {
         self.state.counters.add(|c| c.truncated_at_shutdown += 1);
         let Some(shutdown) = self.state.shutdown.get() else {
@@ -265,15 +270,18 @@
         );
     }
 
-    fn show_truncation(&self, progress: &ResponseProgress) {
+    /// Makes a truncated response recognizable to the client: resets the connection if the response would look
+    /// complete.
+    fn signal_truncation(&self, progress: &ResponseProgress) {
         if progress.would_look_complete() {
             reset_on_close(self.stream);
         }
     }
 }
 
-/// Resolves when the client has disconnected. Keeps what it sends ahead, and when that was received.
-async fn disconnected(
+/// Resolves when the client has disconnected. Bytes that the client pipelines are kept in `buf`, with the time at which
+/// the latest were received.
+async fn wait_for_disconnect(
     stream: &TcpStream,
     buf: &mut BytesMut,
     received_at: &mut Instant,
@@ -288,6 +296,6 @@
             _ => return,
         }
     }
-    // Behind unread input the end of the stream can't be seen. A write will fail.
+    // The end of the stream can't be detected behind unread input. A later write to the client will fail instead.
     std::future::pending::<()>().await;
 }
--- a/crates/proxy/src/client/idle.rs
+++ b/crates/proxy/src/client/idle.rs
@@ -1,26 +1,27 @@
-//! Idle connections of clients in the order in which they fell idle. The oldest is closed when room is needed.
+//! Registry of idle client connections. The one that has been idle for longest is evicted when a new connection needs
+//! its place.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The idle connections.
+/// Idle client connections in the order in which they became idle.
 #[derive(Debug, Default)]
 pub(crate) struct IdleClients {
-    /// By serial number, which rises with the time at which they fell idle.
+    /// Eviction signals by serial number; a connection that became idle later has a higher number.
     evict_signals: BTreeMap<u64, Rc<Notify>>,
     next_serial: u64,
 }
 
-/// An entry in [`IdleClients`], removed when dropped.
+/// Registration in [`IdleClients`], removed when dropped.
 pub(crate) struct IdleClientGuard<'a> {
     idle_clients: &'a RefCell<IdleClients>,
     serial: u64,
 }
 
 impl IdleClients {
-    /// A connection falls idle. `evict_signal` is notified if it has to close.
+    /// Registers a connection that becomes idle. `evict_signal` is notified when the connection has to close.
     pub(crate) fn register<'a>(
         idle_clients: &'a RefCell<IdleClients>,
         evict_signal: &Rc<Notify>,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Asks the connection that has been idle for longest to close; false if none is idle.
+    /// Signals the connection that has been idle for longest to close. Returns false if none is idle.
     pub(crate) fn evict_oldest(&mut self) -> bool {
         let Some((_, evict_signal)) = self.evict_signals.pop_first() else {
             return false;
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, up to the process's limit.
+//! Accepts client connections, up to the process's limit.
 
 use super::connection::ClientConnection;
 use crate::state::ProxyState;
@@ -12,17 +12,17 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Connections over the limit that still get a rejection; more are closed at once.
+/// Number of connections over the limit that still get a rejection; further ones are closed immediately.
 const MAX_REJECTED_CONNECTIONS: usize = 200;
-/// Pause after a failed accept.
+/// Pause after a failed accept, which may otherwise fail again immediately.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// How often it is looked whether connections are still open while new ones are accepted.
-const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which the number of open connections is checked while new ones are accepted during a shutdown.
+const OPEN_COUNT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How far a graceful shutdown has come, for connections.
+/// Phase of a graceful shutdown, as it affects client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub(crate) enum DrainPhase {
-    /// All connections are served.
+    /// All connections are served; no shutdown has begun, or it still grants full service.
     Serving,
     /// Idle connections are closed.
     ClosingIdle,
@@ -32,64 +32,64 @@
     ClosingAll,
 }
 
-/// Counts a connection as open until it is dropped.
-struct OpenGuard(Rc<Cell<usize>>);
+/// Counts a connection as open until the guard is dropped.
+struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl OpenGuard {
-    fn new(open: &Rc<Cell<usize>>) -> Self {
-        open.set(open.get() + 1);
-        Self(open.clone())
+impl OpenConnectionGuard {
+    fn new(open_count: &Rc<Cell<usize>>) -> Self {
+        open_count.set(open_count.get() + 1);
+        Self(open_count.clone())
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-/// The clients' connections.
+/// All client connections of the process.
 pub(crate) struct ClientConnections {
     state: Rc<ProxyState>,
-    open: Rc<Cell<usize>>,
+    open_count: Rc<Cell<usize>>,
     phase: watch::Sender<DrainPhase>,
 }
 
 impl ClientConnections {
-    /// No connections yet.
+    /// Creates the set of client connections, with none open.
     pub(crate) fn new(state: Rc<ProxyState>) -> Self {
         Self {
             state,
-            open: Rc::default(),
+            open_count: Rc::default(),
             phase: watch::Sender::new(DrainPhase::Serving),
         }
     }
 
-    /// Number of open connections, those over the limit included.
+    /// Returns the number of open connections, including those over the limit.
     pub(crate) fn open_count(&self) -> usize {
-        self.open.get()
+        self.open_count.get()
     }
 
-    /// Tells all connections of the next phase of a shutdown.
+    /// Notifies all connections of the next phase of a shutdown.
     pub(crate) fn set_phase(&self, phase: DrainPhase) {
         self.phase.send_replace(phase);
     }
 
-    /// Accepts connections until `until` resolves.
-    pub(crate) async fn accept_until(&self, listener: &TcpListener, until: impl Future) {
-        tokio::pin!(until);
+    /// Accepts connections until `stop` resolves.
+    pub(crate) async fn accept_until(&self, listener: &TcpListener, stop: impl Future) {
+        tokio::pin!(stop);
         loop {
             tokio::select! {
-                _ = &mut until => return,
+                _ = &mut stop => return,
                 accepted = listener.accept() => self.handle_accepted(accepted).await,
             }
         }
     }
 
-    /// Accepts connections until none is open, at most until `until`.
-    pub(crate) async fn accept_until_idle(&self, listener: &TcpListener, until: Instant) {
-        while Instant::now() < until && self.open.get() > 0 {
-            let next_poll = until.min(Instant::now() + IDLE_POLL_INTERVAL);
+    /// Accepts connections until none is open, at the latest until `deadline`.
+    pub(crate) async fn accept_until_idle(&self, listener: &TcpListener, deadline: Instant) {
+        while Instant::now() < deadline && self.open_count.get() > 0 {
+            let next_poll = deadline.min(Instant::now() + OPEN_COUNT_POLL_INTERVAL);
             tokio::select! {
                 () = sleep_until(next_poll) => {}
                 accepted = listener.accept() => self.handle_accepted(accepted).await,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Accepts the connections that the kernel has completed. Closing the listener would reset them.
+    /// Accepts the connections that the kernel has already established, as closing the listener would reset them.
     pub(crate) async fn accept_pending(&self, listener: &TcpListener) {
         while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
             self.serve(stream);
@@ -107,9 +107,9 @@
     async fn handle_accepted(&self, accepted: io::Result<(TcpStream, SocketAddr)>) {
         match accepted {
             Ok((stream, _)) => self.serve(stream),
-            // Out of file descriptors: those in use will be closed.
+            // Probably out of file descriptors. Connections that close meanwhile free some.
             Err(e) => {
-                log::warn!("front: {e}");
+                log::warn!("front: accept failed, retrying after a pause: {e}");
                 sleep(ACCEPT_BACKOFF).await;
             }
         }
@@ -119,13 +119,13 @@
     fn serve(&self, stream: TcpStream) {
         self.state.counters.add(|c| c.client_connections += 1);
         let max_clients = self.state.max_clients;
-        let at_limit = self.open.get() >= max_clients;
-        // An idle client can come back. One that is rejected is not served.
+        let at_limit = self.open_count.get() >= max_clients;
+        // Evicting an idle client is better than a rejection: it can reconnect, while a rejected client is not served.
         let over_limit = at_limit && !self.state.idle_clients.borrow_mut().evict_oldest();
-        if self.open.get() >= max_clients + MAX_REJECTED_CONNECTIONS {
+        if self.open_count.get() >= max_clients + MAX_REJECTED_CONNECTIONS {
             return;
         }
-        let open_guard = OpenGuard::new(&self.open);
+        let open_guard = OpenConnectionGuard::new(&self.open_count);
         let state = self.state.clone();
         let phase = self.phase.subscribe();
         tokio::task::spawn_local(async move {
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: accepting them, reading requests within the operators' limits, and closing.
+//! Client connections: accepting them, reading requests within the operators' limits, serving and closing.
 
 mod close;
 mod connection;
--- a/crates/proxy/src/client/request.rs
+++ b/crates/proxy/src/client/request.rs
@@ -1,4 +1,4 @@
-//! A client's request.
+//! A client's request after it was read.
 
 use crate::headers::ATTEMPT_ID;
 use crate::state::BodyReservation;
@@ -6,23 +6,23 @@
 use http1::RequestHead;
 use tokio::time::Instant;
 
-/// A request that was read completely.
+/// A completely read request.
 pub(crate) struct Request {
     pub(crate) head: RequestHead,
     pub(crate) body: Bytes,
-    /// When its first bytes were received.
+    /// Time at which its first bytes were received.
     pub(crate) received_at: Instant,
-    /// Held for as long as the body is.
+    /// Memory reservation for the body, released together with it.
     pub(crate) _body_reservation: Option<BodyReservation>,
 }
 
 impl Request {
-    /// The client's id for this attempt; the first one if there are several.
+    /// Returns the client's id for this attempt; the first one if there are several fields.
     pub(crate) fn attempt_id(&self) -> Option<&[u8]> {
         self.head.fields.get(ATTEMPT_ID)
     }
 
-    /// Whether the request's method is `HEAD`, whose response has no body.
+    /// Returns whether the method is `HEAD`, whose responses have no body.
     pub(crate) fn is_head(&self) -> bool {
         self.head.method() == b"HEAD"
     }
--- a/crates/proxy/src/client/request_reader.rs
+++ b/crates/proxy/src/client/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request completely, within the operators' limits, before any host hears of it.
+//! Reads a client's request completely, within the operators' limits, before anything is sent to a host.
 
 use super::Request;
 use crate::deadline::time_allowed;
@@ -13,23 +13,25 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The longest time for a body whose request has no deadline. Between its pieces the operator's idle time-out counts.
+/// Maximum time for receiving a body, however late the request's deadline is. Between two reads the operators' idle
+/// timeout applies.
 const MAX_BODY_TIME: Duration = Duration::from_secs(3600);
 
-/// Why there is no request to serve.
+/// Reason why no request was read.
 #[derive(Debug)]
 pub(super) enum ReadError {
-    /// The client sent nothing, or disconnected.
+    /// The client disconnected before the request was complete.
     Disconnected,
-    /// The request is rejected: it gets a local reply.
+    /// The request has to be rejected with a local reply.
     Rejected {
         code: ResultCode,
-        /// The attempt's id, if it was read.
+        /// Id of the attempt, if the head was read and has one.
         attempt_id: Option<Vec<u8>>,
     },
 }
 
-/// Why a part of a request can't be read. Converted to [`ReadError`] once it is known whether there is an id.
+/// Reason why the head or the body of a request can't be read. Converted to [`ReadError`] once the attempt's id is
+/// known.
 enum PartError {
     Disconnected,
     Rejected(ResultCode),
@@ -42,7 +44,7 @@
 }
 
 impl PartError {
-    fn for_attempt(self, attempt_id: Option<&[u8]>) -> ReadError {
+    fn with_attempt_id(self, attempt_id: Option<&[u8]>) -> ReadError {
         match self {
             Self::Disconnected => ReadError::Disconnected,
             Self::Rejected(code) => ReadError::Rejected {
@@ -53,13 +55,13 @@
     }
 }
 
-/// A body and the memory that is reserved for it; an empty body needs none.
+/// A received body and the memory reserved for it; an empty body has no reservation.
 struct ReadBody {
     bytes: Bytes,
     reservation: Option<BodyReservation>,
 }
 
-/// Reads requests off one connection. `buf` holds what was received and not yet read as a request.
+/// Reader for one request on a connection. `buf` holds bytes received that are not yet parsed as a request.
 pub(super) struct RequestReader<'a> {
     pub(super) state: &'a ProxyState,
     pub(super) stream: &'a TcpStream,
@@ -68,22 +70,22 @@
 }
 
 impl RequestReader<'_> {
-    /// Reads a request whose first bytes were received at `received_at`.
+    /// Reads a request. `received_at` is the time at which its first bytes were received.
     pub(super) async fn read(mut self, received_at: Instant) -> Result<Request, ReadError> {
         let head_deadline = Instant::now() + Duration::from_millis(self.limits.header_timeout_ms);
         let head = timeout_at(head_deadline, self.read_head())
             .await
             .unwrap_or(Err(PartError::Rejected(ResultCode::SlowClient)))
-            .map_err(|error| error.for_attempt(None))?;
+            .map_err(|error| error.with_attempt_id(None))?;
         if let Some(code) = self.key_rejection(&head) {
             let attempt_id = head.fields.get(ATTEMPT_ID);
-            return Err(PartError::Rejected(code).for_attempt(attempt_id));
+            return Err(PartError::Rejected(code).with_attempt_id(attempt_id));
         }
         let body_deadline = self.body_deadline(&head, received_at);
         let body = timeout_at(body_deadline, self.read_body(&head))
             .await
             .unwrap_or(Err(PartError::Rejected(ResultCode::SlowClient)))
-            .map_err(|error| error.for_attempt(head.fields.get(ATTEMPT_ID)))?;
+            .map_err(|error| error.with_attempt_id(head.fields.get(ATTEMPT_ID)))?;
         Ok(Request {
             head,
             body: body.bytes,
@@ -92,15 +94,16 @@
         })
     }
 
-    /// Why a request is rejected for its key, before its body is read. Without a route, or a configuration, the key isn't
-    /// looked at.
+    /// Checks the API key before the body is read and returns the code of the rejection, if any. Without a matching
+    /// route or a configuration the key isn't checked here.
     fn key_rejection(&self, head: &RequestHead) -> Option<ResultCode> {
         let table = self.state.routing_table()?;
         let route = table.routes.find(head.host()?, head.path())?;
         table.tenants.authenticate(&head.fields, route).err()
     }
 
-    /// By when the body has to be complete: after its deadline nobody would serve the request.
+    /// Returns the time by which the body has to be complete: the request's deadline, after which it wouldn't be
+    /// served, or [`MAX_BODY_TIME`] if that is earlier.
     fn body_deadline(&self, head: &RequestHead, received_at: Instant) -> Instant {
         let table = self.state.routing_table();
         let route = table.and_then(|table| table.routes.find(head.host()?, head.path()).cloned());
@@ -196,7 +199,7 @@
             .ok_or(PartError::Rejected(ResultCode::Crowded))
     }
 
-    /// Tells a client that waits for it to send the body.
+    /// Sends an interim `100 Continue` response if the client waits for one before it sends the body.
     async fn send_continue(&self, head: &RequestHead) -> Result<(), PartError> {
         if head.minor_version > 0 && head.fields.has_token("expect", "100-continue") {
             let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
--- a/crates/proxy/src/hints/listener.rs
+++ b/crates/proxy/src/hints/listener.rs
@@ -1,4 +1,4 @@
-//! Takes prefix hints of other proxies, and answers those that ask for what this one knows.
+//! Receives prefix hints from other proxies, and answers their requests for the placements known here.
 
 use super::publisher::to_wire;
 use super::MAX_DATAGRAM_BYTES;
@@ -11,23 +11,23 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Bytes of a datagram that the frame and the length of the list take.
+/// Bytes of a datagram reserved for the frame and the list's length.
 const FRAME_BYTES: usize = 32;
-/// Bytes of an entry besides its host's name and its parts.
+/// Bytes of an entry apart from its host's name and its parts.
 const ENTRY_OVERHEAD_BYTES: usize = 8;
 /// Bytes of a prompt part in an entry.
 const PART_BYTES: usize = 12;
-/// Prompt parts in one entry. A placement with more takes several entries.
+/// Maximum number of prompt parts in one entry. A placement with more parts is sent as several entries.
 const MAX_PARTS_PER_ENTRY: usize = 40;
-/// Pause after a socket error, which may come again at once.
+/// Pause after a socket error, which may otherwise recur immediately.
 const ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Takes hints for as long as the process lives.
+/// Receives hints until the task is aborted.
 pub(crate) async fn run(state: Rc<ProxyState>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; 2 * MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
-            // The ICMP error for a datagram sent to a proxy that is gone, or an error that stays.
+            // An ICMP error for a datagram sent to a proxy that no longer runs, or a persistent error.
             tokio::time::sleep(ERROR_BACKOFF).await;
             continue;
         };
@@ -43,10 +43,10 @@
         Message::PromptPlaced {
             placement,
             prefill_tokens,
-        } => record(state, &placement, prefill_tokens),
+        } => record_placement(state, &placement, prefill_tokens),
         Message::Placements { placements } => {
             for placement in &placements {
-                record(state, placement, 0);
+                record_placement(state, placement, 0);
             }
         }
         Message::PlacementsRequest { .. } => send_known_placements(state, socket, sender),
@@ -54,7 +54,11 @@
     }
 }
 
-fn record(state: &ProxyState, placement: &protocol::PromptPlacement, prefill_tokens: u32) {
+fn record_placement(
+    state: &ProxyState,
+    placement: &protocol::PromptPlacement,
+    prefill_tokens: u32,
+) {
     let parts: Vec<PromptPart> = placement
         .parts
         .iter()
@@ -71,7 +75,7 @@
     );
 }
 
-/// Sends what the hosts' prefix caches hold, in as many datagrams as it takes.
+/// Sends the known contents of the hosts' prefix caches, in as many datagrams as needed.
 fn send_known_placements(state: &ProxyState, socket: &UdpSocket, to: SocketAddr) {
     let known = state.load_balancer.borrow().cached_prefixes();
     let mut batch = PlacementBatch::new(socket, to);
@@ -79,10 +83,10 @@
         host_id, prefix, ..
     } in known
     {
-        for some_parts in prefix.chunks(MAX_PARTS_PER_ENTRY) {
+        for parts_chunk in prefix.chunks(MAX_PARTS_PER_ENTRY) {
             let entry = to_wire(&PrefixHint {
                 host_id: Arc::clone(&host_id),
-                prefix: some_parts.to_vec(),
+                prefix: parts_chunk.to_vec(),
                 uncached_tokens: 0,
             });
             if !batch.push(entry) {
@@ -93,11 +97,12 @@
     batch.send();
 }
 
-/// Entries that are collected for a datagram.
+/// Entries collected for the next datagram to one proxy.
 struct PlacementBatch<'a> {
     socket: &'a UdpSocket,
     to: SocketAddr,
     entries: Vec<protocol::PromptPlacement>,
+    /// Total encoded size of `entries`.
     bytes: usize,
 }
 
@@ -111,8 +116,8 @@
         }
     }
 
-    /// Adds an entry, and sends what was collected before where both don't fit. False for an entry that fits into no
-    /// datagram, as its host's name alone is too long.
+    /// Adds an entry. Sends the collected entries first if the new one doesn't fit into the same datagram. Returns
+    /// false for an entry that doesn't fit into any datagram because its host's name is too long.
     fn push(&mut self, entry: protocol::PromptPlacement) -> bool {
         const CAPACITY: usize = MAX_DATAGRAM_BYTES - FRAME_BYTES;
         let entry_bytes = ENTRY_OVERHEAD_BYTES + entry.host.len() + PART_BYTES * entry.parts.len();
@@ -127,7 +132,7 @@
         true
     }
 
-    /// Sends what was collected.
+    /// Sends the collected entries, if any, in one datagram.
     fn send(&mut self) {
         if self.entries.is_empty() {
             return;
@@ -136,7 +141,7 @@
             placements: std::mem::take(&mut self.entries),
         };
         self.bytes = 0;
-        // What can't be sent at once is lost, as any datagram may be.
+        // A datagram that can't be sent immediately is dropped. Hints may be lost anyway.
         let _ = self
             .socket
             .try_send_to(&protocol::encode(&message), self.to);
--- a/crates/proxy/src/hints/mod.rs
+++ b/crates/proxy/src/hints/mod.rs
@@ -1,8 +1,8 @@
-//! Prefix hints: proxies tell each other which host a prompt was sent to, so that others know what the hosts' prefix
-//! caches hold and what they have yet to prefill.
+//! Prefix hints: proxies inform each other which host a prompt was sent to, so that each of them knows the contents of
+//! the hosts' prefix caches and the tokens that the hosts have yet to prefill.
 //!
-//! Hints are datagrams that may be lost. All that depends on them is whether a prompt is prefilled again; no request
-//! waits for one.
+//! Hints are sent as datagrams, which may be lost. A lost hint can only cause a prompt to be prefilled again; no
+//! request waits for hints.
 
 mod fan_out;
 mod listener;
@@ -12,5 +12,5 @@
 pub(crate) use listener::run as run_listener;
 pub(crate) use publisher::{bind, HintPublisher};
 
-/// Largest datagram, in bytes.
+/// Maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1200;
--- a/crates/proxy/src/hints/publisher.rs
+++ b/crates/proxy/src/hints/publisher.rs
@@ -9,38 +9,40 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Proxies that are asked for what they know when this one starts.
-const PEERS_ASKED_AT_START: usize = 2;
-/// Which port of the process's range takes hints, counted from its first.
+/// Number of proxies that are asked for their known placements when this one starts.
+const INITIAL_REQUEST_PEERS: usize = 2;
+/// Offset of the port for hints from the first port of the process's range.
 const HINT_PORT_OFFSET: u16 = 2;
 
-/// Sends hints. Sends nothing until it has a socket and peers.
+/// Sender of prefix hints. Sends nothing until it has a socket and peers.
 pub(crate) struct HintPublisher {
     socket: Option<Rc<UdpSocket>>,
-    /// All other proxies, beginning with those that follow this one in the order of their addresses. Those are told of
-    /// each prompt that the fan-out doesn't reach all with.
+    /// All other proxies in ring order of their addresses, starting after this proxy's own. If the fan-out is smaller
+    /// than this list, hints go to the first of them.
     peers: Vec<SocketAddrV4>,
     fan_out: FanOut,
-    asked_peers: bool,
+    /// Whether the peers were already asked for their known placements.
+    has_requested_placements: bool,
 }
 
 impl HintPublisher {
-    /// A publisher for a process with these resources.
+    /// Creates a publisher for a process with these resources.
     pub(crate) fn new(limits: &MachineLimits) -> Self {
         Self {
             socket: None,
             peers: Vec::new(),
             fan_out: FanOut::new(limits),
-            asked_peers: false,
+            has_requested_placements: false,
         }
     }
 
-    /// Sends from this socket from now on.
+    /// Sets the socket to send from.
     pub(crate) fn set_socket(&mut self, socket: Rc<UdpSocket>) {
         self.socket = Some(socket);
     }
 
-    /// Takes in the addresses of the other proxies, and asks the first of them for what they know, once.
+    /// Sets the addresses of the other proxies. The first call with any peers also asks the nearest ones for their
+    /// known placements.
     pub(crate) fn set_peers(&mut self, addresses: &[SocketAddrV4]) {
         let Some(socket) = &self.socket else {
             return;
@@ -48,24 +50,25 @@
         let Ok(SocketAddr::V4(own_address)) = socket.local_addr() else {
             return;
         };
-        self.peers = next_in_ring(own_address, addresses);
-        if !self.asked_peers && !self.peers.is_empty() {
-            self.asked_peers = true;
+        self.peers = ring_order_after(own_address, addresses);
+        if !self.has_requested_placements && !self.peers.is_empty() {
+            self.has_requested_placements = true;
             let request = protocol::encode(&Message::PlacementsRequest { reserved: 0 });
-            for peer in self.peers.iter().take(PEERS_ASKED_AT_START) {
+            for peer in self.peers.iter().take(INITIAL_REQUEST_PEERS) {
                 send(socket, &request, *peer);
             }
         }
     }
 
-    /// Whether this proxy tells all others of every prompt, and so takes it that they tell it too.
-    pub(crate) fn reaches_all(&self, now: Duration) -> bool {
+    /// Returns whether this proxy sends each hint to all others, and so may assume that it receives all of theirs.
+    pub(crate) fn reaches_all_peers(&self, now: Duration) -> bool {
         self.socket.is_some() && self.peers.len() <= self.fan_out.max_peers(now)
     }
 
-    /// Tells the peers of a prompt that was sent to a host. Hints larger than a datagram are not sent.
+    /// Sends a hint about a prompt that was sent to a host to the peers. A hint that is too large for a datagram is
+    /// dropped.
     pub(crate) fn publish(&mut self, now: Duration, hint: &PrefixHint) {
-        self.fan_out.count(now);
+        self.fan_out.record_hint(now);
         let Some(socket) = self.socket.as_ref().filter(|_| !self.peers.is_empty()) else {
             return;
         };
@@ -83,8 +86,8 @@
     }
 }
 
-/// The addresses that follow `own_address` in their order, with the first behind the last.
-fn next_in_ring(own_address: SocketAddrV4, addresses: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
+/// Returns the addresses in ascending ring order, starting after `own_address`.
+fn ring_order_after(own_address: SocketAddrV4, addresses: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
     let mut ring = addresses.to_vec();
     ring.sort_unstable();
     let next = ring.partition_point(|address| *address < own_address);
@@ -93,11 +96,11 @@
 }
 
 fn send(socket: &UdpSocket, message: &[u8], peer: SocketAddrV4) {
-    // What can't be sent at once is lost, as any datagram may be.
+    // A datagram that can't be sent immediately is dropped. Hints may be lost anyway.
     let _ = socket.try_send_to(message, SocketAddr::V4(peer));
 }
 
-/// A hint in its form on the wire.
+/// Converts a hint to its wire format.
 pub(super) fn to_wire(hint: &PrefixHint) -> protocol::PromptPlacement {
     let parts = hint.prefix.iter().map(|part| PromptPart {
         id: part.id,
@@ -109,7 +112,7 @@
     }
 }
 
-/// The socket on which this proxy takes and sends hints; `None` if the settings leave no port or it can't be bound.
+/// Binds the socket for receiving and sending hints; `None` if the settings have no port for it or it can't be bound.
 pub(crate) async fn bind(settings: &ProcessSettings) -> Option<Rc<UdpSocket>> {
     let (first_port, last_port) = settings.port_range;
     let port = first_port
@@ -118,7 +121,7 @@
     match UdpSocket::bind(SocketAddrV4::new(settings.ip_addr, port)).await {
         Ok(socket) => Some(Rc::new(socket)),
         Err(e) => {
-            log::warn!("no hints are taken: {e}");
+            log::warn!("prefix hints are disabled, as their socket can't be bound: {e}");
             None
         }
     }
--- a/crates/proxy/src/state/body_memory.rs
+++ b/crates/proxy/src/state/body_memory.rs
@@ -1,9 +1,9 @@
-//! Admission by memory: how many bytes of request bodies the process holds.
+//! Memory accounting for request bodies, by which requests are admitted or rejected.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The memory for request bodies.
+/// Memory budget for the bodies of all requests.
 #[derive(Clone, Debug)]
 pub(crate) struct BodyMemory {
     reserved_bytes: Rc<Cell<usize>>,
@@ -11,7 +11,7 @@
 }
 
 impl BodyMemory {
-    /// Memory for `max_bytes` bytes over all requests.
+    /// Creates a budget of `max_bytes` bytes over all requests.
     pub(crate) fn new(max_bytes: usize) -> Self {
         Self {
             reserved_bytes: Rc::default(),
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Reserves memory for a body; `None` if there is not enough.
+    /// Reserves `bytes` bytes for a body; `None` if the budget has too few left.
     pub(crate) fn try_reserve(&self, bytes: usize) -> Option<BodyReservation> {
         let mut reservation = BodyReservation {
             memory: self.clone(),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Memory reserved for one body, until it is dropped.
+/// Memory reservation for one body, released when dropped.
 #[derive(Debug)]
 pub(crate) struct BodyReservation {
     memory: BodyMemory,
@@ -37,7 +37,8 @@
 }
 
 impl BodyReservation {
-    /// Grows the reservation to `bytes` in all; false, and unchanged, if there is not enough.
+    /// Grows the reservation to a total of `bytes`. Returns false and leaves it unchanged if the budget has too few
+    /// left.
     pub(crate) fn grow_to(&mut self, bytes: usize) -> bool {
         let additional = bytes.saturating_sub(self.bytes);
         let reserved = self.memory.reserved_bytes.get() + additional;
--- a/crates/proxy/src/state/capacity.rs
+++ b/crates/proxy/src/state/capacity.rs
@@ -1,29 +1,29 @@
-//! Limits of the process that follow from its settings.
+//! Limits of the process, derived from its settings.
 
 use configuration::ProcessSettings;
 
-/// Limits of the process that follow from its settings.
+/// Limits of the process, derived from its settings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Capacity {
-    /// Connections of clients that are served.
+    /// Maximum number of client connections that are served.
     pub(crate) max_clients: usize,
-    /// Connections to hosts, over all hosts.
+    /// Maximum number of connections to all hosts together.
     pub(crate) max_host_connections: usize,
-    /// Bytes of request bodies, over all requests.
+    /// Maximum total size of request bodies, in bytes.
     pub(crate) max_body_bytes: usize,
 }
 
-/// File descriptors left for listeners, the connection to the agent and what is opened for a moment.
+/// File descriptors reserved for listeners, the connection to the agent and short-lived uses.
 const RESERVED_FDS: u64 = 250;
-/// File descriptors that connections have at least.
+/// Minimum number of file descriptors for connections.
 const MIN_CONNECTION_FDS: u64 = 16;
-/// Share of the connections' file descriptors that clients have; hosts have the others.
+/// Fraction of the connections' file descriptors for clients; the rest is for hosts.
 const CLIENT_FD_SHARE: f64 = 0.6;
-/// Share of the process's memory for request bodies.
+/// Fraction of the process's memory for request bodies.
 const BODY_MEMORY_SHARE: f64 = 0.3;
 
 impl Capacity {
-    /// The capacity of a process with these settings.
+    /// Computes the capacity of a process with these settings.
     pub(crate) fn from_settings(settings: &ProcessSettings) -> Self {
         let fds = settings
             .limits
--- a/crates/proxy/src/state/clock.rs
+++ b/crates/proxy/src/state/clock.rs
@@ -1,33 +1,33 @@
-//! Times as durations since the start of the process.
+//! Process clock: times as durations since the start of the process.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Converts between instants and durations since the start of the process, which the parts without I/O use.
+/// Converts between instants and durations since the start of the process, which the modules without I/O use.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock whose start is now.
     pub(crate) fn start() -> Self {
         Self {
             origin: Instant::now(),
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub(crate) fn now(self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// An instant as a time since the start; zero for earlier ones.
+    /// Converts an instant to a time since the start; zero for instants before it.
     pub(crate) fn since_start(self, at: Instant) -> Duration {
         at.saturating_duration_since(self.origin)
     }
 
-    /// The instant of a time since the start.
+    /// Converts a time since the start to an instant.
     pub(crate) fn at(self, time: Duration) -> Instant {
         self.origin + time
     }
--- a/crates/proxy/src/state/fleet_update.rs
+++ b/crates/proxy/src/state/fleet_update.rs
@@ -1,4 +1,4 @@
-//! Takes a new snapshot of the fleet into the state.
+//! Applies new snapshots of the fleet to the state.
 
 use super::routing_table::{connections_per_host, RoutingTable};
 use super::ProxyState;
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 impl ProxyState {
-    /// Applies a snapshot. A configuration older than the one in force is ignored; the hosts are taken all the same.
+    /// Applies a snapshot. A configuration older than the one in force is ignored, but the snapshot's hosts are
+    /// applied.
     pub(crate) fn apply_fleet(&self, snapshot: &FleetSnapshot) {
         let now = self.now();
         *self.configuration_age.borrow_mut() = Some(snapshot.configuration_age.clone());
@@ -50,7 +51,7 @@
             .collect();
         self.load_balancer.borrow_mut().set_services(now, &services);
         log::info!(
-            "configuration {}: {} routes",
+            "applied configuration version {} with {} routes",
             configuration.version,
             configuration.routes.len()
         );
@@ -59,7 +60,7 @@
     fn apply_hosts(&self, now: Duration, snapshot: &FleetSnapshot) {
         let mut hints = self.hints.borrow_mut();
         hints.set_peers(&snapshot.peer_hint_addresses);
-        let all_peers_reached = hints.reaches_all(now);
+        let all_peers_reached = hints.reaches_all_peers(now);
         let mut load_balancer = self.load_balancer.borrow_mut();
         load_balancer.set_hints_complete(now, all_peers_reached);
         load_balancer.set_proxy_count(now, snapshot.proxy_count);
--- a/crates/proxy/src/state/health_report.rs
+++ b/crates/proxy/src/state/health_report.rs
@@ -1,10 +1,10 @@
-//! Counts and logs the changes of hosts' health: one line for each.
+//! Counts and logs changes of the hosts' health, with one log line for each change.
 
 use super::ProxyState;
 use balancing::{HealthChange, HealthTransition, HostError};
 
 impl ProxyState {
-    /// Counts and logs what has changed since the last call.
+    /// Counts and logs the health changes since the last call.
     pub(crate) fn report_health_transitions(&self) {
         let transitions = self.load_balancer.borrow_mut().take_health_transitions();
         for transition in transitions {
@@ -29,7 +29,7 @@
     }
 }
 
-/// An error as operators read it.
+/// Returns the name of an error in log lines.
 fn error_name(error: HostError) -> &'static str {
     match error {
         HostError::ErrorResponse => "error responses",
--- a/crates/proxy/src/state/in_flight.rs
+++ b/crates/proxy/src/state/in_flight.rs
@@ -1,4 +1,4 @@
-//! Attempts that have no outcome yet.
+//! Attempts in flight: sent to a host and without an outcome so far.
 
 use crate::state::ProxyState;
 use balancing::{AttemptId, HostLoad, Outcome};
@@ -11,28 +11,30 @@
 #[derive(Debug, Default)]
 pub(crate) struct InFlightCount {
     count: Cell<usize>,
-    added: Notify,
+    /// Notified when the count increases.
+    incremented: Notify,
 }
 
 impl InFlightCount {
     fn increment(&self) {
         self.count.set(self.count.get() + 1);
-        self.added.notify_one();
+        self.incremented.notify_one();
     }
 
     fn decrement(&self) {
         self.count.set(self.count.get().saturating_sub(1));
     }
 
-    /// Resolves while at least one attempt is in flight.
-    pub(crate) async fn non_zero(&self) {
+    /// Resolves once at least one attempt is in flight.
+    pub(crate) async fn wait_until_non_zero(&self) {
         while self.count.get() == 0 {
-            self.added.notified().await;
+            self.incremented.notified().await;
         }
     }
 }
 
-/// An attempt that the load balancer counts as in flight until it is finished. Dropped before that it counts as cancelled.
+/// An attempt that the load balancer counts as in flight until it is finished. If dropped before, it is reported as
+/// cancelled.
 pub(crate) struct InFlightAttempt {
     state: Rc<ProxyState>,
     attempt: AttemptId,
@@ -40,7 +42,7 @@
 }
 
 impl InFlightAttempt {
-    /// An attempt that the load balancer has just chosen a host for.
+    /// Registers an attempt for which the load balancer has just selected a host.
     pub(crate) fn new(state: &Rc<ProxyState>, attempt: AttemptId) -> Self {
         state.in_flight.increment();
         Self {
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The response has begun.
+    /// Records that the response has begun.
     pub(crate) fn record_response_start(&self) {
         self.state
             .load_balancer
@@ -59,7 +61,7 @@
         self.state.report_health_transitions();
     }
 
-    /// More came of a response that has begun.
+    /// Records that more of a response was received after its beginning.
     pub(crate) fn record_progress(&self) {
         self.state
             .load_balancer
@@ -67,7 +69,7 @@
             .on_progress(self.state.now(), self.attempt);
     }
 
-    /// The head of a response that goes on gave this load of the host.
+    /// Records the host's load, if any, from the head of a response whose body is still being received.
     pub(crate) fn record_load(&self, load: Option<HostLoad>) {
         if let Some(load) = load {
             self.state.load_balancer.borrow_mut().on_load_report(
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Time after the sending of a silent attempt at which another host is worth asking; `None` if waiting is best. It
-    /// may change while the attempt is in flight.
+    /// Returns the time after sending at which an attempt without a response should fail over to another host; `None`
+    /// if it is better to wait. The value may change while the attempt is in flight.
     pub(crate) fn timeout(&self) -> Option<Duration> {
         self.state
             .load_balancer
@@ -87,7 +89,7 @@
             .attempt_timeout(self.state.now(), self.attempt)
     }
 
-    /// Reports the outcome, and the host's load where the response gave it.
+    /// Reports the outcome, and the host's load if the response contained it.
     pub(crate) fn finish(mut self, outcome: Outcome, load: Option<HostLoad>) {
         self.report(outcome, load);
     }
--- a/crates/proxy/src/state/mod.rs
+++ b/crates/proxy/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state of the process, on its one thread, which all connections share.
+//! State of the process, shared by all connections on its single thread.
 
 mod body_memory;
 mod capacity;
@@ -34,13 +34,14 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Least time between two ticks of the load balancer while attempts are in flight.
+/// Minimum time between two ticks of the load balancer while attempts are in flight.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Share of `revoke_ms` for which a configuration's keys are relied on; the rest is for clocks that run apart.
+/// Fraction of `revoke_ms` for which a configuration's keys are accepted; the rest allows for clocks that run at
+/// different rates.
 const KEY_AGE_SHARE: f64 = 0.9;
 
-/// State of the process.
+/// State of the proxy process.
 pub(crate) struct ProxyState {
     pub(crate) clock: Clock,
     pub(crate) load_balancer: RefCell<LoadBalancer>,
@@ -50,23 +51,24 @@
     in_flight: InFlightCount,
     pub(crate) hints: RefCell<HintPublisher>,
     pub(crate) quotas: QuotaClient,
-    /// Set once the process is asked to end.
+    /// Schedule of the shutdown; set once the process is asked to end.
     pub(crate) shutdown: Cell<Option<Shutdown>>,
     pub(crate) idle_clients: RefCell<IdleClients>,
-    /// Connections of clients that are served.
+    /// Maximum number of client connections that are served.
     pub(crate) max_clients: usize,
     pub(crate) body_memory: BodyMemory,
-    /// How old the configuration may be; `None` before the first one.
+    /// Upper bound of the configuration's age; `None` before the first configuration.
     configuration_age: RefCell<Option<ConfigurationAge>>,
-    /// With an older configuration no request with a key is served; `None` where keys needn't end in time.
+    /// Age of the configuration beyond which requests with a key are rejected; `None` if the settings don't bound the
+    /// time until a key is revoked.
     max_key_age: Option<Duration>,
     random: RefCell<Pcg64Mcg>,
 }
 
 impl ProxyState {
-    /// State of a process that knows no fleet yet.
+    /// Creates the state of a process that has no snapshot of the fleet yet.
     pub(crate) fn new(settings: &ProcessSettings, counters: Rc<SharedCounters>) -> Self {
-        // The standard library's hasher is keyed with the system's randomness.
+        // `RandomState` is seeded from the system's random source.
         let seed = RandomState::new().build_hasher().finish();
         let capacity = Capacity::from_settings(settings);
         let mut load_balancer = LoadBalancer::new(load_balancer_settings(settings, seed));
@@ -92,32 +94,32 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start of the process.
     pub(crate) fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// The instant of a time since the start.
+    /// Converts a time since the start of the process to an instant.
     pub(crate) fn at(&self, time: Duration) -> Instant {
         self.clock.at(time)
     }
 
-    /// A uniform random number.
+    /// Returns a uniformly distributed random number.
     pub(crate) fn random_u64(&self) -> u64 {
         self.random.borrow_mut().random()
     }
 
-    /// A uniform random number in [0, 1).
+    /// Returns a uniformly distributed random number in [0, 1).
     pub(crate) fn random_unit(&self) -> f64 {
         self.random.borrow_mut().random()
     }
 
-    /// What requests are routed by; `None` before the first configuration.
+    /// Returns the current routing table; `None` before the first configuration.
     pub(crate) fn routing_table(&self) -> Option<Rc<RoutingTable>> {
         self.routing_table.borrow().clone()
     }
 
-    /// The operators' limits on clients.
+    /// Returns the operators' limits on client requests; the defaults before the first configuration.
     pub(crate) fn client_limits(&self) -> Limits {
         self.routing_table
             .borrow()
@@ -125,7 +127,7 @@
             .map_or_else(Limits::default, |table| table.client_limits)
     }
 
-    /// Whether the platform is to send requests here.
+    /// Returns whether the process is ready for requests: it has hosts and isn't shutting down.
     pub(crate) fn is_ready(&self) -> bool {
         let has_hosts = self
             .routing_table
@@ -135,7 +137,8 @@
         has_hosts && self.shutdown.get().is_none()
     }
 
-    /// Whether the keys that are known here may be relied on: none was taken away longer ago than the bounds allow.
+    /// Returns whether the configuration is recent enough for its keys to be accepted. A key that was revoked longer
+    /// ago than the operators' bounds allow must not be.
     pub(crate) fn has_current_keys(&self) -> bool {
         let Some(max_age) = self.max_key_age else {
             return true;
@@ -145,14 +148,14 @@
         age.is_some_and(|age| age <= max_age)
     }
 
-    /// Whether a request with this deadline, on a route of this kind, may be given to a host now.
+    /// Returns whether a request with this deadline, on a route of this kind, may be sent to a host now.
     pub(crate) fn admits(&self, deadline: Duration, kind: RouteKind) -> bool {
         self.shutdown
             .get()
             .is_none_or(|shutdown| shutdown.admits(self.now(), deadline, kind))
     }
 
-    /// Connections that one host of this service takes from this process.
+    /// Returns the maximum number of connections from this process to one host of the service.
     pub(crate) fn max_connections_per_host(&self, service: &str) -> usize {
         self.routing_table
             .borrow()
@@ -161,10 +164,10 @@
             .unwrap_or(MIN_CONNECTIONS_PER_HOST)
     }
 
-    /// Ticks the load balancer while attempts are in flight, so that it notices when this process was stalled.
+    /// Ticks the load balancer while attempts are in flight, so that it detects when this process was stalled.
     pub(crate) async fn run_ticks(&self) {
         loop {
-            self.in_flight.non_zero().await;
+            self.in_flight.wait_until_non_zero().await;
             sleep(TICK_INTERVAL).await;
             self.load_balancer.borrow_mut().tick(self.now());
         }
@@ -182,15 +185,16 @@
     }
 }
 
-/// The oldest configuration whose keys are relied on. What a client sends after `revoke_ms` comes here no earlier, so this
-/// process has missed the end of a key for at least as long by then.
+/// Returns the maximum age of a configuration whose keys are accepted; `None` if revocation isn't bounded. A request
+/// that is sent `revoke_ms` after a key was revoked can't arrive earlier than that, so a process that still accepts the
+/// key has missed the revocation for at least that time.
 fn max_key_age(settings: &ProcessSettings) -> Option<Duration> {
     let bounds = &settings.bounds;
     let max_age = duration_from_secs(bounds.revoke_ms / 1e3 * KEY_AGE_SHARE);
     bounds.revocation.then_some(max_age)
 }
 
-/// Zero for what is no duration.
+/// Converts seconds to a duration; zero for values that are negative, too large or not a number.
 fn duration_from_secs(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
--- a/crates/proxy/src/state/routing_table.rs
+++ b/crates/proxy/src/state/routing_table.rs
@@ -1,4 +1,4 @@
-//! What requests are routed by: the configuration in force, and what follows from the fleet.
+//! Routing table: the data by which requests are routed, from the configuration in force and the fleet.
 
 use crate::routes::RouteTable;
 use crate::tenants::TenantTable;
@@ -6,24 +6,24 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Connections that one host takes from this process at least, whatever the service's limit and the number of proxies.
+/// Minimum number of connections from this process to one host, whatever the service's limit and the number of proxies.
 pub(crate) const MIN_CONNECTIONS_PER_HOST: usize = 4;
 
-/// Derived from the newest configuration and the fleet.
+/// Data by which requests are routed, derived from the newest configuration and the fleet.
 #[derive(Debug)]
 pub(crate) struct RoutingTable {
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) routes: RouteTable,
     pub(crate) tenants: TenantTable,
     pub(crate) client_limits: Limits,
-    /// By service: connections that one host takes from this process.
+    /// By service: maximum number of connections from this process to one host.
     pub(crate) connections_per_host: HashMap<String, usize>,
-    /// Whether any host takes requests.
+    /// Whether any host accepts requests, that is, isn't draining.
     pub(crate) has_hosts: bool,
 }
 
 impl RoutingTable {
-    /// The table for a configuration.
+    /// Creates the table for a configuration.
     pub(crate) fn new(
         configuration: Arc<Configuration>,
         connections_per_host: HashMap<String, usize>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// By service: this proxy's share of the connections that one host takes.
+/// Computes, by service, this proxy's even share of the connections that one host accepts.
 pub(crate) fn connections_per_host(
     configuration: &Configuration,
     proxy_count: usize,
