--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -4,69 +4,69 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident;)*) => {
-        /// Counts since the start of the process.
+        /// Event counts since the start of the process.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub struct Counters { $($(#[$doc])* pub $name: u64,)* }
 
         impl Counters {
-            /// Names and values.
+            /// Returns the names and values of all counters, in the order of declaration.
             pub fn pairs(&self) -> Vec<(&'static str, u64)> { vec![$((stringify!($name), self.$name),)*] }
         }
     };
 }
 
 counters! {
-    /// Connections of clients.
+    /// Client connections that were accepted.
     client_connections;
     /// Requests that were read completely.
     requests;
-    /// Attempts: requests sent to a host.
+    /// Attempts, that is, requests sent to a host.
     attempts;
-    /// Attempts after the first of their request.
+    /// Attempts after the first one of their request.
     retries;
-    /// Responses of hosts forwarded completely.
+    /// Responses of hosts that were forwarded completely.
     responses;
-    /// Streams that were resumed at another host.
+    /// Streams that were resumed on another host.
     resumed_streams;
-    /// Local replies that promise that the request has not run.
+    /// Local replies which state that the request was not executed.
     local_rejections;
     /// Other local replies.
     local_errors;
-    /// Responses truncated because the host's was.
+    /// Responses truncated because the host's response was.
     truncated_responses;
     /// Responses truncated because this process ended.
     truncated_at_shutdown;
     /// Clients that disconnected before their response was complete.
     client_disconnects;
-    /// Connections that were tried to be opened to hosts.
+    /// Attempts to open a connection to a host.
     host_connects;
-    /// Of those, connections that did not come up.
+    /// Attempts to open a connection to a host that failed.
     host_connect_failures;
-    /// Responses of hosts to other requests, thrown away.
+    /// Responses of hosts that belonged to other requests and were discarded.
     stray_responses;
-    /// Responses of hosts that were malformed or broke off.
+    /// Responses of hosts that were malformed or ended early.
     broken_responses;
-    /// Datagrams that were no valid hint.
+    /// Datagrams received that were not valid hints.
     invalid_hints;
-    /// Requests that failed over from a silent host to another.
+    /// Requests that failed over to another host because the first one didn't respond in time.
     failovers;
-    /// Hosts that were healthy and were ejected.
+    /// Ejections of hosts that were healthy before.
     hosts_ejected;
-    /// Hosts that were ejected and are healthy again.
+    /// Reinstatements of ejected hosts.
     hosts_reinstated;
-    /// Requests without a key that a tenant has.
+    /// Requests without a key that belongs to a tenant.
     unknown_keys;
-    /// Requests beyond their tenant's quota.
+    /// Requests refused because they exceed their tenant's quota.
     quota_refusals;
-    /// Datagrams that were no valid reply about quotas.
+    /// Datagrams received on the quota socket that were not valid replies.
     invalid_quota_replies;
-    /// Requests that were rejected because the hosts are overloaded.
+    /// Requests rejected because the hosts are overloaded.
     throttled_requests;
-    /// Requests that were rejected because the process is about to end.
+    /// Requests rejected because the process is shutting down.
     rejected_at_shutdown;
 }
 
-/// Counters of one thread, shared by `Rc`, so that they can be read while the proxy serves.
+/// Counters of one thread, shared through an `Rc` so that they can be read while the proxy serves.
 ///
 /// ```
 /// let counters = std::rc::Rc::new(proxy::counters::SharedCounters::default());
@@ -82,7 +82,7 @@
         self.0.set(counters);
     }
 
-    /// The counts as they are now.
+    /// Returns the current counts.
     pub fn get(&self) -> Counters {
         self.0.get()
     }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the proxy knows of the fleet.
+//! Snapshot of the fleet that the agent passes to the proxy.
 
 use balancing::HostInfo;
 use configuration::Configuration;
@@ -7,17 +7,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Tells at any moment for how long, at most, this process may have missed changes of the configuration.
+/// Reader of an upper bound of the configuration's age: the longest time for which this process may have missed changes
+/// of it.
 #[derive(Clone)]
 pub struct ConfigurationAge(Arc<dyn Fn() -> Option<Duration> + Send + Sync>);
 
 impl ConfigurationAge {
-    /// An age that `read` tells; `None` if nothing is known of it.
+    /// Creates a reader that calls `read`, which returns `None` if the age is unknown.
     pub fn new(read: impl Fn() -> Option<Duration> + Send + Sync + 'static) -> Self {
         Self(Arc::new(read))
     }
 
-    /// The age now; `None` if nothing is known of it.
+    /// Returns the current age; `None` if it is unknown.
     pub fn now(&self) -> Option<Duration> {
         (self.0)()
     }
@@ -31,19 +32,19 @@
     }
 }
 
-/// The fleet as the agent beside the proxy knows it at one moment.
+/// State of the fleet at one moment, as known to the agent on the proxy's machine.
 #[derive(Clone, Debug)]
 pub struct FleetSnapshot {
-    /// The operators' configuration.
+    /// Newest configuration that the agent has received.
     pub configuration: Arc<Configuration>,
-    /// All hosts but those that are gone.
+    /// All current hosts, including those that are draining.
     pub hosts: Vec<HostInfo>,
     /// Number of proxies that share the retry budget and the hosts' connections, this one included.
     pub proxy_count: usize,
-    /// Addresses at which the other proxies take prefix hints.
+    /// Addresses at which the other proxies receive prefix hints.
     pub peer_hint_addresses: Vec<SocketAddrV4>,
-    /// Ids of the control plane's members, with the addresses at which they take quota requests.
+    /// Ids of the control plane's members, with the addresses at which they receive quota requests.
     pub quota_members: Vec<(u64, SocketAddrV4)>,
-    /// How old the configuration may be.
+    /// Upper bound of the configuration's age, readable at any time.
     pub configuration_age: ConfigurationAge,
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,22 +1,22 @@
-//! The proxy (data plane): takes clients' requests to hosts and relays the responses.
+//! The proxy (data plane): forwards clients' requests to hosts and returns the hosts' responses.
 //!
 //! [`serve`] runs it on one thread; it has to run inside a `LocalSet` of a `current_thread` tokio runtime.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `server` | the process: listeners, background tasks, shutdown |
-//! | `client` | clients' connections: reading requests, keep-alive, limits |
-//! | `exchange` | one request from its route to its response, step by step |
+//! | `server` | the process: listeners, background tasks and shutdown |
+//! | `client` | client connections: reading requests, keep-alive and limits |
+//! | `exchange` | handling of one request, from its route to its response |
 //! | [`upstream`] | connections to hosts and their pool |
-//! | `state` | what all connections share: routing table, load balancer, memory, clock |
-//! | `hints` | which prompts went where, told between proxies |
+//! | `state` | state shared by all connections: routing table, load balancer, body memory and clock |
+//! | `hints` | prefix hints between proxies: which host each prompt was sent to |
 //! | `quota` | tenants' quotas, granted by members of the control plane |
-//! | `readiness` | the platform's readiness probe |
+//! | `readiness` | HTTP server for the platform's readiness probe |
 //!
 //! Decisions without I/O have modules of their own: [`retry`] (whether another attempt is made), [`event_stream`]
-//! (complete events, where to resume), [`upstream::pool`] (which connections are used), [`routes`] (which route and
-//! service), [`tenants`] (whose request it is), `response_matching` (which attempt a response belongs to), `shutdown` (what is still admitted). Hosts are
-//! selected by [`balancing`]; HTTP/1.1 is read by [`http1`].
+//! (complete events, position to resume from), [`upstream::pool`] (which connection is used), [`routes`] (route and
+//! service of a request), [`tenants`] (sender of a request), `response_matching` (which attempt a response belongs to),
+//! `shutdown` (which requests are still admitted). The crate [`balancing`] selects the hosts; [`http1`] parses HTTP/1.1.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's readiness probe.
+//! HTTP server for the platform's readiness probe.
 
 use crate::socket;
 use crate::state::ProxyState;
@@ -9,14 +9,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-const PATH: &[u8] = b"/fennelpin/readiness";
+const PROBE_PATH: &[u8] = b"/fennelpin/readiness";
 const HEAD_LIMITS: HeadLimits = HeadLimits::with_max_bytes(8 * 1024);
-/// A connection is closed after so long without input. The platform probes every second.
+/// Time without input after which a connection is closed. The platform probes every second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a failed accept.
+/// Pause after a failed accept, which may otherwise fail again immediately.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Answers probes for as long as the process lives.
+/// Answers probes until the task is aborted.
 pub(crate) async fn serve(state: Rc<ProxyState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -24,7 +24,7 @@
                 tokio::task::spawn_local(serve_connection(state.clone(), stream));
             }
             Err(e) => {
-                log::warn!("readiness: {e}");
+                log::warn!("readiness: accept failed, retrying after a pause: {e}");
                 sleep(ACCEPT_BACKOFF).await;
             }
         }
@@ -46,7 +46,7 @@
     }
 }
 
-/// The next request; `None` where the connection ends, is idle for too long, or carries something else.
+/// Reads the next request; `None` if the connection ends, is idle for too long, or the input is malformed.
 async fn read_request(stream: &TcpStream, buf: &mut BytesMut) -> Option<RequestHead> {
     loop {
         if let Some(head) = RequestHead::decode(buf, HEAD_LIMITS).ok()? {
@@ -60,7 +60,7 @@
 }
 
 fn response(request: &RequestHead, ready: bool, keep_alive: bool) -> String {
-    let status = match (request.path() == PATH, ready) {
+    let status = match (request.path() == PROBE_PATH, ready) {
         (true, true) => "200 OK",
         (true, false) => "503 Service Unavailable",
         _ => "404 Not Found",
--- a/crates/proxy/src/routes.rs
+++ b/crates/proxy/src/routes.rs
@@ -1,12 +1,13 @@
-//! Finds the route of a request, and the service of a route.
+//! Selection of the route for a request and of the service for a route.
 
 use configuration::{Configuration, Route};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The routes of one host name.
+/// Routes of one host name.
 #[derive(Debug, Default)]
 struct HostRoutes {
+    /// Length of the longest path prefix, which bounds the search.
     longest_prefix_bytes: usize,
     by_prefix: HashMap<Box<[u8]>, Arc<Route>>,
 }
@@ -18,7 +19,7 @@
 }
 
 impl RouteTable {
-    /// The routes of a configuration.
+    /// Creates the table of a configuration's routes.
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_host: HashMap<String, HostRoutes> = HashMap::new();
         for route in &configuration.routes {
@@ -32,7 +33,8 @@
         Self { by_host }
     }
 
-    /// The route of this host name (in any case) with the longest prefix of `path`. Prefixes end with a slash.
+    /// Returns the route of this host name whose path prefix is the longest one of `path`. Host names are compared
+    /// case-insensitively; prefixes end with a slash.
     pub fn find(&self, host: &str, path: &[u8]) -> Option<&Arc<Route>> {
         let routes = match self.by_host.get(host) {
             Some(routes) => routes,
@@ -49,8 +51,8 @@
     }
 }
 
-/// The service of a route; where the route is split over several, by their weights. `random` is uniform over all
-/// values. `None` if no service has a weight.
+/// Selects the service of a route; for a weighted split, at random by the weights. `random` is uniformly distributed
+/// over all values. Returns `None` if no service has a positive weight.
 pub fn select_service(route: &Route, random: u64) -> Option<&str> {
     let Some(split) = &route.weighted_split else {
         return route.service.as_deref();
@@ -63,11 +65,11 @@
         remaining -= target.weight;
         remaining < 0.0
     });
-    // By rounding none may be selected.
+    // Rounding errors may leave none selected; the last one is used then.
     selected.or(last).map(|target| target.service.as_str())
 }
 
-/// Maps a uniform number to [0, 1), with the 53 bits that an `f64` holds.
+/// Maps a uniformly distributed integer to [0, 1), using the 53 bits of precision of an `f64`.
 fn unit_interval(random: u64) -> f64 {
     (random >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! The process: its listeners, its background tasks, its shutdown.
+//! The proxy process: listeners, background tasks and shutdown.
 
 use crate::client::{ClientConnections, DrainPhase};
 use crate::counters::{Counters, SharedCounters};
@@ -19,30 +19,30 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until};
 
-/// Why the proxy can't start.
+/// Reason why the proxy can't start.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum Error {
-    /// The settings name no address for this purpose.
-    #[snafu(display("the settings name no address for {purpose}"))]
+    /// The settings lack an address for this purpose.
+    #[snafu(display("the settings have no address for {purpose}"))]
     NoAddress {
-        /// `front` or `readiness`.
+        /// Purpose of the address: `front` or `readiness`.
         purpose: &'static str,
     },
-    /// An address can't be listened on.
-    #[snafu(display("{addr} can't be listened on: {source}"))]
+    /// The process can't listen on an address.
+    #[snafu(display("can't listen on {addr}: {source}"))]
     Listen {
-        /// The address.
+        /// Address that can't be bound.
         addr: SocketAddrV4,
-        /// The cause.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// How often expired connections to hosts are closed.
+/// Interval at which expired connections to hosts are closed.
 const POOL_CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A task that is aborted when its owner is dropped.
+/// A local task that is aborted when this handle is dropped.
 struct BackgroundTask(JoinHandle<()>);
 
 impl BackgroundTask {
@@ -57,7 +57,8 @@
     }
 }
 
-/// Serves until `stop` resolves, and then until all admitted requests have their response. Returns what was counted.
+/// Serves until `stop` resolves, then shuts down gracefully: serves on until all admitted requests have their response
+/// or the grace period ends. Returns the final counters.
 ///
 /// Has to run inside a [`tokio::task::LocalSet`] on a `current_thread` runtime.
 ///
@@ -71,7 +72,7 @@
     serve_with_counters(settings, fleet, Rc::default(), stop).await
 }
 
-/// As [`serve`], with counters that the caller can read meanwhile.
+/// Serves like [`serve`], with counters that the caller can read meanwhile.
 ///
 /// # Errors
 /// As [`serve`].
@@ -97,12 +98,15 @@
     let clients = ClientConnections::new(state.clone());
     clients.accept_until(&listener, stop).await;
     shut_down(&state, &settings, &clients, &listener).await;
-    log::info!("stopped with {} open", clients.open_count());
+    log::info!(
+        "stopped with {} client connections open",
+        clients.open_count()
+    );
     drop(listener);
     Ok(state.counters.get())
 }
 
-/// Drains the connections by the schedule of [`Shutdown`].
+/// Drains the client connections by the schedule of [`Shutdown`].
 async fn shut_down(
     state: &ProxyState,
     settings: &ProcessSettings,
@@ -120,8 +124,8 @@
     clients.set_phase(DrainPhase::ClosingIdle);
     let responses_until = state.at(shutdown.responses_until);
     clients.accept_until_idle(listener, responses_until).await;
-    // With no connection open this may be long before the schedule's end. A request that is still on its way must not be
-    // given to a host by a process that ends now.
+    // If no connection is open, this point is reached long before the end of the schedule. A request that arrives from
+    // now on must not be sent to a host by a process that is about to exit.
     state.shutdown.set(Some(shutdown.ended_early(state.now())));
     clients.set_phase(DrainPhase::EndingUnanswered);
     let streams_until = state.at(shutdown.streams_until);
@@ -137,7 +141,7 @@
     bind_retry::bind(addr).await.context(ListenSnafu { addr })
 }
 
-/// Starts to send and take prefix hints, where the settings leave a port for them.
+/// Starts sending and receiving prefix hints, if the settings have a port for them.
 async fn start_hints(state: &Rc<ProxyState>, settings: &ProcessSettings) -> Option<BackgroundTask> {
     let socket = hints::bind(settings).await?;
     state.hints.borrow_mut().set_socket(socket.clone());
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: the tenant that an API key belongs to.
+//! Authentication: the tenant that a request's API key belongs to.
 
 use crate::headers::API_KEY;
 use configuration::{ApiKey, Configuration, KeyDigest, ResultCode, Route, Tenant};
@@ -6,19 +6,19 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Who sends a request.
+/// Sender of a request, as determined by its API key.
 #[derive(Clone, Debug)]
 pub enum Caller {
-    /// The configuration has no tenants: nobody is asked for a key, and its field is one like any other.
+    /// The configuration has no list of tenants: requests need no key, and the key's field is forwarded like any other.
     Unchecked,
-    /// A request without a known key, on a route that needs none.
+    /// The request has no known key, on a route that allows anonymous requests.
     Anonymous,
     /// The tenant that the request's key belongs to.
     Tenant(Arc<Tenant>),
 }
 
 impl Caller {
-    /// The tenant, if there is one.
+    /// Returns the tenant; `None` for unchecked and anonymous requests.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Self::Unchecked | Self::Anonymous => None,
@@ -26,27 +26,27 @@
         }
     }
 
-    /// Rank of the tenant; `None` without one.
+    /// Returns the tenant's rank, which sets the priority of its requests; `None` without a tenant.
     pub fn rank(&self) -> Option<u32> {
         self.tenant().map(|tenant| tenant.rank)
     }
 
-    /// Whether the fields that name key and tenant are the proxy's to set or to drop.
+    /// Returns whether the proxy sets and removes the fields for the key and the tenant, instead of forwarding them.
     pub fn owns_key_fields(&self) -> bool {
         !matches!(self, Self::Unchecked)
     }
 }
 
-/// The tenants of a configuration by their keys' digests. That two digests are alike to some byte tells nothing about the
-/// keys, so the time of a look-up doesn't either.
+/// Tenants of a configuration by the digests of their keys. As a common prefix of two digests says nothing about the
+/// keys, the time of a lookup doesn't leak anything about them.
 #[derive(Debug, Default)]
 pub struct TenantTable {
-    /// `None` where the configuration has no list of tenants.
+    /// Tenants by key digest; `None` if the configuration has no list of tenants.
     by_key: Option<HashMap<KeyDigest, Arc<Tenant>>>,
 }
 
 impl TenantTable {
-    /// The tenants of a configuration.
+    /// Creates the table of a configuration's tenants.
     pub fn new(configuration: &Configuration) -> Self {
         let Some(tenants) = &configuration.tenants else {
             return Self::default();
@@ -67,10 +67,11 @@
         }
     }
 
-    /// Finds out who sends a request with these fields on a route.
+    /// Determines the sender of a request with these fields on a route.
     ///
     /// # Errors
-    /// [`ResultCode::UnknownKey`] without exactly one key that a tenant has, unless the route is anonymous.
+    /// [`ResultCode::UnknownKey`] unless the fields have exactly one key and it belongs to a tenant, or the route
+    /// allows anonymous requests.
     pub fn authenticate(&self, fields: &Fields, route: &Route) -> Result<Caller, ResultCode> {
         let Some(by_key) = &self.by_key else {
             return Ok(Caller::Unchecked);
