--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: limits, keep-alive, pipelining, eviction.
+//! Client connections: limits, keep-alive, pipelining and eviction.
 
 mod common;
 use common::*;
@@ -6,7 +6,7 @@
 
 const SMALL_LIMITS: &str = r#""limits":{"max_header_bytes":1024,"max_body_bytes":100,"header_timeout_ms":60,"idle_timeout_ms":120}"#;
 
-/// A proxy with narrow bounds.
+/// Starts a proxy with [`SMALL_LIMITS`].
 async fn proxy_with_small_limits(host: &FakeHost) -> Proxy {
     let proxy = Proxy::without_configuration().await;
     let text = format!(
@@ -20,26 +20,26 @@
 }
 
 #[rstest]
-#[case::no_http("BREW /pure/ COFFEE/1.1\r\n\r\n".into(), 400)]
+#[case::not_http("BREW /pure/ COFFEE/1.1\r\n\r\n".into(), 400)]
 #[case::two_framings(head("Content-Length: 2\r\nTransfer-Encoding: chunked\r\n"), 400)]
-#[case::no_length(head("Content-Length: two\r\n"), 400)]
+#[case::invalid_length(head("Content-Length: two\r\n"), 400)]
 #[case::bad_chunk(head("Transfer-Encoding: chunked\r\n") + "zz\r\n", 400)]
-#[case::no_id("GET /pure/ HTTP/1.1\r\nHost: x.example\r\n\r\n".into(), 400)]
+#[case::no_attempt_id("GET /pure/ HTTP/1.1\r\nHost: x.example\r\n\r\n".into(), 400)]
 #[case::long_body(head("Content-Length: 101\r\n"), 413)]
-#[case::endless_body(head("Content-Length: 99999999999999999999999\r\n"), 413)]
+#[case::length_overflow(head("Content-Length: 99999999999999999999999\r\n"), 413)]
 #[case::long_chunks(head("Transfer-Encoding: chunked\r\n") + "65\r\n" + &"a".repeat(101), 413)]
 #[case::long_head(head(&format!("X: {}\r\n", "a".repeat(1100))), 431)]
 #[case::slow_head("GET /pure/ HTTP/1.1\r\nHost:".into(), 408)]
 #[case::slow_body(head("Content-Length: 2\r\n") + "h", 408)]
 #[case::no_route("GET /nowhere/ HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\n\r\n".into(), 404)]
 #[case::other_host("GET /pure/ HTTP/1.1\r\nHost: y.example\r\nFennelpin-Attempt-Id: one\r\n\r\n".into(), 404)]
-fn request_over_a_limit_gets_its_status(#[case] text: String, #[case] status: u16) {
+fn invalid_request_gets_a_local_reply_with_its_status(#[case] text: String, #[case] status: u16) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = proxy_with_small_limits(&host).await;
         let mut client = proxy.client().await;
         client.send(&text).await;
-        let response = client.read_message().await.expect("an answer");
+        let response = client.read_message().await.expect("a response");
         assert_eq!(response.status(), status);
         assert!(response.complete && host.has_no_connection());
         if status != 404 && !text.starts_with("GET /pure/ HTTP/1.1\r\nHost: x.example") {
@@ -73,12 +73,15 @@
             .send(&(head("Transfer-Encoding: chunked\r\n") + "3\r\nhel\r\n"))
             .await;
         client.send("2\r\nlo\r\n0\r\n\r\n").await;
-        let asked = host.accept().await.respond_ok("done").await;
+        let host_request = host.accept().await.respond_ok("done").await;
         assert_eq!(
-            (asked.body.as_str(), asked.field("content-length")),
+            (
+                host_request.body.as_str(),
+                host_request.field("content-length")
+            ),
             ("hello", Some("5"))
         );
-        assert_eq!(asked.field("transfer-encoding"), None);
+        assert_eq!(host_request.field("transfer-encoding"), None);
         assert_eq!(client.read_message().await.unwrap().body, "done");
     });
 }
@@ -98,8 +101,11 @@
             .unwrap()
             .starts_with("HTTP/1.1 100 "));
         client.send("hi").await;
-        let asked = host.accept().await.respond_ok("done").await;
-        assert_eq!((asked.body.as_str(), asked.field("expect")), ("hi", None));
+        let host_request = host.accept().await.respond_ok("done").await;
+        assert_eq!(
+            (host_request.body.as_str(), host_request.field("expect")),
+            ("hi", None)
+        );
         assert_eq!(client.read_message().await.unwrap().body, "done");
     });
 }
@@ -141,12 +147,12 @@
             .await
             .unwrap();
         assert_eq!(response.status(), 503);
-        let after: f64 = response.field("retry-after").unwrap().parse().unwrap();
-        assert!(after > 0.0 && after <= 1.0);
+        let retry_after_s: f64 = response.field("retry-after").unwrap().parse().unwrap();
+        assert!(retry_after_s > 0.0 && retry_after_s <= 1.0);
         proxy
             .apply_fleet(configuration(1, ROUTES), Vec::new())
             .await;
-        assert_eq!(proxy.readiness_status().await, 503, "no host is known");
+        assert_eq!(proxy.readiness_status().await, 503, "no hosts are known");
         assert_eq!(
             proxy
                 .send_request("/pure/a")
@@ -214,21 +220,21 @@
             FakeHost::new("h2", "t").await,
         );
         let proxy = Proxy::without_configuration().await;
-        let split = |a, b| {
+        let split_route = |share_s, share_t| {
             format!(
                 r#"{{"name":"w","hostname":"x.example","path_prefix":"/w/","route_class":"pure","deadline_ms":8000,
-                    "weighted_split":[{{"service":"s","share":{a}}},{{"service":"t","share":{b}}}]}}"#
+                    "weighted_split":[{{"service":"s","share":{share_s}}},{{"service":"t","share":{share_t}}}]}}"#
             )
         };
         let hosts = vec![s.info.clone(), t.info.clone()];
         proxy
-            .apply_fleet(configuration(1, &split(1, 0)), hosts.clone())
+            .apply_fleet(configuration(1, &split_route(1, 0)), hosts.clone())
             .await;
         let mut client = proxy.send_request("/w/a").await;
         s.accept().await.respond_ok("s").await;
         assert_eq!(client.read_message().await.unwrap().body, "s");
         proxy
-            .apply_fleet(configuration(2, &split(0, 1)), hosts)
+            .apply_fleet(configuration(2, &split_route(0, 1)), hosts)
             .await;
         let mut client = proxy.send_request("/w/a").await;
         t.accept().await.respond_ok("t").await;
@@ -268,7 +274,7 @@
 }
 
 #[test]
-fn idle_clients_are_evicted_before_one_is_rejected() {
+fn idle_client_is_evicted_before_a_new_one_is_rejected() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::with_options(ProxyOptions {
@@ -279,7 +285,7 @@
         proxy
             .apply_fleet(configuration(1, ROUTES), vec![host.info.clone()])
             .await;
-        // 60 in 100 of 16 descriptors: nine clients.
+        // 60 percent of the 16 file descriptors for connections allow nine clients.
         let mut idle = Vec::new();
         for _ in 0..8 {
             idle.push(proxy.client().await);
@@ -299,7 +305,7 @@
 }
 
 #[test]
-fn client_over_the_limit_is_rejected_when_all_are_busy() {
+fn client_over_the_limit_is_rejected_when_no_client_is_idle() {
     run_async_test(async {
         let host = FakeHost::new("h1", "s").await;
         let proxy = Proxy::with_options(ProxyOptions {
@@ -388,13 +394,14 @@
     });
 }
 
-/// The body of a refused request may look like requests: it is none.
+/// Guards against request smuggling: the body of a rejected request may look like further requests, which must not be
+/// run.
 #[rstest]
 #[case::too_large("Content-Length: 101\r\n", 413)]
-#[case::no_length("Content-Length: x\r\n", 400)]
+#[case::invalid_length("Content-Length: x\r\n", 400)]
 #[case::two_framings("Content-Length: 0\r\nTransfer-Encoding: chunked\r\n", 400)]
 #[case::chunk_without_size("Transfer-Encoding: chunked\r\n", 400)]
-fn bytes_behind_a_rejected_request_are_not_run(#[case] fields: &str, #[case] status: u16) {
+fn bytes_after_a_rejected_request_are_not_run(#[case] fields: &str, #[case] status: u16) {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = proxy_with_small_limits(&host).await;
@@ -413,20 +420,20 @@
 }
 
 #[test]
-fn idle_time_out_is_the_operators() {
+fn idle_timeout_is_taken_from_the_configuration() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
         let proxy = proxy_with_small_limits(&host).await;
         let mut client = proxy.send_request("/once/a").await;
         host.accept().await.respond_ok("1").await;
         assert_eq!(client.read_message().await.unwrap().body, "1");
-        let rested = std::time::Instant::now();
+        let idle_since = std::time::Instant::now();
         assert_eq!(client.read_message().await, None);
-        // The proxy's clock starts as its response is written, the client's as it is read.
+        // The proxy measures from writing its response, the test from reading it, which is later.
         assert!(
-            rested.elapsed() >= std::time::Duration::from_millis(4 * 120 / 5),
+            idle_since.elapsed() >= std::time::Duration::from_millis(4 * 120 / 5),
             "{:?}",
-            rested.elapsed()
+            idle_since.elapsed()
         );
     });
 }
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect: no host gets anything for them any more, and work for them is ended.
+//! Clients that disconnect: nothing more is sent to a host for them, and their requests in flight are cancelled.
 
 mod common;
 use common::*;
@@ -6,34 +6,34 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// A way is full once it has taken nothing for so many turns.
+/// Number of consecutive blocked writes after which the path to the client counts as full.
 const BLOCKED_WRITES_IN_A_ROW: usize = 100;
 
-/// Sends a request and closes before the proxy has had a turn.
+/// Sends a request and closes the connection before the proxy's task has run.
 fn send_and_disconnect(proxy: &Proxy, path: &str, id: &str) {
     let mut client = std::net::TcpStream::connect(SocketAddr::V4(proxy.client_address)).unwrap();
     client.write_all(request(path, id, "").as_bytes()).unwrap();
 }
 
-/// An idle connection of the proxy to each of two hosts, in their order.
-async fn idle_connections_to_both(proxy: &Proxy, hosts: &mut [FakeHost; 2]) -> [TestConnection; 2] {
+/// Makes the proxy open an idle connection to each of two hosts. Returns them in the order of the hosts.
+async fn open_idle_connections(proxy: &Proxy, hosts: &mut [FakeHost; 2]) -> [TestConnection; 2] {
     let mut conns = [None, None];
     while conns.iter().any(Option::is_none) {
         let mut clients = [
             proxy.send_request("/pure/a").await,
             proxy.send_request("/pure/a").await,
         ];
-        let mut asked = Vec::new();
+        let mut requested = Vec::new();
         for _ in &clients {
             let [one, two] = hosts;
             let [idle_one, idle_two] = &mut conns;
             let next = tokio::select! {
-                conn = next_request_at(one, idle_one) => (0, conn),
-                conn = next_request_at(two, idle_two) => (1, conn),
+                conn = next_request_connection(one, idle_one) => (0, conn),
+                conn = next_request_connection(two, idle_two) => (1, conn),
             };
-            asked.push(next);
+            requested.push(next);
         }
-        for (host, mut conn) in asked {
+        for (host, mut conn) in requested {
             conn.send(&ok_response("one", "warm")).await;
             conns[host] = Some(conn);
         }
@@ -44,9 +44,12 @@
     conns.map(Option::unwrap)
 }
 
-/// The connection of a host on which a request comes, new or used before.
-async fn next_request_at(host: &mut FakeHost, used: &mut Option<TestConnection>) -> TestConnection {
-    let asked = match used {
+/// Waits for a request to a host and returns its connection: a new one, or the one used before.
+async fn next_request_connection(
+    host: &mut FakeHost,
+    used: &mut Option<TestConnection>,
+) -> TestConnection {
+    let new_connection = match used {
         Some(conn) => {
             tokio::select! {
                 new = host.accept() => Some(new),
@@ -58,7 +61,7 @@
         }
         None => Some(host.accept().await),
     };
-    match asked {
+    match new_connection {
         Some(mut new) => {
             new.read_message().await.expect("a request");
             new
@@ -82,7 +85,7 @@
         while proxy.counters.get().client_disconnects == 0 {
             tokio::task::yield_now().await;
         }
-        // The idle connection is still there, and the next request is the first thing on it.
+        // The idle connection is still open, and the next request is the first one on it.
         client.send(&request("/once/a", "next", "")).await;
         assert_eq!(
             conn.respond_ok("next").await.field("fennelpin-attempt-id"),
@@ -94,7 +97,8 @@
     });
 }
 
-/// The first host's end and the client's are there at once: the second host hears nothing.
+/// The first host fails and the client disconnects at the same time. Guards against a retry being sent to the second
+/// host.
 #[rstest]
 #[case::refused("/pure/a")]
 #[case::refused_once("/once/a")]
@@ -106,8 +110,8 @@
             FakeHost::new("h2", "s").await,
         ];
         let proxy = Proxy::new(&[&hosts[0], &hosts[1]]).await;
-        let mut conns = idle_connections_to_both(&proxy, &mut hosts).await;
-        let before = proxy.counters.get().attempts;
+        let mut conns = open_idle_connections(&proxy, &mut hosts).await;
+        let attempts_before = proxy.counters.get().attempts;
         let mut client = proxy.client().await;
         client.send(&request(path, "gone", "")).await;
         let [one, two] = &mut conns;
@@ -117,12 +121,12 @@
         };
         assert_eq!(message.unwrap().field("fennelpin-attempt-id"), Some("gone"));
         let [one, two] = conns;
-        let (mut asked, mut other) = if first == 0 { (one, two) } else { (two, one) };
+        let (mut first_conn, mut other) = if first == 0 { (one, two) } else { (two, one) };
         let refusal =
             "HTTP/1.1 503 Full\r\nFennelpin-Attempt-Id: gone\r\nFennelpin-Not-Executed: full\r\n\
                        Content-Length: 0\r\n\r\n";
         if path == "/more/a" {
-            asked
+            first_conn
                 .send(&format!(
                     "HTTP/1.1 200 OK\r\nFennelpin-Attempt-Id: gone\r\nFennelpin-Host-Seal: seal\r\n\
                      Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{}\r\n",
@@ -131,9 +135,9 @@
                 ))
                 .await;
             client.read_until("piece 1\n\n").await;
-            drop(asked);
+            drop(first_conn);
         } else {
-            asked.stream.try_write(refusal.as_bytes()).unwrap();
+            first_conn.stream.try_write(refusal.as_bytes()).unwrap();
         }
         drop(client);
         while proxy.counters.get().client_disconnects == 0 {
@@ -141,10 +145,10 @@
         }
         assert_eq!(
             proxy.counters.get().attempts,
-            before + 1,
-            "the second host heard of it"
+            attempts_before + 1,
+            "the request was retried on the second host"
         );
-        // Its idle connection has stayed as it was.
+        // The second host's idle connection is unchanged.
         let mut next = proxy.client().await;
         next.send(&request("/once/a", "next", "")).await;
         tokio::select! {
@@ -158,7 +162,7 @@
     });
 }
 
-/// A client that reads nothing holds up its stream; its end is seen all the same.
+/// A client that reads nothing blocks its stream. Guards against its disconnect being missed meanwhile.
 #[test]
 fn client_disconnect_under_backpressure_closes_the_host_connection() {
     run_async_test(async {
@@ -169,14 +173,14 @@
         conn.start_stream("seal", &[]).await;
         let event = format!("data: {}\n\n", "a".repeat(64 * 1024));
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
-        // Until the way to the client is full, the proxy's buffers with it.
-        let mut refused = 0;
-        while refused < BLOCKED_WRITES_IN_A_ROW {
+        // Writes until the path to the client is full, including the proxy's buffers.
+        let mut blocked_writes = 0;
+        while blocked_writes < BLOCKED_WRITES_IN_A_ROW {
             match conn.stream.try_write(chunk.as_bytes()) {
-                Ok(_) => refused = 0,
+                Ok(_) => blocked_writes = 0,
                 Err(e) => {
                     assert_eq!(e.kind(), std::io::ErrorKind::WouldBlock);
-                    refused += 1;
+                    blocked_writes += 1;
                 }
             }
             tokio::task::yield_now().await;
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy under test with hosts and clients that the test plays, in one process on 127.0.0.1.
+//! Test environment: a proxy with fake hosts and clients that the test controls, in one process on 127.0.0.0/8.
 #![allow(dead_code, reason = "each test file uses a part of this")]
 #![allow(unused_imports, reason = "each test file uses a part of this")]
 
@@ -18,41 +18,41 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A test that takes longer has failed.
+/// Time after which a test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test on one thread, with tasks that aren't `Send`.
-pub fn run_async_test(work: impl Future<Output = ()>) {
+/// Runs a test on a single-threaded runtime that allows tasks that aren't `Send`.
+pub fn run_async_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    let guard = async {
-        tokio::time::timeout(TEST_TIMEOUT, work)
+    let test_with_timeout = async {
+        tokio::time::timeout(TEST_TIMEOUT, test)
             .await
-            .expect("too long");
+            .expect("test timed out");
     };
-    tokio::task::LocalSet::new().block_on(&runtime, guard);
+    tokio::task::LocalSet::new().block_on(&runtime, test_with_timeout);
 }
 
-/// The IPv4 address that a test uses throughout.
+/// Converts a socket address that has to be an IPv4 address.
 fn v4(addr: SocketAddr) -> SocketAddrV4 {
     match addr {
         SocketAddr::V4(addr) => addr,
-        SocketAddr::V6(_) => unreachable!("only IPv4 here"),
+        SocketAddr::V6(_) => unreachable!("tests bind IPv4 addresses only"),
     }
 }
 
-/// An address on which nothing listens, and nothing else will: each has an IP address of its own, so that no other test
-/// gets its port before it is used.
+/// Returns an address with a free port. Each call uses another IP address of 127.0.0.0/8, so that no other test can
+/// bind the port before it is used.
 pub async fn unused_address() -> SocketAddrV4 {
-    static NEXT: AtomicU8 = AtomicU8::new(0);
+    static NEXT_HOST_NUMBER: AtomicU8 = AtomicU8::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
     let ip = Ipv4Addr::new(
         127,
         high | 128,
         low,
-        1 + NEXT.fetch_add(1, Ordering::Relaxed) % 254,
+        1 + NEXT_HOST_NUMBER.fetch_add(1, Ordering::Relaxed) % 254,
     );
     v4(TcpListener::bind((ip, 0))
         .await
--- a/crates/proxy/tests/common/proxy_under_test.rs
+++ b/crates/proxy/tests/common/proxy_under_test.rs
@@ -1,4 +1,4 @@
-//! The proxy under test.
+//! The proxy under test, which runs on a task of the test's process.
 
 use super::{request, unused_address, FakeHost, TestConnection};
 use balancing::HostInfo;
@@ -13,7 +13,7 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinHandle;
 
-/// A proxy that serves on a task of its own.
+/// Proxy that serves on a task of its own, with handles to control and observe it.
 pub struct Proxy {
     pub client_address: SocketAddrV4,
     pub readiness_address: SocketAddrV4,
@@ -22,12 +22,12 @@
     pub serving: JoinHandle<Result<Counters, Error>>,
     pub counters: Rc<SharedCounters>,
     configuration_age: Option<Duration>,
-    /// Where members take quota requests; empty by default.
+    /// Ids and addresses of the members that receive quota requests; empty by default.
     pub quota_members: Vec<(u64, SocketAddrV4)>,
 }
 
-/// Routes to service `s` with three attempts: `/pure/`, `/once/` (mutating), `/live/` (stream), `/more/` (resumable
-/// stream), and with a deadline of 150 ms `/quick/` (pure) and `/quick/once/` (mutating).
+/// Routes to service `s` with up to three attempts: `/pure/`, `/once/` (mutating), `/live/` (stream), `/more/`
+/// (resumable stream), and with a deadline of 150 ms `/quick/` (pure) and `/quick/once/` (mutating).
 pub const ROUTES: &str = r#"
     {"name":"p","hostname":"x.example","path_prefix":"/pure/","route_class":"pure","deadline_ms":8000,"target_ms":100,"service":"s","max_tries":3},
     {"name":"o","hostname":"x.example","path_prefix":"/once/","route_class":"mutating","deadline_ms":8000,"service":"s","max_tries":3},
@@ -36,7 +36,7 @@
     {"name":"q","hostname":"x.example","path_prefix":"/quick/","route_class":"pure","deadline_ms":150,"service":"s","max_tries":3},
     {"name":"d","hostname":"x.example","path_prefix":"/quick/once/","route_class":"mutating","deadline_ms":150,"service":"s","max_tries":3}"#;
 
-/// A configuration with these routes, services `s` and `t`, and small limits on requests.
+/// Returns a configuration with these routes, services `s` and `t`, and small limits on requests.
 pub fn configuration(version: u64, routes: &str) -> Arc<Configuration> {
     let text = format!(
         r#"{{"version":{version},"routes":[{routes}],"services":[{{"name":"s"}},{{"name":"t"}}],"limits":{{"max_header_bytes":4096,"max_body_bytes":100000}}}}"#
@@ -44,20 +44,20 @@
     Arc::new(Configuration::read(text.as_bytes(), version - 1).unwrap())
 }
 
-/// Settings of the process that a test may change.
+/// Settings of the process that a test can change.
 pub struct ProxyOptions {
     pub grace_s: f64,
     pub retry_slack: f64,
     pub fd_limit: u64,
     pub memory_mb: u64,
     pub link_mbps: f64,
-    /// Where the proxy takes prefix hints; nowhere by default.
+    /// Address at which the proxy receives prefix hints; by default it receives none.
     pub hints: Option<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
-    /// Further bounds as JSON fields, each behind a comma.
+    /// Further bounds as JSON fields, each preceded by a comma.
     pub more_bounds: String,
-    /// How old the configuration may be.
+    /// Upper bound of the configuration's age; `None` if unknown.
     pub configuration_age: Option<Duration>,
 }
 
@@ -78,12 +78,12 @@
 }
 
 impl Proxy {
-    /// A proxy that knows no fleet yet.
+    /// Starts a proxy that has no snapshot of the fleet yet.
     pub async fn without_configuration() -> Self {
         Self::with_options(ProxyOptions::default()).await
     }
 
-    /// A proxy with other settings that knows no fleet yet.
+    /// Starts a proxy with these settings that has no snapshot of the fleet yet.
     pub async fn with_options(options: ProxyOptions) -> Self {
         let ProxyOptions {
             grace_s,
@@ -96,9 +96,9 @@
             more_bounds,
             configuration_age,
         } = options;
-        // Hints are taken at the third port of the range.
-        let (ip, ports) = hints.map_or((Ipv4Addr::LOCALHOST, (7000, 7001)), |h| {
-            (*h.ip(), (h.port() - 2, h.port()))
+        // Hints are received at the third port of the range.
+        let (ip, ports) = hints.map_or((Ipv4Addr::LOCALHOST, (7000, 7001)), |address| {
+            (*address.ip(), (address.port() - 2, address.port()))
         });
         let (front, readiness) = (unused_address().await, unused_address().await);
         let text = format!(
@@ -107,8 +107,8 @@
                 "limits":{{"memory_mb":{memory_mb},"fd_limit":{fd_limit},"link_mbps":{link_mbps}}}}}"#,
             ports.0, ports.1
         );
-        let boot = ProcessSettings::read(&text).unwrap();
-        let (fleet, updates) = watch::channel(None);
+        let settings = ProcessSettings::read(&text).unwrap();
+        let (fleet, fleet_updates) = watch::channel(None);
         let (stop, stopped) = oneshot::channel::<()>();
         let stopped = async move {
             if stopped.await.is_err() {
@@ -116,14 +116,15 @@
             }
         };
         let counters = Rc::new(SharedCounters::default());
-        let done = tokio::task::spawn_local(proxy::serve_with_counters(
-            boot,
-            updates,
+        let serving = tokio::task::spawn_local(proxy::serve_with_counters(
+            settings,
+            fleet_updates,
             counters.clone(),
             stopped,
         ));
         // The listeners are bound once the task has run.
-        while !done.is_finished() && TcpStream::connect(SocketAddr::V4(readiness)).await.is_err() {
+        while !serving.is_finished() && TcpStream::connect(SocketAddr::V4(readiness)).await.is_err()
+        {
             tokio::task::yield_now().await;
         }
         Self {
@@ -131,26 +132,26 @@
             readiness_address: readiness,
             fleet,
             stop: Some(stop),
-            serving: done,
+            serving,
             counters,
             configuration_age,
             quota_members: Vec::new(),
         }
     }
 
-    /// A proxy with [`ROUTES`] and these hosts.
+    /// Starts a proxy with [`ROUTES`] and these hosts.
     pub async fn new(hosts: &[&FakeHost]) -> Self {
         let proxy = Self::without_configuration().await;
         proxy
             .apply_fleet(
                 configuration(1, ROUTES),
-                hosts.iter().map(|h| h.info.clone()).collect(),
+                hosts.iter().map(|host| host.info.clone()).collect(),
             )
             .await;
         proxy
     }
 
-    /// A proxy with [`ROUTES`] to one host, which the platform kills so long after it asked for its end.
+    /// Starts a proxy with [`ROUTES`] and one host, whose graceful shutdown may take `grace_s` seconds.
     pub async fn with_grace(grace_s: f64, host: &FakeHost) -> Self {
         let proxy = Self::with_options(ProxyOptions {
             grace_s,
@@ -163,13 +164,13 @@
         proxy
     }
 
-    /// Gives the proxy a configuration and hosts, and waits until it has them.
+    /// Passes a configuration and hosts to the proxy, and waits until it has applied them.
     pub async fn apply_fleet(&self, configuration: Arc<Configuration>, hosts: Vec<HostInfo>) {
         self.apply_fleet_with_peers(configuration, hosts, vec![])
             .await;
     }
 
-    /// As [`Proxy::apply_fleet`], with other proxies by the addresses of their prefix hints.
+    /// Does the same as [`Proxy::apply_fleet`], with the addresses at which other proxies receive prefix hints.
     pub async fn apply_fleet_with_peers(
         &self,
         configuration: Arc<Configuration>,
@@ -192,32 +193,33 @@
         }
     }
 
-    /// A client's new connection.
+    /// Opens a client connection.
     pub async fn client(&self) -> TestConnection {
         TestConnection::connect(self.client_address).await
     }
 
-    /// The status of the readiness probe.
+    /// Returns the status code of the readiness probe.
     pub async fn readiness_status(&self) -> u16 {
-        let mut peer = TestConnection::connect(self.readiness_address).await;
-        peer.send("GET /fennelpin/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+        let mut probe = TestConnection::connect(self.readiness_address).await;
+        probe
+            .send("GET /fennelpin/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
             .await;
-        peer.read_message().await.unwrap().status()
+        probe.read_message().await.unwrap().status()
     }
 
-    /// Sends a request with the id `one` on a connection of its own.
+    /// Sends a request with the attempt id `one` on a new connection, and returns the connection.
     pub async fn send_request(&self, path: &str) -> TestConnection {
         let mut client = self.client().await;
         client.send(&request(path, "one", "")).await;
         client
     }
 
-    /// Asks the process to end.
+    /// Signals the proxy to shut down.
     pub fn signal_stop(&mut self) {
         self.stop.take().unwrap().send(()).unwrap();
     }
 
-    /// Asks the process to end, and waits for it and its counts.
+    /// Shuts the proxy down, waits for its end, and returns its counters.
     pub async fn stop(mut self) -> Counters {
         self.stop.take().unwrap().send(()).unwrap();
         self.serving.await.unwrap().unwrap()
--- a/crates/proxy/tests/configuration_changes.rs
+++ b/crates/proxy/tests/configuration_changes.rs
@@ -1,4 +1,4 @@
-//! Configuration changes: requests in flight are answered by the configuration that they came under.
+//! Configuration changes: requests in flight complete under the configuration that was in force when they arrived.
 
 mod common;
 use common::*;
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::sync::Arc;
 
-/// What the next configuration says.
+/// Returns the second version of the configuration, with these routes and limits.
 fn next_configuration(routes: &str, limits: &str) -> Arc<Configuration> {
     let services = r#"[{"name":"s"},{"name":"t"}]"#;
     let text = format!(
@@ -15,7 +15,7 @@
     Configuration::read(text.as_bytes(), 1).unwrap().into()
 }
 
-/// Changes that take away what the requests under way rest on.
+/// Returns a configuration that lacks the routes of the requests in flight.
 fn without_routes() -> Arc<Configuration> {
     next_configuration("", "")
 }
@@ -62,13 +62,13 @@
             (response.status(), response.complete, response.body.as_str()),
             (200, true, "done")
         );
-        let counted = proxy.counters.get();
+        let counters = proxy.counters.get();
         assert_eq!(
             (
-                counted.responses,
-                counted.truncated_responses,
-                counted.local_errors,
-                counted.local_rejections
+                counters.responses,
+                counters.truncated_responses,
+                counters.local_errors,
+                counters.local_rejections
             ),
             (1, 0, 0, 0)
         );
@@ -101,7 +101,7 @@
     });
 }
 
-/// A body that has begun under wider bounds is read to its end under them.
+/// A body whose head was read under larger limits is read to its end under those.
 #[test]
 fn half_read_request_is_served_after_a_configuration_change() {
     run_async_test(async {
@@ -128,7 +128,7 @@
     });
 }
 
-/// The connection of a client outlives the change, and its next request goes by the new routes.
+/// The client's connection stays open, and its next request is routed by the new configuration.
 #[test]
 fn next_request_on_a_connection_uses_the_new_routes() {
     run_async_test(async {
--- a/crates/proxy/tests/draining_hosts.rs
+++ b/crates/proxy/tests/draining_hosts.rs
@@ -1,40 +1,41 @@
-//! Hosts that drain or depart: their requests are answered, and no new ones reach them, whether they announce it or not.
+//! Hosts that drain or are removed from the fleet: their requests in flight are finished, and they get no new ones.
 
 mod common;
 use balancing::HostInfo;
 use common::*;
 use rstest::rstest;
 
-/// How a host leaves the roster.
+/// Way in which a host leaves service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DepartureKind {
-    Drains,
-    /// It departs and serves on: the roster has it no longer.
-    Departs,
+    /// The host is marked as draining.
+    Drained,
+    /// The host is removed from the list of hosts while it still serves.
+    Removed,
 }
 
-/// The hosts as the roster has them once the first has left.
-fn hosts_after_departure(hosts: [&HostInfo; 2], how: DepartureKind) -> Vec<HostInfo> {
+/// Returns the list of hosts after the first one has left service.
+fn hosts_after_departure(hosts: [&HostInfo; 2], kind: DepartureKind) -> Vec<HostInfo> {
     let draining = HostInfo {
         draining: true,
         ..hosts[0].clone()
     };
-    match how {
-        DepartureKind::Drains => vec![draining, hosts[1].clone()],
-        DepartureKind::Departs => vec![hosts[1].clone()],
+    match kind {
+        DepartureKind::Drained => vec![draining, hosts[1].clone()],
+        DepartureKind::Removed => vec![hosts[1].clone()],
     }
 }
 
 #[rstest]
-fn draining_host_finishes_its_requests_and_gets_no_new_ones(
-    #[values(DepartureKind::Drains, DepartureKind::Departs)] how: DepartureKind,
+fn departing_host_finishes_its_requests_and_gets_no_new_ones(
+    #[values(DepartureKind::Drained, DepartureKind::Removed)] kind: DepartureKind,
     #[values("/pure/a", "/once/a", "/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
         let mut one = FakeHost::new("h1", "s").await;
         let mut two = FakeHost::new("h2", "s").await;
         let proxy = Proxy::new(&[&one]).await;
-        // An idle connection, and one with a request.
+        // One connection is idle, and one has a request in flight.
         let mut idle_client = proxy.send_request("/pure/a").await;
         let mut client = proxy.send_request(path).await;
         let (mut idle, mut busy) = (one.accept().await, one.accept().await);
@@ -48,8 +49,8 @@
         idle.send(&ok_response("one", "idle")).await;
         assert_eq!(idle_client.read_message().await.unwrap().body, "idle");
 
-        let roster = hosts_after_departure([&one.info, &two.info], how);
-        proxy.apply_fleet(configuration(1, ROUTES), roster).await;
+        let hosts = hosts_after_departure([&one.info, &two.info], kind);
+        proxy.apply_fleet(configuration(1, ROUTES), hosts).await;
         idle.wait_until_closed().await;
         for n in 0..8 {
             let mut next = proxy.client().await;
@@ -67,17 +68,17 @@
         busy.send(&ok_response("one", "late")).await;
         let response = client.read_message().await.unwrap();
         assert_eq!((response.complete, response.body.as_str()), (true, "late"));
-        if how == DepartureKind::Departs {
-            // Its connection isn't kept either.
+        if kind == DepartureKind::Removed {
+            // Its connection isn't kept for reuse either.
             busy.wait_until_closed().await;
         }
     });
 }
 
-/// A host that departs while a stream runs there serves it to its end.
+/// A host that departs during a stream serves the stream to its end.
 #[rstest]
-fn draining_host_finishes_its_stream(
-    #[values(DepartureKind::Drains, DepartureKind::Departs)] how: DepartureKind,
+fn departing_host_finishes_its_stream(
+    #[values(DepartureKind::Drained, DepartureKind::Removed)] kind: DepartureKind,
     #[values("/live/a", "/more/a")] path: &str,
 ) {
     run_async_test(async {
@@ -88,8 +89,8 @@
         let mut conn = one.accept().await;
         conn.start_stream("seal", &[1]).await;
         client.read_until("piece 1\n\n").await;
-        let roster = hosts_after_departure([&one.info, &two.info], how);
-        proxy.apply_fleet(configuration(1, ROUTES), roster).await;
+        let hosts = hosts_after_departure([&one.info, &two.info], kind);
+        proxy.apply_fleet(configuration(1, ROUTES), hosts).await;
         conn.send_events(&[2, 3]).await;
         conn.send("0\r\n\r\n").await;
         let response = client.read_message().await.unwrap();
@@ -100,13 +101,14 @@
     });
 }
 
-/// Once it is off the roster a broken response of its goes the usual way: on to another host, or to its end.
+/// A broken response of a host that was removed is handled like any other: the request is retried on another host if it
+/// is idempotent, and fails otherwise.
 #[rstest]
 #[case::pure("/pure/a", true)]
 #[case::once("/once/a", false)]
-fn request_broken_by_a_departed_host_is_retried_if_idempotent(
+fn request_broken_by_a_removed_host_is_retried_if_idempotent(
     #[case] path: &str,
-    #[case] again: bool,
+    #[case] is_retried: bool,
 ) {
     run_async_test(async {
         let mut one = FakeHost::new("h1", "s").await;
@@ -119,7 +121,7 @@
             .apply_fleet(configuration(1, ROUTES), vec![two.info.clone()])
             .await;
         conn.reset();
-        if again {
+        if is_retried {
             two.accept().await.respond_ok("again").await;
             assert_eq!(client.read_message().await.unwrap().body, "again");
         } else {
--- a/crates/proxy/tests/generated_scripts.rs
+++ b/crates/proxy/tests/generated_scripts.rs
@@ -1,10 +1,10 @@
-//! Generated scripts: what hosts send around a response, and what clients send on one connection.
+//! Property tests with generated input: arbitrary output of hosts around a response, and pipelined input of clients.
 
 mod common;
 use common::*;
 use proptest::prelude::*;
 
-/// Something that a host sends when a response is due.
+/// Piece of output that a host sends when a response is due.
 #[derive(Clone, Debug)]
 enum HostOutput {
     /// A response to an earlier attempt.
@@ -12,17 +12,18 @@
         status: u16,
         chunked: bool,
     },
+    /// An interim response, with or without the attempt's id.
     Interim {
-        named: bool,
+        with_id: bool,
     },
-    /// A refusal that names no attempt.
+    /// A refusal without an attempt id.
     WithoutId,
     Garbage(Vec<u8>),
     /// The attempt's own response.
     Valid {
         chunked: bool,
     },
-    /// The first bytes of the attempt's own response, and the end.
+    /// At most this number of bytes of the attempt's own response, followed by the end of the connection.
     Truncated(usize),
 }
 
@@ -30,7 +31,7 @@
     let status = prop_oneof![Just(200), Just(404), Just(500), Just(503)];
     prop_oneof![
         2 => (status, any::<bool>()).prop_map(|(status, chunked)| HostOutput::Stray { status, chunked }),
-        1 => any::<bool>().prop_map(|named| HostOutput::Interim { named }),
+        1 => any::<bool>().prop_map(|with_id| HostOutput::Interim { with_id }),
         1 => Just(HostOutput::WithoutId),
         1 => prop::collection::vec(any::<u8>(), 1..40).prop_map(HostOutput::Garbage),
         4 => any::<bool>().prop_map(|chunked| HostOutput::Valid { chunked }),
@@ -38,12 +39,12 @@
     ]
 }
 
-fn body_of(id: &str) -> String {
+fn response_body(id: &str) -> String {
     format!("the answer to {id}")
 }
 
 fn response_text(status: u16, id: &str, chunked: bool) -> String {
-    let body = body_of(id);
+    let body = response_body(id);
     let head = format!(
         "HTTP/1.1 {status} X\r\nFennelpin-Attempt-Id: {id}\r\nFennelpin-Host-Seal: seal\r\n"
     );
@@ -57,28 +58,28 @@
     }
 }
 
-/// The bytes of a script, and whether the connection ends behind them.
+/// Returns the bytes of a script, and whether the connection ends after them.
 fn script_bytes(script: &[HostOutput], id: &str) -> (Vec<u8>, bool) {
     let mut out = Vec::new();
-    for sends in script {
-        match sends {
+    for output in script {
+        match output {
             HostOutput::Stray { status, chunked } => {
                 out.extend(response_text(*status, "earlier", *chunked).bytes());
             }
-            HostOutput::Interim { named: true } => {
+            HostOutput::Interim { with_id: true } => {
                 out.extend(
                     format!("HTTP/1.1 103 Hints\r\nFennelpin-Attempt-Id: {id}\r\n\r\n").bytes(),
                 );
             }
-            HostOutput::Interim { named: false } => out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"),
+            HostOutput::Interim { with_id: false } => out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"),
             HostOutput::WithoutId => {
                 out.extend(b"HTTP/1.1 503 Full\r\nFennelpin-Not-Executed: full\r\nContent-Length: 0\r\n\r\n");
             }
             HostOutput::Garbage(bytes) => out.extend(bytes),
             HostOutput::Valid { chunked } => out.extend(response_text(200, id, *chunked).bytes()),
-            HostOutput::Truncated(most) => {
-                let own = response_text(200, id, false);
-                out.extend(own.bytes().take((*most).min(own.len() - 1)));
+            HostOutput::Truncated(max_bytes) => {
+                let response = response_text(200, id, false);
+                out.extend(response.bytes().take((*max_bytes).min(response.len() - 1)));
                 return (out, true);
             }
         }
@@ -86,22 +87,22 @@
     (out, false)
 }
 
-/// A host that responds to the second request of the test by the script, and to all others at once and correctly. It
-/// ends a connection that it has nothing more to say on.
-async fn play_script(
+/// Runs a host that responds to the second request of the test with the script's output, after which it closes the
+/// connection, and to all other requests immediately and correctly. Sends the ids of the requests that it ran to `ran`.
+async fn run_scripted_host(
     mut host: FakeHost,
     script: Vec<HostOutput>,
     ran: tokio::sync::mpsc::UnboundedSender<String>,
 ) {
     let mut script = Some(script);
-    let mut answered = 0;
+    let mut request_count = 0;
     loop {
         let mut conn = host.accept().await;
-        while let Some(asked) = conn.read_message().await {
-            let id = asked.field("fennelpin-attempt-id").unwrap().to_owned();
+        while let Some(request) = conn.read_message().await {
+            let id = request.field("fennelpin-attempt-id").unwrap().to_owned();
             let _ = ran.send(id.clone());
-            answered += 1;
-            if answered != 2 {
+            request_count += 1;
+            if request_count != 2 {
                 conn.send(&response_text(200, &id, false)).await;
                 continue;
             }
@@ -125,14 +126,14 @@
             let host = FakeHost::new("h1", "s").await;
             let proxy = Proxy::new(&[&host]).await;
             let (ran, mut runs) = tokio::sync::mpsc::unbounded_channel();
-            tokio::task::spawn_local(play_script(host, script.clone(), ran));
+            tokio::task::spawn_local(run_scripted_host(host, script.clone(), ran));
             for id in ["first", "second", "third", "fourth"] {
                 let mut client = proxy.client().await;
                 client.send(&request(path, id, "")).await;
-                let response = client.read_message().await.expect("an answer");
+                let response = client.read_message().await.expect("a response");
                 assert!(response.complete, "{script:?}: {response:?}");
                 match response.status() {
-                    200 => assert_eq!(response.body, body_of(id), "{script:?}"),
+                    200 => assert_eq!(response.body, response_body(id), "{script:?}"),
                     status => assert!(id == "second" && [502, 503].contains(&status), "{script:?}: {id} {response:?}"),
                 }
                 if id != "second" {
@@ -140,21 +141,21 @@
                 }
             }
             drop(proxy);
-            let mut seen = Vec::new();
+            let mut run_ids = Vec::new();
             while let Ok(id) = runs.try_recv() {
-                seen.push(id);
+                run_ids.push(id);
             }
-            assert_eq!(seen, ["first", "second", "third", "fourth"], "each once, in order");
+            assert_eq!(run_ids, ["first", "second", "third", "fourth"], "each request is run once, in order");
         });
     }
 }
 
-/// A request as a client sends it.
+/// Valid request that a client sends.
 #[derive(Clone, Debug)]
 struct ClientInput {
     body: Vec<u8>,
-    /// Sizes of its chunks; with a length where there are none.
-    chunks: Vec<usize>,
+    /// Sizes of the body's chunks, used in turn; if empty, the body is sent with `Content-Length`.
+    chunk_sizes: Vec<usize>,
 }
 
 fn client_input() -> impl Strategy<Value = ClientInput> {
@@ -169,10 +170,10 @@
         0..60,
     );
     (body, prop::collection::vec(1usize..20, 0..4))
-        .prop_map(|(body, chunks)| ClientInput { body, chunks })
+        .prop_map(|(body, chunk_sizes)| ClientInput { body, chunk_sizes })
 }
 
-/// What no request is: nothing that follows may be run.
+/// Generates malformed requests. Nothing that follows one on the connection may be run.
 fn malformed_request() -> impl Strategy<Value = String> {
     let head = |fields: &str| {
         format!(
@@ -195,31 +196,32 @@
     ]
 }
 
-fn input_bytes(asks: &ClientInput, id: usize) -> Vec<u8> {
+fn request_bytes(input: &ClientInput, id: usize) -> Vec<u8> {
     let mut out =
         format!("POST /once/a HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: {id}\r\n")
             .into_bytes();
-    if asks.chunks.is_empty() {
-        out.extend(format!("Content-Length: {}\r\n\r\n", asks.body.len()).bytes());
-        out.extend(&asks.body);
+    if input.chunk_sizes.is_empty() {
+        out.extend(format!("Content-Length: {}\r\n\r\n", input.body.len()).bytes());
+        out.extend(&input.body);
         return out;
     }
     out.extend(b"Transfer-Encoding: chunked\r\n\r\n");
-    let mut rest = &asks.body[..];
-    let mut sizes = asks.chunks.iter().cycle();
+    let mut rest = &input.body[..];
+    let mut sizes = input.chunk_sizes.iter().cycle();
     while !rest.is_empty() {
-        let (now, later) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
-        out.extend(format!("{:x}\r\n", now.len()).bytes());
-        out.extend(now);
+        let (chunk, remaining) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
+        out.extend(format!("{:x}\r\n", chunk.len()).bytes());
+        out.extend(chunk);
         out.extend(b"\r\n");
-        rest = later;
+        rest = remaining;
     }
     out.extend(b"0\r\n\r\n");
     out
 }
 
-/// A host that reads requests byte by byte and tells what it ran.
-async fn record_requests(
+/// Runs a host that parses requests without a parser of its own, and sends the id and body of each request that it ran
+/// to `ran`.
+async fn run_recording_host(
     mut host: FakeHost,
     ran: tokio::sync::mpsc::UnboundedSender<(String, Vec<u8>)>,
 ) {
@@ -230,16 +232,19 @@
         tokio::task::spawn_local(async move {
             while let Some(head) = conn.read_head().await {
                 let field = |name: &str| {
-                    let value = head.lines().find_map(|l| l.strip_prefix(name)).unwrap();
+                    let value = head
+                        .lines()
+                        .find_map(|line| line.strip_prefix(name))
+                        .unwrap();
                     value.trim().to_owned()
                 };
                 let id = field("Fennelpin-Attempt-Id:");
                 let mut body = vec![0; field("Content-Length:").parse().unwrap()];
-                let held = conn.take_buffered(body.len());
-                body[..held.len()].copy_from_slice(&held);
+                let buffered = conn.take_buffered(body.len());
+                body[..buffered.len()].copy_from_slice(&buffered);
                 if conn
                     .stream
-                    .read_exact(&mut body[held.len()..])
+                    .read_exact(&mut body[buffered.len()..])
                     .await
                     .is_err()
                 {
@@ -264,49 +269,49 @@
 
     #[test]
     fn arbitrary_pipelined_input_runs_only_valid_requests(
-        good in prop::collection::vec(client_input(), 0..5),
-        bad in prop::option::of(malformed_request()),
-        cuts in prop::collection::vec(1usize..90, 1..12),
+        valid_inputs in prop::collection::vec(client_input(), 0..5),
+        malformed in prop::option::of(malformed_request()),
+        piece_sizes in prop::collection::vec(1usize..90, 1..12),
     ) {
         run_async_test(async {
             let host = FakeHost::new("h1", "s").await;
             let proxy = Proxy::new(&[&host]).await;
             let (ran, mut runs) = tokio::sync::mpsc::unbounded_channel();
-            tokio::task::spawn_local(record_requests(host, ran));
-            let mut all: Vec<u8> = good.iter().enumerate().flat_map(|(id, asks)| input_bytes(asks, id)).collect();
-            if let Some(bad) = &bad {
-                all.extend(bad.bytes());
-                // Behind what can't be read nothing is a request.
-                all.extend(input_bytes(&ClientInput { body: b"hidden".to_vec(), chunks: vec![] }, 99));
+            tokio::task::spawn_local(run_recording_host(host, ran));
+            let mut client_bytes: Vec<u8> = valid_inputs.iter().enumerate().flat_map(|(id, input)| request_bytes(input, id)).collect();
+            if let Some(malformed) = &malformed {
+                client_bytes.extend(malformed.bytes());
+                // Nothing after a malformed request may be run.
+                client_bytes.extend(request_bytes(&ClientInput { body: b"hidden".to_vec(), chunk_sizes: vec![] }, 99));
             }
             let mut client = proxy.client().await;
-            let mut rest = &all[..];
-            let mut sizes = cuts.iter().cycle();
+            let mut rest = &client_bytes[..];
+            let mut sizes = piece_sizes.iter().cycle();
             while !rest.is_empty() {
-                let (now, later) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
+                let (piece, remaining) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
                 use tokio::io::AsyncWriteExt;
-                if client.stream.write_all(now).await.is_err() {
+                if client.stream.write_all(piece).await.is_err() {
                     break;
                 }
                 tokio::task::yield_now().await;
-                rest = later;
+                rest = remaining;
             }
-            for id in 0..good.len() {
-                let response = client.read_message().await.expect("an answer");
-                assert_eq!((response.status(), response.body), (200, body_of(&id.to_string())));
+            for id in 0..valid_inputs.len() {
+                let response = client.read_message().await.expect("a response");
+                assert_eq!((response.status(), response.body), (200, response_body(&id.to_string())));
             }
-            if bad.is_some() {
-                let response = client.read_message().await.expect("an answer");
+            if malformed.is_some() {
+                let response = client.read_message().await.expect("a response");
                 assert_eq!((response.status(), response.field("connection")), (400, Some("close")));
                 assert_eq!(client.read_message().await, None);
             }
-            let mut seen = Vec::new();
+            let mut run_requests = Vec::new();
             while let Ok(run) = runs.try_recv() {
-                seen.push(run);
+                run_requests.push(run);
             }
             let sent: Vec<_> =
-                good.iter().enumerate().map(|(id, asks)| (id.to_string(), asks.body.clone())).collect();
-            assert_eq!(seen, sent, "each once, with its body");
+                valid_inputs.iter().enumerate().map(|(id, input)| (id.to_string(), input.body.clone())).collect();
+            assert_eq!(run_requests, sent, "each valid request is run once, with its body");
         });
     }
 }
--- a/crates/proxy/tests/overload.rs
+++ b/crates/proxy/tests/overload.rs
@@ -1,13 +1,13 @@
-//! Requests are turned away early while the hosts are overloaded.
+//! Early rejection of requests while the hosts are overloaded.
 
 mod common;
 use common::*;
 
 const HOSTS: usize = 8;
-/// Requests by which one must have been turned away.
+/// Number of requests of which at least one has to be rejected early.
 const MAX_REQUESTS: usize = 100;
 
-/// Sends one request; each host that it reaches refuses it as full. The response to the client.
+/// Sends one request, which each host that it reaches refuses as full. Returns the response to the client.
 async fn send_to_full_hosts(proxy: &Proxy, hosts: &mut [&mut FakeHost]) -> Message {
     let mut client = proxy.send_request("/pure/a").await;
     loop {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn request_when_hosts_refuse_all_others_then_told_to_come_back_and_counted() {
+fn request_to_overloaded_hosts_is_rejected_early_with_retry_after_and_counted() {
     run_async_test(async {
         let mut hosts = Vec::new();
         for n in 0..HOSTS {
@@ -38,6 +38,6 @@
                 return;
             }
         }
-        panic!("no request was turned away");
+        panic!("no request was rejected early");
     });
 }
--- a/crates/proxy/tests/prefix_hints.rs
+++ b/crates/proxy/tests/prefix_hints.rs
@@ -1,4 +1,4 @@
-//! Prefix hints between proxies, in datagrams on 127.0.0.0/8.
+//! Prefix hints between proxies, sent as datagrams on 127.0.0.0/8.
 
 mod common;
 use common::*;
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest datagram.
+/// Maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1200;
-/// A link that bears no more hints than the least number of peers gets.
+/// Link speed at which hints are sent to no more than the minimum number of peers.
 const SLOW_LINK_MBPS: f64 = 0.001;
 const SHARED_PREFIX: &str = "Fennelpin-Prompt-Prefix: 7:13000,";
 
-/// Another proxy, played by the test.
+/// Fake proxy that sends and receives hints for the test.
 struct PeerProxy {
     socket: UdpSocket,
     addr: SocketAddrV4,
@@ -40,7 +40,7 @@
         );
     }
 
-    /// What has come by now, and its length.
+    /// Returns the next message that has arrived already, with its length in bytes; `None` if there is none.
     fn try_receive(&self) -> Option<(Message, usize)> {
         let mut buffer = [0; 4096];
         match self.socket.recv(&mut buffer) {
@@ -56,14 +56,14 @@
     async fn receive(&self) -> (Message, usize) {
         loop {
             match self.try_receive() {
-                Some(came) => return came,
+                Some(received) => return received,
                 None => tokio::task::yield_now().await,
             }
         }
     }
 
-    /// The next of what was placed; questions are passed over.
-    async fn prompt_placed(&self) -> (PromptPlacement, u32) {
+    /// Waits for the next hint about a placed prompt and skips other messages.
+    async fn receive_prompt_placed(&self) -> (PromptPlacement, u32) {
         loop {
             if let (
                 Message::PromptPlaced {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Asks until the response names the cached prefix of some host.
+    /// Requests the known placements until a reply with some arrives.
     async fn receive_placements(&self, proxy: SocketAddrV4) -> Vec<PromptPlacement> {
         loop {
             self.request_placements(proxy);
@@ -92,7 +92,7 @@
     }
 }
 
-fn prompt_placed(host: &str, parts: impl IntoIterator<Item = u64>) -> Vec<u8> {
+fn encoded_hint(host: &str, parts: impl IntoIterator<Item = u64>) -> Vec<u8> {
     let parts = parts
         .into_iter()
         .map(|id| PromptPart { id, tokens: 10 })
@@ -106,7 +106,7 @@
     })
 }
 
-/// A configuration whose service runs a model.
+/// Returns a configuration whose service has a prefix cache.
 fn configuration_with_cache() -> Arc<configuration::Configuration> {
     let text = format!(
         r#"{{"version":1,"routes":[{ROUTES}],"services":[{{"name":"s","runtime":{{"capacity":8,"cache_tokens":500000}}}}],
@@ -115,13 +115,13 @@
     Arc::new(configuration::Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
-/// A proxy that takes hints, and where.
-async fn proxy(bootstrap: bool) -> (Proxy, SocketAddrV4) {
-    proxy_on_link(bootstrap, ProxyOptions::default().link_mbps).await
+/// Starts a proxy that receives hints. Returns it with the address at which it receives them.
+async fn start_proxy(bootstrap: bool) -> (Proxy, SocketAddrV4) {
+    start_proxy_on_link(bootstrap, ProxyOptions::default().link_mbps).await
 }
 
-/// A proxy on a machine whose link has this speed, in Mbit/s.
-async fn proxy_on_link(bootstrap: bool, link_mbps: f64) -> (Proxy, SocketAddrV4) {
+/// Starts a proxy on a machine whose link has this speed, in Mbit/s.
+async fn start_proxy_on_link(bootstrap: bool, link_mbps: f64) -> (Proxy, SocketAddrV4) {
     let hints = unused_address().await;
     (
         Proxy::with_options(ProxyOptions {
@@ -135,14 +135,14 @@
     )
 }
 
-/// Serves a prompt: the shared part 7 and one of its own.
-async fn serve_prompt(proxy: &Proxy, host: &mut FakeHost, own: &str) {
+/// Sends a prompt through the proxy and responds as the host. The prompt consists of the shared part 7 and `own_part`.
+async fn serve_prompt(proxy: &Proxy, host: &mut FakeHost, own_part: &str) {
     let mut client = proxy.client().await;
     client
         .send(&request(
             "/pure/a",
             "one",
-            &format!("{SHARED_PREFIX}{own}\r\n"),
+            &format!("{SHARED_PREFIX}{own_part}\r\n"),
         ))
         .await;
     host.accept().await.respond_ok("done").await;
@@ -163,23 +163,24 @@
 fn hint_reaches_the_other_proxy() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let ((one, at), (two, other_at)) = (proxy(true).await, proxy(true).await);
-        let asker = PeerProxy::new().await;
+        let ((one, hints_addr), (two, other_hints_addr)) =
+            (start_proxy(true).await, start_proxy(true).await);
+        let peer = PeerProxy::new().await;
         one.apply_fleet_with_peers(
             configuration_with_cache(),
             vec![host.info.clone()],
-            vec![other_at],
+            vec![other_hints_addr],
         )
         .await;
         two.apply_fleet_with_peers(
             configuration_with_cache(),
             vec![host.info.clone()],
-            vec![at],
+            vec![hints_addr],
         )
         .await;
         serve_prompt(&one, &mut host, "1:100").await;
         assert_eq!(
-            asker.receive_placements(other_at).await,
+            peer.receive_placements(other_hints_addr).await,
             [expected_placement("h1")]
         );
         assert_eq!(
@@ -197,80 +198,84 @@
 }
 
 #[test]
-fn starting_proxy_asks_its_peers() {
+fn starting_proxy_requests_placements_from_its_peers() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let ((old, at), (new, new_at)) = (proxy(true).await, proxy(false).await);
-        let asker = PeerProxy::new().await;
+        let ((old, hints_addr), (new, new_hints_addr)) =
+            (start_proxy(true).await, start_proxy(false).await);
+        let peer = PeerProxy::new().await;
         old.apply_fleet(configuration_with_cache(), vec![host.info.clone()])
             .await;
         serve_prompt(&old, &mut host, "1:100").await;
         new.apply_fleet_with_peers(
             configuration_with_cache(),
             vec![host.info.clone()],
-            vec![at],
+            vec![hints_addr],
         )
         .await;
         assert_eq!(
-            asker.receive_placements(new_at).await,
+            peer.receive_placements(new_hints_addr).await,
             [expected_placement("h1")]
         );
     });
 }
 
-/// Where the machine bears no more than 16 peers, hints go to those that follow in the order of addresses, and nobody takes
-/// the hints it gets for all there are: the host with affinity is assumed to have the shared part cached. Where it bears
-/// more, all are told.
+/// If the machine's fan-out is limited to 16 peers, hints go to those that follow in the ring of addresses, and the
+/// proxy doesn't assume that it receives all hints: it expects the host with affinity to have the shared part cached.
+/// With a larger fan-out, hints go to all peers.
 #[rstest]
-#[case::all_of_the_least(16, SLOW_LINK_MBPS, 16, 13_100)]
+#[case::all_of_the_minimum(16, SLOW_LINK_MBPS, 16, 13_100)]
 #[case::the_next_in_the_ring(18, SLOW_LINK_MBPS, 16, 100)]
 #[case::all_on_a_fast_link(18, 1000.0, 18, 13_100)]
-fn large_fleet_sends_hints_to_the_next_in_the_ring(
-    #[case] count: usize,
+fn hints_beyond_the_fan_out_go_to_the_next_peers_in_the_ring(
+    #[case] peer_count: usize,
     #[case] link_mbps: f64,
-    #[case] told_peers: usize,
-    #[case] unread: u32,
+    #[case] hinted_peers: usize,
+    #[case] uncached_tokens: u32,
 ) {
     run_async_test(async move {
         let mut host = FakeHost::new("h1", "s").await;
         let mut others = Vec::new();
-        for _ in 0..count / 2 {
+        for _ in 0..peer_count / 2 {
             others.push(PeerProxy::new().await);
         }
-        let (proxy, at) = proxy_on_link(true, link_mbps).await;
-        while others.len() < count {
+        let (proxy, hints_addr) = start_proxy_on_link(true, link_mbps).await;
+        while others.len() < peer_count {
             others.push(PeerProxy::new().await);
         }
-        let addrs = others.iter().rev().map(|o| o.addr).collect();
+        let addrs = others.iter().rev().map(|other| other.addr).collect();
         proxy
             .apply_fleet_with_peers(configuration_with_cache(), vec![host.info.clone()], addrs)
             .await;
-        // What is heard stands for all only after a second.
+        // The proxy assumes that it receives all hints only after it has reached all peers for a second.
         tokio::time::pause();
         tokio::time::advance(Duration::from_secs(2)).await;
         tokio::time::resume();
         serve_prompt(&proxy, &mut host, "1:100").await;
-        others.sort_by_key(|o| (o.addr < at, o.addr));
-        for (n, other) in others.iter().enumerate().take(told_peers) {
+        others.sort_by_key(|other| (other.addr < hints_addr, other.addr));
+        for (n, other) in others.iter().enumerate().take(hinted_peers) {
             if n < 2 {
                 assert!(
                     matches!(other.receive().await.0, Message::PlacementsRequest { .. }),
-                    "{n} is asked"
+                    "peer {n} got no request for its placements"
                 );
             }
-            let (told, length) = other.receive().await;
+            let (message, length) = other.receive().await;
             let Message::PromptPlaced {
                 placement,
-                prefill_tokens: left,
-            } = told
+                prefill_tokens: hinted_tokens,
+            } = message
             else {
-                panic!("{n}: {told:?}")
+                panic!("{n}: {message:?}")
             };
-            assert_eq!((placement, left), (expected_placement("h1"), unread));
+            assert_eq!(
+                (placement, hinted_tokens),
+                (expected_placement("h1"), uncached_tokens)
+            );
             assert!(length < MAX_DATAGRAM_BYTES);
         }
-        // All went out at once: whoever has nothing now was not told.
-        assert!(others.iter().all(|o| o.try_receive().is_none()));
+        // The proxy sends all copies of a hint together, so a peer without one by now doesn't get it.
+        assert!(others.iter().all(|other| other.try_receive().is_none()));
     });
 }
 
@@ -280,54 +285,54 @@
         let hosts: Vec<_> = ["h1", "h2"]
             .map(|id| host_info(id, "s", "127.0.0.1:9".parse().unwrap()))
             .into();
-        let long = "h".repeat(MAX_DATAGRAM_BYTES - 30);
-        let with_long = [
+        let long_name = "h".repeat(MAX_DATAGRAM_BYTES - 30);
+        let all_hosts = [
             hosts,
-            vec![host_info(&long, "s", "127.0.0.1:9".parse().unwrap())],
+            vec![host_info(&long_name, "s", "127.0.0.1:9".parse().unwrap())],
         ]
         .concat();
-        let (proxy, at) = proxy(true).await;
+        let (proxy, hints_addr) = start_proxy(true).await;
         proxy
-            .apply_fleet(configuration_with_cache(), with_long)
+            .apply_fleet(configuration_with_cache(), all_hosts)
             .await;
         let other = PeerProxy::new().await;
-        let mut all: Vec<(String, u64)> = Vec::new();
-        for (host, from) in [("h1", 0), ("h2", 200), ("h1", 400), (&long, 600)] {
+        let mut expected: Vec<(String, u64)> = Vec::new();
+        for (host, from) in [("h1", 0), ("h2", 200), ("h1", 400), (&long_name, 600)] {
             for n in (from..from + 200).step_by(50) {
-                other.send_hint(at, &prompt_placed(host, n..n + 50));
-                all.extend(
+                other.send_hint(hints_addr, &encoded_hint(host, n..n + 50));
+                expected.extend(
                     (n..n + 50)
                         .map(|n| (host.to_owned(), n))
-                        .filter(|_| host != long),
+                        .filter(|_| host != long_name),
                 );
             }
         }
-        other.request_placements(at);
-        let mut heard = Vec::new();
+        other.request_placements(hints_addr);
+        let mut received = Vec::new();
         let mut datagrams = 0;
-        while heard.len() < all.len() {
+        while received.len() < expected.len() {
             let (Message::Placements { placements }, length) = other.receive().await else {
-                panic!("no answer")
+                panic!("not a placements message")
             };
             assert!(length < MAX_DATAGRAM_BYTES, "{length} bytes");
             datagrams += 1;
             for placement in placements {
-                assert!(placement.parts.iter().all(|p| p.tokens == 10));
-                heard.extend(
+                assert!(placement.parts.iter().all(|part| part.tokens == 10));
+                received.extend(
                     placement
                         .parts
                         .iter()
-                        .map(|p| (placement.host.clone(), p.id)),
+                        .map(|part| (placement.host.clone(), part.id)),
                 );
             }
         }
-        heard.sort();
-        all.sort();
-        assert_eq!(heard, all);
-        // 600 parts of 12 bytes: not one datagram for each entry.
+        received.sort();
+        expected.sort();
+        assert_eq!(received, expected);
+        // The 600 parts of 12 bytes each are sent in few datagrams, not in one for each entry.
         assert!((7..=12).contains(&datagrams), "{datagrams}");
-        // The host whose name alone fills a datagram is left out.
-        other.send_hint(at, b"end");
+        // The host whose name alone fills a datagram is omitted.
+        other.send_hint(hints_addr, b"end");
         while proxy.counters.get().invalid_hints == 0 {
             tokio::task::yield_now().await;
         }
@@ -339,7 +344,7 @@
 fn invalid_hints_are_counted_and_ignored() {
     run_async_test(async {
         let mut host = FakeHost::new("h1", "s").await;
-        let (proxy, at) = proxy(true).await;
+        let (proxy, hints_addr) = start_proxy(true).await;
         let other = PeerProxy::new().await;
         proxy
             .apply_fleet_with_peers(
@@ -348,46 +353,56 @@
                 vec![other.addr],
             )
             .await;
-        let whole = prompt_placed("h1", 21..40);
-        let mut version = whole.clone();
-        version[4] = 99;
-        let mut kind = whole.clone();
-        kind[5] = 200;
+        let valid_hint = encoded_hint("h1", 21..40);
+        let mut unknown_version = valid_hint.clone();
+        unknown_version[4] = 99;
+        let mut unknown_kind = valid_hint.clone();
+        unknown_kind[5] = 200;
         let garbage: Vec<Vec<u8>> = vec![
             vec![],
             vec![0],
             vec![0; 64],
             vec![255; 4000],
             b"GET / HTTP/1.1\r\n\r\n".to_vec(),
-            whole[..whole.len() - 1].to_vec(),
-            whole[..5].to_vec(),
-            version,
-            kind,
+            valid_hint[..valid_hint.len() - 1].to_vec(),
+            valid_hint[..5].to_vec(),
+            unknown_version,
+            unknown_kind,
         ];
-        garbage.iter().for_each(|g| other.send_hint(at, g));
+        garbage
+            .iter()
+            .for_each(|bytes| other.send_hint(hints_addr, bytes));
         while proxy.counters.get().invalid_hints < garbage.len() as u64 {
             tokio::task::yield_now().await;
         }
-        // Hosts nobody knows of, and lists that claim to be longer than they are.
-        other.send_hint(at, &prompt_placed("nobody", 21..40));
-        let lists = (0..whole.len()).map(|n| {
-            let mut bytes = whole.clone();
+        // An unknown host, and hints with one corrupted byte, such as a list length that is too large.
+        other.send_hint(hints_addr, &encoded_hint("nobody", 21..40));
+        let corrupted_hints = (0..valid_hint.len()).map(|n| {
+            let mut bytes = valid_hint.clone();
             bytes[n] ^= 255;
             bytes
         });
-        lists.for_each(|bytes| other.send_hint(at, &bytes));
-        // Datagrams are heard in order: once this is answered all of them were.
-        other.receive_placements(at).await;
+        corrupted_hints.for_each(|bytes| other.send_hint(hints_addr, &bytes));
+        // Datagrams are handled in order, so once this request is answered all of them were handled.
+        other.receive_placements(hints_addr).await;
         serve_prompt(&proxy, &mut host, "1:100").await;
-        assert_eq!(other.prompt_placed().await.0, expected_placement("h1"));
-        let has = |k: &PromptPlacement| {
-            k.host == "h1"
-                && k.parts.contains(&PromptPart {
+        assert_eq!(
+            other.receive_prompt_placed().await.0,
+            expected_placement("h1")
+        );
+        let has_shared_part = |placement: &PromptPlacement| {
+            placement.host == "h1"
+                && placement.parts.contains(&PromptPart {
                     id: 7,
                     tokens: 13_000,
                 })
         };
-        while !other.receive_placements(at).await.iter().any(has) {}
+        while !other
+            .receive_placements(hints_addr)
+            .await
+            .iter()
+            .any(has_shared_part)
+        {}
         assert!(proxy.counters.get().invalid_hints >= garbage.len() as u64);
     });
 }
--- a/crates/proxy/tests/routes.rs
+++ b/crates/proxy/tests/routes.rs
@@ -1,13 +1,13 @@
-//! The route of a request, and the service of a route.
+//! Selection of routes by host name and path prefix, and of services by weight.
 
 use configuration::Configuration;
 use proxy::routes::{select_service, RouteTable};
 use rstest::rstest;
 
 fn configuration() -> Configuration {
-    let route = |name: &str, host: &str, prefix: &str, more: &str| {
+    let route = |name: &str, host: &str, prefix: &str, service_fields: &str| {
         format!(
-            r#"{{"name":"{name}","hostname":"{host}","path_prefix":"{prefix}","route_class":"pure","deadline_ms":100,{more}}}"#
+            r#"{{"name":"{name}","hostname":"{host}","path_prefix":"{prefix}","route_class":"pure","deadline_ms":100,{service_fields}}}"#
         )
     };
     let routes = [
@@ -45,7 +45,9 @@
 fn longest_prefix_wins(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
     let routes = RouteTable::new(&configuration());
     assert_eq!(
-        routes.find(host, path.as_bytes()).map(|r| r.name.as_str()),
+        routes
+            .find(host, path.as_bytes())
+            .map(|route| route.name.as_str()),
         name
     );
 }
@@ -55,11 +57,15 @@
     let routes = RouteTable::new(&configuration());
     let route = routes.find("z", b"/a/").unwrap();
     let step = u64::MAX / 1000;
-    let drawn: Vec<_> = (0..1000)
+    let selected: Vec<_> = (0..1000)
         .map(|n| select_service(route, n * step).unwrap())
         .collect();
-    let count = |name| drawn.iter().filter(|s| **s == name).count();
-    assert_eq!(count("s"), 0, "no weight, no request");
+    let count = |name| selected.iter().filter(|service| **service == name).count();
+    assert_eq!(
+        count("s"),
+        0,
+        "a service without a weight is never selected"
+    );
     assert!((899..=901).contains(&count("t")), "{}", count("t"));
     assert_eq!(select_service(route, u64::MAX), Some("u"));
     assert_eq!(
--- a/crates/proxy/tests/wire_format.rs
+++ b/crates/proxy/tests/wire_format.rs
@@ -1,12 +1,12 @@
-//! The exact bytes of heads and local replies, as the release before this one wrote them.
+//! Wire format: the exact bytes of heads and local replies must match those recorded with the previous release.
 
 mod common;
 use common::*;
 
-/// The heads and replies that were recorded with the release before, each under a title.
+/// Heads and local replies recorded with the previous release, each under a title.
 const RECORDED: &str = include_str!("fixtures/wire_format.txt");
 
-/// A transcript of heads in which what changes from run to run is replaced.
+/// Transcript of heads, in which values that change from run to run are replaced by placeholders.
 #[derive(Default)]
 struct Transcript(String);
 
@@ -24,7 +24,7 @@
     }
 }
 
-const FIELDS: &str = "X-Own: a  b\r\nConnection: X-Hop, Fennelpin-Attempt-Id\r\nx-hop: 1\r\nKeep-Alive: timeout=9\r\n\
+const REQUEST_FIELDS: &str = "X-Own: a  b\r\nConnection: X-Hop, Fennelpin-Attempt-Id\r\nx-hop: 1\r\nKeep-Alive: timeout=9\r\n\
     TE: trailers\r\nPriority: 3\r\nLast-Event-ID: 7\r\nExpect-Version: v2\r\nFENNELPIN-DEADLINE-MS: 5000\r\n\
     Fennelpin-Expected-Host: other\r\nFennelpin-Prompt-Prefix: 1f:100,2a:7\r\nFennelpin-Token-Counts: 107,20\r\nX-Empty:\r\n";
 
@@ -32,8 +32,8 @@
     let mut host = FakeHost::new("h1", "s").await;
     let proxy = Proxy::new(&[&host]).await;
     for (path, fields) in [
-        ("/pure/a?b=c", FIELDS),
-        ("/more/a", FIELDS),
+        ("/pure/a?b=c", REQUEST_FIELDS),
+        ("/more/a", REQUEST_FIELDS),
         ("/once/a", "Content-Type: text/plain\r\nExpect: x\r\n"),
     ] {
         let mut client = proxy.client().await;
@@ -49,7 +49,7 @@
     transcript.add("request without a body", &conn.read_head().await.unwrap());
 }
 
-/// Method, path and version of a request; status line, framing and body of the host's response.
+/// Exchanges: method, path and HTTP version of a request; status, framing field and body of the host's response.
 const RESPONSES: [(&str, &str, &str, &str, &str); 10] = [
     (
         "POST",
@@ -119,10 +119,10 @@
     for (method, path, version, lines, body) in RESPONSES {
         for connection in ["", "Connection: close\r\n"] {
             let mut client = proxy.client().await;
-            let asked = format!(
+            let client_request = format!(
                 "{method} {path} HTTP/{version}\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\n{connection}\r\n"
             );
-            client.send(&asked).await;
+            client.send(&client_request).await;
             let mut conn = host.accept().await;
             conn.respond(&format!("{lines}\r\n{fields}\r\nConnection: close"), body)
                 .await;
@@ -130,59 +130,63 @@
             let received = if connection.is_empty() {
                 client.read_head().await.unwrap()
             } else {
-                to_the_end(&mut client).await
+                read_to_end(&mut client).await
             };
             transcript.add(&title, &received);
         }
     }
 }
 
-async fn to_the_end(client: &mut TestConnection) -> String {
+async fn read_to_end(client: &mut TestConnection) -> String {
     client.wait_until_closed().await;
     String::from_utf8(client.take_buffered(usize::MAX)).unwrap()
 }
 
 async fn record_local_replies(transcript: &mut Transcript) {
     let host = FakeHost::new("h1", "s").await;
-    let blank = Proxy::without_configuration().await;
-    let alone = Proxy::new(&[]).await;
-    let served = Proxy::new(&[&host]).await;
+    let unconfigured = Proxy::without_configuration().await;
+    let without_hosts = Proxy::new(&[]).await;
+    let configured = Proxy::new(&[&host]).await;
     let with_id = |path: &str, method: &str| {
         format!("{method} {path} HTTP/1.1\r\nHost: x.example\r\nFennelpin-Attempt-Id: one\r\nConnection: close\r\n\r\n")
     };
     let cases = [
-        ("no configuration", &blank, with_id("/pure/a", "POST")),
-        ("no route", &served, with_id("/none/a", "POST")),
-        ("no route for HEAD", &served, with_id("/none/a", "HEAD")),
+        (
+            "no configuration",
+            &unconfigured,
+            with_id("/pure/a", "POST"),
+        ),
+        ("no route", &configured, with_id("/none/a", "POST")),
+        ("no route for HEAD", &configured, with_id("/none/a", "HEAD")),
         (
             "no id",
-            &served,
+            &configured,
             "GET /pure/a HTTP/1.1\r\nHost: x.example\r\nConnection: close\r\n\r\n".to_owned(),
         ),
         (
             "two framings",
-            &served,
+            &configured,
             request("/pure/a", "one", "Transfer-Encoding: chunked\r\n"),
         ),
         (
             "large body",
-            &served,
+            &configured,
             request("/pure/a", "one", "").replace("Length: 2", "Length: 999999"),
         ),
         (
             "large head",
-            &served,
+            &configured,
             request("/pure/a", "one", &format!("X: {}\r\n", "a".repeat(5000))),
         ),
-        ("no host", &alone, with_id("/pure/a", "POST")),
+        ("no host", &without_hosts, with_id("/pure/a", "POST")),
     ];
     for (title, proxy, text) in cases {
         let mut client = proxy.client().await;
         client.send(&text).await;
-        let reply = to_the_end(&mut client).await;
+        let reply = read_to_end(&mut client).await;
         transcript.add(&format!("local reply: {title}"), &reply);
     }
-    let mut client = served.client().await;
+    let mut client = configured.client().await;
     client.send(&request("/none/a", "one", "")).await;
     transcript.add(
         "local reply that keeps the connection",
@@ -192,12 +196,12 @@
 
 async fn record_readiness(transcript: &mut Transcript) {
     let host = FakeHost::new("h1", "s").await;
-    let blank = Proxy::without_configuration().await;
-    let served = Proxy::new(&[&host]).await;
+    let unconfigured = Proxy::without_configuration().await;
+    let configured = Proxy::new(&[&host]).await;
     for (title, proxy, path) in [
-        ("not ready", &blank, "/fennelpin/readiness"),
-        ("ready", &served, "/fennelpin/readiness"),
-        ("unknown", &served, "/fennelpin"),
+        ("not ready", &unconfigured, "/fennelpin/readiness"),
+        ("ready", &configured, "/fennelpin/readiness"),
+        ("unknown", &configured, "/fennelpin"),
     ] {
         for connection in ["", "Connection: close\r\n"] {
             let mut client = TestConnection::connect(proxy.readiness_address).await;
