--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -22,13 +22,13 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs a test on a single-threaded runtime that allows tasks that aren't `Send`.
-pub fn run_async_test(test: impl Future<Output = ()>) {
+pub fn run_async_test(test_body: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     let test_with_timeout = async {
-        tokio::time::timeout(TEST_TIMEOUT, test)
+        tokio::time::timeout(TEST_TIMEOUT, test_body)
             .await
             .expect("test timed out");
     };
--- a/crates/proxy/tests/common/proxy_under_test.rs
+++ b/crates/proxy/tests/common/proxy_under_test.rs
@@ -116,14 +116,15 @@
             }
         };
         let counters = Rc::new(SharedCounters::default());
-        let serving = tokio::task::spawn_local(proxy::serve_with_counters(
+        let serve_task = tokio::task::spawn_local(proxy::serve_with_counters(
             settings,
             fleet_updates,
             counters.clone(),
             stopped,
         ));
         // The listeners are bound once the task has run.
-        while !serving.is_finished() && TcpStream::connect(SocketAddr::V4(readiness)).await.is_err()
+        while !serve_task.is_finished()
+            && TcpStream::connect(SocketAddr::V4(readiness)).await.is_err()
         {
             tokio::task::yield_now().await;
         }
@@ -132,7 +133,7 @@
             readiness_address: readiness,
             fleet,
             stop: Some(stop),
-            serving,
+            serving: serve_task,
             counters,
             configuration_age,
             quota_members: Vec::new(),
