--- a/crates/proxy/tests/prefix_hints.rs
+++ b/crates/proxy/tests/prefix_hints.rs
@@ -63,7 +63,7 @@
     }
 
     /// Waits for the next hint about a placed prompt and skips other messages.
-    async fn receive_prompt_placed(&self) -> (PromptPlacement, u32) {
+    async fn receive_hint(&self) -> (PromptPlacement, u32) {
         loop {
             if let (
                 Message::PromptPlaced {
@@ -386,10 +386,7 @@
         // Datagrams are handled in order, so once this request is answered all of them were handled.
         other.receive_placements(hints_addr).await;
         serve_prompt(&proxy, &mut host, "1:100").await;
-        assert_eq!(
-            other.receive_prompt_placed().await.0,
-            expected_placement("h1")
-        );
+        assert_eq!(other.receive_hint().await.0, expected_placement("h1"));
         let has_shared_part = |placement: &PromptPlacement| {
             placement.host == "h1"
                 && placement.parts.contains(&PromptPart {
