--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -59,7 +59,7 @@
     pub fn to_masked_json(&self) -> String {
         let mut masked = self.clone();
         for tenant in masked.tenants.iter_mut().flatten() {
-            tenant.raw = masked_tenant(tenant).into();
+            tenant.raw = masked_tenant_json(tenant).into();
         }
         masked.to_json()
     }
@@ -87,7 +87,7 @@
 }
 
 /// A tenant's JSON with the fingerprints of its keys.
-pub fn masked_tenant(tenant: &ConfigurationItem<Tenant>) -> String {
+pub fn masked_tenant_json(tenant: &ConfigurationItem<Tenant>) -> String {
     let Ok(Value::Object(mut fields)) = serde_json::from_str(&tenant.raw) else {
         return String::new();
     };
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -22,7 +22,7 @@
 mod tenant;
 mod validation;
 
-pub use configuration::{masked_tenant, Configuration};
+pub use configuration::{masked_tenant_json, Configuration};
 pub use delta::{ConfigurationDelta, TenantsDelta};
 pub use error::InvalidConfiguration;
 pub use item::{ConfigurationItem, HasName};
--- a/crates/fennelpin-cli/src/config_commands.rs
+++ b/crates/fennelpin-cli/src/config_commands.rs
@@ -9,7 +9,7 @@
 use crate::error::{CliError, InvalidConfigurationSnafu, ReadFileSnafu};
 use crate::operator_settings::OperatorSettings;
 use crate::process_settings;
-use configuration::{masked_tenant, Configuration, ConfigurationItem, HasName, ResultCode};
+use configuration::{masked_tenant_json, Configuration, ConfigurationItem, HasName, ResultCode};
 use serde_json::Value;
 use snafu::ResultExt;
 use std::collections::{BTreeMap, BTreeSet};
@@ -240,7 +240,7 @@
     let limits = limits.map(|limits| ("limits".to_owned(), limits.raw.to_string()));
     let tenants = configuration.tenant_items().iter().map(|tenant| {
         let name = format!("tenant {}", tenant.value.name);
-        (name, masked_tenant(tenant))
+        (name, masked_tenant_json(tenant))
     });
     routes
         .chain(services)
