--- a/crates/append-log/src/condition.rs
+++ b/crates/append-log/src/condition.rs
@@ -1,98 +1,105 @@
-//! The condition of a file: complete, torn in its last batch, damaged, or of another format.
+//! The condition of a log file: complete, torn in its last batch, damaged, or of an unsupported format.
 
 use std::fmt;
 
 use crate::format::FORMAT_VERSION;
 use crate::scanner::ScannedSegment;
 
-/// The condition of a file, which decides what the next [`AppendLog::open`](crate::AppendLog::open) does.
+/// The condition of a log file, which decides what the next [`AppendLog::open`](crate::AppendLog::open) does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileCondition {
-    /// All of it is complete.
-    Whole,
-    /// The last batch is incomplete: opening truncates the file here.
+    /// All records of the file are complete.
+    Complete,
+    /// The last batch is incomplete: opening truncates the file to `offset`.
     Torn {
-        /// Where the good bytes end, in bytes from the start of the file.
+        /// End of the last complete record before the torn one, in bytes from the start of the file.
         offset: u64,
     },
-    /// A record that had been synced is damaged: opening fails.
+    /// A synced record is damaged: opening fails.
     Damaged {
-        /// How many complete records come before it.
+        /// Number of complete records before the damaged one.
         record: u64,
-        /// Where it begins, in bytes from the start.
+        /// Start of the damaged record, in bytes from the start of the file.
         offset: u64,
-        /// Where the next complete record of a later batch begins.
+        /// Start of the next complete record of a later batch, in bytes from the start of the file.
         next_record_at: u64,
     },
-    /// A later release wrote it: opening fails.
-    Newer {
-        /// Its format version.
+    /// A later release wrote the file: opening fails.
+    NewerFormat {
+        /// Format version of the file.
         found: u32,
     },
-    /// It has no complete header: opening fails.
-    NoHeader,
+    /// The file has no complete header of a known format: opening fails.
+    InvalidHeader,
 }
 
 impl fmt::Display for FileCondition {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FileCondition::Whole => write!(to, "whole"),
-            FileCondition::Torn { offset } => write!(to, "torn: the next start cuts it off at byte {offset}"),
+            FileCondition::Complete => write!(formatter, "whole"),
+            FileCondition::Torn { offset } => write!(formatter, "torn: the next start cuts it off at byte {offset}"),
             FileCondition::Damaged { record, offset, next_record_at } => write!(
-                to,
+                formatter,
                 "damaged: record {record} at byte {offset}; byte {next_record_at} begins a whole record of a later batch"
             ),
-            FileCondition::Newer { found } => {
-                write!(to, "format {found} of a later release; known are formats up to {FORMAT_VERSION}")
+            FileCondition::NewerFormat { found } => {
+                write!(formatter, "format {found} of a later release; known are formats up to {FORMAT_VERSION}")
             }
-            FileCondition::NoHeader => write!(to, "no whole header of this kind of file"),
+            FileCondition::InvalidHeader => write!(formatter, "no whole header of this kind of file"),
         }
     }
 }
 
-/// Tells torn from damaged, of the scanner of a file one after the other.
+/// Distinguishes a torn file from a damaged one, from the segments of its scan in order.
 #[derive(Default)]
 pub(crate) struct SegmentClassifier {
-    /// How many complete records there are before any gap.
-    pub(crate) records: u64,
-    /// Where the batch of the last of them begins.
-    last_good_batch: Option<u64>,
-    /// Where the first gap begins.
-    gap: Option<u64>,
-    /// Where a complete record begins whose batch was written after what the gap held.
+    /// Number of complete records before the first gap.
+    pub(crate) records_before_gap: u64,
+    /// Start of the batch of the last complete record before the first gap, in bytes from the start of the file.
+    last_batch_before_gap: Option<u64>,
+    /// Start of the first gap, in bytes from the start of the file.
+    first_gap: Option<u64>,
+    /// Start of the first complete record whose batch was written after the bytes of the gap.
     next_record_at: Option<u64>,
 }
 
 impl SegmentClassifier {
-    /// Takes the next segment. Returns whether it is a record before any gap, so that opening gives it.
+    /// Adds the next segment. Returns whether it is a record before any gap, which opening returns.
     pub(crate) fn accept(&mut self, segment: &ScannedSegment) -> bool {
-        match (segment, self.gap) {
-            (ScannedSegment::Record { batch, .. }, None) => {
-                self.records += 1;
-                self.last_good_batch = Some(*batch);
+        match (segment, self.first_gap) {
+            (ScannedSegment::Record { batch_offset, .. }, None) => {
+                self.records_before_gap += 1;
+                self.last_batch_before_gap = Some(*batch_offset);
                 return true;
             }
-            (ScannedSegment::Record { offset, batch, .. }, Some(gap)) if *batch > gap => {
+            (
+                ScannedSegment::Record {
+                    offset,
+                    batch_offset,
+                    ..
+                },
+                Some(gap),
+            ) if *batch_offset > gap => {
                 self.next_record_at.get_or_insert(*offset);
             }
             (ScannedSegment::Record { .. } | ScannedSegment::Gap { .. }, Some(_)) => {}
-            (ScannedSegment::Gap { offset, .. }, None) => self.gap = Some(*offset),
+            (ScannedSegment::Gap { offset, .. }, None) => self.first_gap = Some(*offset),
         }
         false
     }
 
-    /// Where the last batch begins that has a record before any gap.
-    pub(crate) fn last_good_batch(&self) -> Option<u64> {
-        self.last_good_batch
+    /// Start of the last batch that has a complete record before any gap; `None` if there is no such record.
+    pub(crate) fn last_batch_before_gap(&self) -> Option<u64> {
+        self.last_batch_before_gap
     }
 
-    /// What the scanner seen come to.
+    /// The condition that follows from the segments so far.
     pub(crate) fn condition(&self) -> FileCondition {
-        match (self.gap, self.next_record_at) {
-            (None, _) => FileCondition::Whole,
+        match (self.first_gap, self.next_record_at) {
+            (None, _) => FileCondition::Complete,
             (Some(offset), None) => FileCondition::Torn { offset },
             (Some(offset), Some(next_record_at)) => FileCondition::Damaged {
-                record: self.records,
+                record: self.records_before_gap,
                 offset,
                 next_record_at,
             },
--- a/crates/append-log/src/disk.rs
+++ b/crates/append-log/src/disk.rs
@@ -1,4 +1,4 @@
-//! What an [`AppendLog`](crate::AppendLog) needs of a disk, and a directory of the file system that offers it.
+//! The disk operations that an [`AppendLog`](crate::AppendLog) needs, and their implementation on the file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
@@ -6,80 +6,80 @@
 
 /// A directory of files.
 ///
-/// It promises no more than this: after a loss of power a file has what its last sync covered; of the later writes each
-/// is there, missing or torn. A new file lasts with its own sync; renamed and removed names last once the directory is
-/// synced.
+/// Durability: after a power loss a file holds what its last sync covered, and each later write is present, missing or
+/// torn. A new file is durable with its own first sync; renames and removals are durable once the directory is synced.
 pub trait Disk {
     /// An open file.
     type File: DiskFile;
 
-    /// Opens a file for reading and writing; `None` if there is none.
+    /// Opens a file for reading and writing. Returns `None` if it does not exist.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn open(&mut self, name: &str) -> io::Result<Option<Self::File>>;
 
-    /// Opens a file for reading only; `None` if there is none.
+    /// Opens a file for reading only. Returns `None` if it does not exist.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn open_read_only(&mut self, name: &str) -> io::Result<Option<Self::File>>;
 
-    /// Creates an empty file, in the place of an existing one.
+    /// Creates an empty file, or truncates the existing one.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
 
-    /// Renames a file, in the place of an existing one.
+    /// Renames a file, replacing an existing one of the new name.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file. Returns whether there was one.
+    /// Removes a file. Returns whether it existed.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn remove(&mut self, name: &str) -> io::Result<bool>;
 
-    /// Makes the names of the files last.
+    /// Makes renames and removals of files durable.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// An open file of a [`Disk`].
 pub trait DiskFile {
-    /// Its length in bytes.
+    /// Length of the file in bytes.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn length(&mut self) -> io::Result<u64>;
 
-    /// Reads from this byte on. Returns how many bytes were read; 0 at the end.
+    /// Reads bytes from `offset` on into `buffer`, possibly fewer than fit. Returns their number; 0 at the end of the
+    /// file.
     ///
     /// # Errors
-    /// What the system says.
-    fn read_at(&mut self, offset: u64, into: &mut [u8]) -> io::Result<usize>;
+    /// The I/O error of the operation.
+    fn read_at(&mut self, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
 
-    /// Writes from this byte on. Returns how many bytes were written.
+    /// Writes bytes from `offset` on, possibly only the first ones. Returns the number written.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Truncates the file to this length in bytes.
+    /// Truncates the file to `length` bytes.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
 
-    /// Makes the file's bytes last.
+    /// Makes the file's contents durable.
     ///
     /// # Errors
-    /// What the system says.
+    /// The I/O error of the operation.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl Directory {
-    /// The directory at this path, which has to exist.
+    /// Creates a handle for the directory at `path`, which must exist.
     pub fn new(path: &Path) -> Directory {
         Directory {
             path: path.to_owned(),
@@ -98,8 +98,8 @@
     }
 }
 
-/// Turns the error that something doesn't exist into `None`.
-fn existing<T>(result: io::Result<T>) -> io::Result<Option<T>> {
+/// Turns a "not found" error into `None`.
+fn none_if_not_found<T>(result: io::Result<T>) -> io::Result<Option<T>> {
     match result {
         Ok(value) => Ok(Some(value)),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
@@ -111,7 +111,7 @@
     type File = DirectoryFile;
 
     fn open(&mut self, name: &str) -> io::Result<Option<DirectoryFile>> {
-        let file = existing(
+        let file = none_if_not_found(
             OpenOptions::new()
                 .read(true)
                 .write(true)
@@ -121,7 +121,7 @@
     }
 
     fn open_read_only(&mut self, name: &str) -> io::Result<Option<DirectoryFile>> {
-        Ok(existing(File::open(self.path.join(name)))?
+        Ok(none_if_not_found(File::open(self.path.join(name)))?
             .map(|file| DirectoryFile { file, position: 0 }))
     }
 
@@ -141,7 +141,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<bool> {
-        Ok(existing(fs::remove_file(self.path.join(name)))?.is_some())
+        Ok(none_if_not_found(fs::remove_file(self.path.join(name)))?.is_some())
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
@@ -153,7 +153,7 @@
 #[derive(Debug)]
 pub struct DirectoryFile {
     file: File,
-    /// The file's position, so that appending needs no seek.
+    /// Current position in the file, in bytes from its start. It saves a seek before each append.
     position: u64,
 }
 
@@ -172,18 +172,18 @@
         Ok(self.position)
     }
 
-    fn read_at(&mut self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
+    fn read_at(&mut self, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
         self.seek_to(offset)?;
-        let read = self.file.read(into)?;
-        self.position += read as u64;
-        Ok(read)
+        let count = self.file.read(buffer)?;
+        self.position += count as u64;
+        Ok(count)
     }
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
         self.seek_to(offset)?;
-        let written = self.file.write(bytes)?;
-        self.position += written as u64;
-        Ok(written)
+        let count = self.file.write(bytes)?;
+        self.position += count as u64;
+        Ok(count)
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
@@ -195,31 +195,31 @@
     }
 }
 
-/// Reads until `into` is full or the file ends. Returns how many bytes were read.
+/// Reads until `buffer` is full or the file ends. Returns the number of bytes read.
 pub(crate) fn read_fully<F: DiskFile>(
     file: &mut F,
     offset: u64,
-    into: &mut [u8],
+    buffer: &mut [u8],
 ) -> io::Result<usize> {
-    let mut done = 0;
-    while done < into.len() {
-        match file.read_at(offset + done as u64, &mut into[done..]) {
+    let mut bytes_read = 0;
+    while bytes_read < buffer.len() {
+        match file.read_at(offset + bytes_read as u64, &mut buffer[bytes_read..]) {
             Ok(0) => break,
-            Ok(read) => done += read,
+            Ok(count) => bytes_read += count,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
         }
     }
-    Ok(done)
+    Ok(bytes_read)
 }
 
-/// Writes all of `bytes`.
+/// Writes all of `bytes` at `offset`.
 pub(crate) fn write_fully<F: DiskFile>(file: &mut F, offset: u64, bytes: &[u8]) -> io::Result<()> {
-    let mut done = 0;
-    while done < bytes.len() {
-        match file.write_at(offset + done as u64, &bytes[done..]) {
+    let mut bytes_written = 0;
+    while bytes_written < bytes.len() {
+        match file.write_at(offset + bytes_written as u64, &bytes[bytes_written..]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(written) => done += written,
+            Ok(count) => bytes_written += count,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
         }
--- a/crates/append-log/src/error.rs
+++ b/crates/append-log/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of an [`AppendLog`](crate::AppendLog).
+//! Errors of an [`AppendLog`](crate::AppendLog).
 
 use std::io::{self, ErrorKind};
 
@@ -8,88 +8,90 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The disk is full. The log is as before the call and takes records again once there is space.
-    #[snafu(display("no room on the disk to {doing} '{name}'"))]
-    Full {
-        /// What was being done.
-        doing: &'static str,
-        /// The file.
+    /// The disk is full. The log is unchanged, and accepts records again once there is space.
+    #[snafu(display("can't {operation} '{name}': no space left on the disk"))]
+    DiskFull {
+        /// Operation that failed, as a verb phrase that continues with the file's name.
+        operation: &'static str,
+        /// Name of the file.
         name: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The disk failed for another reason. Whether the call's records are on it is unknown. A later call may work.
-    #[snafu(display("can't {doing} '{name}'"))]
+    /// The disk failed for another reason. Whether the call's records were stored is unknown. A later call may succeed.
+    #[snafu(display("can't {operation} '{name}'"))]
     Io {
-        /// What was being done.
-        doing: &'static str,
-        /// The file.
+        /// Operation that failed, as a verb phrase that continues with the file's name.
+        operation: &'static str,
+        /// Name of the file.
         name: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A record is damaged though later records are complete, which no torn write does.
+    /// A record is damaged although records of a later batch are complete, so that it can't be a torn write.
     #[snafu(display(
-        "'{name}': record {record} at byte {offset} is damaged; the next whole record begins at byte {next_record_at}"
+        "'{name}': record {record} at byte {offset} is damaged; the next complete record begins at byte {next_record_at}"
     ))]
     Damaged {
-        /// The file.
+        /// Name of the file.
         name: String,
-        /// How many complete records come before it.
+        /// Number of complete records before the damaged one.
         record: u64,
-        /// Where it begins, in bytes from the start.
+        /// Start of the damaged record, in bytes from the start of the file.
         offset: u64,
-        /// Where the next complete record begins, in bytes from the start.
+        /// Start of the next complete record of a later batch, in bytes from the start of the file.
         next_record_at: u64,
     },
-    /// The file does not begin with a complete header.
-    #[snafu(display("'{name}' has no whole header of this kind of file"))]
-    Header {
-        /// The file.
+    /// The file does not begin with a complete header of a known format.
+    #[snafu(display("'{name}' has no valid log header"))]
+    InvalidHeader {
+        /// Name of the file.
         name: String,
     },
     /// A later release wrote the file.
-    #[snafu(display("'{name}' has format {found}; known are formats up to {known}"))]
-    Newer {
-        /// The file.
+    #[snafu(display(
+        "'{name}' has format version {found}; the newest supported version is {newest_supported}"
+    ))]
+    NewerFormat {
+        /// Name of the file.
         name: String,
-        /// Its format version.
+        /// Format version of the file.
         found: u32,
-        /// The newest version that this program reads.
-        known: u32,
+        /// Newest format version that this release reads.
+        newest_supported: u32,
     },
     /// A record or a batch is longer than the format allows; nothing was written.
-    #[snafu(display("{bytes} bytes are more than the {limit} that fit"))]
+    #[snafu(display("record or batch of {bytes} bytes exceeds the limit of {limit} bytes"))]
     TooLarge {
-        /// Its length in bytes.
+        /// Length of the record or batch in bytes.
         bytes: u64,
-        /// The limit in bytes.
+        /// Largest allowed length in bytes.
         limit: u64,
     },
 }
 
 impl Error {
-    /// Classifies an error of the system: the disk is full, or something else.
-    pub(crate) fn from_io(doing: &'static str, name: &str, source: io::Error) -> Error {
+    /// Classifies an I/O error of `operation`: [`Error::DiskFull`] or [`Error::Io`].
+    pub(crate) fn from_io(operation: &'static str, name: &str, source: io::Error) -> Error {
         let name = name.to_owned();
         match source.kind() {
             ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => {
-                Error::Full {
-                    doing,
+                Error::DiskFull {
+                    operation,
                     name,
                     source,
                 }
             }
             _ => Error::Io {
-                doing,
+                operation,
                 name,
                 source,
             },
         }
     }
 
-    /// Whether the disk is full, so that the same call works once there is space.
+    /// Whether the disk is full, so that the same call can succeed once there is space.
     pub fn is_full(&self) -> bool {
-        matches!(self, Error::Full { .. })
+        matches!(self, Error::DiskFull { .. })
     }
 }
--- a/crates/append-log/src/lib.rs
+++ b/crates/append-log/src/lib.rs
@@ -1,22 +1,23 @@
-//! An append-only file of checksummed records, which is rewritten when it gets long.
+//! An append-only log: a file of checksummed records, which is rewritten when it has grown long.
 //!
-//! A [`AppendLog`] gives back at [`AppendLog::open`] what was written, in order, and survives a kill or a loss of power at
-//! any byte. What an `Ok` of [`AppendLog::append`] or [`AppendLog::rewrite`] covers lasts; what ended in an error may be
-//! there after the next start or not, and so may records whose process died before the answer. Calls block on the
-//! disk: they belong on a thread of their own.
+//! [`AppendLog::open`] returns the records of an [`AppendLog`] in the order in which they were written. The log
+//! survives a kill of the process or a power loss at any byte. Records for which [`AppendLog::append`] or
+//! [`AppendLog::rewrite`] returned `Ok` are durable. Records of a call that failed, or whose process died before the
+//! call returned, may or may not be present after the next start. Calls block on the disk, so that they need a thread
+//! of their own.
 //!
 //! ```
 //! use append_log::AppendLog;
-//! # let folder = std::env::temp_dir().join(format!("append-log-doc-{}", std::process::id()));
-//! # std::fs::create_dir_all(&folder).unwrap();
-//! let (mut log, records) = AppendLog::open(&folder, "records").unwrap();
+//! # let directory = std::env::temp_dir().join(format!("append-log-doc-{}", std::process::id()));
+//! # std::fs::create_dir_all(&directory).unwrap();
+//! let (mut log, records) = AppendLog::open(&directory, "records").unwrap();
 //! assert!(records.is_empty());
 //! log.append(&[b"first", b"second"]).unwrap();
 //! drop(log);
-//! let (mut log, records) = AppendLog::open(&folder, "records").unwrap();
+//! let (mut log, records) = AppendLog::open(&directory, "records").unwrap();
 //! assert_eq!(records, [&b"first"[..], b"second"]);
 //! log.rewrite(&[b"both in one"]).unwrap();
-//! # std::fs::remove_dir_all(&folder).unwrap();
+//! # std::fs::remove_dir_all(&directory).unwrap();
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/append-log/src/recovery.rs
+++ b/crates/append-log/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads a file when it is opened, and makes sure that its last batch is on the disk.
+//! Recovery when a log is opened: reads the records, and rewrites the last batch so that it is surely on the disk.
 
 use std::io;
 
@@ -8,66 +8,67 @@
 use crate::scanner::{ScannedSegment, SegmentScanner};
 use crate::{DiskFile, Error};
 
-/// How much is copied at once, in bytes.
-const CHUNK_BYTES: usize = 256 << 10;
+/// Bytes that are copied at once.
+const COPY_CHUNK_BYTES: usize = 256 << 10;
 
-/// What [`AppendLog::open`](crate::AppendLog::open) cut off because the last batch was incomplete.
+/// The bytes that [`AppendLog::open`](crate::AppendLog::open) truncated because the last batch was incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TruncatedTail {
-    /// Where the file was truncated, in bytes from its start.
+    /// Length in bytes to which the file was truncated.
     pub offset: u64,
-    /// How many bytes were cut off.
+    /// Number of bytes removed.
     pub bytes: u64,
 }
 
-/// What was found in a file.
-pub(crate) struct Found {
-    /// Where the good bytes end.
-    pub(crate) length: u64,
+/// The extent of the valid records in a file.
+pub(crate) struct RecoveredFile {
+    /// Length of the file's header and complete records before a torn batch's gap, in bytes.
+    pub(crate) valid_length: u64,
     /// Length of the file in bytes.
-    pub(crate) end: u64,
-    /// Where the last good batch begins.
-    pub(crate) batch: u64,
+    pub(crate) file_length: u64,
+    /// Start of the last batch with a complete record, in bytes from the start of the file.
+    pub(crate) last_batch_offset: u64,
 }
 
-impl Found {
-    /// What has to be cut off, if the last batch is incomplete.
+impl RecoveredFile {
+    /// The bytes to truncate if the last batch is incomplete.
     pub(crate) fn torn_tail(&self) -> Option<TruncatedTail> {
-        (self.length < self.end).then(|| TruncatedTail {
-            offset: self.length,
-            bytes: self.end - self.length,
+        (self.valid_length < self.file_length).then(|| TruncatedTail {
+            offset: self.valid_length,
+            bytes: self.file_length - self.valid_length,
         })
     }
 }
 
-/// Reads the records of a file, up to a torn batch.
+/// Reads the complete records of a file, up to the first torn one.
 ///
 /// # Errors
-/// [`Error::Header`], [`Error::Newer`] and [`Error::Damaged`] for the file's condition, else what the disk says.
+/// [`Error::InvalidHeader`], [`Error::NewerFormat`] or [`Error::Damaged`] for the file's condition; [`Error::DiskFull`]
+/// or [`Error::Io`] if it can't be read.
 pub(crate) fn read_records<F: DiskFile>(
     file: &mut F,
     name: &str,
     records: &mut Vec<Vec<u8>>,
-) -> Result<Found, Error> {
-    let failed = |error| Error::from_io("read", name, error);
-    let mut scanner = SegmentScanner::new(file).map_err(failed)?;
-    match scanner.version().map_err(failed)? {
+) -> Result<RecoveredFile, Error> {
+    let read_error = |error| Error::from_io("read", name, error);
+    let mut scanner = SegmentScanner::new(file).map_err(read_error)?;
+    match scanner.format_version().map_err(read_error)? {
         Some(FORMAT_VERSION) => {}
         Some(found) if found > FORMAT_VERSION => {
-            return Err(Error::Newer {
+            return Err(Error::NewerFormat {
                 name: name.to_owned(),
                 found,
-                known: FORMAT_VERSION,
+                newest_supported: FORMAT_VERSION,
             });
         }
         _ => {
-            return Err(Error::Header {
+            return Err(Error::InvalidHeader {
                 name: name.to_owned(),
             })
         }
     }
     let mut classifier = SegmentClassifier::default();
-    while let Some(segment) = scanner.next_segment().map_err(failed)? {
+    while let Some(segment) = scanner.next_segment().map_err(read_error)? {
         match (classifier.accept(&segment), segment) {
             (true, ScannedSegment::Record { body, .. }) => records.push(body),
             _ => {
@@ -87,34 +88,34 @@
             }
         }
     }
-    let end = scanner.end();
-    let length = if let FileCondition::Torn { offset } = classifier.condition() {
+    let file_length = scanner.file_length();
+    let valid_length = if let FileCondition::Torn { offset } = classifier.condition() {
         offset
     } else {
-        end
+        file_length
     };
-    Ok(Found {
-        length,
-        end,
-        batch: classifier.last_good_batch().unwrap_or(length),
+    Ok(RecoveredFile {
+        valid_length,
+        file_length,
+        last_batch_offset: classifier.last_batch_before_gap().unwrap_or(valid_length),
     })
 }
 
-/// Writes the bytes between `from` and `to` over themselves, so that the next sync covers them.
+/// Reads the bytes from offset `from` up to `to` and writes them back unchanged, so that the next sync covers them.
 pub(crate) fn rewrite_in_place<F: DiskFile>(
     file: &mut F,
     mut from: u64,
     to: u64,
 ) -> io::Result<()> {
-    let mut chunk = vec![0; CHUNK_BYTES.min(to.saturating_sub(from) as usize)];
+    let mut chunk = vec![0; COPY_CHUNK_BYTES.min(to.saturating_sub(from) as usize)];
     while from < to {
-        let part = (to - from).min(CHUNK_BYTES as u64) as usize;
-        let read = read_fully(file, from, &mut chunk[..part])?;
-        write_fully(file, from, &chunk[..read])?;
-        if read < part {
+        let chunk_length = (to - from).min(COPY_CHUNK_BYTES as u64) as usize;
+        let count = read_fully(file, from, &mut chunk[..chunk_length])?;
+        write_fully(file, from, &chunk[..count])?;
+        if count < chunk_length {
             break;
         }
-        from += part as u64;
+        from += chunk_length as u64;
     }
     Ok(())
 }
--- a/crates/append-log/src/report.rs
+++ b/crates/append-log/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports for operators: what a file holds and in what condition it is. Nothing here writes.
+//! Read-only reports for operators on the contents and the condition of a log file.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
@@ -9,41 +9,45 @@
 use crate::scanner::{ScannedSegment, SegmentScanner};
 use crate::{Directory, Disk, DiskFile, Error};
 
-/// What a file holds.
+/// Summary of a log file's contents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inspection {
-    /// Its name.
+    /// Name of the file.
     pub name: String,
-    /// Its length in bytes.
+    /// Length of the file in bytes.
     pub length: u64,
-    /// How many whole records an opening gives, or would give were it not for what lies behind them.
+    /// Number of complete records before the first gap. Opening returns them, unless it fails because of damage.
     pub records: u64,
-    /// How many batches they came in. Each record of a rewritten file is a batch.
+    /// Number of batches that these records belong to. In a rewritten file each record is a batch.
     pub batches: u64,
-    /// The bytes of these records without their heads.
+    /// Length of these records in bytes, without their headers.
     pub body_bytes: u64,
-    /// The longest of these records, in bytes.
+    /// Length of the longest of these records in bytes, without its header.
     pub longest_body: u64,
-    /// In what condition the file is.
+    /// Condition of the file.
     pub condition: FileCondition,
-    /// The length in bytes of what an interrupted rewrite left beside it.
+    /// Length in bytes of the temporary file that an interrupted rewrite left; `None` if there is no such file.
     pub interrupted_rewrite_bytes: Option<u64>,
 }
 
 impl Inspection {
-    /// Whether an opening works.
+    /// Whether the file's condition allows opening it.
     pub fn opens(&self) -> bool {
         matches!(
             self.condition,
-            FileCondition::Whole | FileCondition::Torn { .. }
+            FileCondition::Complete | FileCondition::Torn { .. }
         )
     }
 }
 
 impl fmt::Display for Inspection {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(to, "{}: {}", self.name, self.condition)?;
-        writeln!(to, "  {} bytes, {} in bodies", self.length, self.body_bytes)?;
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        writeln!(formatter, "{}: {}", self.name, self.condition)?;
+        writeln!(
+            formatter,
+            "  {} bytes, {} in bodies",
+            self.length, self.body_bytes
+        )?;
         let Inspection {
             records,
             batches,
@@ -51,12 +55,12 @@
             ..
         } = self;
         write!(
-            to,
+            formatter,
             "  {records} whole records in {batches} batches, the longest {longest_body} bytes"
         )?;
         if let Some(bytes) = self.interrupted_rewrite_bytes {
             write!(
-                to,
+                formatter,
                 "\n  an interrupted rewrite left {bytes} bytes; the next start removes them"
             )?;
         }
@@ -64,40 +68,40 @@
     }
 }
 
-/// A part of a file, as [`verify`] tells it.
+/// A segment of a file, as reported by [`verify`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileSegment {
-    /// A whole record.
+    /// A complete record.
     Record {
-        /// Where it begins, in bytes from the start of the file.
+        /// Start of the record, in bytes from the start of the file.
         offset: u64,
-        /// Where its batch begins.
-        batch: u64,
-        /// The length of its body in bytes.
+        /// Start of the record's batch, in bytes from the start of the file.
+        batch_offset: u64,
+        /// Length of the record's body in bytes.
         bytes: u64,
     },
-    /// Bytes that belong to no whole record.
+    /// Bytes that belong to no complete record.
     Gap {
-        /// Where they begin, in bytes from the start of the file.
+        /// Start of these bytes, in bytes from the start of the file.
         offset: u64,
-        /// How many there are.
+        /// Number of these bytes.
         bytes: u64,
     },
 }
 
 impl fmt::Display for FileSegment {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
             FileSegment::Record {
                 offset,
-                batch,
+                batch_offset,
                 bytes,
             } => {
-                write!(to, "  byte {offset}: a whole record of {bytes} bytes, of the batch at byte {batch}")
+                write!(formatter, "  byte {offset}: a whole record of {bytes} bytes, of the batch at byte {batch_offset}")
             }
             FileSegment::Gap { offset, bytes } => {
                 write!(
-                    to,
+                    formatter,
                     "  byte {offset}: {bytes} bytes that belong to no whole record"
                 )
             }
@@ -105,78 +109,79 @@
     }
 }
 
-/// All of a file, record by record.
+/// Result of checking each record of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verification {
-    /// The whole.
+    /// Summary of the file.
     pub summary: Inspection,
-    /// All parts behind the header, also what lies behind damage; none where the header isn't whole or known.
-    pub parts: Vec<FileSegment>,
+    /// All segments after the file header, including those after damage. Empty if the header is incomplete or its
+    /// format version is not supported.
+    pub segments: Vec<FileSegment>,
 }
 
 impl fmt::Display for Verification {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{}", self.summary)?;
-        self.parts
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{}", self.summary)?;
+        self.segments
             .iter()
-            .try_for_each(|part| write!(to, "\n{part}"))
+            .try_for_each(|segment| write!(formatter, "\n{segment}"))
     }
 }
 
-/// Says what a file holds. It may be in use: what is being written at the time looks like a torn batch.
+/// Summarizes the contents of a log file. The file may be in use: a batch that is being written looks like a torn one.
 ///
 /// # Errors
-/// [`Error::Io`] if there is no such file or it can't be read.
+/// [`Error::Io`] if the file doesn't exist or can't be read.
 ///
 /// ```
-/// # let folder = std::env::temp_dir().join(format!("append-log-inspect-{}", std::process::id()));
-/// # std::fs::create_dir_all(&folder).unwrap();
-/// let (mut log, _) = append_log::AppendLog::open(&folder, "ledger").unwrap();
+/// # let directory = std::env::temp_dir().join(format!("append-log-inspect-{}", std::process::id()));
+/// # std::fs::create_dir_all(&directory).unwrap();
+/// let (mut log, _) = append_log::AppendLog::open(&directory, "ledger").unwrap();
 /// log.append(&[b"first", b"second"]).unwrap();
-/// let report = append_log::inspect(&folder, "ledger").unwrap();
+/// let report = append_log::inspect(&directory, "ledger").unwrap();
 /// assert!(report.opens());
 /// assert_eq!(
 ///     report.to_string(),
 ///     "ledger: whole\n  59 bytes, 11 in bodies\n  2 whole records in 1 batches, the longest 6 bytes"
 /// );
-/// # std::fs::remove_dir_all(&folder).unwrap();
+/// # std::fs::remove_dir_all(&directory).unwrap();
 /// ```
-pub fn inspect(folder: &Path, name: &str) -> Result<Inspection, Error> {
-    inspect_on(Directory::new(folder), name)
+pub fn inspect(directory: &Path, name: &str) -> Result<Inspection, Error> {
+    inspect_on(Directory::new(directory), name)
 }
 
-/// The same on any disk; see [`inspect`].
+/// Summarizes the contents of a log file on any [`Disk`], like [`inspect`].
 ///
 /// # Errors
 /// As [`inspect`].
 pub fn inspect_on<D: Disk>(disk: D, name: &str) -> Result<Inspection, Error> {
-    report(disk, name, |_| {}).map_err(|error| Error::from_io("read", name, error))
+    scan_file(disk, name, |_| {}).map_err(|error| Error::from_io("read", name, error))
 }
 
-/// Says of each record of a file whether it is whole. It may be in use, as with [`inspect`].
+/// Checks each record of a log file for completeness. The file may be in use, as with [`inspect`].
 ///
 /// # Errors
-/// [`Error::Io`] if there is no such file or it can't be read.
-pub fn verify(folder: &Path, name: &str) -> Result<Verification, Error> {
-    verify_on(Directory::new(folder), name)
+/// [`Error::Io`] if the file doesn't exist or can't be read.
+pub fn verify(directory: &Path, name: &str) -> Result<Verification, Error> {
+    verify_on(Directory::new(directory), name)
 }
 
-/// The same on any disk; see [`verify`].
+/// Checks each record of a log file on any [`Disk`], like [`verify`].
 ///
 /// # Errors
 /// As [`verify`].
 pub fn verify_on<D: Disk>(disk: D, name: &str) -> Result<Verification, Error> {
-    let mut parts = Vec::new();
-    let summary = report(disk, name, |part| parts.push(part))
+    let mut segments = Vec::new();
+    let summary = scan_file(disk, name, |segment| segments.push(segment))
         .map_err(|error| Error::from_io("read", name, error))?;
-    Ok(Verification { summary, parts })
+    Ok(Verification { summary, segments })
 }
 
-/// Goes through the file and tells its parts.
-fn report<D: Disk>(
+/// Scans the file from its start and calls `on_segment` for each segment in order.
+fn scan_file<D: Disk>(
     mut disk: D,
     name: &str,
-    mut tell: impl FnMut(FileSegment),
+    mut on_segment: impl FnMut(FileSegment),
 ) -> io::Result<Inspection> {
     let mut file = disk
         .open_read_only(name)?
@@ -186,50 +191,50 @@
         None => None,
     };
     let mut scanner = SegmentScanner::new(&mut file)?;
-    let mut found = Inspection {
+    let mut inspection = Inspection {
         name: name.to_owned(),
-        length: scanner.end(),
+        length: scanner.file_length(),
         records: 0,
         batches: 0,
         body_bytes: 0,
         longest_body: 0,
-        condition: FileCondition::NoHeader,
+        condition: FileCondition::InvalidHeader,
         interrupted_rewrite_bytes,
     };
-    match scanner.version()? {
+    match scanner.format_version()? {
         Some(FORMAT_VERSION) => {}
         Some(version) if version > FORMAT_VERSION => {
-            found.condition = FileCondition::Newer { found: version };
-            return Ok(found);
+            inspection.condition = FileCondition::NewerFormat { found: version };
+            return Ok(inspection);
         }
-        _ => return Ok(found),
+        _ => return Ok(inspection),
     }
     let mut classifier = SegmentClassifier::default();
     while let Some(segment) = scanner.next_segment()? {
-        let last = classifier.last_good_batch();
-        let is_good = classifier.accept(&segment);
-        tell(match segment {
+        let previous_batch = classifier.last_batch_before_gap();
+        let is_before_gap = classifier.accept(&segment);
+        on_segment(match segment {
             ScannedSegment::Record {
                 offset,
-                batch,
+                batch_offset,
                 body,
             } => {
                 let bytes = body.len() as u64;
-                if is_good {
-                    found.batches += u64::from(last != Some(batch));
-                    found.body_bytes += bytes;
-                    found.longest_body = found.longest_body.max(bytes);
+                if is_before_gap {
+                    inspection.batches += u64::from(previous_batch != Some(batch_offset));
+                    inspection.body_bytes += bytes;
+                    inspection.longest_body = inspection.longest_body.max(bytes);
                 }
                 FileSegment::Record {
                     offset,
-                    batch,
+                    batch_offset,
                     bytes,
                 }
             }
             ScannedSegment::Gap { offset, bytes } => FileSegment::Gap { offset, bytes },
         });
     }
-    found.records = classifier.records;
-    found.condition = classifier.condition();
-    Ok(found)
+    inspection.records = classifier.records_before_gap;
+    inspection.condition = classifier.condition();
+    Ok(inspection)
 }
--- a/crates/append-log/src/scanner.rs
+++ b/crates/append-log/src/scanner.rs
@@ -1,86 +1,86 @@
-//! Reads a file record by record, and finds the next complete record behind bytes that are none.
+//! Scans a file record by record, and resumes at the next complete record after damaged or incomplete bytes.
 
 use std::io::{self, ErrorKind};
 
 use crate::disk::read_fully;
 use crate::format::{
-    body_checksum, header_version, parse_record_header, RecordHeader, FILE_HEADER_BYTES,
+    body_checksum, file_header_version, parse_record_header, RecordHeader, FILE_HEADER_BYTES,
     RECORD_HEADER_BYTES,
 };
 use crate::DiskFile;
 
-/// How much is read at once, in bytes.
-const CHUNK_BYTES: usize = 64 << 10;
+/// Bytes that are read at once.
+const READ_CHUNK_BYTES: usize = 64 << 10;
 
-/// What comes next in a file, behind its header.
+/// A segment of a file after its header.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ScannedSegment {
     /// A complete record.
     Record {
-        /// Where it begins, in bytes from the start of the file.
+        /// Start of the record, in bytes from the start of the file.
         offset: u64,
-        /// Where its batch begins.
-        batch: u64,
-        /// Its body.
+        /// Start of the record's batch, in bytes from the start of the file.
+        batch_offset: u64,
+        /// Body of the record.
         body: Vec<u8>,
     },
-    /// Bytes that belong to no complete record, up to the next complete one or the end.
+    /// Bytes that belong to no complete record, up to the next complete one or the end of the file.
     Gap {
-        /// Where they begin, in bytes from the start of the file.
+        /// Start of these bytes, in bytes from the start of the file.
         offset: u64,
-        /// How many there are.
+        /// Number of these bytes.
         bytes: u64,
     },
 }
 
-/// Reads a file's segments, from behind its header to its end.
+/// Scanner over the segments of a file, from the end of its header to the end of the file.
 pub struct SegmentScanner<'a, F> {
     file: &'a mut F,
     /// Length of the file in bytes.
-    end: u64,
-    /// Where the next segment begins.
+    file_length: u64,
+    /// Start of the next segment, in bytes from the start of the file.
     offset: u64,
-    /// What was read of the file, from `base` on.
+    /// Bytes of the file from `buffer_offset` on, as far as they have been read.
     buffer: Vec<u8>,
-    base: u64,
+    buffer_offset: u64,
 }
 
 impl<'a, F: DiskFile> SegmentScanner<'a, F> {
-    /// Creates a scanner that starts behind the file's header.
+    /// Creates a scanner that starts after the file header.
     ///
     /// # Errors
-    /// What the disk says when it doesn't tell the length.
+    /// The I/O error if the length can't be determined.
     pub fn new(file: &'a mut F) -> io::Result<Self> {
-        let end = file.length()?;
+        let file_length = file.length()?;
         Ok(SegmentScanner {
             file,
-            end,
+            file_length,
             offset: FILE_HEADER_BYTES as u64,
             buffer: Vec::new(),
-            base: 0,
+            buffer_offset: 0,
         })
     }
 
     /// The format version in the file's header; `None` if the header is incomplete or damaged.
     ///
     /// # Errors
-    /// What the disk says when it doesn't give the bytes.
-    pub fn version(&mut self) -> io::Result<Option<u32>> {
-        Ok(header_version(self.bytes_at(0, FILE_HEADER_BYTES)?))
+    /// The I/O error if the file can't be read.
+    pub fn format_version(&mut self) -> io::Result<Option<u32>> {
+        Ok(file_header_version(self.bytes_at(0, FILE_HEADER_BYTES)?))
     }
 
     /// Length of the file in bytes.
-    pub fn end(&self) -> u64 {
-        self.end
+    pub fn file_length(&self) -> u64 {
+        self.file_length
     }
 
-    /// The next segment; `None` at the end.
+    /// Returns the next segment; `None` at the end of the file.
     ///
     /// # Errors
-    /// What the disk says when it doesn't give the bytes.
+    /// The I/O error if the file can't be read.
     pub fn next_segment(&mut self) -> io::Result<Option<ScannedSegment>> {
         let offset = self.offset;
-        if offset >= self.end {
+        if offset >= self.file_length {
             return Ok(None);
         }
         let header = self.record_header(offset)?;
@@ -89,23 +89,23 @@
                 self.offset = offset + (RECORD_HEADER_BYTES + header.length) as u64;
                 return Ok(Some(ScannedSegment::Record {
                     offset,
-                    batch: header.batch,
+                    batch_offset: header.batch_offset,
                     body,
                 }));
             }
         }
-        // If the header is sound its length is too, so the next record is behind that many bytes.
-        let mut next =
+        // A valid header has a valid length, so that the next record begins after that many bytes.
+        let mut next_offset =
             offset + header.map_or(1, |header| (RECORD_HEADER_BYTES + header.length) as u64);
-        while next < self.end {
-            if let Some(header) = self.record_header(next)? {
-                if self.body(next, &header)?.is_some() {
+        while next_offset < self.file_length {
+            if let Some(header) = self.record_header(next_offset)? {
+                if self.body(next_offset, &header)?.is_some() {
                     break;
                 }
             }
-            next += 1;
+            next_offset += 1;
         }
-        self.offset = next.min(self.end);
+        self.offset = next_offset.min(self.file_length);
         Ok(Some(ScannedSegment::Gap {
             offset,
             bytes: self.offset - offset,
@@ -119,39 +119,42 @@
         ))
     }
 
-    /// The body that belongs to this header; `None` if it is incomplete or damaged.
+    /// Reads the body that belongs to this record header; `None` if it is incomplete or damaged.
     fn body(&mut self, offset: u64, header: &RecordHeader) -> io::Result<Option<Vec<u8>>> {
         let start = offset + RECORD_HEADER_BYTES as u64;
-        if start + header.length as u64 > self.end {
+        if start + header.length as u64 > self.file_length {
             return Ok(None);
         }
         let mut body = vec![0; header.length];
-        let known = self.bytes_at(start, header.length.min(CHUNK_BYTES))?;
-        let (first, rest) = body.split_at_mut(known.len());
-        first.copy_from_slice(known);
-        let start = start + first.len() as u64;
+        let buffered = self.bytes_at(start, header.length.min(READ_CHUNK_BYTES))?;
+        let (prefix, rest) = body.split_at_mut(buffered.len());
+        prefix.copy_from_slice(buffered);
+        let start = start + prefix.len() as u64;
         if read_fully(self.file, start, rest)? < rest.len() {
             return Err(ErrorKind::UnexpectedEof.into());
         }
         Ok((body_checksum(&body) == header.body_checksum).then_some(body))
     }
 
-    /// The bytes from `offset` on, `length` of them or as many as there are.
+    /// Returns `length` bytes from `offset` on, or fewer at the end of the file.
     fn bytes_at(&mut self, offset: u64, length: usize) -> io::Result<&[u8]> {
-        let length = self.end.saturating_sub(offset).min(length as u64) as usize;
-        let buffered = self.base..self.base + self.buffer.len() as u64;
-        if offset < buffered.start || offset + length as u64 > buffered.end {
-            let wanted = self.end.saturating_sub(offset).min(CHUNK_BYTES as u64) as usize;
+        let length = self.file_length.saturating_sub(offset).min(length as u64) as usize;
+        let buffered_range = self.buffer_offset..self.buffer_offset + self.buffer.len() as u64;
+        if offset < buffered_range.start || offset + length as u64 > buffered_range.end {
+            let wanted_length = self
+                .file_length
+                .saturating_sub(offset)
+                .min(READ_CHUNK_BYTES as u64) as usize;
             self.buffer.clear();
-            self.buffer.resize(wanted, 0);
-            self.base = offset;
-            let read = read_fully(self.file, offset, &mut self.buffer)?;
-            if read < wanted {
+            self.buffer.resize(wanted_length, 0);
+            self.buffer_offset = offset;
+            let count = read_fully(self.file, offset, &mut self.buffer)?;
+            if count < wanted_length {
                 self.buffer.clear();
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
-        let start = (offset - self.base) as usize;
+        let start = (offset - self.buffer_offset) as usize;
         Ok(&self.buffer[start..start + length])
     }
 }
--- a/crates/append-log/tests/directory_losses.rs
+++ b/crates/append-log/tests/directory_losses.rs
@@ -1,24 +1,25 @@
-//! Several files in one folder, and a loss of power at each step: every change of a name that no sync covered is kept
-//! or lost by itself.
+//! Recovery of several logs in one directory from a kill or power loss at each step. Each unsynced change of a
+//! directory entry is kept or lost independently.
 
 mod simulated;
 
 use append_log::AppendLog;
 use rstest::rstest;
-use simulated::Simulated;
+use simulated::SimulatedDisk;
 
 type Records = Vec<Vec<u8>>;
 
-/// What a member does with its folder: the ledger's file is made, then the identity's; then both and the roster's go
-/// on, each rewritten now and then, as the disk's thread does it. Counts what was acknowledged.
+/// What each log may hold after the calls so far: the acknowledged records, and those including the latest call, which
+/// may have been interrupted.
 #[derive(Debug, Default)]
-struct Progress {
-    /// Records that each file acknowledged, and those of the call under way.
+struct ExpectedRecords {
     ledger: (Records, Records),
     identity: (Records, Records),
 }
 
-const STEPS: [(&str, bool, &[&[u8]]); 9] = [
+/// Calls of a member on its expected_records directory: file, whether it is rewritten rather than appended to, and the
+/// records.
+const CALLS: [(&str, bool, &[&[u8]]); 9] = [
     ("ledger", true, &[b"owner"]),
     ("identity", false, &[b"life 1"]),
     ("ledger", false, &[b"promise 1"]),
@@ -30,99 +31,102 @@
     ("ledger", false, &[b"change 3"]),
 ];
 
-fn run_calls(disk: &Simulated) -> Progress {
-    let mut progress = Progress::default();
+fn run_calls(disk: &SimulatedDisk) -> ExpectedRecords {
+    let mut expected = ExpectedRecords::default();
     let open = |name: &str| AppendLog::open_on(disk.clone(), name);
     let (Ok((mut identity, _)), Ok((mut ledger, _)), Ok((mut roster, _))) =
         (open("identity"), open("ledger"), open("roster"))
     else {
-        return progress;
+        return expected;
     };
-    for (name, rewrite, records) in STEPS {
-        let mut none = Default::default();
-        let (file, state) = match name {
-            "ledger" => (&mut ledger, &mut progress.ledger),
-            "identity" => (&mut identity, &mut progress.identity),
-            _ => (&mut roster, &mut none),
+    for (name, is_rewrite, records) in CALLS {
+        let mut unchecked = Default::default();
+        let (file, expected_records) = match name {
+            "ledger" => (&mut ledger, &mut expected.ledger),
+            "identity" => (&mut identity, &mut expected.identity),
+            _ => (&mut roster, &mut unchecked),
         };
-        let more: Records = records.iter().map(|r| r.to_vec()).collect();
-        let next = if rewrite {
-            more
+        let new_records: Records = records.iter().map(|record| record.to_vec()).collect();
+        let records_after = if is_rewrite {
+            new_records
         } else {
-            [state.0.clone(), more].concat()
+            [expected_records.0.clone(), new_records].concat()
         };
-        state.1.clone_from(&next);
-        let done = if rewrite {
+        expected_records.1.clone_from(&records_after);
+        let result = if is_rewrite {
             file.rewrite(records)
         } else {
             file.append(records)
         };
-        if done.is_err() {
-            return progress;
+        if result.is_err() {
+            return expected;
         }
-        state.0 = next;
+        expected_records.0 = records_after;
     }
-    progress
+    expected
 }
 
-/// Whether the records are what was acknowledged, or that with some of what was under way.
-fn fits(records: &Records, state: &(Records, Records)) -> bool {
-    let (before, under_way) = state;
-    let grown = under_way.starts_with(before)
-        && under_way.starts_with(records)
-        && records.starts_with(before);
-    records == before || records == under_way || grown
+/// Whether the records are the acknowledged ones, those including the latest call, or a prefix of an append in between.
+fn is_allowed(records: &Records, expected_records: &(Records, Records)) -> bool {
+    let (acknowledged, in_flight) = expected_records;
+    let is_partial_append = in_flight.starts_with(acknowledged)
+        && in_flight.starts_with(records)
+        && records.starts_with(acknowledged);
+    records == acknowledged || records == in_flight || is_partial_append
 }
 
-fn check_recovered(disk: &Simulated, progress: &Progress, what: &str) {
+fn check_recovered(disk: &SimulatedDisk, expected: &ExpectedRecords, context: &str) {
     let open = |name: &str| {
         AppendLog::open_on(disk.clone(), name)
-            .unwrap_or_else(|e| panic!("{what}: {e}"))
+            .unwrap_or_else(|error| panic!("{context}: {error}"))
             .1
     };
     let (identity, ledger) = (open("identity"), open("ledger"));
     open("roster");
     assert!(
-        fits(&ledger, &progress.ledger),
-        "{what}: {ledger:?} for {:?}",
-        progress.ledger
+        is_allowed(&ledger, &expected.ledger),
+        "{context}: {ledger:?} for {:?}",
+        expected.ledger
     );
     assert!(
-        fits(&identity, &progress.identity),
-        "{what}: {identity:?} for {:?}",
-        progress.identity
+        is_allowed(&identity, &expected.identity),
+        "{context}: {identity:?} for {:?}",
+        expected.identity
+    );
+    // An identity must never exist without the owner record in the ledger.
+    let has_owner = ledger.first().is_some_and(|record| record == b"owner");
+    assert!(
+        identity.is_empty() || has_owner,
+        "{context}: identity without its owner record in the ledger"
     );
-    // An identity is never there without the ledger that names it.
-    let owned = ledger.first().is_some_and(|r| r == b"owner");
-    assert!(identity.is_empty() || owned, "{what}: an identity alone");
     assert!(
         ledger.len() < 2 || !identity.is_empty(),
-        "{what}: promises of nobody"
+        "{context}: promises in the ledger without an identity"
     );
 }
 
 #[rstest]
-fn power_loss_when_names_last_or_not_then_log_recovers() {
-    let whole = Simulated::new();
-    run_calls(&whole);
-    let mut losses = 0;
-    for steps in 0..=whole.steps() {
-        let disk = Simulated::new();
+fn logs_recover_from_kill_or_power_loss_with_unsynced_names() {
+    let uninterrupted = SimulatedDisk::new();
+    run_calls(&uninterrupted);
+    let mut power_losses = 0;
+    for steps in 0..=uninterrupted.steps() {
+        let disk = SimulatedDisk::new();
         disk.kill_after(steps);
-        let progress = run_calls(&disk);
+        let expected = run_calls(&disk);
         check_recovered(
             &disk.after_kill(),
-            &progress,
+            &expected,
             &format!("killed after {steps}"),
         );
-        for (number, left) in disk.after_power_loss().iter().enumerate() {
+        for (number, disk_after_loss) in disk.after_power_loss().iter().enumerate() {
             check_recovered(
-                left,
-                &progress,
+                disk_after_loss,
+                &expected,
                 &format!("power lost after {steps}, {number}"),
             );
-            losses += 1;
+            power_losses += 1;
         }
     }
-    assert!(losses > 1_000, "{losses} losses");
+    assert!(power_losses > 1_000, "only {power_losses} power losses");
 }
--- a/crates/append-log/tests/losses.rs
+++ b/crates/append-log/tests/losses.rs
@@ -1,14 +1,14 @@
-//! Kills, losses of power, full disks and failed syncs, at every byte.
+//! Recovery of a log from kills, power losses, full disks and failed syncs, at every step and written byte.
 
 mod simulated;
 
 use append_log::{format, AppendLog, Error};
 use rstest::rstest;
-use simulated::{Faults, Simulated};
+use simulated::{Faults, SimulatedDisk};
 
 type Records = Vec<Vec<u8>>;
 
-/// A call of a story.
+/// A call on the log.
 enum Call {
     Append(Vec<&'static str>),
     Rewrite(Vec<&'static str>),
@@ -16,71 +16,80 @@
 
 use Call::{Append, Rewrite};
 
-fn slices<'a>(records: &[&'a str]) -> Vec<&'a [u8]> {
+fn as_slices<'a>(records: &[&'a str]) -> Vec<&'a [u8]> {
     records.iter().map(|record| record.as_bytes()).collect()
 }
 
-fn owned(records: &[&str]) -> Records {
+fn to_records(records: &[&str]) -> Records {
     records
         .iter()
         .map(|record| record.as_bytes().to_vec())
         .collect()
 }
 
-fn open(disk: &Simulated) -> (AppendLog<Simulated>, Records) {
+fn open_log(disk: &SimulatedDisk) -> (AppendLog<SimulatedDisk>, Records) {
     AppendLog::open_on(disk.clone(), "ledger").unwrap()
 }
 
-/// What the file may hold: what was acknowledged, or that with the first records of the call that was under way.
-fn run_calls(disk: &Simulated, story: &[Call]) -> Vec<Records> {
-    let mut now = Records::new();
-    let Ok((mut ledger, _)) = AppendLog::open_on(disk.clone(), "ledger") else {
-        return vec![now];
+/// Runs the calls until one fails. Returns the record lists that the file may hold then: the acknowledged records,
+/// alone or with what the failed call may have stored.
+fn run_calls(disk: &SimulatedDisk, calls: &[Call]) -> Vec<Records> {
+    let mut acknowledged = Records::new();
+    let Ok((mut log, _)) = AppendLog::open_on(disk.clone(), "ledger") else {
+        return vec![acknowledged];
     };
-    for call in story {
+    for call in calls {
         match call {
             Append(records) => {
-                if ledger.append(&slices(records)).is_err() {
-                    let more = owned(records);
+                if log.append(&as_slices(records)).is_err() {
+                    let more = to_records(records);
                     return (0..=more.len())
-                        .map(|count| [&now[..], &more[..count]].concat())
+                        .map(|count| [&acknowledged[..], &more[..count]].concat())
                         .collect();
                 }
-                now.extend(owned(records));
+                acknowledged.extend(to_records(records));
             }
             Rewrite(records) => {
-                if ledger.rewrite(&slices(records)).is_err() {
-                    return vec![now, owned(records)];
+                if log.rewrite(&as_slices(records)).is_err() {
+                    return vec![acknowledged, to_records(records)];
                 }
-                now = owned(records);
+                acknowledged = to_records(records);
             }
         }
     }
-    vec![now]
+    vec![acknowledged]
 }
 
-/// Opens what a loss left; the records given are among `may_be`, outlast a further loss of power, and the file takes
-/// more.
-fn check_recovered(disk: &Simulated, may_be: &[Records], what: &str) {
-    let (mut ledger, records) = match AppendLog::open_on(disk.clone(), "ledger") {
+/// Opens the log after a kill or power loss, and checks that its records are among `allowed` and survive another power
+/// loss, and that it accepts further records.
+fn check_recovered(disk: &SimulatedDisk, allowed: &[Records], context: &str) {
+    let (mut log, records) = match AppendLog::open_on(disk.clone(), "ledger") {
         Ok(opened) => opened,
-        Err(error) => panic!("{what}: {error}"),
+        Err(error) => panic!("{context}: {error}"),
     };
     assert!(
-        may_be.contains(&records),
-        "{what}: {records:?} is none of {may_be:?}"
+        allowed.contains(&records),
+        "{context}: {records:?} is none of {allowed:?}"
     );
-    for later in disk.after_power_loss() {
-        assert_eq!(open(&later).1, records, "{what}: once more");
+    for disk_after_loss in disk.after_power_loss() {
+        assert_eq!(
+            open_log(&disk_after_loss).1,
+            records,
+            "{context}: after another power loss"
+        );
     }
-    ledger.append(&[b"more"]).unwrap();
+    log.append(&[b"more"]).unwrap();
     let more = [&records[..], &[b"more".to_vec()]].concat();
-    for later in disk.after_power_loss() {
-        assert_eq!(open(&later).1, more, "{what}: then more");
+    for disk_after_loss in disk.after_power_loss() {
+        assert_eq!(
+            open_log(&disk_after_loss).1,
+            more,
+            "{context}: after an append and another power loss"
+        );
     }
 }
 
-fn stories() -> Vec<Vec<Call>> {
+fn call_sequences() -> Vec<Vec<Call>> {
     vec![
         vec![
             Append(vec!["a"]),
@@ -101,23 +110,23 @@
 #[case::appends(0)]
 #[case::rewrites(1)]
 #[case::rewrites_first(2)]
-fn kill_or_power_loss_at_every_byte_then_log_recovers(#[case] number: usize) {
-    let story = &stories()[number];
-    let whole = Simulated::new();
-    run_calls(&whole, story);
-    for steps in 0..=whole.steps() {
-        let disk = Simulated::new();
+fn log_recovers_from_kill_or_power_loss_at_every_byte(#[case] number: usize) {
+    let calls = &call_sequences()[number];
+    let uninterrupted = SimulatedDisk::new();
+    run_calls(&uninterrupted, calls);
+    for steps in 0..=uninterrupted.steps() {
+        let disk = SimulatedDisk::new();
         disk.kill_after(steps);
-        let may_be = run_calls(&disk, story);
+        let allowed = run_calls(&disk, calls);
         check_recovered(
             &disk.after_kill(),
-            &may_be,
+            &allowed,
             &format!("killed after {steps}"),
         );
-        for (number, left) in disk.after_power_loss().iter().enumerate() {
+        for (number, remaining) in disk.after_power_loss().iter().enumerate() {
             check_recovered(
-                left,
-                &may_be,
+                remaining,
+                &allowed,
                 &format!("power lost after {steps}, {number}"),
             );
         }
@@ -125,58 +134,62 @@
 }
 
 #[test]
-fn kill_or_power_loss_while_a_torn_file_is_opened_then_log_recovers() {
-    let disk = Simulated::new();
+fn log_recovers_from_kill_or_power_loss_while_torn_file_is_opened() {
+    let disk = SimulatedDisk::new();
     run_calls(&disk, &[Append(vec!["a"]), Append(vec!["bb", "cc"])]);
-    let whole = disk.bytes("ledger").unwrap();
-    let batch = whole.len() - 2 * (format::RECORD_HEADER_BYTES + 2);
-    for length in batch..whole.len() {
+    let complete_file = disk.bytes("ledger").unwrap();
+    let batch_offset = complete_file.len() - 2 * (format::RECORD_HEADER_BYTES + 2);
+    for length in batch_offset..complete_file.len() {
         for steps in 0..20 {
-            let disk = Simulated::new();
-            disk.put("ledger", &whole[..length]);
-            disk.put("ledger.new", b"remains");
+            let disk = SimulatedDisk::new();
+            disk.insert_synced_file("ledger", &complete_file[..length]);
+            disk.insert_synced_file("ledger.new", b"remains");
             disk.kill_after(steps);
             let _ = AppendLog::open_on(disk.clone(), "ledger");
-            let second = length >= batch + format::RECORD_HEADER_BYTES + 2;
-            let may_be = [if second {
-                owned(&["a", "bb"])
+            let has_second_record = length >= batch_offset + format::RECORD_HEADER_BYTES + 2;
+            let allowed = [if has_second_record {
+                to_records(&["a", "bb"])
             } else {
-                owned(&["a"])
+                to_records(&["a"])
             }];
             check_recovered(
                 &disk.after_kill(),
-                &may_be,
+                &allowed,
                 &format!("killed at {length}, {steps}"),
             );
-            for left in disk.after_power_loss() {
-                check_recovered(&left, &may_be, &format!("power lost at {length}, {steps}"));
+            for remaining in disk.after_power_loss() {
+                check_recovered(
+                    &remaining,
+                    &allowed,
+                    &format!("power lost at {length}, {steps}"),
+                );
             }
         }
     }
 }
 
-/// A batch is one write and one sync; the first one makes the file besides.
+/// The first append also creates the file, so that only the second one is counted.
 #[test]
-fn append_of_a_batch_then_writes_once_and_syncs_once() {
-    let disk = Simulated::new();
-    let (mut ledger, _) = open(&disk);
-    ledger.append(&[b"first"]).unwrap();
+fn append_of_a_batch_writes_once_and_syncs_once() {
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(&disk);
+    log.append(&[b"first"]).unwrap();
     let (writes, syncs) = disk.writes_and_syncs();
-    ledger.append(&[b"a", b"b", b"c"]).unwrap();
+    log.append(&[b"a", b"b", b"c"]).unwrap();
     assert_eq!(disk.writes_and_syncs(), (writes + 1, syncs + 1));
 }
 
-/// Every bit of a file of four batches, one of them of three records, turned over: the file is refused with the place,
-/// or the records are those before the damage in the last batch.
+/// Flips each bit of a file of four batches, the last one of three records. Damage before the last batch must be
+/// reported with its offset; in the last batch it must truncate the file to the records before it.
 #[test]
-fn open_when_any_bit_is_flipped_then_reports_damage_or_a_torn_tail() {
-    let disk = Simulated::new();
-    let (mut ledger, _) = open(&disk);
-    ledger.rewrite(&[b"zero", b"one"]).unwrap();
-    ledger.append(&[b"two"]).unwrap();
-    let last = ledger.len();
-    ledger.append(&[b"three", b"", b"five"]).unwrap();
-    let records = open(&disk).1;
+fn open_with_any_flipped_bit_reports_damage_or_torn_tail() {
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(&disk);
+    log.rewrite(&[b"zero", b"one"]).unwrap();
+    log.append(&[b"two"]).unwrap();
+    let last_batch_offset = log.len();
+    log.append(&[b"three", b"", b"five"]).unwrap();
+    let records = open_log(&disk).1;
     let ends: Vec<u64> = records
         .iter()
         .scan(format::FILE_HEADER_BYTES, |end, record| {
@@ -186,421 +199,433 @@
         .collect();
     let bytes = disk.bytes("ledger").unwrap();
     for bit in 0..bytes.len() * 8 {
-        let mut turned = bytes.clone();
-        turned[bit / 8] ^= 1 << (bit % 8);
-        let disk = Simulated::new();
-        disk.put("ledger", &turned);
-        let at = (bit / 8) as u64;
-        let hit = ends.iter().position(|end| at < *end).unwrap();
+        let mut flipped = bytes.clone();
+        flipped[bit / 8] ^= 1 << (bit % 8);
+        let disk = SimulatedDisk::new();
+        disk.insert_synced_file("ledger", &flipped);
+        let byte = (bit / 8) as u64;
+        let hit = ends.iter().position(|end| byte < *end).unwrap();
         match AppendLog::open_on(disk.clone(), "ledger") {
-            Err(Error::Header { .. }) => assert!(at < format::FILE_HEADER_BYTES as u64),
+            Err(Error::InvalidHeader { .. }) => {
+                assert!(byte < format::FILE_HEADER_BYTES as u64)
+            }
             Err(Error::Damaged {
                 record,
                 offset,
                 next_record_at,
                 ..
             }) => {
-                assert!(at < last, "{bit}");
-                let begin = if hit == 0 {
+                assert!(byte < last_batch_offset, "{bit}");
+                let start = if hit == 0 {
                     format::FILE_HEADER_BYTES as u64
                 } else {
                     ends[hit - 1]
                 };
                 assert_eq!(
                     (record, offset, next_record_at),
-                    (hit as u64, begin, ends[hit]),
+                    (hit as u64, start, ends[hit]),
                     "{bit}"
                 );
             }
             Err(error) => panic!("{bit}: {error}"),
-            Ok((ledger, left)) => {
-                assert!(at >= last, "{bit}");
-                assert_eq!(left, records[..hit], "{bit}");
+            Ok((log, recovered)) => {
+                assert!(byte >= last_batch_offset, "{bit}");
+                assert_eq!(recovered, records[..hit], "{bit}");
                 assert_eq!(
-                    ledger.truncated_tail().map(|cut| cut.offset),
+                    log.truncated_tail().map(|tail| tail.offset),
                     Some(ends[hit - 1])
                 );
             }
         }
-        if at < last {
-            assert_eq!(disk.bytes("ledger").unwrap(), turned, "left as it is");
+        if byte < last_batch_offset {
+            assert_eq!(disk.bytes("ledger").unwrap(), flipped, "file changed");
         }
     }
 }
 
-/// Two damages: a later batch is known by any of its records.
+/// The later batch is damaged too, in its first record. Its second record must suffice to recognize a later batch.
 #[test]
-fn open_when_two_batches_are_damaged_then_reports_damage() {
-    let disk = Simulated::new();
-    let (mut ledger, _) = open(&disk);
-    ledger.append(&[b"one"]).unwrap();
-    let next = ledger.len() as usize;
-    ledger.append(&[b"two", b"three"]).unwrap();
+fn open_with_two_damaged_batches_reports_damage() {
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(&disk);
+    log.append(&[b"one"]).unwrap();
+    let second_batch_offset = log.len() as usize;
+    log.append(&[b"two", b"three"]).unwrap();
     let mut bytes = disk.bytes("ledger").unwrap();
-    bytes[next - 1] ^= 1;
-    bytes[next] ^= 1;
-    let disk = Simulated::new();
-    disk.put("ledger", &bytes);
+    bytes[second_batch_offset - 1] ^= 1;
+    bytes[second_batch_offset] ^= 1;
+    let disk = SimulatedDisk::new();
+    disk.insert_synced_file("ledger", &bytes);
     assert!(matches!(
         AppendLog::open_on(disk, "ledger"),
         Err(Error::Damaged { record: 0, .. })
     ));
 }
 
-/// Records are bound to their place: a file inside a record isn't taken for records.
+/// The body of a torn record contains a log file. Its records must not be recovered, as checksums cover the offset.
 #[test]
-fn open_when_a_torn_body_holds_records_then_ignores_them() {
-    let disk = Simulated::new();
-    let (mut ledger, _) = open(&disk);
-    ledger.append(&[b"inner", b"inner too"]).unwrap();
-    ledger.append(&[b"second"]).unwrap();
-    let inside = disk.bytes("ledger").unwrap();
-    let mut outer = format::header(format::FORMAT_VERSION).to_vec();
+fn open_ignores_records_within_a_torn_body() {
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(&disk);
+    log.append(&[b"inner", b"inner too"]).unwrap();
+    log.append(&[b"second"]).unwrap();
+    let inner_file = disk.bytes("ledger").unwrap();
+    let mut outer = format::file_header(format::FORMAT_VERSION).to_vec();
     format::encode_record_into(&mut outer, 0, None, b"one");
-    let good = outer.len() as u64;
-    format::encode_record_into(&mut outer, 0, None, &inside);
-    for length in good as usize..outer.len() {
-        // With its head damaged too, its length isn't known and every byte of it is tried.
+    let valid_length = outer.len() as u64;
+    format::encode_record_into(&mut outer, 0, None, &inner_file);
+    for length in valid_length as usize..outer.len() {
+        // With a damaged header the length is unknown, so that the scan tries every offset in the body.
         for damage in [0, 1] {
             let mut torn = outer[..length].to_vec();
-            torn.get_mut(good as usize)
+            torn.get_mut(valid_length as usize)
                 .into_iter()
                 .for_each(|byte| *byte ^= damage);
-            let disk = Simulated::new();
-            disk.put("ledger", &torn);
-            let (ledger, records) = open(&disk);
-            assert_eq!((ledger.len(), records), (good, owned(&["one"])), "{length}");
+            let disk = SimulatedDisk::new();
+            disk.insert_synced_file("ledger", &torn);
+            let (log, records) = open_log(&disk);
+            assert_eq!(
+                (log.len(), records),
+                (valid_length, to_records(&["one"])),
+                "{length}"
+            );
         }
     }
 }
 
 #[rstest]
-#[case::nothing(b"")]
-#[case::half_a_header(b"furrow\r\n\x01\0\0\0")]
-#[case::something_else(b"{\"version\": 3, \"routes\": []}")]
-fn open_when_file_is_of_another_kind_then_fails_and_leaves_it(#[case] bytes: &[u8]) {
-    let disk = Simulated::new();
-    disk.put("ledger", bytes);
+#[case::empty(b"")]
+#[case::incomplete_header(b"furrow\r\n\x01\0\0\0")]
+#[case::json(b"{\"version\": 3, \"routes\": []}")]
+fn open_of_another_kind_of_file_fails_and_leaves_it_unchanged(#[case] bytes: &[u8]) {
+    let disk = SimulatedDisk::new();
+    disk.insert_synced_file("ledger", bytes);
     assert!(matches!(
         AppendLog::open_on(disk.clone(), "ledger"),
-        Err(Error::Header { .. })
+        Err(Error::InvalidHeader { .. })
     ));
     assert_eq!(disk.bytes("ledger").unwrap(), bytes);
 }
 
 #[test]
-fn open_when_format_is_later_then_fails_with_its_number() {
-    let disk = Simulated::new();
-    let mut bytes = format::header(format::FORMAT_VERSION + 3).to_vec();
+fn open_of_unsupported_format_version_fails() {
+    let disk = SimulatedDisk::new();
+    let mut bytes = format::file_header(format::FORMAT_VERSION + 3).to_vec();
     bytes.extend_from_slice(b"whatever comes then");
-    disk.put("ledger", &bytes);
-    let refused = AppendLog::open_on(disk.clone(), "ledger");
-    assert!(matches!(refused, Err(Error::Newer { found, known, .. }) if (found, known) == (4, 1)));
+    disk.insert_synced_file("ledger", &bytes);
+    let result = AppendLog::open_on(disk.clone(), "ledger");
+    assert!(
+        matches!(result, Err(Error::NewerFormat { found, newest_supported, .. }) if (found, newest_supported) == (4, 1))
+    );
     assert_eq!(disk.bytes("ledger").unwrap(), bytes);
-    let disk = Simulated::new();
-    disk.put("ledger", &format::header(0));
+    let disk = SimulatedDisk::new();
+    disk.insert_synced_file("ledger", &format::file_header(0));
     assert!(matches!(
         AppendLog::open_on(disk, "ledger"),
-        Err(Error::Header { .. })
+        Err(Error::InvalidHeader { .. })
     ));
 }
 
-/// Room for any number of the bytes of a batch of three: the error says that the disk is full, nothing of the batch
-/// stays, and the file takes records once there is room, without a new start.
+/// The disk has space for only some bytes of a batch of three records. The error must say that the disk is full,
+/// nothing of the batch may remain, and appends must succeed once there is space, without reopening.
 #[test]
-fn append_when_a_full_disk_has_space_again_then_succeeds() {
-    let disk = Simulated::new();
+fn append_succeeds_once_a_full_disk_has_space_again() {
+    let disk = SimulatedDisk::new();
     run_calls(&disk, &[Append(vec!["a"])]);
-    let used = disk.bytes("ledger").unwrap().len();
-    for room in 0..3 * (format::RECORD_HEADER_BYTES + 2) {
+    let used_bytes = disk.bytes("ledger").unwrap().len();
+    for free_bytes in 0..3 * (format::RECORD_HEADER_BYTES + 2) {
         let disk = disk.after_kill();
-        let (mut ledger, _) = open(&disk);
+        let (mut log, _) = open_log(&disk);
         disk.set_faults(Faults {
-            room: Some(used + room),
+            capacity_bytes: Some(used_bytes + free_bytes),
             ..Faults::default()
         });
         for _ in 0..3 {
             assert!(
-                ledger
-                    .append(&slices(&["bb", "cc", "dd"]))
+                log.append(&as_slices(&["bb", "cc", "dd"]))
                     .unwrap_err()
                     .is_full(),
-                "{room}"
+                "{free_bytes}"
             );
-            assert_eq!(ledger.len(), used as u64);
-            assert_eq!(disk.bytes("ledger").unwrap().len(), used, "cut back");
-            assert!(ledger.rewrite(&slices(&["x"; 9])).unwrap_err().is_full());
+            assert_eq!(log.len(), used_bytes as u64);
+            assert_eq!(
+                disk.bytes("ledger").unwrap().len(),
+                used_bytes,
+                "the partial batch must be truncated"
+            );
+            assert!(log.rewrite(&as_slices(&["x"; 9])).unwrap_err().is_full());
         }
         assert_eq!(disk.names(), ["ledger"]);
-        for left in disk.after_power_loss() {
-            assert_eq!(open(&left).1, owned(&["a"]));
+        for remaining in disk.after_power_loss() {
+            assert_eq!(open_log(&remaining).1, to_records(&["a"]));
         }
         disk.set_faults(Faults::default());
-        ledger.append(&slices(&["e", "f"])).unwrap();
-        for left in disk.after_power_loss() {
-            assert_eq!(open(&left).1, owned(&["a", "e", "f"]));
+        log.append(&as_slices(&["e", "f"])).unwrap();
+        for remaining in disk.after_power_loss() {
+            assert_eq!(open_log(&remaining).1, to_records(&["a", "e", "f"]));
         }
     }
 }
 
-/// A disk that refuses every write, cuts too, from any byte of a batch on.
+/// The disk rejects writes and truncations after any number of bytes of a batch.
 #[rstest]
-fn append_when_disk_accepts_writes_again_then_succeeds(#[values(false, true)] restarts: bool) {
-    let disk = Simulated::new();
+fn append_succeeds_once_the_disk_accepts_writes_again(#[values(false, true)] restarts: bool) {
+    let disk = SimulatedDisk::new();
     run_calls(&disk, &[Append(vec!["a"])]);
-    let whole = disk.bytes("ledger").unwrap();
-    let mut torn = whole.clone();
+    let complete_file = disk.bytes("ledger").unwrap();
+    let mut torn = complete_file.clone();
     format::encode_record_into(&mut torn, 0, None, b"torn");
-    for length in whole.len()..torn.len() {
-        let disk = Simulated::new();
-        disk.put("ledger", &torn[..length]);
+    for length in complete_file.len()..torn.len() {
+        let disk = SimulatedDisk::new();
+        disk.insert_synced_file("ledger", &torn[..length]);
         disk.set_faults(Faults {
-            refuses_writes: true,
+            rejects_writes: true,
             ..Faults::default()
         });
-        let (mut ledger, records) = open(&disk);
-        assert_eq!(records, owned(&["a"]), "a full disk opens");
-        assert!(ledger.append(&slices(&["b"])).unwrap_err().is_full());
-        assert!(ledger.rewrite(&slices(&["b"])).unwrap_err().is_full());
+        let (mut log, records) = open_log(&disk);
+        assert_eq!(records, to_records(&["a"]), "opening works on a full disk");
+        assert!(log.append(&as_slices(&["b"])).unwrap_err().is_full());
+        assert!(log.rewrite(&as_slices(&["b"])).unwrap_err().is_full());
         disk.set_faults(Faults::default());
         if restarts {
-            ledger = open(&disk).0;
+            log = open_log(&disk).0;
         }
-        ledger.append(&slices(&["c"])).unwrap();
-        for left in disk.after_power_loss() {
-            assert_eq!(open(&left).1, owned(&["a", "c"]), "{length}");
+        log.append(&as_slices(&["c"])).unwrap();
+        for remaining in disk.after_power_loss() {
+            assert_eq!(open_log(&remaining).1, to_records(&["a", "c"]), "{length}");
         }
     }
 }
 
-/// A torn batch that could not be cut off, as the disk was full, has a whole record just where the next append's first
-/// one ends: it doesn't come back with it.
+/// A torn batch could not be truncated because the disk was full. Its second record is complete and begins where the
+/// next append's record ends: it must not be recovered after that append.
 #[test]
-fn append_when_truncation_was_refused_then_truncates_first() {
-    let disk = Simulated::new();
+fn append_after_rejected_truncation_truncates_first() {
+    let disk = SimulatedDisk::new();
     run_calls(&disk, &[Append(vec!["a"]), Append(vec!["bb", "cc"])]);
     let mut torn = disk.bytes("ledger").unwrap();
-    let batch = torn.len() - 2 * (format::RECORD_HEADER_BYTES + 2);
-    torn[batch] ^= 1;
-    let disk = Simulated::new();
-    disk.put("ledger", &torn);
+    let batch_offset = torn.len() - 2 * (format::RECORD_HEADER_BYTES + 2);
+    torn[batch_offset] ^= 1;
+    let disk = SimulatedDisk::new();
+    disk.insert_synced_file("ledger", &torn);
     disk.set_faults(Faults {
-        refuses_writes: true,
+        rejects_writes: true,
         ..Faults::default()
     });
-    let (mut ledger, records) = open(&disk);
-    assert_eq!(records, owned(&["a"]));
+    let (mut log, records) = open_log(&disk);
+    assert_eq!(records, to_records(&["a"]));
     disk.set_faults(Faults::default());
-    ledger.append(&slices(&["dd"])).unwrap();
-    for left in disk.after_power_loss() {
-        assert_eq!(open(&left).1, owned(&["a", "dd"]));
+    log.append(&as_slices(&["dd"])).unwrap();
+    for remaining in disk.after_power_loss() {
+        assert_eq!(open_log(&remaining).1, to_records(&["a", "dd"]));
     }
 }
 
 #[test]
-fn open_when_disk_is_full_and_empty_then_succeeds() {
-    let disk = Simulated::new();
+fn open_of_new_log_on_full_disk_succeeds() {
+    let disk = SimulatedDisk::new();
     disk.set_faults(Faults {
-        refuses_writes: true,
+        rejects_writes: true,
         ..Faults::default()
     });
-    let (mut ledger, records) = open(&disk);
-    assert!(records.is_empty() && ledger.is_empty());
-    assert!(ledger.append(&slices(&["a"])).unwrap_err().is_full());
+    let (mut log, records) = open_log(&disk);
+    assert!(records.is_empty() && log.is_empty());
+    assert!(log.append(&as_slices(&["a"])).unwrap_err().is_full());
     assert!(disk.names().is_empty());
     disk.set_faults(Faults::default());
-    ledger.append(&slices(&["b"])).unwrap();
-    assert_eq!(open(&disk).1, owned(&["b"]));
+    log.append(&as_slices(&["b"])).unwrap();
+    assert_eq!(open_log(&disk).1, to_records(&["b"]));
 }
 
-/// A sync fails and what it should have covered never reaches the disk, or does, though later syncs don't tell.
+/// A sync fails. The bytes that it should have covered reach the disk or don't, and later syncs don't cover them.
 #[rstest]
-fn append_after_a_failed_sync_then_copies_the_file(
-    #[values(false, true)] failed_sync_writes: bool,
-) {
-    for then_power in [false, true] {
-        let disk = Simulated::new();
-        let (mut ledger, _) = open(&disk);
-        ledger.append(&slices(&["a", "b"])).unwrap();
+fn append_after_a_failed_sync_copies_the_file(#[values(false, true)] failed_sync_persists: bool) {
+    for with_power_loss in [false, true] {
+        let disk = SimulatedDisk::new();
+        let (mut log, _) = open_log(&disk);
+        log.append(&as_slices(&["a", "b"])).unwrap();
         disk.set_faults(Faults {
             fails_sync: true,
-            failed_sync_writes,
+            failed_sync_persists,
             ..Faults::default()
         });
         for record in ["c", "d"] {
-            let error = ledger.append(&slices(&[record])).unwrap_err();
+            let error = log.append(&as_slices(&[record])).unwrap_err();
             assert!(matches!(error, Error::Io { .. }) && !error.is_full());
         }
-        let may_be = [owned(&["a", "b"]), owned(&["a", "b", "c"])];
-        for left in disk.after_power_loss() {
-            check_recovered(&left, &may_be, "power lost after a failed sync");
+        let allowed = [to_records(&["a", "b"]), to_records(&["a", "b", "c"])];
+        for remaining in disk.after_power_loss() {
+            check_recovered(&remaining, &allowed, "power lost after a failed sync");
         }
         check_recovered(
             &disk.after_kill(),
-            &may_be[..1],
+            &allowed[..1],
             "killed after a failed sync",
         );
         disk.set_faults(Faults::default());
-        if then_power {
-            // The mending copies; losses of power in the midst leave what was synced.
+        if with_power_loss {
+            // The repair copies the file; a power loss during the copy must leave the synced records.
             for steps in 0..200 {
                 let mut disk = disk.after_kill();
-                let mut ledger = broken(&mut disk, failed_sync_writes);
+                let mut log = log_after_failed_sync(&mut disk, failed_sync_persists);
                 disk.kill_after(steps);
-                let _ = ledger.append(&slices(&["e"]));
-                let may_be = [
-                    owned(&["a", "b"]),
-                    owned(&["a", "b", "c"]),
-                    owned(&["a", "b", "e"]),
+                let _ = log.append(&as_slices(&["e"]));
+                let allowed = [
+                    to_records(&["a", "b"]),
+                    to_records(&["a", "b", "c"]),
+                    to_records(&["a", "b", "e"]),
                 ];
-                for left in disk.after_power_loss() {
-                    check_recovered(&left, &may_be, "power lost while mending");
+                for remaining in disk.after_power_loss() {
+                    check_recovered(&remaining, &allowed, "power lost during the repair");
                 }
             }
         }
-        ledger.append(&slices(&["e"])).unwrap();
-        for left in disk.after_power_loss() {
-            assert_eq!(open(&left).1, owned(&["a", "b", "e"]));
+        log.append(&as_slices(&["e"])).unwrap();
+        for remaining in disk.after_power_loss() {
+            assert_eq!(open_log(&remaining).1, to_records(&["a", "b", "e"]));
         }
     }
 }
 
-/// A file with the records "a" and "b" on a new disk, after a failed sync of "c".
-fn broken(disk: &mut Simulated, failed_sync_writes: bool) -> AppendLog<Simulated> {
-    *disk = Simulated::new();
-    let (mut ledger, _) = open(disk);
-    ledger.append(&slices(&["a", "b"])).unwrap();
+/// A log with the records "a" and "b" on a new disk, after a failed sync of "c".
+fn log_after_failed_sync(
+    disk: &mut SimulatedDisk,
+    failed_sync_persists: bool,
+) -> AppendLog<SimulatedDisk> {
+    *disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(disk);
+    log.append(&as_slices(&["a", "b"])).unwrap();
     disk.set_faults(Faults {
         fails_sync: true,
-        failed_sync_writes,
+        failed_sync_persists,
         ..Faults::default()
     });
-    ledger.append(&slices(&["c"])).unwrap_err();
+    log.append(&as_slices(&["c"])).unwrap_err();
     disk.set_faults(Faults::default());
-    ledger
+    log
 }
 
-/// Whatever step of a rewrite fails, the file is old or new, and what is appended then lasts.
+/// Whichever step of a rewrite fails, the file must be the old or the new one, and later appends must be durable.
 #[rstest]
 #[case::sync(Faults { fails_sync: true, ..Faults::default() }, false)]
 #[case::rename(Faults { fails_rename: true, ..Faults::default() }, false)]
-#[case::names(Faults { fails_sync_names: true, ..Faults::default() }, true)]
-#[case::writes(Faults { refuses_writes: true, ..Faults::default() }, false)]
-fn rewrite_when_it_fails_then_leaves_the_old_or_the_new_file(
+#[case::directory_sync(Faults { fails_directory_sync: true, ..Faults::default() }, true)]
+#[case::writes(Faults { rejects_writes: true, ..Faults::default() }, false)]
+fn failed_rewrite_leaves_the_old_or_the_new_file(
     #[case] faults: Faults,
-    #[case] is_new: bool,
+    #[case] has_new_file: bool,
 ) {
-    let disk = Simulated::new();
-    let (mut ledger, _) = open(&disk);
-    ledger.append(&slices(&["a", "b"])).unwrap();
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(&disk);
+    log.append(&as_slices(&["a", "b"])).unwrap();
     disk.set_faults(faults);
-    ledger.rewrite(&slices(&["ab"])).unwrap_err();
-    for left in disk.after_power_loss() {
+    log.rewrite(&as_slices(&["ab"])).unwrap_err();
+    for remaining in disk.after_power_loss() {
         check_recovered(
-            &left,
-            &[owned(&["a", "b"]), owned(&["ab"])],
+            &remaining,
+            &[to_records(&["a", "b"]), to_records(&["ab"])],
             "power lost after a failed rewrite",
         );
     }
     disk.set_faults(Faults::default());
-    ledger.append(&slices(&["c"])).unwrap();
-    let now = if is_new {
-        owned(&["ab", "c"])
+    log.append(&as_slices(&["c"])).unwrap();
+    let expected = if has_new_file {
+        to_records(&["ab", "c"])
     } else {
-        owned(&["a", "b", "c"])
+        to_records(&["a", "b", "c"])
     };
-    for left in disk.after_power_loss() {
-        assert_eq!(open(&left).1, now);
+    for remaining in disk.after_power_loss() {
+        assert_eq!(open_log(&remaining).1, expected);
     }
 }
 
-/// The folder's sync fails when the first append makes the file: its records are not in it twice.
+/// The directory sync fails when the first append creates the file. The retried records must not be stored twice.
 #[test]
-fn append_when_the_first_fails_then_leaves_no_records() {
-    let disk = Simulated::new();
-    let (mut ledger, _) = open(&disk);
+fn failed_first_append_leaves_no_records() {
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(&disk);
     disk.set_faults(Faults {
-        fails_sync_names: true,
+        fails_directory_sync: true,
         ..Faults::default()
     });
-    ledger.append(&slices(&["a"])).unwrap_err();
+    log.append(&as_slices(&["a"])).unwrap_err();
     disk.set_faults(Faults::default());
-    ledger.append(&slices(&["a"])).unwrap();
-    assert_eq!(open(&disk).1, owned(&["a"]));
+    log.append(&as_slices(&["a"])).unwrap();
+    assert_eq!(open_log(&disk).1, to_records(&["a"]));
 }
 
 #[test]
-fn open_with_hundred_thousand_records_then_returns_all() {
-    let disk = Simulated::new();
-    let (mut ledger, _) = open(&disk);
+fn open_returns_hundred_thousand_records() {
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(&disk);
     let records: Records = (0..100_000_u32)
         .map(|number| number.to_le_bytes().repeat(number as usize % 50))
         .collect();
     for batch in records.chunks(1_000) {
         let batch: Vec<&[u8]> = batch.iter().map(Vec::as_slice).collect();
-        ledger.append(&batch).unwrap();
+        log.append(&batch).unwrap();
     }
-    assert!(open(&disk).1 == records);
+    assert!(open_log(&disk).1 == records);
     let all: Vec<&[u8]> = records.iter().map(Vec::as_slice).collect();
-    ledger.rewrite(&all).unwrap();
-    ledger.append(&[b"last"]).unwrap();
-    let (_, mut found) = open(&disk);
+    log.rewrite(&all).unwrap();
+    log.append(&[b"last"]).unwrap();
+    let (_, mut found) = open_log(&disk);
     assert_eq!(found.pop().unwrap(), b"last");
     assert!(found == records);
 }
 
-/// The process that saw a sync fail is killed at any step: the next one finds bytes that a sync calls synced though
-/// they may never have reached the disk.
+/// A process is killed at any step after a failed sync. The next one finds bytes that a further sync reports as synced,
+/// though they may never have reached the disk.
 #[rstest]
-fn kill_after_a_failed_sync_then_log_recovers(#[values(false, true)] failed_sync_writes: bool) {
+fn log_recovers_from_kill_after_failed_sync(#[values(false, true)] failed_sync_persists: bool) {
     for steps in 0..200 {
-        let disk = Simulated::new();
-        let (mut ledger, _) = open(&disk);
-        ledger.append(&slices(&["a", "b"])).unwrap();
+        let disk = SimulatedDisk::new();
+        let (mut log, _) = open_log(&disk);
+        log.append(&as_slices(&["a", "b"])).unwrap();
         disk.set_faults(Faults {
             fails_sync: true,
-            failed_sync_writes,
+            failed_sync_persists,
             ..Faults::default()
         });
         disk.kill_after(steps);
-        ledger.append(&slices(&["c", "d"])).unwrap_err();
-        let _ = ledger.append(&slices(&["e"]));
-        let may_be = [
-            owned(&["a", "b"]),
-            owned(&["a", "b", "c"]),
-            owned(&["a", "b", "c", "d"]),
+        log.append(&as_slices(&["c", "d"])).unwrap_err();
+        let _ = log.append(&as_slices(&["e"]));
+        let allowed = [
+            to_records(&["a", "b"]),
+            to_records(&["a", "b", "c"]),
+            to_records(&["a", "b", "c", "d"]),
         ];
         check_recovered(
             &disk.after_kill(),
-            &may_be,
+            &allowed,
             &format!("killed after {steps}"),
         );
-        for left in disk.after_power_loss() {
-            check_recovered(&left, &may_be, &format!("power lost after {steps}"));
+        for remaining in disk.after_power_loss() {
+            check_recovered(&remaining, &allowed, &format!("power lost after {steps}"));
         }
     }
 }
 
-/// A rewrite that found no room, then ones whose names may not last: whatever a loss of power leaves of the names,
-/// the file under the name is a whole one.
+/// A rewrite fails for lack of space, and then the directory sync fails in a second rewrite and in an append. Whichever
+/// directory entries a power loss leaves, the file under the log's name must be complete.
 #[test]
-fn rewrite_when_several_fail_in_a_row_then_log_recovers() {
-    let disk = Simulated::new();
-    let (mut ledger, _) = open(&disk);
-    ledger.append(&slices(&["a", "b"])).unwrap();
+fn log_recovers_from_several_failed_rewrites() {
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = open_log(&disk);
+    log.append(&as_slices(&["a", "b"])).unwrap();
     disk.set_faults(Faults {
-        room: Some(0),
+        capacity_bytes: Some(0),
         ..Faults::default()
     });
-    ledger.rewrite(&slices(&["ab"])).unwrap_err();
+    log.rewrite(&as_slices(&["ab"])).unwrap_err();
     disk.set_faults(Faults {
-        fails_sync_names: true,
+        fails_directory_sync: true,
         ..Faults::default()
     });
-    ledger.rewrite(&slices(&["ab"])).unwrap_err();
-    ledger.append(&slices(&["c"])).unwrap_err();
-    let may_be = [owned(&["a", "b"]), owned(&["ab"])];
-    for left in disk.after_power_loss() {
-        check_recovered(&left, &may_be, "power lost");
+    log.rewrite(&as_slices(&["ab"])).unwrap_err();
+    log.append(&as_slices(&["c"])).unwrap_err();
+    let allowed = [to_records(&["a", "b"]), to_records(&["ab"])];
+    for remaining in disk.after_power_loss() {
+        check_recovered(&remaining, &allowed, "power lost");
     }
 }
--- a/crates/append-log/tests/reports.rs
+++ b/crates/append-log/tests/reports.rs
@@ -1,37 +1,38 @@
-//! What operators are told of a file, and that telling it writes nothing.
+//! Contents of the reports on a log file, and that reporting writes nothing.
 
 mod simulated;
 
 use append_log::{format, inspect_on, verify_on, AppendLog, Error, FileCondition, FileSegment};
 use rstest::rstest;
-use simulated::{Faults, Simulated};
+use simulated::{Faults, SimulatedDisk};
 
-/// A file of three batches: one record, two, one. Where each record begins, and its bytes.
-fn three_batches() -> (Vec<u64>, Vec<u8>) {
-    let disk = Simulated::new();
-    let (mut ledger, _) = AppendLog::open_on(disk.clone(), "ledger").unwrap();
-    ledger.append(&[b"one"]).unwrap();
-    ledger.append(&[b"three", b""]).unwrap();
-    ledger.append(&[b"seven!!"]).unwrap();
-    let head = format::RECORD_HEADER_BYTES as u64;
-    let first = format::FILE_HEADER_BYTES as u64;
+/// Creates a file of three batches with one, two and one record. Returns the start offset of each record and the file's
+/// contents.
+fn file_of_three_batches() -> (Vec<u64>, Vec<u8>) {
+    let disk = SimulatedDisk::new();
+    let (mut log, _) = AppendLog::open_on(disk.clone(), "ledger").unwrap();
+    log.append(&[b"one"]).unwrap();
+    log.append(&[b"three", b""]).unwrap();
+    log.append(&[b"seven!!"]).unwrap();
+    let header_length = format::RECORD_HEADER_BYTES as u64;
+    let first_record = format::FILE_HEADER_BYTES as u64;
     let starts = vec![
-        first,
-        first + head + 3,
-        first + 2 * head + 8,
-        first + 3 * head + 8,
+        first_record,
+        first_record + header_length + 3,
+        first_record + 2 * header_length + 8,
+        first_record + 3 * header_length + 8,
     ];
     (starts, disk.bytes("ledger").unwrap())
 }
 
-/// A disk that would refuse all writes.
-fn disk_with(bytes: &[u8]) -> Simulated {
-    let disk = Simulated::new();
-    disk.put("ledger", bytes);
+/// A disk with this file that rejects all changes.
+fn disk_with(bytes: &[u8]) -> SimulatedDisk {
+    let disk = SimulatedDisk::new();
+    disk.insert_synced_file("ledger", bytes);
     disk.set_faults(Faults {
-        refuses_writes: true,
+        rejects_writes: true,
         fails_sync: true,
-        fails_sync_names: true,
+        fails_directory_sync: true,
         fails_rename: true,
         ..Faults::default()
     });
@@ -39,10 +40,10 @@
 }
 
 #[test]
-fn verify_when_file_is_complete_then_lists_all_records() {
-    let (starts, bytes) = three_batches();
+fn verify_of_complete_file_lists_all_records() {
+    let (starts, bytes) = file_of_three_batches();
     let disk = disk_with(&bytes);
-    disk.put("ledger.new", b"remains");
+    disk.insert_synced_file("ledger.new", b"remains");
     let report = verify_on(disk.clone(), "ledger").unwrap();
     let summary = &report.summary;
     assert_eq!(
@@ -60,31 +61,31 @@
     );
     assert_eq!(
         (summary.condition, summary.opens()),
-        (FileCondition::Whole, true)
+        (FileCondition::Complete, true)
     );
     let expected = [
         FileSegment::Record {
             offset: starts[0],
-            batch: starts[0],
+            batch_offset: starts[0],
             bytes: 3,
         },
         FileSegment::Record {
             offset: starts[1],
-            batch: starts[1],
+            batch_offset: starts[1],
             bytes: 5,
         },
         FileSegment::Record {
             offset: starts[2],
-            batch: starts[1],
+            batch_offset: starts[1],
             bytes: 0,
         },
         FileSegment::Record {
             offset: starts[3],
-            batch: starts[3],
+            batch_offset: starts[3],
             bytes: 7,
         },
     ];
-    assert_eq!(report.parts, expected);
+    assert_eq!(report.segments, expected);
     assert_eq!(inspect_on(disk.clone(), "ledger").unwrap(), *summary);
     assert_eq!(disk.names(), ["ledger", "ledger.new"]);
     assert_eq!(disk.bytes("ledger").unwrap(), bytes);
@@ -103,8 +104,8 @@
 }
 
 #[test]
-fn verify_when_file_is_damaged_then_lists_all_to_its_end() {
-    let (starts, mut bytes) = three_batches();
+fn verify_of_damaged_file_lists_all_segments() {
+    let (starts, mut bytes) = file_of_three_batches();
     bytes[starts[1] as usize] ^= 4;
     let report = verify_on(disk_with(&bytes), "ledger").unwrap();
     let condition = FileCondition::Damaged {
@@ -123,7 +124,7 @@
     let expected = [
         FileSegment::Record {
             offset: starts[0],
-            batch: starts[0],
+            batch_offset: starts[0],
             bytes: 3,
         },
         FileSegment::Gap {
@@ -132,16 +133,16 @@
         },
         FileSegment::Record {
             offset: starts[2],
-            batch: starts[1],
+            batch_offset: starts[1],
             bytes: 0,
         },
         FileSegment::Record {
             offset: starts[3],
-            batch: starts[3],
+            batch_offset: starts[3],
             bytes: 7,
         },
     ];
-    assert_eq!(report.parts, expected);
+    assert_eq!(report.segments, expected);
     assert_eq!(
         report.summary.to_string(),
         "ledger: damaged: record 1 at byte 35; byte 72 begins a whole record of a later batch\n  \
@@ -150,66 +151,63 @@
     );
 }
 
-/// What is told is what an opening does: for each length of the file, and each byte of it changed.
+/// For each length of the file, and for each byte of it inverted, the reported condition must match what opening does.
 #[test]
-fn inspect_then_condition_predicts_what_opening_does() {
-    let (_, whole) = three_batches();
-    let mut files: Vec<Vec<u8>> = (0..=whole.len())
-        .map(|length| whole[..length].to_vec())
+fn inspected_condition_predicts_result_of_opening() {
+    let (_, complete_file) = file_of_three_batches();
+    let mut files: Vec<Vec<u8>> = (0..=complete_file.len())
+        .map(|length| complete_file[..length].to_vec())
         .collect();
-    for at in 0..whole.len() {
-        let mut changed = whole.clone();
-        changed[at] = !changed[at];
+    for offset in 0..complete_file.len() {
+        let mut changed = complete_file.clone();
+        changed[offset] = !changed[offset];
         files.push(changed);
     }
     for bytes in files {
         let report = inspect_on(disk_with(&bytes), "ledger").unwrap();
-        let disk = Simulated::new();
-        disk.put("ledger", &bytes);
-        let condition =
-            match AppendLog::open_on(disk, "ledger") {
-                Ok((ledger, records)) => {
-                    assert_eq!(report.records, records.len() as u64);
-                    ledger.truncated_tail().map_or(FileCondition::Whole, |cut| {
-                        FileCondition::Torn { offset: cut.offset }
+        let disk = SimulatedDisk::new();
+        disk.insert_synced_file("ledger", &bytes);
+        let condition = match AppendLog::open_on(disk, "ledger") {
+            Ok((log, records)) => {
+                assert_eq!(report.records, records.len() as u64);
+                log.truncated_tail()
+                    .map_or(FileCondition::Complete, |tail| FileCondition::Torn {
+                        offset: tail.offset,
                     })
-                }
-                Err(Error::Damaged {
-                    record,
-                    offset,
-                    next_record_at,
-                    ..
-                }) => FileCondition::Damaged {
-                    record,
-                    offset,
-                    next_record_at,
-                },
-                Err(Error::Header { .. }) => FileCondition::NoHeader,
-                Err(error) => panic!("{error}"),
-            };
+            }
+            Err(Error::Damaged {
+                record,
+                offset,
+                next_record_at,
+                ..
+            }) => FileCondition::Damaged {
+                record,
+                offset,
+                next_record_at,
+            },
+            Err(Error::InvalidHeader { .. }) => FileCondition::InvalidHeader,
+            Err(error) => panic!("{error}"),
+        };
         assert_eq!(report.condition, condition);
     }
 }
 
 #[rstest]
-#[case::newer(&format::header(7), FileCondition::Newer { found: 7 })]
-#[case::older(&format::header(0), FileCondition::NoHeader)]
-#[case::empty(b"", FileCondition::NoHeader)]
-fn inspect_when_file_is_of_another_kind_then_tells_so(
-    #[case] bytes: &[u8],
-    #[case] condition: FileCondition,
-) {
+#[case::newer(&format::file_header(7), FileCondition::NewerFormat { found: 7 })]
+#[case::older(&format::file_header(0), FileCondition::InvalidHeader)]
+#[case::empty(b"", FileCondition::InvalidHeader)]
+fn verify_reports_unsupported_file(#[case] bytes: &[u8], #[case] condition: FileCondition) {
     let report = verify_on(disk_with(bytes), "ledger").unwrap();
     assert_eq!(
         (report.summary.condition, report.summary.opens()),
         (condition, false)
     );
-    assert!(report.parts.is_empty());
+    assert!(report.segments.is_empty());
 }
 
 #[test]
-fn inspect_when_file_does_not_exist_then_fails() {
-    let error = inspect_on(Simulated::new(), "ledger").unwrap_err();
+fn inspect_of_missing_file_fails() {
+    let error = inspect_on(SimulatedDisk::new(), "ledger").unwrap_err();
     assert!(
         matches!(error, Error::Io { ref source, .. } if source.kind() == std::io::ErrorKind::NotFound)
     );
--- a/crates/append-log/tests/simulated/mod.rs
+++ b/crates/append-log/tests/simulated/mod.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that keeps no more than its promises: what was synced. All else a loss of power may leave there,
-//! missing or torn, and [`Simulated::after_power_loss`] gives each such disk.
+//! In-memory disk that guarantees only synced contents after a power loss. Unsynced writes may be present, missing or
+//! torn; [`SimulatedDisk::after_power_loss`] enumerates the possible results.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,306 +8,311 @@
 
 use append_log::{Disk, DiskFile};
 
-/// A change of a file that no sync has covered yet.
+/// Change of a file's contents that no sync has covered yet.
 #[derive(Clone, Debug)]
-enum Change {
+enum FileChange {
     Write { offset: usize, bytes: Vec<u8> },
-    TruncatedTail(usize),
+    Truncate(usize),
 }
 
-impl Change {
-    fn apply(&self, to: &mut Vec<u8>) {
+impl FileChange {
+    fn apply(&self, contents: &mut Vec<u8>) {
         match self {
-            Change::Write { offset, bytes } => {
+            FileChange::Write { offset, bytes } => {
                 let end = offset + bytes.len();
-                if to.len() < end {
-                    to.resize(end, 0);
+                if contents.len() < end {
+                    contents.resize(end, 0);
                 }
-                to[*offset..end].copy_from_slice(bytes);
+                contents[*offset..end].copy_from_slice(bytes);
             }
-            Change::TruncatedTail(length) => to.truncate(*length),
+            FileChange::Truncate(length) => contents.truncate(*length),
         }
     }
 
-    /// What a loss of power may leave of it: all, nothing, the first bytes, the last ones, all but a sector of 8
-    /// bytes; each as the changes that come to the same.
-    fn interrupted_rewrite_bytes(&self) -> Vec<Vec<Change>> {
-        let Change::Write { offset, bytes } = self else {
+    /// The possible results of a power loss: nothing, the whole change, a prefix, a suffix, or all but 8 bytes in the
+    /// middle. Each is given as the list of changes that produces it.
+    fn power_loss_outcomes(&self) -> Vec<Vec<FileChange>> {
+        let FileChange::Write { offset, bytes } = self else {
             return vec![vec![], vec![self.clone()]];
         };
-        let part = |from: usize, to: usize| Change::Write {
+        let part = |from: usize, to: usize| FileChange::Write {
             offset: offset + from,
             bytes: bytes[from..to].to_vec(),
         };
-        let mut all = vec![vec![], vec![self.clone()]];
-        for at in 1..bytes.len() {
-            all.push(vec![part(0, at)]);
-            all.push(vec![part(at, bytes.len())]);
+        let mut outcomes = vec![vec![], vec![self.clone()]];
+        for split in 1..bytes.len() {
+            outcomes.push(vec![part(0, split)]);
+            outcomes.push(vec![part(split, bytes.len())]);
         }
-        for at in (8..bytes.len().saturating_sub(8)).step_by(8) {
-            all.push(vec![part(0, at), part(at + 8, bytes.len())]);
+        for split in (8..bytes.len().saturating_sub(8)).step_by(8) {
+            outcomes.push(vec![part(0, split), part(split + 8, bytes.len())]);
         }
-        all
+        outcomes
     }
 }
 
-/// A change of a name that no sync has covered yet. A rename is two of them: the name that it gives and the one that
-/// it takes may each last or not, by itself.
+/// Change of a directory entry that no sync has covered yet: a name and, unless it was removed, the index of its file.
+/// A rename consists of two of them, as the new entry and the removal of the old one may become durable independently.
 #[derive(Clone, Debug)]
-enum Naming {
-    New(String, usize),
-    Given(String, usize),
-    Taken(String, usize),
-    Remove(String),
+enum NameChange {
+    Created(String, usize),
+    RenamedTo(String, usize),
+    RenamedFrom(String, usize),
+    Removed(String),
 }
 
-impl Naming {
+impl NameChange {
     fn name(&self) -> &str {
         match self {
-            Naming::New(name, _)
-            | Naming::Given(name, _)
-            | Naming::Taken(name, _)
-            | Naming::Remove(name) => name,
+            NameChange::Created(name, _)
+            | NameChange::RenamedTo(name, _)
+            | NameChange::RenamedFrom(name, _)
+            | NameChange::Removed(name) => name,
         }
     }
 
-    fn apply(&self, to: &mut BTreeMap<String, usize>) {
+    fn apply(&self, names: &mut BTreeMap<String, usize>) {
         match self {
-            Naming::New(name, file) | Naming::Given(name, file) => {
-                to.insert(name.clone(), *file);
+            NameChange::Created(name, file) | NameChange::RenamedTo(name, file) => {
+                names.insert(name.clone(), *file);
             }
-            Naming::Taken(name, file) => {
-                if to.get(name) == Some(file) {
-                    to.remove(name);
+            NameChange::RenamedFrom(name, file) => {
+                if names.get(name) == Some(file) {
+                    names.remove(name);
                 }
             }
-            Naming::Remove(name) => {
-                to.remove(name);
+            NameChange::Removed(name) => {
+                names.remove(name);
             }
         }
     }
 }
 
+/// Current and synced contents of a file, with the changes between them.
 #[derive(Clone, Debug, Default)]
-struct Contents {
-    now: Vec<u8>,
+struct FileContents {
+    current: Vec<u8>,
     synced: Vec<u8>,
-    changes: Vec<Change>,
+    unsynced_changes: Vec<FileChange>,
 }
 
-/// What the disk does wrong.
+/// Faults that the disk simulates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// How many bytes all files may have together.
-    pub room: Option<usize>,
-    /// Writes are refused, and cuts and new files with them.
-    pub refuses_writes: bool,
-    /// Syncs of files fail; what they should have covered is forgotten, or (the other way) has reached the disk,
-    /// and later syncs don't cover it.
+    /// Largest total length of all files in bytes; `None` for no limit.
+    pub capacity_bytes: Option<usize>,
+    /// Writes, truncations and creations of files fail.
+    pub rejects_writes: bool,
+    /// Syncs of files fail. Later syncs don't cover the changes that a failed sync should have covered.
     pub fails_sync: bool,
-    /// What a failed sync should have covered has reached the disk.
-    pub failed_sync_writes: bool,
-    /// Syncs of the folder fail.
-    pub fails_sync_names: bool,
-    /// Files can't be renamed.
+    /// The changes that a failed sync should have covered are durable nevertheless; otherwise they are lost.
+    pub failed_sync_persists: bool,
+    /// Syncs of the directory fail.
+    pub fails_directory_sync: bool,
+    /// Renames fail.
     pub fails_rename: bool,
 }
 
+/// State that all handles of a simulated disk share.
 #[derive(Clone, Debug, Default)]
-struct Inner {
-    files: Vec<Contents>,
+struct DiskState {
+    files: Vec<FileContents>,
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
-    namings: Vec<Naming>,
+    unsynced_name_changes: Vec<NameChange>,
     faults: Faults,
-    /// After so many steps (a call or a byte written is one) the process is dead.
-    steps_left: Option<u64>,
+    /// Steps until the process is killed; a call or a written byte is one step. `None` if it is not to be killed.
+    steps_until_kill: Option<u64>,
     steps: u64,
-    /// Syncs of files, and writes.
+    /// Number of syncs of files.
     syncs: u64,
+    /// Number of write calls.
     writes: u64,
 }
 
-impl Inner {
+impl DiskState {
     fn step(&mut self) -> io::Result<()> {
-        if self.steps_left == Some(0) {
+        if self.steps_until_kill == Some(0) {
             return Err(io::Error::other("killed"));
         }
         self.steps += 1;
-        self.steps_left = self.steps_left.map(|left| left - 1);
+        self.steps_until_kill = self.steps_until_kill.map(|steps| steps - 1);
         Ok(())
     }
 
-    fn change(&mut self, file: usize, change: Change) {
+    fn apply_change(&mut self, file: usize, change: FileChange) {
         let file = &mut self.files[file];
-        change.apply(&mut file.now);
-        file.changes.push(change);
+        change.apply(&mut file.current);
+        file.unsynced_changes.push(change);
     }
 
-    fn used(&self) -> usize {
+    fn used_bytes(&self) -> usize {
         self.names
             .values()
-            .map(|file| self.files[*file].now.len())
+            .map(|file| self.files[*file].current.len())
             .sum()
     }
 }
 
-/// The disk; clones are the same disk.
+/// Simulated disk. Clones share the same state.
 #[derive(Clone, Debug, Default)]
-pub struct Simulated(Rc<RefCell<Inner>>);
+pub struct SimulatedDisk(Rc<RefCell<DiskState>>);
 
-#[allow(dead_code, reason = "each test file uses a part")]
-impl Simulated {
-    pub fn new() -> Simulated {
-        Simulated::default()
+#[allow(dead_code, reason = "each test file uses only some of the methods")]
+impl SimulatedDisk {
+    pub fn new() -> SimulatedDisk {
+        SimulatedDisk::default()
     }
 
-    /// The faults from now on.
+    /// Sets the faults of all later calls.
     pub fn set_faults(&self, faults: Faults) {
         self.0.borrow_mut().faults = faults;
     }
 
-    /// The process dies after so many steps.
+    /// Kills the process after `steps` more steps.
     pub fn kill_after(&self, steps: u64) {
-        self.0.borrow_mut().steps_left = Some(steps);
+        self.0.borrow_mut().steps_until_kill = Some(steps);
     }
 
-    /// Whether the process is dead.
+    /// Whether the process has been killed.
     pub fn is_killed(&self) -> bool {
-        self.0.borrow().steps_left == Some(0)
+        self.0.borrow().steps_until_kill == Some(0)
     }
 
-    /// How many steps were done.
+    /// Number of steps since the disk was created.
     pub fn steps(&self) -> u64 {
         self.0.borrow().steps
     }
 
-    /// How many writes and syncs of files there were.
+    /// Number of write calls, and number of syncs of files.
     pub fn writes_and_syncs(&self) -> (u64, u64) {
-        let inner = self.0.borrow();
-        (inner.writes, inner.syncs)
+        let state = self.0.borrow();
+        (state.writes, state.syncs)
     }
 
-    /// A copy whose process is alive and whose faults are mended.
-    pub fn after_kill(&self) -> Simulated {
-        let mut inner = self.0.borrow().clone();
-        (inner.steps_left, inner.faults) = (None, Faults::default());
-        Simulated(Rc::new(RefCell::new(inner)))
+    /// A copy of the disk as the next process finds it, without faults.
+    pub fn after_kill(&self) -> SimulatedDisk {
+        let mut state = self.0.borrow().clone();
+        (state.steps_until_kill, state.faults) = (None, Faults::default());
+        SimulatedDisk(Rc::new(RefCell::new(state)))
     }
 
-    /// Every disk that a loss of power may leave.
-    pub fn after_power_loss(&self) -> Vec<Simulated> {
-        let inner = self.0.borrow();
-        let mut all = Vec::new();
-        for subset in 0..1_u32 << inner.namings.len() {
-            let mut names = inner.synced_names.clone();
-            for (number, naming) in inner.namings.iter().enumerate() {
+    /// All states of the disk that a power loss can leave.
+    pub fn after_power_loss(&self) -> Vec<SimulatedDisk> {
+        let state = self.0.borrow();
+        let mut outcomes = Vec::new();
+        for subset in 0..1_u32 << state.unsynced_name_changes.len() {
+            let mut names = state.synced_names.clone();
+            for (number, name_change) in state.unsynced_name_changes.iter().enumerate() {
                 if subset & 1 << number != 0 {
-                    naming.apply(&mut names);
+                    name_change.apply(&mut names);
                 }
             }
-            let mut disks = vec![Inner::default()];
+            let mut disks = vec![DiskState::default()];
             for (name, file) in names {
-                let lefts = inner.files[file].after_power_loss();
+                let possible_contents = state.files[file].contents_after_power_loss();
                 disks = disks
                     .iter()
                     .flat_map(|disk| {
-                        lefts.iter().map(|left| {
+                        possible_contents.iter().map(|contents| {
                             let mut disk = disk.clone();
                             disk.names.insert(name.clone(), disk.files.len());
                             disk.synced_names = disk.names.clone();
-                            disk.files.push(Contents {
-                                now: left.clone(),
-                                synced: left.clone(),
-                                changes: vec![],
+                            disk.files.push(FileContents {
+                                current: contents.clone(),
+                                synced: contents.clone(),
+                                unsynced_changes: vec![],
                             });
                             disk
                         })
                     })
                     .collect();
             }
-            all.extend(
+            outcomes.extend(
                 disks
                     .into_iter()
-                    .map(|disk| Simulated(Rc::new(RefCell::new(disk)))),
+                    .map(|disk| SimulatedDisk(Rc::new(RefCell::new(disk)))),
             );
         }
-        all
+        outcomes
     }
 
-    /// One of the disks that a loss of power may leave, by `choose` (a number below the one it is given). Anything
-    /// there is less seldom than in [`Simulated::after_power_loss`].
-    pub fn after_some_power_loss(&self, choose: &mut impl FnMut(usize) -> usize) -> Simulated {
-        let inner = self.0.borrow();
-        let mut left = Inner {
-            names: inner.synced_names.clone(),
-            ..Inner::default()
+    /// One state of the disk that a power loss can leave. `choose` draws a number below its argument. Wholly present or
+    /// missing changes are likelier than in [`SimulatedDisk::after_power_loss`].
+    pub fn after_random_power_loss(
+        &self,
+        choose: &mut impl FnMut(usize) -> usize,
+    ) -> SimulatedDisk {
+        let state = self.0.borrow();
+        let mut remaining = DiskState {
+            names: state.synced_names.clone(),
+            ..DiskState::default()
         };
-        for naming in &inner.namings {
+        for name_change in &state.unsynced_name_changes {
             if choose(2) == 1 {
-                naming.apply(&mut left.names);
+                name_change.apply(&mut remaining.names);
             }
         }
-        left.synced_names = left.names.clone();
-        for file in &inner.files {
+        remaining.synced_names = remaining.names.clone();
+        for file in &state.files {
             let mut bytes = file.synced.clone();
-            for change in &file.changes {
-                let interrupted_rewrite_bytes = change.interrupted_rewrite_bytes();
-                let which = if choose(3) == 0 {
-                    choose(interrupted_rewrite_bytes.len())
+            for change in &file.unsynced_changes {
+                let outcomes = change.power_loss_outcomes();
+                let outcome = if choose(3) == 0 {
+                    choose(outcomes.len())
                 } else {
                     choose(2)
                 };
-                interrupted_rewrite_bytes[which]
+                outcomes[outcome]
                     .iter()
                     .for_each(|change| change.apply(&mut bytes));
             }
-            left.files.push(Contents {
-                now: bytes.clone(),
+            remaining.files.push(FileContents {
+                current: bytes.clone(),
                 synced: bytes,
-                changes: vec![],
+                unsynced_changes: vec![],
             });
         }
-        Simulated(Rc::new(RefCell::new(left)))
+        SimulatedDisk(Rc::new(RefCell::new(remaining)))
     }
 
-    /// The bytes of a file.
+    /// Current contents of a file; `None` if it doesn't exist.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
-        let inner = self.0.borrow();
-        inner
+        let state = self.0.borrow();
+        state
             .names
             .get(name)
-            .map(|file| inner.files[*file].now.clone())
+            .map(|file| state.files[*file].current.clone())
     }
 
-    /// Puts a file there, synced.
-    pub fn put(&self, name: &str, bytes: &[u8]) {
-        let mut inner = self.0.borrow_mut();
-        let file = inner.files.len();
-        inner.files.push(Contents {
-            now: bytes.to_vec(),
+    /// Adds a file whose name and contents are synced.
+    pub fn insert_synced_file(&self, name: &str, bytes: &[u8]) {
+        let mut state = self.0.borrow_mut();
+        let file = state.files.len();
+        state.files.push(FileContents {
+            current: bytes.to_vec(),
             synced: bytes.to_vec(),
-            changes: vec![],
+            unsynced_changes: vec![],
         });
-        inner.names.insert(name.to_owned(), file);
-        inner.synced_names.insert(name.to_owned(), file);
+        state.names.insert(name.to_owned(), file);
+        state.synced_names.insert(name.to_owned(), file);
     }
 
-    /// The names of the files.
+    /// Names of the files in alphabetical order.
     pub fn names(&self) -> Vec<String> {
         self.0.borrow().names.keys().cloned().collect()
     }
 }
 
-impl Contents {
-    fn after_power_loss(&self) -> Vec<Vec<u8>> {
-        let mut all = vec![self.synced.clone()];
-        for change in &self.changes {
-            let interrupted_rewrite_bytes = change.interrupted_rewrite_bytes();
-            all = all
+impl FileContents {
+    fn contents_after_power_loss(&self) -> Vec<Vec<u8>> {
+        let mut possible_contents = vec![self.synced.clone()];
+        for change in &self.unsynced_changes {
+            let outcomes = change.power_loss_outcomes();
+            possible_contents = possible_contents
                 .iter()
                 .flat_map(|before| {
-                    interrupted_rewrite_bytes.iter().map(|changes| {
+                    outcomes.iter().map(|changes| {
                         let mut bytes = before.clone();
                         changes.iter().for_each(|change| change.apply(&mut bytes));
                         bytes
@@ -315,23 +320,23 @@
                 })
                 .collect();
         }
-        all.sort();
-        all.dedup();
-        all
+        possible_contents.sort();
+        possible_contents.dedup();
+        possible_contents
     }
 }
 
-fn full() -> io::Error {
+fn disk_full_error() -> io::Error {
     ErrorKind::StorageFull.into()
 }
 
-impl Disk for Simulated {
+impl Disk for SimulatedDisk {
     type File = SimulatedFile;
 
     fn open(&mut self, name: &str) -> io::Result<Option<SimulatedFile>> {
-        let mut inner = self.0.borrow_mut();
-        inner.step()?;
-        Ok(inner.names.get(name).map(|file| SimulatedFile {
+        let mut state = self.0.borrow_mut();
+        state.step()?;
+        Ok(state.names.get(name).map(|file| SimulatedFile {
             disk: self.0.clone(),
             file: *file,
         }))
@@ -342,19 +347,21 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<SimulatedFile> {
-        let mut inner = self.0.borrow_mut();
-        inner.step()?;
-        if inner.faults.refuses_writes {
-            return Err(full());
+        let mut state = self.0.borrow_mut();
+        state.step()?;
+        if state.faults.rejects_writes {
+            return Err(disk_full_error());
         }
-        let file = if let Some(file) = inner.names.get(name).copied() {
-            inner.change(file, Change::TruncatedTail(0));
+        let file = if let Some(file) = state.names.get(name).copied() {
+            state.apply_change(file, FileChange::Truncate(0));
             file
         } else {
-            let file = inner.files.len();
-            inner.files.push(Contents::default());
-            inner.names.insert(name.to_owned(), file);
-            inner.namings.push(Naming::New(name.to_owned(), file));
+            let file = state.files.len();
+            state.files.push(FileContents::default());
+            state.names.insert(name.to_owned(), file);
+            state
+                .unsynced_name_changes
+                .push(NameChange::Created(name.to_owned(), file));
             file
         };
         Ok(SimulatedFile {
@@ -364,123 +371,124 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let mut inner = self.0.borrow_mut();
-        inner.step()?;
-        if inner.faults.fails_rename {
+        let mut state = self.0.borrow_mut();
+        state.step()?;
+        if state.faults.fails_rename {
             return Err(io::Error::other("rename"));
         }
-        let file = *inner.names.get(from).expect("there is a file to rename");
-        for naming in [
-            Naming::Given(to.to_owned(), file),
-            Naming::Taken(from.to_owned(), file),
+        let file = *state.names.get(from).expect("there is a file to rename");
+        for name_change in [
+            NameChange::RenamedTo(to.to_owned(), file),
+            NameChange::RenamedFrom(from.to_owned(), file),
         ] {
-            naming.apply(&mut inner.names);
-            inner.namings.push(naming);
+            name_change.apply(&mut state.names);
+            state.unsynced_name_changes.push(name_change);
         }
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<bool> {
-        let mut inner = self.0.borrow_mut();
-        inner.step()?;
-        let is_there = inner.names.remove(name).is_some();
-        if is_there {
-            inner.namings.push(Naming::Remove(name.to_owned()));
+        let mut state = self.0.borrow_mut();
+        state.step()?;
+        let existed = state.names.remove(name).is_some();
+        if existed {
+            state
+                .unsynced_name_changes
+                .push(NameChange::Removed(name.to_owned()));
         }
-        Ok(is_there)
+        Ok(existed)
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
-        let mut inner = self.0.borrow_mut();
-        inner.step()?;
-        if inner.faults.fails_sync_names {
-            return Err(io::Error::other("sync of the folder"));
+        let mut state = self.0.borrow_mut();
+        state.step()?;
+        if state.faults.fails_directory_sync {
+            return Err(io::Error::other("sync of the directory"));
         }
-        inner.synced_names = inner.names.clone();
-        inner.namings.clear();
+        state.synced_names = state.names.clone();
+        state.unsynced_name_changes.clear();
         Ok(())
     }
 }
 
-/// An open file of it.
+/// An open file of a [`SimulatedDisk`].
 #[derive(Debug)]
 pub struct SimulatedFile {
-    disk: Rc<RefCell<Inner>>,
+    disk: Rc<RefCell<DiskState>>,
     file: usize,
 }
 
 impl DiskFile for SimulatedFile {
     fn length(&mut self) -> io::Result<u64> {
-        let mut inner = self.disk.borrow_mut();
-        inner.step()?;
-        Ok(inner.files[self.file].now.len() as u64)
+        let mut state = self.disk.borrow_mut();
+        state.step()?;
+        Ok(state.files[self.file].current.len() as u64)
     }
 
-    /// Reads a part at times, as files may.
-    fn read_at(&mut self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
-        let mut inner = self.disk.borrow_mut();
-        inner.step()?;
-        let bytes = inner.files[self.file]
-            .now
+    /// Reads at most 50,000 bytes at once, so that callers meet short reads.
+    fn read_at(&mut self, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
+        let mut state = self.disk.borrow_mut();
+        state.step()?;
+        let bytes = state.files[self.file]
+            .current
             .get(offset as usize..)
             .unwrap_or_default();
-        let read = bytes.len().min(into.len()).min(50_000);
-        into[..read].copy_from_slice(&bytes[..read]);
-        Ok(read)
+        let count = bytes.len().min(buffer.len()).min(50_000);
+        buffer[..count].copy_from_slice(&bytes[..count]);
+        Ok(count)
     }
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
-        let mut inner = self.disk.borrow_mut();
-        inner.step()?;
-        inner.writes += 1;
-        if inner.faults.refuses_writes {
-            return Err(full());
+        let mut state = self.disk.borrow_mut();
+        state.step()?;
+        state.writes += 1;
+        if state.faults.rejects_writes {
+            return Err(disk_full_error());
         }
-        let room = inner
-            .faults
-            .room
-            .map_or(usize::MAX, |room| room.saturating_sub(inner.used()));
-        let mut taken = bytes.len().min(room);
-        if let Some(left) = inner.steps_left {
-            taken = taken.min(left as usize);
-            inner.steps_left = Some(left - taken as u64);
+        let free_bytes = state.faults.capacity_bytes.map_or(usize::MAX, |capacity| {
+            capacity.saturating_sub(state.used_bytes())
+        });
+        let mut accepted = bytes.len().min(free_bytes);
+        if let Some(remaining_steps) = state.steps_until_kill {
+            accepted = accepted.min(remaining_steps as usize);
+            state.steps_until_kill = Some(remaining_steps - accepted as u64);
         }
-        inner.steps += taken as u64;
-        if taken > 0 {
-            let bytes = bytes[..taken].to_vec();
-            inner.change(
+        state.steps += accepted as u64;
+        if accepted > 0 {
+            let bytes = bytes[..accepted].to_vec();
+            state.apply_change(
                 self.file,
-                Change::Write {
+                FileChange::Write {
                     offset: offset as usize,
                     bytes,
                 },
             );
         }
-        inner.step()?;
-        match taken {
-            0 => Err(full()),
-            taken => Ok(taken),
+        state.step()?;
+        match accepted {
+            0 => Err(disk_full_error()),
+            accepted => Ok(accepted),
         }
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        let mut inner = self.disk.borrow_mut();
-        inner.step()?;
-        if inner.faults.refuses_writes {
-            return Err(full());
+        let mut state = self.disk.borrow_mut();
+        state.step()?;
+        if state.faults.rejects_writes {
+            return Err(disk_full_error());
         }
-        inner.change(self.file, Change::TruncatedTail(length as usize));
+        state.apply_change(self.file, FileChange::Truncate(length as usize));
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        let mut inner = self.disk.borrow_mut();
-        inner.step()?;
-        inner.syncs += 1;
-        let faults = inner.faults;
-        let file = &mut inner.files[self.file];
-        let changes = std::mem::take(&mut file.changes);
-        if !faults.fails_sync || faults.failed_sync_writes {
+        let mut state = self.disk.borrow_mut();
+        state.step()?;
+        state.syncs += 1;
+        let faults = state.faults;
+        let file = &mut state.files[self.file];
+        let changes = std::mem::take(&mut file.unsynced_changes);
+        if !faults.fails_sync || faults.failed_sync_persists {
             changes
                 .iter()
                 .for_each(|change| change.apply(&mut file.synced));
@@ -488,19 +496,19 @@
         if faults.fails_sync {
             return Err(io::Error::other("sync"));
         }
-        // A new file lasts with its own sync, and whatever its name was given to or taken from before is over.
-        let mut namings = std::mem::take(&mut inner.namings);
-        let is_own = |naming: &Naming| matches!(naming, Naming::New(_, file) if *file == self.file);
-        if let Some(place) = namings.iter().position(is_own) {
-            let own = namings.remove(place);
-            own.apply(&mut inner.synced_names);
-            let mut place_of_next = 0..;
-            namings.retain(|naming| {
-                let is_before = place_of_next.next().is_some_and(|next| next < place);
-                !(is_before && naming.name() == own.name())
+        // The first sync of a new file makes its name durable too, which settles all earlier changes of that name.
+        let mut unsynced_name_changes = std::mem::take(&mut state.unsynced_name_changes);
+        let is_own_creation = |name_change: &NameChange| matches!(name_change, NameChange::Created(_, file) if *file == self.file);
+        if let Some(position) = unsynced_name_changes.iter().position(is_own_creation) {
+            let creation = unsynced_name_changes.remove(position);
+            creation.apply(&mut state.synced_names);
+            let mut positions = 0..;
+            unsynced_name_changes.retain(|name_change| {
+                let is_earlier = positions.next().is_some_and(|next| next < position);
+                !(is_earlier && name_change.name() == creation.name())
             });
         }
-        inner.namings = namings;
+        state.unsynced_name_changes = unsynced_name_changes;
         Ok(())
     }
 }
--- a/crates/append-log/tests/stories.rs
+++ b/crates/append-log/tests/stories.rs
@@ -1,20 +1,20 @@
-//! Stories drawn at random: calls, faults, kills and losses of power in any order.
+//! Random sequences of calls, faults, kills and power losses.
 
 mod simulated;
 
 use append_log::AppendLog;
 use proptest::prelude::*;
-use simulated::{Faults, Simulated};
+use simulated::{Faults, SimulatedDisk};
 
 type Records = Vec<Vec<u8>>;
 
 #[derive(Clone, Debug)]
-enum Step {
+enum Operation {
     Append(Vec<usize>),
     Rewrite(Vec<usize>),
     Faults(Faults),
     Kill,
-    /// The process dies after so many more steps of the disk.
+    /// Kills the process after this number of further steps of the disk.
     KillAfter(u64),
     PowerLoss,
 }
@@ -22,46 +22,46 @@
 fn faults() -> impl Strategy<Value = Faults> {
     prop_oneof![
         2 => Just(Faults::default()),
-        1 => (0..2_000_usize).prop_map(|room| Faults { room: Some(room), ..Faults::default() }),
-        1 => Just(Faults { refuses_writes: true, ..Faults::default() }),
-        1 => any::<bool>().prop_map(|failed_sync_writes| Faults {
+        1 => (0..2_000_usize).prop_map(|capacity| Faults { capacity_bytes: Some(capacity), ..Faults::default() }),
+        1 => Just(Faults { rejects_writes: true, ..Faults::default() }),
+        1 => any::<bool>().prop_map(|failed_sync_persists| Faults {
             fails_sync: true,
-            failed_sync_writes,
+            failed_sync_persists,
             ..Faults::default()
         }),
-        1 => Just(Faults { fails_sync_names: true, ..Faults::default() }),
+        1 => Just(Faults { fails_directory_sync: true, ..Faults::default() }),
         1 => Just(Faults { fails_rename: true, ..Faults::default() }),
     ]
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn operation() -> impl Strategy<Value = Operation> {
     let sizes = || prop::collection::vec(0..40_usize, 0..5);
     prop_oneof![
-        6 => sizes().prop_map(Step::Append),
-        2 => sizes().prop_map(Step::Rewrite),
-        3 => faults().prop_map(Step::Faults),
-        1 => Just(Step::Kill),
-        1 => (0..300_u64).prop_map(Step::KillAfter),
-        2 => Just(Step::PowerLoss),
+        6 => sizes().prop_map(Operation::Append),
+        2 => sizes().prop_map(Operation::Rewrite),
+        3 => faults().prop_map(Operation::Faults),
+        1 => Just(Operation::Kill),
+        1 => (0..300_u64).prop_map(Operation::KillAfter),
+        2 => Just(Operation::PowerLoss),
     ]
 }
 
-/// What the file may hold. The names count records, so that each record of a story is another one.
+/// The record lists that the file may hold. Each record contains its number, so that all records of a run differ.
 struct Expected {
-    /// What it holds for the process that runs: one of these.
-    now: Vec<Records>,
-    /// What it may hold besides for the next process.
-    next: Vec<Records>,
-    drawn: u32,
+    /// Possible record lists in the running process.
+    current: Vec<Records>,
+    /// Further record lists that the next process may find.
+    after_restart: Vec<Records>,
+    record_count: u32,
 }
 
 impl Expected {
     fn records(&mut self, sizes: &[usize]) -> Records {
         let record = |size: &usize| {
-            self.drawn += 1;
+            self.record_count += 1;
             [
-                &self.drawn.to_le_bytes()[..],
-                &vec![self.drawn as u8; *size],
+                &self.record_count.to_le_bytes()[..],
+                &vec![self.record_count as u8; *size],
             ]
             .concat()
         };
@@ -69,85 +69,86 @@
     }
 
     fn append(&mut self, records: &Records, is_ok: bool) {
-        let joined = |more: &[Vec<u8>]| {
-            self.now
+        let appended = |more: &[Vec<u8>]| {
+            self.current
                 .iter()
-                .map(|now| [&now[..], more].concat())
+                .map(|current| [&current[..], more].concat())
                 .collect::<Vec<_>>()
         };
         if is_ok {
-            (self.now, self.next) = (joined(records), Vec::new());
+            (self.current, self.after_restart) = (appended(records), Vec::new());
         } else {
-            let parts = (1..=records.len())
-                .flat_map(|count| joined(&records[..count]))
+            let partial_appends = (1..=records.len())
+                .flat_map(|count| appended(&records[..count]))
                 .collect::<Vec<_>>();
-            self.next.extend(parts);
+            self.after_restart.extend(partial_appends);
         }
     }
 
     fn rewrite(&mut self, records: Records, is_ok: bool) {
         if is_ok {
-            (self.now, self.next) = (vec![records], Vec::new());
+            (self.current, self.after_restart) = (vec![records], Vec::new());
         } else {
-            self.now.push(records);
+            self.current.push(records);
         }
     }
 }
 
-fn slices(records: &Records) -> Vec<&[u8]> {
+fn as_slices(records: &Records) -> Vec<&[u8]> {
     records.iter().map(Vec::as_slice).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// What was acknowledged is there in order; besides it only first records of a batch that ended in an error since.
+    /// The log holds the acknowledged records in order, and besides them at most the first records of a batch whose
+    /// append has failed since.
     #[test]
-    fn what_was_acknowledged_is_there(
-        steps in prop::collection::vec(step(), 1..40),
-        mut choice in any::<u64>(),
+    fn log_holds_acknowledged_records_in_order(
+        operations in prop::collection::vec(operation(), 1..40),
+        mut random_state in any::<u64>(),
     ) {
-        // For what a loss of power leaves (splitmix64).
-        let mut choose = |below: usize| {
-            choice = choice.wrapping_add(0x9e37_79b9_7f4a_7c15);
-            let mixed = (choice ^ choice >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-            ((mixed ^ mixed >> 31) >> 16) as usize % below
+        // Chooses the results of power losses (splitmix64).
+        let mut choose = |bound: usize| {
+            random_state = random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+            let mixed = (random_state ^ random_state >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+            ((mixed ^ mixed >> 31) >> 16) as usize % bound
         };
-        let mut disk = Simulated::new();
-        let mut ledger = Some(AppendLog::open_on(disk.clone(), "ledger").unwrap().0);
-        let mut expected = Expected { now: vec![vec![]], next: vec![], drawn: 0 };
-        let last = [Step::PowerLoss, Step::Append(vec![1]), Step::PowerLoss];
-        for step in steps.iter().chain(&last) {
-            match step {
-                Step::Append(sizes) => {
+        let mut disk = SimulatedDisk::new();
+        let mut log = Some(AppendLog::open_on(disk.clone(), "ledger").unwrap().0);
+        let mut expected = Expected { current: vec![vec![]], after_restart: vec![], record_count: 0 };
+        let final_operations = [Operation::PowerLoss, Operation::Append(vec![1]), Operation::PowerLoss];
+        for operation in operations.iter().chain(&final_operations) {
+            match operation {
+                Operation::Append(sizes) => {
                     let records = expected.records(sizes);
-                    let is_ok = ledger.as_mut().is_some_and(|ledger| ledger.append(&slices(&records)).is_ok());
-                    // An empty batch touches nothing, so it shows nothing either.
+                    let is_ok = log.as_mut().is_some_and(|log| log.append(&as_slices(&records)).is_ok());
+                    // An empty batch doesn't access the disk, so that its result says nothing about the disk.
                     if !records.is_empty() {
                         expected.append(&records, is_ok);
                     }
                 }
-                Step::Rewrite(sizes) => {
+                Operation::Rewrite(sizes) => {
                     let records = expected.records(sizes);
-                    let is_ok = ledger.as_mut().is_some_and(|ledger| ledger.rewrite(&slices(&records)).is_ok());
+                    let is_ok = log.as_mut().is_some_and(|log| log.rewrite(&as_slices(&records)).is_ok());
                     expected.rewrite(records, is_ok);
                 }
-                Step::Faults(faults) => disk.set_faults(*faults),
-                Step::KillAfter(steps) => disk.kill_after(*steps),
-                Step::Kill | Step::PowerLoss => {
-                    disk = match step {
-                        Step::Kill => disk.after_kill(),
-                        _ => disk.after_some_power_loss(&mut choose),
+                Operation::Faults(faults) => disk.set_faults(*faults),
+                Operation::KillAfter(steps) => disk.kill_after(*steps),
+                Operation::Kill | Operation::PowerLoss => {
+                    disk = match operation {
+                        Operation::Kill => disk.after_kill(),
+                        _ => disk.after_random_power_loss(&mut choose),
                     };
                     let (opened, records) = AppendLog::open_on(disk.clone(), "ledger").unwrap();
                     prop_assert!(
-                        expected.now.contains(&records) || expected.next.contains(&records),
-                        "{records:?} is none of {:?} and {:?}", expected.now, expected.next
+                        expected.current.contains(&records) || expected.after_restart.contains(&records),
+                        "{records:?} is none of {:?} and {:?}", expected.current, expected.after_restart
                     );
                     prop_assert!(disk.names().len() <= 1);
                     prop_assert_eq!(opened.len(), disk.bytes("ledger").map_or(0, |bytes| bytes.len() as u64));
-                    (expected.now, expected.next) = (vec![records], Vec::new());
-                    ledger = Some(opened);
+                    (expected.current, expected.after_restart) = (vec![records], Vec::new());
+                    log = Some(opened);
                 }
             }
         }
