--- a/crates/append-log/tests/losses.rs
+++ b/crates/append-log/tests/losses.rs
@@ -206,9 +206,7 @@
         let byte = (bit / 8) as u64;
         let hit = ends.iter().position(|end| byte < *end).unwrap();
         match AppendLog::open_on(disk.clone(), "ledger") {
-            Err(Error::InvalidHeader { .. }) => {
-                assert!(byte < format::FILE_HEADER_BYTES as u64)
-            }
+            Err(Error::InvalidHeader { .. }) => assert!(byte < format::FILE_HEADER_BYTES as u64),
             Err(Error::Damaged {
                 record,
                 offset,
