--- a/crates/append-log/tests/losses.rs
+++ b/crates/append-log/tests/crash_recovery.rs
@@ -1,10 +1,10 @@
 //! Recovery of a log from kills, power losses, full disks and failed syncs, at every step and written byte.
 
-mod simulated;
+mod simulated_disk;
 
 use append_log::{format, AppendLog, Error};
 use rstest::rstest;
-use simulated::{Faults, SimulatedDisk};
+use simulated_disk::{Faults, SimulatedDisk};
 
 type Records = Vec<Vec<u8>>;
 
--- a/crates/append-log/tests/directory_losses.rs
+++ b/crates/append-log/tests/directory_crash_recovery.rs
@@ -1,11 +1,11 @@
 //! Recovery of several logs in one directory from a kill or power loss at each step. Each unsynced change of a
 //! directory entry is kept or lost independently.
 
-mod simulated;
+mod simulated_disk;
 
 use append_log::AppendLog;
 use rstest::rstest;
-use simulated::SimulatedDisk;
+use simulated_disk::SimulatedDisk;
 
 type Records = Vec<Vec<u8>>;
 
--- a/crates/append-log/tests/stories.rs
+++ b/crates/append-log/tests/random_operations.rs
@@ -1,10 +1,10 @@
 //! Random sequences of calls, faults, kills and power losses.
 
-mod simulated;
+mod simulated_disk;
 
 use append_log::AppendLog;
 use proptest::prelude::*;
-use simulated::{Faults, SimulatedDisk};
+use simulated_disk::{Faults, SimulatedDisk};
 
 type Records = Vec<Vec<u8>>;
 
--- a/crates/append-log/tests/reports.rs
+++ b/crates/append-log/tests/reports.rs
@@ -1,10 +1,10 @@
 //! Contents of the reports on a log file, and that reporting writes nothing.
 
-mod simulated;
+mod simulated_disk;
 
 use append_log::{format, inspect_on, verify_on, AppendLog, Error, FileCondition, FileSegment};
 use rstest::rstest;
-use simulated::{Faults, SimulatedDisk};
+use simulated_disk::{Faults, SimulatedDisk};
 
 /// Creates a file of three batches with one, two and one record. Returns the start offset of each record and the file's
 /// contents.
--- a/crates/append-log/tests/stored_files.rs
+++ b/crates/append-log/tests/stored_files.rs
@@ -1,11 +1,11 @@
 //! Compatibility with files of an earlier release. For each file, `fixtures/` also holds that release's report
 //! (`*.report.txt`) and the file after an append of two records (`*.appended.log`).
 
-mod simulated;
+mod simulated_disk;
 
 use append_log::{inspect_on, verify_on, AppendLog, Error, FileCondition, TruncatedTail};
 use rstest::rstest;
-use simulated::SimulatedDisk;
+use simulated_disk::SimulatedDisk;
 
 macro_rules! fixture {
     ($name:literal) => {
