--- a/crates/bind-retry/src/lib.rs
+++ b/crates/bind-retry/src/lib.rs
@@ -1,7 +1,7 @@
-//! Listens on a TCP port that the process before may not have released yet.
+//! Binding of a TCP port that a previous process may not have released yet.
 //!
-//! A process that is started again right after it was killed may find its port in use for some moments. Members, agents
-//! and proxies wait for it with [`bind`] rather than end.
+//! A process that is restarted right after it was killed may find its port still in use for a short time. Members,
+//! agents and proxies use [`bind`] to wait for the port instead of failing to start.
 //!
 //! ```
 //! # tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(async {
@@ -19,15 +19,15 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, Instant};
 
-/// How long a port in use is waited for.
+/// Longest time to wait for a port in use.
 pub const BIND_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two attempts to bind.
+/// Pause between attempts to bind.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens on an address, as soon as its port is free.
+/// Binds a listener to an address. Retries while the port is in use, for up to [`BIND_TIMEOUT`].
 ///
 /// # Errors
-/// What the system answers: [`ErrorKind::AddrInUse`] after [`BIND_TIMEOUT`], anything else at once.
+/// [`ErrorKind::AddrInUse`] if the port is still in use after [`BIND_TIMEOUT`]; any other I/O error at once.
 pub async fn bind(addr: SocketAddrV4) -> Result<TcpListener> {
     let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
