--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,5 +1,5 @@
-//! The agent beside each proxy. It finds the control plane, pulls updates from members, and passes them on to the proxy
-//! over loopback.
+//! The agent that runs next to each proxy. It discovers the control plane's members, pulls updates from them, and
+//! serves the updates to the proxy over loopback.
 //!
 //! ```
 //! # let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -7,7 +7,7 @@
 //! let text = r#"{"node_name":"edge-1","role":"agent","ip_addr":"127.0.0.9","zone":"a",
 //!     "port_range":[7660,7675],"bind":{"agent":"127.0.0.1:0"},"seed_nodes":["127.0.0.8:8146"]}"#;
 //! let settings = configuration::ProcessSettings::read(text).unwrap();
-//! // Whoever watches the settings file sends the seeds here when they change.
+//! // The task that watches the settings file sends changed seeds to this channel.
 //! let (_sender, seeds) = tokio::sync::watch::channel(settings.seed_nodes.clone());
 //! let shutdown = std::future::ready(());
 //! agent::run(settings, seeds, shutdown).await.unwrap();
@@ -33,29 +33,29 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The most connections at one time. A proxy needs one, and a second one while it restarts.
+/// Maximum number of open connections. A proxy needs one, and a second one while it restarts.
 const MAX_CONNECTIONS: usize = 16;
 
-/// Pause after a failed accept, so that other connections may end and free descriptors.
+/// Pause after a failed accept, in which other connections may end and free file descriptors.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why the agent can't run.
+/// Reason why the agent can't run.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It can't listen on its loopback address.
+    /// The agent can't listen on its loopback address.
     #[snafu(display("can't listen on {addr}: {source}"))]
     Listen {
-        /// The address.
+        /// Address to listen on.
         addr: SocketAddrV4,
-        /// The cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs the agent until `shutdown` completes. `seeds` holds the `control` addresses of the seeds.
+/// Runs the agent until `shutdown` completes. `seeds` contains the current `control` addresses of the seeds.
 ///
 /// # Errors
-/// [`Error::Listen`] if it can't listen on its loopback address.
+/// [`Error::Listen`] if the agent can't listen on its loopback address.
 pub async fn run(
     settings: ProcessSettings,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
@@ -67,34 +67,35 @@
         () = &mut shutdown => return Ok(()),
         bound = bind_retry::bind(addr) => bound.context(ListenSnafu { addr })?,
     };
-    let shared = SharedMirror::new(mirror(&settings));
-    let (control, control_receiver) = mpsc::unbounded_channel();
+    let shared_mirror = SharedMirror::new(mirror(&settings));
+    let (client_control, client_control_receiver) = mpsc::unbounded_channel();
     let mut puller = puller(&settings);
-    puller.set_seeds(&seed_members(&settings, &mut seeds));
+    puller.set_seeds(&seed_member_addrs(&settings, &mut seeds));
     let pulling = client::run(
         puller,
         non_member_info(&settings),
         subscriber(&settings, 0),
-        shared.clone(),
-        control_receiver,
+        shared_mirror.clone(),
+        client_control_receiver,
     );
     tokio::select! {
         () = &mut shutdown => {}
         () = pulling => {}
-        () = follow_seeds(&settings, seeds, &control) => {}
-        () = accept_proxies(&listener, &shared, &control) => {}
+        () = forward_seed_changes(&settings, seeds, &client_control) => {}
+        () = accept_connections(&listener, &shared_mirror, &client_control) => {}
     }
     Ok(())
 }
 
-/// The mirror that an agent starts with. It is empty, and withholds an unconfirmed configuration while another member may
-/// know a newer one.
+/// Creates the mirror of a starting agent. The mirror is empty, and withholds an unconfirmed configuration as long as
+/// another member may know a newer one.
 pub fn mirror(settings: &ProcessSettings) -> Mirror {
     let heartbeat_period = Duration::from_millis(settings.beat_period_ms);
     Mirror::new(0, heartbeat_period).withholding_unconfirmed()
 }
 
-/// The puller of an agent: it pulls from a few members and waits for updates at one of them.
+/// Creates the puller of an agent. It pulls from up to [`MEMBERS_PER_AGENT`] members, and waits for updates at one of
+/// them.
 pub fn puller(settings: &ProcessSettings) -> Puller {
     let mut puller =
         Puller::new(&settings.node_name, MEMBERS_PER_AGENT, None).preferring_one_member();
@@ -102,22 +103,22 @@
     puller
 }
 
-/// Accepts the proxy's connections and serves them.
-async fn accept_proxies(
+/// Accepts connections of the proxy and serves them. Rejects those beyond [`MAX_CONNECTIONS`].
+async fn accept_connections(
     listener: &TcpListener,
-    shared: &Arc<SharedMirror>,
-    control: &UnboundedSender<Control>,
+    shared_mirror: &Arc<SharedMirror>,
+    client_control: &UnboundedSender<Control>,
 ) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) if connections.len() < MAX_CONNECTIONS => {
-                    connections.spawn(serve_proxy(stream, shared.clone(), control.clone()));
+                    connections.spawn(serve_connection(stream, shared_mirror.clone(), client_control.clone()));
                 }
-                Ok(_) => log::warn!("more than {MAX_CONNECTIONS} connections on loopback"),
+                Ok(_) => log::warn!("rejected a connection of the proxy: {MAX_CONNECTIONS} connections are open already"),
                 Err(error) => {
-                    log::warn!("accept: {error}");
+                    log::warn!("could not accept a connection of the proxy, will retry: {error}");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             },
@@ -126,40 +127,40 @@
     }
 }
 
-/// Serves one connection of the proxy, and reports the configuration version that is in force there.
-async fn serve_proxy(
+/// Serves one connection of the proxy, and reports changes of the configuration version that is in force there.
+async fn serve_connection(
     stream: TcpStream,
-    shared: Arc<SharedMirror>,
-    control: UnboundedSender<Control>,
+    shared_mirror: Arc<SharedMirror>,
+    client_control: UnboundedSender<Control>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut reported_version = None;
-    let serving = serve(stream, Vec::new(), shared, |proxy| {
+    let serving = serve(stream, Vec::new(), shared_mirror, |proxy| {
         let version = proxy.configuration_version;
         if reported_version.replace(version) != Some(version) {
-            let _ = control.send(Control::Version(version));
+            let _ = client_control.send(Control::Version(version));
         }
     });
     if let Err(error) = serving.await {
-        log::info!("proxy's connection ended: {error}");
+        log::info!("connection of the proxy ended: {error}");
     }
 }
 
-/// Passes the seeds on to the client whenever they change. Never completes.
-async fn follow_seeds(
+/// Forwards changed seeds to the pulling client. Never completes.
+async fn forward_seed_changes(
     settings: &ProcessSettings,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    control: &UnboundedSender<Control>,
+    client_control: &UnboundedSender<Control>,
 ) {
     while seeds.changed().await.is_ok() {
-        // The client ends only with the agent.
-        let _ = control.send(Control::Seeds(seed_members(settings, &mut seeds)));
+        // Sending can't fail before shutdown, as the client runs as long as the agent.
+        let _ = client_control.send(Control::Seeds(seed_member_addrs(settings, &mut seeds)));
     }
     std::future::pending::<()>().await;
 }
 
-/// Where the present seeds take the system's own messages.
-fn seed_members(
+/// Addresses for internal messages of the machines that are seeds now.
+fn seed_member_addrs(
     settings: &ProcessSettings,
     seeds: &mut watch::Receiver<Vec<SocketAddrV4>>,
 ) -> Vec<Addr> {
--- a/crates/agent/tests/member_to_proxy.rs
+++ b/crates/agent/tests/member_to_proxy.rs
@@ -1,4 +1,4 @@
-//! A fake member serves; the agent and the proxy's mirror behind it follow.
+//! Updates from fake members to the agent, and from there to a proxy's mirror.
 
 use configuration::{Configuration, ProcessSettings};
 use protocol::{Addr, HostRecord, MemberInfo, OriginUpdate, OriginVersion};
@@ -11,10 +11,10 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-const LONG: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A member's listener on a port whose next one is free for the agent.
-async fn listen(ip: &str) -> (TcpListener, u16) {
+/// A member's listener on a port whose successor is free for the agent.
+async fn listen_with_free_next_port(ip: &str) -> (TcpListener, u16) {
     loop {
         let listener = TcpListener::bind((ip, 0)).await.unwrap();
         let port = listener.local_addr().unwrap().port();
@@ -33,7 +33,7 @@
     ProcessSettings::read(&json.to_string()).unwrap()
 }
 
-fn document(version: u64) -> Arc<Configuration> {
+fn configuration(version: u64) -> Arc<Configuration> {
     let text = format!(
         r#"{{"version":{version},"routes":[{{"name":"a","hostname":"h","path_prefix":"/","route_class":"pure",
         "deadline_ms":{version}000,"service":"s"}}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
@@ -56,16 +56,16 @@
     }
 }
 
-fn origin_update(id: u64, seq: u64, hosts: Vec<HostRecord>) -> Update {
-    let mark = OriginVersion {
-        member_id: id,
+fn origin_update(member_id: u64, sequence: u64, hosts: Vec<HostRecord>) -> Update {
+    let version = OriginVersion {
+        member_id,
         incarnation: 1,
-        sequence: seq,
+        sequence,
     };
     Update {
         origins: vec![OriginUpdate {
-            version: mark,
-            complete: seq == 1,
+            version,
+            complete: sequence == 1,
             hosts,
             coordinators: vec![],
         }],
@@ -73,42 +73,46 @@
     }
 }
 
-async fn until(views: &mut watch::Receiver<Arc<Snapshot>>, what: impl Fn(&Snapshot) -> bool) {
-    timeout(LONG, views.wait_for(|v| what(v)))
+async fn wait_until(
+    snapshots: &mut watch::Receiver<Arc<Snapshot>>,
+    condition: impl Fn(&Snapshot) -> bool,
+) {
+    timeout(TEST_TIMEOUT, snapshots.wait_for(|state| condition(state)))
         .await
-        .expect("it comes")
+        .expect("the condition was not met in time")
         .unwrap();
 }
 
 struct FakeMember {
     shared: Arc<SharedMirror>,
-    callers: Arc<Mutex<Vec<(String, u64)>>>,
-    heard: Arc<tokio::sync::Notify>,
+    recorded_callers: Arc<Mutex<Vec<(String, u64)>>>,
+    caller_recorded: Arc<tokio::sync::Notify>,
 }
 
-fn member(id: u64, listener: TcpListener) -> FakeMember {
+fn start_fake_member(id: u64, listener: TcpListener) -> FakeMember {
     let shared = SharedMirror::new(Mirror::new(id, Duration::from_millis(1200)));
-    let callers: Arc<Mutex<Vec<(String, u64)>>> = Arc::default();
-    let heard = Arc::new(tokio::sync::Notify::new());
+    let recorded_callers: Arc<Mutex<Vec<(String, u64)>>> = Arc::default();
+    let caller_recorded = Arc::new(tokio::sync::Notify::new());
     let fake = FakeMember {
         shared: shared.clone(),
-        callers: callers.clone(),
-        heard: heard.clone(),
+        recorded_callers: recorded_callers.clone(),
+        caller_recorded: caller_recorded.clone(),
     };
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            let (callers, heard) = (callers.clone(), heard.clone());
+            let (recorded_callers, caller_recorded) =
+                (recorded_callers.clone(), caller_recorded.clone());
             tokio::spawn(replication::serve(
                 stream,
                 Vec::new(),
                 shared.clone(),
                 move |caller| {
-                    callers
+                    recorded_callers
                         .lock()
                         .unwrap()
                         .push((caller.name.clone(), caller.configuration_version));
-                    heard.notify_one();
+                    caller_recorded.notify_one();
                 },
             ));
         }
@@ -116,11 +120,11 @@
     fake
 }
 
-fn proxy(
+fn start_proxy_mirror(
     settings: &ProcessSettings,
 ) -> (Arc<SharedMirror>, mpsc::UnboundedSender<client::Control>) {
     let shared = SharedMirror::new(Mirror::new(0, Duration::from_millis(1200)).without_history());
-    let (control, told) = mpsc::unbounded_channel();
+    let (control, control_receiver) = mpsc::unbounded_channel();
     let mut puller = Puller::new(&settings.node_name, 1, None).seeds_only();
     puller.set_seeds(&[replication::agent_addr(settings)]);
     tokio::spawn(client::run(
@@ -128,75 +132,75 @@
         replication::non_member_info(settings),
         replication::subscriber(settings, 0),
         shared.clone(),
-        told,
+        control_receiver,
     ));
     (shared, control)
 }
 
-/// The agent with the seeds of its settings.
-fn agent<S: Future<Output = ()>>(
+/// Runs the agent with the seeds of its settings.
+fn run_agent<S: Future<Output = ()>>(
     settings: &ProcessSettings,
-    stop: S,
+    shutdown: S,
 ) -> impl Future<Output = Result<(), agent::Error>> {
     let (sender, seeds) = watch::channel(settings.seed_nodes.clone());
-    let running = agent::run(settings.clone(), seeds, stop);
+    let running = agent::run(settings.clone(), seeds, shutdown);
     async move {
-        let _kept = sender;
+        let _sender = sender;
         running.await
     }
 }
 
 #[tokio::test]
-async fn members_when_they_change_then_agent_and_proxy_follow() {
-    let (listener, port) = listen("127.0.0.2").await;
-    let first = member(11, listener);
-    let second = member(12, TcpListener::bind(("127.0.0.3", port)).await.unwrap());
+async fn agent_and_proxy_follow_changes_of_members() {
+    let (listener, port) = listen_with_free_next_port("127.0.0.2").await;
+    let first = start_fake_member(11, listener);
+    let second = start_fake_member(12, TcpListener::bind(("127.0.0.3", port)).await.unwrap());
     let settings = settings(port, &["127.0.0.2"]);
-    tokio::spawn(agent(&settings, std::future::pending()));
-    let (shared, control) = proxy(&settings);
-    let mut views = shared.subscribe();
+    tokio::spawn(run_agent(&settings, std::future::pending()));
+    let (shared, control) = start_proxy_mirror(&settings);
+    let mut snapshots = shared.subscribe();
 
-    first.shared.update(|m, now| {
-        m.record_primary_contact(now);
-        m.set_replicated_state(1, document(1), &[]);
-        m.apply(now, &origin_update(11, 1, vec![host("i-1", 1)]))
+    first.shared.update(|mirror, now| {
+        mirror.record_primary_contact(now);
+        mirror.set_replicated_state(1, configuration(1), &[]);
+        mirror.apply(now, &origin_update(11, 1, vec![host("i-1", 1)]))
     });
-    until(&mut views, |v| {
-        v.configuration.version == 1 && v.hosts.contains_key("i-1")
+    wait_until(&mut snapshots, |state| {
+        state.configuration.version == 1 && state.hosts.contains_key("i-1")
     })
     .await;
 
-    // A change, and a drain.
-    first.shared.update(|m, now| {
-        m.set_replicated_state(2, document(4), &["i-1".to_owned()]);
-        m.apply(now, &origin_update(11, 2, vec![host("i-2", 1)]))
+    // A new configuration version, and a drain of a host.
+    first.shared.update(|mirror, now| {
+        mirror.set_replicated_state(2, configuration(4), &["i-1".to_owned()]);
+        mirror.apply(now, &origin_update(11, 2, vec![host("i-2", 1)]))
     });
-    until(&mut views, |v| {
-        v.configuration.version == 4 && v.hosts.len() == 2 && v.hosts["i-1"].phase == 1
+    wait_until(&mut snapshots, |state| {
+        state.configuration.version == 4 && state.hosts.len() == 2 && state.hosts["i-1"].phase == 1
     })
     .await;
     assert_eq!(
-        views.borrow().configuration.routes[0].value.deadline_ms,
+        snapshots.borrow().configuration.routes[0].value.deadline_ms,
         4000.0
     );
 
-    // The proxy's version goes up through the agent.
+    // The agent reports the proxy's version to the member.
     control.send(client::Control::Version(4)).unwrap();
-    timeout(LONG, async {
+    timeout(TEST_TIMEOUT, async {
         while !first
-            .callers
+            .recorded_callers
             .lock()
             .unwrap()
             .contains(&("edge-1".into(), 4))
         {
-            first.heard.notified().await;
+            first.caller_recorded.notified().await;
         }
     })
     .await
-    .expect("the version goes up");
+    .expect("the proxy's version was not reported in time");
 
-    // A member that is learnt, not a seed, brings news too.
-    let seat = |id, ip: &str| {
+    // The agent also pulls from a member that is not a seed, once it has learnt its address.
+    let info = |id, ip: &str| {
         let addr = SocketAddrV4::new(ip.parse().unwrap(), port).into();
         MemberInfo {
             id,
@@ -205,52 +209,52 @@
             ..MemberInfo::default()
         }
     };
-    first.shared.update(|m, _| {
-        m.set_control_plane(1, 11, vec![seat(11, "127.0.0.2"), seat(12, "127.0.0.3")])
+    first.shared.update(|mirror, _| {
+        mirror.set_control_plane(1, 11, vec![info(11, "127.0.0.2"), info(12, "127.0.0.3")])
     });
     second
         .shared
-        .update(|m, now| m.apply(now, &origin_update(12, 1, vec![host("i-3", 1)])));
-    until(&mut views, |v| v.hosts.contains_key("i-3")).await;
+        .update(|mirror, now| mirror.apply(now, &origin_update(12, 1, vec![host("i-3", 1)])));
+    wait_until(&mut snapshots, |state| state.hosts.contains_key("i-3")).await;
 }
 
-/// The seeds change from one member to another, which alone has the second version. (`fennelpin-cli`'s tests have
-/// them change in the settings file.)
+/// The seeds change from one member to another, and only the latter has the second version. Changes of seeds in the
+/// settings file are tested in `fennelpin-cli`.
 #[tokio::test]
-async fn seeds_when_they_change_then_new_ones_are_pulled_from() {
-    let (listener, port) = listen("127.0.0.4").await;
-    let first = member(11, listener);
-    let second = member(12, TcpListener::bind(("127.0.0.5", port)).await.unwrap());
+async fn agent_pulls_from_new_seeds() {
+    let (listener, port) = listen_with_free_next_port("127.0.0.4").await;
+    let first = start_fake_member(11, listener);
+    let second = start_fake_member(12, TcpListener::bind(("127.0.0.5", port)).await.unwrap());
     first
         .shared
-        .update(|m, _| m.set_replicated_state(1, document(1), &[]));
+        .update(|mirror, _| mirror.set_replicated_state(1, configuration(1), &[]));
     second
         .shared
-        .update(|m, _| m.set_replicated_state(2, document(2), &[]));
+        .update(|mirror, _| mirror.set_replicated_state(2, configuration(2), &[]));
     let settings = settings(port, &["127.0.0.4"]);
     let (sender, seeds) = watch::channel(settings.seed_nodes.clone());
     tokio::spawn(agent::run(settings.clone(), seeds, std::future::pending()));
-    let (shared, _control) = proxy(&settings);
-    let mut views = shared.subscribe();
-    until(&mut views, |v| v.configuration.version == 1).await;
+    let (shared, _control) = start_proxy_mirror(&settings);
+    let mut snapshots = shared.subscribe();
+    wait_until(&mut snapshots, |state| state.configuration.version == 1).await;
     sender.send(vec!["127.0.0.5:9".parse().unwrap()]).unwrap();
-    until(&mut views, |v| v.configuration.version == 2).await;
+    wait_until(&mut snapshots, |state| state.configuration.version == 2).await;
 }
 
 #[tokio::test]
-async fn shutdown_then_agent_ends() {
-    let (_listener, port) = listen("127.0.0.6").await;
-    agent(&settings(port, &["127.0.0.6"]), std::future::ready(()))
+async fn agent_ends_on_shutdown() {
+    let (_listener, port) = listen_with_free_next_port("127.0.0.6").await;
+    run_agent(&settings(port, &["127.0.0.6"]), std::future::ready(()))
         .await
         .unwrap();
 }
 
 #[tokio::test]
-async fn start_when_address_is_in_use_then_fails() {
-    let (_listener, port) = listen("127.0.0.7").await;
-    let _taken = TcpListener::bind(("127.0.0.9", port + 1)).await.unwrap();
-    let ended = agent(&settings(port, &["127.0.0.7"]), std::future::pending()).await;
-    assert!(ended
+async fn start_fails_if_address_stays_in_use() {
+    let (_listener, port) = listen_with_free_next_port("127.0.0.7").await;
+    let _other_listener = TcpListener::bind(("127.0.0.9", port + 1)).await.unwrap();
+    let result = run_agent(&settings(port, &["127.0.0.7"]), std::future::pending()).await;
+    assert!(result
         .unwrap_err()
         .to_string()
         .contains(&format!("127.0.0.9:{}", port + 1)));
--- a/crates/agent/tests/unconfirmed_start.rs
+++ b/crates/agent/tests/unconfirmed_start.rs
@@ -1,4 +1,5 @@
-//! An agent that starts while a member is cut off, on simulated time: what it shows its proxy, and when.
+//! An agent starts while a member has lost contact with the primary, in simulated time. The tests check which
+//! configuration versions the agent shows its proxy, and when.
 
 use configuration::{Configuration, ProcessSettings};
 use protocol::{Addr, MemberInfo, Subscriber};
@@ -10,8 +11,8 @@
 
 const PORT: u16 = 7660;
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
 fn settings() -> ProcessSettings {
@@ -23,7 +24,7 @@
     ProcessSettings::read(&json.to_string()).unwrap()
 }
 
-fn document(version: u64) -> Arc<Configuration> {
+fn configuration(version: u64) -> Arc<Configuration> {
     let text = format!(
         r#"{{"version":{version},"routes":[{{"name":"a","hostname":"h","path_prefix":"/","route_class":"pure",
         "deadline_ms":1000,"service":"s"}}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
@@ -31,75 +32,80 @@
     Arc::new(Configuration::read(text.as_bytes(), 0).unwrap())
 }
 
-/// What becomes of a member's connections.
+/// How a member reacts to connections.
 #[derive(Clone, Copy, PartialEq)]
-enum State {
-    /// It answers with this version, and how old it may be.
+enum MemberState {
+    /// The member responds with this version and the time since its last contact with a primary, in ms. `u32::MAX`
+    /// means that it has had no contact since it was started.
     Serves { version: u64, age_ms: u32 },
-    /// Nobody listens.
+    /// The member refuses connections.
     Refuses,
-    /// Nothing comes back.
+    /// The member never responds.
     Silent,
 }
 
-const CUT_OFF: State = State::Serves {
+/// A member that was restarted with an old version and has had no contact with a primary since.
+const OLD_AGE_UNKNOWN: MemberState = MemberState::Serves {
     version: 5,
     age_ms: u32::MAX,
 };
-const LONG_CUT_OFF: State = State::Serves {
+/// A member that has lost contact with the primary for 18 s.
+const OLD_AGE_18_S: MemberState = MemberState::Serves {
     version: 5,
     age_ms: 18_000,
 };
-const NEWER: State = State::Serves {
+/// A member that was restarted with the newest version and has had no contact with a primary since.
+const NEW_AGE_UNKNOWN: MemberState = MemberState::Serves {
     version: 9,
     age_ms: u32::MAX,
 };
-const WELL: State = State::Serves {
+/// A member in contact with the primary.
+const NEW_AGE_3_MS: MemberState = MemberState::Serves {
     version: 9,
     age_ms: 3,
 };
-const GONE: State = State::Refuses;
-const SILENT: State = State::Silent;
+const REFUSING: MemberState = MemberState::Refuses;
+const SILENT: MemberState = MemberState::Silent;
 
-/// From this time on members are in their second state, in ms.
-const SECOND_STATE_FROM: u64 = 300;
+/// Time from which on members are in their second state, in ms.
+const SECOND_STATES_FROM_MS: u64 = 300;
 
-/// How long each message takes, in ms.
-const LATENCY: u64 = 2;
+/// Latency of each message, in ms.
+const LATENCY_MS: u64 = 2;
 
-/// What comes of a link.
+/// An event at the agent's end of a link.
 struct Arrival {
-    at: u64,
+    at_ms: u64,
     link: u64,
-    /// Whether it is the connection; else an answer.
+    /// Whether the connection is established, else a response arrives.
     is_connection: bool,
 }
 
-/// A starting agent and three members, on simulated time.
-struct Bench {
-    now: u64,
+/// A starting agent and three members in simulated time.
+struct SimulatedStart {
+    now_ms: u64,
     puller: Puller,
     mirror: Mirror,
     members: Vec<MemberInfo>,
-    states: [[State; 3]; 2],
-    /// Member that each link leads to.
+    states: [[MemberState; 3]; 2],
+    /// Index of the member that each link leads to.
     links: BTreeMap<u64, usize>,
     arrivals: Vec<Arrival>,
 }
 
-impl Bench {
-    fn new(first: [State; 3], then: [State; 3]) -> Self {
+impl SimulatedStart {
+    fn new(first: [MemberState; 3], then: [MemberState; 3]) -> Self {
         let settings = settings();
-        let member = |n: u64| MemberInfo {
-            id: n,
+        let member = |id: u64| MemberInfo {
+            id,
             addr: Addr {
-                ip: 0x0a00_0000 + n as u32,
+                ip: 0x0a00_0000 + id as u32,
                 port: PORT,
             },
             ..MemberInfo::default()
         };
         Self {
-            now: 0,
+            now_ms: 0,
             puller: agent::puller(&settings),
             mirror: agent::mirror(&settings),
             members: (1..=3).map(member).collect(),
@@ -109,43 +115,43 @@
         }
     }
 
-    fn state(&self, n: usize) -> State {
-        self.states[usize::from(self.now >= SECOND_STATE_FROM)][n]
+    fn state(&self, member_index: usize) -> MemberState {
+        self.states[usize::from(self.now_ms >= SECOND_STATES_FROM_MS)][member_index]
     }
 
-    /// One millisecond.
+    /// Simulates one millisecond.
     fn step(&mut self) {
-        let now = ms(self.now);
+        let now = ms(self.now_ms);
         let mut actions = self.puller.tick(now);
         let due: Vec<_> = self
             .arrivals
-            .extract_if(.., |arrival| arrival.at <= self.now)
+            .extract_if(.., |arrival| arrival.at_ms <= self.now_ms)
             .collect();
         for arrival in due {
-            actions.extend(self.arrive(&arrival));
+            actions.extend(self.handle_arrival(&arrival));
         }
         if self.puller.all_members_stale() {
             self.mirror.show_unconfirmed();
         }
         self.mirror.tick(now);
         for action in actions {
-            self.act(&action);
+            self.perform(&action);
         }
-        self.now += 1;
+        self.now_ms += 1;
     }
 
-    fn arrive(&mut self, arrival: &Arrival) -> Vec<Action> {
-        let (now, link) = (ms(self.now), arrival.link);
-        let Some(n) = self.links.get(&link).copied() else {
+    fn handle_arrival(&mut self, arrival: &Arrival) -> Vec<Action> {
+        let (now, link) = (ms(self.now_ms), arrival.link);
+        let Some(member_index) = self.links.get(&link).copied() else {
             return Vec::new();
         };
-        match self.state(n) {
-            State::Refuses => self.puller.failed(now, link),
-            State::Silent => Vec::new(),
-            State::Serves { .. } if arrival.is_connection => self.puller.connected(now, link),
-            State::Serves { version, age_ms } => {
-                let mut member = Mirror::new(self.members[n].id, ms(1200));
-                member.set_replicated_state(version, document(version), &[]);
+        match self.state(member_index) {
+            MemberState::Refuses => self.puller.failed(now, link),
+            MemberState::Silent => Vec::new(),
+            MemberState::Serves { .. } if arrival.is_connection => self.puller.connected(now, link),
+            MemberState::Serves { version, age_ms } => {
+                let mut member = Mirror::new(self.members[member_index].id, ms(1200));
+                member.set_replicated_state(version, configuration(version), &[]);
                 member.set_control_plane(1, 1, self.members.clone());
                 let pull = self.mirror.pull(&Subscriber::default(), 0);
                 let update = member
@@ -153,98 +159,114 @@
                     .unwrap_or_else(|| member.empty_update(now));
                 let update = replication::Update { age_ms, ..update };
                 let applied = self.mirror.apply(now, &update);
-                let member_id = self.members[n].id;
+                let member_id = self.members[member_index].id;
                 self.puller.answered(now, link, member_id, age_ms, applied)
             }
         }
     }
 
-    fn act(&mut self, action: &Action) {
+    fn perform(&mut self, action: &Action) {
         match *action {
             Action::Connect { link, addr } => {
-                let member = self.members.iter().position(|m| m.addr == addr).unwrap();
-                self.links.insert(link, member);
-                self.expect(link, LATENCY, true);
+                let member_index = self
+                    .members
+                    .iter()
+                    .position(|member| member.addr == addr)
+                    .unwrap();
+                self.links.insert(link, member_index);
+                self.schedule_arrival(link, LATENCY_MS, true);
             }
             Action::Pull { link, wait_ms } => {
                 let pull = self.mirror.pull(&Subscriber::default(), wait_ms);
                 let has_update = match self.state(self.links[&link]) {
-                    State::Serves { version, .. } => version > pull.index,
-                    State::Refuses | State::Silent => false,
+                    MemberState::Serves { version, .. } => version > pull.index,
+                    MemberState::Refuses | MemberState::Silent => false,
                 };
-                let wait = if has_update { 0 } else { pull.wait_ms.into() };
-                self.expect(link, LATENCY + wait, false);
+                let response_delay_ms = if has_update { 0 } else { pull.wait_ms.into() };
+                self.schedule_arrival(link, LATENCY_MS + response_delay_ms, false);
             }
             Action::Close { link } => drop(self.links.remove(&link)),
         }
     }
 
-    fn expect(&mut self, link: u64, after: u64, is_connection: bool) {
+    fn schedule_arrival(&mut self, link: u64, delay_ms: u64, is_connection: bool) {
         self.arrivals.push(Arrival {
-            at: self.now + after,
+            at_ms: self.now_ms + delay_ms,
             link,
             is_connection,
         });
     }
 }
 
-/// Versions that a starting agent shows, each with the time of its coming, in ms. The second states hold from
-/// [`SECOND_STATE_FROM`] on.
-fn shown(first: [State; 3], then: [State; 3]) -> Vec<(u64, u64)> {
-    let mut bench = Bench::new(first, then);
+/// Simulates a start for 4 s. Returns the versions that the agent shows, each with the time from which on it is shown,
+/// in ms. The members change to their states in `then` at [`SECOND_STATES_FROM_MS`].
+fn shown_versions(first: [MemberState; 3], then: [MemberState; 3]) -> Vec<(u64, u64)> {
+    let mut simulation = SimulatedStart::new(first, then);
     let mut versions: Vec<(u64, u64)> = Vec::new();
-    while bench.now < 4000 {
-        let now = bench.now;
-        bench.step();
-        let version = bench.mirror.snapshot().configuration.version;
+    while simulation.now_ms < 4000 {
+        let now_ms = simulation.now_ms;
+        simulation.step();
+        let version = simulation.mirror.snapshot().configuration.version;
         if versions.last().map_or(0, |last| last.0) != version {
-            versions.push((version, now));
+            versions.push((version, now_ms));
         }
     }
     versions
 }
 
 #[rstest]
-#[case::the_others_answer_at_once([CUT_OFF, WELL, WELL], [CUT_OFF, WELL, WELL], &[9])]
-#[case::cut_off_without_a_restart([LONG_CUT_OFF, WELL, WELL], [LONG_CUT_OFF, WELL, WELL], &[9])]
-#[case::the_others_come_a_little_later([CUT_OFF, GONE, GONE], [CUT_OFF, GONE, WELL], &[9])]
-#[case::two_are_cut_off([CUT_OFF, LONG_CUT_OFF, GONE], [CUT_OFF, LONG_CUT_OFF, WELL], &[9])]
-#[case::all_were_restarted([CUT_OFF, NEWER, NEWER], [CUT_OFF, NEWER, WELL], &[9])]
-#[case::nobody_else_is_reached([CUT_OFF, SILENT, SILENT], [CUT_OFF, SILENT, SILENT], &[5])]
-#[case::no_member_has_a_primary([NEWER, CUT_OFF, CUT_OFF], [NEWER, CUT_OFF, CUT_OFF], &[9])]
-fn start_whatever_member_answers_first_then_shows_these_versions(
-    #[case] first: [State; 3],
-    #[case] then: [State; 3],
+#[case::others_respond_at_once([OLD_AGE_UNKNOWN, NEW_AGE_3_MS, NEW_AGE_3_MS], [OLD_AGE_UNKNOWN, NEW_AGE_3_MS, NEW_AGE_3_MS], &[9])]
+#[case::no_contact_for_18_s([OLD_AGE_18_S, NEW_AGE_3_MS, NEW_AGE_3_MS], [OLD_AGE_18_S, NEW_AGE_3_MS, NEW_AGE_3_MS], &[9])]
+#[case::another_member_responds_later([OLD_AGE_UNKNOWN, REFUSING, REFUSING], [OLD_AGE_UNKNOWN, REFUSING, NEW_AGE_3_MS], &[9])]
+#[case::two_without_contact([OLD_AGE_UNKNOWN, OLD_AGE_18_S, REFUSING], [OLD_AGE_UNKNOWN, OLD_AGE_18_S, NEW_AGE_3_MS], &[9])]
+#[case::all_restarted([OLD_AGE_UNKNOWN, NEW_AGE_UNKNOWN, NEW_AGE_UNKNOWN], [OLD_AGE_UNKNOWN, NEW_AGE_UNKNOWN, NEW_AGE_3_MS], &[9])]
+#[case::no_other_member_is_reachable([OLD_AGE_UNKNOWN, SILENT, SILENT], [OLD_AGE_UNKNOWN, SILENT, SILENT], &[5])]
+#[case::no_member_has_a_primary([NEW_AGE_UNKNOWN, OLD_AGE_UNKNOWN, OLD_AGE_UNKNOWN], [NEW_AGE_UNKNOWN, OLD_AGE_UNKNOWN, OLD_AGE_UNKNOWN], &[9])]
+fn starting_agent_shows_expected_versions_whichever_member_responds_first(
+    #[case] first: [MemberState; 3],
+    #[case] then: [MemberState; 3],
     #[case] versions: &[u64],
 ) {
-    for turn in 0..3 {
+    for rotation in 0..3 {
         let (mut first, mut then) = (first, then);
-        first.rotate_left(turn);
-        then.rotate_left(turn);
-        let shown = shown(first, then);
+        first.rotate_left(rotation);
+        then.rotate_left(rotation);
+        let shown = shown_versions(first, then);
         assert_eq!(
-            shown.iter().map(|s| s.0).collect::<Vec<_>>(),
+            shown.iter().map(|entry| entry.0).collect::<Vec<_>>(),
             versions,
             "{shown:?}"
         );
-        let late = CONFIRMATION_TIMEOUT.as_millis() as u64 + 10;
-        assert!(shown[0].1 <= late, "service waits no longer: {shown:?}");
+        let latest_ms = CONFIRMATION_TIMEOUT.as_millis() as u64 + 10;
+        assert!(
+            shown[0].1 <= latest_ms,
+            "the configuration was withheld too long: {shown:?}"
+        );
     }
 }
 
 #[test]
-fn start_when_a_fresh_member_knows_nothing_newer_then_it_confirms_at_once() {
-    let shown = shown([NEWER, WELL, SILENT], [NEWER, WELL, SILENT]);
+fn up_to_date_member_without_newer_version_confirms_at_once() {
+    let shown = shown_versions(
+        [NEW_AGE_UNKNOWN, NEW_AGE_3_MS, SILENT],
+        [NEW_AGE_UNKNOWN, NEW_AGE_3_MS, SILENT],
+    );
     assert_eq!(shown.len(), 1);
-    assert!(shown[0].1 < 70, "it doesn't wait for news: {shown:?}");
+    assert!(
+        shown[0].1 < 70,
+        "the agent waited for a newer version: {shown:?}"
+    );
 }
 
 #[test]
-fn start_when_all_members_are_stale_then_shows_the_newest_at_once() {
-    let shown = shown([NEWER, NEWER, CUT_OFF], [NEWER, NEWER, CUT_OFF]);
+fn newest_version_is_shown_at_once_if_all_members_are_stale() {
+    let shown = shown_versions(
+        [NEW_AGE_UNKNOWN, NEW_AGE_UNKNOWN, OLD_AGE_UNKNOWN],
+        [NEW_AGE_UNKNOWN, NEW_AGE_UNKNOWN, OLD_AGE_UNKNOWN],
+    );
     assert_eq!(shown.len(), 1);
     assert!(
         shown[0].1 < 20,
-        "all have answered that they know no better: {shown:?}"
+        "the agent waited although all members had responded as stale: {shown:?}"
     );
 }
