--- a/crates/agent/tests/member_to_proxy.rs
+++ b/crates/agent/tests/member_to_proxy.rs
@@ -56,16 +56,16 @@
     }
 }
 
-fn origin_update(member_id: u64, sequence: u64, hosts: Vec<HostRecord>) -> Update {
-    let version = OriginVersion {
-        member_id,
+fn origin_update(id: u64, sequence_number: u64, hosts: Vec<HostRecord>) -> Update {
+    let origin_version = OriginVersion {
+        member_id: id,
         incarnation: 1,
-        sequence,
+        sequence: sequence_number,
     };
     Update {
         origins: vec![OriginUpdate {
-            version,
-            complete: sequence == 1,
+            version: origin_version,
+            complete: sequence_number == 1,
             hosts,
             coordinators: vec![],
         }],
--- a/crates/agent/tests/unconfirmed_start.rs
+++ b/crates/agent/tests/unconfirmed_start.rs
@@ -96,10 +96,10 @@
 impl SimulatedStart {
     fn new(first: [MemberState; 3], then: [MemberState; 3]) -> Self {
         let settings = settings();
-        let member = |id: u64| MemberInfo {
-            id,
+        let member = |member_id: u64| MemberInfo {
+            id: member_id,
             addr: Addr {
-                ip: 0x0a00_0000 + id as u32,
+                ip: 0x0a00_0000 + member_id as u32,
                 port: PORT,
             },
             ..MemberInfo::default()
