--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -154,7 +154,9 @@
 ) {
     while seeds.changed().await.is_ok() {
         // Sending can't fail before shutdown, as the client runs as long as the agent.
-        let _ = client_control.send(ClientCommand::SetSeeds(seed_member_addrs(settings, &mut seeds)));
+        let _ = client_control.send(ClientCommand::SetSeeds(seed_member_addrs(
+            settings, &mut seeds,
+        )));
     }
     std::future::pending::<()>().await;
 }
--- a/crates/agent/tests/member_to_proxy.rs
+++ b/crates/agent/tests/member_to_proxy.rs
@@ -188,7 +188,9 @@
     );
 
     // The agent reports the proxy's version to the member.
-    control.send(client::ClientCommand::SetConfigurationVersion(4)).unwrap();
+    control
+        .send(client::ClientCommand::SetConfigurationVersion(4))
+        .unwrap();
     timeout(TEST_TIMEOUT, async {
         while !first
             .recorded_callers
