--- a/crates/control-plane/tests/candidate.rs
+++ b/crates/control-plane/tests/candidate.rs
@@ -1,4 +1,4 @@
-//! A candidate alone, told what it would hear from the others.
+//! A single candidate; the test supplies the messages of the other members.
 
 mod support;
 
@@ -8,9 +8,10 @@
 use std::time::Duration;
 use support::{budget, member_config};
 
-const VIEW_EPOCH: u64 = 2 << 20 | 2;
+/// Epoch of the membership configuration that the other members know.
+const MEMBERSHIP_EPOCH: u64 = 2 << 20 | 2;
 
-fn member(id: u64) -> MemberInfo {
+fn member_info(id: u64) -> MemberInfo {
     let addr = Addr {
         ip: id as u32,
         port: 7,
@@ -25,7 +26,7 @@
     }
 }
 
-/// Member 1, its clock, and what it sent last.
+/// Member 1, its clock and all messages that it sent, with their receivers.
 struct Candidate {
     member: Member,
     now: Duration,
@@ -51,51 +52,52 @@
         }
     }
 
-    fn hear(&mut self, from: u64, message: Message) {
+    fn receive(&mut self, from: u64, message: Message) {
         self.input(Input::Message {
-            from: member(from),
+            from: member_info(from),
             message,
         });
     }
 
-    fn prepared(&self) -> Option<u64> {
+    fn prepared_epoch(&self) -> Option<u64> {
         self.sent.iter().find_map(|s| match s.1 {
             Message::Prepare { epoch, .. } => Some(epoch),
             _ => None,
         })
     }
 
-    fn promise_of(&mut self, from: u64, epoch: u64) {
-        let voters: Vec<MemberInfo> = (1..=3).map(member).collect();
-        let view = MembershipConfig {
-            epoch: VIEW_EPOCH,
+    fn receive_promise(&mut self, from: u64, epoch: u64) {
+        let voters: Vec<MemberInfo> = (1..=3).map(member_info).collect();
+        let membership = MembershipConfig {
+            epoch: MEMBERSHIP_EPOCH,
             primary: 2,
             replicas: vec![2, 1, 3],
             previous_voters: voters.clone(),
             voters,
         };
-        let tag = Some(LogPosition {
-            epoch: VIEW_EPOCH,
+        let log_position = Some(LogPosition {
+            epoch: MEMBERSHIP_EPOCH,
             index: 0,
         });
         let promise = Message::Promise {
             epoch,
             granted: true,
             promised_epoch: epoch,
-            membership: Some(view),
-            log_position: tag,
+            membership: Some(membership),
+            log_position,
             retry_after_ms: 0,
         };
-        self.hear(from, promise);
+        self.receive(from, promise);
     }
 }
 
-/// It holds no ledger, and needs all three for the replicas: the third promise comes while it fetches the ledger.
+/// A candidate without the state needs the promises of all three members. The third promise arrives while the candidate
+/// fetches a snapshot from the second member, and must not be lost.
 #[test]
-fn promise_when_it_arrives_during_the_fetch_then_it_counts() {
+fn promise_received_during_snapshot_fetch_is_counted() {
     let config = member_config(
-        member(1),
-        Some((1..=3).map(member).collect()),
+        member_info(1),
+        Some((1..=3).map(member_info).collect()),
         budget(2, 0, 0),
     );
     let now = Duration::from_secs(1);
@@ -106,7 +108,7 @@
     };
     candidate.now += Duration::from_secs(2);
     candidate.input(Input::Tick);
-    candidate.hear(
+    candidate.receive(
         2,
         Message::PreVoteReply {
             granted: true,
@@ -114,8 +116,10 @@
             retry_after_ms: 0,
         },
     );
-    let epoch = candidate.prepared().expect("it asks for promises");
-    candidate.promise_of(2, epoch);
+    let epoch = candidate
+        .prepared_epoch()
+        .expect("the candidate asks for promises");
+    candidate.receive_promise(2, epoch);
     assert!(
         candidate
             .sent
@@ -123,24 +127,28 @@
         "{:?}",
         candidate.sent
     );
-    candidate.promise_of(3, epoch);
-    let tag = LogPosition {
-        epoch: VIEW_EPOCH,
+    candidate.receive_promise(3, epoch);
+    let log_position = LogPosition {
+        epoch: MEMBERSHIP_EPOCH,
         index: 0,
     };
-    candidate.hear(
+    candidate.receive(
         2,
         Message::SnapshotReply {
             epoch,
-            log_position: tag,
+            log_position,
             snapshot: ReplicatedState::default().snapshot(),
         },
     );
-    let told = |id| {
+    let has_installed_membership = |id| {
         candidate
             .sent
             .iter()
             .any(|s| s.0 == id && matches!(s.1, Message::InstallMembership { .. }))
     };
-    assert!(told(2) && told(3), "{:?}", candidate.sent);
+    assert!(
+        has_installed_membership(2) && has_installed_membership(3),
+        "{:?}",
+        candidate.sent
+    );
 }
--- a/crates/control-plane/tests/control_requests.rs
+++ b/crates/control-plane/tests/control_requests.rs
@@ -1,4 +1,4 @@
-//! What the control API takes: method, path and headers, decoded into a request.
+//! Decoding of control API requests from method, path, header and body.
 
 use bytes::Bytes;
 use configuration::ResultCode;
@@ -43,14 +43,14 @@
 #[case::zero(Some("0"), Ok(0))]
 #[case::missing(None, Err(ResultCode::NoBase))]
 #[case::word(Some("x"), Err(ResultCode::NoBase))]
-#[case::below_zero(Some("-1"), Err(ResultCode::NoBase))]
+#[case::negative(Some("-1"), Err(ResultCode::NoBase))]
 #[case::largest(Some("18446744073709551615"), Ok(u64::MAX))]
-#[case::beyond_the_largest(Some("18446744073709551616"), Err(ResultCode::NoBase))]
+#[case::above_the_largest(Some("18446744073709551616"), Err(ResultCode::NoBase))]
 #[case::signed(Some("+7"), Err(ResultCode::NoBase))]
 #[case::blank(Some("  "), Err(ResultCode::NoBase))]
 #[case::fraction(Some("7.0"), Err(ResultCode::NoBase))]
 #[case::list(Some("7, 7"), Err(ResultCode::NoBase))]
-fn base_version_when_decoded_is_one_plain_number(
+fn base_version_header_must_be_one_unsigned_decimal_number(
     #[case] text: Option<&str>,
     #[case] base: Result<u64, ResultCode>,
 ) {
@@ -68,7 +68,7 @@
 #[case("/fennelpin/Hosts.Depart/", b"", Err(ResultCode::Unreadable))]
 #[case("/fennelpin/Hosts.Heartbeat/i-1", b"{", Err(ResultCode::Unreadable))]
 #[case("/fennelpin/Hosts.Other/i-1", b"{}", Err(ResultCode::NoSuchCall))]
-fn host_request_when_decoded_names_its_host(
+fn host_request_is_decoded_with_its_host(
     #[case] path: &str,
     #[case] body: &'static [u8],
     #[case] request: Result<HostRequest, ResultCode>,
@@ -100,31 +100,32 @@
     let path = format!("/fennelpin/{operation}");
     let decoded = Endpoint::decode(&method, &path);
     assert_eq!(decoded, Ok(Endpoint::Coordination(endpoint)));
-    let other = if method == Method::GET {
+    let wrong_method = if method == Method::GET {
         Method::POST
     } else {
         Method::GET
     };
     assert_eq!(
-        Endpoint::decode(&other, &path),
+        Endpoint::decode(&wrong_method, &path),
         Err(ResultCode::OtherMethod)
     );
 }
 
 #[rstest]
 #[case::no_name("Locks.Begin/")]
-#[case::no_name_at_all("numbers")]
+#[case::no_name_and_no_slash("numbers")]
 #[case::two_parts("Cells.Read/g1/a")]
 #[case::group_without_dot("watch/g1")]
 #[case::dot_before_the_end("watch/g1.a.")]
-fn coordination_endpoint_with_a_name_that_cannot_be_one_is_rejected(#[case] operation: &str) {
+fn coordination_endpoint_with_an_invalid_name_is_rejected(#[case] operation: &str) {
     let path = format!("/fennelpin/{operation}");
     for method in [Method::GET, Method::POST] {
         assert_eq!(Endpoint::decode(&method, &path), Err(ResultCode::BadValue));
     }
 }
 
-fn watch(query: &str) -> Result<ControlRequest, ResultCode> {
+/// Decodes a watch of the group `g.` with this query.
+fn decode_watch(query: &str) -> Result<ControlRequest, ResultCode> {
     let path = format!("/fennelpin/watch/g.{query}");
     Endpoint::decode(&Method::GET, &path)?.into_request(None, Bytes::new(), 0)
 }
@@ -133,8 +134,8 @@
 #[case::both("?after=7&wait_ms=2000", 7, 2000)]
 #[case::other_order("?wait_ms=1.5&after=7", 7, 1)]
 #[case::no_wait("?after=0", 0, 0)]
-#[case::longest("?after=1&wait_ms=99999999", 1, 30_000)]
-fn watch_when_decoded_has_its_revision_and_its_wait(
+#[case::above_the_largest_wait("?after=1&wait_ms=99999999", 1, 30_000)]
+fn watch_is_decoded_with_its_revision_and_wait(
     #[case] query: &str,
     #[case] after: u64,
     #[case] wait_ms: u32,
@@ -145,24 +146,24 @@
         after,
         wait_ms,
     };
-    assert_eq!(watch(query), Ok(ControlRequest::Coordinate(request)));
+    assert_eq!(decode_watch(query), Ok(ControlRequest::Coordinate(request)));
 }
 
 #[rstest]
 #[case::no_revision("?wait_ms=10")]
 #[case::no_query("")]
 #[case::word("?after=x")]
-#[case::below_zero("?after=1&wait_ms=-1")]
+#[case::negative("?after=1&wait_ms=-1")]
 #[case::not_a_number("?after=1&wait_ms=NaN")]
 fn watch_without_a_revision_or_with_an_invalid_wait_is_rejected(#[case] query: &str) {
-    assert_eq!(watch(query), Err(ResultCode::BadValue));
+    assert_eq!(decode_watch(query), Err(ResultCode::BadValue));
 }
 
 #[rstest]
 #[case::zero("0")]
-#[case::below_zero("-5")]
+#[case::negative("-5")]
 #[case::too_long("600001")]
-fn lock_for_an_impossible_time_is_rejected(#[case] hold_ms: &str) {
+fn lock_with_an_invalid_hold_time_is_rejected(#[case] hold_ms: &str) {
     let endpoint = Endpoint::decode(&Method::POST, "/fennelpin/Locks.Begin/l").unwrap();
     let body = Bytes::from(format!(r#"{{"holder":"a","hold_ms":{hold_ms}}}"#));
     assert_eq!(
--- a/crates/control-plane/tests/http_client/mod.rs
+++ b/crates/control-plane/tests/http_client/mod.rs
@@ -1,4 +1,4 @@
-//! A client of the control API for tests: one request a connection, or bytes as they are.
+//! An HTTP client of the control API for tests, with one request per connection.
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
 use std::future::Future;
@@ -7,10 +7,10 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
-/// A response.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Answer {
-    /// The HTTP status.
+    /// The status code.
     pub status: u16,
     /// The body.
     pub body: String,
@@ -25,15 +25,18 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// What comes until the connection ends.
+/// Reads a connection until its end.
 pub async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut text = String::new();
-    // A reset after the answer is as good as an end.
+    // A connection reset after the response is as good as its end.
     let _ = stream.read_to_string(&mut text).await;
     text
 }
 
 /// Sends one request and reads its response.
+///
+/// # Errors
+/// Returns an error if the connection fails or the response can't be parsed.
 pub async fn call(
     to: SocketAddrV4,
     method: &str,
@@ -52,13 +55,13 @@
     );
     stream.write_all(head.as_bytes()).await?;
     stream.write_all(body.as_bytes()).await?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await?;
-    parse(&answer).ok_or(std::io::ErrorKind::UnexpectedEof.into())
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await?;
+    parse_response(&response).ok_or(std::io::ErrorKind::UnexpectedEof.into())
 }
 
-fn parse(answer: &str) -> Option<Answer> {
-    let (head, body) = answer.split_once("\r\n\r\n")?;
+fn parse_response(response: &str) -> Option<Answer> {
+    let (head, body) = response.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     Some(Answer {
         status,
@@ -66,7 +69,7 @@
     })
 }
 
-/// Sends a request again and again until its response is accepted.
+/// Repeats a request until `is_accepted` accepts its response.
 pub async fn call_until(
     to: SocketAddrV4,
     method: &str,
--- a/crates/control-plane/tests/peer_connections.rs
+++ b/crates/control-plane/tests/peer_connections.rs
@@ -1,4 +1,4 @@
-//! Connections between members over real sockets; waits are on tokio's paused clock.
+//! Connections between members over real sockets. Timeouts run on tokio's paused clock.
 
 mod http_client;
 
@@ -30,18 +30,22 @@
     listener.local_addr().unwrap().to_string().parse().unwrap()
 }
 
+/// Returns the connections of member 1, and the events that they report.
 fn peer_connections() -> (PeerConnections, EventLog) {
     let log = EventLog::default();
     let events = log.clone();
-    let me = member_info(1, "127.0.0.99:9".parse().unwrap());
+    let local_member = member_info(1, "127.0.0.99:9".parse().unwrap());
     (
-        PeerConnections::new(me, move |event| events.borrow_mut().push(event)),
+        PeerConnections::new(local_member, move |event| events.borrow_mut().push(event)),
         log,
     )
 }
 
-/// Takes the dialler's connection and says who is there.
-async fn accept_and_greet(listener: &TcpListener, who: &MemberInfo) -> FrameReader<TcpStream> {
+/// Accepts a connection of member 1, reads its hello and replies with that of `sender`.
+async fn accept_and_send_hello(
+    listener: &TcpListener,
+    sender: &MemberInfo,
+) -> FrameReader<TcpStream> {
     let (stream, _) = listener.accept().await.unwrap();
     let mut frames = FrameReader::new(stream, Vec::new());
     assert!(
@@ -50,7 +54,7 @@
     let (mut stream, rest) = frames.into_parts();
     stream
         .write_all(&protocol::encode(&Message::Hello {
-            sender: who.clone(),
+            sender: sender.clone(),
         }))
         .await
         .unwrap();
@@ -71,10 +75,10 @@
 fn peer_when_silent_is_probed_disconnected_and_dialled_again() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = member_info(2, addr_of(&listener));
+        let peer = member_info(2, addr_of(&listener));
         let (peers, _) = peer_connections();
         peers.set_seeds(&[addr_of(&listener)]);
-        let mut frames = accept_and_greet(&listener, &other).await;
+        let mut frames = accept_and_send_hello(&listener, &peer).await;
         wait_until(|| peers.counters().connected == 1).await;
         assert!(matches!(
             frames.next().await.unwrap(),
@@ -82,7 +86,7 @@
         ));
         tokio::time::pause();
         let start = Instant::now();
-        // The probe goes unanswered.
+        // The peer leaves the probe unanswered.
         let probe = frames.next().await.unwrap();
         assert!(
             matches!(probe, Some(Message::Peers { ref members }) if members.is_empty()),
@@ -93,16 +97,23 @@
             "{:?}",
             start.elapsed()
         );
-        assert!(frames.next().await.unwrap().is_none(), "given up");
+        assert!(
+            frames.next().await.unwrap().is_none(),
+            "the connection is closed"
+        );
         assert!(
             start.elapsed() < Duration::from_secs(5),
             "{:?}",
             start.elapsed()
         );
         assert_eq!(peers.counters().disconnected, 1);
-        assert_eq!(peers.reachable_members().len(), 1, "it counts no more");
-        // A seed is dialled whatever happens.
-        let _frames = accept_and_greet(&listener, &other).await;
+        assert_eq!(
+            peers.reachable_members().len(),
+            1,
+            "a disconnected peer is not reachable"
+        );
+        // A seed is always dialled again.
+        let _frames = accept_and_send_hello(&listener, &peer).await;
         wait_until(|| peers.counters().connected == 2).await;
         assert_eq!(peers.reachable_members().len(), 2);
     });
@@ -114,11 +125,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (peers, log) = peer_connections();
         peers.set_seeds(&[addr_of(&listener)]);
-        let (_mute, _) = listener.accept().await.unwrap();
+        let (_silent_stream, _) = listener.accept().await.unwrap();
         tokio::time::pause();
         let start = Instant::now();
-        // It is dialled anew after its time, and nothing was told of it until it says who it is.
-        let (mute, _) = listener.accept().await.unwrap();
+        // It is dialled again after a timeout, and no event is reported before its hello.
+        let (silent_stream, _) = listener.accept().await.unwrap();
         assert!(
             start.elapsed() >= Duration::from_secs(3),
             "{:?}",
@@ -132,8 +143,8 @@
             ),
             (0, 0, 1)
         );
-        drop(mute);
-        let _frames = accept_and_greet(&listener, &member_info(2, addr_of(&listener))).await;
+        drop(silent_stream);
+        let _frames = accept_and_send_hello(&listener, &member_info(2, addr_of(&listener))).await;
         wait_until(|| peers.counters().connected == 1).await;
         assert!(matches!(log.borrow()[..], [PeerEvent::Connected(ref s)] if s.id == 2));
         assert_eq!(peers.counters().disconnected, 0);
@@ -144,29 +155,29 @@
 fn message_when_another_member_has_the_address_is_dropped() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (before, now) = (
+        let (previous_member, current_member) = (
             member_info(2, addr_of(&listener)),
             member_info(3, addr_of(&listener)),
         );
         let (peers, log) = peer_connections();
         peers.set_seeds(&[addr_of(&listener)]);
-        let mut frames = accept_and_greet(&listener, &before).await;
+        let mut frames = accept_and_send_hello(&listener, &previous_member).await;
         wait_until(|| peers.counters().connected == 1).await;
         assert!(matches!(log.borrow()[0], PeerEvent::Connected(ref s) if s.id == 2));
         assert!(matches!(
             frames.next().await.unwrap(),
             Some(Message::Peers { .. })
         ));
-        peers.send(&before, &release_lease());
+        peers.send(&previous_member, &release_lease());
         assert_eq!(frames.next().await.unwrap(), Some(release_lease()));
-        // Its disk is wiped: somebody else comes up at the address.
+        // The member's disk is wiped: a member with another id starts at the address.
         drop(frames);
-        let mut frames = accept_and_greet(&listener, &now).await;
+        let mut frames = accept_and_send_hello(&listener, &current_member).await;
         wait_until(|| peers.counters().connected == 2).await;
         let dropped = peers.counters().dropped;
-        peers.send(&before, &release_lease());
+        peers.send(&previous_member, &release_lease());
         assert_eq!(peers.counters().dropped, dropped + 1);
-        peers.send(&now, &Message::ReleaseLease { epoch: 8 });
+        peers.send(&current_member, &Message::ReleaseLease { epoch: 8 });
         assert!(matches!(
             frames.next().await.unwrap(),
             Some(Message::Peers { .. })
@@ -182,11 +193,11 @@
 fn peer_when_it_reads_nothing_is_disconnected_and_its_queue_is_bounded() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = member_info(2, addr_of(&listener));
+        let peer = member_info(2, addr_of(&listener));
         let (peers, _) = peer_connections();
         peers.set_seeds(&[addr_of(&listener)]);
-        // It says who it is, over both connections, and reads no more.
-        let _stuck = accept_and_greet(&listener, &other).await;
+        // The peer sends its hello over both connections and reads nothing after that.
+        let _unread_control = accept_and_send_hello(&listener, &peer).await;
         wait_until(|| peers.counters().connected == 1).await;
         let text = vec![b'x'; 1 << 20];
         let long = Message::CommandResult {
@@ -194,23 +205,20 @@
             code: 0,
             body: text,
         };
-        peers.send(&other, &long);
-        let _stuck_data = accept_and_greet(&listener, &other).await;
+        peers.send(&peer, &long);
+        let _unread_data = accept_and_send_hello(&listener, &peer).await;
         wait_until(|| peers.counters().connected == 2).await;
         for _ in 0..40 {
-            peers.send(&other, &long);
+            peers.send(&peer, &long);
             tokio::task::yield_now().await;
         }
-        assert!(
-            peers.counters().dropped > 0,
-            "four of them fit beside what is on its way"
-        );
+        assert!(peers.counters().dropped > 0, "the queue is bounded");
         tokio::time::pause();
         let start = Instant::now();
-        let _frames = accept_and_greet(&listener, &other).await;
+        let _frames = accept_and_send_hello(&listener, &peer).await;
         assert!(
             start.elapsed() < Duration::from_millis(3400),
-            "by the write's time, {:?}",
+            "by the write timeout, {:?}",
             start.elapsed()
         );
         assert_eq!(peers.counters().disconnected, 1);
@@ -241,7 +249,8 @@
 
 const MAX_CHANGE_BYTES: usize = 4 << 20;
 
-/// The next message that isn't the probe of a peer that has been silent: a busy machine takes its time.
+/// Returns the next message that isn't a probe. On a busy machine the peer may seem silent for long enough to be
+/// probed.
 async fn next_except_probes(frames: &mut FrameReader<TcpStream>) -> Option<Message> {
     loop {
         match frames.next().await.unwrap() {
@@ -251,14 +260,15 @@
     }
 }
 
-/// The control connection of a peer that is there, with its first messages read, and the peers to it.
+/// Returns member 1's connections with `peer` connected, and the peer's end of the control connection with its first
+/// messages read.
 async fn connected_peer(
     listener: &TcpListener,
-    other: &MemberInfo,
+    peer: &MemberInfo,
 ) -> (PeerConnections, FrameReader<TcpStream>) {
     let (peers, _) = peer_connections();
     peers.set_seeds(&[addr_of(listener)]);
-    let mut control = accept_and_greet(listener, other).await;
+    let mut control = accept_and_send_hello(listener, peer).await;
     wait_until(|| peers.counters().connected == 1).await;
     assert!(matches!(
         control.next().await.unwrap(),
@@ -268,29 +278,29 @@
 }
 
 #[test]
-fn lease_renewal_when_a_long_change_is_queued_is_not_delayed() {
+fn lease_renewal_is_not_delayed_by_a_large_queued_change() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = member_info(2, addr_of(&listener));
-        let (peers, mut control) = connected_peer(&listener, &other).await;
-        // Nobody reads the long change while the lease is renewed.
-        peers.send(&other, &change(1, MAX_CHANGE_BYTES));
-        peers.send(&other, &change(2, 10));
+        let peer = member_info(2, addr_of(&listener));
+        let (peers, mut control) = connected_peer(&listener, &peer).await;
+        // The large change isn't read while the lease is renewed.
+        peers.send(&peer, &change(1, MAX_CHANGE_BYTES));
+        peers.send(&peer, &change(2, 10));
         for requested_at_ms in 0..20 {
-            peers.send(&other, &lease_renewal(requested_at_ms));
+            peers.send(&peer, &lease_renewal(requested_at_ms));
             assert_eq!(
                 next_except_probes(&mut control).await,
                 Some(lease_renewal(requested_at_ms))
             );
         }
-        // Changes come in their order, the small one after the long one.
-        let mut data = accept_and_greet(&listener, &other).await;
+        // Changes arrive in order, the small one after the large one.
+        let mut data = accept_and_send_hello(&listener, &peer).await;
         assert!(matches!(
             data.next().await.unwrap(),
             Some(Message::Peers { .. })
         ));
         for requested_at_ms in 20..40 {
-            peers.send(&other, &lease_renewal(requested_at_ms));
+            peers.send(&peer, &lease_renewal(requested_at_ms));
             assert_eq!(
                 next_except_probes(&mut control).await,
                 Some(lease_renewal(requested_at_ms))
@@ -306,46 +316,46 @@
 }
 
 #[test]
-fn message_when_its_connection_breaks_is_sent_again_over_the_next() {
+fn message_is_sent_again_when_its_connection_breaks() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = member_info(2, addr_of(&listener));
-        let (peers, mut control) = connected_peer(&listener, &other).await;
-        // More than the system's own buffers hold.
+        let peer = member_info(2, addr_of(&listener));
+        let (peers, mut control) = connected_peer(&listener, &peer).await;
+        // More than the socket buffers of the operating system hold.
         let long = Message::CommandResult {
             request_id: 1,
             code: 0,
             body: vec![b'x'; 15 << 20],
         };
-        peers.send(&other, &long);
-        peers.send(&other, &change(1, 10));
-        let mut data = accept_and_greet(&listener, &other).await;
+        peers.send(&peer, &long);
+        peers.send(&peer, &change(1, 10));
+        let mut data = accept_and_send_hello(&listener, &peer).await;
         assert!(matches!(
             data.next().await.unwrap(),
             Some(Message::Peers { .. })
         ));
-        // Some of the first bytes come, and no more.
+        // The connection breaks after the first bytes of the message.
         assert!(matches!(data.step().await.unwrap(), Step::Partial));
         drop(data);
-        let mut data = accept_and_greet(&listener, &other).await;
+        let mut data = accept_and_send_hello(&listener, &peer).await;
         assert_eq!(next_except_probes(&mut data).await, Some(long));
-        peers.send(&other, &change(2, 10));
+        peers.send(&peer, &change(2, 10));
         assert_eq!(
             next_except_probes(&mut data).await,
             Some(change(2, 10)),
-            "nothing fits beside the longest"
+            "the change that was queued behind the largest message was dropped"
         );
-        peers.send(&other, &lease_renewal(1));
+        peers.send(&peer, &lease_renewal(1));
         assert_eq!(
             next_except_probes(&mut control).await,
             Some(lease_renewal(1)),
-            "the other connection stays"
+            "the control connection stays established"
         );
         assert_eq!(peers.counters().disconnected, 1);
     });
 }
 
-/// Answers whatever comes over a control connection, as a peer answers probes.
+/// Answers every message on a control connection, as a peer answers probes.
 async fn answer_probes(frames: FrameReader<TcpStream>) {
     let (stream, rest) = frames.into_parts();
     let (input, mut output) = stream.into_split();
@@ -358,7 +368,7 @@
     }
 }
 
-/// Lets time pass in small steps, with the sockets' work done at each.
+/// Advances the paused clock in small steps, and lets the socket tasks run after each.
 async fn advance_in_steps(time: Duration) {
     let until = Instant::now() + time;
     while Instant::now() < until {
@@ -369,16 +379,17 @@
     }
 }
 
-/// A peer that reads a whole frame slowly is there: what it hasn't read yet explains its silence.
+/// A peer that reads a large frame slowly is alive: the bytes that it hasn't read yet explain its silence. Its
+/// connection must not be closed as silent.
 #[test]
-fn connection_when_a_change_takes_seconds_is_kept() {
+fn connection_is_kept_while_a_large_change_takes_seconds() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let other = member_info(2, addr_of(&listener));
-        let (peers, control) = connected_peer(&listener, &other).await;
+        let peer = member_info(2, addr_of(&listener));
+        let (peers, control) = connected_peer(&listener, &peer).await;
         tokio::task::spawn_local(answer_probes(control));
-        peers.send(&other, &change(1, MAX_CHANGE_BYTES));
-        let mut data = accept_and_greet(&listener, &other).await;
+        peers.send(&peer, &change(1, MAX_CHANGE_BYTES));
+        let mut data = accept_and_send_hello(&listener, &peer).await;
         assert!(matches!(
             data.next().await.unwrap(),
             Some(Message::Peers { .. })
@@ -396,7 +407,7 @@
                     received = data.received();
                     advance_in_steps(Duration::from_secs_f64(bytes as f64 / 1.1e6)).await;
                 }
-                Step::End => panic!("given up after {:?}", start.elapsed()),
+                Step::End => panic!("closed after {:?}", start.elapsed()),
             }
         };
         assert!(
@@ -409,28 +420,28 @@
     });
 }
 
-/// The peer's frame comes a little at a time, over longer than a silent connection is kept.
+/// A frame that arrives in parts, over a longer time than the silence timeout, is received whole.
 #[tokio::test(start_paused = true)]
-async fn frame_when_it_takes_long_is_received() {
+async fn frame_that_arrives_slowly_is_received() {
     let (peers, log) = peer_connections();
     let local = LocalSet::new();
-    let (ours, mut theirs) = tokio::io::duplex(1 << 20);
-    let (input, output) = tokio::io::split(ours);
-    let other = member_info(2, "127.0.0.98:9".parse().unwrap());
+    let (local_end, mut remote_end) = tokio::io::duplex(1 << 20);
+    let (input, output) = tokio::io::split(local_end);
+    let peer = member_info(2, "127.0.0.98:9".parse().unwrap());
     local.spawn_local(async move {
         let frame = protocol::encode(&change(1, 1 << 20));
         for part in frame.chunks(frame.len() / 16) {
             tokio::time::advance(Duration::from_secs(1)).await;
-            theirs.write_all(part).await.unwrap();
+            remote_end.write_all(part).await.unwrap();
         }
     });
     let first = Message::Peers {
         members: Vec::new(),
     };
-    let serve = peers.serve(other, first, FrameReader::new(input, Vec::new()), output);
+    let serve = peers.serve(peer, first, FrameReader::new(input, Vec::new()), output);
     local.run_until(serve).await.unwrap();
-    let told = log.borrow();
+    let events = log.borrow();
     assert!(
-        matches!(told.last(), Some(PeerEvent::Message(s, m)) if s.id == 2 && **m == change(1, 1 << 20))
+        matches!(events.last(), Some(PeerEvent::Message(s, m)) if s.id == 2 && **m == change(1, 1 << 20))
     );
 }
--- a/crates/control-plane/tests/transitions.rs
+++ b/crates/control-plane/tests/transitions.rs
@@ -1,4 +1,4 @@
-//! Which state transitions of a member are logged: members driven by inputs, in simulated time.
+//! The state transitions that are logged for a member. Simulates members in a cluster.
 
 use configuration::FaultBudget;
 use control_plane::member::{
@@ -10,36 +10,40 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-const LEASE: Duration = Duration::from_millis(1000);
-const STEP: Duration = Duration::from_millis(10);
+const LEASE_DURATION: Duration = Duration::from_millis(1000);
+/// Resolution of the simulated time.
+const STEP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a member's disk does with a write.
+/// How a member's disk treats writes.
 #[derive(Clone, Copy, PartialEq)]
 enum DiskFault {
     None,
     RefusesWrites,
-    /// Writes never end.
+    /// Writes don't complete.
     Stalls,
 }
 
 struct Node {
     member: Member,
     recorder: Recorder,
+    /// The records of its log.
     records: Vec<Vec<u8>>,
-    disk: DiskFault,
-    /// Whether it takes no steps.
-    frozen: bool,
-    stalled: Vec<Input>,
-    wake: Duration,
+    disk_fault: DiskFault,
+    /// Whether its process is suspended: it loses all inputs.
+    is_frozen: bool,
+    /// Completions of the writes that the stalled disk holds back.
+    stalled_writes: Vec<Input>,
+    wake_at: Duration,
+    /// The transitions to log so far.
     logged: Vec<Transition>,
 }
 
-/// Members that speak without loss or delay, but for those that are frozen or cut off.
+/// Members that communicate without loss or delay, except for frozen and isolated ones.
 struct TestCluster {
     now: Duration,
     nodes: BTreeMap<u64, Node>,
-    cut_off: BTreeSet<u64>,
-    left: BTreeSet<u64>,
+    isolated: BTreeSet<u64>,
+    departed: BTreeSet<u64>,
 }
 
 fn member_info(id: u64) -> MemberInfo {
@@ -65,7 +69,7 @@
             machine_losses: 1,
             ..FaultBudget::default()
         },
-        lease_duration: LEASE,
+        lease_duration: LEASE_DURATION,
         request_timeout: Duration::from_millis(3500),
         disk_stall_timeout: Duration::from_millis(600),
         watch_history: Duration::from_secs(20),
@@ -73,14 +77,14 @@
 }
 
 impl TestCluster {
-    /// Three members, of which one has become primary.
+    /// Starts three members and waits until one is primary. Returns its id.
     fn with_primary() -> (Self, u64) {
-        let (nodes, cut_off, left) = Default::default();
+        let (nodes, isolated, departed) = Default::default();
         let mut cluster = TestCluster {
             now: Duration::ZERO,
             nodes,
-            cut_off,
-            left,
+            isolated,
+            departed,
         };
         (1..=3).for_each(|id| cluster.start(id, true, Vec::new()));
         let primary = cluster.run_until_primary();
@@ -92,16 +96,16 @@
         let bootstrap = bootstrap && records.is_empty();
         let member = Member::new(config(id, bootstrap), &records, self.now, 7 * id + 1);
         let recorder = Recorder::new(&member);
-        let (disk, stalled, logged) = (DiskFault::None, Vec::new(), Vec::new());
-        let (frozen, wake) = (false, self.now);
+        let (disk_fault, stalled_writes, logged) = (DiskFault::None, Vec::new(), Vec::new());
+        let (is_frozen, wake_at) = (false, self.now);
         let node = Node {
             member,
             recorder,
             records,
-            disk,
-            frozen,
-            stalled,
-            wake,
+            disk_fault,
+            is_frozen,
+            stalled_writes,
+            wake_at,
             logged,
         };
         self.nodes.insert(id, node);
@@ -115,7 +119,7 @@
         let mut queue = VecDeque::from([(id, input)]);
         while let Some((id, input)) = queue.pop_front() {
             let now = self.now;
-            let Some(node) = self.nodes.get_mut(&id).filter(|n| !n.frozen) else {
+            let Some(node) = self.nodes.get_mut(&id).filter(|n| !n.is_frozen) else {
                 continue;
             };
             let mut outputs = Vec::new();
@@ -126,7 +130,7 @@
                 node.logged.extend(node.recorder.after_output(&output));
                 match output {
                     Output::Send { to, message }
-                        if !self.cut_off.contains(&id) && !self.cut_off.contains(&to.id) =>
+                        if !self.isolated.contains(&id) && !self.isolated.contains(&to.id) =>
                     {
                         queue.push_back((
                             to.id,
@@ -144,21 +148,21 @@
                         if rewrite {
                             node.records.clear();
                         }
-                        let result = match node.disk {
+                        let result = match node.disk_fault {
                             DiskFault::RefusesWrites => Err(DiskError::Full),
                             _ => Ok(()),
                         };
                         if result.is_ok() {
                             node.records.extend(records);
                         }
-                        let wrote = Input::WriteCompleted { ticket, result };
-                        match node.disk {
-                            DiskFault::Stalls => node.stalled.push(wrote),
-                            _ => queue.push_back((id, wrote)),
+                        let completed = Input::WriteCompleted { ticket, result };
+                        match node.disk_fault {
+                            DiskFault::Stalls => node.stalled_writes.push(completed),
+                            _ => queue.push_back((id, completed)),
                         }
                     }
-                    Output::Wake { at } => node.wake = at,
-                    Output::DepartureComplete => drop(self.left.insert(id)),
+                    Output::Wake { at } => node.wake_at = at,
+                    Output::DepartureComplete => drop(self.departed.insert(id)),
                     _ => {}
                 }
             }
@@ -168,38 +172,38 @@
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_INTERVAL;
             let due: Vec<u64> = self
                 .nodes
                 .iter()
-                .filter(|n| n.1.wake <= self.now)
+                .filter(|n| n.1.wake_at <= self.now)
                 .map(|n| *n.0)
                 .collect();
             due.into_iter().for_each(|id| self.input(id, Input::Tick));
         }
     }
 
-    /// Runs until some member that isn't frozen or cut off acts.
+    /// Runs until a member that is neither frozen nor isolated is the acting primary. Returns its id.
     fn run_until_primary(&mut self) -> u64 {
         let end = self.now + Duration::from_secs(30);
         loop {
-            self.run(STEP);
-            assert!(self.now < end, "nobody acts");
-            let acts = |id: &u64, node: &Node| {
-                !node.frozen && !self.cut_off.contains(id) && node.member.is_acting_primary()
+            self.run(STEP_INTERVAL);
+            assert!(self.now < end, "no member becomes primary");
+            let is_primary = |id: &u64, node: &Node| {
+                !node.is_frozen && !self.isolated.contains(id) && node.member.is_acting_primary()
             };
-            if let Some((id, _)) = self.nodes.iter().find(|(id, node)| acts(id, node)) {
+            if let Some((id, _)) = self.nodes.iter().find(|(id, node)| is_primary(id, node)) {
                 return *id;
             }
         }
     }
 
-    fn clear(&mut self) {
+    fn clear_logged(&mut self) {
         self.nodes.values_mut().for_each(|n| n.logged.clear());
     }
 
-    fn logged(&self, id: u64, what: impl Fn(&Transition) -> bool) -> bool {
-        self.nodes[&id].logged.iter().any(what)
+    fn has_logged(&self, id: u64, matches: impl Fn(&Transition) -> bool) -> bool {
+        self.nodes[&id].logged.iter().any(matches)
     }
 
     fn others(&self, excluded: u64) -> Vec<u64> {
@@ -215,8 +219,12 @@
 fn first_start_when_a_primary_is_elected_is_logged_in_order() {
     let (cluster, primary) = TestCluster::with_primary();
     let logged = &cluster.nodes[&primary].logged;
-    let position =
-        |what: &dyn Fn(&Transition) -> bool| logged.iter().position(what).expect("it is logged");
+    let position = |is_wanted: &dyn Fn(&Transition) -> bool| {
+        logged
+            .iter()
+            .position(is_wanted)
+            .expect("the transition is logged")
+    };
     let order = [
         position(&|t| matches!(t, Transition::PreVoteStarted { epoch: 0 })),
         position(&|t| matches!(t, Transition::CandidacyStarted { .. })),
@@ -237,7 +245,7 @@
     let accepted = |wanted: MembershipRole| {
         let of = |t: &Transition| matches!(t, Transition::MembershipAccepted { role, .. } if *role == wanted);
         let mut others = cluster.others(primary);
-        others.retain(|id| cluster.logged(*id, of));
+        others.retain(|id| cluster.has_logged(*id, of));
         others
     };
     let (replicas, witnesses) = (
@@ -247,27 +255,27 @@
     assert_eq!(
         (replicas.len(), witnesses.len()),
         (1, 1),
-        "one of each beside the primary"
+        "one replica and one witness beside the primary"
     );
-    assert!(cluster.logged(replicas[0], |t| matches!(
+    assert!(cluster.has_logged(replicas[0], |t| matches!(
         t,
         Transition::SnapshotInstalled { index: 0, .. }
     )));
-    assert!(!cluster.logged(witnesses[0], |t| matches!(
+    assert!(!cluster.has_logged(witnesses[0], |t| matches!(
         t,
         Transition::SnapshotInstalled { .. }
     )));
     for other in cluster.others(primary) {
-        assert!(cluster.logged(other, |t| matches!(t, Transition::EpochPromised { .. })));
+        assert!(cluster.has_logged(other, |t| matches!(t, Transition::EpochPromised { .. })));
         let follows = |t: &Transition| matches!(t, Transition::LeaseGranted { primary: p, .. } if p.id == primary);
-        assert!(cluster.logged(other, follows));
+        assert!(cluster.has_logged(other, follows));
     }
 }
 
 #[test]
 fn changes_when_nothing_fails_are_not_logged() {
     let (mut cluster, primary) = TestCluster::with_primary();
-    cluster.clear();
+    cluster.clear_logged();
     for version in 1..200 {
         let command = Command::Drain {
             host: format!("i-{version}"),
@@ -288,25 +296,34 @@
 
 #[test]
 fn takeover_when_the_primary_is_frozen_is_logged_by_all() {
-    let (mut cluster, old) = TestCluster::with_primary();
-    cluster.clear();
-    cluster.node(old).frozen = true;
-    let new = cluster.run_until_primary();
+    let (mut cluster, old_primary) = TestCluster::with_primary();
+    cluster.clear_logged();
+    cluster.node(old_primary).is_frozen = true;
+    let new_primary = cluster.run_until_primary();
     cluster.run(Duration::from_secs(19));
-    for other in cluster.others(old) {
-        let over = |t: &Transition| matches!(t, Transition::PrimaryLeaseExpired { primary, .. } if primary.id == old);
+    for other in cluster.others(old_primary) {
+        let lease_expired = |t: &Transition| matches!(t, Transition::PrimaryLeaseExpired { primary, .. } if primary.id == old_primary);
         assert!(
-            cluster.logged(other, over),
+            cluster.has_logged(other, lease_expired),
             "{:?}",
             cluster.nodes[&other].logged
         );
     }
-    assert!(cluster.logged(new, |t| matches!(t, Transition::PreVoteStarted { .. })));
-    assert!(cluster.logged(new, |t| matches!(t, Transition::MembershipInstalled { .. })));
-    assert!(cluster.logged(new, |t| matches!(t, Transition::BecamePrimary { .. })));
-    // It wakes: its lease is long over.
-    cluster.node(old).frozen = false;
-    cluster.input(old, Input::Tick);
+    assert!(cluster.has_logged(new_primary, |t| matches!(
+        t,
+        Transition::PreVoteStarted { .. }
+    )));
+    assert!(cluster.has_logged(new_primary, |t| matches!(
+        t,
+        Transition::MembershipInstalled { .. }
+    )));
+    assert!(cluster.has_logged(new_primary, |t| matches!(
+        t,
+        Transition::BecamePrimary { .. }
+    )));
+    // The old primary resumes long after its lease expired.
+    cluster.node(old_primary).is_frozen = false;
+    cluster.input(old_primary, Input::Tick);
     let ended = |t: &Transition| {
         matches!(
             t,
@@ -317,55 +334,63 @@
         )
     };
     assert!(
-        cluster.logged(old, ended),
+        cluster.has_logged(old_primary, ended),
         "{:?}",
-        cluster.nodes[&old].logged
+        cluster.nodes[&old_primary].logged
+    );
+    assert_eq!(
+        cluster.nodes[&old_primary].recorder.counters().leases_lost,
+        1
     );
-    assert_eq!(cluster.nodes[&old].recorder.counters().leases_lost, 1);
     cluster.run(Duration::from_secs(5));
-    let follows =
-        |t: &Transition| matches!(t, Transition::LeaseGranted { primary, .. } if primary.id == new);
+    let follows = |t: &Transition| matches!(t, Transition::LeaseGranted { primary, .. } if primary.id == new_primary);
     assert!(
-        cluster.logged(old, follows),
+        cluster.has_logged(old_primary, follows),
         "{:?}",
-        cluster.nodes[&old].logged
+        cluster.nodes[&old_primary].logged
     );
 }
 
 #[test]
-fn pre_vote_when_a_member_is_cut_off_is_logged_once() {
+fn pre_vote_of_an_isolated_member_is_logged_once() {
     let (mut cluster, primary) = TestCluster::with_primary();
-    cluster.clear();
-    let cut = cluster.others(primary)[0];
-    let before = cluster.nodes[&cut].recorder.counters().pre_votes;
-    cluster.cut_off.insert(cut);
+    cluster.clear_logged();
+    let isolated_member = cluster.others(primary)[0];
+    let before = cluster.nodes[&isolated_member]
+        .recorder
+        .counters()
+        .pre_votes;
+    cluster.isolated.insert(isolated_member);
     cluster.run(Duration::from_secs(20));
-    let node = &cluster.nodes[&cut];
+    let node = &cluster.nodes[&isolated_member];
     let pre_votes = node
         .logged
         .iter()
         .filter(|t| matches!(t, Transition::PreVoteStarted { .. }))
         .count();
     assert_eq!(pre_votes, 1, "{:?}", node.logged);
-    assert!(!cluster.logged(
-        cut,
+    assert!(!cluster.has_logged(
+        isolated_member,
         |t| matches!(t, Transition::CampaignFailed { phase, .. }
         if *phase == ElectionPhase::PreVote)
     ));
-    let tries = node.recorder.counters().pre_votes - before;
-    assert!(tries > 5, "further tries are counted: {tries}");
+    let pre_votes_started = node.recorder.counters().pre_votes - before;
+    assert!(
+        pre_votes_started > 5,
+        "further pre-votes are counted: {pre_votes_started}"
+    );
 }
 
 #[rstest]
 #[case(DiskFault::RefusesWrites, DiskState::Refused)]
 #[case(DiskFault::Stalls, DiskState::Stalled)]
 fn primary_when_its_disk_fails_steps_down_with_the_cause(
-    #[case] disk: DiskFault,
+    #[case] disk_fault: DiskFault,
     #[case] state: DiskState,
 ) {
     let (mut cluster, primary) = TestCluster::with_primary();
-    cluster.clear();
-    cluster.node(primary).disk = disk;
+    cluster.clear_logged();
+    cluster.node(primary).disk_fault = disk_fault;
     let command = Command::Drain { host: "i-1".into() };
     cluster.input(primary, Input::Command { ticket: 1, command });
     cluster.run(Duration::from_secs(5));
@@ -386,12 +411,12 @@
     assert_eq!(logged.iter().filter(steps_down).count(), 1, "{logged:?}");
     assert_eq!(cluster.nodes[&primary].recorder.counters().disk_faults, 1);
     cluster.run_until_primary();
-    cluster.node(primary).disk = DiskFault::None;
-    for wrote in std::mem::take(&mut cluster.node(primary).stalled) {
-        cluster.input(primary, wrote);
+    cluster.node(primary).disk_fault = DiskFault::None;
+    for completed in std::mem::take(&mut cluster.node(primary).stalled_writes) {
+        cluster.input(primary, completed);
     }
     cluster.run(Duration::from_secs(2));
-    assert!(cluster.logged(primary, |t| *t
+    assert!(cluster.has_logged(primary, |t| *t
         == Transition::DiskStateChanged {
             state: DiskState::Healthy
         }));
@@ -402,12 +427,12 @@
     let (mut cluster, primary) = TestCluster::with_primary();
     let lost = cluster.others(primary)[0];
     cluster.nodes.remove(&lost);
-    cluster.clear();
-    // Long enough that its silence counts when the newcomer shows: one is exchanged for the other in one view.
-    cluster.run(LEASE);
+    cluster.clear_logged();
+    // Long enough for the lost voter to count as lost when the new member appears: one membership change then replaces it.
+    cluster.run(LEASE_DURATION);
     cluster.start(4, false, Vec::new());
     for _ in 0..40 {
-        // A link shows that it is there.
+        // Its connection reports that it is reachable.
         cluster.input(
             primary,
             Input::PeerReachable {
@@ -416,19 +441,19 @@
         );
         cluster.run(Duration::from_millis(250));
     }
-    let exchanged = |t: &Transition| match t {
+    let replaces_lost_voter = |t: &Transition| match t {
         Transition::MembershipAccepted { added, removed, .. } => {
-            let ids = |seats: &[MemberInfo]| seats.iter().map(|s| s.id).collect::<Vec<_>>();
+            let ids = |voters: &[MemberInfo]| voters.iter().map(|s| s.id).collect::<Vec<_>>();
             ids(added) == [4] && ids(removed) == [lost]
         }
         _ => false,
     };
     assert!(
-        cluster.logged(primary, exchanged),
+        cluster.has_logged(primary, replaces_lost_voter),
         "{:?}",
         cluster.nodes[&primary].logged
     );
-    assert!(cluster.logged(primary, |t| matches!(
+    assert!(cluster.has_logged(primary, |t| matches!(
         t,
         Transition::MembershipChangeStarted { .. }
     )));
@@ -436,20 +461,24 @@
         matches!(t, Transition::MembershipAccepted { previous_role: MembershipRole::Joining, role, .. }
             if *role != MembershipRole::Joining)
     };
-    assert!(cluster.logged(4, joined), "{:?}", cluster.nodes[&4].logged);
+    assert!(
+        cluster.has_logged(4, joined),
+        "{:?}",
+        cluster.nodes[&4].logged
+    );
 }
 
 #[test]
 fn primary_when_it_shuts_down_steps_down_with_the_cause() {
     let (mut cluster, primary) = TestCluster::with_primary();
-    cluster.clear();
+    cluster.clear_logged();
     cluster.input(primary, Input::Depart);
     assert!(
-        !cluster.left.contains(&primary),
-        "a replica that leaves hands over first"
+        !cluster.departed.contains(&primary),
+        "a departing replica hands over first"
     );
     cluster.run(Duration::from_secs(4));
-    assert!(cluster.left.contains(&primary));
+    assert!(cluster.departed.contains(&primary));
     let logged = &cluster.nodes[&primary].logged;
     assert_eq!(logged[0], Transition::ShutdownStarted);
     let steps_down = |t: &Transition| {
@@ -492,12 +521,12 @@
 #[test]
 fn promise_when_given_to_another_member_is_logged() {
     let (mut cluster, primary) = TestCluster::with_primary();
-    cluster.clear();
+    cluster.clear_logged();
     let other = cluster.others(primary)[0];
-    // Its own lease is let go first: a voter promises nobody else before.
-    cluster.cut_off.insert(primary);
-    cluster.run(2 * LEASE);
-    cluster.cut_off.clear();
+    // The primary's own lease expires first, as a voter makes no promise to another member before.
+    cluster.isolated.insert(primary);
+    cluster.run(2 * LEASE_DURATION);
+    cluster.isolated.clear();
     let epoch = (1 << 60) + other;
     let message = Message::Prepare {
         epoch,
@@ -513,7 +542,7 @@
     let logged =
         |t: &Transition| matches!(t, Transition::EpochPromised { epoch: e, .. } if *e == epoch);
     assert!(
-        cluster.logged(primary, logged),
+        cluster.has_logged(primary, logged),
         "{:?}",
         cluster.nodes[&primary].logged
     );
