--- a/crates/control-plane/src/host_registry/entry.rs
+++ b/crates/control-plane/src/host_registry/entry.rs
@@ -1,46 +1,52 @@
-//! What the registry keeps of each host and coordinator.
+//! The registry's entries for hosts and coordinators.
 
-use super::{Heartbeat, ENDED_RETENTION};
+use super::{Heartbeat, ENDED_RECORD_RETENTION};
 use protocol::{CoordinatorRecord, HostRecord};
 use replication::phase;
 use std::time::Duration;
 
-/// A coordinator that pulls here.
+/// A coordinator that pulls from this member, or did so recently.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownCoordinator {
-    /// The record as published.
+    /// The latest record.
     pub record: CoordinatorRecord,
-    /// When it pulled last.
+    /// Time of its latest pull.
     pub pulled_at: Duration,
 }
 
-/// A host.
+/// A host that sent requests to this member.
 pub(super) struct HostEntry {
-    /// The record as published; its `call_seq` is that of the last request which changed the record.
+    /// The record as published. Its `call_seq` is that of the latest request that changed the record.
     pub(super) published: HostRecord,
-    /// Number of the latest request.
+    /// `call_seq` of the latest request.
     pub(super) latest_call_seq: u64,
+    /// Time of the latest request.
     latest_call_at: Duration,
-    /// Since when the host is gone, silent or forgotten.
+    /// Time at which the host became gone, silent or forgotten; `None` while it is active.
     ended_at: Option<Duration>,
 }
 
-/// Whether hosts that haven't called for long are published as silent.
+/// How to treat hosts whose heartbeats are overdue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SilentHosts {
-    Mark,
-    Keep,
+    /// Publish them with `heartbeat_expired` set.
+    MarkExpired,
+    /// Leave them unchanged, as they may send their heartbeats to other members.
+    LeaveUnmarked,
 }
 
-/// What becomes of a host as time passes.
+/// The effect of elapsed time on a host.
 pub(super) enum Expiry {
+    /// The record stays as published.
     Unchanged,
+    /// The record has changed and has to be published.
     Changed,
+    /// The entry is to be removed.
     Drop,
 }
 
 impl HostEntry {
-    /// A host whose first request here came now.
+    /// Creates the entry of a host whose first request to this member arrived at `now`.
     pub(super) fn new(now: Duration, record: HostRecord) -> Self {
         Self {
             latest_call_seq: record.call_seq,
@@ -50,8 +56,8 @@
         }
     }
 
-    /// The phase before another request: a host that was forgotten here begins anew.
-    pub(super) fn phase_before(&self) -> u8 {
+    /// Returns the phase before the next request. A forgotten host starts again as ready.
+    pub(super) fn phase_before_request(&self) -> u8 {
         if self.published.phase <= phase::GONE {
             self.published.phase
         } else {
@@ -59,18 +65,19 @@
         }
     }
 
-    /// Takes the record of a newer heartbeat. Returns whether it has to be published.
+    /// Applies the record of a newer heartbeat. `remote_record` is the host's record from other origins. Returns
+    /// whether the record has to be published.
     pub(super) fn update(
         &mut self,
         now: Duration,
         record: HostRecord,
-        elsewhere: Option<&HostRecord>,
+        remote_record: Option<&HostRecord>,
     ) -> bool {
         self.latest_call_seq = record.call_seq;
         self.latest_call_at = now;
-        let is_newer_elsewhere =
-            elsewhere.is_some_and(|other| other.call_seq >= self.published.call_seq);
-        if !is_newer_elsewhere && is_same_to_others(&self.published, &record) {
+        let is_remote_newer =
+            remote_record.is_some_and(|other| other.call_seq >= self.published.call_seq);
+        if !is_remote_newer && is_equivalent_for_subscribers(&self.published, &record) {
             return false;
         }
         self.ended_at = (record.phase >= phase::GONE).then(|| self.ended_at.unwrap_or(now));
@@ -78,16 +85,20 @@
         true
     }
 
-    /// Lets time pass. `call_seq_elsewhere` gives the highest `call_seq` that other origins have of this host.
+    /// Applies the time elapsed until `now`. `remote_call_seq` returns the highest `call_seq` that other origins have
+    /// for this host.
     pub(super) fn expire(
         &mut self,
         now: Duration,
         heartbeat_timeout: Duration,
         silent_hosts: SilentHosts,
-        call_seq_elsewhere: impl FnOnce() -> Option<u64>,
+        remote_call_seq: impl FnOnce() -> Option<u64>,
     ) -> Expiry {
-        if self.ended_at.is_some_and(|at| now >= at + ENDED_RETENTION) {
-            // A mirror forgets a host that is gone by itself.
+        if self
+            .ended_at
+            .is_some_and(|at| now >= at + ENDED_RECORD_RETENTION)
+        {
+            // Mirrors remove hosts that are gone by themselves, so no tombstone is published.
             if self.published.phase >= phase::GONE {
                 return Expiry::Drop;
             }
@@ -97,10 +108,10 @@
         if self.published.phase >= phase::GONE || !is_overdue {
             return Expiry::Unchanged;
         }
-        if call_seq_elsewhere().is_some_and(|seq| seq > self.published.call_seq) {
+        if remote_call_seq().is_some_and(|seq| seq > self.published.call_seq) {
             return self.forget(now);
         }
-        if self.published.heartbeat_expired || silent_hosts == SilentHosts::Keep {
+        if self.published.heartbeat_expired || silent_hosts == SilentHosts::LeaveUnmarked {
             return Expiry::Unchanged;
         }
         self.published.heartbeat_expired = true;
@@ -108,7 +119,7 @@
         Expiry::Changed
     }
 
-    /// Makes the record a tombstone: this origin has nothing more to say of the host.
+    /// Turns the record into a tombstone, which withdraws this origin's record of the host.
     fn forget(&mut self, now: Duration) -> Expiry {
         self.published.phase = phase::FORGOTTEN;
         self.ended_at = Some(now);
@@ -116,8 +127,8 @@
     }
 }
 
-/// The record of a host that sent this heartbeat.
-pub(super) fn record_of(host: &str, heartbeat: &Heartbeat, phase: u8) -> HostRecord {
+/// Returns the record of a host that sent `heartbeat`.
+pub(super) fn host_record(host: &str, heartbeat: &Heartbeat, phase: u8) -> HostRecord {
     HostRecord {
         id: host.to_owned(),
         service: heartbeat.service.clone(),
@@ -131,8 +142,8 @@
     }
 }
 
-/// Whether two records of a host say the same to others.
-fn is_same_to_others(a: &HostRecord, b: &HostRecord) -> bool {
+/// Whether two records of a host are the same for subscribers. Ignores `call_seq` and the length of the slow start.
+fn is_equivalent_for_subscribers(a: &HostRecord, b: &HostRecord) -> bool {
     a.service == b.service
         && a.addr == b.addr
         && a.zone == b.zone
--- a/crates/control-plane/src/host_registry/heartbeat_target.rs
+++ b/crates/control-plane/src/host_registry/heartbeat_target.rs
@@ -1,10 +1,10 @@
-//! Spreads hosts over the members that take their heartbeats.
+//! Assigns hosts to the members that receive their heartbeats.
 
 use protocol::MemberInfo;
 
-/// The member that a host's later heartbeats should go to; `None` if that is the member `own_id` itself.
+/// Returns the member that a host should send its next heartbeats to, or `None` if that is the member `own_id` itself.
 ///
-/// Rendezvous hashing over the members that can be reached: when one leaves, only its hosts move.
+/// Uses rendezvous hashing over the reachable members: when one leaves, only its hosts move.
 pub fn heartbeat_target<'a>(
     host: &str,
     own_id: u64,
@@ -19,11 +19,12 @@
     (best.id != own_id).then_some(best)
 }
 
-/// The member that a host's next heartbeat should go to when the member `own_id`, which it called, has lost contact with
-/// the primary: a different one at each call, so that the host comes to one that it reaches and that has that contact.
+/// Returns the member that a host should send its next heartbeat to when the member `own_id`, which received this one,
+/// has lost contact with the primary. Returns `None` if there is no other member.
 ///
-/// Nobody else may hear of a host that keeps to a member which is partitioned off.
-pub fn heartbeat_target_elsewhere<'a>(
+/// The target changes with each `call_seq`, so that the host finds a member that it can reach and that has contact. A
+/// host that stayed with a partitioned member could remain unknown to all other members.
+pub fn heartbeat_target_without_contact<'a>(
     host: &str,
     call_seq: u64,
     own_id: u64,
--- a/crates/control-plane/src/host_registry/mod.rs
+++ b/crates/control-plane/src/host_registry/mod.rs
@@ -1,6 +1,7 @@
-//! The host registry: the hosts and coordinators that one member knows from their requests. No I/O and no clock.
+//! The host registry: the hosts and coordinators that one member knows from their requests. It does no I/O and reads no
+//! clock.
 //!
-//! Each member is the origin of its own records and numbers their changes itself ([`OriginVersion`]). Others pull the
+//! Each member is the origin of its own records and numbers their changes ([`OriginVersion`]). Other processes pull the
 //! changes and merge the records of all origins ([`replication::Mirror`]).
 
 mod entry;
@@ -8,7 +9,7 @@
 mod request;
 
 pub use entry::KnownCoordinator;
-pub use heartbeat_target::{heartbeat_target, heartbeat_target_elsewhere};
+pub use heartbeat_target::{heartbeat_target, heartbeat_target_without_contact};
 pub use request::{Heartbeat, HostRequest};
 
 use crate::incarnation;
@@ -18,28 +19,28 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// How long a record that has ended is kept.
-const ENDED_RETENTION: Duration = Duration::from_secs(60);
-/// A coordinator that has not pulled for this long counts as gone.
+/// Time for which a record is kept after its host or coordinator has become gone or silent.
+const ENDED_RECORD_RETENTION: Duration = Duration::from_secs(60);
+/// Time without a pull after which a coordinator is gone.
 const PULL_TIMEOUT: Duration = Duration::from_secs(3);
-/// A host counts as silent this long after two and a half heartbeat intervals.
+/// Time in addition to two and a half heartbeat intervals after which a host is silent.
 const HEARTBEAT_TIMEOUT_SLACK: Duration = Duration::from_millis(200);
 
-/// This member's own records.
+/// The records of which this member is the origin. All times count from the same arbitrary instant.
 pub struct HostRegistry {
     version: OriginVersion,
     heartbeat_timeout: Duration,
     hosts: HashMap<String, HostEntry>,
     coordinators: BTreeMap<String, KnownCoordinator>,
-    /// Whether the next update has all records, not only those that changed.
+    /// Whether the next update contains all records instead of only the changed ones.
     is_next_update_complete: bool,
     changed_hosts: BTreeSet<String>,
     changed_coordinators: BTreeSet<String>,
 }
 
 impl HostRegistry {
-    /// An empty registry for an incarnation of the member `id`; each incarnation has a higher number than those
-    /// before.
+    /// Creates an empty registry for an incarnation of the member `id`. Each incarnation must have a higher number than
+    /// the previous ones.
     pub fn new(id: u64, incarnation: u64, heartbeat_interval: Duration) -> Self {
         Self {
             version: OriginVersion {
@@ -56,14 +57,15 @@
         }
     }
 
-    /// The version of the records: incarnation and number of the latest change.
+    /// Returns the version of the records: the incarnation and the number of the latest change.
     pub fn version(&self) -> OriginVersion {
         self.version
     }
 
-    /// Goes on under a number above `known_incarnation`, and publishes everything anew.
+    /// Continues with an incarnation above `known_incarnation` and publishes all records again.
     ///
-    /// Called when others know a later incarnation of this member: they would take this one's records for older.
+    /// Called when other processes know a later incarnation of this member, as they would ignore the records of this
+    /// one.
     pub fn advance_incarnation(&mut self, known_incarnation: u64) {
         let next = incarnation::next_incarnation(known_incarnation, 0, self.version.incarnation);
         if next <= known_incarnation {
@@ -75,20 +77,20 @@
         self.changed_coordinators = self.coordinators.keys().cloned().collect();
     }
 
-    /// Handles a host's request. `elsewhere` is the host's record of other origins.
+    /// Handles a host's request. `remote_record` is the host's record from other origins.
     ///
-    /// A request that is older than the latest is ignored. Returns whether a record changed.
+    /// Ignores a request that is older than the latest one. Returns whether a record changed.
     pub fn handle(
         &mut self,
         now: Duration,
         request: &HostRequest,
-        elsewhere: Option<&HostRecord>,
+        remote_record: Option<&HostRecord>,
     ) -> bool {
         match request {
             HostRequest::Heartbeat { host, heartbeat } => {
-                self.heartbeat(now, host, heartbeat, elsewhere)
+                self.heartbeat(now, host, heartbeat, remote_record)
             }
-            HostRequest::Depart { host } => self.depart(now, host, elsewhere),
+            HostRequest::Depart { host } => self.depart(now, host, remote_record),
         }
     }
 
@@ -98,22 +100,22 @@
         now: Duration,
         host: &str,
         heartbeat: &Heartbeat,
-        elsewhere: Option<&HostRecord>,
+        remote_record: Option<&HostRecord>,
     ) -> bool {
         let known = self.hosts.get(host);
         if known.is_some_and(|known| heartbeat.call_seq <= known.latest_call_seq) {
             return false;
         }
-        // What others know counts too: a host that is gone stays gone.
-        let own_phase = known.map_or(phase::READY, HostEntry::phase_before);
-        let phase_elsewhere = elsewhere.map_or(phase::READY, |record| record.phase);
+        // Phases only advance, also across origins: a host that is gone stays gone.
+        let own_phase = known.map_or(phase::READY, HostEntry::phase_before_request);
+        let remote_phase = remote_record.map_or(phase::READY, |record| record.phase);
         let phase = own_phase
-            .max(phase_elsewhere)
+            .max(remote_phase)
             .max(u8::from(heartbeat.draining));
-        let record = entry::record_of(host, heartbeat, phase);
+        let record = entry::host_record(host, heartbeat, phase);
         match self.hosts.get_mut(host) {
             Some(known) => {
-                if !known.update(now, record, elsewhere) {
+                if !known.update(now, record, remote_record) {
                     return false;
                 }
             }
@@ -126,8 +128,13 @@
         true
     }
 
-    /// Handles the end of a host; see [`HostRegistry::handle`].
-    pub fn depart(&mut self, now: Duration, host: &str, elsewhere: Option<&HostRecord>) -> bool {
+    /// Handles the departure of a host; see [`HostRegistry::handle`].
+    pub fn depart(
+        &mut self,
+        now: Duration,
+        host: &str,
+        remote_record: Option<&HostRecord>,
+    ) -> bool {
         let known = self
             .hosts
             .get(host)
@@ -135,12 +142,12 @@
         if known.is_some_and(|known| known.published.phase == phase::GONE) {
             return false;
         }
-        let latest_here = known.map_or(0, |known| known.latest_call_seq);
-        let latest_elsewhere = elsewhere.map_or(0, |record| record.call_seq);
-        let call_seq = latest_here.max(latest_elsewhere) + 1;
+        let latest_local = known.map_or(0, |known| known.latest_call_seq);
+        let latest_remote = remote_record.map_or(0, |record| record.call_seq);
+        let call_seq = latest_local.max(latest_remote) + 1;
         let before = known
             .map(|known| &known.published)
-            .or(elsewhere)
+            .or(remote_record)
             .cloned()
             .unwrap_or_default();
         let record = HostRecord {
@@ -155,7 +162,7 @@
         true
     }
 
-    /// Notes that a coordinator or another member pulls. Returns whether a record changed.
+    /// Records a pull at `now`. Ignores subscribers that are members or have no name. Returns whether a record changed.
     pub fn record_pull(&mut self, now: Duration, subscriber: &Subscriber) -> bool {
         if subscriber.member_id != 0 || subscriber.name.is_empty() {
             return false;
@@ -175,8 +182,11 @@
                 pulled_at: now,
             },
         );
-        // A new version alone isn't published: else each configuration would tell all of them of each other.
-        if known.is_some_and(|known| !known.record.gone && is_same_place(&known.record, &record)) {
+        // A new configuration version alone isn't published. Otherwise each new configuration would cause an update of
+        // every coordinator's record to every coordinator.
+        if known
+            .is_some_and(|known| !known.record.gone && has_same_location(&known.record, &record))
+        {
             return false;
         }
         self.version.sequence += 1;
@@ -184,48 +194,45 @@
         true
     }
 
-    /// Notes which hosts and coordinators are silent, and drops those that ended long ago.
+    /// Marks silent hosts and coordinators, and removes those that ended longer ago than the retention.
     ///
-    /// `call_seq_elsewhere` gives the highest `call_seq` that other origins have of a host. Returns whether a record
+    /// `remote_call_seq` returns the highest `call_seq` that other origins have for a host. Returns whether a record
     /// changed.
-    pub fn tick(
-        &mut self,
-        now: Duration,
-        call_seq_elsewhere: impl Fn(&str) -> Option<u64>,
-    ) -> bool {
-        self.expire(now, SilentHosts::Mark, call_seq_elsewhere)
+    pub fn tick(&mut self, now: Duration, remote_call_seq: impl Fn(&str) -> Option<u64>) -> bool {
+        self.expire(now, SilentHosts::MarkExpired, remote_call_seq)
     }
 
-    /// As [`HostRegistry::tick`], at a member that has sent its hosts to other members and doesn't hear of these: hosts
-    /// that are silent here may call there.
+    /// Does the same as [`HostRegistry::tick`] on a member that has lost contact with the primary, but doesn't mark
+    /// silent hosts: this member redirected them to other members, and doesn't receive those members' records.
     pub fn tick_without_contact(
         &mut self,
         now: Duration,
-        call_seq_elsewhere: impl Fn(&str) -> Option<u64>,
+        remote_call_seq: impl Fn(&str) -> Option<u64>,
     ) -> bool {
-        self.expire(now, SilentHosts::Keep, call_seq_elsewhere)
+        self.expire(now, SilentHosts::LeaveUnmarked, remote_call_seq)
     }
 
     fn expire(
         &mut self,
         now: Duration,
         silent_hosts: SilentHosts,
-        call_seq_elsewhere: impl Fn(&str) -> Option<u64>,
+        remote_call_seq: impl Fn(&str) -> Option<u64>,
     ) -> bool {
         let before = self.version.sequence;
-        self.expire_hosts(now, silent_hosts, call_seq_elsewhere);
+        self.expire_hosts(now, silent_hosts, remote_call_seq);
         self.expire_coordinators(now);
         self.version.sequence != before
     }
 
-    /// What changed since the last call; all records the first time.
+    /// Returns the records that changed since the last call, and all records the first time. Returns `None` if there
+    /// are no changes.
     pub fn take_update(&mut self) -> Option<OriginUpdate> {
         let is_complete = std::mem::take(&mut self.is_next_update_complete);
         if !is_complete && self.changed_hosts.is_empty() && self.changed_coordinators.is_empty() {
             return None;
         }
         if is_complete {
-            // An origin without records is known by its number all the same.
+            // Even the first update of an origin without records has a sequence number above 0.
             self.version.sequence = self.version.sequence.max(1);
         }
         let hosts = std::mem::take(&mut self.changed_hosts);
@@ -246,7 +253,7 @@
         })
     }
 
-    /// The coordinators that pull here, with the version that each has in force.
+    /// Returns the records of the coordinators that pull from this member, with the configuration version of each.
     pub fn coordinators(&self) -> impl Iterator<Item = &CoordinatorRecord> {
         self.coordinators
             .values()
@@ -254,7 +261,7 @@
             .filter(|record| !record.gone)
     }
 
-    /// The coordinators that pull here, and those that did until lately.
+    /// Returns the coordinators that pull from this member and those that stopped less than the retention ago.
     pub fn recent_coordinators(&self) -> impl Iterator<Item = &KnownCoordinator> {
         self.coordinators.values()
     }
@@ -268,12 +275,12 @@
         &mut self,
         now: Duration,
         silent_hosts: SilentHosts,
-        call_seq_elsewhere: impl Fn(&str) -> Option<u64>,
+        remote_call_seq: impl Fn(&str) -> Option<u64>,
     ) {
         let timeout = self.heartbeat_timeout;
         let mut changed = Vec::new();
         self.hosts.retain(|id, host| {
-            match host.expire(now, timeout, silent_hosts, || call_seq_elsewhere(id)) {
+            match host.expire(now, timeout, silent_hosts, || remote_call_seq(id)) {
                 Expiry::Unchanged => true,
                 Expiry::Changed => {
                     changed.push(id.clone());
@@ -295,11 +302,11 @@
                 version.sequence += 1;
                 changed.insert(name.clone());
             }
-            now < coordinator.pulled_at + ENDED_RETENTION
+            now < coordinator.pulled_at + ENDED_RECORD_RETENTION
         });
     }
 }
 
-fn is_same_place(a: &CoordinatorRecord, b: &CoordinatorRecord) -> bool {
+fn has_same_location(a: &CoordinatorRecord, b: &CoordinatorRecord) -> bool {
     a.zone == b.zone && a.region == b.region && a.hints_addr == b.hints_addr
 }
--- a/crates/control-plane/src/host_registry/request.rs
+++ b/crates/control-plane/src/host_registry/request.rs
@@ -1,43 +1,43 @@
-//! Requests of hosts: decoded from path and body, handled elsewhere.
+//! Decodes the requests of hosts from path and body.
 
 use configuration::ResultCode;
 use protocol::Addr;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
-/// Longest id of a host, in bytes.
+/// Largest length of a host id, in bytes.
 const MAX_HOST_ID_BYTES: usize = 256;
 
-/// What a heartbeat says.
+/// The content of a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The host's service.
+    /// Name of the host's service.
     pub service: String,
-    /// Where the host takes requests.
+    /// The address at which the host accepts requests.
     pub addr: Addr,
     /// The host's zone.
     pub zone: String,
-    /// Requests that the host works on at once.
+    /// Number of requests that the host processes concurrently.
     pub capacity: u32,
     /// Whether the host is draining.
     pub draining: bool,
-    /// How much longer the host warms up, in ms.
+    /// Remaining time of the host's slow start, in ms.
     pub slow_start_remaining_ms: u32,
-    /// Number of the request; rises with each one of this host.
+    /// Sequence number of the request; increases with each request of this host.
     pub call_seq: u64,
 }
 
 /// A request of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostRequest {
-    /// The host is there.
+    /// The host is alive.
     Heartbeat {
         /// The host's id.
         host: String,
-        /// What it says.
+        /// The content of the heartbeat.
         heartbeat: Heartbeat,
     },
-    /// The host ends.
+    /// The host departs.
     Depart {
         /// The host's id.
         host: String,
@@ -68,8 +68,8 @@
     /// Decodes a request from its path and body.
     ///
     /// # Errors
-    /// [`ResultCode::NoSuchCall`] if the path is no host's request; [`ResultCode::Unreadable`] if it names no host, or
-    /// the body lacks what the request needs.
+    /// [`ResultCode::NoSuchCall`] if the path is not that of a host request; [`ResultCode::Unreadable`] if the host id
+    /// is invalid, the body can't be parsed or a field is missing.
     pub fn decode(path: &str, body: &[u8]) -> Result<HostRequest, ResultCode> {
         let (operation, host) = path
             .strip_prefix("/fennelpin/")
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Id of the host that sent it.
+    /// Returns the id of the host that the request is about.
     pub fn host(&self) -> &str {
         match self {
             HostRequest::Heartbeat { host, .. } | HostRequest::Depart { host } => host,
         }
     }
 
-    /// What it says, unless it tells the host's end.
+    /// Returns the content of a heartbeat, and `None` for a departure.
     pub fn heartbeat(&self) -> Option<&Heartbeat> {
         match self {
             HostRequest::Heartbeat { heartbeat, .. } => Some(heartbeat),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Whether the host says that it is draining or gone.
+    /// Whether the host reports that it is draining or departs.
     pub fn is_leaving(&self) -> bool {
         match self {
             HostRequest::Heartbeat { heartbeat, .. } => heartbeat.draining,
--- a/crates/control-plane/src/runtime/connection.rs
+++ b/crates/control-plane/src/runtime/connection.rs
@@ -1,4 +1,4 @@
-//! TCP connections between processes. All waits are bounded: a peer that stalls holds nobody up.
+//! Helpers for TCP connections between processes. All waits are bounded, so that a stalled peer blocks no other work.
 
 use std::io;
 use std::time::Duration;
@@ -6,24 +6,24 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A peer that takes no byte for this long counts as gone.
+/// Longest time that a write may make no progress before the peer is treated as lost.
 pub const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The kernel ends a connection whose sent bytes aren't acknowledged within this time (`TCP_USER_TIMEOUT`).
+/// Time without acknowledgement of sent bytes after which the kernel closes the connection (`TCP_USER_TIMEOUT`).
 #[cfg(target_os = "linux")]
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Writes all of `bytes`.
 ///
 /// # Errors
-/// If the connection breaks or the peer takes nothing for [`WRITE_STALL_TIMEOUT`].
+/// Returns an error if the connection breaks or a write makes no progress for [`WRITE_STALL_TIMEOUT`].
 pub async fn write_all(output: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> io::Result<()> {
     write_all_counting(output, bytes, |_| ()).await
 }
 
-/// As [`write_all`]; `on_written` is called with the number of bytes of each write.
+/// Writes all of `bytes` like [`write_all`], and calls `on_written` with the number of bytes of each partial write.
 ///
 /// # Errors
-/// As [`write_all`].
+/// Returns the errors of [`write_all`].
 pub async fn write_all_counting(
     output: &mut (impl AsyncWrite + Unpin),
     mut bytes: &[u8],
@@ -40,10 +40,10 @@
     Ok(())
 }
 
-/// Sets a connection's options: small writes go out at once, and unacknowledged bytes end it.
+/// Sets a connection's options: `TCP_NODELAY`, and on Linux `TCP_USER_TIMEOUT`.
 ///
 /// # Errors
-/// If the system refuses an option.
+/// Returns an error if the operating system refuses an option.
 pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
--- a/crates/control-plane/src/runtime/control_request.rs
+++ b/crates/control-plane/src/runtime/control_request.rs
@@ -1,4 +1,4 @@
-//! Requests of hosts, operators and applications to the control API, decoded from method, path, header and body.
+//! Decodes the requests of hosts, operators and applications to the control API from method, path, header and body.
 
 use super::coordination_endpoint::CoordinationEndpoint;
 use crate::host_registry::HostRequest;
@@ -7,7 +7,7 @@
 use hyper::Method;
 use protocol::CoordinationRequest;
 
-/// What method and path ask for, before the body is read.
+/// An operation of the control API, as decoded from method and path before the body is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// Replaces the configuration.
@@ -16,51 +16,51 @@
     Amend,
     /// Reads the configuration.
     Read,
-    /// A host's request, with its path.
+    /// A host's request; holds the path.
     Host(String),
-    /// The status page.
+    /// Returns the status page.
     Status,
-    /// The versions that were in force, or the configuration of one of them.
+    /// Lists the versions that were in force, or returns the configuration of one of them.
     History(Option<u64>),
-    /// Locks, numbers, cells and watches.
+    /// An operation on locks, numbers, cells or watches.
     Coordination(CoordinationEndpoint),
 }
 
-/// A request.
+/// A decoded control API request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlRequest {
-    /// Changes the configuration.
+    /// Replaces or amends the configuration.
     Configure {
-        /// The version that it builds on.
+        /// The version that the change is based on.
         base: u64,
-        /// Whether it amends; else it replaces.
+        /// Whether the body amends the configuration instead of replacing it.
         amend: bool,
-        /// The body as sent.
+        /// The body as received.
         body: Bytes,
     },
     /// Reads the configuration.
     Read,
     /// A host's request.
     Host(HostRequest),
-    /// The status page.
+    /// Returns the status page.
     Status,
-    /// The versions that were in force, or the configuration of one of them.
+    /// Lists the versions that were in force, or returns the configuration of one of them.
     History(Option<u64>),
-    /// A call for locks, numbers, cells or watches.
+    /// An operation on locks, numbers, cells or watches.
     Coordinate(CoordinationRequest),
 }
 
 impl Endpoint {
-    /// The endpoint of a method and a path, with the query if there is one.
+    /// Decodes a method and a path with an optional query.
     ///
     /// # Errors
     /// [`ResultCode::NoSuchCall`] for an unknown path, [`ResultCode::OtherMethod`] for the wrong method, and the errors
-    /// of [`CoordinationEndpoint::of_operation`].
+    /// of [`CoordinationEndpoint::from_operation`].
     pub fn decode(method: &Method, path_and_query: &str) -> Result<Endpoint, ResultCode> {
         let (path, query) = path_and_query
             .split_once('?')
             .unwrap_or((path_and_query, ""));
-        let endpoint = Self::of_path(path, query)?;
+        let endpoint = Self::from_path(path, query)?;
         let expected = if endpoint.is_read() {
             Method::GET
         } else {
@@ -72,7 +72,7 @@
         Ok(endpoint)
     }
 
-    fn of_path(path: &str, query: &str) -> Result<Endpoint, ResultCode> {
+    fn from_path(path: &str, query: &str) -> Result<Endpoint, ResultCode> {
         let operation = path
             .strip_prefix("/fennelpin/")
             .ok_or(ResultCode::NoSuchCall)?;
@@ -91,11 +91,11 @@
                 Ok(Endpoint::History(Some(version)))
             }
             _ if operation.starts_with("Hosts.") => Ok(Endpoint::Host(path.to_owned())),
-            _ => CoordinationEndpoint::of_operation(operation, query).map(Endpoint::Coordination),
+            _ => CoordinationEndpoint::from_operation(operation, query).map(Endpoint::Coordination),
         }
     }
 
-    /// Whether it changes nothing.
+    /// Whether the operation only reads; such operations use the method GET.
     pub fn is_read(&self) -> bool {
         match self {
             Endpoint::Read | Endpoint::Status | Endpoint::History(_) => true,
@@ -104,16 +104,17 @@
         }
     }
 
-    /// Whether its body may be long.
+    /// Whether the body is a configuration, which may be large.
     pub fn has_large_body(&self) -> bool {
         matches!(self, Endpoint::Replace | Endpoint::Amend)
     }
 
-    /// The request with its body and the value of `Fennelpin-Base-Version`. `attempt` is a number that no other request
-    /// has.
+    /// Completes the request with its body and the value of the header `Fennelpin-Base-Version`. `attempt` is a number
+    /// that is unique to this request.
     ///
     /// # Errors
-    /// [`ResultCode::NoBase`], and the errors of [`HostRequest::decode`] and [`CoordinationEndpoint::into_request`].
+    /// [`ResultCode::NoBase`] if the operation needs a base version and the header has none, and the errors of
+    /// [`HostRequest::decode`] and [`CoordinationEndpoint::into_request`].
     pub fn into_request(
         self,
         base_version: Option<&str>,
@@ -139,7 +140,7 @@
     }
 }
 
-/// The version in a header: decimal digits alone, without a sign.
+/// Parses a version in a header: decimal digits without a sign, with optional spaces and tabs around them.
 fn parse_version(text: &str) -> Option<u64> {
     let digits = text.trim_matches([' ', '\t']);
     if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
--- a/crates/control-plane/src/runtime/control_server.rs
+++ b/crates/control-plane/src/runtime/control_server.rs
@@ -1,4 +1,5 @@
-//! The control API's HTTP server: reads requests within limits, has them handled, writes the replies.
+//! The control API's HTTP server: reads requests within limits of size and time, passes them to the handler and writes
+//! its replies.
 
 use super::connection::set_socket_options;
 use super::control_request::{ControlRequest, Endpoint};
@@ -24,43 +25,44 @@
 use tokio::sync::{watch, Semaphore, SemaphorePermit};
 use tokio::time::{sleep, timeout};
 
-/// Names the version that a configuration request builds on.
+/// Name of the header with the version that a configuration request is based on.
 const BASE_VERSION_HEADER: &str = "fennelpin-base-version";
-/// Longest body in bytes.
+/// Largest request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
-/// Size of a connection's read buffer, and so the longest head, in bytes.
+/// Size of a connection's read buffer, in bytes. It bounds the size of a request head.
 const MAX_BUFFER_BYTES: usize = 64 << 10;
-/// Time for a head, and for the next request on a connection.
+/// Longest time to receive a request head, including the wait for the next request on an idle connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time for a body.
+/// Longest time to receive a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(8);
-/// Age at which a connection takes no more requests.
+/// Age at which a connection stops accepting requests and is closed.
 const MAX_CONNECTION_AGE: Duration = Duration::from_secs(60);
-/// Time for the last request of a connection to end.
+/// Longest time for the last request of a closing connection to complete.
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bodies of configurations that are held at once: as many as configuration requests may be in flight.
+/// Number of configuration bodies that are held in memory at once; equals the number of configuration requests that may
+/// be in flight.
 const MAX_CONCURRENT_BODIES: usize = 8;
-/// Longest wait for one of them to end.
+/// Longest wait for one of these bodies to be released.
 const BODY_SLOT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a connection couldn't be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before the next attempt to accept after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What goes back to a caller.
+/// The reply to a control API request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The result.
+    /// The result code, which also determines the HTTP status.
     pub code: ResultCode,
-    /// The body as JSON, if it says more than the code and its text.
+    /// The JSON body; `None` for the default body of the code and its text.
     pub body: Option<Bytes>,
 }
 
 impl Reply {
-    /// A reply that says no more than its code.
+    /// Creates a reply with the default body of its code.
     pub fn from_code(code: ResultCode) -> Self {
         Self { code, body: None }
     }
 
-    /// A reply with a detail; without one if `detail` is empty.
+    /// Creates a reply whose body has a `detail` beside the code, unless `detail` is empty.
     pub fn with_detail(code: ResultCode, detail: &str) -> Self {
         if detail.is_empty() {
             return Self::from_code(code);
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Success, with a body of JSON.
+    /// Creates a successful reply with a JSON body.
     pub fn json(body: impl Into<Bytes>) -> Self {
         Self {
             code: ResultCode::Ok,
@@ -102,28 +104,28 @@
     }
 }
 
-/// Handles requests. For one thread.
+/// A handler of control API requests. It runs on one thread and need not be `Send`.
 pub trait HandleRequest: 'static {
-    /// Handles a request within the time that its caller waits.
+    /// Handles a request. The handler bounds the time that this takes.
     fn handle(&self, request: ControlRequest) -> impl Future<Output = Reply>;
 }
 
-/// Counts since the start.
+/// Counters of the control API since the process started.
 #[derive(Debug, Default)]
 pub struct ControlCounters {
     /// Connections accepted.
     pub connections: Cell<u64>,
-    /// Connections that were closed at once, as too many were open.
+    /// Connections closed at once because too many were open.
     pub connections_rejected: Cell<u64>,
-    /// Replies with 2xx.
+    /// Replies with a status below 400.
     pub succeeded: Cell<u64>,
-    /// Replies with 4xx.
+    /// Replies with a 4xx status.
     pub rejected: Cell<u64>,
-    /// Replies with 5xx.
+    /// Replies with a 5xx status.
     pub failed: Cell<u64>,
 }
 
-/// The server's state, which its connections share.
+/// The control API's server; its connections share it.
 pub struct ControlServer<H> {
     handler: H,
     connection_slots: Semaphore,
@@ -134,8 +136,8 @@
 }
 
 impl<H: HandleRequest> ControlServer<H> {
-    /// A server whose requests `handler` handles, with at most `max_connections` at once, until `shutdown` becomes
-    /// true.
+    /// Creates a server that passes its requests to `handler` and serves at most `max_connections` at once. When
+    /// `shutdown` becomes true, it closes each connection after the request in progress.
     pub fn new(
         handler: H,
         max_connections: usize,
@@ -147,22 +149,22 @@
             connection_slots: Semaphore::new(max_connections),
             body_slots: Semaphore::new(MAX_CONCURRENT_BODIES),
             counters,
-            next_attempt: Cell::new(first_attempt()),
+            next_attempt: Cell::new(random_first_attempt()),
             shutdown,
         })
     }
 
-    /// Accepts connections; never ends by itself. Runs on a `LocalSet`.
+    /// Accepts connections forever. Must run on a `LocalSet`.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     tokio::task::spawn_local(self.clone().serve_connection(stream));
                 }
-                // No descriptor is left, or the caller is gone already.
+                // The process is out of file descriptors, or the client has already disconnected.
                 Err(error) => {
-                    log::debug!(error:%; "accept");
-                    sleep(ACCEPT_PAUSE).await;
+                    log::debug!(error:%; "accepting a connection failed; retrying");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -175,7 +177,7 @@
         };
         increment(&self.counters.connections);
         if let Err(error) = set_socket_options(&stream) {
-            log::debug!(error:%; "socket options");
+            log::debug!(error:%; "setting socket options failed; serving the connection without them");
         }
         let service = service_fn(|request| self.clone().respond(request));
         let serving = hyper::server::conn::http1::Builder::new()
@@ -191,7 +193,7 @@
             () = sleep(MAX_CONNECTION_AGE) => {}
         }
         serving.as_mut().graceful_shutdown();
-        // A time-out closes the connection.
+        // When the timeout expires, dropping `serving` closes the connection.
         let _ = timeout(LAST_REQUEST_TIMEOUT, serving).await;
     }
 
@@ -209,7 +211,7 @@
             _ => &self.counters.succeeded,
         };
         increment(counter);
-        // The rest of a body that was too large or too slow isn't read.
+        // The rest of a body that was too large or too slow is left unread, so the connection can't be reused.
         let has_unread_body = matches!(reply.code, ResultCode::TooLarge | ResultCode::SlowClient);
         Ok(reply.into_response(has_unread_body || *self.shutdown.borrow()))
     }
@@ -220,24 +222,24 @@
         let path = path.map_or(parts.uri.path(), PathAndQuery::as_str);
         let endpoint = Endpoint::decode(&parts.method, path)?;
         let _slot = if endpoint.has_large_body() {
-            Some(self.body_slot().await?)
+            Some(self.acquire_body_slot().await?)
         } else {
             None
         };
         let body = read_body(body).await?;
-        let base_version = only_value(&parts.headers, BASE_VERSION_HEADER);
+        let base_version = single_value(&parts.headers, BASE_VERSION_HEADER);
         let request = endpoint.into_request(base_version, body, self.next_attempt())?;
         Ok(self.handler.handle(request).await)
     }
 
-    /// A number for the next request that no other one has, here or at another member.
+    /// Returns a number that no other request has, on this member or another one.
     fn next_attempt(&self) -> u64 {
         let attempt = self.next_attempt.get();
         self.next_attempt.set(attempt.wrapping_add(1));
         attempt
     }
 
-    async fn body_slot(&self) -> Result<SemaphorePermit<'_>, ResultCode> {
+    async fn acquire_body_slot(&self) -> Result<SemaphorePermit<'_>, ResultCode> {
         match timeout(BODY_SLOT_TIMEOUT, self.body_slots.acquire()).await {
             Ok(Ok(permit)) => Ok(permit),
             _ => Err(ResultCode::Crowded),
@@ -245,9 +247,10 @@
     }
 }
 
-/// Far from the numbers that other members and other lives of this one give.
-fn first_attempt() -> u64 {
-    // The hasher's keys are random, and differ between processes.
+/// Returns a random first attempt number, which makes an overlap with the numbers of other members and of earlier
+/// incarnations of this one unlikely.
+fn random_first_attempt() -> u64 {
+    // `RandomState` has random keys that differ between processes.
     RandomState::new().hash_one(0)
 }
 
@@ -255,15 +258,15 @@
     match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Err(_) => Err(ResultCode::SlowClient),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ResultCode::TooLarge),
-        // The caller may have meant more: what it meant isn't rejected.
-        Ok(Err(error)) if is_cut_short(error.as_ref()) => Err(ResultCode::SlowClient),
+        // A truncated body says nothing about the request that was meant: it isn't reported as invalid.
+        Ok(Err(error)) if is_truncated(error.as_ref()) => Err(ResultCode::SlowClient),
         Ok(Err(_)) => Err(ResultCode::Unreadable),
         Ok(Ok(body)) => Ok(body.to_bytes()),
     }
 }
 
-/// The value of a header that is present exactly once.
-fn only_value<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
+/// Returns the value of a header that is present exactly once, and `None` otherwise.
+fn single_value<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?;
     if values.next().is_some() {
@@ -272,8 +275,8 @@
     first.to_str().ok()
 }
 
-/// Whether a body ended before its stated length, or its connection broke.
-fn is_cut_short(error: &(dyn Error + 'static)) -> bool {
+/// Whether a body ended before its declared length or its connection was reset.
+fn is_truncated(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(error) = cause {
         if let Some(error) = error.downcast_ref::<io::Error>() {
--- a/crates/control-plane/src/runtime/coordination_endpoint.rs
+++ b/crates/control-plane/src/runtime/coordination_endpoint.rs
@@ -1,5 +1,5 @@
-//! Applications' calls for locks, numbers, cells and watches, decoded from path, query and body; and those of operators
-//! who look at them.
+//! Decodes coordination requests from path, query and body: the locks, numbers, cells and watches of applications, and
+//! the requests with which operators inspect and free them.
 
 use bytes::Bytes;
 use configuration::ResultCode;
@@ -9,33 +9,33 @@
 use protocol::CoordinationRequest;
 use serde::Deserialize;
 
-/// What a path asks for, before the body is read.
+/// A coordination operation, as decoded from the path and the query before the body is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CoordinationEndpoint {
-    /// Takes the lock of this name.
+    /// Acquires the lock of this name.
     AcquireLock(String),
-    /// Extends the time for which the lock is held.
+    /// Extends the hold time of the lock of this name.
     RenewLock(String),
-    /// Gives the lock back.
+    /// Releases the lock of this name.
     ReleaseLock(String),
     /// Takes the next number of the counter of this name.
     NextNumber(String),
-    /// Puts a value into the cell of this name.
+    /// Writes a value to the cell of this name.
     PutCell(String),
-    /// Reads the cell.
+    /// Reads the cell of this name.
     ReadCell(String),
-    /// Waits for puts into a group of cells.
+    /// Waits for writes to a group of cells.
     Watch {
         /// The group's name.
         group: String,
-        /// The query, with `after` and `wait_ms`.
+        /// The query string with the parameters `after` (a revision) and `wait_ms`.
         query: String,
     },
-    /// An operator asks for all locks.
+    /// Lists all locks, for operators.
     ListLocks,
-    /// An operator asks for the groups of cells, or for the cells of this one.
+    /// Lists the groups of cells if the name is empty, else the cells of the group of this name; for operators.
     ListCells(String),
-    /// An operator takes the lock away from its holder.
+    /// Frees the lock of this name, whoever holds it; for operators.
     FreeLock(String),
 }
 
@@ -61,17 +61,17 @@
 #[derive(Deserialize)]
 struct PutBody {
     value: String,
-    /// Without it the cell may have any revision.
+    /// The revision that the cell must have; `None` accepts any revision.
     #[serde(rename = "enabled")]
     expected_revision: Option<u64>,
 }
 
 impl CoordinationEndpoint {
-    /// The endpoint of an operation, which is the path behind `/fennelpin/`.
+    /// Decodes an operation, which is the path after `/fennelpin/`, and its query.
     ///
     /// # Errors
-    /// [`ResultCode::NoSuchCall`] for an unknown operation, [`ResultCode::BadValue`] for a name that can't be one.
-    pub fn of_operation(operation: &str, query: &str) -> Result<Self, ResultCode> {
+    /// [`ResultCode::NoSuchCall`] for an unknown operation, [`ResultCode::BadValue`] for an invalid name.
+    pub fn from_operation(operation: &str, query: &str) -> Result<Self, ResultCode> {
         let (call, name) = operation.split_once('/').unwrap_or((operation, ""));
         let endpoint = match call {
             "Locks.Begin" => Self::AcquireLock(name.into()),
@@ -103,7 +103,7 @@
         Ok(endpoint)
     }
 
-    /// Whether it is called with GET.
+    /// Whether the operation only reads; such operations use the method GET.
     pub fn is_read(&self) -> bool {
         matches!(
             self,
@@ -111,11 +111,11 @@
         )
     }
 
-    /// The request with its body. `attempt` is a number that no other call has.
+    /// Completes the request with its body. `attempt` is a number that is unique to this request.
     ///
     /// # Errors
-    /// [`ResultCode::Unreadable`] if the body lacks what the request needs, [`ResultCode::BadValue`] for a value that is
-    /// out of bounds.
+    /// [`ResultCode::Unreadable`] if the body can't be parsed or a field is missing, [`ResultCode::BadValue`] for a
+    /// value that is out of bounds.
     pub fn into_request(
         self,
         body: &Bytes,
@@ -181,7 +181,7 @@
 }
 
 fn bad_value(error: &InvalidField) -> ResultCode {
-    log::debug!(error:%; "invalid field");
+    log::debug!(error:%; "rejecting a coordination request with an invalid field");
     ResultCode::BadValue
 }
 
--- a/crates/control-plane/src/runtime/event_loop.rs
+++ b/crates/control-plane/src/runtime/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: hands what happens to the state machine, one input after the other.
+//! The event loop: passes events to the state machine as inputs, one at a time.
 
 use super::control_server::ControlCounters;
 use super::member_status::PublishedControlPlane;
@@ -20,50 +20,52 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// Events that are taken before other tasks run again.
-const EVENTS_PER_TURN: usize = 64;
-/// Wait of a state machine that asks for no tick: longer than any process runs.
-const NO_WAKE: Duration = Duration::from_secs(1 << 30);
+/// Largest number of events that are handled before other tasks run again.
+const MAX_EVENTS_PER_TURN: usize = 64;
+/// Wake-up delay when the state machine has requested no tick: longer than any process runs.
+const MAX_WAKE_DELAY: Duration = Duration::from_secs(1 << 30);
 
-/// What the event loop carries outputs out with.
+/// The parts of the runtime with which the event loop carries out outputs.
 pub(super) struct Services {
     pub(super) storage: std::sync::mpsc::Sender<Write>,
     pub(super) peers: PeerConnections,
     pub(super) mirror: Arc<SharedMirror>,
-    /// Set when the process is asked to end.
+    /// Set to true when the process is asked to shut down.
     pub(super) shutdown: watch::Sender<bool>,
     pub(super) history: Rc<RefCell<ConfigurationHistory>>,
     /// Time between two log lines of counters.
     pub(super) counters_interval: Duration,
-    /// Longest wait for the handing over at the end.
-    pub(super) leave_timeout: Duration,
+    /// Longest time for the departure at shutdown.
+    pub(super) departure_timeout: Duration,
 }
 
-/// The state machine with all that carries out its outputs.
+/// The state machine and the parts of the runtime that carry out its outputs.
 pub(super) struct EventLoop {
     pub(super) member: Member,
-    /// Empty between steps; keeps its memory.
+    /// Buffer for the outputs of a step; empty between steps.
     outputs: Vec<Output>,
-    /// The state machine's time counts from here.
+    /// The instant from which the state machine's time is measured.
     pub(super) origin: Instant,
-    /// When the state machine wants a tick.
+    /// When the state machine needs its next tick, counted from `origin`; `None` if it needs none.
     pub(super) wake_at: Option<Duration>,
-    /// Who waits for the reply to a command, by the command's ticket.
-    pub(super) callers: HashMap<u64, oneshot::Sender<CommandReply>>,
-    /// Tickets given out.
-    tickets: u64,
-    /// Whether all is handed over.
-    pub(super) has_left: bool,
-    /// Inputs taken.
+    /// The reply channels of pending commands, by ticket.
+    pub(super) reply_senders: HashMap<u64, oneshot::Sender<CommandReply>>,
+    /// The ticket of the latest command.
+    last_ticket: u64,
+    /// Whether the member has completed its departure.
+    pub(super) has_departed: bool,
+    /// Number of inputs passed to the state machine.
     pub(super) steps: u64,
-    pub(super) published: PublishedControlPlane,
+    /// The control plane's members as last published in the mirror.
+    pub(super) published_control_plane: PublishedControlPlane,
     pub(super) recorder: Recorder,
     pub(super) transition_log: TransitionLog,
     pub(super) services: Services,
 }
 
 impl EventLoop {
-    /// The loop of a member that was made at `started_at`, counted from `origin`. Logs what the disk held.
+    /// Creates the event loop of a member that was created at `started_at`, counted from `origin`. Logs the state that
+    /// was on the disk.
     pub(super) fn new(
         member: Member,
         transition_log: TransitionLog,
@@ -80,16 +82,16 @@
             outputs: Vec::new(),
             origin,
             wake_at: Some(started_at),
-            callers: HashMap::new(),
-            tickets: 0,
-            has_left: false,
+            reply_senders: HashMap::new(),
+            last_ticket: 0,
+            has_departed: false,
             steps: 0,
-            published: PublishedControlPlane::default(),
+            published_control_plane: PublishedControlPlane::default(),
             services,
         }
     }
 
-    /// Takes events until all is handed over after `shutdown`, or the time for that is over.
+    /// Handles events until the member has departed after `shutdown`, or its departure timeout has expired.
     pub(super) async fn run(
         &mut self,
         events: &mut UnboundedReceiver<Event>,
@@ -97,24 +99,24 @@
         counters: &ControlCounters,
     ) {
         let mut deadline: Option<Instant> = None;
-        let mut next_counters = Instant::now() + self.services.counters_interval;
-        while !self.has_left && deadline.is_none_or(|deadline| Instant::now() < deadline) {
-            let wake_at = self.next_wake(deadline, next_counters);
+        let mut next_counters_at = Instant::now() + self.services.counters_interval;
+        while !self.has_departed && deadline.is_none_or(|deadline| Instant::now() < deadline) {
+            let wake_at = self.next_wake(deadline, next_counters_at);
             tokio::select! {
                 biased;
                 () = &mut shutdown, if deadline.is_none() => {
-                    deadline = Some(Instant::now() + self.services.leave_timeout);
+                    deadline = Some(Instant::now() + self.services.departure_timeout);
                     self.services.shutdown.send_replace(true);
                     self.step(Input::Depart);
                 }
                 event = events.recv() => {
-                    // The request handler holds a sender.
+                    // The request handler holds a sender, so this doesn't happen while the control API runs.
                     let Some(event) = event else { return };
-                    self.take_events(event, events);
+                    self.handle_events(event, events);
                 }
                 () = sleep_until(wake_at) => {
-                    if next_counters <= Instant::now() {
-                        next_counters += self.services.counters_interval;
+                    if next_counters_at <= Instant::now() {
+                        next_counters_at += self.services.counters_interval;
                         self.log_counters(counters);
                     }
                     self.tick_if_due();
@@ -123,19 +125,19 @@
         }
     }
 
-    fn next_wake(&self, deadline: Option<Instant>, next_counters: Instant) -> Instant {
-        let wake_at = self.origin + self.wake_at.unwrap_or(NO_WAKE);
+    fn next_wake(&self, deadline: Option<Instant>, next_counters_at: Instant) -> Instant {
+        let wake_at = self.origin + self.wake_at.unwrap_or(MAX_WAKE_DELAY);
         deadline
             .map_or(wake_at, |deadline| wake_at.min(deadline))
-            .min(next_counters)
+            .min(next_counters_at)
     }
 
-    /// Takes an event and those that have queued up behind it.
-    fn take_events(&mut self, first: Event, events: &mut UnboundedReceiver<Event>) {
-        self.take(first);
-        for _ in 1..EVENTS_PER_TURN {
+    /// Handles an event and those queued behind it, up to [`MAX_EVENTS_PER_TURN`].
+    fn handle_events(&mut self, first: Event, events: &mut UnboundedReceiver<Event>) {
+        self.handle_event(first);
+        for _ in 1..MAX_EVENTS_PER_TURN {
             let Ok(event) = events.try_recv() else { break };
-            self.take(event);
+            self.handle_event(event);
         }
         self.publish_control_plane();
     }
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Hands one input to the state machine and carries out what it asks for.
+    /// Passes one input to the state machine, logs the state transitions and carries out the outputs.
     fn step(&mut self, input: Input) {
         self.steps += 1;
         let mut outputs = std::mem::take(&mut self.outputs);
@@ -166,7 +168,7 @@
         self.outputs = outputs;
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Peer(PeerEvent::Connected(member)) => {
                 self.step(Input::PeerReachable { member });
@@ -180,26 +182,28 @@
             Event::Storage(StorageEvent::Wrote { ticket, result }) => {
                 self.step(Input::WriteCompleted { ticket, result });
             }
-            Event::Storage(StorageEvent::Open { .. } | StorageEvent::NotOpen { .. }) => {}
-            Event::Command(command, caller) => self.take_command(command, caller),
-            // Whoever asked may have stopped waiting.
-            Event::Status(asker) => drop(asker.send(self.status())),
+            Event::Storage(StorageEvent::Open { .. } | StorageEvent::OpenFailed { .. }) => {}
+            Event::Command(command, reply_sender) => self.handle_command(command, reply_sender),
+            // The requester may have stopped waiting.
+            Event::Status(status_sender) => drop(status_sender.send(self.status())),
         }
     }
 
-    fn take_command(&mut self, command: Command, caller: oneshot::Sender<CommandReply>) {
+    fn handle_command(&mut self, command: Command, reply_sender: oneshot::Sender<CommandReply>) {
         self.learn_primary_from_mirror();
-        // A caller that stopped waiting may have been answered elsewhere, but what it asked for still holds.
-        self.callers.retain(|_, caller| !caller.is_closed());
-        self.tickets += 1;
-        self.callers.insert(self.tickets, caller);
+        // A caller that stopped waiting needs no reply, but its command still runs.
+        self.reply_senders
+            .retain(|_, reply_sender| !reply_sender.is_closed());
+        self.last_ticket += 1;
+        self.reply_senders.insert(self.last_ticket, reply_sender);
         self.step(Input::Command {
-            ticket: self.tickets,
+            ticket: self.last_ticket,
             command,
         });
     }
 
-    /// What others published may be newer than what the member heard itself.
+    /// Passes the primary that the mirror knows to the member: other members may have published a newer one than the
+    /// member has heard of itself.
     fn learn_primary_from_mirror(&mut self) {
         self.services.mirror.update(|mirror, _| {
             let info = mirror.control_plane();
--- a/crates/control-plane/src/runtime/host_cache.rs
+++ b/crates/control-plane/src/runtime/host_cache.rs
@@ -1,7 +1,8 @@
-//! The hosts as last known, kept on disk.
+//! A cache of the last known hosts on disk.
 //!
-//! After a start of all members, proxies have hosts to send to before these have sent a heartbeat. Nothing depends on
-//! it: whoever sends to a host that is gone finds out, and a host that left is in the replicated state.
+//! After a restart of all members, proxies can use the cached hosts before these have sent their first heartbeats. The
+//! cache is best effort: a proxy that sends to a lost host detects the failure, and drains are part of the replicated
+//! state.
 
 use super::identity::Identity;
 use super::storage::{StateFile, Write};
@@ -15,7 +16,8 @@
 /// Shortest time between two writes.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Puts the stored hosts into the mirror, as records of an earlier incarnation of this member.
+/// Loads the stored hosts into the mirror, as records of an earlier incarnation of this member. Ignores a cache that
+/// can't be decoded.
 pub(super) fn restore(mirror: &SharedMirror, identity: &Identity, stored: Option<Vec<u8>>) {
     let Some(stored) =
         stored.and_then(|bytes| protocol::decode_record::<OriginUpdate>(&bytes).ok())
@@ -40,7 +42,8 @@
     mirror.update(|mirror, now| mirror.apply(now, &update));
 }
 
-/// Writes the hosts that the mirror knows whenever they change. Ends with the storage thread or the mirror.
+/// Writes the mirror's ready hosts to the cache whenever they change. Returns when the storage thread or the mirror has
+/// ended.
 pub(super) async fn store_changes(mirror: Arc<SharedMirror>, storage: Sender<Write>) {
     let mut snapshots = mirror.subscribe();
     let mut stored: Vec<HostRecord> = Vec::new();
@@ -54,7 +57,7 @@
             .collect();
         if hosts != stored {
             stored.clone_from(&hosts);
-            if storage.send(write_of(hosts)).is_err() {
+            if storage.send(host_cache_write(hosts)).is_err() {
                 return;
             }
         }
@@ -65,7 +68,7 @@
     }
 }
 
-/// The part of a record that tells where a host is: the rest changes with each heartbeat.
+/// Returns the record without the fields that change with each heartbeat.
 fn stored_record(host: &HostRecord) -> HostRecord {
     HostRecord {
         call_seq: 0,
@@ -75,7 +78,7 @@
     }
 }
 
-fn write_of(hosts: Vec<HostRecord>) -> Write {
+fn host_cache_write(hosts: Vec<HostRecord>) -> Write {
     let content = OriginUpdate {
         hosts,
         ..OriginUpdate::default()
--- a/crates/control-plane/src/runtime/identity.rs
+++ b/crates/control-plane/src/runtime/identity.rs
@@ -1,11 +1,11 @@
-//! Who a member is. The identity is stored on the member's own disk, so that a wiped disk comes back as another
-//! member.
+//! The identity of a member. It is stored on the member's own disk, so that a member whose disk was wiped starts under
+//! a new identity.
 //!
-//! The identity stands in two files. The log begins with it ([`LogOwner`]) and is made first. The identity's file is
-//! written once that is on disk, and nothing is promised before both are. So:
+//! Two files hold the identity. The log is created first and begins with it ([`LogOwner`]). The identity file is
+//! written once the log is on disk, and the member makes no promise before both are on disk. Therefore:
 //!
-//! - An identity without its log has forgotten its promises: it is never used again.
-//! - A log without the identity's file names its owner itself.
+//! - An identity without its log has lost its promises and is never used again.
+//! - A log without an identity file still names its owner.
 
 use crate::incarnation;
 use binrw::binrw;
@@ -13,14 +13,14 @@
 use snafu::{ResultExt, Snafu};
 use std::net::SocketAddrV4;
 
-/// A member's identity as its disk stores it.
+/// A member's identity as stored on its disk.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Identity {
     /// The member's id; never 0.
     pub id: u64,
-    /// The current incarnation; rises with each start ([`crate::incarnation`]).
+    /// The current incarnation; increases with each start ([`crate::incarnation`]).
     pub incarnation: u64,
     #[bw(calc = initial_voters.len() as u32)]
     count: u32,
@@ -34,45 +34,45 @@
 #[brw(little, magic = b"owner")]
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogOwner {
-    /// Whose promises the log holds, as of the incarnation that made or last rewrote it.
+    /// The member whose promises the log holds, as of the incarnation that created or last rewrote the log.
     pub identity: Identity,
 }
 
-/// Why it can't be told who this member is. The files are left as they are.
+/// An error that leaves this member's identity undetermined. The files are left unchanged.
 #[derive(Debug, Snafu)]
 pub enum IdentityError {
-    /// A record of the identity's file can't be read.
+    /// A record of the identity file can't be decoded.
     #[snafu(display("record {record} of the identity file can't be decoded"))]
     Unreadable {
         /// Index of the record, from 0.
         record: usize,
-        /// What is wrong with it.
+        /// The decoding error.
         source: protocol::DecodeError,
     },
-    /// The log is of an earlier release, and the identity's file is missing.
+    /// The log was written by an earlier release, which recorded no owner, and the identity file is missing.
     #[snafu(display("the log has records, and no identity file names their owner"))]
     NoIdentity,
-    /// The two files are of different members.
+    /// The two files belong to different members.
     #[snafu(display("the log belongs to member {owner}, the identity file to member {identity}"))]
     OtherOwner {
-        /// Id of the log's owner.
+        /// Member id of the log's owner.
         owner: u64,
-        /// Id in the identity's file.
+        /// Member id in the identity file.
         identity: u64,
     },
 }
 
-/// What the log holds at a start.
+/// The content of the log when a member starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredLog {
-    /// The owner; `None` if there is no file, or if an earlier release wrote it.
+    /// The owner; `None` if the file doesn't exist or an earlier release wrote it.
     pub owner: Option<Identity>,
-    /// The member's records, without the owner.
+    /// The state machine's records, without the owner record.
     pub records: Vec<Vec<u8>>,
 }
 
 impl StoredLog {
-    /// Splits the records of the log's file into owner and member's records.
+    /// Splits the records of the log file into the owner and the state machine's records.
     pub fn from_records(mut records: Vec<Vec<u8>>) -> Self {
         let owner = records
             .first()
@@ -87,26 +87,25 @@
     }
 }
 
-/// What decides the identity at a start, beside the disk.
+/// The inputs other than the disk that determine the identity at a start.
 #[derive(Clone, Debug)]
 pub struct StartContext {
-    /// The machine's `control` address.
+    /// This machine's `control` address.
     pub control: SocketAddrV4,
     /// The seeds' `control` addresses.
     pub seeds: Vec<SocketAddrV4>,
-    /// Port of the members' own messages, the same on all machines.
+    /// Port for messages between members, the same on all machines.
     pub port: u16,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole control plane starts for the first time.
     pub bootstrap: bool,
-    /// A random number.
+    /// A random number: the id of a new member, and part of the incarnation.
     pub random: u64,
-    /// The time of day in ms since 1970. It keeps incarnations rising where the disk can't store them.
+    /// The time of day in ms since 1970. It keeps incarnations increasing when the disk can't store them.
     pub clock_ms: u64,
 }
 
-/// The id of an initial voter. It follows from its member address, so initial voters know each other's.
-///
-/// The hash is 64-bit FNV-1a.
+/// Returns the id of the initial voter at `member_address`. It is the 64-bit FNV-1a hash of the address, so that
+/// initial voters know each other's ids; never 0.
 pub fn initial_voter_id(member_address: SocketAddrV4) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -119,13 +118,13 @@
     hash.max(1)
 }
 
-/// The address for members' messages of the machine with this `control` address.
+/// Returns the address for messages between members on the machine with this `control` address.
 pub fn member_address(control: SocketAddrV4, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(*control.ip(), port)
 }
 
 impl StartContext {
-    /// The identity of the incarnation that starts now, given the stored one.
+    /// Returns the identity of the incarnation that starts now, given the stored identity.
     pub fn identity(&self, stored: Option<Identity>) -> Identity {
         match stored {
             Some(stored) => Identity {
@@ -133,26 +132,27 @@
                 ..stored
             },
             None if self.bootstrap && self.seeds.contains(&self.control) => self.initial_voter(),
-            None => self.newcomer(),
+            None => self.new_member(),
         }
     }
 
-    /// The identity of the incarnation that starts now, given what both files held.
+    /// Returns the identity of the incarnation that starts now, given the identity file's identity and the log.
     ///
     /// # Errors
-    /// If there are records and this member can't tell that they are its own.
-    pub fn identity_with(
+    /// Returns an error if the log has records and it is unknown whether they belong to this member.
+    pub fn identity_from_files(
         &self,
         stored: Option<Identity>,
         log: &StoredLog,
     ) -> Result<Identity, IdentityError> {
         let known = match (stored, log.owner.clone()) {
-            // The identity's file was lost, or never written after the log was made.
+            // The identity file was lost, or the process ended after it created the log and before it wrote the file.
             (None, Some(owner)) => owner,
             (None, None) if log.records.is_empty() => return Ok(self.identity(None)),
             (None, None) => return NoIdentitySnafu.fail(),
             (Some(stored), Some(owner)) if stored.id == owner.id => stored,
-            // Its log was lost, and a new identity has begun one without coming to promise anything.
+            // The stored identity's log was lost, and a new identity created one before the process ended. The new
+            // identity has promised nothing yet.
             (Some(_), Some(owner)) if log.records.is_empty() => owner,
             (Some(stored), Some(owner)) => {
                 return OtherOwnerSnafu {
@@ -161,16 +161,16 @@
                 }
                 .fail();
             }
-            // Written by an earlier release.
+            // The log was written by an earlier release.
             (Some(stored), None) if !log.records.is_empty() => stored,
-            // What it promised is forgotten: it comes back as another member, which is no voter.
-            (Some(_), None) => return Ok(self.newcomer()),
+            // The log and its promises are lost: the member returns under a new identity without a vote.
+            (Some(_), None) => return Ok(self.new_member()),
         };
         Ok(self.identity(Some(known)))
     }
 
-    /// A member that no membership configuration names yet.
-    fn newcomer(&self) -> Identity {
+    /// Returns the identity of a member that no membership configuration contains yet.
+    fn new_member(&self) -> Identity {
         Identity {
             id: self.random.max(1),
             incarnation: self.incarnation_after(0),
@@ -205,10 +205,10 @@
     }
 }
 
-/// The latest identity among the records of the identity's file.
+/// Returns the latest identity among the records of the identity file, or `None` if there is none.
 ///
 /// # Errors
-/// If one of them can't be read: it is never passed over for an older one.
+/// Returns an error if any record can't be decoded, rather than falling back to an older one.
 pub fn latest_identity(records: &[Vec<u8>]) -> Result<Option<Identity>, IdentityError> {
     let mut latest = None;
     for (record, bytes) in records.iter().enumerate() {
--- a/crates/control-plane/src/runtime/inbound.rs
+++ b/crates/control-plane/src/runtime/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections from other processes: members that send messages, and subscribers that pull.
+//! Inbound connections of other processes: members that send messages, and subscribers that pull.
 
 use super::connection::set_socket_options;
 use super::peer_connections::PeerConnections;
@@ -11,12 +11,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Time for each of the first messages on a connection.
+/// Longest wait for each of the first two messages on a connection.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after a connection couldn't be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before the next attempt to accept after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Accepts connections for as long as the process runs.
+/// Accepts connections until the process ends.
 pub(super) async fn accept(
     listener: TcpListener,
     peers: PeerConnections,
@@ -25,28 +25,32 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(serve_logging(stream, peers.clone(), publisher.clone()));
+                spawn_local(serve_and_log_failure(
+                    stream,
+                    peers.clone(),
+                    publisher.clone(),
+                ));
             }
-            // No descriptor is left, or the caller is gone already.
+            // The process is out of file descriptors, or the client has already disconnected.
             Err(error) => {
-                log::debug!(error:%; "accept");
-                sleep(ACCEPT_PAUSE).await;
+                log::debug!(error:%; "accepting a connection failed; retrying");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_logging(
+async fn serve_and_log_failure(
     stream: TcpStream,
     peers: PeerConnections,
     publisher: Arc<RegistryPublisher>,
 ) {
     if let Err(error) = serve(stream, peers, publisher).await {
-        log::debug!(error:%; "inbound connection ended");
+        log::debug!(error:%; "inbound connection failed; closing it");
     }
 }
 
-/// Serves a connection; its first messages tell what it is for.
+/// Serves a connection. Its first messages determine whether it is a subscriber's or a member's.
 async fn serve(
     stream: TcpStream,
     peers: PeerConnections,
@@ -76,7 +80,8 @@
     }
 }
 
-/// Who sends, and the first message beside that; the default member if it doesn't say.
+/// Reads the sender's hello and the first message after it. Without a hello, the sender is the default member. Returns
+/// `None` if the connection ends before the first message.
 async fn first_messages(
     frames: &mut FrameReader<TcpStream>,
 ) -> std::io::Result<Option<(MemberInfo, Message)>> {
--- a/crates/control-plane/src/runtime/member_status.rs
+++ b/crates/control-plane/src/runtime/member_status.rs
@@ -1,13 +1,13 @@
-//! What a member tells of itself: to callers, and in the mirror.
+//! The status that a member reports on its status page and publishes in the mirror.
 
 use protocol::{MemberInfo, MembershipConfig};
 use std::time::Duration;
 
-/// The state machine's status.
+/// The state machine's status for the status page.
 #[derive(Debug)]
 pub(super) struct MemberStatus {
     pub(super) membership: Option<MembershipConfig>,
-    /// Whether it is primary and has a lease.
+    /// Whether the member is primary and has a lease.
     pub(super) is_acting_primary: bool,
     pub(super) primary: Option<MemberInfo>,
     pub(super) promised_epoch: u64,
@@ -16,7 +16,7 @@
     pub(super) since_primary_contact: Option<Duration>,
 }
 
-/// What was last published of the control plane.
+/// The control plane's members as last published in the mirror.
 #[derive(Default, PartialEq)]
 pub(super) struct PublishedControlPlane {
     pub(super) epoch: u64,
--- a/crates/control-plane/src/runtime/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -1,16 +1,16 @@
-//! The member's process: all I/O round the state machine.
+//! The process of a control plane member: all I/O around the replicated state machine.
 //!
-//! One thread runs the event loop and all connections; a second one waits for the disk.
+//! One thread runs the event loop and all connections; a second thread does the disk I/O.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `start/` | from the settings and the disk to a running member |
-//! | `event_loop.rs`, `outputs.rs` | hand inputs to the state machine, carry out its outputs |
+//! | `start/` | starts a member from its settings and its state directory |
+//! | `event_loop.rs`, `outputs.rs` | pass inputs to the state machine and carry out its outputs |
 //! | [`storage`], [`identity`], `host_cache.rs` | the state directory |
 //! | [`peer_connections`], `inbound.rs`, `seeds.rs`, [`connection`] | connections to and from other processes |
 //! | [`control_server`], [`control_request`], [`coordination_endpoint`], `request_handler.rs`, `status_page.rs` | the control API |
 //! | `quota_server.rs` | quota requests of proxies |
-//! | [`transitions`], `status.rs`, `member_status.rs` | log lines, counters, and what others see of the member |
+//! | [`transitions`], `status.rs`, `member_status.rs` | log lines, counters, and the published status of the member |
 
 pub mod connection;
 pub mod control_request;
@@ -46,14 +46,14 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// What an operator may set.
+/// The settings of the runtime that an operator can change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RuntimeSettings {
-    /// Length of a primary's lease; the same at all members.
+    /// Duration of a primary's lease; must be the same on all members.
     pub lease_duration: Duration,
-    /// Longest time for a configuration request, from its last byte to the reply.
+    /// Longest time from the last byte of a configuration request to its reply.
     pub command_timeout: Duration,
-    /// A write that takes longer than this means that the disk stalls.
+    /// Time in flight after which a write marks the disk as stalled.
     pub disk_stall_timeout: Duration,
     /// Time between two log lines with counters.
     pub counters_interval: Duration,
@@ -70,53 +70,54 @@
     }
 }
 
-/// Why the process ends with a failure.
+/// An error that ends the process.
 #[derive(Debug, Snafu)]
 pub enum RuntimeError {
-    /// The settings name no address for `control`.
+    /// The settings have no `bind.control` address.
     #[snafu(display("bind.control is missing: a member serves the control API there"))]
     NoControl,
-    /// The settings name no state directory.
+    /// The settings have no `state_dir`.
     #[snafu(display("state_dir is missing: a member stores its promises there"))]
     NoStateDir,
-    /// An address can't be listened on.
+    /// Binding a listening socket failed.
     #[snafu(display("cannot listen on {addr}"))]
     Listen {
-        /// The address.
+        /// The address to bind.
         addr: SocketAddrV4,
-        /// What the system answered.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The storage thread can't be started, or has ended.
     #[snafu(display("cannot start the storage thread, or it has ended"))]
     StorageThread {
-        /// What the system answered.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The system has no random numbers.
+    /// The operating system provided no random numbers.
     #[snafu(display("cannot get random numbers"))]
     Random {
-        /// What the system answered.
+        /// The operating system's error.
         source: getrandom::Error,
     },
 }
 
-/// What the event loop takes.
+/// An event for the event loop.
 enum Event {
     Peer(PeerEvent),
     Storage(StorageEvent),
+    /// A command for the state machine, and where its reply goes.
     Command(Command, oneshot::Sender<CommandReply>),
-    /// Asks for the state machine's status.
+    /// A request for the state machine's status.
     Status(oneshot::Sender<MemberStatus>),
 }
 
-/// Where the other tasks put their events.
-type Events = UnboundedSender<Event>;
+/// The sending half of the event loop's queue.
+type EventSender = UnboundedSender<Event>;
 
-/// What a member answers a command.
+/// A member's reply to a command.
 struct CommandReply {
     code: ResultCode,
-    /// The configuration that was read, what an application is told as JSON, or a detail of the failure.
+    /// The configuration that was read, a JSON body for an application, or the detail of a failure.
     body: Vec<u8>,
 }
 
@@ -129,16 +130,17 @@
     }
 }
 
-/// Runs a member until `shutdown` is done and the member has handed over what it holds.
+/// Runs a member until `shutdown` completes and the member has handed over its roles and its data.
 ///
-/// `seeds` brings the seeds' `control` addresses whenever they change. For a current-thread runtime; all tasks that
-/// were started end with it.
+/// `seeds` holds the seeds' `control` addresses and is updated whenever they change. Requires a current-thread runtime.
+/// All tasks that this function spawns end with it.
 ///
-/// Requests are answered from the start: until the identity is read from the disk, with 503 and
-/// [`ResultCode::Opening`].
+/// The control API replies from the start. Until the identity has been read from the disk, it replies with status 503
+/// and [`ResultCode::Opening`].
 ///
 /// # Errors
-/// If the settings lack something, an address can't be listened on, or the storage thread can't be started.
+/// Returns an error if a required setting is missing, an address can't be bound, the storage thread can't be started,
+/// or no random numbers are available.
 pub async fn run(
     process: ProcessSettings,
     settings: RuntimeSettings,
@@ -151,10 +153,14 @@
         .await
 }
 
-/// Hands a command to the member and waits for its reply.
-async fn run_command(events: &Events, command: Command, reply_timeout: Duration) -> CommandReply {
-    let (caller, reply) = oneshot::channel();
-    if events.send(Event::Command(command, caller)).is_err() {
+/// Sends a command to the member and waits for its reply, for `reply_timeout` at most.
+async fn run_command(
+    events: &EventSender,
+    command: Command,
+    reply_timeout: Duration,
+) -> CommandReply {
+    let (reply_sender, reply) = oneshot::channel();
+    if events.send(Event::Command(command, reply_sender)).is_err() {
         return CommandReply::from_code(ResultCode::Leaving);
     }
     match timeout(reply_timeout, reply).await {
--- a/crates/control-plane/src/runtime/outputs.rs
+++ b/crates/control-plane/src/runtime/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what the state machine asks for: messages, writes, replies, and what others are shown.
+//! Carries out the state machine's outputs: messages, writes, replies and published state.
 
 use super::event_loop::EventLoop;
 use super::storage::{StateFile, Write};
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime};
 
 impl EventLoop {
-    /// Does what an output asks for.
+    /// Carries out one output of the state machine.
     pub(super) fn carry_out(&mut self, output: Output) {
         match output {
             Output::Send { to, message } => self.services.peers.send(&to, &message),
@@ -31,8 +31,8 @@
                 configuration,
                 drains,
             } => self.publish_state(index, configuration, &drains),
-            Output::Wake { at } => self.wake_by(at),
-            Output::DepartureComplete => self.has_left = true,
+            Output::Wake { at } => self.schedule_wake(at),
+            Output::DepartureComplete => self.has_departed = true,
         }
     }
 
@@ -43,14 +43,14 @@
             rewrite,
             file: StateFile::Log,
         };
-        // The thread ends with the process only.
+        // The storage thread runs until the process ends, so the send can't fail before that.
         let _ = self.services.storage.send(write);
     }
 
     fn reply(&mut self, ticket: u64, reply: CommandReply) {
-        if let Some(caller) = self.callers.remove(&ticket) {
-            // A caller that has gone gets no reply.
-            let _ = caller.send(reply);
+        if let Some(reply_sender) = self.reply_senders.remove(&ticket) {
+            // The caller may have stopped waiting.
+            let _ = reply_sender.send(reply);
         }
     }
 
@@ -64,7 +64,7 @@
             .update(|mirror, _| mirror.set_replicated_state(index, configuration, drains));
     }
 
-    fn wake_by(&mut self, at: Duration) {
+    fn schedule_wake(&mut self, at: Duration) {
         self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
     }
 }
--- a/crates/control-plane/src/runtime/peer_connections/dial.rs
+++ b/crates/control-plane/src/runtime/peer_connections/dial.rs
@@ -1,4 +1,4 @@
-//! Dials a peer's two connections and keeps them up.
+//! Dials a peer's two connections and reconnects them when they break.
 
 use super::channel::{Channel, ChannelState, QueuedFrame};
 use super::liveness::{Liveness, PROBE_AFTER, SILENCE_TIMEOUT};
@@ -15,15 +15,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Longest wait for a connection.
+/// Longest time to establish a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// First and longest pause between two attempts to connect; it doubles in between.
+/// First delay between two attempts to connect; it doubles with each failed attempt.
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest delay between two attempts to connect.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(1);
-/// Peers that weren't reached for this long are forgotten, seeds excepted.
+/// Time without a connection after which a peer that isn't a seed is no longer dialled.
 const FORGET_PEER_AFTER: Duration = Duration::from_secs(60);
 
-/// The pause before the next attempt to connect.
+/// The delay before the next attempt to connect.
 struct Backoff(Duration);
 
 impl Backoff {
@@ -31,9 +32,9 @@
         Self(MIN_RECONNECT_BACKOFF)
     }
 
-    /// Waits; longer each time, unless the connection was up since.
-    async fn wait(&mut self, was_up: bool) {
-        if was_up {
+    /// Waits for the current delay and doubles it. Starts again from the shortest delay if the last attempt connected.
+    async fn wait(&mut self, was_connected: bool) {
+        if was_connected {
             self.0 = MIN_RECONNECT_BACKOFF;
         }
         sleep(self.0).await;
@@ -41,8 +42,8 @@
     }
 }
 
-/// A connection over which both sides have said who they are.
-struct Greeted {
+/// A connection on which both sides have exchanged their hello messages.
+struct EstablishedConnection {
     /// The member at the other end.
     member: MemberInfo,
     frames: FrameReader<OwnedReadHalf>,
@@ -50,85 +51,86 @@
 }
 
 impl PeerConnections {
-    /// Keeps the control connection to a peer up for as long as the peer is wanted.
-    pub(super) async fn keep_control_up(self, peer: Rc<Peer>) {
+    /// Keeps the control connection to a peer established until the peer is no longer dialled; then removes the peer.
+    pub(super) async fn maintain_control_connection(self, peer: Rc<Peer>) {
         let mut backoff = Backoff::new();
         loop {
-            let was_up = self.connect(&peer, Channel::Control).await;
-            self.channel_went_down(&peer, Channel::Control);
-            if !is_still_wanted(&peer) {
+            let was_connected = self.run_connection(&peer, Channel::Control).await;
+            self.on_channel_disconnected(&peer, Channel::Control);
+            if !should_keep_dialling(&peer) {
                 break;
             }
-            backoff.wait(was_up).await;
+            backoff.wait(was_connected).await;
         }
         peer.channel(Channel::Data).wake.notify_one();
         self.shared.peers.borrow_mut().remove(&peer.addr);
     }
 
-    /// Dials the data connection once something waits for it, and keeps it up from then on.
-    pub(super) async fn keep_data_up(self, peer: Rc<Peer>) {
+    /// Dials the data connection when its queue has a frame, until the peer is no longer dialled.
+    pub(super) async fn maintain_data_connection(self, peer: Rc<Peer>) {
         let channel = peer.channel(Channel::Data);
         let mut backoff = Backoff::new();
         loop {
-            while channel.is_empty() && peer.state.borrow().is_wanted {
+            while channel.is_empty() && peer.state.borrow().keep_dialling {
                 channel.wake.notified().await;
             }
-            if !peer.state.borrow().is_wanted {
+            if !peer.state.borrow().keep_dialling {
                 return;
             }
-            let was_up = self.connect(&peer, Channel::Data).await;
-            self.channel_went_down(&peer, Channel::Data);
-            backoff.wait(was_up).await;
-            self.count_dropped(channel.drop_old());
+            let was_connected = self.run_connection(&peer, Channel::Data).await;
+            self.on_channel_disconnected(&peer, Channel::Data);
+            backoff.wait(was_connected).await;
+            self.count_dropped(channel.drop_expired());
         }
     }
 
-    fn channel_went_down(&self, peer: &Peer, channel: Channel) {
-        if peer.channel(channel).is_up.replace(false) {
+    fn on_channel_disconnected(&self, peer: &Peer, channel: Channel) {
+        if peer.channel(channel).is_connected.replace(false) {
             self.shared.counters.borrow_mut().disconnected += 1;
             log::info!(peer:? = SocketAddrV4::from(&peer.addr), channel:?; "peer disconnected");
         }
     }
 
-    /// One connection from its start to its end. Returns whether it came up.
-    async fn connect(&self, peer: &Peer, channel: Channel) -> bool {
-        let Some(connection) = self.greet(peer).await else {
+    /// Runs one connection from dialling to its end. Returns whether it was established.
+    async fn run_connection(&self, peer: &Peer, channel: Channel) -> bool {
+        let Some(connection) = self.handshake(peer).await else {
             return false;
         };
-        let Greeted {
+        let EstablishedConnection {
             member,
             frames,
             output,
         } = connection;
-        self.channel_came_up(peer, channel, &member);
+        self.on_channel_connected(peer, channel, &member);
         let state = peer.channel(channel);
         let liveness = Liveness::new();
-        // A frame that the connection leaves half sent.
+        // The frame that is being sent, in case the connection breaks before its end.
         let unsent = RefCell::new(None);
         tokio::select! {
             () = self.receive_all(&member, frames, &liveness) => {}
             () = self.send_queued(state, member.id, output, &liveness, &unsent) => {}
-            () = self.probe_until_silent(state, &liveness) => {}
+            () = self.probe_until_unresponsive(state, &liveness) => {}
         }
         if let Some(unsent) = unsent.into_inner() {
-            state.put_back(unsent);
+            state.requeue(unsent);
         }
-        peer.state.borrow_mut().reached_at = Instant::now();
+        peer.state.borrow_mut().last_connected_at = Instant::now();
         true
     }
 
-    /// Connects, says who this member is and whom it reaches, and reads who is there.
-    async fn greet(&self, peer: &Peer) -> Option<Greeted> {
+    /// Connects, sends this member's identity and reachable members, and reads the peer's identity. Returns `None` if
+    /// any of that fails or takes too long.
+    async fn handshake(&self, peer: &Peer) -> Option<EstablishedConnection> {
         let addr = SocketAddr::V4(SocketAddrV4::from(&peer.addr));
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
         let stream = connecting.await.ok()?.ok()?;
         if let Err(error) = set_socket_options(&stream) {
-            log::debug!(error:%; "socket options");
+            log::debug!(error:%; "setting socket options failed; using the connection without them");
         }
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input, Vec::new());
         let hello = protocol::encode(&Message::Hello {
-            sender: self.shared.me.clone(),
+            sender: self.shared.local_member.clone(),
         });
         let peers = protocol::encode(&Message::Peers {
             members: self.reachable_members(),
@@ -137,7 +139,7 @@
             .await
             .ok()?;
         match timeout(SILENCE_TIMEOUT, frames.next()).await {
-            Ok(Ok(Some(Message::Hello { sender }))) => Some(Greeted {
+            Ok(Ok(Some(Message::Hello { sender }))) => Some(EstablishedConnection {
                 member: sender,
                 frames,
                 output,
@@ -146,41 +148,41 @@
         }
     }
 
-    fn channel_came_up(&self, peer: &Peer, channel: Channel, member: &MemberInfo) {
+    fn on_channel_connected(&self, peer: &Peer, channel: Channel, member: &MemberInfo) {
         let state = peer.channel(channel);
-        state.is_up.set(true);
-        self.count_dropped(state.drop_old() + state.drop_for_others(member.id));
+        state.is_connected.set(true);
+        self.count_dropped(state.drop_expired() + state.drop_for_other_members(member.id));
         self.shared.counters.borrow_mut().connected += 1;
         if channel == Channel::Control {
-            self.peer_came_up(peer, member);
+            self.on_peer_connected(peer, member);
         }
     }
 
-    fn peer_came_up(&self, peer: &Peer, member: &MemberInfo) {
+    fn on_peer_connected(&self, peer: &Peer, member: &MemberInfo) {
         {
             let mut state = peer.state.borrow_mut();
-            state.reached_at = Instant::now();
+            state.last_connected_at = Instant::now();
             state.member = Some(member.clone());
         }
         log::info!(peer:% = member.name, addr:? = SocketAddrV4::from(&peer.addr); "peer connected");
-        self.report(PeerEvent::Connected(member.clone()));
-        self.tell_others(peer);
+        self.report_event(PeerEvent::Connected(member.clone()));
+        self.announce_reachable_members(peer);
     }
 
-    /// Tells the other peers that are up whom this member reaches now.
-    fn tell_others(&self, newcomer: &Peer) {
+    /// Sends the list of reachable members to the connected peers other than `new_peer`.
+    fn announce_reachable_members(&self, new_peer: &Peer) {
         let message = Message::Peers {
             members: self.reachable_members(),
         };
         let peers: Vec<Rc<Peer>> = self.shared.peers.borrow().values().cloned().collect();
         for peer in peers {
-            if peer.addr != newcomer.addr && peer.is_up() {
-                self.push(&peer, 0, &message);
+            if peer.addr != new_peer.addr && peer.is_connected() {
+                self.enqueue(&peer, 0, &message);
             }
         }
     }
 
-    /// Receives messages until the connection ends.
+    /// Receives messages until the connection ends or breaks.
     async fn receive_all(
         &self,
         sender: &MemberInfo,
@@ -191,9 +193,9 @@
             liveness.on_received();
             match step {
                 Step::Message(message) => match *message {
-                    Message::Peers { members } => self.learn(&members),
+                    Message::Peers { members } => self.add_members(&members),
                     message => {
-                        self.report(PeerEvent::Message(sender.clone(), Box::new(message)));
+                        self.report_event(PeerEvent::Message(sender.clone(), Box::new(message)));
                     }
                 },
                 Step::Partial => {}
@@ -202,7 +204,8 @@
         }
     }
 
-    /// Sends what is queued, for as long as the member `member_id` takes it.
+    /// Sends the queued frames to the member `member_id` until a write fails. `unsent` holds the frame that is being
+    /// sent.
     async fn send_queued(
         &self,
         channel: &ChannelState,
@@ -212,7 +215,7 @@
         unsent: &RefCell<Option<QueuedFrame>>,
     ) {
         loop {
-            let Some(frame) = channel.pop() else {
+            let Some(frame) = channel.dequeue() else {
                 channel.wake.notified().await;
                 continue;
             };
@@ -236,8 +239,9 @@
         }
     }
 
-    /// Probes a peer that is silent; ends if it stays so.
-    async fn probe_until_silent(&self, channel: &ChannelState, liveness: &Liveness) {
+    /// Sends a probe when the peer is silent for [`PROBE_AFTER`]. Returns when it is unresponsive for
+    /// [`SILENCE_TIMEOUT`].
+    async fn probe_until_unresponsive(&self, channel: &ChannelState, liveness: &Liveness) {
         loop {
             if liveness.unexplained_silence() >= SILENCE_TIMEOUT {
                 return;
@@ -247,7 +251,7 @@
                 let probe = protocol::encode(&Message::Peers {
                     members: Vec::new(),
                 });
-                self.count_dropped(channel.push(0, probe));
+                self.count_dropped(channel.enqueue(0, probe));
                 sleep(SILENCE_TIMEOUT - PROBE_AFTER).await;
             } else {
                 sleep(PROBE_AFTER - silence).await;
@@ -256,11 +260,11 @@
     }
 }
 
-/// Whether a peer is dialled again; one that wasn't reached for long is not, unless it is a seed.
-fn is_still_wanted(peer: &Peer) -> bool {
+/// Whether to dial a peer again. A peer that isn't a seed and wasn't connected for [`FORGET_PEER_AFTER`] is given up.
+fn should_keep_dialling(peer: &Peer) -> bool {
     let mut state = peer.state.borrow_mut();
-    if !state.is_seed && state.reached_at.elapsed() > FORGET_PEER_AFTER {
-        state.is_wanted = false;
+    if !state.is_seed && state.last_connected_at.elapsed() > FORGET_PEER_AFTER {
+        state.keep_dialling = false;
     }
-    state.is_wanted
+    state.keep_dialling
 }
--- a/crates/control-plane/src/runtime/peer_connections/mod.rs
+++ b/crates/control-plane/src/runtime/peer_connections/mod.rs
@@ -1,7 +1,7 @@
 //! Connections between members.
 //!
-//! Each member dials every member that it knows, and sends over the connections that it dialled; what others send
-//! comes in over theirs. There are two connections to each peer: see [`Channel`].
+//! Each member dials every member that it knows and sends over the connections that it dialled. It receives messages
+//! over the connections that the others dialled. There are two connections to each peer: see [`Channel`].
 
 mod channel;
 mod dial;
@@ -22,49 +22,49 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Instant};
 
-/// Most peers that are dialled.
+/// Largest number of peers; further addresses are ignored.
 const MAX_PEERS: usize = 256;
 
-/// What comes from other members.
+/// An event from another member.
 #[derive(Clone, Debug)]
 pub enum PeerEvent {
-    /// A member has connected, or was connected to.
+    /// A connection to or from this member was established.
     Connected(MemberInfo),
-    /// A member sent a message.
+    /// This member sent a message.
     Message(MemberInfo, Box<Message>),
 }
 
-/// Counts since the start.
+/// Counters of the peer connections since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerCounters {
-    /// Connections that came up.
+    /// Dialled connections that were established.
     pub connected: u64,
-    /// Connections that ended.
+    /// Dialled connections that ended after they were established.
     pub disconnected: u64,
     /// Messages sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Messages dropped, as the peer wasn't there or took nothing.
+    /// Messages dropped because the peer was not connected or its queue was full.
     pub dropped: u64,
-    /// Messages received.
+    /// Events reported: received messages and connections of members.
     pub received: u64,
 }
 
-/// The connections to all peers. Cheap to clone; for one thread.
+/// The connections to all peers. Clones share their state; not `Send`.
 #[derive(Clone)]
 pub struct PeerConnections {
     shared: Rc<Shared>,
 }
 
 struct Shared {
-    me: MemberInfo,
+    local_member: MemberInfo,
     on_event: Box<dyn Fn(PeerEvent)>,
     peers: RefCell<HashMap<Addr, Rc<Peer>>>,
     counters: RefCell<PeerCounters>,
 }
 
-/// A peer that is dialled, by its address.
+/// A peer address that is dialled.
 struct Peer {
     addr: Addr,
     state: RefCell<PeerState>,
@@ -73,13 +73,13 @@
 }
 
 struct PeerState {
-    /// Who was there when the control connection last came up.
+    /// The member found at the address when the control connection was last established.
     member: Option<MemberInfo>,
     is_seed: bool,
-    /// When a connection was last up.
-    reached_at: Instant,
-    /// Whether to go on dialling.
-    is_wanted: bool,
+    /// The last time when a connection was established or ended; the creation time before that.
+    last_connected_at: Instant,
+    /// Whether the peer is dialled again when a connection ends.
+    keep_dialling: bool,
 }
 
 impl Peer {
@@ -87,8 +87,8 @@
         let state = PeerState {
             member: None,
             is_seed: false,
-            reached_at: Instant::now(),
-            is_wanted: true,
+            last_connected_at: Instant::now(),
+            keep_dialling: true,
         };
         Self {
             addr,
@@ -105,11 +105,11 @@
         }
     }
 
-    fn is_up(&self) -> bool {
-        self.control.is_up.get()
+    fn is_connected(&self) -> bool {
+        self.control.is_connected.get()
     }
 
-    /// Whether another member than `member_id` was found at the address.
+    /// Whether a member other than `member_id` was found at the address. An id of 0 stands for any member.
     fn has_other_member(&self, member_id: u64) -> bool {
         let state = self.state.borrow();
         member_id != 0
@@ -121,11 +121,11 @@
 }
 
 impl PeerConnections {
-    /// Connections of the member `me`; `on_event` is called with what comes. Runs on a `LocalSet`.
-    pub fn new(me: MemberInfo, on_event: impl Fn(PeerEvent) + 'static) -> Self {
+    /// Creates the connections of `local_member`, which call `on_event` with each event. Must run on a `LocalSet`.
+    pub fn new(local_member: MemberInfo, on_event: impl Fn(PeerEvent) + 'static) -> Self {
         Self {
             shared: Rc::new(Shared {
-                me,
+                local_member,
                 on_event: Box::new(on_event),
                 peers: RefCell::default(),
                 counters: RefCell::default(),
@@ -133,58 +133,58 @@
         }
     }
 
-    /// Makes `seeds` the addresses that are dialled for as long as the process runs.
+    /// Sets the seeds. Their addresses are dialled until the seeds change, however long they can't be reached.
     pub fn set_seeds(&self, seeds: &[SocketAddrV4]) {
         for peer in self.shared.peers.borrow().values() {
             peer.state.borrow_mut().is_seed = false;
         }
         for seed in seeds {
-            if let Some(peer) = self.peer((*seed).into()) {
+            if let Some(peer) = self.get_or_add_peer((*seed).into()) {
                 peer.state.borrow_mut().is_seed = true;
             }
         }
     }
 
-    /// Dials members from now on.
-    pub fn learn(&self, members: &[MemberInfo]) {
+    /// Starts to dial the members that aren't dialled yet.
+    pub fn add_members(&self, members: &[MemberInfo]) {
         for member in members {
-            self.peer(member.addr);
+            self.get_or_add_peer(member.addr);
         }
     }
 
-    /// Sends a message to a member, or drops it if the member can't be reached.
+    /// Queues a message for a member, or drops it if the member can't be reached.
     pub fn send(&self, to: &MemberInfo, message: &Message) {
-        let Some(peer) = self.peer(to.addr) else {
+        let Some(peer) = self.get_or_add_peer(to.addr) else {
             return;
         };
         if peer.has_other_member(to.id) {
             self.count_dropped(1);
             return;
         }
-        self.push(&peer, to.id, message);
+        self.enqueue(&peer, to.id, message);
     }
 
-    /// The members whose control connection is up, this one first.
+    /// Returns the local member first, then the members whose control connection is established, sorted by id.
     pub fn reachable_members(&self) -> Vec<MemberInfo> {
-        let mut members = vec![self.shared.me.clone()];
+        let mut members = vec![self.shared.local_member.clone()];
         for peer in self.shared.peers.borrow().values() {
             let state = peer.state.borrow();
-            members.extend(state.member.iter().filter(|_| peer.is_up()).cloned());
+            members.extend(state.member.iter().filter(|_| peer.is_connected()).cloned());
         }
         members[1..].sort_by_key(|member| member.id);
         members
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the process started.
     pub fn counters(&self) -> PeerCounters {
         *self.shared.counters.borrow()
     }
 
-    /// Serves the connection of the member `sender` that dialled. Its [`Message::Hello`] and the message after it,
-    /// `first`, have been read.
+    /// Serves an inbound connection of the member `sender`. The caller has read its [`Message::Hello`] and the message
+    /// `first` that follows.
     ///
     /// # Errors
-    /// If the connection breaks or is silent for too long.
+    /// Returns an error if the connection breaks or is silent for twice [`SILENCE_TIMEOUT`].
     pub async fn serve(
         &self,
         sender: MemberInfo,
@@ -193,25 +193,25 @@
         mut output: impl AsyncWrite + Unpin,
     ) -> std::io::Result<()> {
         let hello = Message::Hello {
-            sender: self.shared.me.clone(),
+            sender: self.shared.local_member.clone(),
         };
         write_all(&mut output, &protocol::encode(&hello)).await?;
-        self.learn(std::slice::from_ref(&sender));
-        self.report(PeerEvent::Connected(sender.clone()));
+        self.add_members(std::slice::from_ref(&sender));
+        self.report_event(PeerEvent::Connected(sender.clone()));
         let mut next = Step::Message(Box::new(first));
         loop {
             match next {
                 Step::Message(message) => self.receive(&sender, *message, &mut output).await?,
-                // However long a frame takes: its bytes come.
+                // A large frame may take long; received bytes show that the peer is alive.
                 Step::Partial => {}
                 Step::End => return Ok(()),
             }
-            // The member that dialled probes well before that.
+            // The dialling member sends a probe well before this timeout.
             next = timeout(2 * SILENCE_TIMEOUT, frames.step()).await??;
         }
     }
 
-    /// Takes a message of a member that dialled.
+    /// Handles a message of a member that dialled. Replies to a list of members with the reachable members.
     async fn receive(
         &self,
         sender: &MemberInfo,
@@ -219,34 +219,35 @@
         output: &mut (impl AsyncWrite + Unpin),
     ) -> std::io::Result<()> {
         let Message::Peers { members } = message else {
-            self.report(PeerEvent::Message(sender.clone(), Box::new(message)));
+            self.report_event(PeerEvent::Message(sender.clone(), Box::new(message)));
             return Ok(());
         };
-        self.learn(&members);
+        self.add_members(&members);
         let reply = Message::Peers {
             members: self.reachable_members(),
         };
         write_all(output, &protocol::encode(&reply)).await
     }
 
-    fn report(&self, event: PeerEvent) {
+    fn report_event(&self, event: PeerEvent) {
         self.shared.counters.borrow_mut().received += 1;
         (self.shared.on_event)(event);
     }
 
-    fn push(&self, peer: &Peer, to: u64, message: &Message) {
+    fn enqueue(&self, peer: &Peer, to: u64, message: &Message) {
         let frame = protocol::encode(message);
         let channel = Channel::for_message(message, frame.len());
-        self.count_dropped(peer.channel(channel).push(to, frame));
+        self.count_dropped(peer.channel(channel).enqueue(to, frame));
     }
 
     fn count_dropped(&self, messages: u64) {
         self.shared.counters.borrow_mut().dropped += messages;
     }
 
-    /// The peer at an address, dialled from now on; `None` for this member itself, or if there are too many.
-    fn peer(&self, addr: Addr) -> Option<Rc<Peer>> {
-        if addr == self.shared.me.addr || addr.ip == 0 || addr.port == 0 {
+    /// Returns the peer at an address and starts to dial it if it is new. Returns `None` for the local member's
+    /// address, an unspecified address, or if there are [`MAX_PEERS`] already.
+    fn get_or_add_peer(&self, addr: Addr) -> Option<Rc<Peer>> {
+        if addr == self.shared.local_member.addr || addr.ip == 0 || addr.port == 0 {
             return None;
         }
         let mut peers = self.shared.peers.borrow_mut();
@@ -259,8 +260,8 @@
         let peer = Rc::new(Peer::new(addr));
         peers.insert(addr, peer.clone());
         drop(peers);
-        spawn_local(self.clone().keep_control_up(peer.clone()));
-        spawn_local(self.clone().keep_data_up(peer.clone()));
+        spawn_local(self.clone().maintain_control_connection(peer.clone()));
+        spawn_local(self.clone().maintain_data_connection(peer.clone()));
         Some(peer)
     }
 }
--- a/crates/control-plane/src/runtime/quota_server.rs
+++ b/crates/control-plane/src/runtime/quota_server.rs
@@ -1,4 +1,4 @@
-//! Serves quota requests of proxies, over datagrams. The decisions are the crate `quota`'s.
+//! Serves the quota requests of proxies over UDP. The crate `quota` makes the decisions.
 
 use configuration::Bounds;
 use protocol::{decode, encode, Message};
@@ -12,19 +12,20 @@
 use tokio::net::UdpSocket;
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// How often buckets fill and silent proxies are dropped.
+/// Time between two ticks, which refill buckets and drop silent proxies.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Ticks from one look at the fleet to the next.
+/// Number of ticks between two updates of the fleet view.
 const TICKS_PER_FLEET_VIEW: u32 = 5;
-/// Largest datagram that is read, in bytes.
+/// Size of the receive buffer, and so the largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// `max_wait_ms` of units that were used already.
-const ALREADY_USED: u32 = u32::MAX;
+/// Value of `max_wait_ms` in a request that reports units that were used already, without asking for a grant.
+const ALREADY_USED_MAX_WAIT_MS: u32 = u32::MAX;
 
-/// The quotas that this member decides on, shared with the status page.
+/// The quotas that this member manages, shared with the status page.
 pub(super) type SharedQuotas = Rc<RefCell<QuotaServer>>;
 
-/// Quotas of a member that knows no fleet yet.
+/// Creates the quotas of a member that doesn't know its fleet yet. An excess that isn't finite or is negative counts as
+/// 0.
 pub(super) fn new_quotas(member_id: u64, bounds: &Bounds) -> SharedQuotas {
     let excess = if bounds.quota_excess.is_finite() {
         bounds.quota_excess.max(0.0)
@@ -35,12 +36,13 @@
     Rc::new(RefCell::new(QuotaServer::new(Duration::ZERO, settings)))
 }
 
-/// How the tenants use the quotas that this member decides on.
-pub(super) fn uses(quotas: &SharedQuotas) -> Vec<TenantUse> {
+/// Returns the tenants' usage of the quotas that this member manages.
+pub(super) fn tenant_usage(quotas: &SharedQuotas) -> Vec<TenantUse> {
     quotas.borrow().uses()
 }
 
-/// Serves for as long as the process lives. Without the port it serves nothing: proxies take another member.
+/// Serves quota requests until the process ends. If `addr` can't be bound, it logs a warning and serves none; proxies
+/// then use another member.
 pub(super) async fn serve(
     addr: SocketAddrV4,
     member_id: u64,
@@ -51,7 +53,7 @@
     let socket = match UdpSocket::bind(addr).await {
         Ok(socket) => socket,
         Err(error) => {
-            log::warn!(addr:%, error:%; "quota requests are not served");
+            log::warn!(addr:%, error:%; "cannot bind the quota socket; this member serves no quota requests");
             return;
         }
     };
@@ -62,11 +64,11 @@
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
-                // An error is about a datagram that was sent to a proxy that is gone.
+                // A receive error refers to a reply that was sent earlier to a proxy that has ended.
                 let Ok((length, sender)) = received else { continue };
-                let reply = answer(&quotas, member_id, origin.elapsed(), &buffer[..length]);
+                let reply = reply_to_datagram(&quotas, member_id, origin.elapsed(), &buffer[..length]);
                 if let Some(reply) = reply {
-                    send(&socket, &reply, sender);
+                    send_reply(&socket, &reply, sender);
                 }
             }
             _ = ticks.tick() => {
@@ -82,13 +84,14 @@
     }
 }
 
-fn send(socket: &UdpSocket, message: &Message, to: SocketAddr) {
-    // What can't be sent at once is lost, as any datagram may be. The proxy asks again.
+fn send_reply(socket: &UdpSocket, message: &Message, to: SocketAddr) {
+    // A reply that can't be sent at once is dropped, like a lost datagram. The proxy retries.
     let _ = socket.try_send_to(&encode(message), to);
 }
 
-/// The reply to a datagram; `None` to what is none of the messages that a member takes here.
-fn answer(
+/// Handles a datagram and returns the reply. Returns `None` for datagrams that can't be decoded, unexpected messages
+/// and requests with invalid numbers.
+fn reply_to_datagram(
     quotas: &SharedQuotas,
     member_id: u64,
     now: Duration,
@@ -117,8 +120,8 @@
             cost,
             max_wait_ms,
         } => {
-            let figures = [rate_per_s, burst_size, cost];
-            if figures.iter().any(|figure| !figure.is_finite()) || rate_per_s <= 0.0 {
+            let amounts = [rate_per_s, burst_size, cost];
+            if amounts.iter().any(|amount| !amount.is_finite()) || rate_per_s <= 0.0 {
                 return None;
             }
             let limit = TenantLimit {
@@ -129,23 +132,23 @@
                 },
             };
             let id = RequestId { proxy, sequence };
-            let may_wait = max_wait_ms != ALREADY_USED;
+            let may_wait = max_wait_ms != ALREADY_USED_MAX_WAIT_MS;
             let max_wait = may_wait.then(|| Duration::from_millis(max_wait_ms.into()));
             let mut quotas = quotas.borrow_mut();
             let decision = quotas.on_request(now, id, &tenant, limit, cost, max_wait);
             let burst_left = quotas.burst_left(&tenant);
-            Some(reply(sequence, decision, burst_left))
+            Some(quota_reply(sequence, decision, burst_left))
         }
         _ => None,
     }
 }
 
-fn reply(sequence: u64, decision: Decision, burst_left: f64) -> Message {
+fn quota_reply(sequence: u64, decision: Decision, burst_left: f64) -> Message {
     let (granted, wait) = match decision {
         Decision::Granted { wait } => (true, wait),
         Decision::Refused { retry_after } => (false, retry_after),
     };
-    // Rounded up: a moment earlier the bucket would still be in debt.
+    // Rounded up, so that the bucket is no longer in debt when the wait ends.
     let wait_ms = wait.as_micros().div_ceil(1000);
     Message::QuotaReply {
         sequence,
@@ -155,13 +158,13 @@
     }
 }
 
-fn fleet_view(known: &Snapshot) -> FleetView {
-    let members = known.control_plane.members.iter();
-    let tenants = known.configuration.tenant_items().iter();
-    let version = known.configuration.version;
+fn fleet_view(snapshot: &Snapshot) -> FleetView {
+    let members = snapshot.control_plane.members.iter();
+    let tenants = snapshot.configuration.tenant_items().iter();
+    let version = snapshot.configuration.version;
     FleetView {
         members: members.map(|member| member.id).collect(),
-        proxy_count: known.coordinators.len(),
+        proxy_count: snapshot.coordinators.len(),
         tenants: tenants
             .filter_map(|tenant| {
                 let limit = TenantLimit {
--- a/crates/control-plane/src/runtime/request_handler.rs
+++ b/crates/control-plane/src/runtime/request_handler.rs
@@ -1,14 +1,14 @@
-//! Handles requests of hosts, operators and applications: those about hosts with the host registry, the rest with the
-//! member.
+//! Handles the requests of hosts, operators and applications. Host requests update the host registry. Drains,
+//! configuration requests and coordination requests become commands for the state machine.
 
 use super::control_request::ControlRequest;
 use super::control_server::{HandleRequest, Reply};
 use super::peer_connections::PeerConnections;
 use super::quota_server::SharedQuotas;
 use super::status_page::{self, StatusPage};
-use super::{run_command, CommandReply, Event, Events, MemberStatus};
+use super::{run_command, CommandReply, Event, EventSender, MemberStatus};
 use crate::configuration_history::ConfigurationHistory;
-use crate::host_registry::{heartbeat_target, heartbeat_target_elsewhere, HostRequest};
+use crate::host_registry::{heartbeat_target, heartbeat_target_without_contact, HostRequest};
 use crate::registry_publisher::RegistryPublisher;
 use bytes::Bytes;
 use configuration::ResultCode;
@@ -24,16 +24,16 @@
 
 /// Longest wait for the state machine's status.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time that a host waits for its drain.
+/// Longest wait for a drain to be committed.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest time that a call for locks, numbers or cells takes, and a watch beyond the time that it waits.
+/// Longest wait for the reply to a coordination request; a watch adds its own wait to it.
 const COORDINATION_TIMEOUT: Duration = Duration::from_millis(950);
-/// Longest time that a request waits for the disk at the start.
+/// Longest time that a request waits for the state directory to be opened.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What exists once the identity is read from the disk.
+/// The parts of a member that exist once its identity has been read from the disk.
 pub(super) struct OpenMember {
-    pub(super) me: MemberInfo,
+    pub(super) local_member: MemberInfo,
     pub(super) incarnation: u64,
     pub(super) peers: PeerConnections,
     pub(super) publisher: Arc<RegistryPublisher>,
@@ -41,22 +41,22 @@
     pub(super) quotas: SharedQuotas,
 }
 
-/// Handles requests.
+/// Handles the control API's requests.
 #[derive(Clone)]
 pub(super) struct RequestHandler {
     node_name: Rc<str>,
-    events: Events,
+    events: EventSender,
     command_timeout: Duration,
-    /// The process is about to end: nothing new is taken.
+    /// Whether the process is shutting down and rejects new requests.
     shutdown: watch::Receiver<bool>,
     opened: watch::Receiver<Option<Rc<OpenMember>>>,
 }
 
 impl RequestHandler {
-    /// A handler whose requests wait a little until `opened` brings the member.
+    /// Creates a handler whose requests wait up to [`OPEN_TIMEOUT`] for `opened` to hold the member.
     pub(super) fn new(
         node_name: String,
-        events: Events,
+        events: EventSender,
         command_timeout: Duration,
         shutdown: watch::Receiver<bool>,
         opened: watch::Receiver<Option<Rc<OpenMember>>>,
@@ -70,7 +70,7 @@
         }
     }
 
-    async fn opened(&self) -> Result<Rc<OpenMember>, ResultCode> {
+    async fn wait_until_open(&self) -> Result<Rc<OpenMember>, ResultCode> {
         let mut opened = self.opened.clone();
         let is_open = timeout(OPEN_TIMEOUT, opened.wait_for(Option::is_some)).await;
         let member = is_open.ok().and_then(Result::ok);
@@ -79,16 +79,16 @@
             .ok_or(ResultCode::Opening)
     }
 
-    async fn read(&self) -> Reply {
+    async fn read_configuration(&self) -> Reply {
         let read = Command::Read { reserved: 0 };
         let reply = run_command(&self.events, read, self.command_timeout).await;
         match reply.code {
             ResultCode::Ok => Reply::json(reply.body),
-            _ => detailed(&reply),
+            _ => reply_with_detail(&reply),
         }
     }
 
-    async fn configure(&self, base: u64, amend: bool, body: Bytes) -> Reply {
+    async fn change_configuration(&self, base: u64, amend: bool, body: Bytes) -> Reply {
         let mut trace = ConfigurationRequestTrace::new(base, body.len());
         let configure = Command::Configure {
             base,
@@ -97,14 +97,14 @@
         };
         let reply = run_command(&self.events, configure, self.command_timeout).await;
         trace.code = Some(reply.code);
-        detailed(&reply)
+        reply_with_detail(&reply)
     }
 
-    async fn host(&self, opened: &OpenMember, request: &HostRequest) -> Reply {
-        // Proxies hear of a drain at once, whatever becomes of it in the replicated state.
+    async fn handle_host_request(&self, opened: &OpenMember, request: &HostRequest) -> Reply {
+        // Proxies learn of a drain at once, even if its command fails to commit.
         opened.publisher.handle(request);
         if request.is_leaving() {
-            return self.drain(opened, request.host()).await;
+            return self.commit_drain(opened, request.host()).await;
         }
         let call_seq = request
             .heartbeat()
@@ -118,10 +118,11 @@
         }
     }
 
-    /// A host is draining or gone: acknowledged once that is as durable as the configuration.
-    async fn drain(&self, opened: &OpenMember, host: &str) -> Reply {
-        let known = opened.publisher.mirror().snapshot();
-        if known.draining_hosts.contains(host) {
+    /// Commits the drain of a host that is draining or gone, so that it is as durable as the configuration before it is
+    /// acknowledged.
+    async fn commit_drain(&self, opened: &OpenMember, host: &str) -> Reply {
+        let snapshot = opened.publisher.mirror().snapshot();
+        if snapshot.draining_hosts.contains(host) {
             return Reply::json("{}");
         }
         let drain = Command::Drain {
@@ -130,12 +131,12 @@
         let reply = run_command(&self.events, drain, DRAIN_TIMEOUT).await;
         match reply.code {
             ResultCode::Ok => Reply::json("{}"),
-            _ => detailed(&reply),
+            _ => reply_with_detail(&reply),
         }
     }
 
-    /// A call for locks, numbers, cells or watches. One that may take effect without the caller's knowing gets no
-    /// promise that it doesn't.
+    /// Handles a request for locks, numbers, cells or watches. A request without a clear result is answered with
+    /// [`ResultCode::OutcomeUnknown`], as it may still take effect.
     async fn coordinate(&self, request: CoordinationRequest) -> Reply {
         let wait_ms = match &request {
             CoordinationRequest::Watch { wait_ms, .. } => *wait_ms,
@@ -165,40 +166,40 @@
     }
 
     async fn status(&self) -> Reply {
-        let is_leaving = *self.shutdown.borrow();
+        let is_shutting_down = *self.shutdown.borrow();
         let opened = self.opened.borrow().clone();
         let Some(opened) = opened else {
-            let page = status_page::before_open(&self.node_name, is_leaving);
+            let page = status_page::opening_page(&self.node_name, is_shutting_down);
             return Reply::json(page.to_string());
         };
         let page = StatusPage {
-            is_leaving,
+            is_shutting_down,
             member: self.member_status().await,
             opened: &opened,
         };
         Reply::json(page.json().to_string())
     }
 
-    /// The state machine's status; `None` if it doesn't answer in time.
+    /// Returns the state machine's status, or `None` if it doesn't reply within [`STATUS_TIMEOUT`].
     async fn member_status(&self) -> Option<MemberStatus> {
-        let (asker, status) = oneshot::channel();
-        self.events.send(Event::Status(asker)).ok()?;
+        let (status_sender, status) = oneshot::channel();
+        self.events.send(Event::Status(status_sender)).ok()?;
         timeout(STATUS_TIMEOUT, status).await.ok()?.ok()
     }
 }
 
-/// The member that a host's later heartbeats should go to; `None` if that is this one.
+/// Returns the member that the host should send its next heartbeats to, or `None` if that is this member.
 fn next_heartbeat_target(opened: &OpenMember, host: &str, call_seq: u64) -> Option<MemberInfo> {
-    let own_id = opened.me.id;
+    let own_id = opened.local_member.id;
     if let Some(members) = opened.publisher.members_when_contact_is_lost() {
-        return heartbeat_target_elsewhere(host, call_seq, own_id, &members).cloned();
+        return heartbeat_target_without_contact(host, call_seq, own_id, &members).cloned();
     }
     let reachable = opened.peers.reachable_members();
     heartbeat_target(host, own_id, &reachable).cloned()
 }
 
-/// The versions that this member saw in force, newest last, or the configuration of one of them.
-fn history(opened: &OpenMember, version: Option<u64>) -> Reply {
+/// Replies with the versions that this member saw in force, newest last, or with the configuration of `version`.
+fn history_reply(opened: &OpenMember, version: Option<u64>) -> Reply {
     let history = opened.history.borrow();
     let Some(version) = version else {
         return Reply::json(json!({"versions": history.entries()}).to_string());
@@ -209,11 +210,11 @@
     }
 }
 
-fn detailed(reply: &CommandReply) -> Reply {
+fn reply_with_detail(reply: &CommandReply) -> Reply {
     Reply::with_detail(reply.code, &String::from_utf8_lossy(&reply.body))
 }
 
-/// Logs what became of a configuration request, also if its caller has gone before the reply.
+/// Logs the result of a configuration request when dropped, including when the caller disconnects before the reply.
 struct ConfigurationRequestTrace {
     base: u64,
     bytes: usize,
@@ -248,18 +249,18 @@
         if *self.shutdown.borrow() {
             return Reply::from_code(ResultCode::Leaving);
         }
-        let opened = match self.opened().await {
+        let opened = match self.wait_until_open().await {
             Ok(opened) => opened,
             Err(code) => return Reply::from_code(code),
         };
         match request {
             ControlRequest::Status => self.status().await,
-            ControlRequest::History(version) => history(&opened, version),
-            ControlRequest::Read => self.read().await,
+            ControlRequest::History(version) => history_reply(&opened, version),
+            ControlRequest::Read => self.read_configuration().await,
             ControlRequest::Configure { base, amend, body } => {
-                self.configure(base, amend, body).await
+                self.change_configuration(base, amend, body).await
             }
-            ControlRequest::Host(request) => self.host(&opened, &request).await,
+            ControlRequest::Host(request) => self.handle_host_request(&opened, &request).await,
             ControlRequest::Coordinate(request) => self.coordinate(request).await,
         }
     }
--- a/crates/control-plane/src/runtime/seeds.rs
+++ b/crates/control-plane/src/runtime/seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds whose addresses may change while the member runs.
+//! Updates of the seeds' addresses while the member runs.
 
 use super::identity::member_address;
 use super::peer_connections::PeerConnections;
@@ -7,12 +7,12 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// Hands the seeds' addresses to the peer connections and to the puller, now and whenever they change.
+/// Passes the seeds' member addresses to the peer connections and to the puller, at the start and after each change.
 ///
-/// Never ends: when `seeds` is closed, the last addresses stay.
-pub(super) async fn follow(
+/// Never returns: after `seeds` is closed, the last addresses stay in use.
+pub(super) async fn forward_seed_addresses(
     peers: PeerConnections,
-    puller: UnboundedSender<client::ClientCommand>,
+    puller_commands: UnboundedSender<client::ClientCommand>,
     mut seeds: watch::Receiver<Vec<SocketAddrV4>>,
     port: u16,
 ) {
@@ -24,8 +24,8 @@
             .collect();
         peers.set_seeds(&addresses);
         let addresses = addresses.into_iter().map(Into::into).collect();
-        // The puller ends with the process only.
-        let _ = puller.send(client::ClientCommand::SetSeeds(addresses));
+        // The puller runs until the process ends, so the send can't fail before that.
+        let _ = puller_commands.send(client::ClientCommand::SetSeeds(addresses));
         if seeds.changed().await.is_err() {
             return std::future::pending().await;
         }
--- a/crates/control-plane/src/runtime/start/control_api.rs
+++ b/crates/control-plane/src/runtime/start/control_api.rs
@@ -1,8 +1,8 @@
-//! Starts the control API, which answers before the disk is open.
+//! Starts the control API, which replies to requests before the state directory is open.
 
 use crate::runtime::control_server::{ControlCounters, ControlServer};
 use crate::runtime::request_handler::{OpenMember, RequestHandler};
-use crate::runtime::Events;
+use crate::runtime::EventSender;
 use configuration::ProcessSettings;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,18 +10,19 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// File descriptors that are kept for files, peers and subscribers.
-const OTHER_DESCRIPTORS: u64 = 400;
-/// Bounds of the control API's connections.
+/// File descriptors that are reserved for files, peers and subscribers.
+const RESERVED_DESCRIPTORS: u64 = 400;
+/// Lower bound on the number of concurrent control API connections.
 const MIN_CONTROL_CONNECTIONS: usize = 64;
+/// Upper bound on the number of concurrent control API connections.
 const MAX_CONTROL_CONNECTIONS: usize = 2048;
 
-/// The control API, which answers from the start.
+/// The running control API.
 pub(super) struct ControlApi {
     pub(super) counters: Rc<ControlCounters>,
-    /// Set when the process is asked to end.
+    /// Set to true when the process is asked to shut down.
     pub(super) shutdown: watch::Sender<bool>,
-    /// Set once the identity is read from the disk.
+    /// Set once the identity has been read from the disk.
     pub(super) opened: watch::Sender<Option<Rc<OpenMember>>>,
 }
 
@@ -29,7 +30,7 @@
     pub(super) fn start(
         process: &ProcessSettings,
         listener: TcpListener,
-        events: Events,
+        events: EventSender,
         command_timeout: Duration,
     ) -> Self {
         let counters = Rc::new(ControlCounters::default());
@@ -57,8 +58,9 @@
     }
 }
 
-/// How many connections the control API takes at once: what the descriptors allow beside all else that needs one.
+/// Returns the largest number of concurrent control API connections: the file descriptor limit less the reserved
+/// descriptors, within the bounds above.
 fn max_control_connections(process: &ProcessSettings) -> usize {
-    let descriptors = process.limits.fd_limit.saturating_sub(OTHER_DESCRIPTORS);
+    let descriptors = process.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS);
     (descriptors as usize).clamp(MIN_CONTROL_CONNECTIONS, MAX_CONTROL_CONNECTIONS)
 }
--- a/crates/control-plane/src/runtime/start/mod.rs
+++ b/crates/control-plane/src/runtime/start/mod.rs
@@ -1,4 +1,5 @@
-//! From the settings and the disk to a member that runs: what listens, what is connected, and in which order.
+//! Starts a member from its settings and its state directory. The order matters: the control API listens before the
+//! disk is opened, and the connections to other processes follow once the identity is known.
 
 mod connections;
 mod control_api;
@@ -28,25 +29,25 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
-use stored_state::{report_storage_to, stored_state, StoredState};
+use stored_state::{storage_event_reporter, wait_for_stored_state, StoredState};
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Longest wait for the handing over at the end, if the platform's `grace_s` leaves so much.
-const MAX_LEAVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Shortest time between the end of the handing over and the platform's SIGKILL.
+/// Longest time for the departure at shutdown, if the platform's `grace_s` allows that much.
+const MAX_DEPARTURE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time reserved between the end of the departure and the platform's SIGKILL.
 const MIN_TIME_BEFORE_KILL: Duration = Duration::from_millis(1500);
-/// Time for replies that are under way at the end.
-const LAST_REPLIES_TIME: Duration = Duration::from_millis(200);
-/// The longest time for which watches can be resumed, in s.
+/// Time to send the last replies before the process ends.
+const FINAL_REPLIES_TIME: Duration = Duration::from_millis(200);
+/// Longest history from which watches can be resumed, in seconds.
 const MAX_WATCH_HISTORY_S: f64 = 3600.0;
 
-/// Starts a member, runs it until `shutdown`, and ends it.
+/// Starts a member, runs it until `shutdown` completes, and lets it depart.
 ///
 /// # Errors
-/// As [`super::run`].
+/// Returns the errors of [`super::run`].
 pub(super) async fn run_member(
     process: ProcessSettings,
     settings: RuntimeSettings,
@@ -58,22 +59,22 @@
     let state_dir = process.state_dir.clone().context(NoStateDirSnafu)?;
     let (events, mut queue) = unbounded_channel();
     let context = start_context(&process, control_addr)?;
-    // The API is there before the disk is: a disk that stalls holds up no caller.
+    // The API starts before the disk is opened, so that a stalled disk delays no client.
     let listener = listen(control_addr).await?;
     let api = ControlApi::start(&process, listener, events.clone(), settings.command_timeout);
-    let storage = storage::start(state_dir, context, report_storage_to(&events))
+    let storage = storage::start(state_dir, context, storage_event_reporter(&events))
         .context(StorageThreadSnafu)?;
     let mut shutdown = pin!(shutdown);
-    let Some(stored) = stored_state(&mut queue, shutdown.as_mut()).await? else {
+    let Some(stored) = wait_for_stored_state(&mut queue, shutdown.as_mut()).await? else {
         return Ok(());
     };
-    let me = member_info(&process, control_addr, stored.identity.id);
+    let local_member = local_member_info(&process, control_addr, stored.identity.id);
     log_starting(&stored);
-    let mirror = mirror(&process, &stored, origin);
+    let mirror = create_mirror(&process, &stored, origin);
     let history = Rc::new(RefCell::new(ConfigurationHistory::default()));
     let connections = Connections {
         process: &process,
-        me: &me,
+        local_member: &local_member,
         incarnation: stored.identity.incarnation,
         mirror: &mirror,
         history: &history,
@@ -83,7 +84,7 @@
         .await?;
     spawn_local(host_cache::store_changes(mirror.clone(), storage.clone()));
     let started_at = origin.elapsed();
-    let member = member(&process, settings, me, &stored, started_at)?;
+    let member = create_member(&process, settings, local_member, &stored, started_at)?;
     let services = Services {
         storage,
         peers,
@@ -91,27 +92,27 @@
         shutdown: api.shutdown,
         history,
         counters_interval: settings.counters_interval,
-        leave_timeout: leave_timeout(process.bounds.grace_s),
+        departure_timeout: departure_timeout(process.bounds.grace_s),
     };
     let transition_log = TransitionLog::new(process.node_name.clone());
     let mut event_loop = EventLoop::new(member, transition_log, origin, started_at, services);
     event_loop.run(&mut queue, shutdown, &api.counters).await;
-    sleep(LAST_REPLIES_TIME).await;
+    sleep(FINAL_REPLIES_TIME).await;
     event_loop.log_counters(&api.counters);
     Ok(())
 }
 
-/// The state machine on what the disk held.
-fn member(
+/// Creates the state machine from the records that were on the disk.
+fn create_member(
     process: &ProcessSettings,
     settings: RuntimeSettings,
-    me: MemberInfo,
+    local_member: MemberInfo,
     stored: &StoredState,
     now: Duration,
 ) -> Result<Member, RuntimeError> {
     let initial_voters = stored.identity.initial_voters.clone();
     let config = MemberConfig {
-        local_member: me,
+        local_member,
         bootstrap_voters: Some(initial_voters).filter(|voters| !voters.is_empty()),
         fault_budget: process.fault_budget,
         lease_duration: settings.lease_duration,
@@ -128,8 +129,12 @@
     Ok(member)
 }
 
-/// The mirror with the hosts as last known.
-fn mirror(process: &ProcessSettings, stored: &StoredState, origin: Instant) -> Arc<SharedMirror> {
+/// Creates the mirror and loads the last known hosts into it.
+fn create_mirror(
+    process: &ProcessSettings,
+    stored: &StoredState,
+    origin: Instant,
+) -> Arc<SharedMirror> {
     let heartbeat_interval = Duration::from_millis(process.beat_period_ms);
     let mirror = Mirror::new(stored.identity.id, heartbeat_interval);
     let mirror = SharedMirror::since(mirror, origin);
@@ -163,7 +168,7 @@
     })
 }
 
-fn member_info(process: &ProcessSettings, control_addr: SocketAddrV4, id: u64) -> MemberInfo {
+fn local_member_info(process: &ProcessSettings, control_addr: SocketAddrV4, id: u64) -> MemberInfo {
     MemberInfo {
         id,
         name: process.node_name.clone(),
@@ -178,10 +183,10 @@
     getrandom::u64().context(RandomSnafu)
 }
 
-/// How long a member that is asked to end may take to hand over what it holds.
-fn leave_timeout(grace_s: f64) -> Duration {
+/// Returns the time that a member has for its departure: `grace_s` less the time reserved before the kill.
+fn departure_timeout(grace_s: f64) -> Duration {
     let grace = Duration::try_from_secs_f64(grace_s).unwrap_or_default();
     grace
         .saturating_sub(MIN_TIME_BEFORE_KILL)
-        .min(MAX_LEAVE_TIMEOUT)
+        .min(MAX_DEPARTURE_TIMEOUT)
 }
--- a/crates/control-plane/src/runtime/start/stored_state.rs
+++ b/crates/control-plane/src/runtime/start/stored_state.rs
@@ -1,30 +1,33 @@
-//! What the disk holds at the start, as the storage thread reports it.
+//! The state on the disk at the start, as reported by the storage thread.
 
 use crate::runtime::identity::Identity;
 use crate::runtime::storage::StorageEvent;
-use crate::runtime::{Event, Events, RuntimeError, StorageThreadSnafu};
+use crate::runtime::{Event, EventSender, RuntimeError, StorageThreadSnafu};
 use snafu::ResultExt;
 use std::future::Future;
 use std::pin::Pin;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// What the disk held at the start.
+/// The state on the disk at the start.
 pub(super) struct StoredState {
+    /// The identity of this incarnation.
     pub(super) identity: Identity,
+    /// The state machine's log records.
     pub(super) records: Vec<Vec<u8>>,
+    /// The content of the host cache, if it exists and could be read.
     pub(super) host_cache: Option<Vec<u8>>,
 }
 
-/// Waits until the files are open; `None` if `shutdown` comes first.
+/// Waits until the files are open. Returns `None` if `shutdown` completes first.
 ///
 /// # Errors
-/// If the storage thread has ended.
-pub(super) async fn stored_state(
+/// Returns an error if the storage thread has ended.
+pub(super) async fn wait_for_stored_state(
     queue: &mut UnboundedReceiver<Event>,
     shutdown: Pin<&mut impl Future<Output = ()>>,
 ) -> Result<Option<StoredState>, RuntimeError> {
     let opened = tokio::select! {
-        opened = files_open(queue) => opened,
+        opened = wait_for_open_files(queue) => opened,
         () = shutdown => return Ok(None),
     };
     let stored = opened
@@ -33,8 +36,8 @@
     Ok(Some(stored))
 }
 
-/// Waits until the files are open; `None` if the storage thread has ended. Logs the first failure.
-async fn files_open(queue: &mut UnboundedReceiver<Event>) -> Option<StoredState> {
+/// Waits until the files are open. Returns `None` if the storage thread has ended. Logs the first failure only.
+async fn wait_for_open_files(queue: &mut UnboundedReceiver<Event>) -> Option<StoredState> {
     let mut has_failed = false;
     loop {
         match queue.recv().await? {
@@ -49,7 +52,7 @@
                     host_cache,
                 });
             }
-            Event::Storage(StorageEvent::NotOpen { detail }) if !has_failed => {
+            Event::Storage(StorageEvent::OpenFailed { detail }) if !has_failed => {
                 has_failed = true;
                 log::error!(detail; "state directory can't be opened yet");
             }
@@ -58,9 +61,11 @@
     }
 }
 
-/// Hands the storage thread's events to the event loop.
-pub(super) fn report_storage_to(events: &Events) -> impl Fn(StorageEvent) + Send + 'static {
+/// Returns a callback that passes the storage thread's events to the event loop.
+pub(super) fn storage_event_reporter(
+    events: &EventSender,
+) -> impl Fn(StorageEvent) + Send + 'static {
     let events = events.clone();
-    // Without a receiver the process is about to end.
+    // The receiver is dropped only when the process is about to end.
     move |event| drop(events.send(Event::Storage(event)))
 }
--- a/crates/control-plane/src/runtime/status.rs
+++ b/crates/control-plane/src/runtime/status.rs
@@ -1,4 +1,4 @@
-//! The status of a member, as callers and the mirror get it, and its counters in the log.
+//! The status of a member for the status page and the mirror, and the log line of its counters.
 
 use super::control_server::ControlCounters;
 use super::event_loop::EventLoop;
@@ -6,7 +6,7 @@
 use protocol::{MemberInfo, MembershipConfig};
 
 impl EventLoop {
-    /// The state machine's status now.
+    /// Returns the state machine's current status.
     pub(super) fn status(&self) -> MemberStatus {
         let now = self.origin.elapsed();
         MemberStatus {
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Tells the mirror who is in the control plane, and how fresh its content is.
+    /// Publishes the control plane's members in the mirror if they have changed, and records the latest contact with a
+    /// primary.
     pub(super) fn publish_control_plane(&mut self) {
         let now = self.origin.elapsed();
         let contact = self.member.primary_contact(now);
@@ -38,20 +39,21 @@
             primary: membership.primary,
             members: self.known_members(membership),
         };
-        let has_changed = current != self.published;
+        let has_changed = current != self.published_control_plane;
         self.services.mirror.update(|mirror, _| {
             if has_changed {
                 mirror.set_control_plane(current.epoch, current.primary, current.members.clone());
             }
-            // A contact proves nothing about changes that haven't come yet.
+            // A contact confirms the mirror's content only if all changes up to the contact have arrived.
             if let Some(contact) = contact.filter(|contact| mirror.index() >= contact.fleet_index) {
                 mirror.record_primary_contact(contact.at);
             }
         });
-        self.published = current;
+        self.published_control_plane = current;
     }
 
-    /// The voters, then the other members that can be reached. What a member says of itself goes first.
+    /// Returns the voters, then the other reachable members. For a reachable voter, its own information takes
+    /// precedence over the membership configuration's.
     fn known_members(&self, membership: &MembershipConfig) -> Vec<MemberInfo> {
         let reachable = self.services.peers.reachable_members();
         let mut members: Vec<MemberInfo> = membership
@@ -69,7 +71,7 @@
         members
     }
 
-    /// Writes the log line of counters.
+    /// Logs the counters.
     pub(super) fn log_counters(&self, control: &ControlCounters) {
         let peers = self.services.peers.counters();
         let transitions = self.recorder.counters();
--- a/crates/control-plane/src/runtime/storage/identity_file.rs
+++ b/crates/control-plane/src/runtime/storage/identity_file.rs
@@ -1,22 +1,22 @@
-//! The identity's file, and in which order it and the log come to be.
+//! The identity file, and the order in which it and the log are created.
 
 use crate::runtime::identity::{Identity, LogOwner, StoredLog};
 use append_log::AppendLog;
 
-/// Records after which the identity's file is rewritten.
+/// Number of records after which the identity file is rewritten with the latest one.
 const MAX_IDENTITY_RECORDS: usize = 64;
 
-/// Stores the identity before anything else is written.
+/// The identity file. Stores the identity before any other write to the log.
 pub(super) struct IdentityFile {
     file: AppendLog,
     record_count: usize,
     is_stored: bool,
-    /// Whether the log names its owner, or is of an earlier release and so can't yet.
+    /// Whether the log needs no owner record: it has one, or it was written by an earlier release.
     log_has_owner: bool,
 }
 
 impl IdentityFile {
-    /// The open `file`, which holds `record_count` records.
+    /// Wraps the open `file`, which holds `record_count` records.
     pub(super) fn new(
         file: AppendLog,
         record_count: usize,
@@ -35,10 +35,11 @@
         }
     }
 
-    /// Stores the identity once: in the log first, as an identity without a log is never used again.
+    /// Stores the identity if that hasn't been done yet: first in the log, as an identity without a log is never used
+    /// again.
     ///
     /// # Errors
-    /// If the disk refuses a write; the next call tries again.
+    /// Returns an error if a write fails; the next call retries.
     pub(super) fn store(
         &mut self,
         identity: &Identity,
@@ -62,7 +63,7 @@
     }
 }
 
-/// The first record of a log.
+/// Returns the first record of a log, which names its owner.
 pub(super) fn owner_record(identity: &Identity) -> Vec<u8> {
     protocol::encode_record(&LogOwner {
         identity: identity.clone(),
--- a/crates/control-plane/src/runtime/storage/mod.rs
+++ b/crates/control-plane/src/runtime/storage/mod.rs
@@ -1,12 +1,12 @@
-//! A member's state directory: its files, and the thread that alone waits for the disk.
+//! A member's state directory: its files, and the one thread that does the disk I/O.
 //!
-//! | file | holds |
+//! | file | content |
 //! | --- | --- |
-//! | `identity` | who the member is, one record for each incarnation ([`Identity`]) |
-//! | `ledger` | its log: the owner, then one [`protocol::Record`] for each step that must last |
-//! | `roster` | the hosts as last known: a cache that only shortens a start of all members |
+//! | `identity` | the member's identity, one record per incarnation ([`Identity`]) |
+//! | `ledger` | the log: the owner, then one [`protocol::Record`] per durable step |
+//! | `roster` | the last known hosts: a cache that only speeds up a restart of all members |
 //!
-//! The event loop sends [`Write`]s and hears [`StorageEvent`]s; it never blocks on a disk.
+//! The event loop sends [`Write`]s and receives [`StorageEvent`]s; it never blocks on the disk.
 
 mod identity_file;
 mod open;
@@ -17,57 +17,57 @@
 use std::path::PathBuf;
 use std::sync::mpsc;
 
-/// Name of the file with the identities.
+/// File name of the identity file.
 const IDENTITY_FILE: &str = "identity";
-/// Name of the log's file.
+/// File name of the log.
 const LOG_FILE: &str = "ledger";
-/// Name of the file with the hosts as last known.
+/// File name of the host cache.
 const HOST_CACHE_FILE: &str = "roster";
 
-/// A write that waits for the disk.
+/// A request to write to a file of the state directory.
 #[derive(Debug)]
 pub struct Write {
-    /// Names the write in [`StorageEvent::Wrote`].
+    /// Identifies the write in [`StorageEvent::Wrote`].
     pub ticket: u64,
-    /// The records.
+    /// The encoded records.
     pub records: Vec<Vec<u8>>,
-    /// Whether the records replace all that the file holds; else they are appended.
+    /// Whether the records replace the file's content instead of being appended.
     pub rewrite: bool,
-    /// The file that they are for.
+    /// The file to write to.
     pub file: StateFile,
 }
 
-/// The files that the event loop and its tasks write to.
+/// A file that the event loop and its tasks write to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateFile {
-    /// The log: what the member has promised, accepted and appended.
+    /// The log of the member's promises, accepted membership configurations and appended changes.
     Log,
-    /// The hosts as last known, so that a start of all members doesn't wait for heartbeats.
+    /// The last known hosts, so that a restart of all members needn't wait for heartbeats.
     HostCache,
 }
 
-/// What the storage thread reports.
+/// An event that the storage thread reports.
 #[derive(Debug)]
 pub enum StorageEvent {
     /// The files are open.
     Open {
         /// The identity of this incarnation.
         identity: Identity,
-        /// The member's log records.
+        /// The state machine's records in the log.
         records: Vec<Vec<u8>>,
-        /// The hosts as last known, where the file could be read.
+        /// The content of the host cache, if it exists and could be read.
         host_cache: Option<Vec<u8>>,
     },
-    /// The files can't be opened (yet); the thread tries again.
-    NotOpen {
-        /// The error with its sources.
+    /// Opening the files failed; the thread retries.
+    OpenFailed {
+        /// The error and its sources as text.
         detail: String,
     },
-    /// A write to the log has ended.
+    /// A write to the log has completed or failed.
     Wrote {
-        /// The write's ticket.
+        /// The ticket of the [`Write`].
         ticket: u64,
-        /// Whether the records are on disk.
+        /// `Ok` once the records are on disk.
         result: Result<(), DiskError>,
     },
 }
@@ -77,7 +77,7 @@
 /// The thread ends when the sender of writes is dropped. `report` is called on the thread.
 ///
 /// # Errors
-/// If no thread can be started.
+/// Returns an error if the thread can't be started.
 pub fn start(
     dir: PathBuf,
     context: StartContext,
@@ -90,14 +90,14 @@
     Ok(writes)
 }
 
-/// The thread's work: opens the files, then writes until the sender is gone.
+/// Runs on the storage thread: opens the files, then carries out writes until their sender is dropped.
 fn run(
     dir: &std::path::Path,
     context: &StartContext,
     report: &dyn Fn(StorageEvent),
     queue: &mpsc::Receiver<Write>,
 ) {
-    if let Some(files) = open::open_until_it_works(dir, context, report, queue) {
+    if let Some(files) = open::open_with_retries(dir, context, report, queue) {
         writer::write_until_closed(files, report, queue);
     }
 }
--- a/crates/control-plane/src/runtime/storage/open.rs
+++ b/crates/control-plane/src/runtime/storage/open.rs
@@ -1,4 +1,4 @@
-//! Opens a member's files, again and again until the disk allows it.
+//! Opens a member's files, with retries until that succeeds.
 
 use super::identity_file::IdentityFile;
 use super::{StorageEvent, Write, HOST_CACHE_FILE, IDENTITY_FILE, LOG_FILE};
@@ -12,16 +12,16 @@
 /// Time between two attempts to open the files.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A member's files, open.
+/// A member's open files.
 pub(super) struct OpenFiles {
     pub(super) identity: Identity,
     pub(super) identity_file: IdentityFile,
     pub(super) log: AppendLog,
-    /// `None` where the file can't be opened: the member does without.
+    /// `None` if the file can't be opened; the member then runs without a host cache.
     pub(super) host_cache: Option<AppendLog>,
 }
 
-/// Why the files can't be opened.
+/// An error that prevents opening the files.
 #[derive(Debug, Snafu)]
 enum OpenError {
     #[snafu(display("cannot open a file of the state directory"))]
@@ -30,8 +30,8 @@
     UnknownIdentity { source: IdentityError },
 }
 
-/// Opens the files and reports what they hold; `None` where the sender of writes is gone before that works.
-pub(super) fn open_until_it_works(
+/// Opens the files and reports their content. Returns `None` if the sender of writes is dropped before that succeeds.
+pub(super) fn open_with_retries(
     dir: &Path,
     context: &StartContext,
     report: &dyn Fn(StorageEvent),
@@ -49,30 +49,30 @@
                 });
                 return Some(files);
             }
-            Err(error) => report(StorageEvent::NotOpen {
+            Err(error) => report(StorageEvent::OpenFailed {
                 detail: snafu::Report::from_error(error).to_string(),
             }),
         }
         match queue.recv_timeout(OPEN_RETRY_INTERVAL) {
             Err(mpsc::RecvTimeoutError::Disconnected) => return None,
-            // Nobody writes before the files are open.
+            // The event loop sends no write before the files are open.
             Ok(_) | Err(mpsc::RecvTimeoutError::Timeout) => {}
         }
     }
 }
 
-/// Opens identity and log; gives the log's records without its owner.
+/// Opens the identity file and the log. Returns them with the log's records, without the owner record.
 fn open(dir: &Path, context: &StartContext) -> Result<(OpenFiles, Vec<Vec<u8>>), OpenError> {
     let (file, stored_identities) = AppendLog::open(dir, IDENTITY_FILE).context(FileSnafu)?;
     let (mut log, stored_records) = AppendLog::open(dir, LOG_FILE).context(FileSnafu)?;
     let stored_log = StoredLog::from_records(stored_records);
     let stored_identity = latest_identity(&stored_identities).context(UnknownIdentitySnafu)?;
     let identity = context
-        .identity_with(stored_identity, &stored_log)
+        .identity_from_files(stored_identity, &stored_log)
         .context(UnknownIdentitySnafu)?;
     let mut identity_file =
         IdentityFile::new(file, stored_identities.len(), &identity, &stored_log);
-    // A full disk is no reason to stay away: an incarnation's number follows the time of day as well.
+    // A full disk doesn't prevent the start: incarnations increase with the time of day even if they aren't stored.
     if let Err(error) = identity_file.store(&identity, &mut log) {
         log::warn!(error:%; "identity not stored yet");
     }
@@ -85,7 +85,7 @@
     Ok((files, stored_log.records))
 }
 
-/// Opens the hosts' file with its content. What can't be read is reported anew by the hosts.
+/// Opens the host cache and reads its content. If that fails, the hosts' heartbeats provide the records again.
 fn open_host_cache(dir: &Path) -> (Option<AppendLog>, Option<Vec<u8>>) {
     match AppendLog::open(dir, HOST_CACHE_FILE) {
         Ok((file, mut records)) => (Some(file), records.pop()),
--- a/crates/control-plane/src/runtime/storage/writer.rs
+++ b/crates/control-plane/src/runtime/storage/writer.rs
@@ -1,4 +1,4 @@
-//! Carries out writes in their order. Appends that have queued up share one sync.
+//! Carries out writes in order. Appends that are queued together share one sync.
 
 use super::identity_file::owner_record;
 use super::open::OpenFiles;
@@ -8,10 +8,10 @@
 use append_log::AppendLog;
 use std::sync::mpsc;
 
-/// Writes that share a sync at most.
+/// Largest number of writes that share one sync.
 const MAX_WRITES_PER_SYNC: usize = 256;
 
-/// Writes what comes over `queue` until its sender is dropped.
+/// Carries out the writes from `queue` until its sender is dropped.
 pub(super) fn write_until_closed(
     mut files: OpenFiles,
     report: &dyn Fn(StorageEvent),
@@ -19,22 +19,22 @@
 ) {
     while let Ok(first) = queue.recv() {
         let batch = queued_writes(first, queue);
-        let mut rest = batch.as_slice();
-        while let Some(first) = rest.first() {
+        let mut remaining = batch.as_slice();
+        while let Some(first) = remaining.first() {
             if first.file == StateFile::HostCache {
                 write_host_cache(&mut files, first);
-                rest = &rest[1..];
+                remaining = &remaining[1..];
                 continue;
             }
-            let (together, later) = rest.split_at(writes_in_one_sync(rest));
-            let result = write_log(&mut files, together);
-            report_result(together, &result, report);
-            rest = later;
+            let (sync_group, later) = remaining.split_at(writes_in_one_sync(remaining));
+            let result = write_log(&mut files, sync_group);
+            report_result(sync_group, &result, report);
+            remaining = later;
         }
     }
 }
 
-/// The write `first` with those that have queued up behind it.
+/// Returns the write `first` and those queued behind it, up to [`MAX_WRITES_PER_SYNC`].
 fn queued_writes(first: Write, queue: &mpsc::Receiver<Write>) -> Vec<Write> {
     let mut batch = vec![first];
     while batch.len() < MAX_WRITES_PER_SYNC {
@@ -44,7 +44,7 @@
     batch
 }
 
-/// How many writes at the start of `writes` go to the log together: a rewrite stands alone.
+/// Returns the number of leading writes that go to the log in one sync. A rewrite is never combined with others.
 fn writes_in_one_sync(writes: &[Write]) -> usize {
     if writes.first().is_some_and(|first| first.rewrite) {
         return 1;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Writes to the log: one rewrite, or appends that share a sync.
+/// Writes one rewrite, or appends that share a sync, to the log.
 fn write_log(files: &mut OpenFiles, writes: &[Write]) -> Result<(), append_log::Error> {
     files.identity_file.store(&files.identity, &mut files.log)?;
     let records = writes
@@ -79,7 +79,7 @@
     }
 }
 
-/// Replaces the log; its owner comes first.
+/// Replaces the log's content with the owner record and `records`.
 fn rewrite_log(
     log: &mut AppendLog,
     owner: &Identity,
--- a/crates/control-plane/src/runtime/transitions/compare.rs
+++ b/crates/control-plane/src/runtime/transitions/compare.rs
@@ -1,11 +1,11 @@
-//! From two summaries of a member, or from one of its outputs, to the state transitions.
+//! Derives state transitions from two summaries of a member, or from one of its outputs.
 
 use super::{MembershipRole, StepDownCause, Transition};
 use crate::member::{DiskState, LeaseGrantSummary, MemberSummary, Output, RoleSummary};
 use protocol::{MemberInfo, Message};
 
-/// The transitions between two moments, in the order in which they are logged.
-pub fn between(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
+/// Returns the transitions from `before` to `after`, in the order in which they are logged.
+pub fn transitions_between(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
     let mut transitions = Vec::new();
     if after.departing && !before.departing {
         transitions.push(Transition::ShutdownStarted);
@@ -22,8 +22,8 @@
     transitions
 }
 
-/// The transition that an output of the state machine stands for.
-pub fn from_output(output: &Output) -> Option<Transition> {
+/// Returns the transition that an output of the state machine represents, if any.
+pub fn transition_from_output(output: &Output) -> Option<Transition> {
     match output {
         Output::RestoreState {
             index,
@@ -99,7 +99,7 @@
 }
 
 fn membership_accepted(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
-    if epoch_of(after) <= epoch_of(before) {
+    if membership_epoch(after) <= membership_epoch(before) {
         return Vec::new();
     }
     let Some(membership) = &after.membership else {
@@ -126,14 +126,14 @@
     transitions
 }
 
-fn epoch_of(summary: &MemberSummary) -> Option<u64> {
+fn membership_epoch(summary: &MemberSummary) -> Option<u64> {
     summary
         .membership
         .as_ref()
         .map(|membership| membership.epoch)
 }
 
-/// Those of `members` that aren't among `others`.
+/// Returns the members of `members` that aren't in `others`.
 fn missing_from(members: &[MemberInfo], others: &[MemberInfo]) -> Vec<MemberInfo> {
     members
         .iter()
@@ -145,27 +145,31 @@
 fn role_began(before: &MemberSummary, after: &MemberSummary) -> Vec<Transition> {
     match after.role {
         RoleSummary::Follower => Vec::new(),
-        RoleSummary::Candidate { epoch, .. } => {
-            candidacy(before, after, epoch).into_iter().collect()
-        }
-        RoleSummary::Primary { epoch, leased } => primacy(before, after, epoch, leased),
+        RoleSummary::Candidate { epoch, .. } => candidate_transition(before, after, epoch)
+            .into_iter()
+            .collect(),
+        RoleSummary::Primary { epoch, leased } => primary_transitions(before, after, epoch, leased),
     }
 }
 
-fn candidacy(before: &MemberSummary, after: &MemberSummary, epoch: u64) -> Option<Transition> {
+fn candidate_transition(
+    before: &MemberSummary,
+    after: &MemberSummary,
+    epoch: u64,
+) -> Option<Transition> {
     match before.role {
         RoleSummary::Candidate { epoch: asked, .. } if asked == epoch => None,
         RoleSummary::Primary { epoch: from, .. } => {
             Some(Transition::MembershipChangeStarted { from, epoch })
         }
         _ if epoch == 0 => Some(Transition::PreVoteStarted {
-            epoch: epoch_of(after).unwrap_or(0),
+            epoch: membership_epoch(after).unwrap_or(0),
         }),
         _ => Some(Transition::CandidacyStarted { epoch }),
     }
 }
 
-fn primacy(
+fn primary_transitions(
     before: &MemberSummary,
     after: &MemberSummary,
     epoch: u64,
@@ -195,7 +199,7 @@
 
 fn primary_lease_expired(before: &MemberSummary, after: &MemberSummary) -> Option<Transition> {
     let ended = before.lease_grant?;
-    // A member that became primary itself has taken the lease's place.
+    // A member that became primary itself has replaced the lease that it granted.
     let is_primary = matches!(after.role, RoleSummary::Primary { .. });
     if after.lease_grant.is_some() || is_primary {
         return None;
@@ -217,7 +221,7 @@
     })
 }
 
-/// Who holds a lease; by its id alone if the membership configuration doesn't name it.
+/// Returns the holder of a lease, with its id alone if the membership configuration doesn't contain it.
 fn lease_holder(summary: &MemberSummary, grant: LeaseGrantSummary) -> MemberInfo {
     let known = summary
         .membership
--- a/crates/control-plane/src/runtime/transitions/log_lines.rs
+++ b/crates/control-plane/src/runtime/transitions/log_lines.rs
@@ -1,4 +1,4 @@
-//! The log lines: one for each state transition, with its values (`docs/operators/bad-day.md`).
+//! Log lines of state transitions, one per transition (see `docs/operators/bad-day.md`).
 
 use super::{MembershipRole, Transition};
 use crate::member::{candidate_of, DiskState, MemberSummary};
@@ -6,13 +6,13 @@
 use std::fmt;
 use std::net::SocketAddrV4;
 
-/// The target that the lines name.
-const TARGET: &str = "control_plane::state";
+/// Log target of the lines.
+const LOG_TARGET: &str = "control_plane::state";
 
-/// A member's name in the log: its machine's, or else its address, or else its id.
-struct Name<'a>(&'a MemberInfo);
+/// Displays a member as its machine's name, or else its address, or else its id.
+struct MemberName<'a>(&'a MemberInfo);
 
-impl fmt::Display for Name<'_> {
+impl fmt::Display for MemberName<'_> {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self.0 {
             member if !member.name.is_empty() => to.write_str(&member.name),
@@ -22,23 +22,23 @@
     }
 }
 
-/// Members' names with commas between them; `-` for none.
-struct Names<'a>(Vec<&'a MemberInfo>);
+/// Displays members separated by commas, and `-` if there are none.
+struct MemberNames<'a>(Vec<&'a MemberInfo>);
 
-impl fmt::Display for Names<'_> {
+impl fmt::Display for MemberNames<'_> {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         if self.0.is_empty() {
             return to.write_str("-");
         }
         for (index, member) in self.0.iter().enumerate() {
             let comma = if index > 0 { "," } else { "" };
-            write!(to, "{comma}{}", Name(member))?;
+            write!(to, "{comma}{}", MemberName(member))?;
         }
         Ok(())
     }
 }
 
-/// A number that may be missing: `-` then.
+/// Displays a number, and `-` if it is missing.
 struct OrDash(Option<u64>);
 
 impl fmt::Display for OrDash {
@@ -50,25 +50,25 @@
     }
 }
 
-/// Writes one member's log lines.
+/// Writes the log lines of one member's state transitions.
 pub struct TransitionLog {
-    /// Name of the member's machine.
+    /// Name of the member's machine, which each line contains.
     member: String,
 }
 
 impl TransitionLog {
-    /// For the member on the machine of this name.
+    /// Creates the log of the member on the machine named `member`.
     pub fn new(member: String) -> Self {
         Self { member }
     }
 
-    /// Writes what the member's disk held at its start.
+    /// Logs the state that was on the member's disk when it started.
     pub fn log_start(&self, summary: &MemberSummary) {
         let epoch = summary
             .membership
             .as_ref()
             .map(|membership| membership.epoch);
-        log::info!(target: TARGET, member = self.member.as_str(),
+        log::info!(target: LOG_TARGET, member = self.member.as_str(),
             epoch:% = OrDash(epoch),
             promised = summary.promised_epoch,
             index:% = OrDash(summary.durable_index),
@@ -77,7 +77,7 @@
         );
     }
 
-    /// Writes the line of a transition.
+    /// Logs a transition.
     pub fn log(&self, transition: &Transition) {
         match transition {
             Transition::PreVoteStarted { .. }
@@ -97,7 +97,7 @@
             Transition::MembershipAccepted { .. } => self.log_membership(transition),
             Transition::DiskStateChanged { state } => self.log_disk(*state),
             Transition::ShutdownStarted => {
-                log::info!(target: TARGET, member = self.member.as_str(); "shutting down");
+                log::info!(target: LOG_TARGET, member = self.member.as_str(); "shutting down");
             }
         }
     }
@@ -106,27 +106,27 @@
         let member = self.member.as_str();
         match transition {
             Transition::PreVoteStarted { epoch } => {
-                log::info!(target: TARGET, member, epoch; "starting pre-vote");
+                log::info!(target: LOG_TARGET, member, epoch; "starting pre-vote");
             }
             Transition::CandidacyStarted { epoch } => {
-                log::info!(target: TARGET, member, epoch; "became candidate");
+                log::info!(target: LOG_TARGET, member, epoch; "became candidate");
             }
             Transition::MembershipChangeStarted { from, epoch } => {
-                log::info!(target: TARGET, member, epoch, from; "starting membership change");
+                log::info!(target: LOG_TARGET, member, epoch, from; "starting membership change");
             }
             Transition::CampaignFailed { epoch, phase } => {
-                log::info!(target: TARGET, member, epoch, phase:?; "campaign failed");
+                log::info!(target: LOG_TARGET, member, epoch, phase:?; "campaign failed");
             }
             Transition::EpochPromised { epoch, membership } => {
                 let candidate = membership
                     .as_ref()
                     .and_then(|membership| candidate_of(*epoch, membership));
-                let candidate = Names(candidate.into_iter().collect());
-                log::info!(target: TARGET, member, epoch, candidate:%; "promised epoch");
+                let candidate = MemberNames(candidate.into_iter().collect());
+                log::info!(target: LOG_TARGET, member, epoch, candidate:%; "promised epoch");
             }
             Transition::MembershipInstalled { epoch, index } => {
                 let index = OrDash(*index);
-                log::info!(target: TARGET, member, epoch, index:%; "membership installed");
+                log::info!(target: LOG_TARGET, member, epoch, index:%; "membership installed");
             }
             _ => {}
         }
@@ -136,21 +136,21 @@
         let member = self.member.as_str();
         match transition {
             Transition::BecamePrimary { epoch } => {
-                log::info!(target: TARGET, member, epoch; "became primary");
+                log::info!(target: LOG_TARGET, member, epoch; "became primary");
             }
             Transition::LeaseLost { epoch } => {
-                log::warn!(target: TARGET, member, epoch; "primary lost its lease");
+                log::warn!(target: LOG_TARGET, member, epoch; "primary lost its lease");
             }
             Transition::SteppedDown { epoch, cause } => {
-                log::warn!(target: TARGET, member, epoch, cause:?; "stepped down");
+                log::warn!(target: LOG_TARGET, member, epoch, cause:?; "stepped down");
             }
             Transition::LeaseGranted { primary, epoch } => {
-                let primary = Name(primary);
-                log::info!(target: TARGET, member, epoch, primary:%; "following primary");
+                let primary = MemberName(primary);
+                log::info!(target: LOG_TARGET, member, epoch, primary:%; "following primary");
             }
             Transition::PrimaryLeaseExpired { primary, epoch } => {
-                let primary = Name(primary);
-                log::info!(target: TARGET, member, epoch, primary:%; "primary lease expired");
+                let primary = MemberName(primary);
+                log::info!(target: LOG_TARGET, member, epoch, primary:%; "primary lease expired");
             }
             _ => {}
         }
@@ -160,14 +160,14 @@
         let member = self.member.as_str();
         match transition {
             Transition::StateRestored { index, version } => {
-                log::info!(target: TARGET, member, index, version; "state restored, unconfirmed");
+                log::info!(target: LOG_TARGET, member, index, version; "state restored, unconfirmed");
             }
             Transition::SnapshotInstalled { epoch, index } => {
-                log::info!(target: TARGET, member, epoch, index; "snapshot installed");
+                log::info!(target: LOG_TARGET, member, epoch, index; "snapshot installed");
             }
             Transition::SnapshotSent { to, epoch, index } => {
-                let to = Name(to);
-                log::info!(target: TARGET, member, epoch, index, to:%; "snapshot sent");
+                let to = MemberName(to);
+                log::info!(target: LOG_TARGET, member, epoch, index, to:%; "snapshot sent");
             }
             _ => {}
         }
@@ -184,13 +184,13 @@
         else {
             return;
         };
-        log::info!(target: TARGET, member = self.member.as_str(),
+        log::info!(target: LOG_TARGET, member = self.member.as_str(),
             epoch = membership.epoch,
-            primary:% = primary_of(membership),
-            replicas:% = replicas_of(membership),
-            voters:% = Names(membership.voters.iter().collect()),
-            added:% = Names(added.iter().collect()),
-            removed:% = Names(removed.iter().collect()),
+            primary:% = primary_name(membership),
+            replicas:% = replica_names(membership),
+            voters:% = MemberNames(membership.voters.iter().collect()),
+            added:% = MemberNames(added.iter().collect()),
+            removed:% = MemberNames(removed.iter().collect()),
             stable = membership.is_stable(),
             role:%,
             previous_role:%;
@@ -202,19 +202,19 @@
         let member = self.member.as_str();
         match state {
             DiskState::Healthy => {
-                log::info!(target: TARGET, member; "disk healthy");
+                log::info!(target: LOG_TARGET, member; "disk healthy");
             }
-            DiskState::Refused => log::warn!(target: TARGET, member; "disk refuses writes"),
-            DiskState::Stalled => log::warn!(target: TARGET, member; "disk stalled"),
+            DiskState::Refused => log::warn!(target: LOG_TARGET, member; "disk refuses writes"),
+            DiskState::Stalled => log::warn!(target: LOG_TARGET, member; "disk stalled"),
         }
     }
 }
 
-fn primary_of(membership: &MembershipConfig) -> Names<'_> {
-    Names(membership.voter(membership.primary).into_iter().collect())
+fn primary_name(membership: &MembershipConfig) -> MemberNames<'_> {
+    MemberNames(membership.voter(membership.primary).into_iter().collect())
 }
 
-fn replicas_of(membership: &MembershipConfig) -> Names<'_> {
+fn replica_names(membership: &MembershipConfig) -> MemberNames<'_> {
     let replicas = membership.replicas.iter();
-    Names(replicas.filter_map(|id| membership.voter(*id)).collect())
+    MemberNames(replicas.filter_map(|id| membership.voter(*id)).collect())
 }
--- a/crates/control-plane/src/runtime/transitions/mod.rs
+++ b/crates/control-plane/src/runtime/transitions/mod.rs
@@ -1,11 +1,11 @@
-//! State transitions of a member, found by comparing it before and after each step: a log line for each, and counts.
-//! The state machine itself knows nothing of this.
+//! State transitions of a member, derived by comparing its state before and after each step, with a log line and a
+//! counter for each. The state machine itself does no logging.
 
 mod compare;
 mod log_lines;
 mod recorder;
 
-pub use compare::{between, from_output};
+pub use compare::{transition_from_output, transitions_between};
 pub use log_lines::TransitionLog;
 pub use recorder::{Recorder, TransitionCounters};
 
@@ -14,29 +14,29 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Why a primary steps down.
+/// The reason why a primary stepped down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepDownCause {
     /// Its lease expired: no majority of the voters renewed it in time.
     LeaseExpired,
-    /// It promised a higher epoch to another candidate, or accepted that one's membership configuration.
+    /// It promised a higher epoch to another candidate, or accepted that candidate's membership configuration.
     HigherEpoch,
-    /// Its own disk refuses writes or stalls.
+    /// Its own disk refuses writes or is stalled.
     DiskUnhealthy,
-    /// It was asked to end.
+    /// It was asked to shut down.
     Shutdown,
 }
 
-/// What a member is in its membership configuration.
+/// A member's role in its latest membership configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipRole {
-    /// Not in it, or there is none yet: the member only mirrors.
+    /// Not part of the configuration, or it has none yet: the member only mirrors the state.
     Joining,
-    /// A voter that stores epochs and membership configurations alone.
+    /// A voter that stores promised epochs and membership configurations, but no changes.
     Witness,
-    /// A voter that has each acknowledged change on its disk.
+    /// A voter that stores every acknowledged change on its disk.
     Replica,
-    /// The replica that takes changes.
+    /// The replica that accepts changes.
     Primary,
 }
 
@@ -68,119 +68,119 @@
     }
 }
 
-/// A state transition.
+/// A state transition of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Transition {
-    /// The state that was committed when the process last ended is published, before any primary acts.
+    /// It published the state that was committed when the process last ended, before any primary confirms it.
     StateRestored {
-        /// Index of its last change.
+        /// Index of the last change in the state.
         index: u64,
-        /// Version of its configuration.
+        /// Version of the configuration in the state.
         version: u64,
     },
-    /// It saw no lease and asks who would promise.
+    /// It knows of no valid lease and started a pre-vote.
     PreVoteStarted {
-        /// Epoch of the membership configuration that it knows.
+        /// Epoch of its latest membership configuration; 0 if it has none.
         epoch: u64,
     },
-    /// It asks for promises under a new epoch.
+    /// It became a candidate and asks for promises for a new epoch.
     CandidacyStarted {
         /// The new epoch.
         epoch: u64,
     },
-    /// As primary it changes its membership configuration: it asks for promises under a new epoch.
+    /// As primary it started to change its membership configuration: it asks for promises for a new epoch.
     MembershipChangeStarted {
-        /// Epoch of the configuration that ends.
+        /// Epoch of the configuration to be replaced.
         from: u64,
         /// The new epoch.
         epoch: u64,
     },
-    /// It campaigns no longer.
+    /// It gave up its campaign.
     CampaignFailed {
-        /// The epoch; 0 if it was still in the pre-vote.
+        /// Epoch of the campaign; 0 if it was still in the pre-vote.
         epoch: u64,
-        /// How far it had come.
+        /// The phase that the campaign had reached.
         phase: ElectionPhase,
     },
-    /// It is the primary of a membership configuration that a majority has.
+    /// It is the primary of a membership configuration that a majority of the voters has accepted.
     MembershipInstalled {
         /// Epoch of the configuration.
         epoch: u64,
-        /// Index of the last change that it starts from.
+        /// Index of the last change that the configuration starts from; `None` if the summary has none.
         index: Option<u64>,
     },
-    /// As primary it has a majority's lease: it acknowledges and answers.
+    /// As primary it obtained a lease of a majority: it now acknowledges changes and serves reads.
     BecamePrimary {
         /// Epoch of its membership configuration.
         epoch: u64,
     },
-    /// As primary it has no lease for the moment: it acknowledges and answers nothing.
+    /// As primary it has no lease for the moment: it acknowledges no change and serves no read.
     LeaseLost {
         /// Epoch of its membership configuration.
         epoch: u64,
     },
-    /// It is primary no longer.
+    /// It is no longer primary.
     SteppedDown {
         /// Epoch of its membership configuration.
         epoch: u64,
-        /// Why.
+        /// The reason.
         cause: StepDownCause,
     },
-    /// It promised an epoch to another member: it follows no earlier one any more.
+    /// It promised an epoch to another member and rejects all lower epochs from then on.
     EpochPromised {
-        /// The epoch.
+        /// The promised epoch.
         epoch: u64,
-        /// The membership configuration that it knows, whose voters name the candidate.
+        /// Its latest membership configuration, whose voters identify the candidate.
         membership: Option<Arc<MembershipConfig>>,
     },
-    /// A membership configuration is on its disk.
+    /// It accepted a membership configuration and has it on its disk.
     MembershipAccepted {
-        /// The membership configuration.
+        /// The accepted membership configuration.
         membership: Arc<MembershipConfig>,
-        /// Voters that the one before didn't have; none if there was none before.
+        /// Voters that the previous configuration didn't have; empty if there was none.
         added: Vec<MemberInfo>,
-        /// Voters that it has no longer.
+        /// Voters of the previous configuration that are no longer voters.
         removed: Vec<MemberInfo>,
-        /// What this member is in it.
+        /// This member's role in the configuration.
         role: MembershipRole,
-        /// What this member was before.
+        /// This member's role in the previous configuration.
         previous_role: MembershipRole,
     },
-    /// It installed another member's whole state.
+    /// It installed a snapshot of the state from another member.
     SnapshotInstalled {
-        /// Epoch of the membership configuration that brought it.
+        /// Epoch of the membership configuration that the snapshot came with.
         epoch: u64,
-        /// Index of its last change.
+        /// Index of the snapshot's last change.
         index: u64,
     },
-    /// It sent its whole state.
+    /// It sent a snapshot of its state.
     SnapshotSent {
-        /// To whom.
+        /// The receiver.
         to: MemberInfo,
-        /// Epoch of the membership configuration or of the candidate that it is for.
+        /// Epoch of the membership configuration that the snapshot came with, or of the candidate that fetched it.
         epoch: u64,
-        /// Index of its last change.
+        /// Index of the snapshot's last change.
         index: u64,
     },
-    /// As a voter it granted a primary its first lease of a membership configuration.
+    /// As a voter it granted a primary a lease, the first in a membership configuration.
     LeaseGranted {
         /// The primary.
         primary: MemberInfo,
         /// Epoch of the membership configuration.
         epoch: u64,
     },
-    /// The lease that it granted expired or was given back.
+    /// The lease that it granted expired or was released.
     PrimaryLeaseExpired {
         /// The primary.
         primary: MemberInfo,
         /// Epoch of the membership configuration.
         epoch: u64,
     },
-    /// Its disk takes writes again, refuses them or stalls.
+    /// Its disk became healthy, refuses writes or is stalled.
     DiskStateChanged {
-        /// How it is now.
+        /// The state that the disk is in now.
         state: DiskState,
     },
-    /// It was asked to end.
+    /// It was asked to shut down.
     ShutdownStarted,
 }
--- a/crates/control-plane/src/runtime/transitions/recorder.rs
+++ b/crates/control-plane/src/runtime/transitions/recorder.rs
@@ -1,16 +1,16 @@
-//! Follows a member step by step: counts its state transitions and picks those to log.
+//! Compares a member before and after each step, counts its state transitions and selects those to log.
 
-use super::{between, from_output, StepDownCause, Transition};
+use super::{transition_from_output, transitions_between, StepDownCause, Transition};
 use crate::member::{DiskState, ElectionPhase, Member, MemberSummary, Output};
 
-/// Counts of transitions since the start.
+/// Counters of state transitions since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransitionCounters {
-    /// Pre-votes started, also those that aren't logged.
+    /// Pre-votes started, including those that aren't logged.
     pub pre_votes: u64,
-    /// Membership configurations of its own that a majority took.
+    /// Membership configurations proposed by this member that a majority of the voters accepted.
     pub memberships_installed: u64,
-    /// Leases lost while it was primary.
+    /// Leases lost while this member was primary.
     pub leases_lost: u64,
     /// Membership configurations accepted.
     pub memberships_accepted: u64,
@@ -18,64 +18,65 @@
     pub snapshots_sent: u64,
     /// Snapshots installed.
     pub snapshots_installed: u64,
-    /// Times that the disk began to refuse writes or to stall.
+    /// Times that the disk started to refuse writes or became stalled.
     pub disk_faults: u64,
 }
 
-/// Follows a member step by step.
+/// Records a member's state transitions.
 #[derive(Debug)]
 pub struct Recorder {
-    last: MemberSummary,
+    latest_summary: MemberSummary,
     counters: TransitionCounters,
-    /// Whether the last logged transition is a pre-vote: until another one is logged, further pre-votes are only
-    /// counted.
+    /// Whether the last logged transition is a pre-vote. Further pre-votes are then counted but not logged, until
+    /// another transition is logged.
     is_pre_vote_logged: bool,
 }
 
 impl Recorder {
-    /// For a member that hasn't taken a step yet.
+    /// Creates a recorder for a member that hasn't taken a step yet.
     pub fn new(member: &Member) -> Self {
         Self {
-            last: member.summary(None),
+            latest_summary: member.summary(None),
             counters: TransitionCounters::default(),
             is_pre_vote_logged: false,
         }
     }
 
-    /// The member's summary after its last step.
+    /// Returns the member's summary after its latest step.
     pub fn summary(&self) -> &MemberSummary {
-        &self.last
+        &self.latest_summary
     }
 
-    /// Compares the member after a step with the step before. Returns the transitions to log.
+    /// Compares the member with its state after the previous step and counts the transitions. Returns those to log.
     pub fn after_step(&mut self, member: &Member) -> Vec<Transition> {
-        let after = member.summary(Some(&self.last));
-        if after == self.last {
+        let after = member.summary(Some(&self.latest_summary));
+        if after == self.latest_summary {
             return Vec::new();
         }
-        let mut transitions = between(&self.last, &after);
-        self.last = after;
+        let mut transitions = transitions_between(&self.latest_summary, &after);
+        self.latest_summary = after;
         transitions
             .iter()
             .for_each(|transition| self.count(transition));
-        transitions.retain(|transition| self.is_to_log(transition));
+        transitions.retain(|transition| self.should_log(transition));
         transitions
     }
 
-    /// The transition that an output stands for, to be logged.
+    /// Counts the transition that an output represents, if any. Returns it for logging.
     pub fn after_output(&mut self, output: &Output) -> Option<Transition> {
-        let transition = from_output(output)?;
+        let transition = transition_from_output(output)?;
         self.count(&transition);
         Some(transition)
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the process started.
     pub fn counters(&self) -> TransitionCounters {
         self.counters
     }
 
-    /// A member that is cut off starts pre-votes again and again: the first one is logged.
-    fn is_to_log(&mut self, transition: &Transition) -> bool {
+    /// Whether a transition is logged. A partitioned member repeats its pre-vote again and again: only the first is
+    /// logged.
+    fn should_log(&mut self, transition: &Transition) -> bool {
         match transition {
             Transition::PreVoteStarted { .. } => {
                 !std::mem::replace(&mut self.is_pre_vote_logged, true)
--- a/crates/control-plane/tests/identity.rs
+++ b/crates/control-plane/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Who a member is, given what its disk held.
+//! The identity that a member starts with, given the content of its disk.
 
 use control_plane::incarnation::{next_incarnation, TAIL_BITS};
 use control_plane::runtime::identity::{
@@ -37,8 +37,15 @@
             initial_voter_id(member_address(addr(seed), 7660))
         );
         assert_eq!(identity.initial_voters, all[0].initial_voters);
-        let ids: Vec<u64> = identity.initial_voters.iter().map(|f| f.id).collect();
-        assert_eq!(ids, all.iter().map(|i| i.id).collect::<Vec<_>>());
+        let ids: Vec<u64> = identity
+            .initial_voters
+            .iter()
+            .map(|voter| voter.id)
+            .collect();
+        assert_eq!(
+            ids,
+            all.iter().map(|identity| identity.id).collect::<Vec<_>>()
+        );
     }
     assert_eq!(all[0].initial_voters[1].addr, addr("10.2.0.1:7660").into());
     assert_eq!(
@@ -50,7 +57,7 @@
 #[rstest]
 #[case::wiped_initial_voter(SEEDS[0], false)]
 #[case::no_seed("10.4.0.1:8146", true)]
-#[case::late("10.4.0.1:8146", false)]
+#[case::joined_later("10.4.0.1:8146", false)]
 fn member_when_it_is_no_initial_voter_has_a_random_id_and_no_vote(
     #[case] control: &str,
     #[case] bootstrap: bool,
@@ -60,16 +67,16 @@
 }
 
 #[rstest]
-#[case::clock_went_on(next_incarnation(5, 0, 1), 1_000)]
-#[case::clock_went_back(next_incarnation(0, 2_000, u64::MAX), 2_001)]
-#[case::of_an_earlier_release(1_700_000_000_000, 1_700_000_000_000 / (1 << TAIL_BITS) + 1)]
+#[case::clock_advanced(next_incarnation(5, 0, 1), 1_000)]
+#[case::clock_moved_back(next_incarnation(0, 2_000, u64::MAX), 2_001)]
+#[case::written_by_an_earlier_release(1_700_000_000_000, 1_700_000_000_000 / (1 << TAIL_BITS) + 1)]
 fn incarnation_when_restarted_is_above_the_one_before(#[case] before: u64, #[case] clock: u64) {
-    let kept = Identity {
+    let stored = Identity {
         id: 5,
         incarnation: before,
         ..Identity::default()
     };
-    let identity = start_context(SEEDS[0], true).identity(Some(kept));
+    let identity = start_context(SEEDS[0], true).identity(Some(stored));
     assert!(identity.incarnation > before);
     assert_eq!(
         identity,
@@ -81,21 +88,22 @@
     );
 }
 
-/// The number couldn't be kept, and the clock is below the one that is.
+/// A full disk stores no new incarnation, and the clock is behind the stored one: two starts still get different
+/// numbers.
 #[test]
 fn incarnations_when_the_disk_is_full_never_repeat() {
-    let kept = Some(Identity {
+    let stored = Some(Identity {
         id: 5,
         incarnation: next_incarnation(0, 9_000, 1),
         ..Identity::default()
     });
-    let first = start_context(SEEDS[0], false).identity(kept.clone());
+    let first = start_context(SEEDS[0], false).identity(stored.clone());
     let second = StartContext {
         random: 78,
         clock_ms: 500,
         ..start_context(SEEDS[0], false)
     }
-    .identity(kept);
+    .identity(stored);
     assert_ne!(first.incarnation, second.incarnation);
 }
 
@@ -117,7 +125,7 @@
     ];
     assert_eq!(latest_identity(&records).unwrap(), Some(second));
     assert_eq!(latest_identity(&[]).unwrap(), None);
-    // One that can't be read is never passed over for an older one, or for none.
+    // A damaged record never causes a fallback to an older identity, or to none.
     let damaged = [records.to_vec(), vec![vec![1, 2, 3]]].concat();
     assert!(matches!(
         latest_identity(&damaged),
@@ -139,58 +147,73 @@
     )
 }
 
-/// Each file there or not: nobody goes on under an identity whose promises are lost, or with the promises of
-/// somebody else.
+/// Each file is present or lost: no member continues under an identity whose promises are lost, or with the promises of
+/// another member.
 #[rstest]
-fn identity_when_either_file_is_lost_never_takes_foreign_promises() {
+fn identity_when_either_file_is_lost_never_adopts_promises_of_another_member() {
     let start = start_context(SEEDS[0], true);
-    let (first, again) = (start.identity(None), start_context(SEEDS[0], false));
+    let (first, restarted) = (start.identity(None), start_context(SEEDS[0], false));
     let other = Identity {
         id: 5,
         incarnation: 1,
         initial_voters: vec![],
     };
     let records: [&[u8]; 1] = [b"promised"];
-    let id = |kept: Option<&Identity>, ledger: &StoredLog| {
-        again
-            .identity_with(kept.cloned(), ledger)
-            .map(|i| (i.id, i.initial_voters.len()))
+    let id_and_voter_count = |stored: Option<&Identity>, log: &StoredLog| {
+        restarted
+            .identity_from_files(stored.cloned(), log)
+            .map(|identity| (identity.id, identity.initial_voters.len()))
     };
     let own = (first.id, 3);
-    // Both, neither.
+    // Both files are present, or neither.
     assert_eq!(
-        id(Some(&first), &stored_log(Some(&first), &records)).unwrap(),
+        id_and_voter_count(Some(&first), &stored_log(Some(&first), &records)).unwrap(),
         own
     );
     assert_eq!(
-        id(Some(&first), &stored_log(Some(&first), &[])).unwrap(),
+        id_and_voter_count(Some(&first), &stored_log(Some(&first), &[])).unwrap(),
         own
     );
-    assert_eq!(id(None, &stored_log(None, &[])).unwrap(), (77, 0));
-    // The log was lost: another member, and no initial voter, though the settings still say that all is new.
-    assert_eq!(id(Some(&first), &stored_log(None, &[])).unwrap(), (77, 0));
+    assert_eq!(
+        id_and_voter_count(None, &stored_log(None, &[])).unwrap(),
+        (77, 0)
+    );
+    // The log was lost: a new identity that is no initial voter, although the settings still have `bootstrap`.
+    assert_eq!(
+        id_and_voter_count(Some(&first), &stored_log(None, &[])).unwrap(),
+        (77, 0)
+    );
     let lost = start
-        .identity_with(Some(first.clone()), &stored_log(None, &[]))
+        .identity_from_files(Some(first.clone()), &stored_log(None, &[]))
         .unwrap();
     assert_eq!((lost.id, lost.initial_voters.len()), (77, 0));
-    // The identity's file was lost: the ledger says whose it is.
-    assert_eq!(id(None, &stored_log(Some(&first), &records)).unwrap(), own);
-    assert_eq!(id(None, &stored_log(Some(&first), &[])).unwrap(), own);
-    // Ended after a new identity had begun its ledger, before the identity's file followed.
+    // The identity file was lost: the log names its owner.
     assert_eq!(
-        id(Some(&first), &stored_log(Some(&other), &[])).unwrap(),
+        id_and_voter_count(None, &stored_log(Some(&first), &records)).unwrap(),
+        own
+    );
+    assert_eq!(
+        id_and_voter_count(None, &stored_log(Some(&first), &[])).unwrap(),
+        own
+    );
+    // The process ended after a new identity had created its log and before it had written the identity file.
+    assert_eq!(
+        id_and_voter_count(Some(&first), &stored_log(Some(&other), &[])).unwrap(),
         (5, 0)
     );
-    // Somebody else's promises, or nobody knows whose.
-    let foreign = id(Some(&first), &stored_log(Some(&other), &records));
+    // The log belongs to another member, or its owner is unknown.
+    let foreign = id_and_voter_count(Some(&first), &stored_log(Some(&other), &records));
     assert!(matches!(
         foreign,
         Err(IdentityError::OtherOwner { owner: 5, .. })
     ));
     assert!(matches!(
-        id(None, &stored_log(None, &records)),
+        id_and_voter_count(None, &stored_log(None, &records)),
         Err(IdentityError::NoIdentity)
     ));
-    // A ledger of an earlier release.
-    assert_eq!(id(Some(&first), &stored_log(None, &records)).unwrap(), own);
+    // The log was written by an earlier release.
+    assert_eq!(
+        id_and_voter_count(Some(&first), &stored_log(None, &records)).unwrap(),
+        own
+    );
 }
