--- a/crates/control-plane/src/host_registry/mod.rs
+++ b/crates/control-plane/src/host_registry/mod.rs
@@ -19,7 +19,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Time for which a record is kept after its host or coordinator has become gone or silent.
+/// Time for which a host's record is kept after the host became gone, silent or forgotten, and a coordinator's record
+/// after its latest pull.
 const ENDED_RECORD_RETENTION: Duration = Duration::from_secs(60);
 /// Time without a pull after which a coordinator is gone.
 const PULL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -261,7 +262,8 @@
             .filter(|record| !record.gone)
     }
 
-    /// Returns the coordinators that pull from this member and those that stopped less than the retention ago.
+    /// Returns the coordinators whose latest pull from this member is within the retention, including those that are
+    /// gone.
     pub fn recent_coordinators(&self) -> impl Iterator<Item = &KnownCoordinator> {
         self.coordinators.values()
     }
--- a/crates/control-plane/src/runtime/coordination_endpoint.rs
+++ b/crates/control-plane/src/runtime/coordination_endpoint.rs
@@ -1,5 +1,5 @@
 //! Decodes coordination requests from path, query and body: the locks, numbers, cells and watches of applications, and
-//! the requests with which operators inspect and free them.
+//! the requests with which operators list locks and cells and free locks.
 
 use bytes::Bytes;
 use configuration::ResultCode;
--- a/crates/control-plane/src/runtime/peer_connections/mod.rs
+++ b/crates/control-plane/src/runtime/peer_connections/mod.rs
@@ -184,7 +184,7 @@
     /// `first` that follows.
     ///
     /// # Errors
-    /// Returns an error if the connection breaks or is silent for twice [`SILENCE_TIMEOUT`].
+    /// Returns an error if the connection breaks or is silent for twice the silence timeout.
     pub async fn serve(
         &self,
         sender: MemberInfo,
