--- a/crates/control-plane/tests/departure.rs
+++ b/crates/control-plane/tests/departure.rs
@@ -12,17 +12,18 @@
 /// Four voters of which one is enough to be lost; one of them leaves and has no vote any more.
 fn four_of_which_one_leaves() -> (Cluster, usize) {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a"]);
-    cluster.apply(0, 1);
+    cluster.apply_configuration(0, 1);
     cluster
-        .until(SOON, |c| {
-            c.current().voters.len() == 4 && c.current().is_stable()
+        .run_until(SOON, |c| {
+            c.current_membership().voters.len() == 4 && c.current_membership().is_stable()
         })
         .expect("four voters");
     let leaver = cluster.primary().unwrap();
     cluster.depart(leaver);
-    let dropped =
-        |c: &Cluster| c.primary().is_some() && !c.votes(leaver) && c.current().is_stable();
-    cluster.until(SOON, dropped).expect("it is dropped");
+    let dropped = |c: &Cluster| {
+        c.primary().is_some() && !c.is_voter(leaver) && c.current_membership().is_stable()
+    };
+    cluster.run_until(SOON, dropped).expect("it is dropped");
     (cluster, leaver)
 }
 
@@ -30,7 +31,7 @@
 fn bears_a_loss(mut cluster: Cluster) {
     let next = cluster.primary().unwrap();
     cluster.kill(next);
-    let took = cluster.apply(1, 2);
+    let took = cluster.apply_configuration(1, 2);
     assert!(took < ms(4000), "{took:?}");
 }
 
@@ -40,14 +41,14 @@
 #[case::twelve_leases(12_000)]
 fn departing_member_when_it_serves_on_then_it_is_no_voter_again(#[case] serves_on: u64) {
     let (mut cluster, leaver) = four_of_which_one_leaves();
-    let again = cluster.until(ms(serves_on), |c| c.votes(leaver));
+    let again = cluster.run_until(ms(serves_on), |c| c.is_voter(leaver));
     assert!(
         again.is_none(),
         "while it serves on: {:?}",
         cluster.memberships()
     );
     cluster.kill(leaver);
-    let again = cluster.until(ms(10_000), |c| c.votes(leaver));
+    let again = cluster.run_until(ms(10_000), |c| c.is_voter(leaver));
     assert!(
         again.is_none(),
         "after its end: {:?}",
@@ -73,14 +74,14 @@
     }
     cluster.run(ms(100));
     cluster.restart(first);
-    let again = cluster.until(ms(4000), |c| c.votes(leaver));
+    let again = cluster.run_until(ms(4000), |c| c.is_voter(leaver));
     assert!(
         again.is_none(),
         "while it serves on: {:?}",
         cluster.memberships()
     );
     cluster.kill(leaver);
-    let again = cluster.until(ms(10_000), |c| c.votes(leaver));
+    let again = cluster.run_until(ms(10_000), |c| c.is_voter(leaver));
     assert!(
         again.is_none(),
         "after its end: {:?}",
@@ -93,20 +94,20 @@
 #[test]
 fn departing_spare_when_a_voter_is_lost_then_it_does_not_replace_it() {
     let mut cluster = Cluster::start(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a"]);
-    cluster.apply(0, 1);
+    cluster.apply_configuration(0, 1);
     cluster.run(ms(4000));
     let spare = (0..4)
-        .find(|n| !cluster.votes(*n))
+        .find(|n| !cluster.is_voter(*n))
         .expect("three voters, one of each zone");
     cluster.depart(spare);
     cluster
-        .until(SOON, |c| c.left(spare))
+        .run_until(SOON, |c| c.may_exit(spare))
         .expect("it may end at once");
     cluster.run(ms(20));
     cluster.kill(spare);
     let leaver = cluster.primary().unwrap();
     cluster.depart(leaver);
-    let voted = cluster.until(ms(4000), |c| c.votes(spare));
+    let voted = cluster.run_until(ms(4000), |c| c.is_voter(spare));
     assert!(voted.is_none(), "{:?}", cluster.memberships());
 }
 
@@ -114,11 +115,13 @@
 #[test]
 fn departed_member_when_it_is_back_then_it_is_a_voter_again() {
     let (mut cluster, leaver) = four_of_which_one_leaves();
-    cluster.until(SOON, |c| c.left(leaver)).expect("it ends");
+    cluster
+        .run_until(SOON, |c| c.may_exit(leaver))
+        .expect("it ends");
     cluster.kill(leaver);
     cluster.run(ms(300));
     cluster.restart(leaver);
     cluster
-        .until(SOON, |c| c.votes(leaver))
+        .run_until(SOON, |c| c.is_voter(leaver))
         .expect("it joins again");
 }
--- a/crates/control-plane/tests/long_absence.rs
+++ b/crates/control-plane/tests/long_absence.rs
@@ -45,14 +45,14 @@
 
 fn leave(cluster: &mut Cluster, n: usize, absence: Absence) {
     match absence {
-        Absence::CutOff => cluster.cut(n, true),
+        Absence::CutOff => cluster.set_isolated(n, true),
         Absence::Stopped | Absence::Wiped => cluster.kill(n),
     }
 }
 
 fn come_back(cluster: &mut Cluster, n: usize, absence: Absence) {
     match absence {
-        Absence::CutOff => cluster.cut(n, false),
+        Absence::CutOff => cluster.set_isolated(n, false),
         Absence::Stopped => cluster.restart(n),
         Absence::Wiped => cluster.wipe(n),
     }
@@ -61,7 +61,7 @@
 /// Applies changes, one after the other, on top of `version`. The newest version.
 fn apply_changes(cluster: &mut Cluster, version: u64, changes: u64) -> u64 {
     for base in version..version + changes {
-        cluster.apply(base, base + 1);
+        cluster.apply_configuration(base, base + 1);
     }
     version + changes
 }
@@ -83,13 +83,13 @@
     cluster.kill(others[lost]);
     let newest = apply_changes(&mut cluster, newest, 1);
     assert_eq!(
-        cluster.version(),
+        cluster.read_version(),
         Some(newest),
         "{:?}",
         cluster.memberships()
     );
     let survivor = others[1 - lost];
-    assert!(cluster.runs(away) && cluster.runs(survivor));
+    assert!(cluster.is_running(away) && cluster.is_running(survivor));
     assert_eq!(cluster.replicas().len(), 2, "both hold the state");
 }
 
@@ -107,7 +107,7 @@
         newest = apply_changes(&mut cluster, newest, 8);
         come_back(&mut cluster, away, absence);
         cluster.run(ms(moment_ms));
-        if let Some(shown) = cluster.version() {
+        if let Some(shown) = cluster.read_version() {
             assert_eq!(shown, newest, "{:?}", cluster.memberships());
         }
     }
@@ -115,5 +115,5 @@
     let others: Vec<usize> = (0..3).filter(|n| *n != away).collect();
     cluster.kill(others[0]);
     newest = apply_changes(&mut cluster, newest, 1);
-    assert_eq!(cluster.version(), Some(newest));
+    assert_eq!(cluster.read_version(), Some(newest));
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -37,30 +37,30 @@
     let (mut cluster, left) = all_but_one_lost();
     recover(&mut cluster, left);
     cluster
-        .until(SOON, |c| c.is_primary(left))
+        .run_until(SOON, |c| c.is_primary(left))
         .expect("it acts alone");
-    assert_eq!(cluster.version(), Some(1));
+    assert_eq!(cluster.read_version(), Some(1));
     // On one disk alone nothing new is acknowledged: the next loss would take it.
     let ticket = cluster.call(left, Cluster::configure(1, 2));
     cluster.run(ms(100));
     assert_eq!(cluster.answer(ticket), Some(ResultCode::NoPrimary));
     cluster.add("r/d");
     cluster.add("r/e");
-    cluster.apply(1, 2);
+    cluster.apply_configuration(1, 2);
     cluster
-        .until(SOON, |c| {
-            c.current().voters.len() == 3 && c.current().is_stable()
+        .run_until(SOON, |c| {
+            c.current_membership().voters.len() == 3 && c.current_membership().is_stable()
         })
         .expect("three voters");
     cluster.kill(left);
-    cluster.apply(2, 3);
+    cluster.apply_configuration(2, 3);
 }
 
 /// Where two machines may be lost, five voters are needed: the one that is left grows to them one by one.
 #[test]
 fn recovered_replica_when_two_losses_are_allowed_then_five_voters_are_there() {
     let mut cluster = Cluster::start(budget(2, 0, 0), &["r/a", "r/b", "r/c", "r/a", "r/b"]);
-    cluster.apply(0, 1);
+    cluster.apply_configuration(0, 1);
     cluster.run(ms(5000));
     let left = cluster.replicas()[1];
     (0..5).for_each(|n| cluster.kill(n));
@@ -69,13 +69,13 @@
         cluster.add(zone);
     }
     cluster
-        .until(SOON, |c| {
-            c.current().voters.len() == 5 && c.current().is_stable()
+        .run_until(SOON, |c| {
+            c.current_membership().voters.len() == 5 && c.current_membership().is_stable()
         })
         .expect("five voters");
-    cluster.apply(1, 2);
+    cluster.apply_configuration(1, 2);
     cluster.kill(left);
-    cluster.apply(2, 3);
+    cluster.apply_configuration(2, 3);
 }
 
 /// Members that were given up come back, as a majority of their own, before and after others have joined.
@@ -84,16 +84,16 @@
     let (mut cluster, left) = all_but_one_lost();
     recover(&mut cluster, left);
     cluster
-        .until(SOON, |c| c.is_primary(left))
+        .run_until(SOON, |c| c.is_primary(left))
         .expect("it acts alone");
     let old: Vec<usize> = (0..3).filter(|n| *n != left).collect();
     old.iter().for_each(|n| cluster.restart(*n));
-    cluster.apply(1, 2);
+    cluster.apply_configuration(1, 2);
     cluster.run(ms(3000));
-    assert_eq!(cluster.version(), Some(2));
+    assert_eq!(cluster.read_version(), Some(2));
     let acting = (0..3).filter(|n| cluster.is_primary(*n)).count();
     assert_eq!(acting, 1, "{:?}", cluster.memberships());
-    assert!(old.iter().all(|n| cluster.votes(*n)));
+    assert!(old.iter().all(|n| cluster.is_voter(*n)));
 }
 
 /// They have taken a change of their own by then: it goes, the recovered ledger stays, and only one side has a primary.
@@ -102,24 +102,24 @@
     let (mut cluster, left) = all_but_one_lost();
     let old: Vec<usize> = (0..3).filter(|n| *n != left).collect();
     recover(&mut cluster, left);
-    cluster.cut(left, true);
+    cluster.set_isolated(left, true);
     old.iter().for_each(|n| cluster.restart(*n));
     cluster
-        .until(SOON, |c| old.iter().any(|n| c.is_primary(*n)))
+        .run_until(SOON, |c| old.iter().any(|n| c.is_primary(*n)))
         .expect("the old majority acts");
     cluster.run(ms(20_000));
     assert!(cluster.is_primary(left));
-    cluster.cut(left, false);
+    cluster.set_isolated(left, false);
     cluster.run(ms(4000));
     let acting: Vec<usize> = (0..3).filter(|n| cluster.is_primary(*n)).collect();
     assert_eq!(acting.len(), 1, "{:?}", cluster.memberships());
-    assert_eq!(cluster.current().voters.len(), 3);
+    assert_eq!(cluster.current_membership().voters.len(), 3);
     assert!(
-        cluster.votes(left),
+        cluster.is_voter(left),
         "the recovered lineage holds on: {:?}",
         cluster.memberships()
     );
-    cluster.apply(1, 2);
+    cluster.apply_configuration(1, 2);
 }
 
 #[test]
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -14,7 +14,7 @@
 
 fn primary(cluster: &mut Cluster) -> usize {
     cluster
-        .until(SOON, |c| c.primary().is_some())
+        .run_until(SOON, |c| c.primary().is_some())
         .expect("somebody acts");
     cluster.primary().unwrap()
 }
@@ -33,10 +33,12 @@
     let (first, second, witness) = parts(&mut cluster);
     cluster.depart(second);
     assert!(
-        !cluster.left(second),
+        !cluster.may_exit(second),
         "it ends while the primary's is the only other copy"
     );
-    cluster.until(SOON, |c| c.left(second)).expect("it may end");
+    cluster
+        .run_until(SOON, |c| c.may_exit(second))
+        .expect("it may end");
     assert!(cluster.replicas().contains(&witness));
     // It is gone for good, and the other replica with its disk at the same moment.
     cluster.kill(second);
@@ -53,7 +55,9 @@
     let mut cluster = Cluster::of_three();
     let (first, second, witness) = parts(&mut cluster);
     cluster.depart(first);
-    let took = cluster.until(SOON, |c| c.left(first)).expect("it may end");
+    let took = cluster
+        .run_until(SOON, |c| c.may_exit(first))
+        .expect("it may end");
     assert!(took < LEASE, "handed over after {took:?}");
     let mut replicas = cluster.replicas();
     replicas.sort_unstable();
@@ -70,15 +74,15 @@
     cluster.kill(second);
     cluster.depart(first);
     cluster.run(ms(500));
-    assert!(!cluster.left(first), "the only copy ends");
+    assert!(!cluster.may_exit(first), "the only copy ends");
     cluster.wipe(second);
     cluster
-        .until(SOON, |c| c.left(first))
+        .run_until(SOON, |c| c.may_exit(first))
         .expect("it may end once another holds the ledger");
     cluster.kill(first);
     primary(&mut cluster);
-    assert_eq!(cluster.version(), Some(1));
-    cluster.apply(1, 2);
+    assert_eq!(cluster.read_version(), Some(1));
+    cluster.apply_configuration(1, 2);
 }
 
 /// Where nobody comes for a while the last copy is put onto a witness before it goes.
@@ -89,12 +93,12 @@
     cluster.kill(second);
     cluster.depart(first);
     cluster
-        .until(SOON, |c| c.is_primary(witness))
+        .run_until(SOON, |c| c.is_primary(witness))
         .expect("the witness takes over");
     cluster.kill(first);
     cluster.wipe(second);
     primary(&mut cluster);
-    assert_eq!(cluster.version(), Some(1));
+    assert_eq!(cluster.read_version(), Some(1));
 }
 
 #[test]
@@ -102,8 +106,8 @@
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
     (0..3).for_each(|n| cluster.depart(n));
-    let all = |c: &Cluster| (0..3).all(|n| c.left(n));
-    let took = cluster.until(SOON, all).expect("all end");
+    let all = |c: &Cluster| (0..3).all(|n| c.may_exit(n));
+    let took = cluster.run_until(SOON, all).expect("all end");
     assert!(
         took < ms(100),
         "nobody is there to wait for, and they waited {took:?}"
@@ -111,7 +115,7 @@
     (0..3).for_each(|n| cluster.kill(n));
     (0..3).for_each(|n| cluster.restart(n));
     primary(&mut cluster);
-    assert_eq!(cluster.version(), Some(1));
+    assert_eq!(cluster.read_version(), Some(1));
 }
 
 #[rstest]
@@ -123,30 +127,32 @@
     primary(&mut cluster);
     let new = cluster.add("r/d");
     cluster
-        .until(SOON, |c| c.votes(new))
+        .run_until(SOON, |c| c.is_voter(new))
         .expect("the new one joins");
     cluster
-        .until(SOON, |c| c.current().is_stable())
+        .run_until(SOON, |c| c.current_membership().is_stable())
         .expect("agreed");
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
     let old = [replicas[0], replicas[1], witness][part];
     cluster.depart(old);
     cluster
-        .until(SOON, |c| c.left(old))
+        .run_until(SOON, |c| c.may_exit(old))
         .expect("the old one ends");
     cluster.kill(old);
     // Not after some seconds of silence: the next loss may come at once.
-    let settled = |c: &Cluster| c.primary().is_some() && !c.votes(old) && c.current().is_stable();
+    let settled = |c: &Cluster| {
+        c.primary().is_some() && !c.is_voter(old) && c.current_membership().is_stable()
+    };
     let took = cluster
-        .until(SOON, settled)
+        .run_until(SOON, settled)
         .expect("it has no say any more");
     assert!(took < LEASE, "four voters, one of them gone, for {took:?}");
     let next = primary(&mut cluster);
     cluster.kill(next);
     primary(&mut cluster);
-    assert_eq!(cluster.version(), Some(1));
-    cluster.apply(1, 2);
+    assert_eq!(cluster.read_version(), Some(1));
+    cluster.apply_configuration(1, 2);
 }
 
 /// The primary is lost right after its membership with a new voter has been agreed on, of which that voter was not told.
@@ -162,15 +168,17 @@
         to == new && matches!(message, Message::InstallMembership { .. })
     }));
     cluster
-        .until(SOON, |c| c.votes(new) && c.current().is_stable())
+        .run_until(SOON, |c| {
+            c.is_voter(new) && c.current_membership().is_stable()
+        })
         .expect("it becomes a voter");
     assert_eq!(cluster.membership(new).epoch, 0);
     cluster.kill(first);
     cluster.loses = None;
     cluster
-        .until(SOON, |c| c.is_primary(second))
+        .run_until(SOON, |c| c.is_primary(second))
         .expect("the other replica and the new voter are a majority");
-    assert_eq!(cluster.version(), Some(1));
+    assert_eq!(cluster.read_version(), Some(1));
 }
 
 /// Between the membership with both sets of voters and the one that settles it, the loss of any one must not stop all.
@@ -180,10 +188,12 @@
     primary(&mut cluster);
     let new = cluster.add("r/d");
     cluster
-        .until(SOON, |c| c.votes(new))
+        .run_until(SOON, |c| c.is_voter(new))
         .expect("the new one joins");
     let took = cluster
-        .until(SOON, |c| c.votes(new) && c.current().is_stable())
+        .run_until(SOON, |c| {
+            c.is_voter(new) && c.current_membership().is_stable()
+        })
         .expect("settled");
     assert!(took < ms(50), "unsettled for {took:?}");
 }
@@ -206,18 +216,18 @@
         // Lost for as long as the operators count it: from then on the next one may go.
         cluster.run(ms(4000));
         assert!(
-            cluster.votes(new) && !cluster.votes(gone),
+            cluster.is_voter(new) && !cluster.is_voter(gone),
             "round {round}: {:?}",
             cluster.memberships()
         );
         let next = alive[0];
         cluster.kill(next);
-        let took = cluster.apply(1 + round, 2 + round);
+        let took = cluster.apply_configuration(1 + round, 2 + round);
         assert!(took < ms(4000), "round {round}: {took:?}");
         cluster.restart(next);
         cluster.run(ms(4000));
     }
-    assert_eq!(cluster.version(), Some(7));
+    assert_eq!(cluster.read_version(), Some(7));
 }
 
 /// A wiped machine counts as lost until its new id is a voter in place of the old one.
@@ -232,8 +242,10 @@
     cluster.kill(wiped);
     cluster.run(ms(500));
     cluster.wipe(wiped);
-    let done = |c: &Cluster| c.votes(wiped) && c.current().is_stable() && c.replicas().len() == 2;
-    let took = cluster.until(SOON, done).expect("it joins");
+    let done = |c: &Cluster| {
+        c.is_voter(wiped) && c.current_membership().is_stable() && c.replicas().len() == 2
+    };
+    let took = cluster.run_until(SOON, done).expect("it joins");
     assert!(took < ms(2000), "{took:?}");
 }
 
@@ -242,11 +254,11 @@
 fn member_when_it_came_too_early_then_it_joins_later() {
     let mut cluster = Cluster::of_three();
     let (_, _, witness) = parts(&mut cluster);
-    cluster.cut(witness, true);
+    cluster.set_isolated(witness, true);
     cluster.run(ms(900));
     let new = cluster.add("r/d");
     cluster
-        .until(SOON, |c| c.votes(new) && !c.votes(witness))
+        .run_until(SOON, |c| c.is_voter(new) && !c.is_voter(witness))
         .expect("it takes the lost one's place");
 }
 
@@ -300,7 +312,7 @@
     let mut cluster = Cluster::start(budget, zones);
     cluster.run(ms(15_000));
     assert_eq!(
-        cluster.current().voters.len(),
+        cluster.current_membership().voters.len(),
         3,
         "{:?}",
         cluster.memberships()
@@ -309,10 +321,10 @@
     // Once one more is there, a majority survives the loss of any zone or region.
     cluster.add(joins);
     cluster
-        .until(ms(15_000), |c| {
-            let voters = c.current().voters;
+        .run_until(ms(15_000), |c| {
+            let voters = c.current_membership().voters;
             let all: Vec<&MemberInfo> = voters.iter().collect();
-            c.current().is_stable() && majority_shortfall(&budget, &all) <= 0
+            c.current_membership().is_stable() && majority_shortfall(&budget, &all) <= 0
         })
         .expect("a membership that bears the loss");
     assert!(cluster.sizes.1 >= 3, "fewest voters at any time");
@@ -338,12 +350,12 @@
     let groups: std::collections::BTreeSet<String> = zones.iter().map(|z| group(z)).collect();
     for lost in groups {
         let mut cluster = Cluster::start(budget, zones);
-        cluster.apply(0, 1);
+        cluster.apply_configuration(0, 1);
         cluster.run(ms(6000));
         for n in (0..zones.len()).filter(|n| group(zones[*n]) == lost) {
             cluster.kill(n);
         }
-        let took = cluster.apply(1, 2);
+        let took = cluster.apply_configuration(1, 2);
         assert!(took < ms(4000), "{lost} lost: {took:?}");
     }
 }
@@ -352,20 +364,22 @@
 #[test]
 fn members_when_several_are_removed_then_in_turn() {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a", "r/b"]);
-    cluster.apply(0, 1);
+    cluster.apply_configuration(0, 1);
     cluster
-        .until(SOON, |c| {
-            c.current().voters.len() == 5 && c.current().is_stable()
+        .run_until(SOON, |c| {
+            c.current_membership().voters.len() == 5 && c.current_membership().is_stable()
         })
         .expect("all join");
     for round in 0..2 {
         let first = primary(&mut cluster);
         cluster.depart(first);
-        cluster.until(SOON, |c| c.left(first)).expect("it ends");
+        cluster
+            .run_until(SOON, |c| c.may_exit(first))
+            .expect("it ends");
         cluster.kill(first);
         cluster.run(ms(1000));
         assert_eq!(
-            cluster.current().voters.len(),
+            cluster.current_membership().voters.len(),
             4 - round,
             "{:?}",
             cluster.memberships()
@@ -373,7 +387,7 @@
     }
     let next = primary(&mut cluster);
     cluster.kill(next);
-    let took = cluster.apply(1, 2);
+    let took = cluster.apply_configuration(1, 2);
     assert!(took < ms(4000), "{took:?}");
 }
 
@@ -384,7 +398,7 @@
 #[case::of_another(2)]
 fn disk_when_lost_before_more_members_have_joined_then_reads_are_answered(#[case] part: usize) {
     let mut cluster = Cluster::start(budget(2, 0, 0), &["r/a", "r/b", "r/c"]);
-    cluster.apply(0, 1);
+    cluster.apply_configuration(0, 1);
     let lost = cluster.replicas()[part];
     (0..3).for_each(|n| cluster.kill(n));
     cluster.run(ms(300));
@@ -393,9 +407,9 @@
         .for_each(|n| cluster.restart(n));
     // The machine itself stays away: nobody takes its place.
     cluster
-        .until(SOON, |c| c.primary().is_some())
+        .run_until(SOON, |c| c.primary().is_some())
         .expect("the two others go on");
-    assert_eq!(cluster.version(), Some(1));
+    assert_eq!(cluster.read_version(), Some(1));
     let refused = cluster.call(cluster.primary().unwrap(), Cluster::configure(1, 2));
     cluster.run(ms(4000));
     assert_ne!(
@@ -405,12 +419,12 @@
     );
     let (fourth, fifth) = (cluster.add("r/a"), cluster.add("r/b"));
     cluster
-        .until(SOON, |c| c.votes(fourth) && c.votes(fifth))
+        .run_until(SOON, |c| c.is_voter(fourth) && c.is_voter(fifth))
         .expect("both join");
-    cluster.apply(1, 3);
+    cluster.apply_configuration(1, 3);
     assert_eq!(cluster.replicas().len(), 3);
     cluster.kill(cluster.replicas()[0]);
-    cluster.apply(3, 4);
+    cluster.apply_configuration(3, 4);
 }
 
 /// A voter that leaves for good serves on for a while, and is heard of until its end: it doesn't become a voter again,
@@ -418,24 +432,24 @@
 #[test]
 fn member_when_departed_for_good_then_it_is_no_voter_again() {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a"]);
-    cluster.apply(0, 1);
+    cluster.apply_configuration(0, 1);
     cluster
-        .until(SOON, |c| {
-            c.current().voters.len() == 4 && c.current().is_stable()
+        .run_until(SOON, |c| {
+            c.current_membership().voters.len() == 4 && c.current_membership().is_stable()
         })
         .expect("four voters");
     let leaver = cluster.primary().unwrap();
     cluster.depart(leaver);
     cluster
-        .until(SOON, |c| {
-            !c.is_primary(leaver) && c.primary().is_some() && !c.votes(leaver)
+        .run_until(SOON, |c| {
+            !c.is_primary(leaver) && c.primary().is_some() && !c.is_voter(leaver)
         })
         .expect("it is dropped");
     cluster.run(ms(1200));
     cluster.kill(leaver);
-    let again = cluster.until(ms(10_000), |c| c.votes(leaver));
+    let again = cluster.run_until(ms(10_000), |c| c.is_voter(leaver));
     assert!(again.is_none(), "{:?}", cluster.memberships());
     let next = cluster.primary().unwrap();
     cluster.kill(next);
-    cluster.apply(1, 2);
+    cluster.apply_configuration(1, 2);
 }
--- a/crates/control-plane/tests/second_loss_sweep/play.rs
+++ b/crates/control-plane/tests/second_loss_sweep/play.rs
@@ -65,7 +65,7 @@
 impl Play {
     pub fn new(site: &Site) -> Self {
         let mut cluster = Cluster::start(site.budget, site.zones);
-        cluster.apply(0, 1);
+        cluster.apply_configuration(0, 1);
         cluster.run(START);
         let zones = site.zones.iter().map(|z| (*z).to_owned()).collect();
         let later = Vec::new();
@@ -103,7 +103,7 @@
 
     pub fn running(&self) -> Vec<usize> {
         (0..self.cluster.machines())
-            .filter(|n| self.cluster.runs(*n))
+            .filter(|n| self.cluster.is_running(*n))
             .collect()
     }
 
@@ -116,7 +116,7 @@
         let now = self.cluster.now;
         while let Some(due) = self.later.iter().position(|l| l.0 <= now) {
             match self.later.remove(due).1 {
-                Later::Start(n) if !self.cluster.runs(n) => self.cluster.restart(n),
+                Later::Start(n) if !self.cluster.is_running(n) => self.cluster.restart(n),
                 Later::StartOnceEnded(n, incarnation)
                     if self.cluster.incarnation(n) == incarnation =>
                 {
@@ -128,9 +128,9 @@
                     self.cluster.restart(n);
                 }
                 Later::WipedStart(n) => self.cluster.wipe(n),
-                Later::Terminate(n) if self.cluster.runs(n) => self.cluster.terminate(n),
+                Later::Terminate(n) if self.cluster.is_running(n) => self.cluster.terminate(n),
                 Later::Add(n) => self.add(n),
-                Later::Rejoin(n) => self.cluster.cut(n, false),
+                Later::Rejoin(n) => self.cluster.set_isolated(n, false),
                 Later::FastDisk(n) => drop(self.cluster.slow_disks.remove(&n)),
                 Later::Start(_) | Later::StartOnceEnded(..) | Later::Terminate(_) => {}
             }
@@ -190,7 +190,7 @@
                 .unwrap_or(end)
                 .saturating_sub(self.cluster.now)
                 .max(ms(1));
-            self.cluster.until(pause, reached);
+            self.cluster.run_until(pause, reached);
         }
     }
 
@@ -233,7 +233,7 @@
     }
 
     fn cut_off(&mut self, n: usize, lasts: Duration) {
-        self.cluster.cut(n, true);
+        self.cluster.set_isolated(n, true);
         self.at(lasts, Later::Rejoin(n));
     }
 
@@ -316,7 +316,7 @@
         self.run(CATCH_UP, None);
         // A change of the membership may just be under way, for a few messages.
         let acts = |cluster: &Cluster| cluster.primary().is_some();
-        self.cluster.until(MEMBERSHIP_CHANGE, acts);
+        self.cluster.run_until(MEMBERSHIP_CHANGE, acts);
         let Some(primary) = self.cluster.primary() else {
             return Err("nobody acts any more".into());
         };
--- a/crates/control-plane/tests/support/event_cluster.rs
+++ b/crates/control-plane/tests/support/event_cluster.rs
@@ -123,7 +123,7 @@
     /// Three members in three zones of which one machine may be lost, with a configuration acknowledged.
     pub fn of_three() -> Self {
         let mut cluster = Self::start(budget(1, 0, 0), &["r/a", "r/b", "r/c"]);
-        cluster.apply(0, 1);
+        cluster.apply_configuration(0, 1);
         cluster
     }
 
@@ -280,7 +280,7 @@
     }
 
     /// Whether a machine's process runs.
-    pub fn runs(&self, n: usize) -> bool {
+    pub fn is_running(&self, n: usize) -> bool {
         self.nodes[n].member.is_some()
     }
 
@@ -290,11 +290,11 @@
     }
 
     /// Whether the process may end.
-    pub fn left(&self, n: usize) -> bool {
+    pub fn may_exit(&self, n: usize) -> bool {
         self.nodes[n].left
     }
 
-    pub fn cut(&mut self, n: usize, cut: bool) {
+    pub fn set_isolated(&mut self, n: usize, cut: bool) {
         self.nodes[n].cut = cut;
     }
 
@@ -323,7 +323,7 @@
     }
 
     /// The primary's membership.
-    pub fn current(&self) -> MembershipConfig {
+    pub fn current_membership(&self) -> MembershipConfig {
         self.primary()
             .map(|n| self.membership(n))
             .unwrap_or_default()
@@ -331,7 +331,7 @@
 
     /// Machines that are replicas in the primary's membership, the primary first.
     pub fn replicas(&self) -> Vec<usize> {
-        let membership = self.current();
+        let membership = self.current_membership();
         membership
             .replicas
             .iter()
@@ -339,8 +339,8 @@
             .collect()
     }
 
-    pub fn votes(&self, n: usize) -> bool {
-        self.current().voter(self.id(n)).is_some()
+    pub fn is_voter(&self, n: usize) -> bool {
+        self.current_membership().voter(self.id(n)).is_some()
     }
 
     fn push(&mut self, after: Duration, node: usize, event: Event) {
@@ -500,7 +500,11 @@
     }
 
     /// Goes on until something holds; how long that took, or nothing where it didn't come within `limit`.
-    pub fn until(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> Option<Duration> {
+    pub fn run_until(
+        &mut self,
+        limit: Duration,
+        holds: impl Fn(&Self) -> bool,
+    ) -> Option<Duration> {
         let (from, until) = (self.now, self.now + limit);
         while !holds(self) {
             if !self.next(until) {
@@ -535,14 +539,14 @@
 
     /// Has a configuration acknowledged by whoever takes it, made again where there is no clear answer; how long
     /// that took.
-    pub fn apply(&mut self, base: u64, version: u64) -> Duration {
+    pub fn apply_configuration(&mut self, base: u64, version: u64) -> Duration {
         let from = self.now;
         while self.now < from + ms(20_000) {
             let up = (0..self.nodes.len())
                 .filter(|n| self.nodes[*n].member.is_some() && !self.nodes[*n].cut);
             for n in up.collect::<Vec<_>>() {
                 let ticket = self.call(n, Self::configure(base, version));
-                self.until(ms(4000), |c| c.answers.contains_key(&ticket));
+                self.run_until(ms(4000), |c| c.answers.contains_key(&ticket));
                 if self.answer(ticket) == Some(ResultCode::Ok) {
                     return self.now - from;
                 }
@@ -553,10 +557,10 @@
     }
 
     /// The version that the control plane tells.
-    pub fn version(&mut self) -> Option<u64> {
+    pub fn read_version(&mut self) -> Option<u64> {
         let n = self.primary()?;
         let ticket = self.call(n, Command::Read { reserved: 0 });
-        self.until(ms(4000), |c| c.answers.contains_key(&ticket))?;
+        self.run_until(ms(4000), |c| c.answers.contains_key(&ticket))?;
         let (code, body) = &self.answers[&ticket];
         let document = configuration::Configuration::read(body, 0)
             .ok()
