--- a/crates/control-plane/src/configuration_history.rs
+++ b/crates/control-plane/src/configuration_history.rs
@@ -1,5 +1,5 @@
-//! The latest configurations that this member saw in force, for operators. In memory only: what must last is in the
-//! replicated state.
+//! History of the configurations that this member saw in force, for operators. It is kept in memory only: data that has
+//! to survive a restart is in the replicated state.
 
 use configuration::Configuration;
 use serde::Serialize;
@@ -7,25 +7,25 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// Configurations that are kept with their content.
-const MAX_CONFIGURATIONS: usize = 8;
-/// Bytes of JSON that they have together. The newest is kept whatever its length.
-const MAX_TOTAL_BYTES: usize = 1 << 20;
-/// Versions that are remembered, most of them without their content.
-const MAX_VERSIONS: usize = 256;
+/// Maximum number of configurations that are kept with their content.
+const MAX_KEPT_CONFIGURATIONS: usize = 8;
+/// Maximum total size of the kept configurations, in bytes of JSON. The newest one is kept whatever its size.
+const MAX_KEPT_BYTES: usize = 1 << 20;
+/// Maximum number of versions that are listed, most of them without their content.
+const MAX_LISTED_VERSIONS: usize = 256;
 
-/// A version that was in force.
+/// A configuration version that was in force, as listed to operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HistoryEntry {
-    /// The version.
+    /// Version number of the configuration.
     pub version: u64,
-    /// When this member learnt of it, in ms since 1970.
+    /// Time at which this member learnt of the version, in ms since the Unix epoch.
     pub seen_ms: u64,
-    /// Number of its routes.
+    /// Number of routes in the configuration.
     pub routes: usize,
-    /// Number of its services.
+    /// Number of services in the configuration.
     pub services: usize,
-    /// Whether its content is kept here.
+    /// Whether this member still has the configuration's content.
     pub kept: bool,
 }
 
@@ -42,7 +42,7 @@
     bytes: usize,
 }
 
-/// The latest configurations, oldest first.
+/// The latest configurations that were in force, oldest first.
 ///
 /// ```
 /// use control_plane::configuration_history::ConfigurationHistory;
@@ -56,7 +56,7 @@
 /// history.record(&configuration(5), SystemTime::UNIX_EPOCH + Duration::from_secs(9));
 /// assert_eq!(history.entries().iter().map(|e| e.version).collect::<Vec<_>>(), [3, 5]);
 /// assert_eq!(history.configuration(3).unwrap().version, 3);
-/// // A coordinator with version 3 has been behind since version 5 came.
+/// // A coordinator with version 3 has been outdated since version 5 was recorded.
 /// let now = SystemTime::UNIX_EPOCH + Duration::from_secs(10);
 /// assert_eq!(history.time_behind(3, now), Some(Duration::from_secs(1)));
 /// assert_eq!(history.time_behind(5, now), None);
@@ -67,25 +67,25 @@
 }
 
 impl ConfigurationHistory {
-    /// Records the configuration in force. Nothing changes if it is known or older.
+    /// Records the configuration in force. Does nothing if its version isn't newer than the newest recorded one.
     pub fn record(&mut self, configuration: &Arc<Configuration>, now: SystemTime) {
         let newest = self.seen.back().map_or(0, |seen| seen.entry.version);
         if configuration.version <= newest {
             return;
         }
         self.seen.push_back(SeenVersion::new(configuration, now));
-        if self.seen.len() > MAX_VERSIONS {
+        if self.seen.len() > MAX_LISTED_VERSIONS {
             self.seen.pop_front();
         }
         self.drop_old_content();
     }
 
-    /// The versions, oldest first.
+    /// The recorded versions, oldest first.
     pub fn entries(&self) -> Vec<HistoryEntry> {
         self.seen.iter().map(|seen| seen.entry.clone()).collect()
     }
 
-    /// The configuration of a version, if its content is kept.
+    /// Returns the configuration of a version, or `None` if its content isn't kept.
     pub fn configuration(&self, version: u64) -> Option<&Arc<Configuration>> {
         let seen = self
             .seen
@@ -94,13 +94,14 @@
         seen.content.as_ref().map(|content| &content.configuration)
     }
 
-    /// For how long a process with `version` in force has lacked a newer one; `None` if it has the newest.
+    /// Returns the time since a version newer than `version` was first recorded; `None` if there is no newer one.
     pub fn time_behind(&self, version: u64, now: SystemTime) -> Option<Duration> {
         let next = self.seen.iter().find(|seen| seen.entry.version > version)?;
         Some(now.duration_since(next.seen_at).unwrap_or_default())
     }
 
-    /// Drops the content of the oldest versions until the rest is within its bounds.
+    /// Drops the content of the oldest versions until the rest is within [`MAX_KEPT_CONFIGURATIONS`] and
+    /// [`MAX_KEPT_BYTES`].
     fn drop_old_content(&mut self) {
         let (mut count, mut total_bytes) = (0, 0);
         for seen in self.seen.iter_mut().rev() {
@@ -110,7 +111,7 @@
             count += 1;
             total_bytes += content.bytes;
             let is_newest = count == 1;
-            if count > MAX_CONFIGURATIONS || (!is_newest && total_bytes > MAX_TOTAL_BYTES) {
+            if count > MAX_KEPT_CONFIGURATIONS || (!is_newest && total_bytes > MAX_KEPT_BYTES) {
                 seen.content = None;
                 seen.entry.kept = false;
             }
@@ -120,13 +121,13 @@
 
 impl SeenVersion {
     fn new(configuration: &Arc<Configuration>, now: SystemTime) -> Self {
-        let routes = configuration.routes.iter().map(|route| route.raw.len());
-        let services = configuration
+        let route_bytes = configuration.routes.iter().map(|route| route.raw.len());
+        let service_bytes = configuration
             .services
             .iter()
             .map(|service| service.raw.len());
         let tenants = configuration.tenant_items().iter();
-        let tenants = tenants.map(|tenant| tenant.raw.len());
+        let tenant_bytes = tenants.map(|tenant| tenant.raw.len());
         Self {
             entry: HistoryEntry {
                 version: configuration.version,
@@ -140,7 +141,7 @@
             seen_at: now,
             content: Some(Content {
                 configuration: configuration.clone(),
-                bytes: routes.chain(services).chain(tenants).sum(),
+                bytes: route_bytes.chain(service_bytes).chain(tenant_bytes).sum(),
             }),
         }
     }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,26 +1,26 @@
-//! The control plane's state machines and the runtime round them.
+//! The control plane: state machines without I/O, and the runtime that drives them.
 //!
-//! - [`member`]: who is primary, and how changes are replicated. A state machine without I/O or clock.
-//! - [`replicated_state`] and [`applied_requests`]: what is replicated, and what makes requests idempotent.
-//! - [`recovery`]: how a replica goes on after a majority is lost for good.
-//! - [`host_registry`], [`registry_publisher`], [`configuration_history`], [`incarnation`]: what a member knows of hosts,
-//!   and how others get it.
-//! - [`runtime`]: sockets, disk threads and timers.
+//! - [`member`]: election of the primary and replication of changes, as a state machine without I/O or clock.
+//! - [`replicated_state`] and [`applied_requests`]: the replicated data, and the record that makes requests idempotent.
+//! - [`recovery`]: continuing from one replica after a majority of the voters is lost for good.
+//! - [`host_registry`], [`registry_publisher`], [`configuration_history`], [`incarnation`]: a member's own
+//!   records of hosts, coordinators and configurations, and their publication to other processes.
+//! - [`runtime`]: sockets, storage threads and timers.
 //!
-//! `docs/design/system.md` tells how they work together.
+//! `docs/design/system.md` describes how they work together.
 //!
-//! The example runs a single member, the first of its system. It asks for records to be written, and becomes primary
-//! once they are on disk.
+//! The example runs a cluster of one member. The member requests that records be written, and becomes primary once they
+//! are on disk.
 //!
 //! ```
 //! use control_plane::member::{MemberConfig, Input, Member, Output};
 //! use protocol::MemberInfo;
 //! use std::time::Duration;
 //!
-//! let me = MemberInfo { id: 7, name: "core-1".into(), ..MemberInfo::default() };
+//! let local_member = MemberInfo { id: 7, name: "core-1".into(), ..MemberInfo::default() };
 //! let config = MemberConfig {
-//!     local_member: me.clone(),
-//!     bootstrap_voters: Some(vec![me]),
+//!     local_member: local_member.clone(),
+//!     bootstrap_voters: Some(vec![local_member]),
 //!     fault_budget: configuration::FaultBudget::default(),
 //!     lease_duration: Duration::from_millis(1000),
 //!     request_timeout: Duration::from_millis(3500),
@@ -45,9 +45,9 @@
 //!             _ => {}
 //!         }
 //!     }
-//!     assert!(now < Duration::from_secs(60), "it campaigns soon");
+//!     assert!(now < Duration::from_secs(60), "a single voter becomes primary within a minute");
 //! }
-//! assert!(!disk.is_empty(), "nothing is promised that isn't on disk");
+//! assert!(!disk.is_empty(), "a member becomes primary only after it has written its promise");
 //! assert_eq!(member.membership().unwrap().primary, 7);
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/control-plane/src/registry_publisher.rs
+++ b/crates/control-plane/src/registry_publisher.rs
@@ -1,4 +1,4 @@
-//! Publishes this member's host registry into the mirror that others pull from.
+//! Publication of this member's host registry to the mirror that agents, coordinators and other members pull from.
 
 use crate::host_registry::{HostRegistry, HostRequest};
 use protocol::{CoordinatorRecord, HostRecord, MemberInfo, Subscriber};
@@ -6,33 +6,34 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A [`HostRegistry`] whose changes go into a [`SharedMirror`].
+/// A [`HostRegistry`] whose changes are written to a [`SharedMirror`].
 pub struct RegistryPublisher {
     member_id: u64,
     registry: Mutex<HostRegistry>,
     mirror: Arc<SharedMirror>,
 }
 
-/// Which versions of the configuration the coordinators that pull here have in force.
+/// Summary of the configuration versions in force at the coordinators that pull from this member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionsInForce {
-    /// The lowest version; 0 without coordinators.
+    /// The lowest version in force at any of them; 0 without coordinators.
     pub lowest: u64,
-    /// How many coordinators pull here.
+    /// Number of coordinators that pull from this member.
     pub coordinators: usize,
 }
 
-/// A coordinator that pulls here, or did until lately.
+/// A coordinator that pulls from this member, or did until recently.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecentCoordinator {
-    /// Its record.
+    /// The coordinator's record in the host registry.
     pub record: CoordinatorRecord,
-    /// Time since its latest pull.
+    /// Time since the coordinator's latest pull.
     pub since_pull: Duration,
 }
 
 impl RegistryPublisher {
-    /// For an incarnation of the member `member_id`; see [`HostRegistry::new`].
+    /// Creates the publisher of one incarnation of the member `member_id` and publishes its empty registry; see
+    /// [`HostRegistry::new`].
     pub fn new(
         member_id: u64,
         incarnation: u64,
@@ -45,43 +46,44 @@
             registry: Mutex::new(registry),
             mirror,
         };
-        publisher.change(|_, _, _| ());
+        publisher.update_and_publish(|_, _, _| ());
         Arc::new(publisher)
     }
 
-    /// The mirror.
+    /// The mirror that the registry is published to.
     pub fn mirror(&self) -> &Arc<SharedMirror> {
         &self.mirror
     }
 
-    /// Handles a host's request. Returns whether a record changed.
+    /// Handles a host's request and publishes the result. Returns whether a record changed.
     pub fn handle(&self, request: &HostRequest) -> bool {
-        self.change(|registry, mirror, now| {
-            let elsewhere: Option<HostRecord> = mirror
+        self.update_and_publish(|registry, mirror, now| {
+            let record_elsewhere: Option<HostRecord> = mirror
                 .host_at_other_origins(self.member_id, request.host())
                 .cloned();
-            registry.handle(now, request, elsewhere.as_ref())
+            registry.handle(now, request, record_elsewhere.as_ref())
         })
     }
 
-    /// The members of the control plane, where this member has lost contact with the primary.
+    /// Returns the members of the control plane if this member has lost contact with the primary, otherwise `None`.
     pub fn members_when_contact_is_lost(&self) -> Option<Vec<MemberInfo>> {
         self.mirror.update(|mirror, now| {
             has_lost_contact(mirror, now).then(|| mirror.control_plane().members.clone())
         })
     }
 
-    /// Notes that a coordinator or another member pulls.
+    /// Records that a coordinator or another member pulls.
     pub fn record_pull(&self, subscriber: &Subscriber) {
-        self.change(|registry, _, now| registry.record_pull(now, subscriber));
+        self.update_and_publish(|registry, _, now| registry.record_pull(now, subscriber));
     }
 
-    /// Lets time pass: notes what is silent or ended long ago. To be called a few times in a heartbeat interval.
+    /// Marks hosts and coordinators that have gone silent and drops records that ended long ago. Has to be called a few
+    /// times per heartbeat interval.
     ///
-    /// A member that has lost contact with the primary sends its hosts to other members, and can't know whether they
-    /// call there: it marks none as silent.
+    /// A member that has lost contact with the primary redirects its hosts to other members and can't know whether they
+    /// send heartbeats there, so it marks no host as silent.
     pub fn tick(&self) {
-        self.change(|registry, mirror, now| {
+        self.update_and_publish(|registry, mirror, now| {
             let call_seq_elsewhere = |host: &str| {
                 mirror
                     .host_at_other_origins(self.member_id, host)
@@ -96,9 +98,9 @@
         self.mirror.update(Mirror::tick);
     }
 
-    /// The versions that the coordinators pulling here have in force.
+    /// Summarizes the configuration versions in force at the coordinators that pull from this member.
     pub fn versions_in_force(&self) -> VersionsInForce {
-        let registry = self.lock();
+        let registry = self.lock_registry();
         let versions = registry
             .coordinators()
             .map(|record| record.configuration_version);
@@ -108,9 +110,9 @@
         }
     }
 
-    /// The coordinators that pull here, and those that did until lately.
+    /// The coordinators that pull from this member, and those that did until recently.
     pub fn coordinators(&self) -> Vec<RecentCoordinator> {
-        let registry = self.lock();
+        let registry = self.lock_registry();
         let now = self.mirror.now();
         registry
             .recent_coordinators()
@@ -121,18 +123,24 @@
             .collect()
     }
 
-    /// Changes the registry and publishes what changed.
-    fn change<R>(&self, change: impl FnOnce(&mut HostRegistry, &Mirror, Duration) -> R) -> R {
-        let mut registry = self.lock();
+    /// Runs `change` on the registry and publishes the records that it modified. The registry first advances to a later
+    /// incarnation if the mirror has records from one that supersedes its own.
+    fn update_and_publish<R>(
+        &self,
+        change: impl FnOnce(&mut HostRegistry, &Mirror, Duration) -> R,
+    ) -> R {
+        let mut registry = self.lock_registry();
         self.mirror.update(|mirror, now| {
             let own_incarnation = registry.version().incarnation;
-            if let Some(later) = mirror.superseding_incarnation(self.member_id, own_incarnation) {
-                registry.advance_incarnation(later);
+            if let Some(incarnation) =
+                mirror.superseding_incarnation(self.member_id, own_incarnation)
+            {
+                registry.advance_incarnation(incarnation);
             }
             let result = change(&mut registry, mirror, now);
             if let Some(update) = registry.take_update() {
                 let update = Update {
-                    // The update says nothing of what the primary acknowledged.
+                    // The update carries no information about what the primary has committed.
                     age_ms: u32::MAX,
                     origins: vec![update],
                     ..Update::default()
@@ -143,12 +151,13 @@
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, HostRegistry> {
+    fn lock_registry(&self) -> MutexGuard<'_, HostRegistry> {
         self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Whether committed changes may have been missed for so long that the member counts as partitioned off.
+/// Whether the member may have missed committed changes for longer than [`STALE_AGE_MS`], and so counts as partitioned
+/// from the primary.
 fn has_lost_contact(mirror: &Mirror, now: Duration) -> bool {
     mirror.age_ms(now) > STALE_AGE_MS
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -149,7 +149,7 @@
     let more = [all.clone(), vec!["core-9".into()]].concat();
     for wrong in [&all[..1], &[], &more] {
         assert!(
-            matches!(survivor.recover(wrong, RECOVERED_ID), Err(RecoveryError::Lost { wanted }) if wanted == all)
+            matches!(survivor.recover(wrong, RECOVERED_ID), Err(RecoveryError::LostMembersMismatch { wanted }) if wanted == all)
         );
     }
     let by_id: Vec<String> = survivor
@@ -187,6 +187,6 @@
     }));
     assert!(matches!(
         SurvivingReplica::read(&identity, &gap),
-        Err(RecoveryError::Gap { index: 99, .. })
+        Err(RecoveryError::Inapplicable { index: 99, .. })
     ));
 }
