--- a/crates/control-plane/tests/coordination_histories/applications.rs
+++ b/crates/control-plane/tests/coordination_histories/applications.rs
@@ -149,11 +149,11 @@
         let is_up = !self.cluster.is_frozen(call.member);
         match self
             .cluster
-            .answered(call.member, call.ticket)
+            .answer(call.member, call.ticket)
             .filter(|_| is_up)
         {
             Some(code) => {
-                let text = self.cluster.text_of(call.member, call.ticket);
+                let text = self.cluster.answer_text(call.member, call.ticket);
                 let body = serde_json::from_str(&text).unwrap_or_default();
                 self.applications[n].1.call = None;
                 self.on_answer(n, &call, code, &body);
@@ -281,7 +281,7 @@
             timeout,
         });
         let command = Command::Coordinate { request };
-        self.cluster.command(member, self.tickets, command);
+        self.cluster.send_command(member, self.tickets, command);
     }
 
     fn on_answer(&mut self, n: usize, call: &Call, code: ResultCode, body: &Value) {
@@ -416,16 +416,16 @@
             let command = Command::Coordinate {
                 request: with_attempt(request.clone(), ticket),
             };
-            self.cluster.command(member, ticket, command);
+            self.cluster.send_command(member, ticket, command);
             let sent = self.cluster.now_ms();
-            while self.cluster.answered(member, ticket).is_none()
+            while self.cluster.answer(member, ticket).is_none()
                 && self.cluster.now_ms() < sent + CALL_TIMEOUT_MS
             {
                 self.cluster.run_ms(STEP_MS);
             }
-            let code = self.cluster.answered(member, ticket);
+            let code = self.cluster.answer(member, ticket);
             if let Some(code) = code.filter(|code| code.status() < 500) {
-                let text = self.cluster.text_of(member, ticket);
+                let text = self.cluster.answer_text(member, ticket);
                 return (code, serde_json::from_str(&text).unwrap_or_default());
             }
         }
--- a/crates/control-plane/tests/coordination_histories/schedule.rs
+++ b/crates/control-plane/tests/coordination_histories/schedule.rs
@@ -75,7 +75,7 @@
             cluster.freeze(target);
             Active::Frozen(target)
         } else {
-            cluster.cut(target);
+            cluster.isolate(target);
             Active::Cut
         });
         self.next_at_ms = at_ms + MIN_FAULT_MS + self.random.below(FAULT_SPREAD_MS);
--- a/crates/control-plane/tests/coordination_takeover.rs
+++ b/crates/control-plane/tests/coordination_takeover.rs
@@ -7,7 +7,7 @@
 use protocol::{Command, CoordinationRequest, Message};
 use rstest::rstest;
 use serde_json::Value;
-use support::request_cluster::{Cluster, Held};
+use support::request_cluster::{Cluster, WithheldEvents};
 
 const HOLD_MS: u32 = 3_000;
 
@@ -19,7 +19,7 @@
 impl Caller {
     fn new(members: usize) -> Self {
         let mut cluster = Cluster::new(members);
-        cluster.primary();
+        cluster.wait_for_primary();
         cluster.run_ms(2_000);
         Self {
             cluster,
@@ -30,18 +30,18 @@
     fn send(&mut self, member: usize, request: CoordinationRequest) -> u64 {
         self.tickets += 1;
         let command = Command::Coordinate { request };
-        self.cluster.command(member, self.tickets, command);
+        self.cluster.send_command(member, self.tickets, command);
         self.tickets
     }
 
     fn call(&mut self, member: usize, request: CoordinationRequest) -> (ResultCode, Value) {
         let ticket = self.send(member, request);
-        let code = self.cluster.answer_to(member, ticket);
+        let code = self.cluster.wait_for_answer(member, ticket);
         (code, self.body(member, ticket))
     }
 
     fn body(&self, member: usize, ticket: u64) -> Value {
-        serde_json::from_str(&self.cluster.text_of(member, ticket)).unwrap_or_default()
+        serde_json::from_str(&self.cluster.answer_text(member, ticket)).unwrap_or_default()
     }
 
     /// Calls the members in turn until one gives a clear answer. Returns the time of the answer too.
@@ -93,7 +93,7 @@
     #[case] freezes: bool,
 ) {
     let mut caller = Caller::new(3);
-    let primary = caller.cluster.primary();
+    let primary = caller.cluster.wait_for_primary();
     let (code, body) = caller.call(primary, acquire("a", 1));
     assert_eq!(code, ResultCode::Ok);
     caller.cluster.run_ms(2_000);
@@ -109,7 +109,7 @@
     if freezes {
         caller.cluster.freeze(primary);
     } else {
-        caller.cluster.cut(primary);
+        caller.cluster.isolate(primary);
     }
     let left = others(&caller.cluster, primary, 3);
     let mut attempt = 2;
@@ -133,7 +133,7 @@
 #[test]
 fn primary_when_it_wakes_after_another_took_over_shows_no_old_value() {
     let mut caller = Caller::new(3);
-    let old = caller.cluster.primary();
+    let old = caller.cluster.wait_for_primary();
     assert_eq!(caller.call(old, put("1", Some(0))).0, ResultCode::Ok);
     caller.cluster.run_ms(500);
     caller.cluster.freeze(old);
@@ -143,7 +143,7 @@
     // The read waits at the sleeper; it was sent after the second put was acknowledged.
     let ticket = caller.send(old, read());
     caller.cluster.thaw(old);
-    let code = caller.cluster.answer_to(old, ticket);
+    let code = caller.cluster.wait_for_answer(old, ticket);
     if code == ResultCode::Ok {
         assert_eq!(caller.body(old, ticket)["value"], "2");
     }
@@ -152,7 +152,7 @@
 #[test]
 fn put_when_its_answer_is_lost_in_a_takeover_gets_its_first_revision() {
     let mut caller = Caller::new(3);
-    let old = caller.cluster.primary();
+    let old = caller.cluster.wait_for_primary();
     assert_eq!(caller.call(old, put("1", Some(0))).0, ResultCode::Ok);
     assert_eq!(caller.call(old, put("2", Some(1))).0, ResultCode::Ok);
     caller.cluster.stop(old);
@@ -172,7 +172,7 @@
 #[test]
 fn put_when_not_yet_on_all_disks_is_shown_to_nobody() {
     let mut caller = Caller::new(3);
-    let primary = caller.cluster.primary();
+    let primary = caller.cluster.wait_for_primary();
     assert_eq!(caller.call(primary, put("1", Some(0))).0, ResultCode::Ok);
     let watch = CoordinationRequest::Watch {
         group: "g.".into(),
@@ -180,36 +180,42 @@
         wait_ms: 5_000,
     };
     let watching = caller.send(primary, watch);
-    caller.cluster.hold(Held::Writes);
+    caller.cluster.withhold(WithheldEvents::WriteCompletions);
     let putting = caller.send(primary, put("2", Some(1)));
     let conflicting = caller.send(primary, put("3", Some(1)));
     caller.cluster.run_ms(200);
     let (code, body) = caller.call(primary, read());
     assert_eq!((code, &body["value"]), (ResultCode::Ok, &Value::from("1")));
     for ticket in [watching, putting, conflicting] {
-        assert_eq!(caller.cluster.answered(primary, ticket), None);
+        assert_eq!(caller.cluster.answer(primary, ticket), None);
     }
     caller.cluster.release();
-    assert_eq!(caller.cluster.answer_to(primary, putting), ResultCode::Ok);
     assert_eq!(
-        caller.cluster.answer_to(primary, conflicting),
+        caller.cluster.wait_for_answer(primary, putting),
+        ResultCode::Ok
+    );
+    assert_eq!(
+        caller.cluster.wait_for_answer(primary, conflicting),
         ResultCode::RevisionConflict
     );
-    assert_eq!(caller.cluster.answer_to(primary, watching), ResultCode::Ok);
+    assert_eq!(
+        caller.cluster.wait_for_answer(primary, watching),
+        ResultCode::Ok
+    );
     assert_eq!(caller.body(primary, watching)["events"][0]["value"], "2");
 }
 
 #[test]
 fn call_when_it_was_sent_to_a_primary_gets_no_promise_that_it_never_takes_effect() {
     let mut caller = Caller::new(3);
-    let primary = caller.cluster.primary();
-    caller.cluster.hold(Held::Writes);
+    let primary = caller.cluster.wait_for_primary();
+    caller.cluster.withhold(WithheldEvents::WriteCompletions);
     let put_at_primary = caller.send(primary, put("1", Some(0)));
     let other = (primary + 1) % 3;
     let put_elsewhere = caller.send(other, put("2", None));
     caller.cluster.run_ms(1_500);
     for (member, ticket) in [(primary, put_at_primary), (other, put_elsewhere)] {
-        let code = caller.cluster.answered(member, ticket);
+        let code = caller.cluster.answer(member, ticket);
         assert_eq!(code, Some(ResultCode::OutcomeUnknown));
         assert_eq!(code.map(ResultCode::status), Some(504));
     }
@@ -218,11 +224,11 @@
 #[test]
 fn call_when_no_primary_is_known_gets_the_promise_and_is_kept_from_taking_effect() {
     let mut caller = Caller::new(3);
-    let primary = caller.cluster.primary();
+    let primary = caller.cluster.wait_for_primary();
     let other = (primary + 1) % 3;
     (0..3)
         .filter(|n| *n != other)
-        .for_each(|n| caller.cluster.cut(n));
+        .for_each(|n| caller.cluster.isolate(n));
     caller.cluster.run_ms(5_000);
     let (code, _) = caller.call(other, put("1", Some(0)));
     assert_eq!((code, code.status()), (ResultCode::NoPrimary, 503));
@@ -234,7 +240,7 @@
 #[test]
 fn watch_when_the_primary_is_lost_goes_on_without_a_gap() {
     let mut caller = Caller::new(3);
-    let old = caller.cluster.primary();
+    let old = caller.cluster.wait_for_primary();
     caller.call(old, put("1", Some(0)));
     caller.call(old, put("2", Some(1)));
     caller.cluster.stop(old);
@@ -259,7 +265,7 @@
 #[test]
 fn state_when_all_lose_power_and_one_its_disk_is_there() {
     let mut caller = Caller::new(3);
-    let primary = caller.cluster.primary();
+    let primary = caller.cluster.wait_for_primary();
     caller.call(primary, put("1", Some(0)));
     caller.call(primary, acquire("a", 1));
     let number = CoordinationRequest::NextNumber { name: "n".into() };
@@ -282,16 +288,16 @@
 #[test]
 fn fleet_when_locks_change_is_told_nothing_and_stays_in_contact() {
     let mut caller = Caller::new(3);
-    let primary = caller.cluster.primary();
-    let before = caller.cluster.published(primary);
+    let primary = caller.cluster.wait_for_primary();
+    let before = caller.cluster.published_index(primary);
     for attempt in 0..20 {
         caller.call(primary, acquire("a", attempt));
         caller.cluster.run_ms(100);
     }
-    assert_eq!(caller.cluster.published(primary), before);
+    assert_eq!(caller.cluster.published_index(primary), before);
     let renewals = caller
         .cluster
-        .sent(|m| matches!(m, Message::RenewLeaseWithFleetIndex { .. }));
+        .sent_messages(|m| matches!(m, Message::RenewLeaseWithFleetIndex { .. }));
     assert!(!renewals.is_empty());
     let now = std::time::Duration::from_millis(caller.cluster.now_ms());
     for n in 0..3 {
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -7,7 +7,7 @@
 use control_plane::recovery::{latest_epoch, RecoveryError, SurvivingReplica};
 use std::time::Duration;
 use support::event_cluster::Cluster;
-use support::recovered::{identity, names, recover, RECOVERED_ID};
+use support::recovered::{identity_records, lost_member_names, recover, RECOVERED_ID};
 use support::{budget, ms};
 
 const SOON: Duration = ms(8000);
@@ -129,7 +129,10 @@
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
     let epoch = cluster.membership(witness).epoch;
     (0..3).for_each(|n| cluster.kill(n));
-    let refused = SurvivingReplica::read(&identity(&cluster, witness), cluster.records(witness));
+    let refused = SurvivingReplica::read(
+        &identity_records(&cluster, witness),
+        cluster.records(witness),
+    );
     assert!(matches!(refused, Err(RecoveryError::NoReplica { epoch: e }) if e == epoch));
     // It knows of the membership all the same.
     assert_eq!(latest_epoch(cluster.records(witness)), epoch);
@@ -139,12 +142,12 @@
 fn recovery_when_lost_members_are_not_named_exactly_then_refused() {
     let (cluster, left) = all_but_one_lost();
     let survivor =
-        SurvivingReplica::read(&identity(&cluster, left), cluster.records(left)).unwrap();
+        SurvivingReplica::read(&identity_records(&cluster, left), cluster.records(left)).unwrap();
     assert_eq!(
         (survivor.configuration_version(), survivor.last_index()),
         (1, 1)
     );
-    let all = names(&survivor);
+    let all = lost_member_names(&survivor);
     assert_eq!(all.len(), 2);
     let more = [all.clone(), vec!["core-9".into()]].concat();
     for wrong in [&all[..1], &[], &more] {
@@ -163,7 +166,10 @@
 #[test]
 fn recovery_when_records_are_invalid_then_refused() {
     let (cluster, left) = all_but_one_lost();
-    let (identity, records) = (identity(&cluster, left), cluster.records(left).to_vec());
+    let (identity, records) = (
+        identity_records(&cluster, left),
+        cluster.records(left).to_vec(),
+    );
     assert!(matches!(
         SurvivingReplica::read(&[], &records),
         Err(RecoveryError::NoIdentity)
--- a/crates/control-plane/tests/repeated_requests.rs
+++ b/crates/control-plane/tests/repeated_requests.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use protocol::{Change, Command, Message};
 use rstest::rstest;
-use support::request_cluster::{Cluster, Held};
+use support::request_cluster::{Cluster, WithheldEvents};
 
 fn body(version: u64, note: &str) -> Vec<u8> {
     format!(r#"{{"version":{version},"routes":[],"services":[{{"name":"s","note":"{note}"}}]}}"#)
@@ -258,31 +258,31 @@
 #[test]
 fn answer_when_for_an_earlier_incarnation_then_it_reaches_no_caller() {
     let mut cluster = Cluster::new(3);
-    let primary = cluster.primary();
-    let other = cluster.witness();
+    let primary = cluster.wait_for_primary();
+    let other = cluster.wait_for_witness();
     // The first order is taken but not yet safe, as no write ends; its member starts again meanwhile.
-    cluster.hold(Held::Writes);
-    cluster.command(other, 1, order(0, 2, "lost caller"));
-    cluster.run_until(|c| c.forwarded_to(primary) == 1);
+    cluster.withhold(WithheldEvents::WriteCompletions);
+    cluster.send_command(other, 1, order(0, 2, "lost caller"));
+    cluster.run_until(|c| c.forwarded_commands(primary) == 1);
     cluster.run_ms(5);
     cluster.restart(other);
-    cluster.command(other, 1, order(0, 2, "new caller"));
-    cluster.run_until(|c| c.forwarded_to(primary) >= 2);
+    cluster.send_command(other, 1, order(0, 2, "new caller"));
+    cluster.run_until(|c| c.forwarded_commands(primary) >= 2);
     cluster.release();
-    let code = cluster.answer_to(other, 1);
+    let code = cluster.wait_for_answer(other, 1);
     assert_eq!(code, ResultCode::OtherBase, "the other order was taken");
 }
 
 #[test]
 fn forwarded_request_when_delivered_again_late_then_nothing_changes() {
     let mut cluster = Cluster::new(3);
-    let primary = cluster.primary();
-    let other = cluster.witness();
-    cluster.command(other, 1, order(0, 2, "a"));
-    assert_eq!(cluster.answer_to(other, 1), ResultCode::Ok);
-    cluster.command(primary, 1, order(2, 5, "b"));
-    assert_eq!(cluster.answer_to(primary, 1), ResultCode::Ok);
-    let replayed = cluster.sent(|m| matches!(m, Message::ForwardCommand { .. }));
+    let primary = cluster.wait_for_primary();
+    let other = cluster.wait_for_witness();
+    cluster.send_command(other, 1, order(0, 2, "a"));
+    assert_eq!(cluster.wait_for_answer(other, 1), ResultCode::Ok);
+    cluster.send_command(primary, 1, order(2, 5, "b"));
+    assert_eq!(cluster.wait_for_answer(primary, 1), ResultCode::Ok);
+    let replayed = cluster.sent_messages(|m| matches!(m, Message::ForwardCommand { .. }));
     assert!(!replayed.is_empty());
     for (from, to, message) in replayed {
         cluster.deliver(from, to, message);
@@ -290,12 +290,12 @@
     cluster.run_ms(500);
     // Still the newest, and both are still confirmed, everywhere.
     for member in 0..3 {
-        cluster.command(member, 10, order(2, 5, "b"));
-        assert_eq!(cluster.answer_to(member, 10), ResultCode::Ok);
-        cluster.command(member, 11, order(0, 2, "a"));
-        assert_eq!(cluster.answer_to(member, 11), ResultCode::Ok);
-        cluster.command(member, 12, order(2, 6, "late"));
-        assert_eq!(cluster.answer_to(member, 12), ResultCode::OtherBase);
+        cluster.send_command(member, 10, order(2, 5, "b"));
+        assert_eq!(cluster.wait_for_answer(member, 10), ResultCode::Ok);
+        cluster.send_command(member, 11, order(0, 2, "a"));
+        assert_eq!(cluster.wait_for_answer(member, 11), ResultCode::Ok);
+        cluster.send_command(member, 12, order(2, 6, "late"));
+        assert_eq!(cluster.wait_for_answer(member, 12), ResultCode::OtherBase);
     }
 }
 
@@ -303,23 +303,23 @@
 #[test]
 fn repeated_request_when_the_primary_changes_then_it_is_confirmed() {
     let mut cluster = Cluster::new(3);
-    let first = cluster.primary();
-    cluster.command(first, 1, order(0, 2, "a"));
-    assert_eq!(cluster.answer_to(first, 1), ResultCode::Ok);
+    let first = cluster.wait_for_primary();
+    cluster.send_command(first, 1, order(0, 2, "a"));
+    assert_eq!(cluster.wait_for_answer(first, 1), ResultCode::Ok);
     cluster.stop(first);
     let rest: Vec<usize> = (0..3).filter(|n| *n != first).collect();
     for member in &rest {
-        cluster.command(*member, 2, order(0, 2, "a"));
-        assert_eq!(cluster.answer_to(*member, 2), ResultCode::Ok);
-        cluster.command(*member, 3, order(0, 2, "b"));
-        assert_eq!(cluster.answer_to(*member, 3), ResultCode::OtherBase);
+        cluster.send_command(*member, 2, order(0, 2, "a"));
+        assert_eq!(cluster.wait_for_answer(*member, 2), ResultCode::Ok);
+        cluster.send_command(*member, 3, order(0, 2, "b"));
+        assert_eq!(cluster.wait_for_answer(*member, 3), ResultCode::OtherBase);
     }
     (0..3).for_each(|n| cluster.restart(n));
     for member in 0..3 {
-        cluster.command(member, 4, order(0, 2, "a"));
-        assert_eq!(cluster.answer_to(member, 4), ResultCode::Ok);
-        cluster.command(member, 5, order(0, 2, "b"));
-        assert_eq!(cluster.answer_to(member, 5), ResultCode::OtherBase);
+        cluster.send_command(member, 4, order(0, 2, "a"));
+        assert_eq!(cluster.wait_for_answer(member, 4), ResultCode::Ok);
+        cluster.send_command(member, 5, order(0, 2, "b"));
+        assert_eq!(cluster.wait_for_answer(member, 5), ResultCode::OtherBase);
     }
 }
 
@@ -328,11 +328,11 @@
 fn applied_requests_when_the_file_is_rewritten_then_they_remain() {
     const ORDERS: u64 = 400;
     let mut cluster = Cluster::new(3);
-    let primary = cluster.primary();
+    let primary = cluster.wait_for_primary();
     let long = "x".repeat(2000);
     for n in 0..ORDERS {
-        cluster.command(primary, n, order(2 * n, 2 * n + 2, &long));
-        assert_eq!(cluster.answer_to(primary, n), ResultCode::Ok);
+        cluster.send_command(primary, n, order(2 * n, 2 * n + 2, &long));
+        assert_eq!(cluster.wait_for_answer(primary, n), ResultCode::Ok);
         // A file is rewritten when nothing waits to be written.
         cluster.run_ms(20);
     }
@@ -340,15 +340,18 @@
     (0..3).for_each(|n| cluster.restart(n));
     for member in 0..3 {
         for n in 0..ORDERS {
-            cluster.command(member, n, order(2 * n, 2 * n + 2, &long));
+            cluster.send_command(member, n, order(2 * n, 2 * n + 2, &long));
             assert_eq!(
-                cluster.answer_to(member, n),
+                cluster.wait_for_answer(member, n),
                 ResultCode::Ok,
                 "order {n} at member {member}"
             );
         }
-        cluster.command(member, ORDERS, order(2, 4, "lost"));
-        assert_eq!(cluster.answer_to(member, ORDERS), ResultCode::OtherBase);
+        cluster.send_command(member, ORDERS, order(2, 4, "lost"));
+        assert_eq!(
+            cluster.wait_for_answer(member, ORDERS),
+            ResultCode::OtherBase
+        );
     }
 }
 
@@ -356,21 +359,21 @@
 #[test]
 fn member_when_it_joins_empty_then_it_knows_applied_requests() {
     let mut cluster = Cluster::new(3);
-    let primary = cluster.primary();
-    let witness = cluster.witness();
+    let primary = cluster.wait_for_primary();
+    let witness = cluster.wait_for_witness();
     let wiped = (0..3).find(|n| *n != primary && *n != witness).unwrap();
-    cluster.command(primary, 1, order(0, 2, "a"));
-    assert_eq!(cluster.answer_to(primary, 1), ResultCode::Ok);
+    cluster.send_command(primary, 1, order(0, 2, "a"));
+    assert_eq!(cluster.wait_for_answer(primary, 1), ResultCode::Ok);
     cluster.wipe(wiped);
     // Whichever of the two holds the ledger beside the primary got it handed.
     cluster.run_until(|c| c.is_settled_replica(wiped) || c.is_settled_replica(witness));
     cluster.run_ms(5000);
     cluster.stop(primary);
     for member in [wiped, witness] {
-        cluster.command(member, 2, order(0, 2, "a"));
-        assert_eq!(cluster.answer_to(member, 2), ResultCode::Ok);
-        cluster.command(member, 3, order(0, 2, "b"));
-        assert_eq!(cluster.answer_to(member, 3), ResultCode::OtherBase);
+        cluster.send_command(member, 2, order(0, 2, "a"));
+        assert_eq!(cluster.wait_for_answer(member, 2), ResultCode::Ok);
+        cluster.send_command(member, 3, order(0, 2, "b"));
+        assert_eq!(cluster.wait_for_answer(member, 3), ResultCode::OtherBase);
     }
 }
 
@@ -379,22 +382,22 @@
 #[test]
 fn request_when_a_partitioned_primary_cannot_replicate_it_then_never_confirmed() {
     let mut cluster = Cluster::new(3);
-    let old = cluster.primary();
+    let old = cluster.wait_for_primary();
     let others: Vec<usize> = (0..3).filter(|n| *n != old).collect();
-    cluster.cut(old);
-    cluster.command(old, 1, order(0, 2, "lost"));
+    cluster.isolate(old);
+    cluster.send_command(old, 1, order(0, 2, "lost"));
     // It rests on the pending one and has to wait for it: a refusal could be false.
-    cluster.command(old, 2, order(0, 2, "other"));
+    cluster.send_command(old, 2, order(0, 2, "other"));
     cluster.run_ms(200);
     assert_eq!(
-        (cluster.answered(old, 1), cluster.answered(old, 2)),
+        (cluster.answer(old, 1), cluster.answer(old, 2)),
         (None, None)
     );
     cluster.run_until(|c| others.iter().any(|n| c.is_primary(*n)));
-    cluster.command(others[0], 3, order(0, 2, "other"));
-    assert_eq!(cluster.answer_to(others[0], 3), ResultCode::Ok);
+    cluster.send_command(others[0], 3, order(0, 2, "other"));
+    assert_eq!(cluster.wait_for_answer(others[0], 3), ResultCode::Ok);
     cluster.heal();
-    let lost = cluster.answer_to(old, 1);
+    let lost = cluster.wait_for_answer(old, 1);
     assert!(
         matches!(
             lost,
@@ -402,7 +405,7 @@
         ),
         "{lost:?}"
     );
-    let other = cluster.answer_to(old, 2);
+    let other = cluster.wait_for_answer(old, 2);
     assert!(
         matches!(
             other,
@@ -410,8 +413,8 @@
         ),
         "{other:?}"
     );
-    cluster.command(old, 4, order(0, 2, "lost"));
-    assert_eq!(cluster.answer_to(old, 4), ResultCode::OtherBase);
+    cluster.send_command(old, 4, order(0, 2, "lost"));
+    assert_eq!(cluster.wait_for_answer(old, 4), ResultCode::OtherBase);
 }
 
 /// A replica is lost while an order waits for it: the primary installs a membership without it. What waited is dropped with the
@@ -419,20 +422,20 @@
 #[test]
 fn request_when_in_flight_during_a_membership_change_then_confirmed_after_it() {
     let mut cluster = Cluster::new(3);
-    let (primary, witness) = (cluster.primary(), cluster.witness());
+    let (primary, witness) = (cluster.wait_for_primary(), cluster.wait_for_witness());
     let replica = (0..3).find(|n| ![primary, witness].contains(n)).unwrap();
     cluster.run_ms(2000);
-    cluster.cut(replica);
-    cluster.command(primary, 1, order(0, 2, "a"));
-    cluster.command(witness, 1, order(0, 2, "a"));
-    cluster.command(witness, 2, order(0, 2, "rival"));
+    cluster.isolate(replica);
+    cluster.send_command(primary, 1, order(0, 2, "a"));
+    cluster.send_command(witness, 1, order(0, 2, "a"));
+    cluster.send_command(witness, 2, order(0, 2, "rival"));
     cluster.run_ms(100);
     assert_eq!(
-        [1, 2].map(|ticket| cluster.answered(witness, ticket)),
+        [1, 2].map(|ticket| cluster.answer(witness, ticket)),
         [None, None]
     );
-    let codes =
-        [(primary, 1), (witness, 1), (witness, 2)].map(|(n, ticket)| cluster.answer_to(n, ticket));
+    let codes = [(primary, 1), (witness, 1), (witness, 2)]
+        .map(|(n, ticket)| cluster.wait_for_answer(n, ticket));
     assert_eq!(
         codes,
         [ResultCode::Ok, ResultCode::Ok, ResultCode::OtherBase]
@@ -445,16 +448,16 @@
 #[test]
 fn request_when_its_primary_is_paused_then_sent_to_the_next_at_once() {
     let mut cluster = Cluster::new(3);
-    let paused = cluster.primary();
+    let paused = cluster.wait_for_primary();
     let others: Vec<usize> = (0..3).filter(|n| *n != paused).collect();
     cluster.pause(paused);
     for member in &others {
-        cluster.command(*member, 1, order(0, 2, "a"));
+        cluster.send_command(*member, 1, order(0, 2, "a"));
     }
     cluster.run_until(|c| others.iter().any(|n| c.is_primary(*n)));
     let since = cluster.now_ms();
     for member in &others {
-        assert_eq!(cluster.answer_to(*member, 1), ResultCode::Ok);
+        assert_eq!(cluster.wait_for_answer(*member, 1), ResultCode::Ok);
     }
     assert!(
         cluster.now_ms() - since <= 50,
@@ -468,14 +471,14 @@
 #[test]
 fn member_when_partitioned_then_callers_are_answered_at_once() {
     let mut cluster = Cluster::new(3);
-    let primary = cluster.primary();
-    let other = cluster.witness();
+    let primary = cluster.wait_for_primary();
+    let other = cluster.wait_for_witness();
     for cut_off in [other, primary] {
-        cluster.cut(cut_off);
+        cluster.isolate(cut_off);
         cluster.run_ms(5000);
         let since = cluster.now_ms();
-        cluster.command(cut_off, since, order(0, 2, "a"));
-        let code = cluster.answer_to(cut_off, since);
+        cluster.send_command(cut_off, since, order(0, 2, "a"));
+        let code = cluster.wait_for_answer(cut_off, since);
         assert!(
             matches!(code, ResultCode::NoPrimary | ResultCode::Unclear),
             "{code:?}"
@@ -489,11 +492,11 @@
         cluster.run_ms(5000);
     }
     // Whoever is in touch holds a call through a takeover.
-    let primary = cluster.primary();
+    let primary = cluster.wait_for_primary();
     let other = (0..3).find(|n| *n != primary).unwrap();
     cluster.stop(primary);
-    cluster.command(other, 1, order(0, 2, "b"));
-    assert_eq!(cluster.answer_to(other, 1), ResultCode::Ok);
+    cluster.send_command(other, 1, order(0, 2, "b"));
+    assert_eq!(cluster.wait_for_answer(other, 1), ResultCode::Ok);
 }
 
 /// Eight orders at once on the same version, with one number and different contents, at all members.
@@ -512,11 +515,11 @@
         })
         .collect();
     for (member, ticket, command) in &sent {
-        cluster.command(*member, *ticket, command.clone());
+        cluster.send_command(*member, *ticket, command.clone());
     }
     let codes: Vec<ResultCode> = sent
         .iter()
-        .map(|(member, ticket, _)| cluster.answer_to(*member, *ticket))
+        .map(|(member, ticket, _)| cluster.wait_for_answer(*member, *ticket))
         .collect();
     assert_eq!(
         codes.iter().filter(|c| **c == ResultCode::Ok).count(),
@@ -532,8 +535,8 @@
     // Sent again to the next member, each gets the same answer.
     for ((member, ticket, command), code) in sent.into_iter().zip(codes) {
         let next = (member + 1) % 3;
-        cluster.command(next, ticket + 100, command);
-        assert_eq!(cluster.answer_to(next, ticket + 100), code);
+        cluster.send_command(next, ticket + 100, command);
+        assert_eq!(cluster.wait_for_answer(next, ticket + 100), code);
     }
 }
 
@@ -541,9 +544,9 @@
 fn request_when_sent_by_two_senders_then_confirmed_to_both() {
     let mut cluster = Cluster::new(3);
     for member in 0..3 {
-        cluster.command(member, 1, order(0, 2, "a"));
+        cluster.send_command(member, 1, order(0, 2, "a"));
     }
     for member in 0..3 {
-        assert_eq!(cluster.answer_to(member, 1), ResultCode::Ok);
+        assert_eq!(cluster.wait_for_answer(member, 1), ResultCode::Ok);
     }
 }
--- a/crates/control-plane/tests/repeated_requests/early_proposals.rs
+++ b/crates/control-plane/tests/repeated_requests/early_proposals.rs
@@ -34,53 +34,62 @@
 #[test]
 fn early_request_when_its_base_does_not_come_then_told_the_version_in_force() {
     let mut cluster = Cluster::new(3);
-    let members = [cluster.primary(), cluster.witness()];
-    cluster.command(members[0], 1, order(0, 2, "first"));
-    assert_eq!(cluster.answer_to(members[0], 1), ResultCode::Ok);
+    let members = [cluster.wait_for_primary(), cluster.wait_for_witness()];
+    cluster.send_command(members[0], 1, order(0, 2, "first"));
+    assert_eq!(cluster.wait_for_answer(members[0], 1), ResultCode::Ok);
     for member in members {
         let since = cluster.now_ms();
-        cluster.command(member, 2, order(22, 23, "mistyped"));
-        assert_eq!(cluster.answer_to(member, 2), ResultCode::BaseNotInForce);
+        cluster.send_command(member, 2, order(22, 23, "mistyped"));
+        assert_eq!(
+            cluster.wait_for_answer(member, 2),
+            ResultCode::BaseNotInForce
+        );
         assert!(
             cluster.now_ms() - since < CALLER_WAITS_MS,
             "{} ms",
             cluster.now_ms() - since
         );
-        assert_eq!(cluster.text_of(member, 2), "version 2 is in force, not 22");
+        assert_eq!(
+            cluster.answer_text(member, 2),
+            "version 2 is in force, not 22"
+        );
     }
 }
 
 #[test]
 fn early_request_when_a_copy_arrives_late_then_applied() {
     let mut cluster = Cluster::new(3);
-    let (primary, other) = (cluster.primary(), cluster.witness());
-    cluster.command(other, 1, order(2, 5, "early"));
-    assert_eq!(cluster.answer_to(other, 1), ResultCode::BaseNotInForce);
-    let forwarded = cluster.sent(|m| matches!(m, Message::ForwardCommand { .. }));
-    cluster.command(primary, 2, order(0, 2, "base"));
-    assert_eq!(cluster.answer_to(primary, 2), ResultCode::Ok);
+    let (primary, other) = (cluster.wait_for_primary(), cluster.wait_for_witness());
+    cluster.send_command(other, 1, order(2, 5, "early"));
+    assert_eq!(
+        cluster.wait_for_answer(other, 1),
+        ResultCode::BaseNotInForce
+    );
+    let forwarded = cluster.sent_messages(|m| matches!(m, Message::ForwardCommand { .. }));
+    cluster.send_command(primary, 2, order(0, 2, "base"));
+    assert_eq!(cluster.wait_for_answer(primary, 2), ResultCode::Ok);
     let (from, to, message) = forwarded.into_iter().next().unwrap();
     cluster.deliver(from, to, message);
     cluster.run_ms(100);
     // The late copy is in force: another order on that base is refused, and the same one confirmed.
-    cluster.command(other, 3, order(2, 5, "rival"));
-    assert_eq!(cluster.answer_to(other, 3), ResultCode::OtherBase);
-    cluster.command(other, 4, order(2, 5, "early"));
-    assert_eq!(cluster.answer_to(other, 4), ResultCode::Ok);
+    cluster.send_command(other, 3, order(2, 5, "rival"));
+    assert_eq!(cluster.wait_for_answer(other, 3), ResultCode::OtherBase);
+    cluster.send_command(other, 4, order(2, 5, "early"));
+    assert_eq!(cluster.wait_for_answer(other, 4), ResultCode::Ok);
 }
 
 #[test]
 fn dependent_requests_when_they_arrive_in_any_order_then_all_are_applied() {
     let mut cluster = Cluster::new(3);
-    cluster.primary();
+    cluster.wait_for_primary();
     let since = cluster.now_ms();
     for n in (0..AT_ONCE).rev() {
-        cluster.command(n as usize % 3, n, order(n, n + 1, "chain"));
+        cluster.send_command(n as usize % 3, n, order(n, n + 1, "chain"));
         cluster.run_ms(5);
     }
     for n in 0..AT_ONCE {
         assert_eq!(
-            cluster.answer_to(n as usize % 3, n),
+            cluster.wait_for_answer(n as usize % 3, n),
             ResultCode::Ok,
             "order {n}"
         );
@@ -95,34 +104,33 @@
 #[test]
 fn early_requests_when_too_many_are_held_then_answered_at_once() {
     let mut cluster = Cluster::new(3);
-    let primary = cluster.primary();
+    let primary = cluster.wait_for_primary();
     for n in 0..=AT_ONCE {
-        cluster.command(primary, n, order(100 + n, 200, "early"));
+        cluster.send_command(primary, n, order(100 + n, 200, "early"));
     }
     cluster.run_ms(5);
-    let answers: Vec<Option<ResultCode>> = (0..=AT_ONCE)
-        .map(|n| cluster.answered(primary, n))
-        .collect();
+    let answers: Vec<Option<ResultCode>> =
+        (0..=AT_ONCE).map(|n| cluster.answer(primary, n)).collect();
     assert_eq!(
         answers.iter().flatten().collect::<Vec<_>>(),
         [&ResultCode::BaseNotInForce]
     );
     assert!(answers[AT_ONCE as usize].is_some());
     // One that can be taken isn't held up.
-    cluster.command(primary, 20, order(0, 2, "first"));
-    assert_eq!(cluster.answer_to(primary, 20), ResultCode::Ok);
+    cluster.send_command(primary, 20, order(0, 2, "first"));
+    assert_eq!(cluster.wait_for_answer(primary, 20), ResultCode::Ok);
 }
 
 #[test]
 fn early_request_when_its_primary_is_paused_then_sent_to_the_next() {
     let mut cluster = Cluster::new(3);
-    let paused = cluster.primary();
+    let paused = cluster.wait_for_primary();
     let others: Vec<usize> = (0..3).filter(|n| *n != paused).collect();
-    cluster.command(others[0], 1, order(2, 5, "early"));
+    cluster.send_command(others[0], 1, order(2, 5, "early"));
     cluster.run_ms(50);
     cluster.pause(paused);
     cluster.run_until(|c| others.iter().any(|n| c.is_primary(*n)));
-    cluster.command(others[1], 2, order(0, 2, "base"));
-    assert_eq!(cluster.answer_to(others[1], 2), ResultCode::Ok);
-    assert_eq!(cluster.answer_to(others[0], 1), ResultCode::Ok);
+    cluster.send_command(others[1], 2, order(0, 2, "base"));
+    assert_eq!(cluster.wait_for_answer(others[1], 2), ResultCode::Ok);
+    assert_eq!(cluster.wait_for_answer(others[0], 1), ResultCode::Ok);
 }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,8 +1,9 @@
-//! What the tests of members share: their settings, and clusters of members on simulated time.
+//! Settings and simulated clusters that the tests of members share. All clusters run on simulated time.
 //!
-//! The clusters differ in what they control: [`event_cluster`] stops at each step of a change, [`request_cluster`] holds
-//! writes back and repeats messages, [`partition_cluster`] partitions members one way or both and lets clocks drift.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! The clusters differ in what they control: [`event_cluster`] stops at each step of a membership change,
+//! [`request_cluster`] withholds writes and repeats messages, [`partition_cluster`] partitions members in one or both
+//! directions and gives them clocks that drift.
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 pub mod event_cluster;
 pub mod partition_cluster;
@@ -22,7 +23,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// What may be lost at once: machines, zones, regions.
+/// A budget of machines, zones and regions that may be lost at the same time.
 pub const fn budget(machine_losses: u32, zones: u32, region_losses: u32) -> FaultBudget {
     FaultBudget {
         machine_losses,
@@ -31,7 +32,7 @@
     }
 }
 
-/// A member's settings with the deployments' usual times.
+/// A member's settings, with the timeouts that deployments use by default.
 pub fn member_config(
     local_member: MemberInfo,
     bootstrap_voters: Option<Vec<MemberInfo>>,
--- a/crates/control-plane/tests/support/recovered.rs
+++ b/crates/control-plane/tests/support/recovered.rs
@@ -1,13 +1,14 @@
-//! An operator goes on from one replica's disk.
+//! Recovery of a cluster from one replica's disk, as an operator does it.
 
 use super::event_cluster::Cluster;
 use control_plane::recovery::{RecoveredRecords, SurvivingReplica};
 use control_plane::runtime::identity::{Identity, StoredLog};
 
-/// The identity that a recovered member gets.
+/// The id that a recovered member gets.
 pub const RECOVERED_ID: u64 = 0xabcdef;
 
-pub fn identity(cluster: &Cluster, n: usize) -> Vec<Vec<u8>> {
+/// The records of a member's identity file.
+pub fn identity_records(cluster: &Cluster, n: usize) -> Vec<Vec<u8>> {
     let identity = Identity {
         id: cluster.id(n),
         incarnation: 5,
@@ -16,20 +17,25 @@
     vec![protocol::encode_record(&identity)]
 }
 
-pub fn names(survivor: &SurvivingReplica) -> Vec<String> {
+/// Names of the voters that a recovery from this replica gives up.
+pub fn lost_member_names(survivor: &SurvivingReplica) -> Vec<String> {
     survivor
         .other_voters()
         .iter()
-        .map(|s| s.name.clone())
+        .map(|voter| voter.name.clone())
         .collect()
 }
 
+/// Recovers the cluster from the stopped replica `n` and starts it as [`RECOVERED_ID`].
 pub fn recover(cluster: &mut Cluster, n: usize) {
-    let survivor = SurvivingReplica::read(&identity(cluster, n), cluster.records(n)).unwrap();
+    let survivor =
+        SurvivingReplica::read(&identity_records(cluster, n), cluster.records(n)).unwrap();
     let RecoveredRecords {
         identity,
         log: records,
-    } = survivor.recover(&names(&survivor), RECOVERED_ID).unwrap();
+    } = survivor
+        .recover(&lost_member_names(&survivor), RECOVERED_ID)
+        .unwrap();
     let identity: Identity = protocol::decode_record(&identity).unwrap();
     assert_eq!(
         (
@@ -39,6 +45,6 @@
         ),
         (RECOVERED_ID, 5, 0)
     );
-    // The ledger's file begins with whose it is.
+    // The first record of the log names its owner; the member starts from the records after it.
     cluster.restart_as(n, RECOVERED_ID, StoredLog::from_records(records).records);
 }
--- a/crates/control-plane/tests/support/request_cluster.rs
+++ b/crates/control-plane/tests/support/request_cluster.rs
@@ -1,4 +1,5 @@
-//! Members on simulated time: messages take 1 ms, writes 2 ms; what has to be held, cut or lost is told.
+//! A cluster of members on simulated time: a message takes 1 ms, a write 2 ms. A test isolates, pauses, freezes,
+//! restarts or wipes members, withholds writes, and delivers messages again.
 
 use super::{budget, member_config};
 use configuration::ResultCode;
@@ -9,14 +10,14 @@
 
 const MESSAGE_DELAY: Duration = Duration::from_millis(1);
 const WRITE_DELAY: Duration = Duration::from_millis(2);
-/// Simulated time within which whatever is waited for has to come.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// Simulated time after which [`Cluster::run_until`] fails.
+const RUN_UNTIL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What is kept back until [`Cluster::release`].
+/// Events that are withheld until [`Cluster::release`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Held {
-    /// Ends of writes, at all members.
-    Writes,
+pub enum WithheldEvents {
+    /// Completions of writes, at all members.
+    WriteCompletions,
 }
 
 #[derive(Clone, Debug)]
@@ -26,7 +27,7 @@
         to: usize,
         message: Box<Message>,
     },
-    Wrote {
+    WriteCompleted {
         node: usize,
         incarnation: u64,
         ticket: u64,
@@ -44,47 +45,51 @@
 }
 
 impl Event {
-    /// The member that it is for.
-    fn node(&self) -> usize {
+    /// The member that handles the event.
+    fn target(&self) -> usize {
         match self {
             Event::Deliver { to, .. } => *to,
-            Event::Wrote { node, .. } | Event::Wake { node } | Event::Command { node, .. } => *node,
+            Event::WriteCompleted { node, .. }
+            | Event::Wake { node }
+            | Event::Command { node, .. } => *node,
         }
     }
 }
 
 struct Node {
     info: MemberInfo,
-    /// None while it is down.
+    /// `None` while the process is down.
     member: Option<Member>,
     incarnation: u64,
     records: Vec<Vec<u8>>,
     rewrites: usize,
-    wake: Duration,
+    wake_at: Duration,
     answers: BTreeMap<u64, (ResultCode, Vec<u8>)>,
-    /// Index of the state that it published last.
-    published: Option<u64>,
+    /// Index of the state that the member published last.
+    published_index: Option<u64>,
 }
 
-/// Members that know each other, on one clock.
+/// Members with one shared clock; each one knows all others from the start.
 pub struct Cluster {
     nodes: Vec<Node>,
     now: Duration,
     events: BTreeMap<(Duration, u64), Event>,
     sequence: u64,
-    held: Option<Held>,
-    kept_back: Vec<Event>,
-    cut: BTreeSet<usize>,
+    withholding: Option<WithheldEvents>,
+    withheld: Vec<Event>,
+    isolated: BTreeSet<usize>,
     paused: BTreeSet<usize>,
     frozen: BTreeMap<usize, Vec<Event>>,
+    /// Sender, receiver and message, in the order of sending.
     sent: Vec<(usize, usize, Message)>,
+    /// Number of forwarded commands that each member received.
     forwarded: BTreeMap<usize, usize>,
 }
 
 impl Cluster {
-    /// `count` members that start for the first time, of which one may be lost.
+    /// Starts `count` members for the first time, with a budget of one lost machine.
     pub fn new(count: usize) -> Self {
-        let info = |n: usize| MemberInfo {
+        let member_info = |n: usize| MemberInfo {
             id: 101 + n as u64,
             name: format!("core-{n}"),
             addr: Addr {
@@ -99,23 +104,23 @@
             region: "r".into(),
         };
         let node = |n: usize| Node {
-            info: info(n),
+            info: member_info(n),
             member: None,
             incarnation: 0,
             records: Vec::new(),
             rewrites: 0,
-            wake: Duration::ZERO,
+            wake_at: Duration::ZERO,
             answers: BTreeMap::new(),
-            published: None,
+            published_index: None,
         };
         let mut cluster = Self {
             nodes: (0..count).map(node).collect(),
             now: Duration::from_secs(1),
             events: BTreeMap::new(),
             sequence: 0,
-            held: None,
-            kept_back: Vec::new(),
-            cut: BTreeSet::new(),
+            withholding: None,
+            withheld: Vec::new(),
+            isolated: BTreeSet::new(),
             paused: BTreeSet::new(),
             frozen: BTreeMap::new(),
             sent: Vec::new(),
@@ -125,7 +130,7 @@
         cluster
     }
 
-    /// Starts a member, again where it ran; what is on its disk stays, what waits for the disk is lost.
+    /// Starts a member, or kills and restarts it. Its stored records stay; unfinished writes are lost.
     pub fn restart(&mut self, n: usize) {
         let voters: Vec<MemberInfo> = self.nodes.iter().map(|n| n.info.clone()).collect();
         let node = &mut self.nodes[n];
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Starts a member with an empty disk: another identity at the same address.
+    /// Restarts a member with an empty disk and a new id at the same address.
     pub fn wipe(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         node.records.clear();
@@ -153,46 +158,46 @@
         self.restart(n);
     }
 
-    /// Whether a member is a replica in the membership of the primary, and that membership is stable.
+    /// Whether a member is a replica in the primary's membership and that membership is stable.
     pub fn is_settled_replica(&self, n: usize) -> bool {
         let primary = (0..self.nodes.len()).find(|p| self.is_primary(*p));
         let membership = primary
             .and_then(|p| self.nodes[p].member.as_ref())
             .and_then(Member::membership);
-        membership.is_some_and(|v| v.is_stable() && v.replicas.contains(&self.nodes[n].info.id))
+        membership.is_some_and(|m| m.is_stable() && m.replicas.contains(&self.nodes[n].info.id))
     }
 
-    /// Rewrites of a member's file so far.
+    /// Number of times that a member's log was rewritten.
     pub fn rewrites(&self, n: usize) -> usize {
         self.nodes[n].rewrites
     }
 
-    /// Ends a member without a word.
+    /// Kills a member.
     pub fn stop(&mut self, n: usize) {
         self.nodes[n].member = None;
     }
 
-    /// Cuts a member off from all others.
-    pub fn cut(&mut self, n: usize) {
-        self.cut.insert(n);
+    /// Drops all messages from and to a member until [`heal`](Self::heal).
+    pub fn isolate(&mut self, n: usize) {
+        self.isolated.insert(n);
     }
 
-    /// Ends all cuts.
+    /// Connects all isolated members again.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.isolated.clear();
     }
 
-    /// A member stands still; what comes for it is lost.
+    /// Pauses a member for good; inputs that arrive for it are lost.
     pub fn pause(&mut self, n: usize) {
         self.paused.insert(n);
     }
 
-    /// A member stands still until [`thaw`](Self::thaw); what comes for it waits.
+    /// Stops a member's execution until [`thaw`](Self::thaw); inputs that arrive for it are queued.
     pub fn freeze(&mut self, n: usize) {
         self.frozen.entry(n).or_default();
     }
 
-    /// A member goes on, with all that has waited for it.
+    /// Resumes a frozen member and delivers the inputs that were queued for it.
     pub fn thaw(&mut self, n: usize) {
         for event in self.frozen.remove(&n).unwrap_or_default() {
             self.schedule(Duration::ZERO, event);
@@ -200,34 +205,34 @@
         self.schedule(Duration::ZERO, Event::Wake { node: n });
     }
 
-    /// Whether a member stands still.
+    /// Whether a member is frozen.
     pub fn is_frozen(&self, n: usize) -> bool {
         self.frozen.contains_key(&n)
     }
 
-    /// Keeps something back from now on.
-    pub fn hold(&mut self, held: Held) {
-        self.held = Some(held);
+    /// Withholds these events until [`release`](Self::release).
+    pub fn withhold(&mut self, events: WithheldEvents) {
+        self.withholding = Some(events);
     }
 
-    /// Lets go of what was kept back.
+    /// Delivers the withheld events.
     pub fn release(&mut self) {
-        self.held = None;
-        let kept_back = std::mem::take(&mut self.kept_back);
-        kept_back
+        self.withholding = None;
+        let withheld = std::mem::take(&mut self.withheld);
+        withheld
             .into_iter()
             .for_each(|event| self.schedule(WRITE_DELAY, event));
     }
 
-    /// The primary, once there is one.
-    pub fn primary(&mut self) -> usize {
+    /// Runs until there is an acting primary and returns it.
+    pub fn wait_for_primary(&mut self) -> usize {
         self.run_until(|c| (0..c.nodes.len()).any(|n| c.is_primary(n)));
         (0..self.nodes.len()).find(|n| self.is_primary(*n)).unwrap()
     }
 
-    /// A member that holds no replica.
-    pub fn witness(&mut self) -> usize {
-        let primary = self.primary();
+    /// Runs until there is an acting primary and returns a member that is no replica in its membership.
+    pub fn wait_for_witness(&mut self) -> usize {
+        let primary = self.wait_for_primary();
         let membership = self.nodes[primary]
             .member
             .as_ref()
@@ -249,13 +254,13 @@
                 .is_some_and(Member::is_acting_primary)
     }
 
-    /// The time.
+    /// Simulated time in ms.
     pub fn now_ms(&self) -> u64 {
         self.now.as_millis() as u64
     }
 
-    /// A caller's command at a member.
-    pub fn command(&mut self, n: usize, ticket: u64, command: Command) {
+    /// Sends a caller's command to a member; `ticket` identifies its answer.
+    pub fn send_command(&mut self, n: usize, ticket: u64, command: Command) {
         if let Some(waiting) = self.frozen.get_mut(&n) {
             waiting.push(Event::Command {
                 node: n,
@@ -268,42 +273,49 @@
     }
 
     /// Index of the state that a member published last.
-    pub fn published(&self, n: usize) -> Option<u64> {
-        self.nodes[n].published
+    pub fn published_index(&self, n: usize) -> Option<u64> {
+        self.nodes[n].published_index
     }
 
-    /// A member's view of itself; none while it is down.
+    /// A member's state machine; `None` while its process is down.
     pub fn member(&self, n: usize) -> Option<&Member> {
         self.nodes[n].member.as_ref()
     }
 
-    /// What a call of a member's present incarnation was answered.
-    pub fn answered(&self, n: usize, ticket: u64) -> Option<ResultCode> {
-        self.nodes[n].answers.get(&ticket).map(|a| a.0)
+    /// The result code that a member's current incarnation gave to a command, if it has answered.
+    pub fn answer(&self, n: usize, ticket: u64) -> Option<ResultCode> {
+        self.nodes[n].answers.get(&ticket).map(|answer| answer.0)
     }
 
-    /// The text that went with the answer to a call.
-    pub fn text_of(&self, n: usize, ticket: u64) -> String {
+    /// The body of the answer to a command that was answered.
+    pub fn answer_text(&self, n: usize, ticket: u64) -> String {
         String::from_utf8_lossy(&self.nodes[n].answers[&ticket].1).into_owned()
     }
 
-    /// Runs until a call is answered.
-    pub fn answer_to(&mut self, n: usize, ticket: u64) -> ResultCode {
-        self.run_until(|c| c.answered(n, ticket).is_some());
-        self.answered(n, ticket).unwrap()
+    /// Runs until a command is answered and returns the result code.
+    pub fn wait_for_answer(&mut self, n: usize, ticket: u64) -> ResultCode {
+        self.run_until(|c| c.answer(n, ticket).is_some());
+        self.answer(n, ticket).unwrap()
     }
 
-    /// Messages sent so far, with sender and receiver.
-    pub fn sent(&self, which: impl Fn(&Message) -> bool) -> Vec<(usize, usize, Message)> {
-        self.sent.iter().filter(|s| which(&s.2)).cloned().collect()
+    /// Messages sent so far that `matches` accepts, with sender and receiver.
+    pub fn sent_messages(
+        &self,
+        matches: impl Fn(&Message) -> bool,
+    ) -> Vec<(usize, usize, Message)> {
+        self.sent
+            .iter()
+            .filter(|sent| matches(&sent.2))
+            .cloned()
+            .collect()
     }
 
-    /// Commands of others that a member got.
-    pub fn forwarded_to(&self, n: usize) -> usize {
+    /// Number of commands that other members forwarded to a member.
+    pub fn forwarded_commands(&self, n: usize) -> usize {
         self.forwarded.get(&n).copied().unwrap_or(0)
     }
 
-    /// Delivers a message, once more perhaps.
+    /// Delivers a message after the network delay; may be called again for the same message.
     pub fn deliver(&mut self, from: usize, to: usize, message: Message) {
         self.schedule(
             MESSAGE_DELAY,
@@ -315,21 +327,24 @@
         );
     }
 
-    /// Lets time pass.
+    /// Runs for `ms` of simulated time.
     pub fn run_ms(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.events.first_key_value().is_some_and(|e| e.0 .0 <= end) {
-            self.step_next();
+            self.handle_next_event();
         }
         self.now = end;
     }
 
-    /// Lets time pass until something holds.
+    /// Runs until `holds` returns true; panics after [`RUN_UNTIL_TIMEOUT`].
     pub fn run_until(&mut self, holds: impl Fn(&Self) -> bool) {
-        let end = self.now + LONGEST_WAIT;
+        let end = self.now + RUN_UNTIL_TIMEOUT;
         while !holds(self) {
-            assert!(self.now < end && !self.events.is_empty(), "it never comes");
-            self.step_next();
+            assert!(
+                self.now < end && !self.events.is_empty(),
+                "the awaited condition doesn't come about"
+            );
+            self.handle_next_event();
         }
     }
 
@@ -338,18 +353,18 @@
         self.events.insert((self.now + after, self.sequence), event);
     }
 
-    fn step_next(&mut self) {
+    fn handle_next_event(&mut self) {
         let Some(((at, _), event)) = self.events.pop_first() else {
             return;
         };
         self.now = self.now.max(at);
-        if let Some(waiting) = self.frozen.get_mut(&event.node()) {
+        if let Some(waiting) = self.frozen.get_mut(&event.target()) {
             waiting.push(event);
             return;
         }
         match event {
             Event::Deliver { from, to, message } => {
-                if self.cut.contains(&from) || self.cut.contains(&to) {
+                if self.isolated.contains(&from) || self.isolated.contains(&to) {
                     return;
                 }
                 if matches!(*message, Message::ForwardCommand { .. }) {
@@ -364,7 +379,7 @@
                     },
                 );
             }
-            Event::Wrote {
+            Event::WriteCompleted {
                 node,
                 incarnation,
                 ticket,
@@ -394,7 +409,7 @@
                 command,
             } => self.step(node, Input::Command { ticket, command }),
             Event::Wake { node } => {
-                if self.nodes[node].wake <= self.now {
+                if self.nodes[node].wake_at <= self.now {
                     self.step(node, Input::Tick);
                 }
             }
@@ -430,15 +445,15 @@
                 records,
                 rewrite,
             } => {
-                let event = Event::Wrote {
+                let event = Event::WriteCompleted {
                     node: n,
                     incarnation: self.nodes[n].incarnation,
                     ticket,
                     records,
                     rewrite,
                 };
-                match self.held {
-                    Some(Held::Writes) => self.kept_back.push(event),
+                match self.withholding {
+                    Some(WithheldEvents::WriteCompletions) => self.withheld.push(event),
                     None => self.schedule(WRITE_DELAY, event),
                 }
             }
@@ -446,12 +461,12 @@
                 self.nodes[n].answers.insert(ticket, (code, body));
             }
             Output::Wake { at } => {
-                self.nodes[n].wake = at;
+                self.nodes[n].wake_at = at;
                 let after = at.saturating_sub(self.now);
                 self.schedule(after, Event::Wake { node: n });
             }
             Output::PublishState { index, .. } | Output::RestoreState { index, .. } => {
-                self.nodes[n].published = Some(index);
+                self.nodes[n].published_index = Some(index);
             }
             Output::DepartureComplete => {}
         }
