--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -24,7 +24,7 @@
 fn requests_when_no_majority_is_left_then_none_is_applied() {
     let (mut cluster, left) = all_but_one_lost();
     cluster.restart(left);
-    let ticket = cluster.call(left, Cluster::configure(1, 2));
+    let ticket = cluster.send_command(left, Cluster::configure_command(1, 2));
     cluster.run(ms(10_000));
     assert_eq!(
         (cluster.primary(), cluster.answer(ticket)),
@@ -41,11 +41,11 @@
         .expect("it acts alone");
     assert_eq!(cluster.read_version(), Some(1));
     // On one disk alone nothing new is acknowledged: the next loss would take it.
-    let ticket = cluster.call(left, Cluster::configure(1, 2));
+    let ticket = cluster.send_command(left, Cluster::configure_command(1, 2));
     cluster.run(ms(100));
     assert_eq!(cluster.answer(ticket), Some(ResultCode::NoPrimary));
-    cluster.add("r/d");
-    cluster.add("r/e");
+    cluster.add_machine("r/d");
+    cluster.add_machine("r/e");
     cluster.apply_configuration(1, 2);
     cluster
         .run_until(SOON, |c| {
@@ -66,7 +66,7 @@
     (0..5).for_each(|n| cluster.kill(n));
     recover(&mut cluster, left);
     for zone in ["r/c", "r/a", "r/b", "r/c"] {
-        cluster.add(zone);
+        cluster.add_machine(zone);
     }
     cluster
         .run_until(SOON, |c| {
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -125,7 +125,7 @@
 fn planned_replacement_when_a_loss_follows_then_it_is_borne(#[case] part: usize) {
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
-    let new = cluster.add("r/d");
+    let new = cluster.add_machine("r/d");
     cluster
         .run_until(SOON, |c| c.is_voter(new))
         .expect("the new one joins");
@@ -163,8 +163,8 @@
     cluster.kill(witness);
     cluster.run(ms(3500));
     // Installing memberships doesn't reach the new one, but all else does.
-    let new = cluster.add("r/d");
-    cluster.loses = Some(std::rc::Rc::new(move |_, to, message| {
+    let new = cluster.add_machine("r/d");
+    cluster.message_loss = Some(std::rc::Rc::new(move |_, to, message| {
         to == new && matches!(message, Message::InstallMembership { .. })
     }));
     cluster
@@ -174,7 +174,7 @@
         .expect("it becomes a voter");
     assert_eq!(cluster.membership(new).epoch, 0);
     cluster.kill(first);
-    cluster.loses = None;
+    cluster.message_loss = None;
     cluster
         .run_until(SOON, |c| c.is_primary(second))
         .expect("the other replica and the new voter are a majority");
@@ -186,7 +186,7 @@
 fn change_of_voters_when_committed_then_stable_at_once() {
     let mut cluster = Cluster::of_three();
     primary(&mut cluster);
-    let new = cluster.add("r/d");
+    let new = cluster.add_machine("r/d");
     cluster
         .run_until(SOON, |c| c.is_voter(new))
         .expect("the new one joins");
@@ -210,7 +210,7 @@
         let gone = if round % 2 == 0 { first } else { replicas[1] };
         cluster.kill(gone);
         cluster.run(ms(1000));
-        let new = cluster.add(&format!("r/n{round}"));
+        let new = cluster.add_machine(&format!("r/n{round}"));
         alive.retain(|n| *n != gone);
         alive.push(new);
         // Lost for as long as the operators count it: from then on the next one may go.
@@ -256,7 +256,7 @@
     let (_, _, witness) = parts(&mut cluster);
     cluster.set_isolated(witness, true);
     cluster.run(ms(900));
-    let new = cluster.add("r/d");
+    let new = cluster.add_machine("r/d");
     cluster
         .run_until(SOON, |c| c.is_voter(new) && !c.is_voter(witness))
         .expect("it takes the lost one's place");
@@ -317,9 +317,9 @@
         "{:?}",
         cluster.memberships()
     );
-    assert_eq!(cluster.sizes.1, 3, "fewest voters at any time");
+    assert_eq!(cluster.voter_counts.1, 3, "fewest voters at any time");
     // Once one more is there, a majority survives the loss of any zone or region.
-    cluster.add(joins);
+    cluster.add_machine(joins);
     cluster
         .run_until(ms(15_000), |c| {
             let voters = c.current_membership().voters;
@@ -327,7 +327,7 @@
             c.current_membership().is_stable() && majority_shortfall(&budget, &all) <= 0
         })
         .expect("a membership that bears the loss");
-    assert!(cluster.sizes.1 >= 3, "fewest voters at any time");
+    assert!(cluster.voter_counts.1 >= 3, "fewest voters at any time");
 }
 
 /// Which members are voters depends on where they are: any zone may be lost, and a majority is left.
@@ -410,14 +410,15 @@
         .run_until(SOON, |c| c.primary().is_some())
         .expect("the two others go on");
     assert_eq!(cluster.read_version(), Some(1));
-    let refused = cluster.call(cluster.primary().unwrap(), Cluster::configure(1, 2));
+    let refused =
+        cluster.send_command(cluster.primary().unwrap(), Cluster::configure_command(1, 2));
     cluster.run(ms(4000));
     assert_ne!(
         cluster.answer(refused),
         Some(ResultCode::Ok),
         "two replicas don't bear two losses"
     );
-    let (fourth, fifth) = (cluster.add("r/a"), cluster.add("r/b"));
+    let (fourth, fifth) = (cluster.add_machine("r/a"), cluster.add_machine("r/b"));
     cluster
         .run_until(SOON, |c| c.is_voter(fourth) && c.is_voter(fifth))
         .expect("both join");
--- a/crates/control-plane/tests/second_loss_sweep/play.rs
+++ b/crates/control-plane/tests/second_loss_sweep/play.rs
@@ -87,7 +87,7 @@
         if self.is_recovered {
             return self.running().get(n).copied();
         }
-        (n < self.cluster.machines()).then_some(n)
+        (n < self.cluster.machine_count()).then_some(n)
     }
 
     /// Machines that run and are lost together with this one.
@@ -102,7 +102,7 @@
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.cluster.machines())
+        (0..self.cluster.machine_count())
             .filter(|n| self.cluster.is_running(*n))
             .collect()
     }
@@ -131,7 +131,7 @@
                 Later::Terminate(n) if self.cluster.is_running(n) => self.cluster.terminate(n),
                 Later::Add(n) => self.add(n),
                 Later::Rejoin(n) => self.cluster.set_isolated(n, false),
-                Later::FastDisk(n) => drop(self.cluster.slow_disks.remove(&n)),
+                Later::FastDisk(n) => drop(self.cluster.slow_write_delays.remove(&n)),
                 Later::Start(_) | Later::StartOnceEnded(..) | Later::Terminate(_) => {}
             }
         }
@@ -140,7 +140,7 @@
     /// A new machine, in the zone of another.
     pub fn add(&mut self, like: usize) {
         let zone = self.zones[like].clone();
-        self.cluster.add(&zone);
+        self.cluster.add_machine(&zone);
         self.zones.push(zone);
     }
 
@@ -167,8 +167,8 @@
         self.order = None;
         if let Some(n) = running.get(self.orders_sent % running.len().max(1)) {
             self.ordered = self.acknowledged + 1;
-            let order = Cluster::configure(self.acknowledged, self.ordered);
-            self.order = Some((self.cluster.call(*n, order), self.cluster.now));
+            let order = Cluster::configure_command(self.acknowledged, self.ordered);
+            self.order = Some((self.cluster.send_command(*n, order), self.cluster.now));
             self.orders_sent += 1;
         }
     }
@@ -176,7 +176,7 @@
     /// Goes on for some time, or until the given step.
     pub fn run(&mut self, time: Duration, step: Option<u64>) {
         let end = self.cluster.now + time;
-        let reached = |c: &Cluster| step.is_some_and(|step| c.steps >= step);
+        let reached = |c: &Cluster| step.is_some_and(|step| c.change_steps >= step);
         while self.cluster.now < end && !reached(&self.cluster) {
             self.do_later();
             self.run_operator();
@@ -206,7 +206,7 @@
             Change::Remove => self.cluster.terminate(n),
             Change::RemoveTwo => {
                 self.cluster.terminate(n);
-                let other = (n + 1) % self.cluster.machines();
+                let other = (n + 1) % self.cluster.machine_count();
                 self.at(ms(20), Later::Terminate(other));
             }
             Change::Restart => {
@@ -238,7 +238,7 @@
     }
 
     fn slow_disk(&mut self, n: usize, lasts: Duration) {
-        self.cluster.slow_disks.insert(n, SLOW_WRITE);
+        self.cluster.slow_write_delays.insert(n, SLOW_WRITE);
         self.at(lasts, Later::FastDisk(n));
     }
 
@@ -276,8 +276,8 @@
                     self.slow_disk(n, BACK_AFTER);
                     continue;
                 }
-                Strike::DieWriting | Strike::AllDieWriting => self.cluster.kill_after_write(n),
-                Strike::DieTorn | Strike::AllDieTorn => self.cluster.kill_in_write(n),
+                Strike::DieWriting | Strike::AllDieWriting => self.cluster.kill_after_writes(n),
+                Strike::DieTorn | Strike::AllDieTorn => self.cluster.kill_during_write(n),
                 _ => self.cluster.kill(n),
             }
             let lost =
--- a/crates/control-plane/tests/second_loss_sweep/sweep.rs
+++ b/crates/control-plane/tests/second_loss_sweep/sweep.rs
@@ -18,7 +18,7 @@
     let end = play.cluster.now + WINDOW;
     let mut moments = Vec::new();
     while play.cluster.now < end {
-        let next = play.cluster.steps + 1;
+        let next = play.cluster.change_steps + 1;
         play.run(end - play.cluster.now, Some(next));
         moments.push(play.clone());
     }
--- a/crates/control-plane/tests/support/event_cluster.rs
+++ b/crates/control-plane/tests/support/event_cluster.rs
@@ -1,5 +1,5 @@
-//! Members without I/O on a clock of the test's own: the network takes 1 ms, a disk 2 ms, a link says every second
-//! who is there. The same calls give the same run.
+//! A cluster of members on simulated time: a message takes 1 ms, a write 2 ms, and each link reports its peer every
+//! second. The same calls give the same run. A test can stop at each step of a membership change.
 
 use super::{budget, member_config, ms};
 use configuration::{FaultBudget, ResultCode};
@@ -9,12 +9,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const NETWORK: Duration = Duration::from_millis(1);
-const DISK: Duration = Duration::from_millis(2);
-const LINK_REPORT: Duration = Duration::from_millis(1000);
-/// A process that was asked to end ends after this at the latest, and so soon once it may.
-const LEAVE_TIME: Duration = Duration::from_millis(5000);
-const LAST_WORDS: Duration = Duration::from_millis(50);
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
+const WRITE_DELAY: Duration = Duration::from_millis(2);
+/// Time between two reports of a link that its peer is reachable.
+const LINK_REPORT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Time after which a terminated process exits even if its departure isn't complete.
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(5000);
+/// Time from the completed departure of a terminated process to its exit.
+const EXIT_DELAY: Duration = Duration::from_millis(50);
 
 #[derive(Clone)]
 enum Event {
@@ -23,19 +25,19 @@
         from: MemberInfo,
         message: Box<Message>,
     },
-    Wrote {
+    WriteCompleted {
         ticket: u64,
         records: Vec<Vec<u8>>,
         rewrite: bool,
     },
-    Links,
-    /// A process that was asked to end has had its time.
-    End,
+    ReportLinks,
+    /// Exit of a terminated process.
+    Exit,
 }
 
 impl Event {
-    /// Whether it is a step of a change of the membership, and not one that recurs while nothing changes.
-    fn is_step(&self) -> bool {
+    /// Whether the event belongs to a membership change; lease renewals, commands and timers recur without one.
+    fn is_change_step(&self) -> bool {
         match self {
             Event::Deliver { message, .. } => !matches!(
                 **message,
@@ -44,16 +46,16 @@
                     | Message::ForwardCommand { .. }
                     | Message::CommandResult { .. }
             ),
-            Event::Wrote { .. } | Event::End => true,
-            Event::Wake | Event::Links => false,
+            Event::WriteCompleted { .. } | Event::Exit => true,
+            Event::Wake | Event::ReportLinks => false,
         }
     }
 }
 
-/// Whether a message from one machine to another is lost.
-type Loses = Rc<dyn Fn(usize, usize, &Message) -> bool>;
+/// Predicate on sender, receiver and message; the message is lost if it returns true.
+type MessageLoss = Rc<dyn Fn(usize, usize, &Message) -> bool>;
 
-/// A membership as one machine sees it: identities.
+/// The membership as one machine knows it, with member ids.
 #[derive(Debug)]
 pub struct SeenMembership {
     pub id: u64,
@@ -61,21 +63,21 @@
     pub epoch: u64,
     pub replicas: Vec<u64>,
     pub voters: Vec<u64>,
-    pub before: Vec<u64>,
+    pub previous_voters: Vec<u64>,
 }
 
 #[derive(Clone)]
 struct Node {
     member_info: MemberInfo,
     member: Option<Member>,
-    /// Number of its incarnation; what an earlier one had under way comes to nothing.
+    /// Number of the process's incarnation; events of earlier incarnations are ignored.
     incarnation: u32,
     records: Vec<Vec<u8>>,
-    cut: bool,
-    left: bool,
-    /// The process ends once nothing is left to hand over.
-    ends: bool,
-    wake: Duration,
+    is_isolated: bool,
+    may_exit: bool,
+    /// Whether the process was terminated: it exits once its departure is complete.
+    is_terminated: bool,
+    wake_at: Duration,
 }
 
 #[derive(Clone)]
@@ -83,51 +85,53 @@
     pub now: Duration,
     budget: FaultBudget,
     nodes: Vec<Node>,
+    /// Machine, incarnation and event, by the time at which the event is due and its sequence number.
     queue: BTreeMap<(Duration, u64), (usize, u32, Event)>,
-    events: u64,
-    tickets: u64,
+    events_scheduled: u64,
+    tickets_issued: u64,
     answers: BTreeMap<u64, (ResultCode, Vec<u8>)>,
-    /// Steps of changes so far: moments at which something may strike.
-    pub steps: u64,
-    /// Writes of these members take so long.
-    pub slow_disks: BTreeMap<usize, Duration>,
-    /// Messages that are lost: from, to, message.
-    pub loses: Option<Loses>,
-    /// Most voters and least voters of any membership that was installed.
-    pub sizes: (usize, usize),
+    /// Number of events of membership changes so far: the moments at which a test can inject a fault.
+    pub change_steps: u64,
+    /// Duration of a write at the members whose disks are slow.
+    pub slow_write_delays: BTreeMap<usize, Duration>,
+    /// Selects the messages that are lost.
+    pub message_loss: Option<MessageLoss>,
+    /// Largest and smallest number of voters in any membership that a member has accepted.
+    pub voter_counts: (usize, usize),
 }
 
 impl Cluster {
-    /// Members in these zones (`region/zone`); the first three are the initial voters.
+    /// Starts one member in each of these zones (`region/zone`); the first three are the initial voters.
     pub fn start(budget: FaultBudget, zones: &[&str]) -> Self {
         let mut cluster = Self {
             now: ms(1000),
             budget,
             nodes: Vec::new(),
             queue: BTreeMap::new(),
-            events: 0,
-            tickets: 0,
+            events_scheduled: 0,
+            tickets_issued: 0,
             answers: BTreeMap::new(),
-            steps: 0,
-            slow_disks: BTreeMap::new(),
-            loses: None,
-            sizes: (0, usize::MAX),
+            change_steps: 0,
+            slow_write_delays: BTreeMap::new(),
+            message_loss: None,
+            voter_counts: (0, usize::MAX),
         };
         for zone in zones {
-            cluster.machine(zone);
+            cluster.create_machine(zone);
         }
-        (0..zones.len()).for_each(|n| cluster.boot(n, n < 3));
+        (0..zones.len()).for_each(|n| cluster.start_process(n, n < 3));
         cluster
     }
 
-    /// Three members in three zones of which one machine may be lost, with a configuration acknowledged.
+    /// Starts three members in three zones with a budget of one lost machine, and has version 1 acknowledged.
     pub fn of_three() -> Self {
         let mut cluster = Self::start(budget(1, 0, 0), &["r/a", "r/b", "r/c"]);
         cluster.apply_configuration(0, 1);
         cluster
     }
 
-    fn machine(&mut self, zone: &str) -> usize {
+    /// Creates a machine with an empty disk and no process.
+    fn create_machine(&mut self, zone: &str) -> usize {
         let n = self.nodes.len();
         let addr = Addr {
             ip: 0x0a00_0001 + n as u32,
@@ -142,28 +146,28 @@
             zone: zone.into(),
             region: region.into(),
         };
-        let (records, wake) = (vec![], ms(0));
+        let (records, wake_at) = (vec![], ms(0));
         self.nodes.push(Node {
             member_info,
             member: None,
             incarnation: 0,
             records,
-            cut: false,
-            left: false,
-            ends: false,
-            wake,
+            is_isolated: false,
+            may_exit: false,
+            is_terminated: false,
+            wake_at,
         });
         n
     }
 
-    /// A new machine with an empty disk.
-    pub fn add(&mut self, zone: &str) -> usize {
-        let n = self.machine(zone);
-        self.boot(n, false);
+    /// Starts a new machine with an empty disk.
+    pub fn add_machine(&mut self, zone: &str) -> usize {
+        let n = self.create_machine(zone);
+        self.start_process(n, false);
         n
     }
 
-    fn boot(&mut self, n: usize, initial: bool) {
+    fn start_process(&mut self, n: usize, is_initial_voter: bool) {
         let voters = || {
             self.nodes
                 .iter()
@@ -173,36 +177,36 @@
         };
         let config = member_config(
             self.nodes[n].member_info.clone(),
-            initial.then(voters),
+            is_initial_voter.then(voters),
             self.budget,
         );
         let random = 77 * (n as u64 + 1) + u64::from(self.nodes[n].incarnation);
         let node = &mut self.nodes[n];
         node.incarnation += 1;
-        node.wake = ms(0);
-        (node.left, node.ends) = (false, false);
+        node.wake_at = ms(0);
+        (node.may_exit, node.is_terminated) = (false, false);
         node.member = Some(Member::new(config, &node.records, self.now, random));
-        self.push(ms(0), n, Event::Wake);
-        self.push(ms(1), n, Event::Links);
+        self.schedule(ms(0), n, Event::Wake);
+        self.schedule(ms(1), n, Event::ReportLinks);
     }
 
-    /// Starts a stopped machine again with what its disk holds.
+    /// Restarts a stopped machine with the records on its disk.
     pub fn restart(&mut self, n: usize) {
-        self.boot(n, false);
+        self.start_process(n, false);
     }
 
-    /// The process ends at once; its disk stays.
+    /// Kills a machine's process. Its disk stays; unfinished writes are lost.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].member = None;
         self.nodes[n].incarnation += 1;
     }
 
-    /// The machine loses its disk and starts again at the same address, as somebody else.
+    /// Restarts a machine with an empty disk and a new member id at the same address.
     pub fn wipe(&mut self, n: usize) {
         self.kill(n);
         self.nodes[n].records.clear();
         self.nodes[n].member_info.id += 1000;
-        self.boot(n, false);
+        self.start_process(n, false);
     }
 
     /// The records on a machine's disk.
@@ -210,35 +214,36 @@
         &self.nodes[n].records
     }
 
-    /// Starts a stopped machine as somebody else, with other records on its disk.
+    /// Starts a stopped machine with another member id and other records on its disk.
     pub fn restart_as(&mut self, n: usize, id: u64, records: Vec<Vec<u8>>) {
         self.nodes[n].member_info.id = id;
         self.nodes[n].records = records;
-        self.boot(n, false);
+        self.start_process(n, false);
     }
 
+    /// Has a member leave for good.
     pub fn depart(&mut self, n: usize) {
         self.step(n, Input::Depart);
     }
 
-    /// The process is asked to end, and ends once it may.
+    /// Has a member leave for good; its process exits after that, or after [`TERMINATION_TIMEOUT`].
     pub fn terminate(&mut self, n: usize) {
-        self.nodes[n].ends = true;
-        self.push(LEAVE_TIME, n, Event::End);
+        self.nodes[n].is_terminated = true;
+        self.schedule(TERMINATION_TIMEOUT, n, Event::Exit);
         self.depart(n);
     }
 
-    /// The process ends at once; what it was writing is on its disk.
-    pub fn kill_after_write(&mut self, n: usize) {
+    /// Kills a machine's process after its unfinished writes have reached the disk.
+    pub fn kill_after_writes(&mut self, n: usize) {
         for (records, rewrite) in self.unfinished_writes(n) {
             self.store(n, records, rewrite);
         }
         self.kill(n);
     }
 
-    /// The process ends at once; of the last records that it was appending the first half is on its disk. A rewritten
-    /// file takes the place of the old one whole, or not at all.
-    pub fn kill_in_write(&mut self, n: usize) {
+    /// Kills a machine's process during its last write: the first half of the appended records is on its disk.
+    /// A rewrite replaces the file completely or not at all.
+    pub fn kill_during_write(&mut self, n: usize) {
         let mut writes = self.unfinished_writes(n);
         let last = writes.pop();
         for (records, rewrite) in writes {
@@ -251,20 +256,21 @@
         self.kill(n);
     }
 
-    /// The writes that a machine's process has under way, in their order, and whether each takes the file's place.
+    /// Records of the unfinished writes of a machine's process, in order, and whether each is a rewrite of the file.
     fn unfinished_writes(&self, n: usize) -> Vec<(Vec<Vec<u8>>, bool)> {
         let incarnation = self.nodes[n].incarnation;
-        let own = self
+        let own_events = self
             .queue
             .values()
             .filter(|e| e.0 == n && e.1 == incarnation);
-        own.filter_map(|(_, _, event)| match event {
-            Event::Wrote {
-                records, rewrite, ..
-            } => Some((records.clone(), *rewrite)),
-            _ => None,
-        })
-        .collect()
+        own_events
+            .filter_map(|(_, _, event)| match event {
+                Event::WriteCompleted {
+                    records, rewrite, ..
+                } => Some((records.clone(), *rewrite)),
+                _ => None,
+            })
+            .collect()
     }
 
     fn store(&mut self, n: usize, records: Vec<Vec<u8>>, rewrite: bool) {
@@ -274,34 +280,38 @@
         self.nodes[n].records.extend(records);
     }
 
-    /// The number of a machine's incarnation: another one for each process, and for none in between.
+    /// Incarnation number of a machine. It rises with each start and each kill, so a machine without a process has a
+    /// number of its own.
     pub fn incarnation(&self, n: usize) -> u32 {
         self.nodes[n].incarnation
     }
 
-    /// Whether a machine's process runs.
+    /// Whether a machine's process is running.
     pub fn is_running(&self, n: usize) -> bool {
         self.nodes[n].member.is_some()
     }
 
-    /// How many machines there have been.
-    pub fn machines(&self) -> usize {
+    /// Number of machines that were ever started.
+    pub fn machine_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether the process may end.
+    /// Whether a member's departure is complete, so that its process may exit.
     pub fn may_exit(&self, n: usize) -> bool {
-        self.nodes[n].left
+        self.nodes[n].may_exit
     }
 
-    pub fn set_isolated(&mut self, n: usize, cut: bool) {
-        self.nodes[n].cut = cut;
+    /// Cuts a machine off from all others, or connects it again.
+    pub fn set_isolated(&mut self, n: usize, is_isolated: bool) {
+        self.nodes[n].is_isolated = is_isolated;
     }
 
+    /// Member id of a machine.
     pub fn id(&self, n: usize) -> u64 {
         self.nodes[n].member_info.id
     }
 
+    /// The latest membership that a machine's member accepted; empty if there is none.
     pub fn membership(&self, n: usize) -> MembershipConfig {
         self.nodes[n]
             .member
@@ -322,14 +332,14 @@
         (0..self.nodes.len()).find(|n| self.is_primary(*n))
     }
 
-    /// The primary's membership.
+    /// The acting primary's membership; empty if nobody acts.
     pub fn current_membership(&self) -> MembershipConfig {
         self.primary()
             .map(|n| self.membership(n))
             .unwrap_or_default()
     }
 
-    /// Machines that are replicas in the primary's membership, the primary first.
+    /// Machines that are replicas in the acting primary's membership, the primary first.
     pub fn replicas(&self) -> Vec<usize> {
         let membership = self.current_membership();
         membership
@@ -343,25 +353,30 @@
         self.current_membership().voter(self.id(n)).is_some()
     }
 
-    fn push(&mut self, after: Duration, node: usize, event: Event) {
-        self.events += 1;
+    fn schedule(&mut self, after: Duration, node: usize, event: Event) {
+        self.events_scheduled += 1;
         let incarnation = self.nodes[node].incarnation;
-        self.queue
-            .insert((self.now + after, self.events), (node, incarnation, event));
+        self.queue.insert(
+            (self.now + after, self.events_scheduled),
+            (node, incarnation, event),
+        );
     }
 
     fn step(&mut self, n: usize, input: Input) {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         if let Some(member) = &mut self.nodes[n].member {
-            member.step(self.now, input, &mut out);
+            member.step(self.now, input, &mut outputs);
         }
-        for output in out {
+        for output in outputs {
             self.handle_output(n, output);
         }
         let membership = self.membership(n);
         if membership.epoch > 0 {
-            let len = membership.voters.len();
-            self.sizes = (self.sizes.0.max(len), self.sizes.1.min(len));
+            let count = membership.voters.len();
+            self.voter_counts = (
+                self.voter_counts.0.max(count),
+                self.voter_counts.1.min(count),
+            );
         }
     }
 
@@ -375,18 +390,18 @@
                 else {
                     return;
                 };
-                let lost = self
-                    .loses
+                let is_lost = self
+                    .message_loss
                     .as_ref()
-                    .is_some_and(|loses| loses(n, to, &message));
-                if !lost
-                    && !self.nodes[n].cut
-                    && !self.nodes[to].cut
+                    .is_some_and(|is_lost| is_lost(n, to, &message));
+                if !is_lost
+                    && !self.nodes[n].is_isolated
+                    && !self.nodes[to].is_isolated
                     && self.nodes[to].member.is_some()
                 {
                     let from = self.nodes[n].member_info.clone();
-                    self.push(
-                        NETWORK,
+                    self.schedule(
+                        NETWORK_DELAY,
                         to,
                         Event::Deliver {
                             from,
@@ -400,11 +415,15 @@
                 records,
                 rewrite,
             } => {
-                let time = self.slow_disks.get(&n).copied().unwrap_or(DISK);
-                self.push(
-                    time,
+                let write_delay = self
+                    .slow_write_delays
+                    .get(&n)
+                    .copied()
+                    .unwrap_or(WRITE_DELAY);
+                self.schedule(
+                    write_delay,
                     n,
-                    Event::Wrote {
+                    Event::WriteCompleted {
                         ticket,
                         records,
                         rewrite,
@@ -415,13 +434,13 @@
                 drop(self.answers.insert(ticket, (code, body)));
             }
             Output::Wake { at } => {
-                self.nodes[n].wake = at;
-                self.push(at.saturating_sub(self.now), n, Event::Wake);
+                self.nodes[n].wake_at = at;
+                self.schedule(at.saturating_sub(self.now), n, Event::Wake);
             }
             Output::DepartureComplete => {
-                self.nodes[n].left = true;
-                if self.nodes[n].ends {
-                    self.push(LAST_WORDS, n, Event::End);
+                self.nodes[n].may_exit = true;
+                if self.nodes[n].is_terminated {
+                    self.schedule(EXIT_DELAY, n, Event::Exit);
                 }
             }
             Output::PublishState { .. } | Output::RestoreState { .. } => {}
@@ -430,9 +449,9 @@
 
     fn handle_event(&mut self, n: usize, event: Event) {
         match event {
-            Event::Wake if self.now >= self.nodes[n].wake => self.step(n, Input::Tick),
+            Event::Wake if self.now >= self.nodes[n].wake_at => self.step(n, Input::Tick),
             Event::Wake => {}
-            Event::Deliver { from, message } if !self.nodes[n].cut => {
+            Event::Deliver { from, message } if !self.nodes[n].is_isolated => {
                 self.step(
                     n,
                     Input::Message {
@@ -442,7 +461,7 @@
                 );
             }
             Event::Deliver { .. } => {}
-            Event::Wrote {
+            Event::WriteCompleted {
                 ticket,
                 records,
                 rewrite,
@@ -456,10 +475,10 @@
                     },
                 );
             }
-            Event::Links => {
+            Event::ReportLinks => {
                 let member_info = self.nodes[n].member_info.clone();
                 for to in (0..self.nodes.len()).filter(|to| *to != n) {
-                    if !self.nodes[n].cut && !self.nodes[to].cut {
+                    if !self.nodes[n].is_isolated && !self.nodes[to].is_isolated {
                         self.step(
                             to,
                             Input::PeerReachable {
@@ -468,14 +487,14 @@
                         );
                     }
                 }
-                self.push(LINK_REPORT, n, Event::Links);
+                self.schedule(LINK_REPORT_INTERVAL, n, Event::ReportLinks);
             }
-            Event::End => self.kill(n),
+            Event::Exit => self.kill(n),
         }
     }
 
-    /// Lets the next event happen that is due until then.
-    fn next(&mut self, until: Duration) -> bool {
+    /// Handles the next event that is due by `until`; otherwise advances the time to `until` and returns false.
+    fn handle_next_event(&mut self, until: Duration) -> bool {
         let Some(((at, _), (n, incarnation, event))) = self.queue.pop_first() else {
             self.now = until;
             return false;
@@ -487,42 +506,44 @@
         }
         self.now = self.now.max(at);
         if self.nodes[n].incarnation == incarnation && self.nodes[n].member.is_some() {
-            self.steps += u64::from(event.is_step());
+            self.change_steps += u64::from(event.is_change_step());
             self.handle_event(n, event);
         }
         true
     }
 
-    pub fn run(&mut self, time: Duration) {
-        let until = self.now + time;
-        while self.next(until) {}
+    /// Runs for a span of simulated time.
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
+        while self.handle_next_event(until) {}
         self.now = until;
     }
 
-    /// Goes on until something holds; how long that took, or nothing where it didn't come within `limit`.
+    /// Runs until `holds` returns true and returns how long that took; `None` if it took longer than `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
         holds: impl Fn(&Self) -> bool,
     ) -> Option<Duration> {
-        let (from, until) = (self.now, self.now + limit);
+        let (started_at, until) = (self.now, self.now + limit);
         while !holds(self) {
-            if !self.next(until) {
+            if !self.handle_next_event(until) {
                 return None;
             }
         }
-        Some(self.now - from)
+        Some(self.now - started_at)
     }
 
-    /// Sends a call to a machine; its number.
-    pub fn call(&mut self, n: usize, command: Command) -> u64 {
-        self.tickets += 1;
-        let ticket = self.tickets;
+    /// Sends a caller's command to a machine and returns its ticket.
+    pub fn send_command(&mut self, n: usize, command: Command) -> u64 {
+        self.tickets_issued += 1;
+        let ticket = self.tickets_issued;
         self.step(n, Input::Command { ticket, command });
         ticket
     }
 
-    pub fn configure(base: u64, version: u64) -> Command {
+    /// A command that replaces the configuration of version `base` by one of version `version`.
+    pub fn configure_command(base: u64, version: u64) -> Command {
         let body = format!(
             r#"{{"version":{version},"routes":[{{"name":"r{version}","hostname":"h.example","path_prefix":"/","route_class":"pure","deadline_ms":1000,"service":"s"}}],"services":[{{"name":"s"}}],"limits":{{}}}}"#
         );
@@ -533,48 +554,57 @@
         }
     }
 
+    /// The result code of a command, if it was answered.
     pub fn answer(&self, ticket: u64) -> Option<ResultCode> {
-        self.answers.get(&ticket).map(|a| a.0)
+        self.answers.get(&ticket).map(|answer| answer.0)
     }
 
-    /// Has a configuration acknowledged by whoever takes it, made again where there is no clear answer; how long
-    /// that took.
+    /// Sends a configuration to one running member after the other until it is acknowledged; returns how long that
+    /// took. Panics after 20 s.
     pub fn apply_configuration(&mut self, base: u64, version: u64) -> Duration {
-        let from = self.now;
-        while self.now < from + ms(20_000) {
-            let up = (0..self.nodes.len())
-                .filter(|n| self.nodes[*n].member.is_some() && !self.nodes[*n].cut);
-            for n in up.collect::<Vec<_>>() {
-                let ticket = self.call(n, Self::configure(base, version));
+        let started_at = self.now;
+        while self.now < started_at + ms(20_000) {
+            let reachable = (0..self.nodes.len())
+                .filter(|n| self.nodes[*n].member.is_some() && !self.nodes[*n].is_isolated);
+            for n in reachable.collect::<Vec<_>>() {
+                let ticket = self.send_command(n, Self::configure_command(base, version));
                 self.run_until(ms(4000), |c| c.answers.contains_key(&ticket));
                 if self.answer(ticket) == Some(ResultCode::Ok) {
-                    return self.now - from;
+                    return self.now - started_at;
                 }
             }
             self.run(ms(20));
         }
-        panic!("version {version} isn't taken: {:?}", self.memberships());
+        panic!(
+            "version {version} isn't acknowledged: {:?}",
+            self.memberships()
+        );
     }
 
-    /// The version that the control plane tells.
+    /// Reads the configuration from the primary and returns its version; `None` without a primary or an answer.
     pub fn read_version(&mut self) -> Option<u64> {
         let n = self.primary()?;
-        let ticket = self.call(n, Command::Read { reserved: 0 });
+        let ticket = self.send_command(n, Command::Read { reserved: 0 });
         self.run_until(ms(4000), |c| c.answers.contains_key(&ticket))?;
         let (code, body) = &self.answers[&ticket];
-        let document = configuration::Configuration::read(body, 0)
+        let configuration = configuration::Configuration::read(body, 0)
             .ok()
             .filter(|_| *code == ResultCode::Ok)?;
-        Some(document.version)
+        Some(configuration.version)
     }
 
-    /// The memberships of all that run.
+    /// The memberships that the running members know.
     pub fn memberships(&self) -> Vec<SeenMembership> {
-        let ids =
-            |member_infos: &[MemberInfo]| member_infos.iter().map(|s| s.id).collect::<Vec<_>>();
-        let seen = |n: usize| {
+        let ids = |member_infos: &[MemberInfo]| {
+            member_infos
+                .iter()
+                .map(|member_info| member_info.id)
+                .collect::<Vec<_>>()
+        };
+        let seen_by = |n: usize| {
             let membership = self.membership(n);
-            let (voters, before) = (ids(&membership.voters), ids(&membership.previous_voters));
+            let (voters, previous_voters) =
+                (ids(&membership.voters), ids(&membership.previous_voters));
             let (id, is_primary, epoch) = (self.id(n), self.is_primary(n), membership.epoch);
             SeenMembership {
                 id,
@@ -582,12 +612,12 @@
                 epoch,
                 replicas: membership.replicas,
                 voters,
-                before,
+                previous_voters,
             }
         };
         (0..self.nodes.len())
             .filter(|n| self.nodes[*n].member.is_some())
-            .map(seen)
+            .map(seen_by)
             .collect()
     }
 }
