--- a/crates/control-plane/tests/long_absence.rs
+++ b/crates/control-plane/tests/long_absence.rs
@@ -72,7 +72,7 @@
     #[values(Role::Primary, Role::Replica, Role::Witness)] role: Role,
     #[values(0, 1)] lost: usize,
 ) {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let away = role.member(&cluster);
     leave(&mut cluster, away, absence);
     let newest = apply_changes(&mut cluster, 1, CHANGES);
@@ -99,7 +99,7 @@
     #[values(Absence::Stopped, Absence::Wiped)] absence: Absence,
     #[values(1, 3, 7, 13, 40, 150, 900)] moment_ms: u64,
 ) {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let away = Role::Replica.member(&cluster);
     let mut newest = 1;
     for _ in 0..12 {
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -14,7 +14,7 @@
 
 /// Three members of which all but one replica are lost; that replica.
 fn all_but_one_lost() -> (Cluster, usize) {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let left = cluster.replicas()[1];
     (0..3).for_each(|n| cluster.kill(n));
     (cluster, left)
@@ -124,7 +124,7 @@
 
 #[test]
 fn recovery_when_the_member_is_a_witness_then_refused() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
     let epoch = cluster.membership(witness).epoch;
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn replica_when_departing_then_waits_until_another_holds_the_state() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let (first, second, witness) = parts(&mut cluster);
     cluster.depart(second);
     assert!(
@@ -52,7 +52,7 @@
 
 #[test]
 fn primary_when_departing_then_waits_until_two_others_hold_the_state() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let (first, second, witness) = parts(&mut cluster);
     cluster.depart(first);
     let took = cluster
@@ -69,7 +69,7 @@
 /// The other replica and its disk are lost; the only one that holds the ledger is asked to end.
 #[test]
 fn last_replica_when_departing_then_waits_for_the_next() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let (first, second, _) = parts(&mut cluster);
     cluster.kill(second);
     cluster.depart(first);
@@ -88,7 +88,7 @@
 /// Where nobody comes for a while the last copy is put onto a witness before it goes.
 #[test]
 fn primary_when_it_cannot_hand_over_in_full_then_hands_over_to_whoever_is_there() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let (first, second, witness) = parts(&mut cluster);
     cluster.kill(second);
     cluster.depart(first);
@@ -103,7 +103,7 @@
 
 #[test]
 fn members_when_all_depart_then_they_end_soon() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     primary(&mut cluster);
     (0..3).for_each(|n| cluster.depart(n));
     let all = |c: &Cluster| (0..3).all(|n| c.may_exit(n));
@@ -123,7 +123,7 @@
 #[case::replica(1)]
 #[case::witness(2)]
 fn planned_replacement_when_a_loss_follows_then_it_is_borne(#[case] part: usize) {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     primary(&mut cluster);
     let new = cluster.add_machine("r/d");
     cluster
@@ -158,7 +158,7 @@
 /// The primary is lost right after its membership with a new voter has been agreed on, of which that voter was not told.
 #[test]
 fn voter_when_not_told_yet_then_it_may_promise() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let (first, second, witness) = parts(&mut cluster);
     cluster.kill(witness);
     cluster.run(ms(3500));
@@ -184,7 +184,7 @@
 /// Between the membership with both sets of voters and the one that settles it, the loss of any one must not stop all.
 #[test]
 fn change_of_voters_when_committed_then_stable_at_once() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     primary(&mut cluster);
     let new = cluster.add_machine("r/d");
     cluster
@@ -201,7 +201,7 @@
 /// One machine after the other is replaced, each time with a kill between.
 #[test]
 fn members_when_replaced_repeatedly_with_kills_between_then_requests_are_applied() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let mut alive = vec![0, 1, 2];
     for round in 0..6 {
         let first = primary(&mut cluster);
@@ -236,7 +236,7 @@
 #[case::replica(1)]
 #[case::witness(2)]
 fn wiped_machine_when_it_is_back_then_it_is_a_voter_in_time(#[case] part: usize) {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let (first, second, witness) = parts(&mut cluster);
     let wiped = [first, second, witness][part];
     cluster.kill(wiped);
@@ -252,7 +252,7 @@
 /// One that came while a voter was about to be missed joins once that voter is given up, however long that takes.
 #[test]
 fn member_when_it_came_too_early_then_it_joins_later() {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let (_, _, witness) = parts(&mut cluster);
     cluster.set_isolated(witness, true);
     cluster.run(ms(900));
--- a/crates/control-plane/tests/support/event_cluster.rs
+++ b/crates/control-plane/tests/support/event_cluster.rs
@@ -124,7 +124,7 @@
     }
 
     /// Starts three members in three zones with a budget of one lost machine, and has version 1 acknowledged.
-    pub fn of_three() -> Self {
+    pub fn with_three_members() -> Self {
         let mut cluster = Self::start(budget(1, 0, 0), &["r/a", "r/b", "r/c"]);
         cluster.apply_configuration(0, 1);
         cluster
