--- a/crates/control-plane/tests/partition.rs
+++ b/crates/control-plane/tests/partition.rs
@@ -1,65 +1,77 @@
-//! Members that are cut off, one way or both, or stand still for twenty seconds: what they take for proof, what they
-//! answer, and that the others go on. Simulated time; what a cut holds up comes when it ends.
+//! Members that are partitioned in one or both directions, or paused, for twenty seconds: what counts as proof of
+//! contact with the primary, how they answer requests, and that the majority keeps applying requests. Runs on simulated
+//! time; messages on a blocked link arrive when it is unblocked.
 
 mod support;
 
 use configuration::ResultCode;
 use rstest::rstest;
-use support::partition_cluster::{configuration, replace, PartitionCluster, ACK, CUT, READ};
+use support::partition_cluster::{
+    configuration, replace_command, PartitionCluster, ACK_TIMEOUT, PARTITION_DURATION, READ_COMMAND,
+};
 use support::{ms, LEASE};
 
 #[test]
 fn members_when_nothing_fails_then_all_have_a_recent_primary_contact() {
-    let mut core = PartitionCluster::started(3, 1);
+    let mut cluster = PartitionCluster::with_members(3, 1);
     for _ in 0..40 {
-        core.run(ms(53));
+        cluster.run(ms(53));
         for n in 0..3 {
-            assert!(core.age(n).expect("proof") < ms(600), "{:?}", core.age(n));
+            assert!(
+                cluster
+                    .contact_age(n)
+                    .expect("it has had contact with the primary")
+                    < ms(600),
+                "{:?}",
+                cluster.contact_age(n)
+            );
         }
     }
 }
 
-/// Renewals that lay in a buffer while the member stood still say nothing of now.
+/// Lease renewals that were buffered while a member was paused don't prove that it is in contact with the primary now.
 #[rstest]
 #[case::a_replica(false)]
 #[case::a_witness(true)]
-fn member_when_it_wakes_then_old_messages_are_no_primary_contact(#[case] witness: bool) {
-    let mut core = PartitionCluster::started(3, 1);
-    core.request_until_definite(&[0], replace(0, 5));
-    let (primary, replicas) = (core.primary(), core.replicas());
-    let sleeper = (0..3).find(|n| {
-        if witness {
+fn member_when_resumed_then_buffered_messages_are_no_primary_contact(#[case] is_witness: bool) {
+    let mut cluster = PartitionCluster::with_members(3, 1);
+    cluster.request_until_definite(&[0], replace_command(0, 5));
+    let (primary, replicas) = (cluster.primary(), cluster.replicas());
+    let paused = (0..3).find(|n| {
+        if is_witness {
             !replicas.contains(n)
         } else {
             replicas.contains(n) && *n != primary
         }
     });
-    let sleeper = sleeper.unwrap();
-    core.run(ms(1000));
-    core.nodes[sleeper].paused = true;
-    core.run(CUT);
-    let awake = core.others(&[sleeper]);
+    let paused = paused.unwrap();
+    cluster.run(ms(1000));
+    cluster.nodes[paused].is_paused = true;
+    cluster.run(PARTITION_DURATION);
+    let running = cluster.others(&[paused]);
     assert_eq!(
-        core.request_until_definite(&awake, replace(5, 7)).1,
+        cluster
+            .request_until_definite(&running, replace_command(5, 7))
+            .1,
         ResultCode::Ok
     );
-    core.resume(sleeper);
-    // Everything that waited is handed over at this one moment.
-    while core.step_next(sleeper) {
+    cluster.resume(paused);
+    // All buffered inputs are handled at the same simulated time.
+    while cluster.handle_next_input(paused) {
         assert!(
-            core.age(sleeper).unwrap() >= CUT,
-            "proof after {:?}",
-            core.age(sleeper)
+            cluster.contact_age(paused).unwrap() >= PARTITION_DURATION,
+            "a buffered message counted as contact: {:?}",
+            cluster.contact_age(paused)
         );
     }
-    core.run(ms(1000));
+    cluster.run(ms(1000));
     assert!(
-        core.age(sleeper).unwrap() < ms(600),
-        "then the primary proves it anew"
+        cluster.contact_age(paused).unwrap() < ms(600),
+        "new renewals prove contact again"
     );
-    let clock = core.clock(sleeper);
+    let clock = cluster.clock(paused);
     assert!(
-        core.nodes[sleeper]
+        cluster.nodes[paused]
             .member
             .primary_contact(clock)
             .unwrap()
@@ -69,34 +81,36 @@
 }
 
 #[test]
-fn primary_when_it_wakes_after_its_lease_then_it_confirms_and_tells_nothing() {
-    let mut core = PartitionCluster::started(3, 1);
-    core.request_until_definite(&[0], replace(0, 5));
-    let old = core.primary();
-    core.nodes[old].paused = true;
-    let awake = core.others(&[old]);
-    let (took, code) = core.request_until_definite(&awake, replace(5, 7));
+fn primary_when_resumed_after_its_lease_then_it_answers_nothing_from_its_old_state() {
+    let mut cluster = PartitionCluster::with_members(3, 1);
+    cluster.request_until_definite(&[0], replace_command(0, 5));
+    let old_primary = cluster.primary();
+    cluster.nodes[old_primary].is_paused = true;
+    let running = cluster.others(&[old_primary]);
+    let (took, code) = cluster.request_until_definite(&running, replace_command(5, 7));
     assert!(
-        code == ResultCode::Ok && took < ACK,
+        code == ResultCode::Ok && took < ACK_TIMEOUT,
         "{code:?} after {took:?}"
     );
-    core.run(CUT);
-    // They come first of all when it wakes.
-    let calls = [
-        core.call(old, READ),
-        core.call(old, replace(5, 6)),
-        core.call(old, replace(7, 9)),
+    cluster.run(PARTITION_DURATION);
+    // These commands are the first inputs that it handles when it resumes.
+    let tickets = [
+        cluster.send_command(old_primary, READ_COMMAND),
+        cluster.send_command(old_primary, replace_command(5, 6)),
+        cluster.send_command(old_primary, replace_command(7, 9)),
     ];
-    core.nodes[old].inbox.rotate_right(3);
-    core.resume(old);
-    // Before anything has reached it, too: its status is asked for by people.
-    assert!(!core.nodes[old].member.is_acting_primary_at(core.clock(old)));
-    core.step_next(old);
-    assert!(!core.nodes[old].member.is_acting_primary());
-    core.run(ACK);
-    let answers: Vec<(ResultCode, &[u8])> = calls
+    cluster.nodes[old_primary].inbox.rotate_right(3);
+    cluster.resume(old_primary);
+    // Its status page must not show it as primary even before it handles an input.
+    assert!(!cluster.nodes[old_primary]
+        .member
+        .is_acting_primary_at(cluster.clock(old_primary)));
+    cluster.handle_next_input(old_primary);
+    assert!(!cluster.nodes[old_primary].member.is_acting_primary());
+    cluster.run(ACK_TIMEOUT);
+    let answers: Vec<(ResultCode, &[u8])> = tickets
         .iter()
-        .map(|t| (core.answers[t].1, &*core.answers[t].2))
+        .map(|t| (cluster.answers[t].1, &*cluster.answers[t].2))
         .collect();
     assert_eq!(
         answers.iter().map(|a| a.0).collect::<Vec<_>>(),
@@ -104,11 +118,11 @@
     );
     assert!(
         answers[0].1 != configuration(5),
-        "an old configuration was read"
+        "the read returned an outdated configuration"
     );
 }
 
-/// Also two of five, and the primary among those that are cut off.
+/// One of three or two of five members are partitioned, the primary among them or not.
 #[rstest]
 #[case::the_primary(3, 1, true)]
 #[case::another(3, 1, false)]
@@ -119,14 +133,16 @@
     #[case] losses: u32,
     #[case] with_primary: bool,
 ) {
-    let mut core = PartitionCluster::started(members, losses);
+    let mut cluster = PartitionCluster::with_members(members, losses);
     assert_eq!(
-        core.request_until_definite(&[0], replace(0, 5)).1,
+        cluster
+            .request_until_definite(&[0], replace_command(0, 5))
+            .1,
         ResultCode::Ok
     );
-    let primary = core.primary();
-    let rest = core.others(&[primary]);
-    let lost: Vec<usize> = if with_primary {
+    let primary = cluster.primary();
+    let rest = cluster.others(&[primary]);
+    let partitioned: Vec<usize> = if with_primary {
         std::iter::once(primary)
             .chain(rest.iter().copied())
             .take(losses as usize)
@@ -134,206 +150,253 @@
     } else {
         rest.iter().copied().take(losses as usize).collect()
     };
-    core.cut_off(&lost);
-    let healthy = core.others(&lost);
-    let end = core.now + CUT;
-    // An order at the cut and others all the while, each sent to the healthy side.
+    cluster.partition(&partitioned);
+    let majority = cluster.others(&partitioned);
+    let end = cluster.now + PARTITION_DURATION;
+    // The majority is sent requests one after the other while the partition lasts.
     let mut version = 5;
-    while core.now < end {
-        let (took, code) = core.request_until_definite(&healthy, replace(version, version + 2));
+    while cluster.now < end {
+        let (took, code) =
+            cluster.request_until_definite(&majority, replace_command(version, version + 2));
         assert!(
-            code == ResultCode::Ok && took < ACK,
+            code == ResultCode::Ok && took < ACK_TIMEOUT,
             "{code:?} after {took:?}"
         );
         version += 2;
-        for n in &lost {
-            let since_cut = core.now + CUT - end;
-            assert!(!core.nodes[*n].member.is_acting_primary() || since_cut < LEASE);
-            let proved = core.age(*n);
+        for n in &partitioned {
+            let since_partition = cluster.now + PARTITION_DURATION - end;
+            assert!(!cluster.nodes[*n].member.is_acting_primary() || since_partition < LEASE);
+            let contact_age = cluster.contact_age(*n);
             assert!(
-                proved.is_some_and(|age| age + ms(500) >= since_cut.saturating_sub(LEASE)),
-                "{proved:?}"
+                contact_age
+                    .is_some_and(|age| age + ms(500) >= since_partition.saturating_sub(LEASE)),
+                "{contact_age:?}"
             );
         }
-        core.run(ms(900));
+        cluster.run(ms(900));
     }
-    // Cut off, it neither confirms nor refuses: it may not know what is in force.
-    let calls: Vec<u64> = lost
+    // A partitioned member may not know what is in force, so it neither confirms nor rejects.
+    let tickets: Vec<u64> = partitioned
         .iter()
-        .flat_map(|n| [READ, replace(5, 6), replace(version, 99)].map(|c| (*n, c)))
+        .flat_map(|n| {
+            [
+                READ_COMMAND,
+                replace_command(5, 6),
+                replace_command(version, 99),
+            ]
+            .map(|c| (*n, c))
+        })
         .collect::<Vec<_>>()
         .into_iter()
-        .map(|(n, c)| core.call(n, c))
+        .map(|(n, c)| cluster.send_command(n, c))
         .collect();
-    core.run(ACK);
-    for ticket in &calls {
-        let code = core.answers[ticket].1;
+    cluster.run(ACK_TIMEOUT);
+    for ticket in &tickets {
+        let code = cluster.answers[ticket].1;
         assert_eq!(code.status(), 503, "{code:?}");
     }
     assert!(
-        lost.iter().all(|n| core.nodes[*n].published_version <= 5),
-        "nothing that the others didn't agree on"
+        partitioned
+            .iter()
+            .all(|n| cluster.nodes[*n].published_version <= 5),
+        "a partitioned member published a version newer than the one before the partition"
     );
-    core.heal();
-    core.run(ms(3000));
+    cluster.heal();
+    cluster.run(ms(3000));
     for n in 0..members {
-        assert!(core.age(n).expect("proof") < ms(600));
-        assert_eq!(core.request(n, READ).2, configuration(version), "at {n}");
+        assert!(
+            cluster
+                .contact_age(n)
+                .expect("it has had contact with the primary")
+                < ms(600)
+        );
+        assert_eq!(
+            cluster.request(n, READ_COMMAND).2,
+            configuration(version),
+            "at {n}"
+        );
     }
 }
 
 #[rstest]
-#[case::it_hears_but_isn_t_heard(true)]
-#[case::it_is_heard_but_hears_nothing(false)]
+#[case::outbound_links_blocked(true)]
+#[case::inbound_links_blocked(false)]
 fn member_when_partitioned_one_way_then_its_contact_ages(
-    #[case] hears: bool,
-    #[values(false, true)] the_primary: bool,
+    #[case] outbound: bool,
+    #[values(false, true)] is_primary: bool,
 ) {
-    let mut core = PartitionCluster::started(3, 1);
+    let mut cluster = PartitionCluster::with_members(3, 1);
     assert_eq!(
-        core.request_until_definite(&[0], replace(0, 5)).1,
+        cluster
+            .request_until_definite(&[0], replace_command(0, 5))
+            .1,
         ResultCode::Ok
     );
-    let primary = core.primary();
-    let one = if the_primary {
+    let primary = cluster.primary();
+    let member = if is_primary {
         primary
     } else {
-        core.others(&[primary])[0]
+        cluster.others(&[primary])[0]
     };
-    for other in core.others(&[one]) {
-        if hears {
-            core.cut(one, other);
+    for other in cluster.others(&[member]) {
+        if outbound {
+            cluster.block_link(member, other);
         } else {
-            core.cut(other, one);
+            cluster.block_link(other, member);
         }
     }
-    let (healthy, cut_at) = (core.others(&[one]), core.now);
+    let (majority, partitioned_at) = (cluster.others(&[member]), cluster.now);
     for version in [5, 7, 9, 11, 13] {
-        let (took, code) = core.request_until_definite(&healthy, replace(version, version + 2));
+        let (took, code) =
+            cluster.request_until_definite(&majority, replace_command(version, version + 2));
         assert!(
-            code == ResultCode::Ok && took < ACK,
+            code == ResultCode::Ok && took < ACK_TIMEOUT,
             "{code:?} after {took:?}"
         );
-        core.run(ms(2500));
-        // What it hears still proves nothing once its own word isn't heard.
-        let since = (core.now - cut_at).saturating_sub(LEASE + ms(500));
+        cluster.run(ms(2500));
+        // Messages that still reach it prove no contact once its own replies don't get through.
+        let since = (cluster.now - partitioned_at).saturating_sub(LEASE + ms(500));
         assert!(
-            core.age(one).unwrap() >= since,
+            cluster.contact_age(member).unwrap() >= since,
             "{:?} after {since:?}",
-            core.age(one)
+            cluster.contact_age(member)
         );
     }
-    let read = core.request(one, READ);
+    let read = cluster.request(member, READ_COMMAND);
     assert!(read.1.status() == 503, "{:?}", read.1);
-    core.heal();
-    core.run(ms(3000));
-    assert!(core.age(one).unwrap() < ms(600));
-    assert_eq!(core.request(one, READ).2, configuration(15));
+    cluster.heal();
+    cluster.run(ms(3000));
+    assert!(cluster.contact_age(member).unwrap() < ms(600));
+    assert_eq!(cluster.request(member, READ_COMMAND).2, configuration(15));
 }
 
-/// It shows what its disk knows to be acknowledged, and says that nobody has confirmed it.
+/// A restarted member publishes the state that its log records as committed, and reports no contact with a primary.
 #[rstest]
-#[case::alone(1)]
-#[case::again_and_again(4)]
-fn member_when_restarted_while_partitioned_then_its_state_is_unconfirmed(#[case] times: usize) {
-    let mut core = PartitionCluster::started(3, 1);
+#[case::once(1)]
+#[case::four_times(4)]
+fn member_when_restarted_while_partitioned_then_its_state_is_unconfirmed(#[case] restarts: usize) {
+    let mut cluster = PartitionCluster::with_members(3, 1);
     assert_eq!(
-        core.request_until_definite(&[0], replace(0, 5)).1,
+        cluster
+            .request_until_definite(&[0], replace_command(0, 5))
+            .1,
         ResultCode::Ok
     );
-    core.run(ms(1000));
-    let primary = core.primary();
-    let one = core.replicas().into_iter().find(|n| *n != primary).unwrap();
-    core.cut_off(&[one]);
-    let healthy = core.others(&[one]);
-    for _ in 0..times {
-        core.restart(one);
-        core.run(CUT / times as u32);
+    cluster.run(ms(1000));
+    let primary = cluster.primary();
+    let member = cluster
+        .replicas()
+        .into_iter()
+        .find(|n| *n != primary)
+        .unwrap();
+    cluster.partition(&[member]);
+    let majority = cluster.others(&[member]);
+    for _ in 0..restarts {
+        cluster.restart(member);
+        cluster.run(PARTITION_DURATION / restarts as u32);
         assert_eq!(
-            (core.nodes[one].published_version, core.age(one)),
+            (
+                cluster.nodes[member].published_version,
+                cluster.contact_age(member)
+            ),
             (5, None)
         );
     }
     assert_eq!(
-        core.request_until_definite(&healthy, replace(5, 7)).1,
+        cluster
+            .request_until_definite(&majority, replace_command(5, 7))
+            .1,
         ResultCode::Ok
     );
-    assert_eq!(core.request(one, READ).1, ResultCode::NoPrimary);
-    // What was under way to an earlier incarnation comes now.
-    core.heal();
-    core.step_next(one);
-    assert_eq!(core.age(one), None);
-    core.run(ms(3000));
-    assert!(core.age(one).unwrap() < ms(600));
-    assert_eq!(core.request(one, READ).2, configuration(7));
+    assert_eq!(
+        cluster.request(member, READ_COMMAND).1,
+        ResultCode::NoPrimary
+    );
+    // Messages that were sent to an earlier incarnation arrive now.
+    cluster.heal();
+    cluster.handle_next_input(member);
+    assert_eq!(cluster.contact_age(member), None);
+    cluster.run(ms(3000));
+    assert!(cluster.contact_age(member).unwrap() < ms(600));
+    assert_eq!(cluster.request(member, READ_COMMAND).2, configuration(7));
 }
 
-/// Those cut off are restarted, then the others.
+/// The partitioned member is restarted first, then the others.
 #[test]
 fn members_when_all_restart_during_a_partition_then_the_majority_goes_on() {
-    let mut core = PartitionCluster::started(3, 1);
+    let mut cluster = PartitionCluster::with_members(3, 1);
     assert_eq!(
-        core.request_until_definite(&[0], replace(0, 5)).1,
+        cluster
+            .request_until_definite(&[0], replace_command(0, 5))
+            .1,
         ResultCode::Ok
     );
-    let one = core.primary();
-    core.cut_off(&[one]);
-    let healthy = core.others(&[one]);
+    let member = cluster.primary();
+    cluster.partition(&[member]);
+    let majority = cluster.others(&[member]);
     assert_eq!(
-        core.request_until_definite(&healthy, replace(5, 7)).1,
+        cluster
+            .request_until_definite(&majority, replace_command(5, 7))
+            .1,
         ResultCode::Ok
     );
-    core.restart(one);
-    core.run(ms(5000));
-    healthy.iter().for_each(|n| core.restart(*n));
-    let (took, code) = core.request_until_definite(&healthy, replace(7, 9));
+    cluster.restart(member);
+    cluster.run(ms(5000));
+    majority.iter().for_each(|n| cluster.restart(*n));
+    let (took, code) = cluster.request_until_definite(&majority, replace_command(7, 9));
     assert!(
-        code == ResultCode::Ok && took < ACK,
+        code == ResultCode::Ok && took < ACK_TIMEOUT,
         "{code:?} after {took:?}"
     );
-    core.run(CUT);
+    cluster.run(PARTITION_DURATION);
     assert_eq!(
-        (core.nodes[one].published_version, core.age(one)),
+        (
+            cluster.nodes[member].published_version,
+            cluster.contact_age(member)
+        ),
         (5, None)
     );
-    core.heal();
-    core.run(ms(3000));
-    assert_eq!(core.request(one, READ).2, configuration(9));
+    cluster.heal();
+    cluster.run(ms(3000));
+    assert_eq!(cluster.request(member, READ_COMMAND).2, configuration(9));
 }
 
-/// Its copy follows the order, but nobody grants the lease any more: the answer waits, and is no false yes.
+/// The primary is partitioned while a request is being replicated. Even if a replica stored the change, the primary
+/// doesn't confirm it without a lease, because the other side may have elected a new primary.
 #[test]
-fn request_when_in_flight_at_the_partition_then_it_gets_no_false_answer() {
-    for after in 0..12 {
-        let mut core = PartitionCluster::started(3, 1);
+fn request_when_in_flight_at_the_partition_then_its_answer_is_not_wrong() {
+    for partition_after_ms in 0..12 {
+        let mut cluster = PartitionCluster::with_members(3, 1);
         assert_eq!(
-            core.request_until_definite(&[0], replace(0, 5)).1,
+            cluster
+                .request_until_definite(&[0], replace_command(0, 5))
+                .1,
             ResultCode::Ok
         );
-        let old = core.primary();
-        let ticket = core.call(old, replace(5, 7));
-        core.run(ms(after));
-        core.cut_off(&[old]);
-        core.run(ACK);
-        let first = core.answers[&ticket].1;
+        let old_primary = cluster.primary();
+        let ticket = cluster.send_command(old_primary, replace_command(5, 7));
+        cluster.run(ms(partition_after_ms));
+        cluster.partition(&[old_primary]);
+        cluster.run(ACK_TIMEOUT);
+        let first_code = cluster.answers[&ticket].1;
         assert!(
             matches!(
-                first,
+                first_code,
                 ResultCode::Ok | ResultCode::Unclear | ResultCode::NoPrimary
             ),
-            "{first:?}"
+            "{first_code:?}"
         );
-        // The same again on the other side is taken whether it got there before or not.
-        let healthy = core.others(&[old]);
-        let (took, code) = core.request_until_definite(&healthy, replace(5, 7));
+        // The majority confirms the repeated request whether it had received it before or not.
+        let majority = cluster.others(&[old_primary]);
+        let (took, code) = cluster.request_until_definite(&majority, replace_command(5, 7));
         assert!(
-            code == ResultCode::Ok && took < ACK,
+            code == ResultCode::Ok && took < ACK_TIMEOUT,
             "{code:?} after {took:?}"
         );
-        core.heal();
-        core.run(ms(3000));
+        cluster.heal();
+        cluster.run(ms(3000));
         for n in 0..3 {
-            assert_eq!(core.request(n, READ).2, configuration(7));
+            assert_eq!(cluster.request(n, READ_COMMAND).2, configuration(7));
         }
     }
 }
--- a/crates/control-plane/tests/support/partition_cluster.rs
+++ b/crates/control-plane/tests/support/partition_cluster.rs
@@ -1,5 +1,5 @@
-//! A core on simulated time whose members are cut off, one way or both, or stand still: what a cut holds up comes when
-//! it ends. Each member counts by a clock of its own, which may run fast or slow.
+//! A cluster of members on simulated time whose links can be blocked in one or both directions and whose members can be
+//! paused. Messages on a blocked link are delayed until it is unblocked. Each member has its own clock, which may drift.
 
 use super::{member_config, ms, LEASE};
 use configuration::{FaultBudget, ResultCode};
@@ -8,18 +8,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The longest that an order may wait (`ack_ms` of the deployments).
-pub const ACK: Duration = Duration::from_millis(4000);
-pub const CUT: Duration = Duration::from_secs(20);
+/// Longest time to an answer of a request (`ack_ms` of the deployments).
+pub const ACK_TIMEOUT: Duration = Duration::from_millis(4000);
+/// How long a partition lasts in most tests.
+pub const PARTITION_DURATION: Duration = Duration::from_secs(20);
 
-/// Time between two reports of a link that its member is there.
-const LINK_REPORT: Duration = Duration::from_millis(1000);
-/// The voters of epoch 0 where members stand in zones: as many as there are seeds.
-const SEEDS: usize = 3;
-/// Parts of a second in a million, by which clocks drift.
-const MILLION: i64 = 1_000_000;
+/// Time between two reports of a link that its peer is reachable.
+const LINK_REPORT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Number of initial voters of a cluster that is spread over zones and regions.
+const SEED_COUNT: usize = 3;
+/// Number of parts in a whole, in which clock drift is measured.
+const PARTS_PER_MILLION: i64 = 1_000_000;
 
-/// The member of a number in a place, `region/zone`.
+/// Identity and addresses of member `n` in the place `region/zone`.
 fn member_info(n: usize, place: &str) -> MemberInfo {
     let addr = Addr {
         ip: n as u32 + 1,
@@ -36,6 +37,7 @@
     }
 }
 
+/// A configuration of this version, as JSON.
 pub fn configuration(version: u64) -> Vec<u8> {
     format!(
         r#"{{"version":{version},"routes":[{{"name":"r","hostname":"h","path_prefix":"/","route_class":"pure",
@@ -44,7 +46,8 @@
     .into_bytes()
 }
 
-pub fn replace(base: u64, version: u64) -> Command {
+/// A command that replaces the configuration of version `base` by one of version `version`.
+pub fn replace_command(base: u64, version: u64) -> Command {
     Command::Configure {
         base,
         amend: false,
@@ -52,13 +55,14 @@
     }
 }
 
-pub const READ: Command = Command::Read { reserved: 0 };
+pub const READ_COMMAND: Command = Command::Read { reserved: 0 };
 
-/// What waits for a member.
+/// An input that a member hasn't handled yet.
 #[derive(Debug)]
-pub struct Waiting {
-    at: Duration,
-    /// Whose message it is; none for what comes from its own disk or callers.
+pub struct PendingInput {
+    /// Simulated time at which the input may be handled.
+    due_at: Duration,
+    /// The sender of a message; `None` for inputs from the member's own disk and callers.
     from: Option<usize>,
     input: Input,
 }
@@ -66,147 +70,154 @@
 pub struct Node {
     pub member: Member,
     pub records: Vec<Vec<u8>>,
-    pub inbox: VecDeque<Waiting>,
-    /// By its own clock.
-    pub wake: Duration,
-    pub paused: bool,
+    pub inbox: VecDeque<PendingInput>,
+    /// Next wake-up, by the member's own clock.
+    pub wake_at: Duration,
+    pub is_paused: bool,
     pub published_version: u64,
-    /// How much faster than true time its clock runs, in millionths, and since when.
+    /// How much faster than true time the member's clock runs, in parts per million.
     drift_ppm: i64,
-    drifts_since: Duration,
-    /// What its clock showed then.
-    clock_then: Duration,
+    /// True time since which the clock has had this drift.
+    drift_since: Duration,
+    /// Time that the clock showed at `drift_since`.
+    clock_at_drift_start: Duration,
 }
 
-/// A core on simulated time. A message takes 1 ms, a write 2 ms.
+/// A cluster of members on simulated time. A message takes 1 ms, a write 2 ms.
 pub struct PartitionCluster {
     pub now: Duration,
     pub nodes: Vec<Node>,
-    budget: FaultBudget,
+    fault_budget: FaultBudget,
     pub member_infos: Vec<MemberInfo>,
     initial_voters: usize,
-    /// From whom to whom nothing comes through for now.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// Sender and receiver of each blocked link.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    /// Time, result code and body of each answer, by ticket.
     pub answers: BTreeMap<u64, (Duration, ResultCode, Vec<u8>)>,
-    pub tickets: u64,
+    pub tickets_issued: u64,
 }
 
 impl PartitionCluster {
-    /// One whose members have agreed on a primary: all are voters from the start, each in a zone of its own.
-    pub fn started(members: usize, losses: u32) -> Self {
+    /// Starts a cluster and runs it until it has a primary. All members are initial voters, each in its own zone.
+    pub fn with_members(members: usize, machine_losses: u32) -> Self {
         let places: Vec<String> = (0..members).map(|n| format!("r/zone-{n}")).collect();
         let places: Vec<&str> = places.iter().map(String::as_str).collect();
         let budget = FaultBudget {
-            machine_losses: losses,
+            machine_losses,
             ..FaultBudget::default()
         };
-        Self::begun(budget, &places, members)
+        Self::start(budget, &places, members)
     }
 
-    /// One in these places (`region/zone`): the seeds are voters from the start, the others have joined where the
-    /// budget asks for more.
+    /// Starts a cluster in these places (`region/zone`) and runs it until its membership is settled. The first
+    /// [`SEED_COUNT`] members are the initial voters; others have joined if the budget requires more voters.
     pub fn in_places(budget: FaultBudget, places: &[&str]) -> Self {
-        let mut core = Self::begun(budget, places, SEEDS);
-        core.run(ms(5000));
-        core
+        let mut cluster = Self::start(budget, places, SEED_COUNT);
+        cluster.run(ms(5000));
+        cluster
     }
 
-    fn begun(budget: FaultBudget, places: &[&str], initial_voters: usize) -> Self {
-        let mut core = Self {
+    fn start(budget: FaultBudget, places: &[&str], initial_voters: usize) -> Self {
+        let mut cluster = Self {
             now: ms(0),
             nodes: vec![],
-            budget,
+            fault_budget: budget,
             member_infos: places
                 .iter()
                 .enumerate()
                 .map(|(n, place)| member_info(n, place))
                 .collect(),
             initial_voters,
-            cut: [].into(),
+            blocked_links: [].into(),
             answers: [].into(),
-            tickets: 0,
+            tickets_issued: 0,
         };
         for n in 0..places.len() {
-            let node = core.node(n, vec![]);
-            core.nodes.push(node);
+            let node = cluster.create_node(n, vec![]);
+            cluster.nodes.push(node);
         }
-        core.run(ms(3000));
-        core
+        cluster.run(ms(3000));
+        cluster
     }
 
-    fn node(&self, n: usize, records: Vec<Vec<u8>>) -> Node {
+    fn create_node(&self, n: usize, records: Vec<Vec<u8>>) -> Node {
         let voters = self.member_infos[..self.initial_voters].to_vec();
-        let initial = n < self.initial_voters && records.is_empty();
+        let is_initial_voter = n < self.initial_voters && records.is_empty();
         let config = member_config(
             self.member_infos[n].clone(),
-            Some(voters).filter(|_| initial),
-            self.budget,
+            Some(voters).filter(|_| is_initial_voter),
+            self.fault_budget,
         );
         let random = self.now.as_millis() as u64 * 16 + n as u64;
         Node {
             member: Member::new(config, &records, ms(0), random),
             records,
             inbox: VecDeque::new(),
-            wake: ms(0),
-            paused: false,
+            wake_at: ms(0),
+            is_paused: false,
             published_version: 0,
             drift_ppm: 0,
-            drifts_since: self.now,
-            clock_then: ms(0),
+            drift_since: self.now,
+            clock_at_drift_start: ms(0),
         }
     }
 
-    /// The time by a member's own clock, which counts from its start.
+    /// The time by a member's own clock, which starts at 0 with its process.
     pub fn clock(&self, n: usize) -> Duration {
         let node = &self.nodes[n];
-        let passed = (self.now - node.drifts_since).as_micros() as i64;
-        node.clock_then + Duration::from_micros((passed + passed * node.drift_ppm / MILLION) as u64)
+        let elapsed_us = (self.now - node.drift_since).as_micros() as i64;
+        node.clock_at_drift_start
+            + Duration::from_micros(
+                (elapsed_us + elapsed_us * node.drift_ppm / PARTS_PER_MILLION) as u64,
+            )
     }
 
-    /// From now on a member's clock runs so much faster than true time.
+    /// Sets by how many parts per million a member's clock runs faster than true time from now on.
     pub fn set_drift(&mut self, n: usize, drift_ppm: i64) {
-        let (now, clock_then) = (self.now, self.clock(n));
+        let (now, clock_at_drift_start) = (self.now, self.clock(n));
         let node = &mut self.nodes[n];
-        (node.drift_ppm, node.drifts_since, node.clock_then) = (drift_ppm, now, clock_then);
+        (node.drift_ppm, node.drift_since, node.clock_at_drift_start) =
+            (drift_ppm, now, clock_at_drift_start);
     }
 
-    /// The process is killed and starts again from its disk.
+    /// Kills a member's process and restarts it from its stored records.
     pub fn restart(&mut self, n: usize) {
         let records = std::mem::take(&mut self.nodes[n].records);
         let drift_ppm = self.nodes[n].drift_ppm;
         self.nodes[n] = Node {
             drift_ppm,
-            ..self.node(n, records)
+            ..self.create_node(n, records)
         };
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cut.insert((from, to));
+    pub fn block_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert((from, to));
     }
 
-    /// Nobody in `side` hears or is heard by the others.
-    pub fn cut_off(&mut self, side: &[usize]) {
+    /// Blocks all links between the members in `side` and the others, in both directions.
+    pub fn partition(&mut self, side: &[usize]) {
         for a in 0..self.nodes.len() {
             for b in side.iter().copied().filter(|_| !side.contains(&a)) {
-                self.cut.extend([(a, b), (b, a)]);
+                self.blocked_links.extend([(a, b), (b, a)]);
             }
         }
     }
 
-    /// Nothing that those in `side` say reaches the others (`out`), or nothing that these say reaches them.
-    pub fn cut_one_way(&mut self, side: &[usize], out: bool) {
+    /// Blocks the links from the members in `side` to the others if `outbound`, otherwise the links in the other
+    /// direction.
+    pub fn partition_one_way(&mut self, side: &[usize], outbound: bool) {
         for other in self.others(side) {
-            for one in side.iter().copied() {
-                if out {
-                    self.cut(one, other);
+            for member in side.iter().copied() {
+                if outbound {
+                    self.block_link(member, other);
                 } else {
-                    self.cut(other, one);
+                    self.block_link(other, member);
                 }
             }
         }
     }
 
-    /// Members in a place: a zone, or a region with all its zones.
+    /// Members in a zone, or in any zone of a region.
     pub fn members_in(&self, place: &str) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|n| {
@@ -215,18 +226,21 @@
             .collect()
     }
 
+    /// Unblocks all links.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked_links.clear();
     }
 
+    /// The acting primary; the one with the latest epoch if a deposed one hasn't noticed yet.
     pub fn primary(&self) -> usize {
         let acting = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].member.is_acting_primary() && !self.nodes[*n].paused);
+            .filter(|n| self.nodes[*n].member.is_acting_primary() && !self.nodes[*n].is_paused);
         acting
             .max_by_key(|n| self.nodes[*n].member.promised_epoch())
-            .expect("one acts")
+            .expect("a running member is the acting primary")
     }
 
+    /// The replicas of the primary's membership.
     pub fn replicas(&self) -> Vec<usize> {
         let membership = self.nodes[self.primary()].member.membership().unwrap();
         (0..self.nodes.len())
@@ -242,91 +256,102 @@
             .collect()
     }
 
-    pub fn others(&self, than: &[usize]) -> Vec<usize> {
+    /// All members that aren't in `excluded`.
+    pub fn others(&self, excluded: &[usize]) -> Vec<usize> {
         (0..self.nodes.len())
-            .filter(|n| !than.contains(n))
+            .filter(|n| !excluded.contains(n))
             .collect()
     }
 
-    /// The time since the latest primary contact; `None` before the first one of its incarnation.
-    pub fn age(&self, n: usize) -> Option<Duration> {
+    /// Time since a member's latest proven contact with a primary; `None` before the first one of its incarnation.
+    pub fn contact_age(&self, n: usize) -> Option<Duration> {
         let clock = self.clock(n);
         self.nodes[n]
             .member
             .primary_contact(clock)
-            .map(|proof| clock - proof.at)
+            .map(|contact| clock - contact.at)
     }
 
-    pub fn call(&mut self, n: usize, command: Command) -> u64 {
-        self.tickets += 1;
+    /// Queues a caller's command at a member and returns its ticket.
+    pub fn send_command(&mut self, n: usize, command: Command) -> u64 {
+        self.tickets_issued += 1;
         let input = Input::Command {
-            ticket: self.tickets,
+            ticket: self.tickets_issued,
             command,
         };
-        self.nodes[n].inbox.push_back(Waiting {
-            at: self.now,
+        self.nodes[n].inbox.push_back(PendingInput {
+            due_at: self.now,
             from: None,
             input,
         });
-        self.tickets
+        self.tickets_issued
     }
 
-    /// Calls and waits for the answer, for [`ACK`] at most: how long it took, its code and its body.
+    /// Sends a command and runs until it is answered. Returns the time that it took, the result code and the body; panics
+    /// after [`ACK_TIMEOUT`].
     pub fn request(&mut self, n: usize, command: Command) -> (Duration, ResultCode, Vec<u8>) {
-        let (since, ticket) = (self.now, self.call(n, command));
-        while self.now < since + ACK {
+        let (sent_at, ticket) = (self.now, self.send_command(n, command));
+        while self.now < sent_at + ACK_TIMEOUT {
             self.run(ms(1));
             if let Some((at, code, body)) = self.answers.get(&ticket) {
-                return (*at - since, *code, body.clone());
+                return (*at - sent_at, *code, body.clone());
             }
         }
-        panic!("no answer from {n} in {ACK:?}");
+        panic!("no answer from {n} in {ACK_TIMEOUT:?}");
     }
 
-    /// As the operator: sends the same again, to one member after the other, until it gets a clear answer.
+    /// Sends a command to the members `to` in turn until one gives a definite answer, as an operator does. Returns the
+    /// time that it took and the result code; panics after two [`ACK_TIMEOUT`]s.
     pub fn request_until_definite(
         &mut self,
         to: &[usize],
         command: Command,
     ) -> (Duration, ResultCode) {
-        let since = self.now;
+        let started_at = self.now;
         for n in to.iter().cycle() {
             let (_, code, _) = self.request(*n, command.clone());
             if code.status() < 500 {
-                return (self.now - since, code);
+                return (self.now - started_at, code);
             }
-            assert!(self.now < since + 2 * ACK, "no clear answer");
+            assert!(
+                self.now < started_at + 2 * ACK_TIMEOUT,
+                "no definite answer"
+            );
         }
         unreachable!()
     }
 
-    pub fn run(&mut self, long: Duration) {
-        let end = self.now + long;
+    /// Runs for a span of simulated time.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         loop {
             for n in 0..self.nodes.len() {
-                while self.step_next(n) {}
+                while self.handle_next_input(n) {}
             }
             if self.now >= end {
                 return;
             }
             self.now += ms(1);
-            if (self.now.as_millis() as u64).is_multiple_of(LINK_REPORT.as_millis() as u64) {
+            if (self.now.as_millis() as u64).is_multiple_of(LINK_REPORT_INTERVAL.as_millis() as u64)
+            {
                 self.report_links();
             }
         }
     }
 
-    /// Links tell both sides who is there.
+    /// Reports the running peers to both ends of each link that isn't blocked.
     fn report_links(&mut self) {
-        let many = self.nodes.len();
-        for (a, b) in (0..many).flat_map(|a| (0..many).map(move |b| (a, b))) {
-            let up = a != b && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a));
-            if up && !self.nodes[a].paused {
+        let count = self.nodes.len();
+        for (a, b) in (0..count).flat_map(|a| (0..count).map(move |b| (a, b))) {
+            let is_link_up = a != b
+                && !self.blocked_links.contains(&(a, b))
+                && !self.blocked_links.contains(&(b, a));
+            if is_link_up && !self.nodes[a].is_paused {
                 let input = Input::PeerReachable {
                     member: self.member_infos[a].clone(),
                 };
-                self.nodes[b].inbox.push_back(Waiting {
-                    at: self.now + ms(1),
+                self.nodes[b].inbox.push_back(PendingInput {
+                    due_at: self.now + ms(1),
                     from: Some(a),
                     input,
                 });
@@ -334,35 +359,45 @@
         }
     }
 
-    /// One input of a member; false where nothing is due.
-    pub fn step_next(&mut self, n: usize) -> bool {
-        let (now, clock, cut, node) = (self.now, self.clock(n), &self.cut, &mut self.nodes[n]);
-        if node.paused {
+    /// Handles a member's next input; returns false if none is due.
+    pub fn handle_next_input(&mut self, n: usize) -> bool {
+        let (now, clock, blocked_links, node) = (
+            self.now,
+            self.clock(n),
+            &self.blocked_links,
+            &mut self.nodes[n],
+        );
+        if node.is_paused {
             return false;
         }
-        let due = |w: &Waiting| w.at <= now && w.from.is_none_or(|from| !cut.contains(&(from, n)));
+        let is_due = |pending: &PendingInput| {
+            pending.due_at <= now
+                && pending
+                    .from
+                    .is_none_or(|from| !blocked_links.contains(&(from, n)))
+        };
         let input = match node
             .inbox
             .iter()
-            .position(due)
+            .position(is_due)
             .and_then(|i| node.inbox.remove(i))
         {
-            Some(waiting) => waiting.input,
-            None if node.wake <= clock => Input::Tick,
+            Some(pending) => pending.input,
+            None if node.wake_at <= clock => Input::Tick,
             None => return false,
         };
-        node.wake = clock + LEASE;
-        let mut out = Vec::new();
-        node.member.step(clock, input, &mut out);
-        for output in out {
+        node.wake_at = clock + LEASE;
+        let mut outputs = Vec::new();
+        node.member.step(clock, input, &mut outputs);
+        for output in outputs {
             self.handle_output(n, output);
         }
-        self.check_one_acts();
+        self.assert_at_most_one_primary();
         true
     }
 
-    /// No two act at once, whoever stands still.
-    fn check_one_acts(&self) {
+    /// Asserts that at most one member is the acting primary by its own clock, paused members included.
+    fn assert_at_most_one_primary(&self) {
         let acting: Vec<usize> = (0..self.nodes.len())
             .filter(|n| self.nodes[*n].member.is_acting_primary_at(self.clock(*n)))
             .collect();
@@ -378,8 +413,8 @@
                     from: self.member_infos[n].clone(),
                     message,
                 };
-                self.nodes[to].inbox.push_back(Waiting {
-                    at: now + ms(1),
+                self.nodes[to].inbox.push_back(PendingInput {
+                    due_at: now + ms(1),
                     from: Some(n),
                     input,
                 });
@@ -398,8 +433,8 @@
                     ticket,
                     result: Ok(()),
                 };
-                node.inbox.push_back(Waiting {
-                    at: now + ms(2),
+                node.inbox.push_back(PendingInput {
+                    due_at: now + ms(2),
                     from: None,
                     input,
                 });
@@ -407,19 +442,20 @@
             Output::Answer { ticket, code, body } => {
                 assert!(
                     self.answers.insert(ticket, (now, code, body)).is_none(),
-                    "answered once"
+                    "a command is answered only once"
                 );
             }
             Output::PublishState { configuration, .. }
             | Output::RestoreState { configuration, .. } => {
                 self.nodes[n].published_version = configuration.version;
             }
-            Output::Wake { at } => self.nodes[n].wake = at,
+            Output::Wake { at } => self.nodes[n].wake_at = at,
             Output::DepartureComplete => {}
         }
     }
 
+    /// Ends a member's pause; inputs that arrived meanwhile are still queued.
     pub fn resume(&mut self, n: usize) {
-        self.nodes[n].paused = false;
+        self.nodes[n].is_paused = false;
     }
 }
