--- a/crates/control-plane/tests/second_loss_sweep/events.rs
+++ b/crates/control-plane/tests/second_loss_sweep/events.rs
@@ -1,145 +1,149 @@
-//! Changes of the control plane, what strikes in the middle of them, and the sites where that happens.
+//! The changes during which a second fault is injected, the faults, and the layouts of members.
 
 use configuration::FaultBudget;
 use std::collections::BTreeSet;
 
-/// What goes on when the second loss strikes.
+/// What is in progress when the second fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// A machine comes beside the others.
+    /// A machine is added.
     Join,
-    /// A machine comes, and once it has caught up another one goes for good, as planned.
+    /// A machine is added and, once it has caught up, another one departs for good.
     Replace,
-    /// A machine goes for good, as planned.
+    /// A machine departs for good.
     Remove,
-    /// Two machines go for good at once, as planned.
+    /// Two machines depart for good at the same time.
     RemoveTwo,
-    /// A machine's process ends as planned and starts again.
+    /// A machine's process is terminated and restarted.
     Restart,
-    /// A machine's process dies and starts again.
-    Die,
-    /// A machine loses its disk and is back at its address.
+    /// A machine's process is killed and restarted.
+    Kill,
+    /// A machine loses its disk and restarts at the same address.
     Wipe,
-    /// A machine is lost for good; an empty one comes at another address.
+    /// A machine is lost for good; an empty one starts at another address.
     Lose,
-    /// A machine is cut off from the others for some seconds.
-    CutOff,
+    /// A machine is isolated from the others for some seconds.
+    Isolate,
     /// A machine's disk is slow for some seconds.
     SlowDisk,
-    /// All members but one replica are lost for good; the operator goes on from that one, and empty machines come.
+    /// All members but one replica are lost for good; the operator recovers from that one, and empty machines start.
     Recover,
 }
 
 impl Change {
-    /// Whether a site bears a strike while it goes on.
-    pub fn allows(self, strike: Strike, site: &Site) -> bool {
-        // After a recovery no disk may be lost until the others have joined.
-        let is_borne_by_any = strike.losses() == 0;
-        let is_in_budget = self.losses() + strike.losses() <= site.allowed_losses();
-        is_borne_by_any || (self != Change::Recover && is_in_budget)
+    /// Whether the fault budget of a layout allows a fault during this change.
+    pub fn allows(self, fault: Fault, layout: &Layout) -> bool {
+        // After a recovery no disk may be lost until other members have joined.
+        let is_no_loss = fault.losses() == 0;
+        let is_within_budget = self.losses() + fault.losses() <= layout.allowed_losses();
+        is_no_loss || (self != Change::Recover && is_within_budget)
     }
 
-    /// Machines, zones or regions that count as lost while it goes on.
+    /// Number of machines, zones or regions that count as lost while the change is in progress.
     fn losses(self) -> usize {
         match self {
             Change::Join | Change::Replace | Change::Remove | Change::RemoveTwo => 0,
             Change::Recover => 0,
-            Change::Restart | Change::Die | Change::Wipe | Change::Lose => 1,
-            Change::CutOff | Change::SlowDisk => 1,
+            Change::Restart | Change::Kill | Change::Wipe | Change::Lose => 1,
+            Change::Isolate | Change::SlowDisk => 1,
         }
     }
 }
 
-/// What strikes in the middle of it: all machines that are lost together, or all there are.
+/// A fault that is injected during a change: at the machines of one failure domain, or at all machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Strike {
-    /// They die and start again.
-    Die,
-    /// They die with what they are writing on disk, and start again.
-    DieWriting,
-    /// They are lost for good; empty ones come at other addresses.
+pub enum Fault {
+    /// The machines are killed and restarted.
+    Kill,
+    /// They are killed after their unfinished writes have reached the disk, and restarted.
+    KillAfterWrites,
+    /// They are lost for good; empty ones start at other addresses.
     Lose,
-    /// They lose their disks and are back at their addresses.
+    /// They lose their disks and restart at the same addresses.
     Wipe,
-    /// They die with a part of what they are writing on disk, and start again.
-    DieTorn,
-    /// They are cut off from the others for a second.
-    CutOff,
+    /// They are killed with half of their last write on disk, and restarted.
+    KillDuringWrite,
+    /// They are isolated from the others for a second.
+    Isolate,
     /// Their disks are slow for a second.
     SlowDisk,
-    /// All die and start again, but for these, which are lost for good.
-    AllDieSomeLost,
-    /// All die and start again.
-    AllDie,
-    /// All die with what they are writing on disk, and start again.
-    AllDieWriting,
-    /// All die with a part of what they are writing on disk, and start again.
-    AllDieTorn,
+    /// All machines are killed. Those of the failure domain are lost for good, the others are restarted.
+    KillAllLoseSome,
+    /// All machines are killed and restarted.
+    KillAll,
+    /// All machines are killed after their unfinished writes have reached the disk, and restarted.
+    KillAllAfterWrites,
+    /// All machines are killed with half of their last write on disk, and restarted.
+    KillAllDuringWrite,
 }
 
-impl Strike {
-    pub const OF_SOME: [Strike; 8] = [
-        Strike::Die,
-        Strike::DieWriting,
-        Strike::Lose,
-        Strike::Wipe,
-        Strike::AllDieSomeLost,
-        Strike::DieTorn,
-        Strike::CutOff,
-        Strike::SlowDisk,
+impl Fault {
+    pub const SOME_MACHINES: [Fault; 8] = [
+        Fault::Kill,
+        Fault::KillAfterWrites,
+        Fault::Lose,
+        Fault::Wipe,
+        Fault::KillAllLoseSome,
+        Fault::KillDuringWrite,
+        Fault::Isolate,
+        Fault::SlowDisk,
+    ];
+    pub const ALL_MACHINES: [Fault; 3] = [
+        Fault::KillAll,
+        Fault::KillAllAfterWrites,
+        Fault::KillAllDuringWrite,
     ];
-    pub const OF_ALL: [Strike; 3] = [Strike::AllDie, Strike::AllDieWriting, Strike::AllDieTorn];
 
-    /// Machines, zones or regions that count as lost from then on. Who starts again with its disk is back before the
-    /// bound counts.
+    /// Number of machines, zones or regions that count as lost from then on. Machines that restart with their disk are
+    /// back before the time bound starts.
     pub fn losses(self) -> usize {
         match self {
-            Strike::Lose | Strike::Wipe | Strike::AllDieSomeLost => 1,
-            Strike::Die | Strike::DieWriting | Strike::DieTorn => 0,
-            Strike::AllDie | Strike::AllDieWriting | Strike::AllDieTorn => 0,
-            Strike::CutOff | Strike::SlowDisk => 0,
+            Fault::Lose | Fault::Wipe | Fault::KillAllLoseSome => 1,
+            Fault::Kill | Fault::KillAfterWrites | Fault::KillDuringWrite => 0,
+            Fault::KillAll | Fault::KillAllAfterWrites | Fault::KillAllDuringWrite => 0,
+            Fault::Isolate | Fault::SlowDisk => 0,
         }
     }
 }
 
-/// What is lost together.
+/// Kind of failure domain: the set of machines that are lost together.
 #[derive(Clone, Copy, Debug)]
-pub enum Unit {
+pub enum FailureDomain {
     Machine,
     Zone,
     Region,
 }
 
-/// Members to play with.
-pub struct Site {
+/// Where the members of a scenario are, and the losses that they have to tolerate.
+pub struct Layout {
     pub budget: FaultBudget,
-    pub unit: Unit,
+    pub failure_domain: FailureDomain,
     pub zones: &'static [&'static str],
 }
 
-impl Site {
+impl Layout {
     pub fn allowed_losses(&self) -> usize {
-        let allowed = match self.unit {
-            Unit::Machine => self.budget.machine_losses,
-            Unit::Zone => self.budget.zones,
-            Unit::Region => self.budget.region_losses,
+        let allowed = match self.failure_domain {
+            FailureDomain::Machine => self.budget.machine_losses,
+            FailureDomain::Zone => self.budget.zones,
+            FailureDomain::Region => self.budget.region_losses,
         };
         allowed as usize
     }
 }
 
-/// Whether machines at these places bear the next loss of a unit.
-pub fn bears_a_loss(site: &Site, places: &[&str]) -> bool {
-    let unit = |place: &str| match site.unit {
-        Unit::Machine => None,
-        Unit::Zone => Some(place.to_owned()),
-        Unit::Region => place.split_once('/').map(|p| p.0.to_owned()),
+/// Whether machines at these places tolerate another loss of a failure domain.
+pub fn tolerates_next_loss(layout: &Layout, places: &[&str]) -> bool {
+    let domain = |place: &str| match layout.failure_domain {
+        FailureDomain::Machine => None,
+        FailureDomain::Zone => Some(place.to_owned()),
+        FailureDomain::Region => place.split_once('/').map(|p| p.0.to_owned()),
     };
-    let units: BTreeSet<String> = places.iter().filter_map(|p| unit(p)).collect();
-    let units = if matches!(site.unit, Unit::Machine) {
+    let domains: BTreeSet<String> = places.iter().filter_map(|p| domain(p)).collect();
+    let domain_count = if matches!(layout.failure_domain, FailureDomain::Machine) {
         places.len()
     } else {
-        units.len()
+        domains.len()
     };
-    units > 2 * site.allowed_losses()
+    domain_count > 2 * layout.allowed_losses()
 }
--- a/crates/control-plane/tests/second_loss_sweep/main.rs
+++ b/crates/control-plane/tests/second_loss_sweep/main.rs
@@ -1,5 +1,5 @@
-//! The second loss at **every** step of a repair, a replacement or a departure: there is a primary again that accepts requests
-//! in time, nothing acknowledged is lost, and after the time to catch up the next loss is borne as well
+//! A second fault at **every** step of a repair, a replacement or a departure: a primary accepts requests again within
+//! the time bound, nothing acknowledged is lost, and after the time to catch up the next loss is tolerated as well
 //! (`docs/design/hardening/3-second-loss.md`).
 
 mod events;
@@ -8,69 +8,70 @@
 mod support;
 mod sweep;
 
-use events::{Change, Site, Unit};
+use events::{Change, FailureDomain, Layout};
 use rstest::rstest;
 use support::budget;
 use sweep::sweep;
 
-const THREE: Site = Site {
+const THREE: Layout = Layout {
     budget: budget(1, 0, 0),
-    unit: Unit::Machine,
+    failure_domain: FailureDomain::Machine,
     zones: &["r/a", "r/b", "r/c"],
 };
-const FOUR: Site = Site {
+const FOUR: Layout = Layout {
     budget: budget(1, 0, 0),
-    unit: Unit::Machine,
+    failure_domain: FailureDomain::Machine,
     zones: &["r/a", "r/b", "r/c", "r/a"],
 };
-const FIVE: Site = Site {
+const FIVE: Layout = Layout {
     budget: budget(2, 0, 0),
-    unit: Unit::Machine,
+    failure_domain: FailureDomain::Machine,
     zones: &["r/a", "r/a", "r/b", "r/b", "r/c"],
 };
-const EIGHT: Site = Site {
+const EIGHT: Layout = Layout {
     budget: budget(3, 0, 0),
-    unit: Unit::Machine,
+    failure_domain: FailureDomain::Machine,
     zones: &["r/a", "r/b", "r/c", "r/a", "r/b", "r/c", "r/a", "r/b"],
 };
-const FIVE_WITH_ROOM: Site = Site {
+const FIVE_WITH_SMALL_BUDGET: Layout = Layout {
     budget: budget(1, 0, 0),
     ..FIVE
 };
-const ZONES: Site = Site {
+const ZONES: Layout = Layout {
     budget: budget(1, 1, 0),
-    unit: Unit::Zone,
+    failure_domain: FailureDomain::Zone,
     zones: &["r/a", "r/b", "r/c", "r/a"],
 };
-const FIVE_IN_ZONES: Site = Site {
+const FIVE_IN_ZONES: Layout = Layout {
     budget: budget(1, 1, 0),
-    unit: Unit::Zone,
+    failure_domain: FailureDomain::Zone,
     zones: &["r/a", "r/b", "r/c", "r/a", "r/b"],
 };
-const REGIONS: Site = Site {
+const REGIONS: Layout = Layout {
     budget: budget(1, 0, 1),
-    unit: Unit::Region,
+    failure_domain: FailureDomain::Region,
     zones: &["r/a", "s/b", "t/c", "r/d", "s/e"],
 };
 
-/// Every so many moments, so that a sweep takes some seconds; set to 1 to play all.
-fn stride(usual: usize) -> usize {
+/// Distance between the steps at which a fault is injected, so that a sweep takes some seconds. Set `SWEEP_STRIDE` to 1
+/// to try every step.
+fn stride(default: usize) -> usize {
     std::env::var("SWEEP_STRIDE")
         .ok()
         .and_then(|stride| stride.parse().ok())
-        .unwrap_or(usual)
+        .unwrap_or(default)
 }
 
 #[rstest]
-fn of_three(
+fn three_machines(
     #[values(
         Change::Join,
         Change::Replace,
         Change::Restart,
-        Change::Die,
+        Change::Kill,
         Change::Wipe,
         Change::Lose,
-        Change::CutOff,
+        Change::Isolate,
         Change::SlowDisk
     )]
     change: Change,
@@ -79,19 +80,21 @@
 }
 
 #[rstest]
-fn of_four(#[values(Change::Replace, Change::Remove, Change::Wipe, Change::Lose)] change: Change) {
+fn four_machines(
+    #[values(Change::Replace, Change::Remove, Change::Wipe, Change::Lose)] change: Change,
+) {
     sweep(&FOUR, change, stride(40));
 }
 
 #[rstest]
-fn of_five(
+fn five_machines(
     #[values(
         Change::Join,
         Change::Replace,
         Change::Restart,
         Change::Wipe,
         Change::Lose,
-        Change::CutOff,
+        Change::Isolate,
         Change::SlowDisk
     )]
     change: Change,
@@ -100,28 +103,28 @@
 }
 
 #[rstest]
-fn of_five_with_room(#[values(Change::Remove, Change::RemoveTwo)] change: Change) {
-    sweep(&FIVE_WITH_ROOM, change, stride(90));
+fn five_machines_with_small_budget(#[values(Change::Remove, Change::RemoveTwo)] change: Change) {
+    sweep(&FIVE_WITH_SMALL_BUDGET, change, stride(90));
 }
 
 #[rstest]
-fn of_eight(#[values(Change::Remove, Change::Replace, Change::Lose)] change: Change) {
+fn eight_machines(#[values(Change::Remove, Change::Replace, Change::Lose)] change: Change) {
     sweep(&EIGHT, change, stride(300));
 }
 
 #[rstest]
-fn by_zones(#[values(Change::Replace, Change::Remove)] change: Change) {
+fn zones(#[values(Change::Replace, Change::Remove)] change: Change) {
     sweep(&ZONES, change, stride(40));
     sweep(&FIVE_IN_ZONES, change, stride(40));
 }
 
 #[rstest]
-fn by_regions(#[values(Change::Replace, Change::Join)] change: Change) {
+fn regions(#[values(Change::Replace, Change::Join)] change: Change) {
     sweep(&REGIONS, change, stride(60));
 }
 
-/// After the operator has gone on from one replica's disk: no disk may be lost until others have joined.
+/// After a recovery from one replica's disk. No disk may be lost until other members have joined.
 #[rstest]
-fn of_recovered(#[values(&THREE, &FIVE)] site: &Site) {
-    sweep(site, Change::Recover, stride(4));
+fn recovered_cluster(#[values(&THREE, &FIVE)] layout: &Layout) {
+    sweep(layout, Change::Recover, stride(4));
 }
--- a/crates/control-plane/tests/second_loss_sweep/play.rs
+++ b/crates/control-plane/tests/second_loss_sweep/play.rs
@@ -1,88 +1,88 @@
-//! Members, an operator that sends one order after the other, and what happens to them.
+//! A scenario: members, an operator that sends one configuration request after the other, and the actions that are due.
 
-use crate::events::{Change, Site, Strike, Unit};
+use crate::events::{Change, FailureDomain, Fault, Layout};
 use crate::support::event_cluster::Cluster;
 use crate::support::ms;
 use crate::support::recovered::recover;
 use configuration::ResultCode;
 use std::time::Duration;
 
-/// Time that a machine has after its start until it no longer counts as lost.
-const CATCH_UP: Duration = ms(5000);
-/// Within this an order is taken again once no more is lost than the budget allows.
-const BOUND: Duration = ms(5000);
-/// The members start, join and settle.
-const START: Duration = ms(5000);
-/// The operator looks after its order this often.
-const ORDER_INTERVAL: Duration = ms(170);
-/// One order after another, this long after the one before was sent.
-const ORDER_PAUSE: Duration = ms(500);
-/// An order without an answer is sent again after this.
-const ORDER_TIMEOUT: Duration = ms(1000);
-/// Whoever dies starts again after this; a new machine or an empty disk comes after this; a strike that heals lasts this
-/// long.
-const BACK_AFTER: Duration = ms(1000);
-/// A machine that is cut off, or a disk that is slow, as the change that goes on is so for this long.
-const CHANGE_LASTS: Duration = ms(3000);
-/// While the membership changes nobody acts for this long at most.
-const MEMBERSHIP_CHANGE: Duration = ms(100);
-/// A write of a slow disk takes this long.
-const SLOW_WRITE: Duration = ms(400);
+/// Time after its start until a machine no longer counts as lost.
+const CATCH_UP_TIME: Duration = ms(5000);
+/// Time within which a request is acknowledged once no more is lost than the budget allows.
+const ACKNOWLEDGE_TIMEOUT: Duration = ms(5000);
+/// Time in which the members start, join and agree on a stable membership.
+const SETTLE_TIME: Duration = ms(5000);
+/// Time between two checks by the operator whether its request was answered.
+const OPERATOR_POLL_INTERVAL: Duration = ms(170);
+/// Time between the sending of an answered request and the next one.
+const REQUEST_INTERVAL: Duration = ms(500);
+/// Time after which a request without an answer is sent again.
+const REQUEST_TIMEOUT: Duration = ms(1000);
+/// Time until a killed, wiped or replaced machine starts; also the duration of a fault that ends by itself.
+const FAULT_DURATION: Duration = ms(1000);
+/// Duration of the isolation or of the slow disk if that is the change in progress.
+const CHANGE_DURATION: Duration = ms(3000);
+/// Longest time without an acting primary during a membership change.
+const MEMBERSHIP_CHANGE_TIME: Duration = ms(100);
+/// Duration of a write to a slow disk.
+const SLOW_WRITE_DELAY: Duration = ms(400);
 
-/// What is to happen later.
+/// An action that is due at a later time; the numbers are machines.
 #[derive(Clone, Copy, Debug)]
-pub enum Later {
+pub enum Action {
     Start(usize),
-    /// Starts again the process that was asked to end in this incarnation.
-    StartOnceEnded(usize, u32),
-    WipedStart(usize),
+    /// Starts a machine once the process that was terminated in this incarnation has exited.
+    StartAfterExit(usize, u32),
+    StartWiped(usize),
+    /// Adds a machine in the zone of this one.
     Add(usize),
     Terminate(usize),
-    /// A machine that was cut off reaches the others again.
-    Rejoin(usize),
-    /// A disk is as fast as before.
-    FastDisk(usize),
+    /// Connects an isolated machine again.
+    Reconnect(usize),
+    /// Makes a slow disk as fast as before.
+    RestoreDiskSpeed(usize),
 }
 
-/// Members, an operator that sends one order after the other, and what is to happen.
+/// Members, an operator that sends one configuration request after the other, and the scheduled actions.
 #[derive(Clone)]
-pub struct Play {
+pub struct Scenario {
     pub cluster: Cluster,
-    unit: Unit,
+    failure_domain: FailureDomain,
     zones: Vec<String>,
     /// The newest version that was acknowledged.
     acknowledged: u64,
-    /// The version that the latest order brings.
-    ordered: u64,
-    /// The latest order, and when it was sent.
-    order: Option<(u64, Duration)>,
-    orders_sent: usize,
-    later: Vec<(Duration, Later)>,
-    /// Whether the operator went on from one replica's disk: other machines are there than at the start.
+    /// The version of the latest request.
+    requested: u64,
+    /// Ticket of the latest request, and when it was sent.
+    request: Option<(u64, Duration)>,
+    requests_sent: usize,
+    scheduled: Vec<(Duration, Action)>,
+    /// Whether the operator recovered from one replica's disk: the machines are then other ones than at the start.
     is_recovered: bool,
 }
 
-impl Play {
-    pub fn new(site: &Site) -> Self {
-        let mut cluster = Cluster::start(site.budget, site.zones);
+impl Scenario {
+    pub fn new(layout: &Layout) -> Self {
+        let mut cluster = Cluster::start(layout.budget, layout.zones);
         cluster.apply_configuration(0, 1);
-        cluster.run(START);
-        let zones = site.zones.iter().map(|z| (*z).to_owned()).collect();
-        let later = Vec::new();
+        cluster.run(SETTLE_TIME);
+        let zones = layout.zones.iter().map(|z| (*z).to_owned()).collect();
+        let scheduled = Vec::new();
         Self {
             cluster,
-            unit: site.unit,
+            failure_domain: layout.failure_domain,
             zones,
             acknowledged: 1,
-            ordered: 1,
-            order: None,
-            orders_sent: 0,
-            later,
+            requested: 1,
+            request: None,
+            requests_sent: 0,
+            scheduled,
             is_recovered: false,
         }
     }
 
-    /// The machine that a strike at place `n` means, if there is one.
+    /// The machine at which a fault with target number `n` is injected, if there is one.
     pub fn machine(&self, n: usize) -> Option<usize> {
         if self.is_recovered {
             return self.running().get(n).copied();
@@ -90,241 +90,257 @@
         (n < self.cluster.machine_count()).then_some(n)
     }
 
-    /// Machines that run and are lost together with this one.
-    pub fn lost_with(&self, n: usize) -> Vec<usize> {
+    /// Running machines in the failure domain of this one.
+    pub fn failure_domain_of(&self, n: usize) -> Vec<usize> {
         let region = |n: usize| self.zones[n].split_once('/').map(|place| place.0);
-        let together = |other: &usize| match self.unit {
-            Unit::Machine => *other == n,
-            Unit::Zone => self.zones[*other] == self.zones[n],
-            Unit::Region => region(*other) == region(n),
+        let is_in_domain = |other: &usize| match self.failure_domain {
+            FailureDomain::Machine => *other == n,
+            FailureDomain::Zone => self.zones[*other] == self.zones[n],
+            FailureDomain::Region => region(*other) == region(n),
         };
-        self.running().into_iter().filter(together).collect()
+        self.running().into_iter().filter(is_in_domain).collect()
     }
 
+    /// Machines whose process is running.
     pub fn running(&self) -> Vec<usize> {
         (0..self.cluster.machine_count())
             .filter(|n| self.cluster.is_running(*n))
             .collect()
     }
 
-    pub fn at(&mut self, after: Duration, what: Later) {
-        self.later.push((self.cluster.now + after, what));
+    /// Schedules an action for a time `after` from now.
+    pub fn schedule(&mut self, after: Duration, action: Action) {
+        self.scheduled.push((self.cluster.now + after, action));
     }
 
-    /// Does what is due.
-    pub fn do_later(&mut self) {
+    /// Runs the actions that are due.
+    pub fn run_due_actions(&mut self) {
         let now = self.cluster.now;
-        while let Some(due) = self.later.iter().position(|l| l.0 <= now) {
-            match self.later.remove(due).1 {
-                Later::Start(n) if !self.cluster.is_running(n) => self.cluster.restart(n),
-                Later::StartOnceEnded(n, incarnation)
+        while let Some(due) = self.scheduled.iter().position(|action| action.0 <= now) {
+            match self.scheduled.remove(due).1 {
+                Action::Start(n) if !self.cluster.is_running(n) => self.cluster.restart(n),
+                Action::StartAfterExit(n, incarnation)
                     if self.cluster.incarnation(n) == incarnation =>
                 {
-                    self.at(ms(50), Later::StartOnceEnded(n, incarnation));
+                    self.schedule(ms(50), Action::StartAfterExit(n, incarnation));
                 }
-                Later::StartOnceEnded(n, incarnation)
+                Action::StartAfterExit(n, incarnation)
                     if self.cluster.incarnation(n) == incarnation + 1 =>
                 {
                     self.cluster.restart(n);
                 }
-                Later::WipedStart(n) => self.cluster.wipe(n),
-                Later::Terminate(n) if self.cluster.is_running(n) => self.cluster.terminate(n),
-                Later::Add(n) => self.add(n),
-                Later::Rejoin(n) => self.cluster.set_isolated(n, false),
-                Later::FastDisk(n) => drop(self.cluster.slow_write_delays.remove(&n)),
-                Later::Start(_) | Later::StartOnceEnded(..) | Later::Terminate(_) => {}
+                Action::StartWiped(n) => self.cluster.wipe(n),
+                Action::Terminate(n) if self.cluster.is_running(n) => self.cluster.terminate(n),
+                Action::Add(n) => self.add_machine(n),
+                Action::Reconnect(n) => self.cluster.set_isolated(n, false),
+                Action::RestoreDiskSpeed(n) => drop(self.cluster.slow_write_delays.remove(&n)),
+                Action::Start(_) | Action::StartAfterExit(..) | Action::Terminate(_) => {}
             }
         }
     }
 
-    /// A new machine, in the zone of another.
-    pub fn add(&mut self, like: usize) {
-        let zone = self.zones[like].clone();
+    /// Adds a machine in the zone of `neighbour`.
+    pub fn add_machine(&mut self, neighbour: usize) {
+        let zone = self.zones[neighbour].clone();
         self.cluster.add_machine(&zone);
         self.zones.push(zone);
     }
 
-    /// Takes answers, and sends the order again, or the next one, to the next machine that runs.
+    /// Handles the answer to the operator's request, and sends the request again or the next one to the next running
+    /// machine.
     pub fn run_operator(&mut self) {
         let answer = self
-            .order
+            .request
             .and_then(|(ticket, _)| self.cluster.answer(ticket));
         if answer == Some(ResultCode::Ok) {
-            self.acknowledged = self.acknowledged.max(self.ordered);
+            self.acknowledged = self.acknowledged.max(self.requested);
         }
         let running = self.running();
         let pause = if answer.is_none() {
-            ORDER_TIMEOUT
+            REQUEST_TIMEOUT
         } else {
-            ORDER_PAUSE
+            REQUEST_INTERVAL
         };
-        let waits = self
-            .order
+        let is_waiting = self
+            .request
             .is_some_and(|(_, at)| self.cluster.now < at + pause);
-        if waits && answer != Some(ResultCode::NoPrimary) {
+        if is_waiting && answer != Some(ResultCode::NoPrimary) {
             return;
         }
-        self.order = None;
-        if let Some(n) = running.get(self.orders_sent % running.len().max(1)) {
-            self.ordered = self.acknowledged + 1;
-            let order = Cluster::configure_command(self.acknowledged, self.ordered);
-            self.order = Some((self.cluster.send_command(*n, order), self.cluster.now));
-            self.orders_sent += 1;
+        self.request = None;
+        if let Some(n) = running.get(self.requests_sent % running.len().max(1)) {
+            self.requested = self.acknowledged + 1;
+            let command = Cluster::configure_command(self.acknowledged, self.requested);
+            self.request = Some((self.cluster.send_command(*n, command), self.cluster.now));
+            self.requests_sent += 1;
         }
     }
 
-    /// Goes on for some time, or until the given step.
-    pub fn run(&mut self, time: Duration, step: Option<u64>) {
-        let end = self.cluster.now + time;
-        let reached = |c: &Cluster| step.is_some_and(|step| c.change_steps >= step);
-        while self.cluster.now < end && !reached(&self.cluster) {
-            self.do_later();
+    /// Runs for a span of simulated time, or until the membership changes have taken this number of steps.
+    pub fn run(&mut self, duration: Duration, step: Option<u64>) {
+        let end = self.cluster.now + duration;
+        let is_step_reached = |c: &Cluster| step.is_some_and(|step| c.change_steps >= step);
+        while self.cluster.now < end && !is_step_reached(&self.cluster) {
+            self.run_due_actions();
             self.run_operator();
-            let next = self
-                .later
+            let next_due = self
+                .scheduled
                 .iter()
-                .map(|l| l.0)
-                .chain([end, self.cluster.now + ORDER_INTERVAL])
+                .map(|action| action.0)
+                .chain([end, self.cluster.now + OPERATOR_POLL_INTERVAL])
                 .min();
-            let pause = next
+            let pause = next_due
                 .unwrap_or(end)
                 .saturating_sub(self.cluster.now)
                 .max(ms(1));
-            self.cluster.run_until(pause, reached);
+            self.cluster.run_until(pause, is_step_reached);
         }
     }
 
-    /// Begins a change at a machine.
-    pub fn begin(&mut self, change: Change, n: usize) {
+    /// Starts a change at a machine.
+    pub fn begin_change(&mut self, change: Change, n: usize) {
         match change {
-            Change::Join => self.add(n),
+            Change::Join => self.add_machine(n),
             Change::Replace => {
-                self.add(n);
-                self.run(CATCH_UP, None);
+                self.add_machine(n);
+                self.run(CATCH_UP_TIME, None);
                 self.cluster.terminate(n);
             }
             Change::Remove => self.cluster.terminate(n),
             Change::RemoveTwo => {
                 self.cluster.terminate(n);
                 let other = (n + 1) % self.cluster.machine_count();
-                self.at(ms(20), Later::Terminate(other));
+                self.schedule(ms(20), Action::Terminate(other));
             }
             Change::Restart => {
                 self.cluster.terminate(n);
                 let incarnation = self.cluster.incarnation(n);
-                self.at(ms(50), Later::StartOnceEnded(n, incarnation));
+                self.schedule(ms(50), Action::StartAfterExit(n, incarnation));
             }
-            Change::Die => {
+            Change::Kill => {
                 self.cluster.kill(n);
-                self.at(ms(1300), Later::Start(n));
+                self.schedule(ms(1300), Action::Start(n));
             }
             Change::Wipe => {
                 self.cluster.kill(n);
-                self.at(BACK_AFTER, Later::WipedStart(n));
+                self.schedule(FAULT_DURATION, Action::StartWiped(n));
             }
             Change::Lose => {
                 self.cluster.kill(n);
-                self.at(BACK_AFTER, Later::Add(n));
+                self.schedule(FAULT_DURATION, Action::Add(n));
             }
-            Change::CutOff => self.cut_off(n, CHANGE_LASTS),
-            Change::SlowDisk => self.slow_disk(n, CHANGE_LASTS),
-            Change::Recover => self.recover(),
+            Change::Isolate => self.isolate(n, CHANGE_DURATION),
+            Change::SlowDisk => self.slow_down_disk(n, CHANGE_DURATION),
+            Change::Recover => self.recover_from_one_replica(),
         }
     }
 
-    fn cut_off(&mut self, n: usize, lasts: Duration) {
+    fn isolate(&mut self, n: usize, duration: Duration) {
         self.cluster.set_isolated(n, true);
-        self.at(lasts, Later::Rejoin(n));
+        self.schedule(duration, Action::Reconnect(n));
     }
 
-    fn slow_disk(&mut self, n: usize, lasts: Duration) {
-        self.cluster.slow_write_delays.insert(n, SLOW_WRITE);
-        self.at(lasts, Later::FastDisk(n));
+    fn slow_down_disk(&mut self, n: usize, duration: Duration) {
+        self.cluster.slow_write_delays.insert(n, SLOW_WRITE_DELAY);
+        self.schedule(duration, Action::RestoreDiskSpeed(n));
     }
 
-    /// All members but the last replica are lost for good, and empty machines come in their place; the operator goes on
-    /// from that replica.
-    fn recover(&mut self) {
+    /// Loses all members but the last replica for good, recovers from that replica as an operator, and starts empty
+    /// machines in place of the others.
+    fn recover_from_one_replica(&mut self) {
         let survivor = self.cluster.replicas().pop().unwrap();
         let running = self.running();
         for n in &running {
             self.cluster.kill(*n);
         }
         self.is_recovered = true;
-        // What was answered on its way to the operator comes to nothing.
-        self.order = None;
+        // Answers that haven't reached the operator by now are lost.
+        self.request = None;
         recover(&mut self.cluster, survivor);
         for n in running.into_iter().filter(|n| *n != survivor) {
-            self.add(n);
+            self.add_machine(n);
         }
     }
 
-    /// Strikes these machines, or all.
-    pub fn strike(&mut self, strike: Strike, some: &[usize]) {
-        let all = matches!(
-            strike,
-            Strike::AllDie | Strike::AllDieWriting | Strike::AllDieTorn | Strike::AllDieSomeLost
+    /// Injects a fault at the machines of a failure domain, or at all running machines.
+    pub fn inject(&mut self, fault: Fault, domain: &[usize]) {
+        let hits_all = matches!(
+            fault,
+            Fault::KillAll
+                | Fault::KillAllAfterWrites
+                | Fault::KillAllDuringWrite
+                | Fault::KillAllLoseSome
         );
-        let struck = if all { self.running() } else { some.to_vec() };
-        for n in struck {
-            match strike {
-                Strike::CutOff => {
-                    self.cut_off(n, BACK_AFTER);
+        let targets = if hits_all {
+            self.running()
+        } else {
+            domain.to_vec()
+        };
+        for n in targets {
+            match fault {
+                Fault::Isolate => {
+                    self.isolate(n, FAULT_DURATION);
                     continue;
                 }
-                Strike::SlowDisk => {
-                    self.slow_disk(n, BACK_AFTER);
+                Fault::SlowDisk => {
+                    self.slow_down_disk(n, FAULT_DURATION);
                     continue;
                 }
-                Strike::DieWriting | Strike::AllDieWriting => self.cluster.kill_after_writes(n),
-                Strike::DieTorn | Strike::AllDieTorn => self.cluster.kill_during_write(n),
+                Fault::KillAfterWrites | Fault::KillAllAfterWrites => {
+                    self.cluster.kill_after_writes(n)
+                }
+                Fault::KillDuringWrite | Fault::KillAllDuringWrite => {
+                    self.cluster.kill_during_write(n)
+                }
                 _ => self.cluster.kill(n),
             }
-            let lost =
-                strike == Strike::Lose || (strike == Strike::AllDieSomeLost && some.contains(&n));
-            let back = match (strike, lost) {
-                (_, true) => Later::Add(n),
-                (Strike::Wipe, _) => Later::WipedStart(n),
-                _ => Later::Start(n),
+            let is_lost =
+                fault == Fault::Lose || (fault == Fault::KillAllLoseSome && domain.contains(&n));
+            let restart = match (fault, is_lost) {
+                (_, true) => Action::Add(n),
+                (Fault::Wipe, _) => Action::StartWiped(n),
+                _ => Action::Start(n),
             };
-            self.at(BACK_AFTER, back);
+            self.schedule(FAULT_DURATION, restart);
         }
     }
 
-    /// An order is taken within the bound, with nothing acknowledged missing.
-    pub fn takes_an_order(&mut self) -> Result<(), String> {
+    /// Checks that a request on the last acknowledged version is acknowledged within [`ACKNOWLEDGE_TIMEOUT`], so
+    /// nothing acknowledged was lost. Returns a description of the failure otherwise.
+    pub fn check_request_acknowledged(&mut self) -> Result<(), String> {
         let before = self.acknowledged;
-        let end = self.cluster.now + BOUND;
+        let end = self.cluster.now + ACKNOWLEDGE_TIMEOUT;
         while self.acknowledged == before && self.cluster.now < end {
-            self.run(ORDER_INTERVAL, None);
+            self.run(OPERATOR_POLL_INTERVAL, None);
         }
         if self.acknowledged > before {
             Ok(())
         } else {
             Err(format!(
-                "{before} is the last one taken: {:?}",
+                "{before} is the last acknowledged version: {:?}",
                 self.cluster.memberships()
             ))
         }
     }
 
-    /// After the second loss an order is taken in time, and later the next loss is borne.
-    pub fn recovers(&mut self) -> Result<(), String> {
-        self.run(BACK_AFTER, None);
-        self.takes_an_order()
-            .map_err(|e| format!("after the strike: {e}"))?;
-        self.run(CATCH_UP, None);
-        // A change of the membership may just be under way, for a few messages.
-        let acts = |cluster: &Cluster| cluster.primary().is_some();
-        self.cluster.run_until(MEMBERSHIP_CHANGE, acts);
+    /// Checks that a request is acknowledged in time after the fault and, once the members have caught up, after the
+    /// loss of the primary's failure domain too.
+    pub fn check_recovery(&mut self) -> Result<(), String> {
+        self.run(FAULT_DURATION, None);
+        self.check_request_acknowledged()
+            .map_err(|e| format!("after the fault: {e}"))?;
+        self.run(CATCH_UP_TIME, None);
+        // A membership change may be in progress, for a few messages.
+        let has_primary = |cluster: &Cluster| cluster.primary().is_some();
+        self.cluster.run_until(MEMBERSHIP_CHANGE_TIME, has_primary);
         let Some(primary) = self.cluster.primary() else {
-            return Err("nobody acts any more".into());
+            return Err("there is no acting primary".into());
         };
-        self.later.clear();
-        for n in self.lost_with(primary) {
+        self.scheduled.clear();
+        for n in self.failure_domain_of(primary) {
             self.cluster.kill(n);
         }
-        self.takes_an_order()
+        self.check_request_acknowledged()
             .map_err(|e| format!("after the next loss: {e}"))
     }
 }
--- a/crates/control-plane/tests/second_loss_sweep/sweep.rs
+++ b/crates/control-plane/tests/second_loss_sweep/sweep.rs
@@ -1,102 +1,103 @@
-//! Plays strikes at the steps of a change.
+//! Injects faults at the steps of a change.
 
-use crate::events::{bears_a_loss, Change, Site, Strike, Unit};
-use crate::play::Play;
+use crate::events::{tolerates_next_loss, Change, FailureDomain, Fault, Layout};
+use crate::play::Scenario;
 use crate::support::ms;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long after the change's begin the second loss may strike.
-const WINDOW: Duration = ms(7000);
-/// Failures that are told.
-const FAILURES_TOLD: usize = 12;
+/// Time after the start of a change in which the second fault may be injected.
+const FAULT_WINDOW: Duration = ms(7000);
+/// Maximum number of failures that are printed.
+const MAX_FAILURES_PRINTED: usize = 12;
 
-/// The moments of a change at one machine: a play stopped at each step.
-pub fn moments(site: &Site, change: Change, n: usize) -> Vec<Play> {
-    let mut play = Play::new(site);
-    play.begin(change, n);
-    let end = play.cluster.now + WINDOW;
-    let mut moments = Vec::new();
-    while play.cluster.now < end {
-        let next = play.cluster.change_steps + 1;
-        play.run(end - play.cluster.now, Some(next));
-        moments.push(play.clone());
+/// Runs a change at one machine and returns copies of the scenario, one for each step.
+pub fn scenario_steps(layout: &Layout, change: Change, n: usize) -> Vec<Scenario> {
+    let mut scenario = Scenario::new(layout);
+    scenario.begin_change(change, n);
+    let end = scenario.cluster.now + FAULT_WINDOW;
+    let mut steps = Vec::new();
+    while scenario.cluster.now < end {
+        let next = scenario.cluster.change_steps + 1;
+        scenario.run(end - scenario.cluster.now, Some(next));
+        steps.push(scenario.clone());
     }
-    moments
+    steps
 }
 
-/// A strike at one moment; nothing where nobody is there to be struck.
-pub fn struck(moment: &Play, (strike, n): (Strike, usize)) -> Option<Result<(), String>> {
-    let some = moment
+/// Injects a fault at one step and checks the recovery; `None` if no machine is there to be hit.
+pub fn check_fault_at(step: &Scenario, (fault, n): (Fault, usize)) -> Option<Result<(), String>> {
+    let domain = step
         .machine(n)
-        .map_or_else(Vec::new, |n| moment.lost_with(n));
-    if some.is_empty() {
+        .map_or_else(Vec::new, |n| step.failure_domain_of(n));
+    if domain.is_empty() {
         return None;
     }
-    let mut play = moment.clone();
-    play.strike(strike, &some);
-    Some(play.recovers())
+    let mut scenario = step.clone();
+    scenario.inject(fault, &domain);
+    Some(scenario.check_recovery())
 }
 
-/// All that may strike: each unit of the machines there are at the start or come with the change.
-pub fn strikes(site: &Site) -> Vec<(Strike, usize)> {
-    let place = |n: usize| match site.unit {
-        Unit::Machine => n.to_string(),
-        Unit::Zone => site.zones[n].to_owned(),
-        Unit::Region => site.zones[n]
+/// All faults with their targets: each failure domain of the machines that are there at the start or are added by the
+/// change.
+pub fn faults(layout: &Layout) -> Vec<(Fault, usize)> {
+    let place = |n: usize| match layout.failure_domain {
+        FailureDomain::Machine => n.to_string(),
+        FailureDomain::Zone => layout.zones[n].to_owned(),
+        FailureDomain::Region => layout.zones[n]
             .split_once('/')
             .map_or(String::new(), |p| p.0.to_owned()),
     };
     let mut places = BTreeSet::new();
-    let mut units: Vec<usize> = (0..site.zones.len())
+    let mut targets: Vec<usize> = (0..layout.zones.len())
         .filter(|n| places.insert(place(*n)))
         .collect();
-    if matches!(site.unit, Unit::Machine) {
-        units.push(site.zones.len());
+    if matches!(layout.failure_domain, FailureDomain::Machine) {
+        targets.push(layout.zones.len());
     }
-    let of_some = units
+    let domain_faults = targets
         .into_iter()
-        .flat_map(|n| Strike::OF_SOME.map(|strike| (strike, n)));
-    of_some
-        .chain(Strike::OF_ALL.map(|strike| (strike, 0)))
+        .flat_map(|n| Fault::SOME_MACHINES.map(|fault| (fault, n)));
+    domain_faults
+        .chain(Fault::ALL_MACHINES.map(|fault| (fault, 0)))
         .collect()
 }
 
-/// Whether the machines that are left after a removal bear the next loss.
-pub fn may_go(site: &Site, change: Change, n: usize) -> bool {
-    let gone = match change {
+/// Whether a change at a machine is tried: the machines that remain after it have to tolerate the next loss.
+pub fn is_applicable(layout: &Layout, change: Change, n: usize) -> bool {
+    let removed = match change {
         Change::Remove => vec![n],
-        Change::RemoveTwo => vec![n, (n + 1) % site.zones.len()],
-        // It is the same whichever machine is named.
+        Change::RemoveTwo => vec![n, (n + 1) % layout.zones.len()],
+        // A recovery is the same whichever machine is named.
         Change::Recover if n > 0 => return false,
         _ => vec![],
     };
-    let left = (0..site.zones.len())
-        .filter(|n| !gone.contains(n))
-        .map(|n| site.zones[n]);
-    bears_a_loss(site, &left.collect::<Vec<_>>())
+    let remaining = (0..layout.zones.len())
+        .filter(|n| !removed.contains(n))
+        .map(|n| layout.zones[n]);
+    tolerates_next_loss(layout, &remaining.collect::<Vec<_>>())
 }
 
-/// Plays each strike that the budget allows at every so many moments of a change at each machine; which ones differs
-/// from strike to strike.
-pub fn sweep(site: &Site, change: Change, stride: usize) {
+/// Injects each fault that the budget allows at every `stride`th step of a change at each machine. The first step
+/// differs from fault to fault.
+pub fn sweep(layout: &Layout, change: Change, stride: usize) {
     let mut failed = Vec::new();
-    let mut borne = 0;
-    for n in (0..site.zones.len()).filter(|n| may_go(site, change, *n)) {
-        let moments = moments(site, change, n);
-        let allowed = |s: &(Strike, usize)| change.allows(s.0, site);
-        for (offset, strike) in strikes(site).into_iter().filter(allowed).enumerate() {
-            for (step, moment) in moments
+    let mut tolerated = 0;
+    for n in (0..layout.zones.len()).filter(|n| is_applicable(layout, change, *n)) {
+        let steps = scenario_steps(layout, change, n);
+        let allowed = |s: &(Fault, usize)| change.allows(s.0, layout);
+        for (offset, fault) in faults(layout).into_iter().filter(allowed).enumerate() {
+            for (step_number, step) in steps
                 .iter()
                 .enumerate()
                 .skip(offset % stride)
                 .step_by(stride)
             {
-                match struck(moment, strike) {
-                    Some(Ok(())) => borne += 1,
+                match check_fault_at(step, fault) {
+                    Some(Ok(())) => tolerated += 1,
                     Some(Err(error)) => {
                         failed.push(format!(
-                            "{change:?} at {n}, {strike:?} at step {step}: {error}"
+                            "{change:?} at {n}, {fault:?} at step {step_number}: {error}"
                         ));
                     }
                     None => {}
@@ -104,14 +105,14 @@
             }
         }
     }
-    println!("{change:?}: {borne} borne, {} failed", failed.len());
+    println!("{change:?}: {tolerated} tolerated, {} failed", failed.len());
     failed
         .iter()
-        .take(FAILURES_TOLD)
+        .take(MAX_FAILURES_PRINTED)
         .for_each(|error| println!("  {error}"));
     assert!(
-        failed.is_empty() && borne > 0,
-        "{borne} borne, {} failed",
+        failed.is_empty() && tolerated > 0,
+        "{tolerated} tolerated, {} failed",
         failed.len()
     );
 }
