--- a/crates/control-plane/tests/second_loss_sweep/main.rs
+++ b/crates/control-plane/tests/second_loss_sweep/main.rs
@@ -2,13 +2,13 @@
 //! the time bound, nothing acknowledged is lost, and after the time to catch up the next loss is tolerated as well
 //! (`docs/design/hardening/3-second-loss.md`).
 
-mod events;
-mod play;
+mod faults;
+mod scenario;
 #[path = "../support/mod.rs"]
 mod support;
 mod sweep;
 
-use events::{Change, FailureDomain, Layout};
+use faults::{Change, FailureDomain, Layout};
 use rstest::rstest;
 use support::budget;
 use sweep::sweep;
--- a/crates/control-plane/tests/second_loss_sweep/play.rs
+++ b/crates/control-plane/tests/second_loss_sweep/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario: members, an operator that sends one configuration request after the other, and the actions that are due.
 
-use crate::events::{Change, FailureDomain, Fault, Layout};
+use crate::faults::{Change, FailureDomain, Fault, Layout};
 use crate::support::event_cluster::Cluster;
 use crate::support::ms;
 use crate::support::recovered::recover;
--- a/crates/control-plane/tests/second_loss_sweep/sweep.rs
+++ b/crates/control-plane/tests/second_loss_sweep/sweep.rs
@@ -1,7 +1,7 @@
 //! Injects faults at the steps of a change.
 
-use crate::events::{tolerates_next_loss, Change, FailureDomain, Fault, Layout};
-use crate::play::Scenario;
+use crate::faults::{tolerates_next_loss, Change, FailureDomain, Fault, Layout};
+use crate::scenario::Scenario;
 use crate::support::ms;
 use std::collections::BTreeSet;
 use std::time::Duration;
