--- a/crates/control-plane/tests/coordination_histories/checker.rs
+++ b/crates/control-plane/tests/coordination_histories/checker.rs
@@ -1,29 +1,31 @@
-//! Checks what applications were told.
+//! The history of the answers that applications got, and its checks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A span of time for which a caller counted itself holder of a lock, in ms.
+/// A period in which a caller considered itself the holder of a lock. All times are in ms.
 #[derive(Clone, Debug)]
 pub struct Hold {
     pub lock: String,
     pub holder: String,
     pub fence: u64,
-    /// When the call was sent, and when it was answered.
+    /// When the request was sent.
     pub sent: u64,
+    /// When it was answered, which is the start of the period.
     pub from: u64,
+    /// End of the period.
     pub until: u64,
 }
 
-/// A number or a revision that was given out.
+/// A number that a counter gave out. Times are in ms.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct IssuedNumber {
     pub name: String,
     pub value: u64,
     pub sent: u64,
     pub answered: u64,
 }
 
-/// A put: what it was told, if anything. `sent` is when it was sent first.
+/// A put and its outcome. `sent` is the time, in ms, at which it was sent for the first time.
 #[derive(Clone, Debug)]
 pub struct Put {
     pub cell: String,
@@ -35,13 +37,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PutOutcome {
-    Done(u64),
-    /// It was told 412 or 503, so it never takes effect; with the cell's revision if it was told one.
+    /// Acknowledged with this revision.
+    Acknowledged(u64),
+    /// Answered with status 412 or 503, so it never takes effect; with the cell's revision if the answer named one.
     Rejected(Option<u64>),
+    /// No answer tells whether it took effect.
     Unknown,
 }
 
-/// What a read was told; revision 0 if there is no such cell.
+/// The answer to a read; revision 0 if the cell doesn't exist.
 #[derive(Clone, Debug)]
 pub struct Read {
     pub cell: String,
@@ -50,31 +54,32 @@
     pub sent: u64,
 }
 
-/// An event of a watch: cell, value and revision.
+/// An event of a watch: cell name, value and revision.
 pub type Event = (String, String, u64);
 
-/// What one answer to a watch told.
+/// One answer to a watch: the events after revision `after` up to `revision`.
 #[derive(Clone, Debug)]
-pub struct Watched {
+pub struct WatchAnswer {
     pub after: u64,
     pub revision: u64,
     pub events: Vec<Event>,
 }
 
-/// All that applications were told in a run.
+/// All answers that applications got in a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     pub holds: Vec<Hold>,
-    pub numbers: Vec<Given>,
+    pub numbers: Vec<IssuedNumber>,
     pub puts: Vec<Put>,
     pub reads: Vec<Read>,
-    pub watches: BTreeMap<String, Vec<Watched>>,
-    /// All events of each group at the end, from its first put on.
+    /// Answers to watches, by group.
+    pub watches: BTreeMap<String, Vec<WatchAnswer>>,
+    /// All events of each group, from its first put on, as read at the end of the run.
     pub events: BTreeMap<String, Vec<Event>>,
 }
 
 impl History {
-    /// What is wrong with it.
+    /// Descriptions of all violations of the guarantees; empty if the history is valid.
     pub fn violations(&self) -> Vec<String> {
         let mut found = Vec::new();
         self.check_holders(&mut found);
@@ -103,12 +108,12 @@
     fn check_fences(&self, found: &mut Vec<String>) {
         for a in &self.holds {
             let others = self.holds.iter();
-            let is_wrong = |b: &&Hold| {
+            let is_not_above = |b: &&Hold| {
                 a.lock == b.lock && a.holder != b.holder && b.from <= a.sent && b.fence >= a.fence
             };
             found.extend(
                 others
-                    .filter(is_wrong)
+                    .filter(is_not_above)
                     .map(|b| format!("fence not above: {a:?} {b:?}")),
             );
         }
@@ -121,9 +126,9 @@
                 found.push(format!("number given twice: {a:?}"));
             }
             let mut others = self.numbers.iter();
-            let earlier =
-                |b: &&Given| b.name == a.name && b.answered <= a.sent && b.value >= a.value;
-            if let Some(b) = others.find(earlier) {
+            let is_earlier_but_not_below =
+                |b: &&IssuedNumber| b.name == a.name && b.answered <= a.sent && b.value >= a.value;
+            if let Some(b) = others.find(is_earlier_but_not_below) {
                 found.push(format!("number not above: {a:?} {b:?}"));
             }
         }
@@ -132,14 +137,14 @@
     fn check_puts(&self, found: &mut Vec<String>) {
         for put in &self.puts {
             let events = self.events_of(&put.cell);
-            let shown = events.iter().find(|e| e.0 == put.cell && e.1 == put.value);
+            let event = events.iter().find(|e| e.0 == put.cell && e.1 == put.value);
             match put.outcome {
-                PutOutcome::Done(revision) => {
-                    if shown.is_none_or(|event| event.2 != revision) {
-                        found.push(format!("acknowledged put lost: {put:?}, {shown:?}"));
+                PutOutcome::Acknowledged(revision) => {
+                    if event.is_none_or(|event| event.2 != revision) {
+                        found.push(format!("acknowledged put lost: {put:?}, {event:?}"));
                     }
                 }
-                PutOutcome::Rejected(_) if shown.is_some() => {
+                PutOutcome::Rejected(_) if event.is_some() => {
                     found.push(format!("rejected put shown: {put:?}"));
                 }
                 PutOutcome::Rejected(Some(revision)) if revision != 0 => {
@@ -150,15 +155,16 @@
                 }
                 PutOutcome::Rejected(_) | PutOutcome::Unknown => {}
             }
-            if let PutOutcome::Done(revision) = put.outcome {
+            if let PutOutcome::Acknowledged(revision) = put.outcome {
                 let mut others = self.puts.iter();
-                let not_above = |b: &&Put| {
-                    let same_group = group(&b.cell) == group(&put.cell);
+                let is_earlier_but_not_below = |b: &&Put| {
+                    let is_same_group = group(&b.cell) == group(&put.cell);
                     let is_earlier = b.answered <= put.sent && b.value != put.value;
-                    let above = matches!(b.outcome, PutOutcome::Done(other) if other >= revision);
-                    same_group && is_earlier && above
+                    let is_not_below =
+                        matches!(b.outcome, PutOutcome::Acknowledged(other) if other >= revision);
+                    is_same_group && is_earlier && is_not_below
                 };
-                if let Some(b) = others.find(not_above) {
+                if let Some(b) = others.find(is_earlier_but_not_below) {
                     found.push(format!("revision not above: {put:?} {b:?}"));
                 }
             }
@@ -168,7 +174,7 @@
     fn check_reads(&self, found: &mut Vec<String>) {
         for read in &self.reads {
             let acknowledged = self.puts.iter().filter_map(|put| match put.outcome {
-                PutOutcome::Done(revision)
+                PutOutcome::Acknowledged(revision)
                     if put.cell == read.cell && put.answered <= read.sent =>
                 {
                     Some(revision)
@@ -188,16 +194,17 @@
 
     fn check_watches(&self, found: &mut Vec<String>) {
         for (group, events) in &self.events {
-            let rises = events.windows(2).all(|pair| pair[0].2 < pair[1].2);
-            if !rises {
+            let is_rising = events.windows(2).all(|pair| pair[0].2 < pair[1].2);
+            if !is_rising {
                 found.push(format!("revisions of {group} don't rise: {events:?}"));
             }
         }
         for (group, answers) in &self.watches {
             let all = self.events.get(group).cloned().unwrap_or_default();
             for answer in answers {
-                let span = |event: &&Event| event.2 > answer.after && event.2 <= answer.revision;
-                let expected: Vec<Event> = all.iter().filter(span).cloned().collect();
+                let is_in_range =
+                    |event: &&Event| event.2 > answer.after && event.2 <= answer.revision;
+                let expected: Vec<Event> = all.iter().filter(is_in_range).cloned().collect();
                 if answer.events != expected {
                     found.push(format!("watch of {group}: {answer:?}, not {expected:?}"));
                 }
@@ -210,6 +217,7 @@
     }
 }
 
+/// The group that a cell belongs to, by its name.
 pub fn group(cell: &str) -> &str {
     coordination::group_of(cell)
 }
--- a/crates/control-plane/tests/coordination_histories/main.rs
+++ b/crates/control-plane/tests/coordination_histories/main.rs
@@ -1,8 +1,9 @@
-//! Applications that take locks, numbers and cells, and watch, while members are cut off, frozen, killed and wiped. What
-//! they were told is recorded and checked: no two holders of one lock, fences, numbers and revisions that rise, no stale
-//! read, no value that nobody put or whose put was rejected, no event skipped, and nothing acknowledged is lost.
+//! Applications that use locks, counters, cells and watches while members are isolated, frozen, killed and wiped. Their
+//! answers are recorded in a history and checked: a lock has at most one holder, fences, numbers and revisions rise, no
+//! read is stale, no value appears that nobody put or whose put was rejected, no event is skipped, and nothing
+//! acknowledged is lost.
 //!
-//! A failing seed prints what was violated; `COORDINATION_SEEDS=17..18` plays it alone.
+//! A failing seed prints the violations; `COORDINATION_SEEDS=17..18` runs only seed 17.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -14,24 +15,24 @@
 mod schedule;
 
 use applications::Applications;
-use schedule::{Faults, Schedule};
+use schedule::{FaultKind, FaultSchedule};
 
-/// Seeds that are always played.
-const SEEDS: std::ops::Range<u64> = 0..12;
+/// Seeds that are run by default.
+const DEFAULT_SEEDS: std::ops::Range<u64> = 0..12;
 
 fn seeds() -> std::ops::Range<u64> {
     let Ok(text) = std::env::var("COORDINATION_SEEDS") else {
-        return SEEDS;
+        return DEFAULT_SEEDS;
     };
     let (from, to) = text.split_once("..").expect("FROM..TO");
     from.parse().unwrap()..to.parse().unwrap()
 }
 
-fn violations(faults: Faults) -> Vec<(u64, String)> {
+fn violations(fault_kind: FaultKind) -> Vec<(u64, String)> {
     let mut all = Vec::new();
     for seed in seeds() {
-        let schedule = Schedule::new(seed, faults);
-        for violation in Applications::play(schedule) {
+        let schedule = FaultSchedule::new(seed, fault_kind);
+        for violation in Applications::run(schedule) {
             all.push((seed, violation));
         }
     }
@@ -39,16 +40,16 @@
 }
 
 #[test]
-fn applications_when_nothing_fails_are_all_served() {
-    assert_eq!(violations(Faults::None), Vec::new());
+fn applications_when_nothing_fails_see_no_violation() {
+    assert_eq!(violations(FaultKind::None), Vec::new());
 }
 
 #[test]
-fn applications_when_members_are_cut_off_or_frozen_are_told_no_wrong() {
-    assert_eq!(violations(Faults::Partitions), Vec::new());
+fn applications_when_members_are_isolated_or_frozen_see_no_violation() {
+    assert_eq!(violations(FaultKind::Partitions), Vec::new());
 }
 
 #[test]
-fn applications_when_members_are_killed_or_wiped_are_told_no_wrong() {
-    assert_eq!(violations(Faults::Losses), Vec::new());
+fn applications_when_members_are_killed_or_wiped_see_no_violation() {
+    assert_eq!(violations(FaultKind::Losses), Vec::new());
 }
