--- a/crates/control-plane/tests/configuration_requests.rs
+++ b/crates/control-plane/tests/configuration_requests.rs
@@ -1,5 +1,5 @@
-//! Configuration requests as they come over a connection: base versions, bodies that are cut short, pipelining. Real
-//! sockets, and a replicated state in memory behind them.
+//! Configuration requests over HTTP connections: base versions, truncated bodies, pipelining. The server has real
+//! sockets and a replicated state in memory.
 
 mod http_client;
 
@@ -22,7 +22,7 @@
 
 const BODY: &str = r#"{"version":3,"routes":[],"services":[],"limits":{}}"#;
 
-/// Applies requests to a state at once.
+/// A request handler that applies each request to a state in memory at once.
 #[derive(Clone, Default)]
 struct InMemoryState(Rc<RefCell<ReplicatedState>>);
 
@@ -46,13 +46,14 @@
     }
 }
 
-struct Api {
+/// A running control server and its state.
+struct TestServer {
     addr: SocketAddr,
     state: InMemoryState,
     _shutdown: watch::Sender<bool>,
 }
 
-async fn api() -> Api {
+async fn start_server() -> TestServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let state = InMemoryState::default();
@@ -66,14 +67,14 @@
         )
         .listen(listener),
     );
-    Api {
+    TestServer {
         addr,
         state,
         _shutdown: shutdown,
     }
 }
 
-impl Api {
+impl TestServer {
     fn version(&self) -> u64 {
         self.state.0.borrow().configuration.version
     }
@@ -83,7 +84,7 @@
     }
 }
 
-/// A request with these additional header lines, each with its line's end.
+/// A request to replace the configuration. `headers` are additional header lines, each with its CRLF.
 fn replace_request(headers: &str) -> String {
     let length = BODY.len();
     format!("POST /fennelpin/Configuration.Replace HTTP/1.1\r\nHost: h\r\n{headers}Content-Length: {length}\r\n\r\n{BODY}")
@@ -91,20 +92,20 @@
 
 #[rstest]
 #[case::missing("", 121)]
-#[case::twice_alike("Fennelpin-Base-Version: 0\r\nFennelpin-Base-Version: 0\r\n", 121)]
+#[case::duplicate("Fennelpin-Base-Version: 0\r\nFennelpin-Base-Version: 0\r\n", 121)]
 #[case::two_values("Fennelpin-Base-Version: 0\r\nfennelpin-base-version: 5\r\n", 121)]
 #[case::signed("Fennelpin-Base-Version: +0\r\n", 121)]
 #[case::blank("Fennelpin-Base-Version: \r\n", 121)]
-#[case::beyond_numbers("Fennelpin-Base-Version: 18446744073709551616\r\n", 121)]
+#[case::above_u64("Fennelpin-Base-Version: 18446744073709551616\r\n", 121)]
 #[case::not_in_force("Fennelpin-Base-Version: 18446744073709551615\r\n", 124)]
-#[case::one("Fennelpin-Base-Version: 0\r\n", 0)]
-fn base_version_when_it_is_not_one_plain_number_is_rejected(
+#[case::valid("Fennelpin-Base-Version: 0\r\n", 0)]
+fn base_version_when_not_a_single_number_in_force_is_rejected(
     #[case] headers: &str,
     #[case] code: u16,
 ) {
     run_local(async {
-        let api = api().await;
-        let mut stream = api.connect().await;
+        let server = start_server().await;
+        let mut stream = server.connect().await;
         stream
             .write_all(replace_request(&format!("{headers}Connection: close\r\n")).as_bytes())
             .await
@@ -117,23 +118,23 @@
         );
         assert!(answer.contains(&format!("\"code\":{code},")), "{answer}");
         assert_eq!(answer.contains("retry-after"), status == 503, "{answer}");
-        assert_eq!(api.version(), if code == 0 { 3 } else { 0 });
+        assert_eq!(server.version(), if code == 0 { 3 } else { 0 });
     });
 }
 
-/// The request that was meant may have been taken by way of another connection: it isn't refused.
+/// The complete request may have been applied through another connection, so a truncated one isn't rejected.
 #[rstest]
-#[case::told_length("Content-Length: 99", &BODY[..20])]
-#[case::whole_but_for_its_end("Content-Length: 52", BODY)]
+#[case::content_length("Content-Length: 99", &BODY[..20])]
+#[case::one_byte_missing("Content-Length: 52", BODY)]
 #[case::within_a_chunk("Transfer-Encoding: chunked", "33\r\n{\"version\":3,")]
 #[case::without_the_last_chunk(
     "Transfer-Encoding: chunked",
     "33\r\n{\"version\":3,\"routes\":[],\"services\":[],\"limits\":{}}\r\n"
 )]
-fn body_when_it_ends_too_soon_is_not_rejected(#[case] framing: &str, #[case] sent: &str) {
+fn body_when_truncated_is_not_rejected(#[case] framing: &str, #[case] sent: &str) {
     run_local(async {
-        let api = api().await;
-        let mut stream = api.connect().await;
+        let server = start_server().await;
+        let mut stream = server.connect().await;
         let head =
             "POST /fennelpin/Configuration.Replace HTTP/1.1\r\nHost: h\r\nFennelpin-Base-Version: 0\r\n";
         stream
@@ -146,15 +147,15 @@
             answer.is_empty() || answer.starts_with("HTTP/1.1 408 "),
             "{answer}"
         );
-        assert_eq!(api.version(), 0);
+        assert_eq!(server.version(), 0);
     });
 }
 
 #[test]
-fn chunk_when_its_size_is_no_number_is_rejected() {
+fn chunk_when_its_size_is_not_a_number_is_rejected() {
     run_local(async {
-        let api = api().await;
-        let mut stream = api.connect().await;
+        let server = start_server().await;
+        let mut stream = server.connect().await;
         let head =
             "POST /fennelpin/Configuration.Replace HTTP/1.1\r\nHost: h\r\nFennelpin-Base-Version: 0\r\n";
         stream
@@ -163,23 +164,23 @@
             .unwrap();
         let answer = read_to_end(&mut stream).await;
         assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
-        assert_eq!(api.version(), 0);
+        assert_eq!(server.version(), 0);
     });
 }
 
 #[test]
-fn body_when_the_caller_expects_100_continue_is_asked_for() {
+fn body_when_the_caller_expects_100_continue_is_requested() {
     run_local(async {
-        let api = api().await;
-        let mut stream = api.connect().await;
+        let server = start_server().await;
+        let mut stream = server.connect().await;
         let text = replace_request(
             "Fennelpin-Base-Version: 0\r\nConnection: close\r\nExpect: 100-continue\r\n",
         );
         let (head, body) = text.split_at(text.len() - BODY.len());
         stream.write_all(head.as_bytes()).await.unwrap();
-        let mut told = [0; 25];
-        stream.read_exact(&mut told).await.unwrap();
-        assert_eq!(&told, b"HTTP/1.1 100 Continue\r\n\r\n");
+        let mut interim_response = [0; 25];
+        stream.read_exact(&mut interim_response).await.unwrap();
+        assert_eq!(&interim_response, b"HTTP/1.1 100 Continue\r\n\r\n");
         stream.write_all(body.as_bytes()).await.unwrap();
         let answer = read_to_end(&mut stream).await;
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
@@ -187,18 +188,18 @@
 }
 
 #[test]
-fn request_when_pipelined_again_and_again_is_confirmed_each_time() {
+fn request_when_repeated_in_a_pipeline_is_confirmed_each_time() {
     run_local(async {
-        let api = api().await;
-        let mut stream = api.connect().await;
-        let again = replace_request("Fennelpin-Base-Version: 0\r\n");
+        let server = start_server().await;
+        let mut stream = server.connect().await;
+        let repeated = replace_request("Fennelpin-Base-Version: 0\r\n");
         let last = replace_request("Fennelpin-Base-Version: 0\r\nConnection: close\r\n");
         stream
-            .write_all(format!("{again}{again}{again}{last}").as_bytes())
+            .write_all(format!("{repeated}{repeated}{repeated}{last}").as_bytes())
             .await
             .unwrap();
         let answers = read_to_end(&mut stream).await;
         assert_eq!(answers.matches("HTTP/1.1 200 ").count(), 4, "{answers}");
-        assert_eq!(api.state.0.borrow().applied_requests.iter().count(), 1);
+        assert_eq!(server.state.0.borrow().applied_requests.iter().count(), 1);
     });
 }
--- a/crates/control-plane/tests/registry_publisher.rs
+++ b/crates/control-plane/tests/registry_publisher.rs
@@ -1,4 +1,4 @@
-//! The host registry's changes go into the mirror that others pull from.
+//! Publication of the host registry's changes to the mirror that other processes pull from.
 
 use control_plane::host_registry::{Heartbeat, HostRequest};
 use control_plane::registry_publisher::{RegistryPublisher, VersionsInForce};
@@ -8,7 +8,7 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
-fn request(host: &str, call_seq: u64) -> HostRequest {
+fn heartbeat_request(host: &str, call_seq: u64) -> HostRequest {
     let (service, addr, zone) = ("s".into(), Addr { ip: 1, port: 80 }, "z".into());
     let heartbeat = Heartbeat {
         service,
@@ -33,19 +33,19 @@
     let first = answer(&shared, &agent.pull(&Subscriber::default(), 1000)).await;
     assert!(
         agent.apply(Duration::ZERO, &first),
-        "the member's incarnation is known before any host is"
+        "the first update carries the member's incarnation before there is any host"
     );
     let pull = agent.pull(&Subscriber::default(), 1000);
-    let waits = {
+    let waiting_answer = {
         let shared = shared.clone();
         tokio::spawn(async move { answer(&shared, &pull).await })
     };
     tokio::task::yield_now().await;
-    assert!(!waits.is_finished());
-    let asked = tokio::time::Instant::now();
-    assert!(publisher.handle(&request("i", 1)));
-    let update = waits.await.unwrap();
-    assert_eq!(asked.elapsed(), Duration::ZERO);
+    assert!(!waiting_answer.is_finished());
+    let asked_at = tokio::time::Instant::now();
+    assert!(publisher.handle(&heartbeat_request("i", 1)));
+    let update = waiting_answer.await.unwrap();
+    assert_eq!(asked_at.elapsed(), Duration::ZERO);
     assert!(!update.origins[0].complete);
     assert_eq!(update.origins[0].hosts[0].id, "i");
 }
@@ -53,7 +53,7 @@
 #[tokio::test(start_paused = true)]
 async fn pull_when_nothing_changes_is_answered_after_its_wait() {
     let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_INTERVAL));
-    let asked = tokio::time::Instant::now();
+    let asked_at = tokio::time::Instant::now();
     let update = answer(
         &shared,
         &Mirror::new(0, HEARTBEAT_INTERVAL).pull(&Subscriber::default(), 1000),
@@ -61,7 +61,7 @@
     .await;
     assert!(update.is_empty());
     assert_eq!(
-        (update.member, asked.elapsed()),
+        (update.member, asked_at.elapsed()),
         (7, Duration::from_millis(1000))
     );
 }
@@ -70,9 +70,10 @@
 async fn host_when_it_moves_to_another_member_is_dropped() {
     let shared = SharedMirror::new(Mirror::new(7, HEARTBEAT_INTERVAL));
     let publisher = RegistryPublisher::new(7, 1, HEARTBEAT_INTERVAL, shared.clone());
-    publisher.handle(&request("i", 1));
+    publisher.handle(&heartbeat_request("i", 1));
     let other = SharedMirror::new(Mirror::new(8, HEARTBEAT_INTERVAL));
-    RegistryPublisher::new(8, 1, HEARTBEAT_INTERVAL, other.clone()).handle(&request("i", 4));
+    RegistryPublisher::new(8, 1, HEARTBEAT_INTERVAL, other.clone())
+        .handle(&heartbeat_request("i", 4));
     tokio::time::advance(HEARTBEAT_INTERVAL * 3).await;
     let update = other
         .update(|m, now| m.update_for(now, &pull_of(&shared)))
@@ -82,10 +83,11 @@
     assert_eq!(shared.snapshot().hosts["i"].call_seq, 4);
     assert!(
         shared.update(|m, _| m.host_at_other_origins(8, "i").is_none()),
-        "only the other has it"
+        "the record remains at the other member only"
     );
 }
 
+/// A pull request that asks for what a mirror doesn't have yet.
 fn pull_of(shared: &SharedMirror) -> replication::Pull {
     shared.update(|m, _| m.pull(&Subscriber::default(), 0))
 }
@@ -104,7 +106,7 @@
         phase: phase::GONE,
         ..Default::default()
     }];
-    let source = protocol::OriginUpdate {
+    let origin_update = protocol::OriginUpdate {
         version,
         complete: true,
         hosts,
@@ -114,12 +116,12 @@
         m.apply(
             now,
             &Update {
-                origins: vec![source],
+                origins: vec![origin_update],
                 ..Update::default()
             },
         )
     });
-    publisher.handle(&request("i", 3));
+    publisher.handle(&heartbeat_request("i", 3));
     assert_eq!(shared.snapshot().hosts["i"].phase, phase::GONE);
 }
 
