--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -1,4 +1,4 @@
-//! A second loss right after a repair, a replacement or a departure leaves a majority and all that was
+//! A second loss right after a repair, a replacement or a departure leaves a majority and everything that was
 //! acknowledged (`docs/design/hardening/3-second-loss.md`).
 
 mod support;
@@ -10,40 +10,42 @@
 use support::event_cluster::Cluster;
 use support::{budget, ms, LEASE};
 
-const SOON: std::time::Duration = ms(8000);
+/// Time within which a membership change is complete and a primary acts.
+const CHANGE_TIMEOUT: std::time::Duration = ms(8000);
 
-fn primary(cluster: &mut Cluster) -> usize {
+/// Runs until there is an acting primary and returns it.
+fn wait_for_primary(cluster: &mut Cluster) -> usize {
     cluster
-        .run_until(SOON, |c| c.primary().is_some())
-        .expect("somebody acts");
+        .run_until(CHANGE_TIMEOUT, |c| c.primary().is_some())
+        .expect("there is a primary");
     cluster.primary().unwrap()
 }
 
-/// Machines by their part in the membership: primary, other replica, witness.
-fn parts(cluster: &mut Cluster) -> (usize, usize, usize) {
-    primary(cluster);
+/// Machines by their role in the membership: primary, other replica, witness.
+fn machines_by_role(cluster: &mut Cluster) -> (usize, usize, usize) {
+    wait_for_primary(cluster);
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
     (replicas[0], replicas[1], witness)
 }
 
 #[test]
-fn replica_when_departing_then_waits_until_another_holds_the_state() {
+fn replica_when_departing_then_waits_until_another_has_the_state() {
     let mut cluster = Cluster::with_three_members();
-    let (first, second, witness) = parts(&mut cluster);
+    let (first, second, witness) = machines_by_role(&mut cluster);
     cluster.depart(second);
     assert!(
         !cluster.may_exit(second),
-        "it ends while the primary's is the only other copy"
+        "it may exit while only the primary has the state too"
     );
     cluster
-        .run_until(SOON, |c| c.may_exit(second))
-        .expect("it may end");
+        .run_until(CHANGE_TIMEOUT, |c| c.may_exit(second))
+        .expect("it may exit");
     assert!(cluster.replicas().contains(&witness));
-    // It is gone for good, and the other replica with its disk at the same moment.
+    // The departed replica exits, and the primary is lost with its disk at the same time.
     cluster.kill(second);
     cluster.kill(first);
-    // Whatever the witness alone may not do, it has what was acknowledged.
+    // The former witness is a replica and so has everything that was acknowledged, although it has no majority.
     assert!(cluster
         .membership(witness)
         .replicas
@@ -51,14 +53,14 @@
 }
 
 #[test]
-fn primary_when_departing_then_waits_until_two_others_hold_the_state() {
+fn primary_when_departing_then_waits_until_two_others_have_the_state() {
     let mut cluster = Cluster::with_three_members();
-    let (first, second, witness) = parts(&mut cluster);
+    let (first, second, witness) = machines_by_role(&mut cluster);
     cluster.depart(first);
     let took = cluster
-        .run_until(SOON, |c| c.may_exit(first))
-        .expect("it may end");
-    assert!(took < LEASE, "handed over after {took:?}");
+        .run_until(CHANGE_TIMEOUT, |c| c.may_exit(first))
+        .expect("it may exit");
+    assert!(took < LEASE, "the departure took {took:?}");
     let mut replicas = cluster.replicas();
     replicas.sort_unstable();
     let mut others = vec![second, witness];
@@ -66,55 +68,57 @@
     assert_eq!(replicas, others);
 }
 
-/// The other replica and its disk are lost; the only one that holds the ledger is asked to end.
+/// The other replica is lost with its disk, and the only member that has the state departs.
 #[test]
-fn last_replica_when_departing_then_waits_for_the_next() {
+fn last_replica_when_departing_then_waits_for_another_replica() {
     let mut cluster = Cluster::with_three_members();
-    let (first, second, _) = parts(&mut cluster);
+    let (first, second, _) = machines_by_role(&mut cluster);
     cluster.kill(second);
     cluster.depart(first);
     cluster.run(ms(500));
-    assert!(!cluster.may_exit(first), "the only copy ends");
+    assert!(!cluster.may_exit(first), "the only replica may exit");
     cluster.wipe(second);
     cluster
-        .run_until(SOON, |c| c.may_exit(first))
-        .expect("it may end once another holds the ledger");
+        .run_until(CHANGE_TIMEOUT, |c| c.may_exit(first))
+        .expect("it may exit once another member has the state");
     cluster.kill(first);
-    primary(&mut cluster);
+    wait_for_primary(&mut cluster);
     assert_eq!(cluster.read_version(), Some(1));
     cluster.apply_configuration(1, 2);
 }
 
-/// Where nobody comes for a while the last copy is put onto a witness before it goes.
+/// If no other member joins for a while, the departing replica hands the state over to a witness.
 #[test]
-fn primary_when_it_cannot_hand_over_in_full_then_hands_over_to_whoever_is_there() {
+fn primary_when_too_few_members_are_there_then_hands_over_to_the_witness() {
     let mut cluster = Cluster::with_three_members();
-    let (first, second, witness) = parts(&mut cluster);
+    let (first, second, witness) = machines_by_role(&mut cluster);
     cluster.kill(second);
     cluster.depart(first);
     cluster
-        .run_until(SOON, |c| c.is_primary(witness))
+        .run_until(CHANGE_TIMEOUT, |c| c.is_primary(witness))
         .expect("the witness takes over");
     cluster.kill(first);
     cluster.wipe(second);
-    primary(&mut cluster);
+    wait_for_primary(&mut cluster);
     assert_eq!(cluster.read_version(), Some(1));
 }
 
 #[test]
-fn members_when_all_depart_then_they_end_soon() {
+fn members_when_all_depart_then_they_may_exit_soon() {
     let mut cluster = Cluster::with_three_members();
-    primary(&mut cluster);
+    wait_for_primary(&mut cluster);
     (0..3).for_each(|n| cluster.depart(n));
-    let all = |c: &Cluster| (0..3).all(|n| c.may_exit(n));
-    let took = cluster.run_until(SOON, all).expect("all end");
+    let all_may_exit = |c: &Cluster| (0..3).all(|n| c.may_exit(n));
+    let took = cluster
+        .run_until(CHANGE_TIMEOUT, all_may_exit)
+        .expect("all members may exit");
     assert!(
         took < ms(100),
-        "nobody is there to wait for, and they waited {took:?}"
+        "no member is there to hand over to, but they waited {took:?}"
     );
     (0..3).for_each(|n| cluster.kill(n));
     (0..3).for_each(|n| cluster.restart(n));
-    primary(&mut cluster);
+    wait_for_primary(&mut cluster);
     assert_eq!(cluster.read_version(), Some(1));
 }
 
@@ -122,109 +126,112 @@
 #[case::primary(0)]
 #[case::replica(1)]
 #[case::witness(2)]
-fn planned_replacement_when_a_loss_follows_then_it_is_borne(#[case] part: usize) {
+fn planned_replacement_when_a_loss_follows_then_requests_are_applied(#[case] role: usize) {
     let mut cluster = Cluster::with_three_members();
-    primary(&mut cluster);
-    let new = cluster.add_machine("r/d");
+    wait_for_primary(&mut cluster);
+    let joining = cluster.add_machine("r/d");
     cluster
-        .run_until(SOON, |c| c.is_voter(new))
-        .expect("the new one joins");
+        .run_until(CHANGE_TIMEOUT, |c| c.is_voter(joining))
+        .expect("the added machine becomes a voter");
     cluster
-        .run_until(SOON, |c| c.current_membership().is_stable())
-        .expect("agreed");
+        .run_until(CHANGE_TIMEOUT, |c| c.current_membership().is_stable())
+        .expect("the membership is stable");
     let replicas = cluster.replicas();
     let witness = (0..3).find(|n| !replicas.contains(n)).unwrap();
-    let old = [replicas[0], replicas[1], witness][part];
-    cluster.depart(old);
+    let departing = [replicas[0], replicas[1], witness][role];
+    cluster.depart(departing);
     cluster
-        .run_until(SOON, |c| c.may_exit(old))
-        .expect("the old one ends");
-    cluster.kill(old);
-    // Not after some seconds of silence: the next loss may come at once.
-    let settled = |c: &Cluster| {
-        c.primary().is_some() && !c.is_voter(old) && c.current_membership().is_stable()
+        .run_until(CHANGE_TIMEOUT, |c| c.may_exit(departing))
+        .expect("the departing one may exit");
+    cluster.kill(departing);
+    // The departed voter is removed at once, not after some seconds of silence: the next loss may follow immediately.
+    let is_settled = |c: &Cluster| {
+        c.primary().is_some() && !c.is_voter(departing) && c.current_membership().is_stable()
     };
     let took = cluster
-        .run_until(SOON, settled)
-        .expect("it has no say any more");
-    assert!(took < LEASE, "four voters, one of them gone, for {took:?}");
-    let next = primary(&mut cluster);
+        .run_until(CHANGE_TIMEOUT, is_settled)
+        .expect("the departed one is no voter any more");
+    assert!(
+        took < LEASE,
+        "four voters, one of them departed, for {took:?}"
+    );
+    let next = wait_for_primary(&mut cluster);
     cluster.kill(next);
-    primary(&mut cluster);
+    wait_for_primary(&mut cluster);
     assert_eq!(cluster.read_version(), Some(1));
     cluster.apply_configuration(1, 2);
 }
 
-/// The primary is lost right after its membership with a new voter has been agreed on, of which that voter was not told.
+/// The primary is lost right after its membership with a new voter was committed, before that voter received it.
 #[test]
-fn voter_when_not_told_yet_then_it_may_promise() {
+fn voter_when_it_lacks_its_membership_then_it_may_promise() {
     let mut cluster = Cluster::with_three_members();
-    let (first, second, witness) = parts(&mut cluster);
+    let (first, second, witness) = machines_by_role(&mut cluster);
     cluster.kill(witness);
     cluster.run(ms(3500));
-    // Installing memberships doesn't reach the new one, but all else does.
-    let new = cluster.add_machine("r/d");
+    // The joining machine receives all messages except the ones that install a membership.
+    let joining = cluster.add_machine("r/d");
     cluster.message_loss = Some(std::rc::Rc::new(move |_, to, message| {
-        to == new && matches!(message, Message::InstallMembership { .. })
+        to == joining && matches!(message, Message::InstallMembership { .. })
     }));
     cluster
-        .run_until(SOON, |c| {
-            c.is_voter(new) && c.current_membership().is_stable()
+        .run_until(CHANGE_TIMEOUT, |c| {
+            c.is_voter(joining) && c.current_membership().is_stable()
         })
-        .expect("it becomes a voter");
-    assert_eq!(cluster.membership(new).epoch, 0);
+        .expect("the added machine becomes a voter");
+    assert_eq!(cluster.membership(joining).epoch, 0);
     cluster.kill(first);
     cluster.message_loss = None;
     cluster
-        .run_until(SOON, |c| c.is_primary(second))
+        .run_until(CHANGE_TIMEOUT, |c| c.is_primary(second))
         .expect("the other replica and the new voter are a majority");
     assert_eq!(cluster.read_version(), Some(1));
 }
 
-/// Between the membership with both sets of voters and the one that settles it, the loss of any one must not stop all.
+/// A membership with two sets of voters needs a majority of both, so it is followed at once by the stable one.
 #[test]
 fn change_of_voters_when_committed_then_stable_at_once() {
     let mut cluster = Cluster::with_three_members();
-    primary(&mut cluster);
-    let new = cluster.add_machine("r/d");
+    wait_for_primary(&mut cluster);
+    let joining = cluster.add_machine("r/d");
     cluster
-        .run_until(SOON, |c| c.is_voter(new))
-        .expect("the new one joins");
+        .run_until(CHANGE_TIMEOUT, |c| c.is_voter(joining))
+        .expect("the added machine becomes a voter");
     let took = cluster
-        .run_until(SOON, |c| {
-            c.is_voter(new) && c.current_membership().is_stable()
+        .run_until(CHANGE_TIMEOUT, |c| {
+            c.is_voter(joining) && c.current_membership().is_stable()
         })
-        .expect("settled");
-    assert!(took < ms(50), "unsettled for {took:?}");
+        .expect("the membership is stable");
+    assert!(took < ms(50), "two sets of voters for {took:?}");
 }
 
-/// One machine after the other is replaced, each time with a kill between.
+/// One machine after the other is replaced, with another machine killed after each replacement.
 #[test]
 fn members_when_replaced_repeatedly_with_kills_between_then_requests_are_applied() {
     let mut cluster = Cluster::with_three_members();
-    let mut alive = vec![0, 1, 2];
+    let mut running = vec![0, 1, 2];
     for round in 0..6 {
-        let first = primary(&mut cluster);
-        // Gone for good: the primary, another replica, and so on.
+        let first = wait_for_primary(&mut cluster);
+        // The primary and another replica are lost for good in turn.
         let replicas = cluster.replicas();
-        let gone = if round % 2 == 0 { first } else { replicas[1] };
-        cluster.kill(gone);
+        let lost = if round % 2 == 0 { first } else { replicas[1] };
+        cluster.kill(lost);
         cluster.run(ms(1000));
-        let new = cluster.add_machine(&format!("r/n{round}"));
-        alive.retain(|n| *n != gone);
-        alive.push(new);
-        // Lost for as long as the operators count it: from then on the next one may go.
+        let joining = cluster.add_machine(&format!("r/n{round}"));
+        running.retain(|n| *n != lost);
+        running.push(joining);
+        // After this time the lost machine counts as replaced, so the budget allows the next loss.
         cluster.run(ms(4000));
         assert!(
-            cluster.is_voter(new) && !cluster.is_voter(gone),
+            cluster.is_voter(joining) && !cluster.is_voter(lost),
             "round {round}: {:?}",
             cluster.memberships()
         );
-        let next = alive[0];
-        cluster.kill(next);
+        let killed = running[0];
+        cluster.kill(killed);
         let took = cluster.apply_configuration(1 + round, 2 + round);
         assert!(took < ms(4000), "round {round}: {took:?}");
-        cluster.restart(next);
+        cluster.restart(killed);
         cluster.run(ms(4000));
     }
     assert_eq!(cluster.read_version(), Some(7));
@@ -235,31 +242,35 @@
 #[case::primary(0)]
 #[case::replica(1)]
 #[case::witness(2)]
-fn wiped_machine_when_it_is_back_then_it_is_a_voter_in_time(#[case] part: usize) {
+fn wiped_machine_when_restarted_then_it_is_a_voter_in_time(#[case] role: usize) {
     let mut cluster = Cluster::with_three_members();
-    let (first, second, witness) = parts(&mut cluster);
-    let wiped = [first, second, witness][part];
+    let (first, second, witness) = machines_by_role(&mut cluster);
+    let wiped = [first, second, witness][role];
     cluster.kill(wiped);
     cluster.run(ms(500));
     cluster.wipe(wiped);
-    let done = |c: &Cluster| {
+    let is_replaced = |c: &Cluster| {
         c.is_voter(wiped) && c.current_membership().is_stable() && c.replicas().len() == 2
     };
-    let took = cluster.run_until(SOON, done).expect("it joins");
+    let took = cluster
+        .run_until(CHANGE_TIMEOUT, is_replaced)
+        .expect("the wiped machine becomes a voter");
     assert!(took < ms(2000), "{took:?}");
 }
 
-/// One that came while a voter was about to be missed joins once that voter is given up, however long that takes.
+/// A member that starts while a voter is unreachable but not yet given up joins once that voter is given up.
 #[test]
-fn member_when_it_came_too_early_then_it_joins_later() {
+fn member_when_added_before_a_voter_is_given_up_then_it_joins_later() {
     let mut cluster = Cluster::with_three_members();
-    let (_, _, witness) = parts(&mut cluster);
+    let (_, _, witness) = machines_by_role(&mut cluster);
     cluster.set_isolated(witness, true);
     cluster.run(ms(900));
-    let new = cluster.add_machine("r/d");
+    let joining = cluster.add_machine("r/d");
     cluster
-        .run_until(SOON, |c| c.is_voter(new) && !c.is_voter(witness))
-        .expect("it takes the lost one's place");
+        .run_until(CHANGE_TIMEOUT, |c| {
+            c.is_voter(joining) && !c.is_voter(witness)
+        })
+        .expect("it replaces the lost voter");
 }
 
 #[rstest]
@@ -277,12 +288,12 @@
 #[case::two_zones_only(budget(1, 1, 0), &["r/a", "r/b", "r/a"], 2)]
 #[case::region_of_three(budget(1, 0, 1), &["r/a", "s/b", "t/c"], 0)]
 #[case::region_with_two_of_four(budget(1, 0, 1), &["r/a", "s/b", "t/c", "r/d"], 1)]
-fn voters_missing_after_the_worst_loss(
+fn majority_shortfall_after_the_worst_loss(
     #[case] budget: configuration::FaultBudget,
     #[case] zones: &[&str],
-    #[case] missing: i64,
+    #[case] shortfall: i64,
 ) {
-    let seat = |zone: &&str| {
+    let member_info = |zone: &&str| {
         let (region, zone) = zone.split_once('/').unwrap();
         MemberInfo {
             zone: zone.into(),
@@ -290,24 +301,24 @@
             ..MemberInfo::default()
         }
     };
-    let seats: Vec<MemberInfo> = zones.iter().map(seat).collect();
+    let voters: Vec<MemberInfo> = zones.iter().map(member_info).collect();
     assert_eq!(
-        majority_shortfall(&budget, &seats.iter().collect::<Vec<_>>()),
-        missing
+        majority_shortfall(&budget, &voters.iter().collect::<Vec<_>>()),
+        shortfall
     );
 }
 
-/// Of three first voters two stand in one zone or region: while no others are there, none of them is dropped. With two
-/// voters the loss of either would leave nobody who acts.
+/// Two of the three initial voters are in the same zone or region. None of them is removed while there are no other
+/// members, because with two voters the loss of either one would leave no majority.
 #[rstest]
 #[case::zones(budget(1, 1, 0), &["r/a", "r/a", "r/b"], "r/c")]
 #[case::regions(budget(1, 0, 1), &["r/a", "r/b", "s/c"], "t/d")]
 #[case::regions_alone(budget(0, 0, 1), &["r/a", "r/b", "s/c"], "t/d")]
 #[case::regions_later(budget(0, 0, 1), &["s/c", "r/a", "r/b"], "t/d")]
-fn voter_when_others_are_few_then_not_dropped_for_its_place(
+fn voter_when_other_members_are_too_few_then_not_removed_for_its_place(
     #[case] budget: configuration::FaultBudget,
     #[case] zones: &[&str],
-    #[case] joins: &str,
+    #[case] zone_of_added: &str,
 ) {
     let mut cluster = Cluster::start(budget, zones);
     cluster.run(ms(15_000));
@@ -317,20 +328,26 @@
         "{:?}",
         cluster.memberships()
     );
-    assert_eq!(cluster.voter_counts.1, 3, "fewest voters at any time");
-    // Once one more is there, a majority survives the loss of any zone or region.
-    cluster.add_machine(joins);
+    assert_eq!(
+        cluster.voter_counts.1, 3,
+        "smallest number of voters at any time"
+    );
+    // Once a fourth machine has joined, the loss of any zone or region leaves a majority.
+    cluster.add_machine(zone_of_added);
     cluster
         .run_until(ms(15_000), |c| {
             let voters = c.current_membership().voters;
-            let all: Vec<&MemberInfo> = voters.iter().collect();
-            c.current_membership().is_stable() && majority_shortfall(&budget, &all) <= 0
+            let voter_refs: Vec<&MemberInfo> = voters.iter().collect();
+            c.current_membership().is_stable() && majority_shortfall(&budget, &voter_refs) <= 0
         })
-        .expect("a membership that bears the loss");
-    assert!(cluster.voter_counts.1 >= 3, "fewest voters at any time");
+        .expect("a membership that tolerates the loss");
+    assert!(
+        cluster.voter_counts.1 >= 3,
+        "smallest number of voters at any time"
+    );
 }
 
-/// Which members are voters depends on where they are: any zone may be lost, and a majority is left.
+/// Voters are chosen by place, so that the loss of any zone or region leaves a majority.
 #[rstest]
 #[case::four(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a"])]
 #[case::five(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a", "r/b"])]
@@ -360,22 +377,22 @@
     }
 }
 
-/// Machines removed one after the other, without others in their place, down to what the budget needs.
+/// Machines depart one after the other without a replacement, down to the number that the budget needs.
 #[test]
-fn members_when_several_are_removed_then_in_turn() {
+fn members_when_several_depart_in_turn_then_requests_are_applied() {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a", "r/b"]);
     cluster.apply_configuration(0, 1);
     cluster
-        .run_until(SOON, |c| {
+        .run_until(CHANGE_TIMEOUT, |c| {
             c.current_membership().voters.len() == 5 && c.current_membership().is_stable()
         })
-        .expect("all join");
+        .expect("all machines become voters");
     for round in 0..2 {
-        let first = primary(&mut cluster);
+        let first = wait_for_primary(&mut cluster);
         cluster.depart(first);
         cluster
-            .run_until(SOON, |c| c.may_exit(first))
-            .expect("it ends");
+            .run_until(CHANGE_TIMEOUT, |c| c.may_exit(first))
+            .expect("it may exit");
         cluster.kill(first);
         cluster.run(ms(1000));
         assert_eq!(
@@ -385,71 +402,72 @@
             cluster.memberships()
         );
     }
-    let next = primary(&mut cluster);
+    let next = wait_for_primary(&mut cluster);
     cluster.kill(next);
     let took = cluster.apply_configuration(1, 2);
     assert!(took < ms(4000), "{took:?}");
 }
 
-/// Machines of which two may be lost, before the fourth and fifth have joined: all power goes, and one disk with it.
+/// The budget allows the loss of two machines, but the fourth and fifth haven't joined yet. All machines lose power,
+/// and one of them its disk.
 #[rstest]
-#[case::of_the_primary(0)]
-#[case::of_a_replica(1)]
-#[case::of_another(2)]
-fn disk_when_lost_before_more_members_have_joined_then_reads_are_answered(#[case] part: usize) {
+#[case::primary(0)]
+#[case::second_replica(1)]
+#[case::third_replica(2)]
+fn disk_when_lost_before_more_members_have_joined_then_reads_are_answered(#[case] replica: usize) {
     let mut cluster = Cluster::start(budget(2, 0, 0), &["r/a", "r/b", "r/c"]);
     cluster.apply_configuration(0, 1);
-    let lost = cluster.replicas()[part];
+    let lost = cluster.replicas()[replica];
     (0..3).for_each(|n| cluster.kill(n));
     cluster.run(ms(300));
     (0..3)
         .filter(|n| *n != lost)
         .for_each(|n| cluster.restart(n));
-    // The machine itself stays away: nobody takes its place.
+    // The machine with the lost disk isn't restarted or replaced.
     cluster
-        .run_until(SOON, |c| c.primary().is_some())
-        .expect("the two others go on");
+        .run_until(CHANGE_TIMEOUT, |c| c.primary().is_some())
+        .expect("one of the two others becomes primary");
     assert_eq!(cluster.read_version(), Some(1));
     let refused =
         cluster.send_command(cluster.primary().unwrap(), Cluster::configure_command(1, 2));
     cluster.run(ms(4000));
     assert_ne!(
-        cluster.answer(refused),
+        cluster.answer(rejected),
         Some(ResultCode::Ok),
-        "two replicas don't bear two losses"
+        "two replicas don't tolerate two losses"
     );
     let (fourth, fifth) = (cluster.add_machine("r/a"), cluster.add_machine("r/b"));
     cluster
-        .run_until(SOON, |c| c.is_voter(fourth) && c.is_voter(fifth))
-        .expect("both join");
+        .run_until(CHANGE_TIMEOUT, |c| c.is_voter(fourth) && c.is_voter(fifth))
+        .expect("both become voters");
     cluster.apply_configuration(1, 3);
     assert_eq!(cluster.replicas().len(), 3);
     cluster.kill(cluster.replicas()[0]);
     cluster.apply_configuration(3, 4);
 }
 
-/// A voter that leaves for good serves on for a while, and is heard of until its end: it doesn't become a voter again,
-/// beside which the next loss would leave no majority.
+/// A voter that departs for good runs on for a while and stays reachable until its process exits. It must not become a
+/// voter again, because the next loss would then leave no majority.
 #[test]
-fn member_when_departed_for_good_then_it_is_no_voter_again() {
+fn member_when_departed_for_good_then_it_does_not_become_a_voter_again() {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a"]);
     cluster.apply_configuration(0, 1);
     cluster
-        .run_until(SOON, |c| {
+        .run_until(CHANGE_TIMEOUT, |c| {
             c.current_membership().voters.len() == 4 && c.current_membership().is_stable()
         })
         .expect("four voters");
-    let leaver = cluster.primary().unwrap();
-    cluster.depart(leaver);
+    let departing = cluster.primary().unwrap();
+    cluster.depart(departing);
     cluster
-        .run_until(SOON, |c| {
-            !c.is_primary(leaver) && c.primary().is_some() && !c.is_voter(leaver)
+        .run_until(CHANGE_TIMEOUT, |c| {
+            !c.is_primary(departing) && c.primary().is_some() && !c.is_voter(departing)
         })
-        .expect("it is dropped");
+        .expect("it is no voter any more");
     cluster.run(ms(1200));
-    cluster.kill(leaver);
-    let again = cluster.run_until(ms(10_000), |c| c.is_voter(leaver));
-    assert!(again.is_none(), "{:?}", cluster.memberships());
+    cluster.kill(departing);
+    let became_voter = cluster.run_until(ms(10_000), |c| c.is_voter(departing));
+    assert!(became_voter.is_none(), "{:?}", cluster.memberships());
     let next = cluster.primary().unwrap();
     cluster.kill(next);
     cluster.apply_configuration(1, 2);
