--- a/crates/control-plane/tests/log_rewrites.rs
+++ b/crates/control-plane/tests/log_rewrites.rs
@@ -1,5 +1,5 @@
-//! Hundreds of changes: what the file comes to, what a member that starts again makes of it, and what it does where
-//! its records can't be relied on.
+//! The log after hundreds of changes: its size, the state of a member that restarts from it, full disks, and members
+//! whose records are corrupt.
 #![allow(
     clippy::too_many_lines,
     reason = "long scenarios, to be split: docs/ROADMAP.md"
@@ -16,14 +16,15 @@
 use std::time::Duration;
 use support::{member_config, LEASE};
 
-/// Changes between two words of the primary.
-const RENEWED_EACH: u64 = 5;
-const ME: u64 = 2;
-const PRIMARY: u64 = 1;
+/// Number of changes between two lease renewals of the primary.
+const CHANGES_PER_RENEWAL: u64 = 5;
+/// Id of the tested member.
+const LOCAL_ID: u64 = 2;
+const PRIMARY_ID: u64 = 1;
 const EPOCH: u64 = 1 << 20;
 
-/// A configuration with so many routes.
-fn body(version: u64, routes: usize) -> Vec<u8> {
+/// A configuration with this number of routes, as JSON.
+fn configuration_body(version: u64, routes: usize) -> Vec<u8> {
     let route = |n: usize| {
         format!(
             r#"{{"name":"r-{n}","hostname":"h{n}.example","path_prefix":"/p{n}/","route_class":"pure","deadline_ms":4000,"service":"s","max_tries":2,"note":"{version}"}}"#
@@ -41,7 +42,7 @@
     Change::Configure {
         base_version: version - 1,
         is_amendment: false,
-        body: body(version, routes),
+        body: configuration_body(version, routes),
     }
 }
 
@@ -59,48 +60,51 @@
     }
 }
 
-fn config(me: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> MemberConfig {
-    member_config(member_info(me), bootstrap_voters, FaultBudget::default())
+fn member_settings(id: u64, bootstrap_voters: Option<Vec<MemberInfo>>) -> MemberConfig {
+    member_config(member_info(id), bootstrap_voters, FaultBudget::default())
 }
 
-fn view() -> MembershipConfig {
-    let voters = vec![member_info(PRIMARY), member_info(ME)];
+fn membership() -> MembershipConfig {
+    let voters = vec![member_info(PRIMARY_ID), member_info(LOCAL_ID)];
     let previous_voters = voters.clone();
     MembershipConfig {
         epoch: EPOCH,
-        primary: PRIMARY,
-        replicas: vec![PRIMARY, ME],
+        primary: PRIMARY_ID,
+        replicas: vec![PRIMARY_ID, LOCAL_ID],
         voters,
         previous_voters,
     }
 }
 
-/// A member with a disk that can refuse rewrites.
+/// A member with a disk in memory that can refuse writes.
 struct Machine {
     member: Member,
     now: Duration,
     disk: Vec<Vec<u8>>,
-    longest: usize,
+    /// Largest size of the log so far, in bytes.
+    max_bytes: usize,
+    /// Number of rewrites that the member asked for.
     rewrites: usize,
     refuses_rewrites: bool,
-    refuses_all: bool,
-    /// Whether each rewritten file is compared with the one before.
-    compares: bool,
+    refuses_writes: bool,
+    /// Whether the state after each rewrite is compared with the state before it.
+    compares_rewrites: bool,
     outputs: Vec<Output>,
 }
 
-/// What a new life makes of records: the change it shows as acknowledged, and how far its ledger goes.
-fn state_of(disk: &[Vec<u8>], now: Duration) -> (Option<u64>, Option<(u64, u64)>) {
-    let mut again = Machine::start(config(ME, None), disk.to_vec(), now);
-    assert!(again.member.replay_error().is_none());
-    again.step(Input::Tick);
-    let shown = restored(&again.take_outputs());
-    again.now += 2 * LEASE;
-    again.hear(Message::Prepare {
+/// Restarts a member from these records. Returns the index of the state that it publishes as committed, and epoch and
+/// index of its last log entry.
+fn restarted_state(disk: &[Vec<u8>], now: Duration) -> (Option<u64>, Option<(u64, u64)>) {
+    let mut restarted = Machine::start(member_settings(LOCAL_ID, None), disk.to_vec(), now);
+    assert!(restarted.member.replay_error().is_none());
+    restarted.step(Input::Tick);
+    let published = restored_index(&restarted.take_outputs());
+    restarted.now += 2 * LEASE;
+    restarted.receive(Message::Prepare {
         epoch: 9 << 20,
-        candidate: member_info(PRIMARY),
+        candidate: member_info(PRIMARY_ID),
     });
-    let tag = again.take_outputs().iter().find_map(|o| match o {
+    let log_position = restarted.take_outputs().iter().find_map(|o| match o {
         Output::Send {
             message:
                 Message::Promise {
@@ -112,40 +116,47 @@
         } => Some(*log_position),
         _ => None,
     });
-    (shown, tag.expect("it promises").map(|t| (t.epoch, t.index)))
+    (
+        published,
+        log_position
+            .expect("the member promises")
+            .map(|position| (position.epoch, position.index)),
+    )
 }
 
 impl Machine {
     fn start(config: MemberConfig, disk: Vec<Vec<u8>>, now: Duration) -> Self {
         let member = Member::new(config, &disk, now, 7);
-        let (longest, rewrites, refuses_rewrites, refuses_all, compares) = Default::default();
+        let (max_bytes, rewrites, refuses_rewrites, refuses_writes, compares_rewrites) =
+            Default::default();
         let outputs = vec![];
         Self {
             member,
             now,
             disk,
-            longest,
+            max_bytes,
             rewrites,
             refuses_rewrites,
-            refuses_all,
-            compares,
+            refuses_writes,
+            compares_rewrites,
             outputs,
         }
     }
 
-    fn bytes(&self) -> usize {
+    /// Size of the log in bytes.
+    fn log_bytes(&self) -> usize {
         self.disk.iter().map(Vec::len).sum()
     }
 
-    /// Takes an input and does at once what the member asks of its disk.
+    /// Handles an input and completes the writes that the member asks for at once.
     fn step(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            let mut out = Vec::new();
-            self.member.step(self.now, input, &mut out);
-            for output in out {
+            let mut outputs = Vec::new();
+            self.member.step(self.now, input, &mut outputs);
+            for output in outputs {
                 match output {
-                    Output::Write { ticket, .. } if self.refuses_all => {
+                    Output::Write { ticket, .. } if self.refuses_writes => {
                         inputs.push(Input::WriteCompleted {
                             ticket,
                             result: Err(DiskError::Full),
@@ -168,19 +179,21 @@
                         rewrite,
                     } => {
                         if rewrite {
-                            if self.compares {
-                                let (old, new) =
-                                    (state_of(&self.disk, self.now), state_of(&records, self.now));
+                            if self.compares_rewrites {
+                                let (before, after) = (
+                                    restarted_state(&self.disk, self.now),
+                                    restarted_state(&records, self.now),
+                                );
                                 assert_eq!(
-                                    old, new,
-                                    "a loss in the middle of a rewrite leaves either"
+                                    before, after,
+                                    "a rewrite must not change the state, as a crash may leave either file"
                                 );
                             }
                             self.disk.clear();
                             self.rewrites += 1;
                         }
                         self.disk.extend(records);
-                        self.longest = self.longest.max(self.bytes());
+                        self.max_bytes = self.max_bytes.max(self.log_bytes());
                         inputs.push(Input::WriteCompleted {
                             ticket,
                             result: Ok(()),
@@ -192,19 +205,23 @@
         }
     }
 
-    fn hear(&mut self, message: Message) {
+    /// Delivers a message from the primary.
+    fn receive(&mut self, message: Message) {
         self.step(Input::Message {
-            from: member_info(PRIMARY),
+            from: member_info(PRIMARY_ID),
             message,
         });
     }
 
-    /// Lets time pass until the member is the acting primary.
-    fn until_it_acts(&mut self) {
+    /// Runs until the member is the acting primary.
+    fn run_until_primary(&mut self) {
         while !self.member.is_acting_primary() {
             self.now += Duration::from_millis(20);
             self.step(Input::Tick);
-            assert!(self.now < Duration::from_secs(600), "it stands before long");
+            assert!(
+                self.now < Duration::from_secs(600),
+                "the member doesn't become primary"
+            );
         }
     }
 
@@ -213,85 +230,87 @@
     }
 }
 
-/// A replica that has accepted the primary's view.
+/// A replica that has accepted the primary's membership.
 fn replica() -> Machine {
-    let mut machine = Machine::start(config(ME, None), vec![], Duration::ZERO);
+    let mut machine = Machine::start(member_settings(LOCAL_ID, None), vec![], Duration::ZERO);
     let snapshot = Some(ReplicatedState::default().snapshot());
-    machine.hear(Message::InstallMembership {
-        membership: view(),
+    machine.receive(Message::InstallMembership {
+        membership: membership(),
         snapshot,
     });
     machine
 }
 
-fn restored(outputs: &[Output]) -> Option<u64> {
+/// Index of the state that the member restored, if it did.
+fn restored_index(outputs: &[Output]) -> Option<u64> {
     outputs.iter().find_map(|o| match o {
         Output::RestoreState { index, .. } => Some(*index),
         _ => None,
     })
 }
 
-/// Changes come without a pause, and at no moment is all that the replica holds known to be acknowledged.
+/// Changes arrive without a pause, and the replica always has changes that it doesn't know to be committed.
 #[rstest]
 #[case::small(2_000, 10, 1)]
 #[case::hundreds_of_routes(600, 600, 1)]
-#[case::eight_under_way(600, 600, 8)]
-fn file_when_changes_keep_coming_then_it_is_rewritten(
+#[case::eight_uncommitted(600, 600, 8)]
+fn log_when_changes_keep_coming_then_it_is_rewritten(
     #[case] changes: u64,
     #[case] routes: usize,
-    #[case] under_way: u64,
+    #[case] uncommitted: u64,
 ) {
     let mut machine = replica();
     for index in 1..=changes {
         machine.now += Duration::from_millis(20);
-        machine.hear(Message::AppendChange {
+        machine.receive(Message::AppendChange {
             epoch: EPOCH,
             index,
             change: change(index, routes),
         });
-        if index % RENEWED_EACH == 0 {
-            let (stamp, committed) = (
+        if index % CHANGES_PER_RENEWAL == 0 {
+            let (requested_at_ms, commit_index) = (
                 machine.now.as_millis() as u64,
-                index.saturating_sub(under_way),
+                index.saturating_sub(uncommitted),
             );
-            machine.hear(Message::RenewLease {
+            machine.receive(Message::RenewLease {
                 epoch: EPOCH,
-                requested_at_ms: stamp,
-                commit_index: committed,
+                requested_at_ms,
+                commit_index,
                 echoed_clock_ms: 0,
             });
         }
     }
-    // Four times a ledger, twice the changes that may be open, and what one write adds.
-    let orders = changes as usize * std::mem::size_of::<AppliedRequest>();
-    let ledger = body(changes, routes).len() + orders + 4096;
-    let most = 4 * ledger
-        + (2 * (under_way + RENEWED_EACH) + 1) as usize * (body(changes, routes).len() + 4096);
-    let most = most.max(300 << 10);
-    assert!(machine.rewrites > 0, "the file was never rewritten");
+    // Four times the state, twice the changes that may be uncommitted, and the size of one write.
+    let request_bytes = changes as usize * std::mem::size_of::<AppliedRequest>();
+    let state_bytes = configuration_body(changes, routes).len() + request_bytes + 4096;
+    let bound = 4 * state_bytes
+        + (2 * (uncommitted + CHANGES_PER_RENEWAL) + 1) as usize
+            * (configuration_body(changes, routes).len() + 4096);
+    let bound = bound.max(300 << 10);
+    assert!(machine.rewrites > 0, "the log was never rewritten");
     assert!(
-        machine.longest <= most,
-        "{} of {most} bytes",
-        machine.longest
+        machine.max_bytes <= bound,
+        "{} bytes, the bound is {bound}",
+        machine.max_bytes
     );
 
-    // A new life has all that was confirmed, and shows what was known to be acknowledged.
+    // After a restart the member has all changes that it confirmed, and publishes those that it knew to be committed.
     assert_eq!(
-        state_of(&machine.disk, machine.now),
-        (Some(changes - under_way), Some((EPOCH, changes)))
+        restarted_state(&machine.disk, machine.now),
+        (Some(changes - uncommitted), Some((EPOCH, changes)))
     );
 }
 
-/// A restart at any moment of a long row of changes: the ledger shown is one that was acknowledged and never an
-/// older one than an earlier life showed; the ledger held has all that the replica confirmed.
+/// A restart after each of many changes. The published state is committed and never older than the one that an earlier
+/// incarnation published; the log has all changes that the replica confirmed.
 #[test]
 fn member_when_restarted_after_any_change_then_nothing_is_lost() {
     let mut machine = replica();
-    machine.compares = true;
-    let mut shown = 0;
+    machine.compares_rewrites = true;
+    let mut published = 0;
     for index in 1..=300_u64 {
         machine.now += Duration::from_millis(50);
-        machine.hear(Message::AppendChange {
+        machine.receive(Message::AppendChange {
             epoch: EPOCH,
             index,
             change: change(index, 300),
@@ -301,59 +320,63 @@
         });
         assert!(confirmed, "change {index}");
         if index % 3 == 0 {
-            let stamp = machine.now.as_millis() as u64;
-            machine.hear(Message::RenewLease {
+            let requested_at_ms = machine.now.as_millis() as u64;
+            machine.receive(Message::RenewLease {
                 epoch: EPOCH,
-                requested_at_ms: stamp,
+                requested_at_ms,
                 commit_index: index - 1,
                 echoed_clock_ms: 0,
             });
         }
-        let mut again = Machine::start(config(ME, None), machine.disk.clone(), machine.now);
-        assert!(again.member.replay_error().is_none(), "after {index}");
-        again.step(Input::Tick);
-        let now = restored(&again.take_outputs()).unwrap_or_default();
+        let mut restarted = Machine::start(
+            member_settings(LOCAL_ID, None),
+            machine.disk.clone(),
+            machine.now,
+        );
+        assert!(restarted.member.replay_error().is_none(), "after {index}");
+        restarted.step(Input::Tick);
+        let published_now = restored_index(&restarted.take_outputs()).unwrap_or_default();
         assert!(
-            now >= shown && now < index,
-            "{now} after {shown} at {index}"
+            published_now >= published && published_now < index,
+            "{published_now} after {published} at {index}"
         );
-        shown = now;
-        // Whoever starts again goes on as the one it was.
-        machine.member = again.member;
+        published = published_now;
+        // The restarted member replaces the one before.
+        machine.member = restarted.member;
         machine.outputs.clear();
     }
-    assert_eq!(shown, 299);
+    assert_eq!(published, 299);
     assert!(machine.rewrites > 5, "{} rewrites", machine.rewrites);
 }
 
-/// A full disk refuses every write: the replica says so to the primary, and says when there is room again.
+/// A full disk refuses every write. The replica reports that to the primary, and reports when there is space again.
 #[test]
-fn replica_when_its_disk_has_room_again_then_it_is_healthy() {
+fn replica_when_its_disk_has_space_again_then_it_is_healthy() {
     let mut machine = replica();
-    machine.refuses_all = true;
-    machine.hear(Message::AppendChange {
+    machine.refuses_writes = true;
+    machine.receive(Message::AppendChange {
         epoch: EPOCH,
         index: 1,
         change: change(1, 10),
     });
-    let says = |machine: &mut Machine| {
-        machine.hear(Message::RenewLease {
+    let reported_health = |machine: &mut Machine| {
+        machine.receive(Message::RenewLease {
             epoch: EPOCH,
             requested_at_ms: 1,
             commit_index: 0,
             echoed_clock_ms: 0,
         });
         let outputs = machine.take_outputs();
-        let fit = outputs.iter().rev().find_map(|o| match o {
+        let disk_healthy = outputs.iter().rev().find_map(|o| match o {
             Output::Send {
                 message: Message::LeaseReply { disk_healthy, .. },
                 ..
             } => Some(*disk_healthy),
             _ => None,
         });
-        fit.expect("it answers")
+        disk_healthy.expect("the replica answers")
     };
-    let refused = machine.take_outputs().iter().any(|o| {
+    let is_rejected = machine.take_outputs().iter().any(|o| {
         matches!(
             o,
             Output::Send {
@@ -365,22 +388,22 @@
             }
         )
     });
-    assert!(refused);
+    assert!(is_rejected);
     for _ in 0..20 {
         machine.now += Duration::from_millis(200);
         machine.step(Input::Tick);
-        assert!(!says(&mut machine));
+        assert!(!reported_health(&mut machine));
     }
-    machine.refuses_all = false;
+    machine.refuses_writes = false;
     machine.now += Duration::from_millis(400);
     machine.step(Input::Tick);
-    assert!(says(&mut machine));
-    machine.hear(Message::AppendChange {
+    assert!(reported_health(&mut machine));
+    machine.receive(Message::AppendChange {
         epoch: EPOCH,
         index: 1,
         change: change(1, 10),
     });
-    let taken = machine.take_outputs().iter().any(|o| {
+    let is_accepted = machine.take_outputs().iter().any(|o| {
         matches!(
             o,
             Output::Send {
@@ -393,26 +416,27 @@
             }
         )
     });
-    assert!(taken);
+    assert!(is_accepted);
     assert_eq!(
-        state_of(&machine.disk, machine.now),
+        restarted_state(&machine.disk, machine.now),
         (None, Some((EPOCH, 1)))
     );
 }
 
-/// A rewrite needs room for a second file. Where that is refused and appends are not, the primary goes on.
+/// A rewrite needs space for a second file. If the disk refuses it but accepts appends, the primary keeps applying
+/// changes.
 #[test]
-fn rewrite_when_refused_then_changes_go_on() {
+fn rewrite_when_refused_then_changes_are_applied() {
     let mut machine = Machine::start(
-        config(ME, Some(vec![member_info(ME)])),
+        member_settings(LOCAL_ID, Some(vec![member_info(LOCAL_ID)])),
         vec![],
         Duration::ZERO,
     );
-    machine.until_it_acts();
+    machine.run_until_primary();
     machine.refuses_rewrites = true;
     for version in 1..=200 {
         machine.now += Duration::from_millis(100);
-        let body = body(version, 300);
+        let body = configuration_body(version, 300);
         let command = Command::Configure {
             base: version - 1,
             amend: false,
@@ -422,27 +446,27 @@
             ticket: version,
             command,
         });
-        let taken = machine.take_outputs().iter().any(
+        let is_accepted = machine.take_outputs().iter().any(
             |o| matches!(o, Output::Answer { ticket, code: ResultCode::Ok, .. } if *ticket == version),
         );
         assert!(
-            taken && machine.member.is_acting_primary(),
+            is_accepted && machine.member.is_acting_primary(),
             "change {version}"
         );
     }
-    // 200 changes in 20 s: a try every few seconds, not with each change.
+    // 200 changes in 20 s: a rewrite is tried every few seconds, not with each change.
     assert!(
         (1..=6).contains(&machine.rewrites),
-        "{} tries",
+        "{} rewrites tried",
         machine.rewrites
     );
     machine.refuses_rewrites = false;
     machine.now += Duration::from_secs(6);
-    machine.until_it_acts();
+    machine.run_until_primary();
     let command = Command::Configure {
         base: 200,
         amend: false,
-        body: body(201, 300),
+        body: configuration_body(201, 300),
     };
     machine.step(Input::Command {
         ticket: 201,
@@ -450,13 +474,13 @@
     });
     machine.step(Input::Tick);
     assert!(
-        machine.bytes() <= 5 * body(201, 300).len(),
-        "rewritten once there is room"
+        machine.log_bytes() <= 5 * configuration_body(201, 300).len(),
+        "the log is rewritten once there is space"
     );
 }
 
-/// The longest ledger there can be, with 10,000 hosts that leave at once by names of the longest kind: one frame and
-/// one record hold it whole.
+/// The largest possible state, with 10,000 draining hosts whose names have the maximum length, fits into one frame and
+/// one record.
 #[test]
 fn largest_state_when_encoded_then_it_fits_a_frame_and_a_record() {
     let note = "x".repeat(1 << 20);
@@ -468,35 +492,38 @@
     let mut routes: Vec<String> = (0..3).map(|n| route(n, &note)).collect();
     let used: usize = routes.iter().map(String::len).sum();
     routes.push(route(3, &note[..MAX_CONFIGURATION_BYTES - used - 200]));
-    let whole = format!(
+    let configuration = format!(
         r#"{{"version":2,"routes":[{}],"services":[{{"name":"s"}}]}}"#,
         routes.join(",")
     );
     let command = Command::Configure {
         base: 0,
         amend: false,
-        body: whole.clone().into_bytes(),
+        body: configuration.clone().into_bytes(),
     };
     let Plan::Change(change, next) = ReplicatedState::default().plan(&command) else {
-        panic!("it is taken")
+        panic!("the command is applied")
     };
-    let mut ledger = *next;
-    assert!(whole.len() > MAX_CONFIGURATION_BYTES - 200 && whole.len() < MAX_CONFIGURATION_BYTES);
-    ledger.drains = Arc::new((0..10_000).map(|n| format!("{n:0>256}")).collect());
+    let mut state = *next;
+    assert!(
+        configuration.len() > MAX_CONFIGURATION_BYTES - 200
+            && configuration.len() < MAX_CONFIGURATION_BYTES
+    );
+    state.drains = Arc::new((0..10_000).map(|n| format!("{n:0>256}")).collect());
     let append = Message::AppendChange {
         epoch: 1,
         index: 1,
         change,
     };
-    let tag = protocol::LogPosition { epoch: 1, index: 1 };
+    let log_position = protocol::LogPosition { epoch: 1, index: 1 };
     let reply = Message::SnapshotReply {
         epoch: 1,
-        log_position: tag,
-        snapshot: ledger.snapshot(),
+        log_position,
+        snapshot: state.snapshot(),
     };
     let install = Message::InstallMembership {
-        membership: view(),
-        snapshot: Some(ledger.snapshot()),
+        membership: membership(),
+        snapshot: Some(state.snapshot()),
     };
     for message in [append, reply, install] {
         let frame = protocol::encode(&message);
@@ -505,10 +532,10 @@
             "{} bytes",
             frame.len()
         );
-        let (read, length) = protocol::decode(&frame).unwrap().unwrap();
-        assert!(read == message && length == frame.len());
+        let (decoded, length) = protocol::decode(&frame).unwrap().unwrap();
+        assert!(decoded == message && length == frame.len());
     }
-    let record = protocol::encode_record(&accepted(Some(&ledger)));
+    let record = protocol::encode_record(&accepted_record(Some(&state)));
     assert!(
         record.len() <= append_log::format::MAX_RECORD_BYTES,
         "{} bytes",
@@ -516,14 +543,14 @@
     );
 }
 
-fn accepted(ledger: Option<&ReplicatedState>) -> Record {
+fn accepted_record(state: Option<&ReplicatedState>) -> Record {
     Record::Accepted {
-        membership: view(),
-        snapshot: ledger.map(ReplicatedState::snapshot),
+        membership: membership(),
+        snapshot: state.map(ReplicatedState::snapshot),
     }
 }
 
-fn numbered(epoch: u64, index: u64, version: u64) -> Record {
+fn change_record(epoch: u64, index: u64, version: u64) -> Record {
     Record::Change {
         epoch,
         index,
@@ -531,72 +558,82 @@
     }
 }
 
-fn unreadable_ledger() -> Record {
+fn record_with_invalid_snapshot() -> Record {
     let mut snapshot = ReplicatedState::default().snapshot();
     snapshot.configuration = "{".into();
     Record::Accepted {
-        membership: view(),
+        membership: membership(),
         snapshot: Some(snapshot),
     }
 }
 
-/// Records that can't be relied on are never passed over: the member promises, grants, holds, shows and writes
-/// nothing, and stands for nothing.
+/// Corrupt records are never skipped. The member then promises, grants, stores, publishes and writes nothing, and isn't
+/// a candidate.
 #[rstest]
 #[case::unreadable(vec![], Some(vec![77, 1, 2]), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
-#[case::longer(vec![], Some([protocol::encode_record(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
-#[case::one_is_missing(vec![numbered(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 3, last_index: 1, .. }))]
-#[case::one_twice(vec![numbered(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 1, last_index: 1, .. }))]
-#[case::of_another_view(vec![numbered(EPOCH + 1, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { .. }))]
-#[case::cannot_be_made(vec![numbered(EPOCH, 2, 9)], None, |e: &ReplayError| matches!(e, ReplayError::Change { record: 2, .. }))]
-#[case::no_ledger(vec![accepted(None), numbered(EPOCH, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::NoState { record: 3 }))]
-#[case::ledger(vec![unreadable_ledger()], None, |e: &ReplayError| matches!(e, ReplayError::InvalidSnapshot { record: 2, .. }))]
+#[case::trailing_bytes(vec![], Some([protocol::encode_record(&Record::Promised { epoch: 5 }), vec![0]].concat()), |e: &ReplayError| matches!(e, ReplayError::Unreadable { record: 2, .. }))]
+#[case::missing_change(vec![change_record(EPOCH, 3, 3)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 3, last_index: 1, .. }))]
+#[case::duplicate_change(vec![change_record(EPOCH, 1, 1)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { index: 1, last_index: 1, .. }))]
+#[case::change_of_another_epoch(vec![change_record(EPOCH + 1, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::OutOfOrder { .. }))]
+#[case::inapplicable_change(vec![change_record(EPOCH, 2, 9)], None, |e: &ReplayError| matches!(e, ReplayError::Change { record: 2, .. }))]
+#[case::change_without_state(vec![accepted_record(None), change_record(EPOCH, 2, 2)], None, |e: &ReplayError| matches!(e, ReplayError::NoState { record: 3 }))]
+#[case::invalid_snapshot(vec![record_with_invalid_snapshot()], None, |e: &ReplayError| matches!(e, ReplayError::InvalidSnapshot { record: 2, .. }))]
 fn member_when_its_records_are_corrupt_then_it_has_no_vote(
     #[case] records: Vec<Record>,
     #[case] raw: Option<Vec<u8>>,
     #[case] expected: fn(&ReplayError) -> bool,
 ) {
-    let good = [
-        accepted(Some(&ReplicatedState::default())),
-        numbered(EPOCH, 1, 1),
+    let valid_records = [
+        accepted_record(Some(&ReplicatedState::default())),
+        change_record(EPOCH, 1, 1),
     ];
-    let disk: Vec<Vec<u8>> = good
+    let disk: Vec<Vec<u8>> = valid_records
         .iter()
         .chain(&records)
         .map(protocol::encode_record)
         .chain(raw)
         .collect();
-    let mut machine = Machine::start(config(ME, None), disk.clone(), Duration::ZERO);
-    let error = machine.member.replay_error().expect("it is noticed");
+    let mut machine = Machine::start(
+        member_settings(LOCAL_ID, None),
+        disk.clone(),
+        Duration::ZERO,
+    );
+    let error = machine
+        .member
+        .replay_error()
+        .expect("the corrupt record is noticed");
     assert!(expected(error), "{error:?}");
     assert!(!machine.member.disk_healthy());
     for round in 1..=40_u64 {
         machine.now += LEASE / 4;
         machine.step(Input::Tick);
         let epoch = (8 + round) << 20;
-        machine.hear(Message::PreVote {
+        machine.receive(Message::PreVote {
             known_epoch: epoch,
             accepted_epoch: EPOCH,
         });
-        machine.hear(Message::Prepare {
+        machine.receive(Message::Prepare {
             epoch,
-            candidate: member_info(PRIMARY),
+            candidate: member_info(PRIMARY_ID),
         });
-        machine.hear(Message::FetchSnapshot { epoch });
-        machine.hear(Message::AppendChange {
+        machine.receive(Message::FetchSnapshot { epoch });
+        machine.receive(Message::AppendChange {
             epoch: EPOCH,
             index: 2,
             change: change(2, 1),
         });
-        machine.hear(Message::RenewLease {
+        machine.receive(Message::RenewLease {
             epoch: EPOCH,
             requested_at_ms: 1,
             commit_index: 1,
             echoed_clock_ms: 0,
         });
-        let view = MembershipConfig { epoch, ..view() };
-        machine.hear(Message::InstallMembership {
-            membership: view,
+        let membership = MembershipConfig {
+            epoch,
+            ..membership()
+        };
+        machine.receive(Message::InstallMembership {
+            membership,
             snapshot: Some(ReplicatedState::default().snapshot()),
         });
     }
@@ -604,7 +641,7 @@
         match output {
             Output::Wake { .. } => {}
             Output::Send { message, .. } => {
-                let refuses = match &message {
+                let is_refusal = match &message {
                     Message::PreVoteReply { granted, .. } => !granted,
                     Message::Promise {
                         granted,
@@ -621,10 +658,10 @@
                     } => !granted && !disk_healthy,
                     _ => false,
                 };
-                assert!(refuses, "{message:?}");
+                assert!(is_refusal, "{message:?}");
             }
             output => panic!("{output:?}"),
         }
     }
-    assert_eq!(machine.disk, disk, "the file is left as it is");
+    assert_eq!(machine.disk, disk, "the log is left unchanged");
 }
--- a/crates/control-plane/tests/second_loss.rs
+++ b/crates/control-plane/tests/second_loss.rs
@@ -428,7 +428,7 @@
         .run_until(CHANGE_TIMEOUT, |c| c.primary().is_some())
         .expect("one of the two others becomes primary");
     assert_eq!(cluster.read_version(), Some(1));
-    let refused =
+    let rejected =
         cluster.send_command(cluster.primary().unwrap(), Cluster::configure_command(1, 2));
     cluster.run(ms(4000));
     assert_ne!(
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,8 +1,8 @@
-//! State directories that release bb16a52 wrote (`tests/fixtures/bb16a52/`): they stay readable, each field is as it
-//! was written, and the same writes give the same bytes.
+//! Compatibility with the state directories that release bb16a52 wrote (`tests/fixtures/bb16a52/`): they stay readable,
+//! each field has the value that was written, and the same writes give the same bytes.
 //!
-//! - `appended`: two incarnations of a member; the second one appends each kind of record.
-//! - `torn`: the same, with the last five bytes of the log missing, as after a loss of power.
+//! - `appended`: two incarnations of a member; the second one appended each kind of record.
+//! - `torn`: the same, without the last five bytes of the log, as after a power loss.
 //! - `rewritten`: a member whose log was rewritten once.
 
 use append_log::{AppendLog, FileCondition, TruncatedTail};
@@ -24,14 +24,14 @@
 
 /// Names of the files in a state directory.
 const FILES: [&str; 3] = ["identity", "ledger", "roster"];
-/// Id of the member, made from its address.
+/// Id of the member, which is derived from its address.
 const MEMBER_ID: u64 = 14_290_127_263_459_913_879;
 const FIRST_EPOCH: u64 = (1 << 20) + 2;
 const SECOND_EPOCH: u64 = (2 << 20) + 5;
 const VERSION_3: &str = r#"{"version":3,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/","route_class":"pure","deadline_ms":1000,"service":"s"}],"services":[{"name":"s","health_path":"/health","conn_limit":10}],"limits":{}}"#;
 const LIMITS_OF_VERSION_5: &str = r#"{"version":5,"limits":{}}"#;
 
-/// What is written in one call, and to which file.
+/// Records that are written to one file in one call.
 struct Batch {
     file: StateFile,
     rewrite: bool,
@@ -44,7 +44,7 @@
         .join(name)
 }
 
-/// A copy of a fixture: opening a file may cut it.
+/// Copies a fixture to a temporary directory, because opening a log may truncate it.
 fn copy_of(name: &str) -> tempfile::TempDir {
     let dir = tempfile::tempdir().unwrap();
     for file in FILES {
@@ -56,7 +56,7 @@
     dir
 }
 
-fn start_facts(bootstrap: bool, clock_ms: u64) -> StartContext {
+fn start_context(bootstrap: bool, clock_ms: u64) -> StartContext {
     let addr = |text: &str| text.parse().unwrap();
     StartContext {
         control: addr("10.1.0.1:8146"),
@@ -142,7 +142,7 @@
     }
 }
 
-/// The records of `appended` behind its owner, in the batches in which they were written.
+/// The records of `appended` after the owner record, in the batches in which they were written.
 fn appended_records() -> Vec<Vec<Record>> {
     let version_4 = VERSION_3.replace(":3,", ":4,");
     vec![
@@ -187,7 +187,7 @@
     ]
 }
 
-/// The records of `rewritten` behind its owner.
+/// The records of `rewritten` after the owner record.
 fn rewritten_records() -> Vec<Record> {
     vec![
         Record::Promised {
@@ -222,10 +222,11 @@
 }
 
 fn initial_voters() -> Vec<MemberInfo> {
-    start_facts(true, 0).identity(None).initial_voters
+    start_context(true, 0).identity(None).initial_voters
 }
 
-/// Incarnations: the time of day in ms above twenty random bits.
+/// The member's identity in the incarnation that started at `clock_ms`. An incarnation number is the time of day in ms
+/// above twenty random bits.
 fn identity(clock_ms: u64) -> Identity {
     Identity {
         id: MEMBER_ID,
@@ -247,11 +248,11 @@
     batches.iter().map(batch).collect()
 }
 
-/// Has the present code open a state directory and write `batches`, one sync each.
-fn write_in_one_incarnation(dir: &Path, facts: StartContext, batches: Vec<Batch>) {
-    let (tell, told) = std::sync::mpsc::channel();
-    let disk = start(dir.into(), facts, move |event| drop(tell.send(event))).unwrap();
-    assert!(matches!(told.recv().unwrap(), StorageEvent::Open { .. }));
+/// Opens a state directory with the current code and writes `batches`, one sync each.
+fn write_in_one_incarnation(dir: &Path, context: StartContext, batches: Vec<Batch>) {
+    let (sender, events) = std::sync::mpsc::channel();
+    let disk = start(dir.into(), context, move |event| drop(sender.send(event))).unwrap();
+    assert!(matches!(events.recv().unwrap(), StorageEvent::Open { .. }));
     for (ticket, batch) in (1..).zip(batches) {
         let Batch {
             file,
@@ -265,9 +266,9 @@
             file,
         })
         .unwrap();
-        // Nothing is told of the hosts' file.
+        // The storage thread reports no completion for the host cache.
         if file == StateFile::Log {
-            let event = told.recv().unwrap();
+            let event = events.recv().unwrap();
             assert!(
                 matches!(event, StorageEvent::Wrote { ticket: t, result: Ok(()) } if t == ticket),
                 "{event:?}"
@@ -275,7 +276,10 @@
         }
     }
     drop(disk);
-    assert!(told.recv().is_err(), "the thread ends with its sender");
+    assert!(
+        events.recv().is_err(),
+        "the storage thread ends when its sender is dropped"
+    );
 }
 
 fn assert_same_files(dir: &Path, name: &str) {
@@ -299,26 +303,26 @@
         owner
     );
     assert_eq!(protocol::encode_record(&owner), stored[0]);
-    let read: Vec<Record> = stored[1..]
+    let decoded: Vec<Record> = stored[1..]
         .iter()
         .map(|bytes| protocol::decode_record(bytes).unwrap())
         .collect();
-    assert_eq!(read, records);
-    assert_eq!(encoded(&read), stored[1..], "encoded again");
+    assert_eq!(decoded, records);
+    assert_eq!(encoded(&decoded), stored[1..], "encoded again");
 }
 
 #[test]
 fn identity_file_when_read_gives_both_incarnations() {
     let dir = copy_of("appended");
     let stored = stored_records(dir.path(), "identity");
-    let read: Vec<Identity> = stored
+    let decoded: Vec<Identity> = stored
         .iter()
         .map(|bytes| protocol::decode_record(bytes).unwrap())
         .collect();
-    assert_eq!(read, [identity(1_000), identity(2_000)]);
+    assert_eq!(decoded, [identity(1_000), identity(2_000)]);
     assert_eq!(latest_identity(&stored).unwrap(), Some(identity(2_000)));
-    let again: Vec<Vec<u8>> = read.iter().map(protocol::encode_record).collect();
-    assert_eq!(again, stored);
+    let encoded_again: Vec<Vec<u8>> = decoded.iter().map(protocol::encode_record).collect();
+    assert_eq!(encoded_again, stored);
     let voters = initial_voters();
     assert_eq!(voters.len(), 3);
     assert_eq!((voters[0].id, &*voters[0].name), (MEMBER_ID, ""));
@@ -341,7 +345,7 @@
 }
 
 #[test]
-fn log_file_with_a_torn_tail_loses_the_last_record_alone() {
+fn log_file_with_a_torn_tail_loses_only_the_last_record() {
     let dir = copy_of("torn");
     let length = std::fs::metadata(dir.path().join("ledger")).unwrap().len();
     let condition = append_log::inspect(dir.path(), "ledger").unwrap().condition;
@@ -361,22 +365,22 @@
     let dir = copy_of("appended");
     let stored = stored_records(dir.path(), "roster");
     assert_eq!(stored.len(), 1);
-    let read: OriginUpdate = protocol::decode_record(&stored[0]).unwrap();
-    assert_eq!(read, known_hosts());
-    assert_eq!(protocol::encode_record(&read), stored[0]);
+    let decoded: OriginUpdate = protocol::decode_record(&stored[0]).unwrap();
+    assert_eq!(decoded, known_hosts());
+    assert_eq!(protocol::encode_record(&decoded), stored[0]);
 }
 
 #[test]
 fn the_same_appends_give_the_same_files() {
     let dir = tempfile::tempdir().unwrap();
-    write_in_one_incarnation(dir.path(), start_facts(true, 1_000), Vec::new());
+    write_in_one_incarnation(dir.path(), start_context(true, 1_000), Vec::new());
     let mut batches = log_batches(&appended_records());
     batches.push(Batch {
         file: StateFile::HostCache,
         rewrite: true,
         records: vec![protocol::encode_record(&known_hosts())],
     });
-    write_in_one_incarnation(dir.path(), start_facts(false, 2_000), batches);
+    write_in_one_incarnation(dir.path(), start_context(false, 2_000), batches);
     assert_same_files(dir.path(), "appended");
 }
 
@@ -389,11 +393,11 @@
         rewrite: true,
         records: encoded(&rewritten_records()),
     });
-    write_in_one_incarnation(dir.path(), start_facts(true, 3_000), batches);
+    write_in_one_incarnation(dir.path(), start_context(true, 3_000), batches);
     assert_same_files(dir.path(), "rewritten");
 }
 
-/// The member starts on the stored records as the same member, with its promise, membership and replica.
+/// A member that starts from the stored records has the same id, promise, membership and log.
 #[rstest]
 #[case::appended("appended", SECOND_EPOCH)]
 #[case::torn("torn", SECOND_EPOCH)]
@@ -403,26 +407,26 @@
     #[case] promised_epoch: u64,
 ) {
     let dir = copy_of(name);
-    let (tell, told) = std::sync::mpsc::channel();
-    let facts = start_facts(false, 9_000);
-    let _disk = start(dir.path().into(), facts, move |event| {
-        drop(tell.send(event));
+    let (sender, events) = std::sync::mpsc::channel();
+    let context = start_context(false, 9_000);
+    let _disk = start(dir.path().into(), context, move |event| {
+        drop(sender.send(event));
     })
     .unwrap();
     let StorageEvent::Open {
-        identity: found,
+        identity: stored_identity,
         records,
         host_cache,
-    } = told.recv().unwrap()
+    } = events.recv().unwrap()
     else {
-        panic!("the files don't open");
+        panic!("the state directory can't be opened");
     };
-    assert_eq!(found, identity(9_000));
+    assert_eq!(stored_identity, identity(9_000));
     let hosts = (name != "rewritten").then(|| protocol::encode_record(&known_hosts()));
     assert_eq!(host_cache, hosts);
     let config = MemberConfig {
         local_member: member_info(MEMBER_ID, 1),
-        bootstrap_voters: Some(found.initial_voters),
+        bootstrap_voters: Some(stored_identity.initial_voters),
         fault_budget: FaultBudget::default(),
         lease_duration: Duration::from_millis(1000),
         request_timeout: Duration::from_millis(3500),
@@ -436,14 +440,14 @@
     assert_eq!(member.summary(None).durable_index, Some(11));
 }
 
-/// What an operator recovers from the stored files after the loss of a majority.
+/// A recovery after the loss of a majority reads the replica from the stored files.
 #[rstest]
 #[case::appended("appended", 11)]
 #[case::torn("torn", 0)]
 #[case::rewritten("rewritten", 11)]
 fn survivor_when_read_from_stored_files_has_the_replica(
     #[case] name: &str,
-    #[case] acknowledged: u64,
+    #[case] commit_index: u64,
 ) {
     let dir = copy_of(name);
     let identities = stored_records(dir.path(), "identity");
@@ -452,17 +456,17 @@
     assert_eq!(survivor.epoch(), SECOND_EPOCH);
     assert_eq!(survivor.last_index(), 11);
     assert_eq!(survivor.configuration_version(), 5);
-    assert_eq!(survivor.commit_index(), acknowledged);
+    assert_eq!(survivor.commit_index(), commit_index);
 }
 
-/// The changes of the log, made again on the snapshot before them, give the state that was in force.
+/// Replaying the log's changes on the snapshot before them gives the state that was in force.
 #[test]
 fn state_when_replayed_from_stored_changes_is_as_it_was() {
     let dir = copy_of("appended");
-    let found = StoredLog::from_records(stored_records(dir.path(), "ledger"));
-    assert_eq!(found.owner, Some(identity(1_000)));
+    let stored_log = StoredLog::from_records(stored_records(dir.path(), "ledger"));
+    assert_eq!(stored_log.owner, Some(identity(1_000)));
     let mut state = ReplicatedState::default();
-    for bytes in &found.records {
+    for bytes in &stored_log.records {
         match protocol::decode_record(bytes).unwrap() {
             Record::Accepted {
                 snapshot: Some(snapshot),
