--- a/crates/control-plane/src/configuration_history.rs
+++ b/crates/control-plane/src/configuration_history.rs
@@ -19,7 +19,7 @@
 pub struct HistoryEntry {
     /// Version number of the configuration.
     pub version: u64,
-    /// Time at which this member learnt of the version, in ms since the Unix epoch.
+    /// Time at which this member learnt of the version, in ms since the Unix epoch (1970-01-01).
     pub seen_ms: u64,
     /// Number of routes in the configuration.
     pub routes: usize,
--- a/crates/control-plane/src/recovery.rs
+++ b/crates/control-plane/src/recovery.rs
@@ -89,7 +89,7 @@
                     snapshot,
                 } => content.accept_membership(number, membership, snapshot.as_ref())?,
                 Record::Change { index, change, .. } => {
-                    content.apply_change(number, index, &change)?
+                    content.apply_change(number, index, &change)?;
                 }
                 Record::Committed { index } => content.commit_index = index,
             }
--- a/crates/control-plane/tests/coordination_histories/applications.rs
+++ b/crates/control-plane/tests/coordination_histories/applications.rs
@@ -320,7 +320,7 @@
             }
             CoordinationRequest::PutCell { .. } => self.on_put_answer(n, pending, code, body),
             CoordinationRequest::ReadCell { name } => {
-                self.on_read_answer(name, pending.sent, code, body)
+                self.on_read_answer(name, pending.sent, code, body);
             }
             CoordinationRequest::Watch { group, after, .. } => {
                 self.on_watch_answer(n, group, *after, code, body);
--- a/crates/control-plane/tests/second_loss_sweep/scenario.rs
+++ b/crates/control-plane/tests/second_loss_sweep/scenario.rs
@@ -133,7 +133,7 @@
                 Action::Terminate(n) if self.cluster.is_running(n) => self.cluster.terminate(n),
                 Action::Add(n) => self.add_machine(n),
                 Action::Reconnect(n) => self.cluster.set_isolated(n, false),
-                Action::RestoreDiskSpeed(n) => drop(self.cluster.slow_write_delays.remove(&n)),
+                Action::RestoreDiskSpeed(n) => drop(self.cluster.write_times.remove(&n)),
                 Action::Start(_) | Action::StartAfterExit(..) | Action::Terminate(_) => {}
             }
         }
@@ -241,7 +241,7 @@
     }
 
     fn slow_down_disk(&mut self, n: usize, duration: Duration) {
-        self.cluster.slow_write_delays.insert(n, SLOW_WRITE_DELAY);
+        self.cluster.write_times.insert(n, SLOW_WRITE_DELAY);
         self.schedule(duration, Action::RestoreDiskSpeed(n));
     }
 
@@ -287,10 +287,10 @@
                     continue;
                 }
                 Fault::KillAfterWrites | Fault::KillAllAfterWrites => {
-                    self.cluster.kill_after_writes(n)
+                    self.cluster.kill_after_writes(n);
                 }
                 Fault::KillDuringWrite | Fault::KillAllDuringWrite => {
-                    self.cluster.kill_during_write(n)
+                    self.cluster.kill_during_write(n);
                 }
                 _ => self.cluster.kill(n),
             }
--- a/crates/control-plane/tests/support/event_cluster.rs
+++ b/crates/control-plane/tests/support/event_cluster.rs
@@ -92,8 +92,8 @@
     answers: BTreeMap<u64, (ResultCode, Vec<u8>)>,
     /// Number of events of membership changes so far: the moments at which a test can inject a fault.
     pub change_steps: u64,
-    /// Duration of a write at the members whose disks are slow.
-    pub slow_write_delays: BTreeMap<usize, Duration>,
+    /// Duration of a write at each machine whose disk is slow; [`WRITE_DELAY`] at the others.
+    pub write_times: BTreeMap<usize, Duration>,
     /// Selects the messages that are lost.
     pub message_loss: Option<MessageLoss>,
     /// Largest and smallest number of voters in any membership that a member has accepted.
@@ -112,7 +112,7 @@
             tickets_issued: 0,
             answers: BTreeMap::new(),
             change_steps: 0,
-            slow_write_delays: BTreeMap::new(),
+            write_times: BTreeMap::new(),
             message_loss: None,
             voter_counts: (0, usize::MAX),
         };
@@ -415,11 +415,7 @@
                 records,
                 rewrite,
             } => {
-                let write_delay = self
-                    .slow_write_delays
-                    .get(&n)
-                    .copied()
-                    .unwrap_or(WRITE_DELAY);
+                let write_delay = self.write_times.get(&n).copied().unwrap_or(WRITE_DELAY);
                 self.schedule(
                     write_delay,
                     n,
