--- a/crates/control-plane/tests/support/partition_cluster.rs
+++ b/crates/control-plane/tests/support/partition_cluster.rs
@@ -17,7 +17,7 @@
 const LINK_REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 /// Number of initial voters of a cluster that is spread over zones and regions.
 const SEED_COUNT: usize = 3;
-/// Number of parts in a whole, in which clock drift is measured.
+/// Divisor for clock drifts, which are given in parts per million.
 const PARTS_PER_MILLION: i64 = 1_000_000;
 
 /// Identity and addresses of member `n` in the place `region/zone`.
