--- a/crates/control-plane/tests/departure.rs
+++ b/crates/control-plane/tests/departure.rs
@@ -13,18 +13,19 @@
 /// departing machine.
 fn cluster_with_departing_member() -> (Cluster, usize) {
     let mut cluster = Cluster::start(budget(1, 0, 0), &["r/a", "r/b", "r/c", "r/a"]);
-    cluster.apply(0, 1);
+    cluster.apply_configuration(0, 1);
     cluster
-        .until(SETTLE_TIMEOUT, |c| {
-            c.current().voters.len() == 4 && c.current().is_stable()
+        .run_until(SETTLE_TIMEOUT, |c| {
+            c.current_membership().voters.len() == 4 && c.current_membership().is_stable()
         })
         .expect("four voters");
     let departing = cluster.primary().unwrap();
     cluster.depart(departing);
-    let is_removed =
-        |c: &Cluster| c.primary().is_some() && !c.votes(departing) && c.current().is_stable();
+    let is_removed = |c: &Cluster| {
+        c.primary().is_some() && !c.is_voter(departing) && c.current_membership().is_stable()
+    };
     cluster
-        .until(SETTLE_TIMEOUT, is_removed)
+        .run_until(SETTLE_TIMEOUT, is_removed)
         .expect("the departing voter is removed");
     (cluster, departing)
 }
@@ -33,7 +34,7 @@
 fn assert_survives_a_loss(mut cluster: Cluster) {
     let next = cluster.primary().unwrap();
     cluster.kill(next);
-    let took = cluster.apply(1, 2);
+    let took = cluster.apply_configuration(1, 2);
     assert!(took < ms(4000), "{took:?}");
 }
 
@@ -43,14 +44,14 @@
 #[case::twelve_leases(12_000)]
 fn departing_member_when_it_serves_on_then_it_is_no_voter_again(#[case] serving_ms: u64) {
     let (mut cluster, departing) = cluster_with_departing_member();
-    let voted = cluster.until(ms(serving_ms), |c| c.votes(departing));
+    let voted = cluster.run_until(ms(serving_ms), |c| c.is_voter(departing));
     assert!(
         voted.is_none(),
         "while it keeps serving: {:?}",
         cluster.memberships()
     );
     cluster.kill(departing);
-    let voted = cluster.until(ms(10_000), |c| c.votes(departing));
+    let voted = cluster.run_until(ms(10_000), |c| c.is_voter(departing));
     assert!(
         voted.is_none(),
         "after its end: {:?}",
@@ -76,14 +77,14 @@
     }
     cluster.run(ms(100));
     cluster.restart(first);
-    let voted = cluster.until(ms(4000), |c| c.votes(departing));
+    let voted = cluster.run_until(ms(4000), |c| c.is_voter(departing));
     assert!(
         voted.is_none(),
         "while it keeps serving: {:?}",
         cluster.memberships()
     );
     cluster.kill(departing);
-    let voted = cluster.until(ms(10_000), |c| c.votes(departing));
+    let voted = cluster.run_until(ms(10_000), |c| c.is_voter(departing));
     assert!(
         voted.is_none(),
         "after its end: {:?}",
@@ -96,20 +97,20 @@
 #[test]
 fn departing_spare_when_a_voter_is_lost_then_it_does_not_replace_it() {
     let mut cluster = Cluster::start(budget(1, 1, 0), &["r/a", "r/b", "r/c", "r/a"]);
-    cluster.apply(0, 1);
+    cluster.apply_configuration(0, 1);
     cluster.run(ms(4000));
     let spare = (0..4)
-        .find(|n| !cluster.votes(*n))
+        .find(|n| !cluster.is_voter(*n))
         .expect("three voters, one of each zone");
     cluster.depart(spare);
     cluster
-        .until(SETTLE_TIMEOUT, |c| c.left(spare))
+        .run_until(SETTLE_TIMEOUT, |c| c.may_exit(spare))
         .expect("the departure completes at once");
     cluster.run(ms(20));
     cluster.kill(spare);
     let departing = cluster.primary().unwrap();
     cluster.depart(departing);
-    let voted = cluster.until(ms(4000), |c| c.votes(spare));
+    let voted = cluster.run_until(ms(4000), |c| c.is_voter(spare));
     assert!(voted.is_none(), "{:?}", cluster.memberships());
 }
 
@@ -118,12 +119,12 @@
 fn departed_member_when_it_is_back_then_it_is_a_voter_again() {
     let (mut cluster, departing) = cluster_with_departing_member();
     cluster
-        .until(SETTLE_TIMEOUT, |c| c.left(departing))
+        .run_until(SETTLE_TIMEOUT, |c| c.may_exit(departing))
         .expect("the departure completes");
     cluster.kill(departing);
     cluster.run(ms(300));
     cluster.restart(departing);
     cluster
-        .until(SETTLE_TIMEOUT, |c| c.votes(departing))
+        .run_until(SETTLE_TIMEOUT, |c| c.is_voter(departing))
         .expect("the member becomes a voter again");
 }
--- a/crates/control-plane/tests/long_absence.rs
+++ b/crates/control-plane/tests/long_absence.rs
@@ -45,14 +45,14 @@
 
 fn make_absent(cluster: &mut Cluster, n: usize, absence: Absence) {
     match absence {
-        Absence::Partitioned => cluster.cut(n, true),
+        Absence::Partitioned => cluster.set_isolated(n, true),
         Absence::Stopped | Absence::Wiped => cluster.kill(n),
     }
 }
 
 fn bring_back(cluster: &mut Cluster, n: usize, absence: Absence) {
     match absence {
-        Absence::Partitioned => cluster.cut(n, false),
+        Absence::Partitioned => cluster.set_isolated(n, false),
         Absence::Stopped => cluster.restart(n),
         Absence::Wiped => cluster.wipe(n),
     }
@@ -61,7 +61,7 @@
 /// Applies changes one after the other on top of `version`. Returns the newest version.
 fn apply_changes(cluster: &mut Cluster, version: u64, changes: u64) -> u64 {
     for base in version..version + changes {
-        cluster.apply(base, base + 1);
+        cluster.apply_configuration(base, base + 1);
     }
     version + changes
 }
@@ -77,7 +77,7 @@
     function: MemberFunction,
     #[values(0, 1)] lost: usize,
 ) {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let away = function.member(&cluster);
     make_absent(&mut cluster, away, absence);
     let newest = apply_changes(&mut cluster, 1, ABSENCE_CHANGES);
@@ -88,13 +88,13 @@
     cluster.kill(others[lost]);
     let newest = apply_changes(&mut cluster, newest, 1);
     assert_eq!(
-        cluster.version(),
+        cluster.read_version(),
         Some(newest),
         "{:?}",
         cluster.memberships()
     );
     let survivor = others[1 - lost];
-    assert!(cluster.runs(away) && cluster.runs(survivor));
+    assert!(cluster.is_running(away) && cluster.is_running(survivor));
     assert_eq!(
         cluster.replicas().len(),
         2,
@@ -109,7 +109,7 @@
     #[values(Absence::Stopped, Absence::Wiped)] absence: Absence,
     #[values(1, 3, 7, 13, 40, 150, 900)] moment_ms: u64,
 ) {
-    let mut cluster = Cluster::of_three();
+    let mut cluster = Cluster::with_three_members();
     let away = MemberFunction::Replica.member(&cluster);
     let mut newest = 1;
     for _ in 0..12 {
@@ -117,7 +117,7 @@
         newest = apply_changes(&mut cluster, newest, 8);
         bring_back(&mut cluster, away, absence);
         cluster.run(ms(moment_ms));
-        if let Some(shown) = cluster.version() {
+        if let Some(shown) = cluster.read_version() {
             assert_eq!(shown, newest, "{:?}", cluster.memberships());
         }
     }
@@ -125,5 +125,5 @@
     let others: Vec<usize> = (0..3).filter(|n| *n != away).collect();
     cluster.kill(others[0]);
     newest = apply_changes(&mut cluster, newest, 1);
-    assert_eq!(cluster.version(), Some(newest));
+    assert_eq!(cluster.read_version(), Some(newest));
 }
