--- a/crates/coordinator/src/decision/admission.rs
+++ b/crates/coordinator/src/decision/admission.rs
@@ -10,22 +10,22 @@
 use crate::interface::{Action, Cause, QueryClass, RequestId};
 
 /// Weight of one admitted query in the means of value and parts (EWMA).
-const MEAN_GAIN: f64 = 0.03;
+const ADMITTED_MEAN_GAIN: f64 = 0.03;
 /// How the admission share moves, and its bounds, among few routers.
-const FEW_ROUTERS: ShareStep = ShareStep {
-    gain: 0.02,
+const FEW_ROUTERS_STEP: AdmissionShareStep = AdmissionShareStep {
+    increase: 0.02,
     max: 1.0,
 };
 /// The same among many routers: what they do adds up, and each learns of it late.
-const MANY_ROUTERS: ShareStep = ShareStep {
-    gain: 0.01,
+const MANY_ROUTERS_STEP: AdmissionShareStep = AdmissionShareStep {
+    increase: 0.01,
     max: 0.85,
 };
 /// What the share loses with an admitted query that doesn't end in time.
-const SHARE_LOSS: f64 = 0.05;
-const MIN_SHARE: f64 = 0.4;
+const ADMISSION_SHARE_DECREASE: f64 = 0.05;
+const MIN_ADMISSION_SHARE: f64 = 0.4;
 /// The share before anything is learned: a router that starts into an overload must not add to it.
-const INITIAL_SHARE: f64 = 0.6;
+const INITIAL_ADMISSION_SHARE: f64 = 0.6;
 /// Bounds of what a query's value for its work makes of the share. Forecasts err by so much.
 const MIN_VALUE_FACTOR: f64 = 0.7;
 const MAX_VALUE_FACTOR: f64 = 1.3;
@@ -36,12 +36,12 @@
 /// ... and this multiple of its share of the traffic.
 const TRAFFIC_SHARE_FACTOR: f64 = 1.3;
 /// Least number of parts that the value of one is worked out from.
-const MIN_PARTS: f64 = 1e-6;
+const MIN_PART_SUM: f64 = 1e-6;
 
 /// How the admission share moves.
-struct ShareStep {
+struct AdmissionShareStep {
     /// What it gains with an admitted query that ends in time.
-    gain: f64,
+    increase: f64,
     max: f64,
 }
 
@@ -59,16 +59,16 @@
 impl AdmissionControl {
     /// Mean value of one part of an admitted query.
     pub(super) fn value_per_part(&self) -> f64 {
-        self.value_sum / self.part_sum.max(MIN_PARTS)
+        self.value_sum / self.part_sum.max(MIN_PART_SUM)
     }
 
     fn share(&self) -> f64 {
-        self.share.unwrap_or(INITIAL_SHARE)
+        self.share.unwrap_or(INITIAL_ADMISSION_SHARE)
     }
 
     fn count_admitted(&mut self, value: f64, parts: f64) {
-        self.value_sum += value - MEAN_GAIN * self.value_sum;
-        self.part_sum += parts - MEAN_GAIN * self.part_sum;
+        self.value_sum += value - ADMITTED_MEAN_GAIN * self.value_sum;
+        self.part_sum += parts - ADMITTED_MEAN_GAIN * self.part_sum;
     }
 }
 
@@ -85,27 +85,34 @@
                 1.0
             };
         let slowest = self.slowest_needed_part(query, class);
-        let known = slowest < f64::MAX;
+        let server_available = slowest < f64::MAX;
         let second_step = if class.second_step_parts > 0 {
             self.expected_part_time(query.class, self.fleet_load.mean)
         } else {
             0.0
         };
-        let expected = slowest + second_step;
+        let expected_time = slowest + second_step;
         let share = self.admission_share(query, value, parts);
-        let left = self.useful_time_left(query, class);
-        let still_useful = left < 0.0 && self.useful_until(query) > self.now;
+        let time_left = self.useful_time_left(query, class);
+        let still_useful = time_left < 0.0 && self.useful_until(query) > self.now;
         // With nothing of its own in flight a router can't know of a queue that is gone by now: it
         // has to ask.
-        let blind = !self.queries.values().any(|q| q.admitted)
-            && left > self.latency_quantile(query.class, 0.5);
-        if !known || (expected > share * left && !still_useful && !blind) {
-            let cause = if known {
+        let has_no_load_information = !self.queries.values().any(|q| q.admitted)
+            && time_left > self.latency_quantile(query.class, 0.5);
+        if !server_available
+            || (expected_time > share * time_left && !still_useful && !has_no_load_information)
+        {
+            let cause = if server_available {
                 Cause::Overloaded
             } else {
                 Cause::NoHost
             };
-            self.reject(id, expected - share * left.max(0.0), cause, actions);
+            self.reject(
+                id,
+                expected_time - share * time_left.max(0.0),
+                cause,
+                actions,
+            );
             return false;
         }
         self.admission.count_admitted(value, parts);
@@ -118,22 +125,22 @@
     /// Expected time of the slowest part that a query needs; `f64::MAX` if no server can be counted
     /// on for one.
     fn slowest_needed_part(&self, query: &Query, class: &QueryClass) -> f64 {
-        let mut times: Vec<f64> = self
+        let mut expected_times: Vec<f64> = self
             .parts_of(query)
             .map(|part| self.forecast_part(query, part))
             .collect();
-        times.sort_by(f64::total_cmp);
-        let needed = class.min_share.min(class.complete_share) * times.len() as f64;
-        let last = (needed.ceil() as usize).max(1) - 1;
-        times.get(last).copied().unwrap_or(f64::MAX)
+        expected_times.sort_by(f64::total_cmp);
+        let needed = class.min_share.min(class.complete_share) * expected_times.len() as f64;
+        let last_needed = (needed.ceil() as usize).max(1) - 1;
+        expected_times.get(last_needed).copied().unwrap_or(f64::MAX)
     }
 
     /// Expected time of a part at the best server for it, with what waits here for its shard ahead
     /// of it.
     fn forecast_part(&self, query: &Query, part: &Part) -> f64 {
-        let ahead = self.waiting_parts(part.shard);
+        let waiting_ahead = self.waiting_parts(part.shard);
         let time = |server: &Server| {
-            let load = self.estimated_load(server) + ahead;
+            let load = self.estimated_load(server) + waiting_ahead;
             self.wait_for_slot(server) + self.expected_part_time(query.class, load)
         };
         self.usable_servers(part.shard)
@@ -191,14 +198,18 @@
 
     /// Learns from the end of an admitted query. Forecasts err by fleet and hour: where admitted
     /// queries miss their target, fewer are admitted.
-    pub(super) fn learn_admission_share(&mut self, in_time: bool) {
+    pub(super) fn update_admission_share(&mut self, in_time: bool) {
         let step = if self.has_many_routers() {
-            MANY_ROUTERS
+            MANY_ROUTERS_STEP
         } else {
-            FEW_ROUTERS
+            FEW_ROUTERS_STEP
         };
-        let change = if in_time { step.gain } else { -SHARE_LOSS };
-        let share = (self.admission.share() + change).clamp(MIN_SHARE, step.max);
+        let change = if in_time {
+            step.increase
+        } else {
+            -ADMISSION_SHARE_DECREASE
+        };
+        let share = (self.admission.share() + change).clamp(MIN_ADMISSION_SHARE, step.max);
         self.admission.share = Some(share);
     }
 
@@ -208,15 +219,16 @@
         let Some(index) = query.tenant.map(|t| t.0 as usize) else {
             return false;
         };
-        let Some(own) = self.tenant_rates.get(index) else {
+        let Some(tenant_rate) = self.tenant_rates.get(index) else {
             return false;
         };
         let tenant = &self.settings.tenants[index];
         let rate = |r: &DecayingRate| r.per_second(self.now, RATE_TIME_CONSTANT_S);
-        let own = rate(own);
-        let all: f64 = self.tenant_rates.iter().map(rate).sum();
-        let even = tenant.quota_per_s / f64::from(self.settings.routers.max(1));
-        own > tenant.quota_per_s
-            || (own > EVEN_QUOTA_FACTOR * even && own > TRAFFIC_SHARE_FACTOR * tenant.share * all)
+        let tenant_rate = rate(tenant_rate);
+        let total_rate: f64 = self.tenant_rates.iter().map(rate).sum();
+        let even_quota = tenant.quota_per_s / f64::from(self.settings.routers.max(1));
+        tenant_rate > tenant.quota_per_s
+            || (tenant_rate > EVEN_QUOTA_FACTOR * even_quota
+                && tenant_rate > TRAFFIC_SHARE_FACTOR * tenant.share * total_rate)
     }
 }
--- a/crates/coordinator/src/decision/arrival.rs
+++ b/crates/coordinator/src/decision/arrival.rs
@@ -5,28 +5,28 @@
 use crate::interface::{ClassId, Event, RequestId};
 
 /// Two waits are taken for equal if they differ by less than this share of the client's time-out.
-const EQUAL_WAIT_SHARE: f64 = 0.015;
+const TIMEOUT_TOLERANCE_SHARE: f64 = 0.015;
 /// Largest number of votes that the usual wait can gather: so many different waits in a row replace
 /// it.
-const MAX_WAIT_VOTES: u32 = 20;
+const MAX_TIMEOUT_VOTES: u32 = 20;
 /// Time constant of the rates of queries and sends.
 pub(super) const RATE_TIME_CONSTANT_S: f64 = 3.0;
 
 /// How long a client's first attempt usually waits, found by majority vote (Boyer and Moore).
 #[derive(Clone, Copy, Default)]
-pub(super) struct UsualWait {
-    length: f64,
+pub(super) struct FirstAttemptTimeout {
+    timeout: f64,
     votes: u32,
 }
 
-impl UsualWait {
-    fn vote(&mut self, wait: f64, equal: bool) {
-        if equal {
-            self.votes = (self.votes + 1).min(MAX_WAIT_VOTES);
+impl FirstAttemptTimeout {
+    fn vote(&mut self, attempt_timeout: f64, matches_typical: bool) {
+        if matches_typical {
+            self.votes = (self.votes + 1).min(MAX_TIMEOUT_VOTES);
         } else if self.votes > 0 {
             self.votes -= 1;
         } else {
-            (self.length, self.votes) = (wait, 1);
+            (self.timeout, self.votes) = (attempt_timeout, 1);
         }
     }
 }
@@ -103,23 +103,28 @@
         let settings = self.class(class);
         let target = seconds(settings.latency_target);
         let client_timeout = seconds(settings.client_timeout);
-        let tolerance = EQUAL_WAIT_SHARE * client_timeout;
-        let may_be_held_up = arrived_at.is_none();
+        let tolerance = TIMEOUT_TOLERANCE_SHARE * client_timeout;
+        let arrival_time_unknown = arrived_at.is_none();
         let arrived_at = arrived_at.unwrap_or(self.now).min(self.now);
-        let wait = deadline_at - arrived_at;
-        let usual = &mut self.usual_waits[class.0 as usize];
-        let equal = (wait - usual.length).abs() < tolerance;
-        usual.vote(wait, equal);
-        let usual = usual.length;
-        if wait < target {
+        let attempt_timeout = deadline_at - arrived_at;
+        let typical_timeout = &mut self.first_attempt_timeouts[class.0 as usize];
+        let matches_typical = (attempt_timeout - typical_timeout.timeout).abs() < tolerance;
+        typical_timeout.vote(attempt_timeout, matches_typical);
+        let typical_timeout = typical_timeout.timeout;
+        if attempt_timeout < target {
             return deadline_at;
         }
-        let standstill_began = self.standstills.ended_now(self.now);
-        let held_up = |began| may_be_held_up && usual - wait < self.now - began;
-        if standstill_began.is_some_and(held_up) {
-            return deadline_at - usual + target;
+        let pause_began_at = self.pauses.began_at_if_ended_now(self.now);
+        let delayed_by_pause = |pause_began_at| {
+            arrival_time_unknown && typical_timeout - attempt_timeout < self.now - pause_began_at
+        };
+        if pause_began_at.is_some_and(delayed_by_pause) {
+            return deadline_at - typical_timeout + target;
         }
-        let first_attempt = is_retry.map_or((wait - usual).abs() < tolerance, |retry| !retry);
+        let first_attempt = is_retry.map_or(
+            (attempt_timeout - typical_timeout).abs() < tolerance,
+            |retry| !retry,
+        );
         if first_attempt {
             return arrived_at + target;
         }
--- a/crates/coordinator/src/decision/attempt_results.rs
+++ b/crates/coordinator/src/decision/attempt_results.rs
@@ -2,7 +2,7 @@
 
 use super::load::PEER_LOAD_LIFETIME_S;
 use super::router::{seconds, Router};
-use super::work::{Attempt, ClosedAttempt};
+use super::work::{Attempt, EndedAttempt};
 use crate::interface::{Action, Event, LoadReport, Outcome, RequestId, ServerId};
 
 /// A reported utilization of 1 counts as so many requests.
@@ -22,35 +22,36 @@
         else {
             return;
         };
-        let Some(ended) = self.close_attempt(part, number, outcome, closed) else {
+        let Some(ended) = self.end_attempt(part, number, outcome, closed) else {
             return;
         };
         let attempt = &ended.attempt;
-        let lost = self.count_unused_connection(attempt, outcome);
+        let lost_on_idle_connection = self.count_idle_connection_outcome(attempt, outcome);
         if outcome == Outcome::Ok && self.settings.cancellation {
             self.cancel_other_attempts(part, actions);
         }
-        let most_in_flight = self.track_ended(attempt.server, attempt.sent_at);
+        let peak_in_flight = self.track_ended(attempt.server, attempt.sent_at);
         // Neither a loss on an unused connection nor a standstill of this router says anything of
         // the server.
-        let connection_at_fault = lost && self.unused_connections_drop();
-        let own_delay = connection_at_fault || self.sent_before_standstill(attempt);
-        if own_delay {
-            self.learn_latency_without_standstill(&ended, outcome, seconds(latency));
+        let idle_connection_at_fault =
+            lost_on_idle_connection && self.idle_connections_are_dropped();
+        let delayed_by_router = idle_connection_at_fault || self.sent_before_pause(attempt);
+        if delayed_by_router {
+            self.record_latency_without_pause(&ended, outcome, seconds(latency));
         } else {
-            self.learn_latencies(&ended, outcome, seconds(latency));
+            self.record_latencies(&ended, outcome, seconds(latency));
         }
-        if !connection_at_fault {
-            self.judge_server(attempt.server, outcome, attempt.sent_at);
-            self.judge_server_for_class(attempt.server, attempt.class, outcome);
+        if !idle_connection_at_fault {
+            self.update_server_health(attempt.server, outcome, attempt.sent_at);
+            self.update_class_health(attempt.server, attempt.class, outcome);
         }
-        self.learn_load_from_answer(attempt.server, outcome, report, most_in_flight);
+        self.update_load_from_answer(attempt.server, outcome, report, peak_in_flight);
     }
 
     /// Whether an attempt was in flight while this router stood still, until just now.
-    fn sent_before_standstill(&self, attempt: &Attempt) -> bool {
-        let began = self.standstills.just_over(self.now);
-        began.is_some_and(|began| attempt.sent_at < began)
+    fn sent_before_pause(&self, attempt: &Attempt) -> bool {
+        let pause_began_at = self.pauses.began_at_if_catching_up(self.now);
+        pause_began_at.is_some_and(|pause_began_at| attempt.sent_at < pause_began_at)
     }
 
     fn cancel_other_attempts(&self, part: RequestId, actions: &mut Vec<Action>) {
@@ -66,16 +67,16 @@
         }
     }
 
-    fn learn_latencies(&mut self, ended: &ClosedAttempt, outcome: Outcome, latency: f64) {
+    fn record_latencies(&mut self, ended: &EndedAttempt, outcome: Outcome, latency: f64) {
         let attempt = &ended.attempt;
-        self.learn_latency_ratio(attempt.server, outcome, latency, attempt.load_when_sent);
+        self.update_latency_ratio(attempt.server, outcome, latency, attempt.load_when_sent);
         // A part that timed out at a server which answers others took at least so long.
         let server_answers = self
             .servers
             .get(&attempt.server)
-            .is_some_and(|s| s.last_heard_at > attempt.sent_at);
-        let counts = outcome == Outcome::Ok || (outcome == Outcome::Timeout && server_answers);
-        if let Some(class) = ended.query_class.filter(|_| counts) {
+            .is_some_and(|s| s.last_answered_at > attempt.sent_at);
+        let is_sample = outcome == Outcome::Ok || (outcome == Outcome::Timeout && server_answers);
+        if let Some(class) = ended.query_class.filter(|_| is_sample) {
             self.latencies.record(class, self.now, latency);
         }
     }
@@ -83,30 +84,30 @@
     /// Learns from an answer that waited out a standstill of this router: the part took as long as
     /// the router ran meanwhile, or longer. That is little, but better than the guess of a router
     /// that has no other answers yet.
-    fn learn_latency_without_standstill(
+    fn record_latency_without_pause(
         &mut self,
-        ended: &ClosedAttempt,
+        ended: &EndedAttempt,
         outcome: Outcome,
         latency: f64,
     ) {
-        let stood_still = self.standstills.time_since(ended.attempt.sent_at);
-        let answered = outcome == Outcome::Ok && stood_still > 0.0;
+        let paused = self.pauses.paused_time_since(ended.attempt.sent_at);
+        let answered = outcome == Outcome::Ok && paused > 0.0;
         let Some(class) = ended.query_class.filter(|_| answered) else {
             return;
         };
         if !self.latencies.is_known(class) {
-            let running = (latency - stood_still).max(0.0);
-            self.latencies.record(class, self.now, running);
+            let running_time = (latency - paused).max(0.0);
+            self.latencies.record(class, self.now, running_time);
         }
     }
 
     /// Takes the load from a report, or infers it from the outcome.
-    fn learn_load_from_answer(
+    fn update_load_from_answer(
         &mut self,
         server: ServerId,
         outcome: Outcome,
         report: Option<LoadReport>,
-        most_in_flight: f64,
+        peak_in_flight: f64,
     ) {
         let reported = report.and_then(reported_requests);
         self.fleet_load.servers_report |= reported.is_some();
@@ -115,14 +116,14 @@
             self.record_load(server, self.load_of_rejecting_server());
             return;
         }
-        let peers_tell = self
+        let peer_load_is_fresh = self
             .servers
             .get(&server)
-            .is_some_and(|s| self.now - s.other_load.peer_load_at < PEER_LOAD_LIFETIME_S);
+            .is_some_and(|s| self.now - s.external_load.peer_load_at < PEER_LOAD_LIFETIME_S);
         let answered = matches!(outcome, Outcome::Ok | Outcome::Error);
-        let tells = reported.is_some() || !self.fleet_load.servers_report;
-        if answered && !peers_tell && tells {
-            self.record_load(server, (reported.unwrap_or(0.0) - most_in_flight).max(0.0));
+        let load_is_known = reported.is_some() || !self.fleet_load.servers_report;
+        if answered && !peer_load_is_fresh && load_is_known {
+            self.record_load(server, (reported.unwrap_or(0.0) - peak_in_flight).max(0.0));
         }
     }
 }
--- a/crates/coordinator/src/decision/completion.rs
+++ b/crates/coordinator/src/decision/completion.rs
@@ -1,6 +1,6 @@
 //! The end of an admitted query: its answer, complete or partial, or giving it up.
 
-use super::partial_answers::WEIGHT_ROUNDING;
+use super::partial_answers::WEIGHT_TOLERANCE;
 use super::router::{seconds, Router};
 use super::work::{Part, Query};
 use crate::interface::{Action, Cause, RequestId, ServerState};
@@ -17,7 +17,7 @@
             let complete = query.first_step_complete.unwrap_or(true);
             let in_time = self.now <= query.target_at.min(query.deadline_at);
             if self.class(query.class).second_step_parts == 0 || second_step {
-                self.learn_admission_share(in_time);
+                self.update_admission_share(in_time);
             }
             self.answer(id, complete, actions);
             return true;
@@ -52,8 +52,8 @@
         let progress = self.progress(query);
         let needed = self.complete_share(query);
         let complete = if needed < 1.0 {
-            let total = progress.total_weight.max(1.0 - WEIGHT_ROUNDING);
-            progress.answered_weight + WEIGHT_ROUNDING >= needed * total
+            let total = progress.total_weight.max(1.0 - WEIGHT_TOLERANCE);
+            progress.answered_weight + WEIGHT_TOLERANCE >= needed * total
         } else {
             progress.all_answered
         };
@@ -73,7 +73,7 @@
             || !self.parts_of(query).any(|part| self.may_be_answered(part));
         let value = class.partial_value * progress.answered_weight / self.complete_share(query);
         due && class.min_share < class.complete_share
-            && progress.answered_weight + WEIGHT_ROUNDING >= self.min_share(query)
+            && progress.answered_weight + WEIGHT_TOLERANCE >= self.min_share(query)
             && value > class.late_value
     }
 
@@ -102,24 +102,28 @@
 
     /// Ends a query that can't succeed any more: its useful time is over, too much weight is lost,
     /// or it is suspected of crashing servers. Returns whether it was ended.
-    pub(super) fn give_up_if_hopeless(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn give_up_if_unanswerable(
+        &mut self,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let query = &self.queries[&id];
         let too_late = self.now >= self.useful_until(query) - self.turn_margin();
-        let lost = self.has_lost_too_much(query);
+        let lost = self.has_lost_too_much_weight(query);
         if !too_late && !lost && !self.is_crash_suspect(query) {
             return false;
         }
-        let longest_hint = self.settings.max_retry_after.map_or(0.0, seconds);
+        let max_retry_hint = self.settings.max_retry_after.map_or(0.0, seconds);
         let may_be_repeated = self
             .parts_of(query)
-            .all(|part| self.repeat_is_harmless(part, query.class, longest_hint));
+            .all(|part| self.is_safe_to_repeat(part, query.class, max_retry_hint));
         let wait = self.latency_quantile(query.class, 0.9);
         let cause = if lost {
             Cause::PartsLost
         } else {
             Cause::TooLate
         };
-        self.learn_admission_share(false);
+        self.update_admission_share(false);
         if may_be_repeated {
             self.reject(id, wait, cause, actions);
         } else {
@@ -129,14 +133,14 @@
     }
 
     /// Whether the parts that can still be answered weigh too little for any answer.
-    fn has_lost_too_much(&self, query: &Query) -> bool {
+    fn has_lost_too_much_weight(&self, query: &Query) -> bool {
         let total = self.progress(query).total_weight;
         let lost: f64 = self
             .parts_of(query)
             .filter(|part| self.is_lost(part, query))
             .map(|part| part.weight)
             .sum();
-        total - lost + 2.0 * WEIGHT_ROUNDING < self.min_share(query) * total
+        total - lost + 2.0 * WEIGHT_TOLERANCE < self.min_share(query) * total
     }
 
     /// Whether a part can't be answered any more: it is closed, or nothing of it is in flight and
@@ -151,12 +155,13 @@
         if part.has_attempt_in_flight() {
             return false;
         }
-        let without_server = self.usable_servers(part.shard).next().is_none()
+        let has_no_server = self.usable_servers(part.shard).next().is_none()
             && !self
                 .servers_of_shard(part.shard)
                 .any(|(_, s)| s.state == ServerState::Draining);
-        let spent = !part.attempts.is_empty() && !self.may_send_again(part, query.class);
-        without_server || spent
+        let attempts_exhausted =
+            !part.attempts.is_empty() && !self.may_send_again(part, query.class);
+        has_no_server || attempts_exhausted
     }
 
     /// Until when a query is worked on. Past its latency target it is if it still earns something;
--- a/crates/coordinator/src/decision/concurrency_limit.rs
+++ b/crates/coordinator/src/decision/concurrency_limit.rs
@@ -53,24 +53,28 @@
 
 impl Router {
     /// Cuts the concurrency limit of a server to what it held when it rejected a part.
-    pub(super) fn record_rejection(&mut self, server: ServerId) {
+    pub(super) fn record_rejection(&mut self, server_id: ServerId) {
         let jitter = 0.5 + self.random_fraction();
         let many_routers = self.has_many_routers();
-        let call = if many_routers {
+        let parts_per_call = if many_routers {
             f64::from(self.settings.max_parts_per_call.max(1))
         } else {
             1.0
         };
         let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        let in_flight = known.in_flight.count();
+        let in_flight = server.in_flight.count();
         // A limit of less than a call would never allow one: time limits it then. A draining server
         // wants none.
-        let least = if known.is_ready() { call } else { 0.0 };
-        let concurrency = &mut known.concurrency;
-        concurrency.limit = concurrency.limit.min(f64::from(in_flight).max(least));
+        let min_limit = if server.is_ready() {
+            parts_per_call
+        } else {
+            0.0
+        };
+        let concurrency = &mut server.concurrency;
+        concurrency.limit = concurrency.limit.min(f64::from(in_flight).max(min_limit));
         if many_routers && in_flight == 0 {
             concurrency.backoff = REJECTION_BACKOFF.next(concurrency.backoff);
             concurrency.backoff_until = now + jitter * concurrency.backoff;
@@ -85,21 +89,21 @@
 
     /// Notes whether a server's concurrency limit is reached. If calls have a cost, some of it must
     /// come free before the server gets parts again, so that several can share a call.
-    pub(super) fn update_headroom(&mut self, server: ServerId, in_flight_before: u32) {
-        let call = if self.settings.call_overhead > Duration::ZERO {
+    pub(super) fn update_headroom(&mut self, server_id: ServerId, in_flight_before: u32) {
+        let call_headroom = if self.settings.call_overhead > Duration::ZERO {
             f64::from(self.settings.max_parts_per_call.max(1) - 1) / 2.0
         } else {
             0.0
         };
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        let in_flight = f64::from(known.in_flight.count());
-        let concurrency = &mut known.concurrency;
+        let in_flight = f64::from(server.in_flight.count());
+        let concurrency = &mut server.concurrency;
         let reached = f64::from(in_flight_before) >= concurrency.limit
             || in_flight + concurrency.headroom >= concurrency.limit;
         concurrency.headroom = if reached {
-            call.min(concurrency.limit / 2.0)
+            call_headroom.min(concurrency.limit / 2.0)
         } else {
             0.0
         };
--- a/crates/coordinator/src/decision/crash_suspects.rs
+++ b/crates/coordinator/src/decision/crash_suspects.rs
@@ -8,18 +8,18 @@
 use crate::interface::ServerId;
 
 /// When servers died.
-pub(super) struct Crashes {
+pub(super) struct LastCrashTimes {
     /// When one last died under a part of this router.
-    pub(super) last_under_part_at: Option<f64>,
+    pub(super) while_serving_part_at: Option<f64>,
     /// When the list last told that one in service is gone.
-    pub(super) last_listed_at: f64,
+    pub(super) removed_from_list_at: f64,
 }
 
-impl Default for Crashes {
+impl Default for LastCrashTimes {
     fn default() -> Self {
         Self {
-            last_under_part_at: None,
-            last_listed_at: f64::MIN,
+            while_serving_part_at: None,
+            removed_from_list_at: f64::MIN,
         }
     }
 }
@@ -37,16 +37,18 @@
     /// The precaution that a query takes. `None` if servers are well, once one of its parts was
     /// answered, or once the part sent ahead is late: then all parts go.
     pub(super) fn crash_precaution(&self, query: &Query) -> Option<CrashPrecaution> {
-        let crashed_at = self.crashes.last_under_part_at?;
-        let latest = crashed_at.max(self.crashes.last_listed_at);
-        if self.now - latest > CRASH_WINDOW_S {
+        let crashed_at = self.last_crashes.while_serving_part_at?;
+        let latest_crash_at = crashed_at.max(self.last_crashes.removed_from_list_at);
+        if self.now - latest_crash_at > CRASH_WINDOW_S {
             return None;
         }
         let attempts = self.attempts_if_unanswered(query)?;
         let late_if_sent_before = self.now - self.latency_quantile(query.class, 0.9);
         match attempts.iter().find(|a| a.in_flight) {
             None => Some(CrashPrecaution::SendOnePart),
-            Some(ahead) => (ahead.sent_at >= late_if_sent_before).then_some(CrashPrecaution::Wait),
+            Some(canary) => {
+                (canary.sent_at >= late_if_sent_before).then_some(CrashPrecaution::Wait)
+            }
         }
     }
 
@@ -60,7 +62,7 @@
             .parts_of(query)
             .filter(|p| !p.attempts.is_empty())
             .count();
-        let sent_one_ahead = parts_sent < query.parts.len().min(2);
+        let sent_only_canary = parts_sent < query.parts.len().min(2);
         let mut crashed = attempts
             .iter()
             .filter(|a| self.crashed_server(a))
@@ -68,7 +70,7 @@
         let Some(first) = crashed.next() else {
             return false;
         };
-        sent_one_ahead || crashed.any(|server: ServerId| server != first)
+        sent_only_canary || crashed.any(|server: ServerId| server != first)
     }
 
     /// Whether the server died under an attempt.
--- a/crates/coordinator/src/decision/dispatch.rs
+++ b/crates/coordinator/src/decision/dispatch.rs
@@ -3,7 +3,7 @@
 use super::arrival::RATE_TIME_CONSTANT_S;
 use super::crash_suspects::CrashPrecaution;
 use super::eligibility::Eligibility;
-use super::router::{action_time, Router};
+use super::router::{action_duration, Router};
 use super::work::{Attempt, AttemptKind, Query};
 use crate::interface::{Action, ClassId, Idempotency, RequestId, ServerId};
 
@@ -55,8 +55,8 @@
             } else {
                 Vec::new()
             };
-            let picked = self.pick_server(part, AttemptKind::FirstOrRetry, &shards);
-            let Some(server) = picked else {
+            let picked_server = self.pick_server(part, AttemptKind::FirstOrRetry, &shards);
+            let Some(server) = picked_server else {
                 continue;
             };
             self.send(part, class, server, true, actions);
@@ -98,12 +98,12 @@
         let timeout = self.attempt_timeout(query);
         let load_when_sent = self.reported_load(server);
         let slot_interval = self.slot_interval(server);
-        let connections_drop = self.unused_connections_drop();
-        let unused = self.connection_is_unused(server);
-        if unused && connections_drop && server.last_sent_at < now {
+        let idle_connections_dropped = self.idle_connections_are_dropped();
+        let connection_idle = self.connection_is_idle(server);
+        if connection_idle && idle_connections_dropped && server.last_sent_at < now {
             actions.push(Action::CloseIdleConnections { server: server_id });
         }
-        self.strike_off_entry(server_id, opens_call);
+        self.consume_idle_queue_entry(server_id, opens_call);
         if let Some(server) = self.servers.get_mut(&server_id) {
             server.last_sent_at = now;
             // One unused slot may be made up for.
@@ -118,7 +118,7 @@
                 class,
                 sent_at: now,
                 load_when_sent,
-                on_unused_connection: unused && !connections_drop,
+                on_idle_connection: connection_idle && !idle_connections_dropped,
                 in_flight: true,
                 connection_broke: false,
                 may_have_run: true,
@@ -127,7 +127,7 @@
         actions.push(Action::Send {
             part: part_id,
             server: server_id,
-            timeout: action_time(timeout.max(MIN_TIMEOUT_S)),
+            timeout: action_duration(timeout.max(MIN_TIMEOUT_S)),
         });
     }
 
@@ -149,7 +149,7 @@
     /// only its end allows a retry.
     fn attempt_timeout(&self, query: &Query) -> f64 {
         let class = self.class(query.class);
-        let end = query.deadline_at.min(if class.late_value > 0.0 {
+        let useful_until = query.deadline_at.min(if class.late_value > 0.0 {
             f64::MAX
         } else {
             query.target_at
@@ -157,9 +157,9 @@
         let may_outlast_stall =
             self.settings.hedging || class.idempotency == Idempotency::NotIdempotent;
         if may_outlast_stall {
-            end - self.now
+            useful_until - self.now
         } else {
-            (end - self.now).min(self.stall_timeout())
+            (useful_until - self.now).min(self.stall_timeout())
         }
     }
 }
--- a/crates/coordinator/src/decision/eligibility.rs
+++ b/crates/coordinator/src/decision/eligibility.rs
@@ -70,7 +70,7 @@
         let all_ejected = ready().all(Server::is_ejected);
         ready().filter(move |s| {
             if all_ejected {
-                !self.is_dead(s)
+                !self.is_down(s)
             } else {
                 !s.is_ejected()
             }
@@ -78,7 +78,7 @@
     }
 
     /// Whether a server is ejected and refuses connections.
-    fn is_dead(&self, server: &Server) -> bool {
+    fn is_down(&self, server: &Server) -> bool {
         server.health.connection_refused
             && server.ejection.until.is_some_and(|until| until > self.now)
     }
--- a/crates/coordinator/src/decision/hedging.rs
+++ b/crates/coordinator/src/decision/hedging.rs
@@ -48,7 +48,7 @@
     /// for.
     fn due_attempt(&self, part: &Part, class: ClassId) -> Option<AttemptKind> {
         let median = self.latency_quantile(class, 0.5);
-        let late = self.latency_quantile(class, 0.9).max(2.0 * median);
+        let late_after = self.latency_quantile(class, 0.9).max(2.0 * median);
         let query = &self.queries[&part.query];
         let congested = self.is_congested() && !self.is_late_among_siblings(query);
         let mut kind = if part.has_attempt_in_flight() {
@@ -63,7 +63,7 @@
             };
             let ratio = self.latency_ratio(server);
             let age = self.now - attempt.sent_at;
-            let overdue = age >= (late / ratio.max(1.0)).max(median);
+            let overdue = age >= (late_after / ratio.max(1.0)).max(median);
             if !overdue || !self.is_urgent(query) || (congested && ratio < OUTLIER_LATENCY_RATIO) {
                 return None;
             }
--- a/crates/coordinator/src/decision/idle_queue.rs
+++ b/crates/coordinator/src/decision/idle_queue.rs
@@ -45,24 +45,24 @@
 
     /// Enters a server once for each part that it is short of the threshold; removes it if it is
     /// busier.
-    pub(super) fn enter_in_idle_queue(&mut self, server: ServerId, threshold: f64) {
-        let Some(known) = self.servers.get(&server) else {
+    pub(super) fn set_idle_queue_entries(&mut self, server_id: ServerId, threshold: f64) {
+        let Some(server) = self.servers.get(&server_id) else {
             return;
         };
-        let entries = (threshold - self.estimated_load(known)).max(0.0).ceil() as u32;
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.idle_queue.count = entries;
+        let entries = (threshold - self.estimated_load(server)).max(0.0).ceil() as u32;
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            server.idle_queue.count = entries;
         }
     }
 
     /// Strikes off an entry of a server that is sent a part. `uses_entry` is false for a part that
     /// shares the call of another one.
-    pub(super) fn strike_off_entry(&mut self, server: ServerId, uses_entry: bool) {
+    pub(super) fn consume_idle_queue_entry(&mut self, server_id: ServerId, uses_entry: bool) {
         let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        let entries = &mut known.idle_queue;
+        let entries = &mut server.idle_queue;
         if now - entries.updated_at > ENTRY_LIFETIME_S {
             (entries.count, entries.updated_at) = (0, now);
         }
--- a/crates/coordinator/src/decision/load.rs
+++ b/crates/coordinator/src/decision/load.rs
@@ -28,7 +28,7 @@
 /// time.
 pub(super) const OVERDUE_FACTOR: f64 = 2.5;
 /// Least time that a part is expected to take.
-const MIN_EXPECTED_S: f64 = 1e-3;
+const MIN_EXPECTED_PART_TIME_S: f64 = 1e-3;
 
 struct Bounds {
     min: f64,
@@ -77,20 +77,20 @@
     }
 
     /// Stops counting the parts in flight: no answer of theirs is expected any more.
-    pub(super) fn write_off(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.sent_at.clear();
     }
 
     fn update_mean(&mut self, now: f64) {
         let count = f64::from(self.count());
-        let keep = (-(now - self.mean_updated_at) / REPORT_LAG_S).exp();
-        self.recent_mean = self.recent_mean * keep + count * (1.0 - keep);
+        let decay = (-(now - self.mean_updated_at) / REPORT_LAG_S).exp();
+        self.recent_mean = self.recent_mean * decay + count * (1.0 - decay);
         self.mean_updated_at = now;
     }
 }
 
 /// Load on a server that is not from this router.
-pub(super) struct OtherLoad {
+pub(super) struct ExternalLoad {
     /// Parts, by the latest report or by what other routers published.
     parts: f64,
     reported_at: f64,
@@ -98,7 +98,7 @@
     pub(super) peer_load_at: f64,
 }
 
-impl Default for OtherLoad {
+impl Default for ExternalLoad {
     fn default() -> Self {
         Self {
             parts: 0.0,
@@ -112,14 +112,14 @@
 /// it reports.
 pub(super) struct LatencyRatio {
     value: f64,
-    learned_at: f64,
+    updated_at: f64,
 }
 
 impl LatencyRatio {
     pub(super) fn new(now: f64) -> Self {
         Self {
             value: 1.0,
-            learned_at: now,
+            updated_at: now,
         }
     }
 
@@ -133,7 +133,7 @@
     /// Load of a server as far as reported: the parts in flight, and those from elsewhere by its
     /// latest report. A report counts less and less as it ages; the mean load takes its place.
     pub(super) fn reported_load(&self, server: &Server) -> f64 {
-        let other = &server.other_load;
+        let other = &server.external_load;
         let weight = (-(self.now - other.reported_at) / REPORT_TIME_CONSTANT_S).exp();
         let mean = self.fleet_load.mean;
         f64::from(server.in_flight.count()) + mean + (other.parts - mean) * weight
@@ -144,19 +144,20 @@
     /// server look slow.
     pub(super) fn latency_ratio(&self, server: &Server) -> f64 {
         let learned = &server.latency_ratio;
-        let age = self.now - learned.learned_at;
-        let past = 1.0 + (learned.value - 1.0) * (-age / LATENCY_RATIO_TIME_CONSTANT_S).exp();
+        let age = self.now - learned.updated_at;
+        let learned_ratio =
+            1.0 + (learned.value - 1.0) * (-age / LATENCY_RATIO_TIME_CONSTANT_S).exp();
         let mean_time = self.latencies.all.mean();
-        let waits = server
+        let waiting_time = server
             .in_flight
             .oldest_sent_at()
             .map_or(0.0, |sent_at| self.unanswered_for(server, sent_at));
-        let present = if mean_time > 0.0 {
-            waits / (OVERDUE_FACTOR * mean_time)
+        let current_ratio = if mean_time > 0.0 {
+            waiting_time / (OVERDUE_FACTOR * mean_time)
         } else {
             0.0
         };
-        past.max(present)
+        learned_ratio.max(current_ratio)
     }
 
     /// Load of a server as its answers show it: the reported load times the latency ratio.
@@ -176,9 +177,9 @@
 
     /// Learns from a part's time how a server compares with what its load, when the part was sent,
     /// lets expect.
-    pub(super) fn learn_latency_ratio(
+    pub(super) fn update_latency_ratio(
         &mut self,
-        server: ServerId,
+        server_id: ServerId,
         outcome: Outcome,
         latency: f64,
         load_when_sent: f64,
@@ -187,79 +188,79 @@
         if !cut_short && outcome != Outcome::Ok {
             return;
         }
-        let Some(known) = self.servers.get(&server) else {
+        let Some(server) = self.servers.get(&server_id) else {
             return;
         };
         let mean = self.latencies.all.mean();
         let expected = (mean * (1.0 + load_when_sent) / (1.0 + self.fleet_load.mean))
             .max(mean / 2.0)
-            .max(MIN_EXPECTED_S);
+            .max(MIN_EXPECTED_PART_TIME_S);
         let ratio = (latency / expected).clamp(LATENCY_RATIO_BOUNDS.min, LATENCY_RATIO_BOUNDS.max);
         // How long parts are waited for right now has no bound of its own.
-        let past = self.latency_ratio(known).min(LATENCY_RATIO_BOUNDS.max);
+        let previous_ratio = self.latency_ratio(server).min(LATENCY_RATIO_BOUNDS.max);
         // A part that was cut short would have taken longer: it says nothing good.
-        if mean <= 0.0 || (cut_short && ratio < past) {
+        if mean <= 0.0 || (cut_short && ratio < previous_ratio) {
             return;
         }
         let learned = LatencyRatio {
-            value: past + LATENCY_RATIO_GAIN * (ratio - past),
-            learned_at: self.now,
+            value: previous_ratio + LATENCY_RATIO_GAIN * (ratio - previous_ratio),
+            updated_at: self.now,
         };
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.latency_ratio = learned;
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            server.latency_ratio = learned;
         }
     }
 
     /// Takes the load that other routers have on a server, as they published it `age` seconds ago.
-    pub(super) fn learn_peer_load(&mut self, server: ServerId, in_flight: f64, age: f64) {
-        self.record_load(server, in_flight);
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.other_load.peer_load_at = self.now - age;
+    pub(super) fn record_peer_load(&mut self, server_id: ServerId, in_flight: f64, age: f64) {
+        self.record_load(server_id, in_flight);
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            server.external_load.peer_load_at = self.now - age;
         }
     }
 
     /// Records the load of a server that is not from this router, and updates its entries in the
     /// idle queue.
-    pub(super) fn record_load(&mut self, server: ServerId, other_parts: f64) {
+    pub(super) fn record_load(&mut self, server_id: ServerId, external_parts: f64) {
         let (now, threshold) = (self.now, self.idle_queue_threshold());
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        known.other_load.parts = other_parts;
-        known.other_load.reported_at = now;
-        known.idle_queue.updated_at = now;
-        let load = f64::from(known.in_flight.count()) + other_parts;
-        self.enter_in_idle_queue(server, threshold);
+        server.external_load.parts = external_parts;
+        server.external_load.reported_at = now;
+        server.idle_queue.updated_at = now;
+        let load = f64::from(server.in_flight.count()) + external_parts;
+        self.set_idle_queue_entries(server_id, threshold);
         self.fleet_load.mean += MEAN_LOAD_GAIN * (load - self.fleet_load.mean);
     }
 
     /// Counts a part that is sent to a server.
-    pub(super) fn track_sent(&mut self, server: ServerId) {
+    pub(super) fn track_sent(&mut self, server_id: ServerId) {
         let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        let before = known.in_flight.count();
-        known.in_flight.update_mean(now);
-        known.in_flight.sent_at.push_back(now);
-        self.update_headroom(server, before);
+        let count_before = server.in_flight.count();
+        server.in_flight.update_mean(now);
+        server.in_flight.sent_at.push_back(now);
+        self.update_headroom(server_id, count_before);
     }
 
     /// Counts the end of a part that was sent at this time. Returns the most parts that were in
     /// flight of late, as a late report may still count them.
-    pub(super) fn track_ended(&mut self, server: ServerId, sent_at: f64) -> f64 {
+    pub(super) fn track_ended(&mut self, server_id: ServerId, sent_at: f64) -> f64 {
         let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return 0.0;
         };
-        let in_flight = &mut known.in_flight;
-        let before = in_flight.count();
+        let in_flight = &mut server.in_flight;
+        let count_before = in_flight.count();
         in_flight.update_mean(now);
         if let Some(position) = in_flight.sent_at.iter().position(|t| *t == sent_at) {
             in_flight.sent_at.remove(position);
         }
-        let most = in_flight.recent_mean.max(f64::from(before));
-        self.update_headroom(server, before);
-        most
+        let peak = in_flight.recent_mean.max(f64::from(count_before));
+        self.update_headroom(server_id, count_before);
+        peak
     }
 }
--- a/crates/coordinator/src/decision/outlier_ejection.rs
+++ b/crates/coordinator/src/decision/outlier_ejection.rs
@@ -19,7 +19,7 @@
 /// The same for the failures of one class.
 pub(super) const CLASS_FAILURE_THRESHOLD: f64 = 0.6;
 /// Failures that come within this time count once: they share a cause.
-const SAME_MOMENT_S: f64 = 0.005;
+const CORRELATED_FAILURE_WINDOW_S: f64 = 0.005;
 /// Length of an ejection. Each relapse doubles it.
 const EJECTION_TIME: Backoff = Backoff {
     initial: 0.5,
@@ -29,9 +29,9 @@
 const RELAPSE_TIME_CONSTANT_S: f64 = 15.0;
 /// Among many routers ejections are longer by up to this factor, as the probes of all of them add
 /// up ...
-const MAX_FLEET_FACTOR: f64 = 8.0;
+const MAX_FLEET_EJECTION_FACTOR: f64 = 8.0;
 /// ... and the longest ejection by up to this.
-const MAX_FLEET_FACTOR_OF_LONGEST: f64 = 4.0;
+const MAX_FLEET_MAX_EJECTION_FACTOR: f64 = 4.0;
 /// A connection that is refused within this time after one that broke means that the server's
 /// process died.
 pub(super) const CRASH_WINDOW_S: f64 = 10.0;
@@ -87,10 +87,10 @@
     /// as it had ejections lately.
     pub(super) until: Option<f64>,
     /// Good answers since it was ejected.
-    successes: f64,
+    successes_since_ejection: f64,
     /// Ejections of late; decays over [`RELAPSE_TIME_CONSTANT_S`].
-    count: f64,
-    last_at: f64,
+    recent_count: f64,
+    last_ejected_at: f64,
     /// Whether it was unreachable or silent rather than failing.
     pub(super) unreachable: bool,
     /// Whether a probe is in flight.
@@ -101,9 +101,9 @@
     fn default() -> Self {
         Self {
             until: None,
-            successes: 0.0,
-            count: 0.0,
-            last_at: f64::MIN,
+            successes_since_ejection: 0.0,
+            recent_count: 0.0,
+            last_ejected_at: f64::MIN,
             unreachable: false,
             probing: false,
         }
@@ -121,7 +121,12 @@
 impl Router {
     /// Judges a server by how an attempt ended, whatever its reports say: one that fails quickly
     /// looks idle.
-    pub(super) fn judge_server(&mut self, server: ServerId, outcome: Outcome, sent_at: f64) {
+    pub(super) fn update_server_health(
+        &mut self,
+        server: ServerId,
+        outcome: Outcome,
+        sent_at: f64,
+    ) {
         match outcome {
             Outcome::Ok => self.record_success(server),
             Outcome::Error => self.record_error(server),
@@ -133,50 +138,50 @@
         }
     }
 
-    fn record_success(&mut self, server: ServerId) {
+    fn record_success(&mut self, server_id: ServerId) {
         let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        known.last_heard_at = now;
-        known.health.connection_refused = false;
-        known.health.failure_ewma -= FAILURE_GAIN * known.health.failure_ewma;
-        known.concurrency.raise();
-        let ejection = &mut known.ejection;
+        server.last_answered_at = now;
+        server.health.connection_refused = false;
+        server.health.failure_ewma -= FAILURE_GAIN * server.health.failure_ewma;
+        server.concurrency.raise();
+        let ejection = &mut server.ejection;
         ejection.unreachable = false;
-        ejection.successes += 1.0;
+        ejection.successes_since_ejection += 1.0;
         // As many good answers as ejections of late. To ask for three at the first one kept sound
         // servers out.
         ejection.until = ejection
             .until
-            .filter(|_| ejection.successes < ejection.count);
+            .filter(|_| ejection.successes_since_ejection < ejection.recent_count);
     }
 
-    fn record_error(&mut self, server: ServerId) {
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.last_heard_at = self.now;
+    fn record_error(&mut self, server_id: ServerId) {
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            server.last_answered_at = self.now;
         }
-        self.record_failure(server, false);
+        self.record_failure(server_id, false);
     }
 
-    fn record_reset(&mut self, server: ServerId) {
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.health.last_reset_at = self.now;
+    fn record_reset(&mut self, server_id: ServerId) {
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            server.health.last_reset_at = self.now;
         }
-        self.record_failure(server, true);
+        self.record_failure(server_id, true);
     }
 
-    fn record_refused_connection(&mut self, server: ServerId) {
+    fn record_refused_connection(&mut self, server_id: ServerId) {
         let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        known.health.connection_refused = now - known.last_heard_at > REPORT_LAG_S;
-        if now - known.health.last_reset_at < CRASH_WINDOW_S {
-            known.health.last_crash_at = now;
-            self.crashes.last_under_part_at = Some(now);
+        server.health.connection_refused = now - server.last_answered_at > REPORT_LAG_S;
+        if now - server.health.last_reset_at < CRASH_WINDOW_S {
+            server.health.last_crash_at = now;
+            self.last_crashes.while_serving_part_at = Some(now);
         }
-        self.eject(server, true);
+        self.eject(server_id, true);
     }
 
     fn record_timeout(&mut self, server: ServerId, sent_at: f64) {
@@ -191,13 +196,13 @@
     }
 
     /// Counts a failure; ejects the server once failures make too large a share of its answers.
-    fn record_failure(&mut self, server: ServerId, unreachable: bool) {
+    fn record_failure(&mut self, server_id: ServerId, unreachable: bool) {
         let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        let health = &mut known.health;
-        health.failure_ewma += if now - health.last_failure_at < SAME_MOMENT_S {
+        let health = &mut server.health;
+        health.failure_ewma += if now - health.last_failure_at < CORRELATED_FAILURE_WINDOW_S {
             0.0
         } else {
             FAILURE_GAIN * (1.0 - health.failure_ewma)
@@ -208,29 +213,31 @@
         } else {
             FAILURE_THRESHOLD
         };
-        if health.failure_ewma > threshold || known.is_ejected() {
-            self.eject(server, unreachable);
+        if health.failure_ewma > threshold || server.is_ejected() {
+            self.eject(server_id, unreachable);
         }
     }
 
     /// Judges a server for one class. One that fails it gets a single part of it now and then.
-    pub(super) fn judge_server_for_class(
+    pub(super) fn update_class_health(
         &mut self,
-        server: ServerId,
+        server_id: ServerId,
         class: ClassId,
         outcome: Outcome,
     ) {
         let now = self.now;
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        let health = &mut known.health.by_class[class.0 as usize];
+        let health = &mut server.health.by_class[class.0 as usize];
         match outcome {
             Outcome::Ok if health.failure_ewma > CLASS_FAILURE_THRESHOLD => {
                 *health = ClassHealth::default();
             }
             Outcome::Ok => health.failure_ewma -= FAILURE_GAIN * health.failure_ewma,
-            Outcome::Timeout | Outcome::Error if now - health.last_failure_at >= SAME_MOMENT_S => {
+            Outcome::Timeout | Outcome::Error
+                if now - health.last_failure_at >= CORRELATED_FAILURE_WINDOW_S =>
+            {
                 health.failure_ewma += FAILURE_GAIN * (1.0 - health.failure_ewma);
                 health.last_failure_at = now;
                 health.ejection_time = EJECTION_TIME.next(health.ejection_time);
@@ -245,35 +252,37 @@
     }
 
     /// Puts off the next part of a class to a server that fails it.
-    pub(super) fn postpone_class_probe(&mut self, server: ServerId, class: ClassId) {
+    pub(super) fn postpone_class_probe(&mut self, server_id: ServerId, class: ClassId) {
         let now = self.now;
-        if let Some(known) = self.servers.get_mut(&server) {
-            let health = &mut known.health.by_class[class.0 as usize];
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            let health = &mut server.health.by_class[class.0 as usize];
             health.ejected_until = now + health.ejection_time;
         }
     }
 
     /// Ejects a server for a time that doubles with each relapse. Relapses are forgotten over time.
-    pub(super) fn eject(&mut self, server: ServerId, unreachable: bool) {
+    pub(super) fn eject(&mut self, server_id: ServerId, unreachable: bool) {
         let now = self.now;
-        let fleet_factor =
-            (f64::from(self.settings.routers) / SMALL_FLEET_ROUTERS).clamp(1.0, MAX_FLEET_FACTOR);
-        let Some(known) = self.servers.get_mut(&server) else {
+        let fleet_factor = (f64::from(self.settings.routers) / SMALL_FLEET_ROUTERS)
+            .clamp(1.0, MAX_FLEET_EJECTION_FACTOR);
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        known.idle_queue.count = 0;
-        let ejection = &mut known.ejection;
+        server.idle_queue.count = 0;
+        let ejection = &mut server.ejection;
         ejection.unreachable |= unreachable;
-        ejection.successes = 0.0;
+        ejection.successes_since_ejection = 0.0;
         if ejection.until.is_some_and(|until| until > now) {
             return;
         }
-        let since_last = now - ejection.last_at;
-        ejection.count = ejection.count * (-since_last / RELAPSE_TIME_CONSTANT_S).exp() + 1.0;
-        ejection.last_at = now;
-        let time = fleet_factor * EJECTION_TIME.initial * (ejection.count - 1.0).exp2();
-        let longest = fleet_factor.min(MAX_FLEET_FACTOR_OF_LONGEST) * EJECTION_TIME.max;
-        ejection.until = Some(now + time.min(longest));
+        let since_last = now - ejection.last_ejected_at;
+        ejection.recent_count =
+            ejection.recent_count * (-since_last / RELAPSE_TIME_CONSTANT_S).exp() + 1.0;
+        ejection.last_ejected_at = now;
+        let ejection_time =
+            fleet_factor * EJECTION_TIME.initial * (ejection.recent_count - 1.0).exp2();
+        let max_ejection_time = fleet_factor.min(MAX_FLEET_MAX_EJECTION_FACTOR) * EJECTION_TIME.max;
+        ejection.until = Some(now + ejection_time.min(max_ejection_time));
     }
 
     /// Probes the ejected servers that are due and were unreachable. Others show by a part whether
@@ -284,8 +293,8 @@
         for (id, server) in &mut self.servers {
             let ready = server.is_ready();
             let ejection = &mut server.ejection;
-            let due = ejection.until.is_some_and(|until| until <= now);
-            if !due || !ejection.unreachable || ejection.probing || !ready {
+            let probe_due = ejection.until.is_some_and(|until| until <= now);
+            if !probe_due || !ejection.unreachable || ejection.probing || !ready {
                 continue;
             }
             ejection.unreachable = probes;
@@ -300,38 +309,38 @@
     /// it.
     pub(super) fn probe_ended(
         &mut self,
-        server: ServerId,
+        server_id: ServerId,
         outcome: Outcome,
         report: Option<LoadReport>,
     ) {
-        let Some(known) = self.servers.get_mut(&server) else {
+        let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
-        known.ejection.probing = false;
-        known.health.connection_refused = outcome == Outcome::ConnectFailed;
+        server.ejection.probing = false;
+        server.health.connection_refused = outcome == Outcome::ConnectFailed;
         if outcome == Outcome::Ok {
-            let other_load = reachable_again(known, report);
-            if let Some(other_load) = other_load {
-                self.record_load(server, other_load);
+            let external_load = mark_reachable(server, report);
+            if let Some(external_load) = external_load {
+                self.record_load(server_id, external_load);
             }
-        } else if known.ejection.unreachable {
+        } else if server.ejection.unreachable {
             // No relapse: it was ejected before, and asking again costs next to nothing.
-            known.ejection.count -= 1.0;
-            self.eject(server, true);
+            server.ejection.recent_count -= 1.0;
+            self.eject(server_id, true);
         }
     }
 }
 
 /// Notes that a probe reached a server. Returns the load from elsewhere that it reported.
-fn reachable_again(server: &mut Server, report: Option<LoadReport>) -> Option<f64> {
+fn mark_reachable(server: &mut Server, report: Option<LoadReport>) -> Option<f64> {
     let was_unreachable = std::mem::take(&mut server.ejection.unreachable);
     if was_unreachable {
         // What was in flight before counts no more: it would block the first part until it times
         // out.
-        server.in_flight.write_off();
+        server.in_flight.clear();
     }
-    let own = f64::from(server.in_flight.count());
+    let own_in_flight = f64::from(server.in_flight.count());
     report
         .and_then(|r| r.in_flight.or(r.queued))
-        .map(|held| (held - own).max(0.0))
+        .map(|reported| (reported - own_in_flight).max(0.0))
 }
--- a/crates/coordinator/src/decision/partial_answers.rs
+++ b/crates/coordinator/src/decision/partial_answers.rs
@@ -6,9 +6,9 @@
 use crate::interface::{QueryClass, RequestId};
 
 /// Sums of weights that differ by less are equal.
-pub(super) const WEIGHT_ROUNDING: f64 = 5e-5;
+pub(super) const WEIGHT_TOLERANCE: f64 = 5e-5;
 /// Least value of a query that prices are compared with.
-const MIN_VALUE: f64 = 1e-6;
+const MIN_QUERY_VALUE: f64 = 1e-6;
 
 impl Router {
     /// The parts to ask for now: as many as make a complete answer, and one more for each that is
@@ -35,7 +35,7 @@
         let (mut weight, mut wanted) = (0.0, Vec::new());
         for id in order {
             let part = &self.parts[id];
-            if weight + WEIGHT_ROUNDING >= target && part.attempts.is_empty() {
+            if weight + WEIGHT_TOLERANCE >= target && part.attempts.is_empty() {
                 break;
             }
             wanted.push(*id);
@@ -71,24 +71,24 @@
             };
         // What a part costs others rises faster than the wait does; it is next to nothing while
         // servers are light.
-        let price =
-            self.congestion().powi(2) * self.admission.value_per_part() / value.max(MIN_VALUE);
-        let (mut weight, mut best_gain, mut best_weight) = (0.0, f64::MIN, total);
+        let price = self.congestion().powi(2) * self.admission.value_per_part()
+            / value.max(MIN_QUERY_VALUE);
+        let (mut weight, mut best_net_gain, mut best_weight) = (0.0, f64::MIN, total);
         for (index, id) in heaviest_first.iter().enumerate() {
-            let asked = index as f64 + 1.0;
+            let parts_asked = index as f64 + 1.0;
             weight += self.parts[id].weight;
-            let complete = weight + WEIGHT_ROUNDING >= class.complete_share * total;
-            let earned = if complete {
+            let complete = weight + WEIGHT_TOLERANCE >= class.complete_share * total;
+            let earned_share = if complete {
                 1.0
             } else {
                 class.partial_value * weight / (class.complete_share * total)
             };
-            let gain = earned - price * asked;
+            let net_gain = earned_share - price * parts_asked;
             // Never a cut that earns less for each part than all of them do: better reject some
             // queries.
-            let allowed = weight >= class.min_share * total && earned * parts >= asked;
-            if gain > best_gain && allowed {
-                (best_gain, best_weight) = (gain, weight);
+            let allowed = weight >= class.min_share * total && earned_share * parts >= parts_asked;
+            if net_gain > best_net_gain && allowed {
+                (best_net_gain, best_weight) = (net_gain, weight);
             }
         }
         best_weight
--- a/crates/coordinator/src/decision/rejection.rs
+++ b/crates/coordinator/src/decision/rejection.rs
@@ -1,11 +1,11 @@
 //! Rejections and failures of queries, with the hint when the client should retry.
 
-use super::router::{action_time, seconds, Router};
+use super::router::{action_duration, seconds, Router};
 use crate::interface::{Action, Cause, RequestId};
 use std::time::Duration;
 
 /// Shortest hint.
-const MIN_HINT_S: f64 = 0.05;
+const MIN_RETRY_HINT_S: f64 = 0.05;
 
 impl Router {
     /// Rejects a query. A retry after `wait` seconds makes sense.
@@ -41,7 +41,7 @@
     }
 
     fn retry_hint(&self, wait: f64) -> Option<Duration> {
-        let longest = seconds(self.settings.max_retry_after?).max(MIN_HINT_S);
-        Some(action_time(wait.clamp(MIN_HINT_S, longest)))
+        let longest = seconds(self.settings.max_retry_after?).max(MIN_RETRY_HINT_S);
+        Some(action_duration(wait.clamp(MIN_RETRY_HINT_S, longest)))
     }
 }
--- a/crates/coordinator/src/decision/retry_budget.rs
+++ b/crates/coordinator/src/decision/retry_budget.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// The budget on hedged requests if the settings have none. Retries are then free.
-const HEDGE_BUDGET: RetryBudget = RetryBudget {
+const DEFAULT_HEDGE_BUDGET: RetryBudget = RetryBudget {
     min_retries: 10.0,
     retry_share: 0.2,
     window: Duration::from_secs(2),
@@ -31,21 +31,25 @@
 impl Router {
     /// Drops what is older than the budget's window.
     pub(super) fn expire_retry_window(&mut self) {
-        self.count_retry_window(self.budget_in_force());
+        self.count_retry_window(self.effective_retry_budget());
     }
 
-    fn budget_in_force(&self) -> RetryBudget {
-        self.settings.retry_budget.unwrap_or(HEDGE_BUDGET)
+    fn effective_retry_budget(&self) -> RetryBudget {
+        self.settings.retry_budget.unwrap_or(DEFAULT_HEDGE_BUDGET)
     }
 
     /// Counts with a turn to spare at both ends of the window, as the keeper of the budget may
     /// count a turn later.
     fn count_retry_window(&mut self, budget: RetryBudget) -> RetryCounts {
-        let (window, edge) = (seconds(budget.window), self.turn_margin());
+        let (window_length, margin) = (seconds(budget.window), self.turn_margin());
         let counted = &mut self.retry_window;
         RetryCounts {
-            arrivals: counted.arrivals.count_since(self.now - window + edge),
-            retries: counted.retries.count_since(self.now - window - edge),
+            arrivals: counted
+                .arrivals
+                .count_since(self.now - window_length + margin),
+            retries: counted
+                .retries
+                .count_since(self.now - window_length - margin),
         }
     }
 
@@ -55,7 +59,7 @@
         if self.settings.retry_budget.is_none() && share >= 1.0 {
             return true;
         }
-        let budget = self.budget_in_force();
+        let budget = self.effective_retry_budget();
         let counts = self.count_retry_window(budget);
         let allowed = budget.min_retries + budget.retry_share * counts.arrivals as f64;
         counts.retries as f64 + 1.0 <= share * allowed
@@ -68,12 +72,12 @@
             return false;
         }
         let second_copy_allowed = self.settings.hedging || !part.has_attempt_in_flight();
-        second_copy_allowed && self.repeat_is_harmless(part, class, self.turn_margin())
+        second_copy_allowed && self.is_safe_to_repeat(part, class, self.turn_margin())
     }
 
     /// Whether it does no harm to repeat a part so many seconds later. A key holds from the first
     /// attempt that may have run.
-    pub(super) fn repeat_is_harmless(&self, part: &Part, class: ClassId, later: f64) -> bool {
+    pub(super) fn is_safe_to_repeat(&self, part: &Part, class: ClassId, delay: f64) -> bool {
         let first_that_may_have_run = part
             .attempts
             .iter()
@@ -83,7 +87,7 @@
         match self.class(class).idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed(window) => {
-                self.now + later - first_that_may_have_run < seconds(window)
+                self.now + delay - first_that_may_have_run < seconds(window)
             }
             Idempotency::NotIdempotent => first_that_may_have_run == f64::MAX,
         }
--- a/crates/coordinator/src/decision/router.rs
+++ b/crates/coordinator/src/decision/router.rs
@@ -1,15 +1,15 @@
 //! The router: its state, and the way from an event to the module that handles it.
 
 use super::admission::AdmissionControl;
-use super::arrival::UsualWait;
-use super::crash_suspects::Crashes;
-use super::idle_connections::UnusedConnections;
+use super::arrival::FirstAttemptTimeout;
+use super::crash_suspects::LastCrashTimes;
+use super::idle_connections::IdleConnectionLosses;
 use super::latency::LatencyStatistics;
 use super::load::FleetLoad;
 use super::retry_budget::RetryWindow;
 use super::server::Server;
 use super::server_list::ListSubscription;
-use super::stall_detection::Standstills;
+use super::stall_detection::RouterPauses;
 use super::statistics::DecayingRate;
 use super::work::{Attempt, Part, Query};
 use crate::interface::{
@@ -46,17 +46,17 @@
     pub(super) orphaned_attempts: BTreeMap<(RequestId, u32), Attempt>,
     pub(super) latencies: LatencyStatistics,
     /// By class.
-    pub(super) usual_waits: Vec<UsualWait>,
+    pub(super) first_attempt_timeouts: Vec<FirstAttemptTimeout>,
     /// Queries by tenant.
     pub(super) tenant_rates: Vec<DecayingRate>,
     pub(super) retry_window: RetryWindow,
     pub(super) send_rate: DecayingRate,
-    pub(super) unused_connections: UnusedConnections,
+    pub(super) idle_connection_losses: IdleConnectionLosses,
     pub(super) fleet_load: FleetLoad,
     pub(super) admission: AdmissionControl,
     pub(super) subscription: ListSubscription,
-    pub(super) crashes: Crashes,
-    pub(super) standstills: Standstills,
+    pub(super) last_crashes: LastCrashTimes,
+    pub(super) pauses: RouterPauses,
     /// When the wake-up that was asked for last is due.
     pub(super) next_wake_at: f64,
 }
@@ -85,16 +85,16 @@
             parts: BTreeMap::new(),
             orphaned_attempts: BTreeMap::new(),
             latencies: LatencyStatistics::new(classes),
-            usual_waits: vec![UsualWait::default(); classes],
+            first_attempt_timeouts: vec![FirstAttemptTimeout::default(); classes],
             tenant_rates: vec![DecayingRate::default(); settings.tenants.len()],
             retry_window: RetryWindow::default(),
             send_rate: DecayingRate::default(),
-            unused_connections: UnusedConnections::default(),
+            idle_connection_losses: IdleConnectionLosses::default(),
             fleet_load: FleetLoad::default(),
             admission: AdmissionControl::default(),
             subscription: ListSubscription::default(),
-            crashes: Crashes::default(),
-            standstills: Standstills::default(),
+            last_crashes: LastCrashTimes::default(),
+            pauses: RouterPauses::default(),
             next_wake_at: 0.0,
             settings,
         }
@@ -105,7 +105,7 @@
     /// [`Event::TurnEnded`].
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = seconds(now);
-        self.detect_standstill();
+        self.detect_pause();
         match event {
             Event::ServerList { kind, entries } => self.update_server_list(kind, &entries),
             Event::Query { .. } => self.add_query(event),
@@ -127,7 +127,7 @@
                 server,
                 in_flight,
                 age,
-            } => self.learn_peer_load(server, in_flight, seconds(age)),
+            } => self.record_peer_load(server, in_flight, seconds(age)),
             Event::Wake => {}
             Event::TurnEnded => self.decide(actions),
         }
@@ -176,7 +176,7 @@
         if !self.queries[&id].admitted && !self.admit(id, actions) {
             return;
         }
-        if self.answer_if_due(id, actions) || self.give_up_if_hopeless(id, actions) {
+        if self.answer_if_due(id, actions) || self.give_up_if_unanswerable(id, actions) {
             return;
         }
         self.send_parts(id, actions);
@@ -192,7 +192,7 @@
         if due || self.next_wake_at > self.now + interval {
             self.next_wake_at = self.now + interval;
             actions.push(Action::Wake {
-                after: action_time(interval),
+                after: action_duration(interval),
             });
         }
     }
@@ -224,6 +224,6 @@
 }
 
 /// Seconds as a time for an action: never negative, within what timers take.
-pub(super) fn action_time(seconds: f64) -> Duration {
+pub(super) fn action_duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_ACTION_TIME_S))
 }
--- a/crates/coordinator/src/decision/selection.rs
+++ b/crates/coordinator/src/decision/selection.rs
@@ -11,7 +11,7 @@
 /// to queueing.
 const CROSS_ZONE_PENALTY: f64 = 2.0;
 /// Scores that differ by less are equal.
-const SCORE_ROUNDING: f64 = 1e-9;
+const SCORE_TOLERANCE: f64 = 1e-9;
 
 /// A server that holds the part's shard and may get it.
 struct Candidate {
@@ -45,30 +45,30 @@
         if let Some(due_for_probe) = self.probe_candidate(part, class, &candidates) {
             return Some(due_for_probe);
         }
-        self.count_draining_if_crowded(&mut candidates);
-        let best = candidates
+        self.promote_draining_if_crowded(&mut candidates);
+        let best_rank = candidates
             .iter()
             .map(|c| (c.eligibility, c.attempted))
             .min()?;
         // If a healthy one is merely at its limit, waiting for it is better than panic mode.
         let healthy_exists = || self.usable_servers(part.shard).any(|s| !s.is_ejected());
-        if best.0 == Eligibility::Panic && healthy_exists() {
+        if best_rank.0 == Eligibility::Panic && healthy_exists() {
             return None;
         }
-        candidates.retain(|c| (c.eligibility, c.attempted) == best);
+        candidates.retain(|c| (c.eligibility, c.attempted) == best_rank);
         let scoring = Scoring {
             call_overhead: seconds(self.settings.call_overhead) / self.part_work(class),
             max_parts_per_call: self.max_parts_per_call(class) as f64,
             piggybacked_shards,
         };
         let mut servers: Vec<ServerId> = candidates.iter().map(|c| c.server).collect();
-        let queued = self.best_in_idle_queue(&servers, &scoring);
-        if queued.is_some() {
-            return queued;
+        let idle_server = self.best_in_idle_queue(&servers, &scoring);
+        if idle_server.is_some() {
+            return idle_server;
         }
         if kind == AttemptKind::Hedge {
-            let light = self.fleet_load.mean.max(MIN_MEAN_LOAD);
-            servers.retain(|id| self.estimated_load(&self.servers[id]) <= light);
+            let light_load = self.fleet_load.mean.max(MIN_MEAN_LOAD);
+            servers.retain(|id| self.estimated_load(&self.servers[id]) <= light_load);
         }
         self.random_light_server(servers, &scoring)
     }
@@ -116,7 +116,7 @@
 
     /// Draining servers count as healthy, while their grace lasts, once all healthy ones are
     /// crowded.
-    fn count_draining_if_crowded(&self, candidates: &mut [Candidate]) {
+    fn promote_draining_if_crowded(&self, candidates: &mut [Candidate]) {
         let all_crowded = candidates
             .iter()
             .filter(|c| c.eligibility == Eligibility::Healthy)
@@ -171,7 +171,7 @@
         }
         let sum: f64 = servers.iter().map(|id| self.score(*id, scoring)).sum();
         let mean = sum / servers.len() as f64;
-        servers.retain(|id| self.score(*id, scoring) <= mean + SCORE_ROUNDING);
+        servers.retain(|id| self.score(*id, scoring) <= mean + SCORE_TOLERANCE);
         let index = self.random_index(servers.len());
         Some(servers[index])
     }
--- a/crates/coordinator/src/decision/server.rs
+++ b/crates/coordinator/src/decision/server.rs
@@ -2,7 +2,7 @@
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::idle_queue::IdleQueueEntries;
-use super::load::{InFlight, LatencyRatio, OtherLoad};
+use super::load::{ExternalLoad, InFlight, LatencyRatio};
 use super::outlier_ejection::{Ejection, Health};
 use super::slow_start::WarmUp;
 use crate::interface::{ServerEntry, ServerState, ZoneId};
@@ -17,10 +17,10 @@
     /// When the list told that it drains or is gone.
     pub(super) left_service_at: f64,
     /// When it last answered an attempt, be it with an error.
-    pub(super) last_heard_at: f64,
+    pub(super) last_answered_at: f64,
     pub(super) last_sent_at: f64,
     pub(super) in_flight: InFlight,
-    pub(super) other_load: OtherLoad,
+    pub(super) external_load: ExternalLoad,
     pub(super) idle_queue: IdleQueueEntries,
     pub(super) latency_ratio: LatencyRatio,
     pub(super) health: Health,
@@ -38,10 +38,10 @@
             state: ServerState::Gone,
             started_at: None,
             left_service_at: f64::MIN,
-            last_heard_at: now,
+            last_answered_at: now,
             last_sent_at: f64::MIN,
             in_flight: InFlight::new(now),
-            other_load: OtherLoad::default(),
+            external_load: ExternalLoad::default(),
             idle_queue: IdleQueueEntries::new(now),
             latency_ratio: LatencyRatio::new(now),
             health: Health::new(classes),
--- a/crates/coordinator/src/decision/server_list.rs
+++ b/crates/coordinator/src/decision/server_list.rs
@@ -40,9 +40,9 @@
         if kind != ListKind::Changes {
             self.mark_missing_as_gone(entries);
         }
-        let new_ones_just_started = self.subscription.received_list && kind != ListKind::Cached;
+        let new_servers_just_started = self.subscription.received_list && kind != ListKind::Cached;
         for entry in entries {
-            self.apply_entry(entry, new_ones_just_started);
+            self.apply_entry(entry, new_servers_just_started);
         }
         self.subscription.received_list = true;
         self.forget_gone_servers();
@@ -50,7 +50,7 @@
     }
 
     fn subscription_failed(&mut self) {
-        let longest = self
+        let max_wait = self
             .settings
             .subscribe_within
             .map_or(DEFAULT_RETRY_PERIOD_S, |within| seconds(within) / 4.0);
@@ -60,13 +60,13 @@
         subscription.requested_at = None;
         subscription.failures = (subscription.failures + 1).min(MAX_COUNTED_FAILURES);
         let wait =
-            (INITIAL_RETRY_WAIT_S * f64::from(subscription.failures).exp2()).min(longest / 2.0);
+            (INITIAL_RETRY_WAIT_S * f64::from(subscription.failures).exp2()).min(max_wait / 2.0);
         subscription.next_request_at = self.now + wait * jitter;
     }
 
     /// Applies one entry. A slow start counts from the start that the entry tells, or from now for
     /// a server that is new or back, unless `new_ones_just_started` is false.
-    fn apply_entry(&mut self, entry: &ServerEntry, new_ones_just_started: bool) {
+    fn apply_entry(&mut self, entry: &ServerEntry, new_servers_just_started: bool) {
         let (now, classes) = (self.now, self.settings.classes.len());
         let started_at = entry.started_at.map(seconds);
         let server = self
@@ -74,15 +74,15 @@
             .entry(entry.server)
             .or_insert_with(|| Server::new(entry, now, classes));
         let ready = entry.state == ServerState::Ready;
-        let joined = server.state == ServerState::Gone && ready;
-        let told_of_start =
+        let came_into_service = server.state == ServerState::Gone && ready;
+        let newer_start_listed =
             started_at.is_some_and(|at| server.started_at.is_none_or(|old| at > old));
-        let restarted = told_of_start || (joined && new_ones_just_started);
+        let restarted = newer_start_listed || (came_into_service && new_servers_just_started);
         if restarted {
             reset_after_start(server, started_at, now);
         }
         if server.is_ready() && entry.state == ServerState::Gone {
-            self.crashes.last_listed_at = now;
+            self.last_crashes.removed_from_list_at = now;
         }
         if server.is_ready() && !ready {
             server.left_service_at = now;
@@ -93,7 +93,7 @@
             server.idle_queue.count = 0;
         }
         if restarted {
-            self.spread_first_slot(entry.server);
+            self.randomize_first_slot(entry.server);
         }
     }
 
--- a/crates/coordinator/src/decision/slow_start.rs
+++ b/crates/coordinator/src/decision/slow_start.rs
@@ -14,19 +14,19 @@
 /// Multiple of its capacity at which a server fails, if the settings don't say.
 const DEFAULT_OVERLOAD_FACTOR: f64 = 2.0;
 /// Among many routers some slots go unused: each may send this multiple of its share.
-const UNUSED_SLOTS_FACTOR: f64 = 1.5;
+const MANY_ROUTERS_RATE_FACTOR: f64 = 1.5;
 /// Among few routers, the largest multiple of its share that a router may send.
-const MAX_RATE_FACTOR: f64 = 1.5;
+const FEW_ROUTERS_MAX_RATE_FACTOR: f64 = 1.5;
 /// Processors of a server that routers together may keep busy: bounds what they send in a crisis.
-const BUSY_PROCESSORS: f64 = 2.0;
+const MAX_BUSY_PROCESSORS: f64 = 2.0;
 /// Parts a second to a warming server beyond its share, at most.
-const MAX_EXTRA_RATE: f64 = 1.0;
+const MAX_ONE_PROCESSOR_RATE: f64 = 1.0;
 /// Part time that is assumed before any is measured.
 const ASSUMED_PART_TIME_S: f64 = 0.1;
 /// Least work of all routers together that rates are derived from.
-const MIN_FLEET_WORK_S: f64 = 0.01;
+const MIN_FLEET_PART_TIME_S: f64 = 0.01;
 /// Least rate to a warming server, in parts a second.
-const MIN_RATE: f64 = 1e-3;
+const MIN_SLOT_RATE: f64 = 1e-3;
 
 /// The slow start of a server.
 pub(super) struct WarmUp {
@@ -78,35 +78,37 @@
             .slow_start
             .map_or(DEFAULT_OVERLOAD_FACTOR, |s| s.overload_factor)
             / 2.0;
-        let quick_time = self.latencies.all.quantile(0.2, MIN_SAMPLES);
-        let one_processor = overload_factor / self.fleet_work(quick_time);
-        let usual = self.send_rate.per_second(self.now, RATE_TIME_CONSTANT_S) / ready.max(1) as f64;
+        let fast_part_time = self.latencies.all.quantile(0.2, MIN_SAMPLES);
+        let one_processor_rate = overload_factor / self.fleet_part_time(fast_part_time);
+        let usual_rate =
+            self.send_rate.per_second(self.now, RATE_TIME_CONSTANT_S) / ready.max(1) as f64;
         let rate = if self.has_many_routers() {
-            let processors = BUSY_PROCESSORS / self.fleet_work(self.latencies.min_median);
-            (UNUSED_SLOTS_FACTOR * usual).min(processors)
+            let max_rate = MAX_BUSY_PROCESSORS / self.fleet_part_time(self.latencies.min_median);
+            (MANY_ROUTERS_RATE_FACTOR * usual_rate).min(max_rate)
         } else {
-            usual * overload_factor.clamp(1.0, MAX_RATE_FACTOR)
+            usual_rate * overload_factor.clamp(1.0, FEW_ROUTERS_MAX_RATE_FACTOR)
         };
-        let rate = self.capacity_share(server) * rate.max(one_processor.min(MAX_EXTRA_RATE));
-        1.0 / rate.max(MIN_RATE)
+        let rate =
+            self.capacity_share(server) * rate.max(one_processor_rate.min(MAX_ONE_PROCESSOR_RATE));
+        1.0 / rate.max(MIN_SLOT_RATE)
     }
 
     /// Time of one part from each router.
-    fn fleet_work(&self, part_time: Option<f64>) -> f64 {
+    fn fleet_part_time(&self, part_time: Option<f64>) -> f64 {
         let work = part_time.unwrap_or(ASSUMED_PART_TIME_S) * f64::from(self.settings.routers);
-        work.max(MIN_FLEET_WORK_S)
+        work.max(MIN_FLEET_PART_TIME_S)
     }
 
     /// Begins the slow start of a server. All routers learn of a start at about the same time, so
     /// the first slot falls at random within the interval.
-    pub(super) fn spread_first_slot(&mut self, server: ServerId) {
+    pub(super) fn randomize_first_slot(&mut self, server_id: ServerId) {
         let fraction = self.random_fraction();
-        let Some(known) = self.servers.get(&server) else {
+        let Some(server) = self.servers.get(&server_id) else {
             return;
         };
-        let first = self.now - fraction * self.slot_interval(known);
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.warm_up.last_slot_at = first;
+        let first_slot_at = self.now - fraction * self.slot_interval(server);
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            server.warm_up.last_slot_at = first_slot_at;
         }
     }
 }
--- a/crates/coordinator/src/decision/stall_detection.rs
+++ b/crates/coordinator/src/decision/stall_detection.rs
@@ -15,102 +15,106 @@
 const MAX_MIN_STALL_S: f64 = 0.5;
 /// This router stood still if an event comes so long after a wake-up was due. A quota of processor
 /// time pauses a process for most of a tenth of a second, again and again.
-const STANDSTILL_S: f64 = 0.05;
+const MIN_PAUSE_S: f64 = 0.05;
 /// What waited out a standstill is read within this time after it.
-const STANDSTILL_AFTERMATH_S: f64 = 0.02;
+const PAUSE_CATCH_UP_S: f64 = 0.02;
 /// Standstills that ended earlier are forgotten: nothing waits for that long.
-const STANDSTILL_MEMORY_S: f64 = 10.0;
+const PAUSE_RETENTION_S: f64 = 10.0;
 
 /// A time in which this router did not run, as its process or machine was paused.
-struct Standstill {
-    from: f64,
-    until: f64,
+struct RouterPause {
+    began_at: f64,
+    ended_at: f64,
 }
 
 /// The standstills of late.
 #[derive(Default)]
-pub(super) struct Standstills {
+pub(super) struct RouterPauses {
     /// Oldest first.
-    recent: VecDeque<Standstill>,
+    recent_pauses: VecDeque<RouterPause>,
 }
 
-impl Standstills {
-    fn record(&mut self, from: f64, until: f64) {
-        self.recent.push_back(Standstill { from, until });
-        let is_old = |s: &Standstill| s.until < until - STANDSTILL_MEMORY_S;
-        while self.recent.front().is_some_and(is_old) {
-            self.recent.pop_front();
+impl RouterPauses {
+    fn record(&mut self, began_at: f64, ended_at: f64) {
+        self.recent_pauses
+            .push_back(RouterPause { began_at, ended_at });
+        let has_expired = |pause: &RouterPause| pause.ended_at < ended_at - PAUSE_RETENTION_S;
+        while self.recent_pauses.front().is_some_and(has_expired) {
+            self.recent_pauses.pop_front();
         }
     }
 
     fn ended_at(&self) -> Option<f64> {
-        self.recent.back().map(|s| s.until)
+        self.recent_pauses.back().map(|pause| pause.ended_at)
     }
 
     /// When the latest standstill began, if what waited it out is still being read.
-    pub(super) fn just_over(&self, now: f64) -> Option<f64> {
-        let latest = self.recent.back()?;
-        (now - latest.until <= STANDSTILL_AFTERMATH_S).then_some(latest.from)
+    pub(super) fn began_at_if_catching_up(&self, now: f64) -> Option<f64> {
+        let latest = self.recent_pauses.back()?;
+        (now - latest.ended_at <= PAUSE_CATCH_UP_S).then_some(latest.began_at)
     }
 
     /// When the latest standstill began, if it ended just now.
-    pub(super) fn ended_now(&self, now: f64) -> Option<f64> {
-        let latest = self.recent.back().filter(|s| s.until == now)?;
-        Some(latest.from)
+    pub(super) fn began_at_if_ended_now(&self, now: f64) -> Option<f64> {
+        let latest = self
+            .recent_pauses
+            .back()
+            .filter(|pause| pause.ended_at == now)?;
+        Some(latest.began_at)
     }
 
     /// How much of the time since `since` was spent in standstills, in seconds.
-    pub(super) fn time_since(&self, since: f64) -> f64 {
-        let overlap = |s: &Standstill| (s.until - s.from.max(since)).max(0.0);
-        self.recent.iter().map(overlap).sum()
+    pub(super) fn paused_time_since(&self, since: f64) -> f64 {
+        let overlap = |pause: &RouterPause| (pause.ended_at - pause.began_at.max(since)).max(0.0);
+        self.recent_pauses.iter().map(overlap).sum()
     }
 }
 
 impl Router {
     /// Notices that this router stood still until now.
-    pub(super) fn detect_standstill(&mut self) {
-        let is_known = self.standstills.ended_at() >= Some(self.next_wake_at);
-        if self.now > self.next_wake_at + STANDSTILL_S && !is_known {
-            self.standstills.record(self.next_wake_at, self.now);
+    pub(super) fn detect_pause(&mut self) {
+        let is_recorded = self.pauses.ended_at() >= Some(self.next_wake_at);
+        if self.now > self.next_wake_at + MIN_PAUSE_S && !is_recorded {
+            self.pauses.record(self.next_wake_at, self.now);
         }
     }
 
     /// How long a server has left a part unanswered, counted from its last answer to anything. Our
     /// own standstills don't count.
     pub(super) fn unanswered_for(&self, server: &Server, sent_at: f64) -> f64 {
-        let since = sent_at.max(server.last_heard_at);
-        self.now - since - self.standstills.time_since(since)
+        let since = sent_at.max(server.last_answered_at);
+        self.now - since - self.pauses.paused_time_since(since)
     }
 
     /// Time without any answer after which a server with parts in flight counts as stalled.
     pub(super) fn stall_timeout(&self) -> f64 {
         let classes = self.settings.classes.len();
-        let slowest = (0..classes)
+        let slowest_part_time = (0..classes)
             .map(|class| self.latency_quantile(ClassId(class as u32), 0.9))
             .fold(0.0, f64::max);
-        let least = MIN_STALL_TARGET_SHARE * self.shortest_latency_target();
-        (STALL_LATENCY_FACTOR * slowest).max(least.min(MAX_MIN_STALL_S))
+        let min_stall = MIN_STALL_TARGET_SHARE * self.shortest_latency_target();
+        (STALL_LATENCY_FACTOR * slowest_part_time).max(min_stall.min(MAX_MIN_STALL_S))
     }
 
     /// Ejects the servers that have parts in flight and answer nothing for far longer than usual.
     pub(super) fn eject_silent_servers(&mut self) {
         let timeout = self.stall_timeout();
-        let stalls = |server: &Server| {
+        let is_stalled = |server: &Server| {
             server
                 .in_flight
                 .oldest_sent_at()
                 .is_some_and(|sent_at| self.unanswered_for(server, sent_at) > timeout)
         };
-        let silent: Vec<ServerId> = self
+        let silent_servers: Vec<ServerId> = self
             .servers
             .iter()
-            .filter(|(_, s)| !s.is_ejected() && stalls(s))
+            .filter(|(_, s)| !s.is_ejected() && is_stalled(s))
             .map(|(id, _)| *id)
             .collect();
-        for id in silent {
+        for id in silent_servers {
             self.eject(id, true);
             if let Some(server) = self.servers.get_mut(&id) {
-                server.in_flight.write_off();
+                server.in_flight.clear();
             }
         }
     }
--- a/crates/coordinator/src/decision/work.rs
+++ b/crates/coordinator/src/decision/work.rs
@@ -23,7 +23,7 @@
     /// The server's load just before the send, as far as reported.
     pub(super) load_when_sent: f64,
     /// Whether its connection had been unused for long.
-    pub(super) on_unused_connection: bool,
+    pub(super) on_idle_connection: bool,
     pub(super) in_flight: bool,
     /// Whether its connection broke while it was in flight.
     pub(super) connection_broke: bool,
@@ -70,7 +70,7 @@
 }
 
 /// How far the present step of a query is.
-pub(super) struct Progress {
+pub(super) struct StepProgress {
     pub(super) answered_weight: f64,
     pub(super) total_weight: f64,
     pub(super) open_parts: usize,
@@ -78,7 +78,7 @@
 }
 
 /// An attempt that has just ended.
-pub(super) struct ClosedAttempt {
+pub(super) struct EndedAttempt {
     pub(super) attempt: Attempt,
     /// The class of its query, if that is still open.
     pub(super) query_class: Option<ClassId>,
@@ -91,8 +91,8 @@
     }
 
     /// Adds up the parts of a query's present step.
-    pub(super) fn progress(&self, query: &Query) -> Progress {
-        let mut progress = Progress {
+    pub(super) fn progress(&self, query: &Query) -> StepProgress {
+        let mut progress = StepProgress {
             answered_weight: 0.0,
             total_weight: 0.0,
             open_parts: 0,
@@ -108,16 +108,16 @@
     }
 
     /// Records the end of an attempt. `None` if it isn't known or has ended before.
-    pub(super) fn close_attempt(
+    pub(super) fn end_attempt(
         &mut self,
         part_id: RequestId,
         number: u32,
         outcome: Outcome,
         part_closed: bool,
-    ) -> Option<ClosedAttempt> {
+    ) -> Option<EndedAttempt> {
         let Some(part) = self.parts.get_mut(&part_id) else {
             let attempt = self.orphaned_attempts.remove(&(part_id, number))?;
-            return Some(ClosedAttempt {
+            return Some(EndedAttempt {
                 attempt,
                 query_class: None,
             });
@@ -132,7 +132,7 @@
         let attempt = attempt.clone();
         part.answered |= outcome == Outcome::Ok && !part.closed;
         part.closed |= part_closed;
-        Some(ClosedAttempt {
+        Some(EndedAttempt {
             attempt,
             query_class: self.queries.get(&part.query).map(|q| q.class),
         })
