--- a/crates/coordinator/src/decision/admission.rs
+++ b/crates/coordinator/src/decision/admission.rs
@@ -1,6 +1,6 @@
-//! Admission control: a query is admitted if it can be expected to end in time. Otherwise it is
-//! rejected at once (load shedding); tenants over their quota and queries of little value for their
-//! work go first.
+//! Admission control: a query is admitted if it is expected to end in time, and otherwise rejected
+//! at once (load shedding). Tenants over their quota, and queries of little value for their work,
+//! are rejected first.
 
 use super::arrival::RATE_TIME_CONSTANT_S;
 use super::router::Router;
@@ -11,53 +11,57 @@
 
 /// Weight of one admitted query in the means of value and parts (EWMA).
 const ADMITTED_MEAN_GAIN: f64 = 0.03;
-/// How the admission share moves, and its bounds, among few routers.
+/// Increase and upper bound of the admission share among few routers.
 const FEW_ROUTERS_STEP: AdmissionShareStep = AdmissionShareStep {
     increase: 0.02,
     max: 1.0,
 };
-/// The same among many routers: what they do adds up, and each learns of it late.
+/// The same among many routers, where the effects of all decisions add up and each router learns of
+/// them late.
 const MANY_ROUTERS_STEP: AdmissionShareStep = AdmissionShareStep {
     increase: 0.01,
     max: 0.85,
 };
-/// What the share loses with an admitted query that doesn't end in time.
+/// Decrease of the share for each admitted query that does not end in time.
 const ADMISSION_SHARE_DECREASE: f64 = 0.05;
+/// Lower bound of the admission share.
 const MIN_ADMISSION_SHARE: f64 = 0.4;
-/// The share before anything is learned: a router that starts into an overload must not add to it.
+/// The share of a router without experience. It is low, as a router that starts during an overload
+/// must not add to it.
 const INITIAL_ADMISSION_SHARE: f64 = 0.6;
-/// Bounds of what a query's value for its work makes of the share. Forecasts err by so much.
+/// Bounds of the factor that a query's value for its work applies to the share. Forecasts have
+/// errors of this size.
 const MIN_VALUE_FACTOR: f64 = 0.7;
 const MAX_VALUE_FACTOR: f64 = 1.3;
-/// What a tenant over its quota gets of the share.
+/// Factor applied to the share for a tenant over its quota.
 const OVER_QUOTA_FACTOR: f64 = 0.6;
-/// A tenant is over its quota at this multiple of this router's even part of it ...
+/// A tenant is over its quota above this multiple of the quota's even split among the routers, ...
 const EVEN_QUOTA_FACTOR: f64 = 1.2;
-/// ... and this multiple of its share of the traffic.
+/// ... provided that it is also above this multiple of its share of the traffic.
 const TRAFFIC_SHARE_FACTOR: f64 = 1.3;
-/// Least number of parts that the value of one is worked out from.
+/// Lower bound of the number of parts that the value per part is computed with.
 const MIN_PART_SUM: f64 = 1e-6;
 
-/// How the admission share moves.
+/// How fast the admission share grows, and how far.
 struct AdmissionShareStep {
-    /// What it gains with an admitted query that ends in time.
+    /// Increase for each admitted query that ends in time.
     increase: f64,
     max: f64,
 }
 
-/// What is learned from admitted queries.
+/// Statistics of admitted queries.
 #[derive(Default)]
 pub(super) struct AdmissionControl {
     /// Decaying sums over admitted queries.
     value_sum: f64,
     part_sum: f64,
-    /// Share of its useful time that an admitted query may be expected to take; `None` before
-    /// anything is learned.
+    /// Share of its useful time that an admitted query may be expected to take; `None` until an
+    /// admitted query has ended.
     share: Option<f64>,
 }
 
 impl AdmissionControl {
-    /// Mean value of one part of an admitted query.
+    /// Returns the mean value of one part of an admitted query.
     pub(super) fn value_per_part(&self) -> f64 {
         self.value_sum / self.part_sum.max(MIN_PART_SUM)
     }
@@ -95,8 +99,8 @@
         let share = self.admission_share(query, value, parts);
         let time_left = self.useful_time_left(query, class);
         let still_useful = time_left < 0.0 && self.useful_until(query) > self.now;
-        // With nothing of its own in flight a router can't know of a queue that is gone by now: it
-        // has to ask.
+        // Without an admitted query of its own a router can't tell whether a queue that it saw is
+        // gone by now; it has to send something to find out.
         let has_no_load_information = !self.queries.values().any(|q| q.admitted)
             && time_left > self.latency_quantile(query.class, 0.5);
         if !server_available
@@ -122,8 +126,8 @@
         true
     }
 
-    /// Expected time of the slowest part that a query needs; `f64::MAX` if no server can be counted
-    /// on for one.
+    /// Returns the expected time of the slowest part that a query needs, in seconds, or `f64::MAX`
+    /// if no server can be used for one.
     fn slowest_needed_part(&self, query: &Query, class: &QueryClass) -> f64 {
         let mut expected_times: Vec<f64> = self
             .parts_of(query)
@@ -135,8 +139,8 @@
         expected_times.get(last_needed).copied().unwrap_or(f64::MAX)
     }
 
-    /// Expected time of a part at the best server for it, with what waits here for its shard ahead
-    /// of it.
+    /// Returns the expected time of a part at the best server for it, in seconds. It includes the
+    /// parts that already wait here for the same shard.
     fn forecast_part(&self, query: &Query, part: &Part) -> f64 {
         let waiting_ahead = self.waiting_parts(part.shard);
         let time = |server: &Server| {
@@ -148,8 +152,7 @@
             .fold(f64::MAX, f64::min)
     }
 
-    /// Parts of admitted queries that wait here for a server of this shard, for each of these
-    /// servers.
+    /// Returns how many parts of admitted queries wait here for each server of a shard.
     fn waiting_parts(&self, shard: u32) -> f64 {
         let cells = self.settings.shard_layout.cells.max(1);
         let waits = |part: &&Part| {
@@ -165,8 +168,8 @@
         self.parts.values().filter(waits).count() as f64 / healthy.max(1) as f64
     }
 
-    /// Share of its useful time that a query may be expected to take. Among few routers the value
-    /// for the work decides in congestion.
+    /// Returns the share of its useful time that a query may be expected to take. During
+    /// congestion, and among few routers, it depends on the query's value for its work.
     fn admission_share(&self, query: &Query, value: f64, parts: f64) -> f64 {
         let congested = self.is_congested();
         let mean_value = self.admission.value_per_part();
@@ -186,7 +189,8 @@
         self.admission.share() * factor * quota_factor
     }
 
-    /// Time until the latency target ends. Among few routers, what a late answer earns adds time.
+    /// Returns the time left until the latency target, in seconds. Among few routers it is extended
+    /// by the value of late answers.
     fn useful_time_left(&self, query: &Query, class: &QueryClass) -> f64 {
         let time_after_target = if self.has_many_routers() {
             0.0
@@ -196,8 +200,9 @@
         query.target_at.min(query.deadline_at) + class.late_value * time_after_target - self.now
     }
 
-    /// Learns from the end of an admitted query. Forecasts err by fleet and hour: where admitted
-    /// queries miss their target, fewer are admitted.
+    /// Adapts the admission share to the end of an admitted query. The error of forecasts depends
+    /// on the fleet and the time of day, so fewer queries are admitted where admitted ones miss
+    /// their target.
     pub(super) fn update_admission_share(&mut self, in_time: bool) {
         let step = if self.has_many_routers() {
             MANY_ROUTERS_STEP
@@ -213,8 +218,8 @@
         self.admission.share = Some(share);
     }
 
-    /// Whether a query's tenant is over its quota: it sends all of its quota here, or more than an
-    /// even part of it and more than its share of the traffic here.
+    /// Whether a query's tenant is over its quota: it sends its whole quota through this router, or
+    /// more than an even part of the quota and more than its share of the traffic here.
     fn is_over_quota(&self, query: &Query) -> bool {
         let Some(index) = query.tenant.map(|t| t.0 as usize) else {
             return false;
--- a/crates/coordinator/src/decision/arrival.rs
+++ b/crates/coordinator/src/decision/arrival.rs
@@ -1,18 +1,20 @@
-//! Arrival of queries and parts, and until when an answer to a query earns its full value.
+//! Arrival of queries and parts, and the time until which an answer to a query earns its full
+//! value.
 
 use super::router::{seconds, Router};
 use super::work::{Part, Query};
 use crate::interface::{ClassId, Event, RequestId};
 
-/// Two waits are taken for equal if they differ by less than this share of the client's time-out.
+/// Two timeouts count as equal if they differ by less than this share of the client's total
+/// timeout.
 const TIMEOUT_TOLERANCE_SHARE: f64 = 0.015;
-/// Largest number of votes that the usual wait can gather: so many different waits in a row replace
-/// it.
+/// Largest number of votes for the typical timeout, and so the number of different timeouts in a
+/// row after which it is replaced.
 const MAX_TIMEOUT_VOTES: u32 = 20;
 /// Time constant of the rates of queries and sends.
 pub(super) const RATE_TIME_CONSTANT_S: f64 = 3.0;
 
-/// How long a client's first attempt usually waits, found by majority vote (Boyer and Moore).
+/// The typical timeout of the first attempts of clients, found by majority vote (Boyer-Moore).
 #[derive(Clone, Copy, Default)]
 pub(super) struct FirstAttemptTimeout {
     timeout: f64,
@@ -32,7 +34,7 @@
 }
 
 impl Router {
-    /// Adds a query that arrived. Its parts follow in events of their own.
+    /// Adds a query that arrived. Its parts follow in separate events.
     pub(super) fn add_query(&mut self, event: Event) {
         let Event::Query {
             id,
@@ -68,7 +70,7 @@
         self.queries.insert(id, query);
     }
 
-    /// Adds a part to an open query. A part of an unknown query is ignored.
+    /// Adds a part to an open query. Parts of unknown queries are ignored.
     pub(super) fn add_part(&mut self, id: RequestId, query: RequestId, shard: u32, weight: f64) {
         self.retry_window.arrivals.add(self.now);
         let Some(open) = self.queries.get_mut(&query) else {
@@ -86,13 +88,14 @@
         self.parts.insert(id, part);
     }
 
-    /// Until when an answer earns the full value.
+    /// Returns until when an answer earns its full value, in seconds since the origin.
     ///
-    /// The target counts from the client's first attempt. First attempts of a class all wait
-    /// equally long. The client's last retry waits for what is left of its time-out, so the start
-    /// can be worked out from the deadline. A client that waits for less than the target is served
-    /// within that wait. If clients mark retries, the mark decides. The guess errs for a first
-    /// attempt that was held up on its way here, unless it is told when it arrived.
+    /// The latency target counts from the client's first attempt. All first attempts of a class
+    /// have the same timeout, and the last retry of a client has what is left of its total timeout.
+    /// The start of the client's first attempt can therefore be derived from the deadline. If
+    /// clients mark retries, the mark decides which case applies. A client with a timeout shorter
+    /// than the latency target is served within its timeout. The guess is wrong for a first attempt
+    /// that was delayed on its way here, unless its arrival time is known.
     fn latency_target_at(
         &mut self,
         class: ClassId,
--- a/crates/coordinator/src/decision/attempt_results.rs
+++ b/crates/coordinator/src/decision/attempt_results.rs
@@ -1,11 +1,11 @@
-//! What the end of an attempt teaches: latencies, load, and the health of its server.
+//! Evaluation of ended attempts: latencies, load, and the health of their servers.
 
 use super::load::PEER_LOAD_LIFETIME_S;
 use super::router::{seconds, Router};
 use super::work::{Attempt, EndedAttempt};
 use crate::interface::{Action, Event, LoadReport, Outcome, RequestId, ServerId};
 
-/// A reported utilization of 1 counts as so many requests.
+/// Number of requests that a reported utilization of 1 stands for.
 const REQUESTS_AT_FULL_UTILIZATION: f64 = 2.0;
 
 impl Router {
@@ -31,8 +31,8 @@
             self.cancel_other_attempts(part, actions);
         }
         let peak_in_flight = self.track_ended(attempt.server, attempt.sent_at);
-        // Neither a loss on an unused connection nor a standstill of this router says anything of
-        // the server.
+        // Neither a loss on an idle connection nor a pause of this router is evidence against the
+        // server.
         let idle_connection_at_fault =
             lost_on_idle_connection && self.idle_connections_are_dropped();
         let delayed_by_router = idle_connection_at_fault || self.sent_before_pause(attempt);
@@ -48,12 +48,13 @@
         self.update_load_from_answer(attempt.server, outcome, report, peak_in_flight);
     }
 
-    /// Whether an attempt was in flight while this router stood still, until just now.
+    /// Whether an attempt was in flight during a pause of this router that has just ended.
     fn sent_before_pause(&self, attempt: &Attempt) -> bool {
         let pause_began_at = self.pauses.began_at_if_catching_up(self.now);
         pause_began_at.is_some_and(|pause_began_at| attempt.sent_at < pause_began_at)
     }
 
+    /// Cancels the attempts at a part that are still in flight.
     fn cancel_other_attempts(&self, part: RequestId, actions: &mut Vec<Action>) {
         let attempts = self
             .parts
@@ -67,10 +68,11 @@
         }
     }
 
+    /// Records the latency of an ended attempt.
     fn record_latencies(&mut self, ended: &EndedAttempt, outcome: Outcome, latency: f64) {
         let attempt = &ended.attempt;
         self.update_latency_ratio(attempt.server, outcome, latency, attempt.load_when_sent);
-        // A part that timed out at a server which answers others took at least so long.
+        // A part that timed out at a server which answers others took at least this long.
         let server_answers = self
             .servers
             .get(&attempt.server)
@@ -81,9 +83,9 @@
         }
     }
 
-    /// Learns from an answer that waited out a standstill of this router: the part took as long as
-    /// the router ran meanwhile, or longer. That is little, but better than the guess of a router
-    /// that has no other answers yet.
+    /// Records the latency of an answer that was delayed by a pause of this router. The part took
+    /// at least the time that the router was running meanwhile. That is a low estimate, but better
+    /// than the default of a router that has no samples yet.
     fn record_latency_without_pause(
         &mut self,
         ended: &EndedAttempt,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Takes the load from a report, or infers it from the outcome.
+    /// Records the load from a report, or derives it from the outcome.
     fn update_load_from_answer(
         &mut self,
         server: ServerId,
@@ -112,7 +114,7 @@
         let reported = report.and_then(reported_requests);
         self.fleet_load.servers_report |= reported.is_some();
         if outcome == Outcome::Rejected {
-            // A server that rejects reports no load: it counts as far busier than the mean.
+            // A server that rejects reports no load; it counts as far busier than the mean.
             self.record_load(server, self.load_of_rejecting_server());
             return;
         }
@@ -128,7 +130,7 @@
     }
 }
 
-/// The requests that a server has, by the first value of its report that says it.
+/// Returns the number of requests at a server, from the first value of its report that tells it.
 fn reported_requests(report: LoadReport) -> Option<f64> {
     let by_utilization = report.utilization.map(|u| REQUESTS_AT_FULL_UTILIZATION * u);
     report.in_flight.or(report.queued).or(by_utilization)
--- a/crates/coordinator/src/decision/backoff.rs
+++ b/crates/coordinator/src/decision/backoff.rs
@@ -1,13 +1,13 @@
-//! A time that doubles with each step, up to a bound (exponential backoff).
+//! Exponential backoff with a lower and an upper bound.
 
-/// Bounds of a time that grows, in seconds.
+/// A duration that doubles with each step, with its bounds in seconds.
 pub(super) struct Backoff {
     pub(super) initial: f64,
     pub(super) max: f64,
 }
 
 impl Backoff {
-    /// The time after one of this length.
+    /// Returns the duration that follows one of `length` seconds.
     pub(super) fn next(&self, length: f64) -> f64 {
         (2.0 * length).clamp(self.initial, self.max)
     }
--- a/crates/coordinator/src/decision/completion.rs
+++ b/crates/coordinator/src/decision/completion.rs
@@ -1,11 +1,11 @@
-//! The end of an admitted query: its answer, complete or partial, or giving it up.
+//! The end of an admitted query: a complete or partial answer, a rejection or a failure.
 
 use super::partial_answers::WEIGHT_TOLERANCE;
 use super::router::{seconds, Router};
 use super::work::{Part, Query};
 use crate::interface::{Action, Cause, RequestId, ServerState};
 
-/// Time kept for the second step, as a multiple of the 90th percentile of part times.
+/// Time reserved for the second step, as a multiple of the 90th percentile of part times.
 const SECOND_STEP_LATENCY_FACTOR: f64 = 1.2;
 
 impl Router {
@@ -29,7 +29,7 @@
         false
     }
 
-    /// Share of the present step's weight that makes it complete.
+    /// Returns the share of the current step's weight that makes an answer complete.
     fn complete_share(&self, query: &Query) -> f64 {
         if query.first_step_complete.is_some() {
             1.0
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Smallest share of the present step's weight that an answer may rest on.
+    /// Returns the smallest share of the current step's weight that an answer may be based on.
     fn min_share(&self, query: &Query) -> f64 {
         let class = self.class(query.class);
         if class.min_share < class.complete_share {
@@ -60,8 +60,9 @@
         complete && !query.parts.is_empty()
     }
 
-    /// A partial answer is given at the latency target, if its share suffices and waiting would
-    /// earn less. It is given at once if nothing that is missing can still be answered.
+    /// Whether to give a partial answer. It is given at the latency target, if enough weight is
+    /// answered and waiting would earn less. It is given earlier if no missing part can still be
+    /// answered.
     fn partial_answer_is_due(&self, query: &Query) -> bool {
         let class = self.class(query.class);
         let progress = self.progress(query);
@@ -77,13 +78,13 @@
             && value > class.late_value
     }
 
-    /// Whether a part is open and a server in service holds its shard.
+    /// Whether a part is open and a ready server holds its shard.
     fn may_be_answered(&self, part: &Part) -> bool {
         part.is_open() && self.servers_of_shard(part.shard).any(|(_, s)| s.is_ready())
     }
 
-    /// Answers a query from what is there. The first of two steps is followed by parts of the
-    /// second.
+    /// Answers a query from the answered parts. After the first of two steps, the parts of the
+    /// second follow.
     fn answer(&mut self, id: RequestId, complete: bool, actions: &mut Vec<Action>) {
         actions.push(Action::Answer {
             query: id,
@@ -100,8 +101,9 @@
         }
     }
 
-    /// Ends a query that can't succeed any more: its useful time is over, too much weight is lost,
-    /// or it is suspected of crashing servers. Returns whether it was ended.
+    /// Ends a query that can't succeed any more: an answer would be too late to be useful, the
+    /// answerable parts weigh too little, or the query is suspected of crashing servers. Returns
+    /// whether it was ended.
     pub(super) fn give_up_if_unanswerable(
         &mut self,
         id: RequestId,
@@ -132,7 +134,7 @@
         true
     }
 
-    /// Whether the parts that can still be answered weigh too little for any answer.
+    /// Whether the parts that are or can still be answered weigh too little for any answer.
     fn has_lost_too_much_weight(&self, query: &Query) -> bool {
         let total = self.progress(query).total_weight;
         let lost: f64 = self
@@ -143,8 +145,8 @@
         total - lost + 2.0 * WEIGHT_TOLERANCE < self.min_share(query) * total
     }
 
-    /// Whether a part can't be answered any more: it is closed, or nothing of it is in flight and
-    /// it may not be sent again or has no server.
+    /// Whether a part can't be answered any more: it is closed, or it has no attempt in flight and
+    /// may not be sent again or has no server.
     fn is_lost(&self, part: &Part, query: &Query) -> bool {
         if part.answered {
             return false;
@@ -164,9 +166,9 @@
         has_no_server || attempts_exhausted
     }
 
-    /// Until when a query is worked on. Past its latency target it is if it still earns something;
-    /// in congestion only if that is more, for the share of its parts still missing, than a fresh
-    /// query earns for all of its own.
+    /// Returns until when an answer to a query is useful. After the latency target it is if a late
+    /// answer still earns something. During congestion it is only if finishing the query earns more
+    /// for its missing parts than a new query earns for all of its parts.
     pub(super) fn useful_until(&self, query: &Query) -> f64 {
         let late_value = self.class(query.class).late_value;
         let missing = self.parts_of(query).filter(|p| !p.answered).count() as f64;
@@ -179,7 +181,7 @@
         })
     }
 
-    /// Time that the first of two steps leaves for the second.
+    /// Returns the time that the first of two steps has to leave for the second, in seconds.
     pub(super) fn time_for_second_step(&self, query: &Query) -> f64 {
         let first_of_two =
             self.class(query.class).second_step_parts > 0 && query.first_step_complete.is_none();
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Forgets a query. Its attempts in flight are cancelled if that is allowed.
+    /// Removes a query. Its attempts in flight are cancelled if attempts can be cancelled.
     pub(super) fn drop_query(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(query) = self.queries.remove(&id) {
             self.drop_parts(query.parts, actions);
--- a/crates/coordinator/src/decision/concurrency_limit.rs
+++ b/crates/coordinator/src/decision/concurrency_limit.rs
@@ -1,5 +1,6 @@
-//! Adaptive concurrency limit of a server: cut when it rejects a part, raised with each answer
-//! (additive increase). A server that rejects our only part gets nothing for a time.
+//! Adaptive concurrency limit of a server: reduced when the server rejects a part, raised with each
+//! answer (additive increase). A server that rejects the only part in flight from this router gets
+//! nothing for a backoff time.
 
 use super::backoff::Backoff;
 use super::router::Router;
@@ -7,22 +8,22 @@
 use crate::interface::ServerId;
 use std::time::Duration;
 
-/// Time for which a server gets nothing after it rejected our only part. Each rejection doubles it.
+/// Backoff after a server rejected the only part in flight; doubled with each rejection.
 const REJECTION_BACKOFF: Backoff = Backoff {
     initial: 0.1,
     max: 2.0,
 };
-/// What each answer adds to the concurrency limit of a server.
+/// Increase of the limit with each answer, in parts.
 const LIMIT_STEP: f64 = 0.2;
 
-/// How many of our parts a server takes at once (adaptive concurrency limit).
+/// Limit on the parts of this router that a server has in flight.
 pub(super) struct ConcurrencyLimit {
-    /// Parts in flight up to which it gets more; cut when it rejects one, raised with each answer.
+    /// Number of parts in flight below which the server gets more.
     limit: f64,
-    /// Parts below the limit that must be in flight before it gets any again, after the limit was
-    /// reached.
+    /// Once the limit was reached: how many parts below the limit the number in flight must be
+    /// before the server gets parts again.
     headroom: f64,
-    /// Until when it gets nothing, as it rejected our only part.
+    /// Until when the server gets nothing, after it rejected the only part in flight.
     pub(super) backoff_until: f64,
     backoff: f64,
 }
@@ -45,14 +46,14 @@
         self.limit += LIMIT_STEP;
     }
 
-    /// Lifts the limit, as the server's process is a new one.
+    /// Removes the limit, as the server has a new process.
     pub(super) fn reset(&mut self) {
         self.limit = f64::MAX;
     }
 }
 
 impl Router {
-    /// Cuts the concurrency limit of a server to what it held when it rejected a part.
+    /// Reduces the limit of a server to the number of parts it had in flight when it rejected one.
     pub(super) fn record_rejection(&mut self, server_id: ServerId) {
         let jitter = 0.5 + self.random_fraction();
         let many_routers = self.has_many_routers();
@@ -66,8 +67,8 @@
             return;
         };
         let in_flight = server.in_flight.count();
-        // A limit of less than a call would never allow one: time limits it then. A draining server
-        // wants none.
+        // With a limit of less than a call no call would ever be sent, so the backoff limits the
+        // rate instead. A draining server gets no such minimum.
         let min_limit = if server.is_ready() {
             parts_per_call
         } else {
@@ -81,14 +82,15 @@
         }
     }
 
-    /// Whether the concurrency limit of a server allows one more part.
+    /// Whether the limit of a server allows one more part.
     pub(super) fn has_capacity(&self, server: &Server) -> bool {
         let concurrency = &server.concurrency;
         f64::from(server.in_flight.count()) + concurrency.headroom < concurrency.limit
     }
 
-    /// Notes whether a server's concurrency limit is reached. If calls have a cost, some of it must
-    /// come free before the server gets parts again, so that several can share a call.
+    /// Updates the headroom of a server, which is set while its limit is reached. If calls have
+    /// overhead, several parts must end before the server gets parts again, so that the new ones
+    /// can share a call.
     pub(super) fn update_headroom(&mut self, server_id: ServerId, in_flight_before: u32) {
         let call_headroom = if self.settings.call_overhead > Duration::ZERO {
             f64::from(self.settings.max_parts_per_call.max(1) - 1) / 2.0
--- a/crates/coordinator/src/decision/crash_suspects.rs
+++ b/crates/coordinator/src/decision/crash_suspects.rs
@@ -1,17 +1,17 @@
-//! Queries that may crash the servers they touch ("queries of death"). While servers die under
-//! parts, a query sends one part ahead, and one that is suspected of crashing servers goes to no
-//! further one.
+//! Protection against queries that crash the servers they are sent to ("queries of death"). While
+//! servers crash, a query first sends a single part as a canary, and a query suspected of crashing
+//! servers is sent to no further server.
 
 use super::outlier_ejection::CRASH_WINDOW_S;
 use super::router::Router;
 use super::work::{Attempt, Query};
 use crate::interface::ServerId;
 
-/// When servers died.
+/// When servers last crashed.
 pub(super) struct LastCrashTimes {
-    /// When one last died under a part of this router.
+    /// When a server last crashed with a part of this router in flight.
     pub(super) while_serving_part_at: Option<f64>,
-    /// When the list last told that one in service is gone.
+    /// When the list last reported a ready server as gone.
     pub(super) removed_from_list_at: f64,
 }
 
@@ -24,18 +24,18 @@
     }
 }
 
-/// What a query does first while servers die.
+/// Restriction on the sends of a query while servers crash.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum CrashPrecaution {
-    /// One part goes ahead: if it crashes its server, it takes no other with it.
+    /// Send a single part as a canary, so that the query can crash at most one server.
     SendOnePart,
-    /// That part is in flight: the others wait for its answer.
+    /// The canary is in flight; the other parts wait for its answer.
     Wait,
 }
 
 impl Router {
-    /// The precaution that a query takes. `None` if servers are well, once one of its parts was
-    /// answered, or once the part sent ahead is late: then all parts go.
+    /// Returns the restriction on a query's sends. It is `None`, and all parts may be sent, if no
+    /// server crashed recently, if one of the query's parts was answered, or if the canary is late.
     pub(super) fn crash_precaution(&self, query: &Query) -> Option<CrashPrecaution> {
         let crashed_at = self.last_crashes.while_serving_part_at?;
         let latest_crash_at = crashed_at.max(self.last_crashes.removed_from_list_at);
@@ -53,7 +53,7 @@
     }
 
     /// Whether a query is suspected of crashing servers: none of its parts was answered, and a
-    /// server died under the part that it sent ahead, or two died under its parts.
+    /// server crashed under its canary, or two servers crashed under its parts.
     pub(super) fn is_crash_suspect(&self, query: &Query) -> bool {
         let Some(attempts) = self.attempts_if_unanswered(query) else {
             return false;
@@ -73,7 +73,7 @@
         sent_only_canary || crashed.any(|server: ServerId| server != first)
     }
 
-    /// Whether the server died under an attempt.
+    /// Whether the server of an attempt crashed while the attempt was in flight.
     fn crashed_server(&self, attempt: &Attempt) -> bool {
         let died_since = self
             .servers
--- a/crates/coordinator/src/decision/dispatch.rs
+++ b/crates/coordinator/src/decision/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending the parts of an admitted query, several to a call if calls have a cost.
+//! Sending the parts of an admitted query. Several parts share a call if calls have overhead.
 
 use super::arrival::RATE_TIME_CONSTANT_S;
 use super::crash_suspects::CrashPrecaution;
@@ -7,11 +7,12 @@
 use super::work::{Attempt, AttemptKind, Query};
 use crate::interface::{Action, ClassId, Idempotency, RequestId, ServerId};
 
-/// Shortest time-out of an attempt.
+/// Shortest timeout of an attempt.
 const MIN_TIMEOUT_S: f64 = 0.001;
 
 impl Router {
-    /// Sends the parts of a query that are due: retries and hedges first, then first attempts.
+    /// Sends a part to a server. `opens_call` is false for a part that shares the call of another
+    /// one.
     pub(super) fn send_parts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let query = &self.queries[&id];
         let class = query.class;
@@ -106,7 +107,7 @@
         self.consume_idle_queue_entry(server_id, opens_call);
         if let Some(server) = self.servers.get_mut(&server_id) {
             server.last_sent_at = now;
-            // One unused slot may be made up for.
+            // One unused slot may be used later.
             server.warm_up.last_slot_at =
                 (server.warm_up.last_slot_at + slot_interval).max(now - slot_interval);
         }
@@ -144,9 +145,10 @@
         self.track_sent(server);
     }
 
-    /// An attempt lives as long as its answer can be of use, so that servers can drop what is
-    /// overdue. Where a part can't have two attempts in flight, it lives no longer than a stall:
-    /// only its end allows a retry.
+    /// Returns the timeout of an attempt, in seconds. It covers the time in which an answer is
+    /// useful, so that servers can drop overdue work. Where a part may not have two attempts in
+    /// flight it is at most the stall timeout, because a retry can only follow the end of the
+    /// attempt.
     fn attempt_timeout(&self, query: &Query) -> f64 {
         let class = self.class(query.class);
         let useful_until = query.deadline_at.min(if class.late_value > 0.0 {
--- a/crates/coordinator/src/decision/eligibility.rs
+++ b/crates/coordinator/src/decision/eligibility.rs
@@ -1,4 +1,4 @@
-//! Eligibility: whether a server may get a part now. Every send is checked here, first attempts,
+//! Eligibility: whether a server may get a part now. All sends are checked here: first attempts,
 //! retries and hedges.
 
 use super::outlier_ejection::CLASS_FAILURE_THRESHOLD;
@@ -6,25 +6,26 @@
 use super::server::Server;
 use crate::interface::{ClassId, ServerId, ServerState};
 
-/// Share of the drain grace in which a draining server may still help out.
+/// Share of the drain grace during which a draining server may still get parts.
 const DRAIN_GRACE_SHARE: f64 = 0.8;
-/// Parts that an ejected server may have in flight in panic mode.
+/// Largest number of parts that an ejected server may have in flight in panic mode.
 const MAX_PANIC_IN_FLIGHT: u32 = 2;
 
 /// Eligibility of a server for a part, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Eligibility {
     Healthy,
-    /// Ejected, and due for a single part that shows whether it is back.
+    /// Ejected, and due for a single part that shows whether it has recovered.
     Probe,
     /// Draining, within its grace.
     Draining,
-    /// Ejected, to be used only if no holder of the shard is healthy (Envoy's panic mode).
+    /// Ejected; used only if no server of the shard is healthy (Envoy's panic mode).
     Panic,
 }
 
 impl Router {
-    /// The eligibility of a server for a part of a class; `None` if it may not get one now.
+    /// Returns the eligibility of a server for a part of a class, or `None` if it may not get one
+    /// now.
     pub(super) fn eligibility(&self, server: &Server, class: ClassId) -> Option<Eligibility> {
         let draining = self.takes_parts_while_draining(server);
         let takes_parts = server.is_ready() || draining;
@@ -59,8 +60,8 @@
         server.state == ServerState::Draining && self.now - server.left_service_at < grace
     }
 
-    /// The servers in service that a part of a shard can count on: those not ejected, or else all
-    /// that accept connections.
+    /// Returns the ready servers that a part of a shard can be sent to: those not ejected, or if
+    /// all are ejected, those not known to refuse connections.
     pub(super) fn usable_servers(&self, shard: u32) -> impl Iterator<Item = &Server> + '_ {
         let ready = move || {
             self.servers_of_shard(shard)
@@ -83,7 +84,8 @@
             && server.ejection.until.is_some_and(|until| until > self.now)
     }
 
-    /// Time until a server takes a part of ours again, after it rejected one or while it warms up.
+    /// Returns the time until a server may get a part of this router again, in seconds: the backoff
+    /// after a rejection, or the slot interval of a warming server.
     pub(super) fn wait_for_slot(&self, server: &Server) -> f64 {
         let next_slot_at = if self.is_warming_up(server) {
             server.warm_up.last_slot_at + self.slot_interval(server)
@@ -93,7 +95,7 @@
         (server.concurrency.backoff_until.max(next_slot_at) - self.now).max(0.0)
     }
 
-    /// The servers listed for a shard, whatever their state.
+    /// Returns the servers listed for a shard, in any state.
     pub(super) fn servers_of_shard(
         &self,
         shard: u32,
--- a/crates/coordinator/src/decision/hedging.rs
+++ b/crates/coordinator/src/decision/hedging.rs
@@ -1,26 +1,26 @@
-//! Retries of failed parts and hedged requests for late ones.
+//! Retries of failed parts, and hedged requests for late ones.
 
 use super::router::{seconds, Router};
 use super::work::{AttemptKind, Part, Query};
 use crate::interface::{Action, ClassId, RequestId};
 
-/// Share of the budget open to hedged requests; the rest is kept for parts that failed.
+/// Share of the retry budget available to hedged requests; the rest is reserved for failed parts.
 const HEDGE_BUDGET_SHARE: f64 = 0.6;
-/// A part is hedged only once less than this share of its query's latency target is left.
+/// A part is hedged only when less than this share of its query's latency target is left.
 const URGENT_TARGET_SHARE: f64 = 0.65;
-/// In congestion only parts at servers with at least this latency ratio are hedged.
+/// During congestion, only parts at servers with at least this latency ratio are hedged.
 const OUTLIER_LATENCY_RATIO: f64 = 2.5;
-/// Answered siblings from which a late part counts as an outlier even in congestion, if at least
-/// half are answered.
+/// Number of answered parts of the same query from which a late part counts as an outlier even
+/// during congestion, provided that at least half of the parts are answered.
 const MIN_ANSWERED_SIBLINGS: usize = 16;
 
 impl Router {
-    /// Sends a part again that failed or is late, if rules and budget allow.
+    /// Sends a failed or late part again, if its class and the retry budget allow it.
     ///
-    /// It is retried when no attempt is in flight. It is hedged, to a server lighter than the mean,
-    /// once an attempt is later than nearly all others. A slow server is waited for less, an
-    /// ejected one not at all. A hedge adds work if all servers are late alike, so in congestion
-    /// only outliers are hedged.
+    /// A part without an attempt in flight is retried. A part whose attempt takes longer than
+    /// nearly all others is hedged, to a server with less than the mean load. The delay before a
+    /// hedge is shorter for a slow server and zero for an ejected one. If all servers are slow
+    /// alike, hedges only add load, so during congestion only outliers are hedged.
     pub(super) fn retry_or_hedge(
         &mut self,
         part_id: RequestId,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Which further attempt at a part is due; `None` while its attempts in flight are to be waited
-    /// for.
+    /// Returns the kind of the next attempt that is due, or `None` while the attempts in flight
+    /// have to be waited for.
     fn due_attempt(&self, part: &Part, class: ClassId) -> Option<AttemptKind> {
         let median = self.latency_quantile(class, 0.5);
         let late_after = self.latency_quantile(class, 0.9).max(2.0 * median);
@@ -72,7 +72,8 @@
         Some(kind)
     }
 
-    /// Whether enough siblings of a part are answered to tell that only it is late, not the fleet.
+    /// Whether so many other parts of the query are answered that a late part is an outlier and not
+    /// a sign of a slow fleet.
     fn is_late_among_siblings(&self, query: &Query) -> bool {
         let answered = self.parts_of(query).filter(|p| p.answered).count();
         answered >= MIN_ANSWERED_SIBLINGS.max(query.parts.len() / 2)
--- a/crates/coordinator/src/decision/idle_connections.rs
+++ b/crates/coordinator/src/decision/idle_connections.rs
@@ -1,6 +1,6 @@
-//! Connections that were unused for long may have been dropped on the way without a word (by a NAT
-//! or firewall). While many parts are lost on such connections, a new one is opened instead, at the
-//! price of a handshake.
+//! Detection of idle connections that were dropped silently, for example by a NAT or firewall.
+//! While many parts are lost on idle connections, a new connection is opened instead, at the cost
+//! of a handshake.
 
 use super::load::OVERDUE_FACTOR;
 use super::router::Router;
@@ -9,14 +9,14 @@
 use super::work::Attempt;
 use crate::interface::Outcome;
 
-/// Time without use after which a connection may have been dropped.
+/// Time without use after which a connection counts as idle and may have been dropped.
 const IDLE_AFTER_S: f64 = 1.0;
-/// Time constant over which losses on unused connections count.
+/// Time constant of the rates of lost and answered parts.
 const LOSS_TIME_CONSTANT_S: f64 = 8.0;
-/// Losses within the time constant from which connections count as dropped.
+/// Number of parts lost within the time constant above which idle connections count as dropped.
 const MIN_LOST_PARTS: f64 = 4.0;
 
-/// Parts that were sent on connections unused for long.
+/// Outcomes of parts that were sent on idle connections.
 #[derive(Default)]
 pub(super) struct IdleConnectionLosses {
     lost: DecayingRate,
@@ -24,7 +24,8 @@
 }
 
 impl Router {
-    /// Counts how an attempt on an unused connection ended. Returns whether it was lost on one.
+    /// Counts the outcome of an attempt on an idle connection. Returns whether the attempt was lost
+    /// on one.
     pub(super) fn count_idle_connection_outcome(
         &mut self,
         attempt: &Attempt,
@@ -45,8 +46,8 @@
         lost
     }
 
-    /// Whether connections are dropped while unused: of the parts sent on such ones many were lost
-    /// of late.
+    /// Whether idle connections are being dropped: many of the parts sent on them were lost
+    /// recently.
     pub(super) fn idle_connections_are_dropped(&self) -> bool {
         let losses = &self.idle_connection_losses;
         let lost = losses.lost.per_second(self.now, LOSS_TIME_CONSTANT_S);
@@ -54,8 +55,8 @@
         lost * LOSS_TIME_CONSTANT_S > MIN_LOST_PARTS && lost > answered / 2.0
     }
 
-    /// Whether the connection to a server was unused for long. A part of the same turn uses the
-    /// same call.
+    /// Whether the connection to a server is idle. Sends of the current turn don't count as use, as
+    /// they share the call.
     pub(super) fn connection_is_idle(&self, server: &Server) -> bool {
         let sent_before_this_turn = if server.last_sent_at < self.now {
             server.last_sent_at
--- a/crates/coordinator/src/decision/latency.rs
+++ b/crates/coordinator/src/decision/latency.rs
@@ -1,32 +1,32 @@
-//! Latency statistics of parts, and what follows from them: expected times, congestion, the size of
-//! a call.
+//! Latency statistics of parts and what is derived from them: expected part times, congestion, and
+//! the number of parts in a call.
 
 use super::router::{seconds, Router, DECISION_INTERVAL_S};
 use super::statistics::LatencyWindow;
 use crate::interface::ClassId;
 
-/// Latencies kept for quantiles, by class and in all.
+/// Number of latencies kept for quantiles, for each class and for all classes together.
 const MAX_SAMPLES: usize = 64;
 /// Age at which a latency is dropped.
 const SAMPLE_LIFETIME_S: f64 = 4.0;
-/// Latencies kept however old they are, and needed for a quantile.
+/// Number of latencies that are kept whatever their age, and that a quantile needs.
 pub(super) const MIN_SAMPLES: usize = 4;
-/// Latencies needed for the median that [`LatencyStatistics::min_median`] keeps.
+/// Number of latencies needed for [`LatencyStatistics::min_median`].
 const MIN_SAMPLES_FOR_MEDIAN: usize = MAX_SAMPLES / 4;
-/// Expected part time, as a share of the shortest latency target, above which the fleet counts as
-/// congested.
+/// The fleet counts as congested when the 75th percentile of part times exceeds this share of the
+/// shortest latency target.
 const CONGESTION_TARGET_SHARE: f64 = 0.3;
-/// Share of the latency target that the work of one call may take: a longer call makes a query's
-/// slowest part.
+/// Share of the latency target that the work of one call may take. A longer call would determine
+/// the latency of its query.
 const CALL_TARGET_SHARE: f64 = 0.5;
-/// Least work of a part: scores divide by it, and a clock may measure zero.
+/// Lower bound of the work of a part: scores divide by it, and a measured time may be zero.
 const MIN_PART_WORK_S: f64 = 1e-3;
 
 /// Recent latencies of parts.
 pub(super) struct LatencyStatistics {
     by_class: Vec<LatencyWindow>,
     pub(super) all: LatencyWindow,
-    /// The least that the median over all classes has been.
+    /// The lowest median over all classes so far.
     pub(super) min_median: Option<f64>,
 }
 
@@ -66,13 +66,14 @@
         self.latencies.expire(self.now - SAMPLE_LIFETIME_S);
     }
 
-    /// Time kept before a limit, so that an action at the next turn is still in time.
+    /// Returns the time kept before a limit so that an action of the next turn is still in time, in
+    /// seconds.
     pub(super) fn turn_margin(&self) -> f64 {
         2.0 * seconds(self.settings.min_turn_interval).max(DECISION_INTERVAL_S)
     }
 
-    /// A quantile of the recent part times of a class. Before there are enough, a guess from its
-    /// latency target.
+    /// Returns a quantile of the recent part times of a class, in seconds. Until there are enough
+    /// samples it is estimated from the latency target.
     pub(super) fn latency_quantile(&self, class: ClassId, q: f64) -> f64 {
         let guess = seconds(self.class(class).latency_target) * (0.1 + 0.15 * q);
         self.latencies.by_class[class.0 as usize]
@@ -80,15 +81,15 @@
             .unwrap_or(guess)
     }
 
-    /// Expected time of one more part on a server with this load: in proportion to what waits
-    /// there.
+    /// Returns the expected time of one more part at a server with this load, in seconds. It is
+    /// proportional to the load.
     pub(super) fn expected_part_time(&self, class: ClassId, load: f64) -> f64 {
-        // One or two parts hardly wait for each other, however light the mean load is.
+        // One or two parts hardly delay each other, even if the mean load is lower.
         let relative_load = (1.0 + load) / (1.0 + self.fleet_load.mean.max(1.0));
         (relative_load * self.latency_quantile(class, 0.75)).max(self.latency_quantile(class, 0.2))
     }
 
-    /// The shortest latency target of any class.
+    /// Returns the shortest latency target of all classes, in seconds.
     pub(super) fn shortest_latency_target(&self) -> f64 {
         self.settings
             .classes
@@ -97,8 +98,8 @@
             .fold(f64::MAX, f64::min)
     }
 
-    /// How long parts take, relative to what the shortest latency target bears. Above 1 the fleet
-    /// is congested.
+    /// Returns how long parts take, relative to the limit that the shortest latency target allows.
+    /// Above 1 the fleet is congested.
     pub(super) fn congestion(&self) -> f64 {
         let target = self.shortest_latency_target();
         self.latencies
@@ -107,12 +108,12 @@
             .map_or(0.0, |time| time / (CONGESTION_TARGET_SHARE * target))
     }
 
-    /// Whether parts take so long that more work is to be avoided.
+    /// Whether parts take so long that additional work has to be avoided.
     pub(super) fn is_congested(&self) -> bool {
         self.congestion() > 1.0
     }
 
-    /// Number of parts that one call may carry. Calls that cost nothing carry one part.
+    /// Returns the number of parts that one call may carry. Calls without overhead carry one part.
     pub(super) fn max_parts_per_call(&self, class: ClassId) -> usize {
         let call_overhead = seconds(self.settings.call_overhead);
         if call_overhead <= 0.0 {
@@ -129,7 +130,7 @@
         ((work / self.part_work(class)) as usize).clamp(1, limit)
     }
 
-    /// Work of one part without that of its call.
+    /// Returns the work of one part without the overhead of its call, in seconds.
     pub(super) fn part_work(&self, class: ClassId) -> f64 {
         let base = self.latency_quantile(class, 0.2);
         (base - seconds(self.settings.call_overhead))
--- a/crates/coordinator/src/decision/load.rs
+++ b/crates/coordinator/src/decision/load.rs
@@ -1,5 +1,5 @@
-//! Load estimate of a server: its own reports, what other routers publish, and how its answers
-//! compare with both.
+//! Load estimate of a server, from its own reports, the load that other routers publish, and its
+//! latencies.
 
 use super::router::Router;
 use super::server::Server;
@@ -8,26 +8,26 @@
 
 /// Weight of one report in the mean load (EWMA).
 const MEAN_LOAD_GAIN: f64 = 0.03;
-/// Time constant over which a report gives way to the mean load.
+/// Time constant over which the mean load replaces an ageing report.
 const REPORT_TIME_CONSTANT_S: f64 = 2.0;
-/// Time by which a report may trail the parts in flight that it counts.
+/// Time by which a report may lag behind the parts in flight that it counts.
 pub(super) const REPORT_LAG_S: f64 = 0.4;
-/// Age up to which the load that other routers publish goes before a server's own reports, which
-/// are older still.
+/// Age up to which the load published by other routers takes precedence over a server's own
+/// reports, which are older still.
 pub(super) const PEER_LOAD_LIFETIME_S: f64 = 0.5;
-/// Parts beyond the mean load that make a server crowded. A server that rejects counts as so many
-/// beyond twice the mean.
+/// A server is crowded if its load exceeds the mean by more than this number of parts. A server
+/// that rejects counts as having twice the mean plus this.
 const CROWDED_LOAD_MARGIN: f64 = 4.0;
-/// Weight of one part's time in a server's latency ratio (EWMA).
+/// Weight of the latency of one part in a server's latency ratio (EWMA).
 const LATENCY_RATIO_GAIN: f64 = 0.35;
 /// Time constant over which a latency ratio is forgotten.
 const LATENCY_RATIO_TIME_CONSTANT_S: f64 = 8.0;
-/// Bounds of the ratio that one part's time may give.
+/// Bounds of the ratio derived from the latency of one part.
 const LATENCY_RATIO_BOUNDS: Bounds = Bounds { min: 0.3, max: 8.0 };
-/// A part in flight shows a slow server once it takes longer than this multiple of the mean part
-/// time.
+/// A part in flight indicates a slow server once it takes longer than this multiple of the mean
+/// part time.
 pub(super) const OVERDUE_FACTOR: f64 = 2.5;
-/// Least time that a part is expected to take.
+/// Lower bound of the expected time of a part.
 const MIN_EXPECTED_PART_TIME_S: f64 = 1e-3;
 
 struct Bounds {
@@ -38,17 +38,17 @@
 /// Load of the whole fleet.
 #[derive(Default)]
 pub(super) struct FleetLoad {
-    /// Mean load of a server (EWMA over the reports).
+    /// Mean load of a server, in parts (EWMA over the reports).
     pub(super) mean: f64,
     /// Whether servers report their load at all.
     pub(super) servers_report: bool,
 }
 
-/// The parts of this router that a server has.
+/// The parts of this router that are in flight at a server.
 pub(super) struct InFlight {
     /// When they were sent, oldest first.
     sent_at: VecDeque<f64>,
-    /// Their mean number of late (EWMA over [`REPORT_LAG_S`]).
+    /// Their recent mean number (EWMA over [`REPORT_LAG_S`]).
     recent_mean: f64,
     mean_updated_at: f64,
 }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The number of parts in flight.
+    /// Returns the number of parts in flight.
     pub(super) fn count(&self) -> u32 {
         self.sent_at.len() as u32
     }
@@ -71,12 +71,12 @@
         self.sent_at.is_empty()
     }
 
-    /// When the part that is in flight longest was sent.
+    /// Returns when the oldest part in flight was sent.
     pub(super) fn oldest_sent_at(&self) -> Option<f64> {
         self.sent_at.front().copied()
     }
 
-    /// Stops counting the parts in flight: no answer of theirs is expected any more.
+    /// Stops counting the parts in flight, as they are no longer expected to be answered.
     pub(super) fn clear(&mut self) {
         self.sent_at.clear();
     }
@@ -89,12 +89,12 @@
     }
 }
 
-/// Load on a server that is not from this router.
+/// Load on a server that does not come from this router.
 pub(super) struct ExternalLoad {
-    /// Parts, by the latest report or by what other routers published.
+    /// Number of parts, from the latest report or from what other routers published.
     parts: f64,
     reported_at: f64,
-    /// When other routers last published theirs.
+    /// When the other routers published the latest load taken from them.
     pub(super) peer_load_at: f64,
 }
 
@@ -108,8 +108,8 @@
     }
 }
 
-/// The part times of a server over what its load lets expect: above 1 for one that is slower than
-/// it reports.
+/// Ratio of a server's part times to those expected for its load: above 1 if it is slower than it
+/// reports.
 pub(super) struct LatencyRatio {
     value: f64,
     updated_at: f64,
@@ -123,15 +123,16 @@
         }
     }
 
-    /// Forgets what was learned, as the server's process is a new one.
+    /// Resets the ratio, as the server has a new process.
     pub(super) fn reset(&mut self) {
         self.value = 1.0;
     }
 }
 
 impl Router {
-    /// Load of a server as far as reported: the parts in flight, and those from elsewhere by its
-    /// latest report. A report counts less and less as it ages; the mean load takes its place.
+    /// Returns the load of a server from reports: this router's parts in flight plus the external
+    /// load of the latest report. The weight of a report decays with its age in favour of the mean
+    /// load.
     pub(super) fn reported_load(&self, server: &Server) -> f64 {
         let other = &server.external_load;
         let weight = (-(self.now - other.reported_at) / REPORT_TIME_CONSTANT_S).exp();
@@ -139,9 +140,9 @@
         f64::from(server.in_flight.count()) + mean + (other.parts - mean) * weight
     }
 
-    /// How slow a server's answers were lately for the load that it reported, or how long it
-    /// already keeps us waiting: reports may be wrong or late. A few heavy parts can make a sound
-    /// server look slow.
+    /// Returns how slow a server is for the load that it reported: from its recent answers, or from
+    /// how long a part has been waiting if that is more. Reports may be wrong or late. A few heavy
+    /// parts can make a healthy server look slow.
     pub(super) fn latency_ratio(&self, server: &Server) -> f64 {
         let learned = &server.latency_ratio;
         let age = self.now - learned.updated_at;
@@ -160,23 +161,24 @@
         learned_ratio.max(current_ratio)
     }
 
-    /// Load of a server as its answers show it: the reported load times the latency ratio.
+    /// Returns the load of a server as its latencies show it: the reported load scaled by the
+    /// latency ratio.
     pub(super) fn estimated_load(&self, server: &Server) -> f64 {
         (1.0 + self.reported_load(server)) * self.latency_ratio(server) - 1.0
     }
 
-    /// Whether a server has far more load than the mean.
+    /// Whether a server has far more than the mean load.
     pub(super) fn is_crowded(&self, server: &Server) -> bool {
         self.estimated_load(server) > self.fleet_load.mean + CROWDED_LOAD_MARGIN
     }
 
-    /// The load that a server counts for which rejects parts.
+    /// Returns the load that is assumed for a server that rejects parts.
     pub(super) fn load_of_rejecting_server(&self) -> f64 {
         2.0 * self.fleet_load.mean + CROWDED_LOAD_MARGIN
     }
 
-    /// Learns from a part's time how a server compares with what its load, when the part was sent,
-    /// lets expect.
+    /// Updates the latency ratio of a server by comparing the latency of a part with the one
+    /// expected for the load when the part was sent.
     pub(super) fn update_latency_ratio(
         &mut self,
         server_id: ServerId,
@@ -196,9 +198,9 @@
             .max(mean / 2.0)
             .max(MIN_EXPECTED_PART_TIME_S);
         let ratio = (latency / expected).clamp(LATENCY_RATIO_BOUNDS.min, LATENCY_RATIO_BOUNDS.max);
-        // How long parts are waited for right now has no bound of its own.
+        // The ratio includes the current waiting time, which is not bounded by itself.
         let previous_ratio = self.latency_ratio(server).min(LATENCY_RATIO_BOUNDS.max);
-        // A part that was cut short would have taken longer: it says nothing good.
+        // A part that was cut short would have taken longer, so it can't lower the ratio.
         if mean <= 0.0 || (cut_short && ratio < previous_ratio) {
             return;
         }
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Takes the load that other routers have on a server, as they published it `age` seconds ago.
+    /// Records the load that other routers published for a server `age` seconds ago.
     pub(super) fn record_peer_load(&mut self, server_id: ServerId, in_flight: f64, age: f64) {
         self.record_load(server_id, in_flight);
         if let Some(server) = self.servers.get_mut(&server_id) {
@@ -219,8 +221,7 @@
         }
     }
 
-    /// Records the load of a server that is not from this router, and updates its entries in the
-    /// idle queue.
+    /// Records the external load of a server, and updates its entries in the idle queue.
     pub(super) fn record_load(&mut self, server_id: ServerId, external_parts: f64) {
         let (now, threshold) = (self.now, self.idle_queue_threshold());
         let Some(server) = self.servers.get_mut(&server_id) else {
@@ -246,8 +247,8 @@
         self.update_headroom(server_id, count_before);
     }
 
-    /// Counts the end of a part that was sent at this time. Returns the most parts that were in
-    /// flight of late, as a late report may still count them.
+    /// Counts the end of a part that was sent at `sent_at`. Returns the largest number of parts
+    /// that were recently in flight, as a late report may still include them.
     pub(super) fn track_ended(&mut self, server_id: ServerId, sent_at: f64) -> f64 {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&server_id) else {
--- a/crates/coordinator/src/decision/mod.rs
+++ b/crates/coordinator/src/decision/mod.rs
@@ -1,23 +1,24 @@
-//! The decision module: which server gets each part of a query, when it is sent again, and which
-//! queries are rejected, answered or failed.
+//! The decision module: selects a server for each part of a query, retries and hedges parts, and
+//! answers, rejects or fails queries.
 //!
-//! A [`Router`] is sans-I/O: it takes [events](crate::interface::Event) with the time they happened
-//! at and returns [actions](crate::interface::Action). It reads no clock and shares nothing with
-//! other instances. All its random choices follow from the seed it is given.
+//! A [`Router`] does no I/O: it takes [events](crate::interface::Event), each with the time at
+//! which it happened, and returns [actions](crate::interface::Action). It reads no clock and shares
+//! no state with other instances. All its random choices derive from the seed it is given.
 //!
-//! The ordinary path is Join-Idle-Queue (Lu et al., "Join-Idle-Queue: A novel load balancing
+//! Servers are selected by Join-Idle-Queue (Lu et al., "Join-Idle-Queue: A novel load balancing
 //! algorithm for dynamically scalable web services", 2011). A server whose load report shows that
-//! it is idle, or light by the fleet's measure, is entered in the idle queue. A part takes a queued
-//! server that holds its shard and strikes the entry off. If none is queued, the part goes to a
-//! random one. The other modules protect that path from overload and failures.
+//! it is idle, or lighter than the mean of the fleet, is entered in the idle queue. A part is sent
+//! to a server in the idle queue that holds its shard, and one entry of that server is consumed. If
+//! none is in the queue, the part is sent to a random server. The other modules protect this path
+//! from overload and failures.
 //!
 //! Units: within this module times are `f64` seconds. A name that ends in `_at`, `_until` or
-//! `_since` is a point in time, in seconds since the origin that the caller chose. A constant that
-//! ends in `_S` is a length in seconds. `f64::MIN` stands for "never yet". Loads count parts,
-//! shares are fractions from 0 to 1.
+//! `_since` is a point in time, in seconds since the caller's origin. A constant that ends in `_S`
+//! is a duration in seconds. `f64::MIN` stands for "never yet". Loads are counted in parts; shares
+//! are fractions from 0 to 1.
 //!
-//! The page `docs/design/decisions.md` lists the modules with their constants, and what counters
-//! and logs show of them.
+//! The page `docs/design/decisions.md` lists the modules with their constants and with the counters
+//! and log lines that show their effect.
 
 mod admission;
 mod arrival;
--- a/crates/coordinator/src/decision/outlier_ejection.rs
+++ b/crates/coordinator/src/decision/outlier_ejection.rs
@@ -1,8 +1,8 @@
-//! Outlier ejection: servers that fail are left out for a time that grows with each relapse (as
-//! Envoy's outlier detection does), and come back by probes and by good answers.
+//! Outlier ejection, as in Envoy's outlier detection: a failing server gets no parts for a time
+//! that grows with each relapse, and returns through probes and good answers.
 //!
-//! A server that rejects parts is not ejected: its [concurrency limit](super::concurrency_limit) is
-//! cut.
+//! A server that rejects parts is not ejected; instead its [concurrency
+//! limit](super::concurrency_limit) is reduced.
 
 use super::backoff::Backoff;
 use super::load::REPORT_LAG_S;
@@ -10,53 +10,52 @@
 use super::server::Server;
 use crate::interface::{Action, ClassId, LoadReport, Outcome, ServerId};
 
-/// Weight of one answer in the share of failures (EWMA).
+/// Weight of one answer in the failure share (EWMA).
 const FAILURE_GAIN: f64 = 0.25;
-/// Share of failures from which a server is ejected: two in a row.
+/// Failure share above which a server is ejected; two consecutive failures exceed it.
 const FAILURE_THRESHOLD: f64 = 0.4;
-/// The same for connections that break, which sound servers cause as well: four in a row.
+/// The same for broken connections, which also occur with healthy servers; four in a row exceed it.
 const RESET_THRESHOLD: f64 = 0.6;
 /// The same for the failures of one class.
 pub(super) const CLASS_FAILURE_THRESHOLD: f64 = 0.6;
-/// Failures that come within this time count once: they share a cause.
+/// Failures within this time of each other count once, as they have a common cause.
 const CORRELATED_FAILURE_WINDOW_S: f64 = 0.005;
-/// Length of an ejection. Each relapse doubles it.
+/// Duration of an ejection, doubled with each relapse.
 const EJECTION_TIME: Backoff = Backoff {
     initial: 0.5,
     max: 4.0,
 };
-/// Time constant over which relapses are forgotten.
+/// Time constant over which earlier ejections are forgotten.
 const RELAPSE_TIME_CONSTANT_S: f64 = 15.0;
-/// Among many routers ejections are longer by up to this factor, as the probes of all of them add
-/// up ...
+/// Largest factor by which ejections are longer among many routers, as the probes of all routers
+/// add up.
 const MAX_FLEET_EJECTION_FACTOR: f64 = 8.0;
-/// ... and the longest ejection by up to this.
+/// Largest factor by which the upper bound of an ejection is higher among many routers.
 const MAX_FLEET_MAX_EJECTION_FACTOR: f64 = 4.0;
-/// A connection that is refused within this time after one that broke means that the server's
-/// process died.
+/// A connection refused within this time after one that broke means that the server's process died.
 pub(super) const CRASH_WINDOW_S: f64 = 10.0;
 
-/// Failures of a server.
+/// Failure statistics of a server.
 pub(super) struct Health {
-    /// Share of its latest answers that were failures.
+    /// Share of its latest answers that were failures (EWMA).
     pub(super) failure_ewma: f64,
     last_failure_at: f64,
-    /// When a connection last broke under a part.
+    /// When a connection last broke while a part was in flight.
     last_reset_at: f64,
-    /// When a connection was refused soon after one broke: its process died.
+    /// When a connection was last refused soon after one broke, which means that its process died.
     pub(super) last_crash_at: f64,
     /// Whether it refused the latest connection.
     pub(super) connection_refused: bool,
     pub(super) by_class: Vec<ClassHealth>,
 }
 
-/// Failures of a server for one class: some servers fail that and serve the others.
+/// Failure statistics of a server for one class. Some servers fail one class and serve the others.
 #[derive(Clone, Default)]
 pub(super) struct ClassHealth {
-    /// Share of its latest answers that were failures.
+    /// Share of its latest answers that were failures (EWMA).
     pub(super) failure_ewma: f64,
     last_failure_at: f64,
-    /// Until when it gets no part of this class, once the share is above the threshold.
+    /// Until when it gets no parts of this class, once the share exceeds the threshold.
     pub(super) ejected_until: f64,
     ejection_time: f64,
 }
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Forgets the failures, as the server's process is a new one.
+    /// Discards the failures, as the server has a new process.
     pub(super) fn reset(&mut self) {
         self.connection_refused = false;
         self.failure_ewma = 0.0;
@@ -81,17 +80,17 @@
     }
 }
 
-/// Ejection of a server.
+/// Ejection state of a server.
 pub(super) struct Ejection {
-    /// Set while it is ejected: when it is due for a probe. It is cleared by as many good answers
-    /// as it had ejections lately.
+    /// When the next probe is due; `None` if the server is not ejected. Cleared by as many good
+    /// answers as the server had recent ejections.
     pub(super) until: Option<f64>,
     /// Good answers since it was ejected.
     successes_since_ejection: f64,
-    /// Ejections of late; decays over [`RELAPSE_TIME_CONSTANT_S`].
+    /// Number of recent ejections; decays over [`RELAPSE_TIME_CONSTANT_S`].
     recent_count: f64,
     last_ejected_at: f64,
-    /// Whether it was unreachable or silent rather than failing.
+    /// Whether it was unreachable or silent, as opposed to failing.
     pub(super) unreachable: bool,
     /// Whether a probe is in flight.
     probing: bool,
@@ -111,7 +110,7 @@
 }
 
 impl Ejection {
-    /// Ends the ejection, as the server's process is a new one. Earlier ejections still count.
+    /// Ends the ejection, as the server has a new process. Earlier ejections still count.
     pub(super) fn clear(&mut self) {
         self.until = None;
         self.unreachable = false;
@@ -119,8 +118,8 @@
 }
 
 impl Router {
-    /// Judges a server by how an attempt ended, whatever its reports say: one that fails quickly
-    /// looks idle.
+    /// Updates the health of a server from the outcome of an attempt. Its load reports don't matter
+    /// here: a server that fails quickly looks idle.
     pub(super) fn update_server_health(
         &mut self,
         server: ServerId,
@@ -150,8 +149,8 @@
         let ejection = &mut server.ejection;
         ejection.unreachable = false;
         ejection.successes_since_ejection += 1.0;
-        // As many good answers as ejections of late. To ask for three at the first one kept sound
-        // servers out.
+        // A server needs as many good answers as it had recent ejections. Requiring three after a
+        // first ejection kept healthy servers out.
         ejection.until = ejection
             .until
             .filter(|_| ejection.successes_since_ejection < ejection.recent_count);
@@ -195,7 +194,8 @@
         }
     }
 
-    /// Counts a failure; ejects the server once failures make too large a share of its answers.
+    /// Counts a failure, and ejects the server if failures make up too large a share of its
+    /// answers.
     fn record_failure(&mut self, server_id: ServerId, unreachable: bool) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&server_id) else {
@@ -218,7 +218,8 @@
         }
     }
 
-    /// Judges a server for one class. One that fails it gets a single part of it now and then.
+    /// Updates the health of a server for one class. A server that fails the class gets a single
+    /// part of it from time to time.
     pub(super) fn update_class_health(
         &mut self,
         server_id: ServerId,
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Puts off the next part of a class to a server that fails it.
+    /// Postpones the next part of a class to a server that fails this class.
     pub(super) fn postpone_class_probe(&mut self, server_id: ServerId, class: ClassId) {
         let now = self.now;
         if let Some(server) = self.servers.get_mut(&server_id) {
@@ -260,7 +261,8 @@
         }
     }
 
-    /// Ejects a server for a time that doubles with each relapse. Relapses are forgotten over time.
+    /// Ejects a server for a time that doubles with each relapse. Earlier ejections are forgotten
+    /// over time.
     pub(super) fn eject(&mut self, server_id: ServerId, unreachable: bool) {
         let now = self.now;
         let fleet_factor = (f64::from(self.settings.routers) / SMALL_FLEET_ROUTERS)
@@ -285,9 +287,9 @@
         ejection.until = Some(now + ejection_time.min(max_ejection_time));
     }
 
-    /// Probes the ejected servers that are due and were unreachable. Others show by a part whether
-    /// they are back; an unreachable one gets parts only after a good probe, or at once where
-    /// probes are off.
+    /// Probes the ejected servers that are due and were unreachable. A server that was reachable
+    /// shows by a part whether it has recovered. An unreachable one gets parts only after a
+    /// successful probe, or without one where probes are off.
     pub(super) fn probe_ejected_servers(&mut self, actions: &mut Vec<Action>) {
         let (now, probes) = (self.now, self.settings.probes);
         for (id, server) in &mut self.servers {
@@ -305,8 +307,8 @@
         }
     }
 
-    /// Handles the end of a probe. A good one lets the server have a part; that alone doesn't clear
-    /// it.
+    /// Handles the end of a probe. After a successful one the server may get a part, but stays
+    /// ejected until parts are answered.
     pub(super) fn probe_ended(
         &mut self,
         server_id: ServerId,
@@ -324,19 +326,20 @@
                 self.record_load(server_id, external_load);
             }
         } else if server.ejection.unreachable {
-            // No relapse: it was ejected before, and asking again costs next to nothing.
+            // A failed probe is no relapse: the server was ejected already, and a probe costs next
+            // to nothing.
             server.ejection.recent_count -= 1.0;
             self.eject(server_id, true);
         }
     }
 }
 
-/// Notes that a probe reached a server. Returns the load from elsewhere that it reported.
+/// Records that a probe reached a server. Returns the load from other sources that the server
+/// reported.
 fn mark_reachable(server: &mut Server, report: Option<LoadReport>) -> Option<f64> {
     let was_unreachable = std::mem::take(&mut server.ejection.unreachable);
     if was_unreachable {
-        // What was in flight before counts no more: it would block the first part until it times
-        // out.
+        // Parts sent before no longer count: they would block the first part until they time out.
         server.in_flight.clear();
     }
     let own_in_flight = f64::from(server.in_flight.count());
--- a/crates/coordinator/src/decision/partial_answers.rs
+++ b/crates/coordinator/src/decision/partial_answers.rs
@@ -1,19 +1,19 @@
-//! Which parts of a query to ask for, where a class accepts partial answers or needs less than all
-//! parts.
+//! Selection of the parts of a query to send, for classes that accept partial answers or need fewer
+//! than all parts.
 
 use super::router::Router;
 use super::work::{Part, Query};
 use crate::interface::{QueryClass, RequestId};
 
-/// Sums of weights that differ by less are equal.
+/// Sums of weights that differ by less count as equal.
 pub(super) const WEIGHT_TOLERANCE: f64 = 5e-5;
-/// Least value of a query that prices are compared with.
+/// Lower bound of the value of a query that prices are divided by.
 const MIN_QUERY_VALUE: f64 = 1e-6;
 
 impl Router {
-    /// The parts to ask for now: as many as make a complete answer, and one more for each that is
-    /// late or lost. A class that accepts partial answers asks for the share that earns most for
-    /// its work.
+    /// Returns the parts to send now: as many as a complete answer needs, and one more for each
+    /// that is late or lost. For a class that accepts partial answers it is the share of the parts
+    /// that earns most for its work.
     pub(super) fn wanted_parts(&self, query: &Query) -> Vec<RequestId> {
         let class = self.class(query.class);
         if query.first_step_complete.is_some() {
@@ -46,7 +46,8 @@
         wanted
     }
 
-    /// Whether all attempts in flight at a part are older than this, or none is left.
+    /// Whether a part was sent and is unanswered, and each of its attempts in flight is older than
+    /// `late_after` seconds.
     fn is_late(&self, part: &Part, late_after: f64) -> bool {
         let mut in_flight = part.attempts.iter().filter(|a| a.in_flight);
         !part.answered
@@ -54,8 +55,8 @@
             && in_flight.all(|a| self.now - a.sent_at > late_after)
     }
 
-    /// The weight, heaviest parts first, beyond which a part earns less than its work costs other
-    /// queries.
+    /// Returns the weight, counted from the heaviest part down, beyond which a part earns less than
+    /// its work costs other queries.
     fn most_profitable_weight(
         &self,
         class: &QueryClass,
@@ -69,8 +70,8 @@
             } else {
                 1.0
             };
-        // What a part costs others rises faster than the wait does; it is next to nothing while
-        // servers are light.
+        // The cost of a part to other queries rises faster than the waiting time; it is close to
+        // zero while servers have little load.
         let price = self.congestion().powi(2) * self.admission.value_per_part()
             / value.max(MIN_QUERY_VALUE);
         let (mut weight, mut best_net_gain, mut best_weight) = (0.0, f64::MIN, total);
@@ -84,8 +85,8 @@
                 class.partial_value * weight / (class.complete_share * total)
             };
             let net_gain = earned_share - price * parts_asked;
-            // Never a cut that earns less for each part than all of them do: better reject some
-            // queries.
+            // A subset must not earn less for each of its parts than the whole query does:
+            // rejecting some queries is then better.
             let allowed = weight >= class.min_share * total && earned_share * parts >= parts_asked;
             if net_gain > best_net_gain && allowed {
                 (best_net_gain, best_weight) = (net_gain, weight);
--- a/crates/coordinator/src/decision/retry_budget.rs
+++ b/crates/coordinator/src/decision/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget on retries and hedged requests, and the rule on repeats of parts.
+//! The budget on retries and hedged requests, and the rules on repeating parts.
 
 use super::router::{seconds, Router};
 use super::statistics::EventWindow;
@@ -6,30 +6,30 @@
 use crate::interface::{ClassId, Idempotency, RetryBudget};
 use std::time::Duration;
 
-/// The budget on hedged requests if the settings have none. Retries are then free.
+/// Budget on hedged requests if the settings have none. Retries are then unlimited.
 const DEFAULT_HEDGE_BUDGET: RetryBudget = RetryBudget {
     min_retries: 10.0,
     retry_share: 0.2,
     window: Duration::from_secs(2),
 };
 
-/// What the budget counts.
+/// The events that the retry budget counts.
 #[derive(Default)]
 pub(super) struct RetryWindow {
-    /// Queries and parts that arrived.
+    /// Arrivals of queries and parts.
     pub(super) arrivals: EventWindow,
-    /// Attempts beyond a part's first.
+    /// Attempts beyond the first one of a part.
     pub(super) retries: EventWindow,
 }
 
-/// Counts in the budget's window.
+/// Number of these events in the window of the budget.
 struct RetryCounts {
     arrivals: usize,
     retries: usize,
 }
 
 impl Router {
-    /// Drops what is older than the budget's window.
+    /// Drops the events older than the window of the budget.
     pub(super) fn expire_retry_window(&mut self) {
         self.count_retry_window(self.effective_retry_budget());
     }
@@ -38,8 +38,8 @@
         self.settings.retry_budget.unwrap_or(DEFAULT_HEDGE_BUDGET)
     }
 
-    /// Counts with a turn to spare at both ends of the window, as the keeper of the budget may
-    /// count a turn later.
+    /// Counts the events in the window. Both ends have a margin of one turn on the safe side, as
+    /// whoever enforces the budget may count a turn later.
     fn count_retry_window(&mut self, budget: RetryBudget) -> RetryCounts {
         let (window_length, margin) = (seconds(budget.window), self.turn_margin());
         let counted = &mut self.retry_window;
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Whether this share of the budget allows one more attempt. Without a budget in the settings
-    /// the whole of it (share 1) is without limit.
+    /// Whether this share of the budget allows one more attempt. If the settings have no budget,
+    /// the full share (1) is unlimited.
     pub(super) fn retry_budget_allows(&mut self, share: f64) -> bool {
         if self.settings.retry_budget.is_none() && share >= 1.0 {
             return true;
@@ -75,8 +75,8 @@
         second_copy_allowed && self.is_safe_to_repeat(part, class, self.turn_margin())
     }
 
-    /// Whether it does no harm to repeat a part so many seconds later. A key holds from the first
-    /// attempt that may have run.
+    /// Whether a part may be repeated `delay` seconds from now without harm. The window of a key
+    /// starts with the first attempt that may have run.
     pub(super) fn is_safe_to_repeat(&self, part: &Part, class: ClassId, delay: f64) -> bool {
         let first_that_may_have_run = part
             .attempts
--- a/crates/coordinator/src/decision/router.rs
+++ b/crates/coordinator/src/decision/router.rs
@@ -1,4 +1,4 @@
-//! The router: its state, and the way from an event to the module that handles it.
+//! The router: its state, and the dispatch of events to the modules that handle them.
 
 use super::admission::AdmissionControl;
 use super::arrival::FirstAttemptTimeout;
@@ -22,18 +22,19 @@
 
 /// Time between decisions while a query is open.
 pub(super) const DECISION_INTERVAL_S: f64 = 0.01;
-/// Time between decisions while none is: ejected servers are probed and the list is asked for all
-/// the same.
+/// Time between decisions while no query is open. Ejected servers still have to be probed, and the
+/// server list still has to be subscribed to.
 const IDLE_DECISION_INTERVAL_S: f64 = 0.25;
-/// A wake-up may come earlier than asked for by this much, through rounding. It counts as due.
+/// Rounding may deliver a wake-up this much earlier than requested; it still counts as due.
 const CLOCK_RESOLUTION_S: f64 = 1e-4;
-/// Longest time in an action, in seconds: timers take no more.
+/// Longest duration in an action, in seconds; timers accept no more.
 const MAX_ACTION_TIME_S: f64 = 4000.0;
-/// Up to this number of routers one alone makes a difference. With more of them what each does adds
-/// up, and each learns of it late: they act more slowly.
+/// Largest number of routers at which the decisions of a single one matter to the servers. Among
+/// more routers the effects of their decisions add up, and each router learns of them late, so each
+/// reacts more slowly.
 pub(super) const SMALL_FLEET_ROUTERS: f64 = 8.0;
 
-/// The decisions of one query router. It shares nothing with other instances.
+/// The decisions of one query router. It shares no state with other instances.
 pub struct Router {
     pub(super) settings: RouterSettings,
     random: Pcg64Mcg,
@@ -42,12 +43,12 @@
     pub(super) servers_by_cell: Vec<Vec<ServerId>>,
     pub(super) queries: BTreeMap<RequestId, Query>,
     pub(super) parts: BTreeMap<RequestId, Part>,
-    /// Attempts in flight whose query has ended, by part and number.
+    /// Attempts in flight whose query has ended, by part and attempt number.
     pub(super) orphaned_attempts: BTreeMap<(RequestId, u32), Attempt>,
     pub(super) latencies: LatencyStatistics,
-    /// By class.
+    /// Typical timeouts of first attempts, by class.
     pub(super) first_attempt_timeouts: Vec<FirstAttemptTimeout>,
-    /// Queries by tenant.
+    /// Rates of queries, by tenant.
     pub(super) tenant_rates: Vec<DecayingRate>,
     pub(super) retry_window: RetryWindow,
     pub(super) send_rate: DecayingRate,
@@ -57,23 +58,23 @@
     pub(super) subscription: ListSubscription,
     pub(super) last_crashes: LastCrashTimes,
     pub(super) pauses: RouterPauses,
-    /// When the wake-up that was asked for last is due.
+    /// When the wake-up that was requested last is due.
     pub(super) next_wake_at: f64,
 }
 
-/// Servers in the list, counted by what the router makes of them.
+/// Numbers of listed servers, by their availability to this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// All that are not gone.
+    /// Servers that are not gone.
     pub listed: usize,
-    /// Those that get no requests as a rule: they drain, or are ejected.
+    /// Servers that normally get no parts: draining or ejected.
     pub ejected: usize,
-    /// Those that the list has in service, ejected or not.
+    /// Servers that the list reports as ready, ejected or not.
     pub in_service: usize,
 }
 
 impl Router {
-    /// A router that knows nothing yet. All its random choices follow from `seed`.
+    /// Creates a router without servers or statistics. All its random choices derive from `seed`.
     pub fn new(settings: RouterSettings, seed: u64) -> Self {
         let classes = settings.classes.len();
         Self {
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Handles an event that happened at `now`, a time since the caller's origin that never goes
-    /// back. What the router wants done is appended to `actions`. Parts are sent only at
+    /// Handles an event that happened at `now`, a time since the caller's origin that never
+    /// decreases. The resulting actions are appended to `actions`. Parts are sent only at
     /// [`Event::TurnEnded`].
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = seconds(now);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The parts in flight from this router at each server that is not gone.
+    /// Returns the number of parts that this router has in flight at each server that is not gone.
     pub fn in_flight(&self) -> Vec<(ServerId, u32)> {
         self.servers
             .iter()
@@ -142,7 +143,7 @@
             .collect()
     }
 
-    /// Counts the servers of the list.
+    /// Counts the listed servers.
     pub fn server_counts(&self) -> ServerCounts {
         let mut counts = ServerCounts::default();
         let listed = self
@@ -157,7 +158,7 @@
         counts
     }
 
-    /// All decisions of a turn, once all its events have been handled.
+    /// Makes all decisions of a turn, after its events have been handled.
     fn decide(&mut self, actions: &mut Vec<Action>) {
         self.expire_retry_window();
         self.expire_latencies();
@@ -171,7 +172,7 @@
         self.schedule_wake_up(actions);
     }
 
-    /// Brings one query on: admits or rejects it, ends it if that is due, or else sends its parts.
+    /// Admits or rejects a query, ends it if that is due, or else sends its parts.
     fn advance_query(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.queries[&id].admitted && !self.admit(id, actions) {
             return;
@@ -197,33 +198,33 @@
         }
     }
 
-    /// The settings of a class.
+    /// Returns the settings of a class.
     pub(super) fn class(&self, id: ClassId) -> &QueryClass {
         &self.settings.classes[id.0 as usize]
     }
 
-    /// Whether so many routers use these servers that what they do adds up.
+    /// Whether so many routers share these servers that the effects of their decisions add up.
     pub(super) fn has_many_routers(&self) -> bool {
         f64::from(self.settings.routers) > SMALL_FLEET_ROUTERS
     }
 
-    /// An even draw from 0 to 1.
+    /// Returns a uniformly distributed random number from 0 to 1.
     pub(super) fn random_fraction(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 
-    /// An even draw below `n`; 0 for `n` = 0.
+    /// Returns a random index below `n`, or 0 for `n` = 0.
     pub(super) fn random_index(&mut self, n: usize) -> usize {
         self.random.next_u32() as usize % n.max(1)
     }
 }
 
-/// A time of the interface in seconds.
+/// Converts a duration of the interface to seconds.
 pub(super) fn seconds(time: Duration) -> f64 {
     time.as_secs_f64()
 }
 
-/// Seconds as a time for an action: never negative, within what timers take.
+/// Converts seconds to a duration for an action, clamped to what timers accept.
 pub(super) fn action_duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_ACTION_TIME_S))
 }
--- a/crates/coordinator/src/decision/selection.rs
+++ b/crates/coordinator/src/decision/selection.rs
@@ -1,5 +1,5 @@
-//! Selection of a server for a part: the best one in the idle queue, or else a random one
-//! (Join-Idle-Queue).
+//! Selection of a server for a part by Join-Idle-Queue: the best one in the idle queue, or else a
+//! random one.
 
 use super::eligibility::Eligibility;
 use super::idle_queue::MIN_MEAN_LOAD;
@@ -7,13 +7,13 @@
 use super::work::{AttemptKind, Part};
 use crate::interface::{ClassId, Idempotency, RequestId, ServerId};
 
-/// What a server in another zone loses in the score, in parts of load: crossing zones is cheap next
-/// to queueing.
+/// Score penalty of a server in another zone, in parts of load. It is small, as crossing zones
+/// costs little compared with queueing.
 const CROSS_ZONE_PENALTY: f64 = 2.0;
-/// Scores that differ by less are equal.
+/// Scores that differ by less count as equal.
 const SCORE_TOLERANCE: f64 = 1e-9;
 
-/// A server that holds the part's shard and may get it.
+/// A server that holds the shard of a part and may get the part.
 struct Candidate {
     server: ServerId,
     eligibility: Eligibility,
@@ -21,9 +21,9 @@
     attempted: bool,
 }
 
-/// What scores depend on besides the server.
+/// Parameters of the score that don't depend on the server.
 struct Scoring<'a> {
-    /// Overhead of a call, in parts.
+    /// Overhead of a call, in parts of load.
     call_overhead: f64,
     max_parts_per_call: f64,
     /// Shards of other parts of the query that could share the call.
@@ -31,8 +31,8 @@
 }
 
 impl Router {
-    /// Picks a server for a part; `None` if it has to wait. `piggybacked_shards` are the shards of
-    /// other parts of the query that the same call could carry.
+    /// Selects a server for a part, or returns `None` if the part has to wait. `piggybacked_shards`
+    /// are the shards of other parts of the query that could share the call.
     pub(super) fn pick_server(
         &mut self,
         part_id: RequestId,
@@ -50,7 +50,7 @@
             .iter()
             .map(|c| (c.eligibility, c.attempted))
             .min()?;
-        // If a healthy one is merely at its limit, waiting for it is better than panic mode.
+        // If a healthy server is only at its limit, waiting for it is better than panic mode.
         let healthy_exists = || self.usable_servers(part.shard).any(|s| !s.is_ejected());
         if best_rank.0 == Eligibility::Panic && healthy_exists() {
             return None;
@@ -73,8 +73,9 @@
         self.random_light_server(servers, &scoring)
     }
 
-    /// The servers that hold a part's shard and may get it. A second copy goes to a server that the
-    /// part was not sent to; a hedge only to a healthy one.
+    /// Returns the servers that hold the shard of a part and may get the part. A second copy is
+    /// only sent to a server that the part was not sent to before, and a hedge only to a healthy
+    /// one.
     fn candidates(&self, part: &Part, class: ClassId, kind: AttemptKind) -> Vec<Candidate> {
         let attempted = |server: ServerId| part.attempts.iter().any(|a| a.server == server);
         let mut candidates: Vec<Candidate> = self
@@ -96,8 +97,9 @@
         candidates
     }
 
-    /// A server that is due for a probe goes first, or none would ever be cleared. Only a first
-    /// attempt that may be repeated is risked.
+    /// Returns a server that is due for a probe, if the part may be used for it. Such servers are
+    /// selected first, as otherwise none would ever be cleared. Only first attempts that may be
+    /// repeated are used.
     fn probe_candidate(
         &self,
         part: &Part,
@@ -114,8 +116,7 @@
             .map(|c| c.server)
     }
 
-    /// Draining servers count as healthy, while their grace lasts, once all healthy ones are
-    /// crowded.
+    /// Counts draining servers within their grace as healthy if all healthy ones are crowded.
     fn promote_draining_if_crowded(&self, candidates: &mut [Candidate]) {
         let all_crowded = candidates
             .iter()
@@ -131,8 +132,9 @@
         }
     }
 
-    /// The score of a server for a part: its estimated load, more for another zone, less if other
-    /// parts share the call. Lower is better.
+    /// Returns the score of a server for a part; lower is better. It is the estimated load, plus a
+    /// penalty for another zone, plus the call overhead divided by the number of parts that share
+    /// the call.
     fn score(&self, id: ServerId, scoring: &Scoring) -> f64 {
         let server = &self.servers[&id];
         let penalty = if self.settings.cross_zone_cost && self.settings.zone != Some(server.zone) {
@@ -159,8 +161,8 @@
             .min_by(|a, b| self.score(*a, scoring).total_cmp(&self.score(*b, scoring)))
     }
 
-    /// One of these servers at random, but none known to be busier than their mean; nor one in
-    /// another zone unless the near ones are busy.
+    /// Selects one of these servers at random, without those that score above their mean. Servers
+    /// in another zone score higher, so they are selected only while the near ones are busy.
     fn random_light_server(
         &mut self,
         mut servers: Vec<ServerId>,
--- a/crates/coordinator/src/decision/server.rs
+++ b/crates/coordinator/src/decision/server.rs
@@ -1,4 +1,5 @@
-//! What a router knows of one server. The modules that decide by it own their part of the state.
+//! The state that a router keeps for one server. Each part of it belongs to the module that uses it
+//! for its decisions.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::idle_queue::IdleQueueEntries;
@@ -7,16 +8,16 @@
 use super::slow_start::WarmUp;
 use crate::interface::{ServerEntry, ServerState, ZoneId};
 
-/// One server of the list, or one that was in it lately.
+/// A server that is listed, or was until recently.
 pub(super) struct Server {
     pub(super) zone: ZoneId,
     pub(super) cell: u32,
     pub(super) state: ServerState,
-    /// Its latest start, as far as the list told it.
+    /// Its latest start that the list reported.
     pub(super) started_at: Option<f64>,
-    /// When the list told that it drains or is gone.
+    /// When the list reported that it is draining or gone.
     pub(super) left_service_at: f64,
-    /// When it last answered an attempt, be it with an error.
+    /// When it last answered an attempt, with a result or an error.
     pub(super) last_answered_at: f64,
     pub(super) last_sent_at: f64,
     pub(super) in_flight: InFlight,
@@ -30,7 +31,7 @@
 }
 
 impl Server {
-    /// A server that wasn't known before. It is not in the list until its entry has been applied.
+    /// Creates the state of a new server. It counts as gone until its list entry has been applied.
     pub(super) fn new(entry: &ServerEntry, now: f64, classes: usize) -> Self {
         Self {
             zone: entry.zone,
@@ -51,12 +52,12 @@
         }
     }
 
-    /// Whether the list has it in service.
+    /// Whether the list reports it as ready.
     pub(super) fn is_ready(&self) -> bool {
         self.state == ServerState::Ready
     }
 
-    /// Whether it is ejected, or was and hasn't been cleared by answers yet.
+    /// Whether it is ejected, or was and has not given enough good answers since.
     pub(super) fn is_ejected(&self) -> bool {
         self.ejection.until.is_some()
     }
--- a/crates/coordinator/src/decision/server_list.rs
+++ b/crates/coordinator/src/decision/server_list.rs
@@ -1,26 +1,26 @@
-//! The server list: its updates, and subscribing to it where the router has to ask.
+//! The server list: applying its updates, and subscribing to it where the router has to do so.
 
 use super::router::{seconds, Router};
 use super::server::Server;
 use crate::interface::{Action, ListKind, ServerEntry, ServerId, ServerState};
 
-/// Time after which a server that is gone and has no part of ours is forgotten.
+/// Time after which a server that is gone and has no parts of this router in flight is forgotten.
 const GONE_RETENTION_S: f64 = 15.0;
-/// Wait after a first failure to subscribe; doubled with each further one.
+/// Base of the backoff between attempts to subscribe; doubled with each consecutive failure.
 const INITIAL_RETRY_WAIT_S: f64 = 0.1;
-/// Failures in a row after which the wait grows no more.
+/// Number of consecutive failures after which the backoff stops growing.
 const MAX_COUNTED_FAILURES: u32 = 5;
-/// The wait is at most half of this, or half of a quarter of the time within which the router must
-/// subscribe.
+/// The backoff is at most half of this, or an eighth of the time within which the router must
+/// subscribe, before jitter.
 const DEFAULT_RETRY_PERIOD_S: f64 = 2.0;
 
 /// The subscription to the server list.
 #[derive(Default)]
 pub(super) struct ListSubscription {
-    /// Whether any list was received.
+    /// Whether any list has been received.
     received_list: bool,
     active: bool,
-    /// When it was asked for, until there is an answer.
+    /// When it was requested; `None` if no request is pending.
     requested_at: Option<f64>,
     next_request_at: f64,
     failures: u32,
@@ -64,8 +64,9 @@
         subscription.next_request_at = self.now + wait * jitter;
     }
 
-    /// Applies one entry. A slow start counts from the start that the entry tells, or from now for
-    /// a server that is new or back, unless `new_ones_just_started` is false.
+    /// Applies one entry. The slow start of a server counts from the start that the entry reports.
+    /// Without one it counts from now, if the server is new or has come back and
+    /// `new_servers_just_started` is true.
     fn apply_entry(&mut self, entry: &ServerEntry, new_servers_just_started: bool) {
         let (now, classes) = (self.now, self.settings.classes.len());
         let started_at = entry.started_at.map(seconds);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Servers that a complete list doesn't name are gone.
+    /// Marks the servers that a complete list doesn't contain as gone.
     fn mark_missing_as_gone(&mut self, entries: &[ServerEntry]) {
         let now = self.now;
         let listed = |id: &ServerId| entries.iter().any(|e| e.server == *id);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Forgets the servers that have been gone for long and have no part of ours.
+    /// Removes the servers that have been gone for long and have no parts of this router in flight.
     fn forget_gone_servers(&mut self) {
         let now = self.now;
         self.servers.retain(|_, server| {
@@ -128,8 +129,7 @@
         }
     }
 
-    /// Subscribes where the router has to, and again after a failure or a request that was left
-    /// unanswered.
+    /// Subscribes if the router has to, and again after a failure or an unanswered request.
     pub(super) fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
         let Some(within) = self.settings.subscribe_within.map(seconds) else {
             return;
@@ -150,7 +150,7 @@
     }
 }
 
-/// Forgets what was learned of a server's earlier process, and begins its slow start.
+/// Discards what was learned about a server's earlier process, and begins its slow start.
 fn reset_after_start(server: &mut Server, started_at: Option<f64>, now: f64) {
     server.warm_up.since = started_at.or(Some(now));
     server.ejection.clear();
--- a/crates/coordinator/src/decision/slow_start.rs
+++ b/crates/coordinator/src/decision/slow_start.rs
@@ -1,5 +1,4 @@
-//! Slow start: a server that was started lately gets parts at a limited rate, which grows as it
-//! warms up.
+//! Slow start: a recently started server gets parts at a limited rate, which grows as it warms up.
 
 use super::arrival::RATE_TIME_CONSTANT_S;
 use super::latency::MIN_SAMPLES;
@@ -7,32 +6,34 @@
 use super::server::Server;
 use crate::interface::{ServerId, SlowStart};
 
-/// Capacity right after the start if the settings don't say: share, and time to full capacity.
+/// Share of its full capacity that a server has right after its start, and the time until it has
+/// all of it, if the settings have no slow start.
 const DEFAULT_INITIAL_SHARE: f64 = 0.25;
 const DEFAULT_RAMP_S: f64 = 10.0;
 const MIN_RAMP_S: f64 = 0.1;
-/// Multiple of its capacity at which a server fails, if the settings don't say.
+/// Multiple of its capacity at which a server fails, if the settings have no slow start.
 const DEFAULT_OVERLOAD_FACTOR: f64 = 2.0;
-/// Among many routers some slots go unused: each may send this multiple of its share.
+/// Multiple of its share that each of many routers may send, as some leave their slots unused.
 const MANY_ROUTERS_RATE_FACTOR: f64 = 1.5;
-/// Among few routers, the largest multiple of its share that a router may send.
+/// Largest multiple of its share that each of few routers may send.
 const FEW_ROUTERS_MAX_RATE_FACTOR: f64 = 1.5;
-/// Processors of a server that routers together may keep busy: bounds what they send in a crisis.
+/// Number of processors of a warming server that all routers together may keep busy. This limits
+/// what they send when most servers are overloaded or gone.
 const MAX_BUSY_PROCESSORS: f64 = 2.0;
-/// Parts a second to a warming server beyond its share, at most.
+/// Upper bound of the rate derived from one processor, in parts per second.
 const MAX_ONE_PROCESSOR_RATE: f64 = 1.0;
 /// Part time that is assumed before any is measured.
 const ASSUMED_PART_TIME_S: f64 = 0.1;
-/// Least work of all routers together that rates are derived from.
+/// Lower bound of the part time of all routers together that rates are derived from.
 const MIN_FLEET_PART_TIME_S: f64 = 0.01;
-/// Least rate to a warming server, in parts a second.
+/// Lower bound of the rate to a warming server, in parts per second.
 const MIN_SLOT_RATE: f64 = 1e-3;
 
 /// The slow start of a server.
 pub(super) struct WarmUp {
-    /// When it began; `None` for a server that was there from the first.
+    /// When it began; `None` for a server that has not started since this router knows it.
     pub(super) since: Option<f64>,
-    /// Time of its latest slot for a part of ours, whether used or not.
+    /// Time of the latest slot for a part of this router, used or not.
     pub(super) last_slot_at: f64,
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl Router {
-    /// Share of its full capacity that a server has at least.
+    /// Returns the share of its full capacity that a server has now, estimated from its age.
     pub(super) fn capacity_share(&self, server: &Server) -> f64 {
         let (initial, ramp) = self.settings.slow_start.map_or(
             (DEFAULT_INITIAL_SHARE, DEFAULT_RAMP_S),
@@ -68,9 +69,9 @@
         self.capacity_share(server) < 1.0
     }
 
-    /// Time between parts of ours to a warming server. The rate is this router's share of what a
-    /// warm server gets, or of half of what one processor of it can do, times the server's present
-    /// share of its capacity.
+    /// Returns the time between two parts of this router to a warming server, in seconds. The rate
+    /// is this router's share of what a warm server gets, or of half of what one of its processors
+    /// can do, times the server's current share of its capacity.
     pub(super) fn slot_interval(&self, server: &Server) -> f64 {
         let ready = self.servers.values().filter(|s| s.is_ready()).count();
         let overload_factor = self
@@ -93,14 +94,14 @@
         1.0 / rate.max(MIN_SLOT_RATE)
     }
 
-    /// Time of one part from each router.
+    /// Returns the time of one part from each router, in seconds.
     fn fleet_part_time(&self, part_time: Option<f64>) -> f64 {
         let work = part_time.unwrap_or(ASSUMED_PART_TIME_S) * f64::from(self.settings.routers);
         work.max(MIN_FLEET_PART_TIME_S)
     }
 
-    /// Begins the slow start of a server. All routers learn of a start at about the same time, so
-    /// the first slot falls at random within the interval.
+    /// Sets the first slot of a server at random within the slot interval. All routers learn of a
+    /// start at about the same time and would otherwise all send at once.
     pub(super) fn randomize_first_slot(&mut self, server_id: ServerId) {
         let fraction = self.random_fraction();
         let Some(server) = self.servers.get(&server_id) else {
--- a/crates/coordinator/src/decision/stall_detection.rs
+++ b/crates/coordinator/src/decision/stall_detection.rs
@@ -1,4 +1,4 @@
-//! Silence: servers that stop answering, and standstills of this router itself, which are no
+//! Detection of servers that stop answering, and of pauses of this router itself, which are no
 //! evidence against servers.
 
 use super::router::Router;
@@ -7,27 +7,27 @@
 use std::collections::VecDeque;
 
 /// A server stalls when it answers nothing for this multiple of the 90th percentile of part times.
-/// Ordinary pauses, as of a garbage collector, are shorter.
+/// Ordinary pauses, such as those of a garbage collector, are shorter.
 const STALL_LATENCY_FACTOR: f64 = 4.0;
-/// Least stall, as a share of the shortest latency target ...
+/// Lower bound of the stall timeout, as a share of the shortest latency target.
 const MIN_STALL_TARGET_SHARE: f64 = 0.4;
-/// ... and at most this.
+/// Largest value of that lower bound.
 const MAX_MIN_STALL_S: f64 = 0.5;
-/// This router stood still if an event comes so long after a wake-up was due. A quota of processor
-/// time pauses a process for most of a tenth of a second, again and again.
+/// The router was paused if an event comes later than this after a wake-up was due. Under a CPU
+/// quota a process is repeatedly paused for most of 100 ms.
 const MIN_PAUSE_S: f64 = 0.05;
-/// What waited out a standstill is read within this time after it.
+/// Time after a pause within which the events that arrived during the pause are read.
 const PAUSE_CATCH_UP_S: f64 = 0.02;
-/// Standstills that ended earlier are forgotten: nothing waits for that long.
+/// Time for which pauses are kept; no part is waited for longer than this.
 const PAUSE_RETENTION_S: f64 = 10.0;
 
-/// A time in which this router did not run, as its process or machine was paused.
+/// A time in which this router did not run because its process or machine was paused.
 struct RouterPause {
     began_at: f64,
     ended_at: f64,
 }
 
-/// The standstills of late.
+/// The recent pauses of this router.
 #[derive(Default)]
 pub(super) struct RouterPauses {
     /// Oldest first.
@@ -44,17 +44,18 @@
         }
     }
 
+    /// When the latest pause ended.
     fn ended_at(&self) -> Option<f64> {
         self.recent_pauses.back().map(|pause| pause.ended_at)
     }
 
-    /// When the latest standstill began, if what waited it out is still being read.
+    /// When the latest pause began, if events that arrived during it are still being read.
     pub(super) fn began_at_if_catching_up(&self, now: f64) -> Option<f64> {
         let latest = self.recent_pauses.back()?;
         (now - latest.ended_at <= PAUSE_CATCH_UP_S).then_some(latest.began_at)
     }
 
-    /// When the latest standstill began, if it ended just now.
+    /// When the latest pause began, if it ended at `now`.
     pub(super) fn began_at_if_ended_now(&self, now: f64) -> Option<f64> {
         let latest = self
             .recent_pauses
@@ -63,7 +64,7 @@
         Some(latest.began_at)
     }
 
-    /// How much of the time since `since` was spent in standstills, in seconds.
+    /// Returns how much of the time since `since` the router was paused, in seconds.
     pub(super) fn paused_time_since(&self, since: f64) -> f64 {
         let overlap = |pause: &RouterPause| (pause.ended_at - pause.began_at.max(since)).max(0.0);
         self.recent_pauses.iter().map(overlap).sum()
@@ -71,7 +72,7 @@
 }
 
 impl Router {
-    /// Notices that this router stood still until now.
+    /// Records a pause of this router that ended now, if there was one.
     pub(super) fn detect_pause(&mut self) {
         let is_recorded = self.pauses.ended_at() >= Some(self.next_wake_at);
         if self.now > self.next_wake_at + MIN_PAUSE_S && !is_recorded {
@@ -79,14 +80,15 @@
         }
     }
 
-    /// How long a server has left a part unanswered, counted from its last answer to anything. Our
-    /// own standstills don't count.
+    /// Returns for how many seconds a server has left a part unanswered, counted from its last
+    /// answer to anything. Pauses of this router don't count.
     pub(super) fn unanswered_for(&self, server: &Server, sent_at: f64) -> f64 {
         let since = sent_at.max(server.last_answered_at);
         self.now - since - self.pauses.paused_time_since(since)
     }
 
-    /// Time without any answer after which a server with parts in flight counts as stalled.
+    /// Returns the time without any answer, in seconds, after which a server with parts in flight
+    /// counts as stalled.
     pub(super) fn stall_timeout(&self) -> f64 {
         let classes = self.settings.classes.len();
         let slowest_part_time = (0..classes)
@@ -96,7 +98,7 @@
         (STALL_LATENCY_FACTOR * slowest_part_time).max(min_stall.min(MAX_MIN_STALL_S))
     }
 
-    /// Ejects the servers that have parts in flight and answer nothing for far longer than usual.
+    /// Ejects the servers with parts in flight that have answered nothing for the stall timeout.
     pub(super) fn eject_silent_servers(&mut self) {
         let timeout = self.stall_timeout();
         let is_stalled = |server: &Server| {
--- a/crates/coordinator/src/decision/statistics.rs
+++ b/crates/coordinator/src/decision/statistics.rs
@@ -1,4 +1,5 @@
-//! Running statistics: a window of latencies, a window of events, and a rate that decays.
+//! Running statistics: a sliding window of latencies, a sliding window of events, and an
+//! exponentially decaying rate.
 
 use std::collections::VecDeque;
 
@@ -8,7 +9,7 @@
     latency: f64,
 }
 
-/// The most recent latencies, for their mean and quantiles.
+/// The most recent latencies, with their mean and quantiles.
 #[derive(Default)]
 pub(super) struct LatencyWindow {
     /// Oldest first.
@@ -18,7 +19,7 @@
 }
 
 impl LatencyWindow {
-    /// Adds a latency; drops the oldest once there are more than `capacity`.
+    /// Adds a latency, and drops the oldest if there are more than `capacity`.
     pub(super) fn add(&mut self, measured_at: f64, latency: f64, capacity: usize) {
         let position = self.sorted.partition_point(|l| *l < latency);
         self.sorted.insert(position, latency);
@@ -32,12 +33,12 @@
         }
     }
 
-    /// The number of latencies.
+    /// Returns the number of latencies.
     pub(super) fn len(&self) -> usize {
         self.samples.len()
     }
 
-    /// Drops the latencies measured before a time, but keeps the `min_samples` latest.
+    /// Drops the latencies measured before `since`, but keeps the latest `min_samples`.
     pub(super) fn expire(&mut self, since: f64, min_samples: usize) {
         while self.samples.len() > min_samples
             && self.samples.front().is_some_and(|s| s.measured_at < since)
@@ -55,29 +56,29 @@
         self.sorted.remove(position);
     }
 
-    /// The mean latency; 0 without samples.
+    /// Returns the mean latency, or 0 without samples.
     pub(super) fn mean(&self) -> f64 {
         self.sum / (self.samples.len().max(1)) as f64
     }
 
-    /// The quantile `q`, from 0 to 1; `None` with fewer than `min_samples`.
+    /// Returns the quantile `q`, from 0 to 1, or `None` with fewer than `min_samples`.
     pub(super) fn quantile(&self, q: f64, min_samples: usize) -> Option<f64> {
         let last = self.sorted.len().checked_sub(min_samples.max(1))? + min_samples.max(1) - 1;
         self.sorted.get((last as f64 * q) as usize).copied()
     }
 }
 
-/// The times of recent events, to count those in a sliding window.
+/// The times of recent events, oldest first, for counting those in a sliding window.
 #[derive(Default)]
 pub(super) struct EventWindow(VecDeque<f64>);
 
 impl EventWindow {
-    /// Adds an event that happened now.
+    /// Adds an event that happens now.
     pub(super) fn add(&mut self, now: f64) {
         self.0.push_back(now);
     }
 
-    /// The number of events since a time. Drops the earlier ones.
+    /// Returns the number of events since a time, and drops the earlier ones.
     pub(super) fn count_since(&mut self, since: f64) -> usize {
         while self.0.front().is_some_and(|t| *t < since) {
             self.0.pop_front();
@@ -86,7 +87,7 @@
     }
 }
 
-/// Events a second, decaying exponentially over a time constant.
+/// Rate of events per second, with exponential decay.
 #[derive(Default, Clone, Copy)]
 pub(super) struct DecayingRate {
     sum: f64,
@@ -94,12 +95,12 @@
 }
 
 impl DecayingRate {
-    /// The rate now, in events a second.
+    /// Returns the current rate, in events per second.
     pub(super) fn per_second(&self, now: f64, time_constant: f64) -> f64 {
         self.sum * (-(now - self.updated_at) / time_constant).exp() / time_constant
     }
 
-    /// Counts an event that happened now.
+    /// Counts an event that happens now.
     pub(super) fn add(&mut self, now: f64, time_constant: f64) {
         self.sum = self.per_second(now, time_constant) * time_constant + 1.0;
         self.updated_at = now;
--- a/crates/coordinator/src/decision/work.rs
+++ b/crates/coordinator/src/decision/work.rs
@@ -1,28 +1,28 @@
-//! The queries in progress, their parts, and the attempts to get these answered.
+//! The open queries, their parts, and the attempts at these parts.
 
 use super::router::Router;
 use crate::interface::{ClassId, Outcome, RequestId, ServerId, TenantId};
 
-/// What an attempt is for.
+/// The reason for an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AttemptKind {
     /// The first attempt, or a retry with no other attempt in flight.
     FirstOrRetry,
-    /// A second copy, because the server of the first one was ejected.
+    /// A second copy, sent because the server of the first one was ejected.
     Rescue,
-    /// A second copy, because the first one is late (hedged request).
+    /// A second copy, sent because the first one is late (hedged request).
     Hedge,
 }
 
-/// One request to one server for one part.
+/// One request for one part to one server.
 #[derive(Clone)]
 pub(super) struct Attempt {
     pub(super) server: ServerId,
     pub(super) class: ClassId,
     pub(super) sent_at: f64,
-    /// The server's load just before the send, as far as reported.
+    /// The reported load of the server just before the send.
     pub(super) load_when_sent: f64,
-    /// Whether its connection had been unused for long.
+    /// Whether it was sent on a connection that had been idle for long.
     pub(super) on_idle_connection: bool,
     pub(super) in_flight: bool,
     /// Whether its connection broke while it was in flight.
@@ -35,20 +35,20 @@
     pub(super) query: RequestId,
     pub(super) shard: u32,
     pub(super) weight: f64,
-    /// In the order of their sends; the index is the attempt's number.
+    /// The attempts in the order they were sent; the index is the attempt number.
     pub(super) attempts: Vec<Attempt>,
     pub(super) answered: bool,
-    /// Whether no attempt may follow.
+    /// Whether no further attempt is allowed.
     pub(super) closed: bool,
 }
 
 impl Part {
-    /// Whether an attempt of it is in flight.
+    /// Whether at least one attempt is in flight.
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|a| a.in_flight)
     }
 
-    /// Whether it still needs an answer and may get one.
+    /// Whether the part is unanswered and may still be answered.
     pub(super) fn is_open(&self) -> bool {
         !self.answered && !self.closed
     }
@@ -62,14 +62,14 @@
     pub(super) target_at: f64,
     /// When its client stops waiting.
     pub(super) deadline_at: f64,
-    /// The parts of the present step.
+    /// The parts of the current step.
     pub(super) parts: Vec<RequestId>,
     pub(super) admitted: bool,
-    /// Whether the first step's answer was complete, once it was given.
+    /// Whether the answer to the first step was complete; `None` until that answer is given.
     pub(super) first_step_complete: Option<bool>,
 }
 
-/// How far the present step of a query is.
+/// Progress of the current step of a query.
 pub(super) struct StepProgress {
     pub(super) answered_weight: f64,
     pub(super) total_weight: f64,
@@ -80,17 +80,17 @@
 /// An attempt that has just ended.
 pub(super) struct EndedAttempt {
     pub(super) attempt: Attempt,
-    /// The class of its query, if that is still open.
+    /// The class of its query; `None` if that query has ended.
     pub(super) query_class: Option<ClassId>,
 }
 
 impl Router {
-    /// The parts of a query's present step.
+    /// Returns the parts of a query's current step.
     pub(super) fn parts_of<'a>(&'a self, query: &'a Query) -> impl Iterator<Item = &'a Part> + 'a {
         query.parts.iter().map(|p| &self.parts[p])
     }
 
-    /// Adds up the parts of a query's present step.
+    /// Sums up the parts of a query's current step.
     pub(super) fn progress(&self, query: &Query) -> StepProgress {
         let mut progress = StepProgress {
             answered_weight: 0.0,
@@ -107,7 +107,8 @@
         progress
     }
 
-    /// Records the end of an attempt. `None` if it isn't known or has ended before.
+    /// Records the end of an attempt. Returns `None` if the attempt is unknown or had already
+    /// ended.
     pub(super) fn end_attempt(
         &mut self,
         part_id: RequestId,
@@ -138,7 +139,8 @@
         })
     }
 
-    /// Removes parts. Returns their attempts in flight, which are kept as orphans until they end.
+    /// Removes parts. Returns their attempts in flight, which are kept as orphaned attempts until
+    /// they end.
     pub(super) fn orphan_attempts(&mut self, parts: Vec<RequestId>) -> Vec<(RequestId, u32)> {
         let mut orphaned = Vec::new();
         for part_id in parts {
@@ -156,7 +158,8 @@
         orphaned
     }
 
-    /// The attempts of a query none of whose parts was ever answered; `None` once one was.
+    /// Returns all attempts of a query's current step, or `None` once any part of the query was
+    /// answered.
     pub(super) fn attempts_if_unanswered<'a>(
         &'a self,
         query: &'a Query,
