--- a/crates/coordinator/src/interface.rs
+++ b/crates/coordinator/src/interface.rs
@@ -1,8 +1,8 @@
 //! The interface of the decision module: the events that a router takes and the actions that it
 //! returns.
 //!
-//! Nothing here decides anything. All times are [`Duration`]s. Points in time count from an origin
-//! that the caller chooses once; they never go back. Shares are fractions from 0 to 1.
+//! This module contains no decisions. All times are [`Duration`]s. Points in time count from an
+//! origin that the caller chooses once; they never decrease. Shares are fractions from 0 to 1.
 
 use std::time::Duration;
 
@@ -47,29 +47,29 @@
     Idempotent,
     /// Servers recognise repeats by a key, for this long after the first attempt that may have run.
     Keyed(Duration),
-    /// A repeat is allowed only if no earlier attempt can have run.
+    /// A part may be repeated only if no earlier attempt can have run.
     NotIdempotent,
 }
 
-/// A class of queries: its latency target, its value and what counts as an answer.
+/// A class of queries: its latency target, its value, and the requirements on its answers.
 #[derive(Clone, Debug)]
 pub struct QueryClass {
-    /// An answer within this time earns its full value (latency SLO).
+    /// An answer within this time earns the full value (latency SLO).
     pub latency_target: Duration,
-    /// How long the client waits in all, over its own retries.
+    /// Total time that a client waits, including its own retries.
     pub client_timeout: Duration,
-    /// Share of the value that an answer past the latency target still earns.
+    /// Share of the value that an answer after the latency target still earns.
     pub late_value: f64,
-    /// What a complete answer within the latency target earns.
+    /// Value of a complete answer within the latency target.
     pub value: f64,
     /// Whether parts may be run more than once.
     pub idempotency: Idempotency,
     /// Share of the parts' weight that makes an answer complete.
     pub complete_share: f64,
-    /// Smallest share of the parts' weight that a partial answer may rest on.
+    /// Smallest share of the parts' weight that a partial answer may be based on.
     pub min_share: f64,
-    /// What a partial answer earns: this share of the value, times its weight over
-    /// `complete_share`.
+    /// Value of a partial answer: this share of the class's value, times the answered share of the
+    /// weight, divided by `complete_share`.
     pub partial_value: f64,
     /// Number of parts in the second step; 0 for a class with one step.
     pub second_step_parts: u32,
@@ -80,35 +80,36 @@
 pub struct Tenant {
     /// The share of the traffic that it is entitled to.
     pub share: f64,
-    /// Queries a second that it may send, over all routers.
+    /// Queries per second that it may send, over all routers.
     pub quota_per_s: f64,
 }
 
-/// A budget on retries and hedged requests: attempts beyond each part's first.
+/// A budget on retries and hedged requests, that is, on all attempts beyond the first one of a
+/// part.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries allowed in a window however light the traffic is.
+    /// Retries allowed in a window even without traffic.
     pub min_retries: f64,
-    /// Retries allowed on top, as a share of the queries and parts that arrived in the window.
+    /// Additional retries allowed, as a share of the queries and parts that arrived in the window.
     pub retry_share: f64,
     /// Length of the sliding window.
     pub window: Duration,
 }
 
-/// How much load a server takes while it warms up after its start.
+/// Load that a server can take while it warms up after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     /// Share of its full capacity right after the start.
     pub initial_share: f64,
-    /// Time from the start until it has its full capacity.
+    /// Time from the start until the server has its full capacity.
     pub ramp: Duration,
-    /// A server fails when it gets more than this multiple of its present capacity ...
+    /// A server fails if its load exceeds its current capacity by this factor for `overload_time`.
     pub overload_factor: f64,
-    /// ... for this long, from all routers together.
+    /// Time after which such an overload makes it fail. The load is that of all routers together.
     pub overload_time: Duration,
 }
 
-/// Placement of the shards: shard `s` is on the cells `s` to `s + cells_per_shard - 1`, modulo
+/// Placement of the shards: shard `s` is held by the cells `s` to `s + cells_per_shard - 1`, modulo
 /// `cells`.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardLayout {
@@ -118,13 +119,13 @@
     pub cells_per_shard: u32,
 }
 
-/// Settings of a router, fixed at its start. An absent option turns its feature off.
+/// Settings of a router, fixed at its start. A feature whose option is `None` is off.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
     /// The classes of queries.
     pub classes: Vec<QueryClass>,
-    /// Whether a query's value is that of its class times its number of parts. Otherwise each query
-    /// of a class has the same value.
+    /// Whether the value of a query is that of its class times its number of parts. Otherwise all
+    /// queries of a class have the same value.
     pub value_by_work: bool,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
@@ -132,56 +133,56 @@
     pub routers: u32,
     /// The zone of this router.
     pub zone: Option<ZoneId>,
-    /// Whether traffic to another zone has a cost.
+    /// Whether traffic to other zones has a cost.
     pub cross_zone_cost: bool,
     /// Placement of the shards.
     pub shard_layout: ShardLayout,
     /// Largest number of parts in one call to a server.
     pub max_parts_per_call: u32,
-    /// Work that a call costs the server besides its parts; zero for none.
+    /// Work of a server per call in addition to the work of the parts; may be zero.
     pub call_overhead: Duration,
-    /// Largest number of attempts for one part.
+    /// Largest number of attempts at one part.
     pub max_attempts: u32,
-    /// Whether a part may have two attempts in flight at once.
+    /// Whether a part may have two attempts in flight.
     pub hedging: bool,
     /// Whether attempts can be cancelled.
     pub cancellation: bool,
     /// Whether unreachable servers may be probed (active health checks).
     pub probes: bool,
-    /// Longest retry-after hint that clients follow; `None` if they get no hints.
+    /// Longest retry-after hint that clients follow; `None` if clients get no hints.
     pub max_retry_after: Option<Duration>,
     /// The budget on retries and hedged requests.
     pub retry_budget: Option<RetryBudget>,
     /// Limits for servers that warm up.
     pub slow_start: Option<SlowStart>,
-    /// Set if the router has to subscribe to the server list itself: the time within which it does
-    /// so.
+    /// Time within which the router must subscribe to the server list; `None` if it gets the list
+    /// without a subscription.
     pub subscribe_within: Option<Duration>,
-    /// Time after the notice of a drain by which sends to that server must have stopped.
+    /// Time after the notice of a drain within which the server may still be sent parts.
     pub drain_grace: Duration,
     /// Shortest time between two turns.
     pub min_turn_interval: Duration,
 }
 
-/// The load that a server reports with an answer. A value that it doesn't report is `None`.
+/// The load that a server reports with an answer. Values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it works on or has queued.
+    /// Number of requests in progress or queued.
     pub in_flight: Option<f64>,
-    /// Requests that wait in its queue.
+    /// Number of requests waiting in its queue.
     pub queued: Option<f64>,
-    /// Busy share of its processors.
+    /// Share of its processors that is busy.
     pub utilization: Option<f64>,
 }
 
 /// State of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts new requests.
     Ready,
-    /// Finishes its requests and takes no new ones.
+    /// Completes its requests and accepts no new ones.
     Draining,
-    /// Not in the list any more.
+    /// No longer in the list.
     Gone,
 }
 
@@ -196,46 +197,46 @@
     pub cell: u32,
     /// Its state.
     pub state: ServerState,
-    /// Its latest start; `None` if that was long ago.
+    /// Time of its latest start; `None` if that was long ago.
     pub started_at: Option<Duration>,
 }
 
-/// Kind of an update of the server list.
+/// Kind of a server list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
     Changes,
-    /// The complete list: a server that isn't in it is gone.
+    /// The complete list: servers that it does not contain are gone.
     Full,
     /// The list that this router had before a restart; may be stale.
     Cached,
-    /// Subscribing failed, or the subscription ended; there are no entries.
+    /// Subscribing failed, or the subscription ended. The update has no entries.
     Failed,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Served successfully.
     Ok,
     /// The server answered with an error; the part may have run.
     Error,
-    /// The server rejected it unprocessed.
+    /// The server rejected the request without processing it.
     Rejected,
-    /// No answer in time; the part may have run or may still run.
+    /// No answer in time; the part may have run or may still be running.
     Timeout,
-    /// No connection came about; the part never ran.
+    /// No connection was established; the part did not run.
     ConnectFailed,
     /// The connection broke; the part may have run.
     Reset,
     /// Cancelled by the router; the part may have run.
     Cancelled,
-    /// Never sent.
+    /// Not sent at all.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
@@ -251,7 +252,7 @@
         /// Its entries.
         entries: Vec<ServerEntry>,
     },
-    /// A query arrived; its parts follow in the same turn.
+    /// A query arrived. Its parts follow in the same turn.
     Query {
         /// Its id.
         id: RequestId,
@@ -259,15 +260,15 @@
         class: ClassId,
         /// Its tenant.
         tenant: Option<TenantId>,
-        /// When it arrived, which is earlier than now if it had to wait for this router, as while
-        /// the process stood still; `None` if that isn't known.
+        /// When it arrived; `None` if that is not known. It is in the past if the query had to wait
+        /// for this router, for example while the process was paused.
         arrived_at: Option<Duration>,
         /// When its client stops waiting.
         deadline: Duration,
-        /// Whether it is a client's retry; `None` if clients don't mark retries.
+        /// Whether it is a client's retry; `None` if clients do not mark retries.
         is_retry: Option<bool>,
     },
-    /// A part of a query, of its first or second step.
+    /// A part of a query, in its first or second step.
     Part {
         /// Its id.
         id: RequestId,
@@ -275,22 +276,22 @@
         query: RequestId,
         /// The shard that it reads.
         shard: u32,
-        /// Its share of the step's weight.
+        /// Its share of the weight of the step.
         weight: f64,
     },
     /// An attempt ended.
     AttemptEnded {
         /// The part.
         part: RequestId,
-        /// Number of the attempt.
+        /// Attempt number.
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         latency: Duration,
-        /// Whether the part is over: no attempt of it may follow.
+        /// Whether no further attempt at the part is allowed.
         closed: bool,
-        /// The load report that came with it.
+        /// The load report of the answer.
         report: Option<LoadReport>,
     },
     /// The client of a query stopped waiting.
@@ -304,53 +305,53 @@
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The load report that came with it.
+        /// The load report of the answer.
         report: Option<LoadReport>,
     },
-    /// Another router on the same machine could not connect to this server.
+    /// Another router on the same machine failed to connect to this server.
     Unreachable {
         /// The server.
         server: ServerId,
     },
-    /// The load that the other routers have on a server, as they publish it.
+    /// The load of the other routers on a server, as published by them.
     PeerLoad {
         /// The server.
         server: ServerId,
-        /// Their parts in flight there, over all of them.
+        /// Number of their parts in flight there, in total.
         in_flight: f64,
-        /// Age of the oldest update in that sum.
+        /// Age of the oldest published value in that total.
         age: Duration,
     },
-    /// A wake-up that the router asked for is due.
+    /// A wake-up that the router requested is due.
     Wake,
-    /// All events of this turn have been handed over: the router decides now.
+    /// All events of this turn have been handled; the router makes its decisions now.
     TurnEnded,
 }
 
-/// Why a query was rejected or failed.
+/// Reason for rejecting or failing a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// There is more load than can be served in time.
+    /// The load is higher than can be served in time.
     Overloaded,
-    /// No server in service holds one of its shards.
+    /// No usable server holds one of its shards.
     NoHost,
-    /// An answer would no longer be of use.
+    /// An answer would be too late to be useful.
     TooLate,
-    /// Parts that it needs failed and may not be sent again.
+    /// Parts that the answer needs have failed and may not be sent again.
     PartsLost,
 }
 
 /// An output of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a part to a server. The attempts of a part are numbered from 0 in the order of these
+    /// Send a part to a server. The attempts at a part are numbered from 0 in the order of these
     /// actions.
     Send {
         /// The part.
         part: RequestId,
         /// The server.
         server: ServerId,
-        /// The attempt times out after this.
+        /// Time after which the attempt times out.
         timeout: Duration,
     },
     /// Cancel an attempt.
@@ -360,7 +361,7 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Answer a query from the parts that have been answered.
+    /// Answer a query from its answered parts.
     Answer {
         /// The query.
         query: RequestId,
@@ -371,18 +372,18 @@
     Reject {
         /// The query.
         query: RequestId,
-        /// When the client should retry.
+        /// Time after which the client should retry; `None` for no hint.
         retry_after: Option<Duration>,
-        /// Why.
+        /// The reason.
         cause: Cause,
     },
-    /// Fail a query: it may have taken effect.
+    /// Fail a query: it may have taken effect, so a retry may do harm.
     Fail {
         /// The query.
         query: RequestId,
-        /// When the client should retry.
+        /// Time after which the client should retry; `None` for no hint.
         retry_after: Option<Duration>,
-        /// Why.
+        /// The reason.
         cause: Cause,
     },
     /// Probe a server (health check).
@@ -390,7 +391,7 @@
         /// The server.
         server: ServerId,
     },
-    /// Close the unused connections to a server, so that the next send opens a new one.
+    /// Close the idle connections to a server, so that the next send opens a new one.
     CloseIdleConnections {
         /// The server.
         server: ServerId,
@@ -399,7 +400,7 @@
     Subscribe,
     /// Wake the router after this time.
     Wake {
-        /// How long from now.
+        /// Time from now.
         after: Duration,
     },
 }
