--- a/crates/coordinator/src/bin/fennelpin-adapter/adapter.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/adapter.rs
@@ -1,8 +1,8 @@
-//! The instances, and the batches of events that the simulator sends them.
+//! The router instances, and the processing of batches of events for them.
 
 use crate::error::{InputError, WireError};
 use crate::fields::Fields;
-use crate::wire::{self, RawEntry, WireNames};
+use crate::wire::{self, RawServerEntry, WireNames};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use coordinator::core::settings::from_ms;
 use coordinator::peers::LoadPublisher;
@@ -12,29 +12,29 @@
 use std::io::{self, BufRead, Write};
 use std::time::Duration;
 
-/// One router with its names.
+/// One router, with the names that the simulator uses for its objects.
 struct Instance {
     router: Router,
     names: WireNames,
     load_publisher: Option<LoadPublisher>,
-    /// What the router asked for in this batch so far.
+    /// Actions of the router in this batch so far.
     actions: Vec<Action>,
-    /// Whether the batch had an event for it: only then its turn ends with the batch.
+    /// Whether the batch had an event for this instance. Only then does its turn end with the batch.
     has_events: bool,
 }
 
-/// All instances, and the server lists by the slot that they were sent for.
+/// All instances by their number, and the server lists by their slot.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u32, Instance>,
-    lists: BTreeMap<u32, Vec<RawEntry>>,
+    lists: BTreeMap<u32, Vec<RawServerEntry>>,
 }
 
 impl Adapter {
-    /// Plays batches until the input ends, and writes the replies.
+    /// Processes batches until the input ends, and writes the replies.
     ///
     /// # Errors
-    /// If a line can't be read, the input ends within a batch, or the output fails.
+    /// If a message is invalid, the input ends within a batch, or the output fails.
     pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), InputError> {
         let mut now = None;
         let mut line_number = 0u64;
@@ -42,8 +42,8 @@
         while let Some(line) = lines.next() {
             line_number += 1;
             let rows = &mut (&mut lines).inspect(|_| line_number += 1);
-            let step = self.handle_line(&line, rows, &mut now, &mut output);
-            step.map_err(|error| InputError {
+            let handled = self.handle_line(&line, rows, &mut now, &mut output);
+            handled.map_err(|error| InputError {
                 line: line_number,
                 error,
             })?;
@@ -51,13 +51,13 @@
         if now.is_some() {
             return Err(InputError {
                 line: line_number,
-                error: WireError::BatchCutShort,
+                error: WireError::TruncatedBatch,
             });
         }
         Ok(())
     }
 
-    /// Handles a line within or outside a batch. `now` is the time of the batch, if there is one.
+    /// Handles a line. `now` is the time of the current batch, or `None` outside a batch.
     fn handle_line(
         &mut self,
         line: &str,
@@ -66,7 +66,7 @@
         output: &mut impl Write,
     ) -> Result<(), WireError> {
         let mut fields = Fields::new(line);
-        match (fields.word(), *now) {
+        match (fields.message_type(), *now) {
             ("frame", None) => *now = Some(from_ms(fields.number("clock")?)),
             ("over_to_you", Some(clock)) => {
                 let mut reply = String::new();
@@ -77,7 +77,7 @@
                 output.flush()?;
             }
             ("", None) => {}
-            (word, None) => return Err(WireError::OutsideBatch(word.to_owned())),
+            (message_type, None) => return Err(WireError::OutsideBatch(message_type.to_owned())),
             (_, Some(clock)) => self.handle_message(clock, &mut fields, rows)?,
         }
         Ok(())
@@ -89,26 +89,26 @@
         fields: &mut Fields,
         rows: &mut dyn Iterator<Item = String>,
     ) -> Result<(), WireError> {
-        if fields.word() == "snapshot_rows" {
-            return self.read_list(fields, rows);
+        if fields.message_type() == "snapshot_rows" {
+            return self.read_server_list(fields, rows);
         }
-        let who: u32 = fields.value("who")?;
-        match fields.word() {
+        let instance_id: u32 = fields.value("who")?;
+        match fields.message_type() {
             "start" => {
                 let instance = Instance::start(now, fields)?;
-                self.instances.insert(who, instance);
+                self.instances.insert(instance_id, instance);
                 return Ok(());
             }
             "exit" => {
-                self.instances.remove(&who);
+                self.instances.remove(&instance_id);
                 return Ok(());
             }
             _ => {}
         }
-        let Some(instance) = self.instances.get_mut(&who) else {
+        let Some(instance) = self.instances.get_mut(&instance_id) else {
             return Ok(());
         };
-        let event = match fields.word() {
+        let event = match fields.message_type() {
             "memo" => {
                 instance.receive_gossip(now, fields)?;
                 None
@@ -129,8 +129,8 @@
         Ok(())
     }
 
-    /// Reads a server list with its rows, which follow on lines of their own.
-    fn read_list(
+    /// Reads a server list. Its entries follow on separate lines.
+    fn read_server_list(
         &mut self,
         fields: &mut Fields,
         rows: &mut dyn Iterator<Item = String>,
@@ -139,29 +139,29 @@
         let count: usize = fields.value("elements")?;
         let mut entries = Vec::new();
         for _ in 0..count {
-            let row = rows.next().ok_or(WireError::ListCutShort)?;
-            entries.push(wire::read_entry(&mut Fields::new(&row))?);
+            let row = rows.next().ok_or(WireError::TruncatedServerList)?;
+            entries.push(wire::read_server_entry(&mut Fields::new(&row))?);
         }
         self.lists.insert(slot, entries);
         Ok(())
     }
 
     fn end_turn(&mut self, now: Duration, reply: &mut String) {
-        for (who, instance) in &mut self.instances {
+        for (instance_id, instance) in &mut self.instances {
             if instance.has_events {
-                instance.end_turn(*who, now, reply);
+                instance.end_turn(*instance_id, now, reply);
             }
         }
     }
 }
 
 impl Instance {
-    /// Reads a `start`.
+    /// Creates an instance from a `start` message.
     fn start(now: Duration, fields: &mut Fields) -> Result<Self, WireError> {
         let seed: i128 = fields.value("nonce64")?;
         let (settings, names) = wire::read_settings(fields.tail("options")?)?;
         let router = Router::new(settings, seed as u64);
-        // Instances start anew with the clock further on: a later incarnation has a larger number.
+        // The clock advances between restarts of an instance, so a later incarnation has a larger number.
         let incarnation = now.as_micros() as u64;
         let load_publisher = names
             .gossip
@@ -177,7 +177,7 @@
 
     fn receive_gossip(&mut self, now: Duration, fields: &mut Fields) -> Result<(), WireError> {
         let from = fields.value("author")?;
-        // What can't be decoded is a peer's fault, and no reason to stop.
+        // An undecodable datagram is the fault of a peer, and no reason to stop.
         let datagram = STANDARD.decode(fields.text("blob")?).unwrap_or_default();
         if let Some(publisher) = &mut self.load_publisher {
             let _ = publisher.receive(now, from, &datagram);
@@ -185,8 +185,8 @@
         Ok(())
     }
 
-    /// Lets the router decide; writes its gossip and its actions.
-    fn end_turn(&mut self, who: u32, now: Duration, reply: &mut String) {
+    /// Ends the turn of the router, and writes its gossip and its actions.
+    fn end_turn(&mut self, instance_id: u32, now: Duration, reply: &mut String) {
         let (router, names, actions) = (&mut self.router, &self.names, &mut self.actions);
         if let Some(publisher) = &mut self.load_publisher {
             publisher.report_peer_loads(now, router, actions);
@@ -197,10 +197,10 @@
         });
         if let Some(update) = update {
             let blob = STANDARD.encode(update.bytes());
-            writeln!(reply, "broadcast_to {who} all {blob}").expect("writing to a string");
+            writeln!(reply, "broadcast_to {instance_id} all {blob}").expect("writing to a string");
         }
         for action in actions.drain(..) {
-            names.write_action(who, &action, reply);
+            names.write_action(instance_id, &action, reply);
         }
         self.has_events = false;
     }
--- a/crates/coordinator/src/bin/fennelpin-adapter/fields.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/fields.rs
@@ -1,29 +1,32 @@
-//! The values of one line of the input, separated by spaces; `-` stands for an absent one.
+//! Parsing of an input line: a message type and its values, separated by spaces. `-` stands for an
+//! absent value.
 
 use crate::error::WireError;
 use std::str::FromStr;
 
-/// The values of one line, read in order.
+/// The message type of one line, and its values, read in order.
 pub struct Fields<'a> {
-    word: &'a str,
+    message_type: &'a str,
     rest: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits the message's word off a line.
+    /// Splits the message type off a line.
     pub fn new(line: &'a str) -> Self {
-        let (word, rest) = line
+        let (message_type, rest) = line
             .split_once(' ')
-            .map_or((line, None), |(word, rest)| (word, Some(rest)));
-        Self { word, rest }
+            .map_or((line, None), |(message_type, rest)| {
+                (message_type, Some(rest))
+            });
+        Self { message_type, rest }
     }
 
-    /// The message's word.
-    pub fn word(&self) -> &'a str {
-        self.word
+    /// Returns the message type.
+    pub fn message_type(&self) -> &'a str {
+        self.message_type
     }
 
-    /// The next value as text; `None` if it is absent.
+    /// Reads the next value as text; `None` if it is absent.
     pub fn optional(&mut self) -> Option<&'a str> {
         let line = self.rest?;
         let (value, rest) = line
@@ -33,12 +36,12 @@
         (value != "-").then_some(value)
     }
 
-    /// Skips a value.
+    /// Skips the next value.
     pub fn skip(&mut self) {
         self.optional();
     }
 
-    /// The next value as text.
+    /// Reads the next value as text.
     ///
     /// # Errors
     /// If it is absent.
@@ -49,35 +52,35 @@
         }
     }
 
-    /// The next value, parsed.
+    /// Reads and parses the next value.
     ///
     /// # Errors
     /// If it is absent or can't be parsed.
     pub fn value<T: FromStr>(&mut self, field: &'static str) -> Result<T, WireError> {
         let text = self.text(field)?;
         text.parse().map_err(|_| WireError::Unreadable {
-            message: self.word.to_owned(),
+            message: self.message_type.to_owned(),
             field,
             text: text.to_owned(),
         })
     }
 
-    /// The next value, a finite number.
+    /// Reads the next value as a finite number.
     ///
     /// # Errors
-    /// If it is absent, no number or not finite.
+    /// If it is absent, not a number or not finite.
     pub fn number(&mut self, field: &'static str) -> Result<f64, WireError> {
         let number: f64 = self.value(field)?;
         if !number.is_finite() {
             return Err(WireError::NotFinite {
-                message: self.word.to_owned(),
+                message: self.message_type.to_owned(),
                 field,
             });
         }
         Ok(number)
     }
 
-    /// All that is left of the line.
+    /// Reads the rest of the line.
     ///
     /// # Errors
     /// If nothing is left.
@@ -87,7 +90,7 @@
 
     fn missing(&self, field: &'static str) -> WireError {
         WireError::Missing {
-            message: self.word.to_owned(),
+            message: self.message_type.to_owned(),
             field,
         }
     }
--- a/crates/coordinator/src/bin/fennelpin-adapter/main.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/main.rs
@@ -1,4 +1,5 @@
-//! The simulator's adapter: one router for each instance, batches of events in, replies out.
+//! Adapter that lets the simulator drive routers: it reads batches of events for any number of router
+//! instances from standard input, and writes their replies to standard output.
 
 mod adapter;
 mod error;
--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: lines of text to events, actions to lines, the settings from JSON. Decides
-//! nothing.
+//! Text protocol of the simulator: parses lines into events and settings from JSON, and writes
+//! actions as lines.
 
 use crate::error::WireError;
 use crate::fields::Fields;
@@ -14,15 +14,15 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Bit of a query's flags that marks a client's retry.
+/// Bit in the flags of a query that marks a client's retry.
 const RETRY_FLAG: u32 = 2;
 
-/// The names on the wire of one instance and the numbers that the decision module knows them by.
-/// Nothing here is shared between instances.
+/// Mapping between the names that the simulator uses for the objects of one instance and the ids that
+/// the decision module uses. It is not shared between instances.
 #[derive(Default)]
 pub struct WireNames {
     requests: NameTable,
-    /// Queries by their number on the wire.
+    /// Ids of queries by the simulator's query number.
     queries: HashMap<String, RequestId>,
     servers: NameTable,
     zones: NameTable,
@@ -30,12 +30,12 @@
     tenants: Vec<String>,
     report_values: Vec<String>,
     clients_mark_retries: bool,
-    /// How instances may publish their load to each other, if they may.
+    /// Settings for publishing load to other instances; `None` if that is off.
     pub gossip: Option<GossipSettings>,
 }
 
-/// An entry of a server list, not yet in any instance's numbers.
-pub struct RawEntry {
+/// An entry of a server list, with the simulator's names.
+pub struct RawServerEntry {
     node: String,
     zone: String,
     cell: u32,
@@ -43,31 +43,31 @@
     started_at_ms: Option<f64>,
 }
 
-/// Reads the settings of a `start`.
+/// Reads the settings of a `start` message.
 ///
 /// # Errors
 /// See [`settings::read`].
 pub fn read_settings(json: &str) -> Result<(RouterSettings, WireNames), WireError> {
-    let site = settings::read(json)?;
+    let parsed = settings::read(json)?;
     let names = WireNames {
-        zones: site.zones,
-        classes: site.classes,
-        tenants: site.tenants,
-        report_values: site.report_values,
-        clients_mark_retries: site.clients_mark_retries,
-        gossip: site.talk,
+        zones: parsed.zones,
+        classes: parsed.classes,
+        tenants: parsed.tenants,
+        report_values: parsed.report_values,
+        clients_mark_retries: parsed.clients_mark_retries,
+        gossip: parsed.talk,
         ..WireNames::default()
     };
-    Ok((site.router, names))
+    Ok((parsed.router, names))
 }
 
-/// Reads an `m` line: an entry of a server list.
+/// Reads an `m` message: an entry of a server list.
 ///
 /// # Errors
-/// If it is another line, or a value is missing or unreadable.
-pub fn read_entry(fields: &mut Fields) -> Result<RawEntry, WireError> {
-    if fields.word() != "m" {
-        return Err(WireError::EntryExpected(fields.word().to_owned()));
+/// If it is another message, or a value is missing or invalid.
+pub fn read_server_entry(fields: &mut Fields) -> Result<RawServerEntry, WireError> {
+    if fields.message_type() != "m" {
+        return Err(WireError::EntryExpected(fields.message_type().to_owned()));
     }
     let node = fields.text("node")?.to_owned();
     let zone = fields.text("area")?.to_owned();
@@ -84,7 +84,7 @@
         .optional()
         .and_then(|ms| ms.parse().ok())
         .filter(|ms| *ms > 0.0);
-    Ok(RawEntry {
+    Ok(RawServerEntry {
         node,
         zone,
         cell,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Reads how an attempt or a probe ended, a status code.
+/// Reads the outcome of an attempt or a probe from its status code.
 fn read_outcome(fields: &mut Fields, message: &'static str) -> Result<Outcome, WireError> {
     Ok(match fields.text("how")? {
         "200" => Outcome::Ok,
@@ -117,11 +117,15 @@
 }
 
 impl WireNames {
-    /// The update of the server list for this instance.
+    /// Builds an update of the server list for this instance.
     ///
     /// # Errors
-    /// If the kind of list is unknown.
-    pub fn server_list(&mut self, kind: &str, raw: &[RawEntry]) -> Result<Event, WireError> {
+    /// If the kind of update is unknown.
+    pub fn server_list(
+        &mut self,
+        kind: &str,
+        raw_entries: &[RawServerEntry],
+    ) -> Result<Event, WireError> {
         let kind = match kind {
             "0" => ListKind::Changes,
             "1" => ListKind::Full,
@@ -131,33 +135,32 @@
         };
         let mut entries = Vec::new();
         if kind != ListKind::Failed {
-            entries.extend(raw.iter().map(|entry| self.server_entry(entry)));
+            entries.extend(raw_entries.iter().map(|entry| self.server_entry(entry)));
         }
         Ok(Event::ServerList { kind, entries })
     }
 
-    fn server_entry(&mut self, raw: &RawEntry) -> ServerEntry {
+    fn server_entry(&mut self, raw_entry: &RawServerEntry) -> ServerEntry {
         ServerEntry {
-            server: ServerId(self.servers.number_or_insert(&raw.node)),
-            zone: ZoneId(self.zones.number_or_insert(&raw.zone)),
-            cell: raw.cell,
-            state: raw.state,
-            started_at: raw.started_at_ms.map(from_ms),
+            server: ServerId(self.servers.number_or_insert(&raw_entry.node)),
+            zone: ZoneId(self.zones.number_or_insert(&raw_entry.zone)),
+            cell: raw_entry.cell,
+            state: raw_entry.state,
+            started_at: raw_entry.started_at_ms.map(from_ms),
         }
     }
 
-    /// The name of a server.
+    /// Returns the simulator's name of a server.
     pub fn server(&self, id: ServerId) -> &str {
         self.servers.name(id.0)
     }
 
-    /// Reads an event of a running instance; `None` for one that doesn't concern the decision
-    /// module.
+    /// Reads an event of a running instance; `None` if it doesn't concern the decision module.
     ///
     /// # Errors
-    /// If the event is unknown, or a value is missing or unreadable.
+    /// If the event is unknown, or a value is missing or invalid.
     pub fn read_event(&mut self, fields: &mut Fields) -> Result<Option<Event>, WireError> {
-        match fields.word() {
+        match fields.message_type() {
             "job_in" => self.read_query_or_part(fields),
             "attempt_end" => self.read_attempt_end(fields),
             "withdrawn" => {
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Reads a query, or with a shard of 0 and above a part of one.
+    /// Reads a query, or a part of one if the shard is not negative.
     fn read_query_or_part(&mut self, fields: &mut Fields) -> Result<Option<Event>, WireError> {
         let xid = fields.text("xid")?;
         let class = self.class(fields.text("band")?)?;
@@ -264,9 +267,9 @@
         load_report(names.zip(row?.split(',')))
     }
 
-    /// Writes an action of an instance as a line.
-    pub fn write_action(&self, instance: u32, action: &Action, out: &mut String) {
-        let who = instance;
+    /// Appends an action of an instance to `out` as a line.
+    pub fn write_action(&self, instance_id: u32, action: &Action, out: &mut String) {
+        let instance = instance_id;
         let written = match action {
             Action::Send {
                 part,
@@ -274,35 +277,39 @@
                 timeout,
             } => {
                 let (xid, ms, node) = (self.request(*part), to_ms(*timeout), self.server(*server));
-                writeln!(out, "submit_to {who} {xid} {ms} {node}")
+                writeln!(out, "submit_to {instance} {xid} {ms} {node}")
             }
             Action::Cancel { part, attempt } => {
-                writeln!(out, "withdraw {who} {} {attempt}", self.request(*part))
+                writeln!(out, "withdraw {instance} {} {attempt}", self.request(*part))
             }
             Action::Answer { query, complete } => {
                 let complete = u8::from(*complete);
-                writeln!(out, "wrap_up {who} {} {complete}", self.request(*query))
+                writeln!(
+                    out,
+                    "wrap_up {instance} {} {complete}",
+                    self.request(*query)
+                )
             }
             Action::Reject {
                 query, retry_after, ..
             } => {
                 let after = retry_after.map_or("-".to_owned(), |d| to_ms(d).to_string());
-                writeln!(out, "push_back {who} {} {after}", self.request(*query))
+                writeln!(out, "push_back {instance} {} {after}", self.request(*query))
             }
             Action::Fail { query, .. } => {
-                writeln!(out, "finish_error {who} {}", self.request(*query))
+                writeln!(out, "finish_error {instance} {}", self.request(*query))
             }
-            Action::Probe { server } => writeln!(out, "sample {who} {}", self.server(*server)),
+            Action::Probe { server } => writeln!(out, "sample {instance} {}", self.server(*server)),
             Action::CloseIdleConnections { server } => {
-                writeln!(out, "release {who} {}", self.server(*server))
+                writeln!(out, "release {instance} {}", self.server(*server))
             }
-            Action::Subscribe => writeln!(out, "keep_informed {who} 1"),
-            Action::Wake { after } => writeln!(out, "arm {who} {} tick", to_ms(*after)),
+            Action::Subscribe => writeln!(out, "keep_informed {instance} 1"),
+            Action::Wake { after } => writeln!(out, "arm {instance} {} tick", to_ms(*after)),
         };
         written.expect("writing to a string");
     }
 
-    /// The name of a query or part. Its number was given out here, so it fits.
+    /// Returns the simulator's name of a query or part. Its id was assigned here, so it is in range.
     fn request(&self, id: RequestId) -> &str {
         u32::try_from(id.0).map_or("", |number| self.requests.name(number))
     }
--- a/crates/coordinator/tests/adapter.rs
+++ b/crates/coordinator/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process, on small batches written by hand.
+//! Tests of the adapter process on small batches written by hand.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -8,7 +8,7 @@
 "classes":[{"name":"get","goal_time":1000.0,"hard_limit":3000.0,"idempotency":"retryable"}],
 "family_info":{"sets":1,"width":1},"stats":{"how":"piggyback","names":["busy_reqs"]},"service_type":"fanout"}"#;
 
-/// Runs the adapter on an input: its standard output, its standard error, and whether it ended well.
+/// Runs the adapter on an input. Returns its standard output, its standard error, and whether it exited successfully.
 fn run(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_fennelpin-adapter"))
         .stdin(Stdio::piped())
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn only_instances_with_an_event_act_and_a_stopped_one_never() {
+fn only_instances_with_an_event_act_and_an_exited_one_does_not() {
     let both = format!("frame 1.0\n{}{}over_to_you\n", start(1), start(2));
     let (out, _, _) = run(&format!(
         "{both}frame 2.0\nexit 1\n{}over_to_you\n",
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn instances_with_the_same_events_act_alike() {
+fn instances_with_the_same_events_return_the_same_actions() {
     let batch = format!("frame 1.0\n{}{}over_to_you\n", start(1), query(1, "q", "p"));
     let two = format!(
         "frame 1.0\n{}{}{}{}over_to_you\n",
@@ -91,17 +91,20 @@
         query(2, "q2", "p2"),
         query(1, "q", "p")
     );
-    let own = |out: String| {
+    let actions_of_instance_1 = |out: String| {
         out.lines()
             .filter(|l| l.contains(" 1 "))
             .map(String::from)
             .collect::<Vec<_>>()
     };
-    assert_eq!(own(run(&batch).0), own(run(&two).0));
+    assert_eq!(
+        actions_of_instance_1(run(&batch).0),
+        actions_of_instance_1(run(&two).0)
+    );
 }
 
 #[test]
-fn malformed_input_is_named_in_one_line() {
+fn malformed_input_is_reported_in_one_line() {
     let cases = [
         ("frame x\n", "line 1: frame: 'clock'"),
         (
@@ -110,12 +113,9 @@
         ),
         (
             "frame 1.0\nsnapshot_rows 0 1\nover_to_you\n",
-            "an 'm' line is missing",
-        ),
-        (
-            "submit_to 1\n",
-            "line 1: 'submit_to' stands outside a batch",
+            "expected an 'm' line, found 'over_to_you'",
         ),
+        ("submit_to 1\n", "line 1: 'submit_to' is outside a batch"),
     ];
     for (input, message) in cases {
         let (out, err, ok) = run(input);
@@ -126,35 +126,35 @@
     assert!(
         run(&event)
             .1
-            .contains("line 6: attempt_end: 'how' can't be '999'"),
+            .contains("line 6: attempt_end: 'how' has the unknown value '999'"),
         "{}",
         run(&event).1
     );
 }
 
-/// Bit 2 of a query marks a client's repeat, where clients mark them at all.
+/// Bit 2 in the flags of a query marks a client's retry, if clients mark retries at all.
 #[test]
 fn a_clients_retry_mark_reaches_the_router() {
-    for (marks, bits, action) in [
+    for (marks, flags, action) in [
         (true, 3, "push_back"),
         (true, 1, "submit_to"),
         (false, 3, "push_back"),
     ] {
         let clients = format!("\"clients\":{{\"marks_retry\":{marks}}},\"step\"");
         let settings = start(1).replace("\"step\"", &clients);
-        // 1.5 s of 3 s are left: as a repeat it missed its goal; unmarked it is a first try. Where marks
-        // say nothing the usual length decides, here that of a try before.
-        let (usual, odd) = (query(1, "q0", "p0"), query(1, "q", "p"));
-        let odd = odd
+        // 1.5 s of 3 s are left: a retry has missed its latency target, and an unmarked attempt is a first one. If clients
+        // don't mark retries the typical timeout decides, here that of the query before.
+        let (earlier_query, short_query) = (query(1, "q0", "p0"), query(1, "q", "p"));
+        let short_query = short_query
             .replace("4000.0", "2500.0")
-            .replace("-1 1 0", &format!("-1 1 {bits}"));
+            .replace("-1 1 0", &format!("-1 1 {flags}"));
         let (out, err, _) = run(&format!(
-            "frame 1000.0\n{settings}{usual}{odd}over_to_you\n"
+            "frame 1000.0\n{settings}{earlier_query}{short_query}over_to_you\n"
         ));
         let id = if action == "submit_to" { "p " } else { "q " };
         assert!(
             out.contains(&format!("{action} 1 {id}")),
-            "{marks} {bits}: {out}{err}"
+            "{marks} {flags}: {out}{err}"
         );
     }
 }
