--- a/crates/coordinator/tests/decision/admission.rs
+++ b/crates/coordinator/tests/decision/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control and forecasts.
+//! Admission control and its forecasts.
 
 use crate::harness::*;
 use coordinator::*;
@@ -15,8 +15,8 @@
     assert!(matches!(out[..], [Action::Reject { query, retry_after: Some(_), .. }] if query == id));
 }
 
-/// Once, parts that waited here for a server that rejects were not part of the forecast: ever more queries were
-/// admitted, and all of them were too late.
+/// Guards against forecasts that ignore the parts waiting in the router for a server that rejects. More and more
+/// queries would be admitted, and all of them would be late.
 #[test]
 fn parts_that_wait_for_capacity_count_in_the_forecast() {
     let mut harness = Harness::new(RouterSettings {
@@ -27,41 +27,42 @@
     harness.run_turn(vec![entry_changed(1, ServerState::Gone, None)]);
     let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
     harness.end_attempt(parts[0], 0, Outcome::Rejected, 0.0);
-    let refused = (0..80).filter(|_| {
+    let rejected = (0..80).filter(|_| {
         let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
         final_actions(&out, id) == 1
     });
-    let refused = refused.count();
-    assert!((20..80).contains(&refused), "{refused} of 80 refused");
+    let rejected = rejected.count();
+    assert!((20..80).contains(&rejected), "{rejected} of 80 rejected");
 }
 
-/// Once, queries were admitted of which three parts were answered and the fourth could not be in time.
+/// Guards against admitting queries whose slowest part can't be answered in time.
 #[test]
 fn a_query_is_forecast_by_its_slowest_part() {
     let mut harness = with_part_times(settings(), 320);
     // Both servers of shard 2 get two parts each.
     (0..4).for_each(|_| drop(harness.submit_query(0, &[(2, 1.0)])));
     harness.client_wait = 500;
-    let (bad, _, _) = harness.submit_query(0, &[(0, 0.25), (0, 0.25), (0, 0.25), (2, 0.25)]);
-    let (good, _, _) = harness.submit_query(0, &[(0, 0.25), (0, 0.25), (0, 0.25), (0, 0.25)]);
+    let (late_query, _, _) = harness.submit_query(0, &[(0, 0.25), (0, 0.25), (0, 0.25), (2, 0.25)]);
+    let (timely_query, _, _) =
+        harness.submit_query(0, &[(0, 0.25), (0, 0.25), (0, 0.25), (0, 0.25)]);
     assert_eq!(
         (
-            final_actions(&harness.log, good),
-            final_actions(&harness.log, bad)
+            final_actions(&harness.actions, timely_query),
+            final_actions(&harness.actions, late_query)
         ),
         (0, 1)
     );
 }
 
-/// Once, first attempts that a pause of the process had held up were taken for retries, which have most of their time
-/// behind them: the first burst after a start was rejected.
+/// Guards against taking first attempts that were delayed by a pause of the process for retries, which have little time
+/// left. The first burst after a start was rejected that way.
 #[test]
-fn queries_when_held_up_by_a_pause_of_the_process_are_still_first_attempts() {
+fn queries_delayed_by_a_pause_of_the_process_are_still_first_attempts() {
     let mut harness = Harness::new(settings());
     harness.client_wait = 2000;
     harness.waited = Some(0);
     harness.submit_query(0, &[(2, 1.0)]);
-    // Too short for the router to notice that it stood still.
+    // Too short for the router to detect the pause.
     harness.now += 90;
     harness.waited = Some(90);
     for _ in 0..7 {
@@ -70,8 +71,8 @@
     }
 }
 
-/// The only server of shard 0 answers a burst fast, and another one after a tenth of a second, in which either the router
-/// or the server stood still. How many of eight queries are admitted two seconds later.
+/// The only server of shard 0 answers one burst fast and another one after 100 ms, in which either the router or the
+/// server was paused. Returns how many of eight queries are admitted two seconds later.
 fn admitted_after_a_pause(of_the_router: bool) -> usize {
     let mut harness = Harness::new(settings());
     harness.run_turn(vec![entry_changed(1, ServerState::Gone, None)]);
@@ -96,22 +97,23 @@
     admitted.count()
 }
 
-/// Once, how long a part had been waited for went into what is learned of its server, however many times the usual that
-/// was: after one pause of the process the only server of a shard counted as overloaded for seconds.
+/// Guards against an unbounded effect of one long latency on a server's latency ratio. After one pause of the process
+/// the only server of a shard counted as overloaded for seconds.
 #[test]
-fn queries_when_answers_waited_out_a_pause_of_the_process_are_admitted_after_it() {
+fn queries_after_a_pause_of_the_process_that_delayed_answers_are_admitted() {
     assert_eq!(admitted_after_a_pause(true), 8);
 }
 
-/// The same for a pause of the server, which is evidence against it, but within bounds.
+/// The same for a pause of the server, which is evidence against it, but with a bounded effect.
 #[test]
-fn queries_when_a_server_was_slow_once_are_mostly_admitted_after_it() {
+fn queries_after_a_single_pause_of_a_server_are_mostly_admitted() {
     assert!(admitted_after_a_pause(false) >= 4);
 }
 
-/// Once, a router that was paused while its first answers came learned nothing of them, and rejected by a guess.
+/// Guards against a router that ignores its first answers because it was paused when they came, and then rejects queries
+/// by its default estimate.
 #[test]
-fn queries_when_all_answers_so_far_waited_out_a_pause_of_the_process_are_admitted() {
+fn queries_are_admitted_when_all_answers_so_far_were_delayed_by_a_pause_of_the_process() {
     let mut harness = Harness::new(settings());
     harness.run_turn(vec![entry_changed(1, ServerState::Gone, None)]);
     let burst: Vec<RequestId> = (0..4)
@@ -127,10 +129,10 @@
     }
 }
 
-/// The share of the time left that suits one fleet overloads another.
+/// A share of the useful time that is suitable for one fleet overloads another, so the share adapts.
 #[test]
 fn queries_that_miss_their_latency_target_make_admission_stricter() {
-    for (last, refused) in [(550, 0), (1100, 1)] {
+    for (last, rejected) in [(550, 0), (1100, 1)] {
         let mut harness = with_part_times(
             RouterSettings {
                 classes: vec![QueryClass {
@@ -149,24 +151,25 @@
                 .iter()
                 .for_each(|p| drop(harness.answer_part(*p, 0, 500)));
             harness.run_until(harness.now + last - 500);
-            // Only its end is late, as if delayed on its way, so that part times stay the same.
+            // The answer arrives late but with the usual latency, so that part times stay the same.
             harness.answer_part(parts[7], 0, 500);
         }
         (0..16).for_each(|_| drop(harness.submit_query(0, &[(0, 1.0)])));
         let (id, _, _) = harness.submit_query(0, &[(0, 1.0)]);
         assert_eq!(
-            final_actions(&harness.log, id),
-            refused,
+            final_actions(&harness.actions, id),
+            rejected,
             "last part after {last} ms"
         );
     }
 }
 
-/// Once, 8% were rejected by a forecast past the target though a late answer still earned.
+/// Guards against rejecting queries that are forecast past the latency target although a late answer still earns
+/// something; 8% were rejected that way.
 #[test]
-fn a_query_that_earns_late_is_admitted_though_it_may_be_late() {
-    // Among many routers each learns late of what all do: there it is left out.
-    for (late_value, routers, refused) in [(0.0, 2, 1), (0.8, 2, 0), (0.8, 100, 1)] {
+fn a_query_whose_late_answer_has_value_is_admitted_though_it_may_be_late() {
+    // Among many routers each learns late of the decisions of the others, so there late answers don't count.
+    for (late_value, routers, rejected) in [(0.0, 2, 1), (0.8, 2, 0), (0.8, 100, 1)] {
         let classes = vec![QueryClass {
             late_value,
             ..class()
@@ -183,27 +186,27 @@
         (0..8).for_each(|_| drop(harness.submit_query(0, &[(2, 1.0)])));
         let (id, _, _) = harness.submit_query(0, &[(2, 1.0)]);
         assert_eq!(
-            final_actions(&harness.log, id),
-            refused,
+            final_actions(&harness.actions, id),
+            rejected,
             "late value {late_value}, {routers} routers"
         );
     }
 }
 
-/// Once, a class of value five for four parts was rejected as often as one of value one.
+/// Guards against rejecting a class of value five for four parts as often as one of value one.
 #[test]
 fn in_congestion_the_query_of_more_value_for_its_work_is_admitted() {
     let cases = [
         (5.0, false, 1, 320, 2, (1, 0)),
         // Without congestion both are admitted.
         (5.0, false, 1, 100, 2, (0, 0)),
-        // One part where others had four: of more value for its work, unless the value counts by work.
+        // One part where others had four: more value for its work, unless the value is by work.
         (1.0, false, 4, 320, 2, (0, 0)),
         (1.0, true, 4, 320, 2, (1, 1)),
-        // Among many routers each of which would prefer the same, none does.
+        // Among many routers, which would all prefer the same query, value does not count.
         (5.0, false, 1, 320, 100, (1, 1)),
     ];
-    for (value, value_by_work, parts, latency, routers, ends) in cases {
+    for (value, value_by_work, parts, latency, routers, expected_final_actions) in cases {
         let classes = vec![class(), QueryClass { value, ..class() }];
         let mut harness = with_part_times(
             RouterSettings {
@@ -227,20 +230,20 @@
         let (first, _, _) = harness.submit_query(0, &[(2, 1.0)]);
         let (second, _, _) = harness.submit_query(1, &[(2, 1.0)]);
         let ended = (
-            final_actions(&harness.log, first),
-            final_actions(&harness.log, second),
+            final_actions(&harness.actions, first),
+            final_actions(&harness.actions, second),
         );
         let case = format!(
             "value {value}, by work {value_by_work}, {parts} parts, {latency} ms, {routers}"
         );
-        assert_eq!(ended, ends, "{case}");
+        assert_eq!(ended, expected_final_actions, "{case}");
     }
 }
 
-/// What many routers admit adds up, and each learns late of it.
+/// Among many routers the admitted queries of all add up, and each router learns of them late.
 #[test]
-fn among_many_routers_each_admits_less_though_all_is_in_time() {
-    let taken = |routers: u32| {
+fn among_many_routers_each_admits_less_though_all_queries_end_in_time() {
+    let count_admitted = |routers: u32| {
         let mut harness = with_part_times(
             RouterSettings {
                 routers,
@@ -259,6 +262,14 @@
             .take_while(|_| sends(&harness.submit_query(0, &[(2, 1.0)]).2).len() == 1)
             .count()
     };
-    assert!(taken(8) > taken(9), "{} {}", taken(8), taken(9));
-    assert_eq!((taken(2), taken(9)), (taken(8), taken(100)));
+    assert!(
+        count_admitted(8) > count_admitted(9),
+        "{} {}",
+        count_admitted(8),
+        count_admitted(9)
+    );
+    assert_eq!(
+        (count_admitted(2), count_admitted(9)),
+        (count_admitted(8), count_admitted(100))
+    );
 }
--- a/crates/coordinator/tests/decision/arrival.rs
+++ b/crates/coordinator/tests/decision/arrival.rs
@@ -3,8 +3,8 @@
 use crate::harness::*;
 use coordinator::*;
 
-/// A client's last attempt waits longer than its first ones. Once, the first ones then counted as retries past
-/// their latency target and were rejected at once.
+/// The last attempt of a client has a longer timeout than its first ones. Guards against counting the first ones of
+/// other clients as retries after their latency target, which are rejected at once.
 #[test]
 fn a_longer_last_attempt_does_not_make_first_attempts_retries() {
     let mut harness = Harness::new(RouterSettings {
@@ -25,13 +25,13 @@
         harness.now += 50;
         harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
     }
-    // One that began 1.5 s ago is past its latency target of one second.
+    // An attempt whose client began 1.5 s ago is past its latency target of one second.
     harness.client_wait = 1500;
     let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
     assert_eq!((final_actions(&out, id), sends(&out).len()), (1, 0));
 }
 
-/// It is short of time, which does not make it a retry.
+/// A short timeout does not make an attempt a retry.
 #[test]
 fn a_client_that_waits_less_than_the_latency_target_is_served() {
     let mut harness = Harness::new(RouterSettings {
@@ -47,14 +47,14 @@
         assert_eq!(sends(&out).len(), 1, "a client that waits {wait} ms");
         harness.now += 60;
         harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
-        assert_eq!(final_actions(&harness.log, id), 1);
+        assert_eq!(final_actions(&harness.actions, id), 1);
     }
 }
 
-/// Where clients mark retries the mark decides, however long the attempt waits.
+/// Where clients mark retries the mark decides, whatever the timeout of the attempt.
 #[test]
 fn a_marked_retry_keeps_its_first_latency_target_and_an_unmarked_attempt_gets_a_new_one() {
-    for (repeat, ends) in [(Some(false), 0), (Some(true), 1)] {
+    for (marked_retry, expected_final_actions) in [(Some(false), 0), (Some(true), 1)] {
         let mut harness = Harness::new(RouterSettings {
             classes: vec![QueryClass {
                 late_value: 0.0,
@@ -67,7 +67,7 @@
             harness.run_until(harness.now + 100);
             harness.answer_part(parts[0], 0, 100);
         }
-        // An attempt that waits 1.5 s of the client's 3 s: as a retry it began 1.5 s ago and missed its target.
+        // An attempt with 1.5 s left of the client's 3 s: as a retry it began 1.5 s ago and missed its target.
         let (id, part) = (RequestId(900), RequestId(901));
         let deadline = ms(harness.now + 1500);
         let query = Event::Query {
@@ -76,7 +76,7 @@
             tenant: None,
             arrived_at: None,
             deadline,
-            is_retry: repeat,
+            is_retry: marked_retry,
         };
         harness.run_turn(vec![
             query,
@@ -87,6 +87,10 @@
                 weight: 1.0,
             },
         ]);
-        assert_eq!(final_actions(&harness.log, id), ends, "{repeat:?}");
+        assert_eq!(
+            final_actions(&harness.actions, id),
+            expected_final_actions,
+            "{marked_retry:?}"
+        );
     }
 }
--- a/crates/coordinator/tests/decision/ejection.rs
+++ b/crates/coordinator/tests/decision/ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection, probes and the way back.
+//! Outlier ejection, probes, and the return of ejected servers.
 
 use crate::harness::*;
 use coordinator::*;
@@ -6,18 +6,20 @@
 #[test]
 fn a_server_that_fails_quickly_and_reports_idle_gets_no_more_parts() {
     let mut harness = Harness::new(settings());
-    let failer = ServerId(0);
-    harness.end_parts_at(failer, Outcome::Error, 2);
-    let before = harness.log.len();
+    let failing_server = ServerId(0);
+    harness.end_parts_at(failing_server, Outcome::Error, 2);
+    let before = harness.actions.len();
     for _ in 0..20 {
         harness.submit_query(0, &[(0, 1.0)]);
         harness.now += 20;
     }
-    assert!(sends(&harness.log[before..]).iter().all(|s| s.1 != failer));
+    assert!(sends(&harness.actions[before..])
+        .iter()
+        .all(|s| s.1 != failing_server));
 }
 
-/// One failure is chance, and so are several of one moment, as on one broken connection. Once, each single
-/// error ejected a sound server for a second, so that of twelve some were always missing.
+/// A single failure may be chance, and so may several at the same time, as on one broken connection. Guards against
+/// ejecting a healthy server for a second after each error, which left some of twelve servers always ejected.
 #[test]
 fn a_single_failure_ejects_no_server() {
     for outcome in [Outcome::Error, Outcome::Reset] {
@@ -34,46 +36,46 @@
     }
 }
 
-/// Four of twelve hosts reset every fourth connection and served the rest in 10 ms. Ejecting them overloaded
-/// the others. A server that resets all connections is ejected.
+/// Four of twelve hosts reset every fourth connection and served the rest in 10 ms; ejecting them overloaded the others.
+/// A server that resets all connections is ejected.
 #[test]
 fn a_server_that_answers_between_resets_is_not_ejected() {
-    for (answers, left) in [(1, false), (0, true)] {
+    for (answers, is_probed) in [(1, false), (0, true)] {
         let mut harness = Harness::new(RouterSettings {
             probes: true,
             ..settings()
         });
         let server = ServerId(0);
         for _ in 0..4 {
-            // Its entry ages, so that it is listed anew whatever the others told.
+            // Its entries in the idle queue expire, so that it counts as idle whatever the others reported.
             harness.now += 2100;
             harness.end_parts_at(server, Outcome::Reset, 1);
             (0..answers).for_each(|_| drop(harness.end_parts_at(server, Outcome::Ok, 1)));
         }
         harness.run_until(harness.now + 1100);
-        // One that was left is probed before its next part.
+        // An ejected server is probed before its next part.
         assert_eq!(
-            harness.log.contains(&Action::Probe { server }),
-            left,
+            harness.actions.contains(&Action::Probe { server }),
+            is_probed,
             "{answers} answers between resets"
         );
     }
 }
 
-/// Half of the hosts never answered one class and served the others. What is counted for a host as a whole
-/// does not show that.
+/// Half of the hosts never answered one class and served the others. The failure share over all classes does not show
+/// that.
 #[test]
 fn a_server_that_never_answers_one_class_is_ejected_for_that_class() {
-    let two = vec![class(), class()];
+    let two_classes = vec![class(), class()];
     let mut harness = Harness::new(RouterSettings {
-        classes: two,
+        classes: two_classes,
         hedging: false,
         ..settings()
     });
     let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
     let failing = sends(&out)[0].1;
     harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
-    let (mut swallowed, mut served) = (0, 0);
+    let (mut unanswered, mut served) = (0, 0);
     for n in 0..200 {
         let (_, parts, out) = harness.submit_query(n % 2, &[(0, 1.0)]);
         for (part, server) in sends(&out) {
@@ -87,22 +89,22 @@
                 load,
             );
             harness.end_attempt(parts[0], 1, Outcome::Ok, 5.0);
-            swallowed += usize::from(hangs);
+            unanswered += usize::from(hangs);
             served += usize::from(server == failing && !hangs);
         }
     }
     assert!(
-        swallowed <= 12 && served >= 20,
-        "{swallowed} swallowed, {served} served"
+        unanswered <= 12 && served >= 20,
+        "{unanswered} unanswered, {served} served"
     );
 }
 
-/// It is rejected without an attempt, and admitted again once the servers are due for a probe.
+/// The query is rejected without an attempt. Queries are admitted again once the servers are due for a probe.
 #[test]
 fn a_query_whose_servers_all_refuse_connections_is_rejected_at_once() {
     let mut harness = Harness::new(settings());
     for dead in [0, 1] {
-        // One that answered a moment ago runs: what failed there was a connection of ours.
+        // A server that has just answered is running, and the failure would be attributed to the connection.
         harness.run_until(harness.now + 420);
         harness.end_parts_at(ServerId(dead), Outcome::ConnectFailed, 1);
     }
@@ -112,10 +114,10 @@
     assert_eq!(sends(&harness.submit_query(0, &[(0, 1.0)]).2).len(), 1);
 }
 
-/// The probes of all routers add up at a server.
+/// The probes of all routers add up at a server, so each probes less often.
 #[test]
 fn a_failing_server_is_probed_less_often_in_a_large_fleet() {
-    let tries = |routers| {
+    let count_probes = |routers| {
         let mut harness = Harness::new(RouterSettings {
             routers,
             hedging: false,
@@ -137,7 +139,7 @@
         }
         harness.sends_to(ServerId(0)) - before
     };
-    let (few, many) = (tries(2), tries(100));
+    let (few, many) = (count_probes(2), count_probes(100));
     assert!(
         many >= 1 && 2 * many <= few,
         "{few} probes among two routers, {many} among a hundred"
@@ -154,27 +156,27 @@
         harness.end_attempt(parts[0], 1, Outcome::Error, 0.0);
         assert!(n < 2);
     }
-    let before = harness.log.len();
+    let before = harness.actions.len();
     for _ in 0..30 {
         harness.submit_query(0, &[(0, 1.0)]);
     }
-    let asked = sends(&harness.log[before..]).len();
+    let sent = sends(&harness.actions[before..]).len();
     assert!(
-        (1..=4).contains(&asked),
-        "{asked} sends to two unsound servers"
+        (1..=4).contains(&sent),
+        "{sent} sends to two ejected servers"
     );
 }
 
-/// The server still comes back.
+/// The server is still tried again after each ejection.
 #[test]
 fn each_relapse_makes_the_ejection_longer() {
     let mut harness = Harness::new(settings());
-    let failer = ServerId(0);
-    harness.end_parts_at(failer, Outcome::Error, 2);
+    let failing_server = ServerId(0);
+    harness.end_parts_at(failing_server, Outcome::Error, 2);
     let (mut gaps, mut last) = (Vec::new(), harness.now);
     while gaps.len() < 4 && harness.now < 60_000 {
         let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-        let failing = sends(&out)[0].1 == failer;
+        let failing = sends(&out)[0].1 == failing_server;
         harness.end_attempt(
             parts[0],
             0,
@@ -187,12 +189,12 @@
         }
         harness.run_until(harness.now + 100);
     }
-    assert_eq!(gaps.len(), 4, "it still comes back");
+    assert_eq!(gaps.len(), 4, "it is still tried again");
     assert!(gaps[2] > 2 * gaps[0], "{gaps:?}");
 }
 
-/// A part counts as lost once its server is ejected, and one good answer clears a first ejection. Once, the part
-/// stayed in flight until its client left, and nothing could probe its server.
+/// A part counts as lost once its server is ejected, and one good answer clears a first ejection. Guards against a part
+/// that stays in flight until its client leaves and so keeps its server from being probed.
 #[test]
 fn a_lost_part_does_not_keep_its_server_from_being_probed() {
     let mut harness = Harness::new(settings());
@@ -202,7 +204,7 @@
     harness.run_until(harness.now + 2200);
     assert!(
         answer_queries(&mut harness, 4, 0, (silent, 50)) >= 1,
-        "it is tried while its first part is still out"
+        "it is tried while its first part is still in flight"
     );
     harness.run_turn(vec![entry_changed(
         1 - silent.0,
@@ -212,11 +214,11 @@
     assert_eq!(
         answer_queries(&mut harness, 6, 0, (silent, 50)),
         6,
-        "and cleared"
+        "it is cleared"
     );
 }
 
-/// Where answers are lost while probes pass, only parts clear a server.
+/// Answers may be lost while probes succeed, so only answered parts clear a server.
 #[test]
 fn a_good_probe_alone_clears_no_server() {
     let mut harness = Harness::new(RouterSettings {
@@ -235,31 +237,31 @@
         outcome: Outcome::Ok,
         report: None,
     }]);
-    let before = harness.log.len();
+    let before = harness.actions.len();
     for _ in 0..6 {
         harness.submit_query(0, &[(0, 1.0)]);
     }
-    let hits = sends(&harness.log[before..])
+    let hits = sends(&harness.actions[before..])
         .iter()
         .filter(|s| s.1 == server)
         .count();
     assert_eq!(hits, 1, "one part at a time until it answers");
 }
 
-/// Once, each failed probe counted as a relapse, so that after a partition hosts were probed every 4 s and
-/// cleared by five good answers, and parts lost in it kept even the first from being sent.
+/// Guards against counting each failed probe as a relapse, after which hosts were probed every 4 s after a partition and
+/// needed five good answers. Parts lost in the partition must not keep the first part from being sent either.
 #[test]
 fn a_server_after_a_long_partition_is_cleared_by_its_first_answer() {
     let mut harness = Harness::new(RouterSettings {
         probes: true,
         ..settings()
     });
-    let (server, mut asked) = (ServerId(0), Vec::new());
+    let (server, mut probe_times) = (ServerId(0), Vec::new());
     harness.end_parts_at(server, Outcome::ConnectFailed, 1);
-    while asked.len() < 8 {
+    while probe_times.len() < 8 {
         let more = harness.run_until(harness.now + 10);
         if more.contains(&Action::Probe { server }) {
-            asked.push(harness.now);
+            probe_times.push(harness.now);
             harness.run_turn(vec![Event::ProbeEnded {
                 server,
                 outcome: Outcome::Timeout,
@@ -268,10 +270,10 @@
         }
     }
     assert!(
-        asked.windows(2).all(|w| w[1] - w[0] <= 750),
-        "asked at {asked:?}"
+        probe_times.windows(2).all(|w| w[1] - w[0] <= 750),
+        "probed at {probe_times:?}"
     );
-    // In panic mode it is sent a part meanwhile, which is never answered.
+    // Meanwhile, in panic mode, it is sent a part that is never answered.
     (1..4)
         .for_each(|n| drop(harness.run_turn(vec![entry_changed(n, ServerState::Draining, None)])));
     harness.now += 2100;
--- a/crates/coordinator/tests/decision/harness.rs
+++ b/crates/coordinator/tests/decision/harness.rs
@@ -1,4 +1,5 @@
-//! A router with a clock of its own and four servers, of which each shard has two; helpers to play events on it.
+//! Test harness: a router with a simulated clock and four servers, two of which hold each shard, and helpers that
+//! feed it events.
 
 use coordinator::*;
 use std::time::Duration;
@@ -7,7 +8,7 @@
     Duration::from_millis(n)
 }
 
-/// A class of idempotent queries that need all parts.
+/// Returns a class of idempotent queries that need all parts.
 pub fn class() -> QueryClass {
     QueryClass {
         latency_target: ms(1000),
@@ -22,7 +23,7 @@
     }
 }
 
-/// Settings with most options off.
+/// Returns settings with most features off.
 pub fn settings() -> RouterSettings {
     RouterSettings {
         classes: vec![class()],
@@ -50,32 +51,32 @@
     }
 }
 
-/// So many answers in a row clear any server.
+/// Number of consecutive answers that is enough to clear any server.
 pub const ANSWERS_TO_CLEAR: usize = 6;
 
 /// A router under test.
 pub struct Harness {
     pub router: Router,
-    /// The time in ms.
+    /// The current time in ms.
     pub now: u64,
-    /// All actions so far, but for wake-ups.
-    pub log: Vec<Action>,
+    /// All actions so far except wake-ups.
+    pub actions: Vec<Action>,
     /// The next free id.
     next_id: u64,
-    /// How long clients wait, in ms.
+    /// Timeout of clients in ms.
     pub client_wait: u64,
-    /// How long queries waited for the router, in ms; `None` if it isn't told.
+    /// Time in ms that queries waited for the router; `None` if their arrival time is unknown.
     pub waited: Option<u64>,
 }
 
 impl Harness {
-    /// A router that knows servers 0 to 3, in the cells of these numbers.
+    /// Creates a router that knows servers 0 to 3, each in the cell of its number.
     pub fn new(settings: RouterSettings) -> Self {
         let router = Router::new(settings, 11);
         let mut harness = Self {
             router,
             now: 0,
-            log: vec![],
+            actions: vec![],
             next_id: 0,
             client_wait: 3000,
             waited: None,
@@ -88,18 +89,18 @@
         harness
     }
 
-    /// Plays events as one turn. Returns the actions, but for wake-ups.
+    /// Handles events in one turn. Returns the actions except wake-ups.
     pub fn run_turn(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut out = Vec::new();
         for e in events.into_iter().chain([Event::TurnEnded]) {
             self.router.handle(ms(self.now), e, &mut out);
         }
         out.retain(|a| !matches!(a, Action::Wake { .. }));
-        self.log.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
-    /// Plays a turn every 10 ms up to a time in ms. Returns the actions.
+    /// Runs a turn every 10 ms until a time in ms. Returns the actions.
     pub fn run_until(&mut self, end: u64) -> Vec<Action> {
         let mut all = Vec::new();
         while self.now < end {
@@ -109,7 +110,7 @@
         all
     }
 
-    /// Submits a query with a part for each shard and weight. Returns its id, its parts' ids and the actions.
+    /// Submits a query with one part for each shard and weight. Returns its id, the ids of its parts, and the actions.
     pub fn submit_query(
         &mut self,
         class: u32,
@@ -141,12 +142,15 @@
         (id, parts, out)
     }
 
-    /// The number of parts that were sent to a server.
+    /// Returns the number of parts sent to a server so far.
     pub fn sends_to(&self, server: ServerId) -> usize {
-        sends(&self.log).iter().filter(|s| s.1 == server).count()
+        sends(&self.actions)
+            .iter()
+            .filter(|s| s.1 == server)
+            .count()
     }
 
-    /// Ends an attempt after 100 ms, with a report of so many requests at the server.
+    /// Ends an attempt with a latency of 100 ms and a report of `reported_load` requests at the server.
     pub fn end_attempt(
         &mut self,
         part: RequestId,
@@ -170,8 +174,8 @@
         }])
     }
 
-    /// Submits queries until so many parts went to a server, and ends those with this outcome. Parts at other
-    /// servers are answered.
+    /// Submits queries until `times` parts were sent to a server, and ends those with `outcome`. Parts at other servers
+    /// are answered. Returns the actions.
     pub fn end_parts_at(
         &mut self,
         server: ServerId,
@@ -183,12 +187,12 @@
             let (_, parts, out) = self.submit_query(0, &[(server.0, 1.0)]);
             let hit = sends(&out).iter().any(|s| s.1 == server);
             self.now += 10;
-            let (how, load) = if hit {
+            let (part_outcome, load) = if hit {
                 (outcome, 0.0)
             } else {
                 (Outcome::Ok, 3.0)
             };
-            all.extend(self.end_attempt(parts[0], 0, how, load));
+            all.extend(self.end_attempt(parts[0], 0, part_outcome, load));
             self.end_attempt(parts[0], 1, Outcome::Ok, 3.0);
             hits += usize::from(hit);
             if hits == times {
@@ -198,12 +202,12 @@
         panic!("{server:?} gets no parts");
     }
 
-    /// Answers a part after `latency` ms, without a load report.
+    /// Answers a part with a latency in ms and without a load report.
     pub fn answer_part(&mut self, part: RequestId, attempt: u32, latency: u64) -> Vec<Action> {
         self.answer_part_after(part, attempt, ms(latency))
     }
 
-    /// As [`Self::answer_part`], with a finer latency.
+    /// Like [`Self::answer_part`], with a latency of any precision.
     pub fn answer_part_after(
         &mut self,
         part: RequestId,
@@ -222,7 +226,7 @@
     }
 }
 
-/// The list entry of a server in service.
+/// Returns the list entry of a ready server.
 pub fn server_entry(n: u32) -> ServerEntry {
     ServerEntry {
         server: ServerId(n),
@@ -233,19 +237,19 @@
     }
 }
 
-/// An update of one entry of the list.
-pub fn entry_changed(n: u32, state: ServerState, boot: Option<Duration>) -> Event {
+/// Returns an update of one entry of the server list.
+pub fn entry_changed(n: u32, state: ServerState, latest_start: Option<Duration>) -> Event {
     Event::ServerList {
         kind: ListKind::Changes,
         entries: vec![ServerEntry {
             state,
-            started_at: boot,
+            started_at: latest_start,
             ..server_entry(n)
         }],
     }
 }
 
-/// The parts that are sent, with their servers.
+/// Returns the sent parts with their servers.
 pub fn sends(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
     let send = |a: &Action| match a {
         Action::Send { part, server, .. } => Some((*part, *server)),
@@ -254,7 +258,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// The number of actions that end a query or a step of it.
+/// Returns the number of actions that end a query or a step of it.
 pub fn final_actions(actions: &[Action], id: RequestId) -> usize {
     let ends = |a: &&Action| match a {
         Action::Answer { query, .. }
@@ -265,21 +269,21 @@
     actions.iter().filter(ends).count()
 }
 
-/// Submits and answers `n` queries on a shard, with reports of idle servers: those that go to one server after so
-/// many ms, the others after 50. Returns how many went there.
+/// Submits and answers `n` queries on a shard, with reports of idle servers. Server `slow.0` answers after `slow.1` ms,
+/// the others after 50 ms. Returns the number of parts sent to the slow server.
 pub fn answer_queries(harness: &mut Harness, n: u32, shard: u32, slow: (ServerId, u64)) -> usize {
     let mut hits = 0;
     for _ in 0..n {
         let (_, parts, out) = harness.submit_query(0, &[(shard, 1.0)]);
         let server = sends(&out)[0].1;
-        let took = if server == slow.0 { slow.1 } else { 50 };
+        let part_time = if server == slow.0 { slow.1 } else { 50 };
         hits += usize::from(server == slow.0);
-        harness.run_until(harness.now + took);
+        harness.run_until(harness.now + part_time);
         let report = Some(LoadReport {
             in_flight: Some(0.0),
             ..LoadReport::default()
         });
-        let (part, latency) = (parts[0], ms(took));
+        let (part, latency) = (parts[0], ms(part_time));
         let (outcome, closed, attempt) = (Outcome::Ok, true, 0);
         harness.run_turn(vec![Event::AttemptEnded {
             part,
@@ -293,7 +297,7 @@
     hits
 }
 
-/// A harness whose router has seen part times of `latency` ms on all shards.
+/// Creates a harness whose router has seen part times of `latency` ms on all shards.
 pub fn with_part_times(settings: RouterSettings, latency: u64) -> Harness {
     let mut harness = Harness::new(settings);
     for n in 0..24 {
@@ -304,5 +308,5 @@
     harness
 }
 
-/// Four parts of equal weight, one of each shard.
+/// Shards and weights of four parts of equal weight, one for each shard.
 pub const FOUR_SHARDS: [(u32, f64); 4] = [(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)];
--- a/crates/coordinator/tests/decision/idle_connections.rs
+++ b/crates/coordinator/tests/decision/idle_connections.rs
@@ -1,12 +1,12 @@
-//! Connections that are dropped while unused.
+//! Connections that are dropped while idle.
 
 use crate::harness::*;
 use coordinator::*;
 
-/// Connections were dropped without a word after a second without use; the servers were sound.
+/// Connections are dropped silently after a second without use, while the servers are healthy.
 #[test]
-fn parts_lost_on_unused_connections_open_new_ones() {
-    // The same losses tell of the connection only where it had been out of use.
+fn parts_lost_on_idle_connections_open_new_ones() {
+    // The same losses are evidence against the connection only if it had been idle.
     for (pause, opened) in [(1500, true), (100, false)] {
         let mut harness = with_part_times(
             RouterSettings {
@@ -38,7 +38,7 @@
         }
         assert_eq!(
             harness
-                .log
+                .actions
                 .iter()
                 .any(|a| matches!(a, Action::CloseIdleConnections { .. })),
             opened,
--- a/crates/coordinator/tests/decision/load.rs
+++ b/crates/coordinator/tests/decision/load.rs
@@ -1,11 +1,11 @@
-//! Load estimates: reports, peers, latency ratio.
+//! Load estimates from reports, from other routers and from latencies.
 
 use crate::harness::*;
 use coordinator::*;
 
-/// Once, an answer without a readable report counted as that of an idle server.
+/// Guards against taking an answer without a readable report for a sign of an idle server.
 #[test]
-fn an_answer_without_a_report_says_nothing_of_load() {
+fn an_answer_without_a_report_does_not_change_the_load() {
     let mut harness = Harness::new(settings());
     harness.end_parts_at(ServerId(0), Outcome::Ok, 1);
     let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
@@ -29,8 +29,8 @@
     assert_eq!(sends(&harness.submit_query(0, &[(0, 1.0)]).2)[0].1, other);
 }
 
-/// Its own answers outweigh its reports. Once, servers that took six times the usual time but reported idle kept
-/// an equal share of the parts.
+/// The latencies of a server outweigh its reports. Guards against giving an equal share of the parts to servers that
+/// take six times the usual time but report that they are idle.
 #[test]
 fn a_slow_server_that_reports_idle_gets_few_parts() {
     let mut harness = Harness::new(RouterSettings {
@@ -45,24 +45,24 @@
     }
 }
 
-/// The load that other routers publish goes, while fresh, before reports that trail it.
+/// The load that other routers publish takes precedence, while recent, over reports that lag behind.
 #[test]
 fn a_server_that_other_routers_load_gets_few_parts() {
     for (age, heavy) in [(0, 0), (5000, 20)] {
         let mut harness = with_part_times(settings(), 100);
-        let told = |server, out| Event::PeerLoad {
+        let peer_load = |server, out| Event::PeerLoad {
             server: ServerId(server),
             in_flight: out,
             age: ms(age),
         };
         let mut to_heavy = 0;
         for _ in 0..20 {
-            harness.run_turn(vec![told(0, 20.0), told(1, 0.0)]);
+            harness.run_turn(vec![peer_load(0, 20.0), peer_load(1, 0.0)]);
             let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
             let server = sends(&out)[0].1;
             to_heavy += usize::from(server == ServerId(0));
             harness.now += 10;
-            // Reports that say the opposite: old ones of the heavy one, and a busy light one.
+            // The reports say the opposite: the loaded server reports idle, the other one busy.
             harness.end_attempt(
                 parts[0],
                 0,
@@ -94,20 +94,20 @@
     }
 }
 
-/// A coordinator that is cut off, and whose parts pile up, publishes busy servers.
+/// A coordinator that is cut off from servers accumulates parts in flight, and so publishes a high load for them.
 #[test]
 fn load_that_other_routers_publish_ejects_no_server() {
     let mut harness = with_part_times(settings(), 50);
-    let told = |n| Event::PeerLoad {
+    let peer_load = |n| Event::PeerLoad {
         server: ServerId(n),
         in_flight: 8.0,
         age: ms(30),
     };
-    harness.run_turn((0..4).map(told).collect());
+    harness.run_turn((0..4).map(peer_load).collect());
     for shard in 0..4 {
         let (id, _, out) = harness.submit_query(0, &[(shard, 1.0)]);
         assert_eq!(
-            (sends(&out).len(), final_actions(&harness.log, id)),
+            (sends(&out).len(), final_actions(&harness.actions, id)),
             (1, 0),
             "shard {shard}"
         );
--- a/crates/coordinator/tests/decision/main.rs
+++ b/crates/coordinator/tests/decision/main.rs
@@ -1,5 +1,5 @@
-//! The decision module alone on scripted events, one module for each concern. The comments tell the faults that tests
-//! were written for.
+//! Tests of the decision module on scripted events, with one module for each concern. Comments name the faults that
+//! tests guard against.
 
 mod admission;
 mod arrival;
--- a/crates/coordinator/tests/decision/retry.rs
+++ b/crates/coordinator/tests/decision/retry.rs
@@ -1,42 +1,45 @@
-//! Retries, hedged requests, their budget, and the rule on repeats.
+//! Retries, hedged requests, their budget, and the rules on repeating parts.
 
 use crate::harness::*;
 use coordinator::*;
 
 #[test]
 fn a_non_idempotent_part_is_not_sent_again_once_it_may_have_run() {
-    let mut s = settings();
-    s.classes[0].idempotency = Idempotency::NotIdempotent;
-    for (outcome, again) in [
+    let mut router_settings = settings();
+    router_settings.classes[0].idempotency = Idempotency::NotIdempotent;
+    for (outcome, is_retried) in [
         (Outcome::Error, false),
         (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
     ] {
-        let mut harness = Harness::new(s.clone());
+        let mut harness = Harness::new(router_settings.clone());
         let (id, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
         harness.now += 20;
         let out = harness.end_attempt(parts[0], 0, outcome, 0.0);
-        assert_eq!(!sends(&out).is_empty(), again, "{outcome:?}");
+        assert_eq!(!sends(&out).is_empty(), is_retried, "{outcome:?}");
         harness.run_until(2990);
-        assert_eq!(final_actions(&harness.log, id), 1);
+        assert_eq!(final_actions(&harness.actions, id), 1);
         assert!(
-            harness.log.iter().any(|a| matches!(a, Action::Fail { .. })),
-            "may have run: no refusal"
+            harness
+                .actions
+                .iter()
+                .any(|a| matches!(a, Action::Fail { .. })),
+            "may have run, so it is not rejected"
         );
         assert_eq!(
-            sends(&harness.log).len(),
-            1 + usize::from(again),
-            "never two out at once"
+            sends(&harness.actions).len(),
+            1 + usize::from(is_retried),
+            "never two in flight at once"
         );
     }
 }
 
 #[test]
 fn a_keyed_part_is_not_sent_again_past_its_window() {
-    let mut s = settings();
-    s.classes[0].idempotency = Idempotency::Keyed(ms(400));
-    s.classes[0].latency_target = ms(2500);
-    let mut harness = Harness::new(s.clone());
+    let mut router_settings = settings();
+    router_settings.classes[0].idempotency = Idempotency::Keyed(ms(400));
+    router_settings.classes[0].latency_target = ms(2500);
+    let mut harness = Harness::new(router_settings.clone());
     let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
     harness.now = 300;
     assert_eq!(
@@ -45,7 +48,7 @@
     );
     let mut harness = Harness::new(RouterSettings {
         hedging: false,
-        ..s
+        ..router_settings
     });
     let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
     harness.now = 401;
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn retries_stop_at_the_edge_of_the_budget() {
+fn retries_stop_at_the_limit_of_the_budget() {
     let budget = RetryBudget {
         min_retries: 2.0,
         retry_share: 0.1,
@@ -65,16 +68,16 @@
         max_attempts: 9,
         ..settings()
     });
-    let mut extra = 0;
+    let mut retries = 0;
     let (_, parts, _) = harness.submit_query(0, &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]);
     for round in 0..8u32 {
         harness.now += 5;
         for part in &parts {
-            extra += sends(&harness.end_attempt(*part, round, Outcome::Error, 0.0)).len();
+            retries += sends(&harness.end_attempt(*part, round, Outcome::Error, 0.0)).len();
         }
     }
-    // Five requests taken: 2 + 0.5 further attempts at the most.
-    assert_eq!(extra, 2);
+    // One query and four parts arrived, so at most 2 + 0.5 retries are allowed.
+    assert_eq!(retries, 2);
 }
 
 #[test]
@@ -87,15 +90,15 @@
     assert!(sends(&harness.run_until(2900)).is_empty());
 }
 
-/// Once, it ran on until the whole query ended.
+/// Guards against leaving the other copy running until the whole query ends.
 #[test]
 fn the_slower_of_two_copies_is_cancelled_at_once() {
     let mut harness = Harness::new(settings());
     answer_queries(&mut harness, 20, 2, (ServerId(9), 0));
     let (_, parts, _) = harness.submit_query(0, &[(0, 0.5), (2, 0.5)]);
-    let more = harness.run_until(harness.now + 700);
+    let actions = harness.run_until(harness.now + 700);
     assert!(
-        sends(&more).iter().any(|s| s.0 == parts[0]),
+        sends(&actions).iter().any(|send| send.0 == parts[0]),
         "a copy is sent"
     );
     let out = harness.end_attempt(parts[0], 1, Outcome::Ok, 0.0);
@@ -105,7 +108,7 @@
     }));
 }
 
-/// Once, with most parts answered, the others stayed on slow servers without a copy.
+/// Guards against leaving the last parts of a query on slow servers without a second copy.
 #[test]
 fn in_congestion_a_part_later_than_its_siblings_is_hedged() {
     let mut harness = with_part_times(settings(), 320);
@@ -116,9 +119,9 @@
         .iter()
         .for_each(|p| drop(harness.answer_part(*p, 0, 320)));
     harness.run_until(harness.now + 600);
-    let copies = sends(&harness.log)
+    let copies = sends(&harness.actions)
         .iter()
-        .filter(|s| s.0 == parts[19])
+        .filter(|send| send.0 == parts[19])
         .count()
         - 1;
     assert_eq!(copies, 1);
--- a/crates/coordinator/tests/decision/router.rs
+++ b/crates/coordinator/tests/decision/router.rs
@@ -1,11 +1,11 @@
-//! The router as a whole: odd events, determinism, wake-ups.
+//! The router as a whole: unusual events, determinism, wake-ups.
 
 use crate::harness::*;
 use coordinator::*;
 use std::time::Duration;
 
 #[test]
-fn odd_but_legal_events_are_ignored() {
+fn unusual_but_valid_events_are_ignored() {
     let mut harness = Harness::new(RouterSettings {
         shard_layout: ShardLayout {
             cells: 4,
@@ -13,17 +13,19 @@
         },
         ..settings()
     });
-    let gone = RequestId(77);
+    let unknown_query = RequestId(77);
     harness.run_turn(vec![
-        Event::ClientLeft { query: gone },
+        Event::ClientLeft {
+            query: unknown_query,
+        },
         Event::Part {
             id: RequestId(78),
-            query: gone,
+            query: unknown_query,
             shard: 400,
             weight: 1.0,
         },
         Event::AttemptEnded {
-            part: gone,
+            part: unknown_query,
             attempt: 5,
             outcome: Outcome::Ok,
             latency: ms(1),
@@ -57,19 +59,19 @@
         entries: vec![],
     }]);
     let (id, _, _) = harness.submit_query(0, &[(0, 1.0)]);
-    assert_eq!(final_actions(&harness.log, id), 1);
+    assert_eq!(final_actions(&harness.actions, id), 1);
 }
 
 #[test]
 fn the_same_events_give_the_same_actions_alone_or_interleaved() {
-    let play = |others: bool| {
+    let run_queries = |with_other_router: bool| {
         let mut harness = Harness::new(settings());
-        let mut noise = Harness::new(settings());
+        let mut other_router = Harness::new(settings());
         for n in 0..40 {
             let (_, parts, _) = harness.submit_query(0, &[(n % 4, 0.5), ((n + 1) % 4, 0.5)]);
-            if others {
-                noise.submit_query(0, &[(n % 3, 1.0)]);
-                noise.run_until(noise.now + 30);
+            if with_other_router {
+                other_router.submit_query(0, &[(n % 3, 1.0)]);
+                other_router.run_until(other_router.now + 30);
             }
             harness.now += 30;
             harness.end_attempt(
@@ -84,14 +86,14 @@
             );
             harness.run_until(harness.now + 20);
         }
-        harness.log
+        harness.actions
     };
-    assert_eq!(play(false), play(true));
+    assert_eq!(run_queries(false), run_queries(true));
 }
 
-/// A wake-up that comes a rounding error early must not end the chain of wake-ups.
+/// Guards against a chain of wake-ups that ends when rounding delivers one of them early.
 #[test]
-fn wake_ups_go_on_at_any_clock() {
+fn wake_ups_continue_at_any_clock_value() {
     for origin in [285_148_026_422u64, 410_944_781_445, 1_000_003] {
         let mut harness = Harness::new(settings());
         let mut out = Vec::new();
--- a/crates/coordinator/tests/decision/selection.rs
+++ b/crates/coordinator/tests/decision/selection.rs
@@ -32,7 +32,7 @@
 #[test]
 fn a_server_in_the_idle_queue_is_selected_first() {
     let mut harness = Harness::new(settings());
-    // Teach it that servers 0 and 1 hold work, then that one of them is idle.
+    // The first answer reports that its server is idle; nothing is known about the other holder of the shard.
     let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
     let idle = sends(&out)[0].1;
     harness.now += 10;
@@ -41,7 +41,7 @@
     assert_eq!(
         sends(&out)[0].1,
         idle,
-        "the listed server wins over one that was never heard of"
+        "the server in the idle queue is preferred to one that never reported"
     );
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Once, part times of zero made scores of zero divided by zero, and no candidate was left.
+/// Guards against part times of zero, which made scores the result of zero divided by zero and left no candidate.
 #[test]
 fn with_part_times_of_zero_a_server_is_still_selected() {
     let mut harness = Harness::new(settings());
@@ -73,7 +73,7 @@
             closed: true,
             report: None,
         }]);
-        assert_eq!(final_actions(&harness.log, id), 1);
+        assert_eq!(final_actions(&harness.actions, id), 1);
         harness.submit_query(0, &[(0, 0.25), (1, 0.25), (2, 0.25), (3, 0.25)]);
     }
 }
--- a/crates/coordinator/tests/decision/server_list.rs
+++ b/crates/coordinator/tests/decision/server_list.rs
@@ -16,13 +16,13 @@
         harness.submit_query(0, &[(0, 1.0)]);
         harness.run_until(harness.now + 40);
     }
-    assert!(sends(&harness.log).iter().all(|s| s.1 .0 != other));
+    assert!(sends(&harness.actions).iter().all(|s| s.1 .0 != other));
 }
 
-/// With the others light, or once the grace is nearly over, it gets nothing.
+/// While the others have little load, or when the grace is nearly over, it gets nothing.
 #[test]
-fn a_draining_server_helps_out_within_its_grace_when_others_are_crowded() {
-    for (load, wait, helps) in [(0.0, 100, false), (30.0, 100, true), (30.0, 1700, false)] {
+fn a_draining_server_gets_parts_within_its_grace_when_others_are_crowded() {
+    for (load, wait, gets_part) in [(0.0, 100, false), (30.0, 100, true), (30.0, 1700, false)] {
         let mut harness = Harness::new(RouterSettings {
             drain_grace: ms(2000),
             ..settings()
@@ -32,11 +32,11 @@
         harness.run_until(harness.now + wait);
         let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
         harness.end_attempt(parts[0], 0, Outcome::Ok, load);
-        let before = harness.log.len();
+        let before = harness.actions.len();
         harness.submit_query(0, &[(0, 1.0)]);
         assert_eq!(
-            sends(&harness.log[before..])[0].1 == ServerId(0),
-            helps,
+            sends(&harness.actions[before..])[0].1 == ServerId(0),
+            gets_part,
             "{load} {wait}"
         );
     }
@@ -48,20 +48,21 @@
         subscribe_within: Some(ms(10_000)),
         ..settings()
     });
-    let asks = |log: &[Action]| log.iter().filter(|a| **a == Action::Subscribe).count();
+    let count_subscribes =
+        |actions: &[Action]| actions.iter().filter(|a| **a == Action::Subscribe).count();
     harness.run_until(300);
-    let before = asks(&harness.log);
+    let before = count_subscribes(&harness.actions);
     harness.run_turn(vec![Event::ServerList {
         kind: ListKind::Failed,
         entries: vec![],
     }]);
     harness.run_until(3000);
-    assert_eq!(asks(&harness.log), before + 1);
-    // Answered: no more calls.
+    assert_eq!(count_subscribes(&harness.actions), before + 1);
+    // The subscription was answered, so it is not repeated.
     harness.run_turn(vec![Event::ServerList {
         kind: ListKind::Changes,
         entries: vec![],
     }]);
     harness.run_until(20_000);
-    assert_eq!(asks(&harness.log), before + 1);
+    assert_eq!(count_subscribes(&harness.actions), before + 1);
 }
--- a/crates/coordinator/tests/decision/slow_start.rs
+++ b/crates/coordinator/tests/decision/slow_start.rs
@@ -11,18 +11,18 @@
         overload_factor: 2.5,
         overload_time: ms(1000),
     };
-    let s = RouterSettings {
+    let router_settings = RouterSettings {
         routers: 4,
         slow_start: Some(slow_start),
         ..settings()
     };
     let (mut total, mut later) = (0, 0);
     for _ in 0..4 {
-        let mut harness = Harness::new(s.clone());
+        let mut harness = Harness::new(router_settings.clone());
         harness.now = 5000;
         harness.run_turn(vec![entry_changed(0, ServerState::Ready, Some(ms(4900)))]);
         let mut out: Vec<(u64, RequestId, u32)> = Vec::new();
-        let mut tries = std::collections::BTreeMap::new();
+        let mut attempts_by_part = std::collections::BTreeMap::new();
         while harness.now < 14_000 {
             harness.now += 10;
             let (_, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
@@ -32,11 +32,11 @@
                 } else {
                     &mut later
                 } += u32::from(server == ServerId(0));
-                let n = tries.entry(part).or_insert(0);
+                let n = attempts_by_part.entry(part).or_insert(0);
                 out.push((harness.now, part, *n));
                 *n += 1;
             }
-            // A warm server answers after 20 ms, idle by its word.
+            // A warm server answers after 20 ms and reports that it is idle.
             let due: Vec<_> = out
                 .iter()
                 .filter(|o| o.0 + 20 <= harness.now)
@@ -45,7 +45,10 @@
             out.retain(|o| o.0 + 20 > harness.now);
             for (_, part, n) in due {
                 let more = harness.end_attempt(part, n, Outcome::Ok, 0.0);
-                let hits = sends(&more).iter().filter(|s| s.1 == ServerId(0)).count() as u32;
+                let hits = sends(&more)
+                    .iter()
+                    .filter(|send| send.1 == ServerId(0))
+                    .count() as u32;
                 *if harness.now < 6000 {
                     &mut total
                 } else {
@@ -54,12 +57,12 @@
             }
         }
     }
-    // One core at 16% does 8 parts of 20 ms a second, times 2.5: at most 20 in the window.
+    // One processor at 16% serves 8 parts of 20 ms per second; 2.5 times that is 20 in the window.
     assert!(total + later > 0, "it must get some work");
     assert!(total <= 20, "{total} parts in a second");
 }
 
-/// Sixty routers learn of a start at about the same time. Once, each of them sent a part at once.
+/// Sixty routers learn of a start at about the same time. Guards against all of them sending a part immediately.
 #[test]
 fn many_routers_do_not_all_send_at_once_to_a_warming_server() {
     let slow_start = SlowStart {
@@ -95,19 +98,19 @@
             ServerState::Ready,
             Some(ms(harness.now)),
         )]);
-        let before = harness.log.len();
+        let before = harness.actions.len();
         answer_queries(&mut harness, 2, 0, (ServerId(9), 0));
-        total += sends(&harness.log[before..])
+        total += sends(&harness.actions[before..])
             .iter()
-            .filter(|s| s.1 == ServerId(0))
+            .filter(|send| send.1 == ServerId(0))
             .count();
     }
-    // One core at 16% does 3.2 parts of 50 ms in a second, and bears 2.5 times that.
+    // One processor at 16% serves 3.2 parts of 50 ms per second, and withstands 2.5 times that.
     assert!(total <= 8, "{total} parts at once");
 }
 
-/// Only a start that the list tells begins one. Once, after a moment in which all servers were silent, most
-/// counted as warming up and were hardly used for the whole ramp.
+/// Only a start that the list reports begins a slow start. Guards against a short silence of all servers after which
+/// most of them count as warming up, and are hardly used for the whole ramp.
 #[test]
 fn neither_silence_nor_broken_connections_begin_a_slow_start() {
     let slow_start = SlowStart {
@@ -116,7 +119,7 @@
         overload_factor: 2.5,
         overload_time: ms(1000),
     };
-    for (outcome, boot) in [
+    for (outcome, start_reported) in [
         (Outcome::Timeout, false),
         (Outcome::Reset, false),
         (Outcome::Reset, true),
@@ -134,7 +137,7 @@
         harness.end_attempt(parts[0], 1, outcome, 0.0);
         harness.end_attempt(parts[0], 2, outcome, 0.0);
         harness.run_until(harness.now + 9000);
-        if boot {
+        if start_reported {
             harness.run_turn(vec![entry_changed(
                 server.0,
                 ServerState::Ready,
@@ -149,14 +152,14 @@
             }
             harness.run_until(harness.now + 400);
         }
-        let before = harness.log.len();
+        let before = harness.actions.len();
         for _ in 0..12 {
             harness.submit_query(0, &[(0, 1.0)]);
         }
         assert_eq!(
-            sends(&harness.log[before..]).len() > 6,
-            !boot,
-            "{outcome:?}, told start: {boot}"
+            sends(&harness.actions[before..]).len() > 6,
+            !start_reported,
+            "{outcome:?}, start reported: {start_reported}"
         );
     }
 }
--- a/crates/coordinator/tests/decision/stall_detection.rs
+++ b/crates/coordinator/tests/decision/stall_detection.rs
@@ -1,4 +1,4 @@
-//! Silent servers and standstills of the router itself.
+//! Silent servers, and pauses of the router itself.
 
 use crate::harness::*;
 use coordinator::*;
@@ -8,30 +8,30 @@
     let mut harness = Harness::new(settings());
     for _ in 0..12 {
         let (_, parts, _) = harness.submit_query(0, &[(2, 1.0)]);
-        // With its wake-ups: without them it would have stood still.
+        // With wake-ups, as the router would otherwise count as paused.
         harness.run_until(harness.now + 100);
         harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
     }
     let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
     let silent = sends(&out)[0].1;
-    let more = harness.run_until(harness.now + 500);
-    assert!(sends(&more)
+    let actions = harness.run_until(harness.now + 500);
+    assert!(sends(&actions)
         .iter()
         .any(|s| s.0 == parts[0] && s.1 != silent));
-    let before = harness.log.len();
+    let before = harness.actions.len();
     harness.submit_query(0, &[(0, 1.0)]);
-    assert_ne!(sends(&harness.log[before..])[0].1, silent);
+    assert_ne!(sends(&harness.actions[before..])[0].1, silent);
 }
 
-/// A router that stood still finds old parts in flight. That does not make their servers silent.
+/// After a pause a router finds old parts in flight, which does not mean that their servers are silent.
 #[test]
-fn a_standstill_of_the_router_is_no_evidence_against_servers() {
-    for stalled in [true, false] {
+fn a_pause_of_the_router_is_no_evidence_against_servers() {
+    for paused in [true, false] {
         let mut harness = Harness::new(settings());
         answer_queries(&mut harness, 20, 2, (ServerId(9), 0));
         let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
         let server = sends(&out)[0].1;
-        if stalled {
+        if paused {
             harness.now += 900;
             harness.run_turn(vec![Event::Wake]);
         } else {
@@ -46,14 +46,14 @@
             harness.submit_query(0, &[(0, 1.0)]);
         }
         let all = harness.sends_to(server);
-        assert_eq!(all > 3, stalled, "{all} sends, stalled: {stalled}");
+        assert_eq!(all > 3, paused, "{all} sends, paused: {paused}");
     }
 }
 
-/// Once, only the very first event after a standstill was known to have waited it out: the time of each part whose answer
-/// was read a moment later counted against its server.
+/// Guards against taking only the first event after a pause for one that was delayed by it. The latency of each answer
+/// read shortly afterwards would then count against its server.
 #[test]
-fn answers_read_one_after_the_other_after_a_standstill_are_no_evidence_against_servers() {
+fn answers_read_one_after_the_other_after_a_pause_are_no_evidence_against_servers() {
     let mut harness = Harness::new(settings());
     harness.run_turn(vec![entry_changed(1, ServerState::Gone, None)]);
     for _ in 0..4 {
@@ -76,9 +76,9 @@
     }
 }
 
-/// Pauses that come again and again must not hide that a server answers nothing.
+/// Repeated pauses of the router must not hide that a server answers nothing.
 #[test]
-fn a_silent_server_is_ejected_by_a_router_that_is_paused_in_each_tenth_of_a_second() {
+fn a_silent_server_is_ejected_by_a_router_that_is_paused_every_100_ms() {
     let mut harness = Harness::new(settings());
     answer_queries(&mut harness, 20, 0, (ServerId(9), 0));
     let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
--- a/crates/coordinator/tests/decision_layout.rs
+++ b/crates/coordinator/tests/decision_layout.rs
@@ -1,9 +1,9 @@
-//! Rules on how the decision module is laid out: the operators replace its folder alone, and newcomers read it first.
+//! Layout rules of the decision module. Operators replace its folder on its own, and newcomers read it first.
 
 use std::path::{Path, PathBuf};
 
-/// What a module without I/O and clock doesn't name.
-const FORBIDDEN: [&str; 8] = [
+/// Names that a module without I/O and clock does not use.
+const FORBIDDEN_NAMES: [&str; 8] = [
     "std::net",
     "std::fs",
     "std::thread",
@@ -14,33 +14,34 @@
     "SystemTime",
 ];
 
-const MAX_LINE_WIDTH: usize = 110;
+const MAX_LINE_CHARS: usize = 110;
 const MAX_FUNCTION_LINES: usize = 60;
-const FOLDER: &str = "crates/coordinator/src/decision";
+const MODULE_FOLDER: &str = "crates/coordinator/src/decision";
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Names and contents of the folder's files.
-fn files() -> Vec<(String, String)> {
-    let mut files: Vec<(String, String)> = std::fs::read_dir(repository().join(FOLDER))
-        .unwrap()
-        .map(|entry| {
-            let path = entry.unwrap().path();
-            let name = path.file_name().unwrap().to_str().unwrap().to_owned();
-            assert!(name.ends_with(".rs"), "{name}: only source files");
-            let text = std::fs::read_to_string(&path).unwrap();
-            (name, text)
-        })
-        .collect();
-    files.sort();
-    assert!(files.len() > 10, "split by concern");
-    files
+/// Returns the names and contents of the module's files.
+fn module_files() -> Vec<(String, String)> {
+    let mut module_files: Vec<(String, String)> =
+        std::fs::read_dir(repository().join(MODULE_FOLDER))
+            .unwrap()
+            .map(|entry| {
+                let path = entry.unwrap().path();
+                let name = path.file_name().unwrap().to_str().unwrap().to_owned();
+                assert!(name.ends_with(".rs"), "{name}: only source files");
+                let text = std::fs::read_to_string(&path).unwrap();
+                (name, text)
+            })
+            .collect();
+    module_files.sort();
+    assert!(module_files.len() > 10, "the module is split by concern");
+    module_files
 }
 
-/// The functions of formatted source: name and number of lines.
-fn functions(text: &str) -> Vec<(String, usize)> {
+/// Returns the names and line counts of the functions in formatted source.
+fn function_lengths(text: &str) -> Vec<(String, usize)> {
     let mut found = Vec::new();
     let lines: Vec<&str> = text.lines().collect();
     for (start, line) in lines.iter().enumerate() {
@@ -59,32 +60,39 @@
 }
 
 #[test]
-fn every_file_of_the_decision_module_names_its_job() {
-    for (name, text) in files() {
+fn every_file_of_the_decision_module_has_a_description() {
+    for (name, text) in module_files() {
         let first = text.lines().next().unwrap();
-        let job = first
+        let description = first
             .strip_prefix("//! ")
             .unwrap_or_else(|| panic!("{name} has no doc"));
-        assert!(job.len() > 20, "{name}: '{job}' names no job");
+        assert!(
+            description.len() > 20,
+            "{name}: '{description}' does not describe the file"
+        );
         let widest = text.lines().map(|l| l.chars().count()).max().unwrap();
         assert!(
-            widest <= MAX_LINE_WIDTH,
+            widest <= MAX_LINE_CHARS,
             "{name}: {widest} characters in a line"
         );
     }
 }
 
 #[test]
-fn the_front_page_of_the_decision_module_names_its_interface() {
-    let front = files().into_iter().find(|f| f.0 == "mod.rs").unwrap().1;
-    let head = front.lines().take_while(|l| l.starts_with("//!"));
+fn the_module_doc_of_the_decision_module_names_its_interface() {
+    let module_doc_file = module_files()
+        .into_iter()
+        .find(|f| f.0 == "mod.rs")
+        .unwrap()
+        .1;
+    let head = module_doc_file.lines().take_while(|l| l.starts_with("//!"));
     assert!(head.clone().any(|l| l.contains("crate::interface")));
 }
 
 #[test]
 fn the_decision_module_has_no_io_and_no_clock() {
-    for (name, text) in files() {
-        for word in FORBIDDEN {
+    for (name, text) in module_files() {
+        for word in FORBIDDEN_NAMES {
             let code = text.lines().filter(|l| !l.trim_start().starts_with("//"));
             assert!(
                 !code.clone().any(|l| l.contains(word)),
@@ -97,8 +105,8 @@
 #[test]
 fn no_function_of_the_decision_module_is_longer_than_sixty_lines() {
     let mut count = 0;
-    for (file, text) in files() {
-        for (name, lines) in functions(&text) {
+    for (file, text) in module_files() {
+        for (name, lines) in function_lengths(&text) {
             assert!(
                 lines <= MAX_FUNCTION_LINES,
                 "{file}: {name} has {lines} lines"
@@ -115,16 +123,16 @@
     let deploy: toml::Table = text.parse().unwrap();
     let policy = deploy["policy"].as_array().unwrap();
     let policy: Vec<&str> = policy.iter().map(|v| v.as_str().unwrap()).collect();
-    let files: Vec<String> = files()
+    let module_files: Vec<String> = module_files()
         .into_iter()
-        .map(|(name, _)| format!("{FOLDER}/{name}"))
+        .map(|(name, _)| format!("{MODULE_FOLDER}/{name}"))
         .collect();
-    assert_eq!(policy, files);
+    assert_eq!(policy, module_files);
     let node = deploy["node"].as_array().unwrap();
     for path in node {
         let path = path.as_str().unwrap();
         assert!(
-            !path.starts_with(FOLDER) && repository().join(path).exists(),
+            !path.starts_with(MODULE_FOLDER) && repository().join(path).exists(),
             "{path}"
         );
     }
--- a/crates/coordinator/tests/recorded_decisions.rs
+++ b/crates/coordinator/tests/recorded_decisions.rs
@@ -1,10 +1,10 @@
-//! Pins the decisions of the module bit for bit: long event streams from a seeded generator, and a digest over every
-//! action that the router answered with. The expected digests were recorded with the code of commit bb16a52.
+//! Regression test for the decisions of the module: seeded event streams, and a digest over all actions of the router.
+//! The expected digests were recorded with the code of commit bb16a52.
 //!
-//! The hosts of a stream react to what the router asks for, so one decision that differs changes all that follows it.
-//! A change that is meant to alter decisions records new digests and says so in its commit: run the test and take the
-//! values from its message. The module uses `exp`, `exp2` and `sqrt` of the platform's mathematics library; the digests
-//! hold where these round as glibc's do.
+//! The simulated hosts react to the actions of the router, so a single different decision changes everything after it.
+//! A change that is meant to alter decisions records new digests, which the failing test prints, and says so in its
+//! commit. The module uses `exp`, `exp2` and `sqrt` of the platform's mathematics library; the digests are valid where
+//! these round like those of glibc.
 
 use coordinator::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -18,7 +18,7 @@
     Duration::from_micros(n)
 }
 
-/// FNV-1a with 64 bits over little-endian words.
+/// A 64-bit FNV-1a hash over little-endian words.
 struct Digest(u64);
 
 impl Digest {
@@ -36,8 +36,8 @@
         self.word(time.as_nanos() as u64);
     }
 
-    fn hint(&mut self, hint: Option<Duration>) {
-        self.word(hint.map_or(u64::MAX, |d| d.as_nanos() as u64));
+    fn retry_hint(&mut self, retry_hint: Option<Duration>) {
+        self.word(retry_hint.map_or(u64::MAX, |d| d.as_nanos() as u64));
     }
 
     fn cause(&mut self, cause: Cause) {
@@ -49,9 +49,9 @@
         });
     }
 
-    /// An action as numbers that don't depend on any name.
+    /// Adds an action as numbers that don't depend on names in the source.
     fn action(&mut self, action: &Action) {
-        self.word(kind_number(action) as u64);
+        self.word(action_kind_index(action) as u64);
         match action {
             Action::Send {
                 part,
@@ -68,10 +68,10 @@
             }
             Action::Answer {
                 query,
-                complete: whole,
+                complete: complete_answer,
             } => {
                 self.word(query.0);
-                self.word((*whole).into());
+                self.word((*complete_answer).into());
             }
             Action::Reject {
                 query,
@@ -84,7 +84,7 @@
                 cause,
             } => {
                 self.word(query.0);
-                self.hint(*retry_after);
+                self.retry_hint(*retry_after);
                 self.cause(*cause);
             }
             Action::Probe { server } | Action::CloseIdleConnections { server } => {
@@ -96,9 +96,9 @@
     }
 }
 
-const ACTION_KINDS: usize = 9;
+const ACTION_KIND_COUNT: usize = 9;
 
-fn kind_number(action: &Action) -> usize {
+fn action_kind_index(action: &Action) -> usize {
     match action {
         Action::Send { .. } => 0,
         Action::Cancel { .. } => 1,
@@ -112,7 +112,7 @@
     }
 }
 
-/// The generator of the streams: Knuth's MMIX constants, upper bits used.
+/// Linear congruential generator with Knuth's MMIX constants; only the upper bits are used.
 struct Lcg(u64);
 
 impl Lcg {
@@ -124,147 +124,147 @@
         (self.0 >> 33) % n
     }
 
-    fn percent(&mut self, percent: u64) -> bool {
+    fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
 
-/// How a host behaves for a while.
+/// Behaviour of a host for a while.
 #[derive(Clone, Copy, PartialEq)]
 enum Condition {
     Healthy,
     Slow,
     Failing,
     Silent,
-    Full,
-    /// Connections break for a moment, then none comes about: the process died and starts again later.
+    AtCapacity,
+    /// Connections break at first and are then refused: the process died and starts again later.
     Crashing,
     Resetting,
-    /// Fails one class and serves the others.
-    SwallowsClassZero,
-    /// Loses what is sent on connections that were not used for a second.
+    /// Does not answer class 0 and serves the others.
+    IgnoresClassZero,
+    /// Resets connections that were idle for a second.
     DropsIdleConnections,
 }
 
-/// For how many microseconds connections to a crashing host still come about, and break.
-const CRASH: u64 = 400_000;
+/// Time in microseconds for which connections to a crashing host are still accepted, and break.
+const CRASH_RESET_TIME_US: u64 = 400_000;
 
 struct Host {
     condition: Condition,
     condition_until: u64,
     condition_since: u64,
-    held: u64,
-    last_use: u64,
+    in_flight: u64,
+    last_used_at: u64,
     state: ServerState,
-    boot: Option<Duration>,
+    latest_start: Option<Duration>,
 }
 
-/// What varies between the streams.
+/// Parameters of an event stream.
 struct Stream {
     settings: RouterSettings,
     seed: u64,
     hosts: u64,
     /// Mean time between queries in microseconds.
-    query_every: u64,
-    /// Usual time of a part in microseconds.
-    part_time: u64,
-    /// Share of the load reports that answers carry, in percent.
-    reports: u64,
-    /// Share of the changes of condition that are faults, in percent.
-    faults: u64,
-    /// Queries in a thousand whose parts crash the hosts.
-    crashing_queries: u64,
-    turns: u64,
+    query_interval: u64,
+    /// Typical time of a part in microseconds.
+    part_time_us: u64,
+    /// Share of the answers that carry a load report, in percent.
+    report_percent: u64,
+    /// Share of the condition changes that are faults, in percent.
+    fault_percent: u64,
+    /// Queries per thousand whose parts crash hosts.
+    crashing_queries_per_thousand: u64,
+    turn_count: u64,
 }
 
-enum Reply {
-    Attempt {
+enum DueEvent {
+    AttemptEnd {
         part: RequestId,
         attempt: u32,
         outcome: Outcome,
     },
-    Probed(ServerId),
-    List(bool),
+    ProbeEnd(ServerId),
+    SubscriptionEnd(bool),
     Wake,
     SecondStep(RequestId, u32),
-    Left(RequestId),
+    ClientLeft(RequestId),
 }
 
-struct PartInfo {
+struct SentPart {
     query: RequestId,
     class: u32,
-    attempts: Vec<AttemptInfo>,
+    attempts: Vec<SentAttempt>,
 }
 
-struct AttemptInfo {
+struct SentAttempt {
     server: ServerId,
-    sent: u64,
+    sent_at: u64,
     ended: bool,
 }
 
-struct World {
+struct Simulation {
     stream: Stream,
     router: Router,
-    lcg: Lcg,
+    random: Lcg,
     now: u64,
     next_id: u64,
-    replies: BTreeMap<(u64, u64), Reply>,
+    scheduled: BTreeMap<(u64, u64), DueEvent>,
     sequence: u64,
     hosts: Vec<Host>,
-    parts: BTreeMap<RequestId, PartInfo>,
-    /// Classes of the open queries and whether the second step has begun.
+    parts: BTreeMap<RequestId, SentPart>,
+    /// Classes of the open queries, and whether their second step has begun.
     queries: BTreeMap<RequestId, (u32, bool)>,
-    recent: VecDeque<RequestId>,
-    /// Queries whose parts crash every host that takes one.
+    recent_queries: VecDeque<RequestId>,
+    /// Queries whose parts crash every host that receives one.
     crashing_queries: BTreeSet<RequestId>,
     digest: Digest,
-    counts: [u64; ACTION_KINDS],
+    action_counts: [u64; ACTION_KIND_COUNT],
     events: u64,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
-impl World {
+impl Simulation {
     fn new(stream: Stream) -> Self {
         let hosts = (0..stream.hosts)
             .map(|_| Host {
                 condition: Condition::Healthy,
                 condition_until: 0,
                 condition_since: 0,
-                held: 0,
-                last_use: 0,
+                in_flight: 0,
+                last_used_at: 0,
                 state: ServerState::Ready,
-                boot: None,
+                latest_start: None,
             })
             .collect();
         Self {
             router: Router::new(stream.settings.clone(), stream.seed),
-            lcg: Lcg(stream.seed ^ 0x9e37_79b9_7f4a_7c15),
+            random: Lcg(stream.seed ^ 0x9e37_79b9_7f4a_7c15),
             now: 3_600_000_000,
             next_id: 0,
-            replies: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             sequence: 0,
             hosts,
             parts: BTreeMap::new(),
             queries: BTreeMap::new(),
-            recent: VecDeque::new(),
+            recent_queries: VecDeque::new(),
             crashing_queries: BTreeSet::new(),
             digest: Digest::new(),
-            counts: [0; ACTION_KINDS],
+            action_counts: [0; ACTION_KIND_COUNT],
             events: 0,
-            out: Vec::new(),
+            actions: Vec::new(),
             stream,
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn send_event(&mut self, event: Event) {
         self.events += 1;
-        self.router.handle(us(self.now), event, &mut self.out);
+        self.router.handle(us(self.now), event, &mut self.actions);
     }
 
-    fn reply_in(&mut self, after: u64, reply: Reply) {
+    fn schedule(&mut self, after: u64, event: DueEvent) {
         self.sequence += 1;
-        self.replies
-            .insert((self.now + after, self.sequence), reply);
+        self.scheduled
+            .insert((self.now + after, self.sequence), event);
     }
 
     fn entry(&self, n: usize) -> ServerEntry {
@@ -274,28 +274,28 @@
             zone: ZoneId(n as u32 / cells % 3),
             cell: n as u32 % cells,
             state: self.hosts[n].state,
-            started_at: self.hosts[n].boot,
+            started_at: self.hosts[n].latest_start,
         }
     }
 
-    fn run(mut self) -> Recorded {
+    fn run(mut self) -> StreamResult {
         if self.stream.settings.subscribe_within.is_none() {
-            self.tell_full_list(ListKind::Cached);
-            self.tell_full_list(ListKind::Full);
+            self.send_full_list(ListKind::Cached);
+            self.send_full_list(ListKind::Full);
         }
-        for turn in 0..self.stream.turns {
+        for turn in 0..self.stream.turn_count {
             self.advance_clock();
             self.change_conditions();
-            self.deliver_due_replies();
-            self.arrivals();
+            self.deliver_due_events();
+            self.generate_arrivals();
             if turn % 37 == 0 {
-                self.other_routers_speak();
+                self.send_peer_events();
             }
             if turn % 211 == 0 {
-                self.change_list();
+                self.change_server_list();
             }
-            self.tell(Event::TurnEnded);
-            self.carry_out();
+            self.send_event(Event::TurnEnded);
+            self.apply_actions();
             if turn % 50 == 0 {
                 for (server, parts) in self.router.in_flight() {
                     self.digest.word(server.0.into());
@@ -303,19 +303,19 @@
                 }
             }
         }
-        Recorded {
+        StreamResult {
             digest: self.digest.0,
             events: self.events,
-            counts: self.counts,
+            action_counts: self.action_counts,
         }
     }
 
-    /// Steps of 0 to 12 ms; now and then the router stands still.
+    /// Advances the clock by up to 12.5 ms, or occasionally by a pause of the router.
     fn advance_clock(&mut self) {
-        self.now += match self.lcg.below(700) {
-            0 => 200_000 + self.lcg.below(1_500_000),
+        self.now += match self.random.below(700) {
+            0 => 200_000 + self.random.below(1_500_000),
             1..=20 => 0,
-            _ => 500 + self.lcg.below(12_000),
+            _ => 500 + self.random.below(12_000),
         };
     }
 
@@ -325,29 +325,29 @@
                 continue;
             }
             let crashed = self.hosts[n].condition == Condition::Crashing;
-            let condition = if crashed || !self.lcg.percent(self.stream.faults) {
+            let condition = if crashed || !self.random.chance(self.stream.fault_percent) {
                 Condition::Healthy
             } else {
-                match self.lcg.below(8) {
+                match self.random.below(8) {
                     0 => Condition::Slow,
                     1 => Condition::Failing,
                     2 => Condition::Silent,
-                    3 => Condition::Full,
+                    3 => Condition::AtCapacity,
                     4 => Condition::Crashing,
                     5 => Condition::Resetting,
-                    6 => Condition::SwallowsClassZero,
+                    6 => Condition::IgnoresClassZero,
                     _ => Condition::DropsIdleConnections,
                 }
             };
-            let length = 500_000 + self.lcg.below(5_000_000);
+            let length = 500_000 + self.random.below(5_000_000);
             let host = &mut self.hosts[n];
             host.condition = condition;
             host.condition_since = self.now;
             host.condition_until = self.now + length;
             if crashed {
-                host.boot = Some(us(self.now - 50_000));
+                host.latest_start = Some(us(self.now - 50_000));
                 let entries = vec![self.entry(n)];
-                self.tell(Event::ServerList {
+                self.send_event(Event::ServerList {
                     kind: ListKind::Changes,
                     entries,
                 });
@@ -355,66 +355,69 @@
         }
     }
 
-    fn deliver_due_replies(&mut self) {
+    fn deliver_due_events(&mut self) {
         while let Some((&at, _)) = self
-            .replies
+            .scheduled
             .first_key_value()
             .filter(|(at, _)| at.0 <= self.now)
         {
-            let Some(reply) = self.replies.remove(&at) else {
+            let Some(event) = self.scheduled.remove(&at) else {
                 return;
             };
-            match reply {
-                Reply::Attempt {
+            match event {
+                DueEvent::AttemptEnd {
                     part,
                     attempt,
                     outcome,
-                } => self.attempt_ends(part, attempt, outcome),
-                Reply::Probed(server) => self.probe_ends(server),
-                Reply::List(fails) => {
-                    if fails {
-                        self.tell(Event::ServerList {
+                } => self.end_attempt(part, attempt, outcome),
+                DueEvent::ProbeEnd(server) => self.end_probe(server),
+                DueEvent::SubscriptionEnd(subscription_fails) => {
+                    if subscription_fails {
+                        self.send_event(Event::ServerList {
                             kind: ListKind::Failed,
                             entries: vec![],
                         });
                     } else {
-                        self.tell_full_list(ListKind::Full);
+                        self.send_full_list(ListKind::Full);
                     }
                 }
-                Reply::Wake => self.tell(Event::Wake),
-                Reply::SecondStep(query, parts) => {
+                DueEvent::Wake => self.send_event(Event::Wake),
+                DueEvent::SecondStep(query, parts) => {
                     let class = self.queries.get(&query).map_or(0, |q| q.0);
-                    self.tell_parts(query, class, parts.into());
+                    self.send_parts(query, class, parts.into());
                 }
-                Reply::Left(query) => {
-                    self.tell(Event::ClientLeft { query });
+                DueEvent::ClientLeft(query) => {
+                    self.send_event(Event::ClientLeft { query });
                     self.queries.remove(&query);
                 }
             }
         }
     }
 
-    fn attempt_ends(&mut self, part: RequestId, attempt: u32, outcome: Outcome) {
-        let Some(info) = self.parts.get_mut(&part) else {
+    fn end_attempt(&mut self, part: RequestId, attempt: u32, outcome: Outcome) {
+        let Some(sent_part) = self.parts.get_mut(&part) else {
             return;
         };
-        let info = &mut info.attempts[attempt as usize];
-        if std::mem::replace(&mut info.ended, true) {
+        let sent_attempt = &mut sent_part.attempts[attempt as usize];
+        if std::mem::replace(&mut sent_attempt.ended, true) {
             return;
         }
-        let (server, sent) = (info.server, info.sent);
-        let closed = outcome == Outcome::Ok || self.lcg.percent(2);
+        let (server, sent_at) = (sent_attempt.server, sent_attempt.sent_at);
+        let closed = outcome == Outcome::Ok || self.random.chance(2);
         let host = &mut self.hosts[server.0 as usize];
-        host.held = host.held.saturating_sub(1);
-        host.last_use = self.now;
-        let held = host.held;
-        let report = self.lcg.percent(self.stream.reports).then(|| LoadReport {
-            in_flight: (held % 3 != 1).then_some(held as f64),
-            queued: Some(held.saturating_sub(2) as f64),
-            utilization: Some((held as f64 / 8.0).min(1.0)),
-        });
-        let latency = us(self.now - sent);
-        self.tell(Event::AttemptEnded {
+        host.in_flight = host.in_flight.saturating_sub(1);
+        host.last_used_at = self.now;
+        let in_flight = host.in_flight;
+        let report = self
+            .random
+            .chance(self.stream.report_percent)
+            .then(|| LoadReport {
+                in_flight: (in_flight % 3 != 1).then_some(in_flight as f64),
+                queued: Some(in_flight.saturating_sub(2) as f64),
+                utilization: Some((in_flight as f64 / 8.0).min(1.0)),
+            });
+        let latency = us(self.now - sent_at);
+        self.send_event(Event::AttemptEnded {
             part,
             attempt,
             outcome,
@@ -424,7 +427,7 @@
         });
     }
 
-    fn probe_ends(&mut self, server: ServerId) {
+    fn end_probe(&mut self, server: ServerId) {
         let host = &self.hosts[server.0 as usize];
         let outcome = match host.condition {
             Condition::Silent => Outcome::Timeout,
@@ -432,92 +435,92 @@
             Condition::Failing => Outcome::Error,
             _ => Outcome::Ok,
         };
-        let held = host.held as f64;
-        let report = self.lcg.percent(60).then(|| LoadReport {
-            in_flight: Some(held),
+        let in_flight = host.in_flight as f64;
+        let report = self.random.chance(60).then(|| LoadReport {
+            in_flight: Some(in_flight),
             ..LoadReport::default()
         });
-        self.tell(Event::ProbeEnded {
+        self.send_event(Event::ProbeEnded {
             server,
             outcome,
             report,
         });
     }
 
-    fn tell_full_list(&mut self, kind: ListKind) {
+    fn send_full_list(&mut self, kind: ListKind) {
         let here = (0..self.hosts.len()).filter(|n| self.hosts[*n].state != ServerState::Gone);
         let entries = here.map(|n| self.entry(n)).collect();
-        self.tell(Event::ServerList { kind, entries });
+        self.send_event(Event::ServerList { kind, entries });
     }
 
-    fn arrivals(&mut self) {
+    fn generate_arrivals(&mut self) {
         let chances = 4;
         for _ in 0..chances {
-            if self.lcg.below(self.stream.query_every * chances) < 6_000 {
-                self.new_query();
+            if self.random.below(self.stream.query_interval * chances) < 6_000 {
+                self.send_query();
             }
         }
-        if self.lcg.below(150) == 0 {
-            if let Some(query) = self.recent.back().copied() {
-                self.tell(Event::ClientLeft { query });
+        if self.random.below(150) == 0 {
+            if let Some(query) = self.recent_queries.back().copied() {
+                self.send_event(Event::ClientLeft { query });
                 self.queries.remove(&query);
             }
         }
     }
 
-    fn new_query(&mut self) {
-        let class = self.lcg.below(self.stream.settings.classes.len() as u64) as u32;
+    fn send_query(&mut self) {
+        let class = self.random.below(self.stream.settings.classes.len() as u64) as u32;
         let limit = self.stream.settings.classes[class as usize].client_timeout;
         let tenants = self.stream.settings.tenants.len() as u64;
-        let tenant = (tenants > 0).then(|| TenantId(self.lcg.below(tenants + 1) as u32));
-        let wait = match self.lcg.below(12) {
+        let tenant = (tenants > 0).then(|| TenantId(self.random.below(tenants + 1) as u32));
+        let wait = match self.random.below(12) {
             0 => limit / 2,
             1 => limit / 4,
             2 => limit / 9,
             3 => limit * 2,
             _ => limit,
         };
-        let repeat = match self.lcg.below(6) {
+        let marked_retry = match self.random.below(6) {
             0 => Some(true),
             1 => Some(false),
             _ => None,
         };
-        let query = self.fresh_id();
-        self.tell(Event::Query {
+        let query = self.next_request_id();
+        self.send_event(Event::Query {
             id: query,
             class: ClassId(class),
             tenant,
             arrived_at: None,
             deadline: us(self.now) + wait,
-            is_retry: repeat,
+            is_retry: marked_retry,
         });
         self.queries.insert(query, (class, false));
-        if self.lcg.below(1_000) < self.stream.crashing_queries {
+        if self.random.below(1_000) < self.stream.crashing_queries_per_thousand {
             self.crashing_queries.insert(query);
         }
-        self.recent.push_back(query);
-        if self.recent.len() > 8 {
-            self.recent.pop_front();
+        self.recent_queries.push_back(query);
+        if self.recent_queries.len() > 8 {
+            self.recent_queries.pop_front();
         }
-        let parts = 1 + self.lcg.below(6);
-        self.tell_parts(query, class, parts);
-        self.reply_in(wait.as_micros() as u64, Reply::Left(query));
+        let parts = 1 + self.random.below(6);
+        self.send_parts(query, class, parts);
+        self.schedule(wait.as_micros() as u64, DueEvent::ClientLeft(query));
     }
 
-    fn tell_parts(&mut self, query: RequestId, class: u32, parts: u64) {
+    fn send_parts(&mut self, query: RequestId, class: u32, parts: u64) {
         let cells = u64::from(self.stream.settings.shard_layout.cells);
-        let first = self.lcg.below(cells);
-        let weights: Vec<u64> = (0..parts).map(|_| 1 + self.lcg.below(4)).collect();
+        let first = self.random.below(cells);
+        let weights: Vec<u64> = (0..parts).map(|_| 1 + self.random.below(4)).collect();
         let total: u64 = weights.iter().sum();
         for (n, weight) in weights.iter().enumerate() {
-            let id = self.fresh_id();
-            let info = PartInfo {
+            let id = self.next_request_id();
+            let sent_part = SentPart {
                 query,
                 class,
                 attempts: vec![],
             };
-            self.parts.insert(id, info);
-            self.tell(Event::Part {
+            self.parts.insert(id, sent_part);
+            self.send_event(Event::Part {
                 id,
                 query,
                 shard: ((first + n as u64) % cells) as u32,
@@ -526,21 +529,21 @@
         }
     }
 
-    fn fresh_id(&mut self) -> RequestId {
+    fn next_request_id(&mut self) -> RequestId {
         self.next_id += 1;
         RequestId(self.next_id)
     }
 
-    fn other_routers_speak(&mut self) {
-        let server = ServerId(self.lcg.below(self.stream.hosts + 1) as u32);
-        match self.lcg.below(8) {
-            0 => self.tell(Event::Unreachable { server }),
+    fn send_peer_events(&mut self) {
+        let server = ServerId(self.random.below(self.stream.hosts + 1) as u32);
+        match self.random.below(8) {
+            0 => self.send_event(Event::Unreachable { server }),
             1..=4 => {
-                let out = self.lcg.below(9) as f64 / 2.0;
-                let age = ms(self.lcg.below(700));
-                self.tell(Event::PeerLoad {
+                let in_flight_parts = self.random.below(9) as f64 / 2.0;
+                let age = ms(self.random.below(700));
+                self.send_event(Event::PeerLoad {
                     server,
-                    in_flight: out,
+                    in_flight: in_flight_parts,
                     age,
                 });
             }
@@ -548,75 +551,75 @@
         }
     }
 
-    fn change_list(&mut self) {
-        let n = self.lcg.below(self.stream.hosts) as usize;
-        self.hosts[n].state = match (self.hosts[n].state, self.lcg.below(3)) {
+    fn change_server_list(&mut self) {
+        let n = self.random.below(self.stream.hosts) as usize;
+        self.hosts[n].state = match (self.hosts[n].state, self.random.below(3)) {
             (ServerState::Ready, 0) => ServerState::Draining,
             (ServerState::Ready, 1) => ServerState::Gone,
             (ServerState::Draining, 0) => ServerState::Gone,
             _ => ServerState::Ready,
         };
-        if self.lcg.percent(30) {
-            self.hosts[n].boot = Some(us(self.now - self.lcg.below(200_000)));
+        if self.random.chance(30) {
+            self.hosts[n].latest_start = Some(us(self.now - self.random.below(200_000)));
         }
         let entries = vec![self.entry(n)];
-        match self.lcg.below(6) {
-            0 => self.tell_full_list(ListKind::Full),
-            1 => self.tell(Event::ServerList {
+        match self.random.below(6) {
+            0 => self.send_full_list(ListKind::Full),
+            1 => self.send_event(Event::ServerList {
                 kind: ListKind::Failed,
                 entries: vec![],
             }),
-            _ => self.tell(Event::ServerList {
+            _ => self.send_event(Event::ServerList {
                 kind: ListKind::Changes,
                 entries,
             }),
         }
     }
 
-    fn carry_out(&mut self) {
+    fn apply_actions(&mut self) {
         self.digest.word(self.now);
-        for action in std::mem::take(&mut self.out) {
+        for action in std::mem::take(&mut self.actions) {
             self.digest.action(&action);
-            self.counts[kind_number(&action)] += 1;
+            self.action_counts[action_kind_index(&action)] += 1;
             match action {
                 Action::Send {
                     part,
                     server,
                     timeout,
-                } => self.host_takes(part, server, timeout),
+                } => self.receive_part(part, server, timeout),
                 Action::Cancel { part, attempt } => {
-                    let delay = 300 + self.lcg.below(900);
-                    self.reply_in(
+                    let delay = 300 + self.random.below(900);
+                    self.schedule(
                         delay,
-                        Reply::Attempt {
+                        DueEvent::AttemptEnd {
                             part,
                             attempt,
                             outcome: Outcome::Cancelled,
                         },
                     );
                 }
-                Action::Answer { query, .. } => self.query_answered(query),
+                Action::Answer { query, .. } => self.finish_query_step(query),
                 Action::Reject { query, .. } | Action::Fail { query, .. } => {
                     self.queries.remove(&query);
                 }
                 Action::Probe { server } => {
-                    let delay = 1_000 + self.lcg.below(60_000);
-                    self.reply_in(delay, Reply::Probed(server));
+                    let delay = 1_000 + self.random.below(60_000);
+                    self.schedule(delay, DueEvent::ProbeEnd(server));
                 }
                 Action::CloseIdleConnections { .. } => {}
                 Action::Subscribe => {
-                    let fails = self.lcg.percent(40);
-                    let delay = 2_000 + self.lcg.below(30_000);
-                    if self.lcg.percent(85) {
-                        self.reply_in(delay, Reply::List(fails));
+                    let subscription_fails = self.random.chance(40);
+                    let delay = 2_000 + self.random.below(30_000);
+                    if self.random.chance(85) {
+                        self.schedule(delay, DueEvent::SubscriptionEnd(subscription_fails));
                     }
                 }
-                Action::Wake { after } => self.reply_in(after.as_micros() as u64, Reply::Wake),
+                Action::Wake { after } => self.schedule(after.as_micros() as u64, DueEvent::Wake),
             }
         }
     }
 
-    fn query_answered(&mut self, query: RequestId) {
+    fn finish_query_step(&mut self, query: RequestId) {
         let Some((class, second)) = self.queries.get(&query).copied() else {
             return;
         };
@@ -626,89 +629,96 @@
             return;
         }
         self.queries.insert(query, (class, true));
-        let delay = 100 + self.lcg.below(4_000);
-        self.reply_in(delay, Reply::SecondStep(query, parts));
+        let delay = 100 + self.random.below(4_000);
+        self.schedule(delay, DueEvent::SecondStep(query, parts));
     }
 
-    fn host_takes(&mut self, part: RequestId, server: ServerId, timeout: Duration) {
-        let Some(info) = self.parts.get_mut(&part) else {
+    fn receive_part(&mut self, part: RequestId, server: ServerId, timeout: Duration) {
+        let Some(sent_part) = self.parts.get_mut(&part) else {
             return;
         };
-        let attempt = info.attempts.len() as u32;
-        let (class, known) = (info.class, self.queries.contains_key(&info.query));
-        info.attempts.push(AttemptInfo {
+        let attempt = sent_part.attempts.len() as u32;
+        let (class, query_is_open) = (sent_part.class, self.queries.contains_key(&sent_part.query));
+        sent_part.attempts.push(SentAttempt {
             server,
-            sent: self.now,
+            sent_at: self.now,
             ended: false,
         });
-        let crashes = self.crashing_queries.contains(&info.query);
-        let (outcome, time) = if crashes {
-            self.host_crashes(server)
+        let crashes_host = self.crashing_queries.contains(&sent_part.query);
+        let (outcome, time) = if crashes_host {
+            self.crash_host(server)
         } else {
-            self.host_outcome(server, class)
+            self.attempt_outcome(server, class)
         };
         let timeout = timeout.as_micros() as u64;
         let (outcome, after) = match outcome {
             Some(outcome) if time < timeout => (outcome, time),
             _ => (Outcome::Timeout, timeout),
         };
-        let outcome = if known { outcome } else { Outcome::NotSent };
-        self.reply_in(
+        let outcome = if query_is_open {
+            outcome
+        } else {
+            Outcome::NotSent
+        };
+        self.schedule(
             after,
-            Reply::Attempt {
+            DueEvent::AttemptEnd {
                 part,
                 attempt,
                 outcome,
             },
         );
         let host = &mut self.hosts[server.0 as usize];
-        host.held += 1;
-        host.last_use = self.now;
+        host.in_flight += 1;
+        host.last_used_at = self.now;
     }
 
-    /// A host dies under a part, and refuses connections until it is started again.
-    fn host_crashes(&mut self, server: ServerId) -> (Option<Outcome>, u64) {
+    /// Crashes a host, which refuses connections until it is started again. Returns the outcome of the part that it served
+    /// and the time in microseconds until then.
+    fn crash_host(&mut self, server: ServerId) -> (Option<Outcome>, u64) {
         let host = &mut self.hosts[server.0 as usize];
         host.condition = Condition::Crashing;
-        host.condition_since = self.now - CRASH;
+        host.condition_since = self.now - CRASH_RESET_TIME_US;
         host.condition_until = self.now + 2_000_000;
-        (Some(Outcome::Reset), 400 + self.lcg.below(6_000))
+        (Some(Outcome::Reset), 400 + self.random.below(6_000))
     }
 
-    /// How a host ends an attempt, `None` for no answer at all, and after how many microseconds.
-    fn host_outcome(&mut self, server: ServerId, class: u32) -> (Option<Outcome>, u64) {
-        let spread = 600 + self.lcg.below(1_000);
+    /// Returns the outcome of an attempt, `None` for no answer at all, and the time in microseconds until then.
+    fn attempt_outcome(&mut self, server: ServerId, class: u32) -> (Option<Outcome>, u64) {
+        let spread = 600 + self.random.below(1_000);
         let host = &self.hosts[server.0 as usize];
-        let unused_for = self.now - host.last_use;
-        let usual = self.stream.part_time * spread / 1_000 * (2 + host.held) / 2;
-        let quick = 200 + self.lcg.below(1_500);
+        let idle_time = self.now - host.last_used_at;
+        let usual_time = self.stream.part_time_us * spread / 1_000 * (2 + host.in_flight) / 2;
+        let quick_time = 200 + self.random.below(1_500);
         match host.condition {
-            Condition::Healthy if self.lcg.below(400) == 0 => (Some(Outcome::Error), usual),
-            Condition::Healthy => (Some(Outcome::Ok), usual),
-            Condition::Slow => (Some(Outcome::Ok), 6 * usual),
-            Condition::Failing => (Some(Outcome::Error), quick),
+            Condition::Healthy if self.random.below(400) == 0 => (Some(Outcome::Error), usual_time),
+            Condition::Healthy => (Some(Outcome::Ok), usual_time),
+            Condition::Slow => (Some(Outcome::Ok), 6 * usual_time),
+            Condition::Failing => (Some(Outcome::Error), quick_time),
             Condition::Silent => (None, 0),
-            Condition::Full if host.held >= 2 || self.lcg.percent(20) => {
-                (Some(Outcome::Rejected), quick)
+            Condition::AtCapacity if host.in_flight >= 2 || self.random.chance(20) => {
+                (Some(Outcome::Rejected), quick_time)
+            }
+            Condition::AtCapacity => (Some(Outcome::Ok), 2 * usual_time),
+            Condition::Crashing if self.now < host.condition_since + CRASH_RESET_TIME_US => {
+                (Some(Outcome::Reset), quick_time)
             }
-            Condition::Full => (Some(Outcome::Ok), 2 * usual),
-            Condition::Crashing if self.now < host.condition_since + CRASH => {
-                (Some(Outcome::Reset), quick)
+            Condition::Crashing => (Some(Outcome::ConnectFailed), quick_time),
+            Condition::Resetting if self.random.chance(50) => {
+                (Some(Outcome::Reset), usual_time / 2)
             }
-            Condition::Crashing => (Some(Outcome::ConnectFailed), quick),
-            Condition::Resetting if self.lcg.percent(50) => (Some(Outcome::Reset), usual / 2),
-            Condition::Resetting => (Some(Outcome::Ok), usual),
-            Condition::SwallowsClassZero if class == 0 => (None, 0),
-            Condition::SwallowsClassZero => (Some(Outcome::Ok), usual),
-            Condition::DropsIdleConnections if unused_for > 1_000_000 => {
-                (Some(Outcome::Reset), quick)
+            Condition::Resetting => (Some(Outcome::Ok), usual_time),
+            Condition::IgnoresClassZero if class == 0 => (None, 0),
+            Condition::IgnoresClassZero => (Some(Outcome::Ok), usual_time),
+            Condition::DropsIdleConnections if idle_time > 1_000_000 => {
+                (Some(Outcome::Reset), quick_time)
             }
-            Condition::DropsIdleConnections => (Some(Outcome::Ok), usual),
+            Condition::DropsIdleConnections => (Some(Outcome::Ok), usual_time),
         }
     }
 }
 
-fn plain_class() -> QueryClass {
+fn default_class() -> QueryClass {
     QueryClass {
         latency_target: ms(250),
         client_timeout: ms(900),
@@ -731,25 +741,25 @@
         complete_share: 0.9,
         min_share: 0.5,
         partial_value: 0.8,
-        ..plain_class()
+        ..default_class()
     };
     let two_steps = QueryClass {
         latency_target: ms(500),
         client_timeout: ms(1500),
         idempotency: Idempotency::Keyed(ms(400)),
         second_step_parts: 3,
-        ..plain_class()
+        ..default_class()
     };
-    let no_repeat = QueryClass {
+    let not_idempotent = QueryClass {
         late_value: 0.0,
         idempotency: Idempotency::NotIdempotent,
         value: 0.5,
-        ..plain_class()
+        ..default_class()
     };
-    vec![plain_class(), partial, two_steps, no_repeat]
+    vec![default_class(), partial, two_steps, not_idempotent]
 }
 
-fn plain_settings() -> RouterSettings {
+fn default_settings() -> RouterSettings {
     RouterSettings {
         classes: classes(),
         value_by_work: false,
@@ -776,56 +786,57 @@
     }
 }
 
-fn plain_stream() -> Stream {
+fn default_stream() -> Stream {
     Stream {
-        settings: plain_settings(),
+        settings: default_settings(),
         seed: 1,
         hosts: 12,
-        query_every: 9_000,
-        part_time: 15_000,
-        reports: 90,
-        faults: 25,
-        crashing_queries: 0,
-        turns: 9_000,
+        query_interval: 9_000,
+        part_time_us: 15_000,
+        report_percent: 90,
+        fault_percent: 25,
+        crashing_queries_per_thousand: 0,
+        turn_count: 9_000,
     }
 }
 
 fn tenants() -> Vec<Tenant> {
     [(0.5, 60.0), (0.3, 20.0), (0.2, 4.0)]
-        .map(|(portion, quota_per_s)| Tenant {
-            share: portion,
+        .map(|(traffic_share, quota_per_s)| Tenant {
+            share: traffic_share,
             quota_per_s,
         })
         .to_vec()
 }
 
-/// What a stream gave with the code of the commit named above.
+/// Results of an event stream.
 #[derive(Debug, PartialEq)]
-struct Recorded {
+struct StreamResult {
     digest: u64,
     events: u64,
-    /// Sends, cancels, answers, refusals, failures, probes, releases, subscriptions, wake-ups.
-    counts: [u64; ACTION_KINDS],
+    /// Number of actions by kind: sends, cancels, answers, rejections, failures, probes, closings of idle connections,
+    /// subscriptions, wake-ups.
+    action_counts: [u64; ACTION_KIND_COUNT],
 }
 
-fn check(stream: Stream, recorded: Recorded) {
-    assert_eq!(World::new(stream).run(), recorded);
+fn check_stream(stream: Stream, expected: StreamResult) {
+    assert_eq!(Simulation::new(stream).run(), expected);
 }
 
 #[test]
-fn few_routers_without_options_decide_as_recorded() {
-    check(
-        plain_stream(),
-        Recorded {
+fn few_routers_with_default_settings_decide_as_recorded() {
+    check_stream(
+        default_stream(),
+        StreamResult {
             digest: 0x5388_0a29_5bc8_c2ef,
             events: 72_191,
-            counts: [21_686, 1_825, 5_939, 1_066, 233, 0, 0, 0, 4_122],
+            action_counts: [21_686, 1_825, 5_939, 1_066, 233, 0, 0, 0, 4_122],
         },
     );
 }
 
 #[test]
-fn budget_cold_rule_probes_and_zones_decide_as_recorded() {
+fn retry_budget_slow_start_probes_and_zones_decide_as_recorded() {
     let settings = RouterSettings {
         retry_budget: Some(RetryBudget {
             min_retries: 5.0,
@@ -841,19 +852,19 @@
         probes: true,
         zone: Some(ZoneId(1)),
         cross_zone_cost: true,
-        ..plain_settings()
+        ..default_settings()
     };
     let stream = Stream {
         settings,
         seed: 2,
-        ..plain_stream()
+        ..default_stream()
     };
-    check(
+    check_stream(
         stream,
-        Recorded {
+        StreamResult {
             digest: 0x3955_04a3_f61e_b237,
             events: 70_961,
-            counts: [20_793, 1087, 5845, 1118, 198, 29, 0, 0, 4087],
+            action_counts: [20_793, 1087, 5845, 1118, 198, 29, 0, 0, 4087],
         },
     );
 }
@@ -864,22 +875,22 @@
         tenants: tenants(),
         value_by_work: true,
         probes: true,
-        ..plain_settings()
+        ..default_settings()
     };
     let stream = Stream {
         settings,
         seed: 3,
-        query_every: 5_000,
-        part_time: 40_000,
-        faults: 12,
-        ..plain_stream()
+        query_interval: 5_000,
+        part_time_us: 40_000,
+        fault_percent: 12,
+        ..default_stream()
     };
-    check(
+    check_stream(
         stream,
-        Recorded {
+        StreamResult {
             digest: 0x35c0_960a_4094_15a2,
             events: 84_610,
-            counts: [10_925, 1_002, 3_564, 7_409, 124, 36, 0, 0, 4_117],
+            action_counts: [10_925, 1_002, 3_564, 7_409, 124, 36, 0, 0, 4_117],
         },
     );
 }
@@ -898,25 +909,25 @@
             overload_factor: 1.5,
             overload_time: ms(500),
         }),
-        ..plain_settings()
+        ..default_settings()
     };
     let stream = Stream {
         settings,
         seed: 4,
-        ..plain_stream()
+        ..default_stream()
     };
-    check(
+    check_stream(
         stream,
-        Recorded {
+        StreamResult {
             digest: 0x2f24_b7ff_5c15_753a,
             events: 63_637,
-            counts: [14_489, 724, 4107, 2433, 230, 0, 0, 8, 4090],
+            action_counts: [14_489, 724, 4107, 2433, 230, 0, 0, 8, 4090],
         },
     );
 }
 
 #[test]
-fn without_copies_cancels_and_reports_they_decide_as_recorded() {
+fn without_hedging_cancellation_and_reports_they_decide_as_recorded() {
     let settings = RouterSettings {
         hedging: false,
         cancellation: false,
@@ -925,46 +936,46 @@
         max_parts_per_call: 3,
         call_overhead: ms(2),
         probes: true,
-        ..plain_settings()
+        ..default_settings()
     };
     let stream = Stream {
         settings,
         seed: 5,
-        crashing_queries: 3,
-        reports: 0,
-        ..plain_stream()
+        crashing_queries_per_thousand: 3,
+        report_percent: 0,
+        ..default_stream()
     };
-    check(
+    check_stream(
         stream,
-        Recorded {
+        StreamResult {
             digest: 0xae9f_52cb_69e8_4ece,
             events: 57_973,
-            counts: [9597, 0, 2791, 3539, 134, 55, 0, 0, 4039],
+            action_counts: [9597, 0, 2791, 3539, 134, 55, 0, 0, 4039],
         },
     );
 }
 
 #[test]
-fn seldom_used_connections_decide_as_recorded() {
+fn rarely_used_connections_decide_as_recorded() {
     let settings = RouterSettings {
         subscribe_within: Some(ms(2000)),
         probes: true,
-        ..plain_settings()
+        ..default_settings()
     };
     let stream = Stream {
         settings,
         seed: 6,
-        query_every: 45_000,
-        faults: 60,
-        turns: 20_000,
-        ..plain_stream()
+        query_interval: 45_000,
+        fault_percent: 60,
+        turn_count: 20_000,
+        ..default_stream()
     };
-    check(
+    check_stream(
         stream,
-        Recorded {
+        StreamResult {
             digest: 0x48b1_c709_b839_b897,
             events: 51_211,
-            counts: [6_628, 1_035, 1_406, 1_188, 234, 124, 29, 30, 8_208],
+            action_counts: [6_628, 1_035, 1_406, 1_188, 234, 124, 29, 30, 8_208],
         },
     );
 }
@@ -984,23 +995,23 @@
             retry_share: 0.3,
             window: ms(1000),
         }),
-        ..plain_settings()
+        ..default_settings()
     };
     let stream = Stream {
         settings,
         seed: 7,
         hosts: 32,
-        crashing_queries: 3,
-        query_every: 4_000,
-        faults: 45,
-        ..plain_stream()
+        crashing_queries_per_thousand: 3,
+        query_interval: 4_000,
+        fault_percent: 45,
+        ..default_stream()
     };
-    check(
+    check_stream(
         stream,
-        Recorded {
+        StreamResult {
             digest: 0x8110_d5d5_162f_73c6,
             events: 129_310,
-            counts: [35_816, 3_497, 9_435, 5_117, 562, 37, 0, 0, 4_166],
+            action_counts: [35_816, 3_497, 9_435, 5_117, 562, 37, 0, 0, 4_166],
         },
     );
 }
