--- a/crates/coordinator/src/decision/admission.rs
+++ b/crates/coordinator/src/decision/admission.rs
@@ -88,14 +88,14 @@
             } else {
                 1.0
             };
-        let slowest = self.slowest_needed_part(query, class);
-        let server_available = slowest < f64::MAX;
-        let second_step = if class.second_step_parts > 0 {
+        let slowest_part_time = self.slowest_needed_part(query, class);
+        let server_available = slowest_part_time < f64::MAX;
+        let second_step_time = if class.second_step_parts > 0 {
             self.expected_part_time(query.class, self.fleet_load.mean)
         } else {
             0.0
         };
-        let expected_time = slowest + second_step;
+        let expected_time = slowest_part_time + second_step_time;
         let share = self.admission_share(query, value, parts);
         let time_left = self.useful_time_left(query, class);
         let still_useful = time_left < 0.0 && self.useful_until(query) > self.now;
@@ -143,29 +143,29 @@
     /// parts that already wait here for the same shard.
     fn forecast_part(&self, query: &Query, part: &Part) -> f64 {
         let waiting_ahead = self.waiting_parts(part.shard);
-        let time = |server: &Server| {
+        let expected_time = |server: &Server| {
             let load = self.estimated_load(server) + waiting_ahead;
             self.wait_for_slot(server) + self.expected_part_time(query.class, load)
         };
         self.usable_servers(part.shard)
-            .map(time)
+            .map(expected_time)
             .fold(f64::MAX, f64::min)
     }
 
     /// Returns how many parts of admitted queries wait here for each server of a shard.
     fn waiting_parts(&self, shard: u32) -> f64 {
         let cells = self.settings.shard_layout.cells.max(1);
-        let waits = |part: &&Part| {
+        let is_waiting = |part: &&Part| {
             part.is_open()
                 && !part.has_attempt_in_flight()
                 && part.shard % cells == shard % cells
                 && self.queries.get(&part.query).is_some_and(|q| q.admitted)
         };
-        let healthy = self
+        let healthy_servers = self
             .servers_of_shard(shard)
             .filter(|(_, s)| s.is_ready() && !s.is_ejected())
             .count();
-        self.parts.values().filter(waits).count() as f64 / healthy.max(1) as f64
+        self.parts.values().filter(is_waiting).count() as f64 / healthy_servers.max(1) as f64
     }
 
     /// Returns the share of its useful time that a query may be expected to take. During
--- a/crates/coordinator/src/decision/completion.rs
+++ b/crates/coordinator/src/decision/completion.rs
@@ -111,8 +111,8 @@
     ) -> bool {
         let query = &self.queries[&id];
         let too_late = self.now >= self.useful_until(query) - self.turn_margin();
-        let lost = self.has_lost_too_much_weight(query);
-        if !too_late && !lost && !self.is_crash_suspect(query) {
+        let has_lost_too_much = self.has_lost_too_much_weight(query);
+        if !too_late && !has_lost_too_much && !self.is_crash_suspect(query) {
             return false;
         }
         let max_retry_hint = self.settings.max_retry_after.map_or(0.0, seconds);
@@ -120,7 +120,7 @@
             .parts_of(query)
             .all(|part| self.is_safe_to_repeat(part, query.class, max_retry_hint));
         let wait = self.latency_quantile(query.class, 0.9);
-        let cause = if lost {
+        let cause = if has_lost_too_much {
             Cause::PartsLost
         } else {
             Cause::TooLate
@@ -137,12 +137,12 @@
     /// Whether the parts that are or can still be answered weigh too little for any answer.
     fn has_lost_too_much_weight(&self, query: &Query) -> bool {
         let total = self.progress(query).total_weight;
-        let lost: f64 = self
+        let lost_weight: f64 = self
             .parts_of(query)
             .filter(|part| self.is_lost(part, query))
             .map(|part| part.weight)
             .sum();
-        total - lost + 2.0 * WEIGHT_TOLERANCE < self.min_share(query) * total
+        total - lost_weight + 2.0 * WEIGHT_TOLERANCE < self.min_share(query) * total
     }
 
     /// Whether a part can't be answered any more: it is closed, or it has no attempt in flight and
--- a/crates/coordinator/src/decision/outlier_ejection.rs
+++ b/crates/coordinator/src/decision/outlier_ejection.rs
@@ -29,9 +29,9 @@
 const RELAPSE_TIME_CONSTANT_S: f64 = 15.0;
 /// Largest factor by which ejections are longer among many routers, as the probes of all routers
 /// add up.
-const MAX_FLEET_EJECTION_FACTOR: f64 = 8.0;
+const MAX_EJECTION_FLEET_FACTOR: f64 = 8.0;
 /// Largest factor by which the upper bound of an ejection is higher among many routers.
-const MAX_FLEET_MAX_EJECTION_FACTOR: f64 = 4.0;
+const MAX_EJECTION_BOUND_FLEET_FACTOR: f64 = 4.0;
 /// A connection refused within this time after one that broke means that the server's process died.
 pub(super) const CRASH_WINDOW_S: f64 = 10.0;
 
@@ -185,11 +185,11 @@
 
     fn record_timeout(&mut self, server: ServerId, sent_at: f64) {
         let timeout = self.stall_timeout();
-        let silent = self
+        let is_silent = self
             .servers
             .get(&server)
             .is_some_and(|known| self.unanswered_for(known, sent_at) > timeout);
-        if silent {
+        if is_silent {
             self.eject(server, true);
         }
     }
@@ -266,7 +266,7 @@
     pub(super) fn eject(&mut self, server_id: ServerId, unreachable: bool) {
         let now = self.now;
         let fleet_factor = (f64::from(self.settings.routers) / SMALL_FLEET_ROUTERS)
-            .clamp(1.0, MAX_FLEET_EJECTION_FACTOR);
+            .clamp(1.0, MAX_EJECTION_FLEET_FACTOR);
         let Some(server) = self.servers.get_mut(&server_id) else {
             return;
         };
@@ -283,7 +283,8 @@
         ejection.last_ejected_at = now;
         let ejection_time =
             fleet_factor * EJECTION_TIME.initial * (ejection.recent_count - 1.0).exp2();
-        let max_ejection_time = fleet_factor.min(MAX_FLEET_MAX_EJECTION_FACTOR) * EJECTION_TIME.max;
+        let max_ejection_time =
+            fleet_factor.min(MAX_EJECTION_BOUND_FLEET_FACTOR) * EJECTION_TIME.max;
         ejection.until = Some(now + ejection_time.min(max_ejection_time));
     }
 
--- a/crates/coordinator/src/decision/rejection.rs
+++ b/crates/coordinator/src/decision/rejection.rs
@@ -43,7 +43,7 @@
 
     /// Returns the retry hint for a wait in seconds; `None` if clients get no hints.
     fn retry_hint(&self, wait: f64) -> Option<Duration> {
-        let longest = seconds(self.settings.max_retry_after?).max(MIN_RETRY_HINT_S);
-        Some(action_duration(wait.clamp(MIN_RETRY_HINT_S, longest)))
+        let max_hint = seconds(self.settings.max_retry_after?).max(MIN_RETRY_HINT_S);
+        Some(action_duration(wait.clamp(MIN_RETRY_HINT_S, max_hint)))
     }
 }
