--- a/crates/coordinator/tests/adapter.rs
+++ b/crates/coordinator/tests/adapter.rs
@@ -142,8 +142,8 @@
     ] {
         let clients = format!("\"clients\":{{\"marks_retry\":{marks}}},\"step\"");
         let settings = start(1).replace("\"step\"", &clients);
-        // 1.5 s of 3 s are left: a retry has missed its latency target, and an unmarked attempt is a first one. If clients
-        // don't mark retries the typical timeout decides, here that of the query before.
+        // 1.5 s of 3 s are left: a retry has missed its latency target, and an unmarked attempt is a first one. If
+        // clients don't mark retries the typical timeout decides, here that of the query before.
         let (earlier_query, short_query) = (query(1, "q0", "p0"), query(1, "q", "p"));
         let short_query = short_query
             .replace("4000.0", "2500.0")
--- a/crates/coordinator/tests/decision/admission.rs
+++ b/crates/coordinator/tests/decision/admission.rs
@@ -11,8 +11,10 @@
         entry_changed(0, ServerState::Gone, None),
         entry_changed(1, ServerState::Gone, None),
     ]);
-    let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-    assert!(matches!(out[..], [Action::Reject { query, retry_after: Some(_), .. }] if query == id));
+    let (id, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    assert!(
+        matches!(actions[..], [Action::Reject { query, retry_after: Some(_), .. }] if query == id)
+    );
 }
 
 /// Guards against forecasts that ignore the parts waiting in the router for a server that rejects. More and more
@@ -28,8 +30,8 @@
     let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
     harness.end_attempt(parts[0], 0, Outcome::Rejected, 0.0);
     let rejected = (0..80).filter(|_| {
-        let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-        final_actions(&out, id) == 1
+        let (id, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        final_actions(&actions, id) == 1
     });
     let rejected = rejected.count();
     assert!((20..80).contains(&rejected), "{rejected} of 80 rejected");
@@ -66,8 +68,8 @@
     harness.now += 90;
     harness.waited = Some(90);
     for _ in 0..7 {
-        let (id, _, out) = harness.submit_query(0, &[(2, 1.0)]);
-        assert_eq!(final_actions(&out, id), 0, "{out:?}");
+        let (id, _, actions) = harness.submit_query(0, &[(2, 1.0)]);
+        assert_eq!(final_actions(&actions, id), 0, "{actions:?}");
     }
 }
 
@@ -91,8 +93,8 @@
     }
     harness.run_until(harness.now + 2000);
     let admitted = (0..8).filter(|_| {
-        let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-        final_actions(&out, id) == 0
+        let (id, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        final_actions(&actions, id) == 0
     });
     admitted.count()
 }
@@ -110,8 +112,8 @@
     assert!(admitted_after_a_pause(false) >= 4);
 }
 
-/// Guards against a router that ignores its first answers because it was paused when they came, and then rejects queries
-/// by its default estimate.
+/// Guards against a router that ignores its first answers because it was paused when they came, and then rejects
+/// queries by its default estimate.
 #[test]
 fn queries_are_admitted_when_all_answers_so_far_were_delayed_by_a_pause_of_the_process() {
     let mut harness = Harness::new(settings());
@@ -124,8 +126,8 @@
         harness.answer_part(part, 0, 90);
     }
     for _ in 0..8 {
-        let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-        assert_eq!(final_actions(&out, id), 0, "{out:?}");
+        let (id, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_eq!(final_actions(&actions, id), 0, "{actions:?}");
     }
 }
 
--- a/crates/coordinator/tests/decision/arrival.rs
+++ b/crates/coordinator/tests/decision/arrival.rs
@@ -16,9 +16,9 @@
     });
     for wait in [1900, 1900, 2700, 1900, 1900] {
         harness.client_wait = wait;
-        let (id, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
+        let (id, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
         assert_eq!(
-            (final_actions(&out, id), sends(&out).len()),
+            (final_actions(&actions, id), sends(&actions).len()),
             (0, 1),
             "an attempt that waits {wait} ms"
         );
@@ -27,8 +27,8 @@
     }
     // An attempt whose client began 1.5 s ago is past its latency target of one second.
     harness.client_wait = 1500;
-    let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-    assert_eq!((final_actions(&out, id), sends(&out).len()), (1, 0));
+    let (id, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    assert_eq!((final_actions(&actions, id), sends(&actions).len()), (1, 0));
 }
 
 /// A short timeout does not make an attempt a retry.
@@ -43,8 +43,8 @@
     });
     for wait in [3000, 3000, 400] {
         harness.client_wait = wait;
-        let (id, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-        assert_eq!(sends(&out).len(), 1, "a client that waits {wait} ms");
+        let (id, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_eq!(sends(&actions).len(), 1, "a client that waits {wait} ms");
         harness.now += 60;
         harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
         assert_eq!(final_actions(&harness.actions, id), 1);
--- a/crates/coordinator/tests/decision/completion.rs
+++ b/crates/coordinator/tests/decision/completion.rs
@@ -9,9 +9,9 @@
     let (id, _, _) = harness.submit_query(0, &[(0, 0.5), (3, 0.5)]);
     harness.run_until(2995);
     assert_eq!(final_actions(&harness.actions, id), 1);
-    let before = harness.actions.len();
+    let actions_before = harness.actions.len();
     let after = harness.run_until(4000);
-    assert!(sends(&after).is_empty() && final_actions(&harness.actions[before..], id) == 0);
+    assert!(sends(&after).is_empty() && final_actions(&harness.actions[actions_before..], id) == 0);
 }
 
 #[test]
@@ -65,7 +65,7 @@
             query: id,
             complete: is_complete
         }));
-        let before = harness.actions.len();
+        let actions_before = harness.actions.len();
         let second_step_part = RequestId(900);
         harness.now += 5;
         harness.run_turn(vec![Event::Part {
@@ -76,7 +76,7 @@
         }]);
         harness.now += 5;
         harness.end_attempt(second_step_part, 0, Outcome::Ok, 0.0);
-        let answers: Vec<_> = harness.actions[before..]
+        let answers: Vec<_> = harness.actions[actions_before..]
             .iter()
             .filter(|a| matches!(a, Action::Answer { .. }))
             .collect();
--- a/crates/coordinator/tests/decision/concurrency_limit.rs
+++ b/crates/coordinator/tests/decision/concurrency_limit.rs
@@ -17,20 +17,20 @@
     let parts: Vec<RequestId> = sends(&harness.actions).iter().map(|s| s.0).collect();
     assert!(parts.len() > 3 && harness.sends_to(only) == parts.len());
     harness.now += 5;
-    let out: Vec<Action> = parts[3..]
+    let actions: Vec<Action> = parts[3..]
         .iter()
         .flat_map(|p| harness.end_attempt(*p, 0, Outcome::Rejected, 0.0))
         .collect();
     assert!(
-        sends(&out).is_empty(),
+        sends(&actions).is_empty(),
         "sent back at once to a server that rejects"
     );
-    let out = parts[..3]
+    let actions = parts[..3]
         .iter()
         .flat_map(|p| harness.end_attempt(*p, 0, Outcome::Ok, 3.0))
         .collect::<Vec<_>>();
     assert!(
-        !sends(&out).is_empty(),
+        !sends(&actions).is_empty(),
         "parts wait for the capacity that answers free"
     );
 }
@@ -49,11 +49,11 @@
     let mut backoffs = Vec::new();
     for attempt in 0..2 {
         harness.now += 2;
-        let (rejected_at, out) = (
+        let (rejected_at, actions) = (
             harness.now,
             harness.end_attempt(parts[0], attempt, Outcome::Rejected, 0.0),
         );
-        assert!(sends(&out).is_empty(), "sent back at once");
+        assert!(sends(&actions).is_empty(), "sent back at once");
         while sends(&harness.run_until(harness.now + 10)).is_empty()
             && harness.now < rejected_at + 900
         {}
--- a/crates/coordinator/tests/decision/ejection.rs
+++ b/crates/coordinator/tests/decision/ejection.rs
@@ -8,12 +8,12 @@
     let mut harness = Harness::new(settings());
     let failing_server = ServerId(0);
     harness.end_parts_at(failing_server, Outcome::Error, 2);
-    let before = harness.actions.len();
+    let actions_before = harness.actions.len();
     for _ in 0..20 {
         harness.submit_query(0, &[(0, 1.0)]);
         harness.now += 20;
     }
-    assert!(sends(&harness.actions[before..])
+    assert!(sends(&harness.actions[actions_before..])
         .iter()
         .all(|s| s.1 != failing_server));
 }
@@ -26,8 +26,8 @@
         let mut harness = Harness::new(settings());
         harness.end_parts_at(ServerId(0), outcome, 1);
         harness.end_parts_at(ServerId(0), Outcome::Ok, 2);
-        let (_, parts, out) = harness.submit_query(0, &[(0, 0.5), (3, 0.5)]);
-        assert!(sends(&out).iter().any(|s| s.1 == ServerId(0)));
+        let (_, parts, actions) = harness.submit_query(0, &[(0, 0.5), (3, 0.5)]);
+        assert!(sends(&actions).iter().any(|s| s.1 == ServerId(0)));
         harness.now += 10;
         parts
             .iter()
@@ -36,8 +36,8 @@
     }
 }
 
-/// Four of twelve hosts reset every fourth connection and served the rest in 10 ms; ejecting them overloaded the others.
-/// A server that resets all connections is ejected.
+/// Four of twelve hosts reset every fourth connection and served the rest in 10 ms; ejecting them overloaded the
+/// others. A server that resets all connections is ejected.
 #[test]
 fn a_server_that_answers_between_resets_is_not_ejected() {
     for (answers, is_probed) in [(1, false), (0, true)] {
@@ -72,13 +72,13 @@
         hedging: false,
         ..settings()
     });
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let failing = sends(&out)[0].1;
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let failing = sends(&actions)[0].1;
     harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
     let (mut unanswered, mut served) = (0, 0);
     for n in 0..200 {
-        let (_, parts, out) = harness.submit_query(n % 2, &[(0, 1.0)]);
-        for (part, server) in sends(&out) {
+        let (_, parts, actions) = harness.submit_query(n % 2, &[(0, 1.0)]);
+        for (part, server) in sends(&actions) {
             let hangs = server == failing && n % 2 == 0;
             harness.now += 10;
             let load = if server == failing { 0.0 } else { 5.0 };
@@ -108,8 +108,8 @@
         harness.run_until(harness.now + 420);
         harness.end_parts_at(ServerId(dead), Outcome::ConnectFailed, 1);
     }
-    let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-    assert!(sends(&out).is_empty() && final_actions(&out, id) == 1);
+    let (id, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    assert!(sends(&actions).is_empty() && final_actions(&actions, id) == 1);
     harness.run_until(harness.now + 600);
     assert_eq!(sends(&harness.submit_query(0, &[(0, 1.0)]).2).len(), 1);
 }
@@ -124,10 +124,10 @@
             ..settings()
         });
         harness.end_parts_at(ServerId(0), Outcome::Error, 2);
-        let before = harness.sends_to(ServerId(0));
+        let sends_before = harness.sends_to(ServerId(0));
         for _ in 0..200 {
-            let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-            let failing = sends(&out)[0].1 == ServerId(0);
+            let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+            let failing = sends(&actions)[0].1 == ServerId(0);
             harness.end_attempt(
                 parts[0],
                 0,
@@ -137,7 +137,7 @@
             harness.end_attempt(parts[0], 1, Outcome::Ok, 0.0);
             harness.run_until(harness.now + 100);
         }
-        harness.sends_to(ServerId(0)) - before
+        harness.sends_to(ServerId(0)) - sends_before
     };
     let (few, many) = (count_probes(2), count_probes(100));
     assert!(
@@ -156,11 +156,11 @@
         harness.end_attempt(parts[0], 1, Outcome::Error, 0.0);
         assert!(n < 2);
     }
-    let before = harness.actions.len();
+    let actions_before = harness.actions.len();
     for _ in 0..30 {
         harness.submit_query(0, &[(0, 1.0)]);
     }
-    let sent = sends(&harness.actions[before..]).len();
+    let sent = sends(&harness.actions[actions_before..]).len();
     assert!(
         (1..=4).contains(&sent),
         "{sent} sends to two ejected servers"
@@ -173,10 +173,10 @@
     let mut harness = Harness::new(settings());
     let failing_server = ServerId(0);
     harness.end_parts_at(failing_server, Outcome::Error, 2);
-    let (mut gaps, mut last) = (Vec::new(), harness.now);
-    while gaps.len() < 4 && harness.now < 60_000 {
-        let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-        let failing = sends(&out)[0].1 == failing_server;
+    let (mut send_intervals, mut last_sent_at) = (Vec::new(), harness.now);
+    while send_intervals.len() < 4 && harness.now < 60_000 {
+        let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        let failing = sends(&actions)[0].1 == failing_server;
         harness.end_attempt(
             parts[0],
             0,
@@ -184,13 +184,16 @@
             0.0,
         );
         if failing {
-            gaps.push(harness.now - std::mem::replace(&mut last, harness.now));
+            send_intervals.push(harness.now - std::mem::replace(&mut last_sent_at, harness.now));
             harness.end_attempt(parts[0], 1, Outcome::Ok, 0.0);
         }
         harness.run_until(harness.now + 100);
     }
-    assert_eq!(gaps.len(), 4, "it is still tried again");
-    assert!(gaps[2] > 2 * gaps[0], "{gaps:?}");
+    assert_eq!(send_intervals.len(), 4, "it is still tried again");
+    assert!(
+        send_intervals[2] > 2 * send_intervals[0],
+        "{send_intervals:?}"
+    );
 }
 
 /// A part counts as lost once its server is ejected, and one good answer clears a first ejection. Guards against a part
@@ -199,8 +202,8 @@
 fn a_lost_part_does_not_keep_its_server_from_being_probed() {
     let mut harness = Harness::new(settings());
     answer_queries(&mut harness, 20, 2, (ServerId(9), 0));
-    let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let silent = sends(&out)[0].1;
+    let (_, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let silent = sends(&actions)[0].1;
     harness.run_until(harness.now + 2200);
     assert!(
         answer_queries(&mut harness, 4, 0, (silent, 50)) >= 1,
@@ -230,26 +233,26 @@
         harness.now += 2100;
         harness.end_parts_at(server, Outcome::Reset, 1);
     }
-    let more = harness.run_until(harness.now + 1100);
-    assert!(more.contains(&Action::Probe { server }));
+    let later_actions = harness.run_until(harness.now + 1100);
+    assert!(later_actions.contains(&Action::Probe { server }));
     harness.run_turn(vec![Event::ProbeEnded {
         server,
         outcome: Outcome::Ok,
         report: None,
     }]);
-    let before = harness.actions.len();
+    let actions_before = harness.actions.len();
     for _ in 0..6 {
         harness.submit_query(0, &[(0, 1.0)]);
     }
-    let hits = sends(&harness.actions[before..])
+    let sends_to_server = sends(&harness.actions[actions_before..])
         .iter()
         .filter(|s| s.1 == server)
         .count();
-    assert_eq!(hits, 1, "one part at a time until it answers");
+    assert_eq!(sends_to_server, 1, "one part at a time until it answers");
 }
 
-/// Guards against counting each failed probe as a relapse, after which hosts were probed every 4 s after a partition and
-/// needed five good answers. Parts lost in the partition must not keep the first part from being sent either.
+/// Guards against counting each failed probe as a relapse: after a partition hosts were then probed every 4 s and needed
+/// five good answers. Parts lost in the partition must not keep the first part from being sent either.
 #[test]
 fn a_server_after_a_long_partition_is_cleared_by_its_first_answer() {
     let mut harness = Harness::new(RouterSettings {
@@ -259,8 +262,8 @@
     let (server, mut probe_times) = (ServerId(0), Vec::new());
     harness.end_parts_at(server, Outcome::ConnectFailed, 1);
     while probe_times.len() < 8 {
-        let more = harness.run_until(harness.now + 10);
-        if more.contains(&Action::Probe { server }) {
+        let later_actions = harness.run_until(harness.now + 10);
+        if later_actions.contains(&Action::Probe { server }) {
             probe_times.push(harness.now);
             harness.run_turn(vec![Event::ProbeEnded {
                 server,
@@ -277,9 +280,9 @@
     (1..4)
         .for_each(|n| drop(harness.run_turn(vec![entry_changed(n, ServerState::Draining, None)])));
     harness.now += 2100;
-    let (_, _, lost) = harness.submit_query(0, &[(0, 1.0)]);
-    assert!(sends(&lost).iter().any(|s| s.1 == server));
-    assert!(lost.contains(&Action::Probe { server }));
+    let (_, _, panic_actions) = harness.submit_query(0, &[(0, 1.0)]);
+    assert!(sends(&panic_actions).iter().any(|s| s.1 == server));
+    assert!(panic_actions.contains(&Action::Probe { server }));
     harness.run_turn(vec![Event::ProbeEnded {
         server,
         outcome: Outcome::Ok,
@@ -287,16 +290,19 @@
     }]);
     (1..4).for_each(|n| drop(harness.run_turn(vec![entry_changed(n, ServerState::Ready, None)])));
     harness.now += 600;
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    assert!(sends(&out).iter().any(|s| s.1 == server), "a part as probe");
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    assert!(
+        sends(&actions).iter().any(|s| s.1 == server),
+        "a part as probe"
+    );
     harness.now += 50;
     harness.answer_part(parts[0], 0, 50);
     harness.now += 10;
     assert!(!harness
         .run_until(harness.now + 1000)
         .contains(&Action::Probe { server }));
-    let hits = (0..6)
+    let sends_to_server = (0..6)
         .map(|_| harness.submit_query(0, &[(0, 1.0)]).2)
         .filter(|o| sends(o).iter().any(|s| s.1 == server));
-    assert!(hits.count() > 1, "cleared by the first answer");
+    assert!(sends_to_server.count() > 1, "cleared by the first answer");
 }
--- a/crates/coordinator/tests/decision/harness.rs
+++ b/crates/coordinator/tests/decision/harness.rs
@@ -91,23 +91,23 @@
 
     /// Handles events in one turn. Returns the actions except wake-ups.
     pub fn run_turn(&mut self, events: Vec<Event>) -> Vec<Action> {
-        let mut out = Vec::new();
-        for e in events.into_iter().chain([Event::TurnEnded]) {
-            self.router.handle(ms(self.now), e, &mut out);
+        let mut actions = Vec::new();
+        for event in events.into_iter().chain([Event::TurnEnded]) {
+            self.router.handle(ms(self.now), event, &mut actions);
         }
-        out.retain(|a| !matches!(a, Action::Wake { .. }));
-        self.actions.extend(out.iter().cloned());
-        out
+        actions.retain(|a| !matches!(a, Action::Wake { .. }));
+        self.actions.extend(actions.iter().cloned());
+        actions
     }
 
     /// Runs a turn every 10 ms until a time in ms. Returns the actions.
     pub fn run_until(&mut self, end: u64) -> Vec<Action> {
-        let mut all = Vec::new();
+        let mut all_actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 10).min(end);
-            all.extend(self.run_turn(vec![Event::Wake]));
+            all_actions.extend(self.run_turn(vec![Event::Wake]));
         }
-        all
+        all_actions
     }
 
     /// Submits a query with one part for each shard and weight. Returns its id, the ids of its parts, and the actions.
@@ -138,8 +138,8 @@
             parts.push(part);
         }
         self.next_id += 1 + weights.len() as u64;
-        let out = self.run_turn(events);
-        (id, parts, out)
+        let actions = self.run_turn(events);
+        (id, parts, actions)
     }
 
     /// Returns the number of parts sent to a server so far.
@@ -182,21 +182,21 @@
         outcome: Outcome,
         times: usize,
     ) -> Vec<Action> {
-        let (mut all, mut hits) = (Vec::new(), 0);
+        let (mut all_actions, mut hits) = (Vec::new(), 0);
         for _ in 0..200 {
-            let (_, parts, out) = self.submit_query(0, &[(server.0, 1.0)]);
-            let hit = sends(&out).iter().any(|s| s.1 == server);
+            let (_, parts, actions) = self.submit_query(0, &[(server.0, 1.0)]);
+            let hit = sends(&actions).iter().any(|s| s.1 == server);
             self.now += 10;
             let (part_outcome, load) = if hit {
                 (outcome, 0.0)
             } else {
                 (Outcome::Ok, 3.0)
             };
-            all.extend(self.end_attempt(parts[0], 0, part_outcome, load));
+            all_actions.extend(self.end_attempt(parts[0], 0, part_outcome, load));
             self.end_attempt(parts[0], 1, Outcome::Ok, 3.0);
             hits += usize::from(hit);
             if hits == times {
-                return all;
+                return all_actions;
             }
         }
         panic!("{server:?} gets no parts");
@@ -274,8 +274,8 @@
 pub fn answer_queries(harness: &mut Harness, n: u32, shard: u32, slow: (ServerId, u64)) -> usize {
     let mut hits = 0;
     for _ in 0..n {
-        let (_, parts, out) = harness.submit_query(0, &[(shard, 1.0)]);
-        let server = sends(&out)[0].1;
+        let (_, parts, actions) = harness.submit_query(0, &[(shard, 1.0)]);
+        let server = sends(&actions)[0].1;
         let part_time = if server == slow.0 { slow.1 } else { 50 };
         hits += usize::from(server == slow.0);
         harness.run_until(harness.now + part_time);
--- a/crates/coordinator/tests/decision/load.rs
+++ b/crates/coordinator/tests/decision/load.rs
@@ -8,15 +8,15 @@
 fn an_answer_without_a_report_does_not_change_the_load() {
     let mut harness = Harness::new(settings());
     harness.end_parts_at(ServerId(0), Outcome::Ok, 1);
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let busy = sends(&out)[0].1;
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let busy = sends(&actions)[0].1;
     harness.end_attempt(parts[0], 0, Outcome::Ok, 30.0);
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let other = sends(&out)[0].1;
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let other = sends(&actions)[0].1;
     assert_ne!(other, busy);
     harness.end_attempt(parts[0], 0, Outcome::Ok, 20.0);
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    assert_eq!(sends(&out)[0].1, other);
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    assert_eq!(sends(&actions)[0].1, other);
     let (part, attempt, outcome, latency) = (parts[0], 0, Outcome::Ok, ms(1));
     harness.run_turn(vec![Event::AttemptEnded {
         part,
@@ -50,16 +50,16 @@
 fn a_server_that_other_routers_load_gets_few_parts() {
     for (age, heavy) in [(0, 0), (5000, 20)] {
         let mut harness = with_part_times(settings(), 100);
-        let peer_load = |server, out| Event::PeerLoad {
+        let peer_load = |server, in_flight_parts| Event::PeerLoad {
             server: ServerId(server),
-            in_flight: out,
+            in_flight: in_flight_parts,
             age: ms(age),
         };
         let mut to_heavy = 0;
         for _ in 0..20 {
             harness.run_turn(vec![peer_load(0, 20.0), peer_load(1, 0.0)]);
-            let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-            let server = sends(&out)[0].1;
+            let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+            let server = sends(&actions)[0].1;
             to_heavy += usize::from(server == ServerId(0));
             harness.now += 10;
             // The reports say the opposite: the loaded server reports idle, the other one busy.
@@ -69,14 +69,14 @@
                 Outcome::Ok,
                 if server == ServerId(0) { 0.0 } else { 30.0 },
             );
-            let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-            to_heavy += usize::from(sends(&out)[0].1 == ServerId(0));
+            let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+            to_heavy += usize::from(sends(&actions)[0].1 == ServerId(0));
             harness.now += 10;
             harness.end_attempt(
                 parts[0],
                 0,
                 Outcome::Ok,
-                if sends(&out)[0].1 == ServerId(0) {
+                if sends(&actions)[0].1 == ServerId(0) {
                     0.0
                 } else {
                     30.0
@@ -105,9 +105,9 @@
     };
     harness.run_turn((0..4).map(peer_load).collect());
     for shard in 0..4 {
-        let (id, _, out) = harness.submit_query(0, &[(shard, 1.0)]);
+        let (id, _, actions) = harness.submit_query(0, &[(shard, 1.0)]);
         assert_eq!(
-            (sends(&out).len(), final_actions(&harness.actions, id)),
+            (sends(&actions).len(), final_actions(&harness.actions, id)),
             (1, 0),
             "shard {shard}"
         );
--- a/crates/coordinator/tests/decision/partial_answers.rs
+++ b/crates/coordinator/tests/decision/partial_answers.rs
@@ -46,8 +46,8 @@
             }]);
         }
         let parts: Vec<(u32, f64)> = (0..4).zip(weights).collect();
-        let (_, _, out) = harness.submit_query(0, &parts);
-        assert_eq!(sends(&out).len(), expected_sends);
+        let (_, _, actions) = harness.submit_query(0, &parts);
+        assert_eq!(sends(&actions).len(), expected_sends);
     }
 }
 
@@ -71,9 +71,9 @@
             },
             150,
         );
-        let (_, _, out) = harness.submit_query(0, &[(0, 0.55), (1, 0.2), (2, 0.15), (3, 0.1)]);
+        let (_, _, actions) = harness.submit_query(0, &[(0, 0.55), (1, 0.2), (2, 0.15), (3, 0.1)]);
         assert_eq!(
-            sends(&out).len(),
+            sends(&actions).len(),
             expected_sends,
             "by work: {value_by_work}"
         );
--- a/crates/coordinator/tests/decision/retry.rs
+++ b/crates/coordinator/tests/decision/retry.rs
@@ -15,8 +15,8 @@
         let mut harness = Harness::new(router_settings.clone());
         let (id, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
         harness.now += 20;
-        let out = harness.end_attempt(parts[0], 0, outcome, 0.0);
-        assert_eq!(!sends(&out).is_empty(), is_retried, "{outcome:?}");
+        let actions = harness.end_attempt(parts[0], 0, outcome, 0.0);
+        assert_eq!(!sends(&actions).is_empty(), is_retried, "{outcome:?}");
         harness.run_until(2990);
         assert_eq!(final_actions(&harness.actions, id), 1);
         assert!(
@@ -96,13 +96,13 @@
     let mut harness = Harness::new(settings());
     answer_queries(&mut harness, 20, 2, (ServerId(9), 0));
     let (_, parts, _) = harness.submit_query(0, &[(0, 0.5), (2, 0.5)]);
-    let actions = harness.run_until(harness.now + 700);
+    let later_actions = harness.run_until(harness.now + 700);
     assert!(
-        sends(&actions).iter().any(|send| send.0 == parts[0]),
+        sends(&later_actions).iter().any(|send| send.0 == parts[0]),
         "a copy is sent"
     );
-    let out = harness.end_attempt(parts[0], 1, Outcome::Ok, 0.0);
-    assert!(out.contains(&Action::Cancel {
+    let actions = harness.end_attempt(parts[0], 1, Outcome::Ok, 0.0);
+    assert!(actions.contains(&Action::Cancel {
         part: parts[0],
         attempt: 0
     }));
--- a/crates/coordinator/tests/decision/router.rs
+++ b/crates/coordinator/tests/decision/router.rs
@@ -96,7 +96,7 @@
 fn wake_ups_continue_at_any_clock_value() {
     for origin in [285_148_026_422u64, 410_944_781_445, 1_000_003] {
         let mut harness = Harness::new(settings());
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut now = origin;
         let id = RequestId(0);
         let at = Duration::from_micros;
@@ -111,7 +111,7 @@
                 deadline,
                 is_retry: None,
             },
-            &mut out,
+            &mut actions,
         );
         harness.router.handle(
             at(now),
@@ -121,23 +121,27 @@
                 shard: 0,
                 weight: 1.0,
             },
-            &mut out,
+            &mut actions,
         );
-        harness.router.handle(at(now), Event::TurnEnded, &mut out);
+        harness
+            .router
+            .handle(at(now), Event::TurnEnded, &mut actions);
         let mut due = std::collections::BTreeSet::new();
         let mut seen = 0;
-        while final_actions(&out, id) == 0 {
-            for a in &out[seen..] {
+        while final_actions(&actions, id) == 0 {
+            for a in &actions[seen..] {
                 if let Action::Wake { after } = a {
                     due.insert(now + after.as_micros() as u64);
                 }
             }
-            seen = out.len();
+            seen = actions.len();
             now = due
                 .pop_first()
                 .expect("a wake-up is due while a query is open");
-            harness.router.handle(at(now), Event::Wake, &mut out);
-            harness.router.handle(at(now), Event::TurnEnded, &mut out);
+            harness.router.handle(at(now), Event::Wake, &mut actions);
+            harness
+                .router
+                .handle(at(now), Event::TurnEnded, &mut actions);
         }
         assert!(at(now) < deadline);
     }
--- a/crates/coordinator/tests/decision/selection.rs
+++ b/crates/coordinator/tests/decision/selection.rs
@@ -6,22 +6,22 @@
 #[test]
 fn parts_go_to_holders_of_their_shard_and_a_complete_answer_follows() {
     let mut harness = Harness::new(settings());
-    let (id, parts, out) = harness.submit_query(0, &[(1, 0.5), (2, 0.5)]);
-    for (part, server) in sends(&out) {
+    let (id, parts, actions) = harness.submit_query(0, &[(1, 0.5), (2, 0.5)]);
+    for (part, server) in sends(&actions) {
         let shard = if part == parts[0] { 1 } else { 2 };
         assert!(
             (server.0 + 4 - shard) % 4 < 2,
             "server {server:?} does not hold shard {shard}"
         );
     }
-    assert_eq!(sends(&out).len(), 2);
+    assert_eq!(sends(&actions).len(), 2);
     harness.now += 100;
     assert!(harness
         .end_attempt(parts[0], 0, Outcome::Ok, 0.0)
         .is_empty());
-    let out = harness.end_attempt(parts[1], 0, Outcome::Ok, 0.0);
+    let actions = harness.end_attempt(parts[1], 0, Outcome::Ok, 0.0);
     assert_eq!(
-        out,
+        actions,
         vec![Action::Answer {
             query: id,
             complete: true
@@ -33,13 +33,13 @@
 fn a_server_in_the_idle_queue_is_selected_first() {
     let mut harness = Harness::new(settings());
     // The first answer reports that its server is idle; nothing is known about the other holder of the shard.
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let idle = sends(&out)[0].1;
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let idle = sends(&actions)[0].1;
     harness.now += 10;
     harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
-    let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
+    let (_, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
     assert_eq!(
-        sends(&out)[0].1,
+        sends(&actions)[0].1,
         idle,
         "the server in the idle queue is preferred to one that never reported"
     );
@@ -48,13 +48,13 @@
 #[test]
 fn a_busy_report_removes_a_server_from_the_idle_queue() {
     let mut harness = Harness::new(settings());
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let busy = sends(&out)[0].1;
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let busy = sends(&actions)[0].1;
     harness.now += 10;
     harness.end_attempt(parts[0], 0, Outcome::Ok, 9.0);
     for _ in 0..5 {
-        let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-        assert_ne!(sends(&out)[0].1, busy);
+        let (_, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_ne!(sends(&actions)[0].1, busy);
     }
 }
 
--- a/crates/coordinator/tests/decision/server_list.rs
+++ b/crates/coordinator/tests/decision/server_list.rs
@@ -6,8 +6,8 @@
 #[test]
 fn a_draining_server_gets_nothing_not_even_a_retry() {
     let mut harness = Harness::new(settings());
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let first = sends(&out)[0].1;
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let first = sends(&actions)[0].1;
     let other = if first.0 == 0 { 1 } else { 0 };
     harness.now += 10;
     harness.run_turn(vec![entry_changed(other, ServerState::Draining, None)]);
@@ -32,10 +32,10 @@
         harness.run_until(harness.now + wait);
         let (_, parts, _) = harness.submit_query(0, &[(0, 1.0)]);
         harness.end_attempt(parts[0], 0, Outcome::Ok, load);
-        let before = harness.actions.len();
+        let actions_before = harness.actions.len();
         harness.submit_query(0, &[(0, 1.0)]);
         assert_eq!(
-            sends(&harness.actions[before..])[0].1 == ServerId(0),
+            sends(&harness.actions[actions_before..])[0].1 == ServerId(0),
             gets_part,
             "{load} {wait}"
         );
@@ -51,18 +51,18 @@
     let count_subscribes =
         |actions: &[Action]| actions.iter().filter(|a| **a == Action::Subscribe).count();
     harness.run_until(300);
-    let before = count_subscribes(&harness.actions);
+    let subscribes_before = count_subscribes(&harness.actions);
     harness.run_turn(vec![Event::ServerList {
         kind: ListKind::Failed,
         entries: vec![],
     }]);
     harness.run_until(3000);
-    assert_eq!(count_subscribes(&harness.actions), before + 1);
+    assert_eq!(count_subscribes(&harness.actions), subscribes_before + 1);
     // The subscription was answered, so it is not repeated.
     harness.run_turn(vec![Event::ServerList {
         kind: ListKind::Changes,
         entries: vec![],
     }]);
     harness.run_until(20_000);
-    assert_eq!(count_subscribes(&harness.actions), before + 1);
+    assert_eq!(count_subscribes(&harness.actions), subscribes_before + 1);
 }
--- a/crates/coordinator/tests/decision/slow_start.rs
+++ b/crates/coordinator/tests/decision/slow_start.rs
@@ -21,7 +21,7 @@
         let mut harness = Harness::new(router_settings.clone());
         harness.now = 5000;
         harness.run_turn(vec![entry_changed(0, ServerState::Ready, Some(ms(4900)))]);
-        let mut out: Vec<(u64, RequestId, u32)> = Vec::new();
+        let mut in_flight: Vec<(u64, RequestId, u32)> = Vec::new();
         let mut attempts_by_part = std::collections::BTreeMap::new();
         while harness.now < 14_000 {
             harness.now += 10;
@@ -33,19 +33,19 @@
                     &mut later
                 } += u32::from(server == ServerId(0));
                 let n = attempts_by_part.entry(part).or_insert(0);
-                out.push((harness.now, part, *n));
+                in_flight.push((harness.now, part, *n));
                 *n += 1;
             }
             // A warm server answers after 20 ms and reports that it is idle.
-            let due: Vec<_> = out
+            let due: Vec<_> = in_flight
                 .iter()
                 .filter(|o| o.0 + 20 <= harness.now)
                 .copied()
                 .collect();
-            out.retain(|o| o.0 + 20 > harness.now);
+            in_flight.retain(|o| o.0 + 20 > harness.now);
             for (_, part, n) in due {
-                let more = harness.end_attempt(part, n, Outcome::Ok, 0.0);
-                let hits = sends(&more)
+                let actions_after_answer = harness.end_attempt(part, n, Outcome::Ok, 0.0);
+                let hits = sends(&actions_after_answer)
                     .iter()
                     .filter(|send| send.1 == ServerId(0))
                     .count() as u32;
@@ -98,9 +98,9 @@
             ServerState::Ready,
             Some(ms(harness.now)),
         )]);
-        let before = harness.actions.len();
+        let actions_before = harness.actions.len();
         answer_queries(&mut harness, 2, 0, (ServerId(9), 0));
-        total += sends(&harness.actions[before..])
+        total += sends(&harness.actions[actions_before..])
             .iter()
             .filter(|send| send.1 == ServerId(0))
             .count();
@@ -128,8 +128,8 @@
             slow_start: Some(slow_start),
             ..settings()
         });
-        let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-        let server = sends(&out)[0].1;
+        let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        let server = sends(&actions)[0].1;
         let other = if server.0 == 0 { 1 } else { 0 };
         harness.run_turn(vec![entry_changed(other, ServerState::Draining, None)]);
         harness.run_until(harness.now + 2000);
@@ -145,19 +145,19 @@
             )]);
         }
         for _ in 0..ANSWERS_TO_CLEAR {
-            let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-            if !sends(&out).is_empty() {
+            let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+            if !sends(&actions).is_empty() {
                 harness.run_until(harness.now + 20);
                 harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
             }
             harness.run_until(harness.now + 400);
         }
-        let before = harness.actions.len();
+        let actions_before = harness.actions.len();
         for _ in 0..12 {
             harness.submit_query(0, &[(0, 1.0)]);
         }
         assert_eq!(
-            sends(&harness.actions[before..]).len() > 6,
+            sends(&harness.actions[actions_before..]).len() > 6,
             !start_reported,
             "{outcome:?}, start reported: {start_reported}"
         );
--- a/crates/coordinator/tests/decision/stall_detection.rs
+++ b/crates/coordinator/tests/decision/stall_detection.rs
@@ -12,15 +12,15 @@
         harness.run_until(harness.now + 100);
         harness.end_attempt(parts[0], 0, Outcome::Ok, 0.0);
     }
-    let (_, parts, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let silent = sends(&out)[0].1;
-    let actions = harness.run_until(harness.now + 500);
-    assert!(sends(&actions)
+    let (_, parts, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let silent = sends(&actions)[0].1;
+    let later_actions = harness.run_until(harness.now + 500);
+    assert!(sends(&later_actions)
         .iter()
         .any(|s| s.0 == parts[0] && s.1 != silent));
-    let before = harness.actions.len();
+    let actions_before = harness.actions.len();
     harness.submit_query(0, &[(0, 1.0)]);
-    assert_ne!(sends(&harness.actions[before..])[0].1, silent);
+    assert_ne!(sends(&harness.actions[actions_before..])[0].1, silent);
 }
 
 /// After a pause a router finds old parts in flight, which does not mean that their servers are silent.
@@ -29,8 +29,8 @@
     for paused in [true, false] {
         let mut harness = Harness::new(settings());
         answer_queries(&mut harness, 20, 2, (ServerId(9), 0));
-        let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-        let server = sends(&out)[0].1;
+        let (_, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        let server = sends(&actions)[0].1;
         if paused {
             harness.now += 900;
             harness.run_turn(vec![Event::Wake]);
@@ -71,8 +71,8 @@
         harness.answer_part(part, 0, pause + later);
     }
     for _ in 0..8 {
-        let (id, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-        assert_eq!(final_actions(&out, id), 0, "{out:?}");
+        let (id, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_eq!(final_actions(&actions, id), 0, "{actions:?}");
     }
 }
 
@@ -81,15 +81,15 @@
 fn a_silent_server_is_ejected_by_a_router_that_is_paused_every_100_ms() {
     let mut harness = Harness::new(settings());
     answer_queries(&mut harness, 20, 0, (ServerId(9), 0));
-    let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-    let silent = sends(&out)[0].1;
+    let (_, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+    let silent = sends(&actions)[0].1;
     for _ in 0..16 {
         harness.run_until(harness.now + 20);
         harness.now += 80;
         harness.run_turn(vec![Event::Wake]);
     }
     for _ in 0..6 {
-        let (_, _, out) = harness.submit_query(0, &[(0, 1.0)]);
-        assert_ne!(sends(&out)[0].1, silent);
+        let (_, _, actions) = harness.submit_query(0, &[(0, 1.0)]);
+        assert_ne!(sends(&actions)[0].1, silent);
     }
 }
--- a/crates/coordinator/tests/recorded_decisions.rs
+++ b/crates/coordinator/tests/recorded_decisions.rs
@@ -673,8 +673,8 @@
         host.last_used_at = self.now;
     }
 
-    /// Crashes a host, which refuses connections until it is started again. Returns the outcome of the part that it served
-    /// and the time in microseconds until then.
+    /// Crashes a host, which refuses connections until it is started again. Returns the outcome of the part that it
+    /// served, and the time in microseconds until then.
     fn crash_host(&mut self, server: ServerId) -> (Option<Outcome>, u64) {
         let host = &mut self.hosts[server.0 as usize];
         host.condition = Condition::Crashing;
