--- a/crates/coordinator/src/decision/arrival.rs
+++ b/crates/coordinator/src/decision/arrival.rs
@@ -1,38 +1,40 @@
-//! Arrival of queries and parts, and until when an answer to a query earns its full value.
+//! Arrival of queries and parts, and the time until which an answer to a query earns its full
+//! value.
 
 use super::router::{seconds, Router};
 use super::work::{Part, Query};
 use crate::interface::{ClassId, Event, RequestId};
 
-/// Two waits are taken for equal if they differ by less than this share of the client's time-out.
-const EQUAL_WAIT_SHARE: f64 = 0.015;
-/// Largest number of votes that the usual wait can gather: so many different waits in a row replace
-/// it.
-const MAX_WAIT_VOTES: u32 = 20;
+/// Two timeouts count as equal if they differ by less than this share of the client's total
+/// timeout.
+const TIMEOUT_TOLERANCE_SHARE: f64 = 0.015;
+/// Largest number of votes for the typical timeout, and so the number of different timeouts in a
+/// row after which it is replaced.
+const MAX_TIMEOUT_VOTES: u32 = 20;
 /// Time constant of the rates of queries and sends.
 pub(super) const RATE_TIME_CONSTANT_S: f64 = 3.0;
 
-/// How long a client's first attempt usually waits, found by majority vote (Boyer and Moore).
+/// The typical timeout of the first attempts of clients, found by majority vote (Boyer-Moore).
 #[derive(Clone, Copy, Default)]
-pub(super) struct UsualWait {
-    length: f64,
+pub(super) struct FirstAttemptTimeout {
+    timeout: f64,
     votes: u32,
 }
 
-impl UsualWait {
-    fn vote(&mut self, wait: f64, equal: bool) {
-        if equal {
-            self.votes = (self.votes + 1).min(MAX_WAIT_VOTES);
+impl FirstAttemptTimeout {
+    fn vote(&mut self, attempt_timeout: f64, matches_typical: bool) {
+        if matches_typical {
+            self.votes = (self.votes + 1).min(MAX_TIMEOUT_VOTES);
         } else if self.votes > 0 {
             self.votes -= 1;
         } else {
-            (self.length, self.votes) = (wait, 1);
+            (self.timeout, self.votes) = (attempt_timeout, 1);
         }
     }
 }
 
 impl Router {
-    /// Adds a query that arrived. Its parts follow in events of their own.
+    /// Adds a query that arrived. Its parts follow in separate events.
     pub(super) fn add_query(&mut self, event: Event) {
         let Event::Query {
             id,
@@ -68,7 +70,7 @@
         self.queries.insert(id, query);
     }
 
-    /// Adds a part to an open query. A part of an unknown query is ignored.
+    /// Adds a part to an open query. Parts of unknown queries are ignored.
     pub(super) fn add_part(&mut self, id: RequestId, query: RequestId, shard: u32, weight: f64) {
         self.retry_window.arrivals.add(self.now);
         let Some(open) = self.queries.get_mut(&query) else {
@@ -86,13 +88,14 @@
         self.parts.insert(id, part);
     }
 
-    /// Until when an answer earns the full value.
+    /// Returns until when an answer earns its full value, in seconds since the origin.
     ///
-    /// The target counts from the client's first attempt. First attempts of a class all wait
-    /// equally long. The client's last retry waits for what is left of its time-out, so the start
-    /// can be worked out from the deadline. A client that waits for less than the target is served
-    /// within that wait. If clients mark retries, the mark decides. The guess errs for a first
-    /// attempt that was held up on its way here, unless it is told when it arrived.
+    /// The latency target counts from the client's first attempt. All first attempts of a class
+    /// have the same timeout, and the last retry of a client has what is left of its total timeout.
+    /// The start of the client's first attempt can therefore be derived from the deadline. If
+    /// clients mark retries, the mark decides which case applies. A client with a timeout shorter
+    /// than the latency target is served within its timeout. The guess is wrong for a first attempt
+    /// that was delayed on its way here, unless its arrival time is known.
     fn latency_target_at(
         &mut self,
         class: ClassId,
@@ -103,23 +106,28 @@
         let settings = self.class(class);
         let target = seconds(settings.latency_target);
         let client_timeout = seconds(settings.client_timeout);
-        let tolerance = EQUAL_WAIT_SHARE * client_timeout;
-        let may_be_held_up = arrived_at.is_none();
+        let tolerance = TIMEOUT_TOLERANCE_SHARE * client_timeout;
+        let arrival_time_unknown = arrived_at.is_none();
         let arrived_at = arrived_at.unwrap_or(self.now).min(self.now);
-        let wait = deadline_at - arrived_at;
-        let usual = &mut self.usual_waits[class.0 as usize];
-        let equal = (wait - usual.length).abs() < tolerance;
-        usual.vote(wait, equal);
-        let usual = usual.length;
-        if wait < target {
+        let attempt_timeout = deadline_at - arrived_at;
+        let typical_timeout = &mut self.first_attempt_timeouts[class.0 as usize];
+        let matches_typical = (attempt_timeout - typical_timeout.timeout).abs() < tolerance;
+        typical_timeout.vote(attempt_timeout, matches_typical);
+        let typical_timeout = typical_timeout.timeout;
+        if attempt_timeout < target {
             return deadline_at;
         }
-        let standstill_began = self.standstills.ended_now(self.now);
-        let held_up = |began| may_be_held_up && usual - wait < self.now - began;
-        if standstill_began.is_some_and(held_up) {
-            return deadline_at - usual + target;
+        let pause_began_at = self.pauses.began_at_if_ended_now(self.now);
+        let delayed_by_pause = |pause_began_at| {
+            arrival_time_unknown && typical_timeout - attempt_timeout < self.now - pause_began_at
+        };
+        if pause_began_at.is_some_and(delayed_by_pause) {
+            return deadline_at - typical_timeout + target;
         }
-        let first_attempt = is_retry.map_or((wait - usual).abs() < tolerance, |retry| !retry);
+        let first_attempt = is_retry.map_or(
+            (attempt_timeout - typical_timeout).abs() < tolerance,
+            |retry| !retry,
+        );
         if first_attempt {
             return arrived_at + target;
         }
--- a/crates/coordinator/src/decision/completion.rs
+++ b/crates/coordinator/src/decision/completion.rs
@@ -1,11 +1,11 @@
-//! The end of an admitted query: its answer, complete or partial, or giving it up.
+//! The end of an admitted query: a complete or partial answer, a rejection or a failure.
 
-use super::partial_answers::WEIGHT_ROUNDING;
+use super::partial_answers::WEIGHT_TOLERANCE;
 use super::router::{seconds, Router};
 use super::work::{Part, Query};
 use crate::interface::{Action, Cause, RequestId, ServerState};
 
-/// Time kept for the second step, as a multiple of the 90th percentile of part times.
+/// Time reserved for the second step, as a multiple of the 90th percentile of part times.
 const SECOND_STEP_LATENCY_FACTOR: f64 = 1.2;
 
 impl Router {
@@ -17,7 +17,7 @@
             let complete = query.first_step_complete.unwrap_or(true);
             let in_time = self.now <= query.target_at.min(query.deadline_at);
             if self.class(query.class).second_step_parts == 0 || second_step {
-                self.learn_admission_share(in_time);
+                self.update_admission_share(in_time);
             }
             self.answer(id, complete, actions);
             return true;
@@ -29,7 +29,7 @@
         false
     }
 
-    /// Share of the present step's weight that makes it complete.
+    /// Returns the share of the current step's weight that makes an answer complete.
     fn complete_share(&self, query: &Query) -> f64 {
         if query.first_step_complete.is_some() {
             1.0
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Smallest share of the present step's weight that an answer may rest on.
+    /// Returns the smallest share of the current step's weight that an answer may be based on.
     fn min_share(&self, query: &Query) -> f64 {
         let class = self.class(query.class);
         if class.min_share < class.complete_share {
@@ -52,16 +52,17 @@
         let progress = self.progress(query);
         let needed = self.complete_share(query);
         let complete = if needed < 1.0 {
-            let total = progress.total_weight.max(1.0 - WEIGHT_ROUNDING);
-            progress.answered_weight + WEIGHT_ROUNDING >= needed * total
+            let total = progress.total_weight.max(1.0 - WEIGHT_TOLERANCE);
+            progress.answered_weight + WEIGHT_TOLERANCE >= needed * total
         } else {
             progress.all_answered
         };
         complete && !query.parts.is_empty()
     }
 
-    /// A partial answer is given at the latency target, if its share suffices and waiting would
-    /// earn less. It is given at once if nothing that is missing can still be answered.
+    /// Whether to give a partial answer. It is given at the latency target, if enough weight is
+    /// answered and waiting would earn less. It is given earlier if no missing part can still be
+    /// answered.
     fn partial_answer_is_due(&self, query: &Query) -> bool {
         let class = self.class(query.class);
         let progress = self.progress(query);
@@ -73,17 +74,17 @@
             || !self.parts_of(query).any(|part| self.may_be_answered(part));
         let value = class.partial_value * progress.answered_weight / self.complete_share(query);
         due && class.min_share < class.complete_share
-            && progress.answered_weight + WEIGHT_ROUNDING >= self.min_share(query)
+            && progress.answered_weight + WEIGHT_TOLERANCE >= self.min_share(query)
             && value > class.late_value
     }
 
-    /// Whether a part is open and a server in service holds its shard.
+    /// Whether a part is open and a ready server holds its shard.
     fn may_be_answered(&self, part: &Part) -> bool {
         part.is_open() && self.servers_of_shard(part.shard).any(|(_, s)| s.is_ready())
     }
 
-    /// Answers a query from what is there. The first of two steps is followed by parts of the
-    /// second.
+    /// Answers a query from the answered parts. After the first of two steps, the parts of the
+    /// second follow.
     fn answer(&mut self, id: RequestId, complete: bool, actions: &mut Vec<Action>) {
         actions.push(Action::Answer {
             query: id,
@@ -100,26 +101,31 @@
         }
     }
 
-    /// Ends a query that can't succeed any more: its useful time is over, too much weight is lost,
-    /// or it is suspected of crashing servers. Returns whether it was ended.
-    pub(super) fn give_up_if_hopeless(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    /// Ends a query that can't succeed any more: an answer would be too late to be useful, the
+    /// answerable parts weigh too little, or the query is suspected of crashing servers. Returns
+    /// whether it was ended.
+    pub(super) fn give_up_if_unanswerable(
+        &mut self,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let query = &self.queries[&id];
         let too_late = self.now >= self.useful_until(query) - self.turn_margin();
-        let lost = self.has_lost_too_much(query);
-        if !too_late && !lost && !self.is_crash_suspect(query) {
+        let has_lost_too_much = self.has_lost_too_much_weight(query);
+        if !too_late && !has_lost_too_much && !self.is_crash_suspect(query) {
             return false;
         }
-        let longest_hint = self.settings.max_retry_after.map_or(0.0, seconds);
+        let max_retry_hint = self.settings.max_retry_after.map_or(0.0, seconds);
         let may_be_repeated = self
             .parts_of(query)
-            .all(|part| self.repeat_is_harmless(part, query.class, longest_hint));
+            .all(|part| self.is_safe_to_repeat(part, query.class, max_retry_hint));
         let wait = self.latency_quantile(query.class, 0.9);
-        let cause = if lost {
+        let cause = if has_lost_too_much {
             Cause::PartsLost
         } else {
             Cause::TooLate
         };
-        self.learn_admission_share(false);
+        self.update_admission_share(false);
         if may_be_repeated {
             self.reject(id, wait, cause, actions);
         } else {
@@ -128,19 +134,19 @@
         true
     }
 
-    /// Whether the parts that can still be answered weigh too little for any answer.
-    fn has_lost_too_much(&self, query: &Query) -> bool {
+    /// Whether the parts that are or can still be answered weigh too little for any answer.
+    fn has_lost_too_much_weight(&self, query: &Query) -> bool {
         let total = self.progress(query).total_weight;
-        let lost: f64 = self
+        let lost_weight: f64 = self
             .parts_of(query)
             .filter(|part| self.is_lost(part, query))
             .map(|part| part.weight)
             .sum();
-        total - lost + 2.0 * WEIGHT_ROUNDING < self.min_share(query) * total
+        total - lost_weight + 2.0 * WEIGHT_TOLERANCE < self.min_share(query) * total
     }
 
-    /// Whether a part can't be answered any more: it is closed, or nothing of it is in flight and
-    /// it may not be sent again or has no server.
+    /// Whether a part can't be answered any more: it is closed, or it has no attempt in flight and
+    /// may not be sent again or has no server.
     fn is_lost(&self, part: &Part, query: &Query) -> bool {
         if part.answered {
             return false;
@@ -151,17 +157,18 @@
         if part.has_attempt_in_flight() {
             return false;
         }
-        let without_server = self.usable_servers(part.shard).next().is_none()
+        let has_no_server = self.usable_servers(part.shard).next().is_none()
             && !self
                 .servers_of_shard(part.shard)
                 .any(|(_, s)| s.state == ServerState::Draining);
-        let spent = !part.attempts.is_empty() && !self.may_send_again(part, query.class);
-        without_server || spent
+        let attempts_exhausted =
+            !part.attempts.is_empty() && !self.may_send_again(part, query.class);
+        has_no_server || attempts_exhausted
     }
 
-    /// Until when a query is worked on. Past its latency target it is if it still earns something;
-    /// in congestion only if that is more, for the share of its parts still missing, than a fresh
-    /// query earns for all of its own.
+    /// Returns until when an answer to a query is useful. After the latency target it is if a late
+    /// answer still earns something. During congestion it is only if finishing the query earns more
+    /// for its missing parts than a new query earns for all of its parts.
     pub(super) fn useful_until(&self, query: &Query) -> f64 {
         let late_value = self.class(query.class).late_value;
         let missing = self.parts_of(query).filter(|p| !p.answered).count() as f64;
@@ -174,7 +181,7 @@
         })
     }
 
-    /// Time that the first of two steps leaves for the second.
+    /// Returns the time that the first of two steps has to leave for the second, in seconds.
     pub(super) fn time_for_second_step(&self, query: &Query) -> f64 {
         let first_of_two =
             self.class(query.class).second_step_parts > 0 && query.first_step_complete.is_none();
@@ -185,7 +192,7 @@
         }
     }
 
-    /// Forgets a query. Its attempts in flight are cancelled if that is allowed.
+    /// Removes a query. Its attempts in flight are cancelled if attempts can be cancelled.
     pub(super) fn drop_query(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(query) = self.queries.remove(&id) {
             self.drop_parts(query.parts, actions);
--- a/crates/coordinator/src/decision/server_list.rs
+++ b/crates/coordinator/src/decision/server_list.rs
@@ -1,26 +1,26 @@
-//! The server list: its updates, and subscribing to it where the router has to ask.
+//! The server list: applying its updates, and subscribing to it where the router has to do so.
 
 use super::router::{seconds, Router};
 use super::server::Server;
 use crate::interface::{Action, ListKind, ServerEntry, ServerId, ServerState};
 
-/// Time after which a server that is gone and has no part of ours is forgotten.
+/// Time after which a server that is gone and has no parts of this router in flight is forgotten.
 const GONE_RETENTION_S: f64 = 15.0;
-/// Wait after a first failure to subscribe; doubled with each further one.
+/// Base of the backoff between attempts to subscribe; doubled with each consecutive failure.
 const INITIAL_RETRY_WAIT_S: f64 = 0.1;
-/// Failures in a row after which the wait grows no more.
+/// Number of consecutive failures after which the backoff stops growing.
 const MAX_COUNTED_FAILURES: u32 = 5;
-/// The wait is at most half of this, or half of a quarter of the time within which the router must
-/// subscribe.
+/// The backoff is at most half of this, or an eighth of the time within which the router must
+/// subscribe, before jitter.
 const DEFAULT_RETRY_PERIOD_S: f64 = 2.0;
 
 /// The subscription to the server list.
 #[derive(Default)]
 pub(super) struct ListSubscription {
-    /// Whether any list was received.
+    /// Whether any list has been received.
     received_list: bool,
     active: bool,
-    /// When it was asked for, until there is an answer.
+    /// When it was requested; `None` if no request is pending.
     requested_at: Option<f64>,
     next_request_at: f64,
     failures: u32,
@@ -40,9 +40,9 @@
         if kind != ListKind::Changes {
             self.mark_missing_as_gone(entries);
         }
-        let new_ones_just_started = self.subscription.received_list && kind != ListKind::Cached;
+        let new_servers_just_started = self.subscription.received_list && kind != ListKind::Cached;
         for entry in entries {
-            self.apply_entry(entry, new_ones_just_started);
+            self.apply_entry(entry, new_servers_just_started);
         }
         self.subscription.received_list = true;
         self.forget_gone_servers();
@@ -50,7 +50,7 @@
     }
 
     fn subscription_failed(&mut self) {
-        let longest = self
+        let max_wait = self
             .settings
             .subscribe_within
             .map_or(DEFAULT_RETRY_PERIOD_S, |within| seconds(within) / 4.0);
@@ -60,13 +60,14 @@
         subscription.requested_at = None;
         subscription.failures = (subscription.failures + 1).min(MAX_COUNTED_FAILURES);
         let wait =
-            (INITIAL_RETRY_WAIT_S * f64::from(subscription.failures).exp2()).min(longest / 2.0);
+            (INITIAL_RETRY_WAIT_S * f64::from(subscription.failures).exp2()).min(max_wait / 2.0);
         subscription.next_request_at = self.now + wait * jitter;
     }
 
-    /// Applies one entry. A slow start counts from the start that the entry tells, or from now for
-    /// a server that is new or back, unless `new_ones_just_started` is false.
-    fn apply_entry(&mut self, entry: &ServerEntry, new_ones_just_started: bool) {
+    /// Applies one entry. The slow start of a server counts from the start that the entry reports.
+    /// Without one it counts from now, if the server is new or has come back and
+    /// `new_servers_just_started` is true.
+    fn apply_entry(&mut self, entry: &ServerEntry, new_servers_just_started: bool) {
         let (now, classes) = (self.now, self.settings.classes.len());
         let started_at = entry.started_at.map(seconds);
         let server = self
@@ -74,15 +75,15 @@
             .entry(entry.server)
             .or_insert_with(|| Server::new(entry, now, classes));
         let ready = entry.state == ServerState::Ready;
-        let joined = server.state == ServerState::Gone && ready;
-        let told_of_start =
+        let came_into_service = server.state == ServerState::Gone && ready;
+        let newer_start_listed =
             started_at.is_some_and(|at| server.started_at.is_none_or(|old| at > old));
-        let restarted = told_of_start || (joined && new_ones_just_started);
+        let restarted = newer_start_listed || (came_into_service && new_servers_just_started);
         if restarted {
             reset_after_start(server, started_at, now);
         }
         if server.is_ready() && entry.state == ServerState::Gone {
-            self.crashes.last_listed_at = now;
+            self.last_crashes.removed_from_list_at = now;
         }
         if server.is_ready() && !ready {
             server.left_service_at = now;
@@ -93,11 +94,11 @@
             server.idle_queue.count = 0;
         }
         if restarted {
-            self.spread_first_slot(entry.server);
+            self.randomize_first_slot(entry.server);
         }
     }
 
-    /// Servers that a complete list doesn't name are gone.
+    /// Marks the servers that a complete list doesn't contain as gone.
     fn mark_missing_as_gone(&mut self, entries: &[ServerEntry]) {
         let now = self.now;
         let listed = |id: &ServerId| entries.iter().any(|e| e.server == *id);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Forgets the servers that have been gone for long and have no part of ours.
+    /// Removes the servers that have been gone for long and have no parts of this router in flight.
     fn forget_gone_servers(&mut self) {
         let now = self.now;
         self.servers.retain(|_, server| {
@@ -128,8 +129,7 @@
         }
     }
 
-    /// Subscribes where the router has to, and again after a failure or a request that was left
-    /// unanswered.
+    /// Subscribes if the router has to, and again after a failure or an unanswered request.
     pub(super) fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
         let Some(within) = self.settings.subscribe_within.map(seconds) else {
             return;
@@ -150,7 +150,7 @@
     }
 }
 
-/// Forgets what was learned of a server's earlier process, and begins its slow start.
+/// Discards what was learned about a server's earlier process, and begins its slow start.
 fn reset_after_start(server: &mut Server, started_at: Option<f64>, now: f64) {
     server.warm_up.since = started_at.or(Some(now));
     server.ejection.clear();
