--- a/crates/fennelpin-cli/tests/coordination_faults/applications.rs
+++ b/crates/fennelpin-cli/tests/coordination_faults/applications.rs
@@ -1,6 +1,6 @@
 //! Applications in threads, each with one call at a time.
 
-use crate::checker::{Event, Given, History, Hold, Put, PutOutcome, Read, Watched};
+use crate::checker::{Event, History, Hold, IssuedNumber, Put, PutOutcome, Read, WatchAnswer};
 use crate::connection::{Connection, CALL_TIMEOUT};
 use crate::faults::ALL;
 use crate::harness::cluster::TestCluster;
@@ -284,7 +284,7 @@
             let answered = self.call(&format!("Cells.Replace/{cell}"), Some(&body));
             let told = answered.body()["revision"].as_u64();
             match (answered.status(), told) {
-                (200, Some(revision)) => outcome = PutOutcome::Done(revision),
+                (200, Some(revision)) => outcome = PutOutcome::Acknowledged(revision),
                 (412, Some(revision)) => outcome = PutOutcome::Rejected(Some(revision)),
                 (429 | 503, _) if sends == 1 => outcome = PutOutcome::Rejected(None),
                 _ => continue,
@@ -326,7 +326,7 @@
     fn take_numbers(&mut self) {
         let answered = self.call("numbers/n", Some(&json!({})));
         if answered.status() == 200 {
-            self.history.numbers.push(Given {
+            self.history.numbers.push(IssuedNumber {
                 name: "n".into(),
                 value: answered.body()["value"].as_u64().unwrap(),
                 sent: answered.sent,
@@ -347,7 +347,7 @@
         }
         let body = answered.body();
         let revision = body["revision"].as_u64().unwrap();
-        let answer = Watched {
+        let answer = WatchAnswer {
             after: if after == 0 { revision } else { after },
             revision,
             events: events_of(&body),
