--- a/crates/coordinator/src/decision/concurrency_limit.rs
+++ b/crates/coordinator/src/decision/concurrency_limit.rs
@@ -68,7 +68,7 @@
         };
         let in_flight = server.in_flight.count();
         // With a limit of less than a call no call would ever be sent, so the backoff limits the
-        // rate instead. A draining server gets no such minimum.
+        // rate instead. A draining server wants no parts, so it gets no such minimum.
         let min_limit = if server.is_ready() {
             parts_per_call
         } else {
--- a/crates/coordinator/src/decision/slow_start.rs
+++ b/crates/coordinator/src/decision/slow_start.rs
@@ -18,7 +18,7 @@
 /// Largest multiple of its share that each of few routers may send.
 const FEW_ROUTERS_MAX_RATE_FACTOR: f64 = 1.5;
 /// Number of processors of a warming server that all routers together may keep busy. This limits
-/// what they send when most servers are overloaded or gone.
+/// what they send during an overload or outage.
 const MAX_BUSY_PROCESSORS: f64 = 2.0;
 /// Upper bound of the rate derived from one processor, in parts per second.
 const MAX_ONE_PROCESSOR_RATE: f64 = 1.0;
