--- a/crates/coordinator/src/core/actor.rs
+++ b/crates/coordinator/src/core/actor.rs
@@ -1,4 +1,4 @@
-//! The actor round a core's table: its mailbox, and a turn over all messages that wait in it.
+//! The actor that owns a core's query table. It drains its mailbox in turns.
 
 use super::message::CoreMessage;
 use super::query::{Answer, NewQuery};
@@ -18,15 +18,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Sleep;
 
-/// How often a query that went to another core checks whether that one still runs.
-const CORE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a query submitted to another core checks whether that core is still running.
+const CORE_LIVENESS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The dispatcher of queries to cores, with the origin of its times.
+/// The dispatcher that assigns queries to cores, with the origin of its times.
 #[derive(Clone)]
 pub struct Dispatch {
-    /// Shared by all cores of the process.
+    /// The dispatcher, which all cores of the process share.
     pub dispatcher: Arc<CoreDispatcher>,
-    /// Times are told to the dispatcher in microseconds since this.
+    /// The origin from which the dispatcher's times are counted, in microseconds.
     pub origin: Instant,
 }
 
@@ -40,33 +40,33 @@
     }
 }
 
-/// The way to the cores, for fronts.
+/// A handle through which front ends submit queries to the cores.
 ///
-/// A mailbox holds no more queries than may be open: one more is rejected here. Its other messages
-/// are bounded by the attempts in flight and by the clients that have left.
+/// A mailbox holds no more queries than may be open; the handle rejects any beyond that. The other messages in a
+/// mailbox are bounded by the attempts in flight and by the clients that have left.
 #[derive(Clone)]
 pub struct CoreHandle {
     mailboxes: Arc<[mpsc::UnboundedSender<CoreMessage>]>,
     dispatch: Dispatch,
-    /// Retry-after hint of a query that finds the mailbox full.
+    /// Retry-after hint for a query that is rejected because the mailbox is full.
     retry_after: Duration,
     key_hasher: Arc<RandomState>,
     counters: Counters,
     next_ticket: Arc<AtomicU64>,
 }
 
-/// A query that waits for its answer. Dropped before that, it withdraws the query.
+/// A submitted query that waits for its answer. Dropping it before the answer withdraws the query.
 ///
-/// The output is `None` only if the core has ended, or is another one that stands still.
+/// The output is `None` only if the core has ended, or if the query is on another core that has stalled.
 pub struct PendingQuery {
     ticket: u64,
     answer: oneshot::Receiver<Answer>,
-    /// The core's mailbox, until the query is answered.
+    /// The mailbox of the query's core, until the query is answered.
     mailbox: Option<mpsc::UnboundedSender<CoreMessage>>,
-    /// The core that has it, until it is settled.
+    /// The core that holds the query, until the dispatcher is told that the query has finished.
     assigned: Option<AssignedCore>,
-    /// Checks on another core that may end or stand still.
-    core_check: Option<Pin<Box<Sleep>>>,
+    /// Timer of the next check whether the query's core is running; `None` if the query is on this thread's core.
+    liveness_check: Option<Pin<Box<Sleep>>>,
 }
 
 struct AssignedCore {
@@ -75,7 +75,7 @@
 }
 
 impl CoreHandle {
-    /// The way to these mailboxes, one for each core.
+    /// Creates a handle to these mailboxes, one for each core.
     pub fn new(
         mailboxes: Vec<mpsc::UnboundedSender<CoreMessage>>,
         dispatch: Dispatch,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Submits a query to this thread's core, unless the dispatcher prefers another one.
+    /// Submits a query to this thread's core, or to another core if the dispatcher chooses one.
     pub fn submit(&self, query: NewQuery) -> PendingQuery {
         let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
@@ -102,14 +102,14 @@
             answer,
             mailbox: None,
             assigned: None,
-            core_check: None,
+            liveness_check: None,
         };
         let key = query
             .idempotency_key
             .as_ref()
             .map(|key| self.key_hasher.hash_one(key));
         let dispatcher = &self.dispatch.dispatcher;
-        // Without a healthy core the sender is dropped: the query ends at once.
+        // Without a healthy core, the reply sender is dropped, which ends the query at once.
         let Some(core) = dispatcher.core_for_query(current_core(), key, now) else {
             return pending;
         };
@@ -128,7 +128,7 @@
         });
         if core != current_core() {
             self.counters.inc("cores.handed_over");
-            pending.core_check = Some(Box::pin(tokio::time::sleep(CORE_CHECK_INTERVAL)));
+            pending.liveness_check = Some(Box::pin(tokio::time::sleep(CORE_LIVENESS_INTERVAL)));
         }
         let mailbox = &self.mailboxes[core];
         pending.mailbox = mailbox
@@ -140,16 +140,16 @@
 }
 
 impl PendingQuery {
-    /// Tells the dispatcher that the core doesn't have this query any more.
-    fn settle(&mut self) {
+    /// Tells the dispatcher, once, that the core no longer holds this query.
+    fn release_core(&mut self) {
         if let Some(assigned) = self.assigned.take() {
             assigned.dispatch.dispatcher.query_finished(assigned.core);
         }
     }
 
-    /// Whether the other core that has it has ended or stands still.
-    fn is_deserted(&mut self, cx: &mut Context<'_>) -> bool {
-        let (Some(check), Some(assigned)) = (&mut self.core_check, &self.assigned) else {
+    /// Returns whether the query is on another core that has ended or stalled.
+    fn is_core_unavailable(&mut self, cx: &mut Context<'_>) -> bool {
+        let (Some(check), Some(assigned)) = (&mut self.liveness_check, &self.assigned) else {
             return false;
         };
         let (core, dispatcher) = (assigned.core, &assigned.dispatch.dispatcher);
@@ -160,7 +160,7 @@
             }
             check
                 .as_mut()
-                .reset(tokio::time::Instant::now() + CORE_CHECK_INTERVAL);
+                .reset(tokio::time::Instant::now() + CORE_LIVENESS_INTERVAL);
         }
         false
     }
@@ -173,11 +173,11 @@
         match Pin::new(&mut self.answer).poll(cx) {
             Poll::Ready(answer) => {
                 self.mailbox = None;
-                self.settle();
+                self.release_core();
                 Poll::Ready(answer.ok())
             }
-            // It is withdrawn when it is dropped.
-            Poll::Pending if self.is_deserted(cx) => Poll::Ready(None),
+            // Dropping the pending query withdraws it.
+            Poll::Pending if self.is_core_unavailable(cx) => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
         }
     }
@@ -185,15 +185,15 @@
 
 impl Drop for PendingQuery {
     fn drop(&mut self) {
-        self.settle();
+        self.release_core();
         if let Some(mailbox) = self.mailbox.take() {
             let _ = mailbox.send(CoreMessage::Withdraw(self.ticket));
         }
     }
 }
 
-/// Runs a core until every sender of its mailbox is gone. The dispatcher is told of each query that
-/// it takes out of the mailbox.
+/// Runs a core until every sender of its mailbox is dropped. Tells the dispatcher about each query that leaves the
+/// mailbox.
 pub async fn run<T: Transport>(
     mut table: QueryTable<T>,
     mut mailbox: mpsc::UnboundedReceiver<CoreMessage>,
@@ -210,7 +210,7 @@
             },
             () = tokio::time::sleep_until(wake_at) => {}
         }
-        // A turn is all that waits by now: parts that end together are decided on together.
+        // A turn covers every message that is waiting by now, so that parts that end together are decided on together.
         while let Ok(more) = mailbox.try_recv() {
             handle(&mut table, more, core, &dispatch);
         }
--- a/crates/coordinator/src/core/clock.rs
+++ b/crates/coordinator/src/core/clock.rs
@@ -2,11 +2,11 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The origin lies so long before the start of the process, so that starts of hosts before it can
-/// be told.
+/// Time between the clock's origin and the start of the process, so that hosts that started earlier than the process
+/// still have a representable start time.
 const ORIGIN_BEFORE_START: Duration = Duration::from_secs(3600);
 
-/// The decision module's time: it counts from an origin an hour before the process began.
+/// The decision module's clock. It counts from an origin one hour before the process started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -14,7 +14,7 @@
 }
 
 impl Clock {
-    /// A clock for a process that starts now.
+    /// Creates the clock of a process that starts now.
     pub fn new() -> Self {
         let unix_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -25,13 +25,13 @@
         }
     }
 
-    /// The decision module's time at an instant.
+    /// Returns the decision module's time at an instant.
     pub fn at(&self, instant: Instant) -> Duration {
         ORIGIN_BEFORE_START + instant.saturating_duration_since(self.start)
     }
 
-    /// The decision module's time at a Unix time in milliseconds; `None` for 0 and for times before
-    /// the origin.
+    /// Returns the decision module's time at a Unix time in milliseconds; `None` for 0 and for times before the
+    /// origin.
     pub fn at_unix_ms(&self, unix_ms: u64) -> Option<Duration> {
         let unix_origin = self.unix_start.checked_sub(ORIGIN_BEFORE_START)?;
         let at = Duration::from_millis(unix_ms).checked_sub(unix_origin)?;
--- a/crates/coordinator/src/core/message.rs
+++ b/crates/coordinator/src/core/message.rs
@@ -1,4 +1,4 @@
-//! The messages that a core takes from fronts, hosts, the host list, other cores and peers.
+//! Messages that a core receives from front ends, host connections, the host list, other cores and peers.
 
 use super::query::{Answer, NewQuery};
 use crate::interface::{ListKind, LoadReport, Outcome, RequestId, ServerId, ServerState};
@@ -6,56 +6,56 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// A message to a core.
+/// A message for a core's mailbox.
 pub enum CoreMessage {
-    /// A query, with its ticket (a number that the sender chose) and the channel for its answer.
+    /// Submits a query, with its ticket (a number chosen by the sender) and the channel for its answer.
     Submit(Box<NewQuery>, u64, oneshot::Sender<Answer>),
-    /// The client of the query with this ticket stopped waiting.
+    /// Withdraws the query with this ticket, because its client stopped waiting.
     Withdraw(u64),
-    /// An attempt ended.
+    /// Reports the end of an attempt.
     AttemptEnded(AttemptEnd),
-    /// A probe ended.
+    /// Reports the end of a probe, with its outcome and the load report that came with it.
     ProbeEnded(ServerId, Outcome, Option<LoadReport>),
-    /// An update of the host list.
+    /// Updates the host list.
     HostList(ListKind, Vec<Endpoint>),
-    /// Another core could not connect to the host of this name.
+    /// Reports that another core could not connect to the host with this name.
     HostUnreachable(Arc<str>),
-    /// A datagram from the coordinator of this rank.
+    /// Delivers a datagram from the coordinator with this rank.
     Gossip(u32, Bytes),
-    /// All updates up to this version of the host list have been handed over.
+    /// Reports that all host list updates up to this version are in the mailbox ahead of this message.
     ListVersion(u64),
-    /// Asks for a reply once all messages before this one have been handled.
+    /// Requests a reply once all messages before this one have been handled.
     Barrier(oneshot::Sender<()>),
 }
 
-/// How an attempt ended. The transport tells it exactly once for each part of a call.
+/// The end of an attempt. The transport reports it exactly once for each part of a call.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The part.
+    /// The part that was attempted.
     pub part: RequestId,
-    /// Number of the attempt.
+    /// The number of the attempt within its part, counted from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The value, if it was served.
+    /// The value, if the host served the part.
     pub value: Option<Bytes>,
-    /// The load report that came along.
+    /// The host's load report, if the answer carried one.
     pub report: Option<LoadReport>,
 }
 
-/// An entry of the host list, as discovery has it.
+/// An entry of the host list, as read from discovery.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Endpoint {
-    /// The host's name, the same at every coordinator.
+    /// The host's name, which is the same at every coordinator.
     pub id: String,
-    /// Where it listens.
+    /// The address on which the host listens.
     pub addr: String,
-    /// Its zone.
+    /// The zone in which the host runs.
     pub zone: String,
-    /// Its cell.
+    /// The cell of shards that the host serves.
     pub cell: u32,
-    /// Its state.
+    /// The host's state in the list.
     pub state: ServerState,
-    /// Its last start in Unix milliseconds; 0 for long ago.
+    /// The host's last start as a Unix time in milliseconds; 0 if it was long ago.
     pub up_since_ms: u64,
 }
--- a/crates/coordinator/src/core/mod.rs
+++ b/crates/coordinator/src/core/mod.rs
@@ -1,7 +1,7 @@
-//! Queries, attempts and timers round the decision module, one table for each processor core.
+//! Queries, attempts and timers around the decision module, in one table for each processor core.
 //!
-//! The core knows no wire. Fronts [submit](CoreHandle::submit) queries and get one [`Answer`] each;
-//! a [`Transport`] carries calls to hosts.
+//! The core is independent of wire formats. Front ends [submit](CoreHandle::submit) queries and get one [`Answer`]
+//! for each; a [`Transport`] carries calls to hosts.
 
 mod actor;
 mod clock;
--- a/crates/coordinator/src/core/names.rs
+++ b/crates/coordinator/src/core/names.rs
@@ -1,9 +1,9 @@
-//! Names and the numbers that stand for them in the decision module (interning).
+//! Interning of names: the decision module refers to hosts and zones by number.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Gives each name a number, in the order of their first appearance.
+/// A table that numbers names in the order of their first appearance, from 0.
 #[derive(Default, Debug, Clone)]
 pub struct NameTable {
     numbers: HashMap<Arc<str>, u32>,
@@ -12,7 +12,7 @@
 }
 
 impl NameTable {
-    /// The number of a name. A new name gets the next one.
+    /// Returns the number of a name, and assigns the next number to a new name.
     pub fn number_or_insert(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -24,17 +24,17 @@
         number
     }
 
-    /// The number of a name, if it has one.
+    /// Returns the number of a name, if it has one.
     pub fn number(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
-    /// The name of a number; empty for a number that stands for none.
+    /// Returns the name with this number, or an empty string if no name has it.
     pub fn name(&self, number: u32) -> &str {
         self.names.get(&number).map_or("", |name| name)
     }
 
-    /// Drops a name. If it appears again, it gets a new number.
+    /// Removes the name with this number. If the name appears again, it gets a new number.
     pub fn remove(&mut self, number: u32) {
         if let Some(name) = self.names.remove(&number) {
             self.numbers.remove(&name);
--- a/crates/coordinator/src/core/query.rs
+++ b/crates/coordinator/src/core/query.rs
@@ -1,89 +1,88 @@
-//! A query as a front submits it, and its answer.
+//! Queries as front ends submit them, and their answers.
 
 use crate::interface::{Cause, ClassId, Outcome, TenantId};
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A query as a front submits it.
+/// A query as a front end submits it.
 #[derive(Clone, Debug)]
 pub struct NewQuery {
-    /// Its name on the hosts' wire. While another query of that name is open, it is not taken.
+    /// The query's name on the hosts' wire. A query is refused while another one with its name is open.
     pub name: Arc<str>,
-    /// Its class.
+    /// The class of the query.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant on whose behalf the query runs, if any.
     pub tenant: Option<TenantId>,
-    /// When its last byte arrived.
+    /// The time at which the query's last byte arrived.
     pub arrived_at: Instant,
-    /// How long its client waits from then on.
+    /// How long the client waits for the answer, counted from `arrived_at`.
     pub client_wait: Duration,
-    /// Whether it is a client's retry; `None` if clients don't mark retries.
+    /// Whether the query is a client's retry; `None` if clients don't mark retries.
     pub is_retry: Option<bool>,
-    /// The key by which hosts recognise repeats.
+    /// The key by which hosts recognize a repeated query.
     pub idempotency_key: Option<Arc<str>>,
-    /// Its parts, each of another shard.
+    /// The parts of the query, each for a different shard.
     pub parts: Vec<NewPart>,
-    /// What the hosts are sent with each part.
+    /// The payload that is sent to the hosts with each part.
     pub payload: Bytes,
 }
 
-/// A part of a query as a front submits it.
+/// A part of a query as a front end submits it.
 #[derive(Clone, Copy, Debug)]
 pub struct NewPart {
-    /// The shard that it reads.
+    /// The shard that the part reads.
     pub shard: u32,
-    /// Its share of the answer.
+    /// The part's share of the complete answer.
     pub weight: f64,
 }
 
-/// The answer of a part.
+/// The answer to one part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartAnswer {
-    /// The shard.
+    /// The shard that was read.
     pub shard: u32,
-    /// The value as the host sent it.
+    /// The value, exactly as the host sent it.
     pub value: Bytes,
 }
 
 /// A part without an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MissingPart {
-    /// The shard.
+    /// The shard that was not read.
     pub shard: u32,
-    /// How its last attempt ended; a time-out if that is still in flight, `None` if nothing was
-    /// sent.
+    /// The outcome of the part's last attempt: a timeout if it is still in flight, `None` if nothing was sent.
     pub last_outcome: Option<Outcome>,
 }
 
-/// The one final answer to a query.
+/// The final answer to a query. Each query gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Served from the parts that were answered.
+    /// The query was served from the parts that were answered.
     Served {
         /// Whether the answer is complete.
         complete: bool,
         /// The parts that were answered.
         parts: Vec<PartAnswer>,
-        /// The parts that were not.
+        /// The parts without an answer.
         missing: Vec<MissingPart>,
     },
-    /// Rejected: the client may retry without harm.
+    /// The query was rejected, and the client can safely retry it.
     Rejected {
-        /// When the client should retry.
+        /// The time after which the client should retry, if it should.
         retry_after: Option<Duration>,
-        /// Why.
+        /// The reason for the rejection.
         cause: Cause,
         /// The parts without an answer.
         missing: Vec<MissingPart>,
     },
-    /// Not taken: another open query has this name, and hosts could not tell the two apart.
+    /// The query was refused because another open query has its name, and hosts could not tell the two apart.
     NameTaken,
-    /// Failed: the query may have taken effect.
+    /// The query failed, and it may have taken effect.
     Failed {
-        /// When the client should retry, if that makes sense.
+        /// The time after which the client should retry, if it should.
         retry_after: Option<Duration>,
-        /// Why.
+        /// The reason for the failure.
         cause: Cause,
         /// The parts without an answer.
         missing: Vec<MissingPart>,
--- a/crates/coordinator/src/core/settings/mod.rs
+++ b/crates/coordinator/src/core/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings of the decision module and of the program round it, read from JSON. The coordinator
-//! and the simulator's adapter share them.
+//! Settings of the decision module and of the program around it, read from JSON. The coordinator and the simulator's
+//! adapter share them.
 
 mod bounds;
 mod schema;
@@ -13,79 +13,77 @@
 use schema::{RawCaps, RawClass, RawFamily, RawSafety, RawSettings, RawTenant};
 use std::time::Duration;
 
-/// Time in which sends to a draining host must have stopped, in milliseconds, if the settings don't
-/// say.
+/// Default time within which sends to a draining host must have stopped, in milliseconds.
 const DEFAULT_DRAIN_GRACE_MS: f64 = 2000.0;
-/// Time within which the router subscribes to the host list, if it has to and the settings don't
-/// say.
+/// Default time within which the router subscribes to the host list, where it has to subscribe.
 const DEFAULT_SUBSCRIBE_WITHIN: Duration = Duration::from_secs(10);
 const DEFAULT_MAX_OPEN: usize = 4096;
 const DEFAULT_CONNECTION_IDLE_TIMEOUT_MS: f64 = 15_000.0;
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 const DEFAULT_PARTS_PER_CONNECTION: usize = 32;
 
-/// What is wrong with the settings.
+/// An error in the settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// Not JSON of the expected shape; the message names the key.
+    /// The text is not JSON of the expected structure; the message names the key.
     #[error("{0}")]
     Json(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// A key with a value that means nothing.
+    /// A key has a value that is out of range or unknown.
     #[error("'{0}' can't be '{1}'")]
     Value(&'static str, String),
-    /// A shard layout without cells.
+    /// The shard layout has no cells.
     #[error("'sets' and 'width' must be above 0")]
     Layout,
 }
 
-/// Limits of the program round the decision module.
+/// Limits of the program around the decision module.
 #[derive(Clone, Debug)]
 pub struct CoordinatorLimits {
-    /// Queries and parts that may be open at once.
+    /// Number of queries and parts that may be open at once.
     pub max_open: usize,
-    /// A host closes connections that are idle for this long.
+    /// Time after which a host closes an idle connection.
     pub connection_idle_timeout: Duration,
-    /// A connection that isn't established by then never will be.
+    /// Time after which a connection attempt counts as failed.
     pub connect_timeout: Duration,
-    /// Parts that one connection carries at once.
+    /// Number of parts that one connection carries at once.
     pub max_parts_per_connection: usize,
-    /// Number of shards, counted from 0; `None` if any shard may exist.
+    /// Number of shards, which are numbered from 0; `None` if any shard may exist.
     pub shards: Option<u32>,
-    /// Time after the notice of a drain by which sends must have stopped.
+    /// Time after the first notice of a drain within which sends to the host must have stopped.
     pub drain_grace: Duration,
-    /// Coordinators that use the same hosts, this one included.
+    /// Number of coordinators that use the same hosts, this one included.
     pub coordinators: u32,
 }
 
-/// The settings, with the names that the decision module knows only as numbers.
+/// The settings of one coordinator, with the names that the decision module knows only as numbers.
 #[derive(Clone)]
 pub struct SiteSettings {
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub router: RouterSettings,
-    /// Names of the classes, in the decision module's order.
+    /// Names of the classes, indexed by class number.
     pub classes: Vec<String>,
-    /// Names of the tenants, in the decision module's order.
+    /// Names of the tenants, indexed by tenant number.
     pub tenants: Vec<String>,
-    /// Zones numbered so far: the router's own.
+    /// Names of the zones numbered so far, which is at most the router's own.
     pub zones: NameTable,
-    /// Names of the values in a load report.
+    /// Names of the values in a host's load report.
     pub report_values: Vec<String>,
     /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
-    /// How coordinators may publish their load to each other, if they may.
+    /// Settings of the gossip between coordinators; `None` if they may not publish their load to each other.
     pub talk: Option<GossipSettings>,
-    /// Limits of the program.
+    /// Limits of the program around the decision module.
     pub limits: CoordinatorLimits,
 }
 
-/// Milliseconds as a duration, rounded to a microsecond; never negative.
+/// Converts milliseconds to a duration, rounded to a microsecond; a negative number becomes zero.
 pub fn from_ms(ms: f64) -> Duration {
     Duration::from_micros((ms * 1000.0).round().max(0.0) as u64)
 }
 
-/// A load report from names and values, as the hosts' wire or the simulator has them. A value that
-/// is no load is left out. `None` if nothing is left: a report that can't be read must not pass for
-/// that of an idle server.
+/// Builds a load report from pairs of names and values, as hosts or the simulator send them. Values that are not
+/// finite, non-negative numbers are skipped. Returns `None` if no value remains: an unreadable report must not be
+/// mistaken for that of an idle server.
 pub fn load_report<'a>(values: impl Iterator<Item = (&'a str, &'a str)>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (name, value) in values {
@@ -103,11 +101,10 @@
     (report != LoadReport::default()).then_some(report)
 }
 
-/// Reads the settings: a JSON object, as in the simulator's first message and in the platform's
-/// file.
+/// Reads the settings from a JSON object, as in the simulator's first message and in the platform's file.
 ///
 /// # Errors
-/// If the text is not JSON of the expected shape, or if a number in it means nothing.
+/// If the text is not JSON of the expected structure, or if a value is out of range or unknown.
 pub fn read(json: &str) -> Result<SiteSettings, SettingsError> {
     let raw: RawSettings =
         serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(json))?;
@@ -169,7 +166,7 @@
     })
 }
 
-/// The class at this index; lists of the family have one value for each class.
+/// Builds the class with this index. The lists in the family's settings have one value for each class.
 fn query_class(
     raw: &RawClass,
     index: usize,
@@ -212,7 +209,8 @@
     }
 }
 
-/// Hints are worked out wherever there is a longest one: a front can always pass them on.
+/// Returns the longest retry-after hint. Hints are computed whenever a longest one is set, since a front end can always
+/// pass them on.
 fn max_retry_after(caps: &RawCaps) -> Option<Duration> {
     (caps.retry_after || caps.max_retry_after > 0.0).then(|| from_ms(caps.max_retry_after))
 }
--- a/crates/coordinator/src/core/settings/schema.rs
+++ b/crates/coordinator/src/core/settings/schema.rs
@@ -1,5 +1,4 @@
-//! The settings as their JSON has them. The names of the keys are those of the operators' pages and
-//! of the simulator.
+//! The JSON schema of the settings. The key names are those of the operators' documentation and of the simulator.
 
 use serde::Deserialize;
 
@@ -25,7 +24,7 @@
     pub(super) safety: RawSafety,
     #[serde(default)]
     pub(super) stats: RawStats,
-    /// Milliseconds.
+    /// Shortest time between two turns, in milliseconds.
     pub(super) step: f64,
     #[serde(default)]
     pub(super) tenants: Vec<RawTenant>,
@@ -33,7 +32,7 @@
     pub(super) worth_by: String,
 }
 
-/// What the program and its hosts can do. Times are in milliseconds.
+/// Capabilities and limits of the program and its hosts. Times are in milliseconds.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct RawCaps {
@@ -68,11 +67,11 @@
     pub(super) name: String,
     #[serde(default)]
     pub(super) window: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_worth")]
     pub(super) worth: f64,
 }
 
-fn one() -> f64 {
+fn default_worth() -> f64 {
     1.0
 }
 
@@ -83,12 +82,12 @@
     pub(super) peer: f64,
 }
 
-/// The shards and how calls read them. Lists have one value for each class.
+/// The shards and how calls read them. Each list has one value for each class.
 #[derive(Deserialize)]
 pub(super) struct RawFamily {
     #[serde(default)]
     pub(super) bundle_max: Option<u32>,
-    /// Milliseconds.
+    /// Overhead of a call, in milliseconds.
     #[serde(default)]
     pub(super) call_cost: f64,
     #[serde(default)]
@@ -107,7 +106,7 @@
     pub(super) cells_per_shard: u32,
 }
 
-/// Rules that all coordinators keep together. Times are in milliseconds.
+/// Rules that all coordinators must follow together. Times are in milliseconds.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct RawSafety {
--- a/crates/coordinator/src/core/table/attempts.rs
+++ b/crates/coordinator/src/core/table/attempts.rs
@@ -1,4 +1,4 @@
-//! An attempt from its start to its end.
+//! The lifecycle of an attempt.
 
 use super::{Attempt, QueryTable};
 use crate::core::message::AttemptEnd;
@@ -7,17 +7,18 @@
 use bytes::Bytes;
 use std::time::{Duration, Instant};
 
-/// A part is not sent so shortly before the window of its key ends: it still has to be written.
-const WRITE_MARGIN: Duration = Duration::from_millis(20);
+/// Time before the end of an idempotency key's window in which a part is no longer repeated, since the request still
+/// has to be written.
+const KEY_EXPIRY_MARGIN: Duration = Duration::from_millis(20);
 
 impl<T: Transport> QueryTable<T> {
-    /// Handles the end of an attempt: keeps its value, and tells the decision module.
+    /// Handles the end of an attempt: keeps its value and notifies the decision module.
     pub(super) fn attempt_ended(&mut self, mut end: AttemptEnd, now: Instant) {
         let Some(attempt) = self.attempts.remove(&(end.part, end.attempt)) else {
             return;
         };
         self.release_name(&attempt.query_name);
-        self.count_ended_at(attempt.server);
+        self.decrement_in_flight(attempt.server);
         self.count_failed_connect(attempt.server, end.outcome);
         let size = end.value.as_ref().map_or(0, Bytes::len);
         if size > self.max_value_bytes - self.value_bytes {
@@ -49,7 +50,7 @@
         );
     }
 
-    fn count_ended_at(&mut self, server: ServerId) {
+    fn decrement_in_flight(&mut self, server: ServerId) {
         if let Some(count) = self.in_flight.get_mut(&server) {
             *count -= 1;
             if *count == 0 {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Records the end in its part and keeps the first value. Returns whether the part is over.
+    /// Records the end of an attempt in its part and keeps the first value. Returns whether the part has ended.
     fn end_part_attempt(&mut self, end: &mut AttemptEnd, size: usize, sent_at: Instant) -> bool {
         let served = end.outcome == Outcome::Ok;
         let Some(part) = self.parts.get_mut(&end.part) else {
@@ -79,8 +80,8 @@
         served
     }
 
-    /// Cancels an attempt, or ends one that timed out. Its outcome comes back once the host was
-    /// told, so that another attempt can't overlap with it.
+    /// Cancels an attempt, or ends one that timed out. The transport reports the outcome once the host has been told,
+    /// so that another attempt can't overlap with it.
     pub(super) fn give_up_attempt(&mut self, part: RequestId, number: u32, outcome: Outcome) {
         let attempt = self.attempts.get_mut(&(part, number));
         if let Some(attempt) = attempt.filter(|a| !a.given_up) {
@@ -90,8 +91,9 @@
         }
     }
 
-    /// When it is too late to send a part once more: its key holds for a window from the first attempt that may have run.
-    /// The decision module has looked at it, but the attempt may still have to wait for a connection.
+    /// Returns the time from which a part must not be sent again: hosts remember its idempotency key for a window that
+    /// begins with the first attempt that may have run. The decision module has checked this window, but the attempt
+    /// may still have to wait for a connection.
     fn send_before(&self, id: RequestId) -> Option<Instant> {
         let part = self.parts.get(&id)?;
         let window = self.queries.get(&part.query)?.repeat_window?;
@@ -99,10 +101,10 @@
             .filter_map(|number| self.attempts.get(&(id, number)))
             .map(|attempt| attempt.sent_at);
         let first = in_flight.chain(part.may_have_run_since).min()?;
-        Some(first + window.saturating_sub(WRITE_MARGIN))
+        Some(first + window.saturating_sub(KEY_EXPIRY_MARGIN))
     }
 
-    /// Begins an attempt. Returns the request to send; `None` if the part or its query is over.
+    /// Starts an attempt and returns the request to send, or `None` if the part or its query has ended.
     pub(super) fn new_attempt(
         &mut self,
         id: RequestId,
--- a/crates/coordinator/src/core/table/list.rs
+++ b/crates/coordinator/src/core/table/list.rs
@@ -1,4 +1,4 @@
-//! The host list: its updates, hosts that are gone, and hosts that can't be reached.
+//! Updates of the host list, removal of hosts that are gone, and reports of unreachable hosts.
 
 use super::QueryTable;
 use crate::core::message::{CoreMessage, Endpoint};
@@ -8,18 +8,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Sends to a draining host stop this long before the rule says, as the frame still has to be
+/// Time before the end of the drain grace at which sends to a draining host stop, since the frame still has to be
 /// written.
 const DRAIN_MARGIN: Duration = Duration::from_millis(50);
-/// The other cores are told of a host after so many connections in a row that failed.
-const FAILED_CONNECTS_TO_TELL: u32 = 2;
-/// A host that has been gone for so long, with nothing in flight, is forgotten with its name: hosts
-/// are replaced under new names all the time.
+/// Number of consecutive failed connections to a host after which the other cores are notified.
+const FAILED_CONNECTS_TO_ANNOUNCE: u32 = 2;
+/// Time after which a host that is gone and has nothing in flight is removed together with its name. Without removal
+/// the table would grow, as hosts are constantly replaced under new names.
 const GONE_RETENTION: Duration = Duration::from_secs(15);
 
 impl<T: Transport> QueryTable<T> {
-    /// Tells the other cores of a host that could not be reached twice in a row. Each would
-    /// otherwise find out at the cost of its own parts.
+    /// Counts consecutive connection failures of a host, and notifies the other cores after the second. Each core would
+    /// otherwise have to lose parts of its own to notice.
     pub(super) fn count_failed_connect(&mut self, server: ServerId, outcome: Outcome) {
         let Some(shared) = &self.shared else { return };
         if outcome != Outcome::ConnectFailed {
@@ -28,7 +28,7 @@
         }
         let failures = self.failed_connects.entry(server).or_default();
         *failures += 1;
-        if *failures == FAILED_CONNECTS_TO_TELL {
+        if *failures == FAILED_CONNECTS_TO_ANNOUNCE {
             let id: Arc<str> = self.servers.name(server.0).into();
             for other in &shared.others {
                 // A core that has ended takes no messages.
@@ -70,9 +70,9 @@
     }
 
     fn server_entry(&mut self, server: ServerId, endpoint: &Endpoint, now: Instant) -> ServerEntry {
-        // A core that stood still reads of a drain late. If the host's gate has shut meanwhile, the
-        // decision module must not count on a grace that is over.
-        let shut = endpoint.state == ServerState::Draining
+        // A core that was stalled learns of a drain late. If the host's gate has closed in the meantime, the decision
+        // module must not rely on a grace period that is over.
+        let gate_closed = endpoint.state == ServerState::Draining
             && self
                 .shared
                 .as_ref()
@@ -81,7 +81,7 @@
             server,
             zone: ZoneId(self.zones.number_or_insert(&endpoint.zone)),
             cell: endpoint.cell,
-            state: if shut {
+            state: if gate_closed {
                 ServerState::Gone
             } else {
                 endpoint.state
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Tells the transport of a change. The grace of a drain counts from its first notice, not from
-    /// repetitions.
+    /// Records a host's entry and passes changes on to the transport. The grace period of a drain starts with its first
+    /// notice and is not extended by repetitions.
     fn update_endpoint(&mut self, server: ServerId, endpoint: Endpoint, stop_at: Instant) {
         let known = self.endpoints.get(&server);
         if known == Some(&endpoint) {
@@ -106,7 +106,7 @@
         self.endpoints.insert(server, endpoint);
     }
 
-    /// Hosts that a complete list doesn't name are gone.
+    /// Marks the hosts that a complete list does not name as gone.
     fn mark_missing_as_gone(&mut self, listed: &BTreeSet<ServerId>, stop_at: Instant) {
         for (server, endpoint) in &mut self.endpoints {
             if listed.contains(server) {
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Forgets the hosts that have been gone for long and have nothing in flight. What is in flight
-    /// still ends.
+    /// Removes the hosts whose retention after going away is over and that have nothing in flight. Hosts with attempts
+    /// in flight stay until those have ended.
     pub(super) fn forget_gone_hosts(&mut self, now: Instant) {
         let due: Vec<ServerId> = self
             .forget_at
--- a/crates/coordinator/src/core/table/mod.rs
+++ b/crates/coordinator/src/core/table/mod.rs
@@ -1,4 +1,4 @@
-//! The queries, parts and attempts of one core, and what the decision module's actions do to them.
+//! The queries, parts and attempts of one core, and how the decision module's actions change them.
 
 mod attempts;
 mod list;
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
-/// The core wakes up at least this often.
+/// Longest time between two wake-ups of a core.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// A query between its arrival and its answer.
@@ -33,8 +33,8 @@
     idempotency_key: Option<Arc<str>>,
     payload: Bytes,
     deadline: Instant,
-    /// For how long after the first attempt that may have run a part may be sent again; `None` for no limit, or where it
-    /// may not be sent again at all.
+    /// Time after the first attempt that may have run during which a part may be sent again; `None` if there is no
+    /// limit, or if the part must not be sent again at all.
     repeat_window: Option<Duration>,
     parts: Vec<RequestId>,
 }
@@ -42,13 +42,13 @@
 struct Part {
     query: RequestId,
     shard: u32,
-    /// Number of attempts so far.
+    /// Number of attempts started so far.
     attempts: u32,
-    /// Whether its latest attempt is in flight.
+    /// Whether the latest attempt is in flight.
     in_flight: bool,
     value: Option<Bytes>,
     last_outcome: Option<Outcome>,
-    /// When the first of the attempts that have ended and may have run was sent.
+    /// The send time of the earliest attempt that has ended and may have run.
     may_have_run_since: Option<Instant>,
 }
 
@@ -58,38 +58,38 @@
     query_name: Arc<str>,
     sent_at: Instant,
     times_out_at: Instant,
-    /// Whether it was cancelled or timed out: its outcome is then on the way.
+    /// Whether the attempt was cancelled or timed out; its outcome is then still to be reported.
     given_up: bool,
 }
 
-/// An attempt: its part and its number.
+/// The part of an attempt and the attempt's number within it.
 type AttemptKey = (RequestId, u32);
 
-/// The load that this coordinator publishes to its peers, and the way to the socket.
+/// The publisher of this coordinator's load to its peers, with the channel to the gossip socket.
 struct PeerLink {
     publisher: LoadPublisher,
     datagrams: mpsc::Sender<Datagram>,
 }
 
-/// The state of one core. Sans-I/O but for the transport that it is given.
+/// The state of one core. It does no I/O except through its transport.
 pub struct QueryTable<T> {
     router: Router,
     clock: Clock,
     transport: T,
     counters: Counters,
-    /// Queries and parts that may be open at once.
+    /// Number of queries and parts that may be open at once.
     max_open: usize,
     max_parts_per_call: usize,
     drain_grace: Duration,
     max_retry_after: Option<Duration>,
-    /// By class: how a part may be repeated.
+    /// The idempotency of each class, which decides how a part may be repeated.
     class_idempotency: Vec<Idempotency>,
-    /// Whether attempts may be cancelled. The decision module then cancels what nobody waits for.
+    /// Whether attempts may be cancelled. If so, the decision module cancels attempts whose result is no longer needed.
     cancellation: bool,
     servers: NameTable,
     zones: NameTable,
     endpoints: BTreeMap<ServerId, Endpoint>,
-    /// Hosts that are gone, and when they are to be forgotten.
+    /// Hosts that are gone, with the time of their removal.
     forget_at: BTreeMap<ServerId, Instant>,
     queries: HashMap<RequestId, Query>,
     queries_by_ticket: HashMap<u64, RequestId>,
@@ -99,27 +99,27 @@
     in_flight: HashMap<ServerId, usize>,
     /// Query names in use, with the number of open queries and attempts of each.
     names_in_use: HashMap<Arc<str>, u32>,
-    /// Attempts by the time at which they time out.
+    /// Attempts in flight, ordered by the time at which they time out.
     timeouts: BTreeSet<(Instant, RequestId, u32)>,
     deadlines: BTreeSet<(Instant, RequestId)>,
     wake_ups: BTreeSet<Instant>,
     next_id: u64,
-    /// Bytes of the values held. Hosts' answers must not use up the memory: a value beyond the
-    /// limit counts as an error of its host.
+    /// Bytes of the values held. Hosts' answers must not exhaust memory: a value beyond the limit counts as an error of
+    /// its host.
     value_bytes: usize,
     max_value_bytes: usize,
     actions: Vec<Action>,
-    /// What it shares with the other cores of the process; `None` if it is the only one.
+    /// State shared with the other cores of the process; `None` for a single core.
     shared: Option<SharedCoreState>,
-    /// Connections in a row that failed, by host.
+    /// Number of consecutive failed connections to each host.
     failed_connects: HashMap<ServerId, u32>,
-    /// When the counts of the host list are shown next.
-    show_counts_at: Instant,
+    /// The time at which the counts of the host list are published next.
+    publish_counts_at: Instant,
     peers: Option<PeerLink>,
 }
 
 impl<T: Transport> QueryTable<T> {
-    /// A core without queries. It holds values of up to `max_value_bytes` in all.
+    /// Creates the table of a core, without queries. It holds at most `max_value_bytes` of values in total.
     pub fn new(
         site: SiteSettings,
         seed: u64,
@@ -160,12 +160,12 @@
             actions: Vec::new(),
             shared: None,
             failed_connects: HashMap::new(),
-            show_counts_at: Instant::now(),
+            publish_counts_at: Instant::now(),
             peers: None,
         }
     }
 
-    /// The same, publishing its load to other coordinators: its datagrams go to the channel.
+    /// Makes the core publish its load to other coordinators through `datagrams`.
     #[must_use]
     pub fn with_gossip(
         mut self,
@@ -179,14 +179,14 @@
         self
     }
 
-    /// The same, as one of several cores.
+    /// Makes the core one of several that share state.
     #[must_use]
     pub fn with_shared_state(mut self, shared: SharedCoreState) -> Self {
         self.shared = Some(shared);
         self
     }
 
-    /// When the core has something to do without a message.
+    /// Returns the time at which the core has to run even if no message arrives.
     pub fn next_wake_at(&self) -> Instant {
         let timeout = self.timeouts.first().map(|t| t.0);
         let deadline = self.deadlines.first().map(|d| d.0);
@@ -198,7 +198,7 @@
         first.map_or(latest, |at| at.min(latest))
     }
 
-    /// Tells the decision module of an event.
+    /// Passes an event to the decision module.
     fn notify_router(&mut self, now: Instant, event: Event) {
         self.router
             .handle(self.clock.at(now), event, &mut self.actions);
@@ -209,7 +209,7 @@
         RequestId(self.next_id)
     }
 
-    /// Handles one message. What the decision module makes of it comes with
+    /// Handles one message. The decision module's actions in response are carried out by
     /// [`end_turn`](Self::end_turn).
     pub fn handle_message(&mut self, message: CoreMessage, now: Instant) {
         match message {
@@ -249,12 +249,12 @@
     fn gossip_received(&mut self, from: u32, bytes: &[u8], now: Instant) {
         let at = self.clock.at(now);
         if let Some(peers) = &mut self.peers {
-            let heard = peers.publisher.receive(at, from, bytes);
-            self.counters.inc(heard.counter());
+            let outcome = peers.publisher.receive(at, from, bytes);
+            self.counters.inc(outcome.counter());
         }
     }
 
-    /// Handles the wake-ups, time-outs and deadlines that are due.
+    /// Handles the wake-ups, timeouts and deadlines that are due.
     pub fn run_timers(&mut self, now: Instant) {
         self.forget_gone_hosts(now);
         while self.wake_ups.first().is_some_and(|at| *at <= now) {
@@ -271,8 +271,8 @@
         }
     }
 
-    /// The decision module ends its queries before their deadline. This makes sure of it, whatever
-    /// the module does.
+    /// Fails a query that is still open at its deadline. The decision module normally ends queries before then; this
+    /// guarantees it, whatever the module does.
     fn fail_at_deadline(&mut self, id: RequestId) {
         if let Some(query) = self.close_query(id) {
             self.counters.inc("answered.failed.deadline");
--- a/crates/coordinator/src/core/table/queries.rs
+++ b/crates/coordinator/src/core/table/queries.rs
@@ -1,4 +1,4 @@
-//! A query from its arrival to its answer.
+//! The lifecycle of a query, from its arrival to its answer.
 
 use super::{Part, Query, QueryTable};
 use crate::core::query::{Answer, MissingPart, NewPart, NewQuery, PartAnswer};
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// When the client of a query beyond the limit should retry, if the settings have no longest hint.
+/// Retry-after hint for a query over the limit on open queries, if the settings have no longest hint.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl<T: Transport> QueryTable<T> {
-    /// Takes a query, unless its name is in use or too much is open.
+    /// Opens a query, unless its name is in use or too many queries and parts are open.
     pub(super) fn submit_query(
         &mut self,
         new: NewQuery,
@@ -40,15 +40,15 @@
         self.open_query(new, ticket, reply, now);
     }
 
-    /// Claims a query's name over all cores. Two open queries of one name would share the names of
-    /// their parts: hosts would take one's for a copy of the other's.
+    /// Claims a query's name across all cores. Two open queries with the same name would have parts with the same
+    /// names, and hosts would mistake one query's parts for copies of the other's.
     fn claim_name(&self, name: &Arc<str>) -> bool {
         let shared = self.shared.as_ref();
         !self.names_in_use.contains_key(name)
             && shared.is_none_or(|shared| shared.names.claim(name, shared.core))
     }
 
-    /// Reserves so many queries and parts within the limit on what may be open.
+    /// Reserves `wanted` queries and parts within the limit on open ones. Returns whether they fit.
     fn reserve_open(&mut self, wanted: usize) -> bool {
         match &self.shared {
             Some(shared) => shared.lease.acquire(wanted),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A query over the limit never reaches the decision module: it would cost memory for work that
+    /// Rejects a query over the limit. It never reaches the decision module, where it would cost memory for work that
     /// can't be done in time.
     fn reject_over_limit(&mut self, name: &Arc<str>, reply: oneshot::Sender<Answer>) {
         if let Some(shared) = &self.shared {
@@ -103,7 +103,7 @@
             .get(new.class.0 as usize)
             .copied()
             .unwrap_or(Idempotency::Idempotent);
-        // Hosts are sent the key where a repeat could do harm.
+        // The key is sent to hosts only for classes where a repeat could do harm.
         let sends_key = idempotency != Idempotency::Idempotent;
         let repeat_window = match idempotency {
             Idempotency::Keyed(window) => Some(window),
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The parts of these that have no answer.
+    /// Returns those of these parts that have no answer.
     pub(super) fn missing_parts(&self, parts: &[RequestId]) -> Vec<MissingPart> {
         parts
             .iter()
@@ -186,7 +186,7 @@
             .collect()
     }
 
-    /// Removes parts with their values.
+    /// Removes the parts together with their values.
     pub(super) fn drop_parts(&mut self, parts: &[RequestId]) {
         for part in parts.iter().filter_map(|id| self.parts.remove(id)) {
             self.value_bytes -= part.value.map_or(0, |value| value.len());
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Takes back what of these parts hasn't been sent yet: their query is over, or its client has
+    /// Retracts the attempts of these parts that have not been sent yet, since their query has ended or its client has
     /// left.
     fn retract_parts(&mut self, parts: &[RequestId]) {
         for id in parts {
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Removes a query. Its parts stay until the caller has read them.
+    /// Removes a query and returns it. The caller reads its parts and then drops them.
     pub(super) fn close_query(&mut self, id: RequestId) -> Option<Query> {
         let query = self.queries.remove(&id)?;
         if let Some(shared) = &self.shared {
@@ -241,7 +241,7 @@
             .iter()
             .filter_map(|id| self.part_answer(*id))
             .collect();
-        // Never marked complete without any part.
+        // An answer without any part is never marked complete.
         let complete = complete && !parts.is_empty();
         self.counters.inc(if complete {
             "answered.served.full"
@@ -264,7 +264,7 @@
         })
     }
 
-    /// Ends a query without its parts' answers.
+    /// Ends a query with an answer that carries no part values.
     pub(super) fn end_unserved(
         &mut self,
         id: RequestId,
--- a/crates/coordinator/src/core/table/turn.rs
+++ b/crates/coordinator/src/core/table/turn.rs
@@ -1,4 +1,4 @@
-//! The end of a turn: the decision module decides, and its actions are carried out.
+//! The end of a turn: runs the decision module and carries out its actions.
 
 use super::QueryTable;
 use crate::core::query::Answer;
@@ -9,30 +9,30 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// How often the counts of the host list are shown.
-const SHOW_COUNTS_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the counts of the host list are published to the counters.
+const HOST_COUNTS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The parts to send in this turn, by host.
 type Calls = BTreeMap<ServerId, Vec<PartRequest>>;
 
 impl<T: Transport> QueryTable<T> {
-    /// Lets the decision module decide, and carries its actions out.
+    /// Ends the turn: runs the decision module and carries out its actions.
     pub fn end_turn(&mut self, now: Instant) {
-        self.tell_router_peer_loads(now);
+        self.forward_peer_loads(now);
         self.notify_router(now, Event::TurnEnded);
         self.publish_load(now);
-        if now >= self.show_counts_at {
-            self.show_counts_at = now + SHOW_COUNTS_INTERVAL;
+        if now >= self.publish_counts_at {
+            self.publish_counts_at = now + HOST_COUNTS_INTERVAL;
             self.counters.show_pool(host_counts(&self.router));
         }
         let mut calls = Calls::new();
         for action in std::mem::take(&mut self.actions) {
-            self.carry_out(action, &mut calls, now);
+            self.apply_action(action, &mut calls, now);
         }
         self.send_calls(calls);
     }
 
-    fn tell_router_peer_loads(&mut self, now: Instant) {
+    fn forward_peer_loads(&mut self, now: Instant) {
         let at = self.clock.at(now);
         if let Some(peers) = &mut self.peers {
             peers
@@ -52,12 +52,12 @@
                 self.servers.name(id.0)
             });
         if let Some(datagram) = datagram {
-            // One that finds the socket busy is dropped: the next one tells the same anew.
+            // An update that finds the channel full is dropped; the next one repeats its content.
             drop(peers.datagrams.try_send(datagram));
         }
     }
 
-    fn carry_out(&mut self, action: Action, calls: &mut Calls, now: Instant) {
+    fn apply_action(&mut self, action: Action, calls: &mut Calls, now: Instant) {
         match action {
             Action::Send {
                 part,
@@ -89,7 +89,7 @@
             Action::CloseIdleConnections { server } => {
                 self.transport.close_idle_connections(server);
             }
-            // Discovery is watched from the start: the list's updates come without being asked for.
+            // Discovery is watched from the start, so list updates arrive without a subscription.
             Action::Subscribe => {}
             Action::Wake { after } => {
                 self.wake_ups.insert(now + after);
@@ -124,7 +124,7 @@
         });
     }
 
-    /// Sends the parts of one turn for one host as one call, or as several if there are too many.
+    /// Sends the parts of this turn: one call for each host, or several if a host has too many parts for one call.
     fn send_calls(&mut self, calls: Calls) {
         for (server, parts) in calls {
             let mut parts = parts.into_iter().peekable();
@@ -137,7 +137,7 @@
     }
 }
 
-/// The counts of the host list as the status page shows them.
+/// Returns the counts of the host list, as the status page shows them.
 fn host_counts(router: &Router) -> Pool {
     let counts = router.server_counts();
     Pool {
--- a/crates/coordinator/src/core/transport.rs
+++ b/crates/coordinator/src/core/transport.rs
@@ -1,4 +1,4 @@
-//! The way to the hosts, as the core needs it.
+//! The interface through which the core sends calls to hosts.
 
 use super::message::Endpoint;
 use crate::interface::{Outcome, RequestId, ServerId};
@@ -9,54 +9,55 @@
 /// One part of a call to a host.
 #[derive(Clone, Debug)]
 pub struct PartRequest {
-    /// The part.
+    /// The part that is requested.
     pub part: RequestId,
-    /// Number of the attempt.
+    /// The number of the attempt within its part, counted from 0.
     pub attempt: u32,
-    /// The query's name.
+    /// The name of the query on the hosts' wire.
     pub query_name: Arc<str>,
-    /// The shard.
+    /// The shard that the part reads.
     pub shard: u32,
-    /// When the attempt times out.
+    /// The time at which the attempt times out.
     pub times_out_at: Instant,
-    /// When it is too late to send it, though the attempt has not timed out: the repeat of a part whose key no longer holds
-    /// then.
+    /// The time from which a repeated part must not be sent, even though the attempt has not timed out: hosts may have
+    /// forgotten its idempotency key by then.
     pub send_before: Option<Instant>,
-    /// The query's key.
+    /// The query's idempotency key, if hosts are sent one.
     pub idempotency_key: Option<Arc<str>>,
-    /// The query's payload.
+    /// The payload of the query.
     pub payload: Bytes,
 }
 
 impl PartRequest {
-    /// Whether its first byte may be written now.
+    /// Returns whether the first byte of the request may be written at `now`.
     pub fn may_be_sent(&self, now: Instant) -> bool {
         now < self.times_out_at && self.may_be_repeated(now)
     }
 
-    /// Whether its key, if it is a repeat, still holds.
+    /// Returns whether hosts still remember the idempotency key at `now`; always true unless the part is a repeat with
+    /// a limit.
     pub fn may_be_repeated(&self, now: Instant) -> bool {
-        self.send_before.is_none_or(|too_late| now < too_late)
+        self.send_before.is_none_or(|send_before| now < send_before)
     }
 }
 
-/// Carries calls to hosts. The end of each attempt and probe comes back as one
+/// A transport that carries calls to hosts. It reports the end of each attempt and probe to the core in one
 /// [`CoreMessage`](super::CoreMessage).
 pub trait Transport: Send {
-    /// A host is listed at an address. Sends to it must not start after `stop_at`.
+    /// Registers a host with its address. Sends to it must not start after `stop_at`.
     fn host_listed(&mut self, server: ServerId, host: &Endpoint, stop_at: Option<Instant>);
-    /// Sends parts as one call.
+    /// Sends the parts to a host as one call.
     fn send_call(&mut self, server: ServerId, parts: Vec<PartRequest>);
-    /// Cancels an attempt. It ends with this outcome, or with another that is on its way, once the
-    /// host was written to.
+    /// Cancels an attempt. Once the cancellation is written to the host, the attempt ends with `outcome`, or with
+    /// another outcome that was already on its way.
     fn cancel(&mut self, server: ServerId, part: RequestId, attempt: u32, outcome: Outcome);
-    /// Takes back an attempt that nobody waits for. It ends as [`Outcome::NotSent`] if it wasn't
-    /// sent yet; otherwise nothing happens.
+    /// Retracts an attempt whose result is no longer needed. It ends as [`Outcome::NotSent`] if it was not sent yet;
+    /// otherwise nothing happens.
     fn retract(&mut self, server: ServerId, part: RequestId, attempt: u32);
-    /// Probes a host.
+    /// Sends a probe to a host.
     fn probe(&mut self, server: ServerId);
-    /// Closes the unused connections to a host.
+    /// Closes the idle connections to a host.
     fn close_idle_connections(&mut self, server: ServerId);
-    /// Forgets a host that is gone and has nothing in flight.
+    /// Removes the state of a host that is gone and has nothing in flight.
     fn forget_host(&mut self, server: ServerId);
 }
