--- a/crates/coordinator/src/peers/gossip.rs
+++ b/crates/coordinator/src/peers/gossip.rs
@@ -1,4 +1,4 @@
-//! One coordinator's part in the gossip: what it has been told, and when it tells what.
+//! One coordinator's side of the gossip: what it has received, and when it sends which update.
 
 use super::load_update::{Datagram, HostTag, LoadUpdate, UpdateError, MAX_DATAGRAM_BYTES};
 use super::peer_loads::{PeerLoad, PeerLoads};
@@ -6,43 +6,42 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The share of all value that updates may cost.
-const COST_BUDGET: f64 = 0.001;
-/// No update goes out sooner after the last than about this, so that changes of one moment share an update. The
-/// actual pause is drawn between a half and one and a half of it.
-const MIN_PAUSE: Duration = Duration::from_millis(50);
-/// An update goes out no later after the last than this if there is anything to tell again, as peers forget what
-/// they were told.
-const MAX_PAUSE: Duration = Duration::from_millis(1000);
-/// Limit on the bytes that are saved up for a busy moment, for each peer.
-const MAX_SAVED_BYTES: f64 = 4.0 * MAX_DATAGRAM_BYTES as f64;
-
-/// What a coordinator has to know to take part.
+/// Largest share of all value that updates may cost.
+const MAX_COST_SHARE: f64 = 0.001;
+/// Shortest time between two updates, so that changes that happen together share an update. The actual interval is
+/// drawn from 0.5 to 1.5 times this.
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time between two updates while there is something to repeat, since peers forget what they were told.
+const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(1000);
+/// Largest byte budget that may accumulate for a burst, for each peer.
+const BURST_BYTES_PER_PEER: f64 = 4.0 * MAX_DATAGRAM_BYTES as f64;
+
+/// Settings that a coordinator needs to take part in the gossip.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipSettings {
-    /// The number of coordinators, this one included.
+    /// Number of coordinators, this one included.
     pub coordinators: u32,
-    /// This one's number among them.
+    /// Rank of this coordinator among them, from 0.
     pub rank: u32,
-    /// The price of the bytes, as a share of all value, if a full datagram went with each part.
+    /// Cost of the bytes as a share of all value, if a full datagram were sent with each part.
     pub price: f64,
 }
 
-/// What became of a datagram.
+/// The result of handling a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramOutcome {
-    /// It is the latest of its sender and was merged.
+    /// The datagram is the latest of its sender and was merged.
     Applied,
-    /// A later one of its sender had come before.
+    /// A later datagram of its sender was received before.
     Stale,
-    /// It could not be decoded.
+    /// The datagram could not be decoded.
     Undecodable(UpdateError),
-    /// Its sender is one more than there are peers, or it names too many hosts.
+    /// The sender exceeds the number of peers, or the update names too many hosts.
     Rejected,
 }
 
 impl DatagramOutcome {
-    /// The name of the counter that shows it.
+    /// Returns the name of the counter for this result.
     pub fn counter(self) -> &'static str {
         match self {
             Self::Applied => "peers.taken",
@@ -54,45 +53,45 @@
     }
 }
 
-/// What the peers were told last of a host, and when.
+/// The parts in flight that peers were last told for a host, and the time of that update.
 #[derive(Clone, Copy)]
 struct Published {
     in_flight: u16,
     at: Duration,
 }
 
-/// A host that is to be in the next update.
+/// A host that is due to be in the next update.
 struct Candidate {
-    /// By how much its parts in flight differ from what the peers were told.
+    /// Difference between the host's parts in flight and what the peers were told.
     change: u32,
-    /// The time since they were told.
+    /// Time since the peers were told.
     age: Duration,
     host: HostTag,
     in_flight: u16,
 }
 
-/// One coordinator's part in the gossip.
+/// One coordinator's side of the gossip.
 pub struct Gossip {
     settings: GossipSettings,
     incarnation: u64,
-    /// The number of the update sent last.
+    /// The sequence number of the last update sent.
     sequence: u32,
     peer_loads: PeerLoads,
     published: BTreeMap<HostTag, Published>,
     last_sent: Duration,
-    /// Draw for the next pause, from 0 to 1: coordinators must not send in step.
+    /// Random jitter of the next interval, from 0 to 1, so that coordinators do not send in step.
     jitter: f64,
-    /// State of the xorshift generator.
+    /// State of the xorshift random number generator; never 0.
     random: u64,
-    /// Bytes that may be sent by now.
-    saved_bytes: f64,
-    /// Parts sent to hosts since the start, at the last turn.
+    /// Byte budget: the bytes that may be sent now, to all peers together.
+    byte_budget: f64,
+    /// Number of parts sent to hosts since the start, as of the last turn.
     parts_sent: u64,
 }
 
 impl Gossip {
-    /// Starts with nothing heard. `incarnation` is larger for each later process of one coordinator; `seed`
-    /// spreads the updates of the coordinators over time.
+    /// Creates the gossip with no update received. `incarnation` must be larger for each later process of a
+    /// coordinator; `seed` spreads the updates of the coordinators over time.
     pub fn new(settings: GossipSettings, incarnation: u64, seed: u64) -> Self {
         Self {
             settings,
@@ -103,12 +102,12 @@
             last_sent: Duration::ZERO,
             jitter: 0.5,
             random: seed | 1,
-            saved_bytes: MAX_SAVED_BYTES,
+            byte_budget: BURST_BYTES_PER_PEER,
             parts_sent: 0,
         }
     }
 
-    /// Handles a datagram of the peer of rank `from`.
+    /// Handles a datagram from the peer with rank `from`.
     pub fn receive(&mut self, now: Duration, from: u32, bytes: &[u8]) -> DatagramOutcome {
         let update = match LoadUpdate::decode(bytes) {
             Ok(update) => update,
@@ -121,13 +120,13 @@
         }
     }
 
-    /// What the peers have in flight at a host by now; `None` if one of them was not heard lately.
+    /// Returns what the peers have in flight at a host; `None` if one of them has not been heard from recently.
     pub fn peer_load(&self, now: Duration, host: HostTag) -> Option<PeerLoad> {
         self.peer_loads.load(now, host)
     }
 
-    /// Returns the update that is to be sent to all peers, if one is due. Called at the end of a turn with the parts
-    /// in flight at each host and the number of parts sent since the start.
+    /// Returns the update to send to all peers, if one is due. Called at the end of a turn with the parts in flight at
+    /// each host and the number of parts sent since the start.
     pub fn next_update(
         &mut self,
         now: Duration,
@@ -140,7 +139,7 @@
         }
         self.refill_budget(parts_sent, peers);
         let since_last = now.saturating_sub(self.last_sent);
-        if since_last < MIN_PAUSE.mul_f64(0.5 + self.jitter) {
+        if since_last < MIN_UPDATE_INTERVAL.mul_f64(0.5 + self.jitter) {
             return None;
         }
         let candidates = self.candidates(now, since_last, in_flight);
@@ -154,29 +153,30 @@
         };
         let (datagram, hosts) = update.encode();
         let cost = datagram.bytes().len() as f64 * peers;
-        // Beyond the budget only the updates that keep the peers from forgetting.
-        if cost > self.saved_bytes && since_last < MAX_PAUSE {
+        // Over the budget, only the updates that keep peers from forgetting are sent.
+        if cost > self.byte_budget && since_last < MAX_UPDATE_INTERVAL {
             return None;
         }
-        self.saved_bytes = (self.saved_bytes - cost).max(0.0);
+        self.byte_budget = (self.byte_budget - cost).max(0.0);
         self.sequence += 1;
         self.record_published(now, in_flight, &candidates[..hosts]);
-        (self.last_sent, self.jitter) = (now, self.random_share());
+        (self.last_sent, self.jitter) = (now, self.random_fraction());
         Some(datagram)
     }
 
-    /// Each part sent to a host earns the bytes of which the cost is within the budget.
+    /// Adds to the byte budget for each part sent to a host, as many bytes as keep the cost within
+    /// [`MAX_COST_SHARE`].
     fn refill_budget(&mut self, parts_sent: u64, peers: f64) {
-        let bytes_a_part =
-            COST_BUDGET / self.settings.price.max(COST_BUDGET) * MAX_DATAGRAM_BYTES as f64;
+        let bytes_per_part =
+            MAX_COST_SHARE / self.settings.price.max(MAX_COST_SHARE) * MAX_DATAGRAM_BYTES as f64;
         let new_parts =
             parts_sent.saturating_sub(std::mem::replace(&mut self.parts_sent, parts_sent));
-        self.saved_bytes =
-            (self.saved_bytes + new_parts as f64 * bytes_a_part).min(MAX_SAVED_BYTES * peers);
+        self.byte_budget = (self.byte_budget + new_parts as f64 * bytes_per_part)
+            .min(BURST_BYTES_PER_PEER * peers);
     }
 
-    /// The hosts that the peers are to be told of: the largest change first, and among equal ones those that they
-    /// were told of longest ago.
+    /// Returns the hosts to include in an update: the largest change first, and among equal changes the ones that peers
+    /// were told longest ago.
     fn candidates(
         &self,
         now: Duration,
@@ -191,7 +191,8 @@
             });
             let age = now.saturating_sub(published.at);
             let change = u32::from(published.in_flight.abs_diff(*in_flight));
-            let is_repeated = age >= MAX_PAUSE && (*in_flight > 0 || since_last >= MAX_PAUSE);
+            let is_repeated =
+                age >= MAX_UPDATE_INTERVAL && (*in_flight > 0 || since_last >= MAX_UPDATE_INTERVAL);
             if change > 0 || is_repeated {
                 candidates.push(Candidate {
                     change,
@@ -205,7 +206,7 @@
         candidates
     }
 
-    /// Records what the peers have been told, and drops hosts that are gone.
+    /// Records what the peers have been told, and removes hosts that are no longer listed.
     fn record_published(
         &mut self,
         now: Duration,
@@ -223,8 +224,8 @@
         }
     }
 
-    /// A uniform draw from 0 to 1 (Marsaglia's xorshift).
-    fn random_share(&mut self) -> f64 {
+    /// Returns a uniform random number from 0 to 1 (Marsaglia's xorshift).
+    fn random_fraction(&mut self) -> f64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
--- a/crates/coordinator/src/peers/load_update.rs
+++ b/crates/coordinator/src/peers/load_update.rs
@@ -1,24 +1,24 @@
-//! A load update on the wire: a version in one byte, a checksum in two, and then the fields as `postcard` writes
-//! them.
+//! Wire format of a load update: a version of one byte, a checksum of two bytes, and the fields in `postcard`
+//! encoding.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Longest datagram, by the platform's rule.
+/// Longest datagram in bytes, a limit of the platform.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The version of the format.
+/// Version of the wire format.
 const VERSION: u8 = 1;
-/// Bytes before the fields: the version and the checksum.
+/// Number of bytes before the fields: the version and the checksum.
 const HEADER_BYTES: usize = 3;
-/// Fewest bytes that a host takes in an update.
+/// Smallest number of bytes that a host takes in an update.
 const MIN_HOST_BYTES: usize = 4;
 
-/// A host in an update: 24 bits of its name's hash. Two hosts of one list may share a tag (1 in 800 for 200
-/// hosts); what is told of either then counts for none.
+/// A short identifier of a host: 24 bits of its name's hash. Two hosts of one list may share a tag (probability 1 in
+/// 800 for 200 hosts); updates for a shared tag are then ignored.
 pub type HostTag = [u8; 3];
 
-/// The tag of a host's name, the same in every process.
+/// Returns the tag of a host's name, which is the same in every process.
 pub fn host_tag(name: &str) -> HostTag {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
@@ -26,39 +26,39 @@
     [hash[0], hash[1], hash[2]]
 }
 
-/// What one coordinator tells its peers at a time. The order of the fields is the order on the wire.
+/// An update of one coordinator to its peers. The order of the fields is their order on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadUpdate {
-    /// The incarnation of the sender's process. A later one supersedes an earlier one.
+    /// Incarnation of the sender's process. A larger one supersedes a smaller one.
     pub incarnation: u64,
-    /// The number of the update within the incarnation.
+    /// Sequence number of the update within the incarnation.
     pub sequence: u32,
-    /// The sender's own parts in flight, by host.
+    /// The sender's own parts in flight at each host.
     pub in_flight: Vec<(HostTag, u16)>,
 }
 
-/// The bytes of an update: at most [`MAX_DATAGRAM_BYTES`].
+/// An encoded update of at most [`MAX_DATAGRAM_BYTES`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram(Vec<u8>);
 
 impl Datagram {
-    /// The bytes.
+    /// Returns the bytes to send.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 }
 
-/// Why a datagram is dropped.
+/// The reason for which a datagram can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateError {
-    /// It is empty or longer than allowed.
-    #[error("of a length that no word has")]
+    /// The datagram has no fields or is longer than allowed.
+    #[error("the datagram has an invalid length")]
     Length,
-    /// It is of another version.
-    #[error("of another version")]
+    /// The datagram has another version.
+    #[error("the datagram has an unsupported version")]
     Version,
-    /// The checksum is wrong, or the fields can't be read.
-    #[error("garbled")]
+    /// The checksum is wrong, or the fields can't be decoded.
+    #[error("the datagram is corrupt")]
     Garbled,
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl LoadUpdate {
-    /// Encodes the update. Returns the datagram and how many hosts fit into it, from the first on.
+    /// Encodes the update. Returns the datagram and the number of hosts in it, which are the first of `in_flight`.
     pub fn encode(&self) -> (Datagram, usize) {
         let mut hosts = self
             .in_flight
@@ -86,7 +86,7 @@
                 let datagram = [&[VERSION], &checksum(&body)[..], &body[..]].concat();
                 return (Datagram(datagram), hosts);
             }
-            // A host takes six bytes at most, so this ends soon.
+            // A host takes at most six bytes, so few iterations are needed.
             hosts -= 1;
         }
     }
@@ -94,7 +94,7 @@
     /// Decodes a datagram.
     ///
     /// # Errors
-    /// If the datagram is of a wrong length, of another version, or garbled.
+    /// If the datagram has an invalid length or another version, or is corrupt.
     pub fn decode(bytes: &[u8]) -> Result<Self, UpdateError> {
         if bytes.len() <= HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(UpdateError::Length);
--- a/crates/coordinator/src/peers/mod.rs
+++ b/crates/coordinator/src/peers/mod.rs
@@ -1,17 +1,17 @@
 //! Gossip between the coordinators of one tier: each tells its peers how many of its own parts are in flight at each
-//! host. Free of I/O and clocks: the same code runs behind the datagrams of the platform and behind the simulator's
+//! host. The code has no I/O and no clock, so that it serves both the platform's datagrams and the simulator's
 //! messages. `docs/design/peers.md` has the reasons.
 //!
-//! A host's own load reports come late and seldom. What the peers have in flight there is known to them at once, and
-//! the sum of it is what the choice of a host needs. An update is evidence with a source and an age. Like a load
-//! report it makes a host eligible or not. It never names a host that is not in the own list, never removes one, and
-//! counts for nothing once it is old.
+//! A host's own load reports arrive late and rarely. The peers know at once what they have in flight there, and the
+//! choice of a host needs the sum of it. An update is evidence with a source and an age. Like a load report, it decides
+//! whether a host is eligible. It never adds a host to the coordinator's own list, never removes one, and is ignored
+//! once it is old.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`load_update`] | the datagram: its fields, encoding and decoding |
+//! | [`load_update`] | fields, encoding and decoding of an update |
 //! | [`peer_loads`] | merges the peers' updates into their load by host |
-//! | [`gossip`] | when an update is due and what is in it |
+//! | [`gossip`] | decides when an update is due and what it contains |
 //! | [`publisher`] | connects a router to the gossip |
 
 pub mod gossip;
--- a/crates/coordinator/src/peers/peer_loads.rs
+++ b/crates/coordinator/src/peers/peer_loads.rs
@@ -1,30 +1,30 @@
-//! What is known of the peers from their updates. Merging keeps, for each peer and host, the entry of the latest
-//! incarnation and sequence number. So updates may come in any order, twice or not at all, and an older one never
-//! replaces a newer one.
+//! The peers' load, as known from their updates. Merging keeps, for each peer and host, the entry with the latest
+//! incarnation and sequence number. Updates may therefore arrive in any order, twice or not at all, and an older one
+//! never replaces a newer one.
 
 use super::load_update::{HostTag, LoadUpdate};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An update older than this is no evidence: the parts it tells of are over. Twice the longest pause between the
-/// updates of a peer that has something in flight, so that one lost datagram does not silence the peer.
+/// Age after which an update is ignored, since the parts it reports have ended. It is twice the longest interval
+/// between the updates of a peer that has something in flight, so that one lost datagram does not silence the peer.
 const UPDATE_LIFETIME: Duration = Duration::from_millis(2000);
-/// After a silence of this length a peer's incarnations and sequence numbers count from anew: its clock may have
-/// been set back. No datagram is under way for so long.
+/// Silence of a peer after which its incarnations and sequence numbers start anew, since its clock may have been set
+/// back. No datagram is in transit for this long.
 const NUMBERING_RETENTION: Duration = Duration::from_secs(10);
-/// Limit on the hosts of one peer: no list of hosts is longer.
+/// Largest number of hosts of one peer; no host list is longer.
 const MAX_HOSTS: usize = 16_384;
 
 /// What the peers have in flight at one host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerLoad {
-    /// The sum of their parts in flight there.
+    /// Sum of the peers' parts in flight at the host.
     pub in_flight: f64,
-    /// The age of the oldest update that the sum rests on.
+    /// Age of the oldest update that the sum is based on.
     pub age: Duration,
 }
 
-/// What a peer has in flight at one host, with the number of the update that said so.
+/// What a peer has in flight at one host, with the incarnation and sequence number of the update that reported it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HostEntry {
     incarnation: u64,
@@ -35,15 +35,15 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Peer {
-    /// The incarnation and the sequence number of its latest update.
+    /// Incarnation and sequence number of the peer's latest update.
     latest: (u64, u32),
-    /// When its latest update came.
+    /// Time at which the peer's latest update was received.
     last_heard: Duration,
     hosts: BTreeMap<HostTag, HostEntry>,
 }
 
 impl Peer {
-    /// Merges an update. Returns whether it is the latest one of the peer.
+    /// Merges an update. Returns whether it is the peer's latest one.
     fn merge(&mut self, now: Duration, update: &LoadUpdate) -> bool {
         let number = (update.incarnation, update.sequence);
         for (host, in_flight) in &update.in_flight {
@@ -66,7 +66,8 @@
         is_latest
     }
 
-    /// What it has in flight at a host by its current incarnation. Nothing, if its last word on the host is old.
+    /// Returns what the peer's current incarnation has in flight at a host; 0 if its last report on the host is older
+    /// than [`UPDATE_LIFETIME`].
     fn in_flight(&self, now: Duration, host: HostTag) -> f64 {
         self.hosts
             .get(&host)
@@ -76,17 +77,17 @@
     }
 }
 
-/// All that the peers have told.
+/// The load of all peers, merged from their updates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerLoads {
-    /// The number of coordinators, this one included.
+    /// Number of coordinators, this one included.
     coordinators: u32,
-    /// By rank.
+    /// The peers heard from, by rank.
     peers: BTreeMap<u32, Peer>,
 }
 
 impl PeerLoads {
-    /// Creates the state of one of so many coordinators, with no update yet.
+    /// Creates the state of one of `coordinators` coordinators, with no update received.
     pub fn new(coordinators: u32) -> Self {
         Self {
             coordinators,
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Merges an update of the peer of rank `from`. `None` if it is rejected: its sender is one more than there are
-    /// peers, or it names too many hosts. Else whether it is the peer's latest.
+    /// Merges an update from the peer with rank `from`, and returns whether it is the peer's latest. Returns `None` if
+    /// the update is rejected: its sender exceeds the number of peers, or it names too many hosts.
     pub fn merge(&mut self, now: Duration, from: u32, update: &LoadUpdate) -> Option<bool> {
         let is_known =
             self.peers.contains_key(&from) || (self.peers.len() as u32) < self.coordinators - 1;
@@ -109,8 +110,8 @@
         Some(peer.merge(now, update))
     }
 
-    /// What the peers have in flight at a host by now. `None` unless all of them were heard lately: a sum that lacks
-    /// one would make the host look less loaded than it is.
+    /// Returns what the peers have in flight at a host; `None` unless all of them have been heard from recently, since
+    /// a sum without one of them would make the host look less loaded than it is.
     pub fn load(&self, now: Duration, host: HostTag) -> Option<PeerLoad> {
         if self.coordinators < 2 || (self.peers.len() as u32) < self.coordinators - 1 {
             return None;
--- a/crates/coordinator/src/peers/publisher.rs
+++ b/crates/coordinator/src/peers/publisher.rs
@@ -1,5 +1,4 @@
-//! Connects a router to the gossip: it tells the router what the peers have in flight, and the peers what the router
-//! has.
+//! Connects a router to the gossip: reports the peers' parts in flight to the router, and the router's to the peers.
 
 use super::gossip::{DatagramOutcome, Gossip, GossipSettings};
 use super::load_update::{host_tag, Datagram, HostTag};
@@ -8,19 +7,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The gossip of one router.
+/// The gossip on behalf of one router.
 pub struct LoadPublisher {
     gossip: Gossip,
-    /// The tags of the servers met; `None` for a server whose tag another one has as well.
+    /// The tags of known servers; `None` for a server that shares its tag with another one.
     tags: BTreeMap<ServerId, Option<HostTag>>,
-    /// Parts sent to servers since the start.
+    /// Number of parts sent to servers since the start.
     parts_sent: u64,
-    /// Whether an update has come that the router was not told of.
+    /// Whether an update has been merged that was not reported to the router yet.
     has_new_loads: bool,
 }
 
 impl LoadPublisher {
-    /// See [`Gossip::new`].
+    /// Creates a publisher; see [`Gossip::new`] for `incarnation` and `seed`.
     pub fn new(settings: GossipSettings, incarnation: u64, seed: u64) -> Self {
         Self {
             gossip: Gossip::new(settings, incarnation, seed),
@@ -30,15 +29,15 @@
         }
     }
 
-    /// Handles a datagram of the peer of rank `from`.
+    /// Handles a datagram from the peer with rank `from`.
     pub fn receive(&mut self, now: Duration, from: u32, bytes: &[u8]) -> DatagramOutcome {
         let outcome = self.gossip.receive(now, from, bytes);
         self.has_new_loads |= outcome == DatagramOutcome::Applied;
         outcome
     }
 
-    /// Tells the router what the peers have in flight. Called before a turn ends; the router's actions are appended
-    /// to `actions`.
+    /// Reports to the router what the peers have in flight. Called before a turn ends; the router's actions are
+    /// appended to `actions`.
     pub fn report_peer_loads(
         &mut self,
         now: Duration,
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Returns the update for all peers, if one is due. Called once a turn has ended with these actions; `name` gives
+    /// Returns the update for all peers, if one is due. Called after a turn that ended with `actions`; `name` returns
     /// a server's name.
     pub fn next_update<'a>(
         &mut self,
