--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -55,7 +55,7 @@
         tenants: site.tenants,
         report_values: site.report_values,
         clients_mark_retries: site.clients_mark_retries,
-        gossip: site.talk,
+        gossip: site.gossip,
         ..WireNames::default()
     };
     Ok((site.router, names))
--- a/crates/coordinator/src/config/parse.rs
+++ b/crates/coordinator/src/config/parse.rs
@@ -42,7 +42,7 @@
     let listen = listen
         .map(|a| socket_address("peer_listen", a))
         .transpose()?;
-    let gossip = site.talk.filter(|_| !peers.is_empty());
+    let gossip = site.gossip.filter(|_| !peers.is_empty());
     Ok(listen.zip(gossip).map(|(listen, gossip)| PeerAddresses {
         listen,
         peers,
--- a/crates/coordinator/src/core/settings/mod.rs
+++ b/crates/coordinator/src/core/settings/mod.rs
@@ -71,7 +71,7 @@
     /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
     /// Settings of the gossip between coordinators; `None` if they may not publish their load to each other.
-    pub talk: Option<GossipSettings>,
+    pub gossip: Option<GossipSettings>,
     /// Limits of the program around the decision module.
     pub limits: CoordinatorLimits,
 }
@@ -117,7 +117,7 @@
     Ok(SiteSettings {
         router: router_settings(&raw, zone)?,
         limits: limits(&raw),
-        talk: raw.caps.may_tell.then_some(GossipSettings {
+        gossip: raw.caps.may_tell.then_some(GossipSettings {
             coordinators: raw.coordinators,
             rank: raw.rank,
             price: raw.costs.peer,
--- a/crates/coordinator/src/serve/single_core.rs
+++ b/crates/coordinator/src/serve/single_core.rs
@@ -94,7 +94,7 @@
     counters: &Counters,
 ) -> QueryTable<HostConnections> {
     let addresses = config.peer_addresses.clone();
-    let Some((addresses, settings)) = addresses.zip(config.site.talk) else {
+    let Some((addresses, settings)) = addresses.zip(config.site.gossip) else {
         return table;
     };
     let (updates, outgoing) = mpsc::channel(MAX_QUEUED_UPDATES);
