--- a/crates/coordinator/src/cores/acceptor.rs
+++ b/crates/coordinator/src/cores/acceptor.rs
@@ -1,6 +1,6 @@
 //! Accepts connections and gives each to a core.
 
-use crate::net::http::{Gated, Handed};
+use crate::net::http::{AcceptedConnection, GatedListener};
 use multi_core::core_dispatch::CoreDispatcher;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -24,10 +24,10 @@
 
 /// Accepts connections for the cores.
 pub(super) struct Acceptor {
-    pub(super) listener: Gated,
+    pub(super) listener: GatedListener,
     pub(super) dispatcher: Arc<CoreDispatcher>,
     /// Where each core takes its connections from.
-    pub(super) cores: Vec<mpsc::UnboundedSender<Handed>>,
+    pub(super) cores: Vec<mpsc::UnboundedSender<AcceptedConnection>>,
     /// The origin of the dispatcher's times.
     pub(super) origin: Instant,
 }
@@ -64,7 +64,7 @@
                 dispatcher: self.dispatcher.clone(),
                 core,
             };
-            let handed = Handed {
+            let handed = AcceptedConnection {
                 stream,
                 from,
                 guard: Box::new(guard),
--- a/crates/coordinator/src/cores/core_thread.rs
+++ b/crates/coordinator/src/cores/core_thread.rs
@@ -7,7 +7,7 @@
 use crate::counters::Counters;
 use crate::front::Fronts;
 use crate::net::hosts::{HostConnections, HostConnectionsSetup};
-use crate::net::http::{self, Handed, Incoming};
+use crate::net::http::{self, AcceptedConnection, Incoming};
 use crate::ops::hot_restart::RestartRole;
 use crate::serve::components::{dialect, limits};
 use multi_core::core_dispatch::CoreDispatcher;
@@ -24,7 +24,7 @@
     /// The other end of `inbox`.
     pub(super) mail: mpsc::UnboundedSender<CoreMessage>,
     /// The connections that the core is given.
-    pub(super) connections: mpsc::UnboundedReceiver<Handed>,
+    pub(super) connections: mpsc::UnboundedReceiver<AcceptedConnection>,
     pub(super) shared: SharedCoreState,
     pub(super) dispatcher: Arc<CoreDispatcher>,
     /// The origin of the dispatcher's and the gates' times.
@@ -101,7 +101,7 @@
             origin: self.origin,
         };
         let core_task = tokio::spawn(core::run(table, self.inbox, core, dispatch));
-        let incoming = Incoming::Handed(self.connections);
+        let incoming = Incoming::Channel(self.connections);
         tokio::select! {
             () = http::serve(incoming, self.fronts, limits, self.counters, self.stop) => Ok(()),
             _ = core_task => Err(std::io::Error::other(format!("core {core} has ended"))),
--- a/crates/coordinator/src/cores/supervisor.rs
+++ b/crates/coordinator/src/cores/supervisor.rs
@@ -10,7 +10,7 @@
 use crate::core::{CoreHandle, CoreMessage, Dispatch};
 use crate::counters::Counters;
 use crate::front::Fronts;
-use crate::net::http::Handed;
+use crate::net::http::AcceptedConnection;
 use crate::ops::hot_restart::RestartRole;
 use crate::ops::list_overlay::{ListOverlay, OverlayRequest};
 use crate::ops::Readiness;
@@ -134,7 +134,7 @@
 /// The cores' threads, where each takes its connections from, and the numbers of those that have ended.
 type StartedCores = (
     Vec<CoreJoinHandle>,
-    Vec<mpsc::UnboundedSender<Handed>>,
+    Vec<mpsc::UnboundedSender<AcceptedConnection>>,
     mpsc::UnboundedReceiver<usize>,
 );
 
--- a/crates/coordinator/src/front/mod.rs
+++ b/crates/coordinator/src/front/mod.rs
@@ -3,7 +3,7 @@
 pub mod opensearch;
 pub mod platform;
 
-use crate::net::http::{Answering, Request, Response, Service};
+use crate::net::http::{Request, Response, ResponseFuture, Service};
 use opensearch::OpenSearch;
 use platform::Platform;
 
@@ -16,7 +16,7 @@
 }
 
 impl Service for Fronts {
-    fn answer(&self, request: Request) -> Answering {
+    fn answer(&self, request: Request) -> ResponseFuture {
         let other = self.opensearch.as_ref().and_then(|o| o.answer(&request));
         other.unwrap_or_else(|| self.platform.answer(request))
     }
--- a/crates/coordinator/src/front/opensearch/hosts.rs
+++ b/crates/coordinator/src/front/opensearch/hosts.rs
@@ -5,7 +5,9 @@
 use crate::interface::{Outcome, RequestId};
 use crate::net::buffered_stream::BufferedStream;
 use crate::net::http::{response_head, Body, HttpError};
-use crate::net::link::{take_out, Dialect, LinkMail, LinkSetup, LinkTask, CANCEL_HEAD};
+use crate::net::link::{
+    remove_queued_attempt, Dialect, LinkCommand, LinkSetup, LinkTask, CANCEL_REPORT_DELAY,
+};
 use bytes::Bytes;
 use serde::de::IgnoredAny;
 use serde::Deserialize;
@@ -190,7 +192,7 @@
     link.setup.log_end(code, &detail);
     link.setup.mail.close();
     if !link.leaving.is_empty() {
-        tokio::time::sleep(CANCEL_HEAD).await;
+        tokio::time::sleep(CANCEL_REPORT_DELAY).await;
     }
     for (part, attempt, outcome) in std::mem::take(&mut link.leaving) {
         link.setup.ended(part, attempt, outcome);
@@ -222,9 +224,9 @@
 
 impl Http {
     /// Takes one message; false if the connection has to be closed for it.
-    fn take(&mut self, mail: LinkMail) -> bool {
+    fn take(&mut self, mail: LinkCommand) -> bool {
         match mail {
-            LinkMail::Call(mut parts) => {
+            LinkCommand::Call(mut parts) => {
                 // A request has one header for the key, so parts with different keys go apart.
                 while let Some(first) = parts.first() {
                     let key = first.idempotency_key.clone();
@@ -233,9 +235,9 @@
                     parts = rest;
                 }
             }
-            LinkMail::Cancel(part, attempt, outcome) => {
+            LinkCommand::Cancel(part, attempt, outcome) => {
                 let this = |p: &PartRequest| (p.part, p.attempt) == (part, attempt);
-                if take_out(&mut self.queue, part, attempt) {
+                if remove_queued_attempt(&mut self.queue, part, attempt) {
                     let never = if outcome == Outcome::Timeout {
                         Outcome::NotSent
                     } else {
@@ -250,14 +252,14 @@
                     return false;
                 }
             }
-            LinkMail::Retract(part, attempt) => {
-                if take_out(&mut self.queue, part, attempt) {
+            LinkCommand::Retract(part, attempt) => {
+                if remove_queued_attempt(&mut self.queue, part, attempt) {
                     self.setup.ended(part, attempt, Outcome::NotSent);
                 }
             }
-            LinkMail::Probe => self.probes += 1,
-            LinkMail::StopAt(at) => self.setup.stop_at = at,
-            LinkMail::Release => return !(self.out.is_empty() && self.queue.is_empty()),
+            LinkCommand::Probe => self.probes += 1,
+            LinkCommand::StopAt(at) => self.setup.stop_at = at,
+            LinkCommand::Release => return !(self.out.is_empty() && self.queue.is_empty()),
         }
         true
     }
--- a/crates/coordinator/src/front/opensearch/mod.rs
+++ b/crates/coordinator/src/front/opensearch/mod.rs
@@ -15,7 +15,7 @@
 use crate::core::CoreHandle;
 use crate::counters::Counters;
 use crate::interface::{ClassId, QueryClass, TenantId};
-use crate::net::http::{Answering, Request, Response};
+use crate::net::http::{Request, Response, ResponseFuture};
 use answer::Failure;
 use bytes::Bytes;
 use dsl::{Bad, Reader};
@@ -113,7 +113,7 @@
     }
 
     /// The answer to a request, or `None` for a path that is not this front's.
-    pub fn answer(&self, request: &Request) -> Option<Answering> {
+    pub fn answer(&self, request: &Request) -> Option<ResponseFuture> {
         let path: Vec<&str> = request.path.split('/').filter(|p| !p.is_empty()).collect();
         let (index, what) = match path[..] {
             ["_msearch"] => ("", "_msearch"),
--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -3,7 +3,7 @@
 use crate::core::{Answer, CoreHandle, NewPart, NewQuery};
 use crate::counters::{Counters, End};
 use crate::interface::{ClassId, Idempotency, TenantId};
-use crate::net::http::{Answering, Request, Response, Service};
+use crate::net::http::{Request, Response, ResponseFuture, Service};
 use crate::ops::Readiness;
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -256,8 +256,8 @@
 }
 
 impl Service for Platform {
-    fn answer(&self, request: Request) -> Answering {
-        let done = |r: Response| -> Answering { Box::pin(std::future::ready(r)) };
+    fn answer(&self, request: Request) -> ResponseFuture {
+        let done = |r: Response| -> ResponseFuture { Box::pin(std::future::ready(r)) };
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/_health") => {
                 return done(
--- a/crates/coordinator/src/net/backoff.rs
+++ b/crates/coordinator/src/net/backoff.rs
@@ -44,7 +44,7 @@
     }
 
     /// How long to wait before the very first call, up to `spread` and the last bound.
-    pub fn start(&mut self, spread: Duration) -> Duration {
+    pub fn initial_delay(&mut self, spread: Duration) -> Duration {
         let share = self.share();
         spread.min(self.most).mul_f64(share)
     }
@@ -54,7 +54,7 @@
     }
 
     /// How long to wait after one more call that failed.
-    pub fn failed(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let share = self.share();
         let wait = self.bound().mul_f64(share);
         self.failures += 1;
@@ -62,7 +62,7 @@
     }
 
     /// A call went through: the next failure counts as the first.
-    pub fn reached(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/coordinator/src/net/discovery_watch.rs
+++ b/crates/coordinator/src/net/discovery_watch.rs
@@ -3,7 +3,7 @@
 use super::backoff::Backoff;
 use super::buffered_stream::BufferedStream;
 use super::http::{response_head, Body, HttpError, INPUT};
-use super::json_objects::{Found, ObjectError, Objects};
+use super::json_objects::{Found, ObjectError, ObjectReader};
 use crate::core::{CoreMessage, Endpoint};
 use crate::counters::Counters;
 use crate::interface::{ListKind, ServerState};
@@ -199,7 +199,7 @@
     pub async fn run(mut self) {
         let (mut backoff, spread) = self.backoff.backoff();
         if self.revision.is_some() {
-            tokio::time::sleep(backoff.start(spread)).await;
+            tokio::time::sleep(backoff.initial_delay(spread)).await;
         }
         // The first object comes with the head; where none did, the next watch is given longer.
         let mut first = self.backoff.head();
@@ -214,7 +214,7 @@
             };
             self.counters.inc("list.ended");
             if lines > 0 || self.revision != before {
-                backoff.reached();
+                backoff.reset();
             }
             // A watch that fell silent after lines is no sign of a service in need: its successor has to speak
             // before what was missed counts, whatever a fleet that lost the service would wait.
@@ -224,7 +224,7 @@
             } else {
                 Duration::MAX
             };
-            let wait = backoff.failed().min(longest);
+            let wait = backoff.next_delay().min(longest);
             log::info!(source = self.addr, end = end.code(), lines, detail:% = end, wait:?; "list");
             tokio::time::sleep(wait).await;
         }
@@ -255,8 +255,10 @@
         if status != 200 {
             return Err(HttpError::Malformed("discovery's status"));
         }
-        let (mut body, mut objects) =
-            (Body::of_response(&headers)?, Objects::new(MAX_OBJECT_BYTES));
+        let (mut body, mut objects) = (
+            Body::of_response(&headers)?,
+            ObjectReader::new(MAX_OBJECT_BYTES),
+        );
         // Silence counts from the last whole line: one that drips, or stops half-way, tells nothing.
         let mut until = Instant::now() + first;
         while timeout_at(until, body.next(&mut conn, objects.input()))
--- a/crates/coordinator/src/net/hosts.rs
+++ b/crates/coordinator/src/net/hosts.rs
@@ -1,6 +1,6 @@
 //! The actor of a district host: it owns the host's connections and hands calls to them.
 
-use super::link::{ConnectionLoad, Dialect, LinkMail, LinkSetup};
+use super::link::{ConnectionLoad, Dialect, LinkCommand, LinkSetup};
 use super::stall_detector::StallDetector;
 use crate::core::settings::CoordinatorLimits;
 use crate::core::{CoreMessage, Endpoint, PartRequest, Transport};
@@ -26,7 +26,7 @@
 struct LinkRef {
     /// Whether it leads to an address that the host has left: it still answers for what is out on it.
     old: bool,
-    mail: mpsc::UnboundedSender<LinkMail>,
+    mail: mpsc::UnboundedSender<LinkCommand>,
     load: Arc<ConnectionLoad>,
 }
 
@@ -174,17 +174,17 @@
                 // The one that has the part answers for it.
                 PeerMail::Cancel(part, attempt, outcome) => {
                     self.links.iter().for_each(|l| {
-                        let _ = l.mail.send(LinkMail::Cancel(part, attempt, outcome));
+                        let _ = l.mail.send(LinkCommand::Cancel(part, attempt, outcome));
                     });
                 }
                 PeerMail::Retract(part, attempt) => {
                     self.links
                         .iter()
-                        .for_each(|l| drop(l.mail.send(LinkMail::Retract(part, attempt))));
+                        .for_each(|l| drop(l.mail.send(LinkCommand::Retract(part, attempt))));
                 }
                 PeerMail::Probe => {
                     let link = self.sound_link(0).unwrap_or_else(|| self.open());
-                    if link.send(LinkMail::Probe).is_err() {
+                    if link.send(LinkCommand::Probe).is_err() {
                         let failed =
                             CoreMessage::ProbeEnded(self.server, Outcome::ConnectFailed, None);
                         let _ = self.shared.core.send(failed);
@@ -199,7 +199,7 @@
                         .filter(|l| l.load.parts.load(Ordering::Relaxed) == 0)
                     {
                         l.old = true;
-                        let _ = l.mail.send(LinkMail::Release);
+                        let _ = l.mail.send(LinkCommand::Release);
                     }
                 }
             }
@@ -209,7 +209,7 @@
     fn listed(&mut self, addr: String, stop_at: Option<Instant>) {
         self.stop_at = stop_at;
         for l in &self.links {
-            let _ = l.mail.send(LinkMail::StopAt(stop_at));
+            let _ = l.mail.send(LinkCommand::StopAt(stop_at));
         }
         if self.addr != addr {
             // Calls go to the new address; what is out on the old one may still come in.
@@ -231,7 +231,7 @@
     /// is stalled gets nothing more, as all that it collects would be lost with it; where two are it is the
     /// host that stands still, and a further connection would not help. Of a host that ends connections right
     /// after answers the emptiest, and none that carries parts already while a further one is to be opened.
-    fn sound_link(&self, parts: usize) -> Option<mpsc::UnboundedSender<LinkMail>> {
+    fn sound_link(&self, parts: usize) -> Option<mpsc::UnboundedSender<LinkCommand>> {
         let now_stalled: Vec<bool> = self.links.iter().map(|l| self.stalled(l)).collect();
         let still = now_stalled.iter().filter(|s| **s).count() > 1;
         let room = |l: &&LinkRef| {
@@ -278,7 +278,7 @@
                     .share_of(self.shared.max_connections)
     }
 
-    fn open(&mut self) -> mpsc::UnboundedSender<LinkMail> {
+    fn open(&mut self) -> mpsc::UnboundedSender<LinkCommand> {
         let (tx, mail) = mpsc::unbounded_channel();
         let load = Arc::new(ConnectionLoad::default());
         let setup = LinkSetup {
@@ -334,7 +334,7 @@
                 .find(|l| l.mail.same_channel(&link))
                 .map(|l| l.load.clone());
             let n = parts.len();
-            match link.send(LinkMail::Call(parts)) {
+            match link.send(LinkCommand::Call(parts)) {
                 Ok(()) => {
                     load.into_iter().for_each(|g| {
                         g.parts.fetch_add(n, Ordering::Relaxed);
@@ -342,7 +342,7 @@
                     return;
                 }
                 // Closed meanwhile: nothing was sent, another link takes it.
-                Err(mpsc::error::SendError(LinkMail::Call(back))) => {
+                Err(mpsc::error::SendError(LinkCommand::Call(back))) => {
                     parts = back;
                     self.links.retain(|l| !l.mail.is_closed());
                 }
--- a/crates/coordinator/src/net/http/client_liveness.rs
+++ b/crates/coordinator/src/net/http/client_liveness.rs
@@ -1,7 +1,7 @@
 //! Whether a client is still there while its request is answered.
 
 use super::message::Response;
-use super::Answering;
+use super::ResponseFuture;
 use crate::net::buffered_stream::BufferedStream;
 use std::time::Duration;
 use tokio::io::{Interest, Ready};
@@ -33,7 +33,7 @@
 /// that sends on is left to wait. What a client leaves behind in one go, request and end, is not begun.
 pub(super) async fn answer_or_gone(
     conn: &mut BufferedStream,
-    ask: impl FnOnce() -> Answering,
+    ask: impl FnOnce() -> ResponseFuture,
 ) -> Option<Response> {
     let at_first = known(conn).await;
     if !stays(conn, at_first) {
--- a/crates/coordinator/src/net/http/incoming.rs
+++ b/crates/coordinator/src/net/http/incoming.rs
@@ -6,7 +6,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// A connection that another thread has accepted; `guard` is dropped with it.
-pub struct Handed {
+pub struct AcceptedConnection {
     /// The socket, set to non-blocking.
     pub stream: std::net::TcpStream,
     /// Where it comes from.
@@ -19,14 +19,14 @@
 pub type Guard = Box<dyn std::any::Any + Send>;
 
 /// A listener that is left alone once another process has taken over.
-pub struct Gated {
+pub struct GatedListener {
     /// The listener.
     pub listener: TcpListener,
     /// How this process stands to another.
     pub restart_role: watch::Receiver<RestartRole>,
 }
 
-impl Gated {
+impl GatedListener {
     /// The next connection.
     ///
     /// # Errors
@@ -53,9 +53,9 @@
 /// Where connections come from.
 pub enum Incoming {
     /// A listener of one's own.
-    Listener(Gated),
+    Listener(GatedListener),
     /// A thread that accepts for several.
-    Handed(mpsc::UnboundedReceiver<Handed>),
+    Channel(mpsc::UnboundedReceiver<AcceptedConnection>),
 }
 
 impl Incoming {
@@ -64,7 +64,7 @@
     ) -> std::io::Result<(TcpStream, SocketAddr, Option<Guard>)> {
         match self {
             Self::Listener(l) => l.accept().await.map(|(stream, from)| (stream, from, None)),
-            Self::Handed(mail) => match mail.recv().await {
+            Self::Channel(mail) => match mail.recv().await {
                 Some(h) => Ok((TcpStream::from_std(h.stream)?, h.from, Some(h.guard))),
                 // The one that accepts has ended: no more will come.
                 None => std::future::pending().await,
--- a/crates/coordinator/src/net/http/mod.rs
+++ b/crates/coordinator/src/net/http/mod.rs
@@ -9,7 +9,7 @@
 mod read;
 mod server;
 
-pub use incoming::{Gated, Guard, Handed, Incoming};
+pub use incoming::{AcceptedConnection, GatedListener, Guard, Incoming};
 pub use message::{Headers, HttpError, Request, Response};
 pub use read::{response_head, Body};
 pub use server::serve;
@@ -30,12 +30,12 @@
 pub const REQUEST_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(100);
 
 /// An answer on its way.
-pub type Answering = Pin<Box<dyn Future<Output = Response> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response> + Send>>;
 
 /// What answers requests. A dropped answer means that its client has gone.
 pub trait Service: Send + Sync + 'static {
     /// Answers one request.
-    fn answer(&self, request: Request) -> Answering;
+    fn answer(&self, request: Request) -> ResponseFuture;
     /// Words an error that the server itself finds.
     fn error(&self, status: u16, reason: &str) -> Response;
     /// Refuses a request at the cap on clients.
--- a/crates/coordinator/src/net/json_objects.rs
+++ b/crates/coordinator/src/net/json_objects.rs
@@ -46,7 +46,7 @@
 }
 
 /// The reader.
-pub struct Objects {
+pub struct ObjectReader {
     bytes: BytesMut,
     /// Bytes looked at already.
     scanned: usize,
@@ -59,7 +59,7 @@
     empty: bool,
 }
 
-impl Objects {
+impl ObjectReader {
     /// A reader of objects of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         let (bytes, scanned, open) = (BytesMut::new(), 0, Vec::new());
--- a/crates/coordinator/src/net/link/connection.rs
+++ b/crates/coordinator/src/net/link/connection.rs
@@ -1,7 +1,7 @@
 //! A connection at work: what it has out, what it is told, and when it ends.
 
 use super::run::take_unconnected;
-use super::{LinkMail, LinkSetup};
+use super::{LinkCommand, LinkSetup};
 use crate::core::PartRequest;
 use crate::interface::{Outcome, RequestId};
 use crate::net::buffered_stream::BufferedStream;
@@ -192,7 +192,7 @@
         Ok(())
     }
 
-    fn take_or_end(&mut self, mail: LinkMail) -> Result<(), LinkEnd> {
+    fn take_or_end(&mut self, mail: LinkCommand) -> Result<(), LinkEnd> {
         if self.take(mail) {
             Ok(())
         } else {
@@ -328,21 +328,21 @@
     }
 
     /// Takes one message; false if the connection is to be closed.
-    pub(super) fn take(&mut self, mail: LinkMail) -> bool {
+    pub(super) fn take(&mut self, mail: LinkCommand) -> bool {
         match mail {
-            LinkMail::Call(parts) => {
+            LinkCommand::Call(parts) => {
                 self.used = Instant::now();
                 self.queue.push_back(parts);
             }
-            LinkMail::Cancel(part, attempt, outcome) => self.cancel(part, attempt, outcome),
-            LinkMail::Retract(..) => take_unconnected(&mut self.setup, &mut self.queue, mail),
-            LinkMail::Probe => {
+            LinkCommand::Cancel(part, attempt, outcome) => self.cancel(part, attempt, outcome),
+            LinkCommand::Retract(..) => take_unconnected(&mut self.setup, &mut self.queue, mail),
+            LinkCommand::Probe => {
                 self.used = Instant::now();
                 self.probes.push_back(self.used);
                 self.small.push_back(frames::short(b'l', ""));
             }
-            LinkMail::StopAt(at) => self.setup.stop_at = at,
-            LinkMail::Release => return self.busy(),
+            LinkCommand::StopAt(at) => self.setup.stop_at = at,
+            LinkCommand::Release => return self.busy(),
         }
         true
     }
@@ -385,7 +385,7 @@
         take_unconnected(
             &mut self.setup,
             &mut self.queue,
-            LinkMail::Cancel(part, attempt, outcome),
+            LinkCommand::Cancel(part, attempt, outcome),
         );
     }
 
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -6,7 +6,7 @@
 mod run;
 mod writing;
 
-pub use run::take_out;
+pub use run::remove_queued_attempt;
 
 use super::stall_detector::StallDetector;
 use crate::core::{AttemptEnd, CoreMessage, PartRequest};
@@ -25,10 +25,10 @@
 const IDLE_SHARE: f64 = 0.7;
 /// A withdrawal is told to the core so long after it was written, or the connection closed: the host reads
 /// its connections in no common order, and a resend to another must not come to light before it.
-pub const CANCEL_HEAD: Duration = Duration::from_millis(3);
+pub const CANCEL_REPORT_DELAY: Duration = Duration::from_millis(3);
 
 /// What a link is told.
-pub enum LinkMail {
+pub enum LinkCommand {
     /// Send these parts as one call.
     Call(Vec<PartRequest>),
     /// Give an attempt up.
@@ -83,7 +83,7 @@
     /// The host's gate, which closes for all cores at once, and the origin of its times.
     pub gate: Option<(Arc<DrainGate>, Instant)>,
     /// Its mailbox.
-    pub mail: mpsc::UnboundedReceiver<LinkMail>,
+    pub mail: mpsc::UnboundedReceiver<LinkCommand>,
     /// What its peer sees of it.
     pub load: Arc<ConnectionLoad>,
     /// How fast the host answers, over all its links.
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -1,7 +1,7 @@
 //! A link's life: it connects, works, and hands back what never ran once the connection has ended.
 
 use super::connection::{Link, LinkEnd};
-use super::{LinkMail, LinkSetup, CANCEL_HEAD};
+use super::{LinkCommand, LinkSetup, CANCEL_REPORT_DELAY};
 use crate::core::{CoreMessage, PartRequest};
 use crate::interface::{Outcome, RequestId};
 use crate::net::buffered_stream::BufferedStream;
@@ -25,7 +25,7 @@
                 setup.mail.close();
                 setup.log_end("connect_failed", &e.to_string());
                 (0..held.probes)
-                    .for_each(|_| take_unconnected(&mut setup, &mut queue, LinkMail::Probe));
+                    .for_each(|_| take_unconnected(&mut setup, &mut queue, LinkCommand::Probe));
                 refuse_all(&mut setup, queue);
                 return;
             }
@@ -33,7 +33,7 @@
         setup.counters.inc("links.opened");
         let mut link = Link::new(setup, conn, queue);
         for _ in 0..held.probes {
-            link.take(LinkMail::Probe);
+            link.take(LinkCommand::Probe);
         }
         let LinkEnd { code, detail } = if held.release && !link.busy() {
             LinkEnd::new("released", "")
@@ -55,7 +55,7 @@
         } else {
             // The end is ours: the host has to see it before the core hears of it.
             let _ = link.conn.stream.shutdown().await;
-            tokio::time::sleep(CANCEL_HEAD).await;
+            tokio::time::sleep(CANCEL_REPORT_DELAY).await;
         }
         let unused = link.sending.is_none() && link.out.is_empty() && closed;
         // A host that sends what can't be read is alive; the parts that waited there may have run.
@@ -98,8 +98,8 @@
         tokio::select! {
             biased;
             Some(mail) = setup.mail.recv() => match mail {
-                LinkMail::Probe => held.probes += 1,
-                LinkMail::Release => held.release = true,
+                LinkCommand::Probe => held.probes += 1,
+                LinkCommand::Release => held.release = true,
                 mail => take_unconnected(setup, queue, mail),
             },
             opened = &mut connecting => return opened,
@@ -108,7 +108,11 @@
 }
 
 /// Takes an attempt out of the calls that have not begun; whether it was there.
-pub fn take_out(queue: &mut VecDeque<Vec<PartRequest>>, part: RequestId, attempt: u32) -> bool {
+pub fn remove_queued_attempt(
+    queue: &mut VecDeque<Vec<PartRequest>>,
+    part: RequestId,
+    attempt: u32,
+) -> bool {
     let this = |p: &PartRequest| (p.part, p.attempt) == (part, attempt);
     let there = queue.iter().flatten().any(this);
     queue.iter_mut().for_each(|c| c.retain(|p| !this(p)));
@@ -119,12 +123,12 @@
 pub(super) fn take_unconnected(
     setup: &mut LinkSetup,
     queue: &mut VecDeque<Vec<PartRequest>>,
-    mail: LinkMail,
+    mail: LinkCommand,
 ) {
     match mail {
-        LinkMail::Call(parts) => queue.push_back(parts),
-        LinkMail::Cancel(part, attempt, outcome) => {
-            if take_out(queue, part, attempt) {
+        LinkCommand::Call(parts) => queue.push_back(parts),
+        LinkCommand::Cancel(part, attempt, outcome) => {
+            if remove_queued_attempt(queue, part, attempt) {
                 // Never sent, so never ran, whatever it was given up for.
                 let never = if outcome == Outcome::Timeout {
                     Outcome::NotSent
@@ -134,17 +138,17 @@
                 setup.ended(part, attempt, never);
             }
         }
-        LinkMail::Retract(part, attempt) => {
-            if take_out(queue, part, attempt) {
+        LinkCommand::Retract(part, attempt) => {
+            if remove_queued_attempt(queue, part, attempt) {
                 setup.ended(part, attempt, Outcome::NotSent);
             }
         }
-        LinkMail::Probe => {
+        LinkCommand::Probe => {
             let failed = CoreMessage::ProbeEnded(setup.server, Outcome::ConnectFailed, None);
             let _ = setup.core.send(failed);
         }
-        LinkMail::StopAt(at) => setup.stop_at = at,
-        LinkMail::Release => {}
+        LinkCommand::StopAt(at) => setup.stop_at = at,
+        LinkCommand::Release => {}
     }
 }
 
--- a/crates/coordinator/src/net/link/writing.rs
+++ b/crates/coordinator/src/net/link/writing.rs
@@ -1,7 +1,7 @@
 //! Writing: calls and short frames go through the ring into the socket.
 
 use super::connection::{Link, Out, Sending};
-use super::CANCEL_HEAD;
+use super::CANCEL_REPORT_DELAY;
 use crate::core::PartRequest;
 use crate::interface::Outcome;
 use crate::net::frames;
@@ -43,7 +43,7 @@
                 None if !self.small.is_empty() => {}
                 None => {
                     // All that was to be withdrawn has been: in a moment the core may send those parts again.
-                    let heard = Instant::now() + CANCEL_HEAD;
+                    let heard = Instant::now() + CANCEL_REPORT_DELAY;
                     self.left.extend(
                         self.leaving
                             .drain(..)
--- a/crates/coordinator/src/ops/admin_server.rs
+++ b/crates/coordinator/src/ops/admin_server.rs
@@ -7,7 +7,9 @@
 use super::manual_ejection::EjectionError;
 use super::Readiness;
 use crate::counters::Counters;
-use crate::net::http::{self, Answering, Gated, Incoming, Limits, Request, Response, Service};
+use crate::net::http::{
+    self, GatedListener, Incoming, Limits, Request, Response, ResponseFuture, Service,
+};
 use std::net::TcpListener;
 use std::sync::Arc;
 use std::time::Duration;
@@ -74,7 +76,7 @@
             Err(e) => return log::error!(error:% = e; "operator's address"),
         };
         let (_never_stopped, stop) = watch::channel(false);
-        let incoming = Incoming::Listener(Gated {
+        let incoming = Incoming::Listener(GatedListener {
             listener,
             restart_role: never_restarted(),
         });
@@ -99,7 +101,7 @@
     }
 
     /// Ejects or restores a host. `encoded_id` is its id as it stands in the path.
-    fn order(&self, encoded_id: &str, ejected: bool) -> Answering {
+    fn order(&self, encoded_id: &str, ejected: bool) -> ResponseFuture {
         let host = percent_encoding::percent_decode_str(encoded_id)
             .decode_utf8()
             .unwrap_or_default()
@@ -137,12 +139,12 @@
     }
 }
 
-fn immediate(response: Response) -> Answering {
+fn immediate(response: Response) -> ResponseFuture {
     Box::pin(std::future::ready(response))
 }
 
 impl Service for AdminServer {
-    fn answer(&self, request: Request) -> Answering {
+    fn answer(&self, request: Request) -> ResponseFuture {
         let path: Vec<&str> = request.path.split('/').skip(1).collect();
         let allowed_method = match path[..] {
             ["control", "ready" | "counters"] => "GET",
--- a/crates/coordinator/src/serve/components.rs
+++ b/crates/coordinator/src/serve/components.rs
@@ -10,7 +10,7 @@
 use crate::front::Fronts;
 use crate::net::discovery_watch::{DiscoveryBackoff, Watch};
 use crate::net::dns_sd::Browser;
-use crate::net::http::{self, Gated, Limits};
+use crate::net::http::{self, GatedListener, Limits};
 use crate::net::link::{Dialect, Frames};
 use crate::ops::hot_restart::RestartRole;
 use crate::ops::Readiness;
@@ -32,7 +32,7 @@
 pub(crate) struct ServiceParts {
     pub(crate) config: Config,
     /// The clients' listening socket.
-    pub(crate) clients: Gated,
+    pub(crate) clients: GatedListener,
     pub(crate) counters: Counters,
     /// Turns true when the process is to stop.
     pub(crate) stop: watch::Receiver<bool>,
--- a/crates/coordinator/src/serve/mod.rs
+++ b/crates/coordinator/src/serve/mod.rs
@@ -19,7 +19,7 @@
 use crate::config::{Config, Source};
 use crate::cores;
 use crate::counters::Counters;
-use crate::net::http::Gated;
+use crate::net::http::GatedListener;
 use crate::ops::hot_restart::RestartRole;
 use tokio::sync::{mpsc, watch};
 
@@ -61,7 +61,7 @@
         RestartRole::Alone
     };
     let (show_role, restart_role) = watch::channel(role);
-    let clients = Gated {
+    let clients = GatedListener {
         restart_role: restart_role.clone(),
         listener: listeners.clients,
     };
--- a/crates/coordinator/tests/backoff.rs
+++ b/crates/coordinator/tests/backoff.rs
@@ -25,7 +25,7 @@
 fn through(mut fleet: Vec<Backoff>, rate: u64, within: u64) -> usize {
     let mut calls: Vec<Option<u64>> = fleet
         .iter_mut()
-        .map(|b| Some(b.failed().as_millis() as u64))
+        .map(|b| Some(b.next_delay().as_millis() as u64))
         .collect();
     let (mut queue, mut next, mut done) = (std::collections::VecDeque::new(), 0, 0);
     for now in 0..within {
@@ -41,7 +41,7 @@
             if now - since < 2000 {
                 done += 1;
             } else {
-                calls[who] = Some(now + 1 + fleet[who].failed().as_millis() as u64);
+                calls[who] = Some(now + 1 + fleet[who].next_delay().as_millis() as u64);
             }
         }
     }
@@ -62,7 +62,10 @@
 
 #[test]
 fn fleet_when_a_hundred_start_then_their_first_calls_are_spread() {
-    let mut first: Vec<Duration> = fleet(100, BOUNDS).iter_mut().map(Backoff::failed).collect();
+    let mut first: Vec<Duration> = fleet(100, BOUNDS)
+        .iter_mut()
+        .map(Backoff::next_delay)
+        .collect();
     first.sort();
     let burst = first.windows(25).map(|w| w[24] - w[0]).min().unwrap();
     assert!(burst > Duration::from_millis(200), "25 within {burst:?}");
@@ -73,9 +76,9 @@
     for n in [0, 1, 5] {
         let mut b = Backoff::new(3, n, BOUNDS, 5, Duration::from_secs(10));
         assert_eq!(b.bound(), BOUNDS.0);
-        (0..40).for_each(|_| assert!(b.failed() <= BOUNDS.1));
+        (0..40).for_each(|_| assert!(b.next_delay() <= BOUNDS.1));
         assert_eq!(b.bound(), BOUNDS.1);
-        b.reached();
+        b.reset();
         assert_eq!(b.bound(), BOUNDS.0);
     }
     let b = Backoff::new(3, u32::MAX, BOUNDS, 5, Duration::from_secs(10));
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -5,7 +5,7 @@
 
 use coordinator::counters::Counters;
 use coordinator::net::http::{
-    self, Answering, Gated, Incoming, Limits, Request, Response, Service,
+    self, GatedListener, Incoming, Limits, Request, Response, ResponseFuture, Service,
 };
 use coordinator::ops::hot_restart::never_restarted;
 use socket2::SockRef;
@@ -38,7 +38,7 @@
 }
 
 impl Service for Scripted {
-    fn answer(&self, request: Request) -> Answering {
+    fn answer(&self, request: Request) -> ResponseFuture {
         self.0.begun.fetch_add(1, Ordering::SeqCst);
         self.0.changed.notify_one();
         if request.method == "GET" {
@@ -114,7 +114,7 @@
     /// The same within other limits.
     fn serve_within<T>(&mut self, limits: Limits, story: impl Future<Output = T>) -> T {
         let listener = self.listener.take().expect("served once");
-        let incoming = Incoming::Listener(Gated {
+        let incoming = Incoming::Listener(GatedListener {
             listener,
             restart_role: never_restarted(),
         });
--- a/crates/coordinator/tests/discovery_backoff.rs
+++ b/crates/coordinator/tests/discovery_backoff.rs
@@ -15,7 +15,7 @@
             grace: Duration::from_secs(1),
         }
         .backoff();
-        backoff.start(spread)
+        backoff.initial_delay(spread)
     };
     let mut first: Vec<Duration> = (0..100).map(start).collect();
     first.sort();
@@ -32,7 +32,7 @@
             grace: Duration::from_secs(1),
         }
         .backoff();
-        assert_eq!(backoff.start(spread), Duration::ZERO);
-        (0..20).for_each(|_| assert!(backoff.failed() <= BACKOFF.1));
+        assert_eq!(backoff.initial_delay(spread), Duration::ZERO);
+        (0..20).for_each(|_| assert!(backoff.next_delay() <= BACKOFF.1));
     }
 }
--- a/crates/coordinator/tests/json_objects.rs
+++ b/crates/coordinator/tests/json_objects.rs
@@ -1,11 +1,11 @@
 //! JSON objects found in a stream, however it is cut.
 
 use bytes::Bytes;
-use coordinator::net::json_objects::{Found, ObjectError, Objects, MAX_DEPTH};
+use coordinator::net::json_objects::{Found, ObjectError, ObjectReader, MAX_DEPTH};
 
 /// Feeds the text in pieces of this size; gives what was found and how it ended.
 fn read(text: &str, piece: usize) -> (Vec<Found>, Result<(), ObjectError>) {
-    let (mut reader, mut found) = (Objects::new(400), Vec::new());
+    let (mut reader, mut found) = (ObjectReader::new(400), Vec::new());
     for bytes in text.as_bytes().chunks(piece) {
         reader.input().extend_from_slice(bytes);
         loop {
