--- a/crates/coordinator/src/net/buffered_stream.rs
+++ b/crates/coordinator/src/net/buffered_stream.rs
@@ -1,22 +1,23 @@
-//! A connection: a socket and a ring buffer for each direction.
+//! A TCP connection with a ring buffer for each direction.
 
 use super::ring_buffer::RingBuffer;
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A socket with its two rings.
+/// A socket with an input and an output ring buffer.
 pub struct BufferedStream {
     /// The socket.
     pub stream: TcpStream,
-    /// What has come in and is not used yet.
+    /// Bytes that were received and not consumed yet.
     pub input: RingBuffer,
-    /// What is to go out and is not written yet.
+    /// Bytes that are queued and not written to the socket yet.
     pub output: RingBuffer,
 }
 
 impl BufferedStream {
-    /// Wraps a connected socket. Small messages go out at once.
+    /// Wraps a connected socket, with the capacities of the two buffers in bytes. Turns off Nagle's algorithm, so that
+    /// small messages are sent at once.
     pub fn new(stream: TcpStream, input: usize, output: usize) -> Self {
         let _ = stream.set_nodelay(true);
         Self {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Connects within a time.
+    /// Connects to an address within a timeout.
     ///
     /// # Errors
     /// If the address refuses the connection or does not answer within the time.
@@ -42,15 +43,15 @@
         }
     }
 
-    /// Reads once; 0 is the end of the stream. Nothing is lost if this is dropped half-way.
+    /// Reads once and returns the number of bytes; 0 is the end of the stream. It is cancellation-safe.
     ///
     /// # Errors
-    /// If the socket fails, or the input ring is full.
+    /// If the socket fails, or the input buffer is full.
     pub async fn fill(&mut self) -> io::Result<usize> {
         if self.input.free() == 0 {
             return Err(io::Error::new(
                 io::ErrorKind::OutOfMemory,
-                "the input ring is full",
+                "the input buffer is full",
             ));
         }
         loop {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Writes as much as the socket takes now; says how much that was.
+    /// Writes as much output as the socket accepts without waiting, and returns the number of bytes.
     ///
     /// # Errors
     /// If the socket fails.
@@ -79,7 +80,7 @@
         Ok(total)
     }
 
-    /// Writes all of `bytes` through the ring, waiting for the peer as often as the ring is full.
+    /// Writes all of `bytes` through the output buffer, waiting for the peer whenever the buffer is full.
     ///
     /// # Errors
     /// If the socket fails.
--- a/crates/coordinator/src/net/discovery_watch.rs
+++ b/crates/coordinator/src/net/discovery_watch.rs
@@ -1,8 +1,8 @@
-//! The actor of the host list: watches discovery and tells the core what changes.
+//! The actor for the host list: watches discovery over HTTP and sends changes to the core.
 
 use super::backoff::Backoff;
 use super::buffered_stream::BufferedStream;
-use super::http::{response_head, Body, HttpError, INPUT};
+use super::http::{response_head, Body, HttpError, INPUT_BUFFER_BYTES};
 use super::json_objects::{Found, ObjectError, ObjectReader};
 use crate::core::{CoreMessage, Endpoint};
 use crate::counters::Counters;
@@ -13,19 +13,22 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Discovery sends a line every 2 s; one silent for so long is asked anew, early enough that a drain it
-/// did not tell is still kept.
+/// Silence after which a watch is opened again. Discovery sends a line every 2 s. The timeout is short enough to learn
+/// of a missed drain within its grace.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(4500);
-/// What a silent watch missed counts as told so long after its last line: by then a new one must have spoken.
-const COUNTS_AS_TOLD_AFTER: Duration = Duration::from_secs(6);
+/// Time after a watch's last line from which the coordinator counts as informed of what a silent watch missed. A new
+/// watch must have received a line by then.
+const MISSED_UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Waits after calls that failed, of one coordinator among a few; with more of them each waits longer.
+/// First and largest backoff bound after failed calls, for a coordinator in a small fleet. In larger fleets each waits
+/// longer.
 pub const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
+/// Largest number of coordinators for which the backoff bounds are not scaled.
 const SMALL_FLEET: u32 = 5;
-/// With a list in hand the first calls of a fleet that starts at one moment are spread over so much for each
-/// coordinator beyond a few: about what a call of some tens of lines takes discovery.
+/// Spread of a starting fleet's first calls, for each coordinator beyond [`SMALL_FLEET`], if the coordinators already
+/// have a list. It is about the time that discovery takes for a call with some tens of lines.
 const START_SPREAD_PER_COORDINATOR: Duration = Duration::from_millis(40);
-/// Largest object of a watch.
+/// Largest object accepted from a watch, in bytes.
 const MAX_OBJECT_BYTES: usize = 1024 * 1024;
 
 #[derive(Deserialize)]
@@ -48,18 +51,18 @@
     up_since_ms: u64,
 }
 
-/// A list or a change of it.
+/// A host list, or a change of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// Its version.
+    /// The version of the list.
     pub revision: u64,
-    /// Whether it is the whole list.
+    /// Whether the update is a complete list, not a change.
     pub complete: bool,
-    /// Its lines.
+    /// The hosts that are listed or have changed.
     pub members: Vec<Endpoint>,
 }
 
-fn member(raw: RawMember) -> Result<Endpoint, String> {
+fn parse_member(raw: RawMember) -> Result<Endpoint, String> {
     let state = match raw.phase.as_str() {
         "Ready" => ServerState::Ready,
         "Terminating" => ServerState::Draining,
@@ -84,7 +87,7 @@
     })
 }
 
-/// Reads a list. An entry that can't be read is left out and logged: it must not cost the others.
+/// Parses a host list update. An entry that can't be parsed is skipped and logged, so that the others still count.
 ///
 /// # Errors
 /// If the text is not JSON, or lacks the revision or the members.
@@ -94,10 +97,10 @@
     for value in raw.members {
         let read = serde_json::from_value(value)
             .map_err(|e| e.to_string())
-            .and_then(member);
+            .and_then(parse_member);
         match read {
             Ok(m) => members.push(m),
-            Err(e) => log::warn!("list: entry left out: {e}"),
+            Err(e) => log::warn!("list: skipped an invalid entry: {e}"),
         }
     }
     Ok(ListUpdate {
@@ -107,30 +110,30 @@
     })
 }
 
-/// What the pace of calls after a failure follows from.
+/// Settings from which the backoff of calls to discovery is derived.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryBackoff {
-    /// The coordinator's own seed.
+    /// Random seed of this coordinator.
     pub seed: u64,
-    /// Coordinators that ask one discovery, and the time within which each has to have asked again: the
-    /// longest wait. `None` where discovery has an agent on each machine, which answers at no cost.
+    /// Number of coordinators that call the same discovery, and the time within which each must have called again (the
+    /// longest delay). `None` if discovery has an agent on each machine, whose answers cost nothing.
     pub shared: Option<(u32, Duration)>,
-    /// Time that a host which drains is still sent to.
+    /// Time for which a draining host is still sent to.
     pub grace: Duration,
 }
 
 impl DiscoveryBackoff {
-    /// Time for the head of an answer. An agent on the machine answers at once or, while discovery is down,
-    /// not at all, and what it hears then counts as told at once: it is asked again within half of a drain's
-    /// grace. Where calls wait in turn, all of the time that silence may last.
-    fn head(&self) -> Duration {
+    /// Returns the timeout for the head of a response. An agent on the machine answers at once or, while discovery is
+    /// down, not at all, and coordinators count as informed as soon as the agent is. It is therefore called again
+    /// within half of a drain's grace. A shared discovery, where calls queue, gets the full [`SILENCE_TIMEOUT`].
+    fn head_timeout(&self) -> Duration {
         match self.shared {
             None => (self.grace / 2).clamp(CONNECT_TIMEOUT / 4, SILENCE_TIMEOUT),
             Some(_) => SILENCE_TIMEOUT,
         }
     }
 
-    /// The waits after calls that failed, and the spread of the first call.
+    /// Creates the backoff after failed calls, and returns it with the spread of the first call.
     pub fn backoff(&self) -> (Backoff, Duration) {
         let (fleet, longest) = self.shared.unwrap_or((1, BACKOFF.1));
         let spread = START_SPREAD_PER_COORDINATOR.saturating_mul(fleet.saturating_sub(SMALL_FLEET));
@@ -141,19 +144,19 @@
     }
 }
 
-/// The list actor over discovery's watch.
+/// The host list actor that follows a watch of discovery.
 pub struct Watch {
-    /// Where discovery answers.
+    /// The address of discovery.
     pub addr: String,
-    /// The version known so far; `None` asks for the whole list.
+    /// The list version known so far; `None` requests the complete list.
     pub revision: Option<u64>,
-    /// The core's mailbox.
+    /// The mailbox of the core, which receives the updates.
     pub core: mpsc::UnboundedSender<CoreMessage>,
-    /// The counters.
+    /// The process's counters.
     pub counters: Counters,
-    /// When to call again.
+    /// Settings of the backoff after failed calls.
     pub backoff: DiscoveryBackoff,
-    /// Watches of earlier addresses, which this one takes over from once it has heard something.
+    /// Watches of earlier addresses, which are aborted once this one has received an update.
     pub replaces: Vec<AbortHandle>,
 }
 
@@ -167,13 +170,14 @@
 }
 
 impl Watch {
-    /// Watches, and goes on at each further address that comes. The list stands, and the watch before goes
-    /// on, until the new one speaks; versions of one discovery mean nothing to another.
-    pub async fn follow_moves(self, mut moves: mpsc::UnboundedReceiver<String>) {
+    /// Watches discovery, and moves to each new address received from `new_addresses`. The list stays valid, and the
+    /// previous watch continues, until the new watch receives an update. The new watch requests a complete list, since
+    /// versions of one discovery mean nothing to another.
+    pub async fn follow_moves(self, mut new_addresses: mpsc::UnboundedReceiver<String>) {
         let (core, counters, backoff) = (self.core.clone(), self.counters.clone(), self.backoff);
         let mut addr = self.addr.clone();
         let mut running = vec![tokio::spawn(self.run()).abort_handle()];
-        while let Some(next) = moves.recv().await {
+        while let Some(next) = new_addresses.recv().await {
             if next == addr {
                 continue;
             }
@@ -195,32 +199,32 @@
         }
     }
 
-    /// Watches for ever, over as many connections as it takes.
+    /// Watches forever, and reconnects whenever a connection ends.
     pub async fn run(mut self) {
         let (mut backoff, spread) = self.backoff.backoff();
         if self.revision.is_some() {
             tokio::time::sleep(backoff.initial_delay(spread)).await;
         }
-        // The first object comes with the head; where none did, the next watch is given longer.
-        let mut first = self.backoff.head();
+        // The first object normally comes with the head; after a watch without one, the next one gets more time.
+        let mut first_object_timeout = self.backoff.head_timeout();
         loop {
             let before = self.revision;
             let mut lines = 0;
-            let end = self.follow(&mut lines, first).await;
-            first = if lines > 0 {
-                self.backoff.head()
+            let end = self.follow(&mut lines, first_object_timeout).await;
+            first_object_timeout = if lines > 0 {
+                self.backoff.head_timeout()
             } else {
-                (2 * first).min(SILENCE_TIMEOUT)
+                (2 * first_object_timeout).min(SILENCE_TIMEOUT)
             };
             self.counters.inc("list.ended");
             if lines > 0 || self.revision != before {
                 backoff.reset();
             }
-            // A watch that fell silent after lines is no sign of a service in need: its successor has to speak
-            // before what was missed counts, whatever a fleet that lost the service would wait.
+            // A watch that became silent after some lines is no sign of an overloaded service. The next watch must
+            // receive a line before the missed changes count as known, so the wait is short even in a large fleet.
             let silent = lines > 0 && matches!(end, HttpError::Slow);
             let longest = if silent {
-                (COUNTS_AS_TOLD_AFTER - SILENCE_TIMEOUT) / 2
+                (MISSED_UPDATE_DEADLINE - SILENCE_TIMEOUT) / 2
             } else {
                 Duration::MAX
             };
@@ -230,25 +234,30 @@
         }
     }
 
-    async fn follow(&mut self, lines: &mut u64, first: Duration) -> HttpError {
-        match self.try_follow(lines, first).await {
+    async fn follow(&mut self, lines: &mut u64, first_object_timeout: Duration) -> HttpError {
+        match self.try_follow(lines, first_object_timeout).await {
             Ok(()) => HttpError::Closed,
             Err(e) => e,
         }
     }
 
-    async fn try_follow(&mut self, lines: &mut u64, first: Duration) -> Result<(), HttpError> {
-        let mut conn = BufferedStream::connect(&self.addr, CONNECT_TIMEOUT, INPUT, 1024).await?;
+    async fn try_follow(
+        &mut self,
+        lines: &mut u64,
+        first_object_timeout: Duration,
+    ) -> Result<(), HttpError> {
+        let mut conn =
+            BufferedStream::connect(&self.addr, CONNECT_TIMEOUT, INPUT_BUFFER_BYTES, 1024).await?;
         let since = self
             .revision
             .map_or(String::new(), |r| format!("&since={r}"));
-        let ask = format!(
+        let request = format!(
             "GET /catalog/members?follow=1{since} HTTP/1.1\r\nHost: {}\r\n\r\n",
             self.addr
         );
-        conn.write_all(ask.as_bytes()).await?;
+        conn.write_all(request.as_bytes()).await?;
         let slow = |_| HttpError::Slow;
-        let (status, headers) = timeout(self.backoff.head(), response_head(&mut conn))
+        let (status, headers) = timeout(self.backoff.head_timeout(), response_head(&mut conn))
             .await
             .map_err(slow)??;
         log::debug!("list: status {status}{since}");
@@ -259,27 +268,28 @@
             Body::of_response(&headers)?,
             ObjectReader::new(MAX_OBJECT_BYTES),
         );
-        // Silence counts from the last whole line: one that drips, or stops half-way, tells nothing.
-        let mut until = Instant::now() + first;
-        while timeout_at(until, body.next(&mut conn, objects.input()))
+        // The silence timeout starts with the last complete line: a line that arrives slowly or stops midway does not
+        // extend it.
+        let mut silent_at = Instant::now() + first_object_timeout;
+        while timeout_at(silent_at, body.next(&mut conn, objects.input()))
             .await
             .map_err(slow)??
         {
             while let Some(found) = objects.next_object()? {
-                until = Instant::now() + SILENCE_TIMEOUT;
+                silent_at = Instant::now() + SILENCE_TIMEOUT;
                 *lines += 1;
                 if let Found::Object(line) = found {
-                    self.line(&line)?;
+                    self.handle_object(&line)?;
                 }
             }
         }
-        // A last object without its end is one that was cut: its changes come again.
+        // An incomplete last object was cut off; the next watch receives its changes again.
         Ok(())
     }
 
-    /// One object. A malformed one costs the connection, as what it would have told is missing now: the
-    /// next watch starts from the last version that was read.
-    fn line(&mut self, line: &[u8]) -> Result<(), HttpError> {
+    /// Handles one object. A malformed one ends the connection, since its changes are missing: the next watch starts
+    /// from the last version that was read.
+    fn handle_object(&mut self, line: &[u8]) -> Result<(), HttpError> {
         let ListUpdate {
             revision,
             complete,
--- a/crates/coordinator/src/net/dns_sd.rs
+++ b/crates/coordinator/src/net/dns_sd.rs
@@ -1,6 +1,6 @@
-//! DNS-SD (RFC 6763) as a source of the host list: PTR records name the instances of a service, SRV
-//! says where each listens, TXT carries its cell, zone and phase. A record counts for as long as its
-//! TTL says; one with a TTL of 0 is a goodbye (RFC 6762, 10.1) and goes a second later.
+//! DNS-SD (RFC 6763) as a source of the host list: PTR records name the instances of a service, SRV records hold their
+//! addresses, and TXT records their cell, zone and phase. A record is valid for its TTL; one with a TTL of 0 is a
+//! goodbye (RFC 6762, section 10.1) and expires after one second.
 
 use crate::core::{CoreMessage, Endpoint};
 use crate::counters::Counters;
@@ -12,26 +12,26 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Time for which a record that was taken back still counts.
+/// Time for which a record stays valid after its goodbye.
 const GOODBYE_DELAY: Duration = Duration::from_secs(1);
-/// Share of a record's time after which it is asked for again.
+/// Share of a record's TTL after which it is queried again.
 const REFRESH_SHARE: f64 = 0.8;
-/// Longest time that any record is believed.
+/// Longest time for which a record is valid, whatever its TTL.
 const MAX_TTL: Duration = Duration::from_secs(75 * 60);
-/// Between questions that bring no answer.
+/// First and longest interval between questions without an answer.
 const BACKOFF: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
-/// Records held at most: no responder's mistake may fill the memory.
+/// Largest number of records held, so that a faulty responder can't exhaust memory.
 const MAX_RECORDS: usize = 4096;
-/// Largest message that is taken, as RFC 6762 has it.
+/// Largest message accepted, in bytes (RFC 6762, section 17).
 const MAX_MESSAGE_BYTES: usize = 9000;
 
-/// A name and a type: what a question asks for.
-type Key = (Name, RecordType);
+/// The name and type that a question asks for.
+type QuestionKey = (Name, RecordType);
 
 struct CachedRecord {
     data: RData,
-    until: Instant,
-    refresh: Instant,
+    expires_at: Instant,
+    refresh_at: Instant,
 }
 
 struct PendingQuestion {
@@ -39,15 +39,15 @@
     wait: Duration,
 }
 
-/// The records known so far, and what has to be asked. Sans-I/O.
-pub struct Cache {
+/// The cache of known records, which also decides the questions to ask. Does no I/O.
+pub struct RecordCache {
     service: Name,
-    records: BTreeMap<Key, Vec<CachedRecord>>,
-    asked: BTreeMap<Key, PendingQuestion>,
+    records: BTreeMap<QuestionKey, Vec<CachedRecord>>,
+    asked: BTreeMap<QuestionKey, PendingQuestion>,
 }
 
-impl Cache {
-    /// Nothing known of this service yet.
+impl RecordCache {
+    /// Creates an empty cache for a service.
     pub fn new(service: Name) -> Self {
         Self {
             service: service.to_lowercase(),
@@ -56,19 +56,19 @@
         }
     }
 
-    /// Takes a response; true if it held anything of use.
-    pub fn take(&mut self, message: &Message, now: Instant) -> bool {
+    /// Adds the records of a response. Returns whether it had any relevant ones.
+    pub fn add_response(&mut self, message: &Message, now: Instant) -> bool {
         if message.metadata.message_type != MessageType::Response {
             return false;
         }
-        let mut fresh: BTreeSet<Key> = BTreeSet::new();
+        let mut fresh: BTreeSet<QuestionKey> = BTreeSet::new();
         for r in message.answers.iter().chain(&message.additionals) {
             self.record(r, &mut fresh, now);
         }
         !fresh.is_empty()
     }
 
-    fn record(&mut self, r: &Record, fresh: &mut BTreeSet<Key>, now: Instant) {
+    fn record(&mut self, r: &Record, fresh: &mut BTreeSet<QuestionKey>, now: Instant) {
         let kind = r.data.record_type();
         let wanted = matches!(
             kind,
@@ -86,14 +86,14 @@
         let set = self.records.entry(key.clone()).or_default();
         if r.ttl == 0 {
             for held in set.iter_mut().filter(|h| h.data == r.data) {
-                held.until = held.until.min(now + GOODBYE_DELAY);
-                // A goodbye is not asked about again.
-                held.refresh = held.until;
+                held.expires_at = held.expires_at.min(now + GOODBYE_DELAY);
+                // A record is not queried again after its goodbye.
+                held.refresh_at = held.expires_at;
             }
             fresh.insert(key);
             return;
         }
-        // All but the instances' names are unique to their owner: what is new takes the old ones' place.
+        // Except for PTR, each record set has one owner, so that a new set replaces the old one.
         if kind != RecordType::PTR && fresh.insert(key.clone()) {
             set.clear();
         }
@@ -103,17 +103,17 @@
             let ttl = Duration::from_secs(r.ttl.into()).min(MAX_TTL);
             set.push(CachedRecord {
                 data: r.data.clone(),
-                until: now + ttl,
-                refresh: now + ttl.mul_f64(REFRESH_SHARE),
+                expires_at: now + ttl,
+                refresh_at: now + ttl.mul_f64(REFRESH_SHARE),
             });
         }
         self.asked.remove(&key);
     }
 
-    /// Drops what has run out.
+    /// Removes the records that have expired.
     pub fn expire(&mut self, now: Instant) {
         for set in self.records.values_mut() {
-            set.retain(|h| h.until > now);
+            set.retain(|h| h.expires_at > now);
         }
         self.records.retain(|_, set| !set.is_empty());
     }
@@ -144,7 +144,7 @@
         srv.min_by_key(|s| s.priority).map(|s| (&s.target, s.port))
     }
 
-    /// A host is listed once all its records are in.
+    /// Returns the host of an instance, once all its records are known.
     fn host(&self, instance: &Name) -> Option<Endpoint> {
         let (target, port) = self.target(instance)?;
         let ip = self
@@ -168,7 +168,7 @@
             .filter_map(|t| std::str::from_utf8(t).ok())
         {
             let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
-            // Of a key that comes twice the first counts (RFC 6763, 6.4).
+            // The first of several values of a key is valid (RFC 6763, section 6.4).
             keys.entry(key.to_ascii_lowercase()).or_insert(value);
         }
         let label = || {
@@ -193,7 +193,7 @@
         })
     }
 
-    /// All hosts that are known whole.
+    /// Returns the hosts of which all records are known, sorted by id.
     pub fn hosts(&self) -> Vec<Endpoint> {
         let mut hosts: Vec<Endpoint> = self.instances().filter_map(|i| self.host(i)).collect();
         hosts.sort_by(|a, b| a.id.cmp(&b.id));
@@ -201,7 +201,7 @@
         hosts
     }
 
-    fn wanted(&self) -> Vec<Key> {
+    fn wanted(&self) -> Vec<QuestionKey> {
         let mut keys = vec![(self.service.clone(), RecordType::PTR)];
         for i in self.instances() {
             keys.extend([(i.clone(), RecordType::SRV), (i.clone(), RecordType::TXT)]);
@@ -213,24 +213,28 @@
         keys
     }
 
-    /// When a question about this is due: at once if nothing is known, else some time before it runs out.
-    fn due(&self, key: &Key, now: Instant) -> Instant {
+    /// Returns when a question for this key is due: at once if no record is known, else some time before it expires.
+    fn due(&self, key: &QuestionKey, now: Instant) -> Instant {
         let held = self.get(&key.0, key.1);
-        // Its refresh, not its end: records on their way out need no question.
+        // Records after their goodbye have a refresh time equal to their end, and need no question.
         let live = held
             .iter()
-            .filter(|h| h.refresh < h.until)
-            .map(|h| h.refresh)
+            .filter(|h| h.refresh_at < h.expires_at)
+            .map(|h| h.refresh_at)
             .min();
-        let due = live.unwrap_or(if held.is_empty() { now } else { held[0].until });
+        let due = live.unwrap_or(if held.is_empty() {
+            now
+        } else {
+            held[0].expires_at
+        });
         self.asked.get(key).map_or(due, |a| due.max(a.next))
     }
 
-    /// The questions that are due, each counted as asked now.
-    pub fn questions(&mut self, now: Instant) -> Vec<Key> {
+    /// Returns the questions that are due, and marks them as asked now.
+    pub fn questions(&mut self, now: Instant) -> Vec<QuestionKey> {
         let wanted = self.wanted();
         self.asked.retain(|k, _| wanted.contains(k));
-        let due: Vec<Key> = wanted
+        let due: Vec<QuestionKey> = wanted
             .into_iter()
             .filter(|k| self.due(k, now) <= now)
             .collect();
@@ -250,9 +254,9 @@
         due
     }
 
-    /// When there is something to do next.
+    /// Returns the time at which a record expires or a question is due next.
     pub fn next(&self, now: Instant) -> Instant {
-        let ends = self.records.values().flatten().map(|h| h.until);
+        let ends = self.records.values().flatten().map(|h| h.expires_at);
         let questions = self
             .wanted()
             .into_iter()
@@ -262,20 +266,20 @@
     }
 }
 
-/// The list actor over DNS-SD.
+/// The host list actor that browses DNS-SD.
 pub struct Browser {
-    /// Who is asked.
+    /// The address of the responder that is queried.
     pub responder: String,
-    /// The service's name.
+    /// The name of the service.
     pub service: Name,
-    /// The core's mailbox.
+    /// The mailbox of the core, which receives the list.
     pub core: mpsc::UnboundedSender<CoreMessage>,
-    /// The counters.
+    /// The process's counters.
     pub counters: Counters,
 }
 
 impl Browser {
-    /// Browses for ever.
+    /// Browses forever, and starts again after a socket error.
     pub async fn run(self) {
         loop {
             if let Err(e) = self.browse().await {
@@ -287,29 +291,29 @@
     }
 
     async fn browse(&self) -> std::io::Result<()> {
-        // All that is spoken to is on this machine; the connected socket takes packets from there alone.
+        // The responder is on this machine; a connected socket accepts packets from it alone.
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         socket.connect(&self.responder).await?;
-        let mut cache = Cache::new(self.service.clone());
-        let (mut told, mut heard) = (None, false);
+        let mut cache = RecordCache::new(self.service.clone());
+        let (mut last_sent, mut has_response) = (None, false);
         let mut buffer = vec![0; MAX_MESSAGE_BYTES];
         loop {
             let now = Instant::now();
             cache.expire(now);
             let hosts = cache.hosts();
-            // Until something was heard, the list as last known stands.
-            if heard && told.as_ref() != Some(&hosts) {
+            // Before the first response, the last known list stays valid.
+            if has_response && last_sent.as_ref() != Some(&hosts) {
                 let _ = self
                     .core
                     .send(CoreMessage::HostList(ListKind::Full, hosts.clone()));
-                told = Some(hosts);
+                last_sent = Some(hosts);
             }
             for (name, kind) in cache.questions(now) {
                 let mut question = Message::query();
                 question.add_query(Query::query(name, kind));
                 if let Ok(bytes) = question.to_vec() {
                     self.counters.inc("list.questions");
-                    // A responder that is away refuses the packet; it is asked again in time.
+                    // The packet is refused while the responder is down; the question is asked again later.
                     let _ = socket.send(&bytes).await;
                 }
             }
@@ -318,10 +322,10 @@
             tokio::select! {
                 got = socket.recv(&mut buffer) => match got {
                     Ok(n) => match Message::from_vec(&buffer[..n]) {
-                        Ok(message) => heard |= cache.take(&message, Instant::now()),
+                        Ok(message) => has_response |= cache.add_response(&message, Instant::now()),
                         Err(e) => {
                             self.counters.inc("list.bad_messages");
-                            log::warn!("list: a DNS message that can't be read: {e}");
+                            log::warn!("list: ignored a malformed DNS message: {e}");
                         }
                     },
                     Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
--- a/crates/coordinator/src/net/frames.rs
+++ b/crates/coordinator/src/net/frames.rs
@@ -1,4 +1,4 @@
-//! The frames that district hosts speak: a length of four bytes, a letter, the rest.
+//! Frame protocol of the district hosts: a length of four bytes, a letter for the kind of frame, and its content.
 
 use crate::core::settings::load_report;
 use crate::core::PartRequest;
@@ -6,52 +6,52 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::time::Instant;
 
-/// Longest line before a value, and longest frame without one.
+/// Longest line before a value, and longest frame without a value, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
-/// Largest frame taken from a host: its value must fit into an answer to a client.
+/// Largest frame accepted from a host, in bytes: its value must fit into an answer to a client.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 + MAX_LINE_BYTES;
 
-/// What a host says.
+/// A frame from a host.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
-    /// How a part ended.
+    /// The end of a part.
     Part {
-        /// The part's name on the wire.
+        /// The name of the part on the wire.
         id: String,
-        /// How it ended.
+        /// The outcome of the part.
         outcome: Outcome,
-        /// Its value; empty unless it was served.
+        /// The value of the part; empty unless it was served.
         value: Bytes,
-        /// The load report.
+        /// The host's load report, if the frame has a readable one.
         report: Option<LoadReport>,
     },
     /// The answer to a probe.
     Probe(Outcome, Option<LoadReport>),
-    /// The frame before could not be used.
+    /// The host's refusal of an earlier frame, with its reason.
     Refused(String),
 }
 
-/// A frame that can't be read. It costs the connection.
+/// An error in a received frame. The connection has to be closed.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum FrameError {
-    /// Its length is nothing or too much.
-    #[error("a frame of {0} bytes")]
+    /// The length is 0 or over the limit.
+    #[error("invalid frame length: {0} bytes")]
     Length(usize),
-    /// A letter that hosts don't send.
-    #[error("a frame with letter {0:?}")]
+    /// The letter is not one that hosts send.
+    #[error("unknown frame letter {0:?}")]
     Letter(char),
-    /// The rest does not fit the letter.
-    #[error("a frame '{0}' that can't be read")]
-    Rest(char),
+    /// The content does not fit the letter.
+    #[error("malformed content of a frame with letter '{0}'")]
+    Content(char),
 }
 
-/// The name of a part on the wire.
+/// Returns the name of a part on the wire.
 pub fn part_id(part: &PartRequest) -> String {
     format!("{}.{}", part.query_name, part.shard)
 }
 
-/// A call as pieces to write: a line and the query's text for each part.
-pub fn call(parts: &[PartRequest], now: Instant) -> Vec<Bytes> {
+/// Encodes a call as pieces to write: the frame's head, then a line and the query's payload for each part.
+pub fn encode_call(parts: &[PartRequest], now: Instant) -> Vec<Bytes> {
     let mut pieces = vec![Bytes::new()];
     let mut length = 1;
     for p in parts {
@@ -80,8 +80,8 @@
     pieces
 }
 
-/// A frame with a short rest.
-pub fn short(letter: u8, rest: &str) -> Bytes {
+/// Encodes a frame with short content.
+pub fn encode_short(letter: u8, rest: &str) -> Bytes {
     let mut frame = BytesMut::with_capacity(5 + rest.len());
     frame.put_u32(rest.len() as u32 + 1);
     frame.put_u8(letter);
@@ -89,16 +89,16 @@
     frame.freeze()
 }
 
-fn report(text: &str) -> Option<LoadReport> {
+fn parse_report(text: &str) -> Option<LoadReport> {
     load_report(text.split(',').filter_map(|pair| pair.split_once('=')))
 }
 
-/// Takes the next frame off the front of `bytes`, if all of it is there. One that can't become a good frame
-/// is an error as soon as that shows: waiting for the rest of it would cost its part's whole time.
+/// Decodes the next frame and removes it from the front of `bytes`; `None` if it is incomplete. A frame that can't
+/// become valid is an error as soon as that is known: waiting for the rest would use up its part's whole timeout.
 ///
 /// # Errors
-/// If the bytes can not become a good frame.
-pub fn next(bytes: &mut BytesMut) -> Result<Option<Reply>, FrameError> {
+/// If the bytes can't become a valid frame.
+pub fn decode_next(bytes: &mut BytesMut) -> Result<Option<Reply>, FrameError> {
     let Some(length) = bytes
         .first_chunk::<4>()
         .map(|n| u32::from_be_bytes(*n) as usize)
@@ -111,20 +111,27 @@
     let Some(letter) = bytes.get(4).copied() else {
         return Ok(None);
     };
-    let bad = || FrameError::Rest(char::from(letter));
-    let text = |b: &[u8]| std::str::from_utf8(b).map(str::to_owned).map_err(|_| bad());
-    let here = &bytes[5..bytes.len().min(4 + length)];
+    let malformed = || FrameError::Content(char::from(letter));
+    let text = |b: &[u8]| {
+        std::str::from_utf8(b)
+            .map(str::to_owned)
+            .map_err(|_| malformed())
+    };
+    let received = &bytes[5..bytes.len().min(4 + length)];
     let line = match letter {
         b'a' => {
-            let end = here.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n');
-            if end.is_none() && (here.len() >= MAX_LINE_BYTES || here.len() + 1 == length) {
-                return Err(bad());
+            let end = received
+                .iter()
+                .take(MAX_LINE_BYTES)
+                .position(|b| *b == b'\n');
+            if end.is_none() && (received.len() >= MAX_LINE_BYTES || received.len() + 1 == length) {
+                return Err(malformed());
             }
-            end.map(|end| answer_line(&text(&here[..end])?).ok_or_else(bad))
+            end.map(|end| parse_answer_line(&text(&received[..end])?).ok_or_else(malformed))
                 .transpose()?
         }
         b'p' | b'l' | b'e' if length <= MAX_LINE_BYTES => None,
-        b'p' | b'l' | b'e' => return Err(bad()),
+        b'p' | b'l' | b'e' => return Err(malformed()),
         other => return Err(FrameError::Letter(char::from(other))),
     };
     if bytes.len() < 4 + length {
@@ -146,22 +153,22 @@
         _ => match text(&rest)?.as_str() {
             "broke" => Reply::Probe(Outcome::Error, None),
             "served" => Reply::Probe(Outcome::Ok, None),
-            load => Reply::Probe(Outcome::Ok, report(load)),
+            load => Reply::Probe(Outcome::Ok, parse_report(load)),
         },
     }))
 }
 
-/// The line of an answer: the part's name, its outcome, the report, and where the value begins.
-fn answer_line(line: &str) -> Option<(String, Outcome, Option<LoadReport>, usize)> {
+/// Parses the line of an answer. Returns the part's name, its outcome, the load report, and the offset of the value.
+fn parse_answer_line(line: &str) -> Option<(String, Outcome, Option<LoadReport>, usize)> {
     let fields: Vec<&str> = line.split(' ').collect();
-    let [id, end_word, _score, load] = fields[..] else {
+    let [id, result, _score, load] = fields[..] else {
         return None;
     };
-    let outcome = match end_word {
+    let outcome = match result {
         "served" => Outcome::Ok,
         "broke" => Outcome::Error,
         "skipped" => Outcome::Rejected,
         _ => return None,
     };
-    Some((id.to_owned(), outcome, report(load), line.len() + 1))
+    Some((id.to_owned(), outcome, parse_report(load), line.len() + 1))
 }
--- a/crates/coordinator/src/net/gossip.rs
+++ b/crates/coordinator/src/net/gossip.rs
@@ -1,4 +1,4 @@
-//! The datagrams between coordinators: bytes in and out, no more. What is told and believed is in
+//! UDP transport for the gossip between coordinators. The content of the datagrams is handled in
 //! [`peers`](crate::peers).
 
 use crate::core::CoreMessage;
@@ -10,39 +10,39 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Pause before an address that is in use is tried again: another process of this coordinator may still hold it.
+/// Pause before binding again an address that is in use: another process of this coordinator may still hold it.
 const BIND_RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// The time over which a peer's datagrams are counted.
+/// Window over which a peer's datagrams are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
-/// Limit on the datagrams of one peer in [`RATE_WINDOW`]. A peer sends 40 at most.
+/// Largest number of datagrams accepted from one peer in [`RATE_WINDOW`]. A correct peer sends at most 40.
 const MAX_DATAGRAMS_PER_WINDOW: u32 = 100;
 
 /// The addresses of the coordinators of one tier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddresses {
-    /// Where this coordinator receives datagrams.
+    /// The address on which this coordinator receives datagrams.
     pub listen: SocketAddr,
-    /// Each coordinator's address by its rank, this one's included.
+    /// The addresses of all coordinators, indexed by rank, this one's included.
     pub peers: Vec<SocketAddr>,
-    /// One address that reaches all of them, where there is one.
+    /// An address that reaches all coordinators, where there is one.
     pub broadcast: Option<SocketAddr>,
-    /// This one's own rank.
+    /// The rank of this coordinator.
     pub rank: u32,
 }
 
-/// The actor that carries the datagrams.
+/// The actor that sends and receives the gossip datagrams.
 pub struct GossipSocket {
-    /// Where the peers are.
+    /// The addresses of the coordinators.
     pub addresses: PeerAddresses,
-    /// The updates that are to be sent to all peers.
+    /// Updates to send to all peers.
     pub updates: mpsc::Receiver<Datagram>,
-    /// The core's mailbox.
+    /// The mailbox of the core, which handles received datagrams.
     pub core: mpsc::UnboundedSender<CoreMessage>,
-    /// The counters.
+    /// The process's counters.
     pub counters: Counters,
 }
 
-/// The datagrams of one peer in the current window.
+/// The number of datagrams from one peer in the current window.
 struct DatagramRate {
     window_start: Instant,
     datagrams: u32,
@@ -67,7 +67,8 @@
 }
 
 impl GossipSocket {
-    /// Carries datagrams until the core has gone. Without its address the service goes on, without gossip.
+    /// Sends and receives datagrams until the core has ended. While the address can't be bound, the coordinator runs
+    /// without gossip.
     pub async fn run(mut self) {
         let Some(socket) = self.bind().await else {
             return;
@@ -79,7 +80,7 @@
             .iter()
             .map(|_| DatagramRate::new())
             .collect();
-        // One byte more than a datagram may have: one that is too long can then be told from one that fits.
+        // One byte larger than the longest valid datagram, so that longer ones can be detected.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             tokio::select! {
@@ -89,14 +90,14 @@
                 },
                 received = socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => self.receive(&buffer[..length], from, &mut rates),
-                    // An earlier datagram reached nobody. Its peer is down; the next one may find it up.
+                    // An earlier datagram was refused because its peer is down. A later one may reach it.
                     Err(_) => self.counters.inc("peers.unreachable"),
                 }
             }
         }
     }
 
-    /// Binds the socket, as soon as its address is free. `None` if the core has gone meanwhile.
+    /// Binds the socket as soon as its address is free. Returns `None` if the core ends first.
     async fn bind(&mut self) -> Option<UdpSocket> {
         let mut logged = false;
         loop {
@@ -108,7 +109,7 @@
                     }
                 }
             }
-            // The updates that wait will be old by the next attempt.
+            // The queued updates will be outdated by the next attempt.
             while self.updates.try_recv().is_ok() {}
             if self.updates.is_closed() {
                 return None;
@@ -150,7 +151,7 @@
             self.counters.inc("peers.flood");
             return;
         }
-        // If the core has ended, the channel of updates ends this actor too.
+        // If the core has ended, the closed channel of updates also ends this actor.
         let _ = self.core.send(CoreMessage::Gossip(
             rank as u32,
             Bytes::copy_from_slice(bytes),
--- a/crates/coordinator/src/net/hosts.rs
+++ b/crates/coordinator/src/net/hosts.rs
@@ -1,4 +1,4 @@
-//! The actor of a district host: it owns the host's connections and hands calls to them.
+//! The actors for district hosts. Each owns the connections to one host and distributes calls over them.
 
 use super::link::{ConnectionLoad, Dialect, LinkCommand, LinkSetup};
 use super::stall_detector::StallDetector;
@@ -14,7 +14,7 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 
-enum PeerMail {
+enum HostCommand {
     Endpoint(String, Option<Instant>),
     Call(Vec<PartRequest>),
     Cancel(RequestId, u32, Outcome),
@@ -23,58 +23,60 @@
     Release,
 }
 
-struct LinkRef {
-    /// Whether it leads to an address that the host has left: it still answers for what is out on it.
-    old: bool,
+struct LinkHandle {
+    /// Whether the link gets no new calls: it leads to an earlier address of the host, or is about to close. Parts that
+    /// are in flight on it may still be answered.
+    retired: bool,
     mail: mpsc::UnboundedSender<LinkCommand>,
     load: Arc<ConnectionLoad>,
 }
 
-struct Peer {
+struct HostActor {
     server: ServerId,
     addr: String,
     stop_at: Option<Instant>,
     gate: Option<(Arc<DrainGate>, Instant)>,
-    links: Vec<LinkRef>,
+    links: Vec<LinkHandle>,
     stall_detector: Arc<StallDetector>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
 }
 
-struct Shared {
+struct SharedState {
     dialect: Arc<dyn Dialect>,
     caps: CoordinatorLimits,
-    /// Limit on the connections to all hosts: a host's first one is always opened, further ones only below this.
+    /// Limit on the connections to all hosts. A host's first connection is always opened, further ones only below the
+    /// limit.
     max_connections: usize,
-    /// Of that another process of the coordinator has half, while there is one.
+    /// The role of this process in a hot restart: while there is another process, each has half of the connections.
     restart_role: watch::Receiver<RestartRole>,
     open_connections: Arc<AtomicUsize>,
     core: mpsc::UnboundedSender<CoreMessage>,
     counters: Counters,
-    /// The gates that all cores share, and the origin of their times.
+    /// The drain gates that all cores share, with the origin of their times.
     gates: Option<(Arc<DrainGates>, Instant)>,
 }
 
-/// The hosts' actors, as the core's transport.
+/// The transport of a core: the actors for all hosts.
 pub struct HostConnections {
-    shared: Arc<Shared>,
-    mailboxes: BTreeMap<ServerId, mpsc::UnboundedSender<PeerMail>>,
+    shared: Arc<SharedState>,
+    mailboxes: BTreeMap<ServerId, mpsc::UnboundedSender<HostCommand>>,
 }
 
-/// What the hosts' actors need.
+/// The parameters of [`HostConnections`].
 pub struct HostConnectionsSetup {
-    /// How hosts are spoken to.
+    /// The wire protocol of the hosts.
     pub dialect: Arc<dyn Dialect>,
-    /// The limits of the settings.
+    /// The limits from the settings.
     pub caps: CoordinatorLimits,
-    /// Limit on the connections to all hosts. A host's first one is always opened.
+    /// Limit on the connections to all hosts. A host's first connection is always opened.
     pub max_connections: usize,
-    /// The core's mailbox, where answers go.
+    /// The mailbox of the core, which receives the answers.
     pub core: mpsc::UnboundedSender<CoreMessage>,
-    /// The counters.
+    /// The process's counters.
     pub counters: Counters,
-    /// The drain gates that all cores share, and the origin of their times; `None` with one core.
+    /// The drain gates that all cores share, with the origin of their times; `None` with a single core.
     pub gates: Option<(Arc<DrainGates>, Instant)>,
-    /// The role of this process in a hot restart: while there is another process each has half of the connections.
+    /// The role of this process in a hot restart; while there is another process, each has half of the connections.
     pub restart_role: watch::Receiver<RestartRole>,
 }
 
@@ -82,10 +84,10 @@
     /// Creates the transport with no hosts yet.
     pub fn new(setup: HostConnectionsSetup) -> Self {
         let mut caps = setup.caps;
-        // A host whose connection carries all that it may reads nothing more on it, not even a cancellation: a
-        // part sent elsewhere would then run twice. So one place stays free.
+        // A host reads nothing more from a connection that is at its limit of parts, not even a cancellation, so that a
+        // cancelled part that is sent again elsewhere would run twice. One place therefore stays free.
         caps.max_parts_per_connection = caps.max_parts_per_connection.saturating_sub(1).max(1);
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(SharedState {
             dialect: setup.dialect,
             caps,
             max_connections: setup.max_connections,
@@ -101,10 +103,10 @@
         }
     }
 
-    fn tell(&mut self, server: ServerId, mail: PeerMail) {
+    fn send(&mut self, server: ServerId, command: HostCommand) {
         if let Some(mailbox) = self.mailboxes.get(&server) {
-            // An actor ends only with its mailbox, that with the host.
-            let _ = mailbox.send(mail);
+            // An actor ends only when its mailbox is dropped, which happens when the host is forgotten.
+            let _ = mailbox.send(command);
         }
     }
 }
@@ -123,7 +125,7 @@
                 Vec::new(),
                 Arc::new(StallDetector::among(shared.caps.coordinators)),
             );
-            let peer = Peer {
+            let actor = HostActor {
                 server,
                 addr,
                 stop_at,
@@ -132,73 +134,73 @@
                 stall_detector,
                 shared,
             };
-            tokio::spawn(peer.run(rx));
+            tokio::spawn(actor.run(rx));
             tx
         });
-        self.tell(server, PeerMail::Endpoint(host.addr.clone(), stop_at));
+        self.send(server, HostCommand::Endpoint(host.addr.clone(), stop_at));
     }
 
     fn send_call(&mut self, server: ServerId, parts: Vec<PartRequest>) {
-        self.tell(server, PeerMail::Call(parts));
+        self.send(server, HostCommand::Call(parts));
     }
 
     fn cancel(&mut self, server: ServerId, part: RequestId, attempt: u32, outcome: Outcome) {
-        self.tell(server, PeerMail::Cancel(part, attempt, outcome));
+        self.send(server, HostCommand::Cancel(part, attempt, outcome));
     }
 
     fn retract(&mut self, server: ServerId, part: RequestId, attempt: u32) {
-        self.tell(server, PeerMail::Retract(part, attempt));
+        self.send(server, HostCommand::Retract(part, attempt));
     }
 
     fn probe(&mut self, server: ServerId) {
-        self.tell(server, PeerMail::Probe);
+        self.send(server, HostCommand::Probe);
     }
 
     fn close_idle_connections(&mut self, server: ServerId) {
-        self.tell(server, PeerMail::Release);
+        self.send(server, HostCommand::Release);
     }
 
     fn forget_host(&mut self, server: ServerId) {
-        // Its actor ends with its mailbox, and each link once nothing is out on it.
+        // The host's actor ends with its mailbox, and each link once nothing is in flight on it.
         self.mailboxes.remove(&server);
     }
 }
 
-impl Peer {
-    async fn run(mut self, mut mail: mpsc::UnboundedReceiver<PeerMail>) {
-        while let Some(mail) = mail.recv().await {
+impl HostActor {
+    async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<HostCommand>) {
+        while let Some(command) = mailbox.recv().await {
             self.links.retain(|l| !l.mail.is_closed());
-            match mail {
-                PeerMail::Endpoint(addr, stop_at) => self.listed(addr, stop_at),
-                PeerMail::Call(parts) => self.call(parts),
-                // The one that has the part answers for it.
-                PeerMail::Cancel(part, attempt, outcome) => {
+            match command {
+                HostCommand::Endpoint(addr, stop_at) => self.update_endpoint(addr, stop_at),
+                HostCommand::Call(parts) => self.send_call(parts),
+                // Only the link that has the part reports its end.
+                HostCommand::Cancel(part, attempt, outcome) => {
                     self.links.iter().for_each(|l| {
                         let _ = l.mail.send(LinkCommand::Cancel(part, attempt, outcome));
                     });
                 }
-                PeerMail::Retract(part, attempt) => {
+                HostCommand::Retract(part, attempt) => {
                     self.links
                         .iter()
                         .for_each(|l| drop(l.mail.send(LinkCommand::Retract(part, attempt))));
                 }
-                PeerMail::Probe => {
-                    let link = self.sound_link(0).unwrap_or_else(|| self.open());
+                HostCommand::Probe => {
+                    let link = self.select_link(0).unwrap_or_else(|| self.open_link());
                     if link.send(LinkCommand::Probe).is_err() {
                         let failed =
                             CoreMessage::ProbeEnded(self.server, Outcome::ConnectFailed, None);
                         let _ = self.shared.core.send(failed);
                     }
                 }
-                PeerMail::Release => {
-                    // Old from now on, not only once it is closed: a call of the same turn must not land
-                    // on a connection that is about to close, and count as refused by the host.
+                HostCommand::Release => {
+                    // The link is retired at once, not only when it is closed: a call of the same turn must not be
+                    // sent on a connection that is about to close, where it would count as refused by the host.
                     for l in self
                         .links
                         .iter_mut()
                         .filter(|l| l.load.parts.load(Ordering::Relaxed) == 0)
                     {
-                        l.old = true;
+                        l.retired = true;
                         let _ = l.mail.send(LinkCommand::Release);
                     }
                 }
@@ -206,36 +208,38 @@
         }
     }
 
-    fn listed(&mut self, addr: String, stop_at: Option<Instant>) {
+    fn update_endpoint(&mut self, addr: String, stop_at: Option<Instant>) {
         self.stop_at = stop_at;
         for l in &self.links {
             let _ = l.mail.send(LinkCommand::StopAt(stop_at));
         }
         if self.addr != addr {
-            // Calls go to the new address; what is out on the old one may still come in.
-            self.links.iter_mut().for_each(|l| l.old = true);
+            // New calls go to the new address; parts in flight on the old one may still be answered.
+            self.links.iter_mut().for_each(|l| l.retired = true);
             self.addr = addr;
         }
     }
 
-    /// Whether a link has kept parts waiting in silence for longer than the host usually takes.
-    fn stalled(&self, l: &LinkRef) -> bool {
+    /// Returns whether parts have been waiting on a link for longer than the host usually takes.
+    fn is_stalled(&self, l: &LinkHandle) -> bool {
         self.stall_detector.is_stalled(
-            l.load.waits(),
+            l.load.waiting_since(),
             Instant::now(),
             self.shared.caps.connect_timeout,
         )
     }
 
-    /// The fullest link that has room and is not silent: few links stay in use, the others go idle. One that
-    /// is stalled gets nothing more, as all that it collects would be lost with it; where two are it is the
-    /// host that stands still, and a further connection would not help. Of a host that ends connections right
-    /// after answers the emptiest, and none that carries parts already while a further one is to be opened.
-    fn sound_link(&self, parts: usize) -> Option<mpsc::UnboundedSender<LinkCommand>> {
-        let now_stalled: Vec<bool> = self.links.iter().map(|l| self.stalled(l)).collect();
-        let still = now_stalled.iter().filter(|s| **s).count() > 1;
-        let room = |l: &&LinkRef| {
-            !l.old
+    /// Returns the link for a call of `parts` parts; `None` if a further one should be opened, or if none has room.
+    ///
+    /// It is the link with the most parts that has room and is not silent, so that few links stay in use and the others
+    /// become idle. A stalled link gets no calls, since they would be lost with it; but if two links are stalled, the
+    /// host itself has stalled, and a further connection would not help. For a host that ends connections right after
+    /// answers it is the link with the fewest parts, and none that carries parts while a further one may be opened.
+    fn select_link(&self, parts: usize) -> Option<mpsc::UnboundedSender<LinkCommand>> {
+        let now_stalled: Vec<bool> = self.links.iter().map(|l| self.is_stalled(l)).collect();
+        let host_stalled = now_stalled.iter().filter(|s| **s).count() > 1;
+        let room = |l: &&LinkHandle| {
+            !l.retired
                 && !l.load.silent.load(Ordering::Relaxed)
                 && self.shared.dialect.room(
                     l.load.parts.load(Ordering::Relaxed),
@@ -243,31 +247,32 @@
                     self.shared.caps.max_parts_per_connection,
                 )
         };
-        let able = self
+        let usable = self
             .links
             .iter()
             .zip(now_stalled)
-            .filter(|(l, stalled)| room(l) && (still || !stalled));
-        let load = |l: &LinkRef| l.load.parts.load(Ordering::Relaxed);
+            .filter(|(l, stalled)| room(l) && (host_stalled || !stalled));
+        let load = |l: &LinkHandle| l.load.parts.load(Ordering::Relaxed);
         let spread = self
             .stall_detector
             .spread(self.shared.dialect.max_connections());
         if spread == 1 {
-            return able
+            return usable
                 .max_by_key(|(l, stalled)| (!stalled, load(l)))
                 .map(|(l, _)| l.mail.clone());
         }
-        let emptiest = able.min_by_key(|(l, stalled)| (*stalled, load(l)))?.0;
-        let more = load(emptiest) > 0 && self.own_links() < spread && self.may_open();
-        (!more).then(|| emptiest.mail.clone())
+        let emptiest = usable.min_by_key(|(l, stalled)| (*stalled, load(l)))?.0;
+        let open_another =
+            load(emptiest) > 0 && self.active_link_count() < spread && self.may_open_link();
+        (!open_another).then(|| emptiest.mail.clone())
     }
 
-    fn own_links(&self) -> usize {
-        self.links.iter().filter(|l| !l.old).count()
+    fn active_link_count(&self) -> usize {
+        self.links.iter().filter(|l| !l.retired).count()
     }
 
-    fn may_open(&self) -> bool {
-        let own = self.own_links();
+    fn may_open_link(&self) -> bool {
+        let own = self.active_link_count();
         let all = self.shared.open_connections.load(Ordering::Relaxed);
         own < self.shared.dialect.max_connections()
             && all
@@ -278,7 +283,7 @@
                     .share_of(self.shared.max_connections)
     }
 
-    fn open(&mut self) -> mpsc::UnboundedSender<LinkCommand> {
+    fn open_link(&mut self) -> mpsc::UnboundedSender<LinkCommand> {
         let (tx, mail) = mpsc::unbounded_channel();
         let load = Arc::new(ConnectionLoad::default());
         let setup = LinkSetup {
@@ -304,28 +309,28 @@
             task.await;
             links.fetch_sub(1, Ordering::Relaxed);
         });
-        self.links.push(LinkRef {
-            old: false,
+        self.links.push(LinkHandle {
+            retired: false,
             mail: tx.clone(),
             load,
         });
         tx
     }
 
-    fn call(&mut self, mut parts: Vec<PartRequest>) {
+    fn send_call(&mut self, mut parts: Vec<PartRequest>) {
         loop {
-            let link = match self.sound_link(parts.len()) {
+            let link = match self.select_link(parts.len()) {
                 Some(link) => link,
-                None if self.may_open() => self.open(),
-                // All full: the call waits on the emptiest one, within its parts' time.
+                None if self.may_open_link() => self.open_link(),
+                // All links are full: the call waits on the one with the fewest parts, within its parts' timeouts.
                 None => match self
                     .links
                     .iter()
-                    .filter(|l| !l.old)
+                    .filter(|l| !l.retired)
                     .min_by_key(|l| l.load.parts.load(Ordering::Relaxed))
                 {
                     Some(l) => l.mail.clone(),
-                    None => self.open(),
+                    None => self.open_link(),
                 },
             };
             let load = self
@@ -341,7 +346,7 @@
                     });
                     return;
                 }
-                // Closed meanwhile: nothing was sent, another link takes it.
+                // The link has closed in the meantime and nothing was sent; another link takes the call.
                 Err(mpsc::error::SendError(LinkCommand::Call(back))) => {
                     parts = back;
                     self.links.retain(|l| !l.mail.is_closed());
--- a/crates/coordinator/src/net/http/client.rs
+++ b/crates/coordinator/src/net/http/client.rs
@@ -1,11 +1,11 @@
-//! One client's connection: its requests are read, answered and written one after the other.
+//! One client's connection: reads requests and writes responses, one after the other.
 
 use super::client_liveness::answer_or_gone;
 use super::connection_slots::{Admission, Phase};
 use super::message::{HttpError, Request, Response};
 use super::read::read_request;
 use super::server::Shared;
-use super::{MAX_BODY_BYTES, OUTPUT};
+use super::{MAX_BODY_BYTES, OUTPUT_BUFFER_BYTES};
 use crate::counters::Counters;
 use crate::net::buffered_stream::BufferedStream;
 use bytes::BytesMut;
@@ -14,29 +14,30 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{watch, Notify};
 
-/// A client must have sent its first request completely within this from connecting, and any later one from its
-/// first byte. A client that sends nothing, or half a request, is closed while it still counts as prompt.
+/// Time for a complete request, counted from the connection for the first request and from its first byte for later
+/// ones. It is short, so that clients that send nothing or half a request are closed promptly.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// An unused connection is closed after this.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// An unused connection is closed after this once [`CROWDED_SHARE`] of the slots is taken.
+/// Time after which an idle connection is closed once [`CROWDED_SHARE`] of the slots is taken.
 const IDLE_TIMEOUT_WHEN_CROWDED: Duration = Duration::from_millis(2200);
-/// The share of the slots above which unused connections are closed sooner.
+/// Share of the slots above which idle connections are closed sooner.
 const CROWDED_SHARE: f64 = 0.25;
-/// So many answers in a row to what was no query cost a client nothing.
+/// Number of consecutive invalid requests that a client may send without a pause.
 const FREE_BAD_REQUESTS: u32 = 2;
-/// For each one more, its next request is read so much later: who asks again at once must not starve the others.
+/// Pause before the next request is read, for each further invalid request: a client that repeats one at once must not
+/// starve the others.
 const BAD_REQUEST_PAUSE: Duration = Duration::from_millis(50);
-/// Limit on the pauses that add up.
+/// Largest number of pauses that add up.
 const MAX_BAD_REQUEST_PAUSES: u32 = 8;
-/// A client that does not take its answer within this is closed.
+/// Time within which a client must receive its response; its connection is closed after that.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a closed connection is read on.
-const LINGER: Duration = Duration::from_millis(200);
-/// When a client that found no slot is asked to come back.
+/// Time for which a connection is still read after its sending side was shut down.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Retry-after hint for a client without a slot.
 const NO_SLOT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A reason code of the log: why a connection ended.
+/// The reason code for the end of a connection, as logged.
 type EndCode = &'static str;
 
 /// A client's connection and its slot.
@@ -46,24 +47,25 @@
     /// The number of its slot.
     pub(super) slot: u64,
     pub(super) admission: Admission,
-    /// Notified when it may have to leave its slot.
+    /// Notified when the client may have to leave its slot.
     pub(super) leave: Arc<Notify>,
-    /// Turns true when the server ends.
+    /// Becomes true when the server stops.
     pub(super) closing: watch::Receiver<bool>,
 }
 
-/// What a client has done so far.
+/// The state of a client's requests.
 struct Progress {
-    /// Requests that were read.
+    /// Number of requests that were read.
     served: u64,
-    /// Answers in a row to what was no query.
+    /// Number of consecutive invalid requests.
     bad_requests: u32,
-    /// When the connection was opened, its last answer was written, or its present request began.
+    /// The time at which the connection was opened, its last response was written, or its current request began,
+    /// whichever is latest.
     since: Instant,
 }
 
 impl Client<'_> {
-    /// Serves the client until its connection ends. Returns the number of requests and why it ended.
+    /// Serves the client until its connection ends. Returns the number of requests and the reason for the end.
     pub(super) async fn serve(mut self) -> (u64, EndCode) {
         let mut progress = Progress {
             served: 0,
@@ -91,7 +93,7 @@
         let arrived = request.arrived;
         self.enter(Phase::Busy, Instant::now());
         let _open_request = self.shared.counters.open();
-        let no_slot = self.shared.refuses(self.admission);
+        let no_slot = self.shared.must_refuse(self.admission);
         let answer = if no_slot {
             self.shared.counters.inc("answered.refused.client_cap");
             let answer = self.shared.service.no_slot(&request);
@@ -122,7 +124,7 @@
     async fn wait_for_input(&mut self, progress: &Progress) -> Result<(), EndCode> {
         self.stream.input.release_memory();
         self.stream.output.release_memory();
-        let idle_timeout = if self.shared.crowded(CROWDED_SHARE) {
+        let idle_timeout = if self.shared.is_crowded(CROWDED_SHARE) {
             IDLE_TIMEOUT_WHEN_CROWDED
         } else {
             IDLE_TIMEOUT
@@ -141,7 +143,7 @@
                 Err(_) => Err("io_error"),
             },
             _ = self.closing.wait_for(|closing| *closing) => Err("stopping"),
-            () = self.shared.told_to_leave(self.slot, &self.leave) => Err("made_room"),
+            () = self.shared.wait_to_leave(self.slot, &self.leave) => Err("made_room"),
             () = tokio::time::sleep_until(end.into()) => Err(code),
         }
     }
@@ -152,7 +154,7 @@
         let read = tokio::select! {
             biased;
             read = tokio::time::timeout_at(deadline.into(), read_request(&mut self.stream, MAX_BODY_BYTES)) => read,
-            () = self.shared.told_to_leave(self.slot, &self.leave) => return Err("made_room"),
+            () = self.shared.wait_to_leave(self.slot, &self.leave) => return Err("made_room"),
         };
         let error = match read.unwrap_or(Err(HttpError::Slow)) {
             Ok(read) => return Ok(read),
@@ -166,7 +168,7 @@
         Err(error.code())
     }
 
-    /// Why the present answer is the connection's last; `None` if it is not.
+    /// Returns the reason why the current response is the connection's last; `None` if it is not.
     fn last_answer_code(&self, keep_alive: bool, no_slot: bool) -> Option<EndCode> {
         if *self.closing.borrow() {
             return Some("stopping");
@@ -181,7 +183,7 @@
         (!keep_alive || one_request).then_some("asked_to_close")
     }
 
-    /// Writes an answer after which the connection is kept.
+    /// Writes a response after which the connection is kept.
     async fn respond(&mut self, answer: &Response) -> Result<(), EndCode> {
         match tokio::time::timeout(RESPONSE_TIMEOUT, write(&mut self.stream, answer, false)).await {
             Ok(Ok(())) => count_ends(answer, &self.shared.counters),
@@ -191,7 +193,7 @@
         Ok(())
     }
 
-    /// Writes the last answer and ends the connection.
+    /// Writes the last response and ends the connection.
     async fn finish(&mut self, answer: &Response) {
         let written = tokio::time::timeout(RESPONSE_TIMEOUT, write(&mut self.stream, answer, true));
         if let Ok(Ok(())) = written.await {
@@ -202,7 +204,8 @@
 }
 
 impl Progress {
-    /// 429 and the 5xx are answers to queries; the other 4xx answer what was no query.
+    /// Counts an invalid request, or resets the count after a valid one. 429 and 5xx statuses are responses to valid
+    /// queries; statuses from 400 to 428 are responses to invalid requests.
     fn count_bad(&mut self, status: u16) {
         self.bad_requests = if (400..429).contains(&status) {
             self.bad_requests + 1
@@ -219,7 +222,7 @@
     }
 }
 
-/// Counts the requests that end with an answer, once the client has it.
+/// Counts the requests that end with a response, once it is written.
 fn count_ends(answer: &Response, counters: &Counters) {
     for (class, end) in &answer.ends {
         counters.ended(*class, *end);
@@ -227,9 +230,9 @@
 }
 
 async fn write(stream: &mut BufferedStream, answer: &Response, close: bool) -> std::io::Result<()> {
-    // Small answers go out in one piece: a client must be able to recognise one that was cut.
+    // Small responses are written in one piece, so that a client can recognize one that was cut off.
     let mut head = BytesMut::from(answer.head(close).as_bytes());
-    if answer.body.len() < OUTPUT / 2 {
+    if answer.body.len() < OUTPUT_BUFFER_BYTES / 2 {
         head.extend_from_slice(&answer.body);
         return stream.write_all(&head).await;
     }
@@ -237,7 +240,8 @@
     stream.write_all(&answer.body).await
 }
 
-/// Reads on for a moment: closing with unread input would reset the connection and take the answer along.
+/// Shuts down the sending side and reads for a moment more: closing with unread input would reset the connection, and
+/// the client could lose the response.
 async fn linger(stream: &mut BufferedStream) {
     let _ = stream.stream.shutdown().await;
     let drain = async {
@@ -250,5 +254,5 @@
             }
         }
     };
-    let _ = tokio::time::timeout(LINGER, drain).await;
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, drain).await;
 }
--- a/crates/coordinator/src/net/http/client_liveness.rs
+++ b/crates/coordinator/src/net/http/client_liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a client is still there while its request is answered.
+//! Detects clients that disconnect while their request is being answered.
 
 use super::message::Response;
 use super::ResponseFuture;
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use tokio::io::{Interest, Ready};
 
-/// How often a client that has sent more than is taken is looked at for its end.
-const FULL_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a client with a full input buffer is checked for a disconnect.
+const FULL_BUFFER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Takes what has come by now, up to a full ring; false once the client has gone. A client that ends only its
-/// own side has gone too: the protocol knows no other end, and nothing tells the two apart.
-fn stays(conn: &mut BufferedStream, known: Ready) -> bool {
-    // Behind what is not taken no end can be read: there the system's word must do.
+/// Reads the available input, up to a full buffer, and returns whether the client is still connected. A client that
+/// only shuts down its sending side counts as disconnected, since the two cases can't be distinguished.
+fn is_connected(conn: &mut BufferedStream, readiness: Ready) -> bool {
+    // With a full buffer, the end of the stream can't be read; the system's readiness flag decides.
     while conn.input.free() > 0 {
         match conn.input.read_from(&conn.stream) {
             Ok(n) if n > 0 => {}
@@ -20,23 +20,23 @@
             _ => return false,
         }
     }
-    !known.is_read_closed()
+    !readiness.is_read_closed()
 }
 
-/// What the system has said of the socket by now.
-async fn known(conn: &BufferedStream) -> Ready {
+/// Returns the socket's current readiness, as reported by the system.
+async fn readiness(conn: &BufferedStream) -> Ready {
     let ready = tokio::time::timeout(Duration::ZERO, conn.stream.ready(Interest::READABLE)).await;
     ready.map_or(Ready::EMPTY, |r| r.unwrap_or(Ready::READ_CLOSED))
 }
 
-/// The answer to a request, or `None` if its client has gone before it is asked for, or goes first. A client
-/// that sends on is left to wait. What a client leaves behind in one go, request and end, is not begun.
+/// Calls `ask` and returns its response, or `None` if the client disconnects first. A request whose client has already
+/// disconnected is not started. A client that sends more input has to wait for its response.
 pub(super) async fn answer_or_gone(
     conn: &mut BufferedStream,
     ask: impl FnOnce() -> ResponseFuture,
 ) -> Option<Response> {
-    let at_first = known(conn).await;
-    if !stays(conn, at_first) {
+    let initial = readiness(conn).await;
+    if !is_connected(conn, initial) {
         return None;
     }
     let mut answer = ask();
@@ -45,11 +45,11 @@
         tokio::select! {
             biased;
             done = &mut answer => return Some(done),
-            _ = tokio::time::sleep(FULL_LOOK), if full => {}
+            _ = tokio::time::sleep(FULL_BUFFER_CHECK_INTERVAL), if full => {}
             ready = conn.stream.readable(), if !full => if ready.is_err() { return None },
         }
-        let by_now = known(conn).await;
-        if !stays(conn, by_now) {
+        let current = readiness(conn).await;
+        if !is_connected(conn, current) {
             return None;
         }
     }
--- a/crates/coordinator/src/net/http/connection_slots.rs
+++ b/crates/coordinator/src/net/http/connection_slots.rs
@@ -1,44 +1,44 @@
-//! The connections served, and who goes when a new one needs room.
+//! Slots of the served connections, and the choice of the one to close when a new one needs room.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A connection that has been standing idle for so long can go for a new one.
+/// Idle time after which a connection may be closed for a new one.
 const MIN_IDLE_TO_MAKE_ROOM: Duration = Duration::from_millis(100);
 
-/// What a connection is at.
+/// The phase of a connection.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 pub(super) enum Phase {
-    /// It has not sent its request whole.
+    /// The client has not sent its complete request.
     Asking,
-    /// It stands between two requests.
+    /// The connection is between two requests.
     Idle,
-    /// A request of it is being answered.
+    /// A request is being answered.
     Busy,
 }
 
 struct Slot {
     phase: Phase,
     since: Instant,
-    /// Asked to leave. It is left standing if its client turns out to have sent a request meanwhile.
+    /// Whether the connection was asked to leave. It stays if its client turns out to have sent a request meanwhile.
     leaving: bool,
     leave: Arc<Notify>,
 }
 
-/// How a new connection came to its slot.
+/// How a new connection was admitted.
 #[derive(Clone, Copy)]
 pub(super) enum Admission {
-    /// There was a free slot.
+    /// A slot was free.
     Free,
-    /// All were taken; this one was asked to leave for it.
+    /// All slots were taken, and the connection in this slot was asked to leave.
     InPlaceOf(u64),
-    /// All were taken and none could be asked to leave.
+    /// All slots were taken, and no connection could be asked to leave.
     Extra,
 }
 
-/// The connections served, and who goes when a new one needs room.
+/// The slots of the served connections, by number.
 #[derive(Default)]
 pub(super) struct ConnectionSlots {
     next: u64,
@@ -59,17 +59,17 @@
         (self.next, leave)
     }
 
-    /// Its connection has ended.
+    /// Frees a slot whose connection has ended.
     pub(super) fn release(&mut self, slot: u64) {
         self.taken.remove(&slot);
     }
 
-    /// How many are taken, without those that were asked to leave.
+    /// Returns the number of slots taken, without connections that were asked to leave.
     pub(super) fn staying_count(&self) -> usize {
         self.taken.values().filter(|s| !s.leaving).count()
     }
 
-    /// How many stand idle, without those that were asked to leave.
+    /// Returns the number of idle connections, without those that were asked to leave.
     pub(super) fn idle_count(&self) -> usize {
         self.taken
             .values()
@@ -77,12 +77,12 @@
             .count()
     }
 
-    /// Whether this one was asked to leave and still has nothing to say.
+    /// Returns whether this connection was asked to leave and has sent no request since.
     pub(super) fn is_leaving(&self, slot: u64) -> bool {
         self.taken.get(&slot).is_some_and(|s| s.leaving)
     }
 
-    /// Whether this one is there to stay.
+    /// Returns whether this connection is open and was not asked to leave.
     pub(super) fn is_staying(&self, slot: u64) -> bool {
         self.taken.get(&slot).is_some_and(|s| !s.leaving)
     }
@@ -93,24 +93,27 @@
         }
     }
 
-    /// Asks the one that has been of no use for longest to leave: a crowd that says nothing, or is_staying
-    /// after its one request, must not keep others out. Unless `full`, only one that stands idle goes.
-    /// Whether it goes is seen once its client's connection has been looked at: a request that waits there
-    /// unread, as after a standstill of this process, keeps it its slot.
+    /// Asks the connection that has been useless for longest to leave, and returns its slot: clients that send nothing,
+    /// or stay connected after one request, must not keep others out. Unless `full`, only an idle connection may be
+    /// chosen. The chosen connection leaves only after its socket was checked: an unread request there, as after a
+    /// stall of this process, lets it keep its slot.
     pub(super) fn make_room(
         &mut self,
         now: Instant,
         full: bool,
         request_timeout: Duration,
     ) -> Option<u64> {
-        let goes = |s: &Slot| match s.phase {
+        let may_leave = |s: &Slot| match s.phase {
             Phase::Asking => full && now - s.since >= request_timeout,
             Phase::Idle => now - s.since >= MIN_IDLE_TO_MAKE_ROOM,
             Phase::Busy => false,
         };
-        let useless = self.taken.iter_mut().filter(|(_, s)| !s.leaving && goes(s));
+        let candidates = self
+            .taken
+            .iter_mut()
+            .filter(|(_, s)| !s.leaving && may_leave(s));
         let order = |a: &Slot, b: &Slot| (a.phase, a.since).partial_cmp(&(b.phase, b.since));
-        let first = useless.min_by(|a, b| order(a.1, b.1).unwrap_or(std::cmp::Ordering::Equal));
+        let first = candidates.min_by(|a, b| order(a.1, b.1).unwrap_or(std::cmp::Ordering::Equal));
         let (number, slot) = first?;
         slot.leaving = true;
         slot.leave.notify_one();
--- a/crates/coordinator/src/net/http/incoming.rs
+++ b/crates/coordinator/src/net/http/incoming.rs
@@ -1,39 +1,39 @@
-//! Where connections come from: a listener, or a thread that accepts for several.
+//! Sources of client connections: a listener, or a thread that accepts connections for several cores.
 
 use crate::ops::hot_restart::RestartRole;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// A connection that another thread has accepted; `guard` is dropped with it.
+/// A connection that another thread has accepted.
 pub struct AcceptedConnection {
-    /// The socket, set to non-blocking.
+    /// The socket, in non-blocking mode.
     pub stream: std::net::TcpStream,
-    /// Where it comes from.
+    /// The client's address.
     pub from: SocketAddr,
-    /// Counts it for as long as it lives.
-    pub guard: Guard,
+    /// A guard that counts the connection; it is dropped when the connection ends.
+    pub guard: ConnectionGuard,
 }
 
-/// Something that lives as long as a connection.
-pub type Guard = Box<dyn std::any::Any + Send>;
+/// A value that is dropped when its connection ends.
+pub type ConnectionGuard = Box<dyn std::any::Any + Send>;
 
-/// A listener that is left alone once another process has taken over.
+/// A listener that stops accepting while another process replaces this one.
 pub struct GatedListener {
     /// The listener.
     pub listener: TcpListener,
-    /// How this process stands to another.
+    /// The role of this process in a hot restart.
     pub restart_role: watch::Receiver<RestartRole>,
 }
 
 impl GatedListener {
-    /// The next connection.
+    /// Accepts the next connection, once this process is not being replaced.
     ///
     /// # Errors
-    /// If the system has none to give, as descriptors have run out.
+    /// If accepting fails, for example because file descriptors have run out.
     pub async fn accept(&mut self) -> std::io::Result<(TcpStream, SocketAddr)> {
         loop {
-            // The other end of the watch goes only where there is never another process.
+            // The sender of the role is dropped only if there is never another process.
             if self
                 .restart_role
                 .wait_for(|b| *b != RestartRole::Replaced)
@@ -43,30 +43,30 @@
                 return self.listener.accept().await;
             }
             tokio::select! {
-                came = self.listener.accept() => return came,
+                accepted = self.listener.accept() => return accepted,
                 changed = self.restart_role.changed() => if changed.is_err() { return self.listener.accept().await },
             }
         }
     }
 }
 
-/// Where connections come from.
+/// A source of client connections.
 pub enum Incoming {
-    /// A listener of one's own.
+    /// A listener of this server.
     Listener(GatedListener),
-    /// A thread that accepts for several.
+    /// The channel from a thread that accepts connections for several servers.
     Channel(mpsc::UnboundedReceiver<AcceptedConnection>),
 }
 
 impl Incoming {
     pub(super) async fn accept(
         &mut self,
-    ) -> std::io::Result<(TcpStream, SocketAddr, Option<Guard>)> {
+    ) -> std::io::Result<(TcpStream, SocketAddr, Option<ConnectionGuard>)> {
         match self {
             Self::Listener(l) => l.accept().await.map(|(stream, from)| (stream, from, None)),
             Self::Channel(mail) => match mail.recv().await {
                 Some(h) => Ok((TcpStream::from_std(h.stream)?, h.from, Some(h.guard))),
-                // The one that accepts has ended: no more will come.
+                // The accepting thread has ended, so no more connections will arrive.
                 None => std::future::pending().await,
             },
         }
--- a/crates/coordinator/src/net/http/message.rs
+++ b/crates/coordinator/src/net/http/message.rs
@@ -1,29 +1,29 @@
-//! What messages are made of: the errors of reading them, headers, a request and an answer.
+//! HTTP messages: headers, requests, responses and the errors of reading them.
 
 use crate::counters::End;
 use bytes::Bytes;
 use http1::{Fields, ParseError};
 use std::time::{Duration, Instant};
 
-/// Why a message can't be read.
+/// An error while reading a message.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The other side ended the connection between messages.
+    /// The peer closed the connection between messages.
     #[error("closed")]
     Closed,
-    /// The other side ended the connection within a message.
+    /// The peer closed the connection within a message.
     #[error("closed within a message")]
     Cut,
-    /// Not HTTP.
+    /// The input is not valid HTTP; names the invalid element.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// The head is too large.
+    /// The head is larger than allowed.
     #[error("head too large")]
     HeadTooLarge,
-    /// The body is too large.
+    /// The body is larger than allowed.
     #[error("body too large")]
     BodyTooLarge,
-    /// It took too long.
+    /// The message was not complete in time.
     #[error("too slow")]
     Slow,
     /// The socket failed.
@@ -42,7 +42,7 @@
 }
 
 impl HttpError {
-    /// The reason code in the log.
+    /// Returns the reason code for the log.
     pub fn code(&self) -> &'static str {
         match self {
             Self::Closed => "peer_closed",
@@ -55,6 +55,7 @@
         }
     }
 
+    /// Returns the status of the response to the client; `None` if no response can be sent.
     pub(super) fn status(&self) -> Option<u16> {
         match self {
             Self::Malformed(_) => Some(400),
@@ -66,12 +67,12 @@
     }
 }
 
-/// Headers of a message; all of them are text.
+/// Headers of a message, of which all values are UTF-8.
 #[derive(Debug, Default, Clone)]
 pub struct Headers(pub(super) Fields);
 
 impl Headers {
-    pub(super) fn of(fields: Fields) -> Result<Self, HttpError> {
+    pub(super) fn from_fields(fields: Fields) -> Result<Self, HttpError> {
         let text = fields
             .iter()
             .all(|(_, value)| std::str::from_utf8(value).is_ok());
@@ -79,59 +80,59 @@
             .ok_or(HttpError::Malformed("header"))
     }
 
-    /// The value of the first header of this name, whatever its case.
+    /// Returns the value of the first header with this name, ignoring case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.get_str(name)
     }
 }
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct Request {
-    /// Its method.
+    /// The request method.
     pub method: String,
-    /// Its path without the query.
+    /// The path, without the query.
     pub path: String,
-    /// The query after the '?'.
+    /// The query after the '?', or an empty string.
     pub query: String,
-    /// Its headers.
+    /// The request's headers.
     pub headers: Headers,
-    /// Its body.
+    /// The request's body.
     pub body: Bytes,
-    /// When its last byte came.
+    /// The time at which the last byte arrived.
     pub arrived: Instant,
-    /// When it must be answered at the latest, whatever its client says, as the process ends.
+    /// The time by which it must be answered because the process ends then; `None` if the process is not stopping.
     pub latest: Option<Instant>,
 }
 
 impl Request {
-    /// The time that is left for it, where the process is about to end.
+    /// Returns the time for the answer, counted from the arrival; `None` if the process is not stopping.
     pub fn left(&self) -> Option<Duration> {
         self.latest
             .map(|l| l.saturating_duration_since(self.arrived))
     }
 }
 
-/// An answer; how it is framed is settled when it is written.
+/// A response. Its framing headers are added when it is written.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Further headers.
+    /// Headers besides those of the framing.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Bytes,
-    /// The requests that end with it: their classes, and how. They count once it is written.
+    /// The class and result of each request that ends with this response. They are counted once it is written.
     pub ends: Vec<(usize, End)>,
 }
 
 impl Response {
-    /// An answer with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: impl Into<Bytes>) -> Self {
         Self::of_type("application/json", status, body.into())
     }
 
-    /// An answer in plain text.
+    /// Creates a response in plain text.
     pub fn text(status: u16, body: impl Into<Bytes>) -> Self {
         Self::of_type("text/plain", status, body.into())
     }
@@ -145,7 +146,7 @@
         }
     }
 
-    /// A request of this class ends with it.
+    /// Adds a request of this class that ends with the response.
     pub fn ends(mut self, class: usize, end: End) -> Self {
         self.ends.push((class, end));
         self
@@ -157,7 +158,7 @@
         self
     }
 
-    /// Says when to come back, rounded up to milliseconds.
+    /// Adds a `Retry-After` header in seconds, with three decimal places, if `after` is set.
     pub fn retry_after(self, after: Option<Duration>) -> Self {
         match after {
             Some(d) => self.with("Retry-After", format!("{:.3}", d.as_secs_f64())),
--- a/crates/coordinator/src/net/http/read.rs
+++ b/crates/coordinator/src/net/http/read.rs
@@ -1,18 +1,19 @@
-//! Reading messages from a [`BufferedStream`]: a request whole, a response's head and then its body as it comes.
+//! Reads messages from a [`BufferedStream`]: complete requests, and responses as a head followed by a streamed body.
 
 use super::message::{Headers, HttpError, Request};
-use super::INPUT;
+use super::INPUT_BUFFER_BYTES;
 use crate::net::buffered_stream::BufferedStream;
 use bytes::{Bytes, BytesMut};
 use http1::{DecodeStep, Framing, HeadLimits, RequestHead, ResponseHead};
 use std::time::Instant;
 
 const MAX_HEAD: HeadLimits = HeadLimits {
-    max_bytes: INPUT,
+    max_bytes: INPUT_BUFFER_BYTES,
     max_fields: 64,
 };
 
-async fn more(conn: &mut BufferedStream, started: bool) -> Result<(), HttpError> {
+/// Reads more input. Fails if the connection ends; `started` tells whether a message has begun.
+async fn read_more(conn: &mut BufferedStream, started: bool) -> Result<(), HttpError> {
     match conn.fill().await? {
         0 if started => Err(HttpError::Cut),
         0 => Err(HttpError::Closed),
@@ -28,7 +29,7 @@
     Ok(Some(head))
 }
 
-/// Reads a response's head: its status and headers.
+/// Reads the head of a response, and returns its status and headers.
 ///
 /// # Errors
 /// If the head is malformed or too large, or the connection ends or fails first.
@@ -36,16 +37,16 @@
     loop {
         if let Some((head, n)) = ResponseHead::parse(conn.input.contiguous(), MAX_HEAD, false)? {
             conn.input.consume(n);
-            return Ok((head.status, Headers::of(head.fields)?));
+            return Ok((head.status, Headers::from_fields(head.fields)?));
         }
         if conn.input.free() == 0 {
             return Err(HttpError::HeadTooLarge);
         }
-        more(conn, !conn.input.is_empty()).await?;
+        read_more(conn, !conn.input.is_empty()).await?;
     }
 }
 
-/// A body on its way in.
+/// A body that is being read.
 pub struct Body {
     framing: Framing,
     body: http1::BodyDecoder,
@@ -59,22 +60,22 @@
         }
     }
 
-    /// The body of a response with these headers.
+    /// Creates the reader for the body of a response with these headers.
     ///
     /// # Errors
-    /// If the headers contradict each other on its length.
+    /// If the headers contradict each other on the length of the body.
     pub fn of_response(headers: &Headers) -> Result<Self, HttpError> {
         Ok(Self::new(
             Framing::from_fields(&headers.0)?.unwrap_or(Framing::CloseDelimited),
         ))
     }
 
-    /// Whether its length is told and beyond a limit.
-    fn beyond(&self, max_bytes: usize) -> bool {
+    /// Returns whether the declared length of the body is over a limit.
+    fn exceeds(&self, max_bytes: usize) -> bool {
         matches!(self.framing, Framing::Length(n) if n > max_bytes as u64)
     }
 
-    /// Appends what comes next to `out`; false at the end.
+    /// Appends the next bytes of the body to `out`. Returns false at the end of the body.
     ///
     /// # Errors
     /// If the body is malformed, or the connection ends or fails first.
@@ -97,7 +98,7 @@
                 }
                 DecodeStep::Framing(n) => conn.input.consume(n),
                 DecodeStep::End => return Ok(false),
-                DecodeStep::Incomplete => match more(conn, true).await {
+                DecodeStep::Incomplete => match read_more(conn, true).await {
                     Err(HttpError::Cut) if self.body.is_close_delimited() => return Ok(false),
                     step => step?,
                 },
@@ -105,17 +106,17 @@
         }
     }
 
-    /// Reads the whole body, up to a limit.
+    /// Reads the complete body, of at most `max_bytes`.
     ///
     /// # Errors
-    /// As [`Body::next`]; also if the body is longer than the limit.
+    /// As for [`Body::next`]; also if the body is longer than `max_bytes`.
     pub async fn read_all(
         mut self,
         conn: &mut BufferedStream,
         max_bytes: usize,
     ) -> Result<Bytes, HttpError> {
         let mut out = BytesMut::new();
-        if self.beyond(max_bytes) {
+        if self.exceeds(max_bytes) {
             return Err(HttpError::BodyTooLarge);
         }
         while self.next(conn, &mut out).await? {
@@ -127,6 +128,7 @@
     }
 }
 
+/// Reads a request with a body of at most `max_bytes`. Returns it with whether the connection is to be kept alive.
 pub(super) async fn read_request(
     conn: &mut BufferedStream,
     max_bytes: usize,
@@ -140,7 +142,7 @@
                 return Err(HttpError::HeadTooLarge);
             }
         }
-        more(conn, !conn.input.is_empty()).await?;
+        read_more(conn, !conn.input.is_empty()).await?;
     };
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let (method, target, keep) = (
@@ -149,8 +151,8 @@
         head.is_keep_alive(),
     );
     let body = Body::new(head.framing.unwrap_or(Framing::Length(0)));
-    let headers = Headers::of(head.fields)?;
-    if body.beyond(max_bytes) {
+    let headers = Headers::from_fields(head.fields)?;
+    if body.exceeds(max_bytes) {
         return Err(HttpError::BodyTooLarge);
     }
     if headers.0.has_token("Expect", "100-continue") {
--- a/crates/coordinator/src/net/http/server.rs
+++ b/crates/coordinator/src/net/http/server.rs
@@ -1,10 +1,10 @@
-//! The server: connections are seated and served until it is told to stop, and then until all that was taken
-//! is answered.
+//! The server: assigns slots to connections and serves them until it is told to stop, and then until all accepted
+//! requests are answered.
 
 use super::client::Client;
 use super::connection_slots::{Admission, ConnectionSlots};
-use super::incoming::{Guard, Incoming};
-use super::{Limits, Service, INPUT, OUTPUT};
+use super::incoming::{ConnectionGuard, Incoming};
+use super::{Limits, Service, INPUT_BUFFER_BYTES, OUTPUT_BUFFER_BYTES};
 use crate::counters::Counters;
 use crate::net::buffered_stream::BufferedStream;
 use std::net::SocketAddr;
@@ -14,31 +14,31 @@
 use tokio::net::TcpStream;
 use tokio::sync::{watch, Notify};
 
-/// Share of the slots that may stand idle: beyond it the one that has for longest goes with each that comes,
-/// as clients that ask once and stay use up what connections the usual ones may have.
+/// Share of the slots that may be idle. Above it, each new connection closes the one that has been idle for longest,
+/// since clients that stay connected after one request would otherwise use up the connections of regular clients.
 const MAX_IDLE_SHARE: f64 = 0.2;
-/// Once stopping, this is the least time for which new connections are taken.
+/// Shortest time for which a stopping server accepts new connections.
 const MIN_STOP_TIME: Duration = Duration::from_millis(600);
-/// Nothing taken may be waited for beyond this.
+/// Longest time for which a server waits for its connections to end after it closed its listener.
 const MAX_STOP_TIME: Duration = Duration::from_secs(12);
 
-/// Pause after a failed accept: out of descriptors, until some that are in use come back.
+/// Pause after a failed accept. File descriptors have usually run out, and some have to be released first.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How often a stopping server checks whether it may end.
+/// Interval at which a stopping server checks whether it may end.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often a server that accepts no more checks whether all connections have ended.
+/// Interval at which a server without a listener checks whether all connections have ended.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest sleep of a server that is not stopping.
 const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
-/// What the server's connections share.
+/// State shared by the server's connections.
 pub(super) struct Shared {
     pub(super) service: Arc<dyn Service>,
     pub(super) counters: Counters,
     pub(super) limits: Limits,
     clients: AtomicUsize,
     slots: Mutex<ConnectionSlots>,
-    /// Set once stopping: when all must be answered.
+    /// The time by which all requests must be answered; set when the server stops.
     pub(super) latest: OnceLock<Instant>,
 }
 
@@ -47,32 +47,32 @@
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn crowded(&self, share: f64) -> bool {
+    pub(super) fn is_crowded(&self, share: f64) -> bool {
         self.slots().staying_count() as f64 > share * self.limits.clients() as f64
     }
 
-    /// Asks the connection that has been of no use for longest to leave.
+    /// Asks the connection that has been useless for longest to leave. Returns its slot, if there is one.
     fn make_room(&self, full: bool) -> Option<u64> {
         self.slots()
             .make_room(Instant::now(), full, self.limits.request_timeout_when_full)
     }
 
-    /// Whether a request is refused for want of slots, as the one that was to leave for it has not, and no
-    /// other can. Those who had a slot before all were taken keep it.
-    pub(super) fn refuses(&self, admission: Admission) -> bool {
+    /// Returns whether a request is refused for lack of a slot: the connection that was asked to leave for it has not
+    /// left, and no other can be asked. Connections that got a free slot keep it.
+    pub(super) fn must_refuse(&self, admission: Admission) -> bool {
         let without_slot = match admission {
             Admission::Free => false,
             Admission::InPlaceOf(other) => self.slots().is_staying(other),
             Admission::Extra => true,
         };
-        without_slot && self.crowded(1.0) && self.make_room(true).is_none()
+        without_slot && self.is_crowded(1.0) && self.make_room(true).is_none()
     }
 
-    /// Waits until this slot has to be left.
-    pub(super) async fn told_to_leave(&self, slot: u64, leave: &Notify) {
+    /// Waits until the connection in this slot has to leave.
+    pub(super) async fn wait_to_leave(&self, slot: u64, leave: &Notify) {
         loop {
             leave.notified().await;
-            // What was asked before its client's last request holds no more.
+            // A notification from before the client's last request is obsolete.
             if self.slots().is_leaving(slot) {
                 self.counters.inc("clients.made_room");
                 return;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Closes connections beyond this process's share, as there is another process now, as far as they are of no use.
+    /// Closes useless connections beyond this process's share of the slots, after another process has appeared.
     fn shrink_to_share(&self) {
         let over = self
             .slots()
@@ -93,23 +93,23 @@
         }
     }
 
-    /// Gives a new connection a slot and serves it. Above the limit on connections it is closed at once.
+    /// Assigns a slot to a new connection and serves it. Above the limit on connections it is closed at once.
     fn admit(
         self: &Arc<Self>,
-        (stream, from, guard): (TcpStream, SocketAddr, Option<Guard>),
+        (stream, from, guard): (TcpStream, SocketAddr, Option<ConnectionGuard>),
         closing: &watch::Receiver<bool>,
     ) {
-        let (clients, most) = (self.limits.clients(), self.limits.connections());
+        let (clients, max_connections) = (self.limits.clients(), self.limits.connections());
         let full = self.slots().staying_count() >= clients;
         let idle = self.slots().idle_count();
         let crowded = full || idle as f64 > MAX_IDLE_SHARE * clients as f64;
-        let leaver = if crowded { self.make_room(full) } else { None };
-        let admission = match leaver {
+        let leaving_slot = if crowded { self.make_room(full) } else { None };
+        let admission = match leaving_slot {
             _ if !full => Admission::Free,
-            Some(leaver) => Admission::InPlaceOf(leaver),
+            Some(leaving_slot) => Admission::InPlaceOf(leaving_slot),
             None => Admission::Extra,
         };
-        if self.clients.load(Ordering::Relaxed) >= most {
+        if self.clients.load(Ordering::Relaxed) >= max_connections {
             self.counters.inc("clients.dropped_at_cap");
             log::warn!(from:%, end = "at_cap"; "client");
             return;
@@ -119,7 +119,7 @@
         let (shared, closing) = (self.clone(), closing.clone());
         tokio::spawn(async move {
             let client = Client {
-                stream: BufferedStream::new(stream, INPUT, OUTPUT),
+                stream: BufferedStream::new(stream, INPUT_BUFFER_BYTES, OUTPUT_BUFFER_BYTES),
                 shared: &shared,
                 slot: number,
                 admission,
@@ -137,7 +137,7 @@
 }
 
 impl Shared {
-    /// Whether the server may end, so long after the stop.
+    /// Returns whether the server may end at this time after the stop.
     fn may_end(&self, since_stop: Duration) -> bool {
         let has_clients = self.clients.load(Ordering::Relaxed) > 0;
         let min_stop_time = if self.limits.replaced() {
@@ -148,7 +148,7 @@
         since_stop >= self.limits.serve_on || (!has_clients && since_stop >= min_stop_time)
     }
 
-    /// Serves what the system has accepted by now, as closing the listener would reset it, and waits until all
+    /// Serves the connections in the listener's queue, since closing the listener would reset them, and waits until all
     /// connections have ended.
     async fn finish(
         self: &Arc<Self>,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Serves until told to stop, and then until all that was taken is answered.
+/// Serves until `stop` becomes true, and then until all accepted requests are answered.
 pub async fn serve(
     mut incoming: Incoming,
     service: Arc<dyn Service>,
@@ -187,24 +187,24 @@
     });
     let (close, closing) = watch::channel(false);
     let mut restart_role = shared.limits.restart_role.clone();
-    let mut has_other = restart_role.has_changed().is_ok();
+    let mut may_change_role = restart_role.has_changed().is_ok();
     let mut stopped: Option<Instant> = None;
     loop {
-        let rest = if stopped.is_some() {
+        let sleep = if stopped.is_some() {
             STOP_CHECK_INTERVAL
         } else {
             MAX_SLEEP
         };
         tokio::select! {
-            came = incoming.accept() => match came {
-                Ok(came) => shared.admit(came, &closing),
+            accepted = incoming.accept() => match accepted {
+                Ok(accepted) => shared.admit(accepted, &closing),
                 Err(e) => {
-                    log::warn!("accept: {e}");
+                    log::warn!("accept failed; retrying: {e}");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             },
-            _ = restart_role.changed(), if has_other => {
-                has_other = restart_role.has_changed().is_ok();
+            _ = restart_role.changed(), if may_change_role => {
+                may_change_role = restart_role.has_changed().is_ok();
                 shared.shrink_to_share();
             }
             _ = stop.wait_for(|s| *s), if stopped.is_none() => {
@@ -212,12 +212,12 @@
                 stopped = Some(now);
                 let _ = shared.latest.set(now + shared.limits.answer_within);
             }
-            _ = tokio::time::sleep(rest) => {}
+            _ = tokio::time::sleep(sleep) => {}
         }
         if stopped.is_some_and(|since| shared.may_end(since.elapsed())) {
             break;
         }
-        // A crowd that leaves at once must have left before more of it come.
+        // Let connections that end after one request finish before more of them are accepted.
         if shared.limits.one_request_per_connection
             && shared.clients.load(Ordering::Relaxed) >= shared.limits.max_clients
         {
--- a/crates/coordinator/src/net/json_objects.rs
+++ b/crates/coordinator/src/net/json_objects.rs
@@ -1,33 +1,32 @@
-//! Whole JSON objects out of a stream, each on one line or indented over many. Decides from bytes alone; what
-//! can't become an object is told at the byte that shows it, as waiting for more would cost the time in which
-//! changes have to be heard.
+//! Splits a byte stream into complete JSON objects, each on one line or indented over many. Does no I/O. Invalid input
+//! is reported at the first byte that shows it: waiting for more would delay the list's changes.
 
 use bytes::{Bytes, BytesMut};
 
-/// Deepest nesting taken; lists have three levels.
+/// Deepest nesting accepted; host lists have three levels.
 pub const MAX_DEPTH: usize = 16;
 
-/// What stands next in the stream.
+/// The next item in the stream.
 #[derive(Debug, PartialEq)]
 pub enum Found {
-    /// A whole object.
+    /// A complete object.
     Object(Bytes),
     /// An empty line between objects.
     Empty,
 }
 
-/// Bytes that are no objects, or one over the limit.
+/// An error in the stream of objects.
 #[derive(Debug, PartialEq)]
 pub enum ObjectError {
-    /// Not JSON, or JSON that is no object.
+    /// The input is not JSON, or a JSON value that is not an object.
     Malformed,
-    /// An object that is larger than allowed.
+    /// An object is larger than allowed.
     TooLarge,
 }
 
-/// What may come next within an object.
+/// The tokens that may come next.
 #[derive(Clone, Copy, PartialEq)]
-enum Want {
+enum Expected {
     Key,
     KeyOrEnd,
     Colon,
@@ -36,31 +35,31 @@
     CommaOrEnd,
 }
 
-/// Where the last byte stood.
+/// The lexical context of the last byte.
 #[derive(Clone, Copy, PartialEq)]
-enum Position {
+enum Context {
     Between,
     Text,
     Escape,
     Word,
 }
 
-/// The reader.
+/// An incremental reader of JSON objects.
 pub struct ObjectReader {
     bytes: BytesMut,
-    /// Bytes looked at already.
+    /// Number of bytes scanned already.
     scanned: usize,
     max_bytes: usize,
-    /// The brackets that are open.
+    /// The brackets that are open, outermost first.
     open: Vec<u8>,
-    want: Want,
-    position: Position,
-    /// Whether the present line holds nothing so far.
-    empty: bool,
+    expected: Expected,
+    context: Context,
+    /// Whether the current line has only white space so far.
+    line_is_empty: bool,
 }
 
 impl ObjectReader {
-    /// A reader of objects of at most `max_bytes`.
+    /// Creates a reader of objects of at most `max_bytes` each.
     pub fn new(max_bytes: usize) -> Self {
         let (bytes, scanned, open) = (BytesMut::new(), 0, Vec::new());
         Self {
@@ -68,45 +67,45 @@
             scanned,
             max_bytes,
             open,
-            want: Want::Value,
-            position: Position::Between,
-            empty: true,
+            expected: Expected::Value,
+            context: Context::Between,
+            line_is_empty: true,
         }
     }
 
-    /// Where what comes next is put.
+    /// Returns the buffer to which received bytes are appended.
     pub fn input(&mut self) -> &mut BytesMut {
         &mut self.bytes
     }
 
-    /// The next object or empty line, if all of it is there.
+    /// Returns the next object or empty line; `None` if it is incomplete.
     ///
     /// # Errors
-    /// If the bytes are no JSON objects, or an object is too large.
+    /// If the input is not a sequence of JSON objects, or an object is too large.
     pub fn next_object(&mut self) -> Result<Option<Found>, ObjectError> {
         while let Some(byte) = self.bytes.get(self.scanned).copied() {
             self.scanned += 1;
             if byte == b'\n' {
-                let empty = std::mem::replace(&mut self.empty, true);
-                match (self.position, self.open.is_empty()) {
-                    (Position::Text | Position::Escape, _) => return Err(ObjectError::Malformed),
+                let empty = std::mem::replace(&mut self.line_is_empty, true);
+                match (self.context, self.open.is_empty()) {
+                    (Context::Text | Context::Escape, _) => return Err(ObjectError::Malformed),
                     (_, true) => {
                         drop(self.bytes.split_to(std::mem::take(&mut self.scanned)));
                         if empty {
                             return Ok(Some(Found::Empty));
                         }
                     }
-                    // An empty line comes between objects alone: the one before was never ended.
+                    // An empty line may only come between objects, so the object before it was cut off.
                     (_, false) if empty => return Err(ObjectError::Malformed),
-                    (_, false) => self.position = Position::Between,
+                    (_, false) => self.context = Context::Between,
                 }
                 continue;
             }
-            self.empty &= byte.is_ascii_whitespace();
-            self.step(byte).ok_or(ObjectError::Malformed)?;
+            self.line_is_empty &= byte.is_ascii_whitespace();
+            self.scan(byte).ok_or(ObjectError::Malformed)?;
             if self.open.is_empty() && byte == b'}' {
                 let object = self.bytes.split_to(std::mem::take(&mut self.scanned));
-                self.want = Want::Value;
+                self.expected = Expected::Value;
                 return Ok(Some(Found::Object(object.freeze())));
             }
             if self.scanned > self.max_bytes {
@@ -116,73 +115,75 @@
         Ok(None)
     }
 
-    /// One byte; `None` if it can't stand here.
-    fn step(&mut self, byte: u8) -> Option<()> {
-        match (self.position, byte) {
-            (Position::Escape, _) => self.position = Position::Text,
-            (Position::Text, b'\\') => self.position = Position::Escape,
-            (Position::Text, b'"') => self.position = Position::Between,
-            (Position::Text, _) => {}
+    /// Processes one byte. Returns `None` if it is not allowed here.
+    fn scan(&mut self, byte: u8) -> Option<()> {
+        match (self.context, byte) {
+            (Context::Escape, _) => self.context = Context::Text,
+            (Context::Text, b'\\') => self.context = Context::Escape,
+            (Context::Text, b'"') => self.context = Context::Between,
+            (Context::Text, _) => {}
             (_, b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'+' | b'-' | b'.') => {
-                if self.position != Position::Word {
-                    self.value()?;
-                    self.position = Position::Word;
+                if self.context != Context::Word {
+                    self.begin_value()?;
+                    self.context = Context::Word;
                 }
             }
             _ => {
-                self.position = Position::Between;
-                self.mark(byte)?;
+                self.context = Context::Between;
+                self.punctuation(byte)?;
             }
         }
         Some(())
     }
 
-    /// A value begins here, or none may. At the outside only an object does.
-    fn value(&mut self) -> Option<()> {
-        let may = matches!(self.want, Want::Value | Want::ValueOrEnd) && !self.open.is_empty();
-        self.want = Want::CommaOrEnd;
-        may.then_some(())
+    /// Begins a value. Returns `None` if none is allowed here, as outside of any object.
+    fn begin_value(&mut self) -> Option<()> {
+        let is_allowed = matches!(self.expected, Expected::Value | Expected::ValueOrEnd)
+            && !self.open.is_empty();
+        self.expected = Expected::CommaOrEnd;
+        is_allowed.then_some(())
     }
 
-    fn mark(&mut self, byte: u8) -> Option<()> {
-        let inside = self.open.last().copied();
-        match (byte, self.want) {
+    /// Processes a byte that is not part of a word or a string. Returns `None` if it is not allowed here.
+    fn punctuation(&mut self, byte: u8) -> Option<()> {
+        let innermost = self.open.last().copied();
+        match (byte, self.expected) {
             (b' ' | b'\t' | b'\r', _) => {}
-            (b'"', Want::Key | Want::KeyOrEnd) => {
-                (self.position, self.want) = (Position::Text, Want::Colon);
+            (b'"', Expected::Key | Expected::KeyOrEnd) => {
+                (self.context, self.expected) = (Context::Text, Expected::Colon);
             }
             (b'"', _) => {
-                self.value()?;
-                self.position = Position::Text;
+                self.begin_value()?;
+                self.context = Context::Text;
             }
             (b'{' | b'[', _) => {
-                if byte == b'[' || inside.is_some() {
-                    self.value()?;
+                if byte == b'[' || innermost.is_some() {
+                    self.begin_value()?;
                 }
                 self.open.push(byte);
-                self.want = if byte == b'{' {
-                    Want::KeyOrEnd
+                self.expected = if byte == b'{' {
+                    Expected::KeyOrEnd
                 } else {
-                    Want::ValueOrEnd
+                    Expected::ValueOrEnd
                 };
                 return (self.open.len() <= MAX_DEPTH).then_some(());
             }
-            (b'}', Want::KeyOrEnd | Want::CommaOrEnd) if inside == Some(b'{') => {
+            (b'}', Expected::KeyOrEnd | Expected::CommaOrEnd) if innermost == Some(b'{') => {
                 self.open.pop();
-                self.want = Want::CommaOrEnd;
+                self.expected = Expected::CommaOrEnd;
             }
-            (b']', Want::ValueOrEnd | Want::CommaOrEnd) if inside == Some(b'[') => {
+            (b']', Expected::ValueOrEnd | Expected::CommaOrEnd) if innermost == Some(b'[') => {
                 self.open.pop();
-                self.want = Want::CommaOrEnd;
+                self.expected = Expected::CommaOrEnd;
             }
-            (b',', Want::CommaOrEnd) => {
-                self.want = if inside? == b'{' {
-                    Want::Key
+            (b',', Expected::CommaOrEnd) => {
+                self.expected = if innermost? == b'{' {
+                    Expected::Key
                 } else {
-                    Want::Value
+                    Expected::Value
                 }
             }
-            (b':', Want::Colon) => self.want = Want::Value,
+            (b':', Expected::Colon) => self.expected = Expected::Value,
             _ => return None,
         }
         Some(())
--- a/crates/coordinator/src/net/link/connection.rs
+++ b/crates/coordinator/src/net/link/connection.rs
@@ -1,6 +1,6 @@
 //! A connection at work: what it has out, what it is told, and when it ends.
 
-use super::run::take_unconnected;
+use super::run::handle_unconnected;
 use super::{LinkCommand, LinkSetup};
 use crate::core::PartRequest;
 use crate::interface::{Outcome, RequestId};
@@ -14,23 +14,23 @@
 use tokio::io::Interest;
 use tokio::sync::mpsc;
 
-/// A cancellation that can't be written within this closes the connection, which cancels as well.
+/// Time within which a cancellation must be written. After that the connection is closed, which also cancels.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
-/// A frame that has begun to come and does not go on for so long will not.
+/// Time without further bytes after which an incomplete frame counts as malformed.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(250);
-/// How often a connection in use checks its time-outs.
+/// Interval at which a connection in use checks its timeouts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Limit on the names of answered parts that are kept: one more answer to one of these is a copy.
+/// Number of names of answered parts that are remembered. Another answer to one of these is a duplicate.
 pub(super) const MAX_ANSWERED_NAMES: usize = 32;
-/// Limit on the names of parts given up that are kept: an answer to one of these is late. An answer to any other
-/// name was never asked for.
+/// Number of names of cancelled parts that are remembered. An answer to one of these is late; an answer to any unknown
+/// name is an error.
 pub(super) const MAX_GIVEN_UP_NAMES: usize = 256;
 
 /// Why a connection ended.
 pub(super) struct LinkEnd {
     /// The reason code of the log.
     pub(super) code: &'static str,
-    /// What the log says beside it; may be empty.
+    /// Details for the log; may be empty.
     pub(super) detail: String,
 }
 
@@ -47,58 +47,66 @@
     LinkEnd::new("host_reset", error.to_string())
 }
 
-/// A part whose frame is written.
-pub(super) struct Out {
+/// A part whose frame has been written.
+pub(super) struct InFlightPart {
     pub(super) part: RequestId,
     pub(super) attempt: u32,
     pub(super) sent: Instant,
 }
 
-/// A call whose bytes are on their way.
+/// A call that is being written.
 pub(super) struct Sending {
     pub(super) parts: Vec<PartRequest>,
     pub(super) pieces: VecDeque<Bytes>,
-    /// Parts given up meanwhile.
+    /// Attempts that were cancelled while the call is being written.
     pub(super) given_up: Vec<(RequestId, u32, Outcome)>,
 }
 
-/// An open connection and all that is on it.
+/// An open connection with its queued calls and its parts in flight.
 pub(super) struct Link {
     pub(super) setup: LinkSetup,
     pub(super) conn: BufferedStream,
     pub(super) queue: VecDeque<Vec<PartRequest>>,
     pub(super) sending: Option<Sending>,
-    /// Parts whose frame is written, by their name.
-    pub(super) out: HashMap<String, Out>,
-    /// Short frames that wait for the ring.
-    pub(super) small: VecDeque<Bytes>,
-    /// Attempts given up whose withdrawal waits in the ring, and those whose withdrawal is written, with the
-    /// time for the core to hear of them.
-    pub(super) leaving: Vec<(RequestId, u32, Outcome)>,
-    pub(super) leaving_since: Instant,
-    pub(super) left: VecDeque<(Instant, RequestId, u32, Outcome)>,
+    /// Parts whose frame has been written, by their name on the wire.
+    pub(super) in_flight: HashMap<String, InFlightPart>,
+    /// Short frames that wait for room in the output buffer.
+    pub(super) short_frames: VecDeque<Bytes>,
+    /// Cancelled attempts whose cancellation has not been written completely.
+    pub(super) pending_cancels: Vec<(RequestId, u32, Outcome)>,
+    /// The time since which the oldest cancellation has been waiting.
+    pub(super) pending_cancels_since: Instant,
+    /// Cancelled attempts whose cancellation has been written, with the time at which to report them to the core.
+    pub(super) written_cancels: VecDeque<(Instant, RequestId, u32, Outcome)>,
+    /// Received bytes of an incomplete frame.
     pub(super) partial: BytesMut,
+    /// Names of the parts answered last.
     pub(super) answered: VecDeque<String>,
+    /// Names of the cancelled parts that have not been answered.
     pub(super) given_up: VecDeque<String>,
-    /// Parts given up that no answer has come for. To the host they are still on this connection: it reads
-    /// nothing behind the parts that it can carry, not even a withdrawal, so they count.
-    pub(super) gone: usize,
-    /// Whether the host sent more than belongs to an answer: what is out may still come, nothing new goes.
-    pub(super) spoilt: bool,
+    /// Number of cancelled parts without an answer. They count towards the connection's limit: a host at its limit of
+    /// parts on a connection reads nothing more from it, not even a cancellation.
+    pub(super) unanswered_cancels: usize,
+    /// Whether the host sent unexpected answers. Parts in flight may still be answered, but no new ones are sent.
+    pub(super) has_unexpected_input: bool,
+    /// Send times of the probes that have not been answered.
     pub(super) probes: VecDeque<Instant>,
-    pub(super) heard: Instant,
-    pub(super) used: Instant,
+    /// The time at which bytes were last received.
+    pub(super) last_received_at: Instant,
+    /// The time at which the connection was last used.
+    pub(super) last_used_at: Instant,
 }
 
-pub(super) fn remember(names: &mut VecDeque<String>, id: String, most: usize) {
+/// Appends a name, and drops the oldest one if there are more than `max_names`.
+pub(super) fn push_bounded(names: &mut VecDeque<String>, id: String, max_names: usize) {
     names.push_back(id);
-    if names.len() > most {
+    if names.len() > max_names {
         names.pop_front();
     }
 }
 
 impl Link {
-    /// A connection that has just come up.
+    /// Creates the state of a connection that was just established, with the calls that are queued for it.
     pub(super) fn new(
         setup: LinkSetup,
         conn: BufferedStream,
@@ -110,41 +118,42 @@
             conn,
             queue,
             sending: None,
-            out: HashMap::new(),
-            small: VecDeque::new(),
-            leaving: Vec::new(),
-            leaving_since: now,
-            left: VecDeque::new(),
+            in_flight: HashMap::new(),
+            short_frames: VecDeque::new(),
+            pending_cancels: Vec::new(),
+            pending_cancels_since: now,
+            written_cancels: VecDeque::new(),
             partial: BytesMut::new(),
             answered: VecDeque::new(),
             given_up: VecDeque::new(),
-            gone: 0,
-            spoilt: false,
+            unanswered_cancels: 0,
+            has_unexpected_input: false,
             probes: VecDeque::new(),
-            heard: now,
-            used: now,
+            last_received_at: now,
+            last_used_at: now,
         }
     }
 
-    pub(super) fn busy(&self) -> bool {
-        let waits = !self.queue.is_empty() || !self.probes.is_empty() || !self.left.is_empty();
-        self.sending.is_some() || !self.out.is_empty() || waits
+    pub(super) fn is_busy(&self) -> bool {
+        let has_pending =
+            !self.queue.is_empty() || !self.probes.is_empty() || !self.written_cancels.is_empty();
+        self.sending.is_some() || !self.in_flight.is_empty() || has_pending
     }
 
-    /// Tells the core of what was withdrawn by some time, or of all.
-    pub(super) fn tell_left(&mut self, by: Option<Instant>) {
+    /// Reports the written cancellations that are due by `by` to the core, or all of them if it is `None`.
+    pub(super) fn report_cancelled(&mut self, by: Option<Instant>) {
         while let Some((_, part, attempt, outcome)) = self
-            .left
+            .written_cancels
             .front()
             .copied()
             .filter(|l| by.is_none_or(|t| l.0 <= t))
         {
-            self.left.pop_front();
+            self.written_cancels.pop_front();
             self.setup.ended(part, attempt, outcome);
         }
     }
 
-    /// Works until the connection ends. Returns why it did.
+    /// Serves the connection until it ends, and returns the reason for its end.
     pub(super) async fn serve(&mut self) -> LinkEnd {
         let mut mailbox_open = true;
         loop {
@@ -154,37 +163,40 @@
         }
     }
 
-    /// Handles what waits, writes, and then waits for the next event.
+    /// Handles pending commands, writes, runs the checks, and then waits for the next event.
     async fn serve_once(&mut self, mailbox_open: &mut bool) -> Result<(), LinkEnd> {
         self.drain_mailbox(mailbox_open)?;
         self.write()
             .map_err(|e| LinkEnd::new("write_failed", e.to_string()))?;
         let now = Instant::now();
-        self.tell_left(Some(now));
-        let idle_left = self.setup.idle_limit().saturating_sub(now - self.used);
-        if !self.busy() {
+        self.report_cancelled(Some(now));
+        let idle_left = self
+            .setup
+            .idle_limit()
+            .saturating_sub(now - self.last_used_at);
+        if !self.is_busy() {
             self.conn.input.release_memory();
             self.conn.output.release_memory();
             self.partial = BytesMut::new();
         }
-        let is_unused = !self.busy() && self.leaving.is_empty();
+        let is_unused = !self.is_busy() && self.pending_cancels.is_empty();
         if is_unused && (idle_left.is_zero() || !*mailbox_open) {
             return self.close_unused(mailbox_open);
         }
         self.check_cancellations(now)?;
         self.check_probe(now);
         self.check_loss()?;
-        self.check_use()?;
+        self.check_usable()?;
         let sleep = self.until_next_check(now, idle_left);
         self.wait(sleep, mailbox_open).await
     }
 
-    /// Handles all mail that waits before the next byte goes out: a call must not begin if its cancellation has come
-    /// already.
+    /// Handles all commands in the mailbox before the next byte is written: a call must not start if its cancellation
+    /// is already there.
     fn drain_mailbox(&mut self, mailbox_open: &mut bool) -> Result<(), LinkEnd> {
         while *mailbox_open {
             match self.setup.mail.try_recv() {
-                Ok(mail) => self.take_or_end(mail)?,
+                Ok(command) => self.handle_command_or_end(command)?,
                 Err(mpsc::error::TryRecvError::Empty) => break,
                 Err(mpsc::error::TryRecvError::Disconnected) => *mailbox_open = false,
             }
@@ -192,25 +204,25 @@
         Ok(())
     }
 
-    fn take_or_end(&mut self, mail: LinkCommand) -> Result<(), LinkEnd> {
-        if self.take(mail) {
+    fn handle_command_or_end(&mut self, command: LinkCommand) -> Result<(), LinkEnd> {
+        if self.handle_command(command) {
             Ok(())
         } else {
             Err(LinkEnd::new("released", ""))
         }
     }
 
-    /// Closes the mailbox of a connection that is not used. Calls that are in it already are still served; only new
-    /// ones go elsewhere.
+    /// Closes the mailbox of an idle connection. Calls that are in it already are still served; new ones use other
+    /// connections.
     fn close_unused(&mut self, mailbox_open: &mut bool) -> Result<(), LinkEnd> {
         if !*mailbox_open {
             return Err(LinkEnd::new("peer_gone", ""));
         }
         self.setup.mail.close();
-        let Ok(mail) = self.setup.mail.try_recv() else {
+        let Ok(command) = self.setup.mail.try_recv() else {
             return Err(LinkEnd::new("idle", ""));
         };
-        *mailbox_open = self.take(mail);
+        *mailbox_open = self.handle_command(command);
         Ok(())
     }
 
@@ -219,17 +231,17 @@
             .sending
             .as_ref()
             .is_some_and(|s| !s.given_up.is_empty());
-        let waits = waits_behind_call || !self.leaving.is_empty();
-        if waits && now - self.leaving_since > CANCEL_TIMEOUT {
+        let is_waiting = waits_behind_call || !self.pending_cancels.is_empty();
+        if is_waiting && now - self.pending_cancels_since > CANCEL_TIMEOUT {
             return Err(LinkEnd::new(
                 "withdrawn",
-                "a withdrawal could not be written",
+                "a cancellation could not be written in time",
             ));
         }
         Ok(())
     }
 
-    /// Fails the probes if the oldest one has no answer in time.
+    /// Fails all probes if the oldest one was not answered in time.
     fn check_probe(&mut self, now: Instant) {
         let is_late = self
             .probes
@@ -237,57 +249,67 @@
             .is_some_and(|sent_at| now - *sent_at > self.setup.connect_timeout);
         if is_late {
             self.probes.clear();
-            self.probed(Outcome::Timeout, None);
+            self.report_probe(Outcome::Timeout, None);
             self.setup.load.silent.store(true, Ordering::Relaxed);
         }
     }
 
     fn check_loss(&self) -> Result<(), LinkEnd> {
         let detector = &self.setup.stall_detector;
-        if detector.is_lost(self.setup.load.waits(), self.setup.connect_timeout) {
-            let parts = self.out.len();
-            let detail = format!("{parts} parts out, later ones answered elsewhere");
+        if detector.is_lost(self.setup.load.waiting_since(), self.setup.connect_timeout) {
+            let parts = self.in_flight.len();
+            let detail =
+                format!("{parts} parts in flight; later ones were answered on other connections");
             return Err(LinkEnd::new("silent", detail));
         }
         Ok(())
     }
 
-    /// Ends a connection that can carry no more calls.
-    fn check_use(&self) -> Result<(), LinkEnd> {
-        let needs_places = !self.queue.is_empty() || self.gone > self.setup.streams / 4;
+    /// Ends a connection that can't carry further calls.
+    fn check_usable(&self) -> Result<(), LinkEnd> {
+        let needs_places =
+            !self.queue.is_empty() || self.unanswered_cancels > self.setup.streams / 4;
         let has_nothing_out =
-            self.sending.is_none() && self.out.is_empty() && self.probes.is_empty();
-        let has_nothing_leaving = self.left.is_empty() && self.leaving.is_empty();
-        if self.gone > 0 && needs_places && has_nothing_out && has_nothing_leaving {
-            let detail = format!("{} parts given up", self.gone);
+            self.sending.is_none() && self.in_flight.is_empty() && self.probes.is_empty();
+        let has_nothing_leaving =
+            self.written_cancels.is_empty() && self.pending_cancels.is_empty();
+        if self.unanswered_cancels > 0 && needs_places && has_nothing_out && has_nothing_leaving {
+            let detail = format!(
+                "{} cancelled parts without an answer",
+                self.unanswered_cancels
+            );
             return Err(LinkEnd::new("worn", detail));
         }
-        // A silent connection carries no new calls: once nothing is out on it, it is of no use.
+        // A silent connection gets no new calls, so it is useless once nothing is in flight on it.
         let is_silent = self.setup.load.silent.load(Ordering::Relaxed);
-        if is_silent && !self.busy() && self.leaving.is_empty() {
-            let code = if self.spoilt { "extra_bytes" } else { "silent" };
+        if is_silent && !self.is_busy() && self.pending_cancels.is_empty() {
+            let code = if self.has_unexpected_input {
+                "extra_bytes"
+            } else {
+                "silent"
+            };
             return Err(LinkEnd::new(code, ""));
         }
         Ok(())
     }
 
-    /// How long to wait for an event at most.
+    /// Returns the longest time to wait for an event.
     fn until_next_check(&self, now: Instant, idle_left: Duration) -> Duration {
-        let mut wait = if self.busy() || !self.leaving.is_empty() {
+        let mut wait = if self.is_busy() || !self.pending_cancels.is_empty() {
             CHECK_INTERVAL
         } else {
             idle_left
         };
-        if let Some(left) = self.left.front() {
-            wait = wait.min(left.0 - now);
+        if let Some(cancel) = self.written_cancels.front() {
+            wait = wait.min(cancel.0 - now);
         }
         if !self.partial.is_empty() {
-            wait = wait.min((self.heard + FRAME_TIMEOUT).saturating_duration_since(now));
+            wait = wait.min((self.last_received_at + FRAME_TIMEOUT).saturating_duration_since(now));
         }
         wait
     }
 
-    /// Waits for mail, for the socket, or for so long.
+    /// Waits for a command or for the socket, for at most `sleep`.
     async fn wait(&mut self, sleep: Duration, mailbox_open: &mut bool) -> Result<(), LinkEnd> {
         let interest = if self.conn.output.is_empty() {
             Interest::READABLE
@@ -296,8 +318,8 @@
         };
         tokio::select! {
             biased;
-            mail = self.setup.mail.recv(), if *mailbox_open => match mail {
-                Some(mail) => self.take_or_end(mail)?,
+            command = self.setup.mail.recv(), if *mailbox_open => match command {
+                Some(command) => self.handle_command_or_end(command)?,
                 None => *mailbox_open = false,
             },
             ready = self.conn.stream.ready(interest) => {
@@ -308,10 +330,11 @@
                     Err(e) => return Err(host_reset(&e)),
                 }
             }
-            // Only here, with nothing left to read: the time that this process stood still is not the host's.
+            // Checked only here, with nothing left to read: time in which this process was stalled does not count
+            // against the host.
             () = tokio::time::sleep(sleep) => {
-                if !self.partial.is_empty() && self.heard.elapsed() >= FRAME_TIMEOUT {
-                    return Err(LinkEnd::new("bad_frame", "a frame that does not end"));
+                if !self.partial.is_empty() && self.last_received_at.elapsed() >= FRAME_TIMEOUT {
+                    return Err(LinkEnd::new("bad_frame", "an incomplete frame timed out"));
                 }
             }
         }
@@ -327,22 +350,24 @@
         }
     }
 
-    /// Takes one message; false if the connection is to be closed.
-    pub(super) fn take(&mut self, mail: LinkCommand) -> bool {
-        match mail {
+    /// Handles one command. Returns false if the connection is to be closed.
+    pub(super) fn handle_command(&mut self, command: LinkCommand) -> bool {
+        match command {
             LinkCommand::Call(parts) => {
-                self.used = Instant::now();
+                self.last_used_at = Instant::now();
                 self.queue.push_back(parts);
             }
             LinkCommand::Cancel(part, attempt, outcome) => self.cancel(part, attempt, outcome),
-            LinkCommand::Retract(..) => take_unconnected(&mut self.setup, &mut self.queue, mail),
+            LinkCommand::Retract(..) => {
+                handle_unconnected(&mut self.setup, &mut self.queue, command)
+            }
             LinkCommand::Probe => {
-                self.used = Instant::now();
-                self.probes.push_back(self.used);
-                self.small.push_back(frames::short(b'l', ""));
+                self.last_used_at = Instant::now();
+                self.probes.push_back(self.last_used_at);
+                self.short_frames.push_back(frames::encode_short(b'l', ""));
             }
             LinkCommand::StopAt(at) => self.setup.stop_at = at,
-            LinkCommand::Release => return self.busy(),
+            LinkCommand::Release => return self.is_busy(),
         }
         true
     }
@@ -350,49 +375,52 @@
     pub(super) fn cancel(&mut self, part: RequestId, attempt: u32, outcome: Outcome) {
         let key = (part, attempt);
         if let Some(id) = self
-            .out
+            .in_flight
             .iter()
             .find(|(_, o)| (o.part, o.attempt) == key)
             .map(|(id, _)| id.clone())
         {
-            let sent = self.out.remove(&id).map(|o| o.sent);
-            let (waits, now) = (self.setup.load.waits(), Instant::now());
-            let stalled =
-                self.setup
-                    .stall_detector
-                    .is_stalled(waits, now, self.setup.connect_timeout);
-            if (outcome == Outcome::Timeout || stalled) && sent.is_some_and(|s| self.heard < s) {
+            let sent = self.in_flight.remove(&id).map(|o| o.sent);
+            let (waiting_since, now) = (self.setup.load.waiting_since(), Instant::now());
+            let stalled = self.setup.stall_detector.is_stalled(
+                waiting_since,
+                now,
+                self.setup.connect_timeout,
+            );
+            if (outcome == Outcome::Timeout || stalled)
+                && sent.is_some_and(|s| self.last_received_at < s)
+            {
                 self.setup.load.silent.store(true, Ordering::Relaxed);
             }
             self.setup
                 .load
-                .set_waits(waits.filter(|_| !self.out.is_empty()));
-            self.small.push_back(frames::short(b'c', &id));
-            remember(&mut self.given_up, id, MAX_GIVEN_UP_NAMES);
-            self.gone += 1;
+                .set_waiting_since(waiting_since.filter(|_| !self.in_flight.is_empty()));
+            self.short_frames.push_back(frames::encode_short(b'c', &id));
+            push_bounded(&mut self.given_up, id, MAX_GIVEN_UP_NAMES);
+            self.unanswered_cancels += 1;
             self.setup.load.parts.fetch_add(1, Ordering::Relaxed);
-            self.leave(part, attempt, outcome);
+            self.queue_cancel(part, attempt, outcome);
         } else if let Some(s) = self.sending.as_mut() {
-            // Its frame has begun and must be finished; the withdrawal follows it.
+            // Its frame is partly written and must be completed; the cancellation follows it.
             if s.parts.iter().any(|p| (p.part, p.attempt) == key) {
-                if self.leaving.is_empty() && s.given_up.is_empty() {
-                    self.leaving_since = Instant::now();
+                if self.pending_cancels.is_empty() && s.given_up.is_empty() {
+                    self.pending_cancels_since = Instant::now();
                 }
                 s.given_up.push((part, attempt, outcome));
                 return;
             }
         }
-        take_unconnected(
+        handle_unconnected(
             &mut self.setup,
             &mut self.queue,
             LinkCommand::Cancel(part, attempt, outcome),
         );
     }
 
-    fn leave(&mut self, part: RequestId, attempt: u32, outcome: Outcome) {
-        if self.leaving.is_empty() {
-            self.leaving_since = Instant::now();
+    fn queue_cancel(&mut self, part: RequestId, attempt: u32, outcome: Outcome) {
+        if self.pending_cancels.is_empty() {
+            self.pending_cancels_since = Instant::now();
         }
-        self.leaving.push((part, attempt, outcome));
+        self.pending_cancels.push((part, attempt, outcome));
     }
 }
--- a/crates/coordinator/src/net/link/mod.rs
+++ b/crates/coordinator/src/net/link/mod.rs
@@ -1,5 +1,5 @@
-//! One connection to a district host: calls out, answers in. Every part handed to a link is reported
-//! to the core once, whatever becomes of the connection.
+//! One connection (link) to a district host, which sends calls and receives answers. The end of every part handed to a
+//! link is reported to the core exactly once, however the connection ends.
 
 mod connection;
 mod reading;
@@ -20,100 +20,106 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Share of the host's own idle time after which a link closes: before the host does, so that no call
-/// is written to a connection that is being closed.
+/// Share of the host's idle timeout after which a link closes. The link closes before the host does, so that no call is
+/// written to a connection that the host is closing.
 const IDLE_SHARE: f64 = 0.7;
-/// A withdrawal is told to the core so long after it was written, or the connection closed: the host reads
-/// its connections in no common order, and a resend to another must not come to light before it.
+/// Delay between writing a cancellation (or closing the connection) and reporting it to the core. A host reads its
+/// connections in no fixed order, and must not see a resend on another connection before the cancellation.
 pub const CANCEL_REPORT_DELAY: Duration = Duration::from_millis(3);
 
-/// What a link is told.
+/// A command to a link.
 pub enum LinkCommand {
-    /// Send these parts as one call.
+    /// Sends these parts as one call.
     Call(Vec<PartRequest>),
-    /// Give an attempt up.
+    /// Cancels an attempt, which ends with this outcome.
     Cancel(RequestId, u32, Outcome),
-    /// Take an attempt back if it has not begun.
+    /// Retracts an attempt if it has not been sent.
     Retract(RequestId, u32),
-    /// Probe the host.
+    /// Probes the host.
     Probe,
-    /// Start no more calls after this; `None` lifts it.
+    /// Sets the time after which no call starts; `None` removes it.
     StopAt(Option<Instant>),
-    /// Close if nothing is out.
+    /// Closes the connection if nothing is in flight on it.
     Release,
 }
 
-/// What a link shows its peer actor.
+/// The load of a link, as shared with its host's actor.
 #[derive(Default)]
 pub struct ConnectionLoad {
-    /// Parts handed over and not ended.
+    /// Number of parts handed to the link that have not ended.
     pub parts: AtomicUsize,
-    /// Whether it keeps a part waiting in silence: new calls go elsewhere.
+    /// Whether the link has stopped answering, so that new calls must use other links.
     pub silent: AtomicBool,
-    /// Since when it has kept parts waiting and said nothing; `None` with none out.
-    waits: Mutex<Option<Instant>>,
+    /// The time since which parts have been waiting without any received byte; `None` with no part in flight.
+    waiting_since: Mutex<Option<Instant>>,
 }
 
 impl ConnectionLoad {
-    /// Since when the link has kept parts waiting and said nothing; `None` with none out.
-    pub fn waits(&self) -> Option<Instant> {
-        *self.waits.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the time since which parts have been waiting without any received byte; `None` with no part in flight.
+    pub fn waiting_since(&self) -> Option<Instant> {
+        *self
+            .waiting_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets since when parts wait.
-    pub fn set_waits(&self, since: Option<Instant>) {
-        *self.waits.lock().unwrap_or_else(PoisonError::into_inner) = since;
+    /// Sets the time since which parts have been waiting.
+    pub fn set_waiting_since(&self, since: Option<Instant>) {
+        *self
+            .waiting_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = since;
     }
 }
 
-/// All that a link needs.
+/// The parameters and shared state of a link.
 pub struct LinkSetup {
-    /// The host.
+    /// The host to connect to.
     pub server: ServerId,
-    /// Its address.
+    /// The host's address.
     pub addr: String,
-    /// Parts that a connection carries at once.
+    /// Number of parts that a connection carries at once.
     pub streams: usize,
-    /// Time in which a connection must be up.
+    /// Time within which a connection must be established.
     pub connect_timeout: Duration,
     /// Time after which hosts close an idle connection.
     pub idle: Duration,
-    /// No call starts after this.
+    /// The time after which no call starts, if any.
     pub stop_at: Option<Instant>,
-    /// The host's gate, which closes for all cores at once, and the origin of its times.
+    /// The host's drain gate, which closes for all cores at once, with the origin of its times.
     pub gate: Option<(Arc<DrainGate>, Instant)>,
-    /// Its mailbox.
+    /// The mailbox of the link.
     pub mail: mpsc::UnboundedReceiver<LinkCommand>,
-    /// What its peer sees of it.
+    /// The load that the host's actor sees.
     pub load: Arc<ConnectionLoad>,
-    /// How fast the host answers, over all its links.
+    /// The stall detector, shared by all links to the host.
     pub stall_detector: Arc<StallDetector>,
-    /// The core's mailbox.
+    /// The mailbox of the core.
     pub core: mpsc::UnboundedSender<CoreMessage>,
-    /// The counters.
+    /// The process's counters.
     pub counters: Counters,
 }
 
-/// A link at work.
+/// The task that runs a link.
 pub type LinkTask = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// How a kind of host is spoken to.
+/// A wire protocol for hosts.
 pub trait Dialect: Send + Sync + 'static {
-    /// Opens a link; it lives until its connection ends.
+    /// Opens a link. The task ends with its connection.
     fn open(&self, setup: LinkSetup) -> LinkTask;
 
-    /// Whether a link with `out` parts on it has room for `parts` more.
+    /// Returns whether a link with `out` parts in flight has room for `parts` more, if it may carry `streams` at once.
     fn room(&self, out: usize, parts: usize, streams: usize) -> bool {
         out + parts <= streams
     }
 
-    /// Connections to one host at once. Descriptors are few.
+    /// Returns the largest number of connections to one host. It is small, since file descriptors are limited.
     fn max_connections(&self) -> usize {
         6
     }
 }
 
-/// The dialect of frames.
+/// The frame protocol of district hosts.
 pub struct Frames;
 
 impl Dialect for Frames {
@@ -134,36 +140,37 @@
         });
     }
 
-    /// The same with all that came along.
+    /// Reports the end of a part with its value and load report.
     pub fn report(&self, ended: AttemptEnd) {
         self.load.parts.fetch_sub(1, Ordering::Relaxed);
         let _ = self.core.send(CoreMessage::AttemptEnded(ended));
     }
 
-    /// Time without use after which the link closes by itself.
+    /// Returns the time without use after which the link closes itself.
     pub fn idle_limit(&self) -> Duration {
         self.idle.mul_f64(IDLE_SHARE)
     }
 
-    /// The parts of a call that may still be sent; the others end here, never sent. Waiting for a connection and in our
-    /// own buffers counts against a part's time-out, against the window of its key and against a drain's grace.
+    /// Returns the parts of a call that may still be sent, and ends the others as not sent. The time spent waiting for
+    /// a connection and in this process's buffers counts against a part's timeout, the window of its idempotency key
+    /// and the grace of a drain.
     pub fn sendable(&self, call: Vec<PartRequest>, now: Instant) -> Vec<PartRequest> {
-        let shut = |(gate, origin): &(Arc<DrainGate>, Instant)| {
+        let is_closed = |(gate, origin): &(Arc<DrainGate>, Instant)| {
             !gate.allows_send(now.saturating_duration_since(*origin).as_micros() as u64)
         };
         let stopped =
-            self.stop_at.is_some_and(|t| now >= t) || self.gate.as_ref().is_some_and(shut);
-        let (go, stay): (Vec<_>, Vec<_>) = call
+            self.stop_at.is_some_and(|t| now >= t) || self.gate.as_ref().is_some_and(is_closed);
+        let (sendable, withheld): (Vec<_>, Vec<_>) = call
             .into_iter()
             .partition(|p| !stopped && p.may_be_sent(now));
-        for p in stay {
+        for p in withheld {
             self.counters.inc("sent.withheld");
             if !p.may_be_repeated(now) {
                 self.counters.inc("sent.withheld.window");
             }
             self.ended(p.part, p.attempt, Outcome::NotSent);
         }
-        go
+        sendable
     }
 
     /// Logs the end of a connection with its reason code.
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -1,4 +1,4 @@
-//! A link's life: it connects, works, and hands back what never ran once the connection has ended.
+//! The lifecycle of a link: it connects, serves calls, and reports the parts that remain when the connection ends.
 
 use super::connection::{Link, LinkEnd};
 use super::{LinkCommand, LinkSetup, CANCEL_REPORT_DELAY};
@@ -10,32 +10,32 @@
 use std::time::Instant;
 use tokio::io::AsyncWriteExt;
 
-const INPUT: usize = 16 * 1024;
-const OUTPUT: usize = 16 * 1024;
-/// Reason codes of connections that ended over what the host sent.
-const SPOILT: [&str; 3] = ["bad_frame", "unknown_part", "host_refused_frame"];
+const INPUT_BUFFER_BYTES: usize = 16 * 1024;
+const OUTPUT_BUFFER_BYTES: usize = 16 * 1024;
+/// Reason codes of connections that ended because of invalid input from the host.
+const INVALID_INPUT_CODES: [&str; 3] = ["bad_frame", "unknown_part", "host_refused_frame"];
 
 pub(super) async fn run(mut setup: LinkSetup) {
     let mut queue = VecDeque::new();
     loop {
-        let mut held = Held::default();
+        let mut held = HeldCommands::default();
         let conn = match connect(&mut setup, &mut queue, &mut held).await {
             Ok(conn) => conn,
             Err(e) => {
                 setup.mail.close();
                 setup.log_end("connect_failed", &e.to_string());
                 (0..held.probes)
-                    .for_each(|_| take_unconnected(&mut setup, &mut queue, LinkCommand::Probe));
-                refuse_all(&mut setup, queue);
+                    .for_each(|_| handle_unconnected(&mut setup, &mut queue, LinkCommand::Probe));
+                fail_queued_parts(&mut setup, queue);
                 return;
             }
         };
         setup.counters.inc("links.opened");
         let mut link = Link::new(setup, conn, queue);
         for _ in 0..held.probes {
-            link.take(LinkCommand::Probe);
+            link.handle_command(LinkCommand::Probe);
         }
-        let LinkEnd { code, detail } = if held.release && !link.busy() {
+        let LinkEnd { code, detail } = if held.release && !link.is_busy() {
             LinkEnd::new("released", "")
         } else {
             link.serve().await
@@ -45,97 +45,103 @@
         link.setup
             .load
             .parts
-            .fetch_sub(link.gone, Ordering::Relaxed);
+            .fetch_sub(link.unanswered_cancels, Ordering::Relaxed);
         if matches!(code, "host_closed" | "host_reset" | "write_failed") {
             link.setup.stall_detector.record_end(
-                link.heard,
+                link.last_received_at,
                 Instant::now(),
                 link.setup.connect_timeout,
             );
         } else {
-            // The end is ours: the host has to see it before the core hears of it.
+            // This side ends the connection: the host has to see that before the core is told.
             let _ = link.conn.stream.shutdown().await;
             tokio::time::sleep(CANCEL_REPORT_DELAY).await;
         }
-        let unused = link.sending.is_none() && link.out.is_empty() && closed;
-        // A host that sends what can't be read is alive; the parts that waited there may have run.
-        link.fail_started(if SPOILT.contains(&code) {
+        let unused = link.sending.is_none() && link.in_flight.is_empty() && closed;
+        // A host that sends invalid input is alive; the parts that waited on the connection may have run.
+        link.fail_started(if INVALID_INPUT_CODES.contains(&code) {
             Outcome::Error
         } else {
             Outcome::Reset
         });
         (setup, queue) = (link.setup, link.queue);
-        // A host that closes an unused connection while a call is on its way to it has refused nothing.
-        while let Some(mail) = unused.then(|| setup.mail.try_recv().ok()).flatten() {
-            take_unconnected(&mut setup, &mut queue, mail);
+        // A host that closes an idle connection while a call is on its way has not refused the call.
+        while let Some(command) = unused.then(|| setup.mail.try_recv().ok()).flatten() {
+            handle_unconnected(&mut setup, &mut queue, command);
         }
         if !unused || queue.is_empty() {
             setup.mail.close();
-            refuse_all(&mut setup, queue);
+            fail_queued_parts(&mut setup, queue);
             return;
         }
     }
 }
 
-/// What came while a connection was being opened and needs it.
+/// Commands that were received during connection setup and need the connection.
 #[derive(Default)]
-struct Held {
+struct HeldCommands {
     probes: usize,
     release: bool,
 }
 
-/// Connects, and meanwhile takes what comes: a part given up before the connection is up is over at once and
-/// never goes out on it. What needs the connection is held until it is there.
+/// Connects, and handles commands in the meantime: a part that is cancelled before the connection is established ends
+/// at once and is never sent. Commands that need the connection are held until it is established.
 async fn connect(
     setup: &mut LinkSetup,
     queue: &mut VecDeque<Vec<PartRequest>>,
-    held: &mut Held,
+    held: &mut HeldCommands,
 ) -> std::io::Result<BufferedStream> {
     let addr = setup.addr.clone();
-    let connecting = BufferedStream::connect(&addr, setup.connect_timeout, INPUT, OUTPUT);
+    let connecting = BufferedStream::connect(
+        &addr,
+        setup.connect_timeout,
+        INPUT_BUFFER_BYTES,
+        OUTPUT_BUFFER_BYTES,
+    );
     tokio::pin!(connecting);
     loop {
         tokio::select! {
             biased;
-            Some(mail) = setup.mail.recv() => match mail {
+            Some(command) = setup.mail.recv() => match command {
                 LinkCommand::Probe => held.probes += 1,
                 LinkCommand::Release => held.release = true,
-                mail => take_unconnected(setup, queue, mail),
+                command => handle_unconnected(setup, queue, command),
             },
             opened = &mut connecting => return opened,
         }
     }
 }
 
-/// Takes an attempt out of the calls that have not begun; whether it was there.
+/// Removes an attempt from the queued calls. Returns whether it was among them.
 pub fn remove_queued_attempt(
     queue: &mut VecDeque<Vec<PartRequest>>,
     part: RequestId,
     attempt: u32,
 ) -> bool {
     let this = |p: &PartRequest| (p.part, p.attempt) == (part, attempt);
-    let there = queue.iter().flatten().any(this);
+    let was_queued = queue.iter().flatten().any(this);
     queue.iter_mut().for_each(|c| c.retain(|p| !this(p)));
     queue.retain(|c| !c.is_empty());
-    there
+    was_queued
 }
 
-pub(super) fn take_unconnected(
+/// Handles a command without using a connection.
+pub(super) fn handle_unconnected(
     setup: &mut LinkSetup,
     queue: &mut VecDeque<Vec<PartRequest>>,
-    mail: LinkCommand,
+    command: LinkCommand,
 ) {
-    match mail {
+    match command {
         LinkCommand::Call(parts) => queue.push_back(parts),
         LinkCommand::Cancel(part, attempt, outcome) => {
             if remove_queued_attempt(queue, part, attempt) {
-                // Never sent, so never ran, whatever it was given up for.
-                let never = if outcome == Outcome::Timeout {
+                // It was never sent, so it never ran, even if it timed out.
+                let outcome = if outcome == Outcome::Timeout {
                     Outcome::NotSent
                 } else {
                     outcome
                 };
-                setup.ended(part, attempt, never);
+                setup.ended(part, attempt, outcome);
             }
         }
         LinkCommand::Retract(part, attempt) => {
@@ -152,10 +158,10 @@
     }
 }
 
-/// No connection came about: nothing that waits for it has run.
-fn refuse_all(setup: &mut LinkSetup, mut queue: VecDeque<Vec<PartRequest>>) {
-    while let Ok(mail) = setup.mail.try_recv() {
-        take_unconnected(setup, &mut queue, mail);
+/// Fails all queued parts, which have not run because there is no connection.
+fn fail_queued_parts(setup: &mut LinkSetup, mut queue: VecDeque<Vec<PartRequest>>) {
+    while let Ok(command) = setup.mail.try_recv() {
+        handle_unconnected(setup, &mut queue, command);
     }
     for p in queue.into_iter().flatten() {
         setup.ended(p.part, p.attempt, Outcome::ConnectFailed);
--- a/crates/coordinator/src/net/link/writing.rs
+++ b/crates/coordinator/src/net/link/writing.rs
@@ -1,6 +1,6 @@
-//! Writing: calls and short frames go through the ring into the socket.
+//! Writes calls and short frames to the socket through the output buffer.
 
-use super::connection::{Link, Out, Sending};
+use super::connection::{InFlightPart, Link, Sending};
 use super::CANCEL_REPORT_DELAY;
 use crate::core::PartRequest;
 use crate::interface::Outcome;
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 impl Link {
-    /// Moves what waits into the ring and the ring into the socket, as far as both go.
+    /// Moves pending output into the buffer and from there into the socket, as far as both accept it.
     pub(super) fn write(&mut self) -> std::io::Result<()> {
         loop {
             if let Some(s) = self.sending.as_mut() {
@@ -23,14 +23,14 @@
                     s.pieces.pop_front();
                 }
             }
-            // Short frames go between calls, never into one.
+            // Short frames are written between calls, never within one.
             while self.sending.is_none()
                 && self
-                    .small
+                    .short_frames
                     .front()
                     .is_some_and(|f| f.len() <= self.conn.output.free())
             {
-                let frame = self.small.pop_front().unwrap_or_default();
+                let frame = self.short_frames.pop_front().unwrap_or_default();
                 self.conn.output.put(&frame);
             }
             self.conn.push()?;
@@ -38,16 +38,16 @@
                 return Ok(());
             }
             match self.sending.take() {
-                Some(s) if s.pieces.is_empty() => self.written(s),
+                Some(s) if s.pieces.is_empty() => self.call_written(s),
                 Some(s) => self.sending = Some(s),
-                None if !self.small.is_empty() => {}
+                None if !self.short_frames.is_empty() => {}
                 None => {
-                    // All that was to be withdrawn has been: in a moment the core may send those parts again.
-                    let heard = Instant::now() + CANCEL_REPORT_DELAY;
-                    self.left.extend(
-                        self.leaving
+                    // All pending cancellations are written; after the delay the core may send those parts again.
+                    let report_at = Instant::now() + CANCEL_REPORT_DELAY;
+                    self.written_cancels.extend(
+                        self.pending_cancels
                             .drain(..)
-                            .map(|(p, n, outcome)| (heard, p, n, outcome)),
+                            .map(|(p, n, outcome)| (report_at, p, n, outcome)),
                     );
                     if !self.begin_call() {
                         return Ok(());
@@ -57,10 +57,13 @@
         }
     }
 
-    /// A call starts only once the ring is empty, so that it does not wait there past its time.
+    /// Starts the next call that fits on the connection. Returns whether there was one. It is called only once the
+    /// buffer is empty, so that a call does not wait there past its timeout.
     fn begin_call(&mut self) -> bool {
-        let there = self.out.len() + self.gone;
-        let room = |c: &Vec<PartRequest>| there == 0 || there + c.len() <= self.setup.streams;
+        let parts_on_connection = self.in_flight.len() + self.unanswered_cancels;
+        let room = |c: &Vec<PartRequest>| {
+            parts_on_connection == 0 || parts_on_connection + c.len() <= self.setup.streams
+        };
         let Some(call) = self
             .queue
             .front()
@@ -72,19 +75,19 @@
         };
         let now = Instant::now();
         let mut parts = self.setup.sendable(call, now);
-        // Two queries by one name would share their parts' names: the answers could not be told apart, and
-        // one of the two would wait for ever.
+        // Two queries with the same name would have parts with the same names: their answers could not be told apart,
+        // and one of the two would wait forever.
         let mut names: HashSet<String> = HashSet::new();
         parts.retain(|p| {
             let id = frames::part_id(p);
-            let fresh = !self.out.contains_key(&id) && names.insert(id);
+            let fresh = !self.in_flight.contains_key(&id) && names.insert(id);
             if !fresh {
                 self.setup.ended(p.part, p.attempt, Outcome::NotSent);
             }
             fresh
         });
         if !parts.is_empty() {
-            let pieces = frames::call(&parts, now).into();
+            let pieces = frames::encode_call(&parts, now).into();
             self.sending = Some(Sending {
                 parts,
                 pieces,
@@ -94,22 +97,22 @@
         true
     }
 
-    /// The last byte of a call is out.
-    fn written(&mut self, sending: Sending) {
+    /// Records that the last byte of a call was written.
+    fn call_written(&mut self, sending: Sending) {
         let now = Instant::now();
-        self.used = now;
+        self.last_used_at = now;
         self.setup.counters.add("tries", sending.parts.len() as u64);
         for p in &sending.parts {
-            let out = Out {
+            let out = InFlightPart {
                 part: p.part,
                 attempt: p.attempt,
                 sent: now,
             };
-            self.out.insert(frames::part_id(p), out);
+            self.in_flight.insert(frames::part_id(p), out);
         }
         self.setup
             .load
-            .set_waits(self.setup.load.waits().or(Some(now)));
+            .set_waiting_since(self.setup.load.waiting_since().or(Some(now)));
         for (part, attempt, outcome) in sending.given_up {
             self.cancel(part, attempt, outcome);
         }
--- a/crates/coordinator/src/net/mod.rs
+++ b/crates/coordinator/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! Everything that touches sockets: connections with their ring buffers, HTTP, frames, the actors of
-//! the hosts and of the host list.
+//! Network I/O: buffered connections, HTTP, the hosts' frame protocol, and the actors for hosts, the host list and
+//! gossip.
 
 pub mod backoff;
 pub mod buffered_stream;
--- a/crates/coordinator/src/net/ring_buffer.rs
+++ b/crates/coordinator/src/net/ring_buffer.rs
@@ -3,8 +3,8 @@
 use std::io;
 use tokio::net::TcpStream;
 
-/// A ring buffer. It never grows: a full one takes no more from whoever fills it. It allocates its memory with the
-/// first byte, and [`RingBuffer::release_memory`] frees it: idle connections hold none.
+/// A ring buffer of fixed capacity; a full one accepts no more bytes. It allocates its memory with the first byte, and
+/// [`RingBuffer::release_memory`] frees it, so that idle connections hold none.
 pub struct RingBuffer {
     buf: Box<[u8]>,
     capacity: usize,
@@ -13,7 +13,7 @@
 }
 
 impl RingBuffer {
-    /// An empty ring for this many bytes.
+    /// Creates an empty buffer of `capacity` bytes, at least 1.
     pub fn new(capacity: usize) -> Self {
         Self {
             buf: Box::default(),
@@ -23,35 +23,35 @@
         }
     }
 
-    /// Frees the memory if nothing is held.
+    /// Frees the memory if the buffer is empty.
     pub fn release_memory(&mut self) {
         if self.len == 0 {
             self.buf = Box::default();
         }
     }
 
-    /// Bytes held.
+    /// Returns the number of bytes held.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds nothing.
+    /// Returns whether the buffer holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes that fit in.
+    /// Returns the number of bytes that still fit.
     pub fn free(&self) -> usize {
         self.capacity - self.len
     }
 
-    /// The first run of bytes held.
+    /// Returns the first contiguous run of the bytes held.
     pub fn first(&self) -> &[u8] {
         let end = (self.head + self.len).min(self.buf.len());
         self.buf.get(self.head..end).unwrap_or_default()
     }
 
-    /// All bytes held in one run, moved if they wrap.
+    /// Returns all bytes held as one run, moving them if they wrap around.
     pub fn contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.buf.len() {
             self.buf.rotate_left(self.head);
@@ -62,7 +62,7 @@
             .unwrap_or_default()
     }
 
-    /// Drops this many bytes from the front.
+    /// Removes `n` bytes from the front, or all if there are fewer.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
@@ -90,7 +90,7 @@
         &mut self.buf[tail..end]
     }
 
-    /// Takes as much of `bytes` as fits; says how much that was.
+    /// Appends as much of `bytes` as fits, and returns the number of bytes appended.
     pub fn put(&mut self, bytes: &[u8]) -> usize {
         let mut taken = 0;
         while taken < bytes.len() && self.free() > 0 {
@@ -103,20 +103,20 @@
         taken
     }
 
-    /// One read of a ready socket into the ring; 0 is the end of the stream.
+    /// Reads once from a ready socket into the buffer, and returns the number of bytes; 0 is the end of the stream.
     ///
     /// # Errors
-    /// If the socket fails or has nothing to read.
+    /// If the socket fails, or has nothing to read (`WouldBlock`).
     pub fn read_from(&mut self, stream: &TcpStream) -> io::Result<usize> {
         let n = stream.try_read(self.free_run())?;
         self.len += n;
         Ok(n)
     }
 
-    /// One write of what the ring holds to a ready socket.
+    /// Writes once from the buffer to a ready socket, and returns the number of bytes.
     ///
     /// # Errors
-    /// If the socket fails or takes nothing now.
+    /// If the socket fails, or accepts nothing now (`WouldBlock`).
     pub fn write_to(&mut self, stream: &TcpStream) -> io::Result<usize> {
         let n = stream.try_write(self.first())?;
         self.consume(n);
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -215,7 +215,7 @@
     let mut door = Door::new();
     let mut client = door.client();
     client
-        .write_all(&[post(10), vec![b'x'; 4 * http::INPUT]].concat())
+        .write_all(&[post(10), vec![b'x'; 4 * http::INPUT_BUFFER_BYTES]].concat())
         .unwrap();
     let met = door.met.clone();
     door.serve(async {
@@ -230,7 +230,7 @@
 fn requests_sent_ahead_are_answered_in_their_order() {
     let mut door = Door::new();
     let mut client = door.client();
-    let lengths = [3, 3 * http::INPUT, 60_000, 0];
+    let lengths = [3, 3 * http::INPUT_BUFFER_BYTES, 60_000, 0];
     for n in lengths {
         let head = format!("GET /x HTTP/1.1\r\nHost: x\r\nContent-Length: {n}\r\n\r\n");
         client
--- a/crates/coordinator/tests/dns_sd.rs
+++ b/crates/coordinator/tests/dns_sd.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use coordinator::net::dns_sd::Cache;
+use coordinator::net::dns_sd::RecordCache;
 use hickory_proto::op::{Message, OpCode};
 use hickory_proto::rr::rdata::{A, PTR, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -115,7 +115,7 @@
 fn records_count_for_their_time_and_are_asked_for_before_it_ends() {
     let start = Instant::now();
     let at = |n: u64| start + ms(n);
-    let mut cache = Cache::new(name(SERVICE));
+    let mut cache = RecordCache::new(name(SERVICE));
     let kinds = |keys: Vec<(Name, RecordType)>| keys.into_iter().map(|k| k.1).collect::<Vec<_>>();
     assert_eq!(kinds(cache.questions(at(0))), [RecordType::PTR]);
     // Unanswered, it is asked again a second later, then after two.
@@ -123,12 +123,12 @@
     assert_eq!(kinds(cache.questions(at(1000))), [RecordType::PTR]);
     assert_eq!(kinds(cache.questions(at(2900))), []);
     let all = records("h0", 5000, 3, 10);
-    assert!(cache.take(&response(&all[..1]), at(3000)));
+    assert!(cache.add_response(&response(&all[..1]), at(3000)));
     assert_eq!(
         (cache.hosts().len(), kinds(cache.questions(at(3000)))),
         (0, vec![RecordType::SRV, RecordType::TXT])
     );
-    cache.take(&response(&all), at(3000));
+    cache.add_response(&response(&all), at(3000));
     let hosts = cache.hosts();
     assert_eq!(
         (hosts[0].id.as_str(), hosts[0].addr.as_str(), hosts[0].cell),
@@ -143,10 +143,10 @@
     cache.expire(at(13_000));
     assert_eq!(cache.hosts().len(), 0);
     // A new address takes the old one's place; a goodbye goes a second later.
-    cache.take(&response(&all), at(20_000));
-    cache.take(&response(&records("h0", 6000, 3, 10)[1..2]), at(20_100));
+    cache.add_response(&response(&all), at(20_000));
+    cache.add_response(&response(&records("h0", 6000, 3, 10)[1..2]), at(20_100));
     assert_eq!(cache.hosts()[0].addr, "127.0.0.1:6000");
-    cache.take(&response(&records("h0", 5000, 3, 0)[..1]), at(20_200));
+    cache.add_response(&response(&records("h0", 5000, 3, 0)[..1]), at(20_200));
     cache.expire(at(21_100));
     assert_eq!(cache.hosts().len(), 1);
     cache.expire(at(21_300));
