--- a/crates/coordinator/tests/core.rs
+++ b/crates/coordinator/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core alone: a scripted transport, and a clock that the test sets.
+//! Tests of the core's query table, with a transport that records its calls and times chosen by the test.
 
 mod support;
 
@@ -12,11 +12,11 @@
 use std::time::Instant;
 use support::{ms, settings};
 
-/// What the core asked of its transport.
+/// The calls that the core made to its transport.
 #[derive(Default)]
-struct Asked {
+struct TransportCalls {
     calls: Vec<(ServerId, RequestId)>,
-    /// Of each part that was sent: when it is too late for that.
+    /// For each part sent, the time from which it must not be sent.
     send_before: Vec<Option<Instant>>,
     forgotten: Vec<ServerId>,
     cancelled: Vec<RequestId>,
@@ -24,14 +24,16 @@
 }
 
 #[derive(Clone, Default)]
-struct Script(Arc<Mutex<Asked>>);
+struct RecordingTransport(Arc<Mutex<TransportCalls>>);
 
-impl Transport for Script {
+impl Transport for RecordingTransport {
     fn host_listed(&mut self, _: ServerId, _: &Endpoint, _: Option<Instant>) {}
     fn send_call(&mut self, server: ServerId, parts: Vec<PartRequest>) {
-        let mut asked = self.0.lock().unwrap();
-        asked.calls.extend(parts.iter().map(|p| (server, p.part)));
-        asked
+        let mut recorded = self.0.lock().unwrap();
+        recorded
+            .calls
+            .extend(parts.iter().map(|p| (server, p.part)));
+        recorded
             .send_before
             .extend(parts.iter().map(|p| p.send_before));
     }
@@ -60,12 +62,12 @@
     }
 }
 
-/// A query of one part under this ticket.
+/// Creates the message for a query of one part with this ticket.
 fn query(ticket: u64, arrived: Instant) -> (CoreMessage, tokio::sync::oneshot::Receiver<Answer>) {
     query_of_class(ClassId(0), ticket, arrived)
 }
 
-/// The same of another class.
+/// Creates the message for a query of one part with this class and ticket.
 fn query_of_class(
     class: ClassId,
     ticket: u64,
@@ -94,8 +96,9 @@
     (CoreMessage::Submit(Box::new(query), ticket, reply), answer)
 }
 
-/// A client leaves while its part waits with the transport: it is withdrawn where hosts may be told so, else
-/// taken back, which stops what has not begun. Leaving in the turn of the query, nothing is sent at all.
+/// A client leaves while its part waits in the transport. The part is cancelled if hosts accept cancellations, and
+/// otherwise retracted, which stops it if it was not sent yet. If the client leaves in the turn of its query, nothing
+/// is sent.
 #[test]
 fn a_client_that_leaves_stops_its_parts_with_and_without_cancellation() {
     for may_cancel in [true, false] {
@@ -103,13 +106,13 @@
             let mut settings = settings();
             settings["caps"]["may_cancel"] = may_cancel.into();
             let site = settings::read(&settings.to_string()).unwrap();
-            let (script, start) = (Script::default(), Instant::now());
+            let (transport, start) = (RecordingTransport::default(), Instant::now());
             let counters = Counters::default();
             let mut table = QueryTable::new(
                 site,
                 7,
                 Clock::new(),
-                script.clone(),
+                transport.clone(),
                 1 << 20,
                 counters.clone(),
             );
@@ -125,10 +128,10 @@
             drop(answer);
             table.handle_message(CoreMessage::Withdraw(1), start);
             table.end_turn(start);
-            let asked = script.0.lock().unwrap();
+            let recorded = transport.0.lock().unwrap();
             let (sent, stopped) = (
-                asked.calls.len(),
-                (asked.cancelled.len(), asked.retracted.len()),
+                recorded.calls.len(),
+                (recorded.cancelled.len(), recorded.retracted.len()),
             );
             match (same_turn, may_cancel) {
                 (true, _) => assert_eq!((sent, stopped), (0, (0, 0))),
@@ -140,20 +143,22 @@
     }
 }
 
-/// The keyed class of the settings, and the window of its keys.
+/// The class of the settings whose queries have idempotency keys.
 const KEYED: ClassId = ClassId(2);
+/// The window of that class's keys, in milliseconds.
 const KEY_WINDOW_MS: u64 = 1000;
 
-/// The repeat of a keyed part may wait for a connection: the transport is told when its key no longer holds.
+/// The repeat of a part with an idempotency key may have to wait for a connection, so the transport is told when the
+/// window of its key ends.
 #[test]
 fn a_repeat_of_a_keyed_part_is_to_be_sent_within_its_window() {
     let site = settings::read(&settings().to_string()).unwrap();
-    let (script, start) = (Script::default(), Instant::now());
+    let (transport, start) = (RecordingTransport::default(), Instant::now());
     let mut table = QueryTable::new(
         site,
         7,
         Clock::new(),
-        script.clone(),
+        transport.clone(),
         1 << 20,
         Counters::default(),
     );
@@ -162,13 +167,13 @@
     let (query, _answer) = query_of_class(KEYED, 1, start);
     table.handle_message(query, start);
     table.end_turn(start);
-    let part = script.0.lock().unwrap().calls[0].1;
+    let part = transport.0.lock().unwrap().calls[0].1;
     assert_eq!(
-        script.0.lock().unwrap().send_before,
+        transport.0.lock().unwrap().send_before,
         [None],
         "nothing ran before"
     );
-    // It may have run: the connection broke behind it.
+    // The part may have run, since the connection was reset after it was sent.
     let ended = AttemptEnd {
         part,
         attempt: 0,
@@ -181,27 +186,31 @@
         let now = start + ms(100 + n);
         table.run_timers(now);
         table.end_turn(now);
-        if script.0.lock().unwrap().calls.len() > 1 {
+        if transport.0.lock().unwrap().calls.len() > 1 {
             break;
         }
     }
-    let asked = script.0.lock().unwrap();
+    let recorded = transport.0.lock().unwrap();
     let window_end = start + ms(KEY_WINDOW_MS);
-    let send_before = asked.send_before[1].expect("a limit");
+    let send_before = recorded.send_before[1].expect("a limit");
     assert!(send_before < window_end && send_before > start + ms(KEY_WINDOW_MS / 2));
 }
 
-/// Where hosts are replaced by others all day, what goes by the name of one must go with it, but not while a
-/// part is still out there.
+/// Hosts are constantly replaced under new names, so the state of a host that is gone must be removed, but not while a
+/// part is in flight at it.
 #[test]
 fn a_host_that_is_gone_is_forgotten_once_nothing_is_in_flight() {
     let site = settings::read(&settings().to_string()).unwrap();
-    let (script, counters, start) = (Script::default(), Counters::default(), Instant::now());
+    let (transport, counters, start) = (
+        RecordingTransport::default(),
+        Counters::default(),
+        Instant::now(),
+    );
     let mut table = QueryTable::new(
         site,
         7,
         Clock::new(),
-        script.clone(),
+        transport.clone(),
         1 << 20,
         counters.clone(),
     );
@@ -212,14 +221,14 @@
     let (query, _answer) = query(1, start);
     table.handle_message(query, start);
     table.end_turn(start);
-    let (server, part) = script.0.lock().unwrap().calls[0];
+    let (server, part) = transport.0.lock().unwrap().calls[0];
     table.handle_message(
         CoreMessage::HostList(ListKind::Changes, vec![host(0, ServerState::Gone)]),
         start,
     );
     table.run_timers(start + ms(20_000));
     assert!(
-        script.0.lock().unwrap().forgotten.is_empty(),
+        transport.0.lock().unwrap().forgotten.is_empty(),
         "a part is still out there"
     );
     let ended = AttemptEnd {
@@ -231,8 +240,8 @@
     };
     table.handle_message(CoreMessage::AttemptEnded(ended), start + ms(20_000));
     table.run_timers(start + ms(20_001));
-    assert_eq!(script.0.lock().unwrap().forgotten, [server]);
-    // One that comes back in time is kept.
+    assert_eq!(transport.0.lock().unwrap().forgotten, [server]);
+    // A host that returns within the retention is kept.
     table.handle_message(
         CoreMessage::HostList(ListKind::Full, vec![host(1, ServerState::Ready)]),
         start + ms(30_000),
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Where two events cross at the clients' door: both orders of each, forced. What stands in the socket before
-//! the server runs comes to it at once; what it waits for is watched, not slept for.
+//! Races between two events at the HTTP server, with both orders of each forced. Input that is in a socket before the
+//! server runs is available to it at once; the tests wait for events instead of sleeping.
 
 mod support;
 
@@ -17,20 +17,20 @@
 use support::{ms, PATIENCE};
 use tokio::sync::{watch, Notify};
 
-/// What the service met: requests begun, and those that were dropped unanswered.
+/// The counts of requests that the service started, and of those that were dropped without an answer.
 #[derive(Default)]
-struct Met {
+struct ServiceState {
     begun: AtomicUsize,
     dropped: AtomicUsize,
     changed: Notify,
 }
 
-/// Answers a `GET` at once and a `POST` never.
-struct Scripted(Arc<Met>);
+/// A service that answers a `GET` at once and never answers a `POST`.
+struct Scripted(Arc<ServiceState>);
 
-struct Open(Arc<Met>);
+struct OpenRequest(Arc<ServiceState>);
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.dropped.fetch_add(1, Ordering::SeqCst);
         self.0.changed.notify_one();
@@ -45,7 +45,7 @@
             let length = request.body.len();
             return Box::pin(async move { Response::text(200, format!("{length}")) });
         }
-        let open = Open(self.0.clone());
+        let open = OpenRequest(self.0.clone());
         Box::pin(async move {
             let _open = open;
             std::future::pending().await
@@ -69,17 +69,17 @@
     }
 }
 
-/// A server whose listener is there before it runs: clients come and go meanwhile.
-struct Door {
+/// A server whose listener exists before the server runs, so that clients can connect and leave in the meantime.
+struct TestServer {
     runtime: tokio::runtime::Runtime,
     listener: Option<tokio::net::TcpListener>,
     addr: std::net::SocketAddr,
-    met: Arc<Met>,
+    state: Arc<ServiceState>,
     counters: Counters,
     stop: watch::Sender<bool>,
 }
 
-impl Door {
+impl TestServer {
     fn new() -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -89,12 +89,13 @@
             .block_on(tokio::net::TcpListener::bind("127.0.0.1:0"))
             .unwrap();
         let (addr, listener) = (listener.local_addr().unwrap(), Some(listener));
-        let (met, counters, stop) = (Arc::default(), Counters::default(), watch::channel(false).0);
+        let (state, counters, stop) =
+            (Arc::default(), Counters::default(), watch::channel(false).0);
         Self {
             runtime,
             listener,
             addr,
-            met,
+            state,
             counters,
             stop,
         }
@@ -106,19 +107,19 @@
         stream
     }
 
-    /// Serves, for as long as `story` takes.
-    fn serve<T>(&mut self, story: impl Future<Output = T>) -> T {
-        self.serve_within(limits(), story)
+    /// Runs the server until `scenario` is complete.
+    fn serve<T>(&mut self, scenario: impl Future<Output = T>) -> T {
+        self.serve_within(limits(), scenario)
     }
 
-    /// The same within other limits.
-    fn serve_within<T>(&mut self, limits: Limits, story: impl Future<Output = T>) -> T {
+    /// Runs the server with these limits until `scenario` is complete.
+    fn serve_within<T>(&mut self, limits: Limits, scenario: impl Future<Output = T>) -> T {
         let listener = self.listener.take().expect("served once");
         let incoming = Incoming::Listener(GatedListener {
             listener,
             restart_role: never_restarted(),
         });
-        let service = Arc::new(Scripted(self.met.clone()));
+        let service = Arc::new(Scripted(self.state.clone()));
         let served = http::serve(
             incoming,
             service,
@@ -128,16 +129,16 @@
         );
         self.runtime.block_on(async {
             tokio::select! {
-                told = async { tokio::time::timeout(PATIENCE, story).await.expect("in time") } => told,
+                result = async { tokio::time::timeout(PATIENCE, scenario).await.expect("in time") } => result,
                 () = served => panic!("it stopped"),
             }
         })
     }
 }
 
-impl Met {
-    async fn until(&self, is: impl Fn(&Self) -> bool) {
-        while !is(self) {
+impl ServiceState {
+    async fn until(&self, is_reached: impl Fn(&Self) -> bool) {
+        while !is_reached(self) {
             self.changed.notified().await;
         }
     }
@@ -154,82 +155,87 @@
     [head.as_bytes(), &vec![b'x'; body]].concat()
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leave {
+enum Disconnect {
     Closes,
-    EndsItsSide,
+    ShutsDownSending,
     Resets,
 }
 
-const LEAVES: [Leave; 3] = [Leave::Closes, Leave::EndsItsSide, Leave::Resets];
+const DISCONNECTS: [Disconnect; 3] = [
+    Disconnect::Closes,
+    Disconnect::ShutsDownSending,
+    Disconnect::Resets,
+];
 
-fn leave(client: TcpStream, how: Leave) -> Option<TcpStream> {
+fn disconnect(client: TcpStream, how: Disconnect) -> Option<TcpStream> {
     match how {
-        Leave::Closes => None,
-        Leave::EndsItsSide => {
+        Disconnect::Closes => None,
+        Disconnect::ShutsDownSending => {
             client.shutdown(Shutdown::Write).unwrap();
             Some(client)
         }
-        Leave::Resets => {
+        Disconnect::Resets => {
             SockRef::from(&client).set_linger(Some(ms(0))).unwrap();
             None
         }
     }
 }
 
-/// Request and end wait in the socket together, as after a standstill or a pause: the query is not begun.
+/// The request and the end of the stream are both in the socket, as after a stall of this process: the query is not
+/// started.
 #[test]
 fn a_client_that_left_before_its_request_is_read_has_nothing_forwarded() {
-    for how in LEAVES {
-        let mut door = Door::new();
-        let mut client = door.client();
+    for how in DISCONNECTS {
+        let mut server = TestServer::new();
+        let mut client = server.client();
         client.write_all(&post(10)).unwrap();
-        let _kept = leave(client, how);
-        let counters = door.counters.clone();
-        door.serve(ended(&counters, 1));
-        assert_eq!(door.met.begun.load(Ordering::SeqCst), 0, "{how:?}");
+        let _kept = disconnect(client, how);
+        let counters = server.counters.clone();
+        server.serve(ended(&counters, 1));
+        assert_eq!(server.state.begun.load(Ordering::SeqCst), 0, "{how:?}");
     }
 }
 
-/// The other order: it leaves once its request is begun, which is dropped then.
+/// The other order: the client leaves after its request was started, and the request is dropped.
 #[test]
 fn a_client_that_leaves_while_its_request_waits_has_it_dropped() {
-    for how in LEAVES {
-        let mut door = Door::new();
-        let mut client = door.client();
+    for how in DISCONNECTS {
+        let mut server = TestServer::new();
+        let mut client = server.client();
         client.write_all(&post(10)).unwrap();
-        let met = door.met.clone();
-        door.serve(async {
-            met.until(|m| m.begun.load(Ordering::SeqCst) == 1).await;
-            let _kept = leave(client, how);
-            met.until(|m| m.dropped.load(Ordering::SeqCst) == 1).await;
+        let state = server.state.clone();
+        server.serve(async {
+            state.until(|m| m.begun.load(Ordering::SeqCst) == 1).await;
+            let _kept = disconnect(client, how);
+            state.until(|m| m.dropped.load(Ordering::SeqCst) == 1).await;
         });
     }
 }
 
-/// A client that has sent more behind its request than is taken, and leaves: its end stands behind what nobody
-/// reads, and is seen all the same, before the request is begun and while it waits.
+/// A client sends more input after its request than the server reads, and leaves. The end of its stream comes after the
+/// unread input, and must still be detected while the request is being answered.
 #[test]
 fn a_client_that_leaves_unread_input_behind_is_seen_to_leave() {
-    let mut door = Door::new();
-    let mut client = door.client();
+    let mut server = TestServer::new();
+    let mut client = server.client();
     client
         .write_all(&[post(10), vec![b'x'; 4 * http::INPUT_BUFFER_BYTES]].concat())
         .unwrap();
-    let met = door.met.clone();
-    door.serve(async {
-        met.until(|m| m.begun.load(Ordering::SeqCst) == 1).await;
+    let state = server.state.clone();
+    server.serve(async {
+        state.until(|m| m.begun.load(Ordering::SeqCst) == 1).await;
         drop(client);
-        met.until(|m| m.dropped.load(Ordering::SeqCst) == 1).await;
+        state.until(|m| m.dropped.load(Ordering::SeqCst) == 1).await;
     });
 }
 
-/// What a client sends ahead of its answers is not lost over the look for its end, whatever its size.
+/// Pipelined requests of any size are not lost when the server checks for a disconnect.
 #[test]
 fn requests_sent_ahead_are_answered_in_their_order() {
-    let mut door = Door::new();
-    let mut client = door.client();
+    let mut server = TestServer::new();
+    let mut client = server.client();
     let lengths = [3, 3 * http::INPUT_BUFFER_BYTES, 60_000, 0];
     for n in lengths {
         let head = format!("GET /x HTTP/1.1\r\nHost: x\r\nContent-Length: {n}\r\n\r\n");
@@ -237,7 +243,7 @@
             .write_all(&[head.as_bytes(), &vec![b'x'; n]].concat())
             .unwrap();
     }
-    let met = door.met.clone();
+    let state = server.state.clone();
     let reader = std::thread::spawn(move || {
         let mut text = String::new();
         while text.matches("HTTP/1.1 200").count() < 4 || !text.ends_with("\r\n\r\n0") {
@@ -247,8 +253,8 @@
         }
         text
     });
-    let text = door.serve(async {
-        met.until(|m| m.begun.load(Ordering::SeqCst) == 4).await;
+    let text = server.serve(async {
+        state.until(|m| m.begun.load(Ordering::SeqCst) == 4).await;
         tokio::task::spawn_blocking(|| reader.join().unwrap())
             .await
             .unwrap()
@@ -261,29 +267,29 @@
     assert_eq!(bodies, lengths.map(|n| n.to_string()));
 }
 
-/// The one seat is taken, its patience over and its request waiting unread, as after a standstill, when
-/// another client comes: the first keeps its seat and the other is told to come back.
+/// The only slot is taken by a client whose request timeout is over but whose request is in the socket, as after a
+/// stall of this process, when another client connects: the first keeps its slot and the other gets a retry response.
 #[test]
 fn a_client_whose_request_waits_unread_keeps_its_slot() {
-    let mut door = Door::new();
-    let (mut first, mut second) = (door.client(), door.client());
+    let mut server = TestServer::new();
+    let (mut first, mut second) = (server.client(), server.client());
     first.write_all(&post(10)).unwrap();
     second
         .write_all(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
         .unwrap();
-    let told = std::thread::spawn(move || {
+    let result = std::thread::spawn(move || {
         let mut text = String::new();
         second.read_to_string(&mut text).unwrap();
         text
     });
-    let one_seat = Limits {
+    let one_slot = Limits {
         max_clients: 1,
         max_connections: 2,
         request_timeout_when_full: ms(0),
         ..limits()
     };
-    let text = door.serve_within(one_seat, async {
-        tokio::task::spawn_blocking(|| told.join().unwrap())
+    let text = server.serve_within(one_slot, async {
+        tokio::task::spawn_blocking(|| result.join().unwrap())
             .await
             .unwrap()
     });
@@ -292,19 +298,19 @@
         "{text}"
     );
     assert_eq!(
-        door.met.begun.load(Ordering::SeqCst),
+        server.state.begun.load(Ordering::SeqCst),
         1,
         "the first is served"
     );
-    assert_eq!(door.counters.get("answered.refused.client_cap"), 1);
-    assert_eq!(door.counters.get("clients.made_room"), 0);
+    assert_eq!(server.counters.get("answered.refused.client_cap"), 1);
+    assert_eq!(server.counters.get("clients.made_room"), 0);
 }
 
-/// The same crossing with a first client that has nothing to say: it goes, and the other is served.
+/// The same race with a first client whose request is incomplete: it is disconnected, and the other is served.
 #[test]
 fn a_client_whose_request_fails_leaves_its_slot_to_the_next() {
-    let mut door = Door::new();
-    let (mut first, mut second) = (door.client(), door.client());
+    let mut server = TestServer::new();
+    let (mut first, mut second) = (server.client(), server.client());
     first
         .write_all(b"POST /near HTTP/1.1\r\nContent-Length: 5\r\n\r\n12")
         .unwrap();
@@ -318,18 +324,18 @@
         let ended = first.read_to_end(&mut rest).is_ok_and(|length| length == 0);
         (start, ended)
     });
-    let one_seat = Limits {
+    let one_slot = Limits {
         max_clients: 1,
         max_connections: 2,
         request_timeout_when_full: ms(0),
         ..limits()
     };
-    let (start, first_ended) = door.serve_within(one_seat, async {
+    let (start, first_ended) = server.serve_within(one_slot, async {
         tokio::task::spawn_blocking(|| read.join().unwrap())
             .await
             .unwrap()
     });
     assert_eq!(&start, b"HTTP/1.1 200");
     assert!(first_ended);
-    assert_eq!(door.counters.get("clients.made_room"), 1);
+    assert_eq!(server.counters.get("clients.made_room"), 1);
 }
--- a/crates/coordinator/tests/dns_sd.rs
+++ b/crates/coordinator/tests/dns_sd.rs
@@ -1,4 +1,4 @@
-//! DNS-SD as the source of the host list, against a scripted responder.
+//! Tests of DNS-SD as the source of the host list, with a scripted responder.
 
 mod support;
 
@@ -16,7 +16,7 @@
     Name::from_ascii(text).unwrap()
 }
 
-/// All records of one host: the instance's PTR, SRV and TXT, and its target's address.
+/// Returns all records of one host: PTR, SRV and TXT of the instance, and the address of its target.
 fn records(label: &str, port: u16, cell: u32, ttl: u32) -> Vec<Record> {
     let (instance, target) = (
         name(&format!("{label}.{SERVICE}")),
@@ -46,7 +46,8 @@
     m
 }
 
-/// A responder that answers each question from its records; gives its address and who asked last.
+/// Starts a responder that answers each question from its records. Returns its socket, and a channel that receives the
+/// sender and the record type of each question.
 fn responder(
     records: Vec<Record>,
 ) -> (
@@ -101,7 +102,7 @@
     };
     until("both hosts are listed", || ask(0) == 200 && ask(1) == 200);
     let (browser, _) = asked.recv().unwrap();
-    // What is no DNS message was counted and cost nothing else.
+    // Packets that are not DNS messages were counted and otherwise ignored.
     assert!(c.counters.get("list.bad_messages") > 0);
     let bye: Vec<Record> = records("h0", port(0), 0, 0).into_iter().take(1).collect();
     socket
@@ -118,7 +119,7 @@
     let mut cache = RecordCache::new(name(SERVICE));
     let kinds = |keys: Vec<(Name, RecordType)>| keys.into_iter().map(|k| k.1).collect::<Vec<_>>();
     assert_eq!(kinds(cache.questions(at(0))), [RecordType::PTR]);
-    // Unanswered, it is asked again a second later, then after two.
+    // An unanswered question is asked again after one second, then after two.
     assert_eq!(kinds(cache.questions(at(900))), []);
     assert_eq!(kinds(cache.questions(at(1000))), [RecordType::PTR]);
     assert_eq!(kinds(cache.questions(at(2900))), []);
@@ -135,14 +136,14 @@
         ("h0", "127.0.0.1:5000", 3)
     );
     assert_eq!(hosts[0].zone, "a");
-    // Asked for again at 80% of ten seconds, and kept to the end.
+    // The records are queried again at 80% of their TTL of ten seconds, and are valid until its end.
     assert_eq!(kinds(cache.questions(at(10_900))), []);
     assert_eq!(cache.questions(at(11_000)).len(), 4);
     cache.expire(at(12_900));
     assert_eq!(cache.hosts().len(), 1);
     cache.expire(at(13_000));
     assert_eq!(cache.hosts().len(), 0);
-    // A new address takes the old one's place; a goodbye goes a second later.
+    // A new address replaces the old one; a record expires one second after its goodbye.
     cache.add_response(&response(&all), at(20_000));
     cache.add_response(&response(&records("h0", 6000, 3, 10)[1..2]), at(20_100));
     assert_eq!(cache.hosts()[0].addr, "127.0.0.1:6000");
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many routers at once on modelled servers in simulated time: what each does alone must hold in sum.
+//! Simulation of many routers that share modelled servers: rules that each router follows alone must hold for the sum.
 #![allow(
     clippy::too_many_lines,
     reason = "long scenarios, to be split: docs/ROADMAP.md"
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 const ROUTERS: u32 = 100;
-/// Time of one part at a server that is not crowded, in milliseconds.
-const PART: u64 = 20;
+/// Service time of one part at a server that is not overloaded, in milliseconds.
+const PART_MS: u64 = 20;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -69,7 +69,7 @@
     }
 }
 
-/// How an attempt ends.
+/// The scheduled end of an attempt.
 #[derive(Clone, Copy)]
 struct End {
     who: usize,
@@ -80,19 +80,19 @@
     latency: u64,
 }
 
-/// A fleet of routers and 12 servers, three a cell; how a server answers is up to the test.
+/// A fleet of routers with 12 servers, three for each cell. Each test decides how servers answer.
 struct Fleet {
     routers: Vec<Router>,
     now: u64,
     next: u64,
-    /// Answers on their way, by time: router, part, attempt, outcome, latency.
-    coming: BTreeMap<u64, Vec<End>>,
-    /// Parts that each server holds.
-    held: [u32; 12],
+    /// Scheduled ends of attempts, by time in milliseconds.
+    scheduled_ends: BTreeMap<u64, Vec<End>>,
+    /// Number of parts in flight at each server.
+    parts_at_server: [u32; 12],
     attempts: BTreeMap<(usize, RequestId), u32>,
-    /// All sends: time and server.
+    /// Time in milliseconds and server of each send.
     sent: Vec<(u64, u32)>,
-    finals: BTreeMap<&'static str, usize>,
+    final_answers: BTreeMap<&'static str, usize>,
 }
 
 impl Fleet {
@@ -104,11 +104,11 @@
             routers,
             now: 0,
             next: 0,
-            coming: BTreeMap::new(),
-            held: [0; 12],
+            scheduled_ends: BTreeMap::new(),
+            parts_at_server: [0; 12],
             attempts: BTreeMap::new(),
             sent: vec![],
-            finals: BTreeMap::new(),
+            final_answers: BTreeMap::new(),
         };
         fleet.list(
             ListKind::Full,
@@ -132,18 +132,23 @@
         }
     }
 
-    /// Plays so many milliseconds: each router gets a query of one part about every `gap` ms, on the shards
-    /// in turn. `answer` tells how a server ends a part, and after how many milliseconds.
-    fn play(&mut self, span: u64, gap: u64, mut answer: impl FnMut(u64, u32) -> (Outcome, u64)) {
+    /// Simulates `span` milliseconds, in which each router gets a query of one part about every `gap` ms, with the
+    /// shards in turn. `answer` returns the outcome of a part at a server, and its latency in milliseconds.
+    fn simulate(
+        &mut self,
+        span: u64,
+        gap: u64,
+        mut answer: impl FnMut(u64, u32) -> (Outcome, u64),
+    ) {
         for _ in 0..span {
             self.now += 1;
-            let ended = self.coming.remove(&self.now).unwrap_or_default();
+            let ended = self.scheduled_ends.remove(&self.now).unwrap_or_default();
             for end in &ended {
-                self.held[end.server as usize] -= 1;
+                self.parts_at_server[end.server as usize] -= 1;
             }
             for who in 0..self.routers.len() {
                 let told = |e: &End| LoadReport {
-                    in_flight: Some(f64::from(self.held[e.server as usize])),
+                    in_flight: Some(f64::from(self.parts_at_server[e.server as usize])),
                     ..LoadReport::default()
                 };
                 let event = |e: &End| Event::AttemptEnded {
@@ -190,13 +195,13 @@
                             self.sent.push((self.now, server.0));
                             let n = self.attempts.entry((who, part)).or_insert(0);
                             let (outcome, mut latency) = answer(self.now, server.0);
-                            let held = &mut self.held[server.0 as usize];
+                            let parts_at_server = &mut self.parts_at_server[server.0 as usize];
                             latency += if outcome == Outcome::Ok {
-                                5 * u64::from(*held)
+                                5 * u64::from(*parts_at_server)
                             } else {
                                 0
                             };
-                            *held += 1;
+                            *parts_at_server += 1;
                             let (attempt, server) = (*n, server.0);
                             *n += 1;
                             let end = End {
@@ -207,11 +212,20 @@
                                 outcome,
                                 latency,
                             };
-                            self.coming.entry(self.now + latency).or_default().push(end);
+                            self.scheduled_ends
+                                .entry(self.now + latency)
+                                .or_default()
+                                .push(end);
+                        }
+                        Action::Answer { .. } => {
+                            *self.final_answers.entry("answered").or_default() += 1
+                        }
+                        Action::Reject { .. } => {
+                            *self.final_answers.entry("refused").or_default() += 1
+                        }
+                        Action::Fail { .. } => {
+                            *self.final_answers.entry("failed").or_default() += 1
                         }
-                        Action::Answer { .. } => *self.finals.entry("answered").or_default() += 1,
-                        Action::Reject { .. } => *self.finals.entry("refused").or_default() += 1,
-                        Action::Fail { .. } => *self.finals.entry("failed").or_default() += 1,
                         _ => {}
                     }
                 }
@@ -227,23 +241,23 @@
     }
 }
 
-/// A host back cold with a hundred routers wanting it: the sum stays under the rule's multiple in every
-/// window, and yet it is used: with each router's slots lost whenever no part came in step, cold hosts idled
-/// at a third of what they can while their warm fellows were full.
+/// A hundred routers use a host that has just restarted: their sum stays below the slow-start limit in every window,
+/// and the host is still used. Guards against routers that lose their share whenever no part arrives in a step: warming
+/// hosts then ran at a third of their capacity while warm ones were full.
 #[test]
 fn a_warming_host_is_neither_overloaded_nor_left_idle() {
     let mut fleet = Fleet::new();
-    let quick = |_, _| (Outcome::Ok, PART);
-    // 600 parts a second on 12 servers: 50 each, half of what one can do.
-    fleet.play(4000, 166, quick);
+    let quick = |_, _| (Outcome::Ok, PART_MS);
+    // 600 parts per second on 12 servers: 50 for each, half of a server's capacity.
+    fleet.simulate(4000, 166, quick);
     fleet.list(ListKind::Changes, vec![entry(1, ServerState::Gone, None)]);
-    fleet.play(2000, 166, quick);
+    fleet.simulate(2000, 166, quick);
     let boot = fleet.now;
     fleet.list(
         ListKind::Changes,
         vec![entry(1, ServerState::Ready, Some(boot))],
     );
-    fleet.play(10_000, 166, quick);
+    fleet.simulate(10_000, 166, quick);
     let warmth = |age: f64| 0.2 + 0.8 * age / 14.0;
     for from in (boot..boot + 9000).step_by(50) {
         let can = 100.0 * warmth((from - boot) as f64 / 1000.0);
@@ -260,41 +274,41 @@
     );
 }
 
-/// A host that fails at once among sound ones: a router sees it seldom, and a hundred of them have to find
-/// out by themselves, but no part is lost by it and its share shrinks.
+/// One host among healthy ones fails every part at once. Each router rarely uses it, and a hundred of them must detect
+/// the failures independently, but no query fails and the host's share shrinks.
 #[test]
 fn a_host_that_fails_quickly_loses_its_share() {
     let mut fleet = Fleet::new();
-    fleet.play(3000, 166, |_, _| (Outcome::Ok, PART));
+    fleet.simulate(3000, 166, |_, _| (Outcome::Ok, PART_MS));
     let from = fleet.now;
     let bad = |_, server| {
         if server == 1 {
             (Outcome::Error, 3)
         } else {
-            (Outcome::Ok, PART)
+            (Outcome::Ok, PART_MS)
         }
     };
-    fleet.play(10_000, 166, bad);
+    fleet.simulate(10_000, 166, bad);
     let share = fleet.sent_to(1, from + 5000, fleet.now) as f64 / 5.0;
     assert!(
         share < 30.0,
         "{share} parts a second to a failing host, of 50 to a sound one"
     );
-    assert_eq!(fleet.finals.get("failed"), None);
-    let refused = fleet.finals.get("refused").copied().unwrap_or(0);
+    assert_eq!(fleet.final_answers.get("failed"), None);
+    let refused = fleet.final_answers.get("refused").copied().unwrap_or(0);
     assert!(
-        refused * 100 < fleet.finals["answered"],
+        refused * 100 < fleet.final_answers["answered"],
         "{:?}",
-        fleet.finals
+        fleet.final_answers
     );
 }
 
-/// Six in ten hosts are replaced within seconds: none that drains gets anything after its grace, and each
-/// query has its one final answer.
+/// Six of ten hosts are replaced within seconds: no draining host gets a part after its grace, and each query gets
+/// exactly one final answer.
 #[test]
 fn a_drained_host_gets_nothing_while_six_in_ten_are_replaced() {
     let mut fleet = Fleet::new();
-    fleet.play(3000, 166, |_, _| (Outcome::Ok, PART));
+    fleet.simulate(3000, 166, |_, _| (Outcome::Ok, PART_MS));
     for wave in [[0, 1, 2, 3], [4, 5, 6, 7]] {
         let told = fleet.now;
         fleet.list(
@@ -305,10 +319,10 @@
             if wave.contains(&s) {
                 (Outcome::Rejected, 2)
             } else {
-                (Outcome::Ok, PART)
+                (Outcome::Ok, PART_MS)
             }
         };
-        fleet.play(4000, 166, drains);
+        fleet.simulate(4000, 166, drains);
         assert!(wave
             .iter()
             .all(|s| fleet.sent_to(*s, told + 2000, fleet.now) == 0));
@@ -318,14 +332,14 @@
             wave.map(|s| entry(s, ServerState::Ready, Some(boot)))
                 .to_vec(),
         );
-        fleet.play(3000, 166, |_, _| (Outcome::Ok, PART));
+        fleet.simulate(3000, 166, |_, _| (Outcome::Ok, PART_MS));
     }
-    fleet.play(2000, u64::MAX, |_, _| (Outcome::Ok, PART));
-    let ended: usize = fleet.finals.values().sum();
-    assert_eq!(ended as u64, fleet.next / 2, "{:?}", fleet.finals);
+    fleet.simulate(2000, u64::MAX, |_, _| (Outcome::Ok, PART_MS));
+    let ended: usize = fleet.final_answers.values().sum();
+    assert_eq!(ended as u64, fleet.next / 2, "{:?}", fleet.final_answers);
     assert!(
-        fleet.finals["answered"] * 20 > ended * 19,
+        fleet.final_answers["answered"] * 20 > ended * 19,
         "{:?}",
-        fleet.finals
+        fleet.final_answers
     );
 }
--- a/crates/coordinator/tests/gossip.rs
+++ b/crates/coordinator/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Coordinators that tell each other: the laws of what they believe, and what bad input costs.
+//! Tests of the gossip between coordinators: properties of merging, invalid datagrams, and the byte budget.
 
 use coordinator::peers::{
     host_tag, DatagramOutcome, Gossip, GossipSettings, HostTag, LoadUpdate, PeerLoads, UpdateError,
@@ -29,8 +29,9 @@
     })
 }
 
-/// One sender says one thing under one number: of updates that share it the first drawn counts.
-fn honest(updates: Vec<(u32, LoadUpdate)>) -> Vec<(u32, LoadUpdate)> {
+/// Keeps the first of several updates with the same sender, incarnation and sequence number, since a correct sender
+/// uses each number once.
+fn without_reused_numbers(updates: Vec<(u32, LoadUpdate)>) -> Vec<(u32, LoadUpdate)> {
     let mut kept: Vec<(u32, LoadUpdate)> = Vec::new();
     for (from, w) in updates {
         if !kept
@@ -43,7 +44,7 @@
     kept
 }
 
-fn heard<'a>(updates: impl Iterator<Item = &'a (u32, LoadUpdate)>) -> PeerLoads {
+fn merge_all<'a>(updates: impl Iterator<Item = &'a (u32, LoadUpdate)>) -> PeerLoads {
     let mut peer_loads = PeerLoads::new(4);
     for (from, w) in updates {
         peer_loads.merge(ms(100), *from, w);
@@ -54,20 +55,20 @@
 proptest! {
     #[test]
     fn peer_loads_when_updates_are_reordered_or_doubled_then_they_are_the_same(updates in proptest::collection::vec(any_update(), 0..12), turn in 0usize..12) {
-        let updates = honest(updates);
+        let updates = without_reused_numbers(updates);
         let turn = turn.min(updates.len());
-        let there = heard(updates.iter());
-        prop_assert_eq!(&heard(updates.iter().rev()), &there);
-        prop_assert_eq!(&heard(updates[turn..].iter().chain(&updates[..turn]).chain(&updates)), &there);
+        let expected = merge_all(updates.iter());
+        prop_assert_eq!(&merge_all(updates.iter().rev()), &expected);
+        prop_assert_eq!(&merge_all(updates[turn..].iter().chain(&updates[..turn]).chain(&updates)), &expected);
     }
 
     #[test]
     fn peer_loads_when_an_older_update_comes_later_then_the_newer_one_stands(updates in proptest::collection::vec(any_update(), 1..12)) {
-        let updates = honest(updates);
-        let peer_loads = heard(updates.iter());
+        let updates = without_reused_numbers(updates);
+        let peer_loads = merge_all(updates.iter());
         let latest = |from: u32| updates.iter().filter(|w| w.0 == from).max_by_key(|w| (w.1.incarnation, w.1.sequence));
         if let (Some(a), Some(b), Some(c)) = (latest(0), latest(1), latest(2)) {
-            // What each said of a host in its latest incarnation, last.
+            // The last report of each peer on a host in its latest incarnation.
             for host in 0u8..6 {
                 let said = |from: u32, incarnation: u64| {
                     let of = updates.iter().filter(|w| w.0 == from && w.1.incarnation == incarnation);
@@ -91,8 +92,8 @@
     }
 
     #[test]
-    fn bytes_when_garbled_then_they_are_no_update(bytes in proptest::collection::vec(any::<u8>(), 0..400), flip in 0usize..256, bit in 0u8..8) {
-        // Sixteen bits of a checksum let one in 65,536 through: such an update is as good as a lie, and harmless.
+    fn bytes_when_corrupt_then_they_are_no_update(bytes in proptest::collection::vec(any::<u8>(), 0..400), flip in 0usize..256, bit in 0u8..8) {
+        // A checksum of 16 bits accepts 1 in 65,536 corrupt datagrams; decoding them must do no harm.
         let _ = LoadUpdate::decode(&bytes);
         let update = LoadUpdate { incarnation: 7, sequence: 9, in_flight: vec![([1, 2, 3], 4), ([5, 6, 7], 8)] };
         let mut bytes = update.encode().0.bytes().to_vec();
@@ -116,7 +117,7 @@
     )
 }
 
-fn say(from: &mut Gossip, now: u64, out: u16) -> Vec<u8> {
+fn send_update(from: &mut Gossip, now: u64, out: u16) -> Vec<u8> {
     from.next_update(ms(now), &[(HOST, out)], now)
         .expect("time for a update")
         .bytes()
@@ -127,11 +128,11 @@
 fn peer_load_when_a_peer_is_silent_then_there_is_none() {
     let (mut a, mut b, mut c) = (gossip(0, 1), gossip(1, 1), gossip(2, 1));
     assert_eq!(
-        a.receive(ms(200), 1, &say(&mut b, 200, 4)),
+        a.receive(ms(200), 1, &send_update(&mut b, 200, 4)),
         DatagramOutcome::Applied
     );
     assert_eq!(a.peer_load(ms(200), HOST), None, "one has not spoken");
-    a.receive(ms(210), 2, &say(&mut c, 210, 3));
+    a.receive(ms(210), 2, &send_update(&mut c, 210, 3));
     assert_eq!(a.peer_load(ms(220), HOST).map(|t| t.in_flight), Some(7.0));
     assert_eq!(a.peer_load(ms(2400), HOST), None, "both have been silent");
 }
@@ -139,12 +140,12 @@
 #[test]
 fn peer_when_restarted_then_its_past_incarnation_counts_no_more() {
     let (mut a, mut b, mut c) = (gossip(0, 1), gossip(1, 1), gossip(2, 1));
-    let old = say(&mut b, 100, 9);
-    let older = say(&mut b, 300, 8);
+    let old = send_update(&mut b, 100, 9);
+    let older = send_update(&mut b, 300, 8);
     a.receive(ms(300), 1, &older);
-    a.receive(ms(300), 2, &say(&mut c, 300, 1));
+    a.receive(ms(300), 2, &send_update(&mut c, 300, 1));
     let mut again = gossip(1, 2);
-    // Its first update names another host: what it had out before has ended with it.
+    // Its first update names another host: the parts of its earlier incarnation have ended.
     let first = again
         .next_update(ms(400), &[([9, 9, 9], 2)], 10)
         .expect("time for a update");
@@ -159,14 +160,14 @@
         "of a past incarnation"
     );
     assert_eq!(a.peer_load(ms(410), HOST).map(|t| t.in_flight), Some(1.0));
-    // A clock set back: after a long silence an earlier incarnation counts as a new one.
+    // After a long silence an earlier incarnation is accepted as new, since the peer's clock may have been set back.
     assert_eq!(a.receive(ms(20_000), 1, &old), DatagramOutcome::Applied);
 }
 
 #[test]
 fn datagram_when_bad_then_its_outcome_says_why() {
     let mut a = gossip(0, 1);
-    let good = say(&mut gossip(1, 1), 200, 4);
+    let good = send_update(&mut gossip(1, 1), 200, 4);
     let other = [&[9u8], &good[1..]].concat();
     assert_eq!(
         a.receive(ms(200), 1, &other),
@@ -181,7 +182,7 @@
         DatagramOutcome::Undecodable(UpdateError::Length)
     );
     assert_eq!(a.receive(ms(200), 1, &good), DatagramOutcome::Applied);
-    a.receive(ms(200), 2, &say(&mut gossip(2, 1), 200, 4));
+    a.receive(ms(200), 2, &send_update(&mut gossip(2, 1), 200, 4));
     assert_eq!(
         a.receive(ms(200), 3, &good),
         DatagramOutcome::Rejected,
@@ -190,10 +191,10 @@
 }
 
 #[test]
-fn updates_when_load_changes_often_then_they_keep_to_budget_and_pauses() {
+fn updates_when_load_changes_often_then_they_keep_to_budget_and_intervals() {
     let mut a = gossip(0, 1);
     let (mut bytes, mut updates, mut last) = (0usize, 0u32, 0u64);
-    // 30 parts a second, something new at every tick, 100 hosts.
+    // 30 parts per second and 100 hosts, with a change at every step.
     for now in (0..20_000).step_by(10) {
         let outs: Vec<(HostTag, u16)> = (0..100)
             .map(|h| ([h, 0, 0], (now / 10 % 7) as u16))
@@ -206,7 +207,7 @@
             (bytes, updates, last) = (bytes + d.bytes().len() * 2, updates + 1, now);
         }
     }
-    // A thousandth of all worth at 0.0072 for a full message a part, and what was saved up at first.
+    // A thousandth of all value, at a cost of 0.0072 for a full datagram with each part, plus the initial budget.
     let allowed = 600.0 * 256.0 * 0.001 / 0.0072 + 2.0 * 4.0 * 256.0;
     assert!(
         updates > 20 && (bytes as f64) <= allowed * 1.1,
--- a/crates/coordinator/tests/gossip_processes.rs
+++ b/crates/coordinator/tests/gossip_processes.rs
@@ -1,4 +1,4 @@
-//! Several coordinators as processes that tell each other, with faults between them and kills among them.
+//! Tests of the gossip between several coordinator processes, with network faults and killed processes.
 
 mod support;
 
@@ -11,16 +11,17 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use support::*;
 
-/// A coordinator's process. It ends with its test, however that ends; its log is a file, not the runner's output.
+/// A coordinator process, which is killed at the end of its test. Its log goes to a file.
 struct Process {
     child: Child,
     addr: String,
 }
 
-/// Number of processes that were started.
+/// Number of processes started so far.
 static STARTED: AtomicU32 = AtomicU32::new(0);
 
-/// The binary of the next process: by turns this build, and the one that `FENNELPIN_OTHER_COORDINATOR` names, if any.
+/// Returns the binary of the next process: alternately this build and the one named by `FENNELPIN_OTHER_COORDINATOR`,
+/// if that is set.
 fn next_binary() -> PathBuf {
     let this_build = PathBuf::from(env!("CARGO_BIN_EXE_fennelpin"));
     let other_build = std::env::var_os("FENNELPIN_OTHER_COORDINATOR");
@@ -46,8 +47,8 @@
             addr: String::new(),
         };
         until("it listens", || {
-            let said = std::fs::read_to_string(log).unwrap_or_default();
-            let line = said
+            let log_text = std::fs::read_to_string(log).unwrap_or_default();
+            let line = log_text
                 .lines()
                 .find_map(|l| Some(l.split_once("listening on ")?.1.trim().to_owned()));
             process.addr = line.unwrap_or_default();
@@ -85,8 +86,8 @@
     }
 }
 
-/// A tier of coordinators over two hosts: both hold shard 0, host 1 alone shard 1, host 0 alone shard 2. Both keep what
-/// is named `hold` for a while.
+/// A tier of coordinators with two hosts: both have shard 0, only host 1 has shard 1, and only host 0 has shard 2. Both
+/// hosts delay the answers to queries named `hold`.
 struct Tier {
     relay: Relay,
     processes: Vec<Process>,
@@ -102,7 +103,7 @@
         let hosts: Vec<Host> = (0..2)
             .map(|h| {
                 host(h, false, &ledger, move |s| {
-                    // Steady times: none is to look slow by the noise of a quick answer.
+                    // Constant answer times, so that no host appears slow because of noise in short times.
                     std::thread::sleep(if s.id.starts_with("hold") {
                         ms(300)
                     } else {
@@ -117,7 +118,7 @@
             .enumerate()
             .map(|(h, host)| member(h, &host.addr, h as u32, "Ready"))
             .collect();
-        // The system chooses the ports; each is free again for the coordinator, which waits for it if need be.
+        // The system chooses the ports. They are released for the coordinators, which retry binding if necessary.
         let free = |_| UdpSocket::bind("127.0.0.1:0").unwrap();
         let sockets: Vec<UdpSocket> = (0..n).map(free).collect();
         let listens: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
@@ -130,7 +131,7 @@
             ours["balancers"] = json!(n);
             ours["rank"] = json!(rank);
             ours["caps"]["may_tell"] = json!(true);
-            // No price: at one query in 200 ms the budget would bind.
+            // No cost of gossip, as the budget would limit it at one query per 200 ms.
             ours["costs"] = json!({"peer": 0.0});
             ours["family_info"]["sets"] = json!(3);
             ours["family_info"]["width"] = json!(2);
@@ -154,12 +155,12 @@
             ledger,
             asked: AtomicU32::new(0),
         };
-        tier.settle();
+        tier.wait_for_first_updates();
         tier
     }
 
-    /// Waits until every coordinator has heard a word of another.
-    fn settle(&self) {
+    /// Waits until every coordinator has received an update from another one.
+    fn wait_for_first_updates(&self) {
         for p in &self.processes {
             until("a word arrives", || {
                 for p in &self.processes {
@@ -170,8 +171,8 @@
         }
     }
 
-    /// What each has counted of its talk.
-    fn said(&self) -> String {
+    /// Returns the gossip counters of each coordinator, for messages of failed checks.
+    fn gossip_counters(&self) -> String {
         let count = |p: &Process| ["sent", "taken", "old"].map(|n| p.count(&format!("peers.{n}")));
         format!(
             "sent, taken, old: {:?}",
@@ -183,9 +184,9 @@
         format!("{kind}{}", self.asked.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// While coordinator 1 has a part out at a host, coordinator 0 asks once: whether it asked that host too.
-    /// `None` where the part was over too soon to tell.
-    fn round(&self, at: usize) -> Option<bool> {
+    /// While coordinator 1 has a part in flight at a host, sends a query to coordinator 0. Returns whether it was sent
+    /// to the same host, or `None` if the part in flight ended before that.
+    fn uses_occupied_host(&self, at: usize) -> Option<bool> {
         let held = self.name("hold");
         let mut client = Client::new(&self.processes[1].addr);
         client.query("near", &held, 3000, &[if at == 0 { 2 } else { 1 }]);
@@ -198,7 +199,7 @@
         until("the part is at its host", || {
             seen(&held).is_some_and(|s| s.host == at)
         });
-        // Longer than the pause between two words.
+        // Longer than the interval between two updates.
         std::thread::sleep(ms(120));
         let id = self.name("q");
         assert_eq!(self.processes[0].ask(&id), 200);
@@ -212,10 +213,13 @@
             .then_some(asked.host == at)
     }
 
-    /// Of twenty rounds, the hosts taking turns, in how many coordinator 0 went where the other had a part out.
-    /// By chance, or by any choice that doesn't know of it, these are ten.
-    fn rounds(&self) -> usize {
-        let valid: Vec<bool> = (0..60).filter_map(|n| self.round(n % 2)).take(20).collect();
+    /// Runs twenty rounds with alternating hosts, and returns the number in which coordinator 0 used the host at which
+    /// the other one had a part in flight. A choice without knowledge of that part gives ten on average.
+    fn count_uses_of_occupied_host(&self) -> usize {
+        let valid: Vec<bool> = (0..60)
+            .filter_map(|n| self.uses_occupied_host(n % 2))
+            .take(20)
+            .collect();
         assert_eq!(valid.len(), 20, "rounds that could be used");
         valid.into_iter().filter(|to| *to).count()
     }
@@ -224,7 +228,7 @@
 impl Drop for Tier {
     fn drop(&mut self) {
         self.processes.clear();
-        // The logs stay where something failed.
+        // The logs are kept after a failure.
         if !std::thread::panicking() {
             self.files
                 .iter()
@@ -233,11 +237,12 @@
     }
 }
 
-/// One part out elsewhere decides, as hosts here report none; with every word lost nobody knows of it, and a process that was killed and started again under its name is believed anew.
+/// A single part of a peer decides the choice of a host, as the hosts here report no load. If all updates are lost, the
+/// choice does not know of it. The updates of a process that was killed and restarted are accepted again.
 #[test]
 fn coordinators_leave_a_host_to_the_one_that_has_a_part_there() {
     let mut tier = Tier::start("choice", 2);
-    let to = tier.rounds();
+    let to = tier.count_uses_of_occupied_host();
     assert!(to <= 4, "{to} of 20 went to the host that was taken");
 
     tier.relay.set(Faults {
@@ -245,20 +250,24 @@
         ..Faults::default()
     });
     std::thread::sleep(ms(2100));
-    let to = tier.rounds();
+    let to = tier.count_uses_of_occupied_host();
     assert!(to >= 5, "{to} of 20 with nothing told");
 
     tier.relay.set(Faults::default());
     tier.processes[1].kill();
     let (config, log) = tier.files[1].clone();
     tier.processes[1] = Process::start(&config, &log);
-    tier.settle();
-    let to = tier.rounds();
-    assert!(to <= 4, "{to} of 20 after the restart: {}", tier.said());
+    tier.wait_for_first_updates();
+    let to = tier.count_uses_of_occupied_host();
+    assert!(
+        to <= 4,
+        "{to} of 20 after the restart: {}",
+        tier.gossip_counters()
+    );
 }
 
-/// Words that get lost, come twice, late and out of order, and one coordinator that hears but is not heard:
-/// every query is answered, and what is older than what is known is dropped.
+/// Updates are lost, duplicated, delayed and reordered, and one coordinator receives updates but its own are lost:
+/// every query is answered, and outdated updates are dropped.
 #[test]
 fn faults_between_coordinators_cost_no_answer() {
     let tier = Tier::start("faults", 3);
@@ -286,8 +295,8 @@
     assert!(tier.relay.passed() > 0);
 }
 
-/// A stranger's datagrams, garbage in a fellow's name, another version, a flood: counted by reason, and the
-/// queries beside them are answered.
+/// Datagrams from unknown senders, corrupt ones from a peer's address, another version, and a flood are counted by
+/// reason, and queries are still answered.
 #[test]
 fn bad_datagrams_are_counted_and_cost_nothing() {
     let tier = Tier::start("bad", 2);
--- a/crates/coordinator/tests/host_connections.rs
+++ b/crates/coordinator/tests/host_connections.rs
@@ -1,4 +1,4 @@
-//! The hosts' actors alone, handed calls as the core hands them.
+//! Tests of the host connections, which get calls as from the core.
 
 mod support;
 
@@ -15,22 +15,22 @@
 
 const HOST: ServerId = ServerId(0);
 
-struct Bench {
+struct ConnectionsFixture {
     runtime: tokio::runtime::Runtime,
-    peers: HostConnections,
-    mail: mpsc::UnboundedReceiver<CoreMessage>,
+    connections: HostConnections,
+    messages: mpsc::UnboundedReceiver<CoreMessage>,
     host: Endpoint,
 }
 
-impl Bench {
+impl ConnectionsFixture {
     fn new(dialect: Arc<dyn Dialect>, addr: &str) -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .unwrap();
         let caps = settings::read(&settings().to_string()).unwrap().limits;
-        let (core, mail) = mpsc::unbounded_channel();
-        let peers = HostConnections::new(HostConnectionsSetup {
+        let (core, messages) = mpsc::unbounded_channel();
+        let connections = HostConnections::new(HostConnectionsSetup {
             dialect,
             caps,
             max_connections: 64,
@@ -48,26 +48,26 @@
             state: ServerState::Ready,
             up_since_ms: 0,
         };
-        let mut bench = Self {
+        let mut fixture = Self {
             runtime,
-            peers,
-            mail,
+            connections,
+            messages,
             host,
         };
-        bench.act(|p, host| p.host_listed(HOST, host, None));
-        bench
+        fixture.act(|p, host| p.host_listed(HOST, host, None));
+        fixture
     }
 
     fn act(&mut self, act: impl FnOnce(&mut HostConnections, &Endpoint)) {
         let _inside = self.runtime.enter();
-        act(&mut self.peers, &self.host);
+        act(&mut self.connections, &self.host);
     }
 
     fn call(&mut self, n: u64) {
         self.call_before(n, None);
     }
 
-    /// A call that is not to be sent any more after this.
+    /// Sends a call that must not be written after `send_before`.
     fn call_before(&mut self, n: u64, send_before: Option<Instant>) {
         let give_up = Instant::now() + PATIENCE;
         let payload = payload("taxis", &Default::default());
@@ -90,9 +90,11 @@
     }
 
     fn next(&mut self) -> CoreMessage {
-        let Self { runtime, mail, .. } = self;
+        let Self {
+            runtime, messages, ..
+        } = self;
         runtime.block_on(async {
-            tokio::time::timeout(PATIENCE, mail.recv())
+            tokio::time::timeout(PATIENCE, messages.recv())
                 .await
                 .unwrap()
                 .unwrap()
@@ -112,23 +114,23 @@
     }
 }
 
-/// A release and a call of one turn: the call goes to a new connection, not to the one that closes.
+/// A release and a call in the same turn: the call uses a new connection, not the one that is closing.
 #[test]
 fn a_call_right_after_a_release_is_served() {
     let ledger = Ledger::default();
     let host = host(0, false, &ledger, |_| Act::Serve("v".into()));
-    let mut bench = Bench::new(Arc::new(Frames), &host.addr);
-    bench.call(1);
-    assert_eq!(bench.ended(), (1, Outcome::Ok));
-    bench.act(|p, _| p.close_idle_connections(HOST));
-    bench.call(2);
-    assert_eq!(bench.ended(), (2, Outcome::Ok));
+    let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &host.addr);
+    fixture.call(1);
+    assert_eq!(fixture.ended(), (1, Outcome::Ok));
+    fixture.act(|p, _| p.close_idle_connections(HOST));
+    fixture.call(2);
+    assert_eq!(fixture.ended(), (2, Outcome::Ok));
 }
 
-/// A call and its withdrawal that both come before the connection is up, or that both wait in the mailbox of
-/// one that is: nothing of it goes out, in either dialect, and what comes behind it does.
+/// A call and its cancellation both arrive before the connection is established, or both wait in the mailbox of an
+/// established one: the call is not sent, in either protocol, and the next call is.
 #[test]
-fn a_call_withdrawn_before_it_begins_is_never_sent() {
+fn a_call_cancelled_before_it_begins_is_never_sent() {
     for (dialect, http) in [
         (Arc::new(Frames) as Arc<dyn Dialect>, false),
         (Arc::new(OpenSearchHosts), true),
@@ -136,13 +138,13 @@
         let ledger = Ledger::default();
         let answer = if http { r#"{"hits":{}}"# } else { "v" };
         let host = host(0, http, &ledger, move |_| Act::Serve(answer.into()));
-        let mut bench = Bench::new(dialect, &host.addr);
+        let mut fixture = ConnectionsFixture::new(dialect, &host.addr);
         for (gone, stays) in [(1, 2), (3, 4)] {
             // None of the actors runs between these: all are in their mailboxes when they do.
-            bench.call(gone);
-            bench.cancel(gone);
-            bench.call(stays);
-            let mut ends = [bench.ended(), bench.ended()];
+            fixture.call(gone);
+            fixture.cancel(gone);
+            fixture.call(stays);
+            let mut ends = [fixture.ended(), fixture.ended()];
             ends.sort_by_key(|e| e.0);
             assert_eq!(ends, [(gone, Outcome::Cancelled), (stays, Outcome::Ok)]);
             assert!(
@@ -153,9 +155,9 @@
     }
 }
 
-/// Taking a part back stops what has not begun, and nothing else: what is on the wire runs its course.
+/// Retracting a part stops it only if it was not sent yet; a part on the wire completes normally.
 #[test]
-fn a_part_taken_back_is_stopped_unless_it_has_begun() {
+fn a_retracted_part_is_stopped_unless_it_was_sent() {
     for (dialect, http) in [
         (Arc::new(Frames) as Arc<dyn Dialect>, false),
         (Arc::new(OpenSearchHosts), true),
@@ -168,29 +170,30 @@
             go.lock().unwrap().recv().unwrap();
             Act::Serve(answer.into())
         });
-        let mut bench = Bench::new(dialect, &host.addr);
-        bench.call(1);
-        bench.act(|p, _| p.retract(HOST, RequestId(1), 0));
-        assert_eq!(bench.ended(), (1, Outcome::NotSent));
-        bench.call(2);
-        bench.runtime.block_on(async {
+        let mut fixture = ConnectionsFixture::new(dialect, &host.addr);
+        fixture.call(1);
+        fixture.act(|p, _| p.retract(HOST, RequestId(1), 0));
+        assert_eq!(fixture.ended(), (1, Outcome::NotSent));
+        fixture.call(2);
+        fixture.runtime.block_on(async {
             while ledger.all().is_empty() {
                 tokio::time::sleep(ms(1)).await;
             }
         });
-        bench.act(|p, _| p.retract(HOST, RequestId(2), 0));
+        fixture.act(|p, _| p.retract(HOST, RequestId(2), 0));
         met.lock().unwrap().send(()).unwrap();
-        assert_eq!(bench.ended(), (2, Outcome::Ok));
+        assert_eq!(fixture.ended(), (2, Outcome::Ok));
         assert_eq!(ledger.all().len(), 1);
     }
 }
 
-/// A frame that its host does not read to the end, of which a part is given up: the connection is closed within
-/// the time for a withdrawal, or the rest would go out whenever the host reads on. Nothing of it has run.
+/// A part is cancelled while its host does not read the rest of the frame: the connection is closed within the timeout
+/// for a cancellation, since the rest would otherwise be sent whenever the host continues to read. The part has not
+/// run.
 #[test]
-fn a_half_written_call_that_is_given_up_is_never_finished() {
+fn a_partly_written_call_that_is_cancelled_is_never_finished() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut bench = Bench::new(
+    let mut fixture = ConnectionsFixture::new(
         Arc::new(Frames),
         &listener.local_addr().unwrap().to_string(),
     );
@@ -209,16 +212,16 @@
         idempotency_key: None,
         payload,
     };
-    bench.act(|p, _| p.send_call(HOST, vec![part]));
+    fixture.act(|p, _| p.send_call(HOST, vec![part]));
     let (tx, accepted) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let stream = listener.accept().unwrap().0;
-        // A peek that blocked would hold up the one thread that writes the call.
+        // A blocking peek would stop the only thread, which also writes the call.
         stream.set_nonblocking(true).unwrap();
         tx.send(stream)
     });
     let begun = |s: &std::net::TcpStream| matches!(s.peek(&mut [0]), Ok(1));
-    let Bench { runtime, .. } = &bench;
+    let ConnectionsFixture { runtime, .. } = &fixture;
     let host = runtime.block_on(async {
         loop {
             tokio::time::sleep(ms(1)).await;
@@ -230,46 +233,46 @@
             }
         }
     });
-    bench.cancel(1);
-    assert_eq!(bench.ended(), (1, Outcome::ConnectFailed));
+    fixture.cancel(1);
+    assert_eq!(fixture.ended(), (1, Outcome::ConnectFailed));
     drop(host);
 }
 
-/// A part given up while its connection does not come up is over at once: its resend waits for that alone.
+/// A part that is cancelled during connection setup ends at once, since its resend waits for that.
 #[test]
-fn a_part_given_up_while_connecting_is_over_at_once() {
+fn a_part_cancelled_while_connecting_ends_at_once() {
     let stuck = Stuck::new();
-    let mut bench = Bench::new(Arc::new(Frames), &stuck.addr);
-    bench.act(|p, _| p.probe(HOST));
-    bench.call(1);
-    bench.cancel(1);
+    let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &stuck.addr);
+    fixture.act(|p, _| p.probe(HOST));
+    fixture.call(1);
+    fixture.cancel(1);
     assert_eq!(
-        bench.ended(),
+        fixture.ended(),
         (1, Outcome::Cancelled),
         "before the connection's time is over"
     );
     assert!(matches!(
-        bench.next(),
+        fixture.next(),
         CoreMessage::ProbeEnded(HOST, Outcome::ConnectFailed, None)
     ));
 }
 
-/// No call starts once a drain's grace is over, and what is withheld is proved never to have run.
+/// No call starts after the grace of a drain, and a withheld part is reported as one that never ran.
 #[test]
 fn a_call_after_the_grace_is_withheld() {
     let ledger = Ledger::default();
     let host = host(0, false, &ledger, |_| Act::Serve("v".into()));
-    let mut bench = Bench::new(Arc::new(Frames), &host.addr);
-    bench.act(|p, host| p.host_listed(HOST, host, Some(Instant::now())));
-    bench.call(1);
-    let (_, outcome) = bench.ended();
+    let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &host.addr);
+    fixture.act(|p, host| p.host_listed(HOST, host, Some(Instant::now())));
+    fixture.call(1);
+    let (_, outcome) = fixture.ended();
     assert!(
         outcome.never_ran() && ledger.all().is_empty(),
         "{outcome:?}"
     );
 }
 
-/// A part that has waited for its connection until its key no longer holds is withheld: the host would run it again.
+/// A repeated part that waits for its connection beyond the window of its key is withheld: the host would run it again.
 #[test]
 fn a_repeat_after_the_window_of_its_key_is_withheld() {
     for (dialect, http) in [
@@ -279,20 +282,20 @@
         let ledger = Ledger::default();
         let answer = if http { r#"{"hits":{}}"# } else { "v" };
         let host = host(0, http, &ledger, move |_| Act::Serve(answer.into()));
-        let mut bench = Bench::new(dialect, &host.addr);
-        bench.call_before(1, Some(Instant::now()));
-        assert_eq!(bench.ended(), (1, Outcome::NotSent));
+        let mut fixture = ConnectionsFixture::new(dialect, &host.addr);
+        fixture.call_before(1, Some(Instant::now()));
+        assert_eq!(fixture.ended(), (1, Outcome::NotSent));
         assert!(ledger.all().is_empty(), "sent though it was too late");
-        bench.call_before(2, Some(Instant::now() + PATIENCE));
-        assert_eq!(bench.ended(), (2, Outcome::Ok));
+        fixture.call_before(2, Some(Instant::now() + PATIENCE));
+        assert_eq!(fixture.ended(), (2, Outcome::Ok));
     }
 }
 
-/// An answer that can't be read has run, and its connection is of no further use: the part ends at once as
-/// an error, not at its time-out, and the host is not taken for dead. No such length gets a buffer.
+/// A part with a malformed answer has run, and its connection can't be used further: the part ends at once with an
+/// error instead of a timeout, and the host does not count as dead. No buffer is allocated for an invalid length.
 #[test]
-fn a_spoilt_answer_ends_its_part_and_its_connection_at_once() {
-    let spoilt: [fn(&str) -> Vec<u8>; 8] = [
+fn a_malformed_answer_ends_its_part_and_its_connection_at_once() {
+    let malformed: [fn(&str) -> Vec<u8>; 8] = [
         |_| b"\xd1y\x89\x80Qo%*5\r\n".to_vec(),
         |_| [&3_000_000_000u32.to_be_bytes()[..], b"a"].concat(),
         |id| frame('z', &format!("{id} served 1 -\nv")),
@@ -300,7 +303,7 @@
         |_| frame('a', "never-asked.0 served 1 -\nv"),
         |_| vec![b'x'; 3000],
         |_| frame('a', &"x".repeat(3000)),
-        // Its length is for more than comes.
+        // The declared length is larger than the content.
         |id| {
             [
                 &900u32.to_be_bytes()[..],
@@ -309,27 +312,27 @@
             .concat()
         },
     ];
-    for (n, bytes) in spoilt.into_iter().enumerate() {
+    for (n, bytes) in malformed.into_iter().enumerate() {
         let ledger = Ledger::default();
         let h = host(0, false, &ledger, move |s| match s.id.as_str() {
             "q1.0" => Act::Raw(bytes(&s.id)),
             _ => Act::Serve("v".into()),
         });
-        let mut bench = Bench::new(Arc::new(Frames), &h.addr);
+        let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &h.addr);
         let asked = Instant::now();
-        bench.call(1);
-        assert_eq!(bench.ended(), (1, Outcome::Error), "{n}");
+        fixture.call(1);
+        assert_eq!(fixture.ended(), (1, Outcome::Error), "{n}");
         assert!(asked.elapsed() < PATIENCE / 4, "{n}");
-        bench.call(2);
-        assert_eq!(bench.ended(), (2, Outcome::Ok), "{n}");
+        fixture.call(2);
+        assert_eq!(fixture.ended(), (2, Outcome::Ok), "{n}");
         assert_eq!(h.conns.lock().unwrap().len(), 2, "{n}");
     }
 }
 
-/// What comes behind a good answer spoils the connection, not the answer; and a report that can't be read
-/// is no report, least of all one of an idle host.
+/// Extra bytes after a valid answer end the connection and leave the answer valid. An unreadable load report is
+/// ignored, and is not mistaken for that of an idle host.
 #[test]
-fn extra_bytes_cost_the_connection_and_not_the_answer() {
+fn extra_bytes_end_the_connection_and_keep_the_answer() {
     let extra: [fn(&str) -> Vec<u8>; 3] = [
         |id| frame('a', &format!("{id} served 1 -\nv")),
         |_| b"\xb2\xb4\x03N<\xed".to_vec(),
@@ -341,25 +344,25 @@
             let good = frame('a', &format!("{} served 1 nan\nvalue", s.id));
             Act::Raw([good, if s.id == "q1.0" { more(&s.id) } else { vec![] }].concat())
         });
-        let mut bench = Bench::new(Arc::new(Frames), &h.addr);
+        let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &h.addr);
         for q in [1, 2] {
-            bench.call(q);
+            fixture.call(q);
             let AttemptEnd {
                 part,
                 outcome,
                 value,
                 report,
                 ..
-            } = bench.end();
+            } = fixture.end();
             assert_eq!(
                 (part.0, outcome, value.as_deref()),
                 (q, Outcome::Ok, Some(&b"value"[..])),
                 "{n}"
             );
             assert_eq!(report, None);
-            // The host notices the end of a spoilt connection before it is asked again.
+            // Gives the host time to notice the end of the connection before the next call.
             std::thread::sleep(ms(30));
-            bench
+            fixture
                 .runtime
                 .block_on(async { tokio::time::sleep(ms(30)).await });
         }
@@ -367,9 +370,9 @@
     }
 }
 
-/// The answer to a part given up may still come: it is late, and costs nothing.
+/// The answer to a cancelled part may still arrive: it is counted as late and ignored.
 #[test]
-fn a_late_answer_is_told_from_one_never_asked_for() {
+fn a_late_answer_is_distinguished_from_an_unknown_one() {
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| {
         if s.id == "q1.0" {
@@ -377,45 +380,45 @@
         }
         Act::Serve("v".into())
     });
-    let mut bench = Bench::new(Arc::new(Frames), &h.addr);
-    bench.call(1);
-    bench
+    let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &h.addr);
+    fixture.call(1);
+    fixture
         .runtime
         .block_on(async { tokio::time::sleep(ms(100)).await });
-    bench.act(|p, _| p.cancel(HOST, RequestId(1), 0, Outcome::Cancelled));
-    assert_eq!(bench.ended(), (1, Outcome::Cancelled));
-    bench.call(2);
-    assert_eq!(bench.ended(), (2, Outcome::Ok));
+    fixture.act(|p, _| p.cancel(HOST, RequestId(1), 0, Outcome::Cancelled));
+    assert_eq!(fixture.ended(), (1, Outcome::Cancelled));
+    fixture.call(2);
+    assert_eq!(fixture.ended(), (2, Outcome::Ok));
     assert_eq!(h.conns.lock().unwrap().len(), 1);
 }
 
-/// A host reads nothing behind the parts that a connection can carry, and parts given up are among them for
-/// as long as it holds them: withdrawals unread behind those let a resend become a second copy.
+/// A host at the limit of parts on a connection reads nothing more from it, and cancelled parts count as long as it
+/// holds them: a resend would become a second copy if the cancellation stayed unread.
 #[test]
-fn parts_given_up_count_on_their_connection_and_one_place_stays_free() {
+fn cancelled_parts_count_on_their_connection_and_one_place_stays_free() {
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |_| Act::Silent);
-    let mut bench = Bench::new(Arc::new(Frames), &h.addr);
-    let sent = |bench: &mut Bench, n: usize| {
-        bench.runtime.block_on(async {
+    let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &h.addr);
+    let sent = |fixture: &mut ConnectionsFixture, n: usize| {
+        fixture.runtime.block_on(async {
             tokio::time::timeout(PATIENCE, wait_for(&ledger, n))
                 .await
                 .unwrap();
         });
     };
-    // One that stays out, or the connection would be closed for what was given up on it.
-    bench.call(0);
+    // One part stays in flight; otherwise the connection would be closed because of its cancelled parts.
+    fixture.call(0);
     for n in 1..=29 {
-        bench.call(n);
-        sent(&mut bench, n as usize + 1);
-        bench.act(|p, _| p.cancel(HOST, RequestId(n), 0, Outcome::Cancelled));
-        assert_eq!(bench.ended(), (n, Outcome::Cancelled));
+        fixture.call(n);
+        sent(&mut fixture, n as usize + 1);
+        fixture.act(|p, _| p.cancel(HOST, RequestId(n), 0, Outcome::Cancelled));
+        assert_eq!(fixture.ended(), (n, Outcome::Cancelled));
     }
     assert_eq!(h.conns.lock().unwrap().len(), 1);
-    // Two out and those given up fill the first connection, but for the place that stays free.
+    // Two parts in flight and the cancelled ones fill the first connection, except for the place that stays free.
     for (n, conns) in [(30, 1), (31, 2)] {
-        bench.call(n);
-        sent(&mut bench, n as usize + 1);
+        fixture.call(n);
+        sent(&mut fixture, n as usize + 1);
         assert_eq!(h.conns.lock().unwrap().len(), conns);
     }
 }
@@ -426,9 +429,9 @@
     }
 }
 
-/// Over HTTP too a probe is a question: a host that is gone or silent must not pass for a sound one.
+/// A probe over HTTP, too, needs an answer: an unreachable or silent host must not count as healthy.
 #[test]
-fn a_probe_over_http_tells_the_living_from_the_dead() {
+fn a_probe_over_http_distinguishes_live_from_dead_hosts() {
     let ledger = Ledger::default();
     let alive = host(0, true, &ledger, |_| Act::Silent);
     let gone = std::net::TcpListener::bind("127.0.0.1:0")
@@ -442,27 +445,27 @@
         (gone, Outcome::ConnectFailed),
         (silent.local_addr().unwrap().to_string(), Outcome::Timeout),
     ] {
-        let mut bench = Bench::new(Arc::new(OpenSearchHosts), &addr);
-        bench.act(|p, _| p.probe(HOST));
+        let mut fixture = ConnectionsFixture::new(Arc::new(OpenSearchHosts), &addr);
+        fixture.act(|p, _| p.probe(HOST));
         assert!(
-            matches!(bench.next(), CoreMessage::ProbeEnded(HOST, got, _) if got == outcome),
+            matches!(fixture.next(), CoreMessage::ProbeEnded(HOST, got, _) if got == outcome),
             "{outcome:?}"
         );
     }
 }
 
-impl Bench {
-    /// Lets far more time pass than a host that answers at once is given.
+impl ConnectionsFixture {
+    /// Sleeps for much longer than the stall timeout of a host that answers at once.
     fn pause(&mut self) {
         self.runtime
             .block_on(async { tokio::time::sleep(ms(1000)).await });
     }
 }
 
-/// Found on rate+silent+leave of caerdydd-plans: the fullest link took every call, so a connection that had
-/// died without a word collected 31 parts, each of which waited for its query's end.
+/// Guards against a silently dead connection that collects parts: the link with the most parts got every call, so that
+/// 31 parts waited on a dead connection until the end of their queries.
 #[test]
-fn a_connection_that_died_silently_gets_no_more_and_gives_its_parts_back() {
+fn a_silently_dead_connection_gets_no_calls_and_returns_its_parts() {
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| {
         if s.id == "q2.0" {
@@ -471,25 +474,25 @@
             Act::Serve("v".into())
         }
     });
-    let mut bench = Bench::new(Arc::new(Frames), &h.addr);
-    bench.call(1);
-    assert_eq!(bench.ended(), (1, Outcome::Ok));
-    bench.call(2);
-    bench.pause();
-    bench.call(3);
-    assert_eq!(bench.ended(), (3, Outcome::Ok));
+    let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &h.addr);
+    fixture.call(1);
+    assert_eq!(fixture.ended(), (1, Outcome::Ok));
+    fixture.call(2);
+    fixture.pause();
+    fixture.call(3);
+    assert_eq!(fixture.ended(), (3, Outcome::Ok));
     assert_eq!(h.conns.lock().unwrap().len(), 2, "a connection of its own");
-    // What the host answers elsewhere tells that the first is lost; the part may have run there.
-    assert_eq!(bench.ended(), (2, Outcome::Reset));
-    bench.call(4);
-    assert_eq!(bench.ended(), (4, Outcome::Ok));
+    // Answers on another connection show that the first one is lost; its part may have run.
+    assert_eq!(fixture.ended(), (2, Outcome::Reset));
+    fixture.call(4);
+    assert_eq!(fixture.ended(), (4, Outcome::Ok));
     assert_eq!(h.conns.lock().unwrap().len(), 2);
 }
 
-/// A host that stands still is silent on every connection: one more is tried, no further ones, and what
-/// waits there is not given up by the network's judgement.
+/// A stalled host is silent on every connection: one more connection is tried and no further ones, and the waiting
+/// parts are not ended by the stall detection.
 #[test]
-fn a_host_that_stands_still_is_told_from_a_connection_that_died() {
+fn a_stalled_host_is_distinguished_from_a_dead_connection() {
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| {
         if s.id == "q1.0" {
@@ -498,22 +501,22 @@
             Act::Silent
         }
     });
-    let mut bench = Bench::new(Arc::new(Frames), &h.addr);
-    bench.call(1);
-    assert_eq!(bench.ended(), (1, Outcome::Ok));
+    let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &h.addr);
+    fixture.call(1);
+    assert_eq!(fixture.ended(), (1, Outcome::Ok));
     for (n, conns) in [(2, 1), (3, 2), (4, 2), (5, 2)] {
-        bench.call(n);
-        bench.pause();
+        fixture.call(n);
+        fixture.pause();
         assert_eq!(
             (ledger.all().len(), h.conns.lock().unwrap().len()),
             (n as usize, conns)
         );
     }
-    assert!(bench.mail.try_recv().is_err(), "nothing has ended");
+    assert!(fixture.messages.try_recv().is_err(), "nothing has ended");
 }
 
-/// Found on wide+reset+stale of caerdydd-plans: hosts ended connections right after answers, and with each all
-/// that waited on it, up to 30 parts; each had spent its attempts within 30 ms, at hosts that served on.
+/// Guards against the loss of many parts with one connection: hosts ended connections right after answers, each with up
+/// to 30 waiting parts, which used up their attempts within 30 ms although the hosts kept serving.
 #[test]
 fn calls_to_a_host_that_ends_connections_are_spread_over_a_few() {
     let ledger = Ledger::default();
@@ -522,13 +525,13 @@
         "q2.0" => Act::Break,
         _ => Act::Silent,
     });
-    let mut bench = Bench::new(Arc::new(Frames), &h.addr);
-    bench.call(1);
-    assert_eq!(bench.ended(), (1, Outcome::Ok));
-    bench.call(2);
-    assert_eq!(bench.ended(), (2, Outcome::Reset));
-    (3..=20).for_each(|n| bench.call(n));
-    bench.runtime.block_on(wait_for(&ledger, 20));
+    let mut fixture = ConnectionsFixture::new(Arc::new(Frames), &h.addr);
+    fixture.call(1);
+    assert_eq!(fixture.ended(), (1, Outcome::Ok));
+    fixture.call(2);
+    assert_eq!(fixture.ended(), (2, Outcome::Reset));
+    (3..=20).for_each(|n| fixture.call(n));
+    fixture.runtime.block_on(wait_for(&ledger, 20));
     let most = Frames.max_connections();
     assert_eq!(h.conns.lock().unwrap().len(), 1 + most);
 }
--- a/crates/coordinator/tests/lists.rs
+++ b/crates/coordinator/tests/lists.rs
@@ -1,5 +1,5 @@
-//! The list's actor between two events: silence, restarts and moves of discovery, each in the order that the
-//! test sets. Time is tokio's own, paused: it goes on only when nobody has anything to do.
+//! Tests of the host list actor: silence, restarts and moves of discovery, in the order that each test sets. The tests
+//! use tokio's paused clock, which advances only when no task can run.
 
 mod support;
 
@@ -15,21 +15,21 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Where a lists' rule counts from: what a watch missed counts as told 6 s after its last line.
-const TOLD: Duration = Duration::from_secs(6);
+/// Time after a watch's last line from which the coordinator counts as informed of what the watch missed.
+const MISSED_UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 
-/// The watch under test and what it tells.
-struct Bench {
-    news: mpsc::UnboundedReceiver<CoreMessage>,
-    moves: mpsc::UnboundedSender<String>,
+/// The watch under test and the messages that it sends.
+struct WatchFixture {
+    messages: mpsc::UnboundedReceiver<CoreMessage>,
+    new_addresses: mpsc::UnboundedSender<String>,
     counters: Counters,
     started: Instant,
 }
 
-impl Bench {
+impl WatchFixture {
     fn new(addr: &str, backoff: DiscoveryBackoff) -> Self {
-        let (core, news) = mpsc::unbounded_channel();
-        let (moves, moved) = mpsc::unbounded_channel();
+        let (core, messages) = mpsc::unbounded_channel();
+        let (new_addresses, addresses) = mpsc::unbounded_channel();
         let counters = Counters::default();
         let (addr, count) = (addr.to_owned(), counters.clone());
         let watch = Watch {
@@ -40,18 +40,18 @@
             backoff,
             replaces: Vec::new(),
         };
-        tokio::spawn(watch.follow_moves(moved));
+        tokio::spawn(watch.follow_moves(addresses));
         Self {
-            news,
-            moves,
+            messages,
+            new_addresses,
             counters,
             started: Instant::now(),
         }
     }
 
-    /// The host of the next list that is told.
+    /// Returns the host of the next list that the watch sends.
     async fn host(&mut self) -> String {
-        match timeout(Duration::from_secs(60), self.news.recv())
+        match timeout(Duration::from_secs(60), self.messages.recv())
             .await
             .expect("a list in time")
         {
@@ -77,7 +77,7 @@
     json!({"revision": 1, "complete": true, "members": [member]}).to_string()
 }
 
-/// Discovery, one call after another.
+/// A discovery server that handles one call after another.
 struct Discovery {
     listener: TcpListener,
     addr: String,
@@ -90,7 +90,7 @@
         Self { listener, addr }
     }
 
-    /// The next call, read and not answered.
+    /// Reads the next call without answering it.
     async fn call(&self) -> TcpStream {
         let (mut stream, _) = self.listener.accept().await.unwrap();
         let (mut text, mut bytes) = (Vec::new(), [0; 1024]);
@@ -102,7 +102,7 @@
         stream
     }
 
-    /// The next call, answered up to its head.
+    /// Reads the next call and answers with the head of a response.
     async fn watch(&self) -> TcpStream {
         let mut stream = self.call().await;
         stream
@@ -113,26 +113,26 @@
     }
 }
 
-async fn say(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
+async fn send_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     stream
         .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
         .await
 }
 
-/// A watch that speaks and then drips, never a whole line: it counts as silent from its last whole one.
+/// A watch sends a line and then slowly parts of another: it counts as silent from the last complete line.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_drips_half_a_line_is_left_like_a_silent_one() {
+async fn a_watch_that_slowly_sends_half_a_line_counts_as_silent() {
     let discovery = Discovery::new().await;
-    let mut bench = Bench::new(&discovery.addr, agent(2000));
+    let mut fixture = WatchFixture::new(&discovery.addr, agent(2000));
     let mut watch = discovery.watch().await;
-    say(&mut watch, &format!("{}\n\n", object("h1")))
+    send_chunk(&mut watch, &format!("{}\n\n", object("h1")))
         .await
         .unwrap();
-    assert_eq!(bench.host().await, "h1");
+    assert_eq!(fixture.host().await, "h1");
     let last = Instant::now();
     let drip = async {
         for piece in ["{\"revision\"", ":", " ", " ", " ", "2", "3", "4", "5"] {
-            if say(&mut watch, piece).await.is_err() {
+            if send_chunk(&mut watch, piece).await.is_err() {
                 break;
             }
             sleep(ms(900)).await;
@@ -141,29 +141,33 @@
     };
     let next = async {
         let mut watch = discovery.watch().await;
-        say(&mut watch, &format!("{}\n", object("h2")))
+        send_chunk(&mut watch, &format!("{}\n", object("h2")))
             .await
             .unwrap();
-        assert_eq!(bench.host().await, "h2");
+        assert_eq!(fixture.host().await, "h2");
     };
     tokio::select! { _ = drip => {} _ = next => {} }
-    assert!(last.elapsed() < TOLD, "{:?}", last.elapsed());
+    assert!(
+        last.elapsed() < MISSED_UPDATE_DEADLINE,
+        "{:?}",
+        last.elapsed()
+    );
 }
 
-/// Silence, and then a discovery that takes calls and says nothing: what it has at its return counts at once,
-/// so a call that was made before must not be waited for beyond a drain's grace.
+/// Discovery becomes silent, and then accepts calls without answering. What it knows on its return counts as known at
+/// once, so an unanswered call must not be waited for longer than a drain's grace.
 #[tokio::test(start_paused = true)]
 async fn calls_that_stay_unanswered_are_made_again_within_a_drains_grace() {
     for grace in [1000, 2000, 4000] {
         for head in [false, true] {
             let discovery = Discovery::new().await;
-            let mut bench = Bench::new(&discovery.addr, agent(grace));
+            let mut fixture = WatchFixture::new(&discovery.addr, agent(grace));
             let mut watch = discovery.watch().await;
-            say(&mut watch, &format!("{}\n", object("h1")))
+            send_chunk(&mut watch, &format!("{}\n", object("h1")))
                 .await
                 .unwrap();
-            assert_eq!(bench.host().await, "h1");
-            // The call after the silence stays without its head, or with it but without a first object.
+            assert_eq!(fixture.host().await, "h1");
+            // The call after the silence gets no head, or a head without a first object.
             let stuck = if head {
                 discovery.watch().await
             } else {
@@ -171,10 +175,10 @@
             };
             let back = Instant::now();
             let mut watch = discovery.watch().await;
-            say(&mut watch, &format!("{}\n", object("h2")))
+            send_chunk(&mut watch, &format!("{}\n", object("h2")))
                 .await
                 .unwrap();
-            assert_eq!(bench.host().await, "h2");
+            assert_eq!(fixture.host().await, "h2");
             assert!(
                 back.elapsed() < ms(grace),
                 "{:?} with a grace of {grace}",
@@ -185,14 +189,14 @@
     }
 }
 
-/// One silence of many that ask one discovery: each calls anew before what it missed counts as told, whatever
-/// it would wait after a call that failed.
+/// A shared discovery becomes silent for many coordinators: each calls again before the missed changes count as known,
+/// however long it would wait after a failed call.
 #[tokio::test(start_paused = true)]
-async fn after_silence_each_of_a_large_fleet_calls_before_it_counts_as_told() {
+async fn after_silence_each_of_a_large_fleet_calls_before_the_deadline() {
     for seed in 1..40 {
         let discovery = Discovery::new().await;
         let shared = Some((300, Duration::from_secs(12)));
-        let mut bench = Bench::new(
+        let mut fixture = WatchFixture::new(
             &discovery.addr,
             DiscoveryBackoff {
                 seed,
@@ -201,120 +205,130 @@
             },
         );
         let mut watch = discovery.watch().await;
-        say(&mut watch, &format!("{}\n", object("h1")))
+        send_chunk(&mut watch, &format!("{}\n", object("h1")))
             .await
             .unwrap();
-        assert_eq!(bench.host().await, "h1");
+        assert_eq!(fixture.host().await, "h1");
         let last = Instant::now();
         discovery.call().await;
-        assert!(last.elapsed() < TOLD, "seed {seed}: {:?}", last.elapsed());
-        // One that can't be reached at all is a service in need.
-        assert_eq!(bench.counters.get("list.ended"), 1);
+        assert!(
+            last.elapsed() < MISSED_UPDATE_DEADLINE,
+            "seed {seed}: {:?}",
+            last.elapsed()
+        );
+        // Only the silent watch has ended.
+        assert_eq!(fixture.counters.get("list.ended"), 1);
     }
 }
 
-/// A list may come indented over many lines, in whatever pieces, and empty lines between.
+/// A list may be indented over many lines, arrive in any pieces, and have empty lines around it.
 #[tokio::test(start_paused = true)]
 async fn an_indented_list_is_read_like_one_on_a_line() {
     let discovery = Discovery::new().await;
-    let mut bench = Bench::new(&discovery.addr, agent(2000));
+    let mut fixture = WatchFixture::new(&discovery.addr, agent(2000));
     let mut watch = discovery.watch().await;
     for host in ["h1", "h2"] {
         let value: serde_json::Value = serde_json::from_str(&object(host)).unwrap();
         let text = format!("\n{}\n\n", serde_json::to_string_pretty(&value).unwrap());
         for piece in text.as_bytes().chunks(7) {
-            say(&mut watch, std::str::from_utf8(piece).unwrap())
+            send_chunk(&mut watch, std::str::from_utf8(piece).unwrap())
                 .await
                 .unwrap();
         }
-        assert_eq!(bench.host().await, host);
+        assert_eq!(fixture.host().await, host);
     }
     assert_eq!(
-        (bench.counters.get("list.ended"), bench.started.elapsed()),
+        (
+            fixture.counters.get("list.ended"),
+            fixture.started.elapsed()
+        ),
         (0, ms(0))
     );
 }
 
-/// Half a line, and then an empty one: the line was never ended. The watch is left at once, not after silence.
+/// An empty line after an incomplete one shows that the line was cut off. The watch is ended at once, not after the
+/// silence timeout.
 #[tokio::test(start_paused = true)]
-async fn half_a_line_before_an_empty_one_costs_the_watch_at_once() {
+async fn half_a_line_before_an_empty_one_ends_the_watch_at_once() {
     let discovery = Discovery::new().await;
-    let bench = Bench::new(&discovery.addr, agent(2000));
+    let fixture = WatchFixture::new(&discovery.addr, agent(2000));
     let mut watch = discovery.watch().await;
-    say(&mut watch, "{\"revision\": 7,\n\n").await.unwrap();
+    send_chunk(&mut watch, "{\"revision\": 7,\n\n")
+        .await
+        .unwrap();
     let _again = discovery.watch().await;
-    assert_eq!(bench.counters.get("list.ended"), 1);
+    assert_eq!(fixture.counters.get("list.ended"), 1);
     assert!(
-        bench.started.elapsed() <= ms(500),
+        fixture.started.elapsed() <= ms(500),
         "{:?}",
-        bench.started.elapsed()
+        fixture.started.elapsed()
     );
 }
 
-/// Discovery moves to and fro before the new place has spoken. Whichever of the places speaks in between, the
-/// last one named has the last word, and no earlier one is heard after it.
+/// Discovery moves to a new address and back before the new one has sent an update. Whichever address sends updates in
+/// between, the last one takes over, and updates from earlier ones are ignored after that.
 #[tokio::test(start_paused = true)]
-async fn moves_to_and_fro_end_with_the_place_named_last() {
-    for speaks_between in [false, true] {
+async fn moves_back_and_forth_end_at_the_last_address() {
+    for second_sends_update in [false, true] {
         let (a, b) = (Discovery::new().await, Discovery::new().await);
-        let mut bench = Bench::new(&a.addr, agent(2000));
+        let mut fixture = WatchFixture::new(&a.addr, agent(2000));
         let mut first = a.watch().await;
-        say(&mut first, &format!("{}\n", object("a1")))
+        send_chunk(&mut first, &format!("{}\n", object("a1")))
             .await
             .unwrap();
-        assert_eq!(bench.host().await, "a1");
-        bench.moves.send(b.addr.clone()).unwrap();
+        assert_eq!(fixture.host().await, "a1");
+        fixture.new_addresses.send(b.addr.clone()).unwrap();
         let mut second = b.watch().await;
-        bench.moves.send(a.addr.clone()).unwrap();
+        fixture.new_addresses.send(a.addr.clone()).unwrap();
         let mut third = a.watch().await;
-        if speaks_between {
-            // The place in the middle speaks: the first is over, the last still to come.
-            say(&mut second, &format!("{}\n", object("b1")))
+        if second_sends_update {
+            // The second watch receives an update, which ends the first one; the third has yet to receive one.
+            send_chunk(&mut second, &format!("{}\n", object("b1")))
                 .await
                 .unwrap();
-            assert_eq!(bench.host().await, "b1");
+            assert_eq!(fixture.host().await, "b1");
         } else {
-            // The first goes on for as long as nobody else speaks.
-            say(&mut first, &format!("{}\n", object("a2")))
+            // The first watch continues until another one receives an update.
+            send_chunk(&mut first, &format!("{}\n", object("a2")))
                 .await
                 .unwrap();
-            assert_eq!(bench.host().await, "a2");
+            assert_eq!(fixture.host().await, "a2");
         }
-        // All speak at once; the last one's word comes first in its turn, or after theirs.
-        let _ = say(&mut first, &format!("{}\n", object("old"))).await;
-        let _ = say(&mut second, &format!("{}\n", object("old"))).await;
-        say(&mut third, &format!("{}\n", object("a3")))
+        // All watches get an update at once; that of the third may arrive before or after the others.
+        let _ = send_chunk(&mut first, &format!("{}\n", object("old"))).await;
+        let _ = send_chunk(&mut second, &format!("{}\n", object("old"))).await;
+        send_chunk(&mut third, &format!("{}\n", object("a3")))
             .await
             .unwrap();
-        while bench.host().await != "a3" {}
-        let _ = say(&mut first, &format!("{}\n", object("old"))).await;
-        let _ = say(&mut second, &format!("{}\n", object("old"))).await;
-        say(&mut third, &format!("{}\n", object("a4")))
+        while fixture.host().await != "a3" {}
+        let _ = send_chunk(&mut first, &format!("{}\n", object("old"))).await;
+        let _ = send_chunk(&mut second, &format!("{}\n", object("old"))).await;
+        send_chunk(&mut third, &format!("{}\n", object("a4")))
             .await
             .unwrap();
         assert_eq!(
-            bench.host().await,
+            fixture.host().await,
             "a4",
             "an earlier place was heard after the last one"
         );
     }
 }
 
-/// A new place that never speaks: the old one's word goes on, through silence and all.
+/// A new address that never sends an update leaves the old one in use, even through a silence.
 #[tokio::test(start_paused = true)]
-async fn a_new_place_that_never_speaks_leaves_the_old_one_in_force() {
+async fn a_silent_new_address_leaves_the_old_one_in_use() {
     let (a, b) = (Discovery::new().await, Discovery::new().await);
-    let mut bench = Bench::new(&a.addr, agent(2000));
+    let mut fixture = WatchFixture::new(&a.addr, agent(2000));
     let mut watch = a.watch().await;
-    say(&mut watch, &format!("{}\n", object("a1")))
+    send_chunk(&mut watch, &format!("{}\n", object("a1")))
         .await
         .unwrap();
-    assert_eq!(bench.host().await, "a1");
-    bench.moves.send(b.addr.clone()).unwrap();
-    let _mute = b.call().await;
+    assert_eq!(fixture.host().await, "a1");
+    fixture.new_addresses.send(b.addr.clone()).unwrap();
+    let _silent = b.call().await;
     let mut again = a.watch().await;
-    say(&mut again, &format!("{}\n", object("a2")))
+    send_chunk(&mut again, &format!("{}\n", object("a2")))
         .await
         .unwrap();
-    assert_eq!(bench.host().await, "a2");
+    assert_eq!(fixture.host().await, "a2");
 }
--- a/crates/coordinator/tests/wire_formats.rs
+++ b/crates/coordinator/tests/wire_formats.rs
@@ -1,6 +1,6 @@
-//! Formats that another version of the program reads: what two processes tell each other at a hot restart, the
-//! datagrams between coordinators, and the names of the operators' figures. The bytes here were written by the
-//! code before any of its types was renamed: a rename must not change them.
+//! Tests of formats that other versions of the program read: the messages of a hot restart, the datagrams between
+//! coordinators, and the names of the counters. The bytes were recorded before the types in the code were renamed, and
+//! a rename must not change them.
 
 mod support;
 
@@ -26,7 +26,7 @@
 use support::*;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// What the old process tells of hosts `s-0` (taken out), `s-1` (called back at 1234 ms) and `s-2` (draining).
+/// The old process's state of the hosts `s-0` (ejected), `s-1` (reinstated at 1234 ms) and `s-2` (draining).
 const BANS: &str = r#"{"out":["s-0"],"back":{"s-1":1234},"listed":{"s-0":{"id":"s-0","addr":"10.0.0.1:80","zone":"a","cell":3,"state":"Ready","up_since_ms":17},"s-1":{"id":"s-1","addr":"10.0.0.1:80","zone":"a","cell":3,"state":"Ready","up_since_ms":17},"s-2":{"id":"s-2","addr":"10.0.0.1:80","zone":"a","cell":3,"state":"Draining","up_since_ms":17}}}"#;
 
 fn host(id: &str, state: ServerState) -> Endpoint {
@@ -67,18 +67,18 @@
     path
 }
 
-/// A process that takes part in a hot restart, with an actor of the list that obeys every order.
+/// A process in a hot restart, with a host list actor that carries out every order.
 struct RestartProcess {
     thread: JoinHandle<()>,
     stop: oneshot::Sender<()>,
-    /// Orders given at this process, to be forwarded to the other one.
+    /// Orders received by this process, to be forwarded to the other one.
     forward: mpsc::UnboundedSender<EjectionOrder>,
     orders: std::sync::mpsc::Receiver<(String, bool)>,
     role: watch::Receiver<RestartRole>,
 }
 
 impl RestartProcess {
-    /// `link` leads to the process that this one has taken over from, if there is one.
+    /// Starts a process. `link` is the connection to the process that it replaces, if there is one.
     fn start(path: PathBuf, listener: TcpListener, link: Option<UnixStream>) -> Self {
         let listen = listener.local_addr().unwrap().to_string();
         let (show_role, role) = watch::channel(RestartRole::Alone);
@@ -142,7 +142,7 @@
         forwarded.recv_timeout(PATIENCE).unwrap()
     }
 
-    /// Orders this process to have a host out or back; the other process is to say when that is in force there.
+    /// Forwards an order to eject or reinstate a host. The other process confirms it once it is in force there.
     fn forward(
         &self,
         host: &str,
@@ -275,7 +275,7 @@
     process.end();
 }
 
-/// A version, a checksum of two bytes, and then the fields as `postcard` writes them.
+/// A load update: a version, a checksum of two bytes, and the fields in `postcard` encoding.
 const DATAGRAM: &[u8] = &[
     1, 149, 15, 192, 237, 178, 158, 209, 158, 145, 3, 172, 2, 3, 164, 209, 130, 0, 215, 11, 141, 7,
     218, 171, 194, 255, 255, 3,
@@ -348,7 +348,7 @@
     assert_eq!(counters.line(), "peers.sent=1 tries=3");
 }
 
-/// One of each of the usual counters of a coordinator, as its clients and operators read them.
+/// The counters of a coordinator, by the names that clients and operators read.
 #[test]
 fn counters_when_queries_were_served_and_refused_then_they_have_these_names() {
     let ledger = Ledger::default();
