--- a/crates/coordinator/src/net/link/connection.rs
+++ b/crates/coordinator/src/net/link/connection.rs
@@ -1,6 +1,6 @@
 //! A connection at work: what it has out, what it is told, and when it ends.
 
-use super::run::handle_unconnected;
+use super::run::run_unconnected;
 use super::{LinkCommand, LinkSetup};
 use crate::core::PartRequest;
 use crate::interface::{Outcome, RequestId};
@@ -358,9 +358,7 @@
                 self.queue.push_back(parts);
             }
             LinkCommand::Cancel(part, attempt, outcome) => self.cancel(part, attempt, outcome),
-            LinkCommand::Retract(..) => {
-                handle_unconnected(&mut self.setup, &mut self.queue, command)
-            }
+            LinkCommand::Retract(..) => run_unconnected(&mut self.setup, &mut self.queue, command),
             LinkCommand::Probe => {
                 self.last_used_at = Instant::now();
                 self.probes.push_back(self.last_used_at);
@@ -410,7 +408,7 @@
                 return;
             }
         }
-        handle_unconnected(
+        run_unconnected(
             &mut self.setup,
             &mut self.queue,
             LinkCommand::Cancel(part, attempt, outcome),
--- a/crates/coordinator/src/net/link/run.rs
+++ b/crates/coordinator/src/net/link/run.rs
@@ -25,7 +25,7 @@
                 setup.mail.close();
                 setup.log_end("connect_failed", &e.to_string());
                 (0..held.probes)
-                    .for_each(|_| handle_unconnected(&mut setup, &mut queue, LinkCommand::Probe));
+                    .for_each(|_| run_unconnected(&mut setup, &mut queue, LinkCommand::Probe));
                 fail_queued_parts(&mut setup, queue);
                 return;
             }
@@ -67,7 +67,7 @@
         (setup, queue) = (link.setup, link.queue);
         // A host that closes an idle connection while a call is on its way has not refused the call.
         while let Some(command) = unused.then(|| setup.mail.try_recv().ok()).flatten() {
-            handle_unconnected(&mut setup, &mut queue, command);
+            run_unconnected(&mut setup, &mut queue, command);
         }
         if !unused || queue.is_empty() {
             setup.mail.close();
@@ -105,7 +105,7 @@
             Some(command) = setup.mail.recv() => match command {
                 LinkCommand::Probe => held.probes += 1,
                 LinkCommand::Release => held.release = true,
-                command => handle_unconnected(setup, queue, command),
+                command => run_unconnected(setup, queue, command),
             },
             opened = &mut connecting => return opened,
         }
@@ -126,7 +126,7 @@
 }
 
 /// Handles a command without using a connection.
-pub(super) fn handle_unconnected(
+pub(super) fn run_unconnected(
     setup: &mut LinkSetup,
     queue: &mut VecDeque<Vec<PartRequest>>,
     command: LinkCommand,
@@ -161,7 +161,7 @@
 /// Fails all queued parts, which have not run because there is no connection.
 fn fail_queued_parts(setup: &mut LinkSetup, mut queue: VecDeque<Vec<PartRequest>>) {
     while let Ok(command) = setup.mail.try_recv() {
-        handle_unconnected(setup, &mut queue, command);
+        run_unconnected(setup, &mut queue, command);
     }
     for p in queue.into_iter().flatten() {
         setup.ended(p.part, p.attempt, Outcome::ConnectFailed);
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -92,7 +92,7 @@
     attempts: BTreeMap<(usize, RequestId), u32>,
     /// Time in milliseconds and server of each send.
     sent: Vec<(u64, u32)>,
-    final_answers: BTreeMap<&'static str, usize>,
+    answers: BTreeMap<&'static str, usize>,
 }
 
 impl Fleet {
@@ -108,7 +108,7 @@
             parts_at_server: [0; 12],
             attempts: BTreeMap::new(),
             sent: vec![],
-            final_answers: BTreeMap::new(),
+            answers: BTreeMap::new(),
         };
         fleet.list(
             ListKind::Full,
@@ -217,15 +217,9 @@
                                 .or_default()
                                 .push(end);
                         }
-                        Action::Answer { .. } => {
-                            *self.final_answers.entry("answered").or_default() += 1
-                        }
-                        Action::Reject { .. } => {
-                            *self.final_answers.entry("refused").or_default() += 1
-                        }
-                        Action::Fail { .. } => {
-                            *self.final_answers.entry("failed").or_default() += 1
-                        }
+                        Action::Answer { .. } => *self.answers.entry("answered").or_default() += 1,
+                        Action::Reject { .. } => *self.answers.entry("refused").or_default() += 1,
+                        Action::Fail { .. } => *self.answers.entry("failed").or_default() += 1,
                         _ => {}
                     }
                 }
@@ -294,12 +288,12 @@
         share < 30.0,
         "{share} parts a second to a failing host, of 50 to a sound one"
     );
-    assert_eq!(fleet.final_answers.get("failed"), None);
-    let refused = fleet.final_answers.get("refused").copied().unwrap_or(0);
+    assert_eq!(fleet.answers.get("failed"), None);
+    let refused = fleet.answers.get("refused").copied().unwrap_or(0);
     assert!(
-        refused * 100 < fleet.final_answers["answered"],
+        refused * 100 < fleet.answers["answered"],
         "{:?}",
-        fleet.final_answers
+        fleet.answers
     );
 }
 
@@ -335,11 +329,11 @@
         fleet.simulate(3000, 166, |_, _| (Outcome::Ok, PART_MS));
     }
     fleet.simulate(2000, u64::MAX, |_, _| (Outcome::Ok, PART_MS));
-    let ended: usize = fleet.final_answers.values().sum();
-    assert_eq!(ended as u64, fleet.next / 2, "{:?}", fleet.final_answers);
+    let ended: usize = fleet.answers.values().sum();
+    assert_eq!(ended as u64, fleet.next / 2, "{:?}", fleet.answers);
     assert!(
-        fleet.final_answers["answered"] * 20 > ended * 19,
+        fleet.answers["answered"] * 20 > ended * 19,
         "{:?}",
-        fleet.final_answers
+        fleet.answers
     );
 }
