--- a/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
+++ b/crates/coordinator/src/bin/fennelpin-adapter/wire.rs
@@ -55,7 +55,7 @@
         tenants: parsed.tenants,
         report_values: parsed.report_values,
         clients_mark_retries: parsed.clients_mark_retries,
-        gossip: parsed.talk,
+        gossip: parsed.gossip,
         ..WireNames::default()
     };
     Ok((parsed.router, names))
