--- a/crates/coordinator/src/ops/admin_server.rs
+++ b/crates/coordinator/src/ops/admin_server.rs
@@ -1,6 +1,6 @@
-//! The operator's address: readiness, counters and manual ejection. Its server has a thread and a runtime of its
-//! own, so that it answers while the core is busy. It reads what the core publishes, and waits for the core only
-//! to confirm that an order is in force.
+//! The HTTP server of the operator's address: readiness, counters and manual ejection. It has its own thread and
+//! runtime, so that it answers while the core is busy. It reads the state that the core publishes, and waits for the
+//! core only to confirm that an ejection order is in force.
 
 use super::hot_restart::never_restarted;
 use super::list_overlay::{EjectionOrder, OverlayRequest};
@@ -13,17 +13,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Limit on the callers that are served at once. One more takes the place of the caller that has been sending
-/// its request for longest.
+/// Limit on the callers that are served at once. A further caller replaces the one that has been sending its request
+/// for longest.
 const MAX_CALLERS: usize = 24;
-/// Limit on the callers restart_role those whose connections are about to close.
+/// Limit on the connections that are being closed, in addition to those of served callers.
 const MAX_CLOSING_CALLERS: usize = 4;
-/// Answers are due within 1 s: an order that is not in force by then is refused.
+/// How long a response waits for an order to be in force. Callers expect a response within 1 s, so an order that
+/// takes longer is answered with status 503.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest id of a host that is looked for.
+/// Maximum length of a host id in a request, in bytes; a longer one is answered with status 404.
 const MAX_ID_BYTES: usize = 256;
 
-/// The server of the operator's address.
+/// The HTTP server of the operator's address.
 pub struct AdminServer {
     readiness: Readiness,
     counters: Counters,
@@ -31,7 +32,7 @@
 }
 
 impl AdminServer {
-    /// Creates a server whose orders go to this actor of the host list.
+    /// Creates a server that sends ejection orders to the list overlay's actor.
     pub fn new(
         readiness: Readiness,
         counters: Counters,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Serves on a thread of its own for as long as the process lives.
+    /// Starts a thread that serves `listener` for the lifetime of the process.
     ///
     /// # Errors
     /// If the thread or its runtime can't be created.
@@ -71,7 +72,9 @@
         };
         let listener = match tokio::net::TcpListener::from_std(listener) {
             Ok(listener) => listener,
-            Err(e) => return log::error!(error:% = e; "operator's address"),
+            Err(e) => {
+                return log::error!(error:% = e; "operator's address: can't use the listening socket; it is not served")
+            }
         };
         let (_never_stopped, stop) = watch::channel(false);
         let incoming = Incoming::Listener(Gated {
@@ -98,14 +101,14 @@
         Response::text(200, lines)
     }
 
-    /// Ejects or restores a host. `encoded_id` is its id as it stands in the path.
-    fn order(&self, encoded_id: &str, ejected: bool) -> Answering {
+    /// Sends an order to eject or restore a host. `encoded_id` is its percent-encoded id from the request path.
+    fn send_order(&self, encoded_id: &str, ejected: bool) -> Answering {
         let host = percent_encoding::percent_decode_str(encoded_id)
             .decode_utf8()
             .unwrap_or_default()
             .into_owned();
         if host.is_empty() || host.len() > MAX_ID_BYTES {
-            return immediate(Response::text(404, "no such district host\n"));
+            return ready_response(Response::text(404, "no such district host\n"));
         }
         let (reply, outcome) = oneshot::channel();
         let order = OverlayRequest::Order(EjectionOrder {
@@ -114,30 +117,30 @@
             reply,
         });
         if self.overlay.try_send(order).is_err() {
-            return immediate(Response::text(503, "too many orders wait\n"));
+            return ready_response(Response::text(503, "too many orders wait\n"));
         }
         Box::pin(order_response(outcome, ejected))
     }
 }
 
-/// Waits until an order is in force or refused.
+/// The response to an order, once it is in force, refused or past [`ORDER_TIMEOUT`].
 async fn order_response(
     outcome: oneshot::Receiver<Result<(), EjectionError>>,
     ejected: bool,
 ) -> Response {
-    let done = if ejected { "offline\n" } else { "online\n" };
+    let new_state = if ejected { "offline\n" } else { "online\n" };
     let Ok(outcome) = tokio::time::timeout(ORDER_TIMEOUT, outcome).await else {
         return Response::text(503, "not in force yet: call again\n");
     };
     match outcome {
-        Ok(Ok(())) => Response::text(200, done),
+        Ok(Ok(())) => Response::text(200, new_state),
         Ok(Err(error @ EjectionError::UnknownHost)) => Response::text(404, format!("{error}\n")),
         Ok(Err(error @ EjectionError::TooManyEjected)) => Response::text(503, format!("{error}\n")),
         Err(_) => Response::text(503, "stopping\n"),
     }
 }
 
-fn immediate(response: Response) -> Answering {
+fn ready_response(response: Response) -> Answering {
     Box::pin(std::future::ready(response))
 }
 
@@ -147,17 +150,17 @@
         let allowed_method = match path[..] {
             ["control", "ready" | "counters"] => "GET",
             ["control", "district-hosts", _, "offline" | "online"] => "POST",
-            _ => return immediate(Response::text(404, "no such path\n")),
+            _ => return ready_response(Response::text(404, "no such path\n")),
         };
         if request.method != allowed_method {
             let refusal = Response::text(405, format!("only {allowed_method} here\n"));
-            return immediate(refusal.with("Allow", allowed_method.to_owned()));
+            return ready_response(refusal.with("Allow", allowed_method.to_owned()));
         }
         match path[..] {
-            ["control", "ready"] => immediate(self.readiness()),
-            ["control", "counters"] => immediate(self.counters()),
-            [_, _, id, action] => self.order(id, action == "offline"),
-            _ => immediate(Response::text(404, "no such path\n")),
+            ["control", "ready"] => ready_response(self.readiness()),
+            ["control", "counters"] => ready_response(self.counters()),
+            [_, _, id, action] => self.send_order(id, action == "offline"),
+            _ => ready_response(Response::text(404, "no such path\n")),
         }
     }
 
--- a/crates/coordinator/src/ops/hot_restart/descriptor_passing.rs
+++ b/crates/coordinator/src/ops/hot_restart/descriptor_passing.rs
@@ -1,5 +1,5 @@
-//! A message that carries a file descriptor over a Unix socket (`SCM_RIGHTS`): its length in four bytes, and then
-//! its body. The descriptor comes with the first byte.
+//! Messages with a file descriptor over a Unix socket (`SCM_RIGHTS`): the body's length as a big-endian `u32`, then the
+//! body. The descriptor is attached to the first byte.
 
 use super::messages::MAX_MESSAGE_BYTES;
 use super::HotRestartError;
@@ -14,20 +14,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::UnixStream;
 
-/// Bytes of a message's length.
+/// Size of the length prefix, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Reads one message and the descriptor that comes with it, if one does.
+/// Reads one message and the descriptor attached to it, if any.
 pub(super) async fn receive_with_descriptor(
     link: &mut UnixStream,
 ) -> Result<(Option<OwnedFd>, Vec<u8>), HotRestartError> {
     let (mut length, mut received, mut descriptor) = ([0; LENGTH_BYTES], 0, None);
     while received < LENGTH_BYTES {
         link.readable().await?;
-        let step = link.try_io(Interest::READABLE, || {
+        let result = link.try_io(Interest::READABLE, || {
             receive_part(link, &mut length[received..], &mut descriptor)
         });
-        match step {
+        match result {
             Ok(0) => return Err(HotRestartError::EndedEarly),
             Ok(bytes) => received += bytes,
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
@@ -43,14 +43,14 @@
     Ok((descriptor, body))
 }
 
-/// One read of a ready socket. Returns the number of bytes; 0 is the end of the stream.
+/// Reads once from a readable socket. Returns the number of bytes; 0 means the end of the stream.
 fn receive_part(
     link: &UnixStream,
     buffer: &mut [u8],
     descriptor: &mut Option<OwnedFd>,
 ) -> std::io::Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = RecvAncillaryBuffer::new(&mut control_buffer);
     let mut buffers = [IoSliceMut::new(buffer)];
     let received = recvmsg(link, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
     for message in control.drain() {
@@ -72,20 +72,20 @@
         .to_be_bytes();
     let sent = loop {
         link.writable().await?;
-        let step = link.try_io(Interest::WRITABLE, || send_part(link, listener, &length));
-        match step {
+        let result = link.try_io(Interest::WRITABLE, || send_part(link, listener, &length));
+        match result {
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            result => break result?,
+            sent => break sent?,
         }
     };
     link.write_all(&length[sent..]).await?;
     link.write_all(body).await
 }
 
-/// One write to a ready socket, with the descriptor. Returns the number of bytes.
+/// Writes once to a writable socket, with the descriptor attached. Returns the number of bytes.
 fn send_part(link: &UnixStream, listener: &TcpListener, bytes: &[u8]) -> std::io::Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = SendAncillaryBuffer::new(&mut space);
+    let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = SendAncillaryBuffer::new(&mut control_buffer);
     let descriptors = [listener.as_fd()];
     control.push(SendAncillaryMessage::ScmRights(&descriptors));
     let buffers = [IoSlice::new(bytes)];
--- a/crates/coordinator/src/ops/hot_restart/link.rs
+++ b/crates/coordinator/src/ops/hot_restart/link.rs
@@ -1,5 +1,5 @@
-//! The link between the two processes while both run: each forwards the operators' orders to the other and
-//! confirms those that it has carried out.
+//! The link between the two processes while both run: each forwards the operators' orders to the other and confirms
+//! the orders that it has applied.
 
 use super::messages::{LinkMessage, MAX_MESSAGE_BYTES};
 use super::{HotRestartError, RestartRole};
@@ -11,20 +11,20 @@
 use tokio::net::UnixStream;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Serves the link until it ends. Returns why it did.
+/// Serves the link until it ends. Returns why it ended.
 pub(super) async fn serve_link(
     link: UnixStream,
     orders: mpsc::UnboundedReceiver<EjectionOrder>,
     overlay: &mpsc::Sender<OverlayRequest>,
     role: &watch::Sender<RestartRole>,
 ) -> HotRestartError {
-    let (carried_out, confirmations) = mpsc::unbounded_channel();
+    let (applied_orders, confirmations) = mpsc::unbounded_channel();
     let mut link_state = LinkState {
         overlay,
         role,
         last_number: 0,
         unconfirmed: BTreeMap::new(),
-        carried_out,
+        applied_orders,
     };
     match link_state.exchange(link, orders, confirmations).await {
         Err(e) => e,
@@ -35,12 +35,12 @@
 struct LinkState<'a> {
     overlay: &'a mpsc::Sender<OverlayRequest>,
     role: &'a watch::Sender<RestartRole>,
-    /// The number of the order forwarded last.
+    /// The number of the last forwarded order.
     last_number: u64,
-    /// Who waits for the confirmation of an order that was forwarded, by its number.
+    /// The reply channels of forwarded orders that the other process has not confirmed, by number.
     unconfirmed: BTreeMap<u64, oneshot::Sender<Result<(), EjectionError>>>,
-    /// Gets the numbers of the other process's orders that this one has carried out.
-    carried_out: mpsc::UnboundedSender<u64>,
+    /// Receives the numbers of the other process's orders that this process has applied.
+    applied_orders: mpsc::UnboundedSender<u64>,
 }
 
 impl LinkState<'_> {
@@ -100,12 +100,12 @@
                 number,
                 host,
                 ejected,
-            } => self.carry_out(number, host, ejected).await?,
+            } => self.apply_order(number, host, ejected).await?,
         }
         Ok(())
     }
 
-    async fn carry_out(
+    async fn apply_order(
         &self,
         number: u64,
         host: String,
@@ -121,11 +121,11 @@
             .send(OverlayRequest::Forwarded(order))
             .await
             .map_err(|_| HotRestartError::OverlayEnded)?;
-        let carried_out = self.carried_out.clone();
+        let applied_orders = self.applied_orders.clone();
         tokio::spawn(async move {
-            // A refusal counts too: a host that this process has not heard of gets no requests from it.
+            // A refused order is confirmed too: a host that this process doesn't know gets no requests from it.
             let _ = done.await;
-            let _ = carried_out.send(number);
+            let _ = applied_orders.send(number);
         });
         Ok(())
     }
--- a/crates/coordinator/src/ops/hot_restart/mod.rs
+++ b/crates/coordinator/src/ops/hot_restart/mod.rs
@@ -1,9 +1,9 @@
 //! Hot restart: a new process of a coordinator takes over from the old one, and a link between them stays open
-//! while both run. `docs/design/operations.md` says why it is done this way.
+//! while both run. `docs/design/operations.md` gives the design reasons.
 //!
 //! The new process connects to the old one's Unix socket. The old process answers with the clients' listening
 //! socket and its state (`messages`). Once the new process serves, the old one accepts no more connections.
-//! While both run, each forwards the operators' orders to the other.
+//! While both run, each forwards the operators' ejection orders to the other.
 
 mod descriptor_passing;
 mod link;
@@ -14,20 +14,20 @@
 
 use super::manual_ejection::ManualEjections;
 use descriptor_passing::receive_with_descriptor;
-use messages::{StateMessage, VERSION};
+use messages::{StateMessage, MESSAGE_VERSION};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::net::UnixStream;
 use tokio::sync::watch;
 
-/// The old process must have sent its whole state within this, or the new one starts without it.
+/// Limit on the time for the transfer of the state; past it, the new process starts without the state.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The part that this process has in a hot restart.
+/// The role of this process in a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartRole {
-    /// There is no other process.
+    /// No other process of the coordinator is linked.
     Alone,
     /// Both processes run and accept connections.
     Overlapping,
@@ -36,7 +36,7 @@
 }
 
 impl RestartRole {
-    /// The share of a budget that this process has: all of it, or half while there is another process.
+    /// The part of a budget that this process may use: all of it, or half (rounded down) in the other roles.
     pub fn share_of(self, budget: usize) -> usize {
         if self == Self::Alone {
             budget
@@ -46,57 +46,59 @@
     }
 }
 
-/// The role of a process that is never part of a hot restart.
+/// A role that stays [`RestartRole::Alone`], for servers that take no part in hot restarts.
 pub fn never_restarted() -> watch::Receiver<RestartRole> {
     watch::channel(RestartRole::Alone).1
 }
 
-/// Why a hot restart was given up, or why the link between the processes ended.
+/// The reason why a hand-over failed or the link between the processes ended.
 #[derive(Debug, thiserror::Error)]
 pub enum HotRestartError {
-    /// The socket failed, or no process listens there.
+    /// A socket operation failed, or no process listens at the path.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// The state did not come within its time.
-    #[error("no whole message in time")]
+    /// The state was not transferred within its time limit.
+    #[error("the state was not transferred in time")]
     Timeout,
-    /// The other process ended the link before it sent its state.
-    #[error("it ended before it told anything")]
+    /// The other process closed the link before it sent its state.
+    #[error("link closed before the state was sent")]
     EndedEarly,
-    /// A state message is longer than any may be.
-    #[error("a message of {0} bytes")]
+    /// The announced length of the state, in bytes, exceeds the limit on messages.
+    #[error("state message of {0} bytes exceeds the limit")]
     StateTooLong(usize),
-    /// A message is not of the form that it should have.
+    /// A message is not valid JSON or lacks a field.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// The state is that of another coordinator or in a form of another version.
-    #[error("version {version} of '{name}' at {listen}")]
+    /// The state is from another coordinator or in another version of the message format.
+    #[error(
+        "state is from another coordinator or version: version {version} of '{name}' at {listen}"
+    )]
     OtherCoordinator {
-        /// The version of the messages.
+        /// The version of its message format.
         version: u32,
         /// The coordinator's name.
         name: String,
-        /// The clients' address.
+        /// Its configured address for clients.
         listen: String,
     },
-    /// No listening socket came with the state.
-    #[error("no listening socket")]
+    /// The state came without the descriptor of a listening socket.
+    #[error("state came without a listening socket")]
     NoListener,
-    /// The listening socket is bound to another address than the state says.
-    #[error("the listening socket of another address")]
+    /// The received socket is not bound to the configured address for clients.
+    #[error("received listening socket is bound to another address")]
     WrongListener,
-    /// The other process ended the link.
-    #[error("closed")]
+    /// The other process closed the link.
+    #[error("link closed by the other process")]
     Closed,
-    /// A line on the link is longer than any may be.
-    #[error("a line without end")]
+    /// The input of the link exceeds the limit on messages.
+    #[error("message exceeds the size limit")]
     LineTooLong,
-    /// The actor of the host list has ended.
-    #[error("the list's actor has ended")]
+    /// The list overlay's actor has ended.
+    #[error("list overlay actor has ended")]
     OverlayEnded,
 }
 
-/// The path of the Unix socket at which processes of a coordinator of this name meet; `None` without a `$TMPDIR`.
+/// The path of the Unix socket for hot restarts of the coordinator with this name; `None` if `$TMPDIR` is not set.
 pub fn socket_path(name: &str) -> Option<PathBuf> {
     let file_name: String = name
         .chars()
@@ -106,21 +108,21 @@
         .map(|dir| Path::new(&dir).join(format!("fennelpin-{file_name}.sock")))
 }
 
-/// What a new process has got from the old one.
+/// The state that a new process received from the old one.
 pub struct TakenOverState {
     /// The clients' listening socket.
     pub listener: TcpListener,
-    /// The host list and the manual ejections.
+    /// The host list and its manual ejections.
     pub ejections: ManualEjections,
     /// The link to the old process.
     pub link: UnixStream,
 }
 
-/// Takes over from the process that listens at `path`, if it is one of this coordinator. `name` and `listen` are
-/// the coordinator's name and its clients' address, as configured.
+/// Takes over from the process that listens at `path`, if it belongs to this coordinator. `name` and `listen` are the
+/// configured name of the coordinator and its address for clients.
 ///
 /// # Errors
-/// If no process listens there, or its state can't be used. The caller then starts without it.
+/// If no process listens there, or its state can't be used. The caller then starts without the state.
 pub async fn take_over(
     path: &Path,
     name: &str,
@@ -139,7 +141,9 @@
     let mut link = UnixStream::connect(path).await?;
     let (descriptor, body) = receive_with_descriptor(&mut link).await?;
     let state: StateMessage = serde_json::from_slice(&body)?;
-    if (state.version, state.name.as_str(), state.listen.as_str()) != (VERSION, name, listen) {
+    if (state.version, state.name.as_str(), state.listen.as_str())
+        != (MESSAGE_VERSION, name, listen)
+    {
         return Err(HotRestartError::OtherCoordinator {
             version: state.version,
             name: state.name,
@@ -147,7 +151,7 @@
         });
     }
     let listener = TcpListener::from(descriptor.ok_or(HotRestartError::NoListener)?);
-    // The descriptor must be the socket that the state says it is.
+    // The descriptor must be bound to the configured address; port 0 stands for any port.
     if listener.local_addr()?.to_string() != listen && !listen.ends_with(":0") {
         return Err(HotRestartError::WrongListener);
     }
--- a/crates/coordinator/src/ops/hot_restart/process.rs
+++ b/crates/coordinator/src/ops/hot_restart/process.rs
@@ -1,8 +1,8 @@
-//! This process as others of its coordinator meet it: first as the new process, then as the old one.
+//! The part of this process in hot restarts: first as the new process, then as the old one.
 
 use super::descriptor_passing::send_with_descriptor;
 use super::link::serve_link;
-use super::messages::{LinkMessage, StateMessage, VERSION};
+use super::messages::{LinkMessage, StateMessage, MESSAGE_VERSION};
 use super::{HotRestartError, RestartRole, HAND_OVER_TIMEOUT};
 use crate::ops::list_overlay::{AttachedProcess, EjectionOrder, OverlayRequest};
 use std::net::TcpListener;
@@ -15,25 +15,25 @@
 /// Pause after a failed accept.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// This process's part in hot restarts.
+/// The part of this process in hot restarts.
 pub struct HotRestart {
-    /// The Unix socket at which the next process connects.
+    /// The path of the Unix socket that the next process connects to.
     pub path: PathBuf,
     /// The coordinator's name.
     pub name: String,
-    /// The clients' address, as configured.
+    /// The configured address for clients.
     pub listen: String,
     /// The clients' listening socket.
     pub listener: TcpListener,
-    /// The actor of the host list.
+    /// The requests to the list overlay's actor.
     pub overlay: mpsc::Sender<OverlayRequest>,
-    /// Shows the role of this process.
+    /// Publishes the role of this process.
     pub role: watch::Sender<RestartRole>,
 }
 
 impl HotRestart {
-    /// Works as the new process over `old_process`, if there is one, until the old process ends. Then waits for the
-    /// next new process, as the old one, for ever.
+    /// Acts as the new process on the link to `old_process`, if there is one, until the old process ends. Then acts as
+    /// the old process and waits for new ones, without end.
     pub async fn run(self, old_process: Option<UnixStream>) {
         let socket = match self.bind() {
             Ok(socket) => Some(socket),
@@ -43,8 +43,8 @@
             }
         };
         if let Some(link) = old_process {
-            let end = self.follow_old_process(link).await;
-            log::info!(detail:% = end; "hot restart: the old process has ended");
+            let end_reason = self.follow_old_process(link).await;
+            log::info!(detail:% = end_reason; "hot restart: the old process has ended");
             self.role.send_replace(RestartRole::Alone);
         }
         if let Some(socket) = socket {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Tells the old process that this one serves, and stays linked to it until it ends.
+    /// Tells the old process that this one serves, then serves the link until it ends. Returns why it ended.
     async fn follow_old_process(&self, mut link: UnixStream) -> HotRestartError {
         let (forward, orders) = mpsc::unbounded_channel();
         let attached = AttachedProcess {
@@ -71,24 +71,26 @@
             let link = match socket.accept().await {
                 Ok((link, _)) => link,
                 Err(e) => {
-                    log::warn!(error:% = e; "hot restart");
+                    log::warn!(error:% = e; "hot restart: accept failed; retrying");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                     continue;
                 }
             };
-            log::info!("hot restart: a new process has come");
-            let end = self.hand_over(link).await;
-            log::warn!(detail:% = end; "hot restart: the new process has gone, this one serves on");
+            log::info!("hot restart: a new process has connected");
+            let end_reason = self.hand_over(link).await;
+            log::warn!(detail:% = end_reason; "hot restart: the link to the new process has ended; this process serves all clients again");
             self.role.send_replace(RestartRole::Alone);
-            // The new process may have put its own socket in the place of this one's.
+            // The new process may have replaced the socket at the path with its own.
             match self.bind() {
                 Ok(rebound) => socket = rebound,
-                Err(e) => log::warn!(path:% = self.path.display(), error:% = e; "hot restart"),
+                Err(e) => {
+                    log::warn!(path:% = self.path.display(), error:% = e; "hot restart: can't bind the socket again; keeping the earlier one");
+                }
             }
         }
     }
 
-    /// Hands over to a new process, and stays linked to it until that ends.
+    /// Hands over to a new process, then serves the link until it ends. Returns why it ended.
     async fn hand_over(&self, mut link: UnixStream) -> HotRestartError {
         match tokio::time::timeout(HAND_OVER_TIMEOUT, self.send_state(&mut link)).await {
             Ok(Ok(orders)) => serve_link(link, orders, &self.overlay, &self.role).await,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Binds a socket beside the path and moves it there, so that the path is never without a listener.
+    /// Binds a socket at a temporary path and renames it, so that the path is never without a listener.
     fn bind(&self) -> std::io::Result<UnixListener> {
         let temporary = self.path.with_extension(format!("{}", std::process::id()));
         let _ = std::fs::remove_file(&temporary);
@@ -106,7 +108,7 @@
         Ok(listener)
     }
 
-    /// Sends the listening socket and the state. Returns the orders that are to be forwarded from then on.
+    /// Sends the listening socket and the state. Returns the channel of later orders, which must be forwarded.
     async fn send_state(
         &self,
         link: &mut UnixStream,
@@ -120,7 +122,7 @@
             .await
             .map_err(|_| HotRestartError::OverlayEnded)?;
         let message = StateMessage {
-            version: VERSION,
+            version: MESSAGE_VERSION,
             ejections: ejections.await.map_err(|_| HotRestartError::OverlayEnded)?,
             name: self.name.clone(),
             listen: self.listen.clone(),
--- a/crates/coordinator/src/ops/list_overlay.rs
+++ b/crates/coordinator/src/ops/list_overlay.rs
@@ -1,4 +1,4 @@
-//! The actor between the sources of the host list and the cores. It keeps the manual ejections and lays them over
+//! The actor between the sources of the host list and the cores. It keeps the manual ejections and applies them to
 //! each update.
 
 use super::manual_ejection::{EjectionError, ManualEjections};
@@ -11,34 +11,34 @@
 pub struct EjectionOrder {
     /// The host's id.
     pub host: String,
-    /// Whether it is to be ejected.
+    /// True to eject the host, false to restore it.
     pub ejected: bool,
-    /// Is answered once the order is in force, or with the reason why it was refused.
+    /// Receives `Ok` once the order is in force, or the reason why it was refused.
     pub reply: oneshot::Sender<Result<(), EjectionError>>,
 }
 
-/// Another process of the same coordinator, beside this one during a hot restart.
+/// Another process of the same coordinator that runs at the same time during a hot restart.
 pub struct AttachedProcess {
-    /// Orders given at this process, for the other one to carry out too.
+    /// Forwards the orders received by this process, so that the other one applies them too.
     pub forward: mpsc::UnboundedSender<EjectionOrder>,
-    /// Gets the state as of now. Each order after that is forwarded.
+    /// Receives a snapshot of the ejections. Each later order is forwarded.
     pub state: oneshot::Sender<ManualEjections>,
 }
 
-/// What the actor is asked.
+/// A request to the overlay's actor.
 pub enum OverlayRequest {
-    /// An order that the operators gave at this process.
+    /// An order that an operator sent to this process.
     Order(EjectionOrder),
     /// An order that the other process forwarded.
     Forwarded(EjectionOrder),
-    /// There is another process from now on.
+    /// Registers another process, which receives orders from now on.
     Attach(AttachedProcess),
 }
 
-/// The manual ejections, and the other process if there is one.
+/// The manual ejections, and the channel to the other process during a hot restart.
 #[derive(Default)]
 pub struct ListOverlay {
-    /// The hosts that the operators ejected, over the list.
+    /// The manually ejected hosts and the list that they apply to.
     pub ejections: ManualEjections,
     other_process: Option<mpsc::UnboundedSender<EjectionOrder>>,
 }
@@ -52,15 +52,15 @@
         }
     }
 
-    /// Handles one request. What follows for the list goes to `sink`.
+    /// Handles one request. Resulting updates of the list go to `sink`.
     pub fn handle(&mut self, request: OverlayRequest, sink: &impl ListSink) {
         match request {
             OverlayRequest::Forwarded(order) => {
-                self.ejections.expect(&order.host);
-                carry_out(&mut self.ejections, order, None, sink);
+                self.ejections.expect_host(&order.host);
+                apply_order(&mut self.ejections, order, None, sink);
             }
             OverlayRequest::Order(order) => {
-                carry_out(
+                apply_order(
                     &mut self.ejections,
                     order,
                     self.other_process.as_ref(),
@@ -75,19 +75,19 @@
     }
 }
 
-/// Where updates of the list go.
+/// A receiver of updates of the host list.
 pub trait ListSink {
-    /// Hands an update over.
+    /// Sends an update to all cores.
     fn publish(&self, kind: ListKind, endpoints: Vec<Endpoint>);
-    /// Confirmations, one for each core: each comes once all that was handed over before is applied.
+    /// One confirmation for each core; it resolves once the core has applied all updates published before this call.
     fn confirmations(&self) -> Vec<oneshot::Receiver<()>>;
 }
 
-/// Asks a core to confirm that it has applied all that it was sent before.
+/// Asks a core to confirm that it has applied all messages sent to it so far.
 pub fn request_confirmation(core: &mpsc::UnboundedSender<CoreMessage>) -> oneshot::Receiver<()> {
-    let (confirm, confirmed) = oneshot::channel();
+    let (confirm, confirmation) = oneshot::channel();
     let _ = core.send(CoreMessage::Barrier(confirm));
-    confirmed
+    confirmation
 }
 
 impl ListSink for mpsc::UnboundedSender<CoreMessage> {
@@ -106,8 +106,8 @@
         .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
-/// Carries an order out. Its reply goes out once all cores, and the other process, have applied it.
-fn carry_out(
+/// Applies an order. The reply is sent once all cores, and the other process if there is one, have applied it.
+fn apply_order(
     ejections: &mut ManualEjections,
     order: EjectionOrder,
     other_process: Option<&mpsc::UnboundedSender<EjectionOrder>>,
@@ -141,16 +141,16 @@
         drop(forwarded_reply);
     }
     tokio::spawn(async move {
-        // A core or process that has ended sends no confirmation, and none is needed.
-        for confirmed in confirmations {
-            let _ = confirmed.await;
+        // A core or process that has ended drops its sender: no confirmation is needed from it.
+        for confirmation in confirmations {
+            let _ = confirmation.await;
         }
         let _ = other_process_done.await;
         let _ = reply.send(Ok(()));
     });
 }
 
-/// Passes updates on and handles requests until the senders of both have gone.
+/// Forwards list updates to `sink` and handles requests, until both channels are closed.
 pub async fn run(
     mut overlay: ListOverlay,
     mut updates: mpsc::UnboundedReceiver<CoreMessage>,
@@ -160,7 +160,7 @@
     let (mut updates_open, mut requests_open) = (true, true);
     while updates_open || requests_open {
         tokio::select! {
-            mail = updates.recv(), if updates_open => match mail {
+            message = updates.recv(), if updates_open => match message {
                 Some(CoreMessage::HostList(kind, endpoints)) => {
                     sink.publish(kind, overlay.ejections.apply_update(kind, endpoints));
                 }
--- a/crates/coordinator/src/ops/manual_ejection.rs
+++ b/crates/coordinator/src/ops/manual_ejection.rs
@@ -1,48 +1,48 @@
-//! Manual ejection: district hosts that the operators took out of service, kept over the endpoint list as its
-//! source last told it. No I/O.
+//! Manual ejection: the district hosts that operators have taken out of service, applied to the endpoint list last
+//! received from its source. No I/O.
 //!
-//! To the decision module an ejected host is one that drains, whatever its source says. A restored host counts as
-//! started at the moment of the restore, or when its source says, if that is later.
+//! The decision module sees an ejected host as draining, even if its source reports it ready. The start time of a
+//! restored host is the time of the restore or the one reported by its source, whichever is later.
 
 use crate::core::Endpoint;
 use crate::interface::{ListKind, ServerState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Limit on the hosts that are ejected at once; a list has a few hundred lines.
+/// Limit on the hosts that are ejected at once; a list has a few hundred entries.
 const MAX_EJECTED: usize = 4096;
-/// How long a restore is remembered, in milliseconds: longer than any cold start lasts.
+/// How long the time of a restore is kept, in milliseconds: longer than any cold start.
 const RESTORE_RETENTION_MS: u64 = 600_000;
 
-/// Why a host was not ejected or restored.
+/// The reason why a host was not ejected or restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EjectionError {
-    /// No source has named such a host.
+    /// No source and no other process has listed a host with this id.
     #[error("no such district host")]
     UnknownHost,
-    /// As many hosts are ejected as may be.
+    /// The limit on ejected hosts is reached.
     #[error("too many district hosts are out")]
     TooManyEjected,
 }
 
-/// The ejected hosts, over the list as its source last told it. The names of the fields in the serialized form
-/// belong to the hot restart's messages.
+/// The ejected hosts, and the endpoint list last received from its source. The serialized field names are part of the
+/// hot restart protocol.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ManualEjections {
     #[serde(rename = "out")]
     ejected: BTreeSet<String>,
-    /// When hosts were restored, in Unix milliseconds.
+    /// The times of recent restores by host id, in Unix milliseconds.
     #[serde(rename = "back")]
     restored_at_ms: BTreeMap<String, u64>,
     #[serde(rename = "listed")]
     endpoints: BTreeMap<String, Endpoint>,
-    /// Hosts that the other process of the coordinator knows and that are not listed here yet.
+    /// Ids that the other process of the coordinator knows and that are not listed here yet.
     #[serde(skip)]
-    expected: BTreeSet<String>,
+    expected_ids: BTreeSet<String>,
 }
 
 impl ManualEjections {
-    /// Applies an update of the list. Returns the update that the decision module is to get.
+    /// Applies an update of the list. Returns the update for the decision module.
     pub fn apply_update(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.endpoints.clear();
@@ -56,12 +56,12 @@
         }
         endpoints
             .into_iter()
-            .map(|endpoint| self.overlaid(endpoint))
+            .map(|endpoint| self.with_ejection_applied(endpoint))
             .collect()
     }
 
-    /// An endpoint as the decision module is to see it.
-    fn overlaid(&self, mut endpoint: Endpoint) -> Endpoint {
+    /// An endpoint as the decision module sees it: draining if ejected, and not started before its last restore.
+    fn with_ejection_applied(&self, mut endpoint: Endpoint) -> Endpoint {
         if endpoint.state == ServerState::Ready && self.ejected.contains(&endpoint.id) {
             endpoint.state = ServerState::Draining;
         }
@@ -70,19 +70,19 @@
         endpoint
     }
 
-    /// Records that the other process knows this host: it may be ejected before it is listed here.
-    pub fn expect(&mut self, id: &str) {
-        if !self.endpoints.contains_key(id) && self.expected.len() < MAX_EJECTED {
-            self.expected.insert(id.to_owned());
+    /// Records that the other process knows this host, so that it can be ejected before it is listed here.
+    pub fn expect_host(&mut self, id: &str) {
+        if !self.endpoints.contains_key(id) && self.expected_ids.len() < MAX_EJECTED {
+            self.expected_ids.insert(id.to_owned());
         }
     }
 
-    /// Ejects a host, or restores it, at this Unix time in milliseconds. Returns the update that the decision
-    /// module is to get: empty if nothing changed or if the host is not listed yet.
+    /// Ejects or restores a host at the Unix time `now_ms`, in milliseconds. Returns the update for the decision module,
+    /// which is empty if nothing changed or if the host is not listed yet.
     ///
     /// # Errors
-    /// [`EjectionError::UnknownHost`] if nobody has named this host, [`EjectionError::TooManyEjected`] if as many
-    /// are ejected as may be.
+    /// [`EjectionError::UnknownHost`] if no source and no other process has listed this host,
+    /// [`EjectionError::TooManyEjected`] if the limit on ejected hosts is reached.
     pub fn set_ejected(
         &mut self,
         id: &str,
@@ -90,7 +90,7 @@
         now_ms: u64,
     ) -> Result<Vec<Endpoint>, EjectionError> {
         let was_ejected = self.ejected.contains(id);
-        let is_known = self.endpoints.contains_key(id) || self.expected.contains(id);
+        let is_known = self.endpoints.contains_key(id) || self.expected_ids.contains(id);
         if !was_ejected && !is_known {
             return Err(EjectionError::UnknownHost);
         }
@@ -104,7 +104,7 @@
         }
         let endpoint = self.endpoints.get(id).cloned();
         Ok(endpoint
-            .map(|endpoint| self.overlaid(endpoint))
+            .map(|endpoint| self.with_ejection_applied(endpoint))
             .into_iter()
             .collect())
     }
@@ -124,7 +124,7 @@
         self.restored_at_ms.insert(id.to_owned(), now_ms);
     }
 
-    /// The list as its source last told it.
+    /// The list last received from its source, without the ejections.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.endpoints.values().cloned().collect()
     }
--- a/crates/coordinator/src/ops/mod.rs
+++ b/crates/coordinator/src/ops/mod.rs
@@ -1,12 +1,12 @@
-//! What the operators use day by day. `docs/design/operations.md` says why it is built this way.
+//! Operational features: the operator's address, manual ejection, hot restart and readiness. `docs/design/operations.md` gives the design reasons.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`admin_server`] | the operator's address: readiness, counters, manual ejection |
-//! | [`manual_ejection`] | the hosts that the operators took out of service |
-//! | [`list_overlay`] | the actor that lays manual ejections over the host list |
+//! | [`admin_server`] | the HTTP server of the operator's address: readiness, counters, manual ejection |
+//! | [`manual_ejection`] | the hosts that operators have taken out of service |
+//! | [`list_overlay`] | the actor that applies manual ejections to the host list |
 //! | [`hot_restart`] | a new process takes over the listening socket from the old one |
-//! | [`readiness`] | whether this process can serve |
+//! | [`readiness`] | whether this process can serve requests |
 
 pub mod admin_server;
 pub mod hot_restart;
--- a/crates/coordinator/src/ops/readiness.rs
+++ b/crates/coordinator/src/ops/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether this process can serve, as health checks and the operators are told.
+//! The readiness of this process, as reported to health checks and operators.
 
 use super::hot_restart::RestartRole;
 use crate::counters::Counters;
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Whether this process can serve. Clones share the state.
+/// The readiness of this process. Clones share the state.
 #[derive(Clone)]
 pub struct Readiness {
-    /// Whether connections of clients are accepted.
+    /// Whether client connections are accepted.
     accepting: Arc<AtomicBool>,
     restart_role: watch::Receiver<RestartRole>,
     stop: watch::Receiver<bool>,
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Records that connections of clients are accepted from now on.
+    /// Records that client connections are accepted from now on.
     pub fn set_accepting(&self) {
         self.accepting.store(true, Ordering::Relaxed);
     }
 
-    /// Why the process can't serve, as it is told to callers; `None` if it can.
+    /// The reason why the process can't serve, as callers receive it; `None` if it is ready.
     pub fn not_ready_reason(&self) -> Option<&'static str> {
         if *self.stop.borrow() {
             return Some("stopping");
